--- a/core/src/test/java/cedarrudder/drainage/DrainBytesTest.java
+++ b/core/src/test/java/cedarrudder/drainage/DrainBytesTest.java
@@ -4,6 +4,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 
+import cedarrudder.Golden;
 import cedarrudder.drainage.Command.Call;
 import cedarrudder.drainage.Command.Change;
 import cedarrudder.drainage.Command.Still;
@@ -52,6 +53,17 @@
         assertEquals(Report.decode(report.encode()), report);
     }
 
+    /** Guards against a command or a report that another build of the same tier can't read. */
+    @Test
+    public void theFormIsThatOfTheEarlierBuild() {
+        StringBuilder forms = new StringBuilder();
+        good().forEach(bytes -> forms.append(Golden.hex(bytes)));
+        forms.append(Golden.hex(PolicyCodec.encode(List.of(POLICY))));
+        forms.append(Golden.hex(new Report(9, 2, 9, List.of(new Report.Calls(4, 1), new Report.Calls(9, 7)),
+                3, List.of(5L, 6L), new Flow(10, 1, 2, 3)).encode()));
+        Golden.check("drain-commands.txt", forms.toString());
+    }
+
     /** Guards against what does not fit a report, or what copies may hand on. */
     @Test
     public void theLargestPartsFit() {
--- a/core/src/test/java/cedarrudder/drainage/DrainsModelTest.java
+++ b/core/src/test/java/cedarrudder/drainage/DrainsModelTest.java
@@ -3,6 +3,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
+import cedarrudder.Golden;
 import org.testng.annotations.Test;
 
 /**
@@ -30,4 +31,16 @@
         assertTrue(begun > seeds && emptied > seeds && returned > seeds / 2, begun + ", " + emptied + ", "
                 + returned);
     }
+
+    /** The commands and the states of some worlds, held against an earlier build. */
+    @Test
+    public void drainsAreThoseOfTheEarlierBuild() {
+        StringBuilder lines = new StringBuilder();
+        for (long seed = 1; seed <= 20; seed++) {
+            DrainsWorld world = new DrainsWorld(seed);
+            assertNull(world.run(60 * DrainsWorld.SECOND, 60 * DrainsWorld.SECOND), "seed " + seed);
+            lines.append(seed + " " + world.history() + "\n");
+        }
+        Golden.check("drain-worlds.txt", lines.toString());
+    }
 }
--- a/core/src/test/java/cedarrudder/drainage/DrainsWorld.java
+++ b/core/src/test/java/cedarrudder/drainage/DrainsWorld.java
@@ -1,5 +1,6 @@
 package cedarrudder.drainage;
 
+import cedarrudder.Golden;
 import cedarrudder.drainage.Node.Standing;
 import cedarrudder.drainage.Policy.AtEnd;
 import cedarrudder.drainage.Policy.Left;
@@ -190,6 +191,14 @@
         wrong = wrong == null ? what + " at " + (now - START) / MILLI + " ms" : wrong;
     }
 
+    /** A digest of all that was committed, and of the state that copies had after each. */
+    Golden.Digest history() {
+        Golden.Digest digest = new Golden.Digest();
+        log.forEach(digest::add);
+        states.forEach(digest::add);
+        return digest;
+    }
+
     /** Runs it; what was wrong, or null. */
     String run(long faults, long rest) {
         long end = START + faults;
--- /dev/null
+++ b/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
@@ -0,0 +1,104 @@
+package cedarrudder.membership;
+
+import cedarrudder.Golden;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import org.testng.annotations.Test;
+
+/** The datagrams of membership, held against those of an earlier build: both may run in one tier. */
+public class DatagramFormatTest {
+
+    private static final long SECOND = 1_000_000_000L;
+    private static final long MILLI = 1_000_000L;
+    private static final int INSTANCES = 7;
+    private static final int SAMPLES = 60;
+
+    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+        @Override
+        public int compareTo(Event other) {
+            int byTime = Long.compare(at, other.at);
+            return byTime != 0 ? byTime : Long.compare(order, other.order);
+        }
+    }
+
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private final SplittableRandom random = new SplittableRandom(11);
+    private final Swim[] swims = new Swim[INSTANCES];
+    private final StringBuilder samples = new StringBuilder();
+    private final Golden.Digest digest = new Golden.Digest();
+    private long now = 1_000 * SECOND;
+    private long made;
+    private int sent;
+
+    private void at(long instant, Runnable what) {
+        events.add(new Event(instant, made++, what));
+    }
+
+    private void start(int number, long incarnation) {
+        swims[number] = new Swim(INSTANCES, number, incarnation, MembershipSettings.DEFAULT, random.split(),
+                new Swim.Outlet() {
+                    @Override
+                    public void send(int to, byte[] message) {
+                        sent(number, to, message);
+                    }
+
+                    @Override
+                    public void changed(Member before, Member after) {
+                        digest.add(number + ":" + after.number() + ":" + after.incarnation() + ":"
+                                + after.standing().ordinal());
+                    }
+                }, now);
+        tick(number, swims[number]);
+    }
+
+    private void sent(int from, int to, byte[] message) {
+        digest.add(from + ">" + to).add(message);
+        if (sent++ % 40 == 0 && sent < 40 * SAMPLES) {
+            samples.append(Golden.hex(message));
+        }
+        if (random.nextInt(5) > 0) {
+            at(now + random.nextLong(2 * MILLI, 300 * MILLI), () -> {
+                if (swims[to] != null) {
+                    swims[to].received(now, from, message);
+                    tick(to, swims[to]);
+                }
+            });
+        }
+    }
+
+    private void tick(int number, Swim swim) {
+        long due = Math.max(now + 1, swim.due());
+        at(due, () -> {
+            if (swims[number] == swim && swim.due() <= now) {
+                swim.tick(now);
+                tick(number, swim);
+            }
+        });
+    }
+
+    private void play(long length) {
+        long until = now + length;
+        while (!events.isEmpty() && events.peek().at() <= until) {
+            Event next = events.poll();
+            now = next.at();
+            next.what().run();
+        }
+        now = until;
+    }
+
+    @Test
+    public void datagramsAreThoseOfTheEarlierBuild() {
+        for (int i = 0; i < INSTANCES; i++) {
+            start(i, 1_700_000_000_000L + i);
+        }
+        play(20 * SECOND);
+        swims[2] = null;
+        play(20 * SECOND);
+        start(2, 1_700_000_900_000L);
+        play(10 * SECOND);
+        swims[5].leave();
+        swims[5] = null;
+        play(20 * SECOND);
+        Golden.check("membership-datagrams.txt", samples + digest.toString() + "\n");
+    }
+}
--- a/core/src/test/java/cedarrudder/table/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/table/RouteTableTest.java
@@ -7,6 +7,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
+import cedarrudder.Golden;
 import cedarrudder.table.RouteTable.Leaving;
 import cedarrudder.table.RouteTable.Limit;
 import cedarrudder.table.RouteTable.Share;
@@ -60,6 +61,22 @@
         }
     }
 
+    /** Guards against a table that another build of the same tier can't read. */
+    @Test
+    public void theFormIsThatOfTheEarlierBuild() {
+        Random random = new Random(SEED);
+        StringBuilder forms = new StringBuilder();
+        for (int i = 1; i <= 6; i++) {
+            forms.append(Golden.hex(TableCodec.encode(any(random, i))));
+        }
+        Golden.check("route-tables.txt", forms.toString());
+        random = new Random(SEED);
+        for (String line : forms.toString().lines().toList()) {
+            TableCodec.Decoded read = TableCodec.decode(Golden.bytes(line));
+            assertEquals(read.table(), any(random, read.table().number()));
+        }
+    }
+
     private static byte[] summed(byte[] bytes) {
         CRC32C sum = new CRC32C();
         sum.update(bytes, 0, bytes.length - 4);
--- a/daemon/src/test/java/cedarrudder/program/FileStoreTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStoreTest.java
@@ -6,6 +6,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
+import cedarrudder.Golden;
 import cedarrudder.agreement.Entry;
 import cedarrudder.agreement.Entry.Kind;
 import cedarrudder.agreement.Group;
@@ -95,6 +96,18 @@
         assertEquals(log.toString(), "");
     }
 
+    /** Guards against a store that another build wrote and this one can't open, or the other way round. */
+    @Test
+    public void theFileIsThatOfTheEarlierBuild() throws IOException {
+        write();
+        Golden.check("consensus-store.txt", Golden.hex(Files.readAllBytes(file)));
+        Files.write(file, Golden.bytes(Golden.read("consensus-store.txt")));
+        try (FileStore store = open()) {
+            assertKept(store.kept(), LATER, 7, 8, 90, 10);
+        }
+        assertEquals(log.toString(), "");
+    }
+
     /** Wherever the last write ended: all of it counts or none, and what is written next is found. */
     @Test
     public void aTornTailIsCutWhereverItIs() throws IOException {
