--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -28,18 +28,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Conditions in CEL (the Common Expression Language), by Google's own library. Of the language everything is
- * there that takes a time bounded by the text's length: no macros, so nothing loops, and no regular
- * expressions. A condition that takes longer than {@link #MOST_NANOS} all the same counts as one that can't
- * be told.
+ * Conditions in CEL (the Common Expression Language), by Google's own library. Of the language
+ * everything is there that takes a time bounded by the text's length: no macros, so nothing loops,
+ * and no regular expressions. A condition that takes longer than {@link #MOST_NANOS} all the same
+ * counts as one that can't be told.
  */
 public final class CelConditions implements Conditions {
 
     /** The longest that one may take, in nanoseconds of this thread's own work. */
     public static final long MOST_NANOS = 50_000_000L;
 
-    private static final CelOptions OPTIONS = CelOptions.current().enableHeterogeneousNumericComparisons(true)
-            .maxExpressionCodePointSize(1 << 10).maxParseRecursionDepth(64).build();
+    private static final CelOptions OPTIONS =
+            CelOptions.current()
+                    .enableHeterogeneousNumericComparisons(true)
+                    .maxExpressionCodePointSize(1 << 10)
+                    .maxParseRecursionDepth(64)
+                    .build();
 
     private static final Map<String, CelType> OF_FIGURES = figures();
 
@@ -51,8 +55,8 @@
 
     private static final Node SOME = new Node(0, "", "", 0, "", 1, Node.Standing.SERVING, 0);
 
-    private final CelRuntime runtime = CelRuntimeFactory.standardCelRuntimeBuilder().setOptions(OPTIONS)
-            .build();
+    private final CelRuntime runtime =
+            CelRuntimeFactory.standardCelRuntimeBuilder().setOptions(OPTIONS).build();
     private CelCompiler overFigures;
     private CelCompiler overNode;
 
@@ -79,10 +83,15 @@
     }
 
     private static CelCompiler compiler(Map<String, CelType> types) {
-        CelCompilerBuilder builder = CelCompilerFactory.standardCelCompilerBuilder().setOptions(OPTIONS)
-                .setStandardEnvironmentEnabled(false)
-                .setStandardDeclarations(CelStandardDeclarations.newBuilder()
-                        .excludeFunctions(CelStandardDeclarations.StandardFunction.MATCHES).build());
+        CelCompilerBuilder builder =
+                CelCompilerFactory.standardCelCompilerBuilder()
+                        .setOptions(OPTIONS)
+                        .setStandardEnvironmentEnabled(false)
+                        .setStandardDeclarations(
+                                CelStandardDeclarations.newBuilder()
+                                        .excludeFunctions(
+                                                CelStandardDeclarations.StandardFunction.MATCHES)
+                                        .build());
         types.forEach(builder::addVar);
         return builder.build();
     }
@@ -91,13 +100,14 @@
     public OfFigures figures(String text) {
         overFigures = overFigures == null ? compiler(OF_FIGURES) : overFigures;
         CelRuntime.Program program = program(overFigures, OF_FIGURES, text);
-        OfFigures condition = figures -> {
-            Map<String, Object> values = new HashMap<>();
-            for (Figures.Name name : Figures.Name.values()) {
-                values.put(written(name), figures.of(name));
-            }
-            return holds(program, values);
-        };
+        OfFigures condition =
+                figures -> {
+                    Map<String, Object> values = new HashMap<>();
+                    for (Figures.Name name : Figures.Name.values()) {
+                        values.put(written(name), figures.of(name));
+                    }
+                    return holds(program, values);
+                };
         tried(() -> condition.holds(CALM));
         return condition;
     }
@@ -106,8 +116,21 @@
     public OfNode node(String text) {
         overNode = overNode == null ? compiler(OF_NODE) : overNode;
         CelRuntime.Program program = program(overNode, OF_NODE, text);
-        OfNode condition = node -> holds(program, Map.of("tier", node.tier(), "zone", node.zone(), "pod",
-                (long) node.pod(), "kind", node.kind(), "weight", node.weight()));
+        OfNode condition =
+                node ->
+                        holds(
+                                program,
+                                Map.of(
+                                        "tier",
+                                        node.tier(),
+                                        "zone",
+                                        node.zone(),
+                                        "pod",
+                                        (long) node.pod(),
+                                        "kind",
+                                        node.kind(),
+                                        "weight",
+                                        node.weight()));
         tried(() -> condition.holds(SOME));
         return condition;
     }
@@ -121,30 +144,55 @@
         }
     }
 
-    private CelRuntime.Program program(CelCompiler compiler, Map<String, CelType> types, String text) {
-        String names = types.entrySet().stream().map(each -> each.getKey() + " (" + (
-                each.getValue() == SimpleType.DOUBLE ? "a number such as 0.02"
-                        : each.getValue() == SimpleType.INT ? "a whole number" : "a text") + ")")
-                .collect(Collectors.joining(", "));
+    private CelRuntime.Program program(
+            CelCompiler compiler, Map<String, CelType> types, String text) {
+        String names =
+                types.entrySet().stream()
+                        .map(
+                                each ->
+                                        each.getKey()
+                                                + " ("
+                                                + (each.getValue() == SimpleType.DOUBLE
+                                                        ? "a number such as 0.02"
+                                                        : each.getValue() == SimpleType.INT
+                                                                ? "a whole number"
+                                                                : "a text")
+                                                + ")")
+                        .collect(Collectors.joining(", "));
         try {
             CelValidationResult result = compiler.compile(text);
             if (result.hasError()) {
                 CelIssue first = result.getErrors().get(0);
                 String said = first.getMessage();
-                throw new BadConditionException("'" + shortened(text) + "', at character "
-                        + (first.getSourceLocation().getColumn() + 1) + " " + shortened(said.replaceFirst(
-                        " \\(candidates.*", "").replaceFirst(" \\(in container ''\\)", "")
-                        .replaceAll("\\R", " ")), "a condition of CEL over " + names);
+                throw new BadConditionException(
+                        "'"
+                                + shortened(text)
+                                + "', at character "
+                                + (first.getSourceLocation().getColumn() + 1)
+                                + " "
+                                + shortened(
+                                        said.replaceFirst(" \\(candidates.*", "")
+                                                .replaceFirst(" \\(in container ''\\)", "")
+                                                .replaceAll("\\R", " ")),
+                        "a condition of CEL over " + names);
             }
             CelAbstractSyntaxTree tree = result.getAst();
             if (!tree.getResultType().equals(SimpleType.BOOL)) {
-                throw new BadConditionException("'" + shortened(text) + "', which is of the type "
-                        + tree.getResultType().name(), "a condition that is true or false");
+                throw new BadConditionException(
+                        "'"
+                                + shortened(text)
+                                + "', which is of the type "
+                                + tree.getResultType().name(),
+                        "a condition that is true or false");
             }
             return runtime.createProgram(tree);
         } catch (CelValidationException | CelEvaluationException e) {
-            throw new BadConditionException("'" + shortened(text) + "': " + shortened(String.valueOf(
-                    e.getMessage()).replaceAll("\\R", " ")), "a condition of CEL over " + names);
+            throw new BadConditionException(
+                    "'"
+                            + shortened(text)
+                            + "': "
+                            + shortened(String.valueOf(e.getMessage()).replaceAll("\\R", " ")),
+                    "a condition of CEL over " + names);
         }
     }
 
@@ -154,7 +202,8 @@
 
     private static boolean holds(CelRuntime.Program program, Map<String, ?> values) {
         try {
-            // Not by the clock: guards against a busy machine's pauses being taken for the condition's.
+            // Not by the clock: guards against a busy machine's pauses being taken for the
+            // condition's.
             long begun = THREADS.getCurrentThreadCpuTime();
             boolean holds = (Boolean) program.eval(values);
             if (THREADS.getCurrentThreadCpuTime() - begun > MOST_NANOS) {
--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -16,18 +16,26 @@
 public class CelConditionsTest {
 
     private static final Figures FIGURES = new Figures(0.01, 0.2, 0, 0.75, 5, 6, 3, 1);
-    private static final Node NODE = new Node(1, "shops", "a", 3, "big", 2.5, Node.Standing.SERVING, 0);
+    private static final Node NODE =
+            new Node(1, "shops", "a", 3, "big", 2.5, Node.Standing.SERVING, 0);
 
     private final Conditions conditions = new CelConditions();
 
     @Test
     public void conditionsSeeTheFiguresAndTheNode() {
-        assertTrue(conditions.figures("failed > 0.1 && refused < 0.02 && late == 0.0 "
-                + "&& capacity_left >= 0.75 && live_copies * 2 > copies && out == 3 && died < 2")
-                .holds(FIGURES));
+        assertTrue(
+                conditions
+                        .figures(
+                                "failed > 0.1 && refused < 0.02 && late == 0.0 && capacity_left >="
+                                    + " 0.75 && live_copies * 2 > copies && out == 3 && died < 2")
+                        .holds(FIGURES));
         assertEquals(conditions.figures("failed > 1").holds(FIGURES), false);
-        assertTrue(conditions.node("kind in ['big', 'huge'] && pod % 2 == 1 && zone.startsWith('a') "
-                + "&& weight > 2 && tier != 'x'").holds(NODE));
+        assertTrue(
+                conditions
+                        .node(
+                                "kind in ['big', 'huge'] && pod % 2 == 1 && zone.startsWith('a') "
+                                        + "&& weight > 2 && tier != 'x'")
+                        .holds(NODE));
     }
 
     /** Each with what it was found to be. */
@@ -43,22 +51,25 @@
             {"'a'.matches('(a+)+')", "undeclared reference to 'matches'"},
         };
         for (String[] each : wrong) {
-            BadConditionException bad = expectThrows(BadConditionException.class,
-                    () -> conditions.figures(each[0]));
+            BadConditionException bad =
+                    expectThrows(BadConditionException.class, () -> conditions.figures(each[0]));
             assertTrue(bad.found().contains(each[1]), each[0] + ": " + bad.getMessage());
         }
-        assertThrows(BadConditionException.class, () ->
-                conditions.figures("(".repeat(200) + "true" + ")".repeat(200)));
+        assertThrows(
+                BadConditionException.class,
+                () -> conditions.figures("(".repeat(200) + "true" + ")".repeat(200)));
         assertThrows(BadConditionException.class, () -> conditions.node("failed > 0.1"));
     }
 
     /** Guards against a division by 0 or an overflow that ends the loop. */
     @Test
     public void oneThatCanNotBeToldThrowsAtRunTime() {
-        assertThrows(IllegalStateException.class, () ->
-                conditions.figures("1 / (out - 3) > 0").holds(FIGURES));
-        assertThrows(IllegalStateException.class, () ->
-                conditions.figures("9223372036854775807 + out > 0").holds(FIGURES));
+        assertThrows(
+                IllegalStateException.class,
+                () -> conditions.figures("1 / (out - 3) > 0").holds(FIGURES));
+        assertThrows(
+                IllegalStateException.class,
+                () -> conditions.figures("9223372036854775807 + out > 0").holds(FIGURES));
     }
 
     /** Guards against a text within the bound that keeps the loop for long. */
@@ -68,7 +79,8 @@
         while (text.length() < Policy.MOST_TEXT - 20) {
             text += " || died > 5";
         }
-        Conditions.OfFigures condition = conditions.figures(text.replace("failed > 0.1", "failed > 0.9"));
+        Conditions.OfFigures condition =
+                conditions.figures(text.replace("failed > 0.1", "failed > 0.9"));
         long begun = System.nanoTime();
         int times = 1_000;
         for (int i = 0; i < times; i++) {
--- a/core/src/main/java/cedarrudder/Balancer.java
+++ b/core/src/main/java/cedarrudder/Balancer.java
@@ -4,12 +4,14 @@
 import java.util.List;
 
 /**
- * What one copy of the balancer is told, and what it may do: the whole interface of the decision module.
+ * What one copy of the balancer is told, and what it may do: the whole interface of the decision
+ * module.
  *
- * <p>A copy is told of everything through the event methods below, each with the time at which it happened.
- * It answers through {@link Actions}. It keeps no clock, starts no thread and shares nothing with other
- * copies. All times are nanoseconds; instants are readings of one clock that never goes back and whose zero
- * means nothing. An implementation is not thread-safe: call it from one thread at a time.
+ * <p>A copy is told of everything through the event methods below, each with the time at which it
+ * happened. It answers through {@link Actions}. It keeps no clock, starts no thread and shares
+ * nothing with other copies. All times are nanoseconds; instants are readings of one clock that
+ * never goes back and whose zero means nothing. An implementation is not thread-safe: call it from
+ * one thread at a time.
  */
 public interface Balancer {
 
@@ -29,7 +31,10 @@
         RESET(false),
         /** Called off by this copy; the work may have run. */
         CANCELLED(false),
-        /** Never sent: its request was over, out of time or attempts, or there was no room for it here. */
+        /**
+         * Never sent: its request was over, out of time or attempts, or there was no room for it
+         * here.
+         */
         MOOT(true);
 
         private final boolean provesNotRun;
@@ -45,10 +50,18 @@
     }
 
     /** How far the requests of a class may be repeated once one attempt may have run. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Which endpoints drop the repeats of a keyed request. */
-    enum KeyScope { ALL, ZONE, CELL }
+    enum KeyScope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** What the tiers above and below let know of a request, before work goes into it. */
     enum Standing {
@@ -63,10 +76,18 @@
     }
 
     /** What the list of endpoints says of one of them. */
-    enum State { READY, DRAINING, GONE }
+    enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** Whether a list replaces what was known or changes it. */
-    enum ListKind { FULL, CHANGES, CACHED }
+    enum ListKind {
+        FULL,
+        CHANGES,
+        CACHED
+    }
 
     /**
      * One class of requests.
@@ -74,21 +95,37 @@
      * @param aim answers within this time of arrival earn the full worth
      * @param deadline the longest a client waits, over all its tries
      * @param lateWorth the share of the worth that a later answer still earns
-     * @param repeatWindow how long endpoints remember a key, from the send of the first attempt that may have
-     * run
+     * @param repeatWindow how long endpoints remember a key, from the send of the first attempt
+     *     that may have run
      * @param stream whether answers are streamed
      */
-    record RequestClass(String name, Effect effect, KeyScope keyScope, long aim, long deadline, double worth,
-            double lateWorth, long repeatWindow, boolean stream) { }
+    record RequestClass(
+            String name,
+            Effect effect,
+            KeyScope keyScope,
+            long aim,
+            long deadline,
+            double worth,
+            double lateWorth,
+            long repeatWindow,
+            boolean stream) {}
 
     /**
-     * One tenant: its share of the service, and that share in requests a second over all copies (0: none).
+     * One tenant: its share of the service, and that share in requests a second over all copies (0:
+     * none).
      */
-    record Tenant(String name, double share, double quotaPerSecond) { }
+    record Tenant(String name, double share, double quotaPerSecond) {}
 
     /** What the site permits. {@code maxAttempts} counts all attempts of one request. */
-    record Limits(boolean probes, boolean cancel, boolean parallelTries, boolean retryAfter, int maxAttempts,
-            long maxRetryAfter, long connectTimeout, long connectionIdle) { }
+    record Limits(
+            boolean probes,
+            boolean cancel,
+            boolean parallelTries,
+            boolean retryAfter,
+            int maxAttempts,
+            long maxRetryAfter,
+            long connectTimeout,
+            long connectionIdle) {}
 
     /**
      * The figures of the rules.
@@ -100,29 +137,44 @@
      * @param fallWindow ... for this long, a cold endpoint falls over
      * @param askWithin where the list must be asked for: how long a copy may go without asking
      */
-    record Safety(long drainGrace, double coldShare, long rampTime, double fallMultiple, long fallWindow,
-            long askWithin) { }
+    record Safety(
+            long drainGrace,
+            double coldShare,
+            long rampTime,
+            double fallMultiple,
+            long fallWindow,
+            long askWithin) {}
 
     /**
-     * What service is worth to the site: the weights of its goal, and the worth of a request over its share.
+     * What service is worth to the site: the weights of its goal, and the worth of a request over
+     * its share.
      *
-     * @param worthByWork whether a request's worth is its class's for each unit of its work, and not the same
-     * for all requests of the class
+     * @param worthByWork whether a request's worth is its class's for each unit of its work, and
+     *     not the same for all requests of the class
      */
-    record Goal(double whole, double worstWindow, double worstClass, double worstTenant,
-            double overShareWorth, boolean worthByWork) {
+    record Goal(
+            double whole,
+            double worstWindow,
+            double worstClass,
+            double worstTenant,
+            double overShareWorth,
+            boolean worthByWork) {
         /** Requests of a class are worth the same, whatever their work. */
-        public Goal(double whole, double worstWindow, double worstClass, double worstTenant,
+        public Goal(
+                double whole,
+                double worstWindow,
+                double worstClass,
+                double worstTenant,
                 double overShareWorth) {
             this(whole, worstWindow, worstClass, worstTenant, overShareWorth, false);
         }
     }
 
     /**
-     * What the site charges, in parts of the goal: for a probe and for a new connection, each for a first
-     * try.
+     * What the site charges, in parts of the goal: for a probe and for a new connection, each for a
+     * first try.
      */
-    record Prices(double probe, double handshake) { }
+    record Prices(double probe, double handshake) {}
 
     /**
      * All that a copy is told when it starts.
@@ -134,23 +186,52 @@
      * @param tiers how many tiers there are
      * @param askForEndpoints whether the list of endpoints comes only when asked for
      */
-    record Settings(int copies, int self, int zone, int tier, int tiers, boolean askForEndpoints,
-            List<RequestClass> classes, List<Tenant> tenants, Limits limits, Safety safety, Goal goal,
-            Prices prices) { }
+    record Settings(
+            int copies,
+            int self,
+            int zone,
+            int tier,
+            int tiers,
+            boolean askForEndpoints,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            Limits limits,
+            Safety safety,
+            Goal goal,
+            Prices prices) {}
 
-    /** One line of the list of endpoints. {@code startedAt} is the instant of its last start; 0: long ago. */
-    record Endpoint(long id, int zone, int kind, int cell, State state, double weight, long startedAt) { }
+    /**
+     * One line of the list of endpoints. {@code startedAt} is the instant of its last start; 0:
+     * long ago.
+     */
+    record Endpoint(
+            long id, int zone, int kind, int cell, State state, double weight, long startedAt) {}
 
     /**
-     * A request. {@code repeat}: its client marked it as a repeat. {@code work}: the work expected, 0 if
-     * unknown. {@code uploading}: its body still comes, and {@link Balancer#whole} tells of its end; until
-     * then no endpoint has begun it.
+     * A request. {@code repeat}: its client marked it as a repeat. {@code work}: the work expected,
+     * 0 if unknown. {@code uploading}: its body still comes, and {@link Balancer#whole} tells of
+     * its end; until then no endpoint has begun it.
      */
-    record Request(long id, int classIndex, int tenant, long deadline, long key, boolean repeat,
-            boolean write, long work, boolean uploading) {
+    record Request(
+            long id,
+            int classIndex,
+            int tenant,
+            long deadline,
+            long key,
+            boolean repeat,
+            boolean write,
+            long work,
+            boolean uploading) {
         /** One that is there whole. */
-        public Request(long id, int classIndex, int tenant, long deadline, long key, boolean repeat,
-                boolean write, long work) {
+        public Request(
+                long id,
+                int classIndex,
+                int tenant,
+                long deadline,
+                long key,
+                boolean repeat,
+                boolean write,
+                long work) {
             this(id, classIndex, tenant, deadline, key, repeat, write, work, false);
         }
     }
@@ -163,7 +244,9 @@
      * @param perSecond it gets no more calls a second from this copy; 0: no bound
      */
     record ZoneShare(int zone, int parts, int perSecond) {
-        /** Checks the ranges, which are the table's; what is wrong is an IllegalArgumentException. */
+        /**
+         * Checks the ranges, which are the table's; what is wrong is an IllegalArgumentException.
+         */
         public ZoneShare {
             check("zone", zone, 0, RouteTable.MOST_ZONES - 1);
             check("parts", parts, 1, RouteTable.WHOLE);
@@ -172,25 +255,41 @@
 
         private static void check(String name, int found, int least, int most) {
             if (found < least || found > most) {
-                throw new IllegalArgumentException("share." + name + ": found " + found + "; allowed: "
-                        + least + " to " + most);
+                throw new IllegalArgumentException(
+                        "share."
+                                + name
+                                + ": found "
+                                + found
+                                + "; allowed: "
+                                + least
+                                + " to "
+                                + most);
             }
         }
     }
 
     /** An endpoint's own report of its load. A figure that it does not report is NaN. */
-    record Load(double inFlight, double queue, double utilisation, double latencyMillis, double perSecond,
-            double errorsPerSecond) { }
+    record Load(
+            double inFlight,
+            double queue,
+            double utilisation,
+            double latencyMillis,
+            double perSecond,
+            double errorsPerSecond) {}
 
-    /** What a copy may do. Everything takes effect at the time of the event being handled, in order. */
+    /**
+     * What a copy may do. Everything takes effect at the time of the event being handled, in order.
+     */
     interface Actions {
         /**
-         * Starts an attempt; the attempts of a request are numbered from 0 as sent. Time-out 0: the deadline.
+         * Starts an attempt; the attempts of a request are numbered from 0 as sent. Time-out 0: the
+         * deadline.
          */
         void send(long request, long endpoint, long timeout);
 
         /**
-         * Ends a request: it was not done and may harmlessly be tried again, after a while (0: no advice).
+         * Ends a request: it was not done and may harmlessly be tried again, after a while (0: no
+         * advice).
          */
         void refuse(long request, long retryAfter);
 
@@ -206,10 +305,15 @@
         /** Closes the idle connections to one endpoint. */
         void closeIdle(long endpoint);
 
-        /** Asks for {@link Balancer#timer} with this token at this instant or soon after, never at once. */
+        /**
+         * Asks for {@link Balancer#timer} with this token at this instant or soon after, never at
+         * once.
+         */
         void schedule(long at, long token);
 
-        /** Asks to be told of changes to the list from now on (and of those missed), or no longer. */
+        /**
+         * Asks to be told of changes to the list from now on (and of those missed), or no longer.
+         */
         void subscribe(boolean on);
 
         /** Asks for the whole list once. */
@@ -222,7 +326,10 @@
         void log(String line);
     }
 
-    /** The list of endpoints, or changes to it. A ready endpoint with a new start time has restarted. */
+    /**
+     * The list of endpoints, or changes to it. A ready endpoint with a new start time has
+     * restarted.
+     */
     void endpoints(long now, ListKind kind, List<Endpoint> entries);
 
     /** A call for the list failed or a subscription broke; the old list stands. */
@@ -232,8 +339,8 @@
     void request(long now, Request request);
 
     /**
-     * A request has come in, with how it stands; any but {@link Standing#WANTED} should be turned away. A
-     * module that doesn't listen takes it as any other.
+     * A request has come in, with how it stands; any but {@link Standing#WANTED} should be turned
+     * away. A module that doesn't listen takes it as any other.
      */
     default void request(long now, Request request, Standing standing) {
         request(now, request);
@@ -243,23 +350,32 @@
     void firstByte(long now, long request, int attempt, long endpoint, long latency);
 
     /**
-     * An attempt ended. {@code settled}: the request is over, by this or earlier. {@code load} may be null.
+     * An attempt ended. {@code settled}: the request is over, by this or earlier. {@code load} may
+     * be null.
      */
-    void outcome(long now, long request, int attempt, long endpoint, Outcome outcome, long latency,
-            boolean settled, Load load);
+    void outcome(
+            long now,
+            long request,
+            int attempt,
+            long endpoint,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            Load load);
 
     /**
-     * What an attempt that was sent, and of which no byte has gone out yet, ends with instead of beginning
-     * now; null: it may begin. {@link Outcome#CONNECT_FAILED} where another endpoint may take the request in
-     * its place, {@link Outcome#MOOT} where nothing more may be sent for it. It is a question, and changes
-     * nothing; the outcome is told like any other. A module that doesn't answer lets all begin.
+     * What an attempt that was sent, and of which no byte has gone out yet, ends with instead of
+     * beginning now; null: it may begin. {@link Outcome#CONNECT_FAILED} where another endpoint may
+     * take the request in its place, {@link Outcome#MOOT} where nothing more may be sent for it. It
+     * is a question, and changes nothing; the outcome is told like any other. A module that doesn't
+     * answer lets all begin.
      */
     default Outcome denial(long now, long request, int attempt) {
         return null;
     }
 
     /** The last byte of a request that was uploading has come: its client's wait begins now. */
-    default void whole(long now, long request) { }
+    default void whole(long now, long request) {}
 
     /** The client has gone; the request is over. */
     void clientLeft(long now, long request);
@@ -268,40 +384,43 @@
     void timer(long now, long token);
 
     /**
-     * The probe that was sent {@code latency} ago came back. {@code load} is null unless it was answered with
-     * a report.
+     * The probe that was sent {@code latency} ago came back. {@code load} is null unless it was
+     * answered with a report.
      */
     void probed(long now, long endpoint, Outcome outcome, long latency, Load load);
 
     /**
-     * An answer that had begun, with which its attempt has been told as served, broke off. A module that
-     * doesn't listen never hears of it.
+     * An answer that had begun, with which its attempt has been told as served, broke off. A module
+     * that doesn't listen never hears of it.
      *
      * @param sentAt when the attempt was sent
      */
-    default void brokeOff(long now, long endpoint, long sentAt) { }
+    default void brokeOff(long now, long endpoint, long sentAt) {}
 
-    /** An operator has put an endpoint back, which should get calls soon: nothing may be known of it. */
-    default void returned(long now, long endpoint) { }
+    /**
+     * An operator has put an endpoint back, which should get calls soon: nothing may be known of
+     * it.
+     */
+    default void returned(long now, long endpoint) {}
 
     /**
-     * How many copies live, this one with them, from 1 to {@link Settings#copies}; until the first such event
-     * all do. A module that doesn't listen goes on with all.
+     * How many copies live, this one with them, from 1 to {@link Settings#copies}; until the first
+     * such event all do. A module that doesn't listen goes on with all.
      */
-    default void copies(long now, int live) { }
+    default void copies(long now, int live) {}
 
     /**
-     * Which part of this copy's calls each zone may get from now on, in place of what was said before. Their
-     * order is that in which they stand in for one another, after the copy's own zone. An empty list, as at
-     * the start: any zone may, as the module sees fit. A zone named twice, or parts that sum up to more than
-     * a whole, are an IllegalArgumentException, and what was said before stands. A module that doesn't listen
-     * goes on as it was.
+     * Which part of this copy's calls each zone may get from now on, in place of what was said
+     * before. Their order is that in which they stand in for one another, after the copy's own
+     * zone. An empty list, as at the start: any zone may, as the module sees fit. A zone named
+     * twice, or parts that sum up to more than a whole, are an IllegalArgumentException, and what
+     * was said before stands. A module that doesn't listen goes on as it was.
      */
-    default void shares(long now, List<ZoneShare> shares) { }
+    default void shares(long now, List<ZoneShare> shares) {}
 
     /**
-     * How many of the listed endpoints are avoided now: they drain, they fail, or they are silent. It is a
-     * question, and changes nothing.
+     * How many of the listed endpoints are avoided now: they drain, they fail, or they are silent.
+     * It is a question, and changes nothing.
      */
     default int avoided(long now) {
         return 0;
--- a/core/src/main/java/cedarrudder/Call.java
+++ b/core/src/main/java/cedarrudder/Call.java
@@ -44,7 +44,9 @@
         this.ended = new Outcome[maxAttempts];
     }
 
-    /** All of it has come: its time counts from here on, and what is out counts at the endpoints. */
+    /**
+     * All of it has come: its time counts from here on, and what is out counts at the endpoints.
+     */
     void whole(long now) {
         uploading = false;
         arrived = now;
--- a/core/src/main/java/cedarrudder/Decide.java
+++ b/core/src/main/java/cedarrudder/Decide.java
@@ -21,15 +21,19 @@
 /**
  * The decisions of one copy: the life of a request from its arrival to its final answer.
  *
- * <p>The interface is Balancer.java. Read that first, then this file from the top, then ProbePool.java (the
- * mechanism that decides where an ordinary request goes), then Server.java (what is known of one endpoint).
+ * <p>The interface is Balancer.java. Read that first, then this file from the top, then
+ * ProbePool.java (the mechanism that decides where an ordinary request goes), then Server.java
+ * (what is known of one endpoint).
  *
  * <p>Where each rule is kept:
+ *
  * <ul>
- * <li>no request is lost: {@link #end} alone ends a request; {@link #outcome} answers at the deadline;
- * <li>no effect happens twice: {@link #mayAttempt} and {@link #mayRefuse};
- * <li>drains are kept: {@link #eligible}, and {@link #endpoints} empties the pool at once;
- * <li>a cold endpoint is not pushed over: {@link Server#withinColdBudget}, asked in {@link #eligible}.
+ *   <li>no request is lost: {@link #end} alone ends a request; {@link #outcome} answers at the
+ *       deadline;
+ *   <li>no effect happens twice: {@link #mayAttempt} and {@link #mayRefuse};
+ *   <li>drains are kept: {@link #eligible}, and {@link #endpoints} empties the pool at once;
+ *   <li>a cold endpoint is not pushed over: {@link Server#withinColdBudget}, asked in {@link
+ *       #eligible}.
  * </ul>
  */
 public final class Decide implements Balancer {
@@ -46,13 +50,17 @@
     /** A request that no endpoint may take now is looked at again after this long. */
     private static final long HOLD = 20_000_000L;
 
-    /** A request that has been tried in vain counts this many times in line: time has gone into it. */
+    /**
+     * A request that has been tried in vain counts this many times in line: time has gone into it.
+     */
     private static final double TRIED_BEFORE = 2;
 
     /** Tries to find an endpoint at random that may take a request, before it is held. */
     private static final int RANDOM_DRAWS = 16;
 
-    /** Work below this counts as this much: the way and the queue take their time whatever the work. */
+    /**
+     * Work below this counts as this much: the way and the queue take their time whatever the work.
+     */
     private static final long LEAST_WORK = 20_000_000L;
 
     /** Answers after which it is known how long they take. */
@@ -103,6 +111,7 @@
 
     /** Further attempts that may be made now. */
     private double extra;
+
     private double callsOut;
     private double mostOut;
     private double callRate;
@@ -129,16 +138,23 @@
         this.coreTime = new Mean(tuning.get(Figure.LATENCY_WEIGHT));
         this.stretch = new Mean(tuning.get(Figure.LATENCY_WEIGHT));
         this.byClass = new Mean[settings.classes().size()];
-        this.worth = new ClassWorth(byClass.length, settings.goal().whole(), settings.goal().worstClass(),
-                settings.goal().overShareWorth());
+        this.worth =
+                new ClassWorth(
+                        byClass.length,
+                        settings.goal().whole(),
+                        settings.goal().worstClass(),
+                        settings.goal().overShareWorth());
         for (int i = 0; i < byClass.length; i++) {
             byClass[i] = new Mean(tuning.get(Figure.LATENCY_WEIGHT));
             worth.perWork(i, settings.classes().get(i).worth());
         }
         double[] quotas = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray();
         this.shares = new ShareMeter(quotas, settings.copies());
-        this.limit = new CallLimit(tuning.get(Figure.LIMIT_LESS), tuning.get(Figure.LIMIT_MORE),
-                tuning.get(Figure.LIMIT_CUT));
+        this.limit =
+                new CallLimit(
+                        tuning.get(Figure.LIMIT_LESS),
+                        tuning.get(Figure.LIMIT_MORE),
+                        tuning.get(Figure.LIMIT_CUT));
         this.line = new WaitingLine<>(4 * byClass.length);
     }
 
@@ -148,14 +164,18 @@
     public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
         if (kind != ListKind.CHANGES) {
             var named = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
-            servers.values().stream().filter(s -> !named.contains(s.id)).toList().forEach(this::drop);
+            servers.values().stream()
+                    .filter(s -> !named.contains(s.id))
+                    .toList()
+                    .forEach(this::drop);
         }
         entries.forEach(entry -> list(now, entry));
         if (!ticking) {
             ticking = true;
             actions.schedule(now + (long) (random.nextDouble() * TICK) + 1, TOKEN_TICK);
             if (settings.askForEndpoints()) {
-                // Guards against all copies asking at once a service that takes seconds to serve them all.
+                // Guards against all copies asking at once a service that takes seconds to serve
+                // them all.
                 double spread = ASK_SPREAD * settings.safety().askWithin();
                 actions.schedule(now + 1 + (long) (random.nextDouble() * spread), TOKEN_ASK);
             }
@@ -167,13 +187,23 @@
     private void list(long now, Endpoint entry) {
         Server known = servers.get(entry.id());
         // Guards against anything known of a former life being taken for this one's.
-        if (known != null && (entry.state() == State.GONE || known.listed.startedAt() != entry.startedAt()
-                || known.listed.zone() != entry.zone() || known.listed.cell() != entry.cell())) {
+        if (known != null
+                && (entry.state() == State.GONE
+                        || known.listed.startedAt() != entry.startedAt()
+                        || known.listed.zone() != entry.zone()
+                        || known.listed.cell() != entry.cell())) {
             drop(known);
         }
         if (entry.state() != State.GONE) {
-            Server server = servers.computeIfAbsent(entry.id(),
-                    id -> new Server(entry, now, tuning.get(Figure.HELD_START), random.nextDouble()));
+            Server server =
+                    servers.computeIfAbsent(
+                            entry.id(),
+                            id ->
+                                    new Server(
+                                            entry,
+                                            now,
+                                            tuning.get(Figure.HELD_START),
+                                            random.nextDouble()));
             server.listed = entry;
             pool.listed(server, server.ready());
         }
@@ -196,7 +226,13 @@
     public void request(long now, Request request) {
         RequestClass kind = settings.classes().get(request.classIndex());
         boolean overShare = shares.past(now, request.tenant());
-        Call call = new Call(request, kind, now, overShare, Math.max(1, settings.limits().maxAttempts()));
+        Call call =
+                new Call(
+                        request,
+                        kind,
+                        now,
+                        overShare,
+                        Math.max(1, settings.limits().maxAttempts()));
         calls.put(call.id, call);
         if (!overShare) {
             worth.asked(now, call.classIndex, worthOf(call));
@@ -216,11 +252,15 @@
             coreTime.add(call.work > 0 ? 2 * call.work : call.kind.aim());
         }
         place(now, call);
-        callRate += cost(call) * 1e9 / RATE_NANOS; // after: a rate is too high by itself as a call comes
+        callRate +=
+                cost(call)
+                        * 1e9
+                        / RATE_NANOS; // after: a rate is too high by itself as a call comes
     }
 
     /**
-     * Guards against work that other tiers know to be in vain: nothing has run yet, so any may be refused.
+     * Guards against work that other tiers know to be in vain: nothing has run yet, so any may be
+     * refused.
      */
     @Override
     public void request(long now, Request request, Standing standing) {
@@ -232,13 +272,19 @@
     }
 
     /**
-     * What part of the limit of calls out is open to a request, at the tier that clients enter by: further
-     * down, work has gone into it already. Requests worth less for their work, or over their tenant's share,
-     * find it lower; and so with what zones may get, at each tier.
+     * What part of the limit of calls out is open to a request, at the tier that clients enter by:
+     * further down, work has gone into it already. Requests worth less for their work, or over
+     * their tenant's share, find it lower; and so with what zones may get, at each tier.
      */
     private double part(Call call) {
-        double best = IntStream.range(0, byClass.length).mapToDouble(
-                i -> settings.classes().get(i).worth() / Math.max(1, byClass[i].mean())).max().orElse(0);
+        double best =
+                IntStream.range(0, byClass.length)
+                        .mapToDouble(
+                                i ->
+                                        settings.classes().get(i).worth()
+                                                / Math.max(1, byClass[i].mean()))
+                        .max()
+                        .orElse(0);
         double relative = call.kind.worth() / Math.max(1, byClass[call.classIndex].mean()) / best;
         Goal goal = settings.goal();
         // A goal that looks at the worst class leaves less room for preferring the best.
@@ -248,11 +294,13 @@
     }
 
     /**
-     * Sends a request on its way, or lets it wait in line until an endpoint may take it. It waits where it
-     * can be given up for one that is worth more, and not in an endpoint that it would drive past its limit.
+     * Sends a request on its way, or lets it wait in line until an endpoint may take it. It waits
+     * where it can be given up for one that is worth more, and not in an endpoint that it would
+     * drive past its limit.
      */
     private void place(long now, Call call) {
-        if (now >= call.deadline || deal != null && deal.order(now, call.zone, call.part).length == 0) {
+        if (now >= call.deadline
+                || deal != null && deal.order(now, call.zone, call.part).length == 0) {
             end(call, mayRefuse(call));
             return;
         }
@@ -273,8 +321,13 @@
     /** Gives those that wait their turn, by worth for their work. */
     private void release(long now) {
         double byWorth = tuning.get(Figure.LINE_BY_WORTH);
-        line.release(lane -> Math.pow(worth.next(lane / 2 % byClass.length, lane % 2 > 0)
-                * (lane < 2 * byClass.length ? 1 : TRIED_BEFORE), byWorth), call -> offer(now, call));
+        line.release(
+                lane ->
+                        Math.pow(
+                                worth.next(lane / 2 % byClass.length, lane % 2 > 0)
+                                        * (lane < 2 * byClass.length ? 1 : TRIED_BEFORE),
+                                byWorth),
+                call -> offer(now, call));
     }
 
     private Offer offer(long now, Call call) {
@@ -282,7 +335,10 @@
         if (server != null) {
             send(now, call, server);
         } else if (call.held && now >= call.holdUntil) {
-            end(call, mayRefuse(call)); // has waited so long that to be told so is worth more than to wait on
+            end(
+                    call,
+                    mayRefuse(call)); // has waited so long that to be told so is worth more than to
+            // wait on
         }
         return !call.held ? Offer.TAKEN : call.attempts > 0 ? Offer.NONE_FOR_IT : Offer.NONE;
     }
@@ -293,41 +349,72 @@
     }
 
     /**
-     * The hot-cold rule over the pool; else an endpoint of the roster at random; else any at random. Where
-     * zones have shares, first that in the zone dealt, then in those that stand in for it. While the roster
-     * has a sound one there, however busy, only they are sent to: guards against overload that spreads. Where
-     * it has none, the shares are behind what this copy sees, and guard nothing.
+     * The hot-cold rule over the pool; else an endpoint of the roster at random; else any at
+     * random. Where zones have shares, first that in the zone dealt, then in those that stand in
+     * for it. While the roster has a sound one there, however busy, only they are sent to: guards
+     * against overload that spreads. Where it has none, the shares are behind what this copy sees,
+     * and guard nothing.
      */
     private Server pick(long now, Call call) {
-        Predicate<Server> may = s -> eligible(now, s) && mayAttempt(now, call, s) && !call.tried(s)
-                && (deal == null || deal.room(now, s.listed.zone(), call.part));
+        Predicate<Server> may =
+                s ->
+                        eligible(now, s)
+                                && mayAttempt(now, call, s)
+                                && !call.tried(s)
+                                && (deal == null || deal.room(now, s.listed.zone(), call.part));
         for (int zone : deal == null ? new int[0] : deal.order(now, call.zone, call.part)) {
             Predicate<Server> away = s -> s.listed.zone() != zone || suspect(now, s) || s.mute;
-            List<Server> there = pool.roster().stream().filter(s -> s.listed.zone() == zone).toList();
+            List<Server> there =
+                    pool.roster().stream().filter(s -> s.listed.zone() == zone).toList();
             Server server = pick(now, away.negate().and(may), away, there);
             if (server != null) {
                 return server;
             }
         }
-        boolean known = deal != null && pool.roster().stream().anyMatch(s -> deal.has(s.listed.zone())
-                && !s.crowded(now) && !suspect(now, s) && !s.mute && mayAttempt(now, call, s)
-                && !call.tried(s));
-        Server server = deal == null ? pick(now, may, s -> suspect(now, s), pool.roster()) : draw(pool.ring,
-                s -> deal.has(s.listed.zone()) == known && !suspect(now, s) && may.test(s));
-        boolean few = call.attempts > 0 && call.kind.keyScope() != KeyScope.ALL; // chance may miss a cell
-        return server != null || known ? server : draw(few ? pool.ring.stream().filter(may).toList()
-                : pool.ring, may);
-    }
-
-    private Server pick(long now, Predicate<Server> may, Predicate<Server> suspect, List<Server> roster) {
-        Server server = pool.pick(now, tuning.get(Figure.TURNOVER_LATENCIES) * Math.max(1e6, overall.mean()),
-                may, suspect);
+        boolean known =
+                deal != null
+                        && pool.roster().stream()
+                                .anyMatch(
+                                        s ->
+                                                deal.has(s.listed.zone())
+                                                        && !s.crowded(now)
+                                                        && !suspect(now, s)
+                                                        && !s.mute
+                                                        && mayAttempt(now, call, s)
+                                                        && !call.tried(s));
+        Server server =
+                deal == null
+                        ? pick(now, may, s -> suspect(now, s), pool.roster())
+                        : draw(
+                                pool.ring,
+                                s ->
+                                        deal.has(s.listed.zone()) == known
+                                                && !suspect(now, s)
+                                                && may.test(s));
+        boolean few =
+                call.attempts > 0 && call.kind.keyScope() != KeyScope.ALL; // chance may miss a cell
+        return server != null || known
+                ? server
+                : draw(few ? pool.ring.stream().filter(may).toList() : pool.ring, may);
+    }
+
+    private Server pick(
+            long now, Predicate<Server> may, Predicate<Server> suspect, List<Server> roster) {
+        Server server =
+                pool.pick(
+                        now,
+                        tuning.get(Figure.TURNOVER_LATENCIES) * Math.max(1e6, overall.mean()),
+                        may,
+                        suspect);
         return server != null ? server : draw(roster, may.and(suspect.negate()));
     }
 
     private Server draw(List<Server> from, Predicate<Server> may) {
         return IntStream.range(0, from.isEmpty() ? 0 : RANDOM_DRAWS)
-                .mapToObj(i -> from.get(random.nextInt(from.size()))).filter(may).findFirst().orElse(null);
+                .mapToObj(i -> from.get(random.nextInt(from.size())))
+                .filter(may)
+                .findFirst()
+                .orElse(null);
     }
 
     private void send(long now, Call call, Server server) {
@@ -350,23 +437,31 @@
     }
 
     /**
-     * After how long an answer is so late that something must be wrong, by what the request was said to cost;
-     * 0 where that is not known or no second copy may go out.
+     * After how long an answer is so late that something must be wrong, by what the request was
+     * said to cost; 0 where that is not known or no second copy may go out.
      */
     private long lateAfter(Call call) {
         boolean known = call.work > 0 && stretch.count() >= STRETCH_KNOWN;
-        return known && !call.uploading && call.kind.effect() != Effect.UNSAFE
-                && settings.limits().parallelTries() ? (long) (tuning.get(Figure.LATE_STRETCH)
-                        * stretch.mean() * Math.max(LEAST_WORK, call.work)) : 0;
+        return known
+                        && !call.uploading
+                        && call.kind.effect() != Effect.UNSAFE
+                        && settings.limits().parallelTries()
+                ? (long)
+                        (tuning.get(Figure.LATE_STRETCH)
+                                * stretch.mean()
+                                * Math.max(LEAST_WORK, call.work))
+                : 0;
     }
 
     /**
-     * A second copy of a request whose answer is late. Guards against waiting until the deadline on a
-     * connection that fell silent, or on an endpoint turned slow: nothing else tells of it in time. Measured
-     * against what the request costs, since a time-out by its class alone repeats the heavy ones.
+     * A second copy of a request whose answer is late. Guards against waiting until the deadline on
+     * a connection that fell silent, or on an endpoint turned slow: nothing else tells of it in
+     * time. Measured against what the request costs, since a time-out by its class alone repeats
+     * the heavy ones.
      */
     private void sendCopy(long now, Call call) {
-        Server server = call.out == 1 && extra >= 1 && mayAttempt(now, call, null) ? pick(now, call) : null;
+        Server server =
+                call.out == 1 && extra >= 1 && mayAttempt(now, call, null) ? pick(now, call) : null;
         if (server != null && !suspect(now, server)) {
             extra--;
             send(now, call, server);
@@ -376,22 +471,28 @@
     // ---- the gates ----
 
     /**
-     * Whether anything new may be sent to an endpoint at all: it is listed, ready, has taken connections and
-     * is not being pushed over; and it holds no more than it can.
+     * Whether anything new may be sent to an endpoint at all: it is listed, ready, has taken
+     * connections and is not being pushed over; and it holds no more than it can.
      */
     private boolean eligible(long now, Server server) {
-        return server.ready() && server.room(now, settings.copies()) && !server.crowded(now)
+        return server.ready()
+                && server.room(now, settings.copies())
+                && !server.crowded(now)
                 && (!server.cold(now, settings.safety())
-                        || server.withinColdBudget(now, warmRate(now, server), tuning, settings.safety()));
+                        || server.withinColdBudget(
+                                now, warmRate(now, server), tuning, settings.safety()));
     }
 
     /**
-     * Whether a further attempt of this request may go to this endpoint (null: to any at all). Every attempt
-     * passes here, the first and the next.
+     * Whether a further attempt of this request may go to this endpoint (null: to any at all).
+     * Every attempt passes here, the first and the next.
      */
     private boolean mayAttempt(long now, Call call, Server server) {
-        return !call.answered && now < call.deadline && call.attempts < call.to.length
-                && (call.out == 0 || settings.limits().parallelTries()) && mayJoin(now, call, -1, server);
+        return !call.answered
+                && now < call.deadline
+                && call.attempts < call.to.length
+                && (call.out == 0 || settings.limits().parallelTries())
+                && mayJoin(now, call, -1, server);
     }
 
     /** The same by what the other attempts prove, for one not yet made (-1), or not yet begun. */
@@ -400,20 +501,23 @@
         if (first < 0 || call.kind.effect() == Effect.SAFE) {
             return true;
         }
-        if (call.kind.effect() == Effect.UNSAFE || now >= call.sentAt[first] + call.kind.repeatWindow()) {
+        if (call.kind.effect() == Effect.UNSAFE
+                || now >= call.sentAt[first] + call.kind.repeatWindow()) {
             return false;
         }
         Endpoint then = call.to[first].listed;
-        return server == null || switch (call.kind.keyScope()) {
-            case ALL -> true;
-            case ZONE -> then.zone() == server.listed.zone();
-            case CELL -> then.cell() == server.listed.cell();
-        };
+        return server == null
+                || switch (call.kind.keyScope()) {
+                    case ALL -> true;
+                    case ZONE -> then.zone() == server.listed.zone();
+                    case CELL -> then.cell() == server.listed.cell();
+                };
     }
 
     /** Whether the client may be told that trying again is harmless, by what the attempts prove. */
     private boolean mayRefuse(Call call) {
-        return call.mayHaveRun(-1) < 0 || call.kind.effect() == Effect.SAFE
+        return call.mayHaveRun(-1) < 0
+                || call.kind.effect() == Effect.SAFE
                 || call.kind.effect() == Effect.KEYED && call.kind.keyScope() == KeyScope.ALL;
     }
 
@@ -425,8 +529,11 @@
     @Override
     public Outcome denial(long now, long request, int attempt) {
         Call call = calls.get(request);
-        return call == null || call.answered || attempt >= call.attempts
-                || !mayJoin(now, call, attempt, call.to[attempt]) ? Outcome.MOOT
+        return call == null
+                        || call.answered
+                        || attempt >= call.attempts
+                        || !mayJoin(now, call, attempt, call.to[attempt])
+                ? Outcome.MOOT
                 : stands(call.to[attempt]) ? null : Outcome.CONNECT_FAILED;
     }
 
@@ -438,13 +545,21 @@
 
     @Override
     public void firstByte(long now, long request, int attempt, long endpoint, long latency) {
-        Optional.ofNullable(calls.get(request)).filter(call -> !call.answered)
+        Optional.ofNullable(calls.get(request))
+                .filter(call -> !call.answered)
                 .ifPresent(call -> close(call, attempt)); // the stream ends it, for good or ill
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long endpoint, Outcome outcome, long latency,
-            boolean settled, Load load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long endpoint,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            Load load) {
         Call call = calls.get(request);
         if (call == null || attempt >= call.attempts || call.ended[attempt] != null) {
             return;
@@ -453,13 +568,19 @@
         call.out--;
         out -= call.uploading ? 0 : 1;
         call.to[attempt].uploads -= call.uploading ? 1 : 0;
-        boolean full = outcome == Outcome.CONNECT_FAILED && now < call.deadline && stands(call.to[attempt]);
+        boolean full =
+                outcome == Outcome.CONNECT_FAILED
+                        && now < call.deadline
+                        && stands(call.to[attempt]);
         thriftyUntil = full ? now + THRIFT : thriftyUntil;
         if (outcome == Outcome.OK) {
             call.to[attempt].answered(now, settings.copies(), latency, call.work);
             byClass[call.classIndex].add(latency);
             overall.add(latency);
-            double warm = pool.roster().stream().mapToDouble(s -> s.capacity(now, settings.safety())).sum();
+            double warm =
+                    pool.roster().stream()
+                            .mapToDouble(s -> s.capacity(now, settings.safety()))
+                            .sum();
             warmAnswers += warm > 0 ? cost(call) * 1e9 / RATE_NANOS / warm : 0;
             if (!settings.goal().worthByWork()) {
                 worth.perWork(call.classIndex, call.kind.worth() / byClass[call.classIndex].mean());
@@ -467,14 +588,22 @@
             if (!call.overShare && now - call.arrived <= call.kind.aim()) {
                 worth.served(now, call.classIndex, worthOf(call));
             }
-            (call.work > 0 ? stretch : coreTime).add(call.work > 0
-                    ? latency / (double) Math.max(LEAST_WORK, call.work) : latency);
+            (call.work > 0 ? stretch : coreTime)
+                    .add(
+                            call.work > 0
+                                    ? latency / (double) Math.max(LEAST_WORK, call.work)
+                                    : latency);
         }
         if (outcome == Outcome.OK || outcome == Outcome.TIMEOUT || outcome == Outcome.FULL) {
-            // Full counts, against overload that shows as quick refusals. Errors and broken or refused
-            // connections do not: they are no sign of too much work, and turning more away mends nothing.
+            // Full counts, against overload that shows as quick refusals. Errors and broken or
+            // refused
+            // connections do not: they are no sign of too much work, and turning more away mends
+            // nothing.
             double aim = tuning.get(Figure.SLOW_SHARE) * call.kind.aim();
-            limit.answered(now - call.arrived > aim || outcome == Outcome.FULL, out, mostOut,
+            limit.answered(
+                    now - call.arrived > aim || outcome == Outcome.FULL,
+                    out,
+                    mostOut,
                     tuning.get(Figure.HELD_START) * pool.ring.size() / settings.copies());
         }
         call.to[attempt].ended(now, outcome);
@@ -491,12 +620,15 @@
     /** After an attempt failed: another one, patience with those still out, or the final answer. */
     private void next(long now, Call call, Outcome outcome) {
         if (call.out == 0 && !call.held) {
-            // An error from a tier that calls another has been retried below already: retries multiply.
+            // An error from a tier that calls another has been retried below already: retries
+            // multiply.
             boolean pays = !outcome.provesNotRun() || call.attempts > 1;
-            // Moot: nothing more may be sent for it. Guards against holding it for an endpoint all the same.
+            // Moot: nothing more may be sent for it. Guards against holding it for an endpoint all
+            // the same.
             boolean more = mayAttempt(now, call, null) && outcome != Outcome.MOOT;
             if (!more || pays && extra < 1) {
-                // At the deadline only what never ran is refused; where more are out, the last one tells.
+                // At the deadline only what never ran is refused; where more are out, the last one
+                // tells.
                 end(call, now < call.deadline ? mayRefuse(call) : call.mayHaveRun(-1) < 0);
                 return;
             }
@@ -516,12 +648,16 @@
     }
 
     /**
-     * When a client that was turned away should come back: after about the time in which one of the calls
-     * out ends and makes room. Guards against advice that outlasts the aim of what it is given for.
+     * When a client that was turned away should come back: after about the time in which one of the
+     * calls out ends and makes room. Guards against advice that outlasts the aim of what it is
+     * given for.
      */
     private long comeBack() {
-        double turn = overall.mean() / Math.pow(Math.max(1, out), tuning.get(Figure.COME_BACK_TURN));
-        return settings.limits().retryAfter() ? (long) Math.min(settings.limits().maxRetryAfter(), turn) : 0;
+        double turn =
+                overall.mean() / Math.pow(Math.max(1, out), tuning.get(Figure.COME_BACK_TURN));
+        return settings.limits().retryAfter()
+                ? (long) Math.min(settings.limits().maxRetryAfter(), turn)
+                : 0;
     }
 
     /** A request is over: cancels what is out but one attempt, and forgets it after the last. */
@@ -539,11 +675,13 @@
     }
 
     /**
-     * Guards against connections piling up: at endpoints that this copy has no lasting business with, and at
-     * all while endpoints turn connections away. The idle ones of one copy are those that another lacks.
+     * Guards against connections piling up: at endpoints that this copy has no lasting business
+     * with, and at all while endpoints turn connections away. The idle ones of one copy are those
+     * that another lacks.
      */
     private void closeUnused(long now, Server server) {
-        if (now < thriftyUntil && !server.needsConnection() || server.inFlight == 0 && !server.inRoster) {
+        if (now < thriftyUntil && !server.needsConnection()
+                || server.inFlight == 0 && !server.inRoster) {
             pool.closeIdle(server);
         }
     }
@@ -594,15 +732,21 @@
 
     @Override
     public void returned(long now, long endpoint) {
-        Optional.ofNullable(servers.get(endpoint)).filter(Server::ready).ifPresent(s -> pool.ask(now, s));
+        Optional.ofNullable(servers.get(endpoint))
+                .filter(Server::ready)
+                .ifPresent(s -> pool.ask(now, s));
     }
 
     @Override
     public void brokeOff(long now, long endpoint, long sentAt) {
-        Optional.ofNullable(servers.get(endpoint)).ifPresent(server -> server.brokeOff(now, sentAt));
+        Optional.ofNullable(servers.get(endpoint))
+                .ifPresent(server -> server.brokeOff(now, sentAt));
     }
 
-    /** Tenants' shares are divided by those that live; what keeps a cold endpoint up still counts all. */
+    /**
+     * Tenants' shares are divided by those that live; what keeps a cold endpoint up still counts
+     * all.
+     */
     @Override
     public void copies(long now, int live) {
         shares.copies(live);
@@ -610,11 +754,15 @@
 
     @Override
     public void shares(long now, List<ZoneShare> zones) {
-        ZoneDeal next = deal != null || zones.isEmpty() ? deal
-                : new ZoneDeal(settings.zone(), RouteTable.WHOLE, random);
+        ZoneDeal next =
+                deal != null || zones.isEmpty()
+                        ? deal
+                        : new ZoneDeal(settings.zone(), RouteTable.WHOLE, random);
         if (!zones.isEmpty()) {
-            next.set(zones.stream().map(z -> new ZoneDeal.Part(z.zone(), z.parts(), z.perSecond()))
-                    .toList());
+            next.set(
+                    zones.stream()
+                            .map(z -> new ZoneDeal.Part(z.zone(), z.parts(), z.perSecond()))
+                            .toList());
         }
         deal = zones.isEmpty() ? null : next;
         pool.shares(zones);
@@ -634,13 +782,16 @@
 
     /** What a request is worth when it is served in time. */
     private double worthOf(Call call) {
-        return call.kind.worth() * (settings.goal().worthByWork() && call.work > 0 ? call.work : 1e8);
+        return call.kind.worth()
+                * (settings.goal().worthByWork() && call.work > 0 ? call.work : 1e8);
     }
 
     /** What a request of this class costs, in mean requests. */
     private double cost(Call call) {
         double mean = byClass[call.classIndex].mean();
-        return mean == 0 || overall.mean() == 0 ? 1 : Math.min(4, Math.max(0.25, mean / overall.mean()));
+        return mean == 0 || overall.mean() == 0
+                ? 1
+                : Math.min(4, Math.max(0.25, mean / overall.mean()));
     }
 
     private void countCall(long now) {
@@ -653,11 +804,12 @@
     }
 
     /**
-     * What one warm endpoint does for this copy, in mean requests a second: by its answers, each divided by
-     * what the roster could do as it came, and not by the calls, many as they are when little can be done.
-     * Where more can't be known (all cold), by an even part of the calls, up to what one core does: one in
-     * twice the work said (two processes of a copy live in an upgrade), else in the time that answers take;
-     * before the first, in its aim. Guards against many copies that know nothing and take calls for answers.
+     * What one warm endpoint does for this copy, in mean requests a second: by its answers, each
+     * divided by what the roster could do as it came, and not by the calls, many as they are when
+     * little can be done. Where more can't be known (all cold), by an even part of the calls, up to
+     * what one core does: one in twice the work said (two processes of a copy live in an upgrade),
+     * else in the time that answers take; before the first, in its aim. Guards against many copies
+     * that know nothing and take calls for answers.
      */
     private double warmRate(long now, Server server) {
         int roster = pool.roster().size();
@@ -668,7 +820,8 @@
     }
 
     private long patience() {
-        double silent = tuning.get(Figure.SILENT_LATENCIES) * (overall.mean() + overall.deviation());
+        double silent =
+                tuning.get(Figure.SILENT_LATENCIES) * (overall.mean() + overall.deviation());
         return Math.max(SILENT_LEAST, (long) silent);
     }
 }
--- a/core/src/main/java/cedarrudder/ProbePool.java
+++ b/core/src/main/java/cedarrudder/ProbePool.java
@@ -17,12 +17,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Prequal's probe pool: when and whom to probe, how answers age and leave, and the hot-cold rule over them.
+ * Prequal's probe pool: when and whom to probe, how answers age and leave, and the hot-cold rule
+ * over them.
  *
- * <p>Each call pays for a part of a probe to a random endpoint of the roster, a larger one where calls fail.
- * An answer becomes an entry of the pool, one an endpoint. A pick takes the entry of lowest latency among
- * those whose requests in flight (RIF) stay within a quantile of the pool, and failing that the one of lowest
- * RIF.
+ * <p>Each call pays for a part of a probe to a random endpoint of the roster, a larger one where
+ * calls fail. An answer becomes an entry of the pool, one an endpoint. A pick takes the entry of
+ * lowest latency among those whose requests in flight (RIF) stay within a quantile of the pool, and
+ * failing that the one of lowest RIF.
  */
 final class ProbePool {
 
@@ -38,12 +39,18 @@
      */
     private static final int FAR_PART = 3;
 
-    /** Among the hot, the sound ones first: a failing endpoint holds little, which must not speak for it. */
+    /**
+     * Among the hot, the sound ones first: a failing endpoint holds little, which must not speak
+     * for it.
+     */
     private static final double SUSPECT = 1e9;
 
     /** The order of the ring. */
-    private static final Comparator<Server> ORDER = (a, b) -> a.order != b.order
-            ? Long.compareUnsigned(a.order, b.order) : Long.compareUnsigned(a.id, b.id);
+    private static final Comparator<Server> ORDER =
+            (a, b) ->
+                    a.order != b.order
+                            ? Long.compareUnsigned(a.order, b.order)
+                            : Long.compareUnsigned(a.id, b.id);
 
     private final class Entry {
         Server server;
@@ -55,27 +62,36 @@
         double latencyNow;
 
         /**
-         * RIF now: this copy's own attempts, which it knows, and the others' as reported. What was reported
-         * of others ages towards the pool's mean as requests turn over. Guards against picks by reports that
-         * are older than the requests they count: many copies would follow the same old news at once.
+         * RIF now: this copy's own attempts, which it knows, and the others' as reported. What was
+         * reported of others ages towards the pool's mean as requests turn over. Guards against
+         * picks by reports that are older than the requests they count: many copies would follow
+         * the same old news at once.
          */
         void look(long now, double others, double turnover) {
             double kept = Math.exp(-(now - at + tuning.nanos(Figure.REPORT_AGE_MS)) / turnover);
-            // A connection to be opened counts as a request: it costs the endpoint work and one of few
-            // places; but not the first since a start, which it would keep from being made at all. So does
+            // A connection to be opened counts as a request: it costs the endpoint work and one of
+            // few
+            // places; but not the first since a start, which it would keep from being made at all.
+            // So does
             // crossing zones, which has its price, so that it is done only to get past a queue.
             int dial = server.needsConnection() && !server.untried ? 1 : 0;
-            rifNow = server.inFlight + dial + (server.far ? 1 : 0)
-                    + Math.max(0, others + (rif - ownThen - others) * kept);
-            // The report leaves waiting out, so the time of one request is counted for each that is there and
-            // for the one to come. Guards against every copy crowding the quickest endpoint until it is hot.
+            rifNow =
+                    server.inFlight
+                            + dial
+                            + (server.far ? 1 : 0)
+                            + Math.max(0, others + (rif - ownThen - others) * kept);
+            // The report leaves waiting out, so the time of one request is counted for each that is
+            // there and
+            // for the one to come. Guards against every copy crowding the quickest endpoint until
+            // it is hot.
             latencyNow = server.untried ? 0 : latency * (1 + rifNow);
         }
 
         /** Cold ones first, by latency; then hot ones by RIF. */
         boolean before(Entry other, double hotAbove) {
             boolean cold = rifNow <= hotAbove;
-            return cold && other.rifNow <= hotAbove ? latencyNow < other.latencyNow
+            return cold && other.rifNow <= hotAbove
+                    ? latencyNow < other.latencyNow
                     : cold || other.rifNow > hotAbove && rifNow < other.rifNow;
         }
     }
@@ -85,12 +101,17 @@
     private final RandomGenerator random;
     private final Actions actions;
 
-    /** All ready endpoints, in an order that every copy agrees on and that has to do with nothing else. */
+    /**
+     * All ready endpoints, in an order that every copy agrees on and that has to do with nothing
+     * else.
+     */
     final List<Server> ring = new ArrayList<>();
+
     private final List<Server> roster = new ArrayList<>();
 
     /** The zones that may be probed and sent to; none: all may. */
     private List<ZoneShare> shares = List.of();
+
     private boolean rosterStale = true;
     private int rosterSize;
 
@@ -100,6 +121,7 @@
 
     /** Share of this copy's recent attempts that failed. */
     private double failed;
+
     private double owed;
     private long lastProbe = Long.MIN_VALUE / 2;
 
@@ -117,7 +139,8 @@
     // ---- whom to probe ----
 
     /**
-     * Adds or removes an endpoint as the list says. An endpoint that is not ready leaves the pool at once.
+     * Adds or removes an endpoint as the list says. An endpoint that is not ready leaves the pool
+     * at once.
      */
     void listed(Server server, boolean ready) {
         server.far = server.listed.zone() != settings.zone();
@@ -133,17 +156,29 @@
         }
     }
 
-    /** Only the zones named have a place in the roster from now on, each by its part; none named: all. */
+    /**
+     * Only the zones named have a place in the roster from now on, each by its part; none named:
+     * all.
+     */
     void shares(List<ZoneShare> zones) {
         shares = List.copyOf(zones);
         rosterStale = true;
     }
 
-    /** Fits the roster to the calls this copy has out: a caller with much to send needs more endpoints. */
+    /**
+     * Fits the roster to the calls this copy has out: a caller with much to send needs more
+     * endpoints.
+     */
     void resize(double callsOut) {
-        double covering = tuning.get(Figure.ROSTER_COVER) * ring.size() / Math.max(1, settings.copies());
+        double covering =
+                tuning.get(Figure.ROSTER_COVER) * ring.size() / Math.max(1, settings.copies());
         double bearing = tuning.get(Figure.ROSTER_PER_CALL) * callsOut;
-        int wanted = (int) Math.ceil(Math.max(tuning.get(Figure.ROSTER_LEAST), Math.max(covering, bearing)));
+        int wanted =
+                (int)
+                        Math.ceil(
+                                Math.max(
+                                        tuning.get(Figure.ROSTER_LEAST),
+                                        Math.max(covering, bearing)));
         // A quarter of slack, so that the roster does not breathe with every call.
         if (wanted > rosterSize || wanted < rosterSize * 3 / 4) {
             rosterSize = wanted;
@@ -152,10 +187,11 @@
     }
 
     /**
-     * The endpoints that this copy probes and sends to: a run of the ring that starts where this copy's
-     * number puts it. Guards against connections that grow as copies x endpoints: each endpoint accepts a
-     * limited number, and random probing by every copy would have each of them connect to all. The runs of
-     * all copies cover the ring evenly, and a change of the list moves each by one endpoint at most.
+     * The endpoints that this copy probes and sends to: a run of the ring that starts where this
+     * copy's number puts it. Guards against connections that grow as copies x endpoints: each
+     * endpoint accepts a limited number, and random probing by every copy would have each of them
+     * connect to all. The runs of all copies cover the ring evenly, and a change of the list moves
+     * each by one endpoint at most.
      */
     List<Server> roster() {
         if (rosterStale) {
@@ -165,12 +201,17 @@
             roster.clear();
             for (ZoneShare share : shares) {
                 double part = (double) share.parts() / RouteTable.WHOLE;
-                add(s -> s.listed.zone() == share.zone(),
+                add(
+                        s -> s.listed.zone() == share.zone(),
                         (int) Math.ceil(rosterSize * (part + (1 - part) / FAR_PART)));
             }
             if (roster.isEmpty()) {
                 int near = add(s -> !s.far, rosterSize);
-                add(s -> s.far, near < tuning.get(Figure.ROSTER_LEAST) ? rosterSize : rosterSize / FAR_PART);
+                add(
+                        s -> s.far,
+                        near < tuning.get(Figure.ROSTER_LEAST)
+                                ? rosterSize
+                                : rosterSize / FAR_PART);
             }
             before.removeIf(server -> server.inRoster);
             before.forEach(this::forget);
@@ -202,15 +243,19 @@
     }
 
     /**
-     * Pays for the probes that a call triggers: few while all goes well, more the more attempts fail. Guards
-     * against paying for answers that change no pick, and against blind picks once endpoints turn work away.
+     * Pays for the probes that a call triggers: few while all goes well, more the more attempts
+     * fail. Guards against paying for answers that change no pick, and against blind picks once
+     * endpoints turn work away.
      */
     void call(long now) {
         expire(now);
         double calm = tuning.get(Figure.PROBES_PER_CALL);
         double more = Math.max(0, tuning.get(Figure.PROBES_PER_CALL_FAILING) - calm);
         double rate = calm + more * Math.min(1, failed / tuning.get(Figure.PROBES_FAILED_SHARE));
-        owed += size < tuning.get(Figure.THIN_POOL) ? tuning.get(Figure.PROBES_PER_CALL_THIN) : rate;
+        owed +=
+                size < tuning.get(Figure.THIN_POOL)
+                        ? tuning.get(Figure.PROBES_PER_CALL_THIN)
+                        : rate;
         for (; owed >= 1; owed--) {
             probe(now);
         }
@@ -224,8 +269,9 @@
     }
 
     /**
-     * Closes connections that a burst has left behind. Guards against a table of connections that fills with
-     * the peaks of many copies: it costs the endpoint capacity, and a full one turns callers away.
+     * Closes connections that a burst has left behind. Guards against a table of connections that
+     * fills with the peaks of many copies: it costs the endpoint capacity, and a full one turns
+     * callers away.
      */
     void trim() {
         roster().stream().filter(Server::trim).forEach(this::closeIdle);
@@ -246,8 +292,10 @@
 
     /** Asks an endpoint for its load, unless it has been asked and may still answer. */
     void ask(long now, Server server) {
-        // Guards against never probing an endpoint again for the sake of one answer that never came.
-        if (settings.limits().probes() && (!server.probeOut || now - server.probedAt > PROBE_LOST)) {
+        // Guards against never probing an endpoint again for the sake of one answer that never
+        // came.
+        if (settings.limits().probes()
+                && (!server.probeOut || now - server.probedAt > PROBE_LOST)) {
             server.probeOut = true;
             server.probedAt = now;
             server.ownAtProbe = server.inFlight;
@@ -257,9 +305,9 @@
     }
 
     /**
-     * Takes in the answer to the probe that was sent at an instant. One that failed takes the endpoint's
-     * entry away. Guards against an old report in place of a newer one, and against one that counts twice:
-     * only the answer to the probe that is out counts.
+     * Takes in the answer to the probe that was sent at an instant. One that failed takes the
+     * endpoint's entry away. Guards against an old report in place of a newer one, and against one
+     * that counts twice: only the answer to the probe that is out counts.
      */
     void probed(long now, Server server, Outcome outcome, long sentAt, Load load) {
         if (!server.probeOut || sentAt < server.probedAt) {
@@ -270,7 +318,10 @@
             forget(server);
             server.mute = outcome != Outcome.OK && outcome != Outcome.FULL;
         }
-        if (outcome != Outcome.OK || load == null || Double.isNaN(load.inFlight()) || !server.ready()) {
+        if (outcome != Outcome.OK
+                || load == null
+                || Double.isNaN(load.inFlight())
+                || !server.ready()) {
             return;
         }
         server.hold.reported(now, load.inFlight() - server.ownAtProbe);
@@ -279,8 +330,10 @@
         Entry entry = entries[at];
         entry.server = server;
         entry.rif = load.inFlight();
-        entry.latency = server.reportedLatency(Double.isNaN(load.latencyMillis()) ? 0 : load.latencyMillis(),
-                tuning.get(Figure.REPORT_WEIGHT));
+        entry.latency =
+                server.reportedLatency(
+                        Double.isNaN(load.latencyMillis()) ? 0 : load.latencyMillis(),
+                        tuning.get(Figure.REPORT_WEIGHT));
         entry.at = now;
         entry.ownThen = server.ownAtProbe;
     }
@@ -288,7 +341,10 @@
     // ---- ageing ----
 
     private int oldest() {
-        return IntStream.range(0, size).boxed().min(Comparator.comparingLong(i -> entries[i].at)).get();
+        return IntStream.range(0, size)
+                .boxed()
+                .min(Comparator.comparingLong(i -> entries[i].at))
+                .get();
     }
 
     private void expire(long now) {
@@ -317,7 +373,8 @@
      *
      * @param turnover how long a request stays at an endpoint, about
      * @param may whether an endpoint may take it
-     * @param suspect whether an endpoint counts as hot whatever its RIF: one that fails, or is silent
+     * @param suspect whether an endpoint counts as hot whatever its RIF: one that fails, or is
+     *     silent
      */
     Server pick(long now, double turnover, Predicate<Server> may, Predicate<Server> suspect) {
         roster(); // brought up to date first: a change of it takes entries away
@@ -336,9 +393,13 @@
             }
         }
         Arrays.sort(rifs, 0, sound);
-        double hotAbove = sound == 0 ? -1 : rifs[(int) (tuning.get(Figure.RIF_QUANTILE) * (sound - 1))];
-        return Arrays.stream(entries, 0, size).filter(e -> may.test(e.server))
-                .reduce((best, e) -> e.before(best, hotAbove) ? e : best).map(e -> e.server).orElse(null);
+        double hotAbove =
+                sound == 0 ? -1 : rifs[(int) (tuning.get(Figure.RIF_QUANTILE) * (sound - 1))];
+        return Arrays.stream(entries, 0, size)
+                .filter(e -> may.test(e.server))
+                .reduce((best, e) -> e.before(best, hotAbove) ? e : best)
+                .map(e -> e.server)
+                .orElse(null);
     }
 
     /** How many entries there are, for tests. */
--- a/core/src/main/java/cedarrudder/Server.java
+++ b/core/src/main/java/cedarrudder/Server.java
@@ -7,18 +7,23 @@
 import cedarrudder.overload.HoldLimit;
 
 /**
- * What one copy knows of one endpoint: its own attempts there, how they ended, whether it is silent,
- * whether it drains, and how much this copy may still send it while it is cold.
+ * What one copy knows of one endpoint: its own attempts there, how they ended, whether it is
+ * silent, whether it drains, and how much this copy may still send it while it is cold.
  */
 final class Server {
 
     /** Weight of the newest outcome in the failure share: about the last five calls count. */
     private static final double FAILURE_WEIGHT = 0.2;
 
-    /** An endpoint is failing when more than this share of its recent calls failed ("mostly", see DESIGN). */
+    /**
+     * An endpoint is failing when more than this share of its recent calls failed ("mostly", see
+     * DESIGN).
+     */
     private static final double FAILING = 0.5;
 
-    /** The failure share is halved each time this long goes by, so that no verdict lasts for good. */
+    /**
+     * The failure share is halved each time this long goes by, so that no verdict lasts for good.
+     */
     private static final double FORGIVE_NANOS = 2e9;
 
     /** An endpoint that took no connection is taken to be out of them for this long. */
@@ -28,7 +33,8 @@
     Endpoint listed;
 
     /**
-     * Position in the ring of ready endpoints' order: the id, scrambled, so that neighbours are unrelated.
+     * Position in the ring of ready endpoints' order: the id, scrambled, so that neighbours are
+     * unrelated.
      */
     final long order;
 
@@ -53,10 +59,14 @@
     /** This copy's own attempts that were out when it last probed. */
     int ownAtProbe;
 
-    /** Since when attempts have been out with nothing coming back; meaningless while none is out. */
+    /**
+     * Since when attempts have been out with nothing coming back; meaningless while none is out.
+     */
     private long waitingSince;
 
-    /** Connections that this copy is likely to have open there, one for each attempt out at once. */
+    /**
+     * Connections that this copy is likely to have open there, one for each attempt out at once.
+     */
     private int open;
 
     /** Most attempts out at once since the last look at the connections. */
@@ -70,7 +80,10 @@
     /** How many requests it may hold, and what it held for others when it last reported. */
     final HoldLimit hold;
 
-    /** Those of the attempts out whose requests are still being written: the endpoint has not begun them. */
+    /**
+     * Those of the attempts out whose requests are still being written: the endpoint has not begun
+     * them.
+     */
     int uploads;
 
     private double latency;
@@ -78,14 +91,18 @@
     private double failureShare;
     private long failureAt;
 
-    /** What may be sent while cold, in mean requests; a send needs it to be positive and may overdraw it. */
+    /**
+     * What may be sent while cold, in mean requests; a send needs it to be positive and may
+     * overdraw it.
+     */
     private double allowance;
+
     private long allowanceAt;
 
     /**
-     * Begins one life of an endpoint: a restart begins another. Its cold-start budget begins somewhere
-     * between nothing and one request in debt. Guards against every copy spending a first request at once:
-     * over many copies the first sends then come spread out at the budget's rate.
+     * Begins one life of an endpoint: a restart begins another. Its cold-start budget begins
+     * somewhere between nothing and one request in debt. Guards against every copy spending a first
+     * request at once: over many copies the first sends then come spread out at the budget's rate.
      *
      * @param heldStart how many requests it may hold until more is known of it; 0: any number
      * @param firstDraw where its budget begins, from 0 to 1
@@ -121,10 +138,11 @@
     }
 
     /**
-     * Whether the slow-start budget, a token bucket, has room for a send. It fills with the load that one
-     * warm endpoint bears from this copy, in mean requests a second: no endpoint bears more than it can do.
-     * Half a window's part is saved up at most; where that is under one request, a turn not used passes by.
-     * Guards against all copies together: those that have waited would send their one request at once.
+     * Whether the slow-start budget, a token bucket, has room for a send. It fills with the load
+     * that one warm endpoint bears from this copy, in mean requests a second: no endpoint bears
+     * more than it can do. Half a window's part is saved up at most; where that is under one
+     * request, a turn not used passes by. Guards against all copies together: those that have
+     * waited would send their one request at once.
      */
     boolean withinColdBudget(long now, double warmRate, Tuning tuning, Safety safety) {
         double planned = tuning.get(Tuning.Figure.COLD_SHARE_USED) * safety.fallMultiple();
@@ -164,8 +182,8 @@
     }
 
     /**
-     * An answer that had begun, and counts as good, broke off: it weighs as two, to make up for that. One of
-     * a former life says nothing of this.
+     * An answer that had begun, and counts as good, broke off: it weighs as two, to make up for
+     * that. One of a former life says nothing of this.
      */
     void brokeOff(long now, long sentAt) {
         for (int i = 0; i < 2 && sentAt >= listed.startedAt(); i++) {
@@ -174,10 +192,14 @@
     }
 
     private double failureShare(long now) {
-        return failureShare == 0 ? 0 : failureShare * Math.pow(2, -(now - failureAt) / FORGIVE_NANOS);
+        return failureShare == 0
+                ? 0
+                : failureShare * Math.pow(2, -(now - failureAt) / FORGIVE_NANOS);
     }
 
-    /** Guards against sinkholes: an endpoint that fails fast holds little and would draw ever more. */
+    /**
+     * Guards against sinkholes: an endpoint that fails fast holds little and would draw ever more.
+     */
     boolean failing(long now) {
         return failureShare(now) > FAILING;
     }
@@ -187,7 +209,10 @@
         return hold.room(hold.held(now, inFlight - uploads, copies));
     }
 
-    /** Takes in how long a good answer took, and the work that it was said to need; before {@link #ended}. */
+    /**
+     * Takes in how long a good answer took, and the work that it was said to need; before {@link
+     * #ended}.
+     */
     void answered(long now, int copies, long latency, long work) {
         hold.answered(hold.held(now, inFlight - uploads, copies), latency, work);
     }
@@ -203,13 +228,16 @@
         return inFlight >= open;
     }
 
-    /** Guards against waiting, time after time, for a connection that an endpoint has no room for. */
+    /**
+     * Guards against waiting, time after time, for a connection that an endpoint has no room for.
+     */
     boolean crowded(long now) {
         return now < crowdedUntil && needsConnection();
     }
 
     /**
-     * Whether more connections are open than were of use since the last look; if so, they can be closed.
+     * Whether more connections are open than were of use since the last look; if so, they can be
+     * closed.
      */
     boolean trim() {
         boolean surplus = open > Math.max(1, peak);
@@ -222,7 +250,10 @@
         open = inFlight;
     }
 
-    /** Guards against endpoints that take requests and answer none, though they may still answer probes. */
+    /**
+     * Guards against endpoints that take requests and answer none, though they may still answer
+     * probes.
+     */
     boolean silent(long now, long patience) {
         return inFlight > uploads && now - waitingSince > patience;
     }
--- a/core/src/main/java/cedarrudder/TuningText.java
+++ b/core/src/main/java/cedarrudder/TuningText.java
@@ -9,7 +9,7 @@
 /** The figures of a {@link Tuning} in writing: {@code max-age-ms=1500}. */
 public final class TuningText {
 
-    private TuningText() { }
+    private TuningText() {}
 
     /** The name of a figure as written: small letters and hyphens. */
     public static String name(Figure figure) {
@@ -20,8 +20,8 @@
      * The defaults with some figures set, later ones over earlier ones.
      *
      * @param assignments each such as {@code probes-per-call=1}
-     * @throws IllegalArgumentException when no figure has that name, or its value is no number in its range;
-     * the message tells what was found and what is allowed
+     * @throws IllegalArgumentException when no figure has that name, or its value is no number in
+     *     its range; the message tells what was found and what is allowed
      */
     public static Tuning read(List<String> assignments) {
         Tuning tuning = Tuning.DEFAULTS;
@@ -34,10 +34,20 @@
     private static Tuning set(Tuning tuning, String assignment) {
         int equals = assignment.indexOf('=');
         String name = equals < 0 ? assignment : assignment.substring(0, equals);
-        Figure figure = Arrays.stream(Figure.values()).filter(f -> name(f).equals(name)).findAny()
-                .orElseThrow(() -> new IllegalArgumentException("no figure is named '" + name
-                        + "'; known are " + Arrays.stream(Figure.values()).map(TuningText::name)
-                                .collect(Collectors.joining(", "))));
+        Figure figure =
+                Arrays.stream(Figure.values())
+                        .filter(f -> name(f).equals(name))
+                        .findAny()
+                        .orElseThrow(
+                                () ->
+                                        new IllegalArgumentException(
+                                                "no figure is named '"
+                                                        + name
+                                                        + "'; known are "
+                                                        + Arrays.stream(Figure.values())
+                                                                .map(TuningText::name)
+                                                                .collect(
+                                                                        Collectors.joining(", "))));
         String value = equals < 0 ? "" : assignment.substring(equals + 1);
         try {
             return tuning.with(figure, Double.parseDouble(value));
@@ -46,15 +56,26 @@
         }
     }
 
-    /** The figures that differ from the defaults, as written, with blanks between; empty where none does. */
+    /**
+     * The figures that differ from the defaults, as written, with blanks between; empty where none
+     * does.
+     */
     public static String differences(Tuning tuning) {
-        return Arrays.stream(Figure.values()).filter(f -> tuning.get(f) != f.standard)
-                .map(f -> name(f) + "=" + number(tuning.get(f))).collect(Collectors.joining(" "));
+        return Arrays.stream(Figure.values())
+                .filter(f -> tuning.get(f) != f.standard)
+                .map(f -> name(f) + "=" + number(tuning.get(f)))
+                .collect(Collectors.joining(" "));
     }
 
     static IllegalArgumentException notAllowed(Figure figure, Object found) {
-        return new IllegalArgumentException(name(figure) + ": found " + found + ", allowed is a number from "
-                + number(figure.least) + " to " + number(figure.most));
+        return new IllegalArgumentException(
+                name(figure)
+                        + ": found "
+                        + found
+                        + ", allowed is a number from "
+                        + number(figure.least)
+                        + " to "
+                        + number(figure.most));
     }
 
     /** Without a fraction where it has none. */
--- a/core/src/main/java/cedarrudder/agreement/Agreement.java
+++ b/core/src/main/java/cedarrudder/agreement/Agreement.java
@@ -19,28 +19,35 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the copies of a tier agree on, as one of them takes part: a log by Raft (Ongaro and Ousterhout 2014;
- * Ongaro's thesis 2014) among a few voters, spread to all others. Voters that forgot come back as learners
- * (Liskov and Cowling 2012, recovery), and a group whose majority forgot stops until a new one is formed.
+ * What the copies of a tier agree on, as one of them takes part: a log by Raft (Ongaro and
+ * Ousterhout 2014; Ongaro's thesis 2014) among a few voters, spread to all others. Voters that
+ * forgot come back as learners (Liskov and Cowling 2012, recovery), and a group whose majority
+ * forgot stops until a new one is formed.
  *
- * <p>It has no clock, no socket and no thread. It is told of messages and of the time, which never goes back,
- * and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one thread at a time, and
- * its outlet must not call it. Whatever it sends leaves at the end of an event, after all that it says is in
- * the store.
+ * <p>It has no clock, no socket and no thread. It is told of messages and of the time, which never
+ * goes back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one
+ * thread at a time, and its outlet must not call it. Whatever it sends leaves at the end of an
+ * event, after all that it says is in the store.
  */
 public final class Agreement {
 
     /** The largest content of one entry, in bytes. */
     public static final int MOST_CONTENT = 32_768;
+
     /** The largest state of a copy, in bytes. */
     public static final int MOST_STATE = 262_144;
+
     /** The largest content of a proposal that is handed on, in bytes. */
     public static final int MOST_HANDED = 4_096;
+
     static final int MOST_SNAPSHOT = MOST_STATE + Proposers.MOST_BYTES;
+
     /** Entries that a leader holds without knowing that they are committed. */
     private static final int MOST_OPEN = 32;
+
     /** How many of them others may have handed on, one each. */
     private static final int MOST_OPEN_HANDED = 16;
+
     /** Voters without which nothing is taken: a group that is just formed waits for others. */
     private static final int LEAST_VOTERS = 3;
 
@@ -53,8 +60,8 @@
         void loaded(LogNumber number, byte[] content);
 
         /**
-         * All that was loaded, as at most {@link #MOST_STATE} bytes; the same at each copy that loaded
-         * the same.
+         * All that was loaded, as at most {@link #MOST_STATE} bytes; the same at each copy that
+         * loaded the same.
          */
         byte[] state();
 
@@ -62,7 +69,8 @@
         void restored(LogNumber number, byte[] state);
 
         /**
-         * What became of a proposal that was handed on here, said once; it comes after {@link #loaded}.
+         * What became of a proposal that was handed on here, said once; it comes after {@link
+         * #loaded}.
          *
          * @param number the one that it was loaded under, where it is committed; otherwise null
          */
@@ -73,9 +81,9 @@
     }
 
     /** What came that was none, or came too late; for figures. */
-    public record Counts(long malformed, long notItsSender, long stale) { }
+    public record Counts(long malformed, long notItsSender, long stale) {}
 
-    private record Out(int to, byte[] piece) { }
+    private record Out(int to, byte[] piece) {}
 
     private final Outlet outlet;
     private final AgreementSettings settings;
@@ -111,20 +119,40 @@
      *
      * @param zones the zone of each copy of the tier, from 1 to 65,535 copies
      * @param self the number of this one
-     * @param life larger than that of any earlier life of this one, such as the time of its start in
-     * milliseconds; where it is not, the others say so and it takes the next one; where the store
-     * remembers, only proposals go by it
+     * @param life larger than that of any earlier life of this one, such as the time of its start
+     *     in milliseconds; where it is not, the others say so and it takes the next one; where the
+     *     store remembers, only proposals go by it
      * @throws IllegalArgumentException if a figure is outside its range
      */
-    public Agreement(int[] zones, int self, long life, AgreementSettings settings, Store store,
-            RandomGenerator random, Outlet outlet, long now) {
+    public Agreement(
+            int[] zones,
+            int self,
+            long life,
+            AgreementSettings settings,
+            Store store,
+            RandomGenerator random,
+            Outlet outlet,
+            long now) {
         this(zones, self, life, settings, store, random, outlet, now, new Conduct());
     }
 
-    Agreement(int[] zones, int self, long life, AgreementSettings settings, Store store,
-            RandomGenerator random, Outlet outlet, long now, Conduct conduct) {
-        if (zones.length < 1 || zones.length > 0xffff || self < 0 || self >= zones.length || life < 1) {
-            throw new IllegalArgumentException("copy " + self + " of " + zones.length + ", life " + life);
+    Agreement(
+            int[] zones,
+            int self,
+            long life,
+            AgreementSettings settings,
+            Store store,
+            RandomGenerator random,
+            Outlet outlet,
+            long now,
+            Conduct conduct) {
+        if (zones.length < 1
+                || zones.length > 0xffff
+                || self < 0
+                || self >= zones.length
+                || life < 1) {
+            throw new IllegalArgumentException(
+                    "copy " + self + " of " + zones.length + ", life " + life);
         }
         this.self = new Voter(self, life);
         this.settings = settings;
@@ -138,8 +166,7 @@
         this.contact = new Contact(conduct);
         this.allowance = new Allowance(settings.bytesPerSecond(), now);
         this.election = new Election(circle, settings, conduct, random, now);
-        this.spreading = new Spreading(circle, settings, tier, random, allowance, contact,
-                now);
+        this.spreading = new Spreading(circle, settings, tier, random, allowance, contact, now);
         this.seats = new Seats(circle, settings, tier, random);
         this.proposing = new Proposing(circle, outlet, life, random.nextInt() & Integer.MAX_VALUE);
         this.handed = new Allowance(settings.bytesPerSecond(), now);
@@ -233,7 +260,8 @@
 
     /** The copy that leads, as far as this one knows; -1 where it knows of none. */
     public int leader() {
-        return election.leader() >= 0 || spreading.beatTerm() < election.term() ? election.leader()
+        return election.leader() >= 0 || spreading.beatTerm() < election.term()
+                ? election.leader()
                 : spreading.leader();
     }
 
@@ -252,10 +280,11 @@
     }
 
     /**
-     * The latest instant of this copy's clock at which a leader whom a majority answered was surely in
-     * office, all of whose commits until then are loaded here; {@link Long#MIN_VALUE} where none is
-     * known. It rises within a group. It is never later than it truly was, however late datagrams came and
-     * however long this copy stood still, where clocks drift by no more than 1 in 1,000.
+     * The latest instant of this copy's clock at which a leader whom a majority answered was surely
+     * in office, all of whose commits until then are loaded here; {@link Long#MIN_VALUE} where none
+     * is known. It rises within a group. It is never later than it truly was, however late
+     * datagrams came and however long this copy stood still, where clocks drift by no more than 1
+     * in 1,000.
      */
     public long sureSince() {
         return contact.since();
@@ -305,8 +334,8 @@
     }
 
     /**
-     * Forms a new group with this copy as its only voter and its state as the first; others join it as they
-     * hear of it. What an older group goes on to do has no effect where this one is known.
+     * Forms a new group with this copy as its only voter and its state as the first; others join it
+     * as they hear of it. What an older group goes on to do has no effect where this one is known.
      *
      * @return false where no further group can be formed
      */
@@ -331,19 +360,20 @@
     /**
      * Proposes something to be agreed on.
      *
-     * @return its number if it comes to be committed; another may get that number if this copy loses its lead
-     * first. Null where this copy does not lead, the group has not enough voters yet, or too much is under
-     * way
+     * @return its number if it comes to be committed; another may get that number if this copy
+     *     loses its lead first. Null where this copy does not lead, the group has not enough voters
+     *     yet, or too much is under way
      * @throws IllegalArgumentException if the content is larger than {@link #MOST_CONTENT}
      */
     public LogNumber propose(long now, byte[] content) {
         if (content.length > MOST_CONTENT) {
-            throw new IllegalArgumentException("content: found " + content.length + " bytes; allowed: up to "
-                    + MOST_CONTENT);
+            throw new IllegalArgumentException(
+                    "content: found " + content.length + " bytes; allowed: up to " + MOST_CONTENT);
         }
         lapse(now);
         LogNumber number = null;
-        if (election.leads() && log.voters().size() >= LEAST_VOTERS
+        if (election.leads()
+                && log.voters().size() >= LEAST_VOTERS
                 && log.last() - log.committed() < MOST_OPEN) {
             append(now, new Entry(election.term(), Kind.CONTENT, content.clone()));
             number = new LogNumber(group, log.last());
@@ -353,16 +383,18 @@
     }
 
     /**
-     * Has something agreed on, whoever leads. Those of one copy go one after another, in their order.
+     * Has something agreed on, whoever leads. Those of one copy go one after another, in their
+     * order.
      *
      * @param patience after which its outcome is said, whatever is known by then, in nanoseconds
-     * @return what {@link Outlet#settled} will name; null where too many wait here, so that it is not taken
+     * @return what {@link Outlet#settled} will name; null where too many wait here, so that it is
+     *     not taken
      * @throws IllegalArgumentException if the content is larger than {@link #MOST_HANDED}
      */
     public Proposal hand(long now, byte[] content, long patience) {
         if (content.length > MOST_HANDED) {
-            throw new IllegalArgumentException("content: found " + content.length + " bytes; allowed: up to "
-                    + MOST_HANDED);
+            throw new IllegalArgumentException(
+                    "content: found " + content.length + " bytes; allowed: up to " + MOST_HANDED);
         }
         Proposal made = proposing.make(now, loaded(), content, patience);
         end(now);
@@ -370,9 +402,9 @@
     }
 
     /**
-     * Hands on again what {@link #hand} made in this process and what became of which is unknown: where it
-     * took effect, it does not do so again. Where a later one of this copy took effect since, it stays
-     * unknown.
+     * Hands on again what {@link #hand} made in this process and what became of which is unknown:
+     * where it took effect, it does not do so again. Where a later one of this copy took effect
+     * since, it stays unknown.
      *
      * @return false where too many wait here, or it does
      */
@@ -383,8 +415,8 @@
     }
 
     /**
-     * Takes what a copy hands on, as the one that leads; false where it can't now. What others can make it
-     * hold is bounded: one of each copy, and so many of all.
+     * Takes what a copy hands on, as the one that leads; false where it can't now. What others can
+     * make it hold is bounded: one of each copy, and so many of all.
      */
     private boolean takes(long now, Proposal proposal) {
         if (!election.leads() || log.voters().size() < LEAST_VOTERS) {
@@ -404,7 +436,8 @@
             return true;
         }
         byte[] bytes = proposal.encode();
-        if (open >= MOST_OPEN_HANDED || log.last() - log.committed() >= MOST_OPEN
+        if (open >= MOST_OPEN_HANDED
+                || log.last() - log.committed() >= MOST_OPEN
                 || !handed.spend(now, bytes.length)) {
             return false;
         }
@@ -412,12 +445,17 @@
         return true;
     }
 
-    /** Has another voter lead that has all entries, such as before this copy ends; false where none has. */
+    /**
+     * Has another voter lead that has all entries, such as before this copy ends; false where none
+     * has.
+     */
     public boolean transfer(long now) {
         lapse(now);
         Voter to = null;
         for (Voter voter : election.leads() ? log.voters().all() : List.<Voter>of()) {
-            if (!voter.equals(self) && replication.match(voter) == log.last() && tier.lives(voter.copy())) {
+            if (!voter.equals(self)
+                    && replication.match(voter) == log.last()
+                    && tier.lives(voter.copy())) {
                 to = voter;
             }
         }
@@ -429,9 +467,9 @@
     }
 
     /**
-     * Membership holds that a copy lives, or that it is dead. It guides whom this copy speaks to and makes a
-     * voter, and keeps it from forming a group by itself while it sees no more than half of the tier; no
-     * safety rests on it.
+     * Membership holds that a copy lives, or that it is dead. It guides whom this copy speaks to
+     * and makes a voter, and keeps it from forming a group by itself while it sees no more than
+     * half of the tier; no safety rests on it.
      */
     public void lives(int copy, boolean lives) {
         if (copy != self.copy()) {
@@ -440,7 +478,8 @@
     }
 
     /**
-     * Takes a piece. One that can't be read, or that names another as its sender, is counted and dropped.
+     * Takes a piece. One that can't be read, or that names another as its sender, is counted and
+     * dropped.
      *
      * @param from the copy whose address it came from
      */
@@ -464,9 +503,13 @@
         end(now);
     }
 
-    /** A leader that was away for long, or whom nobody answers, does nothing before it has stepped down. */
+    /**
+     * A leader that was away for long, or whom nobody answers, does nothing before it has stepped
+     * down.
+     */
     private void lapse(long now) {
-        if (election.leads() && conduct.lapsed(replication.sinceMajority(now), settings.electionMost())) {
+        if (election.leads()
+                && conduct.lapsed(replication.sinceMajority(now), settings.electionMost())) {
             election.follow(now, election.term());
         }
     }
@@ -499,22 +542,30 @@
         return true;
     }
 
-    /** A raise is only believed of one who answers: whoever sends from a peer's address can't do that. */
+    /**
+     * A raise is only believed of one who answers: whoever sends from a peer's address can't do
+     * that.
+     */
     private boolean answers(int from, Piece piece) {
-        return piece.count() == 1 && piece.part()[0] == Message.SURE
-                && Message.decode(piece.part()) instanceof Sure sure && spreading.answers(from, sure);
+        return piece.count() == 1
+                && piece.part()[0] == Message.SURE
+                && Message.decode(piece.part()) instanceof Sure sure
+                && spreading.answers(from, sure);
     }
 
     /** The question of a piece that is not admitted; null where it is none. */
     private static Digest digest(Piece piece) {
-        return piece.count() == 1 && piece.part()[0] == Message.DIGEST
-                && Message.decode(piece.part()) instanceof Digest digest ? digest : null;
+        return piece.count() == 1
+                        && piece.part()[0] == Message.DIGEST
+                        && Message.decode(piece.part()) instanceof Digest digest
+                ? digest
+                : null;
     }
 
     /**
-     * Leaves all that was, and has nothing of the other group yet. What the copy has loaded, and what of it
-     * was handed on, stays together until another state takes its place: it may be the first of the next
-     * group.
+     * Leaves all that was, and has nothing of the other group yet. What the copy has loaded, and
+     * what of it was handed on, stays together until another state takes its place: it may be the
+     * first of the next group.
      */
     private void join(long now, Group other) {
         group = other;
@@ -531,8 +582,8 @@
     }
 
     /**
-     * Copies that hear of no leader don't all form a group at once, and those that have nothing come
-     * last.
+     * Copies that hear of no leader don't all form a group at once, and those that have nothing
+     * come last.
      */
     private void waitAnew(long now) {
         waitsFrom = now;
@@ -540,7 +591,9 @@
     }
 
     private long formsAt() {
-        return Math.max(spreading.beatAt(), waitsFrom) + wait + (applied == 0 ? settings.silence() : 0);
+        return Math.max(spreading.beatAt(), waitsFrom)
+                + wait
+                + (applied == 0 ? settings.silence() : 0);
     }
 
     private void handle(long now, Voter from, long term, Message message) {
@@ -630,10 +683,16 @@
         int skip = (int) Math.max(0, Math.min(log.committed() - after, append.entries().size()));
         after += skip;
         boolean behind = after < log.committed();
-        if (!behind && (after > log.last() || log.term(after) != (skip == 0 ? append.afterTerm()
-                : append.entries().get(skip - 1).term()))) {
-            circle.post(leader, new SayAppend(false, Math.max(0, Math.min(log.last(), after - 1)),
-                    append.ask()));
+        if (!behind
+                && (after > log.last()
+                        || log.term(after)
+                                != (skip == 0
+                                        ? append.afterTerm()
+                                        : append.entries().get(skip - 1).term()))) {
+            circle.post(
+                    leader,
+                    new SayAppend(
+                            false, Math.max(0, Math.min(log.last(), after - 1)), append.ask()));
             if (append.committed() > log.last()) {
                 spreading.ask(now, leader);
             }
@@ -693,8 +752,8 @@
     private byte[] state() {
         byte[] state = outlet.state();
         if (state.length > MOST_STATE) {
-            throw new IllegalStateException("state: found " + state.length + " bytes; allowed: up to "
-                    + MOST_STATE);
+            throw new IllegalStateException(
+                    "state: found " + state.length + " bytes; allowed: up to " + MOST_STATE);
         }
         return proposers.with(state);
     }
@@ -723,8 +782,13 @@
     private void sync() {
         if (promised) {
             promised = false;
-            store.promise(new Store.Promise(group, self.life(), election.term(), election.vote(),
-                    election.sworn()));
+            store.promise(
+                    new Store.Promise(
+                            group,
+                            self.life(),
+                            election.term(),
+                            election.vote(),
+                            election.sworn()));
         }
         store.sync();
     }
@@ -732,7 +796,8 @@
     private void end(long now) {
         proposing.loaded(proposers.last(self.copy()));
         proposing.tick(now);
-        if (election.leads() && log.voters().size() >= LEAST_VOTERS
+        if (election.leads()
+                && log.voters().size() >= LEAST_VOTERS
                 && log.term(log.committed()) == election.term()) {
             contact.sure(replication.answeredSince(now), log.committed());
         }
--- a/core/src/main/java/cedarrudder/agreement/AgreementSettings.java
+++ b/core/src/main/java/cedarrudder/agreement/AgreementSettings.java
@@ -4,31 +4,55 @@
  * The figures of agreement. Times are nanoseconds.
  *
  * @param heartbeat between two messages of a leader to each other voter; at least 1 ms
- * @param electionLeast a voter that hears no leader for so long may ask for votes; at least 3 heartbeats
- * @param electionMost the longest that one waits; a leader that a majority has not answered for so long steps
- * down
+ * @param electionLeast a voter that hears no leader for so long may ask for votes; at least 3
+ *     heartbeats
+ * @param electionMost the longest that one waits; a leader that a majority has not answered for so
+ *     long steps down
  * @param voters how many there are to be: 3, 5 or 7
  * @param voterPatience a voter silent for so long is replaced; over {@code electionMost}
  * @param spreadPeriod between two digests of a copy; at least 1 ms
  * @param fanout to how many others it passes on what it has just learned; from 1 to 8
- * @param bytesPerSecond the most that it spends on entries, snapshots and repeats for others; at least 1,024
+ * @param bytesPerSecond the most that it spends on entries, snapshots and repeats for others; at
+ *     least 1,024
  * @param keptEntries how many committed entries it keeps for others; at least 8
  * @param silence after which a copy that hears of no leader forms a new group; 0 is never
  */
-public record AgreementSettings(long heartbeat, long electionLeast, long electionMost, int voters,
-        long voterPatience, long spreadPeriod, int fanout, int bytesPerSecond, int keptEntries,
+public record AgreementSettings(
+        long heartbeat,
+        long electionLeast,
+        long electionMost,
+        int voters,
+        long voterPatience,
+        long spreadPeriod,
+        int fanout,
+        int bytesPerSecond,
+        int keptEntries,
         long silence) {
 
     private static final long MILLI = 1_000_000L;
 
     /** What serves where nothing else is said. */
-    public static final AgreementSettings DEFAULT = new AgreementSettings(150 * MILLI, 600 * MILLI,
-            1_200 * MILLI, 5, 5_000 * MILLI, 400 * MILLI, 4, 16_384, 32, 0);
+    public static final AgreementSettings DEFAULT =
+            new AgreementSettings(
+                    150 * MILLI,
+                    600 * MILLI,
+                    1_200 * MILLI,
+                    5,
+                    5_000 * MILLI,
+                    400 * MILLI,
+                    4,
+                    16_384,
+                    32,
+                    0);
 
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
     public AgreementSettings {
         check(heartbeat >= MILLI, "heartbeat", heartbeat, "1 ms or more");
-        check(electionLeast >= 3 * heartbeat, "electionLeast", electionLeast, "3 heartbeats or more");
+        check(
+                electionLeast >= 3 * heartbeat,
+                "electionLeast",
+                electionLeast,
+                "3 heartbeats or more");
         check(electionMost > electionLeast, "electionMost", electionMost, "over electionLeast");
         check(voters == 3 || voters == 5 || voters == 7, "voters", voters, "3, 5 or 7");
         check(voterPatience > electionMost, "voterPatience", voterPatience, "over electionMost");
@@ -36,13 +60,26 @@
         check(fanout >= 1 && fanout <= 8, "fanout", fanout, "1 to 8");
         check(bytesPerSecond >= 1_024, "bytesPerSecond", bytesPerSecond, "1,024 or more");
         check(keptEntries >= 8, "keptEntries", keptEntries, "8 or more");
-        check(silence == 0 || silence > voterPatience, "silence", silence, "0, or over voterPatience");
+        check(
+                silence == 0 || silence > voterPatience,
+                "silence",
+                silence,
+                "0, or over voterPatience");
     }
 
     /** The same with another silence. */
     public AgreementSettings silence(long other) {
-        return new AgreementSettings(heartbeat, electionLeast, electionMost, voters, voterPatience,
-                spreadPeriod, fanout, bytesPerSecond, keptEntries, other);
+        return new AgreementSettings(
+                heartbeat,
+                electionLeast,
+                electionMost,
+                voters,
+                voterPatience,
+                spreadPeriod,
+                fanout,
+                bytesPerSecond,
+                keptEntries,
+                other);
     }
 
     private static void check(boolean allowed, String name, Object found, String range) {
--- a/core/src/main/java/cedarrudder/agreement/Allowance.java
+++ b/core/src/main/java/cedarrudder/agreement/Allowance.java
@@ -1,6 +1,9 @@
 package cedarrudder.agreement;
 
-/** How many bytes may still be spent on others: so many a second, and at most those of one second at once. */
+/**
+ * How many bytes may still be spent on others: so many a second, and at most those of one second at
+ * once.
+ */
 final class Allowance {
 
     private static final double SECOND = 1e9;
@@ -15,7 +18,9 @@
         this.at = now;
     }
 
-    /** Spends them, if anything is left: one message may go beyond, and is paid for before the next. */
+    /**
+     * Spends them, if anything is left: one message may go beyond, and is paid for before the next.
+     */
     boolean spend(long now, int bytes) {
         left = Math.min(perSecond, left + (now - at) * (perSecond / SECOND));
         at = now;
--- a/core/src/main/java/cedarrudder/agreement/Asks.java
+++ b/core/src/main/java/cedarrudder/agreement/Asks.java
@@ -5,19 +5,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What was asked lately, each with a number drawn at random. An answer that names it was made after that
- * instant, however late it comes, and by someone who had read the question.
+ * What was asked lately, each with a number drawn at random. An answer that names it was made after
+ * that instant, however late it comes, and by someone who had read the question.
  */
 final class Asks {
 
     /** What {@link #at} says of an answer to nothing that was asked, or to what is forgotten. */
     static final long NEVER = Long.MIN_VALUE;
+
     /** Asked of anybody. */
     static final int ANY = -1;
 
     private static final int MOST = 32;
 
-    private record Asked(int number, int of, long at) { }
+    private record Asked(int number, int of, long at) {}
 
     private final RandomGenerator random;
     private final Deque<Asked> asked = new ArrayDeque<>();
--- a/core/src/main/java/cedarrudder/agreement/Conduct.java
+++ b/core/src/main/java/cedarrudder/agreement/Conduct.java
@@ -1,21 +1,24 @@
 package cedarrudder.agreement;
 
 /**
- * The rules that safety rests on, one a method, so that each can be seen, and a test can show what breaks
- * without it.
+ * The rules that safety rests on, one a method, so that each can be seen, and a test can show what
+ * breaks without it.
  */
 class Conduct {
 
     /**
-     * Whether a copy may vote, or ask for votes: a life that the group has committed as a voter, and that has
-     * not been taken out since. One that forgot has a new life, which is not (Liskov and Cowling 2012,
-     * recovery).
+     * Whether a copy may vote, or ask for votes: a life that the group has committed as a voter,
+     * and that has not been taken out since. One that forgot has a new life, which is not (Liskov
+     * and Cowling 2012, recovery).
      */
     boolean mayVote(boolean sworn, boolean seated) {
         return sworn && seated;
     }
 
-    /** Whether a candidate first asks if it would be voted for, and leaves the term alone (thesis, 9.6). */
+    /**
+     * Whether a candidate first asks if it would be voted for, and leaves the term alone (thesis,
+     * 9.6).
+     */
     boolean asksFirst() {
         return true;
     }
@@ -40,7 +43,9 @@
         return isNew;
     }
 
-    /** How long a time may be on this clock that another measured: each is off by up to 1 in 1,000. */
+    /**
+     * How long a time may be on this clock that another measured: each is off by up to 1 in 1,000.
+     */
     long lengthened(long nanos) {
         return nanos + nanos / 400;
     }
@@ -50,16 +55,21 @@
         return askedAt;
     }
 
-    /** Whether a higher group or life is followed: only where its sender has answered a question. */
+    /**
+     * Whether a higher group or life is followed: only where its sender has answered a question.
+     */
     boolean believes(boolean answered) {
         return answered;
     }
 
     /** Whether a piece belongs to the message of which another piece is held. */
     boolean same(Piece held, Piece other) {
-        return held.message() == other.message() && held.life() == other.life()
-                && held.count() == other.count() && held.whole() == other.whole()
-                && held.group().equals(other.group()) && held.term() == other.term();
+        return held.message() == other.message()
+                && held.life() == other.life()
+                && held.count() == other.count()
+                && held.whole() == other.whole()
+                && held.group().equals(other.group())
+                && held.term() == other.term();
     }
 
     /** Whether what was put together is what was sent. */
--- a/core/src/main/java/cedarrudder/agreement/Contact.java
+++ b/core/src/main/java/cedarrudder/agreement/Contact.java
@@ -1,11 +1,13 @@
 package cedarrudder.agreement;
 
 /**
- * Since when a leader was surely in office, as far as that has come to this copy: an instant of its own clock
- * at or after which a majority answered a leader, of whose commits until then this copy has loaded all.
+ * Since when a leader was surely in office, as far as that has come to this copy: an instant of its
+ * own clock at or after which a majority answered a leader, of whose commits until then this copy
+ * has loaded all.
  *
- * <p>It comes from copy to copy as an age. Nobody knows how long a datagram was on its way or lay unread, so
- * an age counts from the instant at which this copy asked for it, never from when it came.
+ * <p>It comes from copy to copy as an age. Nobody knows how long a datagram was on its way or lay
+ * unread, so an age counts from the instant at which this copy asked for it, never from when it
+ * came.
  */
 final class Contact {
 
--- a/core/src/main/java/cedarrudder/agreement/Election.java
+++ b/core/src/main/java/cedarrudder/agreement/Election.java
@@ -10,7 +10,12 @@
 final class Election {
 
     /** What a copy does in its term. */
-    enum Role { FOLLOWS, ASKS_AHEAD, ASKS, LEADS }
+    enum Role {
+        FOLLOWS,
+        ASKS_AHEAD,
+        ASKS,
+        LEADS
+    }
 
     private final Circle circle;
     private final AgreementSettings settings;
@@ -27,7 +32,12 @@
     private long askAt;
     private boolean called;
 
-    Election(Circle circle, AgreementSettings settings, Conduct conduct, RandomGenerator random, long now) {
+    Election(
+            Circle circle,
+            AgreementSettings settings,
+            Conduct conduct,
+            RandomGenerator random,
+            long now) {
         this.circle = circle;
         this.settings = settings;
         this.conduct = conduct;
@@ -91,8 +101,12 @@
     }
 
     private void putOff(long now) {
-        electionAt = now + settings.electionLeast() + (long) (random.nextDouble()
-                * (settings.electionMost() - settings.electionLeast()));
+        electionAt =
+                now
+                        + settings.electionLeast()
+                        + (long)
+                                (random.nextDouble()
+                                        * (settings.electionMost() - settings.electionLeast()));
     }
 
     /** A leader of a term that is not past has been heard of. */
@@ -168,7 +182,9 @@
         Log log = circle.log();
         for (Voter voter : log.voters().all()) {
             if (!granted.contains(voter)) {
-                circle.post(voter.copy(), new AskVote(ahead, called, log.last(), log.term(log.last())),
+                circle.post(
+                        voter.copy(),
+                        new AskVote(ahead, called, log.last(), log.term(log.last())),
                         ahead ? term + 1 : term);
             }
         }
@@ -192,16 +208,19 @@
         }
         Log log = circle.log();
         long ownTerm = log.term(log.last());
-        boolean upToDate = ask.lastTerm() > ownTerm
-                || ask.lastTerm() == ownTerm && ask.lastIndex() >= log.last();
+        boolean upToDate =
+                ask.lastTerm() > ownTerm
+                        || ask.lastTerm() == ownTerm && ask.lastIndex() >= log.last();
         if (ask.ahead()) {
-            circle.post(by.copy(), new SayVote(true, inTerm > term && upToDate && mayVote(), inTerm));
+            circle.post(
+                    by.copy(), new SayVote(true, inTerm > term && upToDate && mayVote(), inTerm));
             return;
         }
         if (inTerm > term) {
             follow(now, inTerm);
         }
-        boolean grants = inTerm == term && upToDate && mayVote() && (vote == null || vote.equals(by));
+        boolean grants =
+                inTerm == term && upToDate && mayVote() && (vote == null || vote.equals(by));
         if (grants && vote == null) {
             vote = by;
             circle.promised();
@@ -221,7 +240,9 @@
             return;
         }
         boolean ahead = role == Role.ASKS_AHEAD;
-        if (say.granted() && (ahead || role == Role.ASKS) && say.ahead() == ahead
+        if (say.granted()
+                && (ahead || role == Role.ASKS)
+                && say.ahead() == ahead
                 && say.askedTerm() == (ahead ? term + 1 : term)) {
             granted.add(by);
             count(now);
--- a/core/src/main/java/cedarrudder/agreement/Log.java
+++ b/core/src/main/java/cedarrudder/agreement/Log.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The entries that a copy holds: some that are committed, kept for others, and those that may yet be taken
- * back. What lies before them is in the snapshot.
+ * The entries that a copy holds: some that are committed, kept for others, and those that may yet
+ * be taken back. What lies before them is in the snapshot.
  */
 final class Log {
 
@@ -33,8 +33,10 @@
     /** Holds nothing but this from here on. */
     void install(Snapshot of) {
         boolean goesOn = of.index() <= last() && of.index() > base && term(of.index()) == of.term();
-        List<Entry> after = goesOn ? List.copyOf(entries.subList((int) (of.index() - base), entries.size()))
-                : List.of();
+        List<Entry> after =
+                goesOn
+                        ? List.copyOf(entries.subList((int) (of.index() - base), entries.size()))
+                        : List.of();
         if (!goesOn) {
             store.cut(of.index() + 1);
         }
@@ -79,7 +81,9 @@
 
     /** The term of an entry; -1 where it isn't known. */
     long term(long index) {
-        return index == base ? baseTerm : index > base && index <= last() ? entry(index).term() : -1;
+        return index == base
+                ? baseTerm
+                : index > base && index <= last() ? entry(index).term() : -1;
     }
 
     Entry entry(long index) {
--- a/core/src/main/java/cedarrudder/agreement/Message.java
+++ b/core/src/main/java/cedarrudder/agreement/Message.java
@@ -6,13 +6,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What copies tell one another. The head of its pieces has group, term, sender and the sender's life. */
+/**
+ * What copies tell one another. The head of its pieces has group, term, sender and the sender's
+ * life.
+ */
 sealed interface Message {
 
     /** What the fields of any message take, without entries and parts. */
     int MOST_FIXED = 128;
+
     /** The first byte of {@link Digest} and of {@link Sure}. */
     byte DIGEST = 5;
+
     byte SURE = 12;
 
     /**
@@ -21,10 +26,11 @@
      * @param ahead whether it only asks if there would be
      * @param called whether a leader told it to, so that hearing a leader is no reason to refuse
      */
-    record AskVote(boolean ahead, boolean called, long lastIndex, long lastTerm) implements Message { }
+    record AskVote(boolean ahead, boolean called, long lastIndex, long lastTerm)
+            implements Message {}
 
     /** The answer; the message's term is that of the one who answers. */
-    record SayVote(boolean ahead, boolean granted, long askedTerm) implements Message { }
+    record SayVote(boolean ahead, boolean granted, long askedTerm) implements Message {}
 
     /**
      * A leader's entries after one that both must have.
@@ -32,13 +38,13 @@
      * @param ask what the answer is to name
      */
     record Append(long after, long afterTerm, long committed, int ask, List<Entry> entries)
-            implements Message { }
+            implements Message {}
 
     /** Up to where the follower's log is that of the leader, or up to where it may be. */
-    record SayAppend(boolean same, long index, int answers) implements Message { }
+    record SayAppend(boolean same, long index, int answers) implements Message {}
 
     /** The one who gets it asks for votes at once. */
-    record Lead() implements Message { }
+    record Lead() implements Message {}
 
     /**
      * What a copy has; also asks for a {@link Sure}.
@@ -50,16 +56,17 @@
      * @param age of the contact that it knows of, as in {@link Sure}
      * @param ask what the answer is to name
      */
-    record Digest(long committed, long beatTerm, long beat, int leader, long yourLife, int age, int ask)
-            implements Message { }
+    record Digest(
+            long committed, long beatTerm, long beat, int leader, long yourLife, int age, int ask)
+            implements Message {}
 
     /**
-     * Answers a digest: a majority answered a leader so long ago, who had committed no more than this by
-     * then.
+     * Answers a digest: a majority answered a leader so long ago, who had committed no more than
+     * this by then.
      *
      * @param age in milliseconds; -1 where it knows of none
      */
-    record Sure(int answers, int age, long committed) implements Message { }
+    record Sure(int answers, int age, long committed) implements Message {}
 
     /**
      * Asks for committed entries.
@@ -67,10 +74,10 @@
      * @param snapshot the index of one of which it has the beginning, or 0
      * @param offset how much of it
      */
-    record Ask(long after, long snapshot, int offset) implements Message { }
+    record Ask(long after, long snapshot, int offset) implements Message {}
 
     /** Committed entries after one. */
-    record News(long after, List<Entry> entries) implements Message { }
+    record News(long after, List<Entry> entries) implements Message {}
 
     /**
      * Part of a snapshot.
@@ -78,25 +85,32 @@
      * @param sum the checksum of the whole state
      */
     record Chunk(long index, long term, Voters voters, int sum, int total, int offset, byte[] bytes)
-            implements Message { }
+            implements Message {}
 
     /** Pieces of a message have not come; a bit each. */
-    record Lack(int message, byte[] missing) implements Message { }
+    record Lack(int message, byte[] missing) implements Message {}
 
     /** Hands a proposal to the one that leads. */
-    record Hand(Proposal proposal) implements Message { }
+    record Hand(Proposal proposal) implements Message {}
 
     /** The leader has it, or it took effect, or one after it did. */
-    record Took(long life, long sequence) implements Message { }
+    record Took(long life, long sequence) implements Message {}
 
     default byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(MOST_FIXED + variable());
         if (this instanceof AskVote m) {
-            out.put((byte) 0).put(bit(m.ahead)).put(bit(m.called)).putLong(m.lastIndex).putLong(m.lastTerm);
+            out.put((byte) 0)
+                    .put(bit(m.ahead))
+                    .put(bit(m.called))
+                    .putLong(m.lastIndex)
+                    .putLong(m.lastTerm);
         } else if (this instanceof SayVote m) {
             out.put((byte) 1).put(bit(m.ahead)).put(bit(m.granted)).putLong(m.askedTerm);
         } else if (this instanceof Append m) {
-            out.put((byte) 2).putLong(m.after).putLong(m.afterTerm).putLong(m.committed)
+            out.put((byte) 2)
+                    .putLong(m.after)
+                    .putLong(m.afterTerm)
+                    .putLong(m.committed)
                     .putInt(m.ask);
             put(out, m.entries);
         } else if (this instanceof SayAppend m) {
@@ -104,8 +118,14 @@
         } else if (this instanceof Lead) {
             out.put((byte) 4);
         } else if (this instanceof Digest m) {
-            out.put(DIGEST).putLong(m.committed).putLong(m.beatTerm).putLong(m.beat)
-                    .putShort((short) m.leader).putLong(m.yourLife).putInt(m.age).putInt(m.ask);
+            out.put(DIGEST)
+                    .putLong(m.committed)
+                    .putLong(m.beatTerm)
+                    .putLong(m.beat)
+                    .putShort((short) m.leader)
+                    .putLong(m.yourLife)
+                    .putInt(m.age)
+                    .putInt(m.ask);
         } else if (this instanceof Ask m) {
             out.put((byte) 6).putLong(m.after).putLong(m.snapshot).putInt(m.offset);
         } else if (this instanceof News m) {
@@ -113,8 +133,15 @@
             put(out, m.entries);
         } else if (this instanceof Chunk m) {
             byte[] voters = m.voters.encode();
-            out.put((byte) 8).putLong(m.index).putLong(m.term).put((byte) voters.length).put(voters)
-                    .putInt(m.sum).putInt(m.total).putInt(m.offset).put(m.bytes);
+            out.put((byte) 8)
+                    .putLong(m.index)
+                    .putLong(m.term)
+                    .put((byte) voters.length)
+                    .put(voters)
+                    .putInt(m.sum)
+                    .putInt(m.total)
+                    .putInt(m.offset)
+                    .put(m.bytes);
         } else if (this instanceof Lack m) {
             out.put((byte) 9).putInt(m.message).put(m.missing);
         } else if (this instanceof Hand m) {
@@ -133,28 +160,45 @@
     static Message decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
-            Message read = switch (in.get()) {
-                case 0 -> new AskVote(in.get() != 0, in.get() != 0, in.getLong(), in.getLong());
-                case 1 -> new SayVote(in.get() != 0, in.get() != 0, in.getLong());
-                case 2 -> {
-                    long after = in.getLong();
-                    long term = in.getLong();
-                    yield new Append(after, term, in.getLong(), in.getInt(), entries(in));
-                }
-                case 3 -> new SayAppend(in.get() != 0, in.getLong(), in.getInt());
-                case 4 -> new Lead();
-                case DIGEST -> new Digest(in.getLong(), in.getLong(), in.getLong(), in.getShort() & 0xffff,
-                        in.getLong(), in.getInt(), in.getInt());
-                case 6 -> new Ask(in.getLong(), in.getLong(), in.getInt());
-                case 7 -> new News(in.getLong(), entries(in));
-                case 8 -> new Chunk(in.getLong(), in.getLong(), Voters.decode(take(in, in.get() & 0xff)),
-                        in.getInt(), in.getInt(), in.getInt(), take(in, in.remaining()));
-                case 9 -> new Lack(in.getInt(), take(in, in.remaining()));
-                case 10 -> new Hand(Proposal.decode(take(in, in.remaining())));
-                case 11 -> new Took(in.getLong(), in.getLong());
-                case SURE -> new Sure(in.getInt(), in.getInt(), in.getLong());
-                default -> null;
-            };
+            Message read =
+                    switch (in.get()) {
+                        case 0 ->
+                                new AskVote(
+                                        in.get() != 0, in.get() != 0, in.getLong(), in.getLong());
+                        case 1 -> new SayVote(in.get() != 0, in.get() != 0, in.getLong());
+                        case 2 -> {
+                            long after = in.getLong();
+                            long term = in.getLong();
+                            yield new Append(after, term, in.getLong(), in.getInt(), entries(in));
+                        }
+                        case 3 -> new SayAppend(in.get() != 0, in.getLong(), in.getInt());
+                        case 4 -> new Lead();
+                        case DIGEST ->
+                                new Digest(
+                                        in.getLong(),
+                                        in.getLong(),
+                                        in.getLong(),
+                                        in.getShort() & 0xffff,
+                                        in.getLong(),
+                                        in.getInt(),
+                                        in.getInt());
+                        case 6 -> new Ask(in.getLong(), in.getLong(), in.getInt());
+                        case 7 -> new News(in.getLong(), entries(in));
+                        case 8 ->
+                                new Chunk(
+                                        in.getLong(),
+                                        in.getLong(),
+                                        Voters.decode(take(in, in.get() & 0xff)),
+                                        in.getInt(),
+                                        in.getInt(),
+                                        in.getInt(),
+                                        take(in, in.remaining()));
+                        case 9 -> new Lack(in.getInt(), take(in, in.remaining()));
+                        case 10 -> new Hand(Proposal.decode(take(in, in.remaining())));
+                        case 11 -> new Took(in.getLong(), in.getLong());
+                        case SURE -> new Sure(in.getInt(), in.getInt(), in.getLong());
+                        default -> null;
+                    };
             return read != null && !in.hasRemaining() && read.plausible() ? read : null;
         } catch (BufferUnderflowException e) {
             return null;
@@ -169,7 +213,8 @@
         } else if (this instanceof Chunk m) {
             return m.bytes.length;
         }
-        return this instanceof Lack m ? m.missing.length
+        return this instanceof Lack m
+                ? m.missing.length
                 : this instanceof Hand m ? m.proposal.content().length : 0;
     }
 
@@ -177,11 +222,16 @@
         if (this instanceof AskVote m) {
             return m.lastIndex >= 0 && m.lastTerm >= 0;
         } else if (this instanceof Append m) {
-            return m.entries != null && m.after >= 0 && m.after < Long.MAX_VALUE >> 1 && m.committed >= 0;
+            return m.entries != null
+                    && m.after >= 0
+                    && m.after < Long.MAX_VALUE >> 1
+                    && m.committed >= 0;
         } else if (this instanceof SayAppend m) {
             return m.index >= 0;
         } else if (this instanceof Digest m) {
-            return m.committed >= 0 && m.yourLife >= 0 && m.yourLife < Long.MAX_VALUE >> 1
+            return m.committed >= 0
+                    && m.yourLife >= 0
+                    && m.yourLife < Long.MAX_VALUE >> 1
                     && m.age >= -1;
         } else if (this instanceof Sure m) {
             return m.age >= -1 && m.committed >= 0;
@@ -190,8 +240,13 @@
         } else if (this instanceof News m) {
             return m.entries != null && m.after >= 0 && m.after < Long.MAX_VALUE >> 1;
         } else if (this instanceof Chunk m) {
-            return m.voters != null && m.index > 0 && m.total >= 0 && m.total <= Agreement.MOST_SNAPSHOT
-                    && m.offset >= 0 && m.offset <= m.total && m.bytes.length <= m.total - m.offset;
+            return m.voters != null
+                    && m.index > 0
+                    && m.total >= 0
+                    && m.total <= Agreement.MOST_SNAPSHOT
+                    && m.offset >= 0
+                    && m.offset <= m.total
+                    && m.bytes.length <= m.total - m.offset;
         } else if (this instanceof Hand m) {
             return m.proposal != null;
         }
@@ -213,8 +268,10 @@
 
     private static void put(ByteBuffer out, List<Entry> entries) {
         for (Entry entry : entries) {
-            out.putLong(entry.term()).put((byte) entry.kind().ordinal())
-                    .putShort((short) entry.bytes().length).put(entry.bytes());
+            out.putLong(entry.term())
+                    .put((byte) entry.kind().ordinal())
+                    .putShort((short) entry.bytes().length)
+                    .put(entry.bytes());
         }
     }
 
@@ -230,7 +287,9 @@
             long term = in.getLong();
             int kind = in.get();
             byte[] bytes = take(in, in.getShort() & 0xffff);
-            if (term <= 0 || kind < 0 || kind >= Kind.values().length
+            if (term <= 0
+                    || kind < 0
+                    || kind >= Kind.values().length
                     || kind == Kind.VOTERS.ordinal() && Voters.decode(bytes) == null
                     || kind == Kind.HANDED.ordinal() && Proposal.decode(bytes) == null) {
                 return null;
--- a/core/src/main/java/cedarrudder/agreement/Note.java
+++ b/core/src/main/java/cedarrudder/agreement/Note.java
@@ -6,14 +6,14 @@
     Group group();
 
     /** It promised a vote, its own included. */
-    record Voted(Group group, long term, Voter by, Voter candidate) implements Note { }
+    record Voted(Group group, long term, Voter by, Voter candidate) implements Note {}
 
     /** It leads from here on. */
-    record Leads(Group group, long term, Voter by) implements Note { }
+    record Leads(Group group, long term, Voter by) implements Note {}
 
     /** It has stored an entry and may say so. */
-    record Stored(Group group, long index, Voter by, Entry entry) implements Note { }
+    record Stored(Group group, long index, Voter by, Entry entry) implements Note {}
 
     /** It knows that these voters are committed. */
-    record Seated(Group group, long index, Voters voters) implements Note { }
+    record Seated(Group group, long index, Voters voters) implements Note {}
 }
--- a/core/src/main/java/cedarrudder/agreement/Piece.java
+++ b/core/src/main/java/cedarrudder/agreement/Piece.java
@@ -4,18 +4,26 @@
 import java.util.zip.CRC32C;
 
 /**
- * One piece of a message, of at most {@value #MOST_BYTES} bytes: the platform's datagrams hold 256, of which
- * the rest is kept for what proves the sender, as with membership's.
+ * One piece of a message, of at most {@value #MOST_BYTES} bytes: the platform's datagrams hold 256,
+ * of which the rest is kept for what proves the sender, as with membership's.
  *
- * <p>Big-endian: a first byte that no message of membership begins with, group (era 4 bytes, founder 2, life
- * 8), term (8), sender (2) and its life (8), message (4), place (2) and count (2), checksum of the whole
- * message (4), its part of the message, checksum of the piece (4).
+ * <p>Big-endian: a first byte that no message of membership begins with, group (era 4 bytes,
+ * founder 2, life 8), term (8), sender (2) and its life (8), message (4), place (2) and count (2),
+ * checksum of the whole message (4), its part of the message, checksum of the piece (4).
  *
  * @param message its number, by the sender
  * @param place which piece it is, from 0
  * @param whole the checksum (CRC32C) of the message
  */
-record Piece(Group group, long term, int sender, long life, int message, int place, int count, int whole,
+record Piece(
+        Group group,
+        long term,
+        int sender,
+        long life,
+        int message,
+        int place,
+        int count,
+        int whole,
         byte[] part) {
 
     static final byte FIRST = (byte) 0xa6;
@@ -29,9 +37,18 @@
 
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEAD + part.length + TAIL);
-        out.put(FIRST).putInt(group.era()).putShort((short) group.founder()).putLong(group.life())
-                .putLong(term).putShort((short) sender).putLong(life).putInt(message).putShort((short) place)
-                .putShort((short) count).putInt(whole).put(part);
+        out.put(FIRST)
+                .putInt(group.era())
+                .putShort((short) group.founder())
+                .putLong(group.life())
+                .putLong(term)
+                .putShort((short) sender)
+                .putLong(life)
+                .putInt(message)
+                .putShort((short) place)
+                .putShort((short) count)
+                .putInt(whole)
+                .put(part);
         out.putInt(checksum(out.array(), 0, HEAD + part.length));
         return out.array();
     }
@@ -55,10 +72,19 @@
         int whole = in.getInt();
         byte[] part = new byte[bytes.length - HEAD - TAIL];
         in.get(part);
-        boolean good = group.era() >= 0 && group.founder() < copies && group.life() >= 0 && term >= 0
-                && sender < copies && life >= 0 && place < count && count <= MOST_COUNT
-                && (place == count - 1 || part.length == MOST_PART);
-        return good ? new Piece(group, term, sender, life, message, place, count, whole, part) : null;
+        boolean good =
+                group.era() >= 0
+                        && group.founder() < copies
+                        && group.life() >= 0
+                        && term >= 0
+                        && sender < copies
+                        && life >= 0
+                        && place < count
+                        && count <= MOST_COUNT
+                        && (place == count - 1 || part.length == MOST_PART);
+        return good
+                ? new Piece(group, term, sender, life, message, place, count, whole, part)
+                : null;
     }
 
     static int checksum(byte[] bytes, int from, int length) {
--- a/core/src/main/java/cedarrudder/agreement/Pieces.java
+++ b/core/src/main/java/cedarrudder/agreement/Pieces.java
@@ -9,15 +9,18 @@
 import java.util.List;
 
 /**
- * Cuts messages into pieces and puts pieces together. A message of several pieces is repeated piece by piece,
- * where the one who gets it says which have not come. All that it holds is bounded, whatever comes.
+ * Cuts messages into pieces and puts pieces together. A message of several pieces is repeated piece
+ * by piece, where the one who gets it says which have not come. All that it holds is bounded,
+ * whatever comes.
  */
 final class Pieces {
 
     /** Messages that are not whole yet. Guards against work and memory without end for a flood. */
     private static final int MOST_PARTIAL = 16;
+
     /** Messages that were sent, kept to be repeated. */
     private static final int MOST_SENT = 16;
+
     private static final int MOST_DONE = 64;
     private static final long STALE = 2_000_000_000L;
     private static final long PATIENCE = 40_000_000L;
@@ -38,9 +41,9 @@
         }
     }
 
-    private record Done(int sender, long life, int message) { }
+    private record Done(int sender, long life, int message) {}
 
-    private record Sent(int to, int message, List<byte[]> pieces) { }
+    private record Sent(int to, int message, List<byte[]> pieces) {}
 
     private final Conduct conduct;
     private final List<Partial> partials = new ArrayList<>();
@@ -49,8 +52,8 @@
     private int messages;
 
     /**
-     * @param first the number of the first message; a process that goes on with a life needs others than
-     * before
+     * @param first the number of the first message; a process that goes on with a life needs others
+     *     than before
      */
     Pieces(Conduct conduct, int first) {
         this.conduct = conduct;
@@ -63,10 +66,14 @@
         int number = messages++;
         List<byte[]> pieces = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            byte[] part = Arrays.copyOfRange(message, i * Piece.MOST_PART,
-                    Math.min(message.length, (i + 1) * Piece.MOST_PART));
-            pieces.add(new Piece(group, term, self.copy(), self.life(), number, i, count, whole,
-                    part).encode());
+            byte[] part =
+                    Arrays.copyOfRange(
+                            message,
+                            i * Piece.MOST_PART,
+                            Math.min(message.length, (i + 1) * Piece.MOST_PART));
+            pieces.add(
+                    new Piece(group, term, self.copy(), self.life(), number, i, count, whole, part)
+                            .encode());
         }
         if (count > 1) {
             sent.add(new Sent(to, number, pieces));
@@ -81,8 +88,10 @@
     List<byte[]> again(int to, Message.Lack lack) {
         for (Sent each : sent) {
             if (each.to == to && each.message == lack.message()) {
-                return BitSet.valueOf(lack.missing()).stream().filter(place -> place < each.pieces.size())
-                        .mapToObj(each.pieces::get).toList();
+                return BitSet.valueOf(lack.missing()).stream()
+                        .filter(place -> place < each.pieces.size())
+                        .mapToObj(each.pieces::get)
+                        .toList();
             }
         }
         return List.of();
@@ -142,12 +151,12 @@
     }
 
     /** What is to be asked for again, and of whom. */
-    record Wanted(int of, Message.Lack lack) { }
+    record Wanted(int of, Message.Lack lack) {}
 
     /** Drops what is stale and says what is missing of the rest. */
     List<Wanted> lacks(long now) {
         List<Wanted> wanted = new ArrayList<>();
-        for (Iterator<Partial> all = partials.iterator(); all.hasNext();) {
+        for (Iterator<Partial> all = partials.iterator(); all.hasNext(); ) {
             Partial each = all.next();
             if (now >= each.staleAt) {
                 all.remove();
@@ -157,8 +166,10 @@
                 for (int i = 0; i < each.parts.length; i++) {
                     missing.set(i, each.parts[i] == null);
                 }
-                wanted.add(new Wanted(each.first.sender(), new Message.Lack(each.first.message(),
-                        missing.toByteArray())));
+                wanted.add(
+                        new Wanted(
+                                each.first.sender(),
+                                new Message.Lack(each.first.message(), missing.toByteArray())));
             }
         }
         return wanted;
--- a/core/src/main/java/cedarrudder/agreement/Proposal.java
+++ b/core/src/main/java/cedarrudder/agreement/Proposal.java
@@ -4,8 +4,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Something that a copy wants to have agreed on, whoever leads. Its identity is copy, life and sequence:
- * it takes effect at most once, however often it is handed on.
+ * Something that a copy wants to have agreed on, whoever leads. Its identity is copy, life and
+ * sequence: it takes effect at most once, however often it is handed on.
  *
  * @param copy the one that proposes
  * @param life of that one's process
@@ -39,7 +39,8 @@
             LogNumber after = number(in);
             byte[] content = new byte[in.remaining()];
             in.get(content);
-            return life < 1 || content.length > Agreement.MOST_HANDED ? null
+            return life < 1 || content.length > Agreement.MOST_HANDED
+                    ? null
                     : new Proposal(copy, life, sequence, after, content);
         } catch (BufferUnderflowException e) {
             return null;
@@ -48,11 +49,14 @@
 
     static void put(ByteBuffer out, LogNumber number) {
         Group group = number.group();
-        out.putInt(group.era()).putShort((short) group.founder()).putLong(group.life())
+        out.putInt(group.era())
+                .putShort((short) group.founder())
+                .putLong(group.life())
                 .putLong(number.index());
     }
 
     static LogNumber number(ByteBuffer in) {
-        return new LogNumber(new Group(in.getInt(), in.getShort() & U16, in.getLong()), in.getLong());
+        return new LogNumber(
+                new Group(in.getInt(), in.getShort() & U16, in.getLong()), in.getLong());
     }
 }
--- a/core/src/main/java/cedarrudder/agreement/Proposers.java
+++ b/core/src/main/java/cedarrudder/agreement/Proposers.java
@@ -6,13 +6,15 @@
 import java.util.Map;
 
 /**
- * What each copy's last proposal was that took effect: part of what copies agree on, and the same at all that
- * loaded the same. A copy hands on one after another, so that the last one tells of all before it. It
- * remembers {@value #MOST} copies; of one that it forgot, it takes only what was made after it forgot.
+ * What each copy's last proposal was that took effect: part of what copies agree on, and the same
+ * at all that loaded the same. A copy hands on one after another, so that the last one tells of all
+ * before it. It remembers {@value #MOST} copies; of one that it forgot, it takes only what was made
+ * after it forgot.
  */
 final class Proposers {
 
     static final int MOST = 512;
+
     /** What it takes in a snapshot at most. */
     static final int MOST_BYTES = 2 + Proposal.NUMBER_BYTES + MOST * (18 + Proposal.NUMBER_BYTES);
 
@@ -21,13 +23,14 @@
      *
      * @param number under which it did
      */
-    record Last(long life, long sequence, LogNumber number) { }
+    record Last(long life, long sequence, LogNumber number) {}
 
     /** What a snapshot holds: these, and the state of the copy. */
-    record Parts(Proposers proposers, byte[] state) { }
+    record Parts(Proposers proposers, byte[] state) {}
 
     /** Those whose last one is oldest come first. */
     private final Map<Integer, Last> lasts = new LinkedHashMap<>();
+
     private LogNumber forgotten = new LogNumber(Group.NONE, 0);
 
     /** The last one of a copy that took effect; null where none did or it was forgotten. */
@@ -38,8 +41,10 @@
     /** Whether it has not taken effect, and none has that came after it. */
     boolean isNew(Proposal proposal) {
         Last last = lasts.get(proposal.copy());
-        return last == null ? proposal.after().compareTo(forgotten) >= 0 : proposal.life() > last.life
-                || proposal.life() == last.life && proposal.sequence() > last.sequence;
+        return last == null
+                ? proposal.after().compareTo(forgotten) >= 0
+                : proposal.life() > last.life
+                        || proposal.life() == last.life && proposal.sequence() > last.sequence;
     }
 
     /** It takes effect. */
@@ -53,14 +58,19 @@
 
     /** With the state of the copy, as a snapshot holds it. */
     byte[] with(byte[] state) {
-        ByteBuffer out = ByteBuffer.allocate(2 + Proposal.NUMBER_BYTES
-                + lasts.size() * (18 + Proposal.NUMBER_BYTES) + state.length);
+        ByteBuffer out =
+                ByteBuffer.allocate(
+                        2
+                                + Proposal.NUMBER_BYTES
+                                + lasts.size() * (18 + Proposal.NUMBER_BYTES)
+                                + state.length);
         out.putShort((short) lasts.size());
         Proposal.put(out, forgotten);
-        lasts.forEach((copy, last) -> {
-            out.putShort(copy.shortValue()).putLong(last.life).putLong(last.sequence);
-            Proposal.put(out, last.number);
-        });
+        lasts.forEach(
+                (copy, last) -> {
+                    out.putShort(copy.shortValue()).putLong(last.life).putLong(last.sequence);
+                    Proposal.put(out, last.number);
+                });
         return out.put(state).array();
     }
 
@@ -79,7 +89,9 @@
             }
             byte[] state = new byte[in.remaining()];
             in.get(state);
-            return count > MOST || state.length > Agreement.MOST_STATE ? null : new Parts(read, state);
+            return count > MOST || state.length > Agreement.MOST_STATE
+                    ? null
+                    : new Parts(read, state);
         } catch (BufferUnderflowException e) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/agreement/Proposing.java
+++ b/core/src/main/java/cedarrudder/agreement/Proposing.java
@@ -5,20 +5,23 @@
 import java.util.Iterator;
 
 /**
- * What this copy proposes, whoever leads: handed to the leader that it knows, one after another, and again
- * where the leader changes or nothing is heard, until it has loaded what became of it.
+ * What this copy proposes, whoever leads: handed to the leader that it knows, one after another,
+ * and again where the leader changes or nothing is heard, until it has loaded what became of it.
  */
 final class Proposing {
 
     static final int MOST_WAITING = 16;
+
     /** Until it is asked again, where the leader has not said that it has it. */
     private static final long UNHEARD = 300_000_000L;
+
     /** The same where it has: it may have lost its lead without another being known yet. */
     private static final long HEARD = 1_000_000_000L;
 
     private static final class Waiting {
         final Proposal proposal;
         final long until;
+
         /** Whether a leader may have it. */
         boolean handed;
 
@@ -39,8 +42,8 @@
     private long askAt;
 
     /**
-     * @param sequence after which it counts: a process that begins with a life that was there before needs
-     * others
+     * @param sequence after which it counts: a process that begins with a life that was there
+     *     before needs others
      */
     Proposing(Circle circle, Agreement.Outlet outlet, long life, long sequence) {
         this.circle = circle;
@@ -59,15 +62,16 @@
         if (waiting.size() >= MOST_WAITING) {
             return null;
         }
-        Proposal made = new Proposal(circle.self().copy(), life, ++sequence, after, content.clone());
+        Proposal made =
+                new Proposal(circle.self().copy(), life, ++sequence, after, content.clone());
         waiting.add(new Waiting(made, now + patience, false));
         return made;
     }
 
     /** The same once more; false where too many wait, or it waits. */
     boolean again(long now, Proposal proposal, long patience) {
-        if (waiting.size() >= MOST_WAITING || waiting.stream().anyMatch(each ->
-                each.proposal.same(proposal))) {
+        if (waiting.size() >= MOST_WAITING
+                || waiting.stream().anyMatch(each -> each.proposal.same(proposal))) {
             return false;
         }
         waiting.add(new Waiting(proposal, now + patience, true));
@@ -83,7 +87,7 @@
     }
 
     void tick(long now) {
-        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext();) {
+        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext(); ) {
             Waiting each = all.next();
             if (now >= each.until) {
                 askedOf = each == waiting.peek() ? -1 : askedOf;
@@ -92,7 +96,8 @@
             }
         }
         int leader = circle.leader();
-        if (waiting.isEmpty() || leader < 0
+        if (waiting.isEmpty()
+                || leader < 0
                 || leader == askedOf && circle.term() == askedTerm && now < askAt) {
             return;
         }
@@ -109,14 +114,20 @@
     }
 
     private void settle(Waiting its, LogNumber number) {
-        outlet.settled(its.proposal, number != null ? Outcome.COMMITTED : its.handed ? Outcome.UNKNOWN
-                : Outcome.NOT_TAKEN, number);
+        outlet.settled(
+                its.proposal,
+                number != null
+                        ? Outcome.COMMITTED
+                        : its.handed ? Outcome.UNKNOWN : Outcome.NOT_TAKEN,
+                number);
     }
 
     /** The leader has one, or knows what became of it. */
     void heard(long now, int from, Message.Took took) {
         Waiting first = waiting.peek();
-        if (first != null && from == askedOf && first.proposal.life() == took.life()
+        if (first != null
+                && from == askedOf
+                && first.proposal.life() == took.life()
                 && first.proposal.sequence() == took.sequence()) {
             askAt = now + HEARD;
         }
@@ -129,13 +140,16 @@
             Proposal its = first.proposal;
             boolean committed = last.life() == its.life() && last.sequence() == its.sequence();
             boolean earlier = last.life() > its.life();
-            if (!committed && !earlier && (last.life() < its.life() || last.sequence() < its.sequence())) {
+            if (!committed
+                    && !earlier
+                    && (last.life() < its.life() || last.sequence() < its.sequence())) {
                 return;
             }
             waiting.remove();
             askedOf = -1;
             if (earlier) {
-                // A process before this one had a larger life: what is made from here on goes beyond it.
+                // A process before this one had a larger life: what is made from here on goes
+                // beyond it.
                 life = Math.max(life, last.life() + 1);
             }
             settle(first, committed ? last.number() : null);
--- a/core/src/main/java/cedarrudder/agreement/Replication.java
+++ b/core/src/main/java/cedarrudder/agreement/Replication.java
@@ -10,8 +10,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a leader does in its term: sends entries to the other voters, and counts who has them (paper,
- * 5.3).
+ * What a leader does in its term: sends entries to the other voters, and counts who has them
+ * (paper, 5.3).
  */
 final class Replication {
 
@@ -23,7 +23,11 @@
      * themselves.
      */
     private static final int REPEAT_HEARTBEATS = 4;
-    /** So long after entries went out it asks if they came, and again after twice that: answers get lost. */
+
+    /**
+     * So long after entries went out it asks if they came, and again after twice that: answers get
+     * lost.
+     */
     private static final long PROBE = 60_000_000L;
 
     /** How far one other is. */
@@ -31,11 +35,15 @@
         long match;
         long next;
         long sentAt;
+
         /** The last entry that was sent. */
         long sentEnd;
+
         long probeAt;
+
         /** When it was sent what it answered last. */
         long askedAt = Asks.NEVER;
+
         boolean underWay;
         long answeredAt;
 
@@ -54,7 +62,11 @@
     private Voter trainee;
     private long heartbeatAt;
 
-    Replication(Circle circle, AgreementSettings settings, Conduct conduct, RandomGenerator random,
+    Replication(
+            Circle circle,
+            AgreementSettings settings,
+            Conduct conduct,
+            RandomGenerator random,
             long now) {
         this.circle = circle;
         this.settings = settings;
@@ -95,18 +107,32 @@
 
     /** How long it is since so many had answered that they are a majority. */
     long sinceMajority(long now) {
-        List<Long> ages = circle.log().voters().all().stream().map(voter -> voter.equals(circle.self()) ? 0L
-                : now - progress(now, voter).answeredAt).sorted().toList();
+        List<Long> ages =
+                circle.log().voters().all().stream()
+                        .map(
+                                voter ->
+                                        voter.equals(circle.self())
+                                                ? 0L
+                                                : now - progress(now, voter).answeredAt)
+                        .sorted()
+                        .toList();
         return ages.isEmpty() ? 0 : ages.get(ages.size() / 2);
     }
 
     /**
-     * The latest instant at which something was sent that a majority has answered: until then nobody else had
-     * been elected. {@link Asks#NEVER} where none has.
+     * The latest instant at which something was sent that a majority has answered: until then
+     * nobody else had been elected. {@link Asks#NEVER} where none has.
      */
     long answeredSince(long now) {
-        List<Long> asked = circle.log().voters().all().stream().map(voter -> voter.equals(circle.self()) ? now
-                : progress(now, voter).askedAt).sorted(Comparator.reverseOrder()).toList();
+        List<Long> asked =
+                circle.log().voters().all().stream()
+                        .map(
+                                voter ->
+                                        voter.equals(circle.self())
+                                                ? now
+                                                : progress(now, voter).askedAt)
+                        .sorted(Comparator.reverseOrder())
+                        .toList();
         return asked.isEmpty() ? Asks.NEVER : asked.get(asked.size() / 2);
     }
 
@@ -140,8 +166,14 @@
             progress.probeAt = now + 2 * Math.max(PROBE, progress.probeAt - progress.sentAt);
             Log log = circle.log();
             if (progress.sentEnd >= log.base()) {
-                circle.post(to.copy(), new Append(progress.sentEnd, log.term(progress.sentEnd),
-                        log.committed(), ask, List.of()));
+                circle.post(
+                        to.copy(),
+                        new Append(
+                                progress.sentEnd,
+                                log.term(progress.sentEnd),
+                                log.committed(),
+                                ask,
+                                List.of()));
             }
         }
     }
@@ -157,12 +189,20 @@
     private void send(long now, Voter to, boolean beats) {
         Log log = circle.log();
         Progress progress = progress(now, to);
-        boolean waits = progress.underWay && now - progress.sentAt < REPEAT_HEARTBEATS * settings.heartbeat();
+        boolean waits =
+                progress.underWay
+                        && now - progress.sentAt < REPEAT_HEARTBEATS * settings.heartbeat();
         if (progress.next <= log.base() || waits || progress.next > log.last()) {
             if (beats) {
-                // What it lacks is on its way, or it has to ask for a snapshot, which it learns from this.
-                long after = progress.next > log.last() ? log.last() : Math.max(progress.match, log.base());
-                circle.post(to.copy(), new Append(after, log.term(after), log.committed(), ask, List.of()));
+                // What it lacks is on its way, or it has to ask for a snapshot, which it learns
+                // from this.
+                long after =
+                        progress.next > log.last()
+                                ? log.last()
+                                : Math.max(progress.match, log.base());
+                circle.post(
+                        to.copy(),
+                        new Append(after, log.term(after), log.committed(), ask, List.of()));
             }
             return;
         }
@@ -209,8 +249,8 @@
     }
 
     /**
-     * An entry is counted by the voters of its own index: one to be added counts from the entry that
-     * adds it.
+     * An entry is counted by the voters of its own index: one to be added counts from the entry
+     * that adds it.
      */
     private void count(long now) {
         Log log = circle.log();
--- a/core/src/main/java/cedarrudder/agreement/Seats.java
+++ b/core/src/main/java/cedarrudder/agreement/Seats.java
@@ -5,9 +5,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whom a leader makes a voter and whom it takes out, one at a time (thesis, 4.1 and 4.2): out are those that
- * are silent or came back in another life; in come live copies, from the zones with the fewest voters, that
- * have the whole log.
+ * Whom a leader makes a voter and whom it takes out, one at a time (thesis, 4.1 and 4.2): out are
+ * those that are silent or came back in another life; in come live copies, from the zones with the
+ * fewest voters, that have the whole log.
  */
 final class Seats {
 
@@ -26,20 +26,26 @@
         this.random = random;
     }
 
-    /** The voters that are to follow those of now; null where they may stay or can't be changed yet. */
+    /**
+     * The voters that are to follow those of now; null where they may stay or can't be changed yet.
+     */
     Voters next(long now, Replication replication) {
         Log log = circle.log();
-        boolean settled = log.votersAt() <= log.committed() && log.term(log.committed()) == circle.term();
+        boolean settled =
+                log.votersAt() <= log.committed() && log.term(log.committed()) == circle.term();
         if (!settled) {
             return null;
         }
         Voters voters = log.voters();
         List<Voter> spare = spare(now, voters);
         for (Voter voter : voters.all()) {
-            boolean gone = !voter.equals(circle.self()) && (tier.life(voter.copy()) > voter.life()
-                    || now - tier.heardAt(voter.copy()) > settings.voterPatience());
-            boolean back = tier.life(voter.copy()) > voter.life()
-                    && now - tier.heardAt(voter.copy()) < settings.voterPatience() / 2;
+            boolean gone =
+                    !voter.equals(circle.self())
+                            && (tier.life(voter.copy()) > voter.life()
+                                    || now - tier.heardAt(voter.copy()) > settings.voterPatience());
+            boolean back =
+                    tier.life(voter.copy()) > voter.life()
+                            && now - tier.heardAt(voter.copy()) < settings.voterPatience() / 2;
             if (gone && (voters.size() > 3 || !spare.isEmpty() || back)) {
                 return voters.without(voter);
             }
@@ -66,12 +72,15 @@
         List<Voter> best = new ArrayList<>();
         long fewest = Long.MAX_VALUE;
         for (int copy = 0; copy < tier.copies(); copy++) {
-            if (voters.hasCopy(copy) || copy == circle.self().copy() || !tier.lives(copy)
+            if (voters.hasCopy(copy)
+                    || copy == circle.self().copy()
+                    || !tier.lives(copy)
                     || now - tier.heardAt(copy) > settings.voterPatience() / 2) {
                 continue;
             }
             int zone = tier.zone(copy);
-            long there = voters.all().stream().filter(voter -> tier.zone(voter.copy()) == zone).count();
+            long there =
+                    voters.all().stream().filter(voter -> tier.zone(voter.copy()) == zone).count();
             if (there < fewest) {
                 fewest = there;
                 best.clear();
--- a/core/src/main/java/cedarrudder/agreement/Spreading.java
+++ b/core/src/main/java/cedarrudder/agreement/Spreading.java
@@ -11,9 +11,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How what is committed comes to all copies: who learns something passes it on to a few at random, and each
- * copy tells another now and then what it has, so that the one that lacks something asks for it (Demers and
- * others 1987). What a copy sends does not depend on how many there are.
+ * How what is committed comes to all copies: who learns something passes it on to a few at random,
+ * and each copy tells another now and then what it has, so that the one that lacks something asks
+ * for it (Demers and others 1987). What a copy sends does not depend on how many there are.
  */
 final class Spreading {
 
@@ -21,16 +21,23 @@
     private static final int MOST_NEWS = 4_096;
     private static final long MILLI = 1_000_000L;
     private static final int CHUNK = 4_096;
-    /** Who has just learned something tells of it more often for a while: it may have passed others by. */
+
+    /**
+     * Who has just learned something tells of it more often for a while: it may have passed others
+     * by.
+     */
     private static final long HOT_PERIOD = 50_000_000L;
+
     private static final int HOT_DIGESTS = 10;
+
     /** A contact older than so many periods is asked for twice as often. */
     private static final int OLD_PERIODS = 5;
+
     private static final long REPLIES = 10_000_000L;
     private static final long PATIENCE = 100_000_000L;
 
     /** A snapshot of which the beginning is there. */
-    private record Fetch(Chunk first, byte[] state, int got) { }
+    private record Fetch(Chunk first, byte[] state, int got) {}
 
     private final Circle circle;
     private final AgreementSettings settings;
@@ -49,8 +56,14 @@
     private long beatAt;
     private int leader = -1;
 
-    Spreading(Circle circle, AgreementSettings settings, Tier tier, RandomGenerator random,
-            Allowance allowance, Contact contact, long now) {
+    Spreading(
+            Circle circle,
+            AgreementSettings settings,
+            Tier tier,
+            RandomGenerator random,
+            Allowance allowance,
+            Contact contact,
+            long now) {
         this.circle = circle;
         this.settings = settings;
         this.tier = tier;
@@ -114,14 +127,22 @@
 
     private void tell(long now, int to) {
         if (to >= 0) {
-            circle.post(to, new Digest(circle.log().committed(), beatTerm, beat, Math.max(0, leader),
-                    tier.life(to), contact.age(now), asks.ask(now, to)));
+            circle.post(
+                    to,
+                    new Digest(
+                            circle.log().committed(),
+                            beatTerm,
+                            beat,
+                            Math.max(0, leader),
+                            tier.life(to),
+                            contact.age(now),
+                            asks.ask(now, to)));
         }
     }
 
     /**
-     * Answers one whose piece is not admitted, at most one each 10 ms: its question, if it is one, and where
-     * it has to learn or to prove something, with a question.
+     * Answers one whose piece is not admitted, at most one each 10 ms: its question, if it is one,
+     * and where it has to learn or to prove something, with a question.
      */
     void refuse(long now, int to, Digest asks, boolean tells) {
         if (now - repliedAt >= REPLIES) {
@@ -147,7 +168,9 @@
     /** Takes a contact, where this copy has loaded all that it is of. */
     void took(long now, int from, Sure sure) {
         long askedAt = asks.at(from, sure.answers());
-        if (askedAt != Asks.NEVER && sure.age() >= 0 && circle.log().committed() >= sure.committed()) {
+        if (askedAt != Asks.NEVER
+                && sure.age() >= 0
+                && circle.log().committed() >= sure.committed()) {
             contact.told(now, askedAt, sure.age(), sure.committed());
         }
     }
@@ -161,13 +184,17 @@
             if (allowance.spend(now, Piece.HEAD)) {
                 answer(now, from, digest);
             }
-        } else if (other >= 0 && (own < 0 || other + margin < own)
-                && digest.committed() <= circle.log().committed() && allowance.spend(now, Piece.HEAD)) {
+        } else if (other >= 0
+                && (own < 0 || other + margin < own)
+                && digest.committed() <= circle.log().committed()
+                && allowance.spend(now, Piece.HEAD)) {
             tell(now, from);
         }
     }
 
-    /** More is committed than up to there: passes it on at once, or says that there is something. */
+    /**
+     * More is committed than up to there: passes it on at once, or says that there is something.
+     */
     void learned(long now, long from) {
         Log log = circle.log();
         boolean small = from >= log.base();
@@ -231,8 +258,12 @@
     void ask(long now, int from) {
         if (now - askedAt >= PATIENCE) {
             askedAt = now;
-            circle.post(from, new Ask(circle.log().committed(), fetch == null ? 0 : fetch.first.index(),
-                    fetch == null ? 0 : fetch.got));
+            circle.post(
+                    from,
+                    new Ask(
+                            circle.log().committed(),
+                            fetch == null ? 0 : fetch.first.index(),
+                            fetch == null ? 0 : fetch.got));
         }
     }
 
@@ -254,12 +285,22 @@
         }
         Snapshot snapshot = log.snapshot();
         byte[] state = snapshot.state();
-        int offset = ask.snapshot() == snapshot.index() && ask.offset() <= state.length ? ask.offset() : 0;
+        int offset =
+                ask.snapshot() == snapshot.index() && ask.offset() <= state.length
+                        ? ask.offset()
+                        : 0;
         int end = Math.min(state.length, offset + CHUNK);
         if (allowance.spend(now, Piece.HEAD + end - offset)) {
-            circle.post(by, new Chunk(snapshot.index(), snapshot.term(), snapshot.voters(),
-                    Piece.checksum(state, 0, state.length), state.length, offset,
-                    Arrays.copyOfRange(state, offset, end)));
+            circle.post(
+                    by,
+                    new Chunk(
+                            snapshot.index(),
+                            snapshot.term(),
+                            snapshot.voters(),
+                            Piece.checksum(state, 0, state.length),
+                            state.length,
+                            offset,
+                            Arrays.copyOfRange(state, offset, end)));
         }
     }
 
@@ -297,8 +338,11 @@
         if (chunk.index() <= circle.log().committed()) {
             return null;
         }
-        boolean goesOn = fetch != null && fetch.first.index() == chunk.index()
-                && fetch.first.sum() == chunk.sum() && fetch.state.length == chunk.total();
+        boolean goesOn =
+                fetch != null
+                        && fetch.first.index() == chunk.index()
+                        && fetch.first.sum() == chunk.sum()
+                        && fetch.state.length == chunk.total();
         if (!goesOn) {
             if (chunk.offset() != 0 || fetch != null && chunk.index() < fetch.first.index()) {
                 return null;
@@ -317,7 +361,8 @@
         }
         Fetch whole = fetch;
         fetch = null;
-        return Piece.checksum(whole.state, 0, whole.got) != chunk.sum() ? null
+        return Piece.checksum(whole.state, 0, whole.got) != chunk.sum()
+                ? null
                 : new Snapshot(chunk.index(), chunk.term(), chunk.voters(), whole.state);
     }
 }
--- a/core/src/main/java/cedarrudder/agreement/Store.java
+++ b/core/src/main/java/cedarrudder/agreement/Store.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Where a copy keeps what it must not forget. What was written counts once {@link #sync} has returned:
- * nothing is spoken of before that. One that can't write any more has to end the process.
+ * Where a copy keeps what it must not forget. What was written counts once {@link #sync} has
+ * returned: nothing is spoken of before that. One that can't write any more has to end the process.
  */
 public interface Store {
 
@@ -15,7 +15,7 @@
      * @param vote whom it voted for in that term, or null
      * @param sworn whether a committed set of voters has had this life
      */
-    record Promise(Group group, long life, long term, Voter vote, boolean sworn) { }
+    record Promise(Group group, long life, long term, Voter vote, boolean sworn) {}
 
     /**
      * What was read back, whole.
@@ -43,32 +43,33 @@
     void snapshot(Snapshot snapshot);
 
     /**
-     * Returns when all that was written since the last time will be read back. Where the process ends before
-     * that, all of it is read back or none: a promise of another group without its log would be one of the
-     * former's.
+     * Returns when all that was written since the last time will be read back. Where the process
+     * ends before that, all of it is read back or none: a promise of another group without its log
+     * would be one of the former's.
      */
     void sync();
 
     /** That of a copy without a lasting disk: it forgets all with its life. */
-    Store NONE = new Store() {
-        @Override
-        public Kept kept() {
-            return null;
-        }
+    Store NONE =
+            new Store() {
+                @Override
+                public Kept kept() {
+                    return null;
+                }
 
-        @Override
-        public void promise(Promise promise) { }
+                @Override
+                public void promise(Promise promise) {}
 
-        @Override
-        public void entry(long index, Entry entry) { }
+                @Override
+                public void entry(long index, Entry entry) {}
 
-        @Override
-        public void cut(long from) { }
+                @Override
+                public void cut(long from) {}
 
-        @Override
-        public void snapshot(Snapshot snapshot) { }
+                @Override
+                public void snapshot(Snapshot snapshot) {}
 
-        @Override
-        public void sync() { }
-    };
+                @Override
+                public void sync() {}
+            };
 }
--- a/core/src/main/java/cedarrudder/agreement/Tier.java
+++ b/core/src/main/java/cedarrudder/agreement/Tier.java
@@ -4,7 +4,10 @@
 import java.util.BitSet;
 import java.util.random.RandomGenerator;
 
-/** What a copy knows of the others of its tier: where they are, their lives, and when it heard of them. */
+/**
+ * What a copy knows of the others of its tier: where they are, their lives, and when it heard of
+ * them.
+ */
 final class Tier {
 
     private static final int TRIES = 16;
--- a/core/src/main/java/cedarrudder/agreement/Voter.java
+++ b/core/src/main/java/cedarrudder/agreement/Voter.java
@@ -1,9 +1,9 @@
 package cedarrudder.agreement;
 
 /**
- * One who votes: a copy in one of its lives. The same copy in a later life is another, who remembers nothing
- * of it.
+ * One who votes: a copy in one of its lives. The same copy in a later life is another, who
+ * remembers nothing of it.
  *
  * @param copy its number in the tier
  */
-public record Voter(int copy, long life) { }
+public record Voter(int copy, long life) {}
--- a/core/src/main/java/cedarrudder/agreement/Voters.java
+++ b/core/src/main/java/cedarrudder/agreement/Voters.java
@@ -58,7 +58,10 @@
 
     /** Reads them; null where the bytes are none. */
     public static Voters decode(byte[] bytes) {
-        if (bytes.length == 0 || bytes[0] < 0 || bytes[0] > MOST || bytes.length != 1 + BYTES * bytes[0]) {
+        if (bytes.length == 0
+                || bytes[0] < 0
+                || bytes[0] > MOST
+                || bytes.length != 1 + BYTES * bytes[0]) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
--- a/core/src/main/java/cedarrudder/budget/AttemptBudget.java
+++ b/core/src/main/java/cedarrudder/budget/AttemptBudget.java
@@ -1,12 +1,12 @@
 package cedarrudder.budget;
 
 /**
- * What one call, or the calls of one node under one grant, may still spend on further attempts, here and
- * below.
+ * What one call, or the calls of one node under one grant, may still spend on further attempts,
+ * here and below.
  *
- * <p>At any time what is left, what was spent here and what was handed down and not given back add up to what
- * it started with. So the further attempts of this tier and of all below are never more than that, as long as
- * nobody below spends more than it was handed.
+ * <p>At any time what is left, what was spent here and what was handed down and not given back add
+ * up to what it started with. So the further attempts of this tier and of all below are never more
+ * than that, as long as nobody below spends more than it was handed.
  */
 final class AttemptBudget {
 
@@ -28,7 +28,9 @@
         left--;
     }
 
-    /** What an attempt may hand down if so many are kept; it counts as spent until it is given back. */
+    /**
+     * What an attempt may hand down if so many are kept; it counts as spent until it is given back.
+     */
     int handDown(int keep) {
         int handed = Math.max(0, left - keep);
         left -= handed;
@@ -36,8 +38,8 @@
     }
 
     /**
-     * Takes back what an attempt was handed and has not used. Guards against an answer that claims to have
-     * spent more than was handed down, which would cost the other attempts theirs.
+     * Takes back what an attempt was handed and has not used. Guards against an answer that claims
+     * to have spent more than was handed down, which would cost the other attempts theirs.
      */
     void giveBack(int handed, int spentBelow) {
         left += Math.max(0, handed - spentBelow);
--- a/core/src/main/java/cedarrudder/budget/BudgetFields.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetFields.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * What travels, as text: the values of the fields {@link #BUDGET} and {@link #PATH} of a call and of the
- * field {@link #RESULT} of an answer. It knows nothing of the protocol that carries them.
+ * What travels, as text: the values of the fields {@link #BUDGET} and {@link #PATH} of a call and
+ * of the field {@link #RESULT} of an answer. It knows nothing of the protocol that carries them.
  *
- * <p>A value begins with its version, a whole number; keys follow, each after a semicolon. Reading never
- * fails: a value that is too long, negative, no number or out of range counts as not said, as does a key that
- * isn't known. A field without a version that can be read counts as none.
+ * <p>A value begins with its version, a whole number; keys follow, each after a semicolon. Reading
+ * never fails: a value that is too long, negative, no number or out of range counts as not said, as
+ * does a key that isn't known. A field without a version that can be read counts as none.
  */
 public final class BudgetFields {
 
@@ -33,7 +33,7 @@
     private static final int MOST_FRACTION = 12;
     private static final long MILLI = 1_000_000L;
 
-    private BudgetFields() { }
+    private BudgetFields() {}
 
     // ---- a call ----
 
@@ -42,16 +42,25 @@
         String[] keys = split(budget);
         long left = MILLI * number(value(keys, "left"), MOST_MILLIS, 0);
         int tries = (int) number(value(keys, "tries"), MOST_TRIES, -1);
-        return new Carried(keys != null, true, left, tries, hex(value(keys, "grant")),
-                fraction(value(keys, "worth")), "1".equals(value(keys, "repeat")), readPath(path));
+        return new Carried(
+                keys != null,
+                true,
+                left,
+                tries,
+                hex(value(keys, "grant")),
+                fraction(value(keys, "worth")),
+                "1".equals(value(keys, "repeat")),
+                readPath(path));
     }
 
     /**
-     * A path too long to be read is full, so that what loops can't hide in it; one that is no path is none.
+     * A path too long to be read is full, so that what loops can't hide in it; one that is no path
+     * is none.
      */
     private static HopPath readPath(String path) {
         int semicolon = path == null ? -1 : path.indexOf(';');
-        return semicolon < 0 || !isVersion(path.substring(0, semicolon)) ? HopPath.EMPTY
+        return semicolon < 0 || !isVersion(path.substring(0, semicolon))
+                ? HopPath.EMPTY
                 : hops(path.substring(semicolon + 1, Math.min(path.length(), MOST_PATH_LENGTH)));
     }
 
@@ -65,15 +74,26 @@
 
     /** The value of {@link #BUDGET} for a call. */
     public static String budget(Carried carried) {
-        return VERSION + ";left=" + Math.max(1, carried.left() / MILLI) + ";tries=" + carried.tries()
-                + ";grant=" + Long.toHexString(carried.grant()) + ";worth="
-                + thousandths(carried.worth()) + (carried.repeat() ? ";repeat=1" : "");
+        return VERSION
+                + ";left="
+                + Math.max(1, carried.left() / MILLI)
+                + ";tries="
+                + carried.tries()
+                + ";grant="
+                + Long.toHexString(carried.grant())
+                + ";worth="
+                + thousandths(carried.worth())
+                + (carried.repeat() ? ";repeat=1" : "");
     }
 
     /** A figure from 0 to 1 with three places, without the cost of a format. */
     private static String thousandths(double figure) {
         int thousandths = (int) Math.round(1_000 * figure);
-        return thousandths / 1_000 + "." + thousandths / 100 % 10 + thousandths / 10 % 10 + thousandths % 10;
+        return thousandths / 1_000
+                + "."
+                + thousandths / 100 % 10
+                + thousandths / 10 % 10
+                + thousandths % 10;
     }
 
     /** The value of {@link #PATH} for a call. */
@@ -90,15 +110,20 @@
             return FromBelow.NOTHING;
         }
         String why = value(keys, "why");
-        return new FromBelow((int) number(value(keys, "spent"), MOST_TRIES, -1), Why.of(why),
+        return new FromBelow(
+                (int) number(value(keys, "spent"), MOST_TRIES, -1),
+                Why.of(why),
                 hops(value(keys, "path")));
     }
 
     /** The value of {@link #RESULT} for an answer. */
     public static String result(FromBelow result) {
-        return VERSION + (result.spent() < 0 ? "" : ";spent=" + result.spent())
+        return VERSION
+                + (result.spent() < 0 ? "" : ";spent=" + result.spent())
                 + (result.why() == Why.NOT_SAID ? "" : ";why=" + result.why().word())
-                + (result.path().hops().isEmpty() ? "" : ";path=" + String.join(",", result.path().hops()));
+                + (result.path().hops().isEmpty()
+                        ? ""
+                        : ";path=" + String.join(",", result.path().hops()));
     }
 
     // ---- parts ----
@@ -120,7 +145,9 @@
     private static String value(String[] parts, String key) {
         for (int i = 1; parts != null && i < parts.length; i++) {
             String part = parts[i].strip();
-            if (part.length() > key.length() && part.charAt(key.length()) == '=' && part.startsWith(key)) {
+            if (part.length() > key.length()
+                    && part.charAt(key.length()) == '='
+                    && part.startsWith(key)) {
                 return part.substring(key.length() + 1);
             }
         }
@@ -154,9 +181,13 @@
 
     private static double fraction(String text) {
         int point = text == null ? -1 : text.indexOf('.');
-        boolean decimal = text != null && text.length() <= MOST_FRACTION
-                && (point < 0 ? digits(text, 1) : digits(text.substring(0, point), 1)
-                        && digits(text.substring(point + 1), MOST_FRACTION));
+        boolean decimal =
+                text != null
+                        && text.length() <= MOST_FRACTION
+                        && (point < 0
+                                ? digits(text, 1)
+                                : digits(text.substring(0, point), 1)
+                                        && digits(text.substring(point + 1), MOST_FRACTION));
         return decimal ? Math.min(1, Double.parseDouble(text)) : Double.NaN;
     }
 }
