--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -9,11 +9,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The budgets of one proxy: what a request that comes may cost, whether a further attempt may go out, and
- * what goes down with each. It decides and does nothing itself: the driver tells it what happens and asks.
+ * The budgets of one proxy: what a request that comes may cost, whether a further attempt may go
+ * out, and what goes down with each. It decides and does nothing itself: the driver tells it what
+ * happens and asks.
  *
- * <p>All instants are readings of the driver's clock, in nanoseconds. Not thread-safe: call it from one
- * thread. Each call costs a few additions, and a walk over at most 96 counts where a quantile is asked for.
+ * <p>All instants are readings of the driver's clock, in nanoseconds. Not thread-safe: call it from
+ * one thread. Each call costs a few additions, and a walk over at most 96 counts where a quantile
+ * is asked for.
  */
 public final class Budgets {
 
@@ -26,7 +28,9 @@
     /** And at most this share of what is left: a slow probe must not eat a quick request's time. */
     private static final double WAY_MOST = 0.25;
 
-    /** Time can't suffice when it is less than what this share of the class's answers has needed ... */
+    /**
+     * Time can't suffice when it is less than what this share of the class's answers has needed ...
+     */
     private static final double QUICKEST = 0.05;
 
     /** ... of at least so many answers ... */
@@ -63,7 +67,8 @@
      * @param random names what is handed down; two proxies must not have the same numbers
      * @param notices what is told to the operator
      */
-    public Budgets(BudgetSettings settings, Settings site, RandomGenerator random, Notices notices) {
+    public Budgets(
+            BudgetSettings settings, Settings site, RandomGenerator random, Notices notices) {
         this.settings = settings;
         this.site = site;
         this.random = random;
@@ -103,7 +108,14 @@
             }
         }
         tell(now, standing, carried);
-        return new CallBudget(request, carried, now, standing, worth, repeat, attempts(now, request, carried),
+        return new CallBudget(
+                request,
+                carried,
+                now,
+                standing,
+                worth,
+                repeat,
+                attempts(now, request, carried),
                 standing == Standing.LOOP ? carried.path().plus(settings.hop()) : HopPath.EMPTY);
     }
 
@@ -126,9 +138,15 @@
     private AttemptBudget attempts(long now, Request request, Carried carried) {
         int unsaid = site.tier() == 0 ? settings.tries() : settings.triesWithoutFields();
         int tries = carried.tries() < 0 ? unsaid : Math.min(carried.tries(), settings.tries());
-        return carried.grant() == 0 ? new AttemptBudget(tries)
-                : grants.of(now, carried.grant(), tries, Math.max(request.deadline(),
-                        now + site.classes().get(request.classIndex()).deadline()));
+        return carried.grant() == 0
+                ? new AttemptBudget(tries)
+                : grants.of(
+                        now,
+                        carried.grant(),
+                        tries,
+                        Math.max(
+                                request.deadline(),
+                                now + site.classes().get(request.classIndex()).deadline()));
     }
 
     /** The caller has gone before it was answered. */
@@ -149,7 +167,12 @@
      * @param handed what {@link #handDown} gave it
      * @param below what its answer said
      */
-    public void ended(long now, CallBudget call, Carried handed, Outcome outcome, long latency,
+    public void ended(
+            long now,
+            CallBudget call,
+            Carried handed,
+            Outcome outcome,
+            long latency,
             FromBelow below) {
         if (outcome.provesNotRun()) {
             call.attempts.giveBack(handed.tries(), 0);
@@ -178,7 +201,8 @@
     // ---- what may be done ----
 
     /**
-     * Whether an attempt may go out now; if so it is paid for. The first one may, unless it closes a loop.
+     * Whether an attempt may go out now; if so it is paid for. The first one may, unless it closes
+     * a loop.
      */
     public boolean mayAttempt(long now, CallBudget call) {
         if (call.standing == Standing.LOOP) {
@@ -202,11 +226,19 @@
     /** What goes down with the attempt that was just allowed. */
     public Carried handDown(long now, CallBudget call) {
         long left = call.request.deadline() - now;
-        long margin = Math.min(way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (WAY_MOST * left));
+        long margin =
+                Math.min(
+                        way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (WAY_MOST * left));
         boolean last = site.tier() >= site.tiers() - 1;
-        return new Carried(true, true, Math.max(LEAST_LEFT, left - margin),
-                last ? 0 : call.attempts.handDown(settings.keep()), Math.max(1, random.nextLong() >>> 1),
-                call.worth, call.repeat || call.sent > 1, call.carried.path().plus(settings.hop()));
+        return new Carried(
+                true,
+                true,
+                Math.max(LEAST_LEFT, left - margin),
+                last ? 0 : call.attempts.handDown(settings.keep()),
+                Math.max(1, random.nextLong() >>> 1),
+                call.worth,
+                call.repeat || call.sent > 1,
+                call.carried.path().plus(settings.hop()));
     }
 
     // ---- what the operator reads ----
@@ -231,8 +263,14 @@
         long overload = stood[Standing.OVERLOAD.ordinal()];
         long noTime = stood[Standing.NO_TIME.ordinal()];
         if (overload + noTime + byTree + byShare > 0) {
-            notices.minute(new Notices.Minute(stood[Standing.WANTED.ordinal()] + overload + noTime, byTree,
-                    byShare, overload, noTime, Math.round(100 * gate.share())));
+            notices.minute(
+                    new Notices.Minute(
+                            stood[Standing.WANTED.ordinal()] + overload + noTime,
+                            byTree,
+                            byShare,
+                            overload,
+                            noTime,
+                            Math.round(100 * gate.share())));
         }
         byTree = 0;
         byShare = 0;
--- a/core/src/main/java/cedarrudder/budget/CallBudget.java
+++ b/core/src/main/java/cedarrudder/budget/CallBudget.java
@@ -5,7 +5,8 @@
 import cedarrudder.budget.FromBelow.Why;
 
 /**
- * What one request may still cost at this tier and below, and what became of it. {@link Budgets} keeps it.
+ * What one request may still cost at this tier and below, and what became of it. {@link Budgets}
+ * keeps it.
  */
 public final class CallBudget {
 
@@ -32,8 +33,15 @@
     /** The path that closes a loop; empty where there is none. */
     HopPath loop;
 
-    CallBudget(Request request, Carried carried, long arrivedAt, Standing standing, double worth,
-            boolean repeat, AttemptBudget attempts, HopPath loop) {
+    CallBudget(
+            Request request,
+            Carried carried,
+            long arrivedAt,
+            Standing standing,
+            double worth,
+            boolean repeat,
+            AttemptBudget attempts,
+            HopPath loop) {
         this.request = request;
         this.carried = carried;
         this.arrivedAt = arrivedAt;
@@ -54,7 +62,10 @@
         return worth;
     }
 
-    /** What goes up with the answer that serves it; null where the caller doesn't speak these fields. */
+    /**
+     * What goes up with the answer that serves it; null where the caller doesn't speak these
+     * fields.
+     */
     public FromBelow served() {
         return up(Why.NOT_SAID);
     }
--- a/core/src/main/java/cedarrudder/budget/Carried.java
+++ b/core/src/main/java/cedarrudder/budget/Carried.java
@@ -1,10 +1,11 @@
 package cedarrudder.budget;
 
 /**
- * What comes down to a tier with a call. All of it has been bounded when it was read, and none of it is more
- * than a wish: what a tier's own settings allow bounds it again.
+ * What comes down to a tier with a call. All of it has been bounded when it was read, and none of
+ * it is more than a wish: what a tier's own settings allow bounds it again.
  *
- * @param spoken whether the caller speaks these fields, so that it is told what became of its budget
+ * @param spoken whether the caller speaks these fields, so that it is told what became of its
+ *     budget
  * @param deadline whether the caller itself said how long it waits
  * @param left how long the caller waits, less the way, in nanoseconds; 0 where not said
  * @param tries further attempts for this tier and all below; -1 where not said
@@ -13,8 +14,15 @@
  * @param repeat whether this is part of what a client or a tier above sends again
  * @param path the tiers passed
  */
-public record Carried(boolean spoken, boolean deadline, long left, int tries, long grant, double worth,
-        boolean repeat, HopPath path) {
+public record Carried(
+        boolean spoken,
+        boolean deadline,
+        long left,
+        int tries,
+        long grant,
+        double worth,
+        boolean repeat,
+        HopPath path) {
 
     /** What is known of a call whose caller speaks none of this and said how long it waits. */
     public static final Carried NOTHING =
@@ -22,11 +30,14 @@
 
     /** The same, some nanoseconds later. */
     public Carried after(long elapsed) {
-        return new Carried(spoken, deadline, Math.max(1, left - elapsed), tries, grant, worth, repeat, path);
+        return new Carried(
+                spoken, deadline, Math.max(1, left - elapsed), tries, grant, worth, repeat, path);
     }
 
     /** The same of a caller that said, or didn't say, how long it waits. */
     public Carried withDeadline(boolean said) {
-        return said == deadline ? this : new Carried(spoken, said, left, tries, grant, worth, repeat, path);
+        return said == deadline
+                ? this
+                : new Carried(spoken, said, left, tries, grant, worth, repeat, path);
     }
 }
--- a/core/src/main/java/cedarrudder/budget/GrantTable.java
+++ b/core/src/main/java/cedarrudder/budget/GrantTable.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * Which calls share one budget. A node copies what it was handed to each of its calls, and the same request
- * may come by two paths: under one grant there is one budget, whatever the calls say.
+ * Which calls share one budget. A node copies what it was handed to each of its calls, and the same
+ * request may come by two paths: under one grant there is one budget, whatever the calls say.
  */
 final class GrantTable {
 
     /** At 1,000 calls a second with a deadline of 5 s a third of this is in use. */
     static final int MOST = 16_384;
 
-    private record Entry(AttemptBudget budget, long expires) { }
+    private record Entry(AttemptBudget budget, long expires) {}
 
     private final Map<Long, Entry> grants = new LinkedHashMap<>();
 
@@ -21,7 +21,8 @@
      * The budget under a grant.
      *
      * @param tries what it starts with where the grant is new
-     * @param expires until when further calls under it may come; the grant is forgotten some time after that
+     * @param expires until when further calls under it may come; the grant is forgotten some time
+     *     after that
      */
     AttemptBudget of(long now, long grant, int tries, long expires) {
         Iterator<Entry> oldest = grants.values().iterator();
@@ -31,7 +32,8 @@
         Entry entry = grants.get(grant);
         if (entry == null) {
             if (grants.size() >= MOST) {
-                // Guards against a flood of forged grants pushing out one that is spent, which would refill
+                // Guards against a flood of forged grants pushing out one that is spent, which
+                // would refill
                 // it.
                 return new AttemptBudget(0);
             }
--- a/core/src/main/java/cedarrudder/budget/HopPath.java
+++ b/core/src/main/java/cedarrudder/budget/HopPath.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * The tiers that a call has passed, the first first, each by its hop id: like RFC 8586's CDN-Loop, a list in
- * which each looks for itself and to which each adds itself. At most 16 of at most 32 characters.
+ * The tiers that a call has passed, the first first, each by its hop id: like RFC 8586's CDN-Loop,
+ * a list in which each looks for itself and to which each adds itself. At most 16 of at most 32
+ * characters.
  */
 public final class HopPath {
 
@@ -47,7 +48,9 @@
         return true;
     }
 
-    /** Whether a text may stand as a hop id: 1 to 32 letters, digits, dots, dashes and underscores. */
+    /**
+     * Whether a text may stand as a hop id: 1 to 32 letters, digits, dots, dashes and underscores.
+     */
     public static boolean isHop(String text) {
         boolean hop = !text.isEmpty() && text.length() <= MOST_NAME;
         for (int i = 0; hop && i < text.length(); i++) {
@@ -66,7 +69,11 @@
     }
 
     private static boolean mayStand(char c) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '.' || c == '-'
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
+                || c == '.'
+                || c == '-'
                 || c == '_';
     }
 
@@ -89,7 +96,10 @@
         return new HopPath(List.copyOf(longer));
     }
 
-    /** The part that would be gone through again and again: from the last time that this tier was passed. */
+    /**
+     * The part that would be gone through again and again: from the last time that this tier was
+     * passed.
+     */
     HopPath from(String hop) {
         return new HopPath(hops.subList(Math.max(0, hops.lastIndexOf(hop)), hops.size()));
     }
--- a/core/src/main/java/cedarrudder/budget/LoopLog.java
+++ b/core/src/main/java/cedarrudder/budget/LoopLog.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Which refusals of a loop get a line in the log: the first, and one a minute with the count since then.
- * Guards against a loop, which brings a request each time round, filling the log.
+ * Which refusals of a loop get a line in the log: the first, and one a minute with the count since
+ * then. Guards against a loop, which brings a request each time round, filling the log.
  */
 final class LoopLog {
 
@@ -22,7 +22,8 @@
     private final Map<HopPath, Seen> loops = new LinkedHashMap<>();
 
     /**
-     * How many refusals of this loop were left out since the last line; -1 where this one is left out too.
+     * How many refusals of this loop were left out since the last line; -1 where this one is left
+     * out too.
      */
     long due(long now, HopPath loop) {
         Seen seen = loops.get(loop);
--- a/core/src/main/java/cedarrudder/budget/Notices.java
+++ b/core/src/main/java/cedarrudder/budget/Notices.java
@@ -4,13 +4,14 @@
 public interface Notices {
 
     /** Nobody is told. */
-    Notices NONE = new Notices() {
-        @Override
-        public void loop(HopPath path, long more) { }
+    Notices NONE =
+            new Notices() {
+                @Override
+                public void loop(HopPath path, long more) {}
 
-        @Override
-        public void minute(Minute figures) { }
-    };
+                @Override
+                public void minute(Minute figures) {}
+            };
 
     /**
      * A loop was refused; at most one a minute for each loop, and 64 loops.
@@ -33,6 +34,11 @@
      * @param noTime requests turned away since their time couldn't suffice
      * @param letInPercent the part of requests that is let in now
      */
-    record Minute(long requests, long deniedByTree, long deniedByShare, long overload, long noTime,
-            long letInPercent) { }
+    record Minute(
+            long requests,
+            long deniedByTree,
+            long deniedByShare,
+            long overload,
+            long noTime,
+            long letInPercent) {}
 }
--- a/core/src/main/java/cedarrudder/budget/Quantile.java
+++ b/core/src/main/java/cedarrudder/budget/Quantile.java
@@ -3,11 +3,12 @@
 import java.util.Arrays;
 
 /**
- * An estimate of quantiles of durations, in bounded memory: counts in buckets whose bounds grow by the fourth
- * root of 2, from 0.1 ms to half an hour. So an answer is within 19 % of a value that was seen.
+ * An estimate of quantiles of durations, in bounded memory: counts in buckets whose bounds grow by
+ * the fourth root of 2, from 0.1 ms to half an hour. So an answer is within 19 % of a value that
+ * was seen.
  *
- * <p>All counts are halved whenever they reach 512 in all, so that the latest few hundred values count most.
- * Adding costs one logarithm, asking a walk over 96 counts.
+ * <p>All counts are halved whenever they reach 512 in all, so that the latest few hundred values
+ * count most. Adding costs one logarithm, asking a walk over 96 counts.
  */
 final class Quantile {
 
--- a/core/src/main/java/cedarrudder/budget/SafeDeadline.java
+++ b/core/src/main/java/cedarrudder/budget/SafeDeadline.java
@@ -4,12 +4,12 @@
 import cedarrudder.Balancer.Settings;
 
 /**
- * How long a call that doesn't say may take: what the least patient tenth of the callers of its class were
- * seen to wait, but no less than the class's aim and no more than its deadline, both times the share of the
- * tiers that are still to come. Until 20 waits were seen it is the most.
+ * How long a call that doesn't say may take: what the least patient tenth of the callers of its
+ * class were seen to wait, but no less than the class's aim and no more than its deadline, both
+ * times the share of the tiers that are still to come. Until 20 waits were seen it is the most.
  *
- * <p>Guards against work that goes on when nobody waits any more, and against callers who say nonsense moving
- * the others' time out of bounds.
+ * <p>Guards against work that goes on when nobody waits any more, and against callers who say
+ * nonsense moving the others' time out of bounds.
  */
 final class SafeDeadline {
 
@@ -43,7 +43,8 @@
     /** The safe wait for a call of this class, in nanoseconds. */
     long of(int classIndex) {
         Quantile seen = waits[classIndex];
-        return seen.count() < KNOWN ? most[classIndex]
+        return seen.count() < KNOWN
+                ? most[classIndex]
                 : Math.max(least[classIndex], Math.min(most[classIndex], seen.atLeast(IMPATIENT)));
     }
 }
--- a/core/src/main/java/cedarrudder/budget/TokenBudget.java
+++ b/core/src/main/java/cedarrudder/budget/TokenBudget.java
@@ -1,9 +1,9 @@
 package cedarrudder.budget;
 
 /**
- * The bound on further attempts over all requests: a share of the first tries of a sliding window and a least
- * rate, after Finagle's RetryBudget. Calls that come as part of a repeat further up count as spent, so that
- * the share holds for all tiers together.
+ * The bound on further attempts over all requests: a share of the first tries of a sliding window
+ * and a least rate, after Finagle's RetryBudget. Calls that come as part of a repeat further up
+ * count as spent, so that the share holds for all tiers together.
  *
  * <p>The window has ten slots; a slot leaves it as a whole.
  */
--- a/core/src/main/java/cedarrudder/budget/WorthGate.java
+++ b/core/src/main/java/cedarrudder/budget/WorthGate.java
@@ -1,9 +1,10 @@
 package cedarrudder.budget;
 
 /**
- * Who is let in while the tier below says that it is overloaded: the share of requests that are worth most
- * for their work. After DAGOR (Zhou and others, SoCC 2018): a histogram of the worth of what came lately
- * finds the level that lets the wanted share through; the share falls by a factor and rises by steps.
+ * Who is let in while the tier below says that it is overloaded: the share of requests that are
+ * worth most for their work. After DAGOR (Zhou and others, SoCC 2018): a histogram of the worth of
+ * what came lately finds the level that lets the wanted share through; the share falls by a factor
+ * and rises by steps.
  */
 final class WorthGate {
 
@@ -19,8 +20,8 @@
     private static final double TOLERATED = 0.15;
 
     /**
-     * ... of at least so many, over as many steps as it takes. Guards against a proxy with a few calls a
-     * second turning the least worthy away because one of its calls met a full node.
+     * ... of at least so many, over as many steps as it takes. Guards against a proxy with a few
+     * calls a second turning the least worthy away because one of its calls met a full node.
      */
     private static final int JUDGED = 20;
 
@@ -47,7 +48,10 @@
         overloads += overload ? 1 : 0;
     }
 
-    /** Whether a request of this worth, from 0 to 1, is let in. To be asked once for each that comes. */
+    /**
+     * Whether a request of this worth, from 0 to 1, is let in. To be asked once for each that
+     * comes.
+     */
     boolean admits(long now, double worth) {
         step(now);
         int bucket = (int) Math.max(0, Math.min(BUCKETS - 1, worth * (BUCKETS - 1)));
--- a/core/src/main/java/cedarrudder/budget/WorthScale.java
+++ b/core/src/main/java/cedarrudder/budget/WorthScale.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * The worth of a request for its work, as one figure from 0 to 1: by its class, less for what is over its
- * tenant's share and for what its client sends again.
+ * The worth of a request for its work, as one figure from 0 to 1: by its class, less for what is
+ * over its tenant's share and for what its client sends again.
  *
- * <p>Where the site counts worth by request, the work is what the class's answers have lately taken, or the
- * aims of the classes as long as that isn't known of all.
+ * <p>Where the site counts worth by request, the work is what the class's answers have lately
+ * taken, or the aims of the classes as long as that isn't known of all.
  */
 final class WorthScale {
 
@@ -69,12 +69,13 @@
     }
 
     /**
-     * The worth of a request, by this tier's own lights. Whether it is over its tenant's share is judged at
-     * the first tier only, which sees all that the tenant sends.
+     * The worth of a request, by this tier's own lights. Whether it is over its tenant's share is
+     * judged at the first tier only, which sees all that the tenant sends.
      */
     double of(long now, int classIndex, int tenant, boolean repeat) {
         boolean over = site.tier() == 0 && tenant < shares.length && overShare(now, tenant);
-        return worth[classIndex] * (over ? Math.max(0, Math.min(1, site.goal().overShareWorth())) : 1)
+        return worth[classIndex]
+                * (over ? Math.max(0, Math.min(1, site.goal().overShareWorth())) : 1)
                 * (repeat ? REPEAT : 1);
     }
 
--- a/core/src/main/java/cedarrudder/drainage/Agreed.java
+++ b/core/src/main/java/cedarrudder/drainage/Agreed.java
@@ -21,8 +21,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * What copies agree on of drains: the same at each that applied the same commands in their order, whatever
- * its clock, its list of nodes and its file say. Not thread-safe.
+ * What copies agree on of drains: the same at each that applied the same commands in their order,
+ * whatever its clock, its list of nodes and its file say. Not thread-safe.
  */
 final class Agreed {
 
@@ -39,15 +39,20 @@
         final long node;
         DrainState state = DrainState.WAITING;
         int wave;
+
         /** The node's start when its wave began, or at the restart after it. */
         long start;
+
         /** In milliseconds. */
         long within;
+
         /** On the agreed clock, in milliseconds. */
         long until;
+
         AtEnd atEnd = AtEnd.LET_GO;
         Restarted restarted = Restarted.BACK;
         int policies;
+
         /** The version that began its present state. */
         long since;
 
@@ -132,7 +137,9 @@
         return pausedAt[policy];
     }
 
-    /** When the last wave of a policy was over, on the agreed clock; negative where there was none. */
+    /**
+     * When the last wave of a policy was over, on the agreed clock; negative where there was none.
+     */
     long waveEndedAt(int policy) {
         return endedAt[policy];
     }
@@ -148,9 +155,12 @@
 
     /** Whether a part of policies is here, or not wanted any more. */
     boolean has(Part part) {
-        return part.revision() <= revision || part.revision() < comingRevision
-                || part.revision() == comingRevision && part.sum() == comingSum
-                && part.count() == coming.length && coming[part.index()] != null;
+        return part.revision() <= revision
+                || part.revision() < comingRevision
+                || part.revision() == comingRevision
+                        && part.sum() == comingSum
+                        && part.count() == coming.length
+                        && coming[part.index()] != null;
     }
 
     // ---- commands ----
@@ -180,7 +190,9 @@
     private void call(Call call, List<Drains.Happened> happened) {
         version++;
         for (long node : call.nodes()) {
-            if (!call.cancel() && !byNode.containsKey(node) && drains.size() < Policy.MOST_NODES
+            if (!call.cancel()
+                    && !byNode.containsKey(node)
+                    && drains.size() < Policy.MOST_NODES
                     && nextSlot < Integer.MAX_VALUE) {
                 Drain drain = new Drain(nextSlot++, node);
                 drain.state = DrainState.NONE;
@@ -239,8 +251,15 @@
         if (before != drain.state) {
             drain.since = version;
         }
-        happened.add(new Drains.Happened(drain.node, event, before, drain.state, drain.wave,
-                drain.within, row.effect()));
+        happened.add(
+                new Drains.Happened(
+                        drain.node,
+                        event,
+                        before,
+                        drain.state,
+                        drain.wave,
+                        drain.within,
+                        row.effect()));
         if (row.effect() == Effect.END) {
             drains.remove(drain.slot);
             byNode.remove(drain.node);
@@ -283,8 +302,11 @@
             revision = comingRevision;
             sum = comingSum;
             replace(joined, next);
-            // What is under way was begun by others: until it is over it holds up the waves of each new one.
-            drains.values().stream().filter(drain -> drain.state.out()).forEach(drain -> drain.policies = -1);
+            // What is under way was begun by others: until it is over it holds up the waves of each
+            // new one.
+            drains.values().stream()
+                    .filter(drain -> drain.state.out())
+                    .forEach(drain -> drain.policies = -1);
         }
     }
 
@@ -307,8 +329,16 @@
     // ---- the state ----
 
     byte[] encode() {
-        Bytes.Writer out = new Bytes.Writer().put(VERSION).put(version).put(clock).put(nextSlot).put(wave)
-                .put(revision).put(sum & 0xffffffffL).put(policyBytes);
+        Bytes.Writer out =
+                new Bytes.Writer()
+                        .put(VERSION)
+                        .put(version)
+                        .put(clock)
+                        .put(nextSlot)
+                        .put(wave)
+                        .put(revision)
+                        .put(sum & 0xffffffffL)
+                        .put(policyBytes);
         for (int i = 0; i < policies.size(); i++) {
             out.put(endedAt[i] + 1).put(pausedAt[i] + 1);
         }
@@ -318,9 +348,17 @@
         }
         out.put(drains.size());
         for (Drain drain : drains.values()) {
-            out.put(drain.slot).put(drain.node).put(drain.state).put(drain.wave).put(drain.start)
-                    .put(drain.within).put(drain.until).put(drain.atEnd).put(drain.restarted)
-                    .put(drain.policies & 0xffffffffL).put(drain.since);
+            out.put(drain.slot)
+                    .put(drain.node)
+                    .put(drain.state)
+                    .put(drain.wave)
+                    .put(drain.start)
+                    .put(drain.within)
+                    .put(drain.until)
+                    .put(drain.atEnd)
+                    .put(drain.restarted)
+                    .put(drain.policies & 0xffffffffL)
+                    .put(drain.since);
         }
         out.put(ended.size());
         ended.forEach(each -> out.put(each.node()).put(each.how()));
@@ -371,13 +409,15 @@
                 drain.restarted = in.choice(Restarted.values());
                 drain.policies = (int) in.whole(0xffffffffL);
                 drain.since = in.whole(Long.MAX_VALUE);
-                if (drain.state == DrainState.NONE || state.drains.put(drain.slot, drain) != null
+                if (drain.state == DrainState.NONE
+                        || state.drains.put(drain.slot, drain) != null
                         || state.byNode.put(drain.node, drain) != null) {
                     return null;
                 }
             }
             for (int left = in.count(MOST_ENDED); left > 0; left--) {
-                state.ended.addLast(new Drains.Ended(in.whole(MOST_NODE), in.choice(DrainEvent.values())));
+                state.ended.addLast(
+                        new Drains.Ended(in.whole(MOST_NODE), in.choice(DrainEvent.values())));
             }
             state.told = Command.told(in);
             in.done();
--- a/core/src/main/java/cedarrudder/drainage/BadConditionException.java
+++ b/core/src/main/java/cedarrudder/drainage/BadConditionException.java
@@ -8,7 +8,9 @@
     private final String found;
     private final String allowed;
 
-    /** @param found with its place in the text */
+    /**
+     * @param found with its place in the text
+     */
     public BadConditionException(String found, String allowed) {
         super("found " + found + "; allowed: " + allowed);
         this.found = found;
--- a/core/src/main/java/cedarrudder/drainage/Bytes.java
+++ b/core/src/main/java/cedarrudder/drainage/Bytes.java
@@ -9,7 +9,7 @@
     private static final int BITS = 7;
     private static final int MORE = 1 << BITS;
 
-    private Bytes() { }
+    private Bytes() {}
 
     /** Writes. */
     static final class Writer {
@@ -92,7 +92,10 @@
             return (int) whole(most);
         }
 
-        /** How many entries follow; each takes a byte or more, so that no more are read than there are. */
+        /**
+         * How many entries follow; each takes a byte or more, so that no more are read than there
+         * are.
+         */
         int count(int most) {
             int count = small(most);
             if (count > bytes.length - at) {
@@ -131,7 +134,8 @@
         }
 
         private IllegalArgumentException wrong(Object found, String allowed) {
-            return new IllegalArgumentException("byte " + at + ": found " + found + "; allowed: " + allowed);
+            return new IllegalArgumentException(
+                    "byte " + at + ": found " + found + "; allowed: " + allowed);
         }
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/Command.java
+++ b/core/src/main/java/cedarrudder/drainage/Command.java
@@ -6,19 +6,23 @@
 import java.util.List;
 
 /**
- * What is committed of drains. Operators' calls and policies fit a datagram, as they may have to travel to
- * the leader; steps are the leader's own.
+ * What is committed of drains. Operators' calls and policies fit a datagram, as they may have to
+ * travel to the leader; steps are the leader's own.
  */
 public sealed interface Command {
 
     /** Nodes that one call of an operator's may name. */
     int MOST_IDS = 500;
+
     /** Bytes of policies in one command. */
     int PART = 4_000;
+
     /** What copies propose to the leader has no more bytes. */
     int MOST_BYTES = 4_080;
+
     /** Changes in one step. */
     int MOST_CHANGES = 512;
+
     /** Groups of waiting nodes, and nodes with calls, that a step tells of. */
     int MOST_TOLD = 16;
 
@@ -28,33 +32,42 @@
      * @param cancel whether the drains are to end; else they are to begin
      * @param nodes at most {@link #MOST_IDS}
      */
-    record Call(boolean cancel, List<Long> nodes) implements Command { }
+    record Call(boolean cancel, List<Long> nodes) implements Command {}
 
     /** A part of the policies that are to count from here on, if none of a higher revision do. */
-    record Part(long revision, int sum, int index, int count, byte[] bytes) implements Command { }
+    record Part(long revision, int sum, int index, int count, byte[] bytes) implements Command {}
 
     /**
      * What the leader has found.
      *
-     * @param basis the version of the state that it looked at; where it is another by then, nothing changes
-     * @param clock the time that has passed with drains open, in milliseconds, as it reckons; it only rises
+     * @param basis the version of the state that it looked at; where it is another by then, nothing
+     *     changes
+     * @param clock the time that has passed with drains open, in milliseconds, as it reckons; it
+     *     only rises
      * @param pauses policies by their place that pause from here on, and those that go on
      */
     record Step(long basis, long clock, List<Pause> pauses, List<Change> changes, Told told)
-            implements Command { }
+            implements Command {}
 
     /** A policy pauses, or goes on. */
-    record Pause(int policy, boolean on) { }
+    record Pause(int policy, boolean on) {}
 
     /**
-     * An event of one drain. What follows the slot counts where a wave begins; of a restart the start does.
+     * An event of one drain. What follows the slot counts where a wave begins; of a restart the
+     * start does.
      *
      * @param slot the drain's own number
      * @param start of the node, as listed
      * @param time how long it may take, in milliseconds
      * @param policies that are for it, as bits
      */
-    record Change(DrainEvent event, int slot, long start, long time, AtEnd atEnd, Restarted restarted,
+    record Change(
+            DrainEvent event,
+            int slot,
+            long start,
+            long time,
+            AtEnd atEnd,
+            Restarted restarted,
             int policies) {
         static Change of(DrainEvent event, int slot) {
             return new Change(event, slot, 0, 0, AtEnd.LET_GO, Restarted.BACK, 0);
@@ -96,10 +109,10 @@
     }
 
     /** So many nodes wait for a bound of a policy; the policy is -1 where the bound is of none. */
-    record Wait(int policy, Bound bound, int nodes) { }
+    record Wait(int policy, Bound bound, int nodes) {}
 
     /** A node that leaves has so many calls of a copy; -1: that copy has not said yet. */
-    record Still(int slot, int copy, long calls) { }
+    record Still(int slot, int copy, long calls) {}
 
     /** What the leader knows that others don't, for operators. */
     record Told(List<Wait> waits, List<Still> still) {
@@ -113,7 +126,11 @@
             out.put(0).put(call.cancel ? 1 : 0).put(call.nodes.size());
             call.nodes.forEach(out::put);
         } else if (this instanceof Part part) {
-            out.put(1).put(part.revision).put(part.sum & 0xffffffffL).put(part.index).put(part.count)
+            out.put(1)
+                    .put(part.revision)
+                    .put(part.sum & 0xffffffffL)
+                    .put(part.index)
+                    .put(part.count)
                     .put(part.bytes);
         } else if (this instanceof Step step) {
             out.put(2).put(step.basis).put(step.clock).put(step.pauses.size());
@@ -122,7 +139,10 @@
             for (Change each : step.changes) {
                 out.put(each.event).put(each.slot);
                 if (each.event == DrainEvent.BEGUN) {
-                    out.put(each.start).put(each.time).put(each.atEnd).put(each.restarted)
+                    out.put(each.start)
+                            .put(each.time)
+                            .put(each.atEnd)
+                            .put(each.restarted)
                             .put(each.policies & 0xffffffffL);
                 } else if (each.event == DrainEvent.RESTARTED_OUT) {
                     out.put(each.start);
@@ -137,11 +157,12 @@
     static Command decode(byte[] bytes) {
         try {
             Bytes.Reader in = new Bytes.Reader(bytes);
-            Command command = switch (in.small(2)) {
-                case 0 -> call(in);
-                case 1 -> part(in);
-                default -> step(in);
-            };
+            Command command =
+                    switch (in.small(2)) {
+                        case 0 -> call(in);
+                        case 1 -> part(in);
+                        default -> step(in);
+                    };
             in.done();
             return command;
         } catch (IllegalArgumentException e) {
@@ -180,11 +201,26 @@
         for (int left = in.count(MOST_CHANGES); left > 0; left--) {
             DrainEvent event = in.choice(DrainEvent.values());
             int slot = in.small(Integer.MAX_VALUE);
-            changes.add(event == DrainEvent.BEGUN ? new Change(event, slot, in.whole(Long.MAX_VALUE),
-                    in.whole(Policy.MOST_TIME), in.choice(AtEnd.values()), in.choice(Restarted.values()),
-                    (int) in.whole(0xffffffffL))
-                    : event == DrainEvent.RESTARTED_OUT ? new Change(event, slot, in.whole(Long.MAX_VALUE), 0,
-                    AtEnd.LET_GO, Restarted.BACK, 0) : Change.of(event, slot));
+            changes.add(
+                    event == DrainEvent.BEGUN
+                            ? new Change(
+                                    event,
+                                    slot,
+                                    in.whole(Long.MAX_VALUE),
+                                    in.whole(Policy.MOST_TIME),
+                                    in.choice(AtEnd.values()),
+                                    in.choice(Restarted.values()),
+                                    (int) in.whole(0xffffffffL))
+                            : event == DrainEvent.RESTARTED_OUT
+                                    ? new Change(
+                                            event,
+                                            slot,
+                                            in.whole(Long.MAX_VALUE),
+                                            0,
+                                            AtEnd.LET_GO,
+                                            Restarted.BACK,
+                                            0)
+                                    : Change.of(event, slot));
         }
         return new Step(basis, clock, pauses, changes, told(in));
     }
@@ -201,13 +237,19 @@
     static Told told(Bytes.Reader in) {
         List<Wait> waits = new ArrayList<>();
         for (int left = in.count(MOST_TOLD); left > 0; left--) {
-            waits.add(new Wait(in.small(Policy.MOST_POLICIES) - 1, in.choice(Bound.values()),
-                    in.small(Policy.MOST_NODES)));
+            waits.add(
+                    new Wait(
+                            in.small(Policy.MOST_POLICIES) - 1,
+                            in.choice(Bound.values()),
+                            in.small(Policy.MOST_NODES)));
         }
         List<Still> still = new ArrayList<>();
         for (int left = in.count(MOST_TOLD); left > 0; left--) {
-            still.add(new Still(in.small(Integer.MAX_VALUE), in.small(0xffff),
-                    in.whole(Integer.MAX_VALUE) - 1));
+            still.add(
+                    new Still(
+                            in.small(Integer.MAX_VALUE),
+                            in.small(0xffff),
+                            in.whole(Integer.MAX_VALUE) - 1));
         }
         return new Told(List.copyOf(waits), List.copyOf(still));
     }
--- a/core/src/main/java/cedarrudder/drainage/Conditions.java
+++ b/core/src/main/java/cedarrudder/drainage/Conditions.java
@@ -18,7 +18,8 @@
         /**
          * Whether it holds.
          *
-         * @throws RuntimeException where it can't be told; the policy then counts for the node, and pauses
+         * @throws RuntimeException where it can't be told; the policy then counts for the node, and
+         *     pauses
          */
         boolean holds(Node node);
     }
--- a/core/src/main/java/cedarrudder/drainage/Counted.java
+++ b/core/src/main/java/cedarrudder/drainage/Counted.java
@@ -22,9 +22,9 @@
         this.policy = policy;
     }
 
-    private record Pod(String tier, int pod) { }
+    private record Pod(String tier, int pod) {}
 
-    private record Zone(String tier, String zone) { }
+    private record Zone(String tier, String zone) {}
 
     void add(Node node, boolean out) {
         for (Group group : groups(node)) {
@@ -38,9 +38,10 @@
 
     private Group[] groups(Node node) {
         return new Group[] {
-                pods.computeIfAbsent(new Pod(node.tier(), node.pod()), key -> new Group()),
-                zones.computeIfAbsent(new Zone(node.tier(), node.zone()), key -> new Group()),
-                tiers.computeIfAbsent(node.tier(), key -> new Group())};
+            pods.computeIfAbsent(new Pod(node.tier(), node.pod()), key -> new Group()),
+            zones.computeIfAbsent(new Zone(node.tier(), node.zone()), key -> new Group()),
+            tiers.computeIfAbsent(node.tier(), key -> new Group())
+        };
     }
 
     /** The weight that is listed, and that which serves. */
@@ -51,7 +52,8 @@
     /**
      * The bound that is broken with this node out; null where none.
      *
-     * @param out whether it is counted as out already, such as one that fails: it may come to serve again
+     * @param out whether it is counted as out already, such as one that fails: it may come to serve
+     *     again
      */
     Bound breaks(Node node, boolean out) {
         int more = out ? 0 : 1;
@@ -71,7 +73,8 @@
         }
         double[] weight = weight(node);
         return weight[1] - more * node.weight() < policy.left().weight() * weight[0] - 1e-9
-                ? Bound.LEFT_WEIGHT : null;
+                ? Bound.LEFT_WEIGHT
+                : null;
     }
 
     /** One more is out. */
--- a/core/src/main/java/cedarrudder/drainage/DrainSettings.java
+++ b/core/src/main/java/cedarrudder/drainage/DrainSettings.java
@@ -3,7 +3,8 @@
 /**
  * The figures of the mechanism; times are nanoseconds.
  *
- * @param patience a copy that has said nothing for so long keeps waves from beginning and drains from ending
+ * @param patience a copy that has said nothing for so long keeps waves from beginning and drains
+ *     from ending
  * @param forgets and one that lives no more is waited for so long: membership may be wrong
  * @param unlisted a node that is not listed for so long is gone
  * @param beat while drains are open the agreed clock is committed so often
@@ -13,8 +14,8 @@
     private static final long SECOND = 1_000_000_000L;
 
     /** What serves where nothing else is said. */
-    public static final DrainSettings DEFAULT = new DrainSettings(3 * SECOND, 10 * SECOND, SECOND,
-            2 * SECOND);
+    public static final DrainSettings DEFAULT =
+            new DrainSettings(3 * SECOND, 10 * SECOND, SECOND, 2 * SECOND);
 
     /** Checks that all are over 0; what is wrong is an IllegalArgumentException that names it. */
     public DrainSettings {
--- a/core/src/main/java/cedarrudder/drainage/Drains.java
+++ b/core/src/main/java/cedarrudder/drainage/Drains.java
@@ -11,16 +11,18 @@
 import java.util.function.IntPredicate;
 
 /**
- * The drains of a tier's nodes, as one copy takes part: a state that all copies change alike by the commands
- * that they agree on; what this copy says to the one that leads; and what it has committed where it leads.
+ * The drains of a tier's nodes, as one copy takes part: a state that all copies change alike by the
+ * commands that they agree on; what this copy says to the one that leads; and what it has committed
+ * where it leads.
  *
- * <p>It has no clock, no socket and no thread, and draws nothing. Not thread-safe: from one thread at a time,
- * and its outlet must not call it. Whatever bytes it is given it throws nothing.
+ * <p>It has no clock, no socket and no thread, and draws nothing. Not thread-safe: from one thread
+ * at a time, and its outlet must not call it. Whatever bytes it is given it throws nothing.
  */
 public final class Drains {
 
     /** The largest number of a node. */
     public static final long MOST_NODE = Agreed.MOST_NODE;
+
     /** Nodes that one call may name. */
     public static final int MOST_IDS = Command.MOST_IDS;
 
@@ -32,11 +34,17 @@
      *
      * @param within the time that the node may take, in milliseconds, once its wave has begun
      */
-    public record Happened(long node, DrainEvent event, DrainState before, DrainState after, int wave,
-            long within, Transitions.Effect effect) { }
+    public record Happened(
+            long node,
+            DrainEvent event,
+            DrainState before,
+            DrainState after,
+            int wave,
+            long within,
+            Transitions.Effect effect) {}
 
     /** How a node's drain ended. */
-    public record Ended(long node, DrainEvent how) { }
+    public record Ended(long node, DrainEvent how) {}
 
     /** What it causes. */
     public interface Outlet {
@@ -57,7 +65,7 @@
     }
 
     /** One drain, for operators. */
-    public record Shown(long node, DrainState state, int wave, int slot) { }
+    public record Shown(long node, DrainState state, int wave, int slot) {}
 
     /**
      * All drains, for operators.
@@ -65,8 +73,13 @@
      * @param paused names of policies that pause
      * @param told what the copy that leads had found when it last said so
      */
-    public record Progress(long revision, List<String> policies, List<String> paused, List<Shown> drains,
-            Command.Told told, List<Ended> ended) { }
+    public record Progress(
+            long revision,
+            List<String> policies,
+            List<String> paused,
+            List<Shown> drains,
+            Command.Told told,
+            List<Ended> ended) {}
 
     private final int copies;
     private final int self;
@@ -85,10 +98,18 @@
     /**
      * @param copies how many there may be, and {@code self} the number of this one
      */
-    public Drains(int copies, int self, DrainSettings settings, Conditions conditions,
-            Outlet outlet, long now) {
-        Policy.check(copies >= 1 && copies <= 0xffff && self >= 0 && self < copies, "copy", self
-                + " of " + copies, "one of up to 65,535");
+    public Drains(
+            int copies,
+            int self,
+            DrainSettings settings,
+            Conditions conditions,
+            Outlet outlet,
+            long now) {
+        Policy.check(
+                copies >= 1 && copies <= 0xffff && self >= 0 && self < copies,
+                "copy",
+                self + " of " + copies,
+                "one of up to 65,535");
         this.copies = copies;
         this.self = self;
         this.conditions = conditions;
@@ -103,16 +124,23 @@
     // ---- what is agreed on ----
 
     /**
-     * This copy's file has these policies: they are to count for all copies, if none of a higher revision do.
+     * This copy's file has these policies: they are to count for all copies, if none of a higher
+     * revision do.
      *
      * @param revision from 1
      * @throws IllegalArgumentException if they are more than {@link PolicyCodec#MOST_BYTES}
      */
     public void policies(long revision, List<Policy> policies) {
         byte[] bytes = PolicyCodec.encode(policies);
-        Policy.check(bytes.length <= PolicyCodec.MOST_BYTES, "policies", bytes.length + " bytes",
+        Policy.check(
+                bytes.length <= PolicyCodec.MOST_BYTES,
+                "policies",
+                bytes.length + " bytes",
                 "up to " + PolicyCodec.MOST_BYTES);
-        Policy.check(policies.size() <= Policy.MOST_POLICIES, "policies", policies.size(),
+        Policy.check(
+                policies.size() <= Policy.MOST_POLICIES,
+                "policies",
+                policies.size(),
                 "up to " + Policy.MOST_POLICIES);
         Policy.check(revision >= 1, "revision", revision, "1 or more");
         int count = Math.max(1, (bytes.length + Command.PART - 1) / Command.PART);
@@ -126,9 +154,12 @@
         own = List.copyOf(parts);
     }
 
-    /** Whether other policies of the same or a higher revision count than those of this copy's file. */
+    /**
+     * Whether other policies of the same or a higher revision count than those of this copy's file.
+     */
     public boolean overruled() {
-        return !own.isEmpty() && agreed.revision() >= own.get(0).revision()
+        return !own.isEmpty()
+                && agreed.revision() >= own.get(0).revision()
                 && agreed.sum() != own.get(0).sum();
     }
 
@@ -136,7 +167,8 @@
     public void apply(long now, byte[] command) {
         List<Policy> policies = agreed.policies();
         List<Happened> happened = agreed.apply(command);
-        // What has passed here since it last heard of the clock counts. Guards against a clock that falls
+        // What has passed here since it last heard of the clock counts. Guards against a clock that
+        // falls
         // behind by the time of a commit each time that it is committed.
         reckoned = Math.max(clock(now), agreed.clock());
         reckonedAt = now;
@@ -205,9 +237,15 @@
                 paused.add(names.get(i));
             }
         }
-        return new Progress(agreed.revision(), names, paused, agreed.drains().stream()
-                .map(drain -> new Shown(drain.node, drain.state, drain.wave, drain.slot)).toList(),
-                agreed.told(), agreed.ended());
+        return new Progress(
+                agreed.revision(),
+                names,
+                paused,
+                agreed.drains().stream()
+                        .map(drain -> new Shown(drain.node, drain.state, drain.wave, drain.slot))
+                        .toList(),
+                agreed.told(),
+                agreed.ended());
     }
 
     // ---- what any copy proposes ----
@@ -218,12 +256,20 @@
      * @param nodes from 1 to {@link #MOST_IDS}
      */
     public static byte[] call(boolean cancel, List<Long> nodes) {
-        Policy.check(!nodes.isEmpty() && nodes.size() <= MOST_IDS && nodes.stream().allMatch(node ->
-                node >= 0 && node <= MOST_NODE), "nodes", nodes, "1 to " + MOST_IDS + " numbers of nodes");
+        Policy.check(
+                !nodes.isEmpty()
+                        && nodes.size() <= MOST_IDS
+                        && nodes.stream().allMatch(node -> node >= 0 && node <= MOST_NODE),
+                "nodes",
+                nodes,
+                "1 to " + MOST_IDS + " numbers of nodes");
         return new Call(cancel, nodes).encode();
     }
 
-    /** A command by which the policies of this copy's file come to count for all; null where they may not. */
+    /**
+     * A command by which the policies of this copy's file come to count for all; null where they
+     * may not.
+     */
     public byte[] wanted() {
         for (Part part : own) {
             if (!agreed.has(part)) {
@@ -235,7 +281,10 @@
 
     // ---- what copies say to the one that leads ----
 
-    /** What this copy has to say, in parts of at most 136 bytes that stand for themselves, at most two. */
+    /**
+     * What this copy has to say, in parts of at most 136 bytes that stand for themselves, at most
+     * two.
+     */
     public List<byte[]> report(long now, Local local) {
         List<byte[]> parts = new ArrayList<>();
         List<Drain> open = agreed.drains().stream().filter(drain -> drain.state.open()).toList();
@@ -259,8 +308,16 @@
                 some.add(disabled.get(somewhere++ % disabled.size()));
             }
             somewhere = disabled.isEmpty() ? 0 : somewhere % disabled.size();
-            parts.add(new Report(agreed.version(), first, last, held, disabled.size(), some,
-                    local.flow()).encode());
+            parts.add(
+                    new Report(
+                                    agreed.version(),
+                                    first,
+                                    last,
+                                    held,
+                                    disabled.size(),
+                                    some,
+                                    local.flow())
+                            .encode());
             if (from == 0) {
                 break;
             }
@@ -274,7 +331,10 @@
         scheduler.clear();
     }
 
-    /** At the copy that leads: a part of what another says, or this one itself. It may be no such part. */
+    /**
+     * At the copy that leads: a part of what another says, or this one itself. It may be no such
+     * part.
+     */
     public void reported(long now, int sender, byte[] part) {
         if (sender < 0 || sender >= copies) {
             return;
--- a/core/src/main/java/cedarrudder/drainage/Figures.java
+++ b/core/src/main/java/cedarrudder/drainage/Figures.java
@@ -12,13 +12,26 @@
  * @param out nodes that are out, for whatever reason
  * @param died nodes that the policy is for, that fail, and that were not taken out by a drain
  */
-public record Figures(double refused, double failed, double late, double capacityLeft, int liveCopies,
-        int copies, int out, int died) {
+public record Figures(
+        double refused,
+        double failed,
+        double late,
+        double capacityLeft,
+        int liveCopies,
+        int copies,
+        int out,
+        int died) {
 
     /** Names by which conditions call the figures, and their types. */
     public enum Name {
-        REFUSED(true), FAILED(true), LATE(true), CAPACITY_LEFT(true), LIVE_COPIES(false), COPIES(false),
-        OUT(false), DIED(false);
+        REFUSED(true),
+        FAILED(true),
+        LATE(true),
+        CAPACITY_LEFT(true),
+        LIVE_COPIES(false),
+        COPIES(false),
+        OUT(false),
+        DIED(false);
 
         private final boolean share;
 
--- a/core/src/main/java/cedarrudder/drainage/Flow.java
+++ b/core/src/main/java/cedarrudder/drainage/Flow.java
@@ -7,7 +7,10 @@
     public static final Flow NONE = new Flow(0, 0, 0, 0);
 
     Flow plus(Flow other) {
-        return new Flow(ended + other.ended, refused + other.refused, failed + other.failed,
+        return new Flow(
+                ended + other.ended,
+                refused + other.refused,
+                failed + other.failed,
                 late + other.late);
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/Heard.java
+++ b/core/src/main/java/cedarrudder/drainage/Heard.java
@@ -10,7 +10,10 @@
 import java.util.Set;
 import java.util.function.IntPredicate;
 
-/** What the copy that leads has heard of all copies, its own word among them. It is no part of the state. */
+/**
+ * What the copy that leads has heard of all copies, its own word among them. It is no part of the
+ * state.
+ */
 final class Heard {
 
     private static final class Copy {
@@ -24,7 +27,7 @@
         private final Map<Long, Long> disabledAt = new HashMap<>();
     }
 
-    private record Said(long version, int calls) { }
+    private record Said(long version, int calls) {}
 
     private final DrainSettings settings;
     private final Copy[] copies;
@@ -35,7 +38,9 @@
         clear(0);
     }
 
-    /** This copy begins to lead: it knows nothing of the others, and each may have lived until now. */
+    /**
+     * This copy begins to lead: it knows nothing of the others, and each may have lived until now.
+     */
     void clear(long now) {
         for (int i = 0; i < copies.length; i++) {
             copies[i] = new Copy();
@@ -57,7 +62,7 @@
         copy.disabledAt.values().removeIf(at -> at < stale);
         Map<Integer, Integer> calls = new HashMap<>();
         report.calls().forEach(each -> calls.put(each.slot(), each.calls()));
-        for (Iterator<Integer> slots = copy.calls.keySet().iterator(); slots.hasNext();) {
+        for (Iterator<Integer> slots = copy.calls.keySet().iterator(); slots.hasNext(); ) {
             Drain drain = agreed.slot(slots.next());
             if (drain == null || !drain.state.open()) {
                 slots.remove();
@@ -65,7 +70,8 @@
         }
         for (Drain drain : agreed.drains()) {
             if (drain.state.open() && drain.slot >= report.first() && drain.slot <= report.last()) {
-                copy.calls.put(drain.slot, new Said(report.version(), calls.getOrDefault(drain.slot, 0)));
+                copy.calls.put(
+                        drain.slot, new Said(report.version(), calls.getOrDefault(drain.slot, 0)));
             }
         }
     }
@@ -112,8 +118,10 @@
     /** Whether all that have to be waited for have carried out the state of this version. */
     boolean allHave(long now, long version) {
         for (int i = 0; i < copies.length; i++) {
-            if (awaited(now, i) && (!copies[i].said || copies[i].version < version
-                    || lives(now, i) && !fresh(now, copies[i]))) {
+            if (awaited(now, i)
+                    && (!copies[i].said
+                            || copies[i].version < version
+                            || lives(now, i) && !fresh(now, copies[i]))) {
                 return false;
             }
         }
@@ -126,8 +134,10 @@
         for (int i = 0; i < copies.length; i++) {
             if (awaited(now, i)) {
                 Said said = copies[i].calls.get(drain.slot);
-                boolean known = said != null && said.version >= drain.since
-                        && (fresh(now, copies[i]) || !lives(now, i));
+                boolean known =
+                        said != null
+                                && said.version >= drain.since
+                                && (fresh(now, copies[i]) || !lives(now, i));
                 if (!known || said.calls > 0) {
                     still.add(new Command.Still(drain.slot, i, known ? said.calls : -1));
                 }
@@ -145,7 +155,10 @@
         return sum;
     }
 
-    /** Nodes that are left out by hand at a live copy; null where one has not said all of its own yet. */
+    /**
+     * Nodes that are left out by hand at a live copy; null where one has not said all of its own
+     * yet.
+     */
     Set<Long> disabled(long now) {
         Set<Long> all = new HashSet<>();
         for (int i = 0; i < copies.length; i++) {
--- a/core/src/main/java/cedarrudder/drainage/Node.java
+++ b/core/src/main/java/cedarrudder/drainage/Node.java
@@ -10,7 +10,14 @@
  * @param kind the name of its kind; empty where it has none
  * @param start its last start, as discovery tells it, in milliseconds since 1970; 0: long ago
  */
-public record Node(long id, String tier, String zone, int pod, String kind, double weight, Standing standing,
+public record Node(
+        long id,
+        String tier,
+        String zone,
+        int pod,
+        String kind,
+        double weight,
+        Standing standing,
         long start) {
 
     /** Whether a node serves, and why not. */
--- a/core/src/main/java/cedarrudder/drainage/Policy.java
+++ b/core/src/main/java/cedarrudder/drainage/Policy.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * What must hold while nodes leave. Where several are for one node, the strictest of each bound holds.
+ * What must hold while nodes leave. Where several are for one node, the strictest of each bound
+ * holds.
  *
  * @param name one name, one policy
  * @param whom the nodes that it is for
@@ -16,26 +17,46 @@
  * @param pace nanoseconds between the end of a wave and the next
  * @param died so many of them may fail, beside those taken out, before no further wave begins
  * @param pauseIf while it holds no wave begins; empty: never
- * @param goOnIf after a pause waves begin once it holds; empty: once the reason of the pause is over
+ * @param goOnIf after a pause waves begin once it holds; empty: once the reason of the pause is
+ *     over
  * @param giveBackIf where it holds, what leaves is given back, and waits again; empty: never
  * @param time how long a node may take, in nanoseconds
  * @param atEnd what happens to a node that takes longer
  * @param restarted what happens to one that has restarted under its id
  * @param closed when no wave begins
  */
-public record Policy(String name, Whom whom, Most pod, Most zone, Most tier, Left left, Order order, int wave,
-        long pace, int died, String pauseIf, String goOnIf, String giveBackIf, long time, AtEnd atEnd,
-        Restarted restarted, List<Window> closed) {
+public record Policy(
+        String name,
+        Whom whom,
+        Most pod,
+        Most zone,
+        Most tier,
+        Left left,
+        Order order,
+        int wave,
+        long pace,
+        int died,
+        String pauseIf,
+        String goOnIf,
+        String giveBackIf,
+        long time,
+        AtEnd atEnd,
+        Restarted restarted,
+        List<Window> closed) {
 
     /** Nodes in all that drains may be open for. */
     public static final int MOST_NODES = 4_096;
+
     /** Policies that count at once. */
     public static final int MOST_POLICIES = 32;
+
     public static final int MOST_TEXT = 512;
     public static final int MOST_WINDOWS = 32;
     public static final int WEEK = 7 * 24 * 60;
+
     /** The longest time, in nanoseconds: a day. */
     public static final long MOST_TIME = 86_400_000_000_000L;
+
     /** The shortest time for a node, in nanoseconds. */
     public static final long LEAST_TIME = 1_000_000_000L;
 
@@ -81,29 +102,53 @@
      * @param pod {@link #ANY_POD}: any
      * @param where a condition
      */
-    public record Whom(String tier, String zone, int pod, String kind, double least, double most,
+    public record Whom(
+            String tier,
+            String zone,
+            int pod,
+            String kind,
+            double least,
+            double most,
             String where) {
         /** Every node. */
         public static final Whom ALL = new Whom("", "", ANY_POD, "", 0, Double.MAX_VALUE, "");
 
         public Whom {
-            check(tier != null && zone != null && kind != null && where != null && where.length() <= MOST_TEXT
-                    && tier.length() <= MOST_TEXT && zone.length() <= MOST_TEXT && kind.length() <= MOST_TEXT,
-                    "whom", "a longer text", "up to " + MOST_TEXT + " characters");
+            check(
+                    tier != null
+                            && zone != null
+                            && kind != null
+                            && where != null
+                            && where.length() <= MOST_TEXT
+                            && tier.length() <= MOST_TEXT
+                            && zone.length() <= MOST_TEXT
+                            && kind.length() <= MOST_TEXT,
+                    "whom",
+                    "a longer text",
+                    "up to " + MOST_TEXT + " characters");
             check(pod >= ANY_POD, "pod", pod, "0 or more");
-            check(least >= 0 && most >= least, "weight", least + " to " + most, "0 or more, the lower first");
+            check(
+                    least >= 0 && most >= least,
+                    "weight",
+                    least + " to " + most,
+                    "0 or more, the lower first");
         }
 
         /** Whether it can be for a node; the condition is not asked. */
         boolean fits(Node node) {
             return (tier.isEmpty() || tier.equals(node.tier()))
                     && (zone.isEmpty() || zone.equals(node.zone()))
-                    && (pod == ANY_POD || pod == node.pod()) && (kind.isEmpty() || kind.equals(node.kind()))
-                    && node.weight() >= least && node.weight() <= most;
+                    && (pod == ANY_POD || pod == node.pod())
+                    && (kind.isEmpty() || kind.equals(node.kind()))
+                    && node.weight() >= least
+                    && node.weight() <= most;
         }
     }
 
-    /** How many may be out at once: no more than the number, and no more than the share of those listed. */
+    /**
+     * How many may be out at once: no more than the number, and no more than the share of those
+     * listed.
+     */
     public record Most(int nodes, double share) {
         /** No bound. */
         public static final Most ANY = new Most(MOST_NODES, 1);
@@ -133,7 +178,11 @@
         public static final Left NOTHING = new Left(0, 0, 0, 0);
 
         public Left {
-            check(pod >= 0 && zone >= 0 && tier >= 0, "left", pod + ", " + zone + ", " + tier, "0 or more");
+            check(
+                    pod >= 0 && zone >= 0 && tier >= 0,
+                    "left",
+                    pod + ", " + zone + ", " + tier,
+                    "0 or more");
             check(weight >= 0 && weight <= 1, "left.weight", weight, "0 to 1");
         }
     }
@@ -148,12 +197,16 @@
     public record Window(int days, int from, int to) {
         private static final int DAY = 24 * 60;
         private static final long MINUTE = 60_000;
+
         /** 1970 began on a Thursday. */
         private static final int FIRST = 3;
 
         public Window {
             check(days > 0 && days < 1 << 7, "days", days, "some of seven");
-            check(from >= 0 && from < DAY && to >= 0 && to <= DAY, "window", from + " to " + to,
+            check(
+                    from >= 0 && from < DAY && to >= 0 && to <= DAY,
+                    "window",
+                    from + " to " + to,
                     "minutes of a day");
         }
 
@@ -163,7 +216,8 @@
             int at = minute % DAY;
             boolean today = (days >> day & 1) != 0;
             boolean yesterday = (days >> (day + 6) % 7 & 1) != 0;
-            return from < to ? today && at >= from && at < to
+            return from < to
+                    ? today && at >= from && at < to
                     : today && at >= from || yesterday && at < to;
         }
 
@@ -173,20 +227,47 @@
         }
     }
 
-    /** Checks all that is said above; what is wrong is an IllegalArgumentException that names it. */
+    /**
+     * Checks all that is said above; what is wrong is an IllegalArgumentException that names it.
+     */
     public Policy {
-        check(name != null && !name.isEmpty() && name.length() <= MOST_TEXT, "name", name, "a text");
-        check(whom != null && pod != null && zone != null && tier != null && left != null && order != null
-                && atEnd != null && restarted != null, "policy", "nothing", "all of it");
+        check(
+                name != null && !name.isEmpty() && name.length() <= MOST_TEXT,
+                "name",
+                name,
+                "a text");
+        check(
+                whom != null
+                        && pod != null
+                        && zone != null
+                        && tier != null
+                        && left != null
+                        && order != null
+                        && atEnd != null
+                        && restarted != null,
+                "policy",
+                "nothing",
+                "all of it");
         check(wave >= 1 && wave <= MOST_NODES, "wave", wave, "1 to " + MOST_NODES);
         check(pace >= 0 && pace <= MOST_TIME, "pace", pace, "0 to " + MOST_TIME);
         check(died >= 0 && died <= MOST_NODES, "died", died, "0 to " + MOST_NODES);
-        check(time >= LEAST_TIME && time <= MOST_TIME, "time", time, LEAST_TIME + " to " + MOST_TIME);
+        check(
+                time >= LEAST_TIME && time <= MOST_TIME,
+                "time",
+                time,
+                LEAST_TIME + " to " + MOST_TIME);
         for (String condition : List.of(pauseIf, goOnIf, giveBackIf)) {
-            check(condition.length() <= MOST_TEXT, "condition", condition.length() + " characters",
+            check(
+                    condition.length() <= MOST_TEXT,
+                    "condition",
+                    condition.length() + " characters",
                     "up to " + MOST_TEXT);
         }
-        check(closed.size() <= MOST_WINDOWS, "closed", closed.size() + " windows", "up to " + MOST_WINDOWS);
+        check(
+                closed.size() <= MOST_WINDOWS,
+                "closed",
+                closed.size() + " windows",
+                "up to " + MOST_WINDOWS);
         closed = List.copyOf(closed);
     }
 
--- a/core/src/main/java/cedarrudder/drainage/PolicyCheck.java
+++ b/core/src/main/java/cedarrudder/drainage/PolicyCheck.java
@@ -15,8 +15,9 @@
 import java.util.regex.Pattern;
 
 /**
- * What is wrong with policies that are each well formed: one that can never let anybody go, with a state of
- * nodes that shows it, and two that contradict each other. It tries states; it proves nothing beyond them.
+ * What is wrong with policies that are each well formed: one that can never let anybody go, with a
+ * state of nodes that shows it, and two that contradict each other. It tries states; it proves
+ * nothing beyond them.
  */
 public final class PolicyCheck {
 
@@ -27,26 +28,37 @@
      */
     public record Fleet(int zones, int pods, int nodes) {
         public Fleet {
-            Policy.check(zones >= 1 && pods >= 1 && nodes >= 1
-                    && (long) zones * pods * nodes <= Policy.MOST_NODES * 4L, "fleet", zones + " zones, "
-                    + pods + " pods, " + nodes + " nodes", "1 or more of each, 16,384 nodes in all");
+            Policy.check(
+                    zones >= 1
+                            && pods >= 1
+                            && nodes >= 1
+                            && (long) zones * pods * nodes <= Policy.MOST_NODES * 4L,
+                    "fleet",
+                    zones + " zones, " + pods + " pods, " + nodes + " nodes",
+                    "1 or more of each, 16,384 nodes in all");
         }
 
         @Override
         public String toString() {
-            return zones + (zones == 1 ? " zone of " : " zones of ") + pods + (pods == 1 ? " pod of "
-                    : " pods of ") + nodes + (nodes == 1 ? " node" : " nodes") + ", all serving";
+            return zones
+                    + (zones == 1 ? " zone of " : " zones of ")
+                    + pods
+                    + (pods == 1 ? " pod of " : " pods of ")
+                    + nodes
+                    + (nodes == 1 ? " node" : " nodes")
+                    + ", all serving";
         }
     }
 
     /** What is wrong with a policy, by its place in the list and the key that is to blame. */
-    public record Finding(int policy, String key, String found, String allowed) { }
+    public record Finding(int policy, String key, String found, String allowed) {}
 
     /** Two policies that are for some node both, and which of them is stricter in each bound. */
-    public record Both(int one, int other, List<String> stricter) { }
+    public record Both(int one, int other, List<String> stricter) {}
 
     /** Larger ones come last: the last that is tried is the most generous. */
     private static final List<Fleet> USUAL = usual();
+
     private static final Pattern TEXT = Pattern.compile("'([^']*)'|\"([^\"]*)\"");
     private static final Pattern NUMBER = Pattern.compile("\\d+(\\.\\d+)?");
     private static final int MOST_SAMPLES = 20_000;
@@ -82,7 +94,7 @@
     }
 
     /** What came of a check: what is wrong, and the pairs that are for some node both. */
-    public record Result(List<Finding> findings, List<Both> both) { }
+    public record Result(List<Finding> findings, List<Both> both) {}
 
     /**
      * Checks policies whose conditions can be read.
@@ -107,8 +119,10 @@
         }
         for (int i = 0; i < policies.size(); i++) {
             for (int j = i + 1; j < policies.size(); j++) {
-                Node node = never.contains(i) || never.contains(j) ? null
-                        : sample(List.of(policies.get(i), policies.get(j)));
+                Node node =
+                        never.contains(i) || never.contains(j)
+                                ? null
+                                : sample(List.of(policies.get(i), policies.get(j)));
                 if (node != null) {
                     pair(i, j, node);
                 }
@@ -121,30 +135,62 @@
     private void alone(int index) {
         Policy policy = policies.get(index);
         if (samples.get(index) == null) {
-            findings.add(new Finding(index, "where", "'" + policy.whom().where()
-                    + "', which holds for none of the nodes that were tried", "a condition that some node of "
-                    + "this policy meets"));
+            findings.add(
+                    new Finding(
+                            index,
+                            "where",
+                            "'"
+                                    + policy.whom().where()
+                                    + "', which holds for none of the nodes that were tried",
+                            "a condition that some node of " + "this policy meets"));
             return;
         }
         if (minute(List.of(policy)) < 0) {
-            findings.add(new Finding(index, "closed", "windows that cover the whole week",
-                    "a minute at least in which a wave may begin; shown by " + last() + ": none may leave"));
+            findings.add(
+                    new Finding(
+                            index,
+                            "closed",
+                            "windows that cover the whole week",
+                            "a minute at least in which a wave may begin; shown by "
+                                    + last()
+                                    + ": none may leave"));
         }
         if (!calm(policy.pauseIf(), List.of(""), 0)) {
-            findings.add(new Finding(index, "pause_if", "'" + policy.pauseIf() + "', which holds, or can't "
-                    + "be told, with nothing refused, failed or late", "a condition that is false while all "
-                    + "is well; shown by " + last() + ": none may leave"));
+            findings.add(
+                    new Finding(
+                            index,
+                            "pause_if",
+                            "'"
+                                    + policy.pauseIf()
+                                    + "', which holds, or can't "
+                                    + "be told, with nothing refused, failed or late",
+                            "a condition that is false while all "
+                                    + "is well; shown by "
+                                    + last()
+                                    + ": none may leave"));
         }
         if (!calm(policy.giveBackIf(), List.of(""), 1)) {
-            findings.add(new Finding(index, "give_back_if", "'" + policy.giveBackIf() + "', which holds, or "
-                    + "can't be told, with one node out and nothing refused, failed or late", "a condition "
-                    + "that is false while all is well; shown by " + last()
-                    + ": each that leaves is given back"));
+            findings.add(
+                    new Finding(
+                            index,
+                            "give_back_if",
+                            "'"
+                                    + policy.giveBackIf()
+                                    + "', which holds, or can't be told, with one node out and"
+                                    + " nothing refused, failed or late",
+                            "a condition "
+                                    + "that is false while all is well; shown by "
+                                    + last()
+                                    + ": each that leaves is given back"));
         }
         Bound bound = bound(List.of(policy), samples.get(index));
         if (bound != null) {
-            findings.add(new Finding(index, key(bound), said(policy, bound), allowed(bound) + "; shown by "
-                    + last() + ": none may leave"));
+            findings.add(
+                    new Finding(
+                            index,
+                            key(bound),
+                            said(policy, bound),
+                            allowed(bound) + "; shown by " + last() + ": none may leave"));
         }
     }
 
@@ -180,13 +226,16 @@
 
     private boolean isFalse(String text, Figures figures) {
         try {
-            return text.isEmpty() || !read.computeIfAbsent(text, conditions::figures).holds(figures);
+            return text.isEmpty()
+                    || !read.computeIfAbsent(text, conditions::figures).holds(figures);
         } catch (RuntimeException e) {
             return false;
         }
     }
 
-    /** What keeps each node of each fleet from going, as the last shows it; null where one may go. */
+    /**
+     * What keeps each node of each fleet from going, as the last shows it; null where one may go.
+     */
     private Bound bound(List<Policy> all, Node sample) {
         Bound bound = null;
         for (Fleet fleet : fleets) {
@@ -211,9 +260,17 @@
             for (int pod = 0; pod < pods; pod++) {
                 for (int i = 0; i < fleet.nodes; i++) {
                     boolean own = zone == 0 && pod == 0;
-                    counted.add(new Node(id++, sample.tier(), zone == 0 ? sample.zone() : "zone " + zone,
-                            own ? sample.pod() : 1_000_000 + zone * pods + pod, sample.kind(),
-                            sample.weight(), Standing.SERVING, 0), false);
+                    counted.add(
+                            new Node(
+                                    id++,
+                                    sample.tier(),
+                                    zone == 0 ? sample.zone() : "zone " + zone,
+                                    own ? sample.pod() : 1_000_000 + zone * pods + pod,
+                                    sample.kind(),
+                                    sample.weight(),
+                                    Standing.SERVING,
+                                    0),
+                            false);
                 }
             }
         }
@@ -245,8 +302,11 @@
     }
 
     private static String most(Policy.Most most) {
-        return most.share() == 1 ? "nodes = " + most.nodes() : most.nodes() == Policy.MOST_NODES
-                ? "share = " + most.share() : "nodes = " + most.nodes() + ", share = " + most.share();
+        return most.share() == 1
+                ? "nodes = " + most.nodes()
+                : most.nodes() == Policy.MOST_NODES
+                        ? "share = " + most.share()
+                        : "nodes = " + most.nodes() + ", share = " + most.share();
     }
 
     private static String allowed(Bound bound) {
@@ -264,30 +324,64 @@
         List<Policy> two = List.of(one, other);
         String beside = " beside '" + one.name() + "', which is for the same nodes";
         if (minute(two) < 0) {
-            findings.add(new Finding(j, "closed", "windows that cover the whole week with those of '"
-                    + one.name() + "'", "a minute at least in which a wave may begin by both; shown by "
-                    + last() + ": none that both are for may leave"));
+            findings.add(
+                    new Finding(
+                            j,
+                            "closed",
+                            "windows that cover the whole week with those of '" + one.name() + "'",
+                            "a minute at least in which a wave may begin by both; shown by "
+                                    + last()
+                                    + ": none that both are for may leave"));
         }
         if (!calm(other.pauseIf(), List.of(one.pauseIf()), 0)) {
-            findings.add(new Finding(j, "pause_if", "'" + other.pauseIf() + "'" + beside + " and pauses if '"
-                    + one.pauseIf() + "'", "conditions that can both be false while all is well; shown by "
-                    + last() + ": none that both are for may leave"));
+            findings.add(
+                    new Finding(
+                            j,
+                            "pause_if",
+                            "'"
+                                    + other.pauseIf()
+                                    + "'"
+                                    + beside
+                                    + " and pauses if '"
+                                    + one.pauseIf()
+                                    + "'",
+                            "conditions that can both be false while all is well; shown by "
+                                    + last()
+                                    + ": none that both are for may leave"));
         }
         Bound bound = bound(two, node);
         if (bound != null) {
-            findings.add(new Finding(j, key(bound), said(breaks(other, node, bound) ? other : one, bound)
-                    + " at the most" + beside, "bounds that let one node go; shown by " + last()
-                    + ": none that both are for may leave"));
+            findings.add(
+                    new Finding(
+                            j,
+                            key(bound),
+                            said(breaks(other, node, bound) ? other : one, bound)
+                                    + " at the most"
+                                    + beside,
+                            "bounds that let one node go; shown by "
+                                    + last()
+                                    + ": none that both are for may leave"));
         }
         if (one.time() == other.time() && one.atEnd() != other.atEnd()) {
-            findings.add(new Finding(j, "at_end", written(other.atEnd()) + beside + " and says "
-                    + written(one.atEnd()) + " at the same time", "one end, or different times: the shorter "
-                    + "one's end counts"));
+            findings.add(
+                    new Finding(
+                            j,
+                            "at_end",
+                            written(other.atEnd())
+                                    + beside
+                                    + " and says "
+                                    + written(one.atEnd())
+                                    + " at the same time",
+                            "one end, or different times: the shorter " + "one's end counts"));
         }
         if (one.order() == Order.LIGHT_FIRST && other.order() == Order.HEAVY_FIRST
                 || one.order() == Order.HEAVY_FIRST && other.order() == Order.LIGHT_FIRST) {
-            findings.add(new Finding(j, "order", written(other.order()) + beside + " and says "
-                    + written(one.order()), "one of them"));
+            findings.add(
+                    new Finding(
+                            j,
+                            "order",
+                            written(other.order()) + beside + " and says " + written(one.order()),
+                            "one of them"));
         }
         both.add(new Both(i, j, stricter(one, other)));
     }
@@ -321,7 +415,11 @@
         return a.nodes() <= b.nodes() && a.share() <= b.share() && !a.equals(b);
     }
 
-    private static void stricter(List<String> all, String key, Policy one, Policy other,
+    private static void stricter(
+            List<String> all,
+            String key,
+            Policy one,
+            Policy other,
             BiPredicate<Policy, Policy> than) {
         if (than.test(one, other)) {
             all.add(key + " of '" + one.name() + "'");
@@ -367,15 +465,22 @@
         for (int pod = 0; pod < MOST_PODS; pod++) {
             pods.add(pod);
         }
-        List<Conditions.OfNode> where = all.stream().filter(policy -> !policy.whom().where().isEmpty()).map(
-                policy -> readOfNodes.computeIfAbsent(policy.whom().where(), conditions::node)).toList();
+        List<Conditions.OfNode> where =
+                all.stream()
+                        .filter(policy -> !policy.whom().where().isEmpty())
+                        .map(
+                                policy ->
+                                        readOfNodes.computeIfAbsent(
+                                                policy.whom().where(), conditions::node))
+                        .toList();
         int left = MOST_SAMPLES;
         for (double weight : weights) {
             for (String kind : texts) {
                 for (String zone : texts) {
                     for (String tier : texts) {
                         for (int pod : pods) {
-                            Node node = new Node(0, tier, zone, pod, kind, weight, Standing.SERVING, 0);
+                            Node node =
+                                    new Node(0, tier, zone, pod, kind, weight, Standing.SERVING, 0);
                             if (all.stream().allMatch(policy -> policy.whom().fits(node))) {
                                 if (where.stream().allMatch(each -> holds(each, node))) {
                                     return node;
--- a/core/src/main/java/cedarrudder/drainage/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/drainage/PolicyCodec.java
@@ -20,22 +20,35 @@
 
     private static final int MOST_TEXT_BYTES = 3 * Policy.MOST_TEXT;
 
-    private PolicyCodec() { }
+    private PolicyCodec() {}
 
     public static byte[] encode(List<Policy> policies) {
         Bytes.Writer out = new Bytes.Writer().put(policies.size());
         for (Policy policy : policies) {
             Whom whom = policy.whom();
-            out.put(policy.name()).put(whom.tier()).put(whom.zone()).put(whom.pod() + 1).put(whom.kind())
-                    .put(whom.least()).put(whom.most()).put(whom.where());
+            out.put(policy.name())
+                    .put(whom.tier())
+                    .put(whom.zone())
+                    .put(whom.pod() + 1)
+                    .put(whom.kind())
+                    .put(whom.least())
+                    .put(whom.most())
+                    .put(whom.where());
             for (Most most : List.of(policy.pod(), policy.zone(), policy.tier())) {
                 out.put(most.nodes()).put(most.share());
             }
             Left left = policy.left();
             out.put(left.pod()).put(left.zone()).put(left.tier()).put(left.weight());
-            out.put(policy.order()).put(policy.wave()).put(policy.pace()).put(policy.died())
-                    .put(policy.pauseIf()).put(policy.goOnIf()).put(policy.giveBackIf())
-                    .put(policy.time()).put(policy.atEnd()).put(policy.restarted());
+            out.put(policy.order())
+                    .put(policy.wave())
+                    .put(policy.pace())
+                    .put(policy.died())
+                    .put(policy.pauseIf())
+                    .put(policy.goOnIf())
+                    .put(policy.giveBackIf())
+                    .put(policy.time())
+                    .put(policy.atEnd())
+                    .put(policy.restarted());
             out.put(policy.closed().size());
             for (Window window : policy.closed()) {
                 out.put(window.days()).put(window.from()).put(window.to());
@@ -66,13 +79,24 @@
 
     private static Policy policy(Bytes.Reader in) {
         String name = text(in);
-        Whom whom = new Whom(text(in), text(in), in.small(Integer.MAX_VALUE) - 1, text(in), in.number(),
-                in.number(), text(in));
+        Whom whom =
+                new Whom(
+                        text(in),
+                        text(in),
+                        in.small(Integer.MAX_VALUE) - 1,
+                        text(in),
+                        in.number(),
+                        in.number(),
+                        text(in));
         Most pod = most(in);
         Most zone = most(in);
         Most tier = most(in);
-        Left left = new Left(in.small(Integer.MAX_VALUE), in.small(Integer.MAX_VALUE),
-                in.small(Integer.MAX_VALUE), in.number());
+        Left left =
+                new Left(
+                        in.small(Integer.MAX_VALUE),
+                        in.small(Integer.MAX_VALUE),
+                        in.small(Integer.MAX_VALUE),
+                        in.number());
         Order order = in.choice(Order.values());
         int wave = in.small(Policy.MOST_NODES);
         long pace = in.whole(Policy.MOST_TIME);
@@ -85,11 +109,30 @@
         Restarted restarted = in.choice(Restarted.values());
         List<Window> closed = new ArrayList<>();
         for (int count = in.count(Policy.MOST_WINDOWS); count > 0; count--) {
-            closed.add(new Window(in.small(Integer.MAX_VALUE), in.small(Integer.MAX_VALUE),
-                    in.small(Integer.MAX_VALUE)));
+            closed.add(
+                    new Window(
+                            in.small(Integer.MAX_VALUE),
+                            in.small(Integer.MAX_VALUE),
+                            in.small(Integer.MAX_VALUE)));
         }
-        return new Policy(name, whom, pod, zone, tier, left, order, wave, pace, died, pauseIf, goOnIf,
-                giveBackIf, time, atEnd, restarted, closed);
+        return new Policy(
+                name,
+                whom,
+                pod,
+                zone,
+                tier,
+                left,
+                order,
+                wave,
+                pace,
+                died,
+                pauseIf,
+                goOnIf,
+                giveBackIf,
+                time,
+                atEnd,
+                restarted,
+                closed);
     }
 
     private static String text(Bytes.Reader in) {
--- a/core/src/main/java/cedarrudder/drainage/Report.java
+++ b/core/src/main/java/cedarrudder/drainage/Report.java
@@ -8,13 +8,20 @@
  *
  * @param version of the state that it has carried out
  * @param first the lowest slot that it tells of
- * @param last and the highest: nodes that leave in between, and are not named, have no calls of this copy
+ * @param last and the highest: nodes that leave in between, and are not named, have no calls of
+ *     this copy
  * @param calls by slot, rising
  * @param disabled how many nodes are left out here by hand
  * @param some of them
  * @param flow what became of the calls of the last window
  */
-record Report(long version, int first, int last, List<Calls> calls, int disabled, List<Long> some,
+record Report(
+        long version,
+        int first,
+        int last,
+        List<Calls> calls,
+        int disabled,
+        List<Long> some,
         Flow flow) {
 
     /** Bytes of one part, at the most. */
@@ -27,7 +34,7 @@
     private static final int KIND = 0;
 
     /** So many calls at one node. */
-    record Calls(int slot, int calls) { }
+    record Calls(int slot, int calls) {}
 
     /** How many slots with calls one part may tell of. */
     static int mostCalls() {
@@ -39,8 +46,8 @@
     }
 
     byte[] encode() {
-        Bytes.Writer out = new Bytes.Writer().put(KIND).put(version).put(first).put(last)
-                .put(calls.size());
+        Bytes.Writer out =
+                new Bytes.Writer().put(KIND).put(version).put(first).put(last).put(calls.size());
         int before = first;
         for (Calls each : calls) {
             out.put(each.slot - before).put(Math.min(each.calls, MOST_DISABLED));
@@ -75,8 +82,12 @@
             for (int left = in.count(MOST_SOME); left > 0; left--) {
                 some.add(in.whole(Agreed.MOST_NODE));
             }
-            Flow flow = new Flow(in.small(MOST_COUNT), in.small(MOST_COUNT), in.small(MOST_COUNT),
-                    in.small(MOST_COUNT));
+            Flow flow =
+                    new Flow(
+                            in.small(MOST_COUNT),
+                            in.small(MOST_COUNT),
+                            in.small(MOST_COUNT),
+                            in.small(MOST_COUNT));
             in.done();
             return new Report(version, first, last, calls, disabled, some, flow);
         } catch (IllegalArgumentException e) {
--- a/core/src/main/java/cedarrudder/drainage/Rules.java
+++ b/core/src/main/java/cedarrudder/drainage/Rules.java
@@ -10,10 +10,19 @@
 final class Rules {
 
     /** How a condition came out. */
-    enum Told { YES, NO, UNDECIDED }
+    enum Told {
+        YES,
+        NO,
+        UNDECIDED
+    }
 
-    private record Rule(Policy policy, Conditions.OfNode where, Conditions.OfFigures pauseIf,
-            Conditions.OfFigures goOnIf, Conditions.OfFigures giveBackIf, boolean read) { }
+    private record Rule(
+            Policy policy,
+            Conditions.OfNode where,
+            Conditions.OfFigures pauseIf,
+            Conditions.OfFigures goOnIf,
+            Conditions.OfFigures giveBackIf,
+            boolean read) {}
 
     private final List<Rule> rules = new ArrayList<>();
     private final Map<Node, Integer> known = new HashMap<>();
@@ -25,17 +34,30 @@
 
     private static Rule rule(Policy policy, Conditions conditions) {
         try {
-            return new Rule(policy, policy.whom().where().isEmpty() ? node -> true
-                    : conditions.node(policy.whom().where()), figures(policy.pauseIf(), conditions, false),
+            return new Rule(
+                    policy,
+                    policy.whom().where().isEmpty()
+                            ? node -> true
+                            : conditions.node(policy.whom().where()),
+                    figures(policy.pauseIf(), conditions, false),
                     figures(policy.goOnIf(), conditions, true),
-                    figures(policy.giveBackIf(), conditions, false), true);
+                    figures(policy.giveBackIf(), conditions, false),
+                    true);
         } catch (RuntimeException e) {
-            // Guards against a copy of another version, that can't read it, letting go what it forbids.
-            return new Rule(policy, node -> true, figures -> true, figures -> false, figures -> false, false);
+            // Guards against a copy of another version, that can't read it, letting go what it
+            // forbids.
+            return new Rule(
+                    policy,
+                    node -> true,
+                    figures -> true,
+                    figures -> false,
+                    figures -> false,
+                    false);
         }
     }
 
-    private static Conditions.OfFigures figures(String text, Conditions conditions, boolean otherwise) {
+    private static Conditions.OfFigures figures(
+            String text, Conditions conditions, boolean otherwise) {
         return text.isEmpty() ? figures -> otherwise : conditions.figures(text);
     }
 
--- a/core/src/main/java/cedarrudder/drainage/Scheduler.java
+++ b/core/src/main/java/cedarrudder/drainage/Scheduler.java
@@ -22,7 +22,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the copy that leads has committed next. It keeps nothing that another leader could not find out. */
+/**
+ * What the copy that leads has committed next. It keeps nothing that another leader could not find
+ * out.
+ */
 final class Scheduler {
 
     private static final long MILLI = 1_000_000L;
@@ -60,7 +63,13 @@
         private final boolean unlisted;
         private int halted;
 
-        Look(long now, long clock, int minute, Agreed agreed, Rules rules, Collection<Node> listed) {
+        Look(
+                long now,
+                long clock,
+                int minute,
+                Agreed agreed,
+                Rules rules,
+                Collection<Node> listed) {
             this.now = now;
             this.clock = clock;
             this.minute = minute;
@@ -70,8 +79,9 @@
             disabled = heard.disabled(now);
             open = agreed.open();
             heardAll = disabled != null && heard.silent(now) == 0;
-            unlisted = agreed.drains().stream().anyMatch(drain -> drain.state.out()
-                    && !nodes.containsKey(drain.node));
+            unlisted =
+                    agreed.drains().stream()
+                            .anyMatch(drain -> drain.state.out() && !nodes.containsKey(drain.node));
             for (int i = 0; i < rules.size(); i++) {
                 counted.add(new Counted(rules.policy(i)));
             }
@@ -86,7 +96,8 @@
         }
 
         private boolean out(Node node) {
-            return node.standing() != Standing.SERVING || disabled != null && disabled.contains(node.id())
+            return node.standing() != Standing.SERVING
+                    || disabled != null && disabled.contains(node.id())
                     || agreed.state(node.id()).out();
         }
 
@@ -96,8 +107,18 @@
                 DrainEvent event = event(drain, nodes.get(drain.node));
                 if (event != null) {
                     Node node = nodes.get(drain.node);
-                    changes.put(drain.slot, event == DrainEvent.RESTARTED_OUT ? new Change(event, drain.slot,
-                            node.start(), 0, AtEnd.LET_GO, Restarted.OUT, 0) : Change.of(event, drain.slot));
+                    changes.put(
+                            drain.slot,
+                            event == DrainEvent.RESTARTED_OUT
+                                    ? new Change(
+                                            event,
+                                            drain.slot,
+                                            node.start(),
+                                            0,
+                                            AtEnd.LET_GO,
+                                            Restarted.OUT,
+                                            0)
+                                    : Change.of(event, drain.slot));
                 }
             }
         }
@@ -112,7 +133,8 @@
                 missingSince.remove(drain.node);
             }
             if (node != null && drain.state.leaves() && node.start() > drain.start) {
-                return drain.restarted == Restarted.BACK ? DrainEvent.RESTARTED_BACK
+                return drain.restarted == Restarted.BACK
+                        ? DrainEvent.RESTARTED_BACK
                         : DrainEvent.RESTARTED_OUT;
             }
             if (drain.state.open()) {
@@ -121,15 +143,19 @@
                 if (there.isEmpty()) {
                     return DrainEvent.EMPTY;
                 }
-                return drain.state == DrainState.OVERDUE || clock < drain.until ? null
+                return drain.state == DrainState.OVERDUE || clock < drain.until
+                        ? null
                         : switch (drain.atEnd) {
                             case LET_GO -> DrainEvent.LET_GO;
                             case GIVE_BACK -> DrainEvent.GIVEN_UP;
                             case KEEP_WAITING -> DrainEvent.ALARMED;
                         };
             }
-            return drain.state.out() && drain.state != DrainState.OUT && heard.allHave(now, drain.since)
-                    ? DrainEvent.RETURNED : null;
+            return drain.state.out()
+                            && drain.state != DrainState.OUT
+                            && heard.allHave(now, drain.since)
+                    ? DrainEvent.RETURNED
+                    : null;
         }
 
         /** Which policies pause, go on or give back. */
@@ -145,15 +171,26 @@
             Flow flow = heard.flow(now);
             double ended = Math.max(1, flow.ended());
             for (int i = 0; i < rules.size(); i++) {
-                Figures figures = new Figures(flow.refused() / ended, flow.failed() / ended,
-                        flow.late() / ended, listed == 0 ? 0 : serving / listed, heard.live(now), copies, out,
-                        died(i));
+                Figures figures =
+                        new Figures(
+                                flow.refused() / ended,
+                                flow.failed() / ended,
+                                flow.late() / ended,
+                                listed == 0 ? 0 : serving / listed,
+                                heard.live(now),
+                                copies,
+                                out,
+                                died(i));
                 boolean back = rules.givesBack(i, figures) == Rules.Told.YES;
-                boolean halt = back || rules.pauses(i, figures) != Rules.Told.NO
-                        || rules.givesBack(i, figures) == Rules.Told.UNDECIDED;
+                boolean halt =
+                        back
+                                || rules.pauses(i, figures) != Rules.Told.NO
+                                || rules.givesBack(i, figures) == Rules.Told.UNDECIDED;
                 if (halt && !agreed.paused(i)) {
                     pauses.add(new Pause(i, true));
-                } else if (!halt && agreed.paused(i) && rules.goesOn(i, figures) == Rules.Told.YES
+                } else if (!halt
+                        && agreed.paused(i)
+                        && rules.goesOn(i, figures) == Rules.Told.YES
                         && clock - agreed.pausedAt(i) >= rules.policy(i).pace() / MILLI) {
                     pauses.add(new Pause(i, false));
                 }
@@ -175,8 +212,12 @@
         private int died(int policy) {
             int died = 0;
             for (Node node : nodes.values()) {
-                died += node.standing() == Standing.FAILED && agreed.state(node.id()) != DrainState.OUT
-                        && (rules.of(node) >> policy & 1) != 0 ? 1 : 0;
+                died +=
+                        node.standing() == Standing.FAILED
+                                        && agreed.state(node.id()) != DrainState.OUT
+                                        && (rules.of(node) >> policy & 1) != 0
+                                ? 1
+                                : 0;
             }
             return died;
         }
@@ -189,9 +230,11 @@
                     waiting.add(drain);
                 }
             }
-            waiting.sort(Comparator.<Drain>comparingInt(drain ->
-                    Integer.numberOfTrailingZeros(policies(drain))).thenComparing(this::byOrder)
-                    .thenComparingInt(drain -> drain.slot));
+            waiting.sort(
+                    Comparator.<Drain>comparingInt(
+                                    drain -> Integer.numberOfTrailingZeros(policies(drain)))
+                            .thenComparing(this::byOrder)
+                            .thenComparingInt(drain -> drain.slot));
             int[] inWave = new int[rules.size()];
             Object[] only = new Object[rules.size()];
             for (Drain drain : waiting) {
@@ -218,8 +261,16 @@
                         restarted = policy.restarted() == Restarted.OUT ? Restarted.OUT : restarted;
                     }
                 }
-                changes.put(drain.slot, new Change(DrainEvent.BEGUN, drain.slot, node.start(), time / MILLI,
-                        atEnd, restarted, policies));
+                changes.put(
+                        drain.slot,
+                        new Change(
+                                DrainEvent.BEGUN,
+                                drain.slot,
+                                node.start(),
+                                time / MILLI,
+                                atEnd,
+                                restarted,
+                                policies));
             }
         }
 
@@ -268,8 +319,10 @@
 
         private Bound bound(int policy, Node node, int inWave, Object[] only) {
             Policy of = rules.policy(policy);
-            Object group = of.order() == Order.POD_BY_POD ? (Object) node.pod()
-                    : of.order() == Order.ZONE_BY_ZONE ? node.zone() : "";
+            Object group =
+                    of.order() == Order.POD_BY_POD
+                            ? (Object) node.pod()
+                            : of.order() == Order.ZONE_BY_ZONE ? node.zone() : "";
             only[policy] = only[policy] == null ? group : only[policy];
             if ((halted >> policy & 1) != 0) {
                 return Bound.PAUSED;
@@ -289,9 +342,15 @@
         Step step() {
             List<Wait> told = new ArrayList<>();
             waits.forEach((wait, count) -> told.add(new Wait(wait.policy(), wait.bound(), count)));
-            return new Step(agreed.version(), clock, pauses, List.copyOf(changes.values()), new Told(
-                    told.subList(0, Math.min(Command.MOST_TOLD, told.size())),
-                    List.copyOf(still.subList(0, Math.min(Command.MOST_TOLD, still.size())))));
+            return new Step(
+                    agreed.version(),
+                    clock,
+                    pauses,
+                    List.copyOf(changes.values()),
+                    new Told(
+                            told.subList(0, Math.min(Command.MOST_TOLD, told.size())),
+                            List.copyOf(
+                                    still.subList(0, Math.min(Command.MOST_TOLD, still.size())))));
         }
     }
 
@@ -301,7 +360,13 @@
      * @param clock the agreed one, as this copy reckons that it stands now; milliseconds
      * @param utcMillis since 1970, by this machine's clock
      */
-    Step next(long now, long clock, long utcMillis, Agreed agreed, Rules rules, Collection<Node> listed,
+    Step next(
+            long now,
+            long clock,
+            long utcMillis,
+            Agreed agreed,
+            Rules rules,
+            Collection<Node> listed,
             int copies) {
         if (agreed.drains().isEmpty()) {
             missingSince.clear();
@@ -314,7 +379,10 @@
         Step step = look.step();
         boolean open = agreed.drains().stream().anyMatch(drain -> drain.state.open());
         boolean late = clock - agreed.clock() >= settings.beat() / MILLI;
-        return !step.changes().isEmpty() || !step.pauses().isEmpty()
-                || late && (open || !step.told().equals(agreed.told())) ? step : null;
+        return !step.changes().isEmpty()
+                        || !step.pauses().isEmpty()
+                        || late && (open || !step.told().equals(agreed.told()))
+                ? step
+                : null;
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/Transitions.java
+++ b/core/src/main/java/cedarrudder/drainage/Transitions.java
@@ -24,8 +24,9 @@
 import java.util.Map;
 
 /**
- * What becomes of a drain: one table of states and events, which all copies apply alike. An event that has no
- * row in a state changes nothing there: it came twice, too late, or was overtaken by another.
+ * What becomes of a drain: one table of states and events, which all copies apply alike. An event
+ * that has no row in a state changes nothing there: it came twice, too late, or was overtaken by
+ * another.
  */
 public final class Transitions {
 
@@ -44,9 +45,10 @@
     }
 
     /** A row of the table. */
-    public record Row(DrainState next, Effect effect) { }
+    public record Row(DrainState next, Effect effect) {}
 
-    private static final Map<DrainState, Map<DrainEvent, Row>> TABLE = new EnumMap<>(DrainState.class);
+    private static final Map<DrainState, Map<DrainEvent, Row>> TABLE =
+            new EnumMap<>(DrainState.class);
 
     static {
         row(NONE, ASKED, WAITING, Effect.NOTHING);
@@ -81,11 +83,12 @@
         row(RETURNING_TO_WAIT, GONE, NONE, Effect.END);
     }
 
-    private Transitions() { }
+    private Transitions() {}
 
     private static void row(DrainState from, DrainEvent event, DrainState to, Effect effect) {
         if (TABLE.computeIfAbsent(from, each -> new EnumMap<>(DrainEvent.class))
-                .put(event, new Row(to, effect)) != null) {
+                        .put(event, new Row(to, effect))
+                != null) {
             throw new IllegalStateException(from + ", " + event + " twice");
         }
     }
--- a/core/src/main/java/cedarrudder/failover/Assessment.java
+++ b/core/src/main/java/cedarrudder/failover/Assessment.java
@@ -12,53 +12,74 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * Puts together what many copies saw. A copy's later word replaces its earlier one, an older life counts
- * nothing, and what is old ages out. Not thread-safe.
+ * Puts together what many copies saw. A copy's later word replaces its earlier one, an older life
+ * counts nothing, and what is old ages out. Not thread-safe.
  *
- * <p>Copies vote, and zones of copies: within a zone each copy that has seen enough has one vote, however
- * many calls it has, and a zone of copies says <i>bad</i> or <i>well</i> by the most of its votes. Guards
- * against one copy's broken link, and against the word of copies of one zone alone while others are served.
+ * <p>Copies vote, and zones of copies: within a zone each copy that has seen enough has one vote,
+ * however many calls it has, and a zone of copies says <i>bad</i> or <i>well</i> by the most of its
+ * votes. Guards against one copy's broken link, and against the word of copies of one zone alone
+ * while others are served.
  */
 public final class Assessment {
 
     /** What is left, each period, of what was counted before. */
     private static final double KEPT = 0.6;
+
     /**
-     * Calls that a copy must have seen end, or wait, before it has a whole vote; with fewer, a part of one.
+     * Calls that a copy must have seen end, or wait, before it has a whole vote; with fewer, a part
+     * of one.
      */
     private static final double WHOLE_VOTE = 3;
+
     /** The least part of a vote that counts. */
     private static final double LEAST_VOTE = 0.3;
+
     /** What is so many times older than evidence may be says nothing of a zone. */
     private static final int OLD = 4;
+
     /** Calls out with nothing back for so many periods count as silent. */
     private static final int STILL_PERIODS = 2;
+
     /** Of the votes of a zone's copies. */
     private static final double MOST = 0.6;
-    /** Where other zones can't tell, the zone's own copies must have said so for so many periods. */
+
+    /**
+     * Where other zones can't tell, the zone's own copies must have said so for so many periods.
+     */
     private static final int ALONE_PERIODS = 6;
+
     /** A zone's copies say that it is strained where so much of their calls is turned away, ... */
     private static final double TURNED_AWAY = 0.05;
+
     /** ... or where its nodes say, over some periods, that they are so full. */
     private static final double FULL = 0.97;
+
     /** Rates are smoothed by this weight of the newest. */
     private static final double NEWEST = 0.25;
+
     /** What a zone can do is learned by this weight, and by this one where it turns calls away. */
     private static final double LEARNS = 0.1;
+
     private static final double FALLS = 0.6;
+
     /** Below this use of a zone, and this rate, nothing is learned of its capacity. */
     private static final double LEAST_LOAD = 0.15;
+
     private static final double LEAST_RATE = 5;
+
     /** Calls that nobody tells of count where they are over this share of the capacity. */
     private static final double UNSEEN = 0.05;
+
     private static final double HUNDREDTHS = 100;
     private static final double MILLIS = 1_000;
 
     /** What a copy last said of a zone, with what it said before fading away. */
     private static final class Word {
         long sequence = -1;
+
         /** The period that it told of last. */
         long basis = -1;
+
         long at;
         double served;
         double failed;
@@ -87,15 +108,20 @@
     private final int[] zoneOf;
     private final int zones;
     private final Copy[] copies;
+
     /** Calls a second that one warm node of weight 1 serves; 0: not known. */
     private final double[] each;
+
     /** How full zones are, smoothed; NaN: not known. */
     private final double[] full;
+
     private final long[] aloneSince;
     private final boolean[] alone;
     private long learnedAt = Long.MIN_VALUE;
 
-    /** @param zoneOf the zone of each copy */
+    /**
+     * @param zoneOf the zone of each copy
+     */
     public Assessment(FailoverSettings settings, int[] zoneOf, int zones) {
         this.settings = settings;
         this.zoneOf = zoneOf.clone();
@@ -120,7 +146,10 @@
         copy.unserved = 0;
     }
 
-    /** A part of a copy's evidence has come; what is of no known copy or zone, or old, changes nothing. */
+    /**
+     * A part of a copy's evidence has come; what is of no known copy or zone, or old, changes
+     * nothing.
+     */
     public void heard(long now, Evidence evidence) {
         if (evidence.copy() >= copies.length || zoneOf[evidence.copy()] != evidence.zone()) {
             return;
@@ -138,8 +167,11 @@
             boolean first = copy.sequence < 0;
             double rate = evidence.came() / seconds;
             copy.came = first ? rate : copy.came + NEWEST * (rate - copy.came);
-            copy.unserved = first ? evidence.unserved() / seconds
-                    : copy.unserved + NEWEST * (evidence.unserved() / seconds - copy.unserved);
+            copy.unserved =
+                    first
+                            ? evidence.unserved() / seconds
+                            : copy.unserved
+                                    + NEWEST * (evidence.unserved() / seconds - copy.unserved);
             copy.sequence = evidence.sequence();
             copy.heardAt = now;
             copy.table = evidence.table();
@@ -158,8 +190,10 @@
         long basis = sequence - seen.age();
         if (basis > word.basis) {
             // A period of which nothing came fades what was said as one that came does.
-            double kept = word.basis < 0 ? 0
-                    : StrictMath.pow(KEPT, Math.min(Evidence.MOST_AGE, basis - word.basis));
+            double kept =
+                    word.basis < 0
+                            ? 0
+                            : StrictMath.pow(KEPT, Math.min(Evidence.MOST_AGE, basis - word.basis));
             word.served = kept * word.served + seen.served();
             word.failed = kept * word.failed + seen.failed() + seen.silent();
             word.refused = kept * word.refused + seen.refused();
@@ -226,8 +260,10 @@
             othersWell += from == zone ? 0 : votes.well;
             others += from == zone ? 0 : votes.copies;
         }
-        int said = others < settings.leastCopies() ? 0
-                : new Votes(othersBad, othersWell, others).word();
+        int said =
+                others < settings.leastCopies()
+                        ? 0
+                        : new Votes(othersBad, othersWell, others).word();
         double demand = 0;
         double served = 0;
         double loads = 0;
@@ -262,19 +298,32 @@
         double load = reports == 0 ? Double.NaN : loads / reports;
         State state = state(now, zone, bad, well, said, fresh);
         if (learns) {
-            full[zone] = Double.isNaN(load) || Double.isNaN(full[zone]) ? load
-                    : full[zone] + NEWEST * (load - full[zone]);
+            full[zone] =
+                    Double.isNaN(load) || Double.isNaN(full[zone])
+                            ? load
+                            : full[zone] + NEWEST * (load - full[zone]);
         }
-        boolean turnsAway = fresh > 0 && strained >= Math.min(settings.leastCopies(), fresh)
-                && strained > MOST * fresh;
+        boolean turnsAway =
+                fresh > 0
+                        && strained >= Math.min(settings.leastCopies(), fresh)
+                        && strained > MOST * fresh;
         boolean strains = turnsAway || full[zone] > FULL;
         if (learns && state == State.WELL && units > 0 && served >= LEAST_RATE) {
             learn(zone, served / units, load, strains);
         }
         double capacity = each[zone] * units;
         double unseen = Double.isNaN(load) ? 0 : Math.max(0, load * capacity - served);
-        return new Zone(state, strains, demand, served, capacity, Double.isNaN(load),
-                unseen > UNSEEN * capacity ? unseen : 0, fresh, bad, well);
+        return new Zone(
+                state,
+                strains,
+                demand,
+                served,
+                capacity,
+                Double.isNaN(load),
+                unseen > UNSEEN * capacity ? unseen : 0,
+                fresh,
+                bad,
+                well);
     }
 
     private static boolean strained(Copy copy, Word word) {
@@ -284,12 +333,17 @@
 
     private void learn(int zone, double rate, double load, boolean strains) {
         if (Double.isNaN(load)) {
-            // Without reports: a zone that is full serves what it can, another can do no less than it does.
-            each[zone] = strains ? each[zone] + FALLS * (rate - each[zone]) : Math.max(each[zone], rate);
+            // Without reports: a zone that is full serves what it can, another can do no less than
+            // it does.
+            each[zone] =
+                    strains ? each[zone] + FALLS * (rate - each[zone]) : Math.max(each[zone], rate);
         } else if (load >= LEAST_LOAD) {
             double sample = rate / Math.min(1, load);
-            each[zone] += each[zone] == 0 ? sample
-                    : (strains && sample < each[zone] ? FALLS : LEARNS) * (sample - each[zone]);
+            each[zone] +=
+                    each[zone] == 0
+                            ? sample
+                            : (strains && sample < each[zone] ? FALLS : LEARNS)
+                                    * (sample - each[zone]);
         } else {
             // Guards against a site that is nearly idle being taken for one that can serve nothing.
             each[zone] = Math.max(each[zone], rate / LEAST_LOAD);
@@ -306,7 +360,10 @@
         }
     }
 
-    /** What was seen longer ago weighs less: guards against a zone that is well by what was seen before. */
+    /**
+     * What was seen longer ago weighs less: guards against a zone that is well by what was seen
+     * before.
+     */
     private Votes votes(long now, int from, int zone) {
         double bad = 0;
         double well = 0;
@@ -335,18 +392,20 @@
             }
         }
         // Of its own zone several must have said so; others send few calls there.
-        return from == zone && said < Math.min(settings.leastCopies(), able) ? new Votes(0, 0, 0)
+        return from == zone && said < Math.min(settings.leastCopies(), able)
+                ? new Votes(0, 0, 0)
                 : new Votes(bad, well, said);
     }
 
     /**
-     * Whether nobody serves a copy that asked more than one zone. Guards against a copy whose own link is
-     * broken: it says of every zone that it is lost.
+     * Whether nobody serves a copy that asked more than one zone. Guards against a copy whose own
+     * link is broken: it says of every zone that it is lost.
      */
     private boolean servedNowhere(Copy copy) {
         int asked = 0;
         for (Word word : copy.words) {
-            if (word.seen != null && word.served + word.refused + word.failed >= LEAST_VOTE * WHOLE_VOTE) {
+            if (word.seen != null
+                    && word.served + word.refused + word.failed >= LEAST_VOTE * WHOLE_VOTE) {
                 asked++;
                 if (word.served + word.refused > word.failed) {
                     return false;
@@ -356,11 +415,15 @@
         return asked > 1;
     }
 
-    /** @param said what the copies of all other zones say together, as {@link Votes#word} has it */
-    private State state(long now, int zone, Set<Integer> bad, Set<Integer> well, int said, int fresh) {
+    /**
+     * @param said what the copies of all other zones say together, as {@link Votes#word} has it
+     */
+    private State state(
+            long now, int zone, Set<Integer> bad, Set<Integer> well, int said, int fresh) {
         boolean ownBad = bad.contains(zone);
         int zonesBad = bad.size() - (ownBad ? 1 : 0);
-        boolean unheard = ownBad && said == 0 && zonesBad == 0 && !well.stream().anyMatch(z -> z != zone);
+        boolean unheard =
+                ownBad && said == 0 && zonesBad == 0 && !well.stream().anyMatch(z -> z != zone);
         if (!unheard) {
             alone[zone] = false;
         } else if (!alone[zone]) {
@@ -368,8 +431,11 @@
             aloneSince[zone] = now;
         }
         if (ownBad) {
-            boolean lost = unheard ? now - aloneSince[zone] >= ALONE_PERIODS * settings.period()
-                    && fresh >= settings.leastCopies() : said < 0 && zonesBad > 0;
+            boolean lost =
+                    unheard
+                            ? now - aloneSince[zone] >= ALONE_PERIODS * settings.period()
+                                    && fresh >= settings.leastCopies()
+                            : said < 0 && zonesBad > 0;
             return lost ? State.LOST : State.UNKNOWN;
         }
         if (well.contains(zone)) {
--- a/core/src/main/java/cedarrudder/failover/Evidence.java
+++ b/core/src/main/java/cedarrudder/failover/Evidence.java
@@ -10,10 +10,11 @@
 import java.util.List;
 
 /**
- * What one copy saw of the zones in a period. It tells what happened to its calls and judges nothing.
+ * What one copy saw of the zones in a period. It tells what happened to its calls and judges
+ * nothing.
  *
- * <p>As bytes: a version, then {@link Varint}s in the order of the components. What does not fit one part
- * goes into several, split between zones; each begins with the same head.
+ * <p>As bytes: a version, then {@link Varint}s in the order of the components. What does not fit
+ * one part goes into several, split between zones; each begins with the same head.
  *
  * @param copy who saw it, below {@value #MOST_COPIES}
  * @param zone its zone
@@ -25,8 +26,16 @@
  * @param unserved of those that ended, the ones that it refused or failed
  * @param seen what it saw, ordered by zone
  */
-public record Evidence(int copy, int zone, long life, long sequence, long table, int millis, int came,
-        int unserved, List<Seen> seen) {
+public record Evidence(
+        int copy,
+        int zone,
+        long life,
+        long sequence,
+        long table,
+        int millis,
+        int came,
+        int unserved,
+        List<Seen> seen) {
 
     /** What a part takes at the most, so that a datagram has room for more. */
     public static final int MOST_BYTES = 200;
@@ -55,13 +64,25 @@
      * @param refused that were turned away unseen
      * @param out that are out
      * @param still for how many milliseconds nothing has come back while calls were out
-     * @param load the mean of the utilisations that nodes there reported, in hundredths and one more; 0: none
+     * @param load the mean of the utilisations that nodes there reported, in hundredths and one
+     *     more; 0: none
      * @param nodes nodes that are listed as ready
      * @param cold of those the ones that have just started
      * @param able what all of them can do now, in hundredths of what a warm one of weight 1 can
      */
-    public record Seen(int zone, int age, int served, int failed, int silent, int refused, int out, int still,
-            int load, int nodes, int cold, int able) {
+    public record Seen(
+            int zone,
+            int age,
+            int served,
+            int failed,
+            int silent,
+            int refused,
+            int out,
+            int still,
+            int load,
+            int nodes,
+            int cold,
+            int able) {
 
         /** Calls that came to an end there. */
         public int ended() {
@@ -69,12 +90,14 @@
         }
 
         private int[] figures() {
-            return new int[] {zone, age, served, failed, silent, refused, out, still, load, nodes, cold,
-                able};
+            return new int[] {
+                zone, age, served, failed, silent, refused, out, still, load, nodes, cold, able
+            };
         }
 
         private static Seen of(int[] f) {
-            return new Seen(f[0], f[1], f[2], f[3], f[4], f[5], f[6], f[7], f[8], f[9], f[10], f[11]);
+            return new Seen(
+                    f[0], f[1], f[2], f[3], f[4], f[5], f[6], f[7], f[8], f[9], f[10], f[11]);
         }
     }
 
@@ -144,13 +167,16 @@
                     figures[i] = figure(in, MOST_COUNT);
                 }
                 Seen each = Seen.of(figures);
-                if (each.zone < least || each.zone >= RouteTable.MOST_ZONES || each.age > MOST_AGE) {
+                if (each.zone < least
+                        || each.zone >= RouteTable.MOST_ZONES
+                        || each.age > MOST_AGE) {
                     return null;
                 }
                 least = each.zone + 1;
                 seen.add(each);
             }
-            return life < 0 || sequence < 0 || table < 0 || millis < 1 ? null
+            return life < 0 || sequence < 0 || table < 0 || millis < 1
+                    ? null
                     : new Evidence(copy, zone, life, sequence, table, millis, came, unserved, seen);
         } catch (BufferUnderflowException e) {
             return null; // it ends too soon, or has a number in another form or out of its range
--- a/core/src/main/java/cedarrudder/failover/Failover.java
+++ b/core/src/main/java/cedarrudder/failover/Failover.java
@@ -8,8 +8,8 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * One copy's part in failover: it says what it saw, and where it leads plans from what all said. Not
- * thread-safe.
+ * One copy's part in failover: it says what it saw, and where it leads plans from what all said.
+ * Not thread-safe.
  */
 public final class Failover {
 
@@ -30,18 +30,34 @@
      * @param tally what this copy counts
      * @throws IllegalArgumentException if a zone is named that there is not
      */
-    public Failover(FailoverSettings settings, List<String> names, int[] zoneOf, ZoneTally tally, long now) {
+    public Failover(
+            FailoverSettings settings,
+            List<String> names,
+            int[] zoneOf,
+            ZoneTally tally,
+            long now) {
         List<Regions.Problem> problems = settings.regions().problems(names);
         if (!problems.isEmpty()) {
             Regions.Problem first = problems.get(0);
-            throw new IllegalArgumentException("failover.region[" + first.region() + "]." + first.key()
-                    + ": found " + first.found() + "; allowed: " + first.allowed());
+            throw new IllegalArgumentException(
+                    "failover.region["
+                            + first.region()
+                            + "]."
+                            + first.key()
+                            + ": found "
+                            + first.found()
+                            + "; allowed: "
+                            + first.allowed());
         }
         this.names = List.copyOf(names);
         List<String> unknown = leave(settings.leave());
         if (!unknown.isEmpty()) {
-            throw new IllegalArgumentException("failover.leave: found " + unknown + "; allowed: the zones of "
-                    + "the settings: " + String.join(", ", names));
+            throw new IllegalArgumentException(
+                    "failover.leave: found "
+                            + unknown
+                            + "; allowed: the zones of "
+                            + "the settings: "
+                            + String.join(", ", names));
         }
         this.settings = settings;
         this.tally = tally;
@@ -53,13 +69,16 @@
     }
 
     /**
-     * Ends the period and says what was seen in it; nothing where this copy stood still, or has just said it.
+     * Ends the period and says what was seen in it; nothing where this copy stood still, or has
+     * just said it.
      *
      * @param most bytes of a part, as {@link Evidence#encode} takes it
      */
     public List<byte[]> report(long now, int most) {
         if (now - closedAt < settings.period() / 2) {
-            return List.of(); // asked again so soon: guards against a period of which nothing can be told
+            return List
+                    .of(); // asked again so soon: guards against a period of which nothing can be
+            // told
         }
         closedAt = now;
         Evidence evidence = tally.close(now, table);
@@ -93,7 +112,9 @@
         return planner.moves();
     }
 
-    /** This copy leads from here on, or no longer: what was reported to it before counts no more. */
+    /**
+     * This copy leads from here on, or no longer: what was reported to it before counts no more.
+     */
     public void leads() {
         assessment = new Assessment(settings, zoneOf, zones);
         planner.leads();
--- a/core/src/main/java/cedarrudder/failover/Picture.java
+++ b/core/src/main/java/cedarrudder/failover/Picture.java
@@ -30,15 +30,24 @@
      * @param demand calls that come to its copies
      * @param served calls of all copies that it serves
      * @param capacity what it can do now; 0 where nothing is known
-     * @param blind whether its nodes don't report their load: then the capacity is the most that it was seen
-     * to serve well
+     * @param blind whether its nodes don't report their load: then the capacity is the most that it
+     *     was seen to serve well
      * @param unseen what it serves of calls of which no evidence tells
      * @param fresh copies of this zone whose evidence is fresh
      * @param bad the zones whose copies say that they are not served there
      * @param well the zones whose copies say that they are
      */
-    public record Zone(State state, boolean strained, double demand, double served, double capacity,
-            boolean blind, double unseen, int fresh, Set<Integer> bad, Set<Integer> well) {
+    public record Zone(
+            State state,
+            boolean strained,
+            double demand,
+            double served,
+            double capacity,
+            boolean blind,
+            double unseen,
+            int fresh,
+            Set<Integer> bad,
+            Set<Integer> well) {
 
         /** Whether calls of that zone may be sent here. */
         public boolean takes(int from) {
@@ -53,7 +62,7 @@
      * @param rate calls a second that came to it
      * @param table that table's number; 0 for none
      */
-    public record Away(int zone, double rate, long table) { }
+    public record Away(int zone, double rate, long table) {}
 
     public Picture {
         zones = List.copyOf(zones);
--- a/core/src/main/java/cedarrudder/failover/Planner.java
+++ b/core/src/main/java/cedarrudder/failover/Planner.java
@@ -15,45 +15,66 @@
 import java.util.TreeMap;
 
 /**
- * Which zone serves which part of a zone's calls: near while that is safe, else as near as there is room.
- * Every copy has one and tells it of each table that it loads; the one that leads asks it for the next
- * shares. Not thread-safe.
+ * Which zone serves which part of a zone's calls: near while that is safe, else as near as there is
+ * room. Every copy has one and tells it of each table that it loads; the one that leads asks it for
+ * the next shares. Not thread-safe.
  *
- * <p>Of each zone it holds a <i>ceiling</i>: the part of its own calls that it may get. A loss takes it to
- * nothing, calls that are turned away to what the zone can do, and it comes back by steps. What is over the
- * ceiling goes to other zones, to each up to its target share and no further. How often the shares of one
- * zone's calls change is bounded here, whatever the evidence says.
+ * <p>Of each zone it holds a <i>ceiling</i>: the part of its own calls that it may get. A loss
+ * takes it to nothing, calls that are turned away to what the zone can do, and it comes back by
+ * steps. What is over the ceiling goes to other zones, to each up to its target share and no
+ * further. How often the shares of one zone's calls change is bounded here, whatever the evidence
+ * says.
  */
 public final class Planner {
 
     /** Changes of fewer parts of a zone's whole are not made, and are no moves. */
     public static final int LEAST_MOVE = 200;
 
-    /** The window of the bound on moves: a minute, and what one table takes longer to a copy than another. */
+    /**
+     * The window of the bound on moves: a minute, and what one table takes longer to a copy than
+     * another.
+     */
     private static final long WINDOW = 63_000_000_000L;
 
     /** Of the moves that a zone has, so many are kept for leaving it. */
     private static final int KEPT_FOR_LEAVING = 2;
+
     /** And so many for its return. */
     private static final int KEPT_FOR_RETURN = 4;
+
     /** A zone must be strained for so many periods before calls leave it for that. */
     private static final int STRAIN_PERIODS = 3;
+
     /** Room is dealt out in so many rounds, so that zones that want the same share it. */
     private static final int ROUNDS = 20;
+
     /**
-     * A target may be found so far past what its own calls may take before others are taken from it at once.
+     * A target may be found so far past what its own calls may take before others are taken from it
+     * at once.
      */
     private static final double PAST_MOST = 1.05;
+
     /** Calls so far over the bound of their share are held back, and not only by chance. */
     private static final double OUTGROWN = 1.1;
-    /** A zone whose nodes don't report may be given so much more than it serves, each time it did well. */
+
+    /**
+     * A zone whose nodes don't report may be given so much more than it serves, each time it did
+     * well.
+     */
     private static final double BLIND_GROWTH = 1.25;
+
     /** A zone's calls that are fewer a second are not moved. */
     private static final double LEAST_DEMAND = 0.5;
+
     private static final int KNOWN_TABLES = 16;
+
     /** A ceiling so near to the whole is the whole. */
     private static final double WATCHED = 0.06;
-    /** Where calls go that are moved already changes for so many parts more that are served, or nearer. */
+
+    /**
+     * Where calls go that are moved already changes for so many parts more that are served, or
+     * nearer.
+     */
     private static final int LEAST_GAIN = 500;
 
     /** Why the shares of a zone's calls change. */
@@ -76,17 +97,21 @@
      * @param bad the zones whose copies say that it does not serve them
      * @param well the zones whose copies say that it does
      */
-    public record Move(int zone, Reason reason, Set<Integer> bad, Set<Integer> well) { }
+    public record Move(int zone, Reason reason, Set<Integer> bad, Set<Integer> well) {}
 
     /** What this planner knows of one zone. */
     private static final class Course {
         double ceiling = 1;
+
         /** Whether its own calls are held to what it can do. */
         boolean limited;
+
         /** It was lost, and is not yet back whole. */
         boolean left;
+
         /** That is why its calls are elsewhere, and not that it can't serve all of them. */
         boolean moved;
+
         boolean evacuated;
         boolean cut;
         long badSince = Long.MAX_VALUE;
@@ -109,7 +134,8 @@
     private boolean planning;
 
     /**
-     * In its first minute it knows of no moves that others made, and reckons with all but those for leaving.
+     * In its first minute it knows of no moves that others made, and reckons with all but those for
+     * leaving.
      *
      * @param ranks how far each zone is from each, as {@link Regions#ranks} has it
      */
@@ -128,7 +154,8 @@
     }
 
     /**
-     * A table is loaded; all copies tell this of each, since any may lead next. Said twice it counts once.
+     * A table is loaded; all copies tell this of each, since any may lead next. Said twice it
+     * counts once.
      */
     public void loaded(long now, RouteTable table) {
         if (known.containsKey(table.number())) {
@@ -149,8 +176,8 @@
     }
 
     /**
-     * This copy leads from here on, or no longer. Guards against what it knew when it led before being acted
-     * on.
+     * This copy leads from here on, or no longer. Guards against what it knew when it led before
+     * being acted on.
      */
     public void leads() {
         planning = false;
@@ -167,18 +194,28 @@
      * @param current the table that is loaded; null for none
      * @param evacuated zones that an operator has left
      */
-    public List<Share> plan(long now, RouteTable current, Picture picture, Collection<Integer> evacuated) {
+    public List<Share> plan(
+            long now, RouteTable current, Picture picture, Collection<Integer> evacuated) {
         Shares held = Shares.of(current, zones);
         if (!planning) {
             planning = true;
             Arrays.setAll(courses, zone -> resumed(now, courses[zone], held, zone));
         }
         for (int zone = 0; zone < zones; zone++) {
-            follow(now, zone, picture.zones().get(zone), evacuated.contains(zone),
+            follow(
+                    now,
+                    zone,
+                    picture.zones().get(zone),
+                    evacuated.contains(zone),
                     held.parts[zone][zone] / (double) RouteTable.WHOLE);
-            boolean over = picture.zones().get(zone).capacity() > 0 && load(held, picture, zone)
-                    > PAST_MOST * settings.nearShare() * picture.zones().get(zone).capacity();
-            courses[zone].overSince = over ? Math.min(courses[zone].overSince, now) : Long.MAX_VALUE;
+            boolean over =
+                    picture.zones().get(zone).capacity() > 0
+                            && load(held, picture, zone)
+                                    > PAST_MOST
+                                            * settings.nearShare()
+                                            * picture.zones().get(zone).capacity();
+            courses[zone].overSince =
+                    over ? Math.min(courses[zone].overSince, now) : Long.MAX_VALUE;
         }
         boolean[] moving = new boolean[zones];
         Arrays.fill(moving, true);
@@ -194,8 +231,10 @@
         }
         Shares next = allocate(held, picture, moving);
         // What the rows that stay hold is only known now; a change that came to nothing is none.
-        moves.removeIf(move -> next.moved(move.zone(), held) < LEAST_MOVE
-                && !outgrown(held, picture, move.zone()));
+        moves.removeIf(
+                move ->
+                        next.moved(move.zone(), held) < LEAST_MOVE
+                                && !outgrown(held, picture, move.zone()));
         for (int zone = 0; zone < zones; zone++) {
             int each = zone;
             if (current != null && moves.stream().noneMatch(move -> move.zone() == each)) {
@@ -234,7 +273,8 @@
         // Where its own copies say nothing it may be lost to the others alone.
         boolean lost = zone.state() == State.LOST && zone.bad().contains(number);
         course.badSince = !lost ? Long.MAX_VALUE : Math.min(course.badSince, now);
-        course.strainedSince = !zone.strained() ? Long.MAX_VALUE : Math.min(course.strainedSince, now);
+        course.strainedSince =
+                !zone.strained() ? Long.MAX_VALUE : Math.min(course.strainedSince, now);
         boolean well = zone.state() == State.WELL && !zone.strained();
         course.wellSince = !well ? Long.MAX_VALUE : Math.min(course.wellSince, now);
         course.evacuated = evacuated;
@@ -243,26 +283,34 @@
             course.steppedAt = now;
             return;
         }
-        double able = zone.demand() <= 0 ? 1
-                : Math.min(1, settings.nearShare() * zone.capacity() / zone.demand());
+        double able =
+                zone.demand() <= 0
+                        ? 1
+                        : Math.min(1, settings.nearShare() * zone.capacity() / zone.demand());
         if (zone.fresh() == 0) {
-            // Nobody there loads a table now, and what they are served is not known: it stays as it was.
+            // Nobody there loads a table now, and what they are served is not known: it stays as it
+            // was.
             course.steppedAt = Math.max(course.steppedAt, now);
         } else if (lost && now - course.badSince >= settings.lossHold()) {
             cut(now, course, 0);
             course.left = true;
             course.moved = true;
-        } else if (zone.state() == State.WELL && zone.capacity() > 0 && now - course.strainedSince
-                >= STRAIN_PERIODS * settings.period() && able < course.ceiling) {
+        } else if (zone.state() == State.WELL
+                && zone.capacity() > 0
+                && now - course.strainedSince >= STRAIN_PERIODS * settings.period()
+                && able < course.ceiling) {
             cut(now, course, able);
             course.moved = false;
             course.strainedSince = now; // what that came to is to be seen first
-        } else if (course.ceiling < 1 && course.wellSince != Long.MAX_VALUE
+        } else if (course.ceiling < 1
+                && course.wellSince != Long.MAX_VALUE
                 && now - Math.max(course.wellSince, course.steppedAt) >= course.hold) {
             course.ceiling = Math.max(course.ceiling, Math.min(1, near + settings.returnStep()));
             course.ceiling = course.ceiling + WATCHED > 1 ? 1 : course.ceiling;
             course.steppedAt = now;
-        } else if (course.ceiling == 1 && course.limited && now - course.steppedAt >= course.hold
+        } else if (course.ceiling == 1
+                && course.limited
+                && now - course.steppedAt >= course.hold
                 && (zone.blind() || able >= 1)) {
             course.limited = false;
             course.left = false;
@@ -273,10 +321,14 @@
         }
     }
 
-    /** The ceiling comes down; where it had gone up a step shortly before, the next one takes longer. */
+    /**
+     * The ceiling comes down; where it had gone up a step shortly before, the next one takes
+     * longer.
+     */
     private void cut(long now, Course course, double ceiling) {
         if (ceiling < course.ceiling) {
-            if (now - course.cutAt < 2 * settings.returnHoldMost() && course.steppedAt > course.cutAt) {
+            if (now - course.cutAt < 2 * settings.returnHoldMost()
+                    && course.steppedAt > course.cutAt) {
                 course.hold = Math.min(2 * course.hold, settings.returnHoldMost());
             }
             course.cut = true;
@@ -294,27 +346,41 @@
             course.moves.remove();
         }
         boolean bounds = outgrown(held, picture, zone);
-        if (picture.zones().get(zone).fresh() == 0 || picture.zones().get(zone).demand() < LEAST_DEMAND
+        if (picture.zones().get(zone).fresh() == 0
+                || picture.zones().get(zone).demand() < LEAST_DEMAND
                 || wanted.moved(zone, held) < LEAST_MOVE && !bounds) {
             return null;
         }
         boolean bad = badTarget(now, held, picture, zone);
         boolean leaves = wanted.parts[zone][zone] < held.parts[zone][zone];
-        Reason reason = course.evacuated && leaves ? Reason.EVACUATED
-                : leaves && course.ceiling == 0 ? Reason.LOST
-                : leaves && course.limited ? Reason.STRAINED
-                : wanted.parts[zone][zone] > held.parts[zone][zone] ? Reason.RETURN : Reason.TARGETS;
-        boolean urgent = course.cut || course.evacuated && leaves || reason == Reason.LOST
-                || bad;
+        Reason reason =
+                course.evacuated && leaves
+                        ? Reason.EVACUATED
+                        : leaves && course.ceiling == 0
+                                ? Reason.LOST
+                                : leaves && course.limited
+                                        ? Reason.STRAINED
+                                        : wanted.parts[zone][zone] > held.parts[zone][zone]
+                                                ? Reason.RETURN
+                                                : Reason.TARGETS;
+        boolean urgent = course.cut || course.evacuated && leaves || reason == Reason.LOST || bad;
         // Guards against calls going to and fro among zones that serve them as well.
-        if (!urgent && !bounds && course.steppedAt != now && gain(held, wanted, zone) < LEAST_GAIN) {
+        if (!urgent
+                && !bounds
+                && course.steppedAt != now
+                && gain(held, wanted, zone) < LEAST_GAIN) {
             return null;
         }
-        int most = settings.movesPerMinute() - (urgent ? 0 : KEPT_FOR_LEAVING)
-                - (urgent || reason == Reason.RETURN ? 0 : KEPT_FOR_RETURN);
-        // A step that waits out its hold is taken at once; all else that is not urgent comes no sooner.
-        boolean soon = urgent || reason == Reason.RETURN && course.steppedAt == now
-                || now - course.movedAt >= settings.returnHold();
+        int most =
+                settings.movesPerMinute()
+                        - (urgent ? 0 : KEPT_FOR_LEAVING)
+                        - (urgent || reason == Reason.RETURN ? 0 : KEPT_FOR_RETURN);
+        // A step that waits out its hold is taken at once; all else that is not urgent comes no
+        // sooner.
+        boolean soon =
+                urgent
+                        || reason == Reason.RETURN && course.steppedAt == now
+                        || now - course.movedAt >= settings.returnHold();
         return soon && course.moves.size() < most ? reason : null;
     }
 
@@ -332,13 +398,18 @@
         return gain;
     }
 
-    /** Whether some zone that serves a part of this one's calls can't, or has no room for them any more. */
+    /**
+     * Whether some zone that serves a part of this one's calls can't, or has no room for them any
+     * more.
+     */
     private boolean badTarget(long now, Shares held, Picture picture, int from) {
         for (int to = 0; to < zones; to++) {
             Zone zone = picture.zones().get(to);
-            if (to != from && held.parts[from][to] > LEAST_MOVE && (!zone.takes(from)
-                    || courses[to].evacuated
-                    || now - courses[to].overSince >= STRAIN_PERIODS * settings.period())) {
+            if (to != from
+                    && held.parts[from][to] > LEAST_MOVE
+                    && (!zone.takes(from)
+                            || courses[to].evacuated
+                            || now - courses[to].overSince >= STRAIN_PERIODS * settings.period())) {
                 return true;
             }
         }
@@ -348,10 +419,14 @@
     /** Whether the bound on what a zone gets from there holds calls back, while it has room. */
     private boolean outgrown(Shares held, Picture picture, int from) {
         for (int to = 0; to < zones; to++) {
-            double rate = picture.zones().get(from).demand() * held.parts[from][to] / RouteTable.WHOLE;
-            if (to != from && held.parts[from][to] > LEAST_MOVE && held.perSecond[from][to] > 0
-                    && rate > OUTGROWN * held.perSecond[from][to] && load(held, picture, to)
-                    < settings.targetShare() * picture.zones().get(to).capacity()) {
+            double rate =
+                    picture.zones().get(from).demand() * held.parts[from][to] / RouteTable.WHOLE;
+            if (to != from
+                    && held.parts[from][to] > LEAST_MOVE
+                    && held.perSecond[from][to] > 0
+                    && rate > OUTGROWN * held.perSecond[from][to]
+                    && load(held, picture, to)
+                            < settings.targetShare() * picture.zones().get(to).capacity()) {
                 return true;
             }
         }
@@ -369,13 +444,14 @@
 
     /** Calls a second of one zone that these shares let another serve. */
     private static double rate(Shares shares, Picture picture, int from, int to) {
-        double rate = picture.zones().get(from).demand() * shares.parts[from][to] / RouteTable.WHOLE;
+        double rate =
+                picture.zones().get(from).demand() * shares.parts[from][to] / RouteTable.WHOLE;
         return shares.perSecond[from][to] == 0 ? rate : Math.min(rate, shares.perSecond[from][to]);
     }
 
     /**
-     * Calls of copies that are cut off. Where nodes report their load they are seen there; else they are
-     * reckoned with where their last table sent them.
+     * Calls of copies that are cut off. Where nodes report their load they are seen there; else
+     * they are reckoned with where their last table sent them.
      */
     private double hidden(Picture picture, int to) {
         if (!picture.zones().get(to).blind()) {
@@ -384,8 +460,10 @@
         double hidden = 0;
         for (Away away : picture.away()) {
             Shares last = known.get(away.table());
-            double part = last != null ? last.parts[away.zone()][to] / (double) RouteTable.WHOLE
-                    : away.zone() == to ? 1 : 0;
+            double part =
+                    last != null
+                            ? last.parts[away.zone()][to] / (double) RouteTable.WHOLE
+                            : away.zone() == to ? 1 : 0;
             hidden += part * away.rate();
         }
         return hidden;
@@ -398,7 +476,8 @@
     /** What a zone's own calls may take of it. */
     private double near(Zone zone, Course course) {
         double near = course.ceiling * zone.demand();
-        return course.limited && !zone.blind() ? Math.min(near, settings.nearShare() * zone.capacity())
+        return course.limited && !zone.blind()
+                ? Math.min(near, settings.nearShare() * zone.capacity())
                 : near;
     }
 
@@ -432,8 +511,13 @@
         int[] sharers = new int[zones];
         for (int from = 0; from < zones; from++) {
             for (int to = 0; to < zones; to++) {
-                sharers[to] += to != from && (moving[from] ? dealt[from][to] > 0
-                        : held.parts[from][to] > LEAST_MOVE) ? 1 : 0;
+                sharers[to] +=
+                        to != from
+                                        && (moving[from]
+                                                ? dealt[from][to] > 0
+                                                : held.parts[from][to] > LEAST_MOVE)
+                                ? 1
+                                : 0;
             }
         }
         Shares next = new Shares(zones);
@@ -450,7 +534,10 @@
 
     /** Whether a zone may serve calls of others. */
     private static boolean serves(Zone zone, Course course) {
-        return zone.state() == State.WELL && !course.evacuated && !course.left && course.ceiling >= 1
+        return zone.state() == State.WELL
+                && !course.evacuated
+                && !course.left
+                && course.ceiling >= 1
                 && !zone.strained();
     }
 
@@ -458,9 +545,12 @@
         if (!serves(zone, course)) {
             return 0;
         }
-        double most = zone.blind() && course.wellSince != Long.MAX_VALUE
-                ? Math.max(settings.targetShare() * zone.capacity(), BLIND_GROWTH * zone.served())
-                : settings.targetShare() * zone.capacity();
+        double most =
+                zone.blind() && course.wellSince != Long.MAX_VALUE
+                        ? Math.max(
+                                settings.targetShare() * zone.capacity(),
+                                BLIND_GROWTH * zone.served())
+                        : settings.targetShare() * zone.capacity();
         return most - zone.demand() - hidden(picture, number);
     }
 
@@ -478,7 +568,13 @@
     }
 
     /** Deals some of one zone's calls to zones of this rank, to each by its room. */
-    private void deal(double[][] dealt, double[] excess, double[] room, Picture picture, int from, int rank,
+    private void deal(
+            double[][] dealt,
+            double[] excess,
+            double[] room,
+            Picture picture,
+            int from,
+            int rank,
             double most) {
         double wanted = Math.min(most, excess[from]);
         double all = 0;
@@ -501,8 +597,14 @@
     }
 
     /** Writes one zone's row. */
-    private void write(Shares next, double[] dealt, double left, double[] room, int[] sharers,
-            Picture picture, int zone) {
+    private void write(
+            Shares next,
+            double[] dealt,
+            double left,
+            double[] room,
+            int[] sharers,
+            Picture picture,
+            int zone) {
         Zone seen = picture.zones().get(zone);
         Course course = courses[zone];
         double near = dealt[zone];
@@ -516,12 +618,17 @@
             next.parts[zone][to] = Math.min(RouteTable.WHOLE, parts);
             if (to != zone && parts > 0) {
                 // What is left of its room is for those that come beyond what is seen now.
-                next.perSecond[zone][to] = (int) Math.max(1, dealt[to]
-                        + Math.max(0, room[to]) / Math.max(1, sharers[to]));
+                next.perSecond[zone][to] =
+                        (int)
+                                Math.max(
+                                        1,
+                                        dealt[to]
+                                                + Math.max(0, room[to]) / Math.max(1, sharers[to]));
                 moved += parts;
             }
         }
-        if (!course.left || near + 1e-9 >= seen.demand() - moved * seen.demand() / RouteTable.WHOLE) {
+        if (!course.left
+                || near + 1e-9 >= seen.demand() - moved * seen.demand() / RouteTable.WHOLE) {
             // None is turned away for a zone that serves, and no part is lost by rounding.
             next.parts[zone][zone] = (int) (RouteTable.WHOLE - moved);
         }
@@ -529,7 +636,8 @@
     }
 
     /**
-     * A zone to which nothing goes is not seen: a few calls go there, as well as to one's own that is lost.
+     * A zone to which nothing goes is not seen: a few calls go there, as well as to one's own that
+     * is lost.
      */
     private void watched(Shares next, int zone) {
         if (watch() == 0 || zones == 1) {
--- a/core/src/main/java/cedarrudder/failover/Regions.java
+++ b/core/src/main/java/cedarrudder/failover/Regions.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Which zones make a region, and which other regions are near to it. A zone that is in none is a region of
- * its own.
+ * Which zones make a region, and which other regions are near to it. A zone that is in none is a
+ * region of its own.
  */
 public record Regions(List<Region> regions) {
 
@@ -21,7 +21,8 @@
      * A region.
      *
      * @param zones the names of its zones, as the platform's settings have them
-     * @param nearest the names of other regions, the nearest first; those that are not named are farther
+     * @param nearest the names of other regions, the nearest first; those that are not named are
+     *     farther
      */
     public record Region(String name, List<String> zones, List<String> nearest) {
         public Region {
@@ -30,8 +31,10 @@
         }
     }
 
-    /** Something that can't be so: of which region, which key, what was found and what is allowed. */
-    public record Problem(int region, String key, String found, String allowed) { }
+    /**
+     * Something that can't be so: of which region, which key, what was found and what is allowed.
+     */
+    public record Problem(int region, String key, String found, String allowed) {}
 
     public Regions {
         regions = List.copyOf(regions);
@@ -49,7 +52,8 @@
         for (int i = 0; i < regions.size(); i++) {
             Region region = regions.get(i);
             if (names.indexOf(region.name) < i) {
-                problems.add(new Problem(i, "name", '"' + region.name + "\" twice", "each name once"));
+                problems.add(
+                        new Problem(i, "name", '"' + region.name + "\" twice", "each name once"));
             }
             if (region.zones.isEmpty()) {
                 problems.add(new Problem(i, "zones", "none", "one or more"));
@@ -57,17 +61,27 @@
             for (String zone : region.zones) {
                 String other = regionOf.putIfAbsent(zone, region.name);
                 if (other != null) {
-                    problems.add(new Problem(i, "zones", '"' + zone + "\", which is in \"" + other + '"',
-                            "each zone in one region"));
+                    problems.add(
+                            new Problem(
+                                    i,
+                                    "zones",
+                                    '"' + zone + "\", which is in \"" + other + '"',
+                                    "each zone in one region"));
                 } else if (known != null && !known.contains(zone)) {
-                    problems.add(new Problem(i, "zones", '"' + zone + '"',
-                            "the zones of the settings: " + String.join(", ", known)));
+                    problems.add(
+                            new Problem(
+                                    i,
+                                    "zones",
+                                    '"' + zone + '"',
+                                    "the zones of the settings: " + String.join(", ", known)));
                 }
             }
             Set<String> named = new HashSet<>();
             for (String near : region.nearest) {
                 if (!names.contains(near) || near.equals(region.name) || !named.add(near)) {
-                    problems.add(new Problem(i, "nearest", '"' + near + '"', "other regions, each once"));
+                    problems.add(
+                            new Problem(
+                                    i, "nearest", '"' + near + '"', "other regions, each once"));
                 }
             }
         }
@@ -75,7 +89,8 @@
     }
 
     /**
-     * How far each zone is from each: 0 itself, 1 in its region, 2 and more in others, the nearest first.
+     * How far each zone is from each: 0 itself, 1 in its region, 2 and more in others, the nearest
+     * first.
      *
      * @param zones their names, in the order of their numbers
      */
@@ -98,6 +113,9 @@
     }
 
     private Region of(String zone) {
-        return regions.stream().filter(region -> region.zones.contains(zone)).findFirst().orElse(null);
+        return regions.stream()
+                .filter(region -> region.zones.contains(zone))
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/core/src/main/java/cedarrudder/failover/Shares.java
+++ b/core/src/main/java/cedarrudder/failover/Shares.java
@@ -15,6 +15,7 @@
 
     final int[][] parts;
     final int[][] perSecond;
+
     /** Zones that have been left: what goes elsewhere is moved, and not spilled. */
     final boolean[] left;
 
@@ -52,7 +53,8 @@
     /** Whether a zone's row is the same in both. */
     boolean same(int from, Shares other) {
         return Arrays.equals(parts[from], other.parts[from])
-                && Arrays.equals(perSecond[from], other.perSecond[from]) && left[from] == other.left[from];
+                && Arrays.equals(perSecond[from], other.perSecond[from])
+                && left[from] == other.left[from];
     }
 
     /** What is left of a zone's whole, and is refused where it came. */
@@ -75,9 +77,17 @@
         for (int from = 0; from < parts.length; from++) {
             for (int to = 0; to < parts.length; to++) {
                 if (parts[from][to] > 0) {
-                    list.add(new Share(from, to, from == to ? Way.NEAR
-                            : left[from] && parts[from][to] > FEW ? Way.MOVED : Way.SPILLED,
-                            parts[from][to], perSecond[from][to]));
+                    list.add(
+                            new Share(
+                                    from,
+                                    to,
+                                    from == to
+                                            ? Way.NEAR
+                                            : left[from] && parts[from][to] > FEW
+                                                    ? Way.MOVED
+                                                    : Way.SPILLED,
+                                    parts[from][to],
+                                    perSecond[from][to]));
                 }
             }
         }
--- a/core/src/main/java/cedarrudder/failover/ZoneTally.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTally.java
@@ -13,13 +13,17 @@
 import java.util.Map;
 
 /**
- * Counts, by zones, what one copy's calls and probes came to, and closes a period as {@link Evidence}. It is
- * fed where outcomes are told to the decision module, and costs one look-up each. Not thread-safe.
+ * Counts, by zones, what one copy's calls and probes came to, and closes a period as {@link
+ * Evidence}. It is fed where outcomes are told to the decision module, and costs one look-up each.
+ * Not thread-safe.
  */
 public final class ZoneTally {
 
-    /** A period that took so many times longer tells of a process that stood still, not of zones. */
+    /**
+     * A period that took so many times longer tells of a process that stood still, not of zones.
+     */
     private static final double STOOD_STILL = 1.4;
+
     private static final double HUNDREDTHS = 100;
     private static final int MILLION = 1_000_000;
 
@@ -53,7 +57,8 @@
      * @param zones how many there are
      * @param period how long periods are to be, in nanoseconds
      */
-    public ZoneTally(int copy, int own, long life, int zones, long period, Safety safety, long now) {
+    public ZoneTally(
+            int copy, int own, long life, int zones, long period, Safety safety, long now) {
         this.copy = copy;
         this.own = own;
         this.life = life;
@@ -92,7 +97,9 @@
 
     private Zone zone(long endpoint) {
         Endpoint entry = listed.get(endpoint);
-        return entry == null || entry.zone() < 0 || entry.zone() >= zones.length ? null : zones[entry.zone()];
+        return entry == null || entry.zone() < 0 || entry.zone() >= zones.length
+                ? null
+                : zones[entry.zone()];
     }
 
     /** An attempt goes out; its zone's number to be given back at its end, or -1. */
@@ -133,7 +140,7 @@
             case ERROR, RESET -> zone.failed++;
             case TIMEOUT, CONNECT_FAILED -> zone.silent++;
             case FULL -> zone.refused++;
-            default -> { } // called off, or never sent: says nothing of the zone
+            default -> {} // called off, or never sent: says nothing of the zone
         }
         if (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.FULL) {
             zone.backAt = now;
@@ -145,9 +152,9 @@
     }
 
     /**
-     * Ends the period and begins the next; null where this copy stood still in it or in the one before, for
-     * then what it saw is of its own making. Guards against a copy that was stopped telling that every zone
-     * was silent.
+     * Ends the period and begins the next; null where this copy stood still in it or in the one
+     * before, for then what it saw is of its own making. Guards against a copy that was stopped
+     * telling that every zone was silent.
      *
      * @param table the number of the table in use; 0 for none
      */
@@ -164,9 +171,19 @@
                 seen.add(each);
             }
         }
-        Evidence evidence = counts ? new Evidence(copy, own, life, ++sequence, table,
-                (int) Math.max(1, Math.min(length / MILLION, MILLION)), bound(came), bound(unserved), seen)
-                : null;
+        Evidence evidence =
+                counts
+                        ? new Evidence(
+                                copy,
+                                own,
+                                life,
+                                ++sequence,
+                                table,
+                                (int) Math.max(1, Math.min(length / MILLION, MILLION)),
+                                bound(came),
+                                bound(unserved),
+                                seen)
+                        : null;
         openedAt = now;
         came = 0;
         unserved = 0;
@@ -175,11 +192,24 @@
 
     /** What is said of a zone; null where nothing is known of it. */
     private static Seen close(long now, int number, Zone zone, int[] nodes, boolean counts) {
-        Seen fresh = new Seen(number, 0, bound(zone.served), bound(zone.failed), bound(zone.silent),
-                bound(zone.refused), bound(zone.out),
-                zone.out > 0 ? bound((int) Math.min((now - zone.backAt) / MILLION, MILLION)) : 0,
-                zone.reports == 0 ? 0 : 1 + (int) Math.round(HUNDREDTHS * zone.loads / zone.reports),
-                bound(nodes[0]), bound(nodes[1]), bound(nodes[2]));
+        Seen fresh =
+                new Seen(
+                        number,
+                        0,
+                        bound(zone.served),
+                        bound(zone.failed),
+                        bound(zone.silent),
+                        bound(zone.refused),
+                        bound(zone.out),
+                        zone.out > 0
+                                ? bound((int) Math.min((now - zone.backAt) / MILLION, MILLION))
+                                : 0,
+                        zone.reports == 0
+                                ? 0
+                                : 1 + (int) Math.round(HUNDREDTHS * zone.loads / zone.reports),
+                        bound(nodes[0]),
+                        bound(nodes[1]),
+                        bound(nodes[2]));
         zone.served = 0;
         zone.failed = 0;
         zone.silent = 0;
@@ -192,10 +222,26 @@
             return null;
         }
         Seen last = zone.last;
-        if (fresh.ended() == 0 && fresh.out() == 0 && last != null && last.age() < Evidence.MOST_AGE) {
-            // Nothing was asked of it: what was seen last, with its age, and the nodes as they are now.
-            zone.last = new Seen(number, last.age() + 1, last.served(), last.failed(), last.silent(),
-                    last.refused(), 0, 0, last.load(), fresh.nodes(), fresh.cold(), fresh.able());
+        if (fresh.ended() == 0
+                && fresh.out() == 0
+                && last != null
+                && last.age() < Evidence.MOST_AGE) {
+            // Nothing was asked of it: what was seen last, with its age, and the nodes as they are
+            // now.
+            zone.last =
+                    new Seen(
+                            number,
+                            last.age() + 1,
+                            last.served(),
+                            last.failed(),
+                            last.silent(),
+                            last.refused(),
+                            0,
+                            0,
+                            last.load(),
+                            fresh.nodes(),
+                            fresh.cold(),
+                            fresh.able());
         } else {
             zone.last = fresh;
         }
@@ -203,19 +249,22 @@
     }
 
     /**
-     * Of each zone: nodes that are ready, those of them that are cold, and what all can do, in hundredths.
+     * Of each zone: nodes that are ready, those of them that are cold, and what all can do, in
+     * hundredths.
      */
     private int[][] nodes(long now) {
         int[][] nodes = new int[zones.length][3];
         double[] able = new double[zones.length];
         for (Endpoint entry : listed.values()) {
             if (entry.state() == State.READY && entry.zone() >= 0 && entry.zone() < zones.length) {
-                boolean cold = entry.startedAt() != 0 && now - entry.startedAt() < safety.rampTime();
+                boolean cold =
+                        entry.startedAt() != 0 && now - entry.startedAt() < safety.rampTime();
                 double ramp = Math.max(0, now - entry.startedAt()) / (double) safety.rampTime();
                 nodes[entry.zone()][0]++;
                 nodes[entry.zone()][1] += cold ? 1 : 0;
-                able[entry.zone()] += entry.weight()
-                        * (cold ? safety.coldShare() + (1 - safety.coldShare()) * ramp : 1);
+                able[entry.zone()] +=
+                        entry.weight()
+                                * (cold ? safety.coldShare() + (1 - safety.coldShare()) * ramp : 1);
             }
         }
         for (int i = 0; i < nodes.length; i++) {
--- a/core/src/main/java/cedarrudder/figures/Figures.java
+++ b/core/src/main/java/cedarrudder/figures/Figures.java
@@ -1,8 +1,9 @@
 package cedarrudder.figures;
 
 /**
- * What a process has counted since its start, made once: pages and agents read it, and none counts for
- * itself. Owned by the event loop; not thread-safe. A look or a count costs nanoseconds and no memory.
+ * What a process has counted since its start, made once: pages and agents read it, and none counts
+ * for itself. Owned by the event loop; not thread-safe. A look or a count costs nanoseconds and no
+ * memory.
  */
 public final class Figures {
 
@@ -24,7 +25,9 @@
     private long late;
     private long open;
 
-    /** @param classes how many classes of requests there are */
+    /**
+     * @param classes how many classes of requests there are
+     */
     public Figures(int classes) {
         ended = new long[End.values().length][classes];
         taken = new long[classes];
--- a/core/src/main/java/cedarrudder/fleet/FleetCopy.java
+++ b/core/src/main/java/cedarrudder/fleet/FleetCopy.java
@@ -28,40 +28,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One copy of a tier, as it decides with the others: the log, the route table that comes of it and its lease,
- * the reports to the copy that leads and, where this one does, the plan. Where callers go and which nodes
- * leave are the affairs of {@link Shares} and {@link Removal}.
+ * One copy of a tier, as it decides with the others: the log, the route table that comes of it and
+ * its lease, the reports to the copy that leads and, where this one does, the plan. Where callers
+ * go and which nodes leave are the affairs of {@link Shares} and {@link Removal}.
  *
- * <p>It has no clock, no socket and no thread. It is told of datagrams and of the time, which never goes
- * back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one thread at a
- * time, and its outlet must not call it.
+ * <p>It has no clock, no socket and no thread. It is told of datagrams and of the time, which never
+ * goes back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one
+ * thread at a time, and its outlet must not call it.
  */
 public final class FleetCopy {
 
-    /** What {@link Shares}, and {@link Removal}, may say in one report: parts, and bytes of each. */
+    /**
+     * What {@link Shares}, and {@link Removal}, may say in one report: parts, and bytes of each.
+     */
     public static final int MOST_PARTS = 4;
+
     public static final int MOST_PART = 136;
 
     /** What the log can take of a table. */
-    private static final Room LOG = new Room(Agreement.MOST_CONTENT - 1, RouteTable.MOST_LEAVING,
-            Integer.MAX_VALUE);
+    private static final Room LOG =
+            new Room(Agreement.MOST_CONTENT - 1, RouteTable.MOST_LEAVING, Integer.MAX_VALUE);
 
     /** What an entry holds, by its first byte. */
     private static final byte TABLE = 1;
+
     private static final byte COMMAND = 2;
 
     /** What a part takes beside its bytes. */
     private static final int PART_HEAD = 2;
+
     /** Reports of which an answer may still come. */
     private static final int OPEN = 32;
+
     /**
-     * A process numbers its reports from its start, in milliseconds, times 2 to the power of this. Guards
-     * against an answer to the process before, where it had the same life, being taken for one to this one.
+     * A process numbers its reports from its start, in milliseconds, times 2 to the power of this.
+     * Guards against an answer to the process before, where it had the same life, being taken for
+     * one to this one.
      */
     private static final int START = 20;
+
     private static final long MOST_START = (1L << 42) - 1;
+
     /** What is proposed and not loaded after so many periods is taken to have come to nothing. */
     private static final int MOST_WAITED = 10;
+
     /** A copy that was silent for so many reports says nothing of its room. */
     private static final int HEARD_LATELY = 4;
 
@@ -70,18 +80,22 @@
         /** Sends a datagram of at most 224 bytes; it may be lost. */
         void send(int to, byte[] datagram);
 
-        /** This table counts from here on; null: none does, and the copy does what it does without one. */
+        /**
+         * This table counts from here on; null: none does, and the copy does what it does without
+         * one.
+         */
         void table(RouteTable table);
 
         /**
-         * The table that counts must not be used from this instant on, unless another one is said before. To
-         * be looked at before each use: guards against one who stood still and goes on with a table of then.
+         * The table that counts must not be used from this instant on, unless another one is said
+         * before. To be looked at before each use: guards against one who stood still and goes on
+         * with a table of then.
          */
         void until(long instant);
 
         /**
-         * These nodes are being removed, whether a table counts or not: a lease that is over brings none
-         * back.
+         * These nodes are being removed, whether a table counts or not: a lease that is over brings
+         * none back.
          */
         void leaving(List<RouteTable.Leaving> leaving);
 
@@ -97,11 +111,18 @@
     }
 
     /** How things stand, for operators. */
-    public record Status(Group group, long term, int leader, boolean leads, Voters voters, RouteTable agreed,
-            RouteTable used, long leaseLeft) { }
+    public record Status(
+            Group group,
+            long term,
+            int leader,
+            boolean leads,
+            Voters voters,
+            RouteTable agreed,
+            RouteTable used,
+            long leaseLeft) {}
 
     /** What came that was none, for figures. */
-    public record Counts(long malformed, long notItsSender) { }
+    public record Counts(long malformed, long notItsSender) {}
 
     private final Outlet outlet;
     private final FleetSettings settings;
@@ -152,15 +173,31 @@
      * @param self the number of this one
      * @param life larger than that of any earlier life of this one
      * @param room what this copy can load now
-     * @throws IllegalArgumentException if a figure is outside its range, or the lease is too short for so
-     * many copies
+     * @throws IllegalArgumentException if a figure is outside its range, or the lease is too short
+     *     for so many copies
      */
-    public FleetCopy(int[] zones, int self, long life, AgreementSettings agreed, FleetSettings settings,
-            Store store, RandomGenerator random, Shares shares, Removal removal, Supplier<Room> room,
-            Outlet outlet, long now) {
+    public FleetCopy(
+            int[] zones,
+            int self,
+            long life,
+            AgreementSettings agreed,
+            FleetSettings settings,
+            Store store,
+            RandomGenerator random,
+            Shares shares,
+            Removal removal,
+            Supplier<Room> room,
+            Outlet outlet,
+            long now) {
         if (settings.lease() < settings.leastLease(zones.length)) {
-            throw new IllegalArgumentException("lease: found " + settings.lease() + " ns with " + zones.length
-                    + " copies; allowed: " + settings.leastLease(zones.length) + " ns or more");
+            throw new IllegalArgumentException(
+                    "lease: found "
+                            + settings.lease()
+                            + " ns with "
+                            + zones.length
+                            + " copies; allowed: "
+                            + settings.leastLease(zones.length)
+                            + " ns or more");
         }
         this.zones = zones.clone();
         this.self = self;
@@ -178,7 +215,8 @@
         this.contact = lease.contact();
         this.number = (life & MOST_START) << START;
         this.reportAt = now + (long) (random.nextDouble() * reports);
-        this.agreement = new Agreement(zones, self, life, agreed, store, random, new FromLog(store), now);
+        this.agreement =
+                new Agreement(zones, self, life, agreed, store, random, new FromLog(store), now);
     }
 
     /** What the log causes. */
@@ -202,7 +240,8 @@
                 RouteTable table = TableCodec.decode(bytes).table();
                 RouteTable before = lease.agreed();
                 // One that was composed before another leader's came may come after it.
-                boolean counts = table != null && (before == null || table.number() > before.number());
+                boolean counts =
+                        table != null && (before == null || table.number() > before.number());
                 agreed(at.group(), counts ? table : before);
             } else if (content.length > 0 && content[0] == COMMAND) {
                 byte[] command = new byte[content.length - 1];
@@ -228,8 +267,13 @@
             removal.restored(now, state.removal());
             agreed(at.group(), state.table());
             if (at.index() > 0) {
-                say(Words.restored(at, bytes, agreement == null ? store.kept().promise().life()
-                        : agreement.life()));
+                say(
+                        Words.restored(
+                                at,
+                                bytes,
+                                agreement == null
+                                        ? store.kept().promise().life()
+                                        : agreement.life()));
             }
         }
 
@@ -240,8 +284,10 @@
 
         @Override
         public void noted(Note note) {
-            if (note instanceof Note.Stored stored && stored.entry().kind() == Entry.Kind.BEGIN
-                    && stored.by().copy() == self && stored.entry().term() == agreement.term()
+            if (note instanceof Note.Stored stored
+                    && stored.entry().kind() == Entry.Kind.BEGIN
+                    && stored.by().copy() == self
+                    && stored.entry().term() == agreement.term()
                     && agreement.leads()) {
                 firstOfTerm = stored.index();
             }
@@ -286,8 +332,15 @@
 
     /** How things stand. */
     public Status status(long at) {
-        return new Status(agreement.group(), agreement.term(), leader(), agreement.leads(),
-                agreement.voters(), lease.agreed(), used, used == null ? 0 : Math.max(0, until - at));
+        return new Status(
+                agreement.group(),
+                agreement.term(),
+                leader(),
+                agreement.leads(),
+                agreement.voters(),
+                lease.agreed(),
+                used,
+                used == null ? 0 : Math.max(0, until - at));
     }
 
     /** The copy that leads, as far as this one knows; -1 where it knows of none. */
@@ -369,7 +422,8 @@
      * Proposes a command of {@link Removal}, at any copy, whoever leads.
      *
      * @param patience after which its outcome is said, whatever is known by then; nanoseconds
-     * @return what {@link Outlet#settled} will name; null where too many wait here, so that it is not taken
+     * @return what {@link Outlet#settled} will name; null where too many wait here, so that it is
+     *     not taken
      * @throws IllegalArgumentException if it is larger than what may be handed on
      */
     public Proposal propose(long at, byte[] command, long patience) {
@@ -444,7 +498,9 @@
             waitsFor = null;
             if (led) {
                 reporters.begin(now);
-                reportAt = now; // what the others say comes to this one from now on, and so does its own
+                reportAt =
+                        now; // what the others say comes to this one from now on, and so does its
+                // own
             }
             shares.leads(now, led);
             removal.leads(now, led);
@@ -479,7 +535,10 @@
         return lease.agreed() == null ? 0 : lease.agreed().number();
     }
 
-    /** Whether an entry of this term is committed, and with it all that leaders before had committed. */
+    /**
+     * Whether an entry of this term is committed, and with it all that leaders before had
+     * committed.
+     */
     private boolean begun() {
         return agreement.loaded().index() >= firstOfTerm;
     }
@@ -503,19 +562,27 @@
             return;
         }
         boolean sameTerm = grantGroup.equals(agreement.group()) && grantTerm == agreement.term();
-        for (int next = 0; next == 0 || next < parts.size();) {
+        for (int next = 0; next == 0 || next < parts.size(); ) {
             List<Part> these = new ArrayList<>();
             int size = 0;
-            while (next < parts.size()
-                    && size + parts.get(next).bytes().length <= MOST_PART) {
+            while (next < parts.size() && size + parts.get(next).bytes().length <= MOST_PART) {
                 size += parts.get(next).bytes().length + PART_HEAD;
                 these.add(parts.get(next++));
             }
             boolean first = next == these.size();
             sentAt[(int) (++number % OPEN)] = now;
-            post(leads, new Letter.Report(first, number, agreement.group(), agreement.term(),
-                    sameTerm ? grantAt : Letter.NEVER, agreedNumber(), Math.max(agreedNumber(), highest()),
-                    room.get(), these));
+            post(
+                    leads,
+                    new Letter.Report(
+                            first,
+                            number,
+                            agreement.group(),
+                            agreement.term(),
+                            sameTerm ? grantAt : Letter.NEVER,
+                            agreedNumber(),
+                            Math.max(agreedNumber(), highest()),
+                            room.get(),
+                            these));
             if (these.isEmpty()) {
                 return;
             }
@@ -542,26 +609,40 @@
         if (!agreement.leads()) {
             return;
         }
-        boolean ours = report.group().equals(agreement.group()) && report.term() == agreement.term();
+        boolean ours =
+                report.group().equals(agreement.group()) && report.term() == agreement.term();
         boolean fresh = reporters.took(now, from, life, report, ours);
         if (fresh) {
             // Of another group or term what a copy has carried out is told by other numbers.
-        report.parts().stream().filter(part -> ours || part.of() != Of.REMOVAL)
-                .forEach(part -> took(from, part));
+            report.parts().stream()
+                    .filter(part -> ours || part.of() != Of.REMOVAL)
+                    .forEach(part -> took(from, part));
         }
         if (report.asks() && reporters.answers(now, from, reports)) {
             long since = majorityAt();
-            boolean sure = fresh && begun() && now - since < 2 * Math.max(longest, settings.lease());
+            boolean sure =
+                    fresh && begun() && now - since < 2 * Math.max(longest, settings.lease());
             if (sure) {
                 reporters.granted(now, from);
             }
-            post(from, new Letter.Grant(life, report.number(), agreement.group(), agreement.term(), now,
-                    sure ? now - since : -1, agreedNumber(), reporters.last(from)));
+            post(
+                    from,
+                    new Letter.Grant(
+                            life,
+                            report.number(),
+                            agreement.group(),
+                            agreement.term(),
+                            now,
+                            sure ? now - since : -1,
+                            agreedNumber(),
+                            reporters.last(from)));
         }
     }
 
     private void granted(Letter.Grant grant) {
-        if (grant.life() != agreement.life() || grant.asked() > number || grant.asked() <= number - OPEN) {
+        if (grant.life() != agreement.life()
+                || grant.asked() > number
+                || grant.asked() <= number - OPEN) {
             return;
         }
         int byGroup = grant.group().compareTo(grantGroup);
@@ -574,8 +655,12 @@
         grantGroup = grant.group();
         grantTerm = grant.term();
         if (grant.age() >= 0) {
-            lease.sure(grant.group(), grant.table(), sentAt[(int) (grant.asked() % OPEN)] - grant.age()
-                    - 2 * grant.age() / FleetSettings.DRIFT);
+            lease.sure(
+                    grant.group(),
+                    grant.table(),
+                    sentAt[(int) (grant.asked() % OPEN)]
+                            - grant.age()
+                            - 2 * grant.age() / FleetSettings.DRIFT);
         } else if (first) {
             reportAt = now; // it waits to hear that a majority has heard it
         }
@@ -587,7 +672,8 @@
         if (!begun()) {
             return;
         }
-        if (waitsFor != null && agreement.loaded().compareTo(waitsFor) < 0
+        if (waitsFor != null
+                && agreement.loaded().compareTo(waitsFor) < 0
                 && now - waitsSince < MOST_WAITED * settings.period()) {
             return;
         }
@@ -598,12 +684,24 @@
             return;
         }
         long base = base(agreement.group());
-        long next = Math.max(base, Math.max(agreedNumber(), Math.max(highest(), reporters.highest()))) + 1;
-        RouteTable table = new RouteTable(next, base >>> COUNTER, agreement.term(), settings.lease(),
-                shares.plan(now, tier), removal.leaving(), List.of());
+        long next =
+                Math.max(base, Math.max(agreedNumber(), Math.max(highest(), reporters.highest())))
+                        + 1;
+        RouteTable table =
+                new RouteTable(
+                        next,
+                        base >>> COUNTER,
+                        agreement.term(),
+                        settings.lease(),
+                        shares.plan(now, tier),
+                        removal.leaving(),
+                        List.of());
         RouteTable before = lease.agreed();
-        boolean same = before != null && before.group() == table.group() && before.lease() == table.lease()
-                && TableDifference.between(before, table).nothing();
+        boolean same =
+                before != null
+                        && before.group() == table.group()
+                        && before.lease() == table.lease()
+                        && TableDifference.between(before, table).nothing();
         if (!same && roomEverywhere(table)) {
             propose(tagged(TABLE, TableCodec.encode(table)));
         }
@@ -614,8 +712,12 @@
         waitsSince = now;
     }
 
-    /** Bits of a table's number that count within a group; above them are the group's era and founder. */
+    /**
+     * Bits of a table's number that count within a group; above them are the group's era and
+     * founder.
+     */
     private static final int COUNTER = 28;
+
     private static final int FOUNDER = 16;
     private static final long MOST_BASE = Long.MAX_VALUE >>> COUNTER;
 
@@ -630,7 +732,8 @@
         for (int copy = 0; copy < zones.length; copy++) {
             if (copy == self) {
                 rooms.put(copy, room.get().least(LOG));
-            } else if (tier.lives(copy) && reporters.heardSince(copy, now - HEARD_LATELY * reports)) {
+            } else if (tier.lives(copy)
+                    && reporters.heardSince(copy, now - HEARD_LATELY * reports)) {
                 rooms.put(copy, reporters.room(copy));
             }
         }
@@ -639,7 +742,12 @@
             heldBack = null;
         } else if (heldBack == null || !TableDifference.between(heldBack, table).nothing()) {
             heldBack = table;
-            say(Words.heldBack(by, TableFootprint.bytes(table), table.leaving().size(), rooms.get(by)));
+            say(
+                    Words.heldBack(
+                            by,
+                            TableFootprint.bytes(table),
+                            table.leaving().size(),
+                            rooms.get(by)));
         }
         return by == null;
     }
--- a/core/src/main/java/cedarrudder/fleet/FleetSettings.java
+++ b/core/src/main/java/cedarrudder/fleet/FleetSettings.java
@@ -3,10 +3,10 @@
 /**
  * The figures of what copies decide together. Times are nanoseconds.
  *
- * @param period between two plans of the copy that leads, and between two reports of each copy; at least
- * 10 ms
- * @param lease how long a copy that hears nothing more of a leader with a majority goes on with its table; at
- * least four reports
+ * @param period between two plans of the copy that leads, and between two reports of each copy; at
+ *     least 10 ms
+ * @param lease how long a copy that hears nothing more of a leader with a majority goes on with its
+ *     table; at least four reports
  */
 public record FleetSettings(long period, long lease) {
 
@@ -15,14 +15,18 @@
     /** What serves where nothing else is said. */
     public static final FleetSettings DEFAULT = new FleetSettings(500 * MILLI, 10_000 * MILLI);
 
-    /** Clocks of two copies differ by no more than one part in so many, in the time that passes on them. */
+    /**
+     * Clocks of two copies differ by no more than one part in so many, in the time that passes on
+     * them.
+     */
     public static final int DRIFT = 1_000;
 
     /**
-     * All reports come to one copy: each copy has so long between two of its own, for each copy there is.
-     * Guards against a leader that hears more the larger the tier is.
+     * All reports come to one copy: each copy has so long between two of its own, for each copy
+     * there is. Guards against a leader that hears more the larger the tier is.
      */
     private static final long APART = 5 * MILLI;
+
     private static final int LEAST_REPORTS = 4;
 
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
--- a/core/src/main/java/cedarrudder/fleet/Lease.java
+++ b/core/src/main/java/cedarrudder/fleet/Lease.java
@@ -4,15 +4,15 @@
 import cedarrudder.table.RouteTable;
 
 /**
- * How long a copy may use what it has loaded: from its last sure contact, on its own clock alone. A contact
- * is the moment at which it sent a report that a leader answered, less how long before the answer that leader
- * last knew a majority with it; so an answer that is late, doubled or kept by others for long gives nothing
- * that it did not give when it was new.
+ * How long a copy may use what it has loaded: from its last sure contact, on its own clock alone. A
+ * contact is the moment at which it sent a report that a leader answered, less how long before the
+ * answer that leader last knew a majority with it; so an answer that is late, doubled or kept by
+ * others for long gives nothing that it did not give when it was new.
  */
 final class Lease {
 
     /** What a leader said of a table that is not loaded here yet. */
-    private record Ahead(Group group, long table, long contact) { }
+    private record Ahead(Group group, long table, long contact) {}
 
     private final long none;
     private Group group = Group.NONE;
@@ -51,13 +51,18 @@
         return agreed == null ? 0 : agreed.number();
     }
 
-    /** At that instant a leader of that group certainly led, and no table was newer than this one. */
+    /**
+     * At that instant a leader of that group certainly led, and no table was newer than this one.
+     */
     void sure(Group in, long table, long instant) {
         if (in.equals(group) && number() >= table) {
             contact = Math.max(contact, instant);
             ahead = null;
         } else if (ahead == null || !ahead.group.equals(in)) {
-            ahead = new Ahead(in, table, instant); // the first: guards against one that is never caught up
+            ahead =
+                    new Ahead(
+                            in, table,
+                            instant); // the first: guards against one that is never caught up
         }
     }
 
@@ -68,6 +73,8 @@
 
     /** Until when what is agreed on may be used; in the past where it may not be. */
     long until() {
-        return agreed == null ? none : contact + agreed.lease() - agreed.lease() / FleetSettings.DRIFT;
+        return agreed == null
+                ? none
+                : contact + agreed.lease() - agreed.lease() / FleetSettings.DRIFT;
     }
 }
