--- a/core/src/main/java/cedarrudder/fleet/Letter.java
+++ b/core/src/main/java/cedarrudder/fleet/Letter.java
@@ -9,14 +9,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * What copies tell one another beside the log, in datagrams of at most {@value #MOST_BYTES} bytes: a first
- * byte that no message of membership or agreement begins with, the kind, the sender (2) and its life (8), the
- * fields, and a checksum (CRC32C, 4) of all before it. Big-endian.
+ * What copies tell one another beside the log, in datagrams of at most {@value #MOST_BYTES} bytes:
+ * a first byte that no message of membership or agreement begins with, the kind, the sender (2) and
+ * its life (8), the fields, and a checksum (CRC32C, 4) of all before it. Big-endian.
  */
 sealed interface Letter {
 
     /** The first byte of all of them. */
     byte FIRST = (byte) 0xa7;
+
     int MOST_BYTES = 224;
 
     /** No instant: clocks may say 0, and less. */
@@ -26,27 +27,40 @@
     int SUM = 4;
 
     /** What a part is of. */
-    enum Of { SHARES, REMOVAL }
+    enum Of {
+        SHARES,
+        REMOVAL
+    }
 
     /** Of one subject. */
-    record Part(Of of, byte[] bytes) { }
+    record Part(Of of, byte[] bytes) {}
 
     /** Who sent it, in which of its lives. */
-    record Sealed(int sender, long life, Letter letter) { }
+    record Sealed(int sender, long life, Letter letter) {}
 
     /**
      * A copy says how it is, and asks the one that leads whether its table still holds.
      *
-     * @param asks whether it wants an answer; of several datagrams of one report only the first does
+     * @param asks whether it wants an answer; of several datagrams of one report only the first
+     *     does
      * @param number its own, which only rises in the sender's life
      * @param term in which the sender is
-     * @param heardAt the instant in the newest grant that it had of the leader of that group and term, or
-     * {@link #NEVER}
+     * @param heardAt the instant in the newest grant that it had of the leader of that group and
+     *     term, or {@link #NEVER}
      * @param table the number of the table that it has, or 0
      * @param highest the highest number of a table that it ever had
      */
-    record Report(boolean asks, long number, Group group, long term, long heardAt, long table, long highest,
-            Room room, List<Part> parts) implements Letter {
+    record Report(
+            boolean asks,
+            long number,
+            Group group,
+            long term,
+            long heardAt,
+            long table,
+            long highest,
+            Room room,
+            List<Part> parts)
+            implements Letter {
         public Report {
             parts = List.copyOf(parts);
         }
@@ -62,14 +76,18 @@
      * @param table the number of what is agreed on, or 0
      * @param last the highest number of a report of that life: the next must be higher
      */
-    record Grant(long life, long asked, Group group, long term, long at, long age, long table, long last)
-            implements Letter { }
+    record Grant(
+            long life, long asked, Group group, long term, long at, long age, long table, long last)
+            implements Letter {}
 
     default byte[] encode(int sender, long life) {
         ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
         out.put(FIRST);
         if (this instanceof Report m) {
-            out.put((byte) (m.asks ? 1 : 0)).putShort((short) sender).putLong(life).putLong(m.number);
+            out.put((byte) (m.asks ? 1 : 0))
+                    .putShort((short) sender)
+                    .putLong(life)
+                    .putLong(m.number);
             put(out, m.group);
             out.putLong(m.term).putLong(m.heardAt).putLong(m.table).putLong(m.highest);
             m.room.put(out);
@@ -77,10 +95,13 @@
                 out.put((byte) part.of.ordinal()).put((byte) part.bytes.length).put(part.bytes);
             }
         } else if (this instanceof Grant m) {
-            out.put((byte) 2).putShort((short) sender).putLong(life).putLong(m.life).putLong(m.asked);
+            out.put((byte) 2)
+                    .putShort((short) sender)
+                    .putLong(life)
+                    .putLong(m.life)
+                    .putLong(m.asked);
             put(out, m.group);
-            out.putLong(m.term).putLong(m.at).putLong(m.age).putLong(m.table)
-                    .putLong(m.last);
+            out.putLong(m.term).putLong(m.at).putLong(m.age).putLong(m.table).putLong(m.last);
         }
         out.putInt(sum(out.array(), out.position()));
         byte[] bytes = new byte[out.position()];
@@ -103,15 +124,37 @@
             int kind = in.get();
             int sender = in.getShort() & 0xffff;
             long life = in.getLong();
-            Letter letter = switch (kind) {
-                case 0, 1 -> new Report(kind == 1, in.getLong(), group(in), in.getLong(), in.getLong(),
-                        in.getLong(), in.getLong(), Room.get(in), parts(in));
-                case 2 -> new Grant(in.getLong(), in.getLong(), group(in), in.getLong(), in.getLong(),
-                        in.getLong(), in.getLong(), in.getLong());
-                default -> null;
-            };
-            boolean good = letter != null && !in.hasRemaining() && sender < copies && life >= 0
-                    && letter.plausible();
+            Letter letter =
+                    switch (kind) {
+                        case 0, 1 ->
+                                new Report(
+                                        kind == 1,
+                                        in.getLong(),
+                                        group(in),
+                                        in.getLong(),
+                                        in.getLong(),
+                                        in.getLong(),
+                                        in.getLong(),
+                                        Room.get(in),
+                                        parts(in));
+                        case 2 ->
+                                new Grant(
+                                        in.getLong(),
+                                        in.getLong(),
+                                        group(in),
+                                        in.getLong(),
+                                        in.getLong(),
+                                        in.getLong(),
+                                        in.getLong(),
+                                        in.getLong());
+                        default -> null;
+                    };
+            boolean good =
+                    letter != null
+                            && !in.hasRemaining()
+                            && sender < copies
+                            && life >= 0
+                            && letter.plausible();
             return good ? new Sealed(sender, life, letter) : null;
         } catch (BufferUnderflowException e) {
             return null;
@@ -120,12 +163,18 @@
 
     private boolean plausible() {
         if (this instanceof Report m) {
-            return m.number >= 0 && m.number < Long.MAX_VALUE >> 1
-                    && m.term >= 0 && m.table >= 0 && m.highest >= m.table
+            return m.number >= 0
+                    && m.number < Long.MAX_VALUE >> 1
+                    && m.term >= 0
+                    && m.table >= 0
+                    && m.highest >= m.table
                     && m.highest < Long.MAX_VALUE >> 1
                     && m.parts.size() <= 2 * FleetCopy.MOST_PARTS;
         } else if (this instanceof Grant m) {
-            return m.term >= 0 && m.age >= -1 && m.age < Long.MAX_VALUE >> 2 && m.table >= 0
+            return m.term >= 0
+                    && m.age >= -1
+                    && m.age < Long.MAX_VALUE >> 2
+                    && m.table >= 0
                     && m.last < Long.MAX_VALUE >> 1;
         }
         return false;
--- a/core/src/main/java/cedarrudder/fleet/Removal.java
+++ b/core/src/main/java/cedarrudder/fleet/Removal.java
@@ -4,21 +4,26 @@
 import java.util.List;
 
 /**
- * Which nodes are being removed: a state that all copies agree on, changed by commands that they agree on.
- * What a command does must depend on the state and the command alone.
+ * Which nodes are being removed: a state that all copies agree on, changed by commands that they
+ * agree on. What a command does must depend on the state and the command alone.
  */
 public interface Removal {
 
     /** What this copy still has at the nodes that leave; as {@link Shares#report}. */
     List<byte[]> report(long now);
 
-    /** At the copy that leads: a part of what another still has, or it itself. It may be no such part. */
+    /**
+     * At the copy that leads: a part of what another still has, or it itself. It may be no such
+     * part.
+     */
     void reported(long now, int from, byte[] part);
 
     /** At the copy that leads, each period: a command that is due by what was reported, or null. */
     byte[] next(long now, Tier tier);
 
-    /** This copy leads from here on, or no longer: what was reported to it before counts no more. */
+    /**
+     * This copy leads from here on, or no longer: what was reported to it before counts no more.
+     */
     void leads(long now, boolean leads);
 
     /** A command is committed; it may be none, which changes nothing. */
@@ -34,37 +39,38 @@
     void restored(long now, byte[] state);
 
     /** No node is removed. */
-    Removal NONE = new Removal() {
-        @Override
-        public List<byte[]> report(long now) {
-            return List.of();
-        }
-
-        @Override
-        public void reported(long now, int from, byte[] part) { }
-
-        @Override
-        public byte[] next(long now, Tier tier) {
-            return null;
-        }
-
-        @Override
-        public void leads(long now, boolean leads) { }
-
-        @Override
-        public void apply(long now, byte[] command) { }
-
-        @Override
-        public List<RouteTable.Leaving> leaving() {
-            return List.of();
-        }
-
-        @Override
-        public byte[] state() {
-            return new byte[0];
-        }
-
-        @Override
-        public void restored(long now, byte[] state) { }
-    };
+    Removal NONE =
+            new Removal() {
+                @Override
+                public List<byte[]> report(long now) {
+                    return List.of();
+                }
+
+                @Override
+                public void reported(long now, int from, byte[] part) {}
+
+                @Override
+                public byte[] next(long now, Tier tier) {
+                    return null;
+                }
+
+                @Override
+                public void leads(long now, boolean leads) {}
+
+                @Override
+                public void apply(long now, byte[] command) {}
+
+                @Override
+                public List<RouteTable.Leaving> leaving() {
+                    return List.of();
+                }
+
+                @Override
+                public byte[] state() {
+                    return new byte[0];
+                }
+
+                @Override
+                public void restored(long now, byte[] state) {}
+            };
 }
--- a/core/src/main/java/cedarrudder/fleet/Reporters.java
+++ b/core/src/main/java/cedarrudder/fleet/Reporters.java
@@ -5,10 +5,15 @@
 import cedarrudder.footprint.Room;
 import java.util.Arrays;
 
-/** What the copy that leads knows of the copies that report to it, and when a majority was with it. */
+/**
+ * What the copy that leads knows of the copies that report to it, and when a majority was with it.
+ */
 final class Reporters {
 
-    /** One copy is answered so often a period at the most. Guards against work without end for a flood. */
+    /**
+     * One copy is answered so often a period at the most. Guards against work without end for a
+     * flood.
+     */
     private static final int MOST_ANSWERS = 8;
 
     private final long[] lives;
@@ -87,11 +92,22 @@
         return grantedAt[copy];
     }
 
-    /** When a majority of the voters was last known to be in the term of this one, on this one's clock. */
+    /**
+     * When a majority of the voters was last known to be in the term of this one, on this one's
+     * clock.
+     */
     long majorityAt(long now, Voter self, Voters voters) {
-        long[] all = voters.all().stream().mapToLong(voter -> voter.equals(self) ? now
-                : lives[voter.copy()] == voter.life() ? withUs[voter.copy()] : now - Long.MAX_VALUE / 4)
-                .sorted().toArray();
+        long[] all =
+                voters.all().stream()
+                        .mapToLong(
+                                voter ->
+                                        voter.equals(self)
+                                                ? now
+                                                : lives[voter.copy()] == voter.life()
+                                                        ? withUs[voter.copy()]
+                                                        : now - Long.MAX_VALUE / 4)
+                        .sorted()
+                        .toArray();
         return all.length == 0 ? now - Long.MAX_VALUE / 4 : all[(all.length - 1) / 2];
     }
 
@@ -109,6 +125,4 @@
     long highest() {
         return highest;
     }
-
-
 }
--- a/core/src/main/java/cedarrudder/fleet/Shares.java
+++ b/core/src/main/java/cedarrudder/fleet/Shares.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * Which zones serve whose callers: each copy says what it saw, and the copy that leads plans from what all
- * said. Nothing of it is agreed on but the plan.
+ * Which zones serve whose callers: each copy says what it saw, and the copy that leads plans from
+ * what all said. Nothing of it is agreed on but the plan.
  */
 public interface Shares {
 
     /**
-     * What this copy saw since it was asked last: at most {@link FleetCopy#MOST_PARTS} parts
-     * of at most {@link FleetCopy#MOST_PART} bytes, each of which stands for itself, as any may be lost.
+     * What this copy saw since it was asked last: at most {@link FleetCopy#MOST_PARTS} parts of at
+     * most {@link FleetCopy#MOST_PART} bytes, each of which stands for itself, as any may be lost.
      */
     List<byte[]> report(long now);
 
@@ -21,25 +21,28 @@
     /** At the copy that leads, each period: the shares that should hold. */
     List<RouteTable.Share> plan(long now, Tier tier);
 
-    /** This copy leads from here on, or no longer: what was reported to it before counts no more. */
+    /**
+     * This copy leads from here on, or no longer: what was reported to it before counts no more.
+     */
     void leads(long now, boolean leads);
 
     /** Callers stay in their zones. */
-    Shares NONE = new Shares() {
-        @Override
-        public List<byte[]> report(long now) {
-            return List.of();
-        }
-
-        @Override
-        public void reported(long now, int from, byte[] part) { }
-
-        @Override
-        public List<RouteTable.Share> plan(long now, Tier tier) {
-            return List.of();
-        }
-
-        @Override
-        public void leads(long now, boolean leads) { }
-    };
+    Shares NONE =
+            new Shares() {
+                @Override
+                public List<byte[]> report(long now) {
+                    return List.of();
+                }
+
+                @Override
+                public void reported(long now, int from, byte[] part) {}
+
+                @Override
+                public List<RouteTable.Share> plan(long now, Tier tier) {
+                    return List.of();
+                }
+
+                @Override
+                public void leads(long now, boolean leads) {}
+            };
 }
--- a/core/src/main/java/cedarrudder/fleet/State.java
+++ b/core/src/main/java/cedarrudder/fleet/State.java
@@ -5,8 +5,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * All that copies have agreed on, as bytes: the length of the table (4), the table, and the state of the
- * removal. No bytes at all are what there is before the first entry.
+ * All that copies have agreed on, as bytes: the length of the table (4), the table, and the state
+ * of the removal. No bytes at all are what there is before the first entry.
  *
  * @param table null before the first
  */
@@ -17,8 +17,11 @@
         if (head.length + removal.length == 0) {
             return new byte[0];
         }
-        return ByteBuffer.allocate(Integer.BYTES + head.length + removal.length).putInt(head.length).put(head)
-                .put(removal).array();
+        return ByteBuffer.allocate(Integer.BYTES + head.length + removal.length)
+                .putInt(head.length)
+                .put(head)
+                .put(removal)
+                .array();
     }
 
     /** Reads it; null where the bytes are none. */
--- a/core/src/main/java/cedarrudder/fleet/Tier.java
+++ b/core/src/main/java/cedarrudder/fleet/Tier.java
@@ -20,8 +20,8 @@
     RouteTable agreed();
 
     /**
-     * When a copy that is silent has certainly left its table, on this copy's clock: until then its calls go
-     * where that says.
+     * When a copy that is silent has certainly left its table, on this copy's clock: until then its
+     * calls go where that says.
      */
     long leaseOver(int copy);
 }
--- a/core/src/main/java/cedarrudder/fleet/Words.java
+++ b/core/src/main/java/cedarrudder/fleet/Words.java
@@ -19,51 +19,112 @@
 final class Words {
 
     /** Something that happened, and what else is known of it. */
-    record Said(String what, Map<String, String> fields) { }
+    record Said(String what, Map<String, String> fields) {}
 
-    private Words() { }
+    private Words() {}
 
     static Said of(Note note) {
         String group = text(note.group());
         if (note instanceof Note.Voted n) {
-            return new Said("voted", Map.of("group", group, "term", text(n.term()), "as", text(n.by().life()),
-                    "for", text(n.candidate())));
+            return new Said(
+                    "voted",
+                    Map.of(
+                            "group",
+                            group,
+                            "term",
+                            text(n.term()),
+                            "as",
+                            text(n.by().life()),
+                            "for",
+                            text(n.candidate())));
         } else if (note instanceof Note.Leads n) {
-            return new Said("leads", Map.of("group", group, "term", text(n.term()),
-                    "as", text(n.by().life())));
+            return new Said(
+                    "leads",
+                    Map.of("group", group, "term", text(n.term()), "as", text(n.by().life())));
         } else if (note instanceof Note.Stored n) {
-            Map<String, String> fields = new HashMap<>(Map.of("group", group, "index", text(n.index()),
-                    "as", text(n.by().life()), "sum", sum(n.entry().content())));
+            Map<String, String> fields =
+                    new HashMap<>(
+                            Map.of(
+                                    "group",
+                                    group,
+                                    "index",
+                                    text(n.index()),
+                                    "as",
+                                    text(n.by().life()),
+                                    "sum",
+                                    sum(n.entry().content())));
             if (n.entry().kind() == Entry.Kind.VOTERS) {
                 fields.put("voters", text(Voters.decode(n.entry().bytes())));
             }
             return new Said("stored", fields);
         }
         Note.Seated seated = (Note.Seated) note;
-        return new Said("seated", Map.of("group", group, "index", text(seated.index()),
-                "voters", text(seated.voters())));
+        return new Said(
+                "seated",
+                Map.of(
+                        "group",
+                        group,
+                        "index",
+                        text(seated.index()),
+                        "voters",
+                        text(seated.voters())));
     }
 
     static Said loaded(LogNumber number, byte[] content, byte[] state) {
-        return new Said("loaded", Map.of("group", text(number.group()), "index", text(number.index()),
-                "sum", sum(content), "state", sum(state)));
+        return new Said(
+                "loaded",
+                Map.of(
+                        "group",
+                        text(number.group()),
+                        "index",
+                        text(number.index()),
+                        "sum",
+                        sum(content),
+                        "state",
+                        sum(state)));
     }
 
     static Said restored(LogNumber number, byte[] state, long life) {
-        return new Said("restored", Map.of("group", text(number.group()), "index", text(number.index()),
-                "state", sum(state), "as", text(life)));
+        return new Said(
+                "restored",
+                Map.of(
+                        "group",
+                        text(number.group()),
+                        "index",
+                        text(number.index()),
+                        "state",
+                        sum(state),
+                        "as",
+                        text(life)));
     }
 
     static Said table(RouteTable table) {
-        return new Said("table", Map.of("number", text(table.number()), "group", text(table.group()),
-                "term", text(table.term()), "lease", text(table.lease()), "shares",
-                table.shares().stream().map(Words::text).collect(Collectors.joining(","))));
+        return new Said(
+                "table",
+                Map.of(
+                        "number",
+                        text(table.number()),
+                        "group",
+                        text(table.group()),
+                        "term",
+                        text(table.term()),
+                        "lease",
+                        text(table.lease()),
+                        "shares",
+                        table.shares().stream().map(Words::text).collect(Collectors.joining(","))));
     }
 
     /** As {@code from>to:way:parts:per_s}. */
     private static String text(RouteTable.Share share) {
-        return share.from() + ">" + share.to() + ":" + share.way().name().toLowerCase(Locale.ROOT) + ":"
-                + share.parts() + ":" + share.perSecond();
+        return share.from()
+                + ">"
+                + share.to()
+                + ":"
+                + share.way().name().toLowerCase(Locale.ROOT)
+                + ":"
+                + share.parts()
+                + ":"
+                + share.perSecond();
     }
 
     static Said lapsed(RouteTable table) {
@@ -76,8 +137,13 @@
     }
 
     static Said leaving(List<RouteTable.Leaving> nodes) {
-        return new Said("leaving", Map.of("nodes", nodes.stream().map(node -> text(node.node()))
-                .collect(Collectors.joining(","))));
+        return new Said(
+                "leaving",
+                Map.of(
+                        "nodes",
+                        nodes.stream()
+                                .map(node -> text(node.node()))
+                                .collect(Collectors.joining(","))));
     }
 
     static Said refused(RouteTable table, String why) {
@@ -86,13 +152,23 @@
 
     /** A copy has no room for what the one that leads would have agreed on. */
     static Said heldBack(int copy, int bytes, int nodes, Room room) {
-        return new Said("held-back", Map.of("by", text(copy), "bytes", text(bytes), "nodes", text(nodes),
-                "room", room.bytes() + " bytes, " + room.leaving() + " nodes"));
+        return new Said(
+                "held-back",
+                Map.of(
+                        "by",
+                        text(copy),
+                        "bytes",
+                        text(bytes),
+                        "nodes",
+                        text(nodes),
+                        "room",
+                        room.bytes() + " bytes, " + room.leaving() + " nodes"));
     }
 
     /** As texts that sort as the groups do. */
     static String text(Group group) {
-        return String.format(Locale.ROOT, "%08x.%04x.%016x", group.era(), group.founder(), group.life());
+        return String.format(
+                Locale.ROOT, "%08x.%04x.%016x", group.era(), group.founder(), group.life());
     }
 
     static String text(Voters voters) {
--- a/core/src/main/java/cedarrudder/flow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/flow/BodyFlow.java
@@ -5,21 +5,25 @@
 import java.util.Queue;
 
 /**
- * The rest of a body on its way from the side that reads it to the side that writes it: a window of pieces.
- * The reading side puts pieces and stops reading while the flow is full; the writing side takes them. Owned
- * by the event loop; not thread-safe.
+ * The rest of a body on its way from the side that reads it to the side that writes it: a window of
+ * pieces. The reading side puts pieces and stops reading while the flow is full; the writing side
+ * takes them. Owned by the event loop; not thread-safe.
  *
- * <p>Guards against memory that grows with the bodies: whatever their size and number, each holds a window.
+ * <p>Guards against memory that grows with the bodies: whatever their size and number, each holds a
+ * window.
  */
 public final class BodyFlow {
 
-    /** A flow that holds so much, in bytes, is full: the protocol's largest body, whatever the site. */
+    /**
+     * A flow that holds so much, in bytes, is full: the protocol's largest body, whatever the site.
+     */
     public static final int WINDOW = 64 * 1024;
 
-    private static final Runnable NOBODY = () -> { };
+    private static final Runnable NOBODY = () -> {};
 
     /** Pieces below this size, in bytes, are joined while they wait, up to a whole one. */
     private static final int SMALL = 1024;
+
     private static final int WHOLE = 8 * 1024;
     private static final int LEAST_JOINED = 64;
 
@@ -27,6 +31,7 @@
 
     /** Small pieces behind the others, joined: {@code joinedLength} bytes of it. */
     private byte[] joined;
+
     private int joinedLength;
     private final HeldBytes account;
     private int held;
@@ -54,7 +59,10 @@
         }
     }
 
-    /** Guards against a window that costs many times its bytes, since its sender cut it into single ones. */
+    /**
+     * Guards against a window that costs many times its bytes, since its sender cut it into single
+     * ones.
+     */
     private void join(byte[] piece) {
         if (joinedLength + piece.length > WHOLE) {
             endJoined();
@@ -73,7 +81,8 @@
 
     private void endJoined() {
         if (joined != null) {
-            pieces.add(joinedLength == joined.length ? joined : Arrays.copyOf(joined, joinedLength));
+            pieces.add(
+                    joinedLength == joined.length ? joined : Arrays.copyOf(joined, joinedLength));
             joined = null;
             joinedLength = 0;
         }
@@ -90,7 +99,10 @@
         whenMore.run();
     }
 
-    /** The rest will not come, or nobody takes it: what is held is dropped. No effect once all was taken. */
+    /**
+     * The rest will not come, or nobody takes it: what is held is dropped. No effect once all was
+     * taken.
+     */
     public void fail() {
         if (!broken && !atEnd()) {
             broken = true;
--- a/core/src/main/java/cedarrudder/flow/HeldBytes.java
+++ b/core/src/main/java/cedarrudder/flow/HeldBytes.java
@@ -1,18 +1,22 @@
 package cedarrudder.flow;
 
 /**
- * The account of the bytes of bodies: those that flow, are being read, or belong to a request under way.
- * Owned by the event loop; not thread-safe.
+ * The account of the bytes of bodies: those that flow, are being read, or belong to a request under
+ * way. Owned by the event loop; not thread-safe.
  */
 public final class HeldBytes {
 
-    /** What counts where nothing is set: an eighth of the least memory seen for a proxy, in bytes. */
+    /**
+     * What counts where nothing is set: an eighth of the least memory seen for a proxy, in bytes.
+     */
     public static final long MOST = 16L * 1024 * 1024;
 
     private long most;
     private long held;
 
-    /** @param most the bound, in bytes; each flow may hold one piece beyond it */
+    /**
+     * @param most the bound, in bytes; each flow may hold one piece beyond it
+     */
     public HeldBytes(long most) {
         this.most = most;
     }
--- a/core/src/main/java/cedarrudder/footprint/CopyFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/CopyFootprint.java
@@ -7,17 +7,23 @@
 import java.util.stream.Stream;
 
 /**
- * What a whole copy takes: the heap at rest and at the peak of loading, direct memory, descriptors and the
- * machine's memory. What grows with a list or a table is worked out from the layout of objects; what is there
- * before the first of them, and what a connection takes, was measured on real processes (docs/FOOTPRINT.md),
- * with references of four bytes and of eight; a test holds the sums against such processes.
+ * What a whole copy takes: the heap at rest and at the peak of loading, direct memory, descriptors
+ * and the machine's memory. What grows with a list or a table is worked out from the layout of
+ * objects; what is there before the first of them, and what a connection takes, was measured on
+ * real processes (docs/FOOTPRINT.md), with references of four bytes and of eight; a test holds the
+ * sums against such processes.
  */
 public final class CopyFootprint {
 
-    /** With references of eight bytes, so much more is taken by what was measured with those of four. */
+    /**
+     * With references of eight bytes, so much more is taken by what was measured with those of
+     * four.
+     */
     private static final double WIDE = 1.39;
 
-    /** Of the young generation, as the flags of the platform's command make it: touched as it fills. */
+    /**
+     * Of the young generation, as the flags of the platform's command make it: touched as it fills.
+     */
     private static final long YOUNG = 3_000_000;
 
     /** So many times what a list takes at its peak is allocated while it is read. */
@@ -26,8 +32,12 @@
     /** What discovery's first word leaves behind. */
     private static final long WATCH = 61_500;
 
-    /** The parser's buffer has so many characters at the least; those of longer texts are read in parts. */
+    /**
+     * The parser's buffer has so many characters at the least; those of longer texts are read in
+     * parts.
+     */
     private static final int LEAST_PARSED = 4_000;
+
     private static final int MOST_PARSED = 1 << 15;
 
     private static final int CALLER = 3_050;
@@ -37,23 +47,34 @@
     /** Direct memory comes in pieces of so many bytes. */
     private static final int CHUNK = 1 << 18;
 
-    /** A body that flows holds so much of the heap, and so much waits in direct memory to be written. */
+    /**
+     * A body that flows holds so much of the heap, and so much waits in direct memory to be
+     * written.
+     */
     private static final int FLOWS = 1 << 16;
+
     private static final int WAITS = 1 << 15;
 
     private static final int NAME = 10;
 
     /** What binds a copy. */
-    public enum Bound { HEAP_AT_REST, HEAP_AT_PEAK, RESIDENT, DIRECT, DESCRIPTORS }
+    public enum Bound {
+        HEAP_AT_REST,
+        HEAP_AT_PEAK,
+        RESIDENT,
+        DIRECT,
+        DESCRIPTORS
+    }
 
     /** One line of an estimate. */
-    public record Term(String name, long count, Takes takes) { }
+    public record Term(String name, long count, Takes takes) {}
 
     /**
      * What comes of a copy.
      *
      * @param fits whether all bounds leave room
-     * @param bound the one that is exceeded by most, or that has the least to spare, in parts of itself
+     * @param bound the one that is exceeded by most, or that has the least to spare, in parts of
+     *     itself
      * @param needed under it
      * @param room that it leaves
      */
@@ -75,7 +96,9 @@
         this(layout, Ground.usual(layout));
     }
 
-    /** @param ground what there is before the first list, as the process itself says */
+    /**
+     * @param ground what there is before the first list, as the process itself says
+     */
     public CopyFootprint(Layout layout, Ground ground) {
         this.layout = Objects.requireNonNull(layout);
         this.lists = new Footprint(layout);
@@ -92,25 +115,50 @@
     public List<Term> terms(CopyShape copy) {
         ListShape list = copy.list();
         List<Term> terms = new ArrayList<>();
-        terms.add(new Term("process", 1, new Takes(ground.heap(), ground.heap(), ground.direct(),
-                ground.descriptors())));
+        terms.add(
+                new Term(
+                        "process",
+                        1,
+                        new Takes(
+                                ground.heap(),
+                                ground.heap(),
+                                ground.direct(),
+                                ground.descriptors())));
         terms.add(term("zones", copy.zones(), name()));
         terms.add(term("kinds", copy.kinds(), name()));
-        terms.add(term("classes", copy.classes(), name() + layout.object(1, 10 * 8)
-                + layout.object(0, 3 * 8)));
+        terms.add(
+                term(
+                        "classes",
+                        copy.classes(),
+                        name() + layout.object(1, 10 * 8) + layout.object(0, 3 * 8)));
         terms.add(term("tenants", copy.tenants(), name() + layout.object(1, 2 * 8) + 3 * 8));
         long rest = lists.atRest(list) + watch(list);
-        terms.add(new Term("nodes", list.nodes(), new Takes(rest,
-                watch(list) + lists.toldAgain(list), 0, 0)));
+        terms.add(
+                new Term(
+                        "nodes",
+                        list.nodes(),
+                        new Takes(rest, watch(list) + lists.toldAgain(list), 0, 0)));
         long table = tables.atRest(copy.table());
-        terms.add(new Term("table", copy.table() == null ? 0 : 1, new Takes(table,
-                copy.table() == null ? 0 : tables.atPeak(copy.table(), copy.table()), 0, 0)));
+        terms.add(
+                new Term(
+                        "table",
+                        copy.table() == null ? 0 : 1,
+                        new Takes(
+                                table,
+                                copy.table() == null
+                                        ? 0
+                                        : tables.atPeak(copy.table(), copy.table()),
+                                0,
+                                0)));
         terms.add(connections("callers", copy.callers(), CALLER));
         terms.add(connections("channels", copy.channels(), CHANNEL));
         long flowing = Math.min(copy.bodies(), copy.bodyBytes() / FLOWS) * WAITS;
         long bodies = copy.bodies() * measured(UNDER_WAY) + copy.bodyBytes();
-        terms.add(new Term("bodies", copy.bodies(), new Takes(bodies, bodies,
-                (flowing + CHUNK - 1) / CHUNK * CHUNK, 0)));
+        terms.add(
+                new Term(
+                        "bodies",
+                        copy.bodies(),
+                        new Takes(bodies, bodies, (flowing + CHUNK - 1) / CHUNK * CHUNK, 0)));
         return terms;
     }
 
@@ -141,8 +189,10 @@
         if (list.textBytes() == 0) {
             return 0;
         }
-        long parsed = list.textBytes() > MOST_PARSED ? LEAST_PARSED
-                : Math.max(LEAST_PARSED, list.textBytes());
+        long parsed =
+                list.textBytes() > MOST_PARSED
+                        ? LEAST_PARSED
+                        : Math.max(LEAST_PARSED, list.textBytes());
         return measured(WATCH) + layout.array(parsed, 2);
     }
 
@@ -155,8 +205,13 @@
     public Takes oneMoreNode(CopyShape copy) {
         int nodes = copy.list().nodes();
         Takes more = takes(copy.of(2 * nodes)).minus(takes(copy));
-        return nodes == 0 ? Takes.NOTHING : new Takes(more.rest() / nodes, more.peak() / nodes,
-                more.direct() / nodes, more.descriptors() / nodes);
+        return nodes == 0
+                ? Takes.NOTHING
+                : new Takes(
+                        more.rest() / nodes,
+                        more.peak() / nodes,
+                        more.direct() / nodes,
+                        more.descriptors() / nodes);
     }
 
     /** What the copy takes of the machine's memory, in bytes. */
@@ -170,7 +225,10 @@
         return ground.resident() + young + grown + all.direct() - ground.direct();
     }
 
-    /** What of the heap is left for nodes and their lists, beside all else that the copy may come to hold. */
+    /**
+     * What of the heap is left for nodes and their lists, beside all else that the copy may come to
+     * hold.
+     */
     public long left(CopyShape without, long heap) {
         return Math.max(0, heap - takes(without.of(0)).rest());
     }
@@ -179,13 +237,16 @@
     public Verdict judge(CopyShape copy, Limits limits) {
         Takes all = takes(copy);
         Verdict rest = verdict(Bound.HEAP_AT_REST, all.rest(), limits.heap());
-        return Stream.of(rest, verdict(Bound.HEAP_AT_PEAK, all.peak(), limits.heap()),
-                verdict(Bound.RESIDENT, resident(copy, all), limits.resident()),
-                verdict(Bound.DIRECT, all.direct(), limits.direct()),
-                verdict(Bound.DESCRIPTORS, all.descriptors(), limits.descriptors()))
+        return Stream.of(
+                        rest,
+                        verdict(Bound.HEAP_AT_PEAK, all.peak(), limits.heap()),
+                        verdict(Bound.RESIDENT, resident(copy, all), limits.resident()),
+                        verdict(Bound.DIRECT, all.direct(), limits.direct()),
+                        verdict(Bound.DESCRIPTORS, all.descriptors(), limits.descriptors()))
                 // What does not even fit at rest is said so, though the peak lacks more.
                 .filter(one -> rest.fits() || one.bound() != Bound.HEAP_AT_PEAK)
-                .max(Comparator.comparingDouble(CopyFootprint::part)).orElseThrow();
+                .max(Comparator.comparingDouble(CopyFootprint::part))
+                .orElseThrow();
     }
 
     private static double part(Verdict verdict) {
--- a/core/src/main/java/cedarrudder/footprint/CopyShape.java
+++ b/core/src/main/java/cedarrudder/footprint/CopyShape.java
@@ -3,8 +3,8 @@
 import cedarrudder.table.RouteTable;
 
 /**
- * What a copy of the proxy is like, as far as it costs anything. Pods cost nothing by themselves, nor do
- * waves beyond their numbers in the route table: nodes hold the numbers of their pods.
+ * What a copy of the proxy is like, as far as it costs anything. Pods cost nothing by themselves,
+ * nor do waves beyond their numbers in the route table: nodes hold the numbers of their pods.
  *
  * @param list the nodes that it holds, with the text that told them
  * @param zones of the settings
@@ -17,12 +17,30 @@
  * @param bodies requests under way
  * @param bodyBytes what those hold of bodies, in bytes
  */
-public record CopyShape(ListShape list, int zones, int kinds, int classes, int tenants, RouteTable table,
-        int callers, int channels, int bodies, long bodyBytes) {
+public record CopyShape(
+        ListShape list,
+        int zones,
+        int kinds,
+        int classes,
+        int tenants,
+        RouteTable table,
+        int callers,
+        int channels,
+        int bodies,
+        long bodyBytes) {
 
     /** The same with so many nodes, of the same kind. */
     CopyShape of(int nodes) {
-        return new CopyShape(list.of(nodes), zones, kinds, classes, tenants, table, callers, channels, bodies,
+        return new CopyShape(
+                list.of(nodes),
+                zones,
+                kinds,
+                classes,
+                tenants,
+                table,
+                callers,
+                channels,
+                bodies,
                 bodyBytes);
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/Footprint.java
+++ b/core/src/main/java/cedarrudder/footprint/Footprint.java
@@ -5,14 +5,15 @@
 import java.util.Objects;
 
 /**
- * What a list of nodes takes of the heap, worked out from its shape alone: at rest, and at the peak of its
- * loading, when its text, the objects of the text and the nodes that it replaces are there too. Each line
- * below is a part of the daemon; a test holds them against the objects themselves.
+ * What a list of nodes takes of the heap, worked out from its shape alone: at rest, and at the peak
+ * of its loading, when its text, the objects of the text and the nodes that it replaces are there
+ * too. Each line below is a part of the daemon; a test holds them against the objects themselves.
  */
 public final class Footprint {
 
     /** Members of an entry as discovery writes it, and the texts among their values but the id. */
     private static final int MEMBERS = 8;
+
     private static final int VALUES = 4;
 
     /** Digits of the path by which an entry is named in messages, with what stands round them. */
@@ -21,11 +22,17 @@
     /** Idle channels of a node wait in a queue of this many places. */
     private static final int IDLE = 17;
 
-    /** Hash maps that have one entry a node: three of the reader, the channels, the rotation, the module. */
+    /**
+     * Hash maps that have one entry a node: three of the reader, the channels, the rotation, the
+     * module.
+     */
     private static final int MAPS = 6;
 
-    /** What the maps and lists themselves take, however few nodes there are; and those of a text. */
+    /**
+     * What the maps and lists themselves take, however few nodes there are; and those of a text.
+     */
     private static final int FIXED = 256;
+
     private static final int FIXED_TEXT = 1024;
 
     /** Steps are worked out up to so many. */
@@ -47,7 +54,7 @@
      * @param bound the one that is nearest, or that binds
      * @param needed bytes that the whole list takes under it
      */
-    public record Verdict(boolean fits, int step, Bound bound, long needed) { }
+    public record Verdict(boolean fits, int step, Bound bound, long needed) {}
 
     private final Layout layout;
 
@@ -60,54 +67,90 @@
     }
 
     private long address() {
-        return layout.object(1, 0) + layout.object(2, 4) + layout.object(2, 0) + layout.object(2, 2 * 4);
+        return layout.object(1, 0)
+                + layout.object(2, 4)
+                + layout.object(2, 0)
+                + layout.object(2, 2 * 4);
     }
 
     /**
-     * Bytes that a node that is held already takes while it is told again: its id, its address and what the
-     * module is told of it, before and behind the rotation, are there twice.
+     * Bytes that a node that is held already takes while it is told again: its id, its address and
+     * what the module is told of it, before and behind the rotation, are there twice.
      */
     private long again(long idChars) {
         return layout.text(idChars) + address() + 2 * endpoint();
     }
 
-    /** Bytes that one more node with an id of so many characters takes at rest, without hash tables. */
+    /**
+     * Bytes that one more node with an id of so many characters takes at rest, without hash tables.
+     */
     private long node(long idChars) {
-        long reader = MAPS / 2 * layout.entry(false) + 2 * layout.boxed() + layout.text(idChars)
-                + layout.object(0, 2 * 8 + Math.floorMod(-layout.header(), 8));
-        long channels = layout.entry(false) + layout.boxed() + layout.object(2, 1) + address()
-                + layout.object(1, 2 * 4) + layout.array(IDLE, layout.reference());
+        long reader =
+                MAPS / 2 * layout.entry(false)
+                        + 2 * layout.boxed()
+                        + layout.text(idChars)
+                        + layout.object(0, 2 * 8 + Math.floorMod(-layout.header(), 8));
+        long channels =
+                layout.entry(false)
+                        + layout.boxed()
+                        + layout.object(2, 1)
+                        + address()
+                        + layout.object(1, 2 * 4)
+                        + layout.array(IDLE, layout.reference());
         long rotation = layout.entry(false) + endpoint();
         long server = layout.object(2, 10 * 8 + 5 * 4 + 4) + layout.object(0, 6 * 8 + 4);
-        long module = layout.entry(false) + layout.boxed() + server + endpoint() + 2L * layout.reference();
+        long module =
+                layout.entry(false)
+                        + layout.boxed()
+                        + server
+                        + endpoint()
+                        + 2L * layout.reference();
         return reader + channels + rotation + module;
     }
 
     /** What a list takes of the heap once it is loaded. */
     public long atRest(ListShape list) {
-        return list.nodes() == 0 ? 0 : FIXED + list.nodes() * node(ListShape.mean(list.idChars(),
-                list.nodes())) + MAPS * layout.hashTable(list.nodes())
-                + layout.array(buffer(list.textBytes()), 1);
+        return list.nodes() == 0
+                ? 0
+                : FIXED
+                        + list.nodes() * node(ListShape.mean(list.idChars(), list.nodes()))
+                        + MAPS * layout.hashTable(list.nodes())
+                        + layout.array(buffer(list.textBytes()), 1);
     }
 
     /**
      * What reading a list takes beside what is kept of it.
      *
-     * @param taken so many of its entries are kept until it has been read; the others go as they are read
+     * @param taken so many of its entries are kept until it has been read; the others go as they
+     *     are read
      */
     public long reading(ListShape list, int taken) {
-        long members = layout.object(6, 3 * 4 + 4 + 1) + layout.hashTable(MEMBERS)
-                + MEMBERS * layout.entry(true)
-                + VALUES * layout.text(ListShape.mean(list.valueChars(), (long) VALUES * list.nodes()))
-                + layout.object(1, 5 * 4) + layout.array(1, 4) + layout.object(1, 5 * 4) + layout.array(2, 4)
-                + layout.boxed();
-        long told = layout.object(2, 0) + layout.text(PATH) + layout.object(3, 0)
-                + 4L * layout.reference();
+        long members =
+                layout.object(6, 3 * 4 + 4 + 1)
+                        + layout.hashTable(MEMBERS)
+                        + MEMBERS * layout.entry(true)
+                        + VALUES
+                                * layout.text(
+                                        ListShape.mean(
+                                                list.valueChars(), (long) VALUES * list.nodes()))
+                        + layout.object(1, 5 * 4)
+                        + layout.array(1, 4)
+                        + layout.object(1, 5 * 4)
+                        + layout.array(2, 4)
+                        + layout.boxed();
+        long told =
+                layout.object(2, 0)
+                        + layout.text(PATH)
+                        + layout.object(3, 0)
+                        + 4L * layout.reference();
         // The sets by which what is gone is found, and the list as it is handed on.
-        long handed = layout.object(2, 0) + layout.reference() + layout.entry(false) + layout.boxed();
-        return FIXED_TEXT + layout.text(list.textBytes())
+        long handed =
+                layout.object(2, 0) + layout.reference() + layout.entry(false) + layout.boxed();
+        return FIXED_TEXT
+                + layout.text(list.textBytes())
                 + (long) (list.nodes() - taken) * layout.reference()
-                + taken * (members + told + handed) + layout.hashTable(taken);
+                + taken * (members + told + handed)
+                + layout.hashTable(taken);
     }
 
     /** The buffer in which a text gathers, which doubles, and which a watch keeps. */
@@ -122,16 +165,22 @@
      * @param added so many of those are new
      */
     public long atPeak(ListShape held, ListShape list, int taken, int added) {
-        return atRest(held.plus(list, added)) + reading(list, taken)
+        return atRest(held.plus(list, added))
+                + reading(list, taken)
                 + (taken - added) * again(ListShape.mean(list.idChars(), list.nodes()));
     }
 
-    /** What is held at the most while all that is held is told again, as discovery does now and then. */
+    /**
+     * What is held at the most while all that is held is told again, as discovery does now and
+     * then.
+     */
     public long toldAgain(ListShape held) {
         return held.nodes() == 0 ? 0 : atPeak(held, held, held.nodes(), 0);
     }
 
-    /** The same once a list of changes was loaded, and all that is held is told again as a whole. */
+    /**
+     * The same once a list of changes was loaded, and all that is held is told again as a whole.
+     */
     private long toldAgain(ListShape held, ListShape changes, int added) {
         ListShape after = held.plus(changes, added);
         ListShape whole = changes.nodes() == 0 ? after : changes.of(after.nodes());
@@ -141,13 +190,21 @@
     private long atPeak(ListShape held, ListShape told, int added, int some, boolean full) {
         long now = atPeak(held, told, told.nodes() - added + some, some);
         ListShape then = told.of(told.nodes() - added + some);
-        return Math.max(now, full ? toldAgain(new ListShape(then.nodes(), told.textBytes(), then.idChars(),
-                then.valueChars())) : toldAgain(held, told, some));
+        return Math.max(
+                now,
+                full
+                        ? toldAgain(
+                                new ListShape(
+                                        then.nodes(),
+                                        told.textBytes(),
+                                        then.idChars(),
+                                        then.valueChars()))
+                        : toldAgain(held, told, some));
     }
 
     /**
-     * Whether a list may be loaded, or how much of it. A list is told again and again, so there must be room
-     * to read what is held once more: else the copy would never again hear of a drain.
+     * Whether a list may be loaded, or how much of it. A list is told again and again, so there
+     * must be room to read what is held once more: else the copy would never again hear of a drain.
      *
      * @param told the list, or changes
      * @param added how many of the nodes that it names are not held
@@ -170,18 +227,20 @@
                 beyond = some;
             }
         }
-        return rest > room ? new Verdict(false, fits, Bound.HEAP_AT_REST, rest)
+        return rest > room
+                ? new Verdict(false, fits, Bound.HEAP_AT_REST, rest)
                 : new Verdict(false, fits, Bound.HEAP_AT_PEAK, peak);
     }
 
     /**
-     * In which steps what a list adds gets in, where it is told again and again and what it no longer names
-     * has left by then: how many nodes each adds. What they don't come to fits in no step.
+     * In which steps what a list adds gets in, where it is told again and again and what it no
+     * longer names has left by then: how many nodes each adds. What they don't come to fits in no
+     * step.
      */
     public List<Integer> steps(ListShape held, ListShape told, int added, boolean full, long room) {
         List<Integer> steps = new ArrayList<>();
         ListShape now = held;
-        for (int left = added; left > 0 && steps.size() < MOST_STEPS;) {
+        for (int left = added; left > 0 && steps.size() < MOST_STEPS; ) {
             int step = judge(now, told, left, full, room).step();
             if (step == 0) {
                 return steps;
--- a/core/src/main/java/cedarrudder/footprint/Layout.java
+++ b/core/src/main/java/cedarrudder/footprint/Layout.java
@@ -1,7 +1,8 @@
 package cedarrudder.footprint;
 
 /**
- * How the virtual machine lays out objects; sizes are bytes. Fields fill gaps, as HotSpot has it since 15.
+ * How the virtual machine lays out objects; sizes are bytes. Fields fill gaps, as HotSpot has it
+ * since 15.
  *
  * @param header of an object
  * @param arrayHeader of an array, its length with it
@@ -39,7 +40,9 @@
         return object(ordered ? 5 : 3, 4);
     }
 
-    /** The table of a hash map that has grown to so many entries; one that never had any has none. */
+    /**
+     * The table of a hash map that has grown to so many entries; one that never had any has none.
+     */
     long hashTable(long entries) {
         if (entries == 0) {
             return 0;
--- a/core/src/main/java/cedarrudder/footprint/ListShape.java
+++ b/core/src/main/java/cedarrudder/footprint/ListShape.java
@@ -1,8 +1,8 @@
 package cedarrudder.footprint;
 
 /**
- * What a resolver result is like, as far as it costs anything. Zones, kinds and cells cost nothing by
- * themselves: nodes hold their numbers.
+ * What a resolver result is like, as far as it costs anything. Zones, kinds and cells cost nothing
+ * by themselves: nodes hold their numbers.
  *
  * @param nodes how many it lists
  * @param textBytes its text as it came; 0: none has come yet
@@ -20,14 +20,24 @@
 
     /** A list of so many nodes like those of this one. */
     public ListShape of(int some) {
-        return nodes == 0 ? this : new ListShape(some, textBytes * some / nodes, idChars * some / nodes,
-                valueChars * some / nodes);
+        return nodes == 0
+                ? this
+                : new ListShape(
+                        some,
+                        textBytes * some / nodes,
+                        idChars * some / nodes,
+                        valueChars * some / nodes);
     }
 
-    /** What is held once so many of another list's nodes were added: the larger text's buffer stays. */
+    /**
+     * What is held once so many of another list's nodes were added: the larger text's buffer stays.
+     */
     public ListShape plus(ListShape other, int some) {
         ListShape added = other.of(some);
-        return new ListShape(nodes + added.nodes, Math.max(textBytes, other.textBytes),
-                idChars + added.idChars, valueChars + added.valueChars);
+        return new ListShape(
+                nodes + added.nodes,
+                Math.max(textBytes, other.textBytes),
+                idChars + added.idChars,
+                valueChars + added.valueChars);
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/Room.java
+++ b/core/src/main/java/cedarrudder/footprint/Room.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * The largest route table and list of nodes that a copy has room for: what it answers when copies decide on a
- * table. Nine bytes, three a figure; a larger figure is told as the largest that these hold.
+ * The largest route table and list of nodes that a copy has room for: what it answers when copies
+ * decide on a table. Nine bytes, three a figure; a larger figure is told as the largest that these
+ * hold.
  *
  * @param bytes compact bytes of a table
  * @param leaving nodes that it names as leaving
@@ -36,7 +37,9 @@
 
     /** What both have room for. */
     public Room least(Room other) {
-        return new Room(Math.min(bytes, other.bytes), Math.min(leaving, other.leaving),
+        return new Room(
+                Math.min(bytes, other.bytes),
+                Math.min(leaving, other.leaving),
                 Math.min(nodes, other.nodes));
     }
 
@@ -46,18 +49,25 @@
     }
 
     /**
-     * The copy that holds a table back in common: of those that can't load it the one with the least room.
+     * The copy that holds a table back in common: of those that can't load it the one with the
+     * least room.
      *
      * @param rooms what the live copies have told
      * @return null where all can load it
      */
     public static Integer holdsBack(RouteTable table, Map<Integer, Room> rooms) {
         int size = TableFootprint.bytes(table);
-        return rooms.entrySet().stream().filter(entry -> !entry.getValue().holds(table, size))
-                .min(Map.Entry.<Integer, Room>comparingByValue((a, b) -> a.bytes != b.bytes
-                        ? Integer.compare(a.bytes, b.bytes) : Integer.compare(a.leaving, b.leaving))
-                        .thenComparing(Map.Entry.comparingByKey()))
-                .map(Map.Entry::getKey).orElse(null);
+        return rooms.entrySet().stream()
+                .filter(entry -> !entry.getValue().holds(table, size))
+                .min(
+                        Map.Entry.<Integer, Room>comparingByValue(
+                                        (a, b) ->
+                                                a.bytes != b.bytes
+                                                        ? Integer.compare(a.bytes, b.bytes)
+                                                        : Integer.compare(a.leaving, b.leaving))
+                                .thenComparing(Map.Entry.comparingByKey()))
+                .map(Map.Entry::getKey)
+                .orElse(null);
     }
 
     /** Writes it behind what is there. */
--- a/core/src/main/java/cedarrudder/footprint/TableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/TableFootprint.java
@@ -5,21 +5,27 @@
 import java.util.Objects;
 
 /**
- * What a route table takes of the heap: its objects and its compact bytes, at rest and while a next one is
- * read beside it. A test holds what is at rest against the objects themselves.
+ * What a route table takes of the heap: its objects and its compact bytes, at rest and while a next
+ * one is read beside it. A test holds what is at rest against the objects themselves.
  */
 public final class TableFootprint {
 
-    /** Least compact bytes of a share and of a node that leaves; the rest of a table takes some 40. */
+    /**
+     * Least compact bytes of a share and of a node that leaves; the rest of a table takes some 40.
+     */
     private static final int SHARE_BYTES = 5;
+
     private static final int LEAVING_BYTES = 2;
 
     /** Most compact bytes of a node that leaves: a distance of 52 bits and a wave of 16. */
     private static final int MOST_LEAVING_BYTES = 11;
 
     /** The most compact bytes that a table can have, with all that it may hold. */
-    private static final int MOST_BYTES = 64 + RouteTable.MOST_ZONES * RouteTable.MOST_ZONES * 10
-            + RouteTable.MOST_LEAVING * MOST_LEAVING_BYTES + RouteTable.MOST_CLASSES * 7;
+    private static final int MOST_BYTES =
+            64
+                    + RouteTable.MOST_ZONES * RouteTable.MOST_ZONES * 10
+                    + RouteTable.MOST_LEAVING * MOST_LEAVING_BYTES
+                    + RouteTable.MOST_CLASSES * 7;
 
     /** An entry that is read stands in a list that grew, in the text's order and in the table's. */
     private static final int LISTS = 3;
@@ -40,21 +46,30 @@
 
     /** What a table takes once it is loaded, its bytes with it; null, none, takes nothing. */
     public long atRest(RouteTable table) {
-        return table == null ? 0 : fixed() + list(table.shares().size(), share())
-                + list(table.leaving().size(), leaving()) + list(table.limits().size(), limit())
-                + layout.array(bytes(table), 1);
+        return table == null
+                ? 0
+                : fixed()
+                        + list(table.shares().size(), share())
+                        + list(table.leaving().size(), leaving())
+                        + list(table.limits().size(), limit())
+                        + layout.array(bytes(table), 1);
     }
 
-    /** What is held at the most while a next table is read: both side by side, and what reading takes. */
+    /**
+     * What is held at the most while a next table is read: both side by side, and what reading
+     * takes.
+     */
     public long atPeak(RouteTable held, RouteTable next) {
         long entries = next.shares().size() + next.leaving().size() + next.limits().size();
-        return atRest(held) + atRest(next) + entries * LISTS * layout.reference()
+        return atRest(held)
+                + atRest(next)
+                + entries * LISTS * layout.reference()
                 + COPIES * layout.array(bytes(next), 1);
     }
 
     /**
-     * The largest table that may be loaded beside the one that is held. What its bytes hold is not known
-     * yet, so each is reckoned as what costs most.
+     * The largest table that may be loaded beside the one that is held. What its bytes hold is not
+     * known yet, so each is reckoned as what costs most.
      *
      * @param room bytes of heap for tables, with the one that is held
      * @param nodes so many nodes there is room for, which the answer carries
@@ -67,7 +82,8 @@
                 bytes += step;
             }
         }
-        long each = leaving() + (1 + LISTS) * layout.reference() + (1 + COPIES) * MOST_LEAVING_BYTES;
+        long each =
+                leaving() + (1 + LISTS) * layout.reference() + (1 + COPIES) * MOST_LEAVING_BYTES;
         long leaving = Math.max(0, left - fixed() - lists()) / each;
         return new Room(bytes, (int) Math.min(RouteTable.MOST_LEAVING, leaving), nodes);
     }
@@ -75,9 +91,14 @@
     /** The most that a table of so many compact bytes takes while it is read. */
     private long most(long bytes) {
         int references = (1 + LISTS) * layout.reference();
-        long shares = Math.min(bytes / SHARE_BYTES, (long) RouteTable.MOST_ZONES * RouteTable.MOST_ZONES);
-        long leaving = Math.min(bytes / LEAVING_BYTES, RouteTable.MOST_LEAVING + RouteTable.MOST_CLASSES);
-        return fixed() + lists() + shares * (share() + references) + leaving * (leaving() + references)
+        long shares =
+                Math.min(bytes / SHARE_BYTES, (long) RouteTable.MOST_ZONES * RouteTable.MOST_ZONES);
+        long leaving =
+                Math.min(bytes / LEAVING_BYTES, RouteTable.MOST_LEAVING + RouteTable.MOST_CLASSES);
+        return fixed()
+                + lists()
+                + shares * (share() + references)
+                + leaving * (leaving() + references)
                 + (1 + COPIES) * layout.array(bytes, 1);
     }
 
@@ -92,7 +113,8 @@
     }
 
     private long list(int entries, long each) {
-        return entries == 0 ? 0
+        return entries == 0
+                ? 0
                 : layout.object(1, 1) + layout.array(entries, layout.reference()) + entries * each;
     }
 
--- a/core/src/main/java/cedarrudder/footprint/Takes.java
+++ b/core/src/main/java/cedarrudder/footprint/Takes.java
@@ -18,12 +18,18 @@
     }
 
     Takes plus(Takes other) {
-        return new Takes(rest + other.rest, peak + other.peak, direct + other.direct,
+        return new Takes(
+                rest + other.rest,
+                peak + other.peak,
+                direct + other.direct,
                 descriptors + other.descriptors);
     }
 
     Takes minus(Takes other) {
-        return new Takes(rest - other.rest, peak - other.peak, direct - other.direct,
+        return new Takes(
+                rest - other.rest,
+                peak - other.peak,
+                direct - other.direct,
                 descriptors - other.descriptors);
     }
 }
--- a/core/src/main/java/cedarrudder/logging/Logger.java
+++ b/core/src/main/java/cedarrudder/logging/Logger.java
@@ -4,16 +4,16 @@
 import java.util.function.Predicate;
 
 /**
- * The project's logger: one line an event on one stream. An event has a name, such as {@code node.spoilt},
- * and fields with names of their own:
+ * The project's logger: one line an event on one stream. An event has a name, such as {@code
+ * node.spoilt}, and fields with names of their own:
  *
  * <pre>log.warn("node.spoilt").with("node", address).with("why", reason).write();</pre>
  *
- * <p>An event that is left out, by its level or by the bound on lines, costs no memory, and its fields are
- * not turned into text.
+ * <p>An event that is left out, by its level or by the bound on lines, costs no memory, and its
+ * fields are not turned into text.
  *
- * <p>Not thread-safe, as all that runs after the start runs on one event loop. One event is made at a time:
- * its fields follow at once, and {@link Entry#write} ends it.
+ * <p>Not thread-safe, as all that runs after the start runs on one event loop. One event is made at
+ * a time: its fields follow at once, and {@link Entry#write} ends it.
  */
 public final class Logger {
 
@@ -33,13 +33,16 @@
 
     /** A logger of {@linkplain TextLines text} with the default settings. */
     public Logger(PrintStream out) {
-        this(line -> {
-            out.println(line);
-            return true;
-        });
+        this(
+                line -> {
+                    out.println(line);
+                    return true;
+                });
     }
 
-    /** The same, to whom takes lines, or says that there is no room for one: it counts as left out. */
+    /**
+     * The same, to whom takes lines, or says that there is no room for one: it counts as left out.
+     */
     public Logger(Predicate<String> out) {
         this.out = out;
         form(new TextLines());
@@ -71,11 +74,16 @@
         return begin(Level.WARN, event);
     }
 
-    /** Begins an event that tells of a fault of the program itself; where it came from is its first field. */
+    /**
+     * Begins an event that tells of a fault of the program itself; where it came from is its first
+     * field.
+     */
     public Entry fault(String event, Throwable fault) {
         Entry begun = begin(Level.ERROR, event);
-        StackTraceElement[] trace = begun == LEFT_OUT ? new StackTraceElement[0] : fault.getStackTrace();
-        return trace.length == 0 ? begun.with("error", fault)
+        StackTraceElement[] trace =
+                begun == LEFT_OUT ? new StackTraceElement[0] : fault.getStackTrace();
+        return trace.length == 0
+                ? begun.with("error", fault)
                 : begun.with("at", trace[0]).with("error", fault);
     }
 
@@ -87,8 +95,8 @@
     }
 
     /**
-     * Guards against a peer that sends nonsense without end: writing it all down would fill the pipe that the
-     * log goes to, and a full pipe blocks the event loop.
+     * Guards against a peer that sends nonsense without end: writing it all down would fill the
+     * pipe that the log goes to, and a full pipe blocks the event loop.
      */
     private boolean hasRoom() {
         long now = System.nanoTime();
@@ -143,8 +151,9 @@
         }
 
         /**
-         * Guards against a peer that sends long texts, and against one that writes log lines of its own by
-         * sending line ends. Halves of character pairs are no text either, and a cut may leave one.
+         * Guards against a peer that sends long texts, and against one that writes log lines of its
+         * own by sending line ends. Halves of character pairs are no text either, and a cut may
+         * leave one.
          */
         private String bounded(String value) {
             StringBuilder clean = null;
--- a/core/src/main/java/cedarrudder/logging/TextLines.java
+++ b/core/src/main/java/cedarrudder/logging/TextLines.java
@@ -1,9 +1,9 @@
 package cedarrudder.logging;
 
 /**
- * Lines for people: seconds since the start, level, event, then {@code name=value} for each field. A value
- * that is empty or holds a space, a quote or an equals sign stands in quotes, with quotes and backslashes
- * in it escaped.
+ * Lines for people: seconds since the start, level, event, then {@code name=value} for each field.
+ * A value that is empty or holds a space, a quote or an equals sign stands in quotes, with quotes
+ * and backslashes in it escaped.
  */
 public final class TextLines implements LineWriter {
 
@@ -14,9 +14,17 @@
 
     @Override
     public void begin(long millis, Level level, String event) {
-        line = new StringBuilder(USUAL).append(millis / 1000).append('.').append(millis % 1000 / 100)
-                .append(millis % 100 / 10).append(millis % 10).append(' ').append(level).append(' ')
-                .append(event);
+        line =
+                new StringBuilder(USUAL)
+                        .append(millis / 1000)
+                        .append('.')
+                        .append(millis % 1000 / 100)
+                        .append(millis % 100 / 10)
+                        .append(millis % 10)
+                        .append(' ')
+                        .append(level)
+                        .append(' ')
+                        .append(event);
     }
 
     @Override
@@ -27,7 +35,10 @@
     @Override
     public void field(String name, String value) {
         line.append(' ').append(name).append('=');
-        if (!value.isEmpty() && value.indexOf(' ') < 0 && value.indexOf('"') < 0 && value.indexOf('=') < 0) {
+        if (!value.isEmpty()
+                && value.indexOf(' ') < 0
+                && value.indexOf('"') < 0
+                && value.indexOf('=') < 0) {
             line.append(value);
             return;
         }
--- a/core/src/main/java/cedarrudder/membership/Gossip.java
+++ b/core/src/main/java/cedarrudder/membership/Gossip.java
@@ -9,15 +9,21 @@
 import java.util.Map;
 
 /**
- * The news that is to be passed on, the newest of each instance alone: what has gone out least often goes
- * first, and after enough times no more (SWIM, 4.1 and 5). So it holds no more than there are instances.
+ * The news that is to be passed on, the newest of each instance alone: what has gone out least
+ * often goes first, and after enough times no more (SWIM, 4.1 and 5). So it holds no more than
+ * there are instances.
  */
 final class Gossip {
 
-    /** What went out so many times, by the place in the list; in each the one that waits longest is first. */
+    /**
+     * What went out so many times, by the place in the list; in each the one that waits longest is
+     * first.
+     */
     private final List<Map<Integer, News>> byTimes = new ArrayList<>();
+
     /** How often the news of each instance went out; -1 where none waits. */
     private final int[] times;
+
     private int waiting;
 
     Gossip(int instances) {
--- a/core/src/main/java/cedarrudder/membership/Loss.java
+++ b/core/src/main/java/cedarrudder/membership/Loss.java
@@ -1,8 +1,8 @@
 package cedarrudder.membership;
 
 /**
- * How often a question that was answered in the end was not answered at once: what the network loses there
- * and back, as one instance sees it. The dead, who never answer, don't count.
+ * How often a question that was answered in the end was not answered at once: what the network
+ * loses there and back, as one instance sees it. The dead, who never answer, don't count.
  */
 final class Loss {
 
--- a/core/src/main/java/cedarrudder/membership/Member.java
+++ b/core/src/main/java/cedarrudder/membership/Member.java
@@ -4,8 +4,8 @@
  * What is held of one instance: which of its lives, and whether that life goes on.
  *
  * @param number the instance's number among all of its tier, from 0
- * @param incarnation grows with each life and each time the instance contradicts what is said of it; from 0
- * to {@link #MOST_INCARNATION}
+ * @param incarnation grows with each life and each time the instance contradicts what is said of
+ *     it; from 0 to {@link #MOST_INCARNATION}
  */
 public record Member(int number, long incarnation, Standing standing) {
 
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Whether this news replaces what is known of the same instance (SWIM, 4.2): what is said of a later life
-     * always does, and of one life the worse news does.
+     * Whether this news replaces what is known of the same instance (SWIM, 4.2): what is said of a
+     * later life always does, and of one life the worse news does.
      */
     boolean overrides(Member known) {
         return incarnation > known.incarnation
--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -6,16 +6,26 @@
  * @param period between two instances asked by one that is well; at least 1 ms
  * @param ackPatience after which others are asked to ask; less than the period
  * @param helpers how many others are; from 0
- * @param suspicionLeast a suspicion that others confirm stands this many periods, times the logarithm to the
- * base 10 of the live instances where that is over 1; over 0
+ * @param suspicionLeast a suspicion that others confirm stands this many periods, times the
+ *     logarithm to the base 10 of the live instances where that is over 1; over 0
  * @param suspicionMost one that nobody confirms stands this many times longer; at least 1
  * @param confirmations confirmations that make it as short as can be; at least 1
- * @param spread a piece of news goes out this many times the logarithm to the base 2 of the live instances
- * @param worstHealth an instance that does badly itself waits up to this many times longer, and once more
+ * @param spread a piece of news goes out this many times the logarithm to the base 2 of the live
+ *     instances
+ * @param worstHealth an instance that does badly itself waits up to this many times longer, and
+ *     once more
  * @param revivePeriods one of the dead is asked again each so many periods; at least 1
  */
-public record MembershipSettings(long period, long ackPatience, int helpers, double suspicionLeast,
-        double suspicionMost, int confirmations, int spread, int worstHealth, int revivePeriods) {
+public record MembershipSettings(
+        long period,
+        long ackPatience,
+        int helpers,
+        double suspicionLeast,
+        double suspicionMost,
+        int confirmations,
+        int spread,
+        int worstHealth,
+        int revivePeriods) {
 
     /** What serves where nothing else is said: Lifeguard's figures at half its period. */
     public static final MembershipSettings DEFAULT =
@@ -24,7 +34,10 @@
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
     public MembershipSettings {
         check(period >= 1_000_000, "period", period, "1 ms or more");
-        check(ackPatience > 0 && ackPatience < period, "ackPatience", ackPatience,
+        check(
+                ackPatience > 0 && ackPatience < period,
+                "ackPatience",
+                ackPatience,
                 "over 0, below the period");
         check(helpers >= 0, "helpers", helpers, "0 or more");
         check(suspicionLeast > 0, "suspicionLeast", suspicionLeast, "over 0");
--- a/core/src/main/java/cedarrudder/membership/Packet.java
+++ b/core/src/main/java/cedarrudder/membership/Packet.java
@@ -9,26 +9,35 @@
 import java.util.zip.CRC32C;
 
 /**
- * One message between instances, of at most {@value #MOST_BYTES} bytes: the platform's datagrams hold 256, of
- * which the rest is kept for what proves the sender.
+ * One message between instances, of at most {@value #MOST_BYTES} bytes: the platform's datagrams
+ * hold 256, of which the rest is kept for what proves the sender.
  *
- * <p>Room (1 byte, {@value #ROOM}: membership); version in the high four bits, then whether a window follows
- * and the kind (1); question, sender, its incarnation and subject as {@link Varint}; digest of the dead (4,
- * big-endian); the window, where there is one: its first instance, how many bytes, and those. Then the news
- * up to the end, for each: instance times four plus standing, or 3 where it said itself that it leaves; how
- * far its incarnation is from the sender's, folded; of a suspicion, who says so. The last four bytes are the
- * CRC32C of all before them, big-endian. Guards against a turned bit setting the number of a life to one that
- * nobody ever had, which all others then believe.
+ * <p>Room (1 byte, {@value #ROOM}: membership); version in the high four bits, then whether a
+ * window follows and the kind (1); question, sender, its incarnation and subject as {@link Varint};
+ * digest of the dead (4, big-endian); the window, where there is one: its first instance, how many
+ * bytes, and those. Then the news up to the end, for each: instance times four plus standing, or 3
+ * where it said itself that it leaves; how far its incarnation is from the sender's, folded; of a
+ * suspicion, who says so. The last four bytes are the CRC32C of all before them, big-endian. Guards
+ * against a turned bit setting the number of a life to one that nobody ever had, which all others
+ * then believe.
  *
  * @param question the answer carries the number of the question
  * @param from the sender
  * @param incarnation the sender's own
  * @param subject whom it is about: the one to be asked, or that was
  * @param digest of all whom the sender holds as dead
- * @param window some of these, by which the answer can tell what the sender lacks; null where it does not ask
+ * @param window some of these, by which the answer can tell what the sender lacks; null where it
+ *     does not ask
  * @param news what the sender passes on
  */
-record Packet(Kind kind, int question, int from, long incarnation, int subject, int digest, Window window,
+record Packet(
+        Kind kind,
+        int question,
+        int from,
+        long incarnation,
+        int subject,
+        int digest,
+        Window window,
         List<News> news) {
 
     static final int MOST_BYTES = 224;
@@ -37,10 +46,16 @@
     private static final int VERSION = 2;
     private static final int HAS_WINDOW = 4;
     private static final int KINDS = 4;
+
     /** Bytes of the checksum at the end. */
     private static final int CHECK = 4;
-    /** The longest head and the end: the first two, varints of at most 5, 3, 9 and 3 bytes, the digest. */
+
+    /**
+     * The longest head and the end: the first two, varints of at most 5, 3, 9 and 3 bytes, the
+     * digest.
+     */
     private static final int MOST_HEAD = 2 + 5 + 3 + 9 + 3 + 4 + CHECK;
+
     private static final int LEFT = 3;
     private static final Standing[] STANDINGS = Standing.values();
 
@@ -57,8 +72,9 @@
     }
 
     /**
-     * What is said of an instance, and who says so: of the suspected the one that said it first, of the dead
-     * the instance itself where it left or else the sender, of the live the instance itself.
+     * What is said of an instance, and who says so: of the suspected the one that said it first, of
+     * the dead the instance itself where it left or else the sender, of the live the instance
+     * itself.
      */
     record News(Member member, int accuser) {
 
@@ -91,7 +107,8 @@
 
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
-        out.put(ROOM).put((byte) (VERSION << 4 | (window == null ? 0 : HAS_WINDOW) | kind.ordinal()));
+        out.put(ROOM)
+                .put((byte) (VERSION << 4 | (window == null ? 0 : HAS_WINDOW) | kind.ordinal()));
         Varint.put(out, question & 0xffffffffL);
         Varint.put(out, from);
         Varint.put(out, incarnation);
@@ -137,7 +154,10 @@
     /** Reads a message; null where the bytes are none, or name an instance that can't be. */
     static Packet decode(byte[] bytes, int instances) {
         int end = bytes.length - CHECK;
-        if (end < 2 || bytes.length > MOST_BYTES || bytes[0] != ROOM || bytes[1] >> 4 != VERSION
+        if (end < 2
+                || bytes.length > MOST_BYTES
+                || bytes[0] != ROOM
+                || bytes[1] >> 4 != VERSION
                 || (bytes[1] & 15 & ~HAS_WINDOW) >= KINDS
                 || ByteBuffer.wrap(bytes).getInt(end) != checksum(bytes, end)) {
             return null;
@@ -154,7 +174,9 @@
         long from = Varint.get(in);
         long incarnation = Varint.get(in);
         long subject = Varint.get(in);
-        if (question >>> 32 != 0 || !below(from, instances) || !below(subject, instances)
+        if (question >>> 32 != 0
+                || !below(from, instances)
+                || !below(subject, instances)
                 || !plausible(incarnation)) {
             return null;
         }
@@ -163,7 +185,10 @@
         if ((head & HAS_WINDOW) != 0) {
             long first = Varint.get(in);
             long length = Varint.get(in);
-            if (!below(first, instances) || first % 8 != 0 || length < 1 || length > Window.MOST_BITS / 8
+            if (!below(first, instances)
+                    || first % 8 != 0
+                    || length < 1
+                    || length > Window.MOST_BITS / 8
                     || first + 8 * length > instances + 7) {
                 return null;
             }
@@ -173,19 +198,32 @@
         List<News> news = new ArrayList<>();
         while (in.hasRemaining()) {
             long what = Varint.get(in);
-            long life = incarnation + Varint.unfolded(Varint.get(in)); // past the largest it is negative
+            long life =
+                    incarnation
+                            + Varint.unfolded(Varint.get(in)); // past the largest it is negative
             int code = (int) (what & 3);
             Standing standing = code == LEFT ? Standing.DEAD : STANDINGS[code];
-            long accuser = standing == Standing.SUSPECT ? Varint.get(in)
-                    : code == Standing.DEAD.ordinal() ? from : what >>> 2;
-            if (!below(what >>> 2, instances) || !below(accuser, instances)
-                    || !plausible(life) || code != LEFT && standing == Standing.DEAD && what >>> 2 == from) {
+            long accuser =
+                    standing == Standing.SUSPECT
+                            ? Varint.get(in)
+                            : code == Standing.DEAD.ordinal() ? from : what >>> 2;
+            if (!below(what >>> 2, instances)
+                    || !below(accuser, instances)
+                    || !plausible(life)
+                    || code != LEFT && standing == Standing.DEAD && what >>> 2 == from) {
                 return null; // the last: of itself one says that it left
             }
             news.add(new News(new Member((int) (what >>> 2), life, standing), (int) accuser));
         }
-        return new Packet(Kind.values()[head & 3], (int) question, (int) from, incarnation, (int) subject,
-                digest, window, news);
+        return new Packet(
+                Kind.values()[head & 3],
+                (int) question,
+                (int) from,
+                incarnation,
+                (int) subject,
+                digest,
+                window,
+                news);
     }
 
     private static boolean below(long number, int bound) {
--- a/core/src/main/java/cedarrudder/membership/StateExchange.java
+++ b/core/src/main/java/cedarrudder/membership/StateExchange.java
@@ -7,16 +7,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Who is dead, compared between pairs. Each message carries a digest; who hears another than its own shows
- * with its next question whom it holds as dead, one bit for each instance, and the answer says of those in
- * whom the two differ what the other one holds. So what news did not reach comes all the same, in few
- * messages, and while all agree it costs the digest.
+ * Who is dead, compared between pairs. Each message carries a digest; who hears another than its
+ * own shows with its next question whom it holds as dead, one bit for each instance, and the answer
+ * says of those in whom the two differ what the other one holds. So what news did not reach comes
+ * all the same, in few messages, and while all agree it costs the digest.
  */
 final class StateExchange {
 
     private final BitSet dead = new BitSet();
-    /** Those of whom it need not be told that they are dead: the dead, and whom others claim to be. */
+
+    /**
+     * Those of whom it need not be told that they are dead: the dead, and whom others claim to be.
+     */
     private final BitSet told = new BitSet();
+
     private final int instances;
     private int digest;
     private boolean differs;
@@ -40,7 +44,10 @@
         told.set(number);
     }
 
-    /** Of one instance; sums of these by exclusive or depend on no order (the finisher of MurmurHash3). */
+    /**
+     * Of one instance; sums of these by exclusive or depend on no order (the finisher of
+     * MurmurHash3).
+     */
     private static int digest(int number) {
         int h = number + 0x9e3779b9;
         h = (h ^ h >>> 16) * 0x85ebca6b;
@@ -66,7 +73,10 @@
         differs = other != digest;
     }
 
-    /** What the next question shows; null where the last that was heard agrees. Large tiers by turns. */
+    /**
+     * What the next question shows; null where the last that was heard agrees. Large tiers by
+     * turns.
+     */
     Window show() {
         if (!differs) {
             return null;
--- a/core/src/main/java/cedarrudder/membership/Suspicion.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicion.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * How long one instance is suspected before it counts as dead: long at first, shorter with each other
- * instance that says the same (Lifeguard, "LHA-Suspicion"). Guards against one instance that hears nothing
- * itself declaring all others dead.
+ * How long one instance is suspected before it counts as dead: long at first, shorter with each
+ * other instance that says the same (Lifeguard, "LHA-Suspicion"). Guards against one instance that
+ * hears nothing itself declaring all others dead.
  */
 final class Suspicion {
 
@@ -17,7 +17,9 @@
     private long since;
     private long deadAt = Long.MAX_VALUE;
 
-    /** @param accuser the first instance that said so, which confirms nothing */
+    /**
+     * @param accuser the first instance that said so, which confirms nothing
+     */
     Suspicion(long now, int accuser, double least, double most, int confirmations) {
         this.since = now;
         this.least = least;
@@ -37,7 +39,10 @@
         return true;
     }
 
-    /** Another one has waited for as long as it takes: it lasts no longer than with all confirmations. */
+    /**
+     * Another one has waited for as long as it takes: it lasts no longer than with all
+     * confirmations.
+     */
     void shorten(long now) {
         deadAt = Math.min(deadAt, Math.max(now, since + (long) least));
     }
--- a/core/src/main/java/cedarrudder/membership/Suspicions.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicions.java
@@ -11,7 +11,9 @@
     private final NavigableMap<Integer, Suspicion> byNumber = new TreeMap<>();
     private int asked;
 
-    /** @param start where to begin to ask; another one for each, so that not all ask the same first */
+    /**
+     * @param start where to begin to ask; another one for each, so that not all ask the same first
+     */
     Suspicions(int start) {
         asked = start;
     }
@@ -54,11 +56,12 @@
     /** Those that count as dead by now. */
     List<Integer> over(long now) {
         List<Integer> over = new ArrayList<>();
-        byNumber.forEach((number, suspicion) -> {
-            if (now >= suspicion.deadAt()) {
-                over.add(number);
-            }
-        });
+        byNumber.forEach(
+                (number, suspicion) -> {
+                    if (now >= suspicion.deadAt()) {
+                        over.add(number);
+                    }
+                });
         return over;
     }
 
--- a/core/src/main/java/cedarrudder/membership/Swim.java
+++ b/core/src/main/java/cedarrudder/membership/Swim.java
@@ -14,17 +14,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which of a fixed set of instances live, as one of them sees it: SWIM (Das, Gupta, Motivala 2002) with
- * suspicion, incarnations and indirect questions, and Lifeguard (Dadgar, Phillips, Currey 2017) against those
- * that are slow themselves. {@link Doubts} come before a suspicion, and {@link StateExchange} brings what
- * news did not.
+ * Which of a fixed set of instances live, as one of them sees it: SWIM (Das, Gupta, Motivala 2002)
+ * with suspicion, incarnations and indirect questions, and Lifeguard (Dadgar, Phillips, Currey
+ * 2017) against those that are slow themselves. {@link Doubts} come before a suspicion, and {@link
+ * StateExchange} brings what news did not.
  *
- * <p>It has no clock, no socket and no thread. It is told of messages and of the time, which never goes back,
- * and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one thread at a time.
+ * <p>It has no clock, no socket and no thread. It is told of messages and of the time, which never
+ * goes back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one
+ * thread at a time.
  *
- * <p>What goes out is bounded whatever the number of instances: a question a period, two more to those in
- * doubt, another to one of the dead now and then, {@code helpers} and one more where one isn't answered, and
- * one answer to each that asks, of which there is a bound too.
+ * <p>What goes out is bounded whatever the number of instances: a question a period, two more to
+ * those in doubt, another to one of the dead now and then, {@code helpers} and one more where one
+ * isn't answered, and one answer to each that asks, of which there is a bound too.
  */
 public final class Swim {
 
@@ -38,15 +39,18 @@
     }
 
     /** What came that was none, told nothing good, or was too much; for figures. */
-    public record Counts(long malformed, long notItsSender, long refuted, long relaysRefused,
-            long unanswered) { }
+    public record Counts(
+            long malformed, long notItsSender, long refuted, long relaysRefused, long unanswered) {}
 
     /**
-     * Questions answered in a period. Guards against answering all that waited while this one stood still.
+     * Questions answered in a period. Guards against answering all that waited while this one stood
+     * still.
      */
     private static final int MOST_ANSWERS = 64;
 
-    /** Questions asked on behalf of others at one time. Guards against work without end for a flood. */
+    /**
+     * Questions asked on behalf of others at one time. Guards against work without end for a flood.
+     */
     private static final int MOST_RELAYS = 64;
 
     /** The one that asked for others hears that one is at it after this share of its patience. */
@@ -56,8 +60,8 @@
     private static final int APPEALS = 2;
 
     /**
-     * All live instances together ask each of the suspected about so often a period. Guards against all of a
-     * large tier asking one at once.
+     * All live instances together ask each of the suspected about so often a period. Guards against
+     * all of a large tier asking one at once.
      */
     private static final int ASKS_OF_A_SUSPECT = 8;
 
@@ -87,7 +91,7 @@
     }
 
     /** A question asked on behalf of another. */
-    private record Relay(int asker, int question, int target, long nackAt, boolean nacked) { }
+    private record Relay(int asker, int question, int target, long nackAt, boolean nacked) {}
 
     private final int self;
     private final MembershipSettings settings;
@@ -123,15 +127,26 @@
      *
      * @param instances how many there may be, from 1 to 65,535
      * @param self the number of this one
-     * @param life larger than that of any earlier life of this one, such as the time of its start in
-     * milliseconds; where it is not, the others say so and it takes the next one
+     * @param life larger than that of any earlier life of this one, such as the time of its start
+     *     in milliseconds; where it is not, the others say so and it takes the next one
      * @throws IllegalArgumentException if a figure is outside its range
      */
-    public Swim(int instances, int self, long life, MembershipSettings settings, RandomGenerator random,
-            Outlet outlet, long now) {
-        if (instances < 1 || instances > 0xffff || self < 0 || self >= instances || life < 0
+    public Swim(
+            int instances,
+            int self,
+            long life,
+            MembershipSettings settings,
+            RandomGenerator random,
+            Outlet outlet,
+            long now) {
+        if (instances < 1
+                || instances > 0xffff
+                || self < 0
+                || self >= instances
+                || life < 0
                 || life > Member.MOST_INCARNATION) {
-            throw new IllegalArgumentException("instance " + self + " of " + instances + ", life " + life);
+            throw new IllegalArgumentException(
+                    "instance " + self + " of " + instances + ", life " + life);
         }
         this.self = self;
         this.settings = settings;
@@ -216,8 +231,8 @@
     }
 
     /**
-     * This instance did not run for so long. Guards against burying others for answers that wait unread, and
-     * for contradictions that it could not hear.
+     * This instance did not run for so long. Guards against burying others for answers that wait
+     * unread, and for contradictions that it could not hear.
      */
     private void stoodStill(long late) {
         health = Math.min(settings.worstHealth(), health + 1);
@@ -233,9 +248,9 @@
     }
 
     /**
-     * Asks one of those that did not answer or that are suspected, by turns: the first is heard or suspected,
-     * the second hears what is said of it and contradicts. Guards against burying the living where messages
-     * are lost. Twice a period, however many there are.
+     * Asks one of those that did not answer or that are suspected, by turns: the first is heard or
+     * suspected, the second hears what is said of it and contradicts. Guards against burying the
+     * living where messages are lost. Twice a period, however many there are.
      */
     private void appeal(long now) {
         if (now < nextAppeal || suspicions.isEmpty() && doubts.isEmpty()) {
@@ -261,7 +276,10 @@
         }
     }
 
-    /** So often must one stay silent that in all the tier hardly anybody is suspected for losses alone. */
+    /**
+     * So often must one stay silent that in all the tier hardly anybody is suspected for losses
+     * alone.
+     */
     private int silences() {
         return Math.min(MOST_SILENCES, loss.silences(FALSE_SUSPICIONS / live()));
     }
@@ -270,8 +288,13 @@
         for (Map.Entry<Integer, Relay> entry : relays.entrySet()) {
             Relay relay = entry.getValue();
             if (!relay.nacked() && now >= relay.nackAt()) {
-                entry.setValue(new Relay(relay.asker(), relay.question(), relay.target(), relay.nackAt(),
-                        true));
+                entry.setValue(
+                        new Relay(
+                                relay.asker(),
+                                relay.question(),
+                                relay.target(),
+                                relay.nackAt(),
+                                true));
                 send(relay.asker(), Kind.NACK, relay.question(), relay.target());
             }
         }
@@ -318,21 +341,26 @@
         nextPeriod = now + settings.period() * (health + 1);
         answers = 0;
         // Those asked in the last period but one are not answered any more.
-        relays.values().removeIf(relay -> relay.nacked() && now >= relay.nackAt() + settings.period());
+        relays.values()
+                .removeIf(relay -> relay.nacked() && now >= relay.nackAt() + settings.period());
         int target = next();
         if (target >= 0) {
             heardAny = false;
-            question = new Question(target, ++questions, now + settings.ackPatience() * (health + 1));
+            question =
+                    new Question(target, ++questions, now + settings.ackPatience() * (health + 1));
             send(target, Kind.PING, question.number, target);
         }
         if (++periods % settings.revivePeriods() == 0 && exchange.dead() > 0) {
-            // Guards against two halves that were cut from one another staying apart: it contradicts.
+            // Guards against two halves that were cut from one another staying apart: it
+            // contradicts.
             int number = exchange.any(random);
             send(number, Kind.PING, ++questions, number);
         }
     }
 
-    /** The next to be asked: each once in a random order, then in another; -1 where none is live. */
+    /**
+     * The next to be asked: each once in a random order, then in another; -1 where none is live.
+     */
     private int next() {
         for (int tried = 0; tried < order.length; tried++) {
             if (nextInOrder == order.length) {
@@ -359,8 +387,9 @@
     // ---- messages ----
 
     /**
-     * Takes a message. Its first byte is 1, which tells membership's messages from those of others that share
-     * a socket. One that can't be read, or that names another as its sender, is counted and dropped.
+     * Takes a message. Its first byte is 1, which tells membership's messages from those of others
+     * that share a socket. One that can't be read, or that names another as its sender, is counted
+     * and dropped.
      *
      * @param from the instance whose address it came from
      */
@@ -387,7 +416,7 @@
             case PING -> answer(packet);
             case PING_FOR -> relay(now, packet);
             case ACK -> answered(packet);
-            case NACK -> { } // that it came says that this instance hears
+            case NACK -> {} // that it came says that this instance hears
         }
     }
 
@@ -401,18 +430,27 @@
     }
 
     private void relay(long now, Packet packet) {
-        if (packet.subject() == self || packet.subject() == packet.from() || relays.size() >= MOST_RELAYS) {
+        if (packet.subject() == self
+                || packet.subject() == packet.from()
+                || relays.size() >= MOST_RELAYS) {
             relaysRefused++;
             return;
         }
         int own = ++questions;
-        relays.put(own, new Relay(packet.from(), packet.question(), packet.subject(),
-                now + (long) (settings.ackPatience() * NACK_SHARE), false));
+        relays.put(
+                own,
+                new Relay(
+                        packet.from(),
+                        packet.question(),
+                        packet.subject(),
+                        now + (long) (settings.ackPatience() * NACK_SHARE),
+                        false));
         send(packet.subject(), Kind.PING, own, packet.subject());
     }
 
     private void answered(Packet packet) {
-        if (question != null && question.number == packet.question()
+        if (question != null
+                && question.number == packet.question()
                 && packet.subject() == question.target
                 && (packet.from() == question.target || question.helpers.contains(packet.from()))) {
             if (!question.answered) {
@@ -432,7 +470,9 @@
         send(to, kind, number, subject, null);
     }
 
-    /** @param asked what the one that is answered showed; null where it showed nothing */
+    /**
+     * @param asked what the one that is answered showed; null where it showed nothing
+     */
     private void send(int to, Kind kind, int number, int subject, Window asked) {
         Window shown = kind == Kind.PING ? exchange.show() : null;
         long incarnation = members[self].incarnation();
@@ -446,8 +486,18 @@
         }
         double times = settings.spread() * Math.ceil(Math.log(live() + 1.0) / Math.log(2));
         gossip.fill(letter, (int) Math.max(1, times));
-        outlet.send(to, new Packet(kind, number, self, incarnation, subject, exchange.digest(), shown,
-                letter.news()).encode());
+        outlet.send(
+                to,
+                new Packet(
+                                kind,
+                                number,
+                                self,
+                                incarnation,
+                                subject,
+                                exchange.digest(),
+                                shown,
+                                letter.news())
+                        .encode());
     }
 
     // ---- news ----
@@ -456,7 +506,9 @@
         learn(now, news, accuser, false);
     }
 
-    /** @param byItself whether the instance itself has just been heard */
+    /**
+     * @param byItself whether the instance itself has just been heard
+     */
     private void learn(long now, Member news, int accuser, boolean byItself) {
         int number = news.number();
         if (number == self) {
@@ -473,8 +525,11 @@
         if (!news.overrides(known)) {
             return;
         }
-        if (news.standing() == Standing.DEAD && accuser != self && accuser != number
-                && news.incarnation() == known.incarnation() && known.incarnation() > 0) {
+        if (news.standing() == Standing.DEAD
+                && accuser != self
+                && accuser != number
+                && news.incarnation() == known.incarnation()
+                && known.incarnation() > 0) {
             claimed(now, known, accuser);
             return;
         }
@@ -484,7 +539,8 @@
             suspicions.remove(number);
             hold(news);
         }
-        // Guards against a start that nobody missed filling all messages: whom it concerns hears it itself.
+        // Guards against a start that nobody missed filling all messages: whom it concerns hears it
+        // itself.
         if (!byItself || known.standing() != Standing.ALIVE) {
             tell(news, accuser);
         }
@@ -492,11 +548,20 @@
 
     private void suspect(long now, Member news, int accuser) {
         // One that does badly itself takes longer to bury others, as over everything.
-        double least = settings.suspicionLeast() * Math.max(1, Math.log10(live())) * settings.period()
-                * (health + 1);
+        double least =
+                settings.suspicionLeast()
+                        * Math.max(1, Math.log10(live()))
+                        * settings.period()
+                        * (health + 1);
         nextAppeal = Math.max(nextAppeal, now);
-        suspicions.put(news.number(), new Suspicion(now, accuser, least, least * settings.suspicionMost(),
-                settings.confirmations()));
+        suspicions.put(
+                news.number(),
+                new Suspicion(
+                        now,
+                        accuser,
+                        least,
+                        least * settings.suspicionMost(),
+                        settings.confirmations()));
         hold(news);
     }
 
@@ -511,9 +576,9 @@
     }
 
     /**
-     * Another one holds a life as dead that is known here: it is suspected for the shortest time, and not
-     * buried at once. Guards against one that hears nobody, and against the halves of a cut when it heals,
-     * which would hold as dead whom they hear all the time, until these contradict.
+     * Another one holds a life as dead that is known here: it is suspected for the shortest time,
+     * and not buried at once. Guards against one that hears nobody, and against the halves of a cut
+     * when it heals, which would hold as dead whom they hear all the time, until these contradict.
      */
     private void claimed(long now, Member known, int accuser) {
         if (known.standing() == Standing.ALIVE) {
@@ -526,8 +591,10 @@
     /** News of this very instance: what is wrong is contradicted by a greater incarnation. */
     private void contradict(Member news) {
         Member own = members[self];
-        boolean wrong = news.incarnation() > own.incarnation()
-                || news.incarnation() == own.incarnation() && news.standing() != Standing.ALIVE;
+        boolean wrong =
+                news.incarnation() > own.incarnation()
+                        || news.incarnation() == own.incarnation()
+                                && news.standing() != Standing.ALIVE;
         if (wrong && news.incarnation() < Member.MOST_INCARNATION) {
             members[self] = new Member(self, news.incarnation() + 1, Standing.ALIVE);
             refuted++;
@@ -545,8 +612,8 @@
     // ---- the end ----
 
     /**
-     * Says that this life ends, to as many as help it ask; after that it sends nothing and hears nothing. The
-     * next life needs a larger number.
+     * Says that this life ends, to as many as help it ask; after that it sends nothing and hears
+     * nothing. The next life needs a larger number.
      */
     public void leave() {
         if (left) {
--- a/core/src/main/java/cedarrudder/membership/Varint.java
+++ b/core/src/main/java/cedarrudder/membership/Varint.java
@@ -3,12 +3,15 @@
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 
-/** Whole numbers in as few bytes as they need: seven bits a byte, the lowest first. One number, one form. */
+/**
+ * Whole numbers in as few bytes as they need: seven bits a byte, the lowest first. One number, one
+ * form.
+ */
 public final class Varint {
 
     private static final int LONGEST = 10;
 
-    private Varint() { }
+    private Varint() {}
 
     /** Writes a number; a negative one takes ten bytes. */
     public static void put(ByteBuffer out, long value) {
@@ -28,7 +31,8 @@
     /**
      * Reads a number.
      *
-     * @throws BufferUnderflowException if it does not end, or has another form than {@link #put} gives it
+     * @throws BufferUnderflowException if it does not end, or has another form than {@link #put}
+     *     gives it
      */
     public static long get(ByteBuffer in) {
         long value = 0;
--- a/core/src/main/java/cedarrudder/overload/CallLimit.java
+++ b/core/src/main/java/cedarrudder/overload/CallLimit.java
@@ -1,10 +1,12 @@
 package cedarrudder.overload;
 
 /**
- * A limit on the calls out at once that follows what answers say: slow ones lower it, quick ones raise it.
+ * A limit on the calls out at once that follows what answers say: slow ones lower it, quick ones
+ * raise it.
  *
- * <p>Guards against overload, in which all would be served and all too late. It is the additive increase of
- * TCP with an additive decrease, so that it rests where a set share of the answers is slow.
+ * <p>Guards against overload, in which all would be served and all too late. It is the additive
+ * increase of TCP with an additive decrease, so that it rests where a set share of the answers is
+ * slow.
  */
 public final class CallLimit {
 
@@ -12,14 +14,16 @@
     private final double more;
     private final double cut;
     private double limit = Integer.MAX_VALUE;
+
     /** Whether a request was turned away since the limit last grew. */
     private boolean met;
 
     /**
      * @param less what a slow answer takes off; 0: there is no limit
      * @param more what a quick one adds
-     * @param cut a slow answer cuts the limit to this many times the recent peak of calls out at the most.
-     * Guards against turning the least worthy away on quiet days: they stop at a small part of the limit
+     * @param cut a slow answer cuts the limit to this many times the recent peak of calls out at
+     *     the most. Guards against turning the least worthy away on quiet days: they stop at a
+     *     small part of the limit
      */
     public CallLimit(double less, double more, double cut) {
         this.less = less;
@@ -39,9 +43,10 @@
      *
      * @param out calls out now
      * @param recentMost the most that were out at once lately
-     * @param least the limit never falls under this: this copy's part of what endpoints may always hold. With
-     * no more out there is no queue left to shorten by turning more away. Guards against refusing for good
-     * where answers are slow for another reason: connections that come up late, endpoints that hang
+     * @param least the limit never falls under this: this copy's part of what endpoints may always
+     *     hold. With no more out there is no queue left to shorten by turning more away. Guards
+     *     against refusing for good where answers are slow for another reason: connections that
+     *     come up late, endpoints that hang
      */
     public void answered(boolean slow, int out, double recentMost, double least) {
         if (slow && less > 0) {
--- a/core/src/main/java/cedarrudder/overload/ClassWorth.java
+++ b/core/src/main/java/cedarrudder/overload/ClassWorth.java
@@ -3,25 +3,31 @@
 import java.util.Arrays;
 
 /**
- * What it is worth to serve a request of each class next, for each unit of work, by the goal of the site.
+ * What it is worth to serve a request of each class next, for each unit of work, by the goal of the
+ * site.
  *
- * <p>The goal counts the worth served as a share of that asked for, over all classes and once more for the
- * class that is served worst. So a unit of worth of class c adds {@code whole / asked} to it, and
- * {@code worstClass / asked(c)} too while c is served worst. That derivative is the worth here. Which class
- * is worst is not sharp: it would flip with each answer, so the second term is shared out by how near each
- * class is to the worst. A class that falls behind rises by itself, and none is starved for good.
+ * <p>The goal counts the worth served as a share of that asked for, over all classes and once more
+ * for the class that is served worst. So a unit of worth of class c adds {@code whole / asked} to
+ * it, and {@code worstClass / asked(c)} too while c is served worst. That derivative is the worth
+ * here. Which class is worst is not sharp: it would flip with each answer, so the second term is
+ * shared out by how near each class is to the worst. A class that falls behind rises by itself, and
+ * none is starved for good.
  *
- * <p>What is asked and served is counted over the recent past, and only what is within a tenant's share.
+ * <p>What is asked and served is counted over the recent past, and only what is within a tenant's
+ * share.
  */
 public final class ClassWorth {
 
     /**
-     * Classes whose shares served differ by no more than this are about equally near the worst. Shares run
-     * from 0 to 1 whatever the classes are, so it holds for all sites.
+     * Classes whose shares served differ by no more than this are about equally near the worst.
+     * Shares run from 0 to 1 whatever the classes are, so it holds for all sites.
      */
     private static final double NEAR = 0.05;
 
-    /** The time over which is counted, in nanoseconds: the goal's shortest span, the worst 10 s, anywhere. */
+    /**
+     * The time over which is counted, in nanoseconds: the goal's shortest span, the worst 10 s,
+     * anywhere.
+     */
     private static final double WINDOW = 10e9;
 
     private final double[] perWork;
@@ -83,8 +89,9 @@
             all += asked[i];
             nearness += nearness(i);
         }
-        return asked[index] > 0 ? worth
-                * (whole + worstClass * nearness(index) / nearness * all / asked[index]) : worth;
+        return asked[index] > 0
+                ? worth * (whole + worstClass * nearness(index) / nearness * all / asked[index])
+                : worth;
     }
 
     private double nearness(int index) {
--- a/core/src/main/java/cedarrudder/overload/HoldLimit.java
+++ b/core/src/main/java/cedarrudder/overload/HoldLimit.java
@@ -3,19 +3,23 @@
 /**
  * How many requests one endpoint may hold, learned from how long its answers take for their work.
  *
- * <p>An endpoint that holds far more than it can work on is driven past what it does best: it may slow down
- * as a whole, and stay slow while the same load comes. So the limit begins at a safe value. It grows only
- * while the endpoint is at it and still answers in hardly more than the time that the work was said to take,
- * so that nothing waits there; and it goes back when answers take clearly longer. A small endpoint keeps the
- * safe value; one of many processors comes to hold many.
+ * <p>An endpoint that holds far more than it can work on is driven past what it does best: it may
+ * slow down as a whole, and stay slow while the same load comes. So the limit begins at a safe
+ * value. It grows only while the endpoint is at it and still answers in hardly more than the time
+ * that the work was said to take, so that nothing waits there; and it goes back when answers take
+ * clearly longer. A small endpoint keeps the safe value; one of many processors comes to hold many.
  *
- * <p>This is TCP Vegas (Brakmo and Peterson, 1995), as in Netflix' concurrency-limits, with the work that a
- * request was said to need in place of the least time seen. An endpoint that is full from the first moment on
- * never shows its least time, and a least time that is too long drives the limit up without end.
+ * <p>This is TCP Vegas (Brakmo and Peterson, 1995), as in Netflix' concurrency-limits, with the
+ * work that a request was said to need in place of the least time seen. An endpoint that is full
+ * from the first moment on never shows its least time, and a least time that is too long drives the
+ * limit up without end.
  */
 public final class HoldLimit {
 
-    /** Answers that count, about, and that must have been seen before the limit moves: samples, no time. */
+    /**
+     * Answers that count, about, and that must have been seen before the limit moves: samples, no
+     * time.
+     */
     private static final int ANSWERS = 20;
 
     /** Up to this many times the work said, nothing waits: the way there takes its time, too. */
@@ -28,14 +32,14 @@
     private static final double NEAR = 1;
 
     /**
-     * So few copies see the same part of the calls, each. With more, a copy has one or two calls at an
-     * endpoint whatever the site, and its own figure says little of the others'.
+     * So few copies see the same part of the calls, each. With more, a copy has one or two calls at
+     * an endpoint whatever the site, and its own figure says little of the others'.
      */
     private static final int FEW_COPIES = 3;
 
     /**
-     * For this long, in nanoseconds, a report tells of what others have at an endpoint. No setting tells how
-     * old reports are; they are refreshed some times a second where there are any.
+     * For this long, in nanoseconds, a report tells of what others have at an endpoint. No setting
+     * tells how old reports are; they are refreshed some times a second where there are any.
      */
     private static final long REPORT_TELLS = 2_000_000_000L;
 
@@ -47,7 +51,9 @@
     private double work;
     private int answers;
 
-    /** @param start the safe number of requests, to begin with and always; 0: there is no limit */
+    /**
+     * @param start the safe number of requests, to begin with and always; 0: there is no limit
+     */
     public HoldLimit(double start) {
         this.start = start;
         this.limit = start > 0 ? start : Double.POSITIVE_INFINITY;
@@ -86,9 +92,9 @@
     }
 
     /**
-     * How many requests the endpoint holds now. Where few copies send, each has an equal part of the calls,
-     * and its own figure is newer than any report. Where many do, each has one or two calls out here, and
-     * only a report tells of the others'.
+     * How many requests the endpoint holds now. Where few copies send, each has an equal part of
+     * the calls, and its own figure is newer than any report. Where many do, each has one or two
+     * calls out here, and only a report tells of the others'.
      *
      * @param own how many of this copy's it holds
      */
--- a/core/src/main/java/cedarrudder/overload/Mean.java
+++ b/core/src/main/java/cedarrudder/overload/Mean.java
@@ -8,7 +8,9 @@
     private double deviation;
     private long count;
 
-    /** @param weight the weight of the newest value, from 0 to 1; the first ones weigh more */
+    /**
+     * @param weight the weight of the newest value, from 0 to 1; the first ones weigh more
+     */
     public Mean(double weight) {
         this.weight = weight;
     }
--- a/core/src/main/java/cedarrudder/overload/ShareMeter.java
+++ b/core/src/main/java/cedarrudder/overload/ShareMeter.java
@@ -5,14 +5,15 @@
 /**
  * Tells which requests are past their tenant's share: a token bucket for each tenant.
  *
- * <p>Guards against a tenant that crowds out the others: only what it sends beyond its share counts less, not
- * the whole tenant.
+ * <p>Guards against a tenant that crowds out the others: only what it sends beyond its share counts
+ * less, not the whole tenant.
  */
 public final class ShareMeter {
 
     /**
-     * A tenant may save up this many seconds of its share; what comes past that is over its share. So what
-     * may be saved follows the settings' quota and the number of copies; one request may be in any case.
+     * A tenant may save up this many seconds of its share; what comes past that is over its share.
+     * So what may be saved follows the settings' quota and the number of copies; one request may be
+     * in any case.
      */
     private static final double SECONDS = 2;
 
@@ -22,7 +23,8 @@
     private int copies;
 
     /**
-     * @param quotas the share of each tenant over all copies, in requests a second; 0: it has no limit
+     * @param quotas the share of each tenant over all copies, in requests a second; 0: it has no
+     *     limit
      * @param copies how many copies there are, each of which takes an equal part
      */
     public ShareMeter(double[] quotas, int copies) {
@@ -38,7 +40,10 @@
         copies = Math.max(1, live);
     }
 
-    /** Counts a request of a tenant, and tells whether it is past the share. An unknown tenant has none. */
+    /**
+     * Counts a request of a tenant, and tells whether it is past the share. An unknown tenant has
+     * none.
+     */
     public boolean past(long now, int tenant) {
         if (tenant >= quotas.length || quotas[tenant] <= 0) {
             return false;
--- a/core/src/main/java/cedarrudder/overload/WaitingLine.java
+++ b/core/src/main/java/cedarrudder/overload/WaitingLine.java
@@ -9,8 +9,9 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for room, in lanes of equal worth: the lane worth most goes first, and in a lane who
- * came first. So the least worth for its work goes without when there is too much, and chance chooses none.
+ * Requests that wait for room, in lanes of equal worth: the lane worth most goes first, and in a
+ * lane who came first. So the least worth for its work goes without when there is too much, and
+ * chance chooses none.
  */
 public final class WaitingLine<T> {
 
@@ -24,7 +25,7 @@
         NONE
     }
 
-    private record Waiter<T>(long number, T request) { }
+    private record Waiter<T>(long number, T request) {}
 
     private final List<ArrayDeque<Waiter<T>>> lanes = new ArrayList<>();
     private final List<Integer> order = new ArrayList<>();
@@ -46,7 +47,10 @@
         return size;
     }
 
-    /** Offers room to those that wait until there is none; of lanes of equal worth, where one came first. */
+    /**
+     * Offers room to those that wait until there is none; of lanes of equal worth, where one came
+     * first.
+     */
     public void release(IntToDoubleFunction worth, Function<T, Offer> offer) {
         order.clear();
         for (int i = 0; i < lanes.size(); i++) {
@@ -54,8 +58,9 @@
                 order.add(i);
             }
         }
-        order.sort(Comparator.comparingDouble((Integer i) -> -worth.applyAsDouble(i))
-                .thenComparingLong(i -> lanes.get(i).peekFirst().number()));
+        order.sort(
+                Comparator.comparingDouble((Integer i) -> -worth.applyAsDouble(i))
+                        .thenComparingLong(i -> lanes.get(i).peekFirst().number()));
         for (int lane : order) {
             ArrayDeque<Waiter<T>> queue = lanes.get(lane);
             Offer answer = Offer.TAKEN;
--- a/core/src/main/java/cedarrudder/overload/ZoneDeal.java
+++ b/core/src/main/java/cedarrudder/overload/ZoneDeal.java
@@ -8,28 +8,35 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Deals calls to zones by their parts, keeps what each zone gets a second within its bound, and tells which
- * calls fit nowhere.
+ * Deals calls to zones by their parts, keeps what each zone gets a second within its bound, and
+ * tells which calls fit nowhere.
  *
- * <p>Each call moves a point by the golden ratio round a circle which the zones divide by their parts (a
- * sequence of low discrepancy, after Weyl, 1916). So of any run of calls each zone gets its part to within a
- * call or two, where a draw for each would stray by the root of their number; nothing has to be kept when
- * parts change; and copies whose points start at random don't send to the same zone at the same time.
+ * <p>Each call moves a point by the golden ratio round a circle which the zones divide by their
+ * parts (a sequence of low discrepancy, after Weyl, 1916). So of any run of calls each zone gets
+ * its part to within a call or two, where a draw for each would stray by the root of their number;
+ * nothing has to be kept when parts change; and copies whose points start at random don't send to
+ * the same zone at the same time.
  *
- * <p>Where the parts are less than a whole, each call pays in that share of a call, and each that goes takes
- * one out. Whoever asks with a part of 1 may take all that was saved; who is worth less finds some of it kept
- * from him, as in a {@link CallLimit}: so the least worthy goes without. The bounds a second are the same by
- * time.
+ * <p>Where the parts are less than a whole, each call pays in that share of a call, and each that
+ * goes takes one out. Whoever asks with a part of 1 may take all that was saved; who is worth less
+ * finds some of it kept from him, as in a {@link CallLimit}: so the least worthy goes without. The
+ * bounds a second are the same by time.
  */
 public final class ZoneDeal {
 
     /** No zone may get the call. */
     public static final int NOWHERE = -1;
 
-    /** A zone may save up this many seconds of its bound, which copies agree on; one call in any case. */
+    /**
+     * A zone may save up this many seconds of its bound, which copies agree on; one call in any
+     * case.
+     */
     private static final double SECONDS = 0.5;
 
-    /** So many calls may be saved up by those that didn't go: enough to tell worth apart, soon used up. */
+    /**
+     * So many calls may be saved up by those that didn't go: enough to tell worth apart, soon used
+     * up.
+     */
     private static final double CALLS = 20;
 
     private static final double GOLDEN = (Math.sqrt(5) - 1) / 2;
@@ -40,7 +47,7 @@
      * @param parts of the whole, so many; over 0
      * @param perSecond its bound in calls a second; 0: none
      */
-    public record Part(int zone, int parts, int perSecond) { }
+    public record Part(int zone, int parts, int perSecond) {}
 
     private static final class Zone {
         final int number;
@@ -63,6 +70,7 @@
 
     /** Those that have one, in the order in which they stand in for one another. */
     private Zone[] zones = new Zone[0];
+
     private double sum;
     private double paid = CALLS;
     private double point = Double.NaN;
@@ -79,20 +87,22 @@
     }
 
     /**
-     * Sets the parts of zones, one at the least, in place of the former. The savings stay as they are.
+     * Sets the parts of zones, one at the least, in place of the former. The savings stay as they
+     * are.
      *
-     * @throws IllegalArgumentException where a zone comes twice, or the parts are more than a whole; nothing
-     * changes then
+     * @throws IllegalArgumentException where a zone comes twice, or the parts are more than a
+     *     whole; nothing changes then
      */
     public void set(List<Part> parts) {
         long all = parts.stream().mapToLong(Part::parts).sum();
         List<Integer> numbers = parts.stream().map(Part::zone).toList();
         if (numbers.stream().distinct().count() < numbers.size()) {
-            throw new IllegalArgumentException("shares: found zones " + numbers + "; allowed: each once");
+            throw new IllegalArgumentException(
+                    "shares: found zones " + numbers + "; allowed: each once");
         }
         if (all > whole) {
-            throw new IllegalArgumentException("shares: found " + all + " parts in all; allowed: up to "
-                    + whole);
+            throw new IllegalArgumentException(
+                    "shares: found " + all + " parts in all; allowed: up to " + whole);
         }
         point = Double.isNaN(point) ? random.nextDouble() : point;
         sum = all;
@@ -103,8 +113,11 @@
             zone.parts = part.parts();
             zone.perSecond = part.perSecond();
         }
-        zones = numbers.stream().sorted(Comparator.comparing(number -> number != own)).map(known::get)
-                .toArray(Zone[]::new);
+        zones =
+                numbers.stream()
+                        .sorted(Comparator.comparing(number -> number != own))
+                        .map(known::get)
+                        .toArray(Zone[]::new);
     }
 
     /** Whether a zone has a part. */
@@ -114,8 +127,8 @@
     }
 
     /**
-     * The zone for a call that has come, to be asked for each: the one whose turn it is, or where its bound
-     * is reached the first that stands in for it.
+     * The zone for a call that has come, to be asked for each: the one whose turn it is, or where
+     * its bound is reached the first that stands in for it.
      *
      * @param part of what is saved, so much is open to this call; from 0 to 1
      * @param goes whether it goes anywhere at all; one that doesn't leaves its place to others
@@ -127,7 +140,7 @@
         }
         point = (point + GOLDEN) % 1;
         int at = 0;
-        for (double left = point * sum - zones[0].parts; left >= 0 && at < zones.length - 1;) {
+        for (double left = point * sum - zones[0].parts; left >= 0 && at < zones.length - 1; ) {
             left -= zones[++at].parts;
         }
         int[] open = order(now, zones[at].number, part);
@@ -136,7 +149,8 @@
     }
 
     /**
-     * The zones that may get a call: this one first, if it has a part, and then those that stand in for it.
+     * The zones that may get a call: this one first, if it has a part, and then those that stand in
+     * for it.
      *
      * @param part as for {@link #next}
      */
--- a/core/src/main/java/cedarrudder/rotation/Rotation.java
+++ b/core/src/main/java/cedarrudder/rotation/Rotation.java
@@ -14,23 +14,24 @@
 import java.util.Set;
 
 /**
- * Which listed nodes operators have disabled, and which are being removed in common: laid over what discovery
- * lists. The module sees such a node as one that drains, so that every rule on drains holds for it, and
- * nothing else knows of disabling.
+ * Which listed nodes operators have disabled, and which are being removed in common: laid over what
+ * discovery lists. The module sees such a node as one that drains, so that every rule on drains
+ * holds for it, and nothing else knows of disabling.
  *
- * <p>A node that is enabled again counts as started then. Guards against a node that was restarted meanwhile
- * being sent the load of a warm one, before discovery tells of its new start. Pure; not thread-safe.
+ * <p>A node that is enabled again counts as started then. Guards against a node that was restarted
+ * meanwhile being sent the load of a warm one, before discovery tells of its new start. Pure; not
+ * thread-safe.
  */
 public final class Rotation {
 
     /**
-     * Ids are kept this many at the most beyond those that are listed, the latest. It bounds memory alone:
-     * what operators ask for an older one is answered as for one that was never listed.
+     * Ids are kept this many at the most beyond those that are listed, the latest. It bounds memory
+     * alone: what operators ask for an older one is answered as for one that was never listed.
      */
     private static final int MOST_FORMER = 4096;
 
     /** A node under the id that operators know it by. */
-    public record Named(String name, Endpoint endpoint) { }
+    public record Named(String name, Endpoint endpoint) {}
 
     private final Map<String, Endpoint> listed = new HashMap<>();
     private final Map<String, Long> returnedAt = new HashMap<>();
@@ -43,7 +44,9 @@
         if (kind != ListKind.CHANGES) {
             Set<String> named = new HashSet<>();
             entries.forEach(entry -> named.add(entry.name()));
-            List.copyOf(listed.keySet()).stream().filter(name -> !named.contains(name)).forEach(this::leave);
+            List.copyOf(listed.keySet()).stream()
+                    .filter(name -> !named.contains(name))
+                    .forEach(this::leave);
         }
         List<Endpoint> shown = new ArrayList<>(entries.size());
         for (Named entry : entries) {
@@ -63,7 +66,7 @@
         returnedAt.remove(name);
         if (listed.remove(name) != null) {
             former.add(name);
-            for (Iterator<String> oldest = former.iterator(); former.size() > MOST_FORMER;) {
+            for (Iterator<String> oldest = former.iterator(); former.size() > MOST_FORMER; ) {
                 oldest.next();
                 oldest.remove();
             }
@@ -76,10 +79,19 @@
         if (entry == null) {
             return null;
         }
-        State state = disabled.contains(name) || leaving.contains(entry.id()) ? State.DRAINING
-                : entry.state();
-        long startedAt = Math.max(entry.startedAt(), returnedAt.getOrDefault(name, entry.startedAt()));
-        return new Endpoint(entry.id(), entry.zone(), entry.kind(), entry.cell(), state, entry.weight(),
+        State state =
+                disabled.contains(name) || leaving.contains(entry.id())
+                        ? State.DRAINING
+                        : entry.state();
+        long startedAt =
+                Math.max(entry.startedAt(), returnedAt.getOrDefault(name, entry.startedAt()));
+        return new Endpoint(
+                entry.id(),
+                entry.zone(),
+                entry.kind(),
+                entry.cell(),
+                state,
+                entry.weight(),
                 startedAt);
     }
 
@@ -105,21 +117,22 @@
     }
 
     /**
-     * These nodes, by the numbers of the module, are being removed in common: they are left out as disabled
-     * ones are, and neither of the two puts back a node that the other leaves out.
+     * These nodes, by the numbers of the module, are being removed in common: they are left out as
+     * disabled ones are, and neither of the two puts back a node that the other leaves out.
      *
      * @return listed nodes that the module is to see anew
      */
     public Set<String> leaving(Set<Long> nodes, long now) {
         Set<String> changed = new HashSet<>();
-        listed.forEach((name, entry) -> {
-            if (leaving.contains(entry.id()) != nodes.contains(entry.id())) {
-                if (!nodes.contains(entry.id()) && !disabled.contains(name)) {
-                    returnedAt.put(name, now);
-                }
-                changed.add(name);
-            }
-        });
+        listed.forEach(
+                (name, entry) -> {
+                    if (leaving.contains(entry.id()) != nodes.contains(entry.id())) {
+                        if (!nodes.contains(entry.id()) && !disabled.contains(name)) {
+                            returnedAt.put(name, now);
+                        }
+                        changed.add(name);
+                    }
+                });
         leaving = Set.copyOf(nodes);
         return changed;
     }
@@ -131,8 +144,11 @@
 
     /** The id of a listed node by its number; null where there is none. */
     public String name(long node) {
-        return listed.entrySet().stream().filter(entry -> entry.getValue().id() == node)
-                .map(Map.Entry::getKey).findFirst().orElse(null);
+        return listed.entrySet().stream()
+                .filter(entry -> entry.getValue().id() == node)
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse(null);
     }
 
     /** What discovery lists, by id, whatever operators or copies leave out. */
--- a/core/src/main/java/cedarrudder/routing/CallAttempt.java
+++ b/core/src/main/java/cedarrudder/routing/CallAttempt.java
@@ -2,7 +2,10 @@
 
 import cedarrudder.budget.Carried;
 
-/** One attempt at an RPC, at one node. The attempts of an RPC are numbered from 0, in the order sent. */
+/**
+ * One attempt at an RPC, at one node. The attempts of an RPC are numbered from 0, in the order
+ * sent.
+ */
 public final class CallAttempt<Q, A> {
 
     /** How far it has gone; it goes on only, and may leave steps out. */
@@ -71,8 +74,8 @@
     }
 
     /**
-     * Its last byte is written; to be told by the client side. The node begins with it now: where its body
-     * flowed, how long it takes counts from here.
+     * Its last byte is written; to be told by the client side. The node begins with it now: where
+     * its body flowed, how long it takes counts from here.
      */
     public void wrote(long now) {
         if (enter(Phase.OUT) && exchange.uploaded()) {
@@ -89,7 +92,9 @@
         return phase == Phase.ENDED;
     }
 
-    /** Whether this call ended it: guards against a second outcome of an attempt that was given up. */
+    /**
+     * Whether this call ended it: guards against a second outcome of an attempt that was given up.
+     */
     boolean end() {
         return enter(Phase.ENDED);
     }
--- a/core/src/main/java/cedarrudder/routing/ClientSide.java
+++ b/core/src/main/java/cedarrudder/routing/ClientSide.java
@@ -1,8 +1,8 @@
 package cedarrudder.routing;
 
 /**
- * The side that talks to nodes, as the driver sees it. Each attempt and each probe is answered by one report
- * to the driver, which may come at once.
+ * The side that talks to nodes, as the driver sees it. Each attempt and each probe is answered by
+ * one report to the driver, which may come at once.
  */
 public interface ClientSide<Q, A> {
 
@@ -10,9 +10,9 @@
     boolean knows(long endpoint);
 
     /**
-     * Carries out an attempt and reports its end. Before the first byte of it goes out, on whatever way, the
-     * driver is asked once ({@link Driver#begins}), and told after its last ({@link CallAttempt#wrote}).
-     * One that may not begin is abandoned within that question.
+     * Carries out an attempt and reports its end. Before the first byte of it goes out, on whatever
+     * way, the driver is asked once ({@link Driver#begins}), and told after its last ({@link
+     * CallAttempt#wrote}). One that may not begin is abandoned within that question.
      */
     void start(CallAttempt<Q, A> attempt);
 
--- a/core/src/main/java/cedarrudder/routing/Driver.java
+++ b/core/src/main/java/cedarrudder/routing/Driver.java
@@ -20,16 +20,19 @@
 import java.util.function.Function;
 
 /**
- * Feeds the decision module with events, one at a time, and carries out its actions. It decides nothing.
+ * Feeds the decision module with events, one at a time, and carries out its actions. It decides
+ * nothing.
  *
- * <p>An action never re-enters the module: what it causes (a connection refused at once, an attempt that is
- * moot) waits in the queue until the event at hand has been handled, as it would on the simulator's wire.
+ * <p>An action never re-enters the module: what it causes (a connection refused at once, an attempt
+ * that is moot) waits in the queue until the event at hand has been handled, as it would on the
+ * simulator's wire.
  */
 public final class Driver<Q, A> {
 
     /**
-     * An RPC that the module has not ended this long after its deadline is ended for it. The protocol allows
-     * ten times as much past any site's limits, and the deadline here is before the client's.
+     * An RPC that the module has not ended this long after its deadline is ended for it. The
+     * protocol allows ten times as much past any site's limits, and the deadline here is before the
+     * client's.
      */
     private static final long OVERDUE = 5_000_000L;
 
@@ -50,7 +53,11 @@
     private long sharesUntil = Long.MAX_VALUE;
     private Runnable byShares;
 
-    public Driver(Function<Balancer.Actions, Balancer> module, int maxAttempts, Timers timers, Logger log) {
+    public Driver(
+            Function<Balancer.Actions, Balancer> module,
+            int maxAttempts,
+            Timers timers,
+            Logger log) {
         this(module, maxAttempts, timers, log, null, null);
     }
 
@@ -58,8 +65,13 @@
      * @param budgets asked before each further attempt that the module wants; null: none
      * @param figures where RPCs are counted; null: nowhere
      */
-    public Driver(Function<Balancer.Actions, Balancer> module, int maxAttempts, Timers timers, Logger log,
-            Budgets budgets, Figures figures) {
+    public Driver(
+            Function<Balancer.Actions, Balancer> module,
+            int maxAttempts,
+            Timers timers,
+            Logger log,
+            Budgets budgets,
+            Figures figures) {
         this.figures = figures;
         this.timers = timers;
         this.log = log;
@@ -75,7 +87,9 @@
         peers = others;
     }
 
-    /** Has what becomes of calls counted by zones from now on; to be called before the first event. */
+    /**
+     * Has what becomes of calls counted by zones from now on; to be called before the first event.
+     */
     public void count(ZoneTally byZones) {
         tally = byZones;
     }
@@ -92,14 +106,18 @@
             tally.came();
         }
         exchange.expiresBy(timers.at(exchange.request().deadline(), () -> expire(exchange)));
-        post(() -> {
-            if (budgets == null) {
-                balancer.request(timers.now(), exchange.request());
-            } else {
-                exchange.budget(budgets.arrived(timers.now(), exchange.request(), exchange.carried()));
-                balancer.request(timers.now(), exchange.request(), exchange.budget().standing());
-            }
-        });
+        post(
+                () -> {
+                    if (budgets == null) {
+                        balancer.request(timers.now(), exchange.request());
+                    } else {
+                        exchange.budget(
+                                budgets.arrived(
+                                        timers.now(), exchange.request(), exchange.carried()));
+                        balancer.request(
+                                timers.now(), exchange.request(), exchange.budget().standing());
+                    }
+                });
     }
 
     /** The last byte of a request has been read whose first were taken before: its time starts. */
@@ -142,11 +160,13 @@
     }
 
     /**
-     * Guards against a request that goes out for nobody: what still waits for its connection as its RPC ends
-     * never begins, whatever may be called off by the settings.
+     * Guards against a request that goes out for nobody: what still waits for its connection as its
+     * RPC ends never begins, whatever may be called off by the settings.
      */
     private void dropUnbegun(Exchange<Q, A> exchange) {
-        for (int i = 0; i < exchange.attempts().size(); i++) { // more may come meanwhile, which end at once
+        for (int i = 0;
+                i < exchange.attempts().size();
+                i++) { // more may come meanwhile, which end at once
             if (exchange.attempts().get(i).waits()) {
                 giveUp(exchange.attempts().get(i), Outcome.MOOT);
             }
@@ -154,11 +174,12 @@
     }
 
     /**
-     * Whether the first byte of an attempt may go out now: the one gate of every attempt, to be asked once,
-     * right before. Guards against what has changed since the module sent it, which may be long ago where a
-     * connection came up late: its caller has left, or could have left unseen, its time is over, its node has
-     * left the list, drains or has started anew, or the window of its repeats is past. An attempt that may
-     * not begin ends with this, so as to prove that it did not run.
+     * Whether the first byte of an attempt may go out now: the one gate of every attempt, to be
+     * asked once, right before. Guards against what has changed since the module sent it, which may
+     * be long ago where a connection came up late: its caller has left, or could have left unseen,
+     * its time is over, its node has left the list, drains or has started anew, or the window of
+     * its repeats is past. An attempt that may not begin ends with this, so as to prove that it did
+     * not run.
      */
     public boolean begins(CallAttempt<Q, A> attempt) {
         Exchange<Q, A> exchange = attempt.exchange();
@@ -179,9 +200,13 @@
      * @param seen whether its caller would be seen to have gone
      */
     private void withdraw(CallAttempt<Q, A> attempt, boolean seen) {
-        Outcome denial = !attempt.waits() ? null : seen ? denial(attempt, attempt.exchange()) : Outcome.MOOT;
+        Outcome denial =
+                !attempt.waits() ? null : seen ? denial(attempt, attempt.exchange()) : Outcome.MOOT;
         if (denial != null) {
-            told(attempt, Outcome.MOOT, null); // its node was not asked: this says nothing of its zone
+            told(
+                    attempt,
+                    Outcome.MOOT,
+                    null); // its node was not asked: this says nothing of its zone
             attempt.zone(-1);
             client.abandon(attempt);
             ended(attempt, denial, null);
@@ -199,7 +224,8 @@
         try {
             return balancer.denial(now, exchange.request().id(), attempt.number());
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            log.fault("module.failed", e).write(); // as for its events: its caller must not wait for it
+            log.fault("module.failed", e)
+                    .write(); // as for its events: its caller must not wait for it
             return Outcome.MOOT;
         }
     }
@@ -214,32 +240,41 @@
     }
 
     /**
-     * A node's answer has begun, which is too large to be held: it is the caller's from here on, and no
-     * deadline cuts it. Its end is told by {@link #ended}.
+     * A node's answer has begun, which is too large to be held: it is the caller's from here on,
+     * and no deadline cuts it. Its end is told by {@link #ended}.
      *
-     * <p>For the module the attempt has been served with this. Guards against nodes being taken for full, or
-     * silent, by answers that callers read slowly; of one that breaks off later it hears once more.
+     * <p>For the module the attempt has been served with this. Guards against nodes being taken for
+     * full, or silent, by answers that callers read slowly; of one that breaks off later it hears
+     * once more.
      */
     public void began(CallAttempt<Q, A> attempt, A answer, Load load) {
-        post(() -> {
-            Exchange<Q, A> exchange = attempt.exchange();
-            if (attempt.ended()) {
-                return;
-            }
-            if (exchange.over()) {
-                giveUp(attempt, Outcome.CANCELLED);
-                return;
-            }
-            attempt.answers(timers.now());
-            told(attempt, Outcome.OK, load);
-            exchange.begin(attempt);
-            dropUnbegun(exchange);
-            exchange.forget();
-            exchange.result(budgets == null ? null : exchange.budget().served());
-            exchange.reply().served(answer);
-            balancer.outcome(timers.now(), exchange.request().id(), attempt.number(), attempt.endpoint(),
-                    Outcome.OK, attempt.took(timers.now()), true, load);
-        });
+        post(
+                () -> {
+                    Exchange<Q, A> exchange = attempt.exchange();
+                    if (attempt.ended()) {
+                        return;
+                    }
+                    if (exchange.over()) {
+                        giveUp(attempt, Outcome.CANCELLED);
+                        return;
+                    }
+                    attempt.answers(timers.now());
+                    told(attempt, Outcome.OK, load);
+                    exchange.begin(attempt);
+                    dropUnbegun(exchange);
+                    exchange.forget();
+                    exchange.result(budgets == null ? null : exchange.budget().served());
+                    exchange.reply().served(answer);
+                    balancer.outcome(
+                            timers.now(),
+                            exchange.request().id(),
+                            attempt.number(),
+                            attempt.endpoint(),
+                            Outcome.OK,
+                            attempt.took(timers.now()),
+                            true,
+                            load);
+                });
     }
 
     /** A node served an attempt. */
@@ -262,37 +297,53 @@
         ended(attempt, outcome, null, load, below);
     }
 
-    private void ended(CallAttempt<Q, A> attempt, Outcome outcome, A answer, Load load, FromBelow below) {
+    private void ended(
+            CallAttempt<Q, A> attempt, Outcome outcome, A answer, Load load, FromBelow below) {
         if (!attempt.end()) {
             return;
         }
         long latency = attempt.took(timers.now());
-        post(() -> {
-            Exchange<Q, A> exchange = attempt.exchange();
-            exchange.attemptEnded(outcome);
-            if (attempt.handed() != null) {
-                budgets.ended(timers.now(), exchange.budget(), attempt.handed(), outcome, latency, below);
-            }
-            if (attempt.answering() && exchange.endFlow()) {
-                count(exchange, outcome == Outcome.OK ? End.FULFILLED : End.FAULTED);
-            }
-            if (outcome == Outcome.OK && !exchange.over()) {
-                end(exchange, End.FULFILLED);
-                exchange.result(budgets == null ? null : exchange.budget().served());
-                exchange.reply().served(answer);
-            }
-            forgetIfDone(exchange);
-            if (!attempt.answering()) {
-                told(attempt, outcome, load);
-            } else {
-                if (outcome != Outcome.OK && outcome != Outcome.CANCELLED) {
-                    balancer.brokeOff(timers.now(), attempt.endpoint(), attempt.startedAt());
-                }
-                return; // the module has heard of the rest
-            }
-            balancer.outcome(timers.now(), exchange.request().id(), attempt.number(), attempt.endpoint(),
-                    outcome, latency, exchange.over(), load);
-        });
+        post(
+                () -> {
+                    Exchange<Q, A> exchange = attempt.exchange();
+                    exchange.attemptEnded(outcome);
+                    if (attempt.handed() != null) {
+                        budgets.ended(
+                                timers.now(),
+                                exchange.budget(),
+                                attempt.handed(),
+                                outcome,
+                                latency,
+                                below);
+                    }
+                    if (attempt.answering() && exchange.endFlow()) {
+                        count(exchange, outcome == Outcome.OK ? End.FULFILLED : End.FAULTED);
+                    }
+                    if (outcome == Outcome.OK && !exchange.over()) {
+                        end(exchange, End.FULFILLED);
+                        exchange.result(budgets == null ? null : exchange.budget().served());
+                        exchange.reply().served(answer);
+                    }
+                    forgetIfDone(exchange);
+                    if (!attempt.answering()) {
+                        told(attempt, outcome, load);
+                    } else {
+                        if (outcome != Outcome.OK && outcome != Outcome.CANCELLED) {
+                            balancer.brokeOff(
+                                    timers.now(), attempt.endpoint(), attempt.startedAt());
+                        }
+                        return; // the module has heard of the rest
+                    }
+                    balancer.outcome(
+                            timers.now(),
+                            exchange.request().id(),
+                            attempt.number(),
+                            attempt.endpoint(),
+                            outcome,
+                            latency,
+                            exchange.over(),
+                            load);
+                });
     }
 
     private void told(CallAttempt<Q, A> attempt, Outcome outcome, Load load) {
@@ -317,13 +368,16 @@
         if (tally != null) {
             tally.listed(kind, entries);
         }
-        post(() -> {
-            balancer.endpoints(timers.now(), kind, entries);
-            // Guards against a wait for a connection to a node that has left: another may take it now.
-            for (Exchange<Q, A> exchange : List.copyOf(exchanges.values())) {
-                List.copyOf(exchange.attempts()).forEach(attempt -> withdraw(attempt, true));
-            }
-        });
+        post(
+                () -> {
+                    balancer.endpoints(timers.now(), kind, entries);
+                    // Guards against a wait for a connection to a node that has left: another may
+                    // take it now.
+                    for (Exchange<Q, A> exchange : List.copyOf(exchanges.values())) {
+                        List.copyOf(exchange.attempts())
+                                .forEach(attempt -> withdraw(attempt, true));
+                    }
+                });
     }
 
     /** A call to discovery failed or the watch broke. */
@@ -338,16 +392,17 @@
 
     /** Each zone may get such a part of the RPCs; an empty list: as the module sees fit. */
     public void shares(List<ZoneShare> shares) {
-        post(() -> {
-            shared = !shares.isEmpty();
-            balancer.shares(timers.now(), shares);
-        });
+        post(
+                () -> {
+                    shared = !shares.isEmpty();
+                    balancer.shares(timers.now(), shares);
+                });
     }
 
     /**
-     * From that instant on the shares that were said last must not be used. It is looked at before each event
-     * of the module. Guards against a process that stood still and goes on, in its first moment, by what
-     * copies had agreed on long ago.
+     * From that instant on the shares that were said last must not be used. It is looked at before
+     * each event of the module. Guards against a process that stood still and goes on, in its first
+     * moment, by what copies had agreed on long ago.
      */
     public void sharesUntil(long instant) {
         sharesUntil = instant;
@@ -396,7 +451,8 @@
             }
             event.run();
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            // Guards against one bad event keeping those behind it; the RPC it concerns still has its timer.
+            // Guards against one bad event keeping those behind it; the RPC it concerns still has
+            // its timer.
             log.fault("module.failed", e).write();
         }
     }
@@ -404,12 +460,13 @@
     // ---- the end of an RPC's time ----
 
     /**
-     * The deadline of an RPC: what is still out has timed out, upon which the module ends the RPC: with the
-     * last of them it knows whether any may have run. Each RPC has this timer of its own, so that none
-     * depends on its attempts, or on the module, for an answer.
+     * The deadline of an RPC: what is still out has timed out, upon which the module ends the RPC:
+     * with the last of them it knows whether any may have run. Each RPC has this timer of its own,
+     * so that none depends on its attempts, or on the module, for an answer.
      */
     private void expire(Exchange<Q, A> exchange) {
-        // A copy: guards against a module that sends again upon a time-out, and so adds to the attempts.
+        // A copy: guards against a module that sends again upon a time-out, and so adds to the
+        // attempts.
         for (CallAttempt<Q, A> attempt : List.copyOf(exchange.attempts())) {
             giveUp(attempt, Outcome.TIMEOUT);
         }
@@ -422,8 +479,8 @@
     }
 
     /**
-     * Ends an RPC before its time, since this process ends. Guards against callers that get no answer at all,
-     * since their time was to be over later than this process.
+     * Ends an RPC before its time, since this process ends. Guards against callers that get no
+     * answer at all, since their time was to be over later than this process.
      */
     public void cut(Exchange<Q, A> exchange) {
         if (!exchange.over()) {
@@ -433,7 +490,10 @@
         }
     }
 
-    /** What was never sent on, or is known not to have run, is refused: guards against no repeat of it. */
+    /**
+     * What was never sent on, or is known not to have run, is refused: guards against no repeat of
+     * it.
+     */
     private void overdue(Exchange<Q, A> exchange) {
         if (exchange.over()) {
             return;
@@ -449,8 +509,8 @@
     }
 
     /**
-     * Ends an attempt from here. Guards against the outcome of one whose last byte was never written saying
-     * that it may have run: its caller would be told so, and might not repeat it.
+     * Ends an attempt from here. Guards against the outcome of one whose last byte was never
+     * written saying that it may have run: its caller would be told so, and might not repeat it.
      */
     private void giveUp(CallAttempt<Q, A> attempt, Outcome outcome) {
         if (!attempt.ended()) {
@@ -482,7 +542,9 @@
             long now = timers.now();
             CallAttempt<Q, A> attempt = exchange.attempt(endpoint, now);
             attempt.zone(tally == null ? -1 : tally.sent(now, endpoint));
-            if (exchange.over() || exchange.spent() || now >= exchange.expiry()
+            if (exchange.over()
+                    || exchange.spent()
+                    || now >= exchange.expiry()
                     || attempt.number() >= maxAttempts) {
                 ended(attempt, Outcome.MOOT, null);
                 return;
--- a/core/src/main/java/cedarrudder/routing/Exchange.java
+++ b/core/src/main/java/cedarrudder/routing/Exchange.java
@@ -8,10 +8,12 @@
 import java.util.List;
 
 /**
- * One RPC between its caller and the nodes: the only thing that the server side and the client side share.
+ * One RPC between its caller and the nodes: the only thing that the server side and the client side
+ * share.
  *
- * <p>The server side makes it and is told through {@link Reply} how it ended; the client side reads its
- * content to carry out the call attempts. What the content and the answers are is the protocol's affair.
+ * <p>The server side makes it and is told through {@link Reply} how it ended; the client side reads
+ * its content to carry out the call attempts. What the content and the answers are is the
+ * protocol's affair.
  *
  * @param <Q> what is passed on to a node
  * @param <A> what a node answers
@@ -23,23 +25,26 @@
         /** A node's answer, to be passed on. */
         void served(A answer);
 
-        /** An unavailable status: trying again is harmless, after this many nanoseconds (0: no advice). */
+        /**
+         * An unavailable status: trying again is harmless, after this many nanoseconds (0: no
+         * advice).
+         */
         void refused(long retryAfter);
 
         /** It failed, and nothing is promised. */
         void failed();
 
         /**
-         * Whether the caller is still there, looked up now and not by what was last heard of it. Asked, by
-         * the driver's thread, right before the first byte of an attempt goes out. False counts as
-         * {@link Driver#left}, which may also be called within this, for this exchange; nothing else of the
-         * driver's may be.
+         * Whether the caller is still there, looked up now and not by what was last heard of it.
+         * Asked, by the driver's thread, right before the first byte of an attempt goes out. False
+         * counts as {@link Driver#left}, which may also be called within this, for this exchange;
+         * nothing else of the driver's may be.
          */
         boolean waits();
 
         /**
-         * Whether the caller could be seen to have gone. Where not, since what it sent is not read for want
-         * of room, {@link #waits} says nothing, and no attempt may begin.
+         * Whether the caller could be seen to have gone. Where not, since what it sent is not read
+         * for want of room, {@link #waits} says nothing, and no attempt may begin.
          */
         default boolean seen() {
             return true;
@@ -112,8 +117,8 @@
     }
 
     /**
-     * Its content is still being read. Its deadline counts from the last byte of it, so until then it has
-     * none but that of the request.
+     * Its content is still being read. Its deadline counts from the last byte of it, so until then
+     * it has none but that of the request.
      *
      * @param wait how long its caller waits from then on, in nanoseconds
      */
@@ -134,8 +139,8 @@
     }
 
     /**
-     * What is left of its caller's wait, in nanoseconds: a node may be told no more. While its content is
-     * being read that is the wait from its last byte on.
+     * What is left of its caller's wait, in nanoseconds: a node may be told no more. While its
+     * content is being read that is the wait from its last byte on.
      */
     public long left(long now) {
         return uploaded ? Math.min(onceWhole, expiry - now) : expiry - now;
@@ -201,8 +206,8 @@
     }
 
     /**
-     * Calls the deadline off. Guards against every RPC of the last seconds being kept in memory, bodies and
-     * all, until its deadline comes.
+     * Calls the deadline off. Guards against every RPC of the last seconds being kept in memory,
+     * bodies and all, until its deadline comes.
      */
     void forget() {
         timer.cancel();
--- a/core/src/main/java/cedarrudder/routing/ResolverClock.java
+++ b/core/src/main/java/cedarrudder/routing/ResolverClock.java
@@ -6,44 +6,48 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When discovery is asked, and when what was asked counts as lost: for the watch, or for one call for the
- * whole list. Pure: events with their time in nanoseconds come in, actions go out; a call is a number.
+ * When discovery is asked, and when what was asked counts as lost: for the watch, or for one call
+ * for the whole list. Pure: events with their time in nanoseconds come in, actions go out; a call
+ * is a number.
  *
- * <p>An object or an empty line that is whole counts as life, and so does the first byte of an object, once.
- * Guards against a watch that goes on with pieces of an object that never ends. So a watch is lost at the
- * latest {@code watch + spread} after its last byte, and is opened anew at once. While no call has an answer
- * one more is made each {@code again} (a hedged request), on another connection, and those before are waited
- * for all the same: who queues at a busy discovery loses no place. So {@code call / again} and one are out at
- * a time at the most; of a whole list two. For the next of them a spare connection is dialled while the one
- * before has no answer: guards against two connections in a row that come up late.
+ * <p>An object or an empty line that is whole counts as life, and so does the first byte of an
+ * object, once. Guards against a watch that goes on with pieces of an object that never ends. So a
+ * watch is lost at the latest {@code watch + spread} after its last byte, and is opened anew at
+ * once. While no call has an answer one more is made each {@code again} (a hedged request), on
+ * another connection, and those before are waited for all the same: who queues at a busy discovery
+ * loses no place. So {@code call / again} and one are out at a time at the most; of a whole list
+ * two. For the next of them a spare connection is dialled while the one before has no answer:
+ * guards against two connections in a row that come up late.
  *
- * <p>Once all has failed the watch is asked for after a backoff with jitter: {@code spread} at the most where
- * a watch ended, a quarter of it where the first call failed or the last fell silent, then {@link #longest}.
- * The cap is low: guards against a list that is late once discovery is back, however long it was away.
- * {@link Actions#failed} tells the module once for all that fails until the watch is told again; its own
- * waits neither lengthen nor shorten these.
+ * <p>Once all has failed the watch is asked for after a backoff with jitter: {@code spread} at the
+ * most where a watch ended, a quarter of it where the first call failed or the last fell silent,
+ * then {@link #longest}. The cap is low: guards against a list that is late once discovery is back,
+ * however long it was away. {@link Actions#failed} tells the module once for all that fails until
+ * the watch is told again; its own waits neither lengthen nor shorten these.
  */
 public final class ResolverClock {
 
     /**
-     * The backoff's cap, in nanoseconds. Guards against a change that is told over 6 s after discovery is
-     * back: the cap, a connection that comes up a second late and a refusal, and all of these once more, take
-     * 5.1 s.
+     * The backoff's cap, in nanoseconds. Guards against a change that is told over 6 s after
+     * discovery is back: the cap, a connection that comes up a second late and a refusal, and all
+     * of these once more, take 5.1 s.
      */
     private static final long LONGEST = 1_500_000_000L;
 
     /**
-     * So much of the time in which one must have asked at the most. The rest is for a call that waits and a
-     * connection that comes up late.
+     * So much of the time in which one must have asked at the most. The rest is for a call that
+     * waits and a connection that comes up late.
      */
     private static final double LONGEST_PART = 0.6;
 
-    /** Where lists are pushed: what the agent has counts at once, and it serves this machine alone. */
+    /**
+     * Where lists are pushed: what the agent has counts at once, and it serves this machine alone.
+     */
     private static final long LONGEST_PUSHED = 750_000_000L;
 
     /**
-     * So much of the cap is by chance. Guards against a storm: with what is left no copy calls twice in a
-     * second, and with the chance copies that failed together drift apart.
+     * So much of the cap is by chance. Guards against a storm: with what is left no copy calls
+     * twice in a second, and with the chance copies that failed together drift apart.
      */
     private static final double JITTER = 1.0 / 3;
 
@@ -61,7 +65,9 @@
         /** Dials a spare connection, or closes the one there is. */
         void spare(boolean wanted);
 
-        /** Gives a call up; {@code why} is null where nothing failed and another takes its place. */
+        /**
+         * Gives a call up; {@code why} is null where nothing failed and another takes its place.
+         */
         void drop(int call, String why);
 
         /** Wants {@link ResolverClock#due} at an instant; an earlier wish no longer counts. */
@@ -106,26 +112,35 @@
 
     /** The watch that tells; while discovery moves, the one at its former address. */
     private Ask standing;
+
     private boolean wanted;
     private boolean moving;
     private boolean reported;
     private int failures;
 
-    /** Whether discovery ended what went wrong last, by a refusal or a close: it is there, maybe busy. */
+    /**
+     * Whether discovery ended what went wrong last, by a refusal or a close: it is there, maybe
+     * busy.
+     */
     private boolean answers;
 
     /** When one more call is made, unless there is an answer by then. */
     private long nextAt = NEVER;
+
     private long dialAt = NEVER;
     private long armed = NEVER;
     private int last;
 
     /**
      * @param follows whether it is the watch that is asked for, else one whole list
-     * @param longest at most so long after a failure it is asked for again, in nanoseconds; 0 where others
-     * see to it
+     * @param longest at most so long after a failure it is asked for again, in nanoseconds; 0 where
+     *     others see to it
      */
-    public ResolverClock(boolean follows, long longest, ResolverPatience patience, RandomGenerator random,
+    public ResolverClock(
+            boolean follows,
+            long longest,
+            ResolverPatience patience,
+            RandomGenerator random,
             Actions actions) {
         this.follows = follows;
         this.longest = longest;
@@ -137,7 +152,8 @@
     /** The backoff's cap at a site, in nanoseconds. */
     public static long longest(Settings settings) {
         return settings.askForEndpoints()
-                ? Math.min(LONGEST, (long) (LONGEST_PART * settings.safety().askWithin())) : LONGEST_PUSHED;
+                ? Math.min(LONGEST, (long) (LONGEST_PART * settings.safety().askWithin()))
+                : LONGEST_PUSHED;
     }
 
     /** These figures count from now on; a wait that has begun may last for as long as it was to. */
@@ -150,7 +166,10 @@
         return standing != null || !asked.isEmpty();
     }
 
-    /** The list is wanted. Without effect while it is asked for, told, or soon to be asked for again. */
+    /**
+     * The list is wanted. Without effect while it is asked for, told, or soon to be asked for
+     * again.
+     */
     public void ask(long now) {
         wanted = true;
         if (asked.isEmpty() && (standing == null || moving) && nextAt == NEVER) {
@@ -160,8 +179,8 @@
     }
 
     /**
-     * Discovery has moved: it is asked at its new address at once, also where a failed call at the old one is
-     * to be made again only later. A watch that stands tells on until the new one does.
+     * Discovery has moved: it is asked at its new address at once, also where a failed call at the
+     * old one is to be made again only later. A watch that stands tells on until the new one does.
      */
     public void move(long now) {
         if (wanted) {
@@ -199,7 +218,10 @@
         }
     }
 
-    /** An empty line came: nothing has changed. It doesn't speak for an address at which nothing was told. */
+    /**
+     * An empty line came: nothing has changed. It doesn't speak for an address at which nothing was
+     * told.
+     */
     public void blank(long now, int call) {
         if (!moving || stands(call)) {
             told(now, call);
@@ -211,7 +233,9 @@
         }
     }
 
-    /** An object of the list came whole, and could be read. What else was asked is no longer needed. */
+    /**
+     * An object of the list came whole, and could be read. What else was asked is no longer needed.
+     */
     public void told(long now, int call) {
         if (stands(call)) {
             standing.heard(now);
@@ -271,7 +295,8 @@
             }
         }
         if (waited && asked.isEmpty()) {
-            failures = 0; // guards against a wait on top of a whole patience, in which nothing was called
+            failures = 0; // guards against a wait on top of a whole patience, in which nothing was
+            // called
             failed(now, patience.spread() / 4); // calls are spread already
         }
         if (now >= callAt()) {
@@ -284,8 +309,8 @@
     }
 
     /**
-     * Guards against a storm when the network is back: of the calls that wait for a connection only the
-     * newest is kept, since what was lost of the others is sent again too.
+     * Guards against a storm when the network is back: of the calls that wait for a connection only
+     * the newest is kept, since what was lost of the others is sent again too.
      */
     private void open(long now) {
         for (Ask ask : List.copyOf(asked)) {
@@ -305,7 +330,8 @@
     /** The watch at a former address was to end; the one that takes its place reports for both. */
     private void lost(long now) {
         if (now - standing.openedAt >= longest) {
-            failures = 0; // else one that ends as soon as it has told would be asked for without a pause
+            failures = 0; // else one that ends as soon as it has told would be asked for without a
+            // pause
         }
         standing = null;
         if (!moving) {
@@ -315,7 +341,9 @@
         moving = false;
     }
 
-    /** @param first at most so long the backoff is where nothing failed before, in nanoseconds */
+    /**
+     * @param first at most so long the backoff is where nothing failed before, in nanoseconds
+     */
     private void failed(long now, long first) {
         nextAt = longest > 0 ? now + backoff(Math.min(first, longest)) : NEVER;
         dialAt = NEVER;
@@ -327,7 +355,8 @@
     }
 
     private long backoff(long first) {
-        return failures++ == 0 ? (long) (random.nextDouble() * first)
+        return failures++ == 0
+                ? (long) (random.nextDouble() * first)
                 : longest - (long) (random.nextDouble() * JITTER * longest);
     }
 
@@ -357,8 +386,9 @@
     }
 
     /**
-     * Whether a call has a place in the queue of a discovery that is there. Guards against a storm of hedged
-     * calls: at one that serves a few in a second, each copy's second call makes all wait twice as long.
+     * Whether a call has a place in the queue of a discovery that is there. Guards against a storm
+     * of hedged calls: at one that serves a few in a second, each copy's second call makes all wait
+     * twice as long.
      */
     private boolean queues() {
         return answers && asked.stream().anyMatch(ask -> ask.up);
--- a/core/src/main/java/cedarrudder/routing/ResolverPatience.java
+++ b/core/src/main/java/cedarrudder/routing/ResolverPatience.java
@@ -4,12 +4,13 @@
  * How long discovery is waited for, in nanoseconds.
  *
  * @param call a call without an answer has failed after so long
- * @param again while none has an answer one more is made after so long, and those before still wait. A
- * connection may come up a second late, so less than that would ask twice for nothing
- * @param watch a watch brings a line at least every 2 s, which may come a second late; one that was silent
- * for so long is lost. Guards against a network that was cut: its connection stays open and says nothing
- * @param spread and up to so much longer, by chance, as where it ended: guards against all copies asking at
- * once
+ * @param again while none has an answer one more is made after so long, and those before still
+ *     wait. A connection may come up a second late, so less than that would ask twice for nothing
+ * @param watch a watch brings a line at least every 2 s, which may come a second late; one that was
+ *     silent for so long is lost. Guards against a network that was cut: its connection stays open
+ *     and says nothing
+ * @param spread and up to so much longer, by chance, as where it ended: guards against all copies
+ *     asking at once
  */
 public record ResolverPatience(long call, long again, long watch, long spread) {
 
--- a/core/src/main/java/cedarrudder/table/RouteTable.java
+++ b/core/src/main/java/cedarrudder/table/RouteTable.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * What the copies of a tier have agreed on, whole: where each zone's callers are served, which nodes are
- * being removed, and what each class may get while it holds. Immutable; equal contents are equal, in whatever
- * order they were given, and have the same {@linkplain TableCodec bytes}.
+ * What the copies of a tier have agreed on, whole: where each zone's callers are served, which
+ * nodes are being removed, and what each class may get while it holds. Immutable; equal contents
+ * are equal, in whatever order they were given, and have the same {@linkplain TableCodec bytes}.
  *
  * @param number the table's own; it only rises, over all groups; at least 1
  * @param group the group of copies that agreed on it; at least 0
@@ -16,14 +16,21 @@
  * @param leaving the nodes being removed, ordered by node
  * @param limits what classes may get, ordered by class; a class without one is not limited
  */
-public record RouteTable(long number, long group, long term, long lease, List<Share> shares,
-        List<Leaving> leaving, List<Limit> limits) {
+public record RouteTable(
+        long number,
+        long group,
+        long term,
+        long lease,
+        List<Share> shares,
+        List<Leaving> leaving,
+        List<Limit> limits) {
 
     /** A zone's whole: shares are whole parts of it. */
     public static final int WHOLE = 10_000;
 
     /** Zones, classes and waves are numbered from 0 to one less than this. */
     public static final int MOST_ZONES = 64;
+
     public static final int MOST_CLASSES = 256;
     public static final int MOST_WAVES = 1 << 16;
 
@@ -72,39 +79,63 @@
     /** What a class may get a second while the table holds. */
     public record Limit(int classIndex, int perSecond) {
         public Limit {
-            check(classIndex >= 0 && classIndex < MOST_CLASSES, "limit.class", classIndex,
+            check(
+                    classIndex >= 0 && classIndex < MOST_CLASSES,
+                    "limit.class",
+                    classIndex,
                     "0 to " + (MOST_CLASSES - 1));
             check(perSecond >= 0, "limit.perSecond", perSecond, "0 or more");
         }
     }
 
-    /** Checks all that is said above; what is wrong is an IllegalArgumentException that names it. */
+    /**
+     * Checks all that is said above; what is wrong is an IllegalArgumentException that names it.
+     */
     public RouteTable {
         check(number >= 1, "number", number, "1 or more");
         check(group >= 0, "group", group, "0 or more");
         check(term >= 0, "term", term, "0 or more");
         check(lease > 0, "lease", lease, "over 0");
-        check(leaving.size() <= MOST_LEAVING, "leaving", leaving.size() + " nodes", "up to " + MOST_LEAVING);
-        shares = shares.stream().sorted(Comparator.comparingInt(Share::from).thenComparing(Share::to))
-                .toList();
+        check(
+                leaving.size() <= MOST_LEAVING,
+                "leaving",
+                leaving.size() + " nodes",
+                "up to " + MOST_LEAVING);
+        shares =
+                shares.stream()
+                        .sorted(Comparator.comparingInt(Share::from).thenComparing(Share::to))
+                        .toList();
         leaving = leaving.stream().sorted(Comparator.comparingLong(Leaving::node)).toList();
         limits = limits.stream().sorted(Comparator.comparingInt(Limit::classIndex)).toList();
         long parts = 0;
         for (int i = 0; i < shares.size(); i++) {
             Share share = shares.get(i);
             boolean same = i > 0 && shares.get(i - 1).from() == share.from();
-            check(!same || shares.get(i - 1).to() != share.to(), "share", "zone " + share.from()
-                    + " to zone " + share.to() + " twice", "once");
+            check(
+                    !same || shares.get(i - 1).to() != share.to(),
+                    "share",
+                    "zone " + share.from() + " to zone " + share.to() + " twice",
+                    "once");
             parts = share.parts() + (same ? parts : 0);
-            check(parts <= WHOLE, "share.parts", parts + " of zone " + share.from(), "up to " + WHOLE);
+            check(
+                    parts <= WHOLE,
+                    "share.parts",
+                    parts + " of zone " + share.from(),
+                    "up to " + WHOLE);
         }
         for (int i = 1; i < leaving.size(); i++) {
-            check(leaving.get(i - 1).node() != leaving.get(i).node(), "leaving",
-                    "node " + leaving.get(i).node() + " twice", "once");
+            check(
+                    leaving.get(i - 1).node() != leaving.get(i).node(),
+                    "leaving",
+                    "node " + leaving.get(i).node() + " twice",
+                    "once");
         }
         for (int i = 1; i < limits.size(); i++) {
-            check(limits.get(i - 1).classIndex() != limits.get(i).classIndex(), "limit",
-                    "class " + limits.get(i).classIndex() + " twice", "once");
+            check(
+                    limits.get(i - 1).classIndex() != limits.get(i).classIndex(),
+                    "limit",
+                    "class " + limits.get(i).classIndex() + " twice",
+                    "once");
         }
     }
 
--- a/core/src/main/java/cedarrudder/table/TableCodec.java
+++ b/core/src/main/java/cedarrudder/table/TableCodec.java
@@ -11,9 +11,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * A route table as bytes: a version, numbers of seven bits a byte, the lowest first, and a CRC32C of all
- * before it. Nodes are written in their order, as distances. One table has one form: what would read as a
- * table and is written otherwise is refused.
+ * A route table as bytes: a version, numbers of seven bits a byte, the lowest first, and a CRC32C
+ * of all before it. Nodes are written in their order, as distances. One table has one form: what
+ * would read as a table and is written otherwise is refused.
  */
 public final class TableCodec {
 
@@ -24,9 +24,9 @@
     private static final int MOST_SHARES = RouteTable.MOST_ZONES * RouteTable.MOST_ZONES;
 
     /** What reading came to: a table, or why there is none. */
-    public record Decoded(RouteTable table, String fault) { }
+    public record Decoded(RouteTable table, String fault) {}
 
-    private TableCodec() { }
+    private TableCodec() {}
 
     public static byte[] encode(RouteTable table) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -56,7 +56,10 @@
             put(out, limit.perSecond());
         }
         byte[] body = out.toByteArray();
-        return ByteBuffer.allocate(body.length + SUM).put(body).putInt(sum(body, body.length)).array();
+        return ByteBuffer.allocate(body.length + SUM)
+                .put(body)
+                .putInt(sum(body, body.length))
+                .array();
     }
 
     private static void put(ByteArrayOutputStream out, long value) {
@@ -75,11 +78,15 @@
         return (int) sum.getValue();
     }
 
-    /** Reads a table; whatever the bytes are it throws nothing, and takes memory in proportion to them. */
+    /**
+     * Reads a table; whatever the bytes are it throws nothing, and takes memory in proportion to
+     * them.
+     */
     public static Decoded decode(byte[] bytes) {
         int length = bytes.length - SUM;
         if (length < 0) {
-            return new Decoded(null, "found " + bytes.length + " bytes; allowed: " + SUM + " or more");
+            return new Decoded(
+                    null, "found " + bytes.length + " bytes; allowed: " + SUM + " or more");
         }
         if (ByteBuffer.wrap(bytes).getInt(length) != sum(bytes, length)) {
             return new Decoded(null, "the checksum does not fit");
@@ -110,10 +117,13 @@
             long lease = whole("lease", 1, Long.MAX_VALUE);
             List<Share> shares = new ArrayList<>();
             for (int left = count("shares", MOST_SHARES); left > 0; left--) {
-                shares.add(new Share(small("share.from", RouteTable.MOST_ZONES - 1),
-                        small("share.to", RouteTable.MOST_ZONES - 1),
-                        Way.values()[small("share.way", Way.values().length - 1)],
-                        small("share.parts", RouteTable.WHOLE), small("share.perSecond", Integer.MAX_VALUE)));
+                shares.add(
+                        new Share(
+                                small("share.from", RouteTable.MOST_ZONES - 1),
+                                small("share.to", RouteTable.MOST_ZONES - 1),
+                                Way.values()[small("share.way", Way.values().length - 1)],
+                                small("share.parts", RouteTable.WHOLE),
+                                small("share.perSecond", Integer.MAX_VALUE)));
             }
             List<Leaving> leaving = new ArrayList<>();
             long node = 0;
@@ -123,8 +133,10 @@
             }
             List<Limit> limits = new ArrayList<>();
             for (int left = count("limits", RouteTable.MOST_CLASSES); left > 0; left--) {
-                limits.add(new Limit(small("limit.class", RouteTable.MOST_CLASSES - 1),
-                        small("limit.perSecond", Integer.MAX_VALUE)));
+                limits.add(
+                        new Limit(
+                                small("limit.class", RouteTable.MOST_CLASSES - 1),
+                                small("limit.perSecond", Integer.MAX_VALUE)));
             }
             if (at < end) {
                 throw wrong("end", end - at + " bytes more", "none");
@@ -136,7 +148,10 @@
             return table;
         }
 
-        /** A number of entries; each takes two bytes or more, so that no more are read than there are. */
+        /**
+         * A number of entries; each takes two bytes or more, so that no more are read than there
+         * are.
+         */
         private int count(String name, int most) {
             return (int) whole(name, 0, Math.min(most, (end - at) / 2));
         }
@@ -167,8 +182,8 @@
         }
 
         private IllegalArgumentException wrong(String name, Object found, String allowed) {
-            return new IllegalArgumentException("byte " + at + ", " + name + ": found " + found
-                    + "; allowed: " + allowed);
+            return new IllegalArgumentException(
+                    "byte " + at + ", " + name + ": found " + found + "; allowed: " + allowed);
         }
     }
 }
--- a/core/src/main/java/cedarrudder/table/TableDifference.java
+++ b/core/src/main/java/cedarrudder/table/TableDifference.java
@@ -10,7 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * What a table changes of the one before it. Applied to what the former says it gives what the latter says.
+ * What a table changes of the one before it. Applied to what the former says it gives what the
+ * latter says.
  *
  * @param shares new ones, and those that changed
  * @param endedShares of these pairs of zones the former has a share and the latter none
@@ -19,8 +20,13 @@
  * @param limits new ones, and those that changed
  * @param freed classes that are not limited any more
  */
-public record TableDifference(List<Share> shares, List<Pair> endedShares, List<Leaving> leaving,
-        List<Long> back, List<Limit> limits, List<Integer> freed) {
+public record TableDifference(
+        List<Share> shares,
+        List<Pair> endedShares,
+        List<Leaving> leaving,
+        List<Long> back,
+        List<Limit> limits,
+        List<Integer> freed) {
 
     /** A zone of callers and one that serves them. */
     public record Pair(int from, int to) {
@@ -30,7 +36,8 @@
     }
 
     public static TableDifference between(RouteTable before, RouteTable after) {
-        return new TableDifference(fresh(before.shares(), after.shares()),
+        return new TableDifference(
+                fresh(before.shares(), after.shares()),
                 gone(before.shares(), after.shares(), Pair::of),
                 fresh(before.leaving(), after.leaving()),
                 gone(before.leaving(), after.leaving(), Leaving::node),
@@ -50,7 +57,11 @@
 
     /** Whether nothing changes but the number, the term and the lease. */
     public boolean nothing() {
-        return shares.isEmpty() && endedShares.isEmpty() && leaving.isEmpty() && back.isEmpty()
-                && limits.isEmpty() && freed.isEmpty();
+        return shares.isEmpty()
+                && endedShares.isEmpty()
+                && leaving.isEmpty()
+                && back.isEmpty()
+                && limits.isEmpty()
+                && freed.isEmpty();
     }
 }
--- a/core/src/main/java/cedarrudder/table/Tables.java
+++ b/core/src/main/java/cedarrudder/table/Tables.java
@@ -1,6 +1,9 @@
 package cedarrudder.table;
 
-/** The table that a copy uses. It loads one whole or not at all, and numbers only rise. Not thread-safe. */
+/**
+ * The table that a copy uses. It loads one whole or not at all, and numbers only rise. Not
+ * thread-safe.
+ */
 public final class Tables {
 
     /** What came of loading one; {@code why} is null where it counts. */
@@ -18,13 +21,28 @@
     /** Loads a table. The one that is loaded already may come again; it changes nothing. */
     public Loaded load(RouteTable next) {
         if (current != null && next.number() < current.number()) {
-            return new Loaded(false, "number: found " + next.number() + " with " + current.number()
-                    + " loaded; allowed: no lower one");
+            return new Loaded(
+                    false,
+                    "number: found "
+                            + next.number()
+                            + " with "
+                            + current.number()
+                            + " loaded; allowed: no lower one");
         }
         if (current != null && next.number() == current.number() && !next.equals(current)) {
-            return new Loaded(false, "number: found " + next.number() + " of group " + next.group()
-                    + ", term " + next.term() + " with other contents than the one loaded, of group "
-                    + current.group() + ", term " + current.term() + "; allowed: one table a number");
+            return new Loaded(
+                    false,
+                    "number: found "
+                            + next.number()
+                            + " of group "
+                            + next.group()
+                            + ", term "
+                            + next.term()
+                            + " with other contents than the one loaded, of group "
+                            + current.group()
+                            + ", term "
+                            + current.term()
+                            + "; allowed: one table a number");
         }
         current = next;
         return Loaded.YES;
--- a/core/src/test/java/cedarrudder/Await.java
+++ b/core/src/test/java/cedarrudder/Await.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 
 /**
- * The waits of tests, of all modules: each ends, after a bound that no event needs on the slowest machine, in
- * a failure that names what did not come. A process that was waited for is ended then.
+ * The waits of tests, of all modules: each ends, after a bound that no event needs on the slowest
+ * machine, in a failure that names what did not come. A process that was waited for is ended then.
  */
 public final class Await {
 
@@ -24,7 +24,7 @@
         boolean holds() throws Exception;
     }
 
-    private Await() { }
+    private Await() {}
 
     private static AssertionError never(String event) {
         return new AssertionError("not in " + LONGEST_SECONDS + " s: " + event);
@@ -69,7 +69,9 @@
         }
     }
 
-    /** Until a process has ended, with this code. Nothing is read of what it says: see {@link #all}. */
+    /**
+     * Until a process has ended, with this code. Nothing is read of what it says: see {@link #all}.
+     */
     public static int end(String event, Process process) throws InterruptedException {
         if (!process.waitFor(LONGEST_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly();
@@ -94,12 +96,15 @@
     }
 
     /** The rest of it, where some was read. */
-    public static String all(String event, Process process, BufferedReader lines) throws IOException {
+    public static String all(String event, Process process, BufferedReader lines)
+            throws IOException {
         CompletableFuture<Void> over = new CompletableFuture<>();
-        over.orTimeout(LONGEST_SECONDS, TimeUnit.SECONDS).exceptionally(late -> {
-            process.toHandle().destroyForcibly(); // which ends what it says
-            return null;
-        });
+        over.orTimeout(LONGEST_SECONDS, TimeUnit.SECONDS)
+                .exceptionally(
+                        late -> {
+                            process.toHandle().destroyForcibly(); // which ends what it says
+                            return null;
+                        });
         StringBuilder said = new StringBuilder();
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             said.append(line).append('\n');
@@ -115,12 +120,14 @@
      *
      * @return all that were read, the one looked for being the last
      */
-    public static String line(String event, Process process, BufferedReader lines, Predicate<String> wanted)
+    public static String line(
+            String event, Process process, BufferedReader lines, Predicate<String> wanted)
             throws IOException, InterruptedException {
         StringBuilder said = new StringBuilder();
         long end = end();
         while (true) {
-            boolean ended = !process.isAlive(); // before the look: guards against missing its last words
+            boolean ended =
+                    !process.isAlive(); // before the look: guards against missing its last words
             if (!ended && !lines.ready()) {
                 if (System.nanoTime() - end > 0) {
                     process.destroyForcibly();
@@ -131,7 +138,8 @@
             }
             String line = lines.readLine();
             if (line == null) {
-                throw new AssertionError("the process ended without: " + event + "; it said:\n" + said);
+                throw new AssertionError(
+                        "the process ended without: " + event + "; it said:\n" + said);
             }
             said.append(line).append('\n');
             if (wanted.test(line)) {
--- a/core/src/test/java/cedarrudder/ClockBelowZeroTest.java
+++ b/core/src/test/java/cedarrudder/ClockBelowZeroTest.java
@@ -12,7 +12,10 @@
 
     private static final long BEGIN = -10 * Site.SECOND;
 
-    /** Guards against a tenant that counts as over its share until the clock has passed zero, and after. */
+    /**
+     * Guards against a tenant that counts as over its share until the clock has passed zero, and
+     * after.
+     */
     @Test
     public void aTenantBeginsWithItsShare() {
         assertFalse(new ShareMeter(new double[] {10}, 1).past(BEGIN, 0));
@@ -29,7 +32,9 @@
         assertTrue(worth.next(0, false) > worth.next(1, false), "who is served worst goes first");
     }
 
-    /** Guards against endpoints that count as out of connections until the clock has passed zero. */
+    /**
+     * Guards against endpoints that count as out of connections until the clock has passed zero.
+     */
     @Test
     public void anEndpointHasRoomForConnections() {
         assertFalse(new Server(Site.ready(1), BEGIN, 4, 0).crowded(BEGIN));
