--- a/core/src/test/java/cedarrudder/ColdBudgetTest.java
+++ b/core/src/test/java/cedarrudder/ColdBudgetTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What all copies together send to cold endpoints, beside what the standing test bears: N and two roots of N
- * and 2 requests, N being what the settings allow then. {@code -Dcold.tables=true} prints docs/COLD.md's
- * tables, in some minutes.
+ * What all copies together send to cold endpoints, beside what the standing test bears: N and two
+ * roots of N and 2 requests, N being what the settings allow then. {@code -Dcold.tables=true}
+ * prints docs/COLD.md's tables, in some minutes.
  */
 class ColdBudgetTest {
     private static final boolean TABLES = Boolean.getBoolean("cold.tables");
@@ -23,12 +23,20 @@
 
     /** Few copies and many, and many copies to an endpoint, each with few calls. */
     @ParameterizedTest
-    @CsvSource({"1, 8", "5, 10", "15, 40", "20, 10", "30, 10", "30, 40", "100, 10", "100, 40", "500, 50"})
+    @CsvSource({
+        "1, 8", "5, 10", "15, 40", "20, 10", "30, 10", "30, 40", "100, 10", "100, 40", "500, 50"
+    })
     void copiesTogetherStayWithinTheBound(int copies, int endpoints) {
-        double[] few = copies < 500 ? new double[]{0, 1} : new double[]{1};
-        for (double cold : TABLES ? new double[]{0, 0.5, 0.9, 1} : few) {
-            play(ColdFleet.FIRST, copies, endpoints, cold,
-                    TABLES && copies < 500 ? new double[]{0.1, 0.4, 0.7, 1.2} : new double[]{1.2});
+        double[] few = copies < 500 ? new double[] {0, 1} : new double[] {1};
+        for (double cold : TABLES ? new double[] {0, 0.5, 0.9, 1} : few) {
+            play(
+                    ColdFleet.FIRST,
+                    copies,
+                    endpoints,
+                    cold,
+                    TABLES && copies < 500
+                            ? new double[] {0.1, 0.4, 0.7, 1.2}
+                            : new double[] {1.2});
         }
     }
 
@@ -37,14 +45,19 @@
     @CsvSource({"5, 10", "30, 10", "100, 10"})
     void soTheyDoInOtherDeployments(int copies, int endpoints) {
         for (Deployment deployment : ColdFleet.OTHERS) {
-            for (double cold : TABLES ? new double[]{0, 0.5, 1} : new double[]{0, 1}) {
-                play(deployment, copies, endpoints, cold,
-                        TABLES ? new double[]{0.1, 0.4, 0.7, 1.2} : new double[]{1.2});
+            for (double cold : TABLES ? new double[] {0, 0.5, 1} : new double[] {0, 1}) {
+                play(
+                        deployment,
+                        copies,
+                        endpoints,
+                        cold,
+                        TABLES ? new double[] {0.1, 0.4, 0.7, 1.2} : new double[] {1.2});
             }
         }
     }
 
-    private static void play(Deployment deployment, int copies, int endpoints, double cold, double[] loads) {
+    private static void play(
+            Deployment deployment, int copies, int endpoints, double cold, double[] loads) {
         World world = null;
         Seen worst = null;
         double byWork = 0;
@@ -56,11 +69,23 @@
                 // A burst may come with the start, and after it.
                 boolean burst = trouble == Trouble.BURST || trouble == Trouble.THRONG;
                 // A lone copy has nobody who could get its calls.
-                boolean lone = copies == 1 && (trouble == Trouble.SHIFT || trouble == Trouble.RESTART
-                        || trouble == Trouble.SEVEN_IN_TEN_DIE);
+                boolean lone =
+                        copies == 1
+                                && (trouble == Trouble.SHIFT
+                                        || trouble == Trouble.RESTART
+                                        || trouble == Trouble.SEVEN_IN_TEN_DIE);
                 for (long after = burst ? 0 : 3; after <= 3 && !lone; after += 3) {
-                    World each = new World(copies, endpoints, Math.max(1, (int) (cold * endpoints)), 5, load,
-                            deployment, trouble, after * Site.SECOND, true);
+                    World each =
+                            new World(
+                                    copies,
+                                    endpoints,
+                                    Math.max(1, (int) (cold * endpoints)),
+                                    5,
+                                    load,
+                                    deployment,
+                                    trouble,
+                                    after * Site.SECOND,
+                                    true);
                     for (long seed = 1; seed <= SEEDS; seed++) {
                         Seen seen = ColdFleet.play(each, Tuning.DEFAULTS, seed);
                         served += seen.served();
@@ -72,34 +97,60 @@
                             world = each;
                         }
                         // The tables show what is over, too.
-                        assertTrue(seen.worst() <= 1 || TABLES, seen + ", seed " + seed + ", " + each);
+                        assertTrue(
+                                seen.worst() <= 1 || TABLES, seen + ", seed " + seed + ", " + each);
                     }
                 }
             }
         }
-        System.out.printf("| %s | %d, %d | %s | %.2f | %d of %d | %.2f | %.3f | seeds 1 to %d; %s "
-                + "at load %s, %s%n", deployment, copies, endpoints, cold, worst.worst(), over, worlds,
-                byWork, served / worlds, SEEDS, worst, world.load(), world.trouble());
+        System.out.printf(
+                "| %s | %d, %d | %s | %.2f | %d of %d | %.2f | %.3f | seeds 1 to %d; %s "
+                        + "at load %s, %s%n",
+                deployment,
+                copies,
+                endpoints,
+                cold,
+                worst.worst(),
+                over,
+                worlds,
+                byWork,
+                served / worlds,
+                SEEDS,
+                worst,
+                world.load(),
+                world.trouble());
     }
 
     /** Guards against a bound that nothing reaches: these copies aren't told of the start. */
     @ParameterizedTest
     @CsvSource({"15, 40", "100, 10", "100, 40"})
     void withoutTheirGuardCopiesPushItOver(int copies, int endpoints) {
-        Seen seen = ColdFleet.play(new World(copies, endpoints, endpoints / 2, 5, 0.7, ColdFleet.FIRST,
-                Trouble.BURST, 3 * Site.SECOND, false), Tuning.DEFAULTS, 1);
+        Seen seen =
+                ColdFleet.play(
+                        new World(
+                                copies,
+                                endpoints,
+                                endpoints / 2,
+                                5,
+                                0.7,
+                                ColdFleet.FIRST,
+                                Trouble.BURST,
+                                3 * Site.SECOND,
+                                false),
+                        Tuning.DEFAULTS,
+                        1);
         System.out.println("seed 1, " + copies + " copies that are not told: " + seen);
         assertTrue(seen.worst() > 1, seen.toString());
     }
 
     /**
-     * The budget alone, under copies that want nothing else than to send there: those that send as soon as it
-     * lets them, and those that all wait for one another and send at once.
+     * The budget alone, under copies that want nothing else than to send there: those that send as
+     * soon as it lets them, and those that all wait for one another and send at once.
      */
     @ParameterizedTest
     @CsvSource({"1", "15", "100", "500"})
     void theBudgetAloneBearsCopiesThatWantNothingElse(int copies) {
-        for (double capacity : new double[]{33, 5}) {
+        for (double capacity : new double[] {33, 5}) {
             for (int second = 0; second <= 20; second += 5) {
                 long from = second * Site.SECOND;
                 long until = from + ColdFleet.SAFETY.fallWindow();
@@ -107,14 +158,20 @@
                 int eager = greedy(copies, capacity, from, false);
                 int atOnce = greedy(copies, capacity, from, true);
                 double allowed = ColdFleet.allowed(ColdFleet.SAFETY, until, capacity);
-                System.out.printf("| %d | %.0f | %d | %.0f | %.0f | %d | %d |%n", copies, capacity,
-                        second + 3, allowed, bound, eager, atOnce);
-                assertTrue(eager <= bound && atOnce <= bound, eager + " and " + atOnce + " of " + bound);
+                System.out.printf(
+                        "| %d | %.0f | %d | %.0f | %.0f | %d | %d |%n",
+                        copies, capacity, second + 3, allowed, bound, eager, atOnce);
+                assertTrue(
+                        eager <= bound && atOnce <= bound,
+                        eager + " and " + atOnce + " of " + bound);
             }
         }
     }
 
-    /** Sends within the window from an instant on, at six tenths of the load that a warm endpoint can do. */
+    /**
+     * Sends within the window from an instant on, at six tenths of the load that a warm endpoint
+     * can do.
+     */
     private static int greedy(int copies, double capacity, long from, boolean atOnce) {
         SplittableRandom random = new SplittableRandom(7);
         double[] part = random.doubles(copies, 0.1, 1).map(d -> d > 0.8 ? 4 : d).toArray();
@@ -122,8 +179,12 @@
         List<Server> servers = new ArrayList<>();
         for (double p : part) {
             sum += p;
-            servers.add(new Server(Site.endpoint(1, 0, 0, Balancer.State.READY, 1), 1, 4,
-                    random.nextDouble()));
+            servers.add(
+                    new Server(
+                            Site.endpoint(1, 0, 0, Balancer.State.READY, 1),
+                            1,
+                            4,
+                            random.nextDouble()));
         }
         int sent = 0;
         for (long now = 1; now <= from + ColdFleet.SAFETY.fallWindow(); now += 20 * Site.MS) {
--- a/core/src/test/java/cedarrudder/ColdFleet.java
+++ b/core/src/test/java/cedarrudder/ColdFleet.java
@@ -21,9 +21,9 @@
 
 /**
  * Copies of the module and the endpoints of one tier in virtual time, some of which start cold at
- * {@link #COLD_AT}. Counts what reaches each of these within the time that the settings name, beside
- * {@link #bound}. The copies send to a later tier, where nothing is turned away on its coming, and who is
- * refused or fails comes again twice. Everything follows from the seed.
+ * {@link #COLD_AT}. Counts what reaches each of these within the time that the settings name,
+ * beside {@link #bound}. The copies send to a later tier, where nothing is turned away on its
+ * coming, and who is refused or fails comes again twice. Everything follows from the seed.
  */
 final class ColdFleet {
 
@@ -34,19 +34,39 @@
 
     /** That site, and others whose settings are otherwise. */
     static final Deployment FIRST = new Deployment("first", SAFETY, 1, true, true, 0);
-    static final List<Deployment> OTHERS = List.of(
-            new Deployment("window of 1 s", safety(0.12, 23 * Site.SECOND, 3, Site.SECOND), 1, true, true, 0),
-            new Deployment("warm sooner", safety(0.4, 6 * Site.SECOND, 1.5, 3 * Site.SECOND), 1, true, true,
-                    0),
-            new Deployment("colder, longer", safety(0.05, 60 * Site.SECOND, 4, 5 * Site.SECOND), 1, true,
-                    true, 0),
-            new Deployment("two cores", SAFETY, 2, true, true, 0),
-            new Deployment("no hints", SAFETY, 1, false, true, 0),
-            new Deployment("no probes", SAFETY, 1, false, false, 0),
-            new Deployment("unlike endpoints", SAFETY, 1, true, true, 0.4));
-
-    private static Safety safety(double coldShare, long rampTime, double fallMultiple, long fallWindow) {
-        return new Safety(2 * Site.SECOND, coldShare, rampTime, fallMultiple, fallWindow, 10 * Site.SECOND);
+
+    static final List<Deployment> OTHERS =
+            List.of(
+                    new Deployment(
+                            "window of 1 s",
+                            safety(0.12, 23 * Site.SECOND, 3, Site.SECOND),
+                            1,
+                            true,
+                            true,
+                            0),
+                    new Deployment(
+                            "warm sooner",
+                            safety(0.4, 6 * Site.SECOND, 1.5, 3 * Site.SECOND),
+                            1,
+                            true,
+                            true,
+                            0),
+                    new Deployment(
+                            "colder, longer",
+                            safety(0.05, 60 * Site.SECOND, 4, 5 * Site.SECOND),
+                            1,
+                            true,
+                            true,
+                            0),
+                    new Deployment("two cores", SAFETY, 2, true, true, 0),
+                    new Deployment("no hints", SAFETY, 1, false, true, 0),
+                    new Deployment("no probes", SAFETY, 1, false, false, 0),
+                    new Deployment("unlike endpoints", SAFETY, 1, true, true, 0.4));
+
+    private static Safety safety(
+            double coldShare, long rampTime, double fallMultiple, long fallWindow) {
+        return new Safety(
+                2 * Site.SECOND, coldShare, rampTime, fallMultiple, fallWindow, 10 * Site.SECOND);
     }
 
     /** What happens to the copies and the calls, {@link #after} the cold start. */
@@ -64,7 +84,10 @@
         RESTART,
         /** A tenth of the copies is killed in each second, and is back at once, knowing nothing. */
         ROLL,
-        /** Half of the warm endpoints come back cold and a quarter more join, under a {@link #BURST}. */
+        /**
+         * Half of the warm endpoints come back cold and a quarter more join, under a {@link
+         * #BURST}.
+         */
         THRONG,
         /** All endpoints come back cold at once, while many calls are being answered. */
         BLACKOUT
@@ -74,12 +97,14 @@
      * What differs from one deployment to another.
      *
      * @param cores of each endpoint
-     * @param hints whether copies are told of each request's work, and so learn what an endpoint may hold
+     * @param hints whether copies are told of each request's work, and so learn what an endpoint
+     *     may hold
      * @param probes whether endpoints may be asked for their load
-     * @param spread how far what endpoints can do lies apart: a third does so much less, a third so much more
+     * @param spread how far what endpoints can do lies apart: a third does so much less, a third so
+     *     much more
      */
-    record Deployment(String name, Safety safety, int cores, boolean hints, boolean probes,
-            double spread) {
+    record Deployment(
+            String name, Safety safety, int cores, boolean hints, boolean probes, double spread) {
         @Override
         public String toString() {
             return name;
@@ -94,8 +119,16 @@
      * @param load calls that come, as a part of what all endpoints could do if they were warm
      * @param told whether the copies are told of the start; if not, they go without their guard
      */
-    record World(int copies, int endpoints, int cold, double capacity, double load, Deployment deployment,
-            Trouble trouble, long after, boolean told) { }
+    record World(
+            int copies,
+            int endpoints,
+            int cold,
+            double capacity,
+            double load,
+            Deployment deployment,
+            Trouble trouble,
+            long after,
+            boolean told) {}
 
     /**
      * What was seen at the cold endpoints.
@@ -104,22 +137,37 @@
      * @param count that, in requests
      * @param bound and the bound, in requests
      * @param atSecond seconds after the start
-     * @param byWork the same part, with each request counted by its own work; a heavy one alone may pass it
+     * @param byWork the same part, with each request counted by its own work; a heavy one alone may
+     *     pass it
      * @param toCold all that came while cold
      * @param served calls that were served, of those asked from the start of the world on
      */
-    record Seen(double worst, int count, double bound, double atSecond, double byWork, int toCold,
+    record Seen(
+            double worst,
+            int count,
+            double bound,
+            double atSecond,
+            double byWork,
+            int toCold,
             double served) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%.2f (%d of %.1f at %.1f s), by work %.2f, %d in all, "
-                    + "%.3f served", worst, count, bound, atSecond, byWork, toCold, served);
+            return String.format(
+                    Locale.ROOT,
+                    "%.2f (%d of %.1f at %.1f s), by work %.2f, %d in all, " + "%.3f served",
+                    worst,
+                    count,
+                    bound,
+                    atSecond,
+                    byWork,
+                    toCold,
+                    served);
         }
     }
 
-    private record Came(long at, double work) { }
+    private record Came(long at, double work) {}
 
-    private record Event(long at, long number, Runnable what) { }
+    private record Event(long at, long number, Runnable what) {}
 
     private final class Node {
         final long startedAt;
@@ -135,7 +183,9 @@
         }
 
         double speed() {
-            return capacity / world.capacity * (startedAt == 0 ? 1 : share(safety, now - startedAt));
+            return capacity
+                    / world.capacity
+                    * (startedAt == 0 ? 1 : share(safety, now - startedAt));
         }
 
         /** Counts what comes while it is cold. */
@@ -147,10 +197,18 @@
             }
             toCold++;
             double bound = bound(safety, now - startedAt, capacity);
-            double byWork = workCame * world.capacity / world.deployment.cores / Site.SECOND / bound;
+            double byWork =
+                    workCame * world.capacity / world.deployment.cores / Site.SECOND / bound;
             if (came.size() / bound > seen.worst) {
-                seen = new Seen(came.size() / bound, came.size(), bound,
-                        (now - startedAt) / (double) Site.SECOND, seen.byWork, 0, 0);
+                seen =
+                        new Seen(
+                                came.size() / bound,
+                                came.size(),
+                                bound,
+                                (now - startedAt) / (double) Site.SECOND,
+                                seen.byWork,
+                                0,
+                                0);
             }
             if (byWork > seen.byWork) {
                 seen = new Seen(seen.worst, seen.count, seen.bound, seen.atSecond, byWork, 0, 0);
@@ -168,16 +226,26 @@
             }
             holds++;
             long sentAt = now;
-            int core = IntStream.range(0, busyUntil.length).boxed()
-                    .min(Comparator.comparingLong(i -> busyUntil[i])).get();
+            int core =
+                    IntStream.range(0, busyUntil.length)
+                            .boxed()
+                            .min(Comparator.comparingLong(i -> busyUntil[i]))
+                            .get();
             busyUntil[core] = Math.max(now, busyUntil[core]) + (long) (work / speed());
             long until = Math.min(busyUntil[core], from.deadlines.get(request));
             Outcome how = busyUntil[core] <= until ? Outcome.OK : Outcome.TIMEOUT;
-            later(until, () -> {
-                holds--;
-                // What it was at work on when it came back cold is lost.
-                from.ended(request, attempt, id, nodes.get(id) == this ? how : Outcome.RESET, now - sentAt);
-            });
+            later(
+                    until,
+                    () -> {
+                        holds--;
+                        // What it was at work on when it came back cold is lost.
+                        from.ended(
+                                request,
+                                attempt,
+                                id,
+                                nodes.get(id) == this ? how : Outcome.RESET,
+                                now - sentAt);
+                    });
         }
     }
 
@@ -192,11 +260,37 @@
             site.copies = world.copies;
             site.probes = world.deployment.probes;
             site.self = self;
-            site.classes = List.of(new Balancer.RequestClass("status", Balancer.Effect.SAFE,
-                    Balancer.KeyScope.ALL, aim, patience, 1, 0, Site.SECOND, false));
+            site.classes =
+                    List.of(
+                            new Balancer.RequestClass(
+                                    "status",
+                                    Balancer.Effect.SAFE,
+                                    Balancer.KeyScope.ALL,
+                                    aim,
+                                    patience,
+                                    1,
+                                    0,
+                                    Site.SECOND,
+                                    false));
             Settings s = site.settings();
-            module = new Decide(new Settings(s.copies(), self, 0, 1, 2, false, s.classes(), s.tenants(),
-                    s.limits(), safety, s.goal(), s.prices()), tuning, new SplittableRandom(seed), this);
+            module =
+                    new Decide(
+                            new Settings(
+                                    s.copies(),
+                                    self,
+                                    0,
+                                    1,
+                                    2,
+                                    false,
+                                    s.classes(),
+                                    s.tenants(),
+                                    s.limits(),
+                                    safety,
+                                    s.goal(),
+                                    s.prices()),
+                            tuning,
+                            new SplittableRandom(seed),
+                            this);
             module.endpoints(now, ListKind.CACHED, listed);
         }
 
@@ -205,8 +299,17 @@
             deadlines.put(id, until);
             triesLeft.put(id, tries);
             works.put(id, work);
-            module.request(now, new Request(id, 0, 0, until, 0, false, false,
-                    world.deployment.hints ? (long) work : 0));
+            module.request(
+                    now,
+                    new Request(
+                            id,
+                            0,
+                            0,
+                            until,
+                            0,
+                            false,
+                            false,
+                            world.deployment.hints ? (long) work : 0));
         }
 
         void ended(long request, int attempt, long node, Outcome outcome, long latency) {
@@ -246,48 +349,57 @@
         private void over(long request) {
             Integer tries = triesLeft.remove(request);
             if (tries != null && tries > 0) {
-                later(now + (long) (random.nextDouble(0.015, 0.12) * Site.SECOND),
+                later(
+                        now + (long) (random.nextDouble(0.015, 0.12) * Site.SECOND),
                         () -> deal(tries - 1, works.get(request)));
             }
         }
 
         @Override
         public void probe(long endpoint) {
-            later(now + Site.MS, () -> {
-                if (!dead) {
-                    Node node = nodes.get(endpoint);
-                    module.probed(now, endpoint, Outcome.OK, Site.MS,
-                            Site.load(node.holds, meanWork / Site.MS / node.speed()));
-                }
-            });
+            later(
+                    now + Site.MS,
+                    () -> {
+                        if (!dead) {
+                            Node node = nodes.get(endpoint);
+                            module.probed(
+                                    now,
+                                    endpoint,
+                                    Outcome.OK,
+                                    Site.MS,
+                                    Site.load(node.holds, meanWork / Site.MS / node.speed()));
+                        }
+                    });
         }
 
         @Override
         public void schedule(long at, long token) {
-            later(at, () -> {
-                if (!dead) {
-                    module.timer(now, token);
-                }
-            });
+            later(
+                    at,
+                    () -> {
+                        if (!dead) {
+                            module.timer(now, token);
+                        }
+                    });
         }
 
         @Override
-        public void cancel(long request, int attempt) { }
+        public void cancel(long request, int attempt) {}
 
         @Override
-        public void closeIdle(long endpoint) { }
+        public void closeIdle(long endpoint) {}
 
         @Override
-        public void subscribe(boolean on) { }
+        public void subscribe(boolean on) {}
 
         @Override
-        public void fetchEndpoints() { }
+        public void fetchEndpoints() {}
 
         @Override
-        public void tell(int copy, byte[] message) { }
+        public void tell(int copy, byte[] message) {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 
     private final World world;
@@ -297,15 +409,19 @@
 
     /** Of a request, on one core of a warm endpoint; nanoseconds. */
     private final double meanWork;
+
     private final long aim;
     private final long patience;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private final Map<Long, Node> nodes = new HashMap<>();
     private final Map<Long, Integer> triesLeft = new HashMap<>();
     private final Map<Long, Double> works = new HashMap<>();
+
     /** What discovery has: what a copy that starts now is told. */
     private final List<Endpoint> listed = new ArrayList<>();
+
     private final List<Copy> copies = new ArrayList<>();
     private final double[] weights;
     private Seen seen = new Seen(0, 0, 0, 0, 0, 0, 0);
@@ -345,8 +461,10 @@
     }
 
     private void startCold(long from, long to) {
-        List<Endpoint> fresh = LongStream.rangeClosed(from, to).mapToObj(id -> start(id, now)).toList();
-        copies.stream().filter(c -> !c.dead)
+        List<Endpoint> fresh =
+                LongStream.rangeClosed(from, to).mapToObj(id -> start(id, now)).toList();
+        copies.stream()
+                .filter(c -> !c.dead)
                 .forEach(c -> c.module.endpoints(now, ListKind.CHANGES, fresh));
     }
 
@@ -357,10 +475,13 @@
 
     /** The share of its capacity that an endpoint has at this age. */
     static double share(Safety safety, long age) {
-        return safety.coldShare() + (1 - safety.coldShare()) * Math.min(1, age / (double) safety.rampTime());
+        return safety.coldShare()
+                + (1 - safety.coldShare()) * Math.min(1, age / (double) safety.rampTime());
     }
 
-    /** What the settings allow an endpoint of this age within the window, in requests of mean work. */
+    /**
+     * What the settings allow an endpoint of this age within the window, in requests of mean work.
+     */
     static double allowed(Safety safety, long age, double capacity) {
         return safety.fallMultiple() * share(safety, age) * capacity * safety.fallWindow() / 1e9;
     }
@@ -379,24 +500,38 @@
         later(COLD_AT, () -> startCold(1, world.cold));
         later(COLD_AT + world.after, this::trouble);
         later(now, this::arrive);
-        long end = COLD_AT + (world.trouble == Trouble.THRONG
-                || world.trouble == Trouble.BLACKOUT ? world.after : 0) + safety.rampTime();
+        long end =
+                COLD_AT
+                        + (world.trouble == Trouble.THRONG || world.trouble == Trouble.BLACKOUT
+                                ? world.after
+                                : 0)
+                        + safety.rampTime();
         while (events.peek().at < end) {
             Event event = events.remove();
             now = event.at;
             event.what.run();
         }
-        return new Seen(seen.worst, seen.count, seen.bound, seen.atSecond, seen.byWork, toCold,
+        return new Seen(
+                seen.worst,
+                seen.count,
+                seen.bound,
+                seen.atSecond,
+                seen.byWork,
+                toCold,
                 served / (double) asked);
     }
 
     private void arrive() {
-        boolean burst = (world.trouble == Trouble.BURST || world.trouble == Trouble.THRONG)
-                && now >= COLD_AT + world.after && now < COLD_AT + world.after + 3 * Site.SECOND;
+        boolean burst =
+                (world.trouble == Trouble.BURST || world.trouble == Trouble.THRONG)
+                        && now >= COLD_AT + world.after
+                        && now < COLD_AT + world.after + 3 * Site.SECOND;
         double rate = world.load * world.endpoints * world.capacity * (burst ? 3 : 1);
         asked++;
         deal(2, -Math.log(1 - random.nextDouble()) * meanWork);
-        later(now + 1 + (long) (-Math.log(1 - random.nextDouble()) * Site.SECOND / rate), this::arrive);
+        later(
+                now + 1 + (long) (-Math.log(1 - random.nextDouble()) * Site.SECOND / rate),
+                this::arrive);
     }
 
     private void deal(int tries, double work) {
@@ -418,16 +553,22 @@
             case SEVEN_IN_TEN_DIE -> killSevenInTen();
             case RESTART -> {
                 killSevenInTen();
-                later(now + Site.SECOND, () -> IntStream.range(0, weights.length)
-                        .filter(i -> copies.get(i).dead).forEach(this::restart));
+                later(
+                        now + Site.SECOND,
+                        () ->
+                                IntStream.range(0, weights.length)
+                                        .filter(i -> copies.get(i).dead)
+                                        .forEach(this::restart));
             }
             case ROLL -> {
                 for (int i = 0; i < weights.length; i++) {
                     int self = i;
-                    later(now + i * 10L / weights.length * Site.SECOND, () -> {
-                        copies.get(self).die();
-                        restart(self);
-                    });
+                    later(
+                            now + i * 10L / weights.length * Site.SECOND,
+                            () -> {
+                                copies.get(self).die();
+                                restart(self);
+                            });
                 }
             }
             case UPGRADE -> {
@@ -435,14 +576,17 @@
                     copies.add(new Copy(i, random.nextLong()));
                 }
             }
-            case THRONG -> startCold((world.cold + world.endpoints) / 2 + 1, world.endpoints * 5L / 4);
+            case THRONG ->
+                    startCold((world.cold + world.endpoints) / 2 + 1, world.endpoints * 5L / 4);
             case BLACKOUT -> startCold(1, world.endpoints);
-            default -> { }
+            default -> {}
         }
     }
 
     private void killSevenInTen() {
-        IntStream.range(0, weights.length).filter(i -> i % 10 >= 3).forEach(i -> copies.get(i).die());
+        IntStream.range(0, weights.length)
+                .filter(i -> i % 10 >= 3)
+                .forEach(i -> copies.get(i).die());
     }
 
     /** A new life of a copy knows what discovery says, and nothing else. */
--- a/core/src/test/java/cedarrudder/ColdStartTest.java
+++ b/core/src/test/java/cedarrudder/ColdStartTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Many copies, each alone, and an endpoint that has just started: together they must not push it over. */
+/**
+ * Many copies, each alone, and an endpoint that has just started: together they must not push it
+ * over.
+ */
 class ColdStartTest {
     private static final long MS = Site.MS;
     private static final int WARM = 5;
@@ -24,11 +27,19 @@
     /** How long a request lasts. */
     private static final long LASTS = 50 * MS;
 
-    private record Out(long until, Decide at, Recorder.Sent sent) { }
+    private record Out(long until, Decide at, Recorder.Sent sent) {}
 
     @ParameterizedTest
-    @CsvSource({"1, 1, 400", "5, 1, 400", "40, 1, 400", "40, 1, 4000", "200, 1, 400", "1, 2, 400",
-        "5, 2, 400", "40, 2, 4000"})
+    @CsvSource({
+        "1, 1, 400",
+        "5, 1, 400",
+        "40, 1, 400",
+        "40, 1, 4000",
+        "200, 1, 400",
+        "1, 2, 400",
+        "5, 2, 400",
+        "40, 2, 4000"
+    })
     void manyCopiesTogetherStayWithinTheBudget(int copies, int processes, int requestsPerSecond) {
         long start = 1000 * Site.SECOND;
         List<Decide> decides = new ArrayList<>();
@@ -36,7 +47,8 @@
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
         site.copies = copies;
-        // Of two processes of a copy, as in an upgrade, the second gets its part of the calls a second before
+        // Of two processes of a copy, as in an upgrade, the second gets its part of the calls a
+        // second before
         // the endpoint starts. Guards against two whole budgets where the users count one proxy.
         for (int i = 0; i < copies * processes; i++) {
             site.self = i % copies;
@@ -81,7 +93,8 @@
             while (!out.isEmpty() && out.peek().until <= now) {
                 Out done = out.remove();
                 Recorder.Sent sent = done.sent;
-                done.at.outcome(now, sent.request(), 0, sent.endpoint(), Outcome.OK, LASTS, true, null);
+                done.at.outcome(
+                        now, sent.request(), 0, sent.endpoint(), Outcome.OK, LASTS, true, null);
             }
             while (!toCold.isEmpty() && toCold.peek() <= now - safety.fallWindow()) {
                 toCold.remove();
@@ -92,10 +105,18 @@
                 // Warm endpoints bear this much each, so they can do that at the least.
                 double canDo = requestsPerSecond / (double) WARM * part;
                 double most = safety.fallMultiple() * canDo * safety.fallWindow() / 1e9;
-                assertTrue(toCold.size() <= most, toCold.size() + " sent in a window, " + most + " allowed, "
-                        + (now - coldFrom) / MS + " ms after its start");
+                assertTrue(
+                        toCold.size() <= most,
+                        toCold.size()
+                                + " sent in a window, "
+                                + most
+                                + " allowed, "
+                                + (now - coldFrom) / MS
+                                + " ms after its start");
             }
         }
-        assertTrue(sentToCold > requestsPerSecond / 10, "and it is used while it warms: " + sentToCold);
+        assertTrue(
+                sentToCold > requestsPerSecond / 10,
+                "and it is used while it warms: " + sentToCold);
     }
 }
--- a/core/src/test/java/cedarrudder/ConventionsTest.java
+++ b/core/src/test/java/cedarrudder/ConventionsTest.java
@@ -30,13 +30,19 @@
         assertEquals(List.of(), longer);
     }
 
-    /** The bench prints and keeps the text of these files, so each has to be there, and none twice. */
+    /**
+     * The bench prints and keeps the text of these files, so each has to be there, and none twice.
+     */
     @Test
     void thePolicyFilesAreThere() throws IOException {
         String deploy = Files.readString(Path.of("deploy", "balancer.toml"));
         String policy = deploy.substring(deploy.indexOf("policy"), deploy.indexOf(']'));
-        List<Path> files = Pattern.compile("\"([^\"]+)\"").matcher(policy).results()
-                .map(m -> Path.of(m.group(1))).toList();
+        List<Path> files =
+                Pattern.compile("\"([^\"]+)\"")
+                        .matcher(policy)
+                        .results()
+                        .map(m -> Path.of(m.group(1)))
+                        .toList();
         assertTrue(files.size() >= 4, "only " + files);
         assertEquals(files.stream().distinct().toList(), files);
         assertEquals(List.of(), files.stream().filter(file -> !Files.isRegularFile(file)).toList());
--- a/core/src/test/java/cedarrudder/DecideTest.java
+++ b/core/src/test/java/cedarrudder/DecideTest.java
@@ -43,8 +43,13 @@
     }
 
     private void end(Decide decide, long id, int attempt, Outcome outcome) {
-        long endpoint = did.sent.stream().filter(s -> s.request() == id).skip(attempt).findFirst()
-                .orElseThrow().endpoint();
+        long endpoint =
+                did.sent.stream()
+                        .filter(s -> s.request() == id)
+                        .skip(attempt)
+                        .findFirst()
+                        .orElseThrow()
+                        .endpoint();
         decide.outcome(now, id, attempt, endpoint, outcome, MS, outcome == Outcome.OK, null);
     }
 
@@ -58,7 +63,15 @@
         for (int id = 1; id <= 21; id++) {
             decide.request(now, new Request(id, 0, 0, now + SECOND, 0, false, false, 20 * MS));
             if (id <= 20) {
-                decide.outcome(now, id, 0, did.sent.get(id - 1).endpoint(), Outcome.OK, 10 * MS, true, null);
+                decide.outcome(
+                        now,
+                        id,
+                        0,
+                        did.sent.get(id - 1).endpoint(),
+                        Outcome.OK,
+                        10 * MS,
+                        true,
+                        null);
             }
         }
         return decide;
@@ -87,8 +100,11 @@
         ring(startLate(Site.UNSAFE, THREE));
         assertEquals(21, did.sent.size());
         did.clear();
-        ring(startLate(Site.KEYED_IN_CELL, Site.endpoint(1, 0, 1, State.READY, 0),
-                Site.endpoint(2, 0, 2, State.READY, 0)));
+        ring(
+                startLate(
+                        Site.KEYED_IN_CELL,
+                        Site.endpoint(1, 0, 1, State.READY, 0),
+                        Site.endpoint(2, 0, 2, State.READY, 0)));
         assertEquals(21, did.sent.size());
     }
 
@@ -100,13 +116,15 @@
     }
 
     /**
-     * Guards against a repeat that is given up since chance did not find the few endpoints that may take it:
-     * a cell has some, however long the list is.
+     * Guards against a repeat that is given up since chance did not find the few endpoints that may
+     * take it: a cell has some, however long the list is.
      */
     @Test
     void findsTheCellOfARepeatInALongList() {
-        Endpoint[] many = IntStream.rangeClosed(1, 103)
-                .mapToObj(id -> Site.endpoint(id, 0, id / 4, State.READY, 0)).toArray(Endpoint[]::new);
+        Endpoint[] many =
+                IntStream.rangeClosed(1, 103)
+                        .mapToObj(id -> Site.endpoint(id, 0, id / 4, State.READY, 0))
+                        .toArray(Endpoint[]::new);
         int repeated = 0;
         for (int seed = 1; seed <= 100; seed++) {
             did.clear();
@@ -164,7 +182,9 @@
         assertTrue(did.sent.isEmpty());
     }
 
-    /** Guards against holding a request for an endpoint when nothing may be sent for it any more. */
+    /**
+     * Guards against holding a request for an endpoint when nothing may be sent for it any more.
+     */
     @Test
     void endsAtOnceByItsClassWhatMayNotBeSentAgain() {
         for (RequestClass kind : List.of(Site.SAFE, Site.KEYED_IN_CELL, Site.UNSAFE)) {
@@ -174,8 +194,10 @@
             end(decide, 1, 0, kind == Site.UNSAFE ? Outcome.FULL : Outcome.RESET);
             end(decide, 1, 1, Outcome.MOOT);
             assertEquals(2, did.sent.size(), kind.name());
-            assertEquals(kind == Site.KEYED_IN_CELL ? List.of(1L) : List.of(), did.failed, kind.name());
-            assertEquals(kind == Site.KEYED_IN_CELL ? List.of() : List.of(1L), did.refused, kind.name());
+            assertEquals(
+                    kind == Site.KEYED_IN_CELL ? List.of(1L) : List.of(), did.failed, kind.name());
+            assertEquals(
+                    kind == Site.KEYED_IN_CELL ? List.of() : List.of(1L), did.refused, kind.name());
         }
     }
 
@@ -184,7 +206,8 @@
         Decide decide = startWith(Site.UNSAFE, THREE);
         long id = 0;
         for (Balancer.Standing standing : Balancer.Standing.values()) {
-            decide.request(now, new Request(++id, 0, 0, now + SECOND, 0, false, false, 0), standing);
+            decide.request(
+                    now, new Request(++id, 0, 0, now + SECOND, 0, false, false, 0), standing);
         }
         assertEquals(List.of(2L, 3L, 4L), did.refused);
         assertEquals(1, did.sent.size());
@@ -299,23 +322,34 @@
 
     @Test
     void resendsAKeyedRequestWithinItsCellOnly() {
-        Decide decide = startWith(Site.KEYED_IN_CELL, Site.endpoint(1, 0, 1, State.READY, 0),
-                Site.endpoint(2, 0, 2, State.READY, 0));
+        Decide decide =
+                startWith(
+                        Site.KEYED_IN_CELL,
+                        Site.endpoint(1, 0, 1, State.READY, 0),
+                        Site.endpoint(2, 0, 2, State.READY, 0));
         ask(decide, 1);
         end(decide, 1, 0, Outcome.ERROR);
         now += SECOND / 2;
         List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
         assertEquals(1, did.sent.size());
-        assertEquals(List.of(1L), did.failed, "a refusal would promise what only the cell can keep");
+        assertEquals(
+                List.of(1L), did.failed, "a refusal would promise what only the cell can keep");
     }
 
-    /** Guards against a repeat in the cell that an endpoint has moved to since it got the first attempt. */
+    /**
+     * Guards against a repeat in the cell that an endpoint has moved to since it got the first
+     * attempt.
+     */
     @Test
     void resendsWithinTheCellInWhichTheFirstAttemptRan() {
         Decide decide = startWith(Site.KEYED_IN_CELL, Site.endpoint(1, 0, 1, State.READY, 0));
         ask(decide, 1);
-        decide.endpoints(now, ListKind.FULL, List.of(Site.endpoint(1, 0, 2, State.READY, 0),
-                Site.endpoint(2, 0, 2, State.READY, 0)));
+        decide.endpoints(
+                now,
+                ListKind.FULL,
+                List.of(
+                        Site.endpoint(1, 0, 2, State.READY, 0),
+                        Site.endpoint(2, 0, 2, State.READY, 0)));
         end(decide, 1, 0, Outcome.ERROR);
         now += SECOND / 2;
         List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
@@ -325,8 +359,12 @@
 
     @Test
     void resendsAKeyedRequestWithinItsZoneOnly() {
-        Decide decide = startWith(Site.KEYED_IN_ZONE, Site.endpoint(1, 0, 1, State.READY, 0),
-                Site.endpoint(2, 0, 2, State.READY, 0), Site.endpoint(3, 1, 2, State.READY, 0));
+        Decide decide =
+                startWith(
+                        Site.KEYED_IN_ZONE,
+                        Site.endpoint(1, 0, 1, State.READY, 0),
+                        Site.endpoint(2, 0, 2, State.READY, 0),
+                        Site.endpoint(3, 1, 2, State.READY, 0));
         for (int id = 1; id <= 20; id++) {
             ask(decide, id);
             end(decide, id, 0, Outcome.ERROR);
@@ -377,12 +415,17 @@
 
     // ---- what was sent, and has not begun ----
 
-    /** Guards against an attempt that begins where nothing new may go: its connection came up late. */
+    /**
+     * Guards against an attempt that begins where nothing new may go: its connection came up late.
+     */
     @Test
     void deniesWhatWasSentToAnEndpointThatHasLeftSince() {
-        List<List<Endpoint>> lists = List.of(List.of(Site.endpoint(1, 0, 0, State.DRAINING, 0)),
-                List.of(Site.endpoint(1, 0, 0, State.GONE, 0)), List.of(Site.ready(2)),
-                List.of(Site.endpoint(1, 0, 0, State.READY, now)));
+        List<List<Endpoint>> lists =
+                List.of(
+                        List.of(Site.endpoint(1, 0, 0, State.DRAINING, 0)),
+                        List.of(Site.endpoint(1, 0, 0, State.GONE, 0)),
+                        List.of(Site.ready(2)),
+                        List.of(Site.endpoint(1, 0, 0, State.READY, now)));
         for (List<Endpoint> list : lists) {
             did.clear();
             Decide decide = startWith(Site.UNSAFE, Site.ready(1));
@@ -471,12 +514,14 @@
         Decide decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         long left = did.sent.get(0).endpoint();
-        decide.endpoints(now, ListKind.CHANGES, List.of(Site.endpoint(left, 0, 0, State.DRAINING, 0)));
+        decide.endpoints(
+                now, ListKind.CHANGES, List.of(Site.endpoint(left, 0, 0, State.DRAINING, 0)));
         end(decide, 1, 0, Outcome.CONNECT_FAILED);
         end(decide, 1, 1, Outcome.OK);
         ask(decide, 2);
         end(decide, 2, 0, Outcome.OK);
-        assertFalse(did.lines.contains("close " + did.sent.get(2).endpoint()), did.lines.toString());
+        assertFalse(
+                did.lines.contains("close " + did.sent.get(2).endpoint()), did.lines.toString());
     }
 
     // ---- the list of endpoints ----
@@ -546,7 +591,8 @@
             }
             now += 10 * MS;
         }
-        assertTrue(did.sent.size() < 260, "a fully failing tier gets few retries: " + did.sent.size());
+        assertTrue(
+                did.sent.size() < 260, "a fully failing tier gets few retries: " + did.sent.size());
     }
 
     @Test
@@ -556,7 +602,12 @@
         for (int id = 1; id <= 200; id++) {
             ask(decide, id);
             for (long probe : List.copyOf(did.probed)) {
-                decide.probed(now, probe, Outcome.OK, 0, Site.load(probe == 1 ? 0 : 3, probe == 1 ? 1 : 20));
+                decide.probed(
+                        now,
+                        probe,
+                        Outcome.OK,
+                        0,
+                        Site.load(probe == 1 ? 0 : 3, probe == 1 ? 1 : 20));
             }
             did.probed.clear();
             boolean failing = did.sent.get(did.sent.size() - 1).endpoint() == 1;
@@ -611,8 +662,17 @@
     @Test
     void turnsFewAwayOnAQuietDayForAFewSlowAnswers() {
         RequestClass most = Site.UNSAFE;
-        RequestClass little = new RequestClass("little", most.effect(), most.keyScope(), most.aim(),
-                most.deadline(), most.worth() / 10, 0, 0, false);
+        RequestClass little =
+                new RequestClass(
+                        "little",
+                        most.effect(),
+                        most.keyScope(),
+                        most.aim(),
+                        most.deadline(),
+                        most.worth() / 10,
+                        0,
+                        0,
+                        false);
         site.classes = List.of(little, most);
         Decide decide = start(THREE);
         for (int id = 1; id <= 500; id++) {
@@ -631,8 +691,8 @@
     }
 
     /**
-     * Guards against a limit that falls to one call where answers are slow for another reason than too many
-     * of them: endpoints may always hold four, of which a third are this copy's.
+     * Guards against a limit that falls to one call where answers are slow for another reason than
+     * too many of them: endpoints may always hold four, of which a third are this copy's.
      */
     @Test
     void turnsNothingAwayThatEndpointsMayAlwaysHold() {
@@ -660,7 +720,8 @@
     }
 
     /**
-     * Two tenants ask 200 a second between them of a service that answers 100; what was refused, by tenant.
+     * Two tenants ask 200 a second between them of a service that answers 100; what was refused, by
+     * tenant.
      */
     private int[] overload(Decide decide) {
         int[] refused = new int[2];
@@ -671,7 +732,8 @@
             now += 5 * MS;
             if (id % 2 == 0 && !did.sent.isEmpty()) {
                 Recorder.Sent first = did.sent.remove(0);
-                decide.outcome(now, first.request(), 0, first.endpoint(), Outcome.OK, 5 * MS, true, null);
+                decide.outcome(
+                        now, first.request(), 0, first.endpoint(), Outcome.OK, 5 * MS, true, null);
             }
         }
         return refused;
@@ -681,7 +743,8 @@
     void countsOnlyWhatATenantSendsPastItsShareAsOver() {
         site.tenants = List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 1000));
         int[] refused = overload(startWith(Site.SAFE, THREE));
-        assertTrue(refused[0] > 3 * refused[1] / 2, refused[0] + " over, " + refused[1] + " within");
+        assertTrue(
+                refused[0] > 3 * refused[1] / 2, refused[0] + " over, " + refused[1] + " within");
         assertTrue(refused[0] < 480, "what is within its share is served");
     }
 }
--- a/core/src/test/java/cedarrudder/Example.java
+++ b/core/src/test/java/cedarrudder/Example.java
@@ -24,20 +24,46 @@
     /** One copy of a sidecar before a tier whose requests are safe to repeat. */
     static Balancer start(Actions actions, long seed, long now) {
         long second = Duration.ofSeconds(1).toNanos();
-        RequestClass lookup = new RequestClass("lookup", Effect.SAFE, KeyScope.ALL,
-                second / 2, 2 * second, 1, 0, 0, false);
+        RequestClass lookup =
+                new RequestClass(
+                        "lookup",
+                        Effect.SAFE,
+                        KeyScope.ALL,
+                        second / 2,
+                        2 * second,
+                        1,
+                        0,
+                        0,
+                        false);
         Limits limits = new Limits(true, true, true, true, 3, 2 * second, second / 4, 30 * second);
         Safety safety = new Safety(second, 0.3, 10 * second, 4, second, 10 * second);
-        Settings settings = new Settings(20, 7, 0, 0, 1, false, List.of(lookup), List.of(), limits,
-                safety, new Goal(1, 0, 0, 0, 1), new Prices(0, 0));
+        Settings settings =
+                new Settings(
+                        20,
+                        7,
+                        0,
+                        0,
+                        1,
+                        false,
+                        List.of(lookup),
+                        List.of(),
+                        limits,
+                        safety,
+                        new Goal(1, 0, 0, 0, 1),
+                        new Prices(0, 0));
         Balancer balancer = new Decide(settings, new SplittableRandom(seed), actions);
-        balancer.endpoints(now, ListKind.FULL, List.of(
-                new Endpoint(1, 0, 0, 0, State.READY, 1, 0),
-                new Endpoint(2, 0, 0, 0, State.READY, 1, 0)));
+        balancer.endpoints(
+                now,
+                ListKind.FULL,
+                List.of(
+                        new Endpoint(1, 0, 0, 0, State.READY, 1, 0),
+                        new Endpoint(2, 0, 0, 0, State.READY, 1, 0)));
         return balancer;
     }
 
-    /** A request comes in; the balancer calls actions.send. When the answer is there, it is told. */
+    /**
+     * A request comes in; the balancer calls actions.send. When the answer is there, it is told.
+     */
     static void serve(Balancer balancer, long now) {
         long deadline = now + Duration.ofSeconds(2).toNanos();
         balancer.request(now, new Request(42, 0, 0, deadline, 0, false, false, 0));
@@ -45,5 +71,5 @@
         balancer.outcome(answered, 42, 0, 1, Outcome.OK, answered - now, true, null);
     }
 
-    private Example() { }
+    private Example() {}
 }
--- a/core/src/test/java/cedarrudder/FaultWithinTest.java
+++ b/core/src/test/java/cedarrudder/FaultWithinTest.java
@@ -13,7 +13,10 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** A fault in the midst of what a timer does: the timer goes on, since nothing else would start it again. */
+/**
+ * A fault in the midst of what a timer does: the timer goes on, since nothing else would start it
+ * again.
+ */
 public class FaultWithinTest {
 
     private static final long MS = Site.MS;
@@ -21,23 +24,35 @@
     private final Recorder did = new Recorder();
     private String broken = "";
 
-    private final Decide decide = new Decide(new Site().settings(), new SplittableRandom(1), (Actions)
-            Proxy.newProxyInstance(Actions.class.getClassLoader(), new Class<?>[] {Actions.class},
-                    (self, action, with) -> {
-                        if (action.getName().equals(broken)) {
-                            throw new IllegalStateException("broken on purpose");
-                        }
-                        return action.invoke(did, with);
-                    }));
+    private final Decide decide =
+            new Decide(
+                    new Site().settings(),
+                    new SplittableRandom(1),
+                    (Actions)
+                            Proxy.newProxyInstance(
+                                    Actions.class.getClassLoader(),
+                                    new Class<?>[] {Actions.class},
+                                    (self, action, with) -> {
+                                        if (action.getName().equals(broken)) {
+                                            throw new IllegalStateException("broken on purpose");
+                                        }
+                                        return action.invoke(did, with);
+                                    }));
 
-    /** Lets the one timer that was armed last come, with this action broken; returns the one armed then. */
+    /**
+     * Lets the one timer that was armed last come, with this action broken; returns the one armed
+     * then.
+     */
     private Timer fire(String action, long now) {
         Timer last = did.timers.get(did.timers.size() - 1);
         did.clear();
         broken = action;
         expectThrows(IllegalStateException.class, () -> decide.timer(now, last.token()));
         broken = "";
-        assertEquals(did.timers.stream().map(Timer::token).toList(), List.of(last.token()), "armed again");
+        assertEquals(
+                did.timers.stream().map(Timer::token).toList(),
+                List.of(last.token()),
+                "armed again");
         return did.timers.get(0);
     }
 
@@ -51,10 +66,14 @@
         assertEquals(did.timers.size(), 2);
     }
 
-    /** Guards against requests that wait in line for their deadlines, since one of them could not be told. */
+    /**
+     * Guards against requests that wait in line for their deadlines, since one of them could not be
+     * told.
+     */
     @Test
     public void thoseThatWaitAreToldAfterOneThatCouldNotBe() {
-        decide.endpoints(1000 * MS, ListKind.FULL, List.of(Site.endpoint(1, 0, 0, State.DRAINING, 0)));
+        decide.endpoints(
+                1000 * MS, ListKind.FULL, List.of(Site.endpoint(1, 0, 0, State.DRAINING, 0)));
         for (int id = 1; id <= 2; id++) {
             decide.request(1000 * MS, new Request(id, 0, 0, 2000 * MS, 0, false, false, 0));
         }
--- a/core/src/test/java/cedarrudder/FormerLifeTest.java
+++ b/core/src/test/java/cedarrudder/FormerLifeTest.java
@@ -11,7 +11,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** An endpoint that restarts under its id: nothing that is known of its former life counts for this one. */
+/**
+ * An endpoint that restarts under its id: nothing that is known of its former life counts for this
+ * one.
+ */
 public class FormerLifeTest {
 
     private static final long MS = Site.MS;
@@ -43,7 +46,8 @@
 
     private void answerProbes(Outcome outcome) {
         for (long probed : List.copyOf(did.probed)) {
-            decide.probed(now, probed, outcome, 0, Site.load(probed == 1 ? 0 : 5, probed == 1 ? 1 : 90));
+            decide.probed(
+                    now, probed, outcome, 0, Site.load(probed == 1 ? 0 : 5, probed == 1 ? 1 : 90));
         }
         did.probed.clear();
     }
--- a/core/src/test/java/cedarrudder/Golden.java
+++ b/core/src/test/java/cedarrudder/Golden.java
@@ -16,9 +16,9 @@
 /**
  * Golden files: what an earlier build wrote, which the present one has to write and read unchanged.
  *
- * <p>The files lie in {@code src/test/resources/golden} of each module and were recorded by the build of
- * commit c6bf0d8. A file that is missing fails its test, unless {@code -Dgolden.record=FOLDER} names a folder
- * to record it in.
+ * <p>The files lie in {@code src/test/resources/golden} of each module and were recorded by the
+ * build of commit c6bf0d8. A file that is missing fails its test, unless {@code
+ * -Dgolden.record=FOLDER} names a folder to record it in.
  */
 public final class Golden {
 
@@ -55,7 +55,7 @@
         }
     }
 
-    private Golden() { }
+    private Golden() {}
 
     /** A line of hexadecimal digits. */
     public static String hex(byte[] bytes) {
@@ -79,7 +79,9 @@
     /** The text of the golden file of this name. */
     public static String read(String name) {
         try (InputStream in = Golden.class.getResourceAsStream("/golden/" + name)) {
-            return in == null ? fail("no golden/" + name) : new String(in.readAllBytes(), StandardCharsets.UTF_8);
+            return in == null
+                    ? fail("no golden/" + name)
+                    : new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/core/src/test/java/cedarrudder/NaivePool.java
+++ b/core/src/test/java/cedarrudder/NaivePool.java
@@ -11,22 +11,26 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The pool as the design page and the paper say it, kept as the list of all that was asked and told: what is
- * valid is derived anew at each question. Slow, and without entries that could go wrong.
+ * The pool as the design page and the paper say it, kept as the list of all that was asked and
+ * told: what is valid is derived anew at each question. Slow, and without entries that could go
+ * wrong.
  */
 final class NaivePool {
 
     /** A probe that went out, with this copy's own requests there at that time. */
-    private record Asked(long at, Server server, int own) { }
+    private record Asked(long at, Server server, int own) {}
 
     /** What came back, and when the probe that it answers was sent. */
-    private record Told(long at, Server server, long askedAt, Outcome outcome, Load load) { }
+    private record Told(long at, Server server, long askedAt, Outcome outcome, Load load) {}
 
-    /** From now on a server's reports count for nothing: it is no longer listed as ready, or not probed. */
-    private record Forgotten(long at, Server server) { }
+    /**
+     * From now on a server's reports count for nothing: it is no longer listed as ready, or not
+     * probed.
+     */
+    private record Forgotten(long at, Server server) {}
 
     /** An entry: a report that still counts. */
-    record Valid(Server server, long at, double rif, double latency, int own) { }
+    record Valid(Server server, long at, double rif, double latency, int own) {}
 
     private final List<Object> history = new ArrayList<>();
     private Set<Server> roster = Set.of();
@@ -45,7 +49,9 @@
 
     /** Those that are probed now. */
     void roster(long now, Set<Server> servers) {
-        roster.stream().filter(s -> !servers.contains(s)).forEach(s -> history.add(new Forgotten(now, s)));
+        roster.stream()
+                .filter(s -> !servers.contains(s))
+                .forEach(s -> history.add(new Forgotten(now, s)));
         roster = servers;
     }
 
@@ -55,14 +61,24 @@
         for (int i = 0; i < history.size(); i++) {
             if (history.get(i) instanceof Forgotten gone) {
                 valid.removeIf(v -> v.server() == gone.server());
-            } else if (history.get(i) instanceof Told told && counts(i) && told.outcome() != Outcome.MOOT) {
+            } else if (history.get(i) instanceof Told told
+                    && counts(i)
+                    && told.outcome() != Outcome.MOOT) {
                 valid.removeIf(v -> v.server() == told.server() || tooOld(told.at(), v));
                 if (told.outcome() == Outcome.OK && told.load() != null) {
                     if (valid.size() == (int) Tuning.DEFAULTS.get(Figure.POOL_SIZE)) {
-                        valid.remove(valid.stream().min(Comparator.comparingLong(Valid::at)).orElseThrow());
+                        valid.remove(
+                                valid.stream()
+                                        .min(Comparator.comparingLong(Valid::at))
+                                        .orElseThrow());
                     }
-                    valid.add(new Valid(told.server(), told.at(), told.load().inFlight(), latency(i),
-                            probeOf(i).own()));
+                    valid.add(
+                            new Valid(
+                                    told.server(),
+                                    told.at(),
+                                    told.load().inFlight(),
+                                    latency(i),
+                                    probeOf(i).own()));
                 }
             }
         }
@@ -78,8 +94,11 @@
     private Asked probeOf(int answer) {
         Asked last = null;
         for (Object event : history.subList(0, answer)) {
-            last = event instanceof Asked asked && asked.server() == ((Told) history.get(answer)).server()
-                    ? asked : last;
+            last =
+                    event instanceof Asked asked
+                                    && asked.server() == ((Told) history.get(answer)).server()
+                            ? asked
+                            : last;
         }
         return last;
     }
@@ -91,16 +110,23 @@
         if (probe == null || told.askedAt() != probe.at()) {
             return false;
         }
-        return history.subList(0, answer).stream().noneMatch(e -> e instanceof Told earlier
-                && earlier.server() == told.server() && earlier.askedAt() == probe.at());
+        return history.subList(0, answer).stream()
+                .noneMatch(
+                        e ->
+                                e instanceof Told earlier
+                                        && earlier.server() == told.server()
+                                        && earlier.askedAt() == probe.at());
     }
 
     /** The reported latency, smoothed over the reports of this life of the server that counted. */
     private double latency(int answer) {
         double smoothed = 0;
         for (int i = 0; i <= answer; i++) {
-            if (history.get(i) instanceof Told told && told.server() == ((Told) history.get(answer)).server()
-                    && told.outcome() == Outcome.OK && told.load() != null && counts(i)) {
+            if (history.get(i) instanceof Told told
+                    && told.server() == ((Told) history.get(answer)).server()
+                    && told.outcome() == Outcome.OK
+                    && told.load() != null
+                    && counts(i)) {
                 double weight = smoothed == 0 ? 1 : Tuning.DEFAULTS.get(Figure.REPORT_WEIGHT);
                 smoothed += weight * (told.load().latencyMillis() - smoothed);
             }
@@ -108,30 +134,56 @@
         return smoothed;
     }
 
-    /** Requests in flight there, by now: own ones are known, those of others age to the mean of the pool. */
+    /**
+     * Requests in flight there, by now: own ones are known, those of others age to the mean of the
+     * pool.
+     */
     private static double inFlight(long now, Valid entry, double others, double turnover) {
         double age = now - entry.at() + Tuning.DEFAULTS.nanos(Figure.REPORT_AGE_MS);
         double kept = Math.exp(-age / turnover);
         Server server = entry.server();
-        return server.inFlight + (server.needsConnection() && !server.untried ? 1 : 0) + (server.far ? 1 : 0)
+        return server.inFlight
+                + (server.needsConnection() && !server.untried ? 1 : 0)
+                + (server.far ? 1 : 0)
                 + Math.max(0, others + (entry.rif() - entry.own() - others) * kept);
     }
 
     /** The hot-cold rule: those with the least latency among the cold, else the least in flight. */
-    List<Server> picks(long now, double turnover, Predicate<Server> may, Predicate<Server> suspect) {
+    List<Server> picks(
+            long now, double turnover, Predicate<Server> may, Predicate<Server> suspect) {
         List<Valid> valid = valid(now);
-        double others = valid.stream().mapToDouble(v -> Math.max(0, v.rif() - v.own())).sum()
-                / Math.max(1, valid.size());
-        List<Double> rifs = valid.stream().filter(v -> !suspect.test(v.server()))
-                .map(v -> inFlight(now, v, others, turnover)).sorted().toList();
-        double limit = rifs.isEmpty() ? -1
-                : rifs.get((int) (Tuning.DEFAULTS.get(Figure.RIF_QUANTILE) * (rifs.size() - 1)));
+        double others =
+                valid.stream().mapToDouble(v -> Math.max(0, v.rif() - v.own())).sum()
+                        / Math.max(1, valid.size());
+        List<Double> rifs =
+                valid.stream()
+                        .filter(v -> !suspect.test(v.server()))
+                        .map(v -> inFlight(now, v, others, turnover))
+                        .sorted()
+                        .toList();
+        double limit =
+                rifs.isEmpty()
+                        ? -1
+                        : rifs.get(
+                                (int)
+                                        (Tuning.DEFAULTS.get(Figure.RIF_QUANTILE)
+                                                * (rifs.size() - 1)));
         List<Valid> allowed = valid.stream().filter(v -> may.test(v.server())).toList();
-        List<Valid> cold = allowed.stream().filter(v -> !suspect.test(v.server())
-                && inFlight(now, v, others, turnover) <= limit + 1e-9).toList();
+        List<Valid> cold =
+                allowed.stream()
+                        .filter(
+                                v ->
+                                        !suspect.test(v.server())
+                                                && inFlight(now, v, others, turnover)
+                                                        <= limit + 1e-9)
+                        .toList();
         if (!cold.isEmpty()) {
-            return least(cold, v -> v.server().untried ? 0
-                    : v.latency() * (1 + inFlight(now, v, others, turnover)));
+            return least(
+                    cold,
+                    v ->
+                            v.server().untried
+                                    ? 0
+                                    : v.latency() * (1 + inFlight(now, v, others, turnover)));
         }
         List<Valid> sound = allowed.stream().filter(v -> !suspect.test(v.server())).toList();
         return least(sound.isEmpty() ? allowed : sound, v -> inFlight(now, v, others, turnover));
@@ -140,6 +192,9 @@
     /** All that tie for the least. */
     private static List<Server> least(List<Valid> among, ToDoubleFunction<Valid> by) {
         double least = among.stream().mapToDouble(by).min().orElse(0);
-        return among.stream().filter(v -> by.applyAsDouble(v) <= least + 1e-9).map(Valid::server).toList();
+        return among.stream()
+                .filter(v -> by.applyAsDouble(v) <= least + 1e-9)
+                .map(Valid::server)
+                .toList();
     }
 }
--- a/core/src/test/java/cedarrudder/NaivePoolTest.java
+++ b/core/src/test/java/cedarrudder/NaivePoolTest.java
@@ -24,7 +24,7 @@
     private static final int SEEDS = 20;
 
     /** A probe that was sent, to be answered some time, once, twice or never. */
-    private record Out(long at, Server server) { }
+    private record Out(long at, Server server) {}
 
     /** Both pools, and the world that they are told of. */
     private static final class Pools {
@@ -39,7 +39,9 @@
         int filled;
         int picked;
 
-        /** @param wrong the real pool takes each answer for one to the last probe */
+        /**
+         * @param wrong the real pool takes each answer for one to the last probe
+         */
         Pools(long seed, boolean wrong) {
             this.wrong = wrong;
             random = new SplittableRandom(seed);
@@ -70,7 +72,8 @@
                 default -> answer();
             }
             for (long probed : did.probed) {
-                Server asked = servers.stream().filter(s -> s.id == probed).findFirst().orElseThrow();
+                Server asked =
+                        servers.stream().filter(s -> s.id == probed).findFirst().orElseThrow();
                 naive.asked(now, asked, asked.inFlight);
                 out.add(new Out(now, asked));
             }
@@ -78,19 +81,27 @@
             naive.roster(now, new HashSet<>(pool.roster()));
         }
 
-        /** Another life under the same id: what was asked of the former one is answered all the same. */
+        /**
+         * Another life under the same id: what was asked of the former one is answered all the
+         * same.
+         */
         private void restart(Server server) {
             pool.listed(server, false);
             naive.unlisted(now, server);
-            Server next = new Server(Site.endpoint(server.id, server.listed.zone(), 0, State.READY, now), now,
-                    4, 0);
+            Server next =
+                    new Server(
+                            Site.endpoint(server.id, server.listed.zone(), 0, State.READY, now),
+                            now,
+                            4,
+                            0);
             servers.set(servers.indexOf(server), next);
             pool.listed(next, true);
         }
 
         private void list(Server server, State state) {
-            server.listed = Site.endpoint(server.id, server.listed.zone(), 0, state,
-                    server.listed.startedAt());
+            server.listed =
+                    Site.endpoint(
+                            server.id, server.listed.zone(), 0, state, server.listed.startedAt());
             pool.listed(server, state == State.READY);
             if (state != State.READY) {
                 naive.unlisted(now, server);
@@ -105,15 +116,22 @@
             if (random.nextInt(4) > 0) {
                 out.remove(probe); // else it is answered once more later
             }
-            Outcome how = switch (random.nextInt(12)) {
-                case 0, 1 -> Outcome.TIMEOUT;
-                case 2 -> Outcome.MOOT;
-                default -> Outcome.OK;
-            };
-            Load load = how == Outcome.OK && random.nextInt(10) > 0
-                    ? Site.load(random.nextInt(6), 1 + random.nextInt(80)) : null;
+            Outcome how =
+                    switch (random.nextInt(12)) {
+                        case 0, 1 -> Outcome.TIMEOUT;
+                        case 2 -> Outcome.MOOT;
+                        default -> Outcome.OK;
+                    };
+            Load load =
+                    how == Outcome.OK && random.nextInt(10) > 0
+                            ? Site.load(random.nextInt(6), 1 + random.nextInt(80))
+                            : null;
             // As Decide does: by the id, so that an answer meets whoever has it now.
-            Server life = servers.stream().filter(s -> s.id == probe.server().id).findFirst().orElseThrow();
+            Server life =
+                    servers.stream()
+                            .filter(s -> s.id == probe.server().id)
+                            .findFirst()
+                            .orElseThrow();
             pool.probed(now, life, how, wrong ? now : probe.at(), load);
             naive.told(now, life, probe.at(), how, life.ready() ? load : null);
         }
@@ -126,8 +144,13 @@
             double turnover = 3000 * MS;
             Server real = pool.pick(now, turnover, may, suspect);
             List<Server> right = naive.picks(now, turnover, may, suspect);
-            assertTrue(real == null ? right.isEmpty() : right.contains(real),
-                    where + ": picked " + id(real) + " of " + right.stream().map(Pools::id).toList());
+            assertTrue(
+                    real == null ? right.isEmpty() : right.contains(real),
+                    where
+                            + ": picked "
+                            + id(real)
+                            + " of "
+                            + right.stream().map(Pools::id).toList());
             assertEquals(pool.size(), naive.valid(now).size(), where);
             filled = Math.max(filled, pool.size());
             picked += real == null ? 0 : 1;
@@ -140,13 +163,15 @@
 
     @DataProvider
     public Object[][] seeds() {
-        return LongStream.rangeClosed(1, SEEDS).mapToObj(seed -> new Object[] {seed})
+        return LongStream.rangeClosed(1, SEEDS)
+                .mapToObj(seed -> new Object[] {seed})
                 .toArray(Object[][]::new);
     }
 
     /**
-     * Guards against a pool that is untrue to what nodes reported: an old report over a newer one, one that
-     * counts twice, one of a former life, one that outlives its age, its place or its node's listing.
+     * Guards against a pool that is untrue to what nodes reported: an old report over a newer one,
+     * one that counts twice, one of a former life, one that outlives its age, its place or its
+     * node's listing.
      */
     @Test(dataProvider = "seeds")
     public void thePoolIsWhatTheReportsSay(long seed) {
@@ -155,11 +180,14 @@
             pools.step();
             pools.compare(seed, step);
         }
-        assertTrue(pools.filled >= 4 && pools.picked > STEPS / 4, pools.filled + " " + pools.picked);
+        assertTrue(
+                pools.filled >= 4 && pools.picked > STEPS / 4, pools.filled + " " + pools.picked);
     }
 
     /** Guards against a comparison that can't fail. */
-    @Test(expectedExceptions = AssertionError.class, expectedExceptionsMessageRegExp = "seed \\d+, first .*")
+    @Test(
+            expectedExceptions = AssertionError.class,
+            expectedExceptionsMessageRegExp = "seed \\d+, first .*")
     public void aPoolThatTakesOldAnswersForNewOnesIsCaught() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Pools pools = new Pools(seed, true);
--- a/core/src/test/java/cedarrudder/OverloadTest.java
+++ b/core/src/test/java/cedarrudder/OverloadTest.java
@@ -24,8 +24,17 @@
     private static final long MS = Site.MS;
     private static final long SECOND = Site.SECOND;
     private static final RequestClass SAFE = Site.SAFE;
-    private static final RequestClass WORTHY = new RequestClass("worthy", SAFE.effect(), SAFE.keyScope(),
-            SAFE.aim(), SAFE.deadline(), 5, 0, 0, false);
+    private static final RequestClass WORTHY =
+            new RequestClass(
+                    "worthy",
+                    SAFE.effect(),
+                    SAFE.keyScope(),
+                    SAFE.aim(),
+                    SAFE.deadline(),
+                    5,
+                    0,
+                    0,
+                    false);
 
     private Site site;
     private Recorder did;
@@ -41,10 +50,20 @@
 
     private Decide start(int endpoints) {
         Settings settings = site.settings();
-        Settings byWork = new Settings(settings.copies(), settings.self(), 0, settings.tier(),
-                settings.tiers(), false, settings.classes(), settings.tenants(), settings.limits(),
-                settings.safety(),
-                new Goal(0.9, 0.1, 0, 0, 0.1, true), settings.prices());
+        Settings byWork =
+                new Settings(
+                        settings.copies(),
+                        settings.self(),
+                        0,
+                        settings.tier(),
+                        settings.tiers(),
+                        false,
+                        settings.classes(),
+                        settings.tenants(),
+                        settings.limits(),
+                        settings.safety(),
+                        new Goal(0.9, 0.1, 0, 0, 0.1, true),
+                        settings.prices());
         Tuning noCopies = Tuning.DEFAULTS.with(Figure.LATE_STRETCH, 0);
         Decide decide = new Decide(byWork, noCopies, new SplittableRandom(7), did);
         decide.endpoints(now, ListKind.CACHED, Site.readyUpTo(endpoints));
@@ -64,7 +83,15 @@
 
     private void ends(Decide decide, int sent, Outcome outcome) {
         Recorder.Sent which = did.sent.get(sent);
-        decide.outcome(now, which.request(), 0, which.endpoint(), outcome, MS, outcome == Outcome.OK, null);
+        decide.outcome(
+                now,
+                which.request(),
+                0,
+                which.endpoint(),
+                outcome,
+                MS,
+                outcome == Outcome.OK,
+                null);
     }
 
     @Test
@@ -94,7 +121,12 @@
         Decide decide = start(1);
         ask(decide, 1, 0);
         long probed = did.probed.get(0);
-        decide.probed(now, probed, Outcome.OK, 0, new Load(3, Double.NaN, 0.9, 5, Double.NaN, Double.NaN));
+        decide.probed(
+                now,
+                probed,
+                Outcome.OK,
+                0,
+                new Load(3, Double.NaN, 0.9, 5, Double.NaN, Double.NaN));
         ask(decide, 2, 0);
         assertEquals(did.sent.size(), 1, "three of others and one of its own");
         now += 3 * SECOND;
@@ -113,13 +145,24 @@
             ring(decide);
         }
         assertEquals(did.refused, List.of(5L));
-        assertTrue(now - came >= 20 * MS && now - came <= 45 * MS, "after " + (now - came) / MS + " ms");
+        assertTrue(
+                now - came >= 20 * MS && now - came <= 45 * MS,
+                "after " + (now - came) / MS + " ms");
     }
 
     @Test
     public void theLessWorthyAreTurnedAwayInTimeThoughOthersWaitBeforeThem() {
-        RequestClass patient = new RequestClass("patient", SAFE.effect(), SAFE.keyScope(), 20 * SAFE.aim(),
-                20 * SAFE.deadline(), 5, 0, 0, false);
+        RequestClass patient =
+                new RequestClass(
+                        "patient",
+                        SAFE.effect(),
+                        SAFE.keyScope(),
+                        20 * SAFE.aim(),
+                        20 * SAFE.deadline(),
+                        5,
+                        0,
+                        0,
+                        false);
         site.classes = List.of(SAFE, patient);
         Decide decide = start(1);
         for (int id = 1; id <= 5; id++) {
--- a/core/src/test/java/cedarrudder/ProbeRateTest.java
+++ b/core/src/test/java/cedarrudder/ProbeRateTest.java
@@ -14,7 +14,10 @@
 
     private static final int CALLS = 1000;
 
-    /** Probes of the last of many calls, every {@code period}th of which ends so; the others are served. */
+    /**
+     * Probes of the last of many calls, every {@code period}th of which ends so; the others are
+     * served.
+     */
     private static int probes(Tuning tuning, int period, Outcome outcome) {
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
--- a/core/src/test/java/cedarrudder/Recorder.java
+++ b/core/src/test/java/cedarrudder/Recorder.java
@@ -5,9 +5,9 @@
 
 /** Keeps what a copy does, one line an action, and what tests ask for most. */
 final class Recorder implements Balancer.Actions {
-    record Sent(long request, long endpoint) { }
+    record Sent(long request, long endpoint) {}
 
-    record Timer(long at, long token) { }
+    record Timer(long at, long token) {}
 
     final List<String> lines = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
--- a/core/src/test/java/cedarrudder/ResolverClockTest.java
+++ b/core/src/test/java/cedarrudder/ResolverClockTest.java
@@ -24,26 +24,42 @@
 
     /** Each way over the wire takes so long at the most, and a connection may come up so late. */
     private static final long WIRE = 21 * MS;
+
     private static final long LATE = S;
 
     /** The loop reads before it judges. */
     private static final long TURN = MS;
 
-    /** The system sends the first packet of a connection again so long after it was lost, and ever later. */
+    /**
+     * The system sends the first packet of a connection again so long after it was lost, and ever
+     * later.
+     */
     private static final long[] SENT_AGAIN = {S, 2 * S, 4 * S, 8 * S, 16 * S};
 
-    /** How discovery is; SILENT: it takes connections and says nothing; CUT: all packets are lost. */
-    private enum Discovery { WELL, SILENT, CUT, DOWN, BUSY }
+    /**
+     * How discovery is; SILENT: it takes connections and says nothing; CUT: all packets are lost.
+     */
+    private enum Discovery {
+        WELL,
+        SILENT,
+        CUT,
+        DOWN,
+        BUSY
+    }
 
     private static boolean endsWatches(Discovery state) {
         return state == Discovery.DOWN || state == Discovery.BUSY;
     }
 
     private static final class World {
-        private record Due(long at, long order, Runnable task) { }
-
-        private final PriorityQueue<Due> agenda = new PriorityQueue<>((a, b) -> a.at != b.at
-                ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+        private record Due(long at, long order, Runnable task) {}
+
+        private final PriorityQueue<Due> agenda =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Long.compare(a.order, b.order));
         private final SplittableRandom random;
         private final List<Copy> copies = new ArrayList<>();
         private final int perSecond;
@@ -81,8 +97,8 @@
         }
 
         /**
-         * From now on discovery is like this: where it is down or busy all watches end, else they fall
-         * silent.
+         * From now on discovery is like this: where it is down or busy all watches end, else they
+         * fall silent.
          */
         void become(Discovery next) {
             state = next;
@@ -99,22 +115,31 @@
         /** How many calls came in each such time from an instant on. */
         int[] counts(long from, long each, int times) {
             int[] counts = new int[times];
-            calls.stream().filter(at -> at >= from && at < from + times * each)
+            calls.stream()
+                    .filter(at -> at >= from && at < from + times * each)
                     .forEach(at -> counts[(int) ((at - from) / each)]++);
             return counts;
         }
 
-        /** When the last copy was told for the first time after an instant; -1 where one was not. */
+        /**
+         * When the last copy was told for the first time after an instant; -1 where one was not.
+         */
         long allTold(long from) {
-            return copies.stream().anyMatch(copy -> copy.toldAt < from) ? -1
-                    : copies.stream().mapToLong(copy -> copy.firstAfter(from)).max().orElseThrow() - from;
+            return copies.stream().anyMatch(copy -> copy.toldAt < from)
+                    ? -1
+                    : copies.stream().mapToLong(copy -> copy.firstAfter(from)).max().orElseThrow()
+                            - from;
         }
 
         private final class Copy implements ResolverClock.Actions {
             private final SplittableRandom own = random.split();
             private final ResolverClock clock =
-                    new ResolverClock(true, ResolverClock.longest(site(ask)),
-                            ResolverPatience.DEFAULT, own.split(), this);
+                    new ResolverClock(
+                            true,
+                            ResolverClock.longest(site(ask)),
+                            ResolverPatience.DEFAULT,
+                            own.split(),
+                            this);
             private final Balancer module;
             private final Set<Integer> open = new HashSet<>();
             private final List<Long> told = new ArrayList<>();
@@ -126,23 +151,28 @@
             private int refuses;
 
             Copy() {
-                Balancer.Actions hands = (Balancer.Actions) Proxy.newProxyInstance(
-                        Balancer.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class},
-                        (self, method, args) -> {
-                            if (method.getName().equals("schedule")) {
-                                at((long) args[0], () -> tick((long) args[1]));
-                            } else if (method.getName().equals("subscribe")) {
+                Balancer.Actions hands =
+                        (Balancer.Actions)
+                                Proxy.newProxyInstance(
+                                        Balancer.class.getClassLoader(),
+                                        new Class<?>[] {Balancer.Actions.class},
+                                        (self, method, args) -> {
+                                            if (method.getName().equals("schedule")) {
+                                                at((long) args[0], () -> tick((long) args[1]));
+                                            } else if (method.getName().equals("subscribe")) {
+                                                clock.ask(now);
+                                            }
+                                            return null;
+                                        });
+                module = new Decide(site(ask), own.split(), hands);
+                at(
+                        now,
+                        () -> {
+                            if (!ask) {
                                 clock.ask(now);
                             }
-                            return null;
+                            module.endpoints(now, ListKind.CACHED, List.of());
                         });
-                module = new Decide(site(ask), own.split(), hands);
-                at(now, () -> {
-                    if (!ask) {
-                        clock.ask(now);
-                    }
-                    module.endpoints(now, ListKind.CACHED, List.of());
-                });
             }
 
             /** Not the module's ticks: they would only cost the test its time. */
@@ -192,11 +222,13 @@
                         at(now + SENT_AGAIN[lost], () -> reach(lost + 1));
                     } else if (state != Discovery.CUT) {
                         boolean refuses = state == Discovery.DOWN;
-                        at(now + WIRE, () -> {
-                            up = !refuses;
-                            over = refuses;
-                            send();
-                        });
+                        at(
+                                now + WIRE,
+                                () -> {
+                                    up = !refuses;
+                                    over = refuses;
+                                    send();
+                                });
                     }
                 }
 
@@ -265,11 +297,13 @@
             @Override
             public void wake(long at) {
                 armed = at;
-                World.this.at(at + TURN, () -> {
-                    if (armed == at) {
-                        clock.due(now);
-                    }
-                });
+                World.this.at(
+                        at + TURN,
+                        () -> {
+                            if (armed == at) {
+                                clock.due(now);
+                            }
+                        });
             }
 
             @Override
@@ -299,8 +333,9 @@
     }
 
     /**
-     * Guards against a list that is late: a copy is told again before what it missed counts as told, 6 s
-     * after the last byte, also where the reopening is silent or refused too and each connection is late.
+     * Guards against a list that is late: a copy is told again before what it missed counts as
+     * told, 6 s after the last byte, also where the reopening is silent or refused too and each
+     * connection is late.
      */
     @Test
     public void aSilentWatchIsOpenedAnewInTime() {
@@ -310,8 +345,10 @@
             longest[1] = Math.max(longest[1], silence(seed, 1, 0, LATE));
             longest[2] = Math.max(longest[2], silence(seed, 0, 1, LATE));
         }
-        System.out.printf("told anew after %.2f s, after %.2f s where the reopening is silent too, after "
-                + "%.2f s where it is refused%n", longest[0] / 1e9, longest[1] / 1e9, longest[2] / 1e9);
+        System.out.printf(
+                "told anew after %.2f s, after %.2f s where the reopening is silent too, after "
+                        + "%.2f s where it is refused%n",
+                longest[0] / 1e9, longest[1] / 1e9, longest[2] / 1e9);
         assertTrue(longest[0] < 5.3 * S, "once: " + longest[0]);
         assertTrue(longest[1] < 5.6 * S, "silent again: " + longest[1]);
         assertTrue(longest[2] < 5.6 * S, "refused: " + longest[2]);
@@ -334,17 +371,18 @@
     }
 
     /**
-     * Guards against a list that is late once discovery is back, since what failed before has made the waits
-     * long: whatever the outage was like and at whatever phase of a call it ends, all copies are told well
-     * before what there was to be told counts as told, 6 s later; also where the first answer is a refusal
-     * and connections are late.
+     * Guards against a list that is late once discovery is back, since what failed before has made
+     * the waits long: whatever the outage was like and at whatever phase of a call it ends, all
+     * copies are told well before what there was to be told counts as told, 6 s later; also where
+     * the first answer is a refusal and connections are late.
      */
     @Test
     public void anOutageIsOverAsSoonAsDiscoveryIsBack() {
-        System.out.println("| outage | 1 copy | connections late | and refused once | 100 copies | the same"
-                + " three |");
-        for (Discovery state : new Discovery[] {Discovery.DOWN, Discovery.BUSY, Discovery.SILENT,
-                Discovery.CUT}) {
+        System.out.println(
+                "| outage | 1 copy | connections late | and refused once | 100 copies | the same"
+                        + " three |");
+        for (Discovery state :
+                new Discovery[] {Discovery.DOWN, Discovery.BUSY, Discovery.SILENT, Discovery.CUT}) {
             StringBuilder row = new StringBuilder("| " + state);
             for (int copies : new int[] {1, 100}) {
                 for (int trouble = 0; trouble < 3; trouble++) {
@@ -376,8 +414,9 @@
     }
 
     /**
-     * Guards against a list that is late where discovery ended the watch, or refused calls, and the first
-     * call after that hangs: its silence is known a whole patience later, and no further wait is due then.
+     * Guards against a list that is late where discovery ended the watch, or refused calls, and the
+     * first call after that hangs: its silence is known a whole patience later, and no further wait
+     * is due then.
      */
     @Test
     public void aCallThatHangsAfterAnEndIsMadeAnewInTime() {
@@ -387,14 +426,20 @@
             longest[1] = Math.max(longest[1], hang(seed, Discovery.DOWN));
             longest[2] = Math.max(longest[2], hang(seed, Discovery.BUSY));
         }
-        String all = String.format("told after %.2f s where the reopening hangs, after %.2f s where the "
-                + "first call after an outage does, after %.2f s where the first after refusals does",
-                longest[0] / 1e9, longest[1] / 1e9, longest[2] / 1e9);
+        String all =
+                String.format(
+                        "told after %.2f s where the reopening hangs, after %.2f s where the first"
+                                + " call after an outage does, after %.2f s where the first after"
+                                + " refusals does",
+                        longest[0] / 1e9, longest[1] / 1e9, longest[2] / 1e9);
         System.out.println(all);
         assertTrue(Arrays.stream(longest).max().orElseThrow() < 5900 * MS, all);
     }
 
-    /** How long after the end of its watch, or of an outage, one copy is told; the first call then hangs. */
+    /**
+     * How long after the end of its watch, or of an outage, one copy is told; the first call then
+     * hangs.
+     */
     private static long hang(long seed, Discovery outage) {
         World world = new World(seed, 1, 1000, true);
         world.run(20 * S);
@@ -424,14 +469,22 @@
         for (long at = 2 * S; at < 8 * S; at += 50 * MS) {
             clock.due(at);
         }
-        assertEquals(calls(done),
-                List.of("open 1", "spare false", "drop 1 silent", "open 2", "spare true",
-                        "drop 2 null", "open 3", "spare true"));
+        assertEquals(
+                calls(done),
+                List.of(
+                        "open 1",
+                        "spare false",
+                        "drop 1 silent",
+                        "open 2",
+                        "spare true",
+                        "drop 2 null",
+                        "open 3",
+                        "spare true"));
     }
 
     /**
-     * Guards against a proxy that waits while discovery has moved, or lists are pushed; what the new address
-     * has counts 4 s later, also where the first call there fails or hangs.
+     * Guards against a proxy that waits while discovery has moved, or lists are pushed; what the
+     * new address has counts 4 s later, also where the first call there fails or hangs.
      */
     @Test
     public void itIsAskedAtOnceWhereItMovedAndSoonWhereListsArePushed() {
@@ -447,8 +500,19 @@
         clock.due(S + 2 + 1000 * MS);
         clock.due(S + 2 + 2000 * MS);
         clock.told(S + 3 + 2000 * MS, 4);
-        assertEquals(calls(done), List.of("open 1", "spare false", "open 2", "failed", "open 3", "spare true",
-                "open 4", "drop 3 null", "drop 1 null", "spare false"));
+        assertEquals(
+                calls(done),
+                List.of(
+                        "open 1",
+                        "spare false",
+                        "open 2",
+                        "failed",
+                        "open 3",
+                        "spare true",
+                        "open 4",
+                        "drop 3 null",
+                        "drop 1 null",
+                        "spare false"));
         done.clear();
         ResolverClock pushed = clock(done, ResolverClock.longest(site(false)));
         pushed.ask(0);
@@ -460,8 +524,9 @@
     }
 
     /**
-     * Guards against a call at a new address that hangs, and is made anew only after its whole patience,
-     * since discovery had ended a watch at its former one: 4 s are owed after it has moved.
+     * Guards against a call at a new address that hangs, and is made anew only after its whole
+     * patience, since discovery had ended a watch at its former one: 4 s are owed after it has
+     * moved.
      */
     @Test
     public void whatAFormerAddressAnsweredSaysNothingOfTheNewOne() {
@@ -481,13 +546,17 @@
             clock.connected(3);
             clock.due(4 * S + 250 * MS);
             clock.due(4 * S + 1250 * MS);
-            assertEquals(calls(done), List.of("open 3", "spare true", "open 4"), "ends: " + endsAfterwards);
+            assertEquals(
+                    calls(done),
+                    List.of("open 3", "spare true", "open 4"),
+                    "ends: " + endsAfterwards);
         }
     }
 
     /**
-     * Guards against a storm of hedged calls at a discovery that is there and serves few in a second: one
-     * that has its place in the queue is made once, until it was silent for a call's whole patience.
+     * Guards against a storm of hedged calls at a discovery that is there and serves few in a
+     * second: one that has its place in the queue is made once, until it was silent for a call's
+     * whole patience.
      */
     @Test
     public void noCallIsMadeTwiceWhileDiscoveryAnswers() {
@@ -505,8 +574,16 @@
         clock.connected(3);
         clock.due(6 * S + 250 * MS);
         clock.due(6 * S + 1250 * MS);
-        assertEquals(calls(done), List.of("open 1", "spare false", "failed", "open 2", "spare false",
-                "open 3", "spare false"));
+        assertEquals(
+                calls(done),
+                List.of(
+                        "open 1",
+                        "spare false",
+                        "failed",
+                        "open 2",
+                        "spare false",
+                        "open 3",
+                        "spare false"));
         done.clear();
         clock.due(9 * S);
         clock.due(11 * S);
@@ -516,8 +593,8 @@
     }
 
     /**
-     * Guards against two that own one wait: what the module asks for meanwhile makes no call, nor a later
-     * one.
+     * Guards against two that own one wait: what the module asks for meanwhile makes no call, nor a
+     * later one.
      */
     @Test
     public void theModulesOwnWaitsChangeNothing() {
@@ -542,7 +619,9 @@
         assertTrue(alone.contains("open 19"), alone.toString());
     }
 
-    /** Guards against a discovery that ends each watch once it has told being asked without a pause. */
+    /**
+     * Guards against a discovery that ends each watch once it has told being asked without a pause.
+     */
     @Test
     public void aWatchThatEndsIsOpenedAnewSoonUnlessItEndsAtOnce() {
         List<String> done = new ArrayList<>();
@@ -559,8 +638,19 @@
         clock.told(4100 * MS, 3);
         clock.broke(5600 * MS, 3);
         clock.due(6600 * MS);
-        assertEquals(calls(done), List.of("open 1", "spare false", "failed", "open 2", "spare false",
-                "failed", "open 3", "spare false", "failed", "open 4"));
+        assertEquals(
+                calls(done),
+                List.of(
+                        "open 1",
+                        "spare false",
+                        "failed",
+                        "open 2",
+                        "spare false",
+                        "failed",
+                        "open 3",
+                        "spare false",
+                        "failed",
+                        "open 4"));
     }
 
     private static List<String> calls(List<String> done) {
@@ -568,24 +658,40 @@
     }
 
     private static ResolverClock clock(List<String> done, long longest) {
-        return new ResolverClock(true, longest, ResolverPatience.DEFAULT, new SplittableRandom(1),
-                (ResolverClock.Actions) Proxy.newProxyInstance(ResolverClock.class.getClassLoader(),
-                        new Class<?>[] {ResolverClock.Actions.class}, (self, method, args) -> {
-                            done.add(method.getName() + (args == null ? "" : " " + args[0]
-                                    + (args.length > 1 ? " " + args[1] : "")));
-                            return null;
-                        }));
+        return new ResolverClock(
+                true,
+                longest,
+                ResolverPatience.DEFAULT,
+                new SplittableRandom(1),
+                (ResolverClock.Actions)
+                        Proxy.newProxyInstance(
+                                ResolverClock.class.getClassLoader(),
+                                new Class<?>[] {ResolverClock.Actions.class},
+                                (self, method, args) -> {
+                                    done.add(
+                                            method.getName()
+                                                    + (args == null
+                                                            ? ""
+                                                            : " "
+                                                                    + args[0]
+                                                                    + (args.length > 1
+                                                                            ? " " + args[1]
+                                                                            : "")));
+                                    return null;
+                                }));
     }
 
     /**
-     * Guards against a storm: no second sees more calls than there are copies, no 100 ms more than a fifth of
-     * that, and once discovery can answer all have been told before what it has counts as told, 6 s later;
-     * where there are more copies than it can serve by then, within the 10 s that count anew, and 2 s for
-     * acting on it. It serves 60 calls a second, and a tenth of the copies.
+     * Guards against a storm: no second sees more calls than there are copies, no 100 ms more than
+     * a fifth of that, and once discovery can answer all have been told before what it has counts
+     * as told, 6 s later; where there are more copies than it can serve by then, within the 10 s
+     * that count anew, and 2 s for acting on it. It serves 60 calls a second, and a tenth of the
+     * copies.
      */
     @Test
     public void manyCopiesDoNotCrowdDiscovery() {
-        System.out.println("| copies | trouble | most calls in 1 s | in 10 s | in 60 s | told after |");
+        System.out.println(
+                "| copies | trouble | most calls in 1 s | in 10 s | in 60 s | told after |");
         for (int copies : new int[] {1, 100, 500}) {
             play(copies, "all watches silent", Discovery.WELL, 0);
             play(copies, "the same, after one line for all", Discovery.WELL, 0);
@@ -615,10 +721,26 @@
         int most = Arrays.stream(each).max().orElseThrow();
         int crowd = Arrays.stream(world.counts(from, 100 * MS, 600)).max().orElseThrow();
         double told = world.allTold(from + seconds * S) / 1e9;
-        System.out.printf("| %d | %s | %d | %d | %d | %.1f s |%n", copies, trouble, most,
-                Arrays.stream(each, 0, 10).sum(), Arrays.stream(each).sum(), told);
-        assertTrue(most <= copies && crowd <= 3 + copies / 5, trouble + " and " + copies + " copies: " + most
-                + " calls in 1 s, " + crowd + " in 100 ms");
-        assertTrue(told > 0 && told < (copies > 100 ? 12 : 6), trouble + ": told after " + told + " s");
+        System.out.printf(
+                "| %d | %s | %d | %d | %d | %.1f s |%n",
+                copies,
+                trouble,
+                most,
+                Arrays.stream(each, 0, 10).sum(),
+                Arrays.stream(each).sum(),
+                told);
+        assertTrue(
+                most <= copies && crowd <= 3 + copies / 5,
+                trouble
+                        + " and "
+                        + copies
+                        + " copies: "
+                        + most
+                        + " calls in 1 s, "
+                        + crowd
+                        + " in 100 ms");
+        assertTrue(
+                told > 0 && told < (copies > 100 ? 12 : 6),
+                trouble + ": told after " + told + " s");
     }
 }
--- a/core/src/test/java/cedarrudder/RosterTest.java
+++ b/core/src/test/java/cedarrudder/RosterTest.java
@@ -36,7 +36,15 @@
                 if (id > 2) {
                     Recorder.Sent done = did.sent.get(id - 3);
                     long lasted = 20 * Site.MS;
-                    decide.outcome(now, done.request(), 0, done.endpoint(), Outcome.OK, lasted, true, null);
+                    decide.outcome(
+                            now,
+                            done.request(),
+                            0,
+                            done.endpoint(),
+                            Outcome.OK,
+                            lasted,
+                            true,
+                            null);
                 }
                 used.computeIfAbsent(copy, c -> new HashSet<>()).add(sent.endpoint());
             }
@@ -47,10 +55,12 @@
     @Test
     void manyCopiesConnectToFewEndpointsEachAndToAllOfThemEvenly() {
         Map<Long, Integer> copiesOf = new HashMap<>();
-        used(60, 80).forEach((copy, endpoints) -> {
-            assertTrue(endpoints.size() <= 8, copy + " uses " + endpoints.size());
-            endpoints.forEach(e -> copiesOf.merge(e, 1, Integer::sum));
-        });
+        used(60, 80)
+                .forEach(
+                        (copy, endpoints) -> {
+                            assertTrue(endpoints.size() <= 8, copy + " uses " + endpoints.size());
+                            endpoints.forEach(e -> copiesOf.merge(e, 1, Integer::sum));
+                        });
         assertEquals(80, copiesOf.size(), "every endpoint is of use to someone");
         assertTrue(copiesOf.values().stream().allMatch(n -> n <= 8), copiesOf.toString());
     }
--- a/core/src/test/java/cedarrudder/RulesModel.java
+++ b/core/src/test/java/cedarrudder/RulesModel.java
@@ -10,13 +10,18 @@
 import java.util.List;
 
 /**
- * The rules of PROTOCOL and WIRE section 10, as plainly as they can be said. It keeps all that has happened
- * as a list, and judges each step by reading that list from its start: slow, and without any state of its own
- * that could be wrong. It shares nothing with what it judges, and knows of decisions only what the rules say.
+ * The rules of PROTOCOL and WIRE section 10, as plainly as they can be said. It keeps all that has
+ * happened as a list, and judges each step by reading that list from its start: slow, and without
+ * any state of its own that could be wrong. It shares nothing with what it judges, and knows of
+ * decisions only what the rules say.
  */
 final class RulesModel {
 
-    enum Answer { SERVED, REFUSED, FAILED }
+    enum Answer {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** A rule is broken; the message begins with its name. */
     static final class Broken extends AssertionError {
@@ -31,29 +36,29 @@
         long at();
     }
 
-    private record Taken(long at, long rpc, RequestClass kind) implements Event { }
+    private record Taken(long at, long rpc, RequestClass kind) implements Event {}
 
     /** The last byte of the request came; its caller waits until then. */
-    private record Whole(long at, long rpc, long answerBy) implements Event { }
+    private record Whole(long at, long rpc, long answerBy) implements Event {}
 
-    private record Sent(long at, long rpc, int attempt, String node) implements Event { }
+    private record Sent(long at, long rpc, int attempt, String node) implements Event {}
 
-    private record Ended(long at, long rpc, int attempt, Outcome outcome) implements Event { }
+    private record Ended(long at, long rpc, int attempt, Outcome outcome) implements Event {}
 
-    private record Answered(long at, long rpc) implements Event { }
+    private record Answered(long at, long rpc) implements Event {}
 
-    private record Left(long at, long rpc) implements Event { }
+    private record Left(long at, long rpc) implements Event {}
 
     private record Told(long at, String node, State state, int zone, int cell, long startedAt)
-            implements Event { }
+            implements Event {}
 
-    private record Barred(long at, String node, boolean barred) implements Event { }
+    private record Barred(long at, String node, boolean barred) implements Event {}
 
-    private record Killed(long at) implements Event { }
+    private record Killed(long at) implements Event {}
 
     /**
-     * The rule has some slack for chance. The budget is one of work, which the decisions can only judge by
-     * how long answers take; here all work is the same and times differ by chance alone.
+     * The rule has some slack for chance. The budget is one of work, which the decisions can only
+     * judge by how long answers take; here all work is the same and times differ by chance alone.
      */
     private static final double FOR_CHANCE = 1.3;
 
@@ -129,41 +134,58 @@
         Told told = told(node);
         check(told != null, "sent to a node that was never listed", node);
         long offLimits = offLimitsSince(node);
-        check(offLimits >= now - safety.drainGrace(), "sent to a node that drains or is gone", node
-                + " is so since " + (now - offLimits) + " ns");
+        check(
+                offLimits >= now - safety.drainGrace(),
+                "sent to a node that drains or is gone",
+                node + " is so since " + (now - offLimits) + " ns");
         for (Sent earlier : before) {
-            check(copies || ended(earlier) != null, "a second copy where none may be", "rpc " + rpc);
+            check(
+                    copies || ended(earlier) != null,
+                    "a second copy where none may be",
+                    "rpc " + rpc);
         }
         RequestClass kind = kind(rpc);
         Sent ran = mayHaveRun(before);
         if (ran != null && kind.effect() != Effect.SAFE) {
             check(kind.effect() == Effect.KEYED, "single-send sent twice", "rpc " + rpc);
-            check(now < ran.at() + kind.repeatWindow(), "sent again after its key is forgotten",
+            check(
+                    now < ran.at() + kind.repeatWindow(),
+                    "sent again after its key is forgotten",
                     "rpc " + rpc);
             Told then = toldAt(ran);
-            check(kind.keyScope() == KeyScope.ALL || kind.keyScope() == KeyScope.ZONE
-                    && then.zone() == told.zone() || kind.keyScope() == KeyScope.CELL
-                    && then.cell() == told.cell(), "sent again outside its group", "rpc " + rpc);
+            check(
+                    kind.keyScope() == KeyScope.ALL
+                            || kind.keyScope() == KeyScope.ZONE && then.zone() == told.zone()
+                            || kind.keyScope() == KeyScope.CELL && then.cell() == told.cell(),
+                    "sent again outside its group",
+                    "rpc " + rpc);
         }
         history.add(new Sent(now, rpc, attempt, node));
         checkCold(now, told);
     }
 
-    /** The caller gets its answer; {@code by} is the attempt whose answer it is, where it is served. */
+    /**
+     * The caller gets its answer; {@code by} is the attempt whose answer it is, where it is served.
+     */
     void answered(long now, long rpc, Answer how, int by) {
         check(open(rpc), "a second answer", "rpc " + rpc);
         Long answerBy = answerBy(rpc);
         check(answerBy == null || now <= answerBy + slack, "answered too late", "rpc " + rpc);
         List<Sent> attempts = attempts(rpc);
         if (how == Answer.SERVED) {
-            check(attempts.stream().anyMatch(s -> s.attempt() == by && ended(s) == Outcome.OK),
-                    "served with what no node made", "rpc " + rpc + " by attempt " + by);
+            check(
+                    attempts.stream().anyMatch(s -> s.attempt() == by && ended(s) == Outcome.OK),
+                    "served with what no node made",
+                    "rpc " + rpc + " by attempt " + by);
         }
         RequestClass kind = kind(rpc);
         if (how == Answer.REFUSED) {
-            check(mayHaveRun(attempts) == null || kind.effect() == Effect.SAFE
-                    || kind.effect() == Effect.KEYED && kind.keyScope() == KeyScope.ALL,
-                    "refused though it may have run", "rpc " + rpc);
+            check(
+                    mayHaveRun(attempts) == null
+                            || kind.effect() == Effect.SAFE
+                            || kind.effect() == Effect.KEYED && kind.keyScope() == KeyScope.ALL,
+                    "refused though it may have run",
+                    "rpc " + rpc);
         }
         history.add(new Answered(now, rpc));
     }
@@ -197,36 +219,53 @@
         boolean open = false;
         for (Event event : sinceKill()) {
             open |= event instanceof Taken taken && taken.rpc() == rpc;
-            open &= !(event instanceof Answered answered && answered.rpc() == rpc)
-                    && !(event instanceof Left left && left.rpc() == rpc);
+            open &=
+                    !(event instanceof Answered answered && answered.rpc() == rpc)
+                            && !(event instanceof Left left && left.rpc() == rpc);
         }
         return open;
     }
 
     private RequestClass kind(long rpc) {
-        return history.stream().filter(e -> e instanceof Taken taken && taken.rpc() == rpc)
-                .map(e -> ((Taken) e).kind()).findFirst().orElseThrow();
+        return history.stream()
+                .filter(e -> e instanceof Taken taken && taken.rpc() == rpc)
+                .map(e -> ((Taken) e).kind())
+                .findFirst()
+                .orElseThrow();
     }
 
     private Long answerBy(long rpc) {
-        return history.stream().filter(e -> e instanceof Whole whole && whole.rpc() == rpc)
-                .map(e -> ((Whole) e).answerBy()).findFirst().orElse(null);
+        return history.stream()
+                .filter(e -> e instanceof Whole whole && whole.rpc() == rpc)
+                .map(e -> ((Whole) e).answerBy())
+                .findFirst()
+                .orElse(null);
     }
 
     private List<Sent> attempts(long rpc) {
-        return history.stream().filter(e -> e instanceof Sent sent && sent.rpc() == rpc)
-                .map(e -> (Sent) e).toList();
+        return history.stream()
+                .filter(e -> e instanceof Sent sent && sent.rpc() == rpc)
+                .map(e -> (Sent) e)
+                .toList();
     }
 
     /** How an attempt ended; null while it is out. */
     private Outcome ended(Sent sent) {
-        return history.stream().filter(e -> e instanceof Ended ended && ended.rpc() == sent.rpc()
-                && ended.attempt() == sent.attempt()).map(e -> ((Ended) e).outcome()).findFirst()
+        return history.stream()
+                .filter(
+                        e ->
+                                e instanceof Ended ended
+                                        && ended.rpc() == sent.rpc()
+                                        && ended.attempt() == sent.attempt())
+                .map(e -> ((Ended) e).outcome())
+                .findFirst()
                 .orElse(null);
     }
 
     private Sent mayHaveRun(List<Sent> attempts) {
-        return attempts.stream().filter(s -> ended(s) == null || !ended(s).provesNotRun()).findFirst()
+        return attempts.stream()
+                .filter(s -> ended(s) == null || !ended(s).provesNotRun())
+                .findFirst()
                 .orElse(null);
     }
 
@@ -264,8 +303,9 @@
     }
 
     /**
-     * A node that started a short while ago has got no more within the window that ends now than the budget
-     * allows for its capacity now. Each send ends a window, so every window is looked at.
+     * A node that started a short while ago has got no more within the window that ends now than
+     * the budget allows for its capacity now. Each send ends a window, so every window is looked
+     * at.
      */
     private void checkCold(long now, Told told) {
         long age = now - told.startedAt();
@@ -273,9 +313,17 @@
             return;
         }
         double part = safety.coldShare() + (1 - safety.coldShare()) * age / safety.rampTime();
-        double most = FOR_CHANCE * safety.fallMultiple() * part * capacity * safety.fallWindow() / 1e9;
-        long got = history.stream().filter(e -> e instanceof Sent sent && sent.node().equals(told.node())
-                && sent.at() > now - safety.fallWindow() && sent.at() >= told.startedAt()).count();
+        double most =
+                FOR_CHANCE * safety.fallMultiple() * part * capacity * safety.fallWindow() / 1e9;
+        long got =
+                history.stream()
+                        .filter(
+                                e ->
+                                        e instanceof Sent sent
+                                                && sent.node().equals(told.node())
+                                                && sent.at() > now - safety.fallWindow()
+                                                && sent.at() >= told.startedAt())
+                        .count();
         check(got <= most, "a cold node pushed over", told.node() + " got " + got + " of " + most);
     }
 }
--- a/core/src/test/java/cedarrudder/RulesTest.java
+++ b/core/src/test/java/cedarrudder/RulesTest.java
@@ -9,7 +9,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The real driver, module and overlay of nodes by hand, step by step beside the model of the rules. */
+/**
+ * The real driver, module and overlay of nodes by hand, step by step beside the model of the rules.
+ */
 public class RulesTest {
 
     private static final int RPCS = 400;
@@ -18,23 +20,28 @@
     /** Seeds in which a part made wrong must be caught once. */
     private static final int SEEDS_TO_CATCH = 60;
 
-    /** Plays a seed; what fails names the seed, and the number of events that are needed for it to fail. */
+    /**
+     * Plays a seed; what fails names the seed, and the number of events that are needed for it to
+     * fail.
+     */
     private static RulesWorld play(long seed, Fault fault) {
         RulesWorld world = new RulesWorld(seed, fault);
         try {
             world.run(RPCS);
         } catch (AssertionError e) {
-            // A run is a function of its seed, and ends at the first event that breaks a rule: no shorter
+            // A run is a function of its seed, and ends at the first event that breaks a rule: no
+            // shorter
             // prefix of it fails.
-            throw new AssertionError("seed " + seed + ", first " + world.events() + " events: "
-                    + e.getMessage(), e);
+            throw new AssertionError(
+                    "seed " + seed + ", first " + world.events() + " events: " + e.getMessage(), e);
         }
         return world;
     }
 
     @DataProvider
     public Object[][] seeds() {
-        return LongStream.rangeClosed(1, SEEDS).mapToObj(seed -> new Object[] {seed})
+        return LongStream.rangeClosed(1, SEEDS)
+                .mapToObj(seed -> new Object[] {seed})
                 .toArray(Object[][]::new);
     }
 
@@ -55,11 +62,15 @@
 
     @DataProvider
     public Object[][] faults() {
-        return Arrays.stream(Fault.values()).filter(f -> f != Fault.NONE)
-                .map(f -> new Object[] {f}).toArray(Object[][]::new);
+        return Arrays.stream(Fault.values())
+                .filter(f -> f != Fault.NONE)
+                .map(f -> new Object[] {f})
+                .toArray(Object[][]::new);
     }
 
-    /** Guards against a model that can't fail: each rule is broken on purpose, and must be named. */
+    /**
+     * Guards against a model that can't fail: each rule is broken on purpose, and must be named.
+     */
     @Test(dataProvider = "faults")
     public void aPartMadeWrongIsCaught(Fault fault) {
         String said = "nothing";
--- a/core/src/test/java/cedarrudder/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/RulesWorld.java
@@ -35,9 +35,9 @@
 import java.util.TreeSet;
 
 /**
- * A world of legal but odd events round the real driver, module and overlay of nodes by hand, with the model
- * of the rules beside them: each step is told to both. All is drawn from one seed. A {@link Fault} makes one
- * part wrong on purpose, which the model must catch.
+ * A world of legal but odd events round the real driver, module and overlay of nodes by hand, with
+ * the model of the rules beside them: each step is told to both. All is drawn from one seed. A
+ * {@link Fault} makes one part wrong on purpose, which the model must catch.
  */
 final class RulesWorld {
 
@@ -77,14 +77,18 @@
     private static final long STRANGER = 999;
 
     /** These show only where the module lets each attempt begin. */
-    private static final Set<Fault> DENIES_NOTHING = Set.of(Fault.RESENDS_SINGLE_SEND,
-            Fault.BEGINS_ON_DRAINING, Fault.BEGINS_AFTER_THE_WINDOW);
+    private static final Set<Fault> DENIES_NOTHING =
+            Set.of(
+                    Fault.RESENDS_SINGLE_SEND,
+                    Fault.BEGINS_ON_DRAINING,
+                    Fault.BEGINS_AFTER_THE_WINDOW);
 
     /** Each warm node bears so many requests a second, and so many come in all. */
     private static final double CAPACITY = 12;
+
     private static final long BETWEEN = 25 * MS;
 
-    private record Due(long at, long order, int instance, Runnable what) { }
+    private record Due(long at, long order, int instance, Runnable what) {}
 
     final SplittableRandom random;
     private final Fault fault;
@@ -92,15 +96,23 @@
     private final boolean shared;
     private final RulesModel model;
     private final StringBuilder transcript = new StringBuilder();
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
+
     /** The nodes as they are, and as they were when an old list was made. */
     private final Map<String, Endpoint> nodes = new TreeMap<>();
+
     private Map<String, Endpoint> old = Map.of();
     private final TreeSet<String> disabled = new TreeSet<>();
     private final Map<Long, Exchange<String, String>> uploading = new HashMap<>();
+
     /** The RPCs whose callers have gone, though the driver may not have heard of it. */
     private final Set<Long> gone = new HashSet<>();
+
     private Map<Long, String> known = new HashMap<>();
     private Rotation rotation;
     private Figures figures;
@@ -119,7 +131,8 @@
         // An instant's zero means nothing: some runs begin before it.
         this.now = seed % 2 == 0 ? 5000 * MS : -4000 * MS;
         Site site = new Site();
-        site.classes = List.of(Site.SAFE, Site.UNSAFE, Site.KEYED, Site.KEYED_IN_CELL, Site.KEYED_IN_ZONE);
+        site.classes =
+                List.of(Site.SAFE, Site.UNSAFE, Site.KEYED, Site.KEYED_IN_CELL, Site.KEYED_IN_ZONE);
         site.parallelTries = random.nextBoolean() && fault != Fault.COPIES_WHERE_FORBIDDEN;
         site.ask = random.nextBoolean();
         site.tenants = List.of(new Balancer.Tenant("a", 1, 100));
@@ -131,7 +144,9 @@
             site.maxAttempts = 4;
         }
         Settings real = site.settings();
-        model = new RulesModel(site.maxAttempts, site.parallelTries, real.safety(), CAPACITY, 50 * MS);
+        model =
+                new RulesModel(
+                        site.maxAttempts, site.parallelTries, real.safety(), CAPACITY, 50 * MS);
         if (fault == Fault.TRIES_WITHOUT_END) {
             site.maxAttempts = 9;
         }
@@ -177,7 +192,8 @@
             ended -= figures.allTaken(kind);
         }
         if (ended + figures.open() != 0 || figures.open() != 0) {
-            throw new AssertionError("counted " + ended + " too many ends, " + figures.open() + " open");
+            throw new AssertionError(
+                    "counted " + ended + " too many ends, " + figures.open() + " open");
         }
     }
 
@@ -211,9 +227,15 @@
         figures = new Figures(settings.classes().size());
         uploading.clear();
         SplittableRandom forModule = random.split();
-        driver = new Driver<>(actions -> module(actions, forModule), settings.limits().maxAttempts(),
-                new Clock(), new Logger(new PrintStream(OutputStream.nullOutputStream())), null, figures);
-        driver.connect(new Client(), new Discovery(), (copy, message) -> { });
+        driver =
+                new Driver<>(
+                        actions -> module(actions, forModule),
+                        settings.limits().maxAttempts(),
+                        new Clock(),
+                        new Logger(new PrintStream(OutputStream.nullOutputStream())),
+                        null,
+                        figures);
+        driver.connect(new Client(), new Discovery(), (copy, message) -> {});
         tell(ListKind.CACHED, old);
     }
 
@@ -229,14 +251,27 @@
         Settings toldOf = settings;
         if (fault == Fault.FORGETS_THE_WINDOW || fault == Fault.COPIES_WHERE_FORBIDDEN) {
             Site wrong = new Site();
-            wrong.parallelTries = fault == Fault.COPIES_WHERE_FORBIDDEN || settings.limits().parallelTries();
+            wrong.parallelTries =
+                    fault == Fault.COPIES_WHERE_FORBIDDEN || settings.limits().parallelTries();
             wrong.ask = settings.askForEndpoints();
             wrong.tiers = 2;
             wrong.tier = 1;
             wrong.maxAttempts = settings.limits().maxAttempts();
-            wrong.classes = settings.classes().stream().map(c -> new RequestClass(c.name(), c.effect(),
-                    c.keyScope(), c.aim(), c.deadline(), c.worth(), 0, 50 * c.repeatWindow(), false))
-                    .toList();
+            wrong.classes =
+                    settings.classes().stream()
+                            .map(
+                                    c ->
+                                            new RequestClass(
+                                                    c.name(),
+                                                    c.effect(),
+                                                    c.keyScope(),
+                                                    c.aim(),
+                                                    c.deadline(),
+                                                    c.worth(),
+                                                    0,
+                                                    50 * c.repeatWindow(),
+                                                    false))
+                            .toList();
             toldOf = wrong.settings();
         }
         return twisted(Balancer.class, new Decide(toldOf, forModule, hands), this::hear);
@@ -248,24 +283,29 @@
     }
 
     private <T> T twisted(Class<T> type, T sound, Twist twist) {
-        return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type},
-                (self, method, arguments) -> {
-                    if (arguments != null) {
-                        twist.change(method.getName(), arguments);
-                    }
-                    try {
-                        if (fault == Fault.REFUSES_WHAT_MAY_HAVE_RUN && method.getName().equals("fail")) {
-                            hands.refuse((long) arguments[0], 0);
-                            return null;
-                        }
-                        if (DENIES_NOTHING.contains(fault) && method.getName().equals("denial")) {
-                            return null;
-                        }
-                        return method.invoke(sound, arguments);
-                    } catch (InvocationTargetException e) {
-                        throw e.getCause();
-                    }
-                }));
+        return type.cast(
+                Proxy.newProxyInstance(
+                        type.getClassLoader(),
+                        new Class<?>[] {type},
+                        (self, method, arguments) -> {
+                            if (arguments != null) {
+                                twist.change(method.getName(), arguments);
+                            }
+                            try {
+                                if (fault == Fault.REFUSES_WHAT_MAY_HAVE_RUN
+                                        && method.getName().equals("fail")) {
+                                    hands.refuse((long) arguments[0], 0);
+                                    return null;
+                                }
+                                if (DENIES_NOTHING.contains(fault)
+                                        && method.getName().equals("denial")) {
+                                    return null;
+                                }
+                                return method.invoke(sound, arguments);
+                            } catch (InvocationTargetException e) {
+                                throw e.getCause();
+                            }
+                        }));
     }
 
     /** What the module does, before the driver sees it. */
@@ -276,8 +316,11 @@
                 model.wanted(now, (long) a[0]);
             }
             if (fault == Fault.LEAVES_THE_POD) {
-                List<Long> ready = nodes.values().stream().filter(n -> n.state() == State.READY)
-                        .map(Endpoint::id).toList();
+                List<Long> ready =
+                        nodes.values().stream()
+                                .filter(n -> n.state() == State.READY)
+                                .map(Endpoint::id)
+                                .toList();
                 a[1] = ready.get(random.nextInt(ready.size()));
             } else if (fault == Fault.SENDS_TO_UNLISTED && random.nextInt(20) == 0) {
                 a[1] = STRANGER;
@@ -290,13 +333,32 @@
     private void hear(String event, Object[] a) {
         if (event.equals("endpoints")) {
             boolean hides = fault == Fault.SENDS_TO_DRAINING;
-            a[2] = ((List<Endpoint>) a[2]).stream().map(e -> new Endpoint(e.id(), e.zone(), e.kind(),
-                    e.cell(), hides && e.state() == State.DRAINING ? State.READY : e.state(), e.weight(),
-                    fault == Fault.PUSHES_COLD_NODES ? 0 : e.startedAt())).toList();
-        } else if (event.equals("outcome") && a[4] == Outcome.RESET && !(boolean) a[6]
+            a[2] =
+                    ((List<Endpoint>) a[2])
+                            .stream()
+                                    .map(
+                                            e ->
+                                                    new Endpoint(
+                                                            e.id(),
+                                                            e.zone(),
+                                                            e.kind(),
+                                                            e.cell(),
+                                                            hides && e.state() == State.DRAINING
+                                                                    ? State.READY
+                                                                    : e.state(),
+                                                            e.weight(),
+                                                            fault == Fault.PUSHES_COLD_NODES
+                                                                    ? 0
+                                                                    : e.startedAt()))
+                                    .toList();
+        } else if (event.equals("outcome")
+                && a[4] == Outcome.RESET
+                && !(boolean) a[6]
                 && fault == Fault.RESENDS_SINGLE_SEND) {
             hands.send((long) a[1], (long) a[3], 0);
-        } else if (event.equals("outcome") && (boolean) a[6] && fault == Fault.SENDS_AFTER_THE_END) {
+        } else if (event.equals("outcome")
+                && (boolean) a[6]
+                && fault == Fault.SENDS_AFTER_THE_END) {
             hands.send((long) a[1], (long) a[3], 0);
         }
     }
@@ -309,8 +371,14 @@
         switch (random.nextInt(10)) {
             case 8 -> {
                 // It moves to another cell and runs on, which discovery may tell late.
-                nodes.put(name, Site.endpoint(node.id(), node.zone(), (node.cell() + 1) % 3, node.state(),
-                        node.startedAt()));
+                nodes.put(
+                        name,
+                        Site.endpoint(
+                                node.id(),
+                                node.zone(),
+                                (node.cell() + 1) % 3,
+                                node.state(),
+                                node.startedAt()));
                 tell(ListKind.CHANGES, Map.of(name, nodes.get(name)));
             }
             case 0, 1 -> change(name, node, State.DRAINING, node.startedAt());
@@ -326,7 +394,10 @@
             if (away.getValue().state() != State.READY && random.nextInt(6) == 0) {
                 // Back after a restart, or the drain was called off.
                 boolean restarted = away.getValue().state() == State.GONE || random.nextBoolean();
-                change(away.getKey(), away.getValue(), State.READY,
+                change(
+                        away.getKey(),
+                        away.getValue(),
+                        State.READY,
                         restarted ? now : away.getValue().startedAt());
             }
         }
@@ -342,8 +413,11 @@
                 shares.add(new ZoneShare(1 - far % 2, parts, 20 * random.nextInt(3)));
             }
             if (parts < 8_000) {
-                shares.add(new ZoneShare(far, 10_000 - parts - random.nextInt(2_000),
-                        20 * random.nextInt(3)));
+                shares.add(
+                        new ZoneShare(
+                                far,
+                                10_000 - parts - random.nextInt(2_000),
+                                20 * random.nextInt(3)));
             }
             driver.shares(random.nextInt(4) == 0 ? List.of() : shares);
         }
@@ -356,7 +430,8 @@
 
     private void change(String name, Endpoint node, State state, long startedAt) {
         // So few are away at once that the others bear what comes.
-        if (settled(node) && nodes.values().stream().filter(n -> !settled(n)).count() >= MOST_AWAY) {
+        if (settled(node)
+                && nodes.values().stream().filter(n -> !settled(n)).count() >= MOST_AWAY) {
             return;
         }
         nodes.put(name, Site.endpoint(node.id(), node.zone(), node.cell(), state, startedAt));
@@ -376,20 +451,30 @@
             }
             known.clear();
         }
-        list.forEach((name, node) -> {
-            if (kind == ListKind.CHANGES || node.state() != State.GONE) {
-                model.told(now, name, node.state(), node.zone(), node.cell(), node.startedAt());
-                named.add(new Rotation.Named(name, node));
-                if (node.state() == State.GONE) {
-                    known.remove(node.id());
-                } else {
-                    known.put(node.id(), name);
-                }
-            }
-        });
+        list.forEach(
+                (name, node) -> {
+                    if (kind == ListKind.CHANGES || node.state() != State.GONE) {
+                        model.told(
+                                now,
+                                name,
+                                node.state(),
+                                node.zone(),
+                                node.cell(),
+                                node.startedAt());
+                        named.add(new Rotation.Named(name, node));
+                        if (node.state() == State.GONE) {
+                            known.remove(node.id());
+                        } else {
+                            known.put(node.id(), name);
+                        }
+                    }
+                });
         List<Endpoint> shown = rotation.listed(kind, named);
-        driver.resolved(kind, fault == Fault.IGNORES_BANS
-                ? named.stream().map(Rotation.Named::endpoint).toList() : shown);
+        driver.resolved(
+                kind,
+                fault == Fault.IGNORES_BANS
+                        ? named.stream().map(Rotation.Named::endpoint).toList()
+                        : shown);
     }
 
     private void byHand(String name) {
@@ -425,8 +510,17 @@
         long toDriver = wait + (fault == Fault.ANSWERS_LATE ? 400 * MS : 0);
         long work = random.nextBoolean() ? 0 : 20 * MS;
         model.taken(now, rpc, kind);
-        var request = new Request(rpc, index, 0, now + toDriver + (uploads ? 60_000 * MS : 0), 0, false,
-                kind.effect() != Effect.SAFE, work, uploads);
+        var request =
+                new Request(
+                        rpc,
+                        index,
+                        0,
+                        now + toDriver + (uploads ? 60_000 * MS : 0),
+                        0,
+                        false,
+                        kind.effect() != Effect.SAFE,
+                        work,
+                        uploads);
         Exchange<String, String> exchange = new Exchange<>(request, "q" + rpc, new Answers(rpc));
         if (uploads) {
             uploading.put(rpc, exchange.uploading(toDriver));
@@ -530,12 +624,12 @@
         }
 
         @Override
-        public void fetch() { }
+        public void fetch() {}
     }
 
     /**
-     * Nodes, whose outcomes come late, twice, in another order, and of what was given up; and connections to
-     * them, of which some come up late.
+     * Nodes, whose outcomes come late, twice, in another order, and of what was given up; and
+     * connections to them, of which some come up late.
      */
     private final class Client implements ClientSide<String, String> {
         private final Map<CallAttempt<String, String>, Boolean> told = new HashMap<>();
@@ -568,10 +662,19 @@
                 attempt.wrote(now);
             }
             int draw = random.nextInt(20);
-            Outcome how = draw < 2 ? Outcome.ERROR : draw < 4 ? Outcome.FULL
-                    : draw < 6 ? Outcome.CONNECT_FAILED : draw < 8 ? Outcome.RESET : Outcome.OK;
+            Outcome how =
+                    draw < 2
+                            ? Outcome.ERROR
+                            : draw < 4
+                                    ? Outcome.FULL
+                                    : draw < 6
+                                            ? Outcome.CONNECT_FAILED
+                                            : draw < 8 ? Outcome.RESET : Outcome.OK;
             Outcome outcome = half ? Outcome.CONNECT_FAILED : how;
-            long lasts = random.nextInt(10) == 0 ? random.nextLong(1500 * MS) : random.nextLong(150 * MS);
+            long lasts =
+                    random.nextInt(10) == 0
+                            ? random.nextLong(1500 * MS)
+                            : random.nextLong(150 * MS);
             if (draw == 4) {
                 report(attempt, outcome); // known at once
             } else if (draw == 19 && !half) {
@@ -602,7 +705,10 @@
 
         private void pass(CallAttempt<String, String> attempt, Outcome outcome) {
             if (outcome == Outcome.OK) {
-                driver.served(attempt, String.valueOf(attempt.number()), Site.load(random.nextInt(5), 20));
+                driver.served(
+                        attempt,
+                        String.valueOf(attempt.number()),
+                        Site.load(random.nextInt(5), 20));
             } else {
                 driver.ended(attempt, outcome, null);
             }
@@ -611,7 +717,10 @@
         @Override
         public void abandon(CallAttempt<String, String> attempt) {
             if (told.putIfAbsent(attempt, true) == null) {
-                model.ended(now, attempt.exchange().request().id(), attempt.number(),
+                model.ended(
+                        now,
+                        attempt.exchange().request().id(),
+                        attempt.number(),
                         written.contains(attempt) ? Outcome.CANCELLED : Outcome.CONNECT_FAILED);
             }
         }
@@ -621,18 +730,25 @@
             long lasts = random.nextLong(60 * MS);
             Outcome outcome = random.nextInt(6) == 0 ? Outcome.TIMEOUT : Outcome.OK;
             // A node that has just started reads empty and quick.
-            boolean fresh = nodes.values().stream().anyMatch(n -> n.id() == endpoint && !settled(n));
-            Balancer.Load load = Site.load(fresh ? 0 : 2 + random.nextInt(3),
-                    fresh ? 1 : 20 + random.nextInt(50));
-            at(now + lasts, () -> driver.probed(endpoint, outcome, lasts,
-                    outcome == Outcome.OK ? load : null));
+            boolean fresh =
+                    nodes.values().stream().anyMatch(n -> n.id() == endpoint && !settled(n));
+            Balancer.Load load =
+                    Site.load(
+                            fresh ? 0 : 2 + random.nextInt(3), fresh ? 1 : 20 + random.nextInt(50));
+            at(
+                    now + lasts,
+                    () ->
+                            driver.probed(
+                                    endpoint, outcome, lasts, outcome == Outcome.OK ? load : null));
             if (random.nextInt(8) == 0) {
                 long again = lasts + random.nextLong(300 * MS);
-                at(now + again, () -> driver.probed(endpoint, Outcome.OK, again, Site.load(9, 900)));
+                at(
+                        now + again,
+                        () -> driver.probed(endpoint, Outcome.OK, again, Site.load(9, 900)));
             }
         }
 
         @Override
-        public void closeIdle(long endpoint) { }
+        public void closeIdle(long endpoint) {}
     }
 }
--- a/core/src/test/java/cedarrudder/SharesTest.java
+++ b/core/src/test/java/cedarrudder/SharesTest.java
@@ -19,7 +19,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Calls keep to the zones that have shares. The copy is in zone 0; endpoint 10 z + i is in zone z. */
+/**
+ * Calls keep to the zones that have shares. The copy is in zone 0; endpoint 10 z + i is in zone z.
+ */
 public class SharesTest {
 
     private static final long MS = Site.MS;
@@ -27,8 +29,17 @@
     private static final int ZONES = 3;
     private static final int EACH = 8;
 
-    private static final RequestClass WORTHY = new RequestClass("worthy", Site.SAFE.effect(),
-            Site.SAFE.keyScope(), Site.SAFE.aim(), Site.SAFE.deadline(), 9, 0, 0, false);
+    private static final RequestClass WORTHY =
+            new RequestClass(
+                    "worthy",
+                    Site.SAFE.effect(),
+                    Site.SAFE.keyScope(),
+                    Site.SAFE.aim(),
+                    Site.SAFE.deadline(),
+                    9,
+                    0,
+                    0,
+                    false);
 
     private final Site site = new Site();
     private Recorder did;
@@ -75,8 +86,15 @@
     /** Ends the last attempt of a request. */
     private void end(long id, Outcome outcome) {
         List<Recorder.Sent> sent = did.sent.stream().filter(s -> s.request() == id).toList();
-        decide.outcome(now, id, sent.size() - 1, sent.get(sent.size() - 1).endpoint(), outcome, MS,
-                outcome == Outcome.OK, null);
+        decide.outcome(
+                now,
+                id,
+                sent.size() - 1,
+                sent.get(sent.size() - 1).endpoint(),
+                outcome,
+                MS,
+                outcome == Outcome.OK,
+                null);
     }
 
     /** Answers the probes that are out, those of some endpoints with a report. */
@@ -85,7 +103,11 @@
         did.probed.clear();
         for (long endpoint : out) {
             boolean good = sound.test(endpoint);
-            decide.probed(now, endpoint, good ? Outcome.OK : Outcome.TIMEOUT, 0,
+            decide.probed(
+                    now,
+                    endpoint,
+                    good ? Outcome.OK : Outcome.TIMEOUT,
+                    0,
                     good ? Site.load(1, 5) : null);
         }
     }
@@ -113,9 +135,9 @@
     // ---- without shares ----
 
     /**
-     * Guards against shares that cost a copy without a table anything: all that it does, with every argument,
-     * is what the build before them did. The figures are that build's. Whoever changes decisions on purpose
-     * puts his own here, and says so.
+     * Guards against shares that cost a copy without a table anything: all that it does, with every
+     * argument, is what the build before them did. The figures are that build's. Whoever changes
+     * decisions on purpose puts his own here, and says so.
      */
     @Test
     public void withoutSharesEachActionIsThatOfTheBuildBefore() {
@@ -167,7 +189,10 @@
         assertEquals(zones[1], 250, 3);
     }
 
-    /** Guards against probes, connections and entries of the pool that stay where nothing may be sent. */
+    /**
+     * Guards against probes, connections and entries of the pool that stay where nothing may be
+     * sent.
+     */
     @Test
     public void probesAndConnectionsMoveAtOnce() {
         serve(300, 5 * MS);
@@ -183,7 +208,8 @@
             answerProbes(endpoint -> true);
         }
         assertEquals(before, 0);
-        assertTrue(did.lines.stream().filter(line -> line.matches("close \\d")).count() >= 6,
+        assertTrue(
+                did.lines.stream().filter(line -> line.matches("close \\d")).count() >= 6,
                 did.lines.toString());
     }
 
@@ -225,13 +251,15 @@
         assertEquals(zones[0] + zones[1] + zones[2], 300);
         assertTrue(zones[0] > 60 && zones[1] > 60, Arrays.toString(zones));
         assertTrue(did.lines.stream().filter(line -> line.startsWith("probe")).count() > 20);
-        decide.endpoints(now, ListKind.CHANGES,
-                List.of(Site.endpoint(90, 9, 0, State.READY, 0)));
+        decide.endpoints(now, ListKind.CHANGES, List.of(Site.endpoint(90, 9, 0, State.READY, 0)));
         long id = ask(0);
         assertEquals(did.sent.get(did.sent.size() - 1), new Recorder.Sent(id, 90));
     }
 
-    /** Guards against overload of one zone that pulls down the next: its nodes are full, and not unsound. */
+    /**
+     * Guards against overload of one zone that pulls down the next: its nodes are full, and not
+     * unsound.
+     */
     @Test
     public void aZoneThatIsFullSendsNothingToOthers() {
         shares(share(1, 10_000));
@@ -254,7 +282,9 @@
             now += 5 * MS;
             answerProbes(endpoint -> endpoint / 10 != 1);
             long id = ask(0);
-            for (int tries = 0; zoneOf(did.sent.size() - 1) == 1 && did.refused.isEmpty(); tries++) {
+            for (int tries = 0;
+                    zoneOf(did.sent.size() - 1) == 1 && did.refused.isEmpty();
+                    tries++) {
                 assertTrue(tries < 4);
                 end(id, Outcome.CONNECT_FAILED);
             }
@@ -267,7 +297,9 @@
         assertTrue(lost <= 3, "lost " + lost);
     }
 
-    /** The same where nothing comes back at all: probes tell it, before calls do by their deadline. */
+    /**
+     * The same where nothing comes back at all: probes tell it, before calls do by their deadline.
+     */
     @Test
     public void aSilentZoneIsLeftOnceProbesFail() {
         shares(share(1, 10_000));
@@ -312,7 +344,10 @@
         assertEquals(did.sent.size(), 1 + EACH * 4, "each holds four");
     }
 
-    /** Guards against calls that wait for a bound: they are refused at once, and none that may run is. */
+    /**
+     * Guards against calls that wait for a bound: they are refused at once, and none that may run
+     * is.
+     */
     @Test
     public void whatIsOverAllBoundsIsRefusedAtOnce() {
         int served = 0;
@@ -348,7 +383,8 @@
             long id = ask(0);
             for (int of = 0; of < did.sent.size(); of++) {
                 sends++;
-                decide.outcome(now, id, of, did.sent.get(of).endpoint(), Outcome.FULL, MS, false, null);
+                decide.outcome(
+                        now, id, of, did.sent.get(of).endpoint(), Outcome.FULL, MS, false, null);
             }
         }
         assertTrue(sends <= 10 * 10 + 5 + 1, "sends " + sends);
@@ -373,10 +409,12 @@
     @Test
     public void whatIsWrongIsNamedAndTheFormerSharesStand() {
         shares(share(2, 10_000));
-        assertThrows(IllegalArgumentException.class, () -> shares(share(1, 6_000), share(0, 6_000)));
+        assertThrows(
+                IllegalArgumentException.class, () -> shares(share(1, 6_000), share(0, 6_000)));
         assertThrows(IllegalArgumentException.class, () -> shares(share(1, 10), share(1, 10)));
         assertEquals(serve(20, 5 * MS)[2], 20);
-        for (int[] bad : new int[][] {{-1, 1, 0}, {64, 1, 0}, {0, 0, 0}, {0, 10_001, 0}, {0, 1, -1}}) {
+        for (int[] bad :
+                new int[][] {{-1, 1, 0}, {64, 1, 0}, {0, 0, 0}, {0, 10_001, 0}, {0, 1, -1}}) {
             String said = "";
             try {
                 new ZoneShare(bad[0], bad[1], bad[2]);
@@ -390,7 +428,8 @@
     /** Guards against a table that is wrong taking the place of none. */
     @Test
     public void whatIsWrongAtFirstHoldsNothing() {
-        assertThrows(IllegalArgumentException.class, () -> shares(share(1, 6_000), share(2, 6_000)));
+        assertThrows(
+                IllegalArgumentException.class, () -> shares(share(1, 6_000), share(2, 6_000)));
         assertTrue(serve(100, 5 * MS)[0] > 20);
     }
 }
--- a/core/src/test/java/cedarrudder/Site.java
+++ b/core/src/test/java/cedarrudder/Site.java
@@ -40,14 +40,32 @@
     List<Tenant> tenants = List.of();
 
     private static RequestClass requestClass(Effect effect, KeyScope scope) {
-        return new RequestClass(effect.name(), effect, scope, 200 * MS, SECOND, 1, 0, 500 * MS, false);
+        return new RequestClass(
+                effect.name(), effect, scope, 200 * MS, SECOND, 1, 0, 500 * MS, false);
     }
 
     Settings settings() {
-        return new Settings(copies, self, 0, tier, tiers, ask, classes, tenants,
-                new Limits(probes, cancel, parallelTries, true, maxAttempts, SECOND, 50 * MS, 30 * SECOND),
+        return new Settings(
+                copies,
+                self,
+                0,
+                tier,
+                tiers,
+                ask,
+                classes,
+                tenants,
+                new Limits(
+                        probes,
+                        cancel,
+                        parallelTries,
+                        true,
+                        maxAttempts,
+                        SECOND,
+                        50 * MS,
+                        30 * SECOND),
                 new Safety(drainGrace, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
-                new Goal(0.8, 0.1, 0.1, 0, 0.1), new Prices(0.01, 0));
+                new Goal(0.8, 0.1, 0.1, 0, 0.1),
+                new Prices(0.01, 0));
     }
 
     static Endpoint ready(long id) {
--- a/core/src/test/java/cedarrudder/Sources.java
+++ b/core/src/test/java/cedarrudder/Sources.java
@@ -10,7 +10,7 @@
 /** The project's own sources, for the tests that hold them to its rules. Tests run at the root. */
 final class Sources {
 
-    private Sources() { }
+    private Sources() {}
 
     /** All Java files of all modules, in a fixed order. */
     static List<Path> all() throws IOException {
@@ -26,8 +26,11 @@
     /** The folder {@code src} of each module. */
     static List<Path> folders() throws IOException {
         try (Stream<Path> top = Files.list(Path.of(""))) {
-            return top.filter(f -> Files.exists(f.resolve("pom.xml"))).map(f -> f.resolve("src"))
-                    .filter(Files::isDirectory).sorted().toList();
+            return top.filter(f -> Files.exists(f.resolve("pom.xml")))
+                    .map(f -> f.resolve("src"))
+                    .filter(Files::isDirectory)
+                    .sorted()
+                    .toList();
         }
     }
 }
--- a/core/src/test/java/cedarrudder/Steps.java
+++ b/core/src/test/java/cedarrudder/Steps.java
@@ -15,13 +15,15 @@
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
 
-/** Random steps of all kinds for one copy among thirty endpoints in three zones, drawn from a seed. */
+/**
+ * Random steps of all kinds for one copy among thirty endpoints in three zones, drawn from a seed.
+ */
 final class Steps {
 
     private static final long MS = Site.MS;
     private static final int ENDPOINTS = 30;
 
-    private record Out(long request, int attempt, long endpoint, long at) { }
+    private record Out(long request, int attempt, long endpoint, long at) {}
 
     final Recorder did = new Recorder();
     final Decide decide;
@@ -38,7 +40,8 @@
 
     Steps(long seed) {
         random = new SplittableRandom(seed);
-        site.classes = List.of(Site.SAFE, Site.UNSAFE, Site.KEYED, Site.KEYED_IN_CELL, Site.KEYED_IN_ZONE);
+        site.classes =
+                List.of(Site.SAFE, Site.UNSAFE, Site.KEYED, Site.KEYED_IN_CELL, Site.KEYED_IN_ZONE);
         site.tenants = List.of(new Tenant("a", 1, 80), new Tenant("b", 1, 0));
         site.copies = 1 + random.nextInt(12);
         site.self = random.nextInt(site.copies);
@@ -78,26 +81,54 @@
         if (draw < 48) {
             long work = random.nextBoolean() ? 0 : random.nextLong(60 * MS);
             long deadline = now + 20 * MS + random.nextLong(900 * MS);
-            Request request = new Request(++requests, random.nextInt(5), random.nextInt(2), deadline, 0,
-                    false, false, work, random.nextInt(20) == 0);
-            decide.request(now, request, random.nextInt(50) == 0 ? Standing.OVERLOAD : Standing.WANTED);
+            Request request =
+                    new Request(
+                            ++requests,
+                            random.nextInt(5),
+                            random.nextInt(2),
+                            deadline,
+                            0,
+                            false,
+                            false,
+                            work,
+                            random.nextInt(20) == 0);
+            decide.request(
+                    now, request, random.nextInt(50) == 0 ? Standing.OVERLOAD : Standing.WANTED);
         } else if (draw < 82 && !outs.isEmpty()) {
             Out out = outs.remove(random.nextInt(outs.size()));
             int how = random.nextInt(3 * Outcome.values().length);
             Outcome outcome = how < Outcome.values().length ? Outcome.values()[how] : Outcome.OK;
-            decide.outcome(now, out.request, out.attempt, out.endpoint, outcome, now - out.at,
-                    outcome == Outcome.OK, null);
+            decide.outcome(
+                    now,
+                    out.request,
+                    out.attempt,
+                    out.endpoint,
+                    outcome,
+                    now - out.at,
+                    outcome == Outcome.OK,
+                    null);
         } else if (draw < 88 && !probes.isEmpty()) {
             boolean good = random.nextInt(8) > 0;
-            decide.probed(now, probes.remove(random.nextInt(probes.size())),
-                    good ? Outcome.OK : Outcome.TIMEOUT, random.nextLong(5 * MS),
+            decide.probed(
+                    now,
+                    probes.remove(random.nextInt(probes.size())),
+                    good ? Outcome.OK : Outcome.TIMEOUT,
+                    random.nextLong(5 * MS),
                     good ? Site.load(random.nextInt(9), 1 + random.nextInt(40)) : null);
         } else if (draw < 93) {
             Endpoint was = list.get((int) id - 1);
-            State state = random.nextInt(3) > 0 ? State.READY
-                    : random.nextBoolean() ? State.DRAINING : State.GONE;
-            list.set((int) id - 1, Site.endpoint(id, was.zone(), random.nextInt(5), state,
-                    was.state() == State.GONE ? now : was.startedAt()));
+            State state =
+                    random.nextInt(3) > 0
+                            ? State.READY
+                            : random.nextBoolean() ? State.DRAINING : State.GONE;
+            list.set(
+                    (int) id - 1,
+                    Site.endpoint(
+                            id,
+                            was.zone(),
+                            random.nextInt(5),
+                            state,
+                            was.state() == State.GONE ? now : was.startedAt()));
             decide.endpoints(now, ListKind.CHANGES, List.of(list.get((int) id - 1)));
         } else {
             rare(draw, id, requests == 0 ? 1 : 1 + random.nextLong(requests));
@@ -118,8 +149,14 @@
 
     /** Takes in what was done. */
     private void take() {
-        did.sent.forEach(sent -> outs.add(new Out(sent.request(),
-                attempts.merge(sent.request(), 1, Integer::sum) - 1, sent.endpoint(), now)));
+        did.sent.forEach(
+                sent ->
+                        outs.add(
+                                new Out(
+                                        sent.request(),
+                                        attempts.merge(sent.request(), 1, Integer::sum) - 1,
+                                        sent.endpoint(),
+                                        now)));
         probes.addAll(did.probed);
         timers.addAll(did.timers);
         did.lines.forEach(line -> digest.update((line + "\n").getBytes(StandardCharsets.UTF_8)));
--- a/core/src/test/java/cedarrudder/agreement/PiecesTest.java
+++ b/core/src/test/java/cedarrudder/agreement/PiecesTest.java
@@ -64,8 +64,16 @@
             }
         }
         assertEquals(came.size(), 8);
-        messages.forEach(message -> assertTrue(came.stream().anyMatch(c -> ByteBuffer.wrap(c)
-                .equals(ByteBuffer.wrap(message)))));
+        messages.forEach(
+                message ->
+                        assertTrue(
+                                came.stream()
+                                        .anyMatch(
+                                                c ->
+                                                        ByteBuffer.wrap(c)
+                                                                .equals(
+                                                                        ByteBuffer.wrap(
+                                                                                message)))));
     }
 
     @Test
@@ -131,41 +139,52 @@
     }
 
     /**
-     * Random bytes, and good pieces with wrong bytes whose checksums are put right: all is dropped or read,
-     * and what is said of it is synced before.
+     * Random bytes, and good pieces with wrong bytes whose checksums are put right: all is dropped
+     * or read, and what is said of it is synced before.
      */
     @Test
     public void garbageIsDroppedWithoutAWord() {
         SplittableRandom random = new SplittableRandom(11);
         Unsynced store = new Unsynced();
         int[] zones = new int[10];
-        Agreement copy = new Agreement(zones, 0, 5, AgreementSettings.DEFAULT, store, random.split(),
-                new Agreement.Outlet() {
-                    @Override
-                    public void send(int to, byte[] piece) {
-                        assertFalse(store.unsynced, "spoken of before it was synced");
-                        assertTrue(Piece.decode(piece, 10).term() <= store.term, "a term that is not kept");
-                    }
-
-                    @Override
-                    public void loaded(LogNumber number, byte[] content) {
-                        assertFalse(store.unsynced, "loaded before it was synced");
-                    }
-
-                    @Override
-                    public byte[] state() {
-                        return new byte[500];
-                    }
-
-                    @Override
-                    public void restored(LogNumber number, byte[] state) { }
-
-                    @Override
-                    public void settled(Proposal proposal, Outcome outcome, LogNumber number) { }
-
-                    @Override
-                    public void noted(Note note) { }
-                }, 0);
+        Agreement copy =
+                new Agreement(
+                        zones,
+                        0,
+                        5,
+                        AgreementSettings.DEFAULT,
+                        store,
+                        random.split(),
+                        new Agreement.Outlet() {
+                            @Override
+                            public void send(int to, byte[] piece) {
+                                assertFalse(store.unsynced, "spoken of before it was synced");
+                                assertTrue(
+                                        Piece.decode(piece, 10).term() <= store.term,
+                                        "a term that is not kept");
+                            }
+
+                            @Override
+                            public void loaded(LogNumber number, byte[] content) {
+                                assertFalse(store.unsynced, "loaded before it was synced");
+                            }
+
+                            @Override
+                            public byte[] state() {
+                                return new byte[500];
+                            }
+
+                            @Override
+                            public void restored(LogNumber number, byte[] state) {}
+
+                            @Override
+                            public void settled(
+                                    Proposal proposal, Outcome outcome, LogNumber number) {}
+
+                            @Override
+                            public void noted(Note note) {}
+                        },
+                        0);
         copy.form(0);
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
@@ -183,15 +202,21 @@
             copy.received(now, 1, noise);
         }
         assertEquals(copy.counts().malformed(), 200_000);
-        Message[] kinds = {new Message.AskVote(false, true, 4, 2), new Message.SayVote(false, true, 2),
+        Message[] kinds = {
+            new Message.AskVote(false, true, 4, 2),
+            new Message.SayVote(false, true, 2),
             new Message.Append(2, 2, 1, 7, List.of(new Entry(3, Entry.Kind.CONTENT, new byte[20]))),
-            new Message.SayAppend(true, 2, 7), new Message.Lead(), new Message.Digest(3, 2, 1, 1, 4, 5, 6),
-            new Message.Ask(0, 0, 0), new Message.News(1, List.of(new Entry(2, Entry.Kind.BEGIN,
-                    new byte[0]))),
+            new Message.SayAppend(true, 2, 7),
+            new Message.Lead(),
+            new Message.Digest(3, 2, 1, 1, 4, 5, 6),
+            new Message.Ask(0, 0, 0),
+            new Message.News(1, List.of(new Entry(2, Entry.Kind.BEGIN, new byte[0]))),
             new Message.Chunk(9, 2, new Voters(List.of(SENDER)), 1, 900, 0, new byte[100]),
-            new Message.Lack(3, new byte[] {7}), new Message.Took(1, 2), new Message.Sure(1, 2, 3),
-            new Message.Hand(
-                    new Proposal(1, 9, 1, new LogNumber(GROUP, 1), new byte[20]))};
+            new Message.Lack(3, new byte[] {7}),
+            new Message.Took(1, 2),
+            new Message.Sure(1, 2, 3),
+            new Message.Hand(new Proposal(1, 9, 1, new LogNumber(GROUP, 1), new byte[20]))
+        };
         for (int i = 0; i < 200_000; i++) {
             byte[] body = kinds[i % kinds.length].encode();
             for (int wrong = random.nextInt(3); wrong >= 0; wrong--) {
--- a/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
@@ -15,10 +15,14 @@
 
     @Test
     public void whatIsWrittenIsReadBack() {
-        Carried carried = new Carried(true, true, 418_000_000L, 2, 0x9f27c1d0a4b35e68L, 0.25, true, PATH);
-        assertEquals(BudgetFields.budget(carried),
+        Carried carried =
+                new Carried(true, true, 418_000_000L, 2, 0x9f27c1d0a4b35e68L, 0.25, true, PATH);
+        assertEquals(
+                BudgetFields.budget(carried),
                 "1;left=418;tries=2;grant=9f27c1d0a4b35e68;worth=0.250;repeat=1");
-        assertEquals(BudgetFields.read(BudgetFields.budget(carried), BudgetFields.path(carried)), carried);
+        assertEquals(
+                BudgetFields.read(BudgetFields.budget(carried), BudgetFields.path(carried)),
+                carried);
         for (Why why : Why.values()) {
             FromBelow result = new FromBelow(3, why, PATH);
             assertEquals(BudgetFields.readResult(BudgetFields.result(result)), result);
@@ -38,7 +42,13 @@
             {"1;left=5;tries=2" + ";x=y".repeat(250), 0, -1, 0, -1},
             {"2;left=5;tries=2;worth=0.5;colour=red;grant=7", 5, 2, 7, 0.5},
             {"1;left=-5;tries=-2;worth=-0.5;grant=-7", 0, -1, 0, -1},
-            {"1;left=9999999999999;tries=99999999999;worth=1e9;grant=11112222333344445", 0, -1, 0, -1},
+            {
+                "1;left=9999999999999;tries=99999999999;worth=1e9;grant=11112222333344445",
+                0,
+                -1,
+                0,
+                -1
+            },
             {"1;left=soon;tries=many;worth=much;grant=mine", 0, -1, 0, -1},
             {"1;left=+5;tries=0x2;worth=NaN;grant=\u0661", 0, -1, 0, -1},
             {"1;left=5;left=90000;tries=1;tries=9;worth=9", 5, 1, 0, 1},
@@ -48,7 +58,8 @@
     }
 
     @Test(dataProvider = "budgets")
-    public void whatCannotBeReadCountsAsNotSaid(String text, int left, int tries, int grant, double worth) {
+    public void whatCannotBeReadCountsAsNotSaid(
+            String text, int left, int tries, int grant, double worth) {
         Carried read = BudgetFields.read(text, null);
         assertEquals(read.left(), left * 1_000_000L);
         assertEquals(read.tries(), tries);
@@ -60,8 +71,17 @@
     public Object[][] paths() {
         String long17 = String.join(",", Collections.nCopies(17, "a"));
         return new Object[][] {
-            {null, 0}, {"", 0}, {"a,b", 0}, {"0;a,b", 0}, {"1;", 0}, {"1;a,,b", 0}, {"1;a b", 0},
-            {"1;" + "a".repeat(33), 0}, {"1;a,b", 2}, {"7;a", 1}, {"1;" + long17, 16},
+            {null, 0},
+            {"", 0},
+            {"a,b", 0},
+            {"0;a,b", 0},
+            {"1;", 0},
+            {"1;a,,b", 0},
+            {"1;a b", 0},
+            {"1;" + "a".repeat(33), 0},
+            {"1;a,b", 2},
+            {"7;a", 1},
+            {"1;" + long17, 16},
             {"1;" + "b,".repeat(5000), 16},
         };
     }
@@ -73,7 +93,8 @@
 
     @Test
     public void anAnswerThatSaysNonsenseSaysNothing() {
-        for (String text : new String[] {null, "", "spent=1", "0;spent=1", "1;spent=-1;why=because"}) {
+        for (String text :
+                new String[] {null, "", "spent=1", "0;spent=1", "1;spent=-1;why=because"}) {
             assertEquals(BudgetFields.readResult(text), FromBelow.NOTHING);
         }
     }
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -46,18 +46,48 @@
     }
 
     private static Settings site(int tier) {
-        RequestClass best = new RequestClass("best", Effect.SAFE, KeyScope.ALL, 300 * MILLI, 900 * MILLI,
-                6, 0, 0, false);
-        RequestClass least = new RequestClass("least", Effect.UNSAFE, KeyScope.ALL, 300 * MILLI, 900 * MILLI,
-                1, 0, 0, false);
-        return new Settings(1, 0, 0, tier, 3, false, List.of(best, least),
+        RequestClass best =
+                new RequestClass(
+                        "best",
+                        Effect.SAFE,
+                        KeyScope.ALL,
+                        300 * MILLI,
+                        900 * MILLI,
+                        6,
+                        0,
+                        0,
+                        false);
+        RequestClass least =
+                new RequestClass(
+                        "least",
+                        Effect.UNSAFE,
+                        KeyScope.ALL,
+                        300 * MILLI,
+                        900 * MILLI,
+                        1,
+                        0,
+                        0,
+                        false);
+        return new Settings(
+                1,
+                0,
+                0,
+                tier,
+                3,
+                false,
+                List.of(best, least),
                 List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 0)),
-                new Limits(true, true, true, true, 4, 0, 0, 0), new Safety(0, 1, 0, 1, 0, 0),
-                new Goal(1, 0, 0, 0, 0.05), new Prices(0, 0));
+                new Limits(true, true, true, true, 4, 0, 0, 0),
+                new Safety(0, 1, 0, 1, 0, 0),
+                new Goal(1, 0, 0, 0, 0.05),
+                new Prices(0, 0));
     }
 
     private Budgets budgets(int tier) {
-        return new Budgets(BudgetSettings.of("tier-" + tier), site(tier), new SplittableRandom(7 + tier),
+        return new Budgets(
+                BudgetSettings.of("tier-" + tier),
+                site(tier),
+                new SplittableRandom(7 + tier),
                 new Notices() {
                     @Override
                     public void loop(HopPath path, long more) {
@@ -72,11 +102,13 @@
     }
 
     private CallBudget call(Budgets budgets, int kind, Carried carried) {
-        return budgets.arrived(now, new Request(1, kind, 1, now + 900 * MILLI, 0, false, false, 0), carried);
+        return budgets.arrived(
+                now, new Request(1, kind, 1, now + 900 * MILLI, 0, false, false, 0), carried);
     }
 
     private static Carried said(int tries, long grant, boolean repeat, String... path) {
-        return new Carried(true, true, 0, tries, grant, Double.NaN, repeat, HopPath.of(List.of(path)));
+        return new Carried(
+                true, true, 0, tries, grant, Double.NaN, repeat, HopPath.of(List.of(path)));
     }
 
     /** How many further attempts a budget allows, with nothing handed down. */
@@ -149,8 +181,8 @@
     }
 
     /**
-     * Three tiers with nodes that call on once or twice and copy what they were given or some of it, and
-     * attempts that end in every way: the further attempts of a tree never pass its budget.
+     * Three tiers with nodes that call on once or twice and copy what they were given or some of
+     * it, and attempts that end in every way: the further attempts of a tree never pass its budget.
      */
     @Test
     public void noTreeSpendsMoreThanItsBudget() {
@@ -160,12 +192,15 @@
             int tries = random.nextInt(5);
             int[] spent = {0};
             play(tiers, 0, said(tries, 0, false), random, spent);
-            assertTrue(spent[0] <= Math.min(3, tries), "seed " + seed + ": " + spent[0] + " of " + tries);
+            assertTrue(
+                    spent[0] <= Math.min(3, tries),
+                    "seed " + seed + ": " + spent[0] + " of " + tries);
         }
     }
 
     /** One call at one tier: true and what goes up, if it was served. */
-    private FromBelow play(Budgets[] tiers, int tier, Carried carried, SplittableRandom random, int[] spent) {
+    private FromBelow play(
+            Budgets[] tiers, int tier, Carried carried, SplittableRandom random, int[] spent) {
         Budgets budgets = tiers[tier];
         CallBudget call = call(budgets, BEST, carried);
         for (int i = 0; i < 4 && budgets.mayAttempt(now, call); i++) {
@@ -173,8 +208,11 @@
             Carried handed = budgets.handDown(now, call);
             Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length - 1)];
             FromBelow below = FromBelow.NOTHING;
-            for (int calls = random.nextInt(3); calls > 0 && tier < 2 && !outcome.provesNotRun(); calls--) {
-                Carried copied = BudgetFields.read(BudgetFields.budget(handed), BudgetFields.path(handed));
+            for (int calls = random.nextInt(3);
+                    calls > 0 && tier < 2 && !outcome.provesNotRun();
+                    calls--) {
+                Carried copied =
+                        BudgetFields.read(BudgetFields.budget(handed), BudgetFields.path(handed));
                 FromBelow result = play(tiers, tier + 1, copied, random, spent);
                 below = random.nextBoolean() ? result : FromBelow.NOTHING;
             }
@@ -200,7 +238,8 @@
             further += further(budgets, call(budgets, BEST, said(1, 0, repeat)));
         }
         // 900 first tries in the window: a share of 180 and the least rate's 5.
-        assertTrue(further + repeats <= 185 && further + repeats >= 180, further + " and " + repeats);
+        assertTrue(
+                further + repeats <= 185 && further + repeats >= 180, further + " and " + repeats);
         now += 11 * SECOND;
         int idle = 0;
         for (int i = 0; i < 100; i++) {
@@ -226,7 +265,9 @@
         CallBudget full = call(budgets, BEST, said(0, 0, false));
         budgets.ended(now, full, attempt(budgets, full), Outcome.FULL, MILLI, FromBelow.NOTHING);
         assertEquals(full.refused().why(), Why.OVERLOAD);
-        assertNull(call(budgets, BEST, Carried.NOTHING).refused(), "a caller that speaks none of this");
+        assertNull(
+                call(budgets, BEST, Carried.NOTHING).refused(),
+                "a caller that speaks none of this");
     }
 
     // ---- time ----
@@ -239,10 +280,15 @@
             assertEquals(budgets.safeWait(BEST), most);
             waits(budgets, 450 * MILLI / (1 + tier));
             long wait = 450 * MILLI / (1 + tier);
-            assertTrue(budgets.safeWait(BEST) > 0.8 * wait && budgets.safeWait(BEST) <= wait, "tier " + tier);
+            assertTrue(
+                    budgets.safeWait(BEST) > 0.8 * wait && budgets.safeWait(BEST) <= wait,
+                    "tier " + tier);
             assertEquals(budgets.safeWait(LEAST), most, "another class");
             waits(budgets, MILLI);
-            assertEquals(budgets.safeWait(BEST), 300 * MILLI * (3 - tier) / 3, "nonsense is bounded below");
+            assertEquals(
+                    budgets.safeWait(BEST),
+                    300 * MILLI * (3 - tier) / 3,
+                    "nonsense is bounded below");
             waits(budgets, 3_600 * SECOND);
             waits(budgets, 3_600 * SECOND);
             assertEquals(budgets.safeWait(BEST), most, "and above");
@@ -251,7 +297,8 @@
 
     private void waits(Budgets budgets, long wait) {
         for (int i = 0; i < 2_000; i++) {
-            budgets.arrived(now, new Request(1, BEST, 0, now + wait, 0, false, false, 0), Carried.NOTHING);
+            budgets.arrived(
+                    now, new Request(1, BEST, 0, now + wait, 0, false, false, 0), Carried.NOTHING);
         }
     }
 
@@ -287,7 +334,8 @@
         Budgets budgets = budgets(1);
         for (int i = 0; i < 60; i++) {
             CallBudget call = call(budgets, BEST, said(0, 0, false));
-            budgets.ended(now, call, attempt(budgets, call), Outcome.OK, 200 * MILLI, FromBelow.NOTHING);
+            budgets.ended(
+                    now, call, attempt(budgets, call), Outcome.OK, 200 * MILLI, FromBelow.NOTHING);
         }
         Request late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
         CallBudget call = budgets.arrived(now, late, said(0, 0, false));
@@ -316,8 +364,8 @@
         }
         assertEquals(best, 100);
         assertTrue(least < 10, "let in of the least " + least);
-        CallBudget carriedLess = call(budgets, BEST, new Carried(true, true, 0, 0, 0, 0.05, false,
-                HopPath.EMPTY));
+        CallBudget carriedLess =
+                call(budgets, BEST, new Carried(true, true, 0, 0, 0, 0.05, false, HopPath.EMPTY));
         assertEquals(carriedLess.worth(), 0.05, "the tier above knows it to be worth less");
         int steps = 0;
         while (admitted(budgets, LEAST) < 100) {
@@ -327,17 +375,27 @@
         assertTrue(steps > 5, "a flood at once");
     }
 
-    /** So many answers, the first of which say overload; as many of the least worth come as of the best. */
+    /**
+     * So many answers, the first of which say overload; as many of the least worth come as of the
+     * best.
+     */
     private void overloaded(Budgets budgets, int overloads, int answers) {
         for (int i = 0; i < answers; i++) {
             CallBudget call = call(budgets, BEST, said(0, 0, false));
-            budgets.ended(now, call, attempt(budgets, call), Outcome.ERROR, MILLI,
+            budgets.ended(
+                    now,
+                    call,
+                    attempt(budgets, call),
+                    Outcome.ERROR,
+                    MILLI,
                     i < overloads ? OVERLOAD : FromBelow.NOTHING);
             call(budgets, LEAST, said(0, 0, false));
         }
     }
 
-    /** A few answers prove nothing, and one in ten is what a node that died makes of a good tier. */
+    /**
+     * A few answers prove nothing, and one in ten is what a node that died makes of a good tier.
+     */
     @Test
     public void nobodyIsTurnedAwayForAFewAnswersOrASmallPartOfThem() {
         Budgets budgets = budgets(1);
@@ -359,25 +417,49 @@
     private int admitted(Budgets budgets, int kind) {
         int admitted = 0;
         for (int i = 0; i < 100; i++) {
-            admitted += call(budgets, kind, said(0, 0, false)).standing() == Standing.WANTED ? 1 : 0;
+            admitted +=
+                    call(budgets, kind, said(0, 0, false)).standing() == Standing.WANTED ? 1 : 0;
         }
         return admitted;
     }
 
-    /** Where worth is for each unit of work already, how long the answers of a class take changes nothing. */
+    /**
+     * Where worth is for each unit of work already, how long the answers of a class take changes
+     * nothing.
+     */
     @Test
     public void worthForWorkIsByWhatAnswersTakeUnlessTheSiteCountsItSo() {
         for (boolean byWork : new boolean[] {false, true}) {
             Settings site = site(1);
             Goal goal = new Goal(1, 0, 0, 0, 0.05, byWork);
-            Budgets budgets = new Budgets(BudgetSettings.of("core"), new Settings(1, 0, 0, 1, 3, false,
-                    site.classes(), List.of(), site.limits(), site.safety(), goal, site.prices()),
-                    new SplittableRandom(7), Notices.NONE);
+            Budgets budgets =
+                    new Budgets(
+                            BudgetSettings.of("core"),
+                            new Settings(
+                                    1,
+                                    0,
+                                    0,
+                                    1,
+                                    3,
+                                    false,
+                                    site.classes(),
+                                    List.of(),
+                                    site.limits(),
+                                    site.safety(),
+                                    goal,
+                                    site.prices()),
+                            new SplittableRandom(7),
+                            Notices.NONE);
             for (int i = 0; i < 100; i++) {
                 int kind = i % 2;
                 CallBudget call = call(budgets, kind, said(0, 0, false));
-                budgets.ended(now, call, attempt(budgets, call), Outcome.OK, kind == BEST ? 60 * MILLI
-                        : MILLI, FromBelow.NOTHING);
+                budgets.ended(
+                        now,
+                        call,
+                        attempt(budgets, call),
+                        Outcome.OK,
+                        kind == BEST ? 60 * MILLI : MILLI,
+                        FromBelow.NOTHING);
             }
             double best = call(budgets, BEST, said(0, 0, false)).worth();
             double least = call(budgets, LEAST, said(0, 0, false)).worth();
@@ -405,7 +487,8 @@
     public void aLoopIsRefusedNamedAndLoggedOnceAMinute() {
         Budgets budgets = budgets(1);
         for (int i = 0; i < 121; i++) {
-            CallBudget call = call(budgets, BEST, said(3, 0, false, "tier-0", "tier-1", "x" + i % 2));
+            CallBudget call =
+                    call(budgets, BEST, said(3, 0, false, "tier-0", "tier-1", "x" + i % 2));
             assertEquals(call.standing(), Standing.LOOP);
             assertFalse(budgets.mayAttempt(now, call), "not even the first attempt");
             assertEquals(call.refused().why(), Why.LOOP);
--- a/core/src/test/java/cedarrudder/drainage/DrainBytesTest.java
+++ b/core/src/test/java/cedarrudder/drainage/DrainBytesTest.java
@@ -7,8 +7,8 @@
 import cedarrudder.Golden;
 import cedarrudder.drainage.Command.Call;
 import cedarrudder.drainage.Command.Change;
-import cedarrudder.drainage.Command.Still;
 import cedarrudder.drainage.Command.Step;
+import cedarrudder.drainage.Command.Still;
 import cedarrudder.drainage.Command.Told;
 import cedarrudder.drainage.Command.Wait;
 import cedarrudder.drainage.Policy.AtEnd;
@@ -23,33 +23,79 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** What travels and is kept. Guards against garbage that throws, and against what changes on its way. */
+/**
+ * What travels and is kept. Guards against garbage that throws, and against what changes on its
+ * way.
+ */
 public class DrainBytesTest {
 
-    private static final Policy POLICY = new Policy("careful", new Whom("shops", "a", 3, "big", 0.5, 4,
-            "weight > 2.0"), new Most(1, 0.25), Most.ANY, new Most(9, 1), new Left(1, 2, 3, 0.5),
-            Order.POD_BY_POD, 4, 5, 6, "failed > 0.1", "failed < 0.01", "", Policy.LEAST_TIME,
-            AtEnd.KEEP_WAITING, Restarted.OUT,
-            List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
+    private static final Policy POLICY =
+            new Policy(
+                    "careful",
+                    new Whom("shops", "a", 3, "big", 0.5, 4, "weight > 2.0"),
+                    new Most(1, 0.25),
+                    Most.ANY,
+                    new Most(9, 1),
+                    new Left(1, 2, 3, 0.5),
+                    Order.POD_BY_POD,
+                    4,
+                    5,
+                    6,
+                    "failed > 0.1",
+                    "failed < 0.01",
+                    "",
+                    Policy.LEAST_TIME,
+                    AtEnd.KEEP_WAITING,
+                    Restarted.OUT,
+                    List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
 
     private static List<byte[]> good() {
-        List<Long> most = LongStream.range(0, Command.MOST_IDS).mapToObj(i -> Agreed.MOST_NODE - i).toList();
+        List<Long> most =
+                LongStream.range(0, Command.MOST_IDS).mapToObj(i -> Agreed.MOST_NODE - i).toList();
         return List.of(
                 new Call(true, most).encode(),
                 new Command.Part(Long.MAX_VALUE, -1, 1, 2, new byte[Command.PART]).encode(),
-                new Step(3, 4, List.of(new Command.Pause(2, true)), List.of(Change.of(DrainEvent.GONE, 9),
-                        new Change(DrainEvent.BEGUN, 1, 2, 3, AtEnd.GIVE_BACK, Restarted.OUT, -1),
-                        new Change(DrainEvent.RESTARTED_OUT, 1, 2, 0, AtEnd.LET_GO, Restarted.BACK, 0)),
-                        new Told(List.of(new Wait(-1, Command.Bound.PACE, 3)),
-                                List.of(new Still(1, 2, -1)))).encode());
+                new Step(
+                                3,
+                                4,
+                                List.of(new Command.Pause(2, true)),
+                                List.of(
+                                        Change.of(DrainEvent.GONE, 9),
+                                        new Change(
+                                                DrainEvent.BEGUN,
+                                                1,
+                                                2,
+                                                3,
+                                                AtEnd.GIVE_BACK,
+                                                Restarted.OUT,
+                                                -1),
+                                        new Change(
+                                                DrainEvent.RESTARTED_OUT,
+                                                1,
+                                                2,
+                                                0,
+                                                AtEnd.LET_GO,
+                                                Restarted.BACK,
+                                                0)),
+                                new Told(
+                                        List.of(new Wait(-1, Command.Bound.PACE, 3)),
+                                        List.of(new Still(1, 2, -1))))
+                        .encode());
     }
 
     @Test
     public void whatIsReadIsWhatWasWritten() {
         good().forEach(bytes -> assertEquals(Command.decode(bytes).encode(), bytes));
         assertEquals(PolicyCodec.decode(PolicyCodec.encode(List.of(POLICY))), List.of(POLICY));
-        Report report = new Report(9, 2, 9, List.of(new Report.Calls(4, 1), new Report.Calls(9, 7)),
-                3, List.of(5L, 6L), new Flow(10, 1, 2, 3));
+        Report report =
+                new Report(
+                        9,
+                        2,
+                        9,
+                        List.of(new Report.Calls(4, 1), new Report.Calls(9, 7)),
+                        3,
+                        List.of(5L, 6L),
+                        new Flow(10, 1, 2, 3));
         assertEquals(Report.decode(report.encode()), report);
     }
 
@@ -59,8 +105,17 @@
         StringBuilder forms = new StringBuilder();
         good().forEach(bytes -> forms.append(Golden.hex(bytes)));
         forms.append(Golden.hex(PolicyCodec.encode(List.of(POLICY))));
-        forms.append(Golden.hex(new Report(9, 2, 9, List.of(new Report.Calls(4, 1), new Report.Calls(9, 7)),
-                3, List.of(5L, 6L), new Flow(10, 1, 2, 3)).encode()));
+        forms.append(
+                Golden.hex(
+                        new Report(
+                                        9,
+                                        2,
+                                        9,
+                                        List.of(new Report.Calls(4, 1), new Report.Calls(9, 7)),
+                                        3,
+                                        List.of(5L, 6L),
+                                        new Flow(10, 1, 2, 3))
+                                .encode()));
         Golden.check("drain-commands.txt", forms.toString());
     }
 
@@ -71,22 +126,32 @@
             assertEquals(bytes.length <= Command.MOST_BYTES, true, bytes.length + " bytes");
         }
         int most = Integer.MAX_VALUE;
-        List<Report.Calls> calls = LongStream.range(0, Report.mostCalls()).mapToObj(i ->
-                new Report.Calls((int) (i * (most / 16)), most)).toList();
-        List<Long> some = LongStream.range(0, Report.mostSome()).mapToObj(i -> Agreed.MOST_NODE).toList();
-        byte[] largest = new Report(1L << 40, 0, most, calls, most, some,
-                new Flow(most, most, most, most)).encode();
+        List<Report.Calls> calls =
+                LongStream.range(0, Report.mostCalls())
+                        .mapToObj(i -> new Report.Calls((int) (i * (most / 16)), most))
+                        .toList();
+        List<Long> some =
+                LongStream.range(0, Report.mostSome()).mapToObj(i -> Agreed.MOST_NODE).toList();
+        byte[] largest =
+                new Report(1L << 40, 0, most, calls, most, some, new Flow(most, most, most, most))
+                        .encode();
         assertNotNull(Report.decode(largest), largest.length + " bytes");
     }
 
     @Test
     public void garbageIsNothingAndThrowsNothing() {
         SplittableRandom random = new SplittableRandom(1);
-        Drains drains = new Drains(3, 0, DrainSettings.DEFAULT, DrainsWorld.CONDITIONS,
-                new Drains.Outlet() {
-                    @Override
-                    public void happened(Drains.Happened happened) { }
-                }, 0);
+        Drains drains =
+                new Drains(
+                        3,
+                        0,
+                        DrainSettings.DEFAULT,
+                        DrainsWorld.CONDITIONS,
+                        new Drains.Outlet() {
+                            @Override
+                            public void happened(Drains.Happened happened) {}
+                        },
+                        0);
         List<byte[]> good = good();
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes = good.get(i % good.size()).clone();
--- a/core/src/test/java/cedarrudder/drainage/DrainsModelTest.java
+++ b/core/src/test/java/cedarrudder/drainage/DrainsModelTest.java
@@ -7,9 +7,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Random worlds: copies that die, stall and join, leaders that are replaced with steps under way, lost and
- * doubled reports, nodes that fail and restart. Guards against more out than the strictest policy allows, a
- * drain said done while a live copy has calls there, one open past its time, and copies that disagree.
+ * Random worlds: copies that die, stall and join, leaders that are replaced with steps under way,
+ * lost and doubled reports, nodes that fail and restart. Guards against more out than the strictest
+ * policy allows, a drain said done while a live copy has calls there, one open past its time, and
+ * copies that disagree.
  */
 public class DrainsModelTest {
 
@@ -26,10 +27,18 @@
             emptied += world.emptied;
             returned += world.returned;
         }
-        System.out.println(seeds + " worlds: " + begun + " begun, " + emptied + " emptied, " + returned
-                + " returned");
-        assertTrue(begun > seeds && emptied > seeds && returned > seeds / 2, begun + ", " + emptied + ", "
-                + returned);
+        System.out.println(
+                seeds
+                        + " worlds: "
+                        + begun
+                        + " begun, "
+                        + emptied
+                        + " emptied, "
+                        + returned
+                        + " returned");
+        assertTrue(
+                begun > seeds && emptied > seeds && returned > seeds / 2,
+                begun + ", " + emptied + ", " + returned);
     }
 
     /** The commands and the states of some worlds, held against an earlier build. */
--- a/core/src/test/java/cedarrudder/drainage/DrainsTest.java
+++ b/core/src/test/java/cedarrudder/drainage/DrainsTest.java
@@ -33,7 +33,14 @@
         private final Drains drains;
 
         Copy(int number) {
-            drains = new Drains(COPIES, number, DrainSettings.DEFAULT, DrainsWorld.CONDITIONS, this, now);
+            drains =
+                    new Drains(
+                            COPIES,
+                            number,
+                            DrainSettings.DEFAULT,
+                            DrainsWorld.CONDITIONS,
+                            this,
+                            now);
         }
 
         @Override
@@ -52,7 +59,7 @@
         }
 
         @Override
-        public void happened(Drains.Happened happened) { }
+        public void happened(Drains.Happened happened) {}
     }
 
     private final Map<Long, Node> nodes = new TreeMap<>();
@@ -73,9 +80,25 @@
         }
     }
 
-    private static Policy policy(int out, String pauseIf, String giveBackIf, int died, Window... closed) {
-        return new Policy("p", Whom.ALL, Most.ANY, Most.ANY, new Most(out, 1), Left.NOTHING, Order.AS_ASKED,
-                6, 0, died, pauseIf, "", giveBackIf, 10 * PERIOD, AtEnd.KEEP_WAITING, Restarted.BACK,
+    private static Policy policy(
+            int out, String pauseIf, String giveBackIf, int died, Window... closed) {
+        return new Policy(
+                "p",
+                Whom.ALL,
+                Most.ANY,
+                Most.ANY,
+                new Most(out, 1),
+                Left.NOTHING,
+                Order.AS_ASKED,
+                6,
+                0,
+                died,
+                pauseIf,
+                "",
+                giveBackIf,
+                10 * PERIOD,
+                AtEnd.KEEP_WAITING,
+                Restarted.BACK,
                 List.of(closed));
     }
 
@@ -83,8 +106,9 @@
     private void turn(Copy... speak) {
         now += PERIOD;
         for (Copy copy : speak) {
-            copy.drains.report(now, copy).forEach(part ->
-                    leader.drains.reported(now, copy == leader ? 0 : 1, part));
+            copy.drains
+                    .report(now, copy)
+                    .forEach(part -> leader.drains.reported(now, copy == leader ? 0 : 1, part));
         }
         for (Copy copy : speak) {
             commit(copy.drains.wanted());
@@ -112,7 +136,9 @@
     }
 
     private long in(DrainState state) {
-        return leader.drains.progress().drains().stream().filter(each -> each.state() == state).count();
+        return leader.drains.progress().drains().stream()
+                .filter(each -> each.state() == state)
+                .count();
     }
 
     @Test
@@ -122,8 +148,9 @@
         assertEquals(in(DrainState.OUT), 2);
         assertEquals(in(DrainState.WAITING), 1);
         assertEquals(other.drains.leaving(), leader.drains.leaving());
-        assertEquals(leader.drains.progress().told().waits(), List.of(
-                new Command.Wait(0, Command.Bound.TIER, 1)));
+        assertEquals(
+                leader.drains.progress().told().waits(),
+                List.of(new Command.Wait(0, Command.Bound.TIER, 1)));
     }
 
     /** Guards against a wave that begins on the word of some. */
@@ -139,7 +166,10 @@
         assertEquals(in(DrainState.LEAVING), 1);
     }
 
-    /** Guards against what a process had said counting for long for the one that began anew in its place. */
+    /**
+     * Guards against what a process had said counting for long for the one that began anew in its
+     * place.
+     */
     @Test
     public void whatACopySaidLongAgoDoesNotCount() {
         leader.calls.put(0L, 1);
@@ -230,10 +260,13 @@
     public void aNodeThatRestartsUnderItsIdIsBack() {
         start(policy(2, "", "", 6), 0L);
         assertEquals(in(DrainState.OUT), 1);
-        nodes.computeIfPresent(0L, (id, node) -> new Node(0, "t", "z", 0, "k", 1, Standing.SERVING, 5));
+        nodes.computeIfPresent(
+                0L, (id, node) -> new Node(0, "t", "z", 0, "k", 1, Standing.SERVING, 5));
         turns(4);
         assertEquals(leader.drains.progress().drains(), List.of());
-        assertEquals(leader.drains.progress().ended(), List.of(new Drains.Ended(0, DrainEvent.RETURNED)));
+        assertEquals(
+                leader.drains.progress().ended(),
+                List.of(new Drains.Ended(0, DrainEvent.RETURNED)));
     }
 
     /** Guards against a drain that goes on for good: at the end of its time the log says so. */
