--- a/core/src/test/java/cedarrudder/drainage/DrainsWorld.java
+++ b/core/src/test/java/cedarrudder/drainage/DrainsWorld.java
@@ -19,8 +19,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Copies in virtual time over a log that orders what they propose, and loses some of it with its leader. It
- * judges by what is true: which copy sends where, and who has calls at whom.
+ * Copies in virtual time over a log that orders what they propose, and loses some of it with its
+ * leader. It judges by what is true: which copy sends where, and who has calls at whom.
  */
 final class DrainsWorld {
 
@@ -30,22 +30,24 @@
     private static final long START = 1_000_000_000_000L;
 
     /** Tests read conditions of two forms: failed&gt;0.1, and one that throws. */
-    static final Conditions CONDITIONS = new Conditions() {
-        @Override
-        public OfFigures figures(String text) {
-            return figures -> {
-                if (text.equals("throws")) {
-                    throw new IllegalStateException(text);
+    static final Conditions CONDITIONS =
+            new Conditions() {
+                @Override
+                public OfFigures figures(String text) {
+                    return figures -> {
+                        if (text.equals("throws")) {
+                            throw new IllegalStateException(text);
+                        }
+                        return text.equals("true")
+                                || text.equals("failed") && figures.failed() > 0.1;
+                    };
                 }
-                return text.equals("true") || text.equals("failed") && figures.failed() > 0.1;
-            };
-        }
 
-        @Override
-        public OfNode node(String text) {
-            return node -> node.kind().equals(text);
-        }
-    };
+                @Override
+                public OfNode node(String text) {
+                    return node -> node.kind().equals(text);
+                }
+            };
 
     private record Event(long at, long order, Runnable what) implements Comparable<Event> {
         @Override
@@ -103,11 +105,13 @@
             calls.merge(node.id(), 1, Integer::sum);
             long begun = life;
             long takes = random.nextInt(50) == 0 ? 20 * SECOND : random.nextLong(2 * SECOND);
-            at(now + takes, () -> {
-                if (life == begun && live) {
-                    calls.merge(node.id(), -1, Integer::sum);
-                }
-            });
+            at(
+                    now + takes,
+                    () -> {
+                        if (life == begun && live) {
+                            calls.merge(node.id(), -1, Integer::sum);
+                        }
+                    });
         }
 
         @Override
@@ -126,7 +130,7 @@
         }
 
         @Override
-        public void happened(Drains.Happened happened) { }
+        public void happened(Drains.Happened happened) {}
     }
 
     private final SplittableRandom random;
@@ -140,8 +144,10 @@
     private final Map<Long, Long> openSince = new HashMap<>();
     final List<Policy> policies;
     private final double loss;
+
     /** Nodes that are drained are taken off the list. */
     private final boolean removes;
+
     private long now = START;
     private long order;
     private int leader;
@@ -164,19 +170,58 @@
         for (int pod = 0; pod < pods; pod++) {
             for (int i = 0; i < each; i++) {
                 long id = 100L * pod + i;
-                nodes.put(id, new Node(id, "t", "z" + pod % zones, pod, i % 2 == 0 ? "big" : "small",
-                        1 + i % 2, Standing.SERVING, 0));
+                nodes.put(
+                        id,
+                        new Node(
+                                id,
+                                "t",
+                                "z" + pod % zones,
+                                pod,
+                                i % 2 == 0 ? "big" : "small",
+                                1 + i % 2,
+                                Standing.SERVING,
+                                0));
             }
         }
         AtEnd atEnd = AtEnd.values()[random.nextInt(3)];
-        Policy wide = new Policy("wide", Whom.ALL, new Most(1 + random.nextInt(2), 0.5),
-                new Most(2 + random.nextInt(3), 0.5), new Most(2 + random.nextInt(4), 0.4), Left.NOTHING,
-                Order.values()[random.nextInt(Order.values().length)], 1 + random.nextInt(4),
-                random.nextLong(2) * SECOND, 100, "", "", random.nextBoolean() ? "failed" : "", 8 * SECOND,
-                atEnd, Restarted.values()[random.nextInt(2)], List.of());
-        Policy narrow = new Policy("narrow", new Whom("", "", -1, "", 0, 9, "big"), Most.ANY, new Most(1, 1),
-                Most.ANY, new Left(1, 0, 0, 0.5), Order.AS_ASKED, 10, 0, 100, "failed", "", "", 6 * SECOND,
-                atEnd, Restarted.BACK, List.of());
+        Policy wide =
+                new Policy(
+                        "wide",
+                        Whom.ALL,
+                        new Most(1 + random.nextInt(2), 0.5),
+                        new Most(2 + random.nextInt(3), 0.5),
+                        new Most(2 + random.nextInt(4), 0.4),
+                        Left.NOTHING,
+                        Order.values()[random.nextInt(Order.values().length)],
+                        1 + random.nextInt(4),
+                        random.nextLong(2) * SECOND,
+                        100,
+                        "",
+                        "",
+                        random.nextBoolean() ? "failed" : "",
+                        8 * SECOND,
+                        atEnd,
+                        Restarted.values()[random.nextInt(2)],
+                        List.of());
+        Policy narrow =
+                new Policy(
+                        "narrow",
+                        new Whom("", "", -1, "", 0, 9, "big"),
+                        Most.ANY,
+                        new Most(1, 1),
+                        Most.ANY,
+                        new Left(1, 0, 0, 0.5),
+                        Order.AS_ASKED,
+                        10,
+                        0,
+                        100,
+                        "failed",
+                        "",
+                        "",
+                        6 * SECOND,
+                        atEnd,
+                        Restarted.BACK,
+                        List.of());
         policies = random.nextBoolean() ? List.of(wide) : List.of(wide, narrow);
         for (int i = 0; i < copies; i++) {
             all.add(new Copy(i));
@@ -212,16 +257,22 @@
             at(now + random.nextLong(faults), this::fault);
         }
         for (int i = 0; i < 6; i++) {
-            at(now + random.nextLong(faults / 2), () -> {
-                Copy by = any();
-                if (by.live) {
-                    List<Long> some = nodes.keySet().stream().sorted().filter(id -> random.nextInt(3) == 0)
-                            .limit(13).toList();
-                    if (!some.isEmpty()) {
-                        propose(Drains.call(random.nextInt(4) == 0, some));
-                    }
-                }
-            });
+            at(
+                    now + random.nextLong(faults / 2),
+                    () -> {
+                        Copy by = any();
+                        if (by.live) {
+                            List<Long> some =
+                                    nodes.keySet().stream()
+                                            .sorted()
+                                            .filter(id -> random.nextInt(3) == 0)
+                                            .limit(13)
+                                            .toList();
+                            if (!some.isEmpty()) {
+                                propose(Drains.call(random.nextInt(4) == 0, some));
+                            }
+                        }
+                    });
         }
         at(end, this::heal);
         while (now < end + rest && wrong == null) {
@@ -239,11 +290,14 @@
 
     private void sends() {
         for (Copy copy : all) {
-            nodes.values().stream().sorted((a, b) -> Long.compare(a.id(), b.id())).forEach(node -> {
-                if (random.nextInt(4) == 0) {
-                    copy.call(node);
-                }
-            });
+            nodes.values().stream()
+                    .sorted((a, b) -> Long.compare(a.id(), b.id()))
+                    .forEach(
+                            node -> {
+                                if (random.nextInt(4) == 0) {
+                                    copy.call(node);
+                                }
+                            });
         }
         at(now + 200 * MILLI, this::sends);
     }
@@ -252,13 +306,18 @@
         if (copy.live && !copy.stalled) {
             int to = leader;
             for (byte[] part : copy.drains.report(now, copy)) {
-                int times = copy.number == to || random.nextDouble() >= loss ? 1 + random.nextInt(10) / 9 : 0;
+                int times =
+                        copy.number == to || random.nextDouble() >= loss
+                                ? 1 + random.nextInt(10) / 9
+                                : 0;
                 for (int i = 0; i < times; i++) {
-                    at(now + random.nextLong(30 * MILLI), () -> {
-                        if (all.get(to).live && !all.get(to).stalled) {
-                            all.get(to).drains.reported(now, copy.number, part);
-                        }
-                    });
+                    at(
+                            now + random.nextLong(30 * MILLI),
+                            () -> {
+                                if (all.get(to).live && !all.get(to).stalled) {
+                                    all.get(to).drains.reported(now, copy.number, part);
+                                }
+                            });
                 }
             }
         }
@@ -270,7 +329,8 @@
         if (leads.live && !leads.stalled) {
             leads.catchUp();
             if (waitsFor < 0 || log.size() > waitsFor) {
-                byte[] command = leads.drains.next(now, START / MILLI, nodes.values(), this::seenLive);
+                byte[] command =
+                        leads.drains.next(now, START / MILLI, nodes.values(), this::seenLive);
                 if (command != null) {
                     waitsFor = log.size();
                     propose(command);
@@ -280,7 +340,9 @@
         at(now + PERIOD, this::leads);
     }
 
-    /** Membership: a death is found some seconds late, and one that stands still is taken for dead. */
+    /**
+     * Membership: a death is found some seconds late, and one that stands still is taken for dead.
+     */
     private boolean seenLive(int copy) {
         Copy one = all.get(copy);
         return one.live && !one.stalled || now - one.diedAt < 3 * SECOND;
@@ -290,11 +352,13 @@
         long takes = random.nextLong(400 * MILLI);
         int by = leaders;
         // A leader that is lost meanwhile may have had it committed, or not.
-        at(now + takes, () -> {
-            if (by == leaders || random.nextBoolean()) {
-                commit(command);
-            }
-        });
+        at(
+                now + takes,
+                () -> {
+                    if (by == leaders || random.nextBoolean()) {
+                        commit(command);
+                    }
+                });
     }
 
     private void commit(byte[] command) {
@@ -321,39 +385,55 @@
             openSince.remove(each.node());
         }
         if (each.after() == DrainState.OUT && removes) {
-            at(now + 3 * SECOND, () -> {
-                if (truth.state(each.node()) == DrainState.OUT) {
-                    nodes.remove(each.node());
-                }
-            });
+            at(
+                    now + 3 * SECOND,
+                    () -> {
+                        if (truth.state(each.node()) == DrainState.OUT) {
+                            nodes.remove(each.node());
+                        }
+                    });
         }
         if (each.event() == DrainEvent.EMPTY) {
             emptied++;
             for (Copy copy : all) {
                 if (copy.live && copy.calls(each.node()) > 0) {
-                    wrong("node " + each.node() + " is said empty with calls of copy " + copy.number);
+                    wrong(
+                            "node "
+                                    + each.node()
+                                    + " is said empty with calls of copy "
+                                    + copy.number);
                 }
             }
         }
         if (each.event() == DrainEvent.RETURNED) {
             for (Copy copy : all) {
                 if (copy.live && copy.leaving.contains(each.node())) {
-                    wrong("node " + each.node() + " counts as back, and copy " + copy.number + " knows not");
+                    wrong(
+                            "node "
+                                    + each.node()
+                                    + " counts as back, and copy "
+                                    + copy.number
+                                    + " knows not");
                 }
             }
         }
     }
 
-    /** Never more out by drains than each policy allows, with those that some copy still leaves out. */
+    /**
+     * Never more out by drains than each policy allows, with those that some copy still leaves out.
+     */
     private void outs() {
         Set<Long> out = new HashSet<>();
-        truth.drains().stream().filter(drain -> drain.state.out()).forEach(drain -> out.add(drain.node));
+        truth.drains().stream()
+                .filter(drain -> drain.state.out())
+                .forEach(drain -> out.add(drain.node));
         all.stream().filter(copy -> copy.live).forEach(copy -> out.addAll(copy.leaving));
         for (Policy policy : truth.policies()) {
             Counted counted = new Counted(policy);
             for (Node node : nodes.values()) {
                 if (policy.whom().fits(node)
-                        && (policy.whom().where().isEmpty() || policy.whom().where().equals(node.kind()))) {
+                        && (policy.whom().where().isEmpty()
+                                || policy.whom().where().equals(node.kind()))) {
                     counted.add(node, out.contains(node.id()));
                 }
             }
@@ -361,11 +441,12 @@
                 wrong("more are out than " + policy.name() + " allows: " + out);
             }
         }
-        openSince.forEach((node, since) -> {
-            if (now - since > 9 * SECOND + leaders * 3 * SECOND + late) {
-                wrong("node " + node + " is open past its time");
-            }
-        });
+        openSince.forEach(
+                (node, since) -> {
+                    if (now - since > 9 * SECOND + leaders * 3 * SECOND + late) {
+                        wrong("node " + node + " is open past its time");
+                    }
+                });
     }
 
     /** Time in which nobody led. */
@@ -381,11 +462,13 @@
                     copy.life++;
                     copy.calls.clear();
                     copy.leaving.clear();
-                    at(now + 4 * SECOND + random.nextLong(20 * SECOND), () -> {
-                        copy.live = true;
-                        copy.begin();
-                        copy.catchUp();
-                    });
+                    at(
+                            now + 4 * SECOND + random.nextLong(20 * SECOND),
+                            () -> {
+                                copy.live = true;
+                                copy.begin();
+                                copy.catchUp();
+                            });
                     late += copy.number == leader ? 5 * SECOND : 0;
                     replace();
                 }
@@ -409,21 +492,36 @@
                 Node node = nodes.get(id);
                 if (node != null) {
                     nodes.put(id, node.with(Standing.FAILED));
-                    at(now + 6 * SECOND, () -> nodes.computeIfPresent(id, (key, one) ->
-                            one.with(Standing.SERVING)));
+                    at(
+                            now + 6 * SECOND,
+                            () ->
+                                    nodes.computeIfPresent(
+                                            id, (key, one) -> one.with(Standing.SERVING)));
                 }
             }
         }
     }
 
     private void restart(long id) {
-        nodes.computeIfPresent(id, (key, one) -> new Node(id, one.tier(), one.zone(), one.pod(), one.kind(),
-                one.weight(), one.standing(), now / MILLI));
+        nodes.computeIfPresent(
+                id,
+                (key, one) ->
+                        new Node(
+                                id,
+                                one.tier(),
+                                one.zone(),
+                                one.pod(),
+                                one.kind(),
+                                one.weight(),
+                                one.standing(),
+                                now / MILLI));
     }
 
     private void replace() {
         int old = leader;
-        for (int i = 0; i < 10 && (leader == old || !all.get(leader).live || all.get(leader).stalled); i++) {
+        for (int i = 0;
+                i < 10 && (leader == old || !all.get(leader).live || all.get(leader).stalled);
+                i++) {
             leader = random.nextInt(copies);
         }
         if (leader != old) {
--- a/core/src/test/java/cedarrudder/drainage/PolicyCheckTest.java
+++ b/core/src/test/java/cedarrudder/drainage/PolicyCheckTest.java
@@ -14,13 +14,38 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Policies that are well formed, and wrong. Guards against a check that always fails, and one that can't. */
+/**
+ * Policies that are well formed, and wrong. Guards against a check that always fails, and one that
+ * can't.
+ */
 public class PolicyCheckTest {
 
-    private static Policy policy(String name, Whom whom, Most pod, Left left, String pauseIf, AtEnd atEnd,
+    private static Policy policy(
+            String name,
+            Whom whom,
+            Most pod,
+            Left left,
+            String pauseIf,
+            AtEnd atEnd,
             Window... closed) {
-        return new Policy(name, whom, pod, Most.ANY, Most.ANY, left, Order.AS_ASKED, 10, 0, 1, pauseIf, "",
-                "", Policy.LEAST_TIME, atEnd, Restarted.BACK, List.of(closed));
+        return new Policy(
+                name,
+                whom,
+                pod,
+                Most.ANY,
+                Most.ANY,
+                left,
+                Order.AS_ASKED,
+                10,
+                0,
+                1,
+                pauseIf,
+                "",
+                "",
+                Policy.LEAST_TIME,
+                atEnd,
+                Restarted.BACK,
+                List.of(closed));
     }
 
     private static Policy most(int nodes, double share) {
@@ -28,8 +53,11 @@
     }
 
     private static List<String> keys(Fleet fleet, Policy... policies) {
-        return PolicyCheck.check(List.of(policies), DrainsWorld.CONDITIONS, fleet).findings().stream()
-                .map(Finding::key).toList();
+        return PolicyCheck.check(List.of(policies), DrainsWorld.CONDITIONS, fleet)
+                .findings()
+                .stream()
+                .map(Finding::key)
+                .toList();
     }
 
     @Test
@@ -38,18 +66,35 @@
         assertEquals(keys(null, most(0, 1)), List.of("out_per_pod"));
         assertEquals(keys(new Fleet(3, 2, 3), most(1, 0.25)), List.of("out_per_pod"));
         assertEquals(keys(new Fleet(3, 2, 4), most(1, 0.25)), List.of());
-        assertEquals(keys(null, policy("p", Whom.ALL, Most.ANY, new Left(0, 0, 0, 1), "", AtEnd.LET_GO)),
+        assertEquals(
+                keys(null, policy("p", Whom.ALL, Most.ANY, new Left(0, 0, 0, 1), "", AtEnd.LET_GO)),
                 List.of("left.weight"));
-        assertEquals(keys(new Fleet(2, 2, 3), policy("p", Whom.ALL, Most.ANY, new Left(3, 0, 0, 0), "",
-                AtEnd.LET_GO)), List.of("left.per_pod"));
-        assertEquals(keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "true", AtEnd.LET_GO)),
+        assertEquals(
+                keys(
+                        new Fleet(2, 2, 3),
+                        policy("p", Whom.ALL, Most.ANY, new Left(3, 0, 0, 0), "", AtEnd.LET_GO)),
+                List.of("left.per_pod"));
+        assertEquals(
+                keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "true", AtEnd.LET_GO)),
                 List.of("pause_if"));
-        assertEquals(keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "throws", AtEnd.LET_GO)),
+        assertEquals(
+                keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "throws", AtEnd.LET_GO)),
                 List.of("pause_if"));
-        assertEquals(keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "failed", AtEnd.LET_GO)),
+        assertEquals(
+                keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "failed", AtEnd.LET_GO)),
                 List.of());
-        assertEquals(keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO,
-                new Window(0x7f, 0, 0))), List.of("closed"));
+        assertEquals(
+                keys(
+                        null,
+                        policy(
+                                "p",
+                                Whom.ALL,
+                                Most.ANY,
+                                Left.NOTHING,
+                                "",
+                                AtEnd.LET_GO,
+                                new Window(0x7f, 0, 0))),
+                List.of("closed"));
     }
 
     @Test
@@ -58,18 +103,44 @@
         Window night = new Window(0x7f, 1200, 480);
         Whom a = new Whom("", "a", -1, "", 0, 9, "");
         Whom b = new Whom("", "b", -1, "", 0, 9, "");
-        assertEquals(keys(null, policy("1", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, day),
-                policy("2", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, night)), List.of("closed"));
-        assertEquals(keys(null, policy("1", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, day),
-                policy("2", b, Most.ANY, Left.NOTHING, "", AtEnd.GIVE_BACK, night)), List.of());
-        assertEquals(keys(null, policy("1", Whom.ALL, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO),
-                policy("2", a, Most.ANY, Left.NOTHING, "", AtEnd.GIVE_BACK)), List.of("at_end"));
+        assertEquals(
+                keys(
+                        null,
+                        policy("1", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, day),
+                        policy("2", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, night)),
+                List.of("closed"));
+        assertEquals(
+                keys(
+                        null,
+                        policy("1", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, day),
+                        policy("2", b, Most.ANY, Left.NOTHING, "", AtEnd.GIVE_BACK, night)),
+                List.of());
+        assertEquals(
+                keys(
+                        null,
+                        policy("1", Whom.ALL, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO),
+                        policy("2", a, Most.ANY, Left.NOTHING, "", AtEnd.GIVE_BACK)),
+                List.of("at_end"));
     }
 
     @Test
     public void itSaysWhichIsStricter() {
-        assertEquals(PolicyCheck.check(List.of(most(2, 1), policy("q", Whom.ALL, new Most(1, 1),
-                new Left(1, 0, 0, 0), "", AtEnd.LET_GO)), DrainsWorld.CONDITIONS, null).both().get(0)
-                .stricter(), List.of("out_per_pod of 'q'", "left.per_pod of 'q'"));
+        assertEquals(
+                PolicyCheck.check(
+                                List.of(
+                                        most(2, 1),
+                                        policy(
+                                                "q",
+                                                Whom.ALL,
+                                                new Most(1, 1),
+                                                new Left(1, 0, 0, 0),
+                                                "",
+                                                AtEnd.LET_GO)),
+                                DrainsWorld.CONDITIONS,
+                                null)
+                        .both()
+                        .get(0)
+                        .stricter(),
+                List.of("out_per_pod of 'q'", "left.per_pod of 'q'"));
     }
 }
--- a/core/src/test/java/cedarrudder/drainage/TransitionsTest.java
+++ b/core/src/test/java/cedarrudder/drainage/TransitionsTest.java
@@ -11,41 +11,62 @@
 import org.testng.annotations.Test;
 
 /**
- * The table of states and events, walked whole by commands. Guards against an event that comes twice, late or
- * overtaken by another doing what nobody asked for.
+ * The table of states and events, walked whole by commands. Guards against an event that comes
+ * twice, late or overtaken by another doing what nobody asked for.
  */
 public class TransitionsTest {
 
     private static final long NODE = 7;
 
-    /** Where each state goes at each event; a dot: nothing changes. Columns as the events are declared. */
-    private static final Map<DrainState, String> EXPECTED = Map.of(
-            //                 asked cancel begun empty letgo givenup alarm stop back out gone returned
-            DrainState.NONE, "WAITING . . . . . . . . . . .",
-            DrainState.WAITING, ". NONE LEAVING . . . . . . . NONE .",
-            DrainState.LEAVING,
-            ". RETURNING . OUT OUT RETURNING OVERDUE RETURNING_TO_WAIT RETURNING . NONE .",
-            DrainState.OVERDUE, ". RETURNING . OUT OUT RETURNING . RETURNING_TO_WAIT RETURNING . NONE .",
-            DrainState.OUT, ". RETURNING . . . . . . RETURNING . NONE .",
-            DrainState.RETURNING, "RETURNING_TO_WAIT . . . . . . . . . NONE NONE",
-            DrainState.RETURNING_TO_WAIT, ". RETURNING . . . . . . . . NONE WAITING");
+    /**
+     * Where each state goes at each event; a dot: nothing changes. Columns as the events are
+     * declared.
+     */
+    private static final Map<DrainState, String> EXPECTED =
+            Map.of(
+                    //                 asked cancel begun empty letgo givenup alarm stop back out
+                    // gone returned
+                    DrainState.NONE,
+                    "WAITING . . . . . . . . . . .",
+                    DrainState.WAITING,
+                    ". NONE LEAVING . . . . . . . NONE .",
+                    DrainState.LEAVING,
+                    ". RETURNING . OUT OUT RETURNING OVERDUE RETURNING_TO_WAIT RETURNING . NONE .",
+                    DrainState.OVERDUE,
+                    ". RETURNING . OUT OUT RETURNING . RETURNING_TO_WAIT RETURNING . NONE .",
+                    DrainState.OUT,
+                    ". RETURNING . . . . . . RETURNING . NONE .",
+                    DrainState.RETURNING,
+                    "RETURNING_TO_WAIT . . . . . . . . . NONE NONE",
+                    DrainState.RETURNING_TO_WAIT,
+                    ". RETURNING . . . . . . . . NONE WAITING");
 
     /** The events that lead to each state. */
-    private static final Map<DrainState, List<DrainEvent>> WAYS = Map.of(
-            DrainState.NONE, List.of(),
-            DrainState.WAITING, List.of(DrainEvent.ASKED),
-            DrainState.LEAVING, List.of(DrainEvent.ASKED, DrainEvent.BEGUN),
-            DrainState.OVERDUE, List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.ALARMED),
-            DrainState.OUT, List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.EMPTY),
-            DrainState.RETURNING, List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.CANCELLED),
-            DrainState.RETURNING_TO_WAIT, List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.STOPPED));
+    private static final Map<DrainState, List<DrainEvent>> WAYS =
+            Map.of(
+                    DrainState.NONE, List.of(),
+                    DrainState.WAITING, List.of(DrainEvent.ASKED),
+                    DrainState.LEAVING, List.of(DrainEvent.ASKED, DrainEvent.BEGUN),
+                    DrainState.OVERDUE,
+                            List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.ALARMED),
+                    DrainState.OUT, List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.EMPTY),
+                    DrainState.RETURNING,
+                            List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.CANCELLED),
+                    DrainState.RETURNING_TO_WAIT,
+                            List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.STOPPED));
 
     private static void happens(Agreed agreed, DrainEvent event) {
         Agreed.Drain drain = agreed.of(NODE);
-        agreed.apply(event == DrainEvent.ASKED || event == DrainEvent.CANCELLED
-                ? new Call(event == DrainEvent.CANCELLED, List.of(NODE)).encode()
-                : new Step(agreed.version(), 0, List.of(),
-                        List.of(Change.of(event, drain == null ? 1 : drain.slot)), Told.NOTHING).encode());
+        agreed.apply(
+                event == DrainEvent.ASKED || event == DrainEvent.CANCELLED
+                        ? new Call(event == DrainEvent.CANCELLED, List.of(NODE)).encode()
+                        : new Step(
+                                        agreed.version(),
+                                        0,
+                                        List.of(),
+                                        List.of(Change.of(event, drain == null ? 1 : drain.slot)),
+                                        Told.NOTHING)
+                                .encode());
     }
 
     @Test
@@ -55,25 +76,36 @@
             assertEquals(row.length, DrainEvent.values().length);
             for (DrainEvent event : DrainEvent.values()) {
                 Agreed agreed = new Agreed();
-                    for (DrainEvent each : WAYS.get(state)) {
+                for (DrainEvent each : WAYS.get(state)) {
                     happens(agreed, each);
                 }
                 assertEquals(agreed.state(NODE), state);
                 happens(agreed, event);
                 String next = row[event.ordinal()];
-                assertEquals(agreed.state(NODE), next.equals(".") ? state : DrainState.valueOf(next),
+                assertEquals(
+                        agreed.state(NODE),
+                        next.equals(".") ? state : DrainState.valueOf(next),
                         state + ", " + event);
             }
         }
     }
 
-    /** Guards against what a leader found out before others did counting after it: two waves at once. */
+    /**
+     * Guards against what a leader found out before others did counting after it: two waves at
+     * once.
+     */
     @Test
     public void aStepThatSawAnotherStateChangesNothing() {
         Agreed agreed = new Agreed();
         happens(agreed, DrainEvent.ASKED);
-        byte[] begin = new Step(agreed.version(), 0, List.of(), List.of(Change.of(DrainEvent.BEGUN, 1)),
-                Told.NOTHING).encode();
+        byte[] begin =
+                new Step(
+                                agreed.version(),
+                                0,
+                                List.of(),
+                                List.of(Change.of(DrainEvent.BEGUN, 1)),
+                                Told.NOTHING)
+                        .encode();
         agreed.apply(new Call(false, List.of(8L)).encode());
         agreed.apply(begin);
         assertEquals(agreed.state(NODE), DrainState.WAITING);
--- a/core/src/test/java/cedarrudder/failover/EvidenceTest.java
+++ b/core/src/test/java/cedarrudder/failover/EvidenceTest.java
@@ -28,41 +28,81 @@
         List<Seen> seen = new ArrayList<>();
         for (int zone = 0; zone < zones; zone++) {
             if (random.nextInt(5) > 0) {
-                seen.add(new Seen(zone, random.nextInt(Evidence.MOST_AGE + 1), random.nextInt(3_000),
-                        random.nextInt(9), random.nextInt(Evidence.MOST_COUNT), random.nextInt(200),
-                        random.nextInt(90), random.nextInt(4_000), random.nextInt(201), random.nextInt(300),
-                        random.nextInt(20), random.nextInt(30_000)));
+                seen.add(
+                        new Seen(
+                                zone,
+                                random.nextInt(Evidence.MOST_AGE + 1),
+                                random.nextInt(3_000),
+                                random.nextInt(9),
+                                random.nextInt(Evidence.MOST_COUNT),
+                                random.nextInt(200),
+                                random.nextInt(90),
+                                random.nextInt(4_000),
+                                random.nextInt(201),
+                                random.nextInt(300),
+                                random.nextInt(20),
+                                random.nextInt(30_000)));
             }
         }
-        return new Evidence(random.nextInt(1 << 16), random.nextInt(64), random.nextLong() >>> 1,
-                random.nextInt(1 << 20), random.nextLong() >>> 1, 1 + random.nextInt(9_000),
-                random.nextInt(9_000), random.nextInt(50), seen);
+        return new Evidence(
+                random.nextInt(1 << 16),
+                random.nextInt(64),
+                random.nextLong() >>> 1,
+                random.nextInt(1 << 20),
+                random.nextLong() >>> 1,
+                1 + random.nextInt(9_000),
+                random.nextInt(9_000),
+                random.nextInt(50),
+                seen);
     }
 
-    /** Guards against evidence that is another once it has travelled, or is too long for its datagram. */
+    /**
+     * Guards against evidence that is another once it has travelled, or is too long for its
+     * datagram.
+     */
     @Test
     public void whatIsWrittenIsRead() {
         Random random = new Random(SEED);
         for (int i = 0; i < 2_000; i++) {
             Evidence evidence = any(random, random.nextInt(65));
-            int most = Evidence.LEAST_BYTES
-                    + random.nextInt(Evidence.MOST_BYTES - Evidence.LEAST_BYTES + 1);
+            int most =
+                    Evidence.LEAST_BYTES
+                            + random.nextInt(Evidence.MOST_BYTES - Evidence.LEAST_BYTES + 1);
             List<Seen> seen = new ArrayList<>();
             for (byte[] part : evidence.encode(most)) {
                 assertTrue(part.length <= most, "seed " + SEED + ", " + i);
                 Evidence read = Evidence.decode(part);
-                assertEquals(new Evidence(read.copy(), read.zone(), read.life(), read.sequence(),
-                        read.table(), read.millis(), read.came(), read.unserved(), evidence.seen()),
+                assertEquals(
+                        new Evidence(
+                                read.copy(),
+                                read.zone(),
+                                read.life(),
+                                read.sequence(),
+                                read.table(),
+                                read.millis(),
+                                read.came(),
+                                read.unserved(),
+                                evidence.seen()),
                         evidence);
                 seen.addAll(read.seen());
             }
             assertEquals(seen, evidence.seen(), "seed " + SEED + ", " + i);
         }
-        Evidence usual = new Evidence(29, 3, 1_790_000_000_000L, 90_000, 1L << 33, 500, 60, 0, List.of(
-                new Seen(0, 3, 1, 0, 0, 0, 0, 0, 40, 8, 0, 800),
-                new Seen(1, 0, 0, 0, 1, 0, 1, 0, 60, 8, 0, 800),
-                new Seen(2, 9, 1, 0, 0, 0, 0, 0, 50, 8, 0, 800),
-                new Seen(3, 0, 58, 1, 0, 1, 4, 0, 70, 8, 1, 720)));
+        Evidence usual =
+                new Evidence(
+                        29,
+                        3,
+                        1_790_000_000_000L,
+                        90_000,
+                        1L << 33,
+                        500,
+                        60,
+                        0,
+                        List.of(
+                                new Seen(0, 3, 1, 0, 0, 0, 0, 0, 40, 8, 0, 800),
+                                new Seen(1, 0, 0, 0, 1, 0, 1, 0, 60, 8, 0, 800),
+                                new Seen(2, 9, 1, 0, 0, 0, 0, 0, 50, 8, 0, 800),
+                                new Seen(3, 0, 58, 1, 0, 1, 4, 0, 70, 8, 1, 720)));
         assertEquals(usual.encode(Evidence.MOST_BYTES).size(), 1);
     }
 
@@ -71,8 +111,10 @@
     public void garbageIsNone() {
         Random random = new Random(SEED);
         for (int i = 0; i < 200_000; i++) {
-            byte[] bytes = i % 2 == 0 ? new byte[random.nextInt(260)]
-                    : any(random, 6).encode(Evidence.MOST_BYTES).get(0);
+            byte[] bytes =
+                    i % 2 == 0
+                            ? new byte[random.nextInt(260)]
+                            : any(random, 6).encode(Evidence.MOST_BYTES).get(0);
             if (i % 2 == 0) {
                 random.nextBytes(bytes);
                 if (bytes.length > 0) {
@@ -88,11 +130,21 @@
     }
 
     private static ZoneTally tally(long now) {
-        ZoneTally tally = new ZoneTally(2, 0, 7, 2, 500 * MILLI,
-                new Safety(0, 0.2, 10 * SECOND, 2, SECOND, 0), now);
-        tally.listed(ListKind.FULL, List.of(new Endpoint(1, 0, 0, 0, State.READY, 1, 0),
-                new Endpoint(2, 0, 0, 0, State.READY, 2, now - 5 * SECOND),
-                new Endpoint(3, 1, 0, 0, State.DRAINING, 1, 0)));
+        ZoneTally tally =
+                new ZoneTally(
+                        2,
+                        0,
+                        7,
+                        2,
+                        500 * MILLI,
+                        new Safety(0, 0.2, 10 * SECOND, 2, SECOND, 0),
+                        now);
+        tally.listed(
+                ListKind.FULL,
+                List.of(
+                        new Endpoint(1, 0, 0, 0, State.READY, 1, 0),
+                        new Endpoint(2, 0, 0, 0, State.READY, 2, now - 5 * SECOND),
+                        new Endpoint(3, 1, 0, 0, State.DRAINING, 1, 0)));
         return tally;
     }
 
@@ -108,9 +160,32 @@
         tally.unserved();
         tally.ended(3 * MILLI, tally.sent(0, 9), Outcome.ERROR, null); // a node that is not listed
         tally.probed(3 * MILLI, 3, Outcome.TIMEOUT, null);
-        assertEquals(tally.close(500 * MILLI, 5), new Evidence(2, 0, 7, 1, 5, 500, 8, 1, List.of(
-                new Seen(0, 0, 1, 2, 2, 1, 1, 498, 51, 2, 1, 100 + 2 * 64), // cold: 0.2 + 0.8 * 5.5 / 10
-                new Seen(1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0))));
+        assertEquals(
+                tally.close(500 * MILLI, 5),
+                new Evidence(
+                        2,
+                        0,
+                        7,
+                        1,
+                        5,
+                        500,
+                        8,
+                        1,
+                        List.of(
+                                new Seen(
+                                        0,
+                                        0,
+                                        1,
+                                        2,
+                                        2,
+                                        1,
+                                        1,
+                                        498,
+                                        51,
+                                        2,
+                                        1,
+                                        100 + 2 * 64), // cold: 0.2 + 0.8 * 5.5 / 10
+                                new Seen(1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0))));
         Evidence next = tally.close(1_000 * MILLI, 5);
         assertEquals(next.seen().get(1).age(), 1);
         assertEquals(next.sequence(), 2);
--- a/core/src/test/java/cedarrudder/failover/PlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/PlannerTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What many copies' evidence comes to, and what is planned upon it. Zones 0 to 2 are one region, 3 and 4
- * another.
+ * What many copies' evidence comes to, and what is planned upon it. Zones 0 to 2 are one region, 3
+ * and 4 another.
  */
 public class PlannerTest {
 
@@ -32,9 +32,12 @@
     private static final int FLAPS = 3;
     private static final double CAPACITY = 480;
     private static final double DEMAND = 240;
-    private static final FailoverSettings SETTINGS = FailoverSettings.DEFAULT.regions(new Regions(List.of(
-            new Region("east", List.of("a", "b", "c"), List.of()),
-            new Region("west", List.of("d", "e"), List.of()))));
+    private static final FailoverSettings SETTINGS =
+            FailoverSettings.DEFAULT.regions(
+                    new Regions(
+                            List.of(
+                                    new Region("east", List.of("a", "b", "c"), List.of()),
+                                    new Region("west", List.of("d", "e"), List.of()))));
 
     /** What is true, seen by copies without any noise; calls go where the table says. */
     private static final class Play {
@@ -44,14 +47,18 @@
         final boolean[] lost = new boolean[ZONES];
         final double[] able = new double[ZONES];
         final double[] demand = new double[ZONES];
+
         /** Nodes there have just started, which the list tells. */
         final boolean[] cold = new boolean[ZONES];
+
         final Set<Integer> broken = new TreeSet<>();
         final Set<Integer> silent = new TreeSet<>();
         final Set<Integer> evacuated = new TreeSet<>();
         final List<Long> moves = new ArrayList<>();
+
         /** Those of the zone that comes and goes. */
         final List<Long> flapping = new ArrayList<>();
+
         final Random random = new Random(4);
         final Seen[][] last = new Seen[ZONES * COPIES][ZONES];
         double loss;
@@ -72,8 +79,10 @@
         }
 
         int parts(int from, int to) {
-            return table.shares().stream().filter(share -> share.from() == from && share.to() == to)
-                    .mapToInt(Share::parts).sum();
+            return table.shares().stream()
+                    .filter(share -> share.from() == from && share.to() == to)
+                    .mapToInt(Share::parts)
+                    .sum();
         }
 
         double load(int to) {
@@ -96,25 +105,69 @@
             for (int copy = 0; copy < zoneOf.length; copy++) {
                 List<Seen> seen = new ArrayList<>();
                 for (int zone = 0; zone < ZONES; zone++) {
-                    double part = table == null ? zone == zoneOf[copy] ? 1 : 0
-                            : parts(zoneOf[copy], zone) / 1e4;
+                    double part =
+                            table == null
+                                    ? zone == zoneOf[copy] ? 1 : 0
+                                    : parts(zoneOf[copy], zone) / 1e4;
                     double calls = demand[zoneOf[copy]] / COPIES / 2 * part;
                     int ended = (int) (calls + random.nextDouble());
                     double capacity = CAPACITY * able[zone];
-                    int served = lost[zone] || broken.contains(copy) ? 0
-                            : (int) Math.round(ended * Math.min(1, capacity / loads[zone]));
+                    int served =
+                            lost[zone] || broken.contains(copy)
+                                    ? 0
+                                    : (int) Math.round(ended * Math.min(1, capacity / loads[zone]));
                     int refused = lost[zone] || broken.contains(copy) ? 0 : ended - served;
                     Seen before = last[copy][zone];
-                    Seen now = ended == 0 && before != null && before.age() < Evidence.MOST_AGE
-                            ? new Seen(zone, before.age() + 1, before.served(), 0, before.silent(),
-                            before.refused(), 0, 0, before.load(), 6, 0, units(zone))
-                            : new Seen(zone, 0, served, 0, ended - served - refused, refused, 0, 0, ended == 0
-                            ? 0 : 1 + (int) (100 * Math.min(1, loads[zone] / capacity)), 6, 0, units(zone));
+                    Seen now =
+                            ended == 0 && before != null && before.age() < Evidence.MOST_AGE
+                                    ? new Seen(
+                                            zone,
+                                            before.age() + 1,
+                                            before.served(),
+                                            0,
+                                            before.silent(),
+                                            before.refused(),
+                                            0,
+                                            0,
+                                            before.load(),
+                                            6,
+                                            0,
+                                            units(zone))
+                                    : new Seen(
+                                            zone,
+                                            0,
+                                            served,
+                                            0,
+                                            ended - served - refused,
+                                            refused,
+                                            0,
+                                            0,
+                                            ended == 0
+                                                    ? 0
+                                                    : 1
+                                                            + (int)
+                                                                    (100
+                                                                            * Math.min(
+                                                                                    1,
+                                                                                    loads[zone]
+                                                                                            / capacity)),
+                                            6,
+                                            0,
+                                            units(zone));
                     last[copy][zone] = now;
                     seen.add(now);
                 }
-                Evidence evidence = new Evidence(copy, zoneOf[copy], 1, sequence, 0, 500,
-                        (int) (demand[zoneOf[copy]] / COPIES / 2), 0, seen);
+                Evidence evidence =
+                        new Evidence(
+                                copy,
+                                zoneOf[copy],
+                                1,
+                                sequence,
+                                0,
+                                500,
+                                (int) (demand[zoneOf[copy]] / COPIES / 2),
+                                0,
+                                seen);
                 for (byte[] part : evidence.encode(136)) {
                     if (!silent.contains(copy) && random.nextDouble() >= loss) {
                         assessment.heard(now, Evidence.decode(part));
@@ -129,8 +182,15 @@
                 if (table != null && !row(shares, FLAPS).equals(row(table.shares(), FLAPS))) {
                     flapping.add(now);
                 }
-                table = new RouteTable(table == null ? 1 : table.number() + 1, 1, 1, 1, shares, List.of(),
-                        List.of());
+                table =
+                        new RouteTable(
+                                table == null ? 1 : table.number() + 1,
+                                1,
+                                1,
+                                1,
+                                shares,
+                                List.of(),
+                                List.of());
                 planner.loaded(now, table);
             }
         }
@@ -153,7 +213,10 @@
     }
 
     /** Guards against calls that leave their zone for nothing. */
-    /** Guards against refusing what is lost at night: of zones that are nearly idle nothing is learned. */
+    /**
+     * Guards against refusing what is lost at night: of zones that are nearly idle nothing is
+     * learned.
+     */
     @Test
     public void zonesThatAreNearlyIdleTakeAllThatIsLost() {
         Play play = new Play();
@@ -180,7 +243,10 @@
         }
     }
 
-    /** A zone is left for its region at once, no target goes past its share, and it comes back by steps. */
+    /**
+     * A zone is left for its region at once, no target goes past its share, and it comes back by
+     * steps.
+     */
     @Test
     public void aLostZoneIsLeftAndComesBackByStepsWithinItsTargetsRoom() {
         Play play = calm();
@@ -188,8 +254,13 @@
         play.seconds(4);
         assertTrue(play.parts(1, 1) <= 80, play.table.toString());
         assertTrue(play.parts(1, 0) + play.parts(1, 2) > 9_000, play.table.toString());
-        assertEquals(play.table.shares().stream().filter(s -> s.from() == 1 && s.to() == 0).findFirst()
-                .orElseThrow().way(), Way.MOVED);
+        assertEquals(
+                play.table.shares().stream()
+                        .filter(s -> s.from() == 1 && s.to() == 0)
+                        .findFirst()
+                        .orElseThrow()
+                        .way(),
+                Way.MOVED);
         for (int zone = 0; zone < ZONES; zone++) {
             assertTrue(play.load(zone) < 0.87 * CAPACITY, zone + ": " + play.load(zone));
         }
@@ -201,7 +272,9 @@
         for (int i = 0; i < 120; i++) {
             play.period();
             assertTrue(play.parts(1, 1) - last <= 2_600, "a step of " + (play.parts(1, 1) - last));
-            assertTrue(play.load(1) < 0.97 * CAPACITY * play.able[1], "cold, and gets " + play.load(1));
+            assertTrue(
+                    play.load(1) < 0.97 * CAPACITY * play.able[1],
+                    "cold, and gets " + play.load(1));
             last = play.parts(1, 1);
             play.able[1] = Math.min(1, play.able[1] + 0.01);
         }
@@ -222,7 +295,9 @@
             sum += play.parts(0, zone);
         }
         assertTrue(sum > 5_000 && sum < 7_000, play.table.toString());
-        assertTrue(play.parts(0, 3) > 0 && play.parts(0, 1) > play.parts(0, 3) / 2, play.table.toString());
+        assertTrue(
+                play.parts(0, 3) > 0 && play.parts(0, 1) > play.parts(0, 3) / 2,
+                play.table.toString());
     }
 
     /** Calls leave a slow zone in the share that it can't serve, not all of them. */
@@ -237,7 +312,10 @@
         assertTrue(play.parts(2, 2) > 9_900, play.table.toString());
     }
 
-    /** F1. Guards against one copy's broken link, and one zone's copies, moving what others are served. */
+    /**
+     * F1. Guards against one copy's broken link, and one zone's copies, moving what others are
+     * served.
+     */
     @Test
     public void theWordOfOneCopyOrOfOneZoneIsNoGround() {
         Play play = calm();
@@ -259,7 +337,9 @@
                 play.seconds(half / 2.0);
             }
             for (int i = 0; i + SETTINGS.movesPerMinute() < play.moves.size(); i++) {
-                assertTrue(play.moves.get(i + SETTINGS.movesPerMinute()) - play.moves.get(i) > 60_000 * MILLI,
+                assertTrue(
+                        play.moves.get(i + SETTINGS.movesPerMinute()) - play.moves.get(i)
+                                > 60_000 * MILLI,
                         "half a period of " + half + " halves of a second, moves at " + play.moves);
             }
             assertFalse(play.moves.isEmpty());
@@ -270,8 +350,22 @@
     /** The bound by itself, where no hold helps: guards against moves without end. */
     @Test
     public void theBoundOnMovesHoldsWithoutAnyHold() {
-        FailoverSettings hasty = new FailoverSettings(SETTINGS.regions(), List.of(), PERIOD, 5 * PERIOD, 2,
-                0.5, 0.85, 0.92, 0, 1, PERIOD + 1, PERIOD + 1, 8, 0.05);
+        FailoverSettings hasty =
+                new FailoverSettings(
+                        SETTINGS.regions(),
+                        List.of(),
+                        PERIOD,
+                        5 * PERIOD,
+                        2,
+                        0.5,
+                        0.85,
+                        0.92,
+                        0,
+                        1,
+                        PERIOD + 1,
+                        PERIOD + 1,
+                        8,
+                        0.05);
         Play play = new Play(hasty);
         play.seconds(70);
         for (int i = 0; i < 60; i++) {
@@ -280,7 +374,8 @@
         }
         assertTrue(play.flapping.size() > 20, play.flapping.size() + " moves");
         for (int i = 0; i + 8 < play.flapping.size(); i++) {
-            assertTrue(play.flapping.get(i + 8) - play.flapping.get(i) > 60_000 * MILLI,
+            assertTrue(
+                    play.flapping.get(i + 8) - play.flapping.get(i) > 60_000 * MILLI,
                     "moves at " + play.flapping);
         }
     }
--- a/core/src/test/java/cedarrudder/flow/BodyFlowTest.java
+++ b/core/src/test/java/cedarrudder/flow/BodyFlowTest.java
@@ -10,7 +10,10 @@
 /** A window of a body, put and taken in pieces of any size. */
 public class BodyFlowTest {
 
-    /** Guards against a window that costs thirty times its bytes, since each came in a piece of its own. */
+    /**
+     * Guards against a window that costs thirty times its bytes, since each came in a piece of its
+     * own.
+     */
     @Test
     public void aWindowOfSingleBytesIsKeptInFewPieces() {
         HeldBytes account = new HeldBytes(HeldBytes.MOST);
@@ -37,7 +40,11 @@
         ByteArrayOutputStream taken = new ByteArrayOutputStream();
         for (int i = 0; i < 20_000; i++) {
             if (random.nextInt(3) > 0) {
-                byte[] piece = new byte[random.nextInt(10) > 0 ? random.nextInt(5) : random.nextInt(20_000)];
+                byte[] piece =
+                        new byte
+                                [random.nextInt(10) > 0
+                                        ? random.nextInt(5)
+                                        : random.nextInt(20_000)];
                 random.nextBytes(piece);
                 put.writeBytes(piece);
                 flow.put(piece);
--- a/core/src/test/java/cedarrudder/footprint/CopyFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/CopyFootprintTest.java
@@ -39,22 +39,47 @@
         assertTrue(callers.rest() > 200_000 && callers.rest() == callers.peak());
         assertEquals(FOOTPRINT.takes(copy(1_000, 0, 40, 0, 0)).minus(none).descriptors(), 40);
         Takes bodies = FOOTPRINT.takes(copy(1_000, 0, 0, 10, 600_000)).minus(none);
-        assertTrue(bodies.rest() > 600_000 && bodies.direct() >= 9 * 32_768 && bodies.descriptors() == 0);
-        RouteTable table = new RouteTable(1, 0, 0, 1, List.of(), LongStream.range(0, 500)
-                .mapToObj(i -> new Leaving(i, 1)).toList(), List.of());
+        assertTrue(
+                bodies.rest() > 600_000
+                        && bodies.direct() >= 9 * 32_768
+                        && bodies.descriptors() == 0);
+        RouteTable table =
+                new RouteTable(
+                        1,
+                        0,
+                        0,
+                        1,
+                        List.of(),
+                        LongStream.range(0, 500).mapToObj(i -> new Leaving(i, 1)).toList(),
+                        List.of());
         Takes tables = FOOTPRINT.takes(with(table)).minus(FOOTPRINT.takes(with(null)));
-        assertTrue(tables.rest() > 500 * 28 && tables.peak() > 2 * tables.rest(), tables.toString());
-        assertEquals(FOOTPRINT.terms(with(table)).stream().map(Term::name).toList(), List.of("process",
-                "zones", "kinds", "classes", "tenants", "nodes", "table", "callers", "channels", "bodies"));
+        assertTrue(
+                tables.rest() > 500 * 28 && tables.peak() > 2 * tables.rest(), tables.toString());
+        assertEquals(
+                FOOTPRINT.terms(with(table)).stream().map(Term::name).toList(),
+                List.of(
+                        "process",
+                        "zones",
+                        "kinds",
+                        "classes",
+                        "tenants",
+                        "nodes",
+                        "table",
+                        "callers",
+                        "channels",
+                        "bodies"));
     }
 
     @Test
     public void oneMoreNodeTakesWhatAThousandTakeByTheThousand() {
         Takes one = FOOTPRINT.oneMoreNode(copy(1_000, 0, 0, 0, 0));
-        Takes thousand = FOOTPRINT.takes(copy(2_000, 0, 0, 0, 0)).minus(
-                FOOTPRINT.takes(copy(1_000, 0, 0, 0, 0)));
+        Takes thousand =
+                FOOTPRINT
+                        .takes(copy(2_000, 0, 0, 0, 0))
+                        .minus(FOOTPRINT.takes(copy(1_000, 0, 0, 0, 0)));
         assertEquals(one.rest(), thousand.rest() / 1_000);
-        assertTrue(one.rest() > 900 && one.peak() > one.rest() + 900 && one.descriptors() == 0,
+        assertTrue(
+                one.rest() > 900 && one.peak() > one.rest() + 900 && one.descriptors() == 0,
                 one.toString());
         assertEquals(FOOTPRINT.oneMoreNode(copy(0, 0, 0, 0, 0)), Takes.NOTHING);
     }
@@ -65,10 +90,13 @@
         CopyShape copy = copy(10_000, 500, 200, 10, 600_000);
         Takes all = FOOTPRINT.takes(copy);
         assertTrue(FOOTPRINT.judge(copy, LARGE).fits());
-        Limits[] tight = {new Limits(all.rest() - 5, 0, 0, 0), new Limits(all.peak() - 5, 0, 0, 0),
+        Limits[] tight = {
+            new Limits(all.rest() - 5, 0, 0, 0),
+            new Limits(all.peak() - 5, 0, 0, 0),
             new Limits(1L << 32, FOOTPRINT.resident(copy) - 5, 1L << 30, 1 << 16),
             new Limits(1L << 32, 0, all.direct() - 5, 1 << 16),
-            new Limits(1L << 32, 1L << 33, 1L << 30, all.descriptors() - 5)};
+            new Limits(1L << 32, 1L << 33, 1L << 30, all.descriptors() - 5)
+        };
         for (Bound bound : Bound.values()) {
             Verdict verdict = FOOTPRINT.judge(copy, tight[bound.ordinal()]);
             assertFalse(verdict.fits(), bound + ": " + verdict);
@@ -78,11 +106,23 @@
         assertTrue(FOOTPRINT.judge(copy, new Limits(0, 0, 0, 0)).fits(), "no bound is known");
     }
 
-    /** Guards against an estimate that takes time by the node, or a table read anew for each of its parts. */
+    /**
+     * Guards against an estimate that takes time by the node, or a table read anew for each of its
+     * parts.
+     */
     @Test
     public void aCopyOfAThousandEntriesIsJudgedInUnderAMillisecondOnceItIsWarm() {
-        RouteTable table = new RouteTable(1, 0, 0, 1, List.of(), LongStream.range(0, 1_000)
-                .mapToObj(i -> new Leaving(i * 1_000_003, 1)).toList(), List.of());
+        RouteTable table =
+                new RouteTable(
+                        1,
+                        0,
+                        0,
+                        1,
+                        List.of(),
+                        LongStream.range(0, 1_000)
+                                .mapToObj(i -> new Leaving(i * 1_000_003, 1))
+                                .toList(),
+                        List.of());
         long best = Long.MAX_VALUE;
         for (int i = 0; i < 200; i++) {
             long from = System.nanoTime();
--- a/core/src/test/java/cedarrudder/footprint/FootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/FootprintTest.java
@@ -26,8 +26,11 @@
         assertFalse(verdict.fits());
         assertEquals(verdict.bound(), Bound.HEAP_AT_PEAK);
         assertEquals(verdict.needed(), FOOTPRINT.toldAgain(list));
-        assertTrue(verdict.needed() > rest + FOOTPRINT.reading(list, 5_000), "more than the first time");
-        assertEquals(FOOTPRINT.judge(ListShape.NONE, list, 5_000, true, rest - 7).bound(),
+        assertTrue(
+                verdict.needed() > rest + FOOTPRINT.reading(list, 5_000),
+                "more than the first time");
+        assertEquals(
+                FOOTPRINT.judge(ListShape.NONE, list, 5_000, true, rest - 7).bound(),
                 Bound.HEAP_AT_REST);
         assertTrue(FOOTPRINT.judge(ListShape.NONE, list, 5_000, true, verdict.needed()).fits());
     }
@@ -45,7 +48,9 @@
         assertTrue(FOOTPRINT.atPeak(list, list, other.step() + 1, other.step() + 1) > room);
     }
 
-    /** Guards against operators who hear only that a list does not fit, where it gets in by itself. */
+    /**
+     * Guards against operators who hear only that a list does not fit, where it gets in by itself.
+     */
     @Test
     public void theStepsAreThoseThatComeWhenTheListIsToldAgainAndAgain() {
         ListShape list = list(5_000);
@@ -53,7 +58,10 @@
         List<Integer> steps = FOOTPRINT.steps(list, list, 5_000, true, room);
         assertEquals(steps.stream().mapToInt(Integer::intValue).sum(), 5_000);
         assertEquals(steps.get(0), (Integer) FOOTPRINT.judge(list, list, 5_000, true, room).step());
-        assertEquals(FOOTPRINT.steps(ListShape.NONE, list, 5_000, true, room), List.of(5_000), "at once");
+        assertEquals(
+                FOOTPRINT.steps(ListShape.NONE, list, 5_000, true, room),
+                List.of(5_000),
+                "at once");
         List<Integer> never = FOOTPRINT.steps(list, list(50_000), 45_000, true, room);
         assertTrue(never.stream().mapToInt(Integer::intValue).sum() < 45_000, never.toString());
         int most = FOOTPRINT.most(list, room);
@@ -61,14 +69,19 @@
         assertFalse(FOOTPRINT.judge(ListShape.NONE, list(most + 50), most + 50, true, room).fits());
     }
 
-    /** Guards against changes that are held and can't be told again: of a drain nothing would be heard. */
+    /**
+     * Guards against changes that are held and can't be told again: of a drain nothing would be
+     * heard.
+     */
     @Test
     public void changesLeaveRoomForTheWholeListToBeReadAgain() {
         ListShape held = list(4_000);
         long room = FOOTPRINT.toldAgain(list(5_000));
         Verdict verdict = FOOTPRINT.judge(held, list(2_000), 2_000, false, room);
         assertEquals(verdict.step(), 1_000, 10);
-        assertTrue(FOOTPRINT.atPeak(held, list(2_000), 2_000, 2_000) < room, "while the changes are read");
+        assertTrue(
+                FOOTPRINT.atPeak(held, list(2_000), 2_000, 2_000) < room,
+                "while the changes are read");
     }
 
     /** Guards against an estimate that takes time by the node. */
--- a/core/src/test/java/cedarrudder/footprint/RoomTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RoomTest.java
@@ -24,10 +24,30 @@
     private static final TableFootprint TABLES = new TableFootprint(Layout.of(true, true, 8));
 
     private static RouteTable table(long number, int zones, int leaving) {
-        List<Share> shares = IntStream.range(0, zones * zones).mapToObj(i -> new Share(i / zones, i % zones,
-                i / zones == i % zones ? Way.NEAR : Way.SPILLED, RouteTable.WHOLE / zones, i)).toList();
-        return new RouteTable(number, 1, 1, 1_000_000_000L, shares, LongStream.range(0, leaving)
-                .mapToObj(i -> new Leaving(i * 0x9E3779B97L % RouteTable.MOST_NODE, (int) (i / 8))).toList(),
+        List<Share> shares =
+                IntStream.range(0, zones * zones)
+                        .mapToObj(
+                                i ->
+                                        new Share(
+                                                i / zones,
+                                                i % zones,
+                                                i / zones == i % zones ? Way.NEAR : Way.SPILLED,
+                                                RouteTable.WHOLE / zones,
+                                                i))
+                        .toList();
+        return new RouteTable(
+                number,
+                1,
+                1,
+                1_000_000_000L,
+                shares,
+                LongStream.range(0, leaving)
+                        .mapToObj(
+                                i ->
+                                        new Leaving(
+                                                i * 0x9E3779B97L % RouteTable.MOST_NODE,
+                                                (int) (i / 8)))
+                        .toList(),
                 List.of());
     }
 
@@ -46,17 +66,22 @@
         assertNull(Room.holdsBack(next, rooms), "without it");
     }
 
-    /** Guards against copies that go on deciding for a copy that has started since and can't follow. */
+    /**
+     * Guards against copies that go on deciding for a copy that has started since and can't follow.
+     */
     @Test
     public void aTableThatFitsEveryCopyButTheOneThatStartsNextIsKeptAndTheNextOneHeldBack() {
         RouteTable loaded = table(7, 12, 2_000);
         Tables tables = new Tables();
         assertTrue(tables.load(loaded).counts());
-        Map<Integer, Room> rooms = new HashMap<>(Map.of(0, TABLES.room(loaded, 20_000_000, 10_000)));
+        Map<Integer, Room> rooms =
+                new HashMap<>(Map.of(0, TABLES.room(loaded, 20_000_000, 10_000)));
         RouteTable more = table(8, 12, 2_100);
         assertNull(Room.holdsBack(more, rooms));
         long little = 30_000;
-        assertTrue(TABLES.atPeak(null, loaded) > little, "the copy that starts can't load what is agreed on");
+        assertTrue(
+                TABLES.atPeak(null, loaded) > little,
+                "the copy that starts can't load what is agreed on");
         rooms.put(1, TABLES.room(null, little, 100));
         assertEquals(Room.holdsBack(more, rooms), (Integer) 1);
         assertEquals(tables.current(), loaded, "those that have it keep it");
@@ -65,7 +90,10 @@
         assertTrue(tables.load(less).counts());
     }
 
-    /** Guards against a room that promises what loading then takes more for, whatever the table is like. */
+    /**
+     * Guards against a room that promises what loading then takes more for, whatever the table is
+     * like.
+     */
     @Test
     public void whatTheRoomHoldsIsNeverMoreThanThereIs() {
         SplittableRandom random = new SplittableRandom(5);
@@ -87,8 +115,11 @@
     public void anAnswerTakesNineBytesAndReadsAsItWasWritten() {
         SplittableRandom random = new SplittableRandom(6);
         for (int i = 0; i < 1_000; i++) {
-            Room room = new Room(random.nextInt(), random.nextInt(1 << random.nextInt(1, 31)),
-                    random.nextInt(1 << 24));
+            Room room =
+                    new Room(
+                            random.nextInt(),
+                            random.nextInt(1 << random.nextInt(1, 31)),
+                            random.nextInt(1 << 24));
             ByteBuffer bytes = ByteBuffer.allocate(Room.BYTES);
             room.put(bytes);
             assertEquals(Room.get(bytes.flip()), room);
--- a/core/src/test/java/cedarrudder/logging/LoggerTest.java
+++ b/core/src/test/java/cedarrudder/logging/LoggerTest.java
@@ -17,25 +17,37 @@
 
     /** The lines without their time. */
     private List<String> lines() {
-        List<String> lines = out.toString(StandardCharsets.UTF_8).lines()
-                .map(line -> line.substring(line.indexOf(' ') + 1)).toList();
+        List<String> lines =
+                out.toString(StandardCharsets.UTF_8)
+                        .lines()
+                        .map(line -> line.substring(line.indexOf(' ') + 1))
+                        .toList();
         out.reset();
         return lines;
     }
 
     @Test
     public void aLineHasTheEventAndItsFields() {
-        log.info("a.b").with("size", 3).with("why", "no \"end\" = \\").with("none", "").with("at", "x:1")
+        log.info("a.b")
+                .with("size", 3)
+                .with("why", "no \"end\" = \\")
+                .with("none", "")
+                .with("at", "x:1")
                 .write();
-        assertEquals(lines(), List.of("INFO a.b size=3 why=\"no \\\"end\\\" = \\\\\" none=\"\" at=x:1"));
+        assertEquals(
+                lines(), List.of("INFO a.b size=3 why=\"no \\\"end\\\" = \\\\\" none=\"\" at=x:1"));
     }
 
     @Test
     public void aFaultSaysWhereItCameFrom() {
         RuntimeException fault = new IllegalStateException("what");
         log.fault("a.failed", fault).with("rpc", 7).write();
-        assertEquals(lines(), List.of("ERROR a.failed at=" + fault.getStackTrace()[0]
-                + " error=\"java.lang.IllegalStateException: what\" rpc=7"));
+        assertEquals(
+                lines(),
+                List.of(
+                        "ERROR a.failed at="
+                                + fault.getStackTrace()[0]
+                                + " error=\"java.lang.IllegalStateException: what\" rpc=7"));
     }
 
     @Test
@@ -52,12 +64,13 @@
 
     @Test
     public void whatIsLeftOutCostsNothingAndIsCounted() {
-        Object unread = new Object() {
-            @Override
-            public String toString() {
-                throw new AssertionError("it was turned into text");
-            }
-        };
+        Object unread =
+                new Object() {
+                    @Override
+                    public String toString() {
+                        throw new AssertionError("it was turned into text");
+                    }
+                };
         log.settings(new LogSettings(Level.WARN, 0, 300));
         log.debug("a").with("b", unread).write();
         log.info("a").with("b", unread).write();
--- a/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
+++ b/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
@@ -5,7 +5,9 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The datagrams of membership, held against those of an earlier build: both may run in one tier. */
+/**
+ * The datagrams of membership, held against those of an earlier build: both may run in one tier.
+ */
 public class DatagramFormatTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -35,19 +37,32 @@
     }
 
     private void start(int number, long incarnation) {
-        swims[number] = new Swim(INSTANCES, number, incarnation, MembershipSettings.DEFAULT, random.split(),
-                new Swim.Outlet() {
-                    @Override
-                    public void send(int to, byte[] message) {
-                        sent(number, to, message);
-                    }
+        swims[number] =
+                new Swim(
+                        INSTANCES,
+                        number,
+                        incarnation,
+                        MembershipSettings.DEFAULT,
+                        random.split(),
+                        new Swim.Outlet() {
+                            @Override
+                            public void send(int to, byte[] message) {
+                                sent(number, to, message);
+                            }
 
-                    @Override
-                    public void changed(Member before, Member after) {
-                        digest.add(number + ":" + after.number() + ":" + after.incarnation() + ":"
-                                + after.standing().ordinal());
-                    }
-                }, now);
+                            @Override
+                            public void changed(Member before, Member after) {
+                                digest.add(
+                                        number
+                                                + ":"
+                                                + after.number()
+                                                + ":"
+                                                + after.incarnation()
+                                                + ":"
+                                                + after.standing().ordinal());
+                            }
+                        },
+                        now);
         tick(number, swims[number]);
     }
 
@@ -57,23 +72,27 @@
             samples.append(Golden.hex(message));
         }
         if (random.nextInt(5) > 0) {
-            at(now + random.nextLong(2 * MILLI, 300 * MILLI), () -> {
-                if (swims[to] != null) {
-                    swims[to].received(now, from, message);
-                    tick(to, swims[to]);
-                }
-            });
+            at(
+                    now + random.nextLong(2 * MILLI, 300 * MILLI),
+                    () -> {
+                        if (swims[to] != null) {
+                            swims[to].received(now, from, message);
+                            tick(to, swims[to]);
+                        }
+                    });
         }
     }
 
     private void tick(int number, Swim swim) {
         long due = Math.max(now + 1, swim.due());
-        at(due, () -> {
-            if (swims[number] == swim && swim.due() <= now) {
-                swim.tick(now);
-                tick(number, swim);
-            }
-        });
+        at(
+                due,
+                () -> {
+                    if (swims[number] == swim && swim.due() <= now) {
+                        swim.tick(now);
+                        tick(number, swim);
+                    }
+                });
     }
 
     private void play(long length) {
--- a/core/src/test/java/cedarrudder/membership/SwimTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimTest.java
@@ -15,14 +15,16 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** One instance against peers that are played by the test: it is told, and what it sends is read. */
+/**
+ * One instance against peers that are played by the test: it is told, and what it sends is read.
+ */
 public class SwimTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long LIFE = 1_000;
 
     /** What went out: to whom, and what. */
-    private record Sent(int to, Packet packet) { }
+    private record Sent(int to, Packet packet) {}
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Member> changes = new ArrayList<>();
@@ -33,18 +35,28 @@
         now = 5 * SECOND;
         sent.clear();
         changes.clear();
-        swim = new Swim(instances, 0, LIFE, settings, new SplittableRandom(7), new Swim.Outlet() {
-            @Override
-            public void send(int to, byte[] message) {
-                assertTrue(message.length <= Packet.MOST_BYTES, message.length + " bytes");
-                sent.add(new Sent(to, Packet.decode(message, instances)));
-            }
-
-            @Override
-            public void changed(Member before, Member after) {
-                changes.add(after);
-            }
-        }, now);
+        swim =
+                new Swim(
+                        instances,
+                        0,
+                        LIFE,
+                        settings,
+                        new SplittableRandom(7),
+                        new Swim.Outlet() {
+                            @Override
+                            public void send(int to, byte[] message) {
+                                assertTrue(
+                                        message.length <= Packet.MOST_BYTES,
+                                        message.length + " bytes");
+                                sent.add(new Sent(to, Packet.decode(message, instances)));
+                            }
+
+                            @Override
+                            public void changed(Member before, Member after) {
+                                changes.add(after);
+                            }
+                        },
+                        now);
     }
 
     private void start(int instances) {
@@ -55,7 +67,8 @@
         swim.received(now, from, packet(kind, question, from, life, subject, news).encode());
     }
 
-    private static Packet packet(Kind kind, int question, int from, long life, int subject, News... news) {
+    private static Packet packet(
+            Kind kind, int question, int from, long life, int subject, News... news) {
         return new Packet(kind, question, from, life, subject, 0, null, List.of(news));
     }
 
@@ -201,7 +214,9 @@
         hear(1, Kind.NACK, 0, 1, 1, news(2, 3, Standing.SUSPECT, 1));
         now += 60 * SECOND;
         swim.tick(now);
-        assertEquals(changes, List.of(new Member(1, 1, Standing.ALIVE), new Member(2, 3, Standing.SUSPECT)));
+        assertEquals(
+                changes,
+                List.of(new Member(1, 1, Standing.ALIVE), new Member(2, 3, Standing.SUSPECT)));
         hear(2, Kind.PING, 1, 4, 0);
         assertEquals(swim.member(2).standing(), Standing.ALIVE);
     }
@@ -235,7 +250,8 @@
         hear(1, Kind.PING, 5, 1, 0, news(0, LIFE, Standing.SUSPECT, 2));
         Sent answer = await(Kind.ACK);
         assertEquals(answer.packet.incarnation(), LIFE + 1);
-        assertTrue(answer.packet.news().contains(news(0, LIFE + 1, Standing.ALIVE, 0)),
+        assertTrue(
+                answer.packet.news().contains(news(0, LIFE + 1, Standing.ALIVE, 0)),
                 answer.toString());
         // An older life of its own had a larger number: it takes the next.
         hear(1, Kind.PING, 6, 1, 0, news(0, LIFE + 70, Standing.DEAD, 2));
@@ -264,7 +280,9 @@
         assertTrue(swim.member(1).live());
     }
 
-    /** One that has just started shows whom it holds as dead, and the answer says in whom it errs. */
+    /**
+     * One that has just started shows whom it holds as dead, and the answer says in whom it errs.
+     */
     @Test
     public void twoThatDifferInTheDeadTellOneAnother() {
         start(30);
@@ -276,20 +294,28 @@
         hear(2, Kind.PING, 8, 5, 0);
         assertTrue(await(Kind.ACK).packet.news().isEmpty(), "news without end");
         byte[] held = {0, 2, 4, 0}; // 9 and 18 are dead
-        swim.received(now, 3, new Packet(Kind.PING, 8, 3, 5, 0, 77, new Packet.Window(0, held), List.of())
-                .encode());
-        assertEquals(await(Kind.ACK).packet.news(), List.of(news(1, 10, Standing.DEAD, 0),
-                news(18, 0, Standing.ALIVE, 18)));
+        swim.received(
+                now,
+                3,
+                new Packet(Kind.PING, 8, 3, 5, 0, 77, new Packet.Window(0, held), List.of())
+                        .encode());
+        assertEquals(
+                await(Kind.ACK).packet.news(),
+                List.of(news(1, 10, Standing.DEAD, 0), news(18, 0, Standing.ALIVE, 18)));
         // Its own next question shows what it holds, until the digests agree.
         Packet shown = await(Kind.PING).packet;
         assertEquals(shown.window().bits(), new byte[] {2, 2, 0, 0});
-        swim.received(now, 3, new Packet(Kind.NACK, 0, 3, 5, 0, shown.digest(), null, List.of()).encode());
+        swim.received(
+                now,
+                3,
+                new Packet(Kind.NACK, 0, 3, 5, 0, shown.digest(), null, List.of()).encode());
         sent.clear();
         assertNull(await(Kind.PING).packet.window());
     }
 
     /**
-     * One that hears nobody, or was cut off, holds the living as dead: its word alone buries none of them.
+     * One that hears nobody, or was cut off, holds the living as dead: its word alone buries none
+     * of them.
      */
     @Test
     public void aClaimOfDeathIsNotBelievedAtOnce() {
@@ -305,8 +331,10 @@
             swim.tick(now);
         }
         double least = 4 * Math.log10(30) * MembershipSettings.DEFAULT.period();
-        assertEquals(now - began, least, MembershipSettings.DEFAULT.period(), "the shortest suspicion");
-        // Of a life that was never heard of it is: so one that starts learns whom the others buried.
+        assertEquals(
+                now - began, least, MembershipSettings.DEFAULT.period(), "the shortest suspicion");
+        // Of a life that was never heard of it is: so one that starts learns whom the others
+        // buried.
         hear(2, Kind.NACK, 0, 5, 2, news(8, 20, Standing.DEAD, 2));
         assertFalse(swim.member(8).live());
     }
@@ -324,8 +352,16 @@
     @Test
     public void anEarlierVersionIsRefused() {
         start(4);
-        byte[] first = ByteBuffer.allocate(19).put((byte) 1).put((byte) 0).putInt(1).putShort((short) 1)
-                .putLong(5).putShort((short) 0).put((byte) 0).array();
+        byte[] first =
+                ByteBuffer.allocate(19)
+                        .put((byte) 1)
+                        .put((byte) 0)
+                        .putInt(1)
+                        .putShort((short) 1)
+                        .putLong(5)
+                        .putShort((short) 0)
+                        .put((byte) 0)
+                        .array();
         swim.received(now, 1, first);
         assertEquals(swim.counts().malformed(), 1);
         assertTrue(sent.isEmpty());
@@ -365,8 +401,10 @@
         sent.clear();
         swim.leave();
         assertFalse(sent.isEmpty());
-        assertTrue(sent.stream().allMatch(s -> s.packet.news()
-                .contains(news(0, LIFE, Standing.DEAD, 0))), sent.toString());
+        assertTrue(
+                sent.stream()
+                        .allMatch(s -> s.packet.news().contains(news(0, LIFE, Standing.DEAD, 0))),
+                sent.toString());
         sent.clear();
         hear(1, Kind.PING, 1, 1, 0);
         swim.tick(now + SECOND);
@@ -384,7 +422,10 @@
         assertTrue(sent.isEmpty());
     }
 
-    /** Guards against a life's number that nobody ever had: a turned bit once set one that all believed. */
+    /**
+     * Guards against a life's number that nobody ever had: a turned bit once set one that all
+     * believed.
+     */
     @Test
     public void aTurnedBitAnywhereIsNoMessage() {
         start(6);
@@ -404,8 +445,19 @@
         System.out.println("bytes: seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
         start(6);
-        byte[] good = new Packet(Kind.PING, 77, 1, 4, 2, 9, new Packet.Window(0, new byte[] {12}), List.of(
-                news(3, 1L << 50, Standing.SUSPECT, 2), news(4, 3, Standing.ALIVE, 4))).encode();
+        byte[] good =
+                new Packet(
+                                Kind.PING,
+                                77,
+                                1,
+                                4,
+                                2,
+                                9,
+                                new Packet.Window(0, new byte[] {12}),
+                                List.of(
+                                        news(3, 1L << 50, Standing.SUSPECT, 2),
+                                        news(4, 3, Standing.ALIVE, 4)))
+                        .encode();
         int read = 0;
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes;
@@ -413,15 +465,19 @@
                 bytes = new byte[random.nextInt(300)];
                 random.nextBytes(bytes);
             } else {
-                bytes = java.util.Arrays.copyOf(good, random.nextInt(8) > 0 ? good.length
-                        : random.nextInt(2 * good.length));
+                bytes =
+                        java.util.Arrays.copyOf(
+                                good,
+                                random.nextInt(8) > 0
+                                        ? good.length
+                                        : random.nextInt(2 * good.length));
                 for (int changed = random.nextInt(4); changed > 0 && bytes.length > 0; changed--) {
                     bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
                 }
             }
             if (bytes.length > 4) { // else hardly one would get past its checksum
-                java.nio.ByteBuffer.wrap(bytes).putInt(bytes.length - 4,
-                        Packet.checksum(bytes, bytes.length - 4));
+                java.nio.ByteBuffer.wrap(bytes)
+                        .putInt(bytes.length - 4, Packet.checksum(bytes, bytes.length - 4));
             }
             Packet packet = Packet.decode(bytes, 6);
             if (packet != null) {
@@ -446,7 +502,9 @@
             new MembershipSettings(SECOND, SECOND, 3, 4, 4, 3, 3, 8, 10);
             throw new AssertionError("taken");
         } catch (IllegalArgumentException e) {
-            assertEquals(e.getMessage(), "ackPatience: found 1000000000; allowed: over 0, below the period");
+            assertEquals(
+                    e.getMessage(),
+                    "ackPatience: found 1000000000; allowed: over 0, below the period");
         }
     }
 }
--- a/core/src/test/java/cedarrudder/overload/ClassWorthTest.java
+++ b/core/src/test/java/cedarrudder/overload/ClassWorthTest.java
@@ -49,7 +49,8 @@
     public void whatIsPastATenantsShareComesLast() {
         ClassWorth worth = worths(0.2, 5, 2, 8);
         assertTrue(worth.next(2, true) < worth.next(1, false));
-        assertTrue(new ClassWorth(1, 1, 0, 0).next(0, true) > 0, "but is served where there is room");
+        assertTrue(
+                new ClassWorth(1, 1, 0, 0).next(0, true) > 0, "but is served where there is room");
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/overload/WaitingLineTest.java
+++ b/core/src/test/java/cedarrudder/overload/WaitingLineTest.java
@@ -18,10 +18,12 @@
     private void offer(int room, Offer otherwise) {
         offered.clear();
         int[] left = {room};
-        line.release(lane -> worth[lane], request -> {
-            offered.add(request);
-            return left[0]-- > 0 ? Offer.TAKEN : otherwise;
-        });
+        line.release(
+                lane -> worth[lane],
+                request -> {
+                    offered.add(request);
+                    return left[0]-- > 0 ? Offer.TAKEN : otherwise;
+                });
     }
 
     @BeforeMethod
--- a/core/src/test/java/cedarrudder/overload/ZoneDealTest.java
+++ b/core/src/test/java/cedarrudder/overload/ZoneDealTest.java
@@ -36,11 +36,15 @@
         for (int i = 0; i < far.length; i++) {
             far[i] = (i == 0 ? 0 : far[i - 1]) + (next(i, 1) == 3 ? 1 : 0);
             int since = Math.max(0, i - 1_000);
-            assertEquals(far[i] - far[since], (i - since) / 100.0, 2, "calls " + since + " to " + i);
+            assertEquals(
+                    far[i] - far[since], (i - since) / 100.0, 2, "calls " + since + " to " + i);
         }
     }
 
-    /** Guards against copies that turn to a zone all at once, and against a part that new tables starve. */
+    /**
+     * Guards against copies that turn to a zone all at once, and against a part that new tables
+     * starve.
+     */
     @Test
     public void copiesBeginAtDifferentPointsAndGoOnOverNewTables() {
         int first = 0;
@@ -136,9 +140,11 @@
     @Test
     public void whatIsWrongChangesNothing() {
         deal.set(List.of(new Part(2, WHOLE, 0)));
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> deal.set(List.of(new Part(1, 1, 0), new Part(1, 1, 0))));
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> deal.set(List.of(new Part(1, WHOLE, 0), new Part(3, 1, 0))));
         assertEquals(next(0, 1), 2);
     }
--- a/core/src/test/java/cedarrudder/rotation/RotationTest.java
+++ b/core/src/test/java/cedarrudder/rotation/RotationTest.java
@@ -41,11 +41,14 @@
         assertEquals(seen(rotation, ListKind.FULL, named("a", State.READY, 30)), State.DRAINING);
     }
 
-    /** Guards against a ban by hand that the end of a removal takes back, and the other way round. */
+    /**
+     * Guards against a ban by hand that the end of a removal takes back, and the other way round.
+     */
     @Test
     public void removedInCommonAndDisabledByHandDontUndoOneAnother() {
         Rotation rotation = new Rotation();
-        rotation.listed(ListKind.FULL, List.of(named("a", State.READY, 0), named("b", State.READY, 0)));
+        rotation.listed(
+                ListKind.FULL, List.of(named("a", State.READY, 0), named("b", State.READY, 0)));
         Set<Long> a = Set.of((long) "a".hashCode());
         assertEquals(rotation.leaving(a, 100), Set.of("a"));
         assertEquals(rotation.shown("a").state(), State.DRAINING);
@@ -70,7 +73,8 @@
     @Test
     public void anEnabledNodeIsAsDiscoveryListsItAndStartsCold() {
         Rotation rotation = new Rotation();
-        rotation.listed(ListKind.FULL, List.of(named("a", State.READY, 0), named("b", State.DRAINING, 0)));
+        rotation.listed(
+                ListKind.FULL, List.of(named("a", State.READY, 0), named("b", State.DRAINING, 0)));
         rotation.disable("a");
         rotation.disable("b");
         rotation.enable("a", 100);
@@ -79,11 +83,18 @@
         assertEquals(rotation.shown("a").state(), State.READY);
         assertEquals(rotation.shown("a").startedAt(), 100);
         assertEquals(rotation.shown("b").state(), State.DRAINING);
-        // The same start for good, so that no later list makes it start again, until a later start is told.
-        assertEquals(rotation.listed(ListKind.FULL, List.of(named("a", State.READY, 90))).get(0).startedAt(),
+        // The same start for good, so that no later list makes it start again, until a later start
+        // is told.
+        assertEquals(
+                rotation.listed(ListKind.FULL, List.of(named("a", State.READY, 90)))
+                        .get(0)
+                        .startedAt(),
                 100);
-        assertEquals(rotation.listed(ListKind.CHANGES, List.of(named("a", State.READY, 400))).get(0)
-                .startedAt(), 400);
+        assertEquals(
+                rotation.listed(ListKind.CHANGES, List.of(named("a", State.READY, 400)))
+                        .get(0)
+                        .startedAt(),
+                400);
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/routing/DriverTest.java
+++ b/core/src/test/java/cedarrudder/routing/DriverTest.java
@@ -29,15 +29,39 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the module is told, and what is carried out, with every part round the driver played by the test. */
+/**
+ * What the module is told, and what is carried out, with every part round the driver played by the
+ * test.
+ */
 public class DriverTest {
 
     private static final int MOST_ATTEMPTS = 2;
     private static final long DEADLINE = 1000;
 
-    private static final Balancer.Settings SITE = new Balancer.Settings(1, 0, 0, 0, 2, false,
-            List.of(new Balancer.RequestClass("a", Balancer.Effect.SAFE, Balancer.KeyScope.ALL, 1, 1, 1, 0, 0,
-                    false)), List.of(), null, null, new Balancer.Goal(1, 0, 0, 0, 1), null);
+    private static final Balancer.Settings SITE =
+            new Balancer.Settings(
+                    1,
+                    0,
+                    0,
+                    0,
+                    2,
+                    false,
+                    List.of(
+                            new Balancer.RequestClass(
+                                    "a",
+                                    Balancer.Effect.SAFE,
+                                    Balancer.KeyScope.ALL,
+                                    1,
+                                    1,
+                                    1,
+                                    0,
+                                    0,
+                                    false)),
+                    List.of(),
+                    null,
+                    null,
+                    new Balancer.Goal(1, 0, 0, 0, 1),
+                    null);
 
     private final List<String> seen = new ArrayList<>();
     private final List<CallAttempt<String, String>> started = new ArrayList<>();
@@ -71,8 +95,8 @@
         knows = true;
         budgets = null;
         onRequest = () -> actions.send(1, 7, 0);
-        onOutcome = () -> { };
-        onDenial = () -> { };
+        onOutcome = () -> {};
+        onDenial = () -> {};
         build();
     }
 
@@ -92,21 +116,28 @@
 
     private void build() {
         figures = new Figures(1);
-        driver = new Driver<>(did -> {
-            actions = did;
-            return new Module();
-        }, MOST_ATTEMPTS, new Timers() {
-            @Override
-            public long now() {
-                return now;
-            }
-
-            @Override
-            public Timer at(long instant, Runnable task) {
-                timers.add(task);
-                return () -> timers.remove(task);
-            }
-        }, new Logger(new PrintStream(OutputStream.nullOutputStream())), budgets, figures);
+        driver =
+                new Driver<>(
+                        did -> {
+                            actions = did;
+                            return new Module();
+                        },
+                        MOST_ATTEMPTS,
+                        new Timers() {
+                            @Override
+                            public long now() {
+                                return now;
+                            }
+
+                            @Override
+                            public Timer at(long instant, Runnable task) {
+                                timers.add(task);
+                                return () -> timers.remove(task);
+                            }
+                        },
+                        new Logger(new PrintStream(OutputStream.nullOutputStream())),
+                        budgets,
+                        figures);
         driver.connect(new Client(), null, null);
     }
 
@@ -116,33 +147,37 @@
 
     private Exchange<String, String> accept(Carried carried) {
         var request = new Balancer.Request(1, 0, 0, DEADLINE, 0, false, false, 0);
-        Exchange<String, String> exchange = new Exchange<>(request, "q",
-                new Exchange.Reply<>() {
-                    @Override
-                    public void served(String answer) {
-                        seen.add("served " + answer);
-                    }
-
-                    @Override
-                    public void refused(long retryAfter) {
-                        seen.add("refused");
-                    }
-
-                    @Override
-                    public void failed() {
-                        seen.add("failed");
-                    }
-
-                    @Override
-                    public boolean waits() {
-                        return waits;
-                    }
-
-                    @Override
-                    public boolean seen() {
-                        return inSight;
-                    }
-                }, carried);
+        Exchange<String, String> exchange =
+                new Exchange<>(
+                        request,
+                        "q",
+                        new Exchange.Reply<>() {
+                            @Override
+                            public void served(String answer) {
+                                seen.add("served " + answer);
+                            }
+
+                            @Override
+                            public void refused(long retryAfter) {
+                                seen.add("refused");
+                            }
+
+                            @Override
+                            public void failed() {
+                                seen.add("failed");
+                            }
+
+                            @Override
+                            public boolean waits() {
+                                return waits;
+                            }
+
+                            @Override
+                            public boolean seen() {
+                                return inSight;
+                            }
+                        },
+                        carried);
         driver.accept(exchange);
         return exchange;
     }
@@ -150,28 +185,38 @@
     @Test
     public void anActionNeverReentersTheModule() {
         refuseConnections = true;
-        onRequest = () -> {
-            actions.send(1, 7, 0);
-            seen.add("request handled");
-        };
+        onRequest =
+                () -> {
+                    actions.send(1, 7, 0);
+                    seen.add("request handled");
+                };
         accept();
         assertEquals(seen, List.of("start 0", "request handled", "outcome 0 CONNECT_FAILED open"));
     }
 
     @Test
     public void theFirstServedAttemptEndsTheRpcAndTheOtherIsSettled() {
-        onRequest = () -> {
-            actions.send(1, 7, 0);
-            actions.send(1, 8, 0);
-        };
+        onRequest =
+                () -> {
+                    actions.send(1, 7, 0);
+                    actions.send(1, 8, 0);
+                };
         accept();
         driver.served(started.get(1), "b", null);
         driver.served(started.get(0), "a", null);
-        assertEquals(seen, List.of("start 0", "start 1", "served b", "outcome 1 OK settled",
-                "outcome 0 OK settled"));
-    }
-
-    /** Guards against a process that stood still and sends its first RPC by shares that are over. */
+        assertEquals(
+                seen,
+                List.of(
+                        "start 0",
+                        "start 1",
+                        "served b",
+                        "outcome 1 OK settled",
+                        "outcome 0 OK settled"));
+    }
+
+    /**
+     * Guards against a process that stood still and sends its first RPC by shares that are over.
+     */
     @Test
     public void sharesAreOverBeforeTheNextEventOnceTheirTimeIs() {
         driver.sharesUntil(100);
@@ -194,11 +239,12 @@
 
     @Test
     public void attemptsBeyondTheMostAreMoot() {
-        onRequest = () -> {
-            for (int i = 0; i <= MOST_ATTEMPTS; i++) {
-                actions.send(1, 7, 0);
-            }
-        };
+        onRequest =
+                () -> {
+                    for (int i = 0; i <= MOST_ATTEMPTS; i++) {
+                        actions.send(1, 7, 0);
+                    }
+                };
         accept();
         assertEquals(seen, List.of("start 0", "start 1", "outcome 2 MOOT open"));
     }
@@ -213,47 +259,71 @@
 
     @Test
     public void anAttemptThatTheBudgetDeniesIsMootAndTheAnswerSaysWhy() {
-        budgets = new Budgets(BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
+        budgets =
+                new Budgets(
+                        BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
         build();
-        onOutcome = () -> {
-            if (seen.size() == 2) {
-                actions.send(1, 8, 0);
-            } else {
-                actions.fail(1);
-            }
-        };
-        Exchange<String, String> exchange = accept(new Carried(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
+        onOutcome =
+                () -> {
+                    if (seen.size() == 2) {
+                        actions.send(1, 8, 0);
+                    } else {
+                        actions.fail(1);
+                    }
+                };
+        Exchange<String, String> exchange =
+                accept(new Carried(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
         assertEquals(started.get(0).handed().path().hops(), List.of("front"));
         driver.ended(started.get(0), Outcome.RESET, null);
-        assertEquals(seen, List.of("start 0", "outcome 0 RESET open", "outcome 1 MOOT open", "failed"));
+        assertEquals(
+                seen, List.of("start 0", "outcome 0 RESET open", "outcome 1 MOOT open", "failed"));
         assertEquals(exchange.result(), new FromBelow(0, FromBelow.Why.TRIES, HopPath.EMPTY));
     }
 
     /** A second copy that is denied leaves the first attempt alone, which may well be served. */
     @Test
     public void aSecondCopyThatTheBudgetDeniesLeavesTheFirstAttemptOut() {
-        budgets = new Budgets(BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
+        budgets =
+                new Budgets(
+                        BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
         build();
-        onRequest = () -> {
-            actions.send(1, 7, 0);
-            actions.send(1, 8, 0);
-        };
-        Exchange<String, String> exchange = accept(new Carried(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
+        onRequest =
+                () -> {
+                    actions.send(1, 7, 0);
+                    actions.send(1, 8, 0);
+                };
+        Exchange<String, String> exchange =
+                accept(new Carried(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
         driver.served(started.get(0), "a", null);
-        assertEquals(seen, List.of("start 0", "outcome 1 MOOT open", "served a", "outcome 0 OK settled"));
+        assertEquals(
+                seen,
+                List.of("start 0", "outcome 1 MOOT open", "served a", "outcome 0 OK settled"));
         assertEquals(exchange.result(), new FromBelow(0, FromBelow.Why.NOT_SAID, HopPath.EMPTY));
     }
 
     @Test
     public void aLoopIsNotSentEvenWhereTheModuleDoesNotListen() {
-        budgets = new Budgets(BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
+        budgets =
+                new Budgets(
+                        BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
         build();
         onOutcome = () -> actions.refuse(1, 0);
-        Exchange<String, String> exchange = accept(new Carried(true, true, 0, 3, 0, 1, false,
-                HopPath.of(List.of("front", "core"))));
+        Exchange<String, String> exchange =
+                accept(
+                        new Carried(
+                                true,
+                                true,
+                                0,
+                                3,
+                                0,
+                                1,
+                                false,
+                                HopPath.of(List.of("front", "core"))));
         assertEquals(seen, List.of("outcome 0 MOOT open", "refused"));
-        assertEquals(exchange.result(), new FromBelow(0, FromBelow.Why.LOOP,
-                HopPath.of(List.of("front", "core", "front"))));
+        assertEquals(
+                exchange.result(),
+                new FromBelow(
+                        0, FromBelow.Why.LOOP, HopPath.of(List.of("front", "core", "front"))));
     }
 
     @Test
@@ -276,13 +346,20 @@
     /** Guards against further attempts for an RPC that has no time left, since its process ends. */
     @Test
     public void anRpcThatIsCutOffBeforeItsTimeIsEndedAndNotSentAgain() {
-        onOutcome = () -> {
-            onOutcome = () -> actions.fail(1);
-            actions.send(1, 8, 0);
-        };
+        onOutcome =
+                () -> {
+                    onOutcome = () -> actions.fail(1);
+                    actions.send(1, 8, 0);
+                };
         driver.cut(accept(Carried.NOTHING));
-        assertEquals(seen, List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "outcome 1 MOOT open",
-                "failed"));
+        assertEquals(
+                seen,
+                List.of(
+                        "start 0",
+                        "abandon 0",
+                        "outcome 0 TIMEOUT open",
+                        "outcome 1 MOOT open",
+                        "failed"));
     }
 
     /** Guards against a refusal, which invites a repeat, of what may have run. */
@@ -292,16 +369,18 @@
         now = DEADLINE;
         timers.remove(0).run();
         timers.remove(0).run();
-        assertEquals(seen, List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "failed",
-                "client left"));
+        assertEquals(
+                seen,
+                List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "failed", "client left"));
     }
 
     /** Guards against an answer that forbids a repeat of what was never sent on. */
     @Test
     public void anRpcThatTheModuleForgetsIsRefusedWhereItCanNotHaveRun() {
-        onRequest = () -> {
-            throw new IllegalStateException("a fault of the module");
-        };
+        onRequest =
+                () -> {
+                    throw new IllegalStateException("a fault of the module");
+                };
         accept();
         now = DEADLINE;
         timers.remove(0).run();
@@ -309,12 +388,15 @@
         assertEquals(seen, List.of("refused", "client left"));
     }
 
-    /** Guards against an error of the virtual machine's in one event taking those behind it away. */
+    /**
+     * Guards against an error of the virtual machine's in one event taking those behind it away.
+     */
     @Test
     public void anErrorInTheModuleIsNoMoreThanAFault() {
-        onRequest = () -> {
-            throw new StackOverflowError("made on purpose");
-        };
+        onRequest =
+                () -> {
+                    throw new StackOverflowError("made on purpose");
+                };
         Exchange<String, String> exchange = accept(Carried.NOTHING);
         driver.left(exchange);
         assertEquals(seen, List.of("client left"));
@@ -330,7 +412,9 @@
         return exchange;
     }
 
-    /** Guards against a request that goes out for a caller that left while the connection came up. */
+    /**
+     * Guards against a request that goes out for a caller that left while the connection came up.
+     */
     @Test
     public void whatWaitsForItsConnectionAsItsCallerLeavesNeverBegins() {
         driver.left(acceptDialling());
@@ -344,10 +428,11 @@
     public void whatWaitsForItsConnectionAsAnotherIsServedNeverBegins() {
         for (boolean flows : new boolean[] {false, true}) {
             start();
-            onRequest = () -> {
-                actions.send(1, 7, 0);
-                actions.send(1, 8, 0);
-            };
+            onRequest =
+                    () -> {
+                        actions.send(1, 7, 0);
+                        actions.send(1, 8, 0);
+                    };
             acceptDialling();
             assertTrue(driver.begins(started.get(1)));
             started.get(1).wrote(now);
@@ -357,8 +442,13 @@
             } else {
                 driver.served(started.get(1), "b", null);
             }
-            assertEquals(seen, List.of("abandon 0", "served b", "outcome 1 OK settled",
-                    "outcome 0 MOOT settled"));
+            assertEquals(
+                    seen,
+                    List.of(
+                            "abandon 0",
+                            "served b",
+                            "outcome 1 OK settled",
+                            "outcome 0 MOOT settled"));
             assertFalse(driver.begins(started.get(0)));
         }
     }
@@ -366,7 +456,7 @@
     @Test
     public void whatWaitsForItsConnectionAsTheModuleEndsItsRpcNeverBegins() {
         acceptDialling();
-        onOutcome = () -> { };
+        onOutcome = () -> {};
         actions.refuse(1, 0);
         assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT settled", "refused"));
         assertFalse(driver.begins(started.get(0)));
@@ -381,7 +471,9 @@
         assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT settled", "client left"));
     }
 
-    /** Guards against an attempt for a caller that may have gone unseen; what is out for it goes on. */
+    /**
+     * Guards against an attempt for a caller that may have gone unseen; what is out for it goes on.
+     */
     @Test
     public void nothingBeginsForACallerOutOfSight() {
         acceptDialling();
@@ -409,13 +501,17 @@
         }
     }
 
-    /** Guards against a wait for a connection that nothing may be sent on, while another node may take it. */
+    /**
+     * Guards against a wait for a connection that nothing may be sent on, while another node may
+     * take it.
+     */
     @Test
     public void aListThatDeniesWhatWaitsEndsItAtOnceAndNothingElse() {
-        onRequest = () -> {
-            actions.send(1, 7, 0);
-            actions.send(1, 8, 0);
-        };
+        onRequest =
+                () -> {
+                    actions.send(1, 7, 0);
+                    actions.send(1, 8, 0);
+                };
         acceptDialling();
         assertTrue(driver.begins(started.get(1)));
         driver.resolved(ListKind.CHANGES, List.of());
@@ -445,9 +541,10 @@
     @Test
     public void aFaultOfTheModulesAtTheGateIsNoMoreThanAFault() {
         acceptDialling();
-        onDenial = () -> {
-            throw new IllegalStateException("a fault of the module");
-        };
+        onDenial =
+                () -> {
+                    throw new IllegalStateException("a fault of the module");
+                };
         assertFalse(driver.begins(started.get(0)));
         assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT open"));
     }
@@ -461,7 +558,9 @@
         now = DEADLINE;
         timers.remove(0).run();
         timers.remove(0).run();
-        assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open", "refused", "client left"));
+        assertEquals(
+                seen,
+                List.of("abandon 0", "outcome 0 CONNECT_FAILED open", "refused", "client left"));
     }
 
     @Test
@@ -504,15 +603,15 @@
         }
 
         @Override
-        public void probe(long endpoint) { }
+        public void probe(long endpoint) {}
 
         @Override
-        public void closeIdle(long endpoint) { }
+        public void closeIdle(long endpoint) {}
     }
 
     private final class Module implements Balancer {
         @Override
-        public void endpoints(long at, ListKind kind, List<Endpoint> entries) { }
+        public void endpoints(long at, ListKind kind, List<Endpoint> entries) {}
 
         @Override
         public void shares(long at, List<ZoneShare> shares) {
@@ -520,7 +619,7 @@
         }
 
         @Override
-        public void endpointsFailed(long at) { }
+        public void endpointsFailed(long at) {}
 
         @Override
         public void request(long at, Request request) {
@@ -528,11 +627,18 @@
         }
 
         @Override
-        public void firstByte(long at, long request, int attempt, long endpoint, long latency) { }
+        public void firstByte(long at, long request, int attempt, long endpoint, long latency) {}
 
         @Override
-        public void outcome(long at, long request, int attempt, long endpoint, Outcome outcome, long latency,
-                boolean settled, Load load) {
+        public void outcome(
+                long at,
+                long request,
+                int attempt,
+                long endpoint,
+                Outcome outcome,
+                long latency,
+                boolean settled,
+                Load load) {
             seen.add("outcome " + attempt + " " + outcome + (settled ? " settled" : " open"));
             onOutcome.run();
         }
@@ -549,12 +655,12 @@
         }
 
         @Override
-        public void timer(long at, long token) { }
+        public void timer(long at, long token) {}
 
         @Override
-        public void probed(long at, long endpoint, Outcome outcome, long latency, Load load) { }
+        public void probed(long at, long endpoint, Outcome outcome, long latency, Load load) {}
 
         @Override
-        public void message(long at, int from, byte[] message) { }
+        public void message(long at, int from, byte[] message) {}
     }
 }
--- a/core/src/test/java/cedarrudder/table/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/table/RouteTableTest.java
@@ -31,8 +31,13 @@
         List<Share> shares = new ArrayList<>();
         for (int from = 0; from < random.nextInt(13); from++) {
             for (int to = 0; to < 12; to++) {
-                shares.add(new Share(from, to, Way.values()[random.nextInt(3)], 1 + random.nextInt(800),
-                        random.nextInt(3) * 1000));
+                shares.add(
+                        new Share(
+                                from,
+                                to,
+                                Way.values()[random.nextInt(3)],
+                                1 + random.nextInt(800),
+                                random.nextInt(3) * 1000));
             }
         }
         List<Leaving> leaving = new ArrayList<>();
@@ -45,8 +50,14 @@
         }
         Collections.shuffle(shares, random);
         Collections.shuffle(leaving, random);
-        return new RouteTable(number, random.nextInt(3), random.nextInt(9), 1 + random.nextInt(1 << 30),
-                shares, leaving, limits);
+        return new RouteTable(
+                number,
+                random.nextInt(3),
+                random.nextInt(9),
+                1 + random.nextInt(1 << 30),
+                shares,
+                leaving,
+                limits);
     }
 
     /** Guards against a table that is another once it has travelled, and two forms of one table. */
@@ -109,15 +120,19 @@
                 bytes[random.nextInt(bytes.length - 4)] = (byte) random.nextInt(256);
             }
             TableCodec.Decoded decoded = TableCodec.decode(summed(bytes));
-            assertTrue(decoded.table() == null ^ decoded.fault() == null, "seed " + SEED + ", run " + i);
+            assertTrue(
+                    decoded.table() == null ^ decoded.fault() == null,
+                    "seed " + SEED + ", run " + i);
             if (decoded.table() != null) {
                 read++;
-                assertEquals(TableCodec.encode(decoded.table()), bytes, "seed " + SEED + ", run " + i);
+                assertEquals(
+                        TableCodec.encode(decoded.table()), bytes, "seed " + SEED + ", run " + i);
             }
         }
         assertTrue(read > 500, "only " + read + " were read");
         byte[] many = summed(new byte[] {1, 1, 0, 0, 1, (byte) 0xff, (byte) 0xff, 3, 0, 0, 0, 0});
-        assertTrue(TableCodec.decode(many).fault().contains("shares: found 65535; allowed: 0 to 1"),
+        assertTrue(
+                TableCodec.decode(many).fault().contains("shares: found 65535; allowed: 0 to 1"),
                 TableCodec.decode(many).fault());
     }
 
@@ -125,15 +140,39 @@
     public void whatContradictsItselfIsNamed() {
         Share half = new Share(1, 2, Way.MOVED, 6_000, 0);
         Share more = new Share(1, 3, Way.SPILLED, 6_000, 0);
-        assertEquals(expectThrows(IllegalArgumentException.class, () -> new RouteTable(1, 0, 0, 1,
-                List.of(half, more), List.of(), List.of())).getMessage(),
+        assertEquals(
+                expectThrows(
+                                IllegalArgumentException.class,
+                                () ->
+                                        new RouteTable(
+                                                1,
+                                                0,
+                                                0,
+                                                1,
+                                                List.of(half, more),
+                                                List.of(),
+                                                List.of()))
+                        .getMessage(),
                 "share.parts: found 12000 of zone 1; allowed: up to 10000");
-        assertEquals(expectThrows(IllegalArgumentException.class, () -> new RouteTable(1, 0, 0, 1, List.of(),
-                List.of(new Leaving(5, 1), new Leaving(5, 2)), List.of())).getMessage(),
+        assertEquals(
+                expectThrows(
+                                IllegalArgumentException.class,
+                                () ->
+                                        new RouteTable(
+                                                1,
+                                                0,
+                                                0,
+                                                1,
+                                                List.of(),
+                                                List.of(new Leaving(5, 1), new Leaving(5, 2)),
+                                                List.of()))
+                        .getMessage(),
                 "leaving: found node 5 twice; allowed: once");
     }
 
-    /** Guards against a stale leader's table taking back what counts, and two tables of one number. */
+    /**
+     * Guards against a stale leader's table taking back what counts, and two tables of one number.
+     */
     @Test
     public void numbersOnlyRise() {
         Random random = new Random(SEED);
@@ -148,7 +187,9 @@
         assertEquals(tables.current().number(), 9);
     }
 
-    /** Guards against a change that is missed: a node that stays out, a share or a limit that stays. */
+    /**
+     * Guards against a change that is missed: a node that stays out, a share or a limit that stays.
+     */
     @Test
     public void theDifferenceAppliedGivesTheNext() {
         Random random = new Random(SEED);
@@ -157,22 +198,50 @@
             RouteTable after = any(random, i + 1);
             TableDifference change = TableDifference.between(before, after);
             Set<Leaving> leaving = new HashSet<>(before.leaving());
-            leaving.removeIf(one -> change.back().contains(one.node())
-                    || change.leaving().stream().anyMatch(next -> next.node() == one.node()));
+            leaving.removeIf(
+                    one ->
+                            change.back().contains(one.node())
+                                    || change.leaving().stream()
+                                            .anyMatch(next -> next.node() == one.node()));
             leaving.addAll(change.leaving());
             assertEquals(leaving, new HashSet<>(after.leaving()));
             Set<Share> shares = new HashSet<>(before.shares());
-            shares.removeIf(one -> change.endedShares().contains(TableDifference.Pair.of(one))
-                    || change.shares().stream().anyMatch(next -> next.from() == one.from()
-                    && next.to() == one.to()));
+            shares.removeIf(
+                    one ->
+                            change.endedShares().contains(TableDifference.Pair.of(one))
+                                    || change.shares().stream()
+                                            .anyMatch(
+                                                    next ->
+                                                            next.from() == one.from()
+                                                                    && next.to() == one.to()));
             shares.addAll(change.shares());
             assertEquals(shares, new HashSet<>(after.shares()));
             assertFalse(change.nothing());
         }
         RouteTable table = any(random, 3);
-        assertTrue(TableDifference.between(table, new RouteTable(4, 0, 2, 9, table.shares(), table.leaving(),
-                table.limits())).nothing());
-        assertFalse(TableDifference.between(table, new RouteTable(4, 0, 2, 9, List.of(), List.of(),
-                List.of(new Limit(200, 1)))).nothing());
+        assertTrue(
+                TableDifference.between(
+                                table,
+                                new RouteTable(
+                                        4,
+                                        0,
+                                        2,
+                                        9,
+                                        table.shares(),
+                                        table.leaving(),
+                                        table.limits()))
+                        .nothing());
+        assertFalse(
+                TableDifference.between(
+                                table,
+                                new RouteTable(
+                                        4,
+                                        0,
+                                        2,
+                                        9,
+                                        List.of(),
+                                        List.of(),
+                                        List.of(new Limit(200, 1))))
+                        .nothing());
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
@@ -27,11 +27,21 @@
     TogetherSettings read(Table table) {
         AgreementSettings usual = AgreementSettings.DEFAULT;
         long beat = Units.millis(table, "heartbeat_ms", LEAST_BEAT, MOST_BEAT, usual.heartbeat());
-        long least = Units.millis(table, "election_least_ms", LEAST_BEAT, MOST_TIME, usual.electionLeast());
+        long least =
+                Units.millis(
+                        table, "election_least_ms", LEAST_BEAT, MOST_TIME, usual.electionLeast());
         if (least < BEATS * beat && table.sound("heartbeat_ms", "election_least_ms")) {
-            wrong(table, "election_least_ms", least, "heartbeat_ms", beat, "three times that or more");
+            wrong(
+                    table,
+                    "election_least_ms",
+                    least,
+                    "heartbeat_ms",
+                    beat,
+                    "three times that or more");
         }
-        long most = Units.millis(table, "election_most_ms", LEAST_BEAT, MOST_TIME, usual.electionMost());
+        long most =
+                Units.millis(
+                        table, "election_most_ms", LEAST_BEAT, MOST_TIME, usual.electionMost());
         if (most <= least && table.sound("election_least_ms", "election_most_ms")) {
             wrong(table, "election_most_ms", most, "election_least_ms", least, "more than that");
         }
@@ -39,32 +49,64 @@
         if (voters % 2 == 0) {
             table.problem("voters", Integer.toString(voters), "3, 5, 7");
         }
-        long patience = Units.millis(table, "voter_patience_ms", LEAST_BEAT, MOST_TIME,
-                usual.voterPatience());
+        long patience =
+                Units.millis(
+                        table, "voter_patience_ms", LEAST_BEAT, MOST_TIME, usual.voterPatience());
         if (patience <= most && table.sound("election_most_ms", "voter_patience_ms")) {
             wrong(table, "voter_patience_ms", patience, "election_most_ms", most, "more than that");
         }
         long silence = Units.millis(table, "silence_ms", 0, MOST_TIME, usual.silence());
         if (silence > 0 && silence <= patience && table.sound("voter_patience_ms", "silence_ms")) {
-            wrong(table, "silence_ms", silence, "voter_patience_ms", patience, "0, or more than that");
+            wrong(
+                    table,
+                    "silence_ms",
+                    silence,
+                    "voter_patience_ms",
+                    patience,
+                    "0, or more than that");
         }
-        long period = Units.millis(table, "plan_ms", LEAST_PLAN, MOST_TIME, FleetSettings.DEFAULT.period());
-        long lease = Units.millis(table, "lease_ms", LEAST_PLAN, MOST_TIME, FleetSettings.DEFAULT.lease());
+        long period =
+                Units.millis(
+                        table, "plan_ms", LEAST_PLAN, MOST_TIME, FleetSettings.DEFAULT.period());
+        long lease =
+                Units.millis(
+                        table, "lease_ms", LEAST_PLAN, MOST_TIME, FleetSettings.DEFAULT.lease());
         if (lease < REPORTS * period && table.sound("plan_ms", "lease_ms")) {
             wrong(table, "lease_ms", lease, "plan_ms", period, "four times that or more");
         }
         List<String> zones = table.texts("zones");
         String folder = table.text("folder", "");
-        boolean sound = table.sound("heartbeat_ms", "election_least_ms", "election_most_ms", "voters",
-                "voter_patience_ms", "silence_ms", "plan_ms", "lease_ms");
-        return new TogetherSettings(sound ? new AgreementSettings(beat, least, most, voters, patience,
-                usual.spreadPeriod(), usual.fanout(), usual.bytesPerSecond(), usual.keptEntries(), silence)
-                : usual, sound ? new FleetSettings(period, lease) : FleetSettings.DEFAULT, zones,
+        boolean sound =
+                table.sound(
+                        "heartbeat_ms",
+                        "election_least_ms",
+                        "election_most_ms",
+                        "voters",
+                        "voter_patience_ms",
+                        "silence_ms",
+                        "plan_ms",
+                        "lease_ms");
+        return new TogetherSettings(
+                sound
+                        ? new AgreementSettings(
+                                beat,
+                                least,
+                                most,
+                                voters,
+                                patience,
+                                usual.spreadPeriod(),
+                                usual.fanout(),
+                                usual.bytesPerSecond(),
+                                usual.keptEntries(),
+                                silence)
+                        : usual,
+                sound ? new FleetSettings(period, lease) : FleetSettings.DEFAULT,
+                zones,
                 folder.isEmpty() ? null : Path.of(folder));
     }
 
-    private static void wrong(Table table, String key, long found, String other, long with,
-            String allowed) {
+    private static void wrong(
+            Table table, String key, long found, String other, long with, String allowed) {
         table.problem(key, found / MILLI + " with " + other + " = " + with / MILLI, allowed);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
@@ -4,7 +4,9 @@
 import cedarrudder.budget.HopPath;
 import cedarrudder.toml.Table;
 
-/** The table {@code [budget]}: budgets of time and attempts across tiers. Absent, there are none. */
+/**
+ * The table {@code [budget]}: budgets of time and attempts across tiers. Absent, there are none.
+ */
 public final class BudgetTable extends Section<BudgetSettings> {
 
     public static final BudgetTable BUDGET = new BudgetTable();
@@ -25,34 +27,50 @@
     @Override
     public BudgetSettings read(Table table) {
         BudgetSettings usual = BudgetSettings.of("");
-        BudgetSettings read = new BudgetSettings(table.text("hop", ""),
-                (int) table.whole("tries", 0, MOST_TRIES, usual.tries()),
-                (int) table.whole("tries_without_fields", 0, MOST_TRIES, usual.triesWithoutFields()),
-                (int) table.whole("keep_tries", 0, MOST_TRIES, usual.keep()),
-                table.number("retry_share", 0, 1, usual.share()),
-                table.number("retry_least_per_s", 0, MOST_PER_SECOND, usual.leastPerSecond()),
-                Units.millis(table, "window_ms", LEAST_WINDOW, MOST_WINDOW, usual.window()),
-                (int) table.whole("path_most", LEAST_PATH, MOST_PATH, usual.mostHops()),
-                table.number("let_in_least", LEAST_LET_IN, 1, usual.leastAdmitted()));
+        BudgetSettings read =
+                new BudgetSettings(
+                        table.text("hop", ""),
+                        (int) table.whole("tries", 0, MOST_TRIES, usual.tries()),
+                        (int)
+                                table.whole(
+                                        "tries_without_fields",
+                                        0,
+                                        MOST_TRIES,
+                                        usual.triesWithoutFields()),
+                        (int) table.whole("keep_tries", 0, MOST_TRIES, usual.keep()),
+                        table.number("retry_share", 0, 1, usual.share()),
+                        table.number(
+                                "retry_least_per_s", 0, MOST_PER_SECOND, usual.leastPerSecond()),
+                        Units.millis(table, "window_ms", LEAST_WINDOW, MOST_WINDOW, usual.window()),
+                        (int) table.whole("path_most", LEAST_PATH, MOST_PATH, usual.mostHops()),
+                        table.number("let_in_least", LEAST_LET_IN, 1, usual.leastAdmitted()));
         check(table, read);
         return read;
     }
 
     private static void check(Table table, BudgetSettings read) {
         if (!read.hop().isEmpty() && !HopPath.isHop(read.hop())) {
-            table.problem("hop", '"' + read.hop() + '"',
+            table.problem(
+                    "hop",
+                    '"' + read.hop() + '"',
                     "1 to 32 letters, digits, dots, dashes, underscores");
         }
         if (read.triesWithoutFields() > read.tries()) {
-            table.problem("tries_without_fields", read.triesWithoutFields() + " with tries = " + read.tries(),
+            table.problem(
+                    "tries_without_fields",
+                    read.triesWithoutFields() + " with tries = " + read.tries(),
                     "no more than tries, which a call with fields gets");
         }
         if (read.keep() > read.tries()) {
-            table.problem("keep_tries", read.keep() + " with tries = " + read.tries(),
+            table.problem(
+                    "keep_tries",
+                    read.keep() + " with tries = " + read.tries(),
                     "no more than tries, of which they are kept");
         }
         if (read.tries() > 0 && read.share() == 0 && read.leastPerSecond() == 0) {
-            table.problem("tries", read.tries() + " with retry_share = 0 and retry_least_per_s = 0",
+            table.problem(
+                    "tries",
+                    read.tries() + " with retry_share = 0 and retry_least_per_s = 0",
                     "0, since these allow no further attempt");
         }
     }
--- a/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
+++ b/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
@@ -10,8 +10,8 @@
 import java.net.URLClassLoader;
 
 /**
- * The reader of conditions, in a jar of its own beside the program's. Guards against a start that reads the
- * list of its thousands of files where no policy has a condition.
+ * The reader of conditions, in a jar of its own beside the program's. Guards against a start that
+ * reads the list of its thousands of files where no policy has a condition.
  */
 final class ConditionsJar implements Conditions {
 
@@ -23,20 +23,30 @@
     private Conditions open() {
         if (opened == null) {
             try {
-                URI own = ConditionsJar.class.getProtectionDomain().getCodeSource().getLocation().toURI();
+                URI own =
+                        ConditionsJar.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .toURI();
                 File jar = new File(new File(own).getParentFile(), NAME);
                 if (!jar.isFile()) {
-                    throw new BadConditionException("no " + NAME + " beside the program's jar", "that file, "
-                            + "which reads conditions");
+                    throw new BadConditionException(
+                            "no " + NAME + " beside the program's jar",
+                            "that file, " + "which reads conditions");
                 }
                 // It stays open for as long as the program runs, as its classes are read from it.
                 @SuppressWarnings("resource")
-                URLClassLoader loader = new URLClassLoader(new URL[] {jar.toURI().toURL()},
-                        ConditionsJar.class.getClassLoader());
-                opened = (Conditions) loader.loadClass(CLASS).getDeclaredConstructor().newInstance();
+                URLClassLoader loader =
+                        new URLClassLoader(
+                                new URL[] {jar.toURI().toURL()},
+                                ConditionsJar.class.getClassLoader());
+                opened =
+                        (Conditions) loader.loadClass(CLASS).getDeclaredConstructor().newInstance();
             } catch (URISyntaxException | IOException | ReflectiveOperationException e) {
-                throw new BadConditionException("a " + NAME + " that can't be opened (" + e + ")", "the one "
-                        + "that was built with the program");
+                throw new BadConditionException(
+                        "a " + NAME + " that can't be opened (" + e + ")",
+                        "the one " + "that was built with the program");
             }
         }
         return opened;
--- a/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
@@ -8,7 +8,9 @@
 
     public static final DiscoveryTable DISCOVERY = new DiscoveryTable();
 
-    /** Discovery says something every 2 s; a shorter patience would lose every watch that stands. */
+    /**
+     * Discovery says something every 2 s; a shorter patience would lose every watch that stands.
+     */
     private static final int LEAST_WATCH = 2_500;
 
     private DiscoveryTable() {
--- a/daemon/src/main/java/cedarrudder/operator/DrainsFile.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsFile.java
@@ -10,6 +10,8 @@
  *
  * @param revision the highest of all copies' counts for all
  * @param both the pairs of policies that are for some node both
- * @param conditions what reads the conditions of these policies, and of those that other copies have
+ * @param conditions what reads the conditions of these policies, and of those that other copies
+ *     have
  */
-public record DrainsFile(long revision, List<Policy> policies, List<Both> both, Conditions conditions) { }
+public record DrainsFile(
+        long revision, List<Policy> policies, List<Both> both, Conditions conditions) {}
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -21,7 +21,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the table {@code [drains]}. A class of its own, so that none of drainage is loaded without it. */
+/**
+ * Reads the table {@code [drains]}. A class of its own, so that none of drainage is loaded without
+ * it.
+ */
 final class DrainsReader {
 
     private static final long MILLI = 1_000_000;
@@ -30,11 +33,13 @@
     private static final double MOST_WEIGHT = 1_000_000;
     private static final long USUAL_TIME = 60_000 * MILLI;
     private static final int MOST_FLEET = 4_096;
-    private static final List<String> DAYS = List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun");
-    private static final List<String> BOUNDS = List.of("out_per_pod", "out_per_zone", "out_per_tier", "left");
+    private static final List<String> DAYS =
+            List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun");
+    private static final List<String> BOUNDS =
+            List.of("out_per_pod", "out_per_zone", "out_per_tier", "left");
     private static final String LEFT = "left.";
 
-    private DrainsReader() { }
+    private DrainsReader() {}
 
     static DrainsFile read(Table table) {
         Conditions conditions = new ConditionsJar();
@@ -42,8 +47,10 @@
         Fleet fleet = fleet(table.table("fleet"));
         List<Table> tables = table.tables("policy");
         if (tables.isEmpty() && table.sound("policy") || tables.size() > Policy.MOST_POLICIES) {
-            table.problem("policy", tables.size() + " policies", "1 to " + Policy.MOST_POLICIES
-                    + " tables written [[drains.policy]]");
+            table.problem(
+                    "policy",
+                    tables.size() + " policies",
+                    "1 to " + Policy.MOST_POLICIES + " tables written [[drains.policy]]");
         }
         List<Policy> policies = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -55,23 +62,32 @@
                 continue;
             }
             if (!names.add(policy.name())) {
-                each.problem("name", "\"" + policy.name() + "\" twice", "a name of its own for each policy");
+                each.problem(
+                        "name",
+                        "\"" + policy.name() + "\" twice",
+                        "a name of its own for each policy");
                 sound = false;
             }
             policies.add(policy);
         }
-        PolicyCheck.Result result = sound && policies.size() <= Policy.MOST_POLICIES
-                ? PolicyCheck.check(policies, conditions, fleet)
-                : new PolicyCheck.Result(List.of(), List.of());
+        PolicyCheck.Result result =
+                sound && policies.size() <= Policy.MOST_POLICIES
+                        ? PolicyCheck.check(policies, conditions, fleet)
+                        : new PolicyCheck.Result(List.of(), List.of());
         for (Finding finding : result.findings()) {
             Table of = tables.get(finding.policy());
             boolean left = finding.key().startsWith(LEFT);
-            (left ? of.tableOrEmpty("left") : of).problem(left ? finding.key().substring(LEFT.length())
-                    : finding.key(), finding.found(), finding.allowed());
+            (left ? of.tableOrEmpty("left") : of)
+                    .problem(
+                            left ? finding.key().substring(LEFT.length()) : finding.key(),
+                            finding.found(),
+                            finding.allowed());
         }
         int bytes = PolicyCodec.encode(policies).length;
         if (bytes > PolicyCodec.MOST_BYTES) {
-            table.problem("policy", "policies of " + bytes + " bytes as copies tell them",
+            table.problem(
+                    "policy",
+                    "policies of " + bytes + " bytes as copies tell them",
                     "up to " + PolicyCodec.MOST_BYTES);
         }
         return new DrainsFile(revision, policies, result.both(), conditions);
@@ -107,7 +123,8 @@
         Most perTier = faults.most("out_per_tier");
         Left left = faults.left();
         if (BOUNDS.stream().noneMatch(table::has)) {
-            faults.problem("out_per_tier", "no bound", "one at least of " + String.join(", ", BOUNDS));
+            faults.problem(
+                    "out_per_tier", "no bound", "one at least of " + String.join(", ", BOUNDS));
         }
         Order order = table.choice("order", Order.class, Order.AS_ASKED);
         int wave = (int) table.whole("wave", 1, Policy.MOST_NODES, Policy.MOST_NODES);
@@ -116,27 +133,54 @@
         String pauseIf = faults.text("pause_if", "");
         String goOnIf = faults.text("go_on_if", "");
         String giveBackIf = faults.text("give_back_if", "");
-        long time = Units.millis(table, "node_ms", Policy.LEAST_TIME / MILLI, Policy.MOST_TIME / MILLI,
-                USUAL_TIME);
+        long time =
+                Units.millis(
+                        table,
+                        "node_ms",
+                        Policy.LEAST_TIME / MILLI,
+                        Policy.MOST_TIME / MILLI,
+                        USUAL_TIME);
         AtEnd atEnd = table.choice("at_end", AtEnd.class, AtEnd.KEEP_WAITING);
         Restarted restarted = table.choice("restarted", Restarted.class, Restarted.BACK);
         List<Window> closed = faults.windows();
         if (!where.isEmpty()) {
             faults.condition("where", () -> conditions.node(where));
         }
-        for (String[] each : new String[][] {{"pause_if", pauseIf}, {"go_on_if", goOnIf},
-                {"give_back_if", giveBackIf}}) {
+        for (String[] each :
+                new String[][] {
+                    {"pause_if", pauseIf}, {"go_on_if", goOnIf}, {"give_back_if", giveBackIf}
+                }) {
             if (!each[1].isEmpty()) {
                 faults.condition(each[0], () -> conditions.figures(each[1]));
             }
         }
         table.done();
-        return !faults.sound ? null : new Policy(name, new Whom(tier, zone, pod, kind, weight[0], weight[1],
-                where), perPod, perZone, perTier, left, order, wave, pace, died, pauseIf, goOnIf, giveBackIf,
-                time, atEnd, restarted, closed);
+        return !faults.sound
+                ? null
+                : new Policy(
+                        name,
+                        new Whom(tier, zone, pod, kind, weight[0], weight[1], where),
+                        perPod,
+                        perZone,
+                        perTier,
+                        left,
+                        order,
+                        wave,
+                        pace,
+                        died,
+                        pauseIf,
+                        goOnIf,
+                        giveBackIf,
+                        time,
+                        atEnd,
+                        restarted,
+                        closed);
     }
 
-    /** Reads parts of a policy, and keeps in mind whether one was wrong so that no policy comes of it. */
+    /**
+     * Reads parts of a policy, and keeps in mind whether one was wrong so that no policy comes of
+     * it.
+     */
     private static final class Faults {
         private final Table table;
         private boolean sound = true;
@@ -153,7 +197,8 @@
         String text(String key, String otherwise) {
             String text = table.text(key, otherwise);
             sound &= table.sound(key);
-            if (text.length() > Policy.MOST_TEXT || text.isEmpty() && otherwise == null && table.sound(key)) {
+            if (text.length() > Policy.MOST_TEXT
+                    || text.isEmpty() && otherwise == null && table.sound(key)) {
                 problem(key, text.length() + " characters", "1 to " + Policy.MOST_TEXT);
             }
             return text;
@@ -180,9 +225,12 @@
                 sound &= table.sound("left");
                 return Left.NOTHING;
             }
-            Left all = new Left((int) left.whole("per_pod", 0, Policy.MOST_NODES, 0),
-                    (int) left.whole("per_zone", 0, Policy.MOST_NODES, 0),
-                    (int) left.whole("per_tier", 0, Policy.MOST_NODES, 0), left.number("weight", 0, 1, 0));
+            Left all =
+                    new Left(
+                            (int) left.whole("per_pod", 0, Policy.MOST_NODES, 0),
+                            (int) left.whole("per_zone", 0, Policy.MOST_NODES, 0),
+                            (int) left.whole("per_tier", 0, Policy.MOST_NODES, 0),
+                            left.number("weight", 0, 1, 0));
             left.done();
             return all;
         }
--- a/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
@@ -7,7 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The table {@code [failover]}: when zones serve one another's callers. Absent, copies decide alone. */
+/**
+ * The table {@code [failover]}: when zones serve one another's callers. Absent, copies decide
+ * alone.
+ */
 public final class FailoverTable extends Section<FailoverSettings> {
 
     public static final FailoverTable FAILOVER = new FailoverTable();
@@ -33,42 +36,74 @@
         FailoverSettings usual = FailoverSettings.DEFAULT;
         Regions regions = regions(table);
         long period = Units.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
-        long age = Units.millis(table, "evidence_age_ms", 2 * LEAST_PERIOD, MOST_TIME, usual.evidenceAge());
+        long age =
+                Units.millis(
+                        table, "evidence_age_ms", 2 * LEAST_PERIOD, MOST_TIME, usual.evidenceAge());
         if (age < 2 * period) {
-            table.problem("evidence_age_ms", age / NANOS_A_MILLI + " with period_ms = "
-                    + period / NANOS_A_MILLI, "two periods or more");
+            table.problem(
+                    "evidence_age_ms",
+                    age / NANOS_A_MILLI + " with period_ms = " + period / NANOS_A_MILLI,
+                    "two periods or more");
             age = 2 * period;
         }
-        long hold = Units.millis(table, "return_hold_ms", LEAST_PERIOD, MOST_TIME, usual.returnHold());
+        long hold =
+                Units.millis(table, "return_hold_ms", LEAST_PERIOD, MOST_TIME, usual.returnHold());
         if (hold <= period) {
-            table.problem("return_hold_ms", hold / NANOS_A_MILLI + " with period_ms = "
-                    + period / NANOS_A_MILLI, "more than the period");
+            table.problem(
+                    "return_hold_ms",
+                    hold / NANOS_A_MILLI + " with period_ms = " + period / NANOS_A_MILLI,
+                    "more than the period");
             hold = 2 * period;
         }
-        long most = Units.millis(table, "return_hold_most_ms", LEAST_PERIOD, MOST_TIME,
-                usual.returnHoldMost());
+        long most =
+                Units.millis(
+                        table,
+                        "return_hold_most_ms",
+                        LEAST_PERIOD,
+                        MOST_TIME,
+                        usual.returnHoldMost());
         if (most < hold) {
-            table.problem("return_hold_most_ms", most / NANOS_A_MILLI + " with return_hold_ms = "
-                    + hold / NANOS_A_MILLI, "no less than return_hold_ms");
+            table.problem(
+                    "return_hold_most_ms",
+                    most / NANOS_A_MILLI + " with return_hold_ms = " + hold / NANOS_A_MILLI,
+                    "no less than return_hold_ms");
             most = hold;
         }
-        return new FailoverSettings(regions, table.texts("leave"), period, age,
+        return new FailoverSettings(
+                regions,
+                table.texts("leave"),
+                period,
+                age,
                 (int) table.whole("least_copies", 1, MOST_COPIES, usual.leastCopies()),
                 table.number("bad_share", LEAST_SHARE, MOST_BAD, usual.badShare()),
                 table.number("target_share", LEAST_PART, 1, usual.targetShare()),
                 table.number("near_share", LEAST_PART, 1, usual.nearShare()),
                 Units.millis(table, "loss_hold_ms", 0, MOST_TIME, usual.lossHold()),
-                table.number("return_step", LEAST_SHARE, 1, usual.returnStep()), hold, most,
-                (int) table.whole("moves_per_minute", LEAST_MOVES, MOST_MOVES, usual.movesPerMinute()),
+                table.number("return_step", LEAST_SHARE, 1, usual.returnStep()),
+                hold,
+                most,
+                (int)
+                        table.whole(
+                                "moves_per_minute",
+                                LEAST_MOVES,
+                                MOST_MOVES,
+                                usual.movesPerMinute()),
                 table.number("watch_share", 0, MOST_WATCH, usual.watchShare()));
     }
 
-    /** What contradicts itself is reported where it stands; whether the zones exist is known at the start. */
+    /**
+     * What contradicts itself is reported where it stands; whether the zones exist is known at the
+     * start.
+     */
     private static Regions regions(Table table) {
         List<Table> entries = table.tables("region");
         List<Region> read = new ArrayList<>();
         for (Table entry : entries) {
-            read.add(new Region(entry.text("name", null), entry.texts("zones"), entry.texts("nearest")));
+            read.add(
+                    new Region(
+                            entry.text("name", null),
+                            entry.texts("zones"),
+                            entry.texts("nearest")));
         }
         Regions regions = new Regions(read);
         boolean sound = true;
--- a/daemon/src/main/java/cedarrudder/operator/FootprintSettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintSettings.java
@@ -9,5 +9,6 @@
  */
 public record FootprintSettings(double heapShare, int fromNodes, long again) {
 
-    public static final FootprintSettings DEFAULT = new FootprintSettings(0.5, 1_000, 30_000_000_000L);
+    public static final FootprintSettings DEFAULT =
+            new FootprintSettings(0.5, 1_000, 30_000_000_000L);
 }
--- a/daemon/src/main/java/cedarrudder/operator/HistorySettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistorySettings.java
@@ -9,4 +9,4 @@
  * @param clockOffset the machine's clock is taken to be so much further than it is; milliseconds
  * @param clockDrift time passes for this copy so much faster than it does; millionths
  */
-public record HistorySettings(Path file, long clockOffset, int clockDrift) { }
+public record HistorySettings(Path file, long clockOffset, int clockDrift) {}
--- a/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
@@ -3,7 +3,9 @@
 import cedarrudder.toml.Table;
 import java.nio.file.Path;
 
-/** The table {@code [history]}: what a copy did, written for a judge. Absent, nothing is written. */
+/**
+ * The table {@code [history]}: what a copy did, written for a judge. Absent, nothing is written.
+ */
 public final class HistoryTable extends Section<HistorySettings> {
 
     public static final HistoryTable HISTORY = new HistoryTable();
@@ -24,7 +26,8 @@
         if (file.isEmpty() && table.sound("file")) {
             table.problem("file", "\"\"", "the name of a file");
         }
-        return new HistorySettings(Path.of(file),
+        return new HistorySettings(
+                Path.of(file),
                 table.whole("clock_offset_ms", -MOST_OFFSET, MOST_OFFSET, 0),
                 (int) table.whole("clock_drift_ppm", -MOST_DRIFT, MOST_DRIFT, 0));
     }
--- a/daemon/src/main/java/cedarrudder/operator/Log.java
+++ b/daemon/src/main/java/cedarrudder/operator/Log.java
@@ -6,7 +6,10 @@
 public record Log(Form form, LogSettings settings) {
 
     /** The form of a line. */
-    public enum Form { TEXT, JSON }
+    public enum Form {
+        TEXT,
+        JSON
+    }
 
     /** What counts where nothing is set. */
     public static final Log DEFAULT = new Log(Form.TEXT, LogSettings.DEFAULT);
--- a/daemon/src/main/java/cedarrudder/operator/LogTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/LogTable.java
@@ -20,9 +20,13 @@
     @Override
     Log read(Table table) {
         LogSettings usual = LogSettings.DEFAULT;
-        return new Log(table.choice("format", Log.Form.class, Log.DEFAULT.form()),
-                new LogSettings(table.choice("level", Level.class, usual.level()),
+        return new Log(
+                table.choice("format", Log.Form.class, Log.DEFAULT.form()),
+                new LogSettings(
+                        table.choice("level", Level.class, usual.level()),
                         (int) table.whole("lines_per_s", 0, MOST_LINES, usual.linesPerSecond()),
-                        (int) table.whole("line_chars", LEAST_CHARS, MOST_CHARS, usual.lineChars())));
+                        (int)
+                                table.whole(
+                                        "line_chars", LEAST_CHARS, MOST_CHARS, usual.lineChars())));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -28,16 +28,25 @@
     MembershipSettings read(Table table) {
         MembershipSettings usual = MembershipSettings.DEFAULT;
         long period = Units.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
-        long patience = Units.millis(table, "ack_patience_ms", LEAST_PATIENCE, MOST_PERIOD,
-                usual.ackPatience());
+        long patience =
+                Units.millis(
+                        table, "ack_patience_ms", LEAST_PATIENCE, MOST_PERIOD, usual.ackPatience());
         if (patience >= period) {
-            table.problem("ack_patience_ms", patience / 1_000_000 + " with period_ms = " + period / 1_000_000,
+            table.problem(
+                    "ack_patience_ms",
+                    patience / 1_000_000 + " with period_ms = " + period / 1_000_000,
                     "less than the period, in which others ask too");
             patience = period / 2;
         }
-        return new MembershipSettings(period, patience,
+        return new MembershipSettings(
+                period,
+                patience,
                 (int) table.whole("helpers", 0, MOST_HELPERS, usual.helpers()),
-                table.number("suspicion_periods", LEAST_SUSPICION, MOST_SUSPICION, usual.suspicionLeast()),
+                table.number(
+                        "suspicion_periods",
+                        LEAST_SUSPICION,
+                        MOST_SUSPICION,
+                        usual.suspicionLeast()),
                 table.number("suspicion_stretch", 1, MOST_STRETCH, usual.suspicionMost()),
                 (int) table.whole("confirmations", 1, MOST_CONFIRMATIONS, usual.confirmations()),
                 (int) table.whole("spread", 1, MOST_SPREAD, usual.spread()),
--- a/daemon/src/main/java/cedarrudder/operator/Operator.java
+++ b/daemon/src/main/java/cedarrudder/operator/Operator.java
@@ -29,9 +29,17 @@
 
     /** All tables that a file may have. */
     private static List<Section<?>> sections() {
-        return List.of(LogTable.LOG, CallersTable.CALLERS, NodesTable.NODES, DiscoveryTable.DISCOVERY,
-                BudgetTable.BUDGET, MembershipTable.MEMBERSHIP, HistoryTable.HISTORY,
-                FootprintTable.FOOTPRINT, AgreementTable.AGREEMENT, DrainsTable.DRAINS,
+        return List.of(
+                LogTable.LOG,
+                CallersTable.CALLERS,
+                NodesTable.NODES,
+                DiscoveryTable.DISCOVERY,
+                BudgetTable.BUDGET,
+                MembershipTable.MEMBERSHIP,
+                HistoryTable.HISTORY,
+                FootprintTable.FOOTPRINT,
+                AgreementTable.AGREEMENT,
+                DrainsTable.DRAINS,
                 FailoverTable.FAILOVER);
     }
 
@@ -67,17 +75,23 @@
         }
         if (values.containsKey(AgreementTable.AGREEMENT.name())
                 && !values.containsKey(MembershipTable.MEMBERSHIP.name())) {
-            root.problem(AgreementTable.AGREEMENT.name(), "no [membership]",
+            root.problem(
+                    AgreementTable.AGREEMENT.name(),
+                    "no [membership]",
                     "a table [membership] beside it, as copies have to know who lives");
         }
         if (values.containsKey(DrainsTable.DRAINS.name())
                 && !values.containsKey(AgreementTable.AGREEMENT.name())) {
-            root.problem(DrainsTable.DRAINS.name(), "no [agreement]",
+            root.problem(
+                    DrainsTable.DRAINS.name(),
+                    "no [agreement]",
                     "a table [agreement] beside it, as copies have to agree on who leaves");
         }
         if (values.containsKey(FailoverTable.FAILOVER.name())
                 && !values.containsKey(AgreementTable.AGREEMENT.name())) {
-            root.problem(FailoverTable.FAILOVER.name(), "no [agreement]",
+            root.problem(
+                    FailoverTable.FAILOVER.name(),
+                    "no [agreement]",
                     "a table [agreement] beside it, as copies have to agree on where calls go");
         }
         root.done();
@@ -85,15 +99,22 @@
         return operator;
     }
 
-    /** Guards against callers and nodes together taking what discovery and the process itself need. */
+    /**
+     * Guards against callers and nodes together taking what discovery and the process itself need.
+     */
     private void checkShares(Table root) {
         double callers = of(CallersTable.CALLERS).descriptorsShare();
         double nodes = of(NodesTable.NODES).descriptorsShare();
         if (callers + nodes > Units.MOST_SHARES + ROUNDING) {
-            String where = values.containsKey(NodesTable.NODES.name()) ? NodesTable.NODES.name()
-                    : CallersTable.CALLERS.name();
-            root.table(where).problem(Units.SHARE, callers + " of [callers] and " + nodes
-                    + " of [nodes]", Units.MOST_SHARES + " for both together");
+            String where =
+                    values.containsKey(NodesTable.NODES.name())
+                            ? NodesTable.NODES.name()
+                            : CallersTable.CALLERS.name();
+            root.table(where)
+                    .problem(
+                            Units.SHARE,
+                            callers + " of [callers] and " + nodes + " of [nodes]",
+                            Units.MOST_SHARES + " for both together");
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/operator/Section.java
+++ b/daemon/src/main/java/cedarrudder/operator/Section.java
@@ -3,8 +3,8 @@
 import cedarrudder.toml.Table;
 
 /**
- * One table of the operator's file and its reader. A feature that is set there adds a class of this kind and
- * names it in {@link Operator}.
+ * One table of the operator's file and its reader. A feature that is set there adds a class of this
+ * kind and names it in {@link Operator}.
  *
  * @param <T> what the table says, as the feature takes it; immutable
  */
@@ -16,8 +16,8 @@
 
     /**
      * @param name the table's name
-     * @param absent what counts where the file has no such table: the feature is off, or as it was before
-     * there was a table
+     * @param absent what counts where the file has no such table: the feature is off, or as it was
+     *     before there was a table
      */
     Section(String name, Class<T> type, T absent) {
         this.name = name;
--- a/daemon/src/main/java/cedarrudder/operator/TogetherSettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/TogetherSettings.java
@@ -8,11 +8,12 @@
 /**
  * What copies decide together, and how.
  *
- * @param zones the zone of each copy by its number, as the settings name it; empty where there is one zone
+ * @param zones the zone of each copy by its number, as the settings name it; empty where there is
+ *     one zone
  * @param folder where this copy keeps what it must not forget, or null where it may forget
  */
-public record TogetherSettings(AgreementSettings agreement, FleetSettings fleet, List<String> zones,
-        Path folder) {
+public record TogetherSettings(
+        AgreementSettings agreement, FleetSettings fleet, List<String> zones, Path folder) {
     public TogetherSettings {
         zones = List.copyOf(zones);
     }
--- a/daemon/src/main/java/cedarrudder/operator/Units.java
+++ b/daemon/src/main/java/cedarrudder/operator/Units.java
@@ -13,10 +13,13 @@
 
     static final String SHARE = "descriptors_share";
 
-    /** What callers and channels to nodes may have together; discovery and the process's files need some. */
+    /**
+     * What callers and channels to nodes may have together; discovery and the process's files need
+     * some.
+     */
     static final double MOST_SHARES = 0.9;
 
-    private Units() { }
+    private Units() {}
 
     /** A time in whole milliseconds; in nanoseconds from here on. */
     static long millis(Table table, String key, long least, long most, long otherwiseNanos) {
--- a/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
@@ -13,18 +13,26 @@
 import picocli.CommandLine.Spec;
 
 /** {@code adapter}: the daemon's decisions on the simulator's wire, standard input and output. */
-@Command(name = "adapter", description = "Hosts the decisions on the simulator's wire, on standard input and "
-        + "output.")
+@Command(
+        name = "adapter",
+        description =
+                "Hosts the decisions on the simulator's wire, on standard input and " + "output.")
 final class AdapterCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--set", paramLabel = "NAME=VALUE", description = "Gives one figure of the decisions "
-            + "another value, such as max-age-ms=1500. It may be given again.")
+    @Option(
+            names = "--set",
+            paramLabel = "NAME=VALUE",
+            description =
+                    "Gives one figure of the decisions "
+                            + "another value, such as max-age-ms=1500. It may be given again.")
     private List<String> figures = new ArrayList<>();
 
-    @Option(names = {"-h", "--help"}, usageHelp = true, description = "Says this.")
+    @Option(
+            names = {"-h", "--help"},
+            usageHelp = true,
+            description = "Says this.")
     private boolean help;
 
     @Override
--- a/daemon/src/main/java/cedarrudder/program/BudgetLog.java
+++ b/daemon/src/main/java/cedarrudder/program/BudgetLog.java
@@ -14,9 +14,13 @@
 
     @Override
     public void minute(Minute figures) {
-        log.info("budget.minute").with("requests", figures.requests())
+        log.info("budget.minute")
+                .with("requests", figures.requests())
                 .with("denied_by_tree", figures.deniedByTree())
-                .with("denied_by_share", figures.deniedByShare()).with("overload", figures.overload())
-                .with("no_time", figures.noTime()).with("let_in_percent", figures.letInPercent()).write();
+                .with("denied_by_share", figures.deniedByShare())
+                .with("overload", figures.overload())
+                .with("no_time", figures.noTime())
+                .with("let_in_percent", figures.letInPercent())
+                .write();
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/CheckCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/CheckCommand.java
@@ -21,42 +21,62 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code check}: what is wrong with the operator's files, and what does not fit, with nothing started. */
-@Command(name = "check", description = "Finds all that is wrong with operator's files and starts nothing. "
-        + "Each problem is one line on standard output: file and line, key, what was found, what is allowed. "
-        + "With --list tells what a list of nodes takes of a process with the given limits. "
-        + "Exit code 1 where something is wrong or does not fit.")
+/**
+ * {@code check}: what is wrong with the operator's files, and what does not fit, with nothing
+ * started.
+ */
+@Command(
+        name = "check",
+        description =
+                "Finds all that is wrong with operator's files and starts nothing. Each problem is"
+                    + " one line on standard output: file and line, key, what was found, what is"
+                    + " allowed. With --list tells what a list of nodes takes of a process with the"
+                    + " given limits. Exit code 1 where something is wrong or does not fit.")
 final class CheckCommand implements Callable<Integer> {
 
     private static final Pattern SIZE = Pattern.compile("([1-9][0-9]{0,11})([kmg]?)");
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(arity = "1..*", paramLabel = "FILE", description = "Operator's files.")
     private List<Path> files;
 
-    @Option(names = "--list", paramLabel = "FILE", description = "A list of nodes as discovery tells it, or "
-            + "a configuration with one; needs --heap. The last operator's file says what lists may take.")
+    @Option(
+            names = "--list",
+            paramLabel = "FILE",
+            description =
+                    "A list of nodes as discovery tells it, or a configuration with one; needs"
+                            + " --heap. The last operator's file says what lists may take.")
     private Path list;
 
-    @Option(names = "--held", paramLabel = "FILE",
+    @Option(
+            names = "--held",
+            paramLabel = "FILE",
             description = "The list that is held when the other comes.")
     private Path before;
 
-    @Option(names = "--heap", paramLabel = "SIZE", description = "The heap's maximum, as in -Xmx: 56m.")
+    @Option(
+            names = "--heap",
+            paramLabel = "SIZE",
+            description = "The heap's maximum, as in -Xmx: 56m.")
     private String heap;
 
     @Option(names = "--direct", paramLabel = "SIZE", description = "The most direct memory.")
     private String direct;
 
-    @Option(names = "--memory", paramLabel = "SIZE", description = "The most of the machine's memory.")
+    @Option(
+            names = "--memory",
+            paramLabel = "SIZE",
+            description = "The most of the machine's memory.")
     private String memory;
 
     @Option(names = "--descriptors", paramLabel = "N", description = "The most descriptors.")
     private long descriptors;
 
-    @Option(names = {"-h", "--help"}, usageHelp = true, description = "Says this.")
+    @Option(
+            names = {"-h", "--help"},
+            usageHelp = true,
+            description = "Says this.")
     private boolean help;
 
     @Override
@@ -80,8 +100,12 @@
         if (list == null || last == null) {
             return code;
         }
-        Limits limits = new Limits(bytes("--heap", heap), bytes("--memory", memory),
-                bytes("--direct", direct), descriptors);
+        Limits limits =
+                new Limits(
+                        bytes("--heap", heap),
+                        bytes("--memory", memory),
+                        bytes("--direct", direct),
+                        descriptors);
         return new ListCheck(last, limits, out).check(list, before) ? code : ExitCode.SOFTWARE;
     }
 
@@ -92,19 +116,30 @@
         }
         Matcher found = SIZE.matcher(size.toLowerCase(Locale.ROOT));
         if (!found.matches()) {
-            throw new ParameterException(spec.commandLine(), option + ": found " + size
-                    + "; allowed: bytes, or a number with k, m or g, such as 56m");
+            throw new ParameterException(
+                    spec.commandLine(),
+                    option
+                            + ": found "
+                            + size
+                            + "; allowed: bytes, or a number with k, m or g, such as 56m");
         }
-        return Long.parseLong(found.group(1)) << 10 * " kmg".indexOf(found.group(2).isEmpty() ? " "
-                : found.group(2));
+        return Long.parseLong(found.group(1))
+                << 10 * " kmg".indexOf(found.group(2).isEmpty() ? " " : found.group(2));
     }
 
     /** Which of two policies binds nodes that both are for. */
     private static void tell(Path file, DrainsFile drains, PrintWriter out) {
         for (Both both : drains == null ? List.<Both>of() : drains.both()) {
-            out.println(file + ": drains.policy: '" + drains.policies().get(both.one()).name() + "' and '"
-                    + drains.policies().get(both.other()).name() + "' are both for some nodes; stricter: "
-                    + (both.stricter().isEmpty() ? "neither" : String.join(", ", both.stricter())));
+            out.println(
+                    file
+                            + ": drains.policy: '"
+                            + drains.policies().get(both.one()).name()
+                            + "' and '"
+                            + drains.policies().get(both.other()).name()
+                            + "' are both for some nodes; stricter: "
+                            + (both.stricter().isEmpty()
+                                    ? "neither"
+                                    : String.join(", ", both.stricter())));
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/Commands.java
+++ b/daemon/src/main/java/cedarrudder/program/Commands.java
@@ -9,25 +9,36 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exit codes: 0 done, 1 failed, 2 bad usage, which one line on standard error explains
- * before the usage.
+ * The command line. Exit codes: 0 done, 1 failed, 2 bad usage, which one line on standard error
+ * explains before the usage.
  */
-@Command(name = "cedarrudder", description = "A load balancer for services that call services.",
+@Command(
+        name = "cedarrudder",
+        description = "A load balancer for services that call services.",
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {ServeCommand.class, AdapterCommand.class, CheckCommand.class, VersionCommand.class})
+        subcommands = {
+            ServeCommand.class,
+            AdapterCommand.class,
+            CheckCommand.class,
+            VersionCommand.class
+        })
 final class Commands implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = {"-h", "--help"}, usageHelp = true, description = "Says this.")
+    @Option(
+            names = {"-h", "--help"},
+            usageHelp = true,
+            description = "Says this.")
     private boolean help;
 
     /** Carries out the command that the arguments name and returns the exit code. */
     static int run(String... args) {
-        return new CommandLine(new Commands()).setCaseInsensitiveEnumValuesAllowed(true)
+        return new CommandLine(new Commands())
+                .setCaseInsensitiveEnumValuesAllowed(true)
                 .setParameterExceptionHandler(Commands::badUsage)
-                .setExecutionExceptionHandler(Commands::failed).execute(args);
+                .setExecutionExceptionHandler(Commands::failed)
+                .execute(args);
     }
 
     @Override
@@ -42,7 +53,8 @@
         return CommandLine.ExitCode.USAGE;
     }
 
-    private static int failed(Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
+    private static int failed(
+            Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
         command.getErr().println("cedarrudder: " + String.valueOf(fault).replaceAll("\\R", " "));
         return CommandLine.ExitCode.SOFTWARE;
     }
--- a/daemon/src/main/java/cedarrudder/program/Configuration.java
+++ b/daemon/src/main/java/cedarrudder/program/Configuration.java
@@ -16,46 +16,87 @@
  * @param memory bytes of the machine's memory that it may take; 0: nothing is said
  * @param known the list of nodes as this proxy last had it, still as JSON
  */
-record Configuration(String name, InetSocketAddress listen, InetSocketAddress admin,
-        InetSocketAddress discovery, long seed, int sockets, long memory, InetSocketAddress peerListen,
-        List<InetSocketAddress> peers, InetSocketAddress peersAll, JsonObject known, SiteSettings site) {
+record Configuration(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress admin,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        long memory,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress peersAll,
+        JsonObject known,
+        SiteSettings site) {
 
     static final int DEFAULT_SOCKETS = 1024;
     private static final int MEGABYTE = 1 << 20;
 
-    /** With fewer the process itself, discovery, one caller and one node have no room beside each other. */
+    /**
+     * With fewer the process itself, discovery, one caller and one node have no room beside each
+     * other.
+     */
     private static final int LEAST_SOCKETS = 8;
 
     /** Reads the configuration file; an IllegalArgumentException says what is wrong with it. */
     static Configuration parse(String text) {
         JsonObject json = JsonObject.parse(text);
-        return new Configuration(json.text("name", ""), Addresses.parse(json.text("listen", null)),
+        return new Configuration(
+                json.text("name", ""),
+                Addresses.parse(json.text("listen", null)),
                 optional(json.text("admin_addr", "")),
-                Addresses.parse(json.text("discovery", null)), seed(json.text("seed", null)),
+                Addresses.parse(json.text("discovery", null)),
+                seed(json.text("seed", null)),
                 sockets(json),
                 (long) (json.child("limits").number("memory_mb", 0, 0, MEGABYTE) * MEGABYTE),
                 optional(json.text("peer_listen", "")),
                 json.texts("peers").stream().map(Addresses::parse).toList(),
-                optional(json.text("peers_all", "")), json.child("known"),
+                optional(json.text("peers_all", "")),
+                json.child("known"),
                 SettingsReader.read(json.child("settings")));
     }
 
     /** How many descriptors a configuration allows. */
     static int sockets(JsonObject json) {
-        return (int) json.child("limits").number("sockets", DEFAULT_SOCKETS, LEAST_SOCKETS, MEGABYTE);
+        return (int)
+                json.child("limits").number("sockets", DEFAULT_SOCKETS, LEAST_SOCKETS, MEGABYTE);
     }
 
     /** The same, with the operators' address from the environment where that names one. */
     Configuration withAdmin(String address) {
-        return address == null || address.isEmpty() ? this : new Configuration(name, listen,
-                Addresses.parse(address), discovery, seed, sockets, memory, peerListen, peers, peersAll,
-                known, site);
+        return address == null || address.isEmpty()
+                ? this
+                : new Configuration(
+                        name,
+                        listen,
+                        Addresses.parse(address),
+                        discovery,
+                        seed,
+                        sockets,
+                        memory,
+                        peerListen,
+                        peers,
+                        peersAll,
+                        known,
+                        site);
     }
 
     /** The same without the list, for which a process that has read it needs no memory any more. */
     Configuration withoutKnown() {
-        return new Configuration(name, listen, admin, discovery, seed, sockets, memory, peerListen, peers,
-                peersAll, null, site);
+        return new Configuration(
+                name,
+                listen,
+                admin,
+                discovery,
+                seed,
+                sockets,
+                memory,
+                peerListen,
+                peers,
+                peersAll,
+                null,
+                site);
     }
 
     private static InetSocketAddress optional(String text) {
@@ -66,8 +107,10 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'seed': found '" + text
-                    + "'; allowed: a hexadecimal number of up to 16 digits");
+            throw new IllegalArgumentException(
+                    "'seed': found '"
+                            + text
+                            + "'; allowed: a hexadecimal number of up to 16 digits");
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/CopyEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/CopyEstimate.java
@@ -19,7 +19,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What this process takes beside what it may, where the operator's file has {@code [footprint]}. */
+/**
+ * What this process takes beside what it may, where the operator's file has {@code [footprint]}.
+ */
 final class CopyEstimate {
 
     /** The collector compacts all of the heap at each fourth of its collections. */
@@ -29,7 +31,7 @@
     private static final long STARTING = 235_000;
 
     /** What a process holds beside its nodes. */
-    record Load(int callers, int channels, int bodies, long bodyBytes) { }
+    record Load(int callers, int channels, int bodies, long bodyBytes) {}
 
     /** Tells what the process holds now. */
     interface Now {
@@ -46,7 +48,9 @@
     private int judged;
     private String loads;
 
-    /** @param further so many descriptors more than usual are open for good */
+    /**
+     * @param further so many descriptors more than usual are open for good
+     */
     CopyEstimate(SiteSettings site, Layout layout, Limits limits, int further, Now now) {
         this.site = site;
         this.layout = layout;
@@ -54,34 +58,55 @@
         this.limits = limits;
         this.now = now;
         Ground usual = new CopyFootprint(layout).ground();
-        this.copy = new CopyFootprint(layout, new Ground(usual.heap(), usual.resident(), usual.direct(),
-                usual.descriptors() + further));
+        this.copy =
+                new CopyFootprint(
+                        layout,
+                        new Ground(
+                                usual.heap(),
+                                usual.resident(),
+                                usual.direct(),
+                                usual.descriptors() + further));
     }
 
     private CopyShape shape(ListShape list, Load load) {
-        return new CopyShape(list, site.zones().size(), site.kinds().size(), site.module().classes().size(),
-                site.module().tenants().size(), null, load.callers, load.channels, load.bodies,
+        return new CopyShape(
+                list,
+                site.zones().size(),
+                site.kinds().size(),
+                site.module().classes().size(),
+                site.module().tenants().size(),
+                null,
+                load.callers,
+                load.channels,
+                load.bodies,
                 load.bodyBytes);
     }
 
     /**
-     * Bytes of the heap for nodes and their lists: a share of it, and no more than is left beside all that
-     * the process may come to hold.
+     * Bytes of the heap for nodes and their lists: a share of it, and no more than is left beside
+     * all that the process may come to hold.
      */
     long room(double share, Load most) {
-        return Math.min((long) (share * limits.heap()),
+        return Math.min(
+                (long) (share * limits.heap()),
                 copy.left(shape(ListShape.NONE, most), limits.heap()));
     }
 
     /**
-     * From now on what was there before the first list is what this process says, after a collection. To be
-     * called in the loop's first turn, when nobody waits. Guards against an estimate that knows nothing of
-     * the other tables of the operator's file.
+     * From now on what was there before the first list is what this process says, after a
+     * collection. To be called in the loop's first turn, when nobody waits. Guards against an
+     * estimate that knows nothing of the other tables of the operator's file.
      */
     void measure(ListShape held) {
         long known = copy.takes(shape(held, now.load())).rest() - copy.ground().heap();
-        copy = new CopyFootprint(layout, new Ground(live() - known + STARTING, copy.ground().resident(),
-                copy.ground().direct(), copy.ground().descriptors()));
+        copy =
+                new CopyFootprint(
+                        layout,
+                        new Ground(
+                                live() - known + STARTING,
+                                copy.ground().resident(),
+                                copy.ground().direct(),
+                                copy.ground().descriptors()));
         measured = true;
     }
 
@@ -94,8 +119,12 @@
     static long live() {
         System.gc();
         return ManagementFactory.getMemoryPoolMXBeans().stream()
-                .filter(pool -> pool.getType() == MemoryType.HEAP && pool.getCollectionUsage() != null)
-                .mapToLong(pool -> pool.getCollectionUsage().getUsed()).sum();
+                .filter(
+                        pool ->
+                                pool.getType() == MemoryType.HEAP
+                                        && pool.getCollectionUsage() != null)
+                .mapToLong(pool -> pool.getCollectionUsage().getUsed())
+                .sum();
     }
 
     /** What operators see of it; null before the first list. */
@@ -104,8 +133,12 @@
             return null;
         }
         CopyShape shape = shape(gate.held(), now.load());
-        return new FiguresPage.Estimate(gate.last(), copy.takes(shape), copy.oneMoreNode(shape),
-                copy.resident(shape), copy.judge(shape, limits),
+        return new FiguresPage.Estimate(
+                gate.last(),
+                copy.takes(shape),
+                copy.oneMoreNode(shape),
+                copy.resident(shape),
+                copy.judge(shape, limits),
                 room(null, gate));
     }
 
@@ -114,7 +147,10 @@
         return tables.room(held, gate.left(), gate.most());
     }
 
-    /** Writes a verdict for the judge of many copies: of the whole list, and of what is loaded of it. */
+    /**
+     * Writes a verdict for the judge of many copies: of the whole list, and of what is loaded of
+     * it.
+     */
     void judged(Judged list, Notes history) {
         loads = "list " + ++judged;
         note(history, list.all(), list.fits());
@@ -125,23 +161,47 @@
     }
 
     private void note(Notes history, ListShape list, boolean fits) {
-        history.note("estimate", Map.of("load", loads, "bound", "heap_at_rest", "fits", fits ? 1 : 0,
-                "needed", copy.takes(shape(list, now.load())).rest()));
+        history.note(
+                "estimate",
+                Map.of(
+                        "load",
+                        loads,
+                        "bound",
+                        "heap_at_rest",
+                        "fits",
+                        fits ? 1 : 0,
+                        "needed",
+                        copy.takes(shape(list, now.load())).rest()));
     }
 
-    /** What was judged last is loaded: says so, and what the process then holds, on a thread of its own. */
+    /**
+     * What was judged last is loaded: says so, and what the process then holds, on a thread of its
+     * own.
+     */
     void took(Notes history, Consumer<Runnable> loop) {
         String load = loads;
         history.note("took", Map.of("load", load));
-        Thread measuring = new Thread(() -> {
-            long least = Long.MAX_VALUE;
-            for (int i = 0; i < COLLECTIONS; i++) {
-                least = Math.min(least, live());
-            }
-            long held = least;
-            loop.accept(() -> history.note("held",
-                    Map.of("load", load, "bound", "heap_at_rest", "now", held)));
-        }, "measure");
+        Thread measuring =
+                new Thread(
+                        () -> {
+                            long least = Long.MAX_VALUE;
+                            for (int i = 0; i < COLLECTIONS; i++) {
+                                least = Math.min(least, live());
+                            }
+                            long held = least;
+                            loop.accept(
+                                    () ->
+                                            history.note(
+                                                    "held",
+                                                    Map.of(
+                                                            "load",
+                                                            load,
+                                                            "bound",
+                                                            "heap_at_rest",
+                                                            "now",
+                                                            held)));
+                        },
+                        "measure");
         measuring.setDaemon(true);
         measuring.start();
     }
--- a/daemon/src/main/java/cedarrudder/program/Daemon.java
+++ b/daemon/src/main/java/cedarrudder/program/Daemon.java
@@ -14,12 +14,12 @@
 
     private static final int FAILED = 1;
 
-
-    private Daemon() { }
+    private Daemon() {}
 
     /**
-     * Spares Netty what it does for larger programs. Each of these costs start-up time or memory, which count
-     * on one core: looking for a hardware address, sizing for all cores of the machine, watching for leaks.
+     * Spares Netty what it does for larger programs. Each of these costs start-up time or memory,
+     * which count on one core: looking for a hardware address, sizing for all cores of the machine,
+     * watching for leaks.
      */
     private static void keepNettySmall() {
         // Guards against Netty trying logging libraries that are not there, which fails slowly.
@@ -27,14 +27,16 @@
         System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
         System.setProperty("io.netty.availableProcessors", "1");
         System.setProperty("io.netty.leakDetection.level", "disabled");
-        // Lets Netty count direct memory itself; the jar's manifest opens the package. Guards against a loop
-        // that stands still for half a second at each allocation where none is left: the library sleeps then.
+        // Lets Netty count direct memory itself; the jar's manifest opens the package. Guards
+        // against a loop
+        // that stands still for half a second at each allocation where none is left: the library
+        // sleeps then.
         System.setProperty("io.netty.tryReflectionSetAccessible", "true");
     }
 
     /**
-     * Starts a proxy, which runs on after this returns 0; else the exit code, and one line says why, or one
-     * for each problem of the operator's file.
+     * Starts a proxy, which runs on after this returns 0; else the exit code, and one line says
+     * why, or one for each problem of the operator's file.
      */
     static int serve(ServeOptions options) throws InterruptedException {
         try {
@@ -46,18 +48,28 @@
             keepNettySmall(); // first: reading addresses begins Netty
             Configuration configuration = read(file);
             LogWriter lines = LogWriter.inPlaceOfStandardError();
-            Proxy proxy = new Proxy(configuration, operator, new Logger(lines::take), state(configuration));
-            // Before anything listens: guards against the virtual machine's own answers to signals. SIGHUP
-            // would end it, and so would SIGTERM: it ends when this hook has, and all taken is answered.
+            Proxy proxy =
+                    new Proxy(
+                            configuration, operator, new Logger(lines::take), state(configuration));
+            // Before anything listens: guards against the virtual machine's own answers to signals.
+            // SIGHUP
+            // would end it, and so would SIGTERM: it ends when this hook has, and all taken is
+            // answered.
             Hangups hangups = new Hangups();
-            Signals.onHangup(() -> hangups.heard(() -> reload(proxy, file, options)), proxy::noHangup);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                proxy.drain();
-                lines.end();
-            }, "drain"));
+            Signals.onHangup(
+                    () -> hangups.heard(() -> reload(proxy, file, options)), proxy::noHangup);
+            Runtime.getRuntime()
+                    .addShutdownHook(
+                            new Thread(
+                                    () -> {
+                                        proxy.drain();
+                                        lines.end();
+                                    },
+                                    "drain"));
             return start(proxy);
         } catch (IllegalArgumentException | IOException e) {
-            System.err.println("cedarrudder: " + String.valueOf(e.getMessage()).replaceAll("\\R", " "));
+            System.err.println(
+                    "cedarrudder: " + String.valueOf(e.getMessage()).replaceAll("\\R", " "));
             return FAILED;
         } catch (BadFileException e) {
             e.problems().forEach(problem -> System.err.println("cedarrudder: " + problem));
@@ -76,11 +88,11 @@
     }
 
     /**
-     * Reads both files again. Each stands for itself: one that can't be used leaves all as it was that it
-     * sets, and keeps nothing from the other.
+     * Reads both files again. Each stands for itself: one that can't be used leaves all as it was
+     * that it sets, and keeps nothing from the other.
      *
-     * <p>They are read on the thread of the signal, since the loop would stand still meanwhile, and by one of
-     * these threads at a time ({@link Hangups}).
+     * <p>They are read on the thread of the signal, since the loop would stand still meanwhile, and
+     * by one of these threads at a time ({@link Hangups}).
      */
     private static void reload(Proxy proxy, String file, ServeOptions options) {
         proxy.reload(() -> read(file));
@@ -94,13 +106,16 @@
     }
 
     /**
-     * Where this proxy keeps its state, by the address at which its clients find it: guards against proxies
-     * that share a folder for temporary files taking up one another's.
+     * Where this proxy keeps its state, by the address at which its clients find it: guards against
+     * proxies that share a folder for temporary files taking up one another's.
      */
     private static Path state(Configuration configuration) {
         String folder = System.getenv("TMPDIR");
-        return Path.of(folder == null || folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder,
-                "cedarrudder-" + configuration.listen().getAddress().getHostAddress().replace(':', '.') + "-"
+        return Path.of(
+                folder == null || folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder,
+                "cedarrudder-"
+                        + configuration.listen().getAddress().getHostAddress().replace(':', '.')
+                        + "-"
                         + configuration.listen().getPort());
     }
 
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -20,7 +20,7 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private DrainsPage() { }
+    private DrainsPage() {}
 
     /**
      * Writes it.
--- a/daemon/src/main/java/cedarrudder/program/Failovers.java
+++ b/daemon/src/main/java/cedarrudder/program/Failovers.java
@@ -38,14 +38,35 @@
      * @param notes takes what was seen of zones; null where nobody asked for that
      * @throws IllegalArgumentException if the settings don't fit the site or the reports
      */
-    Failovers(FailoverSettings settings, SiteSettings site, long reports, int[] zoneOf, long life, long now,
-            Driver<?, ?> driver, Notes notes, Logger log) {
+    Failovers(
+            FailoverSettings settings,
+            SiteSettings site,
+            long reports,
+            int[] zoneOf,
+            long life,
+            long now,
+            Driver<?, ?> driver,
+            Notes notes,
+            Logger log) {
         if (settings.period() != reports) {
-            throw new IllegalArgumentException("failover.period_ms: found " + settings.period() / MILLI
-                    + "; allowed: " + reports / MILLI + ", by which " + zoneOf.length + " copies report");
+            throw new IllegalArgumentException(
+                    "failover.period_ms: found "
+                            + settings.period() / MILLI
+                            + "; allowed: "
+                            + reports / MILLI
+                            + ", by which "
+                            + zoneOf.length
+                            + " copies report");
         }
-        ZoneTally tally = new ZoneTally(site.module().self(), site.module().zone(), life,
-                site.zones().size(), reports, site.module().safety(), now);
+        ZoneTally tally =
+                new ZoneTally(
+                        site.module().self(),
+                        site.module().zone(),
+                        life,
+                        site.zones().size(),
+                        reports,
+                        site.module().safety(),
+                        now);
         this.failover = new Failover(settings, site.zones(), zoneOf, tally, now);
         this.shares = new ZoneShares(failover);
         this.zones = site.zones();
@@ -88,9 +109,19 @@
     private void saw(Evidence evidence) {
         for (Seen seen : evidence.seen()) {
             if (seen.age() == 0) {
-                notes.note("saw", Map.of("zone", seen.zone(), "served", seen.served(),
-                        "failed", seen.failed(), "silent", seen.silent(), "span",
-                        evidence.millis() * MILLI));
+                notes.note(
+                        "saw",
+                        Map.of(
+                                "zone",
+                                seen.zone(),
+                                "served",
+                                seen.served(),
+                                "failed",
+                                seen.failed(),
+                                "silent",
+                                seen.silent(),
+                                "span",
+                                evidence.millis() * MILLI));
             }
         }
     }
@@ -105,17 +136,26 @@
         List<RouteTable.Share> planned = shares.plan(now, tier);
         List<Planner.Move> moves = failover.moves();
         // Once: a plan is made again each period until it counts.
-        moves.stream().filter(move -> !said.contains(move)).forEach(move -> log.info("failover.moves")
-                .with("zone", zones.get(move.zone()))
-                .with("reason", move.reason().name().toLowerCase(Locale.ROOT))
-                .with("bad", names(move.bad())).with("well", names(move.well())).write());
+        moves.stream()
+                .filter(move -> !said.contains(move))
+                .forEach(
+                        move ->
+                                log.info("failover.moves")
+                                        .with("zone", zones.get(move.zone()))
+                                        .with(
+                                                "reason",
+                                                move.reason().name().toLowerCase(Locale.ROOT))
+                                        .with("bad", names(move.bad()))
+                                        .with("well", names(move.well()))
+                                        .write());
         said = moves;
         return planned;
     }
 
     private String names(Iterable<Integer> numbers) {
         StringBuilder names = new StringBuilder();
-        numbers.forEach(zone -> names.append(names.length() == 0 ? "" : ",").append(zones.get(zone)));
+        numbers.forEach(
+                zone -> names.append(names.length() == 0 ? "" : ",").append(zones.get(zone)));
         return names.toString();
     }
 
