--- a/daemon/src/main/java/cedarrudder/program/FileStore.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStore.java
@@ -28,14 +28,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a copy must not forget, in one file: a head, and a batch for each sync, which has all that was written
- * since the one before. A batch counts whole or not at all. What follows the last whole one is cut off where
- * it is the rest of a write that did not end; else the file is refused, set aside, and the copy counts as one
- * that forgot.
+ * What a copy must not forget, in one file: a head, and a batch for each sync, which has all that
+ * was written since the one before. A batch counts whole or not at all. What follows the last whole
+ * one is cut off where it is the rest of a write that did not end; else the file is refused, set
+ * aside, and the copy counts as one that forgot.
  *
- * <p>Big-endian. Head: {@value #MAGIC}, version (4), the copy (4), how many there may be (4), checksum (4).
- * Batch: length (4), its checksum (4), so many bytes, their checksum (4). Checksums are CRC32C. It belongs to
- * the loop's thread, which waits for the disk once an event at the most.
+ * <p>Big-endian. Head: {@value #MAGIC}, version (4), the copy (4), how many there may be (4),
+ * checksum (4). Batch: length (4), its checksum (4), so many bytes, their checksum (4). Checksums
+ * are CRC32C. It belongs to the loop's thread, which waits for the disk once an event at the most.
  */
 final class FileStore implements Store, Closeable {
 
@@ -44,9 +44,14 @@
     private static final int HEAD = 24;
     private static final int FRAME = 12;
 
-    /** The file is written anew once it is larger than this, and than four times what it has to hold. */
+    /**
+     * The file is written anew once it is larger than this, and than four times what it has to
+     * hold.
+     */
     private static final long LEAST_SIZE = 1 << 20;
+
     private static final int WASTE = 4;
+
     /** No batch is larger: a snapshot and all entries that may be open are less. */
     private static final int MOST_BATCH = 16 << 20;
 
@@ -90,11 +95,15 @@
         this.copies = copies;
         try {
             Files.createDirectories(folder);
-            guard = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE,
-                    StandardOpenOption.WRITE);
+            guard =
+                    FileChannel.open(
+                            folder.resolve("lock"),
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.WRITE);
             if (!locked()) {
                 guard.close();
-                throw new IOException(folder + ": found another process that uses it; allowed: one");
+                throw new IOException(
+                        folder + ": found another process that uses it; allowed: one");
             }
             open(log);
         } catch (IOException e) {
@@ -123,15 +132,21 @@
                 kept = new Kept(promise, snapshot, entries);
             }
             if (end < bytes.length) {
-                log.info("agreement.cut").with("file", file).with("from", end)
-                        .with("bytes", bytes.length - end).write();
+                log.info("agreement.cut")
+                        .with("file", file)
+                        .with("from", end)
+                        .with("bytes", bytes.length - end)
+                        .write();
             }
         } catch (NoSuchFileException e) {
             anew();
         } catch (Refused e) {
             Path aside = folder.resolve("agreement.refused");
-            log.warn("agreement.refused").with("file", file).with("why", e.getMessage())
-                    .with("kept", aside).write();
+            log.warn("agreement.refused")
+                    .with("file", file)
+                    .with("why", e.getMessage())
+                    .with("kept", aside)
+                    .write();
             Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
             promise = null;
             snapshot = new Snapshot(0, 0, new Voters(List.of()), new byte[0]);
@@ -165,7 +180,9 @@
                 return at;
             }
             int length = in.getInt();
-            if (in.getInt() != sum(in.array(), at, Integer.BYTES) || length < 0 || length > MOST_BATCH) {
+            if (in.getInt() != sum(in.array(), at, Integer.BYTES)
+                    || length < 0
+                    || length > MOST_BATCH) {
                 throw new Refused(at, "a length whose checksum does not fit", "one that does");
             }
             if (length > in.remaining() - Integer.BYTES) {
@@ -181,7 +198,9 @@
             }
             try {
                 play(in.slice(from, length));
-            } catch (BufferUnderflowException | IllegalArgumentException | IndexOutOfBoundsException e) {
+            } catch (BufferUnderflowException
+                    | IllegalArgumentException
+                    | IndexOutOfBoundsException e) {
                 throw new Refused(from, "a batch that can't be read", "one of this version");
             }
             in.position(from + length + Integer.BYTES);
@@ -195,7 +214,10 @@
         }
     }
 
-    /** Whether only zeros are left: the file had become longer when the process ended, and nothing more. */
+    /**
+     * Whether only zeros are left: the file had become longer when the process ended, and nothing
+     * more.
+     */
     private static boolean zeros(byte[] bytes, int from) {
         for (int i = from; i < bytes.length; i++) {
             if (bytes[i] != 0) {
@@ -217,7 +239,8 @@
                 }
                 case ENTRY -> take(in.getLong(), entry(in));
                 case CUT -> drop(in.getLong());
-                case SNAPSHOT -> take(new Snapshot(in.getLong(), in.getLong(), voters(in), bytes(in)));
+                case SNAPSHOT ->
+                        take(new Snapshot(in.getLong(), in.getLong(), voters(in), bytes(in)));
                 default -> throw new IllegalArgumentException("kind");
             }
         }
@@ -279,7 +302,8 @@
         if (of.index() < snapshot.index()) {
             entries.clear();
         } else {
-            entries.subList(0, (int) Math.min(entries.size(), of.index() - snapshot.index())).clear();
+            entries.subList(0, (int) Math.min(entries.size(), of.index() - snapshot.index()))
+                    .clear();
         }
         snapshot = of;
     }
@@ -356,10 +380,11 @@
     @Override
     public void cut(long from) {
         drop(from);
-        write(out -> {
-            out.writeByte(CUT);
-            out.writeLong(from);
-        });
+        write(
+                out -> {
+                    out.writeByte(CUT);
+                    out.writeLong(from);
+                });
     }
 
     @Override
@@ -392,15 +417,20 @@
 
     private static ByteBuffer batch(byte[] bytes) {
         ByteBuffer out = ByteBuffer.allocate(FRAME + bytes.length).putInt(bytes.length);
-        out.putInt(sum(out.array(), 0, Integer.BYTES)).put(bytes).putInt(sum(bytes, 0, bytes.length));
+        out.putInt(sum(out.array(), 0, Integer.BYTES))
+                .put(bytes)
+                .putInt(sum(bytes, 0, bytes.length));
         return out.flip();
     }
 
     /** Writes all that is held into a file that takes the place of the one that is there. */
     private void anew() throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(HEAD)
-                .put(MAGIC.getBytes(StandardCharsets.ISO_8859_1))
-                .putInt(VERSION).putInt(copy).putInt(copies);
+        ByteBuffer head =
+                ByteBuffer.allocate(HEAD)
+                        .put(MAGIC.getBytes(StandardCharsets.ISO_8859_1))
+                        .putInt(VERSION)
+                        .putInt(copy)
+                        .putInt(copies);
         head.putInt(sum(head.array(), 0, HEAD - Integer.BYTES)).flip();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         if (promise != null) {
@@ -412,8 +442,12 @@
             }
         }
         Path next = folder.resolve("agreement.next");
-        FileChannel made = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING);
+        FileChannel made =
+                FileChannel.open(
+                        next,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING);
         size = HEAD;
         made.write(head);
         if (all.size() > 0) {
--- a/daemon/src/main/java/cedarrudder/program/Handover.java
+++ b/daemon/src/main/java/cedarrudder/program/Handover.java
@@ -11,20 +11,24 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * Which other processes run for this proxy, told by locks on bytes of one file: each process claims a place,
- * writes there since when it runs, holds a byte as long as it lives, and another once it is ready; one more
- * byte is held by the one that speaks to the peers. The kernel frees them when it dies, however it does.
+ * Which other processes run for this proxy, told by locks on bytes of one file: each process claims
+ * a place, writes there since when it runs, holds a byte as long as it lives, and another once it
+ * is ready; one more byte is held by the one that speaks to the peers. The kernel frees them when
+ * it dies, however it does.
  *
- * <p>The file is open once in a process: closing any descriptor of it would free the locks of all. Where
- * somebody has removed it, {@link #renew} takes a place in the one that is there now.
+ * <p>The file is open once in a process: closing any descriptor of it would free the locks of all.
+ * Where somebody has removed it, {@link #renew} takes a place in the one that is there now.
  */
 final class Handover {
 
     /** Processes of one proxy at once; an upgrade has two. */
     private static final int SLOTS = 8;
 
-    /** Where a process that lives, one that is ready, and one that takes a place, hold their bytes. */
+    /**
+     * Where a process that lives, one that is ready, and one that takes a place, hold their bytes.
+     */
     private static final int READY = SLOTS;
+
     private static final int CLAIMED = 2 * SLOTS;
 
     /** Held while what the folder said is written anew. */
@@ -33,11 +37,18 @@
     /** Held by the process that speaks to the peers. */
     private static final int SPEAKING = RESTORING + 1;
 
-    /** What the file holds: a byte that says whether that was done, and then since when each process runs. */
+    /**
+     * What the file holds: a byte that says whether that was done, and then since when each process
+     * runs.
+     */
     private static final int RESTORED = 0;
+
     private static final int SINCE = 8;
 
-    /** Another process's look at a byte locks it for a moment: so many tries tell that from a process. */
+    /**
+     * Another process's look at a byte locks it for a moment: so many tries tell that from a
+     * process.
+     */
     private static final int TRIES = 5;
 
     /**
@@ -65,6 +76,7 @@
 
     /** By the clock that all processes of a machine share and nobody sets. */
     private final long since = System.nanoTime();
+
     private FileChannel file;
     private Object identity;
     private int own = -1;
@@ -78,19 +90,23 @@
         this.folder = folder;
     }
 
-    /** Takes a place among the processes; an IOException leaves this process alone, for all that it knows. */
+    /**
+     * Takes a place among the processes; an IOException leaves this process alone, for all that it
+     * knows.
+     */
     void join() throws IOException, InterruptedException {
         open();
         takePlace();
     }
 
     /**
-     * Takes a place in the file that is there now where it is another than the one it was, since somebody has
-     * removed that. Of the processes that had a place before one has what the folder said written anew,
-     * before any of them can be seen again. Guards against those that start afterwards finding nobody and no
-     * ban.
+     * Takes a place in the file that is there now where it is another than the one it was, since
+     * somebody has removed that. Of the processes that had a place before one has what the folder
+     * said written anew, before any of them can be seen again. Guards against those that start
+     * afterwards finding nobody and no ban.
      *
-     * @param may whether this process may be the one; else an IOException says that it is to come again
+     * @param may whether this process may be the one; else an IOException says that it is to come
+     *     again
      * @return whether it was another file
      */
     boolean renew(boolean may, Restoring restoring) throws IOException, InterruptedException {
@@ -111,7 +127,8 @@
             ByteBuffer flag = ByteBuffer.allocate(1);
             if (file.read(flag, RESTORED) < 1 || flag.get(0) == 0) {
                 if (!may) {
-                    throw new IOException("the process before this one is to write " + folder + " anew");
+                    throw new IOException(
+                            "the process before this one is to write " + folder + " anew");
                 }
                 restoring.run();
                 file.write(ByteBuffer.wrap(new byte[] {1}), RESTORED);
@@ -129,15 +146,20 @@
 
     private void open() throws IOException {
         Files.createDirectories(folder);
-        file = FileChannel.open(folder.resolve("processes"), StandardOpenOption.CREATE,
-                StandardOpenOption.READ, StandardOpenOption.WRITE);
+        file =
+                FileChannel.open(
+                        folder.resolve("processes"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE);
         identity = identity();
     }
 
     /** Which file is there now; another object than any other's where there is none. */
     private Object identity() throws IOException {
         try {
-            return Files.readAttributes(folder.resolve("processes"), BasicFileAttributes.class).fileKey();
+            return Files.readAttributes(folder.resolve("processes"), BasicFileAttributes.class)
+                    .fileKey();
         } catch (NoSuchFileException e) {
             return new Object();
         }
@@ -178,7 +200,10 @@
         return lock == null;
     }
 
-    /** Locks a byte, which another process's look may hold for a moment; null where one holds it for good. */
+    /**
+     * Locks a byte, which another process's look may hold for a moment; null where one holds it for
+     * good.
+     */
     private FileLock lock(long at) throws IOException, InterruptedException {
         FileLock lock = file.tryLock(at, 1, false);
         for (int i = 1; i < TRIES && lock == null; i++) {
@@ -194,9 +219,9 @@
     }
 
     /**
-     * Takes the right to speak to the peers, which one process has at a time; false where another has it.
-     * Guards against two lives under one number, of which each hears half of the answers and contradicts
-     * the other.
+     * Takes the right to speak to the peers, which one process has at a time; false where another
+     * has it. Guards against two lives under one number, of which each hears half of the answers
+     * and contradicts the other.
      */
     boolean speak() throws IOException {
         if (own >= 0 && !spoke) {
@@ -245,7 +270,8 @@
     }
 
     /**
-     * Whether the process at a place began before this one; one that writes nothing is of a version before.
+     * Whether the process at a place began before this one; one that writes nothing is of a version
+     * before.
      */
     private boolean ranBefore(int slot) throws IOException {
         ByteBuffer told = ByteBuffer.allocate(Long.BYTES);
--- a/daemon/src/main/java/cedarrudder/program/Hangups.java
+++ b/daemon/src/main/java/cedarrudder/program/Hangups.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Reads what SIGHUP asks for, one signal at a time, so that of two changes the later one counts. A signal
- * that comes while another one waits to be read adds nothing: guards against a storm of them. From any
- * thread.
+ * Reads what SIGHUP asks for, one signal at a time, so that of two changes the later one counts. A
+ * signal that comes while another one waits to be read adds nothing: guards against a storm of
+ * them. From any thread.
  */
 final class Hangups {
 
--- a/daemon/src/main/java/cedarrudder/program/HistoryFile.java
+++ b/daemon/src/main/java/cedarrudder/program/HistoryFile.java
@@ -14,9 +14,10 @@
 
 /**
  * Writes what happens to this copy as lines of JSON, for a judge that reads the files of all copies
- * afterwards. The time is {@link System#nanoTime}, which is one clock for all processes of a machine on
- * Linux (CLOCK_MONOTONIC); the life is the process's id. Each line goes to the file by itself, so that
- * SIGKILL takes those alone that still wait. It belongs to the loop's thread but for {@link #end}.
+ * afterwards. The time is {@link System#nanoTime}, which is one clock for all processes of a
+ * machine on Linux (CLOCK_MONOTONIC); the life is the process's id. Each line goes to the file by
+ * itself, so that SIGKILL takes those alone that still wait. It belongs to the loop's thread but
+ * for {@link #end}.
  */
 final class HistoryFile implements Notes {
 
@@ -30,15 +31,28 @@
     private final LogWriter lines;
     private long lost;
 
-    /** @throws IllegalArgumentException if the file can't be written */
+    /**
+     * @throws IllegalArgumentException if the file can't be written
+     */
     HistoryFile(Path file, int copy) {
         this.copy = copy;
         try {
-            lines = new LogWriter(new PrintStream(new FileOutputStream(file.toFile(), true), true,
-                    StandardCharsets.UTF_8), "history", MOST);
+            lines =
+                    new LogWriter(
+                            new PrintStream(
+                                    new FileOutputStream(file.toFile(), true),
+                                    true,
+                                    StandardCharsets.UTF_8),
+                            "history",
+                            MOST);
         } catch (IOException e) {
-            throw new IllegalArgumentException("[history]: found " + file + ", which can't be written ("
-                    + e.getMessage() + "); allowed: a file in a folder that is there", e);
+            throw new IllegalArgumentException(
+                    "[history]: found "
+                            + file
+                            + ", which can't be written ("
+                            + e.getMessage()
+                            + "); allowed: a file in a folder that is there",
+                    e);
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/program/JsonLines.java
+++ b/daemon/src/main/java/cedarrudder/program/JsonLines.java
@@ -11,8 +11,8 @@
 import java.util.Locale;
 
 /**
- * Lines for programs: one JSON object each, with {@code time} (ISO 8601, UTC), {@code seconds} since the
- * start, {@code level}, {@code event}, and the event's fields, whole numbers as numbers.
+ * Lines for programs: one JSON object each, with {@code time} (ISO 8601, UTC), {@code seconds}
+ * since the start, {@code level}, {@code event}, and the event's fields, whole numbers as numbers.
  */
 final class JsonLines implements LineWriter {
 
@@ -36,15 +36,16 @@
 
     @Override
     public void begin(long millis, Level level, String event) {
-        must(() -> {
-            text = new StringWriter();
-            line = JSON.createGenerator(text);
-            line.writeStartObject();
-            line.writeStringField("time", Instant.now().toString());
-            line.writeNumberField("seconds", millis / 1000.0);
-            line.writeStringField("level", level.name().toLowerCase(Locale.ROOT));
-            line.writeStringField("event", event);
-        });
+        must(
+                () -> {
+                    text = new StringWriter();
+                    line = JSON.createGenerator(text);
+                    line.writeStartObject();
+                    line.writeStringField("time", Instant.now().toString());
+                    line.writeNumberField("seconds", millis / 1000.0);
+                    line.writeStringField("level", level.name().toLowerCase(Locale.ROOT));
+                    line.writeStringField("event", event);
+                });
     }
 
     @Override
@@ -59,10 +60,11 @@
 
     @Override
     public String end() {
-        must(() -> {
-            line.writeEndObject();
-            line.close();
-        });
+        must(
+                () -> {
+                    line.writeEndObject();
+                    line.close();
+                });
         return text.toString();
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/KeptState.java
+++ b/daemon/src/main/java/cedarrudder/program/KeptState.java
@@ -13,9 +13,10 @@
 import java.util.stream.Stream;
 
 /**
- * What operators have asked for and what outlives the process: a folder with an empty file for each node that
- * is disabled, and one while clients are sent away. Each change is one creation or deletion, so a kill at any
- * moment leaves the state before it or after it, and two processes see the same.
+ * What operators have asked for and what outlives the process: a folder with an empty file for each
+ * node that is disabled, and one while clients are sent away. Each change is one creation or
+ * deletion, so a kill at any moment leaves the state before it or after it, and two processes see
+ * the same.
  */
 final class KeptState {
 
@@ -26,7 +27,7 @@
     private static final int MOST_NAME = 200;
 
     /** What the folder says. */
-    record Told(Set<String> disabled, boolean drained) { }
+    record Told(Set<String> disabled, boolean drained) {}
 
     private final Path folder;
 
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Reads the folder. An IOException: it can't be read, or isn't there, though {@link Handover} has made
-     * it. Guards against bans that are taken back because somebody removed the folder.
+     * Reads the folder. An IOException: it can't be read, or isn't there, though {@link Handover}
+     * has made it. Guards against bans that are taken back because somebody removed the folder.
      */
     Told read() throws IOException {
         Set<String> disabled = new HashSet<>();
@@ -46,7 +47,9 @@
                 String name = file.getFileName().toString();
                 drained |= name.equals(DRAINED);
                 if (name.startsWith(NODE)) {
-                    disabled.add(URLDecoder.decode(name.substring(NODE.length()), StandardCharsets.UTF_8));
+                    disabled.add(
+                            URLDecoder.decode(
+                                    name.substring(NODE.length()), StandardCharsets.UTF_8));
                 }
             }
         } catch (UncheckedIOException | IllegalArgumentException e) {
--- a/daemon/src/main/java/cedarrudder/program/ListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/ListCheck.java
@@ -31,11 +31,13 @@
 
     private static final String LIST = "servers";
 
-    /** The collector keeps a space free for what survives: of a heap's maximum one part of so many. */
+    /**
+     * The collector keeps a space free for what survives: of a heap's maximum one part of so many.
+     */
     private static final int SURVIVORS = 30;
 
     /** What a file has. */
-    private record Read(JsonObject list, JsonObject configuration) { }
+    private record Read(JsonObject list, JsonObject configuration) {}
 
     private final Layout layout = MachineLayout.read();
     private final CopyFootprint copy = new CopyFootprint(layout);
@@ -43,11 +45,17 @@
     private final Limits limits;
     private final PrintWriter out;
 
-    /** @param limits with the heap's maximum as the virtual machine's flag gives it */
+    /**
+     * @param limits with the heap's maximum as the virtual machine's flag gives it
+     */
     ListCheck(Operator operator, Limits limits, PrintWriter out) {
         this.operator = operator;
-        this.limits = new Limits(limits.heap() - limits.heap() / SURVIVORS, limits.resident(),
-                limits.direct(), limits.descriptors());
+        this.limits =
+                new Limits(
+                        limits.heap() - limits.heap() / SURVIVORS,
+                        limits.resident(),
+                        limits.direct(),
+                        limits.descriptors());
         this.out = out;
     }
 
@@ -68,17 +76,27 @@
             return false;
         }
         JsonObject configuration = told.configuration;
-        SiteSettings site = configuration == null ? null
-                : SettingsReader.read(configuration.child("settings"));
-        int sockets = configuration == null ? Configuration.DEFAULT_SOCKETS
-                : Configuration.sockets(configuration);
+        SiteSettings site =
+                configuration == null ? null : SettingsReader.read(configuration.child("settings"));
+        int sockets =
+                configuration == null
+                        ? Configuration.DEFAULT_SOCKETS
+                        : Configuration.sockets(configuration);
         ListShape list = ListGate.shape(told.list);
         int callers = operator.of(CallersTable.CALLERS).mostCallers(sockets);
         int channels = operator.of(NodesTable.NODES).bounds(sockets, callers).idle();
-        CopyShape shape = new CopyShape(list, site == null ? 0 : site.zones().size(),
-                site == null ? 0 : site.kinds().size(), site == null ? 0 : site.module().classes().size(),
-                site == null ? 0 : site.module().tenants().size(), null, callers, channels, callers,
-                HeldBytes.MOST);
+        CopyShape shape =
+                new CopyShape(
+                        list,
+                        site == null ? 0 : site.zones().size(),
+                        site == null ? 0 : site.kinds().size(),
+                        site == null ? 0 : site.module().classes().size(),
+                        site == null ? 0 : site.module().tenants().size(),
+                        null,
+                        callers,
+                        channels,
+                        callers,
+                        HeldBytes.MOST);
         out.println(file + ": " + list.nodes() + " nodes");
         terms(shape);
         Takes one = copy.oneMoreNode(shape);
@@ -89,7 +107,8 @@
 
     private void terms(CopyShape shape) {
         out.println(row("term", "count", "heap at rest", "heap at peak", "direct", "descriptors"));
-        copy.terms(shape).forEach(term -> out.println(row(term.name(), term.count(), term.takes())));
+        copy.terms(shape)
+                .forEach(term -> out.println(row(term.name(), term.count(), term.takes())));
         out.println(row("all", "", copy.takes(shape)));
     }
 
@@ -108,24 +127,41 @@
         long room = Math.min((long) (share * limits.heap()), copy.left(shape, limits.heap()));
         Footprint footprint = new Footprint(layout);
         Set<String> known = held == null ? Set.of() : ids(held);
-        int added = (int) told.objects(LIST, true).stream().filter(entry -> entry == null
-                || !known.contains(entry.text("id", ""))).count();
+        int added =
+                (int)
+                        told.objects(LIST, true).stream()
+                                .filter(
+                                        entry ->
+                                                entry == null
+                                                        || !known.contains(entry.text("id", "")))
+                                .count();
         ListShape before = held == null ? ListShape.NONE : ListGate.shape(held);
         Footprint.Verdict verdict = footprint.judge(before, list, added, true, room);
         List<Integer> steps = footprint.steps(before, list, added, true, room);
         int never = added - steps.stream().mapToInt(Integer::intValue).sum();
         int least = set == null ? FootprintSettings.DEFAULT.fromNodes() : set.fromNodes();
         boolean few = list.nodes() < least;
-        String outcome = verdict.fits() ? "fit" : never == 0 ? "fit in steps of " + steps
-                : "don't fit, " + never + " of them in no step";
-        out.println("nodes: " + outcome + "; " + told(verdict.bound(), verdict.needed(), room)
-                + (few && !verdict.fits() ? "; all are loaded, since from_nodes is " + least : ""));
+        String outcome =
+                verdict.fits()
+                        ? "fit"
+                        : never == 0
+                                ? "fit in steps of " + steps
+                                : "don't fit, " + never + " of them in no step";
+        out.println(
+                "nodes: "
+                        + outcome
+                        + "; "
+                        + told(verdict.bound(), verdict.needed(), room)
+                        + (few && !verdict.fits()
+                                ? "; all are loaded, since from_nodes is " + least
+                                : ""));
         return few || never == 0;
     }
 
     private static Set<String> ids(JsonObject list) {
         Set<String> ids = new HashSet<>();
-        list.objects(LIST, true).stream().filter(entry -> entry != null)
+        list.objects(LIST, true).stream()
+                .filter(entry -> entry != null)
                 .forEach(entry -> ids.add(entry.text("id", "")));
         return ids;
     }
@@ -133,13 +169,21 @@
     /** Whether the process fits with all callers, channels and bodies that it may come to have. */
     private boolean process(CopyShape shape) {
         CopyFootprint.Verdict verdict = copy.judge(shape, limits);
-        out.println("process: " + (verdict.fits() ? "fits" : "does not fit") + "; "
-                + told(verdict.bound(), verdict.needed(), verdict.room()));
+        out.println(
+                "process: "
+                        + (verdict.fits() ? "fits" : "does not fit")
+                        + "; "
+                        + told(verdict.bound(), verdict.needed(), verdict.room()));
         return verdict.fits();
     }
 
     private static String told(Enum<?> bound, long needed, long room) {
-        return bound.name().toLowerCase(Locale.ROOT) + " needs " + needed + " of " + room + ", "
+        return bound.name().toLowerCase(Locale.ROOT)
+                + " needs "
+                + needed
+                + " of "
+                + room
+                + ", "
                 + (needed <= room ? room - needed + " to spare" : needed - room + " too many");
     }
 
@@ -151,8 +195,8 @@
         } catch (IOException e) {
             throw new IllegalArgumentException(file + ": can't be read: " + e, e);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(file + ": found " + e.getMessage()
-                    + "; allowed: a JSON object", e);
+            throw new IllegalArgumentException(
+                    file + ": found " + e.getMessage() + "; allowed: a JSON object", e);
         }
         try {
             boolean bare = !json.objects(LIST, false).isEmpty();
@@ -165,8 +209,13 @@
             }
             return new Read(list, bare ? null : json);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(file + ": found " + e.getMessage() + "; allowed: a list of "
-                    + "nodes with 'servers', or a configuration that has one under 'known'", e);
+            throw new IllegalArgumentException(
+                    file
+                            + ": found "
+                            + e.getMessage()
+                            + "; allowed: a list of "
+                            + "nodes with 'servers', or a configuration that has one under 'known'",
+                    e);
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/LogWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/LogWriter.java
@@ -9,21 +9,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes lines on a thread of its own. Guards against a reader of standard error that has stopped reading, or
- * reads slowly: whoever writes to a full pipe stands still until there is room, and the event loop must not.
+ * Writes lines on a thread of its own. Guards against a reader of standard error that has stopped
+ * reading, or reads slowly: whoever writes to a full pipe stands still until there is room, and the
+ * event loop must not.
  *
- * <p>Lines may come from any thread; those for which there is no room are left out. Cost: a line's reference
- * in a queue of fixed size.
+ * <p>Lines may come from any thread; those for which there is no room are left out. Cost: a line's
+ * reference in a queue of fixed size.
  */
 final class LogWriter {
 
     /** Lines that wait to be written, at the most: some 100 KB. */
     static final int MOST = 256;
 
-    /** A longer line that the program itself did not make, such as a fault's of a library, is cut there. */
+    /**
+     * A longer line that the program itself did not make, such as a fault's of a library, is cut
+     * there.
+     */
     private static final int MOST_BYTES = 1024;
 
-    /** How long the end may wait for the last lines to be read, in milliseconds; all answers are out. */
+    /**
+     * How long the end may wait for the last lines to be read, in milliseconds; all answers are
+     * out.
+     */
     private static final long LAST_WORD = 200;
 
     private final BlockingQueue<String> lines;
@@ -47,8 +54,8 @@
     }
 
     /**
-     * One that takes the place of the process's standard error, so that nothing that is written there from
-     * now on, by whomever, stands still.
+     * One that takes the place of the process's standard error, so that nothing that is written
+     * there from now on, by whomever, stands still.
      */
     static LogWriter inPlaceOfStandardError() {
         LogWriter writer = new LogWriter(System.err);
@@ -61,7 +68,10 @@
         return lines.offer(line);
     }
 
-    /** Returns once all that was taken is written, or nobody has read it for a while. From any thread. */
+    /**
+     * Returns once all that was taken is written, or nobody has read it for a while. From any
+     * thread.
+     */
     void end() {
         ending = true;
         thread.interrupt();
@@ -87,12 +97,16 @@
             try {
                 out.println(line);
             } catch (OutOfMemoryError e) {
-                // This line is lost: guards against a log that is silent from then on, for months maybe.
+                // This line is lost: guards against a log that is silent from then on, for months
+                // maybe.
             }
         }
     }
 
-    /** What is written as bytes, cut into lines; the stream in front of it sees to one thread at a time. */
+    /**
+     * What is written as bytes, cut into lines; the stream in front of it sees to one thread at a
+     * time.
+     */
     private final class Lines extends OutputStream {
         private final byte[] line = new byte[MOST_BYTES];
         private int length;
--- a/daemon/src/main/java/cedarrudder/program/MachineLayout.java
+++ b/daemon/src/main/java/cedarrudder/program/MachineLayout.java
@@ -6,25 +6,39 @@
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** How this virtual machine lays out objects, and what it may take, by what it says of its own settings. */
+/**
+ * How this virtual machine lays out objects, and what it may take, by what it says of its own
+ * settings.
+ */
 final class MachineLayout {
 
-    private MachineLayout() { }
+    private MachineLayout() {}
 
     static Layout read() {
-        HotSpotDiagnosticMXBean machine = ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class);
-        return Layout.of(flag(machine, "UseCompressedOops"), flag(machine, "UseCompressedClassPointers"),
+        HotSpotDiagnosticMXBean machine =
+                ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class);
+        return Layout.of(
+                flag(machine, "UseCompressedOops"),
+                flag(machine, "UseCompressedClassPointers"),
                 Integer.parseInt(machine.getVMOption("ObjectAlignmentInBytes").getValue()));
     }
 
-    /** @param memory bytes of the machine's memory that the process may take; 0: no bound is known */
+    /**
+     * @param memory bytes of the machine's memory that the process may take; 0: no bound is known
+     */
     static Limits limits(long memory) {
-        HotSpotDiagnosticMXBean machine = ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class);
+        HotSpotDiagnosticMXBean machine =
+                ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class);
         long heap = Runtime.getRuntime().maxMemory();
         long direct = Long.parseLong(machine.getVMOption("MaxDirectMemorySize").getValue());
-        return new Limits(heap, memory, direct == 0 ? heap : direct,
-                ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
-                        ? unix.getMaxFileDescriptorCount() : 0);
+        return new Limits(
+                heap,
+                memory,
+                direct == 0 ? heap : direct,
+                ManagementFactory.getOperatingSystemMXBean()
+                                instanceof UnixOperatingSystemMXBean unix
+                        ? unix.getMaxFileDescriptorCount()
+                        : 0);
     }
 
     private static boolean flag(HotSpotDiagnosticMXBean machine, String name) {
--- a/daemon/src/main/java/cedarrudder/program/Main.java
+++ b/daemon/src/main/java/cedarrudder/program/Main.java
@@ -6,13 +6,13 @@
 /**
  * The program. Its commands are {@code serve}, {@code adapter}, {@code check} and {@code version}.
  *
- * <p>Guards against paying for what a start doesn't need: {@code serve} and {@code adapter} alone, which the
- * platform starts in many copies on shared cores, go past the reader of arguments, and none of its classes
- * are loaded.
+ * <p>Guards against paying for what a start doesn't need: {@code serve} and {@code adapter} alone,
+ * which the platform starts in many copies on shared cores, go past the reader of arguments, and
+ * none of its classes are loaded.
  */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws InterruptedException {
         int code;
--- a/daemon/src/main/java/cedarrudder/program/Proxy.java
+++ b/daemon/src/main/java/cedarrudder/program/Proxy.java
@@ -42,8 +42,8 @@
 import cedarrudder.protocol.ResolverResult;
 import cedarrudder.protocol.ResolverResultReader;
 import cedarrudder.protocol.RpcFields;
-import cedarrudder.rotation.Rotation.Named;
 import cedarrudder.rotation.Rotation;
+import cedarrudder.rotation.Rotation.Named;
 import cedarrudder.routing.Driver;
 import cedarrudder.routing.ResolverClock;
 import cedarrudder.toml.BadFileException;
@@ -70,8 +70,11 @@
 /** One proxy: its parts, wired together. */
 final class Proxy {
 
-    /** How often a node that was enabled is asked for its load, in nanoseconds, and how many times. */
+    /**
+     * How often a node that was enabled is asked for its load, in nanoseconds, and how many times.
+     */
     private static final long WELCOME = 1_000_000_000L;
+
     private static final int WELCOMES = 5;
 
     /** How often a proxy looks for other processes of it, in nanoseconds. */
@@ -80,13 +83,21 @@
     /** So many looks a successor leaves it to its predecessor to write anew what was cleared. */
     private static final int MOST_WAITED = 10;
 
-    /** Looks at the folder after the last other process has gone: what it took back is to be seen twice. */
+    /**
+     * Looks at the folder after the last other process has gone: what it took back is to be seen
+     * twice.
+     */
     private static final int LOOKS = 2;
 
-    /** A successor waits so long, in nanoseconds, for discovery's list before it lets callers in. */
+    /**
+     * A successor waits so long, in nanoseconds, for discovery's list before it lets callers in.
+     */
     private static final long FRESH = 2_000_000_000L;
 
-    /** The loop answers a question of another thread within so long, in nanoseconds, or counts as over. */
+    /**
+     * The loop answers a question of another thread within so long, in nanoseconds, or counts as
+     * over.
+     */
     private static final long ANSWER = 3_000_000_000L;
 
     private final Logger log;
@@ -116,6 +127,7 @@
 
     /** So many looks at what operators asked of others are still to come. */
     private int looks;
+
     private int waited;
     private KeptState.Told lastTold;
     private boolean resolved;
@@ -126,7 +138,9 @@
 
     private final StartGate gate = new StartGate();
 
-    /** @param state where what operators ask for is kept; read and written only where they can ask */
+    /**
+     * @param state where what operators ask for is kept; read and written only where they can ask
+     */
     Proxy(Configuration configuration, Operator operator, Logger log, Path state) {
         kept = new KeptState(state);
         handover = new Handover(state);
@@ -138,39 +152,80 @@
         var nodes = operator.of(NodesTable.NODES);
         setLog(operator.of(LogTable.LOG));
         HistorySettings recorded = operator.of(HistoryTable.HISTORY);
-        loop = recorded == null || recorded.clockDrift() == 0 ? new Loop(log)
-                : new Loop(log, new Drift(recorded.clockDrift()));
+        loop =
+                recorded == null || recorded.clockDrift() == 0
+                        ? new Loop(log)
+                        : new Loop(log, new Drift(recorded.clockDrift()));
         Budgets budgets = budgets(operator.of(BudgetTable.BUDGET));
         figures = new Figures(site.module().classes().size());
-        driver = new Driver<>(actions -> new Decide(site.module(), new SplittableRandom(configuration.seed()),
-                actions), site.module().limits().maxAttempts(), loop, log, budgets, figures);
+        driver =
+                new Driver<>(
+                        actions ->
+                                new Decide(
+                                        site.module(),
+                                        new SplittableRandom(configuration.seed()),
+                                        actions),
+                        site.module().limits().maxAttempts(),
+                        loop,
+                        log,
+                        budgets,
+                        figures);
         int sockets = configuration.sockets();
-        channels = new NodeChannels(loop, driver, site, nodes,
-                nodes.bounds(sockets, callers.mostCallers(sockets)), figures, held);
+        channels =
+                new NodeChannels(
+                        loop,
+                        driver,
+                        site,
+                        nodes,
+                        nodes.bounds(sockets, callers.mostCallers(sockets)),
+                        figures,
+                        held);
         clockOffset = recorded == null ? 0 : recorded.clockOffset();
         reader = new ResolverResultReader(site, loop::now, this::wallClock);
         long version = (long) configuration.known().number("version", 0);
         FootprintSettings lists = operator.of(FootprintTable.FOOTPRINT);
         estimate = lists == null ? null : estimate();
-        footprint = lists == null ? null : new ListGate(new Footprint(MachineLayout.read()), reader,
-                estimate.room(lists.heapShare(), most()), lists.fromNodes());
-        discovery = new DiscoveryClient(loop, configuration.discovery(),
-                operator.of(DiscoveryTable.DISCOVERY), ResolverClock.longest(site.module()),
-                new SplittableRandom(configuration.seed()).split().split().split(), reader, version,
-                result -> resolved(result, result.full() ? ListKind.FULL : ListKind.CHANGES),
-                driver::unresolved, footprint, lists == null ? 0 : lists.again());
+        footprint =
+                lists == null
+                        ? null
+                        : new ListGate(
+                                new Footprint(MachineLayout.read()),
+                                reader,
+                                estimate.room(lists.heapShare(), most()),
+                                lists.fromNodes());
+        discovery =
+                new DiscoveryClient(
+                        loop,
+                        configuration.discovery(),
+                        operator.of(DiscoveryTable.DISCOVERY),
+                        ResolverClock.longest(site.module()),
+                        new SplittableRandom(configuration.seed()).split().split().split(),
+                        reader,
+                        version,
+                        result ->
+                                resolved(result, result.full() ? ListKind.FULL : ListKind.CHANGES),
+                        driver::unresolved,
+                        footprint,
+                        lists == null ? 0 : lists.again());
         peers = new PeerSocket(loop, driver, configuration.peers(), configuration.peersAll());
-        listener = new Listener(loop, driver, new RpcFields(site.module(), budgets),
-                () -> resolved && serving,
-                callers, callers.mostCallers(sockets), held);
+        listener =
+                new Listener(
+                        loop,
+                        driver,
+                        new RpcFields(site.module(), budgets),
+                        () -> resolved && serving,
+                        callers,
+                        callers.mostCallers(sockets),
+                        held);
         driver.connect(channels, discovery, peers);
         history = recorded == null ? null : new HistoryFile(recorded.file(), site.module().self());
         if (estimate != null && history != null) {
-            footprint.whenJudged(judged -> {
-                if (estimate.measured()) {
-                    estimate.judged(judged, history);
-                }
-            });
+            footprint.whenJudged(
+                    judged -> {
+                        if (estimate.measured()) {
+                            estimate.judged(judged, history);
+                        }
+                    });
         }
         membership = membership(operator.of(MembershipTable.MEMBERSHIP));
         removals = removals(operator.of(DrainsTable.DRAINS));
@@ -183,21 +238,34 @@
     }
 
     private CopyEstimate estimate() {
-        // Usual are an operators' address, with the file of this proxy's processes, and one for its peers.
-        int further = (operator.of(HistoryTable.HISTORY) == null ? 0 : 1)
-                - (configuration.admin() == null ? 2 : 0) - (configuration.peerListen() == null ? 1 : 0);
-        return new CopyEstimate(configuration.site(), MachineLayout.read(),
-                MachineLayout.limits(configuration.memory()), further,
-                () -> new CopyEstimate.Load(listener.callers(), channels.open(), (int) figures.open(),
-                        held.held()));
+        // Usual are an operators' address, with the file of this proxy's processes, and one for its
+        // peers.
+        int further =
+                (operator.of(HistoryTable.HISTORY) == null ? 0 : 1)
+                        - (configuration.admin() == null ? 2 : 0)
+                        - (configuration.peerListen() == null ? 1 : 0);
+        return new CopyEstimate(
+                configuration.site(),
+                MachineLayout.read(),
+                MachineLayout.limits(configuration.memory()),
+                further,
+                () ->
+                        new CopyEstimate.Load(
+                                listener.callers(),
+                                channels.open(),
+                                (int) figures.open(),
+                                held.held()));
     }
 
     /** All that the process may come to hold beside nodes. */
     private CopyEstimate.Load most() {
         int sockets = configuration.sockets();
         int callers = operator.of(CallersTable.CALLERS).mostCallers(sockets);
-        return new CopyEstimate.Load(callers, operator.of(NodesTable.NODES).bounds(sockets, callers).idle(),
-                callers, HeldBytes.MOST);
+        return new CopyEstimate.Load(
+                callers,
+                operator.of(NodesTable.NODES).bounds(sockets, callers).idle(),
+                callers,
+                HeldBytes.MOST);
     }
 
     /** Membership of this tier's proxies; null where the operator's file has none. */
@@ -208,15 +276,30 @@
         var module = configuration.site().module();
         int peersKnown = configuration.peers().size();
         if (configuration.peerListen() == null || peersKnown < 2 || module.self() >= peersKnown) {
-            throw new IllegalArgumentException("[membership]: found peer_listen "
-                    + configuration.peerListen() + " and " + peersKnown + " peers with ordinal "
-                    + module.self() + "; allowed: an address, and two peers or more, this one among them");
-        }
-        return new Membership(loop, peers, set, peersKnown, module.self(), Math.max(0, wallClock()),
-                new SplittableRandom(configuration.seed()).split().split(), driver::copies, history);
+            throw new IllegalArgumentException(
+                    "[membership]: found peer_listen "
+                            + configuration.peerListen()
+                            + " and "
+                            + peersKnown
+                            + " peers with ordinal "
+                            + module.self()
+                            + "; allowed: an address, and two peers or more, this one among them");
+        }
+        return new Membership(
+                loop,
+                peers,
+                set,
+                peersKnown,
+                module.self(),
+                Math.max(0, wallClock()),
+                new SplittableRandom(configuration.seed()).split().split(),
+                driver::copies,
+                history);
     }
 
-    /** What proxies of this tier decide together; null where the operator's file has no such table. */
+    /**
+     * What proxies of this tier decide together; null where the operator's file has no such table.
+     */
     private Together together(TogetherSettings set) {
         if (set == null) {
             return null;
@@ -224,20 +307,49 @@
         var module = configuration.site().module();
         int copies = configuration.peers().size();
         if (set.fleet().lease() < set.fleet().leastLease(copies)) {
-            throw new IllegalArgumentException("agreement.lease_ms: found " + set.fleet().lease() / 1_000_000
-                    + " with " + copies + " peers; allowed: " + set.fleet().leastLease(copies) / 1_000_000
-                    + " or more");
-        }
-        int[] zones = Together.zones(set, configuration.site().zones(), copies, module.self(),
-                module.zone());
+            throw new IllegalArgumentException(
+                    "agreement.lease_ms: found "
+                            + set.fleet().lease() / 1_000_000
+                            + " with "
+                            + copies
+                            + " peers; allowed: "
+                            + set.fleet().leastLease(copies) / 1_000_000
+                            + " or more");
+        }
+        int[] zones =
+                Together.zones(
+                        set, configuration.site().zones(), copies, module.self(), module.zone());
         FailoverSettings moves = operator.of(FailoverTable.FAILOVER);
-        Failovers failovers = moves == null ? null : new Failovers(moves, configuration.site(),
-                set.fleet().reports(copies), zones, Math.max(1, wallClock()), loop.now(), driver, history,
+        Failovers failovers =
+                moves == null
+                        ? null
+                        : new Failovers(
+                                moves,
+                                configuration.site(),
+                                set.fleet().reports(copies),
+                                zones,
+                                Math.max(1, wallClock()),
+                                loop.now(),
+                                driver,
+                                history,
+                                log);
+        return new Together(
+                loop,
+                peers,
+                membership,
+                set,
+                new Together.Self(
+                        zones,
+                        module.self(),
+                        this::wallClock,
+                        new SplittableRandom(configuration.seed()).split().split().split().split(),
+                        held -> estimate == null ? Room.ANY : estimate.room(held, footprint)),
+                driver,
+                this::leaving,
+                failovers,
+                removals,
+                history,
                 log);
-        return new Together(loop, peers, membership, set, new Together.Self(zones, module.self(),
-                this::wallClock, new SplittableRandom(configuration.seed()).split().split().split().split(),
-                held -> estimate == null ? Room.ANY : estimate.room(held, footprint)),
-                driver, this::leaving, failovers, removals, history, log);
     }
 
     /** Begins to speak to the peers, as the process of this proxy that does; on the loop. */
@@ -259,12 +371,23 @@
         List<String> zones = configuration.site().zones();
         for (Policy policy : file.policies()) {
             if (!policy.whom().zone().isEmpty() && !zones.contains(policy.whom().zone())) {
-                throw new IllegalArgumentException("drains.policy.zone: found " + policy.whom().zone()
-                        + " in '" + policy.name() + "'; allowed: " + String.join(", ", zones));
+                throw new IllegalArgumentException(
+                        "drains.policy.zone: found "
+                                + policy.whom().zone()
+                                + " in '"
+                                + policy.name()
+                                + "'; allowed: "
+                                + String.join(", ", zones));
             }
         }
-        return new Removals(loop, configuration.peers().size(), configuration.site().module().self(), file,
-                new Seen(configuration.site(), rotation, channels, reader, figures, this::wallClock), history,
+        return new Removals(
+                loop,
+                configuration.peers().size(),
+                configuration.site().module().self(),
+                file,
+                new Seen(
+                        configuration.site(), rotation, channels, reader, figures, this::wallClock),
+                history,
                 log);
     }
 
@@ -289,12 +412,19 @@
         var site = configuration.site();
         int tier = site.module().tier();
         if (set.mostHops() < site.module().tiers()) {
-            throw new IllegalArgumentException("budget.path_most: found " + set.mostHops() + " with "
-                    + site.module().tiers() + " tiers; allowed: no less than there are tiers");
+            throw new IllegalArgumentException(
+                    "budget.path_most: found "
+                            + set.mostHops()
+                            + " with "
+                            + site.module().tiers()
+                            + " tiers; allowed: no less than there are tiers");
         }
         // Not the module's own numbers: guards against what one draws telling what the other will.
-        return new Budgets(set.orHop(tier < site.tiers().size() ? site.tiers().get(tier) : "tier-" + tier),
-                site.module(), new SplittableRandom(configuration.seed()).split(), new BudgetLog(log));
+        return new Budgets(
+                set.orHop(tier < site.tiers().size() ? site.tiers().get(tier) : "tier-" + tier),
+                site.module(),
+                new SplittableRandom(configuration.seed()).split(),
+                new BudgetLog(log));
     }
 
     /** Starts it: the module learns the list it had before, then callers are let in. */
@@ -307,32 +437,34 @@
         boolean speaks = membership == null || speak();
         ResolverResult known = known();
         CountDownLatch told = new CountDownLatch(1);
-        loop.run(() -> {
-            hushed = !speaks;
-            if (shared) {
-                takeUp();
-                setBounds();
-                watchOthers();
-            }
-            if (known != null && footprint != null && footprint.last().waits() > 0) {
-                discovery.startedShort(); // first: the watch is asked for from there
-            }
-            if (!configuration.site().module().askForEndpoints()) {
-                discovery.subscribe(true); // nobody asks for it: what was pushed counts from now on
-            }
-            if (replacing) {
-                discovery.fetch();
-            }
-            if (known != null) {
-                resolved(known, ListKind.CACHED);
-            } else {
-                driver.resolved(ListKind.CACHED, List.of());
-            }
-            if (estimate != null) {
-                measure();
-            }
-            told.countDown();
-        });
+        loop.run(
+                () -> {
+                    hushed = !speaks;
+                    if (shared) {
+                        takeUp();
+                        setBounds();
+                        watchOthers();
+                    }
+                    if (known != null && footprint != null && footprint.last().waits() > 0) {
+                        discovery.startedShort(); // first: the watch is asked for from there
+                    }
+                    if (!configuration.site().module().askForEndpoints()) {
+                        discovery.subscribe(
+                                true); // nobody asks for it: what was pushed counts from now on
+                    }
+                    if (replacing) {
+                        discovery.fetch();
+                    }
+                    if (known != null) {
+                        resolved(known, ListKind.CACHED);
+                    } else {
+                        driver.resolved(ListKind.CACHED, List.of());
+                    }
+                    if (estimate != null) {
+                        measure();
+                    }
+                    told.countDown();
+                });
         told.await();
         if (shared) {
             new AdminListener(loop, new OnDuty()).listen(configuration.admin());
@@ -343,9 +475,11 @@
                 loop.run(this::speakUp);
             }
         }
-        // Not at the callers' address: guards against RPCs of the warm-up reaching another process there.
-        InetSocketAddress own = listener.listen(
-                new InetSocketAddress(configuration.listen().getAddress(), 0), false);
+        // Not at the callers' address: guards against RPCs of the warm-up reaching another process
+        // there.
+        InetSocketAddress own =
+                listener.listen(
+                        new InetSocketAddress(configuration.listen().getAddress(), 0), false);
         CountDownLatch warmed = new CountDownLatch(1);
         loop.run(() -> warmUp(own, warmed));
         warmed.await();
@@ -356,21 +490,25 @@
             return; // told to end before anyone could come
         }
         listener.listen(configuration.listen(), shared);
-        loop.run(() -> {
-            if (shared) {
-                tellReady();
-            }
-            serving = true;
-            log.info("proxy.listens").with("name", configuration.name())
-                    .with("address", configuration.listen()).write();
-        });
+        loop.run(
+                () -> {
+                    if (shared) {
+                        tellReady();
+                    }
+                    serving = true;
+                    log.info("proxy.listens")
+                            .with("name", configuration.name())
+                            .with("address", configuration.listen())
+                            .write();
+                });
     }
 
     /** The list that it had before; null where there was none. */
     private ResolverResult known() {
         JsonObject list = configuration.known();
         configuration = configuration.withoutKnown();
-        return list.list("servers", false).isEmpty() ? null
+        return list.list("servers", false).isEmpty()
+                ? null
                 : reader.read(footprint == null ? list : footprint.read(list));
     }
 
@@ -378,7 +516,8 @@
     private void measure() {
         estimate.measure(footprint.held());
         if (history != null && footprint.last() != null) {
-            estimate.judged(footprint.last(), history); // by what was measured, not by what is usual
+            estimate.judged(
+                    footprint.last(), history); // by what was measured, not by what is usual
             estimate.took(history, loop::run);
         }
     }
@@ -403,7 +542,9 @@
         }
     }
 
-    /** Speaks to the peers no longer: a successor does, or they are told that this proxy is gone. */
+    /**
+     * Speaks to the peers no longer: a successor does, or they are told that this proxy is gone.
+     */
     private void hush(boolean replaced) {
         if (membership == null || hushed) {
             hushed = false;
@@ -442,8 +583,11 @@
             renewState();
             Others now = handover.look();
             if (!now.equals(others)) {
-                log.info("upgrade.others").with("predecessor", now.predecessor())
-                        .with("successor", now.successor()).with("ready", now.successorReady()).write();
+                log.info("upgrade.others")
+                        .with("predecessor", now.predecessor())
+                        .with("successor", now.successor())
+                        .with("ready", now.successorReady())
+                        .write();
             }
             looks = now.any() || others.any() ? LOOKS : Math.max(0, looks - 1);
             others = now;
@@ -461,22 +605,26 @@
     }
 
     /**
-     * Writes what operators have asked for anew where somebody has cleared the folder. Guards against bans
-     * that are gone at the next start, and against two processes that don't see each other.
+     * Writes what operators have asked for anew where somebody has cleared the folder. Guards
+     * against bans that are gone at the next start, and against two processes that don't see each
+     * other.
      */
     private void renewState() throws IOException {
         try {
-            // Not beside one that ran before: guards against what this one has yet to read counting as gone.
+            // Not beside one that ran before: guards against what this one has yet to read counting
+            // as gone.
             boolean may = !others.predecessor() || ++waited > MOST_WAITED;
-            if (handover.renew(may, () -> {
-                lastTold = null;
-                for (String node : rotation.disabled()) {
-                    kept.disable(node);
-                }
-                if (listener.drained()) {
-                    kept.drain();
-                }
-            })) {
+            if (handover.renew(
+                    may,
+                    () -> {
+                        lastTold = null;
+                        for (String node : rotation.disabled()) {
+                            kept.disable(node);
+                        }
+                        if (listener.drained()) {
+                            kept.drain();
+                        }
+                    })) {
                 log.warn("state.renewed").write();
             }
             waited = 0;
@@ -486,8 +634,9 @@
     }
 
     /**
-     * Does what operators asked of another process of this proxy. What is taken back has to be gone at two
-     * looks in turn at a folder that stands. Guards against a look in the midst of its being cleared.
+     * Does what operators asked of another process of this proxy. What is taken back has to be gone
+     * at two looks in turn at a folder that stands. Guards against a look in the midst of its being
+     * cleared.
      */
     private void takeOver(KeptState.Told told) {
         KeptState.Told before = lastTold;
@@ -498,7 +647,9 @@
             }
         }
         for (String node : rotation.disabled()) {
-            if (before != null && !before.disabled().contains(node) && !told.disabled().contains(node)) {
+            if (before != null
+                    && !before.disabled().contains(node)
+                    && !told.disabled().contains(node)) {
                 putBack(node);
             }
         }
@@ -509,7 +660,10 @@
         }
     }
 
-    /** Two processes of a proxy together hold no more descriptors, and bytes of bodies, than one may. */
+    /**
+     * Two processes of a proxy together hold no more descriptors, and bytes of bodies, than one
+     * may.
+     */
     private void setBounds() {
         int processes = others.any() ? 2 : 1;
         int sockets = configuration.sockets() / processes;
@@ -533,16 +687,23 @@
 
     private void resolved(ResolverResult result, ListKind kind) {
         if (!result.unread().isEmpty()) {
-            log.warn("discovery.unread").with("entries", result.unread().size())
-                    .with("first", result.unread().get(0)).write();
+            log.warn("discovery.unread")
+                    .with("entries", result.unread().size())
+                    .with("first", result.unread().get(0))
+                    .write();
         }
         channels.resolved(result);
         resolved |= !result.nodes().isEmpty();
         if (kind != ListKind.CACHED) {
             fresh.countDown();
         }
-        driver.resolved(kind, rotation.listed(kind, result.nodes().stream()
-                .map(node -> new Named(node.name(), node.endpoint())).toList()));
+        driver.resolved(
+                kind,
+                rotation.listed(
+                        kind,
+                        result.nodes().stream()
+                                .map(node -> new Named(node.name(), node.endpoint()))
+                                .toList()));
         if (estimate != null && history != null && estimate.measured()) {
             estimate.took(history, loop::run);
         }
@@ -557,7 +718,8 @@
                 listener.drainByHand();
             }
         } catch (IOException e) {
-            // Guards against a start that fails for a folder's sake: what can't be read counts as absent.
+            // Guards against a start that fails for a folder's sake: what can't be read counts as
+            // absent.
             log.warn("state.unreadable").with("why", e.getMessage()).write();
         }
     }
@@ -571,9 +733,9 @@
     }
 
     /**
-     * A node is back: asks it for its load now and each second for a while, since it may still be starting.
-     * Guards against it standing idle: the module sends mostly to nodes whose load it knows, and with few
-     * calls it asks few of them.
+     * A node is back: asks it for its load now and each second for a while, since it may still be
+     * starting. Guards against it standing idle: the module sends mostly to nodes whose load it
+     * knows, and with few calls it asks few of them.
      */
     private void welcome(String node, int times) {
         Endpoint entry = rotation.shown(node);
@@ -597,21 +759,22 @@
     }
 
     /**
-     * Takes up what the operator has changed, from any thread: the address of discovery. The rest of a
-     * configuration counts from the next start. RPCs and callers notice nothing.
+     * Takes up what the operator has changed, from any thread: the address of discovery. The rest
+     * of a configuration counts from the next start. RPCs and callers notice nothing.
      *
-     * <p>It is read on the caller's thread: guards against a slow file making the loop stand still. Of two
-     * changes the later one counts where the caller reads one at a time.
+     * <p>It is read on the caller's thread: guards against a slow file making the loop stand still.
+     * Of two changes the later one counts where the caller reads one at a time.
      *
      * @param changed reads the configuration, or says in an exception why it can't
      */
     void reload(Callable<Configuration> changed) {
         try {
             Configuration next = changed.call();
-            loop.run(() -> {
-                log.info("configuration.read").with("discovery", next.discovery()).write();
-                discovery.moveTo(next.discovery());
-            });
+            loop.run(
+                    () -> {
+                        log.info("configuration.read").with("discovery", next.discovery()).write();
+                        discovery.moveTo(next.discovery());
+                    });
         } catch (Exception e) {
             // Guards against a file that is broken or half written ending what works.
             loop.run(() -> log.warn("configuration.kept").with("why", e.getMessage()).write());
@@ -620,25 +783,32 @@
 
     /** Takes up what the operator's file says now, from any thread. RPCs notice nothing. */
     void apply(Operator next) {
-        loop.run(() -> {
-            operator = next;
-            setLog(operator.of(LogTable.LOG));
-            setBounds();
-            discovery.apply(operator.of(DiscoveryTable.DISCOVERY));
-            if (together != null) {
-                together.apply(operator.of(FailoverTable.FAILOVER));
-            }
-            if (removals != null) {
-                removals.apply(operator.of(DrainsTable.DRAINS));
-            }
-            log.info("operator.read").write();
-        });
+        loop.run(
+                () -> {
+                    operator = next;
+                    setLog(operator.of(LogTable.LOG));
+                    setBounds();
+                    discovery.apply(operator.of(DiscoveryTable.DISCOVERY));
+                    if (together != null) {
+                        together.apply(operator.of(FailoverTable.FAILOVER));
+                    }
+                    if (removals != null) {
+                        removals.apply(operator.of(DrainsTable.DRAINS));
+                    }
+                    log.info("operator.read").write();
+                });
     }
 
-    /** Tells in the log that the operator's file can't be used, from any thread; nothing changes. */
+    /**
+     * Tells in the log that the operator's file can't be used, from any thread; nothing changes.
+     */
     void keep(BadFileException bad) {
-        loop.run(() -> log.warn("operator.kept").with("problems", bad.problems().size())
-                .with("first", bad.problems().get(0)).write());
+        loop.run(
+                () ->
+                        log.warn("operator.kept")
+                                .with("problems", bad.problems().size())
+                                .with("first", bad.problems().get(0))
+                                .write());
     }
 
     private void setLog(Log how) {
@@ -671,8 +841,8 @@
 
     /** What operators ask for, carried out by the parts. */
     private final class OnDuty implements Desk {
-        private final List<String> classes = configuration.site().module().classes().stream()
-                .map(RequestClass::name).toList();
+        private final List<String> classes =
+                configuration.site().module().classes().stream().map(RequestClass::name).toList();
 
         @Override
         public boolean ready() {
@@ -681,14 +851,21 @@
 
         @Override
         public byte[] figures() {
-            return FiguresPage.write(figures, classes, rotation.size(), driver.avoided(), held.held(),
+            return FiguresPage.write(
+                    figures,
+                    classes,
+                    rotation.size(),
+                    driver.avoided(),
+                    held.held(),
                     estimate == null ? null : estimate.figures(footprint));
         }
 
         @Override
         public byte[] table() {
-            return together == null ? null : TablePage.write(together.fleet(), configuration.site().zones(),
-                    rotation::name);
+            return together == null
+                    ? null
+                    : TablePage.write(
+                            together.fleet(), configuration.site().zones(), rotation::name);
         }
 
         @Override
@@ -703,14 +880,27 @@
 
         @Override
         public void remove(Which which, String name, boolean cancel, Consumer<Done> then) {
-            List<Long> nodes = rotation.listed().entrySet().stream().filter(entry -> switch (which) {
-                case NODE -> entry.getKey().equals(name);
-                case ZONE -> configuration.site().zones().indexOf(name) == entry.getValue().zone()
-                        && entry.getValue().zone() >= 0;
-                case POD -> Integer.toString(entry.getValue().cell()).equals(name);
-                case KIND -> configuration.site().kinds().indexOf(name) == entry.getValue().kind()
-                        && entry.getValue().kind() >= 0;
-            }).map(entry -> entry.getValue().id()).sorted().toList();
+            List<Long> nodes =
+                    rotation.listed().entrySet().stream()
+                            .filter(
+                                    entry ->
+                                            switch (which) {
+                                                case NODE -> entry.getKey().equals(name);
+                                                case ZONE ->
+                                                        configuration.site().zones().indexOf(name)
+                                                                        == entry.getValue().zone()
+                                                                && entry.getValue().zone() >= 0;
+                                                case POD ->
+                                                        Integer.toString(entry.getValue().cell())
+                                                                .equals(name);
+                                                case KIND ->
+                                                        configuration.site().kinds().indexOf(name)
+                                                                        == entry.getValue().kind()
+                                                                && entry.getValue().kind() >= 0;
+                                            })
+                            .map(entry -> entry.getValue().id())
+                            .sorted()
+                            .toList();
             if (nodes.isEmpty()) {
                 then.accept(Done.UNKNOWN);
             } else {
@@ -720,23 +910,34 @@
 
         @Override
         public Done disable(String node) {
-            return !rotation.knows(node) ? Done.UNKNOWN : keep(() -> kept.disable(node), () -> {
-                if (!rotation.disabled().contains(node)) {
-                    leaveOut(node);
-                }
-            });
+            return !rotation.knows(node)
+                    ? Done.UNKNOWN
+                    : keep(
+                            () -> kept.disable(node),
+                            () -> {
+                                if (!rotation.disabled().contains(node)) {
+                                    leaveOut(node);
+                                }
+                            });
         }
 
         @Override
         public Done enable(String node) {
-            return !rotation.knows(node) ? Done.UNKNOWN : keep(() -> kept.enable(node), () -> {
-                if (rotation.disabled().contains(node)) {
-                    putBack(node);
-                }
-            });
-        }
-
-        /** Does what was asked once it is kept. Guards against a yes that a new process knows nothing of. */
+            return !rotation.knows(node)
+                    ? Done.UNKNOWN
+                    : keep(
+                            () -> kept.enable(node),
+                            () -> {
+                                if (rotation.disabled().contains(node)) {
+                                    putBack(node);
+                                }
+                            });
+        }
+
+        /**
+         * Does what was asked once it is kept. Guards against a yes that a new process knows
+         * nothing of.
+         */
         private Done keep(Keeping keeping, Runnable then) {
             try {
                 renewState(); // first: guards against this change being undone with the rest
@@ -769,8 +970,8 @@
     }
 
     /**
-     * Answers all that was taken and returns when nothing is left; at once where callers could not come yet.
-     * To be called from another thread.
+     * Answers all that was taken and returns when nothing is left; at once where callers could not
+     * come yet. To be called from another thread.
      */
     void drain() {
         if (!gate.end()) {
@@ -778,19 +979,21 @@
             return;
         }
         CountDownLatch drained = new CountDownLatch(1);
-        loop.run(() -> {
-            boolean replaced = successorReady();
-            hush(replaced);
-            if (replaced) {
-                log.info("proxy.replaced").write();
-                listener.replace(drained::countDown);
-            } else {
-                log.info("proxy.draining").write();
-                listener.drain(drained::countDown);
-            }
-        });
+        loop.run(
+                () -> {
+                    boolean replaced = successorReady();
+                    hush(replaced);
+                    if (replaced) {
+                        log.info("proxy.replaced").write();
+                        listener.replace(drained::countDown);
+                    } else {
+                        log.info("proxy.draining").write();
+                        listener.drain(drained::countDown);
+                    }
+                });
         try {
-            // Guards against a process that never ends since a part of its end can't be carried out, such as
+            // Guards against a process that never ends since a part of its end can't be carried
+            // out, such as
             // one whose jar was replaced under it, so that a class of it can't be loaded any more.
             boolean over;
             do {
@@ -808,11 +1011,12 @@
     /** Whether a body still flows; no, where the loop does not say within {@link #ANSWER}. */
     private boolean flows() throws InterruptedException {
         CountDownLatch flowing = new CountDownLatch(1);
-        loop.run(() -> {
-            if (listener.flows()) {
-                flowing.countDown();
-            }
-        });
+        loop.run(
+                () -> {
+                    if (listener.flows()) {
+                        flowing.countDown();
+                    }
+                });
         return flowing.await(ANSWER, TimeUnit.NANOSECONDS);
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/Removals.java
+++ b/daemon/src/main/java/cedarrudder/program/Removals.java
@@ -4,15 +4,15 @@
 import cedarrudder.agreement.Proposal;
 import cedarrudder.drainage.DrainEvent;
 import cedarrudder.drainage.DrainSettings;
-import cedarrudder.drainage.Drains;
 import cedarrudder.drainage.DrainState;
+import cedarrudder.drainage.Drains;
 import cedarrudder.drainage.Flow;
 import cedarrudder.drainage.Transitions.Effect;
 import cedarrudder.fleet.Removal;
 import cedarrudder.fleet.Tier;
+import cedarrudder.logging.Logger;
 import cedarrudder.operator.DrainsFile;
 import cedarrudder.table.RouteTable;
-import cedarrudder.logging.Logger;
 import cedarrudder.transport.Desk.Done;
 import cedarrudder.transport.Fleet;
 import cedarrudder.transport.Loop;
@@ -38,7 +38,7 @@
     /** An operator's call has so long to be agreed on. */
     private static final long PATIENCE = 4_000_000_000L;
 
-    private record Sample(long at, Flow all) { }
+    private record Sample(long at, Flow all) {}
 
     /** A call of operators, of which so many parts are not settled yet. */
     private static final class Call {
@@ -55,7 +55,7 @@
         }
     }
 
-    private record Key(long life, long sequence) { }
+    private record Key(long life, long sequence) {}
 
     private final Loop loop;
     private final int copies;
@@ -96,8 +96,10 @@
         }
         boolean over = drains != null && drains.overruled();
         if (over && !overruled) {
-            log.warn("drains.overruled").with("own", file.revision())
-                    .with("agreed", drains.progress().revision()).write();
+            log.warn("drains.overruled")
+                    .with("own", file.revision())
+                    .with("agreed", drains.progress().revision())
+                    .write();
         }
         overruled = over;
     }
@@ -123,8 +125,13 @@
         Call call = new Call(cancel, nodes, then);
         for (int from = 0; from < nodes.size(); from += Drains.MOST_IDS) {
             call.left++;
-            Proposal made = fleet.propose(Drains.call(cancel, nodes.subList(from,
-                    Math.min(nodes.size(), from + Drains.MOST_IDS))), PATIENCE);
+            Proposal made =
+                    fleet.propose(
+                            Drains.call(
+                                    cancel,
+                                    nodes.subList(
+                                            from, Math.min(nodes.size(), from + Drains.MOST_IDS))),
+                            PATIENCE);
             if (made == null) {
                 call.left--;
                 call.failed = true;
@@ -149,8 +156,10 @@
     /** Guards against a yes to what there was no room for. */
     private void end(Call call) {
         if (call.left == 0) {
-            boolean none = !call.cancel
-                    && call.nodes.stream().anyMatch(node -> drains.state(node) == DrainState.NONE);
+            boolean none =
+                    !call.cancel
+                            && call.nodes.stream()
+                                    .anyMatch(node -> drains.state(node) == DrainState.NONE);
             call.then.accept(call.failed || none ? Done.NO : Done.YES);
         }
     }
@@ -222,8 +231,11 @@
     public Flow flow() {
         Flow first = samples.getFirst().all;
         Flow last = samples.getLast().all;
-        return new Flow(last.ended() - first.ended(), last.refused() - first.refused(),
-                last.failed() - first.failed(), last.late() - first.late());
+        return new Flow(
+                last.ended() - first.ended(),
+                last.refused() - first.refused(),
+                last.failed() - first.failed(),
+                last.late() - first.late());
     }
 
     @Override
@@ -233,10 +245,25 @@
             log.warn("drain.overdue").with("node", happened.node()).with("then", event).write();
         }
         if (notes != null) {
-            notes.note("drain", happened.event() == DrainEvent.BEGUN
-                    ? Map.of("node", happened.node(), "wave", happened.wave(), "event", event, "within",
-                            happened.within() * 1_000_000)
-                    : Map.of("node", happened.node(), "wave", happened.wave(), "event", event));
+            notes.note(
+                    "drain",
+                    happened.event() == DrainEvent.BEGUN
+                            ? Map.of(
+                                    "node",
+                                    happened.node(),
+                                    "wave",
+                                    happened.wave(),
+                                    "event",
+                                    event,
+                                    "within",
+                                    happened.within() * 1_000_000)
+                            : Map.of(
+                                    "node",
+                                    happened.node(),
+                                    "wave",
+                                    happened.wave(),
+                                    "event",
+                                    event));
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/Seen.java
+++ b/daemon/src/main/java/cedarrudder/program/Seen.java
@@ -28,9 +28,16 @@
     private final Figures figures;
     private final LongSupplier clock;
 
-    /** @param clock the machine's, in milliseconds since 1970 */
-    Seen(SiteSettings site, Rotation rotation, NodeChannels channels, ResolverResultReader reader,
-            Figures figures, LongSupplier clock) {
+    /**
+     * @param clock the machine's, in milliseconds since 1970
+     */
+    Seen(
+            SiteSettings site,
+            Rotation rotation,
+            NodeChannels channels,
+            ResolverResultReader reader,
+            Figures figures,
+            LongSupplier clock) {
         this.site = site;
         this.rotation = rotation;
         this.channels = channels;
@@ -45,12 +52,25 @@
         String name = named(site.tiers(), tier);
         Set<String> disabled = rotation.disabled();
         List<Node> nodes = new ArrayList<>();
-        rotation.listed().forEach((id, entry) -> nodes.add(new Node(entry.id(), name,
-                named(site.zones(), entry.zone()), entry.cell(), named(site.kinds(), entry.kind()),
-                entry.weight(), disabled.contains(id) ? Standing.DISABLED
-                : entry.state() == State.DRAINING ? Standing.TERMINATING
-                : channels.failing(entry.id()) ? Standing.FAILED : Standing.SERVING,
-                reader.startMillis(id))));
+        rotation.listed()
+                .forEach(
+                        (id, entry) ->
+                                nodes.add(
+                                        new Node(
+                                                entry.id(),
+                                                name,
+                                                named(site.zones(), entry.zone()),
+                                                entry.cell(),
+                                                named(site.kinds(), entry.kind()),
+                                                entry.weight(),
+                                                disabled.contains(id)
+                                                        ? Standing.DISABLED
+                                                        : entry.state() == State.DRAINING
+                                                                ? Standing.TERMINATING
+                                                                : channels.failing(entry.id())
+                                                                        ? Standing.FAILED
+                                                                        : Standing.SERVING,
+                                                reader.startMillis(id))));
         return nodes;
     }
 
@@ -65,8 +85,10 @@
 
     /** The numbers of listed nodes that are left out here by hand. */
     Set<Long> disabled() {
-        return rotation.disabled().stream().filter(rotation.listed()::containsKey)
-                .map(id -> rotation.listed().get(id).id()).collect(Collectors.toSet());
+        return rotation.disabled().stream()
+                .filter(rotation.listed()::containsKey)
+                .map(id -> rotation.listed().get(id).id())
+                .collect(Collectors.toSet());
     }
 
     /** What became of all calls since the start. */
@@ -80,7 +102,10 @@
             failed += figures.allEnded(i, End.FAULTED);
         }
         // Differences are what counts: these may pass the largest number and begin anew.
-        return new Flow((int) (served + refused + failed), (int) refused, (int) failed,
+        return new Flow(
+                (int) (served + refused + failed),
+                (int) refused,
+                (int) failed,
                 (int) figures.allLate());
     }
 
--- a/daemon/src/main/java/cedarrudder/program/ServeCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/ServeCommand.java
@@ -8,22 +8,37 @@
 import picocli.CommandLine.Option;
 
 /** {@code serve}: the proxy. */
-@Command(name = "serve", description = "Runs the proxy that the file named by BALANCER_CONFIG describes.")
+@Command(
+        name = "serve",
+        description = "Runs the proxy that the file named by BALANCER_CONFIG describes.")
 final class ServeCommand implements Callable<Integer> {
 
-    @Option(names = "--operator", paramLabel = "FILE", description = "The operator's file; SIGHUP reads it "
-            + "again. Without it every feature in it is off.")
+    @Option(
+            names = "--operator",
+            paramLabel = "FILE",
+            description =
+                    "The operator's file; SIGHUP reads it "
+                            + "again. Without it every feature in it is off.")
     private Path operator;
 
-    @Option(names = "--log-format", paramLabel = "FORMAT", description = "The form of the log's lines, "
-            + "whatever the file says: text or json.")
+    @Option(
+            names = "--log-format",
+            paramLabel = "FORMAT",
+            description = "The form of the log's lines, " + "whatever the file says: text or json.")
     private Log.Form form;
 
-    @Option(names = "--log-level", paramLabel = "LEVEL", description = "Events below it are left out, "
-            + "whatever the file says: debug, info, warn or error.")
+    @Option(
+            names = "--log-level",
+            paramLabel = "LEVEL",
+            description =
+                    "Events below it are left out, "
+                            + "whatever the file says: debug, info, warn or error.")
     private Level level;
 
-    @Option(names = {"-h", "--help"}, usageHelp = true, description = "Says this.")
+    @Option(
+            names = {"-h", "--help"},
+            usageHelp = true,
+            description = "Says this.")
     private boolean help;
 
     @Override
--- a/daemon/src/main/java/cedarrudder/program/ServeOptions.java
+++ b/daemon/src/main/java/cedarrudder/program/ServeOptions.java
@@ -28,8 +28,13 @@
         }
         Log log = read.of(LogTable.LOG);
         LogSettings settings = log.settings();
-        return read.with(LogTable.LOG, new Log(form == null ? log.form() : form,
-                new LogSettings(level == null ? settings.level() : level, settings.linesPerSecond(),
-                        settings.lineChars())));
+        return read.with(
+                LogTable.LOG,
+                new Log(
+                        form == null ? log.form() : form,
+                        new LogSettings(
+                                level == null ? settings.level() : level,
+                                settings.linesPerSecond(),
+                                settings.lineChars())));
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/Signals.java
+++ b/daemon/src/main/java/cedarrudder/program/Signals.java
@@ -4,16 +4,18 @@
 import java.lang.reflect.Proxy;
 import java.util.function.Consumer;
 
-/** Signals that the platform's own interface has no place for. SIGTERM is a shutdown hook's affair. */
+/**
+ * Signals that the platform's own interface has no place for. SIGTERM is a shutdown hook's affair.
+ */
 final class Signals {
 
-    private Signals() { }
+    private Signals() {}
 
     /**
      * Runs a task at each SIGHUP, on a thread of its own, in place of ending the virtual machine.
      *
-     * <p>By reflection, since the compiler warns of the class by its name and takes no word that it is meant;
-     * the module that holds it is open to all programs.
+     * <p>By reflection, since the compiler warns of the class by its name and takes no word that it
+     * is meant; the module that holds it is open to all programs.
      *
      * @param otherwise is told why, where the virtual machine doesn't allow it
      */
@@ -21,13 +23,20 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            InvocationHandler runs = (self, method, arguments) -> {
-                task.run();
-                return null;
-            };
-            Object handles = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, runs);
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), handles);
+            InvocationHandler runs =
+                    (self, method, arguments) -> {
+                        task.run();
+                        return null;
+                    };
+            Object handles =
+                    Proxy.newProxyInstance(
+                            handler.getClassLoader(), new Class<?>[] {handler}, runs);
+            Object before =
+                    signal.getMethod("handle", signal, handler)
+                            .invoke(
+                                    null,
+                                    signal.getConstructor(String.class).newInstance("HUP"),
+                                    handles);
             if (before == handler.getField("SIG_IGN").get(null)) {
                 // The virtual machine keeps to that, as under nohup, and says so only by this.
                 otherwise.accept("it is ignored by whoever started this process");
--- a/daemon/src/main/java/cedarrudder/program/StartGate.java
+++ b/daemon/src/main/java/cedarrudder/program/StartGate.java
@@ -3,12 +3,17 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Whether callers may have come: the start asks before it joins their address, the signal to end before it
- * waits for them, each on a thread of its own. Whoever asks first decides, and the other is told.
+ * Whether callers may have come: the start asks before it joins their address, the signal to end
+ * before it waits for them, each on a thread of its own. Whoever asks first decides, and the other
+ * is told.
  */
 final class StartGate {
 
-    private enum Phase { STARTING, JOINED, ENDED }
+    private enum Phase {
+        STARTING,
+        JOINED,
+        ENDED
+    }
 
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
--- a/daemon/src/main/java/cedarrudder/program/TablePage.java
+++ b/daemon/src/main/java/cedarrudder/program/TablePage.java
@@ -19,7 +19,7 @@
     private static final JsonFactory JSON = new JsonFactory();
     private static final long MILLI = 1_000_000L;
 
-    private TablePage() { }
+    private TablePage() {}
 
     /**
      * Writes it.
@@ -43,8 +43,9 @@
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator json, Status status, List<String> zones,
-            LongFunction<String> node) throws IOException {
+    private static void write(
+            JsonGenerator json, Status status, List<String> zones, LongFunction<String> node)
+            throws IOException {
         json.writeObjectFieldStart("group");
         json.writeNumberField("era", status.group().era());
         json.writeNumberField("founder", status.group().founder());
@@ -63,7 +64,8 @@
         json.writeBooleanField("used", status.used() != null);
         json.writeNumberField("lease_left_ms", status.leaseLeft() / MILLI);
         json.writeArrayFieldStart("shares");
-        for (RouteTable.Share share : agreed == null ? List.<RouteTable.Share>of() : agreed.shares()) {
+        for (RouteTable.Share share :
+                agreed == null ? List.<RouteTable.Share>of() : agreed.shares()) {
             json.writeStartObject();
             json.writeStringField("from", name(zones, share.from()));
             json.writeStringField("to", name(zones, share.to()));
@@ -74,7 +76,8 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("leaving");
-        for (RouteTable.Leaving leaving : agreed == null ? List.<RouteTable.Leaving>of() : agreed.leaving()) {
+        for (RouteTable.Leaving leaving :
+                agreed == null ? List.<RouteTable.Leaving>of() : agreed.leaving()) {
             String id = node.apply(leaving.node());
             json.writeStartObject();
             json.writeStringField("node", id == null ? Long.toString(leaving.node()) : id);
--- a/daemon/src/main/java/cedarrudder/program/Together.java
+++ b/daemon/src/main/java/cedarrudder/program/Together.java
@@ -29,7 +29,9 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 
-/** What this proxy decides with the others of its tier, wired to what it does. On the loop's thread. */
+/**
+ * What this proxy decides with the others of its tier, wired to what it does. On the loop's thread.
+ */
 final class Together implements Fleet.Host, Fleet.Maker {
 
     /**
@@ -37,8 +39,12 @@
      *
      * @param room what it can load beside a table that it holds, which may be null
      */
-    record Self(int[] zones, int number, LongSupplier wallClock, RandomGenerator random,
-            Function<RouteTable, Room> room) { }
+    record Self(
+            int[] zones,
+            int number,
+            LongSupplier wallClock,
+            RandomGenerator random,
+            Function<RouteTable, Room> room) {}
 
     /** A history tells of calls that go by a table this often at the most. */
     private static final long SAID_APART = 100_000_000L;
@@ -63,9 +69,18 @@
      * @param failovers null where operators have not asked for them
      * @param removals null where operators have no policies
      */
-    Together(Loop loop, PeerSocket peers, Membership membership, TogetherSettings settings, Self self,
-            Driver<?, ?> driver, Consumer<Set<Long>> leaving, Failovers failovers, Removals removals,
-            Notes notes, Logger log) {
+    Together(
+            Loop loop,
+            PeerSocket peers,
+            Membership membership,
+            TogetherSettings settings,
+            Self self,
+            Driver<?, ?> driver,
+            Consumer<Set<Long>> leaving,
+            Failovers failovers,
+            Removals removals,
+            Notes notes,
+            Logger log) {
         this.settings = settings;
         this.self = self;
         this.driver = driver;
@@ -89,27 +104,43 @@
      * @param own the zone of this copy
      * @throws IllegalArgumentException if they are not those of these copies
      */
-    static int[] zones(TogetherSettings settings, List<String> names, int copies, int self, int own) {
+    static int[] zones(
+            TogetherSettings settings, List<String> names, int copies, int self, int own) {
         int[] zones = new int[copies];
         if (settings.zones().isEmpty() && names.size() <= 1) {
             return zones;
         }
         if (settings.zones().size() != copies) {
-            throw new IllegalArgumentException("agreement.zones: found " + settings.zones().size() + " with "
-                    + copies + " peers and " + names.size() + " zones; allowed: the zone of each peer, in "
-                    + "their order");
+            throw new IllegalArgumentException(
+                    "agreement.zones: found "
+                            + settings.zones().size()
+                            + " with "
+                            + copies
+                            + " peers and "
+                            + names.size()
+                            + " zones; allowed: the zone of each peer, in "
+                            + "their order");
         }
         for (int i = 0; i < copies; i++) {
             zones[i] = names.indexOf(settings.zones().get(i));
             if (zones[i] < 0) {
-                throw new IllegalArgumentException("agreement.zones: found " + settings.zones().get(i)
-                        + "; allowed: " + String.join(", ", names));
+                throw new IllegalArgumentException(
+                        "agreement.zones: found "
+                                + settings.zones().get(i)
+                                + "; allowed: "
+                                + String.join(", ", names));
             }
         }
         if (zones[self] != own) {
-            throw new IllegalArgumentException("agreement.zones: found " + settings.zones().get(self)
-                    + " for this proxy, number " + self + "; allowed: its zone in the settings, "
-                    + (own >= 0 && own < names.size() ? names.get(own) : Integer.toString(own)));
+            throw new IllegalArgumentException(
+                    "agreement.zones: found "
+                            + settings.zones().get(self)
+                            + " for this proxy, number "
+                            + self
+                            + "; allowed: its zone in the settings, "
+                            + (own >= 0 && own < names.size()
+                                    ? names.get(own)
+                                    : Integer.toString(own)));
         }
         return zones;
     }
@@ -121,16 +152,27 @@
     @Override
     public FleetCopy make(FleetCopy.Outlet outlet, long now) {
         int copies = self.zones.length;
-        store = settings.folder() == null ? null : new FileStore(settings.folder(), self.number, copies, log);
+        store =
+                settings.folder() == null
+                        ? null
+                        : new FileStore(settings.folder(), self.number, copies, log);
         Store kept = store == null ? Store.NONE : store;
         if (notes != null) {
             notes.note("joins", Map.of("kept", kept.kept() == null ? 0 : 1));
         }
-        return new FleetCopy(self.zones, self.number, Math.max(1, self.wallClock.getAsLong()),
-                settings.agreement(), settings.fleet(), kept, self.random,
+        return new FleetCopy(
+                self.zones,
+                self.number,
+                Math.max(1, self.wallClock.getAsLong()),
+                settings.agreement(),
+                settings.fleet(),
+                kept,
+                self.random,
                 failovers == null ? Shares.NONE : failovers,
                 removals == null ? Removal.NONE : removals.begin(now),
-                () -> self.room.apply(table), outlet, now);
+                () -> self.room.apply(table),
+                outlet,
+                now);
     }
 
     @Override
@@ -155,7 +197,10 @@
         }
     }
 
-    /** Shares of this copy's zone; what a zone's callers may send a second is divided by its live copies. */
+    /**
+     * Shares of this copy's zone; what a zone's callers may send a second is divided by its live
+     * copies.
+     */
     @Override
     public void table(RouteTable next) {
         if (failovers != null && next != table) {
@@ -168,9 +213,23 @@
             living += self.zones[copy] == own && (copy == self.number || !dead.get(copy)) ? 1 : 0;
         }
         int divided = living;
-        driver.shares(next == null ? List.of() : next.shares().stream().filter(share -> share.from() == own)
-                .map(share -> new ZoneShare(share.to(), share.parts(), share.perSecond() == 0 ? 0
-                        : Math.max(1, share.perSecond() / divided))).toList());
+        driver.shares(
+                next == null
+                        ? List.of()
+                        : next.shares().stream()
+                                .filter(share -> share.from() == own)
+                                .map(
+                                        share ->
+                                                new ZoneShare(
+                                                        share.to(),
+                                                        share.parts(),
+                                                        share.perSecond() == 0
+                                                                ? 0
+                                                                : Math.max(
+                                                                        1,
+                                                                        share.perSecond()
+                                                                                / divided)))
+                                .toList());
     }
 
     /** Guards against a judge that can't tell when a table was still used. */
--- a/daemon/src/main/java/cedarrudder/program/VersionCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/VersionCommand.java
@@ -9,16 +9,23 @@
 @Command(name = "version", description = "Says which version this is, and which Java runs it.")
 final class VersionCommand implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = {"-h", "--help"}, usageHelp = true, description = "Says this.")
+    @Option(
+            names = {"-h", "--help"},
+            usageHelp = true,
+            description = "Says this.")
     private boolean help;
 
     @Override
     public void run() {
         String version = Main.class.getPackage().getImplementationVersion();
-        spec.commandLine().getOut().println("cedarrudder " + (version == null ? "not from a jar" : version)
-                + ", Java " + System.getProperty("java.version"));
+        spec.commandLine()
+                .getOut()
+                .println(
+                        "cedarrudder "
+                                + (version == null ? "not from a jar" : version)
+                                + ", Java "
+                                + System.getProperty("java.version"));
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -31,22 +31,26 @@
 import java.util.function.BiPredicate;
 
 /**
- * Some RPCs from the proxy to itself before it says that it is ready, so that the code they run through is
- * loaded and partly compiled.
+ * Some RPCs from the proxy to itself before it says that it is ready, so that the code they run
+ * through is loaded and partly compiled.
  *
- * <p>Guards against the first callers meeting a program that takes milliseconds of its core for each RPC:
- * with all proxies of a machine starting at once, loops were up to 355 ms late and 31 RPCs found no answer in
- * time.
+ * <p>Guards against the first callers meeting a program that takes milliseconds of its core for
+ * each RPC: with all proxies of a machine starting at once, loops were up to 355 ms late and 31
+ * RPCs found no answer in time.
  *
- * <p>They go out through a driver, a module and channels of their own, which are thrown away, and come in at
- * the proxy's listener, where this answers them: they alone carry an id that nobody else can know.
+ * <p>They go out through a driver, a module and channels of their own, which are thrown away, and
+ * come in at the proxy's listener, where this answers them: they alone carry an id that nobody else
+ * can know.
  */
 final class Warmup {
 
     /** So many in all: what they run through is the same code whatever the settings. */
     private static final int RPCS = 100;
 
-    /** So many are out at a time. Guards against waiting for the network most of the time until ready. */
+    /**
+     * So many are out at a time. Guards against waiting for the network most of the time until
+     * ready.
+     */
     private static final int AT_ONCE = 4;
 
     /** Callers' first connections all come at once, so the way of a new one is taken often too. */
@@ -68,33 +72,64 @@
     private int out;
     private boolean over;
 
-    /** @param at where the proxy listens now, and nobody else does */
-    Warmup(Loop loop, Configuration configuration, InetSocketAddress at, Logger log, Runnable whenDone)
+    /**
+     * @param at where the proxy listens now, and nobody else does
+     */
+    Warmup(
+            Loop loop,
+            Configuration configuration,
+            InetSocketAddress at,
+            Logger log,
+            Runnable whenDone)
             throws BadMessageException {
         this.loop = loop;
         this.whenDone = whenDone;
         settings = configuration.site().module();
         SplittableRandom random = new SplittableRandom(configuration.seed());
-        token = "warm-up-" + Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
-        String owner = settings.tenants().isEmpty() ? ""
-                : "Req-Owner: " + settings.tenants().get(0).name() + "\r\n";
-        String method = switch (settings.classes().get(0).effect()) {
-            case SAFE -> "GET /warm-up HTTP/1.1\r\n";
-            case KEYED -> "POST /warm-up HTTP/1.1\r\nIdempotency-Key: " + token + "\r\n";
-            case UNSAFE -> "POST /warm-up HTTP/1.1\r\n";
-        };
-        String text = method + "Host: self\r\nReq-Id: " + token + "\r\nReq-Kind: "
-                + settings.classes().get(0).name() + "\r\n" + owner + "Req-Deadline-Ms: 1000\r\n\r\n";
+        token =
+                "warm-up-"
+                        + Long.toHexString(random.nextLong())
+                        + Long.toHexString(random.nextLong());
+        String owner =
+                settings.tenants().isEmpty()
+                        ? ""
+                        : "Req-Owner: " + settings.tenants().get(0).name() + "\r\n";
+        String method =
+                switch (settings.classes().get(0).effect()) {
+                    case SAFE -> "GET /warm-up HTTP/1.1\r\n";
+                    case KEYED -> "POST /warm-up HTTP/1.1\r\nIdempotency-Key: " + token + "\r\n";
+                    case UNSAFE -> "POST /warm-up HTTP/1.1\r\n";
+                };
+        String text =
+                method
+                        + "Host: self\r\nReq-Id: "
+                        + token
+                        + "\r\nReq-Kind: "
+                        + settings.classes().get(0).name()
+                        + "\r\n"
+                        + owner
+                        + "Req-Deadline-Ms: 1000\r\n\r\n";
         request = Message.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
-        driver = new Driver<>(actions -> new Decide(settings, random, actions),
-                settings.limits().maxAttempts(), new Clock(), log);
-        channels = new NodeChannels(loop, driver, configuration.site(), NodeLimits.DEFAULT,
-                new NodeLimits.Bounds(RPCS, RPCS), new Figures(settings.classes().size()),
-                new HeldBytes(HeldBytes.MOST));
-        driver.connect(new Self(), new NoDiscovery(), (copy, message) -> { });
+        driver =
+                new Driver<>(
+                        actions -> new Decide(settings, random, actions),
+                        settings.limits().maxAttempts(),
+                        new Clock(),
+                        log);
+        channels =
+                new NodeChannels(
+                        loop,
+                        driver,
+                        configuration.site(),
+                        NodeLimits.DEFAULT,
+                        new NodeLimits.Bounds(RPCS, RPCS),
+                        new Figures(settings.classes().size()),
+                        new HeldBytes(HeldBytes.MOST));
+        driver.connect(new Self(), new NoDiscovery(), (copy, message) -> {});
         Endpoint self = new Endpoint(SELF, settings.zone(), 0, 0, State.READY, 1, 0);
-        channels.resolved(new ResolverResult(0, true,
-                List.of(new ResolverResult.Node("self", self, at)), List.of()));
+        channels.resolved(
+                new ResolverResult(
+                        0, true, List.of(new ResolverResult.Node("self", self, at)), List.of()));
         driver.resolved(ListKind.FULL, List.of(self));
     }
 
@@ -107,10 +142,10 @@
     }
 
     /**
-     * Answers an RPC if it is one of the warm-up's own, and keeps nothing of it but its id. To be asked for
-     * as long as the proxy lives: where the warm-up ends at its time, or a second copy is out, bytes of an
-     * RPC may be read after its end. Guards against such a one going on to a node, as was seen on a busy
-     * core.
+     * Answers an RPC if it is one of the warm-up's own, and keeps nothing of it but its id. To be
+     * asked for as long as the proxy lives: where the warm-up ends at its time, or a second copy is
+     * out, bytes of an RPC may be read after its end. Guards against such a one going on to a node,
+     * as was seen on a busy core.
      */
     BiPredicate<Exchange<Message, Message>, Exchange.Reply<Message>> answers() {
         String own = token;
@@ -181,11 +216,13 @@
 
         @Override
         public Timer at(long instant, Runnable task) {
-            return loop.at(instant, () -> {
-                if (!over) {
-                    task.run();
-                }
-            });
+            return loop.at(
+                    instant,
+                    () -> {
+                        if (!over) {
+                            task.run();
+                        }
+                    });
         }
     }
 
@@ -208,7 +245,11 @@
 
         @Override
         public void probe(long endpoint) {
-            driver.probed(endpoint, Outcome.OK, 0, LoadReport.parse("TEXT latency_ms=1, inflight=0, util=0"));
+            driver.probed(
+                    endpoint,
+                    Outcome.OK,
+                    0,
+                    LoadReport.parse("TEXT latency_ms=1, inflight=0, util=0"));
         }
 
         @Override
@@ -219,9 +260,9 @@
 
     private static final class NoDiscovery implements Resolver {
         @Override
-        public void subscribe(boolean on) { }
+        public void subscribe(boolean on) {}
 
         @Override
-        public void fetch() { }
+        public void fetch() {}
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/Addresses.java
+++ b/daemon/src/main/java/cedarrudder/protocol/Addresses.java
@@ -8,12 +8,18 @@
 /** Addresses as the configuration and discovery write them, {@code 10.0.0.4:5000}. */
 public final class Addresses {
 
-    private Addresses() { }
+    private Addresses() {}
 
-    /** Reads an address; an IllegalArgumentException says what is wrong with it. Names are not looked up. */
+    /**
+     * Reads an address; an IllegalArgumentException says what is wrong with it. Names are not
+     * looked up.
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        byte[] host =
+                colon < 0
+                        ? null
+                        : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             if (host != null && port >= 0) {
--- a/daemon/src/main/java/cedarrudder/protocol/BadMessageException.java
+++ b/daemon/src/main/java/cedarrudder/protocol/BadMessageException.java
@@ -1,6 +1,9 @@
 package cedarrudder.protocol;
 
-/** Bytes that are no message of the protocol. Server-side, {@code status} is the answer they deserve. */
+/**
+ * Bytes that are no message of the protocol. Server-side, {@code status} is the answer they
+ * deserve.
+ */
 public final class BadMessageException extends Exception {
 
     public static final int BAD_REQUEST = 400;
--- a/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
@@ -16,7 +16,7 @@
     /** The names, in lower case, of all that a proxy with budgets writes anew. */
     static final Set<String> KEYS = Set.of(BUDGET, PATH, RESULT);
 
-    private BudgetHeaders() { }
+    private BudgetHeaders() {}
 
     /** What a caller said; a field that came twice counts as none. */
     public static Carried read(Message request) {
--- a/daemon/src/main/java/cedarrudder/protocol/FieldName.java
+++ b/daemon/src/main/java/cedarrudder/protocol/FieldName.java
@@ -5,20 +5,51 @@
 import java.util.Set;
 
 /**
- * The name of a header field, and what follows from it. Names that are usual are made once: a message has
- * some ten fields, and making the texts of each name anew was the largest cost of reading it.
+ * The name of a header field, and what follows from it. Names that are usual are made once: a
+ * message has some ten fields, and making the texts of each name anew was the largest cost of
+ * reading it.
  */
 public final class FieldName {
 
     /** Fields that concern one connection alone, or that are written anew. */
-    private static final Set<String> NOT_PASSED_ON = Set.of("connection", "keep-alive", "proxy-connection",
-            "te", "trailer", "transfer-encoding", "upgrade", "content-length", "expect", "srv-load");
+    private static final Set<String> NOT_PASSED_ON =
+            Set.of(
+                    "connection",
+                    "keep-alive",
+                    "proxy-connection",
+                    "te",
+                    "trailer",
+                    "transfer-encoding",
+                    "upgrade",
+                    "content-length",
+                    "expect",
+                    "srv-load");
 
     /** Those that are seen often; others are read as well, and made anew. */
-    private static final String[] USUAL = {"Host", "Connection", "Keep-Alive", "Content-Length",
-        "Content-Type", "Transfer-Encoding", "Date", "Server", "User-Agent", "Accept",
-        "Accept-Encoding", "Expect", "Idempotency-Key", "Req-Id", "Req-Kind", "Req-Owner",
-        "Req-Deadline-Ms", "Req-Cost", "Req-Retry", "Srv-Load", "Srv-Declined", "Retry-After"};
+    private static final String[] USUAL = {
+        "Host",
+        "Connection",
+        "Keep-Alive",
+        "Content-Length",
+        "Content-Type",
+        "Transfer-Encoding",
+        "Date",
+        "Server",
+        "User-Agent",
+        "Accept",
+        "Accept-Encoding",
+        "Expect",
+        "Idempotency-Key",
+        "Req-Id",
+        "Req-Kind",
+        "Req-Owner",
+        "Req-Deadline-Ms",
+        "Req-Cost",
+        "Req-Retry",
+        "Srv-Load",
+        "Srv-Declined",
+        "Retry-After"
+    };
 
     /** A power of two, some times larger than there are usual names in two spellings. */
     private static final int SLOTS = 256;
@@ -73,7 +104,8 @@
                 return null;
             }
         }
-        return from == to ? null
+        return from == to
+                ? null
                 : new FieldName(new String(bytes, from, to - from, StandardCharsets.ISO_8859_1));
     }
 
@@ -86,7 +118,10 @@
         return null;
     }
 
-    /** Length and three bytes: enough to tell the usual names apart, and the same cost for a long name. */
+    /**
+     * Length and three bytes: enough to tell the usual names apart, and the same cost for a long
+     * name.
+     */
     private static int slot(byte[] bytes, int from, int to) {
         int length = to - from;
         int hash = length * 31 + bytes[from];
@@ -122,8 +157,8 @@
     }
 
     /**
-     * Whether it goes further even where {@code Connection} lists it. Guards against a caller that strips an
-     * RPC of what makes it one, its key say.
+     * Whether it goes further even where {@code Connection} lists it. Guards against a caller that
+     * strips an RPC of what makes it one, its key say.
      */
     boolean kept() {
         return kept;
--- a/daemon/src/main/java/cedarrudder/protocol/FiguresPage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/FiguresPage.java
@@ -26,10 +26,15 @@
      * @param nearest the bound that is nearest
      * @param room the largest route table and list there is room for
      */
-    public record Estimate(ListGate.Judged list, Takes all, Takes node, long resident,
-            CopyFootprint.Verdict nearest, Room room) { }
+    public record Estimate(
+            ListGate.Judged list,
+            Takes all,
+            Takes node,
+            long resident,
+            CopyFootprint.Verdict nearest,
+            Room room) {}
 
-    private FiguresPage() { }
+    private FiguresPage() {}
 
     /**
      * Writes the page.
@@ -40,7 +45,12 @@
      * @param held bytes of bodies that the process holds
      * @param estimate null: no list was judged
      */
-    public static byte[] write(Figures figures, List<String> classes, int listed, int avoided, long held,
+    public static byte[] write(
+            Figures figures,
+            List<String> classes,
+            int listed,
+            int avoided,
+            long held,
             Estimate estimate) {
         ByteArrayOutputStream page = new ByteArrayOutputStream(512);
         long relayed = 0;
--- a/daemon/src/main/java/cedarrudder/protocol/Head.java
+++ b/daemon/src/main/java/cedarrudder/protocol/Head.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The head of an HTTP/1.1 message: the three parts of its first line (method, target and version, or
- * version, status and reason) and the header fields.
+ * The head of an HTTP/1.1 message: the three parts of its first line (method, target and version,
+ * or version, status and reason) and the header fields.
  */
 public final class Head {
 
@@ -21,13 +21,17 @@
         }
     }
 
-    /** What {@code Host} may hold beside letters and digits: RFC 3986 3.2.2, without a user's name. */
+    /**
+     * What {@code Host} may hold beside letters and digits: RFC 3986 3.2.2, without a user's name.
+     */
     private static final String HOST_MARKS = "-._~%!$&'()*+,;=";
+
     private static final String SCHEME = "http://";
 
     /**
-     * Fields of one head, at the most (RFC 6585 5; servers that bound them allow some 100). Guards against a
-     * head that takes forty times its bytes: each field is some objects, and a head has room for 4,000.
+     * Fields of one head, at the most (RFC 6585 5; servers that bound them allow some 100). Guards
+     * against a head that takes forty times its bytes: each field is some objects, and a head has
+     * room for 4,000.
      */
     private static final int MOST_FIELDS = 128;
 
@@ -75,10 +79,11 @@
     }
 
     /**
-     * Takes the forms of a target that a server must take (RFC 9112 3.2), and makes one of them, so that
-     * nodes get a path however the caller wrote it.
+     * Takes the forms of a target that a server must take (RFC 9112 3.2), and makes one of them, so
+     * that nodes get a path however the caller wrote it.
      */
-    private static Head ofRequest(String method, String target, String version) throws BadMessageException {
+    private static Head ofRequest(String method, String target, String version)
+            throws BadMessageException {
         if (target.startsWith("/") || target.equals("*") && method.equals("OPTIONS")) {
             return new Head(method, target, version, 0, null);
         }
@@ -97,35 +102,46 @@
         return new Head(method, path.startsWith("/") ? path : "/" + path, version, 0, authority);
     }
 
-    /** RFC 9110 2.5: a higher minor version is served as the highest we know, another major one is not. */
+    /**
+     * RFC 9110 2.5: a higher minor version is served as the highest we know, another major one is
+     * not.
+     */
     private static void checkVersion(String version, boolean request) throws BadMessageException {
         if (version.equals("HTTP/1.1") || version.equals("HTTP/1.0")) {
             return;
         }
-        boolean named = version.length() == 8 && version.startsWith("HTTP/") && isDigit(version.charAt(5))
-                && version.charAt(6) == '.' && isDigit(version.charAt(7));
+        boolean named =
+                version.length() == 8
+                        && version.startsWith("HTTP/")
+                        && isDigit(version.charAt(5))
+                        && version.charAt(6) == '.'
+                        && isDigit(version.charAt(7));
         if (!named || !request) {
             throw BadMessageException.badRequest("not HTTP/1.1");
         }
         if (version.charAt(5) != '1') {
-            throw new BadMessageException(BadMessageException.VERSION_NOT_SUPPORTED, "not HTTP/1.1");
+            throw new BadMessageException(
+                    BadMessageException.VERSION_NOT_SUPPORTED, "not HTTP/1.1");
         }
     }
 
     /** Adds a field line, which is given without its end. */
     void addField(byte[] bytes, int from, int to) throws BadMessageException {
         if (fields.all().size() == MOST_FIELDS) {
-            throw new BadMessageException(BadMessageException.FIELDS_TOO_LARGE,
+            throw new BadMessageException(
+                    BadMessageException.FIELDS_TOO_LARGE,
                     "more than " + MOST_FIELDS + " header fields");
         }
         fields.add(field(bytes, from, to));
     }
 
     /**
-     * Checks a request's {@code Host} by RFC 9112 3.2, once its fields are all there. An absolute target
-     * replaces it, and a request of HTTP/1.0 without one gets an empty one, as it goes on as HTTP/1.1.
+     * Checks a request's {@code Host} by RFC 9112 3.2, once its fields are all there. An absolute
+     * target replaces it, and a request of HTTP/1.0 without one gets an empty one, as it goes on as
+     * HTTP/1.1.
      *
-     * <p>Guards against two parties that tell requests apart by host and take different fields for it.
+     * <p>Guards against two parties that tell requests apart by host and take different fields for
+     * it.
      */
     void checkHost() throws BadMessageException {
         String host = fields.single("host");
@@ -155,7 +171,9 @@
 
     private static String usualText(byte[] bytes, int from, int to) {
         for (String usual : USUAL) {
-            if (usual.length() == to - from && usual.charAt(0) == bytes[from] && holds(bytes, from, usual)) {
+            if (usual.length() == to - from
+                    && usual.charAt(0) == bytes[from]
+                    && holds(bytes, from, usual)) {
                 return usual;
             }
         }
@@ -212,7 +230,9 @@
         return character >= '0' && character <= '9';
     }
 
-    /** Whether this is a host, which may be empty or an address in brackets, with or without a port. */
+    /**
+     * Whether this is a host, which may be empty or an address in brackets, with or without a port.
+     */
     private static boolean isHost(String text) {
         int close = text.startsWith("[") ? text.indexOf(']') : -1;
         if (text.startsWith("[") && close < 0) {
@@ -230,7 +250,9 @@
         }
         for (int i = close + 1; i < end; i++) {
             char c = text.charAt(i);
-            if (!isDigit(c) && !(c >= 'a' && c <= 'z') && !(c >= 'A' && c <= 'Z')
+            if (!isDigit(c)
+                    && !(c >= 'a' && c <= 'z')
+                    && !(c >= 'A' && c <= 'Z')
                     && HOST_MARKS.indexOf(c) < 0) {
                 return false;
             }
@@ -296,6 +318,8 @@
 
     /** Whether the sender keeps the connection open after this message. */
     public boolean keepsAlive() {
-        return !isOld() ? !fields.lists("connection", "close") : fields.lists("connection", "keep-alive");
+        return !isOld()
+                ? !fields.lists("connection", "close")
+                : fields.lists("connection", "keep-alive");
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 
 /**
- * The header fields of a message, in their order. Names are compared in lower case; those asked for are
- * given in lower case. Fields are gone through by index: an iterator for each look-up is garbage, some twenty
- * times a message.
+ * The header fields of a message, in their order. Names are compared in lower case; those asked for
+ * are given in lower case. Fields are gone through by index: an iterator for each look-up is
+ * garbage, some twenty times a message.
  */
 public final class HeaderFields {
 
@@ -99,14 +99,16 @@
     }
 
     /**
-     * The names, in lower case, that {@code Connection} gives of fields which concern one connection alone
-     * (RFC 9110 7.6.1); empty where it holds nothing but the usual options, which come without a list.
+     * The names, in lower case, that {@code Connection} gives of fields which concern one
+     * connection alone (RFC 9110 7.6.1); empty where it holds nothing but the usual options, which
+     * come without a list.
      */
     List<String> ofConnection() {
         List<String> listed = List.of();
         for (int i = 0; i < fields.size(); i++) {
             Field field = fields.get(i);
-            if (field.key().equals("connection") && !field.value().equalsIgnoreCase("keep-alive")
+            if (field.key().equals("connection")
+                    && !field.value().equalsIgnoreCase("keep-alive")
                     && !field.value().equalsIgnoreCase("close")) {
                 listed = listed.isEmpty() ? new ArrayList<>() : listed;
                 for (String name : field.value().split(",")) {
--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes the HTTP/1.1 messages of one direction of a connection. Bytes may come split or joined in any way.
- * Memory is bounded: so much for a head, and so much for a body.
+ * Decodes the HTTP/1.1 messages of one direction of a connection. Bytes may come split or joined in
+ * any way. Memory is bounded: so much for a head, and so much for a body.
  */
 public final class HttpDecoder {
 
@@ -20,15 +20,21 @@
     /** The largest body that is passed on where nothing else is set, by the protocol. */
     public static final int MOST_BODY = 64 * 1024;
 
-    /** The largest body that is passed on in pieces where nothing else is set: twice what occurs. */
+    /**
+     * The largest body that is passed on in pieces where nothing else is set: twice what occurs.
+     */
     public static final int MOST_FLOW = 64 * 1024 * 1024;
 
     /** The line before a chunk: a length of a few digits, and extensions that nobody reads. */
     private static final int MOST_CHUNK_LINE = 256;
+
     private static final byte[] EMPTY = new byte[0];
 
-    /** Interim answers (1xx) before the final one; RFC 9110 15.2 sets no bound, and one is usual. */
+    /**
+     * Interim answers (1xx) before the final one; RFC 9110 15.2 sets no bound, and one is usual.
+     */
     private static final int MOST_INTERIM = 16;
+
     private static final int FIRST_HEAD_SIZE = 512;
 
     /** Empty lines before a message: RFC 9112 2.2 asks for one to be skipped. */
@@ -37,7 +43,15 @@
     /** No method that is registered is half as long. */
     private static final int MOST_METHOD = 64;
 
-    private enum State { HEAD, FIXED, CHUNK_LINE, CHUNK, CHUNK_END, TRAILER, TO_END }
+    private enum State {
+        HEAD,
+        FIXED,
+        CHUNK_LINE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        TO_END
+    }
 
     private final boolean requests;
     private final int mostHead;
@@ -62,8 +76,13 @@
     private int trailerSeen;
     private int interim;
 
-    private HttpDecoder(boolean requests, int mostHead, long mostBody, OutputStream sink,
-            ByteArrayOutputStream collected, long window) {
+    private HttpDecoder(
+            boolean requests,
+            int mostHead,
+            long mostBody,
+            OutputStream sink,
+            ByteArrayOutputStream collected,
+            long window) {
         this.window = window;
         this.requests = requests;
         this.mostHead = mostHead;
@@ -79,8 +98,8 @@
     }
 
     /**
-     * Decodes messages of which so much of the body is collected, at the most. Where there is more the
-     * decoder stands until {@link #flow} says where to.
+     * Decodes messages of which so much of the body is collected, at the most. Where there is more
+     * the decoder stands until {@link #flow} says where to.
      *
      * @param requests whether they are requests, else answers
      * @param mostBody the largest body that is read, collected or not
@@ -107,12 +126,15 @@
     }
 
     /**
-     * Whether the sender waits for a 100 before it sends the body of the request at hand (RFC 9110 10.1.1);
-     * true once for each request at the most.
+     * Whether the sender waits for a 100 before it sends the body of the request at hand (RFC 9110
+     * 10.1.1); true once for each request at the most.
      */
     public boolean awaitsContinue() {
-        boolean bodyNext = requests && head != null && bodySeen == 0
-                && (state == State.FIXED || state == State.CHUNK_LINE && lineLength == 0);
+        boolean bodyNext =
+                requests
+                        && head != null
+                        && bodySeen == 0
+                        && (state == State.FIXED || state == State.CHUNK_LINE && lineLength == 0);
         if (!bodyNext || continued) {
             return false;
         }
@@ -131,12 +153,15 @@
     }
 
     /**
-     * Whether the message at hand has more of a body than is collected, and stands until it flows. An answer
-     * that says so is large at once, since its first bytes are waited for; a request once all is collected
-     * that may be, since it can be sent again for so long; and where no more may come it is not.
+     * Whether the message at hand has more of a body than is collected, and stands until it flows.
+     * An answer that says so is large at once, since its first bytes are waited for; a request once
+     * all is collected that may be, since it can be sent again for so long; and where no more may
+     * come it is not.
      */
     public boolean large() {
-        return head != null && pieces == null && bodySeen < mostBody
+        return head != null
+                && pieces == null
+                && bodySeen < mostBody
                 && (!requests && declared > window || bodySeen >= window);
     }
 
@@ -151,8 +176,8 @@
     }
 
     /**
-     * From here on the body of the message at hand goes to {@code next}, piece by piece, and the message that
-     * ends it has none.
+     * From here on the body of the message at hand goes to {@code next}, piece by piece, and the
+     * message that ends it has none.
      *
      * @return what was collected of it so far
      */
@@ -163,7 +188,9 @@
         return first;
     }
 
-    /** Guards against a connection that keeps the room of its largest body for as long as it stands. */
+    /**
+     * Guards against a connection that keeps the room of its largest body for as long as it stands.
+     */
     private void startAfresh() {
         if (collected != null && collected.size() > 0) {
             collected = new ByteArrayOutputStream(0);
@@ -174,32 +201,33 @@
     /** Reads until a message is whole and returns it, or null where more bytes are wanted. */
     public Message decode(ByteBuf in) throws BadMessageException {
         while (in.isReadable() && !large()) {
-            boolean whole = switch (state) {
-                case HEAD -> readHead(in);
-                case FIXED -> readFixed(in) && bodyLeft == 0;
-                case CHUNK_LINE -> readChunkLine(in);
-                case CHUNK -> {
-                    if (readFixed(in) && bodyLeft == 0) {
-                        state = State.CHUNK_END;
-                    }
-                    yield false;
-                }
-                case CHUNK_END -> {
-                    if (readLine(in, MOST_CHUNK_LINE)) {
-                        state = State.CHUNK_LINE;
-                    }
-                    if (lineLength > 0 && line[0] != '\r') {
-                        throw BadMessageException.badRequest("bad chunk");
-                    }
-                    yield false;
-                }
-                case TRAILER -> readTrailer(in);
-                case TO_END -> {
-                    bodyLeft = in.readableBytes();
-                    readFixed(in);
-                    yield false;
-                }
-            };
+            boolean whole =
+                    switch (state) {
+                        case HEAD -> readHead(in);
+                        case FIXED -> readFixed(in) && bodyLeft == 0;
+                        case CHUNK_LINE -> readChunkLine(in);
+                        case CHUNK -> {
+                            if (readFixed(in) && bodyLeft == 0) {
+                                state = State.CHUNK_END;
+                            }
+                            yield false;
+                        }
+                        case CHUNK_END -> {
+                            if (readLine(in, MOST_CHUNK_LINE)) {
+                                state = State.CHUNK_LINE;
+                            }
+                            if (lineLength > 0 && line[0] != '\r') {
+                                throw BadMessageException.badRequest("bad chunk");
+                            }
+                            yield false;
+                        }
+                        case TRAILER -> readTrailer(in);
+                        case TO_END -> {
+                            bodyLeft = in.readableBytes();
+                            readFixed(in);
+                            yield false;
+                        }
+                    };
             if (whole) {
                 return take();
             }
@@ -231,18 +259,22 @@
     }
 
     /**
-     * Takes what has come in one piece and looks for line ends in the copy. Guards against a slow start:
-     * asking the buffer for each byte took milliseconds a message until the code was compiled.
+     * Takes what has come in one piece and looks for line ends in the copy. Guards against a slow
+     * start: asking the buffer for each byte took milliseconds a message until the code was
+     * compiled.
      *
-     * <p>Each line is read as it ends, and no byte passes that none may hold. Guards against what can't
-     * become a message, such as a TLS handshake, holding its connection until patience ends.
+     * <p>Each line is read as it ends, and no byte passes that none may hold. Guards against what
+     * can't become a message, such as a TLS handshake, holding its connection until patience ends.
      */
     private boolean readHead(ByteBuf in) throws BadMessageException {
         int from = lineLength;
         int end = from + Math.min(in.readableBytes(), mostHead - from);
         if (end == from) {
-            throw new BadMessageException(begun == null && requests ? BadMessageException.URI_TOO_LONG
-                    : BadMessageException.FIELDS_TOO_LARGE, "too long a head");
+            throw new BadMessageException(
+                    begun == null && requests
+                            ? BadMessageException.URI_TOO_LONG
+                            : BadMessageException.FIELDS_TOO_LARGE,
+                    "too long a head");
         }
         if (end > line.length) {
             line = Arrays.copyOf(line, Math.max(end, 2 * line.length));
@@ -264,7 +296,8 @@
             }
             int textEnd = i > lineStart && line[i - 1] == '\r' ? i - 1 : i;
             if (textEnd == i && requests) {
-                // RFC 9112 2.2 leaves it open. Guards against a field that whoever stands before us takes for
+                // RFC 9112 2.2 leaves it open. Guards against a field that whoever stands before us
+                // takes for
                 // a part of the one before it: a length, say.
                 throw BadMessageException.badRequest("a bare line feed");
             }
@@ -316,7 +349,10 @@
         }
     }
 
-    /** RFC 9112 2.2: what some take for a line end, and others don't, hides fields from one of the two. */
+    /**
+     * RFC 9112 2.2: what some take for a line end, and others don't, hides fields from one of the
+     * two.
+     */
     private static BadMessageException bareReturn() {
         return BadMessageException.badRequest("a bare carriage return");
     }
@@ -325,7 +361,8 @@
     private void checkMethod(int from, int end) throws BadMessageException {
         for (int i = from; i < end && line[i] != ' '; i++) {
             if (i - from == MOST_METHOD) {
-                throw new BadMessageException(BadMessageException.NOT_IMPLEMENTED, "too long a method");
+                throw new BadMessageException(
+                        BadMessageException.NOT_IMPLEMENTED, "too long a method");
             }
             if (!Head.inToken(line[i]) && (line[i] != '\r' || i > from)) {
                 throw BadMessageException.badRequest("not HTTP");
@@ -397,7 +434,8 @@
         for (int i = 0; i < all.length - 1; i++) {
             framed &= !all[i].equals("chunked");
         }
-        return framed ? new BadMessageException(BadMessageException.NOT_IMPLEMENTED, "unknown coding")
+        return framed
+                ? new BadMessageException(BadMessageException.NOT_IMPLEMENTED, "unknown coding")
                 : BadMessageException.badRequest("unclear length");
     }
 
@@ -430,8 +468,9 @@
     /**
      * Reads a short line of a chunked body into {@code line}; false where its end has not come yet.
      *
-     * <p>Guards against request smuggling: other than in a head, a line ends in both characters here and in
-     * nothing else (RFC 9112 7.1), since whoever takes less sees chunks where we see their content.
+     * <p>Guards against request smuggling: other than in a head, a line ends in both characters
+     * here and in nothing else (RFC 9112 7.1), since whoever takes less sees chunks where we see
+     * their content.
      */
     private boolean readLine(ByteBuf in, int most) throws BadMessageException {
         if (lineStart < 0) {
@@ -467,7 +506,8 @@
         while (extension < lineLength && (line[extension] == ' ' || line[extension] == '\t')) {
             extension++;
         }
-        if (digits == 0 || extension < lineLength && line[extension] != ';'
+        if (digits == 0
+                || extension < lineLength && line[extension] != ';'
                 || extension == lineLength && extension > digits) {
             throw BadMessageException.badRequest("bad chunk size");
         }
@@ -482,11 +522,13 @@
             return false;
         }
         if (lineLength > 0) {
-            Head.field(line, 0, lineLength); // dropped, but guards against a request that hides there
+            Head.field(
+                    line, 0, lineLength); // dropped, but guards against a request that hides there
         }
         trailerSeen += lineLength;
         if (trailerSeen > mostHead) {
-            throw new BadMessageException(BadMessageException.FIELDS_TOO_LARGE, "too long a trailer");
+            throw new BadMessageException(
+                    BadMessageException.FIELDS_TOO_LARGE, "too long a trailer");
         }
         return lineLength == 0;
     }
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -13,31 +13,36 @@
 
     private static final String DEADLINE = "req-deadline-ms";
 
-    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n"
-            .getBytes(StandardCharsets.ISO_8859_1);
+    private static final byte[] CONTINUE =
+            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     /** What frames a chunk: its length in hexadecimal digits and two line ends. */
     private static final int MOST_FRAME = 12;
 
-    private HttpEncoder() { }
+    private HttpEncoder() {}
 
     /**
-     * A request as it goes on to a node: unchanged but for the time that is left and, where there are
-     * budgets, what is handed down.
+     * A request as it goes on to a node: unchanged but for the time that is left and, where there
+     * are budgets, what is handed down.
      *
      * @param handed null where there are no budgets
      */
-    public static ByteBuf request(ByteBufAllocator buffers, Message request, long leftMillis,
-            Carried handed) {
-        StringBuilder head = new StringBuilder(256).append(request.head().method()).append(' ')
-                .append(request.head().target()).append(" HTTP/1.1\r\n");
+    public static ByteBuf request(
+            ByteBufAllocator buffers, Message request, long leftMillis, Carried handed) {
+        StringBuilder head =
+                new StringBuilder(256)
+                        .append(request.head().method())
+                        .append(' ')
+                        .append(request.head().target())
+                        .append(" HTTP/1.1\r\n");
         List<String> listed = request.head().fields().ofConnection();
         List<HeaderFields.Field> fields = request.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
-            if (passesOn(field, listed) && !field.key().equals(DEADLINE)
+            if (passesOn(field, listed)
+                    && !field.key().equals(DEADLINE)
                     && (handed == null || !BudgetHeaders.KEYS.contains(field.key()))) {
                 field(head, field.name().text(), field.value());
             }
@@ -48,11 +53,15 @@
             field(head, BudgetFields.PATH, BudgetFields.path(handed));
         }
         boolean bodiless = request.body().length == 0 && request.head().method().equals("GET");
-        return request.rest() == null ? finish(buffers, head, request.body(), !bodiless)
+        return request.rest() == null
+                ? finish(buffers, head, request.body(), !bodiless)
                 : begin(buffers, head, request, true);
     }
 
-    /** Whether a field goes further than this connection, of which {@code Connection} lists these names. */
+    /**
+     * Whether a field goes further than this connection, of which {@code Connection} lists these
+     * names.
+     */
     private static boolean passesOn(HeaderFields.Field field, List<String> listed) {
         return field.name().passedOn()
                 && (listed.isEmpty() || field.name().kept() || !listed.contains(field.key()));
@@ -65,7 +74,8 @@
 
     /** A request of the proxy's own, without a body. */
     public static ByteBuf get(ByteBufAllocator buffers, String target, String host) {
-        StringBuilder head = new StringBuilder(96).append("GET ").append(target).append(" HTTP/1.1\r\n");
+        StringBuilder head =
+                new StringBuilder(96).append("GET ").append(target).append(" HTTP/1.1\r\n");
         field(head, "Host", host);
         return finish(buffers, head, new byte[0], false);
     }
@@ -75,29 +85,34 @@
      *
      * @param budgets whether what it says of budgets was for this proxy and goes no further
      * @param result what this proxy says of them; null: nothing
-     * @param chunks whether the caller takes a body in chunks; one that flows and has no length ends with the
-     * connection otherwise
+     * @param chunks whether the caller takes a body in chunks; one that flows and has no length
+     *     ends with the connection otherwise
      */
-    public static ByteBuf served(ByteBufAllocator buffers, Message answer, boolean close, boolean budgets,
-            FromBelow result, boolean chunks) {
+    public static ByteBuf served(
+            ByteBufAllocator buffers,
+            Message answer,
+            boolean close,
+            boolean budgets,
+            FromBelow result,
+            boolean chunks) {
         StringBuilder head = start(200, close);
         List<String> listed = answer.head().fields().ofConnection();
         List<HeaderFields.Field> fields = answer.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
-            if (passesOn(field, listed)
-                    && !(budgets && BudgetHeaders.KEYS.contains(field.key()))) {
+            if (passesOn(field, listed) && !(budgets && BudgetHeaders.KEYS.contains(field.key()))) {
                 field(head, field.name().text(), field.value());
             }
         }
         result(head, result);
-        return answer.rest() == null ? finish(buffers, head, answer.body(), true)
+        return answer.rest() == null
+                ? finish(buffers, head, answer.body(), true)
                 : begin(buffers, head, answer, chunks);
     }
 
     /** The head and the first bytes of a message whose rest flows. */
-    private static ByteBuf begin(ByteBufAllocator buffers, StringBuilder head, Message message,
-            boolean chunks) {
+    private static ByteBuf begin(
+            ByteBufAllocator buffers, StringBuilder head, Message message, boolean chunks) {
         long length = message.rest().length();
         boolean chunked = length < 0 && chunks;
         if (length >= 0) {
@@ -125,19 +140,29 @@
         if (!chunked) {
             return out.writeBytes(piece);
         }
-        out.writeBytes((Integer.toHexString(piece.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        out.writeBytes(
+                (Integer.toHexString(piece.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         return out.writeBytes(piece).writeByte('\r').writeByte('\n');
     }
 
     /** An answer of the proxy's own; {@code retryAfterNanos} of 0 gives no advice. */
-    public static ByteBuf answer(ByteBufAllocator buffers, int status, String text, long retryAfterNanos,
+    public static ByteBuf answer(
+            ByteBufAllocator buffers,
+            int status,
+            String text,
+            long retryAfterNanos,
             boolean close) {
         return answer(buffers, status, text, retryAfterNanos, close, null);
     }
 
     /** The same, with what it says of budgets; null: nothing. */
-    public static ByteBuf answer(ByteBufAllocator buffers, int status, String text, long retryAfterNanos,
-            boolean close, FromBelow result) {
+    public static ByteBuf answer(
+            ByteBufAllocator buffers,
+            int status,
+            String text,
+            long retryAfterNanos,
+            boolean close,
+            FromBelow result) {
         StringBuilder head = start(status, close);
         field(head, "Content-Type", "text/plain");
         if (retryAfterNanos > 0) {
@@ -147,8 +172,11 @@
         return finish(buffers, head, (text + "\n").getBytes(StandardCharsets.UTF_8), true);
     }
 
-    /** An answer to an operator's call, after which the connection ends; {@code allow} may be null. */
-    public static ByteBuf page(ByteBufAllocator buffers, int status, String type, byte[] body, String allow) {
+    /**
+     * An answer to an operator's call, after which the connection ends; {@code allow} may be null.
+     */
+    public static ByteBuf page(
+            ByteBufAllocator buffers, int status, String type, byte[] body, String allow) {
         StringBuilder head = start(status, true);
         field(head, "Content-Type", type);
         if (allow != null) {
@@ -157,10 +185,15 @@
         return finish(buffers, head, body, true);
     }
 
-    /** An answer of the proxy's own to {@code HEAD}: with the length of its body, and without the body. */
-    public static ByteBuf answerHead(ByteBufAllocator buffers, int status, String text, boolean close) {
+    /**
+     * An answer of the proxy's own to {@code HEAD}: with the length of its body, and without the
+     * body.
+     */
+    public static ByteBuf answerHead(
+            ByteBufAllocator buffers, int status, String text, boolean close) {
         ByteBuf whole = answer(buffers, status, text, 0, close);
-        return whole.writerIndex(whole.writerIndex() - text.getBytes(StandardCharsets.UTF_8).length - 1);
+        return whole.writerIndex(
+                whole.writerIndex() - text.getBytes(StandardCharsets.UTF_8).length - 1);
     }
 
     private static void result(StringBuilder head, FromBelow result) {
@@ -170,8 +203,13 @@
     }
 
     private static StringBuilder start(int status, boolean close) {
-        StringBuilder head = new StringBuilder(128).append("HTTP/1.1 ").append(status).append(' ')
-                .append(reason(status)).append("\r\n");
+        StringBuilder head =
+                new StringBuilder(128)
+                        .append("HTTP/1.1 ")
+                        .append(status)
+                        .append(' ')
+                        .append(reason(status))
+                        .append("\r\n");
         if (close) {
             field(head, "Connection", "close");
         }
@@ -199,7 +237,8 @@
         head.append(name).append(": ").append(value).append("\r\n");
     }
 
-    private static ByteBuf finish(ByteBufAllocator buffers, StringBuilder head, byte[] body, boolean length) {
+    private static ByteBuf finish(
+            ByteBufAllocator buffers, StringBuilder head, byte[] body, boolean length) {
         if (length) {
             field(head, "Content-Length", Integer.toString(body.length));
         }
--- a/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
+++ b/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
@@ -12,8 +12,8 @@
 
 /**
  * A JSON object, read with the streaming parser, and its name for messages. Its readers throw an
- * IllegalArgumentException that says what is missing or wrong. A default of null (or none) makes a key
- * required.
+ * IllegalArgumentException that says what is missing or wrong. A default of null (or none) makes a
+ * key required.
  */
 public final class JsonObject {
 
@@ -36,8 +36,9 @@
     }
 
     /**
-     * The same, but of a list under this key those elements go as soon as they are read that are not taken,
-     * with {@link #LEFT_OUT} in their places; an element that is no object is asked for as null.
+     * The same, but of a list under this key those elements go as soon as they are read that are
+     * not taken, with {@link #LEFT_OUT} in their places; an element that is no object is asked for
+     * as null.
      */
     static JsonObject parse(String text, String list, Predicate<JsonObject> taken) {
         Object value;
@@ -56,7 +57,10 @@
         return new JsonObject(members, "");
     }
 
-    /** The value that begins at the parser's token. The parser itself bounds how deep values may nest. */
+    /**
+     * The value that begins at the parser's token. The parser itself bounds how deep values may
+     * nest.
+     */
     private static Object value(JsonParser parser, String list, Predicate<JsonObject> taken)
             throws IOException {
         JsonToken token = parser.currentToken();
@@ -65,8 +69,11 @@
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 parser.nextToken();
-                members.put(name, name.equals(list) && parser.currentToken() == JsonToken.START_ARRAY
-                        ? elements(parser, taken) : value(parser, null, null));
+                members.put(
+                        name,
+                        name.equals(list) && parser.currentToken() == JsonToken.START_ARRAY
+                                ? elements(parser, taken)
+                                : value(parser, null, null));
             }
             return members;
         }
@@ -86,12 +93,17 @@
         };
     }
 
-    private static List<Object> elements(JsonParser parser, Predicate<JsonObject> taken) throws IOException {
+    private static List<Object> elements(JsonParser parser, Predicate<JsonObject> taken)
+            throws IOException {
         List<Object> elements = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Object element = value(parser, null, null);
-            boolean stays = taken == null
-                    || taken.test(element instanceof Map<?, ?> object ? new JsonObject(object, "") : null);
+            boolean stays =
+                    taken == null
+                            || taken.test(
+                                    element instanceof Map<?, ?> object
+                                            ? new JsonObject(object, "")
+                                            : null);
             elements.add(stays ? element : LEFT_OUT);
         }
         return elements;
@@ -140,8 +152,12 @@
 
     private double within(String key, double value, double least, double most) {
         if (!(value >= least && value <= most)) {
-            throw notAllowed(key, plain(value), most == Double.MAX_VALUE || most == Long.MAX_VALUE
-                    ? plain(least) + " or more" : plain(least) + " to " + plain(most));
+            throw notAllowed(
+                    key,
+                    plain(value),
+                    most == Double.MAX_VALUE || most == Long.MAX_VALUE
+                            ? plain(least) + " or more"
+                            : plain(least) + " to " + plain(most));
         }
         return value;
     }
@@ -161,7 +177,8 @@
 
     /** Says what was found under a key, and what is allowed there. */
     public IllegalArgumentException notAllowed(String key, String found, String allowed) {
-        return new IllegalArgumentException("'" + path + key + "': found " + found + "; allowed: " + allowed);
+        return new IllegalArgumentException(
+                "'" + path + key + "': found " + found + "; allowed: " + allowed);
     }
 
     public boolean flag(String key, boolean otherwise) {
@@ -213,12 +230,20 @@
         return objects;
     }
 
-    /** The objects of a list, and what stands for those that were left out; null where an element is none. */
+    /**
+     * The objects of a list, and what stands for those that were left out; null where an element is
+     * none.
+     */
     public List<JsonObject> objects(String key, boolean required) {
         List<JsonObject> objects = new ArrayList<>();
         for (Object element : array(key, required)) {
-            objects.add(element == LEFT_OUT ? LEFT_OUT : element instanceof Map<?, ?> object
-                    ? new JsonObject(object, path + key + "[" + objects.size() + "].") : null);
+            objects.add(
+                    element == LEFT_OUT
+                            ? LEFT_OUT
+                            : element instanceof Map<?, ?> object
+                                    ? new JsonObject(
+                                            object, path + key + "[" + objects.size() + "].")
+                                    : null);
         }
         return objects;
     }
@@ -227,9 +252,18 @@
     JsonObject without(String list, Predicate<JsonObject> taken) {
         Map<String, Object> members = new LinkedHashMap<>();
         this.members.forEach((name, value) -> members.put((String) name, value));
-        members.put(list, array(list, true).stream().map(element -> taken.test(
-                element instanceof Map<?, ?> object ? new JsonObject(object, "") : null) ? element : LEFT_OUT)
-                .toList());
+        members.put(
+                list,
+                array(list, true).stream()
+                        .map(
+                                element ->
+                                        taken.test(
+                                                        element instanceof Map<?, ?> object
+                                                                ? new JsonObject(object, "")
+                                                                : null)
+                                                ? element
+                                                : LEFT_OUT)
+                        .toList());
         return new JsonObject(members, path);
     }
 
--- a/daemon/src/main/java/cedarrudder/protocol/ListGate.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ListGate.java
@@ -12,10 +12,10 @@
 import java.util.function.Predicate;
 
 /**
- * Reads the texts of resolver results within a given room of the heap. A text is looked through first,
- * without an object made of it. What fits is read as it is. Of what does not fit, nodes are added in the
- * list's order for as long as there is room, and the others are left out, to be told again; all that it says
- * of nodes that are known is read, so that those that leave or drain do so.
+ * Reads the texts of resolver results within a given room of the heap. A text is looked through
+ * first, without an object made of it. What fits is read as it is. Of what does not fit, nodes are
+ * added in the list's order for as long as there is room, and the others are left out, to be told
+ * again; all that it says of nodes that are known is read, so that those that leave or drain do so.
  */
 public final class ListGate {
 
@@ -26,14 +26,17 @@
     private final long room;
     private final int fromNodes;
 
-    /** Characters of an entry in a list beside its id and values: names of members, numbers, marks. */
+    /**
+     * Characters of an entry in a list beside its id and values: names of members, numbers, marks.
+     */
     private static final int ENTRY_CHARS = 100;
 
     /** The largest text so far, whose buffer a watch keeps. */
     private long largest;
+
     private Judged last;
     private int mayAdd;
-    private Consumer<Judged> judged = verdict -> { };
+    private Consumer<Judged> judged = verdict -> {};
 
     /**
      * What came of a list.
@@ -45,12 +48,22 @@
      * @param held nodes that were held before
      * @param wanted nodes that the list would have this process hold
      * @param waits so many of those were left out
-     * @param steps how many nodes each telling adds where it does not fit at once; this one the first
+     * @param steps how many nodes each telling adds where it does not fit at once; this one the
+     *     first
      * @param all what would be held with all of it
      * @param then what will be held once it has been read
      */
-    public record Judged(boolean fits, String bound, long needed, long room, int held, int wanted, int waits,
-            List<Integer> steps, ListShape all, ListShape then) {
+    public record Judged(
+            boolean fits,
+            String bound,
+            long needed,
+            long room,
+            int held,
+            int wanted,
+            int waits,
+            List<Integer> steps,
+            ListShape all,
+            ListShape then) {
 
         /** So many nodes get in by no step. */
         public int never() {
@@ -92,7 +105,10 @@
     /** What is held, as far as it costs anything. */
     public ListShape held() {
         ListShape like = last == null ? ListShape.NONE : last.then();
-        return new ListShape(reader.size(), largest, reader.idChars(),
+        return new ListShape(
+                reader.size(),
+                largest,
+                reader.idChars(),
                 like.nodes() == 0 ? 0 : like.valueChars() * reader.size() / like.nodes());
     }
 
@@ -111,16 +127,22 @@
         return last;
     }
 
-    /** Whether nodes of the last list have left since it was read, so that more of it may fit now. */
+    /**
+     * Whether nodes of the last list have left since it was read, so that more of it may fit now.
+     */
     public boolean roomier() {
         return last.waits() > 0 && reader.size() < last.held() + mayAdd;
     }
 
-    /** Reads a text that holds a resolver result; an IllegalArgumentException says that it holds none. */
+    /**
+     * Reads a text that holds a resolver result; an IllegalArgumentException says that it holds
+     * none.
+     */
     public JsonObject read(String text) {
         Look look = look(text);
         largest = Math.max(largest, text.length());
-        return judge(look, text.length()) ? JsonObject.parse(text)
+        return judge(look, text.length())
+                ? JsonObject.parse(text)
                 : JsonObject.parse(text, ENTRIES, taken());
     }
 
@@ -132,7 +154,8 @@
         look.nodes = shape.nodes();
         look.idChars = shape.idChars();
         look.valueChars = shape.valueChars();
-        look.added = (int) list.objects(ENTRIES, true).stream().filter(entry -> !isGone(entry)).count();
+        look.added =
+                (int) list.objects(ENTRIES, true).stream().filter(entry -> !isGone(entry)).count();
         return judge(look, shape.textBytes()) ? list : list.without(ENTRIES, taken());
     }
 
@@ -144,8 +167,11 @@
         for (JsonObject entry : list.objects(ENTRIES, true)) {
             nodes++;
             ids += chars(entry, "id");
-            values += chars(entry, "addr") + chars(entry, "zone") + chars(entry, "kind")
-                    + chars(entry, "state");
+            values +=
+                    chars(entry, "addr")
+                            + chars(entry, "zone")
+                            + chars(entry, "kind")
+                            + chars(entry, "state");
         }
         return new ListShape(nodes, nodes * (long) ENTRY_CHARS + ids + values, ids, values);
     }
@@ -162,17 +188,31 @@
         int wanted = look.full ? look.nodes : held.nodes() + look.added;
         boolean whole = verdict.fits() || wanted < fromNodes;
         mayAdd = whole ? look.added : verdict.step();
-        last = new Judged(whole, verdict.bound().name().toLowerCase(Locale.ROOT), verdict.needed(), room,
-                held.nodes(), wanted, look.added - mayAdd,
-                whole ? List.of() : footprint.steps(held, list, look.added, look.full, room),
-                after(held, list, look, look.added), after(held, list, look, mayAdd));
+        last =
+                new Judged(
+                        whole,
+                        verdict.bound().name().toLowerCase(Locale.ROOT),
+                        verdict.needed(),
+                        room,
+                        held.nodes(),
+                        wanted,
+                        look.added - mayAdd,
+                        whole
+                                ? List.of()
+                                : footprint.steps(held, list, look.added, look.full, room),
+                        after(held, list, look, look.added),
+                        after(held, list, look, mayAdd));
         judged.accept(last);
         return whole;
     }
 
-    /** What is held once so many of the nodes that a list adds were added, and what it ends has left. */
+    /**
+     * What is held once so many of the nodes that a list adds were added, and what it ends has
+     * left.
+     */
     private ListShape after(ListShape held, ListShape list, Look look, int added) {
-        ListShape all = look.full ? list.of(list.nodes() - look.added + added) : held.plus(list, added);
+        ListShape all =
+                look.full ? list.of(list.nodes() - look.added + added) : held.plus(list, added);
         return new ListShape(all.nodes(), largest, all.idChars(), all.valueChars());
     }
 
--- a/daemon/src/main/java/cedarrudder/protocol/LoadReport.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReport.java
@@ -11,9 +11,11 @@
     /** No node has more of anything. */
     private static final double MOST = 1e6;
 
-    private LoadReport() { }
+    private LoadReport() {}
 
-    /** Reads a report; null where there is none. Figures that can't be read count as not reported. */
+    /**
+     * Reads a report; null where there is none. Figures that can't be read count as not reported.
+     */
     public static Load parse(String text) {
         if (text == null) {
             return null;
@@ -26,7 +28,8 @@
             if (equals > 0) {
                 try {
                     double figure = Double.parseDouble(part.substring(equals + 1));
-                    // Guards against nonsense that is a number: it would outweigh all other nodes' reports.
+                    // Guards against nonsense that is a number: it would outweigh all other nodes'
+                    // reports.
                     if (figure >= 0 && figure <= MOST) {
                         figures.put(part.substring(0, equals), figure);
                     }
@@ -35,9 +38,15 @@
                 }
             }
         }
-        return figures.isEmpty() ? null : new Load(figure(figures, "inflight"), figure(figures, "queue"),
-                figure(figures, "util"), figure(figures, "latency_ms"), figure(figures, "qps"),
-                figure(figures, "eps"));
+        return figures.isEmpty()
+                ? null
+                : new Load(
+                        figure(figures, "inflight"),
+                        figure(figures, "queue"),
+                        figure(figures, "util"),
+                        figure(figures, "latency_ms"),
+                        figure(figures, "qps"),
+                        figure(figures, "eps"));
     }
 
     private static double figure(Map<String, Double> figures, String name) {
--- a/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts a stream of bytes into the JSON objects that it holds. They may come one a line, or indented over
- * several; what they hold is not looked at. What is no object is passed on up to the end of its line, for the
- * reader to say so.
+ * Cuts a stream of bytes into the JSON objects that it holds. They may come one a line, or indented
+ * over several; what they hold is not looked at. What is no object is passed on up to the end of
+ * its line, for the reader to say so.
  */
 public final class ObjectStream extends OutputStream {
 
@@ -32,7 +32,9 @@
     private boolean quoted;
     private boolean escaped;
 
-    /** @param most the largest object that is read, in bytes; a larger one is an IOException */
+    /**
+     * @param most the largest object that is read, in bytes; a larger one is an IOException
+     */
     public ObjectStream(int most, Events events) {
         this.most = most;
         this.events = events;
@@ -61,7 +63,8 @@
             throw new IOException("too long a list");
         }
         object.write(next);
-        boolean broken = next == '\n' && (quoted || depth == 0); // no string holds a line feed as it is
+        boolean broken =
+                next == '\n' && (quoted || depth == 0); // no string holds a line feed as it is
         count(next);
         if (broken || depth == 0 && next == '}') {
             passOn();
--- a/daemon/src/main/java/cedarrudder/protocol/ReportFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ReportFields.java
@@ -5,16 +5,27 @@
 import java.util.function.IntToDoubleFunction;
 
 /** Which value of a load report stands where. */
-public record ReportFields(int inFlight, int queue, int utilisation, int latency, int rate, int errors) {
+public record ReportFields(
+        int inFlight, int queue, int utilisation, int latency, int rate, int errors) {
 
     ReportFields(List<String> names) {
-        this(names.indexOf("inflight"), names.indexOf("queue"), names.indexOf("util"),
-                names.indexOf("latency_ms"), names.indexOf("qps"), names.indexOf("eps"));
+        this(
+                names.indexOf("inflight"),
+                names.indexOf("queue"),
+                names.indexOf("util"),
+                names.indexOf("latency_ms"),
+                names.indexOf("qps"),
+                names.indexOf("eps"));
     }
 
     public Load load(IntToDoubleFunction value) {
-        return new Load(of(inFlight, value), of(queue, value), of(utilisation, value), of(latency, value),
-                of(rate, value), of(errors, value));
+        return new Load(
+                of(inFlight, value),
+                of(queue, value),
+                of(utilisation, value),
+                of(latency, value),
+                of(rate, value),
+                of(errors, value));
     }
 
     private static double of(int place, IntToDoubleFunction value) {
--- a/daemon/src/main/java/cedarrudder/protocol/ResolverResult.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ResolverResult.java
@@ -11,6 +11,8 @@
  */
 public record ResolverResult(long version, boolean full, List<Node> nodes, List<String> unread) {
 
-    /** One node: its id, as discovery lists it, and where this proxy reaches it (null: it is gone). */
-    public record Node(String name, Endpoint endpoint, InetSocketAddress address) { }
+    /**
+     * One node: its id, as discovery lists it, and where this proxy reaches it (null: it is gone).
+     */
+    public record Node(String name, Endpoint endpoint, InetSocketAddress address) {}
 }
--- a/daemon/src/main/java/cedarrudder/protocol/ResolverResultReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ResolverResultReader.java
@@ -28,7 +28,7 @@
     private long idChars;
 
     /** A node's start as discovery tells it, and as an instant of the program's clock. */
-    private record Start(double millis, long instant) { }
+    private record Start(double millis, long instant) {}
 
     /**
      * @param clock the program's clock, in nanoseconds
@@ -46,9 +46,10 @@
     }
 
     /**
-     * Reads a result; an IllegalArgumentException says what is wrong with it as a whole. Of an entry that
-     * can't be read the result tells, and its node counts as gone: nobody knows whether it drains. Guards
-     * against one such entry keeping all others from being heard, drains among them, for as long as it stays.
+     * Reads a result; an IllegalArgumentException says what is wrong with it as a whole. Of an
+     * entry that can't be read the result tells, and its node counts as gone: nobody knows whether
+     * it drains. Guards against one such entry keeping all others from being heard, drains among
+     * them, for as long as it stays.
      */
     public ResolverResult read(JsonObject json) {
         long version = json.whole("version");
@@ -72,12 +73,15 @@
             }
         }
         if (full && nodes.isEmpty() && !unread.isEmpty()) {
-            throw new IllegalArgumentException(unread.get(0)); // the list before is worth more than none
+            throw new IllegalArgumentException(
+                    unread.get(0)); // the list before is worth more than none
         }
         if (full) {
             Set<String> listed = new HashSet<>();
             nodes.forEach(node -> listed.add(node.name()));
-            List.copyOf(numbers.keySet()).stream().filter(id -> !listed.contains(id)).forEach(this::forget);
+            List.copyOf(numbers.keySet()).stream()
+                    .filter(id -> !listed.contains(id))
+                    .forEach(this::forget);
         }
         return new ResolverResult(version, full, List.copyOf(nodes), List.copyOf(unread));
     }
@@ -86,8 +90,9 @@
     private void goneUnread(JsonObject entry, boolean full, List<ResolverResult.Node> nodes) {
         String id = entry.isText("id") ? entry.text("id", "") : "";
         if (!full && numbers.containsKey(id)) {
-            nodes.add(new ResolverResult.Node(id,
-                    new Endpoint(number(id), -1, -1, 0, State.GONE, 1, 0), null));
+            nodes.add(
+                    new ResolverResult.Node(
+                            id, new Endpoint(number(id), -1, -1, 0, State.GONE, 1, 0), null));
             forget(id);
         }
     }
@@ -97,7 +102,10 @@
         return numbers.containsKey(id);
     }
 
-    /** When a node began by what discovery says, in milliseconds since 1970; 0: long ago, or not known. */
+    /**
+     * When a node began by what discovery says, in milliseconds since 1970; 0: long ago, or not
+     * known.
+     */
     public long startMillis(String id) {
         Start known = starts.get(id);
         return known == null ? 0 : Math.max(0, (long) known.millis());
@@ -108,7 +116,9 @@
         return idChars;
     }
 
-    /** Guards against keeping every id of a long day: a node that is gone needs no number any more. */
+    /**
+     * Guards against keeping every id of a long day: a node that is gone needs no number any more.
+     */
     private void forget(String id) {
         starts.remove(id);
         Long number = numbers.remove(id);
@@ -117,10 +127,10 @@
     }
 
     /**
-     * The instant of a node's start; 0: long ago. It is worked out when the start is first told, by what the
-     * clocks say then, and kept. Guards against a restart being seen in a start time that was mapped a little
-     * differently, and against a cold node being taken for a warm one, or the other way round, once the
-     * machine's clock was set.
+     * The instant of a node's start; 0: long ago. It is worked out when the start is first told, by
+     * what the clocks say then, and kept. Guards against a restart being seen in a start time that
+     * was mapped a little differently, and against a cold node being taken for a warm one, or the
+     * other way round, once the machine's clock was set.
      */
     private long startedAt(String id, double millis) {
         Start known = starts.get(id);
@@ -134,19 +144,28 @@
 
     private ResolverResult.Node node(JsonObject entry) {
         String word = entry.text("state", null);
-        State state = switch (word) {
-            case "in_service" -> State.READY;
-            case "terminating" -> State.DRAINING;
-            case "terminated" -> State.GONE;
-            default -> throw new IllegalArgumentException("unknown state '" + word
-                    + "'; allowed: in_service, terminating, terminated");
-        };
+        State state =
+                switch (word) {
+                    case "in_service" -> State.READY;
+                    case "terminating" -> State.DRAINING;
+                    case "terminated" -> State.GONE;
+                    default ->
+                            throw new IllegalArgumentException(
+                                    "unknown state '"
+                                            + word
+                                            + "'; allowed: in_service, terminating, terminated");
+                };
         String id = entry.text("id", null);
         InetSocketAddress address = Addresses.parse(entry.text("addr", null));
-        Endpoint endpoint = new Endpoint(number(id),
-                site.zones().indexOf(entry.text("zone", "")), site.kinds().indexOf(entry.text("kind", "")),
-                (int) entry.number("cell", 0), state, entry.number("weight", 1),
-                startedAt(id, entry.number("started_ms", 0)));
+        Endpoint endpoint =
+                new Endpoint(
+                        number(id),
+                        site.zones().indexOf(entry.text("zone", "")),
+                        site.kinds().indexOf(entry.text("kind", "")),
+                        (int) entry.number("cell", 0),
+                        state,
+                        entry.number("weight", 1),
+                        startedAt(id, entry.number("started_ms", 0)));
         if (state == State.GONE) {
             forget(id);
         }
@@ -154,8 +173,9 @@
     }
 
     /**
-     * The number of a node: a hash of its id, so that all proxies of a tier number a node alike, which the
-     * module's common order of nodes rests on. Where two ids collide the later one takes the next number.
+     * The number of a node: a hash of its id, so that all proxies of a tier number a node alike,
+     * which the module's common order of nodes rests on. Where two ids collide the later one takes
+     * the next number.
      */
     private long number(String id) {
         Long known = numbers.get(id);
--- a/daemon/src/main/java/cedarrudder/protocol/Rest.java
+++ b/daemon/src/main/java/cedarrudder/protocol/Rest.java
@@ -7,4 +7,4 @@
  *
  * @param length of the whole body, the first bytes with it; -1 where its sender doesn't say
  */
-public record Rest(BodyFlow flow, long length) { }
+public record Rest(BodyFlow flow, long length) {}
--- a/daemon/src/main/java/cedarrudder/protocol/RpcFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RpcFields.java
@@ -11,17 +11,19 @@
 public final class RpcFields {
 
     /**
-     * Larger figures are nonsense, and would overflow as nanoseconds: a day in milliseconds, where callers of
-     * any site wait for some hundred ms to many seconds.
+     * Larger figures are nonsense, and would overflow as nanoseconds: a day in milliseconds, where
+     * callers of any site wait for some hundred ms to many seconds.
      */
     private static final long MOST = 86_400_000L;
+
     private static final int MOST_DIGITS = 18;
 
     /**
-     * The answer is ready this much earlier than the client gives up, or a tenth of its wait earlier. Guards
-     * against a loop that runs late: as callers come to proxies that have just started, all on one core,
-     * loops were seen up to 95 ms late, and an RPC was lost whose bytes had waited that long to be read. The
-     * tenth makes it hold for any deadline: one of 50 ms loses 5.
+     * The answer is ready this much earlier than the client gives up, or a tenth of its wait
+     * earlier. Guards against a loop that runs late: as callers come to proxies that have just
+     * started, all on one core, loops were seen up to 95 ms late, and an RPC was lost whose bytes
+     * had waited that long to be read. The tenth makes it hold for any deadline: one of 50 ms loses
+     * 5.
      */
     private static final long MARGIN = 40_000_000L;
 
@@ -37,7 +39,8 @@
     }
 
     /**
-     * @param budgets what a caller says of them is read, and it need not say how long it waits; null: none
+     * @param budgets what a caller says of them is read, and it need not say how long it waits;
+     *     null: none
      */
     public RpcFields(Settings site, Budgets budgets) {
         this.budgets = budgets;
@@ -53,24 +56,28 @@
 
     /** What the caller says of budgets; {@link Carried#NOTHING} where there are none here. */
     public Carried carried(Message request) {
-        return budgets == null ? Carried.NOTHING : BudgetHeaders.read(request)
-                .withDeadline(request.head().fields().get(DEADLINE) != null);
+        return budgets == null
+                ? Carried.NOTHING
+                : BudgetHeaders.read(request)
+                        .withDeadline(request.head().fields().get(DEADLINE) != null);
     }
 
     /**
-     * Reads what the module is told of a request that was read at {@code now}, by a loop that has lately been
-     * late by so much.
+     * Reads what the module is told of a request that was read at {@code now}, by a loop that has
+     * lately been late by so much.
      *
-     * <p>The client counts its wait from its send and until our answer's last byte has reached it. Guards
-     * against answering just too late: the way here and back, and this process's own delays, come off. On an
-     * overloaded day the first tier's loop was 40 to 70 ms late in its first second, which no fixed margin
-     * that leaves quick RPCs their time would cover twice, once for reading and once for answering.
+     * <p>The client counts its wait from its send and until our answer's last byte has reached it.
+     * Guards against answering just too late: the way here and back, and this process's own delays,
+     * come off. On an overloaded day the first tier's loop was 40 to 70 ms late in its first
+     * second, which no fixed margin that leaves quick RPCs their time would cover twice, once for
+     * reading and once for answering.
      *
      * @param latest the answer is ready by then in any case
      * @param carried what the caller says of budgets
      */
-    public Balancer.Request read(Message request, long id, long now, long lateness, long latest,
-            Carried carried) throws BadMessageException {
+    public Balancer.Request read(
+            Message request, long id, long now, long lateness, long latest, Carried carried)
+            throws BadMessageException {
         HeaderFields fields = request.head().fields();
         require(fields, "req-id");
         int kind = classes.indexOf(require(fields, "req-kind"));
@@ -85,16 +92,29 @@
                 throw BadMessageException.badRequest("unknown Req-Owner");
             }
         }
-        long wait = carried.deadline() ? 1_000_000 * wait(require(fields, DEADLINE)) : budgets.safeWait(kind);
+        long wait =
+                carried.deadline()
+                        ? 1_000_000 * wait(require(fields, DEADLINE))
+                        : budgets.safeWait(kind);
         long deadline = now + wait - Math.min(MARGIN, wait / 10) - Math.min(lateness, wait / 5);
         if (carried.left() > 0) {
             // Less the way already: only what this loop's lateness took comes off.
-            deadline = Math.min(deadline, now + carried.left() - Math.min(lateness, carried.left() / 5));
+            deadline =
+                    Math.min(
+                            deadline,
+                            now + carried.left() - Math.min(lateness, carried.left() / 5));
         }
         String cost = fields.single("req-cost");
         long work = cost == null ? 0 : 1000 * cost(cost);
-        return new Balancer.Request(id, kind, tenant, Math.min(deadline, latest), 0,
-                "1".equals(fields.single("req-retry")), !request.head().method().equals("GET"), work);
+        return new Balancer.Request(
+                id,
+                kind,
+                tenant,
+                Math.min(deadline, latest),
+                0,
+                "1".equals(fields.single("req-retry")),
+                !request.head().method().equals("GET"),
+                work);
     }
 
     /** The longest that any class of callers waits, in nanoseconds. */
@@ -103,17 +123,18 @@
     }
 
     /**
-     * The class fixes the method. Guards against passing on what nodes have to turn away, or what would be
-     * repeated by its class though its key or method says otherwise.
+     * The class fixes the method. Guards against passing on what nodes have to turn away, or what
+     * would be repeated by its class though its key or method says otherwise.
      */
     private static void checkFit(Message request, Effect effect) throws BadMessageException {
         String method = request.head().method();
         String key = request.head().fields().single("idempotency-key");
-        boolean fits = switch (effect) {
-            case SAFE -> method.equals("GET") && key == null && request.body().length == 0;
-            case KEYED -> method.equals("POST") && key != null && !key.isEmpty();
-            case UNSAFE -> method.equals("POST") && key == null;
-        };
+        boolean fits =
+                switch (effect) {
+                    case SAFE -> method.equals("GET") && key == null && request.body().length == 0;
+                    case KEYED -> method.equals("POST") && key != null && !key.isEmpty();
+                    case UNSAFE -> method.equals("POST") && key == null;
+                };
         if (!fits) {
             throw BadMessageException.badRequest("method, key or body doesn't fit Req-Kind");
         }
--- a/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
@@ -16,50 +16,76 @@
 import java.util.Set;
 
 /**
- * Settings as the simulator sends them and as the proxy's configuration holds them. Times are in nanoseconds.
+ * Settings as the simulator sends them and as the proxy's configuration holds them. Times are in
+ * nanoseconds.
  */
 public final class SettingsReader {
 
     /** What the words of the settings mean. */
-    private static final Map<String, Effect> EFFECTS = Map.of("retryable", Effect.SAFE, "dedup", Effect.KEYED,
-            "fragile", Effect.UNSAFE);
-    private static final Map<String, KeyScope> SCOPES = Map.of("all", KeyScope.ALL, "zone", KeyScope.ZONE,
-            "cell", KeyScope.CELL);
-    private static final Map<String, SiteSettings.Reports> REPORTS = Map.of(
-            "answers", SiteSettings.Reports.ANSWERS, "probe", SiteSettings.Reports.PROBES,
-            "none", SiteSettings.Reports.NONE);
+    private static final Map<String, Effect> EFFECTS =
+            Map.of("retryable", Effect.SAFE, "dedup", Effect.KEYED, "fragile", Effect.UNSAFE);
 
-    /** No count of machines, zones or attempts is larger: guards against a number cut short in a cast. */
+    private static final Map<String, KeyScope> SCOPES =
+            Map.of("all", KeyScope.ALL, "zone", KeyScope.ZONE, "cell", KeyScope.CELL);
+    private static final Map<String, SiteSettings.Reports> REPORTS =
+            Map.of(
+                    "answers",
+                    SiteSettings.Reports.ANSWERS,
+                    "probe",
+                    SiteSettings.Reports.PROBES,
+                    "none",
+                    SiteSettings.Reports.NONE);
+
+    /**
+     * No count of machines, zones or attempts is larger: guards against a number cut short in a
+     * cast.
+     */
     private static final int MOST_COUNTED = 1_000_000;
 
     /** No time is longer: a week. Guards against sums of times that overflow. */
     private static final long LONGEST = 7 * 86_400_000_000_000L;
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     /**
-     * Reads the settings; an IllegalArgumentException says where something is missing or wrong, what was
-     * found there and what is allowed. Keys that are not known are skipped.
+     * Reads the settings; an IllegalArgumentException says where something is missing or wrong,
+     * what was found there and what is allowed. Keys that are not known are skipped.
      */
     public static SiteSettings read(JsonObject root) {
         List<RequestClass> classes = classes(root);
         List<Tenant> tenants = new ArrayList<>();
         for (JsonObject node : root.list("tenants", false)) {
-            tenants.add(new Tenant(node.text("name", ""), node.number("share", 0, 0, Double.MAX_VALUE),
-                    node.number("quota-per-s", 0, 0, Double.MAX_VALUE)));
+            tenants.add(
+                    new Tenant(
+                            node.text("name", ""),
+                            node.number("share", 0, 0, Double.MAX_VALUE),
+                            node.number("quota-per-s", 0, 0, Double.MAX_VALUE)));
         }
         int copies = (int) root.whole("balancers", 1, MOST_COUNTED);
         List<String> tiers = root.texts("tiers");
         List<String> zones = root.texts("localities");
-        Settings settings = new Settings(copies, (int) root.whole("ordinal", 0, copies - 1),
-                (int) root.number("zone", 0, 0, listed(zones)),
-                (int) root.number("layer", 0, 0, listed(tiers)), Math.max(1, tiers.size()),
-                root.word("discovery", "push", List.of("push", "ask")).equals("ask"),
-                List.copyOf(classes), List.copyOf(tenants), limits(root.child("limits")),
-                safety(root.child("safety")), goal(root), prices(root.child("costs")));
+        Settings settings =
+                new Settings(
+                        copies,
+                        (int) root.whole("ordinal", 0, copies - 1),
+                        (int) root.number("zone", 0, 0, listed(zones)),
+                        (int) root.number("layer", 0, 0, listed(tiers)),
+                        Math.max(1, tiers.size()),
+                        root.word("discovery", "push", List.of("push", "ask")).equals("ask"),
+                        List.copyOf(classes),
+                        List.copyOf(tenants),
+                        limits(root.child("limits")),
+                        safety(root.child("safety")),
+                        goal(root),
+                        prices(root.child("costs")));
         JsonObject report = root.child("report");
-        return new SiteSettings(settings, new ReportFields(report.texts("fields")),
-                word(report, "via", "none", REPORTS), tiers, zones, root.texts("kinds"));
+        return new SiteSettings(
+                settings,
+                new ReportFields(report.texts("fields")),
+                word(report, "via", "none", REPORTS),
+                tiers,
+                zones,
+                root.texts("kinds"));
     }
 
     /** The largest index into a list of names; any where none are named. */
@@ -73,13 +99,20 @@
         for (JsonObject node : root.list("request-classes", true)) {
             String name = node.text("name", "");
             if (!names.add(name)) {
-                throw node.notAllowed("name", "'" + name + "' once more", "a name of its own for each class");
+                throw node.notAllowed(
+                        "name", "'" + name + "' once more", "a name of its own for each class");
             }
-            classes.add(new RequestClass(name, word(node, "idempotency", null, EFFECTS),
-                    word(node, "key-scope", "all", SCOPES), node.whole("goal-time-ns", 1, LONGEST),
-                    node.whole("give-up-ns", 1, LONGEST), node.number("value", 1, 0, Double.MAX_VALUE),
-                    node.number("late-worth", 0), (long) node.number("repeat-window-ns", 0, 0, LONGEST),
-                    node.flag("stream", false)));
+            classes.add(
+                    new RequestClass(
+                            name,
+                            word(node, "idempotency", null, EFFECTS),
+                            word(node, "key-scope", "all", SCOPES),
+                            node.whole("goal-time-ns", 1, LONGEST),
+                            node.whole("give-up-ns", 1, LONGEST),
+                            node.number("value", 1, 0, Double.MAX_VALUE),
+                            node.number("late-worth", 0),
+                            (long) node.number("repeat-window-ns", 0, 0, LONGEST),
+                            node.flag("stream", false)));
         }
         if (classes.isEmpty()) {
             throw root.notAllowed("request-classes", "none", "one or more");
@@ -88,8 +121,11 @@
     }
 
     private static Limits limits(JsonObject limits) {
-        return new Limits(limits.flag("probes", false), limits.flag("cancel", false),
-                limits.flag("parallel-tries", false), limits.flag("retry-after", false),
+        return new Limits(
+                limits.flag("probes", false),
+                limits.flag("cancel", false),
+                limits.flag("parallel-tries", false),
+                limits.flag("retry-after", false),
                 (int) limits.number("max-attempts", 1, 1, MOST_COUNTED),
                 (long) limits.number("max-retry-after-ns", 0, 0, LONGEST),
                 (long) limits.number("dial-timeout-ns", 0, 0, LONGEST),
@@ -97,8 +133,10 @@
     }
 
     private static Safety safety(JsonObject safety) {
-        return new Safety(safety.whole("stop-sending-within-ns", 0, LONGEST),
-                safety.number("cold-share", 1, 0, 1), (long) safety.number("ramp-time-ns", 0, 0, LONGEST),
+        return new Safety(
+                safety.whole("stop-sending-within-ns", 0, LONGEST),
+                safety.number("cold-share", 1, 0, 1),
+                (long) safety.number("ramp-time-ns", 0, 0, LONGEST),
                 safety.number("fall-multiple", 1, 0, Double.MAX_VALUE),
                 (long) safety.number("fall-ns", 0, 0, LONGEST),
                 (long) safety.number("ask-within-ns", 0, 0, LONGEST));
@@ -106,8 +144,11 @@
 
     private static Goal goal(JsonObject root) {
         JsonObject goal = root.child("goal");
-        return new Goal(goal.number("whole", 1), goal.number("worst-window", 0),
-                goal.number("worst-class", 0), goal.number("worst-tenant", 0),
+        return new Goal(
+                goal.number("whole", 1),
+                goal.number("worst-window", 0),
+                goal.number("worst-class", 0),
+                goal.number("worst-tenant", 0),
                 root.number("over-share-worth", 1),
                 root.word("worth-by", "request", List.of("request", "work")).equals("work"));
     }
@@ -116,7 +157,9 @@
         return new Prices(costs.number("probe", 0), costs.number("handshake", 0));
     }
 
-    private static <T> T word(JsonObject node, String key, String otherwise, Map<String, T> meanings) {
-        return meanings.get(node.word(key, otherwise, meanings.keySet().stream().sorted().toList()));
+    private static <T> T word(
+            JsonObject node, String key, String otherwise, Map<String, T> meanings) {
+        return meanings.get(
+                node.word(key, otherwise, meanings.keySet().stream().sorted().toList()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
@@ -12,9 +12,18 @@
  * @param zones the names of the zones, in the order in which the module numbers them
  * @param kinds the names of the machine kinds, likewise
  */
-public record SiteSettings(Settings module, ReportFields fields, Reports reports, List<String> tiers,
-        List<String> zones, List<String> kinds) {
+public record SiteSettings(
+        Settings module,
+        ReportFields fields,
+        Reports reports,
+        List<String> tiers,
+        List<String> zones,
+        List<String> kinds) {
 
     /** Where load reports come from: nowhere, only from probes, or from all answers. */
-    public enum Reports { NONE, PROBES, ANSWERS }
+    public enum Reports {
+        NONE,
+        PROBES,
+        ANSWERS
+    }
 }
