--- a/daemon/src/main/java/cedarrudder/sim/FrameDecoder.java
+++ b/daemon/src/main/java/cedarrudder/sim/FrameDecoder.java
@@ -15,18 +15,31 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Reads batches of events. Offsets given to its readers count from the first byte of the record at hand. */
+/**
+ * Reads batches of events. Offsets given to its readers count from the first byte of the record at
+ * hand.
+ */
 final class FrameDecoder {
 
-    /** What is read at once at the most, so that no length field can ask for memory that never fills. */
+    /**
+     * What is read at once at the most, so that no length field can ask for memory that never
+     * fills.
+     */
     private static final int CHUNK = 1 << 16;
 
     private static final int MOST_VALUES = 4;
     private static final int FIRST_STATUS = 249;
 
     /** Outcomes by code, from the first. */
-    private static final Outcome[] OUTCOMES = {Outcome.MOOT, Outcome.CANCELLED, Outcome.RESET,
-        Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.FULL, Outcome.ERROR};
+    private static final Outcome[] OUTCOMES = {
+        Outcome.MOOT,
+        Outcome.CANCELLED,
+        Outcome.RESET,
+        Outcome.CONNECT_FAILED,
+        Outcome.TIMEOUT,
+        Outcome.FULL,
+        Outcome.ERROR
+    };
 
     private final InputStream in;
     private byte[] bytes = new byte[CHUNK];
@@ -55,8 +68,8 @@
             return false;
         }
         if (got < Wire.BATCH_HEADER) {
-            throw new WireException("batch " + frameNumber + ": input ends after " + got
-                    + " bytes of its header");
+            throw new WireException(
+                    "batch " + frameNumber + ": input ends after " + got + " bytes of its header");
         }
         long size = Integer.toUnsignedLong(frame.getInt(0));
         now = frame.getLong(4);
@@ -65,8 +78,14 @@
             throw new WireException("batch " + frameNumber + ": impossible length " + size);
         }
         if (count * Wire.EVENT > size) {
-            throw new WireException("batch " + frameNumber + ": " + count + " records do not fit "
-                    + size + " bytes");
+            throw new WireException(
+                    "batch "
+                            + frameNumber
+                            + ": "
+                            + count
+                            + " records do not fit "
+                            + size
+                            + " bytes");
         }
         length = (int) size;
         records = (int) count;
@@ -83,8 +102,14 @@
             }
             int got = in.read(bytes, have, Math.min(length, bytes.length) - have);
             if (got < 0) {
-                throw new WireException("batch " + frameNumber + ": input ends after " + have + " of "
-                        + length + " bytes");
+                throw new WireException(
+                        "batch "
+                                + frameNumber
+                                + ": input ends after "
+                                + have
+                                + " of "
+                                + length
+                                + " bytes");
             }
             have += got;
         }
@@ -131,8 +156,14 @@
         long size = u32(offset + 4) * unit;
         long tail = (long) records * Wire.EVENT;
         if (tail + from + size > length) {
-            throw error("span " + from + " + " + size + " lies outside the tail of " + (length - tail)
-                    + " bytes");
+            throw error(
+                    "span "
+                            + from
+                            + " + "
+                            + size
+                            + " lies outside the tail of "
+                            + (length - tail)
+                            + " bytes");
         }
         return (int) (tail + from);
     }
@@ -152,17 +183,22 @@
         List<Endpoint> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++, from += Wire.ENDPOINT) {
             int phase = Byte.toUnsignedInt(frame.get(from + 10));
-            State state = switch (phase) {
-                case 0 -> State.GONE;
-                case 1 -> State.READY;
-                case 2 -> State.DRAINING;
-                default -> throw error("unknown phase " + phase);
-            };
-            entries.add(new Endpoint(Integer.toUnsignedLong(frame.getInt(from)),
-                    Short.toUnsignedInt(frame.getShort(from + 4)),
-                    Short.toUnsignedInt(frame.getShort(from + 6)),
-                    Short.toUnsignedInt(frame.getShort(from + 8)), state, frame.getFloat(from + 11),
-                    frame.getLong(from + 15)));
+            State state =
+                    switch (phase) {
+                        case 0 -> State.GONE;
+                        case 1 -> State.READY;
+                        case 2 -> State.DRAINING;
+                        default -> throw error("unknown phase " + phase);
+                    };
+            entries.add(
+                    new Endpoint(
+                            Integer.toUnsignedLong(frame.getInt(from)),
+                            Short.toUnsignedInt(frame.getShort(from + 4)),
+                            Short.toUnsignedInt(frame.getShort(from + 6)),
+                            Short.toUnsignedInt(frame.getShort(from + 8)),
+                            state,
+                            frame.getFloat(from + 11),
+                            frame.getLong(from + 15)));
         }
         return entries;
     }
@@ -187,13 +223,17 @@
         return OUTCOMES[code - FIRST_STATUS];
     }
 
-    /** A load report, its values in the order that the settings name; null when none is attached. */
+    /**
+     * A load report, its values in the order that the settings name; null when none is attached.
+     */
     Load load(int offset, ReportFields fields) {
         int count = u8(offset);
         if (count > MOST_VALUES) {
             throw error("a load report of " + count + " values");
         }
         int first = at + offset + 1;
-        return count == 0 ? null : fields.load(i -> i < count ? frame.getFloat(first + 4 * i) : Double.NaN);
+        return count == 0
+                ? null
+                : fields.load(i -> i < count ? frame.getFloat(first + 4 * i) : Double.NaN);
     }
 }
--- a/daemon/src/main/java/cedarrudder/sim/FrameEncoder.java
+++ b/daemon/src/main/java/cedarrudder/sim/FrameEncoder.java
@@ -46,7 +46,10 @@
         out.flush();
     }
 
-    /** Starts a record of this instance and returns its place; the buffer may be another one afterwards. */
+    /**
+     * Starts a record of this instance and returns its place; the buffer may be another one
+     * afterwards.
+     */
     private int record(long instance, int code) {
         if (instance != current) {
             current = instance;
--- a/daemon/src/main/java/cedarrudder/sim/SimHost.java
+++ b/daemon/src/main/java/cedarrudder/sim/SimHost.java
@@ -20,12 +20,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Hosts balancer copies on the simulator's wire: batches of events on standard input, replies on standard
- * output.
+ * Hosts balancer copies on the simulator's wire: batches of events on standard input, replies on
+ * standard output.
  */
 public final class SimHost {
 
-    private record Copy(Balancer balancer, ReportFields fields) { }
+    private record Copy(Balancer balancer, ReportFields fields) {}
 
     private final Tuning tuning;
     private final FrameEncoder reply = new FrameEncoder();
@@ -37,10 +37,14 @@
         this.tuning = tuning;
     }
 
-    /** Serves standard input until it ends and returns the exit code. All copies have this tuning. */
+    /**
+     * Serves standard input until it ends and returns the exit code. All copies have this tuning.
+     */
     public static int run(Tuning tuning) {
         try {
-            serve(tuning, new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+            serve(
+                    tuning,
+                    new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new FileOutputStream(FileDescriptor.out));
             return 0;
         } catch (WireException | IOException e) {
@@ -78,8 +82,12 @@
     private Copy copy(FrameDecoder batch) {
         Copy copy = copies.get(current);
         if (copy == null) {
-            throw batch.error("event " + batch.code() + " for instance " + current
-                    + ", which was never started");
+            throw batch.error(
+                    "event "
+                            + batch.code()
+                            + " for instance "
+                            + current
+                            + ", which was never started");
         }
         return copy;
     }
@@ -109,7 +117,9 @@
         }
     }
 
-    /** Reads the whole event first, so that a malformed one is not taken for a fault of the module. */
+    /**
+     * Reads the whole event first, so that a malformed one is not taken for a fault of the module.
+     */
     private Runnable decode(FrameDecoder batch, Balancer copy, ReportFields fields, long now) {
         switch (batch.code()) {
             case Wire.VIEW -> {
@@ -126,9 +136,16 @@
             }
             case Wire.KNOCK -> {
                 int bits = batch.u8(9);
-                Balancer.Request request = new Balancer.Request(batch.i64(1), batch.u8(12), batch.u16(10),
-                        batch.i64(13), batch.i64(21), (bits & Wire.BIT_REPEAT) != 0,
-                        (bits & Wire.BIT_WRITE) != 0, (bits & Wire.BIT_HINT) != 0 ? batch.i64(29) : 0);
+                Balancer.Request request =
+                        new Balancer.Request(
+                                batch.i64(1),
+                                batch.u8(12),
+                                batch.u16(10),
+                                batch.i64(13),
+                                batch.i64(21),
+                                (bits & Wire.BIT_REPEAT) != 0,
+                                (bits & Wire.BIT_WRITE) != 0,
+                                (bits & Wire.BIT_HINT) != 0 ? batch.i64(29) : 0);
                 return () -> copy.request(now, request);
             }
             case Wire.FIRST_BYTE -> {
@@ -146,7 +163,8 @@
                 long latency = batch.i64(16);
                 boolean settled = batch.u8(24) != 0;
                 Balancer.Load load = batch.load(25, fields);
-                return () -> copy.outcome(now, id, attempt, endpoint, outcome, latency, settled, load);
+                return () ->
+                        copy.outcome(now, id, attempt, endpoint, outcome, latency, settled, load);
             }
             case Wire.CLIENT_LEFT -> {
                 long id = batch.i64(1);
--- a/daemon/src/main/java/cedarrudder/sim/Wire.java
+++ b/daemon/src/main/java/cedarrudder/sim/Wire.java
@@ -44,5 +44,5 @@
     static final int FETCH = 11;
     static final int AS = 12;
 
-    private Wire() { }
+    private Wire() {}
 }
--- a/daemon/src/main/java/cedarrudder/toml/BadFileException.java
+++ b/daemon/src/main/java/cedarrudder/toml/BadFileException.java
@@ -10,7 +10,9 @@
 
     private final transient List<Problem> problems;
 
-    /** @param problems at least one */
+    /**
+     * @param problems at least one
+     */
     public BadFileException(List<Problem> problems) {
         super(problems.stream().map(Problem::toString).collect(Collectors.joining("\n")));
         this.problems = List.copyOf(problems);
--- a/daemon/src/main/java/cedarrudder/toml/Document.java
+++ b/daemon/src/main/java/cedarrudder/toml/Document.java
@@ -15,11 +15,12 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * A TOML file that is read strictly: every key has a type and a range, and what nobody asked for is an error.
+ * A TOML file that is read strictly: every key has a type and a range, and what nobody asked for is
+ * an error.
  *
- * <p>Reading goes on past what is wrong, with the default or the least allowed value in its place, so that
- * one run finds all errors; {@link #check} then throws them together. Parsing is done by tomlj, which unlike
- * other TOML readers knows the line of each key.
+ * <p>Reading goes on past what is wrong, with the default or the least allowed value in its place,
+ * so that one run finds all errors; {@link #check} then throws them together. Parsing is done by
+ * tomlj, which unlike other TOML readers knows the line of each key.
  */
 public final class Document {
 
@@ -35,8 +36,13 @@
         this.file = file;
         TomlParseResult parsed = Toml.parse(text);
         for (TomlParseError error : parsed.errors()) {
-            problems.add(new Problem(file, error.position() == null ? 0 : error.position().line(), "",
-                    String.valueOf(error.getMessage()).replaceAll("\\R", " "), "TOML 1.0"));
+            problems.add(
+                    new Problem(
+                            file,
+                            error.position() == null ? 0 : error.position().line(),
+                            "",
+                            String.valueOf(error.getMessage()).replaceAll("\\R", " "),
+                            "TOML 1.0"));
         }
         // Guards against errors that only follow from a line that could not be read.
         root = new Table(this, problems.isEmpty() ? parsed : Toml.parse(""), "", 0);
@@ -55,7 +61,8 @@
     public static Document read(Path path) throws BadFileException {
         try {
             if (Files.size(path) > MOST_BYTES) {
-                throw unreadable(path, Files.size(path) + " bytes", MOST_BYTES + " bytes at the most");
+                throw unreadable(
+                        path, Files.size(path) + " bytes", MOST_BYTES + " bytes at the most");
             }
             return new Document(path.toString(), Files.readString(path));
         } catch (NoSuchFileException e) {
@@ -63,7 +70,8 @@
         } catch (CharacterCodingException e) {
             throw unreadable(path, "bytes that are no UTF-8", "a TOML file in UTF-8");
         } catch (IOException e) {
-            throw unreadable(path, "a file that can't be read (" + e.getMessage() + ")", "a TOML file");
+            throw unreadable(
+                    path, "a file that can't be read (" + e.getMessage() + ")", "a TOML file");
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/toml/Problem.java
+++ b/daemon/src/main/java/cedarrudder/toml/Problem.java
@@ -13,7 +13,13 @@
 
     @Override
     public String toString() {
-        return file + (line > 0 ? ":" + line : "") + ": " + (key.isEmpty() ? "" : key + ": ") + "found "
-                + found + "; allowed: " + allowed;
+        return file
+                + (line > 0 ? ":" + line : "")
+                + ": "
+                + (key.isEmpty() ? "" : key + ": ")
+                + "found "
+                + found
+                + "; allowed: "
+                + allowed;
     }
 }
--- a/daemon/src/main/java/cedarrudder/toml/Table.java
+++ b/daemon/src/main/java/cedarrudder/toml/Table.java
@@ -17,9 +17,10 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a {@link Document}. Each method names a key that may stand in it; {@link #done} reports every
- * other key. A value that is missing or wrong is reported, and the default or the least value comes in its
- * place, so reading goes on. Numbers may be written as integers or decimals.
+ * One table of a {@link Document}. Each method names a key that may stand in it; {@link #done}
+ * reports every other key. A value that is missing or wrong is reported, and the default or the
+ * least value comes in its place, so reading goes on. Numbers may be written as integers or
+ * decimals.
  */
 public final class Table {
 
@@ -67,17 +68,23 @@
 
     /** Reports a problem with a key of this table, which need not be there. */
     public void problem(String key, String found, String allowed) {
-        TomlPosition at = key.isEmpty() || !table.contains(List.of(key)) ? null
-                : table.inputPositionOf(List.of(key));
+        TomlPosition at =
+                key.isEmpty() || !table.contains(List.of(key))
+                        ? null
+                        : table.inputPositionOf(List.of(key));
         wrong.add(key);
-        document.add(at == null ? line : at.line(),
-                key.isEmpty() && !path.isEmpty() ? path.substring(0, path.length() - 1) : path + key, found,
+        document.add(
+                at == null ? line : at.line(),
+                key.isEmpty() && !path.isEmpty()
+                        ? path.substring(0, path.length() - 1)
+                        : path + key,
+                found,
                 allowed);
     }
 
     /**
-     * Whether no problem of these keys was reported. Guards against errors that only follow from others: a
-     * value that stands in for a wrong one is not to be held against other values.
+     * Whether no problem of these keys was reported. Guards against errors that only follow from
+     * others: a value that stands in for a wrong one is not to be held against other values.
      */
     public boolean sound(String... keys) {
         return Arrays.stream(keys).noneMatch(wrong::contains);
@@ -88,15 +95,19 @@
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
                 String nearest = nearest(key, known);
-                problem(key, "an unknown key", nearest != null ? "did you mean '" + nearest + "'?"
-                        : known.isEmpty() ? "no key" : String.join(", ", known));
+                problem(
+                        key,
+                        "an unknown key",
+                        nearest != null
+                                ? "did you mean '" + nearest + "'?"
+                                : known.isEmpty() ? "no key" : String.join(", ", known));
             }
         }
     }
 
     /**
-     * The one of some names that a misspelt one is likely to mean; null where none is near. The fewest
-     * changes win, then the earlier name.
+     * The one of some names that a misspelt one is likely to mean; null where none is near. The
+     * fewest changes win, then the earlier name.
      */
     public static String nearest(String key, Collection<String> among) {
         String nearest = null;
@@ -129,8 +140,7 @@
 
     private Object get(String key, boolean required, String allowed, String otherwise) {
         known.add(key);
-        document.asked(new Key(plain(path + key), allowed,
-                required ? Key.REQUIRED : otherwise));
+        document.asked(new Key(plain(path + key), allowed, required ? Key.REQUIRED : otherwise));
         Object value = table.get(List.of(key));
         if (value == null && required) {
             problem(key, "nothing", allowed);
@@ -143,8 +153,12 @@
         if (value instanceof TomlTable) {
             return "a table";
         }
-        String text = value instanceof String ? "\"" + value + "\""
-                : value instanceof TomlArray array ? array.toList().toString() : String.valueOf(value);
+        String text =
+                value instanceof String
+                        ? "\"" + value + "\""
+                        : value instanceof TomlArray array
+                                ? array.toList().toString()
+                                : String.valueOf(value);
         return text.length() > MOST_SHOWN ? text.substring(0, MOST_SHOWN) + "..." : text;
     }
 
@@ -183,14 +197,15 @@
         return number(key, least, most, otherwise, false);
     }
 
-    private double number(String key, double least, double most, double otherwise,
-            boolean required) {
+    private double number(
+            String key, double least, double most, double otherwise, boolean required) {
         String allowed = "a number from " + plain(least) + " to " + plain(most);
         Object value = get(key, required, allowed, plain(otherwise));
         if (value == null) {
             return otherwise;
         }
-        if (value instanceof Number number && number.doubleValue() >= least
+        if (value instanceof Number number
+                && number.doubleValue() >= least
                 && number.doubleValue() <= most) {
             return number.doubleValue();
         }
@@ -198,10 +213,17 @@
         return otherwise;
     }
 
-    /** A number, or two in brackets between which one is drawn; null stands for none where left out. */
+    /**
+     * A number, or two in brackets between which one is drawn; null stands for none where left out.
+     */
     public double[] range(String key, double least, double most, double[] otherwise) {
-        double[] ends = range(key, least, most, otherwise == null,
-                otherwise == null ? Key.REQUIRED : plain(otherwise));
+        double[] ends =
+                range(
+                        key,
+                        least,
+                        most,
+                        otherwise == null,
+                        otherwise == null ? Key.REQUIRED : plain(otherwise));
         if (ends != null) {
             return ends;
         }
@@ -215,9 +237,14 @@
     }
 
     /** Null where the value is missing or wrong. */
-    private double[] range(String key, double least, double most, boolean required, String otherwise) {
-        String allowed = "a number from " + plain(least) + " to " + plain(most)
-                + ", or two such as [low, high]";
+    private double[] range(
+            String key, double least, double most, boolean required, String otherwise) {
+        String allowed =
+                "a number from "
+                        + plain(least)
+                        + " to "
+                        + plain(most)
+                        + ", or two such as [low, high]";
         Object value = get(key, required, allowed, otherwise);
         if (value == null) {
             return null;
@@ -225,12 +252,17 @@
         double[] ends = null;
         if (value instanceof Number number) {
             ends = new double[] {number.doubleValue(), number.doubleValue()};
-        } else if (value instanceof TomlArray array && array.size() == 2 && array.get(0) instanceof Number low
+        } else if (value instanceof TomlArray array
+                && array.size() == 2
+                && array.get(0) instanceof Number low
                 && array.get(1) instanceof Number high) {
             ends = new double[] {low.doubleValue(), high.doubleValue()};
         }
         if (ends != null && ends[0] > ends[1]) {
-            problem(key, shown(value), "the lower end first: " + plain(new double[] {ends[1], ends[0]}));
+            problem(
+                    key,
+                    shown(value),
+                    "the lower end first: " + plain(new double[] {ends[1], ends[0]}));
         } else if (ends != null && ends[0] >= least && ends[1] <= most) {
             return ends;
         } else {
@@ -251,8 +283,12 @@
 
     /** A text; it must be there where {@code otherwise} is null. */
     public String text(String key, String otherwise) {
-        Object value = get(key, otherwise == null, "a text",
-                otherwise == null || otherwise.isEmpty() ? Key.NONE : otherwise);
+        Object value =
+                get(
+                        key,
+                        otherwise == null,
+                        "a text",
+                        otherwise == null || otherwise.isEmpty() ? Key.NONE : otherwise);
         if (value instanceof String text) {
             return text;
         }
@@ -281,7 +317,8 @@
         if (value == null) {
             return List.of();
         }
-        if (value instanceof TomlArray array && array.toList().stream().allMatch(String.class::isInstance)) {
+        if (value instanceof TomlArray array
+                && array.toList().stream().allMatch(String.class::isInstance)) {
             return array.toList().stream().map(String.class::cast).toList();
         }
         problem(key, shown(value), "a list of texts");
@@ -295,20 +332,32 @@
         if (value == null) {
             return List.of();
         }
-        if (value instanceof TomlArray array && array.toList().stream().allMatch(each ->
-                each instanceof Number n && n.doubleValue() >= least && n.doubleValue() <= most)) {
+        if (value instanceof TomlArray array
+                && array.toList().stream()
+                        .allMatch(
+                                each ->
+                                        each instanceof Number n
+                                                && n.doubleValue() >= least
+                                                && n.doubleValue() <= most)) {
             return array.toList().stream().map(each -> ((Number) each).doubleValue()).toList();
         }
         problem(key, shown(value), allowed);
         return List.of();
     }
 
-    /** A constant of an enumeration as {@link #written}; it must be there where the default is null. */
+    /**
+     * A constant of an enumeration as {@link #written}; it must be there where the default is null.
+     */
     public <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) {
         E[] constants = of.getEnumConstants();
-        String allowed = Arrays.stream(constants).map(Table::written).collect(Collectors.joining(", "));
-        Object value = get(key, otherwise == null, allowed,
-                otherwise == null ? Key.REQUIRED : written(otherwise));
+        String allowed =
+                Arrays.stream(constants).map(Table::written).collect(Collectors.joining(", "));
+        Object value =
+                get(
+                        key,
+                        otherwise == null,
+                        allowed,
+                        otherwise == null ? Key.REQUIRED : written(otherwise));
         for (E constant : constants) {
             if (written(constant).equals(value)) {
                 return constant;
@@ -353,8 +402,12 @@
         if (value instanceof TomlArray array
                 && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             for (int i = 0; i < array.size(); i++) {
-                tables.add(new Table(document, array.getTable(i), path + key + "[" + i + "].",
-                        array.inputPositionOf(i).line()));
+                tables.add(
+                        new Table(
+                                document,
+                                array.getTable(i),
+                                path + key + "[" + i + "].",
+                                array.inputPositionOf(i).line()));
             }
         } else if (value != null) {
             problem(key, shown(value), allowed);
@@ -373,12 +426,15 @@
     }
 
     private static String plain(double[] ends) {
-        return ends[0] == ends[1] ? plain(ends[0]) : "[" + plain(ends[0]) + ", " + plain(ends[1]) + "]";
+        return ends[0] == ends[1]
+                ? plain(ends[0])
+                : "[" + plain(ends[0]) + ", " + plain(ends[1]) + "]";
     }
 
     /** Numbers as people write them: without the point where they are whole. */
     private static String plain(double number) {
-        return number == Math.rint(number) && Math.abs(number) < 1e15 ? Long.toString((long) number)
+        return number == Math.rint(number) && Math.abs(number) < 1e15
+                ? Long.toString((long) number)
                 : Double.toString(number);
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -24,16 +24,20 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' address: one call to a connection, answered at once. It routes calls to the {@link Desk} and
- * knows nothing of RPCs.
+ * The operators' address: one call to a connection, answered at once. It routes calls to the {@link
+ * Desk} and knows nothing of RPCs.
  */
 public final class AdminListener {
 
-    /** Connections at once; at this bound the one that has said least makes room, the oldest of those. */
+    /**
+     * Connections at once; at this bound the one that has said least makes room, the oldest of
+     * those.
+     */
     public static final int MOST_CALLS = 16;
 
     /** Bytes of a call, which has a short path and no body to speak of. */
     private static final int MOST_HEAD = 4096;
+
     private static final int MOST_BODY = 1024;
 
     /** A call must be whole by then, in nanoseconds from its connection. */
@@ -58,19 +62,25 @@
 
     /** Begins to listen; blocks until it does. */
     public void listen(InetSocketAddress address) throws IOException, InterruptedException {
-        var bound = new ServerBootstrap().group(loop.group()).channelFactory(() -> new Door(loop))
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOCATOR, loop.buffers())
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new Call(channel));
-                    }
-                }).bind(address).await();
+        var bound =
+                new ServerBootstrap()
+                        .group(loop.group())
+                        .channelFactory(() -> new Door(loop))
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.ALLOCATOR, loop.buffers())
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline().addLast(new Call(channel));
+                                    }
+                                })
+                        .bind(address)
+                        .await();
         if (!bound.isSuccess()) {
-            throw new IOException("can't listen for operators on " + address + ": "
-                    + bound.cause().getMessage());
+            throw new IOException(
+                    "can't listen for operators on " + address + ": " + bound.cause().getMessage());
         }
         listening = bound.channel();
     }
@@ -84,7 +94,8 @@
     private record Answer(int status, String type, byte[] body, String allow) {
 
         static Answer text(int status, String text) {
-            return new Answer(status, "text/plain", (text + "\n").getBytes(StandardCharsets.UTF_8), null);
+            return new Answer(
+                    status, "text/plain", (text + "\n").getBytes(StandardCharsets.UTF_8), null);
         }
 
         static Answer done(Done done) {
@@ -97,7 +108,8 @@
     }
 
     /** Null where the answer comes later, to {@code later}. */
-    private Answer route(String method, String target, Consumer<Answer> later) throws BadMessageException {
+    private Answer route(String method, String target, Consumer<Answer> later)
+            throws BadMessageException {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
         int verb = path.lastIndexOf('/');
@@ -106,20 +118,29 @@
         }
         if (path.startsWith(NODES) && verb > NODES.length()) {
             String node = decoded(path.substring(NODES.length(), verb));
-            return node.contains("/") ? UNKNOWN_PATH : switch (path.substring(verb + 1)) {
-                case "disable" -> method.equals("POST") ? Answer.done(desk.disable(node)) : wrong("POST");
-                case "enable" -> method.equals("POST") ? Answer.done(desk.enable(node)) : wrong("POST");
-                default -> UNKNOWN_PATH;
-            };
+            return node.contains("/")
+                    ? UNKNOWN_PATH
+                    : switch (path.substring(verb + 1)) {
+                        case "disable" ->
+                                method.equals("POST")
+                                        ? Answer.done(desk.disable(node))
+                                        : wrong("POST");
+                        case "enable" ->
+                                method.equals("POST")
+                                        ? Answer.done(desk.enable(node))
+                                        : wrong("POST");
+                        default -> UNKNOWN_PATH;
+                    };
         }
-        String allowed = switch (path) {
-            case "/-/ready", "/-/metrics" -> "GET";
-            case "/-/drain", "/-/resume" -> "POST";
-            case "/-/table" -> desk.table() == null ? null : "GET";
-            case "/-/group" -> desk.table() == null ? null : "POST";
-            case DRAINS -> desk.drains() == null ? null : "GET";
-            default -> null;
-        };
+        String allowed =
+                switch (path) {
+                    case "/-/ready", "/-/metrics" -> "GET";
+                    case "/-/drain", "/-/resume" -> "POST";
+                    case "/-/table" -> desk.table() == null ? null : "GET";
+                    case "/-/group" -> desk.table() == null ? null : "POST";
+                    case DRAINS -> desk.drains() == null ? null : "GET";
+                    default -> null;
+                };
         if (allowed == null) {
             return UNKNOWN_PATH;
         }
@@ -127,7 +148,8 @@
             return wrong(allowed);
         }
         return switch (path) {
-            case "/-/ready" -> desk.ready() ? Answer.text(200, "ready") : Answer.text(503, "not ready");
+            case "/-/ready" ->
+                    desk.ready() ? Answer.text(200, "ready") : Answer.text(503, "not ready");
             case "/-/metrics" -> new Answer(200, "application/json", desk.figures(), null);
             case "/-/drain" -> Answer.done(desk.drain());
             case "/-/table" -> new Answer(200, "application/json", desk.table(), null);
@@ -138,31 +160,49 @@
     }
 
     /** A call such as {@code zone/a/begin}. */
-    private Answer remove(String method, String call, Consumer<Answer> later) throws BadMessageException {
+    private Answer remove(String method, String call, Consumer<Answer> later)
+            throws BadMessageException {
         String[] parts = call.split("/", -1);
-        Desk.Which which = parts.length == 3 ? switch (parts[0]) {
-            case "node" -> Desk.Which.NODE;
-            case "zone" -> Desk.Which.ZONE;
-            case "pod" -> Desk.Which.POD;
-            case "kind" -> Desk.Which.KIND;
-            default -> null;
-        } : null;
-        if (which == null || parts[1].isEmpty() || !parts[2].equals("begin") && !parts[2].equals("cancel")) {
+        Desk.Which which =
+                parts.length == 3
+                        ? switch (parts[0]) {
+                            case "node" -> Desk.Which.NODE;
+                            case "zone" -> Desk.Which.ZONE;
+                            case "pod" -> Desk.Which.POD;
+                            case "kind" -> Desk.Which.KIND;
+                            default -> null;
+                        }
+                        : null;
+        if (which == null
+                || parts[1].isEmpty()
+                || !parts[2].equals("begin") && !parts[2].equals("cancel")) {
             return UNKNOWN_PATH;
         }
         if (!method.equals("POST")) {
             return wrong("POST");
         }
-        desk.remove(which, decoded(parts[1]), parts[2].equals("cancel"), done -> later.accept(switch (done) {
-            case YES -> Answer.text(200, "done");
-            case UNKNOWN -> Answer.text(404, "no node that is listed is meant");
-            case NO -> Answer.text(503, "not known to be agreed on; to repeat it does no harm");
-        }));
+        desk.remove(
+                which,
+                decoded(parts[1]),
+                parts[2].equals("cancel"),
+                done ->
+                        later.accept(
+                                switch (done) {
+                                    case YES -> Answer.text(200, "done");
+                                    case UNKNOWN ->
+                                            Answer.text(404, "no node that is listed is meant");
+                                    case NO ->
+                                            Answer.text(
+                                                    503,
+                                                    "not known to be agreed on; to repeat it does"
+                                                            + " no harm");
+                                }));
         return null;
     }
 
     private static Answer wrong(String allowed) {
-        return new Answer(405, "text/plain", "wrong method\n".getBytes(StandardCharsets.UTF_8), allowed);
+        return new Answer(
+                405, "text/plain", "wrong method\n".getBytes(StandardCharsets.UTF_8), allowed);
     }
 
     /** Decodes what is percent-encoded, once. */
@@ -175,14 +215,17 @@
         }
     }
 
-    /** Guards against callers who say nothing, or half a call, shutting out those who say all of it. */
+    /**
+     * Guards against callers who say nothing, or half a call, shutting out those who say all of it.
+     */
     private void makeRoom() {
         Call least = null;
         for (Call call : calls) {
             least = least == null || call.said < least.said ? call : least;
         }
         if (least != null) {
-            // Not once it has closed, which is later: guards against the same one making room for many.
+            // Not once it has closed, which is later: guards against the same one making room for
+            // many.
             calls.remove(least);
             least.channel.close();
         }
@@ -216,7 +259,10 @@
             patience = loop.at(loop.now() + nanos, channel::close);
         }
 
-        /** Guards against memory that grows with the rate of calls, as long as their time is not over. */
+        /**
+         * Guards against memory that grows with the rate of calls, as long as their time is not
+         * over.
+         */
         private void stopWaiting() {
             if (patience != null) {
                 patience.cancel();
@@ -227,12 +273,14 @@
         protected void channelRead0(ChannelHandlerContext context, ByteBuf in) {
             said += in.readableBytes();
             if (answered || waits) {
-                return; // what comes behind a call is read, since closing with bytes unread loses the answer
+                return; // what comes behind a call is read, since closing with bytes unread loses
+                // the answer
             }
             try {
                 Message call = decoder.decode(in);
                 if (call != null) {
-                    Answer answer = route(call.head().method(), call.head().target(), this::answerLater);
+                    Answer answer =
+                            route(call.head().method(), call.head().target(), this::answerLater);
                     if (answer != null) {
                         answer(answer);
                     } else if (!answered) {
@@ -256,13 +304,20 @@
         private void answer(Answer answer) {
             answered = true;
             said = Long.MAX_VALUE; // it goes last where room is needed
-            channel.writeAndFlush(HttpEncoder.page(loop.buffers(), answer.status(), answer.type(),
-                    answer.body(), answer.allow())).addListener(wrote -> {
-                        if (channel.isOpen()) {
-                            channel.shutdownOutput();
-                            closeIn(LAST_WORD);
-                        }
-                    });
+            channel.writeAndFlush(
+                            HttpEncoder.page(
+                                    loop.buffers(),
+                                    answer.status(),
+                                    answer.type(),
+                                    answer.body(),
+                                    answer.allow()))
+                    .addListener(
+                            wrote -> {
+                                if (channel.isOpen()) {
+                                    channel.shutdownOutput();
+                                    closeIn(LAST_WORD);
+                                }
+                            });
         }
 
         @Override
@@ -274,7 +329,10 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                loop.log().fault("admin.failed", cause).with("caller", channel.remoteAddress()).write();
+                loop.log()
+                        .fault("admin.failed", cause)
+                        .with("caller", channel.remoteAddress())
+                        .write();
             }
             context.close();
         }
--- a/daemon/src/main/java/cedarrudder/transport/BodyPump.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyPump.java
@@ -10,8 +10,9 @@
 final class BodyPump {
 
     /**
-     * The least and the most bytes that wait to be written to a peer while a body flows to it; a piece, of
-     * 16 KiB at the most, may come on top. Guards against direct memory that callers use up who don't read.
+     * The least and the most bytes that wait to be written to a peer while a body flows to it; a
+     * piece, of 16 KiB at the most, may come on top. Guards against direct memory that callers use
+     * up who don't read.
      */
     static final WriteBufferWaterMark WRITE_AHEAD = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
 
@@ -35,8 +36,16 @@
     private boolean over;
     private boolean stopped;
 
-    /** @param spending runs before each piece that is taken for good */
-    BodyPump(Loop loop, Channel channel, BodyFlow flow, boolean chunked, Runnable spending, End end) {
+    /**
+     * @param spending runs before each piece that is taken for good
+     */
+    BodyPump(
+            Loop loop,
+            Channel channel,
+            BodyFlow flow,
+            boolean chunked,
+            Runnable spending,
+            End end) {
         this.spending = spending;
         this.loop = loop;
         this.channel = channel;
@@ -47,7 +56,9 @@
         flow.whenMore(this::pump);
     }
 
-    /** Writes what there is, as far as the channel takes it; to be called when it takes more again. */
+    /**
+     * Writes what there is, as far as the channel takes it; to be called when it takes more again.
+     */
     void pump() {
         if (pumping || over) {
             return;
@@ -79,17 +90,20 @@
             end.broke();
         } else if (flow.atEnd()) {
             over = true;
-            channel.writeAndFlush(chunked ? HttpEncoder.lastChunk(loop.buffers()) : Unpooled.EMPTY_BUFFER)
-                    .addListener(last -> {
-                        if (stopped) {
-                            return; // guards against news of a body to a caller or a node that has gone
-                        }
-                        if (last.isSuccess()) {
-                            end.wrote();
-                        } else {
-                            end.broke();
-                        }
-                    });
+            channel.writeAndFlush(
+                            chunked ? HttpEncoder.lastChunk(loop.buffers()) : Unpooled.EMPTY_BUFFER)
+                    .addListener(
+                            last -> {
+                                if (stopped) {
+                                    return; // guards against news of a body to a caller or a node
+                                    // that has gone
+                                }
+                                if (last.isSuccess()) {
+                                    end.wrote();
+                                } else {
+                                    end.broke();
+                                }
+                            });
         } else if (wrote) {
             channel.flush();
         }
@@ -101,8 +115,8 @@
     }
 
     /**
-     * Since when the channel has had something to take and has taken nothing, by the loop's clock in
-     * nanoseconds; now where all that there was has gone out.
+     * Since when the channel has had something to take and has taken nothing, by the loop's clock
+     * in nanoseconds; now where all that there was has gone out.
      */
     long waitsSince() {
         return channel.bytesBeforeUnwritable() >= WRITE_AHEAD.high() ? loop.now() : movedAt;
--- a/daemon/src/main/java/cedarrudder/transport/CallerLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/CallerLimits.java
@@ -6,27 +6,43 @@
 /**
  * What callers may cost. Times are in nanoseconds.
  *
- * @param requestPatience a request must be whole this long after its connection came, or after its first
- * byte where others came before it. Guards against half requests and silent connections holding descriptors:
- * whoever sends what is no request is owed an answer or a close within 3 s
- * @param silentLong callers send their first request as they connect, and each in one piece; one that is
- * silent, or has sent half a request, for so long gives up its place where room is needed
- * @param idlePatience a caller between requests is closed after so long. The protocol allows it after 2 s;
- * those that ask once and stay would pile up
- * @param answerPatience a caller that hasn't read its answer for so long has given up waiting for it
+ * @param requestPatience a request must be whole this long after its connection came, or after its
+ *     first byte where others came before it. Guards against half requests and silent connections
+ *     holding descriptors: whoever sends what is no request is owed an answer or a close within 3 s
+ * @param silentLong callers send their first request as they connect, and each in one piece; one
+ *     that is silent, or has sent half a request, for so long gives up its place where room is
+ *     needed
+ * @param idlePatience a caller between requests is closed after so long. The protocol allows it
+ *     after 2 s; those that ask once and stay would pile up
+ * @param answerPatience a caller that hasn't read its answer for so long has given up waiting for
+ *     it
  * @param mostHead the largest head of a request, in bytes
- * @param mostBody the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW} flows
+ * @param mostBody the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW}
+ *     flows
  * @param descriptorsShare the share of the process's descriptors that callers may hold
  */
-public record CallerLimits(long requestPatience, long silentLong, long idlePatience, long answerPatience,
-        int mostHead, int mostBody, double descriptorsShare) {
+public record CallerLimits(
+        long requestPatience,
+        long silentLong,
+        long idlePatience,
+        long answerPatience,
+        int mostHead,
+        int mostBody,
+        double descriptorsShare) {
 
     /**
-     * What counts where nothing is set: operators may set each. None of it ends an RPC that waits for its
-     * answer, so that it holds for classes of any deadline.
+     * What counts where nothing is set: operators may set each. None of it ends an RPC that waits
+     * for its answer, so that it holds for classes of any deadline.
      */
-    public static final CallerLimits DEFAULT = new CallerLimits(2_500_000_000L, 1_000_000_000L,
-            5_000_000_000L, 10_000_000_000L, HttpDecoder.MOST_HEAD, HttpDecoder.MOST_FLOW, 0.5);
+    public static final CallerLimits DEFAULT =
+            new CallerLimits(
+                    2_500_000_000L,
+                    1_000_000_000L,
+                    5_000_000_000L,
+                    10_000_000_000L,
+                    HttpDecoder.MOST_HEAD,
+                    HttpDecoder.MOST_FLOW,
+                    0.5);
 
     /** How many callers may be connected at once, of a process with so many descriptors. */
     public int mostCallers(int descriptors) {
--- a/daemon/src/main/java/cedarrudder/transport/CallerState.java
+++ b/daemon/src/main/java/cedarrudder/transport/CallerState.java
@@ -1,8 +1,9 @@
 package cedarrudder.transport;
 
 /**
- * Where a caller's connection is in its life, as one table of states and events. Guards against what no
- * single flag shows: an answer on a connection whose output has ended, or a request taken behind it.
+ * Where a caller's connection is in its life, as one table of states and events. Guards against
+ * what no single flag shows: an answer on a connection whose output has ended, or a request taken
+ * behind it.
  */
 enum CallerState {
     /** It has said nothing yet. */
@@ -17,7 +18,9 @@
     OPEN,
     /** An answer is being written, behind which the next request is read. */
     ANSWERING,
-    /** Its last answer is being written: what comes is dropped, but for the body that still flows. */
+    /**
+     * Its last answer is being written: what comes is dropped, but for the body that still flows.
+     */
     DRAINING,
     /** The lingering close: our output has ended, and what comes is dropped. */
     LINGERING,
@@ -49,24 +52,27 @@
             return CLOSED;
         }
         return switch (this) {
-            case NEW, IDLE -> switch (event) {
-                case BYTES -> READING_HEAD;
-                case HALF_CLOSE -> LINGERING;
-                default -> null;
-            };
-            case READING_HEAD, READING_BODY -> switch (event) {
-                case HEAD -> this == READING_HEAD ? READING_BODY : null;
-                case RPC -> OPEN;
-                case ANSWER -> ANSWERING;
-                case LAST_ANSWER -> DRAINING;
-                case HALF_CLOSE -> LINGERING;
-                default -> null;
-            };
-            case OPEN -> switch (event) {
-                case ANSWER -> ANSWERING;
-                case LAST_ANSWER -> DRAINING;
-                default -> null;
-            };
+            case NEW, IDLE ->
+                    switch (event) {
+                        case BYTES -> READING_HEAD;
+                        case HALF_CLOSE -> LINGERING;
+                        default -> null;
+                    };
+            case READING_HEAD, READING_BODY ->
+                    switch (event) {
+                        case HEAD -> this == READING_HEAD ? READING_BODY : null;
+                        case RPC -> OPEN;
+                        case ANSWER -> ANSWERING;
+                        case LAST_ANSWER -> DRAINING;
+                        case HALF_CLOSE -> LINGERING;
+                        default -> null;
+                    };
+            case OPEN ->
+                    switch (event) {
+                        case ANSWER -> ANSWERING;
+                        case LAST_ANSWER -> DRAINING;
+                        default -> null;
+                    };
             case ANSWERING -> event == Event.WROTE ? IDLE : null;
             case DRAINING -> event == Event.WROTE ? LINGERING : null;
             case LINGERING, CLOSED -> null;
--- a/daemon/src/main/java/cedarrudder/transport/ChannelLife.java
+++ b/daemon/src/main/java/cedarrudder/transport/ChannelLife.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 
 /**
- * Where a connection to a node is in its life. It knows no sockets and no clock; {@link #LEGAL} is all that
- * may happen. Guards against flags that contradict one another, by which a request could go out on a
- * connection that still carries one, or an answer be taken for that of another request.
+ * Where a connection to a node is in its life. It knows no sockets and no clock; {@link #LEGAL} is
+ * all that may happen. Guards against flags that contradict one another, by which a request could
+ * go out on a connection that still carries one, or an answer be taken for that of another request.
  */
 final class ChannelLife {
 
@@ -53,13 +53,14 @@
     }
 
     /** What may happen in each state but for {@link Event#ENDS}, and which state comes of it. */
-    static final Map<State, Map<Event, State>> LEGAL = Map.of(
-            CONNECTING, Map.of(UP, IDLE),
-            IDLE, Map.of(CARRIES, SENDING),
-            SENDING, Map.of(WROTE, AWAITING),
-            AWAITING, Map.of(FLOWS, FLOWING, ANSWERED, IDLE),
-            FLOWING, Map.of(ANSWERED, IDLE),
-            ENDED, Map.of());
+    static final Map<State, Map<Event, State>> LEGAL =
+            Map.of(
+                    CONNECTING, Map.of(UP, IDLE),
+                    IDLE, Map.of(CARRIES, SENDING),
+                    SENDING, Map.of(WROTE, AWAITING),
+                    AWAITING, Map.of(FLOWS, FLOWING, ANSWERED, IDLE),
+                    FLOWING, Map.of(ANSWERED, IDLE),
+                    ENDED, Map.of());
 
     private State state = CONNECTING;
 
--- a/daemon/src/main/java/cedarrudder/transport/Desk.java
+++ b/daemon/src/main/java/cedarrudder/transport/Desk.java
@@ -28,7 +28,12 @@
     Done enable(String node);
 
     /** Nodes that a call names at once. */
-    enum Which { NODE, ZONE, POD, KIND }
+    enum Which {
+        NODE,
+        ZONE,
+        POD,
+        KIND
+    }
 
     /**
      * Has nodes leave by the policies of drains, or ends that; for all copies.
@@ -47,7 +52,9 @@
     /** Takes clients again. */
     Done resume();
 
-    /** What the copies agreed on and how this one stands, as JSON; null where they agree on nothing. */
+    /**
+     * What the copies agreed on and how this one stands, as JSON; null where they agree on nothing.
+     */
     byte[] table();
 
     /** Forms a group of copies that agree, with this one as the first. */
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -20,7 +20,6 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
@@ -28,8 +27,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The connections to discovery: the watch on changes, and calls for the whole list. When they are made and
- * given up is for a {@link ResolverClock} to say, one for the watch and one for each whole list.
+ * The connections to discovery: the watch on changes, and calls for the whole list. When they are
+ * made and given up is for a {@link ResolverClock} to say, one for the watch and one for each whole
+ * list.
  */
 public final class DiscoveryClient implements Resolver {
 
@@ -42,8 +42,8 @@
     private static final long TURN = 1_000_000L;
 
     /**
-     * A connection may come up so late, in nanoseconds. One that is still not up after it is not waited for
-     * by a new call: what was lost on the way is sent again ever later.
+     * A connection may come up so late, in nanoseconds. One that is still not up after it is not
+     * waited for by a new call: what was lost on the way is sent again ever later.
      */
     private static final long LATE = 1_050_000_000L;
 
@@ -62,20 +62,31 @@
 
     /** The last version of which nothing waits: changes are asked for from there. */
     private long since;
+
     private boolean waiting;
     private boolean asksAgain;
 
     /**
-     * @param longest so long after a failure the watch is asked for again at the latest, in nanoseconds
+     * @param longest so long after a failure the watch is asked for again at the latest, in
+     *     nanoseconds
      * @param known the version of the list that the proxy starts with
      * @param failures told when nothing that was asked is left to wait for
      * @param gate leaves out what there is no room for; null: all is read
-     * @param again after so long, in nanoseconds, and by chance up to half as much more, the whole list is
-     * asked for anew where nodes were left out
+     * @param again after so long, in nanoseconds, and by chance up to half as much more, the whole
+     *     list is asked for anew where nodes were left out
      */
-    public DiscoveryClient(Loop loop, InetSocketAddress address, ResolverPatience patience, long longest,
-            RandomGenerator random, ResolverResultReader reader, long known,
-            Consumer<ResolverResult> results, Runnable failures, ListGate gate, long again) {
+    public DiscoveryClient(
+            Loop loop,
+            InetSocketAddress address,
+            ResolverPatience patience,
+            long longest,
+            RandomGenerator random,
+            ResolverResultReader reader,
+            long known,
+            Consumer<ResolverResult> results,
+            Runnable failures,
+            ListGate gate,
+            long again) {
         this.loop = loop;
         this.address = address;
         this.patience = patience;
@@ -87,8 +98,11 @@
         this.failures = failures;
         this.gate = gate;
         this.again = again;
-        this.bootstrap = new Bootstrap().group(loop.group()).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, loop.buffers());
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop.group())
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.ALLOCATOR, loop.buffers());
         this.watch = new Asks(true, longest);
     }
 
@@ -108,8 +122,9 @@
     }
 
     /**
-     * Discovery has moved: calls go to its new address from now on, and so does the watch. Guards against a
-     * gap in the list: the watch at the old address goes on telling until the new one does.
+     * Discovery has moved: calls go to its new address from now on, and so does the watch. Guards
+     * against a gap in the list: the watch at the old address goes on telling until the new one
+     * does.
      */
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
@@ -124,8 +139,8 @@
     }
 
     /**
-     * What was read counts. Guards against a version that is taken for known while nodes of it wait:
-     * discovery would tell them no more.
+     * What was read counts. Guards against a version that is taken for known while nodes of it
+     * wait: discovery would tell them no more.
      *
      * @param all whether what came had all that waited before
      */
@@ -141,9 +156,16 @@
 
     private void refused() {
         ListGate.Judged why = gate.last();
-        loop.log().warn("footprint.refused").with("bound", why.bound()).with("needed", why.needed())
-                .with("room", why.room()).with("held", why.held()).with("wanted", why.wanted())
-                .with("waits", why.waits()).with("never", why.never()).write();
+        loop.log()
+                .warn("footprint.refused")
+                .with("bound", why.bound())
+                .with("needed", why.needed())
+                .with("room", why.room())
+                .with("held", why.held())
+                .with("wanted", why.wanted())
+                .with("waits", why.waits())
+                .with("never", why.never())
+                .write();
     }
 
     /** Of the list with which the process starts nodes were left out: discovery is to tell them. */
@@ -158,13 +180,15 @@
     private void askAgain() {
         if (waiting && !asksAgain) {
             asksAgain = true;
-            loop.at(loop.now() + again + (long) (random.nextDouble() * again / 2), () -> {
-                asksAgain = false;
-                if (waiting) {
-                    fetch();
-                    askAgain();
-                }
-            });
+            loop.at(
+                    loop.now() + again + (long) (random.nextDouble() * again / 2),
+                    () -> {
+                        asksAgain = false;
+                        if (waiting) {
+                            fetch();
+                            askAgain();
+                        }
+                    });
         }
     }
 
@@ -220,13 +244,19 @@
             }
         }
 
-        /** Reads first: guards against a loop that was late taking for silent what has come meanwhile. */
+        /**
+         * Reads first: guards against a loop that was late taking for silent what has come
+         * meanwhile.
+         */
         @Override
         public void wake(long at) {
             if (timer != null) {
                 timer.cancel();
             }
-            timer = loop.at(at, () -> timer = loop.at(loop.now() + TURN, () -> clock.due(loop.now())));
+            timer =
+                    loop.at(
+                            at,
+                            () -> timer = loop.at(loop.now() + TURN, () -> clock.due(loop.now())));
         }
 
         @Override
@@ -238,7 +268,8 @@
     }
 
     /** One call to discovery, on a connection of its own. It fails once at the most. */
-    private final class Call extends SimpleChannelInboundHandler<ByteBuf> implements ObjectStream.Events {
+    private final class Call extends SimpleChannelInboundHandler<ByteBuf>
+            implements ObjectStream.Events {
         private final Asks asks;
         private final ObjectStream objects = new ObjectStream(MOST_LIST, this);
         private final HttpDecoder decoder = HttpDecoder.ofStreams(objects);
@@ -247,6 +278,7 @@
 
         /** The clock's; 0 for a spare connection. */
         private int number;
+
         private String target;
         private long from;
         private Channel channel;
@@ -273,25 +305,36 @@
         private void send() {
             if (up && target != null) {
                 asks.clock.connected(number);
-                channel.writeAndFlush(HttpEncoder.get(loop.buffers(), target,
-                        to.getAddress().getHostAddress() + ":" + to.getPort()));
+                channel.writeAndFlush(
+                        HttpEncoder.get(
+                                loop.buffers(),
+                                target,
+                                to.getAddress().getHostAddress() + ":" + to.getPort()));
             }
         }
 
         void dial() {
             // As patient as the call itself: a connection may come up late.
-            Bootstrap own = bootstrap.clone().handler(this)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (patience.call() / 1_000_000));
-            loop.connect(own, to, connected -> {
-                if (over) {
-                    close();
-                } else if (connected.isSuccess()) {
-                    up = true;
-                    send();
-                } else {
-                    fail("can't connect");
-                }
-            });
+            Bootstrap own =
+                    bootstrap
+                            .clone()
+                            .handler(this)
+                            .option(
+                                    ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                    (int) (patience.call() / 1_000_000));
+            loop.connect(
+                    own,
+                    to,
+                    connected -> {
+                        if (over) {
+                            close();
+                        } else if (connected.isSuccess()) {
+                            up = true;
+                            send();
+                        } else {
+                            fail("can't connect");
+                        }
+                    });
         }
 
         @Override
@@ -316,7 +359,9 @@
                 if (answered && !asks.follows) {
                     close();
                 } else if (end != null || refused()) {
-                    fail("ended with status " + (end == null ? decoder.head() : end.head()).status());
+                    fail(
+                            "ended with status "
+                                    + (end == null ? decoder.head() : end.head()).status());
                 }
             } catch (BadMessageException | IllegalArgumentException e) {
                 fail(e.getMessage());
@@ -362,8 +407,8 @@
         /** Reads and passes on; null: it tells nothing new. */
         private ResolverResult take(String text) {
             JsonObject told = gate == null ? JsonObject.parse(text) : gate.read(text);
-            boolean outdated = told.whole("version") < version
-                    && !(asks.follows && told.flag("full", false));
+            boolean outdated =
+                    told.whole("version") < version && !(asks.follows && told.flag("full", false));
             if (outdated && !asks.follows) {
                 // Guards against a late answer taking back what the watch has told since.
                 fail("older than what is known");
@@ -377,16 +422,23 @@
                 return null; // a change that the watch at the former address has told already
             }
             version = result.version();
-            loop.log().debug("discovery.told").with("version", version)
-                    .with("list", result.full() ? "full" : "changes").with("nodes", result.nodes().size())
+            loop.log()
+                    .debug("discovery.told")
+                    .with("version", version)
+                    .with("list", result.full() ? "full" : "changes")
+                    .with("nodes", result.nodes().size())
                     .write();
             results.accept(result);
             return result;
         }
 
         private void warn(String why) {
-            loop.log().warn("discovery.failed").with("call", asks.follows ? "watch" : "list").with("at", to)
-                    .with("why", why).write();
+            loop.log()
+                    .warn("discovery.failed")
+                    .with("call", asks.follows ? "watch" : "list")
+                    .with("at", to)
+                    .with("why", why)
+                    .write();
         }
 
         private void fail(String why) {
--- a/daemon/src/main/java/cedarrudder/transport/Door.java
+++ b/daemon/src/main/java/cedarrudder/transport/Door.java
@@ -14,14 +14,17 @@
 
     private final Loop loop;
 
-    /** @param loop hears what went wrong at it */
+    /**
+     * @param loop hears what went wrong at it
+     */
     Door(Loop loop) {
         this.loop = loop;
     }
 
     /**
-     * Tells by the project's log that a connection could not be accepted. Guards against the library's own,
-     * which opens files for its first line: with no descriptor left that is an error that ends the loop.
+     * Tells by the project's log that a connection could not be accepted. Guards against the
+     * library's own, which opens files for its first line: with no descriptor left that is an error
+     * that ends the loop.
      */
     @Override
     protected DefaultChannelPipeline newChannelPipeline() {
@@ -34,12 +37,13 @@
     }
 
     /**
-     * Takes all connections that wait and closes the socket right behind the last. Guards against connections
-     * that the kernel has accepted being reset: it resets what is in the queue of a socket that is closed.
+     * Takes all connections that wait and closes the socket right behind the last. Guards against
+     * connections that the kernel has accepted being reset: it resets what is in the queue of a
+     * socket that is closed.
      *
-     * <p>The socket leaves the selector first, which takes a turn of the loop or two. Guards against the
-     * virtual machine putting the close off until the selector has let go of it, with connections coming
-     * meanwhile.
+     * <p>The socket leaves the selector first, which takes a turn of the loop or two. Guards
+     * against the virtual machine putting the close off until the selector has let go of it, with
+     * connections coming meanwhile.
      *
      * @param then runs once it is closed
      */
@@ -55,7 +59,9 @@
         }
         List<SocketChannel> waiting = new ArrayList<>();
         try {
-            for (SocketChannel next = javaChannel().accept(); next != null; next = javaChannel().accept()) {
+            for (SocketChannel next = javaChannel().accept();
+                    next != null;
+                    next = javaChannel().accept()) {
                 waiting.add(next);
             }
         } catch (IOException e) {
--- a/daemon/src/main/java/cedarrudder/transport/Drift.java
+++ b/daemon/src/main/java/cedarrudder/transport/Drift.java
@@ -1,6 +1,8 @@
 package cedarrudder.transport;
 
-/** A clock for trials of many copies, on which time passes a little faster or slower than it does. */
+/**
+ * A clock for trials of many copies, on which time passes a little faster or slower than it does.
+ */
 public final class Drift {
 
     private static final double MILLION = 1e6;
@@ -8,7 +10,9 @@
     private final long begun = System.nanoTime();
     private final double rate;
 
-    /** @param millionths time passes so much faster than it does; negative: slower */
+    /**
+     * @param millionths time passes so much faster than it does; negative: slower
+     */
     public Drift(int millionths) {
         this.rate = 1 + millionths / MILLION;
     }
@@ -22,7 +26,10 @@
         return begun + (long) ((machine - begun) * rate);
     }
 
-    /** So much time of the machine's clock takes that much of this one, or a little more; nanoseconds. */
+    /**
+     * So much time of the machine's clock takes that much of this one, or a little more;
+     * nanoseconds.
+     */
     long real(long nanos) {
         return (long) Math.ceil(nanos / rate) + 1;
     }
--- a/daemon/src/main/java/cedarrudder/transport/Fleet.java
+++ b/daemon/src/main/java/cedarrudder/transport/Fleet.java
@@ -13,14 +13,15 @@
 import java.util.function.Function;
 
 /**
- * What copies decide together, on the loop's clock and the socket to the peers; what it decides stands in
- * {@link FleetCopy}. It takes part while this process is the one of its number that speaks, and keeps quiet
- * before and after. It belongs to the loop's thread.
+ * What copies decide together, on the loop's clock and the socket to the peers; what it decides
+ * stands in {@link FleetCopy}. It takes part while this process is the one of its number that
+ * speaks, and keeps quiet before and after. It belongs to the loop's thread.
  */
 public final class Fleet {
 
     /** The first bytes of datagrams that are for it. */
     private static final byte LOG = (byte) 0xa6;
+
     private static final byte BESIDE = (byte) 0xa7;
 
     /** Takes up what was decided. */
@@ -61,7 +62,9 @@
     private long wakesAt = Long.MAX_VALUE;
     private boolean led;
 
-    /** @param notes takes what becomes known; null where nobody asked for that */
+    /**
+     * @param notes takes what becomes known; null where nobody asked for that
+     */
     public Fleet(Loop loop, PeerSocket peers, Maker maker, Host host, Notes notes) {
         this.loop = loop;
         this.peers = peers;
@@ -83,7 +86,9 @@
         }
     }
 
-    /** Hands on what it leads and takes part no more, such as before this process ends; on the loop. */
+    /**
+     * Hands on what it leads and takes part no more, such as before this process ends; on the loop.
+     */
     public void leave() {
         act(part -> part.leave(loop.now()));
         end();
@@ -123,18 +128,20 @@
     }
 
     private void heard(int from, byte[] message) {
-        act(part -> {
-            part.received(loop.now(), from, message);
-            return true;
-        });
+        act(
+                part -> {
+                    part.received(loop.now(), from, message);
+                    return true;
+                });
     }
 
     private void tick() {
         wakesAt = Long.MAX_VALUE;
-        act(part -> {
-            part.tick(loop.now());
-            return true;
-        });
+        act(
+                part -> {
+                    part.tick(loop.now());
+                    return true;
+                });
     }
 
     /** Null where it takes no part. */
@@ -153,8 +160,9 @@
     }
 
     /**
-     * What it must not forget can't be kept. Guards against speaking of what it would have forgotten: it
-     * says nothing more, and callers are served as without a table once its lease is over.
+     * What it must not forget can't be kept. Guards against speaking of what it would have
+     * forgotten: it says nothing more, and callers are served as without a table once its lease is
+     * over.
      */
     private void stopped(UncheckedIOException e) {
         loop.log().warn("agreement.stopped").with("why", e.getMessage()).write();
@@ -194,8 +202,11 @@
             if (table == null) {
                 loop.log().warn("table.lapsed").write();
             } else {
-                loop.log().info("table.loaded").with("number", table.number())
-                        .with("shares", table.shares().size()).with("leaving", table.leaving().size())
+                loop.log()
+                        .info("table.loaded")
+                        .with("number", table.number())
+                        .with("shares", table.shares().size())
+                        .with("leaving", table.leaving().size())
                         .write();
             }
             host.table(table);
--- a/daemon/src/main/java/cedarrudder/transport/Listener.java
+++ b/daemon/src/main/java/cedarrudder/transport/Listener.java
@@ -43,93 +43,112 @@
 /** The server side: accepts callers, decodes their RPCs and answers them. */
 public final class Listener {
 
-    static final ChannelOption<Boolean> REUSE_PORT = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
+    static final ChannelOption<Boolean> REUSE_PORT =
+            NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
     private static final String HEALTH = "/_health";
 
-    /** After SIGTERM connections still come for up to 0.4 s; they are let in for this long at the least. */
+    /**
+     * After SIGTERM connections still come for up to 0.4 s; they are let in for this long at the
+     * least.
+     */
     private static final long LET_IN = 600_000_000L;
 
     /**
-     * SIGKILL follows SIGTERM no sooner than the longest wait (3 s where it is longer) and 0.7 s. What is
-     * taken after SIGTERM is answered a little before that.
+     * SIGKILL follows SIGTERM no sooner than the longest wait (3 s where it is longer) and 0.7 s.
+     * What is taken after SIGTERM is answered a little before that.
      */
     private static final long LONGEST_COUNTED = 3_000_000_000L;
+
     private static final long KILLED_AFTER = 500_000_000L;
 
     /**
-     * An end that is not over so long after its last answers were due can't be carried out. Longer than any
-     * loop is late: guards against a process that ends over answers it is about to give.
+     * An end that is not over so long after its last answers were due can't be carried out. Longer
+     * than any loop is late: guards against a process that ends over answers it is about to give.
      */
     private static final long STUCK = 3_000_000_000L;
 
     /** Nothing new is taken for so long before; most RPCs need less. */
     private static final long WIND_UP = 400_000_000L;
 
-    /** Cut off so long before, what is left of the service is closed: half written answers, late ends. */
+    /**
+     * Cut off so long before, what is left of the service is closed: half written answers, late
+     * ends.
+     */
     private static final long LAST_CALL = 100_000_000L;
 
     /**
-     * The lingering close (RFC 9112 9.6): for how long, in nanoseconds, what a caller still sends is read and
-     * dropped behind the end of our output, until it has been quiet for so long, and so long in all; and how
-     * many bytes of it. Guards against the last answer being lost, since closing with bytes unread resets a
-     * connection, and against callers that send on without end.
+     * The lingering close (RFC 9112 9.6): for how long, in nanoseconds, what a caller still sends
+     * is read and dropped behind the end of our output, until it has been quiet for so long, and so
+     * long in all; and how many bytes of it. Guards against the last answer being lost, since
+     * closing with bytes unread resets a connection, and against callers that send on without end.
      */
     private static final long LAST_WORD = 1_000_000_000L;
+
     private static final long LAST_WORDS = 5_000_000_000L;
     private static final long MOST_DROPPED = HttpDecoder.MOST_FLOW;
 
     /**
-     * Bytes of a caller behind its open RPC that are read and kept, charged to the account of bodies; what
-     * one turn of the loop reads may come on top. Guards against a caller that has gone and is not seen to,
-     * since its end stands behind what it sent: its RPC would still be sent on. Beyond it, or with the
-     * account used up, reading stops: whoever sends so much ahead is made to wait, its end is then seen
-     * no sooner than its answer is out, and no attempt of its RPC begins after {@link #UNSEEN}.
+     * Bytes of a caller behind its open RPC that are read and kept, charged to the account of
+     * bodies; what one turn of the loop reads may come on top. Guards against a caller that has
+     * gone and is not seen to, since its end stands behind what it sent: its RPC would still be
+     * sent on. Beyond it, or with the account used up, reading stops: whoever sends so much ahead
+     * is made to wait, its end is then seen no sooner than its answer is out, and no attempt of its
+     * RPC begins after {@link #UNSEEN}.
      */
     private static final int READ_AHEAD = 32 * 1024;
 
     /**
-     * Once what a caller sends has not been read for so long, in nanoseconds, for want of room, it may have
-     * gone unseen. Half of what an attempt may begin late behind its caller's end: the end may have stood
-     * there before reading stopped, for as long as a loop is late.
+     * Once what a caller sends has not been read for so long, in nanoseconds, for want of room, it
+     * may have gone unseen. Half of what an attempt may begin late behind its caller's end: the end
+     * may have stood there before reading stopped, for as long as a loop is late.
      */
     private static final long UNSEEN = 50_000_000L;
 
     /**
-     * Bytes that are read within so long, in nanoseconds, count as read with the first of them; and beyond so
-     * many such arrivals that wait all do. Guards against memory that a caller takes up by single bytes.
+     * Bytes that are read within so long, in nanoseconds, count as read with the first of them; and
+     * beyond so many such arrivals that wait all do. Guards against memory that a caller takes up
+     * by single bytes.
      */
     private static final long ARRIVAL = 10_000_000L;
+
     private static final int MOST_ARRIVALS = 64;
 
-    /** One look at a socket reads so often at the most. Guards against one that is sent to at full speed. */
+    /**
+     * One look at a socket reads so often at the most. Guards against one that is sent to at full
+     * speed.
+     */
     private static final int LOOKS = 8;
 
     /**
-     * Requests of one connection that are still answered where its last answer was due, since they stood
-     * right behind it. Guards against a caller that sends ahead without end and never lets go.
+     * Requests of one connection that are still answered where its last answer was due, since they
+     * stood right behind it. Guards against a caller that sends ahead without end and never lets
+     * go.
      */
     private static final int MOST_BEHIND = 64;
 
     /**
-     * How clients are sent away when operators drain the proxy, counted from then: the front still brings
-     * new ones until the first, and no connection is left idle from the second on.
+     * How clients are sent away when operators drain the proxy, counted from then: the front still
+     * brings new ones until the first, and no connection is left idle from the second on.
      */
     private static final long AWAY_FROM = 500_000_000L;
+
     private static final long AWAY_BY = 1_800_000_000L;
 
     /** The same, after SIGTERM, where a successor listens at the address. */
     private static final long OVER_FROM = 300_000_000L;
+
     private static final long OVER_BY = 1_500_000_000L;
 
     /** How often connections are looked over. */
     private static final long SWEEP = 100_000_000L;
 
     /**
-     * Bytes taken from one caller before it is another's turn, in so many reads. Guards against callers that
-     * send at full speed without end: each turn of the loop reads little of theirs.
+     * Bytes taken from one caller before it is another's turn, in so many reads. Guards against
+     * callers that send at full speed without end: each turn of the loop reads little of theirs.
      */
     private static final int MOST_READ = 16 * 1024;
+
     private static final int READS = 2;
     private static final int FIRST_READ = 1024;
     private static final int ACCEPTS = 8;
@@ -140,7 +159,9 @@
     /** A body that flows may take so long: 32 MB at 64 kB a second take 500 s. */
     private static final long UPLOAD_MOST = 600_000_000_000L;
 
-    /** The bytes of a request that is sent in one piece come sooner, even to a loop that runs late. */
+    /**
+     * The bytes of a request that is sent in one piece come sooner, even to a loop that runs late.
+     */
     private static final long HALF_LONG = 100_000_000L;
 
     private final Loop loop;
@@ -151,14 +172,18 @@
     private int mostCallers;
     private final Set<Caller> callers = new HashSet<>();
 
-    /** The callers that may be closed to make room, by why they may; those longest so come first. */
+    /**
+     * The callers that may be closed to make room, by why they may; those longest so come first.
+     */
     private final Set<Caller> lingering = new LinkedHashSet<>();
+
     private final Set<Caller> silent = new LinkedHashSet<>();
     private final Set<Caller> half = new LinkedHashSet<>();
     private final Set<Caller> idle = new LinkedHashSet<>();
 
     /** The ids of the RPCs that are open. */
     private final Set<String> open = new HashSet<>();
+
     private Door listening;
     private boolean full;
     private long lastId;
@@ -169,11 +194,18 @@
     private long drainedAt;
     private long replacedAt;
     private long answerBy = Long.MAX_VALUE;
-    private BiPredicate<Exchange<Message, Message>, Exchange.Reply<Message>> aside = (rpc, reply) -> false;
+    private BiPredicate<Exchange<Message, Message>, Exchange.Reply<Message>> aside =
+            (rpc, reply) -> false;
     private final HeldBytes held;
 
-    public Listener(Loop loop, Driver<Message, Message> driver, RpcFields fields, BooleanSupplier ready,
-            CallerLimits limits, int mostCallers, HeldBytes held) {
+    public Listener(
+            Loop loop,
+            Driver<Message, Message> driver,
+            RpcFields fields,
+            BooleanSupplier ready,
+            CallerLimits limits,
+            int mostCallers,
+            HeldBytes held) {
         this.held = held;
         this.loop = loop;
         this.driver = driver;
@@ -189,8 +221,8 @@
     }
 
     /**
-     * From now on these limits count; connections that are open keep their bounds on bytes. Where fewer
-     * callers may be there than are, those that wait for nothing are closed.
+     * From now on these limits count; connections that are open keep their bounds on bytes. Where
+     * fewer callers may be there than are, those that wait for nothing are closed.
      */
     public void apply(CallerLimits next, int most) {
         limits = next;
@@ -201,7 +233,10 @@
         takeMore();
     }
 
-    /** Lets someone else answer RPCs before the driver takes them, which it does where this says false. */
+    /**
+     * Lets someone else answer RPCs before the driver takes them, which it does where this says
+     * false.
+     */
     public void setAside(BiPredicate<Exchange<Message, Message>, Exchange.Reply<Message>> answers) {
         aside = answers;
     }
@@ -214,26 +249,33 @@
      */
     public InetSocketAddress listen(InetSocketAddress address, boolean shared)
             throws IOException, InterruptedException {
-        ServerBootstrap doors = new ServerBootstrap().group(loop.group()).channelFactory(() -> new Door(loop))
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .option(REUSE_PORT, shared)
-                .option(ChannelOption.SO_BACKLOG, 1024)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator()
-                        .maxMessagesPerRead(ACCEPTS))
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ)
-                                .maxMessagesPerRead(READS))
-                .childOption(ChannelOption.ALLOCATOR, loop.buffers())
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyPump.WRITE_AHEAD)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<NioSocketChannel>() {
-                    @Override
-                    protected void initChannel(NioSocketChannel channel) {
-                        channel.pipeline().addLast(new Caller(channel));
-                    }
-                });
+        ServerBootstrap doors =
+                new ServerBootstrap()
+                        .group(loop.group())
+                        .channelFactory(() -> new Door(loop))
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .option(REUSE_PORT, shared)
+                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
+                        .childOption(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ)
+                                        .maxMessagesPerRead(READS))
+                        .childOption(ChannelOption.ALLOCATOR, loop.buffers())
+                        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyPump.WRITE_AHEAD)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<NioSocketChannel>() {
+                                    @Override
+                                    protected void initChannel(NioSocketChannel channel) {
+                                        channel.pipeline().addLast(new Caller(channel));
+                                    }
+                                });
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
-        loop.run(() -> doors.bind(address).addListener((ChannelFuture done) -> opened(done, bound)));
+        loop.run(
+                () -> doors.bind(address).addListener((ChannelFuture done) -> opened(done, bound)));
         try {
             return bound.get();
         } catch (ExecutionException e) {
@@ -242,8 +284,8 @@
     }
 
     /**
-     * On the loop, before the first caller comes. Guards against callers, or the end of the service, that
-     * find no door, or the one before, until another thread has gone on.
+     * On the loop, before the first caller comes. Guards against callers, or the end of the
+     * service, that find no door, or the one before, until another thread has gone on.
      */
     private void opened(ChannelFuture bound, CompletableFuture<InetSocketAddress> told) {
         if (!bound.isSuccess()) {
@@ -308,7 +350,8 @@
 
     /** Whether a body flows, which has no bound in time; on the loop. */
     public boolean flows() {
-        return callers.stream().anyMatch(caller -> caller.upload != null || caller.download != null);
+        return callers.stream()
+                .anyMatch(caller -> caller.upload != null || caller.download != null);
     }
 
     /** After so long, in nanoseconds, an end over which nothing flows is stuck; from any thread. */
@@ -323,9 +366,9 @@
     }
 
     /**
-     * Closes a part of the connections on which nothing is open, those first that have been idle longest, so
-     * that they go evenly and none is left at the end. Guards against clients coming all at once to whoever
-     * serves them next.
+     * Closes a part of the connections on which nothing is open, those first that have been idle
+     * longest, so that they go evenly and none is left at the end. Guards against clients coming
+     * all at once to whoever serves them next.
      */
     private void sendAway(long now, long end) {
         long left = Math.max(1, (end - now) / SWEEP);
@@ -340,15 +383,17 @@
     }
 
     /**
-     * Guards against running out of descriptors: beyond the bound each new connection costs one that may be
-     * closed, those first that have their last answer, then those that have long said nothing or half a
-     * request, then idle ones, then half a request that does not seem to be on its way, then the silent one
-     * that has been there longest. Where there is none, new ones wait to be accepted.
+     * Guards against running out of descriptors: beyond the bound each new connection costs one
+     * that may be closed, those first that have their last answer, then those that have long said
+     * nothing or half a request, then idle ones, then half a request that does not seem to be on
+     * its way, then the silent one that has been there longest. Where there is none, new ones wait
+     * to be accepted.
      *
-     * <p>A connection that has just come goes last. Guards against closing callers whose first request is on
-     * its way, which then fails, where a caller between requests would only have to connect again. What has
-     * come on one that is to go is read first: a request that it brings is taken, and another one goes, also
-     * where it is answered at once and the connection rests again.
+     * <p>A connection that has just come goes last. Guards against closing callers whose first
+     * request is on its way, which then fails, where a caller between requests would only have to
+     * connect again. What has come on one that is to go is read first: a request that it brings is
+     * taken, and another one goes, also where it is answered at once and the connection rests
+     * again.
      */
     private void makeRoom() {
         Caller first = firstToGo();
@@ -357,8 +402,11 @@
             long before = first.came;
             first.look();
             if (first.state == was && (first.came == before || !was.rests())) {
-                loop.log().debug("caller.closed_for_room").with("caller", first.channel.remoteAddress())
-                        .with("callers", callers.size()).write();
+                loop.log()
+                        .debug("caller.closed_for_room")
+                        .with("caller", first.channel.remoteAddress())
+                        .with("callers", callers.size())
+                        .write();
                 first.close();
                 return;
             }
@@ -388,7 +436,9 @@
         };
     }
 
-    /** The one of these that has been among them longest, and for so long; null where there is none. */
+    /**
+     * The one of these that has been among them longest, and for so long; null where there is none.
+     */
     private Caller first(Set<Caller> among, long waited) {
         Caller first = among.isEmpty() ? null : among.iterator().next();
         return first == null || first.since + waited > loop.now() ? null : first;
@@ -405,9 +455,10 @@
      * Ends the service: for a while callers are served on, all that is taken is answered, and
      * {@code whenDone} runs once no connection is left.
      *
-     * <p>Guards against leaving callers alone for longer than must be: they use the connections they have as
-     * long as these stay open, and where this proxy is the only one they find no other until it is back. On a
-     * day with one restart all RPCs of 3 s failed while idle connections were closed at SIGTERM.
+     * <p>Guards against leaving callers alone for longer than must be: they use the connections
+     * they have as long as these stay open, and where this proxy is the only one they find no other
+     * until it is back. On a day with one restart all RPCs of 3 s failed while idle connections
+     * were closed at SIGTERM.
      */
     public void drain(Runnable whenDone) {
         if (whenEmpty != null) {
@@ -418,18 +469,20 @@
         lettingIn = true;
         long now = loop.now();
         answerBy = now + Math.min(LONGEST_COUNTED, fields.longestWait()) + KILLED_AFTER;
-        loop.at(now + LET_IN, () -> {
-            lettingIn = false;
-            endIfEmpty();
-        });
+        loop.at(
+                now + LET_IN,
+                () -> {
+                    lettingIn = false;
+                    endIfEmpty();
+                });
         loop.at(Math.max(now + LET_IN, answerBy - WIND_UP), this::stop);
         loop.at(answerBy, this::cutOff);
     }
 
     /**
-     * Ends the service where a successor listens at the same address: who waits at the door is taken, then it
-     * is closed, and callers go over to the successor one by one. {@code whenDone} runs once no connection is
-     * left.
+     * Ends the service where a successor listens at the same address: who waits at the door is
+     * taken, then it is closed, and callers go over to the successor one by one. {@code whenDone}
+     * runs once no connection is left.
      */
     public void replace(Runnable whenDone) {
         if (whenEmpty != null) {
@@ -444,7 +497,10 @@
         loop.at(answerBy, this::cutOff);
     }
 
-    /** From now on each answer is the last of its connection; those on which nothing is open are closed. */
+    /**
+     * From now on each answer is the last of its connection; those on which nothing is open are
+     * closed.
+     */
     private void stop() {
         stopping = true;
         shutDoor();
@@ -463,8 +519,8 @@
     }
 
     /**
-     * What is open has had its time: all get an answer while this process can still give one. Half a request
-     * is not waited for any more.
+     * What is open has had its time: all get an answer while this process can still give one. Half
+     * a request is not waited for any more.
      */
     private void cutOff() {
         for (Caller caller : List.copyOf(callers)) {
@@ -479,8 +535,8 @@
     }
 
     /**
-     * Nothing holds the end of the process any longer. Guards against callers that don't read their answers,
-     * or don't hear the end of our output, being met by SIGKILL with all others.
+     * Nothing holds the end of the process any longer. Guards against callers that don't read their
+     * answers, or don't hear the end of our output, being met by SIGKILL with all others.
      */
     private void closeAll() {
         loop.at(loop.now() + SWEEP, this::closeAll);
@@ -493,10 +549,11 @@
     private void shutDoor() {
         if (listening.isOpen() && !lettingIn) {
             lettingIn = true;
-            listening.closeBehindLast(() -> {
-                lettingIn = false;
-                endIfEmpty();
-            });
+            listening.closeBehindLast(
+                    () -> {
+                        lettingIn = false;
+                        endIfEmpty();
+                    });
         }
     }
 
@@ -517,13 +574,13 @@
      * @param upTo how many had come with them, of all on their connection
      * @param at when, by the loop's clock in nanoseconds
      */
-    private record Arrival(long upTo, long at) { }
+    private record Arrival(long upTo, long at) {}
 
     /** One connection from a caller, on which one RPC is answered at a time. */
     final class Caller extends ChannelInboundHandlerAdapter implements Exchange.Reply<Message> {
         private final NioSocketChannel channel;
-        private final HttpDecoder decoder = HttpDecoder.ofFlows(true, limits.mostHead(), limits.mostBody(),
-                BodyFlow.WINDOW);
+        private final HttpDecoder decoder =
+                HttpDecoder.ofFlows(true, limits.mostHead(), limits.mostBody(), BodyFlow.WINDOW);
         private ByteBuf ahead;
         private BodyFlow upload;
         private BodyPump download;
@@ -538,6 +595,7 @@
 
         /** Since when there may be bytes of its caller, or its end, that are not read. */
         private long unreadSince = Long.MAX_VALUE;
+
         private long came;
         private final Deque<Arrival> arrivals = new ArrayDeque<>(1);
         private long dropped;
@@ -551,12 +609,17 @@
             this.channel = channel;
         }
 
-        /** The one place where its state changes. What can't come in a state ends this connection alone. */
+        /**
+         * The one place where its state changes. What can't come in a state ends this connection
+         * alone.
+         */
         void on(CallerState.Event event) {
             CallerState next = state.on(event);
             if (next == null) {
-                loop.log().fault("caller.failed", new IllegalStateException(event + " in " + state))
-                        .with("caller", channel.remoteAddress()).write();
+                loop.log()
+                        .fault("caller.failed", new IllegalStateException(event + " in " + state))
+                        .with("caller", channel.remoteAddress())
+                        .write();
                 breakOff();
                 return;
             }
@@ -580,7 +643,8 @@
         private long due(CallerState next, long now) {
             return switch (next) {
                 // The first request's counts from the connection.
-                case READING_HEAD -> state == CallerState.NEW ? due : now + limits.requestPatience();
+                case READING_HEAD ->
+                        state == CallerState.NEW ? due : now + limits.requestPatience();
                 // Guards against a body that comes slowly being cut by the patience with its head.
                 case NEW, READING_BODY -> now + limits.requestPatience();
                 case IDLE -> now + limits.idlePatience();
@@ -591,8 +655,8 @@
         }
 
         /**
-         * Whether it may be closed as one on which nothing is open. Guards against closing a connection that
-         * has just come, whose first request is on its way and would fail.
+         * Whether it may be closed as one on which nothing is open. Guards against closing a
+         * connection that has just come, whose first request is on its way and would fail.
          */
         private boolean mayGo(long now) {
             return state != CallerState.NEW || now - since >= HALF_LONG;
@@ -604,9 +668,10 @@
         }
 
         /**
-         * The one orderly end of a connection, a lingering close: our output ends, and what still comes is
-         * read and dropped until its caller ends it too, or for a while. Nothing that is read from here on
-         * goes to a node: its caller has seen the end, and sends it again elsewhere.
+         * The one orderly end of a connection, a lingering close: our output ends, and what still
+         * comes is read and dropped until its caller ends it too, or for a while. Nothing that is
+         * read from here on goes to a node: its caller has seen the end, and sends it again
+         * elsewhere.
          */
         private void hangUp() {
             on(CallerState.Event.HALF_CLOSE);
@@ -622,11 +687,11 @@
         }
 
         /**
-         * Reads what has come on its socket by now. Guards against requests, and ends, that the kernel has
-         * and the loop has not got round to.
+         * Reads what has come on its socket by now. Guards against requests, and ends, that the
+         * kernel has and the loop has not got round to.
          *
-         * <p>It may run within a read of the same socket, as far down as in the decoder's own hands: what it
-         * brings is put behind what is there, and whoever decodes goes on with it.
+         * <p>It may run within a read of the same socket, as far down as in the decoder's own
+         * hands: what it brings is put behind what is there, and whoever decodes goes on with it.
          */
         private void look() {
             for (int i = 0; i < LOOKS && channel.isOpen() && mayRead(); i++) {
@@ -641,8 +706,8 @@
         }
 
         /**
-         * Whether it still waits for the answer to its open RPC, looked up now. Guards against an attempt for
-         * a caller that has gone: on a late loop its end may stand unread for long.
+         * Whether it still waits for the answer to its open RPC, looked up now. Guards against an
+         * attempt for a caller that has gone: on a late loop its end may stand unread for long.
          */
         @Override
         public boolean waits() {
@@ -656,10 +721,10 @@
         }
 
         /**
-         * Closes it, as one on which nothing is owed, unless a request has come, or a part of one, which is
-         * taken instead, or by whoever is decoding. It is closed and not shut: guards against a request that
-         * comes in this very moment being read and dropped. Unread, it goes back to its caller as a reset,
-         * who sends it elsewhere.
+         * Closes it, as one on which nothing is owed, unless a request has come, or a part of one,
+         * which is taken instead, or by whoever is decoding. It is closed and not shut: guards
+         * against a request that comes in this very moment being read and dropped. Unread, it goes
+         * back to its caller as a reset, who sends it elsewhere.
          */
         void closeIfQuiet() {
             look();
@@ -668,7 +733,9 @@
             }
         }
 
-        /** Nothing is owed on it: as {@link #closeIfQuiet}, but for half a request, which is read. */
+        /**
+         * Nothing is owed on it: as {@link #closeIfQuiet}, but for half a request, which is read.
+         */
         private void giveUp() {
             if (state.rests()) {
                 close();
@@ -688,7 +755,8 @@
                 look();
             }
             if (download != null) {
-                // Guards against a caller that reads all there is paying for a node that takes its time.
+                // Guards against a caller that reads all there is paying for a node that takes its
+                // time.
                 due = Math.max(due, download.waitsSince() + limits.answerPatience());
             }
             if (loop.now() < due) {
@@ -738,8 +806,10 @@
             }
             came += bytes;
             Arrival last = arrivals.peekLast();
-            boolean joins = last != null
-                    && (loop.now() - last.at() < ARRIVAL || arrivals.size() >= MOST_ARRIVALS);
+            boolean joins =
+                    last != null
+                            && (loop.now() - last.at() < ARRIVAL
+                                    || arrivals.size() >= MOST_ARRIVALS);
             if (joins) {
                 arrivals.removeLast();
             }
@@ -752,8 +822,9 @@
         }
 
         /**
-         * When the last byte that was decoded had been read, by the loop's clock in nanoseconds. Guards
-         * against a request that waited behind another one being given all of its time once more.
+         * When the last byte that was decoded had been read, by the loop's clock in nanoseconds.
+         * Guards against a request that waited behind another one being given all of its time once
+         * more.
          */
         private long readAt() {
             while (arrivals.getFirst().upTo() < decoded()) {
@@ -785,7 +856,9 @@
             }
         }
 
-        /** Guards against keeping further requests, or more than the window of a body, without end. */
+        /**
+         * Guards against keeping further requests, or more than the window of a body, without end.
+         */
         private boolean mayRead() {
             int waiting = ahead == null ? 0 : ahead.readableBytes();
             boolean more = upload != null && upload.full() || waiting > 0;
@@ -793,8 +866,8 @@
         }
 
         /**
-         * Whether what comes is decoded. Guards against a caller that sends requests and reads no answers,
-         * which would all be kept here.
+         * Whether what comes is decoded. Guards against a caller that sends requests and reads no
+         * answers, which would all be kept here.
          */
         private boolean decodes() {
             return upload != null ? state != CallerState.CLOSED : state.takesRequests();
@@ -804,7 +877,10 @@
             return state.ends() && !decodes();
         }
 
-        /** To the same buffer: guards against another in place of the one that the decoder is reading. */
+        /**
+         * To the same buffer: guards against another in place of the one that the decoder is
+         * reading.
+         */
         private void append(ByteBuf in) {
             try {
                 ahead.discardSomeReadBytes().writeBytes(in);
@@ -814,8 +890,9 @@
         }
 
         /**
-         * What waits to be decoded is kept on the heap and entered in the account. Guards against direct
-         * memory, of which there is little, that is taken by buffers of 16 KiB with some bytes in each.
+         * What waits to be decoded is kept on the heap and entered in the account. Guards against
+         * direct memory, of which there is little, that is taken by buffers of 16 KiB with some
+         * bytes in each.
          */
         private void keep() {
             if (ahead != null && ahead.isDirect()) {
@@ -840,7 +917,10 @@
             keep();
         }
 
-        /** Decodes what has come, up to the end of a request; the next waits until that one is answered. */
+        /**
+         * Decodes what has come, up to the end of a request; the next waits until that one is
+         * answered.
+         */
         private void decode() {
             if (decoding) {
                 return;
@@ -869,8 +949,12 @@
                     }
                 }
             } catch (BadMessageException e) {
-                loop.log().warn("caller.rejected").with("caller", channel.remoteAddress())
-                        .with("status", e.status()).with("why", e.getMessage()).write();
+                loop.log()
+                        .warn("caller.rejected")
+                        .with("caller", channel.remoteAddress())
+                        .with("status", e.status())
+                        .with("why", e.getMessage())
+                        .write();
                 reject(e);
             } finally {
                 decoding = false;
@@ -910,7 +994,9 @@
             count();
             upload = flow;
             flow.whenRoom(() -> loop.run(this::readMore));
-            take(request, loop.now() < answerBy ? UPLOAD_MOST : 0); // behind what was cut off none begins
+            take(
+                    request,
+                    loop.now() < answerBy ? UPLOAD_MOST : 0); // behind what was cut off none begins
         }
 
         /** There is room again for what the caller sends. */
@@ -926,7 +1012,8 @@
             if (decoder.head() != null && state == CallerState.READING_HEAD) {
                 on(CallerState.Event.HEAD);
                 if (held.usedUp()) {
-                    throw new BadMessageException(BadMessageException.UNAVAILABLE, "too much is held");
+                    throw new BadMessageException(
+                            BadMessageException.UNAVAILABLE, "too much is held");
                 }
             }
             if (decoder.awaitsContinue()) {
@@ -934,7 +1021,9 @@
             }
         }
 
-        /** @param uploading how much longer its time may be while its body flows; 0: it is whole */
+        /**
+         * @param uploading how much longer its time may be while its body flows; 0: it is whole
+         */
         private void take(Message request, long uploading) throws BadMessageException {
             chunks = request.head().takesChunks();
             keepAlive = request.head().keepsAlive();
@@ -949,14 +1038,24 @@
             long readAt = readAt();
             var told = fields.read(request, ++lastId, readAt, loop.lateness(), answerBy, carried);
             if (uploading > 0) {
-                told = new Balancer.Request(told.id(), told.classIndex(), told.tenant(),
-                        told.deadline() + uploading, told.key(), told.repeat(), told.write(), told.work(),
-                        true);
+                told =
+                        new Balancer.Request(
+                                told.id(),
+                                told.classIndex(),
+                                told.tenant(),
+                                told.deadline() + uploading,
+                                told.key(),
+                                told.repeat(),
+                                told.write(),
+                                told.work(),
+                                true);
             }
             String name = request.head().fields().get("req-id");
             if (!open.add(name)) {
-                // Guards against one caller's answer being made for another's request of the same name.
-                throw new BadMessageException(BadMessageException.BAD_REQUEST, "Req-Id is open already");
+                // Guards against one caller's answer being made for another's request of the same
+                // name.
+                throw new BadMessageException(
+                        BadMessageException.BAD_REQUEST, "Req-Id is open already");
             }
             id = name;
             whole = request.body().length;
@@ -972,9 +1071,9 @@
         }
 
         /**
-         * Whether the answer at hand is the last of its connection; asked once for each. Where the service
-         * ends, what has come behind the request is looked at first, and served. Guards against requests that
-         * were taken and never answered.
+         * Whether the answer at hand is the last of its connection; asked once for each. Where the
+         * service ends, what has come behind the request is looked at first, and served. Guards
+         * against requests that were taken and never answered.
          */
         private boolean last() {
             if (!keepAlive || upload != null) {
@@ -994,8 +1093,16 @@
                 download(answer, last || answer.rest().length() < 0 && !chunks);
                 return;
             }
-            reply(last, () -> HttpEncoder.served(loop.buffers(), answer, last, fields.budgeted(),
-                    exchange.result(), chunks));
+            reply(
+                    last,
+                    () ->
+                            HttpEncoder.served(
+                                    loop.buffers(),
+                                    answer,
+                                    last,
+                                    fields.budgeted(),
+                                    exchange.result(),
+                                    chunks));
         }
 
         /** Passes on an answer that flows; the RPC is open until its end. */
@@ -1005,34 +1112,48 @@
             }
             boolean chunked = answer.rest().length() < 0 && chunks;
             on(last ? CallerState.Event.LAST_ANSWER : CallerState.Event.ANSWER);
-            ByteBuf head = made(() -> HttpEncoder.served(loop.buffers(), answer, last, fields.budgeted(),
-                    exchange.result(), chunks));
+            ByteBuf head =
+                    made(
+                            () ->
+                                    HttpEncoder.served(
+                                            loop.buffers(),
+                                            answer,
+                                            last,
+                                            fields.budgeted(),
+                                            exchange.result(),
+                                            chunks));
             if (head == null) {
                 close(); // which ends the attempt, too
                 return;
             }
             channel.write(head);
-            download = new BodyPump(loop, channel, answer.rest().flow(), chunked, () -> { },
-                    new BodyPump.End() {
-                @Override
-                public void wrote() {
-                    download = null;
-                    over();
-                    wroteAll(true);
-                }
-
-                @Override
-                public void broke() {
-                    breakOff();
-                }
-            });
+            download =
+                    new BodyPump(
+                            loop,
+                            channel,
+                            answer.rest().flow(),
+                            chunked,
+                            () -> {},
+                            new BodyPump.End() {
+                                @Override
+                                public void wrote() {
+                                    download = null;
+                                    over();
+                                    wroteAll(true);
+                                }
+
+                                @Override
+                                public void broke() {
+                                    breakOff();
+                                }
+                            });
             channel.flush();
             download.pump();
         }
 
         /**
-         * An end at once: a reset where an answer flows. Guards against an answer without a length that ends
-         * early and looks whole.
+         * An end at once: a reset where an answer flows. Guards against an answer without a length
+         * that ends early and looks whole.
          */
         private void breakOff() {
             if (download != null) {
@@ -1056,15 +1177,31 @@
         @Override
         public void refused(long retryAfter) {
             boolean last = last();
-            reply(last, () -> HttpEncoder.answer(loop.buffers(), 503, why("unavailable"), retryAfter, last,
-                    exchange.result()));
+            reply(
+                    last,
+                    () ->
+                            HttpEncoder.answer(
+                                    loop.buffers(),
+                                    503,
+                                    why("unavailable"),
+                                    retryAfter,
+                                    last,
+                                    exchange.result()));
         }
 
         @Override
         public void failed() {
             boolean last = last();
-            reply(last, () -> HttpEncoder.answer(loop.buffers(), 502, why("failed"), 0, last,
-                    exchange.result()));
+            reply(
+                    last,
+                    () ->
+                            HttpEncoder.answer(
+                                    loop.buffers(),
+                                    502,
+                                    why("failed"),
+                                    0,
+                                    last,
+                                    exchange.result()));
         }
 
         private String why(String otherwise) {
@@ -1073,8 +1210,9 @@
         }
 
         /**
-         * Guards against a caller that waits for good for an answer that could not be made, for want of
-         * memory say, and against the module missing the rest of the event: the caller sees a break.
+         * Guards against a caller that waits for good for an answer that could not be made, for
+         * want of memory say, and against the module missing the rest of the event: the caller sees
+         * a break.
          */
         private void reply(boolean last, Supplier<ByteBuf> encoded) {
             ByteBuf answer = made(encoded);
@@ -1092,13 +1230,17 @@
             try {
                 return encoded.get();
             } catch (RuntimeException | OutOfMemoryError e) {
-                loop.log().fault("caller.unanswered", e).with("caller", channel.remoteAddress()).write();
+                loop.log()
+                        .fault("caller.unanswered", e)
+                        .with("caller", channel.remoteAddress())
+                        .write();
                 return null;
             }
         }
 
         private ByteBuf own(int status, String text, boolean close) {
-            return decoder.wantsHeadOnly() ? HttpEncoder.answerHead(loop.buffers(), status, text, close)
+            return decoder.wantsHeadOnly()
+                    ? HttpEncoder.answerHead(loop.buffers(), status, text, close)
                     : HttpEncoder.answer(loop.buffers(), status, text, 0, close);
         }
 
@@ -1109,7 +1251,8 @@
             held.add(-whole);
             whole = 0;
             if (rest != null && upload == null) {
-                rest.flow().fail(); // nobody takes what is left of it, and the account would keep it
+                rest.flow()
+                        .fail(); // nobody takes what is left of it, and the account would keep it
             }
         }
 
@@ -1121,8 +1264,8 @@
         }
 
         /**
-         * No answer is owed any more. The driver hears of it before what the caller sends is dropped: guards
-         * against that being taken for a node's failure, and answered.
+         * No answer is owed any more. The driver hears of it before what the caller sends is
+         * dropped: guards against that being taken for a node's failure, and answered.
          */
         private void leave() {
             if (exchange != null) {
@@ -1190,7 +1333,8 @@
             held.add(-collected);
             collected = 0;
             if (download != null) {
-                download.stop(); // first: what ends the attempt would break off an answer on a closed channel
+                download.stop(); // first: what ends the attempt would break off an answer on a
+                // closed channel
                 download = null;
             }
             leave();
@@ -1202,7 +1346,10 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                loop.log().fault("caller.failed", cause).with("caller", channel.remoteAddress()).write();
+                loop.log()
+                        .fault("caller.failed", cause)
+                        .with("caller", channel.remoteAddress())
+                        .write();
             }
             context.close();
         }
--- a/daemon/src/main/java/cedarrudder/transport/Loop.java
+++ b/daemon/src/main/java/cedarrudder/transport/Loop.java
@@ -21,19 +21,27 @@
     private static final int PAGE = 8192;
     private static final int CHUNK_ORDER = 5;
 
-    /** A task that runs so late tells of a core that is short, or of a pause: answers then come late too. */
+    /**
+     * A task that runs so late tells of a core that is short, or of a pause: answers then come late
+     * too.
+     */
     private static final long LATE = 20_000_000L;
 
-    /** Its end is waited for no longer, in nanoseconds: SIGKILL comes 0.2 s behind the last answers. */
+    /**
+     * Its end is waited for no longer, in nanoseconds: SIGKILL comes 0.2 s behind the last answers.
+     */
     private static final long ENDING = 100_000_000L;
 
-    /** For how long the latest known lateness is taken to last; of a wait only a part comes off for it. */
+    /**
+     * For how long the latest known lateness is taken to last; of a wait only a part comes off for
+     * it.
+     */
     private static final long LATE_COUNTS = 5_000_000_000L;
 
     private final EventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
     // One small arena of 256 KiB chunks: the defaults take megabytes for each core of the machine.
-    private final ByteBufAllocator buffers = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER,
-            64, 16, true);
+    private final ByteBufAllocator buffers =
+            new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, 64, 16, true);
     private final Logger log;
     private final Drift drift;
     private long lateBy;
@@ -43,7 +51,10 @@
         this(log, null);
     }
 
-    /** @param drift what the clock of a trial makes of the machine's; null: the clock is the machine's */
+    /**
+     * @param drift what the clock of a trial makes of the machine's; null: the clock is the
+     *     machine's
+     */
     public Loop(Logger log, Drift drift) {
         this.log = log;
         this.drift = drift;
@@ -68,21 +79,28 @@
 
     @Override
     public Timer at(long instant, Runnable action) {
-        ScheduledFuture<?> task = group.schedule(() -> {
-            long late = now() - instant;
-            if (late >= lateBy || now() - lateAt > LATE_COUNTS) {
-                lateBy = late;
-                lateAt = now();
-            }
-            if (late > LATE) {
-                log.warn("loop.late").with("ms", late / 1_000_000).write();
-            }
-            guarded(action);
-        }, Math.max(1, drift == null ? instant - now() : drift.real(instant - now())), TimeUnit.NANOSECONDS);
+        ScheduledFuture<?> task =
+                group.schedule(
+                        () -> {
+                            long late = now() - instant;
+                            if (late >= lateBy || now() - lateAt > LATE_COUNTS) {
+                                lateBy = late;
+                                lateAt = now();
+                            }
+                            if (late > LATE) {
+                                log.warn("loop.late").with("ms", late / 1_000_000).write();
+                            }
+                            guarded(action);
+                        },
+                        Math.max(1, drift == null ? instant - now() : drift.real(instant - now())),
+                        TimeUnit.NANOSECONDS);
         return () -> task.cancel(false);
     }
 
-    /** How late the loop has lately been at its worst; bytes that it reads may have waited that long. */
+    /**
+     * How late the loop has lately been at its worst; bytes that it reads may have waited that
+     * long.
+     */
     long lateness() {
         return now() - lateAt > LATE_COUNTS ? 0 : lateBy;
     }
@@ -97,27 +115,31 @@
     }
 
     /**
-     * Connects, and tells on the loop what came of it, or at once where it is known at once. Guards against
-     * the one case that Netty tells on a thread of its own: a socket that can't be made, for want of a
-     * descriptor.
+     * Connects, and tells on the loop what came of it, or at once where it is known at once. Guards
+     * against the one case that Netty tells on a thread of its own: a socket that can't be made,
+     * for want of a descriptor.
      */
     void connect(Bootstrap bootstrap, InetSocketAddress to, Consumer<Future<? super Void>> then) {
-        bootstrap.connect(to).addListener(done -> {
-            if (group.next().inEventLoop()) {
-                then.accept(done);
-            } else {
-                run(() -> then.accept(done));
-            }
-        });
+        bootstrap
+                .connect(to)
+                .addListener(
+                        done -> {
+                            if (group.next().inEventLoop()) {
+                                then.accept(done);
+                            } else {
+                                run(() -> then.accept(done));
+                            }
+                        });
     }
 
     /**
-     * Ends the loop, from any thread but its own: what it still owns is closed. Returns once that is done, or
-     * after {@link #ENDING}. Guards against a process whose last moments load other classes each time, by who
-     * is first: the class-data archive is made of what one run loaded.
+     * Ends the loop, from any thread but its own: what it still owns is closed. Returns once that
+     * is done, or after {@link #ENDING}. Guards against a process whose last moments load other
+     * classes each time, by who is first: the class-data archive is made of what one run loaded.
      */
     public void stop() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(ENDING, TimeUnit.NANOSECONDS);
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS)
+                .awaitUninterruptibly(ENDING, TimeUnit.NANOSECONDS);
     }
 
     /** Whether it has been told to end: what it owns is being closed, which is nobody's failure. */
--- a/daemon/src/main/java/cedarrudder/transport/Membership.java
+++ b/daemon/src/main/java/cedarrudder/transport/Membership.java
@@ -11,8 +11,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Membership on the loop's clock and the socket to the peers; what it decides stands in {@link Swim}. It
- * belongs to the loop's thread.
+ * Membership on the loop's clock and the socket to the peers; what it decides stands in {@link
+ * Swim}. It belongs to the loop's thread.
  */
 public final class Membership {
 
@@ -30,33 +30,51 @@
     private Timers.Timer timer;
     private long wakesAt = Long.MAX_VALUE;
     private int told;
-    private Lives each = (copy, lives) -> { };
+    private Lives each = (copy, lives) -> {};
 
     /**
-     * @param copies how many proxies of the tier there may be, and {@code self} the number of this one
-     * @param life larger than that of the process before, such as the time of its start in milliseconds
+     * @param copies how many proxies of the tier there may be, and {@code self} the number of this
+     *     one
+     * @param life larger than that of the process before, such as the time of its start in
+     *     milliseconds
      * @param live takes how many live, whenever that changes
      * @param notes takes what becomes known; null where nobody asked for that
      */
-    public Membership(Loop loop, PeerSocket peers, MembershipSettings settings, int copies, int self,
-            long life, RandomGenerator random, IntConsumer live, Notes notes) {
+    public Membership(
+            Loop loop,
+            PeerSocket peers,
+            MembershipSettings settings,
+            int copies,
+            int self,
+            long life,
+            RandomGenerator random,
+            IntConsumer live,
+            Notes notes) {
         this.loop = loop;
         this.peers = peers;
         this.live = live;
         this.notes = notes;
         this.life = life;
         this.told = copies;
-        this.swim = new Swim(copies, self, life, settings, random, new Swim.Outlet() {
-            @Override
-            public void send(int to, byte[] message) {
-                peers.tell(to, message);
-            }
+        this.swim =
+                new Swim(
+                        copies,
+                        self,
+                        life,
+                        settings,
+                        random,
+                        new Swim.Outlet() {
+                            @Override
+                            public void send(int to, byte[] message) {
+                                peers.tell(to, message);
+                            }
 
-            @Override
-            public void changed(Member before, Member now) {
-                note(before, now);
-            }
-        }, loop.now());
+                            @Override
+                            public void changed(Member before, Member now) {
+                                note(before, now);
+                            }
+                        },
+                        loop.now());
     }
 
     /** Tells this one of each copy, from now on; before it begins. */
@@ -118,7 +136,8 @@
 
     private void note(Member before, Member now) {
         if (notes != null) {
-            note(now.standing().name().toLowerCase(Locale.ROOT),
+            note(
+                    now.standing().name().toLowerCase(Locale.ROOT),
                     Map.of("about", now.number(), "number", now.incarnation()));
         }
         if (before.standing() != now.standing()) {
@@ -126,9 +145,17 @@
             if (now.standing() == Standing.SUSPECT) {
                 loop.log().debug("member.suspect").with("copy", now.number()).write();
             } else if (now.standing() == Standing.DEAD) {
-                loop.log().info("member.dead").with("copy", now.number()).with("live", swim.live()).write();
+                loop.log()
+                        .info("member.dead")
+                        .with("copy", now.number())
+                        .with("live", swim.live())
+                        .write();
             } else if (before.standing() == Standing.DEAD) {
-                loop.log().info("member.back").with("copy", now.number()).with("live", swim.live()).write();
+                loop.log()
+                        .info("member.back")
+                        .with("copy", now.number())
+                        .with("live", swim.live())
+                        .write();
             }
         }
         if (swim.live() != told) {
--- a/daemon/src/main/java/cedarrudder/transport/NodeChannels.java
+++ b/daemon/src/main/java/cedarrudder/transport/NodeChannels.java
@@ -51,30 +51,38 @@
     /** How often idle channels are looked over. */
     private static final long SWEEP = 1_000_000_000L;
 
-    /** A node may close an idle channel a little early by our clock: ours goes this much earlier. */
+    /**
+     * A node may close an idle channel a little early by our clock: ours goes this much earlier.
+     */
     private static final double IDLE_SHARE = 0.8;
 
-    /** An answer that flows, and of which nothing comes for so long though it could, has been given up. */
+    /**
+     * An answer that flows, and of which nothing comes for so long though it could, has been given
+     * up.
+     */
     private static final long FLOW_SILENCE = 10_000_000_000L;
 
     /**
-     * A body of which the node takes nothing for so long has been given up. At 64 kB a second, the slowest
-     * that occurs, a socket's buffer of 4 MB has room again after some 21 s: the kernel tells at a third.
+     * A body of which the node takes nothing for so long has been given up. At 64 kB a second, the
+     * slowest that occurs, a socket's buffer of 4 MB has room again after some 21 s: the kernel
+     * tells at a third.
      */
     private static final long BODY_STUCK = 30_000_000_000L;
 
     /**
-     * Bytes that one read takes at the most: a piece of a body that flows. Guards against memory that many
-     * slow callers hold, each a piece of theirs on its way.
+     * Bytes that one read takes at the most: a piece of a body that flows. Guards against memory
+     * that many slow callers hold, each a piece of theirs on its way.
      */
     private static final int MOST_READ = 16 * 1024;
+
     private static final int FIRST_READ = 1024;
 
     private static final long DEFAULT_CONNECT_NANOS = 1_000_000_000L;
 
     /**
-     * A connection is up within this share of the time that the rule on drains allows, or not at all. Guards
-     * against an attempt being written when that time is over, since its connection took so long.
+     * A connection is up within this share of the time that the rule on drains allows, or not at
+     * all. Guards against an attempt being written when that time is over, since its connection
+     * took so long.
      */
     private static final double CONNECT_SHARE = 0.5;
 
@@ -97,8 +105,14 @@
      * @param figures where attempts are counted
      * @param held the account of what bodies hold
      */
-    public NodeChannels(Loop loop, Driver<Message, Message> driver, SiteSettings site, NodeLimits limits,
-            NodeLimits.Bounds most, Figures figures, HeldBytes held) {
+    public NodeChannels(
+            Loop loop,
+            Driver<Message, Message> driver,
+            SiteSettings site,
+            NodeLimits limits,
+            NodeLimits.Bounds most,
+            Figures figures,
+            HeldBytes held) {
         this.held = held;
         this.figures = figures;
         this.loop = loop;
@@ -108,27 +122,33 @@
         this.most = most;
         long idle = site.module().limits().connectionIdle();
         this.idleLimit = idle == 0 ? Long.MAX_VALUE : (long) (idle * IDLE_SHARE);
-        this.bootstrap = new Bootstrap().group(loop.group()).channelFactory(NodeSocket::new)
-                .option(ChannelOption.ALLOCATOR, loop.buffers())
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RCVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ))
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyPump.WRITE_AHEAD)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                        (int) Math.max(1, connectNanos(site.module()) / 1_000_000));
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop.group())
+                        .channelFactory(NodeSocket::new)
+                        .option(ChannelOption.ALLOCATOR, loop.buffers())
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ))
+                        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyPump.WRITE_AHEAD)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                (int) Math.max(1, connectNanos(site.module()) / 1_000_000));
         sweeping = loop.at(loop.now() + SWEEP, this::sweep);
     }
 
     private static long connectNanos(Balancer.Settings settings) {
         long set = settings.limits().connectTimeout();
         long grace = settings.safety().drainGrace();
-        return Math.min(set == 0 ? DEFAULT_CONNECT_NANOS : set,
+        return Math.min(
+                set == 0 ? DEFAULT_CONNECT_NANOS : set,
                 grace == 0 ? Long.MAX_VALUE : (long) (grace * CONNECT_SHARE));
     }
 
     /**
-     * From now on these limits count; channels that are open keep their bounds on bytes. Where fewer
-     * channels may be there than are, idle ones are closed.
+     * From now on these limits count; channels that are open keep their bounds on bytes. Where
+     * fewer channels may be there than are, idle ones are closed.
      */
     public void apply(NodeLimits next, NodeLimits.Bounds bounds) {
         limits = next;
@@ -151,6 +171,7 @@
 
         /** Its last start that is known, by the loop's clock; 0: long ago. */
         long startedAt;
+
         boolean gone;
         private int failures;
 
@@ -170,9 +191,9 @@
     }
 
     /**
-     * Takes in where nodes are. One that is gone, or that has moved, is forgotten with its channels. Guards
-     * against keeping all nodes of a long day, and against a channel to a node that is gone being used for
-     * the one that took over its address.
+     * Takes in where nodes are. One that is gone, or that has moved, is forgotten with its
+     * channels. Guards against keeping all nodes of a long day, and against a channel to a node
+     * that is gone being used for the one that took over its address.
      */
     public void resolved(ResolverResult result) {
         Set<Long> listed = new HashSet<>();
@@ -205,7 +226,9 @@
         return calls;
     }
 
-    /** Whether the last attempts at a node all failed, without an answer of any kind between them. */
+    /**
+     * Whether the last attempts at a node all failed, without an answer of any kind between them.
+     */
     public boolean failing(long endpoint) {
         Node node = nodes.get(endpoint);
         return node != null && node.failures >= FAILING;
@@ -261,23 +284,28 @@
         }
         boolean madeRoom = open >= most.idle() && closeOldest();
         if (open >= most.all() && !madeRoom) {
-            work.unsent(); // guards against attempts that take the descriptors of operators and discovery
+            work.unsent(); // guards against attempts that take the descriptors of operators and
+            // discovery
             return;
         }
         NodeChannel fresh = new NodeChannel(node);
-        loop.connect(bootstrap.clone().handler(fresh), node.address, connected -> {
-            if (connected.isSuccess()) {
-                fresh.up(work);
-            } else if (connected.cause() instanceof ChannelException) {
-                work.unsent(); // there is no descriptor for it
-            } else {
-                work.broke();
-            }
-        });
+        loop.connect(
+                bootstrap.clone().handler(fresh),
+                node.address,
+                connected -> {
+                    if (connected.isSuccess()) {
+                        fresh.up(work);
+                    } else if (connected.cause() instanceof ChannelException) {
+                        work.unsent(); // there is no descriptor for it
+                    } else {
+                        work.broke();
+                    }
+                });
     }
 
     /**
-     * Guards against idle channels to many nodes taking the descriptors that callers and discovery need.
+     * Guards against idle channels to many nodes taking the descriptors that callers and discovery
+     * need.
      *
      * @return whether there was an idle one
      */
@@ -298,7 +326,8 @@
     private void sweep() {
         sweeping = loop.at(loop.now() + SWEEP, this::sweep);
         for (Node node : nodes.values()) {
-            while (!node.idle.isEmpty() && loop.now() - node.idle.peekFirst().idleSince > idleLimit) {
+            while (!node.idle.isEmpty()
+                    && loop.now() - node.idle.peekFirst().idleSince > idleLimit) {
                 node.idle.peekFirst().retire();
             }
         }
@@ -316,8 +345,9 @@
         }
 
         /**
-         * Whether its first byte may go out now; where not, it is over. Asked once, right before, on whatever
-         * channel: one that was idle, one that has just come up, or came up long after it was asked for.
+         * Whether its first byte may go out now; where not, it is over. Asked once, right before,
+         * on whatever channel: one that was idle, one that has just come up, or came up long after
+         * it was asked for.
          */
         abstract boolean begins();
 
@@ -336,7 +366,7 @@
         }
 
         /** Some of the rest is about to go out. */
-        void spend() { }
+        void spend() {}
 
         /** Whether an answer with this head may go on before it is whole. */
         boolean mayFlow(Head head) {
@@ -344,7 +374,7 @@
         }
 
         /** The answer flows from here on; its end is told by {@link #answered}, without a body. */
-        void began(Message answer) { }
+        void began(Message answer) {}
 
         abstract void failed(Outcome outcome);
 
@@ -357,8 +387,8 @@
         }
 
         /**
-         * There is no room in this process for a connection. Guards against a node counting as failing, or
-         * as out of connections, for what it never saw.
+         * There is no room in this process for a connection. Guards against a node counting as
+         * failing, or as out of connections, for what it never saw.
          */
         final void unsent() {
             if (!over) {
@@ -395,7 +425,9 @@
         @Override
         ByteBuf encode() {
             Carried handed = attempt.handed();
-            return HttpEncoder.request(loop.buffers(), attempt.exchange().content(),
+            return HttpEncoder.request(
+                    loop.buffers(),
+                    attempt.exchange().content(),
                     Math.max(1, attempt.exchange().left(loop.now()) / 1_000_000),
                     handed == null ? null : handed.after(loop.now() - attempt.startedAt()));
         }
@@ -430,7 +462,8 @@
         /** The load that an answer reports; null where it reports none. */
         private Load load(Message answer) {
             return reports == SiteSettings.Reports.ANSWERS
-                    ? LoadReport.parse(answer.head().fields().get("srv-load")) : null;
+                    ? LoadReport.parse(answer.head().fields().get("srv-load"))
+                    : null;
         }
 
         @Override
@@ -439,7 +472,8 @@
             node.failures = 0;
             Load load = load(answer);
             int status = answer.head().status();
-            FromBelow below = attempt.handed() == null ? FromBelow.NOTHING : BudgetHeaders.result(answer);
+            FromBelow below =
+                    attempt.handed() == null ? FromBelow.NOTHING : BudgetHeaders.result(answer);
             if (status == 200) {
                 // Where it flowed the exchange is over, and this only tells how the attempt ended.
                 driver.served(attempt, answer, load, below);
@@ -459,7 +493,8 @@
     private final class Probe extends Work {
         private final long endpoint;
         private final long startedAt = loop.now();
-        private final Timers.Timer patience = loop.at(startedAt + limits.probePatience(), this::expire);
+        private final Timers.Timer patience =
+                loop.at(startedAt + limits.probePatience(), this::expire);
 
         Probe(long endpoint, Node node) {
             super(node);
@@ -483,7 +518,9 @@
 
         @Override
         ByteBuf encode() {
-            return HttpEncoder.get(loop.buffers(), reports == SiteSettings.Reports.NONE ? "/ping" : "/_load",
+            return HttpEncoder.get(
+                    loop.buffers(),
+                    reports == SiteSettings.Reports.NONE ? "/ping" : "/_load",
                     node.address.getAddress().getHostAddress());
         }
 
@@ -496,9 +533,13 @@
             patience.cancel();
             node.failures = 0;
             boolean ok = answer.head().status() == 200;
-            var load = ok ? LoadReport.parse(new String(answer.body(), StandardCharsets.UTF_8)) : null;
-            driver.probed(endpoint, ok ? Outcome.OK : declined(answer) ? Outcome.FULL : Outcome.ERROR,
-                    loop.now() - startedAt, load);
+            var load =
+                    ok ? LoadReport.parse(new String(answer.body(), StandardCharsets.UTF_8)) : null;
+            driver.probed(
+                    endpoint,
+                    ok ? Outcome.OK : declined(answer) ? Outcome.FULL : Outcome.ERROR,
+                    loop.now() - startedAt,
+                    load);
         }
 
         @Override
@@ -511,14 +552,15 @@
     /** Whether a node turned a request away unseen. */
     private static boolean declined(Message answer) {
         int status = answer.head().status();
-        return (status == 503 || status == 504) && "1".equals(answer.head().fields().get("srv-declined"));
+        return (status == 503 || status == 504)
+                && "1".equals(answer.head().fields().get("srv-declined"));
     }
 
     /** One connection to a node; it carries one piece of work at a time. */
     private final class NodeChannel extends SimpleChannelInboundHandler<ByteBuf> {
         private final Node node;
-        private final HttpDecoder decoder = HttpDecoder.ofFlows(false, limits.mostHead(), limits.mostBody(),
-                BodyFlow.WINDOW);
+        private final HttpDecoder decoder =
+                HttpDecoder.ofFlows(false, limits.mostHead(), limits.mostBody(), BodyFlow.WINDOW);
         private NodeSocket channel;
         private BodyFlow flow;
         private BodyPump upload;
@@ -547,28 +589,34 @@
         }
 
         /**
-         * Takes a step of its life; what is not legal is a fault of ours, and ends this connection alone.
+         * Takes a step of its life; what is not legal is a fault of ours, and ends this connection
+         * alone.
          *
          * @return whether it was legal
          */
         private boolean step(ChannelLife.Event event) {
             boolean legal = life.step(event);
             if (!legal) {
-                loop.log().fault("node.channel_failed", new IllegalStateException(event + " while " + life))
-                        .with("node", node.address).write();
+                loop.log()
+                        .fault(
+                                "node.channel_failed",
+                                new IllegalStateException(event + " while " + life))
+                        .with("node", node.address)
+                        .write();
                 fail();
             }
             return legal;
         }
 
         /**
-         * Whether a request may go out on it now, as it is idle. Guards against one that is lost on a
-         * connection to what its node was before its last start, which may stand and be silent where the
-         * machine had vanished; and on one that its node may close, since the pool is looked over only now
-         * and then and in another order.
+         * Whether a request may go out on it now, as it is idle. Guards against one that is lost on
+         * a connection to what its node was before its last start, which may stand and be silent
+         * where the machine had vanished; and on one that its node may close, since the pool is
+         * looked over only now and then and in another order.
          */
         boolean serves() {
-            return (node.startedAt == 0 || upAt - node.startedAt >= 0) && loop.now() - idleSince <= idleLimit
+            return (node.startedAt == 0 || upAt - node.startedAt >= 0)
+                    && loop.now() - idleSince <= idleLimit
                     && channel.quiet();
         }
 
@@ -606,52 +654,64 @@
                 upload(next);
                 return;
             }
-            channel.writeAndFlush(request).addListener(wrote -> {
-                if (!wrote.isSuccess()) {
-                    fail();
-                } else if (step(ChannelLife.Event.WROTE)) {
-                    next.wrote();
-                }
-            });
+            channel.writeAndFlush(request)
+                    .addListener(
+                            wrote -> {
+                                if (!wrote.isSuccess()) {
+                                    fail();
+                                } else if (step(ChannelLife.Event.WROTE)) {
+                                    next.wrote();
+                                }
+                            });
         }
 
         /** Writes the rest of a request whose body flows. */
         private void upload(Work next) {
             Rest rest = next.rest();
-            upload = new BodyPump(loop, channel, rest.flow(), rest.length() < 0, next::spend,
-                    new BodyPump.End() {
-                        @Override
-                        public void wrote() {
-                            upload = null;
-                            uploading.cancel();
-                            if (step(ChannelLife.Event.WROTE)) {
-                                next.wrote();
-                            }
-                        }
-
-                        @Override
-                        public void broke() {
-                            upload = null;
-                            uploading.cancel();
-                            fail();
-                        }
-                    });
+            upload =
+                    new BodyPump(
+                            loop,
+                            channel,
+                            rest.flow(),
+                            rest.length() < 0,
+                            next::spend,
+                            new BodyPump.End() {
+                                @Override
+                                public void wrote() {
+                                    upload = null;
+                                    uploading.cancel();
+                                    if (step(ChannelLife.Event.WROTE)) {
+                                        next.wrote();
+                                    }
+                                }
+
+                                @Override
+                                public void broke() {
+                                    upload = null;
+                                    uploading.cancel();
+                                    fail();
+                                }
+                            });
             watch(upload);
             upload.pump();
         }
 
         /**
-         * Guards against a caller, and its part of the account, held for minutes by a node that is silent:
-         * such a body has no deadline yet, and what its caller does is not seen while it is not read.
+         * Guards against a caller, and its part of the account, held for minutes by a node that is
+         * silent: such a body has no deadline yet, and what its caller does is not seen while it is
+         * not read.
          */
         private void watch(BodyPump watched) {
-            uploading = loop.at(loop.now() + BODY_STUCK / 4, () -> {
-                if (upload == watched && watched.stuck(BODY_STUCK)) {
-                    spoilt("takes nothing of a body");
-                } else if (upload == watched) {
-                    watch(watched);
-                }
-            });
+            uploading =
+                    loop.at(
+                            loop.now() + BODY_STUCK / 4,
+                            () -> {
+                                if (upload == watched && watched.stuck(BODY_STUCK)) {
+                                    spoilt("takes nothing of a body");
+                                } else if (upload == watched) {
+                                    watch(watched);
+                                }
+                            });
         }
 
         @Override
@@ -662,7 +722,10 @@
             context.fireChannelWritabilityChanged();
         }
 
-        /** Closes, and tells the work on it that it ended: there may be no other news of a closed channel. */
+        /**
+         * Closes, and tells the work on it that it ended: there may be no other news of a closed
+         * channel.
+         */
         private void fail() {
             retire();
             Work broken = work;
@@ -686,9 +749,10 @@
         }
 
         /**
-         * Leaves the pool at once, and closes. What still comes is not read, and bytes that are there unread
-         * make it a reset. Of what is on it, that is how its node is told that nobody waits; where it is
-         * idle nothing is owed either way, for its last request was answered whole.
+         * Leaves the pool at once, and closes. What still comes is not read, and bytes that are
+         * there unread make it a reset. Of what is on it, that is how its node is told that nobody
+         * waits; where it is idle nothing is owed either way, for its last request was answered
+         * whole.
          */
         void retire() {
             step(ChannelLife.Event.ENDS);
@@ -720,8 +784,9 @@
         }
 
         /**
-         * An answer that can't be read ends here as a connection that broke: the request may have run. Guards
-         * against any part of such an answer being served, now or when the connection ends.
+         * An answer that can't be read ends here as a connection that broke: the request may have
+         * run. Guards against any part of such an answer being served, now or when the connection
+         * ends.
          */
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf in) {
@@ -780,12 +845,16 @@
             flow = next;
             Head head = decoder.head();
             Rest rest = new Rest(next, decoder.bodyLength());
-            next.whenRoom(() -> loop.run(() -> {
-                if (flow == next && !next.full()) {
-                    heardAt = loop.now(); // silence counts from where the node may go on
-                    channel.config().setAutoRead(true);
-                }
-            }));
+            next.whenRoom(
+                    () ->
+                            loop.run(
+                                    () -> {
+                                        if (flow == next && !next.full()) {
+                                            heardAt = loop.now(); // silence counts from where the
+                                            // node may go on
+                                            channel.config().setAutoRead(true);
+                                        }
+                                    }));
             work.began(new Message(head, decoder.flow(next::put), rest));
         }
 
--- a/daemon/src/main/java/cedarrudder/transport/NodeLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/NodeLimits.java
@@ -7,24 +7,34 @@
  * What nodes may cost. Times are in nanoseconds.
  *
  * @param probePatience a probe without an answer is given up after so long
- * @param answerPatience an answer that has begun, of which nothing more has come for so long, has been
- * spoilt; one that is still coming after so long flows to its caller as it comes. Guards against waiting
- * until the RPC's end for the rest of an answer that is shorter than it says, or whose head never ends
+ * @param answerPatience an answer that has begun, of which nothing more has come for so long, has
+ *     been spoilt; one that is still coming after so long flows to its caller as it comes. Guards
+ *     against waiting until the RPC's end for the rest of an answer that is shorter than it says,
+ *     or whose head never ends
  * @param mostHead the largest head of an answer, in bytes
- * @param mostBody the largest body of an answer, in bytes; what is over {@link BodyFlow#WINDOW} flows
- * @param descriptorsShare the share of the process's descriptors beyond which each new channel costs one
- * that is idle
+ * @param mostBody the largest body of an answer, in bytes; what is over {@link BodyFlow#WINDOW}
+ *     flows
+ * @param descriptorsShare the share of the process's descriptors beyond which each new channel
+ *     costs one that is idle
  */
-public record NodeLimits(long probePatience, long answerPatience, int mostHead, int mostBody,
+public record NodeLimits(
+        long probePatience,
+        long answerPatience,
+        int mostHead,
+        int mostBody,
         double descriptorsShare) {
 
-    /** What counts where nothing is set: operators may set each. An attempt ends by its deadline anyway. */
-    public static final NodeLimits DEFAULT = new NodeLimits(250_000_000L, 300_000_000L,
-            HttpDecoder.MOST_HEAD, HttpDecoder.MOST_FLOW, 0.25);
+    /**
+     * What counts where nothing is set: operators may set each. An attempt ends by its deadline
+     * anyway.
+     */
+    public static final NodeLimits DEFAULT =
+            new NodeLimits(
+                    250_000_000L, 300_000_000L, HttpDecoder.MOST_HEAD, HttpDecoder.MOST_FLOW, 0.25);
 
     /**
-     * Of what callers leave, this many descriptors are no channel's: 16 calls of operators, discovery, the
-     * log, the program's own files. Where there are few, a fifth of all.
+     * Of what callers leave, this many descriptors are no channel's: 16 calls of operators,
+     * discovery, the log, the program's own files. Where there are few, a fifth of all.
      */
     private static final int RESERVED = 48;
 
@@ -34,11 +44,12 @@
      * @param idle beyond so many, each new one costs one that is idle
      * @param all beyond so many, none is opened
      */
-    public record Bounds(int idle, int all) { }
+    public record Bounds(int idle, int all) {}
 
     /** The bounds of a process with so many descriptors, of which callers may hold some. */
     public Bounds bounds(int descriptors, int callers) {
-        return new Bounds(Math.max(1, (int) (descriptors * descriptorsShare)),
+        return new Bounds(
+                Math.max(1, (int) (descriptors * descriptorsShare)),
                 Math.max(1, descriptors - callers - Math.min(RESERVED, descriptors / 5)));
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/Notes.java
+++ b/daemon/src/main/java/cedarrudder/transport/Notes.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * Takes what happens to this copy, for a history that is judged afterwards; on the loop, which never waits
- * for it.
+ * Takes what happens to this copy, for a history that is judged afterwards; on the loop, which
+ * never waits for it.
  */
 public interface Notes {
 
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -41,7 +41,8 @@
      * @param peers the address of each proxy of the tier, by its number
      * @param all an address that reaches them all, or null where there is none
      */
-    public PeerSocket(Loop loop, Driver<?, ?> driver, List<InetSocketAddress> peers, InetSocketAddress all) {
+    public PeerSocket(
+            Loop loop, Driver<?, ?> driver, List<InetSocketAddress> peers, InetSocketAddress all) {
         this.loop = loop;
         this.hearer = driver::message;
         this.peers = peers;
@@ -53,7 +54,8 @@
      *
      * @param shared whether another process of this proxy may listen there too
      */
-    public void listen(InetSocketAddress address, boolean shared) throws IOException, InterruptedException {
+    public void listen(InetSocketAddress address, boolean shared)
+            throws IOException, InterruptedException {
         ChannelFuture bound = bind(address, shared).await();
         if (!bound.isSuccess()) {
             throw new IOException("can't listen on " + address + ": " + bound.cause().getMessage());
@@ -65,21 +67,27 @@
     public void takeOver(InetSocketAddress address, Runnable then) {
         ChannelFuture begun = bind(address, true);
         channel = begun.channel(); // to be closed from now on, whether it is bound yet or not
-        begun.addListener((ChannelFuture bound) -> {
-            if (bound.isSuccess()) {
-                then.run();
-            } else {
-                loop.log().warn("peer.failed").with("error", bound.cause()).write();
-            }
-        });
+        begun.addListener(
+                (ChannelFuture bound) -> {
+                    if (bound.isSuccess()) {
+                        then.run();
+                    } else {
+                        loop.log().warn("peer.failed").with("error", bound.cause()).write();
+                    }
+                });
     }
 
     private ChannelFuture bind(InetSocketAddress address, boolean shared) {
-        return new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
+        return new Bootstrap()
+                .group(loop.group())
+                .channel(NioDatagramChannel.class)
                 .option(ChannelOption.ALLOCATOR, loop.buffers())
                 .option(Listener.REUSE_PORT, shared)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_MESSAGE + 1))
-                .handler(new Incoming()).bind(address);
+                .option(
+                        ChannelOption.RCVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(MOST_MESSAGE + 1))
+                .handler(new Incoming())
+                .bind(address);
     }
 
     /** Listens no longer: what peers send from now on is for another process; on the loop. */
@@ -101,7 +109,11 @@
     public void tell(int copy, byte[] message) {
         InetSocketAddress to = copy < 0 ? all : copy < peers.size() ? peers.get(copy) : null;
         if (channel == null || to == null || message.length > MOST_MESSAGE) {
-            loop.log().warn("peer.unreachable").with("copy", copy).with("bytes", message.length).write();
+            loop.log()
+                    .warn("peer.unreachable")
+                    .with("copy", copy)
+                    .with("bytes", message.length)
+                    .write();
             return;
         }
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
@@ -113,12 +125,16 @@
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             int from = peers.indexOf(packet.sender());
             if (from < 0 || packet.content().readableBytes() > MOST_MESSAGE) {
-                loop.log().warn("peer.rejected").with("from", packet.sender())
-                        .with("bytes", packet.content().readableBytes()).write();
+                loop.log()
+                        .warn("peer.rejected")
+                        .with("from", packet.sender())
+                        .with("bytes", packet.content().readableBytes())
+                        .write();
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            (message.length == 0 ? hearer : byFirst.getOrDefault(message[0], hearer)).heard(from, message);
+            (message.length == 0 ? hearer : byFirst.getOrDefault(message[0], hearer))
+                    .heard(from, message);
         }
 
         @Override
--- a/daemon/src/main/java/cedarrudder/transport/ServiceState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ServiceState.java
@@ -1,8 +1,9 @@
 package cedarrudder.transport;
 
 /**
- * Whether the proxy serves, as one table of states and events. Two things make a state: how far the process
- * is from its end, and whether operators have drained the proxy, which outlives the process.
+ * Whether the proxy serves, as one table of states and events. Two things make a state: how far the
+ * process is from its end, and whether operators have drained the proxy, which outlives the
+ * process.
  *
  * @param drained whether operators send clients away
  */
@@ -11,14 +12,22 @@
     /** How far the process is from its end. */
     enum Life {
         SERVING,
-        /** SIGTERM came and nobody takes over: what is taken is answered, then callers are left alone. */
+        /**
+         * SIGTERM came and nobody takes over: what is taken is answered, then callers are left
+         * alone.
+         */
         ENDING,
         /** SIGTERM came and a successor serves at the same address. */
         REPLACED
     }
 
     /** What changes it. */
-    enum Event { DRAIN, RESUME, END, REPLACE }
+    enum Event {
+        DRAIN,
+        RESUME,
+        END,
+        REPLACE
+    }
 
     static final ServiceState FIRST = new ServiceState(Life.SERVING, false);
 
@@ -32,7 +41,9 @@
         };
     }
 
-    /** Whether callers at this address are welcome: a successor's process takes those who come now. */
+    /**
+     * Whether callers at this address are welcome: a successor's process takes those who come now.
+     */
     boolean healthy() {
         return life != Life.ENDING && !drained;
     }
--- a/daemon/src/test/java/cedarrudder/program/BodyStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyStoriesTest.java
@@ -22,7 +22,10 @@
 import java.util.zip.CRC32;
 import org.testng.annotations.Test;
 
-/** Bodies that are too large to be held. The target {@link #STAYS} leaves a node's socket to the test. */
+/**
+ * Bodies that are too large to be held. The target {@link #STAYS} leaves a node's socket to the
+ * test.
+ */
 public class BodyStoriesTest {
 
     private static final int LARGE = 32 * 1024 * 1024;
@@ -33,13 +36,14 @@
     private static void write(OutputStream out, long seed, int length, boolean chunked, CRC32 sum)
             throws IOException {
         Random random = new Random(seed);
-        for (int left = length; left > 0;) {
+        for (int left = length; left > 0; ) {
             byte[] piece = new byte[Math.min(left, 1 + random.nextInt(50_000))];
             random.nextBytes(piece);
             sum.update(piece);
             if (chunked) {
-                out.write((Integer.toHexString(piece.length) + ";x=y\r\n").getBytes(
-                        StandardCharsets.ISO_8859_1));
+                out.write(
+                        (Integer.toHexString(piece.length) + ";x=y\r\n")
+                                .getBytes(StandardCharsets.ISO_8859_1));
             }
             out.write(piece);
             if (chunked) {
@@ -70,7 +74,9 @@
             update(sum, in, length);
             return sum;
         }
-        for (int size = Integer.parseInt(line(in), 16); size > 0; size = Integer.parseInt(line(in), 16)) {
+        for (int size = Integer.parseInt(line(in), 16);
+                size > 0;
+                size = Integer.parseInt(line(in), 16)) {
             update(sum, in, size);
             line(in);
         }
@@ -80,7 +86,7 @@
 
     private static void update(CRC32 sum, InputStream in, int length) throws IOException {
         byte[] piece = new byte[64 * 1024];
-        for (int left = length; left > 0;) {
+        for (int left = length; left > 0; ) {
             int got = in.read(piece, 0, Math.min(left, piece.length));
             if (got < 0) {
                 throw new IOException("ended " + left + " bytes too soon");
@@ -92,13 +98,17 @@
 
     private static String upload(String id) {
         return World.rpc("order", STAYS, "", "Transfer-Encoding: chunked")
-                .replace("Content-Length: 0\r\n", "").replace("id-1", id);
+                .replace("Content-Length: 0\r\n", "")
+                .replace("id-1", id);
     }
 
-    /** Guards against bytes that are lost, doubled or out of order, whichever side is the slower. */
+    /**
+     * Guards against bytes that are lost, doubled or out of order, whichever side is the slower.
+     */
     @Test
     public void bodiesOf32MegabytesGoThroughBothWays() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             for (boolean chunked : new boolean[] {true, false}) {
                 CRC32 sent = new CRC32();
                 caller.send(upload("up-" + chunked));
@@ -107,12 +117,17 @@
                 assertEquals(call.field("Transfer-Encoding"), "chunked");
                 Socket node = call.socket();
                 assertEquals(read(node.getInputStream(), -1).getValue(), sum(7));
-                call.raw("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked"
-                        : "Content-Length: " + LARGE) + "\r\nConnection: close\r\n\r\n");
-                Nodes.daemon(() -> {
-                    write(node.getOutputStream(), 9, LARGE, chunked, new CRC32());
-                    node.close();
-                });
+                call.raw(
+                        "HTTP/1.1 200 OK\r\n"
+                                + (chunked
+                                        ? "Transfer-Encoding: chunked"
+                                        : "Content-Length: " + LARGE)
+                                + "\r\nConnection: close\r\n\r\n");
+                Nodes.daemon(
+                        () -> {
+                            write(node.getOutputStream(), 9, LARGE, chunked, new CRC32());
+                            node.close();
+                        });
                 Received head = caller.readHead();
                 assertEquals(head.first(), "HTTP/1.1 200 OK");
                 assertEquals(head.field("Content-Length"), chunked ? null : String.valueOf(LARGE));
@@ -127,19 +142,29 @@
         return sum.getValue();
     }
 
-    /** Guards against memory that grows with the bodies, and against callers that wait for one another. */
+    /**
+     * Guards against memory that grows with the bodies, and against callers that wait for one
+     * another.
+     */
     @Test
-    public void manyLargeAnswersThatNobodyReadsAreHeldWithinTheBoundAndOthersAreServed() throws Exception {
+    public void manyLargeAnswersThatNobodyReadsAreHeldWithinTheBoundAndOthersAreServed()
+            throws Exception {
         try (World world = new World(1).withAdmin().start()) {
             List<Caller> slow = new ArrayList<>();
             for (int i = 0; i < MANY; i++) {
                 Caller caller = world.caller();
                 slow.add(caller.send(World.rpc("lookup", STAYS, "").replace("id-1", "slow-" + i)));
                 Received call = world.call();
-                call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\nConnection: close\r\n\r\n");
-                Nodes.daemon(() -> write(call.socket().getOutputStream(), 3, LARGE, false, new CRC32()));
+                call.raw(
+                        "HTTP/1.1 200 OK\r\nContent-Length: "
+                                + LARGE
+                                + "\r\nConnection: close\r\n\r\n");
+                Nodes.daemon(
+                        () -> write(call.socket().getOutputStream(), 3, LARGE, false, new CRC32()));
                 assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
-                long held = JsonObject.parse(world.operator("GET", "/-/metrics").body()).whole("held_bytes");
+                long held =
+                        JsonObject.parse(world.operator("GET", "/-/metrics").body())
+                                .whole("held_bytes");
                 assertTrue(held <= MANY * 2 * 64 * 1024, held + " bytes are held");
             }
             try (Caller other = world.caller()) {
@@ -151,8 +176,12 @@
             for (Caller caller : slow) {
                 caller.close();
             }
-            Await.until("what nobody waits for is let go", () ->
-                    JsonObject.parse(world.operator("GET", "/-/metrics").body()).whole("held_bytes") == 0);
+            Await.until(
+                    "what nobody waits for is let go",
+                    () ->
+                            JsonObject.parse(world.operator("GET", "/-/metrics").body())
+                                            .whole("held_bytes")
+                                    == 0);
         }
     }
 
@@ -162,19 +191,23 @@
         String[] framings = {"Content-Length: 200000", "Transfer-Encoding: chunked"};
         for (String version : new String[] {"HTTP/1.1", "HTTP/1.0"}) {
             for (String framing : framings) {
-                try (World world = new World(1).start(); Caller caller = world.caller()) {
+                try (World world = new World(1).start();
+                        Caller caller = world.caller()) {
                     caller.send(World.rpc("lookup", STAYS, "").replace("HTTP/1.1", version));
                     Received call = world.call();
                     call.raw("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
-                    call.raw(framing.startsWith("C") ? "x".repeat(100_000)
-                            : "186a0\r\n" + "x".repeat(100_000) + "\r\n");
+                    call.raw(
+                            framing.startsWith("C")
+                                    ? "x".repeat(100_000)
+                                    : "186a0\r\n" + "x".repeat(100_000) + "\r\n");
                     Received head = caller.readHead();
                     assertEquals(head.first(), "HTTP/1.1 200 OK");
                     call.socket().close();
                     boolean whole = true;
                     try {
                         int length = framing.startsWith("C") ? 200_000 : -1;
-                        if (head.field("Content-Length") == null && head.field("Transfer-Encoding") == null) {
+                        if (head.field("Content-Length") == null
+                                && head.field("Transfer-Encoding") == null) {
                             caller.readAll();
                         } else {
                             read(caller.in(), length);
@@ -189,13 +222,18 @@
     }
 
     /**
-     * Guards against an answer without a length that looks whole, since its caller was given up as one that
-     * reads nothing: what had been written goes on to it, and then the end.
+     * Guards against an answer without a length that looks whole, since its caller was given up as
+     * one that reads nothing: what had been written goes on to it, and then the end.
      */
     @Test
     public void anAnswerWhoseCallerIsGivenUpIsVisiblyNotWhole() throws Exception {
-        try (World world = new World(1).with(OperatorStoriesTest.operator(
-                "[callers]\nanswer_patience_ms = 500\n")).start(); Caller caller = world.caller()) {
+        try (World world =
+                        new World(1)
+                                .with(
+                                        OperatorStoriesTest.operator(
+                                                "[callers]\nanswer_patience_ms = 500\n"))
+                                .start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("lookup", STAYS, "").replace("HTTP/1.1", "HTTP/1.0"));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -210,15 +248,20 @@
     }
 
     /**
-     * Guards against a caller that reads all there is being given up as one that doesn't, since its node
-     * takes longer over the answer than there is patience with callers. Another one, whose answer began later
-     * and who reads nothing of it, is given up meanwhile.
+     * Guards against a caller that reads all there is being given up as one that doesn't, since its
+     * node takes longer over the answer than there is patience with callers. Another one, whose
+     * answer began later and who reads nothing of it, is given up meanwhile.
      */
     @Test
     public void whoReadsAllOfAnAnswerThatComesSlowlyIsNotGivenUp() throws Exception {
         int length = 100_000;
-        try (World world = new World(1).with(OperatorStoriesTest.operator(
-                "[callers]\nanswer_patience_ms = 500\n")).start(); Caller reads = world.caller();
+        try (World world =
+                        new World(1)
+                                .with(
+                                        OperatorStoriesTest.operator(
+                                                "[callers]\nanswer_patience_ms = 500\n"))
+                                .start();
+                Caller reads = world.caller();
                 Caller deaf = world.caller()) {
             reads.send(World.rpc("lookup", STAYS, "").replace("id-1", "reads"));
             Received slow = world.call();
@@ -228,7 +271,8 @@
             deaf.send(World.rpc("lookup", STAYS, "").replace("id-1", "deaf"));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
-            Nodes.daemon(() -> write(call.socket().getOutputStream(), 3, LARGE, false, new CRC32()));
+            Nodes.daemon(
+                    () -> write(call.socket().getOutputStream(), 3, LARGE, false, new CRC32()));
             assertEquals(deaf.readHead().first(), "HTTP/1.1 200 OK");
             call.awaitEnd();
             slow.raw("x".repeat(length - 1));
@@ -236,10 +280,14 @@
         }
     }
 
-    /** Guards against half a request being sent again, and one that may have run being called harmless. */
+    /**
+     * Guards against half a request being sent again, and one that may have run being called
+     * harmless.
+     */
     @Test
     public void aRequestThatBreaksOffIsRefusedBeforeItsLastByteAndFailsAfterIt() throws Exception {
-        try (World world = new World(2).start(); Caller caller = world.caller();
+        try (World world = new World(2).start();
+                Caller caller = world.caller();
                 Caller late = world.caller()) {
             caller.send(upload("half"));
             byte[] piece = "x".repeat(50_000).getBytes(StandardCharsets.ISO_8859_1);
@@ -261,7 +309,9 @@
         }
     }
 
-    /** Guards against a caller that leaves within its upload keeping a node waiting for the rest. */
+    /**
+     * Guards against a caller that leaves within its upload keeping a node waiting for the rest.
+     */
     @Test
     public void aCallerThatLeavesWithinItsUploadEndsTheAttempt() throws Exception {
         try (World world = new World(1).start()) {
@@ -282,16 +332,18 @@
     /** Guards against an answer that comes slowly being taken for one that has no end. */
     @Test
     public void aSmallAnswerThatIsSlowToComeIsPassedOnAsItComes() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("lookup", STAYS, ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
-            Nodes.daemon(() -> {
-                for (int i = 0; i < 100; i++) {
-                    call.raw("x");
-                    Thread.sleep(10);
-                }
-            });
+            Nodes.daemon(
+                    () -> {
+                        for (int i = 0; i < 100; i++) {
+                            call.raw("x");
+                            Thread.sleep(10);
+                        }
+                    });
             assertEquals(caller.read().body(), "x".repeat(100));
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/BudgetStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetStoriesTest.java
@@ -33,14 +33,21 @@
     }
 
     private static World plain(int tier, int nodes) throws Exception {
-        return new World(nodes).with("\"layer\": 0, \"tiers\": [\"api\"]",
-                "\"layer\": " + tier + ", \"tiers\": [\"" + String.join("\", \"", TIERS) + "\"]");
+        return new World(nodes)
+                .with(
+                        "\"layer\": 0, \"tiers\": [\"api\"]",
+                        "\"layer\": "
+                                + tier
+                                + ", \"tiers\": [\""
+                                + String.join("\", \"", TIERS)
+                                + "\"]");
     }
 
     /** The figure of a key in a field; -1 where there is none. */
     private static double figure(Received message, String field, String key) {
-        Matcher found = Pattern.compile(";" + key + "=([0-9.]+)")
-                .matcher(String.valueOf(message.field(field)));
+        Matcher found =
+                Pattern.compile(";" + key + "=([0-9.]+)")
+                        .matcher(String.valueOf(message.field(field)));
         return found.find() ? Double.parseDouble(found.group(1)) : -1;
     }
 
@@ -52,9 +59,16 @@
 
     @Test
     public void whatIsLeftGoesDownAndTheRestOfTheRequestStaysAsItWas() throws Exception {
-        try (World world = world(0, 1).start(); Caller caller = world.caller()) {
-            caller.send(World.rpc("booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1", "Other: o",
-                    "Cedar-Colour: red"));
+        try (World world = world(0, 1).start();
+                Caller caller = world.caller()) {
+            caller.send(
+                    World.rpc(
+                            "booking",
+                            "/api/x?y=1",
+                            "{\"a\":1}",
+                            "Idempotency-Key: k1",
+                            "Other: o",
+                            "Cedar-Colour: red"));
             Received call = world.call();
             assertEquals(call.first(), "POST /api/x?y=1 HTTP/1.1");
             assertEquals(call.body(), "{\"a\":1}");
@@ -64,21 +78,28 @@
             assertEquals(call.field("Cedar-Colour"), "red", "fields that are not known pass by");
             assertEquals(tries(call), 2.0);
             double left = figure(call, "Cedar-Budget", "left");
-            assertTrue(left > 0 && left < Long.parseLong(call.field("Req-Deadline-Ms")), "left " + left);
+            assertTrue(
+                    left > 0 && left < Long.parseLong(call.field("Req-Deadline-Ms")),
+                    "left " + left);
             assertEquals(call.field("Cedar-Path"), "1;front");
             call.reply("200 OK", "done", "Cedar-Result: 1;spent=0", "Other: p");
             Received answer = caller.read();
             assertEquals(answer.body(), "done");
             assertEquals(answer.field("Other"), "p");
-            assertNull(answer.field("Cedar-Result"), "a caller that speaks none of this sees none of it");
+            assertNull(
+                    answer.field("Cedar-Result"),
+                    "a caller that speaks none of this sees none of it");
         }
     }
 
     @Test
     public void withoutTheTableFieldsOfBudgetsAreLikeAnyOthers() throws Exception {
-        try (World world = plain(1, 1).start(); Caller caller = world.caller()) {
+        try (World world = plain(1, 1).start();
+                Caller caller = world.caller()) {
             String budget = "1;left=5;tries=0;grant=7";
-            caller.send(World.rpc("lookup", "/api", "", "Cedar-Budget: " + budget, "Cedar-Path: 1;core"));
+            caller.send(
+                    World.rpc(
+                            "lookup", "/api", "", "Cedar-Budget: " + budget, "Cedar-Path: 1;core"));
             Received call = world.call();
             assertEquals(call.field("Cedar-Budget"), budget);
             assertEquals(call.field("Cedar-Path"), "1;core");
@@ -89,11 +110,17 @@
         }
     }
 
-    /** A call that would wait for ever gets the time of its class, less what the tiers above may use. */
+    /**
+     * A call that would wait for ever gets the time of its class, less what the tiers above may
+     * use.
+     */
     @Test
     public void aCallWithoutADeadlineGetsASafeOne() throws Exception {
-        try (World world = world(1, 1).start(); Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", "/stays-for-test", "").replace("Req-Deadline-Ms: 30000\r\n", ""));
+        try (World world = world(1, 1).start();
+                Caller caller = world.caller()) {
+            caller.send(
+                    World.rpc("lookup", "/stays-for-test", "")
+                            .replace("Req-Deadline-Ms: 30000\r\n", ""));
             Received call = world.call();
             long left = Long.parseLong(call.field("Req-Deadline-Ms"));
             assertTrue(left > 0 && left <= 667, "two thirds of a second: " + left);
@@ -104,8 +131,10 @@
 
     @Test
     public void theTimeThatIsLeftCountsWhateverTheDeadlineSays() throws Exception {
-        try (World world = world(1, 1).start(); Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", "/stays-for-test", "", "Cedar-Budget: 1;left=400;tries=0"));
+        try (World world = world(1, 1).start();
+                Caller caller = world.caller()) {
+            caller.send(
+                    World.rpc("lookup", "/stays-for-test", "", "Cedar-Budget: 1;left=400;tries=0"));
             Received call = world.call();
             assertTrue(Long.parseLong(call.field("Req-Deadline-Ms")) <= 400);
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
@@ -130,7 +159,8 @@
 
     @Test(dataProvider = "forged")
     public void whateverAFieldSaysRaisesNothing(String[] fields, int most) throws Exception {
-        try (World world = world(1, 1).start(); Caller caller = world.caller()) {
+        try (World world = world(1, 1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x", fields));
             Received call = world.call();
             assertTrue(tries(call) <= most, call.field("Cedar-Budget"));
@@ -148,12 +178,23 @@
     /** What may have run is never refused, and the answer comes at once, not at the deadline. */
     @Test
     public void aBudgetThatRunsOutAfterAnAttemptThatMayHaveRunIsAFailure() throws Exception {
-        try (World world = world(1, 3).with("\"name\": \"booking\", \"idempotency\": \"dedup\", "
-                + "\"key-scope\": \"all\"", "\"name\": \"booking\", \"idempotency\": \"dedup\", "
-                + "\"key-scope\": \"cell\"").start(); Caller caller = world.caller()) {
+        try (World world =
+                        world(1, 3)
+                                .with(
+                                        "\"name\": \"booking\", \"idempotency\": \"dedup\", "
+                                                + "\"key-scope\": \"all\"",
+                                        "\"name\": \"booking\", \"idempotency\": \"dedup\", "
+                                                + "\"key-scope\": \"cell\"")
+                                .start();
+                Caller caller = world.caller()) {
             for (int tries = 1; tries >= 0; tries--) {
-                caller.send(World.rpc("booking", "/api", "x", "Idempotency-Key: k",
-                        "Cedar-Budget: 1;tries=" + tries + ";grant=" + (7 + tries)));
+                caller.send(
+                        World.rpc(
+                                "booking",
+                                "/api",
+                                "x",
+                                "Idempotency-Key: k",
+                                "Cedar-Budget: 1;tries=" + tries + ";grant=" + (7 + tries)));
                 for (int i = 0; i <= tries; i++) {
                     world.call().reset();
                 }
@@ -167,7 +208,8 @@
 
     @Test
     public void whatIsSafeToRepeatIsRefusedWhenItsBudgetRunsOut() throws Exception {
-        try (World world = world(1, 2).start(); Caller caller = world.caller()) {
+        try (World world = world(1, 2).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("lookup", "/api", "", "Cedar-Budget: 1;tries=0;grant=7"));
             world.call().reset();
             Received answer = caller.read();
@@ -180,7 +222,8 @@
     /** A budget says that there may be a further attempt; the class says that there may not. */
     @Test
     public void whatMustNotRunTwiceIsNotSentAgainHoweverMuchIsLeft() throws Exception {
-        try (World world = world(0, 2).start(); Caller caller = world.caller()) {
+        try (World world = world(0, 2).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x"));
             world.call().reset();
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
@@ -190,7 +233,8 @@
 
     @Test
     public void theSameRequestByTwoPathsSharesOneBudget() throws Exception {
-        try (World world = world(2, 3).start(); Caller first = world.caller();
+        try (World world = world(2, 3).start();
+                Caller first = world.caller();
                 Caller second = world.caller()) {
             String budget = "Cedar-Budget: 1;tries=1;grant=abc";
             first.send(World.rpc("lookup", "/api", "", budget, "Cedar-Path: 1;front,left"));
@@ -207,19 +251,23 @@
     // ---- overload ----
 
     @Test
-    public void aRefusalFromBelowThatSaysOverloadIsNotTriedAgainAndLowersWhatIsLetIn() throws Exception {
-        try (World world = world(1, 3).start(); Caller caller = world.caller()) {
+    public void aRefusalFromBelowThatSaysOverloadIsNotTriedAgainAndLowersWhatIsLetIn()
+            throws Exception {
+        try (World world = world(1, 3).start();
+                Caller caller = world.caller()) {
             String budget = "Cedar-Budget: 1;tries=3;grant=";
             int refused = 0;
             for (int i = 1; refused == 0; i++) {
                 assertTrue(i < 20_000, "it lets in whatever comes");
-                // Lookups are worth 1 in 300 ms and orders 2 in 1,000: orders are worth less for their work.
+                // Lookups are worth 1 in 300 ms and orders 2 in 1,000: orders are worth less for
+                // their work.
                 caller.send(World.rpc("lookup", "/api", "", budget + i).replace("id-1", "l" + i));
                 world.call().reply("500 Error", "", "Cedar-Result: 1;spent=0;why=overload");
                 Received answer = caller.read();
                 assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
                 assertEquals(answer.field("Cedar-Result"), "1;spent=0;why=overload");
-                caller.send(World.rpc("order", "/api", "x", budget + "f" + i).replace("id-1", "o" + i));
+                caller.send(
+                        World.rpc("order", "/api", "x", budget + "f" + i).replace("id-1", "o" + i));
                 // Either it reaches a node, or it is refused before any node has seen it.
                 Nodes.daemon(() -> world.calls.add(caller.read()));
                 Received next = world.call();
@@ -242,18 +290,24 @@
 
     /** The nodes of two tiers call each other's tier by mistake. */
     @Test
-    public void aLoopIsRefusedWhereItClosesAndItsPathIsInTheAnswerAndOnceInTheLog() throws Exception {
-        try (World front = world(0, 1).start(); World core = world(1, 1).start();
+    public void aLoopIsRefusedWhereItClosesAndItsPathIsInTheAnswerAndOnceInTheLog()
+            throws Exception {
+        try (World front = world(0, 1).start();
+                World core = world(1, 1).start();
                 Caller caller = front.caller()) {
             AtomicInteger seen = new AtomicInteger();
-            Nodes.play(front, call -> {
-                seen.incrementAndGet();
-                Nodes.relay(core.port, true).serve(call);
-            });
-            Nodes.play(core, call -> {
-                seen.incrementAndGet();
-                Nodes.relay(front.port, true).serve(call);
-            });
+            Nodes.play(
+                    front,
+                    call -> {
+                        seen.incrementAndGet();
+                        Nodes.relay(core.port, true).serve(call);
+                    });
+            Nodes.play(
+                    core,
+                    call -> {
+                        seen.incrementAndGet();
+                        Nodes.relay(front.port, true).serve(call);
+                    });
             for (int i = 1; i <= 3; i++) {
                 caller.send(World.rpc("lookup", "/api", "").replace("id-1", "loop-" + i));
                 Received answer = caller.read();
@@ -263,7 +317,10 @@
             }
             String line = "budget.loop path=\"front > core > front\"";
             front.awaitLog(line);
-            assertEquals(front.log.toString().split(Pattern.quote(line), -1).length, 2, front.log.toString());
+            assertEquals(
+                    front.log.toString().split(Pattern.quote(line), -1).length,
+                    2,
+                    front.log.toString());
         }
     }
 
@@ -272,8 +329,10 @@
     /** An old daemon passes on what it doesn't know, and its nodes copy it. */
     @Test
     public void anOldDaemonBetweenNewOnesLetsTheFieldsPass() throws Exception {
-        try (World front = world(0, 1).start(); World core = plain(1, 1).start();
-                World link = world(2, 1).start(); Caller caller = front.caller()) {
+        try (World front = world(0, 1).start();
+                World core = plain(1, 1).start();
+                World link = world(2, 1).start();
+                Caller caller = front.caller()) {
             Nodes.play(front, Nodes.relay(core.port, true));
             Nodes.play(core, Nodes.relay(link.port, true));
             caller.send(World.rpc("order", "/api", "x"));
@@ -287,7 +346,8 @@
 
     @Test
     public void aTierWhoseFieldsWereStrippedHasABudgetOfItsOwn() throws Exception {
-        try (World front = world(0, 1).start(); World core = world(1, 3).start();
+        try (World front = world(0, 1).start();
+                World core = world(1, 3).start();
                 Caller caller = front.caller()) {
             Nodes.play(front, Nodes.relay(core.port, false));
             caller.send(World.rpc("lookup", "/api", ""));
--- a/daemon/src/test/java/cedarrudder/program/CallerStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/CallerStoriesTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Callers that do wrong, and those beside them that don't. Where patience is long, no close that a test waits
- * for can come of it.
+ * Callers that do wrong, and those beside them that don't. Where patience is long, no close that a
+ * test waits for can come of it.
  */
 public class CallerStoriesTest {
 
@@ -39,7 +39,8 @@
     @Test
     public void bytesThatCantBecomeARequestAreAnsweredAtOnce() throws Exception {
         try (World world = world(PATIENT).start()) {
-            for (String bytes : List.of("\u0016\u0003\u0001\u0002", "\r\n".repeat(9), "SSH-2.0-x\r\n")) {
+            for (String bytes :
+                    List.of("\u0016\u0003\u0001\u0002", "\r\n".repeat(9), "SSH-2.0-x\r\n")) {
                 try (Caller caller = world.caller()) {
                     assertEquals(caller.send(bytes).read().first(), "HTTP/1.1 400 Bad Request");
                     assertNull(caller.read());
@@ -51,7 +52,8 @@
 
     @Test
     public void aCallerThatWaitsForA100GetsOne() throws Exception {
-        try (World world = world(PATIENT).start(); Caller caller = world.caller()) {
+        try (World world = world(PATIENT).start();
+                Caller caller = world.caller()) {
             String rpc = World.rpc("order", "/api", "body", "Expect: 100-continue");
             caller.send(rpc.substring(0, rpc.length() - 4));
             assertEquals(caller.read().first(), "HTTP/1.1 100 Continue");
@@ -67,7 +69,8 @@
     /** Guards against the body of an answer to HEAD being taken for the next answer. */
     @Test
     public void anAnswerToHeadHasNoBody() throws Exception {
-        try (World world = world(PATIENT).start(); Caller caller = world.caller()) {
+        try (World world = world(PATIENT).start();
+                Caller caller = world.caller()) {
             String both = "HEAD /_health HTTP/1.1\r\nHost: a\r\n\r\nGET /api HTTP/1.1\r\n\r\n";
             String all = caller.send(both).readAll();
             assertEquals(all.split("\r\n\r\n").length, 3, all);
@@ -77,9 +80,15 @@
 
     @Test
     public void anAbsoluteTargetReachesANodeAsAPathOfItsHost() throws Exception {
-        try (World world = world(PATIENT).start(); Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", "http://other.example/api?x=1", "", "Connection: X-Mine",
-                    "X-Mine: 1"));
+        try (World world = world(PATIENT).start();
+                Caller caller = world.caller()) {
+            caller.send(
+                    World.rpc(
+                            "lookup",
+                            "http://other.example/api?x=1",
+                            "",
+                            "Connection: X-Mine",
+                            "X-Mine: 1"));
             Received call = world.call();
             assertEquals(call.first(), "GET /api?x=1 HTTP/1.1");
             assertEquals(call.field("Host"), "other.example");
@@ -89,16 +98,22 @@
         }
     }
 
-    /** Guards against answers piling up in memory for a caller that sends requests and reads none of them. */
+    /**
+     * Guards against answers piling up in memory for a caller that sends requests and reads none of
+     * them.
+     */
     @Test
     public void whoReadsNoAnswersIsAskedForNoMoreAndClosed() throws Exception {
         AtomicInteger served = new AtomicInteger();
         try (World world = world("[callers]\nanswer_patience_ms = 500\n").start();
-                Caller deaf = world.caller(); Caller good = world.caller()) {
-            Nodes.play(world, call -> {
-                served.incrementAndGet();
-                call.reply("200 OK", "x".repeat(LARGE));
-            });
+                Caller deaf = world.caller();
+                Caller good = world.caller()) {
+            Nodes.play(
+                    world,
+                    call -> {
+                        served.incrementAndGet();
+                        call.reply("200 OK", "x".repeat(LARGE));
+                    });
             for (int i = 0; i < UNREAD; i++) {
                 deaf.send(World.rpc("lookup", "/api", "").replace("id-1", "deaf-" + i));
             }
@@ -124,13 +139,19 @@
     @Test
     public void atItsBoundTheProxyClosesHalfRequests() throws Exception {
         List<Caller> half = new ArrayList<>();
-        try (World world = world(PATIENT + "silent_patience_ms = 60000\n")
-                .with("\"sockets\": 1024", "\"sockets\": 16").start(); Caller waiting = world.caller()) {
+        try (World world =
+                        world(PATIENT + "silent_patience_ms = 60000\n")
+                                .with("\"sockets\": 1024", "\"sockets\": 16")
+                                .start();
+                Caller waiting = world.caller()) {
             waiting.send(World.rpc("order", "/api", "x"));
             Received call = world.call();
             for (int i = 0; i < 10; i++) {
-                // That the first is answered shows that the half behind it, of the same piece, was read.
-                half.add(world.caller().send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\nPOST /api HTT"));
+                // That the first is answered shows that the half behind it, of the same piece, was
+                // read.
+                half.add(
+                        world.caller()
+                                .send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\nPOST /api HTT"));
                 assertEquals(half.get(i).read().body(), "ready\n");
             }
             try (Caller late = world.caller()) {
