--- a/daemon/src/test/java/cedarrudder/program/ChainIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ChainIT.java
@@ -25,8 +25,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Three tiers of the built jar, a process each, with nodes that call down and copy the fields. What is
- * counted are the attempts that reach nodes, for each tree: all that one first request of a client causes.
+ * Three tiers of the built jar, a process each, with nodes that call down and copy the fields. What
+ * is counted are the attempts that reach nodes, for each tree: all that one first request of a
+ * client causes.
  */
 public class ChainIT {
 
@@ -62,10 +63,14 @@
 
         Chain(boolean budgets, Nodes.Node lastTier) throws Exception {
             for (int tier = 0; tier < TIERS; tier++) {
-                World world = new World(NODES)
-                        .with("\"layer\": 0, \"tiers\": [\"api\"]",
-                                "\"layer\": " + tier + ", \"tiers\": [\"front\", \"core\", \"link\"]")
-                        .with("\"max-attempts\": 3", "\"max-attempts\": 4");
+                World world =
+                        new World(NODES)
+                                .with(
+                                        "\"layer\": 0, \"tiers\": [\"api\"]",
+                                        "\"layer\": "
+                                                + tier
+                                                + ", \"tiers\": [\"front\", \"core\", \"link\"]")
+                                .with("\"max-attempts\": 3", "\"max-attempts\": 4");
                 worlds.add(world);
                 processes.add(serve(world, budgets));
             }
@@ -74,14 +79,16 @@
             }
             for (int tier = 0; tier < TIERS; tier++) {
                 int own = tier;
-                Nodes.play(worlds.get(tier), call -> {
-                    tree(call).attempts.incrementAndGet(own);
-                    if (CALLS[own] == 0) {
-                        lastTier.serve(call);
-                    } else {
-                        callDown(own, call);
-                    }
-                });
+                Nodes.play(
+                        worlds.get(tier),
+                        call -> {
+                            tree(call).attempts.incrementAndGet(own);
+                            if (CALLS[own] == 0) {
+                                lastTier.serve(call);
+                            } else {
+                                callDown(own, call);
+                            }
+                        });
             }
         }
 
@@ -93,8 +100,16 @@
             Received answer = null;
             for (int i = 0; i < CALLS[tier]; i++) {
                 tree(call).calls.incrementAndGet(tier + 1);
-                answer = Nodes.call(worlds.get(tier + 1).port, call, Nodes.copied(call, "Cedar-Budget",
-                        "Cedar-Path", "Test-Tree", "Req-Cost"));
+                answer =
+                        Nodes.call(
+                                worlds.get(tier + 1).port,
+                                call,
+                                Nodes.copied(
+                                        call,
+                                        "Cedar-Budget",
+                                        "Cedar-Path",
+                                        "Test-Tree",
+                                        "Req-Cost"));
                 if (!answer.first().contains(" 200 ")) {
                     break;
                 }
@@ -106,8 +121,10 @@
         Received ask(Caller caller, String kind, int number) throws IOException {
             String name = kind + "-" + number;
             trees.computeIfAbsent(name, added -> new Tree()).calls.incrementAndGet(0);
-            caller.send(World.rpc(kind, "/api", "", "Test-Tree: " + name, "Req-Cost: 20000")
-                    .replace("id-1", name).replace("30000", "2000"));
+            caller.send(
+                    World.rpc(kind, "/api", "", "Test-Tree: " + name, "Req-Cost: 20000")
+                            .replace("id-1", name)
+                            .replace("30000", "2000"));
             return caller.read();
         }
 
@@ -133,21 +150,32 @@
         Files.writeString(configuration, world.configuration());
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, budgets ? "[budget]\ntries = " + TRIES + "\n" : "");
-        ProcessBuilder builder = new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-jar",
-                "daemon/target/cedarrudder.jar", "serve", "--operator", operator.toString())
-                .redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-jar",
+                                "daemon/target/cedarrudder.jar",
+                                "serve",
+                                "--operator",
+                                operator.toString())
+                        .redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", configuration.toString());
         return builder.start();
     }
 
     private static void awaitListening(Process process) throws IOException, InterruptedException {
-        BufferedReader lines = new BufferedReader(
-                new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        Await.line("a start of the chain's proxy", process, lines, line -> line.contains("proxy.listens"));
+        BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        Await.line(
+                "a start of the chain's proxy",
+                process,
+                lines,
+                line -> line.contains("proxy.listens"));
         // Read on, so that a full pipe never stops the proxy.
-        Nodes.daemon(() -> lines.lines().forEach(each -> { }));
+        Nodes.daemon(() -> lines.lines().forEach(each -> {}));
     }
 
     /** What a run came to; attempts are counted where they reach nodes. */
@@ -155,8 +183,12 @@
 
         @Override
         public String toString() {
-            return "attempts a first try " + Arrays.toString(multiples) + ", most further attempts of a tree "
-                    + most + ", served " + served;
+            return "attempts a first try "
+                    + Arrays.toString(multiples)
+                    + ", most further attempts of a tree "
+                    + most
+                    + ", served "
+                    + served;
         }
     }
 
@@ -180,7 +212,10 @@
         return new Run(multiples, most, served);
     }
 
-    /** What fails at the last tier is tried again there, and then a tier up with all below, and so on. */
+    /**
+     * What fails at the last tier is tried again there, and then a tier up with all below, and so
+     * on.
+     */
     @Test
     public void oneFirstRequestCostsNoMoreThanItsBudgetWhereAllAttemptsFail() throws Exception {
         for (boolean budgets : new boolean[] {true, false}) {
@@ -193,9 +228,12 @@
         }
     }
 
-    /** One of four nodes of the last tier answers after 400 ms: each tier finds its answers late. */
+    /**
+     * One of four nodes of the last tier answers after 400 ms: each tier finds its answers late.
+     */
     @Test
-    public void attemptsAtEachTierStayWithinTheStatedMultipleWhenALastTierNodeTurnsSlow() throws Exception {
+    public void attemptsAtEachTierStayWithinTheStatedMultipleWhenALastTierNodeTurnsSlow()
+            throws Exception {
         int requests = 80;
         for (boolean budgets : new boolean[] {true, false}) {
             Chain[] made = new Chain[1];
@@ -205,7 +243,8 @@
                 System.out.println("a slow node, budgets " + budgets + ": " + run);
                 double first = requests;
                 for (int tier = 0; tier < TIERS && budgets; tier++) {
-                    // The stated bound: a share of 0.2, and 5 in a window; the run takes less than three.
+                    // The stated bound: a share of 0.2, and 5 in a window; the run takes less than
+                    // three.
                     assertTrue(run.multiples[tier] <= 1.2 + 15 / first, run.toString());
                     first *= CALLS[tier];
                 }
@@ -215,24 +254,31 @@
     }
 
     /**
-     * Work that the last tier can't do is turned away by the first, the least worth first, and let in again.
+     * Work that the last tier can't do is turned away by the first, the least worth first, and let
+     * in again.
      */
     @Test
     public void overloadOfTheLastTierIsFeltAtTheFirstAndOverWhenItIs() throws Exception {
         AtomicBoolean overloaded = new AtomicBoolean(true);
-        try (Chain chain = new Chain(true, call -> {
-            if (overloaded.get()) {
-                call.reply("503 Full", "", "Srv-Declined: 1");
-            } else {
-                call.reply("200 OK", "done");
-            }
-        }); Caller caller = chain.worlds.get(0).caller()) {
+        try (Chain chain =
+                        new Chain(
+                                true,
+                                call -> {
+                                    if (overloaded.get()) {
+                                        call.reply("503 Full", "", "Srv-Declined: 1");
+                                    } else {
+                                        call.reply("200 OK", "done");
+                                    }
+                                });
+                Caller caller = chain.worlds.get(0).caller()) {
             int next = 0;
             boolean turnedAway = false;
             while (!turnedAway) {
                 assertTrue(++next < 5_000, "the first tier lets in whatever comes");
                 // Lookups are worth more for their work than orders.
-                assertEquals(chain.ask(caller, "lookup", next).first(), "HTTP/1.1 503 Service Unavailable");
+                assertEquals(
+                        chain.ask(caller, "lookup", next).first(),
+                        "HTTP/1.1 503 Service Unavailable");
                 assertTrue(!chain.unsent("lookup", next), "the best went first");
                 chain.ask(caller, "order", next);
                 turnedAway = chain.unsent("order", next);
@@ -242,17 +288,22 @@
             while (served < 20) {
                 assertTrue(++next < 10_000, "it never comes back");
                 chain.ask(caller, "lookup", next);
-                served = chain.ask(caller, "order", next).first().contains(" 200 ") ? served + 1 : 0;
+                served =
+                        chain.ask(caller, "order", next).first().contains(" 200 ") ? served + 1 : 0;
             }
         }
     }
 
     private static void answerLater(Chain chain, Received call) {
-        boolean slow = call.socket().getLocalPort() == chain.worlds.get(TIERS - 1).nodes.get(0)
-                .server.getLocalPort();
-        chain.clock.schedule(() -> {
-            call.reply("200 OK", "done");
-            return null;
-        }, slow ? 400 : 5, TimeUnit.MILLISECONDS);
+        boolean slow =
+                call.socket().getLocalPort()
+                        == chain.worlds.get(TIERS - 1).nodes.get(0).server.getLocalPort();
+        chain.clock.schedule(
+                () -> {
+                    call.reply("200 OK", "done");
+                    return null;
+                },
+                slow ? 400 : 5,
+                TimeUnit.MILLISECONDS);
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -24,11 +24,12 @@
 
     /** How the virtual machine's list of loaded classes names the archive that the build made. */
     private static final String FROM_ARCHIVE = "shared objects file (top)";
+
     private static final String JAR = "daemon/target/cedarrudder.jar";
     private static final int PATIENCE_MILLIS = 20_000;
 
     /** What a run came to: where each class came from, and all that it said. */
-    private record Run(Map<String, String> sources, String out, String err) { }
+    private record Run(Map<String, String> sources, String out, String err) {}
 
     /** Starts the command, waits until the proxy is ready, serves an RPC and ends it. */
     private static Run run(String command) throws IOException, InterruptedException {
@@ -38,13 +39,22 @@
         Path configuration = Files.createTempFile("cedarrudder", ".json");
         try (World world = new World(1)) {
             Files.writeString(configuration, world.configuration());
-            ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c",
-                    command.replaceFirst("^exec java ", "exec java -Xlog:class+load:file=" + loaded + " "))
-                    .redirectOutput(out.toFile()).redirectError(err.toFile());
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                                    "/bin/sh",
+                                    "-c",
+                                    command.replaceFirst(
+                                            "^exec java ",
+                                            "exec java -Xlog:class+load:file=" + loaded + " "))
+                            .redirectOutput(out.toFile())
+                            .redirectError(err.toFile());
             builder.environment().put("BALANCER_CONFIG", configuration.toString());
             // The Java that made the archive: another one would not take it.
-            builder.environment().merge("PATH", Path.of(System.getProperty("java.home"), "bin").toString(),
-                    (path, own) -> own + File.pathSeparator + path);
+            builder.environment()
+                    .merge(
+                            "PATH",
+                            Path.of(System.getProperty("java.home"), "bin").toString(),
+                            (path, own) -> own + File.pathSeparator + path);
             Process process = builder.start();
             try {
                 for (int i = 0; !Files.readString(err).contains("proxy.listens"); i++) {
@@ -63,7 +73,8 @@
             Map<String, String> sources = new HashMap<>();
             for (String line : Files.readAllLines(loaded, StandardCharsets.UTF_8)) {
                 // [0.042s][info][class,load] cedarrudder.Decide source: shared objects file (top)
-                String[] parts = line.substring(line.lastIndexOf(']') + 1).strip().split(" source: ");
+                String[] parts =
+                        line.substring(line.lastIndexOf(']') + 1).strip().split(" source: ");
                 if (parts.length == 2) {
                     sources.put(parts[0], parts[1]);
                 }
@@ -88,15 +99,24 @@
             throws Exception {
         Run run = run(command());
         assertEquals(run.out, "");
-        for (String name : List.of("cedarrudder.program.Main", "cedarrudder.program.Proxy",
-                "cedarrudder.Decide", "cedarrudder.routing.Driver", "cedarrudder.transport.Listener",
-                "cedarrudder.logging.Logger", "io.netty.channel.nio.NioEventLoop")) {
+        for (String name :
+                List.of(
+                        "cedarrudder.program.Main",
+                        "cedarrudder.program.Proxy",
+                        "cedarrudder.Decide",
+                        "cedarrudder.routing.Driver",
+                        "cedarrudder.transport.Listener",
+                        "cedarrudder.logging.Logger",
+                        "io.netty.channel.nio.NioEventLoop")) {
             assertEquals(run.sources.get(name), FROM_ARCHIVE, name);
         }
         // Netty's bridges to logging libraries that are not there can't be archived.
-        List<String> fromJar = run.sources.entrySet().stream()
-                .filter(e -> e.getValue().contains("cedarrudder.jar")).map(Map.Entry::getKey)
-                .filter(name -> !name.startsWith("io.netty.util.internal.logging.")).toList();
+        List<String> fromJar =
+                run.sources.entrySet().stream()
+                        .filter(e -> e.getValue().contains("cedarrudder.jar"))
+                        .map(Map.Entry::getKey)
+                        .filter(name -> !name.startsWith("io.netty.util.internal.logging."))
+                        .toList();
         assertTrue(fromJar.isEmpty(), "the training in deploy/ClassData.java misses " + fromJar);
     }
 
@@ -105,32 +125,49 @@
     public void thePlatformsCommandLoadsNoReaderOfArgumentsAndNoneOfToml() throws Exception {
         Run run = run(command());
         assertNotNull(run.sources.get("cedarrudder.program.Main"));
-        List<String> unwanted = run.sources.keySet().stream().filter(name -> name.startsWith("picocli.")
-                || name.startsWith("org.tomlj.") || name.startsWith("org.antlr.")
-                || name.startsWith("cedarrudder.program.HistoryFile")
-                || name.startsWith("cedarrudder.drainage.") || name.startsWith("cedarrudder.conditions.")
-                || name.startsWith("dev.cel.")
-                || name.equals("cedarrudder.transport.Drift")
-                || name.startsWith("cedarrudder.footprint.")
-                || name.startsWith("cedarrudder.protocol.ListGate")
-                || name.equals("cedarrudder.program.MachineLayout")
-                || name.startsWith("cedarrudder.agreement.") || name.startsWith("cedarrudder.fleet.")
-                || name.startsWith("cedarrudder.table.") || name.equals("cedarrudder.transport.Fleet")
-                || name.equals("cedarrudder.program.Failovers")
-                || name.startsWith("cedarrudder.failover.")
-                || name.equals("cedarrudder.program.Together")
-                || name.equals("cedarrudder.program.FileStore")
-                || name.startsWith("cedarrudder.program.CopyEstimate")
-                || name.equals("cedarrudder.transport.Membership")).toList();
+        List<String> unwanted =
+                run.sources.keySet().stream()
+                        .filter(
+                                name ->
+                                        name.startsWith("picocli.")
+                                                || name.startsWith("org.tomlj.")
+                                                || name.startsWith("org.antlr.")
+                                                || name.startsWith(
+                                                        "cedarrudder.program.HistoryFile")
+                                                || name.startsWith("cedarrudder.drainage.")
+                                                || name.startsWith("cedarrudder.conditions.")
+                                                || name.startsWith("dev.cel.")
+                                                || name.equals("cedarrudder.transport.Drift")
+                                                || name.startsWith("cedarrudder.footprint.")
+                                                || name.startsWith("cedarrudder.protocol.ListGate")
+                                                || name.equals("cedarrudder.program.MachineLayout")
+                                                || name.startsWith("cedarrudder.agreement.")
+                                                || name.startsWith("cedarrudder.fleet.")
+                                                || name.startsWith("cedarrudder.table.")
+                                                || name.equals("cedarrudder.transport.Fleet")
+                                                || name.equals("cedarrudder.program.Failovers")
+                                                || name.startsWith("cedarrudder.failover.")
+                                                || name.equals("cedarrudder.program.Together")
+                                                || name.equals("cedarrudder.program.FileStore")
+                                                || name.startsWith(
+                                                        "cedarrudder.program.CopyEstimate")
+                                                || name.equals("cedarrudder.transport.Membership"))
+                        .toList();
         assertEquals(unwanted, List.of(), unwanted.toString());
     }
 
-    /** The trap: the archive serves only the jar it was trained with. Were it left out, this must show. */
+    /**
+     * The trap: the archive serves only the jar it was trained with. Were it left out, this must
+     * show.
+     */
     @Test
     public void aJarElsewhereIsSeenToLeaveTheArchiveOut() throws Exception {
         Path copy = Files.createTempFile("cedarrudder", ".jar");
         try {
-            Files.copy(Path.of(JAR), copy, StandardCopyOption.REPLACE_EXISTING,
+            Files.copy(
+                    Path.of(JAR),
+                    copy,
+                    StandardCopyOption.REPLACE_EXISTING,
                     StandardCopyOption.COPY_ATTRIBUTES);
             Run run = run(command().replace("-jar " + JAR, "-jar " + copy));
             assertNotNull(run.sources.get("cedarrudder.Decide"));
--- a/daemon/src/test/java/cedarrudder/program/Collecting.java
+++ b/daemon/src/test/java/cedarrudder/program/Collecting.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 
 /**
- * The daemon with a thread beside it that collects without end once a file is there, and says each time that
- * more lives than ever. The program moves on for a millisecond between two collections, so that hardly a
- * peak is missed.
+ * The daemon with a thread beside it that collects without end once a file is there, and says each
+ * time that more lives than ever. The program moves on for a millisecond between two collections,
+ * so that hardly a peak is missed.
  */
 final class Collecting {
 
@@ -15,27 +15,29 @@
 
     private static final String SAYS = "most ";
 
-    private Collecting() { }
+    private Collecting() {}
 
     public static void main(String[] args) throws Exception {
         Path file = Path.of(System.getProperty(FILE));
-        Thread collecting = new Thread(() -> {
-            try {
-                while (!Files.exists(file)) {
-                    Thread.sleep(10);
-                }
-                for (long most = 0;;) {
-                    Thread.sleep(1); // or a list of 10,000 takes minutes
-                    long now = CopyEstimate.live();
-                    if (now > most) {
-                        most = now;
-                        System.err.println(SAYS + now);
-                    }
-                }
-            } catch (InterruptedException e) {
-                // nobody does
-            }
-        });
+        Thread collecting =
+                new Thread(
+                        () -> {
+                            try {
+                                while (!Files.exists(file)) {
+                                    Thread.sleep(10);
+                                }
+                                for (long most = 0; ; ) {
+                                    Thread.sleep(1); // or a list of 10,000 takes minutes
+                                    long now = CopyEstimate.live();
+                                    if (now > most) {
+                                        most = now;
+                                        System.err.println(SAYS + now);
+                                    }
+                                }
+                            } catch (InterruptedException e) {
+                                // nobody does
+                            }
+                        });
         collecting.setDaemon(true);
         collecting.start();
         Main.main(args);
--- a/daemon/src/test/java/cedarrudder/program/FaultStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultStoriesTest.java
@@ -31,21 +31,29 @@
 
     private static String upload(String id) {
         return World.rpc("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
-                .replace("Content-Length: 0\r\n", "").replace("id-1", id);
+                .replace("Content-Length: 0\r\n", "")
+                .replace("id-1", id);
     }
 
     /**
-     * Guards against an account that fills up for good: what had been read of a body, and was never taken
-     * by a node, stayed in it, 64 KiB each time, and after some 300 times every body was refused.
+     * Guards against an account that fills up for good: what had been read of a body, and was never
+     * taken by a node, stayed in it, 64 KiB each time, and after some 300 times every body was
+     * refused.
      */
     @Test
     public void aBodyThatNoNodeTookIsNotHeldAfterItsAnswer() throws Exception {
         try (World world = new World(1).withAdmin()) {
-            world.nodes.get(0).close(); // first: guards against a probe's connection to it that stays
+            world.nodes
+                    .get(0)
+                    .close(); // first: guards against a probe's connection to it that stays
             world.start();
             for (int i = 0; i < 20; i++) {
                 try (Caller caller = world.caller()) {
-                    caller.send(upload("whole-" + i) + "10064\r\n" + "x".repeat(0x10064) + "\r\n0\r\n\r\n");
+                    caller.send(
+                            upload("whole-" + i)
+                                    + "10064\r\n"
+                                    + "x".repeat(0x10064)
+                                    + "\r\n0\r\n\r\n");
                     assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
                 }
             }
@@ -54,10 +62,13 @@
         }
     }
 
-    /** Guards against memory that nothing bounds: many requests of 64 KiB each, whole and under way. */
+    /**
+     * Guards against memory that nothing bounds: many requests of 64 KiB each, whole and under way.
+     */
     @Test
     public void aWholeBodyIsHeldInTheAccountUntilItsAnswer() throws Exception {
-        try (World world = new World(1).withAdmin().start(); Caller caller = world.caller()) {
+        try (World world = new World(1).withAdmin().start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x".repeat(1000)));
             Received call = world.call();
             assertEquals(figure(world, "held_bytes"), 1000);
@@ -67,24 +78,34 @@
         }
     }
 
-    /** Guards against two answers to one request: that its node lost it, and that it can't be read. */
+    /**
+     * Guards against two answers to one request: that its node lost it, and that it can't be read.
+     */
     @Test
     public void aRequestThatIsSpoiltWithinItsBodyGetsOneAnswer() throws Exception {
-        try (World world = new World(1).withAdmin().start(); Caller caller = world.caller()) {
+        try (World world = new World(1).withAdmin().start();
+                Caller caller = world.caller()) {
             caller.send(upload("spoilt") + "13880\r\n" + "x".repeat(80_000) + "\r\n");
             world.call();
             caller.send("what\r\n");
             assertEquals(caller.readAll().split("HTTP/1.1 ", -1).length - 1, 1, "answers");
             awaitFigure(world, "open_requests", 0);
-            assertEquals(JsonObject.parse(world.operator("GET", "/-/metrics").body()).child("operations")
-                    .child("order").whole("left"), 1);
+            assertEquals(
+                    JsonObject.parse(world.operator("GET", "/-/metrics").body())
+                            .child("operations")
+                            .child("order")
+                            .whole("left"),
+                    1);
         }
     }
 
-    /** Guards against a load that another process reported, at the address that the node had before. */
+    /**
+     * Guards against a load that another process reported, at the address that the node had before.
+     */
     @Test
     public void aProbesAnswerFromTheAddressThatANodeHadBeforeIsNotTaken() throws Exception {
-        try (World world = new World(2).start(); Caller caller = world.caller()) {
+        try (World world = new World(2).start();
+                Caller caller = world.caller()) {
             world.probesWait = true;
             Received watch = World.await(world.lookups);
             watch.raw(World.STREAM);
@@ -93,18 +114,25 @@
             Received slow = null;
             for (int i = 0; quick == null || slow == null; i++) {
                 call(world, caller, "early-" + i);
-                for (Received probe = world.probes.poll(); probe != null; probe = world.probes.poll()) {
+                for (Received probe = world.probes.poll();
+                        probe != null;
+                        probe = world.probes.poll()) {
                     boolean first = probe.socket().getLocalPort() == former.server.getLocalPort();
                     quick = first && quick == null ? probe : quick;
                     slow = first || slow != null ? slow : probe;
                 }
             }
             world.nodes.set(0, world.new Peer(world.calls));
-            watch.chunk("{\"version\":2,\"full\":true,\"servers\":[" + world.entries("in_service") + "]}\n");
+            watch.chunk(
+                    "{\"version\":2,\"full\":true,\"servers\":["
+                            + world.entries("in_service")
+                            + "]}\n");
             quick.reply("200 OK", "TEXT latency_ms=1, inflight=0");
             slow.reply("200 OK", "TEXT latency_ms=900, inflight=9");
             for (int i = 0; i < 10; i++) {
-                assertEquals(call(world, caller, "late-" + i), world.nodes.get(1).server.getLocalPort(),
+                assertEquals(
+                        call(world, caller, "late-" + i),
+                        world.nodes.get(1).server.getLocalPort(),
                         "the only node that is known by a report");
             }
             former.close();
@@ -120,15 +148,21 @@
         return call.socket().getLocalPort();
     }
 
-    /** Guards against a node that breaks off each large answer being used as one that serves well. */
+    /**
+     * Guards against a node that breaks off each large answer being used as one that serves well.
+     */
     @Test
     public void aNodeThatBreaksOffItsAnswersCountsAsFailing() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
             for (int i = 0; i < 8 && figure(world, "out_of_rotation") == 0; i++) {
                 try (Caller caller = world.caller()) {
-                    caller.send(World.rpc("lookup", "/stays-for-test", "").replace("id-1", "large-" + i));
+                    caller.send(
+                            World.rpc("lookup", "/stays-for-test", "")
+                                    .replace("id-1", "large-" + i));
                     Received call = world.call();
-                    call.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
+                    call.raw(
+                            "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
+                                    + "x".repeat(100_000));
                     assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
                     call.socket().close();
                     awaitFigure(world, "open_requests", 0);
@@ -156,20 +190,29 @@
         }
     }
 
-    /** Guards against any part of an answer being served, and against a caller that waits, at every cut. */
+    /**
+     * Guards against any part of an answer being served, and against a caller that waits, at every
+     * cut.
+     */
     @Test
     public void anAnswerThatIsCutAtAnyByteIsServedWholeOrNotAtAll() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
         try (World world = new World(1).withAdmin().start()) {
             for (int cut = 0; cut <= answer.length(); cut++) {
                 try (Caller caller = world.caller()) {
-                    caller.send(World.rpc("order", "/stays-for-test", "x").replace("id-1", "cut-" + cut));
+                    caller.send(
+                            World.rpc("order", "/stays-for-test", "x")
+                                    .replace("id-1", "cut-" + cut));
                     Received call = world.call();
                     call.raw(answer.substring(0, cut));
                     call.socket().close();
                     Received got = caller.read();
-                    assertEquals(got.first() + got.body(), cut < answer.length()
-                            ? "HTTP/1.1 502 Bad Gatewayfailed\n" : "HTTP/1.1 200 OKbody", "cut at " + cut);
+                    assertEquals(
+                            got.first() + got.body(),
+                            cut < answer.length()
+                                    ? "HTTP/1.1 502 Bad Gatewayfailed\n"
+                                    : "HTTP/1.1 200 OKbody",
+                            "cut at " + cut);
                 }
             }
             awaitFigure(world, "open_requests", 0);
@@ -192,11 +235,15 @@
     public void attemptsBeyondTheBoundOnChannelsAreRefusedAndOperatorsAreHeard() throws Exception {
         int sockets = 240;
         int most = sockets / 2 - 48;
-        try (World world = new World(40).with("\"sockets\": 1024", "\"sockets\": " + sockets).withAdmin()
-                .start()) {
+        try (World world =
+                new World(40)
+                        .with("\"sockets\": 1024", "\"sockets\": " + sockets)
+                        .withAdmin()
+                        .start()) {
             List<Caller> crowd = crowd(world, sockets / 2);
             List<Received> calls = calls(world, crowd.size());
-            assertTrue(calls.size() <= most && calls.size() > most / 2, calls.size() + " of " + most);
+            assertTrue(
+                    calls.size() <= most && calls.size() > most / 2, calls.size() + " of " + most);
             assertEquals(world.status("GET", "/-/ready"), 200);
             for (Received call : calls) {
                 call.reply("200 OK", "done");
@@ -234,9 +281,12 @@
     /** Guards against the share of descriptors for idle channels bounding the attempts, too. */
     @Test
     public void theShareOfDescriptorsForIdleChannelsBoundsNoAttempts() throws Exception {
-        try (World world = new World(40).with("\"sockets\": 1024", "\"sockets\": 240")
-                .with(OperatorStoriesTest.operator("[nodes]\ndescriptors_share = 0.05\n")).withAdmin()
-                .start()) {
+        try (World world =
+                new World(40)
+                        .with("\"sockets\": 1024", "\"sockets\": 240")
+                        .with(OperatorStoriesTest.operator("[nodes]\ndescriptors_share = 0.05\n"))
+                        .withAdmin()
+                        .start()) {
             List<Caller> crowd = crowd(world, 30);
             List<Received> calls = calls(world, crowd.size());
             assertEquals(calls.size(), crowd.size(), "at nodes at once");
@@ -252,13 +302,17 @@
     }
 
     /**
-     * Guards against a request that reaches a node long after it was told to drain, since its connection took
-     * as long as the settings allow: the rule on drains ends the wait sooner.
+     * Guards against a request that reaches a node long after it was told to drain, since its
+     * connection took as long as the settings allow: the rule on drains ends the wait sooner.
      */
     @Test
     public void aConnectionIsNotWaitedForLongerThanTheRuleOnDrainsAllows() throws Exception {
-        try (World world = new World(1).with("\"dial-timeout-ns\": 120000000",
-                "\"dial-timeout-ns\": 60000000000"); World.FullNode full = world.new FullNode(0)) {
+        try (World world =
+                        new World(1)
+                                .with(
+                                        "\"dial-timeout-ns\": 120000000",
+                                        "\"dial-timeout-ns\": 60000000000");
+                World.FullNode full = world.new FullNode(0)) {
             world.start();
             try (Caller caller = world.caller()) {
                 caller.send(World.rpc("order", "/api", "x"));
@@ -268,10 +322,13 @@
         }
     }
 
-    /** Guards against an answer that says no length, and that its node breaks off, looking whole. */
+    /**
+     * Guards against an answer that says no length, and that its node breaks off, looking whole.
+     */
     @Test
     public void anAnswerWithoutALengthThatIsResetIsNotAWholeOne() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("lookup", "/stays-for-test", ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(100_000));
@@ -284,20 +341,23 @@
     }
 
     /**
-     * Guards against a caller that waits ten minutes, and memory held as long, for a node that is silent in
-     * the midst of a body: it has no deadline before its end. The bound is 30 s.
+     * Guards against a caller that waits ten minutes, and memory held as long, for a node that is
+     * silent in the midst of a body: it has no deadline before its end. The bound is 30 s.
      */
     @Test
     public void aNodeThatTakesNothingOfABodyIsGivenUp() throws Exception {
-        try (World world = new World(1).withAdmin().start(); Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
-                    .replace("Content-Length: 0\r\n", ""));
+        try (World world = new World(1).withAdmin().start();
+                Caller caller = world.caller()) {
+            caller.send(
+                    World.rpc("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
+                            .replace("Content-Length: 0\r\n", ""));
             byte[] piece = ("10000\r\n" + "x".repeat(65536) + "\r\n").getBytes();
-            Nodes.daemon(() -> {
-                while (true) {
-                    caller.out().write(piece);
-                }
-            });
+            Nodes.daemon(
+                    () -> {
+                        while (true) {
+                            caller.out().write(piece);
+                        }
+                    });
             world.call();
             assertEquals(patiently(caller).first(), "HTTP/1.1 503 Service Unavailable");
             awaitFigure(world, "held_bytes", 0);
@@ -316,14 +376,17 @@
         return caller.read();
     }
 
-    /** Guards against a node that is never asked again for the sake of one answer that never came. */
+    /**
+     * Guards against a node that is never asked again for the sake of one answer that never came.
+     */
     @Test
     public void aProbeThatIsNeverAnsweredFreesItsPlace() throws Exception {
         try (World world = new World(1).start()) {
             world.probesWait = true;
             Received first = World.await(world.probes);
             Received second = World.await(world.probes);
-            assertTrue(first.socket() != second.socket(), "the first one's connection was given up");
+            assertTrue(
+                    first.socket() != second.socket(), "the first one's connection was given up");
             first.awaitEnd();
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/FileStoreTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStoreTest.java
@@ -34,8 +34,8 @@
     private static final Group GROUP = new Group(3, 1, 77);
     private static final Promise FIRST = new Promise(GROUP, 9, 4, new Voter(2, 8), true);
     private static final Promise LATER = new Promise(GROUP, 9, 5, null, true);
-    private static final Snapshot SNAPSHOT = new Snapshot(6, 2, new Voters(List.of(new Voter(1, 9))),
-            new byte[] {1, 2, 3});
+    private static final Snapshot SNAPSHOT =
+            new Snapshot(6, 2, new Voters(List.of(new Voter(1, 9))), new byte[] {1, 2, 3});
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private Path folder;
@@ -56,7 +56,10 @@
         return new Entry(4, Kind.CONTENT, new byte[] {(byte) index, 7});
     }
 
-    /** Two syncs: a promise, a snapshot and entries 7 to 9; then 9 and 10 in other terms, and a promise. */
+    /**
+     * Two syncs: a promise, a snapshot and entries 7 to 9; then 9 and 10 in other terms, and a
+     * promise.
+     */
     private void write() {
         try (FileStore store = open()) {
             assertNull(store.kept());
@@ -80,7 +83,8 @@
         assertEquals(kept.snapshot().index(), 6);
         assertEquals(kept.snapshot().state(), SNAPSHOT.state());
         assertEquals(kept.snapshot().voters(), SNAPSHOT.voters());
-        assertEquals(kept.entries().stream().mapToInt(entry -> entry.bytes()[0]).toArray(), entries);
+        assertEquals(
+                kept.entries().stream().mapToInt(entry -> entry.bytes()[0]).toArray(), entries);
     }
 
     @Test
@@ -96,7 +100,10 @@
         assertEquals(log.toString(), "");
     }
 
-    /** Guards against a store that another build wrote and this one can't open, or the other way round. */
+    /**
+     * Guards against a store that another build wrote and this one can't open, or the other way
+     * round.
+     */
     @Test
     public void theFileIsThatOfTheEarlierBuild() throws IOException {
         write();
@@ -108,7 +115,9 @@
         assertEquals(log.toString(), "");
     }
 
-    /** Wherever the last write ended: all of it counts or none, and what is written next is found. */
+    /**
+     * Wherever the last write ended: all of it counts or none, and what is written next is found.
+     */
     @Test
     public void aTornTailIsCutWhereverItIs() throws IOException {
         write();
@@ -150,7 +159,9 @@
             try (FileStore store = open()) {
                 assertNull(store.kept(), "byte " + at + " of " + last);
                 assertTrue(log.toString().contains("agreement.refused"), "byte " + at + ": " + log);
-                assertTrue(log.toString().contains("byte ") && log.toString().contains("allowed"), "" + log);
+                assertTrue(
+                        log.toString().contains("byte ") && log.toString().contains("allowed"),
+                        "" + log);
                 store.promise(LATER);
                 store.sync();
             }
@@ -164,9 +175,11 @@
     @Test
     public void anotherCopysFileIsRefused() throws IOException {
         write();
-        try (FileStore store = new FileStore(folder, 2, 5, new Logger(new PrintStream(log, true)))) {
+        try (FileStore store =
+                new FileStore(folder, 2, 5, new Logger(new PrintStream(log, true)))) {
             assertNull(store.kept());
-            assertTrue(log.toString().contains("found a file of copy 1; allowed: 2"), log.toString());
+            assertTrue(
+                    log.toString().contains("found a file of copy 1; allowed: 2"), log.toString());
         }
     }
 
@@ -174,13 +187,18 @@
     public void oneProcessUsesAFolder() {
         try (FileStore store = open()) {
             assertNull(store.kept());
-            assertTrue(expectThrows(UncheckedIOException.class, this::open).getMessage()
-                    .contains("another process"));
+            assertTrue(
+                    expectThrows(UncheckedIOException.class, this::open)
+                            .getMessage()
+                            .contains("another process"));
         }
         open().close();
     }
 
-    /** How long the loop stands still for a promise and an entry; {@code -Dstore.syncs} for more of them. */
+    /**
+     * How long the loop stands still for a promise and an entry; {@code -Dstore.syncs} for more of
+     * them.
+     */
     @Test
     public void aSyncIsShort() {
         int syncs = Integer.getInteger("store.syncs", 20);
@@ -195,9 +213,19 @@
             }
         }
         Arrays.sort(took);
-        Reporter.log("syncs " + syncs + ", p50 " + took[syncs / 2] / 1_000 + " us, p99 "
-                + took[syncs * 99 / 100] / 1_000 + " us, most " + took[syncs - 1] / 1_000 + " us", true);
-        assertTrue(took[syncs / 2] < 1_000_000_000L, "a disk that takes " + took[syncs / 2] + " ns");
+        Reporter.log(
+                "syncs "
+                        + syncs
+                        + ", p50 "
+                        + took[syncs / 2] / 1_000
+                        + " us, p99 "
+                        + took[syncs * 99 / 100] / 1_000
+                        + " us, most "
+                        + took[syncs - 1] / 1_000
+                        + " us",
+                true);
+        assertTrue(
+                took[syncs / 2] < 1_000_000_000L, "a disk that takes " + took[syncs / 2] + " ns");
     }
 
     /** Guards against a file that grows for as long as the copy lives. */
--- a/daemon/src/test/java/cedarrudder/program/FirstByteStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteStoriesTest.java
@@ -17,9 +17,9 @@
 import org.testng.annotations.Test;
 
 /**
- * What may still go out when a connection comes up long after it was asked for, or a request has waited: its
- * caller may have left, its node may drain, its time or the window of its repeats may be over. The nodes'
- * queues of connections are held full until the test opens them.
+ * What may still go out when a connection comes up long after it was asked for, or a request has
+ * waited: its caller may have left, its node may drain, its time or the window of its repeats may
+ * be over. The nodes' queues of connections are held full until the test opens them.
  */
 public class FirstByteStoriesTest {
 
@@ -27,9 +27,13 @@
 
     /** A proxy that waits up to 10 s for a connection, and makes none for probes. */
     private static World world(int nodes) throws IOException {
-        return new World(nodes).with("\"dial-timeout-ns\": 120000000", "\"dial-timeout-ns\": 60000000000")
-                .with("\"stop-sending-within-ns\": 2000000000", "\"stop-sending-within-ns\": 20000000000")
-                .with("\"probes\": true", "\"probes\": false").withAdmin();
+        return new World(nodes)
+                .with("\"dial-timeout-ns\": 120000000", "\"dial-timeout-ns\": 60000000000")
+                .with(
+                        "\"stop-sending-within-ns\": 2000000000",
+                        "\"stop-sending-within-ns\": 20000000000")
+                .with("\"probes\": true", "\"probes\": false")
+                .withAdmin();
     }
 
     private static String rpc(String kind, String id) {
@@ -65,8 +69,8 @@
     // ---- its caller has left ----
 
     /**
-     * Guards against an attempt that begins for nobody, as the settings may forbid to call off what has
-     * begun; and against a connection that its node has paid for being thrown away.
+     * Guards against an attempt that begins for nobody, as the settings may forbid to call off what
+     * has begun; and against a connection that its node has paid for being thrown away.
      */
     @Test(dataProvider = "mayCancel")
     public void whatIsSentOnALateConnectionIsNotOfACallerThatLeft(boolean cancel) throws Exception {
@@ -125,15 +129,19 @@
 
     /** An RPC with more behind it than is read ahead: of further RPCs, or of its own body. */
     private static String muchAtOnce(String id, boolean flows) {
-        String chunked = World.rpc("order", "/api", "", "Transfer-Encoding: chunked")
-                .replace("Content-Length: 0\r\n", "").replace("id-1", id);
-        return flows ? chunked + "30d40\r\n" + "x".repeat(200_000) + "\r\n0\r\n\r\n"
+        String chunked =
+                World.rpc("order", "/api", "", "Transfer-Encoding: chunked")
+                        .replace("Content-Length: 0\r\n", "")
+                        .replace("id-1", id);
+        return flows
+                ? chunked + "30d40\r\n" + "x".repeat(200_000) + "\r\n0\r\n\r\n"
                 : rpc("order", id) + rpc("lookup", id + "-next").repeat(1_500);
     }
 
     private static void awaitUnseen(long from) throws Exception {
-        Await.until("more than an attempt may be late", () -> System.nanoTime() - from
-                > TimeUnit.MILLISECONDS.toNanos(100));
+        Await.until(
+                "more than an attempt may be late",
+                () -> System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(100));
     }
 
     @DataProvider
@@ -141,10 +149,15 @@
         return new Object[][] {{false, false}, {false, true}, {true, false}, {true, true}};
     }
 
-    /** Guards against an attempt for a caller whose end stands behind more than there is room to read. */
+    /**
+     * Guards against an attempt for a caller whose end stands behind more than there is room to
+     * read.
+     */
     @Test(dataProvider = "endsBehindMuch")
-    public void nothingBeginsForACallerWhoseEndCouldNotBeSeen(boolean flows, boolean reset) throws Exception {
-        try (World world = world(1); FullNode full = world.new FullNode(0)) {
+    public void nothingBeginsForACallerWhoseEndCouldNotBeSeen(boolean flows, boolean reset)
+            throws Exception {
+        try (World world = world(1);
+                FullNode full = world.new FullNode(0)) {
             world.start();
             Caller leaves = world.caller().send(muchAtOnce("leaves", flows));
             awaitOpen(world, 1);
@@ -164,15 +177,19 @@
         }
     }
 
-    /** The price of that: one who stays, and sent so much ahead, is told that its RPC did not run. */
+    /**
+     * The price of that: one who stays, and sent so much ahead, is told that its RPC did not run.
+     */
     @Test
     public void whoSentMuchAheadAndStaysIsRefusedOnceAndThenServed() throws Exception {
         int behind = 2_000;
-        try (World world = world(1); FullNode full = world.new FullNode(0)) {
+        try (World world = world(1);
+                FullNode full = world.new FullNode(0)) {
             world.start();
             try (Caller caller = world.caller()) {
-                caller.send(rpc("order", "first")
-                        + "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".repeat(behind));
+                caller.send(
+                        rpc("order", "first")
+                                + "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".repeat(behind));
                 awaitOpen(world, 1);
                 awaitUnseen(System.nanoTime());
                 full.open();
@@ -242,19 +259,21 @@
     }
 
     /**
-     * Discovery: each watch gets the list of the moment and all later ones. Guards against a story that tells
-     * a watch which the proxy has given up, since it was not answered while the proxy started.
+     * Discovery: each watch gets the list of the moment and all later ones. Guards against a story
+     * that tells a watch which the proxy has given up, since it was not answered while the proxy
+     * started.
      */
     private static final class Discovery {
         private final List<Received> watches = new ArrayList<>();
         private String list = "";
 
         Discovery(World world) {
-            Nodes.daemon(() -> {
-                while (true) {
-                    add(world.lookups.take());
-                }
-            });
+            Nodes.daemon(
+                    () -> {
+                        while (true) {
+                            add(world.lookups.take());
+                        }
+                    });
         }
 
         private synchronized void add(Received watch) {
@@ -288,7 +307,10 @@
         return new Object[][] {{"terminating"}, {"omitted"}};
     }
 
-    /** Guards against a request that reaches a node long after it was told to drain, or left the list. */
+    /**
+     * Guards against a request that reaches a node long after it was told to drain, or left the
+     * list.
+     */
     @Test(dataProvider = "waysToLeave")
     public void aLateConnectionToANodeThatHasLeftCarriesNothing(String how) throws Exception {
         try (World world = world(2)) {
@@ -296,14 +318,21 @@
             FullNode full = world.new FullNode(0);
             world.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
             Discovery discovery = new Discovery(world);
-            try (Caller late = world.caller(); Caller caller = world.caller()) {
+            try (Caller late = world.caller();
+                    Caller caller = world.caller()) {
                 late.send(rpc("order", "late"));
                 awaitOpen(world, 1);
-                discovery.tell(list(7, (how.equals("omitted") ? ""
-                        : entries[0].replace("in_service", how) + ",") + entries[1]));
+                discovery.tell(
+                        list(
+                                7,
+                                (how.equals("omitted")
+                                                ? ""
+                                                : entries[0].replace("in_service", how) + ",")
+                                        + entries[1]));
                 Received call = world.call();
                 assertEquals(call.field("Req-Id"), "late");
-                assertEquals(call.socket().getLocalPort(), world.nodes.get(1).server.getLocalPort());
+                assertEquals(
+                        call.socket().getLocalPort(), world.nodes.get(1).server.getLocalPort());
                 call.reply("200 OK", "elsewhere");
                 assertEquals(late.read().body(), "elsewhere");
                 full.open();
@@ -324,15 +353,18 @@
     }
 
     /**
-     * Guards against a request that is lost on an idle connection to what its node was before it started
-     * anew under the same id and address, where its machine had vanished without a word; and against a
-     * connection that is of this life being thrown away. While an RPC is out there the module closes none.
+     * Guards against a request that is lost on an idle connection to what its node was before it
+     * started anew under the same id and address, where its machine had vanished without a word;
+     * and against a connection that is of this life being thrown away. While an RPC is out there
+     * the module closes none.
      */
     @Test(dataProvider = "startsOfANode")
     public void aConnectionFromBeforeItsNodesStartCarriesNothing(boolean before) throws Exception {
-        try (World world = world(1).with("\"ramp-time-ns\": 10000000000", "\"ramp-time-ns\": 1").start()) {
+        try (World world =
+                world(1).with("\"ramp-time-ns\": 10000000000", "\"ramp-time-ns\": 1").start()) {
             Discovery discovery = new Discovery(world);
-            try (Caller hangs = world.caller(); Caller caller = world.caller()) {
+            try (Caller hangs = world.caller();
+                    Caller caller = world.caller()) {
                 long earlier = System.currentTimeMillis() - 1_000;
                 hangs.send(rpc("order", "hangs"));
                 world.call();
@@ -341,46 +373,66 @@
                 long served = System.currentTimeMillis();
                 Await.until("a later millisecond", () -> System.currentTimeMillis() > served + 1);
                 long started = before ? System.currentTimeMillis() : earlier;
-                discovery.tell(list(7, world.entries("in_service").replace("\"started_ms\":0",
-                        "\"started_ms\":" + started) + ",{\"id\":\"told\",\"addr\":\"127.0.0.1:9\","
-                        + "\"state\":\"terminating\"}"));
+                discovery.tell(
+                        list(
+                                7,
+                                world.entries("in_service")
+                                                .replace(
+                                                        "\"started_ms\":0",
+                                                        "\"started_ms\":" + started)
+                                        + ",{\"id\":\"told\",\"addr\":\"127.0.0.1:9\","
+                                        + "\"state\":\"terminating\"}"));
                 Await.until("the list", () -> figures(world).whole("out_of_rotation") == 1);
                 caller.send(rpc("order", "second"));
-                assertEquals(serve(world, caller, "second").socket() != first, before, "another connection");
+                assertEquals(
+                        serve(world, caller, "second").socket() != first,
+                        before,
+                        "another connection");
             }
         }
     }
 
     /**
-     * Guards against a request on a connection that its node may have closed already, since it was idle for
-     * as long as the settings say: the pool is looked over only each second.
+     * Guards against a request on a connection that its node may have closed already, since it was
+     * idle for as long as the settings say: the pool is looked over only each second.
      */
     @Test
     public void aConnectionThatWasIdleForTooLongCarriesNothing() throws Exception {
-        try (World world = world(1).with("\"conn-idle-ns\": 30000000000", "\"conn-idle-ns\": 100000000")
-                .start(); Caller caller = world.caller()) {
+        try (World world =
+                        world(1).with(
+                                        "\"conn-idle-ns\": 30000000000",
+                                        "\"conn-idle-ns\": 100000000")
+                                .start();
+                Caller caller = world.caller()) {
             Socket last = null;
             for (int i = 0; i < 5; i++) {
                 caller.send(rpc("order", "rpc-" + i));
                 Socket next = serve(world, caller, "rpc-" + i).socket();
-                assertTrue(next != last, "rpc-" + i + " goes out on a connection that was idle for too long");
+                assertTrue(
+                        next != last,
+                        "rpc-" + i + " goes out on a connection that was idle for too long");
                 last = next;
                 long idleBy = System.nanoTime();
-                Await.until("its time is over", () -> System.nanoTime() - idleBy
-                        > TimeUnit.MILLISECONDS.toNanos(100));
+                Await.until(
+                        "its time is over",
+                        () -> System.nanoTime() - idleBy > TimeUnit.MILLISECONDS.toNanos(100));
             }
         }
     }
 
     // ---- its time is over ----
 
-    /** Guards against an answer that forbids a repeat of what was never sent on: that is no failure. */
+    /**
+     * Guards against an answer that forbids a repeat of what was never sent on: that is no failure.
+     */
     @Test
     public void anRpcWhoseConnectionIsNotUpByItsDeadlineIsRefused() throws Exception {
-        try (World world = world(1); FullNode full = world.new FullNode(0)) {
+        try (World world = world(1);
+                FullNode full = world.new FullNode(0)) {
             world.start();
             try (Caller caller = world.caller()) {
-                caller.send(rpc("order", "short").replace("Deadline-Ms: 30000", "Deadline-Ms: 400"));
+                caller.send(
+                        rpc("order", "short").replace("Deadline-Ms: 30000", "Deadline-Ms: 400"));
                 assertEquals(caller.read().first(), REFUSED);
             }
             assertEquals(figures(world).whole("relayed"), 0);
@@ -391,21 +443,30 @@
     /** Guards against a repeat that begins when nodes have forgotten what ran before. */
     @Test
     public void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotSent() throws Exception {
-        try (World world = world(2).with("\"repeat-window-ns\": 5000000000",
-                "\"repeat-window-ns\": 300000000")) {
+        try (World world =
+                world(2).with(
+                                "\"repeat-window-ns\": 5000000000",
+                                "\"repeat-window-ns\": 300000000")) {
             String[] entries = world.entries("in_service").split("(?<=\\}),");
             FullNode full = world.new FullNode(1);
             world.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
             Discovery discovery = new Discovery(world);
             try (Caller caller = world.caller()) {
-                caller.send(rpc("booking", "keyed").replace("Req-Id", "Idempotency-Key: k\r\nReq-Id"));
+                caller.send(
+                        rpc("booking", "keyed").replace("Req-Id", "Idempotency-Key: k\r\nReq-Id"));
                 Received first = world.call();
                 long sentBy = System.nanoTime();
-                discovery.tell(list(7, entries[0].replace("in_service", "terminating") + "," + entries[1]));
+                discovery.tell(
+                        list(
+                                7,
+                                entries[0].replace("in_service", "terminating")
+                                        + ","
+                                        + entries[1]));
                 Await.until("the list", () -> figures(world).whole("out_of_rotation") == 1);
                 first.reply("500 Internal Server Error", "");
-                Await.until("the window is over", () -> System.nanoTime() - sentBy
-                        > TimeUnit.MILLISECONDS.toNanos(300));
+                Await.until(
+                        "the window is over",
+                        () -> System.nanoTime() - sentBy > TimeUnit.MILLISECONDS.toNanos(300));
                 full.open();
                 assertEquals(caller.read().first(), REFUSED);
                 assertTrue(world.calls.isEmpty());
@@ -418,20 +479,26 @@
     @Test
     public void aNodeIsToldNoMoreThanIsLeftOnceItsConnectionIsUp() throws Exception {
         for (boolean flows : new boolean[] {false, true}) {
-            try (World world = world(1); FullNode full = world.new FullNode(0)) {
+            try (World world = world(1);
+                    FullNode full = world.new FullNode(0)) {
                 world.start();
                 try (Caller caller = world.caller()) {
-                    String chunked = World.rpc("order", "/api", "", "Transfer-Encoding: chunked")
-                            .replace("Content-Length: 0\r\n", "");
-                    caller.send(!flows ? rpc("order", "id-1")
-                            : chunked + "13880\r\n" + "x".repeat(80_000) + "\r\n0\r\n\r\n");
+                    String chunked =
+                            World.rpc("order", "/api", "", "Transfer-Encoding: chunked")
+                                    .replace("Content-Length: 0\r\n", "");
+                    caller.send(
+                            !flows
+                                    ? rpc("order", "id-1")
+                                    : chunked + "13880\r\n" + "x".repeat(80_000) + "\r\n0\r\n\r\n");
                     long sentBy = System.nanoTime();
                     awaitOpen(world, 1);
-                    Await.until("some of its time", () -> System.nanoTime() - sentBy
-                            > TimeUnit.MILLISECONDS.toNanos(300));
+                    Await.until(
+                            "some of its time",
+                            () -> System.nanoTime() - sentBy > TimeUnit.MILLISECONDS.toNanos(300));
                     full.open();
                     int told = Integer.parseInt(world.call().field("Req-Deadline-Ms"));
-                    assertTrue(told <= 30_000 - 300 && told > 15_000, told + " ms, flows: " + flows);
+                    assertTrue(
+                            told <= 30_000 - 300 && told > 15_000, told + " ms, flows: " + flows);
                 }
             }
         }
@@ -439,12 +506,20 @@
 
     // ---- what a reset says ----
 
-    /** Guards against an answer without a length that its node breaks off being served as a whole one. */
+    /**
+     * Guards against an answer without a length that its node breaks off being served as a whole
+     * one.
+     */
     @Test
     public void aResetIsNoEndOfAnAnswer() throws Exception {
         try (World world = world(1).start()) {
-            for (String answer : List.of("", "HTTP/1.1 20", "HTTP/1.1 200 OK\r\n\r\n",
-                    "HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")) {
+            for (String answer :
+                    List.of(
+                            "",
+                            "HTTP/1.1 20",
+                            "HTTP/1.1 200 OK\r\n\r\n",
+                            "HTTP/1.1 200 OK\r\n\r\nhalf",
+                            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")) {
                 try (Caller caller = world.caller()) {
                     caller.send(World.rpc("order", "/stays-for-test", "x"));
                     Received call = world.call();
@@ -456,10 +531,13 @@
         }
     }
 
-    /** Guards against an answer that its node sends twice being taken for that to the next request. */
+    /**
+     * Guards against an answer that its node sends twice being taken for that to the next request.
+     */
     @Test
     public void aSecondAnswerThatComesLateAnswersNothing() throws Exception {
-        try (World world = world(1).start(); Caller caller = world.caller()) {
+        try (World world = world(1).start();
+                Caller caller = world.caller()) {
             caller.send(rpc("order", "first"));
             Received first = serve(world, caller, "first");
             first.reply("200 OK", "first again");
@@ -473,10 +551,12 @@
     /** Guards against a request on a connection that its node has reset while nothing was on it. */
     @Test
     public void aConnectionThatWasResetWhileIdleCarriesNothing() throws Exception {
-        try (World world = world(1).start(); Caller caller = world.caller()) {
+        try (World world = world(1).start();
+                Caller caller = world.caller()) {
             for (int i = 0; i < 5; i++) {
                 caller.send(rpc("order", "rpc-" + i).replace("/api", "/stays-for-test"));
-                serve(world, caller, "rpc-" + i).reset(); // nobody else holds it: the reset is out at once
+                serve(world, caller, "rpc-" + i)
+                        .reset(); // nobody else holds it: the reset is out at once
             }
         }
     }
@@ -484,7 +564,8 @@
     /** Guards against memory and time that go into answers that never begin. */
     @Test
     public void interimAnswersWithoutEndAreNoAnswer() throws Exception {
-        try (World world = world(1).start(); Caller caller = world.caller()) {
+        try (World world = world(1).start();
+                Caller caller = world.caller()) {
             caller.send(rpc("order", "interim"));
             Received call = world.call();
             call.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(17));
@@ -497,7 +578,8 @@
 
     @Test
     public void aCleanEndIsTheEndOfAnAnswerWithoutALength() throws Exception {
-        try (World world = world(1).start(); Caller caller = world.caller()) {
+        try (World world = world(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/stays-for-test", "x"));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
--- a/daemon/src/test/java/cedarrudder/program/FootprintIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintIT.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The built jar with the heap of the platform's command, told a list that is larger than it can load. */
+/**
+ * The built jar with the heap of the platform's command, told a list that is larger than it can
+ * load.
+ */
 public class FootprintIT {
 
     /** Text of some 3.9 MB, which is within what is read, and a peak of 66 MB. */
@@ -25,7 +28,8 @@
     private static String list(World world) {
         String one = world.entries("in_service").split(",\\{")[0];
         String other = "{" + world.entries("terminating").split(",\\{")[1];
-        StringBuilder text = new StringBuilder("{\"version\":3,\"full\":true,\"servers\":[").append(one);
+        StringBuilder text =
+                new StringBuilder("{\"version\":3,\"full\":true,\"servers\":[").append(one);
         for (int i = 0; i < NODES; i++) {
             text.append(',').append(one.replace("\"n0\"", "\"api-" + (100_000 + i) + "\""));
         }
@@ -42,26 +46,36 @@
     private static void tell(World world) {
         String list = list(world);
         assertTrue(list.length() < 4 * 1024 * 1024, "length " + list.length());
-        Nodes.daemon(() -> {
-            while (true) {
-                Received lookup = world.lookups.take();
-                if (lookup.first().contains("follow")) {
-                    lookup.raw(World.STREAM);
-                    lookup.chunk(list);
-                } else {
-                    lookup.reply("200 OK", list);
-                }
-            }
-        });
+        Nodes.daemon(
+                () -> {
+                    while (true) {
+                        Received lookup = world.lookups.take();
+                        if (lookup.first().contains("follow")) {
+                            lookup.raw(World.STREAM);
+                            lookup.chunk(list);
+                        } else {
+                            lookup.reply("200 OK", list);
+                        }
+                    }
+                });
     }
 
-    /** Guards against a proxy that dies of a list, and against one that hears of no drain for its sake. */
+    /**
+     * Guards against a proxy that dies of a list, and against one that hears of no drain for its
+     * sake.
+     */
     @Test
     public void aListThatDoesNotFitIsAppliedAsFarAsItDoesAndCallersAreServed() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, "[footprint]\nask_again_ms = 1000\n");
-        try (World world = new World(3); Version proxy = new Version(world, Files.createTempDirectory("fit"),
-                "", MACHINE, List.of("--operator", operator.toString()))) {
+        try (World world = new World(3);
+                Version proxy =
+                        new Version(
+                                world,
+                                Files.createTempDirectory("fit"),
+                                "",
+                                MACHINE,
+                                List.of("--operator", operator.toString()))) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             tell(world);
             // Told, and then twice more since nodes wait.
@@ -73,8 +87,15 @@
             }
             JsonObject page = JsonObject.parse(proxy.call("GET", "/-/metrics").body());
             JsonObject verdict = page.child("footprint");
-            System.out.println("held " + page.whole("registry_entries") + " of " + verdict.whole("wanted")
-                    + ", needed " + verdict.whole("needed") + ", room " + verdict.whole("room"));
+            System.out.println(
+                    "held "
+                            + page.whole("registry_entries")
+                            + " of "
+                            + verdict.whole("wanted")
+                            + ", needed "
+                            + verdict.whole("needed")
+                            + ", room "
+                            + verdict.whole("room"));
             assertEquals(verdict.whole("wanted"), NODES + 2);
             assertTrue(verdict.whole("needed") > verdict.whole("room"));
             assertEquals(page.whole("registry_entries") + verdict.whole("waits"), NODES + 2);
@@ -87,7 +108,10 @@
         }
     }
 
-    /** Guards against a process that dies of the list in its configuration, or never hears of the rest. */
+    /**
+     * Guards against a process that dies of the list in its configuration, or never hears of the
+     * rest.
+     */
     @Test
     public void aListInTheConfigurationThatDoesNotFitIsLoadedAsFarAsItDoes() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
@@ -106,8 +130,13 @@
             world.with("\"servers\": []", "\"servers\": [" + entries + "]")
                     .with("\"version\": 0", "\"version\": 5");
             Nodes.play(world, call -> call.reply("200 OK", "done"));
-            try (Version proxy = new Version(world, Files.createTempDirectory("fit"), "", MACHINE,
-                    List.of("--operator", operator.toString()))) {
+            try (Version proxy =
+                    new Version(
+                            world,
+                            Files.createTempDirectory("fit"),
+                            "",
+                            MACHINE,
+                            List.of("--operator", operator.toString()))) {
                 proxy.awaitLine("footprint.refused bound=heap_at_");
                 proxy.awaitLine("proxy.listens");
                 for (int i = 0; i < 50; i++) {
@@ -117,7 +146,9 @@
                 long held = page.whole("registry_entries");
                 assertTrue(held > 2_000 && held < nodes, "held " + held);
                 assertEquals(page.child("footprint").whole("waits"), nodes - held);
-                assertTrue(World.await(world.lookups).first().contains("since=0"), "what waits is asked for");
+                assertTrue(
+                        World.await(world.lookups).first().contains("since=0"),
+                        "what waits is asked for");
             }
         }
     }
@@ -125,11 +156,16 @@
     /** Guards against a list that the first test's process could have loaded as it is. */
     @Test
     public void withoutTheTableTheSameListIsSeenToEndOrStallIt() throws Exception {
-        try (World world = new World(3); Version proxy = new Version(world, Files.createTempDirectory("fit"),
-                "", MACHINE, List.of())) {
+        try (World world = new World(3);
+                Version proxy =
+                        new Version(
+                                world, Files.createTempDirectory("fit"), "", MACHINE, List.of())) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             tell(world);
-            Await.line("OutOfMemoryError", proxy.process, proxy.log,
+            Await.line(
+                    "OutOfMemoryError",
+                    proxy.process,
+                    proxy.log,
                     line -> line.contains("OutOfMemoryError"));
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -19,7 +19,10 @@
     private static final double MOST_UNDER = 0.03;
     private static final double MOST_OVER = 0.15;
 
-    /** Of what {@link Held#list} writes: ids of 10 characters, values that differ by address and zone. */
+    /**
+     * Of what {@link Held#list} writes: ids of 10 characters, values that differ by address and
+     * zone.
+     */
     private static ListShape shape(String text, int nodes) {
         long values = 0;
         for (String entry : text.split("\\{\"id\"")) {
@@ -36,13 +39,17 @@
 
     private static String compare(String what, long estimate, long counted) {
         double off = estimate / (double) counted - 1;
-        String line = String.format("%s: worked out %d, counted %d, %+.1f %%", what, estimate, counted,
-                100 * off);
+        String line =
+                String.format(
+                        "%s: worked out %d, counted %d, %+.1f %%",
+                        what, estimate, counted, 100 * off);
         System.out.println(line);
         return off < -MOST_UNDER || off > MOST_OVER ? line + "\n" : "";
     }
 
-    /** Guards against a part that grew, or one that is forgotten, at rest or while a list is read. */
+    /**
+     * Guards against a part that grew, or one that is forgotten, at rest or while a list is read.
+     */
     @Test
     public void neverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen() throws Exception {
         Footprint footprint = new Footprint(MachineLayout.read());
@@ -65,13 +72,19 @@
                     List<Object> all = new ArrayList<>(held.roots());
                     all.addAll(held.parsed);
                     long peak = Held.graph(all).totalSize() - none;
-                    wrong.append(compare(name + ", at the peak", footprint.atPeak(ListShape.NONE, list,
-                            nodes, nodes), peak));
+                    wrong.append(
+                            compare(
+                                    name + ", at the peak",
+                                    footprint.atPeak(ListShape.NONE, list, nodes, nodes),
+                                    peak));
                     held.load(text);
                     List<Object> again = new ArrayList<>(kept);
                     again.addAll(held.parsed);
-                    wrong.append(compare(name + ", told again", footprint.toldAgain(list),
-                            Held.graph(again).totalSize() - none));
+                    wrong.append(
+                            compare(
+                                    name + ", told again",
+                                    footprint.toldAgain(list),
+                                    Held.graph(again).totalSize() - none));
                 }
             }
         }
@@ -81,8 +94,13 @@
     private static RouteTable table(int zones, int leaving, int limits) {
         List<RouteTable.Share> shares = new ArrayList<>();
         for (int i = 0; i < zones * zones; i++) {
-            shares.add(new RouteTable.Share(i / zones, i % zones, RouteTable.Way.SPILLED,
-                    RouteTable.WHOLE / zones, i));
+            shares.add(
+                    new RouteTable.Share(
+                            i / zones,
+                            i % zones,
+                            RouteTable.Way.SPILLED,
+                            RouteTable.WHOLE / zones,
+                            i));
         }
         List<RouteTable.Leaving> nodes = new ArrayList<>();
         for (int i = 0; i < leaving; i++) {
@@ -100,8 +118,15 @@
     public void ofARouteTableLikewise() {
         TableFootprint tables = new TableFootprint(MachineLayout.read());
         StringBuilder wrong = new StringBuilder();
-        for (int[] size : new int[][] {{1, 0, 0}, {2, 1, 2}, {3, 10, 3}, {12, 100, 5}, {20, 1_000, 20},
-            {64, 10_000, 256}}) {
+        for (int[] size :
+                new int[][] {
+                    {1, 0, 0},
+                    {2, 1, 2},
+                    {3, 10, 3},
+                    {12, 100, 5},
+                    {20, 1_000, 20},
+                    {64, 10_000, 256}
+                }) {
             RouteTable table = table(size[0], size[1], size[2]);
             byte[] bytes = TableCodec.encode(table);
             // What all lists share, and the ways, are the virtual machine's.
@@ -109,8 +134,11 @@
             List<Object> all = new ArrayList<>(shared);
             all.addAll(List.of(table, bytes));
             long counted = Held.graph(all).totalSize() - Held.graph(shared).totalSize();
-            wrong.append(compare("table of " + size[0] + " zones, " + size[1] + " leaving",
-                    tables.atRest(table), counted));
+            wrong.append(
+                    compare(
+                            "table of " + size[0] + " zones, " + size[1] + " leaving",
+                            tables.atRest(table),
+                            counted));
             RouteTable read = TableCodec.decode(bytes).table();
             all.addAll(List.of(read, bytes.clone()));
             long both = Held.graph(all).totalSize() - Held.graph(shared).totalSize();
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -21,14 +21,16 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.Test;
 
-/** What the built jar says that it takes, beside what it then holds, under the platform's own flags. */
+/**
+ * What the built jar says that it takes, beside what it then holds, under the platform's own flags.
+ */
 public class FootprintOfProcessesIT {
 
     private static final double MOST_UNDER = 0.03;
     private static final double MOST_OVER = 0.15;
 
     /** What a process said and held, and what the heap held before the list. */
-    private record Seen(JsonObject says, long before, long heap, long resident, int descriptors) { }
+    private record Seen(JsonObject says, long before, long heap, long resident, int descriptors) {}
 
     /** The flags of the platform's command, with every collection one that compacts all. */
     private static List<String> flags() throws Exception {
@@ -49,31 +51,41 @@
         }
         StringBuilder tenant = new StringBuilder();
         for (int i = 0; i < tenants; i++) {
-            tenant.append(i == 0 ? "" : ",").append("{\"name\":\"tenant-").append(i)
-                    .append("\",\"share\":").append(1.0 / tenants).append(",\"quota-per-s\":10}");
+            tenant.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"tenant-")
+                    .append(i)
+                    .append("\",\"share\":")
+                    .append(1.0 / tenants)
+                    .append(",\"quota-per-s\":10}");
         }
-        return new World(0).with("\"room\"", zone.toString())
-                .with("{\"name\": \"acme\", \"share\": 1.0, \"quota-per-s\": 100.0}", tenant.toString());
+        return new World(0)
+                .with("\"room\"", zone.toString())
+                .with(
+                        "{\"name\": \"acme\", \"share\": 1.0, \"quota-per-s\": 100.0}",
+                        tenant.toString());
     }
 
     /** Tells the lists on each watch from now on, and at each call for one the last of them. */
     private static void tell(World world, String... lists) {
-        Nodes.daemon(() -> {
-            while (true) {
-                Received lookup = world.lookups.take();
-                if (lookup.first().contains("follow")) {
-                    lookup.raw(World.STREAM);
-                    for (String list : lists) {
-                        lookup.chunk(list + "\n");
+        Nodes.daemon(
+                () -> {
+                    while (true) {
+                        Received lookup = world.lookups.take();
+                        if (lookup.first().contains("follow")) {
+                            lookup.raw(World.STREAM);
+                            for (String list : lists) {
+                                lookup.chunk(list + "\n");
+                            }
+                        } else {
+                            lookup.reply("200 OK", lists[lists.length - 1]);
+                        }
                     }
-                } else {
-                    lookup.reply("200 OK", lists[lists.length - 1]);
-                }
-            }
-        });
+                });
     }
 
-    /** Of nodes that refuse connections at once, so that none is open while descriptors are counted. */
+    /**
+     * Of nodes that refuse connections at once, so that none is open while descriptors are counted.
+     */
     private static String list(int nodes, int zones) {
         return Held.list(0, nodes, zones).replace("\"addr\":\"10.", "\"addr\":\"127.");
     }
@@ -85,41 +97,58 @@
     }
 
     private static long pages(Process process) throws IOException {
-        return Long.parseLong(Files.readString(Path.of("/proc", Long.toString(process.pid()), "statm"))
-                .split(" ")[1]) * 4096;
+        return Long.parseLong(
+                        Files.readString(Path.of("/proc", Long.toString(process.pid()), "statm"))
+                                .split(" ")[1])
+                * 4096;
     }
 
     /** Bytes of all objects that live, after a collection. */
     private static long live(Process process) throws Exception {
-        Process jcmd = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
-                Long.toString(process.pid()), "GC.class_histogram").redirectErrorStream(true).start();
+        Process jcmd =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
+                                Long.toString(process.pid()),
+                                "GC.class_histogram")
+                        .redirectErrorStream(true)
+                        .start();
         String said = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(Await.end("the end of jcmd", jcmd), 0, said);
-        return said.lines().filter(line -> line.startsWith("Total"))
-                .mapToLong(line -> Long.parseLong(line.strip().split("\\s+")[2])).findFirst().orElseThrow();
+        return said.lines()
+                .filter(line -> line.startsWith("Total"))
+                .mapToLong(line -> Long.parseLong(line.strip().split("\\s+")[2]))
+                .findFirst()
+                .orElseThrow();
     }
 
     /**
-     * Discovery resets each call as long as this holds. Guards against calls that wait for it, and the spare
-     * connection beside them, being counted as held before a list was told: they go once it is.
+     * Discovery resets each call as long as this holds. Guards against calls that wait for it, and
+     * the spare connection beside them, being counted as held before a list was told: they go once
+     * it is.
      */
     private static AtomicBoolean turnAway(World world) {
         AtomicBoolean away = new AtomicBoolean(true);
-        Nodes.daemon(() -> {
-            while (away.get()) {
-                Received lookup = world.lookups.poll(1, TimeUnit.MILLISECONDS);
-                if (lookup != null) {
-                    lookup.reset();
-                }
-            }
-        });
+        Nodes.daemon(
+                () -> {
+                    while (away.get()) {
+                        Received lookup = world.lookups.poll(1, TimeUnit.MILLISECONDS);
+                        if (lookup != null) {
+                            lookup.reset();
+                        }
+                    }
+                });
         return away;
     }
 
     private static Seen rest(int nodes, int zones, int tenants) throws Exception {
         try (World world = world(zones, tenants);
-                Version proxy = new Version(world, Files.createTempDirectory("fit"), "", flags(),
-                        List.of("--operator", operator("").toString()))) {
+                Version proxy =
+                        new Version(
+                                world,
+                                Files.createTempDirectory("fit"),
+                                "",
+                                flags(),
+                                List.of("--operator", operator("").toString()))) {
             AtomicBoolean away = turnAway(world);
             proxy.awaitLine("proxy.listens");
             live(proxy.process); // first: what jcmd itself leaves there counts for nothing
@@ -129,12 +158,16 @@
             proxy.awaitFigure("registry_entries", nodes);
             long resident = pages(proxy.process);
             int descriptors = Integer.MAX_VALUE;
-            for (int i = 0; i < 10; i++) { // operators' connections of this test may still be closing
+            for (int i = 0;
+                    i < 10;
+                    i++) { // operators' connections of this test may still be closing
                 descriptors = Math.min(descriptors, proxy.descriptors() - 1); // but that for jcmd
                 Thread.sleep(20);
             }
-            JsonObject says = JsonObject.parse(proxy.call("GET", "/-/metrics").body()).child("footprint")
-                    .child("process");
+            JsonObject says =
+                    JsonObject.parse(proxy.call("GET", "/-/metrics").body())
+                            .child("footprint")
+                            .child("process");
             return new Seen(says, before, live(proxy.process), resident, descriptors);
         }
     }
@@ -149,14 +182,16 @@
 
     private static String compare(String what, long estimate, long held) {
         double off = estimate / (double) held - 1;
-        String line = String.format("%s: said %d, held %d, %+.1f %%", what, estimate, held, 100 * off);
+        String line =
+                String.format("%s: said %d, held %d, %+.1f %%", what, estimate, held, 100 * off);
         System.out.println(line);
         return off < -MOST_UNDER || off > MOST_OVER ? line + "\n" : "";
     }
 
     /** Guards against a term that is forgotten, or one that grew since it was measured. */
     @Test
-    public void atRestNeverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen() throws Exception {
+    public void atRestNeverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen()
+            throws Exception {
         StringBuilder wrong = new StringBuilder();
         boolean all = System.getProperty("footprint.nodes") != null;
         for (int nodes = 10; nodes <= Integer.getInteger("footprint.nodes", 1_000); nodes *= 10) {
@@ -164,12 +199,20 @@
                 for (int tenants : all ? new int[] {1, 20} : new int[] {20}) {
                     Seen seen = rest(nodes, zones, tenants);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants, ";
-                    wrong.append(compare(name + "heap", seen.says.whole("heap_at_rest"), seen.heap));
-                    wrong.append(compare(name + "list alone", list(list(nodes, zones), nodes),
-                            seen.heap - seen.before));
-                    wrong.append(compare(name + "resident", seen.says.whole("resident"), seen.resident));
-                    wrong.append(compare(name + "descriptors", seen.says.whole("descriptors"),
-                            seen.descriptors));
+                    wrong.append(
+                            compare(name + "heap", seen.says.whole("heap_at_rest"), seen.heap));
+                    wrong.append(
+                            compare(
+                                    name + "list alone",
+                                    list(list(nodes, zones), nodes),
+                                    seen.heap - seen.before));
+                    wrong.append(
+                            compare(name + "resident", seen.says.whole("resident"), seen.resident));
+                    wrong.append(
+                            compare(
+                                    name + "descriptors",
+                                    seen.says.whole("descriptors"),
+                                    seen.descriptors));
                 }
             }
         }
@@ -180,30 +223,51 @@
     @Test
     public void atThePeakOfLoadingLikewise() throws Exception {
         StringBuilder wrong = new StringBuilder();
-        for (int nodes = 1_000; nodes <= Integer.getInteger("footprint.nodes", 1_000); nodes *= 10) {
+        for (int nodes = 1_000;
+                nodes <= Integer.getInteger("footprint.nodes", 1_000);
+                nodes *= 10) {
             Path begin = Files.createTempDirectory("fit").resolve("begin");
             List<String> flags = new ArrayList<>(flags());
             flags.add("-D" + Collecting.FILE + "=" + begin);
             try (World world = world(12, 20);
-                    Version proxy = new Version(world, Files.createTempDirectory("fit"), "", flags,
-                            List.of("-cp", Version.JAR + File.pathSeparator
-                                    + Path.of("daemon", "target", "test-classes"),
-                                    "cedarrudder.program.Collecting"),
-                            List.of("--operator", operator("").toString()))) {
+                    Version proxy =
+                            new Version(
+                                    world,
+                                    Files.createTempDirectory("fit"),
+                                    "",
+                                    flags,
+                                    List.of(
+                                            "-cp",
+                                            Version.JAR
+                                                    + File.pathSeparator
+                                                    + Path.of("daemon", "target", "test-classes"),
+                                            "cedarrudder.program.Collecting"),
+                                    List.of("--operator", operator("").toString()))) {
                 proxy.awaitLine("proxy.listens");
                 Files.createFile(begin);
-                Await.line("the first collection", proxy.process, proxy.log,
+                Await.line(
+                        "the first collection",
+                        proxy.process,
+                        proxy.log,
                         line -> Collecting.most(line) > 0);
                 // Told again and again: a peak is short, and each passes it.
                 String list = list(nodes, 12);
                 tell(world, list, list, list, list(nodes - 1, 12));
                 long[] most = {0};
                 proxy.awaitFigure("registry_entries", nodes - 1);
-                JsonObject says = JsonObject.parse(proxy.call("GET", "/-/metrics").body()).child("footprint")
-                        .child("process");
+                JsonObject says =
+                        JsonObject.parse(proxy.call("GET", "/-/metrics").body())
+                                .child("footprint")
+                                .child("process");
                 proxy.signal("TERM");
-                proxy.rest().lines().forEach(line -> most[0] = Math.max(most[0], Collecting.most(line)));
-                wrong.append(compare(nodes + " nodes, at the peak", says.whole("heap_at_peak"), most[0]));
+                proxy.rest()
+                        .lines()
+                        .forEach(line -> most[0] = Math.max(most[0], Collecting.most(line)));
+                wrong.append(
+                        compare(
+                                nodes + " nodes, at the peak",
+                                says.whole("heap_at_peak"),
+                                most[0]));
             }
         }
         assertTrue(wrong.isEmpty(), wrong.toString());
@@ -214,22 +278,42 @@
     public void theHistoryHasWhatWasEstimatedAndWhatWasThenHeld() throws Exception {
         Path history = Files.createTempDirectory("history").resolve("history.jsonl");
         try (World world = world(3, 2);
-                Version proxy = new Version(world, Files.createTempDirectory("fit"), "", flags(),
-                        List.of("--operator", operator("from_nodes = 0\n[history]\nfile = \"" + history
-                                + "\"\n").toString()))) {
+                Version proxy =
+                        new Version(
+                                world,
+                                Files.createTempDirectory("fit"),
+                                "",
+                                flags(),
+                                List.of(
+                                        "--operator",
+                                        operator(
+                                                        "from_nodes = 0\n[history]\nfile = \""
+                                                                + history
+                                                                + "\"\n")
+                                                .toString()))) {
             tell(world, list(300, 3));
             proxy.awaitLine("proxy.listens");
             proxy.awaitFigure("registry_entries", 300);
             Await.until("what it held", () -> Files.readString(history).contains("\"held\""));
         }
-        List<JsonObject> said = Files.readAllLines(history).stream().map(JsonObject::parse)
-                .filter(line -> line.isText("load")).toList();
-        assertEquals(said.stream().map(line -> line.text("what", "")).toList(),
+        List<JsonObject> said =
+                Files.readAllLines(history).stream()
+                        .map(JsonObject::parse)
+                        .filter(line -> line.isText("load"))
+                        .toList();
+        assertEquals(
+                said.stream().map(line -> line.text("what", "")).toList(),
                 List.of("estimate", "took", "held"));
-        assertEquals(said.stream().map(line -> line.text("load", "")).distinct().toList(), List.of("list 1"));
+        assertEquals(
+                said.stream().map(line -> line.text("load", "")).distinct().toList(),
+                List.of("list 1"));
         assertEquals(said.get(0).text("fits", ""), "1");
         assertEquals(said.get(0).text("bound", ""), said.get(2).text("bound", ""));
-        assertEquals(compare("300 nodes, by the history", Long.parseLong(said.get(0).text("needed", "")),
-                Long.parseLong(said.get(2).text("now", ""))), "");
+        assertEquals(
+                compare(
+                        "300 nodes, by the history",
+                        Long.parseLong(said.get(0).text("needed", "")),
+                        Long.parseLong(said.get(2).text("now", ""))),
+                "");
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/Held.java
+++ b/daemon/src/test/java/cedarrudder/program/Held.java
@@ -38,16 +38,33 @@
     Held(SiteSettings site) throws Exception {
         this.site = site;
         reader = new ResolverResultReader(site, () -> 1L << 40, () -> 1_790_000_000_000L);
-        Actions none = (Actions) java.lang.reflect.Proxy.newProxyInstance(Held.class.getClassLoader(),
-                new Class<?>[] {Actions.class}, (self, method, of) -> null);
+        Actions none =
+                (Actions)
+                        java.lang.reflect.Proxy.newProxyInstance(
+                                Held.class.getClassLoader(),
+                                new Class<?>[] {Actions.class},
+                                (self, method, of) -> null);
         module = new Decide(site.module(), new SplittableRandom(1), none);
         Logger log = new Logger(line -> true);
         Loop loop = new Loop(log);
         Figures figures = new Figures(site.module().classes().size());
-        Driver<Message, Message> driver = new Driver<>(actions -> module,
-                site.module().limits().maxAttempts(), loop, log, null, figures);
-        channels = new NodeChannels(loop, driver, site, NodeLimits.DEFAULT,
-                NodeLimits.DEFAULT.bounds(1024, 512), figures, new HeldBytes(HeldBytes.MOST));
+        Driver<Message, Message> driver =
+                new Driver<>(
+                        actions -> module,
+                        site.module().limits().maxAttempts(),
+                        loop,
+                        log,
+                        null,
+                        figures);
+        channels =
+                new NodeChannels(
+                        loop,
+                        driver,
+                        site,
+                        NodeLimits.DEFAULT,
+                        NodeLimits.DEFAULT.bounds(1024, 512),
+                        figures,
+                        new HeldBytes(HeldBytes.MOST));
     }
 
     /** The example's settings, with so many zones and tenants. */
@@ -58,11 +75,19 @@
             zone.append(i == 0 ? "" : ",").append("\"zone-").append(i).append('"');
         }
         for (int i = 0; i < tenants; i++) {
-            tenant.append(i == 0 ? "" : ",").append("{\"name\":\"tenant-").append(i)
-                    .append("\",\"share\":").append(1.0 / tenants).append(",\"quota-per-s\":10}");
+            tenant.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"tenant-")
+                    .append(i)
+                    .append("\",\"share\":")
+                    .append(1.0 / tenants)
+                    .append(",\"quota-per-s\":10}");
         }
-        String text = Files.readString(Path.of("example", "config.json")).replace("\"room\"", zone)
-                .replace("{\"name\": \"acme\", \"share\": 1.0, \"quota-per-s\": 100.0}", tenant);
+        String text =
+                Files.readString(Path.of("example", "config.json"))
+                        .replace("\"room\"", zone)
+                        .replace(
+                                "{\"name\": \"acme\", \"share\": 1.0, \"quota-per-s\": 100.0}",
+                                tenant);
         return SettingsReader.read(JsonObject.parse(text).child("settings"));
     }
 
@@ -71,12 +96,22 @@
         StringBuilder text = new StringBuilder("{\"version\":7,\"full\":true,\"servers\":[");
         for (int i = 0; i < nodes; i++) {
             int at = first + i;
-            text.append(i == 0 ? "" : ",").append("{\"id\":\"api-").append(100_000 + at)
-                    .append("\",\"addr\":\"10.").append(at >> 16 & 255).append('.').append(at >> 8 & 255)
-                    .append('.').append(at & 255).append(":7000\",\"zone\":\"zone-").append(at % zones)
-                    .append("\",\"kind\":\"standard\",\"cell\":").append(at % 97)
+            text.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"api-")
+                    .append(100_000 + at)
+                    .append("\",\"addr\":\"10.")
+                    .append(at >> 16 & 255)
+                    .append('.')
+                    .append(at >> 8 & 255)
+                    .append('.')
+                    .append(at & 255)
+                    .append(":7000\",\"zone\":\"zone-")
+                    .append(at % zones)
+                    .append("\",\"kind\":\"standard\",\"cell\":")
+                    .append(at % 97)
                     .append(",\"state\":\"in_service\",\"weight\":1.0,\"started_ms\":")
-                    .append(1_780_000_000_000L + at * 1000L).append('}');
+                    .append(1_780_000_000_000L + at * 1000L)
+                    .append('}');
         }
         return text.append("]}").toString();
     }
@@ -92,7 +127,8 @@
         JsonObject json = JsonObject.parse(text);
         ResolverResult result = reader.read(json);
         channels.resolved(result);
-        List<Named> named = result.nodes().stream().map(n -> new Named(n.name(), n.endpoint())).toList();
+        List<Named> named =
+                result.nodes().stream().map(n -> new Named(n.name(), n.endpoint())).toList();
         var shown = rotation.listed(ListKind.FULL, named);
         parsed = List.of(gathered, text, json, json.list("servers", true), result);
         module.endpoints(1L << 40, ListKind.FULL, shown);
@@ -105,8 +141,13 @@
     }
 
     List<Object> roots() throws Exception {
-        return List.of(field(reader, "numbers"), field(reader, "starts"), field(reader, "names"),
-                field(channels, "nodes"), rotation, module);
+        return List.of(
+                field(reader, "numbers"),
+                field(reader, "starts"),
+                field(reader, "names"),
+                field(channels, "nodes"),
+                rotation,
+                module);
     }
 
     static GraphLayout graph(List<Object> roots) {
--- a/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
+++ b/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
@@ -17,15 +17,23 @@
     private static final int MANY = 20_000;
     private static final int PATIENCE_SECONDS = 20;
 
-    /** Guards against a loop that waits for a slow disk, and a judge that takes what has holes for whole. */
+    /**
+     * Guards against a loop that waits for a slow disk, and a judge that takes what has holes for
+     * whole.
+     */
     @Test
     public void whatCannotBeWrittenIsCountedAndNobodyWaits() throws Exception {
         Path pipe = Files.createTempDirectory("history").resolve("pipe");
         Process made = new ProcessBuilder("mkfifo", pipe.toString()).start();
         assertTrue(made.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS) && made.exitValue() == 0);
         // Holds the pipe open and reads nothing of it until it is told to.
-        Process reader = new ProcessBuilder("/bin/sh", "-c", "exec 4<\"$0\"; read -r _; cat <&4",
-                pipe.toString()).start();
+        Process reader =
+                new ProcessBuilder(
+                                "/bin/sh",
+                                "-c",
+                                "exec 4<\"$0\"; read -r _; cat <&4",
+                                pipe.toString())
+                        .start();
         try (BufferedReader in = reader.inputReader()) {
             HistoryFile history = new HistoryFile(pipe, 3);
             long begin = System.nanoTime();
@@ -36,8 +44,12 @@
             reader.getOutputStream().write('\n');
             reader.getOutputStream().flush();
             String first = in.readLine();
-            assertTrue(first.matches("\\{\"at\":\\d+,\"copy\":3,\"life\":" + ProcessHandle.current().pid()
-                    + ",\"what\":\"dead\",\"about\":\"0\"}"), first);
+            assertTrue(
+                    first.matches(
+                            "\\{\"at\":\\d+,\"copy\":3,\"life\":"
+                                    + ProcessHandle.current().pid()
+                                    + ",\"what\":\"dead\",\"about\":\"0\"}"),
+                    first);
             long until = begin + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
             String line = first;
             for (int i = 0; !line.contains("\"lost\""); i++) {
@@ -59,7 +71,8 @@
 
     @Test
     public void aFileThatCannotBeWrittenIsNamed() {
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> new HistoryFile(Path.of("no", "such", "folder"), 0));
     }
 
--- a/daemon/src/test/java/cedarrudder/program/LastCallsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/LastCallsTest.java
@@ -38,8 +38,10 @@
         try (Caller caller = world.caller()) {
             for (int i = 0; last.equals("none"); i++) {
                 try {
-                    caller.send(World.rpc("order", "/api", "x").replace("id-1", name + i)
-                            .replace("30000", "900"));
+                    caller.send(
+                            World.rpc("order", "/api", "x")
+                                    .replace("id-1", name + i)
+                                    .replace("30000", "900"));
                 } catch (SocketException e) {
                     last = "closed before";
                     continue;
@@ -61,9 +63,10 @@
     }
 
     /**
-     * Guards against requests that are lost in the last moments: each that was sent has its answer, or its
-     * connection was closed in order between two requests. Callers come anew for 0.4 s, and each goes on
-     * until its connection ends; some pause for so long that their connections are idle when they are closed.
+     * Guards against requests that are lost in the last moments: each that was sent has its answer,
+     * or its connection was closed in order between two requests. Callers come anew for 0.4 s, and
+     * each goes on until its connection ends; some pause for so long that their connections are
+     * idle when they are closed.
      */
     @Test
     public void eachRequestAfterSigtermIsAnsweredOrItsConnectionClosedBeforeIt() throws Exception {
@@ -71,10 +74,12 @@
         System.out.println("LastCallsTest: seed " + seed);
         Random random = new Random(seed);
         try (World world = new World(3).start()) {
-            Nodes.play(world, call -> {
-                Thread.sleep(5);
-                call.reply("200 OK", "done");
-            });
+            Nodes.play(
+                    world,
+                    call -> {
+                        Thread.sleep(5);
+                        call.reply("200 OK", "done");
+                    });
             List<Thread> callers = new ArrayList<>();
             AtomicBoolean anyEnded = new AtomicBoolean();
             for (int i = 0; i < CALLERS; i++) {
@@ -108,12 +113,14 @@
     }
 
     /**
-     * Guards against a request that was taken and never answered, since its time would be over only after the
-     * process is killed, and against half a request that becomes whole in the last moments.
+     * Guards against a request that was taken and never answered, since its time would be over only
+     * after the process is killed, and against half a request that becomes whole in the last
+     * moments.
      */
     @Test
     public void whatIsOpenInTheLastMomentGetsItsAnswer() throws Exception {
-        try (World world = new World(1).start(); Caller taken = world.caller();
+        try (World world = new World(1).start();
+                Caller taken = world.caller();
                 Caller behind = world.caller()) {
             taken.send(World.rpc("order", "/stays-for-test", "x"));
             world.call();
@@ -121,8 +128,9 @@
             long told = System.nanoTime();
             end.start();
             // A second request behind the first of the same connection, read ahead of its answer.
-            behind.send(World.rpc("lookup", "/api", "").replace("id-1", "behind-1")
-                    + World.rpc("lookup", "/api", "").replace("id-1", "behind-2"));
+            behind.send(
+                    World.rpc("lookup", "/api", "").replace("id-1", "behind-1")
+                            + World.rpc("lookup", "/api", "").replace("id-1", "behind-2"));
             world.call().reply("200 OK", "first");
             assertEquals(behind.read().body(), "first");
             world.call().reply("200 OK", "second");
@@ -145,14 +153,16 @@
     }
 
     /**
-     * Guards against the last answer of a connection being lost: closing it while bytes of its caller's are
-     * unread resets it, and the reset takes along what the caller's side has no room for yet.
+     * Guards against the last answer of a connection being lost: closing it while bytes of its
+     * caller's are unread resets it, and the reset takes along what the caller's side has no room
+     * for yet.
      */
     @Test
     public void theLastAnswerIsNotLostWhereItsCallerSendsMore() throws Exception {
         String answer = "x".repeat(60_000);
-        String more = "POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n"
-                + "y".repeat(400_000);
+        String more =
+                "POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n"
+                        + "y".repeat(400_000);
         String one = World.rpc("order", "/api", "x").replace("HTTP/1.1", "HTTP/1.0");
         String told = World.rpc("order", "/api", "x", "Connection: close");
         try (World world = new World(1).start()) {
@@ -160,7 +170,8 @@
                 try (Socket caller = new Socket()) {
                     caller.setReceiveBufferSize(4096);
                     caller.setSoTimeout(20_000);
-                    caller.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), world.port));
+                    caller.connect(
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), world.port));
                     caller.getOutputStream().write(rpc.getBytes(StandardCharsets.ISO_8859_1));
                     Received call = world.call();
                     // The kernel takes it, whoever reads it.
@@ -169,9 +180,12 @@
                     assertEquals(caller.getInputStream().read(), 'H');
                     answered(world);
                     answered(world);
-                    String all = new String(caller.getInputStream().readAllBytes(),
-                            StandardCharsets.ISO_8859_1);
-                    assertTrue(all.endsWith("\r\n\r\n" + answer), all.length() + " bytes of it came");
+                    String all =
+                            new String(
+                                    caller.getInputStream().readAllBytes(),
+                                    StandardCharsets.ISO_8859_1);
+                    assertTrue(
+                            all.endsWith("\r\n\r\n" + answer), all.length() + " bytes of it came");
                 }
             }
         }
@@ -180,16 +194,25 @@
     /** Another caller's answer shows that the loop has gone on. */
     private static void answered(World world) throws IOException {
         try (Caller other = world.caller()) {
-            assertEquals(other.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").read().body(), "ready\n");
+            assertEquals(
+                    other.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").read().body(),
+                    "ready\n");
         }
     }
 
-    /** Guards against callers that don't read their answers holding the process until it is killed. */
+    /**
+     * Guards against callers that don't read their answers holding the process until it is killed.
+     */
     @Test
     public void aCallerThatDoesNotReadDoesNotHoldTheEnd() throws Exception {
         int large = 32 * 1024 * 1024;
-        try (World world = new World(1).with(OperatorStoriesTest.operator(
-                "[callers]\nanswer_patience_ms = 600000\n")).start(); Caller deaf = world.caller()) {
+        try (World world =
+                        new World(1)
+                                .with(
+                                        OperatorStoriesTest.operator(
+                                                "[callers]\nanswer_patience_ms = 600000\n"))
+                                .start();
+                Caller deaf = world.caller()) {
             deaf.send(World.rpc("lookup", "/stays-for-test", ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + large + "\r\n\r\n");
--- a/daemon/src/test/java/cedarrudder/program/LauncherIT.java
+++ b/daemon/src/test/java/cedarrudder/program/LauncherIT.java
@@ -20,26 +20,41 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The launcher, in a copy of the project that has the built jar and a Maven that only notes its calls. */
+/**
+ * The launcher, in a copy of the project that has the built jar and a Maven that only notes its
+ * calls.
+ */
 public class LauncherIT {
 
     private Path root;
     private Path jar;
     private Path calls;
 
-    private record Run(int exit, String out, String err) { }
+    private record Run(int exit, String out, String err) {}
 
     @BeforeMethod
     public void copyTheProject() throws IOException {
         root = Files.createTempDirectory("cedar rudder").toRealPath();
-        for (String file : List.of("cedarrudder", "pom.xml", "deploy/balancer.toml", "deploy/ClassData.java",
-                "deploy/operator.toml", "daemon/pom.xml", "core/pom.xml", "conditions/pom.xml",
-                "daemon/target/cedarrudder.jar")) {
+        for (String file :
+                List.of(
+                        "cedarrudder",
+                        "pom.xml",
+                        "deploy/balancer.toml",
+                        "deploy/ClassData.java",
+                        "deploy/operator.toml",
+                        "daemon/pom.xml",
+                        "core/pom.xml",
+                        "conditions/pom.xml",
+                        "daemon/target/cedarrudder.jar")) {
             Files.createDirectories(root.resolve(file).getParent());
             Files.copy(Path.of(file), root.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
         }
-        for (String folder : List.of("core/src/main/java", "conditions/src/main",
-                "daemon/src/main/java/old", "bin")) {
+        for (String folder :
+                List.of(
+                        "core/src/main/java",
+                        "conditions/src/main",
+                        "daemon/src/main/java/old",
+                        "bin")) {
             Files.createDirectories(root.resolve(folder));
         }
         jar = root.resolve("daemon/target/cedarrudder.jar");
@@ -51,8 +66,16 @@
     /** A Maven that writes its arguments down, talks on standard output and leaves a new jar. */
     private void maven(int exit) throws IOException {
         Path maven = root.resolve("bin/mvn");
-        Files.writeString(maven, "#!/bin/sh\necho \"$@\" >> \"" + calls + "\"\necho noise\n"
-                + "touch \"" + jar + "\"\nexit " + exit + "\n");
+        Files.writeString(
+                maven,
+                "#!/bin/sh\necho \"$@\" >> \""
+                        + calls
+                        + "\"\necho noise\n"
+                        + "touch \""
+                        + jar
+                        + "\"\nexit "
+                        + exit
+                        + "\n");
         Files.setPosixFilePermissions(maven, PosixFilePermissions.fromString("rwx------"));
     }
 
@@ -78,11 +101,14 @@
         List<String> command = new ArrayList<>(List.of(root.resolve("cedarrudder").toString()));
         command.addAll(List.of(arguments));
         Path err = root.resolve("err");
-        ProcessBuilder builder = new ProcessBuilder(command).directory(folder.toFile())
-                .redirectError(err.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(command).directory(folder.toFile()).redirectError(err.toFile());
         builder.environment().remove("BALANCER_CONFIG");
-        String first = root.resolve("bin") + File.pathSeparator
-                + Path.of(System.getProperty("java.home"), "bin") + File.pathSeparator;
+        String first =
+                root.resolve("bin")
+                        + File.pathSeparator
+                        + Path.of(System.getProperty("java.home"), "bin")
+                        + File.pathSeparator;
         builder.environment().compute("PATH", (name, path) -> first + path);
         Process process = builder.start();
         process.getOutputStream().close();
@@ -96,18 +122,24 @@
         for (Path folder : List.of(root, root.resolve("deploy"), root.getParent())) {
             Run adapter = run(folder, "adapter");
             assertEquals(adapter, new Run(0, "", ""));
-            assertEquals(run(folder, "serve"), new Run(1, "", "cedarrudder: BALANCER_CONFIG is not set\n"));
+            assertEquals(
+                    run(folder, "serve"),
+                    new Run(1, "", "cedarrudder: BALANCER_CONFIG is not set\n"));
             assertEquals(run(folder).exit, 2);
             assertTrue(run(folder, "version").out.startsWith("cedarrudder "));
         }
-        assertEquals(run(root.resolve("deploy"), "check", "operator.toml").out, "operator.toml: good\n");
+        assertEquals(
+                run(root.resolve("deploy"), "check", "operator.toml").out, "operator.toml: good\n");
         assertFalse(Files.exists(calls), "it built what was fresh");
     }
 
     @Test
     public void itBuildsWhatIsStale() throws Exception {
-        List<Path> sources = List.of(root.resolve("pom.xml"), root.resolve("core/src/main/java/New.java"),
-                root.resolve("daemon/src/main/java/old"));
+        List<Path> sources =
+                List.of(
+                        root.resolve("pom.xml"),
+                        root.resolve("core/src/main/java/New.java"),
+                        root.resolve("daemon/src/main/java/old"));
         for (int i = 0; i < sources.size(); i++) {
             Files.writeString(root.resolve("core/src/main/java/New.java"), "");
             for (Path each : files()) {
@@ -125,6 +157,7 @@
     public void aBuildThatFailsIsExitCodeOneAndNothingRuns() throws Exception {
         maven(3);
         Files.delete(jar);
-        assertEquals(run(root, "adapter"), new Run(1, "", "noise\ncedarrudder: the build failed\n"));
+        assertEquals(
+                run(root, "adapter"), new Run(1, "", "noise\ncedarrudder: the build failed\n"));
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/ListCheckTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ListCheckTest.java
@@ -18,7 +18,8 @@
 public class ListCheckTest {
 
     private static final long MEGABYTE = 1 << 20;
-    private static final Limits RUN = new Limits(56 * MEGABYTE, 192 * MEGABYTE, 20 * MEGABYTE, 1_024);
+    private static final Limits RUN =
+            new Limits(56 * MEGABYTE, 192 * MEGABYTE, 20 * MEGABYTE, 1_024);
 
     /** What was said, and whether all fits. */
     private record Said(boolean fits, String text) {
@@ -35,28 +36,44 @@
 
     private static Said check(Limits limits, Path list, Path before) {
         StringWriter said = new StringWriter();
-        Operator operator = Operator.NONE.with(FootprintTable.FOOTPRINT,
-                new FootprintSettings(0.5, 1_000, 1_000_000_000L));
-        boolean fits = new ListCheck(operator, limits, new PrintWriter(said, true)).check(list, before);
+        Operator operator =
+                Operator.NONE.with(
+                        FootprintTable.FOOTPRINT,
+                        new FootprintSettings(0.5, 1_000, 1_000_000_000L));
+        boolean fits =
+                new ListCheck(operator, limits, new PrintWriter(said, true)).check(list, before);
         return new Said(fits, said.toString());
     }
 
-    /** Guards against an operator who hears of a list that does not fit only once a proxy is told it. */
+    /**
+     * Guards against an operator who hears of a list that does not fit only once a proxy is told
+     * it.
+     */
     @Test
     public void aListFitsOrFitsInStepsOrSaysWhichBoundBindsAndByHowMuch() throws Exception {
         Path list = file(Held.list(0, 10_000, 3));
         Said fits = check(RUN, list, null);
         assertTrue(fits.fits, fits.text);
         assertTrue(fits.line("nodes: ").startsWith("nodes: fit; heap_at_peak needs "), fits.text);
-        assertTrue(fits.line("one more node: ").matches(
-                "one more node: 1\\d{3} at rest, 2\\d{3} at the peak"));
+        assertTrue(
+                fits.line("one more node: ")
+                        .matches("one more node: 1\\d{3} at rest, 2\\d{3} at the peak"));
         Said steps = check(RUN, list, file(Held.list(100_000, 10_000, 3)));
-        assertTrue(steps.fits && steps.line("nodes: ").startsWith("nodes: fit in steps of ["), steps.text);
+        assertTrue(
+                steps.fits && steps.line("nodes: ").startsWith("nodes: fit in steps of ["),
+                steps.text);
         Said never = check(RUN, file(Held.list(0, 28_000, 3)), null);
-        assertTrue(!never.fits && never.line("nodes: ").matches("nodes: don't fit, \\d+ of them in no step; "
-                + "heap_at_rest needs \\d+ of \\d+, \\d+ too many"), never.text);
+        assertTrue(
+                !never.fits
+                        && never.line("nodes: ")
+                                .matches(
+                                        "nodes: don't fit, \\d+ of them in no step; "
+                                                + "heap_at_rest needs \\d+ of \\d+, \\d+ too many"),
+                never.text);
         Said few = check(new Limits(8 * MEGABYTE, 0, 0, 0), file(Held.list(0, 999, 3)), null);
-        assertTrue(few.line("nodes: ").endsWith("; all are loaded, since from_nodes is 1000"), few.text);
+        assertTrue(
+                few.line("nodes: ").endsWith("; all are loaded, since from_nodes is 1000"),
+                few.text);
     }
 
     /** Guards against limits that are taken and then left out of the verdict. */
@@ -64,22 +81,38 @@
     public void eachLimitBindsTheProcess() throws Exception {
         Path list = file(Held.list(0, 100, 3));
         assertTrue(check(RUN, list, null).line("process: fits; ").endsWith(" to spare"));
-        for (Limits tight : new Limits[] {new Limits(20 * MEGABYTE, 0, 0, 0),
-            new Limits(1 << 30, 60 * MEGABYTE, 0, 0), new Limits(1 << 30, 0, MEGABYTE, 0),
-            new Limits(1 << 30, 0, 0, 700)}) {
+        for (Limits tight :
+                new Limits[] {
+                    new Limits(20 * MEGABYTE, 0, 0, 0),
+                    new Limits(1 << 30, 60 * MEGABYTE, 0, 0),
+                    new Limits(1 << 30, 0, MEGABYTE, 0),
+                    new Limits(1 << 30, 0, 0, 700)
+                }) {
             Said said = check(tight, list, null);
-            String bound = tight.resident() > 0 ? "resident" : tight.direct() > 0 ? "direct"
-                    : tight.descriptors() > 0 ? "descriptors" : "heap_at_rest";
-            assertTrue(said.line("process: ").startsWith("process: does not fit; " + bound), said.text);
+            String bound =
+                    tight.resident() > 0
+                            ? "resident"
+                            : tight.direct() > 0
+                                    ? "direct"
+                                    : tight.descriptors() > 0 ? "descriptors" : "heap_at_rest";
+            assertTrue(
+                    said.line("process: ").startsWith("process: does not fit; " + bound),
+                    said.text);
         }
     }
 
     /** Guards against settings and limits of a configuration that count for nothing. */
     @Test
     public void aConfigurationSaysItsListAndSettingsToo() throws Exception {
-        String example = Files.readString(Path.of("example", "config.json")).replace("\"servers\": []",
-                Held.list(0, 50, 1).replaceFirst("^.*\"servers\":", "\"servers\":").replaceFirst("}$", ""));
-        Said said = check(RUN, file(example.replace("\"sockets\": 1024", "\"sockets\": 200")), null);
+        String example =
+                Files.readString(Path.of("example", "config.json"))
+                        .replace(
+                                "\"servers\": []",
+                                Held.list(0, 50, 1)
+                                        .replaceFirst("^.*\"servers\":", "\"servers\":")
+                                        .replaceFirst("}$", ""));
+        Said said =
+                check(RUN, file(example.replace("\"sockets\": 1024", "\"sockets\": 200")), null);
         assertTrue(said.fits, said.text);
         assertEquals(said.line("classes").split(" +")[1], "3");
         assertEquals(said.line("callers").split(" +")[1], "100");
@@ -88,11 +121,20 @@
     /** Guards against a fault in place of what is wrong with the file. */
     @Test
     public void whatIsNoListIsSaidWithFoundAndAllowed() throws Exception {
-        for (String text : new String[] {"", "[]", "{}", "{\"servers\":[]}", "{\"servers\":5}",
-            "{\"known\":{\"servers\":[{}]}}"}) {
+        for (String text :
+                new String[] {
+                    "",
+                    "[]",
+                    "{}",
+                    "{\"servers\":[]}",
+                    "{\"servers\":5}",
+                    "{\"known\":{\"servers\":[{}]}}"
+                }) {
             Path file = file(text);
             Said said = check(RUN, file, null);
-            assertTrue(!said.fits && said.text.matches(file + ": found .+; allowed: .+\\R"), said.text);
+            assertTrue(
+                    !said.fits && said.text.matches(file + ": found .+; allowed: .+\\R"),
+                    said.text);
         }
         Said gone = check(RUN, Path.of("nowhere.json"), null);
         assertTrue(gone.text.startsWith("nowhere.json: can't be read: "), gone.text);
--- a/daemon/src/test/java/cedarrudder/program/LogWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/program/LogWriterTest.java
@@ -17,15 +17,17 @@
     @Test
     public void itWritesOnAfterALineThatItHadNoMemoryFor() throws Exception {
         BlockingQueue<String> written = new LinkedBlockingQueue<>();
-        LogWriter writer = new LogWriter(new PrintStream(OutputStream.nullOutputStream()) {
-            @Override
-            public void println(String line) {
-                if (line.equals("first")) {
-                    throw new OutOfMemoryError("played");
-                }
-                written.add(line);
-            }
-        });
+        LogWriter writer =
+                new LogWriter(
+                        new PrintStream(OutputStream.nullOutputStream()) {
+                            @Override
+                            public void println(String line) {
+                                if (line.equals("first")) {
+                                    throw new OutOfMemoryError("played");
+                                }
+                                written.add(line);
+                            }
+                        });
         assertTrue(writer.take("first") && writer.take("second"));
         assertEquals(written.poll(20, TimeUnit.SECONDS), "second");
         writer.end();
--- a/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
@@ -48,7 +48,9 @@
                 continue;
             }
             Received answer = open.read();
-            (answer.first().contains(" 200 ") ? served : answer.first().contains(" 503 ") ? refused : failed)
+            (answer.first().contains(" 200 ")
+                            ? served
+                            : answer.first().contains(" 503 ") ? refused : failed)
                     .incrementAndGet();
         }
         if (open != null) {
@@ -60,13 +62,15 @@
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             String name = "c" + i + "-";
-            Thread thread = new Thread(() -> {
-                try {
-                    call(world, name, on, most);
-                } catch (IOException e) {
-                    failed.addAndGet(1_000_000); // no caller's connection may break
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    call(world, name, on, most);
+                                } catch (IOException e) {
+                                    failed.addAndGet(1_000_000); // no caller's connection may break
+                                }
+                            });
             thread.start();
             threads.add(thread);
         }
@@ -79,21 +83,26 @@
         AtomicInteger arrived = new AtomicInteger();
         reset();
         try (World world = new World(3).withAdmin().start()) {
-            Nodes.play(world, call -> {
-                switch (arrived.incrementAndGet() % 10) {
-                    case 3 -> call.reply("500 Broken", "");
-                    case 6 -> call.reply("503 Full", "", "Srv-Declined: 1");
-                    case 9 -> call.reset();
-                    default -> call.reply("200 OK", "done");
-                }
-            });
+            Nodes.play(
+                    world,
+                    call -> {
+                        switch (arrived.incrementAndGet() % 10) {
+                            case 3 -> call.reply("500 Broken", "");
+                            case 6 -> call.reply("503 Full", "", "Srv-Declined: 1");
+                            case 9 -> call.reset();
+                            default -> call.reply("200 OK", "done");
+                        }
+                    });
             for (Thread thread : load(world, new AtomicBoolean(true), CALLS)) {
                 Await.end("the end of a caller", thread);
             }
             JsonObject page = page(world);
             // A node may still be reading what a caller has left.
-            for (int i = 0; i < 20_000 && (page.whole("open_requests") > 0
-                    || page.whole("relayed") != arrived.get()); i++) {
+            for (int i = 0;
+                    i < 20_000
+                            && (page.whole("open_requests") > 0
+                                    || page.whole("relayed") != arrived.get());
+                    i++) {
                 page = page(world);
             }
             JsonObject orders = page.child("operations").child("order");
@@ -106,7 +115,8 @@
             for (int i = 0; i < names.length; i++) {
                 long told = orders.whole(names[i]);
                 counted += told;
-                assertTrue(told >= seen[i] && told <= seen[i] + left.get(),
+                assertTrue(
+                        told >= seen[i] && told <= seen[i] + left.get(),
                         names[i] + ": told " + told + ", seen " + seen[i]);
             }
             assertTrue(counted + orders.whole("left") <= CALLERS * CALLS);
@@ -118,7 +128,10 @@
         return JsonObject.parse(world.operator("GET", "/-/metrics").body());
     }
 
-    /** Guards against a node that is being restarted getting calls, and one that is back getting none. */
+    /**
+     * Guards against a node that is being restarted getting calls, and one that is back getting
+     * none.
+     */
     @Test
     public void aNodeIsDisabledRestartedAndEnabledUnderLoad() throws Exception {
         AtomicBoolean on = new AtomicBoolean(true);
@@ -126,20 +139,27 @@
         reset();
         try (World world = new World(3).withAdmin().start()) {
             int port = world.nodes.get(0).server.getLocalPort();
-            Nodes.play(world, call -> {
-                if (call.socket().getLocalPort() == port) {
-                    at.add(System.nanoTime());
-                }
-                call.reply("200 OK", "done");
-            });
+            Nodes.play(
+                    world,
+                    call -> {
+                        if (call.socket().getLocalPort() == port) {
+                            at.add(System.nanoTime());
+                        }
+                        call.reply("200 OK", "done");
+                    });
             List<Thread> threads = load(world, on, Integer.MAX_VALUE);
             Await.until("a request at n0", () -> !at.isEmpty());
             assertEquals(world.status("POST", "/-/nodes/n0/disable"), 200);
             long yes = System.nanoTime();
             int before = served.get();
-            Await.until("100 more served", () -> System.nanoTime() - yes >= 2 * DRAIN_GRACE
-                    && served.get() >= before + 100);
-            assertTrue(at.stream().allMatch(time -> time < yes + DRAIN_GRACE), "sent to a disabled node");
+            Await.until(
+                    "100 more served",
+                    () ->
+                            System.nanoTime() - yes >= 2 * DRAIN_GRACE
+                                    && served.get() >= before + 100);
+            assertTrue(
+                    at.stream().allMatch(time -> time < yes + DRAIN_GRACE),
+                    "sent to a disabled node");
             // Not before: what is on its way there as it closes may have run, and fails as it must.
             world.nodes.get(0).close();
             int without = served.get();
--- a/daemon/src/test/java/cedarrudder/program/OperatorStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperatorStoriesTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What the operator's file sets, over sockets. Where a time is set, another event that would come later, or
- * sooner, without the setting shows that it counts.
+ * What the operator's file sets, over sockets. Where a time is set, another event that would come
+ * later, or sooner, without the setting shows that it counts.
  */
 public class OperatorStoriesTest {
 
@@ -48,10 +48,17 @@
 
     @Test
     public void boundsOnBytesCountForCallersAndNodes() throws Exception {
-        try (World world = new World(1).with(operator("[callers]\nhead_bytes = 1024\nbody_bytes = 3\n"
-                + "[nodes]\nhead_bytes = 2048\nbody_bytes = 5\n")).start()) {
-            String[][] sent = {{World.rpc("order", "/api", "four"), "413"},
-                {World.rpc("lookup", "/api", "", "A: " + "x".repeat(1024)), "431"}};
+        try (World world =
+                new World(1)
+                        .with(
+                                operator(
+                                        "[callers]\nhead_bytes = 1024\nbody_bytes = 3\n"
+                                                + "[nodes]\nhead_bytes = 2048\nbody_bytes = 5\n"))
+                        .start()) {
+            String[][] sent = {
+                {World.rpc("order", "/api", "four"), "413"},
+                {World.rpc("lookup", "/api", "", "A: " + "x".repeat(1024)), "431"}
+            };
             for (String[] each : sent) {
                 try (Caller caller = world.caller()) {
                     String first = caller.send(each[0]).read().first();
@@ -60,8 +67,11 @@
             }
             try (Caller caller = world.caller()) {
                 String ok = "HTTP/1.1 200 OK\r\nContent-Length: ";
-                String[][] answers = {{ok + "5\r\n\r\n12345", "200"}, {ok + "6\r\n\r\n123456", "502"},
-                    {ok + "0\r\nA: " + "x".repeat(2048) + "\r\n\r\n", "502"}};
+                String[][] answers = {
+                    {ok + "5\r\n\r\n12345", "200"},
+                    {ok + "6\r\n\r\n123456", "502"},
+                    {ok + "0\r\nA: " + "x".repeat(2048) + "\r\n\r\n", "502"}
+                };
                 for (String[] each : answers) {
                     caller.send(World.rpc("order", "/api", "abc"));
                     world.call().raw(each[0]);
@@ -74,8 +84,14 @@
     /** Without it an idle caller is closed long after one that has sent nothing. */
     @Test
     public void patienceWithCallersCounts() throws Exception {
-        try (World world = new World(1).with(operator("[callers]\nrequest_patience_ms = 60000\n"
-                + "idle_patience_ms = 500\n")).start(); Caller silent = world.caller();
+        try (World world =
+                        new World(1)
+                                .with(
+                                        operator(
+                                                "[callers]\nrequest_patience_ms = 60000\n"
+                                                        + "idle_patience_ms = 500\n"))
+                                .start();
+                Caller silent = world.caller();
                 Caller idle = world.caller()) {
             serve(world, idle, "once");
             assertNull(idle.read());
@@ -83,11 +99,21 @@
         }
     }
 
-    /** Without it the probe would be given up, and the answer spoilt, long before the caller is closed. */
+    /**
+     * Without it the probe would be given up, and the answer spoilt, long before the caller is
+     * closed.
+     */
     @Test
     public void patienceWithNodesCounts() throws Exception {
-        try (World world = new World(1).with(operator("[nodes]\nprobe_patience_ms = 10000\n"
-                + "answer_patience_ms = 10000\n[callers]\nrequest_patience_ms = 1000\n"))) {
+        try (World world =
+                new World(1)
+                        .with(
+                                operator(
+                                        "[nodes]\n"
+                                                + "probe_patience_ms = 10000\n"
+                                                + "answer_patience_ms = 10000\n"
+                                                + "[callers]\n"
+                                                + "request_patience_ms = 1000\n"))) {
             world.probesWait = true;
             world.start();
             Received probe = World.await(world.probes);
@@ -107,7 +133,8 @@
     /** Without it the call would wait for longer than a caller that sends nothing. */
     @Test
     public void patienceWithDiscoveryCounts() throws Exception {
-        try (World world = new World(1).with(operator("[discovery]\ncall_patience_ms = 100\n")).start()) {
+        try (World world =
+                new World(1).with(operator("[discovery]\ncall_patience_ms = 100\n")).start()) {
             World.await(world.lookups);
             awaitOverdue(world);
             assertTrue(world.log.toString(StandardCharsets.UTF_8).contains("why=silent"));
@@ -120,7 +147,10 @@
     public void aCallerThatDoesNotReadIsClosed() throws Exception {
         int answers = 160;
         String answer = "x".repeat(60_000);
-        try (World world = new World(1).with(operator("[callers]\nanswer_patience_ms = 500\n")).start();
+        try (World world =
+                        new World(1)
+                                .with(operator("[callers]\nanswer_patience_ms = 500\n"))
+                                .start();
                 Caller deaf = world.caller()) {
             Nodes.play(world, call -> call.reply("200 OK", answer));
             for (int i = 0; i < answers; i++) {
@@ -196,8 +226,14 @@
         SplittableRandom random = new SplittableRandom(seed);
         int peers = 100;
         long from = System.nanoTime();
-        try (World world = new World(1).with(operator("[log]\nformat = \"json\"\nlines_per_s = 5\n"
-                + "line_chars = 100\nlevel = \"warn\"\n")).start(); Caller caller = world.caller()) {
+        try (World world =
+                        new World(1)
+                                .with(
+                                        operator(
+                                                "[log]\nformat = \"json\"\nlines_per_s = 5\n"
+                                                        + "line_chars = 100\nlevel = \"warn\"\n"))
+                                .start();
+                Caller caller = world.caller()) {
             for (int i = 0; i < peers; i++) {
                 byte[] garbage = new byte[2000];
                 random.nextBytes(garbage);
@@ -210,7 +246,9 @@
             serve(world, caller, "good");
             List<String> lines = world.log.toString(StandardCharsets.UTF_8).lines().toList();
             long seconds = (System.nanoTime() - from) / 1_000_000_000L + 2;
-            assertTrue(lines.size() > 0 && lines.size() <= seconds * 6, "seed " + seed + ": " + lines.size());
+            assertTrue(
+                    lines.size() > 0 && lines.size() <= seconds * 6,
+                    "seed " + seed + ": " + lines.size());
             for (String line : lines) {
                 JsonObject event = JsonObject.parse(line);
                 assertTrue(event.text("level", null).equals("warn"), line);
--- a/daemon/src/test/java/cedarrudder/program/OperatorsCallsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperatorsCallsTest.java
@@ -34,14 +34,18 @@
             assertEquals(wrong.field("Allow"), "GET");
             assertEquals(world.operator("GET", "/-/drain").field("Allow"), "POST");
             try (Caller garbled = world.operator()) {
-                assertEquals(garbled.send("\u0016\u0003\u0001").read().first(), "HTTP/1.1 400 Bad Request");
+                assertEquals(
+                        garbled.send("\u0016\u0003\u0001").read().first(),
+                        "HTTP/1.1 400 Bad Request");
                 assertNull(garbled.read());
             }
             serve(world, "after");
         }
     }
 
-    /** Guards against those who say nothing, or half a call, shutting out those who say all of it. */
+    /**
+     * Guards against those who say nothing, or half a call, shutting out those who say all of it.
+     */
     @Test
     public void aCrowdOfSilentAndHalfCallsLeavesRoomForAWholeOne() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
@@ -50,7 +54,8 @@
                 crowd.add(world.operator().send(i % 2 == 0 ? "" : "GET /-/rea"));
             }
             assertEquals(world.status("GET", "/-/ready"), 200);
-            // Those that said nothing made room first; of the others as many are left as the bound allows.
+            // Those that said nothing made room first; of the others as many are left as the bound
+            // allows.
             int answered = 0;
             for (int i = 1; i < CROWD; i += 2) {
                 try (Caller half = crowd.get(i)) {
@@ -60,7 +65,8 @@
                     // it had made room
                 }
             }
-            assertTrue(answered > 0 && answered <= AdminListener.MOST_CALLS, answered + " were left");
+            assertTrue(
+                    answered > 0 && answered <= AdminListener.MOST_CALLS, answered + " were left");
             for (Caller caller : crowd) {
                 caller.close();
             }
@@ -72,10 +78,12 @@
     public void aDrainSendsClientsAwayAndLosesNothingAndResumeTakesItBack() throws Exception {
         // With so much patience only the drain closes what is idle, or silent.
         Path patient = Files.createTempFile("operator", ".toml");
-        Files.writeString(patient, "[callers]\nidle_patience_ms = 60000\nrequest_patience_ms = 60000\n");
+        Files.writeString(
+                patient, "[callers]\nidle_patience_ms = 60000\nrequest_patience_ms = 60000\n");
         try (World world = new World(1).withAdmin().with(Operator.read(patient)).start();
                 Caller busy = world.caller();
-                Caller idle = world.caller(); Caller silent = world.caller()) {
+                Caller idle = world.caller();
+                Caller silent = world.caller()) {
             serveOn(world, idle, "idle");
             busy.send(World.rpc("order", "/api", "x").replace("id-1", "busy"));
             Received open = world.call();
@@ -101,10 +109,14 @@
         }
     }
 
-    /** Guards against a ban that fails to reach work which waits, or that outlives the call that ends it. */
+    /**
+     * Guards against a ban that fails to reach work which waits, or that outlives the call that
+     * ends it.
+     */
     @Test
     public void aDisabledNodeGetsNothingNewUntilItIsEnabled() throws Exception {
-        try (World world = new World(2).withAdmin().start(); Caller caller = world.caller()) {
+        try (World world = new World(2).withAdmin().start();
+                Caller caller = world.caller()) {
             assertEquals(world.status("POST", "/-/nodes/n9/disable"), 404);
             assertEquals(world.status("POST", "/-/nodes/%zz/disable"), 400);
             assertEquals(world.operator("GET", "/-/nodes/n0/disable").field("Allow"), "POST");
@@ -154,7 +166,8 @@
             assertEquals(world.status("POST", "/-/nodes/n0/enable"), 200);
             assertEquals(metric(world, "out_of_rotation"), 0);
             try (Stream<Path> left = Files.list(world.state)) {
-                assertEquals(left.filter(file -> !file.toString().endsWith("processes")).count(), 0);
+                assertEquals(
+                        left.filter(file -> !file.toString().endsWith("processes")).count(), 0);
             }
         }
         try (World world = new World(1).withAdmin()) {
@@ -170,7 +183,8 @@
     /** Guards against figures that tell something else than what peers saw. */
     @Test
     public void figuresTellWhatCallersAndNodesSaw() throws Exception {
-        try (World world = new World(1).withAdmin().start(); Caller caller = world.caller()) {
+        try (World world = new World(1).withAdmin().start();
+                Caller caller = world.caller()) {
             String before = page(world);
             assertTrue(before.contains("\"order\":{\"fulfilled\":0"), before);
             serveOn(world, caller, "served");
--- a/daemon/src/test/java/cedarrudder/program/OperatorsPageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperatorsPageTest.java
@@ -17,7 +17,10 @@
 
     private static Set<String> found(String pattern, String text) {
         Set<String> found = new TreeSet<>();
-        Pattern.compile(pattern).matcher(text).results().forEach(match -> found.add(match.group(1)));
+        Pattern.compile(pattern)
+                .matcher(text)
+                .results()
+                .forEach(match -> found.add(match.group(1)));
         return found;
     }
 
@@ -28,7 +31,8 @@
 
     @Test
     public void itNamesEveryKey() throws IOException {
-        Set<String> keys = found("(?m)^#([a-z_]+) = ", Files.readString(Path.of("deploy", "operator.toml")));
+        Set<String> keys =
+                found("(?m)^#([a-z_]+) = ", Files.readString(Path.of("deploy", "operator.toml")));
         assertTrue(keys.size() > 10);
         String row = "(?m)^\\| (?:`\\[+[\\w.]+\\]+`)? ?\\| `([a-z_]+)` \\|";
         assertEquals(found(row, page("## Keys", "## Signals")), keys);
@@ -47,6 +51,7 @@
             }
         }
         assertTrue(events.size() > 10);
-        assertEquals(found("(?m)^\\| `([a-z_.]+)` \\| [A-Z]+ \\|", page("## The log", null)), events);
+        assertEquals(
+                found("(?m)^\\| `([a-z_.]+)` \\| [A-Z]+ \\|", page("## The log", null)), events);
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/ProxyStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyStoriesTest.java
@@ -19,7 +19,8 @@
 
     @Test
     public void anRpcPassesUnchangedAndItsAnswerComesBack() throws Exception {
-        try (World world = new World(2).start(); Caller caller = world.caller()) {
+        try (World world = new World(2).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1"));
             Received call = world.call();
             assertEquals(call.first(), "POST /api/x?y=1 HTTP/1.1");
@@ -38,7 +39,8 @@
 
     @Test
     public void splitAndJoinedBytesAreTheSameRpcs() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             for (char next : World.rpc("order", "/api", "body").toCharArray()) {
                 caller.send(String.valueOf(next));
             }
@@ -58,7 +60,8 @@
 
     @Test
     public void aRefusedConnectionProvesNothingRanSoAnotherNodeIsTried() throws Exception {
-        try (World world = new World(2).start(); Caller caller = world.caller()) {
+        try (World world = new World(2).start();
+                Caller caller = world.caller()) {
             world.nodes.get(0).close();
             for (int i = 0; i < 8; i++) {
                 caller.send(World.rpc("order", "/api", "x"));
@@ -70,7 +73,8 @@
 
     @Test
     public void whatMayHaveRunIsNotSentAgain() throws Exception {
-        try (World world = new World(2).start(); Caller caller = world.caller()) {
+        try (World world = new World(2).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x"));
             world.call().reset();
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
@@ -80,7 +84,8 @@
 
     @Test
     public void whatNeverRanIsRefusedWithAnUnavailableStatus() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x"));
             world.call().reply("503 Full", "", "Srv-Declined: 1");
             assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
@@ -89,7 +94,8 @@
 
     @Test
     public void aBodyThatEndsWithItsConnectionIsWhole() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("lookup", "/api", ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\n\r\nto the end");
@@ -101,7 +107,8 @@
     /** A write on a channel that its node has closed would be a reset, and the RPC lost. */
     @Test
     public void aChannelThatItsNodeClosedIsNotUsedAgain() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x"));
             Received first = world.call();
             first.reply("200 OK", "1", "Connection: close");
@@ -128,7 +135,8 @@
 
     @Test
     public void anRpcIsAnsweredAtItsDeadlineThoughItsNodeIsSilent() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/stays-for-test", "x").replace("30000", "2000"));
             Received call = world.call();
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
@@ -138,7 +146,8 @@
 
     @Test
     public void nonsenseFromANodeEndsOnlyThatAttempt() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x"));
             world.call().raw("\u0001\u0002 what\r\n\r\n");
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
@@ -155,7 +164,10 @@
             Received watch = World.await(world.lookups);
             assertEquals(watch.first(), "GET /catalog/members?follow=1&since=0 HTTP/1.1");
             watch.raw(World.STREAM);
-            String list = "{\"version\":7,\"full\":true,\"servers\":[" + world.entries("in_service") + "]}\n";
+            String list =
+                    "{\"version\":7,\"full\":true,\"servers\":["
+                            + world.entries("in_service")
+                            + "]}\n";
             watch.chunk(list.substring(0, 30));
             watch.chunk(list.substring(30) + "\n");
             watch.reset();
@@ -167,7 +179,10 @@
         }
     }
 
-    /** Guards against a proxy that hears nothing where lists are pushed, since its module asks for none. */
+    /**
+     * Guards against a proxy that hears nothing where lists are pushed, since its module asks for
+     * none.
+     */
     @Test
     public void whereListsArePushedTheWatchIsHeldFromTheStart() throws Exception {
         try (World world = new World(1).with("\"ask\"", "\"push\"").start()) {
@@ -185,8 +200,10 @@
         try (World world = new World(1).start()) {
             Received old = World.await(world.lookups);
             old.raw(World.STREAM);
-            old.chunk("{\"version\":7,\"full\":true,\"servers\":["
-                    + world.entries("in_service") + "]}\n");
+            old.chunk(
+                    "{\"version\":7,\"full\":true,\"servers\":["
+                            + world.entries("in_service")
+                            + "]}\n");
             world.reload("{");
             world.awaitLog("configuration.kept");
             world.discovery = world.new Peer(world.lookups);
@@ -228,7 +245,8 @@
 
     @Test(dataProvider = "badRequests")
     public void aBadRequestGetsItsStatusAndAClose(String request, String status) throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             Received answer = caller.send(request).read();
             assertTrue(answer.first().startsWith("HTTP/1.1 " + status), answer.first());
             assertEquals(answer.field("Connection"), "close");
@@ -240,11 +258,13 @@
     /** Guards against one caller's answer being made for another's request of the same id. */
     @Test
     public void anIdThatIsOpenIsNotTakenAgain() throws Exception {
-        try (World world = new World(1).start(); Caller first = world.caller();
+        try (World world = new World(1).start();
+                Caller first = world.caller();
                 Caller second = world.caller()) {
             first.send(World.rpc("order", "/api", "x"));
             Received call = world.call();
-            assertEquals(second.send(World.rpc("order", "/api", "y")).read().first(),
+            assertEquals(
+                    second.send(World.rpc("order", "/api", "y")).read().first(),
                     "HTTP/1.1 400 Bad Request");
             call.reply("200 OK", "mine");
             assertEquals(first.read().body(), "mine");
@@ -256,8 +276,11 @@
     /** Guards against silent connections and half requests holding descriptors for good. */
     @Test
     public void whoSendsNoWholeRequestIsClosedAndWhoWaitsForAnAnswerIsNot() throws Exception {
-        try (World world = new World(1).start(); Caller silent = world.caller(); Caller half = world.caller();
-                Caller waiting = world.caller(); Caller served = world.caller()) {
+        try (World world = new World(1).start();
+                Caller silent = world.caller();
+                Caller half = world.caller();
+                Caller waiting = world.caller();
+                Caller served = world.caller()) {
             waiting.send(World.rpc("order", "/api", "x"));
             Received call = world.call();
             served.send(World.rpc("lookup", "/api", "").replace("id-1", "id-2"));
@@ -272,7 +295,9 @@
         }
     }
 
-    /** Guards against running out of descriptors: only those may be closed that wait for nothing. */
+    /**
+     * Guards against running out of descriptors: only those may be closed that wait for nothing.
+     */
     @Test
     public void atItsBoundTheProxyClosesThoseWhoSaidNothing() throws Exception {
         List<Caller> silent = new ArrayList<>();
@@ -296,7 +321,9 @@
         }
     }
 
-    /** A recorded day failed RPCs whose connections were closed before their first bytes had come. */
+    /**
+     * A recorded day failed RPCs whose connections were closed before their first bytes had come.
+     */
     @Test
     public void atItsBoundTheProxyClosesIdleCallersBeforeThoseThatHaveJustCome() throws Exception {
         List<Caller> idle = new ArrayList<>();
@@ -307,7 +334,8 @@
                 world.call().reply("200 OK", "once");
                 assertEquals(idle.get(i).read().body(), "once");
             }
-            try (Caller first = world.caller(); Caller second = world.caller()) {
+            try (Caller first = world.caller();
+                    Caller second = world.caller()) {
                 assertNull(idle.get(0).read());
                 assertNull(idle.get(1).read());
                 for (Caller caller : List.of(first, second)) {
@@ -322,7 +350,9 @@
         }
     }
 
-    /** What can't be read, or has no end, failed and may have run; none of it may reach the caller. */
+    /**
+     * What can't be read, or has no end, failed and may have run; none of it may reach the caller.
+     */
     @DataProvider
     public Object[][] spoiltAnswers() {
         String ok = "HTTP/1.1 200 OK\r\n";
@@ -339,7 +369,8 @@
 
     @Test(dataProvider = "spoiltAnswers")
     public void aSpoiltAnswerFailsAtOnceAndIsNeverPassedOn(String answer) throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x"));
             Received spoilt = world.call();
             spoilt.raw(answer);
@@ -355,7 +386,8 @@
     /** Guards against what is left over from one answer being taken for the next. */
     @Test
     public void bytesBehindAGoodAnswerAnswerNothing() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             caller.send(World.rpc("order", "/api", "x"));
             Received first = world.call();
             String one = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
@@ -369,18 +401,26 @@
         }
     }
 
-    /** Guards against a channel to a node that is gone being used for the one that has its address now. */
+    /**
+     * Guards against a channel to a node that is gone being used for the one that has its address
+     * now.
+     */
     @Test
     public void aNodeUnderANewIdGetsAChannelOfItsOwn() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
             Received watch = World.await(world.lookups);
             caller.send(World.rpc("order", "/api", "x"));
             Received old = world.call();
             old.reply("200 OK", "old");
             assertEquals(caller.read().body(), "old");
             watch.raw(World.STREAM);
-            watch.chunk("{\"version\":7,\"full\":false,\"servers\":[" + world.entries("terminated") + ","
-                    + world.entries("in_service").replace("\"n0\"", "\"new\"") + "]}\n");
+            watch.chunk(
+                    "{\"version\":7,\"full\":false,\"servers\":["
+                            + world.entries("terminated")
+                            + ","
+                            + world.entries("in_service").replace("\"n0\"", "\"new\"")
+                            + "]}\n");
             old.awaitEnd();
             caller.send(World.rpc("order", "/api", "y"));
             Received call = world.call();
@@ -392,24 +432,34 @@
 
     @Test
     public void itIsHealthyOnceItKnowsNodes() throws Exception {
-        try (World empty = new World(0).start(); World full = new World(1).start();
-                Caller early = empty.caller(); Caller ready = full.caller()) {
+        try (World empty = new World(0).start();
+                World full = new World(1).start();
+                Caller early = empty.caller();
+                Caller ready = full.caller()) {
             String health = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
             assertEquals(early.send(health).read().first(), "HTTP/1.1 503 Service Unavailable");
             assertEquals(ready.send(health).read().first(), "HTTP/1.1 200 OK");
             // A machine that is short of cores makes the loop say so.
-            assertFalse(full.log.toString().replace("WARN loop.late", "").contains("WARN"),
+            assertFalse(
+                    full.log.toString().replace("WARN loop.late", "").contains("WARN"),
                     full.log.toString());
         }
     }
 
-    /** Bytes of the warm-up that are read after its end, such as those of a second copy of its last RPC. */
+    /**
+     * Bytes of the warm-up that are read after its end, such as those of a second copy of its last
+     * RPC.
+     */
     @Test
     public void whatIsLeftOfTheWarmUpReachesNoNode() throws Exception {
-        try (World world = new World(1).start(); Caller caller = world.caller()) {
-            SplittableRandom random = new SplittableRandom(Long.parseUnsignedLong("8c1f30d27a5be964", 16));
-            String id = "warm-up-" + Long.toHexString(random.nextLong())
-                    + Long.toHexString(random.nextLong());
+        try (World world = new World(1).start();
+                Caller caller = world.caller()) {
+            SplittableRandom random =
+                    new SplittableRandom(Long.parseUnsignedLong("8c1f30d27a5be964", 16));
+            String id =
+                    "warm-up-"
+                            + Long.toHexString(random.nextLong())
+                            + Long.toHexString(random.nextLong());
             caller.send(World.rpc("lookup", "/warm-up", "").replace("id-1", id));
             assertEquals(caller.read().first(), "HTTP/1.1 200 OK");
             caller.send(World.rpc("lookup", "/api", ""));
--- a/daemon/src/test/java/cedarrudder/program/ServeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ServeIT.java
@@ -32,9 +32,13 @@
     }
 
     private static Process serve(Path file, String... options) throws IOException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar",
-                "daemon/target/cedarrudder.jar", "serve"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-jar",
+                                "daemon/target/cedarrudder.jar",
+                                "serve"));
         command.addAll(List.of(options));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", file.toString());
@@ -46,10 +50,13 @@
         return Await.line(part, process, lines, line -> line.contains(part));
     }
 
-    /** A process inherits that SIGHUP is ignored, as under nohup, and no plain shell gives it back. */
+    /**
+     * A process inherits that SIGHUP is ignored, as under nohup, and no plain shell gives it back.
+     */
     private static void skipWhereNotHeard(Process process, String said) {
         if (said.contains("sighup.not_handled")) {
-            process.destroyForcibly(); // else it would outlive the tests, and ask at ports of later ones
+            process.destroyForcibly(); // else it would outlive the tests, and ask at ports of
+            // later ones
             throw new SkipException("SIGHUP is ignored by whoever started the tests: " + said);
         }
     }
@@ -58,16 +65,21 @@
     public void itServesAndAnswersWhatItTookBeforeItEnds() throws Exception {
         try (World world = new World(1)) {
             Process process = serve(world.configuration());
-            BufferedReader lines = new BufferedReader(
-                    new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+            BufferedReader lines =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    process.getInputStream(), StandardCharsets.UTF_8));
             awaitLine(process, lines, "proxy.listens");
-            try (Caller caller = world.caller(); Caller idle = world.caller(); Caller late = world.caller()) {
+            try (Caller caller = world.caller();
+                    Caller idle = world.caller();
+                    Caller late = world.caller()) {
                 serveOne(world, idle, "before");
                 caller.send(World.rpc("order", "/api", "x"));
                 Received taken = world.call();
                 Version.signal(process, "TERM");
                 awaitLine(process, lines, "proxy.draining");
-                // Where this proxy is the only one, callers have nowhere else to go until it is back.
+                // Where this proxy is the only one, callers have nowhere else to go until it is
+                // back.
                 serveOne(world, idle, "still");
                 serveOne(world, late, "late");
                 assertEquals(idle.read(), null);
@@ -86,15 +98,20 @@
         assertEquals(caller.read().body(), text);
     }
 
-    /** The virtual machine's own answer to SIGHUP is to end: a crash for those who only sent a new file. */
+    /**
+     * The virtual machine's own answer to SIGHUP is to end: a crash for those who only sent a new
+     * file.
+     */
     @Test
     public void itReadsItsConfigurationAgainAtSighupAndServesOn() throws Exception {
         try (World world = new World(1)) {
             Path file = Files.createTempFile("cedarrudder", ".json");
             Files.writeString(file, world.configuration());
             Process process = serve(file);
-            BufferedReader lines = new BufferedReader(
-                    new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+            BufferedReader lines =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    process.getInputStream(), StandardCharsets.UTF_8));
             skipWhereNotHeard(process, awaitLine(process, lines, "proxy.listens"));
             try (Caller caller = world.caller()) {
                 caller.send(World.rpc("order", "/api", "x"));
@@ -125,17 +142,23 @@
             Path file = Files.createTempFile("cedarrudder", ".json");
             Files.writeString(file, world.configuration());
             Files.writeString(operator, "[callers]\nbody_bytes = 3\n[log]\nformat = \"json\"\n");
-            Process process = serve(file, "--operator", operator.toString(), "--log-level", "debug");
-            BufferedReader lines = new BufferedReader(
-                    new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+            Process process =
+                    serve(file, "--operator", operator.toString(), "--log-level", "debug");
+            BufferedReader lines =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    process.getInputStream(), StandardCharsets.UTF_8));
             String said = awaitLine(process, lines, "proxy.listens");
             skipWhereNotHeard(process, said);
             assertEquals(event(said, "proxy.listens").text("name", null), "example");
-            Files.writeString(operator, "[callers]\nbody_bytes = 300\nidle = 1\n[log]\nformat = \"xml\"\n");
+            Files.writeString(
+                    operator, "[callers]\nbody_bytes = 300\nidle = 1\n[log]\nformat = \"xml\"\n");
             Version.signal(process, "HUP");
             JsonObject kept = event(awaitLine(process, lines, "operator.kept"), "operator.kept");
             assertEquals(kept.whole("problems"), 2);
-            assertTrue(kept.text("first", null).contains(".toml:3: callers.idle: found an unknown key"));
+            assertTrue(
+                    kept.text("first", null)
+                            .contains(".toml:3: callers.idle: found an unknown key"));
             assertEquals(answer(world, "four"), "HTTP/1.1 413 Content Too Large");
             Files.writeString(operator, "[callers]\nbody_bytes = 300\n");
             Version.signal(process, "HUP");
@@ -157,16 +180,22 @@
         return last;
     }
 
-    /** The first line of the answer to an RPC with this body; a node answers those that reach it. */
+    /**
+     * The first line of the answer to an RPC with this body; a node answers those that reach it.
+     */
     private static String answer(World world, String body) throws Exception {
         try (Caller caller = world.caller()) {
-            Thread node = new Thread(() -> {
-                try {
-                    world.call().reply("200 OK", "done");
-                } catch (InterruptedException | IOException e) {
-                    Thread.currentThread().interrupt(); // the RPC was turned away before it got here
-                }
-            });
+            Thread node =
+                    new Thread(
+                            () -> {
+                                try {
+                                    world.call().reply("200 OK", "done");
+                                } catch (InterruptedException | IOException e) {
+                                    Thread.currentThread()
+                                            .interrupt(); // the RPC was turned away before it got
+                                    // here
+                                }
+                            });
             node.start();
             caller.send(World.rpc("order", "/api", body));
             String first = caller.read().first();
@@ -179,14 +208,22 @@
     @Test
     public void itSaysInOneLineWhyItCantStart() throws Exception {
         try (World world = new World(1)) {
-            String taken = world.configuration().replace(":" + world.port,
-                    ":" + world.nodes.get(0).server.getLocalPort());
+            String taken =
+                    world.configuration()
+                            .replace(
+                                    ":" + world.port,
+                                    ":" + world.nodes.get(0).server.getLocalPort());
             for (String configuration : new String[] {"{", "{}", taken}) {
                 Process process = serve(configuration);
                 String said = Await.all("its end", process);
                 // Short of cores the loop says so, too, and under nohup that SIGHUP is ignored.
-                List<String> lines = said.lines().filter(line -> !line.contains(" loop.late ")
-                        && !line.contains(" sighup.not_handled ")).toList();
+                List<String> lines =
+                        said.lines()
+                                .filter(
+                                        line ->
+                                                !line.contains(" loop.late ")
+                                                        && !line.contains(" sighup.not_handled "))
+                                .toList();
                 assertEquals(lines.size(), 1, said);
                 assertTrue(lines.get(0).startsWith("cedarrudder: "), said);
                 assertNotEquals(Await.end("its end", process), 0);
@@ -194,7 +231,9 @@
         }
     }
 
-    /** Guards against a start that takes time, and throws errors, over logging libraries not there. */
+    /**
+     * Guards against a start that takes time, and throws errors, over logging libraries not there.
+     */
     @Test
     public void itLooksForNoLoggingLibrary() throws Exception {
         Path loaded = Files.createTempFile("loaded", ".log");
--- a/daemon/src/test/java/cedarrudder/program/ShortageIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ShortageIT.java
@@ -17,10 +17,16 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The built jar where something runs out, or nobody reads what it says; with limits of the process's own. */
+/**
+ * The built jar where something runs out, or nobody reads what it says; with limits of the
+ * process's own.
+ */
 public class ShortageIT {
 
-    /** What two processes may hold of their own, in MiB: of 192, the rest is for files that both map. */
+    /**
+     * What two processes may hold of their own, in MiB: of 192, the rest is for files that both
+     * map.
+     */
     private static final long MOST_OF_BOTH = 172;
 
     private static Path folder() throws IOException {
@@ -43,13 +49,22 @@
         }
     }
 
-    /** Guards against an event loop that stands still, and all RPCs with it, since nobody reads its log. */
+    /**
+     * Guards against an event loop that stands still, and all RPCs with it, since nobody reads its
+     * log.
+     */
     @Test
     public void aLogThatNobodyReadsStopsNothing() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, "[log]\nlines_per_s = 10000\n");
-        try (World world = new World(1); Version proxy = new Version(world, folder(), "", List.of(),
-                List.of("--operator", operator.toString()))) {
+        try (World world = new World(1);
+                Version proxy =
+                        new Version(
+                                world,
+                                folder(),
+                                "",
+                                List.of(),
+                                List.of("--operator", operator.toString()))) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             proxy.awaitReady();
             complain(world, 2000);
@@ -64,7 +79,8 @@
     /** Guards against a proxy that ends with whoever read its log. */
     @Test
     public void aLogWhoseReaderIsGoneStopsNothing() throws Exception {
-        try (World world = new World(1); Version proxy = new Version(world, folder())) {
+        try (World world = new World(1);
+                Version proxy = new Version(world, folder())) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             proxy.awaitReady();
             proxy.log.close();
@@ -77,13 +93,14 @@
     }
 
     /**
-     * Guards against a proxy that dies, stalls or keeps anything for good once it has no descriptor left: to
-     * accept, to connect, or to keep a ban.
+     * Guards against a proxy that dies, stalls or keeps anything for good once it has no descriptor
+     * left: to accept, to connect, or to keep a ban.
      */
     @Test
     public void withoutADescriptorItRefusesAndGoesOnAfterwards() throws Exception {
         try (World world = new World(3).with("\"sockets\": 1024", "\"sockets\": 4096");
-                Version proxy = new Version(world, folder(), "ulimit -n 90;", List.of(), List.of())) {
+                Version proxy =
+                        new Version(world, folder(), "ulimit -n 90;", List.of(), List.of())) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             proxy.awaitLine("proxy.listens");
             serveOne(world, "before");
@@ -111,7 +128,8 @@
             }
             assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 200);
             for (int i = 0; proxy.descriptors() > before + 12; i++) {
-                assertTrue(i < 20_000, "descriptors: " + before + " before, " + proxy.descriptors());
+                assertTrue(
+                        i < 20_000, "descriptors: " + before + " before, " + proxy.descriptors());
                 Thread.sleep(1);
             }
             proxy.signal("TERM");
@@ -122,19 +140,29 @@
     }
 
     /**
-     * Guards against a proxy that dies, or sends half a body as a whole one, where direct memory runs out,
-     * and against a loop that stands still: the library says so by another error, half a second late.
+     * Guards against a proxy that dies, or sends half a body as a whole one, where direct memory
+     * runs out, and against a loop that stands still: the library says so by another error, half a
+     * second late.
      */
     @Test
-    public void withoutDirectMemorySomeAnswersBreakOffAndOthersAreServedAfterwards() throws Exception {
-        try (World world = new World(1); Version proxy = new Version(world, folder(), "",
-                List.of("-XX:MaxDirectMemorySize=2m", "-Xmx48m"), List.of())) {
+    public void withoutDirectMemorySomeAnswersBreakOffAndOthersAreServedAfterwards()
+            throws Exception {
+        try (World world = new World(1);
+                Version proxy =
+                        new Version(
+                                world,
+                                folder(),
+                                "",
+                                List.of("-XX:MaxDirectMemorySize=2m", "-Xmx48m"),
+                                List.of())) {
             proxy.awaitLine("proxy.listens");
             byte[] body = new byte[8 * 1024 * 1024];
-            Nodes.play(world, call -> {
-                call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
-                call.socket().getOutputStream().write(body);
-            });
+            Nodes.play(
+                    world,
+                    call -> {
+                        call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
+                        call.socket().getOutputStream().write(body);
+                    });
             List<Caller> slow = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 Caller caller = world.caller();
@@ -169,11 +197,15 @@
         }
     }
 
-    /** Guards against a yes to operators that nothing stands behind, and against a proxy that ends of it. */
+    /**
+     * Guards against a yes to operators that nothing stands behind, and against a proxy that ends
+     * of it.
+     */
     @Test
     public void withoutAFolderForStateItSaysNoAndServesOn() throws Exception {
         Path none = Files.createTempFile("not-a-folder", "");
-        try (World world = new World(1); Version proxy = new Version(world, none)) {
+        try (World world = new World(1);
+                Version proxy = new Version(world, none)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             proxy.awaitLine("proxy.listens");
             assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 503);
@@ -183,11 +215,15 @@
         }
     }
 
-    /** Guards against bans that end because somebody cleared the folder while two processes run for one. */
+    /**
+     * Guards against bans that end because somebody cleared the folder while two processes run for
+     * one.
+     */
     @Test
     public void aFolderForStateThatIsClearedInAnUpgradeTakesNoBanBack() throws Exception {
         Path state = folder();
-        try (World world = new World(2); Version first = new Version(world, state)) {
+        try (World world = new World(2);
+                Version first = new Version(world, state)) {
             first.awaitLine("proxy.listens");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
             try (Version second = new Version(world, state)) {
@@ -211,21 +247,25 @@
     }
 
     /**
-     * Guards against two versions that don't see each other, and bans that are gone, since a cleaner emptied
-     * the folder before the new one started: who runs writes it anew, also in the midst of the other's start.
+     * Guards against two versions that don't see each other, and bans that are gone, since a
+     * cleaner emptied the folder before the new one started: who runs writes it anew, also in the
+     * midst of the other's start.
      */
     @Test
     public void aFolderForStateThatIsClearedBeforeAnUpgradeHidesNobody() throws Exception {
         Path state = folder();
-        try (World world = new World(2); Version first = new Version(world, state)) {
+        try (World world = new World(2);
+                Version first = new Version(world, state)) {
             Nodes.list(world);
             first.awaitLine("proxy.listens");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
             for (boolean whole : new boolean[] {false, true}) {
                 first.signal("STOP"); // so that the new one finds nothing
                 try (Stream<Path> files = Files.walk(state)) {
-                    for (Path file : files.filter(file -> whole || Files.isRegularFile(file))
-                            .sorted(Comparator.reverseOrder()).toList()) {
+                    for (Path file :
+                            files.filter(file -> whole || Files.isRegularFile(file))
+                                    .sorted(Comparator.reverseOrder())
+                                    .toList()) {
                         Files.delete(file);
                     }
                 }
@@ -239,7 +279,9 @@
                     first.awaitLine("successor=true ready=true");
                     if (whole) {
                         first.signal("TERM");
-                        assertTrue(first.rest().contains("proxy.replaced"), "replaced by the ready one");
+                        assertTrue(
+                                first.rest().contains("proxy.replaced"),
+                                "replaced by the ready one");
                     } else {
                         next.kill();
                     }
@@ -249,14 +291,20 @@
     }
 
     /**
-     * Guards against connections that keep, as long as they stand, the room that their largest body took: 64
-     * KiB each, in no account.
+     * Guards against connections that keep, as long as they stand, the room that their largest body
+     * took: 64 KiB each, in no account.
      */
     @Test
     public void connectionsThatStandKeepNoRoomForWhatCameOnThem() throws Exception {
         List<Caller> callers = new ArrayList<>();
-        try (World world = new World(1); Version proxy = new Version(world, folder(), "",
-                List.of("-XX:+UseSerialGC", "-Xmx24m"), List.of())) {
+        try (World world = new World(1);
+                Version proxy =
+                        new Version(
+                                world,
+                                folder(),
+                                "",
+                                List.of("-XX:+UseSerialGC", "-Xmx24m"),
+                                List.of())) {
             proxy.awaitLine("proxy.listens");
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             String body = "x".repeat(60_000);
@@ -282,14 +330,21 @@
     @Test
     public void headsOfManyFieldsAreTurnedAwayAndOthersAreServed() throws Exception {
         List<Caller> callers = new ArrayList<>();
-        try (World world = new World(1); Version proxy = new Version(world, folder(), "",
-                List.of("-XX:+UseSerialGC", "-Xmx24m"), List.of())) {
+        try (World world = new World(1);
+                Version proxy =
+                        new Version(
+                                world,
+                                folder(),
+                                "",
+                                List.of("-XX:+UseSerialGC", "-Xmx24m"),
+                                List.of())) {
             proxy.awaitLine("proxy.listens");
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             for (int i = 0; i < 200; i++) {
                 Caller caller = world.caller();
                 callers.add(caller);
-                caller.send("GET /api HTTP/1.1\r\nHost: a\r\n" + "a:\r\n".repeat(4000)); // and no end
+                caller.send(
+                        "GET /api HTTP/1.1\r\nHost: a\r\n" + "a:\r\n".repeat(4000)); // and no end
             }
             for (Caller caller : callers) {
                 assertTrue(caller.read().first().contains(" 431 "));
@@ -305,11 +360,20 @@
         }
     }
 
-    /** Guards against memory that grows with the rate of operators' calls: each kept its time running. */
+    /**
+     * Guards against memory that grows with the rate of operators' calls: each kept its time
+     * running.
+     */
     @Test
     public void aFloodOfOperatorsCallsLeavesNothingBehind() throws Exception {
-        try (World world = new World(1); Version proxy = new Version(world, folder(), "",
-                List.of("-XX:+UseSerialGC", "-Xmx16m"), List.of())) {
+        try (World world = new World(1);
+                Version proxy =
+                        new Version(
+                                world,
+                                folder(),
+                                "",
+                                List.of("-XX:+UseSerialGC", "-Xmx16m"),
+                                List.of())) {
             proxy.awaitLine("proxy.listens");
             for (int i = 0; i < 25_000; i++) {
                 try (Socket call = new Socket(InetAddress.getLoopbackAddress(), proxy.admin)) {
@@ -324,10 +388,13 @@
         }
     }
 
-    /** Guards against probes, attempts and callers that add up while peers are connected and silent. */
+    /**
+     * Guards against probes, attempts and callers that add up while peers are connected and silent.
+     */
     @Test
     public void peersThatFallSilentLeaveNothingBehind() throws Exception {
-        try (World world = new World(2); Version proxy = new Version(world, folder())) {
+        try (World world = new World(2);
+                Version proxy = new Version(world, folder())) {
             world.probesWait = true;
             proxy.awaitLine("proxy.listens");
             int before = proxy.descriptors();
@@ -335,8 +402,10 @@
             for (int i = 0; i < 30; i++) {
                 Caller caller = world.caller();
                 callers.add(caller);
-                caller.send(World.rpc("order", "/stays-for-test", "x").replace("id-1", "silent-" + i)
-                        .replace("30000", "300"));
+                caller.send(
+                        World.rpc("order", "/stays-for-test", "x")
+                                .replace("id-1", "silent-" + i)
+                                .replace("30000", "300"));
             }
             for (Caller caller : callers) {
                 String first = caller.read().first();
@@ -345,26 +414,40 @@
             }
             proxy.awaitFigure("open_requests", 0);
             for (int i = 0; proxy.descriptors() > before + 4; i++) {
-                assertTrue(i < 20_000, "descriptors: " + before + " before, " + proxy.descriptors());
+                assertTrue(
+                        i < 20_000, "descriptors: " + before + " before, " + proxy.descriptors());
                 Thread.sleep(1);
             }
-            assertEquals(world.calls.stream().map(Received::socket).distinct().map(Socket::getPort).count(),
-                    world.calls.size(), "each attempt had a connection of its own");
+            assertEquals(
+                    world.calls.stream()
+                            .map(Received::socket)
+                            .distinct()
+                            .map(Socket::getPort)
+                            .count(),
+                    world.calls.size(),
+                    "each attempt had a connection of its own");
         }
     }
 
     /** What the platform's command gives the virtual machine. */
     private static List<String> machine() throws IOException {
-        String run = Files.readString(Path.of("deploy", "balancer.toml")).lines()
-                .filter(line -> line.startsWith("run")).findFirst().orElseThrow();
+        String run =
+                Files.readString(Path.of("deploy", "balancer.toml"))
+                        .lines()
+                        .filter(line -> line.startsWith("run"))
+                        .findFirst()
+                        .orElseThrow();
         return List.of(run.substring(run.indexOf("java ") + 5, run.indexOf(" -jar")).split(" "));
     }
 
     /** Memory of its own that a process holds, in MiB. */
     private static long resident(Version proxy) throws IOException {
-        return Files.readAllLines(Path.of("/proc", Long.toString(proxy.process.pid()), "status")).stream()
-                .filter(line -> line.startsWith("RssAnon") || line.startsWith("RssShmem"))
-                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).sum() / 1024;
+        return Files.readAllLines(Path.of("/proc", Long.toString(proxy.process.pid()), "status"))
+                        .stream()
+                        .filter(line -> line.startsWith("RssAnon") || line.startsWith("RssShmem"))
+                        .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                        .sum()
+                / 1024;
     }
 
     /** The most that two processes, or one, hold for some time. */
@@ -377,7 +460,9 @@
         return most;
     }
 
-    /** Callers whose bodies their nodes don't read, beside callers that don't read their answers. */
+    /**
+     * Callers whose bodies their nodes don't read, beside callers that don't read their answers.
+     */
     private static List<Caller> stuck(World world, int callers, String name) throws Exception {
         List<Caller> all = new ArrayList<>();
         byte[] piece = ("10000\r\n" + "x".repeat(0x10000) + "\r\n").getBytes();
@@ -388,18 +473,28 @@
                 caller.send(World.rpc("lookup", "/api", "").replace("id-1", name + i));
                 continue;
             }
-            Nodes.daemon(() -> {
-                caller.send(World.rpc("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
-                        .replace("Content-Length: 0\r\n", "").replace("id-1", name + caller.hashCode()));
-                for (int j = 0; j < 400; j++) {
-                    caller.out().write(piece);
-                }
-            });
+            Nodes.daemon(
+                    () -> {
+                        caller.send(
+                                World.rpc(
+                                                "order",
+                                                "/stays-for-test",
+                                                "",
+                                                "Transfer-Encoding: chunked")
+                                        .replace("Content-Length: 0\r\n", "")
+                                        .replace("id-1", name + caller.hashCode()));
+                        for (int j = 0; j < 400; j++) {
+                            caller.out().write(piece);
+                        }
+                    });
         }
         return all;
     }
 
-    /** Guards against an upgrade that is killed for its memory, since both processes are full of bodies. */
+    /**
+     * Guards against an upgrade that is killed for its memory, since both processes are full of
+     * bodies.
+     */
     @Test
     public void twoProcessesFullOfBodiesStayWithinTheMemoryOfOne() throws Exception {
         Path state = folder();
@@ -407,12 +502,17 @@
         try (World world = new World(8);
                 Version first = new Version(world, state, "", machine(), List.of())) {
             Nodes.list(world);
-            Nodes.play(world, call -> {
-                if (call.first().startsWith("GET")) {
-                    call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
-                    call.socket().getOutputStream().write(body);
-                }
-            });
+            Nodes.play(
+                    world,
+                    call -> {
+                        if (call.first().startsWith("GET")) {
+                            call.raw(
+                                    "HTTP/1.1 200 OK\r\nContent-Length: "
+                                            + body.length
+                                            + "\r\n\r\n");
+                            call.socket().getOutputStream().write(body);
+                        }
+                    });
             first.awaitReady();
             List<Caller> callers = new ArrayList<>(stuck(world, 480, "first-"));
             long alone = most(first, first);
