--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -16,7 +16,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The built jar stopped at every point, by SIGKILL and by signals, and started again with what it left. */
+/**
+ * The built jar stopped at every point, by SIGKILL and by signals, and started again with what it
+ * left.
+ */
 public class StopIT {
 
     /** Moments of a start, in milliseconds after it, at which it is stopped; it takes some 300. */
@@ -62,7 +65,8 @@
                     proxy.signal("TERM");
                     String said = proxy.rest();
                     assertFalse(said.contains("Exception"), moment + " ms: " + said);
-                    // At once it may meet the virtual machine half made, which then says 1, not 143.
+                    // At once it may meet the virtual machine half made, which then says 1, not
+                    // 143.
                     if (moment > 0 || !said.isBlank()) {
                         proxy.awaitEnd(Version.TERMINATED);
                     }
@@ -74,11 +78,16 @@
     /** Guards against signals that pile up, and against one that undoes another. */
     @Test
     public void aStormOfSignalsChangesNothingAndTheFirstToEndCounts() throws Exception {
-        try (World world = new World(1); Version proxy = new Version(world, folder())) {
+        try (World world = new World(1);
+                Version proxy = new Version(world, folder())) {
             proxy.awaitLine("proxy.listens");
             String pid = Long.toString(proxy.process.pid());
-            Process storm = new ProcessBuilder("/bin/sh", "-c",
-                    "for i in $(seq 500); do kill -HUP " + pid + "; done").start();
+            Process storm =
+                    new ProcessBuilder(
+                                    "/bin/sh",
+                                    "-c",
+                                    "for i in $(seq 500); do kill -HUP " + pid + "; done")
+                            .start();
             serveOne(world, "within");
             Await.end("the end of the storm", storm);
             serveOne(world, "behind");
@@ -93,20 +102,31 @@
     }
 
     /**
-     * Guards against a process that outlives SIGTERM for good since a class of its end can't be loaded any
-     * more: somebody has written its jar anew under it. Its callers are served until then.
+     * Guards against a process that outlives SIGTERM for good since a class of its end can't be
+     * loaded any more: somebody has written its jar anew under it. Its callers are served until
+     * then.
      */
     @Test
     public void aProxyWhoseJarWasReplacedEndsAllTheSame() throws Exception {
         Path jar = folder().resolve("cedarrudder.jar");
         Files.copy(Path.of(Version.JAR), jar);
-        try (World world = new World(1); Version proxy = new Version(world, folder(), "", List.of(),
-                List.of("-jar", jar.toString()), List.of())) {
+        try (World world = new World(1);
+                Version proxy =
+                        new Version(
+                                world,
+                                folder(),
+                                "",
+                                List.of(),
+                                List.of("-jar", jar.toString()),
+                                List.of())) {
             proxy.awaitLine("proxy.listens");
             serveOne(world, "before");
             byte[] other = new byte[(int) Files.size(jar)];
             Arrays.fill(other, (byte) 'x');
-            Files.write(jar, other, StandardOpenOption.WRITE); // in place: the process has this file open
+            Files.write(
+                    jar,
+                    other,
+                    StandardOpenOption.WRITE); // in place: the process has this file open
             proxy.signal("TERM");
             proxy.awaitLine("proxy.draining");
             proxy.rest();
@@ -115,8 +135,8 @@
     }
 
     /**
-     * Guards against a promise that dies with the process: what ran once runs once, a caller sees the break,
-     * a node sees that nobody waits, bans and a drain are kept where the folder is.
+     * Guards against a promise that dies with the process: what ran once runs once, a caller sees
+     * the break, a node sees that nobody waits, bans and a drain are kept where the folder is.
      */
     @Test
     public void whatWasPromisedBeforeAKillHoldsAfterTheRestart() throws Exception {
@@ -124,13 +144,16 @@
         try (World world = new World(2)) {
             try (Version proxy = new Version(world, state)) {
                 proxy.awaitLine("proxy.listens");
-                try (Caller taken = world.caller(); Caller half = world.caller();
+                try (Caller taken = world.caller();
+                        Caller half = world.caller();
                         Caller large = world.caller()) {
                     assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 200);
                     assertEquals(proxy.status("POST", "/-/drain"), 200);
                     large.send(World.rpc("lookup", "/stays-for-test", "").replace("id-1", "large"));
-                    world.call().raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
-                            + "x".repeat(100_000));
+                    world.call()
+                            .raw(
+                                    "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
+                                            + "x".repeat(100_000));
                     assertEquals(large.readHead().first(), "HTTP/1.1 200 OK");
                     half.send("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\n");
                     taken.send(World.rpc("order", "/stays-for-test", "x").replace("id-1", "taken"));
@@ -183,7 +206,8 @@
             Version old = new Version(world, state);
             old.awaitLine("proxy.listens");
             assertEquals(old.status("POST", "/-/nodes/n0/disable"), 200);
-            // The new one is ready and dies: the old one takes its share back, and the ban is as it was.
+            // The new one is ready and dies: the old one takes its share back, and the ban is as it
+            // was.
             try (Version dies = new Version(world, state)) {
                 dies.awaitLine("proxy.listens");
                 assertEquals(dies.figure("out_of_rotation"), 1);
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -26,9 +26,10 @@
     private static final int CALLERS = 6;
 
     /**
-     * So many requests an upgrade may end at the door, say the users. The kernel resets a connection that it
-     * accepts between the old process's last look at its queue and the close, some 40 us later; nothing that
-     * a Java program can ask of it prevents that (docs/audit-findings.md, 39).
+     * So many requests an upgrade may end at the door, say the users. The kernel resets a
+     * connection that it accepts between the old process's last look at its queue and the close,
+     * some 40 us later; nothing that a Java program can ask of it prevents that
+     * (docs/audit-findings.md, 39).
      */
     private static final int AT_THE_DOOR = 2;
 
@@ -40,6 +41,7 @@
 
         /** The first requests of connections that were reset before an answer, by id. */
         final List<String> atTheDoor = new ArrayList<>();
+
         final List<Thread> callers = new ArrayList<>();
 
         Load(int port) {
@@ -64,7 +66,10 @@
                         open = null;
                     } else {
                         served.incrementAndGet();
-                        open = "close".equals(answer.field("Connection")) || i % 3 == 0 ? null : open;
+                        open =
+                                "close".equals(answer.field("Connection")) || i % 3 == 0
+                                        ? null
+                                        : open;
                     }
                 } catch (SocketException e) {
                     boolean reset = fresh && !(e instanceof ConnectException);
@@ -100,12 +105,15 @@
         Path state = Files.createTempDirectory("upgrade");
         Map<String, Integer> ran = new ConcurrentHashMap<>();
         Map<Integer, Integer> at = new ConcurrentHashMap<>();
-        try (World world = new World(3); Version first = new Version(world, state)) {
-            Nodes.play(world, call -> {
-                ran.merge(call.field("Req-Id"), 1, Integer::sum);
-                at.merge(call.socket().getLocalPort(), 1, Integer::sum);
-                call.reply("200 OK", "done");
-            });
+        try (World world = new World(3);
+                Version first = new Version(world, state)) {
+            Nodes.play(
+                    world,
+                    call -> {
+                        ran.merge(call.field("Req-Id"), 1, Integer::sum);
+                        at.merge(call.socket().getLocalPort(), 1, Integer::sum);
+                        call.reply("200 OK", "done");
+                    });
             Nodes.list(world); // asked by the successor
             first.awaitLine("proxy.listens");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
@@ -128,7 +136,8 @@
                 load.end();
                 assertEquals(load.wrong.toString(), "[]");
                 assertTrue(load.atTheDoor.size() <= AT_THE_DOOR, load.atTheDoor.toString());
-                load.atTheDoor.forEach(id -> assertFalse(ran.containsKey(id), id + " ran unanswered"));
+                load.atTheDoor.forEach(
+                        id -> assertFalse(ran.containsKey(id), id + " ran unanswered"));
                 assertEquals(ran.values().stream().filter(times -> times != 1).count(), 0);
                 assertEquals(at.get(world.nodes.get(0).server.getLocalPort()), null);
                 assertEquals(second.status("POST", "/-/nodes/n0/enable"), 200);
@@ -142,7 +151,8 @@
     @Test
     public void whatEndsBesideOneThatIsNotReadyServesOnAsIfItWereAlone() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
-        try (World world = new World(1); Version first = new Version(world, state)) {
+        try (World world = new World(1);
+                Version first = new Version(world, state)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             first.awaitLine("proxy.listens");
             // Not ready as long as discovery gives no list.
@@ -159,7 +169,8 @@
     @Test
     public void aVersionThatDiesBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
-        try (World world = new World(1); Version first = new Version(world, state)) {
+        try (World world = new World(1);
+                Version first = new Version(world, state)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             first.awaitLine("proxy.listens");
             Load load = new Load(world.port);
--- a/daemon/src/test/java/cedarrudder/program/Version.java
+++ b/daemon/src/test/java/cedarrudder/program/Version.java
@@ -43,16 +43,30 @@
         this(world, state, before, machine, List.of("-jar", JAR), options);
     }
 
-    /** @param program how the virtual machine is told what to run */
-    Version(World world, Path state, String before, List<String> machine, List<String> program,
-            List<String> options) throws IOException {
+    /**
+     * @param program how the virtual machine is told what to run
+     */
+    Version(
+            World world,
+            Path state,
+            String before,
+            List<String> machine,
+            List<String> program,
+            List<String> options)
+            throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             admin = free.getLocalPort();
         }
         Path file = Files.createTempFile("cedarrudder", ".json");
         Files.writeString(file, world.configuration());
-        List<String> command = new ArrayList<>(List.of("/bin/sh", "-c", before + " exec \"$0\" \"$@\"",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                "/bin/sh",
+                                "-c",
+                                before + " exec \"$0\" \"$@\"",
+                                Path.of(System.getProperty("java.home"), "bin", "java")
+                                        .toString()));
         command.addAll(machine);
         command.addAll(program);
         command.add("serve");
@@ -66,10 +80,14 @@
     }
 
     void awaitLine(String part) throws IOException, InterruptedException {
-        Await.line(part, process, log, line -> {
-            assertTrue(!line.contains("discovery.failed call=list"), line);
-            return line.contains(part);
-        });
+        Await.line(
+                part,
+                process,
+                log,
+                line -> {
+                    assertTrue(!line.contains("discovery.failed call=list"), line);
+                    return line.contains(part);
+                });
     }
 
     /** All that it still says until it ends. */
@@ -79,14 +97,16 @@
 
     /** Waits until it serves, without a look at its log. */
     void awaitReady() throws Exception {
-        Await.until("a yes of /-/ready", () -> {
-            try {
-                return status("GET", "/-/ready") == 200;
-            } catch (IOException e) {
-                assertTrue(process.isAlive(), "it ended: " + e);
-                return false;
-            }
-        });
+        Await.until(
+                "a yes of /-/ready",
+                () -> {
+                    try {
+                        return status("GET", "/-/ready") == 200;
+                    } catch (IOException e) {
+                        assertTrue(process.isAlive(), "it ended: " + e);
+                        return false;
+                    }
+                });
     }
 
     Received call(String method, String path) throws IOException {
@@ -103,12 +123,17 @@
         return JsonObject.parse(call("GET", "/-/metrics").body()).whole(name);
     }
 
-    /** Waits until a figure has this value; where there is no memory, a call may end without its answer. */
+    /**
+     * Waits until a figure has this value; where there is no memory, a call may end without its
+     * answer.
+     */
     void awaitFigure(String name, long value) throws Exception {
-        Await.until(name + " at " + value, () -> {
-            Received page = call("GET", "/-/metrics");
-            return page != null && JsonObject.parse(page.body()).whole(name) == value;
-        });
+        Await.until(
+                name + " at " + value,
+                () -> {
+                    Received page = call("GET", "/-/metrics");
+                    return page != null && JsonObject.parse(page.body()).whole(name) == value;
+                });
     }
 
     /** How many descriptors it holds. */
--- a/daemon/src/test/java/cedarrudder/program/World.java
+++ b/daemon/src/test/java/cedarrudder/program/World.java
@@ -31,8 +31,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The world round a proxy, played by a test on loopback sockets: callers, nodes and discovery. Nodes answer
- * probes by themselves; all else waits in a queue for the test's answer.
+ * The world round a proxy, played by a test on loopback sockets: callers, nodes and discovery.
+ * Nodes answer probes by themselves; all else waits in a queue for the test's answer.
  */
 final class World implements AutoCloseable {
 
@@ -51,13 +51,23 @@
 
         /** The value of a header field; null where there is none. */
         String field(String name) {
-            return head.lines().filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
-                    .map(l -> l.substring(name.length() + 1).strip()).findFirst().orElse(null);
+            return head.lines()
+                    .filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
+                    .map(l -> l.substring(name.length() + 1).strip())
+                    .findFirst()
+                    .orElse(null);
         }
 
         void reply(String status, String text, String... fields) throws IOException {
-            raw("HTTP/1.1 " + status + "\r\nContent-Length: " + text.length() + "\r\n" + lines(fields)
-                    + "\r\n" + text);
+            raw(
+                    "HTTP/1.1 "
+                            + status
+                            + "\r\nContent-Length: "
+                            + text.length()
+                            + "\r\n"
+                            + lines(fields)
+                            + "\r\n"
+                            + text);
         }
 
         void raw(String text) throws IOException {
@@ -87,8 +97,8 @@
     }
 
     /**
-     * Listens at a port, which may be one that was closed just now. Guards against a thread within its accept
-     * that holds on to it for another moment.
+     * Listens at a port, which may be one that was closed just now. Guards against a thread within
+     * its accept that holds on to it for another moment.
      */
     private static ServerSocket listen(int port, int queue) throws IOException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
@@ -168,8 +178,8 @@
     }
 
     /**
-     * A node whose queue of connections is full: further ones come up once it is opened, when the kernel of
-     * who wants them asks again, which it does after 1, 3 and 7 s.
+     * A node whose queue of connections is full: further ones come up once it is opened, when the
+     * kernel of who wants them asks again, which it does after 1, 3 and 7 s.
      */
     final class FullNode implements Closeable {
         private static final int FULL_MILLIS = 500;
@@ -191,7 +201,8 @@
         private boolean connects(int port) throws IOException {
             Socket socket = new Socket();
             try {
-                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), FULL_MILLIS);
+                socket.connect(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port), FULL_MILLIS);
                 before.add(socket);
                 return true;
             } catch (SocketTimeoutException e) {
@@ -205,7 +216,10 @@
             nodes.set(node, new Peer(calls, server));
         }
 
-        /** Waits until so many connections besides those that fill it have come up, and returns them. */
+        /**
+         * Waits until so many connections besides those that fill it have come up, and returns
+         * them.
+         */
         List<Socket> awaitConnections(int count) throws Exception {
             Await.until(count + " connections", () -> others().size() >= count);
             return others();
@@ -213,8 +227,12 @@
 
         private List<Socket> others() {
             List<Integer> fillers = before.stream().map(Socket::getLocalPort).toList();
-            return accepted.stream().filter(s -> s.getLocalPort() == server.getLocalPort()
-                    && !fillers.contains(s.getPort())).toList();
+            return accepted.stream()
+                    .filter(
+                            s ->
+                                    s.getLocalPort() == server.getLocalPort()
+                                            && !fillers.contains(s.getPort()))
+                    .toList();
         }
 
         @Override
@@ -281,18 +299,25 @@
 
     /** Whether probes wait for the test's answer too. */
     volatile boolean probesWait;
-    /** The connections to nodes and discovery, in the order accepted, but for those that wait there. */
+
+    /**
+     * The connections to nodes and discovery, in the order accepted, but for those that wait there.
+     */
     final Queue<Socket> accepted = new ConcurrentLinkedQueue<>();
+
     /** The connections to nodes and discovery that have ended. */
     final Set<Socket> ended = ConcurrentHashMap.newKeySet();
+
     final List<Peer> nodes = new ArrayList<>();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final Map<String, String> changes = new HashMap<>();
     Peer discovery = new Peer(lookups);
     final int port;
     private final Socket held = new Socket();
+
     /** Where the proxy keeps its state. */
     final Path state = Files.createTempDirectory("world").resolve("state");
+
     private final Socket adminHeld = new Socket();
     private Operator operator = Operator.NONE;
     private Proxy proxy;
@@ -301,7 +326,8 @@
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(new Peer(calls));
         }
-        // Held until the world ends, bound and not listening: guards against another socket getting the port
+        // Held until the world ends, bound and not listening: guards against another socket getting
+        // the port
         // before the proxy does. The proxy may listen there, since both ask for SO_REUSEADDR.
         held.setReuseAddress(true);
         held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -327,8 +353,9 @@
     World withAdmin() throws IOException {
         adminHeld.setReuseAddress(true);
         adminHeld.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        return with("\"listen\"", "\"admin_addr\":\"127.0.0.1:" + adminHeld.getLocalPort()
-                + "\",\"listen\"");
+        return with(
+                "\"listen\"",
+                "\"admin_addr\":\"127.0.0.1:" + adminHeld.getLocalPort() + "\",\"listen\"");
     }
 
     /** An operator's connection. */
@@ -389,9 +416,15 @@
     String entries(String state) {
         List<String> entries = new ArrayList<>();
         for (Peer node : nodes) {
-            entries.add("{\"id\":\"n" + entries.size() + "\",\"addr\":\"127.0.0.1:"
-                    + node.server.getLocalPort() + "\",\"zone\":\"room\",\"kind\":\"standard\",\"cell\":0,"
-                    + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}");
+            entries.add(
+                    "{\"id\":\"n"
+                            + entries.size()
+                            + "\",\"addr\":\"127.0.0.1:"
+                            + node.server.getLocalPort()
+                            + "\",\"zone\":\"room\",\"kind\":\"standard\",\"cell\":0,"
+                            + "\"state\":\""
+                            + state
+                            + "\",\"weight\":1.0,\"started_ms\":0}");
         }
         return String.join(",", entries);
     }
@@ -416,10 +449,16 @@
 
     /** An RPC as a caller writes it. */
     static String rpc(String kind, String target, String body, String... fields) {
-        return (kind.equals("lookup") ? "GET " : "POST ") + target + " HTTP/1.1\r\nHost: service.internal\r\n"
-                + "Req-Id: id-1\r\nReq-Kind: " + kind + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 30000\r\n"
-                + (kind.equals("lookup") ? "" : "Content-Length: " + body.length() + "\r\n") + lines(fields)
-                + "\r\n" + body;
+        return (kind.equals("lookup") ? "GET " : "POST ")
+                + target
+                + " HTTP/1.1\r\nHost: service.internal\r\n"
+                + "Req-Id: id-1\r\nReq-Kind: "
+                + kind
+                + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 30000\r\n"
+                + (kind.equals("lookup") ? "" : "Content-Length: " + body.length() + "\r\n")
+                + lines(fields)
+                + "\r\n"
+                + body;
     }
 
     private static String lines(String... fields) {
@@ -433,9 +472,12 @@
     private static Received read(Socket socket) throws IOException {
         Received received = readHead(socket);
         String length = received == null ? null : received.field("Content-Length");
-        byte[] body = socket.getInputStream().readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return received == null ? null
-                : new Received(socket, received.head(), new String(body, StandardCharsets.ISO_8859_1));
+        byte[] body =
+                socket.getInputStream().readNBytes(length == null ? 0 : Integer.parseInt(length));
+        return received == null
+                ? null
+                : new Received(
+                        socket, received.head(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
     private static Received readHead(Socket socket) throws IOException {
--- a/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
@@ -24,20 +24,34 @@
         long seed = System.nanoTime();
         System.out.println("names: seed " + seed);
         RandomGenerator random = new SplittableRandom(seed);
-        List<String> names = List.of("Host", "Req-Id", "Req-Deadline-Ms", "Connection", "Content-Length", "X",
-                "Srv-Declined", "Cedar-Path", "Transfer-Encoding", "Accept-Language");
+        List<String> names =
+                List.of(
+                        "Host",
+                        "Req-Id",
+                        "Req-Deadline-Ms",
+                        "Connection",
+                        "Content-Length",
+                        "X",
+                        "Srv-Declined",
+                        "Cedar-Path",
+                        "Transfer-Encoding",
+                        "Accept-Language");
         for (int i = 0; i < 10_000; i++) {
             StringBuilder spelt = new StringBuilder();
             for (char c : names.get(random.nextInt(names.size())).toCharArray()) {
-                spelt.append(random.nextInt(4) == 0 ? Character.toUpperCase(c)
-                        : random.nextInt(4) == 0 ? Character.toLowerCase(c) : c);
+                spelt.append(
+                        random.nextInt(4) == 0
+                                ? Character.toUpperCase(c)
+                                : random.nextInt(4) == 0 ? Character.toLowerCase(c) : c);
             }
             FieldName name = read(spelt.toString());
             String key = spelt.toString().toLowerCase(Locale.ROOT);
             assertEquals(name.text(), spelt.toString());
             assertEquals(name.key(), key);
-            assertEquals(name.passedOn(), !List.of("connection", "content-length", "transfer-encoding")
-                    .contains(key), key);
+            assertEquals(
+                    name.passedOn(),
+                    !List.of("connection", "content-length", "transfer-encoding").contains(key),
+                    key);
             assertEquals(name.kept(), key.equals("host") || key.startsWith("req-"), key);
         }
     }
@@ -51,7 +65,8 @@
 
     @Test
     public void whatIsNoTokenIsNoName() {
-        for (String text : List.of("", " Host", "Host ", "Ho st", "Host\t", "caf\u00e9", "a(b", "\0")) {
+        for (String text :
+                List.of("", " Host", "Host ", "Ho st", "Host\t", "caf\u00e9", "a(b", "\0")) {
             assertNull(read(text), text);
         }
     }
--- a/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
@@ -21,7 +21,8 @@
             "5\r\n01234\r\n3;x=\"y\"\r\n567\r\nC\r\n89abcdefghij\r\n0\r\nT: u\r\n\r\n";
 
     /** What comes of messages: each body, with a bar where it began to flow. */
-    private static List<String> decode(boolean requests, String... pieces) throws BadMessageException {
+    private static List<String> decode(boolean requests, String... pieces)
+            throws BadMessageException {
         HttpDecoder decoder = HttpDecoder.ofFlows(requests, HttpDecoder.MOST_HEAD, MOST, WINDOW);
         List<String> bodies = new ArrayList<>();
         StringBuilder flowed = new StringBuilder();
@@ -33,9 +34,15 @@
                     bodies.add(flowed + new String(whole.body(), StandardCharsets.ISO_8859_1));
                     flowed.setLength(0);
                 } else if (decoder.large()) {
-                    flowed.append(new String(decoder.flow(more ->
-                            flowed.append(new String(more, StandardCharsets.ISO_8859_1))),
-                            StandardCharsets.ISO_8859_1));
+                    flowed.append(
+                            new String(
+                                    decoder.flow(
+                                            more ->
+                                                    flowed.append(
+                                                            new String(
+                                                                    more,
+                                                                    StandardCharsets.ISO_8859_1))),
+                                    StandardCharsets.ISO_8859_1));
                 }
             }
         }
@@ -56,23 +63,29 @@
 
     /** Guards against bytes that are lost or doubled where a window ends, and where a read does. */
     @Test(dataProvider = "messages")
-    public void itIsTheSameHoweverItIsCut(boolean requests, String text) throws BadMessageException {
-        String small = requests ? "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok"
-                : "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    public void itIsTheSameHoweverItIsCut(boolean requests, String text)
+            throws BadMessageException {
+        String small =
+                requests
+                        ? "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok"
+                        : "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         String two = text + small;
         List<String> expected = List.of(BODY, "ok");
         assertEquals(decode(requests, two), expected);
         assertEquals(decode(requests, two.split("")), expected);
         for (int cut = 1; cut < two.length(); cut++) {
-            assertEquals(decode(requests, two.substring(0, cut), two.substring(cut)), expected, "cut " + cut);
+            assertEquals(
+                    decode(requests, two.substring(0, cut), two.substring(cut)),
+                    expected,
+                    "cut " + cut);
         }
     }
 
     /** Guards against a body without an end, whether it says its length or not. */
     @Test
     public void moreThanIsAllowedIsRefused() {
-        for (String body : List.of("Content-Length: 65\r\n\r\n",
-                "Transfer-Encoding: chunked\r\n\r\n41\r\n")) {
+        for (String body :
+                List.of("Content-Length: 65\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n41\r\n")) {
             try {
                 decode(true, "POST / HTTP/1.1\r\nHost: a\r\n" + body);
                 assertTrue(false, "taken: " + body);
--- a/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
@@ -17,24 +17,30 @@
 /** Messages come out the same however their bytes are cut, and what is no message is told apart. */
 public class HttpDecoderTest {
 
-    private static final String TWO = "\r\n\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\nA: b \r\n\r\nabc"
-            + "HTTP/1.1 100 Continue\r\n\r\n"
-            + "HTTP/1.1 503 Full\nSrv-Declined: 1\nTransfer-Encoding: chunked\n\n"
-            + "2;x=y\r\nde\r\n3\r\nfgh\r\n0\r\nTrailer: x\r\n\r\n";
+    private static final String TWO =
+            "\r\n\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\nA: b \r\n\r\nabc"
+                    + "HTTP/1.1 100 Continue\r\n\r\n"
+                    + "HTTP/1.1 503 Full\nSrv-Declined: 1\nTransfer-Encoding: chunked\n\n"
+                    + "2;x=y\r\nde\r\n3\r\nfgh\r\n0\r\nTrailer: x\r\n\r\n";
 
     private static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private static List<String> decode(HttpDecoder decoder, String... pieces) throws BadMessageException {
+    private static List<String> decode(HttpDecoder decoder, String... pieces)
+            throws BadMessageException {
         List<String> messages = new ArrayList<>();
         for (String piece : pieces) {
             ByteBuf in = bytes(piece);
             while (in.isReadable()) {
                 Message message = decoder.decode(in);
                 if (message != null) {
-                    messages.add(message.head().status() + " " + message.head().fields().get("a") + " "
-                            + new String(message.body(), StandardCharsets.ISO_8859_1));
+                    messages.add(
+                            message.head().status()
+                                    + " "
+                                    + message.head().fields().get("a")
+                                    + " "
+                                    + new String(message.body(), StandardCharsets.ISO_8859_1));
                 }
             }
         }
@@ -46,10 +52,14 @@
         List<String> expected = List.of("200 b abc", "503 null defgh");
         for (int i = 0; i <= TWO.length(); i++) {
             HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100);
-            assertEquals(decode(decoder, TWO.substring(0, i), TWO.substring(i)), expected, "cut at " + i);
+            assertEquals(
+                    decode(decoder, TWO.substring(0, i), TWO.substring(i)),
+                    expected,
+                    "cut at " + i);
             assertTrue(decoder.between());
         }
-        assertEquals(decode(HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100), TWO.split("")), expected);
+        assertEquals(
+                decode(HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100), TWO.split("")), expected);
     }
 
     /** Guards against a watch that stands, and is read no more, once 2 GiB have come on it. */
@@ -57,10 +67,16 @@
     public void anAnswerThatGoesToASinkIsReadWithoutABound() throws BadMessageException {
         for (boolean chunked : new boolean[] {true, false}) {
             HttpDecoder decoder = HttpDecoder.ofStreams(OutputStream.nullOutputStream());
-            decoder.decode(bytes("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked\r\n" : "")
-                    + "\r\n"));
-            ByteBuf piece = bytes(chunked ? "100000\r\n" + "\n".repeat(0x100000) + "\r\n"
-                    : "\n".repeat(0x100000));
+            decoder.decode(
+                    bytes(
+                            "HTTP/1.1 200 OK\r\n"
+                                    + (chunked ? "Transfer-Encoding: chunked\r\n" : "")
+                                    + "\r\n"));
+            ByteBuf piece =
+                    bytes(
+                            chunked
+                                    ? "100000\r\n" + "\n".repeat(0x100000) + "\r\n"
+                                    : "\n".repeat(0x100000));
             for (int i = 0; i < 2_050; i++) {
                 piece.readerIndex(0);
                 decoder.decode(piece);
@@ -82,21 +98,28 @@
     public Object[][] nonsense() {
         String start = "HTTP/1.1 200 OK\r\n";
         return new Object[][] {
-            {"HTTP/2 200 OK\r\n\r\n"}, {"HTTP/1.1 2x0 OK\r\n\r\n"}, {start + "no colon\r\n\r\n"},
-            {start + "A : b\r\n\r\n"}, {start + " folded: b\r\n\r\n"}, {start + "A: b\0c\r\n\r\n"},
-            {start + "Content-Length: -1\r\n\r\n"}, {start + "Content-Length: 101\r\n\r\n"},
+            {"HTTP/2 200 OK\r\n\r\n"},
+            {"HTTP/1.1 2x0 OK\r\n\r\n"},
+            {start + "no colon\r\n\r\n"},
+            {start + "A : b\r\n\r\n"},
+            {start + " folded: b\r\n\r\n"},
+            {start + "A: b\0c\r\n\r\n"},
+            {start + "Content-Length: -1\r\n\r\n"},
+            {start + "Content-Length: 101\r\n\r\n"},
             {start + "Content-Length: 99999999999999999999\r\n\r\n"},
             {start + "Transfer-Encoding: gzip\r\n\r\n"},
             {start + "Transfer-Encoding: chunked\r\n\r\nx\r\n"},
             {start + "Transfer-Encoding: chunked\r\n\r\nffffffff\r\n"},
             {start + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"},
-            {start + "\r\n" + "x".repeat(101)}, {"x".repeat(HttpDecoder.MOST_HEAD + 1)},
+            {start + "\r\n" + "x".repeat(101)},
+            {"x".repeat(HttpDecoder.MOST_HEAD + 1)},
         };
     }
 
     @Test(dataProvider = "nonsense")
     public void nonsenseIsTold(String text) {
-        expectThrows(BadMessageException.class,
+        expectThrows(
+                BadMessageException.class,
                 () -> decode(HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100), text));
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
@@ -17,8 +17,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Our reading of spoilt requests beside that of Netty's own decoder, which knows nothing of ours. Where two
- * parties take the same bytes for different requests, one can be smuggled past the first.
+ * Our reading of spoilt requests beside that of Netty's own decoder, which knows nothing of ours.
+ * Where two parties take the same bytes for different requests, one can be smuggled past the first.
  */
 public class IndependentReadingTest {
 
@@ -39,15 +39,39 @@
     private static final String BEHIND = "GET /behind HTTP/1.1\r\nHost: h\r\n\r\n";
 
     /** What may stand in for something else. */
-    private static final String[] ODD = {"\r", "\n", "\r\n", "\t", " ", ":", ";", ",", "0", "1", "f", "\0",
-        "\u000b", "\u0080", "\u00a0", "+", "-", "x", "\"", "\r\n ", "chunked", "Content-Length: 1\r\n",
-        "Transfer-Encoding: chunked\r\n", "Transfer-Encoding: identity\r\n", "HTTP/1.1"};
+    private static final String[] ODD = {
+        "\r",
+        "\n",
+        "\r\n",
+        "\t",
+        " ",
+        ":",
+        ";",
+        ",",
+        "0",
+        "1",
+        "f",
+        "\0",
+        "\u000b",
+        "\u0080",
+        "\u00a0",
+        "+",
+        "-",
+        "x",
+        "\"",
+        "\r\n ",
+        "chunked",
+        "Content-Length: 1\r\n",
+        "Transfer-Encoding: chunked\r\n",
+        "Transfer-Encoding: identity\r\n",
+        "HTTP/1.1"
+    };
 
     /** A request as one of the two reads it. */
-    private record Read(String method, String target, String field, String body) { }
+    private record Read(String method, String target, String field, String body) {}
 
     /** Requests up to the first that is refused, or that has no end. */
-    private record Reading(List<Read> requests, boolean refused) { }
+    private record Reading(List<Read> requests, boolean refused) {}
 
     private static String spoilt(SplittableRandom random) {
         StringBuilder text = new StringBuilder(SOUND[random.nextInt(SOUND.length)]);
@@ -75,9 +99,12 @@
         ByteBuf in = Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
         try {
             for (Message next = decoder.decode(in); next != null; next = decoder.decode(in)) {
-                requests.add(new Read(next.head().method(), next.head().target(),
-                        next.head().fields().get("a"),
-                        new String(next.body(), StandardCharsets.ISO_8859_1)));
+                requests.add(
+                        new Read(
+                                next.head().method(),
+                                next.head().target(),
+                                next.head().fields().get("a"),
+                                new String(next.body(), StandardCharsets.ISO_8859_1)));
             }
             return new Reading(requests, false);
         } catch (BadMessageException e) {
@@ -86,16 +113,23 @@
     }
 
     private static Reading theirs(String text) {
-        EmbeddedChannel channel = new EmbeddedChannel(new HttpRequestDecoder(),
-                new HttpObjectAggregator(HttpDecoder.MOST_BODY));
+        EmbeddedChannel channel =
+                new EmbeddedChannel(
+                        new HttpRequestDecoder(), new HttpObjectAggregator(HttpDecoder.MOST_BODY));
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
         List<Read> requests = new ArrayList<>();
         boolean refused = false;
-        for (FullHttpRequest next = channel.readInbound(); next != null; next = channel.readInbound()) {
+        for (FullHttpRequest next = channel.readInbound();
+                next != null;
+                next = channel.readInbound()) {
             refused |= next.decoderResult().isFailure();
             if (!refused) {
-                requests.add(new Read(next.method().name(), next.uri(), next.headers().get("a"),
-                        next.content().toString(StandardCharsets.ISO_8859_1)));
+                requests.add(
+                        new Read(
+                                next.method().name(),
+                                next.uri(),
+                                next.headers().get("a"),
+                                next.content().toString(StandardCharsets.ISO_8859_1)));
             }
             next.release();
         }
@@ -108,7 +142,8 @@
     }
 
     /**
-     * Of what both take, each takes the same; and what ours takes and theirs doesn't is taken on purpose.
+     * Of what both take, each takes the same; and what ours takes and theirs doesn't is taken on
+     * purpose.
      */
     @Test
     public void whatBothTakeTheyTakeAlike() {
@@ -121,7 +156,17 @@
             Reading theirs = theirs(text);
             int common = Math.min(ours.requests().size(), theirs.requests().size());
             both += common;
-            String where = "seed " + SEED + ", run " + run + ": " + told(text) + "\n" + ours + "\n" + theirs;
+            String where =
+                    "seed "
+                            + SEED
+                            + ", run "
+                            + run
+                            + ": "
+                            + told(text)
+                            + "\n"
+                            + ours
+                            + "\n"
+                            + theirs;
             for (int i = 0; i < common; i++) {
                 if (!ours.requests().get(i).equals(theirs.requests().get(i))) {
                     differ.putIfAbsent("other", where);
--- a/daemon/src/test/java/cedarrudder/protocol/ListGateTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/ListGateTest.java
@@ -26,8 +26,11 @@
     @BeforeMethod
     public void begin() throws Exception {
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
-        reader = new ResolverResultReader(SettingsReader.read(example.child("settings")), () -> 1L << 40,
-                () -> 1_790_000_000_000L);
+        reader =
+                new ResolverResultReader(
+                        SettingsReader.read(example.child("settings")),
+                        () -> 1L << 40,
+                        () -> 1_790_000_000_000L);
     }
 
     private ListGate gate(long room, int fromNodes) {
@@ -35,12 +38,16 @@
     }
 
     private static String entry(String id, String state) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:9\",\"zone\":\"room\",\"cell\":1,\"state\":\""
-                + state + "\",\"started_ms\":0}";
+        return "{\"id\":\""
+                + id
+                + "\",\"addr\":\"127.0.0.1:9\",\"zone\":\"room\",\"cell\":1,\"state\":\""
+                + state
+                + "\",\"started_ms\":0}";
     }
 
     private static String list(boolean full, String first, String name, int nodes) {
-        StringBuilder text = new StringBuilder("{\"version\":1,\"full\":" + full + ",\"servers\":[" + first);
+        StringBuilder text =
+                new StringBuilder("{\"version\":1,\"full\":" + full + ",\"servers\":[" + first);
         for (int i = 0; i < nodes; i++) {
             text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
                     .append(entry(name + i, "in_service"));
@@ -52,14 +59,26 @@
         return reader.read(gate.read(text)).nodes();
     }
 
-    /** Guards against a list that is refused whole: its drains, and what it no longer names, were lost. */
+    /**
+     * Guards against a list that is refused whole: its drains, and what it no longer names, were
+     * lost.
+     */
     @Test
     public void whatLeavesCountsAndWhatIsAddedIsAddedInOrderAsFarAsItFits() {
         ListGate gate = gate(ROOM, 0);
         read(gate, list(true, "", "a", 3));
         assertEquals(gate.last().waits(), 0);
-        List<Node> nodes = read(gate, list(true, "5," + entry("x", "terminated"), "b", 5_000)
-                .replace("]}", "," + entry("a1", "terminating") + "," + entry("a2", "in_service") + "]}"));
+        List<Node> nodes =
+                read(
+                        gate,
+                        list(true, "5," + entry("x", "terminated"), "b", 5_000)
+                                .replace(
+                                        "]}",
+                                        ","
+                                                + entry("a1", "terminating")
+                                                + ","
+                                                + entry("a2", "in_service")
+                                                + "]}"));
         int added = nodes.size() - 2;
         assertTrue(added > 100 && added < 1_000, "added " + added);
         assertEquals(nodes.get(added - 1).name(), "b" + (added - 1), "in order");
@@ -88,7 +107,10 @@
         assertEquals(reader.idChars(), "three0".length());
     }
 
-    /** Guards against room that stays empty until the list is told again, once its former nodes have left. */
+    /**
+     * Guards against room that stays empty until the list is told again, once its former nodes have
+     * left.
+     */
     @Test
     public void whatHasLeftMakesRoomForMoreOfTheSameList() {
         ListGate gate = gate(ROOM, 0);
@@ -106,16 +128,35 @@
         assertEquals(read(gate(1, 50), list(false, "", "b", 50)).size(), 0);
     }
 
-    /** Guards against what is broken being said otherwise, or taken for a list, where the table is on. */
+    /**
+     * Guards against what is broken being said otherwise, or taken for a list, where the table is
+     * on.
+     */
     @Test
     public void whatIsNoListIsSaidAsWithoutIt() {
-        for (String text : new String[] {"", "[", "[]", "5", "{\"servers\":[", "{\"servers\":[}]}", "{} {}",
-            "{\"servers\":[{\"id\":[[1],{}]}]}", "{\"version\":1,\"servers\":{}}"}) {
+        for (String text :
+                new String[] {
+                    "",
+                    "[",
+                    "[]",
+                    "5",
+                    "{\"servers\":[",
+                    "{\"servers\":[}]}",
+                    "{} {}",
+                    "{\"servers\":[{\"id\":[[1],{}]}]}",
+                    "{\"version\":1,\"servers\":{}}"
+                }) {
             ListGate gate = gate(1, 0);
-            String why = expectThrows(IllegalArgumentException.class,
-                    () -> reader.read(JsonObject.parse(text))).getMessage();
-            assertEquals(expectThrows(IllegalArgumentException.class,
-                    () -> reader.read(gate.read(text))).getMessage(), why, text);
+            String why =
+                    expectThrows(
+                                    IllegalArgumentException.class,
+                                    () -> reader.read(JsonObject.parse(text)))
+                            .getMessage();
+            assertEquals(
+                    expectThrows(IllegalArgumentException.class, () -> reader.read(gate.read(text)))
+                            .getMessage(),
+                    why,
+                    text);
         }
     }
 
@@ -134,13 +175,22 @@
         assertSame(wide.read(list), list);
     }
 
-    /** Guards against an entry that can't be read being looked for at another place than its own. */
+    /**
+     * Guards against an entry that can't be read being looked for at another place than its own.
+     */
     @Test
     public void entriesThatCantBeReadAreNamedByTheirPlacesInTheWholeList() {
         ListGate gate = gate(ROOM, 0);
         read(gate, list(true, "", "a", 2));
-        String last = list(true, "", "b", 5_000).replace("]}", "," + entry("a1", "in_service") + ","
-                + entry("a0", "asleep") + "]}");
+        String last =
+                list(true, "", "b", 5_000)
+                        .replace(
+                                "]}",
+                                ","
+                                        + entry("a1", "in_service")
+                                        + ","
+                                        + entry("a0", "asleep")
+                                        + "]}");
         String unread = reader.read(gate.read(last)).unread().toString();
         assertTrue(unread.startsWith("[servers[5001]: unknown state 'asleep'"), unread);
     }
--- a/daemon/src/test/java/cedarrudder/protocol/LoadReportTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/LoadReportTest.java
@@ -12,8 +12,18 @@
     @Test
     public void whatCantBeReadIsNoReport() {
         assertEquals(LoadReport.parse("TEXT inflight=7, util=0.61").inFlight(), 7.0);
-        for (String spoilt : new String[] {"", "TEXT", "TEXT inflight=", "inflight=x", "inflight=-1",
-            "inflight=NaN", "inflight=1e300", "=7", "\u0000\u00ff"}) {
+        for (String spoilt :
+                new String[] {
+                    "",
+                    "TEXT",
+                    "TEXT inflight=",
+                    "inflight=x",
+                    "inflight=-1",
+                    "inflight=NaN",
+                    "inflight=1e300",
+                    "=7",
+                    "\u0000\u00ff"
+                }) {
             assertNull(LoadReport.parse(spoilt), spoilt);
         }
     }
--- a/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
@@ -17,7 +17,8 @@
 public class RequestDecodingTest {
 
     private static final String HOST = "Host: a\r\n";
-    private static final String CHUNKED = "POST / HTTP/1.1\r\n" + HOST + "Transfer-Encoding: chunked\r\n\r\n";
+    private static final String CHUNKED =
+            "POST / HTTP/1.1\r\n" + HOST + "Transfer-Encoding: chunked\r\n\r\n";
 
     private static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
@@ -36,40 +37,69 @@
     @DataProvider
     public Object[][] refused() {
         return new Object[][] {
-            {"\u0016", 400}, {"\0", 400}, {"SSH-2.0-x\r", 400}, {"EHLO a b\r\n", 400},
-            {"*1\r", 400}, {" ", 400}, {"GE(", 400}, {"GET / HTTP/1.1\rH", 400}, {"GET /\u00e9", 400},
-            {"\r\n".repeat(9), 400}, {"\n", 400},
-            {"GET / HTTP/1.1\r\nA: b\n", 400}, {"A".repeat(65), 501}, {longer("GET /"), 414},
+            {"\u0016", 400},
+            {"\0", 400},
+            {"SSH-2.0-x\r", 400},
+            {"EHLO a b\r\n", 400},
+            {"*1\r", 400},
+            {" ", 400},
+            {"GE(", 400},
+            {"GET / HTTP/1.1\rH", 400},
+            {"GET /\u00e9", 400},
+            {"\r\n".repeat(9), 400},
+            {"\n", 400},
+            {"GET / HTTP/1.1\r\nA: b\n", 400},
+            {"A".repeat(65), 501},
+            {longer("GET /"), 414},
             {longer("GET / HTTP/1.1\r\n" + HOST + "A: "), 431},
-            {"PRI * HTTP/2.0\r\n", 505}, {"GET / HTTP/0.9\r\n", 505}, {"GET / HTTP/1.10\r\n", 400},
-            {"GET api HTTP/1.1\r\n", 400}, {"GET * HTTP/1.1\r\n", 400}, {"GET /#x HTTP/1.1\r\n", 400},
-            {"GET https://a/ HTTP/1.1\r\n", 400}, {"GET http://b@a/ HTTP/1.1\r\n", 400},
-            {"GET http:///x HTTP/1.1\r\n", 400}, {"CONNECT a:80 HTTP/1.1\r\n", 400},
-            {"GET / HTTP/1.1\r\n\r\n", 400}, {"GET / HTTP/1.1\r\n" + HOST + HOST + "\r\n", 400},
-            {"GET / HTTP/1.1\r\nHost: a b\r\n\r\n", 400}, {"GET / HTTP/1.1\r\nHost: a:x\r\n\r\n", 400},
-            {"GET / HTTP/1.1\r\nHost: [::1\r\n\r\n", 400}, {"GET / HTTP/1.1\r\nHost: [::1]a\r\n\r\n", 400},
-            {"GET / HTTP/1.1\r\nHost: [x]\r\n\r\n", 400}, {"GET / HTTP/1.1\r\n: b\r\n", 400},
-            {CHUNKED.replace("1.1", "1.0"), 400}, {CHUNKED.replace("chunked", "gzip, chunked"), 501},
+            {"PRI * HTTP/2.0\r\n", 505},
+            {"GET / HTTP/0.9\r\n", 505},
+            {"GET / HTTP/1.10\r\n", 400},
+            {"GET api HTTP/1.1\r\n", 400},
+            {"GET * HTTP/1.1\r\n", 400},
+            {"GET /#x HTTP/1.1\r\n", 400},
+            {"GET https://a/ HTTP/1.1\r\n", 400},
+            {"GET http://b@a/ HTTP/1.1\r\n", 400},
+            {"GET http:///x HTTP/1.1\r\n", 400},
+            {"CONNECT a:80 HTTP/1.1\r\n", 400},
+            {"GET / HTTP/1.1\r\n\r\n", 400},
+            {"GET / HTTP/1.1\r\n" + HOST + HOST + "\r\n", 400},
+            {"GET / HTTP/1.1\r\nHost: a b\r\n\r\n", 400},
+            {"GET / HTTP/1.1\r\nHost: a:x\r\n\r\n", 400},
+            {"GET / HTTP/1.1\r\nHost: [::1\r\n\r\n", 400},
+            {"GET / HTTP/1.1\r\nHost: [::1]a\r\n\r\n", 400},
+            {"GET / HTTP/1.1\r\nHost: [x]\r\n\r\n", 400},
+            {"GET / HTTP/1.1\r\n: b\r\n", 400},
+            {CHUNKED.replace("1.1", "1.0"), 400},
+            {CHUNKED.replace("chunked", "gzip, chunked"), 501},
             {CHUNKED.replace("chunked", "chunked, gzip"), 400},
             {CHUNKED.replace("chunked", "chunked, chunked"), 400},
-            {CHUNKED + "1\n", 400}, {CHUNKED + "1;\n", 400}, {CHUNKED + "1;a\rb", 400},
-            {CHUNKED + "1 \r\n", 400}, {CHUNKED + "1 a\r\n", 400}, {CHUNKED + "1\r\na\n", 400},
-            {CHUNKED + "1\r\nab", 400}, {CHUNKED + "0\r\n\n", 400},
+            {CHUNKED + "1\n", 400},
+            {CHUNKED + "1;\n", 400},
+            {CHUNKED + "1;a\rb", 400},
+            {CHUNKED + "1 \r\n", 400},
+            {CHUNKED + "1 a\r\n", 400},
+            {CHUNKED + "1\r\na\n", 400},
+            {CHUNKED + "1\r\nab", 400},
+            {CHUNKED + "0\r\n\n", 400},
             {CHUNKED + "0\r\nGET / HTTP/1.1\r\n", 400},
         };
     }
 
     @Test(dataProvider = "refused")
-    public void whatIsNoRequestIsToldAsSoonAsThatIsCertain(String text, int status) throws Exception {
-        BadMessageException whole = expectThrows(BadMessageException.class,
-                () -> decoder().decode(bytes(text)));
+    public void whatIsNoRequestIsToldAsSoonAsThatIsCertain(String text, int status)
+            throws Exception {
+        BadMessageException whole =
+                expectThrows(BadMessageException.class, () -> decoder().decode(bytes(text)));
         assertEquals(whole.status(), status);
         HttpDecoder split = decoder();
         for (int i = 0; i < text.length() - 1; i++) {
             split.decode(bytes(text.substring(i, i + 1)));
         }
-        BadMessageException last = expectThrows(BadMessageException.class,
-                () -> split.decode(bytes(text.substring(text.length() - 1))));
+        BadMessageException last =
+                expectThrows(
+                        BadMessageException.class,
+                        () -> split.decode(bytes(text.substring(text.length() - 1))));
         assertEquals(last.status(), status);
     }
 
@@ -90,7 +120,8 @@
     }
 
     @Test(dataProvider = "taken")
-    public void theFormsOfATargetComeToOne(String text, String target, String host) throws Exception {
+    public void theFormsOfATargetComeToOne(String text, String target, String host)
+            throws Exception {
         Message request = decoder().decode(bytes(text));
         assertEquals(request.head().target(), target);
         assertEquals(request.head().fields().get("host"), host);
@@ -99,7 +130,8 @@
     @Test
     public void aBodyThatWaitsForA100IsToldOfOnce() throws Exception {
         HttpDecoder decoder = decoder();
-        String text = "POST / HTTP/1.1\r\n" + HOST + "Expect: 100-Continue\r\nContent-Length: 2\r\n";
+        String text =
+                "POST / HTTP/1.1\r\n" + HOST + "Expect: 100-Continue\r\nContent-Length: 2\r\n";
         assertNull(decoder.decode(bytes(text)));
         assertFalse(decoder.awaitsContinue());
         assertNull(decoder.decode(bytes("\r\n")));
@@ -116,11 +148,24 @@
     /** RFC 9110 7.6.1; what makes an RPC one can't be stripped so, its key above all. */
     @Test
     public void fieldsOfTheConnectionEndHereAndThoseOfTheRpcDont() throws Exception {
-        Message request = decoder().decode(bytes("GET / HTTP/1.1\r\n" + HOST + "Connection: X-A, close\r\n"
-                + "Connection: host,idempotency-key,Req-Id\r\nX-a: 1\r\nX-B: 2\r\nReq-Id: 3\r\n"
-                + "Idempotency-Key: 4\r\n\r\n"));
+        Message request =
+                decoder()
+                        .decode(
+                                bytes(
+                                        "GET / HTTP/1.1\r\n"
+                                                + HOST
+                                                + "Connection: X-A, close\r\n"
+                                                + "Connection: host,idempotency-key,Req-Id\r\n"
+                                                + "X-a: 1\r\n"
+                                                + "X-B: 2\r\n"
+                                                + "Req-Id: 3\r\n"
+                                                + "Idempotency-Key: 4\r\n\r\n"));
         ByteBuf on = HttpEncoder.request(UnpooledByteBufAllocator.DEFAULT, request, 5, null);
-        assertEquals(on.toString(StandardCharsets.ISO_8859_1), "GET / HTTP/1.1\r\n" + HOST + "X-B: 2\r\n"
-                + "Req-Id: 3\r\nIdempotency-Key: 4\r\nReq-Deadline-Ms: 5\r\n\r\n");
+        assertEquals(
+                on.toString(StandardCharsets.ISO_8859_1),
+                "GET / HTTP/1.1\r\n"
+                        + HOST
+                        + "X-B: 2\r\n"
+                        + "Req-Id: 3\r\nIdempotency-Key: 4\r\nReq-Deadline-Ms: 5\r\n\r\n");
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/ResolverResultReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/ResolverResultReaderTest.java
@@ -12,8 +12,14 @@
 public class ResolverResultReaderTest {
 
     private static JsonObject result(boolean full, String id, String state) {
-        return JsonObject.parse("{\"version\":1,\"full\":" + full + ",\"servers\":[{\"id\":\"" + id
-                + "\",\"addr\":\"127.0.0.1:1\",\"state\":\"" + state + "\"}]}");
+        return JsonObject.parse(
+                "{\"version\":1,\"full\":"
+                        + full
+                        + ",\"servers\":[{\"id\":\""
+                        + id
+                        + "\",\"addr\":\"127.0.0.1:1\",\"state\":\""
+                        + state
+                        + "\"}]}");
     }
 
     private long clock = 7_000_000_000L;
@@ -21,19 +27,30 @@
 
     private ResolverResultReader reader() throws Exception {
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
-        return new ResolverResultReader(SettingsReader.read(example.child("settings")), () -> clock,
-                () -> unixMillis);
+        return new ResolverResultReader(
+                SettingsReader.read(example.child("settings")), () -> clock, () -> unixMillis);
     }
 
     private long startedAt(ResolverResultReader reader, String id, long millis) throws Exception {
-        return reader.read(JsonObject.parse("{\"version\":1,\"full\":false,\"servers\":[{\"id\":\"" + id
-                + "\",\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\",\"started_ms\":" + millis + "}]}"))
-                .nodes().get(0).endpoint().startedAt();
+        String entry =
+                "{\"id\":\""
+                        + id
+                        + "\",\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\",\"started_ms\":"
+                        + millis
+                        + "}";
+        return reader.read(
+                        JsonObject.parse(
+                                "{\"version\":1,\"full\":false,\"servers\":[" + entry + "]}"))
+                .nodes()
+                .get(0)
+                .endpoint()
+                .startedAt();
     }
 
     /**
-     * Guards against cold nodes taken for warm ones, which are then pushed over, once the machine's clock was
-     * set or has drifted since the proxy began; and against a restart seen where there was none.
+     * Guards against cold nodes taken for warm ones, which are then pushed over, once the machine's
+     * clock was set or has drifted since the proxy began; and against a restart seen where there
+     * was none.
      */
     @Test
     public void aStartIsPlacedByTheClocksOfTheMomentAndStaysThere() throws Exception {
@@ -43,9 +60,11 @@
         clock += 50_000_000_000L;
         unixMillis += 50_000 - 3_600_000; // an hour back
         assertEquals(startedAt(reader, "a", 1_000_000L - 2000), first, "no restart");
-        assertEquals(startedAt(reader, "b", unixMillis - 1000), clock - 1_000_000_000L, "a second old");
+        assertEquals(
+                startedAt(reader, "b", unixMillis - 1000), clock - 1_000_000_000L, "a second old");
         unixMillis += 7_200_000; // and two forward
-        assertEquals(startedAt(reader, "c", unixMillis - 1000), clock - 1_000_000_000L, "a second old");
+        assertEquals(
+                startedAt(reader, "c", unixMillis - 1000), clock - 1_000_000_000L, "a second old");
         assertEquals(startedAt(reader, "d", unixMillis + 5000), clock, "no start is still to come");
         assertEquals(startedAt(reader, "e", 0), 0, "long ago");
     }
@@ -64,36 +83,50 @@
         assertEquals(reader.size(), 1);
     }
 
-    /** Guards against one entry that can't be read keeping drains of all other nodes from being heard. */
+    /**
+     * Guards against one entry that can't be read keeping drains of all other nodes from being
+     * heard.
+     */
     @Test
     public void anEntryThatCanNotBeReadTakesNoOtherAway() throws Exception {
         ResolverResultReader reader = reader();
         reader.read(result(false, "a", "in_service"));
-        ResolverResult mixed = reader.read(JsonObject.parse("{\"version\":2,\"full\":false,\"servers\":["
-                + "{\"id\":\"a\",\"addr\":\"nowhere\",\"state\":\"in_service\"},{\"addr\":7},"
-                + "{\"id\":\"b\",\"addr\":\"127.0.0.1:1\",\"state\":\"terminating\"}]}"));
-        assertEquals(mixed.nodes().stream().map(n -> n.name() + n.endpoint().state()).toList(),
+        String servers =
+                "{\"id\":\"a\",\"addr\":\"nowhere\",\"state\":\"in_service\"},{\"addr\":7},"
+                        + "{\"id\":\"b\",\"addr\":\"127.0.0.1:1\",\"state\":\"terminating\"}";
+        ResolverResult mixed =
+                reader.read(
+                        JsonObject.parse(
+                                "{\"version\":2,\"full\":false,\"servers\":[" + servers + "]}"));
+        assertEquals(
+                mixed.nodes().stream().map(n -> n.name() + n.endpoint().state()).toList(),
                 List.of("aGONE", "bDRAINING"));
-        assertEquals(mixed.unread().toString(),
-                "[servers[0]: 'nowhere' is not an address, servers[1]: 'servers[1].state' is missing]");
+        assertEquals(
+                mixed.unread().toString(),
+                "[servers[0]: 'nowhere' is not an address, servers[1]: 'servers[1].state' is"
+                        + " missing]");
         assertEquals(reader.size(), 1);
-        assertThrows(IllegalArgumentException.class, () -> reader.read(result(true, "b", "unheard_of")));
+        assertThrows(
+                IllegalArgumentException.class, () -> reader.read(result(true, "b", "unheard_of")));
         assertEquals(reader.size(), 1, "a whole list of which nothing can be read changes nothing");
     }
 
     /** Guards against an entry whose id is no text, or that is no object at all, doing so. */
     @Test
     public void anEntryWhoseIdIsNoTextTakesNoOtherAway() throws Exception {
-        String bad = "{\"id\":[1],\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"},{\"id\":{}},7,null,";
+        String bad =
+                "{\"id\":[1],\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"},{\"id\":{}},7,null,";
+        String good = "{\"id\":\"b\",\"addr\":\"127.0.0.1:1\",\"state\":\"terminating\"}";
         for (boolean full : new boolean[] {true, false}) {
-            ResolverResult mixed = reader().read(JsonObject.parse("{\"version\":2,\"full\":" + full
-                    + ",\"servers\":[" + bad
-                    + "{\"id\":\"b\",\"addr\":\"127.0.0.1:1\",\"state\":\"terminating\"}]}"));
-            assertEquals(mixed.nodes().stream().map(n -> n.name() + n.endpoint().state()).toList(),
+            String list = "{\"version\":2,\"full\":" + full + ",\"servers\":[" + bad + good + "]}";
+            ResolverResult mixed = reader().read(JsonObject.parse(list));
+            assertEquals(
+                    mixed.nodes().stream().map(n -> n.name() + n.endpoint().state()).toList(),
                     List.of("bDRAINING"));
-            assertEquals(mixed.unread().toString(), "[servers[0]: 'servers[0].id' is not a text,"
-                    + " servers[1]: 'servers[1].state' is missing, servers[2] is not an object,"
-                    + " servers[3] is not an object]");
+            assertEquals(
+                    mixed.unread().toString(),
+                    "[servers[0]: 'servers[0].id' is not a text, servers[1]: 'servers[1].state' is"
+                        + " missing, servers[2] is not an object, servers[3] is not an object]");
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/RpcFieldsTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RpcFieldsTest.java
@@ -16,12 +16,23 @@
 
     private static final long MS = 1_000_000L;
 
-    private static Request read(long waitMillis, long lateness) throws IOException, BadMessageException {
+    private static Request read(long waitMillis, long lateness)
+            throws IOException, BadMessageException {
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
         RpcFields fields = new RpcFields(SettingsReader.read(example.child("settings")).module());
-        String text = "POST /api HTTP/1.1\r\nHost: a\r\nreq-id: a\r\nReq-Kind: order\r\nReq-Owner: acme\r\n"
-                + "Req-Retry: 1\r\nReq-Cost: 1500.5\r\nReq-Deadline-Ms: " + waitMillis + "\r\n\r\n";
-        Message message = Message.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+        String text =
+                "POST /api HTTP/1.1\r\n"
+                        + "Host: a\r\n"
+                        + "req-id: a\r\n"
+                        + "Req-Kind: order\r\n"
+                        + "Req-Owner: acme\r\n"
+                        + "Req-Retry: 1\r\n"
+                        + "Req-Cost: 1500.5\r\n"
+                        + "Req-Deadline-Ms: "
+                        + waitMillis
+                        + "\r\n\r\n";
+        Message message =
+                Message.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
         return fields.read(message, 7, 0, lateness, 5000 * MS, Carried.NOTHING);
     }
 
@@ -30,7 +41,10 @@
         assertEquals(read(1000, 0), new Request(7, 1, 0, 960 * MS, 0, true, true, 1500 * 1000));
     }
 
-    /** An RPC was lost whose bytes had waited for a late loop: its deadline counts from the client's send. */
+    /**
+     * An RPC was lost whose bytes had waited for a late loop: its deadline counts from the client's
+     * send.
+     */
     @Test
     public void aLateLoopAnswersEarlier() throws Exception {
         assertEquals(read(1000, 50 * MS).deadline(), 910 * MS);
--- a/daemon/src/test/java/cedarrudder/sim/Frames.java
+++ b/daemon/src/test/java/cedarrudder/sim/Frames.java
@@ -11,7 +11,8 @@
 /** Builds batches for tests, and takes replies apart. */
 final class Frames {
 
-    static final String SETTINGS = """
+    static final String SETTINGS =
+            """
             {"balancers": 2, "ordinal": 1, "zone": 0, "layer": 0, "tiers": ["front"], "discovery": "push",
              "new-key": {"x": [1, 2]},
              "limits": {"cancel": true, "max-attempts": 3, "probes": true, "parallel-tries": true},
@@ -64,7 +65,8 @@
             entry.put((byte) 1).putFloat(1);
             tail.writeBytes(entry.array());
         }
-        return record(Wire.INVENTORY, r -> r.putShort((short) number).putInt(at).putInt(ids.length));
+        return record(
+                Wire.INVENTORY, r -> r.putShort((short) number).putInt(at).putInt(ids.length));
     }
 
     Frames view(int kind, int inventory) {
@@ -72,13 +74,26 @@
     }
 
     Frames knock(long id, long deadline) {
-        return record(Wire.KNOCK, r -> r.putLong(id).put((byte) 0).putShort((short) 0).put((byte) 0)
-                .putLong(deadline));
+        return record(
+                Wire.KNOCK,
+                r ->
+                        r.putLong(id)
+                                .put((byte) 0)
+                                .putShort((short) 0)
+                                .put((byte) 0)
+                                .putLong(deadline));
     }
 
     Frames outcome(long id, int attempt, int endpoint, int how, boolean settled) {
-        return record(Wire.OUTCOME, r -> r.putLong(id).put((byte) attempt).putInt(endpoint)
-                .putShort((short) how).putLong(1000).put((byte) (settled ? 1 : 0)));
+        return record(
+                Wire.OUTCOME,
+                r ->
+                        r.putLong(id)
+                                .put((byte) attempt)
+                                .putInt(endpoint)
+                                .putShort((short) how)
+                                .putLong(1000)
+                                .put((byte) (settled ? 1 : 0)));
     }
 
     byte[] bytes() {
@@ -103,16 +118,32 @@
                 int code = all.get(r);
                 switch (code) {
                     case Wire.AS -> instance = Integer.toUnsignedLong(all.getInt(r + 1));
-                    case Wire.CALL_OUT -> lines.add(instance + " send " + all.getLong(r + 1) + " "
-                            + Integer.toUnsignedLong(all.getInt(r + 9)));
+                    case Wire.CALL_OUT ->
+                            lines.add(
+                                    instance
+                                            + " send "
+                                            + all.getLong(r + 1)
+                                            + " "
+                                            + Integer.toUnsignedLong(all.getInt(r + 9)));
                     case Wire.TURN_AWAY -> lines.add(instance + " refuse " + all.getLong(r + 1));
                     case Wire.FINISH_ERROR -> lines.add(instance + " fail " + all.getLong(r + 1));
-                    case Wire.BUG, Wire.EMIT -> lines.add(instance + (code == Wire.BUG ? " bug " : " log ")
-                            + new String(output, body + records * Wire.ACTION + all.getInt(r + 1),
-                                    all.getInt(r + 5), StandardCharsets.UTF_8));
-                    case Wire.POLL -> lines.add(instance + " probe "
-                            + Integer.toUnsignedLong(all.getInt(r + 1)));
-                    default -> { }
+                    case Wire.BUG, Wire.EMIT ->
+                            lines.add(
+                                    instance
+                                            + (code == Wire.BUG ? " bug " : " log ")
+                                            + new String(
+                                                    output,
+                                                    body
+                                                            + records * Wire.ACTION
+                                                            + all.getInt(r + 1),
+                                                    all.getInt(r + 5),
+                                                    StandardCharsets.UTF_8));
+                    case Wire.POLL ->
+                            lines.add(
+                                    instance
+                                            + " probe "
+                                            + Integer.toUnsignedLong(all.getInt(r + 1)));
+                    default -> {}
                 }
             }
             at = body + length;
--- a/daemon/src/test/java/cedarrudder/sim/JarIT.java
+++ b/daemon/src/test/java/cedarrudder/sim/JarIT.java
@@ -18,12 +18,16 @@
 class JarIT {
     private static final long NOW = 1_000_000_000L;
 
-    private record Run(int exit, byte[] out, String err) { }
+    private record Run(int exit, byte[] out, String err) {}
 
-    private static Run run(byte[] input, String... arguments) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar",
-                "daemon/target/cedarrudder.jar"));
+    private static Run run(byte[] input, String... arguments)
+            throws IOException, InterruptedException {
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-jar",
+                                "daemon/target/cedarrudder.jar"));
         command.addAll(Arrays.asList(arguments));
         Process process = new ProcessBuilder(command).start();
         try (OutputStream in = process.getOutputStream()) {
@@ -38,13 +42,19 @@
     }
 
     private static byte[] exchange() {
-        return new Frames(NOW).to(3).start(7, Frames.SETTINGS).inventory(0, 11).view(Wire.VIEW_CACHED, 0)
-                .knock(5, NOW + 1_000_000_000L).bytes();
+        return new Frames(NOW)
+                .to(3)
+                .start(7, Frames.SETTINGS)
+                .inventory(0, 11)
+                .view(Wire.VIEW_CACHED, 0)
+                .knock(5, NOW + 1_000_000_000L)
+                .bytes();
     }
 
     @Test
     void servesAnExchangeAndEndsWithItsInput() throws Exception {
-        for (String[] arguments : new String[][] {{"adapter"}, {"adapter", "--set", "max-age-ms=1500"}}) {
+        for (String[] arguments :
+                new String[][] {{"adapter"}, {"adapter", "--set", "max-age-ms=1500"}}) {
             Run run = run(exchange(), arguments);
             assertEquals(0, run.exit, run.err);
             assertTrue(Frames.actions(run.out).contains("3 send 5 11"));
@@ -63,17 +73,28 @@
 
     @Test
     void saysWhatIsWrongWithItsArgumentsBeforeTheUsage() throws Exception {
-        String[][] wrong = {{}, {"simhost"}, {"adapter", "more"}, {"serve", "--speed"}, {"version", "--set"},
-            {"check"}, {"serve", "--log-format", "xml"}, {"adapter", "--set", "max-ag-ms=1"},
-            {"adapter", "--set"}};
-        String[] named = {"no command", "simhost", "more", "--speed", "--set", "FILE", "xml", "max-ag-ms",
-            "--set"};
+        String[][] wrong = {
+            {},
+            {"simhost"},
+            {"adapter", "more"},
+            {"serve", "--speed"},
+            {"version", "--set"},
+            {"check"},
+            {"serve", "--log-format", "xml"},
+            {"adapter", "--set", "max-ag-ms=1"},
+            {"adapter", "--set"}
+        };
+        String[] named = {
+            "no command", "simhost", "more", "--speed", "--set", "FILE", "xml", "max-ag-ms", "--set"
+        };
         for (int i = 0; i < wrong.length; i++) {
             Run run = run(new byte[0], wrong[i]);
             assertEquals(2, run.exit);
             assertEquals(0, run.out.length);
             List<String> lines = run.err.lines().toList();
-            assertTrue(lines.get(0).startsWith("cedarrudder: ") && lines.get(0).contains(named[i]), run.err);
+            assertTrue(
+                    lines.get(0).startsWith("cedarrudder: ") && lines.get(0).contains(named[i]),
+                    run.err);
             assertTrue(lines.get(1).startsWith("Usage: cedarrudder"), run.err);
         }
     }
@@ -86,16 +107,23 @@
         Path bad = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(bad, "[nodes]\nbody_byte = 1\n[log]\nlevel = 3\n");
-            Run run = run(new byte[0], "check", bad.toString(), "deploy/operator.toml", "none.toml");
+            Run run =
+                    run(new byte[0], "check", bad.toString(), "deploy/operator.toml", "none.toml");
             assertEquals(1, run.exit);
             assertEquals("", run.err);
-            assertEquals(List.of(bad + ":2: nodes.body_byte: found an unknown key; allowed: did you mean "
-                    + "'body_bytes'?", bad + ":4: log.level: found 3; allowed: debug, info, warn, error",
-                    "deploy/operator.toml: good", "none.toml: found no such file; allowed: a TOML file"),
+            assertEquals(
+                    List.of(
+                            bad
+                                    + ":2: nodes.body_byte: found an unknown key; allowed: did you"
+                                    + " mean 'body_bytes'?",
+                            bad + ":4: log.level: found 3; allowed: debug, info, warn, error",
+                            "deploy/operator.toml: good",
+                            "none.toml: found no such file; allowed: a TOML file"),
                     new String(run.out, StandardCharsets.UTF_8).lines().toList());
             Run serve = run(new byte[0], "serve", "--operator", bad.toString());
             assertEquals(1, serve.exit);
-            assertEquals(2, serve.err.lines().filter(l -> l.startsWith("cedarrudder: " + bad)).count());
+            assertEquals(
+                    2, serve.err.lines().filter(l -> l.startsWith("cedarrudder: " + bad)).count());
         } finally {
             Files.delete(bad);
         }
@@ -109,6 +137,8 @@
         assertTrue(said.matches("cedarrudder \\d+\\.\\S+, Java 17\\S*\\R"), said);
         Run help = run(new byte[0], "serve", "--help");
         assertEquals(0, help.exit);
-        assertTrue(new String(help.out, StandardCharsets.UTF_8).startsWith("Usage: cedarrudder serve"));
+        assertTrue(
+                new String(help.out, StandardCharsets.UTF_8)
+                        .startsWith("Usage: cedarrudder serve"));
     }
 }
--- a/daemon/src/test/java/cedarrudder/toml/TableTest.java
+++ b/daemon/src/test/java/cedarrudder/toml/TableTest.java
@@ -10,7 +10,10 @@
 /** What a strict reader says of files that are wrong, all in one run. */
 public class TableTest {
 
-    private enum Shade { LIGHT_BLUE, RED }
+    private enum Shade {
+        LIGHT_BLUE,
+        RED
+    }
 
     private static List<String> problems(Document document) {
         return document.problems().stream().map(Problem::toString).toList();
@@ -18,13 +21,16 @@
 
     @Test
     public void itReadsWhatIsThereAndTheDefaultsOfWhatIsNot() throws Exception {
-        Document document = Document.parse("a.toml", """
-                size = 3
-                shade = "light-blue"
-                wait_ms = [1, 2.5]
-                [[part]]
-                name = "x"
-                """);
+        Document document =
+                Document.parse(
+                        "a.toml",
+                        """
+                        size = 3
+                        shade = "light-blue"
+                        wait_ms = [1, 2.5]
+                        [[part]]
+                        name = "x"
+                        """);
         Table root = document.root();
         assertEquals(root.whole("size", 1, 5), 3);
         assertEquals(root.whole("most", 1, 5, 4), 4);
@@ -38,15 +44,18 @@
 
     @Test
     public void itFindsAllErrorsInOneRunWithTheirLines() {
-        Document document = Document.parse("a.toml", """
-                sise = 3
-                shade = "blue"
-                many = 2.5
-                [[part]]
-                share = "half"
-                [[part]]
-                share = 3
-                """);
+        Document document =
+                Document.parse(
+                        "a.toml",
+                        """
+                        sise = 3
+                        shade = "blue"
+                        many = 2.5
+                        [[part]]
+                        share = "half"
+                        [[part]]
+                        share = 3
+                        """);
         Table root = document.root();
         root.whole("size", 1, 5, 2);
         root.choice("shade", Shade.class, null);
@@ -57,14 +66,16 @@
             part.done();
         }
         root.done();
-        assertEquals(problems(document), List.of(
-                "a.toml:1: sise: found an unknown key; allowed: did you mean 'size'?",
-                "a.toml:2: shade: found \"blue\"; allowed: light-blue, red",
-                "a.toml:3: many: found 2.5; allowed: a whole number from 1 to 5",
-                "a.toml:4: part[0].name: found nothing; allowed: a text",
-                "a.toml:5: part[0].share: found \"half\"; allowed: a number from 0 to 1",
-                "a.toml:6: part[1].name: found nothing; allowed: a text",
-                "a.toml:7: part[1].share: found 3; allowed: a number from 0 to 1"));
+        assertEquals(
+                problems(document),
+                List.of(
+                        "a.toml:1: sise: found an unknown key; allowed: did you mean 'size'?",
+                        "a.toml:2: shade: found \"blue\"; allowed: light-blue, red",
+                        "a.toml:3: many: found 2.5; allowed: a whole number from 1 to 5",
+                        "a.toml:4: part[0].name: found nothing; allowed: a text",
+                        "a.toml:5: part[0].share: found \"half\"; allowed: a number from 0 to 1",
+                        "a.toml:6: part[1].name: found nothing; allowed: a text",
+                        "a.toml:7: part[1].share: found 3; allowed: a number from 0 to 1"));
         assertEquals(expectThrows(BadFileException.class, document::check).problems().size(), 7);
     }
 
@@ -73,33 +84,45 @@
         Document document = Document.parse("a.toml", "a = 1\nb = = 2\n");
         assertEquals(document.problems().get(0).line(), 2);
         assertEquals(document.root().keys(), List.of());
-        BadFileException missing = expectThrows(BadFileException.class,
-                () -> Document.read(Path.of("none.toml")));
+        BadFileException missing =
+                expectThrows(BadFileException.class, () -> Document.read(Path.of("none.toml")));
         assertEquals(missing.getMessage(), "none.toml: found no such file; allowed: a TOML file");
     }
 
     @Test
     public void itTellsWhatWasAskedForAndWhichKeysAreSound() {
-        Document document = Document.parse("a.toml", """
-                wait_ms = [5, 2]
-                most = 3
-                [[part]]
-                """);
+        Document document =
+                Document.parse(
+                        "a.toml",
+                        """
+                        wait_ms = [5, 2]
+                        most = 3
+                        [[part]]
+                        """);
         Table root = document.root();
         assertEquals(root.range("wait_ms", 0, 10, new double[] {1, 1}), new double[] {1, 1});
         assertEquals(root.rangeOrNull("share", 0, 1), null);
         root.whole("most", 1, 5);
         root.tables("part").get(0).flag("on", true);
-        assertEquals(problems(document), List.of(
-                "a.toml:1: wait_ms: found [5, 2]; allowed: the lower end first: [2, 5]"));
+        assertEquals(
+                problems(document),
+                List.of("a.toml:1: wait_ms: found [5, 2]; allowed: the lower end first: [2, 5]"));
         assertEquals(root.sound("most", "share"), true);
         assertEquals(root.sound("most", "wait_ms"), false);
-        assertEquals(document.keys(), List.of(
-                new Key("wait_ms", "a number from 0 to 10, or two such as [low, high]", "1"),
-                new Key("share", "a number from 0 to 1, or two such as [low, high]", Key.NONE),
-                new Key("most", "a whole number from 1 to 5", Key.REQUIRED),
-                new Key("part", "tables written [[part]]", Key.NONE),
-                new Key("part.on", "true or false", "true")));
+        assertEquals(
+                document.keys(),
+                List.of(
+                        new Key(
+                                "wait_ms",
+                                "a number from 0 to 10, or two such as [low, high]",
+                                "1"),
+                        new Key(
+                                "share",
+                                "a number from 0 to 1, or two such as [low, high]",
+                                Key.NONE),
+                        new Key("most", "a whole number from 1 to 5", Key.REQUIRED),
+                        new Key("part", "tables written [[part]]", Key.NONE),
+                        new Key("part.on", "true or false", "true")));
         assertEquals(Table.nearest("frnot", List.of("store", "front")), "front");
         assertEquals(Table.nearest("x", List.of("store", "front")), null);
     }
--- a/daemon/src/test/java/cedarrudder/transport/BodyPumpTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/BodyPumpTest.java
@@ -18,32 +18,45 @@
 public class BodyPumpTest {
 
     /**
-     * Guards against a caller that leaves as the last of its answer is written: the news of that write came
-     * to a connection that had been cleared away already, and threw there.
+     * Guards against a caller that leaves as the last of its answer is written: the news of that
+     * write came to a connection that had been cleared away already, and threw there.
      */
     @Test
     public void oneThatWasStoppedTellsNobodyOfItsLastWrite() {
         List<ChannelPromise> writes = new ArrayList<>();
-        EmbeddedChannel channel = new EmbeddedChannel(new ChannelOutboundHandlerAdapter() {
-            @Override
-            public void write(ChannelHandlerContext context, Object piece, ChannelPromise wrote) {
-                writes.add(wrote); // it stays there, as with a peer that doesn't read
-            }
-        });
+        EmbeddedChannel channel =
+                new EmbeddedChannel(
+                        new ChannelOutboundHandlerAdapter() {
+                            @Override
+                            public void write(
+                                    ChannelHandlerContext context,
+                                    Object piece,
+                                    ChannelPromise wrote) {
+                                writes.add(
+                                        wrote); // it stays there, as with a peer that doesn't read
+                            }
+                        });
         List<String> told = new ArrayList<>();
         BodyFlow flow = new BodyFlow(new HeldBytes(HeldBytes.MOST));
         Loop loop = new Loop(new Logger(System.err));
-        BodyPump pump = new BodyPump(loop, channel, flow, true, () -> { }, new BodyPump.End() {
-            @Override
-            public void wrote() {
-                told.add("wrote");
-            }
+        BodyPump pump =
+                new BodyPump(
+                        loop,
+                        channel,
+                        flow,
+                        true,
+                        () -> {},
+                        new BodyPump.End() {
+                            @Override
+                            public void wrote() {
+                                told.add("wrote");
+                            }
 
-            @Override
-            public void broke() {
-                told.add("broke");
-            }
-        });
+                            @Override
+                            public void broke() {
+                                told.add("broke");
+                            }
+                        });
         flow.put(new byte[10]);
         flow.end();
         pump.stop();
--- a/daemon/src/test/java/cedarrudder/transport/CallerConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/CallerConnectionTest.java
@@ -22,7 +22,6 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.OutputStream;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -44,8 +43,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A caller's connection from its first byte to its end. The decisions are the test's own: an RPC waits until
- * the test has it refused, and what the test does on the loop comes between two reads of the listener's.
+ * A caller's connection from its first byte to its end. The decisions are the test's own: an RPC
+ * waits until the test has it refused, and what the test does on the loop comes between two reads
+ * of the listener's.
  */
 public class CallerConnectionTest {
 
@@ -54,10 +54,21 @@
 
     /** So long that nothing a test waits for can come of it. */
     private static final long ENDLESS = 1_000_000_000_000L;
-    private static final CallerLimits PATIENT = new CallerLimits(ENDLESS, ENDLESS, ENDLESS, ENDLESS,
-            CallerLimits.DEFAULT.mostHead(), CallerLimits.DEFAULT.mostBody(), 0.5);
 
-    /** So long before a stuck end is given up that the end has begun, and nothing is cut off: 3.4 and 3 s. */
+    private static final CallerLimits PATIENT =
+            new CallerLimits(
+                    ENDLESS,
+                    ENDLESS,
+                    ENDLESS,
+                    ENDLESS,
+                    CallerLimits.DEFAULT.mostHead(),
+                    CallerLimits.DEFAULT.mostBody(),
+                    0.5);
+
+    /**
+     * So long before a stuck end is given up that the end has begun, and nothing is cut off: 3.4
+     * and 3 s.
+     */
     private static final long LATE_ON = 3_200_000_000L;
 
     /** What is asked when an RPC is taken, on the loop and in the decoder's hands. */
@@ -75,41 +86,59 @@
         private final BlockingQueue<Object> left = new LinkedBlockingQueue<>();
         private final BlockingQueue<Throwable> wrong = new LinkedBlockingQueue<>();
         private final CountDownLatch over = new CountDownLatch(1);
-        private volatile Taken taken = (rpc, caller) -> { };
+        private volatile Taken taken = (rpc, caller) -> {};
         private volatile boolean refusesAtOnce;
         private Balancer.Actions actions;
         private final Listener listener;
         private final InetSocketAddress at;
 
         Service() throws Exception {
-            Driver<Message, Message> driver = new Driver<>(hands -> {
-                actions = hands;
-                return Played.by(Balancer.class, (event, with) -> {
-                    if (event.equals("request")) {
-                        long id = ((Balancer.Request) with[1]).id();
-                        if (refusesAtOnce) {
-                            actions.refuse(id, 0);
-                        } else {
-                            requests.add(id);
-                        }
-                    } else if (event.equals("clientLeft")) {
-                        left.add(with[1]);
-                    }
-                });
-            }, 1, loop, log);
-            driver.connect(new NoNodes(), Played.by(Resolver.class, (action, with) -> { }),
-                    Played.by(Peers.class, (action, with) -> { }));
-            RpcFields fields = new RpcFields(SettingsReader.read(JsonObject.parse(Files.readString(
-                    Path.of("example", "config.json"))).child("settings")).module());
+            Driver<Message, Message> driver =
+                    new Driver<>(
+                            hands -> {
+                                actions = hands;
+                                return Played.by(
+                                        Balancer.class,
+                                        (event, with) -> {
+                                            if (event.equals("request")) {
+                                                long id = ((Balancer.Request) with[1]).id();
+                                                if (refusesAtOnce) {
+                                                    actions.refuse(id, 0);
+                                                } else {
+                                                    requests.add(id);
+                                                }
+                                            } else if (event.equals("clientLeft")) {
+                                                left.add(with[1]);
+                                            }
+                                        });
+                            },
+                            1,
+                            loop,
+                            log);
+            driver.connect(
+                    new NoNodes(),
+                    Played.by(Resolver.class, (action, with) -> {}),
+                    Played.by(Peers.class, (action, with) -> {}));
+            RpcFields fields =
+                    new RpcFields(
+                            SettingsReader.read(
+                                            JsonObject.parse(
+                                                            Files.readString(
+                                                                    Path.of(
+                                                                            "example",
+                                                                            "config.json")))
+                                                    .child("settings"))
+                                    .module());
             listener = new Listener(loop, driver, fields, () -> true, PATIENT, 10, held);
-            listener.setAside((rpc, reply) -> {
-                try {
-                    taken.by(rpc, (Listener.Caller) reply);
-                } catch (Exception | AssertionError e) {
-                    wrong.add(e);
-                }
-                return false;
-            });
+            listener.setAside(
+                    (rpc, reply) -> {
+                        try {
+                            taken.by(rpc, (Listener.Caller) reply);
+                        } catch (Exception | AssertionError e) {
+                            wrong.add(e);
+                        }
+                        return false;
+                    });
             at = listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         }
 
@@ -123,13 +152,14 @@
         /** Runs on the loop, to its end. */
         <T> T on(Callable<T> task) throws Exception {
             CompletableFuture<T> done = new CompletableFuture<>();
-            loop.run(() -> {
-                try {
-                    done.complete(task.call());
-                } catch (Exception e) {
-                    done.completeExceptionally(e);
-                }
-            });
+            loop.run(
+                    () -> {
+                        try {
+                            done.complete(task.call());
+                        } catch (Exception e) {
+                            done.completeExceptionally(e);
+                        }
+                    });
             return done.get(Await.LONGEST_SECONDS, TimeUnit.SECONDS);
         }
 
@@ -140,46 +170,54 @@
         /** Has the oldest RPC that waits refused. */
         void refuse() throws Exception {
             long id = request();
-            on(() -> {
-                actions.refuse(id, 0);
-                return null;
-            });
+            on(
+                    () -> {
+                        actions.refuse(id, 0);
+                        return null;
+                    });
         }
 
         void replace() throws Exception {
-            on(() -> {
-                listener.replace(over::countDown);
-                return null;
-            });
+            on(
+                    () -> {
+                        listener.replace(over::countDown);
+                        return null;
+                    });
         }
 
         void drain() throws Exception {
-            on(() -> {
-                listener.drain(over::countDown);
-                return null;
-            });
+            on(
+                    () -> {
+                        listener.drain(over::countDown);
+                        return null;
+                    });
         }
 
         /**
-         * Ends the service, and runs a task on the loop once answers may be their connections' last, but
-         * before what is open is cut off: by the order of the loop's timers, however late it is.
+         * Ends the service, and runs a task on the loop once answers may be their connections'
+         * last, but before what is open is cut off: by the order of the loop's timers, however late
+         * it is.
          */
         void drain(Callable<?> lateOn) throws Exception {
-            on(() -> {
-                listener.drain(over::countDown);
-                return loop.at(loop.now() + listener.mostEnding() - LATE_ON, () -> {
-                    try {
-                        lateOn.call();
-                    } catch (Exception e) {
-                        wrong.add(e);
-                    }
-                });
-            });
+            on(
+                    () -> {
+                        listener.drain(over::countDown);
+                        return loop.at(
+                                loop.now() + listener.mostEnding() - LATE_ON,
+                                () -> {
+                                    try {
+                                        lateOn.call();
+                                    } catch (Exception e) {
+                                        wrong.add(e);
+                                    }
+                                });
+                    });
         }
 
         @Override
         public void close() {
-            CompletableFuture.runAsync(() -> { }, loop::run).join(); // behind what it was about to log
+            CompletableFuture.runAsync(() -> {}, loop::run)
+                    .join(); // behind what it was about to log
             loop.stop();
             if (!wrong.isEmpty()) {
                 throw new AssertionError("on the loop", wrong.poll());
@@ -195,21 +233,25 @@
         }
 
         @Override
-        public void start(CallAttempt<Message, Message> attempt) { }
+        public void start(CallAttempt<Message, Message> attempt) {}
 
         @Override
-        public void abandon(CallAttempt<Message, Message> attempt) { }
+        public void abandon(CallAttempt<Message, Message> attempt) {}
 
         @Override
-        public void probe(long endpoint) { }
+        public void probe(long endpoint) {}
 
         @Override
-        public void closeIdle(long endpoint) { }
+        public void closeIdle(long endpoint) {}
     }
 
     private static String rpc(String id, String... fields) {
-        return "GET /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\n"
-                + "Req-Deadline-Ms: 900000\r\n" + String.join("", fields) + "\r\n";
+        return "GET /api HTTP/1.1\r\nHost: a\r\nReq-Id: "
+                + id
+                + "\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\n"
+                + "Req-Deadline-Ms: 900000\r\n"
+                + String.join("", fields)
+                + "\r\n";
     }
 
     private static void send(Socket caller, String text) throws IOException {
@@ -239,7 +281,10 @@
         caller.close();
     }
 
-    /** Guards against an RPC that is sent on for a caller that has gone: its end stands behind bytes. */
+    /**
+     * Guards against an RPC that is sent on for a caller that has gone: its end stands behind
+     * bytes.
+     */
     @Test
     public void anEndBehindBytesThatWaitEndsTheOpenRpc() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
@@ -248,7 +293,8 @@
                 send(caller, rpc("1"));
                 long id = service.request();
                 send(caller, rpc("2") + rpc("3"));
-                Await.until("the bytes behind it are kept", () -> service.on(service.held::held) > 0);
+                Await.until(
+                        "the bytes behind it are kept", () -> service.on(service.held::held) > 0);
                 leave(caller, reset);
                 assertEquals(Await.next("the end seen", service.left), id);
                 Await.until("nothing is kept", () -> service.on(service.held::held) == 0);
@@ -257,24 +303,35 @@
         }
     }
 
-    /** Guards against memory that a caller fills by sending ahead, and against what is kept being lost. */
+    /**
+     * Guards against memory that a caller fills by sending ahead, and against what is kept being
+     * lost.
+     */
     @Test
     public void whatIsKeptAheadIsBoundedAndThenAnswered() throws Exception {
         int behind = 40_000;
-        try (Service service = new Service(); Socket caller = service.caller()) {
+        try (Service service = new Service();
+                Socket caller = service.caller()) {
             send(caller, rpc("1"));
-            CompletableFuture<Void> sent = CompletableFuture.runAsync(() -> {
-                try {
-                    byte[] request = HEALTH.getBytes(StandardCharsets.ISO_8859_1);
-                    byte[] all = new byte[behind * request.length];
-                    for (int i = 0; i < behind; i++) {
-                        System.arraycopy(request, 0, all, i * request.length, request.length);
-                    }
-                    caller.getOutputStream().write(all);
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            });
+            CompletableFuture<Void> sent =
+                    CompletableFuture.runAsync(
+                            () -> {
+                                try {
+                                    byte[] request = HEALTH.getBytes(StandardCharsets.ISO_8859_1);
+                                    byte[] all = new byte[behind * request.length];
+                                    for (int i = 0; i < behind; i++) {
+                                        System.arraycopy(
+                                                request,
+                                                0,
+                                                all,
+                                                i * request.length,
+                                                request.length);
+                                    }
+                                    caller.getOutputStream().write(all);
+                                } catch (IOException e) {
+                                    throw new UncheckedIOException(e);
+                                }
+                            });
             Await.until("reading ahead", () -> service.on(service.held::held) >= 32 * 1024);
             for (int i = 0; i < 1000; i++) {
                 assertTrue(service.on(service.held::held) <= 128 * 1024, "kept too much");
@@ -289,13 +346,14 @@
     }
 
     /**
-     * Guards against answers long after their time: that of a request starts with its last byte, also where
-     * it waits behind another one; and one that came later has its own.
+     * Guards against answers long after their time: that of a request starts with its last byte,
+     * also where it waits behind another one; and one that came later has its own.
      */
     @Test
     public void theTimeOfARequestStartsAsItIsReadAndNotAsItIsItsTurn() throws Exception {
         long wait = TimeUnit.SECONDS.toNanos(900);
-        try (Service service = new Service(); Socket caller = service.caller()) {
+        try (Service service = new Service();
+                Socket caller = service.caller()) {
             List<Long> deadlines = new ArrayList<>();
             service.taken = (rpc, reply) -> deadlines.add(rpc.request().deadline());
             send(caller, rpc("1"));
@@ -303,13 +361,16 @@
             send(caller, rpc("2"));
             Await.until("the second is kept", () -> service.on(service.held::held) > 0);
             long kept = System.nanoTime();
-            Await.until("a second later", () -> System.nanoTime() - kept > TimeUnit.SECONDS.toNanos(1));
+            Await.until(
+                    "a second later", () -> System.nanoTime() - kept > TimeUnit.SECONDS.toNanos(1));
             send(caller, rpc("3"));
             for (int i = 0; i < 3; i++) {
                 service.refuse();
                 read(caller);
             }
-            assertTrue(service.on(() -> deadlines.get(1)) - kept <= wait, "it is late by what it waited");
+            assertTrue(
+                    service.on(() -> deadlines.get(1)) - kept <= wait,
+                    "it is late by what it waited");
             assertTrue(service.on(() -> deadlines.get(2)) - kept > wait, "it waited for less");
         }
     }
@@ -321,14 +382,15 @@
             try (Service service = new Service()) {
                 BlockingQueue<Boolean> waits = new LinkedBlockingQueue<>();
                 Socket caller = service.caller();
-                service.taken = (rpc, reply) -> {
-                    waits.add(reply.waits());
-                    send(caller, rpc("2"));
-                    waits.add(reply.waits());
-                    send(caller, "x".repeat(5000));
-                    leave(caller, reset);
-                    waits.add(reply.waits());
-                };
+                service.taken =
+                        (rpc, reply) -> {
+                            waits.add(reply.waits());
+                            send(caller, rpc("2"));
+                            waits.add(reply.waits());
+                            send(caller, "x".repeat(5000));
+                            leave(caller, reset);
+                            waits.add(reply.waits());
+                        };
                 send(caller, rpc("1"));
                 assertTrue(Await.next("a look", waits), "it waits");
                 assertTrue(Await.next("a look", waits), "it waits, and has sent more");
@@ -340,22 +402,24 @@
     }
 
     /**
-     * Guards against bytes that are lost or come out of order where a look brings them while others are being
-     * decoded: whole requests, halves, and pieces of a body that flows.
+     * Guards against bytes that are lost or come out of order where a look brings them while others
+     * are being decoded: whole requests, halves, and pieces of a body that flows.
      */
     @Test
     public void whatALookBringsWithinADecodeKeepsItsOrder() throws Exception {
-        try (Service service = new Service(); Socket caller = service.caller()) {
-            service.taken = (rpc, reply) -> {
-                if (rpc.request().id() > 3) {
-                    return;
-                }
-                String next = rpc("" + (rpc.request().id() + 1));
-                for (int i = 0; i < next.length(); i += 50) {
-                    send(caller, next.substring(i, Math.min(next.length(), i + 50)));
-                    assertTrue(reply.waits());
-                }
-            };
+        try (Service service = new Service();
+                Socket caller = service.caller()) {
+            service.taken =
+                    (rpc, reply) -> {
+                        if (rpc.request().id() > 3) {
+                            return;
+                        }
+                        String next = rpc("" + (rpc.request().id() + 1));
+                        for (int i = 0; i < next.length(); i += 50) {
+                            send(caller, next.substring(i, Math.min(next.length(), i + 50)));
+                            assertTrue(reply.waits());
+                        }
+                    };
             send(caller, rpc("1") + HEALTH);
             for (int i = 0; i < 4; i++) {
                 service.refuse();
@@ -380,57 +444,85 @@
             chunks.add(Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n");
         }
         chunks.add("0\r\n\r\n");
-        try (Service service = new Service(); Socket caller = service.caller()) {
+        try (Service service = new Service();
+                Socket caller = service.caller()) {
             AtomicInteger sent = new AtomicInteger(first);
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             CompletableFuture<String> whole = new CompletableFuture<>();
-            service.taken = (rpc, reply) -> {
-                BodyFlow flow = rpc.content().rest().flow();
-                got.writeBytes(rpc.content().body());
-                flow.whenMore(() -> {
-                    try {
-                        if (sent.get() < chunks.size()) {
-                            send(caller, chunks.get(sent.getAndIncrement()));
-                        }
-                        reply.waits();
-                    } catch (IOException e) {
-                        service.wrong.add(e);
-                    }
-                    for (byte[] piece = flow.take(); piece != null; piece = flow.take()) {
-                        got.writeBytes(piece);
-                    }
-                    if (flow.atEnd()) {
-                        whole.complete(got.toString(StandardCharsets.ISO_8859_1));
-                    }
-                });
-            };
-            send(caller, "POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Kind: order\r\n"
-                    + "Req-Owner: acme\r\nReq-Deadline-Ms: 900000\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + String.join("", chunks.subList(0, first)));
+            service.taken =
+                    (rpc, reply) -> {
+                        BodyFlow flow = rpc.content().rest().flow();
+                        got.writeBytes(rpc.content().body());
+                        flow.whenMore(
+                                () -> {
+                                    try {
+                                        if (sent.get() < chunks.size()) {
+                                            send(caller, chunks.get(sent.getAndIncrement()));
+                                        }
+                                        reply.waits();
+                                    } catch (IOException e) {
+                                        service.wrong.add(e);
+                                    }
+                                    for (byte[] piece = flow.take();
+                                            piece != null;
+                                            piece = flow.take()) {
+                                        got.writeBytes(piece);
+                                    }
+                                    if (flow.atEnd()) {
+                                        whole.complete(got.toString(StandardCharsets.ISO_8859_1));
+                                    }
+                                });
+                    };
+            send(
+                    caller,
+                    "POST /api HTTP/1.1\r\n"
+                            + "Host: a\r\n"
+                            + "Req-Id: 1\r\n"
+                            + "Req-Kind: order\r\n"
+                            + "Req-Owner: acme\r\n"
+                            + "Req-Deadline-Ms: 900000\r\n"
+                            + "Transfer-Encoding: chunked\r\n\r\n"
+                            + String.join("", chunks.subList(0, first)));
             String passed = whole.get(Await.LONGEST_SECONDS, TimeUnit.SECONDS);
             int same = Arrays.mismatch(passed.getBytes(), body.toString().getBytes());
-            assertEquals(same, -1, passed.length() + " of " + body.length() + " characters, the same up to");
+            assertEquals(
+                    same,
+                    -1,
+                    passed.length() + " of " + body.length() + " characters, the same up to");
         }
     }
 
     /**
-     * Guards against a fault, or a second answer, where an RPC is answered from within the decoder's hands:
-     * behind the piece that does it stand others, and the body's end, or what can't be read.
+     * Guards against a fault, or a second answer, where an RPC is answered from within the
+     * decoder's hands: behind the piece that does it stand others, and the body's end, or what
+     * can't be read.
      */
     @Test
     public void anAnswerFromWithinAFlowIsTheOnlyOne() throws Exception {
         for (String end : List.of("0\r\n\r\n", "no chunk\r\n")) {
-            try (Service service = new Service(); Socket caller = service.caller()) {
+            try (Service service = new Service();
+                    Socket caller = service.caller()) {
                 String chunk = "400\r\n" + "x".repeat(1024) + "\r\n";
-                service.taken = (rpc, reply) -> {
-                    rpc.content().rest().flow().whenMore(() ->
-                            service.actions.refuse(rpc.request().id(), 0));
-                    send(caller, chunk.repeat(3) + end);
-                    assertTrue(reply.waits()); // so that all of it is in the decoder's hands
-                };
-                send(caller, "POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Kind: order\r\n"
-                        + "Req-Owner: acme\r\nReq-Deadline-Ms: 900000\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + chunk.repeat(64));
+                service.taken =
+                        (rpc, reply) -> {
+                            rpc.content()
+                                    .rest()
+                                    .flow()
+                                    .whenMore(() -> service.actions.refuse(rpc.request().id(), 0));
+                            send(caller, chunk.repeat(3) + end);
+                            assertTrue(
+                                    reply.waits()); // so that all of it is in the decoder's hands
+                        };
+                send(
+                        caller,
+                        "POST /api HTTP/1.1\r\n"
+                                + "Host: a\r\n"
+                                + "Req-Id: 1\r\n"
+                                + "Req-Kind: order\r\n"
+                                + "Req-Owner: acme\r\n"
+                                + "Req-Deadline-Ms: 900000\r\n"
+                                + "Transfer-Encoding: chunked\r\n\r\n"
+                                + chunk.repeat(64));
                 assertTrue(read(caller).startsWith("HTTP/1.1 503"));
                 assertEquals(caller.getInputStream().read(), -1);
             }
@@ -441,28 +533,31 @@
     @Test
     public void whatStandsBehindTheLastRequestIsAnsweredToo() throws Exception {
         for (boolean byHand : new boolean[] {true, false}) {
-            try (Service service = new Service(); Socket caller = service.caller();
+            try (Service service = new Service();
+                    Socket caller = service.caller();
                     Socket idle = service.caller()) {
                 send(idle, HEALTH);
                 assertTrue(read(idle).startsWith("HTTP/1.1 200"));
                 send(caller, rpc("1"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
                 if (byHand) {
-                    service.on(() -> {
-                        service.listener.drainByHand();
-                        return null;
-                    });
+                    service.on(
+                            () -> {
+                                service.listener.drainByHand();
+                                return null;
+                            });
                 } else {
                     service.replace();
                 }
                 assertEquals(idle.getInputStream().read(), -1, "callers are being sent away");
                 // On the loop, which has then read none of it when it answers the first.
                 long id = service.request();
-                service.on(() -> {
-                    send(caller, rpc("2") + rpc("3"));
-                    service.actions.refuse(id, 0);
-                    return null;
-                });
+                service.on(
+                        () -> {
+                            send(caller, rpc("2") + rpc("3"));
+                            service.actions.refuse(id, 0);
+                            return null;
+                        });
                 for (int i = 1; i <= 3; i++) {
                     String answer = read(caller);
                     assertTrue(answer.startsWith("HTTP/1.1 503"), "answer " + i + ": " + answer);
@@ -477,21 +572,24 @@
     }
 
     /**
-     * Guards against requests that were read and get no answer: they stand behind one that is answered in the
-     * decoder's hands, as the service ends and each connection on which nothing is open is closed.
+     * Guards against requests that were read and get no answer: they stand behind one that is
+     * answered in the decoder's hands, as the service ends and each connection on which nothing is
+     * open is closed.
      */
     @Test
     public void whatStandsBehindAnAnswerAtOnceIsAnsweredToo() throws Exception {
         for (String atOnce : List.of(HEALTH, rpc("2"))) {
-            try (Service service = new Service(); Socket caller = service.caller()) {
+            try (Service service = new Service();
+                    Socket caller = service.caller()) {
                 send(caller, rpc("1"));
                 long id = service.request();
-                service.drain(() -> {
-                    service.refusesAtOnce = true;
-                    send(caller, atOnce + rpc("3") + rpc("4"));
-                    service.actions.refuse(id, 0);
-                    return null;
-                });
+                service.drain(
+                        () -> {
+                            service.refusesAtOnce = true;
+                            send(caller, atOnce + rpc("3") + rpc("4"));
+                            service.actions.refuse(id, 0);
+                            return null;
+                        });
                 for (int i = 1; i <= 4; i++) {
                     String answer = read(caller);
                     assertTrue(answer.startsWith("HTTP/1.1 503"), "answer " + i + ": " + answer);
@@ -502,10 +600,14 @@
         }
     }
 
-    /** Guards against requests that get no answer, since one they stand behind is cut off at the end. */
+    /**
+     * Guards against requests that get no answer, since one they stand behind is cut off at the
+     * end.
+     */
     @Test
     public void whatStandsBehindWhatIsCutOffIsAnsweredToo() throws Exception {
-        try (Service service = new Service(); Socket caller = service.caller()) {
+        try (Service service = new Service();
+                Socket caller = service.caller()) {
             send(caller, rpc("1") + rpc("2") + rpc("3"));
             Await.until("it is taken", () -> service.requests.size() == 1);
             service.refusesAtOnce = true;
@@ -520,16 +622,23 @@
     }
 
     /**
-     * Guards against a body that begins to flow to a node behind an RPC that was cut off, and is broken off
-     * there by the end of the process: what flows has a longer time, but not past that moment.
+     * Guards against a body that begins to flow to a node behind an RPC that was cut off, and is
+     * broken off there by the end of the process: what flows has a longer time, but not past that
+     * moment.
      */
     @Test
     public void aLargeBodyBehindWhatIsCutOffHasNoTimeLeft() throws Exception {
-        try (Service service = new Service(); Socket caller = service.caller()) {
+        try (Service service = new Service();
+                Socket caller = service.caller()) {
             BlockingQueue<Long> left = new LinkedBlockingQueue<>();
             service.taken = (rpc, reply) -> left.add(rpc.request().deadline() - service.loop.now());
-            send(caller, rpc("1") + rpc("2", "Content-Length: 80000\r\n").replace("GET", "POST")
-                    .replace("lookup", "order") + "x".repeat(80_000));
+            send(
+                    caller,
+                    rpc("1")
+                            + rpc("2", "Content-Length: 80000\r\n")
+                                    .replace("GET", "POST")
+                                    .replace("lookup", "order")
+                            + "x".repeat(80_000));
             assertTrue(Await.next("the first RPC", left) > 0);
             Await.until("it is taken", () -> service.requests.size() == 1);
             service.refusesAtOnce = true;
@@ -543,7 +652,8 @@
     /** Guards against a caller that sends ahead for good and so holds its connection. */
     @Test
     public void whoSendsAheadWithoutEndIsLetGo() throws Exception {
-        try (Service service = new Service(); Socket caller = service.caller()) {
+        try (Service service = new Service();
+                Socket caller = service.caller()) {
             send(caller, rpc("0"));
             service.replace();
             int answers = 0;
@@ -559,54 +669,60 @@
     }
 
     /**
-     * Guards against a request that is sent on though its caller has been shown the end, and against a reset
-     * that takes what the caller has not read yet: behind a last answer, and on a connection that rested. The
-     * loop itself sends, right behind the end of its output.
+     * Guards against a request that is sent on though its caller has been shown the end, and
+     * against a reset that takes what the caller has not read yet: behind a last answer, and on a
+     * connection that rested. The loop itself sends, right behind the end of its output.
      */
     @Test
     public void whatComesBehindTheEndOfOurOutputIsReadAndDropped() throws Exception {
         for (boolean told : new boolean[] {true, false}) {
-            try (Service service = new Service(); Socket caller = service.caller()) {
+            try (Service service = new Service();
+                    Socket caller = service.caller()) {
                 BlockingQueue<Listener.Caller> ends = new LinkedBlockingQueue<>();
                 service.taken = (rpc, reply) -> ends.add(reply);
                 send(caller, rpc("1", told ? "Connection: close\r\n" : ""));
                 long id = service.request();
-                service.on(() -> {
-                    service.actions.refuse(id, 0);
-                    if (!told) {
-                        ends.take().closeIfQuiet();
-                    }
-                    send(caller, rpc("late"));
-                    return null;
-                });
+                service.on(
+                        () -> {
+                            service.actions.refuse(id, 0);
+                            if (!told) {
+                                ends.take().closeIfQuiet();
+                            }
+                            send(caller, rpc("late"));
+                            return null;
+                        });
                 assertEquals(read(caller).contains("Connection: close"), told);
                 assertEquals(caller.getInputStream().read(), -1, "an end in order, and no reset");
                 caller.shutdownOutput();
-                Await.until("the end of the connection", () -> service.on(service.listener::callers) == 0);
+                Await.until(
+                        "the end of the connection",
+                        () -> service.on(service.listener::callers) == 0);
                 assertTrue(service.requests.isEmpty());
             }
         }
     }
 
     /**
-     * Guards against a request that has come on a connection that is closed for want of room, also where it
-     * is answered at once, and the connection is between requests again.
+     * Guards against a request that has come on a connection that is closed for want of room, also
+     * where it is answered at once, and the connection is between requests again.
      */
     @Test
     public void whoIsToMakeRoomIsReadFirst() throws Exception {
         for (boolean atOnce : new boolean[] {false, true}) {
-            try (Service service = new Service(); Socket asks = service.caller();
+            try (Service service = new Service();
+                    Socket asks = service.caller();
                     Socket rests = service.caller()) {
                 for (Socket caller : List.of(asks, rests)) {
                     send(caller, HEALTH);
                     read(caller);
                 }
                 service.refusesAtOnce = atOnce;
-                service.on(() -> {
-                    send(asks, rpc("1"));
-                    service.listener.apply(PATIENT, 1);
-                    return null;
-                });
+                service.on(
+                        () -> {
+                            send(asks, rpc("1"));
+                            service.listener.apply(PATIENT, 1);
+                            return null;
+                        });
                 if (!atOnce) {
                     service.refuse();
                 }
@@ -619,23 +735,25 @@
     }
 
     /**
-     * Guards against the last answer of a connection being lost as it makes room: closed over bytes that have
-     * come, it is reset. One that is not takes another byte.
+     * Guards against the last answer of a connection being lost as it makes room: closed over bytes
+     * that have come, it is reset. One that is not takes another byte.
      */
     @Test
     public void whoHasItsLastAnswerIsReadBeforeItMakesRoom() throws Exception {
-        try (Service service = new Service(); Socket told = service.caller();
+        try (Service service = new Service();
+                Socket told = service.caller();
                 Socket rests = service.caller()) {
             send(rests, HEALTH);
             read(rests);
             send(told, rpc("1", "Connection: close\r\n"));
             long id = service.request();
-            service.on(() -> {
-                service.actions.refuse(id, 0);
-                send(told, rpc("late"));
-                service.listener.apply(PATIENT, 1);
-                return null;
-            });
+            service.on(
+                    () -> {
+                        service.actions.refuse(id, 0);
+                        send(told, rpc("late"));
+                        service.listener.apply(PATIENT, 1);
+                        return null;
+                    });
             Await.until("there is room", () -> service.on(service.listener::callers) == 1);
             assertTrue(read(told).contains("Connection: close"));
             send(told, "x");
@@ -644,10 +762,14 @@
         }
     }
 
-    /** Guards against a connection that goes on in a state nobody thought of, and against others paying. */
+    /**
+     * Guards against a connection that goes on in a state nobody thought of, and against others
+     * paying.
+     */
     @Test
     public void whatCanNotComeInAStateEndsItsConnectionAlone() throws Exception {
-        try (Service service = new Service(); Socket caller = service.caller();
+        try (Service service = new Service();
+                Socket caller = service.caller();
                 Socket other = service.caller()) {
             BlockingQueue<Listener.Caller> taken = new LinkedBlockingQueue<>();
             service.taken = (rpc, reply) -> taken.add(reply);
@@ -657,23 +779,29 @@
                 if (each == caller) {
                     Listener.Caller broken = Await.next("its connection", taken);
                     long id = service.request();
-                    service.on(() -> {
-                        broken.on(CallerState.Event.WROTE);
-                        service.actions.refuse(id, 0); // which comes before the loop tells of the close
-                        return null;
-                    });
+                    service.on(
+                            () -> {
+                                broken.on(CallerState.Event.WROTE);
+                                service.actions.refuse(
+                                        id, 0); // which comes before the loop tells of the close
+                                return null;
+                            });
                     assertEquals(caller.getInputStream().read(), -1);
                 }
             }
             service.refuse();
             assertTrue(read(other).startsWith("HTTP/1.1 503"));
-            assertTrue(service.lines.toString().contains("caller.failed"), service.lines.toString());
-            assertTrue(service.lines.toString().contains("WROTE in OPEN"), service.lines.toString());
+            assertTrue(
+                    service.lines.toString().contains("caller.failed"), service.lines.toString());
+            assertTrue(
+                    service.lines.toString().contains("WROTE in OPEN"), service.lines.toString());
             service.lines.reset();
         }
     }
 
-    /** Guards against half a request, and a caller that does not hear the end, holding the process. */
+    /**
+     * Guards against half a request, and a caller that does not hear the end, holding the process.
+     */
     @Test
     public void halfARequestDoesNotHoldTheEnd() throws Exception {
         List<Socket> callers = new ArrayList<>();
--- a/daemon/src/test/java/cedarrudder/transport/ChannelLifeTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ChannelLifeTest.java
@@ -16,13 +16,16 @@
 public class ChannelLifeTest {
 
     /** A way to each state. */
-    private static final Map<State, List<Event>> WAYS = new EnumMap<>(Map.of(
-            State.CONNECTING, List.of(),
-            State.IDLE, List.of(Event.UP),
-            State.SENDING, List.of(Event.UP, Event.CARRIES),
-            State.AWAITING, List.of(Event.UP, Event.CARRIES, Event.WROTE),
-            State.FLOWING, List.of(Event.UP, Event.CARRIES, Event.WROTE, Event.FLOWS),
-            State.ENDED, List.of(Event.ENDS)));
+    private static final Map<State, List<Event>> WAYS =
+            new EnumMap<>(
+                    Map.of(
+                            State.CONNECTING, List.of(),
+                            State.IDLE, List.of(Event.UP),
+                            State.SENDING, List.of(Event.UP, Event.CARRIES),
+                            State.AWAITING, List.of(Event.UP, Event.CARRIES, Event.WROTE),
+                            State.FLOWING,
+                                    List.of(Event.UP, Event.CARRIES, Event.WROTE, Event.FLOWS),
+                            State.ENDED, List.of(Event.ENDS)));
 
     private static ChannelLife in(State state) {
         ChannelLife life = new ChannelLife();
@@ -43,7 +46,8 @@
             {null, null, State.AWAITING, null, null, State.ENDED},
             {null, null, null, State.FLOWING, State.IDLE, State.ENDED},
             {null, null, null, null, State.IDLE, State.ENDED},
-            {null, null, null, null, null, State.ENDED}};
+            {null, null, null, null, null, State.ENDED}
+        };
         Object[][] rows = new Object[table.length * Event.values().length][];
         for (State from : State.values()) {
             for (Event event : Event.values()) {
--- a/daemon/src/test/java/cedarrudder/transport/ListenerTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ListenerTest.java
@@ -47,8 +47,9 @@
     private static final int WAITING = 30;
 
     /**
-     * Guards against callers that come before the thread that opens the door has told so: for them the door
-     * was not there, or was the one before. Each opening is met by one, at a bound that lets none in.
+     * Guards against callers that come before the thread that opens the door has told so: for them
+     * the door was not there, or was the one before. Each opening is met by one, at a bound that
+     * lets none in.
      */
     @Test
     public void aCallerThatComesAtOnceFindsTheBoundInForce() throws Exception {
@@ -60,7 +61,14 @@
                 held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 Thread caller = new Thread(() -> connect(held.getLocalPort()));
                 caller.start();
-                new Listener(loop, null, null, () -> true, CallerLimits.DEFAULT, 0, new HeldBytes(1))
+                new Listener(
+                                loop,
+                                null,
+                                null,
+                                () -> true,
+                                CallerLimits.DEFAULT,
+                                0,
+                                new HeldBytes(1))
                         .listen((InetSocketAddress) held.getLocalSocketAddress(), false);
                 Await.end("a caller let in", caller);
             }
@@ -73,51 +81,69 @@
     }
 
     /**
-     * Guards against a caller that waits for good for an answer that can't be made, for want of memory say,
-     * and against a module that never hears how the attempt ended.
+     * Guards against a caller that waits for good for an answer that can't be made, for want of
+     * memory say, and against a module that never hears how the attempt ended.
      */
     @Test
     public void anAnswerThatCanNotBeMadeEndsItsCallersConnection() throws Exception {
         answered((driver, attempt) -> driver.served(attempt, new Message(null, null), null));
     }
 
-    /** Guards against the same where the answer flows, and against a node that goes on with it for nobody. */
+    /**
+     * Guards against the same where the answer flows, and against a node that goes on with it for
+     * nobody.
+     */
     @Test
     public void anAnswerThatFlowsAndCanNotBeginEndsItsCallersConnection() throws Exception {
         Rest rest = new Rest(new BodyFlow(new HeldBytes(1000)), 100_000);
-        BrokenNode node = answered((driver, attempt) ->
-                driver.began(attempt, new Message(null, null, rest), null));
+        BrokenNode node =
+                answered(
+                        (driver, attempt) ->
+                                driver.began(attempt, new Message(null, null, rest), null));
         assertEquals(node.abandoned().poll(20, TimeUnit.SECONDS), Boolean.TRUE);
     }
 
     /**
-     * Guards against connections that the kernel has accepted being reset as a successor takes over: all that
-     * wait at the door when it closes are let in. The loop connects them itself, so none is accepted before.
+     * Guards against connections that the kernel has accepted being reset as a successor takes
+     * over: all that wait at the door when it closes are let in. The loop connects them itself, so
+     * none is accepted before.
      */
     @Test
     public void whoWaitsAtTheDoorWhenASuccessorTakesOverIsAnswered() throws Exception {
         Loop loop = new Loop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
-        Listener listener = new Listener(loop, null, fields(), () -> true, CallerLimits.DEFAULT, WAITING,
-                new HeldBytes(1000));
-        InetSocketAddress at = listener.listen(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
+        Listener listener =
+                new Listener(
+                        loop,
+                        null,
+                        fields(),
+                        () -> true,
+                        CallerLimits.DEFAULT,
+                        WAITING,
+                        new HeldBytes(1000));
+        InetSocketAddress at =
+                listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         BlockingQueue<Socket> waiting = new LinkedBlockingQueue<>();
         CountDownLatch replaced = new CountDownLatch(1);
-        loop.run(() -> {
-            try {
-                for (int i = 0; i < WAITING; i++) {
-                    Socket caller = new Socket(at.getAddress(), at.getPort());
-                    caller.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
-                    waiting.add(caller);
-                }
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-            listener.replace(replaced::countDown);
-        });
+        loop.run(
+                () -> {
+                    try {
+                        for (int i = 0; i < WAITING; i++) {
+                            Socket caller = new Socket(at.getAddress(), at.getPort());
+                            caller.getOutputStream()
+                                    .write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
+                            waiting.add(caller);
+                        }
+                    } catch (IOException e) {
+                        throw new UncheckedIOException(e);
+                    }
+                    listener.replace(replaced::countDown);
+                });
         for (int i = 0; i < WAITING; i++) {
             try (Socket caller = waiting.poll(20, TimeUnit.SECONDS)) {
-                assertEquals(new String(caller.getInputStream().readNBytes(8)), "HTTP/1.1", "caller " + i);
+                assertEquals(
+                        new String(caller.getInputStream().readNBytes(8)),
+                        "HTTP/1.1",
+                        "caller " + i);
             }
         }
         Await.open("the end of the service", replaced);
@@ -125,18 +151,26 @@
     }
 
     /**
-     * Guards against requests that the kernel has as their connections are closed, which a reset would take
-     * away: one on an idle connection, and one on a connection that waits at the door. The loop itself writes
-     * them, behind its last look and right before it closes, so that it has read none by then.
+     * Guards against requests that the kernel has as their connections are closed, which a reset
+     * would take away: one on an idle connection, and one on a connection that waits at the door.
+     * The loop itself writes them, behind its last look and right before it closes, so that it has
+     * read none by then.
      */
     @Test
     public void whatHasComeByTheTimeOfTheCloseIsAnsweredAndNotReset() throws Exception {
         Loop loop = new Loop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
         RpcFields fields = fields();
-        Listener listener = new Listener(loop, null, fields, () -> true, CallerLimits.DEFAULT, WAITING,
-                new HeldBytes(1000));
-        InetSocketAddress at = listener.listen(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
+        Listener listener =
+                new Listener(
+                        loop,
+                        null,
+                        fields,
+                        () -> true,
+                        CallerLimits.DEFAULT,
+                        WAITING,
+                        new HeldBytes(1000));
+        InetSocketAddress at =
+                listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         CountDownLatch over = new CountDownLatch(1);
         BlockingQueue<Socket> waiting = new LinkedBlockingQueue<>();
         byte[] request = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes();
@@ -145,22 +179,29 @@
             idle.getOutputStream().write(request);
             assertEquals(new String(idle.getInputStream().readNBytes(12)), "HTTP/1.1 200");
             idle.getInputStream().skipNBytes(idle.getInputStream().available());
-            loop.run(() -> {
-                long close = loop.now() + Math.min(3_000_000_000L, fields.longestWait()) + 100_000_000L;
-                // Both tasks are overdue once the loop is free again, and run in this order.
-                loop.at(close - 100_000_000L, () -> sleep(200));
-                loop.at(close - 50_000_000L, () -> {
-                    try {
-                        idle.getOutputStream().write(request);
-                        Socket late = new Socket(at.getAddress(), at.getPort());
-                        late.getOutputStream().write(request);
-                        waiting.add(late);
-                    } catch (IOException e) {
-                        throw new UncheckedIOException(e);
-                    }
-                });
-                listener.drain(over::countDown);
-            });
+            loop.run(
+                    () -> {
+                        long close =
+                                loop.now()
+                                        + Math.min(3_000_000_000L, fields.longestWait())
+                                        + 100_000_000L;
+                        // Both tasks are overdue once the loop is free again, and run in this
+                        // order.
+                        loop.at(close - 100_000_000L, () -> sleep(200));
+                        loop.at(
+                                close - 50_000_000L,
+                                () -> {
+                                    try {
+                                        idle.getOutputStream().write(request);
+                                        Socket late = new Socket(at.getAddress(), at.getPort());
+                                        late.getOutputStream().write(request);
+                                        waiting.add(late);
+                                    } catch (IOException e) {
+                                        throw new UncheckedIOException(e);
+                                    }
+                                });
+                        listener.drain(over::countDown);
+                    });
             try (Socket late = Await.next("the close", waiting)) {
                 late.setSoTimeout(20_000);
                 for (Socket caller : List.of(idle, late)) {
@@ -186,25 +227,43 @@
     @Test
     public void connectionsAreLookedOverAfterAFaultInALook() throws Exception {
         AtomicBoolean broken = new AtomicBoolean();
-        Logger log = new Logger(line -> {
-            if (line.contains("caller.closed_for_room") && broken.compareAndSet(false, true)) {
-                throw new IllegalStateException("broken on purpose");
-            }
-            return true;
-        });
+        Logger log =
+                new Logger(
+                        line -> {
+                            if (line.contains("caller.closed_for_room")
+                                    && broken.compareAndSet(false, true)) {
+                                throw new IllegalStateException("broken on purpose");
+                            }
+                            return true;
+                        });
         log.settings(new LogSettings(Level.DEBUG, 20, 300));
         Loop loop = new Loop(log);
-        InetSocketAddress at = new Listener(loop, null, fields(), () -> true, CallerLimits.DEFAULT, 1,
-                new HeldBytes(1000))
-                .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
+        InetSocketAddress at =
+                new Listener(
+                                loop,
+                                null,
+                                fields(),
+                                () -> true,
+                                CallerLimits.DEFAULT,
+                                1,
+                                new HeldBytes(1000))
+                        .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         try (Socket half = new Socket(at.getAddress(), at.getPort())) {
             half.setSoTimeout(20_000);
-            half.getOutputStream().write(("POST /api HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
-                    + "Content-Length: 5\r\n\r\n").getBytes());
-            assertEquals(new String(half.getInputStream().readNBytes(25)), "HTTP/1.1 100 Continue\r\n\r\n");
+            half.getOutputStream()
+                    .write(
+                            ("POST /api HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
+                                            + "Content-Length: 5\r\n\r\n")
+                                    .getBytes());
+            assertEquals(
+                    new String(half.getInputStream().readNBytes(25)),
+                    "HTTP/1.1 100 Continue\r\n\r\n");
             try (Socket next = new Socket(at.getAddress(), at.getPort())) {
                 next.setSoTimeout(20_000);
-                assertEquals(half.getInputStream().read(), -1, "it makes room, though the first look failed");
+                assertEquals(
+                        half.getInputStream().read(),
+                        -1,
+                        "it makes room, though the first look failed");
             }
         }
         assertTrue(broken.get());
@@ -212,33 +271,63 @@
     }
 
     private static RpcFields fields() throws IOException {
-        return new RpcFields(SettingsReader.read(JsonObject.parse(Files.readString(
-                Path.of("example", "config.json"))).child("settings")).module());
+        return new RpcFields(
+                SettingsReader.read(
+                                JsonObject.parse(
+                                                Files.readString(Path.of("example", "config.json")))
+                                        .child("settings"))
+                        .module());
     }
 
     /** Has a node answer what can't be passed on. */
-    private static BrokenNode answered(BiConsumer<Driver<Message, Message>, CallAttempt<Message, Message>>
-            answer) throws Exception {
+    private static BrokenNode answered(
+            BiConsumer<Driver<Message, Message>, CallAttempt<Message, Message>> answer)
+            throws Exception {
         Logger log = new Logger(new PrintStream(OutputStream.nullOutputStream()));
         Loop loop = new Loop(log);
         BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-        Driver<Message, Message> driver = new Driver<>(actions -> Played.by(Balancer.class, (event, with) -> {
-            if (event.equals("request")) {
-                actions.send(((Balancer.Request) with[1]).id(), 1, 0);
-            } else if (event.equals("outcome")) {
-                told.add(with[4]);
-            }
-        }), 1, loop, log);
+        Driver<Message, Message> driver =
+                new Driver<>(
+                        actions ->
+                                Played.by(
+                                        Balancer.class,
+                                        (event, with) -> {
+                                            if (event.equals("request")) {
+                                                actions.send(
+                                                        ((Balancer.Request) with[1]).id(), 1, 0);
+                                            } else if (event.equals("outcome")) {
+                                                told.add(with[4]);
+                                            }
+                                        }),
+                        1,
+                        loop,
+                        log);
         BrokenNode node = new BrokenNode(driver, answer, new LinkedBlockingQueue<>());
-        driver.connect(node, Played.by(Resolver.class, (action, with) -> { }),
-                Played.by(Peers.class, (action, with) -> { }));
-        InetSocketAddress at = new Listener(loop, driver, fields(), () -> true, CallerLimits.DEFAULT, 10,
-                new HeldBytes(1000))
-                .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
+        driver.connect(
+                node,
+                Played.by(Resolver.class, (action, with) -> {}),
+                Played.by(Peers.class, (action, with) -> {}));
+        InetSocketAddress at =
+                new Listener(
+                                loop,
+                                driver,
+                                fields(),
+                                () -> true,
+                                CallerLimits.DEFAULT,
+                                10,
+                                new HeldBytes(1000))
+                        .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         try (Socket caller = new Socket(at.getAddress(), at.getPort())) {
             caller.setSoTimeout(20_000);
-            caller.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n"
-                    + "Req-Kind: lookup\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 30000\r\n\r\n").getBytes());
+            caller.getOutputStream()
+                    .write(
+                            ("GET /api HTTP/1.1\r\n"
+                                            + "Host: a\r\n"
+                                            + "Req-Id: 1\r\n"
+                                            + "Req-Kind: lookup\r\n"
+                                            + "Req-Owner: acme\r\n"
+                                            + "Req-Deadline-Ms: 30000\r\n\r\n")
+                                    .getBytes());
             assertEquals(caller.getInputStream().read(), -1);
         }
         assertEquals(told.poll(20, TimeUnit.SECONDS), Balancer.Outcome.OK);
@@ -247,9 +336,11 @@
     }
 
     /** A node whose answers can't be passed on. */
-    private record BrokenNode(Driver<Message, Message> driver,
+    private record BrokenNode(
+            Driver<Message, Message> driver,
             BiConsumer<Driver<Message, Message>, CallAttempt<Message, Message>> answer,
-            BlockingQueue<Boolean> abandoned) implements ClientSide<Message, Message> {
+            BlockingQueue<Boolean> abandoned)
+            implements ClientSide<Message, Message> {
 
         @Override
         public boolean knows(long endpoint) {
@@ -267,10 +358,10 @@
         }
 
         @Override
-        public void probe(long endpoint) { }
+        public void probe(long endpoint) {}
 
         @Override
-        public void closeIdle(long endpoint) { }
+        public void closeIdle(long endpoint) {}
     }
 
     /** Comes as soon as anybody listens there, and goes without a trace. */
--- a/daemon/src/test/java/cedarrudder/transport/LoopTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/LoopTest.java
@@ -18,19 +18,32 @@
 public class LoopTest {
 
     /**
-     * Guards against the module, the driver and the callers being worked on by two threads at once: where no
-     * descriptor is left Netty can't make the channel, and tells so on a thread of its own.
+     * Guards against the module, the driver and the callers being worked on by two threads at once:
+     * where no descriptor is left Netty can't make the channel, and tells so on a thread of its
+     * own.
      */
     @Test
     public void aChannelThatCanNotBeMadeIsToldOnTheLoop() throws Exception {
         Loop loop = new Loop(new Logger(System.err));
         BlockingQueue<List<Object>> told = new LinkedBlockingQueue<>();
-        Bootstrap none = new Bootstrap().group(loop.group()).handler(new ChannelInboundHandlerAdapter())
-                .channelFactory(() -> {
-                    throw new ChannelException("no descriptor");
-                });
-        loop.run(() -> loop.connect(none, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
-                done -> told.add(List.of(done.isSuccess(), loop.group().next().inEventLoop()))));
+        Bootstrap none =
+                new Bootstrap()
+                        .group(loop.group())
+                        .handler(new ChannelInboundHandlerAdapter())
+                        .channelFactory(
+                                () -> {
+                                    throw new ChannelException("no descriptor");
+                                });
+        loop.run(
+                () ->
+                        loop.connect(
+                                none,
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
+                                done ->
+                                        told.add(
+                                                List.of(
+                                                        done.isSuccess(),
+                                                        loop.group().next().inEventLoop()))));
         assertEquals(Await.next("the failure", told), List.of(false, true));
         loop.stop();
     }
@@ -43,7 +56,8 @@
             long begin = System.nanoTime();
             for (long passed : new long[] {1, 999, 1_000_000_007, 36_000_000_000_000L}) {
                 long own = drift.at(begin + passed) - drift.at(begin);
-                assertEquals(own, passed + passed / 1e6 * millionths, 2, millionths + " of " + passed);
+                assertEquals(
+                        own, passed + passed / 1e6 * millionths, 2, millionths + " of " + passed);
                 long due = drift.at(begin + drift.real(passed)) - drift.at(begin);
                 assertEquals(due, passed + 1.5, 1.5, millionths + ", a timer of " + passed);
             }
--- a/daemon/src/test/java/cedarrudder/transport/MembershipTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/MembershipTest.java
@@ -29,7 +29,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Membership over datagrams: two peers are played by the test, which reads and writes bytes by hand. */
+/**
+ * Membership over datagrams: two peers are played by the test, which reads and writes bytes by
+ * hand.
+ */
 public class MembershipTest {
 
     private static final int PATIENCE_MILLIS = 20_000;
@@ -50,7 +53,7 @@
 
     private static long number(ByteBuffer in) {
         long value = 0;
-        for (int shift = 0;; shift += 7) {
+        for (int shift = 0; ; shift += 7) {
             byte next = in.get();
             value |= (long) (next & 127) << shift;
             if (next >= 0) {
@@ -84,7 +87,8 @@
                     heard.add(bytes);
                     if (!silent && (bytes[1] & 3) == PING) {
                         byte[] answer = message(ACK, number(ByteBuffer.wrap(bytes, 2, 9)), number);
-                        socket.send(new DatagramPacket(answer, answer.length, in.getSocketAddress()));
+                        socket.send(
+                                new DatagramPacket(answer, answer.length, in.getSocketAddress()));
                     }
                 }
             } catch (IOException e) {
@@ -112,7 +116,8 @@
         void awaitNews(int instance, byte standing) throws InterruptedException {
             long until = System.nanoTime() + PATIENCE_MILLIS * MILLI;
             while (true) {
-                byte[] next = heard.poll(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS);
+                byte[] next =
+                        heard.poll(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS);
                 assertNotNull(next, "no such news came");
                 ByteBuffer in = ByteBuffer.wrap(next, 2, next.length - 2 - 4); // the checksum
                 for (int i = 0; i < 4; i++) {
@@ -146,13 +151,16 @@
     private InetSocketAddress own;
 
     private Balancer module() {
-        return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
-                    if (method.getName().equals("copies")) {
-                        live.add((Integer) arguments[1]);
-                    }
-                    return null;
-                });
+        return (Balancer)
+                Proxy.newProxyInstance(
+                        Balancer.class.getClassLoader(),
+                        new Class<?>[] {Balancer.class},
+                        (proxy, method, arguments) -> {
+                            if (method.getName().equals("copies")) {
+                                live.add((Integer) arguments[1]);
+                            }
+                            return null;
+                        });
     }
 
     @BeforeMethod
@@ -165,11 +173,22 @@
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             own = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        Driver<Message, Message> driver = new Driver<>(actions -> module(), 1, loop, new Logger(System.err));
-        PeerSocket socket = new PeerSocket(loop, driver, List.of(own, address(one), address(two)), null);
+        Driver<Message, Message> driver =
+                new Driver<>(actions -> module(), 1, loop, new Logger(System.err));
+        PeerSocket socket =
+                new PeerSocket(loop, driver, List.of(own, address(one), address(two)), null);
         socket.listen(own, false);
-        membership = new Membership(loop, socket, QUICK, 3, 0, 1_000, new SplittableRandom(3),
-                driver::copies, null);
+        membership =
+                new Membership(
+                        loop,
+                        socket,
+                        QUICK,
+                        3,
+                        0,
+                        1_000,
+                        new SplittableRandom(3),
+                        driver::copies,
+                        null);
         loop.run(membership::start);
     }
 
@@ -202,10 +221,13 @@
         assertTrue(log.toString().contains("member.back copy=2 live=3"), log.toString());
     }
 
-    /** Waits for messages to a peer, of which the last comes after the answers to those before it. */
+    /**
+     * Waits for messages to a peer, of which the last comes after the answers to those before it.
+     */
     private static void awaitMessages(Peer peer, int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
-            assertNotNull(peer.heard.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "it is not asked");
+            assertNotNull(
+                    peer.heard.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "it is not asked");
         }
     }
 
@@ -239,7 +261,8 @@
                     bytes[0] = ROOM;
                     bytes[1] = (byte) (VERSION | random.nextInt(8));
                 }
-                (i % 2 == 0 ? stranger : one.socket).send(new DatagramPacket(bytes, bytes.length, own));
+                (i % 2 == 0 ? stranger : one.socket)
+                        .send(new DatagramPacket(bytes, bytes.length, own));
             }
         }
         two.silent = true;
--- a/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
@@ -31,13 +31,16 @@
 
     /** A module that only notes the messages it is told of. */
     private Balancer module() {
-        return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
-                    if (method.getName().equals("message")) {
-                        told.add(arguments[1] + " " + text((byte[]) arguments[2], 4));
-                    }
-                    return null;
-                });
+        return (Balancer)
+                Proxy.newProxyInstance(
+                        Balancer.class.getClassLoader(),
+                        new Class<?>[] {Balancer.class},
+                        (proxy, method, arguments) -> {
+                            if (method.getName().equals("message")) {
+                                told.add(arguments[1] + " " + text((byte[]) arguments[2], 4));
+                            }
+                            return null;
+                        });
     }
 
     private static String text(byte[] bytes, int length) {
@@ -56,10 +59,14 @@
         try (DatagramSocket other = new DatagramSocket(0, here);
                 DatagramSocket stranger = new DatagramSocket(0, here)) {
             other.setSoTimeout(PATIENCE_MILLIS);
-            Driver<Message, Message> driver = new Driver<>(actions -> module(), 1, loop,
-                    new Logger(System.err));
-            PeerSocket socket = new PeerSocket(loop, driver,
-                    List.of(own, (InetSocketAddress) other.getLocalSocketAddress()), null);
+            Driver<Message, Message> driver =
+                    new Driver<>(actions -> module(), 1, loop, new Logger(System.err));
+            PeerSocket socket =
+                    new PeerSocket(
+                            loop,
+                            driver,
+                            List.of(own, (InetSocketAddress) other.getLocalSocketAddress()),
+                            null);
             socket.listen(own, false);
             loop.run(() -> socket.tell(-1, new byte[] {1})); // there is no address for all
             loop.run(() -> socket.tell(1, "hello".getBytes(StandardCharsets.UTF_8)));
@@ -73,11 +80,16 @@
             assertTrue(told.isEmpty());
             BlockingQueue<String> others = new LinkedBlockingQueue<>();
             CountDownLatch heard = new CountDownLatch(1);
-            loop.run(() -> {
-                socket.hearer((byte) 0xa6, (from, bytes) -> others.add(from + " a6 " + bytes.length));
-                socket.hearer((byte) 0xa7, (from, bytes) -> others.add(from + " a7 " + bytes.length));
-                heard.countDown();
-            });
+            loop.run(
+                    () -> {
+                        socket.hearer(
+                                (byte) 0xa6,
+                                (from, bytes) -> others.add(from + " a6 " + bytes.length));
+                        socket.hearer(
+                                (byte) 0xa7,
+                                (from, bytes) -> others.add(from + " a7 " + bytes.length));
+                        heard.countDown();
+                    });
             assertTrue(heard.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
             for (int first : new int[] {0xa6, 'x', 0xa7}) {
                 other.send(new DatagramPacket(new byte[] {(byte) first, 1, 2, 3}, 4, own));
--- a/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
@@ -42,8 +42,13 @@
     }
 
     @Test(dataProvider = "rows")
-    public void everyEventHasADefinedResult(Life life, boolean drained, Event event, Life then,
-            boolean drainedThen, boolean healthy) {
+    public void everyEventHasADefinedResult(
+            Life life,
+            boolean drained,
+            Event event,
+            Life then,
+            boolean drainedThen,
+            boolean healthy) {
         ServiceState next = new ServiceState(life, drained).on(event);
         assertEquals(next, new ServiceState(then, drainedThen));
         assertEquals(next.healthy(), healthy);
--- a/lab/src/main/java/cedarrudder/lab/agreement/Copies.java
+++ b/lab/src/main/java/cedarrudder/lab/agreement/Copies.java
@@ -30,9 +30,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Copies of a tier that agree, in virtual time, with a network that loses, delays, doubles, corrupts and
- * cuts, and with clocks that differ and drift. What a copy loads is a running sum of all that was loaded. One
- * seed gives one history.
+ * Copies of a tier that agree, in virtual time, with a network that loses, delays, doubles,
+ * corrupts and cuts, and with clocks that differ and drift. What a copy loads is a running sum of
+ * all that was loaded. One seed gives one history.
  */
 public final class Copies {
 
@@ -48,25 +48,34 @@
      * @param doubled the share that comes twice
      * @param corrupt the share of which one bit is wrong
      * @param leastDelay of those that come, in nanoseconds
-     * @param mostDelay the longest; delays are even between the two, so datagrams overtake one another
+     * @param mostDelay the longest; delays are even between the two, so datagrams overtake one
+     *     another
      */
-    public record Network(double loss, double doubled, double corrupt, long leastDelay, long mostDelay) { }
+    public record Network(
+            double loss, double doubled, double corrupt, long leastDelay, long mostDelay) {}
 
     /**
      * What a copy was told of a proposal of its own.
      *
      * @param number null where it is not committed
      */
-    public record Settled(long at, Proposal proposal, Outcome outcome, LogNumber number) { }
+    public record Settled(long at, Proposal proposal, Outcome outcome, LogNumber number) {}
 
     /** What makes a copy's part, so that a broken one can be put in its place. */
     public interface Maker {
-        Agreement make(int[] zones, int self, long life, AgreementSettings settings, Store store,
-                RandomGenerator random, Agreement.Outlet outlet, long now);
+        Agreement make(
+                int[] zones,
+                int self,
+                long life,
+                AgreementSettings settings,
+                Store store,
+                RandomGenerator random,
+                Agreement.Outlet outlet,
+                long now);
     }
 
     /** What happens at an instant; of those at one instant the one made first comes first. */
-    private record Due(long at, long number, Runnable what) { }
+    private record Due(long at, long number, Runnable what) {}
 
     /** One place in the tier, and the process that runs there. */
     private final class Place implements Agreement.Outlet {
@@ -84,11 +93,19 @@
         long messages;
         long bytes;
         long believed;
-        /** The latest contact of a leader with a majority of which word can have come here, by any way. */
+
+        /**
+         * The latest contact of a leader with a majority of which word can have come here, by any
+         * way.
+         */
         long reached;
+
         /** When what this one sent to each other left, of what has come there. */
         final long[] sentTo = new long[zones.length];
-        /** The latest of what each other had of this one, when it sent something that has come here. */
+
+        /**
+         * The latest of what each other had of this one, when it sent something that has come here.
+         */
         final long[] answered = new long[zones.length];
 
         Place(int number) {
@@ -148,14 +165,22 @@
                 return;
             }
             if (agreement.leads()) {
-                List<Long> asked = agreement.voters().all().stream().map(voter -> voter.copy() == number ? now
-                        : answered[voter.copy()]).sorted(Comparator.reverseOrder()).toList();
+                List<Long> asked =
+                        agreement.voters().all().stream()
+                                .map(voter -> voter.copy() == number ? now : answered[voter.copy()])
+                                .sorted(Comparator.reverseOrder())
+                                .toList();
                 reached = Math.max(reached, asked.get(asked.size() / 2));
             }
             long since = agreement.sureSince();
             if (since != believed && since != Long.MIN_VALUE) {
-                say("sure", Map.of("since", Long.toString((long) Math.floor((since - offset) / drift)),
-                        "reached", Long.toString(reached)));
+                say(
+                        "sure",
+                        Map.of(
+                                "since",
+                                Long.toString((long) Math.floor((since - offset) / drift)),
+                                "reached",
+                                Long.toString(reached)));
             }
             believed = since;
         }
@@ -179,12 +204,14 @@
             if (at < ticksAt || ticksAt <= now) {
                 ticksAt = at;
                 long of = process;
-                at(at, () -> {
-                    if (of == process && ticksAt == at) {
-                        ticksAt = Long.MAX_VALUE;
-                        run(of, () -> agreement.tick(own()));
-                    }
-                });
+                at(
+                        at,
+                        () -> {
+                            if (of == process && ticksAt == at) {
+                                ticksAt = Long.MAX_VALUE;
+                                run(of, () -> agreement.tick(own()));
+                            }
+                        });
             }
         }
 
@@ -213,14 +240,18 @@
                 long sentAt = now;
                 long reach = reached;
                 long had = target.sentTo[number];
-                at(now + random.nextLong(network.leastDelay, network.mostDelay + 1), () -> {
-                    if (!blocked(number, to)) {
-                        target.run(target.process, () -> {
-                            target.heard(this, sentAt, reach, had);
-                            target.agreement.received(target.own(), number, comes);
+                at(
+                        now + random.nextLong(network.leastDelay, network.mostDelay + 1),
+                        () -> {
+                            if (!blocked(number, to)) {
+                                target.run(
+                                        target.process,
+                                        () -> {
+                                            target.heard(this, sentAt, reach, had);
+                                            target.agreement.received(target.own(), number, comes);
+                                        });
+                            }
                         });
-                    }
-                });
             }
         }
 
@@ -230,8 +261,17 @@
             if (listener == null) {
                 return;
             }
-            say("loaded", Map.of("group", text(at.group()), "index", Long.toString(at.index()),
-                    "sum", Integer.toHexString(checksum(content)), "state", Long.toHexString(sum)));
+            say(
+                    "loaded",
+                    Map.of(
+                            "group",
+                            text(at.group()),
+                            "index",
+                            Long.toString(at.index()),
+                            "sum",
+                            Integer.toHexString(checksum(content)),
+                            "state",
+                            Long.toHexString(sum)));
         }
 
         @Override
@@ -244,9 +284,20 @@
         public void restored(LogNumber at, byte[] state) {
             sum = state.length < 8 ? 0 : ByteBuffer.wrap(state).getLong();
             if (at.index() > 0 && listener != null) {
-                say("restored", Map.of("group", text(at.group()), "index", Long.toString(at.index()),
-                        "state", Long.toHexString(sum), "as", Long.toString(agreement == null
-                                ? store.kept().promise().life() : agreement.life())));
+                say(
+                        "restored",
+                        Map.of(
+                                "group",
+                                text(at.group()),
+                                "index",
+                                Long.toString(at.index()),
+                                "state",
+                                Long.toHexString(sum),
+                                "as",
+                                Long.toString(
+                                        agreement == null
+                                                ? store.kept().promise().life()
+                                                : agreement.life())));
             }
         }
 
@@ -254,8 +305,15 @@
         public void settled(Proposal proposal, Outcome outcome, LogNumber at) {
             settled.add(new Settled(now, proposal, outcome, at));
             if (listener != null) {
-                Map<String, String> fields = new HashMap<>(Map.of("proposal", text(proposal), "sum",
-                        Integer.toHexString(checksum(proposal.content())), "outcome", outcome.name()));
+                Map<String, String> fields =
+                        new HashMap<>(
+                                Map.of(
+                                        "proposal",
+                                        text(proposal),
+                                        "sum",
+                                        Integer.toHexString(checksum(proposal.content())),
+                                        "outcome",
+                                        outcome.name()));
                 if (at != null) {
                     fields.put("group", text(at.group()));
                     fields.put("index", Long.toString(at.index()));
@@ -274,22 +332,53 @@
             }
             String group = text(note.group());
             if (note instanceof Note.Voted n) {
-                say("voted", Map.of("group", group, "term", Long.toString(n.term()),
-                        "as", Long.toString(n.by().life()), "for", text(n.candidate())));
+                say(
+                        "voted",
+                        Map.of(
+                                "group",
+                                group,
+                                "term",
+                                Long.toString(n.term()),
+                                "as",
+                                Long.toString(n.by().life()),
+                                "for",
+                                text(n.candidate())));
             } else if (note instanceof Note.Leads n) {
-                say("leads", Map.of("group", group, "term", Long.toString(n.term()),
-                        "as", Long.toString(n.by().life())));
+                say(
+                        "leads",
+                        Map.of(
+                                "group",
+                                group,
+                                "term",
+                                Long.toString(n.term()),
+                                "as",
+                                Long.toString(n.by().life())));
             } else if (note instanceof Note.Stored n) {
-                Map<String, String> fields = new HashMap<>(Map.of("group", group, "index",
-                        Long.toString(n.index()), "as", Long.toString(n.by().life()),
-                        "sum", Integer.toHexString(checksum(n.entry().content()))));
+                Map<String, String> fields =
+                        new HashMap<>(
+                                Map.of(
+                                        "group",
+                                        group,
+                                        "index",
+                                        Long.toString(n.index()),
+                                        "as",
+                                        Long.toString(n.by().life()),
+                                        "sum",
+                                        Integer.toHexString(checksum(n.entry().content()))));
                 if (n.entry().kind() == Entry.Kind.VOTERS) {
                     fields.put("voters", text(Voters.decode(n.entry().bytes())));
                 }
                 say("stored", fields);
             } else if (note instanceof Note.Seated n) {
-                say("seated", Map.of("group", group, "index", Long.toString(n.index()),
-                        "voters", text(n.voters())));
+                say(
+                        "seated",
+                        Map.of(
+                                "group",
+                                group,
+                                "index",
+                                Long.toString(n.index()),
+                                "voters",
+                                text(n.voters())));
             }
         }
     }
@@ -301,8 +390,12 @@
     private final int[] zones;
     private final int stateBytes;
     private final List<Place> places = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private final boolean[][] cut;
     private final Map<Group, String> groups = new HashMap<>();
     private Network network;
@@ -318,8 +411,15 @@
      * @param stateBytes the size of what a copy has loaded, 8 or more
      * @param listener hears all that happens; or null
      */
-    public Copies(int size, Network network, AgreementSettings settings, boolean disks, int stateBytes,
-            long seed, Maker maker, Consumer<Event> listener) {
+    public Copies(
+            int size,
+            Network network,
+            AgreementSettings settings,
+            boolean disks,
+            int stateBytes,
+            long seed,
+            Maker maker,
+            Consumer<Event> listener) {
         this.network = network;
         this.settings = settings;
         this.maker = maker;
@@ -351,8 +451,9 @@
 
     /** As texts that sort as the groups do. */
     private String text(Group group) {
-        return groups.computeIfAbsent(group, g -> String.format(Locale.ROOT, "%08x.%04x.%012x", g.era(),
-                g.founder(), g.life()));
+        return groups.computeIfAbsent(
+                group,
+                g -> String.format(Locale.ROOT, "%08x.%04x.%012x", g.era(), g.founder(), g.life()));
     }
 
     private static String text(Proposal proposal) {
@@ -444,8 +545,11 @@
         for (Place place : places) {
             for (Place other : places) {
                 if (place != other && place.agreement != null) {
-                    place.agreement.lives(other.number, other.agreement != null
-                            && !cut[place.number][other.number] && !cut[other.number][place.number]);
+                    place.agreement.lives(
+                            other.number,
+                            other.agreement != null
+                                    && !cut[place.number][other.number]
+                                    && !cut[other.number][place.number]);
                 }
             }
         }
@@ -470,17 +574,27 @@
         return taken[0];
     }
 
-    /** Something is handed on by this copy to whoever leads; null where it doesn't run or too many wait. */
+    /**
+     * Something is handed on by this copy to whoever leads; null where it doesn't run or too many
+     * wait.
+     */
     public Proposal hand(int number, byte[] content, long patience) {
         Place place = places.get(number);
         Proposal[] made = new Proposal[1];
-        place.run(place.process, () -> {
-            made[0] = place.agreement.hand(place.own(), content, patience);
-            if (made[0] != null) {
-                place.say("handed", Map.of("proposal", text(made[0]), "sum",
-                        Integer.toHexString(checksum(content))));
-            }
-        });
+        place.run(
+                place.process,
+                () -> {
+                    made[0] = place.agreement.hand(place.own(), content, patience);
+                    if (made[0] != null) {
+                        place.say(
+                                "handed",
+                                Map.of(
+                                        "proposal",
+                                        text(made[0]),
+                                        "sum",
+                                        Integer.toHexString(checksum(content))));
+                    }
+                });
         return made[0];
     }
 
@@ -535,13 +649,15 @@
     }
 
     /**
-     * The copy that leads the newest term of the newest group, of those that run and don't stand still;
-     * or -1.
+     * The copy that leads the newest term of the newest group, of those that run and don't stand
+     * still; or -1.
      */
     public int leader() {
         int found = -1;
         for (Place place : places) {
-            if (place.agreement != null && now >= place.stalledUntil && place.agreement.leads()
+            if (place.agreement != null
+                    && now >= place.stalledUntil
+                    && place.agreement.leads()
                     && (found < 0 || newer(place.agreement, places.get(found).agreement))) {
                 found = place.number;
             }
@@ -581,14 +697,22 @@
 
     /** Whether all that run have loaded this, or what came after it. */
     public boolean allLoaded(LogNumber number) {
-        return places.stream().allMatch(place -> place.agreement == null
-                || place.agreement.loaded().compareTo(number) >= 0);
+        return places.stream()
+                .allMatch(
+                        place ->
+                                place.agreement == null
+                                        || place.agreement.loaded().compareTo(number) >= 0);
     }
 
     /** Whether all that run hold the same of the same group. */
     public boolean agree() {
         List<Place> running = places.stream().filter(place -> place.agreement != null).toList();
-        return running.stream().allMatch(place -> place.sum == running.get(0).sum
-                && place.agreement.loaded().equals(running.get(0).agreement.loaded()));
+        return running.stream()
+                .allMatch(
+                        place ->
+                                place.sum == running.get(0).sum
+                                        && place.agreement
+                                                .loaded()
+                                                .equals(running.get(0).agreement.loaded()));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/agreement/Disk.java
+++ b/lab/src/main/java/cedarrudder/lab/agreement/Disk.java
@@ -54,7 +54,8 @@
         if (of.index() < snapshot.index()) {
             entries.clear();
         } else {
-            entries.subList(0, (int) Math.min(entries.size(), of.index() - snapshot.index())).clear();
+            entries.subList(0, (int) Math.min(entries.size(), of.index() - snapshot.index()))
+                    .clear();
         }
         snapshot = of;
     }
--- a/lab/src/main/java/cedarrudder/lab/agreement/Storm.java
+++ b/lab/src/main/java/cedarrudder/lab/agreement/Storm.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Some copies, some faults drawn from a seed, and the judge: copies killed, up to 48 % at once, and started
- * again with nothing or with their disk; leaders that stall; cuts both and one way; loss; operators who form
- * groups and hand over.
+ * Some copies, some faults drawn from a seed, and the judge: copies killed, up to 48 % at once, and
+ * started again with nothing or with their disk; leaders that stall; cuts both and one way; loss;
+ * operators who form groups and hand over.
  */
 public final class Storm {
 
@@ -33,13 +33,19 @@
      * @param leaders how often a copy began to lead
      * @param answered how often a copy was told what became of something that it had handed on
      * @param contacts how often a copy came to believe in a newer contact
-     * @param settled how long after the last fault all copies held the same, in nanoseconds; -1 where they
-     * did not
+     * @param settled how long after the last fault all copies held the same, in nanoseconds; -1
+     *     where they did not
      */
-    public record Result(long seed, List<Breach> breaches, long loaded, long leaders, long answered,
-            long contacts, long settled) { }
+    public record Result(
+            long seed,
+            List<Breach> breaches,
+            long loaded,
+            long leaders,
+            long answered,
+            long contacts,
+            long settled) {}
 
-    private Storm() { }
+    private Storm() {}
 
     /** Plays a seed with these parts in the copies. */
     public static Result play(long seed, Copies.Maker maker) {
@@ -47,20 +53,38 @@
         int size = random.nextInt(8) == 0 ? 11 + random.nextInt(20) : 3 + random.nextInt(8);
         boolean disks = random.nextInt(4) == 0;
         double loss = LOSSES[random.nextInt(LOSSES.length)];
-        AgreementSettings settings = new AgreementSettings(150 * MILLI, 600 * MILLI, 1_200 * MILLI,
-                3 + 2 * random.nextInt(3), 2_500 * MILLI, 400 * MILLI, 4, 16_384, 8,
-                random.nextBoolean() ? 4 * SECOND : 0);
+        AgreementSettings settings =
+                new AgreementSettings(
+                        150 * MILLI,
+                        600 * MILLI,
+                        1_200 * MILLI,
+                        3 + 2 * random.nextInt(3),
+                        2_500 * MILLI,
+                        400 * MILLI,
+                        4,
+                        16_384,
+                        8,
+                        random.nextBoolean() ? 4 * SECOND : 0);
         Copies.Network network = new Copies.Network(loss, 0.02, 0.01, 2 * MILLI, 21 * MILLI);
-        List<Rule> rules = List.of(new OneTable(), new OneLeader(), new OneEffect(),
-                new SureContact());
+        List<Rule> rules =
+                List.of(new OneTable(), new OneLeader(), new OneEffect(), new SureContact());
         long[] counts = new long[4];
-        Copies copies = new Copies(size, network, settings, disks, 600, random.nextLong(), maker, event -> {
-            rules.forEach(rule -> rule.took(event));
-            counts[0] += event.what().equals("loaded") ? 1 : 0;
-            counts[1] += event.what().equals("leads") ? 1 : 0;
-            counts[2] += event.what().equals("settled") ? 1 : 0;
-            counts[3] += event.what().equals("sure") ? 1 : 0;
-        });
+        Copies copies =
+                new Copies(
+                        size,
+                        network,
+                        settings,
+                        disks,
+                        600,
+                        random.nextLong(),
+                        maker,
+                        event -> {
+                            rules.forEach(rule -> rule.took(event));
+                            counts[0] += event.what().equals("loaded") ? 1 : 0;
+                            counts[1] += event.what().equals("leads") ? 1 : 0;
+                            counts[2] += event.what().equals("settled") ? 1 : 0;
+                            counts[3] += event.what().equals("sure") ? 1 : 0;
+                        });
         copies.form(random.nextInt(size));
         copies.play(3 * SECOND);
         for (int step = 0; step < STEPS; step++) {
@@ -74,10 +98,11 @@
         }
         long settled = settle(copies, random, network);
         List<Breach> breaches = new ArrayList<>();
-        rules.forEach(rule -> {
-            rule.ended(copies.now());
-            breaches.addAll(rule.breaches());
-        });
+        rules.forEach(
+                rule -> {
+                    rule.ended(copies.now());
+                    breaches.addAll(rule.breaches());
+                });
         return new Result(seed, breaches, counts[0], counts[1], counts[2], counts[3], settled);
     }
 
@@ -93,12 +118,17 @@
                 }
             }
             case 2, 3 -> restartAll(copies);
-            case 4 -> copies.stall(leader < 0 ? one : leader, 500 * MILLI + random.nextLong(4 * SECOND));
+            case 4 ->
+                    copies.stall(
+                            leader < 0 ? one : leader, 500 * MILLI + random.nextLong(4 * SECOND));
             case 5 -> {
                 int half = 1 + random.nextInt(size - 1);
                 for (int i = 0; i < size; i++) {
                     for (int j = 0; j < size; j++) {
-                        copies.cut(i, j, (i - one + size) % size < half != (j - one + size) % size < half);
+                        copies.cut(
+                                i,
+                                j,
+                                (i - one + size) % size < half != (j - one + size) % size < half);
                     }
                 }
                 copies.tellLives();
@@ -141,7 +171,8 @@
     private static void propose(Copies copies, SplittableRandom random) {
         for (int i = 0; i < copies.size(); i++) {
             if (copies.runs(i) && copies.view(i).leads()) {
-                byte[] content = new byte[8 + (random.nextInt(8) == 0 ? 2_000 : random.nextInt(200))];
+                byte[] content =
+                        new byte[8 + (random.nextInt(8) == 0 ? 2_000 : random.nextInt(200))];
                 random.nextBytes(content);
                 copies.propose(i, content);
             }
@@ -156,10 +187,12 @@
             }
             List<Copies.Settled> settled = copies.settled(i);
             long patience = 500 * MILLI + random.nextLong(6 * SECOND);
-            if (!settled.isEmpty() && settled.get(settled.size() - 1).outcome() == Outcome.UNKNOWN) {
+            if (!settled.isEmpty()
+                    && settled.get(settled.size() - 1).outcome() == Outcome.UNKNOWN) {
                 copies.again(i, settled.get(settled.size() - 1).proposal(), patience);
             } else {
-                byte[] content = new byte[8 + (random.nextInt(8) == 0 ? 2_000 : random.nextInt(200))];
+                byte[] content =
+                        new byte[8 + (random.nextInt(8) == 0 ? 2_000 : random.nextInt(200))];
                 random.nextBytes(content);
                 copies.hand(i, content, patience);
             }
@@ -170,8 +203,13 @@
     private static long settle(Copies copies, SplittableRandom random, Copies.Network network) {
         copies.heal();
         restartAll(copies);
-        copies.network(new Copies.Network(Math.min(network.loss(), 0.1), 0, 0, network.leastDelay(),
-                network.mostDelay()));
+        copies.network(
+                new Copies.Network(
+                        Math.min(network.loss(), 0.1),
+                        0,
+                        0,
+                        network.leastDelay(),
+                        network.mostDelay()));
         copies.play(8 * SECOND);
         long from = copies.now();
         boolean taken = false;
--- a/lab/src/main/java/cedarrudder/lab/agreement/Trial.java
+++ b/lab/src/main/java/cedarrudder/lab/agreement/Trial.java
@@ -6,8 +6,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What agreement takes when nothing else goes wrong: bytes, the time of a commit, and that of another
- * leader.
+ * What agreement takes when nothing else goes wrong: bytes, the time of a commit, and that of
+ * another leader.
  */
 public final class Trial {
 
@@ -18,10 +18,11 @@
     private static final int SPAN = 20;
 
     /**
-     * What came of some seeds. Times are seconds, bytes are those of datagrams without headers of lower
-     * layers.
+     * What came of some seeds. Times are seconds, bytes are those of datagrams without headers of
+     * lower layers.
      *
-     * @param missed commits that not all copies had loaded, or leaders that did not come, within a minute
+     * @param missed commits that not all copies had loaded, or leaders that did not come, within a
+     *     minute
      * @param commitP99 from the proposal until the last copy had loaded it, over commits
      * @param leaderP99 from the death of a leader until another leads, over deaths
      * @param ageP99 of the last sure contact that a copy knows, over copies and seconds
@@ -29,10 +30,26 @@
      * @param idleMost that of the copy that sent most
      * @param busy the same while something is committed each second
      */
-    public record Figures(int size, double loss, int seeds, long missed, long commits, double commitP50,
-            double commitP99, double commitMost, long deaths, double leaderP50, double leaderP99,
-            double leaderMost, double ageP50, double ageP99, double ageMost, double idle,
-            double idleMost, double busy, double busyMost) { }
+    public record Figures(
+            int size,
+            double loss,
+            int seeds,
+            long missed,
+            long commits,
+            double commitP50,
+            double commitP99,
+            double commitMost,
+            long deaths,
+            double leaderP50,
+            double leaderP99,
+            double leaderMost,
+            double ageP50,
+            double ageP99,
+            double ageMost,
+            double idle,
+            double idleMost,
+            double busy,
+            double busyMost) {}
 
     private final int size;
     private final Copies.Network network;
@@ -48,10 +65,14 @@
 
     /**
      * @param contentBytes what is committed each second for {@value #SPAN} s
-     * @param deathsOfSeed how many leaders are killed after that, one after another; each comes back with
-     * nothing
+     * @param deathsOfSeed how many leaders are killed after that, one after another; each comes
+     *     back with nothing
      */
-    public Trial(int size, Copies.Network network, AgreementSettings settings, int contentBytes,
+    public Trial(
+            int size,
+            Copies.Network network,
+            AgreementSettings settings,
+            int contentBytes,
             int deathsOfSeed) {
         this.size = size;
         this.network = network;
@@ -63,7 +84,9 @@
     /** Plays one seed. */
     public void play(long seed) {
         seeds++;
-        Copies copies = new Copies(size, network, settings, false, contentBytes, seed, Agreement::new, null);
+        Copies copies =
+                new Copies(
+                        size, network, settings, false, contentBytes, seed, Agreement::new, null);
         copies.form(0);
         settle(copies);
         span(copies, 0, false);
@@ -83,13 +106,18 @@
         }
     }
 
-    /** Plays until a leader has all its voters and all copies hold the same, and a little longer. */
+    /**
+     * Plays until a leader has all its voters and all copies hold the same, and a little longer.
+     */
     private void settle(Copies copies) {
         long from = copies.now();
         do {
             copies.play(SECOND);
-        } while (copies.now() - from < PATIENCE && !(copies.leader() >= 0 && copies.agree()
-                && copies.view(copies.leader()).voters().size() == Math.min(settings.voters(), size)));
+        } while (copies.now() - from < PATIENCE
+                && !(copies.leader() >= 0
+                        && copies.agree()
+                        && copies.view(copies.leader()).voters().size()
+                                == Math.min(settings.voters(), size)));
         copies.play(3 * SECOND);
     }
 
@@ -136,11 +164,26 @@
     }
 
     public Figures figures() {
-        return new Figures(size, network.loss(), seeds, missed, commits.getTotalCount(), at(commits, 50),
-                at(commits, 99), commits.getMaxValue() / 1e3, leaders.getTotalCount(), at(leaders, 50),
-                at(leaders, 99), leaders.getMaxValue() / 1e3, at(ages, 50), at(ages, 99),
-                ages.getMaxValue() / 1e3, bytes[0] / seeds, bytes[1] / seeds,
-                bytes[2] / seeds, bytes[3] / seeds);
+        return new Figures(
+                size,
+                network.loss(),
+                seeds,
+                missed,
+                commits.getTotalCount(),
+                at(commits, 50),
+                at(commits, 99),
+                commits.getMaxValue() / 1e3,
+                leaders.getTotalCount(),
+                at(leaders, 50),
+                at(leaders, 99),
+                leaders.getMaxValue() / 1e3,
+                at(ages, 50),
+                at(ages, 99),
+                ages.getMaxValue() / 1e3,
+                bytes[0] / seeds,
+                bytes[1] / seeds,
+                bytes[2] / seeds,
+                bytes[3] / seeds);
     }
 
     private static double at(Histogram of, double percentile) {
--- a/lab/src/main/java/cedarrudder/lab/attack/Attack.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Attack.java
@@ -5,11 +5,12 @@
  *
  * @param name words joined by hyphens, unlike any other's
  * @param about what it does, in a sentence
- * @param text the bytes of one that is sent in one piece, Latin-1, with the places of {@link Words}; null
- * where only the script tells
+ * @param text the bytes of one that is sent in one piece, Latin-1, with the places of {@link
+ *     Words}; null where only the script tells
  * @param owed what the other side owes it
  */
-public record Attack(String name, Group group, String about, String text, Script script, Owed owed) {
+public record Attack(
+        String name, Group group, String about, String text, Script script, Owed owed) {
 
     /** One that is sent in one piece. */
     static Attack of(String name, Group group, String about, String text, Owed owed) {
--- a/lab/src/main/java/cedarrudder/lab/attack/Flood.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Flood.java
@@ -15,6 +15,7 @@
 
     /** No more are held, whatever the rate: the attacker's own descriptors. */
     private static final int MOST_HELD = 4000;
+
     private static final int READ = 4096;
 
     private final InetSocketAddress to;
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodResult.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodResult.java
@@ -10,7 +10,13 @@
  * @param mostOpen the most of the daemon's descriptors that were in use; -1: can't be seen
  * @param mostMemory the most of its resident memory, in KiB; -1: can't be seen
  */
-public record FloodResult(FloodKind kind, Served kept, Served fresh, int opened, int unopened, int mostOpen,
+public record FloodResult(
+        FloodKind kind,
+        Served kept,
+        Served fresh,
+        int opened,
+        int unopened,
+        int mostOpen,
         long mostMemory) {
 
     /**
