--- a/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
@@ -11,7 +11,7 @@
     private static final int GOOD = 10;
     private static final int LOOK_MILLIS = 50;
 
-    private FloodRun() { }
+    private FloodRun() {}
 
     /**
      * Floods for so many seconds.
@@ -22,15 +22,23 @@
             throws IOException, InterruptedException {
         Flood flood = kind.text() == null ? null : new Flood(daemon.address(), kind, rate);
         Watch watch = new Watch(daemon.handle().pid());
-        try (GoodCallers kept = new GoodCallers(daemon.address(), GOOD, true, kind.name(), seconds);
-                GoodCallers fresh = new GoodCallers(daemon.address(), GOOD, false, kind.name(), seconds)) {
+        try (GoodCallers kept =
+                        new GoodCallers(daemon.address(), GOOD, true, kind.name(), seconds);
+                GoodCallers fresh =
+                        new GoodCallers(daemon.address(), GOOD, false, kind.name(), seconds)) {
             watch.start();
             FloodResult.Served ofKept = kept.result();
             FloodResult.Served ofFresh = fresh.result();
             watch.interrupt();
             watch.join();
-            return new FloodResult(kind, ofKept, ofFresh, flood == null ? 0 : flood.opened(),
-                    flood == null ? 0 : flood.unopened(), watch.mostOpen, watch.mostMemory);
+            return new FloodResult(
+                    kind,
+                    ofKept,
+                    ofFresh,
+                    flood == null ? 0 : flood.opened(),
+                    flood == null ? 0 : flood.unopened(),
+                    watch.mostOpen,
+                    watch.mostMemory);
         } finally {
             if (flood != null) {
                 flood.close();
@@ -57,10 +65,17 @@
                     try (Stream<Path> open = Files.list(process.resolve("fd"))) {
                         mostOpen = Math.max(mostOpen, (int) open.count());
                     }
-                    mostMemory = Math.max(mostMemory, Files.readAllLines(process.resolve("status")).stream()
-                            .filter(line -> line.startsWith("VmRSS:"))
-                            .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst()
-                            .orElse(-1));
+                    mostMemory =
+                            Math.max(
+                                    mostMemory,
+                                    Files.readAllLines(process.resolve("status")).stream()
+                                            .filter(line -> line.startsWith("VmRSS:"))
+                                            .mapToLong(
+                                                    line ->
+                                                            Long.parseLong(
+                                                                    line.replaceAll("\\D", "")))
+                                            .findFirst()
+                                            .orElse(-1));
                     Thread.sleep(LOOK_MILLIS);
                 }
             } catch (IOException e) {
--- a/lab/src/main/java/cedarrudder/lab/attack/GoodCallers.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/GoodCallers.java
@@ -11,8 +11,9 @@
 import org.HdrHistogram.Recorder;
 
 /**
- * Callers that do no wrong: each asks at fixed times, whether the answer before came or not, and counts from
- * when a request was due. One that finds itself late asks at once; none leaves a request out.
+ * Callers that do no wrong: each asks at fixed times, whether the answer before came or not, and
+ * counts from when a request was due. One that finds itself late asks at once; none leaves a
+ * request out.
  */
 final class GoodCallers implements Closeable {
 
@@ -56,7 +57,8 @@
             socket = socket != null ? socket : connected();
             Answer answer = answer(socket, name + count);
             if (answer == null && used) {
-                // A close that crosses a request the other side has not read: sent once more, on a new one.
+                // A close that crosses a request the other side has not read: sent once more, on a
+                // new one.
                 closed(socket);
                 socket = connected();
                 answer = answer(socket, name + count);
@@ -93,8 +95,11 @@
             return null;
         }
         try {
-            socket.getOutputStream().write(OwnDaemon.WORDS.fill(Words.get(), id)
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write(
+                            OwnDaemon.WORDS
+                                    .fill(Words.get(), id)
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             return Answer.read(socket.getInputStream(), false);
         } catch (IOException e) {
             return null;
@@ -119,8 +124,11 @@
         }
         var micros = served.getIntervalHistogram();
         synchronized (this) {
-            return new FloodResult.Served(asked, micros.getTotalCount(),
-                    micros.getValueAtPercentile(50) / 1000.0, micros.getValueAtPercentile(99) / 1000.0);
+            return new FloodResult.Served(
+                    asked,
+                    micros.getTotalCount(),
+                    micros.getValueAtPercentile(50) / 1000.0,
+                    micros.getValueAtPercentile(99) / 1000.0);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/attack/Library.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Library.java
@@ -8,7 +8,7 @@
 
     private static final List<Attack> ALL = collect();
 
-    private Library() { }
+    private Library() {}
 
     private static List<Attack> collect() {
         List<Attack> all = new ArrayList<>(StartLines.all());
@@ -33,11 +33,15 @@
     public static List<Attack> named(List<String> names) {
         for (String name : names) {
             if (ALL.stream().noneMatch(attack -> goesBy(attack, name))) {
-                throw new IllegalArgumentException("no attack, and no group of them, is called " + name);
+                throw new IllegalArgumentException(
+                        "no attack, and no group of them, is called " + name);
             }
         }
-        return names.isEmpty() ? ALL : ALL.stream()
-                .filter(attack -> names.stream().anyMatch(name -> goesBy(attack, name))).toList();
+        return names.isEmpty()
+                ? ALL
+                : ALL.stream()
+                        .filter(attack -> names.stream().anyMatch(name -> goesBy(attack, name)))
+                        .toList();
     }
 
     private static boolean goesBy(Attack attack, String name) {
--- a/lab/src/main/java/cedarrudder/lab/attack/NodeReader.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/NodeReader.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * Reads requests as a node gets them, and takes nothing but what is beyond doubt: any leniency here would
- * hide what passed through the proxy.
+ * Reads requests as a node gets them, and takes nothing but what is beyond doubt: any leniency here
+ * would hide what passed through the proxy.
  */
 final class NodeReader {
 
@@ -17,16 +17,31 @@
     private static final String FIELD = "[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\\t -~\\x80-\\xff]*";
 
     /** Fields of the caller's connection, which end there. */
-    private static final Set<String> ENDS_THERE = Set.of("connection", "transfer-encoding", "upgrade", "te",
-            "expect", "keep-alive", "proxy-connection", "http2-settings", "x-mark-dropped");
+    private static final Set<String> ENDS_THERE =
+            Set.of(
+                    "connection",
+                    "transfer-encoding",
+                    "upgrade",
+                    "te",
+                    "expect",
+                    "keep-alive",
+                    "proxy-connection",
+                    "http2-settings",
+                    "x-mark-dropped");
 
-    private static final Set<String> ONCE = Set.of("host", "req-id", "req-kind", "req-deadline-ms",
-            "content-length", "idempotency-key");
+    private static final Set<String> ONCE =
+            Set.of(
+                    "host",
+                    "req-id",
+                    "req-kind",
+                    "req-deadline-ms",
+                    "content-length",
+                    "idempotency-key");
 
     /** A request with what is wrong in it; null where nothing is. */
-    record Request(String target, String id, String unsound) { }
+    record Request(String target, String id, String unsound) {}
 
-    private NodeReader() { }
+    private NodeReader() {}
 
     /** The next request; null at the end of the connection. */
     static Request read(InputStream in) throws IOException {
@@ -45,12 +60,16 @@
         String unsound = lines.get(0).matches(LINE) ? null : "first line: " + lines.get(0);
         List<String> fields = lines.subList(1, lines.size());
         for (String field : fields) {
-            String name = field.substring(0, Math.max(0, field.indexOf(':'))).toLowerCase(Locale.ROOT);
+            String name =
+                    field.substring(0, Math.max(0, field.indexOf(':'))).toLowerCase(Locale.ROOT);
             if (!field.matches(FIELD) || ENDS_THERE.contains(name)) {
                 unsound = "field: " + field;
             }
-            if (ONCE.contains(name) && fields.stream().filter(f -> f.toLowerCase(Locale.ROOT)
-                    .startsWith(name + ":")).count() > 1) {
+            if (ONCE.contains(name)
+                    && fields.stream()
+                                    .filter(f -> f.toLowerCase(Locale.ROOT).startsWith(name + ":"))
+                                    .count()
+                            > 1) {
                 unsound = "two fields " + name;
             }
         }
@@ -68,7 +87,10 @@
     }
 
     private static String value(List<String> fields, String name) {
-        return fields.stream().filter(f -> f.toLowerCase(Locale.ROOT).startsWith(name + ":")).findFirst()
-                .map(f -> f.substring(name.length() + 1).strip()).orElse(null);
+        return fields.stream()
+                .filter(f -> f.toLowerCase(Locale.ROOT).startsWith(name + ":"))
+                .findFirst()
+                .map(f -> f.substring(name.length() + 1).strip())
+                .orElse(null);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/attack/Outcome.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Outcome.java
@@ -12,8 +12,14 @@
  * @param reached requests of it that reached a node; -1: the nodes are not ours to see
  * @param wrongs what it got that it isn't owed; empty: all is well
  */
-public record Outcome(Attack attack, List<Integer> statuses, int interim, boolean closed, int millis,
-        int reached, List<String> wrongs) {
+public record Outcome(
+        Attack attack,
+        List<Integer> statuses,
+        int interim,
+        boolean closed,
+        int millis,
+        int reached,
+        List<String> wrongs) {
 
     public boolean ok() {
         return wrongs.isEmpty();
--- a/lab/src/main/java/cedarrudder/lab/attack/Owed.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Owed.java
@@ -10,11 +10,18 @@
  * @param closeDoes whether a close without an answer does as well
  * @param end what must become of the connection
  * @param reaches whether a request that is answered 200 has reached a node; nothing else ever may
- * @param withinMillis the first final answer, or the close, comes no later than this after the connection did
+ * @param withinMillis the first final answer, or the close, comes no later than this after the
+ *     connection did
  * @param source the rule: a section of an RFC, or a bound of our own
  */
-public record Owed(Set<Integer> statuses, int answers, boolean closeDoes, End end, boolean reaches,
-        int withinMillis, String source) {
+public record Owed(
+        Set<Integer> statuses,
+        int answers,
+        boolean closeDoes,
+        End end,
+        boolean reaches,
+        int withinMillis,
+        String source) {
 
     /** What becomes of the connection behind the answer. */
     public enum End {
--- a/lab/src/main/java/cedarrudder/lab/attack/Player.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Player.java
@@ -17,7 +17,9 @@
     private static final int AT_ONCE = 24;
     private static final int MARGIN_MILLIS = 500;
 
-    /** Answers of 60 KB that a proxy may make ready for who reads none: what sockets' buffers hold. */
+    /**
+     * Answers of 60 KB that a proxy may make ready for who reads none: what sockets' buffers hold.
+     */
     private static final int MOST_UNREAD = 200;
 
     private static final String HEALTHY = "ready\n";
@@ -26,16 +28,19 @@
     private final Words words;
     private final ScriptedNodes nodes;
     private final int slack;
-    private final ExecutorService threads = Executors.newFixedThreadPool(AT_ONCE, task -> {
-        Thread thread = new Thread(task, "attack");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService threads =
+            Executors.newFixedThreadPool(
+                    AT_ONCE,
+                    task -> {
+                        Thread thread = new Thread(task, "attack");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
 
     /**
      * @param nodes those of the daemon under attack; null where they are not ours to see
-     * @param slack times are allowed to be so many times what is owed: more than 1 on a machine that is short
-     * of cores
+     * @param slack times are allowed to be so many times what is owed: more than 1 on a machine
+     *     that is short of cores
      */
     Player(InetSocketAddress to, Words words, ScriptedNodes nodes, int slack) {
         this.to = to;
@@ -55,20 +60,30 @@
      * @param run goes into the ids, which must not be used twice on one daemon
      * @param seed where not null, what is said in one piece goes out cut at places drawn from it
      */
-    public List<Outcome> play(List<Attack> attacks, String run, Long seed) throws InterruptedException {
+    public List<Outcome> play(List<Attack> attacks, String run, Long seed)
+            throws InterruptedException {
         List<Future<Outcome>> all = new ArrayList<>();
         for (int i = 0; i < attacks.size(); i++) {
             Attack attack = attacks.get(i);
             SplittableRandom cuts = seed == null ? null : new SplittableRandom(seed + i);
-            all.add(threads.submit(() -> play(attack, "a-" + run + "-" + attack.name() + ".", cuts)));
+            all.add(
+                    threads.submit(
+                            () -> play(attack, "a-" + run + "-" + attack.name() + ".", cuts)));
         }
         List<Outcome> outcomes = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
             try {
                 outcomes.add(all.get(i).get());
             } catch (ExecutionException e) {
-                outcomes.add(new Outcome(attacks.get(i), List.of(), 0, false, -1, -1,
-                        List.of("can't be played: " + e.getCause())));
+                outcomes.add(
+                        new Outcome(
+                                attacks.get(i),
+                                List.of(),
+                                0,
+                                false,
+                                -1,
+                                -1,
+                                List.of("can't be played: " + e.getCause())));
             }
         }
         return outcomes;
@@ -91,11 +106,15 @@
         if (statuses.size() < owed.answers() && !(owed.closeDoes() && wire.ended())) {
             wrongs.add(owed.answers() + " answers are owed");
         }
-        statuses.stream().filter(s -> !allows(owed, s)).findFirst()
+        statuses.stream()
+                .filter(s -> !allows(owed, s))
+                .findFirst()
                 .ifPresent(s -> wrongs.add(s + " is not owed"));
         if (owed.end() == Owed.End.CLOSED && !wire.ended()) {
             wrongs.add("not closed");
-        } else if (owed.end() != Owed.End.CLOSED && !wire.ended() && !Boolean.TRUE.equals(wire.inStep())) {
+        } else if (owed.end() != Owed.End.CLOSED
+                && !wire.ended()
+                && !Boolean.TRUE.equals(wire.inStep())) {
             wrongs.add("out of step: a sound request behind it got no answer of its own");
         } else if (owed.end() == Owed.End.OPEN && wire.ended()) {
             wrongs.add("closed");
@@ -104,28 +123,48 @@
             wrongs.add("late");
         }
         int reached = nodes == null ? -1 : judgeReached(owed, wire, id, wrongs);
-        return new Outcome(attack, statuses, wire.interim(), wire.ended(), wire.millis(), reached,
+        return new Outcome(
+                attack,
+                statuses,
+                wire.interim(),
+                wire.ended(),
+                wire.millis(),
+                reached,
                 List.copyOf(wrongs));
     }
 
     /** Nodes that are not ours may refuse or fail what is owed to be served. */
     private boolean allows(Owed owed, int status) {
         return owed.statuses().contains(status)
-                || nodes == null && owed.statuses().contains(200) && (status == 502 || status == 503);
+                || nodes == null
+                        && owed.statuses().contains(200)
+                        && (status == 502 || status == 503);
     }
 
     private int judgeReached(Owed owed, Wire wire, String id, List<String> wrongs) {
-        List<Reached> all = nodes.reached(id).stream().filter(r -> !r.id().endsWith(Wire.AFTER)).toList();
-        all.stream().filter(r -> r.unsound() != null).findFirst()
+        List<Reached> all =
+                nodes.reached(id).stream().filter(r -> !r.id().endsWith(Wire.AFTER)).toList();
+        all.stream()
+                .filter(r -> r.unsound() != null)
+                .findFirst()
                 .ifPresent(r -> wrongs.add("a node got an unsound " + r.unsound()));
         long unread = all.stream().filter(r -> r.id().contains(Behaviours.UNREAD_ID)).count();
         if (unread > MOST_UNREAD) {
             wrongs.add(unread + " requests were passed on whose answers nobody reads");
         }
-        List<String> served = wire.answers().stream().filter(a -> a.status() == 200).map(Answer::body)
-                .filter(body -> body.startsWith(id)).toList();
-        if (wire.answers().stream().anyMatch(a -> a.status() == 200 && !a.body().startsWith(id)
-                && !a.body().equals(HEALTHY) && !a.body().isEmpty())) {
+        List<String> served =
+                wire.answers().stream()
+                        .filter(a -> a.status() == 200)
+                        .map(Answer::body)
+                        .filter(body -> body.startsWith(id))
+                        .toList();
+        if (wire.answers().stream()
+                .anyMatch(
+                        a ->
+                                a.status() == 200
+                                        && !a.body().startsWith(id)
+                                        && !a.body().equals(HEALTHY)
+                                        && !a.body().isEmpty())) {
             wrongs.add("an answer made for another");
         }
         if (!served.equals(served.stream().sorted().toList())) {
@@ -133,7 +172,8 @@
         }
         long heard = all.size() - unread;
         if (heard != (owed.reaches() ? served.size() : 0)) {
-            wrongs.add(heard + " requests reached a node, " + served.size() + " were answered by one");
+            wrongs.add(
+                    heard + " requests reached a node, " + served.size() + " were answered by one");
         }
         return all.size();
     }
--- a/lab/src/main/java/cedarrudder/lab/attack/ScriptedNodes.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ScriptedNodes.java
@@ -18,9 +18,10 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * Nodes on loopback that answer at once with the request's id, and note what reached them. A target that
- * begins with {@code /slow} is answered after a while, one with {@code /large} by 60,000 bytes. Each node
- * can be made to do worse, to all or to one proxy: it listens at an address of its own for each.
+ * Nodes on loopback that answer at once with the request's id, and note what reached them. A target
+ * that begins with {@code /slow} is answered after a while, one with {@code /large} by 60,000
+ * bytes. Each node can be made to do worse, to all or to one proxy: it listens at an address of its
+ * own for each.
  */
 public final class ScriptedNodes implements Closeable {
 
@@ -48,7 +49,7 @@
     }
 
     /** A mood, and since when, on {@link System#nanoTime}. */
-    private record Since(Mood mood, long at) { }
+    private record Since(Mood mood, long at) {}
 
     /** Sees what comes to nodes; from any thread. */
     public interface Witness {
@@ -67,22 +68,28 @@
     private final AtomicIntegerArray cuts;
     private final Queue<Reached> reached = new ConcurrentLinkedQueue<>();
 
-    /** @throws IOException if there are no ports for so many */
+    /**
+     * @throws IOException if there are no ports for so many
+     */
     public ScriptedNodes(int count) throws IOException {
-        this(count, List.of(InetAddress.getLoopbackAddress()), new Witness() {
-            @Override
-            public void reached(int node, int proxy, String id) { }
+        this(
+                count,
+                List.of(InetAddress.getLoopbackAddress()),
+                new Witness() {
+                    @Override
+                    public void reached(int node, int proxy, String id) {}
 
-            @Override
-            public void served(int node, int proxy, String id) { }
-        });
+                    @Override
+                    public void served(int node, int proxy, String id) {}
+                });
     }
 
     /**
      * @param addresses for each proxy the one at which it finds the nodes
      * @throws IOException if there are no ports for so many
      */
-    public ScriptedNodes(int count, List<InetAddress> addresses, Witness witness) throws IOException {
+    public ScriptedNodes(int count, List<InetAddress> addresses, Witness witness)
+            throws IOException {
         this.count = count;
         this.proxies = addresses.size();
         this.witness = witness;
@@ -167,10 +174,11 @@
     }
 
     /**
-     * Lets so much time pass, and sees the other side end it meanwhile. Guards against a call that was given
-     * up long ago being taken for one that is still here.
+     * Lets so much time pass, and sees the other side end it meanwhile. Guards against a call that
+     * was given up long ago being taken for one that is still here.
      */
-    private static void await(Socket socket, PushbackInputStream in, int millis) throws IOException {
+    private static void await(Socket socket, PushbackInputStream in, int millis)
+            throws IOException {
         if (millis == 0) {
             return;
         }
@@ -196,8 +204,10 @@
         if (request.target().startsWith("/slow")) {
             Thread.sleep(SLOW_MILLIS);
         }
-        return ok(request.target().startsWith("/large")
-                ? request.id() + "x".repeat(LARGE - request.id().length()) : request.id());
+        return ok(
+                request.target().startsWith("/large")
+                        ? request.id() + "x".repeat(LARGE - request.id().length())
+                        : request.id());
     }
 
     private static String ok(String body) {
@@ -216,7 +226,9 @@
         moods.set(way(node, proxy), new Since(mood, System.nanoTime()));
     }
 
-    /** Whether the way between a proxy and a node is cut; then requests come, and no answer does. */
+    /**
+     * Whether the way between a proxy and a node is cut; then requests come, and no answer does.
+     */
     public void cut(int node, int proxy, boolean cut) {
         cuts.set(way(node, proxy), cut ? 1 : 0);
     }
@@ -229,7 +241,8 @@
     /** Where this proxy finds them. */
     public List<InetSocketAddress> addresses(int proxy) {
         return servers.subList(proxy * count, (proxy + 1) * count).stream()
-                .map(s -> new InetSocketAddress(s.getInetAddress(), s.getLocalPort())).toList();
+                .map(s -> new InetSocketAddress(s.getInetAddress(), s.getLocalPort()))
+                .toList();
     }
 
     /** What has reached them whose id begins with this. */
--- a/lab/src/main/java/cedarrudder/lab/attack/ToySite.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ToySite.java
@@ -5,12 +5,13 @@
 import java.util.stream.Collectors;
 
 /**
- * The settings of a small site of one tier, and its nodes, as a daemon's configuration and discovery's
- * lists hold them.
+ * The settings of a small site of one tier, and its nodes, as a daemon's configuration and
+ * discovery's lists hold them.
  */
 public final class ToySite {
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {
             "balancers": %d, "ordinal": %d, "layer": 0, "tiers": ["only"], "zone": %d, "localities": [%s],
             "kinds": ["any"], "discovery": "ask",
@@ -31,7 +32,7 @@
             "goal": {"whole": 0.7, "worst-window": 0.1, "worst-class": 0.1, "worst-tenant": 0.1}}
             """;
 
-    private ToySite() { }
+    private ToySite() {}
 
     /** The settings of one of so many proxies, as JSON. */
     public static String settings(int copies, int ordinal) {
@@ -40,21 +41,29 @@
 
     /** The same for one in a zone of several. */
     public static String settings(int copies, int ordinal, int zone, List<String> zones) {
-        return SETTINGS.formatted(copies, ordinal, zone, zones.stream().map(name -> "\"" + name + "\"")
-                .collect(Collectors.joining(", "))).strip();
+        return SETTINGS.formatted(
+                        copies,
+                        ordinal,
+                        zone,
+                        zones.stream()
+                                .map(name -> "\"" + name + "\"")
+                                .collect(Collectors.joining(", ")))
+                .strip();
     }
 
     /** Entries of a list, as JSON without brackets. */
     public static String servers(List<InetSocketAddress> nodes) {
-        return nodes.stream().map(node -> server("n" + node.getPort(), node, "here", 0))
+        return nodes.stream()
+                .map(node -> server("n" + node.getPort(), node, "here", 0))
                 .collect(Collectors.joining(","));
     }
 
     /** One entry of a list; {@code started} in milliseconds since 1970, 0: long ago. */
     public static String server(String id, InetSocketAddress node, String zone, long started) {
         return """
-                {"id":"%s","addr":"%s:%d","zone":"%s","kind":"any","cell":0,\
-                "state":"in_service","weight":1.0,"started_ms":%d}""".formatted(id,
-                node.getAddress().getHostAddress(), node.getPort(), zone, started);
+        {"id":"%s","addr":"%s:%d","zone":"%s","kind":"any","cell":0,\
+        "state":"in_service","weight":1.0,"started_ms":%d}\
+        """
+                .formatted(id, node.getAddress().getHostAddress(), node.getPort(), zone, started);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/attack/Wire.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Wire.java
@@ -45,8 +45,14 @@
      * @param cuts where not null, what is said goes out in pieces cut at places that this draws
      * @param small whether as little as may be is buffered of what comes
      */
-    Wire(InetSocketAddress to, Words words, String id, int patienceMillis, RandomGenerator cuts,
-            boolean small) throws IOException {
+    Wire(
+            InetSocketAddress to,
+            Words words,
+            String id,
+            int patienceMillis,
+            RandomGenerator cuts,
+            boolean small)
+            throws IOException {
         this.to = to;
         this.words = words;
         this.id = id;
@@ -97,7 +103,9 @@
         }
     }
 
-    /** Sends a text again and again at full speed, until so many bytes are out, or an answer comes. */
+    /**
+     * Sends a text again and again at full speed, until so many bytes are out, or an answer comes.
+     */
     void pour(String text, long most) throws IOException {
         byte[] once = words.fill(text, id).getBytes(StandardCharsets.ISO_8859_1);
         byte[] piece = new byte[Math.max(1, PIECE / once.length) * once.length];
@@ -114,7 +122,9 @@
         return !socket.isClosed() && socket.getInputStream().available() > 0;
     }
 
-    /** The next final answer; null at the end of the connection, or where it doesn't come in time. */
+    /**
+     * The next final answer; null at the end of the connection, or where it doesn't come in time.
+     */
     Answer read() throws IOException {
         while (!ended) {
             try {
@@ -195,7 +205,9 @@
         wrongs.addAll(other.wrongs);
     }
 
-    /** Writes a byte now and then until the other side has ended it; false where it doesn't in time. */
+    /**
+     * Writes a byte now and then until the other side has ended it; false where it doesn't in time.
+     */
     boolean ends(int millis, int gapMillis) throws IOException, InterruptedException {
         for (int waited = 0; waited < millis && !broken; waited += gapMillis) {
             write(new byte[] {'\n'}, 0, 1);
@@ -225,7 +237,9 @@
         wrongs.add(what);
     }
 
-    /** Reads the answers owed, and finds out whether the connection has ended or is still in step. */
+    /**
+     * Reads the answers owed, and finds out whether the connection has ended or is still in step.
+     */
     void finish(Owed owed) throws IOException {
         while (answers.size() < owed.answers() && !ended) {
             if (read() == null) {
@@ -245,8 +259,11 @@
         write(next, 0, next.length);
         int before = answers.size();
         Answer after = read();
-        inStep = after != null && (after.body().equals(id + AFTER)
-                || after.status() == 502 || after.status() == 503);
+        inStep =
+                after != null
+                        && (after.body().equals(id + AFTER)
+                                || after.status() == 502
+                                || after.status() == 503);
         answers.subList(before, answers.size()).clear();
     }
 
@@ -286,7 +303,10 @@
         return inStep;
     }
 
-    /** From the connection's begin to the first final answer or the end, in milliseconds; -1: neither. */
+    /**
+     * From the connection's begin to the first final answer or the end, in milliseconds; -1:
+     * neither.
+     */
     int millis() {
         return firstNanos < 0 ? -1 : (int) (firstNanos / 1_000_000);
     }
--- a/lab/src/main/java/cedarrudder/lab/attack/Words.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Words.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.attack;
 
 /**
- * The words of a site that requests need, and the texts of requests with places for them: {@code {id}},
- * {@code {safe}}, {@code {unsafe}} and {@code {owner}}.
+ * The words of a site that requests need, and the texts of requests with places for them: {@code
+ * {id}}, {@code {safe}}, {@code {unsafe}} and {@code {owner}}.
  *
  * @param safe a class of requests that are safe to repeat: {@code GET} without a body
  * @param unsafe a class of those that are not: {@code POST} without a key
@@ -19,17 +19,22 @@
     static final String UNSAFE = rpc("{id}", "{unsafe}");
 
     /** A request that stands where no server may see one. */
-    static final String HIDDEN = "GET /hidden HTTP/1.1\r\n" + HOST + "\r\n" + rpc("{id}-hidden", "{safe}")
-            + "\r\n";
+    static final String HIDDEN =
+            "GET /hidden HTTP/1.1\r\n" + HOST + "\r\n" + rpc("{id}-hidden", "{safe}") + "\r\n";
 
     /** What the places are filled with. */
     public String fill(String text, String id) {
-        return text.replace("{id}", id).replace("{safe}", safe).replace("{unsafe}", unsafe)
+        return text.replace("{id}", id)
+                .replace("{safe}", safe)
+                .replace("{unsafe}", unsafe)
                 .replace("{owner}", owner);
     }
 
     private static String rpc(String id, String kind) {
-        return "Req-Id: " + id + "\r\nReq-Kind: " + kind
+        return "Req-Id: "
+                + id
+                + "\r\nReq-Kind: "
+                + kind
                 + "\r\nReq-Owner: {owner}\r\nReq-Deadline-Ms: 2500\r\n";
     }
 
--- a/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
@@ -13,8 +13,9 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * A whole request through the driver: accepted, placed, attempted, served and replied to, with its share of
- * probes and timers. With {@code none} nothing is decided: the cost of driver and surroundings alone.
+ * A whole request through the driver: accepted, placed, attempted, served and replied to, with its
+ * share of probes and timers. With {@code none} nothing is decided: the cost of driver and
+ * surroundings alone.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -36,8 +37,16 @@
 
     @Setup
     public void fill() {
-        proxy = new Surroundings(nodes, actions -> module.equals("none") ? new NoDecision(actions)
-                : new Decide(Platform.settings(nodes / NODES_PER_COPY, 0), new SplittableRandom(1), actions));
+        proxy =
+                new Surroundings(
+                        nodes,
+                        actions ->
+                                module.equals("none")
+                                        ? new NoDecision(actions)
+                                        : new Decide(
+                                                Platform.settings(nodes / NODES_PER_COPY, 0),
+                                                new SplittableRandom(1),
+                                                actions));
         for (int i = 0; i < FIRST; i++) {
             proxy.request();
         }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Hands.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/Hands.java
@@ -2,7 +2,10 @@
 
 import cedarrudder.Balancer;
 
-/** Passes actions on for as long as there is somebody to pass them to, so that a module can be held alone. */
+/**
+ * Passes actions on for as long as there is somebody to pass them to, so that a module can be held
+ * alone.
+ */
 final class Hands implements Balancer.Actions {
 
     private Balancer.Actions to;
--- a/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
@@ -29,22 +29,32 @@
     public int body;
 
     private final RpcFields fields = new RpcFields(Platform.settings(1, 0));
-    private final HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+    private final HttpDecoder decoder =
+            HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
     private ByteBuf bytes;
 
     @Setup
     public void fill() {
         String method = body == 0 ? "GET" : "POST";
         String kind = body == 0 ? "lookup" : "order";
-        bytes = Unpooled.copiedBuffer(method + " /messages/17 HTTP/1.1\r\nHost: front:8080\r\n"
-                + "Req-Id: 7c9e6679-1\r\nReq-Kind: " + kind + "\r\nReq-Owner: clinic\r\nReq-Cost: 15000\r\n"
-                + "Req-Deadline-Ms: 600\r\nAccept: */*\r\nContent-Length: " + body + "\r\n\r\n"
-                + "x".repeat(body), StandardCharsets.ISO_8859_1);
+        bytes =
+                Unpooled.copiedBuffer(
+                        method
+                                + " /messages/17 HTTP/1.1\r\nHost: front:8080\r\n"
+                                + "Req-Id: 7c9e6679-1\r\nReq-Kind: "
+                                + kind
+                                + "\r\nReq-Owner: clinic\r\nReq-Cost: 15000\r\n"
+                                + "Req-Deadline-Ms: 600\r\nAccept: */*\r\nContent-Length: "
+                                + body
+                                + "\r\n\r\n"
+                                + "x".repeat(body),
+                        StandardCharsets.ISO_8859_1);
     }
 
     @Benchmark
     public Request read() throws BadMessageException {
         bytes.readerIndex(0);
-        return fields.read(decoder.decode(bytes), 1, Platform.SECOND, 0, Long.MAX_VALUE, Carried.NOTHING);
+        return fields.read(
+                decoder.decode(bytes), 1, Platform.SECOND, 0, Long.MAX_VALUE, Carried.NOTHING);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
@@ -37,8 +37,14 @@
 
     @Setup
     public void fill() {
-        proxy = new Surroundings(nodes, actions -> new Decide(Platform.settings(nodes / NODES_PER_COPY, 0),
-                new SplittableRandom(1), actions));
+        proxy =
+                new Surroundings(
+                        nodes,
+                        actions ->
+                                new Decide(
+                                        Platform.settings(nodes / NODES_PER_COPY, 0),
+                                        new SplittableRandom(1),
+                                        actions));
         whole = Platform.nodes(nodes);
         drains = List.of(Platform.node(nodes / 2, Balancer.State.DRAINING));
         returns = List.of(Platform.node(nodes / 2, Balancer.State.READY));
--- a/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The memory that the module of one proxy holds: many modules are made and kept, and what the heap has grown
- * by is divided by their number. Each has settings and entries of the list of nodes of its own, as in a
- * process of its own, and has served requests that are over. The first two, which load the classes, aren't
- * counted.
+ * The memory that the module of one proxy holds: many modules are made and kept, and what the heap
+ * has grown by is divided by their number. Each has settings and entries of the list of nodes of
+ * its own, as in a process of its own, and has served requests that are over. The first two, which
+ * load the classes, aren't counted.
  */
 public final class MemoryUse {
 
@@ -28,7 +28,7 @@
     /** Collections before a reading; the first leaves what the second takes. */
     private static final int COLLECTIONS = 4;
 
-    private MemoryUse() { }
+    private MemoryUse() {}
 
     /** Bytes for each module of a tier of so many nodes, five for each copy. */
     public static double ofModule(int nodes) {
@@ -51,10 +51,16 @@
     /** A module that has served; its driver and all else around it is let go. */
     private static Balancer module(int nodes, int copies, int self) {
         Hands hands = new Hands();
-        Surroundings proxy = new Surroundings(nodes, actions -> {
-            hands.passOn(actions);
-            return new Decide(Platform.settings(copies, self), new SplittableRandom(self), hands);
-        });
+        Surroundings proxy =
+                new Surroundings(
+                        nodes,
+                        actions -> {
+                            hands.passOn(actions);
+                            return new Decide(
+                                    Platform.settings(copies, self),
+                                    new SplittableRandom(self),
+                                    hands);
+                        });
         for (int i = 0; i < REQUESTS; i++) {
             proxy.request();
         }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/NoDecision.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/NoDecision.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Sends to the next node and ends nothing but what is served: the least that a balancer can do, beside which
- * the cost of decisions is seen.
+ * Sends to the next node and ends nothing but what is served: the least that a balancer can do,
+ * beside which the cost of decisions is seen.
  */
 final class NoDecision implements Balancer {
 
@@ -31,28 +31,35 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long endpoint, Outcome outcome, long latency,
-            boolean settled, Load load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long endpoint,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            Load load) {
         if (!settled) {
             actions.fail(request);
         }
     }
 
     @Override
-    public void endpointsFailed(long now) { }
+    public void endpointsFailed(long now) {}
 
     @Override
-    public void firstByte(long now, long request, int attempt, long endpoint, long latency) { }
+    public void firstByte(long now, long request, int attempt, long endpoint, long latency) {}
 
     @Override
-    public void clientLeft(long now, long request) { }
+    public void clientLeft(long now, long request) {}
 
     @Override
-    public void timer(long now, long token) { }
+    public void timer(long now, long token) {}
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) { }
+    public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {}
 
     @Override
-    public void message(long now, int from, byte[] message) { }
+    public void message(long now, int from, byte[] message) {}
 }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
@@ -18,8 +18,8 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * The module alone: a request is taken and placed, the oldest of twenty that are out is served, and probes
- * that came of it are answered. A pick is the larger part of that. Timers don't ring here.
+ * The module alone: a request is taken and placed, the oldest of twenty that are out is served, and
+ * probes that came of it are answered. A pick is the larger part of that. Timers don't ring here.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -61,16 +61,29 @@
         now += Platform.MS;
         if (request >= OUT) {
             long oldest = request + 1 - OUT;
-            module.outcome(now, oldest, 0, sentTo[(int) (oldest % OUT)], Outcome.OK, OUT * Platform.MS, true,
+            module.outcome(
+                    now,
+                    oldest,
+                    0,
+                    sentTo[(int) (oldest % OUT)],
+                    Outcome.OK,
+                    OUT * Platform.MS,
+                    true,
                     null);
         }
         request++;
-        module.request(now, new Request(request, 0, 0, now + 600 * Platform.MS, 0, false, false,
-                15 * Platform.MS));
+        module.request(
+                now,
+                new Request(
+                        request, 0, 0, now + 600 * Platform.MS, 0, false, false, 15 * Platform.MS));
         while (probes > 0) {
             long node = toProbe[--probes];
-            module.probed(now, node, Outcome.OK, 0, new Load(node % 5, Double.NaN, 0.5,
-                    15 + node % 10, Double.NaN, Double.NaN));
+            module.probed(
+                    now,
+                    node,
+                    Outcome.OK,
+                    0,
+                    new Load(node % 5, Double.NaN, 0.5, 15 + node % 10, Double.NaN, Double.NaN));
         }
         return sentTo[(int) (request % OUT)];
     }
@@ -97,24 +110,24 @@
         }
 
         @Override
-        public void cancel(long id, int attempt) { }
+        public void cancel(long id, int attempt) {}
 
         @Override
-        public void closeIdle(long endpoint) { }
+        public void closeIdle(long endpoint) {}
 
         @Override
-        public void schedule(long at, long token) { }
+        public void schedule(long at, long token) {}
 
         @Override
-        public void subscribe(boolean on) { }
+        public void subscribe(boolean on) {}
 
         @Override
-        public void fetchEndpoints() { }
+        public void fetchEndpoints() {}
 
         @Override
-        public void tell(int copy, byte[] message) { }
+        public void tell(int copy, byte[] message) {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
@@ -22,19 +22,43 @@
 
     private static final int CELL = 20;
 
-    private Platform() { }
+    private Platform() {}
 
     /** What one of so many copies is told at its start. */
     static Settings settings(int copies, int self) {
-        return new Settings(copies, self, 0, 0, 1, false,
-                List.of(new RequestClass("lookup", Effect.SAFE, KeyScope.ALL, 150 * MS, 600 * MS, 3, 0, 0,
+        return new Settings(
+                copies,
+                self,
+                0,
+                0,
+                1,
+                false,
+                List.of(
+                        new RequestClass(
+                                "lookup",
+                                Effect.SAFE,
+                                KeyScope.ALL,
+                                150 * MS,
+                                600 * MS,
+                                3,
+                                0,
+                                0,
                                 false),
-                        new RequestClass("order", Effect.UNSAFE, KeyScope.ALL, 400 * MS, 1500 * MS, 5, 0, 0,
+                        new RequestClass(
+                                "order",
+                                Effect.UNSAFE,
+                                KeyScope.ALL,
+                                400 * MS,
+                                1500 * MS,
+                                5,
+                                0,
+                                0,
                                 false)),
                 List.of(new Tenant("shop", 0.6, 0), new Tenant("clinic", 0.4, 0)),
                 new Limits(true, true, true, true, 4, 2 * SECOND, 120 * MS, 30 * SECOND),
                 new Safety(2 * SECOND, 0.15, 20 * SECOND, 3, 3 * SECOND, 10 * SECOND),
-                new Goal(0.6, 0.2, 0.2, 0, 0.05), new Prices(0.01, 0));
+                new Goal(0.6, 0.2, 0.2, 0, 0.05),
+                new Prices(0.01, 0));
     }
 
     /** A list of so many ready nodes, each with an entry object of its own. */
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Surroundings.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/Surroundings.java
@@ -19,8 +19,9 @@
 import java.util.function.Function;
 
 /**
- * All that one proxy meets, in virtual time and as cheap as it can be: every attempt is served, every probe
- * answered, every timer rings. What it costs itself is shown by a balancer that decides nothing.
+ * All that one proxy meets, in virtual time and as cheap as it can be: every attempt is served,
+ * every probe answered, every timer rings. What it costs itself is shown by a balancer that decides
+ * nothing.
  */
 final class Surroundings implements Timers, Resolver {
 
@@ -97,14 +98,19 @@
 
     /** A proxy of the daemon's driver and of this module, which is told of its nodes at once. */
     Surroundings(int nodes, Function<Balancer.Actions, Balancer> maker) {
-        driver = new Driver<>(actions -> module = maker.apply(actions), 4, this,
-                new Logger(new PrintStream(OutputStream.nullOutputStream())));
-        driver.connect(new Client(), this, (copy, message) -> { });
+        driver =
+                new Driver<>(
+                        actions -> module = maker.apply(actions),
+                        4,
+                        this,
+                        new Logger(new PrintStream(OutputStream.nullOutputStream())));
+        driver.connect(new Client(), this, (copy, message) -> {});
         driver.resolved(Balancer.ListKind.FULL, Platform.nodes(nodes));
     }
 
     /**
-     * Takes one request, after all that happens before it: in the mean one request's whole life a call.
+     * Takes one request, after all that happens before it: in the mean one request's whole life a
+     * call.
      *
      * @return requests served so far
      * @throws IllegalStateException when one was not served: then this measures something else
@@ -112,9 +118,19 @@
     long request() {
         pass(BETWEEN);
         int kind = requests % UNSAFE_PART == 0 ? 1 : 0;
-        driver.accept(new Exchange<>(new Request(++requests, kind, (int) (requests & 1),
-                now + (kind == 0 ? 600 : 1500) * Platform.MS, 0, false, kind == 1, 15 * Platform.MS),
-                ANSWER, replies));
+        driver.accept(
+                new Exchange<>(
+                        new Request(
+                                ++requests,
+                                kind,
+                                (int) (requests & 1),
+                                now + (kind == 0 ? 600 : 1500) * Platform.MS,
+                                0,
+                                false,
+                                kind == 1,
+                                15 * Platform.MS),
+                        ANSWER,
+                        replies));
         if (replies.other > 0) {
             throw new IllegalStateException("a request was not served");
         }
@@ -165,8 +181,14 @@
 
         @Override
         public void probe(long endpoint) {
-            Load load = new Load(random.nextInt(5), Double.NaN, 0.5, 15 + random.nextInt(10), Double.NaN,
-                    Double.NaN);
+            Load load =
+                    new Load(
+                            random.nextInt(5),
+                            Double.NaN,
+                            0.5,
+                            15 + random.nextInt(10),
+                            Double.NaN,
+                            Double.NaN);
             at(now + PROBE_TRIP, () -> driver.probed(endpoint, Outcome.OK, PROBE_TRIP, load));
         }
 
--- a/lab/src/main/java/cedarrudder/lab/cluster/Act.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Act.java
@@ -16,9 +16,15 @@
     HANG_UP,
     /** A second process beside the first, which is told to end once the second serves. */
     UPGRADE,
-    /** The same, but the two have different folders and can't see one another: what must never be done. */
+    /**
+     * The same, but the two have different folders and can't see one another: what must never be
+     * done.
+     */
     UPGRADE_APART,
-    /** Nothing passes between these copies and others; of whole zones, nor between their nodes and others. */
+    /**
+     * Nothing passes between these copies and others; of whole zones, nor between their nodes and
+     * others.
+     */
     CUT,
     /** Nothing that these copies send arrives. */
     MUTE,
@@ -34,8 +40,13 @@
     NODES,
     /** An operator asks these copies something. */
     CALL,
-    /** Operators have nodes leave by drains, asked of these copies in turn, and take each off the list. */
+    /**
+     * Operators have nodes leave by drains, asked of these copies in turn, and take each off the
+     * list.
+     */
     REMOVE,
-    /** The same by hand: each node is disabled at one copy after another, and taken off the list. */
+    /**
+     * The same by hand: each node is disabled at one copy after another, and taken off the list.
+     */
     REMOVE_BY_HAND
 }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Callers.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Callers.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One caller for each copy, which asks it each so often on a connection of its own and reads to that
- * connection's end: a second answer would be seen. All goes into the chronicle.
+ * One caller for each copy, which asks it each so often on a connection of its own and reads to
+ * that connection's end: a second answer would be seen. All goes into the chronicle.
  */
 final class Callers {
 
@@ -58,14 +58,18 @@
         try (Socket socket = new Socket()) {
             socket.setSoTimeout(PATIENCE_MILLIS);
             socket.connect(to, PATIENCE_MILLIS);
-            byte[] request = OwnDaemon.WORDS.fill(Words.get("Connection: close"), rpc)
-                    .getBytes(StandardCharsets.ISO_8859_1);
+            byte[] request =
+                    OwnDaemon.WORDS
+                            .fill(Words.get("Connection: close"), rpc)
+                            .getBytes(StandardCharsets.ISO_8859_1);
             // Before it is sent: guards against an answer that is told before its question.
             tell(copy, rpc, "asked", Map.of());
             asked = true;
             socket.getOutputStream().write(request);
             InputStream in = socket.getInputStream();
-            for (Answer answer = Answer.read(in, false); answer != null; answer = Answer.read(in, false)) {
+            for (Answer answer = Answer.read(in, false);
+                    answer != null;
+                    answer = Answer.read(in, false)) {
                 tell(copy, rpc, "answered", Map.of("status", Integer.toString(answer.status())));
                 answered = true;
             }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Chronicle.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Chronicle.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * Writes down what the world does to copies and what callers see, in the same form and on the same clock as
- * the copies' own histories: {@link System#nanoTime} is one for all processes of a machine on Linux. From
- * any thread.
+ * Writes down what the world does to copies and what callers see, in the same form and on the same
+ * clock as the copies' own histories: {@link System#nanoTime} is one for all processes of a machine
+ * on Linux. From any thread.
  */
 final class Chronicle implements AutoCloseable {
 
--- a/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
@@ -32,8 +32,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays a script with real copies: processes of the built daemon with a relay between each two, nodes and a
- * discovery behind them and callers in front. What they wrote is judged afterwards.
+ * Plays a script with real copies: processes of the built daemon with a relay between each two,
+ * nodes and a discovery behind them and callers in front. What they wrote is judged afterwards.
  */
 public final class Cluster {
 
@@ -50,17 +50,20 @@
     private final List<Discovery> discoveries = new ArrayList<>();
     private final List<Copy> copies = new ArrayList<>();
     private final Relay relay;
-    private final ExecutorService beside = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "cluster");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService beside =
+            Executors.newCachedThreadPool(
+                    task -> {
+                        Thread thread = new Thread(task, "cluster");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private final List<Future<?>> begun = new ArrayList<>();
     private final List<String> refusals = new CopyOnWriteArrayList<>();
     private final Set<Integer> unlisted = ConcurrentHashMap.newKeySet();
     private long version = 1;
 
-    private Cluster(Script script, long seed, Place place) throws IOException, InterruptedException {
+    private Cluster(Script script, long seed, Place place)
+            throws IOException, InterruptedException {
         this.script = script;
         this.place = place;
         chronicle = new Chronicle(place.folder().resolve("world.jsonl"));
@@ -69,8 +72,11 @@
         for (int i = 0; i < script.copies(); i++) {
             copies.add(new Copy(i, place, chronicle));
         }
-        nodes = new ScriptedNodes(script.nodes(), copies.stream().map(copy -> copy.peers().getAddress())
-                .toList(), new NodeWords());
+        nodes =
+                new ScriptedNodes(
+                        script.nodes(),
+                        copies.stream().map(copy -> copy.peers().getAddress()).toList(),
+                        new NodeWords());
         for (int i = 0; i < script.copies(); i++) {
             discoveries.add(new Discovery(list(i)));
             chronicle.tell(i, 0, "placed", Map.of("zone", Integer.toString(script.zone(i))));
@@ -103,11 +109,20 @@
     /** The list of nodes as a copy's discovery tells it. */
     private String list(int copy) {
         List<InetSocketAddress> addresses = nodes.addresses(copy);
-        return "{\"version\":" + version + ",\"full\":true,\"servers\":["
-                + IntStream.range(0, script.nodes()).filter(node -> !unlisted.contains(node))
-                        .mapToObj(node -> ToySite.server("node-" + node,
-                        addresses.get(node), Script.zoneName(script.zone(node)), starts[node]))
-                        .collect(Collectors.joining(",")) + "]}";
+        return "{\"version\":"
+                + version
+                + ",\"full\":true,\"servers\":["
+                + IntStream.range(0, script.nodes())
+                        .filter(node -> !unlisted.contains(node))
+                        .mapToObj(
+                                node ->
+                                        ToySite.server(
+                                                "node-" + node,
+                                                addresses.get(node),
+                                                Script.zoneName(script.zone(node)),
+                                                starts[node]))
+                        .collect(Collectors.joining(","))
+                + "]}";
     }
 
     /** From now on these do so, to all copies; those that start anew are told of. */
@@ -118,8 +133,17 @@
             }
             moods[node] = mood;
             nodes.mood(node, mood);
-            chronicle.tell(Chronicle.NOBODY, 0, "node", Map.of("node", name(node), "zone",
-                    Integer.toString(script.zone(node)), "mood", Table.written(mood)));
+            chronicle.tell(
+                    Chronicle.NOBODY,
+                    0,
+                    "node",
+                    Map.of(
+                            "node",
+                            name(node),
+                            "zone",
+                            Integer.toString(script.zone(node)),
+                            "mood",
+                            Table.written(mood)));
             starts[node] = mood == Mood.COLD ? System.currentTimeMillis() : starts[node];
         }
         if (mood == Mood.COLD) {
@@ -152,44 +176,77 @@
 
     private String configuration(int self, long seed) {
         Copy copy = copies.get(self);
-        String peers = IntStream.range(0, copies.size())
-                .mapToObj(i -> "\"" + text(i == self ? copy.peers() : relay.address(self, i)) + "\"")
-                .collect(Collectors.joining(","));
+        String peers =
+                IntStream.range(0, copies.size())
+                        .mapToObj(
+                                i ->
+                                        "\""
+                                                + text(
+                                                        i == self
+                                                                ? copy.peers()
+                                                                : relay.address(self, i))
+                                                + "\"")
+                        .collect(Collectors.joining(","));
         return """
-                {"name": "c%d", "listen": "%s", "discovery": "%s",
-                 "seed": "%x", "limits": {"sockets": 1024}, "peer_listen": "%s", "peers": [%s],
-                 "known": %s, "settings": %s}
-                """.formatted(self, copy.listenText(),
-                text(discoveries.get(self).address()),
-                seed * Script.MOST + self, text(copy.peers()), peers, list(self),
-                ToySite.settings(copies.size(), self, script.zone(self),
-                        IntStream.range(0, script.zones()).mapToObj(Script::zoneName).toList()));
+        {"name": "c%d", "listen": "%s", "discovery": "%s",
+         "seed": "%x", "limits": {"sockets": 1024}, "peer_listen": "%s", "peers": [%s],
+         "known": %s, "settings": %s}
+        """
+                .formatted(
+                        self,
+                        copy.listenText(),
+                        text(discoveries.get(self).address()),
+                        seed * Script.MOST + self,
+                        text(copy.peers()),
+                        peers,
+                        list(self),
+                        ToySite.settings(
+                                copies.size(),
+                                self,
+                                script.zone(self),
+                                IntStream.range(0, script.zones())
+                                        .mapToObj(Script::zoneName)
+                                        .toList()));
     }
 
     /** Acknowledgements keep their share of the period, whatever it is. */
     private String operator(int self) {
         long period = script.period() / 1_000_000;
         return """
-                [membership]
-                period_ms = %d
-                ack_patience_ms = %d
-
-                [history]
-                file = "{history}"
-                clock_offset_ms = %d
-                clock_drift_ppm = %d
-
-                """.formatted(period, period * 2 / 5, script.clockOffset(self), script.clockDrift(self))
+        [membership]
+        period_ms = %d
+        ack_patience_ms = %d
+
+        [history]
+        file = "{history}"
+        clock_offset_ms = %d
+        clock_drift_ppm = %d
+
+        """
+                        .formatted(
+                                period,
+                                period * 2 / 5,
+                                script.clockOffset(self),
+                                script.clockDrift(self))
                 + script.operator();
     }
 
     private Verdict play() throws IOException, InterruptedException {
         chronicle.tell(Chronicle.NOBODY, 0, "weather", Map.of("calm", "1"));
         for (Policy policy : bounds()) {
-            chronicle.tell(Chronicle.NOBODY, 0, "bound", Map.of("name", policy.name(), "nodes",
-                    IntStream.range(0, script.nodes()).mapToObj(Cluster::name)
-                            .collect(Collectors.joining(",")),
-                    "most", Integer.toString(policy.tier().of(script.nodes()))));
+            chronicle.tell(
+                    Chronicle.NOBODY,
+                    0,
+                    "bound",
+                    Map.of(
+                            "name",
+                            policy.name(),
+                            "nodes",
+                            IntStream.range(0, script.nodes())
+                                    .mapToObj(Cluster::name)
+                                    .collect(Collectors.joining(",")),
+                            "most",
+                            Integer.toString(policy.tier().of(script.nodes()))));
         }
         List<Path> logs = new ArrayList<>();
         for (Copy copy : copies) {
@@ -242,29 +299,41 @@
                 case GO_ON -> copy.signal("CONT", "", "continued");
                 case TERM -> copy.terminate();
                 case HANG_UP -> copy.signal("HUP", "", "");
-                case UPGRADE, UPGRADE_APART -> begun.add(beside.submit(() -> {
-                    upgrade(copy, step.act() == Act.UPGRADE);
-                    return null;
-                }));
-                case CALL -> begun.add(beside.submit(() -> {
-                    String wrong = step.call().ask(copy.admin());
-                    if (!wrong.isEmpty()) {
-                        refusals.add("copy " + number + ", " + wrong);
-                    }
-                    return null;
-                }));
-                case FLOOD -> begun.add(beside.submit(() -> {
-                    flood(number, step.length());
-                    return null;
-                }));
-                default -> { }
+                case UPGRADE, UPGRADE_APART ->
+                        begun.add(
+                                beside.submit(
+                                        () -> {
+                                            upgrade(copy, step.act() == Act.UPGRADE);
+                                            return null;
+                                        }));
+                case CALL ->
+                        begun.add(
+                                beside.submit(
+                                        () -> {
+                                            String wrong = step.call().ask(copy.admin());
+                                            if (!wrong.isEmpty()) {
+                                                refusals.add("copy " + number + ", " + wrong);
+                                            }
+                                            return null;
+                                        }));
+                case FLOOD ->
+                        begun.add(
+                                beside.submit(
+                                        () -> {
+                                            flood(number, step.length());
+                                            return null;
+                                        }));
+                default -> {}
             }
         }
         switch (step.act()) {
-            case REMOVE, REMOVE_BY_HAND -> begun.add(beside.submit(() -> {
-                remove(step);
-                return null;
-            }));
+            case REMOVE, REMOVE_BY_HAND ->
+                    begun.add(
+                            beside.submit(
+                                    () -> {
+                                        remove(step);
+                                        return null;
+                                    }));
             case CUT -> {
                 cut(whom, step.sides().others(), true, true);
                 cutNodes(whom, step.sides());
@@ -277,11 +346,19 @@
                 if (step.copies().isEmpty()) {
                     mood(step.nodes(), step.mood());
                 } else {
-                    step.nodes().forEach(node -> step.copies().forEach(copy ->
-                            nodes.mood(node, copy, step.mood())));
+                    step.nodes()
+                            .forEach(
+                                    node ->
+                                            step.copies()
+                                                    .forEach(
+                                                            copy ->
+                                                                    nodes.mood(
+                                                                            node,
+                                                                            copy,
+                                                                            step.mood())));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -289,8 +366,12 @@
     private List<Integer> leader() throws IOException {
         List<Path> files = new ArrayList<>();
         copies.forEach(copy -> files.addAll(copy.histories()));
-        return History.read(files).stream().filter(event -> event.what().equals("leads"))
-                .reduce((first, second) -> second).map(Event::copy).stream().toList();
+        return History.read(files).stream()
+                .filter(event -> event.what().equals("leads"))
+                .reduce((first, second) -> second)
+                .map(Event::copy)
+                .stream()
+                .toList();
     }
 
     private void remove(Step step) throws InterruptedException {
@@ -299,22 +380,39 @@
         if (step.act() == Act.REMOVE) {
             removal.byDrains(step.nodes(), step.copies());
         } else {
-            removal.byHand(step.nodes(), step.copies(), atOnce(), bounds().stream()
-                    .mapToLong(Policy::pace).max().orElse(0) / 1_000_000);
+            removal.byHand(
+                    step.nodes(),
+                    step.copies(),
+                    atOnce(),
+                    bounds().stream().mapToLong(Policy::pace).max().orElse(0) / 1_000_000);
         }
-        chronicle.tell(Chronicle.NOBODY, 0, "removed", Map.of("nodes", Integer.toString(step.nodes().size()),
-                "took", Long.toString(System.nanoTime() - began)));
+        chronicle.tell(
+                Chronicle.NOBODY,
+                0,
+                "removed",
+                Map.of(
+                        "nodes",
+                        Integer.toString(step.nodes().size()),
+                        "took",
+                        Long.toString(System.nanoTime() - began)));
     }
 
     /** As many as the policies of the script let go at once. */
     private int atOnce() {
-        return bounds().stream().mapToInt(policy -> policy.tier().of(script.nodes())).min().orElse(1);
+        return bounds().stream()
+                .mapToInt(policy -> policy.tier().of(script.nodes()))
+                .min()
+                .orElse(1);
     }
 
     private List<Policy> bounds() {
         try {
-            DrainsFile file = Operator.read(Document.parse("operator", script.operator()
-                    + ScriptReader.MEMBERSHIP)).of(DrainsTable.DRAINS);
+            DrainsFile file =
+                    Operator.read(
+                                    Document.parse(
+                                            "operator",
+                                            script.operator() + ScriptReader.MEMBERSHIP))
+                            .of(DrainsTable.DRAINS);
             return file == null ? List.of() : file.policies();
         } catch (BadFileException e) {
             throw new IllegalStateException("the script was read with it", e);
@@ -328,11 +426,12 @@
         for (int copy = 0; copy < discoveries.size(); copy++) {
             discoveries.get(copy).list(list(copy));
         }
-        beside.submit(() -> {
-            TimeUnit.MILLISECONDS.sleep(END_OF_NODE_MILLIS);
-            nodes.mood(node, Mood.DEAD);
-            return null;
-        });
+        beside.submit(
+                () -> {
+                    TimeUnit.MILLISECONDS.sleep(END_OF_NODE_MILLIS);
+                    nodes.mood(node, Mood.DEAD);
+                    return null;
+                });
     }
 
     private static void back(Copy copy) throws IOException, InterruptedException {
@@ -344,9 +443,11 @@
         }
     }
 
-    private static void upgrade(Copy copy, boolean together) throws IOException, InterruptedException {
-        if (copy.runs() && copy.awaitServing(together ? copy.start() : copy.startApart(),
-                System.nanoTime() + READY)) {
+    private static void upgrade(Copy copy, boolean together)
+            throws IOException, InterruptedException {
+        if (copy.runs()
+                && copy.awaitServing(
+                        together ? copy.start() : copy.startApart(), System.nanoTime() + READY)) {
             copy.terminate();
         }
     }
@@ -360,11 +461,17 @@
 
     private void weather(Weather next) {
         relay.weather(next);
-        chronicle.tell(Chronicle.NOBODY, 0, "weather", Map.of("calm", next.calm() ? "1" : "0",
-                "loss", Double.toString(next.loss())));
+        chronicle.tell(
+                Chronicle.NOBODY,
+                0,
+                "weather",
+                Map.of("calm", next.calm() ? "1" : "0", "loss", Double.toString(next.loss())));
     }
 
-    /** Cuts what goes out from these to others, or where none are named to all, what comes in, or both. */
+    /**
+     * Cuts what goes out from these to others, or where none are named to all, what comes in, or
+     * both.
+     */
     private void cut(List<Integer> these, List<Integer> others, boolean out, boolean in) {
         for (int one : these) {
             for (int other = 0; other < copies.size(); other++) {
@@ -388,7 +495,8 @@
         for (int copy = 0; copy < copies.size(); copy++) {
             boolean here = these.contains(copy);
             boolean there = !here && (sides.others().isEmpty() || sides.others().contains(copy));
-            for (int node : here ? sides.otherNodes() : there ? sides.nodes() : List.<Integer>of()) {
+            for (int node :
+                    here ? sides.otherNodes() : there ? sides.nodes() : List.<Integer>of()) {
                 nodes.cut(node, copy, true);
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Copy.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Copy.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One copy: the built daemon on loopback addresses of its own, with a folder of its own for temporary
- * files, in one life after another. Each life writes its history and its log to files of its own.
+ * One copy: the built daemon on loopback addresses of its own, with a folder of its own for
+ * temporary files, in one life after another. Each life writes its history and its log to files of
+ * its own.
  */
 final class Copy implements AutoCloseable {
 
@@ -34,6 +35,7 @@
 
     /** Processes that run, the one that was started first in front. */
     private final List<Supervised> processes = new ArrayList<>();
+
     private final List<Long> expected = new ArrayList<>();
     private String configuration;
     private String operator;
@@ -69,8 +71,8 @@
     }
 
     /**
-     * What each of its lives starts with; in the operator's file {@code {history}} stands for the history's
-     * name, and {@code {folder}} for a folder that it keeps from life to life.
+     * What each of its lives starts with; in the operator's file {@code {history}} stands for the
+     * history's name, and {@code {folder}} for a folder that it keeps from life to life.
      */
     void configure(String json, String toml) {
         configuration = json;
@@ -102,7 +104,10 @@
         return processes.stream().allMatch(process -> expected.contains(process.pid()));
     }
 
-    /** Begins a life beside those that there are, with the folder for temporary files that all share. */
+    /**
+     * Begins a life beside those that there are, with the folder for temporary files that all
+     * share.
+     */
     Path start() throws IOException {
         return start("tmp-" + number);
     }
@@ -121,17 +126,31 @@
         Path toml = place.folder().resolve(name + ".toml");
         Files.writeString(json, configuration);
         Path kept = Files.createDirectories(place.folder().resolve("kept-" + number));
-        Files.writeString(toml, operator.replace("{history}", history.toString())
-                .replace("{folder}", kept.toString()));
+        Files.writeString(
+                toml,
+                operator.replace("{history}", history.toString())
+                        .replace("{folder}", kept.toString()));
         Files.createFile(history);
         Port admin = Port.hold(host(number, 2)); // each process has its own
         admins.add(admin);
         histories.add(history);
-        Supervised process = Supervised.start(
-                List.of("/bin/sh", "-c", place.command() + " --operator " + toml), place.root(),
-                Map.of("BALANCER_NAME", "c" + number, "BALANCER_LISTEN", listen.text(), "BALANCER_CONFIG",
-                        json.toString(), "BALANCER_ADMIN_ADDR", admin.text(), "TMPDIR",
-                        Files.createDirectories(temporary).toString()), log, SOCKETS);
+        Supervised process =
+                Supervised.start(
+                        List.of("/bin/sh", "-c", place.command() + " --operator " + toml),
+                        place.root(),
+                        Map.of(
+                                "BALANCER_NAME",
+                                "c" + number,
+                                "BALANCER_LISTEN",
+                                listen.text(),
+                                "BALANCER_CONFIG",
+                                json.toString(),
+                                "BALANCER_ADMIN_ADDR",
+                                admin.text(),
+                                "TMPDIR",
+                                Files.createDirectories(temporary).toString()),
+                        log,
+                        SOCKETS);
         processes.add(process);
         chronicle.tell(number, process.pid(), "started", Map.of());
         process.onExit().thenAccept(code -> exited(process, code, log));
@@ -142,7 +161,13 @@
         chronicle.tell(number, process.pid(), "ended", Map.of("code", Integer.toString(code)));
         processes.remove(process);
         if (!expected.contains(process.pid())) {
-            crashes.add("copy " + number + " ended by itself with code " + code + "; its log is " + log);
+            crashes.add(
+                    "copy "
+                            + number
+                            + " ended by itself with code "
+                            + code
+                            + "; its log is "
+                            + log);
         }
         notifyAll();
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Discovery.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Discovery.java
@@ -10,17 +10,22 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A discovery: it answers calls with its list, pushes a new one to watches, and keeps them alive. */
+/**
+ * A discovery: it answers calls with its list, pushes a new one to watches, and keeps them alive.
+ */
 final class Discovery implements Closeable {
 
     private static final int BACKLOG = 128;
     private static final int ALIVE_MILLIS = 2_000;
     private static final String END_OF_HEAD = "\r\n\r\n";
 
-    private final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    private final ServerSocket server =
+            new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private String list;
 
-    /** @param list the whole list as one line of JSON */
+    /**
+     * @param list the whole list as one line of JSON
+     */
     Discovery(String list) throws IOException {
         this.list = list;
         start(this::accept);
@@ -79,8 +84,13 @@
             OutputStream out = socket.getOutputStream();
             if (!head.toString().contains("follow=1")) {
                 String whole = list() + "\n";
-                write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\nConnection: close"
-                        + END_OF_HEAD + whole);
+                write(
+                        out,
+                        "HTTP/1.1 200 OK\r\nContent-Length: "
+                                + whole.length()
+                                + "\r\nConnection: close"
+                                + END_OF_HEAD
+                                + whole);
                 return;
             }
             write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked" + END_OF_HEAD);
--- a/lab/src/main/java/cedarrudder/lab/cluster/DrawnScript.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/DrawnScript.java
@@ -8,8 +8,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Draws a script from a seed: copies in three zones that agree, and each kind of fault once, in an order and
- * upon copies that the seed gives.
+ * Draws a script from a seed: copies in three zones that agree, and each kind of fault once, in an
+ * order and upon copies that the seed gives.
  */
 public final class DrawnScript {
 
@@ -27,7 +27,8 @@
     private static final double HALT = 6;
 
     /** A group whose majority forgot has been silent for so long before another is formed. */
-    private static final String AGREEMENT = """
+    private static final String AGREEMENT =
+            """
             [agreement]
             lease_ms = 4000
             voter_patience_ms = 3000
@@ -36,8 +37,22 @@
             """;
 
     private enum Fault {
-        KILL, STOP, TERM, HANG_UP, UPGRADE, HALVES, MUTE, DEAFEN, WEATHER, FLOOD, LEADER_KILLED,
-        LEADER_STOPPED, LEADER_REPLACED, ZONE_CUT, RING, ZONE_DEAD
+        KILL,
+        STOP,
+        TERM,
+        HANG_UP,
+        UPGRADE,
+        HALVES,
+        MUTE,
+        DEAFEN,
+        WEATHER,
+        FLOOD,
+        LEADER_KILLED,
+        LEADER_STOPPED,
+        LEADER_REPLACED,
+        ZONE_CUT,
+        RING,
+        ZONE_DEAD
     }
 
     private final SplittableRandom random;
@@ -57,8 +72,18 @@
     }
 
     private Script draw() {
-        steps.add(new Step(0, Act.CALL, List.of(0), false, Weather.CALM, 0, Mood.WELL, List.of(), Sides.ALL,
-                new OperatorCall("POST", "/-/group", "", 200)));
+        steps.add(
+                new Step(
+                        0,
+                        Act.CALL,
+                        List.of(0),
+                        false,
+                        Weather.CALM,
+                        0,
+                        Mood.WELL,
+                        List.of(),
+                        Sides.ALL,
+                        new OperatorCall("POST", "/-/group", "", 200)));
         List<Fault> order = new ArrayList<>(List.of(Fault.values()));
         double at = 6;
         while (!order.isEmpty()) {
@@ -67,12 +92,24 @@
         List<Long> offsets = new ArrayList<>();
         List<Integer> drifts = new ArrayList<>();
         for (int i = 0; i < copies; i++) {
-            offsets.add(random.nextInt(3) == 0 ? random.nextLong(-HOUR_MILLIS, HOUR_MILLIS + 1) : 0);
+            offsets.add(
+                    random.nextInt(3) == 0 ? random.nextLong(-HOUR_MILLIS, HOUR_MILLIS + 1) : 0);
             drifts.add(random.nextInt(-1, 2) * DRIFT);
         }
-        return new Script(copies, NODES, ZONES, PERIOD, Script.nanos(at), SETTLE, offsets, drifts,
-                AGREEMENT.formatted(all.stream().map(i -> "\"" + Script.zoneName(i % ZONES) + "\"")
-                        .collect(Collectors.joining(", "))), steps);
+        return new Script(
+                copies,
+                NODES,
+                ZONES,
+                PERIOD,
+                Script.nanos(at),
+                SETTLE,
+                offsets,
+                drifts,
+                AGREEMENT.formatted(
+                        all.stream()
+                                .map(i -> "\"" + Script.zoneName(i % ZONES) + "\"")
+                                .collect(Collectors.joining(", "))),
+                steps);
     }
 
     /** Adds a fault and its end; gives how long it takes with a pause behind it, in seconds. */
@@ -115,14 +152,31 @@
             }
             case ZONE_CUT -> {
                 int zone = random.nextInt(ZONES);
-                steps.add(cut(at, Act.CUT, zone, new Sides(List.of(), ofZone(NODES, zone),
-                        IntStream.range(0, NODES).filter(i -> i % ZONES != zone).boxed().toList())));
+                steps.add(
+                        cut(
+                                at,
+                                Act.CUT,
+                                zone,
+                                new Sides(
+                                        List.of(),
+                                        ofZone(NODES, zone),
+                                        IntStream.range(0, NODES)
+                                                .filter(i -> i % ZONES != zone)
+                                                .boxed()
+                                                .toList())));
                 steps.add(Step.of(at + lasts, Act.HEAL, List.of()));
             }
             case RING -> {
                 for (int zone = 0; zone < ZONES; zone++) {
-                    steps.add(cut(at, Act.MUTE, zone, new Sides(ofZone(copies, (zone + 1) % ZONES), List.of(),
-                            List.of())));
+                    steps.add(
+                            cut(
+                                    at,
+                                    Act.MUTE,
+                                    zone,
+                                    new Sides(
+                                            ofZone(copies, (zone + 1) % ZONES),
+                                            List.of(),
+                                            List.of())));
                 }
                 steps.add(Step.of(at + lasts, Act.HEAL, List.of()));
             }
@@ -132,8 +186,16 @@
                 steps.add(nodes(at + lasts, zone, Mood.COLD));
             }
             case WEATHER -> {
-                steps.add(Step.weather(at, new Weather(0.3 * random.nextDouble(), 0.2, 0.2, 0.05,
-                        2_000_000, 21_000_000)));
+                steps.add(
+                        Step.weather(
+                                at,
+                                new Weather(
+                                        0.3 * random.nextDouble(),
+                                        0.2,
+                                        0.2,
+                                        0.05,
+                                        2_000_000,
+                                        21_000_000)));
                 steps.add(Step.weather(at + lasts, Weather.CALM));
             }
             case FLOOD -> steps.add(Step.flood(at, one.get(0), 3));
@@ -145,18 +207,45 @@
     }
 
     private static Step leader(double at, Act act) {
-        return new Step(Script.nanos(at), act, List.of(), true, Weather.CALM, 0, Mood.WELL, List.of(),
-                Sides.ALL, null);
+        return new Step(
+                Script.nanos(at),
+                act,
+                List.of(),
+                true,
+                Weather.CALM,
+                0,
+                Mood.WELL,
+                List.of(),
+                Sides.ALL,
+                null);
     }
 
     private Step cut(double at, Act act, int zone, Sides sides) {
-        return new Step(Script.nanos(at), act, ofZone(copies, zone), false, Weather.CALM, 0, Mood.WELL,
-                List.of(), sides, null);
+        return new Step(
+                Script.nanos(at),
+                act,
+                ofZone(copies, zone),
+                false,
+                Weather.CALM,
+                0,
+                Mood.WELL,
+                List.of(),
+                sides,
+                null);
     }
 
     private static Step nodes(double at, int zone, Mood mood) {
-        return new Step(Script.nanos(at), Act.NODES, List.of(), false, Weather.CALM, 0, mood,
-                ofZone(NODES, zone), Sides.ALL, null);
+        return new Step(
+                Script.nanos(at),
+                Act.NODES,
+                List.of(),
+                false,
+                Weather.CALM,
+                0,
+                mood,
+                ofZone(NODES, zone),
+                Sides.ALL,
+                null);
     }
 
     private static List<Integer> ofZone(int count, int zone) {
--- a/lab/src/main/java/cedarrudder/lab/cluster/Forger.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Forger.java
@@ -2,7 +2,10 @@
 
 import java.util.random.RandomGenerator;
 
-/** Makes datagrams that no sound copy sends now: garbage, what was said long ago, and what is too long. */
+/**
+ * Makes datagrams that no sound copy sends now: garbage, what was said long ago, and what is too
+ * long.
+ */
 final class Forger {
 
     private static final int KEPT = 64;
@@ -29,8 +32,11 @@
         if (kind == 0 && seen > 0) {
             return former[random.nextInt(seen)];
         }
-        byte[] bytes = new byte[kind == 1 ? MOST_BYTES + 1 + random.nextInt(MOST_OVERSIZED - MOST_BYTES)
-                : random.nextInt(MOST_BYTES + 1)];
+        byte[] bytes =
+                new byte
+                        [kind == 1
+                                ? MOST_BYTES + 1 + random.nextInt(MOST_OVERSIZED - MOST_BYTES)
+                                : random.nextInt(MOST_BYTES + 1)];
         random.nextBytes(bytes);
         return bytes;
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Link.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Link.java
@@ -5,13 +5,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The way of datagrams from one copy to another: what becomes of each is decided here, by the weather and a
- * random source alone. What is under way is bounded; beyond that the newest is lost, as in a full buffer.
+ * The way of datagrams from one copy to another: what becomes of each is decided here, by the
+ * weather and a random source alone. What is under way is bounded; beyond that the newest is lost,
+ * as in a full buffer.
  */
 public final class Link {
 
     /** A datagram that arrives. */
-    public record Delivery(long at, byte[] datagram) { }
+    public record Delivery(long at, byte[] datagram) {}
 
     /** Datagrams under way at once; a copy sends some 40 a second to all others together. */
     static final int MOST_UNDER_WAY = 256;
@@ -37,11 +38,16 @@
     /** What becomes of a datagram; each delivery is to be followed by {@link #arrived}. */
     List<Delivery> sent(long now, byte[] datagram, Weather weather) {
         List<Delivery> deliveries = new ArrayList<>(2);
-        int times = cut || random.nextDouble() < weather.loss() ? 0
-                : random.nextDouble() < weather.doubled() ? 2 : 1;
+        int times =
+                cut || random.nextDouble() < weather.loss()
+                        ? 0
+                        : random.nextDouble() < weather.doubled() ? 2 : 1;
         for (int i = 0; i < times && underWay < MOST_UNDER_WAY; i++) {
-            long delay = weather.leastDelay()
-                    + (long) (random.nextDouble() * (weather.mostDelay() - weather.leastDelay()));
+            long delay =
+                    weather.leastDelay()
+                            + (long)
+                                    (random.nextDouble()
+                                            * (weather.mostDelay() - weather.leastDelay()));
             if (random.nextDouble() < weather.late()) {
                 delay += (long) (random.nextDouble() * LATE);
             }
@@ -52,7 +58,10 @@
         return deliveries;
     }
 
-    /** One of those has arrived; false where the way was cut meanwhile, and it must not be handed over. */
+    /**
+     * One of those has arrived; false where the way was cut meanwhile, and it must not be handed
+     * over.
+     */
     boolean arrived() {
         underWay--;
         return !cut;
--- a/lab/src/main/java/cedarrudder/lab/cluster/OperatorCall.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/OperatorCall.java
@@ -38,9 +38,17 @@
         try (Socket socket = new Socket()) {
             socket.connect(address, patience);
             socket.setSoTimeout(patience);
-            socket.getOutputStream().write((method + " " + path + " HTTP/1.1\r\nHost: operators\r\n"
-                    + "Content-Length: " + body.length() + "\r\n\r\n" + body)
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write(
+                            (method
+                                            + " "
+                                            + path
+                                            + " HTTP/1.1\r\nHost: operators\r\n"
+                                            + "Content-Length: "
+                                            + body.length()
+                                            + "\r\n\r\n"
+                                            + body)
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             return Answer.read(socket.getInputStream(), false);
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between each two copies. A copy tells its peers apart by the address that a datagram comes from,
- * so each copy has a socket here for each of the others: to it, that socket is the other. What copy 2 sends
- * to its socket "5" goes by a {@link Link} and leaves by the socket that is "2" to copy 5. One thread owns
- * all of it.
+ * Stands between each two copies. A copy tells its peers apart by the address that a datagram comes
+ * from, so each copy has a socket here for each of the others: to it, that socket is the other.
+ * What copy 2 sends to its socket "5" goes by a {@link Link} and leaves by the socket that is "2"
+ * to copy 5. One thread owns all of it.
  */
 final class Relay {
 
@@ -56,17 +56,21 @@
             Door to = doors[other][of];
             to.forger.saw(bytes);
             for (Link.Delivery delivery : link.sent(System.nanoTime(), bytes, weather)) {
-                group.schedule(() -> {
-                    if (link.arrived()) {
-                        to.hand(delivery.datagram());
-                    }
-                }, delivery.at() - System.nanoTime(), TimeUnit.NANOSECONDS);
+                group.schedule(
+                        () -> {
+                            if (link.arrived()) {
+                                to.hand(delivery.datagram());
+                            }
+                        },
+                        delivery.at() - System.nanoTime(),
+                        TimeUnit.NANOSECONDS);
             }
         }
 
         /** Hands a datagram to the copy whose door this is, as if from the other. */
         void hand(byte[] bytes) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), copies.get(of)));
+            channel.writeAndFlush(
+                    new DatagramPacket(Unpooled.wrappedBuffer(bytes), copies.get(of)));
         }
 
         @Override
@@ -75,13 +79,16 @@
         }
     }
 
-    private final NioEventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("relay", true));
+    private final NioEventLoopGroup group =
+            new NioEventLoopGroup(1, new DefaultThreadFactory("relay", true));
     private final List<InetSocketAddress> copies;
     private final Door[][] doors;
     private final SplittableRandom random;
     private Weather weather = Weather.CALM;
 
-    /** @param copies where each copy hears its peers */
+    /**
+     * @param copies where each copy hears its peers
+     */
     Relay(List<InetSocketAddress> copies, long seed) throws IOException, InterruptedException {
         this.copies = List.copyOf(copies);
         this.random = new SplittableRandom(seed);
@@ -96,12 +103,20 @@
     }
 
     private void open(Door door) throws IOException, InterruptedException {
-        ChannelFuture bound = new Bootstrap().group(group).channel(NioDatagramChannel.class)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_BYTES))
-                .handler(door).bind(new InetSocketAddress("127.0.0.1", 0)).await();
+        ChannelFuture bound =
+                new Bootstrap()
+                        .group(group)
+                        .channel(NioDatagramChannel.class)
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new FixedRecvByteBufAllocator(MOST_BYTES))
+                        .handler(door)
+                        .bind(new InetSocketAddress("127.0.0.1", 0))
+                        .await();
         if (!bound.isSuccess()) {
             end();
-            throw new IOException("the relay has no socket for copies " + door.of + " and " + door.other,
+            throw new IOException(
+                    "the relay has no socket for copies " + door.of + " and " + door.other,
                     bound.cause());
         }
         door.channel = bound.channel();
@@ -124,16 +139,17 @@
 
     /** Gives a copy forged datagrams, as if from all others, as fast as can be until then. */
     void flood(int copy, long until) {
-        group.execute(() -> {
-            for (int i = 0; i < AT_ONCE && copies.size() > 1; i++) {
-                int other = random.nextInt(copies.size() - 1);
-                Door door = doors[copy][other < copy ? other : other + 1];
-                door.hand(door.forger.next());
-            }
-            if (System.nanoTime() < until) {
-                flood(copy, until);
-            }
-        });
+        group.execute(
+                () -> {
+                    for (int i = 0; i < AT_ONCE && copies.size() > 1; i++) {
+                        int other = random.nextInt(copies.size() - 1);
+                        Door door = doors[copy][other < copy ? other : other + 1];
+                        door.hand(door.forger.next());
+                    }
+                    if (System.nanoTime() < until) {
+                        flood(copy, until);
+                    }
+                });
     }
 
     /** Ends it with all its sockets. */
--- a/lab/src/main/java/cedarrudder/lab/cluster/Removal.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Removal.java
@@ -22,7 +22,9 @@
     private final List<InetSocketAddress> operators;
     private final IntConsumer unlist;
 
-    /** @param unlist takes a node off discovery's list, and ends it */
+    /**
+     * @param unlist takes a node off discovery's list, and ends it
+     */
     Removal(List<InetSocketAddress> operators, IntConsumer unlist) {
         this.operators = operators;
         this.unlist = unlist;
@@ -39,21 +41,29 @@
     }
 
     /**
-     * By drains: each node is asked for until one of the copies has said yes, and is taken off the list once
-     * any copy says that it is out. Returns when all are.
+     * By drains: each node is asked for until one of the copies has said yes, and is taken off the
+     * list once any copy says that it is out. Returns when all are.
      */
     void byDrains(List<Integer> nodes, List<Integer> copies) throws InterruptedException {
         int asked = 0;
         for (int node : nodes) {
-            while (ask(operators.get(copies.get(asked++ % copies.size())), "POST",
-                    "/-/drains/node/node-" + node + "/begin", PATIENCE_MILLIS) == null) {
+            while (ask(
+                            operators.get(copies.get(asked++ % copies.size())),
+                            "POST",
+                            "/-/drains/node/node-" + node + "/begin",
+                            PATIENCE_MILLIS)
+                    == null) {
                 TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
             }
         }
         TreeSet<Integer> left = new TreeSet<>(nodes);
         while (!left.isEmpty()) {
-            String page = ask(operators.get(copies.get(asked++ % copies.size())), "GET", "/-/drains",
-                    HAND_MILLIS);
+            String page =
+                    ask(
+                            operators.get(copies.get(asked++ % copies.size())),
+                            "GET",
+                            "/-/drains",
+                            HAND_MILLIS);
             for (int node : page == null ? List.<Integer>of() : List.copyOf(left)) {
                 if (page.contains("{\"node\":\"node-" + node + "\",\"state\":\"out\"")) {
                     left.remove(node);
@@ -65,18 +75,23 @@
     }
 
     /**
-     * By hand, as many at once as the policy would have: each is disabled at all copies in turn, one that
-     * gives no answer within a second is left, and after a while it is taken off the list.
+     * By hand, as many at once as the policy would have: each is disabled at all copies in turn,
+     * one that gives no answer within a second is left, and after a while it is taken off the list.
      *
      * @param pace milliseconds between two such turns
      */
     void byHand(List<Integer> nodes, List<Integer> copies, int atOnce, long pace)
             throws InterruptedException {
         for (int from = 0; from < nodes.size(); from += atOnce) {
-            List<Integer> these = new ArrayList<>(nodes.subList(from, Math.min(nodes.size(), from + atOnce)));
+            List<Integer> these =
+                    new ArrayList<>(nodes.subList(from, Math.min(nodes.size(), from + atOnce)));
             for (int node : these) {
                 for (int copy : copies) {
-                    ask(operators.get(copy), "POST", "/-/nodes/node-" + node + "/disable", HAND_MILLIS);
+                    ask(
+                            operators.get(copy),
+                            "POST",
+                            "/-/nodes/node-" + node + "/disable",
+                            HAND_MILLIS);
                 }
             }
             TimeUnit.MILLISECONDS.sleep(WAIT_MILLIS);
--- a/lab/src/main/java/cedarrudder/lab/cluster/Script.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Script.java
@@ -10,18 +10,30 @@
  * @param nodes behind them
  * @param zones that copies and nodes are dealt to: number 4 of 3 zones is in zone 1
  * @param period of membership, in nanoseconds
- * @param length until the faults are over, in nanoseconds: what is cut, stopped or away then is mended
+ * @param length until the faults are over, in nanoseconds: what is cut, stopped or away then is
+ *     mended
  * @param settle after that, in which copies have to agree; nanoseconds
  * @param clockOffsets of each copy, in milliseconds; those beyond its end have none
  * @param clockDrifts of each copy, in millionths; those beyond its end have none
- * @param operator more tables of each copy's operator's file; {@code {folder}} stands for its own folder
+ * @param operator more tables of each copy's operator's file; {@code {folder}} stands for its own
+ *     folder
  * @param steps in the order of time
  */
-public record Script(int copies, int nodes, int zones, long period, long length, long settle,
-        List<Long> clockOffsets, List<Integer> clockDrifts, String operator, List<Step> steps) {
+public record Script(
+        int copies,
+        int nodes,
+        int zones,
+        long period,
+        long length,
+        long settle,
+        List<Long> clockOffsets,
+        List<Integer> clockDrifts,
+        String operator,
+        List<Step> steps) {
 
     /** Copies at the least and at the most. */
     public static final int LEAST = 3;
+
     public static final int MOST = 30;
     static final int MOST_NODES = 30;
     static final int MOST_ZONES = 8;
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
@@ -33,17 +33,19 @@
     /** Tables that the lab writes itself. */
     private static final Set<String> OWN = Set.of("membership", "history");
 
-    private static final Set<Act> OF_COPIES = EnumSet.complementOf(
-            EnumSet.of(Act.HEAL, Act.WEATHER, Act.NODES));
+    private static final Set<Act> OF_COPIES =
+            EnumSet.complementOf(EnumSet.of(Act.HEAL, Act.WEATHER, Act.NODES));
 
     private static final Set<Act> CUTS = EnumSet.of(Act.CUT, Act.MUTE, Act.DEAFEN);
 
-    private ScriptReader() { }
+    private ScriptReader() {}
 
     /** How many of each there are. */
-    private record Counts(int copies, int nodes, int zones) { }
+    private record Counts(int copies, int nodes, int zones) {}
 
-    /** @throws BadFileException with all that is wrong with it */
+    /**
+     * @throws BadFileException with all that is wrong with it
+     */
     public static Script read(Path file) throws BadFileException {
         return read(Document.read(file));
     }
@@ -54,16 +56,22 @@
         int nodes = (int) root.whole("nodes", 1, Script.MOST_NODES, 3);
         int zones = (int) root.whole("zones", 1, Script.MOST_ZONES, 1);
         if (zones > Math.min(copies, nodes) && root.sound("zones", "copies", "nodes")) {
-            root.problem("zones", Integer.toString(zones), "a copy and a node for each: "
-                    + Math.min(copies, nodes) + " at the most");
+            root.problem(
+                    "zones",
+                    Integer.toString(zones),
+                    "a copy and a node for each: " + Math.min(copies, nodes) + " at the most");
         }
         long period = MILLION * root.whole("period_ms", 100, 10_000, 500);
         double length = root.number("length_s", 1, MOST_SECONDS);
         double settle = root.number("settle_s", 1, MOST_SECONDS, 60);
-        List<Long> offsets = root.numbers("clock_offsets_ms", -MOST_OFFSET, MOST_OFFSET).stream()
-                .map(Double::longValue).toList();
-        List<Integer> drifts = root.numbers("clock_drifts_ppm", -MOST_DRIFT, MOST_DRIFT).stream()
-                .map(Double::intValue).toList();
+        List<Long> offsets =
+                root.numbers("clock_offsets_ms", -MOST_OFFSET, MOST_OFFSET).stream()
+                        .map(Double::longValue)
+                        .toList();
+        List<Integer> drifts =
+                root.numbers("clock_drifts_ppm", -MOST_DRIFT, MOST_DRIFT).stream()
+                        .map(Double::intValue)
+                        .toList();
         String operator = operator(root);
         List<Step> steps = new ArrayList<>();
         for (Table table : root.tables("step")) {
@@ -72,22 +80,39 @@
         }
         root.done();
         document.check();
-        return new Script(copies, nodes, zones, period, Script.nanos(length), Script.nanos(settle), offsets,
-                drifts, operator, steps);
+        return new Script(
+                copies,
+                nodes,
+                zones,
+                period,
+                Script.nanos(length),
+                Script.nanos(settle),
+                offsets,
+                drifts,
+                operator,
+                steps);
     }
 
     /** Tables for each copy's operator's file, held against what such a file may have. */
     private static String operator(Table root) {
         String text = root.text("operator", "");
         Document document = Document.parse("operator", text);
-        document.root().keys().stream().filter(OWN::contains).forEach(name -> root.problem("operator",
-                "a table [" + name + "]", "others: the lab writes this one"));
+        document.root().keys().stream()
+                .filter(OWN::contains)
+                .forEach(
+                        name ->
+                                root.problem(
+                                        "operator",
+                                        "a table [" + name + "]",
+                                        "others: the lab writes this one"));
         try {
             Operator.read(Document.parse("operator", text + MEMBERSHIP));
         } catch (BadFileException e) {
             for (Problem problem : e.problems()) {
-                root.problem("operator", "line " + problem.line() + ", " + problem.key() + ": "
-                        + problem.found(), problem.allowed());
+                root.problem(
+                        "operator",
+                        "line " + problem.line() + ", " + problem.key() + ": " + problem.found(),
+                        problem.allowed());
             }
         }
         return text;
@@ -97,8 +122,10 @@
         double at = table.number("at_s", 0, length);
         Act act = table.choice("do", Act.class, null);
         boolean leader = OF_COPIES.contains(act) && leader(table);
-        List<Integer> whom = OF_COPIES.contains(act) && !leader
-                ? numbers(table, "copies", counts.copies, counts.zones) : List.of();
+        List<Integer> whom =
+                OF_COPIES.contains(act) && !leader
+                        ? numbers(table, "copies", counts.copies, counts.zones)
+                        : List.of();
         Weather weather = Weather.CALM;
         double lasts = 0;
         Mood mood = Mood.WELL;
@@ -107,13 +134,21 @@
         OperatorCall call = null;
         if (act == Act.WEATHER) {
             double[] delay = table.range("delay_ms", 0, MOST_MILLIS, new double[] {0.1, 1});
-            weather = new Weather(table.number("loss", 0, MOST_LOSS, 0), table.number("doubled", 0, 1, 0),
-                    table.number("late", 0, 1, 0), table.number("corrupted", 0, 1, 0),
-                    (long) (delay[0] * MILLION), (long) (delay[1] * MILLION));
+            weather =
+                    new Weather(
+                            table.number("loss", 0, MOST_LOSS, 0),
+                            table.number("doubled", 0, 1, 0),
+                            table.number("late", 0, 1, 0),
+                            table.number("corrupted", 0, 1, 0),
+                            (long) (delay[0] * MILLION),
+                            (long) (delay[1] * MILLION));
         } else if (act == Act.FLOOD) {
             lasts = table.number("length_s", 0.1, MOST_SECONDS);
             if (table.sound("at_s", "length_s") && at + lasts > length) {
-                table.problem("length_s", Double.toString(lasts), "an end before the script's, at " + length);
+                table.problem(
+                        "length_s",
+                        Double.toString(lasts),
+                        "an end before the script's, at " + length);
             }
         } else if (act == Act.NODES) {
             mood = table.choice("mood", Mood.class, null);
@@ -126,7 +161,16 @@
         } else if (act == Act.CALL) {
             call = call(table);
         }
-        return new Step(Script.nanos(at), act, whom, leader, weather, Script.nanos(lasts), mood, which, sides,
+        return new Step(
+                Script.nanos(at),
+                act,
+                whom,
+                leader,
+                weather,
+                Script.nanos(lasts),
+                mood,
+                which,
+                sides,
                 call);
     }
 
@@ -140,16 +184,27 @@
         return leader;
     }
 
-    /** Who is on the other side; nodes are on sides only where whole zones are, and a cut goes both ways. */
+    /**
+     * Who is on the other side; nodes are on sides only where whole zones are, and a cut goes both
+     * ways.
+     */
     private static Sides sides(Table table, Act act, Counts counts) {
         boolean towards = table.has("towards");
-        List<Integer> others = towards ? ofZones(table, "towards", counts.copies, counts.zones) : List.of();
+        List<Integer> others =
+                towards ? ofZones(table, "towards", counts.copies, counts.zones) : List.of();
         if (act != Act.CUT || !table.has("zones")) {
             return new Sides(others, List.of(), List.of());
         }
         List<Integer> nodes = ofZones(table, "zones", counts.nodes, counts.zones);
-        return new Sides(others, nodes, towards ? ofZones(table, "towards", counts.nodes, counts.zones)
-                : IntStream.range(0, counts.nodes).filter(node -> !nodes.contains(node)).boxed().toList());
+        return new Sides(
+                others,
+                nodes,
+                towards
+                        ? ofZones(table, "towards", counts.nodes, counts.zones)
+                        : IntStream.range(0, counts.nodes)
+                                .filter(node -> !nodes.contains(node))
+                                .boxed()
+                                .toList());
     }
 
     private static OperatorCall call(Table table) {
@@ -163,9 +218,13 @@
         }
         String body = table.text("body", "");
         if (!body.matches("[\\x00-\\x7f]{0," + MOST_CALL + "}")) {
-            table.problem("body", Table.shown(body), "ASCII, " + MOST_CALL + " characters at the most");
+            table.problem(
+                    "body", Table.shown(body), "ASCII, " + MOST_CALL + " characters at the most");
         }
-        return new OperatorCall(method, path, body,
+        return new OperatorCall(
+                method,
+                path,
+                body,
                 (int) table.whole("status", LEAST_STATUS, MOST_STATUS, LEAST_STATUS));
     }
 
@@ -182,15 +241,21 @@
 
     private static List<Integer> ofZones(Table table, String key, int count, int zones) {
         List<Integer> chosen = numbers(table, key, zones);
-        return IntStream.range(0, count).filter(number -> chosen.contains(number % zones)).boxed().toList();
+        return IntStream.range(0, count)
+                .filter(number -> chosen.contains(number % zones))
+                .boxed()
+                .toList();
     }
 
     /** Numbers from 0. */
     private static List<Integer> numbers(Table table, String key, int count) {
         List<Double> numbers = table.numbers(key, 0, count - 1);
-        if (table.sound(key) && (numbers.isEmpty() || numbers.stream().anyMatch(n -> n != Math.rint(n)))) {
-            table.problem(key, numbers.toString(), "whole numbers from 0 to " + (count - 1)
-                    + ", one at the least");
+        if (table.sound(key)
+                && (numbers.isEmpty() || numbers.stream().anyMatch(n -> n != Math.rint(n)))) {
+            table.problem(
+                    key,
+                    numbers.toString(),
+                    "whole numbers from 0 to " + (count - 1) + ", one at the least");
         }
         return numbers.stream().map(Double::intValue).toList();
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Service.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Service.java
@@ -18,6 +18,7 @@
 
     /** The time that the site's first class of requests is to be answered in, in nanoseconds. */
     private static final long GOAL = 300_000_000L;
+
     private static final double SECOND = 1e9;
 
     static Service of(List<Event> events) {
@@ -34,14 +35,20 @@
                 case "answered" -> {
                     String status = event.text("status");
                     refused += status.equals("503") || status.equals("429") ? 1 : 0;
-                    failed += status.equals("503") || status.equals("429") || status.equals("200") ? 0 : 1;
-                    late += event.at() - askedAt.getOrDefault(event.text("rpc"), event.at()) > GOAL ? 1 : 0;
+                    failed +=
+                            status.equals("503") || status.equals("429") || status.equals("200")
+                                    ? 0
+                                    : 1;
+                    late +=
+                            event.at() - askedAt.getOrDefault(event.text("rpc"), event.at()) > GOAL
+                                    ? 1
+                                    : 0;
                 }
                 case "removed" -> {
                     removals++;
                     took += event.number("took");
                 }
-                default -> { }
+                default -> {}
             }
         }
         return new Service(refused, failed, late, removals, took / SECOND);
--- a/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
@@ -23,8 +23,8 @@
 /**
  * What the judge says of a history.
  *
- * @param found what is no breach of a rule, and makes the run worth nothing all the same: a copy that
- * crashed, a history with holes
+ * @param found what is no breach of a rule, and makes the run worth nothing all the same: a copy
+ *     that crashed, a history with holes
  * @param events that were judged
  * @param rpcs that were asked
  * @param deaths that a copy found, over pairs
@@ -35,8 +35,17 @@
  * @param tables that there were
  * @param service what callers got
  */
-public record Verdict(List<Breach> breaches, List<String> found, int events, long rpcs, long deaths,
-        double slowestSeconds, long falseDeaths, double agreedSeconds, long leaders, long tables,
+public record Verdict(
+        List<Breach> breaches,
+        List<String> found,
+        int events,
+        long rpcs,
+        long deaths,
+        double slowestSeconds,
+        long falseDeaths,
+        double agreedSeconds,
+        long leaders,
+        long tables,
         Service service) {
 
     private static final long SECOND = 1_000_000_000L;
@@ -46,7 +55,10 @@
     /** What a killed process did so shortly before may be missing from its history. */
     private static final long UNWRITTEN = SECOND;
 
-    /** The oldest word that arrives: the relay keeps one for 0.3 s and a delay, and a machine may be busy. */
+    /**
+     * The oldest word that arrives: the relay keeps one for 0.3 s and a delay, and a machine may be
+     * busy.
+     */
     private static final long UNDER_WAY = SECOND;
 
     /** The rule is 2 s; on the way to a node a call may wait for a busy machine. */
@@ -83,27 +95,66 @@
      * @param period of membership, by which its bounds go; nanoseconds
      * @param within after the faults, in which copies have to agree; nanoseconds
      */
-    public static Verdict of(List<Event> events, long until, long period, long within, List<String> crashes) {
+    public static Verdict of(
+            List<Event> events, long until, long period, long within, List<String> crashes) {
         double scale = period / USUAL;
-        OneAnswer answers = new OneAnswer(Callers.PATIENCE_MILLIS * 1_000_000L, LISTENS, AT_THE_DOOR);
-        TrueDeaths deaths = new TrueDeaths(new TrueDeaths.Bounds((long) (60 * SECOND * scale),
-                (long) (60 * SECOND * scale), (long) (60 * SECOND * scale)));
+        OneAnswer answers =
+                new OneAnswer(Callers.PATIENCE_MILLIS * 1_000_000L, LISTENS, AT_THE_DOOR);
+        TrueDeaths deaths =
+                new TrueDeaths(
+                        new TrueDeaths.Bounds(
+                                (long) (60 * SECOND * scale),
+                                (long) (60 * SECOND * scale),
+                                (long) (60 * SECOND * scale)));
         Views views = new Views(within);
-        List<Breach> breaches = History.judged(events, until, List.of(answers, new OneVoice(), deaths, views,
-                new OneTable(UNWRITTEN), new OneLeader(), new HeldTable(within), new Leases(UNDER_WAY),
-                new ZoneLeft(WINDOW), new ZoneLoad(LOAD), new OutAtOnce(KNOWN), new Drains(STOPS, GRACE),
-                new Estimates(ERROR)));
+        List<Breach> breaches =
+                History.judged(
+                        events,
+                        until,
+                        List.of(
+                                answers,
+                                new OneVoice(),
+                                deaths,
+                                views,
+                                new OneTable(UNWRITTEN),
+                                new OneLeader(),
+                                new HeldTable(within),
+                                new Leases(UNDER_WAY),
+                                new ZoneLeft(WINDOW),
+                                new ZoneLoad(LOAD),
+                                new OutAtOnce(KNOWN),
+                                new Drains(STOPS, GRACE),
+                                new Estimates(ERROR)));
         List<String> found = new ArrayList<>(crashes);
-        events.stream().filter(event -> event.what().equals("lost")).forEach(event -> found.add("copy "
-                + event.copy() + " lost " + event.text("events") + " events of its history"));
-        return new Verdict(breaches, found, events.size(), answers.asked(), deaths.found(),
-                (double) deaths.longestToFind() / SECOND, deaths.falseDeaths(),
-                (double) views.agreedAfter() / SECOND, different(events, "leads", "group", "term"),
-                different(events, "table", "number"), Service.of(events));
+        events.stream()
+                .filter(event -> event.what().equals("lost"))
+                .forEach(
+                        event ->
+                                found.add(
+                                        "copy "
+                                                + event.copy()
+                                                + " lost "
+                                                + event.text("events")
+                                                + " events of its history"));
+        return new Verdict(
+                breaches,
+                found,
+                events.size(),
+                answers.asked(),
+                deaths.found(),
+                (double) deaths.longestToFind() / SECOND,
+                deaths.falseDeaths(),
+                (double) views.agreedAfter() / SECOND,
+                different(events, "leads", "group", "term"),
+                different(events, "table", "number"),
+                Service.of(events));
     }
 
     private static long different(List<Event> events, String what, String... fields) {
-        return events.stream().filter(event -> event.what().equals(what))
-                .map(event -> Arrays.stream(fields).map(event::text).toList()).distinct().count();
+        return events.stream()
+                .filter(event -> event.what().equals(what))
+                .map(event -> Arrays.stream(fields).map(event::text).toList())
+                .distinct()
+                .count();
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The same state machines in virtual time under the same judge: deaths of up to 48 % at once and their
- * return, a cut that leaves two halves and heals, a copy that stands still, one that leaves and comes back.
- * One seed, one history.
+ * The same state machines in virtual time under the same judge: deaths of up to 48 % at once and
+ * their return, a cut that leaves two halves and heals, a copy that stands still, one that leaves
+ * and comes back. One seed, one history.
  */
 public final class VirtualRun {
 
@@ -43,14 +43,15 @@
      *
      * @param settle seconds after the faults in which all have to agree
      */
-    public static Verdict play(int copies, Mesh.Network network, MembershipSettings settings, long seed,
-            int settle) {
+    public static Verdict play(
+            int copies, Mesh.Network network, MembershipSettings settings, long seed, int settle) {
         VirtualRun run = new VirtualRun(copies, network, settings, seed);
         run.faults(copies, new SplittableRandom(seed ^ 0x5eed));
         run.tell(Chronicle.NOBODY, "over", Map.of());
         run.pass(settle);
         run.events.sort(Comparator.comparingLong(Event::at)); // of one instant: as they were told
-        return Verdict.of(run.events, run.mesh.now(), settings.period(), settle * SECOND, List.of());
+        return Verdict.of(
+                run.events, run.mesh.now(), settings.period(), settle * SECOND, List.of());
     }
 
     private void faults(int copies, SplittableRandom random) {
@@ -59,10 +60,11 @@
         while (dead.size() < Math.max(1, (int) (MOST_KILLED * copies))) {
             dead.add(random.nextInt(copies));
         }
-        dead.forEach(copy -> {
-            end(copy);
-            mesh.kill(copy);
-        });
+        dead.forEach(
+                copy -> {
+                    end(copy);
+                    mesh.kill(copy);
+                });
         pass(80 + random.nextInt(20)); // longer than a death may take to be found
         dead.forEach(this::back);
         pass(60);
@@ -128,10 +130,17 @@
         mesh.play(seconds * SECOND);
         for (; told < mesh.changes().size(); told++) {
             Mesh.Change change = mesh.changes().get(told);
-            events.add(new Event(change.at(), change.observer(), life(change.observer()),
-                    change.now().standing().name().toLowerCase(Locale.ROOT),
-                    Map.of("about", Integer.toString(change.now().number()), "number",
-                            Long.toString(change.now().incarnation()))));
+            events.add(
+                    new Event(
+                            change.at(),
+                            change.observer(),
+                            life(change.observer()),
+                            change.now().standing().name().toLowerCase(Locale.ROOT),
+                            Map.of(
+                                    "about",
+                                    Integer.toString(change.now().number()),
+                                    "number",
+                                    Long.toString(change.now().incarnation()))));
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Weather.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Weather.java
@@ -10,7 +10,12 @@
  * @param leastDelay of all, in nanoseconds
  * @param mostDelay the longest but for those that are late; delays are even between the two
  */
-public record Weather(double loss, double doubled, double late, double corrupted, long leastDelay,
+public record Weather(
+        double loss,
+        double doubled,
+        double late,
+        double corrupted,
+        long leastDelay,
         long mostDelay) {
 
     /** Nothing is lost, and what comes takes as long as within a building. */
--- a/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
@@ -19,47 +19,72 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code agreement}: whether copies agree whatever goes wrong, and what it costs them when nothing does. */
-@Command(name = "agreement",
-        description = "Plays agreement in virtual time: what a commit and another leader take "
-                + "and what copies send, or with --storms faults under the judge. Exit code 1 where a rule "
-                + "was broken, or where a commit or a leader did not come.")
+/**
+ * {@code agreement}: whether copies agree whatever goes wrong, and what it costs them when nothing
+ * does.
+ */
+@Command(
+        name = "agreement",
+        description =
+                "Plays agreement in virtual time: what a commit and another leader take and what"
+                    + " copies send, or with --storms faults under the judge. Exit code 1 where a"
+                    + " rule was broken, or where a commit or a leader did not come.")
 final class AgreementCommand implements Callable<Integer> {
 
     private static final long MILLI = 1_000_000L;
     private static final int SHOWN = 10;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Mixin
-    private Seeds seeds = new Seeds();
+    @Mixin private Seeds seeds = new Seeds();
 
     @Option(names = "--storms", description = "Faults drawn from each seed, judged.")
     private boolean storms;
 
-    @Option(names = "--sizes", split = ",", paramLabel = "N", defaultValue = "10,100,1000",
+    @Option(
+            names = "--sizes",
+            split = ",",
+            paramLabel = "N",
+            defaultValue = "10,100,1000",
             description = "Copies; ${DEFAULT-VALUE} where not given.")
     private List<Integer> sizes;
 
-    @Option(names = "--loss", split = ",", paramLabel = "SHARE", defaultValue = "0",
+    @Option(
+            names = "--loss",
+            split = ",",
+            paramLabel = "SHARE",
+            defaultValue = "0",
             description = "Datagrams lost; ${DEFAULT-VALUE} where not given.")
     private List<Double> losses;
 
-    @Option(names = "--bytes", paramLabel = "N", defaultValue = "500",
+    @Option(
+            names = "--bytes",
+            paramLabel = "N",
+            defaultValue = "500",
             description = "What is committed each second; ${DEFAULT-VALUE} where not given.")
     private int bytes;
 
-    @Option(names = "--deaths", paramLabel = "N", defaultValue = "10",
+    @Option(
+            names = "--deaths",
+            paramLabel = "N",
+            defaultValue = "10",
             description = "Leaders killed in each seed; ${DEFAULT-VALUE} where not given.")
     private int deaths;
 
     @Override
     public Integer call() {
-        check(sizes.stream().allMatch(size -> size >= 5 && size <= 5_000), "--sizes", "from 5 to 5000 each");
-        check(losses.stream().allMatch(loss -> loss >= 0 && loss < 1), "--loss", "from 0 to below 1 each");
-        check(bytes >= 8 && bytes <= Agreement.MOST_CONTENT, "--bytes", "from 8 to "
-                + Agreement.MOST_CONTENT);
+        check(
+                sizes.stream().allMatch(size -> size >= 5 && size <= 5_000),
+                "--sizes",
+                "from 5 to 5000 each");
+        check(
+                losses.stream().allMatch(loss -> loss >= 0 && loss < 1),
+                "--loss",
+                "from 0 to below 1 each");
+        check(
+                bytes >= 8 && bytes <= Agreement.MOST_CONTENT,
+                "--bytes",
+                "from 8 to " + Agreement.MOST_CONTENT);
         check(deaths >= 0 && deaths <= 1_000, "--deaths", "from 0 to 1000");
         long[] range = seeds.range(spec);
         PrintWriter out = spec.commandLine().getOut();
@@ -84,38 +109,85 @@
                 unsettled++;
             }
             broken += result.breaches().isEmpty() ? 0 : 1;
-            for (Breach breach : result.breaches().subList(0, Math.min(SHOWN, result.breaches().size()))) {
+            for (Breach breach :
+                    result.breaches().subList(0, Math.min(SHOWN, result.breaches().size()))) {
                 out.println("seed " + seed + ": " + breach);
             }
         }
-        out.println((range[1] - range[0] + 1) + " seeds, " + leaders + " leaders, " + loaded
-                + " times loaded, " + answered + " proposals answered; broken " + broken + ", not settled "
-                + unsettled);
+        out.println(
+                (range[1] - range[0] + 1)
+                        + " seeds, "
+                        + leaders
+                        + " leaders, "
+                        + loaded
+                        + " times loaded, "
+                        + answered
+                        + " proposals answered; broken "
+                        + broken
+                        + ", not settled "
+                        + unsettled);
         return broken + unsettled == 0;
     }
 
     private boolean trials(long[] range, PrintWriter out) {
         List<List<String>> rows = new ArrayList<>();
-        rows.add(List.of("copies", "loss", "seeds", "missed", "commits", "p50 s", "p99 s", "max s", "deaths",
-                "leader p50 s", "p99 s", "max s", "contact p50 s", "p99 s", "max s", "idle bytes/s", "most",
-                "busy bytes/s", "most"));
+        rows.add(
+                List.of(
+                        "copies",
+                        "loss",
+                        "seeds",
+                        "missed",
+                        "commits",
+                        "p50 s",
+                        "p99 s",
+                        "max s",
+                        "deaths",
+                        "leader p50 s",
+                        "p99 s",
+                        "max s",
+                        "contact p50 s",
+                        "p99 s",
+                        "max s",
+                        "idle bytes/s",
+                        "most",
+                        "busy bytes/s",
+                        "most"));
         boolean all = true;
         for (int size : sizes) {
             for (double loss : losses) {
-                Trial trial = new Trial(size, new Copies.Network(loss, 0, 0, 2 * MILLI, 21 * MILLI),
-                        AgreementSettings.DEFAULT, bytes, deaths);
+                Trial trial =
+                        new Trial(
+                                size,
+                                new Copies.Network(loss, 0, 0, 2 * MILLI, 21 * MILLI),
+                                AgreementSettings.DEFAULT,
+                                bytes,
+                                deaths);
                 for (long seed = range[0]; seed <= range[1]; seed++) {
                     trial.play(seed);
                 }
                 Trial.Figures f = trial.figures();
                 all &= f.missed() == 0;
-                rows.add(List.of(Integer.toString(size), figure(loss, 2), Integer.toString(f.seeds()),
-                        Long.toString(f.missed()), Long.toString(f.commits()), figure(f.commitP50(), 2),
-                        figure(f.commitP99(), 2), figure(f.commitMost(), 2), Long.toString(f.deaths()),
-                        figure(f.leaderP50(), 2), figure(f.leaderP99(), 2), figure(f.leaderMost(), 2),
-                        figure(f.ageP50(), 2), figure(f.ageP99(), 2), figure(f.ageMost(), 2),
-                        figure(f.idle(), 0), figure(f.idleMost(), 0), figure(f.busy(), 0),
-                        figure(f.busyMost(), 0)));
+                rows.add(
+                        List.of(
+                                Integer.toString(size),
+                                figure(loss, 2),
+                                Integer.toString(f.seeds()),
+                                Long.toString(f.missed()),
+                                Long.toString(f.commits()),
+                                figure(f.commitP50(), 2),
+                                figure(f.commitP99(), 2),
+                                figure(f.commitMost(), 2),
+                                Long.toString(f.deaths()),
+                                figure(f.leaderP50(), 2),
+                                figure(f.leaderP99(), 2),
+                                figure(f.leaderMost(), 2),
+                                figure(f.ageP50(), 2),
+                                figure(f.ageP99(), 2),
+                                figure(f.ageMost(), 2),
+                                figure(f.idle(), 0),
+                                figure(f.idleMost(), 0),
+                                figure(f.busy(), 0),
+                                figure(f.busyMost(), 0)));
             }
         }
         ResultText.table(rows).forEach(out::println);
--- a/lab/src/main/java/cedarrudder/lab/command/Beside.java
+++ b/lab/src/main/java/cedarrudder/lab/command/Beside.java
@@ -20,7 +20,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Runs of the emulator beside the model's of the same scenario and seeds, as an experiment's results. */
+/**
+ * Runs of the emulator beside the model's of the same scenario and seeds, as an experiment's
+ * results.
+ */
 final class Beside {
 
     private static final String MODEL = "model";
@@ -40,32 +43,60 @@
     void add(Emulated emulated) throws InterruptedException {
         RunResult run = emulated.result();
         emulator.add(run.as(emulated.own().ranLate() ? LATE : Emulator.VARIANT));
-        Model.Played played = Play.play(scenario, run.seed(),
-                Play.policy(Rivals.OWN, Tuning.DEFAULTS, null), MODEL, Guard.usual(), judged -> judged);
+        Model.Played played =
+                Play.play(
+                        scenario,
+                        run.seed(),
+                        Play.policy(Rivals.OWN, Tuning.DEFAULTS, null),
+                        MODEL,
+                        Guard.usual(),
+                        judged -> judged);
         model.add(played.result());
     }
 
     /** A line for each seed, and the mean difference of the runs that count. */
     List<String> lines() {
         List<List<String>> rows = new ArrayList<>();
-        rows.add(List.of("seed", "goodput model", "emulator", "difference", "p50 ms", "", "p99 ms", "",
-                "attempts", "", ""));
+        rows.add(
+                List.of(
+                        "seed",
+                        "goodput model",
+                        "emulator",
+                        "difference",
+                        "p50 ms",
+                        "",
+                        "p99 ms",
+                        "",
+                        "attempts",
+                        "",
+                        ""));
         double sum = 0;
         int counted = 0;
         for (int i = 0; i < model.size(); i++) {
             RunResult m = model.get(i);
             RunResult e = emulator.get(i);
             boolean late = e.variant().equals(LATE);
-            rows.add(List.of(Long.toString(m.seed()), figure(m.goodput(), 4), figure(e.goodput(), 4),
-                    figure(e.goodput() - m.goodput(), 4), figure(m.latency().p50(), 1),
-                    figure(e.latency().p50(), 1), figure(m.latency().p99(), 1), figure(e.latency().p99(), 1),
-                    figure(m.attempts(), 3), figure(e.attempts(), 3), late ? "late" : ""));
+            rows.add(
+                    List.of(
+                            Long.toString(m.seed()),
+                            figure(m.goodput(), 4),
+                            figure(e.goodput(), 4),
+                            figure(e.goodput() - m.goodput(), 4),
+                            figure(m.latency().p50(), 1),
+                            figure(e.latency().p50(), 1),
+                            figure(m.latency().p99(), 1),
+                            figure(e.latency().p99(), 1),
+                            figure(m.attempts(), 3),
+                            figure(e.attempts(), 3),
+                            late ? "late" : ""));
             sum += late ? 0 : e.goodput() - m.goodput();
             counted += late ? 0 : 1;
         }
         List<String> lines = new ArrayList<>(ResultText.table(rows));
-        lines.add(counted == 0 ? "no run counts: the machine ran late in all"
-                : "mean difference of " + counted + " runs: " + figure(sum / counted, 4));
+        lines.add(
+                counted == 0
+                        ? "no run counts: the machine ran late in all"
+                        : "mean difference of " + counted + " runs: " + figure(sum / counted, 4));
         return lines;
     }
 
@@ -84,10 +115,19 @@
         }
         long first = model.get(0).seed();
         long last = model.get(model.size() - 1).seed();
-        Manifest manifest = new Manifest(scenario.name(), scenario.about(), "model and emulator",
-                Long.toString(System.currentTimeMillis()), MODEL,
-                List.of(new Manifest.Stage(scenario.name(), scenario.about(), "")), contestants, first, last,
-                List.of(Metric.GOODPUT, Metric.WHOLE, Metric.P50, Metric.P99), true);
+        Manifest manifest =
+                new Manifest(
+                        scenario.name(),
+                        scenario.about(),
+                        "model and emulator",
+                        Long.toString(System.currentTimeMillis()),
+                        MODEL,
+                        List.of(new Manifest.Stage(scenario.name(), scenario.about(), "")),
+                        contestants,
+                        first,
+                        last,
+                        List.of(Metric.GOODPUT, Metric.WHOLE, Metric.P50, Metric.P99),
+                        true);
         try (ResultDirectory results = ResultDirectory.open(folder, manifest)) {
             for (int i = 0; i < model.size(); i++) {
                 results.add(new Runner.Measured(model.get(i), new RunResult.Cost(0, 0, 0)));
--- a/lab/src/main/java/cedarrudder/lab/command/CheckCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/CheckCommand.java
@@ -14,12 +14,12 @@
 import picocli.CommandLine.Spec;
 
 /** {@code check}: reads scenarios and tells everything that is wrong with them. */
-@Command(name = "check",
+@Command(
+        name = "check",
         description = "Reads scenarios and tells all that is wrong with them; plays nothing.")
 final class CheckCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(arity = "1..*", paramLabel = "FILE", description = "Scenarios, TOML.")
     private List<Path> files;
@@ -40,9 +40,17 @@
     }
 
     private static String line(Path file, Scenario scenario) {
-        return file + ": good; tiers " + scenario.tiers().size() + ", classes " + scenario.classes().size()
-                + ", tenants " + scenario.tenants().size() + ", faults " + scenario.faults().size()
-                + (scenario.arrivals().trace().isEmpty() ? ""
-                : ", recorded arrivals " + scenario.arrivals().trace().size());
+        return file
+                + ": good; tiers "
+                + scenario.tiers().size()
+                + ", classes "
+                + scenario.classes().size()
+                + ", tenants "
+                + scenario.tenants().size()
+                + ", faults "
+                + scenario.faults().size()
+                + (scenario.arrivals().trace().isEmpty()
+                        ? ""
+                        : ", recorded arrivals " + scenario.arrivals().trace().size());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
@@ -28,8 +28,11 @@
 import picocli.CommandLine.Spec;
 
 /** {@code cluster}: real copies, faults between them, and the judge. */
-@Command(name = "cluster", description = "Plays a script of faults against copies of the daemon, with "
-        + "a relay between each two, and judges what they wrote. Exit code 1 where a rule was broken.")
+@Command(
+        name = "cluster",
+        description =
+                "Plays a script of faults against copies of the daemon, with a relay between each"
+                        + " two, and judges what they wrote. Exit code 1 where a rule was broken.")
 final class ClusterCommand implements Callable<Integer> {
 
     private static final int MOST_VIRTUAL = 1_000;
@@ -45,69 +48,131 @@
         @Option(names = "--draw", description = "Draws a script from each seed instead.")
         private boolean draw;
 
-        @Option(names = "--virtual", description = "Plays the same state machines in virtual time instead.")
+        @Option(
+                names = "--virtual",
+                description = "Plays the same state machines in virtual time instead.")
         private boolean virtual;
     }
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @ArgGroup(multiplicity = "1")
     private What what;
 
-    @Mixin
-    private Seeds seeds = new Seeds();
+    @Mixin private Seeds seeds = new Seeds();
 
-    @Option(names = "--copies", paramLabel = "N", defaultValue = "5",
-            description = "With --draw: copies, from 3 to 30, with --virtual to 1000; ${DEFAULT-VALUE} where "
-                + "not given.")
+    @Option(
+            names = "--copies",
+            paramLabel = "N",
+            defaultValue = "5",
+            description =
+                    "With --draw: copies, from 3 to 30, with --virtual to 1000; ${DEFAULT-VALUE}"
+                            + " where not given.")
     private int copies;
 
-    @Option(names = "--loss", paramLabel = "SHARE", defaultValue = "0",
+    @Option(
+            names = "--loss",
+            paramLabel = "SHARE",
+            defaultValue = "0",
             description = "With --virtual: datagrams lost; ${DEFAULT-VALUE} where not given.")
     private double loss;
 
-    @Option(names = "--root", paramLabel = "DIR", defaultValue = ".",
+    @Option(
+            names = "--root",
+            paramLabel = "DIR",
+            defaultValue = ".",
             description = "The checkout whose daemon is played; ${DEFAULT-VALUE} where not given.")
     private Path root;
 
-    @Option(names = "--out", paramLabel = "DIR", defaultValue = "out/cluster",
-            description = "Takes histories and logs, a folder a seed; ${DEFAULT-VALUE} where not given.")
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            defaultValue = "out/cluster",
+            description =
+                    "Takes histories and logs, a folder a seed; ${DEFAULT-VALUE} where not given.")
     private Path out;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
         int most = what.virtual ? MOST_VIRTUAL : Script.MOST;
         if (copies < Script.LEAST || copies > most || loss < 0 || loss >= 1) {
-            throw new ParameterException(spec.commandLine(), "--copies: found " + copies + "; allowed: from "
-                    + Script.LEAST + " to " + most + "; --loss: found " + loss
-                    + "; allowed: from 0 to below 1");
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "--copies: found "
+                            + copies
+                            + "; allowed: from "
+                            + Script.LEAST
+                            + " to "
+                            + most
+                            + "; --loss: found "
+                            + loss
+                            + "; allowed: from 0 to below 1");
         }
         Script script = what.file == null ? null : ScriptReader.read(what.file);
         long[] range = seeds.range(spec);
         PrintWriter print = spec.commandLine().getOut();
-        print.printf("%5s %6s %8s %7s %7s %9s %7s %9s %7s %6s  %s%n", "seed", "copies", "events", "RPCs",
-                "deaths", "slowest s", "false", "agreed s", "leaders", "tables", "verdict");
+        print.printf(
+                "%5s %6s %8s %7s %7s %9s %7s %9s %7s %6s  %s%n",
+                "seed",
+                "copies",
+                "events",
+                "RPCs",
+                "deaths",
+                "slowest s",
+                "false",
+                "agreed s",
+                "leaders",
+                "tables",
+                "verdict");
         boolean good = true;
         for (long seed = range[0]; seed <= range[1]; seed++) {
             int playing = script == null ? copies : script.copies();
-            Verdict verdict = what.virtual ? VirtualRun.play(copies,
-                    new Mesh.Network(loss, 100 * MICRO, 2_000 * MICRO), MembershipSettings.DEFAULT, seed,
-                    SETTLE)
-                    : Cluster.play(script == null ? DrawnScript.of(seed, copies) : script, seed,
-                            Place.of(root, out.resolve("seed-" + seed), List.of(), 0, 0));
+            Verdict verdict =
+                    what.virtual
+                            ? VirtualRun.play(
+                                    copies,
+                                    new Mesh.Network(loss, 100 * MICRO, 2_000 * MICRO),
+                                    MembershipSettings.DEFAULT,
+                                    seed,
+                                    SETTLE)
+                            : Cluster.play(
+                                    script == null ? DrawnScript.of(seed, copies) : script,
+                                    seed,
+                                    Place.of(root, out.resolve("seed-" + seed), List.of(), 0, 0));
             good &= verdict.good();
-            print.printf(Locale.ROOT, "%5d %6d %8d %7d %7d %9.1f %7d %9.1f %7d %6d  %s%n", seed, playing,
-                    verdict.events(), verdict.rpcs(), verdict.deaths(), verdict.slowestSeconds(),
-                    verdict.falseDeaths(), verdict.agreedSeconds(), verdict.leaders(), verdict.tables(),
+            print.printf(
+                    Locale.ROOT,
+                    "%5d %6d %8d %7d %7d %9.1f %7d %9.1f %7d %6d  %s%n",
+                    seed,
+                    playing,
+                    verdict.events(),
+                    verdict.rpcs(),
+                    verdict.deaths(),
+                    verdict.slowestSeconds(),
+                    verdict.falseDeaths(),
+                    verdict.agreedSeconds(),
+                    verdict.leaders(),
+                    verdict.tables(),
                     verdict.good() ? "kept" : "BROKEN");
             Service service = verdict.service();
-            print.printf(Locale.ROOT, "      refused %d, failed %d, later than 0.3 s %d", service.refused(),
-                    service.failed(), service.late());
-            print.println(service.removals() == 0 ? ""
-                    : String.format(Locale.ROOT, "; nodes removed in %.1f s", service.removalSeconds()));
-            verdict.breaches().stream().limit(MOST_SHOWN).forEach(breach ->
-                    print.println("      " + breach.rule() + ": " + breach.why()));
+            print.printf(
+                    Locale.ROOT,
+                    "      refused %d, failed %d, later than 0.3 s %d",
+                    service.refused(),
+                    service.failed(),
+                    service.late());
+            print.println(
+                    service.removals() == 0
+                            ? ""
+                            : String.format(
+                                    Locale.ROOT,
+                                    "; nodes removed in %.1f s",
+                                    service.removalSeconds()));
+            verdict.breaches().stream()
+                    .limit(MOST_SHOWN)
+                    .forEach(
+                            breach ->
+                                    print.println("      " + breach.rule() + ": " + breach.why()));
             if (verdict.breaches().size() > MOST_SHOWN) {
                 print.println("      and " + (verdict.breaches().size() - MOST_SHOWN) + " more");
             }
--- a/lab/src/main/java/cedarrudder/lab/command/CorrelateCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/CorrelateCommand.java
@@ -11,12 +11,15 @@
 import picocli.CommandLine.Spec;
 
 /** Tells whether two sources rank variants alike: the model and another simulator, say. */
-@Command(name = "correlate", description = {"Tells whether two files of means rank variants alike.",
-    "Each has the columns variant, kind and mean; rows are matched by variant and kind."})
+@Command(
+        name = "correlate",
+        description = {
+            "Tells whether two files of means rank variants alike.",
+            "Each has the columns variant, kind and mean; rows are matched by variant and kind."
+        })
 public final class CorrelateCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(index = "0", paramLabel = "A.csv", description = "The means of one source.")
     private Path first;
--- a/lab/src/main/java/cedarrudder/lab/command/DemoCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/DemoCommand.java
@@ -21,9 +21,12 @@
 import picocli.CommandLine.Spec;
 
 /** {@code demo}: half a minute of all of it on sockets. */
-@Command(name = "demo", description = "Starts discovery, three tiers and a daemon for each caller on "
-        + "loopback, loads them for half a minute with a node killed and one turned slow, and ends all that "
-        + "it started.")
+@Command(
+        name = "demo",
+        description =
+                "Starts discovery, three tiers and a daemon for each caller on loopback, loads them"
+                    + " for half a minute with a node killed and one turned slow, and ends all that"
+                    + " it started.")
 final class DemoCommand implements Callable<Integer> {
 
     private static final Path SCENARIO = Path.of("lab", "scenarios", "hut.toml");
@@ -31,18 +34,25 @@
     private static final int SOCKETS = 1024;
     private static final long MICROS = 1_000_000L;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--root", paramLabel = "DIR", defaultValue = ".",
-            description = "The checkout whose daemon is run; the working directory where not given.")
+    @Option(
+            names = "--root",
+            paramLabel = "DIR",
+            defaultValue = ".",
+            description =
+                    "The checkout whose daemon is run; the working directory where not given.")
     private Path root;
 
-    @Option(names = "--scenario", paramLabel = "FILE",
+    @Option(
+            names = "--scenario",
+            paramLabel = "FILE",
             description = "Plays another scenario than lab/scenarios/hut.toml.")
     private Path file;
 
-    @Option(names = "--seed", paramLabel = "N",
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
             description = "The run's seed; from the clock where not given.")
     private Long seed;
 
@@ -52,14 +62,22 @@
         Scenario scenario = ScenarioReader.read(file != null ? file : root.resolve(SCENARIO));
         long chosen = seed != null ? seed : System.currentTimeMillis() % MICROS;
         Path folder = Files.createTempDirectory("cedarrudder-demo");
-        out.println("starting discovery, " + scenario.tiers().size() + " tiers and their daemons (seed "
-                + chosen + ")");
+        out.println(
+                "starting discovery, "
+                        + scenario.tiers().size()
+                        + " tiers and their daemons (seed "
+                        + chosen
+                        + ")");
         out.flush();
-        Emulated emulated = Emulator.play(scenario, chosen, Place.of(root, folder, List.of(), MEMORY_MB,
-                SOCKETS), second -> {
-            out.println(EmulateCommand.line(second));
-            out.flush();
-        });
+        Emulated emulated =
+                Emulator.play(
+                        scenario,
+                        chosen,
+                        Place.of(root, folder, List.of(), MEMORY_MB, SOCKETS),
+                        second -> {
+                            out.println(EmulateCommand.line(second));
+                            out.flush();
+                        });
         Beside beside = new Beside(scenario);
         beside.add(emulated);
         Path page = beside.write(folder.resolve("results"));
@@ -73,23 +91,46 @@
         RunResult result = emulated.result();
         long inAim = result.classes().stream().mapToLong(RunResult.ClassResult::inAim).sum();
         long late = result.classes().stream().mapToLong(RunResult.ClassResult::late).sum();
-        result.faults().forEach(fault -> out.println(String.format(Locale.ROOT,
-                "fault:    %s in %s from %.1f to %.1f s", fault.trouble().toLowerCase(Locale.ROOT),
-                fault.tier(), fault.from(), fault.to())));
-        out.println(String.format(Locale.ROOT, "served:   %d of %d requests, %d of them in time",
-                inAim + late, result.requests(), inAim));
-        out.println(String.format(Locale.ROOT, "latency:  p50 %.1f ms, p99 %.1f ms", result.latency().p50(),
-                result.latency().p99()));
-        out.println(String.format(Locale.ROOT, "attempts: %.3f a request over all tiers", result.attempts()));
+        result.faults()
+                .forEach(
+                        fault ->
+                                out.println(
+                                        String.format(
+                                                Locale.ROOT,
+                                                "fault:    %s in %s from %.1f to %.1f s",
+                                                fault.trouble().toLowerCase(Locale.ROOT),
+                                                fault.tier(),
+                                                fault.from(),
+                                                fault.to())));
+        out.println(
+                String.format(
+                        Locale.ROOT,
+                        "served:   %d of %d requests, %d of them in time",
+                        inAim + late,
+                        result.requests(),
+                        inAim));
+        out.println(
+                String.format(
+                        Locale.ROOT,
+                        "latency:  p50 %.1f ms, p99 %.1f ms",
+                        result.latency().p50(),
+                        result.latency().p99()));
+        out.println(
+                String.format(
+                        Locale.ROOT, "attempts: %.3f a request over all tiers", result.attempts()));
         out.println("rules:    " + (result.breaches().isEmpty() ? "kept" : "broken"));
         result.breaches().forEach(breach -> out.println("          " + ResultText.breach(breach)));
         if (!result.finding().isEmpty()) {
             out.println("ended:    " + result.finding());
         }
         if (emulated.own().ranLate()) {
-            out.println(String.format(Locale.ROOT, "NOTE:     this machine ran late (p99 %.1f ms, at most "
-                    + "%.1f); the figures tell little about the daemon", emulated.own().p99(),
-                    emulated.own().most()));
+            out.println(
+                    String.format(
+                            Locale.ROOT,
+                            "NOTE:     this machine ran late (p99 %.1f ms, at most "
+                                    + "%.1f); the figures tell little about the daemon",
+                            emulated.own().p99(),
+                            emulated.own().most()));
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/command/Errors.java
+++ b/lab/src/main/java/cedarrudder/lab/command/Errors.java
@@ -10,17 +10,24 @@
 /** Errors of the file system in words; Java's own messages are often the file's name alone. */
 final class Errors {
 
-    private Errors() { }
+    private Errors() {}
 
     static String told(IOException error) {
         if (!(error instanceof FileSystemException at)) {
             return String.valueOf(error.getMessage());
         }
-        String what = error instanceof NoSuchFileException ? "no such file"
-                : error instanceof AccessDeniedException ? "not allowed"
-                : error instanceof FileAlreadyExistsException ? "a file is in its place"
-                : error instanceof NotDirectoryException ? "no directory"
-                : at.getReason() != null ? at.getReason() : "can't be used";
+        String what =
+                error instanceof NoSuchFileException
+                        ? "no such file"
+                        : error instanceof AccessDeniedException
+                                ? "not allowed"
+                                : error instanceof FileAlreadyExistsException
+                                        ? "a file is in its place"
+                                        : error instanceof NotDirectoryException
+                                                ? "no directory"
+                                                : at.getReason() != null
+                                                        ? at.getReason()
+                                                        : "can't be used";
         return at.getFile() + ": " + what;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/command/ExperimentCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ExperimentCommand.java
@@ -31,39 +31,52 @@
 import picocli.CommandLine.Spec;
 
 /** Makes the runs of a plan that its directory of results lacks. */
-@Command(name = "experiment", description = {"Makes the runs of a plan: scenarios x variants x seeds.",
-    "Where DIR has some of them, the others are made."})
+@Command(
+        name = "experiment",
+        description = {
+            "Makes the runs of a plan: scenarios x variants x seeds.",
+            "Where DIR has some of them, the others are made."
+        })
 public final class ExperimentCommand implements Callable<Integer> {
 
     private static final int DONE = 0;
     private static final int FAILED = 1;
     private static final int BAD_USAGE = 2;
+
     /** Guards against a disk that hangs and keeps a program that should end. */
     private static final long CLOSE_SECONDS = 10;
+
     private static final boolean TERMINAL = System.console() != null;
     private static final long SCREEN_EVERY = TimeUnit.MILLISECONDS.toNanos(200);
     private static final long LINE_EVERY = TimeUnit.SECONDS.toNanos(10);
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "PLAN", description = "The plan, a TOML file.")
     private Path file;
 
-    @Option(names = "--out", paramLabel = "DIR", required = true,
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            required = true,
             description = "The directory of the results.")
     private Path folder;
 
-    @Option(names = "--threads", paramLabel = "N", defaultValue = "1",
+    @Option(
+            names = "--threads",
+            paramLabel = "N",
+            defaultValue = "1",
             description = "Runs made at the same time; results don't depend on it. Default: 1.")
     private int threads;
 
-    @Option(names = "--strict", description = "Exit with 1 where a run broke a rule or was ended early.")
+    @Option(
+            names = "--strict",
+            description = "Exit with 1 where a run broke a rule or was ended early.")
     private boolean strict;
 
     /**
-     * 0 when all runs are there; 1 when one is missing, can't be written, or in strict mode broke a rule; 2
-     * for a bad plan or a directory of something else.
+     * 0 when all runs are there; 1 when one is missing, can't be written, or in strict mode broke a
+     * rule; 2 for a bad plan or a directory of something else.
      */
     @Override
     public Integer call() {
@@ -76,8 +89,9 @@
             List<String> policies = new ArrayList<>(Rivals.names());
             policies.addAll(Rivals.brokenNames());
             Plan plan = PlanReader.read(file, policies, ScenarioReader::read);
-            Manifest manifest = Manifest.of(plan, CodeHash.of(CodeHash.class, PlanReader.class,
-                    Balancer.class));
+            Manifest manifest =
+                    Manifest.of(
+                            plan, CodeHash.of(CodeHash.class, PlanReader.class, Balancer.class));
             CountDownLatch closed = new CountDownLatch(1);
             try (ResultDirectory directory = ResultDirectory.open(folder, manifest)) {
                 return run(plan, directory, errors, closed);
@@ -91,8 +105,11 @@
             errors.println("experiment: " + e.getMessage());
             return BAD_USAGE;
         } catch (IOException e) {
-            errors.println("experiment: " + Errors.told(e) + ". Finished runs are kept; mend the cause and"
-                    + " run the same command to go on.");
+            errors.println(
+                    "experiment: "
+                            + Errors.told(e)
+                            + ". Finished runs are kept; mend the cause and"
+                            + " run the same command to go on.");
             return FAILED;
         }
     }
@@ -100,34 +117,57 @@
     private int run(Plan plan, ResultDirectory directory, PrintWriter errors, CountDownLatch closed)
             throws IOException {
         Experiment experiment = new Experiment(plan, runner(plan), threads, progress(errors));
-        // SIGINT and SIGTERM run this: results that are finished get to the disk before the program ends.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            experiment.stop();
-            try {
-                closed.await(CLOSE_SECONDS, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "interrupt"));
+        // SIGINT and SIGTERM run this: results that are finished get to the disk before the program
+        // ends.
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    experiment.stop();
+                                    try {
+                                        closed.await(CLOSE_SECONDS, TimeUnit.SECONDS);
+                                    } catch (InterruptedException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                },
+                                "interrupt"));
         int there = directory.size();
-        errors.println((there > 0 ? there + " runs are there; " : "") + "making "
-                + (plan.jobs().size() - there) + " runs, " + threads + " at a time.");
+        errors.println(
+                (there > 0 ? there + " runs are there; " : "")
+                        + "making "
+                        + (plan.jobs().size() - there)
+                        + " runs, "
+                        + threads
+                        + " at a time.");
         errors.flush();
         Experiment.End end = experiment.run(directory);
         if (TERMINAL) {
             errors.println();
         }
         if (end.stopped()) {
-            errors.println("Stopped: " + end.finished() + " of " + end.all() + " runs are in " + folder
-                    + ". Run the same command to go on.");
+            errors.println(
+                    "Stopped: "
+                            + end.finished()
+                            + " of "
+                            + end.all()
+                            + " runs are in "
+                            + folder
+                            + ". Run the same command to go on.");
             errors.flush();
             return FAILED;
         }
-        end.failed().forEach(failure -> errors.println("experiment: the model failed on " + failure));
+        end.failed()
+                .forEach(failure -> errors.println("experiment: the model failed on " + failure));
         long unsound = strict ? unsound() : 0;
-        errors.println(end.finished() + " of " + end.all() + " runs are in " + folder
-                + (unsound > 0 ? "; " + unsound + " broke a rule or were ended early" : "")
-                + ". To see them: lab report " + folder);
+        errors.println(
+                end.finished()
+                        + " of "
+                        + end.all()
+                        + " runs are in "
+                        + folder
+                        + (unsound > 0 ? "; " + unsound + " broke a rule or were ended early" : "")
+                        + ". To see them: lab report "
+                        + folder);
         errors.flush();
         return end.failed().isEmpty() && unsound == 0 ? DONE : FAILED;
     }
@@ -136,13 +176,28 @@
     private static Runner runner(Plan plan) {
         return job -> {
             String name = job.variant().name();
-            Policy policy = Play.policy(job.variant().policy(), job.variant().tuning(),
-                    job.variant().budgets());
+            Policy policy =
+                    Play.policy(
+                            job.variant().policy(),
+                            job.variant().tuning(),
+                            job.variant().budgets());
             try {
-                Model.Played played = plan.measured()
-                        ? Model.run(job.scenario(), job.seed(), policy, name, new Unheard(),
-                                Guard.usual().measuring())
-                        : Play.play(job.scenario(), job.seed(), policy, name, Guard.usual(), trace -> trace);
+                Model.Played played =
+                        plan.measured()
+                                ? Model.run(
+                                        job.scenario(),
+                                        job.seed(),
+                                        policy,
+                                        name,
+                                        new Unheard(),
+                                        Guard.usual().measuring())
+                                : Play.play(
+                                        job.scenario(),
+                                        job.seed(),
+                                        policy,
+                                        name,
+                                        Guard.usual(),
+                                        trace -> trace);
                 return new Runner.Measured(played.result(), played.cost());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -153,7 +208,8 @@
 
     private long unsound() throws IOException {
         return ResultDirectory.read(folder).runs().values().stream()
-                .filter(run -> !run.breaches().isEmpty() || !run.finding().isEmpty()).count();
+                .filter(run -> !run.breaches().isEmpty() || !run.finding().isEmpty())
+                .count();
     }
 
     /** Overwrites one line on a terminal; elsewhere a new line now and then. */
--- a/lab/src/main/java/cedarrudder/lab/command/JudgeCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/JudgeCommand.java
@@ -22,17 +22,22 @@
 import picocli.CommandLine.Spec;
 
 /** {@code judge}: has the referee read a record. */
-@Command(name = "judge", description = "Has the referee read a record of emulate, up to where it was cut "
-        + "off. Exit code 1 where a rule was broken.")
+@Command(
+        name = "judge",
+        description =
+                "Has the referee read a record of emulate, up to where it was cut "
+                        + "off. Exit code 1 where a rule was broken.")
 final class JudgeCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "RECORD", description = "The record, one event a line.")
     private Path record;
 
-    @Option(names = "--scenario", paramLabel = "FILE", required = true,
+    @Option(
+            names = "--scenario",
+            paramLabel = "FILE",
+            required = true,
             description = "The scenario that was played: it has the rules' figures.")
     private Path scenario;
 
@@ -45,8 +50,13 @@
         referee.finish(read.last());
         List<RunResult.Breach> breaches = referee.breaches();
         PrintWriter out = spec.commandLine().getOut();
-        out.println(String.format(Locale.ROOT, "%d events up to %.3f s%s", read.events(), read.last() / 1e9,
-                read.cut() ? "; the last line is cut off" : ""));
+        out.println(
+                String.format(
+                        Locale.ROOT,
+                        "%d events up to %.3f s%s",
+                        read.events(),
+                        read.last() / 1e9,
+                        read.cut() ? "; the last line is cut off" : ""));
         breaches.forEach(breach -> out.println(ResultText.breach(breach)));
         out.println(breaches.isEmpty() ? "rules kept" : "rules broken");
         out.flush();
--- a/lab/src/main/java/cedarrudder/lab/command/Lab.java
+++ b/lab/src/main/java/cedarrudder/lab/command/Lab.java
@@ -10,24 +10,43 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The lab's command line: one class a command. Standard output carries results, standard error all else. Exit
- * codes: 0 done, 1 done with a finding or failed, 2 bad input or usage.
+ * The lab's command line: one class a command. Standard output carries results, standard error all
+ * else. Exit codes: 0 done, 1 done with a finding or failed, 2 bad input or usage.
  */
-@Command(name = "lab", description = "Plays scenarios against policies and tells which serves best.",
+@Command(
+        name = "lab",
+        description = "Plays scenarios against policies and tells which serves best.",
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {CheckCommand.class, ModelCommand.class, ExperimentCommand.class, ReportCommand.class,
-            CorrelateCommand.class, PoliciesCommand.class, AttackCommand.class, BenchmarkCommand.class,
-            MemoryCommand.class, LoadCommand.class, RelayCommand.class, EmulateCommand.class,
-            MembersCommand.class, AgreementCommand.class, FailoverCommand.class, ClusterCommand.class,
+        subcommands = {
+            CheckCommand.class,
+            ModelCommand.class,
+            ExperimentCommand.class,
+            ReportCommand.class,
+            CorrelateCommand.class,
+            PoliciesCommand.class,
+            AttackCommand.class,
+            BenchmarkCommand.class,
+            MemoryCommand.class,
+            LoadCommand.class,
+            RelayCommand.class,
+            EmulateCommand.class,
+            MembersCommand.class,
+            AgreementCommand.class,
+            FailoverCommand.class,
+            ClusterCommand.class,
             JudgeCommand.class,
             DemoCommand.class,
-            OverheadCommand.class, VersionCommand.class})
+            OverheadCommand.class,
+            VersionCommand.class
+        })
 public final class Lab implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = {"-h", "--help"}, usageHelp = true, scope = CommandLine.ScopeType.INHERIT,
+    @Option(
+            names = {"-h", "--help"},
+            usageHelp = true,
+            scope = CommandLine.ScopeType.INHERIT,
             description = "Says this.")
     private boolean help;
 
@@ -37,7 +56,8 @@
 
     /** The command line as {@link #main} runs it. */
     static CommandLine commandLine() {
-        return new CommandLine(new Lab()).setCaseInsensitiveEnumValuesAllowed(true)
+        return new CommandLine(new Lab())
+                .setCaseInsensitiveEnumValuesAllowed(true)
                 .setParameterExceptionHandler(Lab::badUsage)
                 .setExecutionExceptionHandler(Lab::failed);
     }
@@ -54,7 +74,8 @@
         return CommandLine.ExitCode.USAGE;
     }
 
-    private static int failed(Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
+    private static int failed(
+            Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
         if (fault instanceof BadFileException bad) {
             bad.problems().forEach(problem -> command.getErr().println(problem));
             return CommandLine.ExitCode.USAGE;
--- a/lab/src/main/java/cedarrudder/lab/command/MembersCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/MembersCommand.java
@@ -18,47 +18,75 @@
 import picocli.CommandLine.Spec;
 
 /** {@code members}: how soon instances find out which of them died, and what that costs. */
-@Command(name = "members", description = "Plays membership in virtual time: many instances die at once, and "
-        + "each survivor is watched. Exit code 1 where a survivor missed a death.")
+@Command(
+        name = "members",
+        description =
+                "Plays membership in virtual time: many instances die at once, and "
+                        + "each survivor is watched. Exit code 1 where a survivor missed a death.")
 final class MembersCommand implements Callable<Integer> {
 
     private static final long MICRO = 1_000;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Mixin
-    private Seeds seeds = new Seeds();
+    @Mixin private Seeds seeds = new Seeds();
 
-    @Option(names = "--sizes", split = ",", paramLabel = "N", defaultValue = "10,100,500",
+    @Option(
+            names = "--sizes",
+            split = ",",
+            paramLabel = "N",
+            defaultValue = "10,100,500",
             description = "Instances; ${DEFAULT-VALUE} where not given.")
     private List<Integer> sizes;
 
-    @Option(names = "--loss", split = ",", paramLabel = "SHARE", defaultValue = "0,0.1,0.3",
+    @Option(
+            names = "--loss",
+            split = ",",
+            paramLabel = "SHARE",
+            defaultValue = "0,0.1,0.3",
             description = "Messages lost; ${DEFAULT-VALUE} where not given.")
     private List<Double> losses;
 
-    @Option(names = "--dying", paramLabel = "SHARE", defaultValue = "0.48",
+    @Option(
+            names = "--dying",
+            paramLabel = "SHARE",
+            defaultValue = "0.48",
             description = "Instances that die at once; ${DEFAULT-VALUE} where not given.")
     private double dying;
 
-    @Option(names = "--calm", paramLabel = "SECONDS", defaultValue = "60",
+    @Option(
+            names = "--calm",
+            paramLabel = "SECONDS",
+            defaultValue = "60",
             description = "Before that; ${DEFAULT-VALUE} where not given.")
     private double calm;
 
-    @Option(names = "--after", paramLabel = "SECONDS", defaultValue = "60",
+    @Option(
+            names = "--after",
+            paramLabel = "SECONDS",
+            defaultValue = "60",
             description = "After it; ${DEFAULT-VALUE} where not given.")
     private double after;
 
-    @Option(names = "--trouble", split = ",", paramLabel = "KIND",
-            description = "Instead of that, what passes again: ${COMPLETION-CANDIDATES}. "
-                    + "Exit code 1 where not all agree in time after it.")
+    @Option(
+            names = "--trouble",
+            split = ",",
+            paramLabel = "KIND",
+            description =
+                    "Instead of that, what passes again: ${COMPLETION-CANDIDATES}. "
+                            + "Exit code 1 where not all agree in time after it.")
     private List<Trouble.Kind> troubles = List.of();
 
     @Override
     public Integer call() {
-        check(sizes.stream().allMatch(size -> size >= 2 && size <= 5_000), "--sizes", "from 2 to 5000 each");
-        check(losses.stream().allMatch(loss -> loss >= 0 && loss < 1), "--loss", "from 0 to below 1 each");
+        check(
+                sizes.stream().allMatch(size -> size >= 2 && size <= 5_000),
+                "--sizes",
+                "from 2 to 5000 each");
+        check(
+                losses.stream().allMatch(loss -> loss >= 0 && loss < 1),
+                "--loss",
+                "from 0 to below 1 each");
         check(dying >= 0 && dying < 1, "--dying", "from 0 to below 1");
         check(calm > 0 && after > 0, "--calm and --after", "over 0");
         long[] range = seeds.range(spec);
@@ -71,23 +99,43 @@
 
     private int suffer(long[] range) {
         List<List<String>> rows = new ArrayList<>();
-        rows.add(List.of("trouble", "instances", "loss", "seeds", "false deaths", "of those in trouble",
-                "agreed p50 s", "max s", "never", "bytes/s", "most in 1 s"));
+        rows.add(
+                List.of(
+                        "trouble",
+                        "instances",
+                        "loss",
+                        "seeds",
+                        "false deaths",
+                        "of those in trouble",
+                        "agreed p50 s",
+                        "max s",
+                        "never",
+                        "bytes/s",
+                        "most in 1 s"));
         boolean all = true;
         for (Trouble.Kind kind : troubles) {
             for (int size : sizes) {
                 for (double loss : losses) {
-                    Trouble trouble = new Trouble(kind, size, network(loss), MembershipSettings.DEFAULT);
+                    Trouble trouble =
+                            new Trouble(kind, size, network(loss), MembershipSettings.DEFAULT);
                     for (long seed = range[0]; seed <= range[1]; seed++) {
                         trouble.play(seed);
                     }
                     Trouble.Figures f = trouble.figures();
                     all &= f.never() == 0;
-                    rows.add(List.of(kind.toString(), Integer.toString(size), figure(loss, 2),
-                            Integer.toString(f.seeds()), Long.toString(f.falseDeaths()),
-                            Long.toString(f.heldDead()), figure(f.p50(), 1), figure(f.worst(), 1),
-                            Integer.toString(f.never()), figure(f.bytesPerSecond(), 0),
-                            Long.toString(f.mostInSecond())));
+                    rows.add(
+                            List.of(
+                                    kind.toString(),
+                                    Integer.toString(size),
+                                    figure(loss, 2),
+                                    Integer.toString(f.seeds()),
+                                    Long.toString(f.falseDeaths()),
+                                    Long.toString(f.heldDead()),
+                                    figure(f.p50(), 1),
+                                    figure(f.worst(), 1),
+                                    Integer.toString(f.never()),
+                                    figure(f.bytesPerSecond(), 0),
+                                    Long.toString(f.mostInSecond())));
                 }
             }
         }
@@ -103,22 +151,48 @@
 
     private int detect(long[] range) {
         List<List<String>> rows = new ArrayList<>();
-        rows.add(List.of("instances", "loss", "seeds", "unseen", "p50 s", "p99 s", "max s", "false deaths",
-                "bytes/s", "messages/s", "most in 1 s"));
+        rows.add(
+                List.of(
+                        "instances",
+                        "loss",
+                        "seeds",
+                        "unseen",
+                        "p50 s",
+                        "p99 s",
+                        "max s",
+                        "false deaths",
+                        "bytes/s",
+                        "messages/s",
+                        "most in 1 s"));
         boolean all = true;
         for (int size : sizes) {
             for (double loss : losses) {
-                Detection detection = new Detection(size, network(loss), dying, MembershipSettings.DEFAULT,
-                        calm, after);
+                Detection detection =
+                        new Detection(
+                                size,
+                                network(loss),
+                                dying,
+                                MembershipSettings.DEFAULT,
+                                calm,
+                                after);
                 for (long seed = range[0]; seed <= range[1]; seed++) {
                     detection.play(seed);
                 }
                 Detection.Figures f = detection.figures();
                 all &= f.unseen() == 0;
-                rows.add(List.of(Integer.toString(size), figure(loss, 2), Integer.toString(f.seeds()),
-                        f.unseen() + " of " + f.pairs(), figure(f.p50(), 1), figure(f.p99(), 1),
-                        figure(f.most(), 1), Long.toString(f.falseDeaths()), figure(f.bytesPerSecond(), 0),
-                        figure(f.messagesPerSecond(), 1), Long.toString(f.mostInSecond())));
+                rows.add(
+                        List.of(
+                                Integer.toString(size),
+                                figure(loss, 2),
+                                Integer.toString(f.seeds()),
+                                f.unseen() + " of " + f.pairs(),
+                                figure(f.p50(), 1),
+                                figure(f.p99(), 1),
+                                figure(f.most(), 1),
+                                Long.toString(f.falseDeaths()),
+                                figure(f.bytesPerSecond(), 0),
+                                figure(f.messagesPerSecond(), 1),
+                                Long.toString(f.mostInSecond())));
             }
         }
         return print(rows, all);
--- a/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
@@ -36,52 +36,72 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code model}: plays a scenario in virtual time, one run a seed, with the referee on. Results come in the
- * order of seeds and are the same to the byte, whatever the number of threads.
+ * {@code model}: plays a scenario in virtual time, one run a seed, with the referee on. Results
+ * come in the order of seeds and are the same to the byte, whatever the number of threads.
  */
-@Command(name = "model", description = "Plays a scenario in virtual time. Exit code 1 where a run broke a "
-        + "rule or was ended early.")
+@Command(
+        name = "model",
+        description =
+                "Plays a scenario in virtual time. Exit code 1 where a run broke a "
+                        + "rule or was ended early.")
 final class ModelCommand implements Callable<Integer> {
 
     private static final int MOST_THREADS = 256;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "FILE", description = "The scenario, TOML.")
     private Path file;
 
-    @ArgGroup
-    private Seeds seeds = new Seeds();
+    @ArgGroup private Seeds seeds = new Seeds();
 
-    @Option(names = "--policy", paramLabel = "NAME", defaultValue = Rivals.OWN,
-            description = "Who decides; ${DEFAULT-VALUE} where not given. The command policies lists all.")
+    @Option(
+            names = "--policy",
+            paramLabel = "NAME",
+            defaultValue = Rivals.OWN,
+            description =
+                    "Who decides; ${DEFAULT-VALUE} where not given. The command policies lists"
+                            + " all.")
     private String policy;
 
-    @Option(names = "--set", paramLabel = "NAME=VALUE",
+    @Option(
+            names = "--set",
+            paramLabel = "NAME=VALUE",
             description = "Sets a figure of our own decisions; may be given several times.")
     private List<String> figures = List.of();
 
-    @Option(names = "--operator", paramLabel = "FILE",
+    @Option(
+            names = "--operator",
+            paramLabel = "FILE",
             description = "An operator's file; its table [budget] counts at every tier.")
     private Path operator;
 
-    @Option(names = "--threads", paramLabel = "N", defaultValue = "1",
+    @Option(
+            names = "--threads",
+            paramLabel = "N",
+            defaultValue = "1",
             description = "Runs played at once; ${DEFAULT-VALUE} where not given.")
     private int threads;
 
     @Option(names = "--json", description = "Writes results as JSON, one run a line.")
     private boolean json;
 
-    @Option(names = "--trace", paramLabel = "FILE",
-            description = "Writes all events of the run to a file, JSON, one a line; with one seed only.")
+    @Option(
+            names = "--trace",
+            paramLabel = "FILE",
+            description =
+                    "Writes all events of the run to a file, JSON, one a line; with one seed only.")
     private Path trace;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
         long[] range = seeds.range(spec);
         if (threads < 1 || threads > MOST_THREADS) {
-            throw usage("--threads: found " + threads + "; allowed: a number from 1 to " + MOST_THREADS);
+            throw usage(
+                    "--threads: found "
+                            + threads
+                            + "; allowed: a number from 1 to "
+                            + MOST_THREADS);
         }
         if (trace != null && range[0] != range[1]) {
             throw usage("--trace: found several seeds; allowed: one");
@@ -128,12 +148,14 @@
 
     /** What the operator's file says of budgets, for all tiers; null where it says nothing. */
     private TierBudgets budgets(Scenario scenario) throws BadFileException {
-        BudgetSettings set = operator == null ? null : Operator.read(operator).of(BudgetTable.BUDGET);
+        BudgetSettings set =
+                operator == null ? null : Operator.read(operator).of(BudgetTable.BUDGET);
         if (set == null) {
             return null;
         }
         TierBudgets budgets = TierBudgets.everywhere(set);
-        List<String> wrong = budgets.wrongFor(scenario.tiers().stream().map(Scenario.Tier::name).toList());
+        List<String> wrong =
+                budgets.wrongFor(scenario.tiers().stream().map(Scenario.Tier::name).toList());
         if (!wrong.isEmpty()) {
             throw usage("--operator: found " + String.join("; ", wrong));
         }
@@ -143,10 +165,14 @@
     private RunResult run(Scenario scenario, long seed, Policy decides, String variant)
             throws IOException, InterruptedException {
         if (trace == null) {
-            return Play.play(scenario, seed, decides, variant, Guard.usual(), judged -> judged).result();
+            return Play.play(scenario, seed, decides, variant, Guard.usual(), judged -> judged)
+                    .result();
         }
-        return TraceWriter.around(trace, Model.START, seen ->
-                Play.play(scenario, seed, decides, variant, Guard.usual(), seen)).result();
+        return TraceWriter.around(
+                        trace,
+                        Model.START,
+                        seen -> Play.play(scenario, seed, decides, variant, Guard.usual(), seen))
+                .result();
     }
 
     private void print(Scenario scenario, String variant, List<RunResult> results) {
@@ -157,7 +183,8 @@
         }
     }
 
-    private static RunResult result(Future<RunResult> run) throws IOException, InterruptedException {
+    private static RunResult result(Future<RunResult> run)
+            throws IOException, InterruptedException {
         try {
             return run.get();
         } catch (ExecutionException e) {
