--- a/lab/src/main/java/cedarrudder/lab/command/OverheadCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/OverheadCommand.java
@@ -32,12 +32,20 @@
 import picocli.CommandLine.Spec;
 
 /** {@code overhead}: what one daemon on one core costs, beside a relay that reads nothing. */
-@Command(name = "overhead", description = "Measures one daemon on one core beside a bare relay with the same "
-        + "flags and beside no proxy at all, in turns: the greatest rate, and latencies at shares of it.")
+@Command(
+        name = "overhead",
+        description =
+                "Measures one daemon on one core beside a bare relay with the same flags and beside"
+                    + " no proxy at all, in turns: the greatest rate, and latencies at shares of"
+                    + " it.")
 final class OverheadCommand implements Callable<Integer> {
 
     /** What stands between the load and the nodes. */
-    private enum Way { DIRECT, RELAY, DAEMON }
+    private enum Way {
+        DIRECT,
+        RELAY,
+        DAEMON
+    }
 
     private static final int MEMORY_MB = 192;
     private static final double[] SHARES = {0.1, 0.5, 0.8};
@@ -45,10 +53,12 @@
 
     /** Connections come up in it; not counted. */
     private static final double LEAD = 0.7;
+
     private static final double REACH_SECONDS = 2;
     private static final int READY_TRIES = 1500;
     private static final int READY_MILLIS = 20;
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"balancers": 1, "ordinal": 0, "layer": 0, "tiers": ["one"], "zone": 0, "localities": ["room"],
              "kinds": ["standard"], "discovery": "ask",
              "request-classes": [{"name": "look", "idempotency": "retryable", "key-scope": "all",
@@ -71,43 +81,75 @@
         }
     }
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--root", paramLabel = "DIR", defaultValue = ".",
-            description = "The checkout whose daemon is run; the working directory where not given.")
+    @Option(
+            names = "--root",
+            paramLabel = "DIR",
+            defaultValue = ".",
+            description =
+                    "The checkout whose daemon is run; the working directory where not given.")
     private Path root;
 
-    @Option(names = "--cpu", paramLabel = "N", required = true, description = "The processor of daemon and "
-            + "relay; keep this command itself off it with taskset.")
+    @Option(
+            names = "--cpu",
+            paramLabel = "N",
+            required = true,
+            description =
+                    "The processor of daemon and "
+                            + "relay; keep this command itself off it with taskset.")
     private int cpu;
 
-    @Option(names = "--connections", paramLabel = "N", defaultValue = "32",
+    @Option(
+            names = "--connections",
+            paramLabel = "N",
+            defaultValue = "32",
             description = "Connections of callers; ${DEFAULT-VALUE} where not given.")
     private int connections;
 
-    @Option(names = "--nodes", paramLabel = "N", defaultValue = "4",
+    @Option(
+            names = "--nodes",
+            paramLabel = "N",
+            defaultValue = "4",
             description = "Nodes behind the daemon; ${DEFAULT-VALUE} where not given.")
     private int nodeCount;
 
-    @Option(names = "--rounds", paramLabel = "N", defaultValue = "3",
+    @Option(
+            names = "--rounds",
+            paramLabel = "N",
+            defaultValue = "3",
             description = "Turns; figures are their medians; ${DEFAULT-VALUE} where not given.")
     private int rounds;
 
-    @Option(names = "--seconds", paramLabel = "N", defaultValue = "3",
+    @Option(
+            names = "--seconds",
+            paramLabel = "N",
+            defaultValue = "3",
             description = "Length of each run; ${DEFAULT-VALUE} where not given.")
     private double seconds;
 
-    @Option(names = "--compiler", paramLabel = "WHICH", defaultValue = "platform", description = "platform: "
-            + "the flags of the deploy file; default: the same without the bound on the compiler.")
+    @Option(
+            names = "--compiler",
+            paramLabel = "WHICH",
+            defaultValue = "platform",
+            description =
+                    "platform: the flags of the deploy file; default: the same without the bound on"
+                            + " the compiler.")
     private Compiler compiler;
 
-    @Option(names = "--sockets", paramLabel = "N", defaultValue = "1024",
-            description = "Descriptors of the daemon at the most; ${DEFAULT-VALUE} where not given.")
+    @Option(
+            names = "--sockets",
+            paramLabel = "N",
+            defaultValue = "1024",
+            description =
+                    "Descriptors of the daemon at the most; ${DEFAULT-VALUE} where not given.")
     private int sockets;
 
     /** Which flags the virtual machines get. */
-    enum Compiler { PLATFORM, DEFAULT }
+    enum Compiler {
+        PLATFORM,
+        DEFAULT
+    }
 
     @Override
     public Integer call() throws IOException, InterruptedException {
@@ -115,7 +157,8 @@
         Place place = Place.of(root, folder, List.of(cpu), MEMORY_MB, sockets);
         List<Supervised> started = new ArrayList<>();
         try (StandIn nodes = new StandIn("127.0.0.1", nodeCount, 200, 2);
-                Port daemonAt = Port.hold("127.0.0.2"); Port relayAt = Port.hold("127.0.0.3")) {
+                Port daemonAt = Port.hold("127.0.0.2");
+                Port relayAt = Port.hold("127.0.0.3")) {
             Supervised daemon = daemon(place, folder, nodes, daemonAt);
             started.add(daemon);
             started.add(relay(place, folder, nodes, relayAt));
@@ -152,8 +195,10 @@
                         new Saturation(options(targets.get(way), "1@1")).reach(0.2, REACH_SECONDS);
                 greatest.get(way)[round] = reached.perSecond();
                 if (way == Way.DAEMON) {
-                    cpuMicros[round] = (daemon.cpuSeconds() - before) * 1e6
-                            / (reached.perSecond() * (REACH_SECONDS + 0.2));
+                    cpuMicros[round] =
+                            (daemon.cpuSeconds() - before)
+                                    * 1e6
+                                    / (reached.perSecond() * (REACH_SECONDS + 0.2));
                 }
                 if (reached.others() > 0) {
                     out.println(way + ": " + reached.others() + " answers were no 200");
@@ -161,28 +206,54 @@
             }
         }
         double top = median(greatest.get(Way.DAEMON));
-        out.println(String.format(Locale.ROOT, "%d connections, %d nodes, %s flags, "
-                + "medians of %d rounds", connections,
-                nodeCount, compiler.name().toLowerCase(Locale.ROOT), rounds));
-        out.println(String.format(Locale.ROOT, "greatest rate: direct %.0f, relay %.0f, daemon %.0f a "
-                + "second; daemon of relay %.2f; %.0f us of processor time an RPC",
-                median(greatest.get(Way.DIRECT)), median(greatest.get(Way.RELAY)), top,
-                top / median(greatest.get(Way.RELAY)),
-                median(cpuMicros)));
+        out.println(
+                String.format(
+                        Locale.ROOT,
+                        "%d connections, %d nodes, %s flags, " + "medians of %d rounds",
+                        connections,
+                        nodeCount,
+                        compiler.name().toLowerCase(Locale.ROOT),
+                        rounds));
+        out.println(
+                String.format(
+                        Locale.ROOT,
+                        "greatest rate: direct %.0f, relay %.0f, daemon %.0f a "
+                                + "second; daemon of relay %.2f; %.0f us of processor time an RPC",
+                        median(greatest.get(Way.DIRECT)),
+                        median(greatest.get(Way.RELAY)),
+                        top,
+                        top / median(greatest.get(Way.RELAY)),
+                        median(cpuMicros)));
         List<List<String>> rows = new ArrayList<>();
-        rows.add(List.of("share", "a second", "way", "p50 us", "p99 us", "p99.9 us", "own error p99 us",
-                "kept"));
+        rows.add(
+                List.of(
+                        "share",
+                        "a second",
+                        "way",
+                        "p50 us",
+                        "p99 us",
+                        "p99.9 us",
+                        "own error p99 us",
+                        "kept"));
         for (double share : SHARES) {
             at(share, top * share, targets, rows);
         }
         ResultText.table(rows).forEach(out::println);
-        out.println(String.format(Locale.ROOT, "daemon: %.1f MiB resident, %d descriptors",
-                daemon.residentKib() / 1024.0, daemon.descriptors()));
+        out.println(
+                String.format(
+                        Locale.ROOT,
+                        "daemon: %.1f MiB resident, %d descriptors",
+                        daemon.residentKib() / 1024.0,
+                        daemon.descriptors()));
         out.flush();
     }
 
-    private void at(double share, double rate, Map<Way, List<InetSocketAddress>> targets,
-            List<List<String>> rows) throws IOException, InterruptedException {
+    private void at(
+            double share,
+            double rate,
+            Map<Way, List<InetSocketAddress>> targets,
+            List<List<String>> rows)
+            throws IOException, InterruptedException {
         Map<Way, Series> series = new EnumMap<>(Way.class);
         for (Way way : Way.values()) {
             series.put(way, new Series());
@@ -190,22 +261,36 @@
         for (int round = 0; round < rounds; round++) {
             for (Way way : Way.values()) {
                 String plan = String.format(Locale.ROOT, "%.1f@%.1f", rate, seconds + LEAD);
-                series.get(way).results.add(new LoadRun(options(targets.get(way), plan), line -> { })
-                        .play(null));
+                series.get(way)
+                        .results
+                        .add(new LoadRun(options(targets.get(way), plan), line -> {}).play(null));
             }
         }
         for (Way way : Way.values()) {
             Series all = series.get(way);
-            rows.add(List.of(figure(share * 100) + " %", figure(rate), way.name().toLowerCase(Locale.ROOT),
-                    micros(all.median(r -> r.latency().p50())), micros(all.median(r -> r.latency().p99())),
-                    micros(all.median(r -> r.latency().p999())), micros(all.median(r -> r.turned().p99())),
-                    all.results.stream().allMatch(LoadResult::kept) ? "yes" : "NO"));
+            rows.add(
+                    List.of(
+                            figure(share * 100) + " %",
+                            figure(rate),
+                            way.name().toLowerCase(Locale.ROOT),
+                            micros(all.median(r -> r.latency().p50())),
+                            micros(all.median(r -> r.latency().p99())),
+                            micros(all.median(r -> r.latency().p999())),
+                            micros(all.median(r -> r.turned().p99())),
+                            all.results.stream().allMatch(LoadResult::kept) ? "yes" : "NO"));
         }
         Series relay = series.get(Way.RELAY);
         Series daemon = series.get(Way.DAEMON);
-        rows.add(List.of("", "", "daemon / relay", ratio(daemon, relay, r -> r.latency().p50()),
-                ratio(daemon, relay, r -> r.latency().p99()), ratio(daemon, relay, r -> r.latency().p999()),
-                "", ""));
+        rows.add(
+                List.of(
+                        "",
+                        "",
+                        "daemon / relay",
+                        ratio(daemon, relay, r -> r.latency().p50()),
+                        ratio(daemon, relay, r -> r.latency().p99()),
+                        ratio(daemon, relay, r -> r.latency().p999()),
+                        "",
+                        ""));
     }
 
     private static String ratio(Series of, Series to, ToDoubleFunction<LoadResult> figure) {
@@ -228,43 +313,90 @@
     }
 
     private Options options(List<InetSocketAddress> targets, String rate) {
-        Traffic traffic = new Traffic(List.of(new Traffic.Kind("look", Effect.SAFE, 1, 10_000)), List.of());
-        return new Options(targets, Rate.parse(rate), LEAD, traffic, true, connections, false, "/api", 0, 2,
-                1, 10);
+        Traffic traffic =
+                new Traffic(List.of(new Traffic.Kind("look", Effect.SAFE, 1, 10_000)), List.of());
+        return new Options(
+                targets,
+                Rate.parse(rate),
+                LEAD,
+                traffic,
+                true,
+                connections,
+                false,
+                "/api",
+                0,
+                2,
+                1,
+                10);
     }
 
     // ---- what is measured ----
 
     private String flags(Place place) {
         String all = place.command().replaceAll("^exec java (.*) -jar .*$", "$1");
-        return compiler == Compiler.PLATFORM ? all
+        return compiler == Compiler.PLATFORM
+                ? all
                 : all.replaceAll("-XX:TieredStopAtLevel=1 |-XX:ReservedCodeCacheSize=\\S+ ?", "");
     }
 
     private Supervised daemon(Place place, Path folder, StandIn nodes, Port at) throws IOException {
         Path file = folder.resolve("daemon.json");
         InetSocketAddress discovery = nodes.discovery();
-        Files.writeString(file, "{\"name\": \"one\", \"listen\": \"" + at.text() + "\", \"discovery\": \""
-                + discovery.getAddress().getHostAddress() + ":" + discovery.getPort()
-                + "\", \"seed\": \"1\", \"limits\": {\"cores\": 1.0, \"memory_mb\": " + MEMORY_MB
-                + ", \"sockets\": " + sockets + "}, \"known\": " + nodes.list()
-                + ", \"settings\": " + SETTINGS + "}");
-        String command = place.command().replaceAll("^exec java .* -jar ", "exec java "
-                + flags(place).replace("\\", "\\\\") + " -jar ");
-        return Supervised.start(pinned(command), place.root(), Map.of("BALANCER_CONFIG", file.toString()),
-                folder.resolve("daemon.log"), sockets);
+        Files.writeString(
+                file,
+                "{\"name\": \"one\", \"listen\": \""
+                        + at.text()
+                        + "\", \"discovery\": \""
+                        + discovery.getAddress().getHostAddress()
+                        + ":"
+                        + discovery.getPort()
+                        + "\", \"seed\": \"1\", \"limits\": {\"cores\": 1.0, \"memory_mb\": "
+                        + MEMORY_MB
+                        + ", \"sockets\": "
+                        + sockets
+                        + "}, \"known\": "
+                        + nodes.list()
+                        + ", \"settings\": "
+                        + SETTINGS
+                        + "}");
+        String command =
+                place.command()
+                        .replaceAll(
+                                "^exec java .* -jar ",
+                                "exec java " + flags(place).replace("\\", "\\\\") + " -jar ");
+        return Supervised.start(
+                pinned(command),
+                place.root(),
+                Map.of("BALANCER_CONFIG", file.toString()),
+                folder.resolve("daemon.log"),
+                sockets);
     }
 
     private Supervised relay(Place place, Path folder, StandIn nodes, Port at) throws IOException {
         // The archive holds the daemon's classes and serves its jar alone.
         String flags = flags(place).replaceAll("-Xshare:\\S+ |-XX:SharedArchiveFile=\\S+ ", "");
-        StringBuilder command = new StringBuilder("exec java ").append(flags).append(" -cp '")
-                .append(System.getProperty("java.class.path")).append("' ").append(Lab.class.getName())
-                .append(" relay ").append(at.text());
-        nodes.nodes().forEach(node -> command.append(' ').append(node.getAddress().getHostAddress())
-                .append(':').append(node.getPort()));
-        return Supervised.start(pinned(command.toString()), Path.of("").toAbsolutePath(), Map.of(),
-                folder.resolve("relay.log"), sockets);
+        StringBuilder command =
+                new StringBuilder("exec java ")
+                        .append(flags)
+                        .append(" -cp '")
+                        .append(System.getProperty("java.class.path"))
+                        .append("' ")
+                        .append(Lab.class.getName())
+                        .append(" relay ")
+                        .append(at.text());
+        nodes.nodes()
+                .forEach(
+                        node ->
+                                command.append(' ')
+                                        .append(node.getAddress().getHostAddress())
+                                        .append(':')
+                                        .append(node.getPort()));
+        return Supervised.start(
+                pinned(command.toString()),
+                Path.of("").toAbsolutePath(),
+                Map.of(),
+                folder.resolve("relay.log"),
+                sockets);
     }
 
     private List<String> pinned(String command) {
@@ -272,7 +404,7 @@
     }
 
     private static void ready(Port port) throws IOException, InterruptedException {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             try (Socket socket = new Socket()) {
                 socket.connect(port.address());
                 return;
--- a/lab/src/main/java/cedarrudder/lab/command/Play.java
+++ b/lab/src/main/java/cedarrudder/lab/command/Play.java
@@ -20,7 +20,7 @@
 /** Plays runs of the model with the referee on, so that no result goes unjudged. */
 final class Play {
 
-    private Play() { }
+    private Play() {}
 
     /** Our own decisions under some figures. */
     private record Own(Tuning tuning, TierBudgets budgets) implements Policy {
@@ -30,7 +30,10 @@
         }
 
         @Override
-        public Balancer create(Balancer.Settings settings, RandomGenerator random, Balancer.Actions actions,
+        public Balancer create(
+                Balancer.Settings settings,
+                RandomGenerator random,
+                Balancer.Actions actions,
                 Truth truth) {
             return new Decide(settings, tuning, random, actions);
         }
@@ -44,7 +47,10 @@
         }
 
         @Override
-        public Balancer create(Balancer.Settings settings, RandomGenerator random, Balancer.Actions actions,
+        public Balancer create(
+                Balancer.Settings settings,
+                RandomGenerator random,
+                Balancer.Actions actions,
                 Truth truth) {
             return of.create(settings, random, actions, truth);
         }
@@ -54,7 +60,8 @@
      * The policy of a name, our own under some figures.
      *
      * @param budgets that its proxies have; null: none
-     * @throws IllegalArgumentException if there is none, or if figures are set for another than our own
+     * @throws IllegalArgumentException if there is none, or if figures are set for another than our
+     *     own
      */
     static Policy policy(String name, Tuning tuning, TierBudgets budgets) {
         if (name.equals(Rivals.OWN)) {
@@ -62,7 +69,8 @@
         }
         Policy rival = Rivals.named(name);
         if (!TuningText.differences(tuning).isEmpty()) {
-            throw new IllegalArgumentException(name + " has no figures to set; only " + Rivals.OWN + " has");
+            throw new IllegalArgumentException(
+                    name + " has no figures to set; only " + Rivals.OWN + " has");
         }
         return budgets == null ? rival : new Budgeted(rival, budgets);
     }
@@ -70,7 +78,9 @@
     /** What results call a policy under some figures: {@code cedarrudder idle-ms=500 budget}. */
     static String variant(String name, Tuning tuning, TierBudgets budgets) {
         String figures = TuningText.differences(tuning);
-        return name + (figures.isEmpty() ? "" : " " + figures) + (budgets == null ? "" : " " + budgets);
+        return name
+                + (figures.isEmpty() ? "" : " " + figures)
+                + (budgets == null ? "" : " " + budgets);
     }
 
     /**
@@ -79,13 +89,26 @@
      * @param seen made around the trace that the referee reads, and given all that goes to it
      * @throws InterruptedException if the calling thread is interrupted; the run is given up
      */
-    static Model.Played play(Scenario scenario, long seed, Policy policy, String variant, Guard guard,
-            UnaryOperator<Trace> seen) throws InterruptedException {
+    static Model.Played play(
+            Scenario scenario,
+            long seed,
+            Policy policy,
+            String variant,
+            Guard guard,
+            UnaryOperator<Trace> seen)
+            throws InterruptedException {
         Judge judge = new Judge(Figures.of(scenario), Model.START);
-        Model.Played played = Model.run(scenario, seed, judge.watched(policy), variant,
-                seen.apply(judge.trace()), guard);
+        Model.Played played =
+                Model.run(
+                        scenario,
+                        seed,
+                        judge.watched(policy),
+                        variant,
+                        seen.apply(judge.trace()),
+                        guard);
         // Guards against reading what a run that had to be left behind may still write to.
-        return played.result().tiers().isEmpty() ? played
+        return played.result().tiers().isEmpty()
+                ? played
                 : new Model.Played(judge.judged(played.result()), played.cost());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/command/PoliciesCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/PoliciesCommand.java
@@ -12,10 +12,11 @@
 @Command(name = "policies", description = "Lists the policies and where each comes from.")
 final class PoliciesCommand implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--broken", description = "Lists those broken on purpose too, which try the referee.")
+    @Option(
+            names = "--broken",
+            description = "Lists those broken on purpose too, which try the referee.")
     private boolean broken;
 
     @Override
@@ -26,8 +27,9 @@
         }
         int width = names.stream().mapToInt(String::length).max().orElse(0);
         for (String name : names) {
-            spec.commandLine().getOut().println(name + " ".repeat(width + 2 - name.length())
-                    + Rivals.source(name));
+            spec.commandLine()
+                    .getOut()
+                    .println(name + " ".repeat(width + 2 - name.length()) + Rivals.source(name));
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/command/RelayCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/RelayCommand.java
@@ -14,17 +14,26 @@
 import picocli.CommandLine.Spec;
 
 /** {@code relay}: passes bytes on and reads nothing in them. */
-@Command(name = "relay", description = "Passes bytes on to targets, one event loop, until it is ended: what "
-        + "a daemon's cost is held against. Prints where it listens.")
+@Command(
+        name = "relay",
+        description =
+                "Passes bytes on to targets, one event loop, until it is ended: what "
+                        + "a daemon's cost is held against. Prints where it listens.")
 final class RelayCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Parameters(index = "0", paramLabel = "LISTEN", description = "Where to listen; port 0 chooses one.")
+    @Parameters(
+            index = "0",
+            paramLabel = "LISTEN",
+            description = "Where to listen; port 0 chooses one.")
     private String listen;
 
-    @Parameters(index = "1..*", arity = "1..*", paramLabel = "TARGET", description = "Where to connect.")
+    @Parameters(
+            index = "1..*",
+            arity = "1..*",
+            paramLabel = "TARGET",
+            description = "Where to connect.")
     private List<String> targets;
 
     @Override
@@ -39,8 +48,9 @@
         }
         try (Relay relay = new Relay(at, to)) {
             InetSocketAddress address = relay.address();
-            spec.commandLine().getOut().println(address.getAddress().getHostAddress() + ":"
-                    + address.getPort());
+            spec.commandLine()
+                    .getOut()
+                    .println(address.getAddress().getHostAddress() + ":" + address.getPort());
             spec.commandLine().getOut().flush();
             new CountDownLatch(1).await();
         }
--- a/lab/src/main/java/cedarrudder/lab/command/ReportCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ReportCommand.java
@@ -18,20 +18,23 @@
 @Command(name = "report", description = "Tells what an experiment came to, as a page or as text.")
 public final class ReportCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "DIR", description = "The directory of the results.")
     private Path folder;
 
-    @Option(names = "--out", paramLabel = "FILE",
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
             description = "Where the page goes; DIR/report.html if left out.")
     private Path out;
 
     @Option(names = "--text", description = "Print tables instead of writing the page.")
     private boolean text;
 
-    @Option(names = "--csv", paramLabel = "METRIC",
+    @Option(
+            names = "--csv",
+            paramLabel = "METRIC",
             description = "Print the means of a metric as CSV instead: ${COMPLETION-CANDIDATES}.")
     private Metric csv;
 
--- a/lab/src/main/java/cedarrudder/lab/command/Seeds.java
+++ b/lab/src/main/java/cedarrudder/lab/command/Seeds.java
@@ -12,11 +12,15 @@
     private static final int MOST_SEEDS = 100_000;
     private static final Pattern SEEDS = Pattern.compile("(\\d{1,18})\\.\\.(\\d{1,18})");
 
-    @Option(names = "--seed", paramLabel = "N",
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
             description = "The seed of one run; 1 where none is given.")
     private Long one;
 
-    @Option(names = "--seeds", paramLabel = "A..B",
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
             description = "The first and the last of several seeds.")
     private String several;
 
@@ -34,7 +38,13 @@
                 return new long[] {first, last};
             }
         }
-        throw new ParameterException(spec.commandLine(), "--seeds: found " + several + "; allowed: two "
-                + "numbers such as 1..20, at most " + MOST_SEEDS + " seeds");
+        throw new ParameterException(
+                spec.commandLine(),
+                "--seeds: found "
+                        + several
+                        + "; allowed: two "
+                        + "numbers such as 1..20, at most "
+                        + MOST_SEEDS
+                        + " seeds");
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/Calls.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Calls.java
@@ -27,9 +27,12 @@
     Calls(Emulation emulation, InetSocketAddress address) {
         this.emulation = emulation;
         this.address = address;
-        this.bootstrap = new Bootstrap().group(emulation.loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+        this.bootstrap =
+                new Bootstrap()
+                        .group(emulation.loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
     }
 
     void send(WireTry what) {
@@ -44,16 +47,22 @@
     /** Sends on a new connection. */
     void sendAnew(WireTry what) {
         Link link = new Link();
-        bootstrap.clone().handler(link).connect(address).addListener(connected ->
-                emulation.time.turn(() -> {
-                    if (!connected.isSuccess()) {
-                        what.unreachable();
-                    } else if (what.wanted()) {
-                        link.send(what);
-                    } else {
-                        idle.add(link);
-                    }
-                }));
+        bootstrap
+                .clone()
+                .handler(link)
+                .connect(address)
+                .addListener(
+                        connected ->
+                                emulation.time.turn(
+                                        () -> {
+                                            if (!connected.isSuccess()) {
+                                                what.unreachable();
+                                            } else if (what.wanted()) {
+                                                link.send(what);
+                                            } else {
+                                                idle.add(link);
+                                            }
+                                        }));
     }
 
     /** A connection, which carries one try at a time. */
@@ -114,22 +123,23 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            emulation.time.turn(() -> {
-                idle.remove(this);
-                WireTry what = current;
-                current = null;
-                if (what == null) {
-                    return;
-                }
-                Message whole = decoder.atEnd();
-                if (whole != null) {
-                    what.answered(whole);
-                } else if (used && !heard) {
-                    what.crossed();
-                } else {
-                    what.broke();
-                }
-            });
+            emulation.time.turn(
+                    () -> {
+                        idle.remove(this);
+                        WireTry what = current;
+                        current = null;
+                        if (what == null) {
+                            return;
+                        }
+                        Message whole = decoder.atEnd();
+                        if (whole != null) {
+                            what.answered(whole);
+                        } else if (used && !heard) {
+                            what.crossed();
+                        } else {
+                            what.broke();
+                        }
+                    });
         }
 
         @Override
--- a/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
@@ -21,15 +21,20 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A proxy that is a process: the built daemon, with the configuration that the platform would give it. */
+/**
+ * A proxy that is a process: the built daemon, with the configuration that the platform would give
+ * it.
+ */
 final class EmulatedProxy extends Proxy {
 
     /** Processes are started, and asked whether they are ready, beside the loop. */
-    private static final ExecutorService BESIDE = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "starter");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private static final ExecutorService BESIDE =
+            Executors.newCachedThreadPool(
+                    task -> {
+                        Thread thread = new Thread(task, "starter");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
 
     private static final int HEALTH_MILLIS = 20;
     private static final long PATIENCE = 30_000_000_000L;
@@ -51,13 +56,15 @@
 
     /** The process of this life; null where there is none. */
     private volatile Supervised process;
+
     private volatile int life;
     private boolean running;
     private boolean leaving;
-    private Runnable whenReady = () -> { };
+    private Runnable whenReady = () -> {};
 
     /** The most that a process of it held. */
     private long mostKib;
+
     private long mostDescriptors;
     private double cpuSeconds;
 
@@ -117,26 +124,48 @@
         lists.known();
         run.trace.proxyStarted(emulation.now(), number, tier);
         lists.tellKnown();
-        BESIDE.execute(() -> {
-            try {
-                Files.writeString(file, configuration);
-                Supervised started = Supervised.start(emulation.place.commandOf(number),
-                        emulation.place.root(), environment(), log, emulation.place.sockets());
-                emulation.loop.execute(() -> started(own, started));
-                boolean healthy = awaitHealth(started);
-                emulation.loop.execute(() -> emulation.time.turn(() -> healthy(own, healthy)));
-            } catch (IOException e) {
-                emulation.loop.execute(() -> emulation.find("proxy " + number + " can't be started: "
-                        + e.getMessage()));
-            }
-        });
+        BESIDE.execute(
+                () -> {
+                    try {
+                        Files.writeString(file, configuration);
+                        Supervised started =
+                                Supervised.start(
+                                        emulation.place.commandOf(number),
+                                        emulation.place.root(),
+                                        environment(),
+                                        log,
+                                        emulation.place.sockets());
+                        emulation.loop.execute(() -> started(own, started));
+                        boolean healthy = awaitHealth(started);
+                        emulation.loop.execute(
+                                () -> emulation.time.turn(() -> healthy(own, healthy)));
+                    } catch (IOException e) {
+                        emulation.loop.execute(
+                                () ->
+                                        emulation.find(
+                                                "proxy "
+                                                        + number
+                                                        + " can't be started: "
+                                                        + e.getMessage()));
+                    }
+                });
     }
 
     private Map<String, String> environment() throws IOException {
-        Path temporary = Files.createDirectories(
-                emulation.place.folder().resolve("tmp-" + number + "-" + life));
-        return Map.of("BALANCER_NAME", name(), "BALANCER_LISTEN", listen.text(), "BALANCER_DISCOVERY",
-                lists.address(), "BALANCER_CONFIG", file.toString(), "TMPDIR", temporary.toString());
+        Path temporary =
+                Files.createDirectories(
+                        emulation.place.folder().resolve("tmp-" + number + "-" + life));
+        return Map.of(
+                "BALANCER_NAME",
+                name(),
+                "BALANCER_LISTEN",
+                listen.text(),
+                "BALANCER_DISCOVERY",
+                lists.address(),
+                "BALANCER_CONFIG",
+                file.toString(),
+                "TMPDIR",
+                temporary.toString());
     }
 
     private String name() {
@@ -147,10 +176,16 @@
         Scenario scenario = run.scenario;
         Balancer.Settings settings = run.world.settings(tier, self, zone);
         long seed = run.streams.seedOf(Streams.Concern.MODULE, (long) number << 32 | life - 1);
-        ObjectNode json = JsonNodeFactory.instance.objectNode().put("name", name())
-                .put("listen", listen.text()).put("discovery", lists.address())
-                .put("seed", Long.toHexString(seed));
-        json.putObject("limits").put("cores", 1.0).put("memory_mb", emulation.place.memoryMb())
+        ObjectNode json =
+                JsonNodeFactory.instance
+                        .objectNode()
+                        .put("name", name())
+                        .put("listen", listen.text())
+                        .put("discovery", lists.address())
+                        .put("seed", Long.toHexString(seed));
+        json.putObject("limits")
+                .put("cores", 1.0)
+                .put("memory_mb", emulation.place.memoryMb())
                 .put("sockets", emulation.place.sockets());
         json.set("known", lists.known());
         json.set("settings", SettingsJson.of(settings, scenario, scenario.tiers().get(tier)));
@@ -160,16 +195,20 @@
     /** Whether it says within its time that it takes RPCs. */
     private boolean awaitHealth(Supervised started) {
         long until = System.nanoTime() + PATIENCE;
-        byte[] ask = "GET /_health HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n"
-                .getBytes(StandardCharsets.US_ASCII);
+        byte[] ask =
+                "GET /_health HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n"
+                        .getBytes(StandardCharsets.US_ASCII);
         while (System.nanoTime() < until && !started.onExit().isDone()) {
             try (Socket socket = new Socket()) {
-                socket.connect(new InetSocketAddress(listen.address().getAddress(),
-                        listen.address().getPort()));
+                socket.connect(
+                        new InetSocketAddress(
+                                listen.address().getAddress(), listen.address().getPort()));
                 socket.setSoTimeout(HEALTH_MILLIS * 10);
                 socket.getOutputStream().write(ask);
-                String first = new String(socket.getInputStream().readNBytes("HTTP/1.1 200".length()),
-                        StandardCharsets.US_ASCII);
+                String first =
+                        new String(
+                                socket.getInputStream().readNBytes("HTTP/1.1 200".length()),
+                                StandardCharsets.US_ASCII);
                 if (first.endsWith(" 200")) {
                     return true;
                 }
@@ -191,8 +230,11 @@
             return;
         }
         process = started;
-        started.onExit().thenAccept(code -> emulation.loop.execute(() ->
-                emulation.time.turn(() -> exited(own, code))));
+        started.onExit()
+                .thenAccept(
+                        code ->
+                                emulation.loop.execute(
+                                        () -> emulation.time.turn(() -> exited(own, code))));
     }
 
     private void healthy(int own, boolean healthy) {
@@ -213,7 +255,13 @@
         if (leaving) {
             start(() -> run.front.take(this));
         } else {
-            emulation.find("proxy " + number + " ended by itself with code " + code + "; its log is " + log);
+            emulation.find(
+                    "proxy "
+                            + number
+                            + " ended by itself with code "
+                            + code
+                            + "; its log is "
+                            + log);
         }
     }
 
@@ -239,8 +287,11 @@
         }
         leaving = true;
         Supervised ending = process;
-        long longest = run.scenario.classes().stream().mapToLong(Scenario.RequestKind::deadline).max()
-                .orElse(0);
+        long longest =
+                run.scenario.classes().stream()
+                        .mapToLong(Scenario.RequestKind::deadline)
+                        .max()
+                        .orElse(0);
         run.front.died(this, LINGER);
         ending.terminate();
         emulation.after(Math.max(longest, 3_000_000_000L) + KILLED_AFTER, ending::kill);
@@ -262,14 +313,22 @@
 
     // ---- what it costs ----
 
-    /** Looks what its process holds; ends the run where that is more than it may. From any thread. */
+    /**
+     * Looks what its process holds; ends the run where that is more than it may. From any thread.
+     */
     synchronized void look(int second, Held held) {
         Supervised now = process;
         if (now == null) {
             return;
         }
-        Held.Sample sample = new Held.Sample(second, number, life, now.residentKib(), now.descriptors(),
-                now.cpuSeconds());
+        Held.Sample sample =
+                new Held.Sample(
+                        second,
+                        number,
+                        life,
+                        now.residentKib(),
+                        now.descriptors(),
+                        now.cpuSeconds());
         if (sample.residentKib() == 0) {
             return; // it ended meanwhile
         }
@@ -280,8 +339,16 @@
         int most = emulation.place.memoryMb();
         if (most > 0 && mostKib > most * KIB_OF_A_MIB) {
             long found = mostKib;
-            emulation.loop.execute(() -> emulation.find("proxy " + number + " held " + found
-                    + " KiB of memory; " + most + " MiB are allowed"));
+            emulation.loop.execute(
+                    () ->
+                            emulation.find(
+                                    "proxy "
+                                            + number
+                                            + " held "
+                                            + found
+                                            + " KiB of memory; "
+                                            + most
+                                            + " MiB are allowed"));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/Emulation.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Emulation.java
@@ -16,12 +16,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One run on sockets: the model's world, by the machine's clock, with processes in the place of its proxies.
- * All of it happens on one loop but for the starting of processes.
+ * One run on sockets: the model's world, by the machine's clock, with processes in the place of its
+ * proxies. All of it happens on one loop but for the starting of processes.
  */
 final class Emulation implements Run.Cast {
 
-    /** The agenda's clock starts so long before the run; the rest is skipped when all proxies are ready. */
+    /**
+     * The agenda's clock starts so long before the run; the rest is skipped when all proxies are
+     * ready.
+     */
     static final long PRELUDE = 120_000_000_000L;
 
     /** What is left of the prelude when the rest was skipped, and is caught up with. */
@@ -59,7 +62,13 @@
     private int starting;
     private long ids;
 
-    Emulation(Scenario scenario, long seed, String variant, Trace trace, Place place, EventLoop loop) {
+    Emulation(
+            Scenario scenario,
+            long seed,
+            String variant,
+            Trace trace,
+            Place place,
+            EventLoop loop) {
         this.loop = loop;
         this.place = place;
         this.trace = new Settled(trace);
@@ -81,24 +90,27 @@
     /** Puts all in place and starts the processes; on the loop. */
     void begin() {
         time.begin(run.agenda);
-        time.turn(() -> {
-            starting = 1;
-            run.begin();
-            wires.schedule();
-            started();
-        });
+        time.turn(
+                () -> {
+                    starting = 1;
+                    run.begin();
+                    wires.schedule();
+                    started();
+                });
     }
 
     /** Clients come now. */
     void play() {
         after(run.until - now(), () -> over.complete(null));
         after(Model.START + run.scenario.run().lead() - now(), time::measureAnew);
-        time.skipTo(Model.START - SETTLING, () -> {
-            // Nodes catch up with their reports of the time that was skipped.
-            for (int tier = 0; tier < run.world.tiers.size(); tier++) {
-                run.nodesOf(tier).forEach(Node::advance);
-            }
-        });
+        time.skipTo(
+                Model.START - SETTLING,
+                () -> {
+                    // Nodes catch up with their reports of the time that was skipped.
+                    for (int tier = 0; tier < run.world.tiers.size(); tier++) {
+                        run.nodesOf(tier).forEach(Node::advance);
+                    }
+                });
     }
 
     /** A proxy is being started. */
@@ -121,12 +133,14 @@
 
     /** Does something later, on the run's clock. */
     void after(long delay, Runnable what) {
-        run.agenda.at(now() + delay, new Task() {
-            @Override
-            protected void run() {
-                what.run();
-            }
-        });
+        run.agenda.at(
+                now() + delay,
+                new Task() {
+                    @Override
+                    protected void run() {
+                        what.run();
+                    }
+                });
     }
 
     @Override
@@ -154,7 +168,11 @@
 
     /** An address that is reserved for what one proxy reaches. {@code place}: from 1 on. */
     static String host(int proxy, int place) {
-        return "127." + (64 + proxy / PROXIES_OF_A_BLOCK) + '.' + (1 + proxy % PROXIES_OF_A_BLOCK) + '.'
+        return "127."
+                + (64 + proxy / PROXIES_OF_A_BLOCK)
+                + '.'
+                + (1 + proxy % PROXIES_OF_A_BLOCK)
+                + '.'
                 + (1 + (place - 1) % PROXIES_OF_A_BLOCK);
     }
 
@@ -168,7 +186,9 @@
     /** A request is on the wire, and may reach nodes from now on. */
     void onTheWire(WireTry what) {
         tries.put(what.id(), what);
-        after(Math.max(0, what.what().deadline() - now()) + MEMORY, () -> tries.remove(what.id(), what));
+        after(
+                Math.max(0, what.what().deadline() - now()) + MEMORY,
+                () -> tries.remove(what.id(), what));
     }
 
     /** The request of an id; null where no caller sent one lately. */
--- a/lab/src/main/java/cedarrudder/lab/emulator/Emulator.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Emulator.java
@@ -23,9 +23,10 @@
 import java.util.function.Consumer;
 
 /**
- * Plays a scenario in real time on loopback sockets: the model's clients, nodes, faults and discovery, and
- * the built daemon as a process for each proxy. Scenario and seed give the world, the arrivals and the
- * faults, as in the model; what the daemons do, and so the result, differs a little from run to run.
+ * Plays a scenario in real time on loopback sockets: the model's clients, nodes, faults and
+ * discovery, and the built daemon as a process for each proxy. Scenario and seed give the world,
+ * the arrivals and the faults, as in the model; what the daemons do, and so the result, differs a
+ * little from run to run.
  */
 public final class Emulator {
 
@@ -35,15 +36,28 @@
     /** Clients come after this long though not all proxies are ready. */
     private static final long READY_SECONDS = 30;
 
-    /** The run is marked as late when one in a hundred events came later, or one much later; milliseconds. */
+    /**
+     * The run is marked as late when one in a hundred events came later, or one much later;
+     * milliseconds.
+     */
     private static final double LATE_P99 = 5;
+
     private static final double LATE_MOST = 100;
 
     /** A second as clients saw it. */
-    public record Second(int second, long tries, long served, long refused, long other, double p50Millis,
-            double p99Millis, int proxiesUp, int nodesUp, int nodes) { }
+    public record Second(
+            int second,
+            long tries,
+            long served,
+            long refused,
+            long other,
+            double p50Millis,
+            double p99Millis,
+            int proxiesUp,
+            int nodesUp,
+            int nodes) {}
 
-    private Emulator() { }
+    private Emulator() {}
 
     /**
      * Plays a run to its end and ends all processes that it started.
@@ -56,19 +70,31 @@
             throws IOException, InterruptedException {
         Path record = place.folder().resolve("record.jsonl");
         NioEventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("emulator"));
-        try (OutputStream out = new BufferedOutputStream(
-                new WrittenAside(Files.newOutputStream(record)), 1 << 16)) {
+        try (OutputStream out =
+                new BufferedOutputStream(
+                        new WrittenAside(Files.newOutputStream(record)), 1 << 16)) {
             Referee referee = new Referee(figures(scenario), Model.START);
             TraceWriter writer = new TraceWriter(out, Model.START, referee);
-            Emulation emulation = new Emulation(scenario, seed, VARIANT, writer, place, group.next());
+            Emulation emulation =
+                    new Emulation(scenario, seed, VARIANT, writer, place, group.next());
             Thread hook = new Thread(() -> killAll(emulation), "end-of-emulator");
             Runtime.getRuntime().addShutdownHook(hook);
             try {
                 Held held = new Held();
                 double readySeconds = await(emulation, held, live);
                 held.write(place.folder().resolve("held.jsonl"));
-                Emulated emulated = emulation.loop.submit(() ->
-                        result(emulation, referee, readySeconds, held, record)).get();
+                Emulated emulated =
+                        emulation
+                                .loop
+                                .submit(
+                                        () ->
+                                                result(
+                                                        emulation,
+                                                        referee,
+                                                        readySeconds,
+                                                        held,
+                                                        record))
+                                .get();
                 writer.finish();
                 return emulated;
             } catch (ExecutionException e) {
@@ -83,11 +109,19 @@
         }
     }
 
-    /** The figures by which records of the emulator are judged: limits grow by what sockets may disorder. */
+    /**
+     * The figures by which records of the emulator are judged: limits grow by what sockets may
+     * disorder.
+     */
     public static Figures figures(Scenario scenario) {
         Figures plain = Figures.of(scenario);
-        return new Figures(plain.answerGrace() + Settled.HOLD, plain.drainGrace() + Settled.HOLD,
-                plain.fallMultiple(), plain.fallWindow(), plain.secondCopies(), plain.attempts());
+        return new Figures(
+                plain.answerGrace() + Settled.HOLD,
+                plain.drainGrace() + Settled.HOLD,
+                plain.fallMultiple(),
+                plain.fallWindow(),
+                plain.secondCopies(),
+                plain.attempts());
     }
 
     private static void unhook(Thread hook) {
@@ -111,7 +145,8 @@
                 try {
                     process.end();
                 } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt(); // its shell ends it when this process has ended
+                    Thread.currentThread()
+                            .interrupt(); // its shell ends it when this process has ended
                 }
             }
         }
@@ -124,7 +159,8 @@
         emulation.loop.execute(emulation::begin);
         Warm.up();
         try {
-            CompletableFuture.anyOf(emulation.ready, emulation.over).get(READY_SECONDS, TimeUnit.SECONDS);
+            CompletableFuture.anyOf(emulation.ready, emulation.over)
+                    .get(READY_SECONDS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
             // clients come all the same
         }
@@ -152,20 +188,32 @@
         int nodes = 0;
         for (int tier = 0; tier < emulation.run().world.tiers.size(); tier++) {
             nodes += emulation.run().nodesOf(tier).size();
-            up += (int) emulation.run().nodesOf(tier).stream().filter(n -> n.up() && n.hears()).count();
+            up +=
+                    (int)
+                            emulation.run().nodesOf(tier).stream()
+                                    .filter(n -> n.up() && n.hears())
+                                    .count();
         }
         long served = seen.ends[Caller.End.SERVED.ordinal()];
         long refused = seen.ends[Caller.End.REFUSED.ordinal()];
-        Second second = new Second(number, seen.tries, served, refused, seen.tries - served - refused,
-                seen.latency.getValueAtPercentile(50) / 1000.0,
-                seen.latency.getValueAtPercentile(99) / 1000.0,
-                (int) emulation.proxies().stream().filter(EmulatedProxy::up).count(), up, nodes);
+        Second second =
+                new Second(
+                        number,
+                        seen.tries,
+                        served,
+                        refused,
+                        seen.tries - served - refused,
+                        seen.latency.getValueAtPercentile(50) / 1000.0,
+                        seen.latency.getValueAtPercentile(99) / 1000.0,
+                        (int) emulation.proxies().stream().filter(EmulatedProxy::up).count(),
+                        up,
+                        nodes);
         seen.clear();
         return second;
     }
 
-    private static Emulated result(Emulation emulation, Referee referee, double readySeconds, Held held,
-            Path record) {
+    private static Emulated result(
+            Emulation emulation, Referee referee, double readySeconds, Held held, Path record) {
         emulation.trace.finish();
         referee.finish(emulation.now());
         RunResult result = emulation.run().result().judged(referee.breaches());
@@ -173,12 +221,28 @@
         double p99 = late.getValueAtPercentile(99) / 1000.0;
         double most = late.getMaxValue() / 1000.0;
         double lead = emulation.time.mostBefore() / 1e6;
-        Emulated.Own own = new Emulated.Own(late.getTotalCount(), late.getValueAtPercentile(50) / 1000.0, p99,
-                most, (emulation.time.mostAt() - Model.START) / 1e9, lead, p99 > LATE_P99
-                || most > LATE_MOST, readySeconds);
-        List<Emulated.ProxyUse> uses = emulation.proxies().stream().map(proxy -> new Emulated.ProxyUse(
-                proxy.number, emulation.run().world.tiers.get(proxy.tier).name(), proxy.mostKib(),
-                proxy.mostDescriptors(), proxy.cpuSeconds())).toList();
-        return new Emulated(result, own, uses, held.quarters(), emulation.lostAtRestarts, record.toString());
+        Emulated.Own own =
+                new Emulated.Own(
+                        late.getTotalCount(),
+                        late.getValueAtPercentile(50) / 1000.0,
+                        p99,
+                        most,
+                        (emulation.time.mostAt() - Model.START) / 1e9,
+                        lead,
+                        p99 > LATE_P99 || most > LATE_MOST,
+                        readySeconds);
+        List<Emulated.ProxyUse> uses =
+                emulation.proxies().stream()
+                        .map(
+                                proxy ->
+                                        new Emulated.ProxyUse(
+                                                proxy.number,
+                                                emulation.run().world.tiers.get(proxy.tier).name(),
+                                                proxy.mostKib(),
+                                                proxy.mostDescriptors(),
+                                                proxy.cpuSeconds()))
+                        .toList();
+        return new Emulated(
+                result, own, uses, held.quarters(), emulation.lostAtRestarts, record.toString());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/Held.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Held.java
@@ -12,14 +12,17 @@
 import org.apache.commons.math3.stat.StatUtils;
 
 /**
- * What the daemons of a run held, looked at each second: tells what grows with time, which the most that each
- * held does not. It belongs to the thread that looks.
+ * What the daemons of a run held, looked at each second: tells what grows with time, which the most
+ * that each held does not. It belongs to the thread that looks.
  */
 final class Held {
 
     private static final int QUARTERS = 4;
 
-    /** A shorter run has no quarters worth telling apart: a young daemon's memory still grows to its size. */
+    /**
+     * A shorter run has no quarters worth telling apart: a young daemon's memory still grows to its
+     * size.
+     */
     private static final int SECONDS_FOR_QUARTERS = 120;
 
     /**
@@ -28,7 +31,13 @@
      * @param life counts the processes of this proxy, from 1
      * @param cpuSeconds of this process since its start
      */
-    record Sample(int second, int proxy, int life, long residentKib, long descriptors, double cpuSeconds) { }
+    record Sample(
+            int second,
+            int proxy,
+            int life,
+            long residentKib,
+            long descriptors,
+            double cpuSeconds) {}
 
     private final List<Sample> samples = new ArrayList<>();
 
@@ -39,8 +48,8 @@
     /** Writes all samples as JSON lines. */
     void write(Path file) throws IOException {
         try (Writer out = Files.newBufferedWriter(file);
-                SequenceWriter lines = new ObjectMapper().writer().withRootValueSeparator("\n")
-                        .writeValues(out)) {
+                SequenceWriter lines =
+                        new ObjectMapper().writer().withRootValueSeparator("\n").writeValues(out)) {
             lines.writeAll(samples);
         }
     }
@@ -52,16 +61,21 @@
         for (int i = 0; i < QUARTERS && seconds >= SECONDS_FOR_QUARTERS; i++) {
             int from = seconds * i / QUARTERS;
             int to = seconds * (i + 1) / QUARTERS;
-            List<Sample> own = samples.stream().filter(s -> s.second > from && s.second <= to).toList();
-            quarters.add(new Emulated.Quarter(median(own, Sample::residentKib),
-                    median(own, Sample::descriptors), own.stream().mapToLong(Sample::residentKib).max()
-                    .orElse(0)));
+            List<Sample> own =
+                    samples.stream().filter(s -> s.second > from && s.second <= to).toList();
+            quarters.add(
+                    new Emulated.Quarter(
+                            median(own, Sample::residentKib),
+                            median(own, Sample::descriptors),
+                            own.stream().mapToLong(Sample::residentKib).max().orElse(0)));
         }
         return quarters;
     }
 
     private static double median(List<Sample> samples, ToLongFunction<Sample> figure) {
-        return samples.isEmpty() ? Double.NaN
-                : StatUtils.percentile(samples.stream().mapToDouble(figure::applyAsLong).toArray(), 50);
+        return samples.isEmpty()
+                ? Double.NaN
+                : StatUtils.percentile(
+                        samples.stream().mapToDouble(figure::applyAsLong).toArray(), 50);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/Listening.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Listening.java
@@ -17,21 +17,28 @@
 import java.util.function.Supplier;
 
 /**
- * What connections find at a port: a listener, a refusal, or silence. Silence is a listener whose queue of
- * connections is full and which accepts none: the system drops what comes then (Linux), as if it were lost.
+ * What connections find at a port: a listener, a refusal, or silence. Silence is a listener whose
+ * queue of connections is full and which accepts none: the system drops what comes then (Linux), as
+ * if it were lost.
  */
 final class Listening {
 
     /** What connections find. */
-    enum Mode { REFUSES, OPEN, SILENT }
+    enum Mode {
+        REFUSES,
+        OPEN,
+        SILENT
+    }
 
     /** A queue of this length takes one more than it says; the third waits for good. */
     private static final int FILLERS = 3;
+
     private static final int SHORT_QUEUE = 1;
     private static final int LONG_QUEUE = 512;
 
     /** Until the system has let go of the listener before. */
     private static final long AGAIN_MICROS = 500;
+
     private static final int MOST_TRIES = 4000;
 
     private final EventLoop loop;
@@ -47,7 +54,11 @@
      * @param connection makes what handles an accepted connection
      * @param failed takes what went wrong where no listener can be had
      */
-    Listening(EventLoop loop, Port port, Supplier<ChannelHandler> connection, Consumer<String> failed) {
+    Listening(
+            EventLoop loop,
+            Port port,
+            Supplier<ChannelHandler> connection,
+            Consumer<String> failed) {
         this.loop = loop;
         this.port = port;
         this.connection = connection;
@@ -88,33 +99,47 @@
 
     private void bind(int change, int tries) {
         boolean silent = mode == Mode.SILENT;
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, silent ? SHORT_QUEUE : LONG_QUEUE)
-                .option(ChannelOption.AUTO_READ, !silent).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel accepted) {
-                        accepted.pipeline().addLast(connection.get());
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, silent ? SHORT_QUEUE : LONG_QUEUE)
+                        .option(ChannelOption.AUTO_READ, !silent)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel accepted) {
+                                        accepted.pipeline().addLast(connection.get());
+                                    }
+                                })
+                        .bind(port.address());
+        bound.addListener(
+                done -> {
+                    if (change != changes) {
+                        bound.channel().close();
+                    } else if (done.isSuccess()) {
+                        channel = bound.channel();
+                        if (silent) {
+                            fill();
+                        }
+                    } else if (tries < MOST_TRIES) {
+                        loop.schedule(
+                                () -> {
+                                    if (change == changes) {
+                                        bind(change, tries + 1);
+                                    }
+                                },
+                                AGAIN_MICROS,
+                                TimeUnit.MICROSECONDS);
+                    } else {
+                        failed.accept(
+                                "can't listen on "
+                                        + port.text()
+                                        + ": "
+                                        + done.cause().getMessage());
                     }
-                }).bind(port.address());
-        bound.addListener(done -> {
-            if (change != changes) {
-                bound.channel().close();
-            } else if (done.isSuccess()) {
-                channel = bound.channel();
-                if (silent) {
-                    fill();
-                }
-            } else if (tries < MOST_TRIES) {
-                loop.schedule(() -> {
-                    if (change == changes) {
-                        bind(change, tries + 1);
-                    }
-                }, AGAIN_MICROS, TimeUnit.MICROSECONDS);
-            } else {
-                failed.accept("can't listen on " + port.text() + ": " + done.cause().getMessage());
-            }
-        });
+                });
     }
 
     private void fill() {
--- a/lab/src/main/java/cedarrudder/lab/emulator/Lists.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Lists.java
@@ -30,14 +30,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Discovery as one proxy reaches it: the model's, over HTTP. What it has told the proxy is kept, since the
- * proxy's next life starts with that.
+ * Discovery as one proxy reaches it: the model's, over HTTP. What it has told the proxy is kept,
+ * since the proxy's next life starts with that.
  */
 final class Lists {
 
     private static final String LIST = "/catalog/members";
-    private static final Pattern WATCH = Pattern.compile(Pattern.quote(LIST)
-            + "\\?follow=1&since=(\\d{1,18})");
+    private static final Pattern WATCH =
+            Pattern.compile(Pattern.quote(LIST) + "\\?follow=1&since=(\\d{1,18})");
 
     /** While nothing changes, an empty line arrives every so often. */
     private static final long ALIVE = 2_000_000_000L;
@@ -49,6 +49,7 @@
 
     /** The entries as last told, by the node's id. */
     private final Map<Long, ObjectNode> told = new TreeMap<>();
+
     private long toldVersion;
 
     Lists(Emulation emulation, EmulatedProxy proxy, Port port) {
@@ -74,7 +75,10 @@
         places.forEach(Listening::close);
     }
 
-    /** The list that a life of the proxy starts with: what the last one had, or all that is published. */
+    /**
+     * The list that a life of the proxy starts with: what the last one had, or all that is
+     * published.
+     */
     ObjectNode known() {
         if (toldVersion == 0) {
             List<Endpoint> entries = new ArrayList<>();
@@ -83,8 +87,8 @@
             listing.whole(entries, nodes);
             keep(ListKind.FULL, entries, nodes, listing.version());
         }
-        ObjectNode known = JsonNodeFactory.instance.objectNode().put("version", toldVersion)
-                .put("full", true);
+        ObjectNode known =
+                JsonNodeFactory.instance.objectNode().put("version", toldVersion).put("full", true);
         ArrayNode servers = known.putArray("servers");
         told.values().forEach(servers::add);
         return known;
@@ -100,9 +104,12 @@
         run.trace.toldWhole(emulation.now(), proxy.number);
         for (Map.Entry<Long, ObjectNode> each : told.entrySet()) {
             ObjectNode entry = each.getValue();
-            trace(each.getKey(), entry.get("cell").asInt(),
+            trace(
+                    each.getKey(),
+                    entry.get("cell").asInt(),
                     run.scenario.network().zones().indexOf(entry.get("zone").asText()),
-                    state(entry.get("state").asText()), startedAt(entry.get("started_ms").asDouble()));
+                    state(entry.get("state").asText()),
+                    startedAt(entry.get("started_ms").asDouble()));
         }
     }
 
@@ -111,7 +118,8 @@
     }
 
     private static State state(String word) {
-        return word.equals("in_service") ? State.READY
+        return word.equals("in_service")
+                ? State.READY
                 : word.equals("terminating") ? State.DRAINING : State.GONE;
     }
 
@@ -148,14 +156,20 @@
 
     private ObjectNode json(Endpoint entry, Node node) {
         Scenario scenario = run.scenario;
-        double started = entry.startedAt() == 0 ? 0
-                : Math.floor((entry.startedAt() + emulation.epochNanos) / 1e6);
-        return JsonNodeFactory.instance.objectNode().put("id", String.format("s-%08x", entry.id()))
+        double started =
+                entry.startedAt() == 0
+                        ? 0
+                        : Math.floor((entry.startedAt() + emulation.epochNanos) / 1e6);
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("id", String.format("s-%08x", entry.id()))
                 .put("addr", emulation.side(node).address(proxy))
                 .put("zone", scenario.network().zones().get(entry.zone()))
                 .put("kind", scenario.tiers().get(proxy.tier).kinds().get(entry.kind()).name())
-                .put("cell", entry.cell()).put("state", word(entry.state()))
-                .put("weight", entry.weight()).put("started_ms", started);
+                .put("cell", entry.cell())
+                .put("state", word(entry.state()))
+                .put("weight", entry.weight())
+                .put("started_ms", started);
     }
 
     /** A call of the proxy, or a watch. */
@@ -197,8 +211,11 @@
                     emulation.find("proxy " + proxy.number + " asked discovery for " + target);
                 }
             } catch (BadMessageException e) {
-                emulation.find("proxy " + proxy.number + " sent discovery what is no HTTP: "
-                        + e.getMessage());
+                emulation.find(
+                        "proxy "
+                                + proxy.number
+                                + " sent discovery what is no HTTP: "
+                                + e.getMessage());
             }
         }
 
@@ -229,20 +246,24 @@
 
         @Override
         public void tellLater(ListKind kind, List<Endpoint> entries, List<Node> nodes, long next) {
-            emulation.after(run.network.nodes(proxy.zone, proxy.zone), () -> {
-                if (alive()) {
-                    tell(kind, entries, nodes, next);
-                }
-            });
+            emulation.after(
+                    run.network.nodes(proxy.zone, proxy.zone),
+                    () -> {
+                        if (alive()) {
+                            tell(kind, entries, nodes, next);
+                        }
+                    });
         }
 
         private void tell(ListKind kind, List<Endpoint> entries, List<Node> nodes, long next) {
             boolean whole = kind != ListKind.CHANGES;
-            ObjectNode line = JsonNodeFactory.instance.objectNode().put("version", next).put("full", whole);
-            // A call may be overtaken by the watch; the proxy drops what is older, and so does what it has.
+            ObjectNode line =
+                    JsonNodeFactory.instance.objectNode().put("version", next).put("full", whole);
+            // A call may be overtaken by the watch; the proxy drops what is older, and so does what
+            // it has.
             boolean news = next >= toldVersion;
-            ArrayNode servers = news ? keep(kind, entries, nodes, next)
-                    : JsonNodeFactory.instance.arrayNode();
+            ArrayNode servers =
+                    news ? keep(kind, entries, nodes, next) : JsonNodeFactory.instance.arrayNode();
             if (!news) {
                 for (int i = 0; i < entries.size(); i++) {
                     servers.add(json(entries.get(i), nodes.get(i)));
@@ -253,12 +274,22 @@
                 if (whole) {
                     run.trace.toldWhole(emulation.now(), proxy.number);
                 }
-                entries.forEach(entry ->
-                        trace(entry.id(), entry.cell(), entry.zone(), entry.state(), entry.startedAt()));
+                entries.forEach(
+                        entry ->
+                                trace(
+                                        entry.id(),
+                                        entry.cell(),
+                                        entry.zone(),
+                                        entry.state(),
+                                        entry.startedAt()));
             }
             if (!watches) {
-                write("HTTP/1.1 200 OK\r\nContent-Length: " + (line.toString().length() + 1) + "\r\n\r\n"
-                        + line + "\n");
+                write(
+                        "HTTP/1.1 200 OK\r\nContent-Length: "
+                                + (line.toString().length() + 1)
+                                + "\r\n\r\n"
+                                + line
+                                + "\n");
                 return;
             }
             if (!answering) {
@@ -270,12 +301,14 @@
         }
 
         private void stayAlive() {
-            emulation.after(ALIVE, () -> {
-                if (alive()) {
-                    chunk("\n");
-                    stayAlive();
-                }
-            });
+            emulation.after(
+                    ALIVE,
+                    () -> {
+                        if (alive()) {
+                            chunk("\n");
+                            stayAlive();
+                        }
+                    });
         }
 
         private void chunk(String text) {
@@ -288,15 +321,21 @@
 
         @Override
         public void failLater() {
-            emulation.after(run.network.nodes(proxy.zone, proxy.zone), () -> {
-                if (answering) {
-                    Sockets.reset(channel);
-                } else if (alive()) {
-                    channel.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 503 Service Unavailable\r\n"
-                            + "Content-Length: 0\r\nConnection: close\r\n\r\n", StandardCharsets.ISO_8859_1))
-                            .addListener(ChannelFutureListener.CLOSE);
-                }
-            });
+            emulation.after(
+                    run.network.nodes(proxy.zone, proxy.zone),
+                    () -> {
+                        if (answering) {
+                            Sockets.reset(channel);
+                        } else if (alive()) {
+                            channel.writeAndFlush(
+                                            Unpooled.copiedBuffer(
+                                                    "HTTP/1.1 503 Service Unavailable\r\n"
+                                                            + "Content-Length: 0\r\n"
+                                                            + "Connection: close\r\n\r\n",
+                                                    StandardCharsets.ISO_8859_1))
+                                    .addListener(ChannelFutureListener.CLOSE);
+                        }
+                    });
         }
 
         @Override
--- a/lab/src/main/java/cedarrudder/lab/emulator/NodeSide.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/NodeSide.java
@@ -21,7 +21,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A node of the model on sockets: a port for each proxy that sends to its tier, and their connections. */
+/**
+ * A node of the model on sockets: a port for each proxy that sends to its tier, and their
+ * connections.
+ */
 final class NodeSide {
 
     /** How often idle connections are looked over. */
@@ -46,7 +49,9 @@
 
     /** Opens a port for a proxy. */
     void open(EmulatedProxy proxy, Port port) {
-        doors.put(proxy, new Listening(emulation.loop, port, () -> new Connection(proxy), emulation::find));
+        doors.put(
+                proxy,
+                new Listening(emulation.loop, port, () -> new Connection(proxy), emulation::find));
         look();
     }
 
@@ -58,7 +63,8 @@
     /** Its machine has started or ended, or messages get through again or no longer. */
     void changed() {
         if (node.up() || node.hears()) {
-            List.copyOf(connections).stream().filter(each -> each.life != node.life)
+            List.copyOf(connections).stream()
+                    .filter(each -> each.life != node.life)
                     .forEach(Connection::reset);
         }
         look();
@@ -67,15 +73,20 @@
     /** Sets what connections find at its ports. */
     void look() {
         boolean through = node.hears() && node.speaks();
-        Listening.Mode mode = !through ? Listening.Mode.SILENT
-                : node.up() && node.connections < mostConnections() ? Listening.Mode.OPEN
-                : Listening.Mode.REFUSES;
+        Listening.Mode mode =
+                !through
+                        ? Listening.Mode.SILENT
+                        : node.up() && node.connections < mostConnections()
+                                ? Listening.Mode.OPEN
+                                : Listening.Mode.REFUSES;
         doors.values().forEach(door -> door.set(mode));
     }
 
     private double mostConnections() {
         double most = node.drawn.connections() * node.kind.cores();
-        return emulation.wires.on(node, WireTrouble.FEW_CONNECTIONS) ? Math.min(most, doors.size()) : most;
+        return emulation.wires.on(node, WireTrouble.FEW_CONNECTIONS)
+                ? Math.min(most, doors.size())
+                : most;
     }
 
     private void sweep() {
@@ -102,11 +113,13 @@
 
         /** The life of the machine that accepted it. */
         private int life;
+
         private boolean counted;
         private long since;
 
         /** Its first request waits for the handshake that a secure connection would make. */
         private long shakenAt;
+
         private WireJob job;
 
         Connection(EmulatedProxy proxy) {
@@ -152,7 +165,11 @@
                     come(request);
                 }
             } catch (BadMessageException e) {
-                emulation.find("proxy " + proxy.number + " sent a node what is no HTTP: " + e.getMessage());
+                emulation.find(
+                        "proxy "
+                                + proxy.number
+                                + " sent a node what is no HTTP: "
+                                + e.getMessage());
             }
         }
 
@@ -167,8 +184,12 @@
             }
             String id = request.head().fields().get("req-id");
             WireTry of = id == null ? null : emulation.request(id);
-            String wrong = of == null ? "an id that no caller sent" : of.proxy() != proxy
-                    ? "another proxy's request" : of.changedIn(request);
+            String wrong =
+                    of == null
+                            ? "an id that no caller sent"
+                            : of.proxy() != proxy
+                                    ? "another proxy's request"
+                                    : of.changedIn(request);
             if (wrong != null) {
                 emulation.find("proxy " + proxy.number + " sent a node " + wrong);
                 write(id == null ? "404 Not Found" : "400 Bad Request", "", new byte[0]);
@@ -182,19 +203,21 @@
                 reset();
                 return;
             }
-            emulation.after(arrives, () -> {
-                if (job == next && life == node.life && node.hears()) {
-                    node.arrive(next);
-                }
-            });
+            emulation.after(
+                    arrives,
+                    () -> {
+                        if (job == next && life == node.life && node.hears()) {
+                            node.arrive(next);
+                        }
+                    });
         }
 
         /** When the proxy stops waiting. */
         private long told(Message request) {
             String millis = request.head().fields().get("req-deadline-ms");
             try {
-                return emulation.now() + Math.min(Long.MAX_VALUE / 2_000_000, Long.parseLong(millis))
-                        * 1_000_000;
+                return emulation.now()
+                        + Math.min(Long.MAX_VALUE / 2_000_000, Long.parseLong(millis)) * 1_000_000;
             } catch (NumberFormatException e) {
                 emulation.find("proxy " + proxy.number + " sent a node the deadline " + millis);
                 return emulation.now();
@@ -202,21 +225,34 @@
         }
 
         private void probe() {
-            if (life != node.life || !node.hears()
+            if (life != node.life
+                    || !node.hears()
                     || emulation.wires.on(node, WireTrouble.PROBES_UNANSWERED)) {
                 return;
             }
-            node.probe((how, report) -> emulation.after(oneWay(), () -> {
-                if (node.speaks() && life == node.life) {
-                    write(how == Outcome.OK ? "200 OK" : "503 Service Unavailable", "",
-                            report == null ? new byte[0] : text(report));
-                }
-            }));
+            node.probe(
+                    (how, report) ->
+                            emulation.after(
+                                    oneWay(),
+                                    () -> {
+                                        if (node.speaks() && life == node.life) {
+                                            write(
+                                                    how == Outcome.OK
+                                                            ? "200 OK"
+                                                            : "503 Service Unavailable",
+                                                    "",
+                                                    report == null ? new byte[0] : text(report));
+                                        }
+                                    }));
         }
 
         private byte[] text(Load report) {
-            return String.format(Locale.ROOT, "TEXT latency_ms=%.4f, inflight=%.4f, util=%.4f",
-                    report.latencyMillis(), report.inFlight(), report.utilisation())
+            return String.format(
+                            Locale.ROOT,
+                            "TEXT latency_ms=%.4f, inflight=%.4f, util=%.4f",
+                            report.latencyMillis(),
+                            report.inFlight(),
+                            report.utilisation())
                     .getBytes(StandardCharsets.ISO_8859_1);
         }
 
@@ -224,20 +260,26 @@
 
         /** The node answers a request; without effect where its connection has another end. */
         void answer(WireJob done, Outcome outcome) {
-            emulation.after(oneWay(), () -> {
-                if (job != done || !node.speaks() || life != node.life) {
-                    return;
-                }
-                job = null;
-                since = emulation.now();
-                if (outcome == Outcome.OK) {
-                    serve(done);
-                    return;
-                }
-                done.ended(outcome);
-                write(outcome == Outcome.FULL ? "503 Service Unavailable" : "500 Internal Server Error",
-                        outcome == Outcome.FULL ? "Srv-Declined: 1\r\n" : "", new byte[0]);
-            });
+            emulation.after(
+                    oneWay(),
+                    () -> {
+                        if (job != done || !node.speaks() || life != node.life) {
+                            return;
+                        }
+                        job = null;
+                        since = emulation.now();
+                        if (outcome == Outcome.OK) {
+                            serve(done);
+                            return;
+                        }
+                        done.ended(outcome);
+                        write(
+                                outcome == Outcome.FULL
+                                        ? "503 Service Unavailable"
+                                        : "500 Internal Server Error",
+                                outcome == Outcome.FULL ? "Srv-Declined: 1\r\n" : "",
+                                new byte[0]);
+                    });
         }
 
         private void serve(WireJob done) {
@@ -252,8 +294,15 @@
         }
 
         private void write(String status, String fields, byte[] body) {
-            byte[] head = ("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + body.length
-                    + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
+            byte[] head =
+                    ("HTTP/1.1 "
+                                    + status
+                                    + "\r\n"
+                                    + fields
+                                    + "Content-Length: "
+                                    + body.length
+                                    + "\r\n\r\n")
+                            .getBytes(StandardCharsets.ISO_8859_1);
             channel.writeAndFlush(Unpooled.wrappedBuffer(head, body), channel.voidPromise());
         }
 
@@ -269,23 +318,26 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            emulation.time.turn(() -> {
-                connections.remove(this);
-                if (counted && life == node.life) {
-                    node.connections--;
-                    look();
-                }
-                WireJob left = job;
-                job = null;
-                if (left != null) {
-                    left.ended(Outcome.CANCELLED);
-                    emulation.after(oneWay(), () -> {
-                        if (life == node.life && node.hears()) {
-                            node.left(left);
+            emulation.time.turn(
+                    () -> {
+                        connections.remove(this);
+                        if (counted && life == node.life) {
+                            node.connections--;
+                            look();
+                        }
+                        WireJob left = job;
+                        job = null;
+                        if (left != null) {
+                            left.ended(Outcome.CANCELLED);
+                            emulation.after(
+                                    oneWay(),
+                                    () -> {
+                                        if (life == node.life && node.hears()) {
+                                            node.left(left);
+                                        }
+                                    });
                         }
                     });
-                }
-            });
         }
 
         @Override
--- a/lab/src/main/java/cedarrudder/lab/emulator/Place.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Place.java
@@ -17,7 +17,8 @@
  * @param memoryMb a daemon that holds more is killed, as the platform would; 0: none is
  * @param sockets descriptors of a daemon at the most
  */
-public record Place(Path root, Path folder, String command, List<Integer> cpus, int memoryMb, int sockets) {
+public record Place(
+        Path root, Path folder, String command, List<Integer> cpus, int memoryMb, int sockets) {
 
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
     private static final Path DEPLOY = Path.of("deploy", "balancer.toml");
@@ -35,10 +36,12 @@
             throw new IOException(whole.resolve(DEPLOY) + " names no run");
         }
         if (!Files.exists(whole.resolve("daemon/target/cedarrudder.jar"))) {
-            throw new IOException("the daemon is not built: no daemon/target/cedarrudder.jar in " + whole);
+            throw new IOException(
+                    "the daemon is not built: no daemon/target/cedarrudder.jar in " + whole);
         }
         Files.createDirectories(folder);
-        return new Place(whole, folder.toAbsolutePath(), run.group(1), List.copyOf(cpus), memoryMb, sockets);
+        return new Place(
+                whole, folder.toAbsolutePath(), run.group(1), List.copyOf(cpus), memoryMb, sockets);
     }
 
     /** The command line of a daemon, on the processor that is its turn. */
@@ -47,7 +50,12 @@
         if (cpus.isEmpty()) {
             return shell;
         }
-        return List.of("taskset", "-c", Integer.toString(cpus.get(number % cpus.size())), shell.get(0),
-                shell.get(1), shell.get(2));
+        return List.of(
+                "taskset",
+                "-c",
+                Integer.toString(cpus.get(number % cpus.size())),
+                shell.get(0),
+                shell.get(1),
+                shell.get(2));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/RealTime.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/RealTime.java
@@ -8,13 +8,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays a run's agenda by the machine's clock, on one event loop, which sockets share. Measures how late it
- * is: whoever plays nodes and clients too late must not blame a proxy for it.
+ * Plays a run's agenda by the machine's clock, on one event loop, which sockets share. Measures how
+ * late it is: whoever plays nodes and clients too late must not blame a proxy for it.
  */
 final class RealTime {
 
     /** Nearer to its next event than this the loop spins: timers of the selector are no finer. */
     private static final long SPIN = 1_200_000L;
+
     private static final int DIGITS = 3;
 
     private final EventLoop loop;
@@ -30,7 +31,9 @@
     private boolean spinning;
     private boolean over;
 
-    /** @param failed takes what an event throws; the run is over then */
+    /**
+     * @param failed takes what an event throws; the run is over then
+     */
     RealTime(EventLoop loop, Consumer<Throwable> failed) {
         this.loop = loop;
         this.failed = failed;
@@ -42,7 +45,9 @@
         offset = agenda.now() - System.nanoTime();
     }
 
-    /** Skips the time until an instant: what was due by then comes at once, and then something more. */
+    /**
+     * Skips the time until an instant: what was due by then comes at once, and then something more.
+     */
     void skipTo(long instant, Runnable then) {
         turn(() -> offset += Math.max(0, instant - now()));
         turn(then);
@@ -54,7 +59,10 @@
         return System.nanoTime() + offset;
     }
 
-    /** Something has happened outside the agenda, such as on a socket: handled at the present instant. */
+    /**
+     * Something has happened outside the agenda, such as on a socket: handled at the present
+     * instant.
+     */
     void turn(Runnable event) {
         if (over) {
             return;
@@ -90,19 +98,24 @@
         long wait = next - now();
         if (wait <= SPIN) {
             spinning = true;
-            loop.execute(() -> {
-                spinning = false;
-                turn(() -> { });
-            });
+            loop.execute(
+                    () -> {
+                        spinning = false;
+                        turn(() -> {});
+                    });
         } else if (next < timerAt) {
             if (timer != null) {
                 timer.cancel(false);
             }
             timerAt = next;
-            timer = loop.schedule(() -> {
-                timerAt = Long.MAX_VALUE;
-                turn(() -> { });
-            }, wait - SPIN / 2, TimeUnit.NANOSECONDS);
+            timer =
+                    loop.schedule(
+                            () -> {
+                                timerAt = Long.MAX_VALUE;
+                                turn(() -> {});
+                            },
+                            wait - SPIN / 2,
+                            TimeUnit.NANOSECONDS);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
@@ -7,16 +7,22 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** Writes settings as a proxy's configuration holds them: the counterpart of the daemon's reader. */
+/**
+ * Writes settings as a proxy's configuration holds them: the counterpart of the daemon's reader.
+ */
 final class SettingsJson {
 
-    private SettingsJson() { }
+    private SettingsJson() {}
 
-    /** @param tier the tier that the proxy sends to */
+    /**
+     * @param tier the tier that the proxy sends to
+     */
     static ObjectNode of(Balancer.Settings settings, Scenario scenario, Scenario.Tier tier) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
-        json.put("balancers", settings.copies()).put("ordinal", settings.self())
-                .put("layer", settings.tier()).put("zone", settings.zone())
+        json.put("balancers", settings.copies())
+                .put("ordinal", settings.self())
+                .put("layer", settings.tier())
+                .put("zone", settings.zone())
                 .put("discovery", settings.askForEndpoints() ? "ask" : "push")
                 .put("over-share-worth", settings.goal().overShareWorth());
         names(json.putArray("tiers"), scenario.tiers().stream().map(Scenario.Tier::name).toList());
@@ -24,37 +30,62 @@
         names(json.putArray("kinds"), tier.kinds().stream().map(Scenario.Kind::name).toList());
         ArrayNode classes = json.putArray("request-classes");
         for (Balancer.RequestClass kind : settings.classes()) {
-            classes.addObject().put("name", kind.name()).put("idempotency", switch (kind.effect()) {
-                case SAFE -> "retryable";
-                case KEYED -> "dedup";
-                case UNSAFE -> "fragile";
-            }).put("key-scope", switch (kind.keyScope()) {
-                case ALL -> "all";
-                case ZONE -> "zone";
-                case CELL -> "cell";
-            }).put("goal-time-ns", kind.aim()).put("give-up-ns", kind.deadline()).put("value", kind.worth())
-                    .put("late-worth", kind.lateWorth()).put("repeat-window-ns", kind.repeatWindow())
+            classes.addObject()
+                    .put("name", kind.name())
+                    .put(
+                            "idempotency",
+                            switch (kind.effect()) {
+                                case SAFE -> "retryable";
+                                case KEYED -> "dedup";
+                                case UNSAFE -> "fragile";
+                            })
+                    .put(
+                            "key-scope",
+                            switch (kind.keyScope()) {
+                                case ALL -> "all";
+                                case ZONE -> "zone";
+                                case CELL -> "cell";
+                            })
+                    .put("goal-time-ns", kind.aim())
+                    .put("give-up-ns", kind.deadline())
+                    .put("value", kind.worth())
+                    .put("late-worth", kind.lateWorth())
+                    .put("repeat-window-ns", kind.repeatWindow())
                     .put("stream", kind.stream());
         }
         ArrayNode tenants = json.putArray("tenants");
         for (Balancer.Tenant tenant : settings.tenants()) {
-            tenants.addObject().put("name", tenant.name()).put("share", tenant.share())
+            tenants.addObject()
+                    .put("name", tenant.name())
+                    .put("share", tenant.share())
                     .put("quota-per-s", tenant.quotaPerSecond());
         }
         Balancer.Limits limits = settings.limits();
-        json.putObject("limits").put("probes", limits.probes()).put("cancel", limits.cancel())
-                .put("parallel-tries", limits.parallelTries()).put("retry-after", limits.retryAfter())
-                .put("max-attempts", limits.maxAttempts()).put("max-retry-after-ns", limits.maxRetryAfter())
-                .put("dial-timeout-ns", limits.connectTimeout()).put("conn-idle-ns", limits.connectionIdle());
+        json.putObject("limits")
+                .put("probes", limits.probes())
+                .put("cancel", limits.cancel())
+                .put("parallel-tries", limits.parallelTries())
+                .put("retry-after", limits.retryAfter())
+                .put("max-attempts", limits.maxAttempts())
+                .put("max-retry-after-ns", limits.maxRetryAfter())
+                .put("dial-timeout-ns", limits.connectTimeout())
+                .put("conn-idle-ns", limits.connectionIdle());
         Balancer.Safety safety = settings.safety();
-        json.putObject("safety").put("stop-sending-within-ns", safety.drainGrace())
-                .put("cold-share", safety.coldShare()).put("ramp-time-ns", safety.rampTime())
-                .put("fall-multiple", safety.fallMultiple()).put("fall-ns", safety.fallWindow())
+        json.putObject("safety")
+                .put("stop-sending-within-ns", safety.drainGrace())
+                .put("cold-share", safety.coldShare())
+                .put("ramp-time-ns", safety.rampTime())
+                .put("fall-multiple", safety.fallMultiple())
+                .put("fall-ns", safety.fallWindow())
                 .put("ask-within-ns", safety.askWithin());
         Balancer.Goal goal = settings.goal();
-        json.putObject("goal").put("whole", goal.whole()).put("worst-window", goal.worstWindow())
-                .put("worst-class", goal.worstClass()).put("worst-tenant", goal.worstTenant());
-        json.putObject("costs").put("probe", settings.prices().probe())
+        json.putObject("goal")
+                .put("whole", goal.whole())
+                .put("worst-window", goal.worstWindow())
+                .put("worst-class", goal.worstClass())
+                .put("worst-tenant", goal.worstTenant());
+        json.putObject("costs")
+                .put("probe", settings.prices().probe())
                 .put("handshake", settings.prices().handshake());
         ObjectNode report = json.putObject("report");
         names(report.putArray("fields"), List.of("latency_ms", "inflight", "util"));
--- a/lab/src/main/java/cedarrudder/lab/emulator/Settled.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Settled.java
@@ -11,10 +11,11 @@
 import java.util.List;
 
 /**
- * Puts right what several sockets told in the wrong order, and passes it on some time later. What a proxy
- * does in one order on different connections may be read in another: it closes an attempt's connection and
- * sends the next one, or sends one more and then answers. Within the hold, an attempt that the proxy closed
- * counts as ended before a later one was sent, and what was sent counts as sent before its RPC's end.
+ * Puts right what several sockets told in the wrong order, and passes it on some time later. What a
+ * proxy does in one order on different connections may be read in another: it closes an attempt's
+ * connection and sends the next one, or sends one more and then answers. Within the hold, an
+ * attempt that the proxy closed counts as ended before a later one was sent, and what was sent
+ * counts as sent before its RPC's end.
  */
 final class Settled implements Trace {
 
@@ -26,9 +27,13 @@
         void to(Trace trace, long at);
     }
 
-    private enum What { SENT, OVER, OTHER }
+    private enum What {
+        SENT,
+        OVER,
+        OTHER
+    }
 
-    private record Held(long at, What what, long rpc, int attempt, Passing passing) { }
+    private record Held(long at, What what, long rpc, int attempt, Passing passing) {}
 
     private final Trace next;
     private Deque<Held> held = new ArrayDeque<>();
@@ -55,10 +60,13 @@
     }
 
     /** Adds an event before the first of its RPC that it must not come after. */
-    private void addBefore(What first, long now, What what, long rpc, int attempt, Passing passing) {
+    private void addBefore(
+            What first, long now, What what, long rpc, int attempt, Passing passing) {
         Held before = null;
         for (Held event : held) {
-            if (event.what == first && event.rpc == rpc && (first == What.OVER || event.attempt > attempt)) {
+            if (event.what == first
+                    && event.rpc == rpc
+                    && (first == What.OVER || event.attempt > attempt)) {
                 before = event;
                 break;
             }
@@ -83,9 +91,14 @@
     }
 
     @Override
-    public void told(long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
-        add(now, What.OTHER, -1, -1, (trace, at) ->
-                trace.told(at, proxy, endpoint, cell, zone, state, startedAt));
+    public void told(
+            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
+        add(
+                now,
+                What.OTHER,
+                -1,
+                -1,
+                (trace, at) -> trace.told(at, proxy, endpoint, cell, zone, state, startedAt));
     }
 
     @Override
@@ -94,16 +107,31 @@
     }
 
     @Override
-    public void taken(long now, int proxy, long rpc, Effect effect, KeyScope scope, long repeatWindow,
+    public void taken(
+            long now,
+            int proxy,
+            long rpc,
+            Effect effect,
+            KeyScope scope,
+            long repeatWindow,
             long deadline) {
-        add(now, What.OTHER, rpc, -1, (trace, at) ->
-                trace.taken(at, proxy, rpc, effect, scope, repeatWindow, deadline));
+        add(
+                now,
+                What.OTHER,
+                rpc,
+                -1,
+                (trace, at) -> trace.taken(at, proxy, rpc, effect, scope, repeatWindow, deadline));
     }
 
     @Override
     public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {
-        addBefore(What.OVER, now, What.SENT, rpc, attempt, (trace, at) ->
-                trace.sent(at, proxy, rpc, attempt, endpoint, work));
+        addBefore(
+                What.OVER,
+                now,
+                What.SENT,
+                rpc,
+                attempt,
+                (trace, at) -> trace.sent(at, proxy, rpc, attempt, endpoint, work));
     }
 
     @Override
@@ -118,8 +146,12 @@
 
     @Override
     public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {
-        add(now, What.OTHER, rpc, attempt, (trace, at) ->
-                trace.reached(at, proxy, rpc, attempt, endpoint));
+        add(
+                now,
+                What.OTHER,
+                rpc,
+                attempt,
+                (trace, at) -> trace.reached(at, proxy, rpc, attempt, endpoint));
     }
 
     @Override
@@ -133,9 +165,14 @@
     }
 
     @Override
-    public void nodeStarted(long now, long endpoint, double capacity, double coldShare, long warmAt) {
-        add(now, What.OTHER, -1, -1, (trace, at) ->
-                trace.nodeStarted(at, endpoint, capacity, coldShare, warmAt));
+    public void nodeStarted(
+            long now, long endpoint, double capacity, double coldShare, long warmAt) {
+        add(
+                now,
+                What.OTHER,
+                -1,
+                -1,
+                (trace, at) -> trace.nodeStarted(at, endpoint, capacity, coldShare, warmAt));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/emulator/Sockets.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Sockets.java
@@ -6,7 +6,7 @@
 /** What is done to connections. */
 final class Sockets {
 
-    private Sockets() { }
+    private Sockets() {}
 
     /** Resets a connection; without effect where it is closed. */
     static void reset(Channel channel) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/Spoilt.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Spoilt.java
@@ -14,13 +14,14 @@
     private static final int INTERIM_ANSWERS = 100;
     private static final long DRIP_MILLIS = 20;
 
-    private Spoilt() { }
+    private Spoilt() {}
 
     /** Writes an answer in the way of a trouble. */
     static void write(WireTrouble trouble, Channel to, byte[] body) {
         switch (trouble) {
             case GARBLE -> text(to, "\u0000\u0007 no answer at all \u00ff\r\n\r\n");
-            case TOO_LONG -> bytes(to, HttpDecoder.MOST_BODY + 1, new byte[HttpDecoder.MOST_BODY + 1]);
+            case TOO_LONG ->
+                    bytes(to, HttpDecoder.MOST_BODY + 1, new byte[HttpDecoder.MOST_BODY + 1]);
             case TOO_SHORT -> {
                 bytes(to, body.length + 1, body);
                 to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
@@ -50,8 +51,9 @@
     }
 
     private static void bytes(Channel to, int announced, byte[] body) {
-        byte[] head = ("HTTP/1.1 200 OK\r\nContent-Length: " + announced + "\r\n\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1);
+        byte[] head =
+                ("HTTP/1.1 200 OK\r\nContent-Length: " + announced + "\r\n\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1);
         to.writeAndFlush(Unpooled.wrappedBuffer(head, body));
     }
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/Supervised.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Supervised.java
@@ -13,13 +13,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process that ends when this one does, whatever ends this one: a shell beside it holds the reading end of
- * a pipe from here, and kills it when the pipe closes. It gets no more descriptors than it may have.
+ * A process that ends when this one does, whatever ends this one: a shell beside it holds the
+ * reading end of a pipe from here, and kills it when the pipe closes. It gets no more descriptors
+ * than it may have.
  */
 public final class Supervised {
 
     /** Descriptor 3 is the pipe; the process itself gets neither it nor our standard output. */
-    private static final String SCRIPT = """
+    private static final String SCRIPT =
+            """
             exec 3<&0
             ulimit -n "$1"
             shift
@@ -49,17 +51,33 @@
      * @param descriptors the most that it may have
      * @throws IOException if it can't be started
      */
-    public static Supervised start(List<String> command, Path folder, Map<String, String> environment,
-            Path log, int descriptors) throws IOException {
-        List<String> all = new ArrayList<>(List.of("/bin/sh", "-c", SCRIPT, "supervised",
-                Integer.toString(descriptors)));
+    public static Supervised start(
+            List<String> command,
+            Path folder,
+            Map<String, String> environment,
+            Path log,
+            int descriptors)
+            throws IOException {
+        List<String> all =
+                new ArrayList<>(
+                        List.of(
+                                "/bin/sh",
+                                "-c",
+                                SCRIPT,
+                                "supervised",
+                                Integer.toString(descriptors)));
         all.addAll(command);
-        ProcessBuilder builder = new ProcessBuilder(all).directory(folder.toFile())
-                .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()));
+        ProcessBuilder builder =
+                new ProcessBuilder(all)
+                        .directory(folder.toFile())
+                        .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(environment);
         Process shell = builder.start();
-        String line = new BufferedReader(new InputStreamReader(shell.getInputStream(),
-                StandardCharsets.US_ASCII)).readLine();
+        String line =
+                new BufferedReader(
+                                new InputStreamReader(
+                                        shell.getInputStream(), StandardCharsets.US_ASCII))
+                        .readLine();
         if (line == null) {
             shell.destroyForcibly();
             throw new IOException("no process was started: " + String.join(" ", command));
@@ -130,7 +148,9 @@
 
     /** Its processor time in seconds; 0 where it is gone or the system doesn't tell. */
     public double cpuSeconds() {
-        return ProcessHandle.of(pid).flatMap(handle -> handle.info().totalCpuDuration())
-                .map(time -> time.toNanos() / 1e9).orElse(0.0);
+        return ProcessHandle.of(pid)
+                .flatMap(handle -> handle.info().totalCpuDuration())
+                .map(time -> time.toNanos() / 1e9)
+                .orElse(0.0);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/Warm.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Warm.java
@@ -6,18 +6,28 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** Runs the code of messages before the run begins: guards against the first callers meeting it cold. */
+/**
+ * Runs the code of messages before the run begins: guards against the first callers meeting it
+ * cold.
+ */
 final class Warm {
 
     private static final int TIMES = 5_000;
-    private static final byte[] REQUEST = ("POST /api/messages HTTP/1.1\r\nHost: service.internal\r\n"
-            + "Req-Id: 0123456789abcdef\r\nReq-Kind: a\r\nReq-Deadline-Ms: 1000\r\nContent-Length: 4\r\n"
-            + "\r\nbody")
-            .getBytes(StandardCharsets.ISO_8859_1);
-    private static final byte[] ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
-            .getBytes(StandardCharsets.ISO_8859_1);
+    private static final byte[] REQUEST =
+            ("POST /api/messages HTTP/1.1\r\n"
+                            + "Host: service.internal\r\n"
+                            + "Req-Id: 0123456789abcdef\r\n"
+                            + "Req-Kind: a\r\n"
+                            + "Req-Deadline-Ms: 1000\r\n"
+                            + "Content-Length: 4\r\n"
+                            + "\r\n"
+                            + "body")
+                    .getBytes(StandardCharsets.ISO_8859_1);
+    private static final byte[] ANSWER =
+            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
+                    .getBytes(StandardCharsets.ISO_8859_1);
 
-    private Warm() { }
+    private Warm() {}
 
     static void up() {
         HttpDecoder requests = HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireJob.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireJob.java
@@ -23,8 +23,16 @@
     private final byte[] body;
     private boolean ended;
 
-    /** @param deadline when the proxy stops waiting, as it said */
-    WireJob(Emulation emulation, Node node, WireTry of, int number, NodeSide.Connection on, long deadline) {
+    /**
+     * @param deadline when the proxy stops waiting, as it said
+     */
+    WireJob(
+            Emulation emulation,
+            Node node,
+            WireTry of,
+            int number,
+            NodeSide.Connection on,
+            long deadline) {
         super(node, of.what(), number);
         this.emulation = emulation;
         this.run = emulation.run();
@@ -34,7 +42,9 @@
         this.on = on;
         this.deadline = deadline;
         this.endpoint = node.endpoint;
-        this.body = (of.id() + " " + number + " " + "z".repeat(FILL)).getBytes(StandardCharsets.ISO_8859_1);
+        this.body =
+                (of.id() + " " + number + " " + "z".repeat(FILL))
+                        .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     int number() {
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireTry.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireTry.java
@@ -41,6 +41,7 @@
 
     /** The connection that it is on; null before and after. */
     private Calls.Link link;
+
     private boolean left;
     private boolean ended;
 
@@ -54,10 +55,13 @@
         this.caller = caller;
         this.what = what;
         this.kind = run.scenario.classes().get(what.classIndex());
-        // Of its own: two attempts of one request at one node call the next tier with the same seed.
+        // Of its own: two attempts of one request at one node call the next tier with the same
+        // seed.
         this.id = HexFormat.of().toHexDigits(Mix.of(what.seed(), emulation.nextId()));
-        this.body = kind.effect() == Effect.SAFE ? new byte[0]
-                : (id + "m".repeat(BODY)).getBytes(StandardCharsets.ISO_8859_1);
+        this.body =
+                kind.effect() == Effect.SAFE
+                        ? new byte[0]
+                        : (id + "m".repeat(BODY)).getBytes(StandardCharsets.ISO_8859_1);
         this.startedAt = emulation.now();
     }
 
@@ -115,12 +119,25 @@
         rpc = run.nextRpc();
         counts().rpcs++;
         emulation.onTheWire(this);
-        run.trace.taken(now, proxy.number, rpc, kind.effect(), kind.keyScope(), kind.repeatWindow(),
+        run.trace.taken(
+                now,
+                proxy.number,
+                rpc,
+                kind.effect(),
+                kind.keyScope(),
+                kind.repeatWindow(),
                 what.deadline());
-        StringBuilder head = new StringBuilder(256).append(method()).append(' ').append(PATH)
-                .append(" HTTP/1.1\r\nHost: service.internal\r\nReq-Id: ").append(id)
-                .append("\r\nReq-Kind: ").append(kind.name()).append("\r\nReq-Deadline-Ms: ")
-                .append(Math.max(1, (what.deadline() - now) / 1_000_000));
+        StringBuilder head =
+                new StringBuilder(256)
+                        .append(method())
+                        .append(' ')
+                        .append(PATH)
+                        .append(" HTTP/1.1\r\nHost: service.internal\r\nReq-Id: ")
+                        .append(id)
+                        .append("\r\nReq-Kind: ")
+                        .append(kind.name())
+                        .append("\r\nReq-Deadline-Ms: ")
+                        .append(Math.max(1, (what.deadline() - now) / 1_000_000));
         if (!run.scenario.tenants().isEmpty()) {
             head.append("\r\nReq-Owner: ").append(run.scenario.tenants().get(what.tenant()).name());
         }
@@ -152,7 +169,9 @@
         return run.ledger.tiers[proxy.tier];
     }
 
-    /** What is wrong with a request that a proxy sent on as this one; null where it is unchanged. */
+    /**
+     * What is wrong with a request that a proxy sent on as this one; null where it is unchanged.
+     */
     String changedIn(Message request) {
         HeaderFields fields = request.head().fields();
         String expected = kind.effect() == Effect.KEYED ? key() : null;
@@ -176,7 +195,8 @@
         int status = answer.head().status();
         link = null;
         if (status == 200) {
-            WireJob from = jobs.stream().filter(job -> job.made(answer.body())).findFirst().orElse(null);
+            WireJob from =
+                    jobs.stream().filter(job -> job.made(answer.body())).findFirst().orElse(null);
             end(Final.SERVED, from == null ? -1 : from.number());
             // What no node made is a breach, and no answer that a caller can use.
             tell(from == null ? Caller.End.FAILED : Caller.End.SERVED, 0, from);
@@ -225,20 +245,23 @@
     }
 
     private void tell(Caller.End how, long retryAfter, WireJob from) {
-        emulation.after(what.local() ? 0 : run.network.clients(), () -> {
-            if (left) {
-                return;
-            }
-            left = true;
-            if (!what.local()) {
-                emulation.seen.tries++;
-                emulation.seen.ends[how.ordinal()]++;
-                if (how == Caller.End.SERVED) {
-                    emulation.seen.latency.recordValue((emulation.now() - startedAt) / 1000);
-                }
-            }
-            caller.answered(how, retryAfter, from);
-        });
+        emulation.after(
+                what.local() ? 0 : run.network.clients(),
+                () -> {
+                    if (left) {
+                        return;
+                    }
+                    left = true;
+                    if (!what.local()) {
+                        emulation.seen.tries++;
+                        emulation.seen.ends[how.ordinal()]++;
+                        if (how == Caller.End.SERVED) {
+                            emulation.seen.latency.recordValue(
+                                    (emulation.now() - startedAt) / 1000);
+                        }
+                    }
+                    caller.answered(how, retryAfter, from);
+                });
     }
 
     @Override
@@ -260,10 +283,12 @@
         }
         // It is over for the caller; whether the answer comes in its grace is still to be seen.
         Calls.Link on = link;
-        emulation.after(what.deadline() + emulation.graceToAnswer - emulation.now(), () -> {
-            if (link == on) {
-                on.hangUp();
-            }
-        });
+        emulation.after(
+                what.deadline() + emulation.graceToAnswer - emulation.now(),
+                () -> {
+                    if (link == on) {
+                        on.hangUp();
+                    }
+                });
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/Wires.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Wires.java
@@ -16,9 +16,15 @@
 /** Plays what a scenario has for sockets to go wrong. Whom it strikes is drawn ahead. */
 final class Wires {
 
-    private static final List<WireTrouble> SPOIL = List.of(WireTrouble.GARBLE, WireTrouble.TOO_LONG,
-            WireTrouble.TOO_SHORT, WireTrouble.ENDLESS, WireTrouble.INTERIM_FLOOD, WireTrouble.SECOND_COPY,
-            WireTrouble.RESET_AFTER);
+    private static final List<WireTrouble> SPOIL =
+            List.of(
+                    WireTrouble.GARBLE,
+                    WireTrouble.TOO_LONG,
+                    WireTrouble.TOO_SHORT,
+                    WireTrouble.ENDLESS,
+                    WireTrouble.INTERIM_FLOOD,
+                    WireTrouble.SECOND_COPY,
+                    WireTrouble.RESET_AFTER);
 
     /** Sources of chance below this index belong to the model's faults. */
     private static final int SOURCES = 1 << 20;
@@ -74,14 +80,16 @@
         emulation.side(node).look();
     }
 
-    private void strikeProxies(WireTrouble trouble, long begins, long length, double part,
-            RandomGenerator random) {
-        List<EmulatedProxy> all = emulation.proxies().stream().filter(each -> each.tier == 0).toList();
+    private void strikeProxies(
+            WireTrouble trouble, long begins, long length, double part, RandomGenerator random) {
+        List<EmulatedProxy> all =
+                emulation.proxies().stream().filter(each -> each.tier == 0).toList();
         List<EmulatedProxy> struck = struck(all, part, random);
         for (int i = 0; i < struck.size(); i++) {
             EmulatedProxy proxy = struck.get(i);
-            emulation.after(begins + i * length / struck.size(), trouble == WireTrouble.TERMINATE
-                    ? proxy::restart : proxy::moveDiscovery);
+            emulation.after(
+                    begins + i * length / struck.size(),
+                    trouble == WireTrouble.TERMINATE ? proxy::restart : proxy::moveDiscovery);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Bootstrap.java
@@ -11,10 +11,11 @@
 /**
  * Intervals by resampling. All draws come from one seed, so equal data have equal intervals.
  *
- * <p>For means: the bias-corrected and accelerated interval, BCa (Efron, Better Bootstrap Confidence
- * Intervals, JASA 82, 1987), with its quantiles expanded for few values as Student's t is (Hesterberg, What
- * Teachers Should Know About the Bootstrap, The American Statistician 69, 2015). For a rank correlation: the
- * percentile interval. docs/EXPERIMENTS.md has the coverage that was measured.
+ * <p>For means: the bias-corrected and accelerated interval, BCa (Efron, Better Bootstrap
+ * Confidence Intervals, JASA 82, 1987), with its quantiles expanded for few values as Student's t
+ * is (Hesterberg, What Teachers Should Know About the Bootstrap, The American Statistician 69,
+ * 2015). For a rank correlation: the percentile interval. docs/EXPERIMENTS.md has the coverage that
+ * was measured.
  */
 public final class Bootstrap {
 
@@ -37,12 +38,13 @@
 
     /** With fewer values a resample says nothing. */
     private static final int LEAST = 3;
+
     private static final int RESAMPLES = 10_000;
     private static final long SEED = 19_870_301;
     private static final double TAIL = 0.025;
     private static final NormalDistribution NORMAL = new NormalDistribution(null, 0, 1);
 
-    private Bootstrap() { }
+    private Bootstrap() {}
 
     private static RandomGenerator random() {
         return RandomGeneratorFactory.of("L64X128MixRandom").create(SEED);
@@ -68,8 +70,9 @@
         if (means[0] == means[RESAMPLES - 1]) {
             return new Interval(mean, mean);
         }
-        double quantile = Math.sqrt(n / (n - 1.0)) * new TDistribution(null, n - 1)
-                .inverseCumulativeProbability(1 - TAIL);
+        double quantile =
+                Math.sqrt(n / (n - 1.0))
+                        * new TDistribution(null, n - 1).inverseCumulativeProbability(1 - TAIL);
         return bca(means, mean, acceleration(values, mean), quantile);
     }
 
@@ -85,11 +88,14 @@
         return cubes / (6 * Math.pow(squares, 1.5));
     }
 
-    private static Interval bca(double[] sorted, double estimate, double acceleration, double quantile) {
-        double below = Arrays.stream(sorted).map(v -> v < estimate ? 1 : v == estimate ? 0.5 : 0).sum();
+    private static Interval bca(
+            double[] sorted, double estimate, double acceleration, double quantile) {
+        double below =
+                Arrays.stream(sorted).map(v -> v < estimate ? 1 : v == estimate ? 0.5 : 0).sum();
         double least = 0.5 / sorted.length;
-        double bias = NORMAL.inverseCumulativeProbability(
-                Math.max(least, Math.min(1 - least, below / sorted.length)));
+        double bias =
+                NORMAL.inverseCumulativeProbability(
+                        Math.max(least, Math.min(1 - least, below / sorted.length)));
         Percentile percentile = new Percentile();
         percentile.setData(sorted);
         double[] ends = new double[2];
@@ -106,7 +112,9 @@
         return a.length < 2 ? Double.NaN : new SpearmansCorrelation().correlation(a, b);
     }
 
-    /** Its interval. Pairs are drawn together; draws in which one side is all equal are left out. */
+    /**
+     * Its interval. Pairs are drawn together; draws in which one side is all equal are left out.
+     */
     public static Interval spearmanInterval(double[] a, double[] b) {
         int n = a.length;
         if (n < LEAST) {
--- a/lab/src/main/java/cedarrudder/lab/experiment/Change.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Change.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * One setting of a scenario that an experiment changes. Only the settings that {@link #read} knows can be
- * changed, so a plan can't turn a scenario into another one unseen.
+ * One setting of a scenario that an experiment changes. Only the settings that {@link #read} knows
+ * can be changed, so a plan can't turn a scenario into another one unseen.
  *
  * @param section the section of the scenario: {@code allowed}, or {@code tier}
  * @param tier the tier's name where the section is {@code tier}; else empty
@@ -26,18 +26,31 @@
     /** Reads a table {@code change}; what it doesn't know is reported there. */
     static List<Change> read(Table table) {
         List<Change> changes = new ArrayList<>();
-        new Section(table, "run", "", changes).range("length_s", "length", 1, 86_400, SECOND).done();
-        new Section(table, "arrivals", "", changes).range("share", "share", 0.001, 10, 1)
-                .range("rate_per_s", "perSecond", 0.001, 1_000_000, 1).done();
+        new Section(table, "run", "", changes)
+                .range("length_s", "length", 1, 86_400, SECOND)
+                .done();
+        new Section(table, "arrivals", "", changes)
+                .range("share", "share", 0.001, 10, 1)
+                .range("rate_per_s", "perSecond", 0.001, 1_000_000, 1)
+                .done();
         new Section(table, "network", "", changes).number("peer_loss", "peerLoss", 0, 1).done();
-        new Section(table, "clients", "", changes).range("retries", "retries", 0, 16, 1)
-                .range("honour", "honour", 0, 1, 1).done();
-        new Section(table, "discovery", "", changes).flag("ask", "ask")
+        new Section(table, "clients", "", changes)
+                .range("retries", "retries", 0, 16, 1)
+                .range("honour", "honour", 0, 1, 1)
+                .done();
+        new Section(table, "discovery", "", changes)
+                .flag("ask", "ask")
                 .range("notice_s", "notice", 0, 3600, SECOND)
-                .range("calls_per_s", "capacity", 0.1, 1_000_000, 1).done();
-        new Section(table, "allowed", "", changes).flag("probes", "probes").flag("peers", "peers")
-                .flag("cancel", "cancel").flag("second_copies", "secondCopies")
-                .flag("retry_after", "retryAfter").whole("attempts", "attempts", 1, 16).done();
+                .range("calls_per_s", "capacity", 0.1, 1_000_000, 1)
+                .done();
+        new Section(table, "allowed", "", changes)
+                .flag("probes", "probes")
+                .flag("peers", "peers")
+                .flag("cancel", "cancel")
+                .flag("second_copies", "secondCopies")
+                .flag("retry_after", "retryAfter")
+                .whole("attempts", "attempts", 1, 16)
+                .done();
         Section prices = new Section(table, "prices", "", changes);
         for (String price : List.of("waste", "probe", "peer")) {
             prices.number(price, price, 0, 10);
@@ -46,8 +59,10 @@
         Table tiers = table.table("tier");
         if (tiers != null) {
             for (String name : tiers.keys()) {
-                new Section(tiers, "tier", name, changes).range("nodes", "nodes", 1, 100_000, 1)
-                        .range("proxies", "proxies", 1, 100_000, 1).done();
+                new Section(tiers, "tier", name, changes)
+                        .range("nodes", "nodes", 1, 100_000, 1)
+                        .range("proxies", "proxies", 1, 100_000, 1)
+                        .done();
             }
         }
         table.done();
@@ -109,13 +124,15 @@
     /**
      * The scenario with this change made.
      *
-     * @throws IllegalArgumentException if the scenario has no such tier, with the names of those it has
+     * @throws IllegalArgumentException if the scenario has no such tier, with the names of those it
+     *     has
      */
     public Scenario apply(Scenario scenario) {
         if (tier.isEmpty()) {
             Record changed = with(get(scenario, section), setting, value);
             if (section.equals("arrivals")) {
-                // One stands for the other. Guards against a change that is made and then not looked at.
+                // One stands for the other. Guards against a change that is made and then not
+                // looked at.
                 changed = with(changed, setting.equals("share") ? "perSecond" : "share", null);
             }
             return (Scenario) with(scenario, section, changed);
@@ -128,21 +145,31 @@
         }
         Scenario.Tier changed = (Scenario.Tier) with(tiers.get(at), setting, value);
         // A number of nodes may be told in multiples of the first tier; the changed one never is.
-        tiers.set(at, setting.equals("nodes") ? (Scenario.Tier) with(changed, "relative", false) : changed);
+        tiers.set(
+                at,
+                setting.equals("nodes")
+                        ? (Scenario.Tier) with(changed, "relative", false)
+                        : changed);
         return (Scenario) with(scenario, "tiers", tiers);
     }
 
     private static Object get(Record of, String component) {
-        return Arrays.stream(of.getClass().getRecordComponents()).filter(c -> c.getName().equals(component))
-                .map(c -> read(of, c)).findAny().orElseThrow();
+        return Arrays.stream(of.getClass().getRecordComponents())
+                .filter(c -> c.getName().equals(component))
+                .map(c -> read(of, c))
+                .findAny()
+                .orElseThrow();
     }
 
     /** A copy of a record with one component replaced. */
     static Record with(Object of, String component, Object value) {
         RecordComponent[] components = of.getClass().getRecordComponents();
-        Class<?>[] types = Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new);
-        Object[] values = Arrays.stream(components)
-                .map(c -> c.getName().equals(component) ? value : read(of, c)).toArray();
+        Class<?>[] types =
+                Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new);
+        Object[] values =
+                Arrays.stream(components)
+                        .map(c -> c.getName().equals(component) ? value : read(of, c))
+                        .toArray();
         try {
             return (Record) of.getClass().getDeclaredConstructor(types).newInstance(values);
         } catch (ReflectiveOperationException e) {
@@ -160,9 +187,16 @@
 
     @Override
     public String toString() {
-        String shown = value instanceof Draw draw && draw.low() == draw.high() ? String.valueOf(draw.low())
-                : value instanceof Draw draw ? draw.low() + ".." + draw.high() : String.valueOf(value);
-        return List.of(section, tier, key).stream().filter(part -> !part.isEmpty())
-                .collect(Collectors.joining(".")) + "=" + shown;
+        String shown =
+                value instanceof Draw draw && draw.low() == draw.high()
+                        ? String.valueOf(draw.low())
+                        : value instanceof Draw draw
+                                ? draw.low() + ".." + draw.high()
+                                : String.valueOf(value);
+        return List.of(section, tier, key).stream()
+                        .filter(part -> !part.isEmpty())
+                        .collect(Collectors.joining("."))
+                + "="
+                + shown;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/experiment/CodeHash.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/CodeHash.java
@@ -15,20 +15,30 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Names the code that makes runs, so that results of two builds that differ in it are not mixed. */
+/**
+ * Names the code that makes runs, so that results of two builds that differ in it are not mixed.
+ */
 public final class CodeHash {
 
     /** What can't change a result: reports and commands, and the daemon's sockets. */
-    private static final List<String> BESIDE = List.of("lab/report", "lab/command", "program", "transport",
-            "sim", "protocol", "logging");
+    private static final List<String> BESIDE =
+            List.of(
+                    "lab/report",
+                    "lab/command",
+                    "program",
+                    "transport",
+                    "sim",
+                    "protocol",
+                    "logging");
 
-    private CodeHash() { }
+    private CodeHash() {}
 
     /** The hash of the project's classes at the places from which these classes came. */
     public static String of(Class<?>... classes) {
         MessageDigest digest = Manifest.digest();
         try {
-            for (Path place : Arrays.stream(classes).map(CodeHash::place).distinct().sorted().toList()) {
+            for (Path place :
+                    Arrays.stream(classes).map(CodeHash::place).distinct().sorted().toList()) {
                 if (Files.isDirectory(place)) {
                     add(digest, place);
                 } else {
@@ -58,8 +68,11 @@
             return;
         }
         try (Stream<Path> files = Files.walk(own)) {
-            List<Path> classes = files.filter(f -> f.toString().endsWith(".class"))
-                    .filter(f -> BESIDE.stream().noneMatch(own.relativize(f)::startsWith)).sorted().toList();
+            List<Path> classes =
+                    files.filter(f -> f.toString().endsWith(".class"))
+                            .filter(f -> BESIDE.stream().noneMatch(own.relativize(f)::startsWith))
+                            .sorted()
+                            .toList();
             for (Path file : classes) {
                 String name = own.relativize(file).toString();
                 digest.update(name.getBytes(StandardCharsets.UTF_8));
--- a/lab/src/main/java/cedarrudder/lab/experiment/Curves.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Curves.java
@@ -9,7 +9,10 @@
 
     private static final int WINDOW = 10;
 
-    /** Goodput is back when that of so many seconds is; a single heavy request pulls one second down. */
+    /**
+     * Goodput is back when that of so many seconds is; a single heavy request pulls one second
+     * down.
+     */
     private static final int BACK_SECONDS = 5;
 
     /** Goodput counts as back at this share of what it was before the first fault. */
@@ -18,7 +21,7 @@
     /** Groups of fewer first tries say nothing of a share. */
     private static final int LEAST_GROUP = 20;
 
-    private Curves() { }
+    private Curves() {}
 
     /** Attempts at the tier that has the most, for each that first tries need there. */
     static double attempts(RunResult run) {
@@ -54,9 +57,9 @@
     }
 
     /**
-     * Seconds from the end of the last fault until the first of five seconds in which the share served is
-     * back at 95 % of what it was before the first fault; the rest of the run where it never is, 0 without
-     * any fault.
+     * Seconds from the end of the last fault until the first of five seconds in which the share
+     * served is back at 95 % of what it was before the first fault; the rest of the run where it
+     * never is, 0 without any fault.
      */
     static double recovery(RunResult run) {
         if (run.faults().isEmpty()) {
@@ -100,14 +103,16 @@
     }
 
     /**
-     * The rank correlation (Spearman) of the share unserved with the worth for work, over groups, with its
-     * sign changed: 1 where who is worth less never does better. 1 too where all do equally well.
+     * The rank correlation (Spearman) of the share unserved with the worth for work, over groups,
+     * with its sign changed: 1 where who is worth less never does better. 1 too where all do
+     * equally well.
      */
     static double shedOrder(RunResult run) {
-        List<RunResult.Group> groups = run.groups().stream().filter(g -> g.requests() >= LEAST_GROUP)
-                .toList();
+        List<RunResult.Group> groups =
+                run.groups().stream().filter(g -> g.requests() >= LEAST_GROUP).toList();
         double[] worth = groups.stream().mapToDouble(RunResult.Group::worthPerWork).toArray();
-        double[] unserved = groups.stream().mapToDouble(g -> (double) g.unserved() / g.requests()).toArray();
+        double[] unserved =
+                groups.stream().mapToDouble(g -> (double) g.unserved() / g.requests()).toArray();
         if (groups.size() < 2) {
             return 1;
         }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Experiment.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Experiment.java
@@ -11,13 +11,15 @@
 import java.util.function.Consumer;
 
 /**
- * Makes the runs of a plan that are not finished yet, by several threads. Runs are made by worker threads;
- * one thread, the caller of {@link #run}, writes their results. {@link #stop} may be called by any thread.
+ * Makes the runs of a plan that are not finished yet, by several threads. Runs are made by worker
+ * threads; one thread, the caller of {@link #run}, writes their results. {@link #stop} may be
+ * called by any thread.
  */
 public final class Experiment {
 
     /** Results are on the disk at the latest so long after they were written. */
     private static final long FORCE_EVERY = TimeUnit.SECONDS.toNanos(2);
+
     private static final long LOOK_EVERY_MS = 500;
 
     /**
@@ -25,13 +27,14 @@
      *
      * @param finished runs that are in the directory now
      * @param all runs of the plan
-     * @param failed runs that the model itself could not make, each with the cause; they have no result
+     * @param failed runs that the model itself could not make, each with the cause; they have no
+     *     result
      * @param stopped whether it was stopped before its end
      */
-    public record End(long finished, long all, List<String> failed, boolean stopped) { }
+    public record End(long finished, long all, List<String> failed, boolean stopped) {}
 
     /** What a worker hands over: a run, or why there is none. */
-    private record Done(Job job, Runner.Measured run, double seconds, Throwable failure) { }
+    private record Done(Job job, Runner.Measured run, double seconds, Throwable failure) {}
 
     private final Plan plan;
     private final Runner runner;
@@ -58,10 +61,11 @@
     }
 
     /**
-     * Makes the runs that the directory lacks, and returns when all are there or {@link #stop} was called.
+     * Makes the runs that the directory lacks, and returns when all are there or {@link #stop} was
+     * called.
      *
-     * @throws IOException if a result can't be written; those finished before are whole, and another
-     * experiment on the same directory goes on from there
+     * @throws IOException if a result can't be written; those finished before are whole, and
+     *     another experiment on the same directory goes on from there
      */
     public End run(ResultDirectory directory) throws IOException {
         List<Job> open = plan.jobs().stream().filter(job -> !directory.has(job.key())).toList();
@@ -69,12 +73,15 @@
         TimeLeft timeLeft = new TimeLeft(open, threads);
         List<String> failed = new ArrayList<>();
         BlockingQueue<Done> done = new LinkedBlockingQueue<>();
-        ExecutorService workers = Executors.newFixedThreadPool(threads, task -> {
-            Thread thread = new Thread(task, "run");
-            // Guards against a run that hangs and keeps a stopped program alive.
-            thread.setDaemon(true);
-            return thread;
-        });
+        ExecutorService workers =
+                Executors.newFixedThreadPool(
+                        threads,
+                        task -> {
+                            Thread thread = new Thread(task, "run");
+                            // Guards against a run that hangs and keeps a stopped program alive.
+                            thread.setDaemon(true);
+                            return thread;
+                        });
         try {
             open.forEach(job -> workers.execute(() -> done.add(make(job))));
             long forced = System.nanoTime();
@@ -119,7 +126,8 @@
                 failure = new IllegalStateException("its result says that it is " + key);
             }
         } catch (RuntimeException | Error e) {
-            // Guards against a fault of the model that would hide in a thread: it is told, others go on.
+            // Guards against a fault of the model that would hide in a thread: it is told, others
+            // go on.
             failure = e;
         }
         return new Done(job, run, (System.nanoTime() - start) / 1e9, failure);
--- a/lab/src/main/java/cedarrudder/lab/experiment/JsonLines.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/JsonLines.java
@@ -13,8 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * A file of JSON values, one a line, that is only ever added to. A program or machine that dies while a line
- * is written leaves a torn one behind; the next that opens the file takes it away. For one thread.
+ * A file of JSON values, one a line, that is only ever added to. A program or machine that dies
+ * while a line is written leaves a torn one behind; the next that opens the file takes it away. For
+ * one thread.
  */
 final class JsonLines implements Closeable {
 
@@ -36,11 +37,12 @@
      * Opens a file for adding to it, and makes it where it isn't there.
      *
      * @param each is told each line that the file holds
-     * @throws IOException if it can't be opened, or a line before the last one can't be read; then the file
-     * stays as it is
+     * @throws IOException if it can't be opened, or a line before the last one can't be read; then
+     *     the file stays as it is
      */
     static <T> JsonLines open(Path file, Class<T> type, Consumer<T> each) throws IOException {
-        FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             long whole = read(file, type, each);
             channel.truncate(whole);
@@ -66,8 +68,12 @@
                 T value = parsed(line, type);
                 if (value == null) {
                     if (lines.next() != null) {
-                        throw new IOException(file + ":" + number + ": a line that can't be read, with others"
-                                + " behind it; take it out to go on without it");
+                        throw new IOException(
+                                file
+                                        + ":"
+                                        + number
+                                        + ": a line that can't be read, with others"
+                                        + " behind it; take it out to go on without it");
                     }
                     return whole;
                 }
@@ -93,8 +99,8 @@
     /**
      * Adds a line. It is handed to the system at once, and to the disk with {@link #force}.
      *
-     * @throws IOException if it can't be written; the file then ends with the line before, as far as the
-     * disk allows that
+     * @throws IOException if it can't be written; the file then ends with the line before, as far
+     *     as the disk allows that
      */
     void add(Object value) throws IOException {
         byte[] json = JSON.writeValueAsBytes(value);
--- a/lab/src/main/java/cedarrudder/lab/experiment/LineBytes.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/LineBytes.java
@@ -6,7 +6,9 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** Reads lines as bytes, with the byte that ends them, so that a last line without it can be told. */
+/**
+ * Reads lines as bytes, with the byte that ends them, so that a last line without it can be told.
+ */
 final class LineBytes implements Closeable {
 
     private final InputStream in;
--- a/lab/src/main/java/cedarrudder/lab/experiment/Metric.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Metric.java
@@ -40,11 +40,18 @@
     /** Attempts a first try, over all tiers. */
     ATTEMPTS("Attempts a request", "attempts", false, RunResult::attempts),
 
-    /** Attempts at a tier for each that a client's first try needs there; of the tier that has the most. */
+    /**
+     * Attempts at a tier for each that a client's first try needs there; of the tier that has the
+     * most.
+     */
     ATTEMPTS_TIER("Attempts a needed call, worst tier", "attempts", false, Curves::attempts),
 
     /** The same in the worst 10 s. */
-    ATTEMPTS_WINDOW("Attempts a needed call, worst tier and 10 s", "attempts", false, Curves::worstAttempts),
+    ATTEMPTS_WINDOW(
+            "Attempts a needed call, worst tier and 10 s",
+            "attempts",
+            false,
+            Curves::worstAttempts),
 
     /** From the end of the last fault until goodput is back. */
     RECOVERY("Time to recover", "s", false, Curves::recovery),
@@ -59,24 +66,45 @@
     PROBES("Probes a request", "probes", false, RunResult::probes),
 
     /** Second copies a first try, over all tiers. */
-    COPIES("Second copies a request", "copies", false, r -> r.tiers().stream()
-            .mapToLong(RunResult.TierResult::copies).sum() / (double) Math.max(1, r.requests())),
+    COPIES(
+            "Second copies a request",
+            "copies",
+            false,
+            r ->
+                    r.tiers().stream().mapToLong(RunResult.TierResult::copies).sum()
+                            / (double) Math.max(1, r.requests())),
 
     /** The share of first tries that ended with a refusal. */
-    REFUSED("Refused", "share of requests", false, r -> r.classes().stream()
-            .mapToLong(RunResult.ClassResult::refused).sum() / (double) Math.max(1, r.requests())),
+    REFUSED(
+            "Refused",
+            "share of requests",
+            false,
+            r ->
+                    r.classes().stream().mapToLong(RunResult.ClassResult::refused).sum()
+                            / (double) Math.max(1, r.requests())),
 
     /** The share of first tries that failed or never had an answer. */
-    FAILED("Failed or unanswered", "share of requests", false, r -> r.classes().stream()
-            .mapToLong(c -> c.failed() + c.unanswered()).sum() / (double) Math.max(1, r.requests())),
+    FAILED(
+            "Failed or unanswered",
+            "share of requests",
+            false,
+            r ->
+                    r.classes().stream().mapToLong(c -> c.failed() + c.unanswered()).sum()
+                            / (double) Math.max(1, r.requests())),
 
     /** How often nodes choked. */
-    CHOKES("Chokes", "times", false, r -> r.tiers().stream()
-            .mapToLong(RunResult.TierResult::chokes).sum()),
+    CHOKES(
+            "Chokes",
+            "times",
+            false,
+            r -> r.tiers().stream().mapToLong(RunResult.TierResult::chokes).sum()),
 
     /** Breaches of the rules. */
-    BREACHES("Breaches of rules", "times", false, r -> r.breaches().stream()
-            .mapToLong(RunResult.Breach::count).sum());
+    BREACHES(
+            "Breaches of rules",
+            "times",
+            false,
+            r -> r.breaches().stream().mapToLong(RunResult.Breach::count).sum());
 
     private final String title;
     private final String unit;
--- a/lab/src/main/java/cedarrudder/lab/experiment/Plan.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Plan.java
@@ -15,23 +15,32 @@
  * @param firstSeed the first seed
  * @param lastSeed and the last, inclusive
  * @param metrics what is compared, the most important first
- * @param measured whether the time inside decisions is measured; runs then have no referee, whose time would
- * count as theirs
+ * @param measured whether the time inside decisions is measured; runs then have no referee, whose
+ *     time would count as theirs
  */
-public record Plan(String name, String about, List<Entry> entries, List<Variant> variants, String baseline,
-        long firstSeed, long lastSeed, List<Metric> metrics, boolean measured) {
+public record Plan(
+        String name,
+        String about,
+        List<Entry> entries,
+        List<Variant> variants,
+        String baseline,
+        long firstSeed,
+        long lastSeed,
+        List<Metric> metrics,
+        boolean measured) {
 
     /**
      * A scenario of the plan.
      *
      * @param scenario with the changes of its entry made, and the entry's name
-     * @param family scenarios of one family differ in size: their results make growth curves; may be empty
+     * @param family scenarios of one family differ in size: their results make growth curves; may
+     *     be empty
      */
-    public record Entry(Scenario scenario, String family) { }
+    public record Entry(Scenario scenario, String family) {}
 
     /**
-     * All runs. Seeds come outermost, so that an experiment cut short holds whole pairs, and all scenarios
-     * are met early, from which the time left is estimated.
+     * All runs. Seeds come outermost, so that an experiment cut short holds whole pairs, and all
+     * scenarios are met early, from which the time left is estimated.
      */
     public List<Job> jobs() {
         List<Job> jobs = new ArrayList<>();
--- a/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
@@ -22,7 +22,10 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Reads a plan, and with it the scenarios that it names; one run reports all that is wrong with them. */
+/**
+ * Reads a plan, and with it the scenarios that it names; one run reports all that is wrong with
+ * them.
+ */
 public final class PlanReader {
 
     /** The policy of variants that name none: our own decisions. */
@@ -32,15 +35,26 @@
     private static final String NAMES = "up to 40 small letters, digits, dots and hyphens";
     private static final Pattern SEEDS = Pattern.compile("(\\d{1,9})\\.\\.(\\d{1,9})");
     private static final String SEED_RANGE = "the first and the last seed, such as \"1..20\"";
+
     /** Guards against a slip of the keyboard that would run for weeks. */
     private static final long MOST_SEEDS = 10_000;
+
     private static final double ANY = 1e12;
-    private static final List<Metric> USUAL = List.of(Metric.GOODPUT, Metric.WHOLE, Metric.WORST_WINDOW,
-            Metric.WORST_CLASS, Metric.P99, Metric.ATTEMPTS, Metric.PROBES);
+    private static final List<Metric> USUAL =
+            List.of(
+                    Metric.GOODPUT,
+                    Metric.WHOLE,
+                    Metric.WORST_WINDOW,
+                    Metric.WORST_CLASS,
+                    Metric.P99,
+                    Metric.ATTEMPTS,
+                    Metric.PROBES);
 
     /** Reads the scenario that a file holds. */
     public interface Scenarios {
-        /** @throws BadFileException with everything that is wrong with the file */
+        /**
+         * @throws BadFileException with everything that is wrong with the file
+         */
         Scenario read(Path file) throws BadFileException;
     }
 
@@ -82,12 +96,18 @@
         List<Variant> variants = variants(root);
         String baseline = root.text("baseline", variants.isEmpty() ? "" : variants.get(0).name());
         if (!variants.isEmpty() && variants.stream().noneMatch(v -> v.name().equals(baseline))) {
-            root.problem("baseline", "\"" + baseline + "\"", "a variant: " + variants.stream()
-                    .map(Variant::name).collect(Collectors.joining(", ")));
+            root.problem(
+                    "baseline",
+                    "\"" + baseline + "\"",
+                    "a variant: "
+                            + variants.stream()
+                                    .map(Variant::name)
+                                    .collect(Collectors.joining(", ")));
         }
         List<Plan.Entry> entries = entries(root, file, variants);
         root.done();
-        return new Plan(name, about, entries, variants, baseline, seeds[0], seeds[1], metrics, measured);
+        return new Plan(
+                name, about, entries, variants, baseline, seeds[0], seeds[1], metrics, measured);
     }
 
     private static String name(Table table, String otherwise) {
@@ -110,7 +130,8 @@
         long first = Long.parseLong(range.group(1));
         long last = Long.parseLong(range.group(2));
         if (last < first || last - first >= MOST_SEEDS) {
-            root.problem("seeds", "\"" + text + "\"", SEED_RANGE + ", " + MOST_SEEDS + " at the most");
+            root.problem(
+                    "seeds", "\"" + text + "\"", SEED_RANGE + ", " + MOST_SEEDS + " at the most");
         }
         return new long[] {first, last};
     }
@@ -118,11 +139,17 @@
     private static List<Metric> metrics(Table root) {
         List<Metric> metrics = new ArrayList<>();
         for (String text : root.texts("metrics")) {
-            Metric metric = Arrays.stream(Metric.values()).filter(m -> m.toString().equals(text)).findAny()
-                    .orElse(null);
+            Metric metric =
+                    Arrays.stream(Metric.values())
+                            .filter(m -> m.toString().equals(text))
+                            .findAny()
+                            .orElse(null);
             if (metric == null || metrics.contains(metric)) {
-                root.problem("metrics", metric == null ? "\"" + text + "\"" : text + " twice",
-                        Arrays.stream(Metric.values()).map(Metric::toString)
+                root.problem(
+                        "metrics",
+                        metric == null ? "\"" + text + "\"" : text + " twice",
+                        Arrays.stream(Metric.values())
+                                .map(Metric::toString)
                                 .collect(Collectors.joining(", ")));
             } else {
                 metrics.add(metric);
@@ -141,12 +168,18 @@
             }
             String name = name(table, policy);
             if (!names.add(name)) {
-                table.problem("name", "a second \"" + name + "\"", "a name that no other variant has");
+                table.problem(
+                        "name", "a second \"" + name + "\"", "a name that no other variant has");
             }
             Tuning tuning = tuning(table, policy);
             Table changes = table.table("change");
-            variants.add(new Variant(name, policy, tuning, budgets(table),
-                    changes == null ? List.of() : Change.read(changes)));
+            variants.add(
+                    new Variant(
+                            name,
+                            policy,
+                            tuning,
+                            budgets(table),
+                            changes == null ? List.of() : Change.read(changes)));
             table.done();
         }
         if (variants.isEmpty()) {
@@ -159,7 +192,8 @@
         Table set = variant.table("set");
         List<String> assignments = new ArrayList<>();
         if (set != null && !policy.equals(OWN)) {
-            variant.problem("set", "figures for \"" + policy + "\"", "figures for \"" + OWN + "\" alone");
+            variant.problem(
+                    "set", "figures for \"" + policy + "\"", "figures for \"" + OWN + "\" alone");
         } else if (set != null) {
             for (String key : set.keys()) {
                 double value = set.number(key, -ANY, ANY, Double.NaN);
@@ -202,10 +236,12 @@
         Set<String> names = new HashSet<>();
         for (Table table : root.tables("scenario")) {
             String text = table.text("file", null);
-            Scenario scenario = text.isEmpty() ? null : scenario(file.resolveSibling(text).normalize());
+            Scenario scenario =
+                    text.isEmpty() ? null : scenario(file.resolveSibling(text).normalize());
             String name = name(table, scenario == null ? "unread" : scenario.name());
             if (scenario != null && !names.add(name)) {
-                table.problem("name", "a second \"" + name + "\"", "a name that no other scenario has");
+                table.problem(
+                        "name", "a second \"" + name + "\"", "a name that no other scenario has");
             }
             String family = table.text("family", "");
             Table change = table.table("change");
@@ -216,9 +252,16 @@
                 for (Variant variant : variants) {
                     Scenario played = changed(table, scenario, variant.changes());
                     if (variant.budgets() != null) {
-                        variant.budgets().wrongFor(played.tiers().stream().map(Scenario.Tier::name).toList())
-                                .forEach(wrong -> table.problem("file", wrong, "as the budget of variant \""
-                                        + variant.name() + "\" has it"));
+                        variant.budgets()
+                                .wrongFor(played.tiers().stream().map(Scenario.Tier::name).toList())
+                                .forEach(
+                                        wrong ->
+                                                table.problem(
+                                                        "file",
+                                                        wrong,
+                                                        "as the budget of variant \""
+                                                                + variant.name()
+                                                                + "\" has it"));
                     }
                 }
                 entries.add(new Plan.Entry((Scenario) Change.with(scenario, "name", name), family));
@@ -248,7 +291,8 @@
             try {
                 changed = change.apply(changed);
             } catch (IllegalArgumentException e) {
-                table.problem("file", "no tier \"" + change.tier() + "\" to change", e.getMessage());
+                table.problem(
+                        "file", "no tier \"" + change.tier() + "\" to change", e.getMessage());
             }
         }
         return changed;
--- a/lab/src/main/java/cedarrudder/lab/experiment/ResultDirectory.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/ResultDirectory.java
@@ -19,8 +19,9 @@
 
 /**
  * The directory of an experiment's results: {@code experiment.json} tells what they belong to,
- * {@code results.jsonl} has a line for each run as it finished, and {@code costs.jsonl} what it cost this
- * machine. Results depend on scenario, variant and seed alone; costs don't, so they stand apart.
+ * {@code results.jsonl} has a line for each run as it finished, and {@code costs.jsonl} what it
+ * cost this machine. Results depend on scenario, variant and seed alone; costs don't, so they stand
+ * apart.
  *
  * <p>A run counts as finished once its result's line is whole. For one thread.
  */
@@ -48,9 +49,11 @@
 
     private ResultDirectory(Path folder, FileChannel lock) throws IOException {
         this.lock = lock;
-        results = JsonLines.open(folder.resolve(RESULTS), RunResult.class, r -> finished.add(RunKey.of(r)));
+        results =
+                JsonLines.open(
+                        folder.resolve(RESULTS), RunResult.class, r -> finished.add(RunKey.of(r)));
         try {
-            costs = JsonLines.open(folder.resolve(COSTS), CostLine.class, line -> { });
+            costs = JsonLines.open(folder.resolve(COSTS), CostLine.class, line -> {});
         } catch (IOException e) {
             results.close();
             throw e;
@@ -58,9 +61,11 @@
     }
 
     /**
-     * Opens a directory to go on with its experiment, or to begin it where the directory is new or empty.
+     * Opens a directory to go on with its experiment, or to begin it where the directory is new or
+     * empty.
      *
-     * @throws OtherPlanException if it holds the results of another plan or of other code, or anything else
+     * @throws OtherPlanException if it holds the results of another plan or of other code, or
+     *     anything else
      * @throws IOException if it can't be read or written, or another process writes to it
      */
     public static ResultDirectory open(Path folder, Manifest manifest)
@@ -71,14 +76,15 @@
         if (begun) {
             check(folder, manifest(folder), manifest);
         } else if (!isEmpty(folder)) {
-            throw new OtherPlanException(folder
-                    + " holds other files and no experiment; name a new directory");
+            throw new OtherPlanException(
+                    folder + " holds other files and no experiment; name a new directory");
         }
         FileChannel lock = lock(folder);
         try {
             if (!begun || !manifest(folder).equals(manifest)) {
                 Path draft = folder.resolve(MANIFEST + ".new");
-                Files.write(draft, JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(manifest));
+                Files.write(
+                        draft, JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(manifest));
                 // Guards against a manifest of which a crash left only a part.
                 Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE);
             }
@@ -90,8 +96,9 @@
     }
 
     private static FileChannel lock(Path folder) throws IOException {
-        FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         boolean free = false;
         try {
             free = channel.tryLock() != null;
@@ -116,14 +123,22 @@
         }
     }
 
-    private static void check(Path folder, Manifest there, Manifest ours) throws OtherPlanException {
-        String differs = !there.planHash().equals(ours.planHash())
-                ? "another plan, \"" + there.name() + "\" (or its scenarios have changed since)"
-                : !there.codeHash().equals(ours.codeHash()) ? "this plan from another build of the program"
-                : null;
+    private static void check(Path folder, Manifest there, Manifest ours)
+            throws OtherPlanException {
+        String differs =
+                !there.planHash().equals(ours.planHash())
+                        ? "another plan, \""
+                                + there.name()
+                                + "\" (or its scenarios have changed since)"
+                        : !there.codeHash().equals(ours.codeHash())
+                                ? "this plan from another build of the program"
+                                : null;
         if (differs != null) {
-            throw new OtherPlanException(folder + " holds results of " + differs
-                    + "; it is left as it is: name a new directory");
+            throw new OtherPlanException(
+                    folder
+                            + " holds results of "
+                            + differs
+                            + "; it is left as it is: name a new directory");
         }
     }
 
@@ -131,7 +146,8 @@
         try {
             return JSON.readValue(Files.readAllBytes(folder.resolve(MANIFEST)), Manifest.class);
         } catch (JsonProcessingException e) {
-            throw new IOException(folder.resolve(MANIFEST) + " can't be read: " + e.getOriginalMessage(), e);
+            throw new IOException(
+                    folder.resolve(MANIFEST) + " can't be read: " + e.getOriginalMessage(), e);
         }
     }
 
@@ -146,11 +162,14 @@
         }
         SortedMap<RunKey, RunResult> runs = new TreeMap<>();
         if (Files.exists(folder.resolve(RESULTS))) {
-            JsonLines.read(folder.resolve(RESULTS), RunResult.class, r -> runs.put(RunKey.of(r), r));
+            JsonLines.read(
+                    folder.resolve(RESULTS), RunResult.class, r -> runs.put(RunKey.of(r), r));
         }
         SortedMap<RunKey, RunResult.Cost> costs = new TreeMap<>();
         if (Files.exists(folder.resolve(COSTS))) {
-            JsonLines.read(folder.resolve(COSTS), CostLine.class,
+            JsonLines.read(
+                    folder.resolve(COSTS),
+                    CostLine.class,
                     c -> costs.put(new RunKey(c.scenario(), c.variant(), c.seed()), c.cost()));
         }
         return new Results(manifest(folder), runs, costs);
@@ -173,8 +192,13 @@
      */
     public void add(Runner.Measured run) throws IOException {
         RunResult result = run.result();
-        costs.add(new CostLine(result.scenario(), result.variant(), result.seed(), result.requests(),
-                run.cost()));
+        costs.add(
+                new CostLine(
+                        result.scenario(),
+                        result.variant(),
+                        result.seed(),
+                        result.requests(),
+                        run.cost()));
         results.add(result);
         finished.add(RunKey.of(result));
     }
@@ -187,7 +211,9 @@
 
     @Override
     public void close() throws IOException {
-        try (lock; results; costs) {
+        try (lock;
+                results;
+                costs) {
             force();
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Results.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Results.java
@@ -14,7 +14,9 @@
  * @param runs by scenario, variant and seed
  * @param costs what the runs cost, by the same
  */
-public record Results(Manifest manifest, SortedMap<RunKey, RunResult> runs,
+public record Results(
+        Manifest manifest,
+        SortedMap<RunKey, RunResult> runs,
         SortedMap<RunKey, RunResult.Cost> costs) {
 
     /** The runs of a variant on a scenario, by seed. */
@@ -27,7 +29,8 @@
         return range(costs, scenario, variant);
     }
 
-    private static <T> SortedMap<RunKey, T> range(SortedMap<RunKey, T> of, String scenario, String variant) {
+    private static <T> SortedMap<RunKey, T> range(
+            SortedMap<RunKey, T> of, String scenario, String variant) {
         RunKey first = new RunKey(scenario, variant, Long.MIN_VALUE);
         RunKey last = new RunKey(scenario, variant, Long.MAX_VALUE);
         return Collections.unmodifiableSortedMap(new TreeMap<>(of.subMap(first, last)));
--- a/lab/src/main/java/cedarrudder/lab/experiment/RunKey.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/RunKey.java
@@ -6,8 +6,10 @@
 /** What tells the runs of an experiment apart; ordered by scenario, variant and seed. */
 public record RunKey(String scenario, String variant, long seed) implements Comparable<RunKey> {
 
-    private static final Comparator<RunKey> ORDER = Comparator.comparing(RunKey::scenario)
-            .thenComparing(RunKey::variant).thenComparingLong(RunKey::seed);
+    private static final Comparator<RunKey> ORDER =
+            Comparator.comparing(RunKey::scenario)
+                    .thenComparing(RunKey::variant)
+                    .thenComparingLong(RunKey::seed);
 
     /** The key of a result. */
     public static RunKey of(RunResult result) {
--- a/lab/src/main/java/cedarrudder/lab/experiment/Runner.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Runner.java
@@ -11,8 +11,11 @@
      * @param result the same for the same job, whatever the machine
      * @param cost what it cost this machine
      */
-    record Measured(RunResult result, RunResult.Cost cost) { }
+    record Measured(RunResult result, RunResult.Cost cost) {}
 
-    /** Runs a job to its end. A balancer that misbehaves is a finding of the result and no exception. */
+    /**
+     * Runs a job to its end. A balancer that misbehaves is a finding of the result and no
+     * exception.
+     */
     Measured run(Job job);
 }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Summary.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Summary.java
@@ -19,23 +19,38 @@
  * @param worst the worst value: the least, or the most where less is better
  * @param worstSeed the seed that had it
  */
-public record Summary(int seeds, double mean, Bootstrap.Interval interval, double median, double worst,
+public record Summary(
+        int seeds,
+        double mean,
+        Bootstrap.Interval interval,
+        double median,
+        double worst,
         long worstSeed) {
 
     /** A metric over the runs of one variant on one scenario. */
     public static Summary of(Metric metric, List<RunResult> runs) {
-        return of(metric, runs.stream().mapToLong(RunResult::seed).toArray(),
+        return of(
+                metric,
+                runs.stream().mapToLong(RunResult::seed).toArray(),
                 runs.stream().mapToDouble(metric::of).toArray());
     }
 
-    /** The variant's metric less the baseline's, paired by seed; seeds that only one has are left out. */
-    public static Summary difference(Metric metric, List<RunResult> variant, List<RunResult> baseline) {
-        Map<Long, RunResult> base = baseline.stream()
-                .collect(Collectors.toMap(RunResult::seed, Function.identity()));
+    /**
+     * The variant's metric less the baseline's, paired by seed; seeds that only one has are left
+     * out.
+     */
+    public static Summary difference(
+            Metric metric, List<RunResult> variant, List<RunResult> baseline) {
+        Map<Long, RunResult> base =
+                baseline.stream().collect(Collectors.toMap(RunResult::seed, Function.identity()));
         List<RunResult> paired = new ArrayList<>(variant);
         paired.removeIf(run -> !base.containsKey(run.seed()));
-        return of(metric, paired.stream().mapToLong(RunResult::seed).toArray(), paired.stream()
-                .mapToDouble(run -> metric.of(run) - metric.of(base.get(run.seed()))).toArray());
+        return of(
+                metric,
+                paired.stream().mapToLong(RunResult::seed).toArray(),
+                paired.stream()
+                        .mapToDouble(run -> metric.of(run) - metric.of(base.get(run.seed())))
+                        .toArray());
     }
 
     private static Summary of(Metric metric, long[] seeds, double[] values) {
@@ -48,11 +63,19 @@
                 worst = i;
             }
         }
-        return new Summary(values.length, Arrays.stream(values).sum() / values.length, Bootstrap.mean(values),
-                StatUtils.percentile(values, 50), values[worst], seeds[worst]);
+        return new Summary(
+                values.length,
+                Arrays.stream(values).sum() / values.length,
+                Bootstrap.mean(values),
+                StatUtils.percentile(values, 50),
+                values[worst],
+                seeds[worst]);
     }
 
-    /** Of a difference: 1 if the variant is surely better, -1 if it is surely worse, 0 if that is open. */
+    /**
+     * Of a difference: 1 if the variant is surely better, -1 if it is surely worse, 0 if that is
+     * open.
+     */
     public int verdict(Metric metric) {
         return !interval.excludes(0) ? 0 : mean > 0 == metric.more() ? 1 : -1;
     }
--- a/lab/src/main/java/cedarrudder/lab/experiment/TimeLeft.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/TimeLeft.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Estimates how long an experiment still takes, from the mean time of the finished runs of each scenario:
- * large ones take a hundred times longer than small ones. A scenario of which none is finished is taken to be
- * as long as the mean of the others.
+ * Estimates how long an experiment still takes, from the mean time of the finished runs of each
+ * scenario: large ones take a hundred times longer than small ones. A scenario of which none is
+ * finished is taken to be as long as the mean of the others.
  */
 final class TimeLeft {
 
@@ -56,11 +56,28 @@
 
     /** The line of progress: {@code 37/120 runs, 2.1 a second, 0:39 left}. */
     String line(long done, long all, int failed) {
-        String rate = whole.finished == 0 ? "" : String.format(Locale.ROOT, ", %.2g a second",
-                threads * whole.finished / Math.max(1e-9, whole.seconds));
+        String rate =
+                whole.finished == 0
+                        ? ""
+                        : String.format(
+                                Locale.ROOT,
+                                ", %.2g a second",
+                                threads * whole.finished / Math.max(1e-9, whole.seconds));
         double left = seconds();
-        String time = Double.isNaN(left) ? "" : String.format(Locale.ROOT, ", %d:%02d left",
-                (long) left / MINUTE, (long) left % MINUTE);
-        return done + "/" + all + " runs" + rate + time + (failed > 0 ? ", " + failed + " failed" : "");
+        String time =
+                Double.isNaN(left)
+                        ? ""
+                        : String.format(
+                                Locale.ROOT,
+                                ", %d:%02d left",
+                                (long) left / MINUTE,
+                                (long) left % MINUTE);
+        return done
+                + "/"
+                + all
+                + " runs"
+                + rate
+                + time
+                + (failed > 0 ? ", " + failed + " failed" : "");
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Variant.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Variant.java
@@ -16,8 +16,8 @@
  * @param budgets that all proxies have beside it; null: none
  * @param changes of each scenario's settings, in the order of reading
  */
-public record Variant(String name, String policy, Tuning tuning, TierBudgets budgets,
-        List<Change> changes) {
+public record Variant(
+        String name, String policy, Tuning tuning, TierBudgets budgets, List<Change> changes) {
 
     /** Copies what it is given. */
     public Variant {
@@ -26,9 +26,11 @@
 
     /** What it sets: {@code probes-per-call=0.1 allowed.peers=false}; empty where nothing. */
     public String differences() {
-        Stream<String> figures = Stream.of(TuningText.differences(tuning),
-                budgets == null ? "" : budgets.toString());
+        Stream<String> figures =
+                Stream.of(
+                        TuningText.differences(tuning), budgets == null ? "" : budgets.toString());
         return Stream.concat(figures, changes.stream().map(Change::toString))
-                .filter(text -> !text.isEmpty()).collect(Collectors.joining(" "));
+                .filter(text -> !text.isEmpty())
+                .collect(Collectors.joining(" "));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/failover/Copy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Copy.java
@@ -16,37 +16,56 @@
 import java.util.function.Consumer;
 
 /**
- * What a copy does with calls: a zone by its shares, in it the less busy of two nodes, a repeat where nothing
- * can have run twice. It stands in for the decision module, and does the same whatever the policy.
+ * What a copy does with calls: a zone by its shares, in it the less busy of two nodes, a repeat
+ * where nothing can have run twice. It stands in for the decision module, and does the same
+ * whatever the policy.
  */
 final class Copy {
 
-    static final Safety SAFETY = new Safety(2 * Site.SECOND, Node.COLD_SHARE, Node.RAMP, Node.FALL_MULTIPLE,
-            Node.FALL_WINDOW, 0);
+    static final Safety SAFETY =
+            new Safety(
+                    2 * Site.SECOND,
+                    Node.COLD_SHARE,
+                    Node.RAMP,
+                    Node.FALL_MULTIPLE,
+                    Node.FALL_WINDOW,
+                    0);
 
     private static final long CONNECT = 250 * Site.MILLI;
+
     /** A node that took no connection is left out for so long where there is another. */
     private static final long SHUNNED = Site.SECOND;
-    /** What copies of a node's own zone, and all others, may send it while it is cold, of what it can do. */
+
+    /**
+     * What copies of a node's own zone, and all others, may send it while it is cold, of what it
+     * can do.
+     */
     private static final double NEAR_COLD = 1;
+
     private static final double FAR_COLD = 0.6;
     private static final int MOST_WAITING = 5_000;
 
     /** How an attempt ended. */
-    record Ended(int zone, int node, Outcome outcome) { }
+    record Ended(int zone, int node, Outcome outcome) {}
 
     final int number;
     final int zone;
     boolean up = true;
+
     /** The share of what it sends and is sent that is lost. */
     double broken;
+
     /** The part of its calls that each zone gets; what is left is refused by worth. */
     final double[] shares = new double[Site.ZONES];
+
     /** What a zone may get a second from this copy; 0: no bound. */
     final double[] bounds = new double[Site.ZONES];
+
     ZoneTally tally;
+
     /** Attempts that ended since somebody looked, by zones: served, failed, silent. */
     final int[][] saw = new int[Site.ZONES][3];
+
     /** Hears how attempts end; or null. */
     Consumer<Ended> eyes;
 
@@ -107,13 +126,15 @@
     void stalls(long length) {
         stalledUntil = site.now() + length;
         int of = life;
-        site.after(length, () -> {
-            if (of == life && site.now() >= stalledUntil) {
-                while (!waiting.isEmpty()) {
-                    waiting.remove().run();
-                }
-            }
-        });
+        site.after(
+                length,
+                () -> {
+                    if (of == life && site.now() >= stalledUntil) {
+                        while (!waiting.isEmpty()) {
+                            waiting.remove().run();
+                        }
+                    }
+                });
     }
 
     /** Does it now, or once it goes on where it stands still; not at all in another life. */
@@ -138,12 +159,14 @@
     // ---- calls ----
 
     void takes(Call call) {
-        run(life, () -> {
-            if (tally != null) {
-                tally.came();
-            }
-            attempt(call);
-        });
+        run(
+                life,
+                () -> {
+                    if (tally != null) {
+                        tally.came();
+                    }
+                    attempt(call);
+                });
     }
 
     private void ends(Call call, boolean served) {
@@ -167,12 +190,15 @@
         }
         call.attempts++;
         site.total.sent(zone, to);
-        Attempt attempt = new Attempt(call, node, tally == null ? -1 : tally.sent(site.now(), node.id));
+        Attempt attempt =
+                new Attempt(call, node, tally == null ? -1 : tally.sent(site.now(), node.id));
         boolean lost = random.nextDouble() < broken;
         if (site.cut[zone][to] || !node.up && !lost) {
             later(CONNECT, () -> attempt.ended(Outcome.CONNECT_FAILED, Double.NaN));
         } else {
-            later(call.deadline() - site.now() + 1, () -> attempt.ended(Outcome.TIMEOUT, Double.NaN));
+            later(
+                    call.deadline() - site.now() + 1,
+                    () -> attempt.ended(Outcome.TIMEOUT, Double.NaN));
             if (!lost) {
                 site.after(Site.delay(zone, to), () -> node.arrives(attempt));
             }
@@ -214,8 +240,11 @@
             }
             over = true;
             if (tally != null) {
-                tally.ended(site.now(), counted, outcome, new Load(Double.NaN, Double.NaN, load, Double.NaN,
-                        Double.NaN, Double.NaN));
+                tally.ended(
+                        site.now(),
+                        counted,
+                        outcome,
+                        new Load(Double.NaN, Double.NaN, load, Double.NaN, Double.NaN, Double.NaN));
             }
             switch (outcome) {
                 case OK -> saw[node.zone][0]++;
@@ -230,7 +259,9 @@
             }
             if (outcome == Outcome.OK) {
                 ends(call, true);
-            } else if (!call.over && call.attempts < Call.ATTEMPTS && (call.safe || outcome.provesNotRun())) {
+            } else if (!call.over
+                    && call.attempts < Call.ATTEMPTS
+                    && (call.safe || outcome.provesNotRun())) {
                 attempt(call);
             } else {
                 ends(call, false);
@@ -242,8 +273,10 @@
     private int draw(Call call) {
         double all = Arrays.stream(shares).sum();
         double unserved = Math.max(0, 1 - all);
-        double refused = call.safe ? unserved / Call.SAFE_SHARE
-                : (unserved - Call.SAFE_SHARE) / (1 - Call.SAFE_SHARE);
+        double refused =
+                call.safe
+                        ? unserved / Call.SAFE_SHARE
+                        : (unserved - Call.SAFE_SHARE) / (1 - Call.SAFE_SHARE);
         if (call.attempts == 0 && unserved > 1e-3 && random.nextDouble() < refused) {
             return -1;
         }
@@ -291,16 +324,24 @@
         return node;
     }
 
-    /** As the module holds to it: no copy alone, and not all together, send a cold node too much. */
+    /**
+     * As the module holds to it: no copy alone, and not all together, send a cold node too much.
+     */
     private boolean withinColdBudget(Node node) {
         double able = node.listedAble();
         if (able >= 1) {
             return true;
         }
-        double rate = able * Node.RATE * (node.zone == zone ? NEAR_COLD / Site.COPIES
-                : FAR_COLD / (Site.COPIES * (Site.ZONES - 1)));
-        allowance[node.id] = Math.min(rate / 2,
-                allowance[node.id] + rate * (site.now() - allowanceAt[node.id]) / 1e9);
+        double rate =
+                able
+                        * Node.RATE
+                        * (node.zone == zone
+                                ? NEAR_COLD / Site.COPIES
+                                : FAR_COLD / (Site.COPIES * (Site.ZONES - 1)));
+        allowance[node.id] =
+                Math.min(
+                        rate / 2,
+                        allowance[node.id] + rate * (site.now() - allowanceAt[node.id]) / 1e9);
         allowanceAt[node.id] = site.now();
         return allowance[node.id] >= 0;
     }
--- a/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
@@ -27,9 +27,14 @@
 
     /** What was seen longer ago is no ground for leaving a zone. */
     private static final long GROUND = 10 * Site.SECOND;
+
     private static final long UNDER_WAY = 100 * Site.MILLI;
-    /** Of what it can serve, a zone gets no more for longer than it takes to see that and to agree. */
+
+    /**
+     * Of what it can serve, a zone gets no more for longer than it takes to see that and to agree.
+     */
     private static final double PART = 0.9;
+
     private static final double TOLERANCE = 0.05;
     private static final long WITHIN = 10 * Site.SECOND;
 
@@ -42,8 +47,13 @@
      * @param moves tables after the first that changed some zone's shares
      * @param mostMoves changes of one zone's shares within 60 s, the most
      */
-    public record Result(double goodput, double out, int fallen, int moves, int mostMoves,
-            List<Breach> breaches) { }
+    public record Result(
+            double goodput,
+            double out,
+            int fallen,
+            int moves,
+            int mostMoves,
+            List<Breach> breaches) {}
 
     /**
      * How it is played.
@@ -65,18 +75,34 @@
     private int moves;
     private int mostMoves;
 
-    private FailoverRun(World world, Policy.Kind kind, Conditions conditions, long seed,
-            FailoverSettings settings, Together.Maker maker, boolean keepsPastLease) {
+    private FailoverRun(
+            World world,
+            Policy.Kind kind,
+            Conditions conditions,
+            long seed,
+            FailoverSettings settings,
+            Together.Maker maker,
+            boolean keepsPastLease) {
         SplittableRandom random = new SplittableRandom(seed);
         site = new Site(random.nextLong(), conditions.load);
-        Together together = kind != Policy.Kind.TOGETHER ? null : new Together(site, settings, maker,
-                keepsPastLease, conditions.loss, random.nextLong(), events::add);
-        policy = switch (kind) {
-            case NONE -> new Policy.Near();
-            case OWN_EYES -> new Policy.OwnEyes(site);
-            case ALL_SEEING -> new Policy.AllSeeing();
-            case TOGETHER -> together;
-        };
+        Together together =
+                kind != Policy.Kind.TOGETHER
+                        ? null
+                        : new Together(
+                                site,
+                                settings,
+                                maker,
+                                keepsPastLease,
+                                conditions.loss,
+                                random.nextLong(),
+                                events::add);
+        policy =
+                switch (kind) {
+                    case NONE -> new Policy.Near();
+                    case OWN_EYES -> new Policy.OwnEyes(site);
+                    case ALL_SEEING -> new Policy.AllSeeing();
+                    case TOGETHER -> together;
+                };
         for (int i = 0; i < Site.ZONES; i++) {
             changes.add(new ArrayDeque<>());
         }
@@ -88,17 +114,19 @@
     }
 
     private void stall(Together together, SplittableRandom random) {
-        site.after(Site.SECOND + (long) (random.nextDouble() * 6 * Site.SECOND), () -> {
-            Copy copy = site.copies[random.nextInt(site.copies.length)];
-            long length = (long) (random.nextDouble() * 4 * Site.SECOND);
-            if (copy.up) {
-                copy.stalls(length);
-                if (together != null) {
-                    together.stall(copy.number, length);
-                }
-            }
-            stall(together, random);
-        });
+        site.after(
+                Site.SECOND + (long) (random.nextDouble() * 6 * Site.SECOND),
+                () -> {
+                    Copy copy = site.copies[random.nextInt(site.copies.length)];
+                    long length = (long) (random.nextDouble() * 4 * Site.SECOND);
+                    if (copy.up) {
+                        copy.stalls(length);
+                        if (together != null) {
+                            together.stall(copy.number, length);
+                        }
+                    }
+                    stall(together, random);
+                });
     }
 
     /** The names of the policies. */
@@ -108,12 +136,26 @@
 
     /** Plays as it is built. */
     public static Result play(World world, String policy, Conditions conditions, long seed) {
-        return play(world, Policy.Kind.valueOf(policy), conditions, seed, Together.SETTINGS, null, false);
+        return play(
+                world,
+                Policy.Kind.valueOf(policy),
+                conditions,
+                seed,
+                Together.SETTINGS,
+                null,
+                false);
     }
 
-    static Result play(World world, Policy.Kind kind, Conditions conditions, long seed,
-            FailoverSettings settings, Together.Maker maker, boolean keepsPastLease) {
-        FailoverRun run = new FailoverRun(world, kind, conditions, seed, settings, maker, keepsPastLease);
+    static Result play(
+            World world,
+            Policy.Kind kind,
+            Conditions conditions,
+            long seed,
+            FailoverSettings settings,
+            Together.Maker maker,
+            boolean keepsPastLease) {
+        FailoverRun run =
+                new FailoverRun(world, kind, conditions, seed, settings, maker, keepsPastLease);
         while (run.site.now() < World.END) {
             run.site.play(run.site.now() + STEP);
             run.policy.step(run.site);
@@ -121,15 +163,27 @@
                 run.look(together.newest());
             }
         }
-        return new Result(run.site.total.goodput(World.AT, World.AT + WINDOW),
-                run.site.total.out(CALM_FROM, World.AT), run.site.fallen, run.moves, run.mostMoves,
+        return new Result(
+                run.site.total.goodput(World.AT, World.AT + WINDOW),
+                run.site.total.out(CALM_FROM, World.AT),
+                run.site.fallen,
+                run.moves,
+                run.mostMoves,
                 kind == Policy.Kind.TOGETHER ? run.judged(settings) : List.of());
     }
 
     private List<Breach> judged(FailoverSettings settings) {
-        return History.judged(events, site.now(), List.of(new OneTable(), new OneLeader(),
-                new ZoneLeft(GROUND), new Leases(UNDER_WAY), new ZoneLoad(new ZoneLoad.Bounds(PART, TOLERANCE,
-                WITHIN, settings.movesPerMinute()))));
+        return History.judged(
+                events,
+                site.now(),
+                List.of(
+                        new OneTable(),
+                        new OneLeader(),
+                        new ZoneLeft(GROUND),
+                        new Leases(UNDER_WAY),
+                        new ZoneLoad(
+                                new ZoneLoad.Bounds(
+                                        PART, TOLERANCE, WITHIN, settings.movesPerMinute()))));
     }
 
     private void look(RouteTable newest) {
--- a/lab/src/main/java/cedarrudder/lab/failover/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Node.java
@@ -9,24 +9,29 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A node: slots, a queue, a speed; while it is cold it can do less, and sent far more than that it falls
- * over.
+ * A node: slots, a queue, a speed; while it is cold it can do less, and sent far more than that it
+ * falls over.
  */
 final class Node {
 
     static final int SLOTS = 4;
     static final long SERVICE = 50 * Site.MILLI;
+
     /** Requests a second of a warm one. */
     static final double RATE = SLOTS * 1e9 / SERVICE;
+
     static final double COLD_SHARE = 0.2;
     static final long RAMP = 10 * Site.SECOND;
     static final double FALL_MULTIPLE = 2;
     static final long FALL_WINDOW = Site.SECOND;
 
     private static final int QUEUE = 16;
+
     /** What it reports of its load is the mean of so long, until the next. */
     private static final long LOAD_PERIOD = 500 * Site.MILLI;
+
     private static final double NOISE = 0.05;
+
     /** As the settings of the platform allow beside the multiple. */
     private static final double ROOM = 3;
 
@@ -42,12 +47,16 @@
     boolean up = true;
     boolean draining;
     double speed = 1;
+
     /** 0: long ago. */
     long startedAt;
+
     /** One more each time that it dies or starts. */
     int life;
+
     /** What the list says of it. */
     State listed = State.READY;
+
     long listedStart;
     int held;
 
@@ -81,7 +90,8 @@
     }
 
     private double ramp(long since) {
-        return since == 0 || site.now() - since >= RAMP ? 1
+        return since == 0 || site.now() - since >= RAMP
+                ? 1
                 : COLD_SHARE + (1 - COLD_SHARE) * (site.now() - since) / RAMP;
     }
 
@@ -137,18 +147,20 @@
         held++;
         int of = life;
         double time = -StrictMath.log(1 - random.nextDouble()) * SERVICE / able();
-        site.after((long) Math.min(time, 60e9) + 1, () -> {
-            if (of == life) {
-                use();
-                busy.remove(asked);
-                held--;
-                asked.served(reported);
-                if (!waiting.isEmpty()) {
-                    held--;
-                    begin(waiting.remove());
-                }
-            }
-        });
+        site.after(
+                (long) Math.min(time, 60e9) + 1,
+                () -> {
+                    if (of == life) {
+                        use();
+                        busy.remove(asked);
+                        held--;
+                        asked.served(reported);
+                        if (!waiting.isEmpty()) {
+                            held--;
+                            begin(waiting.remove());
+                        }
+                    }
+                });
     }
 
     /** It is gone with all that it held. */
--- a/lab/src/main/java/cedarrudder/lab/failover/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Policy.java
@@ -25,13 +25,13 @@
     /** Every copy stays in its zone. */
     static final class Near extends Policy {
         @Override
-        void step(Site site) { }
+        void step(Site site) {}
     }
 
     /**
-     * Envoy's priorities: own zone, own region, other regions; a priority gets what its share of healthy
-     * nodes times 1.4 allows, the next one the rest. A node is ejected by five failures in a row, longer each
-     * time.
+     * Envoy's priorities: own zone, own region, other regions; a priority gets what its share of
+     * healthy nodes times 1.4 allows, the next one the rest. A node is ejected by five failures in
+     * a row, longer each time.
      */
     static final class OwnEyes extends Policy {
         private static final double OVERPROVISIONED = 1.4;
@@ -55,7 +55,8 @@
         private void saw(long now, int copy, Copy.Ended ended) {
             if (ended.outcome() == Outcome.OK) {
                 failures[copy][ended.node()] = 0;
-            } else if (ended.outcome() != Outcome.FULL && ++failures[copy][ended.node()] >= IN_A_ROW
+            } else if (ended.outcome() != Outcome.FULL
+                    && ++failures[copy][ended.node()] >= IN_A_ROW
                     && now >= until[copy][ended.node()]) {
                 failures[copy][ended.node()] = 0;
                 until[copy][ended.node()] = now + EJECTED * ++times[copy][ended.node()];
@@ -81,7 +82,10 @@
                             }
                         }
                     }
-                    double part = Math.min(left, total == 0 ? 0 : Math.min(1, OVERPROVISIONED * all / total));
+                    double part =
+                            Math.min(
+                                    left,
+                                    total == 0 ? 0 : Math.min(1, OVERPROVISIONED * all / total));
                     for (int zone = 0; zone < Site.ZONES && all > 0; zone++) {
                         copy.shares[zone] += part * healthy[zone] / all;
                     }
@@ -124,13 +128,20 @@
             }
             for (Copy copy : site.copies) {
                 for (int to = 0; to < Site.ZONES; to++) {
-                    copy.shares[to] = comes[copy.zone] == 0 ? 0 : dealt[copy.zone][to] / comes[copy.zone];
+                    copy.shares[to] =
+                            comes[copy.zone] == 0 ? 0 : dealt[copy.zone][to] / comes[copy.zone];
                 }
             }
         }
 
-        private static void deal(Site site, double[][] dealt, double[] room, double[] left, double[] whole,
-                int from, int rank) {
+        private static void deal(
+                Site site,
+                double[][] dealt,
+                double[] room,
+                double[] left,
+                double[] whole,
+                int from,
+                int rank) {
             double all = 0;
             for (int to = 0; to < Site.ZONES; to++) {
                 all += may(site, from, to, rank) ? room[to] : 0;
--- a/lab/src/main/java/cedarrudder/lab/failover/Score.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Score.java
@@ -44,7 +44,9 @@
 
     private double sum(int what, long from, long to) {
         double sum = 0;
-        for (int i = (int) (from / Site.SECOND); i < Math.min(seconds.size(), to / Site.SECOND); i++) {
+        for (int i = (int) (from / Site.SECOND);
+                i < Math.min(seconds.size(), to / Site.SECOND);
+                i++) {
             sum += seconds.get(i)[what];
         }
         return sum;
