--- a/lab/src/main/java/cedarrudder/lab/failover/Site.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Site.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Zones with nodes, copies and callers, in virtual time. Zones 0 to 2 are one region, 3 and 4 another. It is
- * the truth, of which a policy sees what its copies see.
+ * Zones with nodes, copies and callers, in virtual time. Zones 0 to 2 are one region, 3 and 4
+ * another. It is the truth, of which a policy sees what its copies see.
  */
 final class Site {
 
@@ -25,24 +25,33 @@
 
     /** The list tells of a node so long after. */
     private static final long TOLD = 1_500 * MILLI;
+
     /** A node that died without a word is taken off the list. */
     private static final long MISSED = 4 * SECOND;
+
     /** One that fell over is started again. */
     private static final long FALLEN = 10 * SECOND;
 
-    private record Due(long at, long number, Runnable what) { }
+    private record Due(long at, long number, Runnable what) {}
 
     final Node[] nodes = new Node[ZONES * NODES];
     final Copy[] copies = new Copy[ZONES * COPIES];
+
     /** Calls a second that come in each zone. */
     final double[] demand = new double[ZONES];
+
     /** Between zones, calls and datagrams alike. */
     final boolean[][] cut = new boolean[ZONES][ZONES];
+
     /** Cold nodes that were pushed over. */
     int fallen;
 
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private final SplittableRandom random;
     private long made;
     private long now = SECOND;
@@ -81,20 +90,26 @@
     // ---- callers ----
 
     private void comes(int zone, SplittableRandom own) {
-        after((long) (-StrictMath.log(1 - own.nextDouble()) * 1e9 / Math.max(1e-3, demand[zone])) + 1, () -> {
-            Copy copy = copyFor(zone, own);
-            Call call = new Call(own.nextDouble() < Call.SAFE_SHARE, now);
-            total.came(call);
-            if (copy != null) {
-                copy.takes(call);
-            }
-            comes(zone, own);
-        });
+        after(
+                (long) (-StrictMath.log(1 - own.nextDouble()) * 1e9 / Math.max(1e-3, demand[zone]))
+                        + 1,
+                () -> {
+                    Copy copy = copyFor(zone, own);
+                    Call call = new Call(own.nextDouble() < Call.SAFE_SHARE, now);
+                    total.came(call);
+                    if (copy != null) {
+                        copy.takes(call);
+                    }
+                    comes(zone, own);
+                });
     }
 
     final Score total = new Score(this);
 
-    /** Callers go to a copy of their zone; where none is there, to one of the nearest zone that has some. */
+    /**
+     * Callers go to a copy of their zone; where none is there, to one of the nearest zone that has
+     * some.
+     */
     private Copy copyFor(int zone, SplittableRandom own) {
         List<Copy> live = new ArrayList<>();
         for (int rank = 0; rank <= 2 && live.isEmpty(); rank++) {
@@ -151,13 +166,15 @@
     // ---- the list ----
 
     private void tell(Node node, State state, long start, long when) {
-        after(when, () -> {
-            node.listed = state;
-            node.listedStart = start;
-            for (Copy copy : copies) {
-                copy.told(List.of(node.endpoint()));
-            }
-        });
+        after(
+                when,
+                () -> {
+                    node.listed = state;
+                    node.listedStart = start;
+                    for (Copy copy : copies) {
+                        copy.told(List.of(node.endpoint()));
+                    }
+                });
     }
 
     List<Endpoint> list() {
@@ -172,11 +189,13 @@
             if (node.zone == zone) {
                 node.dies();
                 int of = node.life;
-                after(MISSED, () -> {
-                    if (node.life == of) {
-                        tell(node, State.GONE, 0, 0);
-                    }
-                });
+                after(
+                        MISSED,
+                        () -> {
+                            if (node.life == of) {
+                                tell(node, State.GONE, 0, 0);
+                            }
+                        });
             }
         }
     }
@@ -218,10 +237,12 @@
         fallen++;
         node.dies();
         int of = node.life;
-        after(FALLEN, () -> {
-            if (node.life == of) {
-                start(node);
-            }
-        });
+        after(
+                FALLEN,
+                () -> {
+                    if (node.life == of) {
+                        start(node);
+                    }
+                });
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/failover/Together.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Together.java
@@ -4,8 +4,8 @@
 import cedarrudder.agreement.AgreementSettings;
 import cedarrudder.failover.Failover;
 import cedarrudder.failover.FailoverSettings;
-import cedarrudder.failover.Regions.Region;
 import cedarrudder.failover.Regions;
+import cedarrudder.failover.Regions.Region;
 import cedarrudder.failover.ZoneTally;
 import cedarrudder.fleet.FleetCopy;
 import cedarrudder.fleet.FleetSettings;
@@ -17,8 +17,8 @@
 import cedarrudder.lab.agreement.Copies.Network;
 import cedarrudder.lab.fleet.FleetWorld;
 import cedarrudder.lab.judge.Event;
-import cedarrudder.table.RouteTable.Share;
 import cedarrudder.table.RouteTable;
+import cedarrudder.table.RouteTable.Share;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -28,12 +28,16 @@
 /** Copies that decide in common: the parts that the daemon has, with their datagrams. */
 final class Together extends Policy {
 
-    static final FailoverSettings SETTINGS = FailoverSettings.DEFAULT.regions(new Regions(List.of(
-            new Region("east", List.of("a", "b", "c"), List.of()),
-            new Region("west", List.of("d", "e"), List.of()))));
+    static final FailoverSettings SETTINGS =
+            FailoverSettings.DEFAULT.regions(
+                    new Regions(
+                            List.of(
+                                    new Region("east", List.of("a", "b", "c"), List.of()),
+                                    new Region("west", List.of("d", "e"), List.of()))));
 
     private static final long LEAST_DELAY = 2 * Site.MILLI;
     private static final long MOST_DELAY = 21 * Site.MILLI;
+
     /** More calls a second than are sent to a zone so that it is seen, with their repeats. */
     private static final double WATCHED = 30;
 
@@ -44,10 +48,11 @@
     }
 
     /** One copy's part in it. */
-    record Part(Shares shares, Consumer<RouteTable> loaded) { }
+    record Part(Shares shares, Consumer<RouteTable> loaded) {}
 
     /** As it is built. */
-    static Part real(FailoverSettings settings, int[] zoneOf, ZoneTally tally, long now, Site site) {
+    static Part real(
+            FailoverSettings settings, int[] zoneOf, ZoneTally tally, long now, Site site) {
         Failover failover = new Failover(settings, Site.NAMES, zoneOf, tally, now);
         return new Part(new ZoneShares(failover), table -> failover.loaded(site.now(), table));
     }
@@ -72,8 +77,14 @@
      * @param keepsPastLease a broken one, that goes on with a table whose lease is over
      * @param listener hears what a judge needs
      */
-    Together(Site site, FailoverSettings settings, Maker maker, boolean keepsPastLease, double loss,
-            long seed, Consumer<Event> listener) {
+    Together(
+            Site site,
+            FailoverSettings settings,
+            Maker maker,
+            boolean keepsPastLease,
+            double loss,
+            long seed,
+            Consumer<Event> listener) {
         this.site = site;
         this.listener = listener;
         this.keepsPastLease = keepsPastLease;
@@ -82,20 +93,45 @@
         this.held = new RouteTable[zoneOf.length];
         this.lives = new long[zoneOf.length];
         this.startedAt = site.now();
-        this.world = new FleetWorld(zoneOf, new Network(loss, 0.01, 0, LEAST_DELAY, MOST_DELAY), false, seed,
-                (zones, self, life, store, random, outlet, now) -> {
-                    Copy copy = site.copies[self];
-                    copy.tally = new ZoneTally(self, copy.zone, life, Site.ZONES, settings.period(),
-                            Copy.SAFETY, site.now());
-                    copy.tally.listed(ListKind.FULL, site.list());
-                    lives[self] = life;
-                    held[self] = null;
-                    parts[self] = maker == null ? real(settings, zones, copy.tally, site.now(), site)
-                            : maker.make(settings, zones, copy.tally, site.now());
-                    return new FleetCopy(zones, self, life, AgreementSettings.DEFAULT, FleetSettings.DEFAULT,
-                            store, random, new OnSiteTime(parts[self].shares), Removal.NONE, () -> Room.ANY,
-                            outlet, now);
-                }, this::hears);
+        this.world =
+                new FleetWorld(
+                        zoneOf,
+                        new Network(loss, 0.01, 0, LEAST_DELAY, MOST_DELAY),
+                        false,
+                        seed,
+                        (zones, self, life, store, random, outlet, now) -> {
+                            Copy copy = site.copies[self];
+                            copy.tally =
+                                    new ZoneTally(
+                                            self,
+                                            copy.zone,
+                                            life,
+                                            Site.ZONES,
+                                            settings.period(),
+                                            Copy.SAFETY,
+                                            site.now());
+                            copy.tally.listed(ListKind.FULL, site.list());
+                            lives[self] = life;
+                            held[self] = null;
+                            parts[self] =
+                                    maker == null
+                                            ? real(settings, zones, copy.tally, site.now(), site)
+                                            : maker.make(settings, zones, copy.tally, site.now());
+                            return new FleetCopy(
+                                    zones,
+                                    self,
+                                    life,
+                                    AgreementSettings.DEFAULT,
+                                    FleetSettings.DEFAULT,
+                                    store,
+                                    random,
+                                    new OnSiteTime(parts[self].shares),
+                                    Removal.NONE,
+                                    () -> Room.ANY,
+                                    outlet,
+                                    now);
+                        },
+                        this::hears);
         this.worldStartedAt = world.now();
         for (Copy copy : site.copies) {
             say(copy.number, "placed", Map.of("zone", Integer.toString(copy.zone)));
@@ -105,7 +141,10 @@
         world.form(0);
     }
 
-    /** What a copy counts runs on the time of the site, which its own clock is beside by a part in 1,000. */
+    /**
+     * What a copy counts runs on the time of the site, which its own clock is beside by a part in
+     * 1,000.
+     */
     private final class OnSiteTime implements Shares {
         private final Shares shares;
 
@@ -125,37 +164,39 @@
 
         @Override
         public List<Share> plan(long now, Tier tier) {
-            return shares.plan(site.now(), new Tier() {
-                @Override
-                public int copies() {
-                    return tier.copies();
-                }
-
-                @Override
-                public int self() {
-                    return tier.self();
-                }
-
-                @Override
-                public int zone(int copy) {
-                    return tier.zone(copy);
-                }
-
-                @Override
-                public boolean lives(int copy) {
-                    return tier.lives(copy);
-                }
-
-                @Override
-                public RouteTable agreed() {
-                    return tier.agreed();
-                }
-
-                @Override
-                public long leaseOver(int copy) {
-                    return site.now() + tier.leaseOver(copy) - now;
-                }
-            });
+            return shares.plan(
+                    site.now(),
+                    new Tier() {
+                        @Override
+                        public int copies() {
+                            return tier.copies();
+                        }
+
+                        @Override
+                        public int self() {
+                            return tier.self();
+                        }
+
+                        @Override
+                        public int zone(int copy) {
+                            return tier.zone(copy);
+                        }
+
+                        @Override
+                        public boolean lives(int copy) {
+                            return tier.lives(copy);
+                        }
+
+                        @Override
+                        public RouteTable agreed() {
+                            return tier.agreed();
+                        }
+
+                        @Override
+                        public long leaseOver(int copy) {
+                            return site.now() + tier.leaseOver(copy) - now;
+                        }
+                    });
         }
 
         @Override
@@ -212,7 +253,10 @@
             long now = Math.round(Math.max(WATCHED, site.capacity(zone)));
             if (Math.abs(now - capacities[zone]) > capacities[zone] / 20) {
                 capacities[zone] = now;
-                say(-1, "capacity", Map.of("zone", Integer.toString(zone), "per_s", Long.toString(now)));
+                say(
+                        -1,
+                        "capacity",
+                        Map.of("zone", Integer.toString(zone), "per_s", Long.toString(now)));
             }
         }
         saidAt = says ? site.now() : saidAt;
@@ -223,9 +267,20 @@
             int[] saw = copy.saw[zone];
             boolean any = saw[0] + saw[1] + saw[2] > 0;
             if (any || said[copy.number][zone]) {
-                say(copy.number, "saw", Map.of("zone", Integer.toString(zone), "served",
-                        Integer.toString(saw[0]), "failed", Integer.toString(saw[1]), "silent",
-                        Integer.toString(saw[2]), "span", Long.toString(site.now() - saidAt)));
+                say(
+                        copy.number,
+                        "saw",
+                        Map.of(
+                                "zone",
+                                Integer.toString(zone),
+                                "served",
+                                Integer.toString(saw[0]),
+                                "failed",
+                                Integer.toString(saw[1]),
+                                "silent",
+                                Integer.toString(saw[2]),
+                                "span",
+                                Long.toString(site.now() - saidAt)));
             }
             said[copy.number][zone] = any;
             Arrays.fill(saw, 0);
@@ -310,7 +365,10 @@
     RouteTable newest() {
         RouteTable newest = null;
         for (RouteTable table : held) {
-            newest = table != null && (newest == null || table.number() > newest.number()) ? table : newest;
+            newest =
+                    table != null && (newest == null || table.number() > newest.number())
+                            ? table
+                            : newest;
         }
         return newest;
     }
--- a/lab/src/main/java/cedarrudder/lab/failover/World.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/World.java
@@ -33,10 +33,12 @@
 
     /** When it begins. */
     static final long AT = 70 * Site.SECOND;
+
     static final long END = 150 * Site.SECOND;
 
     /** The zone that is concerned. */
     static final int LOST = 1;
+
     private static final int BUSY = 2;
     private static final double BUSY_LOAD = 0.9;
     private static final long BACK = 30 * Site.SECOND;
@@ -59,7 +61,7 @@
 
     private void begin(Site site, Together together, RandomGenerator random) {
         switch (this) {
-            case CALM -> { }
+            case CALM -> {}
             case SLOW -> site.slow(LOST, THIRD);
             case REGION -> {
                 lose(site, 3, BACK);
@@ -144,11 +146,13 @@
         if (together != null) {
             together.kill(copy);
         }
-        site.after(length, () -> {
-            site.copies[copy].starts();
-            if (together != null) {
-                together.restart(copy);
-            }
-        });
+        site.after(
+                length,
+                () -> {
+                    site.copies[copy].starts();
+                    if (together != null) {
+                        together.restart(copy);
+                    }
+                });
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/fleet/FleetWorld.java
+++ b/lab/src/main/java/cedarrudder/lab/fleet/FleetWorld.java
@@ -27,8 +27,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Copies of a tier that decide together, in virtual time: a network that loses, delays, doubles and cuts,
- * clocks that differ and drift, processes that are killed and that stand still. One seed gives one history.
+ * Copies of a tier that decide together, in virtual time: a network that loses, delays, doubles and
+ * cuts, clocks that differ and drift, processes that are killed and that stand still. One seed
+ * gives one history.
  */
 public final class FleetWorld {
 
@@ -38,15 +39,32 @@
 
     /** What makes a copy's part, with its subjects and its room. */
     public interface Maker {
-        FleetCopy make(int[] zones, int self, long life, Store store, RandomGenerator random,
-                FleetCopy.Outlet outlet, long now);
+        FleetCopy make(
+                int[] zones,
+                int self,
+                long life,
+                Store store,
+                RandomGenerator random,
+                FleetCopy.Outlet outlet,
+                long now);
     }
 
     /** One whose zones keep their callers, and that has room for all. */
     public static Maker plain(AgreementSettings agreed, FleetSettings settings) {
-        return (zones, self, life, store, random, outlet, now) -> new FleetCopy(zones, self, life, agreed,
-                settings, store, random, Shares.NONE, Removal.NONE,
-                () -> Room.ANY, outlet, now);
+        return (zones, self, life, store, random, outlet, now) ->
+                new FleetCopy(
+                        zones,
+                        self,
+                        life,
+                        agreed,
+                        settings,
+                        store,
+                        random,
+                        Shares.NONE,
+                        Removal.NONE,
+                        () -> Room.ANY,
+                        outlet,
+                        now);
     }
 
     /** Looks at each datagram that is sent; one that it does not let pass is lost. */
@@ -54,7 +72,7 @@
         boolean passes(int from, int to, byte[] datagram);
     }
 
-    private record Due(long at, long number, Runnable what) { }
+    private record Due(long at, long number, Runnable what) {}
 
     /** One place in the tier, and the process that runs there. */
     private final class Place implements FleetCopy.Outlet {
@@ -123,19 +141,22 @@
             if (at < ticksAt || ticksAt <= now) {
                 ticksAt = at;
                 long of = process;
-                at(at, () -> {
-                    if (of == process && ticksAt == at) {
-                        ticksAt = Long.MAX_VALUE;
-                        run(of, () -> copy.tick(own()));
-                    }
-                });
+                at(
+                        at,
+                        () -> {
+                            if (of == process && ticksAt == at) {
+                                ticksAt = Long.MAX_VALUE;
+                                run(of, () -> copy.tick(own()));
+                            }
+                        });
             }
         }
 
         @Override
         public void send(int to, byte[] datagram) {
             bytes += datagram.length;
-            if (random.nextDouble() < network.loss() || cut[number][to]
+            if (random.nextDouble() < network.loss()
+                    || cut[number][to]
                     || !filter.passes(number, to, datagram)) {
                 return;
             }
@@ -146,12 +167,15 @@
                 if (random.nextDouble() < network.corrupt()) {
                     comes[random.nextInt(comes.length)] ^= (byte) (1 << random.nextInt(8));
                 }
-                at(now + random.nextLong(network.leastDelay(), network.mostDelay() + 1), () -> {
-                    if (!cut[number][to]) {
-                        target.run(target.process,
-                                () -> target.copy.received(target.own(), number, comes));
-                    }
-                });
+                at(
+                        now + random.nextLong(network.leastDelay(), network.mostDelay() + 1),
+                        () -> {
+                            if (!cut[number][to]) {
+                                target.run(
+                                        target.process,
+                                        () -> target.copy.received(target.own(), number, comes));
+                            }
+                        });
             }
         }
 
@@ -186,8 +210,12 @@
     private final SplittableRandom random;
     private final int[] zones;
     private final List<Place> places = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private final boolean[][] cut;
     private Network network;
     private Filter filter = (from, to, datagram) -> true;
@@ -202,7 +230,12 @@
      * @param disks whether each has a lasting disk
      * @param listener hears all that happens
      */
-    public FleetWorld(int[] zones, Network network, boolean disks, long seed, Maker maker,
+    public FleetWorld(
+            int[] zones,
+            Network network,
+            boolean disks,
+            long seed,
+            Maker maker,
             Consumer<Event> listener) {
         this.zones = zones.clone();
         this.network = network;
@@ -305,8 +338,11 @@
         for (Place place : places) {
             for (Place other : places) {
                 if (place != other && place.copy != null) {
-                    place.copy.lives(other.number, other.copy != null
-                            && !cut[place.number][other.number] && !cut[other.number][place.number]);
+                    place.copy.lives(
+                            other.number,
+                            other.copy != null
+                                    && !cut[place.number][other.number]
+                                    && !cut[other.number][place.number]);
                 }
             }
         }
@@ -322,7 +358,8 @@
     public boolean propose(int number, byte[] command, long patience) {
         Place place = places.get(number);
         Proposal[] made = new Proposal[1];
-        place.run(place.process, () -> made[0] = place.copy.propose(place.own(), command, patience));
+        place.run(
+                place.process, () -> made[0] = place.copy.propose(place.own(), command, patience));
         return made[0] != null;
     }
 
@@ -353,8 +390,8 @@
     }
 
     /**
-     * The table that a copy would use for a call that came now, as its host looks at the time before each;
-     * null where it would use none.
+     * The table that a copy would use for a call that came now, as its host looks at the time
+     * before each; null where it would use none.
      */
     public RouteTable uses(int number) {
         Place place = places.get(number);
@@ -366,11 +403,16 @@
         return places.get(number).leaving;
     }
 
-    /** The copy that leads the newest term of the newest group, of those that don't stand still; or -1. */
+    /**
+     * The copy that leads the newest term of the newest group, of those that don't stand still; or
+     * -1.
+     */
     public int leader() {
         int found = -1;
         for (Place place : places) {
-            if (place.copy != null && now >= place.stalledUntil && place.copy.status(place.own()).leads()
+            if (place.copy != null
+                    && now >= place.stalledUntil
+                    && place.copy.status(place.own()).leads()
                     && (found < 0 || newer(place, places.get(found)))) {
                 found = place.number;
             }
--- a/lab/src/main/java/cedarrudder/lab/judge/Beliefs.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Beliefs.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * Whom each process holds as dead, by its own words; before it says anything of a copy it holds it as live.
+ * Whom each process holds as dead, by its own words; before it says anything of a copy it holds it
+ * as live.
  */
 final class Beliefs {
 
@@ -12,9 +13,10 @@
 
     void took(Event event) {
         switch (event.what()) {
-            case "alive", "suspect", "dead" -> byLife.computeIfAbsent(event.life(), l -> new HashMap<>())
-                    .put((int) event.number("about"), event.what().equals("dead"));
-            default -> { }
+            case "alive", "suspect", "dead" ->
+                    byLife.computeIfAbsent(event.life(), l -> new HashMap<>())
+                            .put((int) event.number("about"), event.what().equals("dead"));
+            default -> {}
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/Breach.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Breach.java
@@ -7,4 +7,4 @@
  * @param at when, on the clock of the events
  * @param why what was seen, in a sentence
  */
-public record Breach(String rule, long at, String why) { }
+public record Breach(String rule, long at, String why) {}
--- a/lab/src/main/java/cedarrudder/lab/judge/Contact.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Contact.java
@@ -7,12 +7,15 @@
 import java.util.Set;
 
 /**
- * When each copy could last hear of a majority of the voters: by copies that speak and ways of which one
- * direction at the least is whole. As long as no voters were told of, all can.
+ * When each copy could last hear of a majority of the voters: by copies that speak and ways of
+ * which one direction at the least is whole. As long as no voters were told of, all can.
  */
 final class Contact {
 
-    /** What lasted for less than this between two changes is not looked at: a cut is told way by way. */
+    /**
+     * What lasted for less than this between two changes is not looked at: a cut is told way by
+     * way.
+     */
     private static final long BURST = 1_000_000L;
 
     private final World world = new World();
@@ -20,15 +23,20 @@
     private String group = "";
     private long index = -1;
 
-    /** When each copy last had contact, as far as looked at; and which have it since the last change. */
+    /**
+     * When each copy last had contact, as far as looked at; and which have it since the last
+     * change.
+     */
     private long[] last = new long[0];
+
     private boolean[] now = new boolean[0];
     private long changedAt;
     private boolean looked = true;
 
     void took(Event event) {
         switch (event.what()) {
-            case "speaks", "silent", "ended", "stopped", "continued", "cut", "healed" -> changes(event);
+            case "speaks", "silent", "ended", "stopped", "continued", "cut", "healed" ->
+                    changes(event);
             case "seated" -> {
                 String of = event.text("group");
                 if (of.compareTo(group) > 0 || of.equals(group) && event.number("index") > index) {
@@ -41,7 +49,7 @@
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
         world.took(event);
     }
@@ -85,7 +93,8 @@
         for (int copy : world.copies()) {
             if (!seen[copy] && world.speaks(copy)) {
                 Set<Integer> together = together(copy, seen);
-                boolean most = voters.stream().filter(together::contains).count() * 2 > voters.size();
+                boolean most =
+                        voters.stream().filter(together::contains).count() * 2 > voters.size();
                 together.forEach(each -> now[each] = most || voters.isEmpty());
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/judge/Drains.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Drains.java
@@ -8,12 +8,14 @@
 import java.util.Set;
 
 /**
- * D2: nothing new comes to a node a stated time after the copy took it out; none is said to be empty while a
- * live copy has calls there; and of none it is left open past its time what becomes of it.
+ * D2: nothing new comes to a node a stated time after the copy took it out; none is said to be
+ * empty while a live copy has calls there; and of none it is left open past its time what becomes
+ * of it.
  *
- * <p>It reads {@code leaving} and {@code drain} of the copies, {@code reached} and {@code served} of the
- * nodes, {@code answered} and {@code broke} of the callers. A copy with two processes is held to what both
- * had heard. One that runs is not live where it stands still, or is held as dead by who says so.
+ * <p>It reads {@code leaving} and {@code drain} of the copies, {@code reached} and {@code served}
+ * of the nodes, {@code answered} and {@code broke} of the callers. A copy with two processes is
+ * held to what both had heard. One that runs is not live where it stands still, or is held as dead
+ * by who says so.
  */
 public final class Drains implements Rule {
 
@@ -21,10 +23,10 @@
     private static final long MILLI = 1_000_000L;
 
     /** A removal under way. */
-    private record Drain(String node, long within, long begunAt) { }
+    private record Drain(String node, long within, long begunAt) {}
 
     /** A call attempt at a node. */
-    private record Open(String node, String rpc, int copy) { }
+    private record Open(String node, String rpc, int copy) {}
 
     private final long stops;
     private final long grace;
@@ -39,7 +41,8 @@
 
     /**
      * @param stops nothing new reaches a node so long after a copy had the word; nanoseconds
-     * @param grace what becomes of a removal is said so long after its time at the latest; nanoseconds
+     * @param grace what becomes of a removal is said so long after its time at the latest;
+     *     nanoseconds
      */
     public Drains(long stops, long grace) {
         this.stops = stops;
@@ -58,8 +61,9 @@
             case "served" -> {
                 Open call = open(event);
                 open.remove(call);
-                openOf.computeIfPresent(call.rpc, (rpc, calls) -> calls.remove(call) && calls.isEmpty() ? null
-                        : calls);
+                openOf.computeIfPresent(
+                        call.rpc,
+                        (rpc, calls) -> calls.remove(call) && calls.isEmpty() ? null : calls);
             }
             case "answered", "broke" -> {
                 Set<Open> of = openOf.remove(event.text("rpc"));
@@ -68,11 +72,16 @@
                 }
             }
             case "drain" -> {
-                if (told.add(event.text("wave") + " " + event.text("node") + " " + event.text("event"))) {
+                if (told.add(
+                        event.text("wave")
+                                + " "
+                                + event.text("node")
+                                + " "
+                                + event.text("event"))) {
                     drain(event, event.text("wave") + " " + event.text("node"));
                 }
             }
-            default -> { }
+            default -> {}
         }
         world.took(event);
         beliefs.took(event);
@@ -90,35 +99,64 @@
         Set<Long> lives = world.running(event.copy());
         long since = lives.isEmpty() ? Long.MAX_VALUE : Long.MIN_VALUE;
         for (long life : lives) {
-            since = Math.max(since, removed.of(life).getOrDefault(event.text("node"), Long.MAX_VALUE));
+            since =
+                    Math.max(
+                            since,
+                            removed.of(life).getOrDefault(event.text("node"), Long.MAX_VALUE));
         }
         if (since != Long.MAX_VALUE && event.at() - since > stops) {
-            breach(event.at(), "RPC " + event.text("rpc") + " of copy " + event.copy() + " reached node "
-                    + event.text("node") + " " + (event.at() - since) / MILLI
-                    + " ms after the copy knew that it leaves");
+            breach(
+                    event.at(),
+                    "RPC "
+                            + event.text("rpc")
+                            + " of copy "
+                            + event.copy()
+                            + " reached node "
+                            + event.text("node")
+                            + " "
+                            + (event.at() - since) / MILLI
+                            + " ms after the copy knew that it leaves");
         }
     }
 
     private void drain(Event event, String name) {
         switch (event.text("event")) {
-            case "begun" -> drains.put(name, new Drain(event.text("node"), event.number("within"),
-                    event.at()));
+            case "begun" ->
+                    drains.put(
+                            name,
+                            new Drain(event.text("node"), event.number("within"), event.at()));
             case "empty" -> {
                 empty(event);
                 over(name, event.at());
             }
-            case "let-go", "given-up", "alarmed", "cancelled", "stopped", "restarted-back", "gone" ->
+            case "let-go",
+                    "given-up",
+                    "alarmed",
+                    "cancelled",
+                    "stopped",
+                    "restarted-back",
+                    "gone" ->
                     over(name, event.at());
-            default -> { }
+            default -> {}
         }
     }
 
     private void empty(Event event) {
         for (Open call : open) {
-            if (call.node.equals(event.text("node")) && world.speaks(call.copy)
+            if (call.node.equals(event.text("node"))
+                    && world.speaks(call.copy)
                     && !beliefs.dead(event.life(), call.copy)) {
-                breach(event.at(), "copy " + event.copy() + " says that node " + call.node
-                        + " is empty while RPC " + call.rpc + " of copy " + call.copy + " is there");
+                breach(
+                        event.at(),
+                        "copy "
+                                + event.copy()
+                                + " says that node "
+                                + call.node
+                                + " is empty while RPC "
+                                + call.rpc
+                                + " of copy "
+                                + call.copy
+                                + " is there");
             }
         }
     }
@@ -126,8 +164,14 @@
     private void over(String name, long at) {
         Drain drain = drains.remove(name);
         if (drain != null && at - drain.begunAt > drain.within + grace) {
-            breach(at, "the removal of node " + drain.node + " was under way for "
-                    + (at - drain.begunAt) / MILLI + " ms of " + drain.within / MILLI);
+            breach(
+                    at,
+                    "the removal of node "
+                            + drain.node
+                            + " was under way for "
+                            + (at - drain.begunAt) / MILLI
+                            + " ms of "
+                            + drain.within / MILLI);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/Estimates.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Estimates.java
@@ -6,21 +6,23 @@
 import java.util.Map;
 
 /**
- * M1: no copy loads what its estimate refused; no estimate is under what the process then held by more than
- * a stated error. The last estimate of a load under a bound counts.
+ * M1: no copy loads what its estimate refused; no estimate is under what the process then held by
+ * more than a stated error. The last estimate of a load under a bound counts.
  *
- * <p>It reads {@code estimate}, {@code took}, {@code held}, and {@code table}, which takes the load "table"
- * with its number.
+ * <p>It reads {@code estimate}, {@code took}, {@code held}, and {@code table}, which takes the load
+ * "table" with its number.
  */
 public final class Estimates implements Rule {
 
-    private record Estimate(boolean fits, long needed) { }
+    private record Estimate(boolean fits, long needed) {}
 
     private final double error;
     private final Map<Long, Map<String, Map<String, Estimate>>> byLife = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
 
-    /** @param error the process may hold more than was estimated by this share of it */
+    /**
+     * @param error the process may hold more than was estimated by this share of it
+     */
     public Estimates(double error) {
         this.error = error;
     }
@@ -28,21 +30,32 @@
     @Override
     public void took(Event event) {
         switch (event.what()) {
-            case "estimate" -> byLife.computeIfAbsent(event.life(), life -> new HashMap<>())
-                    .computeIfAbsent(event.text("load"), load -> new HashMap<>())
-                    .put(event.text("bound"), new Estimate(event.number("fits") == 1,
-                            event.number("needed")));
+            case "estimate" ->
+                    byLife.computeIfAbsent(event.life(), life -> new HashMap<>())
+                            .computeIfAbsent(event.text("load"), load -> new HashMap<>())
+                            .put(
+                                    event.text("bound"),
+                                    new Estimate(
+                                            event.number("fits") == 1, event.number("needed")));
             case "took" -> loads(event, event.text("load"));
             case "table" -> loads(event, "table " + event.text("number"));
             case "held" -> {
                 Estimate of = estimates(event, event.text("load")).get(event.text("bound"));
                 if (of != null && event.number("now") > of.needed * (1 + error)) {
-                    breach(event, "holds " + event.text("now") + " with " + event.text("load") + ", of which "
-                            + of.needed + " was estimated for " + event.text("bound"));
+                    breach(
+                            event,
+                            "holds "
+                                    + event.text("now")
+                                    + " with "
+                                    + event.text("load")
+                                    + ", of which "
+                                    + of.needed
+                                    + " was estimated for "
+                                    + event.text("bound"));
                 }
             }
             case "ended" -> byLife.remove(event.life());
-            default -> { }
+            default -> {}
         }
     }
 
@@ -51,11 +64,13 @@
     }
 
     private void loads(Event event, String load) {
-        estimates(event, load).forEach((bound, of) -> {
-            if (!of.fits) {
-                breach(event, "loads " + load + ", which " + bound + " refused");
-            }
-        });
+        estimates(event, load)
+                .forEach(
+                        (bound, of) -> {
+                            if (!of.fits) {
+                                breach(event, "loads " + load + ", which " + bound + " refused");
+                            }
+                        });
     }
 
     private void breach(Event event, String why) {
--- a/lab/src/main/java/cedarrudder/lab/judge/Event.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Event.java
@@ -4,10 +4,11 @@
 import java.util.NoSuchElementException;
 
 /**
- * Something that a copy says of itself, or that the world says of a copy: its start, its end, a cut of its
- * link.
+ * Something that a copy says of itself, or that the world says of a copy: its start, its end, a cut
+ * of its link.
  *
- * @param at its instant, in nanoseconds of the one clock of the run, whatever the copy's own clock says
+ * @param at its instant, in nanoseconds of the one clock of the run, whatever the copy's own clock
+ *     says
  * @param copy the copy's number
  * @param life the number of the copy's life: a later one begins when the copy comes back
  * @param what what happened, a word
@@ -27,8 +28,15 @@
     public String text(String name) {
         String value = fields.get(name);
         if (value == null) {
-            throw new NoSuchElementException("event \"" + what + "\" of copy " + copy + " has no field \""
-                    + name + "\", only " + fields.keySet());
+            throw new NoSuchElementException(
+                    "event \""
+                            + what
+                            + "\" of copy "
+                            + copy
+                            + " has no field \""
+                            + name
+                            + "\", only "
+                            + fields.keySet());
         }
         return value;
     }
--- a/lab/src/main/java/cedarrudder/lab/judge/HeldTable.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/HeldTable.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * After the faults all live copies hold one route table: they differ, or one has none, never for longer than
- * a stated time. And of A1: one number, one table, whoever holds it; numbers rise in each life. Where no copy
- * ever held a table there is none to hold.
+ * After the faults all live copies hold one route table: they differ, or one has none, never for
+ * longer than a stated time. And of A1: one number, one table, whoever holds it; numbers rise in
+ * each life. Where no copy ever held a table there is none to hold.
  *
  * <p>It reads {@code table} with all its fields, {@code lapsed}, and which processes speak.
  */
 public final class HeldTable implements Rule {
 
-    private record Held(long number, String content) { }
+    private record Held(long number, String content) {}
 
     private final long within;
     private final World world = new World();
@@ -25,7 +25,10 @@
     private long differSince = Long.MAX_VALUE;
     private String how = "";
 
-    /** @param within they are one again by then, from the end of the faults or the difference's beginning */
+    /**
+     * @param within they are one again by then, from the end of the faults or the difference's
+     *     beginning
+     */
     public HeldTable(long within) {
         this.within = within;
     }
@@ -42,9 +45,16 @@
         }
         if (world.overAt() <= event.at()) {
             switch (event.what()) {
-                case "table", "lapsed", "over", "speaks", "silent", "ended", "stopped", "continued" ->
+                case "table",
+                        "lapsed",
+                        "over",
+                        "speaks",
+                        "silent",
+                        "ended",
+                        "stopped",
+                        "continued" ->
                         look(event.at());
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -52,13 +62,31 @@
     private void numbers(Event event, Held now) {
         String other = contents.putIfAbsent(now.number, now.content);
         if (other != null && !other.equals(now.content)) {
-            breaches.add(new Breach("A1", event.at(), "copy " + event.copy() + " holds table " + now.number
-                    + " as " + now.content + ", which was " + other));
+            breaches.add(
+                    new Breach(
+                            "A1",
+                            event.at(),
+                            "copy "
+                                    + event.copy()
+                                    + " holds table "
+                                    + now.number
+                                    + " as "
+                                    + now.content
+                                    + ", which was "
+                                    + other));
         }
         Long before = highest.put(event.life(), now.number);
         if (before != null && before > now.number) {
-            breaches.add(new Breach("A1", event.at(), "copy " + event.copy() + " holds table " + now.number
-                    + " after " + before));
+            breaches.add(
+                    new Breach(
+                            "A1",
+                            event.at(),
+                            "copy "
+                                    + event.copy()
+                                    + " holds table "
+                                    + now.number
+                                    + " after "
+                                    + before));
         }
     }
 
@@ -84,7 +112,14 @@
                     return "copy " + copy + " holds none";
                 }
                 if (one != null && !one.equals(its)) {
-                    return "copy " + first + " holds " + one.number + ", copy " + copy + " " + its.number;
+                    return "copy "
+                            + first
+                            + " holds "
+                            + one.number
+                            + ", copy "
+                            + copy
+                            + " "
+                            + its.number;
                 }
                 one = its;
                 first = copy;
@@ -95,8 +130,14 @@
 
     private void check(long now) {
         if (differSince != Long.MAX_VALUE && now - differSince > within && !contents.isEmpty()) {
-            breaches.add(new Breach("one table", now, "copies held no one table for "
-                    + (now - differSince) / 1_000_000 + " ms: " + how));
+            breaches.add(
+                    new Breach(
+                            "one table",
+                            now,
+                            "copies held no one table for "
+                                    + (now - differSince) / 1_000_000
+                                    + " ms: "
+                                    + how));
             differSince = now; // once for each such time
         }
     }
@@ -105,7 +146,8 @@
     public void ended(long at) {
         check(at);
         if (!contents.isEmpty() && (at < world.overAt() || at - world.overAt() < within)) {
-            breaches.add(new Breach("one table", at, "the history ends before copies have to hold one"));
+            breaches.add(
+                    new Breach("one table", at, "the history ends before copies have to hold one"));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/History.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/History.java
@@ -16,15 +16,15 @@
 import java.util.TreeMap;
 
 /**
- * Histories of copies, as lines of JSON: {@code {"at":12,"copy":3,"life":1,"what":"voted","term":7}}. Fields
- * are texts or whole numbers. A last line without its end was being written when its process died, and is
- * left out.
+ * Histories of copies, as lines of JSON: {@code
+ * {"at":12,"copy":3,"life":1,"what":"voted","term":7}}. Fields are texts or whole numbers. A last
+ * line without its end was being written when its process died, and is left out.
  */
 public final class History {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private History() { }
+    private History() {}
 
     /** An event as one line, without its end. */
     public static String line(Event event) {
@@ -55,28 +55,41 @@
         Map<String, String> fields = new TreeMap<>();
         try (JsonParser json = JSON.createParser(line)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException(place + ": found " + json.currentToken() + ", allowed is an object");
+                throw new IOException(
+                        place + ": found " + json.currentToken() + ", allowed is an object");
             }
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
                 JsonToken value = json.nextToken();
                 if (value != JsonToken.VALUE_STRING && value != JsonToken.VALUE_NUMBER_INT) {
-                    throw new IOException(place + ": \"" + name + "\" is " + value
-                            + ", allowed are texts and whole numbers");
+                    throw new IOException(
+                            place
+                                    + ": \""
+                                    + name
+                                    + "\" is "
+                                    + value
+                                    + ", allowed are texts and whole numbers");
                 }
                 fields.put(name, json.getText());
             }
         }
         try {
-            return new Event(Long.parseLong(taken(fields, "at", place)),
+            return new Event(
+                    Long.parseLong(taken(fields, "at", place)),
                     Integer.parseInt(taken(fields, "copy", place)),
-                    Long.parseLong(taken(fields, "life", place)), taken(fields, "what", place), fields);
+                    Long.parseLong(taken(fields, "life", place)),
+                    taken(fields, "what", place),
+                    fields);
         } catch (NumberFormatException e) {
-            throw new IOException(place + ": at, copy and life are whole numbers; " + e.getMessage(), e);
+            throw new IOException(
+                    place + ": at, copy and life are whole numbers; " + e.getMessage(), e);
         }
     }
 
-    /** Reads files, one a copy, and puts events in the order of time; of one instant in that of the files. */
+    /**
+     * Reads files, one a copy, and puts events in the order of time; of one instant in that of the
+     * files.
+     */
     public static List<Event> read(List<Path> files) throws IOException {
         List<Event> all = new ArrayList<>();
         for (Path file : files) {
@@ -107,7 +120,8 @@
         return rules.stream().map(Rule::breaches).<Breach>mapMulti(List::forEach).toList();
     }
 
-    private static String taken(Map<String, String> fields, String name, String place) throws IOException {
+    private static String taken(Map<String, String> fields, String name, String place)
+            throws IOException {
         String value = fields.remove(name);
         if (value == null) {
             throw new IOException(place + ": no \"" + name + "\", found " + fields.keySet());
--- a/lab/src/main/java/cedarrudder/lab/judge/Leases.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Leases.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * F3: no copy uses a table past its lease, by its own words where it says since when that counts; and
- * whatever it says, none uses a table for longer than that lease after it could last hear of a majority of
- * the voters by any way.
+ * F3: no copy uses a table past its lease, by its own words where it says since when that counts;
+ * and whatever it says, none uses a table for longer than that lease after it could last hear of a
+ * majority of the voters by any way.
  *
- * <p>It reads {@code table}, {@code lapsed}, {@code renewed}, {@code used}, {@code seated}, and what
- * {@link World} knows of copies and ways.
+ * <p>It reads {@code table}, {@code lapsed}, {@code renewed}, {@code used}, {@code seated}, and
+ * what {@link World} knows of copies and ways.
  */
 public final class Leases implements Rule {
 
@@ -19,16 +19,20 @@
     private static final long MILLI = 1_000_000L;
 
     /** The table of a process. */
-    private record Held(long number, long lease) { }
+    private record Held(long number, long lease) {}
 
     private final long underWay;
     private final Contact contact = new Contact();
     private final Map<Long, Held> held = new HashMap<>();
+
     /** From when on a process's lease counts, where it says that. */
     private final Map<Long, Long> since = new HashMap<>();
+
     private final List<Breach> breaches = new ArrayList<>();
 
-    /** @param underWay a word may be so old when it arrives; nanoseconds */
+    /**
+     * @param underWay a word may be so old when it arrives; nanoseconds
+     */
     public Leases(long underWay) {
         this.underWay = underWay;
     }
@@ -37,29 +41,43 @@
     public void took(Event event) {
         contact.took(event);
         switch (event.what()) {
-            case "table" -> held.put(event.life(), new Held(event.number("number"), event.number("lease")));
+            case "table" ->
+                    held.put(event.life(), new Held(event.number("number"), event.number("lease")));
             case "lapsed" -> held.remove(event.life());
-            case "renewed" -> since.merge(event.life(), event.at() - event.number("age"), Math::max);
+            case "renewed" ->
+                    since.merge(event.life(), event.at() - event.number("age"), Math::max);
             case "used" -> used(event);
-            default -> { }
+            default -> {}
         }
     }
 
     private void used(Event event) {
         Held table = held.get(event.life());
         if (table == null || table.number != event.number("number")) {
-            breach(event, "uses table " + event.text("number") + " and holds "
-                    + (table == null ? "none" : table.number));
+            breach(
+                    event,
+                    "uses table "
+                            + event.text("number")
+                            + " and holds "
+                            + (table == null ? "none" : table.number));
             return;
         }
         long late = event.at() - since.getOrDefault(event.life(), event.at()) - table.lease;
         if (late > 0) {
-            breach(event, "uses table " + table.number + " " + late / MILLI + " ms after its lease");
+            breach(
+                    event,
+                    "uses table " + table.number + " " + late / MILLI + " ms after its lease");
         }
         long apart = event.at() - contact.last(event.copy(), event.at()) - table.lease - underWay;
         if (apart > 0) {
-            breach(event, "uses table " + table.number + " " + apart / MILLI + " ms after its lease, counted"
-                    + " from when it could last hear of a majority");
+            breach(
+                    event,
+                    "uses table "
+                            + table.number
+                            + " "
+                            + apart / MILLI
+                            + " ms after its lease, counted"
+                            + " from when it could last hear of a majority");
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/OneAnswer.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/OneAnswer.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * One final answer for each RPC that a copy took and that its process outlived. Words of callers: {@code
- * asked} when the request was sent whole, {@code answered} for each final answer, {@code broke} where the
- * connection ended without one or the caller gave up; each with the {@code rpc}. Nothing is owed by a
- * process that was killed or stood still meanwhile, nor for what was asked so long after its last process
- * was told to end that it need not listen any more.
+ * One final answer for each RPC that a copy took and that its process outlived. Words of callers:
+ * {@code asked} when the request was sent whole, {@code answered} for each final answer, {@code
+ * broke} where the connection ended without one or the caller gave up; each with the {@code rpc}.
+ * Nothing is owed by a process that was killed or stood still meanwhile, nor for what was asked so
+ * long after its last process was told to end that it need not listen any more.
  */
 public final class OneAnswer implements Rule {
 
@@ -33,8 +33,8 @@
     /**
      * @param patience by then an answer is there, from when it was asked; nanoseconds
      * @param listens a process that is told to end takes RPCs for so long; nanoseconds
-     * @param atTheDoor so many connections may be reset when one of two processes closes its door: what the
-     * users allow an upgrade, since the kernel gives no way to prevent it
+     * @param atTheDoor so many connections may be reset when one of two processes closes its door:
+     *     what the users allow an upgrade, since the kernel gives no way to prevent it
      */
     public OneAnswer(long patience, long listens, int atTheDoor) {
         this.patience = patience;
@@ -48,14 +48,22 @@
             case "asked" -> {
                 asked++;
                 Long told = toldAt.get(event.copy());
-                if (!excused.contains(event.copy()) && (told == null || event.at() <= told + listens)) {
+                if (!excused.contains(event.copy())
+                        && (told == null || event.at() <= told + listens)) {
                     open.put(event.text("rpc"), event);
                 }
             }
             case "answered" -> {
                 if (answered.put(event.text("rpc"), event) != null) {
-                    breaches.add(new Breach(NAME, event.at(), "RPC " + event.text("rpc") + " of copy "
-                            + event.copy() + " got two answers"));
+                    breaches.add(
+                            new Breach(
+                                    NAME,
+                                    event.at(),
+                                    "RPC "
+                                            + event.text("rpc")
+                                            + " of copy "
+                                            + event.copy()
+                                            + " got two answers"));
                 }
                 check(event, open.remove(event.text("rpc")));
             }
@@ -72,14 +80,14 @@
                     doors.put(event.copy(), atTheDoor);
                 }
             }
-            case "ended" -> lives.computeIfAbsent(event.copy(), c -> new HashSet<>())
-                    .remove(event.life());
+            case "ended" ->
+                    lives.computeIfAbsent(event.copy(), c -> new HashSet<>()).remove(event.life());
             case "doomed", "stopped" -> {
                 excused.add(event.copy());
                 open.values().removeIf(each -> each.copy() == event.copy());
             }
             case "continued" -> excused.remove(event.copy());
-            default -> { }
+            default -> {}
         }
     }
 
@@ -91,15 +99,32 @@
         if (left > 0) {
             doors.put(event.copy(), left - 1);
         } else {
-            breaches.add(new Breach(NAME, event.at(), "RPC " + event.text("rpc") + " that copy "
-                    + event.copy() + " took got no answer: " + event.text("why")));
+            breaches.add(
+                    new Breach(
+                            NAME,
+                            event.at(),
+                            "RPC "
+                                    + event.text("rpc")
+                                    + " that copy "
+                                    + event.copy()
+                                    + " took got no answer: "
+                                    + event.text("why")));
         }
     }
 
     private void check(Event answer, Event asked) {
         if (asked != null && answer.at() - asked.at() > patience) {
-            breaches.add(new Breach(NAME, answer.at(), "RPC " + asked.text("rpc") + " of copy " + asked.copy()
-                    + " was answered after " + (answer.at() - asked.at()) / 1_000_000 + " ms"));
+            breaches.add(
+                    new Breach(
+                            NAME,
+                            answer.at(),
+                            "RPC "
+                                    + asked.text("rpc")
+                                    + " of copy "
+                                    + asked.copy()
+                                    + " was answered after "
+                                    + (answer.at() - asked.at()) / 1_000_000
+                                    + " ms"));
         }
     }
 
@@ -107,8 +132,15 @@
     public void ended(long at) {
         for (Event each : open.values()) {
             if (at - each.at() > patience) {
-                breaches.add(new Breach(NAME, at, "RPC " + each.text("rpc") + " of copy " + each.copy()
-                        + " never got an answer"));
+                breaches.add(
+                        new Breach(
+                                NAME,
+                                at,
+                                "RPC "
+                                        + each.text("rpc")
+                                        + " of copy "
+                                        + each.copy()
+                                        + " never got an answer"));
             }
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/judge/OneEffect.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/OneEffect.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * A3: what a copy hands on takes effect at most once, and the one final word on it is true: committed under
- * that number, or never.
+ * A3: what a copy hands on takes effect at most once, and the one final word on it is true:
+ * committed under that number, or never.
  *
  * <p>It reads {@code started}, {@code handed} (proposal, sum of its content, which no other has),
- * {@code settled} (proposal, sum, outcome, and group and index where it is committed), {@code loaded} (group,
- * index, sum, state after it) and {@code restored} (state). A group that began without what an older one
- * decided may decide it once more: what counts is what led to one state.
+ * {@code settled} (proposal, sum, outcome, and group and index where it is committed), {@code
+ * loaded} (group, index, sum, state after it) and {@code restored} (state). A group that began
+ * without what an older one decided may decide it once more: what counts is what led to one state.
  */
 public final class OneEffect implements Rule {
 
@@ -36,12 +36,15 @@
             case "settled" -> settled(event);
             case "restored" -> states.put(process, event.text("state"));
             case "loaded" -> {
-                Set<String> before = effects.getOrDefault(states.getOrDefault(process, ""), Set.of());
+                Set<String> before =
+                        effects.getOrDefault(states.getOrDefault(process, ""), Set.of());
                 String sum = event.text("sum");
                 if (handed.contains(sum)) {
                     loaded.add(sum);
-                    takenBy.computeIfAbsent(event.text("group") + " " + event.text("index"),
-                            n -> new HashSet<>()).add(sum);
+                    takenBy.computeIfAbsent(
+                                    event.text("group") + " " + event.text("index"),
+                                    n -> new HashSet<>())
+                            .add(sum);
                     if (before.contains(sum)) {
                         breach(event, "loads " + sum + " twice, again at " + event.text("index"));
                     }
@@ -51,7 +54,7 @@
                 effects.put(event.text("state"), after);
                 states.put(process, event.text("state"));
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -61,8 +64,9 @@
         if (before != null && !before.equals("UNKNOWN")) {
             breach(event, event.text("proposal") + " is " + outcome + " after " + before);
         }
-        if (outcome.equals("COMMITTED") && !takenBy.getOrDefault(event.text("group") + " "
-                + event.text("index"), Set.of()).contains(event.text("sum"))) {
+        if (outcome.equals("COMMITTED")
+                && !takenBy.getOrDefault(event.text("group") + " " + event.text("index"), Set.of())
+                        .contains(event.text("sum"))) {
             breach(event, event.text("proposal") + " is said to be committed where another is");
         }
         if (outcome.equals("NOT_TAKEN")) {
@@ -72,11 +76,15 @@
 
     @Override
     public void ended(long at) {
-        refused.forEach((sum, event) -> {
-            if (loaded.contains(sum)) {
-                breach(event, event.text("proposal") + " was said not to be taken, and took effect");
-            }
-        });
+        refused.forEach(
+                (sum, event) -> {
+                    if (loaded.contains(sum)) {
+                        breach(
+                                event,
+                                event.text("proposal")
+                                        + " was said not to be taken, and took effect");
+                    }
+                });
     }
 
     private void breach(Event event, String why) {
--- a/lab/src/main/java/cedarrudder/lab/judge/OneLeader.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/OneLeader.java
@@ -11,8 +11,8 @@
  * A2: one leader a term; a copy that forgot voted in nothing before its new life was committed.
  *
  * <p>It reads {@code started} (kept: 1 where the life begins with what the last one had stored),
- * {@code seated} (group, voters), {@code voted} (group, term, as: its life as a voter, for) and {@code leads}
- * (group, term, as).
+ * {@code seated} (group, voters), {@code voted} (group, term, as: its life as a voter, for) and
+ * {@code leads} (group, term, as).
  */
 public final class OneLeader implements Rule {
 
@@ -20,8 +20,12 @@
     private final Map<String, String> leaders = new HashMap<>();
     private final Map<String, String> votes = new HashMap<>();
     private final Set<String> seated = new HashSet<>();
-    /** The process in which a voter first spoke, and those that began with all that it had stored. */
+
+    /**
+     * The process in which a voter first spoke, and those that began with all that it had stored.
+     */
     private final Map<String, Set<Long>> remembers = new HashMap<>();
+
     private final Map<Integer, Long> lastLife = new HashMap<>();
 
     @Override
@@ -33,11 +37,14 @@
                 }
                 boolean keeps = event.number("kept") == 1;
                 Long before = lastLife.put(event.copy(), event.life());
-                remembers.forEach((who, lives) -> {
-                    if (keeps && lives.contains(before) && who.startsWith(event.copy() + ":")) {
-                        lives.add(event.life());
-                    }
-                });
+                remembers.forEach(
+                        (who, lives) -> {
+                            if (keeps
+                                    && lives.contains(before)
+                                    && who.startsWith(event.copy() + ":")) {
+                                lives.add(event.life());
+                            }
+                        });
             }
             case "seated" -> {
                 for (String voter : event.text("voters").split(",")) {
@@ -52,13 +59,14 @@
                     breach(event, "leads " + term(event) + ", which " + other + " led");
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     private void voted(Event event) {
         String who = event.copy() + ":" + event.text("as");
-        if (!remembers.computeIfAbsent(who, w -> new HashSet<>(Set.of(event.life())))
+        if (!remembers
+                .computeIfAbsent(who, w -> new HashSet<>(Set.of(event.life())))
                 .contains(event.life())) {
             breach(event, "votes as " + who + ", of which it remembers nothing");
         }
@@ -67,7 +75,9 @@
         }
         String other = votes.putIfAbsent(term(event) + " " + who, event.text("for"));
         if (other != null && !other.equals(event.text("for"))) {
-            breach(event, "votes for " + event.text("for") + " and " + other + " in " + term(event));
+            breach(
+                    event,
+                    "votes for " + event.text("for") + " and " + other + " in " + term(event));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/OneTable.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/OneTable.java
@@ -10,20 +10,20 @@
 import java.util.TreeMap;
 
 /**
- * A1: one number, one table, whoever loaded it; numbers rise in each life; whatever was loaded had been
- * stored by a majority of the voters, each in the life in which it was a voter.
+ * A1: one number, one table, whoever loaded it; numbers rise in each life; whatever was loaded had
+ * been stored by a majority of the voters, each in the life in which it was a voter.
  *
- * <p>It reads {@code stored} (group, index, as: the life as a voter, sum, and voters where the entry names
- * them), {@code seated} (group, index, voters), {@code loaded} (group, index, sum of the entry, state after
- * it) and {@code restored} (group, index, state, as). Groups are texts that sort as they follow one another;
- * voters are {@code copy:life}, with commas between.
+ * <p>It reads {@code stored} (group, index, as: the life as a voter, sum, and voters where the
+ * entry names them), {@code seated} (group, index, voters), {@code loaded} (group, index, sum of
+ * the entry, state after it) and {@code restored} (group, index, state, as). Groups are texts that
+ * sort as they follow one another; voters are {@code copy:life}, with commas between.
  */
 public final class OneTable implements Rule {
 
-    private record Place(String group, long index) { }
+    private record Place(String group, long index) {}
 
     /** Voters that an entry names, which may yet be taken back. */
-    private record Proposed(Place place, String sum, Set<String> voters) { }
+    private record Proposed(Place place, String sum, Set<String> voters) {}
 
     private final long unwritten;
     private final List<Breach> breaches = new ArrayList<>();
@@ -43,8 +43,9 @@
     }
 
     /**
-     * @param unwritten what a process that is killed did so shortly before may be missing from its history;
-     * nanoseconds. A voter killed so soon after an entry was first stored may have had it.
+     * @param unwritten what a process that is killed did so shortly before may be missing from its
+     *     history; nanoseconds. A voter killed so soon after an entry was first stored may have had
+     *     it.
      */
     public OneTable(long unwritten) {
         this.unwritten = unwritten;
@@ -53,7 +54,8 @@
     @Override
     public void took(Event event) {
         switch (event.what()) {
-            case "doomed" -> kills.computeIfAbsent(event.copy(), c -> new ArrayList<>()).add(event.at());
+            case "doomed" ->
+                    kills.computeIfAbsent(event.copy(), c -> new ArrayList<>()).add(event.at());
             case "stored" -> {
                 firstStored.putIfAbsent(place(event), event.at());
                 stored.computeIfAbsent(place(event), p -> new HashMap<>())
@@ -64,8 +66,9 @@
                             .add(new Proposed(place(event), event.text("sum"), voters(event)));
                 }
             }
-            case "seated" -> seated.computeIfAbsent(event.text("group"), g -> new TreeMap<>())
-                    .put(event.number("index"), voters(event));
+            case "seated" ->
+                    seated.computeIfAbsent(event.text("group"), g -> new TreeMap<>())
+                            .put(event.number("index"), voters(event));
             case "loaded" -> {
                 Place place = place(event);
                 same(event, place, sums, event.text("sum"), "entry");
@@ -80,7 +83,7 @@
                 whole.computeIfAbsent(place.group, g -> new HashMap<>())
                         .merge(event.copy() + ":" + event.text("as"), place.index, Math::max);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -92,7 +95,8 @@
         return Set.of(event.text("voters").split(","));
     }
 
-    private void same(Event event, Place place, Map<Place, String> held, String found, String what) {
+    private void same(
+            Event event, Place place, Map<Place, String> held, String found, String what) {
         String other = held.putIfAbsent(place, found);
         if (other != null && !other.equals(found)) {
             breach(event, "two of " + place + ": " + what + " " + other + " and " + found);
@@ -101,19 +105,24 @@
 
     private void rises(Event event, Place place) {
         Place before = newest.put(event.copy() + ":" + event.life(), place);
-        if (before != null && (before.group.compareTo(place.group) > 0
-                || before.group.equals(place.group) && before.index >= place.index)) {
+        if (before != null
+                && (before.group.compareTo(place.group) > 0
+                        || before.group.equals(place.group) && before.index >= place.index)) {
             breach(event, place + " after " + before);
         }
     }
 
-    /** By the voters of its index, or by later ones that had it with the entry that made them voters. */
+    /**
+     * By the voters of its index, or by later ones that had it with the entry that made them
+     * voters.
+     */
     private void remembered(Event event, Place place) {
         Set<String> have = holders(place, event.text("sum"));
         TreeMap<Long, Set<String>> all = seated.getOrDefault(place.group, new TreeMap<>());
         Map.Entry<Long, Set<String>> then = all.floorEntry(place.index);
         boolean enough = then != null && majority(then.getValue(), have);
-        for (Proposed later : enough ? Set.<Proposed>of() : proposed.getOrDefault(place.group, Set.of())) {
+        for (Proposed later :
+                enough ? Set.<Proposed>of() : proposed.getOrDefault(place.group, Set.of())) {
             if (later.place.index > place.index) {
                 Set<String> both = holders(later.place, later.sum);
                 both.retainAll(have);
@@ -130,14 +139,18 @@
     }
 
     private Set<String> holders(Place place, String sum) {
-        Set<String> have = new HashSet<>(stored.getOrDefault(place, Map.of()).getOrDefault(sum, Set.of()));
-        whole.getOrDefault(place.group, Map.of()).forEach((who, upTo) -> {
-            if (upTo >= place.index) {
-                have.add(who);
-            }
-        });
+        Set<String> have =
+                new HashSet<>(stored.getOrDefault(place, Map.of()).getOrDefault(sum, Set.of()));
+        whole.getOrDefault(place.group, Map.of())
+                .forEach(
+                        (who, upTo) -> {
+                            if (upTo >= place.index) {
+                                have.add(who);
+                            }
+                        });
         if (unwritten > 0 && firstStored.containsKey(place)) {
-            // The life is not told of here, nor needed: a copy that comes back in another is no voter yet.
+            // The life is not told of here, nor needed: a copy that comes back in another is no
+            // voter yet.
             for (String voter : voters(place)) {
                 if (killedWith(Integer.parseInt(voter.split(":")[0]), firstStored.get(place))) {
                     have.add(voter);
@@ -148,8 +161,8 @@
     }
 
     private Set<String> voters(Place place) {
-        Map.Entry<Long, Set<String>> then = seated.getOrDefault(place.group, new TreeMap<>())
-                .floorEntry(place.index);
+        Map.Entry<Long, Set<String>> then =
+                seated.getOrDefault(place.group, new TreeMap<>()).floorEntry(place.index);
         return then == null ? Set.of() : then.getValue();
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/OneVoice.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/OneVoice.java
@@ -13,8 +13,14 @@
     public void took(Event event) {
         world.took(event);
         if (event.what().equals("speaks") && world.speaking(event.copy()).size() > 1) {
-            breaches.add(new Breach("one voice", event.at(), "processes " + world.speaking(event.copy())
-                    + " speak for copy " + event.copy()));
+            breaches.add(
+                    new Breach(
+                            "one voice",
+                            event.at(),
+                            "processes "
+                                    + world.speaking(event.copy())
+                                    + " speak for copy "
+                                    + event.copy()));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/OutAtOnce.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/OutAtOnce.java
@@ -9,30 +9,35 @@
 import java.util.TreeSet;
 
 /**
- * D1: never more nodes out at once than the strictest bound allows. A node is out from the first word of any
- * copy that it leaves until it is not listed any more, or was taken back and the last copy that can hear of
- * it has followed; and while it is dead, silent, or cold. A bound is broken by a removal that begins
- * where it is full, not by a node that dies.
+ * D1: never more nodes out at once than the strictest bound allows. A node is out from the first
+ * word of any copy that it leaves until it is not listed any more, or was taken back and the last
+ * copy that can hear of it has followed; and while it is dead, silent, or cold. A bound is broken
+ * by a removal that begins where it is full, not by a node that dies.
  *
- * <p>It reads {@code bound}, {@code node}, {@code leaving}, {@code drain}, and which copies can be heard.
+ * <p>It reads {@code bound}, {@code node}, {@code leaving}, {@code drain}, and which copies can be
+ * heard.
  */
 public final class OutAtOnce implements Rule {
 
-    private record Bound(Set<String> nodes, long most) { }
+    private record Bound(Set<String> nodes, long most) {}
 
     private final long known;
     private final World world = new World();
     private final Removed removed = new Removed();
     private final Map<String, Bound> bounds = new HashMap<>();
     private final Map<String, Long> downSince = new HashMap<>();
+
     /** Nodes whose removal is under way, is over, or was taken back, by the latest word. */
     private final Set<String> begun = new HashSet<>();
+
     private final Set<String> over = new HashSet<>();
     private final Set<String> returned = new HashSet<>();
     private final Set<String> told = new HashSet<>();
     private final List<Breach> breaches = new ArrayList<>();
 
-    /** @param known copies need not know yet of a node that went down less long ago; nanoseconds */
+    /**
+     * @param known copies need not know yet of a node that went down less long ago; nanoseconds
+     */
     public OutAtOnce(long known) {
         this.known = known;
     }
@@ -40,8 +45,10 @@
     @Override
     public void took(Event event) {
         switch (event.what()) {
-            case "bound" -> bounds.put(event.text("name"),
-                    new Bound(Removed.names(event.text("nodes")), event.number("most")));
+            case "bound" ->
+                    bounds.put(
+                            event.text("name"),
+                            new Bound(Removed.names(event.text("nodes")), event.number("most")));
             case "node" -> {
                 if (event.text("mood").equals("well") || event.text("mood").equals("slow")) {
                     downSince.remove(event.text("node"));
@@ -52,7 +59,8 @@
             case "leaving" -> {
                 Set<String> nodes = Removed.names(event.text("nodes"));
                 for (String node : List.copyOf(over)) {
-                    if (removed.of(event.life()).containsKey(node) && !nodes.contains(node)
+                    if (removed.of(event.life()).containsKey(node)
+                            && !nodes.contains(node)
                             && lastToKeep(event, node)) {
                         over.remove(node);
                         returned.add(node); // one that begins anew goes through all of it once more
@@ -60,14 +68,15 @@
                 }
                 Set<String> before = out(event.life(), nodes);
                 for (String node : nodes) {
-                    // Not what was taken back: guards against holding it against a copy that is behind.
+                    // Not what was taken back: guards against holding it against a copy that is
+                    // behind.
                     if (!over.contains(node) && !returned.contains(node) && before.add(node)) {
                         check(event, before, node);
                     }
                 }
             }
             case "drain" -> drain(event);
-            default -> { }
+            default -> {}
         }
         world.took(event);
         removed.took(event);
@@ -96,13 +105,14 @@
                 begun.remove(node);
                 returned.add(node);
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /** Whether no other process keeps this node out. */
     private boolean lastToKeep(Event event, String node) {
-        return world.copies().stream().flatMap(copy -> world.speaking(copy).stream())
+        return world.copies().stream()
+                .flatMap(copy -> world.speaking(copy).stream())
                 .noneMatch(life -> life != event.life() && removed.of(life).containsKey(node));
     }
 
@@ -111,8 +121,15 @@
         Set<String> out = new HashSet<>(begun);
         for (int copy : world.copies()) {
             if (world.speaks(copy) && !world.apart(copy)) {
-                world.speaking(copy).forEach(life -> removed.of(life).keySet().stream()
-                        .filter(node -> life != process || still.contains(node)).forEach(out::add));
+                world.speaking(copy)
+                        .forEach(
+                                life ->
+                                        removed.of(life).keySet().stream()
+                                                .filter(
+                                                        node ->
+                                                                life != process
+                                                                        || still.contains(node))
+                                                .forEach(out::add));
             }
         }
         out.removeAll(over);
@@ -121,19 +138,34 @@
 
     /** Holds those that are out, this node among them, against the bounds that it is under. */
     private void check(Event event, Set<String> decided, String node) {
-        bounds.forEach((name, bound) -> {
-            Set<String> out = new TreeSet<>(decided);
-            downSince.forEach((down, since) -> {
-                if (event.at() - since > known) {
-                    out.add(down);
-                }
-            });
-            out.retainAll(bound.nodes);
-            if (bound.nodes.contains(node) && out.size() > bound.most) {
-                breaches.add(new Breach("D1", event.at(), "copy " + event.copy() + " takes node " + node
-                        + " out, which makes " + out + " of " + name + ", where " + bound.most + " may be"));
-            }
-        });
+        bounds.forEach(
+                (name, bound) -> {
+                    Set<String> out = new TreeSet<>(decided);
+                    downSince.forEach(
+                            (down, since) -> {
+                                if (event.at() - since > known) {
+                                    out.add(down);
+                                }
+                            });
+                    out.retainAll(bound.nodes);
+                    if (bound.nodes.contains(node) && out.size() > bound.most) {
+                        breaches.add(
+                                new Breach(
+                                        "D1",
+                                        event.at(),
+                                        "copy "
+                                                + event.copy()
+                                                + " takes node "
+                                                + node
+                                                + " out, which makes "
+                                                + out
+                                                + " of "
+                                                + name
+                                                + ", where "
+                                                + bound.most
+                                                + " may be"));
+                    }
+                });
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/judge/Plans.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Plans.java
@@ -9,9 +9,10 @@
 final class Plans {
 
     /** What a table gives of one zone's calls to another; {@code parts} of 10,000. */
-    record Part(int from, int to, String way, int parts) { }
+    record Part(int from, int to, String way, int parts) {}
 
     private static final int WHOLE = 10_000;
+
     /** Parts that a zone may get fewer by rounding, and is not left. */
     private static final int NOISE = 100;
 
@@ -36,20 +37,27 @@
         for (String each : text.isEmpty() ? new String[0] : text.split(",")) {
             String[] part = each.split("[>:]");
             if (part.length != 5) {
-                throw new IllegalArgumentException("shares: found \"" + each
-                        + "\"; allowed: from>to:way:parts:per_s");
+                throw new IllegalArgumentException(
+                        "shares: found \"" + each + "\"; allowed: from>to:way:parts:per_s");
             }
-            all.add(new Part(Integer.parseInt(part[0]), Integer.parseInt(part[1]), part[2],
-                    Integer.parseInt(part[3])));
+            all.add(
+                    new Part(
+                            Integer.parseInt(part[0]),
+                            Integer.parseInt(part[1]),
+                            part[2],
+                            Integer.parseInt(part[3])));
         }
         return all;
     }
 
-    /** Zones of callers that the newest table moves away: they get so much less of their own calls. */
+    /**
+     * Zones of callers that the newest table moves away: they get so much less of their own calls.
+     */
     Set<Integer> left() {
         Set<Integer> left = new HashSet<>();
         for (Part part : parts) {
-            if (moved(parts, part.from) > 0 && near(before, part.from) - near(parts, part.from) > NOISE) {
+            if (moved(parts, part.from) > 0
+                    && near(before, part.from) - near(parts, part.from) > NOISE) {
                 left.add(part.from);
             }
         }
@@ -59,13 +67,16 @@
     /** What a zone gets of its own calls: all of them where nothing is said of them. */
     private static int near(List<Part> of, int from) {
         List<Part> own = of.stream().filter(part -> part.from == from).toList();
-        return own.isEmpty() ? WHOLE
+        return own.isEmpty()
+                ? WHOLE
                 : own.stream().filter(part -> part.to == from).mapToInt(Part::parts).sum();
     }
 
     private static int moved(List<Part> of, int from) {
-        return of.stream().filter(part -> part.from == from && part.way.equals("moved"))
-                .mapToInt(Part::parts).sum();
+        return of.stream()
+                .filter(part -> part.from == from && part.way.equals("moved"))
+                .mapToInt(Part::parts)
+                .sum();
     }
 
     /** Zones of callers to which the newest table gives other shares than the one before did. */
--- a/lab/src/main/java/cedarrudder/lab/judge/Rule.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Rule.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One thing that must hold of many copies. It is told all that happened, in the order of time, and knows
- * nothing of the code that did it. For one history and one thread.
+ * One thing that must hold of many copies. It is told all that happened, in the order of time, and
+ * knows nothing of the code that did it. For one history and one thread.
  */
 public interface Rule {
 
@@ -16,7 +16,7 @@
      *
      * @param at when, on the clock of the events
      */
-    default void ended(long at) { }
+    default void ended(long at) {}
 
     /** What was broken so far, the first breach first. */
     List<Breach> breaches();
--- a/lab/src/main/java/cedarrudder/lab/judge/SureContact.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/SureContact.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * What leases rest on: no copy holds the last sure contact of a leader with a majority to be younger than
- * any of which word can have come to it.
+ * What leases rest on: no copy holds the last sure contact of a leader with a majority to be
+ * younger than any of which word can have come to it.
  *
- * <p>It reads {@code sure} (since: what the copy believes, on the one clock of the run; reached: what
- * datagrams can have told it, on the same).
+ * <p>It reads {@code sure} (since: what the copy believes, on the one clock of the run; reached:
+ * what datagrams can have told it, on the same).
  */
 public final class SureContact implements Rule {
 
@@ -17,9 +17,17 @@
     @Override
     public void took(Event event) {
         if (event.what().equals("sure") && event.number("since") > event.number("reached")) {
-            breaches.add(new Breach("contact", event.at(), "copy " + event.copy()
-                    + " believes in a contact at " + event.text("since") + ", the last that it can know of "
-                    + "was at " + event.text("reached")));
+            breaches.add(
+                    new Breach(
+                            "contact",
+                            event.at(),
+                            "copy "
+                                    + event.copy()
+                                    + " believes in a contact at "
+                                    + event.text("since")
+                                    + ", the last that it can know of "
+                                    + "was at "
+                                    + event.text("reached")));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/TrueDeaths.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/TrueDeaths.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Whom copies hold as dead: a death is found within a stated time; one that runs and can be reached is not
- * held dead for longer than another, and not at all where nothing had happened to either for long and
- * nothing was lost; an old life is never believed again.
+ * Whom copies hold as dead: a death is found within a stated time; one that runs and can be reached
+ * is not held dead for longer than another, and not at all where nothing had happened to either for
+ * long and nothing was lost; an old life is never believed again.
  */
 public final class TrueDeaths implements Rule {
 
@@ -19,15 +19,17 @@
      * @param mended one that runs is held dead no longer, counted from when both were left in peace
      * @param settled what happened longer ago excuses no false death
      */
-    public record Bounds(long found, long mended, long settled) { }
+    public record Bounds(long found, long mended, long settled) {}
 
     private static final String NAME = "true deaths";
 
     private final Bounds bounds;
     private final World world = new World();
     private final Beliefs beliefs = new Beliefs();
+
     /** By the life that holds it, and whom it is about. */
     private final Map<Long, Map<Integer, Long>> buried = new HashMap<>();
+
     private final Map<Long, Map<Integer, Long>> wrongSince = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private long found;
@@ -44,7 +46,7 @@
         switch (event.what()) {
             case "alive", "suspect" -> believed(event);
             case "dead" -> buried(event);
-            default -> { }
+            default -> {}
         }
         world.took(event);
         beliefs.took(event);
@@ -60,20 +62,20 @@
         switch (event.what()) {
             case "alive", "suspect", "dead" ->
                     look(event.at(), event.copy(), event.life(), (int) event.number("about"));
-            case "speaks", "silent", "ended", "stopped", "continued", "flooded", "drained" -> look(event.at(),
-                    event.copy());
+            case "speaks", "silent", "ended", "stopped", "continued", "flooded", "drained" ->
+                    look(event.at(), event.copy());
             case "cut", "healed" -> {
                 lookAround(event.at(), event.copy(), (int) event.number("to"));
                 lookAround(event.at(), (int) event.number("to"), event.copy());
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /**
-     * Looks at the one pair that a cut is about, and at all with this copy where so long nothing had happened
-     * to it that a bound may be broken. Guards against a time that goes with the cube of the copies: halves
-     * are cut way by way.
+     * Looks at the one pair that a cut is about, and at all with this copy where so long nothing
+     * had happened to it that a bound may be broken. Guards against a time that goes with the cube
+     * of the copies: halves are cut way by way.
      */
     private void lookAround(long now, int copy, int other) {
         if (now - world.disturbedAt(copy) > Math.min(bounds.found, bounds.mended)) {
@@ -94,11 +96,17 @@
     }
 
     private void believed(Event event) {
-        Long grave = buried.getOrDefault(event.life(), Map.of())
-                .get((int) event.number("about"));
+        Long grave = buried.getOrDefault(event.life(), Map.of()).get((int) event.number("about"));
         if (grave != null && event.number("number") <= grave) {
-            breach(event.at(), "copy " + event.copy() + " believed copy " + event.text("about") + "'s life "
-                    + event.text("number") + " again, which it had held as dead");
+            breach(
+                    event.at(),
+                    "copy "
+                            + event.copy()
+                            + " believed copy "
+                            + event.text("about")
+                            + "'s life "
+                            + event.text("number")
+                            + " again, which it had held as dead");
         }
     }
 
@@ -108,9 +116,15 @@
                 .merge(about, event.number("number"), Math::max);
         if (world.speaks(about)) {
             falseDeaths++;
-            if (world.whole(event.copy(), about) && event.at() - world.peaceSince() > bounds.settled) {
-                breach(event.at(), "copy " + event.copy() + " took copy " + about
-                        + " for dead, and nothing had happened to any");
+            if (world.whole(event.copy(), about)
+                    && event.at() - world.peaceSince() > bounds.settled) {
+                breach(
+                        event.at(),
+                        "copy "
+                                + event.copy()
+                                + " took copy "
+                                + about
+                                + " for dead, and nothing had happened to any");
             }
         }
     }
@@ -118,23 +132,36 @@
     /** Looks at what was so of this pair up to now. */
     private void look(long now, int observer, long life, int about) {
         boolean dead = beliefs.dead(life, about);
-        boolean wrong = world.speaks(observer) && world.whole(observer, about) && dead == world.speaks(about)
-                && !world.forged(observer) && !world.forged(about);
+        boolean wrong =
+                world.speaks(observer)
+                        && world.whole(observer, about)
+                        && dead == world.speaks(about)
+                        && !world.forged(observer)
+                        && !world.forged(about);
         Map<Integer, Long> of = wrongSince.computeIfAbsent(life, l -> new HashMap<>());
         Long since = wrong ? of.putIfAbsent(about, now) : of.remove(about);
         if (since == null) {
             return;
         }
-        long peace = Math.max(since, Math.max(world.disturbedAt(observer), world.disturbedAt(about)));
+        long peace =
+                Math.max(since, Math.max(world.disturbedAt(observer), world.disturbedAt(about)));
         long bound = dead ? bounds.mended : bounds.found;
         if (!world.speaks(about)) {
             found += wrong ? 0 : 1;
             longestToFind = Math.max(longestToFind, now - peace);
         }
         if (now - peace > bound) {
-            breach(now, "copy " + observer + " held copy " + about + (world.speaks(about)
-                    ? " as dead, which ran and could be reached, for " : " as live, which didn't run, for ")
-                    + (now - peace) / 1_000_000 + " ms");
+            breach(
+                    now,
+                    "copy "
+                            + observer
+                            + " held copy "
+                            + about
+                            + (world.speaks(about)
+                                    ? " as dead, which ran and could be reached, for "
+                                    : " as live, which didn't run, for ")
+                            + (now - peace) / 1_000_000
+                            + " ms");
             of.replace(about, now); // once for each such time
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/judge/Views.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/Views.java
@@ -4,14 +4,19 @@
 import java.util.List;
 import java.util.Set;
 
-/** After the faults end, all live copies hold one view of who lives, and it is true, within a stated time. */
+/**
+ * After the faults end, all live copies hold one view of who lives, and it is true, within a stated
+ * time.
+ */
 public final class Views implements Rule {
 
     private static final String NAME = "views";
 
-    /** Words after which what others hold of a copy may be wrong or right, and what it holds itself. */
-    private static final Set<String> OF_COPY = Set.of("started", "speaks", "silent", "ended", "stopped",
-            "continued");
+    /**
+     * Words after which what others hold of a copy may be wrong or right, and what it holds itself.
+     */
+    private static final Set<String> OF_COPY =
+            Set.of("started", "speaks", "silent", "ended", "stopped", "continued");
 
     private final long within;
     private final World world = new World();
@@ -20,7 +25,9 @@
     private long wrongs;
     private long wrongUntil = Long.MIN_VALUE;
 
-    /** @param within from the end of the faults, in nanoseconds */
+    /**
+     * @param within from the end of the faults, in nanoseconds
+     */
     public Views(long within) {
         this.within = within;
     }
@@ -30,8 +37,10 @@
         if (world.overAt() <= event.at() && wrongs > 0) {
             wrongUntil = event.at(); // what was so until now
         }
-        boolean ofPair = event.what().equals("alive") || event.what().equals("suspect")
-                || event.what().equals("dead");
+        boolean ofPair =
+                event.what().equals("alive")
+                        || event.what().equals("suspect")
+                        || event.what().equals("dead");
         if (!ofPair && !OF_COPY.contains(event.what())) {
             world.took(event);
             return;
@@ -45,7 +54,9 @@
     /** Whether the belief that an event is about is wrong, as a number. */
     private int wrong(long life, Event event) {
         return world.speaking(event.copy()).contains(life)
-                && wrong(event.copy(), life, (int) event.number("about")) ? 1 : 0;
+                        && wrong(event.copy(), life, (int) event.number("about"))
+                ? 1
+                : 0;
     }
 
     /** Wrong beliefs of this copy and about it. Those of all others are as they were. */
@@ -72,8 +83,14 @@
             for (long life : world.speaking(observer)) {
                 for (int about : world.copies()) {
                     if (wrong(observer, life, about)) {
-                        return "copy " + observer + " holds copy " + about + " as "
-                                + (world.speaks(about) ? "dead, which runs" : "live, which doesn't run");
+                        return "copy "
+                                + observer
+                                + " holds copy "
+                                + about
+                                + " as "
+                                + (world.speaks(about)
+                                        ? "dead, which runs"
+                                        : "live, which doesn't run");
                     }
                 }
             }
@@ -91,8 +108,11 @@
         if (!wrong.isEmpty()) {
             breaches.add(new Breach(NAME, at, wrong));
         } else if (agreedAfter() > within) {
-            breaches.add(new Breach(NAME, wrongUntil, "copies agreed only after "
-                    + agreedAfter() / 1_000_000 + " ms"));
+            breaches.add(
+                    new Breach(
+                            NAME,
+                            wrongUntil,
+                            "copies agreed only after " + agreedAfter() / 1_000_000 + " ms"));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/World.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/World.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * What the world's events say of copies: which process of each runs, which stands still, which links are
- * cut, whether datagrams are lost. Words: {@code started}, {@code told} (SIGTERM), {@code ended}, {@code
- * stopped}, {@code continued} of a copy's process; {@code cut} and {@code healed} of the way from a copy
- * {@code to} another; {@code weather} with {@code calm}; {@code flooded} and {@code drained} of a copy that
- * gets forged datagrams; {@code over} when no more faults come. Those of the copies ({@code speaks}, {@code
- * silent}) tell which process speaks for a number.
+ * What the world's events say of copies: which process of each runs, which stands still, which
+ * links are cut, whether datagrams are lost. Words: {@code started}, {@code told} (SIGTERM), {@code
+ * ended}, {@code stopped}, {@code continued} of a copy's process; {@code cut} and {@code healed} of
+ * the way from a copy {@code to} another; {@code weather} with {@code calm}; {@code flooded} and
+ * {@code drained} of a copy that gets forged datagrams; {@code over} when no more faults come.
+ * Those of the copies ({@code speaks}, {@code silent}) tell which process speaks for a number.
  */
 final class World {
 
@@ -59,7 +59,7 @@
                 calmSince = event.at();
             }
             case "over" -> overAt = event.at();
-            default -> { }
+            default -> {}
         }
         switch (event.what()) {
             case "stopped", "continued", "flooded", "drained" -> disturb(event);
@@ -67,7 +67,7 @@
                 disturb(event);
                 disturbedAt.put((int) event.number("to"), event.at());
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -113,8 +113,16 @@
     /** Whether the ways to most of the others that speak are not whole. */
     boolean apart(int copy) {
         long others = copies.stream().filter(other -> other != copy && speaks(other)).count();
-        return others > 0 && copies.stream().filter(other -> other != copy && speaks(other)
-                && whole(copy, other)).count() * 2 < others;
+        return others > 0
+                && copies.stream()
+                                        .filter(
+                                                other ->
+                                                        other != copy
+                                                                && speaks(other)
+                                                                && whole(copy, other))
+                                        .count()
+                                * 2
+                        < others;
     }
 
     /** Whether this copy gets forged datagrams. */
@@ -132,7 +140,8 @@
      * Long.MAX_VALUE where not.
      */
     long peaceSince() {
-        return !calm || !flooded.isEmpty() || !stopped.isEmpty() || !cuts.isEmpty() ? Long.MAX_VALUE
+        return !calm || !flooded.isEmpty() || !stopped.isEmpty() || !cuts.isEmpty()
+                ? Long.MAX_VALUE
                 : Math.max(calmSince, lastDisturbance);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/ZoneLeft.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/ZoneLeft.java
@@ -9,10 +9,10 @@
 import java.util.TreeSet;
 
 /**
- * F1: no zone is left on the word of copies of one zone alone, while most others were served there. A table
- * leaves a zone when it moves more of its calls away than the table before. A copy speaks against a zone
- * where in some period of the window before that more of its calls there failed or were silent than were
- * served; it was served there where none was such.
+ * F1: no zone is left on the word of copies of one zone alone, while most others were served there.
+ * A table leaves a zone when it moves more of its calls away than the table before. A copy speaks
+ * against a zone where in some period of the window before that more of its calls there failed or
+ * were silent than were served; it was served there where none was such.
  *
  * <p>It reads {@code placed}, {@code saw}, {@code table}, {@code evacuated}, {@code reopened}.
  */
@@ -32,7 +32,9 @@
     private final Set<Integer> evacuated = new HashSet<>();
     private final List<Breach> breaches = new ArrayList<>();
 
-    /** @param window what was seen longer ago is no ground; nanoseconds */
+    /**
+     * @param window what was seen longer ago is no ground; nanoseconds
+     */
     public ZoneLeft(long window) {
         this.window = window;
     }
@@ -45,8 +47,9 @@
             case "evacuated" -> evacuated.add((int) event.number("zone"));
             case "reopened" -> evacuated.remove((int) event.number("zone"));
             case "saw" -> {
-                Seen of = seen.computeIfAbsent((int) event.number("zone"), z -> new HashMap<>())
-                        .computeIfAbsent(event.copy(), c -> new Seen());
+                Seen of =
+                        seen.computeIfAbsent((int) event.number("zone"), z -> new HashMap<>())
+                                .computeIfAbsent(event.copy(), c -> new Seen());
                 if (event.number("failed") + event.number("silent") > event.number("served")) {
                     of.failedAt = event.at();
                 } else if (event.number("served") > 0) {
@@ -55,11 +58,12 @@
             }
             case "table" -> {
                 if (plans.took(event)) {
-                    plans.left().stream().filter(zone -> !evacuated.contains(zone))
+                    plans.left().stream()
+                            .filter(zone -> !evacuated.contains(zone))
                             .forEach(zone -> check(event, zone));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -67,23 +71,39 @@
         long since = event.at() - window;
         Set<Integer> against = new TreeSet<>();
         Set<Integer> served = new HashSet<>();
-        seen.getOrDefault(zone, Map.of()).forEach((copy, of) -> {
-            if (of.failedAt >= since && zones.containsKey(copy)) {
-                against.add(zones.get(copy));
-            } else if (of.servedAt >= since) {
-                served.add(copy);
-            }
-        });
+        seen.getOrDefault(zone, Map.of())
+                .forEach(
+                        (copy, of) -> {
+                            if (of.failedAt >= since && zones.containsKey(copy)) {
+                                against.add(zones.get(copy));
+                            } else if (of.servedAt >= since) {
+                                served.add(copy);
+                            }
+                        });
         if (against.size() > 1) {
             return;
         }
-        List<Integer> others = zones.keySet().stream()
-                .filter(copy -> world.speaks(copy) && !against.contains(zones.get(copy))).toList();
+        List<Integer> others =
+                zones.keySet().stream()
+                        .filter(copy -> world.speaks(copy) && !against.contains(zones.get(copy)))
+                        .toList();
         long well = others.stream().filter(served::contains).count();
         if (well * 2 > others.size()) {
-            breaches.add(new Breach("F1", event.at(), "table " + plans.newest() + " leaves zone " + zone
-                    + " on the word of copies of zones " + against + ", while " + well + " of "
-                    + others.size() + " others were served there"));
+            breaches.add(
+                    new Breach(
+                            "F1",
+                            event.at(),
+                            "table "
+                                    + plans.newest()
+                                    + " leaves zone "
+                                    + zone
+                                    + " on the word of copies of zones "
+                                    + against
+                                    + ", while "
+                                    + well
+                                    + " of "
+                                    + others.size()
+                                    + " others were served there"));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/ZoneLoad.java
+++ b/lab/src/main/java/cedarrudder/lab/judge/ZoneLoad.java
@@ -9,12 +9,13 @@
 import java.util.Objects;
 
 /**
- * F2: no zone gets more than its stated part of what it can serve while another has room, for longer than a
- * stated time; and the shares of one zone's callers change no more often in a minute than stated.
+ * F2: no zone gets more than its stated part of what it can serve while another has room, for
+ * longer than a stated time; and the shares of one zone's callers change no more often in a minute
+ * than stated.
  *
- * <p>It reads {@code capacity}, {@code saw}, {@code table}, and which copies run. A zone gets
- * what copies last said that they saw of it, until they say something else. A zone of which the world tells
- * no capacity is not looked at.
+ * <p>It reads {@code capacity}, {@code saw}, {@code table}, and which copies run. A zone gets what
+ * copies last said that they saw of it, until they say something else. A zone of which the world
+ * tells no capacity is not looked at.
  */
 public final class ZoneLoad implements Rule {
 
@@ -26,7 +27,7 @@
      * @param within it is over by then, from when it began or a capacity changed last; nanoseconds
      * @param moves of one zone's callers in a minute at the most
      */
-    public record Bounds(double part, double tolerance, long within, int moves) { }
+    public record Bounds(double part, double tolerance, long within, int moves) {}
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
@@ -55,9 +56,12 @@
                 }
             }
             case "saw" -> {
-                sends(event.copy(), (int) event.number("zone"),
+                sends(
+                        event.copy(),
+                        (int) event.number("zone"),
                         (event.number("served") + event.number("failed") + event.number("silent"))
-                                * 1e9 / Math.max(1, event.number("span")));
+                                * 1e9
+                                / Math.max(1, event.number("span")));
                 look(event.at());
             }
             case "ended", "stopped" -> {
@@ -70,7 +74,7 @@
                     plans.changed().forEach(zone -> moved(event, zone));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -84,14 +88,28 @@
         for (int zone : capacity.keySet()) {
             Long since = overSince.get(zone);
             if (since != null && now - since > bounds.within) {
-                breaches.add(new Breach("F2", now, "zone " + zone + " got " + Math.round(gets.get(zone))
-                        + " calls a second of " + Math.round(capacity.get(zone))
-                        + " that it can serve, while another had room, for " + (now - since) / 1_000_000
-                        + " ms"));
+                breaches.add(
+                        new Breach(
+                                "F2",
+                                now,
+                                "zone "
+                                        + zone
+                                        + " got "
+                                        + Math.round(gets.get(zone))
+                                        + " calls a second of "
+                                        + Math.round(capacity.get(zone))
+                                        + " that it can serve, while another had room, for "
+                                        + (now - since) / 1_000_000
+                                        + " ms"));
                 overSince.put(zone, now); // once for each such time
             }
-            boolean over = load(zone) > 1 + bounds.tolerance && capacity.keySet().stream()
-                    .anyMatch(other -> other != zone && load(other) < 1 - bounds.tolerance);
+            boolean over =
+                    load(zone) > 1 + bounds.tolerance
+                            && capacity.keySet().stream()
+                                    .anyMatch(
+                                            other ->
+                                                    other != zone
+                                                            && load(other) < 1 - bounds.tolerance);
             if (over) {
                 overSince.putIfAbsent(zone, now);
             } else {
@@ -114,8 +132,18 @@
             last.remove();
         }
         if (last.size() > bounds.moves) {
-            breaches.add(new Breach("F2", event.at(), "table " + plans.newest() + " moves the callers of "
-                    + "zone " + zone + ": " + last.size() + " times in a minute"));
+            breaches.add(
+                    new Breach(
+                            "F2",
+                            event.at(),
+                            "table "
+                                    + plans.newest()
+                                    + " moves the callers of "
+                                    + "zone "
+                                    + zone
+                                    + ": "
+                                    + last.size()
+                                    + " times in a minute"));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/load/Counts.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Counts.java
@@ -35,7 +35,10 @@
     /** How late a request left, waiting for a connection included. */
     final Histogram left = histogram();
 
-    /** From leaving to the answer: what a tool would tell that starts its clock when it gets to send. */
+    /**
+     * From leaving to the answer: what a tool would tell that starts its clock when it gets to
+     * send.
+     */
     final Histogram service = histogram();
 
     Counts(int kindCount) {
--- a/lab/src/main/java/cedarrudder/lab/load/Engine.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Engine.java
@@ -22,8 +22,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One event loop of a load run: sends at the intended times, whatever becomes of what was sent before. All of
- * it happens on its loop.
+ * One event loop of a load run: sends at the intended times, whatever becomes of what was sent
+ * before. All of it happens on its loop.
  */
 final class Engine {
 
@@ -35,6 +35,7 @@
 
     /** How often overdue requests are looked for. */
     private static final long TICK = 2_000_000L;
+
     private static final int CONNECT_MILLIS = 3_000;
 
     private final EventLoop loop;
@@ -53,6 +54,7 @@
 
     /** The open requests of each class, by deadline. */
     private final List<Deque<Request>> open = new ArrayList<>();
+
     private Counts counts;
     private long nextSend;
     private int opening;
@@ -60,12 +62,19 @@
     private boolean done;
 
     /**
-     * @param number the engine's number; it takes each send of the schedule whose number is that, modulo
-     * {@code everyNth}
+     * @param number the engine's number; it takes each send of the schedule whose number is that,
+     *     modulo {@code everyNth}
      * @param start the instant of {@code System.nanoTime} at which the schedule begins
      */
-    Engine(EventLoop loop, Options options, RandomGenerator random, Schedule schedule, int number,
-            int everyNth, long start, Runnable whenDone) {
+    Engine(
+            EventLoop loop,
+            Options options,
+            RandomGenerator random,
+            Schedule schedule,
+            int number,
+            int everyNth,
+            long start,
+            Runnable whenDone) {
         this.loop = loop;
         this.options = options;
         this.random = random;
@@ -80,9 +89,12 @@
         for (int i = 0; i < options.traffic().kinds().size(); i++) {
             open.add(new ArrayDeque<>());
         }
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
         for (int i = 0; i <= number; i++) {
             nextSend = schedule.next();
         }
@@ -159,9 +171,14 @@
 
     private void launch(long intended, long late) {
         int kind = options.traffic().kind(random);
-        Request request = new Request(kind, options.traffic().tenant(random), random.nextLong(), intended,
-                intended + options.traffic().kinds().get(kind).deadlineMillis() * 1_000_000,
-                intended - start >= options.leadSeconds() * 1e9);
+        Request request =
+                new Request(
+                        kind,
+                        options.traffic().tenant(random),
+                        random.nextLong(),
+                        intended,
+                        intended + options.traffic().kinds().get(kind).deadlineMillis() * 1_000_000,
+                        intended - start >= options.leadSeconds() * 1e9);
         if (request.counted) {
             counts.intended++;
             counts.turned.recordValue(late / 1000);
@@ -187,19 +204,24 @@
         counts.opened++;
         InetSocketAddress to = options.targets().get(turn++ % options.targets().size());
         Link link = new Link();
-        bootstrap.clone().handler(link).connect(to).addListener(connected -> {
-            opening--;
-            if (connected.isSuccess()) {
-                links.add(link);
-                link.next();
-            } else {
-                Request request = nextWaiting();
-                if (request != null) {
-                    end(request, End.UNREACHABLE);
-                }
-                openForWaiting();
-            }
-        });
+        bootstrap
+                .clone()
+                .handler(link)
+                .connect(to)
+                .addListener(
+                        connected -> {
+                            opening--;
+                            if (connected.isSuccess()) {
+                                links.add(link);
+                                link.next();
+                            } else {
+                                Request request = nextWaiting();
+                                if (request != null) {
+                                    end(request, End.UNREACHABLE);
+                                }
+                                openForWaiting();
+                            }
+                        });
     }
 
     private Request nextWaiting() {
@@ -328,7 +350,8 @@
             }
             Request request = current;
             if (request != null && !request.over && used && !heard && !request.resent) {
-                // The close of an idle connection crossed the request, which the server has not read.
+                // The close of an idle connection crossed the request, which the server has not
+                // read.
                 request.resent = true;
                 counts.resent++;
                 current = null;
--- a/lab/src/main/java/cedarrudder/lab/load/LoadRun.java
+++ b/lab/src/main/java/cedarrudder/lab/load/LoadRun.java
@@ -18,10 +18,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends requests to an address that speaks the callers' protocol and counts what comes of them. The loop is
- * open: a request is sent at its time, whether or not earlier ones are answered, and its latency counts from
- * that time, so a server that stalls is charged for all that it kept waiting (no coordinated omission, Tene
- * 2013).
+ * Sends requests to an address that speaks the callers' protocol and counts what comes of them. The
+ * loop is open: a request is sent at its time, whether or not earlier ones are answered, and its
+ * latency counts from that time, so a server that stalls is charged for all that it kept waiting
+ * (no coordinated omission, Tene 2013).
  */
 public final class LoadRun {
 
@@ -36,7 +36,9 @@
     private final Counts all;
     private IntervalLog log;
 
-    /** @param live takes a line a second about how it goes */
+    /**
+     * @param live takes a line a second about how it goes
+     */
     public LoadRun(Options options, Consumer<String> live) {
         this.options = options;
         this.live = live;
@@ -51,7 +53,8 @@
      * @throws InterruptedException if the calling thread is interrupted; what is open is closed
      */
     public LoadResult play(Path hlog) throws IOException, InterruptedException {
-        NioEventLoopGroup group = new NioEventLoopGroup(options.threads(), new DefaultThreadFactory("load"));
+        NioEventLoopGroup group =
+                new NioEventLoopGroup(options.threads(), new DefaultThreadFactory("load"));
         try {
             long startMillis = System.currentTimeMillis() + LEAD / 1_000_000;
             log = hlog == null ? null : new IntervalLog(hlog, startMillis);
@@ -72,9 +75,16 @@
         group.forEach(loops::add);
         for (int i = 0; i < options.threads(); i++) {
             RandomGenerator gaps = options.poisson() ? ALGORITHM.create(options.seed()) : null;
-            Engine engine = new Engine((EventLoop) loops.get(i), options,
-                    ALGORITHM.create(options.seed() + i + 1), new Schedule(options.rate(), gaps), i,
-                    options.threads(), start, running::countDown);
+            Engine engine =
+                    new Engine(
+                            (EventLoop) loops.get(i),
+                            options,
+                            ALGORITHM.create(options.seed() + i + 1),
+                            new Schedule(options.rate(), gaps),
+                            i,
+                            options.threads(),
+                            start,
+                            running::countDown);
             engines.add(engine);
             loops.get(i).execute(engine::begin);
         }
@@ -107,11 +117,19 @@
         if (log != null) {
             log.write(latency, second - 1, second);
         }
-        live.accept(String.format(Locale.ROOT, "%4d s  intended %6d  served %6d  refused %5d  other %5d  "
-                + "p50 %8.2f  p99 %8.2f ms  own error p99 %6.2f ms", second, interval.intended,
-                interval.ends(End.SERVED), interval.ends(End.REFUSED), others(interval),
-                latency.getValueAtPercentile(50) / 1000.0, latency.getValueAtPercentile(99) / 1000.0,
-                interval.turned.getValueAtPercentile(99) / 1000.0));
+        live.accept(
+                String.format(
+                        Locale.ROOT,
+                        "%4d s  intended %6d  served %6d  refused %5d  other %5d  "
+                                + "p50 %8.2f  p99 %8.2f ms  own error p99 %6.2f ms",
+                        second,
+                        interval.intended,
+                        interval.ends(End.SERVED),
+                        interval.ends(End.REFUSED),
+                        others(interval),
+                        latency.getValueAtPercentile(50) / 1000.0,
+                        latency.getValueAtPercentile(99) / 1000.0,
+                        interval.turned.getValueAtPercentile(99) / 1000.0));
     }
 
     private static long others(Counts counts) {
--- a/lab/src/main/java/cedarrudder/lab/load/Rate.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Rate.java
@@ -34,7 +34,10 @@
         }
     }
 
-    /** Reads {@code 100:400@10,400@20}: from 100 to 400 a second over 10 s, then 400 a second for 20 s. */
+    /**
+     * Reads {@code 100:400@10,400@20}: from 100 to 400 a second over 10 s, then 400 a second for 20
+     * s.
+     */
     public static Rate parse(String text) {
         List<Part> parts = new ArrayList<>();
         for (String each : text.split(",", -1)) {
@@ -46,7 +49,8 @@
             double to = found.group(2) == null ? from : Double.parseDouble(found.group(2));
             double seconds = Double.parseDouble(found.group(3));
             if (Math.max(from, to) > MOST_PER_SECOND || Math.max(from, to) == 0) {
-                throw wrong(each, "a rate over 0, and at most " + (long) MOST_PER_SECOND + " a second");
+                throw wrong(
+                        each, "a rate over 0, and at most " + (long) MOST_PER_SECOND + " a second");
             }
             if (seconds <= 0 || seconds > MOST_SECONDS) {
                 throw wrong(each, "a time over 0, and at most " + (long) MOST_SECONDS + " s");
--- a/lab/src/main/java/cedarrudder/lab/load/Relay.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Relay.java
@@ -15,12 +15,14 @@
 import java.util.List;
 
 /**
- * Passes bytes on between a caller's connection and one of its own to a target, on one event loop, and reads
- * nothing in them: the least that any proxy on Netty can cost, to hold the daemon's figures against.
+ * Passes bytes on between a caller's connection and one of its own to a target, on one event loop,
+ * and reads nothing in them: the least that any proxy on Netty can cost, to hold the daemon's
+ * figures against.
  */
 public final class Relay implements AutoCloseable {
 
-    private final NioEventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("relay"));
+    private final NioEventLoopGroup group =
+            new NioEventLoopGroup(1, new DefaultThreadFactory("relay"));
     private final Channel listening;
 
     /**
@@ -30,26 +32,44 @@
      * @param targets connections go to them in turn
      * @throws InterruptedException if the calling thread is interrupted
      */
-    public Relay(InetSocketAddress at, List<InetSocketAddress> targets) throws InterruptedException {
+    public Relay(InetSocketAddress at, List<InetSocketAddress> targets)
+            throws InterruptedException {
         int[] turn = new int[1];
-        listening = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel caller) {
-                        InetSocketAddress to = targets.get(turn[0]++ % targets.size());
-                        Channel target = new Bootstrap().group(caller.eventLoop())
-                                .channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                                .handler(new Onward(caller)).connect(to).addListener(connected -> {
-                                    if (connected.isSuccess()) {
-                                        caller.config().setAutoRead(true);
-                                    } else {
-                                        caller.close();
+        listening =
+                new ServerBootstrap()
+                        .group(group)
+                        .channel(NioServerSocketChannel.class)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childOption(ChannelOption.AUTO_READ, false)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel caller) {
+                                        InetSocketAddress to =
+                                                targets.get(turn[0]++ % targets.size());
+                                        Channel target =
+                                                new Bootstrap()
+                                                        .group(caller.eventLoop())
+                                                        .channel(NioSocketChannel.class)
+                                                        .option(ChannelOption.TCP_NODELAY, true)
+                                                        .handler(new Onward(caller))
+                                                        .connect(to)
+                                                        .addListener(
+                                                                connected -> {
+                                                                    if (connected.isSuccess()) {
+                                                                        caller.config()
+                                                                                .setAutoRead(true);
+                                                                    } else {
+                                                                        caller.close();
+                                                                    }
+                                                                })
+                                                        .channel();
+                                        caller.pipeline().addLast(new Onward(target));
                                     }
-                                }).channel();
-                        caller.pipeline().addLast(new Onward(target));
-                    }
-                }).bind(at).sync().channel();
+                                })
+                        .bind(at)
+                        .sync()
+                        .channel();
     }
 
     /** Where it listens. */
--- a/lab/src/main/java/cedarrudder/lab/load/Request.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Request.java
@@ -14,6 +14,7 @@
 
     /** Instants of the loop's clock. */
     final long intended;
+
     final long deadline;
 
     /** When it left; 0: it has not. */
@@ -21,6 +22,7 @@
 
     /** The connection that it left on; null before. */
     Channel channel;
+
     boolean resent;
     boolean over;
 
@@ -54,14 +56,29 @@
                 Traffic.Kind kind = traffic.kinds().get(i);
                 boolean safe = kind.effect() == Effect.SAFE;
                 keyed[i] = kind.effect() == Effect.KEYED;
-                ends[i] = ascii(safe ? "\r\n\r\n"
-                        : "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+                ends[i] =
+                        ascii(
+                                safe
+                                        ? "\r\n\r\n"
+                                        : "\r\nContent-Length: "
+                                                + body.length()
+                                                + "\r\n\r\n"
+                                                + body);
                 for (int k = 0; k < tenants; k++) {
-                    heads[i][k] = ascii((safe ? "GET " : "POST ") + options.path() + " HTTP/1.1\r\n"
-                            + "Host: service.internal\r\nReq-Kind: " + kind.name() + "\r\n"
-                            + (traffic.tenants().isEmpty() ? ""
-                            : "Req-Owner: " + traffic.tenants().get(k).name() + "\r\n")
-                            + (options.fresh() ? "Connection: close\r\n" : ""));
+                    heads[i][k] =
+                            ascii(
+                                    (safe ? "GET " : "POST ")
+                                            + options.path()
+                                            + " HTTP/1.1\r\n"
+                                            + "Host: service.internal\r\nReq-Kind: "
+                                            + kind.name()
+                                            + "\r\n"
+                                            + (traffic.tenants().isEmpty()
+                                                    ? ""
+                                                    : "Req-Owner: "
+                                                            + traffic.tenants().get(k).name()
+                                                            + "\r\n")
+                                            + (options.fresh() ? "Connection: close\r\n" : ""));
                 }
             }
         }
@@ -70,14 +87,20 @@
             return text.getBytes(StandardCharsets.ISO_8859_1);
         }
 
-        /** @param waitMillis what is left of the client's wait, at least 1 */
+        /**
+         * @param waitMillis what is left of the client's wait, at least 1
+         */
         void write(Request request, long waitMillis, ByteBuf out) {
             out.writeBytes(heads[request.kind][request.tenant]);
-            String own = "Req-Id: " + hex.toHexDigits(request.id) + "\r\nReq-Deadline-Ms: " + waitMillis;
+            String own =
+                    "Req-Id: " + hex.toHexDigits(request.id) + "\r\nReq-Deadline-Ms: " + waitMillis;
             out.writeCharSequence(own, StandardCharsets.ISO_8859_1);
             if (keyed[request.kind]) {
-                out.writeCharSequence("\r\nIdempotency-Key: " + hex.toHexDigits(~request.id)
-                        + hex.toHexDigits(request.id), StandardCharsets.ISO_8859_1);
+                out.writeCharSequence(
+                        "\r\nIdempotency-Key: "
+                                + hex.toHexDigits(~request.id)
+                                + hex.toHexDigits(request.id),
+                        StandardCharsets.ISO_8859_1);
             }
             out.writeBytes(ends[request.kind]);
         }
--- a/lab/src/main/java/cedarrudder/lab/load/Saturation.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Saturation.java
@@ -17,13 +17,13 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * The greatest rate that an address answers at: each connection sends its next request as soon as an answer
- * is there. A closed loop tells a rate and nothing about latencies.
+ * The greatest rate that an address answers at: each connection sends its next request as soon as
+ * an answer is there. A closed loop tells a rate and nothing about latencies.
  */
 public final class Saturation {
 
     /** What was answered in the time that was measured, and how much of it was no 200. */
-    public record Reached(double perSecond, long others) { }
+    public record Reached(double perSecond, long others) {}
 
     private static final long WAIT_MILLIS = 10_000;
 
@@ -31,7 +31,9 @@
     private final LongAdder served = new LongAdder();
     private final LongAdder others = new LongAdder();
 
-    /** @param options whose rate is not read */
+    /**
+     * @param options whose rate is not read
+     */
     public Saturation(Options options) {
         this.options = options;
     }
@@ -42,13 +44,19 @@
      * @throws InterruptedException if the calling thread is interrupted
      */
     public Reached reach(double warmSeconds, double seconds) throws InterruptedException {
-        NioEventLoopGroup group = new NioEventLoopGroup(options.threads(), new DefaultThreadFactory("load"));
-        RandomGenerator seeds = RandomGeneratorFactory.of("L64X128MixRandom").create(options.seed());
+        NioEventLoopGroup group =
+                new NioEventLoopGroup(options.threads(), new DefaultThreadFactory("load"));
+        RandomGenerator seeds =
+                RandomGeneratorFactory.of("L64X128MixRandom").create(options.seed());
         try {
             for (int i = 0; i < options.connections(); i++) {
-                RandomGenerator own = RandomGeneratorFactory.of("L64X128MixRandom").create(seeds.nextLong());
-                new Bootstrap().group(group).channel(NioSocketChannel.class)
-                        .option(ChannelOption.TCP_NODELAY, true).handler(new Busy(own))
+                RandomGenerator own =
+                        RandomGeneratorFactory.of("L64X128MixRandom").create(seeds.nextLong());
+                new Bootstrap()
+                        .group(group)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(new Busy(own))
                         .connect(options.targets().get(i % options.targets().size()));
             }
             TimeUnit.NANOSECONDS.sleep((long) (warmSeconds * 1e9));
@@ -80,8 +88,14 @@
 
         private void send(ChannelHandlerContext context) {
             Traffic traffic = options.traffic();
-            Request request = new Request(traffic.kind(random), traffic.tenant(random),
-                    random.nextLong(), 0, 0, false);
+            Request request =
+                    new Request(
+                            traffic.kind(random),
+                            traffic.tenant(random),
+                            random.nextLong(),
+                            0,
+                            0,
+                            false);
             ByteBuf out = context.alloc().buffer(512);
             writer.write(request, WAIT_MILLIS, out);
             context.writeAndFlush(out, context.voidPromise());
--- a/lab/src/main/java/cedarrudder/lab/load/Schedule.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Schedule.java
@@ -11,7 +11,9 @@
     private double partStart;
     private double counted;
 
-    /** @param random for the gaps of a Poisson process; null: even gaps */
+    /**
+     * @param random for the gaps of a Poisson process; null: even gaps
+     */
     Schedule(Rate rate, RandomGenerator random) {
         this.rate = rate;
         this.random = random;
--- a/lab/src/main/java/cedarrudder/lab/load/StandIn.java
+++ b/lab/src/main/java/cedarrudder/lab/load/StandIn.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Nodes that answer every request at once with the same bytes, and the discovery service that lists them:
- * what stands behind a daemon, or a relay, whose own cost is to be measured.
+ * Nodes that answer every request at once with the same bytes, and the discovery service that lists
+ * them: what stands behind a daemon, or a relay, whose own cost is to be measured.
  */
 public final class StandIn implements AutoCloseable {
 
@@ -42,7 +42,8 @@
      * @param host the address to listen on
      * @throws InterruptedException if the calling thread is interrupted
      */
-    public StandIn(String host, int nodeCount, int bodyBytes, int threads) throws InterruptedException {
+    public StandIn(String host, int nodeCount, int bodyBytes, int threads)
+            throws InterruptedException {
         group = new NioEventLoopGroup(threads, new DefaultThreadFactory("stand-in"));
         answer = ok("y".repeat(bodyBytes));
         report = ok("TEXT latency_ms=1, inflight=0, util=0.1");
@@ -50,8 +51,13 @@
         for (int i = 0; i < nodeCount; i++) {
             InetSocketAddress at = (InetSocketAddress) listen(host, new Node()).localAddress();
             nodes.add(at);
-            entries.append(i == 0 ? "" : ",").append("{\"id\":\"n").append(i).append("\",\"addr\":\"")
-                    .append(host).append(':').append(at.getPort())
+            entries.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"n")
+                    .append(i)
+                    .append("\",\"addr\":\"")
+                    .append(host)
+                    .append(':')
+                    .append(at.getPort())
                     .append("\",\"zone\":\"room\",\"kind\":\"standard\",")
                     .append("\"cell\":0,\"state\":\"in_service\",\"weight\":1.0,\"started_ms\":0}");
         }
@@ -65,14 +71,20 @@
     }
 
     private Channel listen(String host, Served served) throws InterruptedException {
-        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Connection(served));
-                    }
-                }).bind(host, 0).sync().channel();
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline().addLast(new Connection(served));
+                            }
+                        })
+                .bind(host, 0)
+                .sync()
+                .channel();
     }
 
     /** Where the nodes listen. */
@@ -104,7 +116,8 @@
         @Override
         public void answer(ChannelHandlerContext context, Message request) {
             boolean asks = request.head().target().equals("/_load");
-            context.writeAndFlush(Unpooled.wrappedBuffer(asks ? report : answer), context.voidPromise());
+            context.writeAndFlush(
+                    Unpooled.wrappedBuffer(asks ? report : answer), context.voidPromise());
         }
     }
 
@@ -116,8 +129,12 @@
                 return;
             }
             write(context, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
-            context.executor().scheduleAtFixedRate(() -> write(context, chunk("\n")), ALIVE_SECONDS,
-                    ALIVE_SECONDS, TimeUnit.SECONDS);
+            context.executor()
+                    .scheduleAtFixedRate(
+                            () -> write(context, chunk("\n")),
+                            ALIVE_SECONDS,
+                            ALIVE_SECONDS,
+                            TimeUnit.SECONDS);
         }
 
         private String chunk(String text) {
--- a/lab/src/main/java/cedarrudder/lab/load/Traffic.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Traffic.java
@@ -16,12 +16,13 @@
      * A class.
      *
      * @param share its weight among the classes, over 0
-     * @param deadlineMillis the client's wait for an answer, counted from the intended time of sending
+     * @param deadlineMillis the client's wait for an answer, counted from the intended time of
+     *     sending
      */
-    public record Kind(String name, Effect effect, double share, long deadlineMillis) { }
+    public record Kind(String name, Effect effect, double share, long deadlineMillis) {}
 
     /** A tenant and its weight among them, over 0. */
-    public record Tenant(String name, double share) { }
+    public record Tenant(String name, double share) {}
 
     /** Checks that there is a class. */
     public Traffic {
--- a/lab/src/main/java/cedarrudder/lab/members/Detection.java
+++ b/lab/src/main/java/cedarrudder/lab/members/Detection.java
@@ -9,7 +9,10 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 
-/** What it takes to find out who died: many die at once in a calm mesh, and each survivor is watched. */
+/**
+ * What it takes to find out who died: many die at once in a calm mesh, and each survivor is
+ * watched.
+ */
 public final class Detection {
 
     private static final long SECOND = 1_000_000_000L;
@@ -21,14 +24,24 @@
      * @param unseen of these, those in which the survivor had not found out at the end
      * @param p50 from the death until the survivor held it as dead, over pairs, seconds
      * @param falseDeaths times that an instance held one as dead that ran
-     * @param bytesPerSecond of an instance, while all ran and none had just started, without headers of lower
-     * layers
+     * @param bytesPerSecond of an instance, while all ran and none had just started, without
+     *     headers of lower layers
      * @param messagesPerSecond the same in messages
      * @param mostInSecond the most messages of one instance in one second, dying and after included
      */
-    public record Figures(int size, double loss, int seeds, long pairs, long unseen, double p50, double p99,
-            double most, long falseDeaths, double bytesPerSecond, double messagesPerSecond,
-            long mostInSecond) { }
+    public record Figures(
+            int size,
+            double loss,
+            int seeds,
+            long pairs,
+            long unseen,
+            double p50,
+            double p99,
+            double most,
+            long falseDeaths,
+            double bytesPerSecond,
+            double messagesPerSecond,
+            long mostInSecond) {}
 
     private final int size;
     private final Mesh.Network network;
@@ -47,11 +60,17 @@
 
     /**
      * @param dying the share that dies at once
-     * @param calmSeconds before that, in which all run; what they send is counted in the second half
+     * @param calmSeconds before that, in which all run; what they send is counted in the second
+     *     half
      * @param afterSeconds after it
      */
-    public Detection(int size, Mesh.Network network, double dying, MembershipSettings settings,
-            double calmSeconds, double afterSeconds) {
+    public Detection(
+            int size,
+            Mesh.Network network,
+            double dying,
+            MembershipSettings settings,
+            double calmSeconds,
+            double afterSeconds) {
         this.size = size;
         this.network = network;
         this.dying = dying;
@@ -100,8 +119,18 @@
     }
 
     public Figures figures() {
-        return new Figures(size, network.loss(), seeds, pairs, unseen, millis.getValueAtPercentile(50) / 1e3,
-                millis.getValueAtPercentile(99) / 1e3, millis.getMaxValue() / 1e3, falseDeaths,
-                bytes / seeds, messages / seeds, mostInSecond);
+        return new Figures(
+                size,
+                network.loss(),
+                seeds,
+                pairs,
+                unseen,
+                millis.getValueAtPercentile(50) / 1e3,
+                millis.getValueAtPercentile(99) / 1e3,
+                millis.getMaxValue() / 1e3,
+                falseDeaths,
+                bytes / seeds,
+                messages / seeds,
+                mostInSecond);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/members/Mesh.java
+++ b/lab/src/main/java/cedarrudder/lab/members/Mesh.java
@@ -10,8 +10,8 @@
 import java.util.function.IntPredicate;
 
 /**
- * Many instances of membership in virtual time, with a network that loses and delays what they send. One seed
- * gives one history.
+ * Many instances of membership in virtual time, with a network that loses and delays what they
+ * send. One seed gives one history.
  */
 public final class Mesh {
 
@@ -20,6 +20,7 @@
 
     /** The first lives began some time within a day, in milliseconds. */
     private static final long FIRST_LIFE = 1_700_000_000_000L;
+
     private static final long DAY = 24L * 3600 * 1000;
 
     /** A life that begins after all of the first. */
@@ -32,13 +33,13 @@
      * @param leastDelay of those that come, in nanoseconds
      * @param mostDelay the longest; delays are even between the two
      */
-    public record Network(double loss, long leastDelay, long mostDelay) { }
+    public record Network(double loss, long leastDelay, long mostDelay) {}
 
     /** An instance changed its mind about another. */
-    public record Change(long at, int observer, Member before, Member now) { }
+    public record Change(long at, int observer, Member before, Member now) {}
 
     /** What happens at an instant; of those at the same instant the one made first comes first. */
-    private record Event(long at, long number, Runnable what) { }
+    private record Event(long at, long number, Runnable what) {}
 
     /** One place in the mesh, and the life that runs there. */
     private final class Place {
@@ -59,17 +60,25 @@
 
         void start(long incarnation) {
             int own = ++life;
-            swim = new Swim(places.size(), number, incarnation, settings, random.split(), new Swim.Outlet() {
-                @Override
-                public void send(int to, byte[] message) {
-                    Place.this.send(own, to, message);
-                }
-
-                @Override
-                public void changed(Member before, Member now) {
-                    changes.add(new Change(now(), number, before, now));
-                }
-            }, now);
+            swim =
+                    new Swim(
+                            places.size(),
+                            number,
+                            incarnation,
+                            settings,
+                            random.split(),
+                            new Swim.Outlet() {
+                                @Override
+                                public void send(int to, byte[] message) {
+                                    Place.this.send(own, to, message);
+                                }
+
+                                @Override
+                                public void changed(Member before, Member now) {
+                                    changes.add(new Change(now(), number, before, now));
+                                }
+                            },
+                            now);
             wake();
         }
 
@@ -87,8 +96,11 @@
             if (own != life || random.nextDouble() < network.loss || cut(number, to)) {
                 return;
             }
-            long delay = network.leastDelay + (long) (random.nextDouble()
-                    * (network.mostDelay - network.leastDelay));
+            long delay =
+                    network.leastDelay
+                            + (long)
+                                    (random.nextDouble()
+                                            * (network.mostDelay - network.leastDelay));
             at(now + delay, () -> places.get(to).take(number, message));
         }
 
@@ -126,8 +138,12 @@
     private final MembershipSettings settings;
     private final SplittableRandom random;
     private final List<Place> places = new ArrayList<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private final List<Change> changes = new ArrayList<>();
     private IntPredicate half = number -> true;
     private IntPredicate deaf = number -> false;
@@ -187,7 +203,9 @@
         places.get(number).start(incarnation);
     }
 
-    /** For so long it hears and does nothing; what comes meanwhile waits, as in a socket's buffer. */
+    /**
+     * For so long it hears and does nothing; what comes meanwhile waits, as in a socket's buffer.
+     */
     public void stall(int number, long length) {
         places.get(number).deaf = now + length;
     }
--- a/lab/src/main/java/cedarrudder/lab/members/Trouble.java
+++ b/lab/src/main/java/cedarrudder/lab/members/Trouble.java
@@ -10,7 +10,10 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** What passes again: some instances are in trouble for a time, and it is watched when all agree after it. */
+/**
+ * What passes again: some instances are in trouble for a time, and it is watched when all agree
+ * after it.
+ */
 public final class Trouble {
 
     /** What happens to those in trouble, from {@link #BEGINS} on for {@link #LASTS}. */
@@ -23,7 +26,10 @@
         DEAF(0),
         /** A twentieth stands still; what comes meanwhile waits for it. */
         STALL(0.05),
-        /** Each second a few of one fifth end without a word, and start a second later under a new life. */
+        /**
+         * Each second a few of one fifth end without a word, and start a second later under a new
+         * life.
+         */
         RESTARTS(0.2),
         /** Half are dead for all of that time; one that died starts at its end. */
         LATE(0.48);
@@ -38,19 +44,31 @@
     /**
      * What came of some seeds.
      *
-     * @param falseDeaths times that an instance held one as dead that ran and was in no trouble, except by
-     * one from which it was cut off
+     * @param falseDeaths times that an instance held one as dead that ran and was in no trouble,
+     *     except by one from which it was cut off
      * @param heldDead the same of those in trouble
-     * @param p50 from the end until all that run held those that run as live, and no others, in seconds
+     * @param p50 from the end until all that run held those that run as live, and no others, in
+     *     seconds
      * @param never seeds in which that took longer than {@link #AFTER}
      * @param bytesPerSecond of an instance, while it lasted
      * @param mostInSecond the most messages of one instance in one second
      */
-    public record Figures(Kind kind, int size, double loss, int seeds, long falseDeaths, long heldDead,
-            double p50, double worst, int never, double bytesPerSecond, long mostInSecond) { }
+    public record Figures(
+            Kind kind,
+            int size,
+            double loss,
+            int seeds,
+            long falseDeaths,
+            long heldDead,
+            double p50,
+            double worst,
+            int never,
+            double bytesPerSecond,
+            long mostInSecond) {}
 
     /** Seconds after which it begins, that it lasts, and that agreement is waited for. */
     public static final int BEGINS = 30;
+
     public static final int LASTS = 30;
     public static final int AFTER = 180;
 
@@ -103,7 +121,8 @@
         boolean cut = kind == Kind.CUT || kind == Kind.ONE_WAY || kind == Kind.DEAF;
         for (Mesh.Change change : mesh.changes()) {
             int about = change.now().number();
-            if (change.now().standing() != Standing.DEAD || kind == Kind.LATE && inTrouble.contains(about)) {
+            if (change.now().standing() != Standing.DEAD
+                    || kind == Kind.LATE && inTrouble.contains(about)) {
                 continue;
             }
             if (inTrouble.contains(about)) {
@@ -136,8 +155,9 @@
         List<Integer> order = new ArrayList<>(those);
         Collections.sort(order);
         for (int second = 0; second < LASTS; second++) {
-            List<Integer> now = order.subList(order.size() * second / LASTS,
-                    order.size() * (second + 1) / LASTS);
+            List<Integer> now =
+                    order.subList(
+                            order.size() * second / LASTS, order.size() * (second + 1) / LASTS);
             now.forEach(mesh::kill);
             mesh.play(SECOND);
             now.forEach(each -> mesh.restart(each, Mesh.LATER_LIFE));
@@ -146,15 +166,30 @@
 
     /** Whether all that run hold those that run as live, and no others. */
     private static boolean agreed(Mesh mesh) {
-        return IntStream.range(0, mesh.size()).filter(mesh::runs).allMatch(i -> IntStream
-                .range(0, mesh.size()).allMatch(j -> mesh.view(i).member(j).live() == mesh.runs(j)));
+        return IntStream.range(0, mesh.size())
+                .filter(mesh::runs)
+                .allMatch(
+                        i ->
+                                IntStream.range(0, mesh.size())
+                                        .allMatch(
+                                                j ->
+                                                        mesh.view(i).member(j).live()
+                                                                == mesh.runs(j)));
     }
 
     public Figures figures() {
         Collections.sort(settled);
-        return new Figures(kind, size, network.loss(), seeds, falseDeaths, heldDead,
+        return new Figures(
+                kind,
+                size,
+                network.loss(),
+                seeds,
+                falseDeaths,
+                heldDead,
                 settled.isEmpty() ? Double.NaN : settled.get(settled.size() / 2),
-                settled.isEmpty() ? Double.NaN : settled.get(settled.size() - 1), never, bytes / seeds,
+                settled.isEmpty() ? Double.NaN : settled.get(settled.size() - 1),
+                never,
+                bytes / seeds,
                 mostInSecond);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Agenda.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Agenda.java
@@ -5,9 +5,9 @@
 /**
  * What is to happen in a run, and its clock.
  *
- * <p>There is one order of events, for whatever happens: by instant, and at the same instant by the order in
- * which they were scheduled (for one that was moved, by the order of the moves). An event that is scheduled
- * for now, or for the past, comes after all that are scheduled for now already.
+ * <p>There is one order of events, for whatever happens: by instant, and at the same instant by the
+ * order in which they were scheduled (for one that was moved, by the order of the moves). An event
+ * that is scheduled for now, or for the past, comes after all that are scheduled for now already.
  *
  * <p>A heap of four branches on arrays, so that neither scheduling nor moving allocates.
  */
@@ -84,7 +84,10 @@
         return size == 0 ? Long.MAX_VALUE : instants[0];
     }
 
-    /** Time has gone by without an event, in a run whose clock is not its own. No due event is skipped. */
+    /**
+     * Time has gone by without an event, in a run whose clock is not its own. No due event is
+     * skipped.
+     */
     public void pass(long instant) {
         now = Math.max(now, Math.min(instant, earliest()));
     }
@@ -133,7 +136,8 @@
                     least = i;
                 }
             }
-            if (!(instants[least] < instant || instants[least] == instant && orders[least] < order)) {
+            if (!(instants[least] < instant
+                    || instants[least] == instant && orders[least] < order)) {
                 break;
             }
             put(place, instants[least], orders[least], tasks[least]);
--- a/lab/src/main/java/cedarrudder/lab/model/Arrivals.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Arrivals.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * First tries as they come, drawn from a source of their own: they follow from scenario and seed, whatever
- * becomes of them.
+ * First tries as they come, drawn from a source of their own: they follow from scenario and seed,
+ * whatever becomes of them.
  */
 final class Arrivals extends Task {
 
@@ -24,11 +24,12 @@
         this.run = run;
         this.random = run.streams.of(Streams.Concern.ARRIVALS, 0);
         this.figures = run.scenario.arrivals();
-        this.most = switch (figures.shape()) {
-            case BURSTY -> run.world.perSecond * (1 + run.world.swing);
-            case PAYDAY -> run.world.perSecond * Math.max(1, run.world.peak);
-            default -> run.world.perSecond;
-        };
+        this.most =
+                switch (figures.shape()) {
+                    case BURSTY -> run.world.perSecond * (1 + run.world.swing);
+                    case PAYDAY -> run.world.perSecond * Math.max(1, run.world.peak);
+                    default -> run.world.perSecond;
+                };
         this.phaseUntil = run.start;
     }
 
@@ -51,7 +52,8 @@
         double at = after;
         do {
             at += -StrictMath.log(1 - random.nextDouble()) / most * 1e9;
-        } while (at <= run.start + run.world.length && random.nextDouble() * most >= rate((long) at));
+        } while (at <= run.start + run.world.length
+                && random.nextDouble() * most >= rate((long) at));
         if (at <= run.start + run.world.length) {
             run.agenda.at((long) at, this);
         }
@@ -101,8 +103,10 @@
         long seed = random.nextLong();
         work = work > 0 ? work : run.world.classes.get(classIndex).drawn(Mix.of(seed, -5));
         double noise = random.nextGaussian();
-        long hint = figures.hintNoise() < 0 ? 0
-                : Math.max(1, (long) (work * StrictMath.exp(figures.hintNoise() * noise)));
+        long hint =
+                figures.hintNoise() < 0
+                        ? 0
+                        : Math.max(1, (long) (work * StrictMath.exp(figures.hintNoise() * noise)));
         Scenario.RequestKind kind = run.scenario.classes().get(classIndex);
         double worth = kind.worth() * work / run.world.classes.get(classIndex).work();
         Ask ask = new Ask(run, classIndex, tenant, work, hint, worth, seed);
--- a/lab/src/main/java/cedarrudder/lab/model/Ask.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Ask.java
@@ -6,8 +6,8 @@
 import cedarrudder.lab.scenario.Scenario;
 
 /**
- * What one client wants: its first try and the repeats that belong to it. In the agenda it waits for the end
- * of a try's time, or of the time between two tries.
+ * What one client wants: its first try and the repeats that belong to it. In the agenda it waits
+ * for the end of a try's time, or of the time between two tries.
  */
 final class Ask extends Task implements Caller {
 
@@ -15,7 +15,12 @@
     private static final double BACKOFF_SPREAD = 0.5;
 
     /** How the last try ended. */
-    enum End { SERVED, REFUSED, FAILED, UNANSWERED }
+    enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        UNANSWERED
+    }
 
     private final Run run;
     final int classIndex;
@@ -54,15 +59,17 @@
     /** Whether its client repeats it by itself after a try that may have run. */
     private boolean repeatable() {
         return kind.effect() == Effect.SAFE
-                || kind.effect() == Effect.KEYED && kind.keyScope() == KeyScope.ALL
-                && run.agenda.now() < startedAt + kind.repeatWindow();
+                || kind.effect() == Effect.KEYED
+                        && kind.keyScope() == KeyScope.ALL
+                        && run.agenda.now() < startedAt + kind.repeatWindow();
     }
 
     void tryNow() {
         long now = run.agenda.now();
         long left = deadline - now;
         // Only who may try again gives a try up early.
-        long wait = repeatable() ? Math.min(left, (long) (run.world.tryShare * kind.deadline())) : left;
+        long wait =
+                repeatable() ? Math.min(left, (long) (run.world.tryShare * kind.deadline())) : left;
         long trySeed = Mix.of(seed, tries++);
         run.agenda.at(now + wait, this);
         Proxy to = run.front.pick(Mix.of(trySeed, -3), Mix.of(seed, -4));
@@ -70,10 +77,20 @@
             again(End.FAILED, true, 0);
             return;
         }
-        out = to.take(this, new Try(classIndex, tenant, work, hint,
-                kind.effect() == Effect.KEYED ? seed | 1 : 0,
-                tries > 1 && run.scenario.clients().marksRepeats(), trySeed, now + wait,
-                Carried.NOTHING, false));
+        out =
+                to.take(
+                        this,
+                        new Try(
+                                classIndex,
+                                tenant,
+                                work,
+                                hint,
+                                kind.effect() == Effect.KEYED ? seed | 1 : 0,
+                                tries > 1 && run.scenario.clients().marksRepeats(),
+                                trySeed,
+                                now + wait,
+                                Carried.NOTHING,
+                                false));
     }
 
     @Override
@@ -106,10 +123,15 @@
     private void again(End how, boolean may, long retryAfter) {
         run.agenda.cancel(this);
         if (may && tries <= run.world.retries) {
-            double wait = run.world.backoff * (run.scenario.clients().exponential() ? 1L << tries - 1 : 1);
+            double wait =
+                    run.world.backoff
+                            * (run.scenario.clients().exponential() ? 1L << tries - 1 : 1);
             wait *= 1 + BACKOFF_SPREAD * (2 * Mix.unit(Mix.of(seed, -10 - tries)) - 1);
             if (honours) {
-                wait = Math.max(wait, Math.min(retryAfter, run.scenario.clients().mostRetryAfter()));
+                wait =
+                        Math.max(
+                                wait,
+                                Math.min(retryAfter, run.scenario.clients().mostRetryAfter()));
             }
             long at = run.agenda.now() + (long) wait;
             if (at < deadline) {
--- a/lab/src/main/java/cedarrudder/lab/model/Attempt.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Attempt.java
@@ -68,7 +68,8 @@
 
         @Override
         protected void reached() {
-            run.trace.reached(run.agenda.now(), proxy.proxy.number, call.id, handle.number(), node.endpoint);
+            run.trace.reached(
+                    run.agenda.now(), proxy.proxy.number, call.id, handle.number(), node.endpoint);
         }
 
         @Override
@@ -87,7 +88,8 @@
             if (proxy.stripped) {
                 return cedarrudder.budget.Carried.NOTHING;
             }
-            return handle.handed() == null ? call.what.said()
+            return handle.handed() == null
+                    ? call.what.said()
                     : handle.handed().after(writtenAt - handle.startedAt());
         }
 
--- a/lab/src/main/java/cedarrudder/lab/model/Call.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Call.java
@@ -10,12 +10,17 @@
 final class Call extends Task implements Exchange.Reply<Attempt>, Proxy.Pending {
 
     /**
-     * The proxy answers this much before the caller gives up, or a tenth of its wait: the daemon's margin for
-     * the way back and for a loop that runs late.
+     * The proxy answers this much before the caller gives up, or a tenth of its wait: the daemon's
+     * margin for the way back and for a loop that runs late.
      */
     private static final long MARGIN = 40_000_000L;
 
-    private enum Phase { TO_PROXY, AT_PROXY, TO_CALLER, OVER }
+    private enum Phase {
+        TO_PROXY,
+        AT_PROXY,
+        TO_CALLER,
+        OVER
+    }
 
     final Run run;
     final ModelProxy to;
@@ -87,8 +92,8 @@
         }
         phase = Phase.AT_PROXY;
         id = run.nextRpc();
-        cedarrudder.budget.Carried carried = life.budgets == null ? cedarrudder.budget.Carried.NOTHING
-                : what.said();
+        cedarrudder.budget.Carried carried =
+                life.budgets == null ? cedarrudder.budget.Carried.NOTHING : what.said();
         if (!carried.deadline()) {
             wait = Math.min(wait, life.budgets.safeWait(what.classIndex()));
         }
@@ -96,8 +101,16 @@
         if (carried.left() > 0) {
             deadline = Math.min(deadline, now + carried.left());
         }
-        Request request = new Request(id, what.classIndex(), what.tenant(), deadline, what.key(),
-                what.repeat(), what.key() != 0 || run.writes(what.classIndex()), what.hint());
+        Request request =
+                new Request(
+                        id,
+                        what.classIndex(),
+                        what.tenant(),
+                        deadline,
+                        what.key(),
+                        what.repeat(),
+                        what.key() != 0 || run.writes(what.classIndex()),
+                        what.hint());
         exchange = new Exchange<>(request, this, this, carried);
         life.accept(this, exchange);
     }
@@ -142,7 +155,10 @@
             return;
         }
         // A proxy without budgets passes an answer on with all that it says.
-        goesUp = life.budgets != null ? exchange.result() : servedBy != null ? servedBy.job.goesUp() : null;
+        goesUp =
+                life.budgets != null
+                        ? exchange.result()
+                        : servedBy != null ? servedBy.job.goesUp() : null;
         life.closed(this, how);
         run.trace.answered(run.agenda.now(), to.number, id, how, attempt);
         tellCaller(outcome, advice);
@@ -157,7 +173,9 @@
     @Override
     public void leave() {
         if (phase == Phase.AT_PROXY) {
-            run.agenda.at(run.agenda.now() + (what.local() ? 0 : run.network.clients()), new Leaving(this));
+            run.agenda.at(
+                    run.agenda.now() + (what.local() ? 0 : run.network.clients()),
+                    new Leaving(this));
             left = true;
         } else {
             run.agenda.cancel(this);
--- a/lab/src/main/java/cedarrudder/lab/model/Caller.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Caller.java
@@ -6,7 +6,13 @@
 public interface Caller {
 
     /** How a try ended for its caller. */
-    enum End { SERVED, REFUSED, FAILED, RESET, UNREACHABLE }
+    enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        RESET,
+        UNREACHABLE
+    }
 
     /** The answer that comes next says this of budgets. */
     default void told(FromBelow below) {
--- a/lab/src/main/java/cedarrudder/lab/model/Carried.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Carried.java
@@ -7,7 +7,15 @@
 abstract class Carried extends Task {
 
     /** Where it is. In the hands of the node it waits for nothing in the agenda. */
-    enum Phase { NEW, OPENING, OPENED, REFUSED, WRITTEN, AT_NODE, ANSWERED }
+    enum Phase {
+        NEW,
+        OPENING,
+        OPENED,
+        REFUSED,
+        WRITTEN,
+        AT_NODE,
+        ANSWERED
+    }
 
     final Run run;
     final Life proxy;
@@ -49,7 +57,9 @@
         arriveAfter(oneWay());
     }
 
-    /** On the connection that it has now, which goes back to the idle ones where it may not begin. */
+    /**
+     * On the connection that it has now, which goes back to the idle ones where it may not begin.
+     */
     private void writeIfWanted() {
         if (!begins()) {
             channel.give(machine, run.agenda.now());
@@ -73,19 +83,21 @@
     }
 
     /**
-     * Stops waiting for it: its connection is closed, which the node learns when the news of it arrives.
-     * Guards against that news overtaking the request.
+     * Stops waiting for it: its connection is closed, which the node learns when the news of it
+     * arrives. Guards against that news overtaking the request.
      */
     final void giveUp() {
         over = true;
         switch (phase) {
-            case WRITTEN -> run.agenda.at(Math.max(run.agenda.now() + oneWay(), dueAt + 1), new Hangup(this));
+            case WRITTEN ->
+                    run.agenda.at(
+                            Math.max(run.agenda.now() + oneWay(), dueAt + 1), new Hangup(this));
             case AT_NODE -> run.agenda.at(run.agenda.now() + oneWay(), new Hangup(this));
             case ANSWERED -> {
                 run.agenda.cancel(this);
                 run.agenda.at(run.agenda.now() + oneWay(), new Hangup(this));
             }
-            default -> { } // the connection is closed once it is up, or never comes up
+            default -> {} // the connection is closed once it is up, or never comes up
         }
     }
 
@@ -150,7 +162,10 @@
     }
 
     /** How a wait at the proxy ended: for want of a connection, or with what the node sent. */
-    enum Ending { NO_CONNECTION, ANSWER }
+    enum Ending {
+        NO_CONNECTION,
+        ANSWER
+    }
 
     /** It has ended; to be told to the driver. */
     abstract void ended(Ending how);
--- a/lab/src/main/java/cedarrudder/lab/model/Channel.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Channel.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Takes the idle connection that was used last and isn't known to be closed; false if there is none. The
-     * end of a machine is known once its reset is here; one that vanished sends none.
+     * Takes the idle connection that was used last and isn't known to be closed; false if there is
+     * none. The end of a machine is known once its reset is here; one that vanished sends none.
      */
     boolean take(long now) {
         while (idle > 0) {
@@ -36,7 +36,10 @@
         return false;
     }
 
-    /** Puts a connection back that is idle again; where the node is gone from the list, it is closed. */
+    /**
+     * Puts a connection back that is idle again; where the node is gone from the list, it is
+     * closed.
+     */
     void give(int machine, long now) {
         if (gone) {
             node.connections -= machine == node.life ? 1 : 0;
--- a/lab/src/main/java/cedarrudder/lab/model/ChokeWatch.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ChokeWatch.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.model;
 
 /**
- * Whether a node has choked: one with far too many requests waiting, for long, turns slower and stays so
- * until it has been mostly idle, or until some time has passed.
+ * Whether a node has choked: one with far too many requests waiting, for long, turns slower and
+ * stays so until it has been mostly idle, or until some time has passed.
  */
 final class ChokeWatch {
 
@@ -18,20 +18,21 @@
     private final double[] heldBefore = new double[LOOKS];
     private int looks;
 
-    private final Task timer = new Task() {
-        @Override
-        protected void run() {
-            node.advance();
-            if (choked) {
-                lookAtRest();
-            } else if (over()) {
-                choke();
-            } else {
-                overSince = -1;
-            }
-            node.settle();
-        }
-    };
+    private final Task timer =
+            new Task() {
+                @Override
+                protected void run() {
+                    node.advance();
+                    if (choked) {
+                        lookAtRest();
+                    } else if (over()) {
+                        choke();
+                    } else {
+                        overSince = -1;
+                    }
+                    node.settle();
+                }
+            };
 
     ChokeWatch(Node node, World.Choking figures) {
         this.node = node;
@@ -79,12 +80,15 @@
         int slot = looks % LOOKS;
         before = heldBefore[slot];
         heldBefore[slot] = node.tally.held;
-        boolean rested = looks >= LOOKS && (node.tally.held - before) / figures.rest()
-                < figures.below() * node.kind.cores();
+        boolean rested =
+                looks >= LOOKS
+                        && (node.tally.held - before) / figures.rest()
+                                < figures.below() * node.kind.cores();
         if (rested || now >= chokedAt + figures.most()) {
             clear();
         } else {
-            node.run.agenda.at(Math.min(chokedAt + figures.most(), now + figures.rest() / LOOKS), timer);
+            node.run.agenda.at(
+                    Math.min(chokedAt + figures.most(), now + figures.rest() / LOOKS), timer);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/ColdBudget.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ColdBudget.java
@@ -4,8 +4,9 @@
 import java.util.Arrays;
 
 /**
- * What a cold node can bear: work that reaches it within any window, also work that it declines, must stay
- * under a multiple of what it can do at that moment, times the window. Past that it falls over.
+ * What a cold node can bear: work that reaches it within any window, also work that it declines,
+ * must stay under a multiple of what it can do at that moment, times the window. Past that it falls
+ * over.
  */
 final class ColdBudget {
 
@@ -44,8 +45,8 @@
     }
 
     /**
-     * Whether more has come than it bears. The largest request of the window doesn't count: guards against
-     * one heavy request alone, which nobody could foresee, pushing it over.
+     * Whether more has come than it bears. The largest request of the window doesn't count: guards
+     * against one heavy request alone, which nobody could foresee, pushing it over.
      *
      * @param capacity what it can do now, in cores of speed 1
      */
--- a/lab/src/main/java/cedarrudder/lab/model/Directory.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Directory.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Discovery: one service that lists the nodes of all tiers. It learns late of what happens, knows only of
- * processes that run, drain or are gone, and serves calls in turn.
+ * Discovery: one service that lists the nodes of all tiers. It learns late of what happens, knows
+ * only of processes that run, drain or are gone, and serves calls in turn.
  */
 public final class Directory {
 
@@ -21,7 +21,7 @@
     private static final int FEW = 16;
 
     /** A line of a list as a proxy holds it, and where the node is reached. */
-    public record Entry(Endpoint told, Node node) { }
+    public record Entry(Endpoint told, Node node) {}
 
     private final Run run;
     private final Scenario.Discovery figures;
@@ -53,12 +53,13 @@
         private int listed;
         private long version = 1;
         private long published = 1;
-        private final Task publishing = new Task() {
-            @Override
-            protected void run() {
-                publish();
-            }
-        };
+        private final Task publishing =
+                new Task() {
+                    @Override
+                    protected void run() {
+                        publish();
+                    }
+                };
 
         Listing(int tier) {
             this.tier = tier;
@@ -79,10 +80,20 @@
             } else if (line.told.state() == State.GONE && state != State.GONE) {
                 listed++;
             }
-            listed -= state == State.GONE && (line.told == null || line.told.state() != State.GONE) ? 1 : 0;
+            listed -=
+                    state == State.GONE && (line.told == null || line.told.state() != State.GONE)
+                            ? 1
+                            : 0;
             double size = node.kind.cores() * node.kind.speed();
-            line.told = new Endpoint(endpoint, node.zone, node.machine.kind(), node.machine.cell(), state,
-                    Math.max(0.5, Math.rint(2 * size) / 2), startedAt);
+            line.told =
+                    new Endpoint(
+                            endpoint,
+                            node.zone,
+                            node.machine.kind(),
+                            node.machine.cell(),
+                            state,
+                            Math.max(0.5, Math.rint(2 * size) / 2),
+                            startedAt);
             line.changedIn = ++version;
             if (publishing.place < 0) {
                 long start = run.start;
@@ -172,54 +183,68 @@
         long endpoint = node.endpoint;
         long startedAt = node.startedAt;
         int life = node.life;
-        after(figures.add().draw(random), () -> {
-            if (node.life == life) {
-                listings.get(node.tier).set(node, endpoint, State.READY, startedAt);
-            }
-        });
+        after(
+                figures.add().draw(random),
+                () -> {
+                    if (node.life == life) {
+                        listings.get(node.tier).set(node, endpoint, State.READY, startedAt);
+                    }
+                });
     }
 
     /** A machine has ended; with {@code silently} it could be told only by its silence. */
     void ended(Node node, boolean silently) {
         long endpoint = node.endpoint;
-        after((silently ? figures.silentNotice() : figures.notice()).draw(random), () -> {
-            // Guards against late news: what has come back by now is not gone.
-            if (!node.up() || node.endpoint != endpoint || node.draining) {
-                listings.get(node.tier).set(node, endpoint, State.GONE, 0);
-            }
-        });
+        after(
+                (silently ? figures.silentNotice() : figures.notice()).draw(random),
+                () -> {
+                    // Guards against late news: what has come back by now is not gone.
+                    if (!node.up() || node.endpoint != endpoint || node.draining) {
+                        listings.get(node.tier).set(node, endpoint, State.GONE, 0);
+                    }
+                });
     }
 
     /** A node doesn't answer any more, or answers again. */
     void silence(Node node, boolean begins) {
         long endpoint = node.endpoint;
         int life = node.life;
-        after((begins ? figures.silentNotice() : figures.add()).draw(random), () -> {
-            if (node.life == life && (node.silent > 0) == begins) {
-                listings.get(node.tier).set(node, endpoint, begins ? State.GONE : State.READY,
-                        node.startedAt);
-            }
-        });
+        after(
+                (begins ? figures.silentNotice() : figures.add()).draw(random),
+                () -> {
+                    if (node.life == life && (node.silent > 0) == begins) {
+                        listings.get(node.tier)
+                                .set(
+                                        node,
+                                        endpoint,
+                                        begins ? State.GONE : State.READY,
+                                        node.startedAt);
+                    }
+                });
     }
 
     /** A node drains. */
     void draining(Node node) {
         long endpoint = node.endpoint;
         int life = node.life;
-        after(figures.notice().draw(random), () -> {
-            if (node.life == life) {
-                listings.get(node.tier).set(node, endpoint, State.DRAINING, node.startedAt);
-            }
-        });
+        after(
+                figures.notice().draw(random),
+                () -> {
+                    if (node.life == life) {
+                        listings.get(node.tier).set(node, endpoint, State.DRAINING, node.startedAt);
+                    }
+                });
     }
 
     private void after(double delay, Runnable news) {
-        run.agenda.at(run.agenda.now() + (long) delay, new Task() {
-            @Override
-            protected void run() {
-                news.run();
-            }
-        });
+        run.agenda.at(
+                run.agenda.now() + (long) delay,
+                new Task() {
+                    @Override
+                    protected void run() {
+                        news.run();
+                    }
+                });
     }
 
     // ---- calls ----
@@ -240,12 +265,14 @@
     }
 
     private void call(Watcher who, boolean watch) {
-        run.agenda.at(run.agenda.now() + run.network.nodes(who.zone(), who.zone()), new Task() {
-            @Override
-            protected void run() {
-                come(who, watch);
-            }
-        });
+        run.agenda.at(
+                run.agenda.now() + run.network.nodes(who.zone(), who.zone()),
+                new Task() {
+                    @Override
+                    protected void run() {
+                        come(who, watch);
+                    }
+                });
     }
 
     /** A call takes its turn at the one worker, or fails after having waited too long. */
@@ -260,34 +287,38 @@
         }
         workerFreeAt = begins + (long) (1e9 / run.world.callsPerSecond * listing.cost(since));
         long outage = outages;
-        run.agenda.at(workerFreeAt, new Task() {
-            @Override
-            protected void run() {
-                if (!who.alive()) {
-                    return;
-                }
-                if (outages != outage) {
-                    who.failLater();
-                    return;
-                }
-                if (watch) {
-                    listing.watchers.remove(who);
-                    listing.watchers.add(who);
-                }
-                listing.tell(who, watch ? who.toldVersion() : 0);
-            }
-        });
+        run.agenda.at(
+                workerFreeAt,
+                new Task() {
+                    @Override
+                    protected void run() {
+                        if (!who.alive()) {
+                            return;
+                        }
+                        if (outages != outage) {
+                            who.failLater();
+                            return;
+                        }
+                        if (watch) {
+                            listing.watchers.remove(who);
+                            listing.watchers.add(who);
+                        }
+                        listing.tell(who, watch ? who.toldVersion() : 0);
+                    }
+                });
     }
 
     private void fail(Watcher who, long at) {
-        run.agenda.at(at, new Task() {
-            @Override
-            protected void run() {
-                if (who.alive()) {
-                    who.failLater();
-                }
-            }
-        });
+        run.agenda.at(
+                at,
+                new Task() {
+                    @Override
+                    protected void run() {
+                        if (who.alive()) {
+                            who.failLater();
+                        }
+                    }
+                });
     }
 
     // ---- troubles ----
--- a/lab/src/main/java/cedarrudder/lab/model/Faults.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Faults.java
@@ -57,10 +57,17 @@
                 nodes.forEach(node -> strike(fault.trouble(), node, begins, ends, size));
             }
         }
-        String tier = fault.trouble() == Trouble.DISCOVERY_DOWN ? ""
-                : run.world.tiers.get(ofProxies ? 0 : Math.max(0, fault.tier())).name();
-        bands.add(new Band(fault.trouble().name(), tier, (begins - run.start) / 1e9, (ends - run.start) / 1e9,
-                machines));
+        String tier =
+                fault.trouble() == Trouble.DISCOVERY_DOWN
+                        ? ""
+                        : run.world.tiers.get(ofProxies ? 0 : Math.max(0, fault.tier())).name();
+        bands.add(
+                new Band(
+                        fault.trouble().name(),
+                        tier,
+                        (begins - run.start) / 1e9,
+                        (ends - run.start) / 1e9,
+                        machines));
     }
 
     /** So many of them, at least one, as chance has it. */
@@ -82,16 +89,20 @@
                 at(ends, () -> node.quicker(size));
             }
             case SILENT -> {
-                at(begins, () -> {
-                    node.silent++;
-                    run.changed(node);
-                    run.directory.silence(node, true);
-                });
-                at(ends, () -> {
-                    node.silent--;
-                    run.changed(node);
-                    run.directory.silence(node, false);
-                });
+                at(
+                        begins,
+                        () -> {
+                            node.silent++;
+                            run.changed(node);
+                            run.directory.silence(node, true);
+                        });
+                at(
+                        ends,
+                        () -> {
+                            node.silent--;
+                            run.changed(node);
+                            run.directory.silence(node, false);
+                        });
             }
             case SINKHOLE -> during(node, begins, ends, n -> n.sinkhole++, n -> n.sinkhole--);
             case DECLINE -> during(node, begins, ends, n -> n.declining++, n -> n.declining--);
@@ -99,38 +110,47 @@
             case CUT_TO_NODES -> during(node, begins, ends, n -> n.cutTo++, n -> n.cutTo--);
             case CUT_FROM_NODES -> during(node, begins, ends, n -> n.cutFrom++, n -> n.cutFrom--);
             case DRAIN -> {
-                at(begins, () -> {
-                    if (node.up()) {
-                        node.draining = true;
-                        run.directory.draining(node);
-                    }
-                });
+                at(
+                        begins,
+                        () -> {
+                            if (node.up()) {
+                                node.draining = true;
+                                run.directory.draining(node);
+                            }
+                        });
                 at(ends, () -> end(node, false));
             }
             case REPLACE -> {
                 at(begins, () -> end(node, true));
-                at(ends, () -> {
-                    if (!node.up() && !node.fallen) {
-                        node.start(run.nextEndpoint());
-                        run.directory.started(node);
-                    }
-                });
+                at(
+                        ends,
+                        () -> {
+                            if (!node.up() && !node.fallen) {
+                                node.start(run.nextEndpoint());
+                                run.directory.started(node);
+                            }
+                        });
             }
             default -> throw new IllegalArgumentException(trouble + " strikes no node");
         }
     }
 
-    private void during(Node node, long begins, long ends, Consumer<Node> begin, Consumer<Node> end) {
-        at(begins, () -> {
-            node.advance();
-            begin.accept(node);
-            run.changed(node);
-        });
-        at(ends, () -> {
-            node.advance();
-            end.accept(node);
-            run.changed(node);
-        });
+    private void during(
+            Node node, long begins, long ends, Consumer<Node> begin, Consumer<Node> end) {
+        at(
+                begins,
+                () -> {
+                    node.advance();
+                    begin.accept(node);
+                    run.changed(node);
+                });
+        at(
+                ends,
+                () -> {
+                    node.advance();
+                    end.accept(node);
+                    run.changed(node);
+                });
     }
 
     /** One after another, evenly spread: each is down until the next one goes. */
@@ -143,12 +163,14 @@
 
     private void restart(Node node, long begins, long ends) {
         at(begins, () -> end(node, false));
-        at(ends, () -> {
-            if (!node.up() && !node.fallen && !node.draining) {
-                node.start(node.endpoint);
-                run.directory.started(node);
-            }
-        });
+        at(
+                ends,
+                () -> {
+                    if (!node.up() && !node.fallen && !node.draining) {
+                        node.start(node.endpoint);
+                        run.directory.started(node);
+                    }
+                });
     }
 
     private void end(Node node, boolean silently) {
@@ -166,25 +188,31 @@
     }
 
     private void crash(Proxy proxy, long begins, long ends) {
-        at(begins, () -> {
-            if (proxy.up()) {
-                proxy.die();
-                run.front.died(proxy, (long) run.scenario.front().notice().draw(notices));
-            }
-        });
-        at(ends, () -> {
-            if (!proxy.up()) {
-                proxy.start(() -> run.front.take(proxy));
-            }
-        });
+        at(
+                begins,
+                () -> {
+                    if (proxy.up()) {
+                        proxy.die();
+                        run.front.died(proxy, (long) run.scenario.front().notice().draw(notices));
+                    }
+                });
+        at(
+                ends,
+                () -> {
+                    if (!proxy.up()) {
+                        proxy.start(() -> run.front.take(proxy));
+                    }
+                });
     }
 
     private void at(long instant, Runnable what) {
-        run.agenda.at(instant, new Task() {
-            @Override
-            protected void run() {
-                what.run();
-            }
-        });
+        run.agenda.at(
+                instant,
+                new Task() {
+                    @Override
+                    protected void run() {
+                        what.run();
+                    }
+                });
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Front.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Front.java
@@ -25,14 +25,16 @@
 
     /** A proxy has died: it is noticed some time later. */
     public void died(Proxy proxy, long notice) {
-        run.agenda.at(run.agenda.now() + notice, new Task() {
-            @Override
-            protected void run() {
-                if (!proxy.up()) {
-                    taken.get(proxy.zone).remove(proxy);
-                }
-            }
-        });
+        run.agenda.at(
+                run.agenda.now() + notice,
+                new Task() {
+                    @Override
+                    protected void run() {
+                        if (!proxy.up()) {
+                            taken.get(proxy.zone).remove(proxy);
+                        }
+                    }
+                });
     }
 
     /** A proxy of the client's zone, of any zone if there is none; null if there is none at all. */
--- a/lab/src/main/java/cedarrudder/lab/model/Guard.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Guard.java
@@ -1,18 +1,24 @@
 package cedarrudder.lab.model;
 
 /**
- * Bounds on what a balancer under test may do before its run is ended, so that no fault of one ends an
- * experiment.
+ * Bounds on what a balancer under test may do before its run is ended, so that no fault of one ends
+ * an experiment.
  *
  * @param atOnce actions on one event
  * @param free actions of a proxy that cost it nothing
  * @param perSecond further ones for each second of a proxy's life
  * @param perRpc further ones for each RPC that it takes
- * @param stallSeconds of processor time inside one event: a balancer that needs longer never ends. Measured
- * on the run's own thread, so that a busy machine doesn't end a sound run
- * @param timed whether the time inside balancers is measured; it costs two readings of the clock an event
+ * @param stallSeconds of processor time inside one event: a balancer that needs longer never ends.
+ *     Measured on the run's own thread, so that a busy machine doesn't end a sound run
+ * @param timed whether the time inside balancers is measured; it costs two readings of the clock an
+ *     event
  */
-public record Guard(int atOnce, long free, double perSecond, double perRpc, double stallSeconds,
+public record Guard(
+        int atOnce,
+        long free,
+        double perSecond,
+        double perRpc,
+        double stallSeconds,
         boolean timed) {
 
     /** Bounds that no balancer of use comes near. */
