--- a/lab/src/main/java/cedarrudder/lab/model/Job.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Job.java
@@ -6,13 +6,18 @@
 import cedarrudder.lab.scenario.Scenario;
 
 /**
- * An attempt as the node holds it that it has reached: its work in parts, between which it calls the next
- * tier. How it came there and how its answer goes back is for those to say who extend it.
+ * An attempt as the node holds it that it has reached: its work in parts, between which it calls
+ * the next tier. How it came there and how its answer goes back is for those to say who extend it.
  */
 public abstract class Job implements Caller {
 
     /** What the node does with it. */
-    enum Stage { NOWHERE, QUEUED, WORKING, CALLING }
+    enum Stage {
+        NOWHERE,
+        QUEUED,
+        WORKING,
+        CALLING
+    }
 
     /** The part of a request's own work that is done before it calls the next tier. */
     private static final double BEFORE_CALLS = 0.5;
@@ -64,7 +69,8 @@
         World.Tier tier = node.drawn;
         double noise = node.run.world.classes.get(what.classIndex()).attemptNoise();
         // A lognormal factor of mean 1.
-        double factor = noise > 0 ? StrictMath.exp(noise * Mix.normal(seed) - noise * noise / 2) : 1;
+        double factor =
+                noise > 0 ? StrictMath.exp(noise * Mix.normal(seed) - noise * noise / 2) : 1;
         this.work = what.work() * tier.workShare() * factor;
         double calls = tier.calls();
         int whole = (int) calls;
@@ -84,7 +90,10 @@
     /** The node resets its connection. */
     protected abstract void reset();
 
-    /** What it says of budgets to the next tier: a node passes on what came down to it. Nothing by itself. */
+    /**
+     * What it says of budgets to the next tier: a node passes on what came down to it. Nothing by
+     * itself.
+     */
     protected Carried goesDown() {
         return Carried.NOTHING;
     }
@@ -117,9 +126,16 @@
         Scenario.RequestKind kind = run.scenario.classes().get(what.classIndex());
         long now = run.agenda.now();
         long wait = node.drawn.passesDeadline() ? deadline() - now : kind.deadline();
-        below = node.proxy.take(this, Try.below(run.world, node.proxy.tier, what,
-                Mix.of(what.seed(), callsMade++), now + Math.max(0, wait),
-                goesDown().withDeadline(node.drawn.passesDeadline())));
+        below =
+                node.proxy.take(
+                        this,
+                        Try.below(
+                                run.world,
+                                node.proxy.tier,
+                                what,
+                                Mix.of(what.seed(), callsMade++),
+                                now + Math.max(0, wait),
+                                goesDown().withDeadline(node.drawn.passesDeadline())));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/model/Ledger.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Ledger.java
@@ -55,8 +55,11 @@
     private final long[][] attempts;
     private final long[] tries;
 
-    /** First tries by class, those past their tenants' shares behind the others; and those unserved. */
+    /**
+     * First tries by class, those past their tenants' shares behind the others; and those unserved.
+     */
     private final long[] groupTries;
+
     private final long[] groupUnserved;
     private final long[] inFlight;
     private final double shareBehind;
@@ -113,8 +116,9 @@
     void asked(Ask ask) {
         firstTries++;
         tries[second(ask.startedAt)]++;
-        askedWork += ask.work * run.world.tiers.get(0).workShare()
-                + shareBehind * run.world.classes.get(ask.classIndex).work();
+        askedWork +=
+                ask.work * run.world.tiers.get(0).workShare()
+                        + shareBehind * run.world.classes.get(ask.classIndex).work();
         if (!counts(ask)) {
             return;
         }
@@ -155,7 +159,10 @@
         latency.recordValue(took / 1000);
         boolean inAim = took <= kind.aim();
         count.inAim += inAim ? 1 : 0;
-        worth.served(second(ask.startedAt), ask.tenant, ask.classIndex,
+        worth.served(
+                second(ask.startedAt),
+                ask.tenant,
+                ask.classIndex,
                 ask.worth * (inAim ? 1 : kind.lateWorth()));
     }
 
@@ -175,17 +182,25 @@
             double goodput = share(all.servedOfClass()[i], all.askedOfClass()[i]);
             worstClass = Math.min(worstClass, goodput);
             long servedCount = count.ends[Ask.End.SERVED.ordinal()];
-            ofClasses.add(new ClassResult(scenario.classes().get(i).name(), count.requests, count.inAim,
-                    servedCount - count.inAim, count.ends[Ask.End.REFUSED.ordinal()],
-                    count.ends[Ask.End.FAILED.ordinal()], count.ends[Ask.End.UNANSWERED.ordinal()], goodput,
-                    latency(count.latency)));
+            ofClasses.add(
+                    new ClassResult(
+                            scenario.classes().get(i).name(),
+                            count.requests,
+                            count.inAim,
+                            servedCount - count.inAim,
+                            count.ends[Ask.End.REFUSED.ordinal()],
+                            count.ends[Ask.End.FAILED.ordinal()],
+                            count.ends[Ask.End.UNANSWERED.ordinal()],
+                            goodput,
+                            latency(count.latency)));
         }
         double worstTenant = whole;
         List<TenantResult> ofTenants = new ArrayList<>();
         for (int i = 0; i < tenantRequests.length; i++) {
             double goodput = share(all.servedOfTenant()[i], all.askedOfTenant()[i]);
             worstTenant = Math.min(worstTenant, goodput);
-            ofTenants.add(new TenantResult(scenario.tenants().get(i).name(), tenantRequests[i], goodput));
+            ofTenants.add(
+                    new TenantResult(scenario.tenants().get(i).name(), tenantRequests[i], goodput));
         }
         long attemptsAll = 0;
         long probesAll = 0;
@@ -196,12 +211,35 @@
         double tries = Math.max(1, firstTries);
         RunResult.Charges charges = charges(probesAll / tries);
         Scenario.Goal goal = scenario.goal();
-        double goodput = goal.whole() * whole + goal.worstWindow() * worstWindow
-                + goal.worstClass() * worstClass + goal.worstTenant() * worstTenant - charges.sum();
-        return new RunResult(scenario.name(), run.variant, run.seed, requests, goodput, whole, worstWindow,
-                worstClass, worstTenant, charges, latency(latency), attemptsAll / tries, probesAll / tries,
-                ofClasses, ofTenants, groups(), tierResults(), series(all), nodeResults(), faults,
-                List.of(), finding);
+        double goodput =
+                goal.whole() * whole
+                        + goal.worstWindow() * worstWindow
+                        + goal.worstClass() * worstClass
+                        + goal.worstTenant() * worstTenant
+                        - charges.sum();
+        return new RunResult(
+                scenario.name(),
+                run.variant,
+                run.seed,
+                requests,
+                goodput,
+                whole,
+                worstWindow,
+                worstClass,
+                worstTenant,
+                charges,
+                latency(latency),
+                attemptsAll / tries,
+                probesAll / tries,
+                ofClasses,
+                ofTenants,
+                groups(),
+                tierResults(),
+                series(all),
+                nodeResults(),
+                faults,
+                List.of(),
+                finding);
     }
 
     private static double share(double part, double of) {
@@ -239,9 +277,12 @@
                 overdriven += choking.price() * choked / run.world.tiers.get(i).machines().size();
             }
         }
-        return new RunResult.Charges(prices.waste() * Math.max(0, share(wasted, Math.max(1, askedWork))),
-                prices.probe() * probes, prices.peer() * peerBytes / 256.0 / Math.max(1, firstTries),
-                prices.lateFail() * (worth.askedAtAll() == 0 ? 0 : lateUnserved / worth.askedAtAll()),
+        return new RunResult.Charges(
+                prices.waste() * Math.max(0, share(wasted, Math.max(1, askedWork))),
+                prices.probe() * probes,
+                prices.peer() * peerBytes / 256.0 / Math.max(1, firstTries),
+                prices.lateFail()
+                        * (worth.askedAtAll() == 0 ? 0 : lateUnserved / worth.askedAtAll()),
                 prices.overdriven() * overdriven);
     }
 
@@ -254,12 +295,18 @@
     }
 
     private static Latency latency(Histogram histogram) {
-        return new Latency(millis(histogram, 50), millis(histogram, 90), millis(histogram, 99),
-                millis(histogram, 99.9), millis(histogram, 100));
+        return new Latency(
+                millis(histogram, 50),
+                millis(histogram, 90),
+                millis(histogram, 99),
+                millis(histogram, 99.9),
+                millis(histogram, 100));
     }
 
     private static double millis(Histogram histogram, double percentile) {
-        return histogram.getTotalCount() == 0 ? 0 : histogram.getValueAtPercentile(percentile) / 1000.0;
+        return histogram.getTotalCount() == 0
+                ? 0
+                : histogram.getValueAtPercentile(percentile) / 1000.0;
     }
 
     private List<Group> groups() {
@@ -273,9 +320,17 @@
         for (int i = 0; i < groupTries.length; i++) {
             int kind = i % classes.length;
             boolean past = i >= classes.length;
-            groups.add(new Group(run.scenario.classes().get(kind).name(), past,
-                    best == 0 ? 0 : perWork[kind] / best * (past ? run.scenario.goal().overShareWorth() : 1),
-                    groupTries[i], groupUnserved[i]));
+            groups.add(
+                    new Group(
+                            run.scenario.classes().get(kind).name(),
+                            past,
+                            best == 0
+                                    ? 0
+                                    : perWork[kind]
+                                            / best
+                                            * (past ? run.scenario.goal().overShareWorth() : 1),
+                            groupTries[i],
+                            groupUnserved[i]));
         }
         return groups;
     }
@@ -290,10 +345,23 @@
                 chokes += node.tier == i ? node.chokes : 0;
             }
             double work = work(i);
-            results.add(new TierResult(tier.name(), tier.machines().size(), tier.copies(), tier.visits(),
-                    count.rpcs, count.attempts, count.copies, Arrays.stream(count.outcomes).boxed().toList(),
-                    count.refused, count.failed, count.probes, work / SECOND,
-                    work == 0 ? 0 : Math.max(0, work - usefulWork[i]) / work, chokes, count.fallen));
+            results.add(
+                    new TierResult(
+                            tier.name(),
+                            tier.machines().size(),
+                            tier.copies(),
+                            tier.visits(),
+                            count.rpcs,
+                            count.attempts,
+                            count.copies,
+                            Arrays.stream(count.outcomes).boxed().toList(),
+                            count.refused,
+                            count.failed,
+                            count.probes,
+                            work / SECOND,
+                            work == 0 ? 0 : Math.max(0, work - usefulWork[i]) / work,
+                            chokes,
+                            count.fallen));
         }
         return results;
     }
@@ -303,8 +371,14 @@
         for (int i = 0; i < tries.length; i++) {
             int second = i;
             List<Long> byTier = Arrays.stream(attempts).map(tier -> tier[second]).toList();
-            seconds.add(new Second(all.askedIn()[i], all.servedIn()[i], tries[i],
-                    byTier.stream().mapToLong(Long::longValue).sum(), byTier, inFlight[i]));
+            seconds.add(
+                    new Second(
+                            all.askedIn()[i],
+                            all.servedIn()[i],
+                            tries[i],
+                            byTier.stream().mapToLong(Long::longValue).sum(),
+                            byTier,
+                            inFlight[i]));
         }
         return seconds;
     }
@@ -314,9 +388,17 @@
         long now = run.agenda.now();
         for (Tally node : nodes) {
             double time = Math.max(1, (node.until < 0 ? now : node.until) - node.since);
-            results.add(new NodeResult(run.world.tiers.get(node.tier).name(), node.endpoint, node.kind,
-                    node.speed, node.busy / time / node.cores, node.served, node.declined, node.held / time,
-                    node.chokes));
+            results.add(
+                    new NodeResult(
+                            run.world.tiers.get(node.tier).name(),
+                            node.endpoint,
+                            node.kind,
+                            node.speed,
+                            node.busy / time / node.cores,
+                            node.served,
+                            node.declined,
+                            node.held / time,
+                            node.chokes));
         }
         return results;
     }
--- a/lab/src/main/java/cedarrudder/lab/model/Life.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Life.java
@@ -1,12 +1,12 @@
 package cedarrudder.lab.model;
 
+import cedarrudder.Balancer;
 import cedarrudder.Balancer.Endpoint;
 import cedarrudder.Balancer.ListKind;
 import cedarrudder.Balancer.Load;
 import cedarrudder.Balancer.Outcome;
 import cedarrudder.Balancer.State;
 import cedarrudder.Balancer.ZoneShare;
-import cedarrudder.Balancer;
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.budget.Budgets;
 import cedarrudder.budget.FromBelow;
@@ -27,8 +27,8 @@
 import java.util.SplittableRandom;
 
 /**
- * One life of a proxy: the daemon's driver and the balancer under test, on modelled connections, timers,
- * discovery and datagrams. When it dies all of this is void.
+ * One life of a proxy: the daemon's driver and the balancer under test, on modelled connections,
+ * timers, discovery and datagrams. When it dies all of this is void.
  */
 final class Life implements ClientSide<Call, Attempt>, Resolver, Timers, Peers, Watcher {
 
@@ -69,14 +69,15 @@
     private int opens;
     private long listMessageAt;
 
-    private final Task sweep = new Task() {
-        @Override
-        protected void run() {
-            if (alive) {
-                sweepIdle();
-            }
-        }
-    };
+    private final Task sweep =
+            new Task() {
+                @Override
+                protected void run() {
+                    if (alive) {
+                        sweepIdle();
+                    }
+                }
+            };
 
     Life(Run run, ModelProxy proxy, long seed, long knownVersion) {
         this.run = run;
@@ -92,12 +93,31 @@
         TierBudgets asked = proxy.all.policy.budgets();
         this.stripped = asked != null && asked.strips().contains(run.world.tiers.get(tier).name());
         BudgetSettings mine = asked == null ? null : asked.of(run.world.tiers.get(tier).name());
-        this.budgets = mine == null ? null
-                : new Budgets(mine, settings, new SplittableRandom(Mix.of(seed, -1)), Notices.NONE);
-        this.driver = new Driver<>(actions -> watched.around(settings, actions, limited ->
-                proxy.all.policy.create(settings, new SplittableRandom(seed), limited,
-                        proxy.all.truth(tier))),
-                settings.limits().maxAttempts(), this, proxy.all.log, budgets, null);
+        this.budgets =
+                mine == null
+                        ? null
+                        : new Budgets(
+                                mine,
+                                settings,
+                                new SplittableRandom(Mix.of(seed, -1)),
+                                Notices.NONE);
+        this.driver =
+                new Driver<>(
+                        actions ->
+                                watched.around(
+                                        settings,
+                                        actions,
+                                        limited ->
+                                                proxy.all.policy.create(
+                                                        settings,
+                                                        new SplittableRandom(seed),
+                                                        limited,
+                                                        proxy.all.truth(tier))),
+                        settings.limits().maxAttempts(),
+                        this,
+                        proxy.all.log,
+                        budgets,
+                        null);
         driver.connect(this, this, this);
     }
 
@@ -125,7 +145,13 @@
         counts.rpcs++;
         watched.taken();
         Scenario.RequestKind kind = run.scenario.classes().get(call.what.classIndex());
-        run.trace.taken(now(), proxy.number, call.id, kind.effect(), kind.keyScope(), kind.repeatWindow(),
+        run.trace.taken(
+                now(),
+                proxy.number,
+                call.id,
+                kind.effect(),
+                kind.keyScope(),
+                kind.repeatWindow(),
                 call.what.deadline());
         driver.accept(exchange);
     }
@@ -208,27 +234,29 @@
 
     @Override
     public void tellLater(ListKind kind, List<Endpoint> entries, List<Node> nodes, long version) {
-        arriveLater(new Task() {
-            @Override
-            protected void run() {
-                if (alive) {
-                    heldVersion = version;
-                    take(kind, entries, nodes);
-                }
-            }
-        });
+        arriveLater(
+                new Task() {
+                    @Override
+                    protected void run() {
+                        if (alive) {
+                            heldVersion = version;
+                            take(kind, entries, nodes);
+                        }
+                    }
+                });
     }
 
     @Override
     public void failLater() {
-        arriveLater(new Task() {
-            @Override
-            protected void run() {
-                if (alive) {
-                    driver.unresolved();
-                }
-            }
-        });
+        arriveLater(
+                new Task() {
+                    @Override
+                    protected void run() {
+                        if (alive) {
+                            driver.unresolved();
+                        }
+                    }
+                });
     }
 
     private void arriveLater(Task message) {
@@ -244,7 +272,13 @@
         }
         for (int i = 0; i < entries.size(); i++) {
             Endpoint entry = entries.get(i);
-            run.trace.told(now, proxy.number, entry.id(), entry.cell(), entry.zone(), entry.state(),
+            run.trace.told(
+                    now,
+                    proxy.number,
+                    entry.id(),
+                    entry.cell(),
+                    entry.zone(),
+                    entry.state(),
                     entry.startedAt());
             if (entry.state() == State.GONE) {
                 drop(entry.id());
@@ -298,7 +332,8 @@
         }
         attempt.outAt = outs;
         out[outs++] = attempt;
-        run.trace.sent(now(), proxy.number, call.id, handle.number(), handle.endpoint(), attempt.job.work);
+        run.trace.sent(
+                now(), proxy.number, call.id, handle.number(), handle.endpoint(), attempt.job.work);
         attempt.go();
     }
 
@@ -339,7 +374,10 @@
             run.trace.ended(now(), proxy.number, attempt.call.id, attempt.handle.number(), outcome);
             driver.served(attempt.handle, attempt, null, attempt.job.goesUp());
         } else {
-            driver.ended(attempt.handle, outcome, null,
+            driver.ended(
+                    attempt.handle,
+                    outcome,
+                    null,
                     outcome == Outcome.ERROR ? attempt.job.goesUp() : FromBelow.NOTHING);
         }
     }
@@ -394,8 +432,14 @@
     @Override
     public void tell(int copy, byte[] message) {
         if (message.length > MOST_MESSAGE) {
-            run.end("proxy " + proxy.number + " sent a message of " + message.length + " bytes; "
-                    + MOST_MESSAGE + " are allowed");
+            run.end(
+                    "proxy "
+                            + proxy.number
+                            + " sent a message of "
+                            + message.length
+                            + " bytes; "
+                            + MOST_MESSAGE
+                            + " are allowed");
             return;
         }
         for (ModelProxy other : proxy.all.to(tier)) {
@@ -409,14 +453,16 @@
     }
 
     private void deliver(ModelProxy to, byte[] message) {
-        run.agenda.at(now() + run.network.peers(), new Task() {
-            @Override
-            protected void run() {
-                if (to.life != null) {
-                    to.life.driver.message(proxy.self, message);
-                }
-            }
-        });
+        run.agenda.at(
+                now() + run.network.peers(),
+                new Task() {
+                    @Override
+                    protected void run() {
+                        if (to.life != null) {
+                            to.life.driver.message(proxy.self, message);
+                        }
+                    }
+                });
     }
 
     // ---- timers ----
--- a/lab/src/main/java/cedarrudder/lab/model/LongMap.java
+++ b/lab/src/main/java/cedarrudder/lab/model/LongMap.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * A map from numbers other than 0 to objects: open addressing, without boxes. The order in which it is walked
- * follows from the keys alone and the order in which they came.
+ * A map from numbers other than 0 to objects: open addressing, without boxes. The order in which it
+ * is walked follows from the keys alone and the order in which they came.
  */
 final class LongMap<V> {
 
--- a/lab/src/main/java/cedarrudder/lab/model/Mix.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Mix.java
@@ -1,17 +1,18 @@
 package cedarrudder.lab.model;
 
 /**
- * Numbers that look random and follow from what they are of: the work of a given attempt of a given request
- * is the same whatever else happened before, so that two variants of one seed see the same requests.
+ * Numbers that look random and follow from what they are of: the work of a given attempt of a given
+ * request is the same whatever else happened before, so that two variants of one seed see the same
+ * requests.
  *
- * <p>The finaliser is that of MurmurHash3 with the constants of "mix13" (Stafford), as in SplitMix64
- * (Steele, Lea, Flood: Fast splittable pseudorandom number generators, OOPSLA 2014).
+ * <p>The finaliser is that of MurmurHash3 with the constants of "mix13" (Stafford), as in
+ * SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number generators, OOPSLA 2014).
  */
 public final class Mix {
 
     private static final long GOLDEN = 0x9E3779B97F4A7C15L;
 
-    private Mix() { }
+    private Mix() {}
 
     /** One number of two. */
     public static long of(long a, long b) {
--- a/lab/src/main/java/cedarrudder/lab/model/ModelProxy.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ModelProxy.java
@@ -5,7 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A modelled proxy: each of its lives is a new {@link Life} with the list that the last one had. */
+/**
+ * A modelled proxy: each of its lives is a new {@link Life} with the list that the last one had.
+ */
 final class ModelProxy extends Proxy {
 
     final ModelProxies all;
@@ -17,6 +19,7 @@
 
     /** The list as it last had it; null before the first start. */
     private List<Directory.Entry> known;
+
     private long knownVersion;
 
     ModelProxy(ModelProxies all, Run run, int number, int tier, int self, int zone) {
--- a/lab/src/main/java/cedarrudder/lab/model/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Node.java
@@ -6,21 +6,29 @@
 import java.util.Arrays;
 
 /**
- * A place where a machine stands, under one address: it may be replaced by another one with a new id.
+ * A place where a machine stands, under one address: it may be replaced by another one with a new
+ * id.
  *
- * <p>Requests in slots share the cores evenly (processor sharing); one that calls the next tier keeps its
- * slot and takes no core. Handshakes and probes go before all of them. What the cores do is less while the
- * machine is cold, slow, choked, crowded or full of connections.
+ * <p>Requests in slots share the cores evenly (processor sharing); one that calls the next tier
+ * keeps its slot and takes no core. Handshakes and probes go before all of them. What the cores do
+ * is less while the machine is cold, slow, choked, crowded or full of connections.
  */
 public final class Node {
 
     /** While a machine warms up, what it can do is looked at anew this often. */
     private static final long WARMING_STEP = 50_000_000L;
 
-    /** A part of work counts as done when less than this is left, in nanoseconds: guards against rounding. */
+    /**
+     * A part of work counts as done when less than this is left, in nanoseconds: guards against
+     * rounding.
+     */
     private static final double ROUNDING = 0.5;
 
-    private enum State { UP, DOWN, VANISHED }
+    private enum State {
+        UP,
+        DOWN,
+        VANISHED
+    }
 
     final Run run;
     public final int tier;
@@ -82,25 +90,27 @@
     private final double meanWork;
     private long countedTo;
 
-    private final Task completion = new Task() {
-        @Override
-        protected void run() {
-            advance();
-            complete();
-            settle();
-        }
-    };
-
-    private final Task warming = new Task() {
-        @Override
-        protected void run() {
-            advance();
-            settle();
-            if (state == State.UP && run.agenda.now() < warmAt) {
-                run.agenda.at(Math.min(warmAt, run.agenda.now() + WARMING_STEP), this);
-            }
-        }
-    };
+    private final Task completion =
+            new Task() {
+                @Override
+                protected void run() {
+                    advance();
+                    complete();
+                    settle();
+                }
+            };
+
+    private final Task warming =
+            new Task() {
+                @Override
+                protected void run() {
+                    advance();
+                    settle();
+                    if (state == State.UP && run.agenda.now() < warmAt) {
+                        run.agenda.at(Math.min(warmAt, run.agenda.now() + WARMING_STEP), this);
+                    }
+                }
+            };
 
     private final Reports reports;
     private final ChokeWatch choke;
@@ -187,8 +197,8 @@
     }
 
     /**
-     * Requests that press on it beyond one for each core: those that it holds, whatever they wait for, and
-     * those that it has declined and would not yet have come to in a queue without end.
+     * Requests that press on it beyond one for each core: those that it holds, whatever they wait
+     * for, and those that it has declined and would not yet have come to in a queue without end.
      */
     double waiting() {
         return holds - kind.cores() + declinedWork / meanWork;
@@ -212,8 +222,13 @@
     }
 
     private double progressNow() {
-        return progress + perRequest * Math.max(0, run.agenda.now() - countedTo
-                - (capacity > 0 ? urgent / capacity : 0));
+        return progress
+                + perRequest
+                        * Math.max(
+                                0,
+                                run.agenda.now()
+                                        - countedTo
+                                        - (capacity > 0 ? urgent / capacity : 0));
     }
 
     // ---- the clock of its cores ----
@@ -237,8 +252,9 @@
         double busy = 0;
         int used = Math.min(actives, kind.cores());
         if (declinedWork > 0) {
-            declinedWork = Math.max(0, declinedWork
-                    - passed * (capacity - capacity / kind.cores() * used));
+            declinedWork =
+                    Math.max(
+                            0, declinedWork - passed * (capacity - capacity / kind.cores() * used));
         }
         if (urgent > 0 && capacity > 0) {
             double time = Math.min(left, urgent / capacity);
@@ -259,13 +275,20 @@
     private double perCore(long now) {
         double warm = 1;
         if (now < warmAt) {
-            warm = kind.coldFrom()
-                    + (1 - kind.coldFrom()) * (now - startedAt) / (double) (warmAt - startedAt);
+            warm =
+                    kind.coldFrom()
+                            + (1 - kind.coldFrom())
+                                    * (now - startedAt)
+                                    / (double) (warmAt - startedAt);
         }
         double crowd = Math.max(0, (double) holds / kind.cores() - kind.thrashAt());
         double table = Math.min(1, connections / (drawn.connections() * kind.cores()));
-        return machine.speed() * warm / slow / (choke == null ? 1 : choke.slower())
-                / (1 + kind.thrash() * crowd) * (1 - drawn.fullTax() * table);
+        return machine.speed()
+                * warm
+                / slow
+                / (choke == null ? 1 : choke.slower())
+                / (1 + kind.thrash() * crowd)
+                * (1 - drawn.fullTax() * table);
     }
 
     /** Works out what it does from now on, and when the next part of work is done. */
@@ -517,7 +540,7 @@
         run.agenda.at(startedAt + WARMING_STEP, warming);
         run.changed(this);
         if (proxy != null) {
-            proxy.start(() -> { });
+            proxy.start(() -> {});
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/Probe.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Probe.java
@@ -10,15 +10,16 @@
     private Outcome result = Outcome.TIMEOUT;
     private Load load;
 
-    private final Task patience = new Task() {
-        @Override
-        protected void run() {
-            if (!over && proxy.alive) {
-                giveUp();
-                proxy.probed(Probe.this, Outcome.TIMEOUT, null);
-            }
-        }
-    };
+    private final Task patience =
+            new Task() {
+                @Override
+                protected void run() {
+                    if (!over && proxy.alive) {
+                        giveUp();
+                        proxy.probed(Probe.this, Outcome.TIMEOUT, null);
+                    }
+                }
+            };
 
     Probe(Run run, Life proxy, Channel channel) {
         super(run, proxy, channel);
--- a/lab/src/main/java/cedarrudder/lab/model/Proxy.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Proxy.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A proxy over the whole run, as the world round it sees it: it may die and come back. The model plays its
- * inside in virtual time; the emulator puts a process in its place.
+ * A proxy over the whole run, as the world round it sees it: it may die and come back. The model
+ * plays its inside in virtual time; the emulator puts a process in its place.
  */
 public abstract class Proxy {
 
@@ -46,10 +46,11 @@
     protected abstract Pending take(Caller caller, Try what);
 
     /**
-     * Tells its decisions which part of its calls each zone may get; without effect where it is down, and at
-     * a process, which has it from the other processes. Its next life knows nothing of it.
+     * Tells its decisions which part of its calls each zone may get; without effect where it is
+     * down, and at a process, which has it from the other processes. Its next life knows nothing of
+     * it.
      */
-    public void shares(List<ZoneShare> shares) { }
+    public void shares(List<ZoneShare> shares) {}
 
     /** Discovery is back, and tells those again that it tells unasked. */
     protected abstract void tellAgain();
--- a/lab/src/main/java/cedarrudder/lab/model/Reports.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Reports.java
@@ -3,11 +3,12 @@
 import cedarrudder.Balancer.Load;
 
 /**
- * A node's reports of its load: taken at the ends of periods, each figure off by an error of chance, and read
- * some time later.
+ * A node's reports of its load: taken at the ends of periods, each figure off by an error of
+ * chance, and read some time later.
  *
- * <p>What is reported: the mean time that recent requests had the cores for themselves, without waiting
- * (exponentially weighted); requests held; the share of the cores in use (smoothed over a second).
+ * <p>What is reported: the mean time that recent requests had the cores for themselves, without
+ * waiting (exponentially weighted); requests held; the share of the cores in use (smoothed over a
+ * second).
  */
 final class Reports {
 
@@ -26,6 +27,7 @@
 
     /** The latest reports, the newest at {@code refreshes - 1} modulo their number. */
     private final double[] latencies;
+
     private final double[] inFlights;
     private final double[] uses;
     private long refreshes;
@@ -40,7 +42,8 @@
     Reports(Node node, Run run) {
         this.node = node;
         this.run = run;
-        this.seed = run.streams.seedOf(Streams.Concern.REPORTS, (long) node.tier << 32 | node.index);
+        this.seed =
+                run.streams.seedOf(Streams.Concern.REPORTS, (long) node.tier << 32 | node.index);
         this.period = node.drawn.reportPeriod();
         this.phase = (long) (Mix.unit(seed) * period);
         this.kept = StrictMath.exp(-period / USE_NANOS);
@@ -85,11 +88,16 @@
         return Math.max(0, figure * (1 + error));
     }
 
-    /** The report that a probe finds now: the newest that has been on its way for long enough; or null. */
+    /**
+     * The report that a probe finds now: the newest that has been on its way for long enough; or
+     * null.
+     */
     Load sent(long now) {
         long age = now - (due - period);
-        long back = age >= node.drawn.reportDelay() ? 0
-                : (node.drawn.reportDelay() - age + period - 1) / period;
+        long back =
+                age >= node.drawn.reportDelay()
+                        ? 0
+                        : (node.drawn.reportDelay() - age + period - 1) / period;
         if (refreshes == 0) {
             return null;
         }
--- a/lab/src/main/java/cedarrudder/lab/model/Run.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Run.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * One run: its world, its clock and all that lives in it, but for the inside of proxies, which a cast brings:
- * modelled ones in virtual time, or processes. One thread uses it.
+ * One run: its world, its clock and all that lives in it, but for the inside of proxies, which a
+ * cast brings: modelled ones in virtual time, or processes. One thread uses it.
  */
 public final class Run {
 
@@ -26,7 +26,10 @@
 
     private static final long SECOND = 1_000_000_000L;
 
-    /** After the last arrival's last deadline a run goes on for so long, so that late answers are seen. */
+    /**
+     * After the last arrival's last deadline a run goes on for so long, so that late answers are
+     * seen.
+     */
     private static final long AFTERMATH = SECOND;
 
     /** How often the thread that watches over a run is told how far it has come, in events. */
@@ -42,6 +45,7 @@
 
     /** When it is over. */
     public final long until;
+
     public final Agenda agenda;
     public final Network network;
     public final Ledger ledger;
@@ -69,7 +73,8 @@
      * Draws the world of a run; nothing happens yet.
      *
      * @param variant what results call who decides
-     * @param now the instant of the agenda's clock, no later than {@link Model#START}, when the run begins
+     * @param now the instant of the agenda's clock, no later than {@link Model#START}, when the run
+     *     begins
      */
     public Run(Scenario scenario, long seed, String variant, Trace trace, long now, Cast cast) {
         this.scenario = scenario;
@@ -99,7 +104,9 @@
         }
     }
 
-    /** Puts everything in its place and starts the proxies; arrivals come from the run's start on. */
+    /**
+     * Puts everything in its place and starts the proxies; arrivals come from the run's start on.
+     */
     public void begin() {
         build();
         Arrivals arrivals = new Arrivals(this);
@@ -128,16 +135,17 @@
         return ledger.result(faults.bands(), finding);
     }
 
-    private final Task seconds = new Task() {
-        @Override
-        protected void run() {
-            int ended = (int) ((agenda.now() - start) / SECOND) - 1;
-            ledger.endOfSecond(ended, inFlight);
-            if (agenda.now() + SECOND <= until) {
-                agenda.at(agenda.now() + SECOND, this);
-            }
-        }
-    };
+    private final Task seconds =
+            new Task() {
+                @Override
+                protected void run() {
+                    int ended = (int) ((agenda.now() - start) / SECOND) - 1;
+                    ledger.endOfSecond(ended, inFlight);
+                    if (agenda.now() + SECOND <= until) {
+                        agenda.at(agenda.now() + SECOND, this);
+                    }
+                }
+            };
 
     private void build() {
         for (List<Node> ofTier : nodes) {
@@ -165,7 +173,7 @@
             proxy.start(() -> front.take(proxy));
         }
         for (List<Proxy> ofTier : proxies.subList(1, proxies.size())) {
-            ofTier.forEach(proxy -> proxy.start(() -> { }));
+            ofTier.forEach(proxy -> proxy.start(() -> {}));
         }
         faults.schedule();
     }
--- a/lab/src/main/java/cedarrudder/lab/model/Streams.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Streams.java
@@ -4,15 +4,24 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * The sources of random numbers of a run, one for each concern, all from the run's seed. Two variants of one
- * seed take the same numbers from those of the world, the arrivals and the faults, whatever they do: runs
- * stay paired.
+ * The sources of random numbers of a run, one for each concern, all from the run's seed. Two
+ * variants of one seed take the same numbers from those of the world, the arrivals and the faults,
+ * whatever they do: runs stay paired.
  */
 public final class Streams {
 
     /** What a source is for. The order is part of what a seed means. */
     public enum Concern {
-        WORLD, MACHINE, ARRIVALS, FAULTS, NETWORK, REPORTS, DISCOVERY, PEERS, REQUESTS, MODULE
+        WORLD,
+        MACHINE,
+        ARRIVALS,
+        FAULTS,
+        NETWORK,
+        REPORTS,
+        DISCOVERY,
+        PEERS,
+        REQUESTS,
+        MODULE
     }
 
     private static final RandomGeneratorFactory<RandomGenerator> ALGORITHM =
--- a/lab/src/main/java/cedarrudder/lab/model/TierTruth.java
+++ b/lab/src/main/java/cedarrudder/lab/model/TierTruth.java
@@ -3,7 +3,10 @@
 import cedarrudder.lab.policy.Truth;
 import java.util.List;
 
-/** The true state of a tier's nodes. A machine that has been replaced, or was never there, takes nothing. */
+/**
+ * The true state of a tier's nodes. A machine that has been replaced, or was never there, takes
+ * nothing.
+ */
 final class TierTruth implements Truth {
 
     private final List<Node> nodes;
--- a/lab/src/main/java/cedarrudder/lab/model/Try.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Try.java
@@ -14,18 +14,38 @@
  * @param said what the caller says of budgets, and whether it says how long it waits
  * @param local whether the caller is the node that the proxy stands beside
  */
-public record Try(int classIndex, int tenant, double work, long hint, long key, boolean repeat, long seed,
-        long deadline, Carried said, boolean local) {
+public record Try(
+        int classIndex,
+        int tenant,
+        double work,
+        long hint,
+        long key,
+        boolean repeat,
+        long seed,
+        long deadline,
+        Carried said,
+        boolean local) {
 
     /**
-     * A node's call to the next tier: a request of the same class with work of its own. Where clients give
-     * hints, nodes do, and theirs are exact.
+     * A node's call to the next tier: a request of the same class with work of its own. Where
+     * clients give hints, nodes do, and theirs are exact.
      */
     static Try below(World world, int tier, Try above, long seed, long deadline, Carried said) {
         double work = world.classes.get(above.classIndex).drawn(Mix.of(seed, -5));
-        long hint = above.hint == 0 ? 0
-                : Math.max(1, (long) (work * world.tiers.get(tier).workShare()));
-        return new Try(above.classIndex, above.tenant, work, hint, above.key, false, seed, deadline, said,
+        long hint =
+                above.hint == 0
+                        ? 0
+                        : Math.max(1, (long) (work * world.tiers.get(tier).workShare()));
+        return new Try(
+                above.classIndex,
+                above.tenant,
+                work,
+                hint,
+                above.key,
+                false,
+                seed,
+                deadline,
+                said,
                 true);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Unheard.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Unheard.java
@@ -10,39 +10,47 @@
 public final class Unheard implements Trace {
 
     @Override
-    public void proxyStarted(long now, int proxy, int tier) { }
+    public void proxyStarted(long now, int proxy, int tier) {}
 
     @Override
-    public void proxyDied(long now, int proxy) { }
+    public void proxyDied(long now, int proxy) {}
 
     @Override
-    public void told(long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) { }
+    public void told(
+            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {}
 
     @Override
-    public void toldWhole(long now, int proxy) { }
+    public void toldWhole(long now, int proxy) {}
 
     @Override
-    public void taken(long now, int proxy, long rpc, Effect effect, KeyScope scope, long repeatWindow,
-            long deadline) { }
+    public void taken(
+            long now,
+            int proxy,
+            long rpc,
+            Effect effect,
+            KeyScope scope,
+            long repeatWindow,
+            long deadline) {}
 
     @Override
-    public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) { }
+    public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {}
 
     @Override
-    public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) { }
+    public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) {}
 
     @Override
-    public void reached(long now, int proxy, long rpc, int attempt, long endpoint) { }
+    public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {}
 
     @Override
-    public void answered(long now, int proxy, long rpc, Final how, int attempt) { }
+    public void answered(long now, int proxy, long rpc, Final how, int attempt) {}
 
     @Override
-    public void callerLeft(long now, int proxy, long rpc) { }
+    public void callerLeft(long now, int proxy, long rpc) {}
 
     @Override
-    public void nodeStarted(long now, long endpoint, double capacity, double coldShare, long warmAt) { }
+    public void nodeStarted(
+            long now, long endpoint, double capacity, double coldShare, long warmAt) {}
 
     @Override
-    public void nodeEnded(long now, long endpoint) { }
+    public void nodeEnded(long now, long endpoint) {}
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Watched.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Watched.java
@@ -5,8 +5,8 @@
 import java.util.function.Function;
 
 /**
- * A balancer under watch: what it throws, and what it does past the bounds, ends the run with a finding.
- * Stands between the driver and the balancer, and counts outcomes there.
+ * A balancer under watch: what it throws, and what it does past the bounds, ends the run with a
+ * finding. Stands between the driver and the balancer, and counts outcomes there.
  */
 final class Watched implements Balancer {
 
@@ -76,8 +76,12 @@
         }
         if (!(fault instanceof Enough)) {
             StackTraceElement[] trace = fault.getStackTrace();
-            run.end("the balancer of proxy " + proxy + " threw " + fault
-                    + (trace.length > 0 ? " at " + trace[0] : ""));
+            run.end(
+                    "the balancer of proxy "
+                            + proxy
+                            + " threw "
+                            + fault
+                            + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
@@ -109,13 +113,23 @@
     }
 
     @Override
-    public void outcome(long at, long request, int attempt, long endpoint, Outcome outcome, long latency,
-            boolean settled, Load load) {
+    public void outcome(
+            long at,
+            long request,
+            int attempt,
+            long endpoint,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            Load load) {
         counts.outcomes[outcome.ordinal()]++;
         if (outcome != Outcome.OK) {
             run.trace.ended(at, proxy, request, attempt, outcome);
         }
-        event(() -> balancer.outcome(at, request, attempt, endpoint, outcome, latency, settled, load));
+        event(
+                () ->
+                        balancer.outcome(
+                                at, request, attempt, endpoint, outcome, latency, settled, load));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/model/World.java
+++ b/lab/src/main/java/cedarrudder/lab/model/World.java
@@ -8,23 +8,42 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** The world of one run: every figure of a scenario, drawn. It follows from scenario and seed alone. */
+/**
+ * The world of one run: every figure of a scenario, drawn. It follows from scenario and seed alone.
+ */
 public final class World {
 
     /** A machine draws no less than this share of its kind's mean speed. */
     private static final double SLOWEST = 0.2;
 
     /** A kind as drawn. */
-    public record Kind(String name, int cores, double speed, double spread, int slots, int queue,
-            double thrash, double thrashAt, double coldFrom, long coldTime, double errorRate,
-            boolean stopsCancelled, boolean dropsExpired) { }
+    public record Kind(
+            String name,
+            int cores,
+            double speed,
+            double spread,
+            int slots,
+            int queue,
+            double thrash,
+            double thrashAt,
+            double coldFrom,
+            long coldTime,
+            double errorRate,
+            boolean stopsCancelled,
+            boolean dropsExpired) {}
 
     /** A machine as drawn. */
-    public record Machine(int kind, double speed, int zone, int cell) { }
+    public record Machine(int kind, double speed, int zone, int cell) {}
 
     /** What overdriving does, as drawn. */
-    public record Choking(double at, long over, double slower, long rest, double below, long most,
-            double price) { }
+    public record Choking(
+            double at,
+            long over,
+            double slower,
+            long rest,
+            double below,
+            long most,
+            double price) {}
 
     /**
      * A tier as drawn.
@@ -33,30 +52,52 @@
      * @param calls calls to the next tier that a request makes here on average
      * @param visits requests that come here for each of a client
      */
-    public record Tier(String name, int copies, double workShare, double calls, double visits,
-            boolean passesDeadline, List<Kind> kinds, List<Machine> machines, long reportPeriod,
-            long reportDelay, double reportNoise, double handshakeTrips, long handshakeWork, long idle,
-            long connectTimeout, double connections, double fullTax, long probeWork, double probesPerSecond,
-            long probeTimeout, Choking choking) { }
+    public record Tier(
+            String name,
+            int copies,
+            double workShare,
+            double calls,
+            double visits,
+            boolean passesDeadline,
+            List<Kind> kinds,
+            List<Machine> machines,
+            long reportPeriod,
+            long reportDelay,
+            double reportNoise,
+            double handshakeTrips,
+            long handshakeWork,
+            long idle,
+            long connectTimeout,
+            double connections,
+            double fullTax,
+            long probeWork,
+            double probesPerSecond,
+            long probeTimeout,
+            Choking choking) {}
 
     /** A class as drawn. */
-    public record Kinded(double share, double work, Scenario.Spread spread, double cv, double attemptNoise) {
+    public record Kinded(
+            double share, double work, Scenario.Spread spread, double cv, double attemptNoise) {
 
         /** The work of one request over all tiers, in nanoseconds, by chance as the bits say. */
         double drawn(long bits) {
-            return work * switch (spread) {
-                case FIXED -> 1;
-                case EXPONENTIAL -> -StrictMath.log(1 - Mix.unit(bits));
-                case LOGNORMAL -> {
-                    double variance = StrictMath.log(1 + cv * cv);
-                    yield StrictMath.exp(Math.sqrt(variance) * Mix.normal(bits) - variance / 2);
-                }
-                case PARETO -> {
-                    // The shape that has this coefficient of variation.
-                    double alpha = 1 + Math.sqrt(1 + 1 / (cv * cv));
-                    yield (alpha - 1) / alpha * StrictMath.pow(1 - Mix.unit(bits), -1 / alpha);
-                }
-            };
+            return work
+                    * switch (spread) {
+                        case FIXED -> 1;
+                        case EXPONENTIAL -> -StrictMath.log(1 - Mix.unit(bits));
+                        case LOGNORMAL -> {
+                            double variance = StrictMath.log(1 + cv * cv);
+                            yield StrictMath.exp(
+                                    Math.sqrt(variance) * Mix.normal(bits) - variance / 2);
+                        }
+                        case PARETO -> {
+                            // The shape that has this coefficient of variation.
+                            double alpha = 1 + Math.sqrt(1 + 1 / (cv * cv));
+                            yield (alpha - 1)
+                                    / alpha
+                                    * StrictMath.pow(1 - Mix.unit(bits), -1 / alpha);
+                        }
+                    };
         }
     }
 
@@ -143,14 +184,24 @@
         double sum = 0;
         List<Kinded> raw = new ArrayList<>();
         for (Scenario.RequestKind kind : scenario.classes()) {
-            Kinded drawn = new Kinded(kind.share().draw(random), kind.work().draw(random), kind.spread(),
-                    drawn(kind.cv(), random), drawn(kind.attemptNoise(), random));
+            Kinded drawn =
+                    new Kinded(
+                            kind.share().draw(random),
+                            kind.work().draw(random),
+                            kind.spread(),
+                            drawn(kind.cv(), random),
+                            drawn(kind.attemptNoise(), random));
             sum += drawn.share();
             raw.add(drawn);
         }
         for (Kinded kind : raw) {
-            classes.add(new Kinded(kind.share() / sum, kind.work(), kind.spread(), kind.cv(),
-                    kind.attemptNoise()));
+            classes.add(
+                    new Kinded(
+                            kind.share() / sum,
+                            kind.work(),
+                            kind.spread(),
+                            kind.cv(),
+                            kind.attemptNoise()));
         }
     }
 
@@ -162,7 +213,8 @@
         int nodes = (int) Math.max(1, Math.round(drawnNodes * relativeTo));
         int proxies = (int) Math.max(1, Math.round(drawn(tier.proxies(), random)));
         double calls = index + 1 == scenario.tiers().size() ? 0 : drawn(tier.calls(), random);
-        double visits = index == 0 ? 1 : tiers.get(index - 1).visits() * tiers.get(index - 1).calls();
+        double visits =
+                index == 0 ? 1 : tiers.get(index - 1).visits() * tiers.get(index - 1).calls();
         int cellSize = (int) Math.max(1, Math.round(drawn(tier.cellSize(), random)));
         boolean passes = random.nextDouble() < tier.passesDeadline();
         List<Kind> kinds = new ArrayList<>();
@@ -185,14 +237,28 @@
         Scenario.Connections connections = tier.connections();
         Scenario.Probing probing = tier.probing();
         Scenario.Report report = tier.report();
-        return new Tier(tier.name(), index == 0 ? proxies : tiers.get(index - 1).machines().size(),
-                tier.workShare(), calls, visits, passes, List.copyOf(kinds), List.copyOf(machines),
-                (long) Math.max(1e6, report.period().draw(random)), (long) report.delay().draw(random),
-                report.noise().draw(random), connections.handshakeTrips().draw(random),
-                (long) connections.handshakeWork().draw(random), connections.idle(),
-                connections.connectTimeout(), connections.capPerCore().draw(random),
-                connections.fullTax().draw(random), (long) probing.work().draw(random),
-                probing.capPerCore().draw(random), probing.timeout(), choking(tier.choke(), random));
+        return new Tier(
+                tier.name(),
+                index == 0 ? proxies : tiers.get(index - 1).machines().size(),
+                tier.workShare(),
+                calls,
+                visits,
+                passes,
+                List.copyOf(kinds),
+                List.copyOf(machines),
+                (long) Math.max(1e6, report.period().draw(random)),
+                (long) report.delay().draw(random),
+                report.noise().draw(random),
+                connections.handshakeTrips().draw(random),
+                (long) connections.handshakeWork().draw(random),
+                connections.idle(),
+                connections.connectTimeout(),
+                connections.capPerCore().draw(random),
+                connections.fullTax().draw(random),
+                (long) probing.work().draw(random),
+                probing.capPerCore().draw(random),
+                probing.timeout(),
+                choking(tier.choke(), random));
     }
 
     private static Kind draw(Scenario.Kind kind, RandomGenerator random) {
@@ -205,17 +271,34 @@
         double coldFrom = kind.coldFrom().draw(random);
         long coldTime = (long) kind.coldTime().draw(random);
         double errorRate = drawn(kind.errorRate(), random);
-        return new Kind(kind.name(), kind.cores(), speed, spread, slots, queue, thrash, thrashAt, coldFrom,
-                coldTime, errorRate, kind.stopsCancelled(), random.nextDouble() < kind.dropsExpired());
+        return new Kind(
+                kind.name(),
+                kind.cores(),
+                speed,
+                spread,
+                slots,
+                queue,
+                thrash,
+                thrashAt,
+                coldFrom,
+                coldTime,
+                errorRate,
+                kind.stopsCancelled(),
+                random.nextDouble() < kind.dropsExpired());
     }
 
     private static Choking choking(Scenario.Choke choke, RandomGenerator random) {
         if (choke == null || random.nextDouble() >= choke.chance()) {
             return null;
         }
-        return new Choking(choke.at().draw(random), (long) choke.over().draw(random),
-                Math.max(1, choke.slower().draw(random)), (long) choke.rest().draw(random),
-                choke.below().draw(random), (long) choke.most().draw(random), choke.price());
+        return new Choking(
+                choke.at().draw(random),
+                (long) choke.over().draw(random),
+                Math.max(1, choke.slower().draw(random)),
+                (long) choke.rest().draw(random),
+                choke.below().draw(random),
+                (long) choke.most().draw(random),
+                choke.price());
     }
 
     /** Deals kinds to nodes by their shares, largest remainders first, in an order of chance. */
@@ -263,7 +346,10 @@
         return work;
     }
 
-    /** What the tiers behind the first do for a client's request on average, as a multiple of mean work. */
+    /**
+     * What the tiers behind the first do for a client's request on average, as a multiple of mean
+     * work.
+     */
     double shareBehind() {
         double share = 0;
         for (Tier tier : tiers.subList(1, tiers.size())) {
@@ -292,8 +378,17 @@
         Tier tier = tiers.get(index);
         List<Balancer.RequestClass> kinds = new ArrayList<>();
         for (Scenario.RequestKind kind : scenario.classes()) {
-            kinds.add(new Balancer.RequestClass(kind.name(), kind.effect(), kind.keyScope(), kind.aim(),
-                    kind.deadline(), kind.worth(), kind.lateWorth(), kind.repeatWindow(), false));
+            kinds.add(
+                    new Balancer.RequestClass(
+                            kind.name(),
+                            kind.effect(),
+                            kind.keyScope(),
+                            kind.aim(),
+                            kind.deadline(),
+                            kind.worth(),
+                            kind.lateWorth(),
+                            kind.repeatWindow(),
+                            false));
         }
         List<Balancer.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < quotas.length; i++) {
@@ -309,15 +404,38 @@
         Scenario.Allowed allowed = scenario.allowed();
         Scenario.Rules rules = scenario.rules();
         Scenario.Goal goal = scenario.goal();
-        return new Balancer.Settings(tier.copies(), self, zone, index, tiers.size(),
-                scenario.discovery().ask(), List.copyOf(kinds), List.copyOf(tenants),
-                new Balancer.Limits(allowed.probes(), allowed.cancel(), allowed.secondCopies(),
-                        allowed.retryAfter(), allowed.attempts(), scenario.clients().mostRetryAfter(),
-                        tier.connectTimeout(), tier.idle()),
-                new Balancer.Safety(rules.drainGrace(), coldShare, (long) rampTime, rules.fallMultiple(),
-                        rules.fallWindow(), scenario.discovery().askWithin()),
-                new Balancer.Goal(goal.whole(), goal.worstWindow(), goal.worstClass(), goal.worstTenant(),
-                        goal.overShareWorth(), true),
+        return new Balancer.Settings(
+                tier.copies(),
+                self,
+                zone,
+                index,
+                tiers.size(),
+                scenario.discovery().ask(),
+                List.copyOf(kinds),
+                List.copyOf(tenants),
+                new Balancer.Limits(
+                        allowed.probes(),
+                        allowed.cancel(),
+                        allowed.secondCopies(),
+                        allowed.retryAfter(),
+                        allowed.attempts(),
+                        scenario.clients().mostRetryAfter(),
+                        tier.connectTimeout(),
+                        tier.idle()),
+                new Balancer.Safety(
+                        rules.drainGrace(),
+                        coldShare,
+                        (long) rampTime,
+                        rules.fallMultiple(),
+                        rules.fallWindow(),
+                        scenario.discovery().askWithin()),
+                new Balancer.Goal(
+                        goal.whole(),
+                        goal.worstWindow(),
+                        goal.worstClass(),
+                        goal.worstTenant(),
+                        goal.overShareWorth(),
+                        true),
                 new Balancer.Prices(scenario.prices().probe(), 0));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Worth.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Worth.java
@@ -6,16 +6,26 @@
 /**
  * Worth asked for and served, by second, tenant and class, in which tenants have shares.
  *
- * <p>What a tenant is served in a second counts whole up to its quota, a quota's worth being that of so many
- * mean requests; what is served beyond that counts little. So does what it asked for beyond its quota: first
- * what it was served stands for its share, then the rest. So a tenant over its share loses nothing by what
- * had to be turned away of it, whichever requests these were.
+ * <p>What a tenant is served in a second counts whole up to its quota, a quota's worth being that
+ * of so many mean requests; what is served beyond that counts little. So does what it asked for
+ * beyond its quota: first what it was served stands for its share, then the rest. So a tenant over
+ * its share loses nothing by what had to be turned away of it, whichever requests these were.
  */
 final class Worth {
 
-    /** What it comes to. Arrays are by second, by class and by tenant (of a tenant: within its share). */
-    record Sum(double asked, double served, double[] askedIn, double[] servedIn, double[] askedOfClass,
-            double[] servedOfClass, double[] askedOfTenant, double[] servedOfTenant) { }
+    /**
+     * What it comes to. Arrays are by second, by class and by tenant (of a tenant: within its
+     * share).
+     */
+    record Sum(
+            double asked,
+            double served,
+            double[] askedIn,
+            double[] servedIn,
+            double[] askedOfClass,
+            double[] servedOfClass,
+            double[] askedOfTenant,
+            double[] servedOfTenant) {}
 
     private final int seconds;
     private final int tenants;
@@ -75,15 +85,29 @@
     }
 
     Sum sum() {
-        Sum sum = new Sum(0, 0, new double[seconds], new double[seconds], new double[classes],
-                new double[classes], new double[tenants], new double[tenants]);
+        Sum sum =
+                new Sum(
+                        0,
+                        0,
+                        new double[seconds],
+                        new double[seconds],
+                        new double[classes],
+                        new double[classes],
+                        new double[tenants],
+                        new double[tenants]);
         for (int second = 0; second < seconds; second++) {
             for (int tenant = 0; tenant < tenants; tenant++) {
                 add(second, tenant, sum);
             }
         }
-        return new Sum(Arrays.stream(sum.askedIn()).sum(), Arrays.stream(sum.servedIn()).sum(), sum.askedIn(),
-                sum.servedIn(), sum.askedOfClass(), sum.servedOfClass(), sum.askedOfTenant(),
+        return new Sum(
+                Arrays.stream(sum.askedIn()).sum(),
+                Arrays.stream(sum.servedIn()).sum(),
+                sum.askedIn(),
+                sum.servedIn(),
+                sum.askedOfClass(),
+                sum.servedOfClass(),
+                sum.askedOfTenant(),
                 sum.servedOfTenant());
     }
 
--- a/lab/src/main/java/cedarrudder/lab/policy/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/policy/Policy.java
@@ -15,7 +15,10 @@
      * @param random the balancer's own source of random numbers
      * @param truth the true state of the tier it sends to; for bounds only
      */
-    Balancer create(Balancer.Settings settings, RandomGenerator random, Balancer.Actions actions,
+    Balancer create(
+            Balancer.Settings settings,
+            RandomGenerator random,
+            Balancer.Actions actions,
             Truth truth);
 
     /** The budgets that its proxies have beside it; null: none. */
--- a/lab/src/main/java/cedarrudder/lab/policy/TierBudgets.java
+++ b/lab/src/main/java/cedarrudder/lab/policy/TierBudgets.java
@@ -8,7 +8,8 @@
 /**
  * The budgets of a run, at all of its tiers, and where the mix of old and new has none.
  *
- * @param settings as the operator's file has them; in paths each tier has its own name, whatever they say
+ * @param settings as the operator's file has them; in paths each tier has its own name, whatever
+ *     they say
  * @param strips tiers whose nodes pass on none of the fields, neither down nor up
  * @param old tiers whose proxies know nothing of budgets, and pass the fields on as they are
  */
@@ -27,12 +28,23 @@
 
     /** The settings of the proxies to a tier; null where they have no budgets. */
     public BudgetSettings of(String tier) {
-        return old.contains(tier) ? null : new BudgetSettings(HopPath.hopOf(tier), settings.tries(),
-                settings.triesWithoutFields(), settings.keep(), settings.share(), settings.leastPerSecond(),
-                settings.window(), settings.mostHops(), settings.leastAdmitted());
+        return old.contains(tier)
+                ? null
+                : new BudgetSettings(
+                        HopPath.hopOf(tier),
+                        settings.tries(),
+                        settings.triesWithoutFields(),
+                        settings.keep(),
+                        settings.share(),
+                        settings.leastPerSecond(),
+                        settings.window(),
+                        settings.mostHops(),
+                        settings.leastAdmitted());
     }
 
-    /** What is wrong with them for a platform of these tiers, a line each; empty where nothing is. */
+    /**
+     * What is wrong with them for a platform of these tiers, a line each; empty where nothing is.
+     */
     public List<String> wrongFor(List<String> tiers) {
         List<String> wrong = new ArrayList<>();
         List<String> named = new ArrayList<>(strips);
@@ -43,8 +55,12 @@
             }
         }
         if (settings.mostHops() < tiers.size()) {
-            wrong.add("path_most = " + settings.mostHops() + " with " + tiers.size()
-                    + " tiers: each call of the last would be taken for a loop");
+            wrong.add(
+                    "path_most = "
+                            + settings.mostHops()
+                            + " with "
+                            + tiers.size()
+                            + " tiers: each call of the last would be taken for a loop");
         }
         return wrong;
     }
@@ -55,7 +71,11 @@
         BudgetSettings usual = BudgetSettings.of(settings.hop());
         StringBuilder text = new StringBuilder("budget");
         add(text, "tries", settings.tries(), usual.tries());
-        add(text, "tries_without_fields", settings.triesWithoutFields(), usual.triesWithoutFields());
+        add(
+                text,
+                "tries_without_fields",
+                settings.triesWithoutFields(),
+                usual.triesWithoutFields());
         add(text, "keep_tries", settings.keep(), usual.keep());
         add(text, "retry_share", settings.share(), usual.share());
         add(text, "retry_least_per_s", settings.leastPerSecond(), usual.leastPerSecond());
--- a/lab/src/main/java/cedarrudder/lab/referee/ColdNode.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ColdNode.java
@@ -1,14 +1,15 @@
 package cedarrudder.lab.referee;
 
 /**
- * The work that was sent to a node since its last start, as long as it is cold: the last window of it, and
- * how much of that came from proxies that knew of the start.
+ * The work that was sent to a node since its last start, as long as it is cold: the last window of
+ * it, and how much of that came from proxies that knew of the start.
  */
 final class ColdNode {
 
     /**
-     * A node that ends after more than this share of the budget was sent to it has been pushed over. Less
-     * than all, since connections and a crowd take a part of what it can do, which is not to be seen.
+     * A node that ends after more than this share of the budget was sent to it has been pushed
+     * over. Less than all, since connections and a crowd take a part of what it can do, which is
+     * not to be seen.
      */
     private static final double FELL = 0.8;
 
@@ -16,6 +17,7 @@
 
     /** The proxy and the RPC of what was sent last. */
     int lastProxy;
+
     long lastRpc;
 
     private final long warmAt;
@@ -34,7 +36,13 @@
     private boolean pushedOver;
 
     /** Capacity is in cores of speed 1, times in nanoseconds. */
-    ColdNode(long startedAt, long warmAt, double capacity, double coldShare, double multiple, long window) {
+    ColdNode(
+            long startedAt,
+            long warmAt,
+            double capacity,
+            double coldShare,
+            double multiple,
+            long window) {
         this.startedAt = startedAt;
         this.warmAt = warmAt;
         this.capacity = capacity;
@@ -54,8 +62,9 @@
     }
 
     /**
-     * Counts work, and tells whether it pushes the node over: the window that ends now holds more than the
-     * budget besides its heaviest attempt, and two thirds of it came from proxies that knew. Tells so once.
+     * Counts work, and tells whether it pushes the node over: the window that ends now holds more
+     * than the budget besides its heaviest attempt, and two thirds of it came from proxies that
+     * knew. Tells so once.
      */
     boolean sent(long now, double work, boolean proxyKnew) {
         while (size > 0 && times[first] <= now - window) {
@@ -88,7 +97,8 @@
 
     private boolean pushed(long now, double share) {
         double budget = share * multiple * capacityAt(now) * window;
-        boolean over = !pushedOver && sum > budget && sumKnew * 3 >= sum * 2 && sum > budget + heaviest();
+        boolean over =
+                !pushedOver && sum > budget && sumKnew * 3 >= sum * 2 && sum > budget + heaviest();
         pushedOver |= over;
         return over;
     }
--- a/lab/src/main/java/cedarrudder/lab/referee/Dates.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/Dates.java
@@ -2,7 +2,9 @@
 
 import java.util.Arrays;
 
-/** A heap of instants, each with a number: gives them back by time, those of one instant by number. */
+/**
+ * A heap of instants, each with a number: gives them back by time, those of one instant by number.
+ */
 final class Dates {
     private long[] times = new long[64];
     private long[] numbers = new long[64];
--- a/lab/src/main/java/cedarrudder/lab/referee/Figures.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/Figures.java
@@ -12,13 +12,23 @@
  * @param secondCopies whether two attempts of an RPC may be out at once
  * @param attempts of one RPC at the most
  */
-public record Figures(long answerGrace, long drainGrace, double fallMultiple, long fallWindow,
-        boolean secondCopies, int attempts) {
+public record Figures(
+        long answerGrace,
+        long drainGrace,
+        double fallMultiple,
+        long fallWindow,
+        boolean secondCopies,
+        int attempts) {
 
     /** Those of a scenario. */
     public static Figures of(Scenario scenario) {
         Scenario.Rules rules = scenario.rules();
-        return new Figures(rules.answerGrace(), rules.drainGrace(), rules.fallMultiple(), rules.fallWindow(),
-                scenario.allowed().secondCopies(), scenario.allowed().attempts());
+        return new Figures(
+                rules.answerGrace(),
+                rules.drainGrace(),
+                rules.fallMultiple(),
+                rules.fallWindow(),
+                scenario.allowed().secondCopies(),
+                scenario.allowed().attempts());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/referee/Judge.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/Judge.java
@@ -1,30 +1,31 @@
 package cedarrudder.lab.referee;
 
+import cedarrudder.Balancer;
 import cedarrudder.Balancer.Effect;
 import cedarrudder.Balancer.KeyScope;
 import cedarrudder.Balancer.Outcome;
 import cedarrudder.Balancer.State;
-import cedarrudder.Balancer;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.policy.TierBudgets;
 import cedarrudder.lab.policy.Truth;
-import cedarrudder.lab.result.RunResult.Breach;
 import cedarrudder.lab.result.RunResult;
+import cedarrudder.lab.result.RunResult.Breach;
 import cedarrudder.lab.trace.Tap;
 import cedarrudder.lab.trace.Trace;
 import java.util.List;
 import java.util.random.RandomGenerator;
 
 /**
- * Judges the balancers of a run, apart from the drivers around them. A driver answers an RPC that its
- * balancer has lost, and drops a second answer or what is sent too late; a trace of what proxies write shows
- * none of that. So each balancer gets a {@link Tap}, and what proxies are told, take, send and answer is read
- * there; of the run's own trace it reads the starts and ends of proxies and nodes, what reaches nodes, and
- * the work of attempts. An RPC's deadline is the one that the balancer was told.
+ * Judges the balancers of a run, apart from the drivers around them. A driver answers an RPC that
+ * its balancer has lost, and drops a second answer or what is sent too late; a trace of what
+ * proxies write shows none of that. So each balancer gets a {@link Tap}, and what proxies are told,
+ * take, send and answer is read there; of the run's own trace it reads the starts and ends of
+ * proxies and nodes, what reaches nodes, and the work of attempts. An RPC's deadline is the one
+ * that the balancer was told.
  *
- * <p>A run is given {@link #watched} as its policy and {@link #trace} as its trace. The run must write
- * {@code proxyStarted} after it has made the proxy's balancer and before it makes the next, and numbers RPCs
- * as requests are. One judge serves one run, on the run's thread.
+ * <p>A run is given {@link #watched} as its policy and {@link #trace} as its trace. The run must
+ * write {@code proxyStarted} after it has made the proxy's balancer and before it makes the next,
+ * and numbers RPCs as requests are. One judge serves one run, on the run's thread.
  */
 public final class Judge {
 
@@ -62,11 +63,19 @@
             }
 
             @Override
-            public Balancer create(Balancer.Settings settings, RandomGenerator random,
-                    Balancer.Actions actions, Truth truth) {
+            public Balancer create(
+                    Balancer.Settings settings,
+                    RandomGenerator random,
+                    Balancer.Actions actions,
+                    Truth truth) {
                 ProxyNumber own = new ProxyNumber();
                 newest = own;
-                return new Tap(referee, () -> own.number, settings, rpc -> 0, actions,
+                return new Tap(
+                        referee,
+                        () -> own.number,
+                        settings,
+                        rpc -> 0,
+                        actions,
                         tapped -> policy.create(settings, random, tapped, truth));
             }
         };
@@ -105,7 +114,13 @@
         }
 
         @Override
-        public void told(long now, int proxy, long endpoint, int cell, int zone, State state,
+        public void told(
+                long now,
+                int proxy,
+                long endpoint,
+                int cell,
+                int zone,
+                State state,
                 long startedAt) {
             last = now;
         }
@@ -116,7 +131,13 @@
         }
 
         @Override
-        public void taken(long now, int proxy, long rpc, Effect effect, KeyScope scope, long repeatWindow,
+        public void taken(
+                long now,
+                int proxy,
+                long rpc,
+                Effect effect,
+                KeyScope scope,
+                long repeatWindow,
                 long deadline) {
             last = now;
         }
@@ -149,7 +170,8 @@
         }
 
         @Override
-        public void nodeStarted(long now, long endpoint, double capacity, double coldShare, long warmAt) {
+        public void nodeStarted(
+                long now, long endpoint, double capacity, double coldShare, long warmAt) {
             last = now;
             referee.nodeStarted(now, endpoint, capacity, coldShare, warmAt);
         }
--- a/lab/src/main/java/cedarrudder/lab/referee/Listed.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/Listed.java
@@ -28,7 +28,9 @@
         absentSince = Math.min(absentSince, now);
     }
 
-    /** Since when the proxy knew that nothing new should go there; the greatest instant if it may. */
+    /**
+     * Since when the proxy knew that nothing new should go there; the greatest instant if it may.
+     */
     long knownSince() {
         return Math.min(leavingSince, absentSince);
     }
--- a/lab/src/main/java/cedarrudder/lab/referee/LongMap.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/LongMap.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.referee;
 
 /**
- * A map from numbers to objects: open addressing with linear probing, at most half full, so that a look-up
- * costs no object and a step or two. Not for use by several threads.
+ * A map from numbers to objects: open addressing with linear probing, at most half full, so that a
+ * look-up costs no object and a step or two. Not for use by several threads.
  */
 final class LongMap<V> {
     private long[] keys = new long[64];
--- a/lab/src/main/java/cedarrudder/lab/referee/Referee.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/Referee.java
@@ -10,32 +10,37 @@
 import java.util.List;
 
 /**
- * Reads what can be seen of a run and finds where the four rules are broken. It knows nothing of the balancer
- * that it judges, nor of the model; {@link Figures} is all it is told besides the trace.
+ * Reads what can be seen of a run and finds where the four rules are broken. It knows nothing of
+ * the balancer that it judges, nor of the model; {@link Figures} is all it is told besides the
+ * trace.
  *
  * <ol>
- * <li>Each RPC taken by a proxy that lives gets one final answer by its deadline and the grace, and what is
- * served came from an attempt that reached a node and ended well. Nothing is sent for an RPC that is over.
- * <li>What may have run is sent again or refused only as its class allows: an unsafe RPC never; a keyed one
- * to the nodes that drop its repeats, within the window from the send of the first attempt that may have run,
- * and it is refused only where all nodes drop them. Two attempts are out at once only where that is allowed.
- * <li>Nothing is sent to a node later than the grace after the proxy was told that it drains or is gone, be
- * it by an entry or by a whole list without it; nor to a node that no list of the proxy ever named. A later
- * entry that calls it ready lifts this. Where the list must be asked for, a proxy that doesn't ask counts as
- * told by the rules; the trace doesn't show that, and it is not judged here.
- * <li>Of the work that is sent to a cold node in any window, declined or not, no more than the multiple of
- * what it can do now, times the window; for chance the one heaviest attempt doesn't count. It counts where
- * two thirds of that work came from proxies that had been told of the start. What could not be sent after
- * all is taken back. A node that ends under nearly so much has been pushed over too. What was meant for a
- * former node at the same address is not seen.
+ *   <li>Each RPC taken by a proxy that lives gets one final answer by its deadline and the grace,
+ *       and what is served came from an attempt that reached a node and ended well. Nothing is sent
+ *       for an RPC that is over.
+ *   <li>What may have run is sent again or refused only as its class allows: an unsafe RPC never; a
+ *       keyed one to the nodes that drop its repeats, within the window from the send of the first
+ *       attempt that may have run, and it is refused only where all nodes drop them. Two attempts
+ *       are out at once only where that is allowed.
+ *   <li>Nothing is sent to a node later than the grace after the proxy was told that it drains or
+ *       is gone, be it by an entry or by a whole list without it; nor to a node that no list of the
+ *       proxy ever named. A later entry that calls it ready lifts this. Where the list must be
+ *       asked for, a proxy that doesn't ask counts as told by the rules; the trace doesn't show
+ *       that, and it is not judged here.
+ *   <li>Of the work that is sent to a cold node in any window, declined or not, no more than the
+ *       multiple of what it can do now, times the window; for chance the one heaviest attempt
+ *       doesn't count. It counts where two thirds of that work came from proxies that had been told
+ *       of the start. What could not be sent after all is taken back. A node that ends under nearly
+ *       so much has been pushed over too. What was meant for a former node at the same address is
+ *       not seen.
  * </ol>
  *
- * <p>Of each rule the first breach is kept, and how many there were: RPCs for the first rule, sends and
- * refusals for the second, sends for the third, nodes for the fourth.
+ * <p>Of each rule the first breach is kept, and how many there were: RPCs for the first rule, sends
+ * and refusals for the second, sends for the third, nodes for the fourth.
  *
- * <p>Memory: an RPC is forgotten {@link #MEMORY} after its time, so it holds what is open and some seconds
- * more; and an entry for each node that a proxy was ever told of. Cost of an event: a few look-ups, and for a
- * whole list one step for each node. Not for use by several threads.
+ * <p>Memory: an RPC is forgotten {@link #MEMORY} after its time, so it holds what is open and some
+ * seconds more; and an entry for each node that a proxy was ever told of. Cost of an event: a few
+ * look-ups, and for a whole list one step for each node. Not for use by several threads.
  */
 public final class Referee implements Trace {
 
@@ -76,14 +81,23 @@
         this.origin = origin;
     }
 
-    /** The first breach of each rule that was broken, by rule. To be asked after {@link #finish}. */
+    /**
+     * The first breach of each rule that was broken, by rule. To be asked after {@link #finish}.
+     */
     public List<Breach> breaches() {
         List<Breach> found = new ArrayList<>();
         for (int i = 0; i < RULES; i++) {
             if (first[i] != null) {
                 Breach breach = first[i];
-                found.add(new Breach(breach.rule(), breach.at(), breach.proxy(), breach.rpc(),
-                        breach.endpoint(), breach.what(), counts[i]));
+                found.add(
+                        new Breach(
+                                breach.rule(),
+                                breach.at(),
+                                breach.proxy(),
+                                breach.rpc(),
+                                breach.endpoint(),
+                                breach.what(),
+                                counts[i]));
             }
         }
         return found;
@@ -153,7 +167,8 @@
     }
 
     @Override
-    public void told(long now, int number, long endpoint, int cell, int zone, State state, long startedAt) {
+    public void told(
+            long now, int number, long endpoint, int cell, int zone, State state, long startedAt) {
         pass(now);
         Proxy proxy = proxy(number);
         Listed listed = proxy.listed.get(endpoint);
@@ -183,7 +198,13 @@
     // ---- RPCs ----
 
     @Override
-    public void taken(long now, int number, long id, Effect effect, KeyScope scope, long repeatWindow,
+    public void taken(
+            long now,
+            int number,
+            long id,
+            Effect effect,
+            KeyScope scope,
+            long repeatWindow,
             long deadline) {
         pass(now);
         rpcs.put(id, new Rpc(number, proxy(number).life, effect, scope, repeatWindow, deadline));
@@ -235,7 +256,8 @@
             }
             if (rpc.scope == KeyScope.CELL && rpc.cells[ran] != cell
                     || rpc.scope == KeyScope.ZONE && rpc.zones[ran] != zone) {
-                return "keyed, sent again outside its " + (rpc.scope == KeyScope.CELL ? "cell" : "zone");
+                return "keyed, sent again outside its "
+                        + (rpc.scope == KeyScope.CELL ? "cell" : "zone");
             }
         }
         return rpc.out > 0 && !figures.secondCopies() ? "two attempts out at once" : null;
@@ -262,8 +284,10 @@
             return;
         }
         Listed listed = proxies.get(rpc.proxy).listed.get(endpoint);
-        rpc.knew[attempt] = listed != null && listed.startedAt != 0
-                && listed.startedAt > node.startedAt - START_ROUNDING;
+        rpc.knew[attempt] =
+                listed != null
+                        && listed.startedAt != 0
+                        && listed.startedAt > node.startedAt - START_ROUNDING;
         node.lastProxy = rpc.proxy;
         node.lastRpc = id;
         if (node.sent(now, rpc.works[attempt], rpc.knew[attempt])) {
@@ -311,14 +335,19 @@
         if (how == Final.SERVED) {
             rpc.told = true;
             rpc.toldAt = now;
-            boolean real = attempt >= 0 && attempt < rpc.attempts && rpc.reached[attempt]
-                    && rpc.ended[attempt] == Outcome.OK;
+            boolean real =
+                    attempt >= 0
+                            && attempt < rpc.attempts
+                            && rpc.reached[attempt]
+                            && rpc.ended[attempt] == Outcome.OK;
             if (!real) {
                 breach(1, now, number, id, -1, "served what no node made for it");
             }
         }
-        if (how == Final.REFUSED && rpc.mayHaveRun() >= 0 && (rpc.effect == Effect.UNSAFE
-                || rpc.effect == Effect.KEYED && rpc.scope != KeyScope.ALL)) {
+        if (how == Final.REFUSED
+                && rpc.mayHaveRun() >= 0
+                && (rpc.effect == Effect.UNSAFE
+                        || rpc.effect == Effect.KEYED && rpc.scope != KeyScope.ALL)) {
             breach(2, now, number, id, -1, "refused though it may have run");
         }
     }
@@ -330,7 +359,8 @@
         if (rpc != null && !rpc.told) {
             rpc.told = true;
             rpc.toldAt = now;
-            // From the deadline on nobody leaves: then it is the answer that has not come, and is still owed.
+            // From the deadline on nobody leaves: then it is the answer that has not come, and is
+            // still owed.
             rpc.closed |= now < rpc.deadline;
         }
     }
@@ -338,10 +368,18 @@
     // ---- nodes ----
 
     @Override
-    public void nodeStarted(long now, long endpoint, double capacity, double coldShare, long warmAt) {
+    public void nodeStarted(
+            long now, long endpoint, double capacity, double coldShare, long warmAt) {
         pass(now);
-        cold.put(endpoint, new ColdNode(now, warmAt, capacity, coldShare, figures.fallMultiple(),
-                figures.fallWindow()));
+        cold.put(
+                endpoint,
+                new ColdNode(
+                        now,
+                        warmAt,
+                        capacity,
+                        coldShare,
+                        figures.fallMultiple(),
+                        figures.fallWindow()));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/referee/Rpc.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/Rpc.java
@@ -19,9 +19,13 @@
 
     /** Whether the proxy was told of the end: an answer was served, or the caller left. */
     boolean told;
+
     long toldAt;
 
-    /** Whether nothing more is owed, though nothing was answered: the caller left, or it is lost already. */
+    /**
+     * Whether nothing more is owed, though nothing was answered: the caller left, or it is lost
+     * already.
+     */
     boolean closed;
 
     int attempts;
--- a/lab/src/main/java/cedarrudder/lab/report/DecadeAxis.java
+++ b/lab/src/main/java/cedarrudder/lab/report/DecadeAxis.java
@@ -12,7 +12,9 @@
 import org.jfree.chart.ui.RectangleEdge;
 import org.jfree.chart.ui.TextAnchor;
 
-/** A logarithmic axis that runs from left to right with ticks at 1, 2 and 5 times the powers of ten. */
+/**
+ * A logarithmic axis that runs from left to right with ticks at 1, 2 and 5 times the powers of ten.
+ */
 final class DecadeAxis extends LogAxis {
 
     private static final long serialVersionUID = 1;
@@ -26,17 +28,24 @@
     }
 
     @Override
-    protected List<NumberTick> refreshTicksHorizontal(Graphics2D graphics, Rectangle2D area,
-            RectangleEdge edge) {
-        DecimalFormat format = new DecimalFormat("0.######", DecimalFormatSymbols.getInstance(Locale.ROOT));
+    protected List<NumberTick> refreshTicksHorizontal(
+            Graphics2D graphics, Rectangle2D area, RectangleEdge edge) {
+        DecimalFormat format =
+                new DecimalFormat("0.######", DecimalFormatSymbols.getInstance(Locale.ROOT));
         List<NumberTick> ticks = new ArrayList<>();
         for (double decade = Math.floor(Math.log10(getRange().getLowerBound()));
-                decade <= Math.log10(getRange().getUpperBound()); decade++) {
+                decade <= Math.log10(getRange().getUpperBound());
+                decade++) {
             for (double step : STEPS) {
                 double value = step * Math.pow(TEN, decade);
                 if (getRange().contains(value)) {
-                    ticks.add(new NumberTick(value, format.format(value), TextAnchor.TOP_CENTER,
-                            TextAnchor.CENTER, 0));
+                    ticks.add(
+                            new NumberTick(
+                                    value,
+                                    format.format(value),
+                                    TextAnchor.TOP_CENTER,
+                                    TextAnchor.CENTER,
+                                    0));
                 }
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/report/GrowthPlot.java
+++ b/lab/src/main/java/cedarrudder/lab/report/GrowthPlot.java
@@ -60,15 +60,30 @@
         return new Plot(Style.chart(plot, true), WIDTH, HEIGHT);
     }
 
-    private void add(XYSeries line, String scenario, String variant,
+    private void add(
+            XYSeries line,
+            String scenario,
+            String variant,
             BiFunction<RunResult, RunResult.Cost, Double> figure) {
         List<RunResult> runs = results.of(scenario, variant);
         SortedMap<RunKey, RunResult.Cost> costs = results.costsOf(scenario, variant);
-        double nodes = runs.stream().mapToInt(run -> run.tiers().stream()
-                .mapToInt(RunResult.TierResult::nodes).sum()).average().orElse(0);
+        double nodes =
+                runs.stream()
+                        .mapToInt(
+                                run ->
+                                        run.tiers().stream()
+                                                .mapToInt(RunResult.TierResult::nodes)
+                                                .sum())
+                        .average()
+                        .orElse(0);
         // The median: a run that met a busy machine or cold code doesn't count for all.
-        double value = StatUtils.percentile(runs.stream().filter(run -> costs.containsKey(RunKey.of(run)))
-                .mapToDouble(run -> figure.apply(run, costs.get(RunKey.of(run)))).toArray(), 50);
+        double value =
+                StatUtils.percentile(
+                        runs.stream()
+                                .filter(run -> costs.containsKey(RunKey.of(run)))
+                                .mapToDouble(run -> figure.apply(run, costs.get(RunKey.of(run))))
+                                .toArray(),
+                        50);
         if (nodes > 0 && !Double.isNaN(value)) {
             line.add(nodes, value);
         }
--- a/lab/src/main/java/cedarrudder/lab/report/HtmlPage.java
+++ b/lab/src/main/java/cedarrudder/lab/report/HtmlPage.java
@@ -18,7 +18,8 @@
 final class HtmlPage {
 
     private static final String HTML = "http://www.w3.org/1999/xhtml";
-    private static final String STYLE = """
+    private static final String STYLE =
+            """
             body { font: 15px/1.45 sans-serif; color: #222; background: #fff; max-width: 940px;
                    margin: 2em auto; padding: 0 1em; }
             h1 { font-size: 1.6em; } h2 { font-size: 1.3em; margin-top: 2.2em; border-top: 1px solid #bbb;
@@ -65,7 +66,8 @@
     private Element child(Element parent, String name, String text) {
         Element element = document.createElementNS(HTML, name);
         if (text != null) {
-            // An element without text would be written as one tag, which HTML takes for a beginning.
+            // An element without text would be written as one tag, which HTML takes for a
+            // beginning.
             element.setTextContent(text.isEmpty() ? Numbers.NONE : text);
         }
         parent.appendChild(element);
--- a/lab/src/main/java/cedarrudder/lab/report/Numbers.java
+++ b/lab/src/main/java/cedarrudder/lab/report/Numbers.java
@@ -13,11 +13,14 @@
     private static final double TEN = 10;
     private static final double HUNDRED = 100;
 
-    private Numbers() { }
+    private Numbers() {}
 
     static String of(double value) {
         double size = Math.abs(value);
-        String digits = value == Math.rint(value) || size >= HUNDRED ? "%.0f" : size < TEN ? "%.4f" : "%.1f";
+        String digits =
+                value == Math.rint(value) || size >= HUNDRED
+                        ? "%.0f"
+                        : size < TEN ? "%.4f" : "%.1f";
         return Double.isNaN(value) ? NONE : String.format(Locale.ROOT, digits, value);
     }
 
@@ -26,7 +29,8 @@
     }
 
     static String interval(Bootstrap.Interval interval) {
-        return Double.isNaN(interval.low()) ? NONE
+        return Double.isNaN(interval.low())
+                ? NONE
                 : signed(interval.low()) + " to " + signed(interval.high());
     }
 
--- a/lab/src/main/java/cedarrudder/lab/report/RowPlot.java
+++ b/lab/src/main/java/cedarrudder/lab/report/RowPlot.java
@@ -16,8 +16,8 @@
 import org.jfree.data.xy.XYIntervalSeriesCollection;
 
 /**
- * Marks on named rows: things to be compared stand under one another with their names beside them, so that no
- * legend of colours is needed to tell them apart.
+ * Marks on named rows: things to be compared stand under one another with their names beside them,
+ * so that no legend of colours is needed to tell them apart.
  */
 final class RowPlot {
 
@@ -27,9 +27,12 @@
     private static final int WIDTH = 900;
     private static final int ROW = 18;
     private static final int AROUND = 78;
+
     /** A plot with more rows has its axis at the top too. */
     private static final int SHORT = 30;
+
     private static final int AXIS = 36;
+
     /** Room about the labels of values, so that there are few of them. */
     private static final RectangleInsets SPARSE = new RectangleInsets(2, 20, 2, 20);
 
@@ -73,8 +76,9 @@
     int kind(String name, int shape, boolean filled, Paint colour) {
         int number = marks.getSeriesCount();
         marks.addSeries(new XYIntervalSeries(name, false, true));
-        renderer.setSeriesShape(number, shape == NO_MARK ? new Rectangle2D.Double(-6, -1, 12, 2)
-                : Style.mark(shape));
+        renderer.setSeriesShape(
+                number,
+                shape == NO_MARK ? new Rectangle2D.Double(-6, -1, 12, 2) : Style.mark(shape));
         renderer.setSeriesShapesFilled(number, filled);
         renderer.setSeriesPaint(number, colour);
         return number;
@@ -103,7 +107,8 @@
         }
         int row = rows.size() - 1;
         boolean interval = !Double.isNaN(low);
-        marks.getSeries(kind).add(value, interval ? low : value, interval ? high : value, row, row, row);
+        marks.getSeries(kind)
+                .add(value, interval ? low : value, interval ? high : value, row, row, row);
     }
 
     private ValueAxis values() {
@@ -139,7 +144,9 @@
         if (!Double.isNaN(reference)) {
             plot.addDomainMarker(new ValueMarker(reference, Style.INK, Style.THIN));
         }
-        return new Plot(Style.chart(plot, marks.getSeriesCount() > 1), WIDTH,
+        return new Plot(
+                Style.chart(plot, marks.getSeriesCount() > 1),
+                WIDTH,
                 AROUND + (rows.size() > SHORT ? AXIS : 0) + ROW * rows.size());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/report/Style.java
+++ b/lab/src/main/java/cedarrudder/lab/report/Style.java
@@ -22,8 +22,9 @@
 import org.jfree.chart.ui.RectangleInsets;
 
 /**
- * How all plots look. Colours are those of Okabe and Ito (Color Universal Design, 2008), which people with
- * any kind of colour vision can tell apart; dashes and shapes tell the same without any colour.
+ * How all plots look. Colours are those of Okabe and Ito (Color Universal Design, 2008), which
+ * people with any kind of colour vision can tell apart; dashes and shapes tell the same without any
+ * colour.
  */
 final class Style {
 
@@ -34,19 +35,35 @@
     static final Color GREY = new Color(0x777777);
     static final Stroke THIN = new BasicStroke(1);
 
-    private static final Color[] COLOURS = {BLUE, RED, new Color(0x009E73), new Color(0xCC79A7),
-        new Color(0xE69F00), new Color(0x56B4E9), Color.BLACK, new Color(0x999900)};
-    private static final float[][] DASHES = {null, {6, 3}, {2, 2}, {8, 2, 2, 2}, {12, 4}, {4, 2, 1, 2, 1, 2}};
-    /** These have the same widths, so that a page laid out with one is right where another is shown. */
+    private static final Color[] COLOURS = {
+        BLUE,
+        RED,
+        new Color(0x009E73),
+        new Color(0xCC79A7),
+        new Color(0xE69F00),
+        new Color(0x56B4E9),
+        Color.BLACK,
+        new Color(0x999900)
+    };
+    private static final float[][] DASHES = {
+        null, {6, 3}, {2, 2}, {8, 2, 2, 2}, {12, 4}, {4, 2, 1, 2, 1, 2}
+    };
+
+    /**
+     * These have the same widths, so that a page laid out with one is right where another is shown.
+     */
     private static final List<String> ALIKE = List.of("Arial", "Liberation Sans", "Helvetica");
+
     private static final Font TEXT = new Font(family(), Font.PLAIN, 12);
     private static final double HALF = 4;
 
-    private Style() { }
+    private Style() {}
 
     private static String family() {
-        Set<String> there = Set.of(GraphicsEnvironment.getLocalGraphicsEnvironment()
-                .getAvailableFontFamilyNames(Locale.ROOT));
+        Set<String> there =
+                Set.of(
+                        GraphicsEnvironment.getLocalGraphicsEnvironment()
+                                .getAvailableFontFamilyNames(Locale.ROOT));
         return ALIKE.stream().filter(there::contains).findFirst().orElse(Font.SANS_SERIF);
     }
 
@@ -56,8 +73,9 @@
 
     static Stroke line(int index) {
         float[] dash = DASHES[index % DASHES.length];
-        return dash == null ? new BasicStroke(2) : new BasicStroke(2, BasicStroke.CAP_BUTT,
-                BasicStroke.JOIN_ROUND, 1, dash, 0);
+        return dash == null
+                ? new BasicStroke(2)
+                : new BasicStroke(2, BasicStroke.CAP_BUTT, BasicStroke.JOIN_ROUND, 1, dash, 0);
     }
 
     /** A circle, square, triangle, diamond, a triangle that stands on its tip, and a bar. */
--- a/lab/src/main/java/cedarrudder/lab/report/Svg.java
+++ b/lab/src/main/java/cedarrudder/lab/report/Svg.java
@@ -19,6 +19,7 @@
     private static final String SVG = "http://www.w3.org/2000/svg";
 
     private final Document page;
+
     /** One for the page: two drawings of their own would use the same ids. */
     private final SVGIDGenerator ids = new SVGIDGenerator();
 
@@ -30,11 +31,14 @@
     Svg(Document page) throws IOException {
         this.page = page;
         try {
-            new Font(Font.SANS_SERIF, Font.PLAIN, 1).getStringBounds("x",
-                    new FontRenderContext(null, true, true));
+            new Font(Font.SANS_SERIF, Font.PLAIN, 1)
+                    .getStringBounds("x", new FontRenderContext(null, true, true));
         } catch (RuntimeException | LinkageError | InternalError e) {
-            throw new IOException("plots are laid out with the system's fonts, and it has none (" + e
-                    + "); install fontconfig and a font, or ask for the text alone", e);
+            throw new IOException(
+                    "plots are laid out with the system's fonts, and it has none ("
+                            + e
+                            + "); install fontconfig and a font, or ask for the text alone",
+                    e);
         }
     }
 
@@ -43,8 +47,8 @@
         SVGGeneratorContext context = SVGGeneratorContext.createDefault(page);
         context.setIDGenerator(ids);
         SVGGraphics2D graphics = new SVGGraphics2D(context, false);
-        graphics.setRenderingHint(RenderingHints.KEY_FRACTIONALMETRICS,
-                RenderingHints.VALUE_FRACTIONALMETRICS_ON);
+        graphics.setRenderingHint(
+                RenderingHints.KEY_FRACTIONALMETRICS, RenderingHints.VALUE_FRACTIONALMETRICS_ON);
         graphics.setSVGCanvasSize(new Dimension(plot.width(), plot.height()));
         plot.chart().draw(graphics, new Rectangle2D.Double(0, 0, plot.width(), plot.height()));
         Element root = graphics.getRoot();
@@ -58,7 +62,9 @@
         return root;
     }
 
-    /** Takes away what the writer says of each element and what is so anyway: a third of the page. */
+    /**
+     * Takes away what the writer says of each element and what is so anyway: a third of the page.
+     */
     private static void lighten(Element root) {
         String whole = "";
         NodeList all = root.getElementsByTagNameNS(SVG, "*");
--- a/lab/src/main/java/cedarrudder/lab/report/TimePlot.java
+++ b/lab/src/main/java/cedarrudder/lab/report/TimePlot.java
@@ -22,8 +22,8 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * Goodput over time, a strip for each variant with the baseline behind it, and the faults as grey bands: the
- * darker, the more seeds had a fault then.
+ * Goodput over time, a strip for each variant with the baseline behind it, and the faults as grey
+ * bands: the darker, the more seeds had a fault then.
  */
 final class TimePlot {
 
@@ -45,9 +45,12 @@
         this.results = results;
         this.scenario = scenario;
         this.base = results.of(scenario, results.manifest().baseline());
-        this.seconds = results.manifest().variants().stream()
-                .flatMap(v -> results.of(scenario, v.name()).stream())
-                .mapToInt(TimePlot::asked).max().orElse(0);
+        this.seconds =
+                results.manifest().variants().stream()
+                        .flatMap(v -> results.of(scenario, v.name()).stream())
+                        .mapToInt(TimePlot::asked)
+                        .max()
+                        .orElse(0);
         this.step = Math.max(1, (seconds + MOST_POINTS - 1) / MOST_POINTS);
     }
 
@@ -67,8 +70,11 @@
             double asked = 0;
             double served = 0;
             for (RunResult run : runs) {
-                for (RunResult.Second second : run.series().subList(Math.min(from, run.series().size()),
-                        Math.min(from + step, run.series().size()))) {
+                for (RunResult.Second second :
+                        run.series()
+                                .subList(
+                                        Math.min(from, run.series().size()),
+                                        Math.min(from + step, run.series().size()))) {
                     asked += second.asked();
                     served += second.served();
                 }
@@ -104,8 +110,12 @@
 
     /** Where the scale of all strips begins: a tenth that is below all lines. */
     private static double least(List<XYSeriesCollection> strips) {
-        double least = strips.stream().filter(lines -> lines.getItemCount(0) > 0)
-                .mapToDouble(lines -> lines.getSeries(0).getMinY()).min().orElse(0);
+        double least =
+                strips.stream()
+                        .filter(lines -> lines.getItemCount(0) > 0)
+                        .mapToDouble(lines -> lines.getSeries(0).getMinY())
+                        .min()
+                        .orElse(0);
         return Math.max(0, Math.min(0.9, Math.floor(least * 10 - 0.5) / 10));
     }
 
@@ -115,8 +125,10 @@
         renderer.setSeriesPaint(0, Style.BLUE);
         renderer.setSeriesStroke(0, new BasicStroke(2));
         renderer.setSeriesPaint(1, Style.INK);
-        renderer.setSeriesStroke(1, new BasicStroke(1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_ROUND, 1,
-                new float[] {2, 2}, 0));
+        renderer.setSeriesStroke(
+                1,
+                new BasicStroke(
+                        1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_ROUND, 1, new float[] {2, 2}, 0));
         NumberAxis share = new NumberAxis(lines.getSeries(0).getKey().toString());
         // Names lie along the rows, as they do in the other plots.
         share.setLabelAngle(Math.PI / 2);
@@ -146,8 +158,16 @@
     }
 
     private int faulty(int second) {
-        return (int) base.stream().filter(run -> run.faults().stream()
-                .anyMatch(band -> band.from() < second + 1 && band.to() > second)).count();
+        return (int)
+                base.stream()
+                        .filter(
+                                run ->
+                                        run.faults().stream()
+                                                .anyMatch(
+                                                        band ->
+                                                                band.from() < second + 1
+                                                                        && band.to() > second))
+                        .count();
     }
 
     /** The faults in words: what, where, and between which times it came and went. */
@@ -155,22 +175,46 @@
         Map<String, double[]> spans = new LinkedHashMap<>();
         for (RunResult run : base) {
             for (RunResult.Band band : run.faults()) {
-                String fault = band.trouble().toLowerCase(Locale.ROOT).replace('_', ' ')
-                        + (band.tier().isEmpty() ? "" : " in " + band.tier());
-                double[] span = spans.computeIfAbsent(fault, name -> new double[] {band.from(),
-                        band.to(), band.machines(), band.machines()});
+                String fault =
+                        band.trouble().toLowerCase(Locale.ROOT).replace('_', ' ')
+                                + (band.tier().isEmpty() ? "" : " in " + band.tier());
+                double[] span =
+                        spans.computeIfAbsent(
+                                fault,
+                                name ->
+                                        new double[] {
+                                            band.from(), band.to(), band.machines(), band.machines()
+                                        });
                 span[0] = Math.min(span[0], band.from());
                 span[1] = Math.max(span[1], band.to());
                 span[2] = Math.min(span[2], band.machines());
                 span[3] = Math.max(span[3], band.machines());
             }
         }
-        return spans.entrySet().stream().map(e -> {
-            double[] span = e.getValue();
-            String machines = span[3] == 0 ? "" : span[2] == span[3] ? String.format(Locale.ROOT, ", %.0f",
-                    span[2]) : String.format(Locale.ROOT, ", %.0f to %.0f", span[2], span[3]);
-            return String.format(Locale.ROOT, "%s%s: from %.1f to %.1f s", e.getKey(), machines.isEmpty() ? ""
-                    : machines + (span[3] == 1 ? " machine" : " machines"), span[0], span[1]);
-        }).toList();
+        return spans.entrySet().stream()
+                .map(
+                        e -> {
+                            double[] span = e.getValue();
+                            String machines =
+                                    span[3] == 0
+                                            ? ""
+                                            : span[2] == span[3]
+                                                    ? String.format(Locale.ROOT, ", %.0f", span[2])
+                                                    : String.format(
+                                                            Locale.ROOT,
+                                                            ", %.0f to %.0f",
+                                                            span[2],
+                                                            span[3]);
+                            return String.format(
+                                    Locale.ROOT,
+                                    "%s%s: from %.1f to %.1f s",
+                                    e.getKey(),
+                                    machines.isEmpty()
+                                            ? ""
+                                            : machines + (span[3] == 1 ? " machine" : " machines"),
+                                    span[0],
+                                    span[1]);
+                        })
+                .toList();
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Admission.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Admission.java
@@ -4,10 +4,11 @@
 import cedarrudder.Balancer.Settings;
 
 /**
- * What the oracle turns away where clients enter, by worth. The share of their aims that recent answers took
- * tells how near to overload all tiers together are; the nearer, the more a request must be worth to be
- * taken. Without this the bound would be none in overload: all would be served, and all too late. The limits
- * were found by trying six sets of them on four scenarios of the lab, 8 seeds each.
+ * What the oracle turns away where clients enter, by worth. The share of their aims that recent
+ * answers took tells how near to overload all tiers together are; the nearer, the more a request
+ * must be worth to be taken. Without this the bound would be none in overload: all would be served,
+ * and all too late. The limits were found by trying six sets of them on four scenarios of the lab,
+ * 8 seeds each.
  */
 final class Admission {
 
@@ -17,7 +18,10 @@
     /** Where no answers come, what they said is forgotten over this time. */
     private static final double FORGET = 1e9;
 
-    /** What is over its tenant's share is taken while answers take less than this share of their aims. */
+    /**
+     * What is over its tenant's share is taken while answers take less than this share of their
+     * aims.
+     */
     private static final double OVER_SHARE = 0.15;
 
     /** The same for a class that is worth nothing ... */
@@ -41,7 +45,8 @@
 
     Admission(Settings settings) {
         this.settings = settings;
-        this.bestWorth = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElse(1);
+        this.bestWorth =
+                settings.classes().stream().mapToDouble(RequestClass::worth).max().orElse(1);
         this.saved = new double[settings.tenants().size()];
         this.savedAt = new long[saved.length];
     }
@@ -60,7 +65,8 @@
 
     boolean admits(long now, Call call) {
         boolean over = overShare(now, call.request.tenant());
-        return used(now) < (over ? OVER_SHARE : LEAST + (MOST - LEAST) * call.kind.worth() / bestWorth);
+        return used(now)
+                < (over ? OVER_SHARE : LEAST + (MOST - LEAST) * call.kind.worth() / bestWorth);
     }
 
     /** Whether a request is past its tenant's share, of which each copy takes an equal part. */
@@ -70,8 +76,10 @@
             return false;
         }
         double rate = quota / Math.max(1, settings.copies());
-        saved[tenant] = Math.min(Math.max(1, SHARE_SECONDS * rate),
-                saved[tenant] + rate * (now - savedAt[tenant]) / 1e9);
+        saved[tenant] =
+                Math.min(
+                        Math.max(1, SHARE_SECONDS * rate),
+                        saved[tenant] + rate * (now - savedAt[tenant]) / 1e9);
         savedAt[tenant] = now;
         if (saved[tenant] < 1) {
             return true;
--- a/lab/src/main/java/cedarrudder/lab/rivals/Broken.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Broken.java
@@ -11,9 +11,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The decision module with one thing broken on purpose, so that it can be seen that the referee finds it.
- * Each fault takes some RPCs away from the module and treats them wrongly; the others are served as ever. No
- * fault waits for chance: a fault whose RPCs, drains or cold starts come shows each time.
+ * The decision module with one thing broken on purpose, so that it can be seen that the referee
+ * finds it. Each fault takes some RPCs away from the module and treats them wrongly; the others are
+ * served as ever. No fault waits for chance: a fault whose RPCs, drains or cold starts come shows
+ * each time.
  */
 final class Broken implements Balancer {
 
@@ -74,6 +75,7 @@
         int out;
         boolean over;
         Endpoint first;
+
         /** Whether the wrong step is still to come. */
         boolean waits;
 
@@ -125,7 +127,8 @@
     @Override
     public void request(long now, Request request) {
         RequestClass kind = settings.classes().get(request.classIndex());
-        if (!wants(now, kind, request.deadline()) || ++met % EVERY != 0 && fault != Fault.COLD_PUSHED_OVER) {
+        if (!wants(now, kind, request.deadline())
+                || ++met % EVERY != 0 && fault != Fault.COLD_PUSHED_OVER) {
             sound.request(now, request);
             return;
         }
@@ -144,8 +147,10 @@
             case RESENT_UNSAFE, REFUSED_AFTER_RUN ->
                     kind.effect() == Effect.UNSAFE && warm(now, null) != null;
             case KEYED_OUTSIDE_GROUP -> scoped && warm(now, null) != null;
-            case KEYED_AFTER_WINDOW -> kind.effect() == Effect.KEYED && warm(now, null) != null
-                    && now + kind.repeatWindow() + SOON < deadline;
+            case KEYED_AFTER_WINDOW ->
+                    kind.effect() == Effect.KEYED
+                            && warm(now, null) != null
+                            && now + kind.repeatWindow() + SOON < deadline;
             case SENT_TO_DRAINED -> drained(now) != null;
             case COLD_PUSHED_OVER -> newest(now) != null;
         };
@@ -154,7 +159,7 @@
     private void take(long now, Mine rpc) {
         long id = rpc.request.id();
         switch (fault) {
-            case LOST -> { }
+            case LOST -> {}
             case ANSWERED_LATE -> later(rpc, rpc.request.deadline() + LATE);
             case ANSWERED_TWICE -> {
                 actions.refuse(id, 0);
@@ -220,8 +225,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long endpoint, Outcome outcome, long latency,
-            boolean settled, Load load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long endpoint,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            Load load) {
         Mine rpc = mine.get(request);
         if (rpc == null) {
             sound.outcome(now, request, attempt, endpoint, outcome, latency, settled, load);
@@ -247,9 +259,13 @@
     private Endpoint warm(long now, Mine rpc) {
         List<Endpoint> fit = new ArrayList<>();
         for (Endpoint entry : listed.values()) {
-            boolean warm = entry.startedAt() == 0 || now - entry.startedAt() > settings.safety().rampTime();
-            boolean other = rpc == null || entry.id() != rpc.first.id()
-                    && (fault != Fault.KEYED_OUTSIDE_GROUP || outside(rpc, entry));
+            boolean warm =
+                    entry.startedAt() == 0
+                            || now - entry.startedAt() > settings.safety().rampTime();
+            boolean other =
+                    rpc == null
+                            || entry.id() != rpc.first.id()
+                                    && (fault != Fault.KEYED_OUTSIDE_GROUP || outside(rpc, entry));
             if (warm && other) {
                 fit.add(entry);
             }
@@ -258,7 +274,8 @@
     }
 
     private static boolean outside(Mine rpc, Endpoint entry) {
-        return rpc.kind.keyScope() == KeyScope.CELL ? entry.cell() != rpc.first.cell()
+        return rpc.kind.keyScope() == KeyScope.CELL
+                ? entry.cell() != rpc.first.cell()
                 : entry.zone() != rpc.first.zone();
     }
 
@@ -276,7 +293,9 @@
     private Endpoint newest(long now) {
         Endpoint newest = null;
         for (Endpoint entry : listed.values()) {
-            boolean cold = entry.startedAt() != 0 && now - entry.startedAt() < settings.safety().rampTime();
+            boolean cold =
+                    entry.startedAt() != 0
+                            && now - entry.startedAt() < settings.safety().rampTime();
             if (cold && (newest == null || entry.startedAt() > newest.startedAt())) {
                 newest = entry;
             }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Choice.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Choice.java
@@ -16,7 +16,8 @@
     boolean may(Member<S> member);
 
     /**
-     * A random node to which the attempt may go, each with the same chance; null when there is none.
+     * A random node to which the attempt may go, each with the same chance; null when there is
+     * none.
      *
      * @param except one that is not to be drawn, or null
      */
--- a/lab/src/main/java/cedarrudder/lab/rivals/Habits.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Habits.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.rivals;
 
 /**
- * What the rivals share besides the rules. The budget of further attempts is Finagle's {@code RetryBudget}
- * with its defaults: a fifth of the calls and 10 a second, saved up for 10 seconds.
+ * What the rivals share besides the rules. The budget of further attempts is Finagle's {@code
+ * RetryBudget} with its defaults: a fifth of the calls and 10 a second, saved up for 10 seconds.
  *
  * @param retries further attempts of one RPC at the most
  * @param perCall further attempts that each call pays for
--- a/lab/src/main/java/cedarrudder/lab/rivals/Member.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Member.java
@@ -5,8 +5,8 @@
 import cedarrudder.Balancer.State;
 
 /**
- * What a rival knows of one node: its line of the list, the attempts it has out there, what it may still send
- * it while it is cold, and what its pick notes of it.
+ * What a rival knows of one node: its line of the list, the attempts it has out there, what it may
+ * still send it while it is cold, and what its pick notes of it.
  *
  * @param <S> the pick's own notes
  */
@@ -27,8 +27,12 @@
     /** This copy's own attempts that are out. */
     int inFlight;
 
-    /** What may be sent while cold, in mean requests: a send needs it not negative, and may overdraw it. */
+    /**
+     * What may be sent while cold, in mean requests: a send needs it not negative, and may overdraw
+     * it.
+     */
     private double allowance;
+
     private long allowanceAt;
 
     Member(Endpoint listed) {
@@ -40,7 +44,10 @@
         return listed.state() == State.READY;
     }
 
-    /** Begins the cold budget in debt, by a draw from 0 to 1: the first sends of many copies spread out. */
+    /**
+     * Begins the cold budget in debt, by a draw from 0 to 1: the first sends of many copies spread
+     * out.
+     */
     void startCold(long now, double debt) {
         allowance = -debt;
         allowanceAt = now;
--- a/lab/src/main/java/cedarrudder/lab/rivals/Oracle.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Oracle.java
@@ -4,15 +4,16 @@
 import cedarrudder.lab.policy.Truth;
 
 /**
- * The bound: sees the true state of all nodes of its tier, at no cost and at once, and sends where this
- * request is done first, among nodes that take it and are sound. No real balancer can do that. It keeps the
- * rules like the others and doesn't know what comes next: it shows what a pick could do, and is no proven
- * upper bound. Where clients enter it turns away by worth, see {@link Admission}.
+ * The bound: sees the true state of all nodes of its tier, at no cost and at once, and sends where
+ * this request is done first, among nodes that take it and are sound. No real balancer can do that.
+ * It keeps the rules like the others and doesn't know what comes next: it shows what a pick could
+ * do, and is no proven upper bound. Where clients enter it turns away by worth, see {@link
+ * Admission}.
  *
- * <p>Cores share their time among the requests in work: one of work w waits for no more than w of each
- * request that is there, so it is done in (min(backlog, held w) + w) / capacity. Source: shortest expected
- * delay, Banawan and Zahorjan, "Load sharing in heterogeneous queueing systems", INFOCOM 1989, for shared
- * cores and with full knowledge.
+ * <p>Cores share their time among the requests in work: one of work w waits for no more than w of
+ * each request that is there, so it is done in (min(backlog, held w) + w) / capacity. Source:
+ * shortest expected delay, Banawan and Zahorjan, "Load sharing in heterogeneous queueing systems",
+ * INFOCOM 1989, for shared cores and with full knowledge.
  */
 final class Oracle implements Pick<Oracle.Way> {
 
@@ -57,8 +58,9 @@
             if (!truth.takes(member.id) || !truth.sound(member.id)) {
                 continue;
             }
-            double before = Math.min(truth.backlog(member.id), truth.held(member.id) * work)
-                    + (now - member.notes.at < WAY ? member.notes.work : 0);
+            double before =
+                    Math.min(truth.backlog(member.id), truth.held(member.id) * work)
+                            + (now - member.notes.at < WAY ? member.notes.work : 0);
             double time = (before + work) / truth.capacity(member.id);
             if (time < bestTime && choice.may(member)) {
                 best = member;
--- a/lab/src/main/java/cedarrudder/lab/rivals/PeakEwma.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/PeakEwma.java
@@ -1,14 +1,14 @@
 package cedarrudder.lab.rivals;
 
 /**
- * Of two different nodes at random the one of lower cost: a moving average of latency, sensitive to peaks,
- * times the attempts out there and the one to come. Source: Finagle's {@code PeakEwma} under its
- * {@code p2c} balancer.
+ * Of two different nodes at random the one of lower cost: a moving average of latency, sensitive to
+ * peaks, times the attempts out there and the one to come. Source: Finagle's {@code PeakEwma} under
+ * its {@code p2c} balancer.
  *
- * <p>For a latency r that comes a time t after the last, with w = exp(-t / {@link #DECAY}), the average c
- * becomes r where r is above c, and c w + r (1 - w) otherwise; a look counts as r = 0. The cost is
- * c (out + 1); a node with attempts out of which none has ended costs {@link #PENALTY} + out. Latencies of
- * all outcomes count, as they do there.
+ * <p>For a latency r that comes a time t after the last, with w = exp(-t / {@link #DECAY}), the
+ * average c becomes r where r is above c, and c w + r (1 - w) otherwise; a look counts as r = 0.
+ * The cost is c (out + 1); a node with attempts out of which none has ended costs {@link #PENALTY}
+ * + out. Latencies of all outcomes count, as they do there.
  */
 final class PeakEwma implements Pick<PeakEwma.Average> {
 
@@ -49,7 +49,8 @@
     static double cost(long now, Member<Average> member) {
         Average average = member.notes;
         average.add(now, 0);
-        return average.latency == 0 && member.inFlight != 0 ? PENALTY + member.inFlight
+        return average.latency == 0 && member.inFlight != 0
+                ? PENALTY + member.inFlight
                 : average.latency * (member.inFlight + 1);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/rivals/Pick.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Pick.java
@@ -8,7 +8,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The choice of a node: all in which the rivals differ. {@link Textbook} does the rest for each of them.
+ * The choice of a node: all in which the rivals differ. {@link Textbook} does the rest for each of
+ * them.
  *
  * @param <S> what it notes of a node
  */
@@ -29,20 +30,22 @@
         return true;
     }
 
-    /** The node for the next attempt, one that {@link Choice#may} allows; null when there is none. */
+    /**
+     * The node for the next attempt, one that {@link Choice#may} allows; null when there is none.
+     */
     Member<S> choose(long now, Call call, Choice<S> choice);
 
     /** The ready nodes have changed. */
-    default void changed(List<Member<S>> ready) { }
+    default void changed(List<Member<S>> ready) {}
 
     /** An attempt was sent; it is counted in {@code inFlight}. */
-    default void sent(long now, Call call, Member<S> to) { }
+    default void sent(long now, Call call, Member<S> to) {}
 
     /** An attempt ended, whatever its outcome; it is no longer counted in {@code inFlight}. */
-    default void ended(long now, Call call, Member<S> from, long latency) { }
+    default void ended(long now, Call call, Member<S> from, long latency) {}
 
     /** A node has reported its load. */
-    default void reported(long now, Member<S> of, Load load) { }
+    default void reported(long now, Member<S> of, Load load) {}
 
     /** How often {@link #tick} is wanted, in nanoseconds; 0: never. */
     default long period() {
@@ -50,5 +53,5 @@
     }
 
     /** Comes once each period; may send probes. */
-    default void tick(long now, List<Member<S>> ready, Actions actions) { }
+    default void tick(long now, List<Member<S>> ready, Actions actions) {}
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/RandomPick.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/RandomPick.java
@@ -1,6 +1,9 @@
 package cedarrudder.lab.rivals;
 
-/** A node at random, each with the same chance. Source: the base line of any balancer, as Envoy's RANDOM. */
+/**
+ * A node at random, each with the same chance. Source: the base line of any balancer, as Envoy's
+ * RANDOM.
+ */
 final class RandomPick implements Pick<Void> {
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/rivals/Rivals.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Rivals.java
@@ -20,14 +20,20 @@
 
     private record Named(String name, String source, Maker maker) implements Policy {
         @Override
-        public Balancer create(Balancer.Settings settings, RandomGenerator random, Balancer.Actions actions,
+        public Balancer create(
+                Balancer.Settings settings,
+                RandomGenerator random,
+                Balancer.Actions actions,
                 Truth truth) {
             return maker.make(settings, random, actions, truth);
         }
     }
 
     private interface Maker {
-        Balancer make(Balancer.Settings settings, RandomGenerator random, Balancer.Actions actions,
+        Balancer make(
+                Balancer.Settings settings,
+                RandomGenerator random,
+                Balancer.Actions actions,
                 Truth truth);
     }
 
@@ -35,37 +41,65 @@
     private static final Map<String, Named> BROKEN = new LinkedHashMap<>();
 
     static {
-        add(SOUND, OWN, "the decision module; the hot-cold rule after Wydrowski et al., Prequal, NSDI 2024",
+        add(
+                SOUND,
+                OWN,
+                "the decision module; the hot-cold rule after Wydrowski et al., Prequal, NSDI 2024",
                 (settings, random, actions, truth) -> new Decide(settings, random, actions));
-        rival("random", "a base line; Envoy's RANDOM", (settings, random, truth) -> new RandomPick());
-        rival("round-robin", "Envoy's ROUND_ROBIN without weights",
+        rival(
+                "random",
+                "a base line; Envoy's RANDOM",
+                (settings, random, truth) -> new RandomPick());
+        rival(
+                "round-robin",
+                "Envoy's ROUND_ROBIN without weights",
                 (settings, random, truth) -> new RoundRobin());
-        rival("least-requests", "Mitzenmacher, The Power of Two Choices, TPDS 12(10), 2001; Envoy's "
-                + "LEAST_REQUEST", (settings, random, truth) -> new LeastRequests());
-        rival("peak-ewma", "Finagle's PeakEwma under its p2c balancer",
+        rival(
+                "least-requests",
+                "Mitzenmacher, The Power of Two Choices, TPDS 12(10), 2001; Envoy's "
+                        + "LEAST_REQUEST",
+                (settings, random, truth) -> new LeastRequests());
+        rival(
+                "peak-ewma",
+                "Finagle's PeakEwma under its p2c balancer",
                 (settings, random, truth) -> new PeakEwma());
-        rival("weighted-round-robin", "WRR by q / u as in Wydrowski et al., NSDI 2024; gRPC proposal A58",
+        rival(
+                "weighted-round-robin",
+                "WRR by q / u as in Wydrowski et al., NSDI 2024; gRPC proposal A58",
                 (settings, random, truth) -> new WeightedRoundRobin(settings.limits(), random));
-        rival("subset-least-requests", "deterministic subsetting; Beyer et al., Site Reliability "
-                + "Engineering, 2016, chapter 20",
+        rival(
+                "subset-least-requests",
+                "deterministic subsetting; Beyer et al., Site Reliability "
+                        + "Engineering, 2016, chapter 20",
                 (settings, random, truth) -> new SubsetLeastRequests(settings, random));
-        rival(BOUND, "a bound that sees the true state; shortest expected delay, Banawan and Zahorjan, "
-                + "INFOCOM 1989", (settings, random, truth) -> new Oracle(settings, truth));
+        rival(
+                BOUND,
+                "a bound that sees the true state; shortest expected delay, Banawan and Zahorjan, "
+                        + "INFOCOM 1989",
+                (settings, random, truth) -> new Oracle(settings, truth));
         for (Broken.Fault fault : Broken.Fault.values()) {
-            add(BROKEN, fault.policy(), "broken on purpose, to try the referee",
-                    (settings, random, actions, truth) -> new Broken(fault, settings, random, actions));
+            add(
+                    BROKEN,
+                    fault.policy(),
+                    "broken on purpose, to try the referee",
+                    (settings, random, actions, truth) ->
+                            new Broken(fault, settings, random, actions));
         }
     }
 
-    private Rivals() { }
+    private Rivals() {}
 
     private static void add(Map<String, Named> to, String name, String source, Maker maker) {
         to.put(name, new Named(name, source, maker));
     }
 
     private static <S> void rival(String name, String source, Pick.Maker<S> pick) {
-        add(SOUND, name, source, (settings, random, actions, truth) ->
-                new Textbook<>(settings, Habits.USUAL, random, actions, truth, pick));
+        add(
+                SOUND,
+                name,
+                source,
+                (settings, random, actions, truth) ->
+                        new Textbook<>(settings, Habits.USUAL, random, actions, truth, pick));
     }
 
     /** The names of all sound policies, the module's own first and the bound last. */
@@ -99,8 +133,8 @@
     private static Named find(String name) {
         Named policy = SOUND.getOrDefault(name, BROKEN.get(name));
         if (policy == null) {
-            throw new IllegalArgumentException("no policy " + name + "; there are " + names() + " and "
-                    + brokenNames());
+            throw new IllegalArgumentException(
+                    "no policy " + name + "; there are " + names() + " and " + brokenNames());
         }
         return policy;
     }
--- a/lab/src/main/java/cedarrudder/lab/rivals/RoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/RoundRobin.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One node after another. Source: Envoy's ROUND_ROBIN without weights, which also begins somewhere at random
- * so that copies are out of step.
+ * One node after another. Source: Envoy's ROUND_ROBIN without weights, which also begins somewhere
+ * at random so that copies are out of step.
  */
 final class RoundRobin implements Pick<Void> {
     private int next;
--- a/lab/src/main/java/cedarrudder/lab/rivals/SubsetLeastRequests.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/SubsetLeastRequests.java
@@ -7,22 +7,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Each copy sends only to a subset of the nodes, and there to the one where it has fewest attempts out, at
- * random among equals. Source: deterministic subsetting in Beyer et al., "Site Reliability Engineering",
- * O'Reilly 2016, chapter 20, with least requests inside the subset as there.
+ * Each copy sends only to a subset of the nodes, and there to the one where it has fewest attempts
+ * out, at random among equals. Source: deterministic subsetting in Beyer et al., "Site Reliability
+ * Engineering", O'Reilly 2016, chapter 20, with least requests inside the subset as there.
  *
- * <p>Copies come in rounds of as many as there are subsets. The copies of a round shuffle the nodes alike and
- * cut the order in subsets, one for each; the next round shuffles anew. Here the shuffle is a sort by a
- * number made of node and round, so that a change of the list moves few nodes. A subset has {@link #LEAST}
- * nodes, or more where so few copies come that nodes would be left out: as many as that two rounds of copies
- * cover them all. Where none of the subset may take an attempt, any node may.
+ * <p>Copies come in rounds of as many as there are subsets. The copies of a round shuffle the nodes
+ * alike and cut the order in subsets, one for each; the next round shuffles anew. Here the shuffle
+ * is a sort by a number made of node and round, so that a change of the list moves few nodes. A
+ * subset has {@link #LEAST} nodes, or more where so few copies come that nodes would be left out:
+ * as many as that two rounds of copies cover them all. Where none of the subset may take an
+ * attempt, any node may.
  */
 final class SubsetLeastRequests implements Pick<Void> {
 
     /** Nodes in a subset at the least; Finagle's for its deterministic aperture. */
     static final int LEAST = 12;
 
-    private record Placed(Member<Void> member, long order) { }
+    private record Placed(Member<Void> member, long order) {}
 
     private final Settings settings;
     private final RandomGenerator random;
@@ -37,7 +38,8 @@
     public void changed(List<Member<Void>> ready) {
         subset.clear();
         int copies = Math.max(1, settings.copies());
-        int size = Math.min(ready.size(), Math.max(LEAST, (2 * ready.size() + copies - 1) / copies));
+        int size =
+                Math.min(ready.size(), Math.max(LEAST, (2 * ready.size() + copies - 1) / copies));
         if (size == 0) {
             return;
         }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Textbook.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/Textbook.java
@@ -11,10 +11,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that the rivals have in common: the life of an RPC, one further attempt where the rules allow it, the
- * gates of the four rules, and the list of nodes. What is left to the {@link Pick} is which node gets an
- * attempt, so that two rivals in one scenario differ in nothing else. None sends a second copy while a first
- * is out, and none sets a node aside because its calls fail.
+ * All that the rivals have in common: the life of an RPC, one further attempt where the rules allow
+ * it, the gates of the four rules, and the list of nodes. What is left to the {@link Pick} is which
+ * node gets an attempt, so that two rivals in one scenario differ in nothing else. None sends a
+ * second copy while a first is out, and none sets a node aside because its calls fail.
  *
  * @param <S> what the pick notes of a node
  */
@@ -23,7 +23,9 @@
     /** An RPC that no node may take now is looked at again after this long. */
     private static final long HOLD = 20_000_000L;
 
-    /** Tries to draw at random a node that may take an attempt, before all are looked at in turn. */
+    /**
+     * Tries to draw at random a node that may take an attempt, before all are looked at in turn.
+     */
     private static final int DRAWS = 16;
 
     /** Weight of the newest in the means of work and of latency. */
@@ -35,7 +37,10 @@
     /** First call for the list: spread over this share of the time in which one must have asked. */
     private static final double ASK_SPREAD = 0.4;
 
-    /** First wait after a failed call for the list; it doubles with each failure, up to 8 times this. */
+    /**
+     * First wait after a failed call for the list; it doubles with each failure, up to 8 times
+     * this.
+     */
     private static final long ASK_AGAIN = 1_000_000_000L;
 
     private static final long TOKEN_KIND = 1L << 56;
@@ -61,7 +66,12 @@
     private int askFailures;
     private boolean started;
 
-    Textbook(Settings settings, Habits habits, RandomGenerator random, Actions actions, Truth truth,
+    Textbook(
+            Settings settings,
+            Habits habits,
+            RandomGenerator random,
+            Actions actions,
+            Truth truth,
             Pick.Maker<S> maker) {
         this.settings = settings;
         this.habits = habits;
@@ -94,11 +104,18 @@
         if (!started) {
             started = true;
             if (pick.period() > 0) {
-                actions.schedule(now + 1 + (long) (random.nextDouble() * pick.period()), TOKEN_TICK);
+                actions.schedule(
+                        now + 1 + (long) (random.nextDouble() * pick.period()), TOKEN_TICK);
             }
             if (settings.askForEndpoints()) {
-                // Guards against all copies asking at once a service that takes seconds to serve them all.
-                ask(now + (long) (random.nextDouble() * ASK_SPREAD * settings.safety().askWithin()));
+                // Guards against all copies asking at once a service that takes seconds to serve
+                // them all.
+                ask(
+                        now
+                                + (long)
+                                        (random.nextDouble()
+                                                * ASK_SPREAD
+                                                * settings.safety().askWithin()));
             }
         } else if (kind != ListKind.CACHED) {
             askFailures = 0;
@@ -141,8 +158,15 @@
 
     private void drop(Member<S> member) {
         Endpoint was = member.listed;
-        member.listed = new Endpoint(was.id(), was.zone(), was.kind(), was.cell(), State.GONE, was.weight(),
-                was.startedAt());
+        member.listed =
+                new Endpoint(
+                        was.id(),
+                        was.zone(),
+                        was.kind(),
+                        was.cell(),
+                        State.GONE,
+                        was.weight(),
+                        was.startedAt());
         remove(member);
         members.remove(member.id);
     }
@@ -167,8 +191,10 @@
         if (request.work() > 0) {
             meanWork += (meanWork == 0 ? 1 : WEIGHT) * (request.work() - meanWork);
         }
-        further = Math.min(habits.saved(),
-                further + habits.perCall() + habits.perSecond() * (now - furtherAt) / 1e9);
+        further =
+                Math.min(
+                        habits.saved(),
+                        further + habits.perCall() + habits.perSecond() * (now - furtherAt) / 1e9);
         furtherAt = now;
         options.of(now, call);
         if (!pick.admits(now, call, options)) {
@@ -213,8 +239,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long endpoint, Outcome outcome, long latency,
-            boolean settled, Load load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long endpoint,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            Load load) {
         Call call = calls.get(request);
         if (call == null || attempt >= call.attempts || call.ended[attempt] != null) {
             return;
@@ -242,7 +275,9 @@
 
     /** After an attempt failed: a further one, or the final answer. */
     private void next(long now, Call call) {
-        if (call.attempts <= habits.retries() && further >= 1 && now < call.request.deadline()
+        if (call.attempts <= habits.retries()
+                && further >= 1
+                && now < call.request.deadline()
                 && mayAttempt(now, call, null)) {
             further--;
             place(now, call);
@@ -341,9 +376,11 @@
 
         @Override
         public boolean may(Member<S> member) {
-            return member.ready() && !call.tried(member) && mayAttempt(now, call, member)
+            return member.ready()
+                    && !call.tried(member)
+                    && mayAttempt(now, call, member)
                     && (!member.cold(now, settings.safety())
-                    || member.withinColdBudget(now, warmRate(), settings.safety()));
+                            || member.withinColdBudget(now, warmRate(), settings.safety()));
         }
 
         /** What a warm node gets from this copy, in mean requests a second. */
@@ -378,7 +415,9 @@
         }
     }
 
-    /** Whether an attempt may go to this node (null: to any at all), by what the earlier ones prove. */
+    /**
+     * Whether an attempt may go to this node (null: to any at all), by what the earlier ones prove.
+     */
     private boolean mayAttempt(long now, Call call, Member<S> member) {
         if (now >= call.request.deadline() || call.attempts >= call.to.length || call.out > 0) {
             return false;
@@ -392,16 +431,18 @@
             return false;
         }
         Endpoint then = call.to[first].listed;
-        return member == null || switch (call.kind.keyScope()) {
-            case ALL -> true;
-            case ZONE -> then.zone() == member.listed.zone();
-            case CELL -> then.cell() == member.listed.cell();
-        };
+        return member == null
+                || switch (call.kind.keyScope()) {
+                    case ALL -> true;
+                    case ZONE -> then.zone() == member.listed.zone();
+                    case CELL -> then.cell() == member.listed.cell();
+                };
     }
 
     /** Whether the client may be told that trying again is harmless, by what the attempts prove. */
     private boolean mayRefuse(Call call) {
-        return call.mayHaveRun() < 0 || call.kind.effect() == Effect.SAFE
+        return call.mayHaveRun() < 0
+                || call.kind.effect() == Effect.SAFE
                 || call.kind.effect() == Effect.KEYED && call.kind.keyScope() == KeyScope.ALL;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/WeightedRoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/rivals/WeightedRoundRobin.java
@@ -9,16 +9,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Round robin by weights w = q / u: the requests a second that a node gets over the share of its cores that
- * is busy, both smoothed. Source: the account of WRR in Wydrowski et al., "Load is not what you should
- * balance: Introducing Prequal", NSDI 2024; rules for nodes without a weight follow gRPC's proposal A58.
+ * Round robin by weights w = q / u: the requests a second that a node gets over the share of its
+ * cores that is busy, both smoothed. Source: the account of WRR in Wydrowski et al., "Load is not
+ * what you should balance: Introducing Prequal", NSDI 2024; rules for nodes without a weight follow
+ * gRPC's proposal A58.
  *
- * <p>Reports come by probes that are not tied to calls: each node once in {@link #ROUND}, or as often as
- * {@link #PROBES} a second allow. Where reports tell requests a second, that is q; else q is what this copy
- * sends there. Then the copies' shares of a node are all alike only as long as nothing drives them apart; so
- * a weight counts as at most {@link #SPREAD} times the mean and at least the mean over {@link #SPREAD}
- * (ours). A node without a weight yet counts as the mean. Turns go by earliest due time, the next one 1 / w
- * later.
+ * <p>Reports come by probes that are not tied to calls: each node once in {@link #ROUND}, or as
+ * often as {@link #PROBES} a second allow. Where reports tell requests a second, that is q; else q
+ * is what this copy sends there. Then the copies' shares of a node are all alike only as long as
+ * nothing drives them apart; so a weight counts as at most {@link #SPREAD} times the mean and at
+ * least the mean over {@link #SPREAD} (ours). A node without a weight yet counts as the mean. Turns
+ * go by earliest due time, the next one 1 / w later.
  */
 final class WeightedRoundRobin implements Pick<WeightedRoundRobin.Turn> {
 
@@ -66,8 +67,13 @@
     private final Limits limits;
 
     /** By due time; of one time the node of lower number. */
-    private final PriorityQueue<Member<Turn>> turns = new PriorityQueue<>((a, b) ->
-            a.notes.due != b.notes.due ? Double.compare(a.notes.due, b.notes.due) : Long.compare(a.id, b.id));
+    private final PriorityQueue<Member<Turn>> turns =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.notes.due != b.notes.due
+                                    ? Double.compare(a.notes.due, b.notes.due)
+                                    : Long.compare(a.id, b.id));
+
     private final List<Member<Turn>> passed = new ArrayList<>();
     private double time;
     private double mean = 1;
@@ -90,7 +96,8 @@
         turns.clear();
         for (Member<Turn> member : ready) {
             if (!member.notes.queued) {
-                // Somewhere in its first turn: guards against copies that go through the nodes in step.
+                // Somewhere in its first turn: guards against copies that go through the nodes in
+                // step.
                 member.notes.due = time + random.nextDouble() / weight(member.notes);
                 member.notes.queued = true;
             }
@@ -99,7 +106,9 @@
     }
 
     private double weight(Turn turn) {
-        return turn.weight == 0 ? mean : Math.min(mean * SPREAD, Math.max(mean / SPREAD, turn.weight));
+        return turn.weight == 0
+                ? mean
+                : Math.min(mean * SPREAD, Math.max(mean / SPREAD, turn.weight));
     }
 
     @Override
@@ -111,7 +120,8 @@
             chosen = choice.may(next) ? next : null;
         }
         for (Member<Turn> member : passed) {
-            // One that may not take this attempt loses its turn, so that it isn't owed many at once later.
+            // One that may not take this attempt loses its turn, so that it isn't owed many at once
+            // later.
             time = member == chosen ? Math.max(time, member.notes.due) : time;
             member.notes.due = Math.max(time, member.notes.due) + 1 / weight(member.notes);
             turns.add(member);
@@ -135,7 +145,9 @@
     }
 
     private static double smooth(double old, double newest, double kept) {
-        return Double.isNaN(newest) ? old : Double.isNaN(old) ? newest : old * kept + newest * (1 - kept);
+        return Double.isNaN(newest)
+                ? old
+                : Double.isNaN(old) ? newest : old * kept + newest * (1 - kept);
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/scenario/Draw.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/Draw.java
@@ -3,7 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A figure of a scenario: fixed, or drawn anew for each run, evenly between two ends. Times are nanoseconds.
+ * A figure of a scenario: fixed, or drawn anew for each run, evenly between two ends. Times are
+ * nanoseconds.
  *
  * @param low the least, inclusive
  * @param high the most; equal to {@code low} for a fixed figure
--- a/lab/src/main/java/cedarrudder/lab/scenario/Figures.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/Figures.java
@@ -9,9 +9,11 @@
     private static final double MILLI = 1e6;
     private static final double SECOND = 1e9;
 
-    private Figures() { }
+    private Figures() {}
 
-    /** What one unit of the key is: {@code _us}, {@code _ms} and {@code _s} are times, others count. */
+    /**
+     * What one unit of the key is: {@code _us}, {@code _ms} and {@code _s} are times, others count.
+     */
     static double unit(String key) {
         if (key.endsWith("_us")) {
             return MICRO;
@@ -28,8 +30,15 @@
      * @param otherwise one number or two; none: the key must be there
      */
     static Draw draw(Table table, String key, double least, double most, double... otherwise) {
-        return scaled(key, table.range(key, least, most, otherwise.length == 0 ? null
-                : new double[] {otherwise[0], otherwise[otherwise.length - 1]}));
+        return scaled(
+                key,
+                table.range(
+                        key,
+                        least,
+                        most,
+                        otherwise.length == 0
+                                ? null
+                                : new double[] {otherwise[0], otherwise[otherwise.length - 1]}));
     }
 
     /** A figure that may be left out; null where it is. */
@@ -61,7 +70,8 @@
     /** A number without needless digits, at most three behind the point. */
     static String shown(double value) {
         double rounded = Math.rint(value * 1000) / 1000;
-        return rounded == Math.rint(rounded) && Math.abs(rounded) < 1e15 ? Long.toString((long) rounded)
+        return rounded == Math.rint(rounded) && Math.abs(rounded) < 1e15
+                ? Long.toString((long) rounded)
                 : Double.toString(rounded);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/scenario/LoadReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/LoadReader.java
@@ -21,11 +21,12 @@
 final class LoadReader {
 
     /** The keys that belong to one shape of arrivals. */
-    private static final Map<Shape, List<String>> OF_SHAPE = Map.of(
-            Shape.STEADY, List.of(),
-            Shape.BURSTY, List.of("swing", "burst_s"),
-            Shape.PAYDAY, List.of("peak", "rise_at_s", "rise_s", "hold_s"),
-            Shape.TRACE, List.of("trace"));
+    private static final Map<Shape, List<String>> OF_SHAPE =
+            Map.of(
+                    Shape.STEADY, List.of(),
+                    Shape.BURSTY, List.of("swing", "burst_s"),
+                    Shape.PAYDAY, List.of("peak", "rise_at_s", "rise_s", "hold_s"),
+                    Shape.TRACE, List.of("trace"));
 
     private final Path folder;
     private final List<Problem> elsewhere;
@@ -73,11 +74,24 @@
         long aim = Figures.time(t, "aim_ms", 1, 600_000);
         long deadline = Figures.time(t, "deadline_ms", 1, 600_000);
         if (t.sound("aim_ms", "deadline_ms") && deadline < aim) {
-            t.problem("deadline_ms", Figures.shown("deadline_ms", deadline),
+            t.problem(
+                    "deadline_ms",
+                    Figures.shown("deadline_ms", deadline),
                     "no less than aim_ms, " + Figures.shown("aim_ms", aim));
         }
-        return new RequestKind(name, effect, scope, share, work, spread, cv, noise, aim, deadline,
-                t.number("worth", 0.001, 1000, 1), t.number("late_worth", 0, 1, 0),
+        return new RequestKind(
+                name,
+                effect,
+                scope,
+                share,
+                work,
+                spread,
+                cv,
+                noise,
+                aim,
+                deadline,
+                t.number("worth", 0.001, 1000, 1),
+                t.number("late_worth", 0, 1, 0),
                 effect == Effect.KEYED ? window : 0);
     }
 
@@ -86,11 +100,18 @@
         List<Customer> tenants = new ArrayList<>();
         List<Table> tables = top.tables("tenant");
         for (Table t : tables) {
-            tenants.add(new Customer(ScenarioReader.ownName(t, names), t.number("share", 0.001, 1),
-                    Figures.draw(t, "quota", 0.001, 10, 0.8), Figures.draw(t, "usage", 0, 100, 1)));
+            tenants.add(
+                    new Customer(
+                            ScenarioReader.ownName(t, names),
+                            t.number("share", 0.001, 1),
+                            Figures.draw(t, "quota", 0.001, 10, 0.8),
+                            Figures.draw(t, "usage", 0, 100, 1)));
             t.done();
         }
-        ScenarioReader.sum(top, "tenant", tables,
+        ScenarioReader.sum(
+                top,
+                "tenant",
+                tables,
                 tenants.stream().map(each -> Draw.fixed(each.share())).toList());
         return tenants;
     }
@@ -115,7 +136,9 @@
             fits(t, shape, share, perSecond);
         }
         if (shape == Shape.PAYDAY && riseAt.high() >= shortest) {
-            t.problem("rise_at_s", Figures.shown("rise_at_s", riseAt.high()),
+            t.problem(
+                    "rise_at_s",
+                    Figures.shown("rise_at_s", riseAt.high()),
                     ScenarioReader.beforeTheEnd(shortest));
         }
         List<Recorded> trace = List.of();
@@ -123,12 +146,24 @@
             if (ScenarioReader.FILE.matcher(file).matches()) {
                 trace = new TraceReader(folder.resolve(file), classes, tenants, elsewhere).read();
             } else {
-                t.problem("trace", file.isEmpty() ? "nothing" : "\"" + file + "\"",
+                t.problem(
+                        "trace",
+                        file.isEmpty() ? "nothing" : "\"" + file + "\"",
                         "the name of a CSV file beside the scenario");
             }
         }
         t.done();
-        return new Arrivals(shape, share, perSecond, swing, burst, peak, riseAt, rise, hold, trace,
+        return new Arrivals(
+                shape,
+                share,
+                perSecond,
+                swing,
+                burst,
+                peak,
+                riseAt,
+                rise,
+                hold,
+                trace,
                 hints ? noise : -1);
     }
 
@@ -136,8 +171,13 @@
     private static void fits(Table t, Shape shape, Draw share, Draw perSecond) {
         for (Shape other : Shape.values()) {
             if (other != shape) {
-                OF_SHAPE.get(other).forEach(key ->
-                        unused(t, key, "with shape " + Table.written(other) + " only"));
+                OF_SHAPE.get(other)
+                        .forEach(
+                                key ->
+                                        unused(
+                                                t,
+                                                key,
+                                                "with shape " + Table.written(other) + " only"));
             }
         }
         if (shape == Shape.TRACE) {
--- a/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
@@ -30,22 +30,27 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads a scenario from TOML, strictly: every key has a unit in its name, a range and mostly a default, and
- * one run reports everything that is wrong. The format is described in {@code docs/SCENARIOS.md}.
+ * Reads a scenario from TOML, strictly: every key has a unit in its name, a range and mostly a
+ * default, and one run reports everything that is wrong. The format is described in {@code
+ * docs/SCENARIOS.md}.
  *
- * <p>A file may extend another one beside it: its tables at the top take the place of the other's, whole.
- * Problems name the file in which they stand.
+ * <p>A file may extend another one beside it: its tables at the top take the place of the other's,
+ * whole. Problems name the file in which they stand.
  */
 public final class ScenarioReader {
 
     private static final double HOUR = 3600;
     private static final double MINUTE = 60;
     private static final double MOST_SCALE = 100;
-    /** Weights and shares may miss their sum by as much: decimals of the file, not of the machine. */
+
+    /**
+     * Weights and shares may miss their sum by as much: decimals of the file, not of the machine.
+     */
     static final double SLACK = 1e-6;
 
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
     private static final String NAMES = "up to 40 small letters, digits and hyphens";
+
     /** A file beside the scenario: guards against a scenario that reads from anywhere. */
     static final Pattern FILE = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
 
@@ -53,6 +58,7 @@
     private final Document base;
     private final Path folder;
     private final List<Problem> elsewhere = new ArrayList<>();
+
     /** The shortest run in nanoseconds; infinite where the length is wrong. */
     private double shortest = Double.POSITIVE_INFINITY;
 
@@ -76,26 +82,38 @@
             try {
                 base = Document.read(folder.resolve(extended));
             } catch (BadFileException e) {
-                own.root().problem("extends", e.problems().get(0).found() + ", " + extended,
-                        "a scenario beside this one");
+                own.root()
+                        .problem(
+                                "extends",
+                                e.problems().get(0).found() + ", " + extended,
+                                "a scenario beside this one");
             }
         } else if (!extended.isEmpty()) {
-            own.root().problem("extends", "\"" + extended + "\"", "the name of a scenario beside this one");
+            own.root()
+                    .problem(
+                            "extends",
+                            "\"" + extended + "\"",
+                            "the name of a scenario beside this one");
         }
         if (!own.root().sound("extends")) {
-            // Guards against errors that only follow: without its base all that it inherits is missing.
+            // Guards against errors that only follow: without its base all that it inherits is
+            // missing.
             own.check();
         }
         ScenarioReader reader = new ScenarioReader(own, base, folder);
-        Scenario scenario = reader.scenario(file.getFileName().toString().replaceFirst("\\.toml$", ""));
+        Scenario scenario =
+                reader.scenario(file.getFileName().toString().replaceFirst("\\.toml$", ""));
         reader.check();
         return scenario;
     }
 
     /** Every key of the format, in the order of reading, with what it allows and its default. */
     public static List<Key> keys() {
-        Document whole = Document.parse("keys", "[[tier]]\n[[tier.kind]]\n[tier.choke]\n[[class]]\n"
-                + "[[tenant]]\n[[fault]]\n[[wire]]\n");
+        Document whole =
+                Document.parse(
+                        "keys",
+                        "[[tier]]\n[[tier.kind]]\n[tier.choke]\n[[class]]\n"
+                                + "[[tenant]]\n[[fault]]\n[[wire]]\n");
         whole.root().text("extends", "");
         new ScenarioReader(whole, null, Path.of("")).scenario("");
         return whole.keys();
@@ -112,7 +130,9 @@
         }
     }
 
-    /** The top of the file in which a table stands: the file's own, or that of the one it extends. */
+    /**
+     * The top of the file in which a table stands: the file's own, or that of the one it extends.
+     */
     private Table top(String key) {
         boolean there = own.root().has(key);
         boolean inherited = base != null && base.root().has(key);
@@ -148,12 +168,15 @@
             base.root().text("name", "");
             base.root().text("about", "");
             if (base.root().has("extends")) {
-                root.problem("extends", base.file() + ", which extends another one",
+                root.problem(
+                        "extends",
+                        base.file() + ", which extends another one",
                         "a scenario that extends none");
             }
             base.root().done();
         }
-        return new Scenario(name, about, run, arrivals, network, front, clients, discovery, allowed, rules,
+        return new Scenario(
+                name, about, run, arrivals, network, front, clients, discovery, allowed, rules,
                 goal, prices, tiers, classes, tenants, faults, wires);
     }
 
@@ -170,8 +193,12 @@
         if (lead >= shortest) {
             t.problem("lead_s", Figures.shown("lead_s", lead), beforeTheEnd(shortest));
         } else if (window > shortest - lead) {
-            t.problem("window_s", Figures.shown("window_s", window), "no more than what counts of the "
-                    + "shortest run, " + Figures.shown("window_s", shortest - lead));
+            t.problem(
+                    "window_s",
+                    Figures.shown("window_s", window),
+                    "no more than what counts of the "
+                            + "shortest run, "
+                            + Figures.shown("window_s", shortest - lead));
         }
         t.done();
         return new Run(length, lead, most, window);
@@ -187,13 +214,15 @@
         if (new HashSet<>(zones).size() < zones.size()) {
             t.problem("zones", "a name twice", "a name for each zone");
         }
-        Network network = new Network(zones.isEmpty() ? List.of("zone") : zones,
-                Figures.draw(t, "same_ms", 0, 1000, 0.1, 0.3),
-                Figures.draw(t, "cross_ms", 0, 1000, 1, 3),
-                Figures.draw(t, "client_ms", 0, 1000, 0.2, 1),
-                Figures.draw(t, "peer_ms", 0, 1000, 1, 10),
-                Figures.draw(t, "jitter", 0, 10, 0.1),
-                t.number("peer_loss", 0, 1, 0));
+        Network network =
+                new Network(
+                        zones.isEmpty() ? List.of("zone") : zones,
+                        Figures.draw(t, "same_ms", 0, 1000, 0.1, 0.3),
+                        Figures.draw(t, "cross_ms", 0, 1000, 1, 3),
+                        Figures.draw(t, "client_ms", 0, 1000, 0.2, 1),
+                        Figures.draw(t, "peer_ms", 0, 1000, 1, 10),
+                        Figures.draw(t, "jitter", 0, 10, 0.1),
+                        t.number("peer_loss", 0, 1, 0));
         if (network.zones().size() == 1 && t.has("cross_ms")) {
             t.problem("cross_ms", "a delay between zones", "no such key where there is one zone");
         }
@@ -217,7 +246,9 @@
         boolean marks = t.flag("marks_repeats", false);
         if (!allowed.retryAfter()) {
             if (t.has("honour") && honour.high() > 0) {
-                t.problem("honour", Figures.shown(honour.high()),
+                t.problem(
+                        "honour",
+                        Figures.shown(honour.high()),
                         "0 where allowed.retry_after is false: nobody is told when to return");
             }
             honour = Draw.fixed(0);
@@ -227,23 +258,30 @@
     }
 
     private static Discovery discovery(Table t) {
-        Discovery discovery = new Discovery(t.flag("ask", true),
-                Figures.draw(t, "notice_s", 0, MINUTE, 1, 4),
-                Figures.draw(t, "silent_notice_s", 0, 600, 5, 13),
-                Figures.draw(t, "add_s", 0, MINUTE, 0.5, 2),
-                Figures.draw(t, "period_ms", 1, 60_000, 200, 1000),
-                Figures.draw(t, "calls_per_s", 0.1, 1_000_000, 3, 6),
-                Figures.draw(t, "call_lines", 1, 1_000_000, 50),
-                Figures.time(t, "timeout_ms", 1, 60_000, 1000),
-                Figures.time(t, "ask_within_s", 0.1, 600, 10));
+        Discovery discovery =
+                new Discovery(
+                        t.flag("ask", true),
+                        Figures.draw(t, "notice_s", 0, MINUTE, 1, 4),
+                        Figures.draw(t, "silent_notice_s", 0, 600, 5, 13),
+                        Figures.draw(t, "add_s", 0, MINUTE, 0.5, 2),
+                        Figures.draw(t, "period_ms", 1, 60_000, 200, 1000),
+                        Figures.draw(t, "calls_per_s", 0.1, 1_000_000, 3, 6),
+                        Figures.draw(t, "call_lines", 1, 1_000_000, 50),
+                        Figures.time(t, "timeout_ms", 1, 60_000, 1000),
+                        Figures.time(t, "ask_within_s", 0.1, 600, 10));
         t.done();
         return discovery;
     }
 
     private static Allowed allowed(Table t) {
-        Allowed allowed = new Allowed(t.flag("probes", true), t.flag("peers", true), t.flag("cancel", true),
-                t.flag("second_copies", true), t.flag("retry_after", true),
-                (int) t.whole("attempts", 1, 16, 4));
+        Allowed allowed =
+                new Allowed(
+                        t.flag("probes", true),
+                        t.flag("peers", true),
+                        t.flag("cancel", true),
+                        t.flag("second_copies", true),
+                        t.flag("retry_after", true),
+                        (int) t.whole("attempts", 1, 16, 4));
         if (allowed.attempts() == 1 && t.has("second_copies") && allowed.secondCopies()) {
             t.problem("second_copies", "true", "false where attempts is 1");
         }
@@ -252,34 +290,50 @@
     }
 
     private static Rules rules(Table t) {
-        Rules rules = new Rules(Figures.time(t, "drain_grace_ms", 1, 600_000, 2000),
-                t.number("fall_multiple", 1, MOST_SCALE, 3),
-                Figures.time(t, "fall_window_ms", 1, 600_000, 3000),
-                Figures.time(t, "answer_grace_ms", 0, 60_000, 10));
+        Rules rules =
+                new Rules(
+                        Figures.time(t, "drain_grace_ms", 1, 600_000, 2000),
+                        t.number("fall_multiple", 1, MOST_SCALE, 3),
+                        Figures.time(t, "fall_window_ms", 1, 600_000, 3000),
+                        Figures.time(t, "answer_grace_ms", 0, 60_000, 10));
         t.done();
         return rules;
     }
 
     private static Goal goal(Table t, List<Customer> tenants) {
-        Goal goal = new Goal(t.number("whole", 0, 1, 1), t.number("worst_window", 0, 1, 0),
-                t.number("worst_class", 0, 1, 0), t.number("worst_tenant", 0, 1, 0),
-                t.number("over_share_worth", 0, 1, 1));
+        Goal goal =
+                new Goal(
+                        t.number("whole", 0, 1, 1),
+                        t.number("worst_window", 0, 1, 0),
+                        t.number("worst_class", 0, 1, 0),
+                        t.number("worst_tenant", 0, 1, 0),
+                        t.number("over_share_worth", 0, 1, 1));
         double sum = goal.whole() + goal.worstWindow() + goal.worstClass() + goal.worstTenant();
-        if (t.sound("whole", "worst_window", "worst_class", "worst_tenant") && Math.abs(sum - 1) > SLACK) {
-            t.problem("", "weights that sum to " + Figures.shown(sum),
+        if (t.sound("whole", "worst_window", "worst_class", "worst_tenant")
+                && Math.abs(sum - 1) > SLACK) {
+            t.problem(
+                    "",
+                    "weights that sum to " + Figures.shown(sum),
                     "whole, worst_window, worst_class and worst_tenant that sum to 1");
         }
         if (goal.worstTenant() > 0 && tenants.isEmpty()) {
-            t.problem("worst_tenant", Figures.shown(goal.worstTenant()), "0 where there are no tenants");
+            t.problem(
+                    "worst_tenant",
+                    Figures.shown(goal.worstTenant()),
+                    "0 where there are no tenants");
         }
         t.done();
         return goal;
     }
 
     private static Prices prices(Table t) {
-        Prices prices = new Prices(t.number("waste", 0, 1, 0), t.number("probe", 0, 1, 0),
-                t.number("peer", 0, 1, 0), t.number("late_fail", 0, 1, 0),
-                t.number("overdriven", 0, 1, 1));
+        Prices prices =
+                new Prices(
+                        t.number("waste", 0, 1, 0),
+                        t.number("probe", 0, 1, 0),
+                        t.number("peer", 0, 1, 0),
+                        t.number("late_fail", 0, 1, 0),
+                        t.number("overdriven", 0, 1, 1));
         t.done();
         return prices;
     }
@@ -299,14 +353,30 @@
             Draw part = Figures.drawOrNull(t, "part", 0.001, 1);
             Draw size = Figures.drawOrNull(t, "size", 1, 1000);
             if (known) {
-                fits(t, "part", part, trouble != Trouble.DISCOVERY_DOWN, trouble,
+                fits(
+                        t,
+                        "part",
+                        part,
+                        trouble != Trouble.DISCOVERY_DOWN,
+                        trouble,
                         "a number from 0.001 to 1, or two such as [low, high]");
-                fits(t, "size", size, trouble == Trouble.SLOW, trouble,
+                fits(
+                        t,
+                        "size",
+                        size,
+                        trouble == Trouble.SLOW,
+                        trouble,
                         "a factor from 1 to 1000, or two such as [low, high]");
             }
             t.done();
-            faults.add(new Fault(trouble, tier, at, length, part == null ? Draw.fixed(1) : part,
-                    size == null ? Draw.fixed(1) : size));
+            faults.add(
+                    new Fault(
+                            trouble,
+                            tier,
+                            at,
+                            length,
+                            part == null ? Draw.fixed(1) : part,
+                            size == null ? Draw.fixed(1) : size));
         }
         return faults;
     }
@@ -319,8 +389,12 @@
             int tier = -1;
             if (t.sound("trouble") && trouble.ofProxies()) {
                 if (t.has("tier")) {
-                    t.problem("tier", "a key that is not used", "none with " + Table.written(trouble)
-                            + ": it strikes the first tier's proxies");
+                    t.problem(
+                            "tier",
+                            "a key that is not used",
+                            "none with "
+                                    + Table.written(trouble)
+                                    + ": it strikes the first tier's proxies");
                 }
                 t.text("tier", "");
             } else {
@@ -330,15 +404,20 @@
             if (at.high() >= shortest) {
                 t.problem("at_s", Figures.shown("at_s", at.high()), beforeTheEnd(shortest));
             }
-            wires.add(new Wire(trouble, tier, at, Figures.draw(t, "length_s", 0.01, HOUR),
-                    Figures.draw(t, "part", 0.001, 1, 1)));
+            wires.add(
+                    new Wire(
+                            trouble,
+                            tier,
+                            at,
+                            Figures.draw(t, "length_s", 0.01, HOUR),
+                            Figures.draw(t, "part", 0.001, 1, 1)));
             t.done();
         }
         return wires;
     }
 
-    private static void fits(Table t, String key, Draw found, boolean needed, Trouble trouble,
-            String allowed) {
+    private static void fits(
+            Table t, String key, Draw found, boolean needed, Trouble trouble, String allowed) {
         if (needed && found == null) {
             t.problem(key, "nothing", allowed);
         } else if (!needed && found != null) {
@@ -351,8 +430,14 @@
         if (known && !needed) {
             t.text("tier", "");
             if (t.has("tier")) {
-                t.problem("tier", "a key that is not used", "none with " + Table.written(trouble)
-                        + (trouble == Trouble.PROXY_CRASH ? ": the first tier's proxies die" : ""));
+                t.problem(
+                        "tier",
+                        "a key that is not used",
+                        "none with "
+                                + Table.written(trouble)
+                                + (trouble == Trouble.PROXY_CRASH
+                                        ? ": the first tier's proxies die"
+                                        : ""));
             }
             return -1;
         }
@@ -364,8 +449,11 @@
         int index = names.indexOf(name);
         if (known && index < 0) {
             String nearest = Table.nearest(name, names);
-            t.problem("tier", name.isEmpty() ? "nothing" : "\"" + name + "\", which names no tier",
-                    nearest != null && !name.isEmpty() ? "did you mean '" + nearest + "'?"
+            t.problem(
+                    "tier",
+                    name.isEmpty() ? "nothing" : "\"" + name + "\", which names no tier",
+                    nearest != null && !name.isEmpty()
+                            ? "did you mean '" + nearest + "'?"
                             : String.join(", ", names));
         }
         return index;
--- a/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
@@ -20,16 +20,19 @@
 import org.apache.commons.csv.CSVRecord;
 
 /**
- * Reads a recorded trace: CSV (RFC 4180) with the columns {@code time_ms, class, tenant, work_ms}, ordered by
- * time. An empty work is drawn from the class; the tenant is empty where the scenario has none.
+ * Reads a recorded trace: CSV (RFC 4180) with the columns {@code time_ms, class, tenant, work_ms},
+ * ordered by time. An empty work is drawn from the class; the tenant is empty where the scenario
+ * has none.
  */
 final class TraceReader {
 
     private static final List<String> COLUMNS = List.of("time_ms", "class", "tenant", "work_ms");
     private static final long MOST_BYTES = 256L << 20;
     private static final int MOST_LINES = 5_000_000;
+
     /** Further broken lines are not told: guards against a wrong file that fills a screen. */
     private static final int MOST_PROBLEMS = 20;
+
     private static final double MOST_TIME_MS = 3_600_000;
     private static final double MOST_WORK_MS = 60_000;
     private static final double MILLI = 1e6;
@@ -41,8 +44,11 @@
     private int told;
     private double lastTime;
 
-    /** @param problems takes what is wrong */
-    TraceReader(Path file, List<RequestKind> classes, List<Customer> tenants, List<Problem> problems) {
+    /**
+     * @param problems takes what is wrong
+     */
+    TraceReader(
+            Path file, List<RequestKind> classes, List<Customer> tenants, List<Problem> problems) {
         this.file = file;
         this.classes = classes.stream().map(RequestKind::name).toList();
         this.tenants = tenants.stream().map(Customer::name).toList();
@@ -58,8 +64,13 @@
                 return trace;
             }
             try (Reader reader = Files.newBufferedReader(file);
-                    CSVParser parser = CSVFormat.RFC4180.builder().setIgnoreEmptyLines(false)
-                            .setTrim(true).get().parse(reader)) {
+                    CSVParser parser =
+                            CSVFormat.RFC4180
+                                    .builder()
+                                    .setIgnoreEmptyLines(false)
+                                    .setTrim(true)
+                                    .get()
+                                    .parse(reader)) {
                 lines(parser, trace);
             }
         } catch (NoSuchFileException e) {
@@ -76,7 +87,8 @@
         Iterator<CSVRecord> records = parser.iterator();
         int count = 0;
         while (told < MOST_PROBLEMS) {
-            // The parser counts the line ends it has read; a field in quotes may hold some of its own.
+            // The parser counts the line ends it has read; a field in quotes may hold some of its
+            // own.
             int line = (int) parser.getCurrentLineNumber() + 1;
             CSVRecord record;
             try {
@@ -104,37 +116,59 @@
             }
         }
         if (told >= MOST_PROBLEMS) {
-            problems.add(new Problem(file.toString(), 0, "", "more than " + (MOST_PROBLEMS - 1)
-                    + " broken lines", "the rest was not read"));
+            problems.add(
+                    new Problem(
+                            file.toString(),
+                            0,
+                            "",
+                            "more than " + (MOST_PROBLEMS - 1) + " broken lines",
+                            "the rest was not read"));
         } else if (count < 2) {
-            problem(0, "", "no arrivals", "a line " + String.join(",", COLUMNS) + ", then at least one more");
+            problem(
+                    0,
+                    "",
+                    "no arrivals",
+                    "a line " + String.join(",", COLUMNS) + ", then at least one more");
         }
     }
 
     private void header(int line, CSVRecord record) {
         if (!record.toList().equals(COLUMNS)) {
-            problem(line, "", Table.shown(String.join(",", record.toList())), String.join(",", COLUMNS));
+            problem(
+                    line,
+                    "",
+                    Table.shown(String.join(",", record.toList())),
+                    String.join(",", COLUMNS));
         }
     }
 
     /** Null where the line is broken. */
     private Recorded recorded(int line, CSVRecord record) {
         if (record.size() != COLUMNS.size()) {
-            problem(line, "", record.size() == 1 && record.get(0).isEmpty() ? "an empty line"
-                    : record.size() + " fields", COLUMNS.size() + " fields");
+            problem(
+                    line,
+                    "",
+                    record.size() == 1 && record.get(0).isEmpty()
+                            ? "an empty line"
+                            : record.size() + " fields",
+                    COLUMNS.size() + " fields");
             return null;
         }
         int before = told;
         double time = number(line, record, 0, MOST_TIME_MS, false);
         int kind = name(line, record, 1, classes);
-        int tenant = tenants.isEmpty() && record.get(2).isEmpty() ? 0 : name(line, record, 2, tenants);
+        int tenant =
+                tenants.isEmpty() && record.get(2).isEmpty() ? 0 : name(line, record, 2, tenants);
         double work = number(line, record, 3, MOST_WORK_MS, true);
         if (told > before) {
             return null;
         }
         if (time < lastTime) {
-            problem(line, COLUMNS.get(0), record.get(0), "no less than the line before, "
-                    + Figures.shown(lastTime));
+            problem(
+                    line,
+                    COLUMNS.get(0),
+                    record.get(0),
+                    "no less than the line before, " + Figures.shown(lastTime));
             return null;
         }
         lastTime = time;
@@ -155,8 +189,11 @@
         if (value >= 0 && value <= most) {
             return value;
         }
-        problem(line, COLUMNS.get(column), Table.shown(field), "a number from 0 to " + Figures.shown(most)
-                + (mayBeEmpty ? ", or nothing" : ""));
+        problem(
+                line,
+                COLUMNS.get(column),
+                Table.shown(field),
+                "a number from 0 to " + Figures.shown(most) + (mayBeEmpty ? ", or nothing" : ""));
         return 0;
     }
 
@@ -165,9 +202,15 @@
         int index = names.indexOf(field);
         if (index < 0) {
             String nearest = field.isEmpty() ? null : Table.nearest(field, names);
-            problem(line, COLUMNS.get(column), Table.shown(field), nearest != null
-                    ? "did you mean '" + nearest + "'?"
-                    : names.isEmpty() ? "nothing: the scenario has none" : String.join(", ", names));
+            problem(
+                    line,
+                    COLUMNS.get(column),
+                    Table.shown(field),
+                    nearest != null
+                            ? "did you mean '" + nearest + "'?"
+                            : names.isEmpty()
+                                    ? "nothing: the scenario has none"
+                                    : String.join(", ", names));
         }
         return index;
     }
--- a/lab/src/main/java/cedarrudder/lab/trace/Tap.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/Tap.java
@@ -10,12 +10,12 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * Stands between a balancer and whatever feeds it, passes everything on, and writes down what went by. So a
- * run is judged by what its balancers did, even where a driver around them mends it: an RPC that a balancer
- * loses is lost, though the driver answers for it in the end.
+ * Stands between a balancer and whatever feeds it, passes everything on, and writes down what went
+ * by. So a run is judged by what its balancers did, even where a driver around them mends it: an
+ * RPC that a balancer loses is lost, though the driver answers for it in the end.
  *
- * <p>It writes the events of one proxy that the balancer takes part in. That proxies start and die, what
- * reaches nodes and how these start and end is for the one who plays the nodes to write.
+ * <p>It writes the events of one proxy that the balancer takes part in. That proxies start and die,
+ * what reaches nodes and how these start and end is for the one who plays the nodes to write.
  */
 public final class Tap implements Balancer {
 
@@ -37,12 +37,18 @@
     /**
      * Makes a balancer and stands before it.
      *
-     * @param proxy the number of the proxy in the trace; asked for with each event, and not before the first
+     * @param proxy the number of the proxy in the trace; asked for with each event, and not before
+     *     the first
      * @param work the work of an RPC, by its id, on a core of speed 1 at the tier of this balancer
      * @param actions carries out what the balancer does
      * @param make makes the balancer, given the actions that it is to use
      */
-    public Tap(Trace trace, IntSupplier proxy, Settings settings, LongToDoubleFunction work, Actions actions,
+    public Tap(
+            Trace trace,
+            IntSupplier proxy,
+            Settings settings,
+            LongToDoubleFunction work,
+            Actions actions,
             Function<Actions, Balancer> make) {
         this.trace = trace;
         this.proxy = proxy;
@@ -58,7 +64,13 @@
             trace.toldWhole(at, proxy.getAsInt());
         }
         for (Endpoint entry : entries) {
-            trace.told(at, proxy.getAsInt(), entry.id(), entry.cell(), entry.zone(), entry.state(),
+            trace.told(
+                    at,
+                    proxy.getAsInt(),
+                    entry.id(),
+                    entry.cell(),
+                    entry.zone(),
+                    entry.state(),
                     entry.startedAt());
         }
         balancer.endpoints(at, kind, entries);
@@ -86,7 +98,13 @@
         now = at;
         rpcs.put(request.id(), new Open());
         RequestClass kind = classes.get(request.classIndex());
-        trace.taken(at, proxy.getAsInt(), request.id(), kind.effect(), kind.keyScope(), kind.repeatWindow(),
+        trace.taken(
+                at,
+                proxy.getAsInt(),
+                request.id(),
+                kind.effect(),
+                kind.keyScope(),
+                kind.repeatWindow(),
                 request.deadline());
     }
 
@@ -97,8 +115,15 @@
     }
 
     @Override
-    public void outcome(long at, long request, int attempt, long endpoint, Outcome outcome, long latency,
-            boolean settled, Load load) {
+    public void outcome(
+            long at,
+            long request,
+            int attempt,
+            long endpoint,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            Load load) {
         now = at;
         trace.ended(at, proxy.getAsInt(), request, attempt, outcome);
         Open rpc = rpcs.get(request);
@@ -186,7 +211,8 @@
                 attempt = rpc.attempts++;
                 rpc.out++;
             }
-            trace.sent(now, proxy.getAsInt(), request, attempt, endpoint, work.applyAsDouble(request));
+            trace.sent(
+                    now, proxy.getAsInt(), request, attempt, endpoint, work.applyAsDouble(request));
             to.send(request, endpoint, timeout);
         }
 
--- a/lab/src/main/java/cedarrudder/lab/trace/Trace.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/Trace.java
@@ -6,18 +6,24 @@
 import cedarrudder.Balancer.State;
 
 /**
- * What can be seen of a run from outside, in the order in which it happens: of each proxy its messages, of
- * each node its starts and what reaches it. Whoever judges a run reads this and nothing else.
+ * What can be seen of a run from outside, in the order in which it happens: of each proxy its
+ * messages, of each node its starts and what reaches it. Whoever judges a run reads this and
+ * nothing else.
  *
- * <p>Proxies and RPCs are numbered over the whole run; a proxy that comes back after a crash keeps its
- * number, its RPCs have new ones. {@code endpoint} is the id by which lists name a node; a node that restarts
- * keeps it. Instants are nanoseconds of the run's clock and never go back; the first event is of the run's
- * start. An attempt that is moot is never sent: it has an outcome and nothing else.
+ * <p>Proxies and RPCs are numbered over the whole run; a proxy that comes back after a crash keeps
+ * its number, its RPCs have new ones. {@code endpoint} is the id by which lists name a node; a node
+ * that restarts keeps it. Instants are nanoseconds of the run's clock and never go back; the first
+ * event is of the run's start. An attempt that is moot is never sent: it has an outcome and nothing
+ * else.
  */
 public interface Trace {
 
     /** How a proxy ended an RPC. */
-    enum Final { SERVED, REFUSED, FAILED }
+    enum Final {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** A proxy of a tier starts, or starts again. */
     void proxyStarted(long now, int proxy, int tier);
@@ -28,11 +34,20 @@
     /** A proxy was told of one entry of a list. {@code startedAt}: 0 for long ago. */
     void told(long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt);
 
-    /** A proxy was told a whole list; what it didn't name is gone. Comes before the entries of that list. */
+    /**
+     * A proxy was told a whole list; what it didn't name is gone. Comes before the entries of that
+     * list.
+     */
     void toldWhole(long now, int proxy);
 
     /** A proxy has taken an RPC; {@code deadline} is when its caller gives up. */
-    void taken(long now, int proxy, long rpc, Effect effect, KeyScope scope, long repeatWindow,
+    void taken(
+            long now,
+            int proxy,
+            long rpc,
+            Effect effect,
+            KeyScope scope,
+            long repeatWindow,
             long deadline);
 
     /** A proxy writes an attempt to a node. {@code work}: on a core of speed 1 at this tier. */
@@ -44,7 +59,9 @@
     /** A node has begun to work on an attempt, or has taken it into its queue. */
     void reached(long now, int proxy, long rpc, int attempt, long endpoint);
 
-    /** A proxy gives an RPC its final answer. SERVED names the attempt whose answer it is; else -1. */
+    /**
+     * A proxy gives an RPC its final answer. SERVED names the attempt whose answer it is; else -1.
+     */
     void answered(long now, int proxy, long rpc, Final how, int attempt);
 
     /** The caller of an RPC has gone before it was answered; nothing is owed any more. */
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
@@ -23,7 +23,7 @@
      * @param last the instant of the last one, in nanoseconds since the run's start
      * @param cut whether the last line was cut off: what comes before it counts
      */
-    public record Read(long events, long last, boolean cut) { }
+    public record Read(long events, long last, boolean cut) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -36,10 +36,11 @@
     }
 
     /**
-     * Reads a record and hands its events on; instants count from the run's start. A last line that was cut
-     * off, as by the end of its writer, is left out.
+     * Reads a record and hands its events on; instants count from the run's start. A last line that
+     * was cut off, as by the end of its writer, is left out.
      *
-     * @throws IOException if it can't be read, or a line that is not the last is broken: it is named
+     * @throws IOException if it can't be read, or a line that is not the last is broken: it is
+     *     named
      */
     public static Read read(Path file, Trace to) throws IOException {
         TraceReader reader = new TraceReader(to);
@@ -50,7 +51,8 @@
                 try {
                     next = lines.readLine();
                 } catch (CharacterCodingException e) {
-                    throw new IOException(file + ":" + (number + 1) + ": bytes that are no UTF-8", e);
+                    throw new IOException(
+                            file + ":" + (number + 1) + ": bytes that are no UTF-8", e);
                 }
                 try {
                     reader.event(line);
@@ -75,23 +77,62 @@
         switch (text(json, "event")) {
             case "proxy-started" -> to.proxyStarted(at, proxy(json), (int) whole(json, "tier"));
             case "proxy-died" -> to.proxyDied(at, proxy(json));
-            case "told" -> to.told(at, proxy(json), whole(json, "endpoint"), (int) whole(json, "cell"),
-                    (int) whole(json, "zone"), State.valueOf(text(json, "state")), whole(json, "started"));
+            case "told" ->
+                    to.told(
+                            at,
+                            proxy(json),
+                            whole(json, "endpoint"),
+                            (int) whole(json, "cell"),
+                            (int) whole(json, "zone"),
+                            State.valueOf(text(json, "state")),
+                            whole(json, "started"));
             case "told-whole" -> to.toldWhole(at, proxy(json));
-            case "taken" -> to.taken(at, proxy(json), whole(json, "rpc"),
-                    Effect.valueOf(text(json, "effect")), KeyScope.valueOf(text(json, "scope")),
-                    whole(json, "window"), whole(json, "deadline"));
-            case "sent" -> to.sent(at, proxy(json), whole(json, "rpc"), attempt(json),
-                    whole(json, "endpoint"), whole(json, "work"));
-            case "ended" -> to.ended(at, proxy(json), whole(json, "rpc"), attempt(json),
-                    Outcome.valueOf(text(json, "outcome")));
-            case "reached" -> to.reached(at, proxy(json), whole(json, "rpc"), attempt(json),
-                    whole(json, "endpoint"));
-            case "answered" -> to.answered(at, proxy(json), whole(json, "rpc"),
-                    Final.valueOf(text(json, "how")), attempt(json));
+            case "taken" ->
+                    to.taken(
+                            at,
+                            proxy(json),
+                            whole(json, "rpc"),
+                            Effect.valueOf(text(json, "effect")),
+                            KeyScope.valueOf(text(json, "scope")),
+                            whole(json, "window"),
+                            whole(json, "deadline"));
+            case "sent" ->
+                    to.sent(
+                            at,
+                            proxy(json),
+                            whole(json, "rpc"),
+                            attempt(json),
+                            whole(json, "endpoint"),
+                            whole(json, "work"));
+            case "ended" ->
+                    to.ended(
+                            at,
+                            proxy(json),
+                            whole(json, "rpc"),
+                            attempt(json),
+                            Outcome.valueOf(text(json, "outcome")));
+            case "reached" ->
+                    to.reached(
+                            at,
+                            proxy(json),
+                            whole(json, "rpc"),
+                            attempt(json),
+                            whole(json, "endpoint"));
+            case "answered" ->
+                    to.answered(
+                            at,
+                            proxy(json),
+                            whole(json, "rpc"),
+                            Final.valueOf(text(json, "how")),
+                            attempt(json));
             case "caller-left" -> to.callerLeft(at, proxy(json), whole(json, "rpc"));
-            case "node-started" -> to.nodeStarted(at, whole(json, "endpoint"), part(json, "capacity"),
-                    part(json, "cold"), whole(json, "warm"));
+            case "node-started" ->
+                    to.nodeStarted(
+                            at,
+                            whole(json, "endpoint"),
+                            part(json, "capacity"),
+                            part(json, "cold"),
+                            whole(json, "warm"));
             case "node-ended" -> to.nodeEnded(at, whole(json, "endpoint"));
             default -> throw new IllegalArgumentException("an event of no known name");
         }
