--- a/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
@@ -15,9 +15,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Writes a trace as JSON, one event a line, and passes it on; {@link TraceReader} reads it again. Instants
- * are nanoseconds since the run's start. After a failed write nothing more is written, and the run goes on.
- * Used by one thread.
+ * Writes a trace as JSON, one event a line, and passes it on; {@link TraceReader} reads it again.
+ * Instants are nanoseconds since the run's start. After a failed write nothing more is written, and
+ * the run goes on. Used by one thread.
  */
 public final class TraceWriter implements Trace {
 
@@ -65,10 +65,12 @@
             throws IOException, InterruptedException {
         try (OutputStream out = new BufferedOutputStream(Files.newOutputStream(file), 1 << 16)) {
             TraceWriter trace = new TraceWriter(out, origin, null);
-            T result = run.play(next -> {
-                trace.next = next;
-                return trace;
-            });
+            T result =
+                    run.play(
+                            next -> {
+                                trace.next = next;
+                                return trace;
+                            });
             trace.finish();
             return result;
         }
@@ -90,19 +92,25 @@
     }
 
     private void ofRpc(long now, String event, int proxy, long rpc, Fields fields) {
-        line(now, event, out -> {
-            out.writeNumberField("proxy", proxy);
-            out.writeNumberField("rpc", rpc);
-            fields.write(out);
-        });
+        line(
+                now,
+                event,
+                out -> {
+                    out.writeNumberField("proxy", proxy);
+                    out.writeNumberField("rpc", rpc);
+                    fields.write(out);
+                });
     }
 
     @Override
     public void proxyStarted(long now, int proxy, int tier) {
-        line(now, "proxy-started", out -> {
-            out.writeNumberField("proxy", proxy);
-            out.writeNumberField("tier", tier);
-        });
+        line(
+                now,
+                "proxy-started",
+                out -> {
+                    out.writeNumberField("proxy", proxy);
+                    out.writeNumberField("tier", tier);
+                });
         next.proxyStarted(now, proxy, tier);
     }
 
@@ -113,15 +121,19 @@
     }
 
     @Override
-    public void told(long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
-        line(now, "told", out -> {
-            out.writeNumberField("proxy", proxy);
-            out.writeNumberField("endpoint", endpoint);
-            out.writeNumberField("cell", cell);
-            out.writeNumberField("zone", zone);
-            out.writeStringField("state", state.name());
-            out.writeNumberField("started", startedAt == 0 ? 0 : startedAt - origin);
-        });
+    public void told(
+            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
+        line(
+                now,
+                "told",
+                out -> {
+                    out.writeNumberField("proxy", proxy);
+                    out.writeNumberField("endpoint", endpoint);
+                    out.writeNumberField("cell", cell);
+                    out.writeNumberField("zone", zone);
+                    out.writeStringField("state", state.name());
+                    out.writeNumberField("started", startedAt == 0 ? 0 : startedAt - origin);
+                });
         next.told(now, proxy, endpoint, cell, zone, state, startedAt);
     }
 
@@ -132,68 +144,103 @@
     }
 
     @Override
-    public void taken(long now, int proxy, long rpc, Effect effect, KeyScope scope, long repeatWindow,
+    public void taken(
+            long now,
+            int proxy,
+            long rpc,
+            Effect effect,
+            KeyScope scope,
+            long repeatWindow,
             long deadline) {
-        ofRpc(now, "taken", proxy, rpc, out -> {
-            out.writeStringField("effect", effect.name());
-            out.writeStringField("scope", scope.name());
-            out.writeNumberField("window", repeatWindow);
-            out.writeNumberField("deadline", deadline - origin);
-        });
+        ofRpc(
+                now,
+                "taken",
+                proxy,
+                rpc,
+                out -> {
+                    out.writeStringField("effect", effect.name());
+                    out.writeStringField("scope", scope.name());
+                    out.writeNumberField("window", repeatWindow);
+                    out.writeNumberField("deadline", deadline - origin);
+                });
         next.taken(now, proxy, rpc, effect, scope, repeatWindow, deadline);
     }
 
     @Override
     public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {
-        ofRpc(now, "sent", proxy, rpc, out -> {
-            out.writeNumberField("attempt", attempt);
-            out.writeNumberField("endpoint", endpoint);
-            out.writeNumberField("work", Math.round(work));
-        });
+        ofRpc(
+                now,
+                "sent",
+                proxy,
+                rpc,
+                out -> {
+                    out.writeNumberField("attempt", attempt);
+                    out.writeNumberField("endpoint", endpoint);
+                    out.writeNumberField("work", Math.round(work));
+                });
         next.sent(now, proxy, rpc, attempt, endpoint, work);
     }
 
     @Override
     public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) {
-        ofRpc(now, "ended", proxy, rpc, out -> {
-            out.writeNumberField("attempt", attempt);
-            out.writeStringField("outcome", outcome.name());
-        });
+        ofRpc(
+                now,
+                "ended",
+                proxy,
+                rpc,
+                out -> {
+                    out.writeNumberField("attempt", attempt);
+                    out.writeStringField("outcome", outcome.name());
+                });
         next.ended(now, proxy, rpc, attempt, outcome);
     }
 
     @Override
     public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {
-        ofRpc(now, "reached", proxy, rpc, out -> {
-            out.writeNumberField("attempt", attempt);
-            out.writeNumberField("endpoint", endpoint);
-        });
+        ofRpc(
+                now,
+                "reached",
+                proxy,
+                rpc,
+                out -> {
+                    out.writeNumberField("attempt", attempt);
+                    out.writeNumberField("endpoint", endpoint);
+                });
         next.reached(now, proxy, rpc, attempt, endpoint);
     }
 
     @Override
     public void answered(long now, int proxy, long rpc, Final how, int attempt) {
-        ofRpc(now, "answered", proxy, rpc, out -> {
-            out.writeStringField("how", how.name());
-            out.writeNumberField("attempt", attempt);
-        });
+        ofRpc(
+                now,
+                "answered",
+                proxy,
+                rpc,
+                out -> {
+                    out.writeStringField("how", how.name());
+                    out.writeNumberField("attempt", attempt);
+                });
         next.answered(now, proxy, rpc, how, attempt);
     }
 
     @Override
     public void callerLeft(long now, int proxy, long rpc) {
-        ofRpc(now, "caller-left", proxy, rpc, out -> { });
+        ofRpc(now, "caller-left", proxy, rpc, out -> {});
         next.callerLeft(now, proxy, rpc);
     }
 
     @Override
-    public void nodeStarted(long now, long endpoint, double capacity, double coldShare, long warmAt) {
-        line(now, "node-started", out -> {
-            out.writeNumberField("endpoint", endpoint);
-            out.writeNumberField("capacity", capacity);
-            out.writeNumberField("cold", coldShare);
-            out.writeNumberField("warm", warmAt - origin);
-        });
+    public void nodeStarted(
+            long now, long endpoint, double capacity, double coldShare, long warmAt) {
+        line(
+                now,
+                "node-started",
+                out -> {
+                    out.writeNumberField("endpoint", endpoint);
+                    out.writeNumberField("capacity", capacity);
+                    out.writeNumberField("cold", coldShare);
+                    out.writeNumberField("warm", warmAt - origin);
+                });
         next.nodeStarted(now, endpoint, capacity, coldShare, warmAt);
     }
 
--- a/lab/src/test/java/cedarrudder/agreement/BrokenTest.java
+++ b/lab/src/test/java/cedarrudder/agreement/BrokenTest.java
@@ -30,8 +30,8 @@
     private static final Copies.Network CALM = new Copies.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
 
     private static Copies.Maker with(Conduct conduct) {
-        return (zones, self, life, settings, store, random, outlet, now) -> new Agreement(zones, self, life,
-                settings, store, random, outlet, now, conduct);
+        return (zones, self, life, settings, store, random, outlet, now) ->
+                new Agreement(zones, self, life, settings, store, random, outlet, now, conduct);
     }
 
     /** The rules that seeds break, up to the first seed that breaks one of these. */
@@ -45,36 +45,48 @@
 
     @Test
     public void oneThatForgotVotesUnderItsNewLife() {
-        Set<String> rules = broken(new Conduct() {
-            @Override
-            boolean mayVote(boolean sworn, boolean seated) {
-                return true;
-            }
-        }, 20, "A2");
+        Set<String> rules =
+                broken(
+                        new Conduct() {
+                            @Override
+                            boolean mayVote(boolean sworn, boolean seated) {
+                                return true;
+                            }
+                        },
+                        20,
+                        "A2");
         assertTrue(rules.contains("A2"), rules.toString());
     }
 
     /** What is handed on again, since the leader's answer was lost, would count twice. */
     @Test
     public void aProposalHandedOnTwiceTakesEffectTwice() {
-        Set<String> rules = broken(new Conduct() {
-            @Override
-            boolean once(boolean isNew) {
-                return true;
-            }
-        }, 100, "A3");
+        Set<String> rules =
+                broken(
+                        new Conduct() {
+                            @Override
+                            boolean once(boolean isNew) {
+                                return true;
+                            }
+                        },
+                        100,
+                        "A3");
         assertTrue(rules.contains("A3"), rules.toString());
     }
 
     /** What lay unread for as long as a copy stood still would make a contact as much younger. */
     @Test
     public void aContactThatCountsFromItsArrivalIsTooYoung() {
-        Set<String> rules = broken(new Conduct() {
-            @Override
-            long countsFrom(long askedAt, long answeredAt) {
-                return answeredAt;
-            }
-        }, 20, "contact");
+        Set<String> rules =
+                broken(
+                        new Conduct() {
+                            @Override
+                            long countsFrom(long askedAt, long answeredAt) {
+                                return answeredAt;
+                            }
+                        },
+                        20,
+                        "contact");
         assertTrue(rules.contains("contact"), rules.toString());
     }
 
@@ -82,12 +94,15 @@
     @Test
     public void withoutTheDriftAContactThatIsHandedOnIsTooYoung() {
         assertEquals(handedOnForMinutes(new Conduct()), Set.of());
-        assertEquals(handedOnForMinutes(new Conduct() {
-            @Override
-            long lengthened(long nanos) {
-                return nanos;
-            }
-        }), Set.of("contact"));
+        assertEquals(
+                handedOnForMinutes(
+                        new Conduct() {
+                            @Override
+                            long lengthened(long nanos) {
+                                return nanos;
+                            }
+                        }),
+                Set.of("contact"));
     }
 
     private static Set<String> handedOnForMinutes(Conduct conduct) {
@@ -108,16 +123,20 @@
         return judged(copies, events);
     }
 
-    /** One datagram with a peer's address that names a higher group, or a later life of that peer. */
+    /**
+     * One datagram with a peer's address that names a higher group, or a later life of that peer.
+     */
     @Test
     public void aForgedDatagramMovesNobody() {
         assertTrue(staysAfterForgeries(new Conduct()));
-        assertTrue(!staysAfterForgeries(new Conduct() {
-            @Override
-            boolean believes(boolean answered) {
-                return true;
-            }
-        }));
+        assertTrue(
+                !staysAfterForgeries(
+                        new Conduct() {
+                            @Override
+                            boolean believes(boolean answered) {
+                                return true;
+                            }
+                        }));
     }
 
     private static boolean staysAfterForgeries(Conduct conduct) {
@@ -125,21 +144,27 @@
         Group group = copies.view(0).group();
         long life = copies.view(1).life();
         for (int i = 0; i < 100; i++) {
-            Message message = i % 2 == 0 ? new Message.Digest(9, 9, 9, 1, 0, 0, i)
-                    : new Message.Sure(i, 0, 9);
+            Message message =
+                    i % 2 == 0
+                            ? new Message.Digest(9, 9, 9, 1, 0, 0, i)
+                            : new Message.Sure(i, 0, 9);
             Group other = new Group(group.era() + i % 3, 1, life);
-            copies.inject(0, 1, new Piece(other, 9, 1, life + i % 5, i, 0, 1, 0, message.encode()).encode());
+            copies.inject(
+                    0,
+                    1,
+                    new Piece(other, 9, 1, life + i % 5, i, 0, 1, 0, message.encode()).encode());
             copies.play(20 * MILLI);
         }
         copies.play(5 * SECOND);
-        LogNumber number = copies.leader() < 0 ? null : copies.propose(copies.leader(), new byte[8]);
+        LogNumber number =
+                copies.leader() < 0 ? null : copies.propose(copies.leader(), new byte[8]);
         copies.play(2 * SECOND);
         return number != null && number.group().equals(group) && copies.allLoaded(number);
     }
 
     /**
-     * The plain paper without a disk: the copy says that it is who it was, and remembers no vote and no
-     * entry.
+     * The plain paper without a disk: the copy says that it is who it was, and remembers no vote
+     * and no entry.
      */
     @Test
     public void oneThatForgotVotesAsIfItRemembered() {
@@ -162,67 +187,80 @@
         return new Store() {
             @Override
             public Kept kept() {
-                return new Kept(new Promise(group, voter.life(), 1, null, true),
-                        new Snapshot(1, 1, voters, new Proposers().with(new byte[8])), List.of());
+                return new Kept(
+                        new Promise(group, voter.life(), 1, null, true),
+                        new Snapshot(1, 1, voters, new Proposers().with(new byte[8])),
+                        List.of());
             }
 
             @Override
-            public void promise(Promise promise) { }
+            public void promise(Promise promise) {}
 
             @Override
-            public void entry(long index, Entry entry) { }
+            public void entry(long index, Entry entry) {}
 
             @Override
-            public void cut(long from) { }
+            public void cut(long from) {}
 
             @Override
-            public void snapshot(Snapshot snapshot) { }
+            public void snapshot(Snapshot snapshot) {}
 
             @Override
-            public void sync() { }
+            public void sync() {}
         };
     }
 
     @Test
     public void piecesOfDifferentMessagesMix() {
-        Set<String> rules = broken(new Conduct() {
-            @Override
-            boolean same(Piece held, Piece other) {
-                return held.count() == other.count();
-            }
-
-            @Override
-            boolean intact(Piece held, byte[] message) {
-                return true;
-            }
-        }, 200, "A1");
+        Set<String> rules =
+                broken(
+                        new Conduct() {
+                            @Override
+                            boolean same(Piece held, Piece other) {
+                                return held.count() == other.count();
+                            }
+
+                            @Override
+                            boolean intact(Piece held, byte[] message) {
+                                return true;
+                            }
+                        },
+                        200,
+                        "A1");
         assertTrue(rules.contains("A1"), rules.toString());
     }
 
     @Test
     public void aNewGroupUsesNumbersAgain() {
-        Set<String> rules = broken(new Conduct() {
-            @Override
-            Group next(Group known, Voter founder) {
-                return new Group(known.era() + 1, 0, 0);
-            }
-        }, 200, "A1", "A2");
+        Set<String> rules =
+                broken(
+                        new Conduct() {
+                            @Override
+                            Group next(Group known, Voter founder) {
+                                return new Group(known.era() + 1, 0, 0);
+                            }
+                        },
+                        200,
+                        "A1",
+                        "A2");
         assertTrue(rules.contains("A1") || rules.contains("A2"), rules.toString());
     }
 
     /**
-     * Figure 8 of the paper: an entry of an earlier term, counted on a majority, is overwritten after
-     * all.
+     * Figure 8 of the paper: an entry of an earlier term, counted on a majority, is overwritten
+     * after all.
      */
     @Test
     public void anEntryOfAnEarlierTermIsCommittedByCounting() {
         assertEquals(figureEight(new Conduct()), Set.of());
-        Set<String> rules = figureEight(new Conduct() {
-            @Override
-            boolean counts(long entryTerm, long term) {
-                return true;
-            }
-        });
+        Set<String> rules =
+                figureEight(
+                        new Conduct() {
+                            @Override
+                            boolean counts(long entryTerm, long term) {
+                                return true;
+                            }
+                        });
         assertTrue(rules.contains("A1"), rules.toString());
     }
 
@@ -289,12 +327,14 @@
     @Test
     public void withoutAskingAheadACutOffVoterDisturbs() {
         long with = termsOfACutOffVoter(new Conduct());
-        long without = termsOfACutOffVoter(new Conduct() {
-            @Override
-            boolean asksFirst() {
-                return false;
-            }
-        });
+        long without =
+                termsOfACutOffVoter(
+                        new Conduct() {
+                            @Override
+                            boolean asksFirst() {
+                                return false;
+                            }
+                        });
         assertEquals(with, 0);
         assertTrue(without >= 10, "terms " + without);
     }
@@ -316,12 +356,14 @@
     @Test
     public void withoutStepDownADeafLeaderStopsAll() {
         assertTrue(commitsPastADeafLeader(new Conduct()));
-        assertTrue(!commitsPastADeafLeader(new Conduct() {
-            @Override
-            boolean lapsed(long sinceMajority, long most) {
-                return false;
-            }
-        }));
+        assertTrue(
+                !commitsPastADeafLeader(
+                        new Conduct() {
+                            @Override
+                            boolean lapsed(long sinceMajority, long most) {
+                                return false;
+                            }
+                        }));
     }
 
     private static boolean commitsPastADeafLeader(Conduct conduct) {
@@ -331,13 +373,22 @@
         copies.play(4 * SECOND);
         LogNumber number = copies.propose(copies.leader(), new byte[8]);
         copies.play(4 * SECOND);
-        return IntStream.range(0, 5).filter(i -> i != deaf)
+        return IntStream.range(0, 5)
+                .filter(i -> i != deaf)
                 .allMatch(i -> copies.view(i).loaded().compareTo(number) >= 0);
     }
 
     private static Copies started(int size, boolean disks, Conduct conduct, List<Event> events) {
-        Copies copies = new Copies(size, CALM, AgreementSettings.DEFAULT, disks, 8, 1, with(conduct),
-                events::add);
+        Copies copies =
+                new Copies(
+                        size,
+                        CALM,
+                        AgreementSettings.DEFAULT,
+                        disks,
+                        8,
+                        1,
+                        with(conduct),
+                        events::add);
         copies.form(0);
         copies.play(12 * SECOND);
         assertEquals(copies.view(copies.leader()).voters().size(), 5);
@@ -346,7 +397,10 @@
 
     private static Set<String> judged(Copies copies, List<Event> events) {
         Set<String> rules = new HashSet<>();
-        History.judged(events, copies.now(), List.of(new OneTable(), new OneLeader(), new SureContact()))
+        History.judged(
+                        events,
+                        copies.now(),
+                        List.of(new OneTable(), new OneLeader(), new SureContact()))
                 .forEach(breach -> rules.add(breach.rule()));
         return rules;
     }
--- a/lab/src/test/java/cedarrudder/agreement/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/agreement/HardCasesTest.java
@@ -19,14 +19,15 @@
 import org.testng.annotations.Test;
 
 /**
- * What copies must come through, each made to happen. Their clocks differ by up to an hour and drift by up to
- * 1 in 1,000, as in all of the model.
+ * What copies must come through, each made to happen. Their clocks differ by up to an hour and
+ * drift by up to 1 in 1,000, as in all of the model.
  */
 public class HardCasesTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
-    private static final Copies.Network LOSSY = new Copies.Network(0.1, 0.02, 0.01, 2 * MILLI, 21 * MILLI);
+    private static final Copies.Network LOSSY =
+            new Copies.Network(0.1, 0.02, 0.01, 2 * MILLI, 21 * MILLI);
 
     private final List<Event> events = new ArrayList<>();
 
@@ -41,8 +42,15 @@
 
     private Set<String> judged(Copies copies) {
         Set<String> rules = new HashSet<>();
-        History.judged(events, copies.now(), List.of(new OneTable(), new OneLeader(), new OneEffect(),
-                new SureContact())).forEach(breach -> rules.add(breach.rule()));
+        History.judged(
+                        events,
+                        copies.now(),
+                        List.of(
+                                new OneTable(),
+                                new OneLeader(),
+                                new OneEffect(),
+                                new SureContact()))
+                .forEach(breach -> rules.add(breach.rule()));
         return rules;
     }
 
@@ -57,14 +65,16 @@
     }
 
     /**
-     * Each half holds the other to be dead, for ten minutes. One half has most voters and goes on; the other
-     * commits nothing, forms no group, and knows that its last contact is as old as the cut.
+     * Each half holds the other to be dead, for ten minutes. One half has most voters and goes on;
+     * the other commits nothing, forms no group, and knows that its last contact is as old as the
+     * cut.
      */
     @Test
     public void twoRegionsThatEachSeeTheOtherAsLost() {
         Copies copies = started(12, AgreementSettings.DEFAULT.silence(6 * SECOND));
         Group group = copies.view(0).group();
-        List<Integer> voters = copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
+        List<Integer> voters =
+                copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
         Set<Integer> most = new HashSet<>(voters.subList(0, 3));
         IntStream.range(0, 12).filter(i -> !voters.contains(i)).limit(3).forEach(most::add);
         part(copies, most);
@@ -88,8 +98,9 @@
     }
 
     /**
-     * Without its vote neither side has a majority. One asks for it, it forgets, and the other asks for it.
-     * By the plain paper, where it says that it is who it was, each gets a leader of the same term.
+     * Without its vote neither side has a majority. One asks for it, it forgets, and the other asks
+     * for it. By the plain paper, where it says that it is who it was, each gets a leader of the
+     * same term.
      */
     @Test
     public void aVoterThatForgotIsAskedForItsVoteByBothSides() {
@@ -130,8 +141,8 @@
     }
 
     /**
-     * The copy that leads is told to end just after it took something: it hands over, and is gone at any
-     * moment after. All that go on load it, or none does and its number is another's.
+     * The copy that leads is told to end just after it took something: it hands over, and is gone
+     * at any moment after. All that go on load it, or none does and its number is another's.
      */
     @Test
     public void somethingIsCommittedAsItsCopyIsToldToEnd() {
@@ -150,12 +161,27 @@
             }
             assertTrue(copies.leader() >= 0 && copies.agree(), "after " + wait + " ms");
             assertEquals(judged(copies), Set.of(), "after " + wait + " ms");
-            String sum = events.stream().filter(event -> event.copy() == leader
-                    && event.what().equals("stored") && event.number("index") == number.index())
-                    .findFirst().get().text("sum");
-            long with = events.stream().filter(event -> event.copy() != leader
-                    && event.what().equals("loaded") && event.number("index") == number.index()
-                    && event.text("sum").equals(sum)).map(Event::copy).distinct().count();
+            String sum =
+                    events.stream()
+                            .filter(
+                                    event ->
+                                            event.copy() == leader
+                                                    && event.what().equals("stored")
+                                                    && event.number("index") == number.index())
+                            .findFirst()
+                            .get()
+                            .text("sum");
+            long with =
+                    events.stream()
+                            .filter(
+                                    event ->
+                                            event.copy() != leader
+                                                    && event.what().equals("loaded")
+                                                    && event.number("index") == number.index()
+                                                    && event.text("sum").equals(sum))
+                            .map(Event::copy)
+                            .distinct()
+                            .count();
             assertTrue(with == 0 || with == 6, "loaded by " + with + " after " + wait + " ms");
             loaded += with == 6 ? 1 : 0;
         }
@@ -173,11 +199,26 @@
             int from = (leader + 1 + i % 39) % 40;
             Agreement view = copies.view(from);
             Message hand = new Message.Hand(new Proposal(from, 1, i, view.loaded(), new byte[20]));
-            copies.inject(leader, from, new Piece(view.group(), view.term(), from, view.life(), i, 0, 1, 0,
-                    hand.encode()).encode());
+            copies.inject(
+                    leader,
+                    from,
+                    new Piece(
+                                    view.group(),
+                                    view.term(),
+                                    from,
+                                    view.life(),
+                                    i,
+                                    0,
+                                    1,
+                                    0,
+                                    hand.encode())
+                            .encode());
         }
         assertTrue(copies.view(leader).leads());
-        assertEquals(events.subList(before, events.size()).stream().filter(event ->
-                event.what().equals("stored")).count(), 16);
+        assertEquals(
+                events.subList(before, events.size()).stream()
+                        .filter(event -> event.what().equals("stored"))
+                        .count(),
+                16);
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/agreement/CopiesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/agreement/CopiesTest.java
@@ -23,7 +23,10 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Copies that agree, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the same. */
+/**
+ * Copies that agree, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
+ * same.
+ */
 public class CopiesTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -32,7 +35,8 @@
     private static final AgreementSettings SETTINGS = AgreementSettings.DEFAULT;
 
     private static Copies started(int size, AgreementSettings settings, int stateBytes) {
-        Copies copies = new Copies(size, CALM, settings, false, stateBytes, 7, Agreement::new, null);
+        Copies copies =
+                new Copies(size, CALM, settings, false, stateBytes, 7, Agreement::new, null);
         copies.form(0);
         copies.play(15 * SECOND);
         assertEquals(copies.view(copies.leader()).voters().size(), 5);
@@ -59,8 +63,16 @@
         List<List<Event>> histories = new ArrayList<>();
         for (int time = 0; time < 2; time++) {
             List<Event> events = new ArrayList<>();
-            Copies copies = new Copies(9, new Copies.Network(0.1, 0.1, 0.1, MILLI, 20 * MILLI), SETTINGS,
-                    true, 600, 5, Agreement::new, events::add);
+            Copies copies =
+                    new Copies(
+                            9,
+                            new Copies.Network(0.1, 0.1, 0.1, MILLI, 20 * MILLI),
+                            SETTINGS,
+                            true,
+                            600,
+                            5,
+                            Agreement::new,
+                            events::add);
             copies.form(2);
             copies.play(15 * SECOND);
             assertNotNull(copies.propose(copies.leader(), new byte[700]));
@@ -118,8 +130,11 @@
     public void aSilentVoterIsReplacedByOneOfItsZone() {
         Copies copies = started(12, SETTINGS, 8);
         int leader = copies.leader();
-        Voter gone = copies.view(leader).voters().all().stream()
-                .filter(v -> v.copy() != leader).findFirst().get();
+        Voter gone =
+                copies.view(leader).voters().all().stream()
+                        .filter(v -> v.copy() != leader)
+                        .findFirst()
+                        .get();
         copies.kill(gone.copy());
         copies.play(15 * SECOND);
         List<Voter> voters = copies.view(copies.leader()).voters().all();
@@ -151,7 +166,8 @@
     public void afterTheStatedSilenceAMajorityOfCopiesFormsAGroupAndAMinorityDoesNot() {
         Copies copies = started(9, SETTINGS.silence(6 * SECOND), 8);
         LogNumber before = commit(copies);
-        List<Integer> voters = copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
+        List<Integer> voters =
+                copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
         for (int i = 0; i < 9; i++) {
             for (int j = 0; j < 9; j++) {
                 copies.cut(i, j, voters.contains(i) != voters.contains(j));
@@ -194,7 +210,10 @@
         commit(copies);
     }
 
-    /** It stood still, and all that was sent to it waited: at its first look it knows how old that is. */
+    /**
+     * It stood still, and all that was sent to it waited: at its first look it knows how old that
+     * is.
+     */
     @Test
     public void aCopyThatStoodStillKnowsThatItsContactIsOld() {
         Copies copies = started(12, SETTINGS, 8);
@@ -223,16 +242,24 @@
         copies.play(30 * SECOND);
         for (int copy = 0; copy < 40; copy++) {
             List<Copies.Settled> settled = copies.settled(copy);
-            assertEquals(settled.stream().map(Copies.Settled::outcome).toList(), List.of(Outcome.COMMITTED,
-                    Outcome.COMMITTED, Outcome.COMMITTED), "copy " + copy);
+            assertEquals(
+                    settled.stream().map(Copies.Settled::outcome).toList(),
+                    List.of(Outcome.COMMITTED, Outcome.COMMITTED, Outcome.COMMITTED),
+                    "copy " + copy);
             for (int i = 0; i < 3; i++) {
                 assertEquals(settled.get(i).proposal().content()[1], i);
-                assertTrue(i == 0 || settled.get(i).number().compareTo(settled.get(i - 1).number()) > 0);
+                assertTrue(
+                        i == 0
+                                || settled.get(i).number().compareTo(settled.get(i - 1).number())
+                                        > 0);
             }
         }
     }
 
-    /** The leader has it and is lost before the word of it is out: asked of the next one, it counts once. */
+    /**
+     * The leader has it and is lost before the word of it is out: asked of the next one, it counts
+     * once.
+     */
     @Test
     public void aProposalOutlivesItsLeader() {
         for (long wait = 2; wait < 90; wait += 4) {
@@ -249,7 +276,10 @@
         }
     }
 
-    /** Without a leader: never handed on, so surely not taken; handed to one that is silent: unknown. */
+    /**
+     * Without a leader: never handed on, so surely not taken; handed to one that is silent:
+     * unknown.
+     */
     @Test
     public void whatIsNotKnownIsNotClaimed() {
         Copies lone = new Copies(3, CALM, SETTINGS, false, 8, 7, Agreement::new, null);
@@ -272,7 +302,10 @@
         assertEquals(copies.settled(by).get(1).outcome(), Outcome.COMMITTED);
     }
 
-    /** One that left its group and has nothing of the next forms one: it still knows what took effect. */
+    /**
+     * One that left its group and has nothing of the next forms one: it still knows what took
+     * effect.
+     */
     @Test
     public void aProposalTakesEffectOnceThoughGroupsFollowOneAnother() {
         List<Event> events = new ArrayList<>();
@@ -299,7 +332,8 @@
         copies.play(5 * SECOND);
         assertEquals(copies.settled(by).get(1).outcome(), Outcome.COMMITTED);
         assertEquals(copies.settled(by).get(1).number().group().era(), era);
-        assertEquals(History.judged(events, copies.now(), List.of(new OneTable(), new OneEffect())),
+        assertEquals(
+                History.judged(events, copies.now(), List.of(new OneTable(), new OneEffect())),
                 List.of());
     }
 
@@ -322,8 +356,8 @@
     }
 
     /**
-     * Its clock went back, so that its life is smaller than the one before: it takes a larger one and is
-     * heard.
+     * Its clock went back, so that its life is smaller than the one before: it takes a larger one
+     * and is heard.
      */
     @Test
     public void aLifeThatIsTooSmallIsMended() {
--- a/lab/src/test/java/cedarrudder/lab/agreement/GoldenHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/agreement/GoldenHistoriesTest.java
@@ -20,15 +20,16 @@
 import org.testng.annotations.Test;
 
 /**
- * What copies that decide together send and do from a seed, held against an earlier build. Every datagram is
- * in the digests, so where they are the same the two builds may run in one tier.
+ * What copies that decide together send and do from a seed, held against an earlier build. Every
+ * datagram is in the digests, so where they are the same the two builds may run in one tier.
  */
 public class GoldenHistoriesTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
     private static final int SAMPLES = 120;
-    private static final Copies.Network ROUGH = new Copies.Network(0.1, 0.05, 0.01, 2 * MILLI, 200 * MILLI);
+    private static final Copies.Network ROUGH =
+            new Copies.Network(0.1, 0.05, 0.01, 2 * MILLI, 200 * MILLI);
 
     private final StringBuilder samples = new StringBuilder();
     private Golden.Digest digest = new Golden.Digest();
@@ -43,8 +44,16 @@
     }
 
     private void event(Event event) {
-        digest.add(event.at() + " " + event.copy() + " " + event.life() + " " + event.what() + " "
-                + new TreeMap<>(event.fields()));
+        digest.add(
+                event.at()
+                        + " "
+                        + event.copy()
+                        + " "
+                        + event.life()
+                        + " "
+                        + event.what()
+                        + " "
+                        + new TreeMap<>(event.fields()));
     }
 
     /** Passes all on, and counts what is sent. */
@@ -85,7 +94,10 @@
 
         @Override
         public void noted(Note note) {
-            kinds += note instanceof Note.Stored stored && stored.entry().kind() == Entry.Kind.VOTERS ? 1 : 0;
+            kinds +=
+                    note instanceof Note.Stored stored && stored.entry().kind() == Entry.Kind.VOTERS
+                            ? 1
+                            : 0;
             to.noted(note);
         }
     }
@@ -95,11 +107,34 @@
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 12; seed++) {
             digest = new Golden.Digest();
-            Storm.Result result = Storm.play(seed, (zones, self, life, settings, store, random, outlet, now) ->
-                    new Agreement(zones, self, life, settings, store, random, new Watched(self, outlet), now));
-            lines.append(seed + " loaded " + result.loaded() + " leaders " + result.leaders() + " answered "
-                    + result.answered() + " settled " + result.settled() + " voters " + kinds + " sent "
-                    + digest + "\n");
+            Storm.Result result =
+                    Storm.play(
+                            seed,
+                            (zones, self, life, settings, store, random, outlet, now) ->
+                                    new Agreement(
+                                            zones,
+                                            self,
+                                            life,
+                                            settings,
+                                            store,
+                                            random,
+                                            new Watched(self, outlet),
+                                            now));
+            lines.append(
+                    seed
+                            + " loaded "
+                            + result.loaded()
+                            + " leaders "
+                            + result.leaders()
+                            + " answered "
+                            + result.answered()
+                            + " settled "
+                            + result.settled()
+                            + " voters "
+                            + kinds
+                            + " sent "
+                            + digest
+                            + "\n");
         }
         Golden.check("consensus-storms.txt", lines.toString() + samples);
     }
@@ -109,12 +144,19 @@
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 6; seed++) {
             digest = new Golden.Digest();
-            FleetWorld world = new FleetWorld(new int[] {0, 1, 2, 0, 1, 2, 0}, ROUGH, seed % 2 == 0, seed,
-                    FleetWorld.plain(AgreementSettings.DEFAULT, FleetSettings.DEFAULT), this::event);
-            world.filter((from, to, bytes) -> {
-                datagram(from, to, bytes);
-                return true;
-            });
+            FleetWorld world =
+                    new FleetWorld(
+                            new int[] {0, 1, 2, 0, 1, 2, 0},
+                            ROUGH,
+                            seed % 2 == 0,
+                            seed,
+                            FleetWorld.plain(AgreementSettings.DEFAULT, FleetSettings.DEFAULT),
+                            this::event);
+            world.filter(
+                    (from, to, bytes) -> {
+                        datagram(from, to, bytes);
+                        return true;
+                    });
             IntConsumer play = seconds -> world.play(seconds * SECOND);
             world.form(0);
             play.accept(15);
@@ -147,12 +189,28 @@
     public void failoverDoesAsThatOfTheEarlierBuild() {
         StringBuilder lines = new StringBuilder();
         for (World world : World.values()) {
-            List<String> policies = world == World.FLAP_3 ? FailoverRun.policies() : List.of("TOGETHER");
+            List<String> policies =
+                    world == World.FLAP_3 ? FailoverRun.policies() : List.of("TOGETHER");
             for (String policy : policies) {
-                FailoverRun.Result result = FailoverRun.play(world, policy, FailoverRun.Conditions.USUAL, 1);
-                lines.append(world.name() + " " + policy + " " + result.goodput() + " " + result.out() + " "
-                        + result.fallen() + " " + result.moves() + " " + result.mostMoves() + " "
-                        + result.breaches().size() + "\n");
+                FailoverRun.Result result =
+                        FailoverRun.play(world, policy, FailoverRun.Conditions.USUAL, 1);
+                lines.append(
+                        world.name()
+                                + " "
+                                + policy
+                                + " "
+                                + result.goodput()
+                                + " "
+                                + result.out()
+                                + " "
+                                + result.fallen()
+                                + " "
+                                + result.moves()
+                                + " "
+                                + result.mostMoves()
+                                + " "
+                                + result.breaches().size()
+                                + "\n");
             }
         }
         Golden.check("failover-worlds.txt", lines.toString());
--- a/lab/src/test/java/cedarrudder/lab/attack/AttackIT.java
+++ b/lab/src/test/java/cedarrudder/lab/attack/AttackIT.java
@@ -15,18 +15,23 @@
     private static final Path JAR = Path.of("daemon", "target", "cedarrudder.jar");
     private static final long SEED = 9;
 
-    /** Times may be so many times what is owed: a machine short of cores is no fault of the daemon. */
+    /**
+     * Times may be so many times what is owed: a machine short of cores is no fault of the daemon.
+     */
     private static final int SLACK = 5;
 
     private static String wrong(List<Outcome> outcomes) {
-        return outcomes.stream().filter(o -> !o.ok()).map(o -> o.attack().name() + " got " + o.got() + ": "
-                + o.wrongs()).collect(Collectors.joining("\n"));
+        return outcomes.stream()
+                .filter(o -> !o.ok())
+                .map(o -> o.attack().name() + " got " + o.got() + ": " + o.wrongs())
+                .collect(Collectors.joining("\n"));
     }
 
     @Test
     public void everyAttackGetsWhatItIsOwedWholeAndInPieces() throws Exception {
         List<Attack> inOnePiece = Library.all().stream().filter(a -> a.text() != null).toList();
-        try (OwnDaemon daemon = new OwnDaemon(JAR, List.of(), 1024); Player player = daemon.player(SLACK)) {
+        try (OwnDaemon daemon = new OwnDaemon(JAR, List.of(), 1024);
+                Player player = daemon.player(SLACK)) {
             assertEquals(wrong(player.play(Library.all(), "whole", null)), "");
             assertEquals(wrong(player.play(inOnePiece, "cut", SEED)), "", "seed " + SEED);
             assertEquals(daemon.nameless(), 0);
--- a/lab/src/test/java/cedarrudder/lab/attack/SplitTest.java
+++ b/lab/src/test/java/cedarrudder/lab/attack/SplitTest.java
@@ -14,7 +14,10 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The daemon's reading of an attack doesn't depend on how its bytes come: who sends them may cut them. */
+/**
+ * The daemon's reading of an attack doesn't depend on how its bytes come: who sends them may cut
+ * them.
+ */
 public class SplitTest {
 
     private static final long SEED = 4711;
@@ -34,9 +37,13 @@
                 while (in.isReadable()) {
                     Message next = decoder.decode(in);
                     if (next != null) {
-                        read.add(next.head().method() + " " + next.head().target() + " "
-                                + next.head().fields().all() + new String(next.body(),
-                                StandardCharsets.ISO_8859_1));
+                        read.add(
+                                next.head().method()
+                                        + " "
+                                        + next.head().target()
+                                        + " "
+                                        + next.head().fields().all()
+                                        + new String(next.body(), StandardCharsets.ISO_8859_1));
                     }
                 }
             } catch (BadMessageException e) {
@@ -59,7 +66,10 @@
             byte[] bytes = WORDS.fill(attack.text(), "id").getBytes(StandardCharsets.ISO_8859_1);
             List<String> whole = read(bytes, List.of(bytes.length));
             for (int i = 1; i < bytes.length && bytes.length <= SHORT; i++) {
-                assertEquals(read(bytes, List.of(i, bytes.length)), whole, attack.name() + " cut at " + i);
+                assertEquals(
+                        read(bytes, List.of(i, bytes.length)),
+                        whole,
+                        attack.name() + " cut at " + i);
                 tried++;
             }
             for (int i = 0; i < RANDOM_CUTS; i++) {
@@ -67,7 +77,10 @@
                 for (int at = 0; at < bytes.length; at = cuts.get(cuts.size() - 1)) {
                     cuts.add(Math.min(bytes.length, at + 1 + random.nextInt(1 + bytes.length / 4)));
                 }
-                assertEquals(read(bytes, cuts), whole, attack.name() + ", seed " + SEED + ", cuts " + cuts);
+                assertEquals(
+                        read(bytes, cuts),
+                        whole,
+                        attack.name() + ", seed " + SEED + ", cuts " + cuts);
                 tried++;
             }
         }
--- a/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
@@ -34,25 +34,31 @@
 import org.testng.annotations.Test;
 
 /**
- * Real copies that agree: killed, stopped and replaced, and their histories judged. Waits have bounds that a
- * busy machine does not reach.
+ * Real copies that agree: killed, stopped and replaced, and their histories judged. Waits have
+ * bounds that a busy machine does not reach.
  */
 public class FleetIT {
 
     private static final int COPIES = 5;
+
     /** This one has a lasting disk. */
     private static final int KEEPS = 4;
+
     private static final long SECOND = 1_000_000_000L;
     private static final long PATIENCE = 90 * SECOND;
+
     /** On a machine of its own another leads within 3 s. */
     private static final long LEAD = 30 * SECOND;
+
     private static final long LEASE_MILLIS = 4_000;
     private static final int LOOK_MILLIS = 50;
 
     /** What a copy's operators' address says of what was agreed on. */
-    private record Seen(boolean used, long number, int leader, boolean leads, long term, String voters) { }
+    private record Seen(
+            boolean used, long number, int leader, boolean leads, long term, String voters) {}
 
-    private final HttpClient http = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
     private final List<Copy> copies = new ArrayList<>();
     private Path folder;
     private Chronicle chronicle;
@@ -65,22 +71,36 @@
         for (int i = 0; i < COPIES; i++) {
             copies.add(new Copy(i, place, chronicle));
         }
-        String peers = copies.stream().map(copy -> "\"" + text(copy.peers()) + "\"")
-                .collect(Collectors.joining(","));
+        String peers =
+                copies.stream()
+                        .map(copy -> "\"" + text(copy.peers()) + "\"")
+                        .collect(Collectors.joining(","));
         for (int i = 0; i < COPIES; i++) {
-            copies.get(i).configure("""
-                    {"name": "c%d", "listen": "%s", "discovery": "127.0.0.1:1", "seed": "%x",
-                     "limits": {"sockets": 1024}, "peer_listen": "%s", "peers": [%s],
-                     "known": {"version":1,"full":true,"servers":[]}, "settings": %s}
-                    """.formatted(i, copies.get(i).listenText(), 77 + i, text(copies.get(i).peers()), peers,
-                    ToySite.settings(COPIES, i)), """
-                    [membership]
-                    [agreement]
-                    lease_ms = %d
-                    %s
-                    [history]
-                    file = "{history}"
-                    """.formatted(LEASE_MILLIS, i == KEEPS ? "folder = \"{folder}\"" : ""));
+            copies.get(i)
+                    .configure(
+                            """
+                            {"name": "c%d", "listen": "%s", "discovery": "127.0.0.1:1", "seed": "%x",
+                             "limits": {"sockets": 1024}, "peer_listen": "%s", "peers": [%s],
+                             "known": {"version":1,"full":true,"servers":[]}, "settings": %s}
+                            """
+                                    .formatted(
+                                            i,
+                                            copies.get(i).listenText(),
+                                            77 + i,
+                                            text(copies.get(i).peers()),
+                                            peers,
+                                            ToySite.settings(COPIES, i)),
+                            """
+                            [membership]
+                            [agreement]
+                            lease_ms = %d
+                            %s
+                            [history]
+                            file = "{history}"
+                            """
+                                    .formatted(
+                                            LEASE_MILLIS,
+                                            i == KEEPS ? "folder = \"{folder}\"" : ""));
         }
     }
 
@@ -99,10 +119,17 @@
 
     private String call(int copy, String method, String path) {
         try {
-            HttpResponse<String> answer = http.send(HttpRequest.newBuilder(URI.create("http://"
-                    + text(copies.get(copy).admin()) + path)).timeout(Duration.ofSeconds(2))
-                    .method(method, HttpRequest.BodyPublishers.noBody()).build(),
-                    HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> answer =
+                    http.send(
+                            HttpRequest.newBuilder(
+                                            URI.create(
+                                                    "http://"
+                                                            + text(copies.get(copy).admin())
+                                                            + path))
+                                    .timeout(Duration.ofSeconds(2))
+                                    .method(method, HttpRequest.BodyPublishers.noBody())
+                                    .build(),
+                            HttpResponse.BodyHandlers.ofString());
             return answer.statusCode() == 200 ? answer.body() : "";
         } catch (IOException e) {
             return ""; // stopped, or ended
@@ -118,16 +145,27 @@
 
     private Seen seen(int copy) {
         String json = call(copy, "GET", "/-/table");
-        return new Seen(field(json, "used").equals("true"), Long.parseLong(field(json, "number")),
-                Integer.parseInt(field(json, "leader")), field(json, "leads").equals("true"),
-                Long.parseLong(field(json, "term")), field(json, "voters"));
+        return new Seen(
+                field(json, "used").equals("true"),
+                Long.parseLong(field(json, "number")),
+                Integer.parseInt(field(json, "leader")),
+                field(json, "leads").equals("true"),
+                Long.parseLong(field(json, "term")),
+                field(json, "voters"));
     }
 
     private void await(String what, BooleanSupplier seen) throws Exception {
         long until = System.nanoTime() + PATIENCE;
         while (!seen.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, what + ": " + IntStream.range(0, COPIES)
-                    .mapToObj(i -> call(i, "GET", "/-/table")).toList() + " in " + folder);
+            assertTrue(
+                    System.nanoTime() < until,
+                    what
+                            + ": "
+                            + IntStream.range(0, COPIES)
+                                    .mapToObj(i -> call(i, "GET", "/-/table"))
+                                    .toList()
+                            + " in "
+                            + folder);
             TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
         }
     }
@@ -135,13 +173,24 @@
     /** All of these use one table, and one of them leads a term of at least that. */
     private int awaitOneTable(String when, long term, int... which) throws Exception {
         int[] leader = {-1};
-        await("one table " + when, () -> {
-            List<Seen> all = IntStream.of(which).mapToObj(this::seen).toList();
-            leader[0] = IntStream.range(0, which.length).filter(i -> all.get(i).leads
-                    && all.get(i).term >= term).map(i -> which[i]).findFirst().orElse(-1);
-            return leader[0] >= 0 && all.stream().allMatch(each -> each.used && each.number > 0
-                    && each.number == all.get(0).number);
-        });
+        await(
+                "one table " + when,
+                () -> {
+                    List<Seen> all = IntStream.of(which).mapToObj(this::seen).toList();
+                    leader[0] =
+                            IntStream.range(0, which.length)
+                                    .filter(i -> all.get(i).leads && all.get(i).term >= term)
+                                    .map(i -> which[i])
+                                    .findFirst()
+                                    .orElse(-1);
+                    return leader[0] >= 0
+                            && all.stream()
+                                    .allMatch(
+                                            each ->
+                                                    each.used
+                                                            && each.number > 0
+                                                            && each.number == all.get(0).number);
+                });
         return leader[0];
     }
 
@@ -161,8 +210,13 @@
     }
 
     private long count(String what, int copy, String field, String value) throws IOException {
-        return events().stream().filter(event -> event.what().equals(what) && event.copy() == copy
-                && event.text(field).equals(value)).count();
+        return events().stream()
+                .filter(
+                        event ->
+                                event.what().equals(what)
+                                        && event.copy() == copy
+                                        && event.text(field).equals(value))
+                .count();
     }
 
     @Test
@@ -170,14 +224,18 @@
         for (Copy copy : copies) {
             copy.start();
         }
-        await("all answer", () -> IntStream.range(0, COPIES).allMatch(i ->
-                !call(i, "GET", "/-/table").isEmpty()));
+        await(
+                "all answer",
+                () ->
+                        IntStream.range(0, COPIES)
+                                .allMatch(i -> !call(i, "GET", "/-/table").isEmpty()));
         assertEquals(call(0, "POST", "/-/group"), "done\n");
         int[] all = IntStream.range(0, COPIES).toArray();
         int first = awaitOneTable("after the group was formed", 1, all);
         await("five voters", () -> seen(first).voters.split(",").length == COPIES);
 
-        // The leader is killed: another leads, the table stands, and the killed one comes back as a learner.
+        // The leader is killed: another leads, the table stands, and the killed one comes back as a
+        // learner.
         long term = seen(first).term;
         long number = seen(first).number;
         copies.get(first).kill();
@@ -195,7 +253,8 @@
         awaitOneTable("with the one that has a disk", term + 1, all);
         assertTrue(count("joins", KEEPS, "kept", "1") >= 1, "it did not find its file");
 
-        // A leader stands still for longer than the lease. What it finds over when it wakes is its own.
+        // A leader stands still for longer than the lease. What it finds over when it wakes is its
+        // own.
         int third = awaitOneTable("before the stop", term + 1, all);
         long thirdTerm = seen(third).term;
         copies.get(third).signal("STOP", "stopped", "");
@@ -211,11 +270,20 @@
         copies.get(upgraded).terminate();
         await("the new process takes part", () -> seen(upgraded).used);
         awaitOneTable("after the upgrade", 1, all);
-        assertTrue(count("joins", upgraded, "kept", "1") >= 2, "the new process did not find the file");
+        assertTrue(
+                count("joins", upgraded, "kept", "1") >= 2,
+                "the new process did not find the file");
 
         List<Event> events = events();
-        List<Breach> breaches = History.judged(events, System.nanoTime(), List.of(new OneTable(SECOND),
-                new OneLeader(), new OneVoice(), new Leases(SECOND)));
+        List<Breach> breaches =
+                History.judged(
+                        events,
+                        System.nanoTime(),
+                        List.of(
+                                new OneTable(SECOND),
+                                new OneLeader(),
+                                new OneVoice(),
+                                new Leases(SECOND)));
         assertEquals(breaches, List.of(), "in " + folder);
         assertTrue(copies.stream().allMatch(copy -> copy.crashes().isEmpty()));
         long after = leadsAfterTheKill(events);
@@ -225,16 +293,36 @@
     /** The first that it says of its table after it went on is that the lease is over. */
     private boolean lapsedBeforeAllElse(int copy) throws IOException {
         List<Event> its = events().stream().filter(event -> event.copy() == copy).toList();
-        long stopped = its.stream().filter(event -> event.what().equals("stopped")).findFirst().orElseThrow()
-                .at();
-        return its.stream().filter(event -> event.at() > stopped && List.of("lapsed", "table", "loaded")
-                .contains(event.what())).findFirst().orElseThrow().what().equals("lapsed");
+        long stopped =
+                its.stream()
+                        .filter(event -> event.what().equals("stopped"))
+                        .findFirst()
+                        .orElseThrow()
+                        .at();
+        return its.stream()
+                .filter(
+                        event ->
+                                event.at() > stopped
+                                        && List.of("lapsed", "table", "loaded")
+                                                .contains(event.what()))
+                .findFirst()
+                .orElseThrow()
+                .what()
+                .equals("lapsed");
     }
 
     private static long leadsAfterTheKill(List<Event> events) {
-        long from = events.stream().filter(event -> event.what().equals("doomed")).findFirst().orElseThrow()
-                .at();
-        return events.stream().filter(event -> event.what().equals("leads") && event.at() > from).findFirst()
-                .orElseThrow().at() - from;
+        long from =
+                events.stream()
+                        .filter(event -> event.what().equals("doomed"))
+                        .findFirst()
+                        .orElseThrow()
+                        .at();
+        return events.stream()
+                        .filter(event -> event.what().equals("leads") && event.at() > from)
+                        .findFirst()
+                        .orElseThrow()
+                        .at()
+                - from;
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/cluster/JudgedTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/JudgedTest.java
@@ -21,7 +21,10 @@
 import java.util.TreeSet;
 import org.testng.annotations.Test;
 
-/** Sound programs keep the rules; for each rule there is one that is broken on purpose, and it is caught. */
+/**
+ * Sound programs keep the rules; for each rule there is one that is broken on purpose, and it is
+ * caught.
+ */
 public class JudgedTest {
 
     private static final long MILLI = 1_000_000L;
@@ -35,13 +38,20 @@
 
     private static Set<String> broken(Verdict verdict) {
         Set<String> rules = new TreeSet<>();
-        verdict.breaches().forEach(breach -> rules.add(breach.rule() + ": "
-                + breach.why().replaceAll("[0-9]+", "N")));
+        verdict.breaches()
+                .forEach(
+                        breach ->
+                                rules.add(
+                                        breach.rule()
+                                                + ": "
+                                                + breach.why().replaceAll("[0-9]+", "N")));
         return rules;
     }
 
     private static void assertCaught(Verdict verdict, String rule, String why) {
-        assertTrue(verdict.breaches().stream().anyMatch(b -> b.rule().equals(rule) && b.why().contains(why)),
+        assertTrue(
+                verdict.breaches().stream()
+                        .anyMatch(b -> b.rule().equals(rule) && b.why().contains(why)),
                 "not caught: " + broken(verdict));
     }
 
@@ -58,8 +68,9 @@
 
     @Test
     public void oneThatNeverAsksTheDeadAgainIsCaught() {
-        MembershipSettings never = new MembershipSettings(SOUND.period(), SOUND.ackPatience(), 3, 4, 4, 3,
-                3, 8, 1_000_000);
+        MembershipSettings never =
+                new MembershipSettings(
+                        SOUND.period(), SOUND.ackPatience(), 3, 4, 4, 3, 3, 8, 1_000_000);
         // A world whose two halves end up without anyone that both hold as live.
         Verdict verdict = VirtualRun.play(12, network(0), never, 5, SETTLE);
         assertCaught(verdict, "views", "as dead, which runs");
@@ -68,23 +79,29 @@
 
     @Test
     public void oneThatFindsDeathsTooLateIsCaught() {
-        MembershipSettings slow = new MembershipSettings(SOUND.period(), SOUND.ackPatience(), 3, 100, 20,
-                16, 3, 8, 10);
-        assertCaught(VirtualRun.play(12, network(0), slow, 1, SETTLE), "true deaths",
+        MembershipSettings slow =
+                new MembershipSettings(
+                        SOUND.period(), SOUND.ackPatience(), 3, 100, 20, 16, 3, 8, 10);
+        assertCaught(
+                VirtualRun.play(12, network(0), slow, 1, SETTLE),
+                "true deaths",
                 "as live, which didn't run");
     }
 
     @Test
     public void oneThatTakesTheLivingForDeadIsCaught() {
-        MembershipSettings hasty = new MembershipSettings(SOUND.period(), 10_000, 0, 0.001, 1, 1, 1, 0, 10);
+        MembershipSettings hasty =
+                new MembershipSettings(SOUND.period(), 10_000, 0, 0.001, 1, 1, 1, 0, 10);
         Mesh.Network slow = new Mesh.Network(0, 500 * MILLI, 1_500 * MILLI);
-        assertCaught(VirtualRun.play(12, slow, hasty, 1, SETTLE), "true deaths",
+        assertCaught(
+                VirtualRun.play(12, slow, hasty, 1, SETTLE),
+                "true deaths",
                 "for dead, and nothing had happened");
     }
 
     /**
-     * Members that tell one another each second that they live, and believe whoever says so whatever its
-     * life: a word that was long under way brings back the dead.
+     * Members that tell one another each second that they live, and believe whoever says so
+     * whatever its life: a word that was long under way brings back the dead.
      */
     @Test
     public void oneThatBelievesAnOldLifeIsCaught() {
@@ -128,17 +145,20 @@
             thread.setDaemon(true);
             thread.start();
             Chronicle chronicle = new Chronicle(file);
-            Callers callers = new Callers(List.of((InetSocketAddress) server.getLocalSocketAddress()),
-                    chronicle);
+            Callers callers =
+                    new Callers(
+                            List.of((InetSocketAddress) server.getLocalSocketAddress()), chronicle);
             long until = System.nanoTime() + 20 * SECOND;
-            while (Files.readString(file).split("\"asked\"").length < 6 && System.nanoTime() < until) {
+            while (Files.readString(file).split("\"asked\"").length < 6
+                    && System.nanoTime() < until) {
                 Thread.sleep(10);
             }
             callers.end();
             chronicle.close();
             List<Event> events = History.read(List.of(file));
             assertTrue(events.size() > 5, "callers asked too little: " + events);
-            Verdict verdict = Verdict.of(events, System.nanoTime(), SOUND.period(), SECOND, List.of());
+            Verdict verdict =
+                    Verdict.of(events, System.nanoTime(), SOUND.period(), SECOND, List.of());
             assertCaught(verdict, "one answer", "got two answers");
             assertCaught(verdict, "one answer", "got no answer");
         } finally {
@@ -155,7 +175,8 @@
                     while (head.indexOf("\r\n\r\n") < 0) {
                         head.append((char) socket.getInputStream().read());
                     }
-                    socket.getOutputStream().write(answer.repeat(new int[] {1, 2, 0}[i % 3]).getBytes());
+                    socket.getOutputStream()
+                            .write(answer.repeat(new int[] {1, 2, 0}[i % 3]).getBytes());
                 }
             }
         } catch (IOException e) {
--- a/lab/src/test/java/cedarrudder/lab/cluster/RemovalIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/RemovalIT.java
@@ -10,9 +10,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Nodes leave by drains, over real copies, with the one that leads killed in the midst. Guards against more
- * out than the policy allows, calls to a node that leaves, a drain said done too early, and calls that are
- * lost.
+ * Nodes leave by drains, over real copies, with the one that leads killed in the midst. Guards
+ * against more out than the policy allows, calls to a node that leaves, a drain said done too
+ * early, and calls that are lost.
  */
 public class RemovalIT {
 
@@ -21,8 +21,16 @@
     @Test
     public void twoOfSixNodesLeaveOneAfterTheOther() throws Exception {
         Script script = ScriptReader.read(Path.of("lab", "clusters", "drains-short.toml"));
-        Verdict verdict = Cluster.play(script, SEED,
-                Place.of(Path.of(""), Files.createTempDirectory("removal"), List.of(), 0, 0));
+        Verdict verdict =
+                Cluster.play(
+                        script,
+                        SEED,
+                        Place.of(
+                                Path.of(""),
+                                Files.createTempDirectory("removal"),
+                                List.of(),
+                                0,
+                                0));
         assertTrue(verdict.good(), "seed " + SEED + ": " + verdict);
         assertEquals(verdict.service().removals(), 1, verdict.toString());
         assertTrue(verdict.leaders() > 1, verdict.toString());
--- a/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
@@ -17,7 +17,8 @@
 
     @Test
     public void allErrorsOfAScriptAreFoundAtOnce() {
-        String text = """
+        String text =
+                """
                 copies = 31
                 length_s = 10
                 settle = 3
@@ -57,44 +58,66 @@
                 path = "no slash"
                 status = 99
                 """;
-        BadFileException bad = expectThrows(BadFileException.class,
-                () -> ScriptReader.read(Document.parse("s", text)));
-        assertEquals(bad.problems().stream().map(p -> p.line() + " " + p.key()).toList(), List.of("1 copies",
-                "3 settle", "5 zones", "6 clock_drifts_ppm", "7 operator", "7 operator", "12 step[0].at_s",
-                "13 step[0].do", "18 step[1].copies", "19 step[1].length_s", "20 step[2].copies",
-                "27 step[3].zones", "31 step[4].zones", "37 step[5].path", "38 step[5].status"));
+        BadFileException bad =
+                expectThrows(
+                        BadFileException.class, () -> ScriptReader.read(Document.parse("s", text)));
+        assertEquals(
+                bad.problems().stream().map(p -> p.line() + " " + p.key()).toList(),
+                List.of(
+                        "1 copies",
+                        "3 settle",
+                        "5 zones",
+                        "6 clock_drifts_ppm",
+                        "7 operator",
+                        "7 operator",
+                        "12 step[0].at_s",
+                        "13 step[0].do",
+                        "18 step[1].copies",
+                        "19 step[1].length_s",
+                        "20 step[2].copies",
+                        "27 step[3].zones",
+                        "31 step[4].zones",
+                        "37 step[5].path",
+                        "38 step[5].status"));
     }
 
-    /** Copies and nodes are dealt to zones in turn; a zone that is cut off takes its nodes along. */
+    /**
+     * Copies and nodes are dealt to zones in turn; a zone that is cut off takes its nodes along.
+     */
     @Test
     public void zonesAreCopiesAndNodes() throws BadFileException {
-        Script script = ScriptReader.read(Document.parse("s", """
-                copies = 5
-                nodes = 4
-                zones = 3
-                length_s = 9
-                [[step]]
-                at_s = 1
-                do = "cut"
-                zones = [0]
-                [[step]]
-                at_s = 2
-                do = "nodes"
-                zones = [1, 2]
-                copies = [4]
-                mood = "cold"
-                [[step]]
-                at_s = 3
-                do = "mute"
-                zones = [1]
-                towards = [2]
-                [[step]]
-                at_s = 4
-                do = "kill"
-                leader = true
-                """));
+        Script script =
+                ScriptReader.read(
+                        Document.parse(
+                                "s",
+                                """
+                                copies = 5
+                                nodes = 4
+                                zones = 3
+                                length_s = 9
+                                [[step]]
+                                at_s = 1
+                                do = "cut"
+                                zones = [0]
+                                [[step]]
+                                at_s = 2
+                                do = "nodes"
+                                zones = [1, 2]
+                                copies = [4]
+                                mood = "cold"
+                                [[step]]
+                                at_s = 3
+                                do = "mute"
+                                zones = [1]
+                                towards = [2]
+                                [[step]]
+                                at_s = 4
+                                do = "kill"
+                                leader = true
+                                """));
         assertEquals(script.steps().get(0).copies(), List.of(0, 3));
-        assertEquals(script.steps().get(0).sides(), new Sides(List.of(), List.of(0, 3), List.of(1, 2)));
+        assertEquals(
+                script.steps().get(0).sides(), new Sides(List.of(), List.of(0, 3), List.of(1, 2)));
         assertEquals(script.steps().get(1).copies(), List.of(4));
         assertEquals(script.steps().get(1).nodes(), List.of(1, 2));
         assertEquals(script.steps().get(2).sides(), new Sides(List.of(2), List.of(), List.of()));
@@ -114,7 +137,9 @@
         assertEquals(DrawnScript.of(5, 12), DrawnScript.of(5, 12));
     }
 
-    /** Each kind of harm comes as often as asked; one seed, one fate; what is under way is bounded. */
+    /**
+     * Each kind of harm comes as often as asked; one seed, one fate; what is under way is bounded.
+     */
     @Test
     public void aLinkDoesWhatTheWeatherSays() {
         Weather weather = new Weather(0.3, 0.2, 0.1, 0.25, 2_000_000, 21_000_000);
--- a/lab/src/test/java/cedarrudder/lab/command/ExperimentCommandTest.java
+++ b/lab/src/test/java/cedarrudder/lab/command/ExperimentCommandTest.java
@@ -18,7 +18,8 @@
 /** The commands of an experiment on the real model, from a plan to its page. */
 public class ExperimentCommandTest {
 
-    private static final String PLAN = """
+    private static final String PLAN =
+            """
             about = "Does it run?"
             seeds = "1..2"
             [[scenario]]
@@ -30,7 +31,8 @@
             name = "no-probes"
             change = { allowed.probes = false }
             """;
-    private static final Path SCENARIO = Path.of("lab", "scenarios", "diliman.toml").toAbsolutePath();
+    private static final Path SCENARIO =
+            Path.of("lab", "scenarios", "diliman.toml").toAbsolutePath();
 
     private Path folder;
     private String said;
@@ -51,7 +53,8 @@
 
     private int run(String... arguments) {
         StringWriter text = new StringWriter();
-        CommandLine line = Lab.commandLine().setOut(new PrintWriter(text)).setErr(new PrintWriter(text));
+        CommandLine line =
+                Lab.commandLine().setOut(new PrintWriter(text)).setErr(new PrintWriter(text));
         int code = line.execute(arguments);
         line.getOut().flush();
         said = text.toString();
@@ -99,10 +102,12 @@
         String out = folder.resolve("out").toString();
         Path plan = plan("best");
         assertEquals(run("experiment", plan.toString(), "--out", out), 2, said);
-        assertTrue(said.startsWith(plan + ":7: variant[0].policy: found \"best\"; allowed: "), said);
+        assertTrue(
+                said.startsWith(plan + ":7: variant[0].policy: found \"best\"; allowed: "), said);
         assertTrue(Files.notExists(Path.of(out)));
         Path file = Files.writeString(folder.resolve("file"), "x");
-        assertEquals(run("experiment", plan("random").toString(), "--out", file.toString()), 1, said);
+        assertEquals(
+                run("experiment", plan("random").toString(), "--out", file.toString()), 1, said);
         assertTrue(said.startsWith("experiment: " + file + ": a file is in its place"), said);
         assertEquals(run("report", folder.toString()), 1, said);
         assertTrue(said.contains("holds no experiment"), said);
--- a/lab/src/test/java/cedarrudder/lab/command/GoldenRunsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/command/GoldenRunsTest.java
@@ -20,20 +20,34 @@
 import picocli.CommandLine;
 
 /**
- * Runs of the model, held against an earlier build: one seed has to give the same decisions, results and
- * traces to the byte. Breaks with any change of what the decisions do, on purpose or not; one on purpose
- * records the files anew and says so.
+ * Runs of the model, held against an earlier build: one seed has to give the same decisions,
+ * results and traces to the byte. Breaks with any change of what the decisions do, on purpose or
+ * not; one on purpose records the files anew and says so.
  */
 public class GoldenRunsTest {
 
-    private static final List<String> SCENARIOS = List.of("diliman", "trouble", "restart-storm", "drain", "silent",
-            "replacement", "proxy-crash", "overload", "zones", "retry-storm", "discovery-down", "sinkhole",
-            "one-way-cuts", "frozen-reports");
+    private static final List<String> SCENARIOS =
+            List.of(
+                    "diliman",
+                    "trouble",
+                    "restart-storm",
+                    "drain",
+                    "silent",
+                    "replacement",
+                    "proxy-crash",
+                    "overload",
+                    "zones",
+                    "retry-storm",
+                    "discovery-down",
+                    "sinkhole",
+                    "one-way-cuts",
+                    "frozen-reports");
 
     private static String lab(String... arguments) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
-        CommandLine lab = Lab.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
+        CommandLine lab =
+                Lab.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
         int code = lab.execute(arguments);
         lab.getOut().flush();
         assertEquals(code, 0, err.toString());
@@ -43,7 +57,8 @@
     /** The paths of all values of a JSON document, with those in a list under one path. */
     private static void paths(String path, JsonNode node, Set<String> paths) {
         if (node.isObject()) {
-            node.properties().forEach(field -> paths(path + "." + field.getKey(), field.getValue(), paths));
+            node.properties()
+                    .forEach(field -> paths(path + "." + field.getKey(), field.getValue(), paths));
         } else if (node.isArray()) {
             node.forEach(each -> paths(path + "[]", each, paths));
         } else {
@@ -57,8 +72,10 @@
 
     @Test
     public void resultsAreThoseOfTheEarlierBuild() {
-        String results = SCENARIOS.stream().map(name -> lab("model", scenario(name), "--seed", "1", "--json"))
-                .collect(Collectors.joining());
+        String results =
+                SCENARIOS.stream()
+                        .map(name -> lab("model", scenario(name), "--seed", "1", "--json"))
+                        .collect(Collectors.joining());
         Golden.check("model-results.jsonl", results);
     }
 
@@ -66,8 +83,20 @@
     public void eachPolicyDoesAsThatOfTheEarlierBuild() {
         StringBuilder results = new StringBuilder();
         for (String policy : Rivals.names()) {
-            results.append(policy + " " + new Golden.Digest().add(lab("model", scenario("diliman"), "--seed", "2",
-                    "--json", "--policy", policy)) + "\n");
+            results.append(
+                    policy
+                            + " "
+                            + new Golden.Digest()
+                                    .add(
+                                            lab(
+                                                    "model",
+                                                    scenario("diliman"),
+                                                    "--seed",
+                                                    "2",
+                                                    "--json",
+                                                    "--policy",
+                                                    policy))
+                            + "\n");
         }
         Golden.check("model-policies.txt", results.toString());
     }
@@ -97,15 +126,19 @@
     @Test
     public void resultsOfExperimentsHaveTheFormsOfTheEarlierBuild() throws IOException {
         Path folder = Files.createTempDirectory("experiment");
-        Path plan = Files.writeString(folder.resolve("plan.toml"), """
-                name = "forms"
-                about = "which values stand in results?"
-                seeds = "1..1"
-                [[scenario]]
-                file = "%s"
-                [[variant]]
-                policy = "cedarrudder"
-                """.formatted(Path.of(scenario("diliman")).toAbsolutePath()));
+        Path plan =
+                Files.writeString(
+                        folder.resolve("plan.toml"),
+                        """
+                        name = "forms"
+                        about = "which values stand in results?"
+                        seeds = "1..1"
+                        [[scenario]]
+                        file = "%s"
+                        [[variant]]
+                        policy = "cedarrudder"
+                        """
+                                .formatted(Path.of(scenario("diliman")).toAbsolutePath()));
         Path out = folder.resolve("out");
         lab("experiment", plan.toString(), "--out", out.toString());
         StringBuilder forms = new StringBuilder();
@@ -113,8 +146,10 @@
             for (Path file : files.sorted().toList()) {
                 Set<String> paths = new TreeSet<>();
                 if (file.toString().contains(".json")) {
-                    for (String text : file.toString().endsWith("l") ? Files.readAllLines(file)
-                            : List.of(Files.readString(file))) {
+                    for (String text :
+                            file.toString().endsWith("l")
+                                    ? Files.readAllLines(file)
+                                    : List.of(Files.readString(file))) {
                         paths("", new ObjectMapper().readTree(text), paths);
                     }
                 }
--- a/lab/src/test/java/cedarrudder/lab/command/LabTest.java
+++ b/lab/src/test/java/cedarrudder/lab/command/LabTest.java
@@ -26,7 +26,8 @@
 /** The lab's commands as they are called: exit codes, and what goes to which stream. */
 public class LabTest {
 
-    private static final String SCENARIO = """
+    private static final String SCENARIO =
+            """
             about = "a few seconds of two tiers, with a restart among them"
             [run]
             length_s = 6
@@ -63,7 +64,7 @@
             part = 0.2
             """;
 
-    private record Said(int code, String out, String err) { }
+    private record Said(int code, String out, String err) {}
 
     private Path folder;
     private String good;
@@ -73,8 +74,12 @@
     public void writeScenarios() throws IOException {
         folder = Files.createTempDirectory("lab");
         good = Files.writeString(folder.resolve("good.toml"), SCENARIO).toString();
-        bad = Files.writeString(folder.resolve("bad.toml"),
-                SCENARIO.replace("nodes = 5", "nodes = -5").replace("part = 0.2", "part = 2")).toString();
+        bad =
+                Files.writeString(
+                                folder.resolve("bad.toml"),
+                                SCENARIO.replace("nodes = 5", "nodes = -5")
+                                        .replace("part = 0.2", "part = 2"))
+                        .toString();
     }
 
     @AfterClass
@@ -89,7 +94,8 @@
     private static Said lab(String... arguments) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
-        CommandLine lab = Lab.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
+        CommandLine lab =
+                Lab.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
         int code = lab.execute(arguments);
         lab.getOut().flush();
         lab.getErr().flush();
@@ -101,10 +107,15 @@
         Said said = lab("check", good, bad, folder + "/gone.toml");
         assertEquals(said.code, 2);
         assertEquals(said.out, good + ": good; tiers 2, classes 1, tenants 0, faults 1\n");
-        assertEquals(said.err.lines().map(line -> line.replace(folder + "/", "")
-                .replaceAll("; allowed.*", "")).toList(), List.of(
-                "bad.toml:11: tier[0].nodes: found -5", "bad.toml:34: fault[0].part: found 2",
-                "gone.toml: found no such file"));
+        assertEquals(
+                said.err
+                        .lines()
+                        .map(line -> line.replace(folder + "/", "").replaceAll("; allowed.*", ""))
+                        .toList(),
+                List.of(
+                        "bad.toml:11: tier[0].nodes: found -5",
+                        "bad.toml:34: fault[0].part: found 2",
+                        "gone.toml: found no such file"));
         assertEquals(lab("check", good).code, 0);
     }
 
@@ -126,9 +137,11 @@
 
     @Test
     public void figuresOfOurDecisionsCanBeSet() {
-        Said set = lab("model", good, "--set", "probes-per-call=0", "--set", "probes-per-call-thin=0");
+        Said set =
+                lab("model", good, "--set", "probes-per-call=0", "--set", "probes-per-call-thin=0");
         assertEquals(set.code, 0, set.err);
-        assertTrue(set.out.startsWith("good, cedarrudder probes-per-call=0 probes-per-call-thin=0\n"),
+        assertTrue(
+                set.out.startsWith("good, cedarrudder probes-per-call=0 probes-per-call-thin=0\n"),
                 set.out);
         assertNotEquals(set.out, lab("model", good).out);
     }
@@ -155,10 +168,22 @@
             last = event.get("at").asLong();
             events.add(event.get("event").asText());
         }
-        assertTrue(events.containsAll(List.of("proxy-started", "told", "taken", "sent", "reached", "ended",
-                "answered", "node-ended", "node-started")), events.stream().distinct().toList().toString());
-
-        Said unwritten = lab("model", good, "--trace", folder.resolve("none").resolve("t.json").toString());
+        assertTrue(
+                events.containsAll(
+                        List.of(
+                                "proxy-started",
+                                "told",
+                                "taken",
+                                "sent",
+                                "reached",
+                                "ended",
+                                "answered",
+                                "node-ended",
+                                "node-started")),
+                events.stream().distinct().toList().toString());
+
+        Said unwritten =
+                lab("model", good, "--trace", folder.resolve("none").resolve("t.json").toString());
         assertEquals(unwritten.code, 1);
         assertEquals(unwritten.out, "");
         assertTrue(unwritten.err.contains("NoSuchFile"), unwritten.err);
@@ -200,11 +225,14 @@
     public void agreementTellsOfStormsAndOfFigures() {
         Said storms = lab("agreement", "--storms", "--seeds", "3..4");
         assertEquals(storms.code, 0, storms.err);
-        assertTrue(storms.out.startsWith("2 seeds, ") && storms.out.endsWith("broken 0, not settled 0\n"),
+        assertTrue(
+                storms.out.startsWith("2 seeds, ")
+                        && storms.out.endsWith("broken 0, not settled 0\n"),
                 storms.out);
         Said figures = lab("agreement", "--sizes", "5,7", "--deaths", "1");
         assertEquals(figures.code, 0, figures.err);
-        assertEquals(figures.out.lines().map(line -> line.split(" ")[0]).toList(),
+        assertEquals(
+                figures.out.lines().map(line -> line.split(" ")[0]).toList(),
                 List.of("copies", "5", "7"));
     }
 
--- a/lab/src/test/java/cedarrudder/lab/docs/Block.java
+++ b/lab/src/test/java/cedarrudder/lab/docs/Block.java
@@ -16,11 +16,24 @@
  */
 record Block(Path page, int line, String info, String text) {
 
-    private static final Map<String, Set<String>> MARKS = Map.of(
-            "text", Set.of(), "console", Set.of("not-run", "exit", "folded", "goes-on"),
-            "sh", Set.of("not-run"), "toml", Set.of("not-run", "file", "as"),
-            "json", Set.of("not-run", "file"), "csv", Set.of("not-run", "file"),
-            "java", Set.of("not-run"), "http", Set.of("not-run"));
+    private static final Map<String, Set<String>> MARKS =
+            Map.of(
+                    "text",
+                    Set.of(),
+                    "console",
+                    Set.of("not-run", "exit", "folded", "goes-on"),
+                    "sh",
+                    Set.of("not-run"),
+                    "toml",
+                    Set.of("not-run", "file", "as"),
+                    "json",
+                    Set.of("not-run", "file"),
+                    "csv",
+                    Set.of("not-run", "file"),
+                    "java",
+                    Set.of("not-run"),
+                    "http",
+                    Set.of("not-run"));
     private static final Set<String> COMMANDS = Set.of("console", "sh");
     private static final Set<String> FILES = Set.of("operator", "plan");
     private static final Pattern INFO = Pattern.compile("([a-z]*)((?: +[a-z-]+(?:=\"[^\"]*\")?)*)");
@@ -53,12 +66,20 @@
     String problem(List<Block> all) {
         Set<String> known = MARKS.get(language());
         if (known == null) {
-            return place() + ": found the info string '" + info + "'; allowed: one that starts with one of "
+            return place()
+                    + ": found the info string '"
+                    + info
+                    + "'; allowed: one that starts with one of "
                     + MARKS.keySet().stream().sorted().toList();
         }
         Map<String, String> marks = marks();
         if (!known.containsAll(marks.keySet())) {
-            return place() + ": found the marks " + marks.keySet() + "; allowed with " + language() + ": "
+            return place()
+                    + ": found the marks "
+                    + marks.keySet()
+                    + "; allowed with "
+                    + language()
+                    + ": "
                     + known.stream().sorted().toList();
         }
         if (marks.containsKey("not-run")) {
@@ -69,11 +90,20 @@
         }
         String file = marks.get("file");
         String name = file == null ? "" : Path.of(file).getFileName().toString();
-        if (file != null && all.stream().noneMatch(block -> block.line > line && block.text.contains(name)
-                && (block.isRun() || block.marks().containsKey("file")))) {
+        if (file != null
+                && all.stream()
+                        .noneMatch(
+                                block ->
+                                        block.line > line
+                                                && block.text.contains(name)
+                                                && (block.isRun()
+                                                        || block.marks().containsKey("file")))) {
             return place() + ": no later command or file of the page names the file " + file;
         }
-        boolean used = isRun() || file != null || marks.containsKey("as") || language().equals("text");
-        return used ? "" : place() + ": found an example that is neither run nor says why (not-run=\"...\")";
+        boolean used =
+                isRun() || file != null || marks.containsKey("as") || language().equals("text");
+        return used
+                ? ""
+                : place() + ": found an example that is neither run nor says why (not-run=\"...\")";
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/docs/Playground.java
+++ b/lab/src/test/java/cedarrudder/lab/docs/Playground.java
@@ -16,13 +16,15 @@
 import java.util.stream.Stream;
 
 /**
- * Plays the examples of one page, in their order, in a folder that looks like the checkout: small files are
- * copies, with other ports, and whole modules are links. What the examples write stays in the folder.
+ * Plays the examples of one page, in their order, in a folder that looks like the checkout: small
+ * files are copies, with other ports, and whole modules are links. What the examples write stays in
+ * the folder.
  */
 final class Playground implements AutoCloseable {
 
     private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(180);
     private static final long LOOK_MILLIS = 20;
+
     /** Before the exit code of a command, behind all that it said. */
     private static final String END = "\001ended ";
 
@@ -67,7 +69,9 @@
         String file = block.marks().get("file");
         if (file != null) {
             Path written = folder.resolve(file);
-            assertTrue(written.getParent().toRealPath().startsWith(folder), file + " is in the checkout");
+            assertTrue(
+                    written.getParent().toRealPath().startsWith(folder),
+                    file + " is in the checkout");
             Files.writeString(written, ports.put(block.text()));
         }
         String kind = block.marks().getOrDefault("as", "");
@@ -76,8 +80,13 @@
             if (kind.equals("plan")) {
                 PlanReader.read(written, Rivals.names(), ScenarioReader::read);
             } else {
-                play(new Block(block.page(), block.line(), "console",
-                        "$ ./cedarrudder check lab/plans/shown.toml\nlab/plans/shown.toml: good\n"));
+                play(
+                        new Block(
+                                block.page(),
+                                block.line(),
+                                "console",
+                                "$ ./cedarrudder check lab/plans/shown.toml\n"
+                                        + "lab/plans/shown.toml: good\n"));
             }
         }
         if (block.isRun()) {
@@ -91,33 +100,47 @@
         for (Step step : steps) {
             boolean sh = block.language().equals("sh");
             script.append(sh ? "(set -e\n" + step.command() + "\n)" : step.command())
-                    .append("\nprintf '").append(END.replace("\001", "\\001")).append("%s\\n' $?\n");
+                    .append("\nprintf '")
+                    .append(END.replace("\001", "\\001"))
+                    .append("%s\\n' $?\n");
         }
         script.append("read -r end <&3\n");
         Path said = folder.resolve("tmp/said");
         Path file = Files.writeString(folder.resolve("tmp/script"), ports.put(script.toString()));
-        ProcessBuilder builder = new ProcessBuilder("sh", file.toString()).directory(folder.toFile())
-                .redirectErrorStream(true).redirectOutput(said.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder("sh", file.toString())
+                        .directory(folder.toFile())
+                        .redirectErrorStream(true)
+                        .redirectOutput(said.toFile());
         builder.environment().keySet().removeIf(name -> name.startsWith("BALANCER_"));
         builder.environment().put("TMPDIR", folder.resolve("tmp").toString());
-        builder.environment().put("JAVA_OPTS", "-XX:TieredStopAtLevel=1 -XX:+UseSerialGC -Djava.io.tmpdir="
-                + folder.resolve("tmp"));
-        builder.environment().compute("PATH", (name, path) ->
-                Path.of(System.getProperty("java.home"), "bin") + ":" + path);
+        builder.environment()
+                .put(
+                        "JAVA_OPTS",
+                        "-XX:TieredStopAtLevel=1 -XX:+UseSerialGC -Djava.io.tmpdir="
+                                + folder.resolve("tmp"));
+        builder.environment()
+                .compute(
+                        "PATH",
+                        (name, path) ->
+                                Path.of(System.getProperty("java.home"), "bin") + ":" + path);
         Process shell = builder.start();
         try {
             String wrong = wrong(block, steps, said);
             if (!wrong.isEmpty()) {
-                throw new AssertionError(block.place() + ": " + wrong + "\nports " + ports.offset()
-                        + " higher");
+                throw new AssertionError(
+                        block.place() + ": " + wrong + "\nports " + ports.offset() + " higher");
             }
         } finally {
             end(shell);
         }
     }
 
-    /** Waits for the end of all commands, or until all that is shown has come from one that goes on. */
-    private String wrong(Block block, List<Step> steps, Path file) throws IOException, InterruptedException {
+    /**
+     * Waits for the end of all commands, or until all that is shown has come from one that goes on.
+     */
+    private String wrong(Block block, List<Step> steps, Path file)
+            throws IOException, InterruptedException {
         boolean goesOn = block.marks().containsKey("goes-on");
         long start = System.nanoTime();
         while (true) {
@@ -127,7 +150,10 @@
                 Step step = steps.get(i);
                 boolean last = i == steps.size() - 1;
                 String code = i + 1 < said.length ? said[i + 1].lines().findFirst().orElse("") : "";
-                String text = i < said.length ? i == 0 ? said[0] : said[i].replaceFirst("^.*\n?", "") : "";
+                String text =
+                        i < said.length
+                                ? i == 0 ? said[0] : said[i].replaceFirst("^.*\n?", "")
+                                : "";
                 String expected = last ? block.marks().getOrDefault("exit", "0") : "0";
                 if (code.isEmpty() && !(last && goesOn && step.matches(text))) {
                     if (late) {
--- a/lab/src/test/java/cedarrudder/lab/docs/Ports.java
+++ b/lab/src/test/java/cedarrudder/lab/docs/Ports.java
@@ -8,15 +8,17 @@
 import java.util.regex.Pattern;
 
 /**
- * Free ports in place of those that examples name, which are 7000 to 7009, 7100 to 7109, 7200 to 7209 and
- * 9100 to 9109. Playgrounds that are used at once have an offset each.
+ * Free ports in place of those that examples name, which are 7000 to 7009, 7100 to 7109, 7200 to
+ * 7209 and 9100 to 9109. Playgrounds that are used at once have an offset each.
  */
 final class Ports {
 
     private static final int[] FIRST = {7000, 7100, 7200, 9100};
     private static final int EACH = 10;
+
     /** No offset takes a port to 32768, from which the kernel draws those of calls out. */
     private static final int HIGHEST = 23_000;
+
     private static final Pattern NAMED = Pattern.compile("(?<![\\d.])(7[0-2]|91)0\\d(?!\\d)");
     private static final Pattern NUMBER = Pattern.compile("(?<![\\d.])\\d{4,5}(?!\\d)");
 
@@ -59,14 +61,18 @@
 
     /** The text with the ports that are used in place of those that it names. */
     String put(String text) {
-        return NAMED.matcher(text).replaceAll(m -> String.valueOf(Integer.parseInt(m.group()) + offset));
+        return NAMED.matcher(text)
+                .replaceAll(m -> String.valueOf(Integer.parseInt(m.group()) + offset));
     }
 
     /** The text with the ports that the examples name in place of those used. */
     String takeBack(String text) {
-        return NUMBER.matcher(text).replaceAll(m -> {
-            String named = String.valueOf(Integer.parseInt(m.group()) - offset);
-            return Matcher.quoteReplacement(NAMED.matcher(named).matches() ? named : m.group());
-        });
+        return NUMBER.matcher(text)
+                .replaceAll(
+                        m -> {
+                            String named = String.valueOf(Integer.parseInt(m.group()) - offset);
+                            return Matcher.quoteReplacement(
+                                    NAMED.matcher(named).matches() ? named : m.group());
+                        });
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/docs/Step.java
+++ b/lab/src/test/java/cedarrudder/lab/docs/Step.java
@@ -15,7 +15,9 @@
     private static final String ANY = "...";
     private static final String PROMPT = "$ ";
 
-    /** The steps of a block: each command of a console with its output, or all of a script as one. */
+    /**
+     * The steps of a block: each command of a console with its output, or all of a script as one.
+     */
     static List<Step> of(Block block) {
         if (!block.language().equals("console")) {
             return List.of(new Step(block.text().stripTrailing(), List.of(ANY)));
@@ -25,7 +27,8 @@
         StringBuilder command = new StringBuilder();
         for (String line : block.text().lines().toList()) {
             if (line.startsWith(PROMPT) || command.length() > 0) {
-                command.append(command.length() > 0 ? "\n" + line : line.substring(PROMPT.length()));
+                command.append(
+                        command.length() > 0 ? "\n" + line : line.substring(PROMPT.length()));
                 if (!line.endsWith("\\")) {
                     steps.add(new Step(command.toString(), new ArrayList<>()));
                     command.setLength(0);
@@ -47,9 +50,15 @@
     boolean matches(String said) {
         StringBuilder pattern = new StringBuilder();
         for (String line : shown) {
-            pattern.append(line.strip().equals(ANY) ? "(?:.*\n)*?" : Pattern.compile(ANY, Pattern.LITERAL)
-                    .splitAsStream(line.stripTrailing() + "\0").map(part -> part.replace("\0", ""))
-                    .map(Pattern::quote).collect(Collectors.joining(".*")) + "[ \t\r]*\n");
+            pattern.append(
+                    line.strip().equals(ANY)
+                            ? "(?:.*\n)*?"
+                            : Pattern.compile(ANY, Pattern.LITERAL)
+                                            .splitAsStream(line.stripTrailing() + "\0")
+                                            .map(part -> part.replace("\0", ""))
+                                            .map(Pattern::quote)
+                                            .collect(Collectors.joining(".*"))
+                                    + "[ \t\r]*\n");
         }
         String whole = said.isEmpty() || said.endsWith("\n") ? said : said + "\n";
         return Pattern.matches(pattern.toString(), whole);
--- a/lab/src/test/java/cedarrudder/lab/emulator/EmulatorIT.java
+++ b/lab/src/test/java/cedarrudder/lab/emulator/EmulatorIT.java
@@ -15,13 +15,14 @@
 import org.testng.annotations.Test;
 
 /**
- * The built daemon in a short scenario on sockets. Waits are so long that a busy machine changes no verdict;
- * how well it served is not asked here.
+ * The built daemon in a short scenario on sockets. Waits are so long that a busy machine changes no
+ * verdict; how well it served is not asked here.
  */
 public class EmulatorIT {
 
     private static final long SEED = 7;
-    private static final String SCENARIO = """
+    private static final String SCENARIO =
+            """
             about = "Two tiers on a machine that may be busy."
 
             [run]
@@ -128,8 +129,12 @@
         Files.writeString(file, SCENARIO);
         Scenario scenario = ScenarioReader.read(file);
         long before = ProcessHandle.current().descendants().count();
-        Emulated emulated = Emulator.play(scenario, SEED,
-                Place.of(Path.of(""), folder.resolve("run"), List.of(), 0, 1024), second -> { });
+        Emulated emulated =
+                Emulator.play(
+                        scenario,
+                        SEED,
+                        Place.of(Path.of(""), folder.resolve("run"), List.of(), 0, 1024),
+                        second -> {});
         RunResult result = emulated.result();
         assertEquals(result.finding(), "");
         assertEquals(result.breaches(), List.of(), "seed " + SEED);
--- a/lab/src/test/java/cedarrudder/lab/emulator/SocketsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/emulator/SocketsTest.java
@@ -34,7 +34,8 @@
 
     @Test
     public void aHeldPortIsRefusedAndNobodyElsesAndCanBeListenedAt() throws Exception {
-        try (Port port = Port.hold("127.0.0.9"); Port other = Port.hold("127.0.0.9")) {
+        try (Port port = Port.hold("127.0.0.9");
+                Port other = Port.hold("127.0.0.9")) {
             assertNotEquals(port.address(), other.address());
             expectThrows(ConnectException.class, () -> connect(port, 0).close());
             ServerSocket rude = new ServerSocket();
@@ -60,7 +61,8 @@
     }
 
     /** Connects until it ends as wanted: modes change a moment after they are set. */
-    private static boolean comesTo(Port port, Class<? extends Exception> wanted) throws InterruptedException {
+    private static boolean comesTo(Port port, Class<? extends Exception> wanted)
+            throws InterruptedException {
         for (int i = 0; i < PATIENCE_SECONDS * 100; i++) {
             Class<? extends Exception> found = null;
             try {
@@ -80,8 +82,12 @@
     public void aPortOpensRefusesAndFallsSilentAgainAndAgain() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         BlockingQueue<String> failures = new LinkedBlockingQueue<>();
-        Listening listening = new Listening(group.next(), Port.hold("127.0.0.9"),
-                ChannelInboundHandlerAdapter::new, failures::add);
+        Listening listening =
+                new Listening(
+                        group.next(),
+                        Port.hold("127.0.0.9"),
+                        ChannelInboundHandlerAdapter::new,
+                        failures::add);
         try {
             for (int i = 0; i < 2; i++) {
                 group.next().execute(() -> listening.set(Listening.Mode.OPEN));
@@ -93,18 +99,25 @@
             }
             assertEquals(failures.size(), 0, failures.toString());
         } finally {
-            assertTrue(group.submit(listening::close).await(PATIENCE_SECONDS, TimeUnit.SECONDS), "its close");
+            assertTrue(
+                    group.submit(listening::close).await(PATIENCE_SECONDS, TimeUnit.SECONDS),
+                    "its close");
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
     /** Starts a process under supervision, tells its id, and is killed by the test. */
     static final class Parent {
-        private Parent() { }
+        private Parent() {}
 
         public static void main(String[] args) throws Exception {
-            Supervised child = Supervised.start(List.of("sleep", "1000"), Path.of("."), Map.of(),
-                    Files.createTempFile("supervised", ".log"), 64);
+            Supervised child =
+                    Supervised.start(
+                            List.of("sleep", "1000"),
+                            Path.of("."),
+                            Map.of(),
+                            Files.createTempFile("supervised", ".log"),
+                            64);
             System.out.println(child.pid());
             Thread.sleep(1_000_000);
         }
@@ -113,11 +126,21 @@
     @Test
     public void aProcessEndsWhenItsParentIsKilled() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        Process parent = new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"),
-                Parent.class.getName())
-                .redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        String pid = Await.line("the child's id", parent, parent.inputReader(StandardCharsets.US_ASCII),
-                line -> true).strip();
+        Process parent =
+                new ProcessBuilder(
+                                java,
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Parent.class.getName())
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
+        String pid =
+                Await.line(
+                                "the child's id",
+                                parent,
+                                parent.inputReader(StandardCharsets.US_ASCII),
+                                line -> true)
+                        .strip();
         ProcessHandle child = ProcessHandle.of(Long.parseLong(pid)).orElseThrow();
         parent.destroyForcibly();
         child.onExit().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
@@ -127,8 +150,13 @@
     @Test
     public void aProcessThatEndsIsToldWithItsCode() throws Exception {
         Path log = Files.createTempFile("supervised", ".log");
-        Supervised child = Supervised.start(List.of("/bin/sh", "-c", "ulimit -n; echo $X; exit 7"),
-                Path.of("."), Map.of("X", "given"), log, 64);
+        Supervised child =
+                Supervised.start(
+                        List.of("/bin/sh", "-c", "ulimit -n; echo $X; exit 7"),
+                        Path.of("."),
+                        Map.of("X", "given"),
+                        log,
+                        64);
         assertEquals((int) child.onExit().get(PATIENCE_SECONDS, TimeUnit.SECONDS), 7);
         assertEquals(Files.readString(log), "64\ngiven\n");
     }
--- a/lab/src/test/java/cedarrudder/lab/experiment/BootstrapTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/BootstrapTest.java
@@ -71,10 +71,31 @@
                 if (job.variant().name().equals("cedarrudder")) {
                     base.add(run);
                     // A gain of 0.001 on each seed, far under the noise from seed to seed.
-                    better.add(0, new RunResult(run.scenario(), "better", run.seed(), run.requests(),
-                            run.goodput() + (run.seed() == 4 ? 0.0005 : 0.001), 0, 0, 0, 0, run.charges(),
-                            run.latency(), 0, 0, List.of(), List.of(), List.of(), List.of(), List.of(),
-                            List.of(), List.of(), List.of(), ""));
+                    better.add(
+                            0,
+                            new RunResult(
+                                    run.scenario(),
+                                    "better",
+                                    run.seed(),
+                                    run.requests(),
+                                    run.goodput() + (run.seed() == 4 ? 0.0005 : 0.001),
+                                    0,
+                                    0,
+                                    0,
+                                    0,
+                                    run.charges(),
+                                    run.latency(),
+                                    0,
+                                    0,
+                                    List.of(),
+                                    List.of(),
+                                    List.of(),
+                                    List.of(),
+                                    List.of(),
+                                    List.of(),
+                                    List.of(),
+                                    List.of(),
+                                    ""));
                 }
             }
         }
--- a/lab/src/test/java/cedarrudder/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/ExperimentTest.java
@@ -52,7 +52,7 @@
 
     private static Experiment.End run(Path at, Runner runner, int threads) throws Exception {
         try (ResultDirectory directory = ResultDirectory.open(at, manifest(PLAN))) {
-            return new Experiment(PLAN, runner, threads, line -> { }).run(directory);
+            return new Experiment(PLAN, runner, threads, line -> {}).run(directory);
         }
     }
 
@@ -89,16 +89,21 @@
         try (ResultDirectory directory = ResultDirectory.open(folder, manifest(PLAN))) {
             Experiment[] cut = new Experiment[1];
             // The run in the middle hangs for good; once all before it are written, it is stopped.
-            cut[0] = new Experiment(PLAN, job -> {
-                if (started.incrementAndGet() > before) {
-                    await(never);
-                }
-                return Fakes.run(job);
-            }, 1, line -> {
-                if (directory.size() == before) {
-                    cut[0].stop();
-                }
-            });
+            cut[0] =
+                    new Experiment(
+                            PLAN,
+                            job -> {
+                                if (started.incrementAndGet() > before) {
+                                    await(never);
+                                }
+                                return Fakes.run(job);
+                            },
+                            1,
+                            line -> {
+                                if (directory.size() == before) {
+                                    cut[0].stop();
+                                }
+                            });
             end = cut[0].run(directory);
         }
         assertEquals(end, new Experiment.End(before, RUNS, List.of(), true));
@@ -106,10 +111,13 @@
         assertEquals(kept.size(), before);
 
         Set<RunKey> again = ConcurrentHashMap.newKeySet();
-        run(folder, job -> {
-            again.add(job.key());
-            return Fakes.run(job);
-        }, 2);
+        run(
+                folder,
+                job -> {
+                    again.add(job.key());
+                    return Fakes.run(job);
+                },
+                2);
         assertEquals(again.size(), RUNS - before);
         assertTrue(lines(folder).containsAll(kept));
         Path whole = folder.resolve("whole");
@@ -137,10 +145,13 @@
             Files.write(results, Arrays.copyOf(bytes, cut));
             assertEquals(ResultDirectory.read(folder).runs().size(), RUNS - 1);
             AtomicInteger made = new AtomicInteger();
-            run(folder, job -> {
-                made.incrementAndGet();
-                return Fakes.run(job);
-            }, 1);
+            run(
+                    folder,
+                    job -> {
+                        made.incrementAndGet();
+                        return Fakes.run(job);
+                    },
+                    1);
             assertEquals(made.get(), 1);
             assertEquals(lines(folder), whole);
         }
@@ -161,15 +172,21 @@
     public void theDirectoryOfAnotherPlanOrBuildIsRefusedAndStaysAsItIs() throws Exception {
         run(folder, Fakes::run, 2);
         Map<String, String> before = contents(folder);
-        for (Manifest other : List.of(manifest(Fakes.plan(SEEDS + 1)), Manifest.of(PLAN, "other code"))) {
-            Exception refused = expectThrows(ResultDirectory.OtherPlanException.class,
-                    () -> ResultDirectory.open(folder, other));
-            assertTrue(refused.getMessage().contains(folder + " holds results of "), refused.getMessage());
+        for (Manifest other :
+                List.of(manifest(Fakes.plan(SEEDS + 1)), Manifest.of(PLAN, "other code"))) {
+            Exception refused =
+                    expectThrows(
+                            ResultDirectory.OtherPlanException.class,
+                            () -> ResultDirectory.open(folder, other));
+            assertTrue(
+                    refused.getMessage().contains(folder + " holds results of "),
+                    refused.getMessage());
             assertEquals(contents(folder), before);
         }
         Path foreign = Files.createDirectory(folder.resolve("foreign"));
         Files.writeString(foreign.resolve("letter.txt"), "Dear all");
-        expectThrows(ResultDirectory.OtherPlanException.class,
+        expectThrows(
+                ResultDirectory.OtherPlanException.class,
                 () -> ResultDirectory.open(foreign, manifest(PLAN)));
         assertEquals(contents(foreign), Map.of("letter.txt", "Dear all"));
     }
@@ -177,8 +194,17 @@
     @Test
     public void aChangeOfTheReportAloneKeepsTheResults() throws Exception {
         run(folder, Fakes::run, 2);
-        Plan told = new Plan("small", "Told otherwise", PLAN.entries(), PLAN.variants(), "oracle",
-                PLAN.firstSeed(), PLAN.lastSeed(), List.of(Metric.P50), false);
+        Plan told =
+                new Plan(
+                        "small",
+                        "Told otherwise",
+                        PLAN.entries(),
+                        PLAN.variants(),
+                        "oracle",
+                        PLAN.firstSeed(),
+                        PLAN.lastSeed(),
+                        List.of(Metric.P50),
+                        false);
         try (ResultDirectory directory = ResultDirectory.open(folder, manifest(told))) {
             assertEquals(directory.size(), RUNS);
         }
@@ -188,8 +214,9 @@
     @Test
     public void twoExperimentsDoNotShareADirectory() throws Exception {
         try (ResultDirectory first = ResultDirectory.open(folder, manifest(PLAN))) {
-            IOException refused = expectThrows(IOException.class,
-                    () -> ResultDirectory.open(folder, manifest(PLAN)));
+            IOException refused =
+                    expectThrows(
+                            IOException.class, () -> ResultDirectory.open(folder, manifest(PLAN)));
             assertTrue(refused.getMessage().contains("in use"), refused.getMessage());
             first.add(Fakes.run(PLAN.jobs().get(0)));
         }
@@ -199,19 +226,24 @@
     @Test
     public void aPathThatCannotBeADirectoryIsAnError() throws Exception {
         Path file = Files.writeString(folder.resolve("file"), "x", StandardOpenOption.CREATE);
-        expectThrows(IOException.class, () -> ResultDirectory.open(file.resolve("out"), manifest(PLAN)));
+        expectThrows(
+                IOException.class, () -> ResultDirectory.open(file.resolve("out"), manifest(PLAN)));
         assertEquals(Files.readString(file), "x");
     }
 
     @Test
     public void aRunThatTheModelCannotMakeIsToldAndTheOthersGoOn() throws Exception {
         RunKey bad = PLAN.jobs().get(3).key();
-        Experiment.End end = run(folder, job -> {
-            if (job.key().equals(bad)) {
-                throw new IllegalStateException("no such node");
-            }
-            return Fakes.run(job);
-        }, 2);
+        Experiment.End end =
+                run(
+                        folder,
+                        job -> {
+                            if (job.key().equals(bad)) {
+                                throw new IllegalStateException("no such node");
+                            }
+                            return Fakes.run(job);
+                        },
+                        2);
         assertEquals(end.finished(), RUNS - 1);
         assertEquals(end.failed().size(), 1);
         assertTrue(end.failed().get(0).startsWith(bad + ": "), end.failed().get(0));
--- a/lab/src/test/java/cedarrudder/lab/experiment/PlanReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/PlanReaderTest.java
@@ -24,11 +24,15 @@
 
     private static final List<String> POLICIES = List.of("cedarrudder", "random");
 
-    /** Stands for the reader of scenarios: a file whose name says that it is bad has two problems. */
+    /**
+     * Stands for the reader of scenarios: a file whose name says that it is bad has two problems.
+     */
     private static Scenario scenario(Path file) throws BadFileException {
         if (file.toString().contains("bad")) {
-            throw new BadFileException(List.of(new Problem(file.getFileName().toString(), 3, "run", "x", "y"),
-                    new Problem(file.getFileName().toString(), 4, "tier", "x", "y")));
+            throw new BadFileException(
+                    List.of(
+                            new Problem(file.getFileName().toString(), 3, "run", "x", "y"),
+                            new Problem(file.getFileName().toString(), 4, "tier", "x", "y")));
         }
         return Fakes.scenario(file.getFileName().toString().replace(".toml", ""), 10);
     }
@@ -46,25 +50,27 @@
 
     @Test
     public void aPlanIsScenariosTimesVariantsTimesSeeds() throws Exception {
-        Plan plan = read("""
-                about = "Does it help?"
-                seeds = "3..4"
-                metrics = ["p99", "goodput"]
-                baseline = "random"
-                [[scenario]]
-                file = "calm.toml"
-                [[scenario]]
-                file = "calm.toml"
-                name = "calm-100"
-                family = "calm"
-                change = { tier.front.nodes = 100, run.length_s = [10, 20] }
-                [[variant]]
-                name = "fewer"
-                set = { probes-per-call = 0.2 }
-                change = { allowed.second_copies = false }
-                [[variant]]
-                policy = "random"
-                """);
+        Plan plan =
+                read(
+                        """
+                        about = "Does it help?"
+                        seeds = "3..4"
+                        metrics = ["p99", "goodput"]
+                        baseline = "random"
+                        [[scenario]]
+                        file = "calm.toml"
+                        [[scenario]]
+                        file = "calm.toml"
+                        name = "calm-100"
+                        family = "calm"
+                        change = { tier.front.nodes = 100, run.length_s = [10, 20] }
+                        [[variant]]
+                        name = "fewer"
+                        set = { probes-per-call = 0.2 }
+                        change = { allowed.second_copies = false }
+                        [[variant]]
+                        policy = "random"
+                        """);
         List<Job> jobs = plan.jobs();
         assertEquals(jobs.size(), 2 * 2 * 2);
         assertEquals(jobs.get(2).key(), new RunKey("calm-100", "fewer", 3));
@@ -75,45 +81,57 @@
         assertFalse(changed.allowed().secondCopies());
         assertEquals(jobs.get(3).scenario().allowed().secondCopies(), true);
         assertEquals(jobs.get(2).variant().tuning().get(Tuning.Figure.PROBES_PER_CALL), 0.2);
-        assertEquals(jobs.get(2).variant().differences(), "probes-per-call=0.2 allowed.second_copies=false");
+        assertEquals(
+                jobs.get(2).variant().differences(),
+                "probes-per-call=0.2 allowed.second_copies=false");
         assertEquals(plan.metrics(), List.of(Metric.P99, Metric.GOODPUT));
         assertEquals(plan.name(), "plan");
     }
 
     @Test
     public void aVariantMayHaveBudgetsAndAMixOfOldAndNew() throws Exception {
-        Plan plan = read("""
-                about = "Do they help?"
-                seeds = "1..1"
-                [[scenario]]
-                file = "calm.toml"
-                [[variant]]
-                name = "off"
-                [[variant]]
-                name = "on"
-                budget = {}
-                [[variant]]
-                name = "mix"
-                budget = { tries = 2, strips = ["front"] }
-                """);
+        Plan plan =
+                read(
+                        """
+                        about = "Do they help?"
+                        seeds = "1..1"
+                        [[scenario]]
+                        file = "calm.toml"
+                        [[variant]]
+                        name = "off"
+                        [[variant]]
+                        name = "on"
+                        budget = {}
+                        [[variant]]
+                        name = "mix"
+                        budget = { tries = 2, strips = ["front"] }
+                        """);
         assertEquals(plan.variants().get(0).budgets(), null);
-        assertEquals(plan.variants().get(1).budgets(), TierBudgets.everywhere(BudgetSettings.of("")));
+        assertEquals(
+                plan.variants().get(1).budgets(), TierBudgets.everywhere(BudgetSettings.of("")));
         assertEquals(plan.variants().get(2).differences(), "budget tries=2 strips=front");
-        BadFileException bad = expectThrows(BadFileException.class, () -> read("""
-                about = "Do they help?"
-                seeds = "1..1"
-                [[scenario]]
-                file = "calm.toml"
-                [[variant]]
-                budget = { hop = "front", trys = 1, old = ["back"] }
-                """));
-        assertEquals(bad.problems().stream().map(Problem::key).toList(), List.of("scenario[0].file",
-                "variant[0].budget.hop", "variant[0].budget.trys"));
+        BadFileException bad =
+                expectThrows(
+                        BadFileException.class,
+                        () ->
+                                read(
+                                        """
+                                        about = "Do they help?"
+                                        seeds = "1..1"
+                                        [[scenario]]
+                                        file = "calm.toml"
+                                        [[variant]]
+                                        budget = { hop = "front", trys = 1, old = ["back"] }
+                                        """));
+        assertEquals(
+                bad.problems().stream().map(Problem::key).toList(),
+                List.of("scenario[0].file", "variant[0].budget.hop", "variant[0].budget.trys"));
     }
 
     @Test
     public void everyErrorOfThePlanAndItsScenariosComesInOneRun() {
-        BadFileException bad = expectThrows(BadFileException.class, () -> read("""
+        String plan =
+                """
                 seeds = "20..1"
                 metrics = ["goodputt"]
                 baseline = "best"
@@ -132,24 +150,40 @@
                 set = { pool-size = 4 }
                 [[variant]]
                 policy = "random"
-                """));
-        List<String> said = bad.problems().stream()
-                .map(p -> Path.of(p.file()).getFileName() + ":" + p.line() + ": " + p.key()).toList();
-        assertEquals(said, List.of("plan.toml:0: about", "plan.toml:1: seeds", "plan.toml:2: metrics",
-                "plan.toml:3: baseline", "plan.toml:4: colour", "plan.toml:8: scenario[1].file",
-                "plan.toml:9: scenario[1].change.clients.retry",
-                "plan.toml:9: scenario[1].change.allowed.second_copies", "plan.toml:11: variant[0].policy",
-                "plan.toml:13: variant[1].set.probes-per-call", "plan.toml:13: variant[1].set.probe-per-call",
-                "plan.toml:16: variant[2].set", "plan.toml:17: variant[3].name", "bad.toml:3: run",
-                "bad.toml:4: tier"));
+                """;
+        BadFileException bad = expectThrows(BadFileException.class, () -> read(plan));
+        List<String> said =
+                bad.problems().stream()
+                        .map(p -> Path.of(p.file()).getFileName() + ":" + p.line() + ": " + p.key())
+                        .toList();
+        assertEquals(
+                said,
+                List.of(
+                        "plan.toml:0: about",
+                        "plan.toml:1: seeds",
+                        "plan.toml:2: metrics",
+                        "plan.toml:3: baseline",
+                        "plan.toml:4: colour",
+                        "plan.toml:8: scenario[1].file",
+                        "plan.toml:9: scenario[1].change.clients.retry",
+                        "plan.toml:9: scenario[1].change.allowed.second_copies",
+                        "plan.toml:11: variant[0].policy",
+                        "plan.toml:13: variant[1].set.probes-per-call",
+                        "plan.toml:13: variant[1].set.probe-per-call",
+                        "plan.toml:16: variant[2].set",
+                        "plan.toml:17: variant[3].name",
+                        "bad.toml:3: run",
+                        "bad.toml:4: tier"));
     }
 
     @Test
     public void everyChangeThatCanBeReadFitsAScenario() {
-        List<Change> all = Change.read(Document.parse("all", """
+        String changes =
+                """
                 run.length_s = 5
                 allowed = { probes = false, peers = false, cancel = false, second_copies = false }
-                """).root());
+                """;
+        List<Change> all = Change.read(Document.parse("all", changes).root());
         assertEquals(all.size(), 5);
         Scenario scenario = Fakes.scenario("calm", 10);
         for (Change change : all) {
@@ -163,7 +197,8 @@
     public void aRateTakesThePlaceOfAShareAndTheOtherWayRound() throws BadFileException {
         Scenario scenario = ScenarioReader.read(Path.of("lab", "scenarios", "diliman.toml"));
         for (String load : List.of("rate_per_s", "share", "rate_per_s")) {
-            for (Change change : Change.read(Document.parse("load", "arrivals." + load + " = 0.7").root())) {
+            for (Change change :
+                    Change.read(Document.parse("load", "arrivals." + load + " = 0.7").root())) {
                 scenario = change.apply(scenario);
             }
             boolean rate = load.equals("rate_per_s");
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -36,7 +36,12 @@
         private final Assessment assessment;
         private final Set<Integer> accused = new HashSet<>();
 
-        Naive(boolean oneWord, boolean capped, FailoverSettings settings, int[] zoneOf, ZoneTally tally) {
+        Naive(
+                boolean oneWord,
+                boolean capped,
+                FailoverSettings settings,
+                int[] zoneOf,
+                ZoneTally tally) {
             this.oneWord = oneWord;
             this.capped = capped;
             this.tally = tally;
@@ -53,8 +58,12 @@
         public void reported(long now, int from, byte[] part) {
             Evidence evidence = Evidence.decode(part);
             assessment.heard(now, evidence);
-            evidence.seen().stream().filter(seen -> seen.zone() == evidence.zone() && seen.ended() > 2
-                    && 2 * (seen.silent() + seen.failed()) > seen.ended())
+            evidence.seen().stream()
+                    .filter(
+                            seen ->
+                                    seen.zone() == evidence.zone()
+                                            && seen.ended() > 2
+                                            && 2 * (seen.silent() + seen.failed()) > seen.ended())
                     .forEach(seen -> accused.add(seen.zone()));
         }
 
@@ -64,12 +73,19 @@
             List<Share> shares = new ArrayList<>();
             for (int zone = 0; zone < Site.ZONES; zone++) {
                 Picture.Zone seen = picture.zones().get(zone);
-                boolean left = oneWord ? accused.contains(zone) : seen.fresh() > 0
-                        && seen.state() == Picture.State.LOST;
+                boolean left =
+                        oneWord
+                                ? accused.contains(zone)
+                                : seen.fresh() > 0 && seen.state() == Picture.State.LOST;
                 if (!left) {
                     for (int to = 0; to < Site.ZONES; to++) {
-                        shares.add(new Share(zone, to, to == zone ? Way.NEAR : Way.SPILLED,
-                                to == zone ? 9_900 : 25, 0));
+                        shares.add(
+                                new Share(
+                                        zone,
+                                        to,
+                                        to == zone ? Way.NEAR : Way.SPILLED,
+                                        to == zone ? 9_900 : 25,
+                                        0));
                     }
                 } else if (capped) {
                     shares.add(new Share(zone, (zone + 1) % Site.ZONES, Way.MOVED, 5_000, 0));
@@ -85,18 +101,29 @@
         }
 
         @Override
-        public void leads(long now, boolean leads) { }
+        public void leads(long now, boolean leads) {}
     }
 
     private static Result broken(World world, boolean oneWord, boolean capped) {
-        return FailoverRun.play(world, Policy.Kind.TOGETHER, Conditions.USUAL, SEED, Together.SETTINGS,
-                (settings, zoneOf, tally, now) -> new Together.Part(new Naive(oneWord, capped, settings,
-                zoneOf, tally), table -> { }), false);
+        return FailoverRun.play(
+                world,
+                Policy.Kind.TOGETHER,
+                Conditions.USUAL,
+                SEED,
+                Together.SETTINGS,
+                (settings, zoneOf, tally, now) ->
+                        new Together.Part(
+                                new Naive(oneWord, capped, settings, zoneOf, tally), table -> {}),
+                false);
     }
 
     private static void assertCaught(Result result, String rule, String word) {
-        assertTrue(result.breaches().stream().anyMatch(breach -> breach.rule().equals(rule)
-                && breach.why().contains(word)), "seed " + SEED + ": " + result.breaches());
+        assertTrue(
+                result.breaches().stream()
+                        .anyMatch(
+                                breach ->
+                                        breach.rule().equals(rule) && breach.why().contains(word)),
+                "seed " + SEED + ": " + result.breaches());
     }
 
     private static Result kept(World world) {
@@ -113,19 +140,37 @@
             Result result = kept(world);
             double none = FailoverRun.play(world, "NONE", Conditions.USUAL, SEED).goodput();
             double most = FailoverRun.play(world, "ALL_SEEING", Conditions.USUAL, SEED).goodput();
-            assertTrue(result.goodput() > none + 0.03 && result.goodput() > 0.95 * most, world + ", seed "
-                    + SEED + ": " + result.goodput() + ", without " + none + ", all-seeing " + most);
+            assertTrue(
+                    result.goodput() > none + 0.03 && result.goodput() > 0.95 * most,
+                    world
+                            + ", seed "
+                            + SEED
+                            + ": "
+                            + result.goodput()
+                            + ", without "
+                            + none
+                            + ", all-seeing "
+                            + most);
             assertEquals(result.fallen(), 0);
         }
     }
 
-    /** Guards against moves for one copy's broken link, for copies that stood still, and for a cut. */
+    /**
+     * Guards against moves for one copy's broken link, for copies that stood still, and for a cut.
+     */
     @Test
     public void nothingMovesOnAFalseGround() {
         assertEquals(kept(World.LINK).moves(), 0);
         assertEquals(kept(World.CUT).moves(), 0);
-        Result calm = FailoverRun.play(World.CALM, Policy.Kind.TOGETHER, new Conditions(0.5, 0.1, true), SEED,
-                Together.SETTINGS, null, false);
+        Result calm =
+                FailoverRun.play(
+                        World.CALM,
+                        Policy.Kind.TOGETHER,
+                        new Conditions(0.5, 0.1, true),
+                        SEED,
+                        Together.SETTINGS,
+                        null,
+                        false);
         assertEquals(calm.moves(), 0);
         assertTrue(calm.out() < 0.01, "out of the zone " + calm.out());
     }
@@ -153,9 +198,18 @@
 
     @Test
     public void aTableUsedPastItsLeaseIsCaught() {
-        Result result = FailoverRun.play(World.CUT, Policy.Kind.TOGETHER, Conditions.USUAL, SEED,
-                Together.SETTINGS, null, true);
+        Result result =
+                FailoverRun.play(
+                        World.CUT,
+                        Policy.Kind.TOGETHER,
+                        Conditions.USUAL,
+                        SEED,
+                        Together.SETTINGS,
+                        null,
+                        true);
         assertCaught(result, "F3", "uses table");
-        assertTrue(Arrays.asList("F3").containsAll(result.breaches().stream().map(Breach::rule).toList()));
+        assertTrue(
+                Arrays.asList("F3")
+                        .containsAll(result.breaches().stream().map(Breach::rule).toList()));
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/fleet/FleetWorldTest.java
+++ b/lab/src/test/java/cedarrudder/lab/fleet/FleetWorldTest.java
@@ -43,9 +43,11 @@
     private static final Network CALM = new Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
     private static final Network ROUGH = new Network(0.1, 0.05, 0.01, 2 * MILLI, 400 * MILLI);
     private static final AgreementSettings AGREED = AgreementSettings.DEFAULT;
-    private static final FleetSettings SETTINGS = new FleetSettings(FleetSettings.DEFAULT.period(),
-            Long.getLong("fleet.lease_ms", 10_000) * MILLI);
+    private static final FleetSettings SETTINGS =
+            new FleetSettings(
+                    FleetSettings.DEFAULT.period(), Long.getLong("fleet.lease_ms", 10_000) * MILLI);
     private static final long LEASE = SETTINGS.lease();
+
     /** Storms; many more by {@code -Dfleet.seeds}. */
     private static final long SEEDS = Long.getLong("fleet.seeds", 12);
 
@@ -61,7 +63,7 @@
         }
 
         @Override
-        public void reported(long now, int from, byte[] part) { }
+        public void reported(long now, int from, byte[] part) {}
 
         @Override
         public List<Share> plan(long now, Tier tier) {
@@ -69,21 +71,44 @@
         }
 
         @Override
-        public void leads(long now, boolean leads) { }
+        public void leads(long now, boolean leads) {}
     }
 
-    private FleetCopy make(int[] zones, int self, long life, Store store, RandomGenerator random,
-            FleetCopy.Outlet outlet, long now) {
-        return new FleetCopy(zones, self, life, AGREED, SETTINGS, store, random, new Plan(), Removal.NONE,
-                () -> new Room(self == 3 ? room : Integer.MAX_VALUE, 10, 10), outlet, now);
+    private FleetCopy make(
+            int[] zones,
+            int self,
+            long life,
+            Store store,
+            RandomGenerator random,
+            FleetCopy.Outlet outlet,
+            long now) {
+        return new FleetCopy(
+                zones,
+                self,
+                life,
+                AGREED,
+                SETTINGS,
+                store,
+                random,
+                new Plan(),
+                Removal.NONE,
+                () -> new Room(self == 3 ? room : Integer.MAX_VALUE, 10, 10),
+                outlet,
+                now);
     }
 
     private FleetWorld started(int size, Network network, boolean disks, long seed) {
         events.clear();
         parts = 1_000;
         room = Integer.MAX_VALUE;
-        FleetWorld world = new FleetWorld(IntStream.range(0, size).map(i -> i % 3).toArray(), network, disks,
-                seed, this::make, events::add);
+        FleetWorld world =
+                new FleetWorld(
+                        IntStream.range(0, size).map(i -> i % 3).toArray(),
+                        network,
+                        disks,
+                        seed,
+                        this::make,
+                        events::add);
         world.form(0);
         world.play(15 * SECOND);
         assertTrue(world.agree(), "no table is used by all, seed " + seed);
@@ -112,7 +137,9 @@
         assertTrue(events.stream().noneMatch(event -> event.what().equals("lapsed")));
     }
 
-    /** Guards against one that is cut off using a table for longer than its lease, or for much less. */
+    /**
+     * Guards against one that is cut off using a table for longer than its lease, or for much less.
+     */
     @Test
     public void oneThatIsCutOffKeepsItsTableForTheLeaseAndNoLonger() {
         FleetWorld world = started(7, CALM, false, 2);
@@ -130,7 +157,10 @@
         assertEquals(parts(world.uses(away)), 3_000);
     }
 
-    /** Guards against a leader that has lost its majority keeping its own lease, and those of others. */
+    /**
+     * Guards against a leader that has lost its majority keeping its own lease, and those of
+     * others.
+     */
     @Test
     public void aLeaderWithoutAMajorityKeepsNobodysLease() {
         for (long seed = 30; seed < 40; seed++) {
@@ -168,8 +198,13 @@
         parts = 5_000;
         world.play(5 * SECOND);
         assertEquals(parts(world.uses(0)), 1_000);
-        assertTrue(events.stream().anyMatch(event -> event.what().equals("held-back")
-                && event.text("by").equals("3")), "nobody is told why");
+        assertTrue(
+                events.stream()
+                        .anyMatch(
+                                event ->
+                                        event.what().equals("held-back")
+                                                && event.text("by").equals("3")),
+                "nobody is told why");
         room = 1_000;
         world.play(5 * SECOND);
         assertEquals(parts(world.uses(0)), 5_000);
@@ -203,10 +238,11 @@
         int away = other(world);
         int leader = world.leader();
         byte[][] last = new byte[1][];
-        world.filter((from, to, datagram) -> {
-            last[0] = to == away && grant(datagram) ? datagram : last[0];
-            return true;
-        });
+        world.filter(
+                (from, to, datagram) -> {
+                    last[0] = to == away && grant(datagram) ? datagram : last[0];
+                    return true;
+                });
         world.play(2 * SECOND);
         world.cutOff(List.of(away));
         for (long played = 0; played < LEASE; played += 200 * MILLI) {
@@ -216,18 +252,22 @@
         assertNull(world.uses(away));
     }
 
-    /** One that goes on with its life from its disk takes no answer to the process before for its own. */
+    /**
+     * One that goes on with its life from its disk takes no answer to the process before for its
+     * own.
+     */
     @Test
     public void answersToTheProcessBeforeGiveNothing() {
-        FleetWorld world = new FleetWorld(new int[] {0, 1, 2, 0, 1}, CALM, true, 9, this::make,
-                events::add);
+        FleetWorld world =
+                new FleetWorld(new int[] {0, 1, 2, 0, 1}, CALM, true, 9, this::make, events::add);
         List<byte[]> grants = new ArrayList<>();
-        world.filter((from, to, datagram) -> {
-            if (to == 2 && grant(datagram)) {
-                grants.add(datagram);
-            }
-            return true;
-        });
+        world.filter(
+                (from, to, datagram) -> {
+                    if (to == 2 && grant(datagram)) {
+                        grants.add(datagram);
+                    }
+                    return true;
+                });
         world.form(0);
         for (int i = 0; i < 100; i++) { // until a snapshot has a table
             parts++;
@@ -245,14 +285,17 @@
         assertNull(world.uses(2));
     }
 
-    /** The first byte of a message that agreement cuts into one piece; none of another kind has its place. */
+    /**
+     * The first byte of a message that agreement cuts into one piece; none of another kind has its
+     * place.
+     */
     private static int kind(byte[] datagram) {
         return datagram[0] == (byte) 0xa6 ? datagram[45] : -1;
     }
 
     /**
-     * A leader that does not know yet what the one before had committed confirms no table: what it holds for
-     * the newest may not be.
+     * A leader that does not know yet what the one before had committed confirms no table: what it
+     * holds for the newest may not be.
      */
     @Test
     public void aLeaderThatHasCommittedNothingConfirmsNothing() {
@@ -260,24 +303,32 @@
             FleetWorld world = started(5, CALM, false, seed);
             int leader = world.leader();
             int append = 2;
-            world.filter((from, to, datagram) -> from != leader || kind(datagram) < 0
-                    || kind(datagram) == append);
+            world.filter(
+                    (from, to, datagram) ->
+                            from != leader || kind(datagram) < 0 || kind(datagram) == append);
             parts = 2_000;
             while (parts(world.uses(leader)) != 2_000) {
                 world.play(MILLI);
             }
             world.kill(leader);
             long killed = world.now();
-            assertTrue(IntStream.range(0, 5).filter(world::runs)
-                    .allMatch(i -> parts(world.uses(i)) == 1_000));
-            int empty = 80; // with an entry it is longer: its words come, and its first entry doesn't
-            world.filter((from, to, datagram) -> kind(datagram) != append || datagram.length <= empty);
+            assertTrue(
+                    IntStream.range(0, 5)
+                            .filter(world::runs)
+                            .allMatch(i -> parts(world.uses(i)) == 1_000));
+            int empty =
+                    80; // with an entry it is longer: its words come, and its first entry doesn't
+            world.filter(
+                    (from, to, datagram) -> kind(datagram) != append || datagram.length <= empty);
             while (world.leader() < 0) {
                 world.play(MILLI);
             }
             world.play(550 * MILLI);
-            List<Integer> others = IntStream.range(0, 5).boxed().filter(i -> world.runs(i)
-                    && i != world.leader()).toList();
+            List<Integer> others =
+                    IntStream.range(0, 5)
+                            .boxed()
+                            .filter(i -> world.runs(i) && i != world.leader())
+                            .toList();
             for (int one : others) {
                 others.forEach(to -> world.cut(one, to, one != to));
                 world.cut(world.leader(), one, true);
@@ -288,7 +339,9 @@
         }
     }
 
-    /** Guards against what grows with the number of copies; more of them by {@code -Dfleet.sizes}. */
+    /**
+     * Guards against what grows with the number of copies; more of them by {@code -Dfleet.sizes}.
+     */
     @Test
     public void whatACopySendsAndHowSoonATableCounts() {
         for (String each : System.getProperty("fleet.sizes", "10,30").split(",")) {
@@ -297,8 +350,10 @@
             world.play(20 * SECOND);
             long[] before = IntStream.range(0, size).mapToLong(world::bytes).toArray();
             world.play(30 * SECOND);
-            long[] sent = IntStream.range(0, size).mapToLong(i -> (world.bytes(i) - before[i]) / 30)
-                    .toArray();
+            long[] sent =
+                    IntStream.range(0, size)
+                            .mapToLong(i -> (world.bytes(i) - before[i]) / 30)
+                            .toArray();
             long[] took = new long[20];
             for (int i = 0; i < took.length; i++) {
                 parts++;
@@ -311,9 +366,17 @@
             }
             Arrays.sort(took);
             long mean = (long) LongStream.of(sent).average().orElseThrow();
-            Reporter.log(size + " copies: bytes a second, mean " + mean + ", most "
-                    + LongStream.of(sent).max().orElseThrow() + "; a table counts at all after ms, p50 "
-                    + took[10] + ", most " + took[19], true);
+            Reporter.log(
+                    size
+                            + " copies: bytes a second, mean "
+                            + mean
+                            + ", most "
+                            + LongStream.of(sent).max().orElseThrow()
+                            + "; a table counts at all after ms, p50 "
+                            + took[10]
+                            + ", most "
+                            + took[19],
+                    true);
             assertTrue(mean < 2_500 && took[19] < 5_000, size + " copies");
             assertTrue(events.stream().noneMatch(event -> event.what().equals("lapsed")));
         }
@@ -354,7 +417,10 @@
         assertEquals(world.view(one).counts().malformed(), 1_500, 20.0);
     }
 
-    /** What was agreed on first in one group: no other copy uses an earlier one for longer than its lease. */
+    /**
+     * What was agreed on first in one group: no other copy uses an earlier one for longer than its
+     * lease.
+     */
     private static final class LeaseKept {
         private final Map<Long, Long> firstUsed = new TreeMap<>();
 
@@ -365,10 +431,20 @@
                     firstUsed.putIfAbsent(table.number(), world.now());
                     for (var later : firstUsed.entrySet()) {
                         boolean sameGroup = later.getKey() >>> 28 == table.number() >>> 28;
-                        assertTrue(!sameGroup || later.getKey() <= table.number()
-                                || world.now() - later.getValue() <= LEASE, seed + ": copy " + copy + " uses "
-                                + table.number() + " while " + later.getKey() + " was used "
-                                + (world.now() - later.getValue()) / MILLI + " ms ago");
+                        assertTrue(
+                                !sameGroup
+                                        || later.getKey() <= table.number()
+                                        || world.now() - later.getValue() <= LEASE,
+                                seed
+                                        + ": copy "
+                                        + copy
+                                        + " uses "
+                                        + table.number()
+                                        + " while "
+                                        + later.getKey()
+                                        + " was used "
+                                        + (world.now() - later.getValue()) / MILLI
+                                        + " ms ago");
                     }
                 }
             }
@@ -376,8 +452,9 @@
     }
 
     /**
-     * Copies killed, stalled and cut off while tables change, on a network that delays by up to 400 ms,
-     * doubles and loses: what was agreed on is one, and no lease is outlived, however words travel.
+     * Copies killed, stalled and cut off while tables change, on a network that delays by up to 400
+     * ms, doubles and loses: what was agreed on is one, and no lease is outlived, however words
+     * travel.
      */
     @Test
     public void stormsBreakNoRuleAndNoLease() {
@@ -392,7 +469,10 @@
                 int leader = world.leader();
                 switch (random.nextInt(7)) {
                     case 0 -> world.kill(one);
-                    case 1, 2 -> IntStream.range(0, size).filter(i -> !world.runs(i)).forEach(world::restart);
+                    case 1, 2 ->
+                            IntStream.range(0, size)
+                                    .filter(i -> !world.runs(i))
+                                    .forEach(world::restart);
                     case 3 -> world.stall(leader < 0 ? one : leader, random.nextLong(14 * SECOND));
                     case 4 -> world.cutOff(List.of(one, leader < 0 ? one : leader));
                     case 5 -> world.cut(leader < 0 ? one : leader, one, true);
--- a/lab/src/test/java/cedarrudder/lab/judge/FleetRulesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/judge/FleetRulesTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * F1 to F3, D1, D2, M1 and 'one table' on histories written by hand: for each wrong that a rule is there for
- * one history that has it, and one that only just has not. Times are in milliseconds.
+ * F1 to F3, D1, D2, M1 and 'one table' on histories written by hand: for each wrong that a rule is
+ * there for one history that has it, and one that only just has not. Times are in milliseconds.
  */
 public class FleetRulesTest {
 
@@ -42,16 +42,32 @@
     }
 
     private static Event saw(long at, int copy, int zone, int served, int failed) {
-        return event(at, copy, "saw", "zone", zone, "served", served, "failed", failed, "silent", 0,
-                "span", 500 * MILLI);
-    }
-
-    /** Judges the start and these, up to so many milliseconds; gives what is wrong, without numbers. */
+        return event(
+                at,
+                copy,
+                "saw",
+                "zone",
+                zone,
+                "served",
+                served,
+                "failed",
+                failed,
+                "silent",
+                0,
+                "span",
+                500 * MILLI);
+    }
+
+    /**
+     * Judges the start and these, up to so many milliseconds; gives what is wrong, without numbers.
+     */
     private static List<String> judged(Rule rule, long until, List<Event> events) {
         List<Event> all = new ArrayList<>(START);
         all.addAll(events);
         all.sort(Comparator.comparingLong(Event::at));
-        return History.judged(all, until * MILLI, List.of(rule)).stream().map(Breach::rule).toList();
+        return History.judged(all, until * MILLI, List.of(rule)).stream()
+                .map(Breach::rule)
+                .toList();
     }
 
     private static List<String> judged(Rule rule, long until, Event... events) {
@@ -60,7 +76,10 @@
 
     // ---- F1 ----
 
-    /** Copies that see zone 1 fail, the others that are served there, and then a table that leaves it. */
+    /**
+     * Copies that see zone 1 fail, the others that are served there, and then a table that leaves
+     * it.
+     */
     private static List<String> left(long seenAt, int[] failing, int[] served, Event... more) {
         List<Event> events = new ArrayList<>(List.of(more));
         for (int copy : failing) {
@@ -79,22 +98,59 @@
     public void aZoneIsNotLeftOnTheWordOfOne() {
         int[] zoneZero = {0, 1};
         assertEquals(left(19_000, zoneZero, new int[] {2, 3, 4}), List.of("F1"));
-        assertEquals(left(19_000, zoneZero, new int[] {2, 3}), List.of(), "two of four others are not most");
-        assertEquals(left(19_000, new int[] {0, 2}, new int[] {3, 4, 5}), List.of(), "two zones say so");
-        assertEquals(left(19_000, new int[0], new int[] {0, 1, 2, 3, 4, 5}), List.of("F1"), "nobody says so");
-        assertEquals(left(15_000, zoneZero, new int[] {2, 3, 4}), List.of("F1"), "just within the window");
-        assertEquals(left(14_999, zoneZero, new int[] {2, 3, 4}), List.of(), "nobody knows anything");
-        assertEquals(left(19_000, zoneZero, new int[] {2, 3, 4}, event(1, 0, "evacuated", "zone", 1)),
-                List.of(), "an operator wants it");
-        assertEquals(left(19_000, zoneZero, new int[] {2, 3, 4}, event(1, 0, "evacuated", "zone", 1),
-                event(2, 0, "reopened", "zone", 1)), List.of("F1"), "and no longer");
-        assertEquals(left(19_000, zoneZero, new int[] {2, 3, 4}, event(2, 4, "ended")), List.of("F1"),
+        assertEquals(
+                left(19_000, zoneZero, new int[] {2, 3}),
+                List.of(),
+                "two of four others are not most");
+        assertEquals(
+                left(19_000, new int[] {0, 2}, new int[] {3, 4, 5}), List.of(), "two zones say so");
+        assertEquals(
+                left(19_000, new int[0], new int[] {0, 1, 2, 3, 4, 5}),
+                List.of("F1"),
+                "nobody says so");
+        assertEquals(
+                left(15_000, zoneZero, new int[] {2, 3, 4}),
+                List.of("F1"),
+                "just within the window");
+        assertEquals(
+                left(14_999, zoneZero, new int[] {2, 3, 4}), List.of(), "nobody knows anything");
+        assertEquals(
+                left(19_000, zoneZero, new int[] {2, 3, 4}, event(1, 0, "evacuated", "zone", 1)),
+                List.of(),
+                "an operator wants it");
+        assertEquals(
+                left(
+                        19_000,
+                        zoneZero,
+                        new int[] {2, 3, 4},
+                        event(1, 0, "evacuated", "zone", 1),
+                        event(2, 0, "reopened", "zone", 1)),
+                List.of("F1"),
+                "and no longer");
+        assertEquals(
+                left(19_000, zoneZero, new int[] {2, 3, 4}, event(2, 4, "ended")),
+                List.of("F1"),
                 "two of the three others that run");
-        assertEquals(left(19_000, zoneZero, new int[] {2, 3, 4}, saw(18_000, 2, 1, 0, 1),
-                saw(18_000, 4, 1, 0, 1)), List.of(), "others were not served a moment ago");
-        assertEquals(judged(new ZoneLeft(SECOND * MILLI), 9, saw(5, 2, 1, 9, 0), saw(5, 3, 1, 9, 0),
-                saw(5, 4, 1, 9, 0), saw(5, 5, 1, 9, 0), table(6, 0, 1, "1>1:near:9000:0,1>2:spilled:1000:0")),
-                List.of(), "what spills over leaves no zone");
+        assertEquals(
+                left(
+                        19_000,
+                        zoneZero,
+                        new int[] {2, 3, 4},
+                        saw(18_000, 2, 1, 0, 1),
+                        saw(18_000, 4, 1, 0, 1)),
+                List.of(),
+                "others were not served a moment ago");
+        assertEquals(
+                judged(
+                        new ZoneLeft(SECOND * MILLI),
+                        9,
+                        saw(5, 2, 1, 9, 0),
+                        saw(5, 3, 1, 9, 0),
+                        saw(5, 4, 1, 9, 0),
+                        saw(5, 5, 1, 9, 0),
+                        table(6, 0, 1, "1>1:near:9000:0,1>2:spilled:1000:0")),
+                List.of(),
+                "what spills over leaves no zone");
     }
 
     // ---- F2 ----
@@ -107,7 +163,8 @@
             events.add(saw(at, 0, 0, most / 2, 0)); // in half a second
             events.add(saw(at, 2, 1, others / 2, 0));
         }
-        return judged(new ZoneLoad(new ZoneLoad.Bounds(0.8, 0.05, 3 * SECOND * MILLI, 2)), until, events);
+        return judged(
+                new ZoneLoad(new ZoneLoad.Bounds(0.8, 0.05, 3 * SECOND * MILLI, 2)), until, events);
     }
 
     @Test
@@ -116,11 +173,16 @@
         assertEquals(loaded(90, 20, 4_000), List.of("F2"));
         assertEquals(loaded(84, 20, 9_000), List.of(), "within the tolerance");
         assertEquals(loaded(90, 80, 9_000), List.of(), "no other has room");
-        assertEquals(loaded(90, 20, 4_000, event(1_200, -1, "capacity", "zone", 1, "per_s", 90)), List.of(),
+        assertEquals(
+                loaded(90, 20, 4_000, event(1_200, -1, "capacity", "zone", 1, "per_s", 90)),
+                List.of(),
                 "the time begins again when a capacity changes");
-        assertEquals(loaded(90, 20, 4_500, event(1_200, -1, "capacity", "zone", 1, "per_s", 90)),
+        assertEquals(
+                loaded(90, 20, 4_500, event(1_200, -1, "capacity", "zone", 1, "per_s", 90)),
                 List.of("F2"));
-        assertEquals(loaded(90, 0, 9_000, event(1_200, -1, "capacity", "zone", 1, "per_s", 0)), List.of(),
+        assertEquals(
+                loaded(90, 0, 9_000, event(1_200, -1, "capacity", "zone", 1, "per_s", 0)),
+                List.of(),
                 "a zone that is lost has no room");
         assertEquals(loaded(20, 20, 4_000, event(2_000, 0, "stopped")), List.of());
     }
@@ -129,8 +191,14 @@
     public void callersMoveNoOftenerThanStated() {
         String near = "0>0:near:10000:0,1>1:near:10000:0";
         String away = "0>1:moved:10000:0,1>1:near:10000:0";
-        List<Event> moves = new ArrayList<>(List.of(table(1_000, 0, 1, near), table(2_000, 0, 2, away),
-                table(2_001, 1, 2, away), table(3_000, 0, 3, away), table(3_100, 1, 1, near)));
+        List<Event> moves =
+                new ArrayList<>(
+                        List.of(
+                                table(1_000, 0, 1, near),
+                                table(2_000, 0, 2, away),
+                                table(2_001, 1, 2, away),
+                                table(3_000, 0, 3, away),
+                                table(3_100, 1, 1, near)));
         assertEquals(judged(bounded(), 70_000, moves), List.of(), "what is told again is no move");
         moves.add(table(60_999, 0, 4, near));
         assertEquals(judged(bounded(), 70_000, moves), List.of("F2"), "the third within a minute");
@@ -175,12 +243,26 @@
         assertEquals(leased(used(6_001, 0, 7)), List.of("F3"));
         assertEquals(leased(renewed(5_000, 0, 100), used(9_900, 0, 7)), List.of());
         assertEquals(leased(renewed(5_000, 0, 100), used(9_901, 0, 7)), List.of("F3"));
-        assertEquals(leased(renewed(5_000, 0, 0), renewed(5_100, 0, 3_000), used(9_900, 0, 7)), List.of(),
+        assertEquals(
+                leased(renewed(5_000, 0, 0), renewed(5_100, 0, 3_000), used(9_900, 0, 7)),
+                List.of(),
                 "an older word takes nothing away");
-        assertEquals(leased(event(2_000, 0, "stopped"), event(7_000, 0, "continued"), used(7_000, 0, 7),
-                renewed(7_001, 0, 0), used(7_002, 0, 7)), List.of("F3"), "the first use after a wake counts");
-        assertEquals(leased(event(2_000, 0, "stopped"), event(7_000, 0, "continued"), renewed(7_001, 0, 0),
-                used(7_002, 0, 7)), List.of());
+        assertEquals(
+                leased(
+                        event(2_000, 0, "stopped"),
+                        event(7_000, 0, "continued"),
+                        used(7_000, 0, 7),
+                        renewed(7_001, 0, 0),
+                        used(7_002, 0, 7)),
+                List.of("F3"),
+                "the first use after a wake counts");
+        assertEquals(
+                leased(
+                        event(2_000, 0, "stopped"),
+                        event(7_000, 0, "continued"),
+                        renewed(7_001, 0, 0),
+                        used(7_002, 0, 7)),
+                List.of());
         assertEquals(leased(lapsed(2_000, 0, 7), used(2_001, 0, 7)), List.of("F3"), "given up");
         assertEquals(leased(used(2_001, 0, 6)), List.of("F3"), "not held");
         assertEquals(used(used(2_001, 0, 7)), List.of("F3"), "never held");
@@ -198,11 +280,28 @@
         }
         assertEquals(used(with(cut, used(7_500, 0, 7))), List.of());
         assertEquals(used(with(cut, used(7_501, 0, 7))), List.of("F3"));
-        assertEquals(used(with(cut, event(4_000, 0, "healed", "to", 2), event(4_100, 0, "cut", "to", 2),
-                used(9_600, 0, 7))), List.of(), "one way is contact");
-        assertEquals(used(with(cut, event(4_000, 1, "healed", "to", 2), event(4_100, 1, "cut", "to", 2),
-                used(9_600, 0, 7), used(9_601, 0, 7))), List.of("F3"), "so is one through another");
-        assertEquals(used(with(cut, event(4_000, 5, "healed", "to", 0), used(9_900, 0, 7))), List.of(),
+        assertEquals(
+                used(
+                        with(
+                                cut,
+                                event(4_000, 0, "healed", "to", 2),
+                                event(4_100, 0, "cut", "to", 2),
+                                used(9_600, 0, 7))),
+                List.of(),
+                "one way is contact");
+        assertEquals(
+                used(
+                        with(
+                                cut,
+                                event(4_000, 1, "healed", "to", 2),
+                                event(4_100, 1, "cut", "to", 2),
+                                used(9_600, 0, 7),
+                                used(9_601, 0, 7))),
+                List.of("F3"),
+                "so is one through another");
+        assertEquals(
+                used(with(cut, event(4_000, 5, "healed", "to", 0), used(9_900, 0, 7))),
+                List.of(),
                 "the other way too");
     }
 
@@ -219,7 +318,18 @@
     }
 
     private static Event drain(long at, int copy, int wave, String node, String what) {
-        return event(at, copy, "drain", "wave", wave, "node", node, "event", what, "within", 5_000 * MILLI);
+        return event(
+                at,
+                copy,
+                "drain",
+                "wave",
+                wave,
+                "node",
+                node,
+                "event",
+                what,
+                "within",
+                5_000 * MILLI);
     }
 
     private static Event node(long at, String node, String mood) {
@@ -237,39 +347,81 @@
     public void noMoreAreOutAtOnceThanMayBe() {
         assertEquals(out(leaving(1, 0, "a,b")), List.of());
         assertEquals(out(leaving(1, 0, "a,b,c")), List.of("D1"), "a wave of too many");
-        assertEquals(out(leaving(1, 0, "a,b"), leaving(2, 1, "c")), List.of("D1"),
+        assertEquals(
+                out(leaving(1, 0, "a,b"), leaving(2, 1, "c")),
+                List.of("D1"),
                 "two copies together, though neither alone");
         assertEquals(out(leaving(1, 0, "a,b"), leaving(2, 0, "b,c")), List.of());
-        assertEquals(out(leaving(1, 0, "a,b"), leaving(1, 1, "a,b"), leaving(2, 0, "b,c")), List.of("D1"),
+        assertEquals(
+                out(leaving(1, 0, "a,b"), leaving(1, 1, "a,b"), leaving(2, 0, "b,c")),
+                List.of("D1"),
                 "copy 1 has not heard yet that a is back");
-        assertEquals(out(leaving(1, 0, "a,b"), leaving(1, 1, "a,b"), event(2, 1, "ended"),
-                leaving(3, 0, "b,c")), List.of());
-        Event[] two = {drain(1, 0, 1, "a", "begun"), drain(1, 0, 1, "b", "begun"), leaving(5, 1, "a,b")};
+        assertEquals(
+                out(
+                        leaving(1, 0, "a,b"),
+                        leaving(1, 1, "a,b"),
+                        event(2, 1, "ended"),
+                        leaving(3, 0, "b,c")),
+                List.of());
+        Event[] two = {
+            drain(1, 0, 1, "a", "begun"), drain(1, 0, 1, "b", "begun"), leaving(5, 1, "a,b")
+        };
         assertEquals(out(with(List.of(two), drain(6, 0, 2, "c", "begun"))), List.of("D1"));
-        assertEquals(out(two[0], two[1], drain(6, 0, 2, "c", "begun")), List.of("D1"),
+        assertEquals(
+                out(two[0], two[1], drain(6, 0, 2, "c", "begun")),
+                List.of("D1"),
                 "nobody has heard yet");
-        assertEquals(out(with(List.of(two), drain(6, 0, 1, "a", "empty"), drain(6, 0, 2, "c", "begun"))),
-                List.of("D1"), "it is empty, and not back");
-        assertEquals(out(with(List.of(two), drain(6, 0, 1, "a", "gone"), drain(7, 0, 2, "c", "begun"),
-                drain(8, 1, 1, "a", "begun"), leaving(9, 1, "a,b,c"))), List.of(),
+        assertEquals(
+                out(with(List.of(two), drain(6, 0, 1, "a", "empty"), drain(6, 0, 2, "c", "begun"))),
+                List.of("D1"),
+                "it is empty, and not back");
+        assertEquals(
+                out(
+                        with(
+                                List.of(two),
+                                drain(6, 0, 1, "a", "gone"),
+                                drain(7, 0, 2, "c", "begun"),
+                                drain(8, 1, 1, "a", "begun"),
+                                leaving(9, 1, "a,b,c"))),
+                List.of(),
                 "what is gone makes room, whatever one says that is behind");
-        assertEquals(out(with(List.of(two), drain(6, 0, 1, "a", "cancelled"), drain(7, 0, 2, "c", "begun"))),
-                List.of("D1"), "not back everywhere");
-        assertEquals(out(with(List.of(two), drain(6, 0, 1, "a", "cancelled"), leaving(7, 1, "b"),
-                drain(8, 0, 2, "c", "begun"), leaving(8, 2, "a,b"))), List.of(),
+        assertEquals(
+                out(
+                        with(
+                                List.of(two),
+                                drain(6, 0, 1, "a", "cancelled"),
+                                drain(7, 0, 2, "c", "begun"))),
+                List.of("D1"),
+                "not back everywhere");
+        assertEquals(
+                out(
+                        with(
+                                List.of(two),
+                                drain(6, 0, 1, "a", "cancelled"),
+                                leaving(7, 1, "b"),
+                                drain(8, 0, 2, "c", "begun"),
+                                leaving(8, 2, "a,b"))),
+                List.of(),
                 "one that is behind takes nothing out");
     }
 
     @Test
     public void nodesThatAreDownCount() {
-        assertEquals(out(node(1, "a", "dead"), node(1, "b", "silent"), leaving(1_002, 0, "c")),
+        assertEquals(
+                out(node(1, "a", "dead"), node(1, "b", "silent"), leaving(1_002, 0, "c")),
                 List.of("D1"));
-        assertEquals(out(node(1, "a", "dead"), node(1, "b", "silent"), leaving(1_001, 0, "c")), List.of(),
+        assertEquals(
+                out(node(1, "a", "dead"), node(1, "b", "silent"), leaving(1_001, 0, "c")),
+                List.of(),
                 "nobody can know yet");
-        assertEquals(out(node(1, "a", "dead"), node(1, "b", "slow"), leaving(9_000, 0, "c")), List.of());
-        assertEquals(out(node(1, "a", "dead"), leaving(9_000, 0, "a,b")), List.of(), "one node, once");
+        assertEquals(
+                out(node(1, "a", "dead"), node(1, "b", "slow"), leaving(9_000, 0, "c")), List.of());
+        assertEquals(
+                out(node(1, "a", "dead"), leaving(9_000, 0, "a,b")), List.of(), "one node, once");
         assertEquals(out(leaving(1, 0, "a,b"), node(2, "c", "dead")), List.of(), "a node may die");
-        assertEquals(out(node(1, "d", "dead"), node(1, "e", "dead"), leaving(9_000, 0, "a,b")), List.of("D1"),
+        assertEquals(
+                out(node(1, "d", "dead"), node(1, "e", "dead"), leaving(9_000, 0, "a,b")),
+                List.of("D1"),
                 "the strictest of two bounds");
     }
 
@@ -288,13 +440,31 @@
         Event had = leaving(1_000, 0, "a");
         assertEquals(drained(9_000, had, at(3_000, 0, "reached", "r")), List.of());
         assertEquals(drained(9_000, had, at(3_001, 0, "reached", "r")), List.of("D2"));
-        assertEquals(drained(9_000, had, at(3_001, 1, "reached", "r")), List.of(), "copy 1 has not heard");
-        assertEquals(drained(9_000, had, leaving(2_000, 0, "a,b"), at(3_001, 0, "reached", "r")),
-                List.of("D2"), "told again is no new word");
-        assertEquals(drained(9_000, had, leaving(2_000, 0, ""), leaving(2_500, 0, "a"),
-                at(3_001, 0, "reached", "r")), List.of(), "back, and out again");
-        assertEquals(drained(9_000, had, new Event(2_000 * MILLI, 0, 99, "started", Map.of()),
-                at(3_001, 0, "reached", "r")), List.of(), "a second process has not heard");
+        assertEquals(
+                drained(9_000, had, at(3_001, 1, "reached", "r")),
+                List.of(),
+                "copy 1 has not heard");
+        assertEquals(
+                drained(9_000, had, leaving(2_000, 0, "a,b"), at(3_001, 0, "reached", "r")),
+                List.of("D2"),
+                "told again is no new word");
+        assertEquals(
+                drained(
+                        9_000,
+                        had,
+                        leaving(2_000, 0, ""),
+                        leaving(2_500, 0, "a"),
+                        at(3_001, 0, "reached", "r")),
+                List.of(),
+                "back, and out again");
+        assertEquals(
+                drained(
+                        9_000,
+                        had,
+                        new Event(2_000 * MILLI, 0, 99, "started", Map.of()),
+                        at(3_001, 0, "reached", "r")),
+                List.of(),
+                "a second process has not heard");
     }
 
     @Test
@@ -303,19 +473,52 @@
         Event empty = drain(4_000, 0, 1, "a", "empty");
         Event there = at(900, 2, "reached", "r");
         assertEquals(drained(9_000, begun, there, at(3_999, 2, "served", "r"), empty), List.of());
-        assertEquals(drained(9_000, begun, there, at(4_001, 2, "served", "r"), empty), List.of("D2"));
-        assertEquals(drained(9_000, begun, there, event(3_999, 2, "broke", "rpc", "r"), empty), List.of());
-        assertEquals(drained(9_000, begun, there, event(3_999, 2, "answered", "rpc", "r"),
-                at(4_001, 2, "served", "r"), empty), List.of(), "another attempt was answered");
+        assertEquals(
+                drained(9_000, begun, there, at(4_001, 2, "served", "r"), empty), List.of("D2"));
+        assertEquals(
+                drained(9_000, begun, there, event(3_999, 2, "broke", "rpc", "r"), empty),
+                List.of());
+        assertEquals(
+                drained(
+                        9_000,
+                        begun,
+                        there,
+                        event(3_999, 2, "answered", "rpc", "r"),
+                        at(4_001, 2, "served", "r"),
+                        empty),
+                List.of(),
+                "another attempt was answered");
         assertEquals(drained(9_000, begun, there, event(3_999, 2, "ended"), empty), List.of());
         assertEquals(drained(9_000, begun, there, event(3_999, 2, "stopped"), empty), List.of());
-        assertEquals(drained(9_000, begun, there, event(3_999, 0, "dead", "about", 2, "number", 1), empty),
-                List.of(), "held as dead by who says it");
-        assertEquals(drained(9_000, begun, there, event(3_999, 1, "dead", "about", 2, "number", 1), empty),
-                List.of("D2"), "but not by another");
-        assertEquals(drained(9_000, begun, there, event(3_999, 2, "ended"),
-                new Event(3_999 * MILLI, 2, 99, "started", Map.of()),
-                new Event(3_999 * MILLI, 2, 99, "speaks", Map.of()), empty), List.of(), "in another life");
+        assertEquals(
+                drained(
+                        9_000,
+                        begun,
+                        there,
+                        event(3_999, 0, "dead", "about", 2, "number", 1),
+                        empty),
+                List.of(),
+                "held as dead by who says it");
+        assertEquals(
+                drained(
+                        9_000,
+                        begun,
+                        there,
+                        event(3_999, 1, "dead", "about", 2, "number", 1),
+                        empty),
+                List.of("D2"),
+                "but not by another");
+        assertEquals(
+                drained(
+                        9_000,
+                        begun,
+                        there,
+                        event(3_999, 2, "ended"),
+                        new Event(3_999 * MILLI, 2, 99, "started", Map.of()),
+                        new Event(3_999 * MILLI, 2, 99, "speaks", Map.of()),
+                        empty),
+                List.of(),
+                "in another life");
         assertEquals(drained(9_000, begun, there, drain(4_000, 0, 1, "a", "let-go")), List.of());
     }
 
@@ -326,34 +529,81 @@
         assertEquals(drained(7_001, begun), List.of("D2"));
         assertEquals(drained(9_000, begun, drain(7_000, 0, 1, "a", "alarmed")), List.of());
         assertEquals(drained(9_000, begun, drain(7_001, 0, 1, "a", "alarmed")), List.of("D2"));
-        assertEquals(drained(9_000, begun, drain(5_000, 1, 1, "a", "begun"),
-                drain(7_001, 1, 1, "a", "empty")), List.of("D2"),
+        assertEquals(
+                drained(
+                        9_000,
+                        begun,
+                        drain(5_000, 1, 1, "a", "begun"),
+                        drain(7_001, 1, 1, "a", "empty")),
+                List.of("D2"),
                 "its time counts from the first word of it");
-        assertEquals(drained(9_000, begun, drain(2_000, 0, 1, "a", "cancelled"),
-                drain(8_000, 0, 2, "a", "begun")), List.of(), "another wave");
+        assertEquals(
+                drained(
+                        9_000,
+                        begun,
+                        drain(2_000, 0, 1, "a", "cancelled"),
+                        drain(8_000, 0, 2, "a", "begun")),
+                List.of(),
+                "another wave");
     }
 
     // ---- M1 ----
 
     private static Event estimate(long at, int copy, String bound, int fits, long needed) {
-        return event(at, copy, "estimate", "load", "table 7", "bound", bound, "fits", fits, "needed", needed);
+        return event(
+                at,
+                copy,
+                "estimate",
+                "load",
+                "table 7",
+                "bound",
+                bound,
+                "fits",
+                fits,
+                "needed",
+                needed);
     }
 
     @Test
     public void nothingIsLoadedThatWasRefusedNorEstimatedTooLow() {
         Estimates rule = new Estimates(0.03);
-        assertEquals(judged(rule, 9, estimate(1, 0, "peak", 0, 100), table(2, 1, 7, ""),
-                event(2, 0, "took", "load", "list 7"), table(3, 0, 8, "")), List.of());
-        assertEquals(judged(rule, 9, estimate(1, 0, "peak", 0, 100), table(2, 0, 7, "")), List.of("M1"));
-        assertEquals(judged(new Estimates(0.03), 9, estimate(1, 0, "peak", 0, 9),
-                estimate(1, 0, "rest", 1, 9), event(2, 0, "took", "load", "table 7")), List.of("M1"),
+        assertEquals(
+                judged(
+                        rule,
+                        9,
+                        estimate(1, 0, "peak", 0, 100),
+                        table(2, 1, 7, ""),
+                        event(2, 0, "took", "load", "list 7"),
+                        table(3, 0, 8, "")),
+                List.of());
+        assertEquals(
+                judged(rule, 9, estimate(1, 0, "peak", 0, 100), table(2, 0, 7, "")), List.of("M1"));
+        assertEquals(
+                judged(
+                        new Estimates(0.03),
+                        9,
+                        estimate(1, 0, "peak", 0, 9),
+                        estimate(1, 0, "rest", 1, 9),
+                        event(2, 0, "took", "load", "table 7")),
+                List.of("M1"),
                 "one bound is enough");
-        assertEquals(judged(new Estimates(0.03), 9, estimate(1, 0, "peak", 0, 9),
-                estimate(2, 0, "peak", 1, 9), table(2, 0, 7, "")), List.of(), "there is room now");
+        assertEquals(
+                judged(
+                        new Estimates(0.03),
+                        9,
+                        estimate(1, 0, "peak", 0, 9),
+                        estimate(2, 0, "peak", 1, 9),
+                        table(2, 0, 7, "")),
+                List.of(),
+                "there is room now");
         for (int now : new int[] {1_030, 1_031}) {
-            assertEquals(judged(new Estimates(0.03), 9, estimate(1, 0, "peak", 1, 1_000),
-                    event(2, 0, "held", "load", "table 7", "bound", "peak", "now", now),
-                    event(2, 0, "held", "load", "table 7", "bound", "rest", "now", 9_999)),
+            assertEquals(
+                    judged(
+                            new Estimates(0.03),
+                            9,
+                            estimate(1, 0, "peak", 1, 1_000),
+                            event(2, 0, "held", "load", "table 7", "bound", "peak", "now", now),
+                            event(2, 0, "held", "load", "table 7", "bound", "rest", "now", 9_999)),
                     now > 1_030 ? List.of("M1") : List.of());
         }
     }
@@ -376,16 +626,42 @@
         assertEquals(held(8_000, table(2_000, 3, 8, "")), List.of(), "3 s and no more");
         assertEquals(held(8_001, table(2_000, 3, 8, "")), List.of("one table"));
         assertEquals(held(8_001, lapsed(2_000, 3, 7)), List.of("one table"), "one has none");
-        assertEquals(held(8_001, table(2_000, 3, 8, ""), event(4_000, 3, "ended")), List.of(), "it is gone");
-        assertEquals(held(9_000, event(4_000, 3, "stopped"), table(6_000, 0, 8, ""), table(6_000, 1, 8, ""),
-                table(6_000, 2, 8, ""), table(6_000, 4, 8, ""), table(6_000, 5, 8, "")), List.of());
-        assertEquals(held(12_000, lapsed(6_000, 0, 7), table(8_900, 0, 7, ""), lapsed(9_000, 1, 7),
-                table(11_900, 1, 7, "")), List.of(), "each time counts anew");
-        assertEquals(held(9_001, table(6_000, 0, 8, "")), List.of("one table"),
+        assertEquals(
+                held(8_001, table(2_000, 3, 8, ""), event(4_000, 3, "ended")),
+                List.of(),
+                "it is gone");
+        assertEquals(
+                held(
+                        9_000,
+                        event(4_000, 3, "stopped"),
+                        table(6_000, 0, 8, ""),
+                        table(6_000, 1, 8, ""),
+                        table(6_000, 2, 8, ""),
+                        table(6_000, 4, 8, ""),
+                        table(6_000, 5, 8, "")),
+                List.of());
+        assertEquals(
+                held(
+                        12_000,
+                        lapsed(6_000, 0, 7),
+                        table(8_900, 0, 7, ""),
+                        lapsed(9_000, 1, 7),
+                        table(11_900, 1, 7, "")),
+                List.of(),
+                "each time counts anew");
+        assertEquals(
+                held(9_001, table(6_000, 0, 8, "")),
+                List.of("one table"),
                 "a later one must spread too");
-        assertEquals(held(8_000, table(2_000, 3, 6, ""), table(2_001, 3, 7, "")), List.of("A1"), "back");
-        assertEquals(held(8_000, lapsed(2_000, 3, 7), table(2_001, 3, 7, "")), List.of(), "the same again");
-        assertEquals(held(8_000, table(2_000, 3, 7, "0>0:near:1:0"), table(2_001, 3, 7, "")), List.of("A1"));
+        assertEquals(
+                held(8_000, table(2_000, 3, 6, ""), table(2_001, 3, 7, "")), List.of("A1"), "back");
+        assertEquals(
+                held(8_000, lapsed(2_000, 3, 7), table(2_001, 3, 7, "")),
+                List.of(),
+                "the same again");
+        assertEquals(
+                held(8_000, table(2_000, 3, 7, "0>0:near:1:0"), table(2_001, 3, 7, "")),
+                List.of("A1"));
         assertEquals(judged(new HeldTable(1), 9, event(1, -1, "over")), List.of(), "none ever was");
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/judge/HistoryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/judge/HistoryTest.java
@@ -13,7 +13,10 @@
 /** What copies write of themselves, read again. */
 public class HistoryTest {
 
-    /** A copy that is killed within a line must not take the lines before it, or the other copies', away. */
+    /**
+     * A copy that is killed within a line must not take the lines before it, or the other copies',
+     * away.
+     */
     @Test
     public void aLineThatItsProcessDidNotFinishIsLeftOut() throws IOException {
         Event first = new Event(5, 1, 9, "voted", Map.of("term", "7"));
@@ -33,7 +36,9 @@
     /** A judge that reads past what it can't understand would find nothing wrong in it. */
     @Test
     public void aLineThatIsNoEventIsRefusedWithItsPlace() {
-        assertThrows(IOException.class, () -> History.event("{\"at\":1,\"copy\":2,\"life\":3}", "f, line 4"));
+        assertThrows(
+                IOException.class,
+                () -> History.event("{\"at\":1,\"copy\":2,\"life\":3}", "f, line 4"));
         String noTime = "{\"at\":\"x\",\"copy\":2,\"life\":3,\"what\":\"w\"}";
         assertThrows(IOException.class, () -> History.event(noTime, "f"));
         assertThrows(IOException.class, () -> History.event("[]", "f"));
--- a/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
@@ -29,8 +29,8 @@
 public class LoadRunTest {
 
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    private static final Traffic PLAIN = new Traffic(
-            List.of(new Traffic.Kind("lookup", Effect.SAFE, 1, 20_000)), List.of());
+    private static final Traffic PLAIN =
+            new Traffic(List.of(new Traffic.Kind("lookup", Effect.SAFE, 1, 20_000)), List.of());
 
     /** What a server answers to the request of a number, from 0; null: the connection is reset. */
     private interface Script {
@@ -38,20 +38,22 @@
     }
 
     private static final class Server implements AutoCloseable {
-        private final ServerSocket socket = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+        private final ServerSocket socket =
+                new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         private final Script script;
         final AtomicInteger requests = new AtomicInteger();
         final AtomicInteger connections = new AtomicInteger();
 
         Server(Script script) throws IOException {
             this.script = script;
-            start(() -> {
-                while (true) {
-                    Socket caller = socket.accept();
-                    connections.incrementAndGet();
-                    start(() -> serve(caller));
-                }
-            });
+            start(
+                    () -> {
+                        while (true) {
+                            Socket caller = socket.accept();
+                            connections.incrementAndGet();
+                            start(() -> serve(caller));
+                        }
+                    });
         }
 
         /** Something that ends when the other side does. */
@@ -60,21 +62,25 @@
         }
 
         private static void start(Serving serving) {
-            Thread thread = new Thread(() -> {
-                try {
-                    serving.run();
-                } catch (IOException | InterruptedException e) {
-                    // closed
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    serving.run();
+                                } catch (IOException | InterruptedException e) {
+                                    // closed
+                                }
+                            });
             thread.setDaemon(true);
             thread.start();
         }
 
         private void serve(Socket caller) throws IOException, InterruptedException {
             try (caller) {
-                BufferedReader in = new BufferedReader(
-                        new InputStreamReader(caller.getInputStream(), StandardCharsets.ISO_8859_1));
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        caller.getInputStream(), StandardCharsets.ISO_8859_1));
                 while (true) {
                     List<String> head = new java.util.ArrayList<>();
                     for (String line = in.readLine(); !"".equals(line); line = in.readLine()) {
@@ -95,10 +101,23 @@
 
         LoadResult load(Traffic traffic, String rate, int connections, boolean fresh, Path hlog)
                 throws IOException, InterruptedException {
-            InetSocketAddress at = new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
-            Options options = new Options(List.of(at), Rate.parse(rate), 0, traffic, false, connections,
-                    fresh, "/api", 10, 1, 7, 1000);
-            return new LoadRun(options, line -> { }).play(hlog);
+            InetSocketAddress at =
+                    new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
+            Options options =
+                    new Options(
+                            List.of(at),
+                            Rate.parse(rate),
+                            0,
+                            traffic,
+                            false,
+                            connections,
+                            fresh,
+                            "/api",
+                            10,
+                            1,
+                            7,
+                            1000);
+            return new LoadRun(options, line -> {}).play(hlog);
         }
 
         @Override
@@ -107,16 +126,21 @@
         }
     }
 
-    /** The first answers come when request 50 is there: so much those before it waited, by their times. */
+    /**
+     * The first answers come when request 50 is there: so much those before it waited, by their
+     * times.
+     */
     @Test
     public void aStallCountsForAllThatItKeptWaiting() throws Exception {
         CountDownLatch there = new CountDownLatch(50);
         Path hlog = Files.createTempFile("load", ".hlog");
-        try (Server server = new Server((number, head) -> {
-            there.countDown();
-            Await.open("request 50", there);
-            return OK;
-        })) {
+        try (Server server =
+                new Server(
+                        (number, head) -> {
+                            there.countDown();
+                            Await.open("request 50", there);
+                            return OK;
+                        })) {
             LoadResult result = server.load(PLAIN, "200@0.5", 200, false, hlog);
             assertEquals(result.intended(), 100);
             assertEquals(result.ends().get("served"), Long.valueOf(100));
@@ -136,35 +160,49 @@
     /** With one connection a closed loop would see one slow request; and the rate can't be kept. */
     @Test
     public void whatCouldNotLeaveIsChargedAndTheRateWasNotKept() throws Exception {
-        try (Server server = new Server((number, head) -> {
-            if (number == 0) {
-                Thread.sleep(1300); // at least: nothing below depends on how much more
-            }
-            return OK;
-        })) {
+        try (Server server =
+                new Server(
+                        (number, head) -> {
+                            if (number == 0) {
+                                Thread.sleep(
+                                        1300); // at least: nothing below depends on how much more
+                            }
+                            return OK;
+                        })) {
             LoadResult result = server.load(PLAIN, "100@1", 1, false, null);
             assertEquals(result.ends().get("served"), Long.valueOf(100));
             assertTrue(result.latency().p50() >= 750, result.toString());
             assertTrue(result.service().p50() < result.latency().p50(), result.toString());
             assertFalse(result.kept());
-            assertTrue(result.lines().stream().anyMatch(l -> l.contains("NOT KEPT")), result.toString());
+            assertTrue(
+                    result.lines().stream().anyMatch(l -> l.contains("NOT KEPT")),
+                    result.toString());
         }
     }
 
     @Test
     public void eachEndIsCountedAsWhatItIs() throws Exception {
         Set<String> ids = ConcurrentHashMap.newKeySet();
-        try (Server server = new Server((number, head) -> {
-            ids.add(head.stream().filter(l -> l.startsWith("Req-Id: ")).findFirst().orElseThrow());
-            return switch (number % 6) {
-                case 0 -> OK;
-                case 1 -> "HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n";
-                case 2 -> "HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n";
-                case 3 -> "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n";
-                case 4 -> "nonsense\r\n\r\n";
-                default -> null;
-            };
-        })) {
+        try (Server server =
+                new Server(
+                        (number, head) -> {
+                            ids.add(
+                                    head.stream()
+                                            .filter(l -> l.startsWith("Req-Id: "))
+                                            .findFirst()
+                                            .orElseThrow());
+                            return switch (number % 6) {
+                                case 0 -> OK;
+                                case 1 ->
+                                        "HTTP/1.1 503 No\r\n"
+                                                + "Retry-After: 1\r\n"
+                                                + "Content-Length: 0\r\n\r\n";
+                                case 2 -> "HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n";
+                                case 3 -> "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n";
+                                case 4 -> "nonsense\r\n\r\n";
+                                default -> null;
+                            };
+                        })) {
             LoadResult result = server.load(PLAIN, "300@0.2", 50, true, null);
             assertEquals(result.intended(), 60);
             assertEquals(ids.size(), 60);
@@ -179,13 +217,17 @@
     }
 
     @Test
-    public void aRequestWithoutAnAnswerEndsAtItsDeadlineAndOneThatNeverLeftIsTold() throws Exception {
-        Traffic brief = new Traffic(List.of(new Traffic.Kind("order", Effect.KEYED, 1, 200)), List.of());
+    public void aRequestWithoutAnAnswerEndsAtItsDeadlineAndOneThatNeverLeftIsTold()
+            throws Exception {
+        Traffic brief =
+                new Traffic(List.of(new Traffic.Kind("order", Effect.KEYED, 1, 200)), List.of());
         CountDownLatch never = new CountDownLatch(1);
-        try (Server server = new Server((number, head) -> {
-            never.await();
-            return OK;
-        })) {
+        try (Server server =
+                new Server(
+                        (number, head) -> {
+                            never.await();
+                            return OK;
+                        })) {
             LoadResult result = server.load(brief, "100@0.1", 4, false, null);
             assertEquals(result.ends().get("no answer") + result.ends().get("unsent"), 10);
             assertTrue(result.ends().get("no answer") >= 4, result.toString());
