--- a/lab/src/test/java/cedarrudder/lab/members/MeshTest.java
+++ b/lab/src/test/java/cedarrudder/lab/members/MeshTest.java
@@ -10,7 +10,10 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Membership among many, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the same. */
+/**
+ * Membership among many, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
+ * same.
+ */
 public class MeshTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -23,7 +26,8 @@
     }
 
     private static boolean allAgree(Mesh mesh, int about, boolean live) {
-        return IntStream.range(0, mesh.size()).filter(i -> i != about && mesh.runs(i))
+        return IntStream.range(0, mesh.size())
+                .filter(i -> i != about && mesh.runs(i))
                 .allMatch(i -> mesh.view(i).member(about).live() == live);
     }
 
@@ -33,13 +37,17 @@
 
     @Test
     public void oneSeedGivesOneHistory() {
-        List<List<Mesh.Change>> histories = List.of(1, 2).stream().map(time -> {
-            Mesh m = mesh(20, LOSSY, 5);
-            m.play(5 * SECOND);
-            m.kill(3);
-            m.play(30 * SECOND);
-            return List.copyOf(m.changes());
-        }).toList();
+        List<List<Mesh.Change>> histories =
+                List.of(1, 2).stream()
+                        .map(
+                                time -> {
+                                    Mesh m = mesh(20, LOSSY, 5);
+                                    m.play(5 * SECOND);
+                                    m.kill(3);
+                                    m.play(30 * SECOND);
+                                    return List.copyOf(m.changes());
+                                })
+                        .toList();
         assertEquals(histories.get(0), histories.get(1));
         assertFalse(histories.get(0).isEmpty());
     }
@@ -47,7 +55,8 @@
     @Test
     public void nearlyHalfDieAtOnceAndAllOthersFindOut() {
         for (long seed = 1; seed <= 3; seed++) {
-            Detection detection = new Detection(50, LOSSY, 0.48, MembershipSettings.DEFAULT, 20, 90);
+            Detection detection =
+                    new Detection(50, LOSSY, 0.48, MembershipSettings.DEFAULT, 20, 90);
             detection.play(seed);
             Detection.Figures figures = detection.figures();
             assertEquals(figures.unseen(), 0, figures.toString());
@@ -72,7 +81,8 @@
         mesh.kill(7);
         mesh.play(40 * SECOND);
         assertTrue(allAgree(mesh, 7, false));
-        // Its clock went back, so its number is too small: the others say so, and it takes a larger one.
+        // Its clock went back, so its number is too small: the others say so, and it takes a larger
+        // one.
         mesh.restart(7, 0);
         mesh.play(20 * SECOND);
         assertTrue(allAgree(mesh, 7, true));
@@ -110,7 +120,10 @@
         }
     }
 
-    /** Lifeguard's case: some stand still for long again and again, and nobody healthy is buried for it. */
+    /**
+     * Lifeguard's case: some stand still for long again and again, and nobody healthy is buried for
+     * it.
+     */
     @Test
     public void thoseThatStandStillBuryNobody() {
         Mesh mesh = mesh(40, QUIET, 8);
@@ -122,7 +135,9 @@
             mesh.play(SECOND);
         }
         mesh.play(20 * SECOND);
-        assertTrue(deaths(mesh).stream().noneMatch(c -> c.now().number() >= 4), deaths(mesh).toString());
+        assertTrue(
+                deaths(mesh).stream().noneMatch(c -> c.now().number() >= 4),
+                deaths(mesh).toString());
         for (int i = 0; i < 40; i++) {
             assertEquals(mesh.view(i).live(), 40, "seen by " + i);
         }
@@ -158,12 +173,17 @@
             mesh.play(20 * SECOND);
             bytes[i] = (mesh.bytes() - before) / 20.0 / sizes[i];
             // What is asked of membership: fewer than one false death in 10,000 pairs.
-            assertTrue(deaths(mesh).size() <= sizes[i] * (sizes[i] - 1) / 10_000, deaths(mesh).toString());
+            assertTrue(
+                    deaths(mesh).size() <= sizes[i] * (sizes[i] - 1) / 10_000,
+                    deaths(mesh).toString());
         }
         assertTrue(bytes[1] <= 3 * bytes[0], bytes[0] + " and " + bytes[1] + " bytes a second");
     }
 
-    /** Each kind of trouble passes, and those who were not in it are not taken for dead by one another. */
+    /**
+     * Each kind of trouble passes, and those who were not in it are not taken for dead by one
+     * another.
+     */
     @Test
     public void troublePasses() {
         for (Trouble.Kind kind : Trouble.Kind.values()) {
--- a/lab/src/test/java/cedarrudder/lab/model/AgendaTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/AgendaTest.java
@@ -54,7 +54,8 @@
         while (one.next(10)) {
             assertTrue(one.now() <= 10);
         }
-        assertEquals(order, List.of("a", "b", "c", "moved", "scheduled by b for now", "for the past"));
+        assertEquals(
+                order, List.of("a", "b", "c", "moved", "scheduled by b for now", "for the past"));
         assertEquals(one.now(), 5);
     }
 
@@ -62,7 +63,7 @@
     public void keepsOrderWhileTasksMoveAndGo() {
         long seed = 7;
         Random random = new Random(seed);
-        record Due(long at, int order, String name) { }
+        record Due(long at, int order, String name) {}
         List<Due> due = new ArrayList<>();
         Task[] tasks = new Task[2000];
         Due[] latest = new Due[tasks.length];
--- a/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
@@ -25,9 +25,11 @@
     private static final long SEED = 11;
     private static final int TRIES = 3;
 
-    /** No share over all requests, and nobody turned away: what bounds attempts is the tree alone. */
-    private static final BudgetSettings TREE_ALONE = new BudgetSettings("", TRIES, 1, 1, 1, 1000,
-            10 * Scenarios.SECOND, 8, 1);
+    /**
+     * No share over all requests, and nobody turned away: what bounds attempts is the tree alone.
+     */
+    private static final BudgetSettings TREE_ALONE =
+            new BudgetSettings("", TRIES, 1, 1, 1, 1000, 10 * Scenarios.SECOND, 8, 1);
 
     private static Scenarios chain() {
         Scenarios site = new Scenarios();
@@ -38,7 +40,9 @@
         return site;
     }
 
-    /** Sends again after each failure, as often as it may, and counts by key, which all tiers share. */
+    /**
+     * Sends again after each failure, as often as it may, and counts by key, which all tiers share.
+     */
     private static final class Stubborn implements Policy {
         final Map<Long, Integer> further = new HashMap<>();
         final Map<Long, Long> deadlines = new HashMap<>();
@@ -60,8 +64,11 @@
         }
 
         @Override
-        public Balancer create(Balancer.Settings settings, RandomGenerator random,
-                Balancer.Actions actions, Truth truth) {
+        public Balancer create(
+                Balancer.Settings settings,
+                RandomGenerator random,
+                Balancer.Actions actions,
+                Truth truth) {
             Map<Long, Long> keys = new HashMap<>();
             return new Policies.First(actions) {
                 @Override
@@ -73,8 +80,15 @@
                 }
 
                 @Override
-                public void outcome(long now, long request, int attempt, long endpoint, Outcome outcome,
-                        long latency, boolean settled, Load load) {
+                public void outcome(
+                        long now,
+                        long request,
+                        int attempt,
+                        long endpoint,
+                        Outcome outcome,
+                        long latency,
+                        boolean settled,
+                        Load load) {
                     if (attempt > 0 && outcome != Outcome.MOOT) {
                         further.merge(keys.get(request), 1, Integer::sum);
                     }
@@ -92,13 +106,15 @@
         }
     }
 
-    private static RunResult play(Scenario scenario, Policy policy, Notes notes) throws InterruptedException {
+    private static RunResult play(Scenario scenario, Policy policy, Notes notes)
+            throws InterruptedException {
         RunResult result = Model.run(scenario, SEED, policy, "v", notes, Guard.usual()).result();
         assertEquals(result.finding(), "", "seed " + SEED);
         return result;
     }
 
-    private static Stubborn played(Scenarios site, TierBudgets budgets) throws InterruptedException {
+    private static Stubborn played(Scenarios site, TierBudgets budgets)
+            throws InterruptedException {
         Stubborn policy = new Stubborn(budgets);
         RunResult result = play(site.make(), policy, new Notes());
         assertTrue(result.classes().get(0).inAim() > 0, "seed " + SEED + ": " + result.classes());
@@ -109,31 +125,42 @@
     public void noTreeMakesMoreFurtherAttemptsThanItsBudget() throws InterruptedException {
         int off = played(chain(), null).worstTree();
         assertTrue(off > 2 * TRIES, "seed " + SEED + ": without budgets " + off);
-        assertEquals(played(chain(), TierBudgets.everywhere(TREE_ALONE)).worstTree(), TRIES, "seed " + SEED);
+        assertEquals(
+                played(chain(), TierBudgets.everywhere(TREE_ALONE)).worstTree(),
+                TRIES,
+                "seed " + SEED);
     }
 
     @Test
     public void aTierThatStripsTheFieldsCutsTheTree() throws InterruptedException {
-        int worst = played(chain(), new TierBudgets(TREE_ALONE, List.of("tier1"), List.of())).worstTree();
-        // Of the first two tiers 3; and 1 for each of their calls to the last, of which there are 4.
+        int worst =
+                played(chain(), new TierBudgets(TREE_ALONE, List.of("tier1"), List.of()))
+                        .worstTree();
+        // Of the first two tiers 3; and 1 for each of their calls to the last, of which there are
+        // 4.
         assertTrue(worst > TRIES && worst <= TRIES + 4, "seed " + SEED + ": " + worst);
     }
 
     @Test
     public void aTierOfOldProxiesPassesTheFieldsOn() throws InterruptedException {
         Stubborn mixed = played(chain(), new TierBudgets(TREE_ALONE, List.of(), List.of("tier1")));
-        Stubborn alone = played(chain(), new TierBudgets(TREE_ALONE, List.of(), List.of("tier1", "tier2")));
-        assertTrue(mixed.worstTree() < alone.worstTree(), "seed " + SEED + ": the last tier keeps to them");
+        Stubborn alone =
+                played(chain(), new TierBudgets(TREE_ALONE, List.of(), List.of("tier1", "tier2")));
+        assertTrue(
+                mixed.worstTree() < alone.worstTree(),
+                "seed " + SEED + ": the last tier keeps to them");
     }
 
     /** What nodes themselves take before they call is theirs to say, and these don't. */
     @Test
-    public void lowerTiersHaveNoMoreTimeThanTheFirstButForWhatNodesTake() throws InterruptedException {
+    public void lowerTiersHaveNoMoreTimeThanTheFirstButForWhatNodesTake()
+            throws InterruptedException {
         Scenarios site = chain();
         site.passesDeadline = 0;
         long off = played(site, null).latest;
         long on = played(site, TierBudgets.everywhere(TREE_ALONE)).latest;
-        assertTrue(off > 800 * Scenarios.MS, "seed " + SEED + ": the class's whole deadline, " + off);
+        assertTrue(
+                off > 800 * Scenarios.MS, "seed " + SEED + ": the class's whole deadline, " + off);
         assertTrue(on < 300 * Scenarios.MS, "seed " + SEED + ": " + on);
     }
 
@@ -141,11 +168,13 @@
     public void whereNoProxyHasThemARunIsAsWithoutAny() throws InterruptedException {
         Notes none = new Notes();
         Notes old = new Notes();
-        TierBudgets nowhere = new TierBudgets(TREE_ALONE, List.of(), List.of("tier0", "tier1", "tier2"));
+        TierBudgets nowhere =
+                new TierBudgets(TREE_ALONE, List.of(), List.of("tier0", "tier1", "tier2"));
         RunResult result = play(chain().make(), new Stubborn(null), none);
         assertEquals(play(chain().make(), new Stubborn(nowhere), old), result);
         assertEquals(old.all, none.all);
-        assertNotEquals(play(chain().make(), new Stubborn(TierBudgets.everywhere(TREE_ALONE)), new Notes()),
+        assertNotEquals(
+                play(chain().make(), new Stubborn(TierBudgets.everywhere(TREE_ALONE)), new Notes()),
                 result);
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
@@ -20,13 +20,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each fault does what it says, seen from outside. Most strike the only node there is, from 2 s to 5 s. */
+/**
+ * Each fault does what it says, seen from outside. Most strike the only node there is, from 2 s to
+ * 5 s.
+ */
 public class FaultsTest {
 
     private static final double BEGINS = 2;
     private static final double ENDS = 5;
-    private static final Policy FIRST = Policies.of("first", (settings, random, actions) ->
-            new Policies.First(actions));
+    private static final Policy FIRST =
+            Policies.of("first", (settings, random, actions) -> new Policies.First(actions));
 
     private Scenarios site;
     private Notes notes;
@@ -49,14 +52,15 @@
     }
 
     /** The outcomes of what was sent in a time, and how long after the send the last came. */
-    private record Ends(List<String> outcomes, double longest) { }
+    private record Ends(List<String> outcomes, double longest) {}
 
     private Ends ends(double from, double to) {
         List<String> outcomes = new ArrayList<>();
         double longest = 0;
         for (Notes.Note sent : notes.between("sent", from, to)) {
-            List<Notes.Note> ended = notes.find("ended", n -> n.rpc() == sent.rpc()
-                    && n.attempt() == sent.attempt());
+            List<Notes.Note> ended =
+                    notes.find(
+                            "ended", n -> n.rpc() == sent.rpc() && n.attempt() == sent.attempt());
             assertEquals(ended.size(), 1);
             if (!outcomes.contains(ended.get(0).word())) {
                 outcomes.add(ended.get(0).word());
@@ -76,8 +80,9 @@
         Ends down = ends(BEGINS, ENDS);
         assertEquals(down.outcomes(), List.of("CONNECT_FAILED"));
         assertTrue(down.longest() < 0.005, "told at once, not after a time-out: " + down.longest());
-        assertTrue(notes.find("ended", n -> n.word().equals("RESET")).stream().allMatch(n ->
-                n.at() > BEGINS && n.at() < BEGINS + 0.005));
+        assertTrue(
+                notes.find("ended", n -> n.word().equals("RESET")).stream()
+                        .allMatch(n -> n.at() > BEGINS && n.at() < BEGINS + 0.005));
         assertFalse(notes.find("ended", n -> n.word().equals("RESET")).isEmpty());
         Notes.Note back = notes.find("nodeStarted", n -> true).get(0);
         assertEquals(back.at(), ENDS);
@@ -140,7 +145,9 @@
         play(Trouble.DRAIN, 1, FIRST);
         assertEquals(notes.find("told", n -> n.at() > 1).get(0).word(), "DRAINING");
         assertEquals(ends(BEGINS, ENDS - 0.1).outcomes(), List.of("FULL"));
-        assertTrue(notes.find("ended", n -> n.word().equals("RESET")).isEmpty(), "what it had is finished");
+        assertTrue(
+                notes.find("ended", n -> n.word().equals("RESET")).isEmpty(),
+                "what it had is finished");
         assertEquals(notes.find("nodeEnded", n -> true).get(0).at(), ENDS);
         assertTrue(notes.find("nodeStarted", n -> true).isEmpty());
     }
@@ -156,10 +163,15 @@
         assertNotEquals(next, former);
         List<Notes.Note> sent = notes.between("sent", ENDS + 1, ENDS + 2);
         assertTrue(sent.stream().allMatch(n -> n.endpoint() == former));
-        assertTrue(notes.between("reached", ENDS + 1, ENDS + 2).stream().allMatch(n -> n.endpoint() == next));
+        assertTrue(
+                notes.between("reached", ENDS + 1, ENDS + 2).stream()
+                        .allMatch(n -> n.endpoint() == next));
         assertFalse(notes.between("reached", ENDS + 1, ENDS + 2).isEmpty());
-        // It vanished: nothing was reset when it went, only a connection that was kept is, by the new one.
-        assertTrue(notes.find("ended", n -> n.word().equals("RESET")).stream().allMatch(n -> n.at() > ENDS));
+        // It vanished: nothing was reset when it went, only a connection that was kept is, by the
+        // new one.
+        assertTrue(
+                notes.find("ended", n -> n.word().equals("RESET")).stream()
+                        .allMatch(n -> n.at() > ENDS));
         assertEquals(result.nodes().size(), 2);
     }
 
@@ -167,8 +179,10 @@
     public void aStormRestartsOneAfterAnother() throws InterruptedException {
         site.nodes = 3;
         play(Trouble.RESTART_STORM, 1, Policies.DECIDE);
-        List<Double> ended = notes.find("nodeEnded", n -> true).stream().map(Notes.Note::at).toList();
-        List<Double> started = notes.find("nodeStarted", n -> true).stream().map(Notes.Note::at).toList();
+        List<Double> ended =
+                notes.find("nodeEnded", n -> true).stream().map(Notes.Note::at).toList();
+        List<Double> started =
+                notes.find("nodeStarted", n -> true).stream().map(Notes.Note::at).toList();
         assertEquals(ended, List.of(2.0, 3.0, 4.0));
         assertEquals(started, List.of(3.0, 4.0, 5.0));
     }
@@ -178,30 +192,35 @@
         site.ask = true;
         List<Double> failed = new ArrayList<>();
         List<Double> told = new ArrayList<>();
-        Policy asks = Policies.of("asks", (settings, random, actions) -> new Policies.First(actions) {
-            private long asked;
+        Policy asks =
+                Policies.of(
+                        "asks",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    private long asked;
 
-            @Override
-            public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
-                super.endpoints(now, kind, entries);
-                if (asked == 0) {
-                    ask(now);
-                } else {
-                    told.add((now - Model.START) / 1e9);
-                }
-            }
+                                    @Override
+                                    public void endpoints(
+                                            long now, ListKind kind, List<Endpoint> entries) {
+                                        super.endpoints(now, kind, entries);
+                                        if (asked == 0) {
+                                            ask(now);
+                                        } else {
+                                            told.add((now - Model.START) / 1e9);
+                                        }
+                                    }
 
-            private void ask(long now) {
-                asked = now;
-                actions.subscribe(true);
-            }
+                                    private void ask(long now) {
+                                        asked = now;
+                                        actions.subscribe(true);
+                                    }
 
-            @Override
-            public void endpointsFailed(long now) {
-                failed.add((now - Model.START) / 1e9);
-                ask(now);
-            }
-        });
+                                    @Override
+                                    public void endpointsFailed(long now) {
+                                        failed.add((now - Model.START) / 1e9);
+                                        ask(now);
+                                    }
+                                });
         play(Trouble.DISCOVERY_DOWN, 1, asks);
         assertEquals(told.size(), 2, "once at the start, once after it: " + told);
         assertTrue(told.get(0) < 0.3 && told.get(1) > ENDS, told.toString());
@@ -216,13 +235,22 @@
         site.nodes = 4;
         play(Trouble.PROXY_CRASH, 1, Policies.DECIDE);
         assertEquals(notes.find("proxyDied", n -> true).get(0).at(), BEGINS);
-        List<Notes.Note> lost = notes.find("taken", n -> n.at() < BEGINS && notes.find("answered",
-                a -> a.rpc() == n.rpc()).isEmpty());
+        List<Notes.Note> lost =
+                notes.find(
+                        "taken",
+                        n ->
+                                n.at() < BEGINS
+                                        && notes.find("answered", a -> a.rpc() == n.rpc())
+                                                .isEmpty());
         assertFalse(lost.isEmpty());
         assertTrue(notes.between("taken", BEGINS, ENDS).isEmpty());
         List<Notes.Note> list = notes.find("told", n -> n.at() == ENDS);
-        assertEquals(list.stream().map(Notes.Note::endpoint).sorted().toList(),
-                notes.find("told", n -> n.at() == 0).stream().map(Notes.Note::endpoint).sorted().toList());
+        assertEquals(
+                list.stream().map(Notes.Note::endpoint).sorted().toList(),
+                notes.find("told", n -> n.at() == 0).stream()
+                        .map(Notes.Note::endpoint)
+                        .sorted()
+                        .toList());
         assertFalse(notes.between("answered", ENDS, 10).isEmpty());
         RunResult.ClassResult kind = result.classes().get(0);
         // Clients find the connection reset, and then nobody there, until the front has noticed.
@@ -234,24 +262,33 @@
         site.perSecond = 60;
         List<Load> before = new ArrayList<>();
         List<Load> during = new ArrayList<>();
-        Policy probes = Policies.of("probes", (settings, random, actions) -> new Policies.First(actions) {
-            @Override
-            public void request(long now, Request request) {
-                super.request(now, request);
-                actions.probe(first);
-            }
+        Policy probes =
+                Policies.of(
+                        "probes",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    @Override
+                                    public void request(long now, Request request) {
+                                        super.request(now, request);
+                                        actions.probe(first);
+                                    }
 
-            @Override
-            public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {
-                assertEquals(outcome, Outcome.OK);
-                double at = (now - Model.START) / 1e9;
-                if (at > 0.5 && at < BEGINS) {
-                    before.add(load);
-                } else if (at > BEGINS + 0.3 && at < ENDS) {
-                    during.add(load);
-                }
-            }
-        });
+                                    @Override
+                                    public void probed(
+                                            long now,
+                                            long endpoint,
+                                            Outcome outcome,
+                                            long latency,
+                                            Load load) {
+                                        assertEquals(outcome, Outcome.OK);
+                                        double at = (now - Model.START) / 1e9;
+                                        if (at > 0.5 && at < BEGINS) {
+                                            before.add(load);
+                                        } else if (at > BEGINS + 0.3 && at < ENDS) {
+                                            during.add(load);
+                                        }
+                                    }
+                                });
         play(Trouble.FROZEN_REPORTS, 1, probes);
         assertTrue(before.stream().distinct().count() > 5, before.toString());
         assertEquals(during.stream().distinct().count(), 1L, during.toString());
@@ -273,7 +310,10 @@
         assertTrue(result.tiers().get(0).wasted() > 0);
     }
 
-    /** Cold, it can do a fifth of a core; more than a whole core's work is far over three times that. */
+    /**
+     * Cold, it can do a fifth of a core; more than a whole core's work is far over three times
+     * that.
+     */
     @Test
     public void aColdNodeIsPushedOverByTooMuchWork() throws InterruptedException {
         site.perSecond = 200;
@@ -283,8 +323,11 @@
         assertEquals(result.tiers().get(0).fallen(), 1);
         List<Notes.Note> ended = notes.find("nodeEnded", n -> true);
         assertEquals(ended.size(), 2);
-        assertTrue(ended.get(1).at() > ENDS && ended.get(1).at() < ENDS + 3, "fell at " + ended.get(1).at());
-        assertTrue(notes.between("reached", ended.get(1).at() + 0.01, 12).isEmpty(), "it stays down");
+        assertTrue(
+                ended.get(1).at() > ENDS && ended.get(1).at() < ENDS + 3,
+                "fell at " + ended.get(1).at());
+        assertTrue(
+                notes.between("reached", ended.get(1).at() + 0.01, 12).isEmpty(), "it stays down");
     }
 
     @Test
@@ -298,9 +341,16 @@
 
     @Test
     public void anOverdrivenNodeChokesAndRecoversWhenIdle() throws InterruptedException {
-        site.choke = new Scenario.Choke(1, Scenarios.seconds(4e-9), Scenarios.seconds(1),
-                Scenarios.seconds(3e-9), Scenarios.seconds(1), Scenarios.seconds(0.3e-9),
-                Scenarios.seconds(30), 0.08);
+        site.choke =
+                new Scenario.Choke(
+                        1,
+                        Scenarios.seconds(4e-9),
+                        Scenarios.seconds(1),
+                        Scenarios.seconds(3e-9),
+                        Scenarios.seconds(1),
+                        Scenarios.seconds(0.3e-9),
+                        Scenarios.seconds(30),
+                        0.08);
         site.spread = Scenario.Spread.FIXED;
         site.perSecond = 0;
         // Two seconds of twice what it can do, nothing for a while, then one now and then.
--- a/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
@@ -19,23 +19,38 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {"threw java.lang.IllegalStateException: broken", (Fault) (actions, now, request) -> {
-                throw new IllegalStateException("broken");
-            }},
+            {
+                "threw java.lang.IllegalStateException: broken",
+                (Fault)
+                        (actions, now, request) -> {
+                            throw new IllegalStateException("broken");
+                        }
+            },
             {"threw java.lang.StackOverflowError", (Fault) (actions, now, request) -> recurse(1)},
-            {"loops: over", (Fault) (actions, now, request) -> {
-                while (true) {
-                    actions.log("again");
-                }
-            }},
+            {
+                "loops: over",
+                (Fault)
+                        (actions, now, request) -> {
+                            while (true) {
+                                actions.log("again");
+                            }
+                        }
+            },
             {"floods: ", (Fault) (actions, now, request) -> actions.schedule(now, 1)},
-            {"used messages between proxies", (Fault) (actions, now, request) ->
-                    actions.tell(-1, new byte[1])},
-            {"never came back", (Fault) (actions, now, request) -> {
-                while (!Thread.currentThread().isInterrupted()) {
-                    Thread.onSpinWait(); // until the run gives it up, so that the test leaves nothing behind
-                }
-            }},
+            {
+                "used messages between proxies",
+                (Fault) (actions, now, request) -> actions.tell(-1, new byte[1])
+            },
+            {
+                "never came back",
+                (Fault)
+                        (actions, now, request) -> {
+                            while (!Thread.currentThread().isInterrupted()) {
+                                Thread.onSpinWait(); // until the run gives it up, so that the
+                                // test leaves nothing behind
+                            }
+                        }
+            },
         };
     }
 
@@ -48,28 +63,37 @@
         Scenarios site = new Scenarios();
         site.peers = false;
         Guard guard = new Guard(10_000, 20_000, 5_000, 100, 0.5, false);
-        Policy policy = Policies.of("broken", (settings, random, actions) -> new Policies.First(actions) {
-            @Override
-            public void request(long now, Request request) {
-                fault.on(actions, now, request);
-            }
+        Policy policy =
+                Policies.of(
+                        "broken",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    @Override
+                                    public void request(long now, Request request) {
+                                        fault.on(actions, now, request);
+                                    }
 
-            @Override
-            public void timer(long now, long token) {
-                actions.schedule(now, token);
-            }
-        });
-        RunResult result = Model.run(site.make(), 1, policy, "broken", new Unheard(), guard).result();
+                                    @Override
+                                    public void timer(long now, long token) {
+                                        actions.schedule(now, token);
+                                    }
+                                });
+        RunResult result =
+                Model.run(site.make(), 1, policy, "broken", new Unheard(), guard).result();
         assertTrue(result.finding().contains(finding), result.finding());
     }
 
     @Test
     public void endsARunWhoseBalancerCantBeMade() throws InterruptedException {
-        Policy policy = Policies.of("broken", (settings, random, actions) -> {
-            throw new IllegalArgumentException("no such settings");
-        });
-        RunResult result = Model.run(new Scenarios().make(), 1, policy, "broken", new Unheard(),
-                Guard.usual()).result();
+        Policy policy =
+                Policies.of(
+                        "broken",
+                        (settings, random, actions) -> {
+                            throw new IllegalArgumentException("no such settings");
+                        });
+        RunResult result =
+                Model.run(new Scenarios().make(), 1, policy, "broken", new Unheard(), Guard.usual())
+                        .result();
         assertTrue(result.finding().contains("no such settings"), result.finding());
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
@@ -35,9 +35,11 @@
         site.attemptNoise = 0.3;
         site.reportNoise = 0.1;
         site.errorRate = 0.01;
-        site.classes = List.of(site.kind(Effect.SAFE, 300 * Scenarios.MS, Scenarios.SECOND),
-                site.kind(Effect.KEYED, 300 * Scenarios.MS, Scenarios.SECOND),
-                site.kind(Effect.UNSAFE, 300 * Scenarios.MS, Scenarios.SECOND));
+        site.classes =
+                List.of(
+                        site.kind(Effect.SAFE, 300 * Scenarios.MS, Scenarios.SECOND),
+                        site.kind(Effect.KEYED, 300 * Scenarios.MS, Scenarios.SECOND),
+                        site.kind(Effect.UNSAFE, 300 * Scenarios.MS, Scenarios.SECOND));
         double at = 1;
         for (Trouble trouble : Trouble.values()) {
             site.fault(trouble, at, 3, 0.2, 4);
@@ -46,9 +48,10 @@
         return site.make();
     }
 
-    private record Seen(RunResult result, List<Notes.Note> trace) { }
+    private record Seen(RunResult result, List<Notes.Note> trace) {}
 
-    private static Seen play(Scenario scenario, long seed, Policy policy) throws InterruptedException {
+    private static Seen play(Scenario scenario, long seed, Policy policy)
+            throws InterruptedException {
         Notes notes = new Notes();
         RunResult result = Model.run(scenario, seed, policy, "v", notes, Guard.usual()).result();
         assertEquals(result.finding(), "");
@@ -89,14 +92,17 @@
 
     @Test
     public void variantsOfOneSeedMeetTheSameWorldAndFirstTries() throws InterruptedException {
-        Policy first = Policies.of("first", (settings, random, actions) -> new Policies.First(actions));
+        Policy first =
+                Policies.of("first", (settings, random, actions) -> new Policies.First(actions));
         RunResult one = play(rich(), 9, Policies.DECIDE).result();
         RunResult other = play(rich(), 9, first).result();
         assertEquals(other.requests(), one.requests());
         assertEquals(other.faults(), one.faults());
-        assertEquals(other.series().stream().map(RunResult.Second::asked).toList(),
+        assertEquals(
+                other.series().stream().map(RunResult.Second::asked).toList(),
                 one.series().stream().map(RunResult.Second::asked).toList());
-        assertEquals(other.nodes().stream().map(RunResult.NodeResult::speed).toList(),
+        assertEquals(
+                other.nodes().stream().map(RunResult.NodeResult::speed).toList(),
                 one.nodes().stream().map(RunResult.NodeResult::speed).toList());
         assertNotEquals(other.goodput(), one.goodput());
     }
@@ -106,17 +112,20 @@
         Scenarios site = new Scenarios();
         site.marksRepeats = true;
         site.classes = List.of(site.kind(Effect.SAFE, 900 * Scenarios.MS, Scenarios.SECOND));
-        Policy refusesFirstTries = Policies.of("v", (settings, random, actions) ->
-                new Policies.First(actions) {
-                    @Override
-                    public void request(long now, Request request) {
-                        if (request.repeat()) {
-                            super.request(now, request);
-                        } else {
-                            actions.refuse(request.id(), 100 * Scenarios.MS);
-                        }
-                    }
-                });
+        Policy refusesFirstTries =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    @Override
+                                    public void request(long now, Request request) {
+                                        if (request.repeat()) {
+                                            super.request(now, request);
+                                        } else {
+                                            actions.refuse(request.id(), 100 * Scenarios.MS);
+                                        }
+                                    }
+                                });
         Seen seen = play(site.make(), 2, refusesFirstTries);
         RunResult result = seen.result();
         long taken = seen.trace().stream().filter(n -> n.what().equals("taken")).count();
@@ -128,13 +137,20 @@
 
     @Test
     public void whatClientsWaitForIsCountedOnce() throws InterruptedException {
-        Policy never = Policies.of("v", (settings, random, actions) -> new Policies.First(actions) {
-            @Override
-            public void request(long now, Request request) { }
-        });
+        Policy never =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    @Override
+                                    public void request(long now, Request request) {}
+                                });
         Seen seen = play(new Scenarios().make(), 2, never);
         RunResult.ClassResult kind = seen.result().classes().get(0);
-        assertEquals(kind.refused(), kind.requests(), "the driver refuses what the module never sent on");
+        assertEquals(
+                kind.refused(),
+                kind.requests(),
+                "the driver refuses what the module never sent on");
         assertEquals(seen.result().tiers().get(0).rpcs(), 2 * kind.requests());
         assertEquals(seen.result().whole(), 0.0);
     }
@@ -155,11 +171,18 @@
     @Test
     public void aTraceIsPlayedAsRecorded() throws InterruptedException {
         Scenarios site = new Scenarios();
-        site.trace = List.of(new Scenario.Recorded(Scenarios.SECOND, 0, 0, 20 * Scenarios.MS),
-                new Scenario.Recorded(2 * Scenarios.SECOND, 0, 0, 30 * Scenarios.MS));
+        site.trace =
+                List.of(
+                        new Scenario.Recorded(Scenarios.SECOND, 0, 0, 20 * Scenarios.MS),
+                        new Scenario.Recorded(2 * Scenarios.SECOND, 0, 0, 30 * Scenarios.MS));
         Seen seen = play(site.make(), 1, Policies.DECIDE);
         assertEquals(seen.result().requests(), 2);
-        assertEquals(seen.trace().stream().filter(n -> n.what().equals("sent")).mapToDouble(
-                Notes.Note::figure).sum(), 50e6, 1);
+        assertEquals(
+                seen.trace().stream()
+                        .filter(n -> n.what().equals("sent"))
+                        .mapToDouble(Notes.Note::figure)
+                        .sum(),
+                50e6,
+                1);
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/model/Notes.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Notes.java
@@ -12,16 +12,40 @@
 /** A trace that is written down. */
 final class Notes implements Trace {
 
-    /** One line; {@code word} is an outcome, a state or the like, {@code figure} a time or a work. */
-    record Note(String what, double at, int proxy, long rpc, int attempt, long endpoint, String word,
-            double figure) { }
+    /**
+     * One line; {@code word} is an outcome, a state or the like, {@code figure} a time or a work.
+     */
+    record Note(
+            String what,
+            double at,
+            int proxy,
+            long rpc,
+            int attempt,
+            long endpoint,
+            String word,
+            double figure) {}
 
     final List<Note> all = new ArrayList<>();
 
-    private void note(String what, long now, int proxy, long rpc, int attempt, long endpoint, Object word,
+    private void note(
+            String what,
+            long now,
+            int proxy,
+            long rpc,
+            int attempt,
+            long endpoint,
+            Object word,
             double figure) {
-        all.add(new Note(what, (now - Model.START) / 1e9, proxy, rpc, attempt, endpoint, String.valueOf(word),
-                figure));
+        all.add(
+                new Note(
+                        what,
+                        (now - Model.START) / 1e9,
+                        proxy,
+                        rpc,
+                        attempt,
+                        endpoint,
+                        String.valueOf(word),
+                        figure));
     }
 
     List<Note> find(String what, Predicate<Note> such) {
@@ -43,7 +67,8 @@
     }
 
     @Override
-    public void told(long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
+    public void told(
+            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
         note("told", now, proxy, 0, cell, endpoint, state, startedAt);
     }
 
@@ -53,7 +78,13 @@
     }
 
     @Override
-    public void taken(long now, int proxy, long rpc, Effect effect, KeyScope scope, long repeatWindow,
+    public void taken(
+            long now,
+            int proxy,
+            long rpc,
+            Effect effect,
+            KeyScope scope,
+            long repeatWindow,
             long deadline) {
         note("taken", now, proxy, rpc, 0, 0, effect, deadline);
     }
@@ -84,7 +115,8 @@
     }
 
     @Override
-    public void nodeStarted(long now, long endpoint, double capacity, double coldShare, long warmAt) {
+    public void nodeStarted(
+            long now, long endpoint, double capacity, double coldShare, long warmAt) {
         note("nodeStarted", now, 0, 0, 0, endpoint, coldShare, capacity);
     }
 
--- a/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
@@ -25,8 +25,8 @@
 /** Tiers, calls, clients, connections, peers and arrivals, on days without trouble. */
 public class PlatformTest {
 
-    private static final Policy FIRST = Policies.of("first", (settings, random, actions) ->
-            new Policies.First(actions));
+    private static final Policy FIRST =
+            Policies.of("first", (settings, random, actions) -> new Policies.First(actions));
 
     private Scenarios site;
     private Notes notes;
@@ -69,7 +69,8 @@
                 longest = Math.max(longest, below.figure() - Model.START - below.at() * 1e9);
             }
             // Clients give this class's tries up after 0.6 s of its whole second.
-            assertTrue(passes == 1 ? longest < 0.6e9 : Math.abs(longest - 1e9) < 1,
+            assertTrue(
+                    passes == 1 ? longest < 0.6e9 : Math.abs(longest - 1e9) < 1,
                     "passes " + passes + ": " + longest);
         }
     }
@@ -79,20 +80,26 @@
         site.tiers = 2;
         site.attempts = 1;
         site.retries = 0;
-        Policy refusesBelow = Policies.of("v", (settings, random, actions) -> new Policies.First(actions) {
-            @Override
-            public void request(long now, Request request) {
-                if (settings.tier() == 1) {
-                    actions.refuse(request.id(), 0);
-                } else {
-                    super.request(now, request);
-                }
-            }
-        });
+        Policy refusesBelow =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    @Override
+                                    public void request(long now, Request request) {
+                                        if (settings.tier() == 1) {
+                                            actions.refuse(request.id(), 0);
+                                        } else {
+                                            super.request(now, request);
+                                        }
+                                    }
+                                });
         RunResult result = play(site.make(), refusesBelow);
         RunResult.ClassResult kind = result.classes().get(0);
         assertEquals(kind.failed(), kind.requests());
-        assertEquals((long) result.tiers().get(0).outcomes().get(Outcome.ERROR.ordinal()), kind.requests());
+        assertEquals(
+                (long) result.tiers().get(0).outcomes().get(Outcome.ERROR.ordinal()),
+                kind.requests());
         assertEquals(result.tiers().get(0).wasted(), 1.0, 1e-9);
     }
 
@@ -120,18 +127,22 @@
     public void clientsComeBackWhenTheyWereTold() throws InterruptedException {
         site.perSecond = 5;
         site.classes = List.of(site.kind(Effect.UNSAFE, Scenarios.SECOND, 3 * Scenarios.SECOND));
-        Policy later = Policies.of("v", (settings, random, actions) -> new Policies.First(actions) {
-            private int count;
+        Policy later =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    private int count;
 
-            @Override
-            public void request(long now, Request request) {
-                if (count++ == 0) {
-                    actions.refuse(request.id(), 1500 * Scenarios.MS);
-                } else {
-                    super.request(now, request);
-                }
-            }
-        });
+                                    @Override
+                                    public void request(long now, Request request) {
+                                        if (count++ == 0) {
+                                            actions.refuse(request.id(), 1500 * Scenarios.MS);
+                                        } else {
+                                            super.request(now, request);
+                                        }
+                                    }
+                                });
         site.trace = List.of(new Scenario.Recorded(0, 0, 0, 0));
         play(site.make(), later);
         List<Double> taken = notes.find("taken", n -> true).stream().map(Notes.Note::at).toList();
@@ -146,7 +157,8 @@
         site.work = 300 * Scenarios.MS;
         site.perSecond = 30;
         RunResult result = play(site.make(), FIRST);
-        assertTrue(result.tiers().get(0).outcomes().get(Outcome.CONNECT_FAILED.ordinal()) > 50,
+        assertTrue(
+                result.tiers().get(0).outcomes().get(Outcome.CONNECT_FAILED.ordinal()) > 50,
                 result.tiers().toString());
         assertTrue(result.nodes().get(0).meanHeld() <= 2, result.nodes().toString());
     }
@@ -173,51 +185,76 @@
         site.perSecond = 50;
         List<Load> loads = new ArrayList<>();
         int[] turnedDown = new int[1];
-        Policy probes = Policies.of("v", (settings, random, actions) -> new Policies.First(actions) {
-            @Override
-            public void request(long now, Request request) {
-                super.request(now, request);
-                actions.probe(first);
-            }
+        Policy probes =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    @Override
+                                    public void request(long now, Request request) {
+                                        super.request(now, request);
+                                        actions.probe(first);
+                                    }
 
-            @Override
-            public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {
-                if (outcome == Outcome.OK) {
-                    assertTrue(latency < 10 * Scenarios.MS, "latency " + latency);
-                    loads.add(load);
-                } else {
-                    turnedDown[0]++;
-                }
-            }
-        });
+                                    @Override
+                                    public void probed(
+                                            long now,
+                                            long endpoint,
+                                            Outcome outcome,
+                                            long latency,
+                                            Load load) {
+                                        if (outcome == Outcome.OK) {
+                                            assertTrue(
+                                                    latency < 10 * Scenarios.MS,
+                                                    "latency " + latency);
+                                            loads.add(load);
+                                        } else {
+                                            turnedDown[0]++;
+                                        }
+                                    }
+                                });
         RunResult result = play(site.make(), probes);
-        assertTrue(loads.size() > 90 && loads.size() < 150, loads.size() + " of " + result.probes());
+        assertTrue(
+                loads.size() > 90 && loads.size() < 150, loads.size() + " of " + result.probes());
         assertTrue(turnedDown[0] > 250, turnedDown[0] + " turned down");
         Load last = loads.get(loads.size() - 1);
         assertTrue(last.inFlight() > 5 && last.utilisation() > 0.9, last.toString());
-        assertTrue(last.latencyMillis() > 0 && last.latencyMillis() < 100, "without waiting: " + last);
+        assertTrue(
+                last.latencyMillis() > 0 && last.latencyMillis() < 100, "without waiting: " + last);
     }
 
     @Test
     public void peersHearOneAnotherLate() throws InterruptedException {
         site.proxies = 3;
         List<String> heard = new ArrayList<>();
-        Policy tells = Policies.of("v", (settings, random, actions) -> new Policies.First(actions) {
-            @Override
-            public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
-                super.endpoints(now, kind, entries);
-                if (settings.self() == 0 && kind == ListKind.CACHED) {
-                    actions.tell(-1, new byte[] {7});
-                    actions.tell(2, new byte[256]);
-                }
-            }
+        Policy tells =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    @Override
+                                    public void endpoints(
+                                            long now, ListKind kind, List<Endpoint> entries) {
+                                        super.endpoints(now, kind, entries);
+                                        if (settings.self() == 0 && kind == ListKind.CACHED) {
+                                            actions.tell(-1, new byte[] {7});
+                                            actions.tell(2, new byte[256]);
+                                        }
+                                    }
 
-            @Override
-            public void message(long now, int from, byte[] message) {
-                assertTrue(now - Model.START >= 5 * Scenarios.MS && now - Model.START < 6 * Scenarios.MS);
-                heard.add(from + " to " + settings.self() + ": " + message.length);
-            }
-        });
+                                    @Override
+                                    public void message(long now, int from, byte[] message) {
+                                        assertTrue(
+                                                now - Model.START >= 5 * Scenarios.MS
+                                                        && now - Model.START < 6 * Scenarios.MS);
+                                        heard.add(
+                                                from
+                                                        + " to "
+                                                        + settings.self()
+                                                        + ": "
+                                                        + message.length);
+                                    }
+                                });
         RunResult result = play(site.make(), tells);
         assertEquals(new TreeSet<>(heard), Set.of("0 to 1: 1", "0 to 2: 1", "0 to 2: 256"));
         assertEquals(result.charges().peer(), 0.01 * 258 / 256 / result.requests(), 1e-12);
@@ -228,17 +265,23 @@
         site.proxies = 2;
         site.tiers = 2;
         site.ask = true;
-        site.tenants = List.of(new Scenario.Customer("one", 0.6, Draw.fixed(0.5), Draw.fixed(1)),
-                new Scenario.Customer("two", 0.4, Draw.fixed(0.5), Draw.fixed(2)));
+        site.tenants =
+                List.of(
+                        new Scenario.Customer("one", 0.6, Draw.fixed(0.5), Draw.fixed(1)),
+                        new Scenario.Customer("two", 0.4, Draw.fixed(0.5), Draw.fixed(2)));
         List<Settings> told = new ArrayList<>();
-        Policy listens = Policies.of("v", (settings, random, actions) -> {
-            told.add(settings);
-            return new Policies.First(actions);
-        });
+        Policy listens =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) -> {
+                            told.add(settings);
+                            return new Policies.First(actions);
+                        });
         RunResult result = play(site.make(), listens);
         assertEquals(told.size(), 2 + site.nodes);
         Settings last = told.get(told.size() - 1);
-        assertEquals(List.of(last.copies(), last.self(), last.tier(), last.tiers()),
+        assertEquals(
+                List.of(last.copies(), last.self(), last.tier(), last.tiers()),
                 List.of(site.nodes, site.nodes - 1, 1, 2));
         assertTrue(last.askForEndpoints());
         assertEquals(last.safety().coldShare(), site.coldFrom);
@@ -255,20 +298,26 @@
         site.seconds = 30;
         site.spread = Scenario.Spread.FIXED;
         // Capacity is 400 a second: a quota of 10 and 30; one sends twice its quota.
-        site.tenants = List.of(new Scenario.Customer("over", 0.5, Draw.fixed(0.05), Draw.fixed(1)),
-                new Scenario.Customer("within", 0.5, Draw.fixed(0.15), Draw.fixed(1)));
-        Policy refusesOne = Policies.of("v", (settings, random, actions) -> new Policies.First(actions) {
-            private int count;
+        site.tenants =
+                List.of(
+                        new Scenario.Customer("over", 0.5, Draw.fixed(0.05), Draw.fixed(1)),
+                        new Scenario.Customer("within", 0.5, Draw.fixed(0.15), Draw.fixed(1)));
+        Policy refusesOne =
+                Policies.of(
+                        "v",
+                        (settings, random, actions) ->
+                                new Policies.First(actions) {
+                                    private int count;
 
-            @Override
-            public void request(long now, Request request) {
-                if (request.tenant() == 0 && count++ % 2 == 0) {
-                    actions.fail(request.id());
-                } else {
-                    super.request(now, request);
-                }
-            }
-        });
+                                    @Override
+                                    public void request(long now, Request request) {
+                                        if (request.tenant() == 0 && count++ % 2 == 0) {
+                                            actions.fail(request.id());
+                                        } else {
+                                            super.request(now, request);
+                                        }
+                                    }
+                                });
         site.retries = 0;
         RunResult result = play(site.make(), refusesOne);
         assertEquals(result.tenants().get(1).goodput(), 1.0, 0.001);
@@ -282,11 +331,35 @@
         site.seconds = 60;
         Scenario base = site.make();
         Draw ten = Scenarios.seconds(10);
-        Scenario payday = new Scenario(base.name(), base.about(), base.run(),
-                new Scenario.Arrivals(Scenario.Shape.PAYDAY, null, Draw.fixed(50), null, null, Draw.fixed(4),
-                        ten, ten, Scenarios.seconds(20), List.of(), 0.1),
-                base.network(), base.front(), base.clients(), base.discovery(), base.allowed(), base.rules(),
-                base.goal(), base.prices(), base.tiers(), base.classes(), base.tenants(), base.faults());
+        Scenario payday =
+                new Scenario(
+                        base.name(),
+                        base.about(),
+                        base.run(),
+                        new Scenario.Arrivals(
+                                Scenario.Shape.PAYDAY,
+                                null,
+                                Draw.fixed(50),
+                                null,
+                                null,
+                                Draw.fixed(4),
+                                ten,
+                                ten,
+                                Scenarios.seconds(20),
+                                List.of(),
+                                0.1),
+                        base.network(),
+                        base.front(),
+                        base.clients(),
+                        base.discovery(),
+                        base.allowed(),
+                        base.rules(),
+                        base.goal(),
+                        base.prices(),
+                        base.tiers(),
+                        base.classes(),
+                        base.tenants(),
+                        base.faults());
         play(payday, FIRST);
         assertEquals(notes.between("taken", 0, 10).size(), 500, 100);
         assertTrue(notes.between("taken", 20, 40).size() > 2 * 20 * 50);
--- a/lab/src/test/java/cedarrudder/lab/model/Policies.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Policies.java
@@ -10,10 +10,10 @@
 /** Policies for tests. */
 final class Policies {
 
-    static final Policy DECIDE = of("decide", (settings, random, actions) ->
-            new Decide(settings, random, actions));
+    static final Policy DECIDE =
+            of("decide", (settings, random, actions) -> new Decide(settings, random, actions));
 
-    private Policies() { }
+    private Policies() {}
 
     interface Maker {
         Balancer make(Balancer.Settings settings, RandomGenerator random, Balancer.Actions actions);
@@ -27,14 +27,20 @@
             }
 
             @Override
-            public Balancer create(Balancer.Settings settings, RandomGenerator random,
-                    Balancer.Actions actions, Truth truth) {
+            public Balancer create(
+                    Balancer.Settings settings,
+                    RandomGenerator random,
+                    Balancer.Actions actions,
+                    Truth truth) {
                 return maker.make(settings, random, actions);
             }
         };
     }
 
-    /** One that sends each request to the first node of its list, once, and fails it when that fails. */
+    /**
+     * One that sends each request to the first node of its list, once, and fails it when that
+     * fails.
+     */
     static class First implements Balancer {
         final Actions actions;
         long first;
@@ -53,7 +59,7 @@
         }
 
         @Override
-        public void endpointsFailed(long now) { }
+        public void endpointsFailed(long now) {}
 
         @Override
         public void request(long now, Request request) {
@@ -61,26 +67,33 @@
         }
 
         @Override
-        public void firstByte(long now, long request, int attempt, long endpoint, long latency) { }
+        public void firstByte(long now, long request, int attempt, long endpoint, long latency) {}
 
         @Override
-        public void outcome(long now, long request, int attempt, long endpoint, Outcome outcome, long latency,
-                boolean settled, Load load) {
+        public void outcome(
+                long now,
+                long request,
+                int attempt,
+                long endpoint,
+                Outcome outcome,
+                long latency,
+                boolean settled,
+                Load load) {
             if (!settled) {
                 actions.fail(request);
             }
         }
 
         @Override
-        public void clientLeft(long now, long request) { }
+        public void clientLeft(long now, long request) {}
 
         @Override
-        public void timer(long now, long token) { }
+        public void timer(long now, long token) {}
 
         @Override
-        public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) { }
+        public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {}
 
         @Override
-        public void message(long now, int from, byte[] message) { }
+        public void message(long now, int from, byte[] message) {}
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
@@ -21,7 +21,8 @@
     public Object[][] queues() {
         double rho = 0.7;
         return new Object[][] {
-            // One at a time, in order: Pollaczek and Khinchine, L = rho + rho^2 (1 + cv^2) / (2 (1 - rho)).
+            // One at a time, in order: Pollaczek and Khinchine, L = rho + rho^2 (1 + cv^2) / (2 (1
+            // - rho)).
             {Spread.EXPONENTIAL, 0, 1, rho, rho + rho * rho / (1 - rho)},
             {Spread.FIXED, 0, 1, rho, rho + rho * rho / (2 * (1 - rho))},
             {Spread.LOGNORMAL, 1.5, 1, rho, rho + rho * rho * (1 + 1.5 * 1.5) / (2 * (1 - rho))},
@@ -32,7 +33,8 @@
     }
 
     @Test(dataProvider = "queues")
-    public void holdsAsManyAsTheorySays(Spread spread, double cv, int slots, double rho, double expected)
+    public void holdsAsManyAsTheorySays(
+            Spread spread, double cv, int slots, double rho, double expected)
             throws InterruptedException {
         Scenarios site = new Scenarios();
         site.nodes = 1;
@@ -48,8 +50,17 @@
         long deadline = 100 * Scenarios.SECOND;
         site.classes = List.of(site.kind(Effect.UNSAFE, deadline, deadline));
         long seed = 3;
-        RunResult result = Model.run(site.make(), seed, Policies.of("first", (settings, random, actions) ->
-                new Policies.First(actions)), "v", new Unheard(), Guard.usual()).result();
+        RunResult result =
+                Model.run(
+                                site.make(),
+                                seed,
+                                Policies.of(
+                                        "first",
+                                        (settings, random, actions) -> new Policies.First(actions)),
+                                "v",
+                                new Unheard(),
+                                Guard.usual())
+                        .result();
         assertEquals(result.finding(), "");
         // What follows the last arrival is empty but counts as time.
         double held = result.nodes().get(0).meanHeld() * (SECONDS + 101) / SECONDS;
--- a/lab/src/test/java/cedarrudder/lab/model/Scenarios.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Scenarios.java
@@ -68,51 +68,131 @@
 
     /** A class whose work is as set here. */
     Scenario.RequestKind kind(Effect effect, long aim, long deadline) {
-        return new Scenario.RequestKind(effect.name(), effect, KeyScope.ALL, fixed(1), fixed(work), spread,
-                fixed(cv), fixed(attemptNoise), aim, deadline, 1, 0, 5 * SECOND);
+        return new Scenario.RequestKind(
+                effect.name(),
+                effect,
+                KeyScope.ALL,
+                fixed(1),
+                fixed(work),
+                spread,
+                fixed(cv),
+                fixed(attemptNoise),
+                aim,
+                deadline,
+                1,
+                0,
+                5 * SECOND);
     }
 
     Scenarios fault(Trouble trouble, double at, double length, double part, double size) {
-        faults.add(new Fault(trouble, 0, fixed(at * SECOND), fixed(length * SECOND), fixed(part),
-                fixed(size)));
+        faults.add(
+                new Fault(
+                        trouble,
+                        0,
+                        fixed(at * SECOND),
+                        fixed(length * SECOND),
+                        fixed(part),
+                        fixed(size)));
         return this;
     }
 
     Scenario make() {
-        List<Scenario.RequestKind> kinds = classes != null ? classes
-                : List.of(kind(Effect.SAFE, 200 * MS, SECOND));
+        List<Scenario.RequestKind> kinds =
+                classes != null ? classes : List.of(kind(Effect.SAFE, 200 * MS, SECOND));
         List<Scenario.Tier> all = new ArrayList<>();
         for (int i = 0; i < tiers; i++) {
             all.add(tier(i));
         }
-        return new Scenario("small", "", new Scenario.Run(fixed(seconds * SECOND), lead, mostRequests,
-                5 * SECOND),
-                new Scenario.Arrivals(trace.isEmpty() ? Shape.STEADY : Shape.TRACE,
-                        share > 0 ? fixed(share) : null, share > 0 ? null : fixed(perSecond), null, null,
-                        null, null, null, null, trace, hintNoise),
-                new Scenario.Network(zones, fixed(0.2 * MS), fixed(2 * MS), fixed(0.5 * MS),
-                        fixed(5 * MS), fixed(0.1), 0),
+        return new Scenario(
+                "small",
+                "",
+                new Scenario.Run(fixed(seconds * SECOND), lead, mostRequests, 5 * SECOND),
+                new Scenario.Arrivals(
+                        trace.isEmpty() ? Shape.STEADY : Shape.TRACE,
+                        share > 0 ? fixed(share) : null,
+                        share > 0 ? null : fixed(perSecond),
+                        null,
+                        null,
+                        null,
+                        null,
+                        null,
+                        null,
+                        trace,
+                        hintNoise),
+                new Scenario.Network(
+                        zones,
+                        fixed(0.2 * MS),
+                        fixed(2 * MS),
+                        fixed(0.5 * MS),
+                        fixed(5 * MS),
+                        fixed(0.1),
+                        0),
                 new Scenario.Front(fixed(2 * SECOND)),
-                new Scenario.Clients(fixed(retries), fixed(0.6), fixed(50 * MS), true, fixed(1), 2 * SECOND,
+                new Scenario.Clients(
+                        fixed(retries),
+                        fixed(0.6),
+                        fixed(50 * MS),
+                        true,
+                        fixed(1),
+                        2 * SECOND,
                         marksRepeats),
-                new Scenario.Discovery(ask, fixed(notice), fixed(silentNotice), fixed(add),
-                        fixed(0.5 * SECOND), fixed(5), fixed(50), SECOND, 10 * SECOND),
+                new Scenario.Discovery(
+                        ask,
+                        fixed(notice),
+                        fixed(silentNotice),
+                        fixed(add),
+                        fixed(0.5 * SECOND),
+                        fixed(5),
+                        fixed(50),
+                        SECOND,
+                        10 * SECOND),
                 new Scenario.Allowed(probes, peers, true, true, true, attempts),
                 new Scenario.Rules(2 * SECOND, 3, 3 * SECOND, 8 * MS),
-                new Scenario.Goal(0.6, 0.1, 0.2, 0.1, 0.05), new Scenario.Prices(0.02, 0.01, 0.01, 0.03, 1),
-                all, kinds, tenants, List.copyOf(faults));
+                new Scenario.Goal(0.6, 0.1, 0.2, 0.1, 0.05),
+                new Scenario.Prices(0.02, 0.01, 0.01, 0.03, 1),
+                all,
+                kinds,
+                tenants,
+                List.copyOf(faults));
     }
 
     private Scenario.Tier tier(int index) {
-        Scenario.Kind kind = new Scenario.Kind("std", fixed(1), cores, fixed(speed), fixed(speedSpread),
-                fixed((double) slots / cores), fixed((double) queue / cores), fixed(thrash), fixed(30),
-                fixed(coldFrom), fixed(coldTime), fixed(errorRate), stopsCancelled, 0);
-        return new Scenario.Tier("tier" + index, fixed(nodes), false, fixed(proxies), 1.0 / tiers,
-                index == tiers - 1 ? fixed(0) : fixed(calls), fixed(2), passesDeadline, List.of(kind),
+        Scenario.Kind kind =
+                new Scenario.Kind(
+                        "std",
+                        fixed(1),
+                        cores,
+                        fixed(speed),
+                        fixed(speedSpread),
+                        fixed((double) slots / cores),
+                        fixed((double) queue / cores),
+                        fixed(thrash),
+                        fixed(30),
+                        fixed(coldFrom),
+                        fixed(coldTime),
+                        fixed(errorRate),
+                        stopsCancelled,
+                        0);
+        return new Scenario.Tier(
+                "tier" + index,
+                fixed(nodes),
+                false,
+                fixed(proxies),
+                1.0 / tiers,
+                index == tiers - 1 ? fixed(0) : fixed(calls),
+                fixed(2),
+                passesDeadline,
+                List.of(kind),
                 new Scenario.Report(fixed(reportPeriod), fixed(reportDelay), fixed(reportNoise)),
-                new Scenario.Connections(fixed(2), fixed(handshakeWork), 30 * SECOND, 120 * MS,
-                        fixed(connections), fixed(0.3)),
-                new Scenario.Probing(fixed(probeWork), fixed(probesPerCore), 150 * MS), choke);
+                new Scenario.Connections(
+                        fixed(2),
+                        fixed(handshakeWork),
+                        30 * SECOND,
+                        120 * MS,
+                        fixed(connections),
+                        fixed(0.3)),
+                new Scenario.Probing(fixed(probeWork), fixed(probesPerCore), 150 * MS),
+                choke);
     }
 
     static Draw seconds(double seconds) {
--- a/lab/src/test/java/cedarrudder/lab/model/SharesInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/SharesInModelTest.java
@@ -33,12 +33,14 @@
     }
 
     private void at(double seconds, Runnable what) {
-        run.agenda.at(Model.START + (long) (seconds * SECOND), new Task() {
-            @Override
-            protected void run() {
-                what.run();
-            }
-        });
+        run.agenda.at(
+                Model.START + (long) (seconds * SECOND),
+                new Task() {
+                    @Override
+                    protected void run() {
+                        what.run();
+                    }
+                });
     }
 
     private RunResult play() {
@@ -67,12 +69,18 @@
     /** How large a part of what was sent in a time went to its proxy's own zone. */
     private double near(double from, double to) {
         List<Notes.Note> sent = notes.between("sent", from, to);
-        return sent.stream().filter(n -> zoneOf(n.endpoint()) == run.proxiesTo(0).get(n.proxy()).zone).count()
+        return sent.stream()
+                        .filter(n -> zoneOf(n.endpoint()) == run.proxiesTo(0).get(n.proxy()).zone)
+                        .count()
                 / (double) sent.size();
     }
 
     private int zoneOf(long endpoint) {
-        return run.nodesOf(0).stream().filter(n -> n.endpoint == endpoint).findAny().orElseThrow().zone;
+        return run.nodesOf(0).stream()
+                .filter(n -> n.endpoint == endpoint)
+                .findAny()
+                .orElseThrow()
+                .zone;
     }
 
     @Test
@@ -92,15 +100,18 @@
     @Test
     public void theNextLifeKnowsNothingOfThem() {
         at(2, () -> tellAll(0, 10_000));
-        at(6, () -> {
-            Proxy proxy = run.proxiesTo(0).get(0);
-            proxy.die();
-            tellAll(0, 10_000); // without effect where it is down
-            proxy.start(() -> run.front.take(proxy));
-        });
+        at(
+                6,
+                () -> {
+                    Proxy proxy = run.proxiesTo(0).get(0);
+                    proxy.die();
+                    tellAll(0, 10_000); // without effect where it is down
+                    proxy.start(() -> run.front.take(proxy));
+                });
         play();
         List<Notes.Note> after = notes.find("sent", n -> n.proxy() == 0 && n.at() > 6);
         assertTrue(after.size() > 500, after.size() + " sent");
-        assertTrue(after.stream().filter(n -> zoneOf(n.endpoint()) == 0).count() > 0.9 * after.size());
+        assertTrue(
+                after.stream().filter(n -> zoneOf(n.endpoint()) == 0).count() > 0.9 * after.size());
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/cedarrudder/lab/referee/RefereeTest.java
@@ -35,7 +35,8 @@
 
     private void assertBroken(int rule, long at, long rpc, long endpoint, String what) {
         referee.finish(100 * SECOND);
-        assertEquals(referee.breaches(), List.of(new Breach(rule, at / 1e9, 0, rpc, endpoint, what, 1)));
+        assertEquals(
+                referee.breaches(), List.of(new Breach(rule, at / 1e9, 0, rpc, endpoint, what, 1)));
     }
 
     private void assertKept() {
@@ -128,7 +129,8 @@
 
     @Test
     public void keyedIsBoundToTheFirstThatMayHaveRun() {
-        // Node 1 proves not to have run: the window and the cell are those of node 2, and 5 is in its cell.
+        // Node 1 proves not to have run: the window and the cell are those of node 2, and 5 is in
+        // its cell.
         taken(0, 1, Effect.KEYED, KeyScope.CELL);
         referee.sent(0, 0, 1, 0, 1, MS);
         referee.ended(400 * MS, 0, 1, 0, Outcome.CONNECT_FAILED);
@@ -219,7 +221,8 @@
     }
 
     /**
-     * A node with a budget of 1 s of work in its first second gets 1.5 s of it at once, in parts of 0.1 s.
+     * A node with a budget of 1 s of work in its first second gets 1.5 s of it at once, in parts of
+     * 0.1 s.
      *
      * @param told whether the proxy was told of the start
      * @param outcome what the attempts end with, each before the next is sent
--- a/lab/src/test/java/cedarrudder/lab/report/ReportTest.java
+++ b/lab/src/test/java/cedarrudder/lab/report/ReportTest.java
@@ -41,36 +41,51 @@
 
     private List<Element> elements(String name) {
         NodeList found = page.getElementsByTagNameNS("*", name);
-        return IntStream.range(0, found.getLength()).mapToObj(i -> (Element) found.item(i)).toList();
+        return IntStream.range(0, found.getLength())
+                .mapToObj(i -> (Element) found.item(i))
+                .toList();
     }
 
     @Test
     public void everyQuestionHasItsPlot() {
-        List<String> titles = elements("svg").stream()
-                .map(svg -> svg.getFirstChild().getTextContent()).toList();
-        for (String question : List.of("Goodput less prices: who differs from cedarrudder?",
-                "Latency, 99th percentile: who differs from cedarrudder?", "When was worth lost?",
-                "How long did answers take?", "How was load spread over nodes?", "What did a request cost?",
-                "Does service hold?", "Does latency grow?", "Do probes grow?", "Do attempts grow?",
-                "What does the model cost?")) {
+        List<String> titles =
+                elements("svg").stream().map(svg -> svg.getFirstChild().getTextContent()).toList();
+        for (String question :
+                List.of(
+                        "Goodput less prices: who differs from cedarrudder?",
+                        "Latency, 99th percentile: who differs from cedarrudder?",
+                        "When was worth lost?",
+                        "How long did answers take?",
+                        "How was load spread over nodes?",
+                        "What did a request cost?",
+                        "Does service hold?",
+                        "Does latency grow?",
+                        "Do probes grow?",
+                        "Do attempts grow?",
+                        "What does the model cost?")) {
             assertTrue(titles.contains(question), question + " in " + titles);
         }
         // Two for the metrics, four for each of two scenarios, five for the family.
         assertEquals(titles.size(), 2 + 2 * 4 + 5);
         for (Element svg : elements("svg")) {
-            assertTrue(svg.getElementsByTagNameNS("*", "text").getLength() > 5, svg.getTextContent());
+            assertTrue(
+                    svg.getElementsByTagNameNS("*", "text").getLength() > 5, svg.getTextContent());
         }
     }
 
     @Test
     public void thePageNeedsNothingButItself() {
-        assertEquals(elements("script").size() + elements("link").size() + elements("img").size(), 0);
-        assertFalse(Pattern.compile("(?:src|href)\\s*=\\s*\"(?!#)").matcher(html).find(), "a link outward");
+        assertEquals(
+                elements("script").size() + elements("link").size() + elements("img").size(), 0);
+        assertFalse(
+                Pattern.compile("(?:src|href)\\s*=\\s*\"(?!#)").matcher(html).find(),
+                "a link outward");
         assertFalse(html.contains("@import"));
         assertFalse(Pattern.compile("url\\((?!#)").matcher(html).find(), "a resource outside");
         Set<String> ids = new HashSet<>();
         for (Element each : elements("*")) {
-            assertTrue(each.getAttribute("id").isEmpty() || ids.add(each.getAttribute("id")),
+            assertTrue(
+                    each.getAttribute("id").isEmpty() || ids.add(each.getAttribute("id")),
                     "twice: " + each.getAttribute("id"));
         }
     }
@@ -92,9 +107,14 @@
     public void theTextTellsTheVerdicts() {
         List<String> lines = report.text().lines().map(line -> line.replaceAll(" +", " ")).toList();
         assertTrue(lines.contains("small: Which is best?"));
-        assertTrue(lines.stream().anyMatch(l -> l.startsWith("calm-10 oracle better 6 +0.0")), report.text());
-        assertTrue(lines.stream().anyMatch(l -> l.startsWith("calm-100 random worse 6 -0.1")), report.text());
-        assertEquals(report.means(Metric.P50).lines().toList().subList(0, 2),
+        assertTrue(
+                lines.stream().anyMatch(l -> l.startsWith("calm-10 oracle better 6 +0.0")),
+                report.text());
+        assertTrue(
+                lines.stream().anyMatch(l -> l.startsWith("calm-100 random worse 6 -0.1")),
+                report.text());
+        assertEquals(
+                report.means(Metric.P50).lines().toList().subList(0, 2),
                 List.of("variant,kind,mean", "cedarrudder,calm-10,30.0"));
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/rivals/NoActions.java
+++ b/lab/src/test/java/cedarrudder/lab/rivals/NoActions.java
@@ -6,35 +6,35 @@
 final class NoActions implements Balancer.Actions {
 
     @Override
-    public void send(long request, long endpoint, long timeout) { }
+    public void send(long request, long endpoint, long timeout) {}
 
     @Override
-    public void refuse(long request, long retryAfter) { }
+    public void refuse(long request, long retryAfter) {}
 
     @Override
-    public void fail(long request) { }
+    public void fail(long request) {}
 
     @Override
-    public void cancel(long request, int attempt) { }
+    public void cancel(long request, int attempt) {}
 
     @Override
-    public void probe(long endpoint) { }
+    public void probe(long endpoint) {}
 
     @Override
-    public void closeIdle(long endpoint) { }
+    public void closeIdle(long endpoint) {}
 
     @Override
-    public void schedule(long at, long token) { }
+    public void schedule(long at, long token) {}
 
     @Override
-    public void subscribe(boolean on) { }
+    public void subscribe(boolean on) {}
 
     @Override
-    public void fetchEndpoints() { }
+    public void fetchEndpoints() {}
 
     @Override
-    public void tell(int copy, byte[] message) { }
+    public void tell(int copy, byte[] message) {}
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/lab/src/test/java/cedarrudder/lab/rivals/PicksTest.java
+++ b/lab/src/test/java/cedarrudder/lab/rivals/PicksTest.java
@@ -30,7 +30,8 @@
 /** What each pick is for, against the formulas and descriptions of its source. */
 public class PicksTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final Limits LIMITS = new Limits(true, true, true, true, 4, SECOND, SECOND, SECOND);
+    private static final Limits LIMITS =
+            new Limits(true, true, true, true, 4, SECOND, SECOND, SECOND);
 
     /** Nodes 1, 2, ... all of which may take an attempt, but for those that are closed. */
     private static final class Nodes<S> implements Choice<S> {
@@ -65,13 +66,27 @@
     }
 
     private static Settings settings(int copies, int self) {
-        return new Settings(copies, self, 0, 0, 1, false, SmallWorld.CLASSES, List.of(), LIMITS,
-                new Safety(SECOND, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND), new Goal(1, 0, 0, 0, 1),
+        return new Settings(
+                copies,
+                self,
+                0,
+                0,
+                1,
+                false,
+                SmallWorld.CLASSES,
+                List.of(),
+                LIMITS,
+                new Safety(SECOND, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
+                new Goal(1, 0, 0, 0, 1),
                 new Prices(0, 0));
     }
 
     private static Call call(long work) {
-        return new Call(new Request(1, 0, 0, SECOND, 0, false, false, work), SmallWorld.CLASSES.get(0), 0, 4);
+        return new Call(
+                new Request(1, 0, 0, SECOND, 0, false, false, work),
+                SmallWorld.CLASSES.get(0),
+                0,
+                4);
     }
 
     private static Load load(double busy) {
@@ -200,8 +215,11 @@
         assertEquals(pick.subset().size(), 50);
     }
 
-    /** The true state, made of what a test cares about; a node holds one request where it has work. */
-    private record Seen(LongToDoubleFunction speed, LongToDoubleFunction work, long deaf) implements Truth {
+    /**
+     * The true state, made of what a test cares about; a node holds one request where it has work.
+     */
+    private record Seen(LongToDoubleFunction speed, LongToDoubleFunction work, long deaf)
+            implements Truth {
         @Override
         public boolean takes(long endpoint) {
             return endpoint != deaf;
@@ -231,12 +249,14 @@
     @Test
     public void oracleTakesTheOneThatIsDoneFirst() {
         // Node 2 is idle and slow, 3 is quick and has some work, 4 would be best but takes nothing.
-        Truth truth = new Seen(id -> id == 2 ? 0.4 : 1, id -> id == 3 ? 10e6 : id == 1 ? 100e6 : 0, 4);
+        Truth truth =
+                new Seen(id -> id == 2 ? 0.4 : 1, id -> id == 3 ? 10e6 : id == 1 ? 100e6 : 0, 4);
         Oracle pick = new Oracle(settings(1, 0), truth);
         Nodes<Oracle.Way> nodes = new Nodes<>(4, pick);
         Member<Oracle.Way> third = nodes.members.get(2);
         assertSame(pick.choose(0, call(20_000_000), nodes), third);
-        // A short one shares the cores of a quick node, and is still done sooner than alone on the slow one.
+        // A short one shares the cores of a quick node, and is still done sooner than alone on the
+        // slow one.
         assertEquals(pick.choose(0, call(1_000_000), nodes).id, 1);
         pick.sent(0, call(200_000_000), third);
         assertEquals(pick.choose(1, call(20_000_000), nodes).id, 1);
@@ -248,8 +268,21 @@
         RequestClass cheap = worth(1);
         RequestClass dear = worth(8);
         Settings none = settings(1, 0);
-        Admission admission = new Admission(new Settings(1, 0, 0, 0, 1, false, List.of(cheap, dear),
-                List.of(), none.limits(), none.safety(), none.goal(), none.prices()));
+        Admission admission =
+                new Admission(
+                        new Settings(
+                                1,
+                                0,
+                                0,
+                                0,
+                                1,
+                                false,
+                                List.of(cheap, dear),
+                                List.of(),
+                                none.limits(),
+                                none.safety(),
+                                none.goal(),
+                                none.prices()));
         Call slow = new Call(new Request(1, 0, 0, SECOND, 0, false, false, 0), cheap, 0, 4);
         int both = 0;
         int one = 0;
@@ -267,8 +300,16 @@
 
     private static RequestClass worth(double worth) {
         RequestClass kind = SmallWorld.CLASSES.get(0);
-        return new RequestClass("worth " + worth, kind.effect(), kind.keyScope(), kind.aim(), kind.deadline(),
-                worth, 0, kind.repeatWindow(), false);
+        return new RequestClass(
+                "worth " + worth,
+                kind.effect(),
+                kind.keyScope(),
+                kind.aim(),
+                kind.deadline(),
+                worth,
+                0,
+                kind.repeatWindow(),
+                false);
     }
 
     private static Call call(RequestClass kind, int index) {
@@ -278,7 +319,16 @@
     @Test
     public void unknownPolicyIsNamedWithThoseThatThereAre() {
         assertThrows(IllegalArgumentException.class, () -> Rivals.named("least"));
-        assertEquals(Rivals.names(), List.of("cedarrudder", "random", "round-robin", "least-requests",
-                "peak-ewma", "weighted-round-robin", "subset-least-requests", "oracle"));
+        assertEquals(
+                Rivals.names(),
+                List.of(
+                        "cedarrudder",
+                        "random",
+                        "round-robin",
+                        "least-requests",
+                        "peak-ewma",
+                        "weighted-round-robin",
+                        "subset-least-requests",
+                        "oracle"));
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/rivals/RivalsInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/rivals/RivalsInModelTest.java
@@ -19,37 +19,80 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The rivals in the model: they keep the rules there, and what is broken on purpose shows there too. */
+/**
+ * The rivals in the model: they keep the rules there, and what is broken on purpose shows there
+ * too.
+ */
 public class RivalsInModelTest {
     private static final int SEEDS = 10;
 
     /** A shipped scenario, its run and its faults so many times shorter. */
     private static Scenario scenario(String name, double shorter) throws Exception {
         Scenario full = ScenarioReader.read(Path.of("lab", "scenarios", name + ".toml"));
-        Scenario.Run run = new Scenario.Run(scaled(full.run().length(), shorter), full.run().lead(),
-                full.run().mostRequests(), full.run().window());
-        List<Fault> faults = full.faults().stream().map(f -> new Fault(f.trouble(), f.tier(),
-                scaled(f.at(), shorter), scaled(f.length(), shorter), f.part(), f.size())).toList();
-        return new Scenario(full.name(), full.about(), run, full.arrivals(), full.network(), full.front(),
-                full.clients(), full.discovery(), full.allowed(), full.rules(), full.goal(), full.prices(),
-                full.tiers(), full.classes(), full.tenants(), faults);
+        Scenario.Run run =
+                new Scenario.Run(
+                        scaled(full.run().length(), shorter),
+                        full.run().lead(),
+                        full.run().mostRequests(),
+                        full.run().window());
+        List<Fault> faults =
+                full.faults().stream()
+                        .map(
+                                f ->
+                                        new Fault(
+                                                f.trouble(),
+                                                f.tier(),
+                                                scaled(f.at(), shorter),
+                                                scaled(f.length(), shorter),
+                                                f.part(),
+                                                f.size()))
+                        .toList();
+        return new Scenario(
+                full.name(),
+                full.about(),
+                run,
+                full.arrivals(),
+                full.network(),
+                full.front(),
+                full.clients(),
+                full.discovery(),
+                full.allowed(),
+                full.rules(),
+                full.goal(),
+                full.prices(),
+                full.tiers(),
+                full.classes(),
+                full.tenants(),
+                faults);
     }
 
     private static Draw scaled(Draw draw, double shorter) {
         return new Draw(draw.low() / shorter, draw.high() / shorter);
     }
 
-    private static RunResult play(Scenario scenario, String policy, long seed) throws InterruptedException {
+    private static RunResult play(Scenario scenario, String policy, long seed)
+            throws InterruptedException {
         Judge judge = new Judge(Figures.of(scenario), Model.START);
-        Model.Played played = Model.run(scenario, seed, judge.watched(Rivals.named(policy)), policy,
-                judge.trace(), Guard.usual());
+        Model.Played played =
+                Model.run(
+                        scenario,
+                        seed,
+                        judge.watched(Rivals.named(policy)),
+                        policy,
+                        judge.trace(),
+                        Guard.usual());
         return judge.judged(played.result());
     }
 
     @DataProvider
     public Object[][] rough() {
-        return new Object[][] {{"rules", 1}, {"restart-storm", 3}, {"replacement", 3}, {"proxy-crash", 3},
-            {"overload", 4}};
+        return new Object[][] {
+            {"rules", 1},
+            {"restart-storm", 3},
+            {"replacement", 3},
+            {"proxy-crash", 3},
+            {"overload", 4}
+        };
     }
 
     @Test(dataProvider = "rough")
@@ -65,7 +108,9 @@
         }
     }
 
-    /** The difference to each is paired by seed, and far from chance: over three standard errors. */
+    /**
+     * The difference to each is paired by seed, and far from chance: over three standard errors.
+     */
     @Test
     public void noneIsAheadOfTheBoundOnAQuietDay() throws Exception {
         Scenario scenario = scenario("diliman", 2);
@@ -79,7 +124,8 @@
                 ahead.addValue(bound[i] - play(scenario, policy, i + 1).goodput());
             }
             double error = ahead.getStandardDeviation() / Math.sqrt(SEEDS);
-            assertTrue(policy.equals(Rivals.BOUND) || ahead.getMean() > 3 * error,
+            assertTrue(
+                    policy.equals(Rivals.BOUND) || ahead.getMean() > 3 * error,
                     policy + ": " + ahead.getMean() + ", standard error " + error);
         }
     }
@@ -101,6 +147,7 @@
         assertEquals(result.breaches().size(), 1, broken + ": " + result.breaches());
         Breach breach = result.breaches().get(0);
         assertEquals(breach.rule(), broken.rule, broken + ": " + breach);
-        assertTrue(breach.at() > 0 && breach.rpc() > 0 && breach.count() > 0, broken + ": " + breach);
+        assertTrue(
+                breach.at() > 0 && breach.rpc() > 0 && breach.count() > 0, broken + ": " + breach);
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/rivals/RulesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/rivals/RulesTest.java
@@ -18,7 +18,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Sound balancers break no rule whatever happens; one broken on purpose is caught at its first step. */
+/**
+ * Sound balancers break no rule whatever happens; one broken on purpose is caught at its first
+ * step.
+ */
 public class RulesTest {
     private static final long GRACE = 8 * MS;
     private static final int SEEDS = 12;
@@ -37,11 +40,18 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             boolean secondCopies = seed % 2 == 0;
             Referee referee = new Referee(figures(secondCopies), ORIGIN);
-            SmallWorld world = new SmallWorld(Rivals.named(policy), 1 + (int) seed % 3, false, secondCopies,
-                    seed, referee);
+            SmallWorld world =
+                    new SmallWorld(
+                            Rivals.named(policy),
+                            1 + (int) seed % 3,
+                            false,
+                            secondCopies,
+                            seed,
+                            referee);
             referee.finish(world.play(3000));
             assertEquals(referee.breaches(), List.of(), policy + ", seed " + seed);
-            assertTrue(world.served() > 500, policy + ", seed " + seed + ", served " + world.served());
+            assertTrue(
+                    world.served() > 500, policy + ", seed " + seed + ", served " + world.served());
         }
     }
 
@@ -49,8 +59,14 @@
     public void doesTheSameOnTheSameEvents(String policy) {
         List<String> transcripts = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            SmallWorld world = new SmallWorld(Rivals.named(policy), 2, false, true, 7,
-                    new Referee(figures(true), ORIGIN));
+            SmallWorld world =
+                    new SmallWorld(
+                            Rivals.named(policy),
+                            2,
+                            false,
+                            true,
+                            7,
+                            new Referee(figures(true), ORIGIN));
             world.play(1000);
             transcripts.add(world.transcript());
         }
@@ -59,8 +75,14 @@
 
     @Test(dataProvider = "sound")
     public void servesAllOnAQuietDay(String policy) {
-        SmallWorld world = new SmallWorld(Rivals.named(policy), 2, true, false, 1,
-                new Referee(figures(false), ORIGIN));
+        SmallWorld world =
+                new SmallWorld(
+                        Rivals.named(policy),
+                        2,
+                        true,
+                        false,
+                        1,
+                        new Referee(figures(false), ORIGIN));
         world.play(1000);
         assertEquals(world.served(), 1000);
     }
@@ -77,24 +99,33 @@
         return found.get(0);
     }
 
-    private static void assertCaught(Broken.Fault fault, long at, long rpc, long endpoint, String what) {
-        assertCaught(caught(fault, world -> { }), fault, at, rpc, endpoint, what);
+    private static void assertCaught(
+            Broken.Fault fault, long at, long rpc, long endpoint, String what) {
+        assertCaught(caught(fault, world -> {}), fault, at, rpc, endpoint, what);
     }
 
-    private static void assertCaught(Breach found, Broken.Fault fault, long at, long rpc, long endpoint,
-            String what) {
-        assertEquals(found, new Breach(fault.rule, at / 1e9, 0, rpc, endpoint, what, found.count()));
+    private static void assertCaught(
+            Breach found, Broken.Fault fault, long at, long rpc, long endpoint, String what) {
+        assertEquals(
+                found, new Breach(fault.rule, at / 1e9, 0, rpc, endpoint, what, found.count()));
     }
 
-    /** The broken module takes the fifth of the RPCs that suit its fault; number n comes at n steps. */
+    /**
+     * The broken module takes the fifth of the RPCs that suit its fault; number n comes at n steps.
+     */
     @Test
     public void catchesOneThatLosesRpcs() {
-        assertCaught(Broken.Fault.LOST, 5 * STEP + SECOND + GRACE, 5, -1, "no final answer in time");
+        assertCaught(
+                Broken.Fault.LOST, 5 * STEP + SECOND + GRACE, 5, -1, "no final answer in time");
     }
 
     @Test
     public void catchesOneThatAnswersLate() {
-        assertCaught(Broken.Fault.ANSWERED_LATE, 5 * STEP + SECOND + GRACE, 5, -1,
+        assertCaught(
+                Broken.Fault.ANSWERED_LATE,
+                5 * STEP + SECOND + GRACE,
+                5,
+                -1,
                 "no final answer in time");
     }
 
@@ -110,25 +141,41 @@
 
     @Test
     public void catchesOneThatResendsUnsafe() {
-        assertCaught(Broken.Fault.RESENT_UNSAFE, 22 * STEP + 2 * MS, 22, 3,
+        assertCaught(
+                Broken.Fault.RESENT_UNSAFE,
+                22 * STEP + 2 * MS,
+                22,
+                3,
                 "unsafe, sent again though it may have run");
     }
 
     @Test
     public void catchesOneThatLeavesTheCell() {
-        assertCaught(Broken.Fault.KEYED_OUTSIDE_GROUP, 13 * STEP + 2 * MS, 13, 3,
+        assertCaught(
+                Broken.Fault.KEYED_OUTSIDE_GROUP,
+                13 * STEP + 2 * MS,
+                13,
+                3,
                 "keyed, sent again outside its cell");
     }
 
     @Test
     public void catchesOneThatResendsAfterTheWindow() {
-        assertCaught(Broken.Fault.KEYED_AFTER_WINDOW, 9 * STEP + 502 * MS, 9, 2,
+        assertCaught(
+                Broken.Fault.KEYED_AFTER_WINDOW,
+                9 * STEP + 502 * MS,
+                9,
+                2,
                 "keyed, sent again after its window");
     }
 
     @Test
     public void catchesOneThatRefusesWhatMayHaveRun() {
-        assertCaught(Broken.Fault.REFUSED_AFTER_RUN, 22 * STEP + MS, 22, -1,
+        assertCaught(
+                Broken.Fault.REFUSED_AFTER_RUN,
+                22 * STEP + MS,
+                22,
+                -1,
                 "refused though it may have run");
     }
 
@@ -140,25 +187,40 @@
     @Test
     public void catchesOneThatSendsToADrainedNode() {
         // From request 111 on the grace is over, and the fifth of these goes there.
-        Breach found = caught(Broken.Fault.SENT_TO_DRAINED, world ->
-                world.at(ORIGIN + 100 * MS, () -> world.drain(3)));
-        assertCaught(found, Broken.Fault.SENT_TO_DRAINED, 115 * STEP, 115, 3,
+        Breach found =
+                caught(
+                        Broken.Fault.SENT_TO_DRAINED,
+                        world -> world.at(ORIGIN + 100 * MS, () -> world.drain(3)));
+        assertCaught(
+                found,
+                Broken.Fault.SENT_TO_DRAINED,
+                115 * STEP,
+                115,
+                3,
                 "sent to a node known to drain or to be gone");
     }
 
     @Test
     public void catchesOneThatPushesAColdNodeOver() {
         long start = 95 * MS;
-        Breach found = caught(Broken.Fault.COLD_PUSHED_OVER, world ->
-                world.at(ORIGIN + start, () -> world.restart(4)));
-        // Every request goes there, from number 10 on: the first that is over what the node may get.
+        Breach found =
+                caught(
+                        Broken.Fault.COLD_PUSHED_OVER,
+                        world -> world.at(ORIGIN + start, () -> world.restart(4)));
+        // Every request goes there, from number 10 on: the first that is over what the node may
+        // get.
         long rpc = 10;
         double came = WORK;
         while (came <= 4 * SECOND * (0.25 + 0.75 * (rpc * STEP - start) / (10.0 * SECOND)) + WORK) {
             came += WORK;
             rpc++;
         }
-        assertCaught(found, Broken.Fault.COLD_PUSHED_OVER, rpc * STEP, rpc, 4,
+        assertCaught(
+                found,
+                Broken.Fault.COLD_PUSHED_OVER,
+                rpc * STEP,
+                rpc,
+                4,
                 "a cold node was pushed over");
         assertEquals(found.count(), 1);
     }
@@ -166,6 +228,7 @@
     @Test
     public void everyFaultIsAPolicy() {
         assertEquals(Rivals.brokenNames().size(), Broken.Fault.values().length);
-        assertTrue(Rivals.brokenNames().containsAll(Set.of("broken-lost", "broken-cold-pushed-over")));
+        assertTrue(
+                Rivals.brokenNames().containsAll(Set.of("broken-lost", "broken-cold-pushed-over")));
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/rivals/SmallWorld.java
+++ b/lab/src/test/java/cedarrudder/lab/rivals/SmallWorld.java
@@ -27,9 +27,10 @@
 import java.util.SplittableRandom;
 
 /**
- * A small world for balancers, in virtual time: proxies, each with a balancer, before some nodes. It stands
- * in for the driver and the model, so that a test sees a referee and a balancer alone. Requests come every
- * {@link #STEP}, number n at n steps; on a quiet day each attempt is served after {@link #SERVICE}.
+ * A small world for balancers, in virtual time: proxies, each with a balancer, before some nodes.
+ * It stands in for the driver and the model, so that a test sees a referee and a balancer alone.
+ * Requests come every {@link #STEP}, number n at n steps; on a quiet day each attempt is served
+ * after {@link #SERVICE}.
  */
 public final class SmallWorld {
     public static final long MS = 1_000_000L;
@@ -42,11 +43,15 @@
     public static final long ORIGIN = 5 * SECOND;
 
     /** Classes in the order in which requests have them: number n has class (n - 1) % 5. */
-    public static final List<RequestClass> CLASSES = List.of(kind("safe", Effect.SAFE, KeyScope.ALL),
-            kind("unsafe", Effect.UNSAFE, KeyScope.ALL), kind("cell", Effect.KEYED, KeyScope.CELL),
-            kind("all", Effect.KEYED, KeyScope.ALL), kind("zone", Effect.KEYED, KeyScope.ZONE));
+    public static final List<RequestClass> CLASSES =
+            List.of(
+                    kind("safe", Effect.SAFE, KeyScope.ALL),
+                    kind("unsafe", Effect.UNSAFE, KeyScope.ALL),
+                    kind("cell", Effect.KEYED, KeyScope.CELL),
+                    kind("all", Effect.KEYED, KeyScope.ALL),
+                    kind("zone", Effect.KEYED, KeyScope.ZONE));
 
-    private record Due(long at, long order, Runnable what) { }
+    private record Due(long at, long order, Runnable what) {}
 
     private static final class Rpc {
         final int proxy;
@@ -71,8 +76,12 @@
     private final boolean secondCopies;
     private final Balancer[] proxies;
     private final int[] lives;
-    private final PriorityQueue<Due> agenda = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> agenda =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private final Map<Long, Rpc> rpcs = new HashMap<>();
     private final Map<Long, Endpoint> nodes = new HashMap<>();
     private final StringBuilder transcript = new StringBuilder();
@@ -80,7 +89,12 @@
     private long order;
     private int served;
 
-    public SmallWorld(Policy policy, int copies, boolean quiet, boolean secondCopies, long seed,
+    public SmallWorld(
+            Policy policy,
+            int copies,
+            boolean quiet,
+            boolean secondCopies,
+            long seed,
             Trace trace) {
         this.policy = policy;
         this.trace = trace;
@@ -107,17 +121,29 @@
     }
 
     private Settings settings(int proxy) {
-        return new Settings(proxies.length, proxy, 0, 1, 2, !quiet, CLASSES, List.of(),
+        return new Settings(
+                proxies.length,
+                proxy,
+                0,
+                1,
+                2,
+                !quiet,
+                CLASSES,
+                List.of(),
                 new Limits(true, true, secondCopies, true, 4, SECOND, 50 * MS, 30 * SECOND),
                 new Safety(SECOND, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
-                new Goal(0.8, 0.1, 0.1, 0, 0.1), new Prices(0.01, 0));
+                new Goal(0.8, 0.1, 0.1, 0, 0.1),
+                new Prices(0.01, 0));
     }
 
     public void at(long when, Runnable what) {
         agenda.add(new Due(when, order++, what));
     }
 
-    /** Plays so many requests and the time in which they must be answered, and returns the last instant. */
+    /**
+     * Plays so many requests and the time in which they must be answered, and returns the last
+     * instant.
+     */
     public long play(int requests) {
         for (long id = 1; id <= requests; id++) {
             long number = id;
@@ -150,8 +176,14 @@
         trace.proxyStarted(now, proxy, 0);
         Settings settings = settings(proxy);
         Hands hands = new Hands(proxy, lives[proxy]);
-        proxies[proxy] = new Tap(trace, () -> proxy, settings, id -> WORK, hands, actions ->
-                policy.create(settings, random.split(), actions, truth()));
+        proxies[proxy] =
+                new Tap(
+                        trace,
+                        () -> proxy,
+                        settings,
+                        id -> WORK,
+                        hands,
+                        actions -> policy.create(settings, random.split(), actions, truth()));
         proxies[proxy].endpoints(now, ListKind.CACHED, list());
     }
 
@@ -221,7 +253,8 @@
         if (!quiet && random.nextInt(20) == 0) {
             at(now + random.nextLong(200 * MS), () -> leave(id, rpc));
         }
-        proxies[proxy].request(now, new Request(id, index, 0, rpc.deadline, id, false, false, WORK));
+        proxies[proxy].request(
+                now, new Request(id, index, 0, rpc.deadline, id, false, false, WORK));
     }
 
     private boolean lives(Rpc rpc) {
@@ -251,8 +284,15 @@
             rpc.over = true;
             served++;
         }
-        proxies[rpc.proxy].outcome(now, id, attempt, rpc.to.get(attempt), outcome,
-                now - rpc.sentAt.get(attempt), rpc.over, null);
+        proxies[rpc.proxy].outcome(
+                now,
+                id,
+                attempt,
+                rpc.to.get(attempt),
+                outcome,
+                now - rpc.sentAt.get(attempt),
+                rpc.over,
+                null);
     }
 
     /** All nodes look alike; those that the list has as ready take requests. */
@@ -295,16 +335,24 @@
         }
 
         private void later(long when, Runnable what) {
-            at(when, () -> {
-                if (proxies[proxy] != null && lives[proxy] == life) {
-                    what.run();
-                }
-            });
+            at(
+                    when,
+                    () -> {
+                        if (proxies[proxy] != null && lives[proxy] == life) {
+                            what.run();
+                        }
+                    });
         }
 
         @Override
         public void send(long id, long endpoint, long timeout) {
-            transcript.append(now).append(" send ").append(id).append(' ').append(endpoint).append('\n');
+            transcript
+                    .append(now)
+                    .append(" send ")
+                    .append(id)
+                    .append(' ')
+                    .append(endpoint)
+                    .append('\n');
             Rpc rpc = rpcs.get(id);
             int attempt = rpc.to.size();
             rpc.to.add(endpoint);
@@ -314,14 +362,17 @@
                 at(now, () -> ended(id, rpc, attempt, Outcome.MOOT));
                 return;
             }
-            Outcome outcome = quiet ? Outcome.OK : switch (random.nextInt(10)) {
-                case 0 -> Outcome.ERROR;
-                case 1 -> Outcome.FULL;
-                case 2 -> Outcome.CONNECT_FAILED;
-                case 3 -> Outcome.RESET;
-                case 4 -> Outcome.TIMEOUT;
-                default -> Outcome.OK;
-            };
+            Outcome outcome =
+                    quiet
+                            ? Outcome.OK
+                            : switch (random.nextInt(10)) {
+                                case 0 -> Outcome.ERROR;
+                                case 1 -> Outcome.FULL;
+                                case 2 -> Outcome.CONNECT_FAILED;
+                                case 3 -> Outcome.RESET;
+                                case 4 -> Outcome.TIMEOUT;
+                                default -> Outcome.OK;
+                            };
             if (!outcome.provesNotRun()) {
                 at(now + WAY, () -> trace.reached(now, proxy, id, attempt, endpoint));
             }
@@ -355,13 +406,27 @@
         public void probe(long endpoint) {
             transcript.append(now).append(" probe ").append(endpoint).append('\n');
             boolean lost = !quiet && random.nextInt(5) == 0;
-            later(now + 2 * WAY, () -> proxies[proxy].probed(now, endpoint,
-                    lost ? Outcome.TIMEOUT : Outcome.OK, 2 * WAY, lost ? null : new Load(random.nextInt(5),
-                    Double.NaN, 0.5, 1 + random.nextInt(50), Double.NaN, Double.NaN)));
+            later(
+                    now + 2 * WAY,
+                    () ->
+                            proxies[proxy].probed(
+                                    now,
+                                    endpoint,
+                                    lost ? Outcome.TIMEOUT : Outcome.OK,
+                                    2 * WAY,
+                                    lost
+                                            ? null
+                                            : new Load(
+                                                    random.nextInt(5),
+                                                    Double.NaN,
+                                                    0.5,
+                                                    1 + random.nextInt(50),
+                                                    Double.NaN,
+                                                    Double.NaN)));
         }
 
         @Override
-        public void closeIdle(long endpoint) { }
+        public void closeIdle(long endpoint) {}
 
         @Override
         public void schedule(long when, long token) {
@@ -371,22 +436,24 @@
         @Override
         public void subscribe(boolean on) {
             boolean fails = random.nextBoolean();
-            later(now + 100 * MS, () -> {
-                if (fails) {
-                    proxies[proxy].endpointsFailed(now);
-                } else {
-                    proxies[proxy].endpoints(now, ListKind.FULL, list());
-                }
-            });
+            later(
+                    now + 100 * MS,
+                    () -> {
+                        if (fails) {
+                            proxies[proxy].endpointsFailed(now);
+                        } else {
+                            proxies[proxy].endpoints(now, ListKind.FULL, list());
+                        }
+                    });
         }
 
         @Override
-        public void fetchEndpoints() { }
+        public void fetchEndpoints() {}
 
         @Override
-        public void tell(int copy, byte[] message) { }
+        public void tell(int copy, byte[] message) {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/scenario/RecordedTraceTest.java
+++ b/lab/src/test/java/cedarrudder/lab/scenario/RecordedTraceTest.java
@@ -18,7 +18,9 @@
     private static final String[] CLASSES = {"status", "single", "batch"};
     private static final double[] CLASS_SHARES = {0.5, 0.28, 0.22};
     private static final double[] WORK_MS = {26, 87, 155};
-    private static final String[] TENANTS = {"clinics", "market", "health", "shops", "dental", "pharmacy"};
+    private static final String[] TENANTS = {
+        "clinics", "market", "health", "shops", "dental", "pharmacy"
+    };
     private static final double[] TENANT_SHARES = {0.24, 0.22, 0.22, 0.2, 0.07, 0.05};
 
     /** First tries a second: waves of 18 s about 90, and three times as many for 1.5 s. */
@@ -27,7 +29,10 @@
         return at >= 26 && at < 27.5 ? 3 * wave : wave;
     }
 
-    /** Thinning of a Poisson process (Lewis and Shedler, 1979); work is exponential, each tenth left out. */
+    /**
+     * Thinning of a Poisson process (Lewis and Shedler, 1979); work is exponential, each tenth left
+     * out.
+     */
     private static String trace() {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(SEED);
         StringBuilder text = new StringBuilder("time_ms,class,tenant,work_ms\n");
@@ -41,9 +46,14 @@
                 int kind = pick(random, CLASS_SHARES);
                 int tenant = pick(random, TENANT_SHARES);
                 double work = -WORK_MS[kind] * StrictMath.log(1 - random.nextDouble());
-                text.append(String.format(Locale.ROOT, "%.1f,%s,%s,%s\n", at * 1000,
-                        CLASSES[kind], TENANTS[tenant],
-                        ++lines % 10 == 0 ? "" : String.format(Locale.ROOT, "%.2f", work)));
+                text.append(
+                        String.format(
+                                Locale.ROOT,
+                                "%.1f,%s,%s,%s\n",
+                                at * 1000,
+                                CLASSES[kind],
+                                TENANTS[tenant],
+                                ++lines % 10 == 0 ? "" : String.format(Locale.ROOT, "%.2f", work)));
             }
         }
     }
--- a/lab/src/test/java/cedarrudder/lab/trace/TraceReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/trace/TraceReaderTest.java
@@ -60,7 +60,8 @@
         TraceWriter writer = new TraceWriter(again, 0, new Unheard());
         TraceReader.Read read = TraceReader.read(file(first), writer);
         writer.finish();
-        assertEquals(again.toString(StandardCharsets.UTF_8), new String(first, StandardCharsets.UTF_8));
+        assertEquals(
+                again.toString(StandardCharsets.UTF_8), new String(first, StandardCharsets.UTF_8));
         assertEquals(read.events(), 12);
         assertEquals(read.last(), 11);
         assertFalse(read.cut());
@@ -84,10 +85,16 @@
 
     @Test
     public void aBrokenLineInTheMiddleIsNamed() throws IOException {
-        String broken = new String(written(ORIGIN), StandardCharsets.UTF_8)
-                .replace("\"proxy\":0,\"tier\":2", "\"proxy\":0");
-        IOException thrown = expectThrows(IOException.class, () ->
-                TraceReader.read(file(broken.getBytes(StandardCharsets.UTF_8)), new Unheard()));
+        String broken =
+                new String(written(ORIGIN), StandardCharsets.UTF_8)
+                        .replace("\"proxy\":0,\"tier\":2", "\"proxy\":0");
+        IOException thrown =
+                expectThrows(
+                        IOException.class,
+                        () ->
+                                TraceReader.read(
+                                        file(broken.getBytes(StandardCharsets.UTF_8)),
+                                        new Unheard()));
         assertTrue(thrown.getMessage().endsWith(":1: no \"tier\""), thrown.getMessage());
     }
 }
--- a/stress/src/main/java/cedarrudder/program/HandOvers.java
+++ b/stress/src/main/java/cedarrudder/program/HandOvers.java
@@ -15,16 +15,23 @@
 import org.openjdk.jcstress.infra.results.I_Result;
 import org.openjdk.jcstress.infra.results.ZZ_Result;
 
-/** Each true hand-over between threads of the daemon, under stress. All else runs on the loop alone. */
+/**
+ * Each true hand-over between threads of the daemon, under stress. All else runs on the loop alone.
+ */
 public final class HandOvers {
 
-    private HandOvers() { }
+    private HandOvers() {}
 
-    /** The start joins the callers' address while SIGTERM comes: never both as if the other had not been. */
+    /**
+     * The start joins the callers' address while SIGTERM comes: never both as if the other had not
+     * been.
+     */
     @JCStressTest
     @Outcome(id = "true, true", expect = ACCEPTABLE, desc = "joined first: callers are waited for")
     @Outcome(id = "false, false", expect = ACCEPTABLE, desc = "ended first: nobody came")
-    @Outcome(expect = FORBIDDEN, desc = "callers came and were not waited for, or the other way round")
+    @Outcome(
+            expect = FORBIDDEN,
+            desc = "callers came and were not waited for, or the other way round")
     @State
     public static class StartAndSignal {
         private final StartGate gate = new StartGate();
@@ -42,14 +49,18 @@
         }
     }
 
-    /** The loop and another thread write a line each while the log's thread writes: none is lost or mixed. */
+    /**
+     * The loop and another thread write a line each while the log's thread writes: none is lost or
+     * mixed.
+     */
     @JCStressTest
     @Outcome(id = "11, 1", expect = ACCEPTABLE, desc = "both lines, whole")
     @Outcome(expect = FORBIDDEN, desc = "a line is lost, doubled or mixed with another")
     @State
     public static class TwoWritersAndTheEnd {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-        private final LogWriter log = new LogWriter(new PrintStream(out, true, StandardCharsets.UTF_8));
+        private final LogWriter log =
+                new LogWriter(new PrintStream(out, true, StandardCharsets.UTF_8));
 
         /** The loop. */
         @Actor
@@ -73,7 +84,10 @@
         }
     }
 
-    /** A signal beside one whose files are being read: what changed before it is read by one of them. */
+    /**
+     * A signal beside one whose files are being read: what changed before it is read by one of
+     * them.
+     */
     @JCStressTest
     @Outcome(id = "1", expect = ACCEPTABLE, desc = "the change was read")
     @Outcome(expect = FORBIDDEN, desc = "the last change was read by none")
