--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -1,9 +1,9 @@
 package cedarrudder.conditions;
 
-import cedarrudder.drainage.BadConditionException;
-import cedarrudder.drainage.Conditions;
-import cedarrudder.drainage.Figures;
-import cedarrudder.drainage.Node;
+import cedarrudder.draining.ConditionCompiler;
+import cedarrudder.draining.DrainableNode;
+import cedarrudder.draining.InvalidConditionException;
+import cedarrudder.draining.PolicyConditionInputs;
 import dev.cel.checker.CelStandardDeclarations;
 import dev.cel.common.CelAbstractSyntaxTree;
 import dev.cel.common.CelIssue;
@@ -33,7 +33,7 @@
  * and no regular expressions. A condition that takes longer than {@link #MOST_NANOS} all the same
  * counts as one that can't be told.
  */
-public final class CelConditions implements Conditions {
+public final class CelConditions implements ConditionCompiler {
 
     /** The longest that one may take, in nanoseconds of this thread's own work. */
     public static final long MOST_NANOS = 50_000_000L;
@@ -51,9 +51,11 @@
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private static final Figures CALM = new Figures(0, 0, 0, 1, 1, 1, 0, 0);
+    private static final PolicyConditionInputs CALM =
+            new PolicyConditionInputs(0, 0, 0, 1, 1, 1, 0, 0);
 
-    private static final Node SOME = new Node(0, "", "", 0, "", 1, Node.Standing.SERVING, 0);
+    private static final DrainableNode SOME =
+            new DrainableNode(0, "", "", 0, "", 1, DrainableNode.Standing.SERVING, 0);
 
     private final CelRuntime runtime =
             CelRuntimeFactory.standardCelRuntimeBuilder().setOptions(OPTIONS).build();
@@ -62,7 +64,7 @@
 
     private static Map<String, CelType> figures() {
         Map<String, CelType> types = new LinkedHashMap<>();
-        for (Figures.Name name : Figures.Name.values()) {
+        for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
             types.put(written(name), name.share() ? SimpleType.DOUBLE : SimpleType.INT);
         }
         return types;
@@ -78,7 +80,7 @@
         return types;
     }
 
-    private static String written(Figures.Name name) {
+    private static String written(PolicyConditionInputs.Name name) {
         return name.name().toLowerCase(Locale.ROOT);
     }
 
@@ -103,7 +105,7 @@
         OfFigures condition =
                 figures -> {
                     Map<String, Object> values = new HashMap<>();
-                    for (Figures.Name name : Figures.Name.values()) {
+                    for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
                         values.put(written(name), figures.of(name));
                     }
                     return holds(program, values);
@@ -164,7 +166,7 @@
             if (result.hasError()) {
                 CelIssue first = result.getErrors().get(0);
                 String said = first.getMessage();
-                throw new BadConditionException(
+                throw new InvalidConditionException(
                         "'"
                                 + shortened(text)
                                 + "', at character "
@@ -178,7 +180,7 @@
             }
             CelAbstractSyntaxTree tree = result.getAst();
             if (!tree.getResultType().equals(SimpleType.BOOL)) {
-                throw new BadConditionException(
+                throw new InvalidConditionException(
                         "'"
                                 + shortened(text)
                                 + "', which is of the type "
@@ -187,7 +189,7 @@
             }
             return runtime.createProgram(tree);
         } catch (CelValidationException | CelEvaluationException e) {
-            throw new BadConditionException(
+            throw new InvalidConditionException(
                     "'"
                             + shortened(text)
                             + "': "
--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -5,21 +5,22 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.drainage.BadConditionException;
-import cedarrudder.drainage.Conditions;
-import cedarrudder.drainage.Figures;
-import cedarrudder.drainage.Node;
-import cedarrudder.drainage.Policy;
+import cedarrudder.draining.ConditionCompiler;
+import cedarrudder.draining.DrainPolicy;
+import cedarrudder.draining.DrainableNode;
+import cedarrudder.draining.InvalidConditionException;
+import cedarrudder.draining.PolicyConditionInputs;
 import org.testng.annotations.Test;
 
 /** Conditions as operators write them. */
 public class CelConditionsTest {
 
-    private static final Figures FIGURES = new Figures(0.01, 0.2, 0, 0.75, 5, 6, 3, 1);
-    private static final Node NODE =
-            new Node(1, "shops", "a", 3, "big", 2.5, Node.Standing.SERVING, 0);
+    private static final PolicyConditionInputs FIGURES =
+            new PolicyConditionInputs(0.01, 0.2, 0, 0.75, 5, 6, 3, 1);
+    private static final DrainableNode NODE =
+            new DrainableNode(1, "shops", "a", 3, "big", 2.5, DrainableNode.Standing.SERVING, 0);
 
-    private final Conditions conditions = new CelConditions();
+    private final ConditionCompiler conditions = new CelConditions();
 
     @Test
     public void conditionsSeeTheFiguresAndTheNode() {
@@ -51,14 +52,15 @@
             {"'a'.matches('(a+)+')", "undeclared reference to 'matches'"},
         };
         for (String[] each : wrong) {
-            BadConditionException bad =
-                    expectThrows(BadConditionException.class, () -> conditions.figures(each[0]));
+            InvalidConditionException bad =
+                    expectThrows(
+                            InvalidConditionException.class, () -> conditions.figures(each[0]));
             assertTrue(bad.found().contains(each[1]), each[0] + ": " + bad.getMessage());
         }
         assertThrows(
-                BadConditionException.class,
+                InvalidConditionException.class,
                 () -> conditions.figures("(".repeat(200) + "true" + ")".repeat(200)));
-        assertThrows(BadConditionException.class, () -> conditions.node("failed > 0.1"));
+        assertThrows(InvalidConditionException.class, () -> conditions.node("failed > 0.1"));
     }
 
     /** Guards against a division by 0 or an overflow that ends the loop. */
@@ -76,10 +78,10 @@
     @Test
     public void theLongestTextTakesNoTimeThatCouldBeSeen() {
         String text = "failed > 0.1";
-        while (text.length() < Policy.MOST_TEXT - 20) {
+        while (text.length() < DrainPolicy.MOST_TEXT - 20) {
             text += " || died > 5";
         }
-        Conditions.OfFigures condition =
+        ConditionCompiler.OfFigures condition =
                 conditions.figures(text.replace("failed > 0.1", "failed > 0.9"));
         long begun = System.nanoTime();
         int times = 1_000;
--- a/core/src/main/java/cedarrudder/rotation/Rotation.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -1,8 +1,8 @@
-package cedarrudder.rotation;
+package cedarrudder.adminoverride;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
  * meanwhile being sent the load of a warm one, before discovery tells of its new start. Pure; not
  * thread-safe.
  */
-public final class Rotation {
+public final class AdminOverrides {
 
     /**
      * Ids are kept this many at the most beyond those that are listed, the latest. It bounds memory
@@ -40,8 +40,8 @@
     private Set<Long> leaving = Set.of();
 
     /** Takes in what discovery says, and returns it as the module is to see it. */
-    public List<Endpoint> listed(ListKind kind, List<Named> entries) {
-        if (kind != ListKind.CHANGES) {
+    public List<Endpoint> listed(EndpointListKind kind, List<Named> entries) {
+        if (kind != EndpointListKind.CHANGES) {
             Set<String> named = new HashSet<>();
             entries.forEach(entry -> named.add(entry.name()));
             List.copyOf(listed.keySet()).stream()
@@ -50,7 +50,7 @@
         }
         List<Endpoint> shown = new ArrayList<>(entries.size());
         for (Named entry : entries) {
-            if (entry.endpoint().state() == State.GONE) {
+            if (entry.endpoint().state() == EndpointStatus.GONE) {
                 leave(entry.name());
                 shown.add(entry.endpoint());
             } else {
@@ -79,9 +79,9 @@
         if (entry == null) {
             return null;
         }
-        State state =
+        EndpointStatus state =
                 disabled.contains(name) || leaving.contains(entry.id())
-                        ? State.DRAINING
+                        ? EndpointStatus.DRAINING
                         : entry.state();
         long startedAt =
                 Math.max(entry.startedAt(), returnedAt.getOrDefault(name, entry.startedAt()));
--- a/core/src/main/java/cedarrudder/overload/CallLimit.java
+++ b/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 /**
  * A limit on the calls out at once that follows what answers say: slow ones lower it, quick ones
@@ -8,7 +8,7 @@
  * increase of TCP with an additive decrease, so that it rests where a set share of the answers is
  * slow.
  */
-public final class CallLimit {
+public final class AdaptiveConcurrencyLimit {
 
     private final double less;
     private final double more;
@@ -25,7 +25,7 @@
      *     the most. Guards against turning the least worthy away on quiet days: they stop at a
      *     small part of the limit
      */
-    public CallLimit(double less, double more, double cut) {
+    public AdaptiveConcurrencyLimit(double less, double more, double cut) {
         this.less = less;
         this.more = more;
         this.cut = cut;
--- a/core/src/main/java/cedarrudder/overload/WaitingLine.java
+++ b/core/src/main/java/cedarrudder/admission/AdmissionQueue.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
  * lane who came first. So the least worth for its work goes without when there is too much, and
  * chance chooses none.
  */
-public final class WaitingLine<T> {
+public final class AdmissionQueue<T> {
 
     /** What became of a request that was offered room. */
     public enum Offer {
@@ -32,7 +32,7 @@
     private int size;
     private long came;
 
-    public WaitingLine(int lanes) {
+    public AdmissionQueue(int lanes) {
         for (int i = 0; i < lanes; i++) {
             this.lanes.add(new ArrayDeque<>());
         }
--- a/core/src/main/java/cedarrudder/overload/ClassWorth.java
+++ b/core/src/main/java/cedarrudder/admission/ClassPriority.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import java.util.Arrays;
 
@@ -16,7 +16,7 @@
  * <p>What is asked and served is counted over the recent past, and only what is within a tenant's
  * share.
  */
-public final class ClassWorth {
+public final class ClassPriority {
 
     /**
      * Classes whose shares served differ by no more than this are about equally near the worst.
@@ -44,7 +44,7 @@
      * @param worstClass the weight of the class that is served worst, from 0 to 1
      * @param overShare what a request past its tenant's share counts, as a share of its worth
      */
-    public ClassWorth(int classes, double whole, double worstClass, double overShare) {
+    public ClassPriority(int classes, double whole, double worstClass, double overShare) {
         this.perWork = new double[classes];
         this.asked = new double[classes];
         this.served = new double[classes];
--- a/core/src/main/java/cedarrudder/overload/HoldLimit.java
+++ b/core/src/main/java/cedarrudder/admission/EndpointConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 /**
  * How many requests one endpoint may hold, learned from how long its answers take for their work.
@@ -14,7 +14,7 @@
  * from the first moment on never shows its least time, and a least time that is too long drives the
  * limit up without end.
  */
-public final class HoldLimit {
+public final class EndpointConcurrencyLimit {
 
     /**
      * Answers that count, about, and that must have been seen before the limit moves: samples, no
@@ -54,7 +54,7 @@
     /**
      * @param start the safe number of requests, to begin with and always; 0: there is no limit
      */
-    public HoldLimit(double start) {
+    public EndpointConcurrencyLimit(double start) {
         this.start = start;
         this.limit = start > 0 ? start : Double.POSITIVE_INFINITY;
     }
--- a/core/src/main/java/cedarrudder/overload/Mean.java
+++ b/core/src/main/java/cedarrudder/admission/MovingAverage.java
@@ -1,7 +1,7 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 /** A mean and a mean deviation that follow what is measured. */
-public final class Mean {
+public final class MovingAverage {
 
     private final double weight;
     private double mean;
@@ -11,7 +11,7 @@
     /**
      * @param weight the weight of the newest value, from 0 to 1; the first ones weigh more
      */
-    public Mean(double weight) {
+    public MovingAverage(double weight) {
         this.weight = weight;
     }
 
--- a/core/src/main/java/cedarrudder/overload/ShareMeter.java
+++ b/core/src/main/java/cedarrudder/admission/TenantQuotas.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import java.util.Arrays;
 
@@ -8,7 +8,7 @@
  * <p>Guards against a tenant that crowds out the others: only what it sends beyond its share counts
  * less, not the whole tenant.
  */
-public final class ShareMeter {
+public final class TenantQuotas {
 
     /**
      * A tenant may save up this many seconds of its share; what comes past that is over its share.
@@ -27,7 +27,7 @@
      *     limit
      * @param copies how many copies there are, each of which takes an equal part
      */
-    public ShareMeter(double[] quotas, int copies) {
+    public TenantQuotas(double[] quotas, int copies) {
         this.quotas = quotas.clone();
         this.copies = Math.max(1, copies);
         this.saved = new double[quotas.length];
--- a/core/src/main/java/cedarrudder/overload/ZoneDeal.java
+++ b/core/src/main/java/cedarrudder/admission/ZoneTrafficSplit.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import java.util.Arrays;
 import java.util.Comparator;
@@ -19,10 +19,10 @@
  *
  * <p>Where the parts are less than a whole, each call pays in that share of a call, and each that
  * goes takes one out. Whoever asks with a part of 1 may take all that was saved; who is worth less
- * finds some of it kept from him, as in a {@link CallLimit}: so the least worthy goes without. The
- * bounds a second are the same by time.
+ * finds some of it kept from him, as in a {@link AdaptiveConcurrencyLimit}: so the least worthy
+ * goes without. The bounds a second are the same by time.
  */
-public final class ZoneDeal {
+public final class ZoneTrafficSplit {
 
     /** No zone may get the call. */
     public static final int NOWHERE = -1;
@@ -80,7 +80,7 @@
      * @param whole what all parts sum up to where every call has a place
      * @param random asked once, where to begin
      */
-    public ZoneDeal(int own, int whole, RandomGenerator random) {
+    public ZoneTrafficSplit(int own, int whole, RandomGenerator random) {
         this.own = own;
         this.whole = whole;
         this.random = random;
--- a/core/src/main/java/cedarrudder/Tuning.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
@@ -1,4 +1,4 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import java.util.Arrays;
 
@@ -7,10 +7,10 @@
  * changes some. Each has the unit that its name ends with; most are plain numbers. They are read
  * with each call, so they stand in an array.
  */
-public final class Tuning {
+public final class BalancerParameters {
 
     /** What may be set: its default, and the least and the largest value allowed. */
-    public enum Figure {
+    public enum Parameter {
         /**
          * Probes per call while calls go well: a probe costs real work, and can change little then.
          */
@@ -115,7 +115,7 @@
         final double least;
         final double most;
 
-        Figure(double standard, double least, double most) {
+        Parameter(double standard, double least, double most) {
             this.standard = standard;
             this.least = least;
             this.most = most;
@@ -123,32 +123,33 @@
     }
 
     /** What serves where nothing else is said. */
-    public static final Tuning DEFAULTS =
-            new Tuning(Arrays.stream(Figure.values()).mapToDouble(f -> f.standard).toArray());
+    public static final BalancerParameters DEFAULTS =
+            new BalancerParameters(
+                    Arrays.stream(Parameter.values()).mapToDouble(f -> f.standard).toArray());
 
     private final double[] values;
 
-    private Tuning(double[] values) {
+    private BalancerParameters(double[] values) {
         this.values = values;
     }
 
     /** A figure, in its unit. */
-    public double get(Figure figure) {
+    public double get(Parameter figure) {
         return values[figure.ordinal()];
     }
 
     /** A figure in milliseconds, as nanoseconds. */
-    long nanos(Figure figure) {
+    long nanos(Parameter figure) {
         return (long) (get(figure) * 1e6);
     }
 
     /** This value with one figure set; outside its range it is an IllegalArgumentException. */
-    public Tuning with(Figure figure, double value) {
+    public BalancerParameters with(Parameter figure, double value) {
         if (!(value >= figure.least && value <= figure.most)) {
-            throw TuningText.notAllowed(figure, value);
+            throw BalancerParametersParser.notAllowed(figure, value);
         }
         double[] changed = values.clone();
         changed[figure.ordinal()] = value;
-        return new Tuning(changed);
+        return new BalancerParameters(changed);
     }
 }
--- a/core/src/main/java/cedarrudder/TuningText.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParametersParser.java
@@ -1,18 +1,18 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
-import cedarrudder.Tuning.Figure;
+import cedarrudder.balancer.BalancerParameters.Parameter;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** The figures of a {@link Tuning} in writing: {@code max-age-ms=1500}. */
-public final class TuningText {
+/** The figures of a {@link BalancerParameters} in writing: {@code max-age-ms=1500}. */
+public final class BalancerParametersParser {
 
-    private TuningText() {}
+    private BalancerParametersParser() {}
 
     /** The name of a figure as written: small letters and hyphens. */
-    public static String name(Figure figure) {
+    public static String name(Parameter figure) {
         return figure.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -23,19 +23,19 @@
      * @throws IllegalArgumentException when no figure has that name, or its value is no number in
      *     its range; the message tells what was found and what is allowed
      */
-    public static Tuning read(List<String> assignments) {
-        Tuning tuning = Tuning.DEFAULTS;
+    public static BalancerParameters read(List<String> assignments) {
+        BalancerParameters tuning = BalancerParameters.DEFAULTS;
         for (String assignment : assignments) {
             tuning = set(tuning, assignment);
         }
         return tuning;
     }
 
-    private static Tuning set(Tuning tuning, String assignment) {
+    private static BalancerParameters set(BalancerParameters tuning, String assignment) {
         int equals = assignment.indexOf('=');
         String name = equals < 0 ? assignment : assignment.substring(0, equals);
-        Figure figure =
-                Arrays.stream(Figure.values())
+        Parameter figure =
+                Arrays.stream(Parameter.values())
                         .filter(f -> name(f).equals(name))
                         .findAny()
                         .orElseThrow(
@@ -44,8 +44,8 @@
                                                 "no figure is named '"
                                                         + name
                                                         + "'; known are "
-                                                        + Arrays.stream(Figure.values())
-                                                                .map(TuningText::name)
+                                                        + Arrays.stream(Parameter.values())
+                                                                .map(BalancerParametersParser::name)
                                                                 .collect(
                                                                         Collectors.joining(", "))));
         String value = equals < 0 ? "" : assignment.substring(equals + 1);
@@ -60,14 +60,14 @@
      * The figures that differ from the defaults, as written, with blanks between; empty where none
      * does.
      */
-    public static String differences(Tuning tuning) {
-        return Arrays.stream(Figure.values())
+    public static String differences(BalancerParameters tuning) {
+        return Arrays.stream(Parameter.values())
                 .filter(f -> tuning.get(f) != f.standard)
                 .map(f -> name(f) + "=" + number(tuning.get(f)))
                 .collect(Collectors.joining(" "));
     }
 
-    static IllegalArgumentException notAllowed(Figure figure, Object found) {
+    static IllegalArgumentException notAllowed(Parameter figure, Object found) {
         return new IllegalArgumentException(
                 name(figure)
                         + ": found "
--- a/core/src/main/java/cedarrudder/Server.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointState.java
@@ -1,16 +1,16 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
-import cedarrudder.overload.HoldLimit;
+import cedarrudder.admission.EndpointConcurrencyLimit;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
 
 /**
  * What one copy knows of one endpoint: its own attempts there, how they ended, whether it is
  * silent, whether it drains, and how much this copy may still send it while it is cold.
  */
-final class Server {
+final class EndpointState {
 
     /** Weight of the newest outcome in the failure share: about the last five calls count. */
     private static final double FAILURE_WEIGHT = 0.2;
@@ -78,7 +78,7 @@
     boolean untried = true;
 
     /** How many requests it may hold, and what it held for others when it last reported. */
-    final HoldLimit hold;
+    final EndpointConcurrencyLimit hold;
 
     /**
      * Those of the attempts out whose requests are still being written: the endpoint has not begun
@@ -107,10 +107,10 @@
      * @param heldStart how many requests it may hold until more is known of it; 0: any number
      * @param firstDraw where its budget begins, from 0 to 1
      */
-    Server(Endpoint listed, long now, double heldStart, double firstDraw) {
+    EndpointState(Endpoint listed, long now, double heldStart, double firstDraw) {
         this.allowance = -firstDraw;
         this.allowanceAt = now;
-        this.hold = new HoldLimit(heldStart);
+        this.hold = new EndpointConcurrencyLimit(heldStart);
         this.id = listed.id();
         this.order = scramble(listed.id());
         this.listed = listed;
@@ -124,15 +124,15 @@
     }
 
     boolean ready() {
-        return listed.state() == State.READY;
+        return listed.state() == EndpointStatus.READY;
     }
 
-    boolean cold(long now, Safety safety) {
+    boolean cold(long now, SafetyRules safety) {
         return listed.startedAt() != 0 && now - listed.startedAt() < safety.rampTime();
     }
 
     /** The share of its whole capacity that it has, at the least. */
-    double capacity(long now, Safety safety) {
+    double capacity(long now, SafetyRules safety) {
         double ramp = Math.max(0, now - listed.startedAt()) / (double) safety.rampTime();
         return cold(now, safety) ? safety.coldShare() + (1 - safety.coldShare()) * ramp : 1;
     }
@@ -144,8 +144,10 @@
      * request, a turn not used passes by. Guards against all copies together: those that have
      * waited would send their one request at once.
      */
-    boolean withinColdBudget(long now, double warmRate, Tuning tuning, Safety safety) {
-        double planned = tuning.get(Tuning.Figure.COLD_SHARE_USED) * safety.fallMultiple();
+    boolean withinColdBudget(
+            long now, double warmRate, BalancerParameters tuning, SafetyRules safety) {
+        double planned =
+                tuning.get(BalancerParameters.Parameter.COLD_SHARE_USED) * safety.fallMultiple();
         double rate = planned * capacity(now, safety) * warmRate;
         double most = rate * safety.fallWindow() / 1e9 / 2;
         double over = allowance + rate * (now - allowanceAt) / 1e9 - most;
--- a/core/src/main/java/cedarrudder/Balancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -1,6 +1,6 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
-import cedarrudder.table.RouteTable;
+import cedarrudder.routetable.RouteTable;
 import java.util.List;
 
 /**
@@ -13,7 +13,7 @@
  * never goes back and whose zero means nothing. An implementation is not thread-safe: call it from
  * one thread at a time.
  */
-public interface Balancer {
+public interface LoadBalancer {
 
     /** How an attempt or a probe ended. */
     enum Outcome {
@@ -50,7 +50,7 @@
     }
 
     /** How far the requests of a class may be repeated once one attempt may have run. */
-    enum Effect {
+    enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
@@ -64,7 +64,7 @@
     }
 
     /** What the tiers above and below let know of a request, before work goes into it. */
-    enum Standing {
+    enum AdmissionHint {
         /** Nothing speaks against it. */
         WANTED,
         /** It has come here before: the tiers send to one another in a circle. */
@@ -76,14 +76,14 @@
     }
 
     /** What the list of endpoints says of one of them. */
-    enum State {
+    enum EndpointStatus {
         READY,
         DRAINING,
         GONE
     }
 
     /** Whether a list replaces what was known or changes it. */
-    enum ListKind {
+    enum EndpointListKind {
         FULL,
         CHANGES,
         CACHED
@@ -101,7 +101,7 @@
      */
     record RequestClass(
             String name,
-            Effect effect,
+            Idempotency effect,
             KeyScope keyScope,
             long aim,
             long deadline,
@@ -137,7 +137,7 @@
      * @param fallWindow ... for this long, a cold endpoint falls over
      * @param askWithin where the list must be asked for: how long a copy may go without asking
      */
-    record Safety(
+    record SafetyRules(
             long drainGrace,
             double coldShare,
             long rampTime,
@@ -152,7 +152,7 @@
      * @param worthByWork whether a request's worth is its class's for each unit of its work, and
      *     not the same for all requests of the class
      */
-    record Goal(
+    record ServiceGoal(
             double whole,
             double worstWindow,
             double worstClass,
@@ -160,7 +160,7 @@
             double overShareWorth,
             boolean worthByWork) {
         /** Requests of a class are worth the same, whatever their work. */
-        public Goal(
+        public ServiceGoal(
                 double whole,
                 double worstWindow,
                 double worstClass,
@@ -174,7 +174,7 @@
      * What the site charges, in parts of the goal: for a probe and for a new connection, each for a
      * first try.
      */
-    record Prices(double probe, double handshake) {}
+    record ServicePrices(double probe, double handshake) {}
 
     /**
      * All that a copy is told when it starts.
@@ -186,7 +186,7 @@
      * @param tiers how many tiers there are
      * @param askForEndpoints whether the list of endpoints comes only when asked for
      */
-    record Settings(
+    record BalancerSettings(
             int copies,
             int self,
             int zone,
@@ -196,21 +196,27 @@
             List<RequestClass> classes,
             List<Tenant> tenants,
             Limits limits,
-            Safety safety,
-            Goal goal,
-            Prices prices) {}
+            SafetyRules safety,
+            ServiceGoal goal,
+            ServicePrices prices) {}
 
     /**
      * One line of the list of endpoints. {@code startedAt} is the instant of its last start; 0:
      * long ago.
      */
     record Endpoint(
-            long id, int zone, int kind, int cell, State state, double weight, long startedAt) {}
+            long id,
+            int zone,
+            int kind,
+            int cell,
+            EndpointStatus state,
+            double weight,
+            long startedAt) {}
 
     /**
      * A request. {@code repeat}: its client marked it as a repeat. {@code work}: the work expected,
-     * 0 if unknown. {@code uploading}: its body still comes, and {@link Balancer#whole} tells of
-     * its end; until then no endpoint has begun it.
+     * 0 if unknown. {@code uploading}: its body still comes, and {@link LoadBalancer#whole} tells
+     * of its end; until then no endpoint has begun it.
      */
     record Request(
             long id,
@@ -243,11 +249,11 @@
      * @param parts of {@link RouteTable#WHOLE}, so many; from 1
      * @param perSecond it gets no more calls a second from this copy; 0: no bound
      */
-    record ZoneShare(int zone, int parts, int perSecond) {
+    record ZoneTrafficShare(int zone, int parts, int perSecond) {
         /**
          * Checks the ranges, which are the table's; what is wrong is an IllegalArgumentException.
          */
-        public ZoneShare {
+        public ZoneTrafficShare {
             check("zone", zone, 0, RouteTable.MOST_ZONES - 1);
             check("parts", parts, 1, RouteTable.WHOLE);
             check("perSecond", perSecond, 0, Integer.MAX_VALUE);
@@ -269,7 +275,7 @@
     }
 
     /** An endpoint's own report of its load. A figure that it does not report is NaN. */
-    record Load(
+    record LoadReport(
             double inFlight,
             double queue,
             double utilisation,
@@ -306,8 +312,8 @@
         void closeIdle(long endpoint);
 
         /**
-         * Asks for {@link Balancer#timer} with this token at this instant or soon after, never at
-         * once.
+         * Asks for {@link LoadBalancer#timer} with this token at this instant or soon after, never
+         * at once.
          */
         void schedule(long at, long token);
 
@@ -330,7 +336,7 @@
      * The list of endpoints, or changes to it. A ready endpoint with a new start time has
      * restarted.
      */
-    void endpoints(long now, ListKind kind, List<Endpoint> entries);
+    void endpoints(long now, EndpointListKind kind, List<Endpoint> entries);
 
     /** A call for the list failed or a subscription broke; the old list stands. */
     void endpointsFailed(long now);
@@ -339,10 +345,10 @@
     void request(long now, Request request);
 
     /**
-     * A request has come in, with how it stands; any but {@link Standing#WANTED} should be turned
-     * away. A module that doesn't listen takes it as any other.
+     * A request has come in, with how it stands; any but {@link AdmissionHint#WANTED} should be
+     * turned away. A module that doesn't listen takes it as any other.
      */
-    default void request(long now, Request request, Standing standing) {
+    default void request(long now, Request request, AdmissionHint standing) {
         request(now, request);
     }
 
@@ -361,7 +367,7 @@
             Outcome outcome,
             long latency,
             boolean settled,
-            Load load);
+            LoadReport load);
 
     /**
      * What an attempt that was sent, and of which no byte has gone out yet, ends with instead of
@@ -387,7 +393,7 @@
      * The probe that was sent {@code latency} ago came back. {@code load} is null unless it was
      * answered with a report.
      */
-    void probed(long now, long endpoint, Outcome outcome, long latency, Load load);
+    void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load);
 
     /**
      * An answer that had begun, with which its attempt has been told as served, broke off. A module
@@ -404,8 +410,8 @@
     default void returned(long now, long endpoint) {}
 
     /**
-     * How many copies live, this one with them, from 1 to {@link Settings#copies}; until the first
-     * such event all do. A module that doesn't listen goes on with all.
+     * How many copies live, this one with them, from 1 to {@link BalancerSettings#copies}; until
+     * the first such event all do. A module that doesn't listen goes on with all.
      */
     default void copies(long now, int live) {}
 
@@ -416,7 +422,7 @@
      * twice, or parts that sum up to more than a whole, are an IllegalArgumentException, and what
      * was said before stands. A module that doesn't listen goes on as it was.
      */
-    default void shares(long now, List<ZoneShare> shares) {}
+    default void shares(long now, List<ZoneTrafficShare> shares) {}
 
     /**
      * How many of the listed endpoints are avoided now: they drain, they fail, or they are silent.
--- a/core/src/main/java/cedarrudder/Decide.java
+++ b/core/src/main/java/cedarrudder/balancer/PrequalBalancer.java
@@ -1,14 +1,14 @@
-package cedarrudder;
-
-import cedarrudder.Tuning.Figure;
-import cedarrudder.overload.CallLimit;
-import cedarrudder.overload.ClassWorth;
-import cedarrudder.overload.Mean;
-import cedarrudder.overload.ShareMeter;
-import cedarrudder.overload.WaitingLine;
-import cedarrudder.overload.WaitingLine.Offer;
-import cedarrudder.overload.ZoneDeal;
-import cedarrudder.table.RouteTable;
+package cedarrudder.balancer;
+
+import cedarrudder.admission.AdaptiveConcurrencyLimit;
+import cedarrudder.admission.AdmissionQueue;
+import cedarrudder.admission.AdmissionQueue.Offer;
+import cedarrudder.admission.ClassPriority;
+import cedarrudder.admission.MovingAverage;
+import cedarrudder.admission.TenantQuotas;
+import cedarrudder.admission.ZoneTrafficSplit;
+import cedarrudder.balancer.BalancerParameters.Parameter;
+import cedarrudder.routetable.RouteTable;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -32,11 +32,11 @@
  *       deadline;
  *   <li>no effect happens twice: {@link #mayAttempt} and {@link #mayRefuse};
  *   <li>drains are kept: {@link #eligible}, and {@link #endpoints} empties the pool at once;
- *   <li>a cold endpoint is not pushed over: {@link Server#withinColdBudget}, asked in {@link
+ *   <li>a cold endpoint is not pushed over: {@link EndpointState#withinColdBudget}, asked in {@link
  *       #eligible}.
  * </ul>
  */
-public final class Decide implements Balancer {
+public final class PrequalBalancer implements LoadBalancer {
 
     /** How often a copy looks after itself with nothing coming in. */
     private static final long TICK = 250_000_000L;
@@ -84,30 +84,30 @@
     private static final long TOKEN_ASK = 2 * TOKEN_KIND;
     private static final long TOKEN_LATE = 3 * TOKEN_KIND;
 
-    private final Settings settings;
-    private final Tuning tuning;
+    private final BalancerSettings settings;
+    private final BalancerParameters tuning;
     private final RandomGenerator random;
     private final Actions actions;
     private final ProbePool pool;
-    private final Map<Long, Server> servers = new HashMap<>();
-    private final Map<Long, Call> calls = new HashMap<>();
-    private final Mean[] byClass;
-    private final Mean overall;
+    private final Map<Long, EndpointState> servers = new HashMap<>();
+    private final Map<Long, RequestState> calls = new HashMap<>();
+    private final MovingAverage[] byClass;
+    private final MovingAverage overall;
 
     /** The longest that a core takes for a mean request: see {@link #warmRate}; nanoseconds. */
-    private final Mean coreTime;
+    private final MovingAverage coreTime;
 
     /** How much longer an answer takes than the work it was said to be. */
-    private final Mean stretch;
+    private final MovingAverage stretch;
 
-    private final ShareMeter shares;
-    private final CallLimit limit;
-    private final ClassWorth worth;
-    private final WaitingLine<Call> line;
+    private final TenantQuotas shares;
+    private final AdaptiveConcurrencyLimit limit;
+    private final ClassPriority worth;
+    private final AdmissionQueue<RequestState> line;
     private boolean lineWatched;
 
     /** Which zone each call goes to; null while no zone has a share. */
-    private ZoneDeal deal;
+    private ZoneTrafficSplit deal;
 
     /** Further attempts that may be made now. */
     private double extra;
@@ -123,46 +123,50 @@
     private long thriftyUntil = Long.MIN_VALUE;
     private int askFailures;
 
-    public Decide(Settings settings, RandomGenerator random, Actions actions) {
-        this(settings, Tuning.DEFAULTS, random, actions);
+    public PrequalBalancer(BalancerSettings settings, RandomGenerator random, Actions actions) {
+        this(settings, BalancerParameters.DEFAULTS, random, actions);
     }
 
-    public Decide(Settings settings, Tuning tuning, RandomGenerator random, Actions actions) {
+    public PrequalBalancer(
+            BalancerSettings settings,
+            BalancerParameters tuning,
+            RandomGenerator random,
+            Actions actions) {
         this.settings = settings;
         this.tuning = tuning;
         this.random = random;
         this.actions = actions;
         this.pool = new ProbePool(settings, tuning, random, actions);
-        this.extra = tuning.get(Figure.EXTRA_MOST) / 2;
-        this.overall = new Mean(tuning.get(Figure.LATENCY_WEIGHT));
-        this.coreTime = new Mean(tuning.get(Figure.LATENCY_WEIGHT));
-        this.stretch = new Mean(tuning.get(Figure.LATENCY_WEIGHT));
-        this.byClass = new Mean[settings.classes().size()];
+        this.extra = tuning.get(Parameter.EXTRA_MOST) / 2;
+        this.overall = new MovingAverage(tuning.get(Parameter.LATENCY_WEIGHT));
+        this.coreTime = new MovingAverage(tuning.get(Parameter.LATENCY_WEIGHT));
+        this.stretch = new MovingAverage(tuning.get(Parameter.LATENCY_WEIGHT));
+        this.byClass = new MovingAverage[settings.classes().size()];
         this.worth =
-                new ClassWorth(
+                new ClassPriority(
                         byClass.length,
                         settings.goal().whole(),
                         settings.goal().worstClass(),
                         settings.goal().overShareWorth());
         for (int i = 0; i < byClass.length; i++) {
-            byClass[i] = new Mean(tuning.get(Figure.LATENCY_WEIGHT));
+            byClass[i] = new MovingAverage(tuning.get(Parameter.LATENCY_WEIGHT));
             worth.perWork(i, settings.classes().get(i).worth());
         }
         double[] quotas = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray();
-        this.shares = new ShareMeter(quotas, settings.copies());
+        this.shares = new TenantQuotas(quotas, settings.copies());
         this.limit =
-                new CallLimit(
-                        tuning.get(Figure.LIMIT_LESS),
-                        tuning.get(Figure.LIMIT_MORE),
-                        tuning.get(Figure.LIMIT_CUT));
-        this.line = new WaitingLine<>(4 * byClass.length);
+                new AdaptiveConcurrencyLimit(
+                        tuning.get(Parameter.LIMIT_LESS),
+                        tuning.get(Parameter.LIMIT_MORE),
+                        tuning.get(Parameter.LIMIT_CUT));
+        this.line = new AdmissionQueue<>(4 * byClass.length);
     }
 
     // ---- the list of endpoints ----
 
     @Override
-    public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
-        if (kind != ListKind.CHANGES) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.CHANGES) {
             var named = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
             servers.values().stream()
                     .filter(s -> !named.contains(s.id))
@@ -179,37 +183,37 @@
                 double spread = ASK_SPREAD * settings.safety().askWithin();
                 actions.schedule(now + 1 + (long) (random.nextDouble() * spread), TOKEN_ASK);
             }
-        } else if (kind != ListKind.CACHED) {
+        } else if (kind != EndpointListKind.CACHED) {
             askFailures = 0;
         }
     }
 
     private void list(long now, Endpoint entry) {
-        Server known = servers.get(entry.id());
+        EndpointState known = servers.get(entry.id());
         // Guards against anything known of a former life being taken for this one's.
         if (known != null
-                && (entry.state() == State.GONE
+                && (entry.state() == EndpointStatus.GONE
                         || known.listed.startedAt() != entry.startedAt()
                         || known.listed.zone() != entry.zone()
                         || known.listed.cell() != entry.cell())) {
             drop(known);
         }
-        if (entry.state() != State.GONE) {
-            Server server =
+        if (entry.state() != EndpointStatus.GONE) {
+            EndpointState server =
                     servers.computeIfAbsent(
                             entry.id(),
                             id ->
-                                    new Server(
+                                    new EndpointState(
                                             entry,
                                             now,
-                                            tuning.get(Figure.HELD_START),
+                                            tuning.get(Parameter.HELD_START),
                                             random.nextDouble()));
             server.listed = entry;
             pool.listed(server, server.ready());
         }
     }
 
-    private void drop(Server server) {
+    private void drop(EndpointState server) {
         pool.listed(server, false);
         servers.remove(server.id);
     }
@@ -226,8 +230,8 @@
     public void request(long now, Request request) {
         RequestClass kind = settings.classes().get(request.classIndex());
         boolean overShare = shares.past(now, request.tenant());
-        Call call =
-                new Call(
+        RequestState call =
+                new RequestState(
                         request,
                         kind,
                         now,
@@ -240,14 +244,17 @@
         call.part = part(call);
         boolean room = settings.tier() > 0 || limit.room(out, call.part);
         call.zone = deal == null ? settings.zone() : deal.next(now, call.part, room);
-        if (!room || call.zone == ZoneDeal.NOWHERE) {
+        if (!room || call.zone == ZoneTrafficSplit.NOWHERE) {
             end(call, mayRefuse(call));
             return;
         }
         countCall(now);
         pool.resize(callsOut);
         pool.call(now);
-        extra = Math.min(tuning.get(Figure.EXTRA_MOST), extra + tuning.get(Figure.EXTRA_PER_CALL));
+        extra =
+                Math.min(
+                        tuning.get(Parameter.EXTRA_MOST),
+                        extra + tuning.get(Parameter.EXTRA_PER_CALL));
         if (call.work > 0 || coreTime.count() == 0) {
             coreTime.add(call.work > 0 ? 2 * call.work : call.kind.aim());
         }
@@ -263,11 +270,11 @@
      * refused.
      */
     @Override
-    public void request(long now, Request request, Standing standing) {
-        if (standing == Standing.WANTED) {
+    public void request(long now, Request request, AdmissionHint standing) {
+        if (standing == AdmissionHint.WANTED) {
             request(now, request);
         } else {
-            actions.refuse(request.id(), standing == Standing.OVERLOAD ? comeBack() : 0);
+            actions.refuse(request.id(), standing == AdmissionHint.OVERLOAD ? comeBack() : 0);
         }
     }
 
@@ -276,7 +283,7 @@
      * further down, work has gone into it already. Requests worth less for their work, or over
      * their tenant's share, find it lower; and so with what zones may get, at each tier.
      */
-    private double part(Call call) {
+    private double part(RequestState call) {
         double best =
                 IntStream.range(0, byClass.length)
                         .mapToDouble(
@@ -286,10 +293,10 @@
                         .max()
                         .orElse(0);
         double relative = call.kind.worth() / Math.max(1, byClass[call.classIndex].mean()) / best;
-        Goal goal = settings.goal();
+        ServiceGoal goal = settings.goal();
         // A goal that looks at the worst class leaves less room for preferring the best.
         double preference = goal.whole() / (goal.whole() + goal.worstClass());
-        double part = 1 - tuning.get(Figure.KEPT_FROM_LEAST) * preference * (1 - relative);
+        double part = 1 - tuning.get(Parameter.KEPT_FROM_LEAST) * preference * (1 - relative);
         return call.overShare ? part * Math.max(0.5, goal.overShareWorth()) : part;
     }
 
@@ -298,13 +305,13 @@
      * where it can be given up for one that is worth more, and not in an endpoint that it would
      * drive past its limit.
      */
-    private void place(long now, Call call) {
+    private void place(long now, RequestState call) {
         if (now >= call.deadline
                 || deal != null && deal.order(now, call.zone, call.part).length == 0) {
             end(call, mayRefuse(call));
             return;
         }
-        double wait = tuning.get(Figure.HOLD_SHARE) * call.kind.aim();
+        double wait = tuning.get(Parameter.HOLD_SHARE) * call.kind.aim();
         call.holdUntil = Math.min(call.arrived + (long) wait, call.deadline - 2 * HOLD);
         call.held = true;
         int first = call.attempts > 0 ? 2 * byClass.length : 0;
@@ -320,7 +327,7 @@
 
     /** Gives those that wait their turn, by worth for their work. */
     private void release(long now) {
-        double byWorth = tuning.get(Figure.LINE_BY_WORTH);
+        double byWorth = tuning.get(Parameter.LINE_BY_WORTH);
         line.release(
                 lane ->
                         Math.pow(
@@ -330,8 +337,8 @@
                 call -> offer(now, call));
     }
 
-    private Offer offer(long now, Call call) {
-        Server server = call.held ? pick(now, call) : null;
+    private Offer offer(long now, RequestState call) {
+        EndpointState server = call.held ? pick(now, call) : null;
         if (server != null) {
             send(now, call, server);
         } else if (call.held && now >= call.holdUntil) {
@@ -355,18 +362,19 @@
      * against overload that spreads. Where it has none, the shares are behind what this copy sees,
      * and guard nothing.
      */
-    private Server pick(long now, Call call) {
-        Predicate<Server> may =
+    private EndpointState pick(long now, RequestState call) {
+        Predicate<EndpointState> may =
                 s ->
                         eligible(now, s)
                                 && mayAttempt(now, call, s)
                                 && !call.tried(s)
                                 && (deal == null || deal.room(now, s.listed.zone(), call.part));
         for (int zone : deal == null ? new int[0] : deal.order(now, call.zone, call.part)) {
-            Predicate<Server> away = s -> s.listed.zone() != zone || suspect(now, s) || s.mute;
-            List<Server> there =
+            Predicate<EndpointState> away =
+                    s -> s.listed.zone() != zone || suspect(now, s) || s.mute;
+            List<EndpointState> there =
                     pool.roster().stream().filter(s -> s.listed.zone() == zone).toList();
-            Server server = pick(now, away.negate().and(may), away, there);
+            EndpointState server = pick(now, away.negate().and(may), away, there);
             if (server != null) {
                 return server;
             }
@@ -382,7 +390,7 @@
                                                         && !s.mute
                                                         && mayAttempt(now, call, s)
                                                         && !call.tried(s));
-        Server server =
+        EndpointState server =
                 deal == null
                         ? pick(now, may, s -> suspect(now, s), pool.roster())
                         : draw(
@@ -398,18 +406,21 @@
                 : draw(few ? pool.ring.stream().filter(may).toList() : pool.ring, may);
     }
 
-    private Server pick(
-            long now, Predicate<Server> may, Predicate<Server> suspect, List<Server> roster) {
-        Server server =
+    private EndpointState pick(
+            long now,
+            Predicate<EndpointState> may,
+            Predicate<EndpointState> suspect,
+            List<EndpointState> roster) {
+        EndpointState server =
                 pool.pick(
                         now,
-                        tuning.get(Figure.TURNOVER_LATENCIES) * Math.max(1e6, overall.mean()),
+                        tuning.get(Parameter.TURNOVER_LATENCIES) * Math.max(1e6, overall.mean()),
                         may,
                         suspect);
         return server != null ? server : draw(roster, may.and(suspect.negate()));
     }
 
-    private Server draw(List<Server> from, Predicate<Server> may) {
+    private EndpointState draw(List<EndpointState> from, Predicate<EndpointState> may) {
         return IntStream.range(0, from.isEmpty() ? 0 : RANDOM_DRAWS)
                 .mapToObj(i -> from.get(random.nextInt(from.size())))
                 .filter(may)
@@ -417,7 +428,7 @@
                 .orElse(null);
     }
 
-    private void send(long now, Call call, Server server) {
+    private void send(long now, RequestState call, EndpointState server) {
         int attempt = call.attempts++;
         call.to[attempt] = server;
         call.sentAt[attempt] = now;
@@ -440,14 +451,14 @@
      * After how long an answer is so late that something must be wrong, by what the request was
      * said to cost; 0 where that is not known or no second copy may go out.
      */
-    private long lateAfter(Call call) {
+    private long lateAfter(RequestState call) {
         boolean known = call.work > 0 && stretch.count() >= STRETCH_KNOWN;
         return known
                         && !call.uploading
-                        && call.kind.effect() != Effect.UNSAFE
+                        && call.kind.effect() != Idempotency.UNSAFE
                         && settings.limits().parallelTries()
                 ? (long)
-                        (tuning.get(Figure.LATE_STRETCH)
+                        (tuning.get(Parameter.LATE_STRETCH)
                                 * stretch.mean()
                                 * Math.max(LEAST_WORK, call.work))
                 : 0;
@@ -459,8 +470,8 @@
      * time. Measured against what the request costs, since a time-out by its class alone repeats
      * the heavy ones.
      */
-    private void sendCopy(long now, Call call) {
-        Server server =
+    private void sendCopy(long now, RequestState call) {
+        EndpointState server =
                 call.out == 1 && extra >= 1 && mayAttempt(now, call, null) ? pick(now, call) : null;
         if (server != null && !suspect(now, server)) {
             extra--;
@@ -474,7 +485,7 @@
      * Whether anything new may be sent to an endpoint at all: it is listed, ready, has taken
      * connections and is not being pushed over; and it holds no more than it can.
      */
-    private boolean eligible(long now, Server server) {
+    private boolean eligible(long now, EndpointState server) {
         return server.ready()
                 && server.room(now, settings.copies())
                 && !server.crowded(now)
@@ -487,7 +498,7 @@
      * Whether a further attempt of this request may go to this endpoint (null: to any at all).
      * Every attempt passes here, the first and the next.
      */
-    private boolean mayAttempt(long now, Call call, Server server) {
+    private boolean mayAttempt(long now, RequestState call, EndpointState server) {
         return !call.answered
                 && now < call.deadline
                 && call.attempts < call.to.length
@@ -496,12 +507,12 @@
     }
 
     /** The same by what the other attempts prove, for one not yet made (-1), or not yet begun. */
-    private boolean mayJoin(long now, Call call, int attempt, Server server) {
+    private boolean mayJoin(long now, RequestState call, int attempt, EndpointState server) {
         int first = call.mayHaveRun(attempt);
-        if (first < 0 || call.kind.effect() == Effect.SAFE) {
+        if (first < 0 || call.kind.effect() == Idempotency.SAFE) {
             return true;
         }
-        if (call.kind.effect() == Effect.UNSAFE
+        if (call.kind.effect() == Idempotency.UNSAFE
                 || now >= call.sentAt[first] + call.kind.repeatWindow()) {
             return false;
         }
@@ -515,20 +526,20 @@
     }
 
     /** Whether the client may be told that trying again is harmless, by what the attempts prove. */
-    private boolean mayRefuse(Call call) {
+    private boolean mayRefuse(RequestState call) {
         return call.mayHaveRun(-1) < 0
-                || call.kind.effect() == Effect.SAFE
-                || call.kind.effect() == Effect.KEYED && call.kind.keyScope() == KeyScope.ALL;
+                || call.kind.effect() == Idempotency.SAFE
+                || call.kind.effect() == Idempotency.KEYED && call.kind.keyScope() == KeyScope.ALL;
     }
 
     /** Whether this life of an endpoint is listed, and ready. */
-    private boolean stands(Server server) {
+    private boolean stands(EndpointState server) {
         return server.ready() && servers.get(server.id) == server;
     }
 
     @Override
     public Outcome denial(long now, long request, int attempt) {
-        Call call = calls.get(request);
+        RequestState call = calls.get(request);
         return call == null
                         || call.answered
                         || attempt >= call.attempts
@@ -537,7 +548,7 @@
                 : stands(call.to[attempt]) ? null : Outcome.CONNECT_FAILED;
     }
 
-    private boolean suspect(long now, Server server) {
+    private boolean suspect(long now, EndpointState server) {
         return server.failing(now) || server.silent(now, patience());
     }
 
@@ -559,8 +570,8 @@
             Outcome outcome,
             long latency,
             boolean settled,
-            Load load) {
-        Call call = calls.get(request);
+            LoadReport load) {
+        RequestState call = calls.get(request);
         if (call == null || attempt >= call.attempts || call.ended[attempt] != null) {
             return;
         }
@@ -599,12 +610,12 @@
             // refused
             // connections do not: they are no sign of too much work, and turning more away mends
             // nothing.
-            double aim = tuning.get(Figure.SLOW_SHARE) * call.kind.aim();
+            double aim = tuning.get(Parameter.SLOW_SHARE) * call.kind.aim();
             limit.answered(
                     now - call.arrived > aim || outcome == Outcome.FULL,
                     out,
                     mostOut,
-                    tuning.get(Figure.HELD_START) * pool.ring.size() / settings.copies());
+                    tuning.get(Parameter.HELD_START) * pool.ring.size() / settings.copies());
         }
         call.to[attempt].ended(now, outcome);
         pool.ended(outcome);
@@ -618,7 +629,7 @@
     }
 
     /** After an attempt failed: another one, patience with those still out, or the final answer. */
-    private void next(long now, Call call, Outcome outcome) {
+    private void next(long now, RequestState call, Outcome outcome) {
         if (call.out == 0 && !call.held) {
             // An error from a tier that calls another has been retried below already: retries
             // multiply.
@@ -638,7 +649,7 @@
     }
 
     /** The one place where this copy ends a request. */
-    private void end(Call call, boolean refuse) {
+    private void end(RequestState call, boolean refuse) {
         if (refuse && !call.answered) {
             actions.refuse(call.id, comeBack());
         } else if (!call.answered) {
@@ -654,14 +665,14 @@
      */
     private long comeBack() {
         double turn =
-                overall.mean() / Math.pow(Math.max(1, out), tuning.get(Figure.COME_BACK_TURN));
+                overall.mean() / Math.pow(Math.max(1, out), tuning.get(Parameter.COME_BACK_TURN));
         return settings.limits().retryAfter()
                 ? (long) Math.min(settings.limits().maxRetryAfter(), turn)
                 : 0;
     }
 
     /** A request is over: cancels what is out but one attempt, and forgets it after the last. */
-    private void close(Call call, int except) {
+    private void close(RequestState call, int except) {
         for (int i = 0; i < call.attempts && settings.limits().cancel() && !call.answered; i++) {
             if (i != except && call.ended[i] == null) {
                 actions.cancel(call.id, i);
@@ -679,7 +690,7 @@
      * with, and at all while endpoints turn connections away. The idle ones of one copy are those
      * that another lacks.
      */
-    private void closeUnused(long now, Server server) {
+    private void closeUnused(long now, EndpointState server) {
         if (now < thriftyUntil && !server.needsConnection()
                 || server.inFlight == 0 && !server.inRoster) {
             pool.closeIdle(server);
@@ -688,7 +699,7 @@
 
     @Override
     public void whole(long now, long request) {
-        Call call = calls.get(request);
+        RequestState call = calls.get(request);
         if (call != null && call.uploading) {
             out += call.out;
             call.whole(now);
@@ -703,7 +714,7 @@
     @Override
     public void timer(long now, long token) {
         long kind = token - token % TOKEN_KIND;
-        Call call = calls.get(token % TOKEN_KIND);
+        RequestState call = calls.get(token % TOKEN_KIND);
         if (kind == TOKEN_TICK) {
             actions.schedule(now + TICK, TOKEN_TICK); // first: guards against a fault ending it
             pool.idle(now);
@@ -725,7 +736,7 @@
     }
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {
+    public void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load) {
         Optional.ofNullable(servers.get(endpoint))
                 .ifPresent(server -> pool.probed(now, server, outcome, now - latency, load));
     }
@@ -733,7 +744,7 @@
     @Override
     public void returned(long now, long endpoint) {
         Optional.ofNullable(servers.get(endpoint))
-                .filter(Server::ready)
+                .filter(EndpointState::ready)
                 .ifPresent(s -> pool.ask(now, s));
     }
 
@@ -753,15 +764,15 @@
     }
 
     @Override
-    public void shares(long now, List<ZoneShare> zones) {
-        ZoneDeal next =
+    public void shares(long now, List<ZoneTrafficShare> zones) {
+        ZoneTrafficSplit next =
                 deal != null || zones.isEmpty()
                         ? deal
-                        : new ZoneDeal(settings.zone(), RouteTable.WHOLE, random);
+                        : new ZoneTrafficSplit(settings.zone(), RouteTable.WHOLE, random);
         if (!zones.isEmpty()) {
             next.set(
                     zones.stream()
-                            .map(z -> new ZoneDeal.Part(z.zone(), z.parts(), z.perSecond()))
+                            .map(z -> new ZoneTrafficSplit.Part(z.zone(), z.parts(), z.perSecond()))
                             .toList());
         }
         deal = zones.isEmpty() ? null : next;
@@ -781,13 +792,13 @@
     // ---- what is measured ----
 
     /** What a request is worth when it is served in time. */
-    private double worthOf(Call call) {
+    private double worthOf(RequestState call) {
         return call.kind.worth()
                 * (settings.goal().worthByWork() && call.work > 0 ? call.work : 1e8);
     }
 
     /** What a request of this class costs, in mean requests. */
-    private double cost(Call call) {
+    private double cost(RequestState call) {
         double mean = byClass[call.classIndex].mean();
         return mean == 0 || overall.mean() == 0
                 ? 1
@@ -811,7 +822,7 @@
      * else in the time that answers take; before the first, in its aim. Guards against many copies
      * that know nothing and take calls for answers.
      */
-    private double warmRate(long now, Server server) {
+    private double warmRate(long now, EndpointState server) {
         int roster = pool.roster().size();
         int ring = pool.ring.size();
         double kept = Math.min(1, Math.exp(-(now - callRateAt) / RATE_NANOS));
@@ -821,7 +832,7 @@
 
     private long patience() {
         double silent =
-                tuning.get(Figure.SILENT_LATENCIES) * (overall.mean() + overall.deviation());
+                tuning.get(Parameter.SILENT_LATENCIES) * (overall.mean() + overall.deviation());
         return Math.max(SILENT_LEAST, (long) silent);
     }
 }
--- a/core/src/main/java/cedarrudder/ProbePool.java
+++ b/core/src/main/java/cedarrudder/balancer/ProbePool.java
@@ -1,12 +1,12 @@
-package cedarrudder;
-
-import cedarrudder.Balancer.Actions;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.ZoneShare;
-import cedarrudder.Tuning.Figure;
-import cedarrudder.table.RouteTable;
+package cedarrudder.balancer;
+
+import cedarrudder.balancer.BalancerParameters.Parameter;
+import cedarrudder.balancer.LoadBalancer.Actions;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
+import cedarrudder.routetable.RouteTable;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -46,14 +46,14 @@
     private static final double SUSPECT = 1e9;
 
     /** The order of the ring. */
-    private static final Comparator<Server> ORDER =
+    private static final Comparator<EndpointState> ORDER =
             (a, b) ->
                     a.order != b.order
                             ? Long.compareUnsigned(a.order, b.order)
                             : Long.compareUnsigned(a.id, b.id);
 
     private final class Entry {
-        Server server;
+        EndpointState server;
         double rif;
         double latency;
         long at;
@@ -68,7 +68,7 @@
          * the same old news at once.
          */
         void look(long now, double others, double turnover) {
-            double kept = Math.exp(-(now - at + tuning.nanos(Figure.REPORT_AGE_MS)) / turnover);
+            double kept = Math.exp(-(now - at + tuning.nanos(Parameter.REPORT_AGE_MS)) / turnover);
             // A connection to be opened counts as a request: it costs the endpoint work and one of
             // few
             // places; but not the first since a start, which it would keep from being made at all.
@@ -96,8 +96,8 @@
         }
     }
 
-    private final Settings settings;
-    private final Tuning tuning;
+    private final BalancerSettings settings;
+    private final BalancerParameters tuning;
     private final RandomGenerator random;
     private final Actions actions;
 
@@ -105,12 +105,12 @@
      * All ready endpoints, in an order that every copy agrees on and that has to do with nothing
      * else.
      */
-    final List<Server> ring = new ArrayList<>();
+    final List<EndpointState> ring = new ArrayList<>();
 
-    private final List<Server> roster = new ArrayList<>();
+    private final List<EndpointState> roster = new ArrayList<>();
 
     /** The zones that may be probed and sent to; none: all may. */
-    private List<ZoneShare> shares = List.of();
+    private List<ZoneTrafficShare> shares = List.of();
 
     private boolean rosterStale = true;
     private int rosterSize;
@@ -125,13 +125,17 @@
     private double owed;
     private long lastProbe = Long.MIN_VALUE / 2;
 
-    ProbePool(Settings settings, Tuning tuning, RandomGenerator random, Actions actions) {
+    ProbePool(
+            BalancerSettings settings,
+            BalancerParameters tuning,
+            RandomGenerator random,
+            Actions actions) {
         this.settings = settings;
         this.tuning = tuning;
         this.random = random;
         this.actions = actions;
-        this.rosterSize = (int) tuning.get(Figure.ROSTER_LEAST);
-        this.entries = new Entry[(int) tuning.get(Figure.POOL_SIZE)];
+        this.rosterSize = (int) tuning.get(Parameter.ROSTER_LEAST);
+        this.entries = new Entry[(int) tuning.get(Parameter.POOL_SIZE)];
         this.rifs = new double[entries.length];
         Arrays.setAll(entries, i -> new Entry());
     }
@@ -142,7 +146,7 @@
      * Adds or removes an endpoint as the list says. An endpoint that is not ready leaves the pool
      * at once.
      */
-    void listed(Server server, boolean ready) {
+    void listed(EndpointState server, boolean ready) {
         server.far = server.listed.zone() != settings.zone();
         int at = Collections.binarySearch(ring, server, ORDER);
         if (ready && at < 0) {
@@ -160,7 +164,7 @@
      * Only the zones named have a place in the roster from now on, each by its part; none named:
      * all.
      */
-    void shares(List<ZoneShare> zones) {
+    void shares(List<ZoneTrafficShare> zones) {
         shares = List.copyOf(zones);
         rosterStale = true;
     }
@@ -171,13 +175,13 @@
      */
     void resize(double callsOut) {
         double covering =
-                tuning.get(Figure.ROSTER_COVER) * ring.size() / Math.max(1, settings.copies());
-        double bearing = tuning.get(Figure.ROSTER_PER_CALL) * callsOut;
+                tuning.get(Parameter.ROSTER_COVER) * ring.size() / Math.max(1, settings.copies());
+        double bearing = tuning.get(Parameter.ROSTER_PER_CALL) * callsOut;
         int wanted =
                 (int)
                         Math.ceil(
                                 Math.max(
-                                        tuning.get(Figure.ROSTER_LEAST),
+                                        tuning.get(Parameter.ROSTER_LEAST),
                                         Math.max(covering, bearing)));
         // A quarter of slack, so that the roster does not breathe with every call.
         if (wanted > rosterSize || wanted < rosterSize * 3 / 4) {
@@ -193,13 +197,13 @@
      * connect to all. The runs of all copies cover the ring evenly, and a change of the list moves
      * each by one endpoint at most.
      */
-    List<Server> roster() {
+    List<EndpointState> roster() {
         if (rosterStale) {
             rosterStale = false;
             roster.forEach(server -> server.inRoster = false);
-            List<Server> before = new ArrayList<>(roster);
+            List<EndpointState> before = new ArrayList<>(roster);
             roster.clear();
-            for (ZoneShare share : shares) {
+            for (ZoneTrafficShare share : shares) {
                 double part = (double) share.parts() / RouteTable.WHOLE;
                 add(
                         s -> s.listed.zone() == share.zone(),
@@ -209,7 +213,7 @@
                 int near = add(s -> !s.far, rosterSize);
                 add(
                         s -> s.far,
-                        near < tuning.get(Figure.ROSTER_LEAST)
+                        near < tuning.get(Parameter.ROSTER_LEAST)
                                 ? rosterSize
                                 : rosterSize / FAR_PART);
             }
@@ -221,12 +225,12 @@
     }
 
     /** Takes a run of those of the ring; returns how many there are. */
-    private int add(Predicate<Server> which, int most) {
-        List<Server> from = ring.stream().filter(which).toList();
+    private int add(Predicate<EndpointState> which, int most) {
+        List<EndpointState> from = ring.stream().filter(which).toList();
         int count = Math.min(most, from.size());
         long start = (long) settings.self() * from.size() / Math.max(1, settings.copies());
         for (int i = 0; i < count; i++) {
-            Server server = from.get((int) ((start + i) % from.size()));
+            EndpointState server = from.get((int) ((start + i) % from.size()));
             server.inRoster = true;
             roster.add(server);
         }
@@ -249,12 +253,12 @@
      */
     void call(long now) {
         expire(now);
-        double calm = tuning.get(Figure.PROBES_PER_CALL);
-        double more = Math.max(0, tuning.get(Figure.PROBES_PER_CALL_FAILING) - calm);
-        double rate = calm + more * Math.min(1, failed / tuning.get(Figure.PROBES_FAILED_SHARE));
+        double calm = tuning.get(Parameter.PROBES_PER_CALL);
+        double more = Math.max(0, tuning.get(Parameter.PROBES_PER_CALL_FAILING) - calm);
+        double rate = calm + more * Math.min(1, failed / tuning.get(Parameter.PROBES_FAILED_SHARE));
         owed +=
-                size < tuning.get(Figure.THIN_POOL)
-                        ? tuning.get(Figure.PROBES_PER_CALL_THIN)
+                size < tuning.get(Parameter.THIN_POOL)
+                        ? tuning.get(Parameter.PROBES_PER_CALL_THIN)
                         : rate;
         for (; owed >= 1; owed--) {
             probe(now);
@@ -263,7 +267,7 @@
 
     /** Called now and then: a copy without calls keeps its pool from running dry. */
     void idle(long now) {
-        if (now - lastProbe >= tuning.nanos(Figure.IDLE_MS)) {
+        if (now - lastProbe >= tuning.nanos(Parameter.IDLE_MS)) {
             probe(now);
         }
     }
@@ -274,24 +278,24 @@
      * callers away.
      */
     void trim() {
-        roster().stream().filter(Server::trim).forEach(this::closeIdle);
+        roster().stream().filter(EndpointState::trim).forEach(this::closeIdle);
     }
 
     /** Closes the idle connections to an endpoint. */
-    void closeIdle(Server server) {
+    void closeIdle(EndpointState server) {
         actions.closeIdle(server.id);
         server.closed();
     }
 
     private void probe(long now) {
-        List<Server> from = roster();
+        List<EndpointState> from = roster();
         if (!from.isEmpty()) {
             ask(now, from.get(random.nextInt(from.size())));
         }
     }
 
     /** Asks an endpoint for its load, unless it has been asked and may still answer. */
-    void ask(long now, Server server) {
+    void ask(long now, EndpointState server) {
         // Guards against never probing an endpoint again for the sake of one answer that never
         // came.
         if (settings.limits().probes()
@@ -309,7 +313,7 @@
      * endpoint's entry away. Guards against an old report in place of a newer one, and against one
      * that counts twice: only the answer to the probe that is out counts.
      */
-    void probed(long now, Server server, Outcome outcome, long sentAt, Load load) {
+    void probed(long now, EndpointState server, Outcome outcome, long sentAt, LoadReport load) {
         if (!server.probeOut || sentAt < server.probedAt) {
             return;
         }
@@ -333,7 +337,7 @@
         entry.latency =
                 server.reportedLatency(
                         Double.isNaN(load.latencyMillis()) ? 0 : load.latencyMillis(),
-                        tuning.get(Figure.REPORT_WEIGHT));
+                        tuning.get(Parameter.REPORT_WEIGHT));
         entry.at = now;
         entry.ownThen = server.ownAtProbe;
     }
@@ -348,10 +352,10 @@
     }
 
     private void expire(long now) {
-        remove(e -> now - e.at > tuning.nanos(Figure.MAX_AGE_MS));
+        remove(e -> now - e.at > tuning.nanos(Parameter.MAX_AGE_MS));
     }
 
-    private void forget(Server server) {
+    private void forget(EndpointState server) {
         remove(e -> e.server == server);
     }
 
@@ -376,7 +380,11 @@
      * @param suspect whether an endpoint counts as hot whatever its RIF: one that fails, or is
      *     silent
      */
-    Server pick(long now, double turnover, Predicate<Server> may, Predicate<Server> suspect) {
+    EndpointState pick(
+            long now,
+            double turnover,
+            Predicate<EndpointState> may,
+            Predicate<EndpointState> suspect) {
         roster(); // brought up to date first: a change of it takes entries away
         expire(now);
         double others = 0;
@@ -394,7 +402,7 @@
         }
         Arrays.sort(rifs, 0, sound);
         double hotAbove =
-                sound == 0 ? -1 : rifs[(int) (tuning.get(Figure.RIF_QUANTILE) * (sound - 1))];
+                sound == 0 ? -1 : rifs[(int) (tuning.get(Parameter.RIF_QUANTILE) * (sound - 1))];
         return Arrays.stream(entries, 0, size)
                 .filter(e -> may.test(e.server))
                 .reduce((best, e) -> e.before(best, hotAbove) ? e : best)
--- a/core/src/main/java/cedarrudder/Call.java
+++ b/core/src/main/java/cedarrudder/balancer/RequestState.java
@@ -1,11 +1,11 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
 
 /** A request this copy has taken, with its attempts in the order sent. */
-final class Call {
+final class RequestState {
     final long id;
     final RequestClass kind;
     final int classIndex;
@@ -13,7 +13,7 @@
     final long deadline;
     final long work;
     final boolean overShare;
-    final Server[] to;
+    final EndpointState[] to;
     final long[] sentAt;
     final Outcome[] ended;
     int attempts;
@@ -30,7 +30,7 @@
 
     long holdUntil;
 
-    Call(Request request, RequestClass kind, long now, boolean overShare, int maxAttempts) {
+    RequestState(Request request, RequestClass kind, long now, boolean overShare, int maxAttempts) {
         this.id = request.id();
         this.kind = kind;
         this.classIndex = request.classIndex();
@@ -39,7 +39,7 @@
         this.work = request.work();
         this.overShare = overShare;
         this.uploading = request.uploading();
-        this.to = new Server[maxAttempts];
+        this.to = new EndpointState[maxAttempts];
         this.sentAt = new long[maxAttempts];
         this.ended = new Outcome[maxAttempts];
     }
@@ -65,7 +65,7 @@
         return -1;
     }
 
-    boolean tried(Server server) {
+    boolean tried(EndpointState server) {
         for (int i = 0; i < attempts; i++) {
             if (to[i] == server) {
                 return true;
--- a/core/src/main/java/cedarrudder/flow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
@@ -1,4 +1,4 @@
-package cedarrudder.flow;
+package cedarrudder.bodyflow;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -33,14 +33,14 @@
     private byte[] joined;
 
     private int joinedLength;
-    private final HeldBytes account;
+    private final BufferAccount account;
     private int held;
     private boolean ended;
     private boolean broken;
     private Runnable whenMore = NOBODY;
     private Runnable whenRoom = NOBODY;
 
-    public BodyFlow(HeldBytes account) {
+    public BodyFlow(BufferAccount account) {
         this.account = account;
     }
 
--- a/core/src/main/java/cedarrudder/flow/HeldBytes.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
@@ -1,10 +1,10 @@
-package cedarrudder.flow;
+package cedarrudder.bodyflow;
 
 /**
  * The account of the bytes of bodies: those that flow, are being read, or belong to a request under
  * way. Owned by the event loop; not thread-safe.
  */
-public final class HeldBytes {
+public final class BufferAccount {
 
     /**
      * What counts where nothing is set: an eighth of the least memory seen for a proxy, in bytes.
@@ -17,7 +17,7 @@
     /**
      * @param most the bound, in bytes; each flow may hold one piece beyond it
      */
-    public HeldBytes(long most) {
+    public BufferAccount(long most) {
         this.most = most;
     }
 
--- a/core/src/main/java/cedarrudder/budget/Notices.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetEvents.java
@@ -1,11 +1,11 @@
 package cedarrudder.budget;
 
 /** What the operator is told of budgets. {@link Budgets} bounds how often. */
-public interface Notices {
+public interface BudgetEvents {
 
     /** Nobody is told. */
-    Notices NONE =
-            new Notices() {
+    BudgetEvents NONE =
+            new BudgetEvents() {
                 @Override
                 public void loop(HopPath path, long more) {}
 
--- a/core/src/main/java/cedarrudder/budget/BudgetFields.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetFields.java
@@ -1,6 +1,6 @@
 package cedarrudder.budget;
 
-import cedarrudder.budget.FromBelow.Why;
+import cedarrudder.budget.DownstreamFeedback.Why;
 import java.util.List;
 
 /**
@@ -38,11 +38,11 @@
     // ---- a call ----
 
     /** Reads what came with a call; a field that wasn't there, or was there twice, is null. */
-    public static Carried read(String budget, String path) {
+    public static PropagatedBudget read(String budget, String path) {
         String[] keys = split(budget);
         long left = MILLI * number(value(keys, "left"), MOST_MILLIS, 0);
         int tries = (int) number(value(keys, "tries"), MOST_TRIES, -1);
-        return new Carried(
+        return new PropagatedBudget(
                 keys != null,
                 true,
                 left,
@@ -73,7 +73,7 @@
     }
 
     /** The value of {@link #BUDGET} for a call. */
-    public static String budget(Carried carried) {
+    public static String budget(PropagatedBudget carried) {
         return VERSION
                 + ";left="
                 + Math.max(1, carried.left() / MILLI)
@@ -97,27 +97,27 @@
     }
 
     /** The value of {@link #PATH} for a call. */
-    public static String path(Carried carried) {
+    public static String path(PropagatedBudget carried) {
         return VERSION + ";" + String.join(",", carried.path().hops());
     }
 
     // ---- an answer ----
 
     /** Reads what came with an answer; a field that wasn't there is null. */
-    public static FromBelow readResult(String result) {
+    public static DownstreamFeedback readResult(String result) {
         String[] keys = split(result);
         if (keys == null) {
-            return FromBelow.NOTHING;
+            return DownstreamFeedback.NOTHING;
         }
         String why = value(keys, "why");
-        return new FromBelow(
+        return new DownstreamFeedback(
                 (int) number(value(keys, "spent"), MOST_TRIES, -1),
                 Why.of(why),
                 hops(value(keys, "path")));
     }
 
     /** The value of {@link #RESULT} for an answer. */
-    public static String result(FromBelow result) {
+    public static String result(DownstreamFeedback result) {
         return VERSION
                 + (result.spent() < 0 ? "" : ";spent=" + result.spent())
                 + (result.why() == Why.NOT_SAID ? "" : ";why=" + result.why().word())
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -1,10 +1,10 @@
 package cedarrudder.budget;
 
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.Standing;
-import cedarrudder.budget.FromBelow.Why;
+import cedarrudder.balancer.LoadBalancer.AdmissionHint;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.budget.DownstreamFeedback.Why;
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 
@@ -43,24 +43,24 @@
     private static final long MINUTE = 60_000_000_000L;
 
     private final BudgetSettings settings;
-    private final Settings site;
+    private final BalancerSettings site;
     private final RandomGenerator random;
-    private final Notices notices;
-    private final TokenBudget tokens;
-    private final GrantTable grants = new GrantTable();
-    private final SafeDeadline deadlines;
-    private final WorthScale scale;
-    private final WorthGate gate;
-    private final LoopLog loops = new LoopLog();
-    private final Quantile way = new Quantile();
-    private final Quantile[] needs;
+    private final BudgetEvents notices;
+    private final RetryBudget tokens;
+    private final SharedBudgets grants = new SharedBudgets();
+    private final DefaultDeadline deadlines;
+    private final PriorityScale scale;
+    private final PriorityAdmission gate;
+    private final LoopReporter loops = new LoopReporter();
+    private final QuantileEstimator way = new QuantileEstimator();
+    private final QuantileEstimator[] needs;
     private final long[] neededAt;
 
     // What is told once a minute.
     private long minuteEnds = Long.MIN_VALUE;
     private long byTree;
     private long byShare;
-    private final long[] stood = new long[Standing.values().length];
+    private final long[] stood = new long[AdmissionHint.values().length];
 
     /**
      * @param site what the module is told of the site
@@ -68,19 +68,22 @@
      * @param notices what is told to the operator
      */
     public Budgets(
-            BudgetSettings settings, Settings site, RandomGenerator random, Notices notices) {
+            BudgetSettings settings,
+            BalancerSettings site,
+            RandomGenerator random,
+            BudgetEvents notices) {
         this.settings = settings;
         this.site = site;
         this.random = random;
         this.notices = notices;
-        tokens = new TokenBudget(settings.share(), settings.leastPerSecond(), settings.window());
-        deadlines = new SafeDeadline(site);
-        scale = new WorthScale(site);
-        gate = new WorthGate(settings.leastAdmitted());
-        needs = new Quantile[site.classes().size()];
+        tokens = new RetryBudget(settings.share(), settings.leastPerSecond(), settings.window());
+        deadlines = new DefaultDeadline(site);
+        scale = new PriorityScale(site);
+        gate = new PriorityAdmission(settings.leastAdmitted());
+        needs = new QuantileEstimator[site.classes().size()];
         neededAt = new long[needs.length];
         for (int i = 0; i < needs.length; i++) {
-            needs[i] = new Quantile();
+            needs[i] = new QuantileEstimator();
         }
     }
 
@@ -92,15 +95,15 @@
     // ---- what happens ----
 
     /** A request has come, with its deadline and what its caller said. */
-    public CallBudget arrived(long now, Request request, Carried carried) {
+    public RequestBudget arrived(long now, Request request, PropagatedBudget carried) {
         if (carried.deadline()) {
             deadlines.waited(request.classIndex(), request.deadline() - now);
         }
         boolean repeat = carried.repeat() || request.repeat();
         double own = scale.of(now, request.classIndex(), request.tenant(), repeat);
         double worth = Double.isNaN(carried.worth()) ? own : Math.min(carried.worth(), own);
-        Standing standing = standing(now, request, carried, worth);
-        if (standing == Standing.WANTED) {
+        AdmissionHint standing = standing(now, request, carried, worth);
+        if (standing == AdmissionHint.WANTED) {
             if (repeat) {
                 tokens.spend(now);
             } else {
@@ -108,7 +111,7 @@
             }
         }
         tell(now, standing, carried);
-        return new CallBudget(
+        return new RequestBudget(
                 request,
                 carried,
                 now,
@@ -116,26 +119,29 @@
                 worth,
                 repeat,
                 attempts(now, request, carried),
-                standing == Standing.LOOP ? carried.path().plus(settings.hop()) : HopPath.EMPTY);
+                standing == AdmissionHint.LOOP
+                        ? carried.path().plus(settings.hop())
+                        : HopPath.EMPTY);
     }
 
-    private Standing standing(long now, Request request, Carried carried, double worth) {
+    private AdmissionHint standing(
+            long now, Request request, PropagatedBudget carried, double worth) {
         HopPath path = carried.path();
         if (path.has(settings.hop()) || path.hops().size() >= settings.mostHops()) {
-            return Standing.LOOP;
+            return AdmissionHint.LOOP;
         }
-        Quantile needed = needs[request.classIndex()];
+        QuantileEstimator needed = needs[request.classIndex()];
         if (now - neededAt[request.classIndex()] > NEEDS_COUNT) {
             needed.clear();
         }
         if (needed.count() >= NEEDS_KNOWN && request.deadline() - now < needed.atLeast(QUICKEST)) {
-            return Standing.NO_TIME;
+            return AdmissionHint.NO_TIME;
         }
-        return gate.admits(now, worth) ? Standing.WANTED : Standing.OVERLOAD;
+        return gate.admits(now, worth) ? AdmissionHint.WANTED : AdmissionHint.OVERLOAD;
     }
 
     /** Takes the least of what the call says and what this tier allows. */
-    private AttemptBudget attempts(long now, Request request, Carried carried) {
+    private AttemptBudget attempts(long now, Request request, PropagatedBudget carried) {
         int unsaid = site.tier() == 0 ? settings.tries() : settings.triesWithoutFields();
         int tries = carried.tries() < 0 ? unsaid : Math.min(carried.tries(), settings.tries());
         return carried.grant() == 0
@@ -150,7 +156,7 @@
     }
 
     /** The caller has gone before it was answered. */
-    public void left(long now, CallBudget call) {
+    public void left(long now, RequestBudget call) {
         if (!call.carried.deadline()) {
             deadlines.waited(call.request.classIndex(), now - call.arrivedAt);
         }
@@ -169,11 +175,11 @@
      */
     public void ended(
             long now,
-            CallBudget call,
-            Carried handed,
+            RequestBudget call,
+            PropagatedBudget handed,
             Outcome outcome,
             long latency,
-            FromBelow below) {
+            DownstreamFeedback below) {
         if (outcome.provesNotRun()) {
             call.attempts.giveBack(handed.tries(), 0);
         } else if (below.spent() >= 0) {
@@ -204,8 +210,8 @@
      * Whether an attempt may go out now; if so it is paid for. The first one may, unless it closes
      * a loop.
      */
-    public boolean mayAttempt(long now, CallBudget call) {
-        if (call.standing == Standing.LOOP) {
+    public boolean mayAttempt(long now, RequestBudget call) {
+        if (call.standing == AdmissionHint.LOOP) {
             return false;
         }
         if (call.sent > 0) {
@@ -224,13 +230,13 @@
     }
 
     /** What goes down with the attempt that was just allowed. */
-    public Carried handDown(long now, CallBudget call) {
+    public PropagatedBudget handDown(long now, RequestBudget call) {
         long left = call.request.deadline() - now;
         long margin =
                 Math.min(
                         way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (WAY_MOST * left));
         boolean last = site.tier() >= site.tiers() - 1;
-        return new Carried(
+        return new PropagatedBudget(
                 true,
                 true,
                 Math.max(LEAST_LEFT, left - margin),
@@ -243,9 +249,9 @@
 
     // ---- what the operator reads ----
 
-    private void tell(long now, Standing standing, Carried carried) {
+    private void tell(long now, AdmissionHint standing, PropagatedBudget carried) {
         stood[standing.ordinal()]++;
-        if (standing == Standing.LOOP) {
+        if (standing == AdmissionHint.LOOP) {
             long more = loops.due(now, carried.path().from(settings.hop()));
             if (more >= 0) {
                 notices.loop(carried.path().plus(settings.hop()), more);
@@ -260,12 +266,12 @@
     }
 
     private void minute() {
-        long overload = stood[Standing.OVERLOAD.ordinal()];
-        long noTime = stood[Standing.NO_TIME.ordinal()];
+        long overload = stood[AdmissionHint.OVERLOAD.ordinal()];
+        long noTime = stood[AdmissionHint.NO_TIME.ordinal()];
         if (overload + noTime + byTree + byShare > 0) {
             notices.minute(
-                    new Notices.Minute(
-                            stood[Standing.WANTED.ordinal()] + overload + noTime,
+                    new BudgetEvents.Minute(
+                            stood[AdmissionHint.WANTED.ordinal()] + overload + noTime,
                             byTree,
                             byShare,
                             overload,
--- a/core/src/main/java/cedarrudder/budget/SafeDeadline.java
+++ b/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
@@ -1,7 +1,7 @@
 package cedarrudder.budget;
 
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
 
 /**
  * How long a call that doesn't say may take: what the least patient tenth of the callers of its
@@ -11,25 +11,25 @@
  * <p>Guards against work that goes on when nobody waits any more, and against callers who say
  * nonsense moving the others' time out of bounds.
  */
-final class SafeDeadline {
+final class DefaultDeadline {
 
     private static final int KNOWN = 20;
     private static final double IMPATIENT = 0.1;
 
-    private final Quantile[] waits;
+    private final QuantileEstimator[] waits;
     private final long[] least;
     private final long[] most;
 
-    SafeDeadline(Settings site) {
+    DefaultDeadline(BalancerSettings site) {
         int classes = site.classes().size();
-        waits = new Quantile[classes];
+        waits = new QuantileEstimator[classes];
         least = new long[classes];
         most = new long[classes];
         int tiers = Math.max(1, site.tiers());
         double ahead = Math.max(1, tiers - site.tier()) / (double) tiers;
         for (int i = 0; i < classes; i++) {
             RequestClass kind = site.classes().get(i);
-            waits[i] = new Quantile();
+            waits[i] = new QuantileEstimator();
             least[i] = Math.max(1, (long) (ahead * Math.min(kind.aim(), kind.deadline())));
             most[i] = Math.max(1, (long) (ahead * kind.deadline()));
         }
@@ -42,7 +42,7 @@
 
     /** The safe wait for a call of this class, in nanoseconds. */
     long of(int classIndex) {
-        Quantile seen = waits[classIndex];
+        QuantileEstimator seen = waits[classIndex];
         return seen.count() < KNOWN
                 ? most[classIndex]
                 : Math.max(least[classIndex], Math.min(most[classIndex], seen.atLeast(IMPATIENT)));
--- a/core/src/main/java/cedarrudder/budget/FromBelow.java
+++ b/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
@@ -7,10 +7,11 @@
  * @param why why the call wasn't served; {@link Why#NOT_SAID} also where it was
  * @param path the path that closes a loop; empty where there is none
  */
-public record FromBelow(int spent, Why why, HopPath path) {
+public record DownstreamFeedback(int spent, Why why, HopPath path) {
 
     /** An answer that says nothing. */
-    public static final FromBelow NOTHING = new FromBelow(-1, Why.NOT_SAID, HopPath.EMPTY);
+    public static final DownstreamFeedback NOTHING =
+            new DownstreamFeedback(-1, Why.NOT_SAID, HopPath.EMPTY);
 
     /** Why a call was not served. */
     public enum Why {
--- a/core/src/main/java/cedarrudder/budget/LoopLog.java
+++ b/core/src/main/java/cedarrudder/budget/LoopReporter.java
@@ -7,7 +7,7 @@
  * Which refusals of a loop get a line in the log: the first, and one a minute with the count since
  * then. Guards against a loop, which brings a request each time round, filling the log.
  */
-final class LoopLog {
+final class LoopReporter {
 
     /** So many loops are remembered; more at a time are no misconfiguration but forged. */
     static final int MOST = 64;
--- a/core/src/main/java/cedarrudder/budget/WorthGate.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
@@ -6,7 +6,7 @@
  * what came lately finds the level that lets the wanted share through; the share falls by a factor
  * and rises by steps.
  */
-final class WorthGate {
+final class PriorityAdmission {
 
     private static final int BUCKETS = 64;
 
@@ -37,7 +37,7 @@
     private long overloads;
     private double carry;
 
-    WorthGate(double least) {
+    PriorityAdmission(double least) {
         this.least = least;
     }
 
--- a/core/src/main/java/cedarrudder/budget/WorthScale.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityScale.java
@@ -1,7 +1,7 @@
 package cedarrudder.budget;
 
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
 import java.util.List;
 
 /**
@@ -11,7 +11,7 @@
  * <p>Where the site counts worth by request, the work is what the class's answers have lately
  * taken, or the aims of the classes as long as that isn't known of all.
  */
-final class WorthScale {
+final class PriorityScale {
 
     /** A repeat is more often too late for its aim, and its first try has cost already. */
     private static final double REPEAT = 0.8;
@@ -22,7 +22,7 @@
     private static final int KNOWN = 20;
     private static final double NEWEST = 0.05;
 
-    private final Settings site;
+    private final BalancerSettings site;
     private final boolean byWork;
     private final double[] worth;
     private final double[] means;
@@ -30,7 +30,7 @@
     private final double[] shares;
     private final long[] sharesAt;
 
-    WorthScale(Settings site) {
+    PriorityScale(BalancerSettings site) {
         this.site = site;
         byWork = site.goal().worthByWork();
         int classes = site.classes().size();
--- a/core/src/main/java/cedarrudder/budget/Carried.java
+++ b/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
@@ -14,7 +14,7 @@
  * @param repeat whether this is part of what a client or a tier above sends again
  * @param path the tiers passed
  */
-public record Carried(
+public record PropagatedBudget(
         boolean spoken,
         boolean deadline,
         long left,
@@ -25,19 +25,19 @@
         HopPath path) {
 
     /** What is known of a call whose caller speaks none of this and said how long it waits. */
-    public static final Carried NOTHING =
-            new Carried(false, true, 0, -1, 0, Double.NaN, false, HopPath.EMPTY);
+    public static final PropagatedBudget NOTHING =
+            new PropagatedBudget(false, true, 0, -1, 0, Double.NaN, false, HopPath.EMPTY);
 
     /** The same, some nanoseconds later. */
-    public Carried after(long elapsed) {
-        return new Carried(
+    public PropagatedBudget after(long elapsed) {
+        return new PropagatedBudget(
                 spoken, deadline, Math.max(1, left - elapsed), tries, grant, worth, repeat, path);
     }
 
     /** The same of a caller that said, or didn't say, how long it waits. */
-    public Carried withDeadline(boolean said) {
+    public PropagatedBudget withDeadline(boolean said) {
         return said == deadline
                 ? this
-                : new Carried(spoken, said, left, tries, grant, worth, repeat, path);
+                : new PropagatedBudget(spoken, said, left, tries, grant, worth, repeat, path);
     }
 }
--- a/core/src/main/java/cedarrudder/budget/Quantile.java
+++ b/core/src/main/java/cedarrudder/budget/QuantileEstimator.java
@@ -10,7 +10,7 @@
  * <p>All counts are halved whenever they reach 512 in all, so that the latest few hundred values
  * count most. Adding costs one logarithm, asking a walk over 96 counts.
  */
-final class Quantile {
+final class QuantileEstimator {
 
     private static final double LEAST = 100_000;
     private static final int PER_OCTAVE = 4;
--- a/core/src/main/java/cedarrudder/budget/CallBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RequestBudget.java
@@ -1,19 +1,19 @@
 package cedarrudder.budget;
 
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.Standing;
-import cedarrudder.budget.FromBelow.Why;
+import cedarrudder.balancer.LoadBalancer.AdmissionHint;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.budget.DownstreamFeedback.Why;
 
 /**
  * What one request may still cost at this tier and below, and what became of it. {@link Budgets}
  * keeps it.
  */
-public final class CallBudget {
+public final class RequestBudget {
 
     final Request request;
-    final Carried carried;
+    final PropagatedBudget carried;
     final long arrivedAt;
-    final Standing standing;
+    final AdmissionHint standing;
     final double worth;
     final boolean repeat;
     final AttemptBudget attempts;
@@ -33,11 +33,11 @@
     /** The path that closes a loop; empty where there is none. */
     HopPath loop;
 
-    CallBudget(
+    RequestBudget(
             Request request,
-            Carried carried,
+            PropagatedBudget carried,
             long arrivedAt,
-            Standing standing,
+            AdmissionHint standing,
             double worth,
             boolean repeat,
             AttemptBudget attempts,
@@ -53,7 +53,7 @@
     }
 
     /** What the module is told of it. */
-    public Standing standing() {
+    public AdmissionHint standing() {
         return standing;
     }
 
@@ -66,24 +66,24 @@
      * What goes up with the answer that serves it; null where the caller doesn't speak these
      * fields.
      */
-    public FromBelow served() {
+    public DownstreamFeedback served() {
         return up(Why.NOT_SAID);
     }
 
     /** What goes up with a refusal; null where the caller doesn't speak these fields. */
-    public FromBelow refused() {
+    public DownstreamFeedback refused() {
         Why why = why();
         // Turned away by the module itself before anything was sent: there was no room for it.
         return up(why == Why.NOT_SAID && sent == 0 ? Why.OVERLOAD : why);
     }
 
     /** What goes up with a failure; null where the caller doesn't speak these fields. */
-    public FromBelow failed() {
+    public DownstreamFeedback failed() {
         return up(why());
     }
 
-    private FromBelow up(Why why) {
-        return carried.spoken() ? new FromBelow(attempts.spent(), why, loop) : null;
+    private DownstreamFeedback up(Why why) {
+        return carried.spoken() ? new DownstreamFeedback(attempts.spent(), why, loop) : null;
     }
 
     private Why why() {
--- a/core/src/main/java/cedarrudder/budget/TokenBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RetryBudget.java
@@ -7,7 +7,7 @@
  *
  * <p>The window has ten slots; a slot leaves it as a whole.
  */
-final class TokenBudget {
+final class RetryBudget {
 
     private static final int SLOTS = 10;
 
@@ -20,7 +20,7 @@
     private long firstInAll;
     private long spentInAll;
 
-    TokenBudget(double share, double leastPerSecond, long window) {
+    RetryBudget(double share, double leastPerSecond, long window) {
         this.share = share;
         this.least = leastPerSecond * window / 1e9;
         this.slotLength = Math.max(1, window / SLOTS);
--- a/core/src/main/java/cedarrudder/budget/GrantTable.java
+++ b/core/src/main/java/cedarrudder/budget/SharedBudgets.java
@@ -8,7 +8,7 @@
  * Which calls share one budget. A node copies what it was handed to each of its calls, and the same
  * request may come by two paths: under one grant there is one budget, whatever the calls say.
  */
-final class GrantTable {
+final class SharedBudgets {
 
     /** At 1,000 calls a second with a deadline of 5 s a third of this is in use. */
     static final int MOST = 16_384;
--- a/core/src/main/java/cedarrudder/agreement/Proposers.java
+++ b/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -11,7 +11,7 @@
  * before it. It remembers {@value #MOST} copies; of one that it forgot, it takes only what was made
  * after it forgot.
  */
-final class Proposers {
+final class AppliedProposals {
 
     static final int MOST = 512;
 
@@ -23,15 +23,15 @@
      *
      * @param number under which it did
      */
-    record Last(long life, long sequence, LogNumber number) {}
+    record Last(long life, long sequence, LogPosition number) {}
 
     /** What a snapshot holds: these, and the state of the copy. */
-    record Parts(Proposers proposers, byte[] state) {}
+    record Parts(AppliedProposals proposers, byte[] state) {}
 
     /** Those whose last one is oldest come first. */
     private final Map<Integer, Last> lasts = new LinkedHashMap<>();
 
-    private LogNumber forgotten = new LogNumber(Group.NONE, 0);
+    private LogPosition forgotten = new LogPosition(VoterGroup.NONE, 0);
 
     /** The last one of a copy that took effect; null where none did or it was forgotten. */
     Last last(int copy) {
@@ -48,7 +48,7 @@
     }
 
     /** It takes effect. */
-    void took(Proposal proposal, LogNumber number) {
+    void took(Proposal proposal, LogPosition number) {
         lasts.remove(proposal.copy());
         lasts.put(proposal.copy(), new Last(proposal.life(), proposal.sequence(), number));
         if (lasts.size() > MOST) {
@@ -77,7 +77,7 @@
     /** Reads what a snapshot holds; null where the bytes are none. */
     static Parts decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        Proposers read = new Proposers();
+        AppliedProposals read = new AppliedProposals();
         try {
             int count = bytes.length == 0 ? 0 : in.getShort() & 0xffff;
             if (bytes.length > 0) {
@@ -89,7 +89,7 @@
             }
             byte[] state = new byte[in.remaining()];
             in.get(state);
-            return count > MOST || state.length > Agreement.MOST_STATE
+            return count > MOST || state.length > RaftNode.MOST_STATE
                     ? null
                     : new Parts(read, state);
         } catch (BufferUnderflowException e) {
--- a/core/src/main/java/cedarrudder/agreement/Allowance.java
+++ b/core/src/main/java/cedarrudder/consensus/ByteRateLimiter.java
@@ -1,10 +1,10 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /**
  * How many bytes may still be spent on others: so many a second, and at most those of one second at
  * once.
  */
-final class Allowance {
+final class ByteRateLimiter {
 
     private static final double SECOND = 1e9;
 
@@ -12,7 +12,7 @@
     private double left;
     private long at;
 
-    Allowance(int perSecond, long now) {
+    ByteRateLimiter(int perSecond, long now) {
         this.perSecond = perSecond;
         this.left = perSecond;
         this.at = now;
--- a/core/src/main/java/cedarrudder/agreement/AgreementSettings.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /**
  * The figures of agreement. Times are nanoseconds.
@@ -17,7 +17,7 @@
  * @param keptEntries how many committed entries it keeps for others; at least 8
  * @param silence after which a copy that hears of no leader forms a new group; 0 is never
  */
-public record AgreementSettings(
+public record ConsensusSettings(
         long heartbeat,
         long electionLeast,
         long electionMost,
@@ -32,8 +32,8 @@
     private static final long MILLI = 1_000_000L;
 
     /** What serves where nothing else is said. */
-    public static final AgreementSettings DEFAULT =
-            new AgreementSettings(
+    public static final ConsensusSettings DEFAULT =
+            new ConsensusSettings(
                     150 * MILLI,
                     600 * MILLI,
                     1_200 * MILLI,
@@ -46,7 +46,7 @@
                     0);
 
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
-    public AgreementSettings {
+    public ConsensusSettings {
         check(heartbeat >= MILLI, "heartbeat", heartbeat, "1 ms or more");
         check(
                 electionLeast >= 3 * heartbeat,
@@ -68,8 +68,8 @@
     }
 
     /** The same with another silence. */
-    public AgreementSettings silence(long other) {
-        return new AgreementSettings(
+    public ConsensusSettings silence(long other) {
+        return new ConsensusSettings(
                 heartbeat,
                 electionLeast,
                 electionMost,
--- a/core/src/main/java/cedarrudder/agreement/Election.java
+++ b/core/src/main/java/cedarrudder/consensus/Election.java
@@ -1,7 +1,7 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
-import cedarrudder.agreement.Message.AskVote;
-import cedarrudder.agreement.Message.SayVote;
+import cedarrudder.consensus.RaftMessage.AskVote;
+import cedarrudder.consensus.RaftMessage.SayVote;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.random.RandomGenerator;
@@ -17,9 +17,9 @@
         LEADS
     }
 
-    private final Circle circle;
-    private final AgreementSettings settings;
-    private final Conduct conduct;
+    private final RaftContext circle;
+    private final ConsensusSettings settings;
+    private final SafetyRules conduct;
     private final RandomGenerator random;
     private final Set<Voter> granted = new HashSet<>();
     private Role role = Role.FOLLOWS;
@@ -33,9 +33,9 @@
     private boolean called;
 
     Election(
-            Circle circle,
-            AgreementSettings settings,
-            Conduct conduct,
+            RaftContext circle,
+            ConsensusSettings settings,
+            SafetyRules conduct,
             RandomGenerator random,
             long now) {
         this.circle = circle;
@@ -46,7 +46,7 @@
         putOff(now);
     }
 
-    void remember(Store.Promise promise) {
+    void remember(StableStorage.Promise promise) {
         term = promise.term();
         vote = promise.vote();
         sworn = promise.sworn();
@@ -169,7 +169,7 @@
             term++;
             vote = circle.self();
             circle.promised();
-            circle.note(new Note.Voted(circle.group(), term, vote, vote));
+            circle.note(new ConsensusEvent.Voted(circle.group(), term, vote, vote));
         }
         putOff(now);
         ask(now);
@@ -179,7 +179,7 @@
     private void ask(long now) {
         askAt = now + settings.heartbeat();
         boolean ahead = role == Role.ASKS_AHEAD;
-        Log log = circle.log();
+        RaftLog log = circle.log();
         for (Voter voter : log.voters().all()) {
             if (!granted.contains(voter)) {
                 circle.post(
@@ -198,7 +198,7 @@
             begin(now, Role.ASKS);
         } else if (role == Role.ASKS) {
             role = Role.LEADS;
-            circle.note(new Note.Leads(circle.group(), term, circle.self()));
+            circle.note(new ConsensusEvent.Leads(circle.group(), term, circle.self()));
         }
     }
 
@@ -206,7 +206,7 @@
         if (content(now) && !ask.called()) {
             return;
         }
-        Log log = circle.log();
+        RaftLog log = circle.log();
         long ownTerm = log.term(log.last());
         boolean upToDate =
                 ask.lastTerm() > ownTerm
@@ -224,7 +224,7 @@
         if (grants && vote == null) {
             vote = by;
             circle.promised();
-            circle.note(new Note.Voted(circle.group(), term, circle.self(), by));
+            circle.note(new ConsensusEvent.Voted(circle.group(), term, circle.self(), by));
         }
         if (grants) {
             putOff(now);
--- a/core/src/main/java/cedarrudder/agreement/Contact.java
+++ b/core/src/main/java/cedarrudder/consensus/LeaderContact.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /**
  * Since when a leader was surely in office, as far as that has come to this copy: an instant of its
@@ -9,17 +9,17 @@
  * unread, so an age counts from the instant at which this copy asked for it, never from when it
  * came.
  */
-final class Contact {
+final class LeaderContact {
 
     static final long UNKNOWN = Long.MIN_VALUE;
 
     private static final long MILLI = 1_000_000L;
 
-    private final Conduct conduct;
+    private final SafetyRules conduct;
     private long since = UNKNOWN;
     private long index;
 
-    Contact(Conduct conduct) {
+    LeaderContact(SafetyRules conduct) {
         this.conduct = conduct;
     }
 
--- a/core/src/main/java/cedarrudder/agreement/Spreading.java
+++ b/core/src/main/java/cedarrudder/consensus/LogDissemination.java
@@ -1,10 +1,10 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
-import cedarrudder.agreement.Message.Ask;
-import cedarrudder.agreement.Message.Chunk;
-import cedarrudder.agreement.Message.Digest;
-import cedarrudder.agreement.Message.News;
-import cedarrudder.agreement.Message.Sure;
+import cedarrudder.consensus.RaftMessage.Ask;
+import cedarrudder.consensus.RaftMessage.Chunk;
+import cedarrudder.consensus.RaftMessage.Digest;
+import cedarrudder.consensus.RaftMessage.News;
+import cedarrudder.consensus.RaftMessage.Sure;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -15,7 +15,7 @@
  * and each copy tells another now and then what it has, so that the one that lacks something asks
  * for it (Demers and others 1987). What a copy sends does not depend on how many there are.
  */
-final class Spreading {
+final class LogDissemination {
 
     private static final int MOST_PUSHED = 2_048;
     private static final int MOST_NEWS = 4_096;
@@ -39,13 +39,13 @@
     /** A snapshot of which the beginning is there. */
     private record Fetch(Chunk first, byte[] state, int got) {}
 
-    private final Circle circle;
-    private final AgreementSettings settings;
-    private final Tier tier;
+    private final RaftContext circle;
+    private final ConsensusSettings settings;
+    private final ReplicaDirectory tier;
     private final RandomGenerator random;
-    private final Allowance allowance;
-    private final Contact contact;
-    private final Asks asks;
+    private final ByteRateLimiter allowance;
+    private final LeaderContact contact;
+    private final PendingQueries asks;
     private Fetch fetch;
     private long askedAt;
     private long digestAt;
@@ -56,13 +56,13 @@
     private long beatAt;
     private int leader = -1;
 
-    Spreading(
-            Circle circle,
-            AgreementSettings settings,
-            Tier tier,
+    LogDissemination(
+            RaftContext circle,
+            ConsensusSettings settings,
+            ReplicaDirectory tier,
             RandomGenerator random,
-            Allowance allowance,
-            Contact contact,
+            ByteRateLimiter allowance,
+            LeaderContact contact,
             long now) {
         this.circle = circle;
         this.settings = settings;
@@ -70,7 +70,7 @@
         this.random = random;
         this.allowance = allowance;
         this.contact = contact;
-        this.asks = new Asks(random);
+        this.asks = new PendingQueries(random);
         this.digestAt = now + (long) (random.nextDouble() * settings.spreadPeriod());
         this.askedAt = now - PATIENCE;
         this.repliedAt = now - REPLIES;
@@ -162,13 +162,13 @@
 
     /** Whether this one answers what was asked of it. */
     boolean answers(int by, Sure sure) {
-        return asks.at(by, sure.answers()) != Asks.NEVER;
+        return asks.at(by, sure.answers()) != PendingQueries.NEVER;
     }
 
     /** Takes a contact, where this copy has loaded all that it is of. */
     void took(long now, int from, Sure sure) {
         long askedAt = asks.at(from, sure.answers());
-        if (askedAt != Asks.NEVER
+        if (askedAt != PendingQueries.NEVER
                 && sure.age() >= 0
                 && circle.log().committed() >= sure.committed()) {
             contact.told(now, askedAt, sure.age(), sure.committed());
@@ -181,13 +181,13 @@
         int own = contact.age(now);
         int other = digest.age();
         if (own >= 0 && (other < 0 || own + margin < other)) {
-            if (allowance.spend(now, Piece.HEAD)) {
+            if (allowance.spend(now, MessageFragment.HEAD)) {
                 answer(now, from, digest);
             }
         } else if (other >= 0
                 && (own < 0 || other + margin < own)
                 && digest.committed() <= circle.log().committed()
-                && allowance.spend(now, Piece.HEAD)) {
+                && allowance.spend(now, MessageFragment.HEAD)) {
             tell(now, from);
         }
     }
@@ -196,7 +196,7 @@
      * More is committed than up to there: passes it on at once, or says that there is something.
      */
     void learned(long now, long from) {
-        Log log = circle.log();
+        RaftLog log = circle.log();
         boolean small = from >= log.base();
         News news = small ? news(from, MOST_PUSHED) : null;
         small = small && from + news.entries().size() == log.committed();
@@ -213,11 +213,11 @@
     }
 
     private News news(long after, int most) {
-        Log log = circle.log();
-        List<Entry> entries = new ArrayList<>();
+        RaftLog log = circle.log();
+        List<LogEntry> entries = new ArrayList<>();
         int bytes = 0;
         for (long i = after + 1; i <= log.committed(); i++) {
-            bytes += Message.size(log.entry(i));
+            bytes += RaftMessage.size(log.entry(i));
             if (bytes > most && !(entries.isEmpty() && most == MOST_NEWS)) {
                 break;
             }
@@ -226,8 +226,8 @@
         return new News(after, entries);
     }
 
-    private static int size(List<Entry> entries) {
-        return Piece.HEAD + entries.stream().mapToInt(Message::size).sum();
+    private static int size(List<LogEntry> entries) {
+        return MessageFragment.HEAD + entries.stream().mapToInt(RaftMessage::size).sum();
     }
 
     void told(long now, int from, Digest digest) {
@@ -242,7 +242,7 @@
         } else {
             compare(now, from, digest);
         }
-        Log log = circle.log();
+        RaftLog log = circle.log();
         if (digest.committed() > log.committed()) {
             ask(now, from);
         } else if (digest.committed() < log.committed()) {
@@ -275,7 +275,7 @@
     }
 
     void asked(long now, int by, Ask ask) {
-        Log log = circle.log();
+        RaftLog log = circle.log();
         if (ask.after() >= log.committed()) {
             return;
         }
@@ -290,14 +290,14 @@
                         ? ask.offset()
                         : 0;
         int end = Math.min(state.length, offset + CHUNK);
-        if (allowance.spend(now, Piece.HEAD + end - offset)) {
+        if (allowance.spend(now, MessageFragment.HEAD + end - offset)) {
             circle.post(
                     by,
                     new Chunk(
                             snapshot.index(),
                             snapshot.term(),
                             snapshot.voters(),
-                            Piece.checksum(state, 0, state.length),
+                            MessageFragment.checksum(state, 0, state.length),
                             state.length,
                             offset,
                             Arrays.copyOfRange(state, offset, end)));
@@ -306,7 +306,7 @@
 
     /** Takes committed entries. */
     void took(long now, int from, News news) {
-        Log log = circle.log();
+        RaftLog log = circle.log();
         if (news.after() > log.committed()) {
             ask(now, from);
             return;
@@ -316,13 +316,13 @@
             return;
         }
         for (long i = log.committed() + 1; i <= end; i++) {
-            Entry entry = news.entries().get((int) (i - news.after() - 1));
+            LogEntry entry = news.entries().get((int) (i - news.after() - 1));
             if (log.term(i) != entry.term()) {
                 if (i <= log.last()) {
                     log.cut(i);
                 }
                 log.append(entry);
-                circle.note(new Note.Stored(circle.group(), i, circle.self(), entry));
+                circle.note(new ConsensusEvent.Stored(circle.group(), i, circle.self(), entry));
             }
         }
         log.commit(end);
@@ -361,7 +361,7 @@
         }
         Fetch whole = fetch;
         fetch = null;
-        return Piece.checksum(whole.state, 0, whole.got) != chunk.sum()
+        return MessageFragment.checksum(whole.state, 0, whole.got) != chunk.sum()
                 ? null
                 : new Snapshot(chunk.index(), chunk.term(), chunk.voters(), whole.state);
     }
--- a/core/src/main/java/cedarrudder/agreement/Entry.java
+++ b/core/src/main/java/cedarrudder/consensus/LogEntry.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /**
  * One entry of the log.
@@ -6,7 +6,7 @@
  * @param term that of the leader who made it
  * @param bytes what it holds; not to be changed
  */
-public record Entry(long term, Kind kind, byte[] bytes) {
+public record LogEntry(long term, Kind kind, byte[] bytes) {
 
     /** What an entry is for. */
     public enum Kind {
--- a/core/src/main/java/cedarrudder/agreement/Replication.java
+++ b/core/src/main/java/cedarrudder/consensus/LogReplication.java
@@ -1,7 +1,7 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
-import cedarrudder.agreement.Message.Append;
-import cedarrudder.agreement.Message.SayAppend;
+import cedarrudder.consensus.RaftMessage.Append;
+import cedarrudder.consensus.RaftMessage.SayAppend;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * What a leader does in its term: sends entries to the other voters, and counts who has them
  * (paper, 5.3).
  */
-final class Replication {
+final class LogReplication {
 
     /** Entries in one message take at most so many bytes, or there is one. */
     static final int MOST_BATCH = 4_096;
@@ -42,7 +42,7 @@
         long probeAt;
 
         /** When it was sent what it answered last. */
-        long askedAt = Asks.NEVER;
+        long askedAt = PendingQueries.NEVER;
 
         boolean underWay;
         long answeredAt;
@@ -53,27 +53,27 @@
         }
     }
 
-    private final Circle circle;
-    private final AgreementSettings settings;
-    private final Conduct conduct;
+    private final RaftContext circle;
+    private final ConsensusSettings settings;
+    private final SafetyRules conduct;
     private final Map<Voter, Progress> others = new HashMap<>();
-    private final Asks asks;
+    private final PendingQueries asks;
     private int ask;
     private Voter trainee;
     private long heartbeatAt;
 
-    Replication(
-            Circle circle,
-            AgreementSettings settings,
-            Conduct conduct,
+    LogReplication(
+            RaftContext circle,
+            ConsensusSettings settings,
+            SafetyRules conduct,
             RandomGenerator random,
             long now) {
         this.circle = circle;
         this.settings = settings;
         this.conduct = conduct;
         this.heartbeatAt = now;
-        this.asks = new Asks(random);
-        this.ask = asks.ask(now, Asks.ANY);
+        this.asks = new PendingQueries(random);
+        this.ask = asks.ask(now, PendingQueries.ANY);
         targets().forEach(voter -> progress(now, voter));
     }
 
@@ -121,7 +121,7 @@
 
     /**
      * The latest instant at which something was sent that a majority has answered: until then
-     * nobody else had been elected. {@link Asks#NEVER} where none has.
+     * nobody else had been elected. {@link PendingQueries#NEVER} where none has.
      */
     long answeredSince(long now) {
         List<Long> asked =
@@ -133,7 +133,7 @@
                                                 : progress(now, voter).askedAt)
                         .sorted(Comparator.reverseOrder())
                         .toList();
-        return asked.isEmpty() ? Asks.NEVER : asked.get(asked.size() / 2);
+        return asked.isEmpty() ? PendingQueries.NEVER : asked.get(asked.size() / 2);
     }
 
     long due() {
@@ -153,7 +153,7 @@
         }
         heartbeatAt = now + settings.heartbeat();
         others.keySet().retainAll(targets());
-        ask = asks.ask(now, Asks.ANY);
+        ask = asks.ask(now, PendingQueries.ANY);
         for (Voter voter : targets()) {
             send(now, voter, true);
         }
@@ -164,7 +164,7 @@
         Progress progress = progress(now, to);
         if (progress.underWay && now >= progress.probeAt) {
             progress.probeAt = now + 2 * Math.max(PROBE, progress.probeAt - progress.sentAt);
-            Log log = circle.log();
+            RaftLog log = circle.log();
             if (progress.sentEnd >= log.base()) {
                 circle.post(
                         to.copy(),
@@ -187,7 +187,7 @@
     }
 
     private void send(long now, Voter to, boolean beats) {
-        Log log = circle.log();
+        RaftLog log = circle.log();
         Progress progress = progress(now, to);
         boolean waits =
                 progress.underWay
@@ -206,11 +206,11 @@
             }
             return;
         }
-        List<Entry> batch = new ArrayList<>();
+        List<LogEntry> batch = new ArrayList<>();
         int bytes = 0;
         for (long i = progress.next; i <= log.last(); i++) {
-            Entry entry = log.entry(i);
-            bytes += Message.size(entry);
+            LogEntry entry = log.entry(i);
+            bytes += RaftMessage.size(entry);
             if (!batch.isEmpty() && bytes > MOST_BATCH) {
                 break;
             }
@@ -231,7 +231,7 @@
         }
         progress.answeredAt = now;
         progress.askedAt = Math.max(progress.askedAt, asks.at(by.copy(), say.answers()));
-        Log log = circle.log();
+        RaftLog log = circle.log();
         if (say.same()) {
             if (say.index() > progress.match && say.index() <= log.last()) {
                 progress.match = say.index();
@@ -253,7 +253,7 @@
      * that adds it.
      */
     private void count(long now) {
-        Log log = circle.log();
+        RaftLog log = circle.log();
         for (long i = log.last(); i > log.committed(); i--) {
             long index = i;
             if (conduct.counts(log.term(i), circle.term())
--- a/core/src/main/java/cedarrudder/agreement/Piece.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragment.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
@@ -15,8 +15,8 @@
  * @param place which piece it is, from 0
  * @param whole the checksum (CRC32C) of the message
  */
-record Piece(
-        Group group,
+record MessageFragment(
+        VoterGroup group,
         long term,
         int sender,
         long life,
@@ -54,7 +54,7 @@
     }
 
     /** Reads a piece; null where the bytes are none. */
-    static Piece decode(byte[] bytes, int copies) {
+    static MessageFragment decode(byte[] bytes, int copies) {
         if (bytes.length <= HEAD + TAIL || bytes.length > MOST_BYTES || bytes[0] != FIRST) {
             return null;
         }
@@ -62,7 +62,7 @@
         if (in.getInt(bytes.length - TAIL) != checksum(bytes, 0, bytes.length - TAIL)) {
             return null;
         }
-        Group group = new Group(in.getInt(), in.getShort() & U16, in.getLong());
+        VoterGroup group = new VoterGroup(in.getInt(), in.getShort() & U16, in.getLong());
         long term = in.getLong();
         int sender = in.getShort() & U16;
         long life = in.getLong();
@@ -83,7 +83,7 @@
                         && count <= MOST_COUNT
                         && (place == count - 1 || part.length == MOST_PART);
         return good
-                ? new Piece(group, term, sender, life, message, place, count, whole, part)
+                ? new MessageFragment(group, term, sender, life, message, place, count, whole, part)
                 : null;
     }
 
--- a/core/src/main/java/cedarrudder/agreement/Pieces.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
  * by piece, where the one who gets it says which have not come. All that it holds is bounded,
  * whatever comes.
  */
-final class Pieces {
+final class MessageFragmenter {
 
     /** Messages that are not whole yet. Guards against work and memory without end for a flood. */
     private static final int MOST_PARTIAL = 16;
@@ -28,14 +28,14 @@
 
     /** A message of which some pieces have come. */
     private static final class Partial {
-        final Piece first;
+        final MessageFragment first;
         final byte[][] parts;
         int got;
         int lacks;
         long lackAt;
         long staleAt;
 
-        Partial(Piece first) {
+        Partial(MessageFragment first) {
             this.first = first;
             this.parts = new byte[first.count()][];
         }
@@ -45,7 +45,7 @@
 
     private record Sent(int to, int message, List<byte[]> pieces) {}
 
-    private final Conduct conduct;
+    private final SafetyRules conduct;
     private final List<Partial> partials = new ArrayList<>();
     private final Deque<Done> done = new ArrayDeque<>();
     private final Deque<Sent> sent = new ArrayDeque<>();
@@ -55,24 +55,33 @@
      * @param first the number of the first message; a process that goes on with a life needs others
      *     than before
      */
-    Pieces(Conduct conduct, int first) {
+    MessageFragmenter(SafetyRules conduct, int first) {
         this.conduct = conduct;
         this.messages = first;
     }
 
-    List<byte[]> cut(Group group, long term, Voter self, int to, byte[] message) {
-        int count = (message.length + Piece.MOST_PART - 1) / Piece.MOST_PART;
-        int whole = Piece.checksum(message, 0, message.length);
+    List<byte[]> cut(VoterGroup group, long term, Voter self, int to, byte[] message) {
+        int count = (message.length + MessageFragment.MOST_PART - 1) / MessageFragment.MOST_PART;
+        int whole = MessageFragment.checksum(message, 0, message.length);
         int number = messages++;
         List<byte[]> pieces = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             byte[] part =
                     Arrays.copyOfRange(
                             message,
-                            i * Piece.MOST_PART,
-                            Math.min(message.length, (i + 1) * Piece.MOST_PART));
+                            i * MessageFragment.MOST_PART,
+                            Math.min(message.length, (i + 1) * MessageFragment.MOST_PART));
             pieces.add(
-                    new Piece(group, term, self.copy(), self.life(), number, i, count, whole, part)
+                    new MessageFragment(
+                                    group,
+                                    term,
+                                    self.copy(),
+                                    self.life(),
+                                    number,
+                                    i,
+                                    count,
+                                    whole,
+                                    part)
                             .encode());
         }
         if (count > 1) {
@@ -85,7 +94,7 @@
     }
 
     /** The pieces of a message that this one says it lacks. */
-    List<byte[]> again(int to, Message.Lack lack) {
+    List<byte[]> again(int to, RaftMessage.Lack lack) {
         for (Sent each : sent) {
             if (each.to == to && each.message == lack.message()) {
                 return BitSet.valueOf(lack.missing()).stream()
@@ -98,7 +107,7 @@
     }
 
     /** Takes a piece; returns the message when it is whole, else null. */
-    byte[] take(long now, Piece piece) {
+    byte[] take(long now, MessageFragment piece) {
         if (piece.count() == 1) {
             return piece.part();
         }
@@ -127,7 +136,7 @@
         return conduct.intact(partial.first, message) ? message : null;
     }
 
-    private Partial held(Piece piece) {
+    private Partial held(MessageFragment piece) {
         for (Partial each : partials) {
             if (each.first.sender() == piece.sender() && conduct.same(each.first, piece)) {
                 return each;
@@ -151,7 +160,7 @@
     }
 
     /** What is to be asked for again, and of whom. */
-    record Wanted(int of, Message.Lack lack) {}
+    record Wanted(int of, RaftMessage.Lack lack) {}
 
     /** Drops what is stale and says what is missing of the rest. */
     List<Wanted> lacks(long now) {
@@ -169,7 +178,7 @@
                 wanted.add(
                         new Wanted(
                                 each.first.sender(),
-                                new Message.Lack(each.first.message(), missing.toByteArray())));
+                                new RaftMessage.Lack(each.first.message(), missing.toByteArray())));
             }
         }
         return wanted;
--- a/core/src/main/java/cedarrudder/agreement/Asks.java
+++ b/core/src/main/java/cedarrudder/consensus/PendingQueries.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -8,7 +8,7 @@
  * What was asked lately, each with a number drawn at random. An answer that names it was made after
  * that instant, however late it comes, and by someone who had read the question.
  */
-final class Asks {
+final class PendingQueries {
 
     /** What {@link #at} says of an answer to nothing that was asked, or to what is forgotten. */
     static final long NEVER = Long.MIN_VALUE;
@@ -23,7 +23,7 @@
     private final RandomGenerator random;
     private final Deque<Asked> asked = new ArrayDeque<>();
 
-    Asks(RandomGenerator random) {
+    PendingQueries(RandomGenerator random) {
         this.random = random;
     }
 
--- a/core/src/main/java/cedarrudder/agreement/Proposal.java
+++ b/core/src/main/java/cedarrudder/consensus/Proposal.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -13,7 +13,7 @@
  * @param after what that one had loaded before it handed it on
  * @param content not to be changed
  */
-public record Proposal(int copy, long life, long sequence, LogNumber after, byte[] content) {
+public record Proposal(int copy, long life, long sequence, LogPosition after, byte[] content) {
 
     static final int NUMBER_BYTES = 22;
     private static final int U16 = 0xffff;
@@ -36,10 +36,10 @@
             int copy = in.getShort() & U16;
             long life = in.getLong();
             long sequence = in.getLong();
-            LogNumber after = number(in);
+            LogPosition after = number(in);
             byte[] content = new byte[in.remaining()];
             in.get(content);
-            return life < 1 || content.length > Agreement.MOST_HANDED
+            return life < 1 || content.length > RaftNode.MOST_HANDED
                     ? null
                     : new Proposal(copy, life, sequence, after, content);
         } catch (BufferUnderflowException e) {
@@ -47,16 +47,16 @@
         }
     }
 
-    static void put(ByteBuffer out, LogNumber number) {
-        Group group = number.group();
+    static void put(ByteBuffer out, LogPosition number) {
+        VoterGroup group = number.group();
         out.putInt(group.era())
                 .putShort((short) group.founder())
                 .putLong(group.life())
                 .putLong(number.index());
     }
 
-    static LogNumber number(ByteBuffer in) {
-        return new LogNumber(
-                new Group(in.getInt(), in.getShort() & U16, in.getLong()), in.getLong());
+    static LogPosition number(ByteBuffer in) {
+        return new LogPosition(
+                new VoterGroup(in.getInt(), in.getShort() & U16, in.getLong()), in.getLong());
     }
 }
--- a/core/src/main/java/cedarrudder/agreement/Proposing.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -8,7 +8,7 @@
  * What this copy proposes, whoever leads: handed to the leader that it knows, one after another,
  * and again where the leader changes or nothing is heard, until it has loaded what became of it.
  */
-final class Proposing {
+final class ProposalForwarder {
 
     static final int MOST_WAITING = 16;
 
@@ -32,8 +32,8 @@
         }
     }
 
-    private final Circle circle;
-    private final Agreement.Outlet outlet;
+    private final RaftContext circle;
+    private final RaftNode.Actions outlet;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private long life;
     private long sequence;
@@ -45,7 +45,7 @@
      * @param sequence after which it counts: a process that begins with a life that was there
      *     before needs others
      */
-    Proposing(Circle circle, Agreement.Outlet outlet, long life, long sequence) {
+    ProposalForwarder(RaftContext circle, RaftNode.Actions outlet, long life, long sequence) {
         this.circle = circle;
         this.outlet = outlet;
         this.life = life;
@@ -58,7 +58,7 @@
     }
 
     /** Null where too many wait. */
-    Proposal make(long now, LogNumber after, byte[] content, long patience) {
+    Proposal make(long now, LogPosition after, byte[] content, long patience) {
         if (waiting.size() >= MOST_WAITING) {
             return null;
         }
@@ -109,21 +109,21 @@
             first.handed |= circle.takes(now, first.proposal);
         } else {
             first.handed = true;
-            circle.post(leader, new Message.Hand(first.proposal));
+            circle.post(leader, new RaftMessage.Hand(first.proposal));
         }
     }
 
-    private void settle(Waiting its, LogNumber number) {
+    private void settle(Waiting its, LogPosition number) {
         outlet.settled(
                 its.proposal,
                 number != null
-                        ? Outcome.COMMITTED
-                        : its.handed ? Outcome.UNKNOWN : Outcome.NOT_TAKEN,
+                        ? ProposalOutcome.COMMITTED
+                        : its.handed ? ProposalOutcome.UNKNOWN : ProposalOutcome.NOT_TAKEN,
                 number);
     }
 
     /** The leader has one, or knows what became of it. */
-    void heard(long now, int from, Message.Took took) {
+    void heard(long now, int from, RaftMessage.Took took) {
         Waiting first = waiting.peek();
         if (first != null
                 && from == askedOf
@@ -134,7 +134,7 @@
     }
 
     /** More was loaded: says what became of the first, where that is known. */
-    void loaded(Proposers.Last last) {
+    void loaded(AppliedProposals.Last last) {
         while (last != null && !waiting.isEmpty()) {
             Waiting first = waiting.peek();
             Proposal its = first.proposal;
--- a/core/src/main/java/cedarrudder/agreement/Outcome.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalOutcome.java
@@ -1,7 +1,7 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /** What became of a proposal. */
-public enum Outcome {
+public enum ProposalOutcome {
     /** It took effect, under the number that comes with this. */
     COMMITTED,
     /** It has not taken effect and will not. */
--- a/core/src/main/java/cedarrudder/agreement/Circle.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftContext.java
@@ -1,20 +1,20 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /** What the parts of one copy's agreement have of the whole. */
-interface Circle {
+interface RaftContext {
 
     Voter self();
 
-    Group group();
+    VoterGroup group();
 
-    Log log();
+    RaftLog log();
 
     /** Sends a message in the copy's own term. */
-    default void post(int to, Message message) {
+    default void post(int to, RaftMessage message) {
         post(to, message, term());
     }
 
-    void post(int to, Message message, long term);
+    void post(int to, RaftMessage message, long term);
 
     long term();
 
@@ -30,5 +30,5 @@
     /** More is committed. */
     void advanced(long now);
 
-    void note(Note note);
+    void note(ConsensusEvent note);
 }
--- a/core/src/main/java/cedarrudder/agreement/Log.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftLog.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,24 +7,24 @@
  * The entries that a copy holds: some that are committed, kept for others, and those that may yet
  * be taken back. What lies before them is in the snapshot.
  */
-final class Log {
+final class RaftLog {
 
-    private final Store store;
-    private final List<Entry> entries = new ArrayList<>();
+    private final StableStorage store;
+    private final List<LogEntry> entries = new ArrayList<>();
     private Snapshot snapshot = Snapshot.EMPTY;
     private long base;
     private long baseTerm;
-    private Voters baseVoters = Voters.NOBODY;
-    private Voters voters = Voters.NOBODY;
+    private VoterSet baseVoters = VoterSet.NOBODY;
+    private VoterSet voters = VoterSet.NOBODY;
     private long votersAt;
     private long committed;
 
-    Log(Store store) {
+    RaftLog(StableStorage store) {
         this.store = store;
     }
 
     /** Takes what was read back, which is in the store. */
-    void remember(Snapshot of, List<Entry> after) {
+    void remember(Snapshot of, List<LogEntry> after) {
         reset(of);
         entries.addAll(after);
         seat();
@@ -33,7 +33,7 @@
     /** Holds nothing but this from here on. */
     void install(Snapshot of) {
         boolean goesOn = of.index() <= last() && of.index() > base && term(of.index()) == of.term();
-        List<Entry> after =
+        List<LogEntry> after =
                 goesOn
                         ? List.copyOf(entries.subList((int) (of.index() - base), entries.size()))
                         : List.of();
@@ -86,14 +86,14 @@
                 : index > base && index <= last() ? entry(index).term() : -1;
     }
 
-    Entry entry(long index) {
+    LogEntry entry(long index) {
         return entries.get((int) (index - base - 1));
     }
 
-    void append(Entry entry) {
+    void append(LogEntry entry) {
         entries.add(entry);
         store.entry(last(), entry);
-        if (entry.kind() == Entry.Kind.VOTERS) {
+        if (entry.kind() == LogEntry.Kind.VOTERS) {
             seat();
         }
     }
@@ -106,7 +106,7 @@
     }
 
     /** The newest voters, committed or not: they count from the moment at which they are held. */
-    Voters voters() {
+    VoterSet voters() {
         return voters;
     }
 
@@ -115,10 +115,10 @@
         return votersAt;
     }
 
-    Voters votersAt(long index) {
+    VoterSet votersAt(long index) {
         for (long i = index; i > base; i--) {
-            if (entry(i).kind() == Entry.Kind.VOTERS) {
-                return Voters.decode(entry(i).bytes());
+            if (entry(i).kind() == LogEntry.Kind.VOTERS) {
+                return VoterSet.decode(entry(i).bytes());
             }
         }
         return baseVoters;
@@ -128,8 +128,8 @@
         voters = baseVoters;
         votersAt = base;
         for (long i = last(); i > base; i--) {
-            if (entry(i).kind() == Entry.Kind.VOTERS) {
-                voters = Voters.decode(entry(i).bytes());
+            if (entry(i).kind() == LogEntry.Kind.VOTERS) {
+                voters = VoterSet.decode(entry(i).bytes());
                 votersAt = i;
                 return;
             }
@@ -141,7 +141,7 @@
         snapshot = new Snapshot(committed, term(committed), votersAt(committed), state);
         store.snapshot(snapshot);
         long first = Math.max(base, committed - keep);
-        Voters then = votersAt(first);
+        VoterSet then = votersAt(first);
         long term = term(first);
         entries.subList(0, (int) (first - base)).clear();
         base = first;
--- a/core/src/main/java/cedarrudder/agreement/Message.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftMessage.java
@@ -1,6 +1,6 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
-import cedarrudder.agreement.Entry.Kind;
+import cedarrudder.consensus.LogEntry.Kind;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
  * What copies tell one another. The head of its pieces has group, term, sender and the sender's
  * life.
  */
-sealed interface Message {
+sealed interface RaftMessage {
 
     /** What the fields of any message take, without entries and parts. */
     int MOST_FIXED = 128;
@@ -27,24 +27,24 @@
      * @param called whether a leader told it to, so that hearing a leader is no reason to refuse
      */
     record AskVote(boolean ahead, boolean called, long lastIndex, long lastTerm)
-            implements Message {}
+            implements RaftMessage {}
 
     /** The answer; the message's term is that of the one who answers. */
-    record SayVote(boolean ahead, boolean granted, long askedTerm) implements Message {}
+    record SayVote(boolean ahead, boolean granted, long askedTerm) implements RaftMessage {}
 
     /**
      * A leader's entries after one that both must have.
      *
      * @param ask what the answer is to name
      */
-    record Append(long after, long afterTerm, long committed, int ask, List<Entry> entries)
-            implements Message {}
+    record Append(long after, long afterTerm, long committed, int ask, List<LogEntry> entries)
+            implements RaftMessage {}
 
     /** Up to where the follower's log is that of the leader, or up to where it may be. */
-    record SayAppend(boolean same, long index, int answers) implements Message {}
+    record SayAppend(boolean same, long index, int answers) implements RaftMessage {}
 
     /** The one who gets it asks for votes at once. */
-    record Lead() implements Message {}
+    record Lead() implements RaftMessage {}
 
     /**
      * What a copy has; also asks for a {@link Sure}.
@@ -58,7 +58,7 @@
      */
     record Digest(
             long committed, long beatTerm, long beat, int leader, long yourLife, int age, int ask)
-            implements Message {}
+            implements RaftMessage {}
 
     /**
      * Answers a digest: a majority answered a leader so long ago, who had committed no more than
@@ -66,7 +66,7 @@
      *
      * @param age in milliseconds; -1 where it knows of none
      */
-    record Sure(int answers, int age, long committed) implements Message {}
+    record Sure(int answers, int age, long committed) implements RaftMessage {}
 
     /**
      * Asks for committed entries.
@@ -74,27 +74,28 @@
      * @param snapshot the index of one of which it has the beginning, or 0
      * @param offset how much of it
      */
-    record Ask(long after, long snapshot, int offset) implements Message {}
+    record Ask(long after, long snapshot, int offset) implements RaftMessage {}
 
     /** Committed entries after one. */
-    record News(long after, List<Entry> entries) implements Message {}
+    record News(long after, List<LogEntry> entries) implements RaftMessage {}
 
     /**
      * Part of a snapshot.
      *
      * @param sum the checksum of the whole state
      */
-    record Chunk(long index, long term, Voters voters, int sum, int total, int offset, byte[] bytes)
-            implements Message {}
+    record Chunk(
+            long index, long term, VoterSet voters, int sum, int total, int offset, byte[] bytes)
+            implements RaftMessage {}
 
     /** Pieces of a message have not come; a bit each. */
-    record Lack(int message, byte[] missing) implements Message {}
+    record Lack(int message, byte[] missing) implements RaftMessage {}
 
     /** Hands a proposal to the one that leads. */
-    record Hand(Proposal proposal) implements Message {}
+    record Hand(Proposal proposal) implements RaftMessage {}
 
     /** The leader has it, or it took effect, or one after it did. */
-    record Took(long life, long sequence) implements Message {}
+    record Took(long life, long sequence) implements RaftMessage {}
 
     default byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(MOST_FIXED + variable());
@@ -157,10 +158,10 @@
     }
 
     /** Reads a message; null where the bytes are none. */
-    static Message decode(byte[] bytes) {
+    static RaftMessage decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
-            Message read =
+            RaftMessage read =
                     switch (in.get()) {
                         case 0 ->
                                 new AskVote(
@@ -188,7 +189,7 @@
                                 new Chunk(
                                         in.getLong(),
                                         in.getLong(),
-                                        Voters.decode(take(in, in.get() & 0xff)),
+                                        VoterSet.decode(take(in, in.get() & 0xff)),
                                         in.getInt(),
                                         in.getInt(),
                                         in.getInt(),
@@ -207,9 +208,9 @@
 
     private int variable() {
         if (this instanceof Append m) {
-            return m.entries.stream().mapToInt(Message::size).sum();
+            return m.entries.stream().mapToInt(RaftMessage::size).sum();
         } else if (this instanceof News m) {
-            return m.entries.stream().mapToInt(Message::size).sum();
+            return m.entries.stream().mapToInt(RaftMessage::size).sum();
         } else if (this instanceof Chunk m) {
             return m.bytes.length;
         }
@@ -243,7 +244,7 @@
             return m.voters != null
                     && m.index > 0
                     && m.total >= 0
-                    && m.total <= Agreement.MOST_SNAPSHOT
+                    && m.total <= RaftNode.MOST_SNAPSHOT
                     && m.offset >= 0
                     && m.offset <= m.total
                     && m.bytes.length <= m.total - m.offset;
@@ -266,8 +267,8 @@
         return bytes;
     }
 
-    private static void put(ByteBuffer out, List<Entry> entries) {
-        for (Entry entry : entries) {
+    private static void put(ByteBuffer out, List<LogEntry> entries) {
+        for (LogEntry entry : entries) {
             out.putLong(entry.term())
                     .put((byte) entry.kind().ordinal())
                     .putShort((short) entry.bytes().length)
@@ -276,13 +277,13 @@
     }
 
     /** How many bytes an entry takes in a message. */
-    static int size(Entry entry) {
+    static int size(LogEntry entry) {
         return 11 + entry.bytes().length;
     }
 
     /** All that is left, as entries; null where it is none. */
-    private static List<Entry> entries(ByteBuffer in) {
-        List<Entry> entries = new ArrayList<>();
+    private static List<LogEntry> entries(ByteBuffer in) {
+        List<LogEntry> entries = new ArrayList<>();
         while (in.hasRemaining()) {
             long term = in.getLong();
             int kind = in.get();
@@ -290,11 +291,11 @@
             if (term <= 0
                     || kind < 0
                     || kind >= Kind.values().length
-                    || kind == Kind.VOTERS.ordinal() && Voters.decode(bytes) == null
+                    || kind == Kind.VOTERS.ordinal() && VoterSet.decode(bytes) == null
                     || kind == Kind.HANDED.ordinal() && Proposal.decode(bytes) == null) {
                 return null;
             }
-            entries.add(new Entry(term, Kind.values()[kind], bytes));
+            entries.add(new LogEntry(term, Kind.values()[kind], bytes));
         }
         return entries;
     }
--- a/core/src/main/java/cedarrudder/agreement/Agreement.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -1,19 +1,19 @@
-package cedarrudder.agreement;
-
-import cedarrudder.agreement.Entry.Kind;
-import cedarrudder.agreement.Message.Append;
-import cedarrudder.agreement.Message.Ask;
-import cedarrudder.agreement.Message.AskVote;
-import cedarrudder.agreement.Message.Chunk;
-import cedarrudder.agreement.Message.Digest;
-import cedarrudder.agreement.Message.Hand;
-import cedarrudder.agreement.Message.Lack;
-import cedarrudder.agreement.Message.Lead;
-import cedarrudder.agreement.Message.News;
-import cedarrudder.agreement.Message.SayAppend;
-import cedarrudder.agreement.Message.SayVote;
-import cedarrudder.agreement.Message.Sure;
-import cedarrudder.agreement.Message.Took;
+package cedarrudder.consensus;
+
+import cedarrudder.consensus.LogEntry.Kind;
+import cedarrudder.consensus.RaftMessage.Append;
+import cedarrudder.consensus.RaftMessage.Ask;
+import cedarrudder.consensus.RaftMessage.AskVote;
+import cedarrudder.consensus.RaftMessage.Chunk;
+import cedarrudder.consensus.RaftMessage.Digest;
+import cedarrudder.consensus.RaftMessage.Hand;
+import cedarrudder.consensus.RaftMessage.Lack;
+import cedarrudder.consensus.RaftMessage.Lead;
+import cedarrudder.consensus.RaftMessage.News;
+import cedarrudder.consensus.RaftMessage.SayAppend;
+import cedarrudder.consensus.RaftMessage.SayVote;
+import cedarrudder.consensus.RaftMessage.Sure;
+import cedarrudder.consensus.RaftMessage.Took;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
@@ -29,7 +29,7 @@
  * thread at a time, and its outlet must not call it. Whatever it sends leaves at the end of an
  * event, after all that it says is in the store.
  */
-public final class Agreement {
+public final class RaftNode {
 
     /** The largest content of one entry, in bytes. */
     public static final int MOST_CONTENT = 32_768;
@@ -40,7 +40,7 @@
     /** The largest content of a proposal that is handed on, in bytes. */
     public static final int MOST_HANDED = 4_096;
 
-    static final int MOST_SNAPSHOT = MOST_STATE + Proposers.MOST_BYTES;
+    static final int MOST_SNAPSHOT = MOST_STATE + AppliedProposals.MOST_BYTES;
 
     /** Entries that a leader holds without knowing that they are committed. */
     private static final int MOST_OPEN = 32;
@@ -52,12 +52,12 @@
     private static final int LEAST_VOTERS = 3;
 
     /** What it causes. */
-    public interface Outlet {
+    public interface Actions {
         /** Sends a piece of at most 224 bytes; it may be lost. */
         void send(int to, byte[] piece);
 
         /** This is committed: takes effect here, after all before it. */
-        void loaded(LogNumber number, byte[] content);
+        void loaded(LogPosition number, byte[] content);
 
         /**
          * All that was loaded, as at most {@link #MOST_STATE} bytes; the same at each copy that
@@ -66,7 +66,7 @@
         byte[] state();
 
         /** This state takes the place of all that was loaded. */
-        void restored(LogNumber number, byte[] state);
+        void restored(LogPosition number, byte[] state);
 
         /**
          * What became of a proposal that was handed on here, said once; it comes after {@link
@@ -74,10 +74,10 @@
          *
          * @param number the one that it was loaded under, where it is committed; otherwise null
          */
-        void settled(Proposal proposal, Outcome outcome, LogNumber number);
+        void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
         /** Something that others may want to know. */
-        void noted(Note note);
+        void noted(ConsensusEvent note);
     }
 
     /** What came that was none, or came too late; for figures. */
@@ -85,27 +85,27 @@
 
     private record Out(int to, byte[] piece) {}
 
-    private final Outlet outlet;
-    private final AgreementSettings settings;
+    private final Actions outlet;
+    private final ConsensusSettings settings;
     private final RandomGenerator random;
-    private final Conduct conduct;
-    private final Store store;
-    private final Tier tier;
-    private final Log log;
-    private final Pieces pieces;
-    private final Allowance allowance;
-    private final Contact contact;
-    private final Circle circle = new Own();
+    private final SafetyRules conduct;
+    private final StableStorage store;
+    private final ReplicaDirectory tier;
+    private final RaftLog log;
+    private final MessageFragmenter pieces;
+    private final ByteRateLimiter allowance;
+    private final LeaderContact contact;
+    private final RaftContext circle = new Own();
     private final Election election;
-    private final Spreading spreading;
-    private final Seats seats;
-    private final Proposing proposing;
-    private final Allowance handed;
+    private final LogDissemination spreading;
+    private final VoterReplacement seats;
+    private final ProposalForwarder proposing;
+    private final ByteRateLimiter handed;
     private final List<Out> out = new ArrayList<>();
     private Voter self;
-    private Group group = Group.NONE;
-    private Replication replication;
-    private Proposers proposers = new Proposers();
+    private VoterGroup group = VoterGroup.NONE;
+    private LogReplication replication;
+    private AppliedProposals proposers = new AppliedProposals();
     private long applied;
     private long waitsFrom;
     private long wait;
@@ -124,28 +124,28 @@
      *     store remembers, only proposals go by it
      * @throws IllegalArgumentException if a figure is outside its range
      */
-    public Agreement(
+    public RaftNode(
             int[] zones,
             int self,
             long life,
-            AgreementSettings settings,
-            Store store,
+            ConsensusSettings settings,
+            StableStorage store,
             RandomGenerator random,
-            Outlet outlet,
+            Actions outlet,
             long now) {
-        this(zones, self, life, settings, store, random, outlet, now, new Conduct());
+        this(zones, self, life, settings, store, random, outlet, now, new SafetyRules());
     }
 
-    Agreement(
+    RaftNode(
             int[] zones,
             int self,
             long life,
-            AgreementSettings settings,
-            Store store,
+            ConsensusSettings settings,
+            StableStorage store,
             RandomGenerator random,
-            Outlet outlet,
+            Actions outlet,
             long now,
-            Conduct conduct) {
+            SafetyRules conduct) {
         if (zones.length < 1
                 || zones.length > 0xffff
                 || self < 0
@@ -160,51 +160,53 @@
         this.random = random;
         this.outlet = outlet;
         this.conduct = conduct;
-        this.tier = new Tier(self, zones, now);
-        this.log = new Log(store);
-        this.pieces = new Pieces(conduct, random.nextInt());
-        this.contact = new Contact(conduct);
-        this.allowance = new Allowance(settings.bytesPerSecond(), now);
+        this.tier = new ReplicaDirectory(self, zones, now);
+        this.log = new RaftLog(store);
+        this.pieces = new MessageFragmenter(conduct, random.nextInt());
+        this.contact = new LeaderContact(conduct);
+        this.allowance = new ByteRateLimiter(settings.bytesPerSecond(), now);
         this.election = new Election(circle, settings, conduct, random, now);
-        this.spreading = new Spreading(circle, settings, tier, random, allowance, contact, now);
-        this.seats = new Seats(circle, settings, tier, random);
-        this.proposing = new Proposing(circle, outlet, life, random.nextInt() & Integer.MAX_VALUE);
-        this.handed = new Allowance(settings.bytesPerSecond(), now);
+        this.spreading =
+                new LogDissemination(circle, settings, tier, random, allowance, contact, now);
+        this.seats = new VoterReplacement(circle, settings, tier, random);
+        this.proposing =
+                new ProposalForwarder(circle, outlet, life, random.nextInt() & Integer.MAX_VALUE);
+        this.handed = new ByteRateLimiter(settings.bytesPerSecond(), now);
         waitAnew(now);
-        Store.Kept kept = store.kept();
+        StableStorage.Kept kept = store.kept();
         if (kept != null) {
             this.self = new Voter(self, kept.promise().life());
             group = kept.promise().group();
             election.remember(kept.promise());
             log.remember(kept.snapshot(), kept.entries());
             applied = log.committed();
-            Proposers.Parts parts = Proposers.decode(kept.snapshot().state());
+            AppliedProposals.Parts parts = AppliedProposals.decode(kept.snapshot().state());
             if (parts == null) {
                 throw new IllegalArgumentException("store: its snapshot is none");
             }
             proposers = parts.proposers();
-            outlet.restored(new LogNumber(group, applied), parts.state());
+            outlet.restored(new LogPosition(group, applied), parts.state());
         }
     }
 
-    private final class Own implements Circle {
+    private final class Own implements RaftContext {
         @Override
         public Voter self() {
             return self;
         }
 
         @Override
-        public Group group() {
+        public VoterGroup group() {
             return group;
         }
 
         @Override
-        public Log log() {
+        public RaftLog log() {
             return log;
         }
 
         @Override
-        public void post(int to, Message message, long term) {
+        public void post(int to, RaftMessage message, long term) {
             if (to != self.copy()) {
                 pieces.cut(group, term, self, to, message.encode())
                         .forEach(piece -> out.add(new Out(to, piece)));
@@ -218,12 +220,12 @@
 
         @Override
         public int leader() {
-            return Agreement.this.leader();
+            return RaftNode.this.leader();
         }
 
         @Override
         public boolean takes(long now, Proposal proposal) {
-            return Agreement.this.takes(now, proposal);
+            return RaftNode.this.takes(now, proposal);
         }
 
         @Override
@@ -237,14 +239,14 @@
         }
 
         @Override
-        public void note(Note note) {
+        public void note(ConsensusEvent note) {
             outlet.noted(note);
         }
     }
 
     // ---- what is known ----
 
-    public Group group() {
+    public VoterGroup group() {
         return group;
     }
 
@@ -270,13 +272,13 @@
     }
 
     /** Those who vote, as far as this copy knows. */
-    public Voters voters() {
+    public VoterSet voters() {
         return log.voters();
     }
 
     /** What was loaded last, or the state that stands for it. */
-    public LogNumber loaded() {
-        return new LogNumber(group, applied);
+    public LogPosition loaded() {
+        return new LogPosition(group, applied);
     }
 
     /**
@@ -311,16 +313,16 @@
     /** Does what is due. */
     public void tick(long now) {
         lapse(now);
-        for (Pieces.Wanted wanted : pieces.lacks(now)) {
+        for (MessageFragmenter.Wanted wanted : pieces.lacks(now)) {
             circle.post(wanted.of(), wanted.lack());
         }
         election.tick(now);
         lead(now);
         if (election.leads() && replication.tick(now)) {
             spreading.beats(now);
-            Voters next = seats.next(now, replication);
+            VoterSet next = seats.next(now, replication);
             if (next != null) {
-                append(now, new Entry(election.term(), Kind.VOTERS, next.encode()));
+                append(now, new LogEntry(election.term(), Kind.VOTERS, next.encode()));
             }
         }
         spreading.tick(now);
@@ -349,10 +351,10 @@
         if (group.era() == Integer.MAX_VALUE) {
             return false;
         }
-        Group next = conduct.next(group, self);
+        VoterGroup next = conduct.next(group, self);
         byte[] state = state();
         join(now, next);
-        Snapshot first = new Snapshot(1, 1, new Voters(List.of(self)), state);
+        Snapshot first = new Snapshot(1, 1, new VoterSet(List.of(self)), state);
         install(now, first);
         return true;
     }
@@ -365,18 +367,18 @@
      *     yet, or too much is under way
      * @throws IllegalArgumentException if the content is larger than {@link #MOST_CONTENT}
      */
-    public LogNumber propose(long now, byte[] content) {
+    public LogPosition propose(long now, byte[] content) {
         if (content.length > MOST_CONTENT) {
             throw new IllegalArgumentException(
                     "content: found " + content.length + " bytes; allowed: up to " + MOST_CONTENT);
         }
         lapse(now);
-        LogNumber number = null;
+        LogPosition number = null;
         if (election.leads()
                 && log.voters().size() >= LEAST_VOTERS
                 && log.last() - log.committed() < MOST_OPEN) {
-            append(now, new Entry(election.term(), Kind.CONTENT, content.clone()));
-            number = new LogNumber(group, log.last());
+            append(now, new LogEntry(election.term(), Kind.CONTENT, content.clone()));
+            number = new LogPosition(group, log.last());
         }
         end(now);
         return number;
@@ -387,7 +389,7 @@
      * order.
      *
      * @param patience after which its outcome is said, whatever is known by then, in nanoseconds
-     * @return what {@link Outlet#settled} will name; null where too many wait here, so that it is
+     * @return what {@link Actions#settled} will name; null where too many wait here, so that it is
      *     not taken
      * @throws IllegalArgumentException if the content is larger than {@link #MOST_HANDED}
      */
@@ -441,7 +443,7 @@
                 || !handed.spend(now, bytes.length)) {
             return false;
         }
-        append(now, new Entry(election.term(), Kind.HANDED, bytes));
+        append(now, new LogEntry(election.term(), Kind.HANDED, bytes));
         return true;
     }
 
@@ -485,14 +487,14 @@
      */
     public void received(long now, int from, byte[] bytes) {
         lapse(now);
-        Piece piece = Piece.decode(bytes, tier.copies());
+        MessageFragment piece = MessageFragment.decode(bytes, tier.copies());
         if (piece == null) {
             malformed++;
         } else if (piece.sender() != from || from == self.copy()) {
             notItsSender++;
         } else if (admits(now, piece)) {
             byte[] whole = pieces.take(now, piece);
-            Message message = whole == null ? null : Message.decode(whole);
+            RaftMessage message = whole == null ? null : RaftMessage.decode(whole);
             if (message != null) {
                 handle(now, new Voter(from, piece.life()), piece.term(), message);
                 lead(now);
@@ -515,7 +517,7 @@
     }
 
     /** Looks at what every piece says, before anything of it is kept. */
-    private boolean admits(long now, Piece piece) {
+    private boolean admits(long now, MessageFragment piece) {
         int from = piece.sender();
         int byGroup = piece.group().compareTo(group);
         boolean raises = byGroup > 0 || piece.life() > tier.life(from) && tier.life(from) > 0;
@@ -530,7 +532,7 @@
         }
         if (byGroup < 0) {
             stale++;
-            if (piece.part()[0] != Message.SURE) {
+            if (piece.part()[0] != RaftMessage.SURE) {
                 spreading.refuse(now, from, digest(piece), false);
             }
             return false;
@@ -546,18 +548,18 @@
      * A raise is only believed of one who answers: whoever sends from a peer's address can't do
      * that.
      */
-    private boolean answers(int from, Piece piece) {
+    private boolean answers(int from, MessageFragment piece) {
         return piece.count() == 1
-                && piece.part()[0] == Message.SURE
-                && Message.decode(piece.part()) instanceof Sure sure
+                && piece.part()[0] == RaftMessage.SURE
+                && RaftMessage.decode(piece.part()) instanceof Sure sure
                 && spreading.answers(from, sure);
     }
 
     /** The question of a piece that is not admitted; null where it is none. */
-    private static Digest digest(Piece piece) {
+    private static Digest digest(MessageFragment piece) {
         return piece.count() == 1
-                        && piece.part()[0] == Message.DIGEST
-                        && Message.decode(piece.part()) instanceof Digest digest
+                        && piece.part()[0] == RaftMessage.DIGEST
+                        && RaftMessage.decode(piece.part()) instanceof Digest digest
                 ? digest
                 : null;
     }
@@ -567,7 +569,7 @@
      * what of it was handed on, stays together until another state takes its place: it may be the
      * first of the next group.
      */
-    private void join(long now, Group other) {
+    private void join(long now, VoterGroup other) {
         group = other;
         log.install(Snapshot.EMPTY);
         pieces.clear();
@@ -596,7 +598,7 @@
                 + (applied == 0 ? settings.silence() : 0);
     }
 
-    private void handle(long now, Voter from, long term, Message message) {
+    private void handle(long now, Voter from, long term, RaftMessage message) {
         if (message instanceof AskVote m) {
             election.asked(now, from, term, m);
         } else if (message instanceof SayVote m) {
@@ -628,7 +630,7 @@
             }
         } else if (message instanceof Chunk m) {
             Snapshot whole = spreading.took(now, from.copy(), m);
-            if (whole != null && Proposers.decode(whole.state()) != null) {
+            if (whole != null && AppliedProposals.decode(whole.state()) != null) {
                 install(now, whole);
                 spreading.learned(now, 0);
             } else if (whole != null) {
@@ -660,16 +662,16 @@
         if (!election.leads()) {
             replication = null;
         } else if (replication == null) {
-            replication = new Replication(circle, settings, conduct, random, now);
+            replication = new LogReplication(circle, settings, conduct, random, now);
             log.voters().all().forEach(voter -> tier.expect(now, voter.copy()));
-            append(now, new Entry(election.term(), Kind.BEGIN, new byte[0]));
+            append(now, new LogEntry(election.term(), Kind.BEGIN, new byte[0]));
         }
     }
 
-    private void append(long now, Entry entry) {
+    private void append(long now, LogEntry entry) {
         log.append(entry);
         sync();
-        outlet.noted(new Note.Stored(group, log.last(), self, entry));
+        outlet.noted(new ConsensusEvent.Stored(group, log.last(), self, entry));
         replication.appended(now);
     }
 
@@ -699,14 +701,14 @@
             return;
         }
         if (!behind) {
-            for (Entry entry : append.entries().subList(skip, append.entries().size())) {
+            for (LogEntry entry : append.entries().subList(skip, append.entries().size())) {
                 after++;
                 if (log.term(after) != entry.term()) {
                     if (after <= log.last()) {
                         log.cut(after);
                     }
                     log.append(entry);
-                    outlet.noted(new Note.Stored(group, after, self, entry));
+                    outlet.noted(new ConsensusEvent.Stored(group, after, self, entry));
                 }
             }
         }
@@ -725,13 +727,13 @@
         sync();
         long from = applied;
         while (applied < log.committed()) {
-            Entry entry = log.entry(++applied);
+            LogEntry entry = log.entry(++applied);
             if (entry.kind() == Kind.CONTENT) {
-                outlet.loaded(new LogNumber(group, applied), entry.bytes());
+                outlet.loaded(new LogPosition(group, applied), entry.bytes());
             } else if (entry.kind() == Kind.HANDED) {
-                takesEffect(new LogNumber(group, applied), Proposal.decode(entry.bytes()));
+                takesEffect(new LogPosition(group, applied), Proposal.decode(entry.bytes()));
             } else if (entry.kind() == Kind.VOTERS) {
-                seated(applied, Voters.decode(entry.bytes()));
+                seated(applied, VoterSet.decode(entry.bytes()));
             }
         }
         if (log.committed() - log.snapshot().index() >= 2L * settings.keptEntries()) {
@@ -741,7 +743,7 @@
     }
 
     /** Once, whatever leaders took into the log. */
-    private void takesEffect(LogNumber number, Proposal proposal) {
+    private void takesEffect(LogPosition number, Proposal proposal) {
         if (conduct.once(proposers.isNew(proposal))) {
             proposers.took(proposal, number);
             outlet.loaded(number, proposal.content());
@@ -762,15 +764,15 @@
         log.install(snapshot);
         applied = log.committed();
         sync();
-        Proposers.Parts parts = Proposers.decode(snapshot.state());
+        AppliedProposals.Parts parts = AppliedProposals.decode(snapshot.state());
         proposers = parts.proposers();
-        outlet.restored(new LogNumber(group, applied), parts.state());
+        outlet.restored(new LogPosition(group, applied), parts.state());
         seated(applied, snapshot.voters());
         election.follow(now, Math.max(election.term(), snapshot.term()));
     }
 
-    private void seated(long index, Voters voters) {
-        outlet.noted(new Note.Seated(group, index, voters));
+    private void seated(long index, VoterSet voters) {
+        outlet.noted(new ConsensusEvent.Seated(group, index, voters));
         if (voters.has(self)) {
             election.swear();
         }
@@ -783,7 +785,7 @@
         if (promised) {
             promised = false;
             store.promise(
-                    new Store.Promise(
+                    new StableStorage.Promise(
                             group,
                             self.life(),
                             election.term(),
--- a/core/src/main/java/cedarrudder/agreement/Tier.java
+++ b/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.Arrays;
 import java.util.BitSet;
@@ -8,7 +8,7 @@
  * What a copy knows of the others of its tier: where they are, their lives, and when it heard of
  * them.
  */
-final class Tier {
+final class ReplicaDirectory {
 
     private static final int TRIES = 16;
 
@@ -18,7 +18,7 @@
     private final long[] heardAt;
     private final BitSet dead = new BitSet();
 
-    Tier(int self, int[] zones, long now) {
+    ReplicaDirectory(int self, int[] zones, long now) {
         this.self = self;
         this.zones = zones.clone();
         this.lives = new long[zones.length];
--- a/core/src/main/java/cedarrudder/agreement/Conduct.java
+++ b/core/src/main/java/cedarrudder/consensus/SafetyRules.java
@@ -1,10 +1,10 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /**
  * The rules that safety rests on, one a method, so that each can be seen, and a test can show what
  * breaks without it.
  */
-class Conduct {
+class SafetyRules {
 
     /**
      * Whether a copy may vote, or ask for votes: a life that the group has committed as a voter,
@@ -34,8 +34,8 @@
     }
 
     /** The group that a copy forms: no other has had or will have it. */
-    Group next(Group known, Voter founder) {
-        return new Group(known.era() + 1, founder.copy(), founder.life());
+    VoterGroup next(VoterGroup known, Voter founder) {
+        return new VoterGroup(known.era() + 1, founder.copy(), founder.life());
     }
 
     /** Whether a proposal that was handed on takes effect: only the first time. */
@@ -63,7 +63,7 @@
     }
 
     /** Whether a piece belongs to the message of which another piece is held. */
-    boolean same(Piece held, Piece other) {
+    boolean same(MessageFragment held, MessageFragment other) {
         return held.message() == other.message()
                 && held.life() == other.life()
                 && held.count() == other.count()
@@ -73,7 +73,7 @@
     }
 
     /** Whether what was put together is what was sent. */
-    boolean intact(Piece held, byte[] message) {
-        return Piece.checksum(message, 0, message.length) == held.whole();
+    boolean intact(MessageFragment held, byte[] message) {
+        return MessageFragment.checksum(message, 0, message.length) == held.whole();
     }
 }
--- a/core/src/main/java/cedarrudder/agreement/Snapshot.java
+++ b/core/src/main/java/cedarrudder/consensus/Snapshot.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /**
  * What all committed entries up to one came to.
@@ -8,8 +8,8 @@
  * @param voters who voted after it
  * @param state what the copy made of them; not to be changed
  */
-public record Snapshot(long index, long term, Voters voters, byte[] state) {
+public record Snapshot(long index, long term, VoterSet voters, byte[] state) {
 
     /** Before the first entry. */
-    static final Snapshot EMPTY = new Snapshot(0, 0, Voters.NOBODY, new byte[0]);
+    static final Snapshot EMPTY = new Snapshot(0, 0, VoterSet.NOBODY, new byte[0]);
 }
--- a/core/src/main/java/cedarrudder/agreement/Store.java
+++ b/core/src/main/java/cedarrudder/consensus/StableStorage.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.List;
 
@@ -6,7 +6,7 @@
  * Where a copy keeps what it must not forget. What was written counts once {@link #sync} has
  * returned: nothing is spoken of before that. One that can't write any more has to end the process.
  */
-public interface Store {
+public interface StableStorage {
 
     /**
      * What a copy has promised.
@@ -15,14 +15,14 @@
      * @param vote whom it voted for in that term, or null
      * @param sworn whether a committed set of voters has had this life
      */
-    record Promise(Group group, long life, long term, Voter vote, boolean sworn) {}
+    record Promise(VoterGroup group, long life, long term, Voter vote, boolean sworn) {}
 
     /**
      * What was read back, whole.
      *
      * @param entries those after the snapshot; their voters may not be committed
      */
-    record Kept(Promise promise, Snapshot snapshot, List<Entry> entries) {
+    record Kept(Promise promise, Snapshot snapshot, List<LogEntry> entries) {
         public Kept {
             entries = List.copyOf(entries);
         }
@@ -34,7 +34,7 @@
     void promise(Promise promise);
 
     /** Entries from here on are replaced by this one. */
-    void entry(long index, Entry entry);
+    void entry(long index, LogEntry entry);
 
     /** Entries from here on are gone. */
     void cut(long from);
@@ -50,8 +50,8 @@
     void sync();
 
     /** That of a copy without a lasting disk: it forgets all with its life. */
-    Store NONE =
-            new Store() {
+    StableStorage NONE =
+            new StableStorage() {
                 @Override
                 public Kept kept() {
                     return null;
@@ -61,7 +61,7 @@
                 public void promise(Promise promise) {}
 
                 @Override
-                public void entry(long index, Entry entry) {}
+                public void entry(long index, LogEntry entry) {}
 
                 @Override
                 public void cut(long from) {}
--- a/core/src/main/java/cedarrudder/agreement/Voter.java
+++ b/core/src/main/java/cedarrudder/consensus/Voter.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 /**
  * One who votes: a copy in one of its lives. The same copy in a later life is another, who
--- a/core/src/main/java/cedarrudder/agreement/Group.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterGroup.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.Comparator;
 
@@ -11,18 +11,18 @@
  * @param founder the copy that formed it
  * @param life the founder's life
  */
-public record Group(int era, int founder, long life) implements Comparable<Group> {
+public record VoterGroup(int era, int founder, long life) implements Comparable<VoterGroup> {
 
     /** That of a copy that has heard of none. */
-    public static final Group NONE = new Group(0, 0, 0);
+    public static final VoterGroup NONE = new VoterGroup(0, 0, 0);
 
-    private static final Comparator<Group> ORDER =
-            Comparator.comparingInt(Group::era)
-                    .thenComparingInt(Group::founder)
-                    .thenComparingLong(Group::life);
+    private static final Comparator<VoterGroup> ORDER =
+            Comparator.comparingInt(VoterGroup::era)
+                    .thenComparingInt(VoterGroup::founder)
+                    .thenComparingLong(VoterGroup::life);
 
     @Override
-    public int compareTo(Group other) {
+    public int compareTo(VoterGroup other) {
         return ORDER.compare(this, other);
     }
 }
--- a/core/src/main/java/cedarrudder/agreement/Seats.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,17 +9,21 @@
  * those that are silent or came back in another life; in come live copies, from the zones with the
  * fewest voters, that have the whole log.
  */
-final class Seats {
+final class VoterReplacement {
 
     private static final int TRAINING_HEARTBEATS = 20;
 
-    private final Circle circle;
-    private final AgreementSettings settings;
-    private final Tier tier;
+    private final RaftContext circle;
+    private final ConsensusSettings settings;
+    private final ReplicaDirectory tier;
     private final RandomGenerator random;
     private long trainedUntil;
 
-    Seats(Circle circle, AgreementSettings settings, Tier tier, RandomGenerator random) {
+    VoterReplacement(
+            RaftContext circle,
+            ConsensusSettings settings,
+            ReplicaDirectory tier,
+            RandomGenerator random) {
         this.circle = circle;
         this.settings = settings;
         this.tier = tier;
@@ -29,14 +33,14 @@
     /**
      * The voters that are to follow those of now; null where they may stay or can't be changed yet.
      */
-    Voters next(long now, Replication replication) {
-        Log log = circle.log();
+    VoterSet next(long now, LogReplication replication) {
+        RaftLog log = circle.log();
         boolean settled =
                 log.votersAt() <= log.committed() && log.term(log.committed()) == circle.term();
         if (!settled) {
             return null;
         }
-        Voters voters = log.voters();
+        VoterSet voters = log.voters();
         List<Voter> spare = spare(now, voters);
         for (Voter voter : voters.all()) {
             boolean gone =
@@ -68,7 +72,7 @@
     }
 
     /** Those who could be voters, of the zones that have the fewest. */
-    private List<Voter> spare(long now, Voters voters) {
+    private List<Voter> spare(long now, VoterSet voters) {
         List<Voter> best = new ArrayList<>();
         long fewest = Long.MAX_VALUE;
         for (int copy = 0; copy < tier.copies(); copy++) {
--- a/core/src/main/java/cedarrudder/agreement/Voters.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterSet.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -9,16 +9,16 @@
  * Those who vote, at most {@value #MOST}; a change adds one or takes one away, so that majorities
  * overlap.
  */
-public record Voters(List<Voter> all) {
+public record VoterSet(List<Voter> all) {
 
     /** One more than the most that are asked for: a change may pass through it. */
     public static final int MOST = 8;
 
-    static final Voters NOBODY = new Voters(List.of());
+    static final VoterSet NOBODY = new VoterSet(List.of());
 
     private static final int BYTES = 10;
 
-    public Voters {
+    public VoterSet {
         all = List.copyOf(all);
     }
 
@@ -39,14 +39,14 @@
         return all.stream().filter(does).count() * 2 > all.size();
     }
 
-    Voters with(Voter voter) {
+    VoterSet with(Voter voter) {
         List<Voter> more = new ArrayList<>(all);
         more.add(voter);
-        return new Voters(more);
+        return new VoterSet(more);
     }
 
-    Voters without(Voter voter) {
-        return new Voters(all.stream().filter(each -> !each.equals(voter)).toList());
+    VoterSet without(Voter voter) {
+        return new VoterSet(all.stream().filter(each -> !each.equals(voter)).toList());
     }
 
     byte[] encode() {
@@ -57,7 +57,7 @@
     }
 
     /** Reads them; null where the bytes are none. */
-    public static Voters decode(byte[] bytes) {
+    public static VoterSet decode(byte[] bytes) {
         if (bytes.length == 0
                 || bytes[0] < 0
                 || bytes[0] > MOST
@@ -69,6 +69,6 @@
         while (in.hasRemaining()) {
             all.add(new Voter(in.getShort() & 0xffff, in.getLong()));
         }
-        return new Voters(all);
+        return new VoterSet(all);
     }
 }
