--- a/core/src/main/java/cedarrudder/fleet/FleetCopy.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
@@ -1,24 +1,24 @@
-package cedarrudder.fleet;
-
-import cedarrudder.agreement.Agreement;
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.Entry;
-import cedarrudder.agreement.Group;
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Note;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.agreement.Store;
-import cedarrudder.agreement.Voter;
-import cedarrudder.agreement.Voters;
-import cedarrudder.fleet.Letter.Of;
-import cedarrudder.fleet.Letter.Part;
-import cedarrudder.footprint.Room;
-import cedarrudder.footprint.TableFootprint;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.TableCodec;
-import cedarrudder.table.TableDifference;
-import cedarrudder.table.Tables;
+package cedarrudder.coordination;
+
+import cedarrudder.consensus.ConsensusEvent;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.LogEntry;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.consensus.RaftNode;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.consensus.Voter;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.consensus.VoterSet;
+import cedarrudder.coordination.ReportMessage.Of;
+import cedarrudder.coordination.ReportMessage.Part;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.footprint.RouteTableFootprint;
+import cedarrudder.routetable.CurrentRouteTable;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTableCodec;
+import cedarrudder.routetable.RouteTableDelta;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -30,24 +30,27 @@
 /**
  * One copy of a tier, as it decides with the others: the log, the route table that comes of it and
  * its lease, the reports to the copy that leads and, where this one does, the plan. Where callers
- * go and which nodes leave are the affairs of {@link Shares} and {@link Removal}.
+ * go and which nodes leave are the affairs of {@link TrafficCoordination} and {@link
+ * DrainCoordination}.
  *
  * <p>It has no clock, no socket and no thread. It is told of datagrams and of the time, which never
  * goes back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one
  * thread at a time, and its outlet must not call it.
  */
-public final class FleetCopy {
+public final class CoordinatedReplica {
 
     /**
-     * What {@link Shares}, and {@link Removal}, may say in one report: parts, and bytes of each.
+     * What {@link TrafficCoordination}, and {@link DrainCoordination}, may say in one report:
+     * parts, and bytes of each.
      */
     public static final int MOST_PARTS = 4;
 
     public static final int MOST_PART = 136;
 
     /** What the log can take of a table. */
-    private static final Room LOG =
-            new Room(Agreement.MOST_CONTENT - 1, RouteTable.MOST_LEAVING, Integer.MAX_VALUE);
+    private static final RouteTableCapacity LOG =
+            new RouteTableCapacity(
+                    RaftNode.MOST_CONTENT - 1, RouteTable.MOST_LEAVING, Integer.MAX_VALUE);
 
     /** What an entry holds, by its first byte. */
     private static final byte TABLE = 1;
@@ -76,7 +79,7 @@
     private static final int HEARD_LATELY = 4;
 
     /** What it causes. */
-    public interface Outlet {
+    public interface Actions {
         /** Sends a datagram of at most 224 bytes; it may be lost. */
         void send(int to, byte[] datagram);
 
@@ -104,7 +107,7 @@
          *
          * @param number the one that it was applied under, where it is committed; otherwise null
          */
-        void settled(Proposal proposal, Outcome outcome, LogNumber number);
+        void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
         /** Something that others may want to know; words of {@code docs/AGREEMENT.md}. */
         void noted(String what, Map<String, String> fields);
@@ -112,11 +115,11 @@
 
     /** How things stand, for operators. */
     public record Status(
-            Group group,
+            VoterGroup group,
             long term,
             int leader,
             boolean leads,
-            Voters voters,
+            VoterSet voters,
             RouteTable agreed,
             RouteTable used,
             long leaseLeft) {}
@@ -124,22 +127,22 @@
     /** What came that was none, for figures. */
     public record Counts(long malformed, long notItsSender) {}
 
-    private final Outlet outlet;
-    private final FleetSettings settings;
+    private final Actions outlet;
+    private final CoordinationSettings settings;
     private final int[] zones;
     private final int self;
     private final long reports;
     private final RandomGenerator random;
-    private final Shares shares;
-    private final Removal removal;
-    private final Supplier<Room> room;
-    private final Tables tables = new Tables();
-    private final Reporters reporters;
+    private final TrafficCoordination shares;
+    private final DrainCoordination removal;
+    private final Supplier<RouteTableCapacity> room;
+    private final CurrentRouteTable tables = new CurrentRouteTable();
+    private final ReportCollector reporters;
     private final BitSet dead = new BitSet();
-    private final Tier tier = new View();
+    private final TierView tier = new View();
     private final long[] sentAt = new long[OPEN];
-    private final Lease lease;
-    private final Agreement agreement;
+    private final TableLease lease;
+    private final RaftNode agreement;
 
     private RouteTable used;
     private boolean counts;
@@ -151,14 +154,14 @@
 
     private long reportAt;
     private long number;
-    private Group grantGroup = Group.NONE;
+    private VoterGroup grantGroup = VoterGroup.NONE;
     private long grantTerm;
-    private long grantAt = Letter.NEVER;
+    private long grantAt = ReportMessage.NEVER;
 
     private boolean led;
     private long planAt;
     private long firstOfTerm;
-    private LogNumber waitsFor;
+    private LogPosition waitsFor;
     private long waitsSince;
     private RouteTable heldBack;
 
@@ -176,18 +179,18 @@
      * @throws IllegalArgumentException if a figure is outside its range, or the lease is too short
      *     for so many copies
      */
-    public FleetCopy(
+    public CoordinatedReplica(
             int[] zones,
             int self,
             long life,
-            AgreementSettings agreed,
-            FleetSettings settings,
-            Store store,
+            ConsensusSettings agreed,
+            CoordinationSettings settings,
+            StableStorage store,
             RandomGenerator random,
-            Shares shares,
-            Removal removal,
-            Supplier<Room> room,
-            Outlet outlet,
+            TrafficCoordination shares,
+            DrainCoordination removal,
+            Supplier<RouteTableCapacity> room,
+            Actions outlet,
             long now) {
         if (settings.lease() < settings.leastLease(zones.length)) {
             throw new IllegalArgumentException(
@@ -209,21 +212,21 @@
         this.room = room;
         this.outlet = outlet;
         this.now = now;
-        this.reporters = new Reporters(zones.length, now);
-        this.lease = new Lease(now);
+        this.reporters = new ReportCollector(zones.length, now);
+        this.lease = new TableLease(now);
         this.until = lease.until();
         this.contact = lease.contact();
         this.number = (life & MOST_START) << START;
         this.reportAt = now + (long) (random.nextDouble() * reports);
         this.agreement =
-                new Agreement(zones, self, life, agreed, store, random, new FromLog(store), now);
+                new RaftNode(zones, self, life, agreed, store, random, new FromLog(store), now);
     }
 
     /** What the log causes. */
-    private final class FromLog implements Agreement.Outlet {
-        private final Store store;
+    private final class FromLog implements RaftNode.Actions {
+        private final StableStorage store;
 
-        FromLog(Store store) {
+        FromLog(StableStorage store) {
             this.store = store;
         }
 
@@ -233,11 +236,11 @@
         }
 
         @Override
-        public void loaded(LogNumber at, byte[] content) {
+        public void loaded(LogPosition at, byte[] content) {
             if (content.length > 0 && content[0] == TABLE) {
                 byte[] bytes = new byte[content.length - 1];
                 System.arraycopy(content, 1, bytes, 0, bytes.length);
-                RouteTable table = TableCodec.decode(bytes).table();
+                RouteTable table = RouteTableCodec.decode(bytes).table();
                 RouteTable before = lease.agreed();
                 // One that was composed before another leader's came may come after it.
                 boolean counts =
@@ -249,26 +252,26 @@
                 removal.apply(now, command);
                 agreed(at.group(), lease.agreed());
             }
-            say(Words.loaded(at, content, state()));
+            say(HistoryEventText.loaded(at, content, state()));
         }
 
         @Override
         public byte[] state() {
-            return new State(lease.agreed(), removal.state()).encode();
+            return new ReplicatedState(lease.agreed(), removal.state()).encode();
         }
 
         @Override
-        public void restored(LogNumber at, byte[] bytes) {
-            State state = State.decode(bytes);
+        public void restored(LogPosition at, byte[] bytes) {
+            ReplicatedState state = ReplicatedState.decode(bytes);
             if (state == null) {
                 // Guards against a state that another version wrote: nothing of it counts.
-                state = new State(null, new byte[0]);
+                state = new ReplicatedState(null, new byte[0]);
             }
             removal.restored(now, state.removal());
             agreed(at.group(), state.table());
             if (at.index() > 0) {
                 say(
-                        Words.restored(
+                        HistoryEventText.restored(
                                 at,
                                 bytes,
                                 agreement == null
@@ -278,25 +281,25 @@
         }
 
         @Override
-        public void settled(Proposal proposal, Outcome outcome, LogNumber number) {
+        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
             outlet.settled(proposal, outcome, number);
         }
 
         @Override
-        public void noted(Note note) {
-            if (note instanceof Note.Stored stored
-                    && stored.entry().kind() == Entry.Kind.BEGIN
+        public void noted(ConsensusEvent note) {
+            if (note instanceof ConsensusEvent.Stored stored
+                    && stored.entry().kind() == LogEntry.Kind.BEGIN
                     && stored.by().copy() == self
                     && stored.entry().term() == agreement.term()
                     && agreement.leads()) {
                 firstOfTerm = stored.index();
             }
-            say(Words.of(note));
+            say(HistoryEventText.of(note));
         }
     }
 
-    /** What {@link Shares} and {@link Removal} see where this copy leads. */
-    private final class View implements Tier {
+    /** What {@link TrafficCoordination} and {@link DrainCoordination} see where this copy leads. */
+    private final class View implements TierView {
         @Override
         public int copies() {
             return zones.length;
@@ -324,7 +327,7 @@
 
         @Override
         public long leaseOver(int copy) {
-            return reporters.grantedAt(copy) + longest + 2 * longest / FleetSettings.DRIFT;
+            return reporters.grantedAt(copy) + longest + 2 * longest / CoordinationSettings.DRIFT;
         }
     }
 
@@ -383,15 +386,15 @@
     /** Takes a datagram that begins as one of agreement, or as one of these. Garbage is dropped. */
     public void received(long at, int from, byte[] bytes) {
         begin(at);
-        if (bytes.length > 0 && bytes[0] == Letter.FIRST) {
-            Letter.Sealed sealed = Letter.decode(bytes, zones.length);
+        if (bytes.length > 0 && bytes[0] == ReportMessage.FIRST) {
+            ReportMessage.Sealed sealed = ReportMessage.decode(bytes, zones.length);
             if (sealed == null) {
                 malformed++;
             } else if (sealed.sender() != from || from == self) {
                 notItsSender++;
-            } else if (sealed.letter() instanceof Letter.Report report) {
+            } else if (sealed.letter() instanceof ReportMessage.Report report) {
                 reported(from, sealed.life(), report);
-            } else if (sealed.letter() instanceof Letter.Grant grant) {
+            } else if (sealed.letter() instanceof ReportMessage.Grant grant) {
                 granted(grant);
             }
         } else {
@@ -419,10 +422,10 @@
     }
 
     /**
-     * Proposes a command of {@link Removal}, at any copy, whoever leads.
+     * Proposes a command of {@link DrainCoordination}, at any copy, whoever leads.
      *
      * @param patience after which its outcome is said, whatever is known by then; nanoseconds
-     * @return what {@link Outlet#settled} will name; null where too many wait here, so that it is
+     * @return what {@link Actions#settled} will name; null where too many wait here, so that it is
      *     not taken
      * @throws IllegalArgumentException if it is larger than what may be handed on
      */
@@ -447,7 +450,7 @@
         settle();
     }
 
-    private void say(Words.Said said) {
+    private void say(HistoryEventText.Said said) {
         outlet.noted(said.what(), said.fields());
     }
 
@@ -461,7 +464,7 @@
     // ---- the table ----
 
     /** All that is agreed on and loaded here is this from now on. */
-    private void agreed(Group group, RouteTable table) {
+    private void agreed(VoterGroup group, RouteTable table) {
         boolean other = table != null && !table.equals(lease.agreed());
         lease.agreed(group, table);
         if (table == null) {
@@ -469,17 +472,17 @@
             fits = false;
         } else if (other) {
             longest = Math.max(longest, table.lease());
-            Tables.Loaded loaded = tables.load(table);
+            CurrentRouteTable.Loaded loaded = tables.load(table);
             counts = loaded.counts();
             look();
             if (!fits) {
-                say(Words.refused(table, counts ? "no room" : loaded.why()));
+                say(HistoryEventText.refused(table, counts ? "no room" : loaded.why()));
             }
         }
         List<RouteTable.Leaving> next = removal.leaving();
         if (!next.equals(leaving)) {
             leaving = next;
-            say(Words.leaving(leaving));
+            say(HistoryEventText.leaving(leaving));
             outlet.leaving(leaving);
         }
     }
@@ -487,7 +490,7 @@
     /** Whether there is room for what is agreed on. */
     private void look() {
         RouteTable table = lease.agreed();
-        fits = counts && room.get().holds(table, TableFootprint.bytes(table));
+        fits = counts && room.get().holds(table, RouteTableFootprint.bytes(table));
     }
 
     /** Sees to it that the table that counts is the one that may. */
@@ -510,7 +513,7 @@
         }
         if (lease.contact() > contact) {
             contact = lease.contact();
-            say(Words.renewed(now - contact));
+            say(HistoryEventText.renewed(now - contact));
         }
         long next = lease.until();
         RouteTable holds = fits && now < next ? lease.agreed() : null;
@@ -524,9 +527,9 @@
         RouteTable before = used;
         used = holds;
         if (before != null && holds == null) {
-            say(Words.lapsed(before));
+            say(HistoryEventText.lapsed(before));
         } else if (holds != null) {
-            say(Words.table(holds));
+            say(HistoryEventText.table(holds));
         }
         outlet.table(holds);
     }
@@ -573,12 +576,12 @@
             sentAt[(int) (++number % OPEN)] = now;
             post(
                     leads,
-                    new Letter.Report(
+                    new ReportMessage.Report(
                             first,
                             number,
                             agreement.group(),
                             agreement.term(),
-                            sameTerm ? grantAt : Letter.NEVER,
+                            sameTerm ? grantAt : ReportMessage.NEVER,
                             agreedNumber(),
                             Math.max(agreedNumber(), highest()),
                             room.get(),
@@ -593,7 +596,7 @@
         return tables.current() == null ? 0 : tables.current().number();
     }
 
-    private void post(int to, Letter letter) {
+    private void post(int to, ReportMessage letter) {
         outlet.send(to, letter.encode(self, agreement.life()));
     }
 
@@ -605,7 +608,7 @@
         }
     }
 
-    private void reported(int from, long life, Letter.Report report) {
+    private void reported(int from, long life, ReportMessage.Report report) {
         if (!agreement.leads()) {
             return;
         }
@@ -627,7 +630,7 @@
             }
             post(
                     from,
-                    new Letter.Grant(
+                    new ReportMessage.Grant(
                             life,
                             report.number(),
                             agreement.group(),
@@ -639,7 +642,7 @@
         }
     }
 
-    private void granted(Letter.Grant grant) {
+    private void granted(ReportMessage.Grant grant) {
         if (grant.life() != agreement.life()
                 || grant.asked() > number
                 || grant.asked() <= number - OPEN) {
@@ -660,7 +663,7 @@
                     grant.table(),
                     sentAt[(int) (grant.asked() % OPEN)]
                             - grant.age()
-                            - 2 * grant.age() / FleetSettings.DRIFT);
+                            - 2 * grant.age() / CoordinationSettings.DRIFT);
         } else if (first) {
             reportAt = now; // it waits to hear that a majority has heard it
         }
@@ -701,9 +704,9 @@
                 before != null
                         && before.group() == table.group()
                         && before.lease() == table.lease()
-                        && TableDifference.between(before, table).nothing();
+                        && RouteTableDelta.between(before, table).nothing();
         if (!same && roomEverywhere(table)) {
-            propose(tagged(TABLE, TableCodec.encode(table)));
+            propose(tagged(TABLE, RouteTableCodec.encode(table)));
         }
     }
 
@@ -722,13 +725,13 @@
     private static final long MOST_BASE = Long.MAX_VALUE >>> COUNTER;
 
     /** No table of a group before has a number above it. */
-    private static long base(Group group) {
+    private static long base(VoterGroup group) {
         return Math.min((long) group.era() << FOUNDER | group.founder(), MOST_BASE) << COUNTER;
     }
 
     /** A table that the smallest live copy can't load is not agreed on. */
     private boolean roomEverywhere(RouteTable table) {
-        Map<Integer, Room> rooms = new HashMap<>();
+        Map<Integer, RouteTableCapacity> rooms = new HashMap<>();
         for (int copy = 0; copy < zones.length; copy++) {
             if (copy == self) {
                 rooms.put(copy, room.get().least(LOG));
@@ -737,15 +740,15 @@
                 rooms.put(copy, reporters.room(copy));
             }
         }
-        Integer by = Room.holdsBack(table, rooms);
+        Integer by = RouteTableCapacity.holdsBack(table, rooms);
         if (by == null) {
             heldBack = null;
-        } else if (heldBack == null || !TableDifference.between(heldBack, table).nothing()) {
+        } else if (heldBack == null || !RouteTableDelta.between(heldBack, table).nothing()) {
             heldBack = table;
             say(
-                    Words.heldBack(
+                    HistoryEventText.heldBack(
                             by,
-                            TableFootprint.bytes(table),
+                            RouteTableFootprint.bytes(table),
                             table.leaving().size(),
                             rooms.get(by)));
         }
--- a/core/src/main/java/cedarrudder/fleet/FleetSettings.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinationSettings.java
@@ -1,4 +1,4 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
 /**
  * The figures of what copies decide together. Times are nanoseconds.
@@ -8,12 +8,13 @@
  * @param lease how long a copy that hears nothing more of a leader with a majority goes on with its
  *     table; at least four reports
  */
-public record FleetSettings(long period, long lease) {
+public record CoordinationSettings(long period, long lease) {
 
     private static final long MILLI = 1_000_000L;
 
     /** What serves where nothing else is said. */
-    public static final FleetSettings DEFAULT = new FleetSettings(500 * MILLI, 10_000 * MILLI);
+    public static final CoordinationSettings DEFAULT =
+            new CoordinationSettings(500 * MILLI, 10_000 * MILLI);
 
     /**
      * Clocks of two copies differ by no more than one part in so many, in the time that passes on
@@ -30,7 +31,7 @@
     private static final int LEAST_REPORTS = 4;
 
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
-    public FleetSettings {
+    public CoordinationSettings {
         check(period >= 10 * MILLI, "period", period, "10 ms or more");
         check(lease >= LEAST_REPORTS * period, "lease", lease, "4 periods or more");
     }
--- a/core/src/main/java/cedarrudder/fleet/Removal.java
+++ b/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
@@ -1,15 +1,15 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
-import cedarrudder.table.RouteTable;
+import cedarrudder.routetable.RouteTable;
 import java.util.List;
 
 /**
  * Which nodes are being removed: a state that all copies agree on, changed by commands that they
  * agree on. What a command does must depend on the state and the command alone.
  */
-public interface Removal {
+public interface DrainCoordination {
 
-    /** What this copy still has at the nodes that leave; as {@link Shares#report}. */
+    /** What this copy still has at the nodes that leave; as {@link TrafficCoordination#report}. */
     List<byte[]> report(long now);
 
     /**
@@ -19,7 +19,7 @@
     void reported(long now, int from, byte[] part);
 
     /** At the copy that leads, each period: a command that is due by what was reported, or null. */
-    byte[] next(long now, Tier tier);
+    byte[] next(long now, TierView tier);
 
     /**
      * This copy leads from here on, or no longer: what was reported to it before counts no more.
@@ -39,8 +39,8 @@
     void restored(long now, byte[] state);
 
     /** No node is removed. */
-    Removal NONE =
-            new Removal() {
+    DrainCoordination NONE =
+            new DrainCoordination() {
                 @Override
                 public List<byte[]> report(long now) {
                     return List.of();
@@ -50,7 +50,7 @@
                 public void reported(long now, int from, byte[] part) {}
 
                 @Override
-                public byte[] next(long now, Tier tier) {
+                public byte[] next(long now, TierView tier) {
                     return null;
                 }
 
--- /dev/null
+++ b/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
@@ -0,0 +1,36 @@
+package cedarrudder.coordination;
+
+import cedarrudder.failover.FailoverCoordinator;
+import cedarrudder.routetable.RouteTable;
+import java.util.List;
+
+/** Shares by {@link FailoverCoordinator}. Whoever has the tables must tell that of each as well. */
+public final class FailoverTraffic implements TrafficCoordination {
+
+    private final FailoverCoordinator failover;
+
+    public FailoverTraffic(FailoverCoordinator failover) {
+        this.failover = failover;
+    }
+
+    @Override
+    public List<byte[]> report(long now) {
+        List<byte[]> parts = failover.report(now, CoordinatedReplica.MOST_PART);
+        return parts.subList(0, Math.min(CoordinatedReplica.MOST_PARTS, parts.size()));
+    }
+
+    @Override
+    public void reported(long now, int from, byte[] part) {
+        failover.reported(now, from, part);
+    }
+
+    @Override
+    public List<RouteTable.Share> plan(long now, TierView tier) {
+        return failover.plan(now, tier.agreed(), tier::leaseOver);
+    }
+
+    @Override
+    public void leads(long now, boolean leads) {
+        failover.leads();
+    }
+}
--- a/core/src/main/java/cedarrudder/fleet/Words.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
@@ -1,13 +1,13 @@
-package cedarrudder.fleet;
-
-import cedarrudder.agreement.Entry;
-import cedarrudder.agreement.Group;
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Note;
-import cedarrudder.agreement.Voter;
-import cedarrudder.agreement.Voters;
-import cedarrudder.footprint.Room;
-import cedarrudder.table.RouteTable;
+package cedarrudder.coordination;
+
+import cedarrudder.consensus.ConsensusEvent;
+import cedarrudder.consensus.LogEntry;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Voter;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.consensus.VoterSet;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.routetable.RouteTable;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
@@ -16,16 +16,16 @@
 import java.util.zip.CRC32C;
 
 /** What a copy says of itself in a history, in the words that a judge reads. */
-final class Words {
+final class HistoryEventText {
 
     /** Something that happened, and what else is known of it. */
     record Said(String what, Map<String, String> fields) {}
 
-    private Words() {}
+    private HistoryEventText() {}
 
-    static Said of(Note note) {
+    static Said of(ConsensusEvent note) {
         String group = text(note.group());
-        if (note instanceof Note.Voted n) {
+        if (note instanceof ConsensusEvent.Voted n) {
             return new Said(
                     "voted",
                     Map.of(
@@ -37,11 +37,11 @@
                             text(n.by().life()),
                             "for",
                             text(n.candidate())));
-        } else if (note instanceof Note.Leads n) {
+        } else if (note instanceof ConsensusEvent.Leads n) {
             return new Said(
                     "leads",
                     Map.of("group", group, "term", text(n.term()), "as", text(n.by().life())));
-        } else if (note instanceof Note.Stored n) {
+        } else if (note instanceof ConsensusEvent.Stored n) {
             Map<String, String> fields =
                     new HashMap<>(
                             Map.of(
@@ -53,12 +53,12 @@
                                     text(n.by().life()),
                                     "sum",
                                     sum(n.entry().content())));
-            if (n.entry().kind() == Entry.Kind.VOTERS) {
-                fields.put("voters", text(Voters.decode(n.entry().bytes())));
+            if (n.entry().kind() == LogEntry.Kind.VOTERS) {
+                fields.put("voters", text(VoterSet.decode(n.entry().bytes())));
             }
             return new Said("stored", fields);
         }
-        Note.Seated seated = (Note.Seated) note;
+        ConsensusEvent.Seated seated = (ConsensusEvent.Seated) note;
         return new Said(
                 "seated",
                 Map.of(
@@ -70,7 +70,7 @@
                         text(seated.voters())));
     }
 
-    static Said loaded(LogNumber number, byte[] content, byte[] state) {
+    static Said loaded(LogPosition number, byte[] content, byte[] state) {
         return new Said(
                 "loaded",
                 Map.of(
@@ -84,7 +84,7 @@
                         sum(state)));
     }
 
-    static Said restored(LogNumber number, byte[] state, long life) {
+    static Said restored(LogPosition number, byte[] state, long life) {
         return new Said(
                 "restored",
                 Map.of(
@@ -111,7 +111,9 @@
                         "lease",
                         text(table.lease()),
                         "shares",
-                        table.shares().stream().map(Words::text).collect(Collectors.joining(","))));
+                        table.shares().stream()
+                                .map(HistoryEventText::text)
+                                .collect(Collectors.joining(","))));
     }
 
     /** As {@code from>to:way:parts:per_s}. */
@@ -151,7 +153,7 @@
     }
 
     /** A copy has no room for what the one that leads would have agreed on. */
-    static Said heldBack(int copy, int bytes, int nodes, Room room) {
+    static Said heldBack(int copy, int bytes, int nodes, RouteTableCapacity room) {
         return new Said(
                 "held-back",
                 Map.of(
@@ -166,13 +168,13 @@
     }
 
     /** As texts that sort as the groups do. */
-    static String text(Group group) {
+    static String text(VoterGroup group) {
         return String.format(
                 Locale.ROOT, "%08x.%04x.%016x", group.era(), group.founder(), group.life());
     }
 
-    static String text(Voters voters) {
-        return voters.all().stream().map(Words::text).collect(Collectors.joining(","));
+    static String text(VoterSet voters) {
+        return voters.all().stream().map(HistoryEventText::text).collect(Collectors.joining(","));
     }
 
     private static String text(Voter voter) {
--- a/core/src/main/java/cedarrudder/fleet/State.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
@@ -1,7 +1,7 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.TableCodec;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTableCodec;
 import java.nio.ByteBuffer;
 
 /**
@@ -10,10 +10,10 @@
  *
  * @param table null before the first
  */
-record State(RouteTable table, byte[] removal) {
+record ReplicatedState(RouteTable table, byte[] removal) {
 
     byte[] encode() {
-        byte[] head = table == null ? new byte[0] : TableCodec.encode(table);
+        byte[] head = table == null ? new byte[0] : RouteTableCodec.encode(table);
         if (head.length + removal.length == 0) {
             return new byte[0];
         }
@@ -25,9 +25,9 @@
     }
 
     /** Reads it; null where the bytes are none. */
-    static State decode(byte[] bytes) {
+    static ReplicatedState decode(byte[] bytes) {
         if (bytes.length == 0) {
-            return new State(null, bytes);
+            return new ReplicatedState(null, bytes);
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         int length = bytes.length < Integer.BYTES ? -1 : in.getInt();
@@ -37,7 +37,7 @@
         byte[] head = new byte[length];
         byte[] removal = new byte[in.remaining() - length];
         in.get(head).get(removal);
-        RouteTable table = length == 0 ? null : TableCodec.decode(head).table();
-        return length > 0 && table == null ? null : new State(table, removal);
+        RouteTable table = length == 0 ? null : RouteTableCodec.decode(head).table();
+        return length > 0 && table == null ? null : new ReplicatedState(table, removal);
     }
 }
--- a/core/src/main/java/cedarrudder/fleet/Reporters.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportCollector.java
@@ -1,14 +1,14 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
-import cedarrudder.agreement.Voter;
-import cedarrudder.agreement.Voters;
-import cedarrudder.footprint.Room;
+import cedarrudder.consensus.Voter;
+import cedarrudder.consensus.VoterSet;
+import cedarrudder.footprint.RouteTableCapacity;
 import java.util.Arrays;
 
 /**
  * What the copy that leads knows of the copies that report to it, and when a majority was with it.
  */
-final class Reporters {
+final class ReportCollector {
 
     /**
      * One copy is answered so often a period at the most. Guards against work without end for a
@@ -22,17 +22,17 @@
     private final long[] heardAt;
     private final long[] grantedAt;
     private final long[] answeredAt;
-    private final Room[] rooms;
+    private final RouteTableCapacity[] rooms;
     private long highest;
 
-    Reporters(int copies, long now) {
+    ReportCollector(int copies, long now) {
         lives = new long[copies];
         numbers = new long[copies];
         withUs = new long[copies];
         heardAt = new long[copies];
         grantedAt = new long[copies];
         answeredAt = new long[copies];
-        rooms = new Room[copies];
+        rooms = new RouteTableCapacity[copies];
         begin(now);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Takes a report; false where it is an old one. */
-    boolean took(long now, int from, long life, Letter.Report report, boolean inOurTerm) {
+    boolean took(long now, int from, long life, ReportMessage.Report report, boolean inOurTerm) {
         if (life < lives[from] || life == lives[from] && report.number() <= numbers[from]) {
             return false;
         }
@@ -62,7 +62,7 @@
         heardAt[from] = now;
         rooms[from] = report.room();
         highest = Math.max(highest, report.highest());
-        if (inOurTerm && report.heardAt() != Letter.NEVER && report.heardAt() <= now) {
+        if (inOurTerm && report.heardAt() != ReportMessage.NEVER && report.heardAt() <= now) {
             withUs[from] = Math.max(withUs[from], report.heardAt());
         }
         return true;
@@ -96,7 +96,7 @@
      * When a majority of the voters was last known to be in the term of this one, on this one's
      * clock.
      */
-    long majorityAt(long now, Voter self, Voters voters) {
+    long majorityAt(long now, Voter self, VoterSet voters) {
         long[] all =
                 voters.all().stream()
                         .mapToLong(
@@ -117,7 +117,7 @@
     }
 
     /** The room of a copy; null where it has not said. */
-    Room room(int copy) {
+    RouteTableCapacity room(int copy) {
         return rooms[copy];
     }
 
--- a/core/src/main/java/cedarrudder/fleet/Letter.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportMessage.java
@@ -1,7 +1,7 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
-import cedarrudder.agreement.Group;
-import cedarrudder.footprint.Room;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.footprint.RouteTableCapacity;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
  * a first byte that no message of membership or agreement begins with, the kind, the sender (2) and
  * its life (8), the fields, and a checksum (CRC32C, 4) of all before it. Big-endian.
  */
-sealed interface Letter {
+sealed interface ReportMessage {
 
     /** The first byte of all of them. */
     byte FIRST = (byte) 0xa7;
@@ -36,7 +36,7 @@
     record Part(Of of, byte[] bytes) {}
 
     /** Who sent it, in which of its lives. */
-    record Sealed(int sender, long life, Letter letter) {}
+    record Sealed(int sender, long life, ReportMessage letter) {}
 
     /**
      * A copy says how it is, and asks the one that leads whether its table still holds.
@@ -53,14 +53,14 @@
     record Report(
             boolean asks,
             long number,
-            Group group,
+            VoterGroup group,
             long term,
             long heardAt,
             long table,
             long highest,
-            Room room,
+            RouteTableCapacity room,
             List<Part> parts)
-            implements Letter {
+            implements ReportMessage {
         public Report {
             parts = List.copyOf(parts);
         }
@@ -77,8 +77,15 @@
      * @param last the highest number of a report of that life: the next must be higher
      */
     record Grant(
-            long life, long asked, Group group, long term, long at, long age, long table, long last)
-            implements Letter {}
+            long life,
+            long asked,
+            VoterGroup group,
+            long term,
+            long at,
+            long age,
+            long table,
+            long last)
+            implements ReportMessage {}
 
     default byte[] encode(int sender, long life) {
         ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
@@ -124,7 +131,7 @@
             int kind = in.get();
             int sender = in.getShort() & 0xffff;
             long life = in.getLong();
-            Letter letter =
+            ReportMessage letter =
                     switch (kind) {
                         case 0, 1 ->
                                 new Report(
@@ -135,7 +142,7 @@
                                         in.getLong(),
                                         in.getLong(),
                                         in.getLong(),
-                                        Room.get(in),
+                                        RouteTableCapacity.get(in),
                                         parts(in));
                         case 2 ->
                                 new Grant(
@@ -169,7 +176,7 @@
                     && m.table >= 0
                     && m.highest >= m.table
                     && m.highest < Long.MAX_VALUE >> 1
-                    && m.parts.size() <= 2 * FleetCopy.MOST_PARTS;
+                    && m.parts.size() <= 2 * CoordinatedReplica.MOST_PARTS;
         } else if (this instanceof Grant m) {
             return m.term >= 0
                     && m.age >= -1
@@ -195,12 +202,12 @@
         return parts;
     }
 
-    private static void put(ByteBuffer out, Group group) {
+    private static void put(ByteBuffer out, VoterGroup group) {
         out.putInt(group.era()).putShort((short) group.founder()).putLong(group.life());
     }
 
-    private static Group group(ByteBuffer in) {
-        return new Group(in.getInt(), in.getShort() & 0xffff, in.getLong());
+    private static VoterGroup group(ByteBuffer in) {
+        return new VoterGroup(in.getInt(), in.getShort() & 0xffff, in.getLong());
     }
 
     private static int sum(byte[] bytes, int length) {
--- a/core/src/main/java/cedarrudder/fleet/Lease.java
+++ b/core/src/main/java/cedarrudder/coordination/TableLease.java
@@ -1,7 +1,7 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
-import cedarrudder.agreement.Group;
-import cedarrudder.table.RouteTable;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.routetable.RouteTable;
 
 /**
  * How long a copy may use what it has loaded: from its last sure contact, on its own clock alone. A
@@ -9,18 +9,18 @@
  * answer that leader last knew a majority with it; so an answer that is late, doubled or kept by
  * others for long gives nothing that it did not give when it was new.
  */
-final class Lease {
+final class TableLease {
 
     /** What a leader said of a table that is not loaded here yet. */
-    private record Ahead(Group group, long table, long contact) {}
+    private record Ahead(VoterGroup group, long table, long contact) {}
 
     private final long none;
-    private Group group = Group.NONE;
+    private VoterGroup group = VoterGroup.NONE;
     private RouteTable agreed;
     private long contact;
     private Ahead ahead;
 
-    Lease(long now) {
+    TableLease(long now) {
         none = now - Long.MAX_VALUE / 4;
         contact = none;
     }
@@ -30,12 +30,12 @@
         return agreed;
     }
 
-    Group group() {
+    VoterGroup group() {
         return group;
     }
 
     /** This is agreed on from here on, in this group. */
-    void agreed(Group in, RouteTable table) {
+    void agreed(VoterGroup in, RouteTable table) {
         if (!in.equals(group)) {
             group = in;
             contact = none;
@@ -54,7 +54,7 @@
     /**
      * At that instant a leader of that group certainly led, and no table was newer than this one.
      */
-    void sure(Group in, long table, long instant) {
+    void sure(VoterGroup in, long table, long instant) {
         if (in.equals(group) && number() >= table) {
             contact = Math.max(contact, instant);
             ahead = null;
@@ -75,6 +75,6 @@
     long until() {
         return agreed == null
                 ? none
-                : contact + agreed.lease() - agreed.lease() / FleetSettings.DRIFT;
+                : contact + agreed.lease() - agreed.lease() / CoordinationSettings.DRIFT;
     }
 }
--- a/core/src/main/java/cedarrudder/fleet/Tier.java
+++ b/core/src/main/java/cedarrudder/coordination/TierView.java
@@ -1,9 +1,9 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
-import cedarrudder.table.RouteTable;
+import cedarrudder.routetable.RouteTable;
 
 /** What the copy that leads knows of the others when it plans. */
-public interface Tier {
+public interface TierView {
 
     /** How many copies there may be. */
     int copies();
--- a/core/src/main/java/cedarrudder/fleet/Shares.java
+++ b/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
@@ -1,17 +1,18 @@
-package cedarrudder.fleet;
+package cedarrudder.coordination;
 
-import cedarrudder.table.RouteTable;
+import cedarrudder.routetable.RouteTable;
 import java.util.List;
 
 /**
  * Which zones serve whose callers: each copy says what it saw, and the copy that leads plans from
  * what all said. Nothing of it is agreed on but the plan.
  */
-public interface Shares {
+public interface TrafficCoordination {
 
     /**
-     * What this copy saw since it was asked last: at most {@link FleetCopy#MOST_PARTS} parts of at
-     * most {@link FleetCopy#MOST_PART} bytes, each of which stands for itself, as any may be lost.
+     * What this copy saw since it was asked last: at most {@link CoordinatedReplica#MOST_PARTS}
+     * parts of at most {@link CoordinatedReplica#MOST_PART} bytes, each of which stands for itself,
+     * as any may be lost.
      */
     List<byte[]> report(long now);
 
@@ -19,7 +20,7 @@
     void reported(long now, int from, byte[] part);
 
     /** At the copy that leads, each period: the shares that should hold. */
-    List<RouteTable.Share> plan(long now, Tier tier);
+    List<RouteTable.Share> plan(long now, TierView tier);
 
     /**
      * This copy leads from here on, or no longer: what was reported to it before counts no more.
@@ -27,8 +28,8 @@
     void leads(long now, boolean leads);
 
     /** Callers stay in their zones. */
-    Shares NONE =
-            new Shares() {
+    TrafficCoordination NONE =
+            new TrafficCoordination() {
                 @Override
                 public List<byte[]> report(long now) {
                     return List.of();
@@ -38,7 +39,7 @@
                 public void reported(long now, int from, byte[] part) {}
 
                 @Override
-                public List<RouteTable.Share> plan(long now, Tier tier) {
+                public List<RouteTable.Share> plan(long now, TierView tier) {
                     return List.of();
                 }
 
--- a/core/src/main/java/cedarrudder/drainage/Bytes.java
+++ b/core/src/main/java/cedarrudder/draining/CompactCodec.java
@@ -1,15 +1,15 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
 /** Numbers of seven bits a byte, the lowest first, and texts with their length before them. */
-final class Bytes {
+final class CompactCodec {
 
     private static final int BITS = 7;
     private static final int MORE = 1 << BITS;
 
-    private Bytes() {}
+    private CompactCodec() {}
 
     /** Writes. */
     static final class Writer {
--- a/core/src/main/java/cedarrudder/drainage/Rules.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -1,13 +1,13 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Node.Standing;
+import cedarrudder.draining.DrainableNode.Standing;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Policies with their conditions read. What of them can't be told counts as a reason to pause. */
-final class Rules {
+final class CompiledPolicies {
 
     /** How a condition came out. */
     enum Told {
@@ -17,22 +17,22 @@
     }
 
     private record Rule(
-            Policy policy,
-            Conditions.OfNode where,
-            Conditions.OfFigures pauseIf,
-            Conditions.OfFigures goOnIf,
-            Conditions.OfFigures giveBackIf,
+            DrainPolicy policy,
+            ConditionCompiler.OfNode where,
+            ConditionCompiler.OfFigures pauseIf,
+            ConditionCompiler.OfFigures goOnIf,
+            ConditionCompiler.OfFigures giveBackIf,
             boolean read) {}
 
     private final List<Rule> rules = new ArrayList<>();
-    private final Map<Node, Integer> known = new HashMap<>();
+    private final Map<DrainableNode, Integer> known = new HashMap<>();
     private int undecided;
 
-    Rules(List<Policy> policies, Conditions conditions) {
+    CompiledPolicies(List<DrainPolicy> policies, ConditionCompiler conditions) {
         policies.forEach(policy -> rules.add(rule(policy, conditions)));
     }
 
-    private static Rule rule(Policy policy, Conditions conditions) {
+    private static Rule rule(DrainPolicy policy, ConditionCompiler conditions) {
         try {
             return new Rule(
                     policy,
@@ -56,8 +56,8 @@
         }
     }
 
-    private static Conditions.OfFigures figures(
-            String text, Conditions conditions, boolean otherwise) {
+    private static ConditionCompiler.OfFigures figures(
+            String text, ConditionCompiler conditions, boolean otherwise) {
         return text.isEmpty() ? figures -> otherwise : conditions.figures(text);
     }
 
@@ -65,19 +65,19 @@
         return rules.size();
     }
 
-    Policy policy(int index) {
+    DrainPolicy policy(int index) {
         return rules.get(index).policy;
     }
 
     /** The policies that are for a node, as bits; one that can't be told is, and pauses. */
-    int of(Node node) {
-        if (known.size() > 2 * Policy.MOST_NODES) {
+    int of(DrainableNode node) {
+        if (known.size() > 2 * DrainPolicy.MOST_NODES) {
             known.clear();
         }
         return known.computeIfAbsent(node.with(Standing.SERVING), this::work);
     }
 
-    private int work(Node node) {
+    private int work(DrainableNode node) {
         int policies = 0;
         for (int i = 0; i < rules.size(); i++) {
             Rule rule = rules.get(i);
@@ -95,7 +95,7 @@
     }
 
     /** Whether no wave may begin by what a policy says of the figures. */
-    Told pauses(int index, Figures figures) {
+    Told pauses(int index, PolicyConditionInputs figures) {
         Rule rule = rules.get(index);
         if (!rule.read || (undecided >> index & 1) != 0) {
             return Told.UNDECIDED;
@@ -103,15 +103,15 @@
         return figures.died() > rule.policy.died() ? Told.YES : told(rule.pauseIf, figures);
     }
 
-    Told goesOn(int index, Figures figures) {
+    Told goesOn(int index, PolicyConditionInputs figures) {
         return told(rules.get(index).goOnIf, figures);
     }
 
-    Told givesBack(int index, Figures figures) {
+    Told givesBack(int index, PolicyConditionInputs figures) {
         return told(rules.get(index).giveBackIf, figures);
     }
 
-    private static Told told(Conditions.OfFigures condition, Figures figures) {
+    private static Told told(ConditionCompiler.OfFigures condition, PolicyConditionInputs figures) {
         try {
             return condition.holds(figures) ? Told.YES : Told.NO;
         } catch (RuntimeException e) {
--- a/core/src/main/java/cedarrudder/drainage/Conditions.java
+++ b/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
@@ -1,7 +1,7 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /** Reads conditions, in whatever language they are written. */
-public interface Conditions {
+public interface ConditionCompiler {
 
     /** What is asked of the figures that copies share. */
     interface OfFigures {
@@ -10,7 +10,7 @@
          *
          * @throws RuntimeException where it can't be told; that counts as a reason to pause
          */
-        boolean holds(Figures figures);
+        boolean holds(PolicyConditionInputs figures);
     }
 
     /** What is asked of a node. */
@@ -21,20 +21,20 @@
          * @throws RuntimeException where it can't be told; the policy then counts for the node, and
          *     pauses
          */
-        boolean holds(Node node);
+        boolean holds(DrainableNode node);
     }
 
     /**
      * Reads a condition over figures.
      *
-     * @throws BadConditionException where it is none
+     * @throws InvalidConditionException where it is none
      */
     OfFigures figures(String text);
 
     /**
      * Reads a condition over a node.
      *
-     * @throws BadConditionException where it is none
+     * @throws InvalidConditionException where it is none
      */
     OfNode node(String text);
 }
--- a/core/src/main/java/cedarrudder/drainage/Counted.java
+++ b/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
@@ -1,24 +1,24 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Command.Bound;
+import cedarrudder.draining.DrainCommand.Bound;
 import java.util.HashMap;
 import java.util.Map;
 
 /** How many nodes that one policy is for are listed and out, in each pod, zone and tier. */
-final class Counted {
+final class DisruptionCounts {
 
     private static final class Group {
         private int listed;
         private int out;
     }
 
-    private final Policy policy;
+    private final DrainPolicy policy;
     private final Map<Object, Group> pods = new HashMap<>();
     private final Map<Object, Group> zones = new HashMap<>();
     private final Map<Object, Group> tiers = new HashMap<>();
     private final Map<Object, double[]> weights = new HashMap<>();
 
-    Counted(Policy policy) {
+    DisruptionCounts(DrainPolicy policy) {
         this.policy = policy;
     }
 
@@ -26,7 +26,7 @@
 
     private record Zone(String tier, String zone) {}
 
-    void add(Node node, boolean out) {
+    void add(DrainableNode node, boolean out) {
         for (Group group : groups(node)) {
             group.listed++;
             group.out += out ? 1 : 0;
@@ -36,7 +36,7 @@
         weight[1] += out ? 0 : node.weight();
     }
 
-    private Group[] groups(Node node) {
+    private Group[] groups(DrainableNode node) {
         return new Group[] {
             pods.computeIfAbsent(new Pod(node.tier(), node.pod()), key -> new Group()),
             zones.computeIfAbsent(new Zone(node.tier(), node.zone()), key -> new Group()),
@@ -45,7 +45,7 @@
     }
 
     /** The weight that is listed, and that which serves. */
-    private double[] weight(Node node) {
+    private double[] weight(DrainableNode node) {
         return weights.computeIfAbsent(node.tier(), key -> new double[2]);
     }
 
@@ -55,10 +55,10 @@
      * @param out whether it is counted as out already, such as one that fails: it may come to serve
      *     again
      */
-    Bound breaks(Node node, boolean out) {
+    Bound breaks(DrainableNode node, boolean out) {
         int more = out ? 0 : 1;
         Group[] groups = groups(node);
-        Policy.Most[] most = {policy.pod(), policy.zone(), policy.tier()};
+        DrainPolicy.Most[] most = {policy.pod(), policy.zone(), policy.tier()};
         int[] left = {policy.left().pod(), policy.left().zone(), policy.left().tier()};
         Bound[] mostBound = {Bound.POD, Bound.ZONE, Bound.TIER};
         Bound[] leftBound = {Bound.LEFT_POD, Bound.LEFT_ZONE, Bound.LEFT_TIER};
@@ -78,7 +78,7 @@
     }
 
     /** One more is out. */
-    void leaves(Node node) {
+    void leaves(DrainableNode node) {
         for (Group group : groups(node)) {
             group.out++;
         }
@@ -90,7 +90,7 @@
         return over(pods, policy.pod()) || over(zones, policy.zone()) || over(tiers, policy.tier());
     }
 
-    private static boolean over(Map<Object, Group> groups, Policy.Most most) {
+    private static boolean over(Map<Object, Group> groups, DrainPolicy.Most most) {
         return groups.values().stream().anyMatch(group -> group.out > most.of(group.listed));
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/Command.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -1,7 +1,7 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Restarted;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Restarted;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * What is committed of drains. Operators' calls and policies fit a datagram, as they may have to
  * travel to the leader; steps are the leader's own.
  */
-public sealed interface Command {
+public sealed interface DrainCommand {
 
     /** Nodes that one call of an operator's may name. */
     int MOST_IDS = 500;
@@ -32,10 +32,11 @@
      * @param cancel whether the drains are to end; else they are to begin
      * @param nodes at most {@link #MOST_IDS}
      */
-    record Call(boolean cancel, List<Long> nodes) implements Command {}
+    record Call(boolean cancel, List<Long> nodes) implements DrainCommand {}
 
     /** A part of the policies that are to count from here on, if none of a higher revision do. */
-    record Part(long revision, int sum, int index, int count, byte[] bytes) implements Command {}
+    record Part(long revision, int sum, int index, int count, byte[] bytes)
+            implements DrainCommand {}
 
     /**
      * What the leader has found.
@@ -47,7 +48,7 @@
      * @param pauses policies by their place that pause from here on, and those that go on
      */
     record Step(long basis, long clock, List<Pause> pauses, List<Change> changes, Told told)
-            implements Command {}
+            implements DrainCommand {}
 
     /** A policy pauses, or goes on. */
     record Pause(int policy, boolean on) {}
@@ -121,7 +122,7 @@
 
     /** As bytes. */
     default byte[] encode() {
-        Bytes.Writer out = new Bytes.Writer();
+        CompactCodec.Writer out = new CompactCodec.Writer();
         if (this instanceof Call call) {
             out.put(0).put(call.cancel ? 1 : 0).put(call.nodes.size());
             call.nodes.forEach(out::put);
@@ -154,10 +155,10 @@
     }
 
     /** Reads a command; null where the bytes are none. It throws nothing. */
-    static Command decode(byte[] bytes) {
+    static DrainCommand decode(byte[] bytes) {
         try {
-            Bytes.Reader in = new Bytes.Reader(bytes);
-            Command command =
+            CompactCodec.Reader in = new CompactCodec.Reader(bytes);
+            DrainCommand command =
                     switch (in.small(2)) {
                         case 0 -> call(in);
                         case 1 -> part(in);
@@ -170,16 +171,16 @@
         }
     }
 
-    private static Call call(Bytes.Reader in) {
+    private static Call call(CompactCodec.Reader in) {
         boolean cancel = in.small(1) == 1;
         List<Long> nodes = new ArrayList<>();
         for (int left = in.count(MOST_IDS); left > 0; left--) {
-            nodes.add(in.whole(Agreed.MOST_NODE));
+            nodes.add(in.whole(DrainStateMachine.MOST_NODE));
         }
         return new Call(cancel, nodes);
     }
 
-    private static Part part(Bytes.Reader in) {
+    private static Part part(CompactCodec.Reader in) {
         long revision = in.whole(Long.MAX_VALUE);
         int sum = (int) in.whole(0xffffffffL);
         int index = in.small(PolicyCodec.MOST_BYTES / PART);
@@ -190,12 +191,12 @@
         return new Part(revision, sum, index, count, in.block(PART));
     }
 
-    private static Step step(Bytes.Reader in) {
+    private static Step step(CompactCodec.Reader in) {
         long basis = in.whole(Long.MAX_VALUE);
         long clock = in.whole(Long.MAX_VALUE);
         List<Pause> pauses = new ArrayList<>();
-        for (int left = in.count(Policy.MOST_POLICIES); left > 0; left--) {
-            pauses.add(new Pause(in.small(Policy.MOST_POLICIES - 1), in.small(1) == 1));
+        for (int left = in.count(DrainPolicy.MOST_POLICIES); left > 0; left--) {
+            pauses.add(new Pause(in.small(DrainPolicy.MOST_POLICIES - 1), in.small(1) == 1));
         }
         List<Change> changes = new ArrayList<>();
         for (int left = in.count(MOST_CHANGES); left > 0; left--) {
@@ -207,7 +208,7 @@
                                     event,
                                     slot,
                                     in.whole(Long.MAX_VALUE),
-                                    in.whole(Policy.MOST_TIME),
+                                    in.whole(DrainPolicy.MOST_TIME),
                                     in.choice(AtEnd.values()),
                                     in.choice(Restarted.values()),
                                     (int) in.whole(0xffffffffL))
@@ -226,7 +227,7 @@
     }
 
     /** Writes what the leader told of. */
-    static void write(Bytes.Writer out, Told told) {
+    static void write(CompactCodec.Writer out, Told told) {
         out.put(told.waits.size());
         told.waits.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
         out.put(told.still.size());
@@ -234,14 +235,14 @@
     }
 
     /** Reads what {@link #write} wrote. */
-    static Told told(Bytes.Reader in) {
+    static Told told(CompactCodec.Reader in) {
         List<Wait> waits = new ArrayList<>();
         for (int left = in.count(MOST_TOLD); left > 0; left--) {
             waits.add(
                     new Wait(
-                            in.small(Policy.MOST_POLICIES) - 1,
+                            in.small(DrainPolicy.MOST_POLICIES) - 1,
                             in.choice(Bound.values()),
-                            in.small(Policy.MOST_NODES)));
+                            in.small(DrainPolicy.MOST_NODES)));
         }
         List<Still> still = new ArrayList<>();
         for (int left = in.count(MOST_TOLD); left > 0; left--) {
--- a/core/src/main/java/cedarrudder/drainage/Drains.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -1,9 +1,9 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Agreed.Drain;
-import cedarrudder.drainage.Command.Call;
-import cedarrudder.drainage.Command.Part;
-import cedarrudder.table.RouteTable.Leaving;
+import cedarrudder.draining.DrainCommand.Call;
+import cedarrudder.draining.DrainCommand.Part;
+import cedarrudder.draining.DrainStateMachine.Drain;
+import cedarrudder.routetable.RouteTable.Leaving;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -18,13 +18,13 @@
  * <p>It has no clock, no socket and no thread, and draws nothing. Not thread-safe: from one thread
  * at a time, and its outlet must not call it. Whatever bytes it is given it throws nothing.
  */
-public final class Drains {
+public final class DrainCoordinator {
 
     /** The largest number of a node. */
-    public static final long MOST_NODE = Agreed.MOST_NODE;
+    public static final long MOST_NODE = DrainStateMachine.MOST_NODE;
 
     /** Nodes that one call may name. */
-    public static final int MOST_IDS = Command.MOST_IDS;
+    public static final int MOST_IDS = DrainCommand.MOST_IDS;
 
     private static final long MILLI = 1_000_000L;
     private static final int MOST_REPORTS = 2;
@@ -41,13 +41,13 @@
             DrainState after,
             int wave,
             long within,
-            Transitions.Effect effect) {}
+            DrainTransitions.Effect effect) {}
 
     /** How a node's drain ended. */
     public record Ended(long node, DrainEvent how) {}
 
     /** What it causes. */
-    public interface Outlet {
+    public interface Actions {
         /** This was committed, and has taken effect here. */
         void happened(Happened happened);
     }
@@ -61,7 +61,7 @@
         Set<Long> disabled();
 
         /** What became of the calls of the last window. */
-        Flow flow();
+        TrafficSample flow();
     }
 
     /** One drain, for operators. */
@@ -78,17 +78,17 @@
             List<String> policies,
             List<String> paused,
             List<Shown> drains,
-            Command.Told told,
+            DrainCommand.Told told,
             List<Ended> ended) {}
 
     private final int copies;
     private final int self;
-    private final Conditions conditions;
-    private final Outlet outlet;
-    private final Heard heard;
-    private final Scheduler scheduler;
-    private Agreed agreed = new Agreed();
-    private Rules rules;
+    private final ConditionCompiler conditions;
+    private final Actions outlet;
+    private final ReportedDrainProgress heard;
+    private final WaveScheduler scheduler;
+    private DrainStateMachine agreed = new DrainStateMachine();
+    private CompiledPolicies rules;
     private List<Part> own = List.of();
     private long reckoned;
     private long reckonedAt;
@@ -98,14 +98,14 @@
     /**
      * @param copies how many there may be, and {@code self} the number of this one
      */
-    public Drains(
+    public DrainCoordinator(
             int copies,
             int self,
             DrainSettings settings,
-            Conditions conditions,
-            Outlet outlet,
+            ConditionCompiler conditions,
+            Actions outlet,
             long now) {
-        Policy.check(
+        DrainPolicy.check(
                 copies >= 1 && copies <= 0xffff && self >= 0 && self < copies,
                 "copy",
                 self + " of " + copies,
@@ -115,10 +115,10 @@
         this.conditions = conditions;
         this.outlet = outlet;
         this.reckonedAt = now;
-        heard = new Heard(settings, copies);
+        heard = new ReportedDrainProgress(settings, copies);
         heard.clear(now);
-        scheduler = new Scheduler(settings, heard);
-        rules = new Rules(agreed.policies(), conditions);
+        scheduler = new WaveScheduler(settings, heard);
+        rules = new CompiledPolicies(agreed.policies(), conditions);
     }
 
     // ---- what is agreed on ----
@@ -130,26 +130,26 @@
      * @param revision from 1
      * @throws IllegalArgumentException if they are more than {@link PolicyCodec#MOST_BYTES}
      */
-    public void policies(long revision, List<Policy> policies) {
+    public void policies(long revision, List<DrainPolicy> policies) {
         byte[] bytes = PolicyCodec.encode(policies);
-        Policy.check(
+        DrainPolicy.check(
                 bytes.length <= PolicyCodec.MOST_BYTES,
                 "policies",
                 bytes.length + " bytes",
                 "up to " + PolicyCodec.MOST_BYTES);
-        Policy.check(
-                policies.size() <= Policy.MOST_POLICIES,
+        DrainPolicy.check(
+                policies.size() <= DrainPolicy.MOST_POLICIES,
                 "policies",
                 policies.size(),
-                "up to " + Policy.MOST_POLICIES);
-        Policy.check(revision >= 1, "revision", revision, "1 or more");
-        int count = Math.max(1, (bytes.length + Command.PART - 1) / Command.PART);
+                "up to " + DrainPolicy.MOST_POLICIES);
+        DrainPolicy.check(revision >= 1, "revision", revision, "1 or more");
+        int count = Math.max(1, (bytes.length + DrainCommand.PART - 1) / DrainCommand.PART);
         List<Part> parts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            int begin = i * Command.PART;
-            byte[] part = new byte[Math.min(Command.PART, bytes.length - begin)];
+            int begin = i * DrainCommand.PART;
+            byte[] part = new byte[Math.min(DrainCommand.PART, bytes.length - begin)];
             System.arraycopy(bytes, begin, part, 0, part.length);
-            parts.add(new Part(revision, Agreed.sum(bytes), i, count, part));
+            parts.add(new Part(revision, DrainStateMachine.sum(bytes), i, count, part));
         }
         own = List.copyOf(parts);
     }
@@ -165,7 +165,7 @@
 
     /** A command is committed. */
     public void apply(long now, byte[] command) {
-        List<Policy> policies = agreed.policies();
+        List<DrainPolicy> policies = agreed.policies();
         List<Happened> happened = agreed.apply(command);
         // What has passed here since it last heard of the clock counts. Guards against a clock that
         // falls
@@ -178,9 +178,10 @@
 
     /** This state takes the place of the one that is; empty is that before the first command. */
     public void restored(long now, byte[] state) {
-        Agreed next = state.length == 0 ? new Agreed() : Agreed.decode(state);
+        DrainStateMachine next =
+                state.length == 0 ? new DrainStateMachine() : DrainStateMachine.decode(state);
         if (next != null) {
-            List<Policy> policies = agreed.policies();
+            List<DrainPolicy> policies = agreed.policies();
             agreed = next;
             reckoned = agreed.clock();
             reckonedAt = now;
@@ -188,9 +189,9 @@
         }
     }
 
-    private void readAnew(List<Policy> before) {
+    private void readAnew(List<DrainPolicy> before) {
         if (agreed.policies() != before) {
-            rules = new Rules(agreed.policies(), conditions);
+            rules = new CompiledPolicies(agreed.policies(), conditions);
         }
     }
 
@@ -225,12 +226,12 @@
     }
 
     /** The policies that count. */
-    public List<Policy> agreedPolicies() {
+    public List<DrainPolicy> agreedPolicies() {
         return agreed.policies();
     }
 
     public Progress progress() {
-        List<String> names = agreed.policies().stream().map(Policy::name).toList();
+        List<String> names = agreed.policies().stream().map(DrainPolicy::name).toList();
         List<String> paused = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             if (agreed.paused(i)) {
@@ -256,7 +257,7 @@
      * @param nodes from 1 to {@link #MOST_IDS}
      */
     public static byte[] call(boolean cancel, List<Long> nodes) {
-        Policy.check(
+        DrainPolicy.check(
                 !nodes.isEmpty()
                         && nodes.size() <= MOST_IDS
                         && nodes.stream().allMatch(node -> node >= 0 && node <= MOST_NODE),
@@ -292,24 +293,24 @@
         for (int i = 0; i < MOST_REPORTS; i++) {
             int first = from;
             int last = Integer.MAX_VALUE;
-            List<Report.Calls> held = new ArrayList<>();
+            List<DrainReport.Calls> held = new ArrayList<>();
             for (Drain drain : open) {
                 int calls = drain.slot < first ? 0 : local.calls(drain.node);
-                if (calls > 0 && held.size() == Report.mostCalls()) {
+                if (calls > 0 && held.size() == DrainReport.mostCalls()) {
                     last = drain.slot - 1;
                     break;
                 } else if (calls > 0) {
-                    held.add(new Report.Calls(drain.slot, calls));
+                    held.add(new DrainReport.Calls(drain.slot, calls));
                 }
             }
             from = last == Integer.MAX_VALUE ? 0 : last + 1;
             List<Long> some = new ArrayList<>();
-            for (int j = 0; j < Math.min(Report.mostSome(), disabled.size()); j++) {
+            for (int j = 0; j < Math.min(DrainReport.mostSome(), disabled.size()); j++) {
                 some.add(disabled.get(somewhere++ % disabled.size()));
             }
             somewhere = disabled.isEmpty() ? 0 : somewhere % disabled.size();
             parts.add(
-                    new Report(
+                    new DrainReport(
                                     agreed.version(),
                                     first,
                                     last,
@@ -339,7 +340,7 @@
         if (sender < 0 || sender >= copies) {
             return;
         }
-        Report report = Report.decode(part);
+        DrainReport report = DrainReport.decode(part);
         if (report != null) {
             heard.took(now, sender, report, agreed);
         }
@@ -352,9 +353,11 @@
      * @param nodes as this copy sees them
      * @param lives whether a copy lives
      */
-    public byte[] next(long now, long utcMillis, Collection<Node> nodes, IntPredicate lives) {
+    public byte[] next(
+            long now, long utcMillis, Collection<DrainableNode> nodes, IntPredicate lives) {
         heard.look(now, copy -> copy == self || lives.test(copy));
-        Command step = scheduler.next(now, clock(now), utcMillis, agreed, rules, nodes, copies);
+        DrainCommand step =
+                scheduler.next(now, clock(now), utcMillis, agreed, rules, nodes, copies);
         return step == null ? null : step.encode();
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/DrainEvent.java
+++ b/core/src/main/java/cedarrudder/draining/DrainEvent.java
@@ -1,4 +1,4 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /** What is committed of one node's drain. */
 public enum DrainEvent {
--- a/core/src/main/java/cedarrudder/drainage/Policy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -1,4 +1,4 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import java.util.List;
 
@@ -25,7 +25,7 @@
  * @param restarted what happens to one that has restarted under its id
  * @param closed when no wave begins
  */
-public record Policy(
+public record DrainPolicy(
         String name,
         Whom whom,
         Most pod,
@@ -135,7 +135,7 @@
         }
 
         /** Whether it can be for a node; the condition is not asked. */
-        boolean fits(Node node) {
+        boolean fits(DrainableNode node) {
             return (tier.isEmpty() || tier.equals(node.tier()))
                     && (zone.isEmpty() || zone.equals(node.zone()))
                     && (pod == ANY_POD || pod == node.pod())
@@ -230,7 +230,7 @@
     /**
      * Checks all that is said above; what is wrong is an IllegalArgumentException that names it.
      */
-    public Policy {
+    public DrainPolicy {
         check(
                 name != null && !name.isEmpty() && name.length() <= MOST_TEXT,
                 "name",
--- a/core/src/main/java/cedarrudder/drainage/Report.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -1,4 +1,4 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,14 +15,14 @@
  * @param some of them
  * @param flow what became of the calls of the last window
  */
-record Report(
+record DrainReport(
         long version,
         int first,
         int last,
         List<Calls> calls,
         int disabled,
         List<Long> some,
-        Flow flow) {
+        TrafficSample flow) {
 
     /** Bytes of one part, at the most. */
     static final int MOST_BYTES = 136;
@@ -46,8 +46,13 @@
     }
 
     byte[] encode() {
-        Bytes.Writer out =
-                new Bytes.Writer().put(KIND).put(version).put(first).put(last).put(calls.size());
+        CompactCodec.Writer out =
+                new CompactCodec.Writer()
+                        .put(KIND)
+                        .put(version)
+                        .put(first)
+                        .put(last)
+                        .put(calls.size());
         int before = first;
         for (Calls each : calls) {
             out.put(each.slot - before).put(Math.min(each.calls, MOST_DISABLED));
@@ -62,9 +67,9 @@
     }
 
     /** Reads a part; null where the bytes are none. It throws nothing. */
-    static Report decode(byte[] bytes) {
+    static DrainReport decode(byte[] bytes) {
         try {
-            Bytes.Reader in = new Bytes.Reader(bytes);
+            CompactCodec.Reader in = new CompactCodec.Reader(bytes);
             if (bytes.length > MOST_BYTES || in.small(KIND) != KIND) {
                 return null;
             }
@@ -80,16 +85,16 @@
             int disabled = in.small(MOST_DISABLED);
             List<Long> some = new ArrayList<>();
             for (int left = in.count(MOST_SOME); left > 0; left--) {
-                some.add(in.whole(Agreed.MOST_NODE));
+                some.add(in.whole(DrainStateMachine.MOST_NODE));
             }
-            Flow flow =
-                    new Flow(
+            TrafficSample flow =
+                    new TrafficSample(
                             in.small(MOST_COUNT),
                             in.small(MOST_COUNT),
                             in.small(MOST_COUNT),
                             in.small(MOST_COUNT));
             in.done();
-            return new Report(version, first, last, calls, disabled, some, flow);
+            return new DrainReport(version, first, last, calls, disabled, some, flow);
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/drainage/DrainSettings.java
+++ b/core/src/main/java/cedarrudder/draining/DrainSettings.java
@@ -1,4 +1,4 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /**
  * The figures of the mechanism; times are nanoseconds.
@@ -19,9 +19,9 @@
 
     /** Checks that all are over 0; what is wrong is an IllegalArgumentException that names it. */
     public DrainSettings {
-        Policy.check(patience > 0, "patience", patience, "over 0");
-        Policy.check(forgets > 0, "forgets", forgets, "over 0");
-        Policy.check(unlisted > 0, "unlisted", unlisted, "over 0");
-        Policy.check(beat > 0, "beat", beat, "over 0");
+        DrainPolicy.check(patience > 0, "patience", patience, "over 0");
+        DrainPolicy.check(forgets > 0, "forgets", forgets, "over 0");
+        DrainPolicy.check(unlisted > 0, "unlisted", unlisted, "over 0");
+        DrainPolicy.check(beat > 0, "beat", beat, "over 0");
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/DrainState.java
+++ b/core/src/main/java/cedarrudder/draining/DrainState.java
@@ -1,4 +1,4 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /** How a node stands with drains. */
 public enum DrainState {
--- a/core/src/main/java/cedarrudder/drainage/Agreed.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -1,14 +1,14 @@
-package cedarrudder.drainage;
-
-import cedarrudder.drainage.Command.Call;
-import cedarrudder.drainage.Command.Change;
-import cedarrudder.drainage.Command.Part;
-import cedarrudder.drainage.Command.Pause;
-import cedarrudder.drainage.Command.Step;
-import cedarrudder.drainage.Command.Told;
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Transitions.Effect;
+package cedarrudder.draining;
+
+import cedarrudder.draining.DrainCommand.Call;
+import cedarrudder.draining.DrainCommand.Change;
+import cedarrudder.draining.DrainCommand.Part;
+import cedarrudder.draining.DrainCommand.Pause;
+import cedarrudder.draining.DrainCommand.Step;
+import cedarrudder.draining.DrainCommand.Told;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainTransitions.Effect;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -24,14 +24,14 @@
  * What copies agree on of drains: the same at each that applied the same commands in their order,
  * whatever its clock, its list of nodes and its file say. Not thread-safe.
  */
-final class Agreed {
+final class DrainStateMachine {
 
     static final long MOST_NODE = (1L << 52) - 1;
 
     private static final int VERSION = 1;
     private static final int MOST_WAVE = 1 << 16;
     private static final int MOST_ENDED = 256;
-    private static final int MOST_PARTS = PolicyCodec.MOST_BYTES / Command.PART + 1;
+    private static final int MOST_PARTS = PolicyCodec.MOST_BYTES / DrainCommand.PART + 1;
 
     /** A drain of one node. */
     static final class Drain {
@@ -64,7 +64,7 @@
 
     private final TreeMap<Integer, Drain> drains = new TreeMap<>();
     private final Map<Long, Drain> byNode = new HashMap<>();
-    private final Deque<Drains.Ended> ended = new ArrayDeque<>();
+    private final Deque<DrainCoordinator.Ended> ended = new ArrayDeque<>();
     private long version;
     private long clock;
     private int nextSlot = 1;
@@ -72,7 +72,7 @@
     private long revision;
     private int sum;
     private byte[] policyBytes = PolicyCodec.encode(List.of());
-    private List<Policy> policies = List.of();
+    private List<DrainPolicy> policies = List.of();
     private long[] endedAt = new long[0];
     private long[] pausedAt = new long[0];
     private long comingRevision;
@@ -99,7 +99,7 @@
         return sum;
     }
 
-    List<Policy> policies() {
+    List<DrainPolicy> policies() {
         return policies;
     }
 
@@ -124,7 +124,7 @@
         return told;
     }
 
-    List<Drains.Ended> ended() {
+    List<DrainCoordinator.Ended> ended() {
         return List.copyOf(ended);
     }
 
@@ -166,9 +166,9 @@
     // ---- commands ----
 
     /** Applies a command; one that can't be read, or that was overtaken, changes nothing. */
-    List<Drains.Happened> apply(byte[] bytes) {
-        List<Drains.Happened> happened = new ArrayList<>();
-        Command command = Command.decode(bytes);
+    List<DrainCoordinator.Happened> apply(byte[] bytes) {
+        List<DrainCoordinator.Happened> happened = new ArrayList<>();
+        DrainCommand command = DrainCommand.decode(bytes);
         long before = version;
         int open = open();
         if (command instanceof Call call) {
@@ -187,12 +187,12 @@
         return happened;
     }
 
-    private void call(Call call, List<Drains.Happened> happened) {
+    private void call(Call call, List<DrainCoordinator.Happened> happened) {
         version++;
         for (long node : call.nodes()) {
             if (!call.cancel()
                     && !byNode.containsKey(node)
-                    && drains.size() < Policy.MOST_NODES
+                    && drains.size() < DrainPolicy.MOST_NODES
                     && nextSlot < Integer.MAX_VALUE) {
                 Drain drain = new Drain(nextSlot++, node);
                 drain.state = DrainState.NONE;
@@ -206,7 +206,7 @@
         }
     }
 
-    private void step(Step step, List<Drains.Happened> happened) {
+    private void step(Step step, List<DrainCoordinator.Happened> happened) {
         clock = Math.max(clock, step.clock());
         told = step.told();
         if (step.basis() != version || step.pauses().isEmpty() && step.changes().isEmpty()) {
@@ -241,9 +241,9 @@
         }
     }
 
-    private void happens(Drain drain, DrainEvent event, List<Drains.Happened> happened) {
+    private void happens(Drain drain, DrainEvent event, List<DrainCoordinator.Happened> happened) {
         DrainState before = drain.state;
-        Transitions.Row row = Transitions.of(before, event);
+        DrainTransitions.Row row = DrainTransitions.of(before, event);
         if (row == null) {
             return;
         }
@@ -252,7 +252,7 @@
             drain.since = version;
         }
         happened.add(
-                new Drains.Happened(
+                new DrainCoordinator.Happened(
                         drain.node,
                         event,
                         before,
@@ -263,7 +263,7 @@
         if (row.effect() == Effect.END) {
             drains.remove(drain.slot);
             byNode.remove(drain.node);
-            ended.addLast(new Drains.Ended(drain.node, event));
+            ended.addLast(new DrainCoordinator.Ended(drain.node, event));
             if (ended.size() > MOST_ENDED) {
                 ended.removeFirst();
             }
@@ -296,7 +296,7 @@
             System.arraycopy(each, 0, joined, at, each.length);
             at += each.length;
         }
-        List<Policy> next = sum(joined) == comingSum ? PolicyCodec.decode(joined) : null;
+        List<DrainPolicy> next = sum(joined) == comingSum ? PolicyCodec.decode(joined) : null;
         coming = new byte[0][];
         if (next != null) {
             revision = comingRevision;
@@ -310,7 +310,7 @@
         }
     }
 
-    private void replace(byte[] bytes, List<Policy> next) {
+    private void replace(byte[] bytes, List<DrainPolicy> next) {
         policyBytes = bytes;
         policies = next;
         endedAt = new long[next.size()];
@@ -329,8 +329,8 @@
     // ---- the state ----
 
     byte[] encode() {
-        Bytes.Writer out =
-                new Bytes.Writer()
+        CompactCodec.Writer out =
+                new CompactCodec.Writer()
                         .put(VERSION)
                         .put(version)
                         .put(clock)
@@ -362,15 +362,15 @@
         }
         out.put(ended.size());
         ended.forEach(each -> out.put(each.node()).put(each.how()));
-        Command.write(out, told);
+        DrainCommand.write(out, told);
         return out.bytes();
     }
 
     /** Reads a state; null where the bytes are none. It throws nothing. */
-    static Agreed decode(byte[] bytes) {
+    static DrainStateMachine decode(byte[] bytes) {
         try {
-            Bytes.Reader in = new Bytes.Reader(bytes);
-            Agreed state = new Agreed();
+            CompactCodec.Reader in = new CompactCodec.Reader(bytes);
+            DrainStateMachine state = new DrainStateMachine();
             if (in.small(VERSION) != VERSION) {
                 return null;
             }
@@ -381,7 +381,7 @@
             state.revision = in.whole(Long.MAX_VALUE);
             state.sum = (int) in.whole(0xffffffffL);
             byte[] policyBytes = in.block(PolicyCodec.MOST_BYTES);
-            List<Policy> policies = PolicyCodec.decode(policyBytes);
+            List<DrainPolicy> policies = PolicyCodec.decode(policyBytes);
             if (policies == null) {
                 return null;
             }
@@ -395,10 +395,10 @@
             state.coming = new byte[in.count(MOST_PARTS)][];
             for (int i = 0; i < state.coming.length; i++) {
                 boolean here = in.small(1) == 1;
-                byte[] part = in.block(Command.PART);
+                byte[] part = in.block(DrainCommand.PART);
                 state.coming[i] = here ? part : null;
             }
-            for (int left = in.count(Policy.MOST_NODES); left > 0; left--) {
+            for (int left = in.count(DrainPolicy.MOST_NODES); left > 0; left--) {
                 Drain drain = new Drain(in.small(Integer.MAX_VALUE), in.whole(MOST_NODE));
                 drain.state = in.choice(DrainState.values());
                 drain.wave = in.small(MOST_WAVE - 1);
@@ -417,9 +417,10 @@
             }
             for (int left = in.count(MOST_ENDED); left > 0; left--) {
                 state.ended.addLast(
-                        new Drains.Ended(in.whole(MOST_NODE), in.choice(DrainEvent.values())));
+                        new DrainCoordinator.Ended(
+                                in.whole(MOST_NODE), in.choice(DrainEvent.values())));
             }
-            state.told = Command.told(in);
+            state.told = DrainCommand.told(in);
             in.done();
             return state;
         } catch (IllegalArgumentException e) {
--- a/core/src/main/java/cedarrudder/drainage/Transitions.java
+++ b/core/src/main/java/cedarrudder/draining/DrainTransitions.java
@@ -1,24 +1,24 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import static cedarrudder.drainage.DrainEvent.ALARMED;
-import static cedarrudder.drainage.DrainEvent.ASKED;
-import static cedarrudder.drainage.DrainEvent.BEGUN;
-import static cedarrudder.drainage.DrainEvent.CANCELLED;
-import static cedarrudder.drainage.DrainEvent.EMPTY;
-import static cedarrudder.drainage.DrainEvent.GIVEN_UP;
-import static cedarrudder.drainage.DrainEvent.GONE;
-import static cedarrudder.drainage.DrainEvent.LET_GO;
-import static cedarrudder.drainage.DrainEvent.RESTARTED_BACK;
-import static cedarrudder.drainage.DrainEvent.RESTARTED_OUT;
-import static cedarrudder.drainage.DrainEvent.RETURNED;
-import static cedarrudder.drainage.DrainEvent.STOPPED;
-import static cedarrudder.drainage.DrainState.LEAVING;
-import static cedarrudder.drainage.DrainState.NONE;
-import static cedarrudder.drainage.DrainState.OUT;
-import static cedarrudder.drainage.DrainState.OVERDUE;
-import static cedarrudder.drainage.DrainState.RETURNING;
-import static cedarrudder.drainage.DrainState.RETURNING_TO_WAIT;
-import static cedarrudder.drainage.DrainState.WAITING;
+import static cedarrudder.draining.DrainEvent.ALARMED;
+import static cedarrudder.draining.DrainEvent.ASKED;
+import static cedarrudder.draining.DrainEvent.BEGUN;
+import static cedarrudder.draining.DrainEvent.CANCELLED;
+import static cedarrudder.draining.DrainEvent.EMPTY;
+import static cedarrudder.draining.DrainEvent.GIVEN_UP;
+import static cedarrudder.draining.DrainEvent.GONE;
+import static cedarrudder.draining.DrainEvent.LET_GO;
+import static cedarrudder.draining.DrainEvent.RESTARTED_BACK;
+import static cedarrudder.draining.DrainEvent.RESTARTED_OUT;
+import static cedarrudder.draining.DrainEvent.RETURNED;
+import static cedarrudder.draining.DrainEvent.STOPPED;
+import static cedarrudder.draining.DrainState.LEAVING;
+import static cedarrudder.draining.DrainState.NONE;
+import static cedarrudder.draining.DrainState.OUT;
+import static cedarrudder.draining.DrainState.OVERDUE;
+import static cedarrudder.draining.DrainState.RETURNING;
+import static cedarrudder.draining.DrainState.RETURNING_TO_WAIT;
+import static cedarrudder.draining.DrainState.WAITING;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -28,7 +28,7 @@
  * that has no row in a state changes nothing there: it came twice, too late, or was overtaken by
  * another.
  */
-public final class Transitions {
+public final class DrainTransitions {
 
     /** What follows, beside the next state. */
     public enum Effect {
@@ -83,7 +83,7 @@
         row(RETURNING_TO_WAIT, GONE, NONE, Effect.END);
     }
 
-    private Transitions() {}
+    private DrainTransitions() {}
 
     private static void row(DrainState from, DrainEvent event, DrainState to, Effect effect) {
         if (TABLE.computeIfAbsent(from, each -> new EnumMap<>(DrainEvent.class))
--- a/core/src/main/java/cedarrudder/drainage/Node.java
+++ b/core/src/main/java/cedarrudder/draining/DrainableNode.java
@@ -1,4 +1,4 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /**
  * A node as one copy sees it.
@@ -10,7 +10,7 @@
  * @param kind the name of its kind; empty where it has none
  * @param start its last start, as discovery tells it, in milliseconds since 1970; 0: long ago
  */
-public record Node(
+public record DrainableNode(
         long id,
         String tier,
         String zone,
@@ -32,7 +32,7 @@
     }
 
     /** The same with another standing. */
-    public Node with(Standing other) {
-        return new Node(id, tier, zone, pod, kind, weight, other, start);
+    public DrainableNode with(Standing other) {
+        return new DrainableNode(id, tier, zone, pod, kind, weight, other, start);
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/BadConditionException.java
+++ b/core/src/main/java/cedarrudder/draining/InvalidConditionException.java
@@ -1,7 +1,7 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /** A text that is no condition. */
-public final class BadConditionException extends IllegalArgumentException {
+public final class InvalidConditionException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
 
@@ -11,7 +11,7 @@
     /**
      * @param found with its place in the text
      */
-    public BadConditionException(String found, String allowed) {
+    public InvalidConditionException(String found, String allowed) {
         super("found " + found + "; allowed: " + allowed);
         this.found = found;
         this.allowed = allowed;
--- a/core/src/main/java/cedarrudder/drainage/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -1,12 +1,12 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Left;
-import cedarrudder.drainage.Policy.Most;
-import cedarrudder.drainage.Policy.Order;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Policy.Whom;
-import cedarrudder.drainage.Policy.Window;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Left;
+import cedarrudder.draining.DrainPolicy.Most;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.Window;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -18,13 +18,13 @@
     /** All policies together take no more than this. */
     public static final int MOST_BYTES = 24_000;
 
-    private static final int MOST_TEXT_BYTES = 3 * Policy.MOST_TEXT;
+    private static final int MOST_TEXT_BYTES = 3 * DrainPolicy.MOST_TEXT;
 
     private PolicyCodec() {}
 
-    public static byte[] encode(List<Policy> policies) {
-        Bytes.Writer out = new Bytes.Writer().put(policies.size());
-        for (Policy policy : policies) {
+    public static byte[] encode(List<DrainPolicy> policies) {
+        CompactCodec.Writer out = new CompactCodec.Writer().put(policies.size());
+        for (DrainPolicy policy : policies) {
             Whom whom = policy.whom();
             out.put(policy.name())
                     .put(whom.tier())
@@ -58,13 +58,13 @@
     }
 
     /** Reads policies; null where the bytes are none. It throws nothing. */
-    public static List<Policy> decode(byte[] bytes) {
+    public static List<DrainPolicy> decode(byte[] bytes) {
         try {
-            Bytes.Reader in = new Bytes.Reader(bytes);
-            List<Policy> policies = new ArrayList<>();
+            CompactCodec.Reader in = new CompactCodec.Reader(bytes);
+            List<DrainPolicy> policies = new ArrayList<>();
             Set<String> names = new HashSet<>();
-            for (int left = in.count(Policy.MOST_POLICIES); left > 0; left--) {
-                Policy policy = policy(in);
+            for (int left = in.count(DrainPolicy.MOST_POLICIES); left > 0; left--) {
+                DrainPolicy policy = policy(in);
                 if (!names.add(policy.name())) {
                     return null;
                 }
@@ -77,7 +77,7 @@
         }
     }
 
-    private static Policy policy(Bytes.Reader in) {
+    private static DrainPolicy policy(CompactCodec.Reader in) {
         String name = text(in);
         Whom whom =
                 new Whom(
@@ -98,24 +98,24 @@
                         in.small(Integer.MAX_VALUE),
                         in.number());
         Order order = in.choice(Order.values());
-        int wave = in.small(Policy.MOST_NODES);
-        long pace = in.whole(Policy.MOST_TIME);
-        int died = in.small(Policy.MOST_NODES);
+        int wave = in.small(DrainPolicy.MOST_NODES);
+        long pace = in.whole(DrainPolicy.MOST_TIME);
+        int died = in.small(DrainPolicy.MOST_NODES);
         String pauseIf = text(in);
         String goOnIf = text(in);
         String giveBackIf = text(in);
-        long time = in.whole(Policy.MOST_TIME);
+        long time = in.whole(DrainPolicy.MOST_TIME);
         AtEnd atEnd = in.choice(AtEnd.values());
         Restarted restarted = in.choice(Restarted.values());
         List<Window> closed = new ArrayList<>();
-        for (int count = in.count(Policy.MOST_WINDOWS); count > 0; count--) {
+        for (int count = in.count(DrainPolicy.MOST_WINDOWS); count > 0; count--) {
             closed.add(
                     new Window(
                             in.small(Integer.MAX_VALUE),
                             in.small(Integer.MAX_VALUE),
                             in.small(Integer.MAX_VALUE)));
         }
-        return new Policy(
+        return new DrainPolicy(
                 name,
                 whom,
                 pod,
@@ -135,11 +135,11 @@
                 closed);
     }
 
-    private static String text(Bytes.Reader in) {
+    private static String text(CompactCodec.Reader in) {
         return in.text(MOST_TEXT_BYTES);
     }
 
-    private static Most most(Bytes.Reader in) {
+    private static Most most(CompactCodec.Reader in) {
         return new Most(in.small(Integer.MAX_VALUE), in.number());
     }
 }
--- a/core/src/main/java/cedarrudder/drainage/Figures.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
@@ -1,4 +1,4 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /**
  * What the copies share, as conditions see it.
@@ -12,7 +12,7 @@
  * @param out nodes that are out, for whatever reason
  * @param died nodes that the policy is for, that fail, and that were not taken out by a drain
  */
-public record Figures(
+public record PolicyConditionInputs(
         double refused,
         double failed,
         double late,
--- a/core/src/main/java/cedarrudder/drainage/PolicyCheck.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -1,8 +1,8 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Command.Bound;
-import cedarrudder.drainage.Node.Standing;
-import cedarrudder.drainage.Policy.Order;
+import cedarrudder.draining.DrainCommand.Bound;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainableNode.Standing;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -19,7 +19,7 @@
  * state of nodes that shows it, and two that contradict each other. It tries states; it proves
  * nothing beyond them.
  */
-public final class PolicyCheck {
+public final class PolicyValidator {
 
     /**
      * A tier's size.
@@ -28,11 +28,11 @@
      */
     public record Fleet(int zones, int pods, int nodes) {
         public Fleet {
-            Policy.check(
+            DrainPolicy.check(
                     zones >= 1
                             && pods >= 1
                             && nodes >= 1
-                            && (long) zones * pods * nodes <= Policy.MOST_NODES * 4L,
+                            && (long) zones * pods * nodes <= DrainPolicy.MOST_NODES * 4L,
                     "fleet",
                     zones + " zones, " + pods + " pods, " + nodes + " nodes",
                     "1 or more of each, 16,384 nodes in all");
@@ -65,16 +65,17 @@
     private static final int MOST_PODS = 64;
     private static final int[] COPIES = {1, 3, 30};
 
-    private final List<Policy> policies;
-    private final Conditions conditions;
+    private final List<DrainPolicy> policies;
+    private final ConditionCompiler conditions;
     private final List<Fleet> fleets;
     private final List<Finding> findings = new ArrayList<>();
-    private final List<Node> samples = new ArrayList<>();
+    private final List<DrainableNode> samples = new ArrayList<>();
     private final List<Both> both = new ArrayList<>();
-    private final Map<String, Conditions.OfFigures> read = new HashMap<>();
-    private final Map<String, Conditions.OfNode> readOfNodes = new HashMap<>();
+    private final Map<String, ConditionCompiler.OfFigures> read = new HashMap<>();
+    private final Map<String, ConditionCompiler.OfNode> readOfNodes = new HashMap<>();
 
-    private PolicyCheck(List<Policy> policies, Conditions conditions, Fleet stated) {
+    private PolicyValidator(
+            List<DrainPolicy> policies, ConditionCompiler conditions, Fleet stated) {
         this.policies = policies;
         this.conditions = conditions;
         this.fleets = stated == null ? USUAL : List.of(stated);
@@ -89,7 +90,7 @@
                 }
             }
         }
-        fleets.add(new Fleet(1, 1, Policy.MOST_NODES));
+        fleets.add(new Fleet(1, 1, DrainPolicy.MOST_NODES));
         return fleets;
     }
 
@@ -101,8 +102,9 @@
      *
      * @param stated the size of the tier; null where it is not known, and many are tried
      */
-    public static Result check(List<Policy> policies, Conditions conditions, Fleet stated) {
-        PolicyCheck check = new PolicyCheck(policies, conditions, stated);
+    public static Result check(
+            List<DrainPolicy> policies, ConditionCompiler conditions, Fleet stated) {
+        PolicyValidator check = new PolicyValidator(policies, conditions, stated);
         check.all();
         return new Result(List.copyOf(check.findings), List.copyOf(check.both));
     }
@@ -119,7 +121,7 @@
         }
         for (int i = 0; i < policies.size(); i++) {
             for (int j = i + 1; j < policies.size(); j++) {
-                Node node =
+                DrainableNode node =
                         never.contains(i) || never.contains(j)
                                 ? null
                                 : sample(List.of(policies.get(i), policies.get(j)));
@@ -133,7 +135,7 @@
     // ---- one policy ----
 
     private void alone(int index) {
-        Policy policy = policies.get(index);
+        DrainPolicy policy = policies.get(index);
         if (samples.get(index) == null) {
             findings.add(
                     new Finding(
@@ -199,8 +201,8 @@
     }
 
     /** A minute of the week in which a wave may begin by all of them; -1 where there is none. */
-    private static int minute(List<Policy> all) {
-        for (int minute = 0; minute < Policy.WEEK; minute++) {
+    private static int minute(List<DrainPolicy> all) {
+        for (int minute = 0; minute < DrainPolicy.WEEK; minute++) {
             int at = minute;
             if (all.stream().noneMatch(policy -> policy.closedIn(at))) {
                 return minute;
@@ -212,7 +214,8 @@
     /** Whether none of the conditions holds while all is well, for some number of copies. */
     private boolean calm(String text, List<String> others, int out) {
         for (int copies : COPIES) {
-            Figures figures = new Figures(0, 0, 0, 1 - out * 0.01, copies, copies, out, 0);
+            PolicyConditionInputs figures =
+                    new PolicyConditionInputs(0, 0, 0, 1 - out * 0.01, copies, copies, out, 0);
             boolean calm = isFalse(text, figures);
             for (String other : others) {
                 calm &= isFalse(other, figures);
@@ -224,7 +227,7 @@
         return false;
     }
 
-    private boolean isFalse(String text, Figures figures) {
+    private boolean isFalse(String text, PolicyConditionInputs figures) {
         try {
             return text.isEmpty()
                     || !read.computeIfAbsent(text, conditions::figures).holds(figures);
@@ -236,11 +239,11 @@
     /**
      * What keeps each node of each fleet from going, as the last shows it; null where one may go.
      */
-    private Bound bound(List<Policy> all, Node sample) {
+    private Bound bound(List<DrainPolicy> all, DrainableNode sample) {
         Bound bound = null;
         for (Fleet fleet : fleets) {
             bound = null;
-            for (Policy policy : all) {
+            for (DrainPolicy policy : all) {
                 bound = bound == null ? bound(policy, sample, fleet) : bound;
             }
             if (bound == null) {
@@ -251,17 +254,17 @@
     }
 
     /** What keeps the sample in a fleet of which all that the policy can be for is like it. */
-    private static Bound bound(Policy policy, Node sample, Fleet fleet) {
-        Counted counted = new Counted(policy);
+    private static Bound bound(DrainPolicy policy, DrainableNode sample, Fleet fleet) {
+        DisruptionCounts counted = new DisruptionCounts(policy);
         int zones = policy.whom().zone().isEmpty() ? fleet.zones : 1;
-        int pods = policy.whom().pod() == Policy.ANY_POD ? fleet.pods : 1;
+        int pods = policy.whom().pod() == DrainPolicy.ANY_POD ? fleet.pods : 1;
         long id = 0;
         for (int zone = 0; zone < zones; zone++) {
             for (int pod = 0; pod < pods; pod++) {
                 for (int i = 0; i < fleet.nodes; i++) {
                     boolean own = zone == 0 && pod == 0;
                     counted.add(
-                            new Node(
+                            new DrainableNode(
                                     id++,
                                     sample.tier(),
                                     zone == 0 ? sample.zone() : "zone " + zone,
@@ -289,7 +292,7 @@
         };
     }
 
-    private static String said(Policy policy, Bound bound) {
+    private static String said(DrainPolicy policy, Bound bound) {
         return switch (bound) {
             case POD -> most(policy.pod());
             case ZONE -> most(policy.zone());
@@ -301,10 +304,10 @@
         };
     }
 
-    private static String most(Policy.Most most) {
+    private static String most(DrainPolicy.Most most) {
         return most.share() == 1
                 ? "nodes = " + most.nodes()
-                : most.nodes() == Policy.MOST_NODES
+                : most.nodes() == DrainPolicy.MOST_NODES
                         ? "share = " + most.share()
                         : "nodes = " + most.nodes() + ", share = " + most.share();
     }
@@ -318,10 +321,10 @@
 
     // ---- two policies ----
 
-    private void pair(int i, int j, Node node) {
-        Policy one = policies.get(i);
-        Policy other = policies.get(j);
-        List<Policy> two = List.of(one, other);
+    private void pair(int i, int j, DrainableNode node) {
+        DrainPolicy one = policies.get(i);
+        DrainPolicy other = policies.get(j);
+        List<DrainPolicy> two = List.of(one, other);
         String beside = " beside '" + one.name() + "', which is for the same nodes";
         if (minute(two) < 0) {
             findings.add(
@@ -386,7 +389,7 @@
         both.add(new Both(i, j, stricter(one, other)));
     }
 
-    private boolean breaks(Policy policy, Node node, Bound bound) {
+    private boolean breaks(DrainPolicy policy, DrainableNode node, Bound bound) {
         return bound(policy, node, last()) == bound;
     }
 
@@ -394,7 +397,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static List<String> stricter(Policy one, Policy other) {
+    private static List<String> stricter(DrainPolicy one, DrainPolicy other) {
         List<String> all = new ArrayList<>();
         stricter(all, "out_per_pod", one, other, (a, b) -> tighter(a.pod(), b.pod()));
         stricter(all, "out_per_zone", one, other, (a, b) -> tighter(a.zone(), b.zone()));
@@ -411,16 +414,16 @@
     }
 
     /** Whether a bound is lower in number or share, and higher in neither. */
-    private static boolean tighter(Policy.Most a, Policy.Most b) {
+    private static boolean tighter(DrainPolicy.Most a, DrainPolicy.Most b) {
         return a.nodes() <= b.nodes() && a.share() <= b.share() && !a.equals(b);
     }
 
     private static void stricter(
             List<String> all,
             String key,
-            Policy one,
-            Policy other,
-            BiPredicate<Policy, Policy> than) {
+            DrainPolicy one,
+            DrainPolicy other,
+            BiPredicate<DrainPolicy, DrainPolicy> than) {
         if (than.test(one, other)) {
             all.add(key + " of '" + one.name() + "'");
         } else if (than.test(other, one)) {
@@ -431,14 +434,14 @@
     // ---- nodes to try ----
 
     /** A node that all of these are for; null where none was found. */
-    private Node sample(List<Policy> all) {
+    private DrainableNode sample(List<DrainPolicy> all) {
         Set<String> texts = new LinkedHashSet<>();
         Set<Double> weights = new LinkedHashSet<>();
         Set<Integer> pods = new LinkedHashSet<>();
         texts.add("a");
         weights.add(1.0);
-        for (Policy policy : all) {
-            Policy.Whom whom = policy.whom();
+        for (DrainPolicy policy : all) {
+            DrainPolicy.Whom whom = policy.whom();
             for (String text : List.of(whom.tier(), whom.zone(), whom.kind())) {
                 if (!text.isEmpty()) {
                     texts.add(text);
@@ -446,7 +449,7 @@
             }
             weights.add(whom.least());
             weights.add(Math.min(whom.most(), 1_000));
-            if (whom.pod() != Policy.ANY_POD) {
+            if (whom.pod() != DrainPolicy.ANY_POD) {
                 pods.add(whom.pod());
             }
             Matcher quoted = TEXT.matcher(whom.where());
@@ -465,7 +468,7 @@
         for (int pod = 0; pod < MOST_PODS; pod++) {
             pods.add(pod);
         }
-        List<Conditions.OfNode> where =
+        List<ConditionCompiler.OfNode> where =
                 all.stream()
                         .filter(policy -> !policy.whom().where().isEmpty())
                         .map(
@@ -479,8 +482,9 @@
                 for (String zone : texts) {
                     for (String tier : texts) {
                         for (int pod : pods) {
-                            Node node =
-                                    new Node(0, tier, zone, pod, kind, weight, Standing.SERVING, 0);
+                            DrainableNode node =
+                                    new DrainableNode(
+                                            0, tier, zone, pod, kind, weight, Standing.SERVING, 0);
                             if (all.stream().allMatch(policy -> policy.whom().fits(node))) {
                                 if (where.stream().allMatch(each -> holds(each, node))) {
                                     return node;
@@ -496,7 +500,7 @@
         return null;
     }
 
-    private static boolean holds(Conditions.OfNode condition, Node node) {
+    private static boolean holds(ConditionCompiler.OfNode condition, DrainableNode node) {
         try {
             return condition.holds(node);
         } catch (RuntimeException e) {
--- a/core/src/main/java/cedarrudder/drainage/Heard.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -1,6 +1,6 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Agreed.Drain;
+import cedarrudder.draining.DrainStateMachine.Drain;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -14,14 +14,14 @@
  * What the copy that leads has heard of all copies, its own word among them. It is no part of the
  * state.
  */
-final class Heard {
+final class ReportedDrainProgress {
 
     private static final class Copy {
         private long version;
         private long at;
         private boolean said;
         private long livedAt;
-        private Flow flow = Flow.NONE;
+        private TrafficSample flow = TrafficSample.NONE;
         private int disabled;
         private final Map<Integer, Said> calls = new HashMap<>();
         private final Map<Long, Long> disabledAt = new HashMap<>();
@@ -32,7 +32,7 @@
     private final DrainSettings settings;
     private final Copy[] copies;
 
-    Heard(DrainSettings settings, int copies) {
+    ReportedDrainProgress(DrainSettings settings, int copies) {
         this.settings = settings;
         this.copies = new Copy[copies];
         clear(0);
@@ -48,7 +48,7 @@
         }
     }
 
-    void took(long now, int from, Report report, Agreed agreed) {
+    void took(long now, int from, DrainReport report, DrainStateMachine agreed) {
         Copy copy = copies[from];
         copy.version = report.version();
         copy.at = now;
@@ -58,7 +58,7 @@
         for (long node : report.some()) {
             copy.disabledAt.put(node, now);
         }
-        long stale = now - settings.patience() * (1 + report.disabled() / Report.mostSome());
+        long stale = now - settings.patience() * (1 + report.disabled() / DrainReport.mostSome());
         copy.disabledAt.values().removeIf(at -> at < stale);
         Map<Integer, Integer> calls = new HashMap<>();
         report.calls().forEach(each -> calls.put(each.slot(), each.calls()));
@@ -129,8 +129,8 @@
     }
 
     /** Where calls are, or may be, that keep a node's drain open; empty where it has none. */
-    List<Command.Still> still(long now, Drain drain) {
-        List<Command.Still> still = new ArrayList<>();
+    List<DrainCommand.Still> still(long now, Drain drain) {
+        List<DrainCommand.Still> still = new ArrayList<>();
         for (int i = 0; i < copies.length; i++) {
             if (awaited(now, i)) {
                 Said said = copies[i].calls.get(drain.slot);
@@ -139,7 +139,7 @@
                                 && said.version >= drain.since
                                 && (fresh(now, copies[i]) || !lives(now, i));
                 if (!known || said.calls > 0) {
-                    still.add(new Command.Still(drain.slot, i, known ? said.calls : -1));
+                    still.add(new DrainCommand.Still(drain.slot, i, known ? said.calls : -1));
                 }
             }
         }
@@ -147,8 +147,8 @@
     }
 
     /** What became of the calls of the live copies. */
-    Flow flow(long now) {
-        Flow sum = Flow.NONE;
+    TrafficSample flow(long now) {
+        TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < copies.length; i++) {
             sum = lives(now, i) && fresh(now, copies[i]) ? sum.plus(copies[i].flow) : sum;
         }
--- a/core/src/main/java/cedarrudder/drainage/Flow.java
+++ b/core/src/main/java/cedarrudder/draining/TrafficSample.java
@@ -1,13 +1,13 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 /** Calls that have ended in the last window, and of those the refused, the failed and the late. */
-public record Flow(int ended, int refused, int failed, int late) {
+public record TrafficSample(int ended, int refused, int failed, int late) {
 
     /** No calls. */
-    public static final Flow NONE = new Flow(0, 0, 0, 0);
+    public static final TrafficSample NONE = new TrafficSample(0, 0, 0, 0);
 
-    Flow plus(Flow other) {
-        return new Flow(
+    TrafficSample plus(TrafficSample other) {
+        return new TrafficSample(
                 ended + other.ended,
                 refused + other.refused,
                 failed + other.failed,
--- a/core/src/main/java/cedarrudder/drainage/Scheduler.java
+++ b/core/src/main/java/cedarrudder/draining/WaveScheduler.java
@@ -1,18 +1,18 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
-import cedarrudder.drainage.Agreed.Drain;
-import cedarrudder.drainage.Command.Bound;
-import cedarrudder.drainage.Command.Change;
-import cedarrudder.drainage.Command.Pause;
-import cedarrudder.drainage.Command.Step;
-import cedarrudder.drainage.Command.Still;
-import cedarrudder.drainage.Command.Told;
-import cedarrudder.drainage.Command.Wait;
-import cedarrudder.drainage.Node.Standing;
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Order;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Policy.Window;
+import cedarrudder.draining.DrainCommand.Bound;
+import cedarrudder.draining.DrainCommand.Change;
+import cedarrudder.draining.DrainCommand.Pause;
+import cedarrudder.draining.DrainCommand.Step;
+import cedarrudder.draining.DrainCommand.Still;
+import cedarrudder.draining.DrainCommand.Told;
+import cedarrudder.draining.DrainCommand.Wait;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.Window;
+import cedarrudder.draining.DrainStateMachine.Drain;
+import cedarrudder.draining.DrainableNode.Standing;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -26,15 +26,15 @@
  * What the copy that leads has committed next. It keeps nothing that another leader could not find
  * out.
  */
-final class Scheduler {
+final class WaveScheduler {
 
     private static final long MILLI = 1_000_000L;
 
     private final DrainSettings settings;
-    private final Heard heard;
+    private final ReportedDrainProgress heard;
     private final Map<Long, Long> missingSince = new HashMap<>();
 
-    Scheduler(DrainSettings settings, Heard heard) {
+    WaveScheduler(DrainSettings settings, ReportedDrainProgress heard) {
         this.settings = settings;
         this.heard = heard;
     }
@@ -48,12 +48,12 @@
     private final class Look {
         private final long now;
         private final long clock;
-        private final Agreed agreed;
-        private final Rules rules;
+        private final DrainStateMachine agreed;
+        private final CompiledPolicies rules;
         private final int minute;
-        private final Map<Long, Node> nodes = new HashMap<>();
+        private final Map<Long, DrainableNode> nodes = new HashMap<>();
         private final Set<Long> disabled;
-        private final List<Counted> counted = new ArrayList<>();
+        private final List<DisruptionCounts> counted = new ArrayList<>();
         private final List<Pause> pauses = new ArrayList<>();
         private final Map<Integer, Change> changes = new LinkedHashMap<>();
         private final List<Still> still = new ArrayList<>();
@@ -67,9 +67,9 @@
                 long now,
                 long clock,
                 int minute,
-                Agreed agreed,
-                Rules rules,
-                Collection<Node> listed) {
+                DrainStateMachine agreed,
+                CompiledPolicies rules,
+                Collection<DrainableNode> listed) {
             this.now = now;
             this.clock = clock;
             this.minute = minute;
@@ -83,9 +83,9 @@
                     agreed.drains().stream()
                             .anyMatch(drain -> drain.state.out() && !nodes.containsKey(drain.node));
             for (int i = 0; i < rules.size(); i++) {
-                counted.add(new Counted(rules.policy(i)));
+                counted.add(new DisruptionCounts(rules.policy(i)));
             }
-            for (Node node : nodes.values()) {
+            for (DrainableNode node : nodes.values()) {
                 int policies = rules.of(node);
                 for (int i = 0; i < rules.size(); i++) {
                     if ((policies >> i & 1) != 0) {
@@ -95,7 +95,7 @@
             }
         }
 
-        private boolean out(Node node) {
+        private boolean out(DrainableNode node) {
             return node.standing() != Standing.SERVING
                     || disabled != null && disabled.contains(node.id())
                     || agreed.state(node.id()).out();
@@ -106,7 +106,7 @@
             for (Drain drain : agreed.drains()) {
                 DrainEvent event = event(drain, nodes.get(drain.node));
                 if (event != null) {
-                    Node node = nodes.get(drain.node);
+                    DrainableNode node = nodes.get(drain.node);
                     changes.put(
                             drain.slot,
                             event == DrainEvent.RESTARTED_OUT
@@ -123,7 +123,7 @@
             }
         }
 
-        private DrainEvent event(Drain drain, Node node) {
+        private DrainEvent event(Drain drain, DrainableNode node) {
             if (node == null && !nodes.isEmpty()) {
                 Long since = missingSince.putIfAbsent(drain.node, now);
                 if (since != null && now - since >= settings.unlisted()) {
@@ -163,16 +163,16 @@
             double listed = 0;
             double serving = 0;
             int out = 0;
-            for (Node node : nodes.values()) {
+            for (DrainableNode node : nodes.values()) {
                 listed += node.weight();
                 serving += out(node) ? 0 : node.weight();
                 out += out(node) ? 1 : 0;
             }
-            Flow flow = heard.flow(now);
+            TrafficSample flow = heard.flow(now);
             double ended = Math.max(1, flow.ended());
             for (int i = 0; i < rules.size(); i++) {
-                Figures figures =
-                        new Figures(
+                PolicyConditionInputs figures =
+                        new PolicyConditionInputs(
                                 flow.refused() / ended,
                                 flow.failed() / ended,
                                 flow.late() / ended,
@@ -181,16 +181,16 @@
                                 copies,
                                 out,
                                 died(i));
-                boolean back = rules.givesBack(i, figures) == Rules.Told.YES;
+                boolean back = rules.givesBack(i, figures) == CompiledPolicies.Told.YES;
                 boolean halt =
                         back
-                                || rules.pauses(i, figures) != Rules.Told.NO
-                                || rules.givesBack(i, figures) == Rules.Told.UNDECIDED;
+                                || rules.pauses(i, figures) != CompiledPolicies.Told.NO
+                                || rules.givesBack(i, figures) == CompiledPolicies.Told.UNDECIDED;
                 if (halt && !agreed.paused(i)) {
                     pauses.add(new Pause(i, true));
                 } else if (!halt
                         && agreed.paused(i)
-                        && rules.goesOn(i, figures) == Rules.Told.YES
+                        && rules.goesOn(i, figures) == CompiledPolicies.Told.YES
                         && clock - agreed.pausedAt(i) >= rules.policy(i).pace() / MILLI) {
                     pauses.add(new Pause(i, false));
                 }
@@ -211,7 +211,7 @@
 
         private int died(int policy) {
             int died = 0;
-            for (Node node : nodes.values()) {
+            for (DrainableNode node : nodes.values()) {
                 died +=
                         node.standing() == Standing.FAILED
                                         && agreed.state(node.id()) != DrainState.OUT
@@ -239,11 +239,11 @@
             Object[] only = new Object[rules.size()];
             for (Drain drain : waiting) {
                 Wait wait = wait(drain, inWave, only);
-                if (wait != null || changes.size() >= Command.MOST_CHANGES) {
+                if (wait != null || changes.size() >= DrainCommand.MOST_CHANGES) {
                     waits.merge(wait == null ? new Wait(-1, Bound.WAVE, 0) : wait, 1, Integer::sum);
                     continue;
                 }
-                Node node = nodes.get(drain.node);
+                DrainableNode node = nodes.get(drain.node);
                 boolean counts = !out(node);
                 long time = Long.MAX_VALUE;
                 AtEnd atEnd = AtEnd.LET_GO;
@@ -251,7 +251,7 @@
                 int policies = policies(drain);
                 for (int i = 0; i < rules.size(); i++) {
                     if ((policies >> i & 1) != 0) {
-                        Policy policy = rules.policy(i);
+                        DrainPolicy policy = rules.policy(i);
                         inWave[i]++;
                         if (counts) {
                             counted.get(i).leaves(node);
@@ -283,8 +283,8 @@
             if (policies == 0) {
                 return 0;
             }
-            Node one = nodes.get(a.node);
-            Node other = nodes.get(b.node);
+            DrainableNode one = nodes.get(a.node);
+            DrainableNode other = nodes.get(b.node);
             return switch (rules.policy(Integer.numberOfTrailingZeros(policies)).order()) {
                 case AS_ASKED -> 0;
                 case POD_BY_POD -> Integer.compare(one.pod(), other.pod());
@@ -296,7 +296,7 @@
 
         /** What keeps a node waiting; null where nothing does. */
         private Wait wait(Drain drain, int[] inWave, Object[] only) {
-            Node node = nodes.get(drain.node);
+            DrainableNode node = nodes.get(drain.node);
             int policies = policies(drain);
             if (policies == 0) {
                 return new Wait(-1, Bound.NO_POLICY, 0);
@@ -317,8 +317,8 @@
             return wait;
         }
 
-        private Bound bound(int policy, Node node, int inWave, Object[] only) {
-            Policy of = rules.policy(policy);
+        private Bound bound(int policy, DrainableNode node, int inWave, Object[] only) {
+            DrainPolicy of = rules.policy(policy);
             Object group =
                     of.order() == Order.POD_BY_POD
                             ? (Object) node.pod()
@@ -348,9 +348,10 @@
                     pauses,
                     List.copyOf(changes.values()),
                     new Told(
-                            told.subList(0, Math.min(Command.MOST_TOLD, told.size())),
+                            told.subList(0, Math.min(DrainCommand.MOST_TOLD, told.size())),
                             List.copyOf(
-                                    still.subList(0, Math.min(Command.MOST_TOLD, still.size())))));
+                                    still.subList(
+                                            0, Math.min(DrainCommand.MOST_TOLD, still.size())))));
         }
     }
 
@@ -364,9 +365,9 @@
             long now,
             long clock,
             long utcMillis,
-            Agreed agreed,
-            Rules rules,
-            Collection<Node> listed,
+            DrainStateMachine agreed,
+            CompiledPolicies rules,
+            Collection<DrainableNode> listed,
             int copies) {
         if (agreed.drains().isEmpty()) {
             missingSince.clear();
--- a/core/src/main/java/cedarrudder/failover/Failover.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -1,7 +1,7 @@
 package cedarrudder.failover;
 
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Share;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Share;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -11,15 +11,15 @@
  * One copy's part in failover: it says what it saw, and where it leads plans from what all said.
  * Not thread-safe.
  */
-public final class Failover {
+public final class FailoverCoordinator {
 
     private final FailoverSettings settings;
-    private final ZoneTally tally;
+    private final ZoneTrafficCounter tally;
     private final int[] zoneOf;
     private final List<String> names;
     private final int zones;
-    private final Planner planner;
-    private Assessment assessment;
+    private final TrafficSplitPlanner planner;
+    private ZoneHealthAggregator assessment;
     private Set<Integer> evacuated = Set.of();
     private long table;
     private long closedAt;
@@ -30,11 +30,11 @@
      * @param tally what this copy counts
      * @throws IllegalArgumentException if a zone is named that there is not
      */
-    public Failover(
+    public FailoverCoordinator(
             FailoverSettings settings,
             List<String> names,
             int[] zoneOf,
-            ZoneTally tally,
+            ZoneTrafficCounter tally,
             long now) {
         List<Regions.Problem> problems = settings.regions().problems(names);
         if (!problems.isEmpty()) {
@@ -64,15 +64,15 @@
         this.closedAt = now;
         this.zoneOf = zoneOf.clone();
         this.zones = names.size();
-        this.planner = new Planner(settings, settings.regions().ranks(names), now);
-        this.assessment = new Assessment(settings, zoneOf, zones);
+        this.planner = new TrafficSplitPlanner(settings, settings.regions().ranks(names), now);
+        this.assessment = new ZoneHealthAggregator(settings, zoneOf, zones);
     }
 
     /**
      * Ends the period and says what was seen in it; nothing where this copy stood still, or has
      * just said it.
      *
-     * @param most bytes of a part, as {@link Evidence#encode} takes it
+     * @param most bytes of a part, as {@link ZoneObservations#encode} takes it
      */
     public List<byte[]> report(long now, int most) {
         if (now - closedAt < settings.period() / 2) {
@@ -81,13 +81,13 @@
             // told
         }
         closedAt = now;
-        Evidence evidence = tally.close(now, table);
+        ZoneObservations evidence = tally.close(now, table);
         return evidence == null ? List.of() : evidence.encode(most);
     }
 
     /** At the copy that leads: a part of what another saw, or it itself. It may be no such part. */
     public void reported(long now, int from, byte[] part) {
-        Evidence evidence = Evidence.decode(part);
+        ZoneObservations evidence = ZoneObservations.decode(part);
         if (evidence != null && evidence.copy() == from) {
             assessment.heard(now, evidence);
         }
@@ -108,7 +108,7 @@
     }
 
     /** The moves of the last plan, for the log. */
-    public List<Planner.Move> moves() {
+    public List<TrafficSplitPlanner.Move> moves() {
         return planner.moves();
     }
 
@@ -116,7 +116,7 @@
      * This copy leads from here on, or no longer: what was reported to it before counts no more.
      */
     public void leads() {
-        assessment = new Assessment(settings, zoneOf, zones);
+        assessment = new ZoneHealthAggregator(settings, zoneOf, zones);
         planner.leads();
     }
 
--- a/core/src/main/java/cedarrudder/failover/Shares.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplit.java
@@ -1,14 +1,14 @@
 package cedarrudder.failover;
 
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Share;
-import cedarrudder.table.RouteTable.Way;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Way;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 
 /** Shares as rows, one for each zone of callers: parts and bounds by the zone that serves. */
-final class Shares {
+final class TrafficSplit {
 
     /** So few are not what left a zone: they go there to be seen. */
     private static final int FEW = 100;
@@ -19,15 +19,15 @@
     /** Zones that have been left: what goes elsewhere is moved, and not spilled. */
     final boolean[] left;
 
-    Shares(int zones) {
+    TrafficSplit(int zones) {
         parts = new int[zones][zones];
         perSecond = new int[zones][zones];
         left = new boolean[zones];
     }
 
     /** Those of a table; without one, or a row of a zone in it, a zone serves its own. */
-    static Shares of(RouteTable table, int zones) {
-        Shares shares = new Shares(zones);
+    static TrafficSplit of(RouteTable table, int zones) {
+        TrafficSplit shares = new TrafficSplit(zones);
         boolean[] there = new boolean[zones];
         for (Share share : table == null ? List.<Share>of() : table.shares()) {
             if (share.from() < zones && share.to() < zones) {
@@ -44,14 +44,14 @@
     }
 
     /** Copies a zone's row. */
-    void row(int from, Shares of) {
+    void row(int from, TrafficSplit of) {
         parts[from] = of.parts[from].clone();
         perSecond[from] = of.perSecond[from].clone();
         left[from] = of.left[from];
     }
 
     /** Whether a zone's row is the same in both. */
-    boolean same(int from, Shares other) {
+    boolean same(int from, TrafficSplit other) {
         return Arrays.equals(parts[from], other.parts[from])
                 && Arrays.equals(perSecond[from], other.perSecond[from])
                 && left[from] == other.left[from];
@@ -63,7 +63,7 @@
     }
 
     /** The parts of a zone's calls that go elsewhere in one than in the other. */
-    int moved(int from, Shares other) {
+    int moved(int from, TrafficSplit other) {
         int moved = Math.abs(unserved(from) - other.unserved(from));
         for (int to = 0; to < parts.length; to++) {
             moved += Math.abs(parts[from][to] - other.parts[from][to]);
--- a/core/src/main/java/cedarrudder/failover/Planner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -1,10 +1,10 @@
 package cedarrudder.failover;
 
-import cedarrudder.failover.Picture.Away;
-import cedarrudder.failover.Picture.State;
-import cedarrudder.failover.Picture.Zone;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Share;
+import cedarrudder.failover.ZoneHealthSnapshot.Away;
+import cedarrudder.failover.ZoneHealthSnapshot.State;
+import cedarrudder.failover.ZoneHealthSnapshot.Zone;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Share;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -25,7 +25,7 @@
  * further. How often the shares of one zone's calls change is bounded here, whatever the evidence
  * says.
  */
-public final class Planner {
+public final class TrafficSplitPlanner {
 
     /** Changes of fewer parts of a zone's whole are not made, and are no moves. */
     public static final int LEAST_MOVE = 200;
@@ -129,7 +129,7 @@
     private final int[][] ranks;
     private final int zones;
     private final Course[] courses;
-    private final TreeMap<Long, Shares> known = new TreeMap<>();
+    private final TreeMap<Long, TrafficSplit> known = new TreeMap<>();
     private final List<Move> moves = new ArrayList<>();
     private boolean planning;
 
@@ -139,7 +139,7 @@
      *
      * @param ranks how far each zone is from each, as {@link Regions#ranks} has it
      */
-    public Planner(FailoverSettings settings, int[][] ranks, long now) {
+    public TrafficSplitPlanner(FailoverSettings settings, int[][] ranks, long now) {
         this.settings = settings;
         this.ranks = ranks;
         this.zones = ranks.length;
@@ -161,8 +161,9 @@
         if (known.containsKey(table.number())) {
             return;
         }
-        Shares next = Shares.of(table, zones);
-        Shares before = known.isEmpty() ? Shares.of(null, zones) : known.lastEntry().getValue();
+        TrafficSplit next = TrafficSplit.of(table, zones);
+        TrafficSplit before =
+                known.isEmpty() ? TrafficSplit.of(null, zones) : known.lastEntry().getValue();
         for (int zone = 0; zone < zones; zone++) {
             if (!next.same(zone, before)) {
                 courses[zone].moves.add(now);
@@ -195,8 +196,11 @@
      * @param evacuated zones that an operator has left
      */
     public List<Share> plan(
-            long now, RouteTable current, Picture picture, Collection<Integer> evacuated) {
-        Shares held = Shares.of(current, zones);
+            long now,
+            RouteTable current,
+            ZoneHealthSnapshot picture,
+            Collection<Integer> evacuated) {
+        TrafficSplit held = TrafficSplit.of(current, zones);
         if (!planning) {
             planning = true;
             Arrays.setAll(courses, zone -> resumed(now, courses[zone], held, zone));
@@ -219,7 +223,7 @@
         }
         boolean[] moving = new boolean[zones];
         Arrays.fill(moving, true);
-        Shares wanted = allocate(held, picture, moving);
+        TrafficSplit wanted = allocate(held, picture, moving);
         moves.clear();
         for (int zone = 0; zone < zones; zone++) {
             Reason reason = reason(now, held, wanted, picture, zone);
@@ -229,7 +233,7 @@
                 moves.add(new Move(zone, reason, seen.bad(), seen.well()));
             }
         }
-        Shares next = allocate(held, picture, moving);
+        TrafficSplit next = allocate(held, picture, moving);
         // What the rows that stay hold is only known now; a change that came to nothing is none.
         moves.removeIf(
                 move ->
@@ -245,7 +249,7 @@
     }
 
     /** Begins to lead: what the table says is all that is known of a zone's course. */
-    private Course resumed(long now, Course course, Shares held, int zone) {
+    private Course resumed(long now, Course course, TrafficSplit held, int zone) {
         Course fresh = new Course();
         fresh.moves.addAll(course.moves);
         fresh.movedAt = course.movedAt;
@@ -340,7 +344,12 @@
     }
 
     /** Why a zone's row is to change now; null where it stays. */
-    private Reason reason(long now, Shares held, Shares wanted, Picture picture, int zone) {
+    private Reason reason(
+            long now,
+            TrafficSplit held,
+            TrafficSplit wanted,
+            ZoneHealthSnapshot picture,
+            int zone) {
         Course course = courses[zone];
         while (!course.moves.isEmpty() && now - course.moves.peek() > WINDOW) {
             course.moves.remove();
@@ -385,7 +394,7 @@
     }
 
     /** Parts more that are served, or served nearer. */
-    private int gain(Shares held, Shares wanted, int zone) {
+    private int gain(TrafficSplit held, TrafficSplit wanted, int zone) {
         int gain = 0;
         int sum = 0;
         int farthest = Arrays.stream(ranks[zone]).max().orElse(0);
@@ -402,7 +411,7 @@
      * Whether some zone that serves a part of this one's calls can't, or has no room for them any
      * more.
      */
-    private boolean badTarget(long now, Shares held, Picture picture, int from) {
+    private boolean badTarget(long now, TrafficSplit held, ZoneHealthSnapshot picture, int from) {
         for (int to = 0; to < zones; to++) {
             Zone zone = picture.zones().get(to);
             if (to != from
@@ -417,7 +426,7 @@
     }
 
     /** Whether the bound on what a zone gets from there holds calls back, while it has room. */
-    private boolean outgrown(Shares held, Picture picture, int from) {
+    private boolean outgrown(TrafficSplit held, ZoneHealthSnapshot picture, int from) {
         for (int to = 0; to < zones; to++) {
             double rate =
                     picture.zones().get(from).demand() * held.parts[from][to] / RouteTable.WHOLE;
@@ -434,7 +443,7 @@
     }
 
     /** What a zone gets by these shares, and of calls that nobody tells of. */
-    private double load(Shares shares, Picture picture, int to) {
+    private double load(TrafficSplit shares, ZoneHealthSnapshot picture, int to) {
         double load = hidden(picture, to);
         for (int from = 0; from < zones; from++) {
             load += rate(shares, picture, from, to);
@@ -443,7 +452,7 @@
     }
 
     /** Calls a second of one zone that these shares let another serve. */
-    private static double rate(Shares shares, Picture picture, int from, int to) {
+    private static double rate(TrafficSplit shares, ZoneHealthSnapshot picture, int from, int to) {
         double rate =
                 picture.zones().get(from).demand() * shares.parts[from][to] / RouteTable.WHOLE;
         return shares.perSecond[from][to] == 0 ? rate : Math.min(rate, shares.perSecond[from][to]);
@@ -453,13 +462,13 @@
      * Calls of copies that are cut off. Where nodes report their load they are seen there; else
      * they are reckoned with where their last table sent them.
      */
-    private double hidden(Picture picture, int to) {
+    private double hidden(ZoneHealthSnapshot picture, int to) {
         if (!picture.zones().get(to).blind()) {
             return picture.zones().get(to).unseen();
         }
         double hidden = 0;
         for (Away away : picture.away()) {
-            Shares last = known.get(away.table());
+            TrafficSplit last = known.get(away.table());
             double part =
                     last != null
                             ? last.parts[away.zone()][to] / (double) RouteTable.WHOLE
@@ -482,7 +491,7 @@
     }
 
     /** What there is to deal out: rows of zones that don't move are as they are held. */
-    private Shares allocate(Shares held, Picture picture, boolean[] moving) {
+    private TrafficSplit allocate(TrafficSplit held, ZoneHealthSnapshot picture, boolean[] moving) {
         double[][] dealt = new double[zones][zones];
         double[] excess = new double[zones];
         double[] room = new double[zones];
@@ -520,7 +529,7 @@
                                 : 0;
             }
         }
-        Shares next = new Shares(zones);
+        TrafficSplit next = new TrafficSplit(zones);
         for (int zone = 0; zone < zones; zone++) {
             if (moving[zone] && picture.zones().get(zone).demand() >= LEAST_DEMAND) {
                 write(next, dealt[zone], excess[zone], room, sharers, picture, zone);
@@ -541,7 +550,7 @@
                 && !zone.strained();
     }
 
-    private double room(Zone zone, Course course, Picture picture, int number) {
+    private double room(Zone zone, Course course, ZoneHealthSnapshot picture, int number) {
         if (!serves(zone, course)) {
             return 0;
         }
@@ -555,7 +564,8 @@
     }
 
     /** Deals what is over to the nearest that have room. */
-    private void dealAll(double[][] dealt, double[] excess, double[] room, Picture picture) {
+    private void dealAll(
+            double[][] dealt, double[] excess, double[] room, ZoneHealthSnapshot picture) {
         int farthest = Arrays.stream(ranks).flatMapToInt(Arrays::stream).max().orElse(0);
         for (int rank = 1; rank <= farthest; rank++) {
             double[] whole = excess.clone();
@@ -572,7 +582,7 @@
             double[][] dealt,
             double[] excess,
             double[] room,
-            Picture picture,
+            ZoneHealthSnapshot picture,
             int from,
             int rank,
             double most) {
@@ -592,18 +602,18 @@
         }
     }
 
-    private boolean suits(Picture picture, int from, int to, int rank) {
+    private boolean suits(ZoneHealthSnapshot picture, int from, int to, int rank) {
         return ranks[from][to] == rank && picture.zones().get(to).takes(from);
     }
 
     /** Writes one zone's row. */
     private void write(
-            Shares next,
+            TrafficSplit next,
             double[] dealt,
             double left,
             double[] room,
             int[] sharers,
-            Picture picture,
+            ZoneHealthSnapshot picture,
             int zone) {
         Zone seen = picture.zones().get(zone);
         Course course = courses[zone];
@@ -639,7 +649,7 @@
      * A zone to which nothing goes is not seen: a few calls go there, as well as to one's own that
      * is lost.
      */
-    private void watched(Shares next, int zone) {
+    private void watched(TrafficSplit next, int zone) {
         if (watch() == 0 || zones == 1) {
             return;
         }
--- a/core/src/main/java/cedarrudder/failover/Assessment.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
@@ -1,9 +1,9 @@
 package cedarrudder.failover;
 
-import cedarrudder.failover.Evidence.Seen;
-import cedarrudder.failover.Picture.Away;
-import cedarrudder.failover.Picture.State;
-import cedarrudder.failover.Picture.Zone;
+import cedarrudder.failover.ZoneHealthSnapshot.Away;
+import cedarrudder.failover.ZoneHealthSnapshot.State;
+import cedarrudder.failover.ZoneHealthSnapshot.Zone;
+import cedarrudder.failover.ZoneObservations.Seen;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -20,7 +20,7 @@
  * votes. Guards against one copy's broken link, and against the word of copies of one zone alone
  * while others are served.
  */
-public final class Assessment {
+public final class ZoneHealthAggregator {
 
     /** What is left, each period, of what was counted before. */
     private static final double KEPT = 0.6;
@@ -122,7 +122,7 @@
     /**
      * @param zoneOf the zone of each copy
      */
-    public Assessment(FailoverSettings settings, int[] zoneOf, int zones) {
+    public ZoneHealthAggregator(FailoverSettings settings, int[] zoneOf, int zones) {
         this.settings = settings;
         this.zoneOf = zoneOf.clone();
         this.zones = zones;
@@ -150,7 +150,7 @@
      * A part of a copy's evidence has come; what is of no known copy or zone, or old, changes
      * nothing.
      */
-    public void heard(long now, Evidence evidence) {
+    public void heard(long now, ZoneObservations evidence) {
         if (evidence.copy() >= copies.length || zoneOf[evidence.copy()] != evidence.zone()) {
             return;
         }
@@ -193,7 +193,8 @@
             double kept =
                     word.basis < 0
                             ? 0
-                            : StrictMath.pow(KEPT, Math.min(Evidence.MOST_AGE, basis - word.basis));
+                            : StrictMath.pow(
+                                    KEPT, Math.min(ZoneObservations.MOST_AGE, basis - word.basis));
             word.served = kept * word.served + seen.served();
             word.failed = kept * word.failed + seen.failed() + seen.silent();
             word.refused = kept * word.refused + seen.refused();
@@ -210,7 +211,7 @@
     }
 
     /** What is held now; to be asked once a period, as it also learns what zones can do. */
-    public Picture picture(long now) {
+    public ZoneHealthSnapshot picture(long now) {
         boolean learns = learnedAt == Long.MIN_VALUE || now - learnedAt >= settings.period() / 2;
         if (learns) {
             learnedAt = now;
@@ -225,7 +226,7 @@
                 away.add(new Away(zoneOf[i], copies[i].came, copies[i].table));
             }
         }
-        return new Picture(pictures, away);
+        return new ZoneHealthSnapshot(pictures, away);
     }
 
     /**
--- a/core/src/main/java/cedarrudder/failover/Picture.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
@@ -9,7 +9,7 @@
  * @param zones by number
  * @param away copies that have not been heard of for long, whose lease may still run
  */
-public record Picture(List<Zone> zones, List<Away> away) {
+public record ZoneHealthSnapshot(List<Zone> zones, List<Away> away) {
 
     /** What is held of a zone as one that serves. */
     public enum State {
@@ -64,7 +64,7 @@
      */
     public record Away(int zone, double rate, long table) {}
 
-    public Picture {
+    public ZoneHealthSnapshot {
         zones = List.copyOf(zones);
         away = List.copyOf(away);
     }
--- a/core/src/main/java/cedarrudder/failover/Evidence.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneObservations.java
@@ -1,7 +1,7 @@
 package cedarrudder.failover;
 
 import cedarrudder.membership.Varint;
-import cedarrudder.table.RouteTable;
+import cedarrudder.routetable.RouteTable;
 import java.nio.BufferOverflowException;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -26,7 +26,7 @@
  * @param unserved of those that ended, the ones that it refused or failed
  * @param seen what it saw, ordered by zone
  */
-public record Evidence(
+public record ZoneObservations(
         int copy,
         int zone,
         long life,
@@ -103,7 +103,7 @@
 
     private static final int FIGURES = 12;
 
-    public Evidence {
+    public ZoneObservations {
         seen = List.copyOf(seen);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Reads a part; null where the bytes are none. Throws nothing, whatever they are. */
-    public static Evidence decode(byte[] bytes) {
+    public static ZoneObservations decode(byte[] bytes) {
         if (bytes.length < 2 || bytes.length > MOST_BYTES || bytes[0] != VERSION) {
             return null;
         }
@@ -177,7 +177,8 @@
             }
             return life < 0 || sequence < 0 || table < 0 || millis < 1
                     ? null
-                    : new Evidence(copy, zone, life, sequence, table, millis, came, unserved, seen);
+                    : new ZoneObservations(
+                            copy, zone, life, sequence, table, millis, came, unserved, seen);
         } catch (BufferUnderflowException e) {
             return null; // it ends too soon, or has a number in another form or out of its range
         }
--- a/core/src/main/java/cedarrudder/failover/ZoneTally.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
@@ -1,12 +1,12 @@
 package cedarrudder.failover;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
-import cedarrudder.failover.Evidence.Seen;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.failover.ZoneObservations.Seen;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,10 +14,10 @@
 
 /**
  * Counts, by zones, what one copy's calls and probes came to, and closes a period as {@link
- * Evidence}. It is fed where outcomes are told to the decision module, and costs one look-up each.
- * Not thread-safe.
+ * ZoneObservations}. It is fed where outcomes are told to the decision module, and costs one
+ * look-up each. Not thread-safe.
  */
-public final class ZoneTally {
+public final class ZoneTrafficCounter {
 
     /**
      * A period that took so many times longer tells of a process that stood still, not of zones.
@@ -44,7 +44,7 @@
     private final int own;
     private final long life;
     private final long period;
-    private final Safety safety;
+    private final SafetyRules safety;
     private final Zone[] zones;
     private final Map<Long, Endpoint> listed = new HashMap<>();
     private long openedAt;
@@ -57,8 +57,8 @@
      * @param zones how many there are
      * @param period how long periods are to be, in nanoseconds
      */
-    public ZoneTally(
-            int copy, int own, long life, int zones, long period, Safety safety, long now) {
+    public ZoneTrafficCounter(
+            int copy, int own, long life, int zones, long period, SafetyRules safety, long now) {
         this.copy = copy;
         this.own = own;
         this.life = life;
@@ -72,12 +72,12 @@
     }
 
     /** The list of nodes, or changes to it. */
-    public void listed(ListKind kind, List<Endpoint> entries) {
-        if (kind != ListKind.CHANGES) {
+    public void listed(EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.CHANGES) {
             listed.clear();
         }
         for (Endpoint entry : entries) {
-            if (entry.state() == State.GONE) {
+            if (entry.state() == EndpointStatus.GONE) {
                 listed.remove(entry.id());
             } else {
                 listed.put(entry.id(), entry);
@@ -119,7 +119,7 @@
      *
      * @param of what {@link #sent} gave
      */
-    public void ended(long now, int of, Outcome outcome, Load load) {
+    public void ended(long now, int of, Outcome outcome, LoadReport load) {
         if (of >= 0) {
             zones[of].out--;
             count(now, zones[of], outcome, load);
@@ -127,14 +127,14 @@
     }
 
     /** A probe came back, or did not. */
-    public void probed(long now, long endpoint, Outcome outcome, Load load) {
+    public void probed(long now, long endpoint, Outcome outcome, LoadReport load) {
         Zone zone = zone(endpoint);
         if (zone != null) {
             count(now, zone, outcome, load);
         }
     }
 
-    private static void count(long now, Zone zone, Outcome outcome, Load load) {
+    private static void count(long now, Zone zone, Outcome outcome, LoadReport load) {
         switch (outcome) {
             case OK -> zone.served++;
             case ERROR, RESET -> zone.failed++;
@@ -158,7 +158,7 @@
      *
      * @param table the number of the table in use; 0 for none
      */
-    public Evidence close(long now, long table) {
+    public ZoneObservations close(long now, long table) {
         long length = now - openedAt;
         boolean stood = length > STOOD_STILL * period;
         boolean counts = !stood && !shaken && length > 0;
@@ -171,9 +171,9 @@
                 seen.add(each);
             }
         }
-        Evidence evidence =
+        ZoneObservations evidence =
                 counts
-                        ? new Evidence(
+                        ? new ZoneObservations(
                                 copy,
                                 own,
                                 life,
@@ -225,7 +225,7 @@
         if (fresh.ended() == 0
                 && fresh.out() == 0
                 && last != null
-                && last.age() < Evidence.MOST_AGE) {
+                && last.age() < ZoneObservations.MOST_AGE) {
             // Nothing was asked of it: what was seen last, with its age, and the nodes as they are
             // now.
             zone.last =
@@ -256,7 +256,9 @@
         int[][] nodes = new int[zones.length][3];
         double[] able = new double[zones.length];
         for (Endpoint entry : listed.values()) {
-            if (entry.state() == State.READY && entry.zone() >= 0 && entry.zone() < zones.length) {
+            if (entry.state() == EndpointStatus.READY
+                    && entry.zone() >= 0
+                    && entry.zone() < zones.length) {
                 boolean cold =
                         entry.startedAt() != 0 && now - entry.startedAt() < safety.rampTime();
                 double ramp = Math.max(0, now - entry.startedAt()) / (double) safety.rampTime();
@@ -268,12 +270,16 @@
             }
         }
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i][2] = (int) Math.min(Evidence.MOST_COUNT - 1, Math.round(HUNDREDTHS * able[i]));
+            nodes[i][2] =
+                    (int)
+                            Math.min(
+                                    ZoneObservations.MOST_COUNT - 1,
+                                    Math.round(HUNDREDTHS * able[i]));
         }
         return nodes;
     }
 
     private static int bound(int count) {
-        return Math.max(0, Math.min(count, Evidence.MOST_COUNT - 1));
+        return Math.max(0, Math.min(count, ZoneObservations.MOST_COUNT - 1));
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/Footprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -9,7 +9,7 @@
  * of its loading, when its text, the objects of the text and the nodes that it replaces are there
  * too. Each line below is a part of the daemon; a test holds them against the objects themselves.
  */
-public final class Footprint {
+public final class EndpointListFootprint {
 
     /** Members of an entry as discovery writes it, and the texts among their values but the id. */
     private static final int MEMBERS = 8;
@@ -56,9 +56,9 @@
      */
     public record Verdict(boolean fits, int step, Bound bound, long needed) {}
 
-    private final Layout layout;
+    private final ObjectLayout layout;
 
-    public Footprint(Layout layout) {
+    public EndpointListFootprint(ObjectLayout layout) {
         this.layout = Objects.requireNonNull(layout);
     }
 
@@ -109,11 +109,11 @@
     }
 
     /** What a list takes of the heap once it is loaded. */
-    public long atRest(ListShape list) {
+    public long atRest(EndpointListShape list) {
         return list.nodes() == 0
                 ? 0
                 : FIXED
-                        + list.nodes() * node(ListShape.mean(list.idChars(), list.nodes()))
+                        + list.nodes() * node(EndpointListShape.mean(list.idChars(), list.nodes()))
                         + MAPS * layout.hashTable(list.nodes())
                         + layout.array(buffer(list.textBytes()), 1);
     }
@@ -124,14 +124,14 @@
      * @param taken so many of its entries are kept until it has been read; the others go as they
      *     are read
      */
-    public long reading(ListShape list, int taken) {
+    public long reading(EndpointListShape list, int taken) {
         long members =
                 layout.object(6, 3 * 4 + 4 + 1)
                         + layout.hashTable(MEMBERS)
                         + MEMBERS * layout.entry(true)
                         + VALUES
                                 * layout.text(
-                                        ListShape.mean(
+                                        EndpointListShape.mean(
                                                 list.valueChars(), (long) VALUES * list.nodes()))
                         + layout.object(1, 5 * 4)
                         + layout.array(1, 4)
@@ -164,37 +164,38 @@
      * @param taken so many of the list's entries are kept until it has been read
      * @param added so many of those are new
      */
-    public long atPeak(ListShape held, ListShape list, int taken, int added) {
+    public long atPeak(EndpointListShape held, EndpointListShape list, int taken, int added) {
         return atRest(held.plus(list, added))
                 + reading(list, taken)
-                + (taken - added) * again(ListShape.mean(list.idChars(), list.nodes()));
+                + (taken - added) * again(EndpointListShape.mean(list.idChars(), list.nodes()));
     }
 
     /**
      * What is held at the most while all that is held is told again, as discovery does now and
      * then.
      */
-    public long toldAgain(ListShape held) {
+    public long toldAgain(EndpointListShape held) {
         return held.nodes() == 0 ? 0 : atPeak(held, held, held.nodes(), 0);
     }
 
     /**
      * The same once a list of changes was loaded, and all that is held is told again as a whole.
      */
-    private long toldAgain(ListShape held, ListShape changes, int added) {
-        ListShape after = held.plus(changes, added);
-        ListShape whole = changes.nodes() == 0 ? after : changes.of(after.nodes());
+    private long toldAgain(EndpointListShape held, EndpointListShape changes, int added) {
+        EndpointListShape after = held.plus(changes, added);
+        EndpointListShape whole = changes.nodes() == 0 ? after : changes.of(after.nodes());
         return atPeak(after, whole, whole.nodes(), 0);
     }
 
-    private long atPeak(ListShape held, ListShape told, int added, int some, boolean full) {
+    private long atPeak(
+            EndpointListShape held, EndpointListShape told, int added, int some, boolean full) {
         long now = atPeak(held, told, told.nodes() - added + some, some);
-        ListShape then = told.of(told.nodes() - added + some);
+        EndpointListShape then = told.of(told.nodes() - added + some);
         return Math.max(
                 now,
                 full
                         ? toldAgain(
-                                new ListShape(
+                                new EndpointListShape(
                                         then.nodes(),
                                         told.textBytes(),
                                         then.idChars(),
@@ -211,7 +212,8 @@
      * @param full whether what it does not name goes, once it is loaded
      * @param room bytes of heap for nodes and their lists, beside all else
      */
-    public Verdict judge(ListShape held, ListShape told, int added, boolean full, long room) {
+    public Verdict judge(
+            EndpointListShape held, EndpointListShape told, int added, boolean full, long room) {
         long rest = atRest(full ? told : held.plus(told, added));
         long peak = atPeak(held, told, added, added, full);
         if (peak <= room || added == 0) {
@@ -237,9 +239,10 @@
      * longer names has left by then: how many nodes each adds. What they don't come to fits in no
      * step.
      */
-    public List<Integer> steps(ListShape held, ListShape told, int added, boolean full, long room) {
+    public List<Integer> steps(
+            EndpointListShape held, EndpointListShape told, int added, boolean full, long room) {
         List<Integer> steps = new ArrayList<>();
-        ListShape now = held;
+        EndpointListShape now = held;
         for (int left = added; left > 0 && steps.size() < MOST_STEPS; ) {
             int step = judge(now, told, left, full, room).step();
             if (step == 0) {
@@ -253,10 +256,10 @@
     }
 
     /** So many nodes like those of a list may be held and told again, beside nothing else. */
-    public int most(ListShape like, long room) {
+    public int most(EndpointListShape like, long room) {
         int most = 0;
         for (int step = 1 << 23; step > 0 && like.nodes() > 0; step >>>= 1) {
-            ListShape more = like.of(most + step);
+            EndpointListShape more = like.of(most + step);
             most += toldAgain(more) <= room ? step : 0;
         }
         return most;
--- a/core/src/main/java/cedarrudder/footprint/ListShape.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListShape.java
@@ -9,9 +9,9 @@
  * @param idChars what the ids take together, in characters
  * @param valueChars the other texts of its entries together: addresses, zones, kinds, states
  */
-public record ListShape(int nodes, long textBytes, long idChars, long valueChars) {
+public record EndpointListShape(int nodes, long textBytes, long idChars, long valueChars) {
 
-    public static final ListShape NONE = new ListShape(0, 0, 0, 0);
+    public static final EndpointListShape NONE = new EndpointListShape(0, 0, 0, 0);
 
     /** Of ids and values alike, the mean length; halves count up. */
     static long mean(long chars, long texts) {
@@ -19,10 +19,10 @@
     }
 
     /** A list of so many nodes like those of this one. */
-    public ListShape of(int some) {
+    public EndpointListShape of(int some) {
         return nodes == 0
                 ? this
-                : new ListShape(
+                : new EndpointListShape(
                         some,
                         textBytes * some / nodes,
                         idChars * some / nodes,
@@ -32,9 +32,9 @@
     /**
      * What is held once so many of another list's nodes were added: the larger text's buffer stays.
      */
-    public ListShape plus(ListShape other, int some) {
-        ListShape added = other.of(some);
-        return new ListShape(
+    public EndpointListShape plus(EndpointListShape other, int some) {
+        EndpointListShape added = other.of(some);
+        return new EndpointListShape(
                 nodes + added.nodes,
                 Math.max(textBytes, other.textBytes),
                 idChars + added.idChars,
--- a/core/src/main/java/cedarrudder/footprint/Takes.java
+++ b/core/src/main/java/cedarrudder/footprint/MemoryEstimate.java
@@ -8,25 +8,25 @@
  * @param direct bytes of direct memory
  * @param descriptors so many
  */
-public record Takes(long rest, long peak, long direct, int descriptors) {
+public record MemoryEstimate(long rest, long peak, long direct, int descriptors) {
 
-    public static final Takes NOTHING = new Takes(0, 0, 0, 0);
+    public static final MemoryEstimate NOTHING = new MemoryEstimate(0, 0, 0, 0);
 
     /** Heap alone, which stays. */
-    static Takes heap(long bytes) {
-        return new Takes(bytes, bytes, 0, 0);
+    static MemoryEstimate heap(long bytes) {
+        return new MemoryEstimate(bytes, bytes, 0, 0);
     }
 
-    Takes plus(Takes other) {
-        return new Takes(
+    MemoryEstimate plus(MemoryEstimate other) {
+        return new MemoryEstimate(
                 rest + other.rest,
                 peak + other.peak,
                 direct + other.direct,
                 descriptors + other.descriptors);
     }
 
-    Takes minus(Takes other) {
-        return new Takes(
+    MemoryEstimate minus(MemoryEstimate other) {
+        return new MemoryEstimate(
                 rest - other.rest,
                 peak - other.peak,
                 direct - other.direct,
--- a/core/src/main/java/cedarrudder/footprint/Layout.java
+++ b/core/src/main/java/cedarrudder/footprint/ObjectLayout.java
@@ -9,15 +9,16 @@
  * @param reference one reference
  * @param alignment objects begin at multiples of it
  */
-public record Layout(int header, int arrayHeader, int reference, int alignment) {
+public record ObjectLayout(int header, int arrayHeader, int reference, int alignment) {
 
     private static final int MARK = 8;
     private static final int LENGTH = 4;
 
     /** By what the virtual machine says of its own settings. */
-    public static Layout of(boolean shortReferences, boolean shortClassPointers, int alignment) {
+    public static ObjectLayout of(
+            boolean shortReferences, boolean shortClassPointers, int alignment) {
         int header = MARK + (shortClassPointers ? 4 : 8);
-        return new Layout(header, header + LENGTH, shortReferences ? 4 : 8, alignment);
+        return new ObjectLayout(header, header + LENGTH, shortReferences ? 4 : 8, alignment);
     }
 
     /** An object with so many references and so many bytes of other fields. */
--- a/core/src/main/java/cedarrudder/footprint/Ground.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessBaseline.java
@@ -8,10 +8,11 @@
  * @param direct bytes of direct memory
  * @param descriptors so many, those of the watch with them
  */
-public record Ground(long heap, long resident, long direct, int descriptors) {
+public record ProcessBaseline(long heap, long resident, long direct, int descriptors) {
 
     /** Measured on a process that the platform's command starts with an operator's file. */
-    static Ground usual(Layout layout) {
-        return new Ground(CopyFootprint.measured(layout, 2_970_000), 68_600_000, 538_000, 13);
+    static ProcessBaseline usual(ObjectLayout layout) {
+        return new ProcessBaseline(
+                ProcessFootprint.measured(layout, 2_970_000), 68_600_000, 538_000, 13);
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/CopyFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -13,7 +13,7 @@
  * real processes (docs/FOOTPRINT.md), with references of four bytes and of eight; a test holds the
  * sums against such processes.
  */
-public final class CopyFootprint {
+public final class ProcessFootprint {
 
     /**
      * With references of eight bytes, so much more is taken by what was measured with those of
@@ -67,7 +67,7 @@
     }
 
     /** One line of an estimate. */
-    public record Term(String name, long count, Takes takes) {}
+    public record Term(String name, long count, MemoryEstimate takes) {}
 
     /**
      * What comes of a copy.
@@ -86,40 +86,40 @@
         }
     }
 
-    private final Layout layout;
-    private final Footprint lists;
-    private final TableFootprint tables;
-    private final Ground ground;
+    private final ObjectLayout layout;
+    private final EndpointListFootprint lists;
+    private final RouteTableFootprint tables;
+    private final ProcessBaseline ground;
 
     /** Of a process that the platform's command starts with an operator's file. */
-    public CopyFootprint(Layout layout) {
-        this(layout, Ground.usual(layout));
+    public ProcessFootprint(ObjectLayout layout) {
+        this(layout, ProcessBaseline.usual(layout));
     }
 
     /**
      * @param ground what there is before the first list, as the process itself says
      */
-    public CopyFootprint(Layout layout, Ground ground) {
+    public ProcessFootprint(ObjectLayout layout, ProcessBaseline ground) {
         this.layout = Objects.requireNonNull(layout);
-        this.lists = new Footprint(layout);
-        this.tables = new TableFootprint(layout);
+        this.lists = new EndpointListFootprint(layout);
+        this.tables = new RouteTableFootprint(layout);
         this.ground = Objects.requireNonNull(ground);
     }
 
     /** What there is before the first list. */
-    public Ground ground() {
+    public ProcessBaseline ground() {
         return ground;
     }
 
     /** All that counts, one after the other. */
-    public List<Term> terms(CopyShape copy) {
-        ListShape list = copy.list();
+    public List<Term> terms(ProcessShape copy) {
+        EndpointListShape list = copy.list();
         List<Term> terms = new ArrayList<>();
         terms.add(
                 new Term(
                         "process",
                         1,
-                        new Takes(
+                        new MemoryEstimate(
                                 ground.heap(),
                                 ground.heap(),
                                 ground.direct(),
@@ -137,13 +137,13 @@
                 new Term(
                         "nodes",
                         list.nodes(),
-                        new Takes(rest, watch(list) + lists.toldAgain(list), 0, 0)));
+                        new MemoryEstimate(rest, watch(list) + lists.toldAgain(list), 0, 0)));
         long table = tables.atRest(copy.table());
         terms.add(
                 new Term(
                         "table",
                         copy.table() == null ? 0 : 1,
-                        new Takes(
+                        new MemoryEstimate(
                                 table,
                                 copy.table() == null
                                         ? 0
@@ -158,17 +158,18 @@
                 new Term(
                         "bodies",
                         copy.bodies(),
-                        new Takes(bodies, bodies, (flowing + CHUNK - 1) / CHUNK * CHUNK, 0)));
+                        new MemoryEstimate(
+                                bodies, bodies, (flowing + CHUNK - 1) / CHUNK * CHUNK, 0)));
         return terms;
     }
 
     private Term term(String name, int count, long each) {
-        return new Term(name, count, Takes.heap(count * each));
+        return new Term(name, count, MemoryEstimate.heap(count * each));
     }
 
     private Term connections(String name, int count, int each) {
         long heap = count * measured(each);
-        return new Term(name, count, new Takes(heap, heap, 0, count));
+        return new Term(name, count, new MemoryEstimate(heap, heap, 0, count));
     }
 
     /** A name of the settings in its list. */
@@ -180,12 +181,12 @@
         return measured(layout, bytes);
     }
 
-    static long measured(Layout layout, long bytes) {
+    static long measured(ObjectLayout layout, long bytes) {
         return layout.reference() == Integer.BYTES ? bytes : (long) (bytes * WIDE);
     }
 
     /** What the watch keeps beside the nodes and the buffer of their text. */
-    private long watch(ListShape list) {
+    private long watch(EndpointListShape list) {
         if (list.textBytes() == 0) {
             return 0;
         }
@@ -197,17 +198,19 @@
     }
 
     /** What the copy takes in all. */
-    public Takes takes(CopyShape copy) {
-        return terms(copy).stream().map(Term::takes).reduce(Takes.NOTHING, Takes::plus);
+    public MemoryEstimate takes(ProcessShape copy) {
+        return terms(copy).stream()
+                .map(Term::takes)
+                .reduce(MemoryEstimate.NOTHING, MemoryEstimate::plus);
     }
 
     /** What one more node like the others takes, with its share of what grows in steps. */
-    public Takes oneMoreNode(CopyShape copy) {
+    public MemoryEstimate oneMoreNode(ProcessShape copy) {
         int nodes = copy.list().nodes();
-        Takes more = takes(copy.of(2 * nodes)).minus(takes(copy));
+        MemoryEstimate more = takes(copy.of(2 * nodes)).minus(takes(copy));
         return nodes == 0
-                ? Takes.NOTHING
-                : new Takes(
+                ? MemoryEstimate.NOTHING
+                : new MemoryEstimate(
                         more.rest() / nodes,
                         more.peak() / nodes,
                         more.direct() / nodes,
@@ -215,11 +218,11 @@
     }
 
     /** What the copy takes of the machine's memory, in bytes. */
-    public long resident(CopyShape copy) {
+    public long resident(ProcessShape copy) {
         return resident(copy, takes(copy));
     }
 
-    private long resident(CopyShape copy, Takes all) {
+    private long resident(ProcessShape copy, MemoryEstimate all) {
         long grown = all.peak() - ground.heap();
         long young = copy.callers() > 0 ? YOUNG : Math.min(YOUNG, ALLOCATED * grown);
         return ground.resident() + young + grown + all.direct() - ground.direct();
@@ -229,13 +232,13 @@
      * What of the heap is left for nodes and their lists, beside all else that the copy may come to
      * hold.
      */
-    public long left(CopyShape without, long heap) {
+    public long left(ProcessShape without, long heap) {
         return Math.max(0, heap - takes(without.of(0)).rest());
     }
 
     /** Whether a copy fits, and which bound is nearest. */
-    public Verdict judge(CopyShape copy, Limits limits) {
-        Takes all = takes(copy);
+    public Verdict judge(ProcessShape copy, ProcessLimits limits) {
+        MemoryEstimate all = takes(copy);
         Verdict rest = verdict(Bound.HEAP_AT_REST, all.rest(), limits.heap());
         return Stream.of(
                         rest,
@@ -245,7 +248,7 @@
                         verdict(Bound.DESCRIPTORS, all.descriptors(), limits.descriptors()))
                 // What does not even fit at rest is said so, though the peak lacks more.
                 .filter(one -> rest.fits() || one.bound() != Bound.HEAP_AT_PEAK)
-                .max(Comparator.comparingDouble(CopyFootprint::part))
+                .max(Comparator.comparingDouble(ProcessFootprint::part))
                 .orElseThrow();
     }
 
--- a/core/src/main/java/cedarrudder/footprint/Limits.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessLimits.java
@@ -8,4 +8,4 @@
  * @param direct bytes of direct memory
  * @param descriptors so many
  */
-public record Limits(long heap, long resident, long direct, long descriptors) {}
+public record ProcessLimits(long heap, long resident, long direct, long descriptors) {}
--- a/core/src/main/java/cedarrudder/footprint/CopyShape.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessShape.java
@@ -1,6 +1,6 @@
 package cedarrudder.footprint;
 
-import cedarrudder.table.RouteTable;
+import cedarrudder.routetable.RouteTable;
 
 /**
  * What a copy of the proxy is like, as far as it costs anything. Pods cost nothing by themselves,
@@ -17,8 +17,8 @@
  * @param bodies requests under way
  * @param bodyBytes what those hold of bodies, in bytes
  */
-public record CopyShape(
-        ListShape list,
+public record ProcessShape(
+        EndpointListShape list,
         int zones,
         int kinds,
         int classes,
@@ -30,8 +30,8 @@
         long bodyBytes) {
 
     /** The same with so many nodes, of the same kind. */
-    CopyShape of(int nodes) {
-        return new CopyShape(
+    ProcessShape of(int nodes) {
+        return new ProcessShape(
                 list.of(nodes),
                 zones,
                 kinds,
--- a/core/src/main/java/cedarrudder/footprint/Room.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
@@ -1,6 +1,6 @@
 package cedarrudder.footprint;
 
-import cedarrudder.table.RouteTable;
+import cedarrudder.routetable.RouteTable;
 import java.nio.ByteBuffer;
 import java.util.Collection;
 import java.util.Map;
@@ -14,7 +14,7 @@
  * @param leaving nodes that it names as leaving
  * @param nodes of a list
  */
-public record Room(int bytes, int leaving, int nodes) {
+public record RouteTableCapacity(int bytes, int leaving, int nodes) {
 
     /** How many bytes an answer takes. */
     public static final int BYTES = 9;
@@ -22,9 +22,9 @@
     private static final int MOST = (1 << 24) - 1;
 
     /** Of a copy that asks nobody. */
-    public static final Room ANY = new Room(MOST, MOST, MOST);
+    public static final RouteTableCapacity ANY = new RouteTableCapacity(MOST, MOST, MOST);
 
-    public Room {
+    public RouteTableCapacity {
         bytes = Math.max(0, Math.min(MOST, bytes));
         leaving = Math.max(0, Math.min(MOST, leaving));
         nodes = Math.max(0, Math.min(MOST, nodes));
@@ -36,16 +36,16 @@
     }
 
     /** What both have room for. */
-    public Room least(Room other) {
-        return new Room(
+    public RouteTableCapacity least(RouteTableCapacity other) {
+        return new RouteTableCapacity(
                 Math.min(bytes, other.bytes),
                 Math.min(leaving, other.leaving),
                 Math.min(nodes, other.nodes));
     }
 
     /** What all have room for; all there is where there is none. */
-    public static Room least(Collection<Room> rooms) {
-        return rooms.stream().reduce(ANY, Room::least);
+    public static RouteTableCapacity least(Collection<RouteTableCapacity> rooms) {
+        return rooms.stream().reduce(ANY, RouteTableCapacity::least);
     }
 
     /**
@@ -55,12 +55,12 @@
      * @param rooms what the live copies have told
      * @return null where all can load it
      */
-    public static Integer holdsBack(RouteTable table, Map<Integer, Room> rooms) {
-        int size = TableFootprint.bytes(table);
+    public static Integer holdsBack(RouteTable table, Map<Integer, RouteTableCapacity> rooms) {
+        int size = RouteTableFootprint.bytes(table);
         return rooms.entrySet().stream()
                 .filter(entry -> !entry.getValue().holds(table, size))
                 .min(
-                        Map.Entry.<Integer, Room>comparingByValue(
+                        Map.Entry.<Integer, RouteTableCapacity>comparingByValue(
                                         (a, b) ->
                                                 a.bytes != b.bytes
                                                         ? Integer.compare(a.bytes, b.bytes)
@@ -82,8 +82,8 @@
     }
 
     /** Reads what was written; whatever the bytes are, they are an answer. */
-    public static Room get(ByteBuffer in) {
-        return new Room(figure(in), figure(in), figure(in));
+    public static RouteTableCapacity get(ByteBuffer in) {
+        return new RouteTableCapacity(figure(in), figure(in), figure(in));
     }
 
     private static int figure(ByteBuffer in) {
--- a/core/src/main/java/cedarrudder/footprint/TableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
@@ -1,14 +1,14 @@
 package cedarrudder.footprint;
 
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.TableCodec;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTableCodec;
 import java.util.Objects;
 
 /**
  * What a route table takes of the heap: its objects and its compact bytes, at rest and while a next
  * one is read beside it. A test holds what is at rest against the objects themselves.
  */
-public final class TableFootprint {
+public final class RouteTableFootprint {
 
     /**
      * Least compact bytes of a share and of a node that leaves; the rest of a table takes some 40.
@@ -33,15 +33,15 @@
     /** Bytes are written, gathered and copied: so many times what the table has. */
     private static final int COPIES = 4;
 
-    private final Layout layout;
+    private final ObjectLayout layout;
 
-    public TableFootprint(Layout layout) {
+    public RouteTableFootprint(ObjectLayout layout) {
         this.layout = Objects.requireNonNull(layout);
     }
 
     /** Compact bytes of a table. */
     public static int bytes(RouteTable table) {
-        return TableCodec.encode(table).length;
+        return RouteTableCodec.encode(table).length;
     }
 
     /** What a table takes once it is loaded, its bytes with it; null, none, takes nothing. */
@@ -74,7 +74,7 @@
      * @param room bytes of heap for tables, with the one that is held
      * @param nodes so many nodes there is room for, which the answer carries
      */
-    public Room room(RouteTable held, long room, int nodes) {
+    public RouteTableCapacity room(RouteTable held, long room, int nodes) {
         long left = room - atRest(held);
         int bytes = 0;
         for (int step = Integer.highestOneBit(MOST_BYTES); step > 0; step >>>= 1) {
@@ -85,7 +85,8 @@
         long each =
                 leaving() + (1 + LISTS) * layout.reference() + (1 + COPIES) * MOST_LEAVING_BYTES;
         long leaving = Math.max(0, left - fixed() - lists()) / each;
-        return new Room(bytes, (int) Math.min(RouteTable.MOST_LEAVING, leaving), nodes);
+        return new RouteTableCapacity(
+                bytes, (int) Math.min(RouteTable.MOST_LEAVING, leaving), nodes);
     }
 
     /** The most that a table of so many compact bytes takes while it is read. */
--- a/core/src/main/java/cedarrudder/routing/ResolverClock.java
+++ b/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
@@ -1,6 +1,6 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
@@ -25,7 +25,7 @@
  * however long it was away. {@link Actions#failed} tells the module once for all that fails until
  * the watch is told again; its own waits neither lengthen nor shorten these.
  */
-public final class ResolverClock {
+public final class DiscoveryPollSchedule {
 
     /**
      * The backoff's cap, in nanoseconds. Guards against a change that is told over 6 s after
@@ -70,7 +70,9 @@
          */
         void drop(int call, String why);
 
-        /** Wants {@link ResolverClock#due} at an instant; an earlier wish no longer counts. */
+        /**
+         * Wants {@link DiscoveryPollSchedule#due} at an instant; an earlier wish no longer counts.
+         */
         void wake(long at);
 
         /** Nothing that was asked is left to wait for. */
@@ -96,7 +98,7 @@
             alive = true;
         }
 
-        long overAt(ResolverPatience patience) {
+        long overAt(DiscoveryTimeouts patience) {
             return alive ? heardAt + patience.watch() + spread : openedAt + patience.call();
         }
     }
@@ -105,7 +107,7 @@
     private final long longest;
     private final RandomGenerator random;
     private final Actions actions;
-    private ResolverPatience patience;
+    private DiscoveryTimeouts patience;
 
     /** Calls without an answer, the oldest first. */
     private final List<Ask> asked = new ArrayList<>(2);
@@ -136,10 +138,10 @@
      * @param longest at most so long after a failure it is asked for again, in nanoseconds; 0 where
      *     others see to it
      */
-    public ResolverClock(
+    public DiscoveryPollSchedule(
             boolean follows,
             long longest,
-            ResolverPatience patience,
+            DiscoveryTimeouts patience,
             RandomGenerator random,
             Actions actions) {
         this.follows = follows;
@@ -150,14 +152,14 @@
     }
 
     /** The backoff's cap at a site, in nanoseconds. */
-    public static long longest(Settings settings) {
+    public static long longest(BalancerSettings settings) {
         return settings.askForEndpoints()
                 ? Math.min(LONGEST, (long) (LONGEST_PART * settings.safety().askWithin()))
                 : LONGEST_PUSHED;
     }
 
     /** These figures count from now on; a wait that has begun may last for as long as it was to. */
-    public void apply(ResolverPatience next) {
+    public void apply(DiscoveryTimeouts next) {
         patience = next;
     }
 
--- a/core/src/main/java/cedarrudder/routing/ResolverPatience.java
+++ b/core/src/main/java/cedarrudder/forwarding/DiscoveryTimeouts.java
@@ -1,4 +1,4 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
 /**
  * How long discovery is waited for, in nanoseconds.
@@ -12,9 +12,9 @@
  * @param spread and up to so much longer, by chance, as where it ended: guards against all copies
  *     asking at once
  */
-public record ResolverPatience(long call, long again, long watch, long spread) {
+public record DiscoveryTimeouts(long call, long again, long watch, long spread) {
 
     /** What counts where nothing is set. */
-    public static final ResolverPatience DEFAULT =
-            new ResolverPatience(3_000_000_000L, 1_250_000_000L, 3_200_000_000L, 1_000_000_000L);
+    public static final DiscoveryTimeouts DEFAULT =
+            new DiscoveryTimeouts(3_000_000_000L, 1_250_000_000L, 3_200_000_000L, 1_000_000_000L);
 }
--- a/core/src/main/java/cedarrudder/routing/Resolver.java
+++ b/core/src/main/java/cedarrudder/forwarding/EndpointDiscovery.java
@@ -1,7 +1,7 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
 /** Discovery, as the driver sees it. Results and failures are reported to the driver. */
-public interface Resolver {
+public interface EndpointDiscovery {
 
     /** Opens the watch on changes, or ends it. */
     void subscribe(boolean on);
--- a/core/src/main/java/cedarrudder/routing/Exchange.java
+++ b/core/src/main/java/cedarrudder/forwarding/Exchange.java
@@ -1,9 +1,9 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
-import cedarrudder.Balancer;
-import cedarrudder.budget.CallBudget;
-import cedarrudder.budget.Carried;
-import cedarrudder.budget.FromBelow;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.budget.PropagatedBudget;
+import cedarrudder.budget.RequestBudget;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -37,8 +37,8 @@
         /**
          * Whether the caller is still there, looked up now and not by what was last heard of it.
          * Asked, by the driver's thread, right before the first byte of an attempt goes out. False
-         * counts as {@link Driver#left}, which may also be called within this, for this exchange;
-         * nothing else of the driver's may be.
+         * counts as {@link RequestForwarder#left}, which may also be called within this, for this
+         * exchange; nothing else of the driver's may be.
          */
         boolean waits();
 
@@ -51,30 +51,31 @@
         }
     }
 
-    private final Balancer.Request request;
+    private final LoadBalancer.Request request;
     private final Q content;
     private final Reply<A> reply;
-    private final Carried carried;
-    private final List<CallAttempt<Q, A>> attempts = new ArrayList<>(1);
-    private Timers.Timer timer;
+    private final PropagatedBudget carried;
+    private final List<RequestAttempt<Q, A>> attempts = new ArrayList<>(1);
+    private TimerService.Timer timer;
     private int out;
     private boolean over;
-    private CallAttempt<Q, A> flowing;
+    private RequestAttempt<Q, A> flowing;
     private long expiry;
     private long onceWhole;
     private boolean uploaded;
     private boolean spent;
     private boolean mayHaveRun;
-    private CallBudget budget;
-    private FromBelow result;
+    private RequestBudget budget;
+    private DownstreamFeedback result;
 
     /** Its id must be new; its deadline is an instant of the driver's clock. */
-    public Exchange(Balancer.Request request, Q content, Reply<A> reply) {
-        this(request, content, reply, Carried.NOTHING);
+    public Exchange(LoadBalancer.Request request, Q content, Reply<A> reply) {
+        this(request, content, reply, PropagatedBudget.NOTHING);
     }
 
     /** The same, with what its caller said of budgets, which counts where the driver has some. */
-    public Exchange(Balancer.Request request, Q content, Reply<A> reply, Carried carried) {
+    public Exchange(
+            LoadBalancer.Request request, Q content, Reply<A> reply, PropagatedBudget carried) {
         this.request = request;
         this.expiry = request.deadline();
         this.content = content;
@@ -82,7 +83,7 @@
         this.carried = carried;
     }
 
-    public Balancer.Request request() {
+    public LoadBalancer.Request request() {
         return request;
     }
 
@@ -90,25 +91,25 @@
         return content;
     }
 
-    Carried carried() {
+    PropagatedBudget carried() {
         return carried;
     }
 
     /** What it may cost; null before the module was told of it, and where there are no budgets. */
-    public CallBudget budget() {
+    public RequestBudget budget() {
         return budget;
     }
 
-    void budget(CallBudget mayCost) {
+    void budget(RequestBudget mayCost) {
         budget = mayCost;
     }
 
     /** What goes up with the answer, from the moment of the reply on; null where nothing does. */
-    public FromBelow result() {
+    public DownstreamFeedback result() {
         return result;
     }
 
-    void result(FromBelow goesUp) {
+    void result(DownstreamFeedback goesUp) {
         result = goesUp;
     }
 
@@ -165,12 +166,12 @@
     }
 
     /** The attempt whose answer flows to the caller; null where none does. */
-    CallAttempt<Q, A> flowing() {
+    RequestAttempt<Q, A> flowing() {
         return flowing;
     }
 
     /** Its answer has begun; it is over but for that. */
-    void begin(CallAttempt<Q, A> attempt) {
+    void begin(RequestAttempt<Q, A> attempt) {
         flowing = attempt;
         over = true;
     }
@@ -190,18 +191,18 @@
         over = true;
     }
 
-    List<CallAttempt<Q, A>> attempts() {
+    List<RequestAttempt<Q, A>> attempts() {
         return attempts;
     }
 
-    CallAttempt<Q, A> attempt(long endpoint, long now) {
-        CallAttempt<Q, A> attempt = new CallAttempt<>(this, attempts.size(), endpoint, now);
+    RequestAttempt<Q, A> attempt(long endpoint, long now) {
+        RequestAttempt<Q, A> attempt = new RequestAttempt<>(this, attempts.size(), endpoint, now);
         attempts.add(attempt);
         out++;
         return attempt;
     }
 
-    void expiresBy(Timers.Timer deadline) {
+    void expiresBy(TimerService.Timer deadline) {
         timer = deadline;
     }
 
@@ -214,7 +215,7 @@
     }
 
     /** Counts an attempt as ended; an exchange may be forgotten once it is over and none is out. */
-    void attemptEnded(Balancer.Outcome outcome) {
+    void attemptEnded(LoadBalancer.Outcome outcome) {
         out--;
         mayHaveRun |= !outcome.provesNotRun();
     }
--- a/core/src/main/java/cedarrudder/routing/Peers.java
+++ b/core/src/main/java/cedarrudder/forwarding/PeerTransport.java
@@ -1,7 +1,7 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
 /** The way to the other proxies of the tier. */
-public interface Peers {
+public interface PeerTransport {
 
     /** Sends a message to one of them by its number, or to all (-1). It may be lost. */
     void tell(int copy, byte[] message);
--- a/core/src/main/java/cedarrudder/routing/CallAttempt.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestAttempt.java
@@ -1,12 +1,12 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
-import cedarrudder.budget.Carried;
+import cedarrudder.budget.PropagatedBudget;
 
 /**
  * One attempt at an RPC, at one node. The attempts of an RPC are numbered from 0, in the order
  * sent.
  */
-public final class CallAttempt<Q, A> {
+public final class RequestAttempt<Q, A> {
 
     /** How far it has gone; it goes on only, and may leave steps out. */
     private enum Phase {
@@ -28,9 +28,9 @@
     private Phase phase = Phase.WAITING;
     private long countsFrom;
     private long answersFrom;
-    private Carried handed;
+    private PropagatedBudget handed;
 
-    CallAttempt(Exchange<Q, A> exchange, int number, long endpoint, long startedAt) {
+    RequestAttempt(Exchange<Q, A> exchange, int number, long endpoint, long startedAt) {
         this.exchange = exchange;
         this.number = number;
         this.endpoint = endpoint;
@@ -123,11 +123,11 @@
     }
 
     /** What goes down with it; null where there are no budgets. */
-    public Carried handed() {
+    public PropagatedBudget handed() {
         return handed;
     }
 
-    void hand(Carried goesDown) {
+    void hand(PropagatedBudget goesDown) {
         handed = goesDown;
     }
 }
