--- a/core/src/main/java/cedarrudder/routing/Driver.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -1,17 +1,17 @@
-package cedarrudder.routing;
-
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.ZoneShare;
+package cedarrudder.forwarding;
+
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
 import cedarrudder.budget.Budgets;
-import cedarrudder.budget.FromBelow;
-import cedarrudder.failover.ZoneTally;
-import cedarrudder.figures.Figures;
-import cedarrudder.figures.Figures.End;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.failover.ZoneTrafficCounter;
 import cedarrudder.logging.Logger;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.metrics.RequestMetrics.End;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -27,7 +27,7 @@
  * that is moot) waits in the queue until the event at hand has been handled, as it would on the
  * simulator's wire.
  */
-public final class Driver<Q, A> {
+public final class RequestForwarder<Q, A> {
 
     /**
      * An RPC that the module has not ended this long after its deadline is ended for it. The
@@ -36,27 +36,27 @@
      */
     private static final long OVERDUE = 5_000_000L;
 
-    private final Timers timers;
+    private final TimerService timers;
     private final Logger log;
     private final int maxAttempts;
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final Budgets budgets;
-    private final Figures figures;
+    private final RequestMetrics figures;
     private final Queue<Runnable> events = new ArrayDeque<>();
     private final Map<Long, Exchange<Q, A>> exchanges = new HashMap<>();
-    private ClientSide<Q, A> client;
-    private Resolver resolver;
-    private Peers peers;
-    private ZoneTally tally;
+    private AttemptTransport<Q, A> client;
+    private EndpointDiscovery resolver;
+    private PeerTransport peers;
+    private ZoneTrafficCounter tally;
     private boolean delivering;
     private boolean shared;
     private long sharesUntil = Long.MAX_VALUE;
     private Runnable byShares;
 
-    public Driver(
-            Function<Balancer.Actions, Balancer> module,
+    public RequestForwarder(
+            Function<LoadBalancer.Actions, LoadBalancer> module,
             int maxAttempts,
-            Timers timers,
+            TimerService timers,
             Logger log) {
         this(module, maxAttempts, timers, log, null, null);
     }
@@ -65,13 +65,13 @@
      * @param budgets asked before each further attempt that the module wants; null: none
      * @param figures where RPCs are counted; null: nowhere
      */
-    public Driver(
-            Function<Balancer.Actions, Balancer> module,
+    public RequestForwarder(
+            Function<LoadBalancer.Actions, LoadBalancer> module,
             int maxAttempts,
-            Timers timers,
+            TimerService timers,
             Logger log,
             Budgets budgets,
-            Figures figures) {
+            RequestMetrics figures) {
         this.figures = figures;
         this.timers = timers;
         this.log = log;
@@ -81,7 +81,8 @@
     }
 
     /** Completes the wiring; to be called before the first event. */
-    public void connect(ClientSide<Q, A> clientSide, Resolver discovery, Peers others) {
+    public void connect(
+            AttemptTransport<Q, A> clientSide, EndpointDiscovery discovery, PeerTransport others) {
         client = clientSide;
         resolver = discovery;
         peers = others;
@@ -90,7 +91,7 @@
     /**
      * Has what becomes of calls counted by zones from now on; to be called before the first event.
      */
-    public void count(ZoneTally byZones) {
+    public void count(ZoneTrafficCounter byZones) {
         tally = byZones;
     }
 
@@ -132,7 +133,7 @@
 
     /** The caller has gone. */
     public void left(Exchange<Q, A> exchange) {
-        CallAttempt<Q, A> flowing = exchange.flowing();
+        RequestAttempt<Q, A> flowing = exchange.flowing();
         if (exchange.endFlow()) {
             count(exchange, End.LEFT);
             giveUp(flowing, Outcome.CANCELLED);
@@ -181,7 +182,7 @@
      * its repeats is past. An attempt that may not begin ends with this, so as to prove that it did
      * not run.
      */
-    public boolean begins(CallAttempt<Q, A> attempt) {
+    public boolean begins(RequestAttempt<Q, A> attempt) {
         Exchange<Q, A> exchange = attempt.exchange();
         if (!exchange.over() && !exchange.reply().waits()) {
             left(exchange); // which ends the attempt, too
@@ -199,7 +200,7 @@
      *
      * @param seen whether its caller would be seen to have gone
      */
-    private void withdraw(CallAttempt<Q, A> attempt, boolean seen) {
+    private void withdraw(RequestAttempt<Q, A> attempt, boolean seen) {
         Outcome denial =
                 !attempt.waits() ? null : seen ? denial(attempt, attempt.exchange()) : Outcome.MOOT;
         if (denial != null) {
@@ -213,7 +214,7 @@
         }
     }
 
-    private Outcome denial(CallAttempt<Q, A> attempt, Exchange<Q, A> exchange) {
+    private Outcome denial(RequestAttempt<Q, A> attempt, Exchange<Q, A> exchange) {
         long now = timers.now();
         if (exchange.over() || exchange.spent() || now >= exchange.expiry()) {
             return Outcome.MOOT;
@@ -247,7 +248,7 @@
      * full, or silent, by answers that callers read slowly; of one that breaks off later it hears
      * once more.
      */
-    public void began(CallAttempt<Q, A> attempt, A answer, Load load) {
+    public void began(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
         post(
                 () -> {
                     Exchange<Q, A> exchange = attempt.exchange();
@@ -278,27 +279,36 @@
     }
 
     /** A node served an attempt. */
-    public void served(CallAttempt<Q, A> attempt, A answer, Load load) {
-        served(attempt, answer, load, FromBelow.NOTHING);
+    public void served(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
+        served(attempt, answer, load, DownstreamFeedback.NOTHING);
     }
 
     /** The same, with what the answer says of budgets. */
-    public void served(CallAttempt<Q, A> attempt, A answer, Load load, FromBelow below) {
+    public void served(
+            RequestAttempt<Q, A> attempt, A answer, LoadReport load, DownstreamFeedback below) {
         ended(attempt, Outcome.OK, answer, load, below);
     }
 
     /** An attempt ended in any other way. */
-    public void ended(CallAttempt<Q, A> attempt, Outcome outcome, Load load) {
-        ended(attempt, outcome, load, FromBelow.NOTHING);
+    public void ended(RequestAttempt<Q, A> attempt, Outcome outcome, LoadReport load) {
+        ended(attempt, outcome, load, DownstreamFeedback.NOTHING);
     }
 
     /** The same, with what the answer says of budgets. */
-    public void ended(CallAttempt<Q, A> attempt, Outcome outcome, Load load, FromBelow below) {
+    public void ended(
+            RequestAttempt<Q, A> attempt,
+            Outcome outcome,
+            LoadReport load,
+            DownstreamFeedback below) {
         ended(attempt, outcome, null, load, below);
     }
 
     private void ended(
-            CallAttempt<Q, A> attempt, Outcome outcome, A answer, Load load, FromBelow below) {
+            RequestAttempt<Q, A> attempt,
+            Outcome outcome,
+            A answer,
+            LoadReport load,
+            DownstreamFeedback below) {
         if (!attempt.end()) {
             return;
         }
@@ -346,14 +356,14 @@
                 });
     }
 
-    private void told(CallAttempt<Q, A> attempt, Outcome outcome, Load load) {
+    private void told(RequestAttempt<Q, A> attempt, Outcome outcome, LoadReport load) {
         if (tally != null) {
             tally.ended(timers.now(), attempt.zone(), outcome, load);
         }
     }
 
     /** A probe came back; {@code load} is null unless it brought a report. */
-    public void probed(long endpoint, Outcome outcome, long latency, Load load) {
+    public void probed(long endpoint, Outcome outcome, long latency, LoadReport load) {
         if (tally != null) {
             tally.probed(timers.now(), endpoint, outcome, load);
         }
@@ -364,7 +374,7 @@
     }
 
     /** A resolver result: the list of nodes, or changes to it. */
-    public void resolved(ListKind kind, List<Endpoint> entries) {
+    public void resolved(EndpointListKind kind, List<Endpoint> entries) {
         if (tally != null) {
             tally.listed(kind, entries);
         }
@@ -391,7 +401,7 @@
     }
 
     /** Each zone may get such a part of the RPCs; an empty list: as the module sees fit. */
-    public void shares(List<ZoneShare> shares) {
+    public void shares(List<ZoneTrafficShare> shares) {
         post(
                 () -> {
                     shared = !shares.isEmpty();
@@ -467,7 +477,7 @@
     private void expire(Exchange<Q, A> exchange) {
         // A copy: guards against a module that sends again upon a time-out, and so adds to the
         // attempts.
-        for (CallAttempt<Q, A> attempt : List.copyOf(exchange.attempts())) {
+        for (RequestAttempt<Q, A> attempt : List.copyOf(exchange.attempts())) {
             giveUp(attempt, Outcome.TIMEOUT);
         }
         if (!exchange.over() && figures != null) {
@@ -512,7 +522,7 @@
      * Ends an attempt from here. Guards against the outcome of one whose last byte was never
      * written saying that it may have run: its caller would be told so, and might not repeat it.
      */
-    private void giveUp(CallAttempt<Q, A> attempt, Outcome outcome) {
+    private void giveUp(RequestAttempt<Q, A> attempt, Outcome outcome) {
         if (!attempt.ended()) {
             Outcome unsent = outcome == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : Outcome.MOOT;
             Outcome truth = attempt.mayRun() ? outcome : unsent;
@@ -530,7 +540,7 @@
 
     // ---- actions ----
 
-    private final class Hands implements Balancer.Actions {
+    private final class Hands implements LoadBalancer.Actions {
 
         @Override
         public void send(long request, long endpoint, long timeout) {
@@ -540,7 +550,7 @@
                 return;
             }
             long now = timers.now();
-            CallAttempt<Q, A> attempt = exchange.attempt(endpoint, now);
+            RequestAttempt<Q, A> attempt = exchange.attempt(endpoint, now);
             attempt.zone(tally == null ? -1 : tally.sent(now, endpoint));
             if (exchange.over()
                     || exchange.spent()
--- a/core/src/main/java/cedarrudder/routing/Timers.java
+++ b/core/src/main/java/cedarrudder/forwarding/TimerService.java
@@ -1,7 +1,7 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
 /** The program's one clock, and tasks by it. */
-public interface Timers {
+public interface TimerService {
 
     /** An instant of the clock, in nanoseconds; it never goes back. */
     long now();
--- a/core/src/main/java/cedarrudder/membership/Letter.java
+++ b/core/src/main/java/cedarrudder/membership/GossipMessage.java
@@ -1,11 +1,11 @@
 package cedarrudder.membership;
 
-import cedarrudder.membership.Packet.News;
+import cedarrudder.membership.SwimMessage.News;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The news that one message carries: as much as it has room for, and each instance once. */
-final class Letter {
+final class GossipMessage {
 
     /** No piece is longer: instance, incarnation, accuser. */
     private static final int LONGEST_PIECE = 3 + 10 + 3;
@@ -18,14 +18,14 @@
      * @param incarnation of the sender
      * @param room bytes
      */
-    Letter(long incarnation, int room) {
+    GossipMessage(long incarnation, int room) {
         this.incarnation = incarnation;
         this.room = room;
     }
 
     /** Takes a piece that fits; whether it did. */
     boolean add(News piece) {
-        int size = Packet.size(piece, incarnation);
+        int size = SwimMessage.size(piece, incarnation);
         for (News had : news) {
             if (had.member().number() == piece.member().number()) {
                 return false;
--- a/core/src/main/java/cedarrudder/membership/Gossip.java
+++ b/core/src/main/java/cedarrudder/membership/GossipQueue.java
@@ -1,6 +1,6 @@
 package cedarrudder.membership;
 
-import cedarrudder.membership.Packet.News;
+import cedarrudder.membership.SwimMessage.News;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Iterator;
@@ -13,7 +13,7 @@
  * often goes first, and after enough times no more (SWIM, 4.1 and 5). So it holds no more than
  * there are instances.
  */
-final class Gossip {
+final class GossipQueue {
 
     /**
      * What went out so many times, by the place in the list; in each the one that waits longest is
@@ -26,7 +26,7 @@
 
     private int waiting;
 
-    Gossip(int instances) {
+    GossipQueue(int instances) {
         times = new int[instances];
         Arrays.fill(times, -1);
         byTimes.add(new LinkedHashMap<>());
@@ -50,7 +50,7 @@
      * @param message has room for some
      * @param most a piece goes out so often
      */
-    void fill(Letter message, int most) {
+    void fill(GossipMessage message, int most) {
         while (byTimes.size() <= most) {
             byTimes.add(new LinkedHashMap<>());
         }
--- a/core/src/main/java/cedarrudder/membership/Doubts.java
+++ b/core/src/main/java/cedarrudder/membership/IndirectProbes.java
@@ -10,7 +10,7 @@
  * suspicion, and news of its contradiction, for each answer that is lost: with the instances these
  * grow, and the room for them does not.
  */
-final class Doubts {
+final class IndirectProbes {
 
     /**
      * More are not held at one time. Guards against each taking long where half have died; whom one
--- a/core/src/main/java/cedarrudder/membership/Loss.java
+++ b/core/src/main/java/cedarrudder/membership/LossEstimate.java
@@ -4,7 +4,7 @@
  * How often a question that was answered in the end was not answered at once: what the network
  * loses there and back, as one instance sees it. The dead, who never answer, don't count.
  */
-final class Loss {
+final class LossEstimate {
 
     /** The last 32 answers or so. */
     private static final double NEWEST = 1.0 / 32;
--- a/core/src/main/java/cedarrudder/membership/StateExchange.java
+++ b/core/src/main/java/cedarrudder/membership/StateExchange.java
@@ -1,7 +1,7 @@
 package cedarrudder.membership;
 
-import cedarrudder.membership.Packet.News;
-import cedarrudder.membership.Packet.Window;
+import cedarrudder.membership.SwimMessage.News;
+import cedarrudder.membership.SwimMessage.Window;
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.random.RandomGenerator;
@@ -95,7 +95,7 @@
      * @param shown what it holds
      * @param start where to begin, so that all have their turn where there is no room for all
      */
-    void answer(int self, Window shown, Member[] members, int start, Letter letter) {
+    void answer(int self, Window shown, Member[] members, int start, GossipMessage letter) {
         int count = shown.end(instances) - shown.first();
         for (int wanted = 0; wanted < 2; wanted++) {
             for (int i = 0; i < count && !letter.full(); i++) {
--- a/core/src/main/java/cedarrudder/membership/Swim.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -1,9 +1,9 @@
 package cedarrudder.membership;
 
 import cedarrudder.membership.Member.Standing;
-import cedarrudder.membership.Packet.Kind;
-import cedarrudder.membership.Packet.News;
-import cedarrudder.membership.Packet.Window;
+import cedarrudder.membership.SwimMessage.Kind;
+import cedarrudder.membership.SwimMessage.News;
+import cedarrudder.membership.SwimMessage.Window;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -16,8 +16,8 @@
 /**
  * Which of a fixed set of instances live, as one of them sees it: SWIM (Das, Gupta, Motivala 2002)
  * with suspicion, incarnations and indirect questions, and Lifeguard (Dadgar, Phillips, Currey
- * 2017) against those that are slow themselves. {@link Doubts} come before a suspicion, and {@link
- * StateExchange} brings what news did not.
+ * 2017) against those that are slow themselves. {@link IndirectProbes} come before a suspicion, and
+ * {@link StateExchange} brings what news did not.
  *
  * <p>It has no clock, no socket and no thread. It is told of messages and of the time, which never
  * goes back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one
@@ -27,10 +27,10 @@
  * those in doubt, another to one of the dead now and then, {@code helpers} and one more where one
  * isn't answered, and one answer to each that asks, of which there is a bound too.
  */
-public final class Swim {
+public final class SwimMember {
 
     /** What it causes. */
-    public interface Outlet {
+    public interface Actions {
         /** Sends a message of at most 224 bytes; it may be lost. */
         void send(int to, byte[] message);
 
@@ -96,13 +96,13 @@
     private final int self;
     private final MembershipSettings settings;
     private final RandomGenerator random;
-    private final Outlet outlet;
+    private final Actions outlet;
     private final Member[] members;
     private final Suspicions suspicions;
-    private final Doubts doubts = new Doubts();
-    private final Loss loss = new Loss();
+    private final IndirectProbes doubts = new IndirectProbes();
+    private final LossEstimate loss = new LossEstimate();
     private final StateExchange exchange;
-    private final Gossip gossip;
+    private final GossipQueue gossip;
     private final int[] order;
     private final Map<Integer, Relay> relays = new HashMap<>();
     private int nextInOrder;
@@ -131,13 +131,13 @@
      *     in milliseconds; where it is not, the others say so and it takes the next one
      * @throws IllegalArgumentException if a figure is outside its range
      */
-    public Swim(
+    public SwimMember(
             int instances,
             int self,
             long life,
             MembershipSettings settings,
             RandomGenerator random,
-            Outlet outlet,
+            Actions outlet,
             long now) {
         if (instances < 1
                 || instances > 0xffff
@@ -158,7 +158,7 @@
         }
         this.suspicions = new Suspicions(random.nextInt(instances));
         this.exchange = new StateExchange(instances);
-        this.gossip = new Gossip(instances);
+        this.gossip = new GossipQueue(instances);
         this.order = new int[instances - 1];
         for (int i = 0; i < order.length; i++) {
             order[i] = i < self ? i : i + 1;
@@ -394,7 +394,7 @@
      * @param from the instance whose address it came from
      */
     public void received(long now, int from, byte[] message) {
-        Packet packet = left ? null : Packet.decode(message, members.length);
+        SwimMessage packet = left ? null : SwimMessage.decode(message, members.length);
         if (packet == null) {
             malformed += left ? 0 : 1;
             return;
@@ -420,7 +420,7 @@
         }
     }
 
-    private void answer(Packet packet) {
+    private void answer(SwimMessage packet) {
         if (answers >= MOST_ANSWERS) {
             unanswered++;
             return;
@@ -429,7 +429,7 @@
         send(packet.from(), Kind.ACK, packet.question(), self, packet.window());
     }
 
-    private void relay(long now, Packet packet) {
+    private void relay(long now, SwimMessage packet) {
         if (packet.subject() == self
                 || packet.subject() == packet.from()
                 || relays.size() >= MOST_RELAYS) {
@@ -448,7 +448,7 @@
         send(packet.subject(), Kind.PING, own, packet.subject());
     }
 
-    private void answered(Packet packet) {
+    private void answered(SwimMessage packet) {
         if (question != null
                 && question.number == packet.question()
                 && packet.subject() == question.target
@@ -476,7 +476,7 @@
     private void send(int to, Kind kind, int number, int subject, Window asked) {
         Window shown = kind == Kind.PING ? exchange.show() : null;
         long incarnation = members[self].incarnation();
-        Letter letter = new Letter(incarnation, Packet.room(shown));
+        GossipMessage letter = new GossipMessage(incarnation, SwimMessage.room(shown));
         if (members[to].standing() != Standing.ALIVE) {
             // Lifeguard's buddy rule: who is suspected hears of it first, and can contradict.
             letter.add(new News(members[to], self));
@@ -488,7 +488,7 @@
         gossip.fill(letter, (int) Math.max(1, times));
         outlet.send(
                 to,
-                new Packet(
+                new SwimMessage(
                                 kind,
                                 number,
                                 self,
--- a/core/src/main/java/cedarrudder/membership/Packet.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMessage.java
@@ -30,7 +30,7 @@
  *     does not ask
  * @param news what the sender passes on
  */
-record Packet(
+record SwimMessage(
         Kind kind,
         int question,
         int from,
@@ -152,7 +152,7 @@
     }
 
     /** Reads a message; null where the bytes are none, or name an instance that can't be. */
-    static Packet decode(byte[] bytes, int instances) {
+    static SwimMessage decode(byte[] bytes, int instances) {
         int end = bytes.length - CHECK;
         if (end < 2
                 || bytes.length > MOST_BYTES
@@ -169,7 +169,7 @@
         }
     }
 
-    private static Packet decode(ByteBuffer in, int head, int instances) {
+    private static SwimMessage decode(ByteBuffer in, int head, int instances) {
         long question = Varint.get(in);
         long from = Varint.get(in);
         long incarnation = Varint.get(in);
@@ -215,7 +215,7 @@
             }
             news.add(new News(new Member((int) (what >>> 2), life, standing), (int) accuser));
         }
-        return new Packet(
+        return new SwimMessage(
                 Kind.values()[head & 3],
                 (int) question,
                 (int) from,
--- a/core/src/main/java/cedarrudder/figures/Figures.java
+++ b/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
@@ -1,11 +1,11 @@
-package cedarrudder.figures;
+package cedarrudder.metrics;
 
 /**
  * What a process has counted since its start, made once: pages and agents read it, and none counts
  * for itself. Owned by the event loop; not thread-safe. A look or a count costs nanoseconds and no
  * memory.
  */
-public final class Figures {
+public final class RequestMetrics {
 
     /** How an RPC ended, by what its caller got. */
     public enum End {
@@ -28,7 +28,7 @@
     /**
      * @param classes how many classes of requests there are
      */
-    public Figures(int classes) {
+    public RequestMetrics(int classes) {
         ended = new long[End.values().length][classes];
         taken = new long[classes];
         relayed = new long[classes];
--- a/core/src/main/java/cedarrudder/table/Tables.java
+++ b/core/src/main/java/cedarrudder/routetable/CurrentRouteTable.java
@@ -1,10 +1,10 @@
-package cedarrudder.table;
+package cedarrudder.routetable;
 
 /**
  * The table that a copy uses. It loads one whole or not at all, and numbers only rise. Not
  * thread-safe.
  */
-public final class Tables {
+public final class CurrentRouteTable {
 
     /** What came of loading one; {@code why} is null where it counts. */
     public record Loaded(boolean counts, String why) {
--- a/core/src/main/java/cedarrudder/table/RouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTable.java
@@ -1,4 +1,4 @@
-package cedarrudder.table;
+package cedarrudder.routetable;
 
 import java.util.Comparator;
 import java.util.List;
@@ -6,7 +6,8 @@
 /**
  * What the copies of a tier have agreed on, whole: where each zone's callers are served, which
  * nodes are being removed, and what each class may get while it holds. Immutable; equal contents
- * are equal, in whatever order they were given, and have the same {@linkplain TableCodec bytes}.
+ * are equal, in whatever order they were given, and have the same {@linkplain RouteTableCodec
+ * bytes}.
  *
  * @param number the table's own; it only rises, over all groups; at least 1
  * @param group the group of copies that agreed on it; at least 0
--- a/core/src/main/java/cedarrudder/table/TableCodec.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
@@ -1,9 +1,9 @@
-package cedarrudder.table;
+package cedarrudder.routetable;
 
-import cedarrudder.table.RouteTable.Leaving;
-import cedarrudder.table.RouteTable.Limit;
-import cedarrudder.table.RouteTable.Share;
-import cedarrudder.table.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.Leaving;
+import cedarrudder.routetable.RouteTable.Limit;
+import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Way;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  * of all before it. Nodes are written in their order, as distances. One table has one form: what
  * would read as a table and is written otherwise is refused.
  */
-public final class TableCodec {
+public final class RouteTableCodec {
 
     private static final int VERSION = 1;
     private static final int SUM = 4;
@@ -26,7 +26,7 @@
     /** What reading came to: a table, or why there is none. */
     public record Decoded(RouteTable table, String fault) {}
 
-    private TableCodec() {}
+    private RouteTableCodec() {}
 
     public static byte[] encode(RouteTable table) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/core/src/main/java/cedarrudder/table/TableDifference.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableDelta.java
@@ -1,8 +1,8 @@
-package cedarrudder.table;
+package cedarrudder.routetable;
 
-import cedarrudder.table.RouteTable.Leaving;
-import cedarrudder.table.RouteTable.Limit;
-import cedarrudder.table.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Leaving;
+import cedarrudder.routetable.RouteTable.Limit;
+import cedarrudder.routetable.RouteTable.Share;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -20,7 +20,7 @@
  * @param limits new ones, and those that changed
  * @param freed classes that are not limited any more
  */
-public record TableDifference(
+public record RouteTableDelta(
         List<Share> shares,
         List<Pair> endedShares,
         List<Leaving> leaving,
@@ -35,8 +35,8 @@
         }
     }
 
-    public static TableDifference between(RouteTable before, RouteTable after) {
-        return new TableDifference(
+    public static RouteTableDelta between(RouteTable before, RouteTable after) {
+        return new RouteTableDelta(
                 fresh(before.shares(), after.shares()),
                 gone(before.shares(), after.shares(), Pair::of),
                 fresh(before.leaving(), after.leaving()),
--- a/core/src/test/java/cedarrudder/overload/CallLimitTest.java
+++ b/core/src/test/java/cedarrudder/admission/AdaptiveConcurrencyLimitTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -7,12 +7,12 @@
 import org.testng.annotations.Test;
 
 /** The limit of calls out, and the share of each tenant. */
-public class CallLimitTest {
+public class AdaptiveConcurrencyLimitTest {
 
     private static final long SECOND = 1_000_000_000L;
 
-    private static CallLimit after(int slow, double least) {
-        CallLimit limit = new CallLimit(1, 0.2, 4);
+    private static AdaptiveConcurrencyLimit after(int slow, double least) {
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(1, 0.2, 4);
         for (int i = 0; i < slow; i++) {
             limit.answered(true, 10, 10, least);
         }
@@ -36,7 +36,7 @@
 
     @Test
     public void itGrowsOnlyWhereItWasMet() {
-        CallLimit limit = after(1000, 5);
+        AdaptiveConcurrencyLimit limit = after(1000, 5);
         limit.answered(false, 0, 10, 5);
         assertFalse(limit.room(5, 1));
         limit.answered(false, 0, 10, 5);
@@ -51,14 +51,14 @@
 
     @Test
     public void withNothingToTakeOffThereIsNoLimit() {
-        CallLimit limit = new CallLimit(0, 0.2, 4);
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(0, 0.2, 4);
         limit.answered(true, 10, 10, 1);
         assertTrue(limit.room(100_000, 0.1));
     }
 
     @Test
     public void aTenantIsPastItsShareWhenItHasSpentWhatItSaved() {
-        ShareMeter meter = new ShareMeter(new double[] {10, 0}, 2);
+        TenantQuotas meter = new TenantQuotas(new double[] {10, 0}, 2);
         long now = 100 * SECOND;
         int within = 0;
         for (int i = 0; i < 100; i++) {
@@ -73,7 +73,7 @@
 
     @Test
     public void aMeanFollowsWhatIsMeasured() {
-        Mean mean = new Mean(0.5);
+        MovingAverage mean = new MovingAverage(0.5);
         mean.add(10);
         assertEquals(mean.mean(), 10.0);
         mean.add(20);
--- a/core/src/test/java/cedarrudder/overload/WaitingLineTest.java
+++ b/core/src/test/java/cedarrudder/admission/AdmissionQueueTest.java
@@ -1,19 +1,19 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.overload.WaitingLine.Offer;
+import cedarrudder.admission.AdmissionQueue.Offer;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Who goes first, and who must not hold up the others. */
-public class WaitingLineTest {
+public class AdmissionQueueTest {
 
     private final List<String> offered = new ArrayList<>();
     private double[] worth;
-    private WaitingLine<String> line;
+    private AdmissionQueue<String> line;
 
     private void offer(int room, Offer otherwise) {
         offered.clear();
@@ -29,7 +29,7 @@
     @BeforeMethod
     public void fill() {
         worth = new double[] {1, 3, 2};
-        line = new WaitingLine<>(3);
+        line = new AdmissionQueue<>(3);
         line.add(0, "least");
         line.add(2, "middle 1");
         line.add(2, "middle 2");
--- a/core/src/test/java/cedarrudder/overload/ClassWorthTest.java
+++ b/core/src/test/java/cedarrudder/admission/ClassPriorityTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -6,10 +6,10 @@
 import org.testng.annotations.Test;
 
 /** What it is worth to serve each class next. */
-public class ClassWorthTest {
+public class ClassPriorityTest {
 
-    private static ClassWorth worths(double worstClass, double... perWork) {
-        ClassWorth worth = new ClassWorth(perWork.length, 0.6, worstClass, 0.05);
+    private static ClassPriority worths(double worstClass, double... perWork) {
+        ClassPriority worth = new ClassPriority(perWork.length, 0.6, worstClass, 0.05);
         for (int i = 0; i < perWork.length; i++) {
             worth.perWork(i, perWork[i]);
         }
@@ -18,14 +18,14 @@
 
     @Test
     public void withNothingServedTheWorthForTheWorkDecides() {
-        ClassWorth worth = worths(0.2, 5, 2, 8);
+        ClassPriority worth = worths(0.2, 5, 2, 8);
         assertTrue(worth.next(2, false) > worth.next(0, false));
         assertTrue(worth.next(0, false) > worth.next(1, false));
     }
 
     @Test
     public void theClassThatIsServedWorstRises() {
-        ClassWorth worth = worths(0.2, 5, 4);
+        ClassPriority worth = worths(0.2, 5, 4);
         for (int i = 0; i < 100; i++) {
             worth.asked(i, 0, 1);
             worth.asked(i, 1, 1);
@@ -38,7 +38,7 @@
 
     @Test
     public void withoutWeightOnTheWorstNoneRises() {
-        ClassWorth worth = worths(0, 5, 4);
+        ClassPriority worth = worths(0, 5, 4);
         worth.asked(0, 0, 1);
         worth.asked(0, 1, 1);
         worth.served(0, 0, 1);
@@ -47,15 +47,16 @@
 
     @Test
     public void whatIsPastATenantsShareComesLast() {
-        ClassWorth worth = worths(0.2, 5, 2, 8);
+        ClassPriority worth = worths(0.2, 5, 2, 8);
         assertTrue(worth.next(2, true) < worth.next(1, false));
         assertTrue(
-                new ClassWorth(1, 1, 0, 0).next(0, true) > 0, "but is served where there is room");
+                new ClassPriority(1, 1, 0, 0).next(0, true) > 0,
+                "but is served where there is room");
     }
 
     @Test
     public void theLongAgoIsForgotten() {
-        ClassWorth worth = worths(0.2, 1, 1);
+        ClassPriority worth = worths(0.2, 1, 1);
         long second = 1_000_000_000L;
         worth.asked(0, 0, 1000);
         worth.served(0, 0, 1000);
--- a/core/src/test/java/cedarrudder/overload/HoldLimitTest.java
+++ b/core/src/test/java/cedarrudder/admission/EndpointConcurrencyLimitTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -7,12 +7,13 @@
 import org.testng.annotations.Test;
 
 /** How many requests an endpoint may hold, by how long its answers take. */
-public class HoldLimitTest {
+public class EndpointConcurrencyLimitTest {
 
     private static final double WORK = 50e6;
 
     /** An endpoint of some processors that is always given as much as it may hold. */
-    private static HoldLimit full(HoldLimit limit, int processors, int answers) {
+    private static EndpointConcurrencyLimit full(
+            EndpointConcurrencyLimit limit, int processors, int answers) {
         for (int i = 0; i < answers; i++) {
             double held = Math.ceil(limit.limit());
             limit.answered(held, WORK * Math.max(1, held / processors), WORK);
@@ -22,7 +23,7 @@
 
     @Test
     public void itBeginsAtTheSafeValue() {
-        HoldLimit limit = new HoldLimit(4);
+        EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
         assertTrue(limit.room(3));
         assertFalse(limit.room(4));
         assertEquals(full(limit, 16, 19).limit(), 4.0, "too few answers to go by");
@@ -30,25 +31,25 @@
 
     @Test
     public void anEndpointOfManyProcessorsComesToHoldAsManyAsTheyServe() {
-        double limit = full(new HoldLimit(4), 16, 5000).limit();
+        double limit = full(new EndpointConcurrencyLimit(4), 16, 5000).limit();
         assertTrue(limit > 16 && limit < 22, "came to " + limit);
     }
 
     @Test
     public void aSmallOneThatIsFullFromTheFirstMomentOnKeepsTheSafeValue() {
-        assertEquals(full(new HoldLimit(4), 1, 5000).limit(), 4.0);
+        assertEquals(full(new EndpointConcurrencyLimit(4), 1, 5000).limit(), 4.0);
     }
 
     @Test
     public void itGoesBackWhenTheAnswersTakeLonger() {
-        HoldLimit limit = full(new HoldLimit(4), 16, 5000);
+        EndpointConcurrencyLimit limit = full(new EndpointConcurrencyLimit(4), 16, 5000);
         full(limit, 1, 5000);
         assertEquals(limit.limit(), 4.0);
     }
 
     @Test
     public void itDoesNotGrowWhereItIsNotMet() {
-        HoldLimit limit = new HoldLimit(4);
+        EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
         for (int i = 0; i < 1000; i++) {
             limit.answered(2, WORK, WORK);
         }
@@ -57,9 +58,9 @@
 
     @Test
     public void withoutWhatItNeedsThereIsNoLimit() {
-        HoldLimit limit = new HoldLimit(4);
+        EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
         limit.answered(4, WORK, 0);
         assertTrue(limit.room(1000));
-        assertTrue(full(new HoldLimit(0), 1, 100).room(1000));
+        assertTrue(full(new EndpointConcurrencyLimit(0), 1, 100).room(1000));
     }
 }
--- a/core/src/test/java/cedarrudder/overload/ShareMeterTest.java
+++ b/core/src/test/java/cedarrudder/admission/TenantQuotasTest.java
@@ -1,16 +1,16 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import static org.testng.Assert.assertEquals;
 
 import org.testng.annotations.Test;
 
 /** A tenant's share is divided by the copies that live. */
-public class ShareMeterTest {
+public class TenantQuotasTest {
 
     private static final long SECOND = 1_000_000_000L;
 
     /** Of a thousand requests a second, how many of the last second are within the share. */
-    private static int within(ShareMeter meter, long from) {
+    private static int within(TenantQuotas meter, long from) {
         int within = 0;
         for (int i = 0; i < 10_000; i++) {
             boolean past = meter.past(from + i * (SECOND / 1_000), 0);
@@ -21,7 +21,7 @@
 
     @Test
     public void theShareOfOneCopyFollowsThoseThatLive() {
-        ShareMeter meter = new ShareMeter(new double[] {120}, 4);
+        TenantQuotas meter = new TenantQuotas(new double[] {120}, 4);
         assertEquals((double) within(meter, SECOND), 30, 1);
         meter.copies(2);
         assertEquals((double) within(meter, 100 * SECOND), 60, 1);
--- a/core/src/test/java/cedarrudder/overload/ZoneDealTest.java
+++ b/core/src/test/java/cedarrudder/admission/ZoneTrafficSplitTest.java
@@ -1,25 +1,25 @@
-package cedarrudder.overload;
+package cedarrudder.admission;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.overload.ZoneDeal.Part;
+import cedarrudder.admission.ZoneTrafficSplit.Part;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class ZoneDealTest {
+public class ZoneTrafficSplitTest {
 
     private static final int WHOLE = 10_000;
     private static final long MS = 1_000_000L;
 
-    private ZoneDeal deal;
+    private ZoneTrafficSplit deal;
 
     @BeforeMethod
     public void begin() {
-        deal = new ZoneDeal(0, WHOLE, new SplittableRandom(7));
+        deal = new ZoneTrafficSplit(0, WHOLE, new SplittableRandom(7));
     }
 
     private int next(long now, double part) {
@@ -50,7 +50,7 @@
         int first = 0;
         int far = 0;
         for (int copy = 0; copy < 500; copy++) {
-            ZoneDeal own = new ZoneDeal(0, WHOLE, new SplittableRandom(copy));
+            ZoneTrafficSplit own = new ZoneTrafficSplit(0, WHOLE, new SplittableRandom(copy));
             for (int i = 0; i < 40; i++) {
                 own.set(List.of(new Part(0, 9_000, 0), new Part(3, 1_000, 0)));
                 boolean gone = own.next(0, 1, true) == 3;
@@ -87,7 +87,8 @@
         for (int i = 0; i < 2_000; i++) {
             int worthy = i % 5 == 0 ? 1 : 0; // 40 a second of 200
             came[worthy]++;
-            fit[worthy] += next(i * 5 * MS, worthy == 1 ? 1 : 0.4) == ZoneDeal.NOWHERE ? 0 : 1;
+            fit[worthy] +=
+                    next(i * 5 * MS, worthy == 1 ? 1 : 0.4) == ZoneTrafficSplit.NOWHERE ? 0 : 1;
         }
         assertEquals(fit[1], came[1], "of " + came[1]);
         assertEquals(fit[0], 100 + 15, 10);
@@ -98,7 +99,7 @@
         deal.set(List.of(new Part(0, 7_000, 0)));
         int[] fit = new int[2];
         for (int i = 0; i < 10_000; i++) {
-            fit[i % 2] += next(i, i % 2 == 1 ? 1 : 0.4) == ZoneDeal.NOWHERE ? 0 : 1;
+            fit[i % 2] += next(i, i % 2 == 1 ? 1 : 0.4) == ZoneTrafficSplit.NOWHERE ? 0 : 1;
         }
         assertEquals(fit[1], 5_000);
         assertEquals(fit[0], 2_000, 20);
@@ -110,7 +111,7 @@
         deal.set(List.of(new Part(0, 5_000, 0)));
         int fit = 0;
         for (int i = 0; i < 1_000; i++) {
-            fit += deal.next(i, 1, i % 2 == 0) == ZoneDeal.NOWHERE ? 0 : 1;
+            fit += deal.next(i, 1, i % 2 == 0) == ZoneTrafficSplit.NOWHERE ? 0 : 1;
         }
         assertEquals(fit, 500);
     }
@@ -122,7 +123,7 @@
         for (int i = 0; i < 1_000; i++) {
             next(i, 1);
         }
-        assertEquals(next(1_000, 0.4), ZoneDeal.NOWHERE);
+        assertEquals(next(1_000, 0.4), ZoneTrafficSplit.NOWHERE);
         deal.set(List.of(new Part(0, WHOLE, 0)));
         for (int i = 0; i < 1_000; i++) {
             assertEquals(next(i, 0.1), 0);
--- a/core/src/test/java/cedarrudder/Await.java
+++ b/core/src/test/java/cedarrudder/balancer/Await.java
@@ -1,4 +1,4 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/core/src/test/java/cedarrudder/TuningTest.java
+++ b/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
@@ -1,34 +1,40 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Tuning.Figure;
+import cedarrudder.balancer.BalancerParameters.Parameter;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.Request;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
 /** The module's figures as a value. */
-public class TuningTest {
+public class BalancerParametersTest {
 
     private static String complaint(String assignment) {
         return expectThrows(
-                        IllegalArgumentException.class, () -> TuningText.read(List.of(assignment)))
+                        IllegalArgumentException.class,
+                        () -> BalancerParametersParser.read(List.of(assignment)))
                 .getMessage();
     }
 
     @Test
     public void aFigureIsSetByItsWrittenName() {
-        Tuning tuning =
-                TuningText.read(List.of("max-age-ms=9", "rif-quantile=0.9", "max-age-ms=1500"));
-        assertEquals(tuning.get(Figure.MAX_AGE_MS), 1500.0);
-        assertEquals(tuning.nanos(Figure.MAX_AGE_MS), 1500 * Site.MS);
-        assertEquals(TuningText.differences(tuning), "max-age-ms=1500 rif-quantile=0.9");
-        assertEquals(TuningText.differences(TuningText.read(List.of("rif-quantile=0.25"))), "");
-        assertEquals(TuningText.differences(Tuning.DEFAULTS), "");
+        BalancerParameters tuning =
+                BalancerParametersParser.read(
+                        List.of("max-age-ms=9", "rif-quantile=0.9", "max-age-ms=1500"));
+        assertEquals(tuning.get(Parameter.MAX_AGE_MS), 1500.0);
+        assertEquals(tuning.nanos(Parameter.MAX_AGE_MS), 1500 * Site.MS);
+        assertEquals(
+                BalancerParametersParser.differences(tuning), "max-age-ms=1500 rif-quantile=0.9");
+        assertEquals(
+                BalancerParametersParser.differences(
+                        BalancerParametersParser.read(List.of("rif-quantile=0.25"))),
+                "");
+        assertEquals(BalancerParametersParser.differences(BalancerParameters.DEFAULTS), "");
     }
 
     @Test
@@ -48,16 +54,16 @@
     @Test
     public void everyFigureTakesTheEndsOfItsRange() {
         Site site = new Site();
-        for (Figure figure : Figure.values()) {
+        for (Parameter figure : Parameter.values()) {
             for (double value : new double[] {figure.least, figure.most}) {
                 Recorder did = new Recorder();
-                Decide decide =
-                        new Decide(
+                PrequalBalancer decide =
+                        new PrequalBalancer(
                                 site.settings(),
-                                Tuning.DEFAULTS.with(figure, value),
+                                BalancerParameters.DEFAULTS.with(figure, value),
                                 new SplittableRandom(1),
                                 did);
-                decide.endpoints(Site.SECOND, ListKind.CACHED, Site.readyUpTo(4));
+                decide.endpoints(Site.SECOND, EndpointListKind.CACHED, Site.readyUpTo(4));
                 decide.request(
                         Site.SECOND, new Request(1, 0, 0, 3 * Site.SECOND, 0, false, false, 0));
                 assertEquals(did.sent.size(), 1, figure + "=" + value);
--- a/core/src/test/java/cedarrudder/ClockBelowZeroTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
@@ -1,10 +1,10 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.overload.ClassWorth;
-import cedarrudder.overload.ShareMeter;
+import cedarrudder.admission.ClassPriority;
+import cedarrudder.admission.TenantQuotas;
 import org.testng.annotations.Test;
 
 /** An instant's zero means nothing: a clock may begin below it, and pass it at any time. */
@@ -18,13 +18,13 @@
      */
     @Test
     public void aTenantBeginsWithItsShare() {
-        assertFalse(new ShareMeter(new double[] {10}, 1).past(BEGIN, 0));
+        assertFalse(new TenantQuotas(new double[] {10}, 1).past(BEGIN, 0));
     }
 
     /** Guards against worths that are no numbers, by which nobody can be ordered. */
     @Test
     public void worthsAreNumbers() {
-        ClassWorth worth = new ClassWorth(2, 0.8, 0.2, 0.1);
+        ClassPriority worth = new ClassPriority(2, 0.8, 0.2, 0.1);
         long begin = 100_000 * BEGIN;
         worth.asked(begin, 0, 1);
         worth.asked(begin, 1, 1);
@@ -37,6 +37,6 @@
      */
     @Test
     public void anEndpointHasRoomForConnections() {
-        assertFalse(new Server(Site.ready(1), BEGIN, 4, 0).crowded(BEGIN));
+        assertFalse(new EndpointState(Site.ready(1), BEGIN, 4, 0).crowded(BEGIN));
     }
 }
--- a/core/src/test/java/cedarrudder/ColdBudgetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
@@ -1,11 +1,11 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cedarrudder.ColdFleet.Deployment;
-import cedarrudder.ColdFleet.Seen;
-import cedarrudder.ColdFleet.Trouble;
-import cedarrudder.ColdFleet.World;
+import cedarrudder.balancer.ColdFleet.Deployment;
+import cedarrudder.balancer.ColdFleet.Seen;
+import cedarrudder.balancer.ColdFleet.Trouble;
+import cedarrudder.balancer.ColdFleet.World;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -87,7 +87,7 @@
                                     after * Site.SECOND,
                                     true);
                     for (long seed = 1; seed <= SEEDS; seed++) {
-                        Seen seen = ColdFleet.play(each, Tuning.DEFAULTS, seed);
+                        Seen seen = ColdFleet.play(each, BalancerParameters.DEFAULTS, seed);
                         served += seen.served();
                         worlds++;
                         over += seen.worst() > 1 ? 1 : 0;
@@ -137,7 +137,7 @@
                                 Trouble.BURST,
                                 3 * Site.SECOND,
                                 false),
-                        Tuning.DEFAULTS,
+                        BalancerParameters.DEFAULTS,
                         1);
         System.out.println("seed 1, " + copies + " copies that are not told: " + seen);
         assertTrue(seen.worst() > 1, seen.toString());
@@ -176,12 +176,12 @@
         SplittableRandom random = new SplittableRandom(7);
         double[] part = random.doubles(copies, 0.1, 1).map(d -> d > 0.8 ? 4 : d).toArray();
         double sum = 0;
-        List<Server> servers = new ArrayList<>();
+        List<EndpointState> servers = new ArrayList<>();
         for (double p : part) {
             sum += p;
             servers.add(
-                    new Server(
-                            Site.endpoint(1, 0, 0, Balancer.State.READY, 1),
+                    new EndpointState(
+                            Site.endpoint(1, 0, 0, LoadBalancer.EndpointStatus.READY, 1),
                             1,
                             4,
                             random.nextDouble()));
@@ -190,7 +190,9 @@
         for (long now = 1; now <= from + ColdFleet.SAFETY.fallWindow(); now += 20 * Site.MS) {
             for (int i = 0; i < copies; i++) {
                 double rate = 0.6 * capacity * part[i] / sum;
-                while (servers.get(i).withinColdBudget(now, rate, Tuning.DEFAULTS, ColdFleet.SAFETY)
+                while (servers.get(i)
+                                .withinColdBudget(
+                                        now, rate, BalancerParameters.DEFAULTS, ColdFleet.SAFETY)
                         && (!atOnce || now > from)) {
                     servers.get(i).sent(now, 1);
                     sent += now > from ? 1 : 0;
--- a/core/src/test/java/cedarrudder/ColdFleet.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdFleet.java
@@ -1,12 +1,12 @@
-package cedarrudder;
-
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
+package cedarrudder.balancer;
+
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -30,7 +30,7 @@
     static final long COLD_AT = 6 * Site.SECOND;
 
     /** The figures of the rules at the site that the program is built for. */
-    static final Safety SAFETY = safety(0.12, 23 * Site.SECOND, 3, 3 * Site.SECOND);
+    static final SafetyRules SAFETY = safety(0.12, 23 * Site.SECOND, 3, 3 * Site.SECOND);
 
     /** That site, and others whose settings are otherwise. */
     static final Deployment FIRST = new Deployment("first", SAFETY, 1, true, true, 0);
@@ -63,9 +63,9 @@
                     new Deployment("no probes", SAFETY, 1, false, false, 0),
                     new Deployment("unlike endpoints", SAFETY, 1, true, true, 0.4));
 
-    private static Safety safety(
+    private static SafetyRules safety(
             double coldShare, long rampTime, double fallMultiple, long fallWindow) {
-        return new Safety(
+        return new SafetyRules(
                 2 * Site.SECOND, coldShare, rampTime, fallMultiple, fallWindow, 10 * Site.SECOND);
     }
 
@@ -104,7 +104,12 @@
      *     much more
      */
     record Deployment(
-            String name, Safety safety, int cores, boolean hints, boolean probes, double spread) {
+            String name,
+            SafetyRules safety,
+            int cores,
+            boolean hints,
+            boolean probes,
+            double spread) {
         @Override
         public String toString() {
             return name;
@@ -249,8 +254,8 @@
         }
     }
 
-    private final class Copy implements Balancer.Actions {
-        final Balancer module;
+    private final class Copy implements LoadBalancer.Actions {
+        final LoadBalancer module;
         final Map<Long, Long> deadlines = new HashMap<>();
         final Map<Long, Integer> attempts = new HashMap<>();
         boolean dead;
@@ -262,20 +267,20 @@
             site.self = self;
             site.classes =
                     List.of(
-                            new Balancer.RequestClass(
+                            new LoadBalancer.RequestClass(
                                     "status",
-                                    Balancer.Effect.SAFE,
-                                    Balancer.KeyScope.ALL,
+                                    LoadBalancer.Idempotency.SAFE,
+                                    LoadBalancer.KeyScope.ALL,
                                     aim,
                                     patience,
                                     1,
                                     0,
                                     Site.SECOND,
                                     false));
-            Settings s = site.settings();
+            BalancerSettings s = site.settings();
             module =
-                    new Decide(
-                            new Settings(
+                    new PrequalBalancer(
+                            new BalancerSettings(
                                     s.copies(),
                                     self,
                                     0,
@@ -291,7 +296,7 @@
                             tuning,
                             new SplittableRandom(seed),
                             this);
-            module.endpoints(now, ListKind.CACHED, listed);
+            module.endpoints(now, EndpointListKind.CACHED, listed);
         }
 
         void call(long id, int tries, double work) {
@@ -403,9 +408,9 @@
     }
 
     private final World world;
-    private final Tuning tuning;
+    private final BalancerParameters tuning;
     private final SplittableRandom random;
-    private final Safety safety;
+    private final SafetyRules safety;
 
     /** Of a request, on one core of a warm endpoint; nanoseconds. */
     private final double meanWork;
@@ -432,7 +437,7 @@
     private int served;
     private int asked;
 
-    private ColdFleet(World world, Tuning tuning, long seed) {
+    private ColdFleet(World world, BalancerParameters tuning, long seed) {
         this.world = world;
         this.tuning = tuning;
         this.random = new SplittableRandom(seed);
@@ -454,7 +459,7 @@
     /** An endpoint is there from now on, in a new life; returns what discovery says of it. */
     private Endpoint start(long id, long at) {
         nodes.put(id, new Node(id, at));
-        Endpoint entry = Site.endpoint(id, 0, 0, State.READY, world.told ? at : 0);
+        Endpoint entry = Site.endpoint(id, 0, 0, EndpointStatus.READY, world.told ? at : 0);
         listed.removeIf(e -> e.id() == id);
         listed.add(entry);
         return entry;
@@ -465,16 +470,16 @@
                 LongStream.rangeClosed(from, to).mapToObj(id -> start(id, now)).toList();
         copies.stream()
                 .filter(c -> !c.dead)
-                .forEach(c -> c.module.endpoints(now, ListKind.CHANGES, fresh));
+                .forEach(c -> c.module.endpoints(now, EndpointListKind.CHANGES, fresh));
     }
 
     /** Plays a world to the end of the warm-up. */
-    static Seen play(World world, Tuning tuning, long seed) {
+    static Seen play(World world, BalancerParameters tuning, long seed) {
         return new ColdFleet(world, tuning, seed).play();
     }
 
     /** The share of its capacity that an endpoint has at this age. */
-    static double share(Safety safety, long age) {
+    static double share(SafetyRules safety, long age) {
         return safety.coldShare()
                 + (1 - safety.coldShare()) * Math.min(1, age / (double) safety.rampTime());
     }
@@ -482,12 +487,12 @@
     /**
      * What the settings allow an endpoint of this age within the window, in requests of mean work.
      */
-    static double allowed(Safety safety, long age, double capacity) {
+    static double allowed(SafetyRules safety, long age, double capacity) {
         return safety.fallMultiple() * share(safety, age) * capacity * safety.fallWindow() / 1e9;
     }
 
     /** More than this pushes it over. */
-    static double bound(Safety safety, long age, double capacity) {
+    static double bound(SafetyRules safety, long age, double capacity) {
         double allowed = allowed(safety, age, capacity);
         return allowed + 2 * Math.sqrt(allowed) + 2;
     }
--- a/core/src/test/java/cedarrudder/ColdStartTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
@@ -1,13 +1,13 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
     /** How long a request lasts. */
     private static final long LASTS = 50 * MS;
 
-    private record Out(long until, Decide at, Recorder.Sent sent) {}
+    private record Out(long until, PrequalBalancer at, Recorder.Sent sent) {}
 
     @ParameterizedTest
     @CsvSource({
@@ -42,7 +42,7 @@
     })
     void manyCopiesTogetherStayWithinTheBudget(int copies, int processes, int requestsPerSecond) {
         long start = 1000 * Site.SECOND;
-        List<Decide> decides = new ArrayList<>();
+        List<PrequalBalancer> decides = new ArrayList<>();
         List<Recorder> did = new ArrayList<>();
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
@@ -53,10 +53,10 @@
         for (int i = 0; i < copies * processes; i++) {
             site.self = i % copies;
             did.add(new Recorder());
-            decides.add(new Decide(site.settings(), new SplittableRandom(i), did.get(i)));
-            decides.get(i).endpoints(start, ListKind.CACHED, Site.readyUpTo(WARM));
+            decides.add(new PrequalBalancer(site.settings(), new SplittableRandom(i), did.get(i)));
+            decides.get(i).endpoints(start, EndpointListKind.CACHED, Site.readyUpTo(WARM));
         }
-        Safety safety = site.settings().safety();
+        SafetyRules safety = site.settings().safety();
         long coldFrom = start + 5 * Site.SECOND;
         long step = Site.SECOND / requestsPerSecond;
         ArrayDeque<Long> toCold = new ArrayDeque<>();
@@ -68,13 +68,13 @@
         for (long now = start; now < coldFrom + 12 * Site.SECOND; now += step) {
             if (!told && now >= coldFrom) {
                 told = true;
-                Endpoint cold = Site.endpoint(COLD, 0, 0, State.READY, coldFrom);
-                for (Decide decide : decides) {
-                    decide.endpoints(now, ListKind.CHANGES, List.of(cold));
+                Endpoint cold = Site.endpoint(COLD, 0, 0, EndpointStatus.READY, coldFrom);
+                for (PrequalBalancer decide : decides) {
+                    decide.endpoints(now, EndpointListKind.CHANGES, List.of(cold));
                 }
             }
             int at = random.nextInt(now < coldFrom - Site.SECOND ? copies : decides.size());
-            Decide decide = decides.get(at);
+            PrequalBalancer decide = decides.get(at);
             Recorder recorder = did.get(at);
             recorder.clear();
             decide.request(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
--- a/core/src/test/java/cedarrudder/ResolverClockTest.java
+++ b/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
@@ -1,11 +1,11 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.routing.ResolverClock;
-import cedarrudder.routing.ResolverPatience;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.forwarding.DiscoveryPollSchedule;
+import cedarrudder.forwarding.DiscoveryTimeouts;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /** The list's clock in virtual time: copies of a proxy, each with its module, and one discovery. */
-public class ResolverClockTest {
+public class DiscoveryPollScheduleTest {
 
     private static final long MS = 1_000_000;
     private static final long S = 1000 * MS;
@@ -131,16 +131,16 @@
                             - from;
         }
 
-        private final class Copy implements ResolverClock.Actions {
+        private final class Copy implements DiscoveryPollSchedule.Actions {
             private final SplittableRandom own = random.split();
-            private final ResolverClock clock =
-                    new ResolverClock(
+            private final DiscoveryPollSchedule clock =
+                    new DiscoveryPollSchedule(
                             true,
-                            ResolverClock.longest(site(ask)),
-                            ResolverPatience.DEFAULT,
+                            DiscoveryPollSchedule.longest(site(ask)),
+                            DiscoveryTimeouts.DEFAULT,
                             own.split(),
                             this);
-            private final Balancer module;
+            private final LoadBalancer module;
             private final Set<Integer> open = new HashSet<>();
             private final List<Long> told = new ArrayList<>();
             private long toldAt = Long.MIN_VALUE;
@@ -151,11 +151,11 @@
             private int refuses;
 
             Copy() {
-                Balancer.Actions hands =
-                        (Balancer.Actions)
+                LoadBalancer.Actions hands =
+                        (LoadBalancer.Actions)
                                 Proxy.newProxyInstance(
-                                        Balancer.class.getClassLoader(),
-                                        new Class<?>[] {Balancer.Actions.class},
+                                        LoadBalancer.class.getClassLoader(),
+                                        new Class<?>[] {LoadBalancer.Actions.class},
                                         (self, method, args) -> {
                                             if (method.getName().equals("schedule")) {
                                                 at((long) args[0], () -> tick((long) args[1]));
@@ -164,14 +164,14 @@
                                             }
                                             return null;
                                         });
-                module = new Decide(site(ask), own.split(), hands);
+                module = new PrequalBalancer(site(ask), own.split(), hands);
                 at(
                         now,
                         () -> {
                             if (!ask) {
                                 clock.ask(now);
                             }
-                            module.endpoints(now, ListKind.CACHED, List.of());
+                            module.endpoints(now, EndpointListKind.CACHED, List.of());
                         });
             }
 
@@ -276,7 +276,7 @@
                     return;
                 }
                 clock.told(now, call);
-                module.endpoints(now, ListKind.CHANGES, List.of());
+                module.endpoints(now, EndpointListKind.CHANGES, List.of());
                 toldAt = now;
                 told.add(now);
                 at(now + 2 * S + random.nextLong(LATE), () -> line(call));
@@ -313,7 +313,7 @@
         }
     }
 
-    private static Balancer.Settings site(boolean ask) {
+    private static LoadBalancer.BalancerSettings site(boolean ask) {
         Site site = new Site();
         site.ask = ask;
         return site.settings();
@@ -462,7 +462,7 @@
     @Test
     public void anObjectThatNeverEndsIsNoLife() {
         List<String> done = new ArrayList<>();
-        ResolverClock clock = clock(done, 6 * S);
+        DiscoveryPollSchedule clock = clock(done, 6 * S);
         clock.ask(0);
         clock.told(0, 1);
         clock.begun(2 * S, 1);
@@ -489,7 +489,7 @@
     @Test
     public void itIsAskedAtOnceWhereItMovedAndSoonWhereListsArePushed() {
         List<String> done = new ArrayList<>();
-        ResolverClock clock = clock(done, 1500 * MS);
+        DiscoveryPollSchedule clock = clock(done, 1500 * MS);
         clock.ask(0);
         clock.told(1, 1);
         clock.move(S);
@@ -514,7 +514,7 @@
                         "drop 1 null",
                         "spare false"));
         done.clear();
-        ResolverClock pushed = clock(done, ResolverClock.longest(site(false)));
+        DiscoveryPollSchedule pushed = clock(done, DiscoveryPollSchedule.longest(site(false)));
         pushed.ask(0);
         pushed.broke(0, 1);
         pushed.due(750 * MS);
@@ -532,7 +532,7 @@
     public void whatAFormerAddressAnsweredSaysNothingOfTheNewOne() {
         for (boolean endsAfterwards : new boolean[] {false, true}) {
             List<String> done = new ArrayList<>();
-            ResolverClock clock = clock(done, 1500 * MS);
+            DiscoveryPollSchedule clock = clock(done, 1500 * MS);
             clock.ask(0);
             clock.told(0, 1);
             clock.broke(2 * S, 1);
@@ -561,7 +561,7 @@
     @Test
     public void noCallIsMadeTwiceWhileDiscoveryAnswers() {
         List<String> done = new ArrayList<>();
-        ResolverClock clock = clock(done, 1500 * MS);
+        DiscoveryPollSchedule clock = clock(done, 1500 * MS);
         clock.ask(0);
         clock.told(0, 1);
         clock.broke(S, 1);
@@ -601,7 +601,7 @@
         List<String> alone = new ArrayList<>();
         List<String> asked = new ArrayList<>();
         for (List<String> done : List.of(alone, asked)) {
-            ResolverClock clock = clock(done, 1500 * MS);
+            DiscoveryPollSchedule clock = clock(done, 1500 * MS);
             clock.ask(0);
             for (int call = 1; call < 20; call++) {
                 clock.broke(call * 2 * S, call);
@@ -625,7 +625,7 @@
     @Test
     public void aWatchThatEndsIsOpenedAnewSoonUnlessItEndsAtOnce() {
         List<String> done = new ArrayList<>();
-        ResolverClock clock = clock(done, 1500 * MS);
+        DiscoveryPollSchedule clock = clock(done, 1500 * MS);
         clock.ask(0);
         clock.told(0, 1);
         clock.broke(1500 * MS, 1);
@@ -657,16 +657,16 @@
         return done.stream().filter(line -> !line.startsWith("wake")).toList();
     }
 
-    private static ResolverClock clock(List<String> done, long longest) {
-        return new ResolverClock(
+    private static DiscoveryPollSchedule clock(List<String> done, long longest) {
+        return new DiscoveryPollSchedule(
                 true,
                 longest,
-                ResolverPatience.DEFAULT,
+                DiscoveryTimeouts.DEFAULT,
                 new SplittableRandom(1),
-                (ResolverClock.Actions)
+                (DiscoveryPollSchedule.Actions)
                         Proxy.newProxyInstance(
-                                ResolverClock.class.getClassLoader(),
-                                new Class<?>[] {ResolverClock.Actions.class},
+                                DiscoveryPollSchedule.class.getClassLoader(),
+                                new Class<?>[] {DiscoveryPollSchedule.Actions.class},
                                 (self, method, args) -> {
                                     done.add(
                                             method.getName()
--- a/core/src/test/java/cedarrudder/ServerTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
@@ -1,19 +1,19 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
 import org.junit.jupiter.api.Test;
 
-class ServerTest {
+class EndpointStateTest {
     private static final long MS = Site.MS;
 
     @Test
     void isSilentWhenNothingComesBackForTooLong() {
-        Server server = new Server(Site.ready(1), 0, 4, 0);
+        EndpointState server = new EndpointState(Site.ready(1), 0, 4, 0);
         assertFalse(server.silent(900 * MS, 100 * MS), "nothing is out");
         server.sent(0, 1);
         server.sent(50 * MS, 1);
@@ -25,9 +25,10 @@
 
     @Test
     void aColdStartBeginsInDebt() {
-        Safety safety = new Site().settings().safety();
-        Tuning defaults = Tuning.DEFAULTS;
-        Server server = new Server(Site.endpoint(1, 0, 0, State.READY, 1), 1, 4, 0.5);
+        SafetyRules safety = new Site().settings().safety();
+        BalancerParameters defaults = BalancerParameters.DEFAULTS;
+        EndpointState server =
+                new EndpointState(Site.endpoint(1, 0, 0, EndpointStatus.READY, 1), 1, 4, 0.5);
         assertFalse(
                 server.withinColdBudget(2, 10, defaults, safety),
                 "no copy sends its first request at once");
@@ -43,19 +44,24 @@
      */
     @Test
     void aTurnThatIsNotUsedPassesBy() {
-        Safety safety = new Site().settings().safety();
+        SafetyRules safety = new Site().settings().safety();
         int copies = 1000;
         int ready = 0;
         for (int i = 0; i < copies; i++) {
-            Server server =
-                    new Server(Site.endpoint(1, 0, 0, State.READY, 1), 1, 4, i / (double) copies);
+            EndpointState server =
+                    new EndpointState(
+                            Site.endpoint(1, 0, 0, EndpointStatus.READY, 1),
+                            1,
+                            4,
+                            i / (double) copies);
             // 0.02 requests a second at first: planned is half of the multiple, a quarter of it
             // while cold.
             for (long now = 1; now < 1 + 2 * Site.SECOND; now += 50 * MS) {
-                server.withinColdBudget(now, 0.04, Tuning.DEFAULTS, safety);
+                server.withinColdBudget(now, 0.04, BalancerParameters.DEFAULTS, safety);
             }
             ready +=
-                    server.withinColdBudget(1 + 2 * Site.SECOND, 0.04, Tuning.DEFAULTS, safety)
+                    server.withinColdBudget(
+                                    1 + 2 * Site.SECOND, 0.04, BalancerParameters.DEFAULTS, safety)
                             ? 1
                             : 0;
         }
--- a/core/src/test/java/cedarrudder/Example.java
+++ b/core/src/test/java/cedarrudder/balancer/Example.java
@@ -1,19 +1,19 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
-import cedarrudder.Balancer.Actions;
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.Goal;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Limits;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Prices;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Actions;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Limits;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.balancer.LoadBalancer.ServiceGoal;
+import cedarrudder.balancer.LoadBalancer.ServicePrices;
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -22,12 +22,12 @@
 final class Example {
 
     /** One copy of a sidecar before a tier whose requests are safe to repeat. */
-    static Balancer start(Actions actions, long seed, long now) {
+    static LoadBalancer start(Actions actions, long seed, long now) {
         long second = Duration.ofSeconds(1).toNanos();
         RequestClass lookup =
                 new RequestClass(
                         "lookup",
-                        Effect.SAFE,
+                        Idempotency.SAFE,
                         KeyScope.ALL,
                         second / 2,
                         2 * second,
@@ -36,9 +36,9 @@
                         0,
                         false);
         Limits limits = new Limits(true, true, true, true, 3, 2 * second, second / 4, 30 * second);
-        Safety safety = new Safety(second, 0.3, 10 * second, 4, second, 10 * second);
-        Settings settings =
-                new Settings(
+        SafetyRules safety = new SafetyRules(second, 0.3, 10 * second, 4, second, 10 * second);
+        BalancerSettings settings =
+                new BalancerSettings(
                         20,
                         7,
                         0,
@@ -49,22 +49,22 @@
                         List.of(),
                         limits,
                         safety,
-                        new Goal(1, 0, 0, 0, 1),
-                        new Prices(0, 0));
-        Balancer balancer = new Decide(settings, new SplittableRandom(seed), actions);
+                        new ServiceGoal(1, 0, 0, 0, 1),
+                        new ServicePrices(0, 0));
+        LoadBalancer balancer = new PrequalBalancer(settings, new SplittableRandom(seed), actions);
         balancer.endpoints(
                 now,
-                ListKind.FULL,
+                EndpointListKind.FULL,
                 List.of(
-                        new Endpoint(1, 0, 0, 0, State.READY, 1, 0),
-                        new Endpoint(2, 0, 0, 0, State.READY, 1, 0)));
+                        new Endpoint(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
+                        new Endpoint(2, 0, 0, 0, EndpointStatus.READY, 1, 0)));
         return balancer;
     }
 
     /**
      * A request comes in; the balancer calls actions.send. When the answer is there, it is told.
      */
-    static void serve(Balancer balancer, long now) {
+    static void serve(LoadBalancer balancer, long now) {
         long deadline = now + Duration.ofSeconds(2).toNanos();
         balancer.request(now, new Request(42, 0, 0, deadline, 0, false, false, 0));
         long answered = now + Duration.ofMillis(30).toNanos();
--- a/core/src/test/java/cedarrudder/FormerLifeTest.java
+++ b/core/src/test/java/cedarrudder/balancer/FormerIncarnationTest.java
@@ -1,11 +1,11 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.BeforeMethod;
@@ -15,23 +15,23 @@
  * An endpoint that restarts under its id: nothing that is known of its former life counts for this
  * one.
  */
-public class FormerLifeTest {
+public class FormerIncarnationTest {
 
     private static final long MS = Site.MS;
     private static final int REQUESTS = 40;
 
     private Recorder did;
-    private Decide decide;
+    private PrequalBalancer decide;
     private long now;
     private long id;
 
     @BeforeMethod
     public void start() {
         did = new Recorder();
-        decide = new Decide(new Site().settings(), new SplittableRandom(1), did);
+        decide = new PrequalBalancer(new Site().settings(), new SplittableRandom(1), did);
         now = 1000 * MS;
         id = 0;
-        decide.endpoints(now, ListKind.FULL, Site.readyUpTo(2));
+        decide.endpoints(now, EndpointListKind.FULL, Site.readyUpTo(2));
     }
 
     /** Sends a request and serves it at once; returns where it went. */
@@ -64,7 +64,10 @@
     }
 
     private void restartTheQuickOne() {
-        decide.endpoints(now, ListKind.CHANGES, List.of(Site.endpoint(1, 0, 0, State.READY, now)));
+        decide.endpoints(
+                now,
+                EndpointListKind.CHANGES,
+                List.of(Site.endpoint(1, 0, 0, EndpointStatus.READY, now)));
         now += 900 * MS; // its cold budget would allow a request by now
     }
 
--- a/core/src/test/java/cedarrudder/FaultWithinTest.java
+++ b/core/src/test/java/cedarrudder/balancer/InternalFaultTest.java
@@ -1,13 +1,13 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Balancer.Actions;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.State;
-import cedarrudder.Recorder.Timer;
+import cedarrudder.balancer.LoadBalancer.Actions;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.Recorder.Timer;
 import java.lang.reflect.Proxy;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -17,15 +17,15 @@
  * A fault in the midst of what a timer does: the timer goes on, since nothing else would start it
  * again.
  */
-public class FaultWithinTest {
+public class InternalFaultTest {
 
     private static final long MS = Site.MS;
 
     private final Recorder did = new Recorder();
     private String broken = "";
 
-    private final Decide decide =
-            new Decide(
+    private final PrequalBalancer decide =
+            new PrequalBalancer(
                     new Site().settings(),
                     new SplittableRandom(1),
                     (Actions)
@@ -59,7 +59,7 @@
     /** Guards against a copy that, after one fault, never again asks for a load by itself. */
     @Test
     public void theTickGoesOnAfterAProbeThatFailed() {
-        decide.endpoints(1000 * MS, ListKind.FULL, Site.readyUpTo(2));
+        decide.endpoints(1000 * MS, EndpointListKind.FULL, Site.readyUpTo(2));
         Timer next = fire("probe", 20_000 * MS);
         decide.timer(next.at(), next.token());
         assertEquals(did.probed.size(), 0, "its place is taken by the one that failed, for now");
@@ -73,7 +73,9 @@
     @Test
     public void thoseThatWaitAreToldAfterOneThatCouldNotBe() {
         decide.endpoints(
-                1000 * MS, ListKind.FULL, List.of(Site.endpoint(1, 0, 0, State.DRAINING, 0)));
+                1000 * MS,
+                EndpointListKind.FULL,
+                List.of(Site.endpoint(1, 0, 0, EndpointStatus.DRAINING, 0)));
         for (int id = 1; id <= 2; id++) {
             decide.request(1000 * MS, new Request(id, 0, 0, 2000 * MS, 0, false, false, 0));
         }
--- a/core/src/test/java/cedarrudder/NaivePool.java
+++ b/core/src/test/java/cedarrudder/balancer/NaivePool.java
@@ -1,8 +1,8 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Tuning.Figure;
+import cedarrudder.balancer.BalancerParameters.Parameter;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -18,37 +18,38 @@
 final class NaivePool {
 
     /** A probe that went out, with this copy's own requests there at that time. */
-    private record Asked(long at, Server server, int own) {}
+    private record Asked(long at, EndpointState server, int own) {}
 
     /** What came back, and when the probe that it answers was sent. */
-    private record Told(long at, Server server, long askedAt, Outcome outcome, Load load) {}
+    private record Told(
+            long at, EndpointState server, long askedAt, Outcome outcome, LoadReport load) {}
 
     /**
      * From now on a server's reports count for nothing: it is no longer listed as ready, or not
      * probed.
      */
-    private record Forgotten(long at, Server server) {}
+    private record Forgotten(long at, EndpointState server) {}
 
     /** An entry: a report that still counts. */
-    record Valid(Server server, long at, double rif, double latency, int own) {}
+    record Valid(EndpointState server, long at, double rif, double latency, int own) {}
 
     private final List<Object> history = new ArrayList<>();
-    private Set<Server> roster = Set.of();
+    private Set<EndpointState> roster = Set.of();
 
-    void asked(long now, Server server, int own) {
+    void asked(long now, EndpointState server, int own) {
         history.add(new Asked(now, server, own));
     }
 
-    void told(long now, Server server, long askedAt, Outcome outcome, Load load) {
+    void told(long now, EndpointState server, long askedAt, Outcome outcome, LoadReport load) {
         history.add(new Told(now, server, askedAt, outcome, load));
     }
 
-    void unlisted(long now, Server server) {
+    void unlisted(long now, EndpointState server) {
         history.add(new Forgotten(now, server));
     }
 
     /** Those that are probed now. */
-    void roster(long now, Set<Server> servers) {
+    void roster(long now, Set<EndpointState> servers) {
         roster.stream()
                 .filter(s -> !servers.contains(s))
                 .forEach(s -> history.add(new Forgotten(now, s)));
@@ -66,7 +67,8 @@
                     && told.outcome() != Outcome.MOOT) {
                 valid.removeIf(v -> v.server() == told.server() || tooOld(told.at(), v));
                 if (told.outcome() == Outcome.OK && told.load() != null) {
-                    if (valid.size() == (int) Tuning.DEFAULTS.get(Figure.POOL_SIZE)) {
+                    if (valid.size()
+                            == (int) BalancerParameters.DEFAULTS.get(Parameter.POOL_SIZE)) {
                         valid.remove(
                                 valid.stream()
                                         .min(Comparator.comparingLong(Valid::at))
@@ -87,7 +89,7 @@
     }
 
     private static boolean tooOld(long now, Valid valid) {
-        return now - valid.at() > Tuning.DEFAULTS.nanos(Figure.MAX_AGE_MS);
+        return now - valid.at() > BalancerParameters.DEFAULTS.nanos(Parameter.MAX_AGE_MS);
     }
 
     /** The last probe of a server before an answer; null where there is none. */
@@ -127,7 +129,10 @@
                     && told.outcome() == Outcome.OK
                     && told.load() != null
                     && counts(i)) {
-                double weight = smoothed == 0 ? 1 : Tuning.DEFAULTS.get(Figure.REPORT_WEIGHT);
+                double weight =
+                        smoothed == 0
+                                ? 1
+                                : BalancerParameters.DEFAULTS.get(Parameter.REPORT_WEIGHT);
                 smoothed += weight * (told.load().latencyMillis() - smoothed);
             }
         }
@@ -139,9 +144,9 @@
      * pool.
      */
     private static double inFlight(long now, Valid entry, double others, double turnover) {
-        double age = now - entry.at() + Tuning.DEFAULTS.nanos(Figure.REPORT_AGE_MS);
+        double age = now - entry.at() + BalancerParameters.DEFAULTS.nanos(Parameter.REPORT_AGE_MS);
         double kept = Math.exp(-age / turnover);
-        Server server = entry.server();
+        EndpointState server = entry.server();
         return server.inFlight
                 + (server.needsConnection() && !server.untried ? 1 : 0)
                 + (server.far ? 1 : 0)
@@ -149,8 +154,11 @@
     }
 
     /** The hot-cold rule: those with the least latency among the cold, else the least in flight. */
-    List<Server> picks(
-            long now, double turnover, Predicate<Server> may, Predicate<Server> suspect) {
+    List<EndpointState> picks(
+            long now,
+            double turnover,
+            Predicate<EndpointState> may,
+            Predicate<EndpointState> suspect) {
         List<Valid> valid = valid(now);
         double others =
                 valid.stream().mapToDouble(v -> Math.max(0, v.rif() - v.own())).sum()
@@ -166,7 +174,7 @@
                         ? -1
                         : rifs.get(
                                 (int)
-                                        (Tuning.DEFAULTS.get(Figure.RIF_QUANTILE)
+                                        (BalancerParameters.DEFAULTS.get(Parameter.RIF_QUANTILE)
                                                 * (rifs.size() - 1)));
         List<Valid> allowed = valid.stream().filter(v -> may.test(v.server())).toList();
         List<Valid> cold =
@@ -190,7 +198,7 @@
     }
 
     /** All that tie for the least. */
-    private static List<Server> least(List<Valid> among, ToDoubleFunction<Valid> by) {
+    private static List<EndpointState> least(List<Valid> among, ToDoubleFunction<Valid> by) {
         double least = among.stream().mapToDouble(by).min().orElse(0);
         return among.stream()
                 .filter(v -> by.applyAsDouble(v) <= least + 1e-9)
--- a/core/src/test/java/cedarrudder/NaivePoolTest.java
+++ b/core/src/test/java/cedarrudder/balancer/NaivePoolTest.java
@@ -1,11 +1,11 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -24,14 +24,14 @@
     private static final int SEEDS = 20;
 
     /** A probe that was sent, to be answered some time, once, twice or never. */
-    private record Out(long at, Server server) {}
+    private record Out(long at, EndpointState server) {}
 
     /** Both pools, and the world that they are told of. */
     private static final class Pools {
         final SplittableRandom random;
         final NaivePool naive = new NaivePool();
         final Recorder did = new Recorder();
-        final List<Server> servers = new ArrayList<>();
+        final List<EndpointState> servers = new ArrayList<>();
         final List<Out> out = new ArrayList<>();
         final ProbePool pool;
         long now = 5000 * MS;
@@ -47,19 +47,29 @@
             random = new SplittableRandom(seed);
             Site site = new Site();
             site.copies = 1 + random.nextInt(3);
-            pool = new ProbePool(site.settings(), Tuning.DEFAULTS, random.split(), did);
+            pool = new ProbePool(site.settings(), BalancerParameters.DEFAULTS, random.split(), did);
             for (int i = 1; i <= NODES; i++) {
-                servers.add(new Server(Site.endpoint(i, i % 4 / 3, 0, State.READY, 0), now, 4, 0));
+                servers.add(
+                        new EndpointState(
+                                Site.endpoint(i, i % 4 / 3, 0, EndpointStatus.READY, 0),
+                                now,
+                                4,
+                                0));
                 pool.listed(servers.get(i - 1), true);
             }
         }
 
         void step() {
             now += random.nextLong(300 * MS);
-            Server server = servers.get(random.nextInt(NODES));
+            EndpointState server = servers.get(random.nextInt(NODES));
             switch (random.nextInt(12)) {
                 case 0 -> restart(server);
-                case 1 -> list(server, random.nextBoolean() ? State.READY : State.DRAINING);
+                case 1 ->
+                        list(
+                                server,
+                                random.nextBoolean()
+                                        ? EndpointStatus.READY
+                                        : EndpointStatus.DRAINING);
                 case 2 -> server.sent(now, 1);
                 case 3 -> {
                     if (server.inFlight > 0) {
@@ -72,7 +82,7 @@
                 default -> answer();
             }
             for (long probed : did.probed) {
-                Server asked =
+                EndpointState asked =
                         servers.stream().filter(s -> s.id == probed).findFirst().orElseThrow();
                 naive.asked(now, asked, asked.inFlight);
                 out.add(new Out(now, asked));
@@ -85,12 +95,13 @@
          * Another life under the same id: what was asked of the former one is answered all the
          * same.
          */
-        private void restart(Server server) {
+        private void restart(EndpointState server) {
             pool.listed(server, false);
             naive.unlisted(now, server);
-            Server next =
-                    new Server(
-                            Site.endpoint(server.id, server.listed.zone(), 0, State.READY, now),
+            EndpointState next =
+                    new EndpointState(
+                            Site.endpoint(
+                                    server.id, server.listed.zone(), 0, EndpointStatus.READY, now),
                             now,
                             4,
                             0);
@@ -98,12 +109,12 @@
             pool.listed(next, true);
         }
 
-        private void list(Server server, State state) {
+        private void list(EndpointState server, EndpointStatus state) {
             server.listed =
                     Site.endpoint(
                             server.id, server.listed.zone(), 0, state, server.listed.startedAt());
-            pool.listed(server, state == State.READY);
-            if (state != State.READY) {
+            pool.listed(server, state == EndpointStatus.READY);
+            if (state != EndpointStatus.READY) {
                 naive.unlisted(now, server);
             }
         }
@@ -122,12 +133,12 @@
                         case 2 -> Outcome.MOOT;
                         default -> Outcome.OK;
                     };
-            Load load =
+            LoadReport load =
                     how == Outcome.OK && random.nextInt(10) > 0
                             ? Site.load(random.nextInt(6), 1 + random.nextInt(80))
                             : null;
             // As Decide does: by the id, so that an answer meets whoever has it now.
-            Server life =
+            EndpointState life =
                     servers.stream()
                             .filter(s -> s.id == probe.server().id)
                             .findFirst()
@@ -138,12 +149,12 @@
 
         void compare(long seed, int step) {
             String where = "seed " + seed + ", first " + step + " steps";
-            Predicate<Server> may = s -> (s.id + step) % 3 > 0;
-            Predicate<Server> suspect = s -> (s.id * 7 + step) % 5 == 0;
+            Predicate<EndpointState> may = s -> (s.id + step) % 3 > 0;
+            Predicate<EndpointState> suspect = s -> (s.id * 7 + step) % 5 == 0;
             // Long enough that no report ages so far that two come to the same but for rounding.
             double turnover = 3000 * MS;
-            Server real = pool.pick(now, turnover, may, suspect);
-            List<Server> right = naive.picks(now, turnover, may, suspect);
+            EndpointState real = pool.pick(now, turnover, may, suspect);
+            List<EndpointState> right = naive.picks(now, turnover, may, suspect);
             assertTrue(
                     real == null ? right.isEmpty() : right.contains(real),
                     where
@@ -156,7 +167,7 @@
             picked += real == null ? 0 : 1;
         }
 
-        private static Object id(Server server) {
+        private static Object id(EndpointState server) {
             return server == null ? "none" : server.id;
         }
     }
--- a/core/src/test/java/cedarrudder/OverloadTest.java
+++ b/core/src/test/java/cedarrudder/balancer/OverloadTest.java
@@ -1,18 +1,18 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Goal;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
-import cedarrudder.Balancer.Tenant;
-import cedarrudder.Tuning.Figure;
+import cedarrudder.balancer.BalancerParameters.Parameter;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.ServiceGoal;
+import cedarrudder.balancer.LoadBalancer.Tenant;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.BeforeMethod;
@@ -48,10 +48,10 @@
         now = 100 * SECOND;
     }
 
-    private Decide start(int endpoints) {
-        Settings settings = site.settings();
-        Settings byWork =
-                new Settings(
+    private PrequalBalancer start(int endpoints) {
+        BalancerSettings settings = site.settings();
+        BalancerSettings byWork =
+                new BalancerSettings(
                         settings.copies(),
                         settings.self(),
                         0,
@@ -62,26 +62,27 @@
                         settings.tenants(),
                         settings.limits(),
                         settings.safety(),
-                        new Goal(0.9, 0.1, 0, 0, 0.1, true),
+                        new ServiceGoal(0.9, 0.1, 0, 0, 0.1, true),
                         settings.prices());
-        Tuning noCopies = Tuning.DEFAULTS.with(Figure.LATE_STRETCH, 0);
-        Decide decide = new Decide(byWork, noCopies, new SplittableRandom(7), did);
-        decide.endpoints(now, ListKind.CACHED, Site.readyUpTo(endpoints));
+        BalancerParameters noCopies = BalancerParameters.DEFAULTS.with(Parameter.LATE_STRETCH, 0);
+        PrequalBalancer decide =
+                new PrequalBalancer(byWork, noCopies, new SplittableRandom(7), did);
+        decide.endpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
         return decide;
     }
 
-    private void ask(Decide decide, long id, int kind) {
+    private void ask(PrequalBalancer decide, long id, int kind) {
         decide.request(now, new Request(id, kind, 0, now + 10 * SECOND, 0, false, false, 20 * MS));
     }
 
     /** The line's next look at who waits. */
-    private void ring(Decide decide) {
+    private void ring(PrequalBalancer decide) {
         Recorder.Timer next = did.timers.get(did.timers.size() - 1);
         now = next.at();
         decide.timer(now, next.token());
     }
 
-    private void ends(Decide decide, int sent, Outcome outcome) {
+    private void ends(PrequalBalancer decide, int sent, Outcome outcome) {
         Recorder.Sent which = did.sent.get(sent);
         decide.outcome(
                 now,
@@ -96,7 +97,7 @@
 
     @Test
     public void sendsNoEndpointMoreThanItMayHold() {
-        Decide decide = start(2);
+        PrequalBalancer decide = start(2);
         for (int id = 1; id <= 20; id++) {
             ask(decide, id, 0);
         }
@@ -108,7 +109,7 @@
     @Test
     public void eachOfFewCopiesTakesItsPart() {
         site.copies = 2;
-        Decide decide = start(2);
+        PrequalBalancer decide = start(2);
         for (int id = 1; id <= 20; id++) {
             ask(decide, id, 0);
         }
@@ -118,7 +119,7 @@
     @Test
     public void whatManyOthersHaveThereIsKnownFromReports() {
         site.copies = 10;
-        Decide decide = start(1);
+        PrequalBalancer decide = start(1);
         ask(decide, 1, 0);
         long probed = did.probed.get(0);
         decide.probed(
@@ -126,7 +127,7 @@
                 probed,
                 Outcome.OK,
                 0,
-                new Load(3, Double.NaN, 0.9, 5, Double.NaN, Double.NaN));
+                new LoadReport(3, Double.NaN, 0.9, 5, Double.NaN, Double.NaN));
         ask(decide, 2, 0);
         assertEquals(did.sent.size(), 1, "three of others and one of its own");
         now += 3 * SECOND;
@@ -136,7 +137,7 @@
 
     @Test
     public void whoWaitsIsTurnedAwayWhileItStillHelps() {
-        Decide decide = start(1);
+        PrequalBalancer decide = start(1);
         for (int id = 1; id <= 5; id++) {
             ask(decide, id, 0);
         }
@@ -164,7 +165,7 @@
                         0,
                         false);
         site.classes = List.of(SAFE, patient);
-        Decide decide = start(1);
+        PrequalBalancer decide = start(1);
         for (int id = 1; id <= 5; id++) {
             ask(decide, id, 1);
         }
@@ -176,7 +177,7 @@
 
     @Test
     public void theWorthiestOfThoseWhoWaitGoesFirst() {
-        Decide decide = start(1);
+        PrequalBalancer decide = start(1);
         for (int id = 1; id <= 4; id++) {
             ask(decide, id, 1);
         }
@@ -189,7 +190,7 @@
     @Test
     public void whatIsPastATenantsShareWaitsLongest() {
         site.tenants = List.of(new Tenant("a", 0.5, 0.5), new Tenant("b", 0.5, 1000));
-        Decide decide = start(1);
+        PrequalBalancer decide = start(1);
         for (int id = 1; id <= 4; id++) {
             ask(decide, id, 1);
         }
@@ -202,8 +203,11 @@
     @Test
     public void aRequestThatFitsNowhereHoldsUpNoOther() {
         site.classes = List.of(Site.KEYED_IN_CELL, Site.SAFE);
-        Decide decide = start(0);
-        decide.endpoints(now, ListKind.CHANGES, List.of(Site.endpoint(1, 0, 1, State.READY, 0)));
+        PrequalBalancer decide = start(0);
+        decide.endpoints(
+                now,
+                EndpointListKind.CHANGES,
+                List.of(Site.endpoint(1, 0, 1, EndpointStatus.READY, 0)));
         ask(decide, 1, 0);
         ends(decide, 0, Outcome.ERROR);
         assertEquals(did.sent.size(), 1, "no other endpoint in its cell");
@@ -213,7 +217,7 @@
 
     @Test
     public void whoLeftWhileWaitingTakesNoRoom() {
-        Decide decide = start(1);
+        PrequalBalancer decide = start(1);
         for (int id = 1; id <= 6; id++) {
             ask(decide, id, 0);
         }
@@ -227,7 +231,7 @@
 
     @Test
     public void nobodyWaitsPastItsDeadline() {
-        Decide decide = start(1);
+        PrequalBalancer decide = start(1);
         for (int id = 1; id <= 4; id++) {
             ask(decide, id, 0);
         }
@@ -237,7 +241,7 @@
 
     @Test
     public void whoIsTurnedAwayIsToldWhenTheNextPlaceShouldBeFree() {
-        Decide decide = start(2);
+        PrequalBalancer decide = start(2);
         for (int id = 1; id <= 6; id++) {
             ask(decide, id, 0);
         }
--- a/core/src/test/java/cedarrudder/DecideTest.java
+++ b/core/src/test/java/cedarrudder/balancer/PrequalBalancerTest.java
@@ -1,4 +1,4 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,20 +6,20 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.State;
-import cedarrudder.Balancer.Tenant;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.Tenant;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /** Each rule's gate, and each failure that an exception answers. */
-class DecideTest {
+class PrequalBalancerTest {
     private static final long MS = Site.MS;
     private static final long SECOND = Site.SECOND;
 
@@ -27,22 +27,22 @@
     private final Recorder did = new Recorder();
     private long now = 100 * SECOND;
 
-    private Decide start(Endpoint... endpoints) {
-        Decide decide = new Decide(site.settings(), new SplittableRandom(7), did);
-        decide.endpoints(now, ListKind.CACHED, List.of(endpoints));
+    private PrequalBalancer start(Endpoint... endpoints) {
+        PrequalBalancer decide = new PrequalBalancer(site.settings(), new SplittableRandom(7), did);
+        decide.endpoints(now, EndpointListKind.CACHED, List.of(endpoints));
         return decide;
     }
 
-    private Decide startWith(RequestClass kind, Endpoint... endpoints) {
+    private PrequalBalancer startWith(RequestClass kind, Endpoint... endpoints) {
         site.classes = List.of(kind);
         return start(endpoints);
     }
 
-    private void ask(Decide decide, long id) {
+    private void ask(PrequalBalancer decide, long id) {
         decide.request(now, new Request(id, 0, 0, now + SECOND, 0, false, false, 0));
     }
 
-    private void end(Decide decide, long id, int attempt, Outcome outcome) {
+    private void end(PrequalBalancer decide, long id, int attempt, Outcome outcome) {
         long endpoint =
                 did.sent.stream()
                         .filter(s -> s.request() == id)
@@ -58,8 +58,8 @@
     // ---- second copies ----
 
     /** Twenty answers of 10 ms for work of 20 ms, then one request that stays out. */
-    private Decide startLate(RequestClass kind, Endpoint... endpoints) {
-        Decide decide = startWith(kind, endpoints);
+    private PrequalBalancer startLate(RequestClass kind, Endpoint... endpoints) {
+        PrequalBalancer decide = startWith(kind, endpoints);
         for (int id = 1; id <= 21; id++) {
             decide.request(now, new Request(id, 0, 0, now + SECOND, 0, false, false, 20 * MS));
             if (id <= 20) {
@@ -77,7 +77,7 @@
         return decide;
     }
 
-    private void ring(Decide decide) {
+    private void ring(PrequalBalancer decide) {
         for (Recorder.Timer timer : List.copyOf(did.timers)) {
             now = Math.max(now, timer.at());
             decide.timer(timer.at(), timer.token());
@@ -86,7 +86,7 @@
 
     @Test
     void sendsASecondCopyWhenAnAnswerIsLateForItsWork() {
-        Decide decide = startLate(Site.SAFE, THREE);
+        PrequalBalancer decide = startLate(Site.SAFE, THREE);
         assertEquals(now + 30 * MS, did.timers.get(did.timers.size() - 1).at());
         ring(decide);
         assertEquals(22, did.sent.size());
@@ -103,14 +103,14 @@
         ring(
                 startLate(
                         Site.KEYED_IN_CELL,
-                        Site.endpoint(1, 0, 1, State.READY, 0),
-                        Site.endpoint(2, 0, 2, State.READY, 0)));
+                        Site.endpoint(1, 0, 1, EndpointStatus.READY, 0),
+                        Site.endpoint(2, 0, 2, EndpointStatus.READY, 0)));
         assertEquals(21, did.sent.size());
     }
 
     @Test
     void tellsWhoIsTurnedAwayWhenToComeBack() {
-        Decide decide = startLate(Site.SAFE, THREE);
+        PrequalBalancer decide = startLate(Site.SAFE, THREE);
         decide.request(now, new Request(22, 0, 0, now, 0, false, false, 0));
         assertEquals(List.of(10 * MS), did.comeBack);
     }
@@ -123,14 +123,15 @@
     void findsTheCellOfARepeatInALongList() {
         Endpoint[] many =
                 IntStream.rangeClosed(1, 103)
-                        .mapToObj(id -> Site.endpoint(id, 0, id / 4, State.READY, 0))
+                        .mapToObj(id -> Site.endpoint(id, 0, id / 4, EndpointStatus.READY, 0))
                         .toArray(Endpoint[]::new);
         int repeated = 0;
         for (int seed = 1; seed <= 100; seed++) {
             did.clear();
             site.classes = List.of(Site.KEYED_IN_CELL);
-            Decide decide = new Decide(site.settings(), new SplittableRandom(seed), did);
-            decide.endpoints(now, ListKind.CACHED, List.of(many));
+            PrequalBalancer decide =
+                    new PrequalBalancer(site.settings(), new SplittableRandom(seed), did);
+            decide.endpoints(now, EndpointListKind.CACHED, List.of(many));
             ask(decide, 1);
             now += 50 * MS; // over the time for which it may wait in line
             end(decide, 1, 0, Outcome.ERROR);
@@ -143,7 +144,7 @@
 
     @Test
     void answersWhenTheDeadlinesTimeOutArrives() {
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         now += SECOND;
         end(decide, 1, 0, Outcome.TIMEOUT);
@@ -154,7 +155,7 @@
     /** Guards against an answer that forbids a repeat, at its deadline, of what never ran. */
     @Test
     void refusesAtTheDeadlineWhatCanNotHaveRun() {
-        Decide decide = startLate(Site.KEYED_IN_CELL, THREE);
+        PrequalBalancer decide = startLate(Site.KEYED_IN_CELL, THREE);
         ring(decide);
         assertEquals(22, did.sent.size(), "a second copy");
         now += SECOND;
@@ -166,7 +167,7 @@
 
     @Test
     void failsAtTheDeadlineWhatOneAttemptMayHaveRun() {
-        Decide decide = startLate(Site.KEYED_IN_CELL, THREE);
+        PrequalBalancer decide = startLate(Site.KEYED_IN_CELL, THREE);
         ring(decide);
         now += SECOND;
         end(decide, 21, 0, Outcome.TIMEOUT);
@@ -176,7 +177,7 @@
 
     @Test
     void endsAtOnceWhatComesPastItsDeadline() {
-        Decide decide = startWith(Site.UNSAFE, THREE);
+        PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
         decide.request(now, new Request(1, 0, 0, now, 0, false, false, 0));
         assertEquals(List.of(1L), did.refused);
         assertTrue(did.sent.isEmpty());
@@ -189,7 +190,7 @@
     void endsAtOnceByItsClassWhatMayNotBeSentAgain() {
         for (RequestClass kind : List.of(Site.SAFE, Site.KEYED_IN_CELL, Site.UNSAFE)) {
             did.clear();
-            Decide decide = startWith(kind, Site.ready(1), Site.ready(2));
+            PrequalBalancer decide = startWith(kind, Site.ready(1), Site.ready(2));
             ask(decide, 1);
             end(decide, 1, 0, kind == Site.UNSAFE ? Outcome.FULL : Outcome.RESET);
             end(decide, 1, 1, Outcome.MOOT);
@@ -203,9 +204,9 @@
 
     @Test
     void turnsAwayUnsentWhatOtherTiersKnowToBeInVain() {
-        Decide decide = startWith(Site.UNSAFE, THREE);
+        PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
         long id = 0;
-        for (Balancer.Standing standing : Balancer.Standing.values()) {
+        for (LoadBalancer.AdmissionHint standing : LoadBalancer.AdmissionHint.values()) {
             decide.request(
                     now, new Request(++id, 0, 0, now + SECOND, 0, false, false, 0), standing);
         }
@@ -215,7 +216,7 @@
 
     @Test
     void holdsARequestWithNoEndpointAndAnswersIt() {
-        Decide decide = startWith(Site.UNSAFE);
+        PrequalBalancer decide = startWith(Site.UNSAFE);
         ask(decide, 1);
         assertTrue(did.refused.isEmpty(), "held at first");
         for (int i = 0; i < 20 && did.refused.isEmpty(); i++) {
@@ -229,10 +230,10 @@
 
     @Test
     void sendsAHeldRequestOnceAnEndpointComes() {
-        Decide decide = startWith(Site.UNSAFE);
+        PrequalBalancer decide = startWith(Site.UNSAFE);
         ask(decide, 1);
         Recorder.Timer held = did.timers.get(did.timers.size() - 1);
-        decide.endpoints(now, ListKind.CHANGES, List.of(Site.ready(5)));
+        decide.endpoints(now, EndpointListKind.CHANGES, List.of(Site.ready(5)));
         now = held.at();
         decide.timer(now, held.token());
         assertEquals(List.of(new Recorder.Sent(1, 5)), did.sent);
@@ -240,7 +241,7 @@
 
     @Test
     void ignoresWhatComesAfterTheEnd() {
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         end(decide, 1, 0, Outcome.OK);
         did.lines.clear();
@@ -253,7 +254,7 @@
 
     @Test
     void callsOffTheWorkOfAClientThatLeft() {
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         decide.clientLeft(now, 1);
         assertTrue(did.lines.contains("cancel 1 0"));
@@ -265,7 +266,7 @@
     @Test
     void cancelsNothingWhereThatIsNotPermitted() {
         site.cancel = false;
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         decide.clientLeft(now, 1);
         assertFalse(did.lines.contains("cancel 1 0"));
@@ -273,7 +274,7 @@
 
     @Test
     void leavesAStreamThatHasBegunToItsClient() {
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         decide.firstByte(now, 1, 0, did.sent.get(0).endpoint(), MS);
         now += 2 * SECOND;
@@ -287,7 +288,7 @@
     void neverResendsOrRefusesAnUnsafeRequestThatMayHaveRun() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)) {
             did.clear();
-            Decide decide = startWith(Site.UNSAFE, THREE);
+            PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
             ask(decide, 1);
             end(decide, 1, 0, outcome);
             assertEquals(1, did.sent.size(), outcome.name());
@@ -299,7 +300,7 @@
     void resendsAnUnsafeRequestProvedNotToHaveRun() {
         for (Outcome outcome : List.of(Outcome.FULL, Outcome.CONNECT_FAILED)) {
             did.clear();
-            Decide decide = startWith(Site.UNSAFE, THREE);
+            PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
             ask(decide, 1);
             end(decide, 1, 0, outcome);
             assertEquals(2, did.sent.size(), outcome.name());
@@ -310,7 +311,7 @@
     @Test
     void neverExceedsTheAttemptsPermitted() {
         site.maxAttempts = 2;
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         end(decide, 1, 0, Outcome.FULL);
         end(decide, 1, 1, Outcome.FULL);
@@ -322,11 +323,11 @@
 
     @Test
     void resendsAKeyedRequestWithinItsCellOnly() {
-        Decide decide =
+        PrequalBalancer decide =
                 startWith(
                         Site.KEYED_IN_CELL,
-                        Site.endpoint(1, 0, 1, State.READY, 0),
-                        Site.endpoint(2, 0, 2, State.READY, 0));
+                        Site.endpoint(1, 0, 1, EndpointStatus.READY, 0),
+                        Site.endpoint(2, 0, 2, EndpointStatus.READY, 0));
         ask(decide, 1);
         end(decide, 1, 0, Outcome.ERROR);
         now += SECOND / 2;
@@ -342,14 +343,15 @@
      */
     @Test
     void resendsWithinTheCellInWhichTheFirstAttemptRan() {
-        Decide decide = startWith(Site.KEYED_IN_CELL, Site.endpoint(1, 0, 1, State.READY, 0));
+        PrequalBalancer decide =
+                startWith(Site.KEYED_IN_CELL, Site.endpoint(1, 0, 1, EndpointStatus.READY, 0));
         ask(decide, 1);
         decide.endpoints(
                 now,
-                ListKind.FULL,
+                EndpointListKind.FULL,
                 List.of(
-                        Site.endpoint(1, 0, 2, State.READY, 0),
-                        Site.endpoint(2, 0, 2, State.READY, 0)));
+                        Site.endpoint(1, 0, 2, EndpointStatus.READY, 0),
+                        Site.endpoint(2, 0, 2, EndpointStatus.READY, 0)));
         end(decide, 1, 0, Outcome.ERROR);
         now += SECOND / 2;
         List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
@@ -359,12 +361,12 @@
 
     @Test
     void resendsAKeyedRequestWithinItsZoneOnly() {
-        Decide decide =
+        PrequalBalancer decide =
                 startWith(
                         Site.KEYED_IN_ZONE,
-                        Site.endpoint(1, 0, 1, State.READY, 0),
-                        Site.endpoint(2, 0, 2, State.READY, 0),
-                        Site.endpoint(3, 1, 2, State.READY, 0));
+                        Site.endpoint(1, 0, 1, EndpointStatus.READY, 0),
+                        Site.endpoint(2, 0, 2, EndpointStatus.READY, 0),
+                        Site.endpoint(3, 1, 2, EndpointStatus.READY, 0));
         for (int id = 1; id <= 20; id++) {
             ask(decide, id);
             end(decide, id, 0, Outcome.ERROR);
@@ -378,7 +380,7 @@
 
     @Test
     void resendsAKeyedRequestOnlyWhileItIsRemembered() {
-        Decide decide = startWith(Site.KEYED, THREE);
+        PrequalBalancer decide = startWith(Site.KEYED, THREE);
         ask(decide, 1);
         now += 500 * MS;
         end(decide, 1, 0, Outcome.ERROR);
@@ -390,12 +392,15 @@
 
     @Test
     void sendsNothingToADrainingEndpointFromTheMomentItIsTold() {
-        Decide decide = startWith(Site.SAFE, Site.ready(1), Site.ready(2));
+        PrequalBalancer decide = startWith(Site.SAFE, Site.ready(1), Site.ready(2));
         ask(decide, 100);
         for (long probe : List.copyOf(did.probed)) {
             decide.probed(now, probe, Outcome.OK, 0, Site.load(0, 1));
         }
-        decide.endpoints(now, ListKind.CHANGES, List.of(Site.endpoint(1, 0, 0, State.DRAINING, 0)));
+        decide.endpoints(
+                now,
+                EndpointListKind.CHANGES,
+                List.of(Site.endpoint(1, 0, 0, EndpointStatus.DRAINING, 0)));
         did.clear();
         for (int id = 1; id <= 50; id++) {
             ask(decide, id);
@@ -405,8 +410,8 @@
 
     @Test
     void takesAnEndpointMissingFromAWholeListAsGone() {
-        Decide decide = startWith(Site.SAFE, Site.ready(1), Site.ready(2));
-        decide.endpoints(now, ListKind.FULL, List.of(Site.ready(2)));
+        PrequalBalancer decide = startWith(Site.SAFE, Site.ready(1), Site.ready(2));
+        decide.endpoints(now, EndpointListKind.FULL, List.of(Site.ready(2)));
         for (int id = 1; id <= 50; id++) {
             ask(decide, id);
         }
@@ -422,19 +427,19 @@
     void deniesWhatWasSentToAnEndpointThatHasLeftSince() {
         List<List<Endpoint>> lists =
                 List.of(
-                        List.of(Site.endpoint(1, 0, 0, State.DRAINING, 0)),
-                        List.of(Site.endpoint(1, 0, 0, State.GONE, 0)),
+                        List.of(Site.endpoint(1, 0, 0, EndpointStatus.DRAINING, 0)),
+                        List.of(Site.endpoint(1, 0, 0, EndpointStatus.GONE, 0)),
                         List.of(Site.ready(2)),
-                        List.of(Site.endpoint(1, 0, 0, State.READY, now)));
+                        List.of(Site.endpoint(1, 0, 0, EndpointStatus.READY, now)));
         for (List<Endpoint> list : lists) {
             did.clear();
-            Decide decide = startWith(Site.UNSAFE, Site.ready(1));
+            PrequalBalancer decide = startWith(Site.UNSAFE, Site.ready(1));
             ask(decide, 1);
             assertNull(decide.denial(now, 1, 0));
             boolean whole = list.get(0).id() != 1;
-            decide.endpoints(now, whole ? ListKind.FULL : ListKind.CHANGES, list);
+            decide.endpoints(now, whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, list);
             assertEquals(Outcome.CONNECT_FAILED, decide.denial(now, 1, 0), list.toString());
-            decide.endpoints(now, ListKind.CHANGES, List.of(Site.ready(3)));
+            decide.endpoints(now, EndpointListKind.CHANGES, List.of(Site.ready(3)));
             end(decide, 1, 0, Outcome.CONNECT_FAILED);
             assertEquals(2, did.sent.size(), "another takes it");
         }
@@ -445,7 +450,7 @@
     void deniesARepeatThatHasNotBegunWithinItsWindow() {
         for (RequestClass kind : List.of(Site.KEYED, Site.KEYED_IN_CELL, Site.SAFE)) {
             did.clear();
-            Decide decide = startWith(kind, THREE);
+            PrequalBalancer decide = startWith(kind, THREE);
             ask(decide, 1);
             end(decide, 1, 0, Outcome.RESET);
             assertEquals(2, did.sent.size());
@@ -466,7 +471,7 @@
     /** The first attempt may begin last, its connection being the slowest. */
     @Test
     void deniesAnAttemptByWhatLaterOnesProveToo() {
-        Decide decide = startLate(Site.KEYED, THREE);
+        PrequalBalancer decide = startLate(Site.KEYED, THREE);
         ring(decide);
         assertEquals(22, did.sent.size(), "a second copy");
         assertNull(decide.denial(now, 21, 0));
@@ -477,7 +482,7 @@
     @Test
     void deniesAllThatIsOverOrUnknown() {
         site.cancel = false;
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         decide.clientLeft(now, 1);
         assertEquals(Outcome.MOOT, decide.denial(now, 1, 0));
@@ -488,11 +493,11 @@
     /** Guards against a request that leaves the line for an endpoint though its client is gone. */
     @Test
     void sendsNothingOnceItsClientHasLeftTheLine() {
-        Decide decide = startWith(Site.UNSAFE);
+        PrequalBalancer decide = startWith(Site.UNSAFE);
         ask(decide, 1);
         ask(decide, 2);
         decide.clientLeft(now, 1);
-        decide.endpoints(now, ListKind.CHANGES, List.of(Site.ready(5)));
+        decide.endpoints(now, EndpointListKind.CHANGES, List.of(Site.ready(5)));
         ring(decide);
         assertEquals(List.of(new Recorder.Sent(2, 5)), did.sent);
         assertTrue(did.refused.isEmpty() && did.failed.isEmpty());
@@ -501,7 +506,7 @@
     @Test
     void sendsNoSecondCopyForAClientThatHasLeft() {
         site.cancel = false;
-        Decide decide = startLate(Site.SAFE, THREE);
+        PrequalBalancer decide = startLate(Site.SAFE, THREE);
         decide.clientLeft(now, 21);
         ring(decide);
         end(decide, 21, 0, Outcome.RESET);
@@ -511,11 +516,13 @@
     /** Guards against the end of one node's life closing the idle connections to all others. */
     @Test
     void keepsItsConnectionsAfterACallToOneThatHasLeft() {
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         long left = did.sent.get(0).endpoint();
         decide.endpoints(
-                now, ListKind.CHANGES, List.of(Site.endpoint(left, 0, 0, State.DRAINING, 0)));
+                now,
+                EndpointListKind.CHANGES,
+                List.of(Site.endpoint(left, 0, 0, EndpointStatus.DRAINING, 0)));
         end(decide, 1, 0, Outcome.CONNECT_FAILED);
         end(decide, 1, 1, Outcome.OK);
         ask(decide, 2);
@@ -529,7 +536,7 @@
     @Test
     void asksForTheListAndAsksAgainLaterAfterEachFailure() {
         site.ask = true;
-        Decide decide = start();
+        PrequalBalancer decide = start();
         Recorder.Timer first = did.timers.get(did.timers.size() - 1);
         assertTrue(first.at() - now <= 4 * SECOND + 1);
         decide.timer(first.at(), first.token());
@@ -548,7 +555,7 @@
     @Test
     void keepsTheOldListWhenACallForItFails() {
         site.ask = true;
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         decide.endpointsFailed(now);
         ask(decide, 1);
         assertEquals(1, did.sent.size());
@@ -559,7 +566,7 @@
     @Test
     void probesNothingWhereThatIsNotPermitted() {
         site.probes = false;
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         for (int id = 1; id <= 12; id++) {
             ask(decide, id);
         }
@@ -570,7 +577,7 @@
 
     @Test
     void sendsNoSecondCopyOfARequestThatIsOut() {
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         now += 900 * MS;
         List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
@@ -581,7 +588,7 @@
 
     @Test
     void givesUpRetriesThatAreNotPaidFor() {
-        Decide decide = startWith(Site.SAFE, THREE);
+        PrequalBalancer decide = startWith(Site.SAFE, THREE);
         for (int id = 1; id <= 200; id++) {
             ask(decide, id);
             end(decide, id, 0, Outcome.ERROR);
@@ -597,7 +604,7 @@
 
     @Test
     void keepsClearOfAnEndpointThatMostlyFails() {
-        Decide decide = startWith(Site.UNSAFE, Site.ready(1), Site.ready(2));
+        PrequalBalancer decide = startWith(Site.UNSAFE, Site.ready(1), Site.ready(2));
         int toFailing = 0;
         for (int id = 1; id <= 200; id++) {
             ask(decide, id);
@@ -620,7 +627,7 @@
 
     @Test
     void keepsClearOfASilentEndpointThatStillAnswersProbes() {
-        Decide decide = startWith(Site.UNSAFE, Site.ready(1), Site.ready(2));
+        PrequalBalancer decide = startWith(Site.UNSAFE, Site.ready(1), Site.ready(2));
         int toSilent = 0;
         for (int id = 1; id <= 200; id++) {
             ask(decide, id);
@@ -640,7 +647,7 @@
 
     @Test
     void sendsNothingToAnEndpointWithoutRoomForConnections() {
-        Decide decide = startWith(Site.UNSAFE, Site.ready(1), Site.ready(2));
+        PrequalBalancer decide = startWith(Site.UNSAFE, Site.ready(1), Site.ready(2));
         ask(decide, 1);
         long crowded = did.sent.get(0).endpoint();
         end(decide, 1, 0, Outcome.CONNECT_FAILED);
@@ -674,7 +681,7 @@
                         0,
                         false);
         site.classes = List.of(little, most);
-        Decide decide = start(THREE);
+        PrequalBalancer decide = start(THREE);
         for (int id = 1; id <= 500; id++) {
             decide.request(now, new Request(id, id % 2, 0, now + SECOND, 0, false, false, 0));
             now += 20 * MS;
@@ -697,7 +704,7 @@
     @Test
     void turnsNothingAwayThatEndpointsMayAlwaysHold() {
         site.copies = 3;
-        Decide decide = startWith(Site.UNSAFE, THREE);
+        PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
         for (int id = 1; id <= 400; id++) {
             ask(decide, id);
             now += 300 * MS;
@@ -723,7 +730,7 @@
      * Two tenants ask 200 a second between them of a service that answers 100; what was refused, by
      * tenant.
      */
-    private int[] overload(Decide decide) {
+    private int[] overload(PrequalBalancer decide) {
         int[] refused = new int[2];
         for (int id = 1; id <= 1000; id++) {
             did.refused.clear();
--- a/core/src/test/java/cedarrudder/ProbeRateTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ProbeRateTest.java
@@ -1,10 +1,10 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
@@ -18,13 +18,14 @@
      * Probes of the last of many calls, every {@code period}th of which ends so; the others are
      * served.
      */
-    private static int probes(Tuning tuning, int period, Outcome outcome) {
+    private static int probes(BalancerParameters tuning, int period, Outcome outcome) {
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
         Recorder did = new Recorder();
-        Decide decide = new Decide(site.settings(), tuning, new SplittableRandom(5), did);
+        PrequalBalancer decide =
+                new PrequalBalancer(site.settings(), tuning, new SplittableRandom(5), did);
         long now = 100 * Site.SECOND;
-        decide.endpoints(now, ListKind.CACHED, Site.readyUpTo(8));
+        decide.endpoints(now, EndpointListKind.CACHED, Site.readyUpTo(8));
         int sent = 0;
         for (int id = 1; id <= 2 * CALLS; id++) {
             now += 10 * Site.MS;
@@ -43,23 +44,24 @@
 
     @Test
     public void callsThatGoWellPayForFewProbes() {
-        assertEquals(probes(Tuning.DEFAULTS, 1, Outcome.OK), CALLS / 10, 1);
+        assertEquals(probes(BalancerParameters.DEFAULTS, 1, Outcome.OK), CALLS / 10, 1);
     }
 
     @Test
     public void callsPayForMoreWhereSomeFail() {
-        assertEquals(probes(Tuning.DEFAULTS, 5, Outcome.RESET), 0.3 * CALLS, 5);
-        assertEquals(probes(Tuning.DEFAULTS, 20, Outcome.ERROR), 0.2 * CALLS, 10);
+        assertEquals(probes(BalancerParameters.DEFAULTS, 5, Outcome.RESET), 0.3 * CALLS, 5);
+        assertEquals(probes(BalancerParameters.DEFAULTS, 20, Outcome.ERROR), 0.2 * CALLS, 10);
     }
 
     @Test
     public void whatThisCopyCalledOffIsNoFailure() {
-        assertEquals(probes(Tuning.DEFAULTS, 5, Outcome.CANCELLED), CALLS / 10, 1);
+        assertEquals(probes(BalancerParameters.DEFAULTS, 5, Outcome.CANCELLED), CALLS / 10, 1);
     }
 
     @Test
     public void failuresNeverMeanFewerProbes() {
-        Tuning eager = Tuning.DEFAULTS.with(Tuning.Figure.PROBES_PER_CALL, 1);
+        BalancerParameters eager =
+                BalancerParameters.DEFAULTS.with(BalancerParameters.Parameter.PROBES_PER_CALL, 1);
         assertEquals(probes(eager, 5, Outcome.RESET), CALLS);
     }
 }
--- a/core/src/test/java/cedarrudder/Recorder.java
+++ b/core/src/test/java/cedarrudder/balancer/Recorder.java
@@ -1,10 +1,10 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** Keeps what a copy does, one line an action, and what tests ask for most. */
-final class Recorder implements Balancer.Actions {
+final class Recorder implements LoadBalancer.Actions {
     record Sent(long request, long endpoint) {}
 
     record Timer(long at, long token) {}
--- a/core/src/test/java/cedarrudder/RosterTest.java
+++ b/core/src/test/java/cedarrudder/balancer/RosterTest.java
@@ -1,11 +1,11 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -26,9 +26,10 @@
         for (int copy = 0; copy < copies; copy++) {
             site.self = copy;
             Recorder did = new Recorder();
-            Decide decide = new Decide(site.settings(), new SplittableRandom(copy), did);
+            PrequalBalancer decide =
+                    new PrequalBalancer(site.settings(), new SplittableRandom(copy), did);
             long now = 100 * Site.SECOND;
-            decide.endpoints(now, ListKind.CACHED, Site.readyUpTo(endpoints));
+            decide.endpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
             for (int id = 1; id <= 100; id++) {
                 now += 10 * Site.MS;
                 decide.request(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
--- a/core/src/test/java/cedarrudder/RulesModel.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesModel.java
@@ -1,11 +1,11 @@
-package cedarrudder;
-
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
+package cedarrudder.balancer;
+
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -49,7 +49,8 @@
 
     private record Left(long at, long rpc) implements Event {}
 
-    private record Told(long at, String node, State state, int zone, int cell, long startedAt)
+    private record Told(
+            long at, String node, EndpointStatus state, int zone, int cell, long startedAt)
             implements Event {}
 
     private record Barred(long at, String node, boolean barred) implements Event {}
@@ -65,7 +66,7 @@
     private final List<Event> history = new ArrayList<>();
     private final int maxAttempts;
     private final boolean copies;
-    private final Safety safety;
+    private final SafetyRules safety;
     private final double capacity;
     private final long slack;
 
@@ -74,7 +75,7 @@
      * @param capacity requests a second that a warm node bears
      * @param slack how much later than it should be an answer still counts
      */
-    RulesModel(int maxAttempts, boolean copies, Safety safety, double capacity, long slack) {
+    RulesModel(int maxAttempts, boolean copies, SafetyRules safety, double capacity, long slack) {
         this.maxAttempts = maxAttempts;
         this.copies = copies;
         this.safety = safety;
@@ -105,7 +106,7 @@
         history.add(new Left(now, rpc));
     }
 
-    void told(long now, String node, State state, int zone, int cell, long startedAt) {
+    void told(long now, String node, EndpointStatus state, int zone, int cell, long startedAt) {
         history.add(new Told(now, node, state, zone, cell, startedAt));
     }
 
@@ -146,8 +147,8 @@
         }
         RequestClass kind = kind(rpc);
         Sent ran = mayHaveRun(before);
-        if (ran != null && kind.effect() != Effect.SAFE) {
-            check(kind.effect() == Effect.KEYED, "single-send sent twice", "rpc " + rpc);
+        if (ran != null && kind.effect() != Idempotency.SAFE) {
+            check(kind.effect() == Idempotency.KEYED, "single-send sent twice", "rpc " + rpc);
             check(
                     now < ran.at() + kind.repeatWindow(),
                     "sent again after its key is forgotten",
@@ -182,8 +183,9 @@
         if (how == Answer.REFUSED) {
             check(
                     mayHaveRun(attempts) == null
-                            || kind.effect() == Effect.SAFE
-                            || kind.effect() == Effect.KEYED && kind.keyScope() == KeyScope.ALL,
+                            || kind.effect() == Idempotency.SAFE
+                            || kind.effect() == Idempotency.KEYED
+                                    && kind.keyScope() == KeyScope.ALL,
                     "refused though it may have run",
                     "rpc " + rpc);
         }
@@ -294,7 +296,10 @@
             if (event instanceof Killed) {
                 listed = Long.MAX_VALUE; // the next instance is told anew
             } else if (event instanceof Told told && told.node().equals(node)) {
-                listed = told.state() == State.READY ? Long.MAX_VALUE : Math.min(listed, told.at());
+                listed =
+                        told.state() == EndpointStatus.READY
+                                ? Long.MAX_VALUE
+                                : Math.min(listed, told.at());
             } else if (event instanceof Barred by && by.node().equals(node)) {
                 barred = by.barred() ? Math.min(barred, by.at()) : Long.MAX_VALUE;
             }
--- a/core/src/test/java/cedarrudder/RulesTest.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesTest.java
@@ -1,9 +1,9 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.RulesWorld.Fault;
+import cedarrudder.balancer.RulesWorld.Fault;
 import java.util.Arrays;
 import java.util.stream.LongStream;
 import org.testng.annotations.DataProvider;
--- a/core/src/test/java/cedarrudder/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesWorld.java
@@ -1,24 +1,24 @@
-package cedarrudder;
-
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
-import cedarrudder.Balancer.ZoneShare;
-import cedarrudder.figures.Figures;
-import cedarrudder.figures.Figures.End;
+package cedarrudder.balancer;
+
+import cedarrudder.adminoverride.AdminOverrides;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
+import cedarrudder.forwarding.AttemptTransport;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.Exchange;
+import cedarrudder.forwarding.RequestAttempt;
+import cedarrudder.forwarding.RequestForwarder;
+import cedarrudder.forwarding.TimerService;
 import cedarrudder.logging.Logger;
-import cedarrudder.rotation.Rotation;
-import cedarrudder.routing.CallAttempt;
-import cedarrudder.routing.ClientSide;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Exchange;
-import cedarrudder.routing.Resolver;
-import cedarrudder.routing.Timers;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.metrics.RequestMetrics.End;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.lang.reflect.InvocationTargetException;
@@ -92,7 +92,7 @@
 
     final SplittableRandom random;
     private final Fault fault;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final boolean shared;
     private final RulesModel model;
     private final StringBuilder transcript = new StringBuilder();
@@ -114,10 +114,10 @@
     private final Set<Long> gone = new HashSet<>();
 
     private Map<Long, String> known = new HashMap<>();
-    private Rotation rotation;
-    private Figures figures;
-    private Driver<String, String> driver;
-    private Balancer.Actions hands;
+    private AdminOverrides rotation;
+    private RequestMetrics figures;
+    private RequestForwarder<String, String> driver;
+    private LoadBalancer.Actions hands;
     private int instance;
     private long now;
     private long order;
@@ -135,7 +135,7 @@
                 List.of(Site.SAFE, Site.UNSAFE, Site.KEYED, Site.KEYED_IN_CELL, Site.KEYED_IN_ZONE);
         site.parallelTries = random.nextBoolean() && fault != Fault.COPIES_WHERE_FORBIDDEN;
         site.ask = random.nextBoolean();
-        site.tenants = List.of(new Balancer.Tenant("a", 1, 100));
+        site.tenants = List.of(new LoadBalancer.Tenant("a", 1, 100));
         site.tiers = 2;
         site.tier = fault == Fault.NONE ? random.nextInt(2) : 1;
         site.maxAttempts = 1 + random.nextInt(4);
@@ -143,7 +143,7 @@
         if (fault.rule.startsWith("sent again") || fault == Fault.TRIES_WITHOUT_END) {
             site.maxAttempts = 4;
         }
-        Settings real = site.settings();
+        BalancerSettings real = site.settings();
         model =
                 new RulesModel(
                         site.maxAttempts, site.parallelTries, real.safety(), CAPACITY, 50 * MS);
@@ -158,7 +158,7 @@
     /** Plays so many RPCs; an error tells the seed's prefix by the number of events. */
     void run(int rpcs) {
         for (int i = 1; i <= NODES; i++) {
-            nodes.put("n" + i, Site.endpoint(i, i % 2, i % 3, State.READY, 0));
+            nodes.put("n" + i, Site.endpoint(i, i % 2, i % 3, EndpointStatus.READY, 0));
         }
         old = new TreeMap<>(nodes);
         begin();
@@ -222,13 +222,13 @@
     private void begin() {
         instance++;
         known = new HashMap<>();
-        rotation = new Rotation();
+        rotation = new AdminOverrides();
         disabled.forEach(rotation::disable);
-        figures = new Figures(settings.classes().size());
+        figures = new RequestMetrics(settings.classes().size());
         uploading.clear();
         SplittableRandom forModule = random.split();
         driver =
-                new Driver<>(
+                new RequestForwarder<>(
                         actions -> module(actions, forModule),
                         settings.limits().maxAttempts(),
                         new Clock(),
@@ -236,7 +236,7 @@
                         null,
                         figures);
         driver.connect(new Client(), new Discovery(), (copy, message) -> {});
-        tell(ListKind.CACHED, old);
+        tell(EndpointListKind.CACHED, old);
     }
 
     private void killAndRestart() {
@@ -246,9 +246,9 @@
 
     // ---- parts made wrong ----
 
-    private Balancer module(Balancer.Actions driverHands, SplittableRandom forModule) {
-        hands = twisted(Balancer.Actions.class, driverHands, this::act);
-        Settings toldOf = settings;
+    private LoadBalancer module(LoadBalancer.Actions driverHands, SplittableRandom forModule) {
+        hands = twisted(LoadBalancer.Actions.class, driverHands, this::act);
+        BalancerSettings toldOf = settings;
         if (fault == Fault.FORGETS_THE_WINDOW || fault == Fault.COPIES_WHERE_FORBIDDEN) {
             Site wrong = new Site();
             wrong.parallelTries =
@@ -274,7 +274,8 @@
                             .toList();
             toldOf = wrong.settings();
         }
-        return twisted(Balancer.class, new Decide(toldOf, forModule, hands), this::hear);
+        return twisted(
+                LoadBalancer.class, new PrequalBalancer(toldOf, forModule, hands), this::hear);
     }
 
     private interface Twist {
@@ -318,7 +319,7 @@
             if (fault == Fault.LEAVES_THE_POD) {
                 List<Long> ready =
                         nodes.values().stream()
-                                .filter(n -> n.state() == State.READY)
+                                .filter(n -> n.state() == EndpointStatus.READY)
                                 .map(Endpoint::id)
                                 .toList();
                 a[1] = ready.get(random.nextInt(ready.size()));
@@ -343,8 +344,11 @@
                                                             e.zone(),
                                                             e.kind(),
                                                             e.cell(),
-                                                            hides && e.state() == State.DRAINING
-                                                                    ? State.READY
+                                                            hides
+                                                                            && e.state()
+                                                                                    == EndpointStatus
+                                                                                            .DRAINING
+                                                                    ? EndpointStatus.READY
                                                                     : e.state(),
                                                             e.weight(),
                                                             fault == Fault.PUSHES_COLD_NODES
@@ -379,25 +383,26 @@
                                 (node.cell() + 1) % 3,
                                 node.state(),
                                 node.startedAt()));
-                tell(ListKind.CHANGES, Map.of(name, nodes.get(name)));
+                tell(EndpointListKind.CHANGES, Map.of(name, nodes.get(name)));
             }
-            case 0, 1 -> change(name, node, State.DRAINING, node.startedAt());
-            case 2 -> change(name, node, State.GONE, node.startedAt());
-            case 3 -> change(name, node, State.READY, now);
-            case 4 -> tell(ListKind.FULL, nodes);
-            case 5 -> tell(ListKind.FULL, old);
-            case 6 -> tell(ListKind.CHANGES, nodes);
+            case 0, 1 -> change(name, node, EndpointStatus.DRAINING, node.startedAt());
+            case 2 -> change(name, node, EndpointStatus.GONE, node.startedAt());
+            case 3 -> change(name, node, EndpointStatus.READY, now);
+            case 4 -> tell(EndpointListKind.FULL, nodes);
+            case 5 -> tell(EndpointListKind.FULL, old);
+            case 6 -> tell(EndpointListKind.CHANGES, nodes);
             case 7 -> byHand(name);
             default -> old = new TreeMap<>(nodes);
         }
         for (Map.Entry<String, Endpoint> away : List.copyOf(nodes.entrySet())) {
-            if (away.getValue().state() != State.READY && random.nextInt(6) == 0) {
+            if (away.getValue().state() != EndpointStatus.READY && random.nextInt(6) == 0) {
                 // Back after a restart, or the drain was called off.
-                boolean restarted = away.getValue().state() == State.GONE || random.nextBoolean();
+                boolean restarted =
+                        away.getValue().state() == EndpointStatus.GONE || random.nextBoolean();
                 change(
                         away.getKey(),
                         away.getValue(),
-                        State.READY,
+                        EndpointStatus.READY,
                         restarted ? now : away.getValue().startedAt());
             }
         }
@@ -408,13 +413,13 @@
         if (shared && random.nextInt(3) == 0) {
             int far = random.nextInt(4);
             int parts = 1_000 * random.nextInt(11);
-            List<ZoneShare> shares = new ArrayList<>();
+            List<ZoneTrafficShare> shares = new ArrayList<>();
             if (parts > 0) {
-                shares.add(new ZoneShare(1 - far % 2, parts, 20 * random.nextInt(3)));
+                shares.add(new ZoneTrafficShare(1 - far % 2, parts, 20 * random.nextInt(3)));
             }
             if (parts < 8_000) {
                 shares.add(
-                        new ZoneShare(
+                        new ZoneTrafficShare(
                                 far,
                                 10_000 - parts - random.nextInt(2_000),
                                 20 * random.nextInt(3)));
@@ -424,11 +429,11 @@
     }
 
     private boolean settled(Endpoint node) {
-        return node.state() == State.READY
+        return node.state() == EndpointStatus.READY
                 && (node.startedAt() == 0 || now - node.startedAt() > settings.safety().rampTime());
     }
 
-    private void change(String name, Endpoint node, State state, long startedAt) {
+    private void change(String name, Endpoint node, EndpointStatus state, long startedAt) {
         // So few are away at once that the others bear what comes.
         if (settled(node)
                 && nodes.values().stream().filter(n -> !settled(n)).count() >= MOST_AWAY) {
@@ -436,24 +441,27 @@
         }
         nodes.put(name, Site.endpoint(node.id(), node.zone(), node.cell(), state, startedAt));
         if (random.nextInt(4) > 0) {
-            tell(ListKind.CHANGES, Map.of(name, nodes.get(name)));
+            tell(EndpointListKind.CHANGES, Map.of(name, nodes.get(name)));
         }
     }
 
-    /** A list reaches the instance: as {@code NodeChannels} does, and as {@code Proxy} does. */
-    private void tell(ListKind kind, Map<String, Endpoint> list) {
-        List<Rotation.Named> named = new ArrayList<>();
-        if (kind != ListKind.CHANGES) {
+    /**
+     * A list reaches the instance: as {@code EndpointConnectionPool} does, and as {@code
+     * ProxyServer} does.
+     */
+    private void tell(EndpointListKind kind, Map<String, Endpoint> list) {
+        List<AdminOverrides.Named> named = new ArrayList<>();
+        if (kind != EndpointListKind.CHANGES) {
             for (String name : nodes.keySet()) {
-                if (!list.containsKey(name) || list.get(name).state() == State.GONE) {
-                    model.told(now, name, State.GONE, 0, 0, 0);
+                if (!list.containsKey(name) || list.get(name).state() == EndpointStatus.GONE) {
+                    model.told(now, name, EndpointStatus.GONE, 0, 0, 0);
                 }
             }
             known.clear();
         }
         list.forEach(
                 (name, node) -> {
-                    if (kind == ListKind.CHANGES || node.state() != State.GONE) {
+                    if (kind == EndpointListKind.CHANGES || node.state() != EndpointStatus.GONE) {
                         model.told(
                                 now,
                                 name,
@@ -461,8 +469,8 @@
                                 node.zone(),
                                 node.cell(),
                                 node.startedAt());
-                        named.add(new Rotation.Named(name, node));
-                        if (node.state() == State.GONE) {
+                        named.add(new AdminOverrides.Named(name, node));
+                        if (node.state() == EndpointStatus.GONE) {
                             known.remove(node.id());
                         } else {
                             known.put(node.id(), name);
@@ -473,7 +481,7 @@
         driver.resolved(
                 kind,
                 fault == Fault.IGNORES_BANS
-                        ? named.stream().map(Rotation.Named::endpoint).toList()
+                        ? named.stream().map(AdminOverrides.Named::endpoint).toList()
                         : shown);
     }
 
@@ -492,7 +500,7 @@
         }
         Endpoint shown = rotation.shown(name);
         if (shown != null && fault != Fault.IGNORES_BANS) {
-            driver.resolved(ListKind.CHANGES, List.of(shown));
+            driver.resolved(EndpointListKind.CHANGES, List.of(shown));
             if (!bar) {
                 driver.returned(shown.id());
             }
@@ -518,7 +526,7 @@
                         now + toDriver + (uploads ? 60_000 * MS : 0),
                         0,
                         false,
-                        kind.effect() != Effect.SAFE,
+                        kind.effect() != Idempotency.SAFE,
                         work,
                         uploads);
         Exchange<String, String> exchange = new Exchange<>(request, "q" + rpc, new Answers(rpc));
@@ -601,7 +609,7 @@
 
     // ---- the sides round the driver ----
 
-    private final class Clock implements Timers {
+    private final class Clock implements TimerService {
         @Override
         public long now() {
             return now;
@@ -615,7 +623,7 @@
         }
     }
 
-    private final class Discovery implements Resolver {
+    private final class Discovery implements EndpointDiscovery {
         @Override
         public void subscribe(boolean on) {
             if (random.nextBoolean()) {
@@ -631,9 +639,9 @@
      * Nodes, whose outcomes come late, twice, in another order, and of what was given up; and
      * connections to them, of which some come up late.
      */
-    private final class Client implements ClientSide<String, String> {
-        private final Map<CallAttempt<String, String>, Boolean> told = new HashMap<>();
-        private final Set<CallAttempt<String, String>> written = new HashSet<>();
+    private final class Client implements AttemptTransport<String, String> {
+        private final Map<RequestAttempt<String, String>, Boolean> told = new HashMap<>();
+        private final Set<RequestAttempt<String, String>> written = new HashSet<>();
 
         @Override
         public boolean knows(long endpoint) {
@@ -641,7 +649,7 @@
         }
 
         @Override
-        public void start(CallAttempt<String, String> attempt) {
+        public void start(RequestAttempt<String, String> attempt) {
             String node = known.getOrDefault(attempt.endpoint(), "stranger");
             if (random.nextInt(8) > 0) {
                 go(attempt, node);
@@ -650,7 +658,7 @@
             }
         }
 
-        private void go(CallAttempt<String, String> attempt, String node) {
+        private void go(RequestAttempt<String, String> attempt, String node) {
             if (!driver.begins(attempt) && fault != Fault.BEGINS_FOR_NOBODY) {
                 return;
             }
@@ -687,7 +695,7 @@
             }
         }
 
-        private void begin(CallAttempt<String, String> attempt) {
+        private void begin(RequestAttempt<String, String> attempt) {
             if (told.putIfAbsent(attempt, true) == null) {
                 model.ended(now, attempt.exchange().request().id(), attempt.number(), Outcome.OK);
                 driver.began(attempt, String.valueOf(attempt.number()), null);
@@ -696,14 +704,14 @@
             }
         }
 
-        private void report(CallAttempt<String, String> attempt, Outcome outcome) {
+        private void report(RequestAttempt<String, String> attempt, Outcome outcome) {
             if (told.putIfAbsent(attempt, true) == null) {
                 model.ended(now, attempt.exchange().request().id(), attempt.number(), outcome);
             }
             pass(attempt, outcome);
         }
 
-        private void pass(CallAttempt<String, String> attempt, Outcome outcome) {
+        private void pass(RequestAttempt<String, String> attempt, Outcome outcome) {
             if (outcome == Outcome.OK) {
                 driver.served(
                         attempt,
@@ -715,7 +723,7 @@
         }
 
         @Override
-        public void abandon(CallAttempt<String, String> attempt) {
+        public void abandon(RequestAttempt<String, String> attempt) {
             if (told.putIfAbsent(attempt, true) == null) {
                 model.ended(
                         now,
@@ -732,7 +740,7 @@
             // A node that has just started reads empty and quick.
             boolean fresh =
                     nodes.values().stream().anyMatch(n -> n.id() == endpoint && !settled(n));
-            Balancer.Load load =
+            LoadBalancer.LoadReport load =
                     Site.load(
                             fresh ? 0 : 2 + random.nextInt(3), fresh ? 1 : 20 + random.nextInt(50));
             at(
--- a/core/src/test/java/cedarrudder/Steps.java
+++ b/core/src/test/java/cedarrudder/balancer/Steps.java
@@ -1,12 +1,12 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.Standing;
-import cedarrudder.Balancer.State;
-import cedarrudder.Balancer.Tenant;
+import cedarrudder.balancer.LoadBalancer.AdmissionHint;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.Tenant;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
     private record Out(long request, int attempt, long endpoint, long at) {}
 
     final Recorder did = new Recorder();
-    final Decide decide;
+    final PrequalBalancer decide;
     long now = 50 * Site.SECOND;
     private final SplittableRandom random;
     private final Site site = new Site();
@@ -49,11 +49,11 @@
         site.tier = random.nextInt(2);
         site.ask = random.nextBoolean();
         site.parallelTries = random.nextBoolean();
-        decide = new Decide(site.settings(), random.split(), did);
+        decide = new PrequalBalancer(site.settings(), random.split(), did);
         for (int id = 1; id <= ENDPOINTS; id++) {
-            list.add(Site.endpoint(id, id % 3, id % 5, State.READY, 0));
+            list.add(Site.endpoint(id, id % 3, id % 5, EndpointStatus.READY, 0));
         }
-        decide.endpoints(now, ListKind.CACHED, list);
+        decide.endpoints(now, EndpointListKind.CACHED, list);
         take();
     }
 
@@ -93,7 +93,9 @@
                             work,
                             random.nextInt(20) == 0);
             decide.request(
-                    now, request, random.nextInt(50) == 0 ? Standing.OVERLOAD : Standing.WANTED);
+                    now,
+                    request,
+                    random.nextInt(50) == 0 ? AdmissionHint.OVERLOAD : AdmissionHint.WANTED);
         } else if (draw < 82 && !outs.isEmpty()) {
             Out out = outs.remove(random.nextInt(outs.size()));
             int how = random.nextInt(3 * Outcome.values().length);
@@ -117,10 +119,10 @@
                     good ? Site.load(random.nextInt(9), 1 + random.nextInt(40)) : null);
         } else if (draw < 93) {
             Endpoint was = list.get((int) id - 1);
-            State state =
+            EndpointStatus state =
                     random.nextInt(3) > 0
-                            ? State.READY
-                            : random.nextBoolean() ? State.DRAINING : State.GONE;
+                            ? EndpointStatus.READY
+                            : random.nextBoolean() ? EndpointStatus.DRAINING : EndpointStatus.GONE;
             list.set(
                     (int) id - 1,
                     Site.endpoint(
@@ -128,8 +130,8 @@
                             was.zone(),
                             random.nextInt(5),
                             state,
-                            was.state() == State.GONE ? now : was.startedAt()));
-            decide.endpoints(now, ListKind.CHANGES, List.of(list.get((int) id - 1)));
+                            was.state() == EndpointStatus.GONE ? now : was.startedAt()));
+            decide.endpoints(now, EndpointListKind.CHANGES, List.of(list.get((int) id - 1)));
         } else {
             rare(draw, id, requests == 0 ? 1 : 1 + random.nextLong(requests));
         }
@@ -137,7 +139,7 @@
 
     private void rare(int draw, long endpoint, long request) {
         switch (draw) {
-            case 93 -> decide.endpoints(now, ListKind.FULL, list);
+            case 93 -> decide.endpoints(now, EndpointListKind.FULL, list);
             case 94 -> decide.endpointsFailed(now);
             case 95 -> decide.clientLeft(now, request);
             case 96 -> decide.whole(now, request);
--- a/core/src/test/java/cedarrudder/SharesTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
@@ -1,16 +1,16 @@
-package cedarrudder;
+package cedarrudder.balancer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.State;
-import cedarrudder.Balancer.ZoneShare;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -22,7 +22,7 @@
 /**
  * Calls keep to the zones that have shares. The copy is in zone 0; endpoint 10 z + i is in zone z.
  */
-public class SharesTest {
+public class ZoneTrafficShareTest {
 
     private static final long MS = Site.MS;
     private static final long SECOND = Site.SECOND;
@@ -43,7 +43,7 @@
 
     private final Site site = new Site();
     private Recorder did;
-    private Decide decide;
+    private PrequalBalancer decide;
     private long now;
     private long last;
 
@@ -54,15 +54,15 @@
         did = new Recorder();
         now = 100 * SECOND;
         last = 0;
-        decide = new Decide(site.settings(), new SplittableRandom(7), did);
+        decide = new PrequalBalancer(site.settings(), new SplittableRandom(7), did);
         List<Endpoint> all = new ArrayList<>();
         for (int zone = 0; zone < ZONES; zone++) {
-            all.addAll(zone(zone, State.READY));
+            all.addAll(zone(zone, EndpointStatus.READY));
         }
-        decide.endpoints(now, ListKind.CACHED, all);
+        decide.endpoints(now, EndpointListKind.CACHED, all);
     }
 
-    private static List<Endpoint> zone(int zone, State state) {
+    private static List<Endpoint> zone(int zone, EndpointStatus state) {
         List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < EACH; i++) {
             all.add(Site.endpoint(10 * zone + i, zone, 0, state, 0));
@@ -70,12 +70,12 @@
         return all;
     }
 
-    private void shares(ZoneShare... shares) {
+    private void shares(ZoneTrafficShare... shares) {
         decide.shares(now, List.of(shares));
     }
 
-    private static ZoneShare share(int zone, int parts) {
-        return new ZoneShare(zone, parts, 0);
+    private static ZoneTrafficShare share(int zone, int parts) {
+        return new ZoneTrafficShare(zone, parts, 0);
     }
 
     private long ask(int kind) {
@@ -236,11 +236,11 @@
     @Test
     public void theOwnZoneStandsInForOneThatDrainsThenTheOthers() {
         shares(share(1, 5_000), share(2, 4_000), share(0, 1_000));
-        decide.endpoints(now, ListKind.CHANGES, zone(1, State.DRAINING));
+        decide.endpoints(now, EndpointListKind.CHANGES, zone(1, EndpointStatus.DRAINING));
         int[] zones = serve(500, 5 * MS);
         assertEquals(zones[0], 300, 5, Arrays.toString(zones));
         assertEquals(zones[2], 200, 5, Arrays.toString(zones));
-        decide.endpoints(now, ListKind.CHANGES, zone(0, State.GONE));
+        decide.endpoints(now, EndpointListKind.CHANGES, zone(0, EndpointStatus.GONE));
         assertEquals(serve(100, 5 * MS), new int[] {0, 0, 100});
     }
 
@@ -251,7 +251,10 @@
         assertEquals(zones[0] + zones[1] + zones[2], 300);
         assertTrue(zones[0] > 60 && zones[1] > 60, Arrays.toString(zones));
         assertTrue(did.lines.stream().filter(line -> line.startsWith("probe")).count() > 20);
-        decide.endpoints(now, ListKind.CHANGES, List.of(Site.endpoint(90, 9, 0, State.READY, 0)));
+        decide.endpoints(
+                now,
+                EndpointListKind.CHANGES,
+                List.of(Site.endpoint(90, 9, 0, EndpointStatus.READY, 0)));
         long id = ask(0);
         assertEquals(did.sent.get(did.sent.size() - 1), new Recorder.Sent(id, 90));
     }
@@ -327,7 +330,7 @@
 
     @Test
     public void whatIsOverABoundGoesToTheNextZone() {
-        decide.shares(now, List.of(new ZoneShare(1, 9_000, 50), share(2, 1_000)));
+        decide.shares(now, List.of(new ZoneTrafficShare(1, 9_000, 50), share(2, 1_000)));
         int[] zones = serve(2_000, 5 * MS);
         assertEquals(zones[1], 50 * 10 + 15, 10);
         assertEquals(zones[2], 2_000 - zones[1]);
@@ -336,7 +339,7 @@
     /** Guards against a bound that holds only until the other zones are full. */
     @Test
     public void aBoundHoldsWhereTheOtherZonesAreFull() {
-        decide.shares(now, List.of(new ZoneShare(1, 5_000, 2), share(2, 5_000)));
+        decide.shares(now, List.of(new ZoneTrafficShare(1, 5_000, 2), share(2, 5_000)));
         for (int i = 0; i < 100; i++) {
             decide.request(now, new Request(++last, 0, 0, now + SECOND, 0, false, false, 20 * MS));
         }
@@ -353,7 +356,7 @@
         int served = 0;
         for (int i = 0; i < 2_000; i++) {
             if (i % 100 == 0) { // replaced under load, with no new savings
-                decide.shares(now, List.of(new ZoneShare(1, 10_000, 50)));
+                decide.shares(now, List.of(new ZoneTrafficShare(1, 10_000, 50)));
             }
             now += 5 * MS;
             did.sent.clear();
@@ -370,12 +373,12 @@
 
     @Test
     public void repeatsCountInTheBound() {
-        decide.shares(now, List.of(new ZoneShare(1, 10_000, 2)));
+        decide.shares(now, List.of(new ZoneTrafficShare(1, 10_000, 2)));
         end(ask(0), Outcome.FULL);
         assertEquals(did.sent.size(), 1, "no second one within half a second");
         assertEquals(did.refused.size(), 1);
         now += SECOND;
-        decide.shares(now, List.of(new ZoneShare(1, 10_000, 10)));
+        decide.shares(now, List.of(new ZoneTrafficShare(1, 10_000, 10)));
         int sends = 0;
         for (int i = 0; i < 200; i++) {
             now += 50 * MS;
@@ -417,7 +420,7 @@
                 new int[][] {{-1, 1, 0}, {64, 1, 0}, {0, 0, 0}, {0, 10_001, 0}, {0, 1, -1}}) {
             String said = "";
             try {
-                new ZoneShare(bad[0], bad[1], bad[2]);
+                new ZoneTrafficShare(bad[0], bad[1], bad[2]);
             } catch (IllegalArgumentException e) {
                 said = e.getMessage();
             }
--- a/core/src/test/java/cedarrudder/flow/BodyFlowTest.java
+++ b/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.flow;
+package cedarrudder.bodyflow;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -16,7 +16,7 @@
      */
     @Test
     public void aWindowOfSingleBytesIsKeptInFewPieces() {
-        HeldBytes account = new HeldBytes(HeldBytes.MOST);
+        BufferAccount account = new BufferAccount(BufferAccount.MOST);
         BodyFlow flow = new BodyFlow(account);
         while (!flow.full()) {
             flow.put(new byte[1]);
@@ -35,7 +35,7 @@
     public void whatIsTakenIsWhatWasPut() {
         long seed = 20261201;
         SplittableRandom random = new SplittableRandom(seed);
-        BodyFlow flow = new BodyFlow(new HeldBytes(HeldBytes.MOST));
+        BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MOST));
         ByteArrayOutputStream put = new ByteArrayOutputStream();
         ByteArrayOutputStream taken = new ByteArrayOutputStream();
         for (int i = 0; i < 20_000; i++) {
--- a/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.budget.FromBelow.Why;
+import cedarrudder.budget.DownstreamFeedback.Why;
 import java.util.Collections;
 import java.util.List;
 import org.testng.annotations.DataProvider;
@@ -15,8 +15,9 @@
 
     @Test
     public void whatIsWrittenIsReadBack() {
-        Carried carried =
-                new Carried(true, true, 418_000_000L, 2, 0x9f27c1d0a4b35e68L, 0.25, true, PATH);
+        PropagatedBudget carried =
+                new PropagatedBudget(
+                        true, true, 418_000_000L, 2, 0x9f27c1d0a4b35e68L, 0.25, true, PATH);
         assertEquals(
                 BudgetFields.budget(carried),
                 "1;left=418;tries=2;grant=9f27c1d0a4b35e68;worth=0.250;repeat=1");
@@ -24,7 +25,7 @@
                 BudgetFields.read(BudgetFields.budget(carried), BudgetFields.path(carried)),
                 carried);
         for (Why why : Why.values()) {
-            FromBelow result = new FromBelow(3, why, PATH);
+            DownstreamFeedback result = new DownstreamFeedback(3, why, PATH);
             assertEquals(BudgetFields.readResult(BudgetFields.result(result)), result);
         }
     }
@@ -60,7 +61,7 @@
     @Test(dataProvider = "budgets")
     public void whatCannotBeReadCountsAsNotSaid(
             String text, int left, int tries, int grant, double worth) {
-        Carried read = BudgetFields.read(text, null);
+        PropagatedBudget read = BudgetFields.read(text, null);
         assertEquals(read.left(), left * 1_000_000L);
         assertEquals(read.tries(), tries);
         assertEquals(read.grant(), grant);
@@ -95,7 +96,7 @@
     public void anAnswerThatSaysNonsenseSaysNothing() {
         for (String text :
                 new String[] {null, "", "spent=1", "0;spent=1", "1;spent=-1;why=because"}) {
-            assertEquals(BudgetFields.readResult(text), FromBelow.NOTHING);
+            assertEquals(BudgetFields.readResult(text), DownstreamFeedback.NOTHING);
         }
     }
 }
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -5,19 +5,19 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Goal;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Limits;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Prices;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.Standing;
-import cedarrudder.Balancer.Tenant;
-import cedarrudder.budget.FromBelow.Why;
+import cedarrudder.balancer.LoadBalancer.AdmissionHint;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Limits;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.balancer.LoadBalancer.ServiceGoal;
+import cedarrudder.balancer.LoadBalancer.ServicePrices;
+import cedarrudder.balancer.LoadBalancer.Tenant;
+import cedarrudder.budget.DownstreamFeedback.Why;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -31,13 +31,13 @@
     private static final long SECOND = 1_000 * MILLI;
     private static final int BEST = 0;
     private static final int LEAST = 1;
-    private static final FromBelow OVERLOAD = result(0, Why.OVERLOAD);
+    private static final DownstreamFeedback OVERLOAD = result(0, Why.OVERLOAD);
 
     private final List<String> log = new ArrayList<>();
     private long now = 100 * SECOND;
 
-    private static FromBelow result(int spent, Why why) {
-        return new FromBelow(spent, why, HopPath.EMPTY);
+    private static DownstreamFeedback result(int spent, Why why) {
+        return new DownstreamFeedback(spent, why, HopPath.EMPTY);
     }
 
     @BeforeMethod
@@ -45,11 +45,11 @@
         log.clear();
     }
 
-    private static Settings site(int tier) {
+    private static BalancerSettings site(int tier) {
         RequestClass best =
                 new RequestClass(
                         "best",
-                        Effect.SAFE,
+                        Idempotency.SAFE,
                         KeyScope.ALL,
                         300 * MILLI,
                         900 * MILLI,
@@ -60,7 +60,7 @@
         RequestClass least =
                 new RequestClass(
                         "least",
-                        Effect.UNSAFE,
+                        Idempotency.UNSAFE,
                         KeyScope.ALL,
                         300 * MILLI,
                         900 * MILLI,
@@ -68,7 +68,7 @@
                         0,
                         0,
                         false);
-        return new Settings(
+        return new BalancerSettings(
                 1,
                 0,
                 0,
@@ -78,9 +78,9 @@
                 List.of(best, least),
                 List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 0)),
                 new Limits(true, true, true, true, 4, 0, 0, 0),
-                new Safety(0, 1, 0, 1, 0, 0),
-                new Goal(1, 0, 0, 0, 0.05),
-                new Prices(0, 0));
+                new SafetyRules(0, 1, 0, 1, 0, 0),
+                new ServiceGoal(1, 0, 0, 0, 0.05),
+                new ServicePrices(0, 0));
     }
 
     private Budgets budgets(int tier) {
@@ -88,7 +88,7 @@
                 BudgetSettings.of("tier-" + tier),
                 site(tier),
                 new SplittableRandom(7 + tier),
-                new Notices() {
+                new BudgetEvents() {
                     @Override
                     public void loop(HopPath path, long more) {
                         log.add(path + " and " + more);
@@ -101,18 +101,18 @@
                 });
     }
 
-    private CallBudget call(Budgets budgets, int kind, Carried carried) {
+    private RequestBudget call(Budgets budgets, int kind, PropagatedBudget carried) {
         return budgets.arrived(
                 now, new Request(1, kind, 1, now + 900 * MILLI, 0, false, false, 0), carried);
     }
 
-    private static Carried said(int tries, long grant, boolean repeat, String... path) {
-        return new Carried(
+    private static PropagatedBudget said(int tries, long grant, boolean repeat, String... path) {
+        return new PropagatedBudget(
                 true, true, 0, tries, grant, Double.NaN, repeat, HopPath.of(List.of(path)));
     }
 
     /** How many further attempts a budget allows, with nothing handed down. */
-    private int further(Budgets budgets, CallBudget call) {
+    private int further(Budgets budgets, RequestBudget call) {
         assertTrue(budgets.mayAttempt(now, call), "the first");
         int further = 0;
         while (budgets.mayAttempt(now, call)) {
@@ -125,8 +125,8 @@
 
     @Test
     public void aCallGetsTheLeastOfWhatItSaysAndWhatTheTierAllows() {
-        assertEquals(further(budgets(0), call(budgets(0), BEST, Carried.NOTHING)), 3);
-        assertEquals(further(budgets(1), call(budgets(1), BEST, Carried.NOTHING)), 1);
+        assertEquals(further(budgets(0), call(budgets(0), BEST, PropagatedBudget.NOTHING)), 3);
+        assertEquals(further(budgets(1), call(budgets(1), BEST, PropagatedBudget.NOTHING)), 1);
         assertEquals(further(budgets(1), call(budgets(1), BEST, said(2, 0, false))), 2);
         assertEquals(further(budgets(1), call(budgets(1), BEST, said(0, 0, false))), 0);
         assertEquals(further(budgets(1), call(budgets(1), BEST, said(999, 0, false))), 3);
@@ -137,7 +137,7 @@
     public void callsUnderOneGrantShareOneBudgetWhateverTheySay() {
         Budgets budgets = budgets(1);
         assertEquals(further(budgets, call(budgets, BEST, said(2, 77, false, "tier-0"))), 2);
-        CallBudget second = call(budgets, BEST, said(3, 77, false, "other"));
+        RequestBudget second = call(budgets, BEST, said(3, 77, false, "other"));
         assertEquals(further(budgets, second), 0);
         assertEquals(second.failed(), result(2, Why.TRIES));
         assertEquals(further(budgets, call(budgets, BEST, said(2, 78, false, "tier-0"))), 2);
@@ -146,8 +146,8 @@
     /** Guards against a flood of made-up grants pushing out one that is spent. */
     @Test
     public void aFullTableOfGrantsGivesNothingAndIsFreeAgainWhenTheyExpire() {
-        GrantTable grants = new GrantTable();
-        for (int i = 1; i <= GrantTable.MOST; i++) {
+        SharedBudgets grants = new SharedBudgets();
+        for (int i = 1; i <= SharedBudgets.MOST; i++) {
             assertTrue(grants.of(now, i, 1, now + SECOND).covers());
         }
         assertFalse(grants.of(now, -1, 1, now + SECOND).covers());
@@ -158,24 +158,24 @@
     @Test
     public void whatIsHandedDownIsSpentUntilItIsProvenUnused() {
         Budgets budgets = budgets(0);
-        CallBudget call = call(budgets, BEST, said(3, 0, false));
-        Carried first = attempt(budgets, call);
+        RequestBudget call = call(budgets, BEST, said(3, 0, false));
+        PropagatedBudget first = attempt(budgets, call);
         assertEquals(first.tries(), 2);
-        budgets.ended(now, call, first, Outcome.CONNECT_FAILED, 0, FromBelow.NOTHING);
+        budgets.ended(now, call, first, Outcome.CONNECT_FAILED, 0, DownstreamFeedback.NOTHING);
         assertEquals(call.failed().spent(), 0);
-        Carried second = attempt(budgets, call);
+        PropagatedBudget second = attempt(budgets, call);
         assertEquals(second.tries(), 1);
         assertTrue(second.repeat());
         budgets.ended(now, call, second, Outcome.ERROR, 0, result(99, Why.NOT_SAID));
         assertEquals(call.failed().spent(), 2, "no more than was handed down");
-        Carried third = attempt(budgets, call);
+        PropagatedBudget third = attempt(budgets, call);
         assertEquals(third.tries(), 0);
         budgets.ended(now, call, third, Outcome.ERROR, 0, result(0, Why.NOT_SAID));
         assertFalse(budgets.mayAttempt(now, call));
         assertEquals(call.failed(), result(3, Why.TRIES));
     }
 
-    private Carried attempt(Budgets budgets, CallBudget call) {
+    private PropagatedBudget attempt(Budgets budgets, RequestBudget call) {
         assertTrue(budgets.mayAttempt(now, call));
         return budgets.handDown(now, call);
     }
@@ -199,22 +199,26 @@
     }
 
     /** One call at one tier: true and what goes up, if it was served. */
-    private FromBelow play(
-            Budgets[] tiers, int tier, Carried carried, SplittableRandom random, int[] spent) {
+    private DownstreamFeedback play(
+            Budgets[] tiers,
+            int tier,
+            PropagatedBudget carried,
+            SplittableRandom random,
+            int[] spent) {
         Budgets budgets = tiers[tier];
-        CallBudget call = call(budgets, BEST, carried);
+        RequestBudget call = call(budgets, BEST, carried);
         for (int i = 0; i < 4 && budgets.mayAttempt(now, call); i++) {
             spent[0] += i > 0 ? 1 : 0;
-            Carried handed = budgets.handDown(now, call);
+            PropagatedBudget handed = budgets.handDown(now, call);
             Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length - 1)];
-            FromBelow below = FromBelow.NOTHING;
+            DownstreamFeedback below = DownstreamFeedback.NOTHING;
             for (int calls = random.nextInt(3);
                     calls > 0 && tier < 2 && !outcome.provesNotRun();
                     calls--) {
-                Carried copied =
+                PropagatedBudget copied =
                         BudgetFields.read(BudgetFields.budget(handed), BudgetFields.path(handed));
-                FromBelow result = play(tiers, tier + 1, copied, random, spent);
-                below = random.nextBoolean() ? result : FromBelow.NOTHING;
+                DownstreamFeedback result = play(tiers, tier + 1, copied, random, spent);
+                below = random.nextBoolean() ? result : DownstreamFeedback.NOTHING;
             }
             budgets.ended(now, call, handed, outcome, MILLI, below);
             if (outcome == Outcome.OK) {
@@ -251,8 +255,8 @@
     @Test
     public void anAnswerThatSaysOverloadEndsTheAttemptsHereAndIsSaidAbove() {
         Budgets budgets = budgets(1);
-        CallBudget call = call(budgets, BEST, said(3, 0, false));
-        Carried handed = attempt(budgets, call);
+        RequestBudget call = call(budgets, BEST, said(3, 0, false));
+        PropagatedBudget handed = attempt(budgets, call);
         budgets.ended(now, call, handed, Outcome.ERROR, MILLI, OVERLOAD);
         assertFalse(budgets.mayAttempt(now, call));
         assertEquals(call.refused().why(), Why.OVERLOAD);
@@ -262,11 +266,12 @@
     public void whatIsTurnedAwayUnsentOrByAFullNodeIsOverload() {
         Budgets budgets = budgets(1);
         assertEquals(call(budgets, BEST, said(3, 0, false)).refused().why(), Why.OVERLOAD);
-        CallBudget full = call(budgets, BEST, said(0, 0, false));
-        budgets.ended(now, full, attempt(budgets, full), Outcome.FULL, MILLI, FromBelow.NOTHING);
+        RequestBudget full = call(budgets, BEST, said(0, 0, false));
+        budgets.ended(
+                now, full, attempt(budgets, full), Outcome.FULL, MILLI, DownstreamFeedback.NOTHING);
         assertEquals(full.refused().why(), Why.OVERLOAD);
         assertNull(
-                call(budgets, BEST, Carried.NOTHING).refused(),
+                call(budgets, BEST, PropagatedBudget.NOTHING).refused(),
                 "a caller that speaks none of this");
     }
 
@@ -298,7 +303,9 @@
     private void waits(Budgets budgets, long wait) {
         for (int i = 0; i < 2_000; i++) {
             budgets.arrived(
-                    now, new Request(1, BEST, 0, now + wait, 0, false, false, 0), Carried.NOTHING);
+                    now,
+                    new Request(1, BEST, 0, now + wait, 0, false, false, 0),
+                    PropagatedBudget.NOTHING);
         }
     }
 
@@ -307,7 +314,7 @@
     public void callersWhoLeaveTeachTheSafeWait() {
         Budgets budgets = budgets(0);
         for (int i = 0; i < 100; i++) {
-            CallBudget call = call(budgets, BEST, Carried.NOTHING.withDeadline(false));
+            RequestBudget call = call(budgets, BEST, PropagatedBudget.NOTHING.withDeadline(false));
             budgets.left(now + 500 * MILLI, call);
         }
         assertTrue(budgets.safeWait(BEST) <= 500 * MILLI, "" + budgets.safeWait(BEST));
@@ -317,33 +324,43 @@
     @Test
     public void theTimeHandedDownIsLessThanWhatIsLeftByTheMeasuredWay() {
         Budgets budgets = budgets(0);
-        assertEquals(attempt(budgets, call(budgets, BEST, Carried.NOTHING)).left(), 899 * MILLI);
+        assertEquals(
+                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).left(),
+                899 * MILLI);
         for (int i = 0; i < 100; i++) {
             budgets.probed(i % 20 == 0 ? 400 * MILLI : 20 * MILLI);
         }
-        long left = attempt(budgets, call(budgets, BEST, Carried.NOTHING)).left();
+        long left = attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).left();
         assertTrue(left <= 880 * MILLI && left > 870 * MILLI, "left " + left);
         for (int i = 0; i < 1_000; i++) {
             budgets.probed(10 * SECOND);
         }
-        assertEquals(attempt(budgets, call(budgets, BEST, Carried.NOTHING)).left(), 675 * MILLI);
+        assertEquals(
+                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).left(),
+                675 * MILLI);
     }
 
     @Test
     public void workWhoseTimeCannotSufficeIsTurnedAwayButNotForGood() {
         Budgets budgets = budgets(1);
         for (int i = 0; i < 60; i++) {
-            CallBudget call = call(budgets, BEST, said(0, 0, false));
+            RequestBudget call = call(budgets, BEST, said(0, 0, false));
             budgets.ended(
-                    now, call, attempt(budgets, call), Outcome.OK, 200 * MILLI, FromBelow.NOTHING);
+                    now,
+                    call,
+                    attempt(budgets, call),
+                    Outcome.OK,
+                    200 * MILLI,
+                    DownstreamFeedback.NOTHING);
         }
         Request late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
-        CallBudget call = budgets.arrived(now, late, said(0, 0, false));
-        assertEquals(call.standing(), Standing.NO_TIME);
+        RequestBudget call = budgets.arrived(now, late, said(0, 0, false));
+        assertEquals(call.standing(), AdmissionHint.NO_TIME);
         assertEquals(call.refused().why(), Why.TIME);
         now += 6 * SECOND;
         late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
-        assertEquals(budgets.arrived(now, late, said(0, 0, false)).standing(), Standing.WANTED);
+        assertEquals(
+                budgets.arrived(now, late, said(0, 0, false)).standing(), AdmissionHint.WANTED);
     }
 
     // ---- worth ----
@@ -359,13 +376,22 @@
         int least = 0;
         int best = 0;
         for (int i = 0; i < 100; i++) {
-            best += call(budgets, BEST, said(0, 0, false)).standing() == Standing.WANTED ? 1 : 0;
-            least += call(budgets, LEAST, said(0, 0, false)).standing() == Standing.WANTED ? 1 : 0;
+            best +=
+                    call(budgets, BEST, said(0, 0, false)).standing() == AdmissionHint.WANTED
+                            ? 1
+                            : 0;
+            least +=
+                    call(budgets, LEAST, said(0, 0, false)).standing() == AdmissionHint.WANTED
+                            ? 1
+                            : 0;
         }
         assertEquals(best, 100);
         assertTrue(least < 10, "let in of the least " + least);
-        CallBudget carriedLess =
-                call(budgets, BEST, new Carried(true, true, 0, 0, 0, 0.05, false, HopPath.EMPTY));
+        RequestBudget carriedLess =
+                call(
+                        budgets,
+                        BEST,
+                        new PropagatedBudget(true, true, 0, 0, 0, 0.05, false, HopPath.EMPTY));
         assertEquals(carriedLess.worth(), 0.05, "the tier above knows it to be worth less");
         int steps = 0;
         while (admitted(budgets, LEAST) < 100) {
@@ -381,14 +407,14 @@
      */
     private void overloaded(Budgets budgets, int overloads, int answers) {
         for (int i = 0; i < answers; i++) {
-            CallBudget call = call(budgets, BEST, said(0, 0, false));
+            RequestBudget call = call(budgets, BEST, said(0, 0, false));
             budgets.ended(
                     now,
                     call,
                     attempt(budgets, call),
                     Outcome.ERROR,
                     MILLI,
-                    i < overloads ? OVERLOAD : FromBelow.NOTHING);
+                    i < overloads ? OVERLOAD : DownstreamFeedback.NOTHING);
             call(budgets, LEAST, said(0, 0, false));
         }
     }
@@ -418,7 +444,9 @@
         int admitted = 0;
         for (int i = 0; i < 100; i++) {
             admitted +=
-                    call(budgets, kind, said(0, 0, false)).standing() == Standing.WANTED ? 1 : 0;
+                    call(budgets, kind, said(0, 0, false)).standing() == AdmissionHint.WANTED
+                            ? 1
+                            : 0;
         }
         return admitted;
     }
@@ -430,12 +458,12 @@
     @Test
     public void worthForWorkIsByWhatAnswersTakeUnlessTheSiteCountsItSo() {
         for (boolean byWork : new boolean[] {false, true}) {
-            Settings site = site(1);
-            Goal goal = new Goal(1, 0, 0, 0, 0.05, byWork);
+            BalancerSettings site = site(1);
+            ServiceGoal goal = new ServiceGoal(1, 0, 0, 0, 0.05, byWork);
             Budgets budgets =
                     new Budgets(
                             BudgetSettings.of("core"),
-                            new Settings(
+                            new BalancerSettings(
                                     1,
                                     0,
                                     0,
@@ -449,17 +477,17 @@
                                     goal,
                                     site.prices()),
                             new SplittableRandom(7),
-                            Notices.NONE);
+                            BudgetEvents.NONE);
             for (int i = 0; i < 100; i++) {
                 int kind = i % 2;
-                CallBudget call = call(budgets, kind, said(0, 0, false));
+                RequestBudget call = call(budgets, kind, said(0, 0, false));
                 budgets.ended(
                         now,
                         call,
                         attempt(budgets, call),
                         Outcome.OK,
                         kind == BEST ? 60 * MILLI : MILLI,
-                        FromBelow.NOTHING);
+                        DownstreamFeedback.NOTHING);
             }
             double best = call(budgets, BEST, said(0, 0, false)).worth();
             double least = call(budgets, LEAST, said(0, 0, false)).worth();
@@ -472,12 +500,13 @@
         Budgets budgets = budgets(0);
         Request first = new Request(1, BEST, 0, now + SECOND, 0, false, false, 0);
         for (int i = 0; i < 20; i++) {
-            assertEquals(budgets.arrived(now, first, Carried.NOTHING).worth(), 1.0);
+            assertEquals(budgets.arrived(now, first, PropagatedBudget.NOTHING).worth(), 1.0);
         }
-        assertEquals(budgets.arrived(now, first, Carried.NOTHING).worth(), 0.05);
+        assertEquals(budgets.arrived(now, first, PropagatedBudget.NOTHING).worth(), 0.05);
         Request repeat = new Request(1, BEST, 1, now + SECOND, 0, true, false, 0);
-        assertEquals(budgets.arrived(now, repeat, Carried.NOTHING).worth(), 0.8);
-        Carried forged = new Carried(true, true, 0, 0, 0, 1, false, HopPath.EMPTY);
+        assertEquals(budgets.arrived(now, repeat, PropagatedBudget.NOTHING).worth(), 0.8);
+        PropagatedBudget forged =
+                new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY);
         assertEquals(call(budgets, LEAST, forged).worth(), 1.0 / 6);
     }
 
@@ -487,9 +516,9 @@
     public void aLoopIsRefusedNamedAndLoggedOnceAMinute() {
         Budgets budgets = budgets(1);
         for (int i = 0; i < 121; i++) {
-            CallBudget call =
+            RequestBudget call =
                     call(budgets, BEST, said(3, 0, false, "tier-0", "tier-1", "x" + i % 2));
-            assertEquals(call.standing(), Standing.LOOP);
+            assertEquals(call.standing(), AdmissionHint.LOOP);
             assertFalse(budgets.mayAttempt(now, call), "not even the first attempt");
             assertEquals(call.refused().why(), Why.LOOP);
             assertEquals(call.loop().toString(), "tier-0 > tier-1 > x" + i % 2 + " > tier-1");
@@ -504,21 +533,22 @@
     public void aPathAsLongAsAnyMayBeIsRefusedAndForgedLoopsDoNotFillTheLog() {
         Budgets budgets = budgets(1);
         String[] strangers = {"a", "b", "c", "d", "e", "f", "g", "h"};
-        assertEquals(call(budgets, BEST, said(0, 0, false, strangers)).standing(), Standing.LOOP);
+        assertEquals(
+                call(budgets, BEST, said(0, 0, false, strangers)).standing(), AdmissionHint.LOOP);
         for (int i = 0; i < 1_000; i++) {
             call(budgets, BEST, said(0, 0, false, "tier-1", "forged-" + i));
         }
-        assertEquals(log.size(), LoopLog.MOST);
+        assertEquals(log.size(), LoopReporter.MOST);
     }
 
     @Test
     public void aLineAMinuteSaysWhatWasDenied() {
         Budgets budgets = budgets(0);
-        further(budgets, call(budgets, BEST, Carried.NOTHING));
+        further(budgets, call(budgets, BEST, PropagatedBudget.NOTHING));
         now += 61 * SECOND;
-        call(budgets, BEST, Carried.NOTHING);
+        call(budgets, BEST, PropagatedBudget.NOTHING);
         now += 61 * SECOND;
-        call(budgets, BEST, Carried.NOTHING);
-        assertEquals(log, List.of(new Notices.Minute(2, 1, 0, 0, 0, 100).toString()));
+        call(budgets, BEST, PropagatedBudget.NOTHING);
+        assertEquals(log, List.of(new BudgetEvents.Minute(2, 1, 0, 0, 0, 100).toString()));
     }
 }
--- a/core/src/test/java/cedarrudder/agreement/ProposersTest.java
+++ b/core/src/test/java/cedarrudder/consensus/AppliedProposalsTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -9,19 +9,19 @@
 import org.testng.annotations.Test;
 
 /** What is remembered of proposals that took effect: bounded, the same at all, and enough. */
-public class ProposersTest {
+public class AppliedProposalsTest {
 
-    private static final Group GROUP = new Group(1, 0, 1);
+    private static final VoterGroup GROUP = new VoterGroup(1, 0, 1);
 
     private static Proposal proposal(int copy, long life, long sequence, long after) {
-        return new Proposal(copy, life, sequence, new LogNumber(GROUP, after), new byte[3]);
+        return new Proposal(copy, life, sequence, new LogPosition(GROUP, after), new byte[3]);
     }
 
     @Test
     public void eachTakesEffectOnceAndNoneAfterALaterOne() {
-        Proposers proposers = new Proposers();
+        AppliedProposals proposers = new AppliedProposals();
         assertTrue(proposers.isNew(proposal(1, 5, 9, 0)));
-        proposers.took(proposal(1, 5, 9, 0), new LogNumber(GROUP, 2));
+        proposers.took(proposal(1, 5, 9, 0), new LogPosition(GROUP, 2));
         assertFalse(proposers.isNew(proposal(1, 5, 9, 7)));
         assertFalse(proposers.isNew(proposal(1, 5, 8, 7)));
         assertFalse(proposers.isNew(proposal(1, 4, 10, 7)));
@@ -33,21 +33,21 @@
     /** Forgetting one must not let what it had proposed take effect again. */
     @Test
     public void oneThatWasForgottenIsNotTakenAgain() {
-        Proposers proposers = new Proposers();
-        for (int copy = 0; copy <= Proposers.MOST; copy++) {
-            proposers.took(proposal(copy, 1, 1, copy), new LogNumber(GROUP, copy + 1));
+        AppliedProposals proposers = new AppliedProposals();
+        for (int copy = 0; copy <= AppliedProposals.MOST; copy++) {
+            proposers.took(proposal(copy, 1, 1, copy), new LogPosition(GROUP, copy + 1));
         }
         assertNull(proposers.last(0));
         assertFalse(proposers.isNew(proposal(0, 1, 1, 0)));
         assertTrue(proposers.isNew(proposal(0, 1, 2, 1)));
         byte[] held = proposers.with(new byte[] {4});
-        assertTrue(held.length <= Proposers.MOST_BYTES + 1);
-        Proposers.Parts read = Proposers.decode(held);
+        assertTrue(held.length <= AppliedProposals.MOST_BYTES + 1);
+        AppliedProposals.Parts read = AppliedProposals.decode(held);
         assertEquals(read.state(), new byte[] {4});
         assertEquals(read.proposers().with(new byte[] {4}), held);
         assertFalse(read.proposers().isNew(proposal(0, 1, 1, 0)));
         for (int length = 0; length < held.length - 1; length += 97) {
-            Proposers.Parts part = Proposers.decode(Arrays.copyOf(held, length));
+            AppliedProposals.Parts part = AppliedProposals.decode(Arrays.copyOf(held, length));
             assertTrue(length == 0 || part == null || part.state().length == 0);
         }
     }
