--- a/core/src/test/java/cedarrudder/agreement/PiecesTest.java
+++ b/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -15,10 +15,10 @@
 import org.testng.annotations.Test;
 
 /** Bytes of peers: pieces, what they are put together to, and what is none. */
-public class PiecesTest {
+public class MessageFragmenterTest {
 
     private static final long MILLI = 1_000_000L;
-    private static final Group GROUP = new Group(3, 1, 77);
+    private static final VoterGroup GROUP = new VoterGroup(3, 1, 77);
     private static final Voter SENDER = new Voter(2, 9);
 
     private static byte[] bytes(int length, long seed) {
@@ -27,17 +27,17 @@
         return bytes;
     }
 
-    private static List<byte[]> cut(Pieces pieces, byte[] message) {
+    private static List<byte[]> cut(MessageFragmenter pieces, byte[] message) {
         return pieces.cut(GROUP, 5, SENDER, 1, message);
     }
 
-    private static byte[] take(Pieces pieces, long now, byte[] piece) {
-        return pieces.take(now, Piece.decode(piece, 10));
+    private static byte[] take(MessageFragmenter pieces, long now, byte[] piece) {
+        return pieces.take(now, MessageFragment.decode(piece, 10));
     }
 
     @Test
     public void piecesFitTheWireAndBeginAsNoMessageOfMembership() {
-        for (byte[] piece : cut(new Pieces(new Conduct(), 0), bytes(1_000, 1))) {
+        for (byte[] piece : cut(new MessageFragmenter(new SafetyRules(), 0), bytes(1_000, 1))) {
             assertTrue(piece.length <= 224);
             // Membership's begin with its version, a small number.
             assertTrue(piece[0] < 0);
@@ -46,8 +46,8 @@
 
     @Test
     public void shuffledDoubledAndMixedPiecesGiveEachMessageOnce() {
-        Pieces sender = new Pieces(new Conduct(), 7);
-        Pieces receiver = new Pieces(new Conduct(), 0);
+        MessageFragmenter sender = new MessageFragmenter(new SafetyRules(), 7);
+        MessageFragmenter receiver = new MessageFragmenter(new SafetyRules(), 0);
         List<byte[]> messages = new ArrayList<>();
         List<byte[]> wire = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -78,15 +78,15 @@
 
     @Test
     public void whatWasLostIsAskedForAndRepeatedAndInTheEndForgotten() {
-        Pieces sender = new Pieces(new Conduct(), 7);
-        Pieces receiver = new Pieces(new Conduct(), 0);
+        MessageFragmenter sender = new MessageFragmenter(new SafetyRules(), 7);
+        MessageFragmenter receiver = new MessageFragmenter(new SafetyRules(), 0);
         byte[] message = bytes(2_000, 3);
         List<byte[]> wire = cut(sender, message);
         for (int i = 0; i < wire.size(); i++) {
             assertNull(i == 2 || i == 5 ? null : take(receiver, 0, wire.get(i)));
         }
         assertEquals(receiver.lacks(receiver.due() - 1), List.of());
-        List<Pieces.Wanted> wanted = receiver.lacks(receiver.due());
+        List<MessageFragmenter.Wanted> wanted = receiver.lacks(receiver.due());
         assertEquals(wanted.get(0).of(), SENDER.copy());
         List<byte[]> again = sender.again(1, wanted.get(0).lack());
         assertEquals(again, List.of(wire.get(2), wire.get(5)));
@@ -102,7 +102,7 @@
     }
 
     /** A store that knows whether something was written since the last sync. */
-    private static final class Unsynced implements Store {
+    private static final class Unsynced implements StableStorage {
         private boolean unsynced;
         private long term;
 
@@ -118,7 +118,7 @@
         }
 
         @Override
-        public void entry(long index, Entry entry) {
+        public void entry(long index, LogEntry entry) {
             unsynced = true;
         }
 
@@ -147,25 +147,25 @@
         SplittableRandom random = new SplittableRandom(11);
         Unsynced store = new Unsynced();
         int[] zones = new int[10];
-        Agreement copy =
-                new Agreement(
+        RaftNode copy =
+                new RaftNode(
                         zones,
                         0,
                         5,
-                        AgreementSettings.DEFAULT,
+                        ConsensusSettings.DEFAULT,
                         store,
                         random.split(),
-                        new Agreement.Outlet() {
+                        new RaftNode.Actions() {
                             @Override
                             public void send(int to, byte[] piece) {
                                 assertFalse(store.unsynced, "spoken of before it was synced");
                                 assertTrue(
-                                        Piece.decode(piece, 10).term() <= store.term,
+                                        MessageFragment.decode(piece, 10).term() <= store.term,
                                         "a term that is not kept");
                             }
 
                             @Override
-                            public void loaded(LogNumber number, byte[] content) {
+                            public void loaded(LogPosition number, byte[] content) {
                                 assertFalse(store.unsynced, "loaded before it was synced");
                             }
 
@@ -175,14 +175,16 @@
                             }
 
                             @Override
-                            public void restored(LogNumber number, byte[] state) {}
+                            public void restored(LogPosition number, byte[] state) {}
 
                             @Override
                             public void settled(
-                                    Proposal proposal, Outcome outcome, LogNumber number) {}
+                                    Proposal proposal,
+                                    ProposalOutcome outcome,
+                                    LogPosition number) {}
 
                             @Override
-                            public void noted(Note note) {}
+                            public void noted(ConsensusEvent note) {}
                         },
                         0);
         copy.form(0);
@@ -197,32 +199,34 @@
             byte[] noise = new byte[random.nextInt(260)];
             random.nextBytes(noise);
             if (i % 2 == 0 && noise.length > 0) {
-                noise[0] = Piece.FIRST;
+                noise[0] = MessageFragment.FIRST;
             }
             copy.received(now, 1, noise);
         }
         assertEquals(copy.counts().malformed(), 200_000);
-        Message[] kinds = {
-            new Message.AskVote(false, true, 4, 2),
-            new Message.SayVote(false, true, 2),
-            new Message.Append(2, 2, 1, 7, List.of(new Entry(3, Entry.Kind.CONTENT, new byte[20]))),
-            new Message.SayAppend(true, 2, 7),
-            new Message.Lead(),
-            new Message.Digest(3, 2, 1, 1, 4, 5, 6),
-            new Message.Ask(0, 0, 0),
-            new Message.News(1, List.of(new Entry(2, Entry.Kind.BEGIN, new byte[0]))),
-            new Message.Chunk(9, 2, new Voters(List.of(SENDER)), 1, 900, 0, new byte[100]),
-            new Message.Lack(3, new byte[] {7}),
-            new Message.Took(1, 2),
-            new Message.Sure(1, 2, 3),
-            new Message.Hand(new Proposal(1, 9, 1, new LogNumber(GROUP, 1), new byte[20]))
+        RaftMessage[] kinds = {
+            new RaftMessage.AskVote(false, true, 4, 2),
+            new RaftMessage.SayVote(false, true, 2),
+            new RaftMessage.Append(
+                    2, 2, 1, 7, List.of(new LogEntry(3, LogEntry.Kind.CONTENT, new byte[20]))),
+            new RaftMessage.SayAppend(true, 2, 7),
+            new RaftMessage.Lead(),
+            new RaftMessage.Digest(3, 2, 1, 1, 4, 5, 6),
+            new RaftMessage.Ask(0, 0, 0),
+            new RaftMessage.News(1, List.of(new LogEntry(2, LogEntry.Kind.BEGIN, new byte[0]))),
+            new RaftMessage.Chunk(9, 2, new VoterSet(List.of(SENDER)), 1, 900, 0, new byte[100]),
+            new RaftMessage.Lack(3, new byte[] {7}),
+            new RaftMessage.Took(1, 2),
+            new RaftMessage.Sure(1, 2, 3),
+            new RaftMessage.Hand(new Proposal(1, 9, 1, new LogPosition(GROUP, 1), new byte[20]))
         };
         for (int i = 0; i < 200_000; i++) {
             byte[] body = kinds[i % kinds.length].encode();
             for (int wrong = random.nextInt(3); wrong >= 0; wrong--) {
                 body[random.nextInt(body.length)] = (byte) random.nextInt(256);
             }
-            Piece piece = new Piece(copy.group(), random.nextInt(4), 1, 9, i, 0, 1, 0, body);
+            MessageFragment piece =
+                    new MessageFragment(copy.group(), random.nextInt(4), 1, 9, i, 0, 1, 0, body);
             copy.received(now, 1, piece.encode());
             now += MILLI;
             copy.tick(now);
@@ -233,19 +237,19 @@
 
     @Test
     public void oneWrongBitIsNoPiece() {
-        byte[] piece = cut(new Pieces(new Conduct(), 0), bytes(100, 1)).get(0);
-        assertNotNull(Piece.decode(piece, 10));
+        byte[] piece = cut(new MessageFragmenter(new SafetyRules(), 0), bytes(100, 1)).get(0);
+        assertNotNull(MessageFragment.decode(piece, 10));
         for (int bit = 0; bit < piece.length * 8; bit++) {
             byte[] wrong = piece.clone();
             wrong[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(Piece.decode(wrong, 10));
+            assertNull(MessageFragment.decode(wrong, 10));
         }
     }
 
     @Test
     public void aFloodOfBeginningsHoldsLittle() {
-        Pieces receiver = new Pieces(new Conduct(), 0);
-        Pieces sender = new Pieces(new Conduct(), 0);
+        MessageFragmenter receiver = new MessageFragmenter(new SafetyRules(), 0);
+        MessageFragmenter sender = new MessageFragmenter(new SafetyRules(), 0);
         for (int i = 0; i < 1_000; i++) {
             assertNull(take(receiver, i, cut(sender, bytes(40_000, i)).get(0)));
         }
--- a/core/src/test/java/cedarrudder/ConventionsTest.java
+++ b/core/src/test/java/cedarrudder/conventions/ConventionsTest.java
@@ -1,4 +1,4 @@
-package cedarrudder;
+package cedarrudder.conventions;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/core/src/test/java/cedarrudder/Sources.java
+++ b/core/src/test/java/cedarrudder/conventions/Sources.java
@@ -1,4 +1,4 @@
-package cedarrudder;
+package cedarrudder.conventions;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/core/src/test/java/cedarrudder/drainage/DrainBytesTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -1,23 +1,23 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 
-import cedarrudder.Golden;
-import cedarrudder.drainage.Command.Call;
-import cedarrudder.drainage.Command.Change;
-import cedarrudder.drainage.Command.Step;
-import cedarrudder.drainage.Command.Still;
-import cedarrudder.drainage.Command.Told;
-import cedarrudder.drainage.Command.Wait;
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Left;
-import cedarrudder.drainage.Policy.Most;
-import cedarrudder.drainage.Policy.Order;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Policy.Whom;
-import cedarrudder.drainage.Policy.Window;
+import cedarrudder.conventions.Golden;
+import cedarrudder.draining.DrainCommand.Call;
+import cedarrudder.draining.DrainCommand.Change;
+import cedarrudder.draining.DrainCommand.Step;
+import cedarrudder.draining.DrainCommand.Still;
+import cedarrudder.draining.DrainCommand.Told;
+import cedarrudder.draining.DrainCommand.Wait;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Left;
+import cedarrudder.draining.DrainPolicy.Most;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.Window;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
@@ -27,10 +27,10 @@
  * What travels and is kept. Guards against garbage that throws, and against what changes on its
  * way.
  */
-public class DrainBytesTest {
+public class DrainCommandCodecTest {
 
-    private static final Policy POLICY =
-            new Policy(
+    private static final DrainPolicy POLICY =
+            new DrainPolicy(
                     "careful",
                     new Whom("shops", "a", 3, "big", 0.5, 4, "weight > 2.0"),
                     new Most(1, 0.25),
@@ -44,21 +44,24 @@
                     "failed > 0.1",
                     "failed < 0.01",
                     "",
-                    Policy.LEAST_TIME,
+                    DrainPolicy.LEAST_TIME,
                     AtEnd.KEEP_WAITING,
                     Restarted.OUT,
                     List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
 
     private static List<byte[]> good() {
         List<Long> most =
-                LongStream.range(0, Command.MOST_IDS).mapToObj(i -> Agreed.MOST_NODE - i).toList();
+                LongStream.range(0, DrainCommand.MOST_IDS)
+                        .mapToObj(i -> DrainStateMachine.MOST_NODE - i)
+                        .toList();
         return List.of(
                 new Call(true, most).encode(),
-                new Command.Part(Long.MAX_VALUE, -1, 1, 2, new byte[Command.PART]).encode(),
+                new DrainCommand.Part(Long.MAX_VALUE, -1, 1, 2, new byte[DrainCommand.PART])
+                        .encode(),
                 new Step(
                                 3,
                                 4,
-                                List.of(new Command.Pause(2, true)),
+                                List.of(new DrainCommand.Pause(2, true)),
                                 List.of(
                                         Change.of(DrainEvent.GONE, 9),
                                         new Change(
@@ -78,25 +81,25 @@
                                                 Restarted.BACK,
                                                 0)),
                                 new Told(
-                                        List.of(new Wait(-1, Command.Bound.PACE, 3)),
+                                        List.of(new Wait(-1, DrainCommand.Bound.PACE, 3)),
                                         List.of(new Still(1, 2, -1))))
                         .encode());
     }
 
     @Test
     public void whatIsReadIsWhatWasWritten() {
-        good().forEach(bytes -> assertEquals(Command.decode(bytes).encode(), bytes));
+        good().forEach(bytes -> assertEquals(DrainCommand.decode(bytes).encode(), bytes));
         assertEquals(PolicyCodec.decode(PolicyCodec.encode(List.of(POLICY))), List.of(POLICY));
-        Report report =
-                new Report(
+        DrainReport report =
+                new DrainReport(
                         9,
                         2,
                         9,
-                        List.of(new Report.Calls(4, 1), new Report.Calls(9, 7)),
+                        List.of(new DrainReport.Calls(4, 1), new DrainReport.Calls(9, 7)),
                         3,
                         List.of(5L, 6L),
-                        new Flow(10, 1, 2, 3));
-        assertEquals(Report.decode(report.encode()), report);
+                        new TrafficSample(10, 1, 2, 3));
+        assertEquals(DrainReport.decode(report.encode()), report);
     }
 
     /** Guards against a command or a report that another build of the same tier can't read. */
@@ -107,14 +110,16 @@
         forms.append(Golden.hex(PolicyCodec.encode(List.of(POLICY))));
         forms.append(
                 Golden.hex(
-                        new Report(
+                        new DrainReport(
                                         9,
                                         2,
                                         9,
-                                        List.of(new Report.Calls(4, 1), new Report.Calls(9, 7)),
+                                        List.of(
+                                                new DrainReport.Calls(4, 1),
+                                                new DrainReport.Calls(9, 7)),
                                         3,
                                         List.of(5L, 6L),
-                                        new Flow(10, 1, 2, 3))
+                                        new TrafficSample(10, 1, 2, 3))
                                 .encode()));
         Golden.check("drain-commands.txt", forms.toString());
     }
@@ -123,33 +128,42 @@
     @Test
     public void theLargestPartsFit() {
         for (byte[] bytes : good().subList(0, 2)) {
-            assertEquals(bytes.length <= Command.MOST_BYTES, true, bytes.length + " bytes");
+            assertEquals(bytes.length <= DrainCommand.MOST_BYTES, true, bytes.length + " bytes");
         }
         int most = Integer.MAX_VALUE;
-        List<Report.Calls> calls =
-                LongStream.range(0, Report.mostCalls())
-                        .mapToObj(i -> new Report.Calls((int) (i * (most / 16)), most))
+        List<DrainReport.Calls> calls =
+                LongStream.range(0, DrainReport.mostCalls())
+                        .mapToObj(i -> new DrainReport.Calls((int) (i * (most / 16)), most))
                         .toList();
         List<Long> some =
-                LongStream.range(0, Report.mostSome()).mapToObj(i -> Agreed.MOST_NODE).toList();
+                LongStream.range(0, DrainReport.mostSome())
+                        .mapToObj(i -> DrainStateMachine.MOST_NODE)
+                        .toList();
         byte[] largest =
-                new Report(1L << 40, 0, most, calls, most, some, new Flow(most, most, most, most))
+                new DrainReport(
+                                1L << 40,
+                                0,
+                                most,
+                                calls,
+                                most,
+                                some,
+                                new TrafficSample(most, most, most, most))
                         .encode();
-        assertNotNull(Report.decode(largest), largest.length + " bytes");
+        assertNotNull(DrainReport.decode(largest), largest.length + " bytes");
     }
 
     @Test
     public void garbageIsNothingAndThrowsNothing() {
         SplittableRandom random = new SplittableRandom(1);
-        Drains drains =
-                new Drains(
+        DrainCoordinator drains =
+                new DrainCoordinator(
                         3,
                         0,
                         DrainSettings.DEFAULT,
-                        DrainsWorld.CONDITIONS,
-                        new Drains.Outlet() {
+                        DrainSimulation.CONDITIONS,
+                        new DrainCoordinator.Actions() {
                             @Override
-                            public void happened(Drains.Happened happened) {}
+                            public void happened(DrainCoordinator.Happened happened) {}
                         },
                         0);
         List<byte[]> good = good();
@@ -163,10 +177,10 @@
             drains.apply(0, bytes);
             drains.restored(0, bytes);
             drains.reported(0, random.nextInt(5) - 1, bytes);
-            Report.decode(bytes);
+            DrainReport.decode(bytes);
             PolicyCodec.decode(bytes);
         }
-        assertNull(Command.decode(new byte[0]));
+        assertNull(DrainCommand.decode(new byte[0]));
         drains.next(0, 0, List.of(), copy -> true);
         assertNotNull(drains.progress());
     }
--- a/core/src/test/java/cedarrudder/drainage/DrainsTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -1,16 +1,16 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.drainage.Node.Standing;
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Left;
-import cedarrudder.drainage.Policy.Most;
-import cedarrudder.drainage.Policy.Order;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Policy.Whom;
-import cedarrudder.drainage.Policy.Window;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Left;
+import cedarrudder.draining.DrainPolicy.Most;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.Window;
+import cedarrudder.draining.DrainableNode.Standing;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,25 +20,25 @@
 import org.testng.annotations.Test;
 
 /** Single turns of drains between two copies, of which the first leads. */
-public class DrainsTest {
+public class DrainCoordinatorTest {
 
     private static final long PERIOD = 500_000_000L;
     private static final int COPIES = 2;
 
     /** A copy with what it has. */
-    private final class Copy implements Drains.Local, Drains.Outlet {
+    private final class Copy implements DrainCoordinator.Local, DrainCoordinator.Actions {
         private final Map<Long, Integer> calls = new HashMap<>();
         private Set<Long> disabled = Set.of();
-        private Flow flow = Flow.NONE;
-        private final Drains drains;
+        private TrafficSample flow = TrafficSample.NONE;
+        private final DrainCoordinator drains;
 
         Copy(int number) {
             drains =
-                    new Drains(
+                    new DrainCoordinator(
                             COPIES,
                             number,
                             DrainSettings.DEFAULT,
-                            DrainsWorld.CONDITIONS,
+                            DrainSimulation.CONDITIONS,
                             this,
                             now);
         }
@@ -54,15 +54,15 @@
         }
 
         @Override
-        public Flow flow() {
+        public TrafficSample flow() {
             return flow;
         }
 
         @Override
-        public void happened(Drains.Happened happened) {}
+        public void happened(DrainCoordinator.Happened happened) {}
     }
 
-    private final Map<Long, Node> nodes = new TreeMap<>();
+    private final Map<Long, DrainableNode> nodes = new TreeMap<>();
     private long now;
     private long utc;
     private Copy leader;
@@ -76,13 +76,15 @@
         other = new Copy(1);
         nodes.clear();
         for (long id = 0; id < 6; id++) {
-            nodes.put(id, new Node(id, "t", "z", (int) (id % 2), "k", 1, Standing.SERVING, 0));
+            nodes.put(
+                    id,
+                    new DrainableNode(id, "t", "z", (int) (id % 2), "k", 1, Standing.SERVING, 0));
         }
     }
 
-    private static Policy policy(
+    private static DrainPolicy policy(
             int out, String pauseIf, String giveBackIf, int died, Window... closed) {
-        return new Policy(
+        return new DrainPolicy(
                 "p",
                 Whom.ALL,
                 Most.ANY,
@@ -129,9 +131,9 @@
         }
     }
 
-    private void start(Policy policy, Long... asked) {
+    private void start(DrainPolicy policy, Long... asked) {
         leader.drains.policies(1, List.of(policy));
-        commit(Drains.call(false, List.of(asked)));
+        commit(DrainCoordinator.call(false, List.of(asked)));
         turns(4);
     }
 
@@ -150,14 +152,14 @@
         assertEquals(other.drains.leaving(), leader.drains.leaving());
         assertEquals(
                 leader.drains.progress().told().waits(),
-                List.of(new Command.Wait(0, Command.Bound.TIER, 1)));
+                List.of(new DrainCommand.Wait(0, DrainCommand.Bound.TIER, 1)));
     }
 
     /** Guards against a wave that begins on the word of some. */
     @Test
     public void aLiveCopyThatSaysNothingHoldsWavesUp() {
         leader.drains.policies(1, List.of(policy(2, "", "", 6)));
-        commit(Drains.call(false, List.of(0L)));
+        commit(DrainCoordinator.call(false, List.of(0L)));
         for (int i = 0; i < 10; i++) {
             turn(leader);
         }
@@ -246,11 +248,11 @@
     public void whatLeavesIsGivenBackAndWaitsAgain() {
         leader.calls.put(0L, 1);
         start(policy(2, "", "failed", 6), 0L);
-        other.flow = new Flow(10, 0, 5, 0);
+        other.flow = new TrafficSample(10, 0, 5, 0);
         turns(4);
         assertEquals(in(DrainState.WAITING), 1);
         assertEquals(leader.drains.leaving(), List.of());
-        other.flow = Flow.NONE;
+        other.flow = TrafficSample.NONE;
         leader.calls.clear();
         turns(6);
         assertEquals(in(DrainState.OUT), 1);
@@ -261,12 +263,12 @@
         start(policy(2, "", "", 6), 0L);
         assertEquals(in(DrainState.OUT), 1);
         nodes.computeIfPresent(
-                0L, (id, node) -> new Node(0, "t", "z", 0, "k", 1, Standing.SERVING, 5));
+                0L, (id, node) -> new DrainableNode(0, "t", "z", 0, "k", 1, Standing.SERVING, 5));
         turns(4);
         assertEquals(leader.drains.progress().drains(), List.of());
         assertEquals(
                 leader.drains.progress().ended(),
-                List.of(new Drains.Ended(0, DrainEvent.RETURNED)));
+                List.of(new DrainCoordinator.Ended(0, DrainEvent.RETURNED)));
     }
 
     /** Guards against a drain that goes on for good: at the end of its time the log says so. */
@@ -276,7 +278,8 @@
         start(policy(2, "", "", 6), 0L);
         turns(12);
         assertEquals(in(DrainState.OVERDUE), 1);
-        assertEquals(leader.drains.progress().told().still(), List.of(new Command.Still(1, 1, 1)));
+        assertEquals(
+                leader.drains.progress().told().still(), List.of(new DrainCommand.Still(1, 1, 1)));
         other.calls.clear();
         turns(2);
         assertEquals(in(DrainState.OUT), 1);
--- a/core/src/test/java/cedarrudder/drainage/DrainsWorld.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -1,13 +1,13 @@
-package cedarrudder.drainage;
-
-import cedarrudder.Golden;
-import cedarrudder.drainage.Node.Standing;
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Left;
-import cedarrudder.drainage.Policy.Most;
-import cedarrudder.drainage.Policy.Order;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Policy.Whom;
+package cedarrudder.draining;
+
+import cedarrudder.conventions.Golden;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Left;
+import cedarrudder.draining.DrainPolicy.Most;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainableNode.Standing;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
  * Copies in virtual time over a log that orders what they propose, and loses some of it with its
  * leader. It judges by what is true: which copy sends where, and who has calls at whom.
  */
-final class DrainsWorld {
+final class DrainSimulation {
 
     static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
@@ -30,8 +30,8 @@
     private static final long START = 1_000_000_000_000L;
 
     /** Tests read conditions of two forms: failed&gt;0.1, and one that throws. */
-    static final Conditions CONDITIONS =
-            new Conditions() {
+    static final ConditionCompiler CONDITIONS =
+            new ConditionCompiler() {
                 @Override
                 public OfFigures figures(String text) {
                     return figures -> {
@@ -57,9 +57,9 @@
         }
     }
 
-    private final class Copy implements Drains.Local, Drains.Outlet {
+    private final class Copy implements DrainCoordinator.Local, DrainCoordinator.Actions {
         private final int number;
-        private Drains drains;
+        private DrainCoordinator drains;
         private boolean live = true;
         private boolean stalled;
         private long diedAt;
@@ -76,7 +76,9 @@
 
         void begin() {
             life++;
-            drains = new Drains(copies, number, DrainSettings.DEFAULT, CONDITIONS, this, now);
+            drains =
+                    new DrainCoordinator(
+                            copies, number, DrainSettings.DEFAULT, CONDITIONS, this, now);
             drains.policies(1, policies);
             applied = 0;
             calls.clear();
@@ -98,7 +100,7 @@
             drains.leaving().forEach(each -> leaving.add(each.node()));
         }
 
-        void call(Node node) {
+        void call(DrainableNode node) {
             if (!live || stalled || applied == 0 && !log.isEmpty() || leaving.contains(node.id())) {
                 return;
             }
@@ -125,24 +127,24 @@
         }
 
         @Override
-        public Flow flow() {
-            return new Flow(100, 0, failing ? 50 : 0, 0);
+        public TrafficSample flow() {
+            return new TrafficSample(100, 0, failing ? 50 : 0, 0);
         }
 
         @Override
-        public void happened(Drains.Happened happened) {}
+        public void happened(DrainCoordinator.Happened happened) {}
     }
 
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final int copies;
     private final List<Copy> all = new ArrayList<>();
-    private final Map<Long, Node> nodes = new HashMap<>();
+    private final Map<Long, DrainableNode> nodes = new HashMap<>();
     private final List<byte[]> log = new ArrayList<>();
     private final List<byte[]> states = new ArrayList<>();
-    private final Agreed truth = new Agreed();
+    private final DrainStateMachine truth = new DrainStateMachine();
     private final Map<Long, Long> openSince = new HashMap<>();
-    final List<Policy> policies;
+    final List<DrainPolicy> policies;
     private final double loss;
 
     /** Nodes that are drained are taken off the list. */
@@ -159,7 +161,7 @@
     int emptied;
     int returned;
 
-    DrainsWorld(long seed) {
+    DrainSimulation(long seed) {
         random = new SplittableRandom(seed);
         removes = random.nextBoolean();
         copies = 3 + random.nextInt(6);
@@ -172,7 +174,7 @@
                 long id = 100L * pod + i;
                 nodes.put(
                         id,
-                        new Node(
+                        new DrainableNode(
                                 id,
                                 "t",
                                 "z" + pod % zones,
@@ -184,8 +186,8 @@
             }
         }
         AtEnd atEnd = AtEnd.values()[random.nextInt(3)];
-        Policy wide =
-                new Policy(
+        DrainPolicy wide =
+                new DrainPolicy(
                         "wide",
                         Whom.ALL,
                         new Most(1 + random.nextInt(2), 0.5),
@@ -203,8 +205,8 @@
                         atEnd,
                         Restarted.values()[random.nextInt(2)],
                         List.of());
-        Policy narrow =
-                new Policy(
+        DrainPolicy narrow =
+                new DrainPolicy(
                         "narrow",
                         new Whom("", "", -1, "", 0, 9, "big"),
                         Most.ANY,
@@ -269,7 +271,7 @@
                                             .limit(13)
                                             .toList();
                             if (!some.isEmpty()) {
-                                propose(Drains.call(random.nextInt(4) == 0, some));
+                                propose(DrainCoordinator.call(random.nextInt(4) == 0, some));
                             }
                         }
                     });
@@ -363,7 +365,7 @@
 
     private void commit(byte[] command) {
         log.add(command);
-        for (Drains.Happened each : truth.apply(command)) {
+        for (DrainCoordinator.Happened each : truth.apply(command)) {
             judge(each);
         }
         states.add(truth.encode());
@@ -373,7 +375,7 @@
         }
     }
 
-    private void judge(Drains.Happened each) {
+    private void judge(DrainCoordinator.Happened each) {
         begun += each.event() == DrainEvent.BEGUN ? 1 : 0;
         returned += each.event() == DrainEvent.RETURNED ? 1 : 0;
         if (each.after().open() && !each.before().open()) {
@@ -428,9 +430,9 @@
                 .filter(drain -> drain.state.out())
                 .forEach(drain -> out.add(drain.node));
         all.stream().filter(copy -> copy.live).forEach(copy -> out.addAll(copy.leaving));
-        for (Policy policy : truth.policies()) {
-            Counted counted = new Counted(policy);
-            for (Node node : nodes.values()) {
+        for (DrainPolicy policy : truth.policies()) {
+            DisruptionCounts counted = new DisruptionCounts(policy);
+            for (DrainableNode node : nodes.values()) {
                 if (policy.whom().fits(node)
                         && (policy.whom().where().isEmpty()
                                 || policy.whom().where().equals(node.kind()))) {
@@ -489,7 +491,7 @@
             }
             default -> {
                 long id = random.nextLong(2) * 100 + random.nextInt(3);
-                Node node = nodes.get(id);
+                DrainableNode node = nodes.get(id);
                 if (node != null) {
                     nodes.put(id, node.with(Standing.FAILED));
                     at(
@@ -506,7 +508,7 @@
         nodes.computeIfPresent(
                 id,
                 (key, one) ->
-                        new Node(
+                        new DrainableNode(
                                 id,
                                 one.tier(),
                                 one.zone(),
--- a/core/src/test/java/cedarrudder/drainage/DrainsModelTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulationTest.java
@@ -1,9 +1,9 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Golden;
+import cedarrudder.conventions.Golden;
 import org.testng.annotations.Test;
 
 /**
@@ -12,7 +12,7 @@
  * policy allows, a drain said done while a live copy has calls there, one open past its time, and
  * copies that disagree.
  */
-public class DrainsModelTest {
+public class DrainSimulationTest {
 
     @Test
     public void everyWorldKeepsToThePolicies() {
@@ -21,8 +21,10 @@
         int emptied = 0;
         int returned = 0;
         for (long seed = 1; seed <= seeds; seed++) {
-            DrainsWorld world = new DrainsWorld(seed);
-            assertNull(world.run(60 * DrainsWorld.SECOND, 60 * DrainsWorld.SECOND), "seed " + seed);
+            DrainSimulation world = new DrainSimulation(seed);
+            assertNull(
+                    world.run(60 * DrainSimulation.SECOND, 60 * DrainSimulation.SECOND),
+                    "seed " + seed);
             begun += world.begun;
             emptied += world.emptied;
             returned += world.returned;
@@ -46,8 +48,10 @@
     public void drainsAreThoseOfTheEarlierBuild() {
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 20; seed++) {
-            DrainsWorld world = new DrainsWorld(seed);
-            assertNull(world.run(60 * DrainsWorld.SECOND, 60 * DrainsWorld.SECOND), "seed " + seed);
+            DrainSimulation world = new DrainSimulation(seed);
+            assertNull(
+                    world.run(60 * DrainSimulation.SECOND, 60 * DrainSimulation.SECOND),
+                    "seed " + seed);
             lines.append(seed + " " + world.history() + "\n");
         }
         Golden.check("drain-worlds.txt", lines.toString());
--- a/core/src/test/java/cedarrudder/drainage/TransitionsTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
@@ -1,11 +1,11 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.drainage.Command.Call;
-import cedarrudder.drainage.Command.Change;
-import cedarrudder.drainage.Command.Step;
-import cedarrudder.drainage.Command.Told;
+import cedarrudder.draining.DrainCommand.Call;
+import cedarrudder.draining.DrainCommand.Change;
+import cedarrudder.draining.DrainCommand.Step;
+import cedarrudder.draining.DrainCommand.Told;
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
@@ -14,7 +14,7 @@
  * The table of states and events, walked whole by commands. Guards against an event that comes
  * twice, late or overtaken by another doing what nobody asked for.
  */
-public class TransitionsTest {
+public class DrainTransitionsTest {
 
     private static final long NODE = 7;
 
@@ -55,8 +55,8 @@
                     DrainState.RETURNING_TO_WAIT,
                             List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.STOPPED));
 
-    private static void happens(Agreed agreed, DrainEvent event) {
-        Agreed.Drain drain = agreed.of(NODE);
+    private static void happens(DrainStateMachine agreed, DrainEvent event) {
+        DrainStateMachine.Drain drain = agreed.of(NODE);
         agreed.apply(
                 event == DrainEvent.ASKED || event == DrainEvent.CANCELLED
                         ? new Call(event == DrainEvent.CANCELLED, List.of(NODE)).encode()
@@ -75,7 +75,7 @@
             String[] row = EXPECTED.get(state).split(" ");
             assertEquals(row.length, DrainEvent.values().length);
             for (DrainEvent event : DrainEvent.values()) {
-                Agreed agreed = new Agreed();
+                DrainStateMachine agreed = new DrainStateMachine();
                 for (DrainEvent each : WAYS.get(state)) {
                     happens(agreed, each);
                 }
@@ -96,7 +96,7 @@
      */
     @Test
     public void aStepThatSawAnotherStateChangesNothing() {
-        Agreed agreed = new Agreed();
+        DrainStateMachine agreed = new DrainStateMachine();
         happens(agreed, DrainEvent.ASKED);
         byte[] begin =
                 new Step(
@@ -113,11 +113,11 @@
 
     @Test
     public void aStateIsTheSameOnceItWasWrittenAndRead() {
-        Agreed agreed = new Agreed();
+        DrainStateMachine agreed = new DrainStateMachine();
         happens(agreed, DrainEvent.ASKED);
         happens(agreed, DrainEvent.BEGUN);
-        agreed.apply(new Command.Part(4, 5, 0, 2, new byte[] {1, 2}).encode());
+        agreed.apply(new DrainCommand.Part(4, 5, 0, 2, new byte[] {1, 2}).encode());
         byte[] bytes = agreed.encode();
-        assertEquals(Agreed.decode(bytes).encode(), bytes);
+        assertEquals(DrainStateMachine.decode(bytes).encode(), bytes);
     }
 }
--- a/core/src/test/java/cedarrudder/drainage/PolicyCheckTest.java
+++ b/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
@@ -1,16 +1,16 @@
-package cedarrudder.drainage;
+package cedarrudder.draining;
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Left;
-import cedarrudder.drainage.Policy.Most;
-import cedarrudder.drainage.Policy.Order;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Policy.Whom;
-import cedarrudder.drainage.Policy.Window;
-import cedarrudder.drainage.PolicyCheck.Finding;
-import cedarrudder.drainage.PolicyCheck.Fleet;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Left;
+import cedarrudder.draining.DrainPolicy.Most;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.Window;
+import cedarrudder.draining.PolicyValidator.Finding;
+import cedarrudder.draining.PolicyValidator.Fleet;
 import java.util.List;
 import org.testng.annotations.Test;
 
@@ -18,9 +18,9 @@
  * Policies that are well formed, and wrong. Guards against a check that always fails, and one that
  * can't.
  */
-public class PolicyCheckTest {
+public class PolicyValidatorTest {
 
-    private static Policy policy(
+    private static DrainPolicy policy(
             String name,
             Whom whom,
             Most pod,
@@ -28,7 +28,7 @@
             String pauseIf,
             AtEnd atEnd,
             Window... closed) {
-        return new Policy(
+        return new DrainPolicy(
                 name,
                 whom,
                 pod,
@@ -42,18 +42,18 @@
                 pauseIf,
                 "",
                 "",
-                Policy.LEAST_TIME,
+                DrainPolicy.LEAST_TIME,
                 atEnd,
                 Restarted.BACK,
                 List.of(closed));
     }
 
-    private static Policy most(int nodes, double share) {
+    private static DrainPolicy most(int nodes, double share) {
         return policy("p", Whom.ALL, new Most(nodes, share), Left.NOTHING, "", AtEnd.LET_GO);
     }
 
-    private static List<String> keys(Fleet fleet, Policy... policies) {
-        return PolicyCheck.check(List.of(policies), DrainsWorld.CONDITIONS, fleet)
+    private static List<String> keys(Fleet fleet, DrainPolicy... policies) {
+        return PolicyValidator.check(List.of(policies), DrainSimulation.CONDITIONS, fleet)
                 .findings()
                 .stream()
                 .map(Finding::key)
@@ -126,7 +126,7 @@
     @Test
     public void itSaysWhichIsStricter() {
         assertEquals(
-                PolicyCheck.check(
+                PolicyValidator.check(
                                 List.of(
                                         most(2, 1),
                                         policy(
@@ -136,7 +136,7 @@
                                                 new Left(1, 0, 0, 0),
                                                 "",
                                                 AtEnd.LET_GO)),
-                                DrainsWorld.CONDITIONS,
+                                DrainSimulation.CONDITIONS,
                                 null)
                         .both()
                         .get(0)
--- a/core/src/test/java/cedarrudder/failover/PlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
@@ -4,12 +4,12 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.failover.Evidence.Seen;
-import cedarrudder.failover.Picture.State;
 import cedarrudder.failover.Regions.Region;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Share;
-import cedarrudder.table.RouteTable.Way;
+import cedarrudder.failover.ZoneHealthSnapshot.State;
+import cedarrudder.failover.ZoneObservations.Seen;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Way;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -22,7 +22,7 @@
  * What many copies' evidence comes to, and what is planned upon it. Zones 0 to 2 are one region, 3
  * and 4 another.
  */
-public class PlannerTest {
+public class TrafficSplitPlannerTest {
 
     private static final long MILLI = 1_000_000L;
     private static final long PERIOD = 500 * MILLI;
@@ -42,8 +42,8 @@
     /** What is true, seen by copies without any noise; calls go where the table says. */
     private static final class Play {
         final int[] zoneOf = new int[ZONES * COPIES];
-        final Assessment assessment;
-        final Planner planner;
+        final ZoneHealthAggregator assessment;
+        final TrafficSplitPlanner planner;
         final boolean[] lost = new boolean[ZONES];
         final double[] able = new double[ZONES];
         final double[] demand = new double[ZONES];
@@ -71,11 +71,11 @@
         }
 
         Play(FailoverSettings settings) {
-            planner = new Planner(settings, settings.regions().ranks(NAMES), 0);
+            planner = new TrafficSplitPlanner(settings, settings.regions().ranks(NAMES), 0);
             Arrays.setAll(zoneOf, copy -> copy / COPIES);
             Arrays.fill(able, 1);
             Arrays.fill(demand, DEMAND);
-            assessment = new Assessment(SETTINGS, zoneOf, ZONES);
+            assessment = new ZoneHealthAggregator(SETTINGS, zoneOf, ZONES);
         }
 
         int parts(int from, int to) {
@@ -119,7 +119,7 @@
                     int refused = lost[zone] || broken.contains(copy) ? 0 : ended - served;
                     Seen before = last[copy][zone];
                     Seen now =
-                            ended == 0 && before != null && before.age() < Evidence.MOST_AGE
+                            ended == 0 && before != null && before.age() < ZoneObservations.MOST_AGE
                                     ? new Seen(
                                             zone,
                                             before.age() + 1,
@@ -157,8 +157,8 @@
                     last[copy][zone] = now;
                     seen.add(now);
                 }
-                Evidence evidence =
-                        new Evidence(
+                ZoneObservations evidence =
+                        new ZoneObservations(
                                 copy,
                                 zoneOf[copy],
                                 1,
@@ -170,7 +170,7 @@
                                 seen);
                 for (byte[] part : evidence.encode(136)) {
                     if (!silent.contains(copy) && random.nextDouble() >= loss) {
-                        assessment.heard(now, Evidence.decode(part));
+                        assessment.heard(now, ZoneObservations.decode(part));
                     }
                 }
             }
@@ -380,13 +380,13 @@
         }
     }
 
-    private static Evidence says(int copy, Integer... bad) {
+    private static ZoneObservations says(int copy, Integer... bad) {
         List<Seen> seen = new ArrayList<>();
         for (int zone = 0; zone < ZONES && bad.length > 0; zone++) {
             boolean ill = Arrays.asList(bad).contains(zone);
             seen.add(new Seen(zone, 0, ill ? 0 : 9, 0, ill ? 9 : 0, 0, 0, 0, 0, 6, 0, 600));
         }
-        return new Evidence(copy, copy / COPIES, 1, 1, 0, 500, 30, 0, seen);
+        return new ZoneObservations(copy, copy / COPIES, 1, 1, 0, 500, 30, 0, seen);
     }
 
     /** Guards against a zone's word that is one copy's, or that of copies with a broken link. */
@@ -427,12 +427,13 @@
     public void oldWordsCountNothing() {
         Play play = calm();
         long then = play.now;
-        Evidence stale = new Evidence(4, 1, 0, 1L << 40, 0, 500, 9_000, 9_000, List.of());
+        ZoneObservations stale =
+                new ZoneObservations(4, 1, 0, 1L << 40, 0, 500, 9_000, 9_000, List.of());
         play.assessment.heard(then, stale);
         assertEquals(play.assessment.picture(then).zones().get(1).demand(), DEMAND, 5);
         play.silent.addAll(List.of(4, 5, 6, 7));
         play.seconds(4);
-        Picture picture = play.assessment.picture(play.now);
+        ZoneHealthSnapshot picture = play.assessment.picture(play.now);
         assertEquals(picture.zones().get(1).fresh(), 0);
         assertEquals(picture.away().size(), COPIES);
         assertEquals(picture.zones().get(1).state(), State.WELL, "others are served there");
--- a/core/src/test/java/cedarrudder/failover/EvidenceTest.java
+++ b/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
@@ -5,36 +5,36 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
-import cedarrudder.failover.Evidence.Seen;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.failover.ZoneObservations.Seen;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
 
 /** What a copy says it saw: as bytes, and as it is counted. */
-public class EvidenceTest {
+public class ZoneObservationsTest {
 
     private static final long SEED = 4;
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
 
-    private static Evidence any(Random random, int zones) {
+    private static ZoneObservations any(Random random, int zones) {
         List<Seen> seen = new ArrayList<>();
         for (int zone = 0; zone < zones; zone++) {
             if (random.nextInt(5) > 0) {
                 seen.add(
                         new Seen(
                                 zone,
-                                random.nextInt(Evidence.MOST_AGE + 1),
+                                random.nextInt(ZoneObservations.MOST_AGE + 1),
                                 random.nextInt(3_000),
                                 random.nextInt(9),
-                                random.nextInt(Evidence.MOST_COUNT),
+                                random.nextInt(ZoneObservations.MOST_COUNT),
                                 random.nextInt(200),
                                 random.nextInt(90),
                                 random.nextInt(4_000),
@@ -44,7 +44,7 @@
                                 random.nextInt(30_000)));
             }
         }
-        return new Evidence(
+        return new ZoneObservations(
                 random.nextInt(1 << 16),
                 random.nextInt(64),
                 random.nextLong() >>> 1,
@@ -64,16 +64,17 @@
     public void whatIsWrittenIsRead() {
         Random random = new Random(SEED);
         for (int i = 0; i < 2_000; i++) {
-            Evidence evidence = any(random, random.nextInt(65));
+            ZoneObservations evidence = any(random, random.nextInt(65));
             int most =
-                    Evidence.LEAST_BYTES
-                            + random.nextInt(Evidence.MOST_BYTES - Evidence.LEAST_BYTES + 1);
+                    ZoneObservations.LEAST_BYTES
+                            + random.nextInt(
+                                    ZoneObservations.MOST_BYTES - ZoneObservations.LEAST_BYTES + 1);
             List<Seen> seen = new ArrayList<>();
             for (byte[] part : evidence.encode(most)) {
                 assertTrue(part.length <= most, "seed " + SEED + ", " + i);
-                Evidence read = Evidence.decode(part);
+                ZoneObservations read = ZoneObservations.decode(part);
                 assertEquals(
-                        new Evidence(
+                        new ZoneObservations(
                                 read.copy(),
                                 read.zone(),
                                 read.life(),
@@ -88,8 +89,8 @@
             }
             assertEquals(seen, evidence.seen(), "seed " + SEED + ", " + i);
         }
-        Evidence usual =
-                new Evidence(
+        ZoneObservations usual =
+                new ZoneObservations(
                         29,
                         3,
                         1_790_000_000_000L,
@@ -103,7 +104,7 @@
                                 new Seen(1, 0, 0, 0, 1, 0, 1, 0, 60, 8, 0, 800),
                                 new Seen(2, 9, 1, 0, 0, 0, 0, 0, 50, 8, 0, 800),
                                 new Seen(3, 0, 58, 1, 0, 1, 4, 0, 70, 8, 1, 720)));
-        assertEquals(usual.encode(Evidence.MOST_BYTES).size(), 1);
+        assertEquals(usual.encode(ZoneObservations.MOST_BYTES).size(), 1);
     }
 
     /** Guards against a peer that ends this process, or has it keep what can't be. */
@@ -114,7 +115,7 @@
             byte[] bytes =
                     i % 2 == 0
                             ? new byte[random.nextInt(260)]
-                            : any(random, 6).encode(Evidence.MOST_BYTES).get(0);
+                            : any(random, 6).encode(ZoneObservations.MOST_BYTES).get(0);
             if (i % 2 == 0) {
                 random.nextBytes(bytes);
                 if (bytes.length > 0) {
@@ -123,38 +124,39 @@
             } else {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
-            Evidence read = Evidence.decode(bytes);
-            assertTrue(read == null || read.encode(Evidence.MOST_BYTES).get(0).length <= 200);
+            ZoneObservations read = ZoneObservations.decode(bytes);
+            assertTrue(
+                    read == null || read.encode(ZoneObservations.MOST_BYTES).get(0).length <= 200);
         }
-        assertNull(Evidence.decode(new byte[0]));
+        assertNull(ZoneObservations.decode(new byte[0]));
     }
 
-    private static ZoneTally tally(long now) {
-        ZoneTally tally =
-                new ZoneTally(
+    private static ZoneTrafficCounter tally(long now) {
+        ZoneTrafficCounter tally =
+                new ZoneTrafficCounter(
                         2,
                         0,
                         7,
                         2,
                         500 * MILLI,
-                        new Safety(0, 0.2, 10 * SECOND, 2, SECOND, 0),
+                        new SafetyRules(0, 0.2, 10 * SECOND, 2, SECOND, 0),
                         now);
         tally.listed(
-                ListKind.FULL,
+                EndpointListKind.FULL,
                 List.of(
-                        new Endpoint(1, 0, 0, 0, State.READY, 1, 0),
-                        new Endpoint(2, 0, 0, 0, State.READY, 2, now - 5 * SECOND),
-                        new Endpoint(3, 1, 0, 0, State.DRAINING, 1, 0)));
+                        new Endpoint(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
+                        new Endpoint(2, 0, 0, 0, EndpointStatus.READY, 2, now - 5 * SECOND),
+                        new Endpoint(3, 1, 0, 0, EndpointStatus.DRAINING, 1, 0)));
         return tally;
     }
 
     /** Guards against calls counted for another zone, and cold nodes taken for warm ones. */
     @Test
     public void itCountsByZones() {
-        ZoneTally tally = tally(0);
+        ZoneTrafficCounter tally = tally(0);
         for (Outcome outcome : Outcome.values()) {
             tally.came();
-            tally.ended(MILLI, tally.sent(0, 1), outcome, new Load(0, 0, 0.5, 0, 0, 0));
+            tally.ended(MILLI, tally.sent(0, 1), outcome, new LoadReport(0, 0, 0.5, 0, 0, 0));
         }
         tally.sent(2 * MILLI, 2);
         tally.unserved();
@@ -162,7 +164,7 @@
         tally.probed(3 * MILLI, 3, Outcome.TIMEOUT, null);
         assertEquals(
                 tally.close(500 * MILLI, 5),
-                new Evidence(
+                new ZoneObservations(
                         2,
                         0,
                         7,
@@ -186,7 +188,7 @@
                                         1,
                                         100 + 2 * 64), // cold: 0.2 + 0.8 * 5.5 / 10
                                 new Seen(1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0))));
-        Evidence next = tally.close(1_000 * MILLI, 5);
+        ZoneObservations next = tally.close(1_000 * MILLI, 5);
         assertEquals(next.seen().get(1).age(), 1);
         assertEquals(next.sequence(), 2);
     }
@@ -194,7 +196,7 @@
     /** Guards against a copy that was stopped telling that every zone fell silent. */
     @Test
     public void aCopyThatStoodStillSaysNothing() {
-        ZoneTally tally = tally(0);
+        ZoneTrafficCounter tally = tally(0);
         int sent = tally.sent(0, 1);
         assertNull(tally.close(3_000 * MILLI, 0));
         tally.ended(3_100 * MILLI, sent, Outcome.TIMEOUT, null);
--- a/core/src/test/java/cedarrudder/footprint/FootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/EndpointListFootprintTest.java
@@ -4,25 +4,26 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.footprint.Footprint.Bound;
-import cedarrudder.footprint.Footprint.Verdict;
+import cedarrudder.footprint.EndpointListFootprint.Bound;
+import cedarrudder.footprint.EndpointListFootprint.Verdict;
 import java.util.List;
 import org.testng.annotations.Test;
 
-public class FootprintTest {
+public class EndpointListFootprintTest {
 
-    private static final Footprint FOOTPRINT = new Footprint(Layout.of(true, true, 8));
+    private static final EndpointListFootprint FOOTPRINT =
+            new EndpointListFootprint(ObjectLayout.of(true, true, 8));
 
-    private static ListShape list(int nodes) {
-        return new ListShape(nodes, nodes * 150L, nodes * 10L, nodes * 37L);
+    private static EndpointListShape list(int nodes) {
+        return new EndpointListShape(nodes, nodes * 150L, nodes * 10L, nodes * 37L);
     }
 
     /** Guards against a verdict that forgets the peak: what fits at rest alone is refused. */
     @Test
     public void whatFitsAtRestAndNotWhileItIsReadIsRefused() {
-        ListShape list = list(5_000);
+        EndpointListShape list = list(5_000);
         long rest = FOOTPRINT.atRest(list);
-        Verdict verdict = FOOTPRINT.judge(ListShape.NONE, list, 5_000, true, rest + 1000);
+        Verdict verdict = FOOTPRINT.judge(EndpointListShape.NONE, list, 5_000, true, rest + 1000);
         assertFalse(verdict.fits());
         assertEquals(verdict.bound(), Bound.HEAP_AT_PEAK);
         assertEquals(verdict.needed(), FOOTPRINT.toldAgain(list));
@@ -30,15 +31,18 @@
                 verdict.needed() > rest + FOOTPRINT.reading(list, 5_000),
                 "more than the first time");
         assertEquals(
-                FOOTPRINT.judge(ListShape.NONE, list, 5_000, true, rest - 7).bound(),
+                FOOTPRINT.judge(EndpointListShape.NONE, list, 5_000, true, rest - 7).bound(),
                 Bound.HEAP_AT_REST);
-        assertTrue(FOOTPRINT.judge(ListShape.NONE, list, 5_000, true, verdict.needed()).fits());
+        assertTrue(
+                FOOTPRINT
+                        .judge(EndpointListShape.NONE, list, 5_000, true, verdict.needed())
+                        .fits());
     }
 
     /** Guards against old and new nodes side by side where there is room for either alone. */
     @Test
     public void anotherListOfTheSameSizeFitsInSteps() {
-        ListShape list = list(5_000);
+        EndpointListShape list = list(5_000);
         long room = FOOTPRINT.toldAgain(list) + 1_000_000;
         assertTrue(FOOTPRINT.judge(list, list, 0, true, room).fits());
         Verdict other = FOOTPRINT.judge(list, list, 5_000, true, room);
@@ -53,20 +57,23 @@
      */
     @Test
     public void theStepsAreThoseThatComeWhenTheListIsToldAgainAndAgain() {
-        ListShape list = list(5_000);
+        EndpointListShape list = list(5_000);
         long room = FOOTPRINT.toldAgain(list) + 1_000_000;
         List<Integer> steps = FOOTPRINT.steps(list, list, 5_000, true, room);
         assertEquals(steps.stream().mapToInt(Integer::intValue).sum(), 5_000);
         assertEquals(steps.get(0), (Integer) FOOTPRINT.judge(list, list, 5_000, true, room).step());
         assertEquals(
-                FOOTPRINT.steps(ListShape.NONE, list, 5_000, true, room),
+                FOOTPRINT.steps(EndpointListShape.NONE, list, 5_000, true, room),
                 List.of(5_000),
                 "at once");
         List<Integer> never = FOOTPRINT.steps(list, list(50_000), 45_000, true, room);
         assertTrue(never.stream().mapToInt(Integer::intValue).sum() < 45_000, never.toString());
         int most = FOOTPRINT.most(list, room);
-        assertTrue(FOOTPRINT.judge(ListShape.NONE, list(most), most, true, room).fits());
-        assertFalse(FOOTPRINT.judge(ListShape.NONE, list(most + 50), most + 50, true, room).fits());
+        assertTrue(FOOTPRINT.judge(EndpointListShape.NONE, list(most), most, true, room).fits());
+        assertFalse(
+                FOOTPRINT
+                        .judge(EndpointListShape.NONE, list(most + 50), most + 50, true, room)
+                        .fits());
     }
 
     /**
@@ -75,7 +82,7 @@
      */
     @Test
     public void changesLeaveRoomForTheWholeListToBeReadAgain() {
-        ListShape held = list(4_000);
+        EndpointListShape held = list(4_000);
         long room = FOOTPRINT.toldAgain(list(5_000));
         Verdict verdict = FOOTPRINT.judge(held, list(2_000), 2_000, false, room);
         assertEquals(verdict.step(), 1_000, 10);
@@ -87,7 +94,7 @@
     /** Guards against an estimate that takes time by the node. */
     @Test
     public void anEstimateTakesUnderAMillisecond() {
-        ListShape list = list(1_000);
+        EndpointListShape list = list(1_000);
         long best = Long.MAX_VALUE;
         for (int i = 0; i < 20; i++) {
             long from = System.nanoTime();
--- a/core/src/test/java/cedarrudder/footprint/CopyFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
@@ -4,41 +4,43 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.footprint.CopyFootprint.Bound;
-import cedarrudder.footprint.CopyFootprint.Term;
-import cedarrudder.footprint.CopyFootprint.Verdict;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Leaving;
+import cedarrudder.footprint.ProcessFootprint.Bound;
+import cedarrudder.footprint.ProcessFootprint.Term;
+import cedarrudder.footprint.ProcessFootprint.Verdict;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Leaving;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-public class CopyFootprintTest {
+public class ProcessFootprintTest {
 
-    private static final CopyFootprint FOOTPRINT = new CopyFootprint(Layout.of(true, true, 8));
-    private static final Limits LARGE = new Limits(1L << 32, 1L << 33, 1L << 30, 1 << 16);
+    private static final ProcessFootprint FOOTPRINT =
+            new ProcessFootprint(ObjectLayout.of(true, true, 8));
+    private static final ProcessLimits LARGE =
+            new ProcessLimits(1L << 32, 1L << 33, 1L << 30, 1 << 16);
 
-    private static ListShape list(int nodes) {
-        return new ListShape(nodes, nodes * 150L, nodes * 10L, nodes * 37L);
+    private static EndpointListShape list(int nodes) {
+        return new EndpointListShape(nodes, nodes * 150L, nodes * 10L, nodes * 37L);
     }
 
-    private static CopyShape copy(int nodes, int callers, int channels, int bodies, long bytes) {
-        return new CopyShape(list(nodes), 12, 2, 3, 20, null, callers, channels, bodies, bytes);
+    private static ProcessShape copy(int nodes, int callers, int channels, int bodies, long bytes) {
+        return new ProcessShape(list(nodes), 12, 2, 3, 20, null, callers, channels, bodies, bytes);
     }
 
-    private static CopyShape with(RouteTable table) {
-        return new CopyShape(list(1_000), 12, 2, 3, 20, table, 50, 20, 0, 0);
+    private static ProcessShape with(RouteTable table) {
+        return new ProcessShape(list(1_000), 12, 2, 3, 20, table, 50, 20, 0, 0);
     }
 
     /** Guards against a term that is forgotten in the sum, or counts under another bound. */
     @Test
     public void eachTermAddsToWhatItTakes() {
-        Takes none = FOOTPRINT.takes(copy(1_000, 0, 0, 0, 0));
-        Takes callers = FOOTPRINT.takes(copy(1_000, 100, 0, 0, 0)).minus(none);
+        MemoryEstimate none = FOOTPRINT.takes(copy(1_000, 0, 0, 0, 0));
+        MemoryEstimate callers = FOOTPRINT.takes(copy(1_000, 100, 0, 0, 0)).minus(none);
         assertEquals(callers.descriptors(), 100);
         assertTrue(callers.rest() > 200_000 && callers.rest() == callers.peak());
         assertEquals(FOOTPRINT.takes(copy(1_000, 0, 40, 0, 0)).minus(none).descriptors(), 40);
-        Takes bodies = FOOTPRINT.takes(copy(1_000, 0, 0, 10, 600_000)).minus(none);
+        MemoryEstimate bodies = FOOTPRINT.takes(copy(1_000, 0, 0, 10, 600_000)).minus(none);
         assertTrue(
                 bodies.rest() > 600_000
                         && bodies.direct() >= 9 * 32_768
@@ -52,7 +54,7 @@
                         List.of(),
                         LongStream.range(0, 500).mapToObj(i -> new Leaving(i, 1)).toList(),
                         List.of());
-        Takes tables = FOOTPRINT.takes(with(table)).minus(FOOTPRINT.takes(with(null)));
+        MemoryEstimate tables = FOOTPRINT.takes(with(table)).minus(FOOTPRINT.takes(with(null)));
         assertTrue(
                 tables.rest() > 500 * 28 && tables.peak() > 2 * tables.rest(), tables.toString());
         assertEquals(
@@ -72,8 +74,8 @@
 
     @Test
     public void oneMoreNodeTakesWhatAThousandTakeByTheThousand() {
-        Takes one = FOOTPRINT.oneMoreNode(copy(1_000, 0, 0, 0, 0));
-        Takes thousand =
+        MemoryEstimate one = FOOTPRINT.oneMoreNode(copy(1_000, 0, 0, 0, 0));
+        MemoryEstimate thousand =
                 FOOTPRINT
                         .takes(copy(2_000, 0, 0, 0, 0))
                         .minus(FOOTPRINT.takes(copy(1_000, 0, 0, 0, 0)));
@@ -81,21 +83,21 @@
         assertTrue(
                 one.rest() > 900 && one.peak() > one.rest() + 900 && one.descriptors() == 0,
                 one.toString());
-        assertEquals(FOOTPRINT.oneMoreNode(copy(0, 0, 0, 0, 0)), Takes.NOTHING);
+        assertEquals(FOOTPRINT.oneMoreNode(copy(0, 0, 0, 0, 0)), MemoryEstimate.NOTHING);
     }
 
     /** Guards against a verdict that names a bound which is not the one that binds. */
     @Test
     public void theBoundThatBindsIsNamedWithWhatLacks() {
-        CopyShape copy = copy(10_000, 500, 200, 10, 600_000);
-        Takes all = FOOTPRINT.takes(copy);
+        ProcessShape copy = copy(10_000, 500, 200, 10, 600_000);
+        MemoryEstimate all = FOOTPRINT.takes(copy);
         assertTrue(FOOTPRINT.judge(copy, LARGE).fits());
-        Limits[] tight = {
-            new Limits(all.rest() - 5, 0, 0, 0),
-            new Limits(all.peak() - 5, 0, 0, 0),
-            new Limits(1L << 32, FOOTPRINT.resident(copy) - 5, 1L << 30, 1 << 16),
-            new Limits(1L << 32, 0, all.direct() - 5, 1 << 16),
-            new Limits(1L << 32, 1L << 33, 1L << 30, all.descriptors() - 5)
+        ProcessLimits[] tight = {
+            new ProcessLimits(all.rest() - 5, 0, 0, 0),
+            new ProcessLimits(all.peak() - 5, 0, 0, 0),
+            new ProcessLimits(1L << 32, FOOTPRINT.resident(copy) - 5, 1L << 30, 1 << 16),
+            new ProcessLimits(1L << 32, 0, all.direct() - 5, 1 << 16),
+            new ProcessLimits(1L << 32, 1L << 33, 1L << 30, all.descriptors() - 5)
         };
         for (Bound bound : Bound.values()) {
             Verdict verdict = FOOTPRINT.judge(copy, tight[bound.ordinal()]);
@@ -103,7 +105,8 @@
             assertEquals(verdict.bound(), bound);
             assertEquals(verdict.spare(), -5);
         }
-        assertTrue(FOOTPRINT.judge(copy, new Limits(0, 0, 0, 0)).fits(), "no bound is known");
+        assertTrue(
+                FOOTPRINT.judge(copy, new ProcessLimits(0, 0, 0, 0)).fits(), "no bound is known");
     }
 
     /**
--- a/core/src/test/java/cedarrudder/footprint/RoomTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -5,11 +5,11 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Leaving;
-import cedarrudder.table.RouteTable.Share;
-import cedarrudder.table.RouteTable.Way;
-import cedarrudder.table.Tables;
+import cedarrudder.routetable.CurrentRouteTable;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Leaving;
+import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Way;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.List;
@@ -19,9 +19,10 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-public class RoomTest {
+public class RouteTableCapacityTest {
 
-    private static final TableFootprint TABLES = new TableFootprint(Layout.of(true, true, 8));
+    private static final RouteTableFootprint TABLES =
+            new RouteTableFootprint(ObjectLayout.of(true, true, 8));
 
     private static RouteTable table(long number, int zones, int leaving) {
         List<Share> shares =
@@ -56,14 +57,16 @@
     public void oneSmallCopyAmongLargeOnesHoldsATableBackInCommon() {
         RouteTable held = table(1, 3, 10);
         RouteTable next = table(2, 12, 2_000);
-        Room large = TABLES.room(held, 20_000_000, 10_000);
-        Room small = TABLES.room(held, TABLES.atPeak(held, next) - 1, 100);
-        Map<Integer, Room> rooms = new HashMap<>(Map.of(0, large, 1, large, 2, small, 3, large));
-        assertEquals(Room.holdsBack(next, rooms), (Integer) 2);
-        assertNull(Room.holdsBack(table(2, 3, 100), rooms), "one that it has room for");
-        assertEquals(Room.least(rooms.values()), small);
+        RouteTableCapacity large = TABLES.room(held, 20_000_000, 10_000);
+        RouteTableCapacity small = TABLES.room(held, TABLES.atPeak(held, next) - 1, 100);
+        Map<Integer, RouteTableCapacity> rooms =
+                new HashMap<>(Map.of(0, large, 1, large, 2, small, 3, large));
+        assertEquals(RouteTableCapacity.holdsBack(next, rooms), (Integer) 2);
+        assertNull(
+                RouteTableCapacity.holdsBack(table(2, 3, 100), rooms), "one that it has room for");
+        assertEquals(RouteTableCapacity.least(rooms.values()), small);
         rooms.remove(2);
-        assertNull(Room.holdsBack(next, rooms), "without it");
+        assertNull(RouteTableCapacity.holdsBack(next, rooms), "without it");
     }
 
     /**
@@ -72,21 +75,21 @@
     @Test
     public void aTableThatFitsEveryCopyButTheOneThatStartsNextIsKeptAndTheNextOneHeldBack() {
         RouteTable loaded = table(7, 12, 2_000);
-        Tables tables = new Tables();
+        CurrentRouteTable tables = new CurrentRouteTable();
         assertTrue(tables.load(loaded).counts());
-        Map<Integer, Room> rooms =
+        Map<Integer, RouteTableCapacity> rooms =
                 new HashMap<>(Map.of(0, TABLES.room(loaded, 20_000_000, 10_000)));
         RouteTable more = table(8, 12, 2_100);
-        assertNull(Room.holdsBack(more, rooms));
+        assertNull(RouteTableCapacity.holdsBack(more, rooms));
         long little = 30_000;
         assertTrue(
                 TABLES.atPeak(null, loaded) > little,
                 "the copy that starts can't load what is agreed on");
         rooms.put(1, TABLES.room(null, little, 100));
-        assertEquals(Room.holdsBack(more, rooms), (Integer) 1);
+        assertEquals(RouteTableCapacity.holdsBack(more, rooms), (Integer) 1);
         assertEquals(tables.current(), loaded, "those that have it keep it");
         RouteTable less = table(8, 3, 20);
-        assertNull(Room.holdsBack(less, rooms), "one that all can load goes through");
+        assertNull(RouteTableCapacity.holdsBack(less, rooms), "one that all can load goes through");
         assertTrue(tables.load(less).counts());
     }
 
@@ -101,13 +104,13 @@
         for (int i = 0; i < 300; i++) {
             RouteTable next = table(2, 1 + random.nextInt(20), random.nextInt(3_000));
             long room = random.nextInt(400_000);
-            if (TABLES.room(held, room, 0).holds(next, TableFootprint.bytes(next))) {
+            if (TABLES.room(held, room, 0).holds(next, RouteTableFootprint.bytes(next))) {
                 assertTrue(TABLES.atPeak(held, next) <= room, "room " + room + " for " + next);
             }
         }
-        Room all = TABLES.room(held, 20_000_000, 0);
+        RouteTableCapacity all = TABLES.room(held, 20_000_000, 0);
         RouteTable largest = table(2, 64, RouteTable.MOST_LEAVING);
-        assertTrue(all.holds(largest, TableFootprint.bytes(largest)), all.toString());
+        assertTrue(all.holds(largest, RouteTableFootprint.bytes(largest)), all.toString());
         assertFalse(TABLES.room(held, 0, 0).holds(table(2, 1, 0), 8));
     }
 
@@ -115,16 +118,16 @@
     public void anAnswerTakesNineBytesAndReadsAsItWasWritten() {
         SplittableRandom random = new SplittableRandom(6);
         for (int i = 0; i < 1_000; i++) {
-            Room room =
-                    new Room(
+            RouteTableCapacity room =
+                    new RouteTableCapacity(
                             random.nextInt(),
                             random.nextInt(1 << random.nextInt(1, 31)),
                             random.nextInt(1 << 24));
-            ByteBuffer bytes = ByteBuffer.allocate(Room.BYTES);
+            ByteBuffer bytes = ByteBuffer.allocate(RouteTableCapacity.BYTES);
             room.put(bytes);
-            assertEquals(Room.get(bytes.flip()), room);
+            assertEquals(RouteTableCapacity.get(bytes.flip()), room);
             random.nextBytes(bytes.array());
-            Room.get(bytes.rewind()); // garbage throws nothing
+            RouteTableCapacity.get(bytes.rewind()); // garbage throws nothing
         }
     }
 }
--- a/core/src/test/java/cedarrudder/routing/DriverTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -1,24 +1,24 @@
-package cedarrudder.routing;
+package cedarrudder.forwarding;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Actions;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.Actions;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.budget.BudgetEvents;
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.budget.Budgets;
-import cedarrudder.budget.Carried;
-import cedarrudder.budget.FromBelow;
+import cedarrudder.budget.DownstreamFeedback;
 import cedarrudder.budget.HopPath;
-import cedarrudder.budget.Notices;
-import cedarrudder.figures.Figures;
-import cedarrudder.figures.Figures.End;
+import cedarrudder.budget.PropagatedBudget;
 import cedarrudder.logging.Logger;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.metrics.RequestMetrics.End;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.util.ArrayList;
@@ -33,13 +33,13 @@
  * What the module is told, and what is carried out, with every part round the driver played by the
  * test.
  */
-public class DriverTest {
+public class RequestForwarderTest {
 
     private static final int MOST_ATTEMPTS = 2;
     private static final long DEADLINE = 1000;
 
-    private static final Balancer.Settings SITE =
-            new Balancer.Settings(
+    private static final LoadBalancer.BalancerSettings SITE =
+            new LoadBalancer.BalancerSettings(
                     1,
                     0,
                     0,
@@ -47,10 +47,10 @@
                     2,
                     false,
                     List.of(
-                            new Balancer.RequestClass(
+                            new LoadBalancer.RequestClass(
                                     "a",
-                                    Balancer.Effect.SAFE,
-                                    Balancer.KeyScope.ALL,
+                                    LoadBalancer.Idempotency.SAFE,
+                                    LoadBalancer.KeyScope.ALL,
                                     1,
                                     1,
                                     1,
@@ -60,11 +60,11 @@
                     List.of(),
                     null,
                     null,
-                    new Balancer.Goal(1, 0, 0, 0, 1),
+                    new LoadBalancer.ServiceGoal(1, 0, 0, 0, 1),
                     null);
 
     private final List<String> seen = new ArrayList<>();
-    private final List<CallAttempt<String, String>> started = new ArrayList<>();
+    private final List<RequestAttempt<String, String>> started = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
     private Runnable onRequest;
     private Runnable onOutcome;
@@ -76,10 +76,10 @@
     private Outcome denial;
     private boolean knows;
     private Budgets budgets;
-    private Figures figures;
+    private RequestMetrics figures;
     private long now;
     private Actions actions;
-    private Driver<String, String> driver;
+    private RequestForwarder<String, String> driver;
 
     @BeforeMethod
     public void start() {
@@ -115,15 +115,15 @@
     }
 
     private void build() {
-        figures = new Figures(1);
+        figures = new RequestMetrics(1);
         driver =
-                new Driver<>(
+                new RequestForwarder<>(
                         did -> {
                             actions = did;
                             return new Module();
                         },
                         MOST_ATTEMPTS,
-                        new Timers() {
+                        new TimerService() {
                             @Override
                             public long now() {
                                 return now;
@@ -142,11 +142,11 @@
     }
 
     private void accept() {
-        accept(Carried.NOTHING);
+        accept(PropagatedBudget.NOTHING);
     }
 
-    private Exchange<String, String> accept(Carried carried) {
-        var request = new Balancer.Request(1, 0, 0, DEADLINE, 0, false, false, 0);
+    private Exchange<String, String> accept(PropagatedBudget carried) {
+        var request = new LoadBalancer.Request(1, 0, 0, DEADLINE, 0, false, false, 0);
         Exchange<String, String> exchange =
                 new Exchange<>(
                         request,
@@ -220,12 +220,12 @@
     @Test
     public void sharesAreOverBeforeTheNextEventOnceTheirTimeIs() {
         driver.sharesUntil(100);
-        driver.shares(List.of(new Balancer.ZoneShare(0, 10_000, 0)));
+        driver.shares(List.of(new LoadBalancer.ZoneTrafficShare(0, 10_000, 0)));
         driver.onShared(() -> seen.add("by shares"));
         accept();
         now = 100;
-        driver.resolved(Balancer.ListKind.CHANGES, List.of());
-        driver.resolved(Balancer.ListKind.CHANGES, List.of());
+        driver.resolved(LoadBalancer.EndpointListKind.CHANGES, List.of());
+        driver.resolved(LoadBalancer.EndpointListKind.CHANGES, List.of());
         assertEquals(seen, List.of("shares 1", "by shares", "start 0", "shares 0"));
     }
 
@@ -261,7 +261,10 @@
     public void anAttemptThatTheBudgetDeniesIsMootAndTheAnswerSaysWhy() {
         budgets =
                 new Budgets(
-                        BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
+                        BudgetSettings.of("front"),
+                        SITE,
+                        new SplittableRandom(1),
+                        BudgetEvents.NONE);
         build();
         onOutcome =
                 () -> {
@@ -272,12 +275,14 @@
                     }
                 };
         Exchange<String, String> exchange =
-                accept(new Carried(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
+                accept(new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
         assertEquals(started.get(0).handed().path().hops(), List.of("front"));
         driver.ended(started.get(0), Outcome.RESET, null);
         assertEquals(
                 seen, List.of("start 0", "outcome 0 RESET open", "outcome 1 MOOT open", "failed"));
-        assertEquals(exchange.result(), new FromBelow(0, FromBelow.Why.TRIES, HopPath.EMPTY));
+        assertEquals(
+                exchange.result(),
+                new DownstreamFeedback(0, DownstreamFeedback.Why.TRIES, HopPath.EMPTY));
     }
 
     /** A second copy that is denied leaves the first attempt alone, which may well be served. */
@@ -285,7 +290,10 @@
     public void aSecondCopyThatTheBudgetDeniesLeavesTheFirstAttemptOut() {
         budgets =
                 new Budgets(
-                        BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
+                        BudgetSettings.of("front"),
+                        SITE,
+                        new SplittableRandom(1),
+                        BudgetEvents.NONE);
         build();
         onRequest =
                 () -> {
@@ -293,24 +301,29 @@
                     actions.send(1, 8, 0);
                 };
         Exchange<String, String> exchange =
-                accept(new Carried(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
+                accept(new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
         driver.served(started.get(0), "a", null);
         assertEquals(
                 seen,
                 List.of("start 0", "outcome 1 MOOT open", "served a", "outcome 0 OK settled"));
-        assertEquals(exchange.result(), new FromBelow(0, FromBelow.Why.NOT_SAID, HopPath.EMPTY));
+        assertEquals(
+                exchange.result(),
+                new DownstreamFeedback(0, DownstreamFeedback.Why.NOT_SAID, HopPath.EMPTY));
     }
 
     @Test
     public void aLoopIsNotSentEvenWhereTheModuleDoesNotListen() {
         budgets =
                 new Budgets(
-                        BudgetSettings.of("front"), SITE, new SplittableRandom(1), Notices.NONE);
+                        BudgetSettings.of("front"),
+                        SITE,
+                        new SplittableRandom(1),
+                        BudgetEvents.NONE);
         build();
         onOutcome = () -> actions.refuse(1, 0);
         Exchange<String, String> exchange =
                 accept(
-                        new Carried(
+                        new PropagatedBudget(
                                 true,
                                 true,
                                 0,
@@ -322,8 +335,10 @@
         assertEquals(seen, List.of("outcome 0 MOOT open", "refused"));
         assertEquals(
                 exchange.result(),
-                new FromBelow(
-                        0, FromBelow.Why.LOOP, HopPath.of(List.of("front", "core", "front"))));
+                new DownstreamFeedback(
+                        0,
+                        DownstreamFeedback.Why.LOOP,
+                        HopPath.of(List.of("front", "core", "front"))));
     }
 
     @Test
@@ -351,7 +366,7 @@
                     onOutcome = () -> actions.fail(1);
                     actions.send(1, 8, 0);
                 };
-        driver.cut(accept(Carried.NOTHING));
+        driver.cut(accept(PropagatedBudget.NOTHING));
         assertEquals(
                 seen,
                 List.of(
@@ -397,7 +412,7 @@
                 () -> {
                     throw new StackOverflowError("made on purpose");
                 };
-        Exchange<String, String> exchange = accept(Carried.NOTHING);
+        Exchange<String, String> exchange = accept(PropagatedBudget.NOTHING);
         driver.left(exchange);
         assertEquals(seen, List.of("client left"));
     }
@@ -407,7 +422,7 @@
     /** Takes an RPC whose first attempt waits for its connection. */
     private Exchange<String, String> acceptDialling() {
         dials = true;
-        Exchange<String, String> exchange = accept(Carried.NOTHING);
+        Exchange<String, String> exchange = accept(PropagatedBudget.NOTHING);
         seen.clear();
         return exchange;
     }
@@ -514,10 +529,10 @@
                 };
         acceptDialling();
         assertTrue(driver.begins(started.get(1)));
-        driver.resolved(ListKind.CHANGES, List.of());
+        driver.resolved(EndpointListKind.CHANGES, List.of());
         assertEquals(seen, List.of());
         denial = Outcome.CONNECT_FAILED;
-        driver.resolved(ListKind.CHANGES, List.of());
+        driver.resolved(EndpointListKind.CHANGES, List.of());
         assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
@@ -580,14 +595,14 @@
         assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT open"));
     }
 
-    private final class Client implements ClientSide<String, String> {
+    private final class Client implements AttemptTransport<String, String> {
         @Override
         public boolean knows(long endpoint) {
             return knows;
         }
 
         @Override
-        public void start(CallAttempt<String, String> attempt) {
+        public void start(RequestAttempt<String, String> attempt) {
             seen.add("start " + attempt.number());
             started.add(attempt);
             if (refuseConnections) {
@@ -598,7 +613,7 @@
         }
 
         @Override
-        public void abandon(CallAttempt<String, String> attempt) {
+        public void abandon(RequestAttempt<String, String> attempt) {
             seen.add("abandon " + attempt.number());
         }
 
@@ -609,12 +624,12 @@
         public void closeIdle(long endpoint) {}
     }
 
-    private final class Module implements Balancer {
+    private final class Module implements LoadBalancer {
         @Override
-        public void endpoints(long at, ListKind kind, List<Endpoint> entries) {}
+        public void endpoints(long at, EndpointListKind kind, List<Endpoint> entries) {}
 
         @Override
-        public void shares(long at, List<ZoneShare> shares) {
+        public void shares(long at, List<ZoneTrafficShare> shares) {
             seen.add("shares " + shares.size());
         }
 
@@ -638,7 +653,7 @@
                 Outcome outcome,
                 long latency,
                 boolean settled,
-                Load load) {
+                LoadReport load) {
             seen.add("outcome " + attempt + " " + outcome + (settled ? " settled" : " open"));
             onOutcome.run();
         }
@@ -658,7 +673,8 @@
         public void timer(long at, long token) {}
 
         @Override
-        public void probed(long at, long endpoint, Outcome outcome, long latency, Load load) {}
+        public void probed(
+                long at, long endpoint, Outcome outcome, long latency, LoadReport load) {}
 
         @Override
         public void message(long at, int from, byte[] message) {}
--- a/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
+++ b/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
@@ -1,6 +1,6 @@
 package cedarrudder.membership;
 
-import cedarrudder.Golden;
+import cedarrudder.conventions.Golden;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
@@ -25,7 +25,7 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random = new SplittableRandom(11);
-    private final Swim[] swims = new Swim[INSTANCES];
+    private final SwimMember[] swims = new SwimMember[INSTANCES];
     private final StringBuilder samples = new StringBuilder();
     private final Golden.Digest digest = new Golden.Digest();
     private long now = 1_000 * SECOND;
@@ -38,13 +38,13 @@
 
     private void start(int number, long incarnation) {
         swims[number] =
-                new Swim(
+                new SwimMember(
                         INSTANCES,
                         number,
                         incarnation,
                         MembershipSettings.DEFAULT,
                         random.split(),
-                        new Swim.Outlet() {
+                        new SwimMember.Actions() {
                             @Override
                             public void send(int to, byte[] message) {
                                 sent(number, to, message);
@@ -83,7 +83,7 @@
         }
     }
 
-    private void tick(int number, Swim swim) {
+    private void tick(int number, SwimMember swim) {
         long due = Math.max(now + 1, swim.due());
         at(
                 due,
--- a/core/src/test/java/cedarrudder/membership/SwimTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -7,8 +7,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.membership.Member.Standing;
-import cedarrudder.membership.Packet.Kind;
-import cedarrudder.membership.Packet.News;
+import cedarrudder.membership.SwimMessage.Kind;
+import cedarrudder.membership.SwimMessage.News;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,37 +18,37 @@
 /**
  * One instance against peers that are played by the test: it is told, and what it sends is read.
  */
-public class SwimTest {
+public class SwimMemberTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long LIFE = 1_000;
 
     /** What went out: to whom, and what. */
-    private record Sent(int to, Packet packet) {}
+    private record Sent(int to, SwimMessage packet) {}
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Member> changes = new ArrayList<>();
     private long now;
-    private Swim swim;
+    private SwimMember swim;
 
     private void start(int instances, MembershipSettings settings) {
         now = 5 * SECOND;
         sent.clear();
         changes.clear();
         swim =
-                new Swim(
+                new SwimMember(
                         instances,
                         0,
                         LIFE,
                         settings,
                         new SplittableRandom(7),
-                        new Swim.Outlet() {
+                        new SwimMember.Actions() {
                             @Override
                             public void send(int to, byte[] message) {
                                 assertTrue(
-                                        message.length <= Packet.MOST_BYTES,
+                                        message.length <= SwimMessage.MOST_BYTES,
                                         message.length + " bytes");
-                                sent.add(new Sent(to, Packet.decode(message, instances)));
+                                sent.add(new Sent(to, SwimMessage.decode(message, instances)));
                             }
 
                             @Override
@@ -67,9 +67,9 @@
         swim.received(now, from, packet(kind, question, from, life, subject, news).encode());
     }
 
-    private static Packet packet(
+    private static SwimMessage packet(
             Kind kind, int question, int from, long life, int subject, News... news) {
-        return new Packet(kind, question, from, life, subject, 0, null, List.of(news));
+        return new SwimMessage(kind, question, from, life, subject, 0, null, List.of(news));
     }
 
     private static News news(int number, long life, Standing standing, int accuser) {
@@ -297,18 +297,26 @@
         swim.received(
                 now,
                 3,
-                new Packet(Kind.PING, 8, 3, 5, 0, 77, new Packet.Window(0, held), List.of())
+                new SwimMessage(
+                                Kind.PING,
+                                8,
+                                3,
+                                5,
+                                0,
+                                77,
+                                new SwimMessage.Window(0, held),
+                                List.of())
                         .encode());
         assertEquals(
                 await(Kind.ACK).packet.news(),
                 List.of(news(1, 10, Standing.DEAD, 0), news(18, 0, Standing.ALIVE, 18)));
         // Its own next question shows what it holds, until the digests agree.
-        Packet shown = await(Kind.PING).packet;
+        SwimMessage shown = await(Kind.PING).packet;
         assertEquals(shown.window().bits(), new byte[] {2, 2, 0, 0});
         swim.received(
                 now,
                 3,
-                new Packet(Kind.NACK, 0, 3, 5, 0, shown.digest(), null, List.of()).encode());
+                new SwimMessage(Kind.NACK, 0, 3, 5, 0, shown.digest(), null, List.of()).encode());
         sent.clear();
         assertNull(await(Kind.PING).packet.window());
     }
@@ -430,11 +438,11 @@
     public void aTurnedBitAnywhereIsNoMessage() {
         start(6);
         byte[] good = packet(Kind.PING, 1, 2, 9, 0, news(3, 9, Standing.ALIVE, 3)).encode();
-        assertNotNull(Packet.decode(good, 6));
+        assertNotNull(SwimMessage.decode(good, 6));
         for (int bit = 0; bit < 8 * good.length; bit++) {
             byte[] turned = good.clone();
             turned[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(Packet.decode(turned, 6), "bit " + bit);
+            assertNull(SwimMessage.decode(turned, 6), "bit " + bit);
         }
     }
 
@@ -446,14 +454,14 @@
         SplittableRandom random = new SplittableRandom(seed);
         start(6);
         byte[] good =
-                new Packet(
+                new SwimMessage(
                                 Kind.PING,
                                 77,
                                 1,
                                 4,
                                 2,
                                 9,
-                                new Packet.Window(0, new byte[] {12}),
+                                new SwimMessage.Window(0, new byte[] {12}),
                                 List.of(
                                         news(3, 1L << 50, Standing.SUSPECT, 2),
                                         news(4, 3, Standing.ALIVE, 4)))
@@ -477,9 +485,9 @@
             }
             if (bytes.length > 4) { // else hardly one would get past its checksum
                 java.nio.ByteBuffer.wrap(bytes)
-                        .putInt(bytes.length - 4, Packet.checksum(bytes, bytes.length - 4));
+                        .putInt(bytes.length - 4, SwimMessage.checksum(bytes, bytes.length - 4));
             }
-            Packet packet = Packet.decode(bytes, 6);
+            SwimMessage packet = SwimMessage.decode(bytes, 6);
             if (packet != null) {
                 read++;
                 assertEquals(packet.encode(), bytes, "seed " + seed + ", number " + i);
@@ -492,7 +500,7 @@
             }
         }
         assertTrue(read > 1_000, "only " + read + " were read");
-        assertNull(Packet.decode(new byte[0], 6));
+        assertNull(SwimMessage.decode(new byte[0], 6));
         assertTrue(swim.live() >= 1);
     }
 
--- a/core/src/test/java/cedarrudder/table/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.table;
+package cedarrudder.routetable;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -7,11 +7,11 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Golden;
-import cedarrudder.table.RouteTable.Leaving;
-import cedarrudder.table.RouteTable.Limit;
-import cedarrudder.table.RouteTable.Share;
-import cedarrudder.table.RouteTable.Way;
+import cedarrudder.conventions.Golden;
+import cedarrudder.routetable.RouteTable.Leaving;
+import cedarrudder.routetable.RouteTable.Limit;
+import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Way;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -66,7 +66,7 @@
         Random random = new Random(SEED);
         for (int i = 1; i <= 500; i++) {
             RouteTable table = any(random, i);
-            TableCodec.Decoded read = TableCodec.decode(TableCodec.encode(table));
+            RouteTableCodec.Decoded read = RouteTableCodec.decode(RouteTableCodec.encode(table));
             assertNull(read.fault(), "seed " + SEED + ", table " + i);
             assertEquals(read.table(), table);
         }
@@ -78,12 +78,12 @@
         Random random = new Random(SEED);
         StringBuilder forms = new StringBuilder();
         for (int i = 1; i <= 6; i++) {
-            forms.append(Golden.hex(TableCodec.encode(any(random, i))));
+            forms.append(Golden.hex(RouteTableCodec.encode(any(random, i))));
         }
         Golden.check("route-tables.txt", forms.toString());
         random = new Random(SEED);
         for (String line : forms.toString().lines().toList()) {
-            TableCodec.Decoded read = TableCodec.decode(Golden.bytes(line));
+            RouteTableCodec.Decoded read = RouteTableCodec.decode(Golden.bytes(line));
             assertEquals(read.table(), any(random, read.table().number()));
         }
     }
@@ -98,14 +98,15 @@
     /** Guards against what the wire did to a table being loaded: each bit, and each length. */
     @Test
     public void whatIsDamagedIsRefused() {
-        byte[] good = TableCodec.encode(any(new Random(SEED), 7));
+        byte[] good = RouteTableCodec.encode(any(new Random(SEED), 7));
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNotNull(TableCodec.decode(bad).fault(), "bit " + bit);
+            assertNotNull(RouteTableCodec.decode(bad).fault(), "bit " + bit);
         }
         for (int length = 0; length < good.length; length++) {
-            assertNotNull(TableCodec.decode(Arrays.copyOf(good, length)).fault(), "cut " + length);
+            assertNotNull(
+                    RouteTableCodec.decode(Arrays.copyOf(good, length)).fault(), "cut " + length);
         }
     }
 
@@ -115,25 +116,29 @@
         Random random = new Random(SEED);
         int read = 0;
         for (int i = 1; i <= 6_000; i++) {
-            byte[] bytes = TableCodec.encode(any(random, i));
+            byte[] bytes = RouteTableCodec.encode(any(random, i));
             for (int times = 1 + random.nextInt(3); times > 0 && bytes.length > 4; times--) {
                 bytes[random.nextInt(bytes.length - 4)] = (byte) random.nextInt(256);
             }
-            TableCodec.Decoded decoded = TableCodec.decode(summed(bytes));
+            RouteTableCodec.Decoded decoded = RouteTableCodec.decode(summed(bytes));
             assertTrue(
                     decoded.table() == null ^ decoded.fault() == null,
                     "seed " + SEED + ", run " + i);
             if (decoded.table() != null) {
                 read++;
                 assertEquals(
-                        TableCodec.encode(decoded.table()), bytes, "seed " + SEED + ", run " + i);
+                        RouteTableCodec.encode(decoded.table()),
+                        bytes,
+                        "seed " + SEED + ", run " + i);
             }
         }
         assertTrue(read > 500, "only " + read + " were read");
         byte[] many = summed(new byte[] {1, 1, 0, 0, 1, (byte) 0xff, (byte) 0xff, 3, 0, 0, 0, 0});
         assertTrue(
-                TableCodec.decode(many).fault().contains("shares: found 65535; allowed: 0 to 1"),
-                TableCodec.decode(many).fault());
+                RouteTableCodec.decode(many)
+                        .fault()
+                        .contains("shares: found 65535; allowed: 0 to 1"),
+                RouteTableCodec.decode(many).fault());
     }
 
     @Test
@@ -176,7 +181,7 @@
     @Test
     public void numbersOnlyRise() {
         Random random = new Random(SEED);
-        Tables tables = new Tables();
+        CurrentRouteTable tables = new CurrentRouteTable();
         RouteTable fifth = any(random, 5);
         assertTrue(tables.load(fifth).counts());
         assertTrue(tables.load(fifth).counts());
@@ -196,7 +201,7 @@
         for (int i = 1; i <= 300; i++) {
             RouteTable before = any(random, i);
             RouteTable after = any(random, i + 1);
-            TableDifference change = TableDifference.between(before, after);
+            RouteTableDelta change = RouteTableDelta.between(before, after);
             Set<Leaving> leaving = new HashSet<>(before.leaving());
             leaving.removeIf(
                     one ->
@@ -208,7 +213,7 @@
             Set<Share> shares = new HashSet<>(before.shares());
             shares.removeIf(
                     one ->
-                            change.endedShares().contains(TableDifference.Pair.of(one))
+                            change.endedShares().contains(RouteTableDelta.Pair.of(one))
                                     || change.shares().stream()
                                             .anyMatch(
                                                     next ->
@@ -220,7 +225,7 @@
         }
         RouteTable table = any(random, 3);
         assertTrue(
-                TableDifference.between(
+                RouteTableDelta.between(
                                 table,
                                 new RouteTable(
                                         4,
@@ -232,7 +237,7 @@
                                         table.limits()))
                         .nothing());
         assertFalse(
-                TableDifference.between(
+                RouteTableDelta.between(
                                 table,
                                 new RouteTable(
                                         4,
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
@@ -1,13 +1,13 @@
 package cedarrudder.operator;
 
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.fleet.FleetSettings;
-import cedarrudder.toml.Table;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.coordination.CoordinationSettings;
+import cedarrudder.toml.ConfigTable;
 import java.nio.file.Path;
 import java.util.List;
 
 /** The table {@code [agreement]}: what copies decide together. Absent, each decides alone. */
-public final class AgreementTable extends Section<TogetherSettings> {
+public final class AgreementTable extends OperatorSection<AgreementTableSettings> {
 
     public static final AgreementTable AGREEMENT = new AgreementTable();
 
@@ -20,15 +20,16 @@
     private static final int REPORTS = 4;
 
     private AgreementTable() {
-        super("agreement", TogetherSettings.class, null);
+        super("agreement", AgreementTableSettings.class, null);
     }
 
     @Override
-    TogetherSettings read(Table table) {
-        AgreementSettings usual = AgreementSettings.DEFAULT;
-        long beat = Units.millis(table, "heartbeat_ms", LEAST_BEAT, MOST_BEAT, usual.heartbeat());
+    AgreementTableSettings read(ConfigTable table) {
+        ConsensusSettings usual = ConsensusSettings.DEFAULT;
+        long beat =
+                CommonKeys.millis(table, "heartbeat_ms", LEAST_BEAT, MOST_BEAT, usual.heartbeat());
         long least =
-                Units.millis(
+                CommonKeys.millis(
                         table, "election_least_ms", LEAST_BEAT, MOST_TIME, usual.electionLeast());
         if (least < BEATS * beat && table.sound("heartbeat_ms", "election_least_ms")) {
             wrong(
@@ -40,7 +41,7 @@
                     "three times that or more");
         }
         long most =
-                Units.millis(
+                CommonKeys.millis(
                         table, "election_most_ms", LEAST_BEAT, MOST_TIME, usual.electionMost());
         if (most <= least && table.sound("election_least_ms", "election_most_ms")) {
             wrong(table, "election_most_ms", most, "election_least_ms", least, "more than that");
@@ -50,12 +51,12 @@
             table.problem("voters", Integer.toString(voters), "3, 5, 7");
         }
         long patience =
-                Units.millis(
+                CommonKeys.millis(
                         table, "voter_patience_ms", LEAST_BEAT, MOST_TIME, usual.voterPatience());
         if (patience <= most && table.sound("election_most_ms", "voter_patience_ms")) {
             wrong(table, "voter_patience_ms", patience, "election_most_ms", most, "more than that");
         }
-        long silence = Units.millis(table, "silence_ms", 0, MOST_TIME, usual.silence());
+        long silence = CommonKeys.millis(table, "silence_ms", 0, MOST_TIME, usual.silence());
         if (silence > 0 && silence <= patience && table.sound("voter_patience_ms", "silence_ms")) {
             wrong(
                     table,
@@ -66,11 +67,19 @@
                     "0, or more than that");
         }
         long period =
-                Units.millis(
-                        table, "plan_ms", LEAST_PLAN, MOST_TIME, FleetSettings.DEFAULT.period());
+                CommonKeys.millis(
+                        table,
+                        "plan_ms",
+                        LEAST_PLAN,
+                        MOST_TIME,
+                        CoordinationSettings.DEFAULT.period());
         long lease =
-                Units.millis(
-                        table, "lease_ms", LEAST_PLAN, MOST_TIME, FleetSettings.DEFAULT.lease());
+                CommonKeys.millis(
+                        table,
+                        "lease_ms",
+                        LEAST_PLAN,
+                        MOST_TIME,
+                        CoordinationSettings.DEFAULT.lease());
         if (lease < REPORTS * period && table.sound("plan_ms", "lease_ms")) {
             wrong(table, "lease_ms", lease, "plan_ms", period, "four times that or more");
         }
@@ -86,9 +95,9 @@
                         "silence_ms",
                         "plan_ms",
                         "lease_ms");
-        return new TogetherSettings(
+        return new AgreementTableSettings(
                 sound
-                        ? new AgreementSettings(
+                        ? new ConsensusSettings(
                                 beat,
                                 least,
                                 most,
@@ -100,13 +109,13 @@
                                 usual.keptEntries(),
                                 silence)
                         : usual,
-                sound ? new FleetSettings(period, lease) : FleetSettings.DEFAULT,
+                sound ? new CoordinationSettings(period, lease) : CoordinationSettings.DEFAULT,
                 zones,
                 folder.isEmpty() ? null : Path.of(folder));
     }
 
     private static void wrong(
-            Table table, String key, long found, String other, long with, String allowed) {
+            ConfigTable table, String key, long found, String other, long with, String allowed) {
         table.problem(key, found / MILLI + " with " + other + " = " + with / MILLI, allowed);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/TogetherSettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTableSettings.java
@@ -1,7 +1,7 @@
 package cedarrudder.operator;
 
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.fleet.FleetSettings;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.coordination.CoordinationSettings;
 import java.nio.file.Path;
 import java.util.List;
 
@@ -12,9 +12,9 @@
  *     one zone
  * @param folder where this copy keeps what it must not forget, or null where it may forget
  */
-public record TogetherSettings(
-        AgreementSettings agreement, FleetSettings fleet, List<String> zones, Path folder) {
-    public TogetherSettings {
+public record AgreementTableSettings(
+        ConsensusSettings agreement, CoordinationSettings fleet, List<String> zones, Path folder) {
+    public AgreementTableSettings {
         zones = List.copyOf(zones);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
@@ -2,12 +2,12 @@
 
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.budget.HopPath;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /**
  * The table {@code [budget]}: budgets of time and attempts across tiers. Absent, there are none.
  */
-public final class BudgetTable extends Section<BudgetSettings> {
+public final class BudgetTable extends OperatorSection<BudgetSettings> {
 
     public static final BudgetTable BUDGET = new BudgetTable();
 
@@ -25,7 +25,7 @@
 
     /** Also read where an experiment has such a table. */
     @Override
-    public BudgetSettings read(Table table) {
+    public BudgetSettings read(ConfigTable table) {
         BudgetSettings usual = BudgetSettings.of("");
         BudgetSettings read =
                 new BudgetSettings(
@@ -41,14 +41,15 @@
                         table.number("retry_share", 0, 1, usual.share()),
                         table.number(
                                 "retry_least_per_s", 0, MOST_PER_SECOND, usual.leastPerSecond()),
-                        Units.millis(table, "window_ms", LEAST_WINDOW, MOST_WINDOW, usual.window()),
+                        CommonKeys.millis(
+                                table, "window_ms", LEAST_WINDOW, MOST_WINDOW, usual.window()),
                         (int) table.whole("path_most", LEAST_PATH, MOST_PATH, usual.mostHops()),
                         table.number("let_in_least", LEAST_LET_IN, 1, usual.leastAdmitted()));
         check(table, read);
         return read;
     }
 
-    private static void check(Table table, BudgetSettings read) {
+    private static void check(ConfigTable table, BudgetSettings read) {
         if (!read.hop().isEmpty() && !HopPath.isHop(read.hop())) {
             table.problem(
                     "hop",
--- a/daemon/src/main/java/cedarrudder/operator/CallersTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/CallersTable.java
@@ -1,36 +1,39 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.Table;
-import cedarrudder.transport.CallerLimits;
+import cedarrudder.toml.ConfigTable;
+import cedarrudder.transport.ClientLimits;
 
 /** The table {@code [callers]}. */
-public final class CallersTable extends Section<CallerLimits> {
+public final class CallersTable extends OperatorSection<ClientLimits> {
 
     public static final CallersTable CALLERS = new CallersTable();
 
     private CallersTable() {
-        super("callers", CallerLimits.class, CallerLimits.DEFAULT);
+        super("callers", ClientLimits.class, ClientLimits.DEFAULT);
     }
 
     @Override
-    CallerLimits read(Table table) {
-        CallerLimits usual = CallerLimits.DEFAULT;
+    ClientLimits read(ConfigTable table) {
+        ClientLimits usual = ClientLimits.DEFAULT;
         long request =
-                Units.millis(table, "request_patience_ms", 100, 60_000, usual.requestPatience());
-        long silent = Units.millis(table, "silent_patience_ms", 50, 60_000, usual.silentLong());
+                CommonKeys.millis(
+                        table, "request_patience_ms", 100, 60_000, usual.requestPatience());
+        long silent =
+                CommonKeys.millis(table, "silent_patience_ms", 50, 60_000, usual.silentLong());
         if (silent > request && table.sound("silent_patience_ms", "request_patience_ms")) {
             table.problem(
                     "silent_patience_ms",
                     silent / 1_000_000 + " with request_patience_ms = " + request / 1_000_000,
                     "no more than request_patience_ms, after which it is closed anyway");
         }
-        return new CallerLimits(
+        return new ClientLimits(
                 request,
                 silent,
-                Units.millis(table, "idle_patience_ms", 500, 3_600_000, usual.idlePatience()),
-                Units.millis(table, "answer_patience_ms", 500, 600_000, usual.answerPatience()),
-                Units.headBytes(table, usual.mostHead()),
-                Units.bodyBytes(table, usual.mostBody()),
-                Units.descriptorsShare(table, usual.descriptorsShare()));
+                CommonKeys.millis(table, "idle_patience_ms", 500, 3_600_000, usual.idlePatience()),
+                CommonKeys.millis(
+                        table, "answer_patience_ms", 500, 600_000, usual.answerPatience()),
+                CommonKeys.headBytes(table, usual.mostHead()),
+                CommonKeys.bodyBytes(table, usual.mostBody()),
+                CommonKeys.descriptorsShare(table, usual.descriptorsShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/Units.java
+++ b/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
@@ -1,9 +1,9 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /** Keys that more than one table has, in the units that their names state. */
-final class Units {
+final class CommonKeys {
 
     private static final long NANOS_A_MILLI = 1_000_000;
     private static final int LEAST_HEAD = 1024;
@@ -19,22 +19,22 @@
      */
     static final double MOST_SHARES = 0.9;
 
-    private Units() {}
+    private CommonKeys() {}
 
     /** A time in whole milliseconds; in nanoseconds from here on. */
-    static long millis(Table table, String key, long least, long most, long otherwiseNanos) {
+    static long millis(ConfigTable table, String key, long least, long most, long otherwiseNanos) {
         return NANOS_A_MILLI * table.whole(key, least, most, otherwiseNanos / NANOS_A_MILLI);
     }
 
-    static int headBytes(Table table, int otherwise) {
+    static int headBytes(ConfigTable table, int otherwise) {
         return (int) table.whole("head_bytes", LEAST_HEAD, MOST_HEAD, otherwise);
     }
 
-    static int bodyBytes(Table table, int otherwise) {
+    static int bodyBytes(ConfigTable table, int otherwise) {
         return (int) table.whole("body_bytes", 0, MOST_BODY, otherwise);
     }
 
-    static double descriptorsShare(Table table, double otherwise) {
+    static double descriptorsShare(ConfigTable table, double otherwise) {
         return table.number(SHARE, LEAST_SHARE, MOST_SHARES - LEAST_SHARE, otherwise);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
+++ b/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
@@ -1,7 +1,7 @@
 package cedarrudder.operator;
 
-import cedarrudder.drainage.BadConditionException;
-import cedarrudder.drainage.Conditions;
+import cedarrudder.draining.ConditionCompiler;
+import cedarrudder.draining.InvalidConditionException;
 import java.io.File;
 import java.io.IOException;
 import java.net.URI;
@@ -13,14 +13,14 @@
  * The reader of conditions, in a jar of its own beside the program's. Guards against a start that
  * reads the list of its thousands of files where no policy has a condition.
  */
-final class ConditionsJar implements Conditions {
+final class ConditionsJar implements ConditionCompiler {
 
     private static final String NAME = "cedarrudder-conditions.jar";
     private static final String CLASS = "cedarrudder.conditions.CelConditions";
 
-    private Conditions opened;
+    private ConditionCompiler opened;
 
-    private Conditions open() {
+    private ConditionCompiler open() {
         if (opened == null) {
             try {
                 URI own =
@@ -31,7 +31,7 @@
                                 .toURI();
                 File jar = new File(new File(own).getParentFile(), NAME);
                 if (!jar.isFile()) {
-                    throw new BadConditionException(
+                    throw new InvalidConditionException(
                             "no " + NAME + " beside the program's jar",
                             "that file, " + "which reads conditions");
                 }
@@ -42,9 +42,10 @@
                                 new URL[] {jar.toURI().toURL()},
                                 ConditionsJar.class.getClassLoader());
                 opened =
-                        (Conditions) loader.loadClass(CLASS).getDeclaredConstructor().newInstance();
+                        (ConditionCompiler)
+                                loader.loadClass(CLASS).getDeclaredConstructor().newInstance();
             } catch (URISyntaxException | IOException | ReflectiveOperationException e) {
-                throw new BadConditionException(
+                throw new InvalidConditionException(
                         "a " + NAME + " that can't be opened (" + e + ")",
                         "the one " + "that was built with the program");
             }
--- a/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
@@ -1,10 +1,10 @@
 package cedarrudder.operator;
 
-import cedarrudder.routing.ResolverPatience;
-import cedarrudder.toml.Table;
+import cedarrudder.forwarding.DiscoveryTimeouts;
+import cedarrudder.toml.ConfigTable;
 
 /** The table {@code [discovery]}. */
-public final class DiscoveryTable extends Section<ResolverPatience> {
+public final class DiscoveryTable extends OperatorSection<DiscoveryTimeouts> {
 
     public static final DiscoveryTable DISCOVERY = new DiscoveryTable();
 
@@ -14,16 +14,16 @@
     private static final int LEAST_WATCH = 2_500;
 
     private DiscoveryTable() {
-        super("discovery", ResolverPatience.class, ResolverPatience.DEFAULT);
+        super("discovery", DiscoveryTimeouts.class, DiscoveryTimeouts.DEFAULT);
     }
 
     @Override
-    ResolverPatience read(Table table) {
-        ResolverPatience usual = ResolverPatience.DEFAULT;
-        return new ResolverPatience(
-                Units.millis(table, "call_patience_ms", 100, 60_000, usual.call()),
-                Units.millis(table, "ask_again_ms", 100, 60_000, usual.again()),
-                Units.millis(table, "watch_patience_ms", LEAST_WATCH, 600_000, usual.watch()),
-                Units.millis(table, "watch_spread_ms", 0, 60_000, usual.spread()));
+    DiscoveryTimeouts read(ConfigTable table) {
+        DiscoveryTimeouts usual = DiscoveryTimeouts.DEFAULT;
+        return new DiscoveryTimeouts(
+                CommonKeys.millis(table, "call_patience_ms", 100, 60_000, usual.call()),
+                CommonKeys.millis(table, "ask_again_ms", 100, 60_000, usual.again()),
+                CommonKeys.millis(table, "watch_patience_ms", LEAST_WATCH, 600_000, usual.watch()),
+                CommonKeys.millis(table, "watch_spread_ms", 0, 60_000, usual.spread()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/DrainsFile.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsConfiguration.java
@@ -1,8 +1,8 @@
 package cedarrudder.operator;
 
-import cedarrudder.drainage.Conditions;
-import cedarrudder.drainage.Policy;
-import cedarrudder.drainage.PolicyCheck.Both;
+import cedarrudder.draining.ConditionCompiler;
+import cedarrudder.draining.DrainPolicy;
+import cedarrudder.draining.PolicyValidator.Both;
 import java.util.List;
 
 /**
@@ -13,5 +13,5 @@
  * @param conditions what reads the conditions of these policies, and of those that other copies
  *     have
  */
-public record DrainsFile(
-        long revision, List<Policy> policies, List<Both> both, Conditions conditions) {}
+public record DrainsConfiguration(
+        long revision, List<DrainPolicy> policies, List<Both> both, ConditionCompiler conditions) {}
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -1,20 +1,20 @@
 package cedarrudder.operator;
 
-import cedarrudder.drainage.BadConditionException;
-import cedarrudder.drainage.Conditions;
-import cedarrudder.drainage.Policy;
-import cedarrudder.drainage.Policy.AtEnd;
-import cedarrudder.drainage.Policy.Left;
-import cedarrudder.drainage.Policy.Most;
-import cedarrudder.drainage.Policy.Order;
-import cedarrudder.drainage.Policy.Restarted;
-import cedarrudder.drainage.Policy.Whom;
-import cedarrudder.drainage.Policy.Window;
-import cedarrudder.drainage.PolicyCheck;
-import cedarrudder.drainage.PolicyCheck.Finding;
-import cedarrudder.drainage.PolicyCheck.Fleet;
-import cedarrudder.drainage.PolicyCodec;
-import cedarrudder.toml.Table;
+import cedarrudder.draining.ConditionCompiler;
+import cedarrudder.draining.DrainPolicy;
+import cedarrudder.draining.DrainPolicy.AtEnd;
+import cedarrudder.draining.DrainPolicy.Left;
+import cedarrudder.draining.DrainPolicy.Most;
+import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.Window;
+import cedarrudder.draining.InvalidConditionException;
+import cedarrudder.draining.PolicyCodec;
+import cedarrudder.draining.PolicyValidator;
+import cedarrudder.draining.PolicyValidator.Finding;
+import cedarrudder.draining.PolicyValidator.Fleet;
+import cedarrudder.toml.ConfigTable;
 import java.time.LocalTime;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -41,22 +41,23 @@
 
     private DrainsReader() {}
 
-    static DrainsFile read(Table table) {
-        Conditions conditions = new ConditionsJar();
+    static DrainsConfiguration read(ConfigTable table) {
+        ConditionCompiler conditions = new ConditionsJar();
         long revision = table.whole("revision", 1, MOST_REVISION);
         Fleet fleet = fleet(table.table("fleet"));
-        List<Table> tables = table.tables("policy");
-        if (tables.isEmpty() && table.sound("policy") || tables.size() > Policy.MOST_POLICIES) {
+        List<ConfigTable> tables = table.tables("policy");
+        if (tables.isEmpty() && table.sound("policy")
+                || tables.size() > DrainPolicy.MOST_POLICIES) {
             table.problem(
                     "policy",
                     tables.size() + " policies",
-                    "1 to " + Policy.MOST_POLICIES + " tables written [[drains.policy]]");
+                    "1 to " + DrainPolicy.MOST_POLICIES + " tables written [[drains.policy]]");
         }
-        List<Policy> policies = new ArrayList<>();
+        List<DrainPolicy> policies = new ArrayList<>();
         Set<String> names = new HashSet<>();
         boolean sound = true;
-        for (Table each : tables) {
-            Policy policy = policy(each, conditions);
+        for (ConfigTable each : tables) {
+            DrainPolicy policy = policy(each, conditions);
             if (policy == null) {
                 sound = false;
                 continue;
@@ -70,12 +71,12 @@
             }
             policies.add(policy);
         }
-        PolicyCheck.Result result =
-                sound && policies.size() <= Policy.MOST_POLICIES
-                        ? PolicyCheck.check(policies, conditions, fleet)
-                        : new PolicyCheck.Result(List.of(), List.of());
+        PolicyValidator.Result result =
+                sound && policies.size() <= DrainPolicy.MOST_POLICIES
+                        ? PolicyValidator.check(policies, conditions, fleet)
+                        : new PolicyValidator.Result(List.of(), List.of());
         for (Finding finding : result.findings()) {
-            Table of = tables.get(finding.policy());
+            ConfigTable of = tables.get(finding.policy());
             boolean left = finding.key().startsWith(LEFT);
             (left ? of.tableOrEmpty("left") : of)
                     .problem(
@@ -90,10 +91,10 @@
                     "policies of " + bytes + " bytes as copies tell them",
                     "up to " + PolicyCodec.MOST_BYTES);
         }
-        return new DrainsFile(revision, policies, result.both(), conditions);
+        return new DrainsConfiguration(revision, policies, result.both(), conditions);
     }
 
-    private static Fleet fleet(Table table) {
+    private static Fleet fleet(ConfigTable table) {
         if (table == null) {
             return null;
         }
@@ -109,12 +110,12 @@
     }
 
     /** A policy; null where something of it is wrong, which the table has been told. */
-    private static Policy policy(Table table, Conditions conditions) {
+    private static DrainPolicy policy(ConfigTable table, ConditionCompiler conditions) {
         Faults faults = new Faults(table);
         String name = faults.text("name", null);
         String tier = faults.text("tier", "");
         String zone = faults.text("zone", "");
-        int pod = table.has("pod") ? (int) table.whole("pod", 0, MOST_POD) : Policy.ANY_POD;
+        int pod = table.has("pod") ? (int) table.whole("pod", 0, MOST_POD) : DrainPolicy.ANY_POD;
         String kind = faults.text("kind", "");
         double[] weight = table.range("weight", 0, MOST_WEIGHT, new double[] {0, MOST_WEIGHT});
         String where = faults.text("where", "");
@@ -127,18 +128,18 @@
                     "out_per_tier", "no bound", "one at least of " + String.join(", ", BOUNDS));
         }
         Order order = table.choice("order", Order.class, Order.AS_ASKED);
-        int wave = (int) table.whole("wave", 1, Policy.MOST_NODES, Policy.MOST_NODES);
-        long pace = Units.millis(table, "pace_ms", 0, Policy.MOST_TIME / MILLI, 0);
-        int died = (int) table.whole("died", 0, Policy.MOST_NODES, 1);
+        int wave = (int) table.whole("wave", 1, DrainPolicy.MOST_NODES, DrainPolicy.MOST_NODES);
+        long pace = CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MOST_TIME / MILLI, 0);
+        int died = (int) table.whole("died", 0, DrainPolicy.MOST_NODES, 1);
         String pauseIf = faults.text("pause_if", "");
         String goOnIf = faults.text("go_on_if", "");
         String giveBackIf = faults.text("give_back_if", "");
         long time =
-                Units.millis(
+                CommonKeys.millis(
                         table,
                         "node_ms",
-                        Policy.LEAST_TIME / MILLI,
-                        Policy.MOST_TIME / MILLI,
+                        DrainPolicy.LEAST_TIME / MILLI,
+                        DrainPolicy.MOST_TIME / MILLI,
                         USUAL_TIME);
         AtEnd atEnd = table.choice("at_end", AtEnd.class, AtEnd.KEEP_WAITING);
         Restarted restarted = table.choice("restarted", Restarted.class, Restarted.BACK);
@@ -157,7 +158,7 @@
         table.done();
         return !faults.sound
                 ? null
-                : new Policy(
+                : new DrainPolicy(
                         name,
                         new Whom(tier, zone, pod, kind, weight[0], weight[1], where),
                         perPod,
@@ -182,10 +183,10 @@
      * it.
      */
     private static final class Faults {
-        private final Table table;
+        private final ConfigTable table;
         private boolean sound = true;
 
-        Faults(Table table) {
+        Faults(ConfigTable table) {
             this.table = table;
         }
 
@@ -197,20 +198,21 @@
         String text(String key, String otherwise) {
             String text = table.text(key, otherwise);
             sound &= table.sound(key);
-            if (text.length() > Policy.MOST_TEXT
+            if (text.length() > DrainPolicy.MOST_TEXT
                     || text.isEmpty() && otherwise == null && table.sound(key)) {
-                problem(key, text.length() + " characters", "1 to " + Policy.MOST_TEXT);
+                problem(key, text.length() + " characters", "1 to " + DrainPolicy.MOST_TEXT);
             }
             return text;
         }
 
         Most most(String key) {
-            Table most = table.table(key);
+            ConfigTable most = table.table(key);
             if (most == null) {
                 sound &= table.sound(key);
                 return Most.ANY;
             }
-            int nodes = (int) most.whole("nodes", 0, Policy.MOST_NODES, Policy.MOST_NODES);
+            int nodes =
+                    (int) most.whole("nodes", 0, DrainPolicy.MOST_NODES, DrainPolicy.MOST_NODES);
             double share = most.number("share", 0, 1, 1);
             if (!most.has("nodes") && !most.has("share")) {
                 problem(key, "an empty table", "nodes, share or both");
@@ -220,16 +222,16 @@
         }
 
         Left left() {
-            Table left = table.table("left");
+            ConfigTable left = table.table("left");
             if (left == null) {
                 sound &= table.sound("left");
                 return Left.NOTHING;
             }
             Left all =
                     new Left(
-                            (int) left.whole("per_pod", 0, Policy.MOST_NODES, 0),
-                            (int) left.whole("per_zone", 0, Policy.MOST_NODES, 0),
-                            (int) left.whole("per_tier", 0, Policy.MOST_NODES, 0),
+                            (int) left.whole("per_pod", 0, DrainPolicy.MOST_NODES, 0),
+                            (int) left.whole("per_zone", 0, DrainPolicy.MOST_NODES, 0),
+                            (int) left.whole("per_tier", 0, DrainPolicy.MOST_NODES, 0),
                             left.number("weight", 0, 1, 0));
             left.done();
             return all;
@@ -237,12 +239,12 @@
 
         List<Window> windows() {
             List<Window> windows = new ArrayList<>();
-            for (Table each : table.tables("closed")) {
+            for (ConfigTable each : table.tables("closed")) {
                 int days = 0;
                 for (String day : each.texts("days")) {
                     int at = DAYS.indexOf(day);
                     if (at < 0) {
-                        each.problem("days", Table.shown(day), String.join(", ", DAYS));
+                        each.problem("days", ConfigTable.shown(day), String.join(", ", DAYS));
                         sound = false;
                     } else {
                         days |= 1 << at;
@@ -262,8 +264,8 @@
                     sound = false;
                 }
             }
-            if (windows.size() > Policy.MOST_WINDOWS) {
-                problem("closed", windows.size() + " windows", "up to " + Policy.MOST_WINDOWS);
+            if (windows.size() > DrainPolicy.MOST_WINDOWS) {
+                problem("closed", windows.size() + " windows", "up to " + DrainPolicy.MOST_WINDOWS);
             }
             return windows;
         }
@@ -275,7 +277,7 @@
         void condition(String key, Runnable reads) {
             try {
                 reads.run();
-            } catch (BadConditionException e) {
+            } catch (InvalidConditionException e) {
                 problem(key, e.found(), e.allowed());
             }
         }
--- a/daemon/src/main/java/cedarrudder/operator/DrainsTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsTable.java
@@ -1,18 +1,18 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /** The table {@code [drains]}: what must hold while nodes leave. Absent, nothing of it is there. */
-public final class DrainsTable extends Section<DrainsFile> {
+public final class DrainsTable extends OperatorSection<DrainsConfiguration> {
 
     public static final DrainsTable DRAINS = new DrainsTable();
 
     private DrainsTable() {
-        super("drains", DrainsFile.class, null);
+        super("drains", DrainsConfiguration.class, null);
     }
 
     @Override
-    DrainsFile read(Table table) {
+    DrainsConfiguration read(ConfigTable table) {
         return DrainsReader.read(table);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
@@ -3,7 +3,7 @@
 import cedarrudder.failover.FailoverSettings;
 import cedarrudder.failover.Regions;
 import cedarrudder.failover.Regions.Region;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -11,7 +11,7 @@
  * The table {@code [failover]}: when zones serve one another's callers. Absent, copies decide
  * alone.
  */
-public final class FailoverTable extends Section<FailoverSettings> {
+public final class FailoverTable extends OperatorSection<FailoverSettings> {
 
     public static final FailoverTable FAILOVER = new FailoverTable();
 
@@ -32,12 +32,13 @@
     }
 
     @Override
-    FailoverSettings read(Table table) {
+    FailoverSettings read(ConfigTable table) {
         FailoverSettings usual = FailoverSettings.DEFAULT;
         Regions regions = regions(table);
-        long period = Units.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
+        long period =
+                CommonKeys.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
         long age =
-                Units.millis(
+                CommonKeys.millis(
                         table, "evidence_age_ms", 2 * LEAST_PERIOD, MOST_TIME, usual.evidenceAge());
         if (age < 2 * period) {
             table.problem(
@@ -47,7 +48,8 @@
             age = 2 * period;
         }
         long hold =
-                Units.millis(table, "return_hold_ms", LEAST_PERIOD, MOST_TIME, usual.returnHold());
+                CommonKeys.millis(
+                        table, "return_hold_ms", LEAST_PERIOD, MOST_TIME, usual.returnHold());
         if (hold <= period) {
             table.problem(
                     "return_hold_ms",
@@ -56,7 +58,7 @@
             hold = 2 * period;
         }
         long most =
-                Units.millis(
+                CommonKeys.millis(
                         table,
                         "return_hold_most_ms",
                         LEAST_PERIOD,
@@ -78,7 +80,7 @@
                 table.number("bad_share", LEAST_SHARE, MOST_BAD, usual.badShare()),
                 table.number("target_share", LEAST_PART, 1, usual.targetShare()),
                 table.number("near_share", LEAST_PART, 1, usual.nearShare()),
-                Units.millis(table, "loss_hold_ms", 0, MOST_TIME, usual.lossHold()),
+                CommonKeys.millis(table, "loss_hold_ms", 0, MOST_TIME, usual.lossHold()),
                 table.number("return_step", LEAST_SHARE, 1, usual.returnStep()),
                 hold,
                 most,
@@ -95,10 +97,10 @@
      * What contradicts itself is reported where it stands; whether the zones exist is known at the
      * start.
      */
-    private static Regions regions(Table table) {
-        List<Table> entries = table.tables("region");
+    private static Regions regions(ConfigTable table) {
+        List<ConfigTable> entries = table.tables("region");
         List<Region> read = new ArrayList<>();
-        for (Table entry : entries) {
+        for (ConfigTable entry : entries) {
             read.add(
                     new Region(
                             entry.text("name", null),
@@ -109,12 +111,12 @@
         boolean sound = true;
         for (Regions.Problem problem : regions.problems(null)) {
             sound = false;
-            Table entry = entries.get(problem.region());
+            ConfigTable entry = entries.get(problem.region());
             if (entry.sound(problem.key())) {
                 entry.problem(problem.key(), problem.found(), problem.allowed());
             }
         }
-        entries.forEach(Table::done);
+        entries.forEach(ConfigTable::done);
         return sound ? regions : Regions.NONE;
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
@@ -1,9 +1,9 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /** The table {@code [footprint]}: what lists of nodes may take. Absent, every list is loaded. */
-public final class FootprintTable extends Section<FootprintSettings> {
+public final class FootprintTable extends OperatorSection<FootprintSettings> {
 
     public static final FootprintTable FOOTPRINT = new FootprintTable();
 
@@ -16,11 +16,11 @@
     }
 
     @Override
-    FootprintSettings read(Table table) {
+    FootprintSettings read(ConfigTable table) {
         FootprintSettings usual = FootprintSettings.DEFAULT;
         return new FootprintSettings(
                 table.number("heap_share", LEAST_SHARE, MOST_SHARE, usual.heapShare()),
                 (int) table.whole("from_nodes", 0, MOST_NODES, usual.fromNodes()),
-                Units.millis(table, "ask_again_ms", 1_000, 600_000, usual.again()));
+                CommonKeys.millis(table, "ask_again_ms", 1_000, 600_000, usual.again()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
@@ -1,12 +1,12 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 import java.nio.file.Path;
 
 /**
  * The table {@code [history]}: what a copy did, written for a judge. Absent, nothing is written.
  */
-public final class HistoryTable extends Section<HistorySettings> {
+public final class HistoryTable extends OperatorSection<HistorySettings> {
 
     public static final HistoryTable HISTORY = new HistoryTable();
 
@@ -21,7 +21,7 @@
     }
 
     @Override
-    HistorySettings read(Table table) {
+    HistorySettings read(ConfigTable table) {
         String file = table.text("file", null);
         if (file.isEmpty() && table.sound("file")) {
             table.problem("file", "\"\"", "the name of a file");
--- a/daemon/src/main/java/cedarrudder/operator/Log.java
+++ b/daemon/src/main/java/cedarrudder/operator/LogConfiguration.java
@@ -3,7 +3,7 @@
 import cedarrudder.logging.LogSettings;
 
 /** How the log is written: the form of its lines, and what is logged. */
-public record Log(Form form, LogSettings settings) {
+public record LogConfiguration(Form form, LogSettings settings) {
 
     /** The form of a line. */
     public enum Form {
@@ -12,5 +12,6 @@
     }
 
     /** What counts where nothing is set. */
-    public static final Log DEFAULT = new Log(Form.TEXT, LogSettings.DEFAULT);
+    public static final LogConfiguration DEFAULT =
+            new LogConfiguration(Form.TEXT, LogSettings.DEFAULT);
 }
--- a/daemon/src/main/java/cedarrudder/operator/LogTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/LogTable.java
@@ -2,10 +2,10 @@
 
 import cedarrudder.logging.Level;
 import cedarrudder.logging.LogSettings;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /** The table {@code [log]}. */
-public final class LogTable extends Section<Log> {
+public final class LogTable extends OperatorSection<LogConfiguration> {
 
     public static final LogTable LOG = new LogTable();
 
@@ -14,14 +14,15 @@
     private static final int MOST_CHARS = 10_000;
 
     private LogTable() {
-        super("log", Log.class, Log.DEFAULT);
+        super("log", LogConfiguration.class, LogConfiguration.DEFAULT);
     }
 
     @Override
-    Log read(Table table) {
+    LogConfiguration read(ConfigTable table) {
         LogSettings usual = LogSettings.DEFAULT;
-        return new Log(
-                table.choice("format", Log.Form.class, Log.DEFAULT.form()),
+        return new LogConfiguration(
+                table.choice(
+                        "format", LogConfiguration.Form.class, LogConfiguration.DEFAULT.form()),
                 new LogSettings(
                         table.choice("level", Level.class, usual.level()),
                         (int) table.whole("lines_per_s", 0, MOST_LINES, usual.linesPerSecond()),
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -1,10 +1,10 @@
 package cedarrudder.operator;
 
 import cedarrudder.membership.MembershipSettings;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /** The table {@code [membership]}: which proxies of the tier live. Absent, nobody asks. */
-public final class MembershipTable extends Section<MembershipSettings> {
+public final class MembershipTable extends OperatorSection<MembershipSettings> {
 
     public static final MembershipTable MEMBERSHIP = new MembershipTable();
 
@@ -25,11 +25,12 @@
     }
 
     @Override
-    MembershipSettings read(Table table) {
+    MembershipSettings read(ConfigTable table) {
         MembershipSettings usual = MembershipSettings.DEFAULT;
-        long period = Units.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
+        long period =
+                CommonKeys.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
         long patience =
-                Units.millis(
+                CommonKeys.millis(
                         table, "ack_patience_ms", LEAST_PATIENCE, MOST_PERIOD, usual.ackPatience());
         if (patience >= period) {
             table.problem(
--- a/daemon/src/main/java/cedarrudder/operator/NodesTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/NodesTable.java
@@ -1,25 +1,25 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.Table;
-import cedarrudder.transport.NodeLimits;
+import cedarrudder.toml.ConfigTable;
+import cedarrudder.transport.EndpointLimits;
 
 /** The table {@code [nodes]}. */
-public final class NodesTable extends Section<NodeLimits> {
+public final class NodesTable extends OperatorSection<EndpointLimits> {
 
     public static final NodesTable NODES = new NodesTable();
 
     private NodesTable() {
-        super("nodes", NodeLimits.class, NodeLimits.DEFAULT);
+        super("nodes", EndpointLimits.class, EndpointLimits.DEFAULT);
     }
 
     @Override
-    NodeLimits read(Table table) {
-        NodeLimits usual = NodeLimits.DEFAULT;
-        return new NodeLimits(
-                Units.millis(table, "probe_patience_ms", 10, 10_000, usual.probePatience()),
-                Units.millis(table, "answer_patience_ms", 10, 60_000, usual.answerPatience()),
-                Units.headBytes(table, usual.mostHead()),
-                Units.bodyBytes(table, usual.mostBody()),
-                Units.descriptorsShare(table, usual.descriptorsShare()));
+    EndpointLimits read(ConfigTable table) {
+        EndpointLimits usual = EndpointLimits.DEFAULT;
+        return new EndpointLimits(
+                CommonKeys.millis(table, "probe_patience_ms", 10, 10_000, usual.probePatience()),
+                CommonKeys.millis(table, "answer_patience_ms", 10, 60_000, usual.answerPatience()),
+                CommonKeys.headBytes(table, usual.mostHead()),
+                CommonKeys.bodyBytes(table, usual.mostBody()),
+                CommonKeys.descriptorsShare(table, usual.descriptorsShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/Operator.java
+++ b/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
@@ -1,8 +1,8 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.ConfigTable;
+import cedarrudder.toml.InvalidFileException;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
@@ -13,22 +13,22 @@
  *
  * <p>Where there is no file, {@link #NONE} costs nothing: no class that reads TOML is loaded.
  */
-public final class Operator {
+public final class OperatorFile {
 
     /** No file: every table is absent. */
-    public static final Operator NONE = new Operator(Map.of());
+    public static final OperatorFile NONE = new OperatorFile(Map.of());
 
     /** Shares are decimals, so that their sum may be a little off. */
     private static final double ROUNDING = 1e-9;
 
     private final Map<String, Object> values;
 
-    private Operator(Map<String, Object> values) {
+    private OperatorFile(Map<String, Object> values) {
         this.values = values;
     }
 
     /** All tables that a file may have. */
-    private static List<Section<?>> sections() {
+    private static List<OperatorSection<?>> sections() {
         return List.of(
                 LogTable.LOG,
                 CallersTable.CALLERS,
@@ -46,30 +46,30 @@
     /**
      * Reads a file.
      *
-     * @throws BadFileException with all that is wrong with it
+     * @throws InvalidFileException with all that is wrong with it
      */
-    public static Operator read(Path file) throws BadFileException {
-        return read(Document.read(file));
+    public static OperatorFile read(Path file) throws InvalidFileException {
+        return read(ConfigDocument.read(file));
     }
 
     /**
      * Reads a text.
      *
-     * @throws BadFileException with all that is wrong with it
+     * @throws InvalidFileException with all that is wrong with it
      */
-    public static Operator read(Document document) throws BadFileException {
-        Table root = document.root();
+    public static OperatorFile read(ConfigDocument document) throws InvalidFileException {
+        ConfigTable root = document.root();
         Map<String, Object> values = new HashMap<>();
         boolean sharesSound = true;
-        for (Section<?> section : sections()) {
-            Table table = root.table(section.name());
+        for (OperatorSection<?> section : sections()) {
+            ConfigTable table = root.table(section.name());
             if (table != null) {
                 values.put(section.name(), section.read(table));
                 table.done();
-                sharesSound &= table.sound(Units.SHARE);
+                sharesSound &= table.sound(CommonKeys.SHARE);
             }
         }
-        Operator operator = new Operator(values);
+        OperatorFile operator = new OperatorFile(values);
         if (sharesSound) {
             operator.checkShares(root);
         }
@@ -102,32 +102,32 @@
     /**
      * Guards against callers and nodes together taking what discovery and the process itself need.
      */
-    private void checkShares(Table root) {
+    private void checkShares(ConfigTable root) {
         double callers = of(CallersTable.CALLERS).descriptorsShare();
         double nodes = of(NodesTable.NODES).descriptorsShare();
-        if (callers + nodes > Units.MOST_SHARES + ROUNDING) {
+        if (callers + nodes > CommonKeys.MOST_SHARES + ROUNDING) {
             String where =
                     values.containsKey(NodesTable.NODES.name())
                             ? NodesTable.NODES.name()
                             : CallersTable.CALLERS.name();
             root.table(where)
                     .problem(
-                            Units.SHARE,
+                            CommonKeys.SHARE,
                             callers + " of [callers] and " + nodes + " of [nodes]",
-                            Units.MOST_SHARES + " for both together");
+                            CommonKeys.MOST_SHARES + " for both together");
         }
     }
 
     /** What a table says, or what counts where it is absent. */
-    public <T> T of(Section<T> section) {
+    public <T> T of(OperatorSection<T> section) {
         Object value = values.get(section.name());
         return value == null ? section.absent() : section.cast(value);
     }
 
     /** The same but for one table, which says this now. */
-    public <T> Operator with(Section<T> section, T value) {
+    public <T> OperatorFile with(OperatorSection<T> section, T value) {
         Map<String, Object> changed = new HashMap<>(values);
         changed.put(section.name(), value);
-        return new Operator(changed);
+        return new OperatorFile(changed);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/Section.java
+++ b/daemon/src/main/java/cedarrudder/operator/OperatorSection.java
@@ -1,14 +1,14 @@
 package cedarrudder.operator;
 
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /**
  * One table of the operator's file and its reader. A feature that is set there adds a class of this
- * kind and names it in {@link Operator}.
+ * kind and names it in {@link OperatorFile}.
  *
  * @param <T> what the table says, as the feature takes it; immutable
  */
-public abstract class Section<T> {
+public abstract class OperatorSection<T> {
 
     private final String name;
     private final Class<T> type;
@@ -19,7 +19,7 @@
      * @param absent what counts where the file has no such table: the feature is off, or as it was
      *     before there was a table
      */
-    Section(String name, Class<T> type, T absent) {
+    OperatorSection(String name, Class<T> type, T absent) {
         this.name = name;
         this.type = type;
         this.absent = absent;
@@ -38,5 +38,5 @@
     }
 
     /** Reads the table, and reports to it what is wrong and what contradicts itself. */
-    abstract T read(Table table);
+    abstract T read(ConfigTable table);
 }
--- a/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
@@ -1,8 +1,8 @@
 package cedarrudder.program;
 
-import cedarrudder.Tuning;
-import cedarrudder.TuningText;
-import cedarrudder.sim.SimHost;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.balancer.BalancerParametersParser;
+import cedarrudder.simulator.SimulatorHost;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -37,12 +37,12 @@
 
     @Override
     public Integer call() {
-        Tuning tuning;
+        BalancerParameters tuning;
         try {
-            tuning = TuningText.read(figures);
+            tuning = BalancerParametersParser.read(figures);
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage(), e);
         }
-        return SimHost.run(tuning);
+        return SimulatorHost.run(tuning);
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/LogWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
@@ -16,7 +16,7 @@
  * <p>Lines may come from any thread; those for which there is no room are left out. Cost: a line's
  * reference in a queue of fixed size.
  */
-final class LogWriter {
+final class AsyncLogWriter {
 
     /** Lines that wait to be written, at the most: some 100 KB. */
     static final int MOST = 256;
@@ -38,7 +38,7 @@
     private final Thread thread;
     private volatile boolean ending;
 
-    LogWriter(PrintStream out) {
+    AsyncLogWriter(PrintStream out) {
         this(out, "log", MOST);
     }
 
@@ -46,7 +46,7 @@
      * @param name the thread's
      * @param most lines that wait, at the most
      */
-    LogWriter(PrintStream out, String name, int most) {
+    AsyncLogWriter(PrintStream out, String name, int most) {
         lines = new ArrayBlockingQueue<>(most);
         thread = new Thread(() -> write(out), name);
         thread.setDaemon(true);
@@ -57,8 +57,8 @@
      * One that takes the place of the process's standard error, so that nothing that is written
      * there from now on, by whomever, stands still.
      */
-    static LogWriter inPlaceOfStandardError() {
-        LogWriter writer = new LogWriter(System.err);
+    static AsyncLogWriter inPlaceOfStandardError() {
+        AsyncLogWriter writer = new AsyncLogWriter(System.err);
         System.setErr(new PrintStream(writer.new Lines(), true, StandardCharsets.UTF_8));
         return writer;
     }
--- a/daemon/src/main/java/cedarrudder/program/BudgetLog.java
+++ b/daemon/src/main/java/cedarrudder/program/BudgetEventLogger.java
@@ -1,11 +1,11 @@
 package cedarrudder.program;
 
+import cedarrudder.budget.BudgetEvents;
 import cedarrudder.budget.HopPath;
-import cedarrudder.budget.Notices;
 import cedarrudder.logging.Logger;
 
 /** What the log says of budgets. */
-record BudgetLog(Logger log) implements Notices {
+record BudgetEventLogger(Logger log) implements BudgetEvents {
 
     @Override
     public void loop(HopPath path, long more) {
--- a/daemon/src/main/java/cedarrudder/program/CheckCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/CheckCommand.java
@@ -1,11 +1,11 @@
 package cedarrudder.program;
 
-import cedarrudder.drainage.PolicyCheck.Both;
-import cedarrudder.footprint.Limits;
-import cedarrudder.operator.DrainsFile;
+import cedarrudder.draining.PolicyValidator.Both;
+import cedarrudder.footprint.ProcessLimits;
+import cedarrudder.operator.DrainsConfiguration;
 import cedarrudder.operator.DrainsTable;
-import cedarrudder.operator.Operator;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.toml.InvalidFileException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.List;
@@ -86,13 +86,13 @@
             throw new ParameterException(spec.commandLine(), "--list and --heap need one another");
         }
         int code = ExitCode.OK;
-        Operator last = null;
+        OperatorFile last = null;
         for (Path file : files) {
             try {
-                last = Operator.read(file);
+                last = OperatorFile.read(file);
                 out.println(file + ": good");
                 tell(file, last.of(DrainsTable.DRAINS), out);
-            } catch (BadFileException e) {
+            } catch (InvalidFileException e) {
                 e.problems().forEach(out::println);
                 code = ExitCode.SOFTWARE;
             }
@@ -100,13 +100,15 @@
         if (list == null || last == null) {
             return code;
         }
-        Limits limits =
-                new Limits(
+        ProcessLimits limits =
+                new ProcessLimits(
                         bytes("--heap", heap),
                         bytes("--memory", memory),
                         bytes("--direct", direct),
                         descriptors);
-        return new ListCheck(last, limits, out).check(list, before) ? code : ExitCode.SOFTWARE;
+        return new EndpointListCheck(last, limits, out).check(list, before)
+                ? code
+                : ExitCode.SOFTWARE;
     }
 
     /** A size as the virtual machine's flags have it; 0 where none is given. */
@@ -128,7 +130,7 @@
     }
 
     /** Which of two policies binds nodes that both are for. */
-    private static void tell(Path file, DrainsFile drains, PrintWriter out) {
+    private static void tell(Path file, DrainsConfiguration drains, PrintWriter out) {
         for (Both both : drains == null ? List.<Both>of() : drains.both()) {
             out.println(
                     file
--- a/daemon/src/main/java/cedarrudder/program/Together.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -1,24 +1,24 @@
 package cedarrudder.program;
 
-import cedarrudder.Balancer.ZoneShare;
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.agreement.Store;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.coordination.CoordinatedReplica;
+import cedarrudder.coordination.DrainCoordination;
+import cedarrudder.coordination.TrafficCoordination;
 import cedarrudder.failover.FailoverSettings;
-import cedarrudder.fleet.FleetCopy;
-import cedarrudder.fleet.Removal;
-import cedarrudder.fleet.Shares;
-import cedarrudder.footprint.Room;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
-import cedarrudder.operator.TogetherSettings;
-import cedarrudder.routing.Driver;
-import cedarrudder.table.RouteTable;
-import cedarrudder.transport.Fleet;
-import cedarrudder.transport.Loop;
-import cedarrudder.transport.Membership;
-import cedarrudder.transport.Notes;
+import cedarrudder.operator.AgreementTableSettings;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.transport.EventRecorder;
+import cedarrudder.transport.MembershipService;
 import cedarrudder.transport.PeerSocket;
+import cedarrudder.transport.ProxyEventLoop;
+import cedarrudder.transport.ReplicaCoordinator;
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
@@ -32,7 +32,7 @@
 /**
  * What this proxy decides with the others of its tier, wired to what it does. On the loop's thread.
  */
-final class Together implements Fleet.Host, Fleet.Maker {
+final class CoordinationWiring implements ReplicaCoordinator.Host, ReplicaCoordinator.Maker {
 
     /**
      * What a proxy is, beside what its operators set.
@@ -44,23 +44,23 @@
             int number,
             LongSupplier wallClock,
             RandomGenerator random,
-            Function<RouteTable, Room> room) {}
+            Function<RouteTable, RouteTableCapacity> room) {}
 
     /** A history tells of calls that go by a table this often at the most. */
     private static final long SAID_APART = 100_000_000L;
 
     private final Self self;
-    private final TogetherSettings settings;
-    private final Driver<?, ?> driver;
+    private final AgreementTableSettings settings;
+    private final RequestForwarder<?, ?> driver;
     private final Consumer<Set<Long>> leaving;
-    private final Failovers failovers;
-    private final Removals removals;
-    private final Loop loop;
-    private final Notes notes;
+    private final FailoverWiring failovers;
+    private final DrainWiring removals;
+    private final ProxyEventLoop loop;
+    private final EventRecorder notes;
     private final Logger log;
-    private final Fleet fleet;
+    private final ReplicaCoordinator fleet;
     private final BitSet dead = new BitSet();
-    private FileStore store;
+    private FileStableStorage store;
     private RouteTable table;
     private long saidAt;
 
@@ -69,17 +69,17 @@
      * @param failovers null where operators have not asked for them
      * @param removals null where operators have no policies
      */
-    Together(
-            Loop loop,
+    CoordinationWiring(
+            ProxyEventLoop loop,
             PeerSocket peers,
-            Membership membership,
-            TogetherSettings settings,
+            MembershipService membership,
+            AgreementTableSettings settings,
             Self self,
-            Driver<?, ?> driver,
+            RequestForwarder<?, ?> driver,
             Consumer<Set<Long>> leaving,
-            Failovers failovers,
-            Removals removals,
-            Notes notes,
+            FailoverWiring failovers,
+            DrainWiring removals,
+            EventRecorder notes,
             Logger log) {
         this.settings = settings;
         this.self = self;
@@ -90,7 +90,7 @@
         this.loop = loop;
         this.notes = notes;
         this.log = log;
-        this.fleet = new Fleet(loop, peers, this, this, notes);
+        this.fleet = new ReplicaCoordinator(loop, peers, this, this, notes);
         membership.onEach(this::lives);
         if (notes != null) {
             driver.onShared(() -> used(loop.now()));
@@ -105,7 +105,7 @@
      * @throws IllegalArgumentException if they are not those of these copies
      */
     static int[] zones(
-            TogetherSettings settings, List<String> names, int copies, int self, int own) {
+            AgreementTableSettings settings, List<String> names, int copies, int self, int own) {
         int[] zones = new int[copies];
         if (settings.zones().isEmpty() && names.size() <= 1) {
             return zones;
@@ -145,22 +145,22 @@
         return zones;
     }
 
-    Fleet fleet() {
+    ReplicaCoordinator fleet() {
         return fleet;
     }
 
     @Override
-    public FleetCopy make(FleetCopy.Outlet outlet, long now) {
+    public CoordinatedReplica make(CoordinatedReplica.Actions outlet, long now) {
         int copies = self.zones.length;
         store =
                 settings.folder() == null
                         ? null
-                        : new FileStore(settings.folder(), self.number, copies, log);
-        Store kept = store == null ? Store.NONE : store;
+                        : new FileStableStorage(settings.folder(), self.number, copies, log);
+        StableStorage kept = store == null ? StableStorage.NONE : store;
         if (notes != null) {
             notes.note("joins", Map.of("kept", kept.kept() == null ? 0 : 1));
         }
-        return new FleetCopy(
+        return new CoordinatedReplica(
                 self.zones,
                 self.number,
                 Math.max(1, self.wallClock.getAsLong()),
@@ -168,8 +168,8 @@
                 settings.fleet(),
                 kept,
                 self.random,
-                failovers == null ? Shares.NONE : failovers,
-                removals == null ? Removal.NONE : removals.begin(now),
+                failovers == null ? TrafficCoordination.NONE : failovers,
+                removals == null ? DrainCoordination.NONE : removals.begin(now),
                 () -> self.room.apply(table),
                 outlet,
                 now);
@@ -220,7 +220,7 @@
                                 .filter(share -> share.from() == own)
                                 .map(
                                         share ->
-                                                new ZoneShare(
+                                                new ZoneTrafficShare(
                                                         share.to(),
                                                         share.parts(),
                                                         share.perSecond() == 0
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public void settled(Proposal proposal, Outcome outcome, LogNumber number) {
+    public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
         if (removals == null || !removals.settled(proposal, outcome)) {
             log.info("agreement.settled").with("outcome", outcome).write();
         }
--- a/daemon/src/main/java/cedarrudder/program/Removals.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -1,22 +1,22 @@
 package cedarrudder.program;
 
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.drainage.DrainEvent;
-import cedarrudder.drainage.DrainSettings;
-import cedarrudder.drainage.DrainState;
-import cedarrudder.drainage.Drains;
-import cedarrudder.drainage.Flow;
-import cedarrudder.drainage.Transitions.Effect;
-import cedarrudder.fleet.Removal;
-import cedarrudder.fleet.Tier;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.coordination.DrainCoordination;
+import cedarrudder.coordination.TierView;
+import cedarrudder.draining.DrainCoordinator;
+import cedarrudder.draining.DrainEvent;
+import cedarrudder.draining.DrainSettings;
+import cedarrudder.draining.DrainState;
+import cedarrudder.draining.DrainTransitions.Effect;
+import cedarrudder.draining.TrafficSample;
 import cedarrudder.logging.Logger;
-import cedarrudder.operator.DrainsFile;
-import cedarrudder.table.RouteTable;
-import cedarrudder.transport.Desk.Done;
-import cedarrudder.transport.Fleet;
-import cedarrudder.transport.Loop;
-import cedarrudder.transport.Notes;
+import cedarrudder.operator.DrainsConfiguration;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.transport.AdminOperations.Done;
+import cedarrudder.transport.EventRecorder;
+import cedarrudder.transport.ProxyEventLoop;
+import cedarrudder.transport.ReplicaCoordinator;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -27,7 +27,8 @@
 import java.util.function.Consumer;
 
 /** Drains by policies, wired to what this copy sees and does. On the loop's thread. */
-final class Removals implements Removal, Drains.Local, Drains.Outlet {
+final class DrainWiring
+        implements DrainCoordination, DrainCoordinator.Local, DrainCoordinator.Actions {
 
     /** Figures are those of so long, in nanoseconds. */
     private static final long WINDOW = 10_000_000_000L;
@@ -38,7 +39,7 @@
     /** An operator's call has so long to be agreed on. */
     private static final long PATIENCE = 4_000_000_000L;
 
-    private record Sample(long at, Flow all) {}
+    private record Sample(long at, TrafficSample all) {}
 
     /** A call of operators, of which so many parts are not settled yet. */
     private static final class Call {
@@ -57,20 +58,27 @@
 
     private record Key(long life, long sequence) {}
 
-    private final Loop loop;
+    private final ProxyEventLoop loop;
     private final int copies;
     private final int self;
-    private final Seen view;
-    private final Notes notes;
+    private final LocalTrafficView view;
+    private final EventRecorder notes;
     private final Logger log;
     private final Map<Key, Call> calls = new HashMap<>();
     private final Deque<Sample> samples = new ArrayDeque<>();
-    private DrainsFile file;
-    private Drains drains;
+    private DrainsConfiguration file;
+    private DrainCoordinator drains;
     private Map<Long, Integer> out = Map.of();
     private boolean overruled;
 
-    Removals(Loop loop, int copies, int self, DrainsFile file, Seen view, Notes notes, Logger log) {
+    DrainWiring(
+            ProxyEventLoop loop,
+            int copies,
+            int self,
+            DrainsConfiguration file,
+            LocalTrafficView view,
+            EventRecorder notes,
+            Logger log) {
         this.loop = loop;
         this.copies = copies;
         this.self = self;
@@ -81,14 +89,16 @@
     }
 
     /** This process takes part from now on; what it knew before counts no more. */
-    Removal begin(long now) {
-        drains = new Drains(copies, self, DrainSettings.DEFAULT, file.conditions(), this, now);
+    DrainCoordination begin(long now) {
+        drains =
+                new DrainCoordinator(
+                        copies, self, DrainSettings.DEFAULT, file.conditions(), this, now);
         drains.policies(file.revision(), file.policies());
         return this;
     }
 
     /** Sees to it that the policies of this copy's file count, where they may. */
-    void propose(Fleet fleet) {
+    void propose(ReplicaCoordinator fleet) {
         loop.at(loop.now() + AGAIN, () -> propose(fleet));
         byte[] wanted = drains == null ? null : drains.wanted();
         if (wanted != null) {
@@ -105,7 +115,7 @@
     }
 
     /** The operator's file says this now. */
-    void apply(DrainsFile next) {
+    void apply(DrainsConfiguration next) {
         if (next != null) {
             file = next;
             if (drains != null) {
@@ -117,20 +127,23 @@
     // ---- operators ----
 
     /** Has nodes leave, or ends that. */
-    void call(Fleet fleet, boolean cancel, List<Long> nodes, Consumer<Done> then) {
+    void call(ReplicaCoordinator fleet, boolean cancel, List<Long> nodes, Consumer<Done> then) {
         if (drains == null) {
             then.accept(Done.NO);
             return;
         }
         Call call = new Call(cancel, nodes, then);
-        for (int from = 0; from < nodes.size(); from += Drains.MOST_IDS) {
+        for (int from = 0; from < nodes.size(); from += DrainCoordinator.MOST_IDS) {
             call.left++;
             Proposal made =
                     fleet.propose(
-                            Drains.call(
+                            DrainCoordinator.call(
                                     cancel,
                                     nodes.subList(
-                                            from, Math.min(nodes.size(), from + Drains.MOST_IDS))),
+                                            from,
+                                            Math.min(
+                                                    nodes.size(),
+                                                    from + DrainCoordinator.MOST_IDS))),
                             PATIENCE);
             if (made == null) {
                 call.left--;
@@ -143,11 +156,11 @@
     }
 
     /** What became of a proposal; false where it is none of these. */
-    boolean settled(Proposal proposal, Outcome outcome) {
+    boolean settled(Proposal proposal, ProposalOutcome outcome) {
         Call call = calls.remove(new Key(proposal.life(), proposal.sequence()));
         if (call != null) {
             call.left--;
-            call.failed |= outcome != Outcome.COMMITTED;
+            call.failed |= outcome != ProposalOutcome.COMMITTED;
             end(call);
         }
         return call != null;
@@ -164,7 +177,7 @@
         }
     }
 
-    Drains.Progress progress() {
+    DrainCoordinator.Progress progress() {
         return drains == null ? null : drains.progress();
     }
 
@@ -186,7 +199,7 @@
     }
 
     @Override
-    public byte[] next(long now, Tier tier) {
+    public byte[] next(long now, TierView tier) {
         return drains.next(now, view.wallClock(), view.nodes(), tier::lives);
     }
 
@@ -228,10 +241,10 @@
     }
 
     @Override
-    public Flow flow() {
-        Flow first = samples.getFirst().all;
-        Flow last = samples.getLast().all;
-        return new Flow(
+    public TrafficSample flow() {
+        TrafficSample first = samples.getFirst().all;
+        TrafficSample last = samples.getLast().all;
+        return new TrafficSample(
                 last.ended() - first.ended(),
                 last.refused() - first.refused(),
                 last.failed() - first.failed(),
@@ -239,7 +252,7 @@
     }
 
     @Override
-    public void happened(Drains.Happened happened) {
+    public void happened(DrainCoordinator.Happened happened) {
         String event = happened.event().name().toLowerCase(Locale.ROOT).replace('_', '-');
         if (happened.effect() == Effect.ALARM) {
             log.warn("drain.overdue").with("node", happened.node()).with("then", event).write();
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -1,10 +1,10 @@
 package cedarrudder.program;
 
-import cedarrudder.drainage.Command.Still;
-import cedarrudder.drainage.Command.Wait;
-import cedarrudder.drainage.Drains.Ended;
-import cedarrudder.drainage.Drains.Progress;
-import cedarrudder.drainage.Drains.Shown;
+import cedarrudder.draining.DrainCommand.Still;
+import cedarrudder.draining.DrainCommand.Wait;
+import cedarrudder.draining.DrainCoordinator.Ended;
+import cedarrudder.draining.DrainCoordinator.Progress;
+import cedarrudder.draining.DrainCoordinator.Shown;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
--- a/daemon/src/main/java/cedarrudder/program/ListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -1,20 +1,20 @@
 package cedarrudder.program;
 
-import cedarrudder.flow.HeldBytes;
-import cedarrudder.footprint.CopyFootprint;
-import cedarrudder.footprint.CopyShape;
-import cedarrudder.footprint.Footprint;
-import cedarrudder.footprint.Layout;
-import cedarrudder.footprint.Limits;
-import cedarrudder.footprint.ListShape;
-import cedarrudder.footprint.Takes;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.footprint.EndpointListFootprint;
+import cedarrudder.footprint.EndpointListShape;
+import cedarrudder.footprint.MemoryEstimate;
+import cedarrudder.footprint.ObjectLayout;
+import cedarrudder.footprint.ProcessFootprint;
+import cedarrudder.footprint.ProcessLimits;
+import cedarrudder.footprint.ProcessShape;
 import cedarrudder.operator.CallersTable;
 import cedarrudder.operator.FootprintSettings;
 import cedarrudder.operator.FootprintTable;
 import cedarrudder.operator.NodesTable;
-import cedarrudder.operator.Operator;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.protocol.EndpointListReader;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.ListGate;
 import cedarrudder.protocol.SettingsReader;
 import cedarrudder.protocol.SiteSettings;
 import java.io.IOException;
@@ -27,7 +27,7 @@
 import java.util.Set;
 
 /** Tells what a list of nodes takes of a process with given limits, and whether it fits. */
-final class ListCheck {
+final class EndpointListCheck {
 
     private static final String LIST = "servers";
 
@@ -39,19 +39,19 @@
     /** What a file has. */
     private record Read(JsonObject list, JsonObject configuration) {}
 
-    private final Layout layout = MachineLayout.read();
-    private final CopyFootprint copy = new CopyFootprint(layout);
-    private final Operator operator;
-    private final Limits limits;
+    private final ObjectLayout layout = MachineLayout.read();
+    private final ProcessFootprint copy = new ProcessFootprint(layout);
+    private final OperatorFile operator;
+    private final ProcessLimits limits;
     private final PrintWriter out;
 
     /**
      * @param limits with the heap's maximum as the virtual machine's flag gives it
      */
-    ListCheck(Operator operator, Limits limits, PrintWriter out) {
+    EndpointListCheck(OperatorFile operator, ProcessLimits limits, PrintWriter out) {
         this.operator = operator;
         this.limits =
-                new Limits(
+                new ProcessLimits(
                         limits.heap() - limits.heap() / SURVIVORS,
                         limits.resident(),
                         limits.direct(),
@@ -80,13 +80,13 @@
                 configuration == null ? null : SettingsReader.read(configuration.child("settings"));
         int sockets =
                 configuration == null
-                        ? Configuration.DEFAULT_SOCKETS
-                        : Configuration.sockets(configuration);
-        ListShape list = ListGate.shape(told.list);
+                        ? ProxyConfiguration.DEFAULT_SOCKETS
+                        : ProxyConfiguration.sockets(configuration);
+        EndpointListShape list = EndpointListReader.shape(told.list);
         int callers = operator.of(CallersTable.CALLERS).mostCallers(sockets);
         int channels = operator.of(NodesTable.NODES).bounds(sockets, callers).idle();
-        CopyShape shape =
-                new CopyShape(
+        ProcessShape shape =
+                new ProcessShape(
                         list,
                         site == null ? 0 : site.zones().size(),
                         site == null ? 0 : site.kinds().size(),
@@ -96,23 +96,23 @@
                         callers,
                         channels,
                         callers,
-                        HeldBytes.MOST);
+                        BufferAccount.MOST);
         out.println(file + ": " + list.nodes() + " nodes");
         terms(shape);
-        Takes one = copy.oneMoreNode(shape);
+        MemoryEstimate one = copy.oneMoreNode(shape);
         out.println("one more node: " + one.rest() + " at rest, " + one.peak() + " at the peak");
         boolean nodes = nodes(shape, list, told.list, held);
         return process(shape) && nodes;
     }
 
-    private void terms(CopyShape shape) {
+    private void terms(ProcessShape shape) {
         out.println(row("term", "count", "heap at rest", "heap at peak", "direct", "descriptors"));
         copy.terms(shape)
                 .forEach(term -> out.println(row(term.name(), term.count(), term.takes())));
         out.println(row("all", "", copy.takes(shape)));
     }
 
-    private static String row(String name, Object count, Takes takes) {
+    private static String row(String name, Object count, MemoryEstimate takes) {
         return row(name, count, takes.rest(), takes.peak(), takes.direct(), takes.descriptors());
     }
 
@@ -121,11 +121,12 @@
     }
 
     /** Whether the nodes fit into their share of the heap. */
-    private boolean nodes(CopyShape shape, ListShape list, JsonObject told, JsonObject held) {
+    private boolean nodes(
+            ProcessShape shape, EndpointListShape list, JsonObject told, JsonObject held) {
         FootprintSettings set = operator.of(FootprintTable.FOOTPRINT);
         double share = set == null ? FootprintSettings.DEFAULT.heapShare() : set.heapShare();
         long room = Math.min((long) (share * limits.heap()), copy.left(shape, limits.heap()));
-        Footprint footprint = new Footprint(layout);
+        EndpointListFootprint footprint = new EndpointListFootprint(layout);
         Set<String> known = held == null ? Set.of() : ids(held);
         int added =
                 (int)
@@ -135,8 +136,9 @@
                                                 entry == null
                                                         || !known.contains(entry.text("id", "")))
                                 .count();
-        ListShape before = held == null ? ListShape.NONE : ListGate.shape(held);
-        Footprint.Verdict verdict = footprint.judge(before, list, added, true, room);
+        EndpointListShape before =
+                held == null ? EndpointListShape.NONE : EndpointListReader.shape(held);
+        EndpointListFootprint.Verdict verdict = footprint.judge(before, list, added, true, room);
         List<Integer> steps = footprint.steps(before, list, added, true, room);
         int never = added - steps.stream().mapToInt(Integer::intValue).sum();
         int least = set == null ? FootprintSettings.DEFAULT.fromNodes() : set.fromNodes();
@@ -167,8 +169,8 @@
     }
 
     /** Whether the process fits with all callers, channels and bodies that it may come to have. */
-    private boolean process(CopyShape shape) {
-        CopyFootprint.Verdict verdict = copy.judge(shape, limits);
+    private boolean process(ProcessShape shape) {
+        ProcessFootprint.Verdict verdict = copy.judge(shape, limits);
         out.println(
                 "process: "
                         + (verdict.fits() ? "fits" : "does not fit")
--- a/daemon/src/main/java/cedarrudder/program/Failovers.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -1,34 +1,34 @@
 package cedarrudder.program;
 
-import cedarrudder.failover.Evidence;
-import cedarrudder.failover.Evidence.Seen;
-import cedarrudder.failover.Failover;
+import cedarrudder.coordination.FailoverTraffic;
+import cedarrudder.coordination.TierView;
+import cedarrudder.coordination.TrafficCoordination;
+import cedarrudder.failover.FailoverCoordinator;
 import cedarrudder.failover.FailoverSettings;
-import cedarrudder.failover.Planner;
-import cedarrudder.failover.ZoneTally;
-import cedarrudder.fleet.Shares;
-import cedarrudder.fleet.Tier;
-import cedarrudder.fleet.ZoneShares;
+import cedarrudder.failover.TrafficSplitPlanner;
+import cedarrudder.failover.ZoneObservations;
+import cedarrudder.failover.ZoneObservations.Seen;
+import cedarrudder.failover.ZoneTrafficCounter;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
 import cedarrudder.protocol.SiteSettings;
-import cedarrudder.routing.Driver;
-import cedarrudder.table.RouteTable;
-import cedarrudder.transport.Notes;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.transport.EventRecorder;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
 /** Failover that copies decide together, wired to what this copy sees. On the loop's thread. */
-final class Failovers implements Shares {
+final class FailoverWiring implements TrafficCoordination {
 
     private static final long MILLI = 1_000_000L;
 
-    private final Failover failover;
-    private final ZoneShares shares;
+    private final FailoverCoordinator failover;
+    private final FailoverTraffic shares;
     private final List<String> zones;
-    private final Notes notes;
+    private final EventRecorder notes;
     private final Logger log;
-    private List<Planner.Move> said = List.of();
+    private List<TrafficSplitPlanner.Move> said = List.of();
     private List<String> left = List.of();
 
     /**
@@ -38,15 +38,15 @@
      * @param notes takes what was seen of zones; null where nobody asked for that
      * @throws IllegalArgumentException if the settings don't fit the site or the reports
      */
-    Failovers(
+    FailoverWiring(
             FailoverSettings settings,
             SiteSettings site,
             long reports,
             int[] zoneOf,
             long life,
             long now,
-            Driver<?, ?> driver,
-            Notes notes,
+            RequestForwarder<?, ?> driver,
+            EventRecorder notes,
             Logger log) {
         if (settings.period() != reports) {
             throw new IllegalArgumentException(
@@ -58,8 +58,8 @@
                             + zoneOf.length
                             + " copies report");
         }
-        ZoneTally tally =
-                new ZoneTally(
+        ZoneTrafficCounter tally =
+                new ZoneTrafficCounter(
                         site.module().self(),
                         site.module().zone(),
                         life,
@@ -67,8 +67,8 @@
                         reports,
                         site.module().safety(),
                         now);
-        this.failover = new Failover(settings, site.zones(), zoneOf, tally, now);
-        this.shares = new ZoneShares(failover);
+        this.failover = new FailoverCoordinator(settings, site.zones(), zoneOf, tally, now);
+        this.shares = new FailoverTraffic(failover);
         this.zones = site.zones();
         this.notes = notes;
         this.log = log;
@@ -101,12 +101,12 @@
     public List<byte[]> report(long now) {
         List<byte[]> parts = shares.report(now);
         if (notes != null) {
-            parts.forEach(part -> saw(Evidence.decode(part)));
+            parts.forEach(part -> saw(ZoneObservations.decode(part)));
         }
         return parts;
     }
 
-    private void saw(Evidence evidence) {
+    private void saw(ZoneObservations evidence) {
         for (Seen seen : evidence.seen()) {
             if (seen.age() == 0) {
                 notes.note(
@@ -132,9 +132,9 @@
     }
 
     @Override
-    public List<RouteTable.Share> plan(long now, Tier tier) {
+    public List<RouteTable.Share> plan(long now, TierView tier) {
         List<RouteTable.Share> planned = shares.plan(now, tier);
-        List<Planner.Move> moves = failover.moves();
+        List<TrafficSplitPlanner.Move> moves = failover.moves();
         // Once: a plan is made again each period until it counts.
         moves.stream()
                 .filter(move -> !said.contains(move))
--- a/daemon/src/main/java/cedarrudder/program/FileStore.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -1,11 +1,11 @@
 package cedarrudder.program;
 
-import cedarrudder.agreement.Entry;
-import cedarrudder.agreement.Group;
-import cedarrudder.agreement.Snapshot;
-import cedarrudder.agreement.Store;
-import cedarrudder.agreement.Voter;
-import cedarrudder.agreement.Voters;
+import cedarrudder.consensus.LogEntry;
+import cedarrudder.consensus.Snapshot;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.consensus.Voter;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.consensus.VoterSet;
 import cedarrudder.logging.Logger;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -37,7 +37,7 @@
  * checksum (4). Batch: length (4), its checksum (4), so many bytes, their checksum (4). Checksums
  * are CRC32C. It belongs to the loop's thread, which waits for the disk once an event at the most.
  */
-final class FileStore implements Store, Closeable {
+final class FileStableStorage implements StableStorage, Closeable {
 
     private static final String MAGIC = "cedaragr";
     private static final int VERSION = 1;
@@ -79,8 +79,8 @@
     private long anewAt;
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private Promise promise;
-    private Snapshot snapshot = new Snapshot(0, 0, new Voters(List.of()), new byte[0]);
-    private final List<Entry> entries = new ArrayList<>();
+    private Snapshot snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
+    private final List<LogEntry> entries = new ArrayList<>();
     private Kept kept;
 
     /**
@@ -88,7 +88,7 @@
      *
      * @throws UncheckedIOException if the folder can't be used, or another process uses it
      */
-    FileStore(Path folder, int copy, int copies, Logger log) {
+    FileStableStorage(Path folder, int copy, int copies, Logger log) {
         this.folder = folder;
         this.file = folder.resolve("agreement");
         this.copy = copy;
@@ -149,7 +149,7 @@
                     .write();
             Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
             promise = null;
-            snapshot = new Snapshot(0, 0, new Voters(List.of()), new byte[0]);
+            snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
             entries.clear();
             anew();
         }
@@ -231,7 +231,7 @@
         while (in.hasRemaining()) {
             switch (in.get()) {
                 case PROMISE -> {
-                    Group group = new Group(in.getInt(), in.getInt(), in.getLong());
+                    VoterGroup group = new VoterGroup(in.getInt(), in.getInt(), in.getLong());
                     long life = in.getLong();
                     long term = in.getLong();
                     Voter vote = in.get() == 0 ? null : new Voter(in.getInt(), in.getLong());
@@ -256,23 +256,23 @@
         return bytes;
     }
 
-    private static Entry entry(ByteBuffer in) {
+    private static LogEntry entry(ByteBuffer in) {
         long term = in.getLong();
-        Entry.Kind kind = Entry.Kind.values()[in.get()];
+        LogEntry.Kind kind = LogEntry.Kind.values()[in.get()];
         byte[] content = bytes(in);
-        if (kind == Entry.Kind.VOTERS && Voters.decode(content) == null) {
+        if (kind == LogEntry.Kind.VOTERS && VoterSet.decode(content) == null) {
             throw new IllegalArgumentException("voters");
         }
-        return new Entry(term, kind, content);
+        return new LogEntry(term, kind, content);
     }
 
-    private static Voters voters(ByteBuffer in) {
+    private static VoterSet voters(ByteBuffer in) {
         int count = in.get();
         List<Voter> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(new Voter(in.getInt(), in.getLong()));
         }
-        return new Voters(all);
+        return new VoterSet(all);
     }
 
     private static int sum(byte[] bytes, int from, int length) {
@@ -283,7 +283,7 @@
 
     // ---- what is held ----
 
-    private void take(long index, Entry entry) {
+    private void take(long index, LogEntry entry) {
         drop(index);
         if (index != snapshot.index() + entries.size() + 1) {
             throw new IllegalArgumentException("an entry that follows none");
@@ -338,7 +338,7 @@
         out.writeByte(made.sworn() ? 1 : 0);
     }
 
-    private static void put(DataOutputStream out, long index, Entry entry) throws IOException {
+    private static void put(DataOutputStream out, long index, LogEntry entry) throws IOException {
         out.writeByte(ENTRY);
         out.writeLong(index);
         out.writeLong(entry.term());
@@ -372,7 +372,7 @@
     }
 
     @Override
-    public void entry(long index, Entry entry) {
+    public void entry(long index, LogEntry entry) {
         take(index, entry);
         write(out -> put(out, index, entry));
     }
--- a/daemon/src/main/java/cedarrudder/program/HistoryFile.java
+++ b/daemon/src/main/java/cedarrudder/program/HistoryFile.java
@@ -1,6 +1,6 @@
 package cedarrudder.program;
 
-import cedarrudder.transport.Notes;
+import cedarrudder.transport.EventRecorder;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.FileOutputStream;
@@ -19,7 +19,7 @@
  * itself, so that SIGKILL takes those alone that still wait. It belongs to the loop's thread but
  * for {@link #end}.
  */
-final class HistoryFile implements Notes {
+final class HistoryFile implements EventRecorder {
 
     /** Lines that wait to be written, at the most: some 500 KB. */
     private static final int MOST = 4_096;
@@ -28,7 +28,7 @@
 
     private final int copy;
     private final long life = ProcessHandle.current().pid();
-    private final LogWriter lines;
+    private final AsyncLogWriter lines;
     private long lost;
 
     /**
@@ -38,7 +38,7 @@
         this.copy = copy;
         try {
             lines =
-                    new LogWriter(
+                    new AsyncLogWriter(
                             new PrintStream(
                                     new FileOutputStream(file.toFile(), true),
                                     true,
--- a/daemon/src/main/java/cedarrudder/program/JsonLines.java
+++ b/daemon/src/main/java/cedarrudder/program/JsonLineWriter.java
@@ -14,7 +14,7 @@
  * Lines for programs: one JSON object each, with {@code time} (ISO 8601, UTC), {@code seconds}
  * since the start, {@code level}, {@code event}, and the event's fields, whole numbers as numbers.
  */
-final class JsonLines implements LineWriter {
+final class JsonLineWriter implements LineWriter {
 
     private static final JsonFactory JSON = new JsonFactory();
 
--- a/daemon/src/main/java/cedarrudder/program/Seen.java
+++ b/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
@@ -1,15 +1,15 @@
 package cedarrudder.program;
 
-import cedarrudder.Balancer.State;
-import cedarrudder.drainage.Flow;
-import cedarrudder.drainage.Node;
-import cedarrudder.drainage.Node.Standing;
-import cedarrudder.figures.Figures;
-import cedarrudder.figures.Figures.End;
-import cedarrudder.protocol.ResolverResultReader;
+import cedarrudder.adminoverride.AdminOverrides;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.draining.DrainableNode;
+import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.TrafficSample;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.metrics.RequestMetrics.End;
+import cedarrudder.protocol.EndpointListParser;
 import cedarrudder.protocol.SiteSettings;
-import cedarrudder.rotation.Rotation;
-import cedarrudder.transport.NodeChannels;
+import cedarrudder.transport.EndpointConnectionPool;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -19,24 +19,24 @@
 import java.util.stream.Collectors;
 
 /** What this copy sees of nodes and calls. On the loop's thread. */
-final class Seen {
+final class LocalTrafficView {
 
     private final SiteSettings site;
-    private final Rotation rotation;
-    private final NodeChannels channels;
-    private final ResolverResultReader reader;
-    private final Figures figures;
+    private final AdminOverrides rotation;
+    private final EndpointConnectionPool channels;
+    private final EndpointListParser reader;
+    private final RequestMetrics figures;
     private final LongSupplier clock;
 
     /**
      * @param clock the machine's, in milliseconds since 1970
      */
-    Seen(
+    LocalTrafficView(
             SiteSettings site,
-            Rotation rotation,
-            NodeChannels channels,
-            ResolverResultReader reader,
-            Figures figures,
+            AdminOverrides rotation,
+            EndpointConnectionPool channels,
+            EndpointListParser reader,
+            RequestMetrics figures,
             LongSupplier clock) {
         this.site = site;
         this.rotation = rotation;
@@ -47,16 +47,16 @@
     }
 
     /** What discovery lists, each with whether it serves as far as this copy can tell. */
-    Collection<Node> nodes() {
+    Collection<DrainableNode> nodes() {
         int tier = site.module().tier();
         String name = named(site.tiers(), tier);
         Set<String> disabled = rotation.disabled();
-        List<Node> nodes = new ArrayList<>();
+        List<DrainableNode> nodes = new ArrayList<>();
         rotation.listed()
                 .forEach(
                         (id, entry) ->
                                 nodes.add(
-                                        new Node(
+                                        new DrainableNode(
                                                 entry.id(),
                                                 name,
                                                 named(site.zones(), entry.zone()),
@@ -65,7 +65,7 @@
                                                 entry.weight(),
                                                 disabled.contains(id)
                                                         ? Standing.DISABLED
-                                                        : entry.state() == State.DRAINING
+                                                        : entry.state() == EndpointStatus.DRAINING
                                                                 ? Standing.TERMINATING
                                                                 : channels.failing(entry.id())
                                                                         ? Standing.FAILED
@@ -92,7 +92,7 @@
     }
 
     /** What became of all calls since the start. */
-    Flow ended() {
+    TrafficSample ended() {
         long served = 0;
         long refused = 0;
         long failed = 0;
@@ -102,7 +102,7 @@
             failed += figures.allEnded(i, End.FAULTED);
         }
         // Differences are what counts: these may pass the largest number and begin anew.
-        return new Flow(
+        return new TrafficSample(
                 (int) (served + refused + failed),
                 (int) refused,
                 (int) failed,
--- a/daemon/src/main/java/cedarrudder/program/MachineLayout.java
+++ b/daemon/src/main/java/cedarrudder/program/MachineLayout.java
@@ -1,7 +1,7 @@
 package cedarrudder.program;
 
-import cedarrudder.footprint.Layout;
-import cedarrudder.footprint.Limits;
+import cedarrudder.footprint.ObjectLayout;
+import cedarrudder.footprint.ProcessLimits;
 import com.sun.management.HotSpotDiagnosticMXBean;
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
@@ -14,10 +14,10 @@
 
     private MachineLayout() {}
 
-    static Layout read() {
+    static ObjectLayout read() {
         HotSpotDiagnosticMXBean machine =
                 ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class);
-        return Layout.of(
+        return ObjectLayout.of(
                 flag(machine, "UseCompressedOops"),
                 flag(machine, "UseCompressedClassPointers"),
                 Integer.parseInt(machine.getVMOption("ObjectAlignmentInBytes").getValue()));
@@ -26,12 +26,12 @@
     /**
      * @param memory bytes of the machine's memory that the process may take; 0: no bound is known
      */
-    static Limits limits(long memory) {
+    static ProcessLimits limits(long memory) {
         HotSpotDiagnosticMXBean machine =
                 ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class);
         long heap = Runtime.getRuntime().maxMemory();
         long direct = Long.parseLong(machine.getVMOption("MaxDirectMemorySize").getValue());
-        return new Limits(
+        return new ProcessLimits(
                 heap,
                 memory,
                 direct == 0 ? heap : direct,
--- a/daemon/src/main/java/cedarrudder/program/Main.java
+++ b/daemon/src/main/java/cedarrudder/program/Main.java
@@ -1,7 +1,7 @@
 package cedarrudder.program;
 
-import cedarrudder.Tuning;
-import cedarrudder.sim.SimHost;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.simulator.SimulatorHost;
 
 /**
  * The program. Its commands are {@code serve}, {@code adapter}, {@code check} and {@code version}.
@@ -17,9 +17,9 @@
     public static void main(String[] args) throws InterruptedException {
         int code;
         if (args.length == 1 && args[0].equals("adapter")) {
-            code = SimHost.run(Tuning.DEFAULTS);
+            code = SimulatorHost.run(BalancerParameters.DEFAULTS);
         } else if (args.length == 1 && args[0].equals("serve")) {
-            code = Daemon.serve(ServeOptions.NONE);
+            code = ProxyProcess.serve(ServeOptions.NONE);
         } else {
             code = Commands.run(args);
         }
--- a/daemon/src/main/java/cedarrudder/program/KeptState.java
+++ b/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
@@ -18,7 +18,7 @@
  * deletion, so a kill at any moment leaves the state before it or after it, and two processes see
  * the same.
  */
-final class KeptState {
+final class PersistedAdminState {
 
     private static final String NODE = "disabled-";
     private static final String DRAINED = "drained";
@@ -31,13 +31,14 @@
 
     private final Path folder;
 
-    KeptState(Path folder) {
+    PersistedAdminState(Path folder) {
         this.folder = folder;
     }
 
     /**
-     * Reads the folder. An IOException: it can't be read, or isn't there, though {@link Handover}
-     * has made it. Guards against bans that are taken back because somebody removed the folder.
+     * Reads the folder. An IOException: it can't be read, or isn't there, though {@link
+     * ProcessHandover} has made it. Guards against bans that are taken back because somebody
+     * removed the folder.
      */
     Told read() throws IOException {
         Set<String> disabled = new HashSet<>();
--- a/daemon/src/main/java/cedarrudder/program/Handover.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
@@ -19,7 +19,7 @@
  * <p>The file is open once in a process: closing any descriptor of it would free the locks of all.
  * Where somebody has removed it, {@link #renew} takes a place in the one that is there now.
  */
-final class Handover {
+final class ProcessHandover {
 
     /** Processes of one proxy at once; an upgrade has two. */
     private static final int SLOTS = 8;
@@ -86,7 +86,7 @@
     /** Whether this process is the one that speaks, also while the file is another one. */
     private boolean spoke;
 
-    Handover(Path folder) {
+    ProcessHandover(Path folder) {
         this.folder = folder;
     }
 
