--- a/daemon/src/main/java/cedarrudder/program/CopyEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -1,19 +1,19 @@
 package cedarrudder.program;
 
-import cedarrudder.footprint.CopyFootprint;
-import cedarrudder.footprint.CopyShape;
-import cedarrudder.footprint.Ground;
-import cedarrudder.footprint.Layout;
-import cedarrudder.footprint.Limits;
-import cedarrudder.footprint.ListShape;
-import cedarrudder.footprint.Room;
-import cedarrudder.footprint.TableFootprint;
-import cedarrudder.protocol.FiguresPage;
-import cedarrudder.protocol.ListGate;
-import cedarrudder.protocol.ListGate.Judged;
+import cedarrudder.footprint.EndpointListShape;
+import cedarrudder.footprint.ObjectLayout;
+import cedarrudder.footprint.ProcessBaseline;
+import cedarrudder.footprint.ProcessFootprint;
+import cedarrudder.footprint.ProcessLimits;
+import cedarrudder.footprint.ProcessShape;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.footprint.RouteTableFootprint;
+import cedarrudder.protocol.EndpointListReader;
+import cedarrudder.protocol.EndpointListReader.Judged;
+import cedarrudder.protocol.MetricsPage;
 import cedarrudder.protocol.SiteSettings;
-import cedarrudder.table.RouteTable;
-import cedarrudder.transport.Notes;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.transport.EventRecorder;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryType;
 import java.util.Map;
@@ -22,7 +22,7 @@
 /**
  * What this process takes beside what it may, where the operator's file has {@code [footprint]}.
  */
-final class CopyEstimate {
+final class ProcessMemoryEstimate {
 
     /** The collector compacts all of the heap at each fourth of its collections. */
     private static final int COLLECTIONS = 4;
@@ -39,11 +39,11 @@
     }
 
     private final SiteSettings site;
-    private final Layout layout;
-    private final TableFootprint tables;
-    private final Limits limits;
+    private final ObjectLayout layout;
+    private final RouteTableFootprint tables;
+    private final ProcessLimits limits;
     private final Now now;
-    private CopyFootprint copy;
+    private ProcessFootprint copy;
     private boolean measured;
     private int judged;
     private String loads;
@@ -51,25 +51,26 @@
     /**
      * @param further so many descriptors more than usual are open for good
      */
-    CopyEstimate(SiteSettings site, Layout layout, Limits limits, int further, Now now) {
+    ProcessMemoryEstimate(
+            SiteSettings site, ObjectLayout layout, ProcessLimits limits, int further, Now now) {
         this.site = site;
         this.layout = layout;
-        this.tables = new TableFootprint(layout);
+        this.tables = new RouteTableFootprint(layout);
         this.limits = limits;
         this.now = now;
-        Ground usual = new CopyFootprint(layout).ground();
+        ProcessBaseline usual = new ProcessFootprint(layout).ground();
         this.copy =
-                new CopyFootprint(
+                new ProcessFootprint(
                         layout,
-                        new Ground(
+                        new ProcessBaseline(
                                 usual.heap(),
                                 usual.resident(),
                                 usual.direct(),
                                 usual.descriptors() + further));
     }
 
-    private CopyShape shape(ListShape list, Load load) {
-        return new CopyShape(
+    private ProcessShape shape(EndpointListShape list, Load load) {
+        return new ProcessShape(
                 list,
                 site.zones().size(),
                 site.kinds().size(),
@@ -89,7 +90,7 @@
     long room(double share, Load most) {
         return Math.min(
                 (long) (share * limits.heap()),
-                copy.left(shape(ListShape.NONE, most), limits.heap()));
+                copy.left(shape(EndpointListShape.NONE, most), limits.heap()));
     }
 
     /**
@@ -97,12 +98,12 @@
      * collection. To be called in the loop's first turn, when nobody waits. Guards against an
      * estimate that knows nothing of the other tables of the operator's file.
      */
-    void measure(ListShape held) {
+    void measure(EndpointListShape held) {
         long known = copy.takes(shape(held, now.load())).rest() - copy.ground().heap();
         copy =
-                new CopyFootprint(
+                new ProcessFootprint(
                         layout,
-                        new Ground(
+                        new ProcessBaseline(
                                 live() - known + STARTING,
                                 copy.ground().resident(),
                                 copy.ground().direct(),
@@ -128,12 +129,12 @@
     }
 
     /** What operators see of it; null before the first list. */
-    FiguresPage.Estimate figures(ListGate gate) {
+    MetricsPage.Estimate figures(EndpointListReader gate) {
         if (gate.last() == null) {
             return null;
         }
-        CopyShape shape = shape(gate.held(), now.load());
-        return new FiguresPage.Estimate(
+        ProcessShape shape = shape(gate.held(), now.load());
+        return new MetricsPage.Estimate(
                 gate.last(),
                 copy.takes(shape),
                 copy.oneMoreNode(shape),
@@ -143,7 +144,7 @@
     }
 
     /** What this copy can load of route tables, beside the nodes that it holds. */
-    Room room(RouteTable held, ListGate gate) {
+    RouteTableCapacity room(RouteTable held, EndpointListReader gate) {
         return tables.room(held, gate.left(), gate.most());
     }
 
@@ -151,7 +152,7 @@
      * Writes a verdict for the judge of many copies: of the whole list, and of what is loaded of
      * it.
      */
-    void judged(Judged list, Notes history) {
+    void judged(Judged list, EventRecorder history) {
         loads = "list " + ++judged;
         note(history, list.all(), list.fits());
         if (!list.fits()) {
@@ -160,7 +161,7 @@
         }
     }
 
-    private void note(Notes history, ListShape list, boolean fits) {
+    private void note(EventRecorder history, EndpointListShape list, boolean fits) {
         history.note(
                 "estimate",
                 Map.of(
@@ -178,7 +179,7 @@
      * What was judged last is loaded: says so, and what the process then holds, on a thread of its
      * own.
      */
-    void took(Notes history, Consumer<Runnable> loop) {
+    void took(EventRecorder history, Consumer<Runnable> loop) {
         String load = loads;
         history.note("took", Map.of("load", load));
         Thread measuring =
--- a/daemon/src/main/java/cedarrudder/program/Configuration.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyConfiguration.java
@@ -16,7 +16,7 @@
  * @param memory bytes of the machine's memory that it may take; 0: nothing is said
  * @param known the list of nodes as this proxy last had it, still as JSON
  */
-record Configuration(
+record ProxyConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress admin,
@@ -40,9 +40,9 @@
     private static final int LEAST_SOCKETS = 8;
 
     /** Reads the configuration file; an IllegalArgumentException says what is wrong with it. */
-    static Configuration parse(String text) {
+    static ProxyConfiguration parse(String text) {
         JsonObject json = JsonObject.parse(text);
-        return new Configuration(
+        return new ProxyConfiguration(
                 json.text("name", ""),
                 Addresses.parse(json.text("listen", null)),
                 optional(json.text("admin_addr", "")),
@@ -64,10 +64,10 @@
     }
 
     /** The same, with the operators' address from the environment where that names one. */
-    Configuration withAdmin(String address) {
+    ProxyConfiguration withAdmin(String address) {
         return address == null || address.isEmpty()
                 ? this
-                : new Configuration(
+                : new ProxyConfiguration(
                         name,
                         listen,
                         Addresses.parse(address),
@@ -83,8 +83,8 @@
     }
 
     /** The same without the list, for which a process that has read it needs no memory any more. */
-    Configuration withoutKnown() {
-        return new Configuration(
+    ProxyConfiguration withoutKnown() {
+        return new ProxyConfiguration(
                 name,
                 listen,
                 admin,
--- a/daemon/src/main/java/cedarrudder/program/Daemon.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
@@ -1,8 +1,8 @@
 package cedarrudder.program;
 
 import cedarrudder.logging.Logger;
-import cedarrudder.operator.Operator;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.toml.InvalidFileException;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.IOException;
@@ -10,11 +10,11 @@
 import java.nio.file.Path;
 
 /** The proxy as a process: its files, its signals, its end. */
-final class Daemon {
+final class ProxyProcess {
 
     private static final int FAILED = 1;
 
-    private Daemon() {}
+    private ProxyProcess() {}
 
     /**
      * Spares Netty what it does for larger programs. Each of these costs start-up time or memory,
@@ -40,22 +40,22 @@
      */
     static int serve(ServeOptions options) throws InterruptedException {
         try {
-            Operator operator = options.read();
+            OperatorFile operator = options.read();
             String file = System.getenv("BALANCER_CONFIG");
             if (file == null) {
                 throw new IllegalArgumentException("BALANCER_CONFIG is not set");
             }
             keepNettySmall(); // first: reading addresses begins Netty
-            Configuration configuration = read(file);
-            LogWriter lines = LogWriter.inPlaceOfStandardError();
-            Proxy proxy =
-                    new Proxy(
+            ProxyConfiguration configuration = read(file);
+            AsyncLogWriter lines = AsyncLogWriter.inPlaceOfStandardError();
+            ProxyServer proxy =
+                    new ProxyServer(
                             configuration, operator, new Logger(lines::take), state(configuration));
             // Before anything listens: guards against the virtual machine's own answers to signals.
             // SIGHUP
             // would end it, and so would SIGTERM: it ends when this hook has, and all taken is
             // answered.
-            Hangups hangups = new Hangups();
+            ReloadSignal hangups = new ReloadSignal();
             Signals.onHangup(
                     () -> hangups.heard(() -> reload(proxy, file, options)), proxy::noHangup);
             Runtime.getRuntime()
@@ -71,13 +71,13 @@
             System.err.println(
                     "cedarrudder: " + String.valueOf(e.getMessage()).replaceAll("\\R", " "));
             return FAILED;
-        } catch (BadFileException e) {
+        } catch (InvalidFileException e) {
             e.problems().forEach(problem -> System.err.println("cedarrudder: " + problem));
             return FAILED;
         }
     }
 
-    private static int start(Proxy proxy) throws IOException, InterruptedException {
+    private static int start(ProxyServer proxy) throws IOException, InterruptedException {
         try {
             proxy.start();
             return 0;
@@ -92,14 +92,14 @@
      * that it sets, and keeps nothing from the other.
      *
      * <p>They are read on the thread of the signal, since the loop would stand still meanwhile, and
-     * by one of these threads at a time ({@link Hangups}).
+     * by one of these threads at a time ({@link ReloadSignal}).
      */
-    private static void reload(Proxy proxy, String file, ServeOptions options) {
+    private static void reload(ProxyServer proxy, String file, ServeOptions options) {
         proxy.reload(() -> read(file));
         if (options.operator() != null) {
             try {
                 proxy.apply(options.read());
-            } catch (BadFileException e) {
+            } catch (InvalidFileException e) {
                 proxy.keep(e);
             }
         }
@@ -109,7 +109,7 @@
      * Where this proxy keeps its state, by the address at which its clients find it: guards against
      * proxies that share a folder for temporary files taking up one another's.
      */
-    private static Path state(Configuration configuration) {
+    private static Path state(ProxyConfiguration configuration) {
         String folder = System.getenv("TMPDIR");
         return Path.of(
                 folder == null || folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder,
@@ -119,7 +119,7 @@
                         + configuration.listen().getPort());
     }
 
-    private static Configuration read(String file) throws IOException {
+    private static ProxyConfiguration read(String file) throws IOException {
         String text;
         try {
             text = Files.readString(Path.of(file));
@@ -127,7 +127,7 @@
             throw new IOException("can't read the configuration: " + e.getMessage(), e);
         }
         try {
-            return Configuration.parse(text).withAdmin(System.getenv("BALANCER_ADMIN_ADDR"));
+            return ProxyConfiguration.parse(text).withAdmin(System.getenv("BALANCER_ADMIN_ADDR"));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("configuration: " + e.getMessage(), e);
         }
--- a/daemon/src/main/java/cedarrudder/program/Proxy.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -1,61 +1,61 @@
 package cedarrudder.program;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.State;
-import cedarrudder.Decide;
+import cedarrudder.adminoverride.AdminOverrides;
+import cedarrudder.adminoverride.AdminOverrides.Named;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.PrequalBalancer;
+import cedarrudder.bodyflow.BufferAccount;
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.budget.Budgets;
-import cedarrudder.drainage.Policy;
+import cedarrudder.draining.DrainPolicy;
 import cedarrudder.failover.FailoverSettings;
-import cedarrudder.figures.Figures;
-import cedarrudder.flow.HeldBytes;
-import cedarrudder.footprint.Footprint;
-import cedarrudder.footprint.Room;
+import cedarrudder.footprint.EndpointListFootprint;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.forwarding.DiscoveryPollSchedule;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
 import cedarrudder.logging.TextLines;
 import cedarrudder.membership.MembershipSettings;
+import cedarrudder.metrics.RequestMetrics;
 import cedarrudder.operator.AgreementTable;
+import cedarrudder.operator.AgreementTableSettings;
 import cedarrudder.operator.BudgetTable;
 import cedarrudder.operator.CallersTable;
 import cedarrudder.operator.DiscoveryTable;
-import cedarrudder.operator.DrainsFile;
+import cedarrudder.operator.DrainsConfiguration;
 import cedarrudder.operator.DrainsTable;
 import cedarrudder.operator.FailoverTable;
 import cedarrudder.operator.FootprintSettings;
 import cedarrudder.operator.FootprintTable;
 import cedarrudder.operator.HistorySettings;
 import cedarrudder.operator.HistoryTable;
-import cedarrudder.operator.Log;
+import cedarrudder.operator.LogConfiguration;
 import cedarrudder.operator.LogTable;
 import cedarrudder.operator.MembershipTable;
 import cedarrudder.operator.NodesTable;
-import cedarrudder.operator.Operator;
-import cedarrudder.operator.TogetherSettings;
-import cedarrudder.program.Handover.Others;
-import cedarrudder.protocol.BadMessageException;
-import cedarrudder.protocol.FiguresPage;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.program.ProcessHandover.Others;
+import cedarrudder.protocol.EndpointList;
+import cedarrudder.protocol.EndpointListParser;
+import cedarrudder.protocol.EndpointListReader;
+import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.ListGate;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.ResolverResult;
-import cedarrudder.protocol.ResolverResultReader;
-import cedarrudder.protocol.RpcFields;
-import cedarrudder.rotation.Rotation;
-import cedarrudder.rotation.Rotation.Named;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.ResolverClock;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.protocol.MalformedMessageException;
+import cedarrudder.protocol.MetricsPage;
+import cedarrudder.protocol.RequestHeaders;
+import cedarrudder.toml.InvalidFileException;
 import cedarrudder.transport.AdminListener;
-import cedarrudder.transport.Desk;
+import cedarrudder.transport.AdminOperations;
 import cedarrudder.transport.DiscoveryClient;
-import cedarrudder.transport.Drift;
-import cedarrudder.transport.Listener;
-import cedarrudder.transport.Loop;
-import cedarrudder.transport.Membership;
-import cedarrudder.transport.NodeChannels;
+import cedarrudder.transport.EndpointConnectionPool;
+import cedarrudder.transport.HttpServer;
+import cedarrudder.transport.MembershipService;
 import cedarrudder.transport.PeerSocket;
+import cedarrudder.transport.ProxyEventLoop;
+import cedarrudder.transport.SkewedClock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -68,7 +68,7 @@
 import java.util.function.Consumer;
 
 /** One proxy: its parts, wired together. */
-final class Proxy {
+final class ProxyServer {
 
     /**
      * How often a node that was enabled is asked for its load, in nanoseconds, and how many times.
@@ -101,49 +101,49 @@
     private static final long ANSWER = 3_000_000_000L;
 
     private final Logger log;
-    private Configuration configuration;
-    private final Loop loop;
-    private final Driver<Message, Message> driver;
-    private final NodeChannels channels;
-    private final ResolverResultReader reader;
-    private final ListGate footprint;
-    private final CopyEstimate estimate;
+    private ProxyConfiguration configuration;
+    private final ProxyEventLoop loop;
+    private final RequestForwarder<HttpMessage, HttpMessage> driver;
+    private final EndpointConnectionPool channels;
+    private final EndpointListParser reader;
+    private final EndpointListReader footprint;
+    private final ProcessMemoryEstimate estimate;
     private final DiscoveryClient discovery;
     private final PeerSocket peers;
-    private final Listener listener;
+    private final HttpServer listener;
     private final HistoryFile history;
     private final long clockOffset;
-    private final Membership membership;
-    private final Removals removals;
-    private final Together together;
-    private final Figures figures;
-    private final Rotation rotation = new Rotation();
-    private final HeldBytes held = new HeldBytes(HeldBytes.MOST);
-    private final KeptState kept;
-    private final Handover handover;
+    private final MembershipService membership;
+    private final DrainWiring removals;
+    private final CoordinationWiring together;
+    private final RequestMetrics figures;
+    private final AdminOverrides rotation = new AdminOverrides();
+    private final BufferAccount held = new BufferAccount(BufferAccount.MOST);
+    private final PersistedAdminState kept;
+    private final ProcessHandover handover;
     private final CountDownLatch fresh = new CountDownLatch(1);
-    private Operator operator;
+    private OperatorFile operator;
     private Others others = Others.NONE;
 
     /** So many looks at what operators asked of others are still to come. */
     private int looks;
 
     private int waited;
-    private KeptState.Told lastTold;
+    private PersistedAdminState.Told lastTold;
     private boolean resolved;
     private boolean serving;
 
     /** Another process of this proxy speaks to the peers still. */
     private boolean hushed;
 
-    private final StartGate gate = new StartGate();
+    private final StartupGate gate = new StartupGate();
 
     /**
      * @param state where what operators ask for is kept; read and written only where they can ask
      */
-    Proxy(Configuration configuration, Operator operator, Logger log, Path state) {
-        kept = new KeptState(state);
-        handover = new Handover(state);
+    ProxyServer(ProxyConfiguration configuration, OperatorFile operator, Logger log, Path state) {
+        kept = new PersistedAdminState(state);
+        handover = new ProcessHandover(state);
         this.operator = operator;
         this.configuration = configuration;
         this.log = log;
@@ -154,14 +154,14 @@
         HistorySettings recorded = operator.of(HistoryTable.HISTORY);
         loop =
                 recorded == null || recorded.clockDrift() == 0
-                        ? new Loop(log)
-                        : new Loop(log, new Drift(recorded.clockDrift()));
+                        ? new ProxyEventLoop(log)
+                        : new ProxyEventLoop(log, new SkewedClock(recorded.clockDrift()));
         Budgets budgets = budgets(operator.of(BudgetTable.BUDGET));
-        figures = new Figures(site.module().classes().size());
+        figures = new RequestMetrics(site.module().classes().size());
         driver =
-                new Driver<>(
+                new RequestForwarder<>(
                         actions ->
-                                new Decide(
+                                new PrequalBalancer(
                                         site.module(),
                                         new SplittableRandom(configuration.seed()),
                                         actions),
@@ -172,7 +172,7 @@
                         figures);
         int sockets = configuration.sockets();
         channels =
-                new NodeChannels(
+                new EndpointConnectionPool(
                         loop,
                         driver,
                         site,
@@ -181,15 +181,15 @@
                         figures,
                         held);
         clockOffset = recorded == null ? 0 : recorded.clockOffset();
-        reader = new ResolverResultReader(site, loop::now, this::wallClock);
+        reader = new EndpointListParser(site, loop::now, this::wallClock);
         long version = (long) configuration.known().number("version", 0);
         FootprintSettings lists = operator.of(FootprintTable.FOOTPRINT);
         estimate = lists == null ? null : estimate();
         footprint =
                 lists == null
                         ? null
-                        : new ListGate(
-                                new Footprint(MachineLayout.read()),
+                        : new EndpointListReader(
+                                new EndpointListFootprint(MachineLayout.read()),
                                 reader,
                                 estimate.room(lists.heapShare(), most()),
                                 lists.fromNodes());
@@ -198,21 +198,25 @@
                         loop,
                         configuration.discovery(),
                         operator.of(DiscoveryTable.DISCOVERY),
-                        ResolverClock.longest(site.module()),
+                        DiscoveryPollSchedule.longest(site.module()),
                         new SplittableRandom(configuration.seed()).split().split().split(),
                         reader,
                         version,
                         result ->
-                                resolved(result, result.full() ? ListKind.FULL : ListKind.CHANGES),
+                                resolved(
+                                        result,
+                                        result.full()
+                                                ? EndpointListKind.FULL
+                                                : EndpointListKind.CHANGES),
                         driver::unresolved,
                         footprint,
                         lists == null ? 0 : lists.again());
         peers = new PeerSocket(loop, driver, configuration.peers(), configuration.peersAll());
         listener =
-                new Listener(
+                new HttpServer(
                         loop,
                         driver,
-                        new RpcFields(site.module(), budgets),
+                        new RequestHeaders(site.module(), budgets),
                         () -> resolved && serving,
                         callers,
                         callers.mostCallers(sockets),
@@ -237,20 +241,20 @@
         return System.currentTimeMillis() + clockOffset;
     }
 
-    private CopyEstimate estimate() {
+    private ProcessMemoryEstimate estimate() {
         // Usual are an operators' address, with the file of this proxy's processes, and one for its
         // peers.
         int further =
                 (operator.of(HistoryTable.HISTORY) == null ? 0 : 1)
                         - (configuration.admin() == null ? 2 : 0)
                         - (configuration.peerListen() == null ? 1 : 0);
-        return new CopyEstimate(
+        return new ProcessMemoryEstimate(
                 configuration.site(),
                 MachineLayout.read(),
                 MachineLayout.limits(configuration.memory()),
                 further,
                 () ->
-                        new CopyEstimate.Load(
+                        new ProcessMemoryEstimate.Load(
                                 listener.callers(),
                                 channels.open(),
                                 (int) figures.open(),
@@ -258,18 +262,18 @@
     }
 
     /** All that the process may come to hold beside nodes. */
-    private CopyEstimate.Load most() {
+    private ProcessMemoryEstimate.Load most() {
         int sockets = configuration.sockets();
         int callers = operator.of(CallersTable.CALLERS).mostCallers(sockets);
-        return new CopyEstimate.Load(
+        return new ProcessMemoryEstimate.Load(
                 callers,
                 operator.of(NodesTable.NODES).bounds(sockets, callers).idle(),
                 callers,
-                HeldBytes.MOST);
+                BufferAccount.MOST);
     }
 
     /** Membership of this tier's proxies; null where the operator's file has none. */
-    private Membership membership(MembershipSettings set) {
+    private MembershipService membership(MembershipSettings set) {
         if (set == null) {
             return null;
         }
@@ -285,7 +289,7 @@
                             + module.self()
                             + "; allowed: an address, and two peers or more, this one among them");
         }
-        return new Membership(
+        return new MembershipService(
                 loop,
                 peers,
                 set,
@@ -300,7 +304,7 @@
     /**
      * What proxies of this tier decide together; null where the operator's file has no such table.
      */
-    private Together together(TogetherSettings set) {
+    private CoordinationWiring together(AgreementTableSettings set) {
         if (set == null) {
             return null;
         }
@@ -317,13 +321,13 @@
                             + " or more");
         }
         int[] zones =
-                Together.zones(
+                CoordinationWiring.zones(
                         set, configuration.site().zones(), copies, module.self(), module.zone());
         FailoverSettings moves = operator.of(FailoverTable.FAILOVER);
-        Failovers failovers =
+        FailoverWiring failovers =
                 moves == null
                         ? null
-                        : new Failovers(
+                        : new FailoverWiring(
                                 moves,
                                 configuration.site(),
                                 set.fleet().reports(copies),
@@ -333,17 +337,20 @@
                                 driver,
                                 history,
                                 log);
-        return new Together(
+        return new CoordinationWiring(
                 loop,
                 peers,
                 membership,
                 set,
-                new Together.Self(
+                new CoordinationWiring.Self(
                         zones,
                         module.self(),
                         this::wallClock,
                         new SplittableRandom(configuration.seed()).split().split().split().split(),
-                        held -> estimate == null ? Room.ANY : estimate.room(held, footprint)),
+                        held ->
+                                estimate == null
+                                        ? RouteTableCapacity.ANY
+                                        : estimate.room(held, footprint)),
                 driver,
                 this::leaving,
                 failovers,
@@ -364,12 +371,12 @@
     }
 
     /** Drains by policies; null where the operator's file has none. */
-    private Removals removals(DrainsFile file) {
+    private DrainWiring removals(DrainsConfiguration file) {
         if (file == null) {
             return null;
         }
         List<String> zones = configuration.site().zones();
-        for (Policy policy : file.policies()) {
+        for (DrainPolicy policy : file.policies()) {
             if (!policy.whom().zone().isEmpty() && !zones.contains(policy.whom().zone())) {
                 throw new IllegalArgumentException(
                         "drains.policy.zone: found "
@@ -380,12 +387,12 @@
                                 + String.join(", ", zones));
             }
         }
-        return new Removals(
+        return new DrainWiring(
                 loop,
                 configuration.peers().size(),
                 configuration.site().module().self(),
                 file,
-                new Seen(
+                new LocalTrafficView(
                         configuration.site(), rotation, channels, reader, figures, this::wallClock),
                 history,
                 log);
@@ -394,7 +401,7 @@
     /** These nodes are being removed in common. */
     private void leaving(Set<Long> nodes) {
         for (String node : rotation.leaving(nodes, loop.now())) {
-            if (rotation.shown(node).state() == State.READY) {
+            if (rotation.shown(node).state() == EndpointStatus.READY) {
                 log.info("node.stays").with("node", node).write();
             } else {
                 log.info("node.leaving").with("node", node).write();
@@ -424,7 +431,7 @@
                 set.orHop(tier < site.tiers().size() ? site.tiers().get(tier) : "tier-" + tier),
                 site.module(),
                 new SplittableRandom(configuration.seed()).split(),
-                new BudgetLog(log));
+                new BudgetEventLogger(log));
     }
 
     /** Starts it: the module learns the list it had before, then callers are let in. */
@@ -435,7 +442,7 @@
         }
         boolean replacing = others.predecessor(); // before the loop has it
         boolean speaks = membership == null || speak();
-        ResolverResult known = known();
+        EndpointList known = known();
         CountDownLatch told = new CountDownLatch(1);
         loop.run(
                 () -> {
@@ -456,9 +463,9 @@
                         discovery.fetch();
                     }
                     if (known != null) {
-                        resolved(known, ListKind.CACHED);
+                        resolved(known, EndpointListKind.CACHED);
                     } else {
-                        driver.resolved(ListKind.CACHED, List.of());
+                        driver.resolved(EndpointListKind.CACHED, List.of());
                     }
                     if (estimate != null) {
                         measure();
@@ -504,7 +511,7 @@
     }
 
     /** The list that it had before; null where there was none. */
-    private ResolverResult known() {
+    private EndpointList known() {
         JsonObject list = configuration.known();
         configuration = configuration.withoutKnown();
         return list.list("servers", false).isEmpty()
@@ -638,8 +645,8 @@
      * at two looks in turn at a folder that stands. Guards against a look in the midst of its being
      * cleared.
      */
-    private void takeOver(KeptState.Told told) {
-        KeptState.Told before = lastTold;
+    private void takeOver(PersistedAdminState.Told told) {
+        PersistedAdminState.Told before = lastTold;
         lastTold = told;
         for (String node : told.disabled()) {
             if (!rotation.disabled().contains(node)) {
@@ -667,7 +674,7 @@
     private void setBounds() {
         int processes = others.any() ? 2 : 1;
         int sockets = configuration.sockets() / processes;
-        held.most(HeldBytes.MOST / processes);
+        held.most(BufferAccount.MOST / processes);
         var callers = operator.of(CallersTable.CALLERS);
         listener.apply(callers, callers.mostCallers(sockets));
         var nodes = operator.of(NodesTable.NODES);
@@ -679,13 +686,13 @@
             Warmup warmup = new Warmup(loop, configuration, at, log, warmed::countDown);
             listener.setAside(warmup.answers());
             warmup.start();
-        } catch (BadMessageException | RuntimeException e) {
+        } catch (MalformedMessageException | RuntimeException e) {
             log.fault("proxy.not_warmed", e).write();
             warmed.countDown();
         }
     }
 
-    private void resolved(ResolverResult result, ListKind kind) {
+    private void resolved(EndpointList result, EndpointListKind kind) {
         if (!result.unread().isEmpty()) {
             log.warn("discovery.unread")
                     .with("entries", result.unread().size())
@@ -694,7 +701,7 @@
         }
         channels.resolved(result);
         resolved |= !result.nodes().isEmpty();
-        if (kind != ListKind.CACHED) {
+        if (kind != EndpointListKind.CACHED) {
             fresh.countDown();
         }
         driver.resolved(
@@ -712,7 +719,7 @@
     /** Takes up what operators asked for before this process began. */
     private void takeUp() {
         try {
-            KeptState.Told told = kept.read();
+            PersistedAdminState.Told told = kept.read();
             told.disabled().forEach(rotation::disable);
             if (told.drained()) {
                 listener.drainByHand();
@@ -728,7 +735,7 @@
     private void show(String node) {
         Endpoint entry = rotation.shown(node);
         if (entry != null) {
-            driver.resolved(ListKind.CHANGES, List.of(entry));
+            driver.resolved(EndpointListKind.CHANGES, List.of(entry));
         }
     }
 
@@ -739,7 +746,7 @@
      */
     private void welcome(String node, int times) {
         Endpoint entry = rotation.shown(node);
-        if (entry != null && entry.state() == State.READY && times > 0) {
+        if (entry != null && entry.state() == EndpointStatus.READY && times > 0) {
             driver.returned(entry.id());
             loop.at(loop.now() + WELCOME, () -> welcome(node, times - 1));
         }
@@ -767,9 +774,9 @@
      *
      * @param changed reads the configuration, or says in an exception why it can't
      */
-    void reload(Callable<Configuration> changed) {
+    void reload(Callable<ProxyConfiguration> changed) {
         try {
-            Configuration next = changed.call();
+            ProxyConfiguration next = changed.call();
             loop.run(
                     () -> {
                         log.info("configuration.read").with("discovery", next.discovery()).write();
@@ -782,7 +789,7 @@
     }
 
     /** Takes up what the operator's file says now, from any thread. RPCs notice nothing. */
-    void apply(Operator next) {
+    void apply(OperatorFile next) {
         loop.run(
                 () -> {
                     operator = next;
@@ -802,7 +809,7 @@
     /**
      * Tells in the log that the operator's file can't be used, from any thread; nothing changes.
      */
-    void keep(BadFileException bad) {
+    void keep(InvalidFileException bad) {
         loop.run(
                 () ->
                         log.warn("operator.kept")
@@ -811,9 +818,9 @@
                                 .write());
     }
 
-    private void setLog(Log how) {
+    private void setLog(LogConfiguration how) {
         log.settings(how.settings());
-        log.form(how.form() == Log.Form.JSON ? new JsonLines() : new TextLines());
+        log.form(how.form() == LogConfiguration.Form.JSON ? new JsonLineWriter() : new TextLines());
     }
 
     /** Tells in the log that a SIGHUP will not be heard, and why; from any thread. */
@@ -840,7 +847,7 @@
     }
 
     /** What operators ask for, carried out by the parts. */
-    private final class OnDuty implements Desk {
+    private final class OnDuty implements AdminOperations {
         private final List<String> classes =
                 configuration.site().module().classes().stream().map(RequestClass::name).toList();
 
@@ -851,7 +858,7 @@
 
         @Override
         public byte[] figures() {
-            return FiguresPage.write(
+            return MetricsPage.write(
                     figures,
                     classes,
                     rotation.size(),
@@ -864,7 +871,7 @@
         public byte[] table() {
             return together == null
                     ? null
-                    : TablePage.write(
+                    : RouteTablePage.write(
                             together.fleet(), configuration.site().zones(), rotation::name);
         }
 
--- a/daemon/src/main/java/cedarrudder/program/Hangups.java
+++ b/daemon/src/main/java/cedarrudder/program/ReloadSignal.java
@@ -7,7 +7,7 @@
  * signal that comes while another one waits to be read adds nothing: guards against a storm of
  * them. From any thread.
  */
-final class Hangups {
+final class ReloadSignal {
 
     /** Whether one came that nobody has begun to read for. */
     private final AtomicBoolean waits = new AtomicBoolean();
--- a/daemon/src/main/java/cedarrudder/program/TablePage.java
+++ b/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
@@ -1,9 +1,9 @@
 package cedarrudder.program;
 
-import cedarrudder.agreement.Voter;
-import cedarrudder.fleet.FleetCopy.Status;
-import cedarrudder.table.RouteTable;
-import cedarrudder.transport.Fleet;
+import cedarrudder.consensus.Voter;
+import cedarrudder.coordination.CoordinatedReplica.Status;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.transport.ReplicaCoordinator;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
@@ -14,12 +14,12 @@
 import java.util.function.LongFunction;
 
 /** What the copies have agreed on, as operators read it: one JSON object. */
-final class TablePage {
+final class RouteTablePage {
 
     private static final JsonFactory JSON = new JsonFactory();
     private static final long MILLI = 1_000_000L;
 
-    private TablePage() {}
+    private RouteTablePage() {}
 
     /**
      * Writes it.
@@ -27,7 +27,7 @@
      * @param zones the names of the zones by their numbers
      * @param node the id of a node by its number, or null where it is not listed
      */
-    static byte[] write(Fleet fleet, List<String> zones, LongFunction<String> node) {
+    static byte[] write(ReplicaCoordinator fleet, List<String> zones, LongFunction<String> node) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
--- a/daemon/src/main/java/cedarrudder/program/ServeCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/ServeCommand.java
@@ -1,7 +1,7 @@
 package cedarrudder.program;
 
 import cedarrudder.logging.Level;
-import cedarrudder.operator.Log;
+import cedarrudder.operator.LogConfiguration;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -25,7 +25,7 @@
             names = "--log-format",
             paramLabel = "FORMAT",
             description = "The form of the log's lines, " + "whatever the file says: text or json.")
-    private Log.Form form;
+    private LogConfiguration.Form form;
 
     @Option(
             names = "--log-level",
@@ -43,6 +43,6 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        return Daemon.serve(new ServeOptions(operator, form, level));
+        return ProxyProcess.serve(new ServeOptions(operator, form, level));
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/ServeOptions.java
+++ b/daemon/src/main/java/cedarrudder/program/ServeOptions.java
@@ -2,10 +2,10 @@
 
 import cedarrudder.logging.Level;
 import cedarrudder.logging.LogSettings;
-import cedarrudder.operator.Log;
+import cedarrudder.operator.LogConfiguration;
 import cedarrudder.operator.LogTable;
-import cedarrudder.operator.Operator;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.toml.InvalidFileException;
 import java.nio.file.Path;
 
 /**
@@ -15,22 +15,22 @@
  * @param form the form of the log, whatever that file says
  * @param level the level of the log, whatever that file says
  */
-record ServeOptions(Path operator, Log.Form form, Level level) {
+record ServeOptions(Path operator, LogConfiguration.Form form, Level level) {
 
     /** {@code serve} alone. */
     static final ServeOptions NONE = new ServeOptions(null, null, null);
 
     /** Reads the operator's file, if there is one, and overrides what the command line does. */
-    Operator read() throws BadFileException {
-        Operator read = operator == null ? Operator.NONE : Operator.read(operator);
+    OperatorFile read() throws InvalidFileException {
+        OperatorFile read = operator == null ? OperatorFile.NONE : OperatorFile.read(operator);
         if (form == null && level == null) {
             return read;
         }
-        Log log = read.of(LogTable.LOG);
+        LogConfiguration log = read.of(LogTable.LOG);
         LogSettings settings = log.settings();
         return read.with(
                 LogTable.LOG,
-                new Log(
+                new LogConfiguration(
                         form == null ? log.form() : form,
                         new LogSettings(
                                 level == null ? settings.level() : level,
--- a/daemon/src/main/java/cedarrudder/program/StartGate.java
+++ b/daemon/src/main/java/cedarrudder/program/StartupGate.java
@@ -7,7 +7,7 @@
  * before it waits for them, each on a thread of its own. Whoever asks first decides, and the other
  * is told.
  */
-final class StartGate {
+final class StartupGate {
 
     private enum Phase {
         STARTING,
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -1,28 +1,28 @@
 package cedarrudder.program;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
-import cedarrudder.Decide;
-import cedarrudder.figures.Figures;
-import cedarrudder.flow.HeldBytes;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.PrequalBalancer;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.forwarding.AttemptTransport;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.Exchange;
+import cedarrudder.forwarding.RequestAttempt;
+import cedarrudder.forwarding.RequestForwarder;
+import cedarrudder.forwarding.TimerService;
 import cedarrudder.logging.Logger;
-import cedarrudder.protocol.BadMessageException;
-import cedarrudder.protocol.LoadReport;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.ResolverResult;
-import cedarrudder.routing.CallAttempt;
-import cedarrudder.routing.ClientSide;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Exchange;
-import cedarrudder.routing.Resolver;
-import cedarrudder.routing.Timers;
-import cedarrudder.transport.Loop;
-import cedarrudder.transport.NodeChannels;
-import cedarrudder.transport.NodeLimits;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.protocol.EndpointList;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.LoadReportParser;
+import cedarrudder.protocol.MalformedMessageException;
+import cedarrudder.transport.EndpointConnectionPool;
+import cedarrudder.transport.EndpointLimits;
+import cedarrudder.transport.ProxyEventLoop;
 import io.netty.buffer.Unpooled;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -61,12 +61,12 @@
 
     private static final long SELF = 1;
 
-    private final Loop loop;
-    private final Settings settings;
-    private final Driver<Message, Message> driver;
-    private final NodeChannels channels;
+    private final ProxyEventLoop loop;
+    private final BalancerSettings settings;
+    private final RequestForwarder<HttpMessage, HttpMessage> driver;
+    private final EndpointConnectionPool channels;
     private final String token;
-    private final Message request;
+    private final HttpMessage request;
     private final Runnable whenDone;
     private int sent;
     private int out;
@@ -76,12 +76,12 @@
      * @param at where the proxy listens now, and nobody else does
      */
     Warmup(
-            Loop loop,
-            Configuration configuration,
+            ProxyEventLoop loop,
+            ProxyConfiguration configuration,
             InetSocketAddress at,
             Logger log,
             Runnable whenDone)
-            throws BadMessageException {
+            throws MalformedMessageException {
         this.loop = loop;
         this.whenDone = whenDone;
         settings = configuration.site().module();
@@ -109,28 +109,28 @@
                         + "\r\n"
                         + owner
                         + "Req-Deadline-Ms: 1000\r\n\r\n";
-        request = Message.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+        request = HttpMessage.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
         driver =
-                new Driver<>(
-                        actions -> new Decide(settings, random, actions),
+                new RequestForwarder<>(
+                        actions -> new PrequalBalancer(settings, random, actions),
                         settings.limits().maxAttempts(),
                         new Clock(),
                         log);
         channels =
-                new NodeChannels(
+                new EndpointConnectionPool(
                         loop,
                         driver,
                         configuration.site(),
-                        NodeLimits.DEFAULT,
-                        new NodeLimits.Bounds(RPCS, RPCS),
-                        new Figures(settings.classes().size()),
-                        new HeldBytes(HeldBytes.MOST));
+                        EndpointLimits.DEFAULT,
+                        new EndpointLimits.Bounds(RPCS, RPCS),
+                        new RequestMetrics(settings.classes().size()),
+                        new BufferAccount(BufferAccount.MOST));
         driver.connect(new Self(), new NoDiscovery(), (copy, message) -> {});
-        Endpoint self = new Endpoint(SELF, settings.zone(), 0, 0, State.READY, 1, 0);
+        Endpoint self = new Endpoint(SELF, settings.zone(), 0, 0, EndpointStatus.READY, 1, 0);
         channels.resolved(
-                new ResolverResult(
-                        0, true, List.of(new ResolverResult.Node("self", self, at)), List.of()));
-        driver.resolved(ListKind.FULL, List.of(self));
+                new EndpointList(
+                        0, true, List.of(new EndpointList.Node("self", self, at)), List.of()));
+        driver.resolved(EndpointListKind.FULL, List.of(self));
     }
 
     /** Begins; to be called on the loop. */
@@ -147,9 +147,9 @@
      * out, bytes of an RPC may be read after its end. Guards against such a one going on to a node,
      * as was seen on a busy core.
      */
-    BiPredicate<Exchange<Message, Message>, Exchange.Reply<Message>> answers() {
+    BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> answers() {
         String own = token;
-        Message answer = request;
+        HttpMessage answer = request;
         return (exchange, reply) -> {
             boolean mine = own.equals(exchange.content().head().fields().get("req-id"));
             if (mine) {
@@ -183,9 +183,9 @@
         }
     }
 
-    private final class Reply implements Exchange.Reply<Message> {
+    private final class Reply implements Exchange.Reply<HttpMessage> {
         @Override
-        public void served(Message answer) {
+        public void served(HttpMessage answer) {
             out--;
             // Not at once: the driver is still at work on this one.
             loop.run(Warmup.this::next);
@@ -208,7 +208,7 @@
     }
 
     /** The clock, for as long as the warm-up lasts: what its module scheduled ends with it. */
-    private final class Clock implements Timers {
+    private final class Clock implements TimerService {
         @Override
         public long now() {
             return loop.now();
@@ -227,19 +227,19 @@
     }
 
     /** The channels to itself; probes are answered here, since a listener answers none. */
-    private final class Self implements ClientSide<Message, Message> {
+    private final class Self implements AttemptTransport<HttpMessage, HttpMessage> {
         @Override
         public boolean knows(long endpoint) {
             return channels.knows(endpoint);
         }
 
         @Override
-        public void start(CallAttempt<Message, Message> attempt) {
+        public void start(RequestAttempt<HttpMessage, HttpMessage> attempt) {
             channels.start(attempt);
         }
 
         @Override
-        public void abandon(CallAttempt<Message, Message> attempt) {
+        public void abandon(RequestAttempt<HttpMessage, HttpMessage> attempt) {
             channels.abandon(attempt);
         }
 
@@ -249,7 +249,7 @@
                     endpoint,
                     Outcome.OK,
                     0,
-                    LoadReport.parse("TEXT latency_ms=1, inflight=0, util=0"));
+                    LoadReportParser.parse("TEXT latency_ms=1, inflight=0, util=0"));
         }
 
         @Override
@@ -258,7 +258,7 @@
         }
     }
 
-    private static final class NoDiscovery implements Resolver {
+    private static final class NoDiscovery implements EndpointDiscovery {
         @Override
         public void subscribe(boolean on) {}
 
--- a/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
@@ -1,8 +1,8 @@
 package cedarrudder.protocol;
 
 import cedarrudder.budget.BudgetFields;
-import cedarrudder.budget.Carried;
-import cedarrudder.budget.FromBelow;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.budget.PropagatedBudget;
 import java.util.Locale;
 import java.util.Set;
 
@@ -19,13 +19,13 @@
     private BudgetHeaders() {}
 
     /** What a caller said; a field that came twice counts as none. */
-    public static Carried read(Message request) {
+    public static PropagatedBudget read(HttpMessage request) {
         HeaderFields fields = request.head().fields();
         return BudgetFields.read(fields.only(BUDGET), fields.only(PATH));
     }
 
     /** What an answer said; a field that came twice counts as none. */
-    public static FromBelow result(Message answer) {
+    public static DownstreamFeedback result(HttpMessage answer) {
         return BudgetFields.readResult(answer.head().fields().only(RESULT));
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/ResolverResult.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointList.java
@@ -1,6 +1,6 @@
 package cedarrudder.protocol;
 
-import cedarrudder.Balancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
 import java.net.InetSocketAddress;
 import java.util.List;
 
@@ -9,7 +9,7 @@
  *
  * @param unread what is wrong with each entry that could not be read
  */
-public record ResolverResult(long version, boolean full, List<Node> nodes, List<String> unread) {
+public record EndpointList(long version, boolean full, List<Node> nodes, List<String> unread) {
 
     /**
      * One node: its id, as discovery lists it, and where this proxy reaches it (null: it is gone).
--- a/daemon/src/main/java/cedarrudder/protocol/ResolverResultReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
@@ -1,7 +1,7 @@
 package cedarrudder.protocol;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 
 /** Reads resolver results, and gives each node the number by which the module knows it. */
-public final class ResolverResultReader {
+public final class EndpointListParser {
 
     private static final long FNV_BASIS = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
@@ -34,7 +34,7 @@
      * @param clock the program's clock, in nanoseconds
      * @param unixMillis the machine's own clock, which may be set at any time
      */
-    public ResolverResultReader(SiteSettings site, LongSupplier clock, LongSupplier unixMillis) {
+    public EndpointListParser(SiteSettings site, LongSupplier clock, LongSupplier unixMillis) {
         this.site = site;
         this.clock = clock;
         this.unixMillis = unixMillis;
@@ -51,11 +51,11 @@
      * it drains. Guards against one such entry keeping all others from being heard, drains among
      * them, for as long as it stays.
      */
-    public ResolverResult read(JsonObject json) {
+    public EndpointList read(JsonObject json) {
         long version = json.whole("version");
         boolean full = json.flag("full", false);
         List<JsonObject> entries = json.objects("servers", true);
-        List<ResolverResult.Node> nodes = new ArrayList<>();
+        List<EndpointList.Node> nodes = new ArrayList<>();
         List<String> unread = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
             if (entries.get(i) == JsonObject.LEFT_OUT) {
@@ -83,16 +83,18 @@
                     .filter(id -> !listed.contains(id))
                     .forEach(this::forget);
         }
-        return new ResolverResult(version, full, List.copyOf(nodes), List.copyOf(unread));
+        return new EndpointList(version, full, List.copyOf(nodes), List.copyOf(unread));
     }
 
     /** A whole list needs no word of it: what it does not name is gone. */
-    private void goneUnread(JsonObject entry, boolean full, List<ResolverResult.Node> nodes) {
+    private void goneUnread(JsonObject entry, boolean full, List<EndpointList.Node> nodes) {
         String id = entry.isText("id") ? entry.text("id", "") : "";
         if (!full && numbers.containsKey(id)) {
             nodes.add(
-                    new ResolverResult.Node(
-                            id, new Endpoint(number(id), -1, -1, 0, State.GONE, 1, 0), null));
+                    new EndpointList.Node(
+                            id,
+                            new Endpoint(number(id), -1, -1, 0, EndpointStatus.GONE, 1, 0),
+                            null));
             forget(id);
         }
     }
@@ -142,13 +144,13 @@
         return known.instant();
     }
 
-    private ResolverResult.Node node(JsonObject entry) {
+    private EndpointList.Node node(JsonObject entry) {
         String word = entry.text("state", null);
-        State state =
+        EndpointStatus state =
                 switch (word) {
-                    case "in_service" -> State.READY;
-                    case "terminating" -> State.DRAINING;
-                    case "terminated" -> State.GONE;
+                    case "in_service" -> EndpointStatus.READY;
+                    case "terminating" -> EndpointStatus.DRAINING;
+                    case "terminated" -> EndpointStatus.GONE;
                     default ->
                             throw new IllegalArgumentException(
                                     "unknown state '"
@@ -166,10 +168,10 @@
                         state,
                         entry.number("weight", 1),
                         startedAt(id, entry.number("started_ms", 0)));
-        if (state == State.GONE) {
+        if (state == EndpointStatus.GONE) {
             forget(id);
         }
-        return new ResolverResult.Node(id, endpoint, address);
+        return new EndpointList.Node(id, endpoint, address);
     }
 
     /**
--- a/daemon/src/main/java/cedarrudder/protocol/ListGate.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -1,8 +1,8 @@
 package cedarrudder.protocol;
 
-import cedarrudder.footprint.Footprint;
-import cedarrudder.footprint.Footprint.Verdict;
-import cedarrudder.footprint.ListShape;
+import cedarrudder.footprint.EndpointListFootprint;
+import cedarrudder.footprint.EndpointListFootprint.Verdict;
+import cedarrudder.footprint.EndpointListShape;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
@@ -17,12 +17,12 @@
  * added in the list's order for as long as there is room, and the others are left out, to be told
  * again; all that it says of nodes that are known is read, so that those that leave or drain do so.
  */
-public final class ListGate {
+public final class EndpointListReader {
 
     private static final String ENTRIES = "servers";
 
-    private final Footprint footprint;
-    private final ResolverResultReader reader;
+    private final EndpointListFootprint footprint;
+    private final EndpointListParser reader;
     private final long room;
     private final int fromNodes;
 
@@ -62,8 +62,8 @@
             int wanted,
             int waits,
             List<Integer> steps,
-            ListShape all,
-            ListShape then) {
+            EndpointListShape all,
+            EndpointListShape then) {
 
         /** So many nodes get in by no step. */
         public int never() {
@@ -90,7 +90,8 @@
      * @param room bytes of heap for nodes and their lists
      * @param fromNodes with fewer nodes than that nothing is left out
      */
-    public ListGate(Footprint footprint, ResolverResultReader reader, long room, int fromNodes) {
+    public EndpointListReader(
+            EndpointListFootprint footprint, EndpointListParser reader, long room, int fromNodes) {
         this.footprint = footprint;
         this.reader = reader;
         this.room = room;
@@ -103,9 +104,9 @@
     }
 
     /** What is held, as far as it costs anything. */
-    public ListShape held() {
-        ListShape like = last == null ? ListShape.NONE : last.then();
-        return new ListShape(
+    public EndpointListShape held() {
+        EndpointListShape like = last == null ? EndpointListShape.NONE : last.then();
+        return new EndpointListShape(
                 reader.size(),
                 largest,
                 reader.idChars(),
@@ -148,7 +149,7 @@
 
     /** The same of the whole list with which the process starts; its text has gone. */
     public JsonObject read(JsonObject list) {
-        ListShape shape = shape(list);
+        EndpointListShape shape = shape(list);
         Look look = new Look();
         look.full = true;
         look.nodes = shape.nodes();
@@ -160,7 +161,7 @@
     }
 
     /** What a whole list is like, as discovery would tell it. */
-    public static ListShape shape(JsonObject list) {
+    public static EndpointListShape shape(JsonObject list) {
         int nodes = 0;
         long ids = 0;
         long values = 0;
@@ -173,7 +174,7 @@
                             + chars(entry, "kind")
                             + chars(entry, "state");
         }
-        return new ListShape(nodes, nodes * (long) ENTRY_CHARS + ids + values, ids, values);
+        return new EndpointListShape(nodes, nodes * (long) ENTRY_CHARS + ids + values, ids, values);
     }
 
     private static int chars(JsonObject entry, String key) {
@@ -182,8 +183,9 @@
 
     /** Whether all of it may be loaded at once. */
     private boolean judge(Look look, long textBytes) {
-        ListShape held = held();
-        ListShape list = new ListShape(look.nodes, textBytes, look.idChars, look.valueChars);
+        EndpointListShape held = held();
+        EndpointListShape list =
+                new EndpointListShape(look.nodes, textBytes, look.idChars, look.valueChars);
         Verdict verdict = footprint.judge(held, list, look.added, look.full, room);
         int wanted = look.full ? look.nodes : held.nodes() + look.added;
         boolean whole = verdict.fits() || wanted < fromNodes;
@@ -210,10 +212,11 @@
      * What is held once so many of the nodes that a list adds were added, and what it ends has
      * left.
      */
-    private ListShape after(ListShape held, ListShape list, Look look, int added) {
-        ListShape all =
+    private EndpointListShape after(
+            EndpointListShape held, EndpointListShape list, Look look, int added) {
+        EndpointListShape all =
                 look.full ? list.of(list.nodes() - look.added + added) : held.plus(list, added);
-        return new ListShape(all.nodes(), largest, all.idChars(), all.valueChars());
+        return new EndpointListShape(all.nodes(), largest, all.idChars(), all.valueChars());
     }
 
     /** Known nodes, and of the others as many as fit. */
--- a/daemon/src/main/java/cedarrudder/protocol/FieldName.java
+++ b/daemon/src/main/java/cedarrudder/protocol/FieldName.java
@@ -100,7 +100,7 @@
             return usual;
         }
         for (int i = from; i < to; i++) {
-            if (!Head.inToken(bytes[i])) {
+            if (!MessageHead.inToken(bytes[i])) {
                 return null;
             }
         }
--- a/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
@@ -54,13 +54,13 @@
     }
 
     /** The value of a field that must not come twice, or null where there is none. */
-    String single(String key) throws BadMessageException {
+    String single(String key) throws MalformedMessageException {
         String found = null;
         for (int i = 0; i < fields.size(); i++) {
             Field field = fields.get(i);
             if (field.key().equals(key)) {
                 if (found != null) {
-                    throw BadMessageException.badRequest("two fields " + key);
+                    throw MalformedMessageException.badRequest("two fields " + key);
                 }
                 found = field.value();
             }
--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -68,8 +68,8 @@
     private int lineStart;
     private int headStart;
     private int blank;
-    private Head begun;
-    private Head head;
+    private MessageHead begun;
+    private MessageHead head;
     private boolean continued;
     private long bodyLeft;
     private long bodySeen;
@@ -121,7 +121,7 @@
     }
 
     /** The head of the message at hand, or null before it is whole. */
-    public Head head() {
+    public MessageHead head() {
         return head;
     }
 
@@ -199,7 +199,7 @@
     }
 
     /** Reads until a message is whole and returns it, or null where more bytes are wanted. */
-    public Message decode(ByteBuf in) throws BadMessageException {
+    public HttpMessage decode(ByteBuf in) throws MalformedMessageException {
         while (in.isReadable() && !large()) {
             boolean whole =
                     switch (state) {
@@ -217,7 +217,7 @@
                                 state = State.CHUNK_LINE;
                             }
                             if (lineLength > 0 && line[0] != '\r') {
-                                throw BadMessageException.badRequest("bad chunk");
+                                throw MalformedMessageException.badRequest("bad chunk");
                             }
                             yield false;
                         }
@@ -236,12 +236,13 @@
     }
 
     /** The connection has ended: returns a message that this makes whole, or null. */
-    public Message atEnd() {
+    public HttpMessage atEnd() {
         return state == State.TO_END ? take() : null;
     }
 
-    private Message take() {
-        Message message = new Message(head, collected == null ? EMPTY : collected.toByteArray());
+    private HttpMessage take() {
+        HttpMessage message =
+                new HttpMessage(head, collected == null ? EMPTY : collected.toByteArray());
         startAfresh();
         state = State.HEAD;
         head = null;
@@ -266,14 +267,14 @@
      * <p>Each line is read as it ends, and no byte passes that none may hold. Guards against what
      * can't become a message, such as a TLS handshake, holding its connection until patience ends.
      */
-    private boolean readHead(ByteBuf in) throws BadMessageException {
+    private boolean readHead(ByteBuf in) throws MalformedMessageException {
         int from = lineLength;
         int end = from + Math.min(in.readableBytes(), mostHead - from);
         if (end == from) {
-            throw new BadMessageException(
+            throw new MalformedMessageException(
                     begun == null && requests
-                            ? BadMessageException.URI_TOO_LONG
-                            : BadMessageException.FIELDS_TOO_LARGE,
+                            ? MalformedMessageException.URI_TOO_LONG
+                            : MalformedMessageException.FIELDS_TOO_LARGE,
                     "too long a head");
         }
         if (end > line.length) {
@@ -299,7 +300,7 @@
                 // RFC 9112 2.2 leaves it open. Guards against a field that whoever stands before us
                 // takes for
                 // a part of the one before it: a length, say.
-                throw BadMessageException.badRequest("a bare line feed");
+                throw MalformedMessageException.badRequest("a bare line feed");
             }
             boolean empty = textEnd == lineStart;
             int start = lineStart;
@@ -307,7 +308,7 @@
             if (empty && begun == null) {
                 headStart = lineStart; // an empty line before a message is allowed, and skipped
                 if (++blank > MOST_BLANK) {
-                    throw BadMessageException.badRequest("nothing but empty lines");
+                    throw MalformedMessageException.badRequest("nothing but empty lines");
                 }
             } else if (empty) {
                 in.skipBytes(lineStart - from);
@@ -320,7 +321,7 @@
                 }
                 return beginBody();
             } else if (begun == null) {
-                begun = Head.begin(line, start, textEnd, requests);
+                begun = MessageHead.begin(line, start, textEnd, requests);
                 blank = 0;
             } else {
                 begun.addField(line, start, textEnd);
@@ -339,13 +340,14 @@
     }
 
     /** A byte of a head that is no line end, and no character of ASCII that can be seen. */
-    private void checkOddByte(int at, int end) throws BadMessageException {
+    private void checkOddByte(int at, int end) throws MalformedMessageException {
         if (line[at] == '\r') {
             if (at + 1 < end && line[at + 1] != '\n') {
                 throw bareReturn();
             }
         } else if (begun == null && requests || line[at] >= 0 && line[at] != '\t') {
-            throw BadMessageException.badRequest(begun == null ? "not HTTP" : "bad header field");
+            throw MalformedMessageException.badRequest(
+                    begun == null ? "not HTTP" : "bad header field");
         }
     }
 
@@ -353,29 +355,30 @@
      * RFC 9112 2.2: what some take for a line end, and others don't, hides fields from one of the
      * two.
      */
-    private static BadMessageException bareReturn() {
-        return BadMessageException.badRequest("a bare carriage return");
+    private static MalformedMessageException bareReturn() {
+        return MalformedMessageException.badRequest("a bare carriage return");
     }
 
     /** Checks what has come of a first line without its end, as far as its method goes. */
-    private void checkMethod(int from, int end) throws BadMessageException {
+    private void checkMethod(int from, int end) throws MalformedMessageException {
         for (int i = from; i < end && line[i] != ' '; i++) {
             if (i - from == MOST_METHOD) {
-                throw new BadMessageException(
-                        BadMessageException.NOT_IMPLEMENTED, "too long a method");
+                throw new MalformedMessageException(
+                        MalformedMessageException.NOT_IMPLEMENTED, "too long a method");
             }
-            if (!Head.inToken(line[i]) && (line[i] != '\r' || i > from)) {
-                throw BadMessageException.badRequest("not HTTP");
+            if (!MessageHead.inToken(line[i]) && (line[i] != '\r' || i > from)) {
+                throw MalformedMessageException.badRequest("not HTTP");
             }
         }
         if (end > from && line[from] == ' ') {
-            throw BadMessageException.badRequest("not HTTP");
+            throw MalformedMessageException.badRequest("not HTTP");
         }
     }
 
-    private void append(byte next, int most) throws BadMessageException {
+    private void append(byte next, int most) throws MalformedMessageException {
         if (lineLength >= most) {
-            throw new BadMessageException(BadMessageException.FIELDS_TOO_LARGE, "too long a head");
+            throw new MalformedMessageException(
+                    MalformedMessageException.FIELDS_TOO_LARGE, "too long a head");
         }
         if (lineLength == line.length) {
             line = Arrays.copyOf(line, 2 * lineLength);
@@ -384,14 +387,14 @@
     }
 
     /** Works out how the body ends; true where there is none. */
-    private boolean beginBody() throws BadMessageException {
+    private boolean beginBody() throws MalformedMessageException {
         String length = head.fields().single("content-length");
         String coding = head.fields().single("transfer-encoding");
         if (!requests && head.status() < 200) {
             head = null; // an interim answer: the final one follows
             if (++interim > MOST_INTERIM) {
                 // Guards against a node that never comes to its answer.
-                throw BadMessageException.badRequest("too many interim answers");
+                throw MalformedMessageException.badRequest("too many interim answers");
             }
             return false;
         }
@@ -401,7 +404,7 @@
         if (coding != null) {
             // Guards against request smuggling: two parties that disagree on where a body ends.
             if (length != null || head.isOld()) {
-                throw BadMessageException.badRequest("unclear length");
+                throw MalformedMessageException.badRequest("unclear length");
             }
             if (!coding.equalsIgnoreCase("chunked")) {
                 throw unknownCoding(coding);
@@ -417,8 +420,8 @@
             declared = requests ? 0 : -1;
             return requests;
         }
-        if (length.length() > 18 || !Head.isNumber(length)) {
-            throw BadMessageException.badRequest("bad Content-Length");
+        if (length.length() > 18 || !MessageHead.isNumber(length)) {
+            throw MalformedMessageException.badRequest("bad Content-Length");
         }
         bodyLeft = Long.parseLong(length);
         check(bodyLeft);
@@ -428,24 +431,26 @@
     }
 
     /** RFC 9112 6.1: one that isn't chunked at its end leaves no length; others we have not. */
-    private static BadMessageException unknownCoding(String coding) {
+    private static MalformedMessageException unknownCoding(String coding) {
         String[] all = coding.toLowerCase(Locale.ROOT).split("[ \t]*,[ \t]*", -1);
         boolean framed = all[all.length - 1].equals("chunked");
         for (int i = 0; i < all.length - 1; i++) {
             framed &= !all[i].equals("chunked");
         }
         return framed
-                ? new BadMessageException(BadMessageException.NOT_IMPLEMENTED, "unknown coding")
-                : BadMessageException.badRequest("unclear length");
+                ? new MalformedMessageException(
+                        MalformedMessageException.NOT_IMPLEMENTED, "unknown coding")
+                : MalformedMessageException.badRequest("unclear length");
     }
 
-    private void check(long more) throws BadMessageException {
+    private void check(long more) throws MalformedMessageException {
         if (more > mostBody - bodySeen) {
-            throw new BadMessageException(BadMessageException.CONTENT_TOO_LARGE, "too long a body");
+            throw new MalformedMessageException(
+                    MalformedMessageException.CONTENT_TOO_LARGE, "too long a body");
         }
     }
 
-    private boolean readFixed(ByteBuf in) throws BadMessageException {
+    private boolean readFixed(ByteBuf in) throws MalformedMessageException {
         long most = pieces == null ? Math.min(bodyLeft, window - bodySeen) : bodyLeft;
         int count = (int) Math.min(most, in.readableBytes());
         check(count);
@@ -458,7 +463,7 @@
                 pieces.accept(piece);
             }
         } catch (IOException e) {
-            throw BadMessageException.badRequest("content not taken: " + e.getMessage());
+            throw MalformedMessageException.badRequest("content not taken: " + e.getMessage());
         }
         bodyLeft -= count;
         bodySeen += count;
@@ -472,7 +477,7 @@
      * here and in nothing else (RFC 9112 7.1), since whoever takes less sees chunks where we see
      * their content.
      */
-    private boolean readLine(ByteBuf in, int most) throws BadMessageException {
+    private boolean readLine(ByteBuf in, int most) throws MalformedMessageException {
         if (lineStart < 0) {
             lineStart = 0;
             lineLength = 0;
@@ -481,7 +486,7 @@
             byte next = in.readByte();
             boolean returned = lineLength > 0 && line[lineLength - 1] == '\r';
             if (returned != (next == '\n')) {
-                throw BadMessageException.badRequest("bad line end in a chunked body");
+                throw MalformedMessageException.badRequest("bad line end in a chunked body");
             }
             if (returned) {
                 lineLength--;
@@ -493,7 +498,7 @@
         return false;
     }
 
-    private boolean readChunkLine(ByteBuf in) throws BadMessageException {
+    private boolean readChunkLine(ByteBuf in) throws MalformedMessageException {
         if (!readLine(in, MOST_CHUNK_LINE)) {
             return false;
         }
@@ -509,7 +514,7 @@
         if (digits == 0
                 || extension < lineLength && line[extension] != ';'
                 || extension == lineLength && extension > digits) {
-            throw BadMessageException.badRequest("bad chunk size");
+            throw MalformedMessageException.badRequest("bad chunk size");
         }
         check(size);
         bodyLeft = size;
@@ -517,18 +522,18 @@
         return false;
     }
 
-    private boolean readTrailer(ByteBuf in) throws BadMessageException {
+    private boolean readTrailer(ByteBuf in) throws MalformedMessageException {
         if (!readLine(in, mostHead)) {
             return false;
         }
         if (lineLength > 0) {
-            Head.field(
+            MessageHead.field(
                     line, 0, lineLength); // dropped, but guards against a request that hides there
         }
         trailerSeen += lineLength;
         if (trailerSeen > mostHead) {
-            throw new BadMessageException(
-                    BadMessageException.FIELDS_TOO_LARGE, "too long a trailer");
+            throw new MalformedMessageException(
+                    MalformedMessageException.FIELDS_TOO_LARGE, "too long a trailer");
         }
         return lineLength == 0;
     }
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -1,8 +1,8 @@
 package cedarrudder.protocol;
 
 import cedarrudder.budget.BudgetFields;
-import cedarrudder.budget.Carried;
-import cedarrudder.budget.FromBelow;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.budget.PropagatedBudget;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import java.nio.charset.StandardCharsets;
@@ -30,7 +30,10 @@
      * @param handed null where there are no budgets
      */
     public static ByteBuf request(
-            ByteBufAllocator buffers, Message request, long leftMillis, Carried handed) {
+            ByteBufAllocator buffers,
+            HttpMessage request,
+            long leftMillis,
+            PropagatedBudget handed) {
         StringBuilder head =
                 new StringBuilder(256)
                         .append(request.head().method())
@@ -90,10 +93,10 @@
      */
     public static ByteBuf served(
             ByteBufAllocator buffers,
-            Message answer,
+            HttpMessage answer,
             boolean close,
             boolean budgets,
-            FromBelow result,
+            DownstreamFeedback result,
             boolean chunks) {
         StringBuilder head = start(200, close);
         List<String> listed = answer.head().fields().ofConnection();
@@ -112,7 +115,7 @@
 
     /** The head and the first bytes of a message whose rest flows. */
     private static ByteBuf begin(
-            ByteBufAllocator buffers, StringBuilder head, Message message, boolean chunks) {
+            ByteBufAllocator buffers, StringBuilder head, HttpMessage message, boolean chunks) {
         long length = message.rest().length();
         boolean chunked = length < 0 && chunks;
         if (length >= 0) {
@@ -162,7 +165,7 @@
             String text,
             long retryAfterNanos,
             boolean close,
-            FromBelow result) {
+            DownstreamFeedback result) {
         StringBuilder head = start(status, close);
         field(head, "Content-Type", "text/plain");
         if (retryAfterNanos > 0) {
@@ -196,7 +199,7 @@
                 whole.writerIndex() - text.getBytes(StandardCharsets.UTF_8).length - 1);
     }
 
-    private static void result(StringBuilder head, FromBelow result) {
+    private static void result(StringBuilder head, DownstreamFeedback result) {
         if (result != null) {
             field(head, BudgetFields.RESULT, BudgetFields.result(result));
         }
--- a/daemon/src/main/java/cedarrudder/protocol/Message.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpMessage.java
@@ -8,15 +8,15 @@
  * @param body the body, or the first bytes of it
  * @param rest how the rest of it comes; null where the body is whole
  */
-public record Message(Head head, byte[] body, Rest rest) {
+public record HttpMessage(MessageHead head, byte[] body, BodyRemainder rest) {
 
     /** A whole message. */
-    public Message(Head head, byte[] body) {
+    public HttpMessage(MessageHead head, byte[] body) {
         this(head, body, null);
     }
 
     /** The request that these bytes hold. */
-    public static Message requestOf(ByteBuf bytes) throws BadMessageException {
+    public static HttpMessage requestOf(ByteBuf bytes) throws MalformedMessageException {
         return HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY).decode(bytes);
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/ReportFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReportFields.java
@@ -1,14 +1,14 @@
 package cedarrudder.protocol;
 
-import cedarrudder.Balancer.Load;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
 import java.util.List;
 import java.util.function.IntToDoubleFunction;
 
 /** Which value of a load report stands where. */
-public record ReportFields(
+public record LoadReportFields(
         int inFlight, int queue, int utilisation, int latency, int rate, int errors) {
 
-    ReportFields(List<String> names) {
+    LoadReportFields(List<String> names) {
         this(
                 names.indexOf("inflight"),
                 names.indexOf("queue"),
@@ -18,8 +18,8 @@
                 names.indexOf("eps"));
     }
 
-    public Load load(IntToDoubleFunction value) {
-        return new Load(
+    public LoadReport load(IntToDoubleFunction value) {
+        return new LoadReport(
                 of(inFlight, value),
                 of(queue, value),
                 of(utilisation, value),
--- a/daemon/src/main/java/cedarrudder/protocol/LoadReport.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReportParser.java
@@ -1,22 +1,22 @@
 package cedarrudder.protocol;
 
-import cedarrudder.Balancer.Load;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.StringTokenizer;
 
 /** Load reports as nodes write them: {@code TEXT inflight=7, queue=2, util=0.61}. */
-public final class LoadReport {
+public final class LoadReportParser {
 
     /** No node has more of anything. */
     private static final double MOST = 1e6;
 
-    private LoadReport() {}
+    private LoadReportParser() {}
 
     /**
      * Reads a report; null where there is none. Figures that can't be read count as not reported.
      */
-    public static Load parse(String text) {
+    public static LoadReport parse(String text) {
         if (text == null) {
             return null;
         }
@@ -40,7 +40,7 @@
         }
         return figures.isEmpty()
                 ? null
-                : new Load(
+                : new LoadReport(
                         figure(figures, "inflight"),
                         figure(figures, "queue"),
                         figure(figures, "util"),
--- a/daemon/src/main/java/cedarrudder/protocol/BadMessageException.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MalformedMessageException.java
@@ -4,7 +4,7 @@
  * Bytes that are no message of the protocol. Server-side, {@code status} is the answer they
  * deserve.
  */
-public final class BadMessageException extends Exception {
+public final class MalformedMessageException extends Exception {
 
     public static final int BAD_REQUEST = 400;
     public static final int CONTENT_TOO_LARGE = 413;
@@ -18,14 +18,14 @@
 
     private final int status;
 
-    public BadMessageException(int status, String message) {
+    public MalformedMessageException(int status, String message) {
         // Without a stack trace: a peer that sends nonsense without end must not cost much.
         super(message, null, false, false);
         this.status = status;
     }
 
-    static BadMessageException badRequest(String message) {
-        return new BadMessageException(BAD_REQUEST, message);
+    static MalformedMessageException badRequest(String message) {
+        return new MalformedMessageException(BAD_REQUEST, message);
     }
 
     public int status() {
--- a/daemon/src/main/java/cedarrudder/protocol/Head.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
@@ -6,7 +6,7 @@
  * The head of an HTTP/1.1 message: the three parts of its first line (method, target and version,
  * or version, status and reason) and the header fields.
  */
-public final class Head {
+public final class MessageHead {
 
     private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
 
@@ -47,7 +47,7 @@
     /** The host that an absolute target names; null where the target is none. */
     private final String authority;
 
-    private Head(String first, String second, String third, int status, String authority) {
+    private MessageHead(String first, String second, String third, int status, String authority) {
         this.first = first;
         this.second = second;
         this.third = third;
@@ -56,11 +56,12 @@
     }
 
     /** Begins a head with its first line, which is given without its end. */
-    static Head begin(byte[] bytes, int from, int to, boolean request) throws BadMessageException {
+    static MessageHead begin(byte[] bytes, int from, int to, boolean request)
+            throws MalformedMessageException {
         int second = indexOf(bytes, ' ', from, to) + 1;
         int third = second == 0 ? 0 : indexOf(bytes, ' ', second, to) + 1;
         if (request ? third == 0 || indexOf(bytes, ' ', third, to) >= 0 : second == 0) {
-            throw BadMessageException.badRequest("not HTTP");
+            throw MalformedMessageException.badRequest("not HTTP");
         }
         String one = usualText(bytes, from, second - 1);
         String two = usualText(bytes, second, third == 0 ? to : third - 1);
@@ -68,12 +69,12 @@
         checkVersion(request ? three : one, request);
         if (!request) {
             if (!isStatus(two)) {
-                throw BadMessageException.badRequest("bad first line");
+                throw MalformedMessageException.badRequest("bad first line");
             }
-            return new Head(one, two, three, Integer.parseInt(two), null);
+            return new MessageHead(one, two, three, Integer.parseInt(two), null);
         }
         if (!isToken(one) || !isTarget(two)) {
-            throw BadMessageException.badRequest("bad first line");
+            throw MalformedMessageException.badRequest("bad first line");
         }
         return ofRequest(one, two, three);
     }
@@ -82,13 +83,13 @@
      * Takes the forms of a target that a server must take (RFC 9112 3.2), and makes one of them, so
      * that nodes get a path however the caller wrote it.
      */
-    private static Head ofRequest(String method, String target, String version)
-            throws BadMessageException {
+    private static MessageHead ofRequest(String method, String target, String version)
+            throws MalformedMessageException {
         if (target.startsWith("/") || target.equals("*") && method.equals("OPTIONS")) {
-            return new Head(method, target, version, 0, null);
+            return new MessageHead(method, target, version, 0, null);
         }
         if (!target.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
-            throw BadMessageException.badRequest("bad target");
+            throw MalformedMessageException.badRequest("bad target");
         }
         int end = SCHEME.length();
         while (end < target.length() && target.charAt(end) != '/' && target.charAt(end) != '?') {
@@ -96,17 +97,19 @@
         }
         String authority = target.substring(SCHEME.length(), end);
         if (authority.isEmpty() || !isHost(authority)) {
-            throw BadMessageException.badRequest("bad target");
+            throw MalformedMessageException.badRequest("bad target");
         }
         String path = target.substring(end);
-        return new Head(method, path.startsWith("/") ? path : "/" + path, version, 0, authority);
+        return new MessageHead(
+                method, path.startsWith("/") ? path : "/" + path, version, 0, authority);
     }
 
     /**
      * RFC 9110 2.5: a higher minor version is served as the highest we know, another major one is
      * not.
      */
-    private static void checkVersion(String version, boolean request) throws BadMessageException {
+    private static void checkVersion(String version, boolean request)
+            throws MalformedMessageException {
         if (version.equals("HTTP/1.1") || version.equals("HTTP/1.0")) {
             return;
         }
@@ -117,19 +120,19 @@
                         && version.charAt(6) == '.'
                         && isDigit(version.charAt(7));
         if (!named || !request) {
-            throw BadMessageException.badRequest("not HTTP/1.1");
+            throw MalformedMessageException.badRequest("not HTTP/1.1");
         }
         if (version.charAt(5) != '1') {
-            throw new BadMessageException(
-                    BadMessageException.VERSION_NOT_SUPPORTED, "not HTTP/1.1");
+            throw new MalformedMessageException(
+                    MalformedMessageException.VERSION_NOT_SUPPORTED, "not HTTP/1.1");
         }
     }
 
     /** Adds a field line, which is given without its end. */
-    void addField(byte[] bytes, int from, int to) throws BadMessageException {
+    void addField(byte[] bytes, int from, int to) throws MalformedMessageException {
         if (fields.all().size() == MOST_FIELDS) {
-            throw new BadMessageException(
-                    BadMessageException.FIELDS_TOO_LARGE,
+            throw new MalformedMessageException(
+                    MalformedMessageException.FIELDS_TOO_LARGE,
                     "more than " + MOST_FIELDS + " header fields");
         }
         fields.add(field(bytes, from, to));
@@ -143,13 +146,13 @@
      * <p>Guards against two parties that tell requests apart by host and take different fields for
      * it.
      */
-    void checkHost() throws BadMessageException {
+    void checkHost() throws MalformedMessageException {
         String host = fields.single("host");
         if (host == null && !isOld()) {
-            throw BadMessageException.badRequest("no Host");
+            throw MalformedMessageException.badRequest("no Host");
         }
         if (host != null && !isHost(host)) {
-            throw BadMessageException.badRequest("bad Host");
+            throw MalformedMessageException.badRequest("bad Host");
         }
         if (host == null || authority != null) {
             fields.set("Host", authority == null ? "" : authority);
@@ -190,15 +193,16 @@
     }
 
     /** Reads a field line, which is given without its end. */
-    static HeaderFields.Field field(byte[] bytes, int from, int to) throws BadMessageException {
+    static HeaderFields.Field field(byte[] bytes, int from, int to)
+            throws MalformedMessageException {
         int colon = indexOf(bytes, ':', from, to);
         FieldName name = colon < 0 ? null : FieldName.read(bytes, from, colon);
         if (name == null) {
-            throw BadMessageException.badRequest("bad header field");
+            throw MalformedMessageException.badRequest("bad header field");
         }
         for (int i = colon + 1; i < to; i++) {
             if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t' || bytes[i] == 0x7f) {
-                throw BadMessageException.badRequest("bad header field");
+                throw MalformedMessageException.badRequest("bad header field");
             }
         }
         int start = colon + 1;
--- a/daemon/src/main/java/cedarrudder/protocol/FiguresPage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
@@ -1,10 +1,10 @@
 package cedarrudder.protocol;
 
-import cedarrudder.figures.Figures;
-import cedarrudder.figures.Figures.End;
-import cedarrudder.footprint.CopyFootprint;
-import cedarrudder.footprint.Room;
-import cedarrudder.footprint.Takes;
+import cedarrudder.footprint.MemoryEstimate;
+import cedarrudder.footprint.ProcessFootprint;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.metrics.RequestMetrics.End;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
@@ -14,7 +14,7 @@
 import java.util.Locale;
 
 /** The figures as one JSON object, under the names that operators know. */
-public final class FiguresPage {
+public final class MetricsPage {
 
     /**
      * What the process takes beside what it may.
@@ -27,14 +27,14 @@
      * @param room the largest route table and list there is room for
      */
     public record Estimate(
-            ListGate.Judged list,
-            Takes all,
-            Takes node,
+            EndpointListReader.Judged list,
+            MemoryEstimate all,
+            MemoryEstimate node,
             long resident,
-            CopyFootprint.Verdict nearest,
-            Room room) {}
+            ProcessFootprint.Verdict nearest,
+            RouteTableCapacity room) {}
 
-    private FiguresPage() {}
+    private MetricsPage() {}
 
     /**
      * Writes the page.
@@ -46,7 +46,7 @@
      * @param estimate null: no list was judged
      */
     public static byte[] write(
-            Figures figures,
+            RequestMetrics figures,
             List<String> classes,
             int listed,
             int avoided,
@@ -84,7 +84,7 @@
     }
 
     private static void write(Estimate estimate, JsonGenerator json) throws IOException {
-        ListGate.Judged list = estimate.list();
+        EndpointListReader.Judged list = estimate.list();
         json.writeObjectFieldStart("footprint");
         json.writeStringField("outcome", list.outcome());
         json.writeStringField("bound", list.bound());
--- a/daemon/src/main/java/cedarrudder/protocol/RpcFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -1,14 +1,14 @@
 package cedarrudder.protocol;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.budget.Budgets;
-import cedarrudder.budget.Carried;
+import cedarrudder.budget.PropagatedBudget;
 import java.util.List;
 
 /** The header fields that make a request an RPC, and what the module is told of it. */
-public final class RpcFields {
+public final class RequestHeaders {
 
     /**
      * Larger figures are nonsense, and would overflow as nanoseconds: a day in milliseconds, where
@@ -29,12 +29,12 @@
 
     private static final String DEADLINE = "req-deadline-ms";
 
-    private final List<Balancer.RequestClass> kinds;
+    private final List<LoadBalancer.RequestClass> kinds;
     private final List<String> classes;
     private final List<String> tenants;
     private final Budgets budgets;
 
-    public RpcFields(Settings site) {
+    public RequestHeaders(BalancerSettings site) {
         this(site, null);
     }
 
@@ -42,11 +42,11 @@
      * @param budgets what a caller says of them is read, and it need not say how long it waits;
      *     null: none
      */
-    public RpcFields(Settings site, Budgets budgets) {
+    public RequestHeaders(BalancerSettings site, Budgets budgets) {
         this.budgets = budgets;
         kinds = site.classes();
-        classes = site.classes().stream().map(Balancer.RequestClass::name).toList();
-        tenants = site.tenants().stream().map(Balancer.Tenant::name).toList();
+        classes = site.classes().stream().map(LoadBalancer.RequestClass::name).toList();
+        tenants = site.tenants().stream().map(LoadBalancer.Tenant::name).toList();
     }
 
     /** Whether there are budgets. */
@@ -54,10 +54,12 @@
         return budgets != null;
     }
 
-    /** What the caller says of budgets; {@link Carried#NOTHING} where there are none here. */
-    public Carried carried(Message request) {
+    /**
+     * What the caller says of budgets; {@link PropagatedBudget#NOTHING} where there are none here.
+     */
+    public PropagatedBudget carried(HttpMessage request) {
         return budgets == null
-                ? Carried.NOTHING
+                ? PropagatedBudget.NOTHING
                 : BudgetHeaders.read(request)
                         .withDeadline(request.head().fields().get(DEADLINE) != null);
     }
@@ -75,21 +77,26 @@
      * @param latest the answer is ready by then in any case
      * @param carried what the caller says of budgets
      */
-    public Balancer.Request read(
-            Message request, long id, long now, long lateness, long latest, Carried carried)
-            throws BadMessageException {
+    public LoadBalancer.Request read(
+            HttpMessage request,
+            long id,
+            long now,
+            long lateness,
+            long latest,
+            PropagatedBudget carried)
+            throws MalformedMessageException {
         HeaderFields fields = request.head().fields();
         require(fields, "req-id");
         int kind = classes.indexOf(require(fields, "req-kind"));
         if (kind < 0) {
-            throw BadMessageException.badRequest("unknown Req-Kind");
+            throw MalformedMessageException.badRequest("unknown Req-Kind");
         }
         checkFit(request, kinds.get(kind).effect());
         int tenant = 0;
         if (!tenants.isEmpty()) {
             tenant = tenants.indexOf(require(fields, "req-owner"));
             if (tenant < 0) {
-                throw BadMessageException.badRequest("unknown Req-Owner");
+                throw MalformedMessageException.badRequest("unknown Req-Owner");
             }
         }
         long wait =
@@ -106,7 +113,7 @@
         }
         String cost = fields.single("req-cost");
         long work = cost == null ? 0 : 1000 * cost(cost);
-        return new Balancer.Request(
+        return new LoadBalancer.Request(
                 id,
                 kind,
                 tenant,
@@ -119,14 +126,15 @@
 
     /** The longest that any class of callers waits, in nanoseconds. */
     public long longestWait() {
-        return kinds.stream().mapToLong(Balancer.RequestClass::deadline).max().orElse(0);
+        return kinds.stream().mapToLong(LoadBalancer.RequestClass::deadline).max().orElse(0);
     }
 
     /**
      * The class fixes the method. Guards against passing on what nodes have to turn away, or what
      * would be repeated by its class though its key or method says otherwise.
      */
-    private static void checkFit(Message request, Effect effect) throws BadMessageException {
+    private static void checkFit(HttpMessage request, Idempotency effect)
+            throws MalformedMessageException {
         String method = request.head().method();
         String key = request.head().fields().single("idempotency-key");
         boolean fits =
@@ -136,28 +144,29 @@
                     case UNSAFE -> method.equals("POST") && key == null;
                 };
         if (!fits) {
-            throw BadMessageException.badRequest("method, key or body doesn't fit Req-Kind");
+            throw MalformedMessageException.badRequest("method, key or body doesn't fit Req-Kind");
         }
     }
 
-    private static long wait(String value) throws BadMessageException {
-        boolean whole = value.length() <= MOST_DIGITS && Head.isNumber(value);
+    private static long wait(String value) throws MalformedMessageException {
+        boolean whole = value.length() <= MOST_DIGITS && MessageHead.isNumber(value);
         long millis = whole ? Long.parseLong(value) : 0;
         if (millis == 0 || millis > MOST) {
-            throw BadMessageException.badRequest("bad req-deadline-ms");
+            throw MalformedMessageException.badRequest("bad req-deadline-ms");
         }
         return millis;
     }
 
-    private static String require(HeaderFields fields, String name) throws BadMessageException {
+    private static String require(HeaderFields fields, String name)
+            throws MalformedMessageException {
         String value = fields.single(name);
         if (value == null || value.isEmpty()) {
-            throw BadMessageException.badRequest("no " + name);
+            throw MalformedMessageException.badRequest("no " + name);
         }
         return value;
     }
 
-    private static long cost(String value) throws BadMessageException {
+    private static long cost(String value) throws MalformedMessageException {
         int point = value.indexOf('.');
         try {
             long number = Long.parseLong(point < 0 ? value : value.substring(0, point));
@@ -167,6 +176,6 @@
         } catch (NumberFormatException e) {
             // falls through to the same answer as a number that makes no sense
         }
-        throw BadMessageException.badRequest("bad req-cost");
+        throw MalformedMessageException.badRequest("bad req-cost");
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
@@ -1,14 +1,14 @@
 package cedarrudder.protocol;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Goal;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Limits;
-import cedarrudder.Balancer.Prices;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.Tenant;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Limits;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.balancer.LoadBalancer.ServiceGoal;
+import cedarrudder.balancer.LoadBalancer.ServicePrices;
+import cedarrudder.balancer.LoadBalancer.Tenant;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -22,8 +22,14 @@
 public final class SettingsReader {
 
     /** What the words of the settings mean. */
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("retryable", Effect.SAFE, "dedup", Effect.KEYED, "fragile", Effect.UNSAFE);
+    private static final Map<String, Idempotency> EFFECTS =
+            Map.of(
+                    "retryable",
+                    Idempotency.SAFE,
+                    "dedup",
+                    Idempotency.KEYED,
+                    "fragile",
+                    Idempotency.UNSAFE);
 
     private static final Map<String, KeyScope> SCOPES =
             Map.of("all", KeyScope.ALL, "zone", KeyScope.ZONE, "cell", KeyScope.CELL);
@@ -64,8 +70,8 @@
         int copies = (int) root.whole("balancers", 1, MOST_COUNTED);
         List<String> tiers = root.texts("tiers");
         List<String> zones = root.texts("localities");
-        Settings settings =
-                new Settings(
+        BalancerSettings settings =
+                new BalancerSettings(
                         copies,
                         (int) root.whole("ordinal", 0, copies - 1),
                         (int) root.number("zone", 0, 0, listed(zones)),
@@ -81,7 +87,7 @@
         JsonObject report = root.child("report");
         return new SiteSettings(
                 settings,
-                new ReportFields(report.texts("fields")),
+                new LoadReportFields(report.texts("fields")),
                 word(report, "via", "none", REPORTS),
                 tiers,
                 zones,
@@ -132,8 +138,8 @@
                 (long) limits.number("conn-idle-ns", 0, 0, LONGEST));
     }
 
-    private static Safety safety(JsonObject safety) {
-        return new Safety(
+    private static SafetyRules safety(JsonObject safety) {
+        return new SafetyRules(
                 safety.whole("stop-sending-within-ns", 0, LONGEST),
                 safety.number("cold-share", 1, 0, 1),
                 (long) safety.number("ramp-time-ns", 0, 0, LONGEST),
@@ -142,9 +148,9 @@
                 (long) safety.number("ask-within-ns", 0, 0, LONGEST));
     }
 
-    private static Goal goal(JsonObject root) {
+    private static ServiceGoal goal(JsonObject root) {
         JsonObject goal = root.child("goal");
-        return new Goal(
+        return new ServiceGoal(
                 goal.number("whole", 1),
                 goal.number("worst-window", 0),
                 goal.number("worst-class", 0),
@@ -153,8 +159,8 @@
                 root.word("worth-by", "request", List.of("request", "work")).equals("work"));
     }
 
-    private static Prices prices(JsonObject costs) {
-        return new Prices(costs.number("probe", 0), costs.number("handshake", 0));
+    private static ServicePrices prices(JsonObject costs) {
+        return new ServicePrices(costs.number("probe", 0), costs.number("handshake", 0));
     }
 
     private static <T> T word(
--- a/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
@@ -1,6 +1,6 @@
 package cedarrudder.protocol;
 
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
 import java.util.List;
 
 /**
@@ -13,8 +13,8 @@
  * @param kinds the names of the machine kinds, likewise
  */
 public record SiteSettings(
-        Settings module,
-        ReportFields fields,
+        BalancerSettings module,
+        LoadReportFields fields,
         Reports reports,
         List<String> tiers,
         List<String> zones,
--- a/daemon/src/main/java/cedarrudder/sim/FrameDecoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
@@ -1,11 +1,11 @@
-package cedarrudder.sim;
-
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
-import cedarrudder.protocol.ReportFields;
+package cedarrudder.simulator;
+
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.protocol.LoadReportFields;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
@@ -63,22 +63,23 @@
     boolean next() throws IOException {
         frameNumber++;
         record = -1;
-        int got = in.readNBytes(bytes, 0, Wire.BATCH_HEADER);
+        int got = in.readNBytes(bytes, 0, SimulatorWire.BATCH_HEADER);
         if (got == 0) {
             return false;
         }
-        if (got < Wire.BATCH_HEADER) {
-            throw new WireException(
+        if (got < SimulatorWire.BATCH_HEADER) {
+            throw new SimulatorWireException(
                     "batch " + frameNumber + ": input ends after " + got + " bytes of its header");
         }
         long size = Integer.toUnsignedLong(frame.getInt(0));
         now = frame.getLong(4);
         long count = Integer.toUnsignedLong(frame.getInt(12));
         if (size > Integer.MAX_VALUE - 16) {
-            throw new WireException("batch " + frameNumber + ": impossible length " + size);
+            throw new SimulatorWireException(
+                    "batch " + frameNumber + ": impossible length " + size);
         }
-        if (count * Wire.EVENT > size) {
-            throw new WireException(
+        if (count * SimulatorWire.EVENT > size) {
+            throw new SimulatorWireException(
                     "batch "
                             + frameNumber
                             + ": "
@@ -102,7 +103,7 @@
             }
             int got = in.read(bytes, have, Math.min(length, bytes.length) - have);
             if (got < 0) {
-                throw new WireException(
+                throw new SimulatorWireException(
                         "batch "
                                 + frameNumber
                                 + ": input ends after "
@@ -118,12 +119,13 @@
     /** Moves to the next record; false after the last. */
     boolean nextRecord() {
         record++;
-        at = record * Wire.EVENT;
+        at = record * SimulatorWire.EVENT;
         return record < records;
     }
 
-    WireException error(String what) {
-        return new WireException("batch " + frameNumber + ", record " + record + ": " + what);
+    SimulatorWireException error(String what) {
+        return new SimulatorWireException(
+                "batch " + frameNumber + ", record " + record + ": " + what);
     }
 
     long now() {
@@ -154,7 +156,7 @@
     private int span(int offset, int unit) {
         long from = u32(offset);
         long size = u32(offset + 4) * unit;
-        long tail = (long) records * Wire.EVENT;
+        long tail = (long) records * SimulatorWire.EVENT;
         if (tail + from + size > length) {
             throw error(
                     "span "
@@ -178,16 +180,16 @@
     }
 
     List<Endpoint> endpoints(int offset) {
-        int from = span(offset, Wire.ENDPOINT);
+        int from = span(offset, SimulatorWire.ENDPOINT);
         int count = (int) u32(offset + 4);
         List<Endpoint> entries = new ArrayList<>(count);
-        for (int i = 0; i < count; i++, from += Wire.ENDPOINT) {
+        for (int i = 0; i < count; i++, from += SimulatorWire.ENDPOINT) {
             int phase = Byte.toUnsignedInt(frame.get(from + 10));
-            State state =
+            EndpointStatus state =
                     switch (phase) {
-                        case 0 -> State.GONE;
-                        case 1 -> State.READY;
-                        case 2 -> State.DRAINING;
+                        case 0 -> EndpointStatus.GONE;
+                        case 1 -> EndpointStatus.READY;
+                        case 2 -> EndpointStatus.DRAINING;
                         default -> throw error("unknown phase " + phase);
                     };
             entries.add(
@@ -203,11 +205,11 @@
         return entries;
     }
 
-    ListKind listKind(int kind) {
+    EndpointListKind listKind(int kind) {
         return switch (kind) {
-            case Wire.VIEW_FULL -> ListKind.FULL;
-            case Wire.VIEW_DELTA -> ListKind.CHANGES;
-            case Wire.VIEW_CACHED -> ListKind.CACHED;
+            case SimulatorWire.VIEW_FULL -> EndpointListKind.FULL;
+            case SimulatorWire.VIEW_DELTA -> EndpointListKind.CHANGES;
+            case SimulatorWire.VIEW_CACHED -> EndpointListKind.CACHED;
             default -> throw error("unknown kind of view " + kind);
         };
     }
@@ -226,7 +228,7 @@
     /**
      * A load report, its values in the order that the settings name; null when none is attached.
      */
-    Load load(int offset, ReportFields fields) {
+    LoadReport load(int offset, LoadReportFields fields) {
         int count = u8(offset);
         if (count > MOST_VALUES) {
             throw error("a load report of " + count + " values");
--- a/daemon/src/main/java/cedarrudder/sim/FrameEncoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
@@ -1,6 +1,6 @@
-package cedarrudder.sim;
+package cedarrudder.simulator;
 
-import cedarrudder.Balancer.Actions;
+import cedarrudder.balancer.LoadBalancer.Actions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
@@ -30,7 +30,7 @@
 
     /** Forgets all, for the next reply. */
     void clear() {
-        records.clear().position(Wire.REPLY_HEADER);
+        records.clear().position(SimulatorWire.REPLY_HEADER);
         tail.clear();
         count = 0;
         current = -1;
@@ -39,7 +39,7 @@
     /** Writes the reply in one piece and flushes it. */
     void writeTo(OutputStream out) throws IOException {
         records.putInt(0, count);
-        records.putInt(4, records.position() - Wire.REPLY_HEADER + tail.position());
+        records.putInt(4, records.position() - SimulatorWire.REPLY_HEADER + tail.position());
         records = room(records, tail.position());
         records.put(tail.flip());
         out.write(records.array(), 0, records.position());
@@ -53,18 +53,18 @@
     private int record(long instance, int code) {
         if (instance != current) {
             current = instance;
-            int at = raw(Wire.AS);
+            int at = raw(SimulatorWire.AS);
             records.putInt(at + 1, (int) instance);
         }
         return raw(code);
     }
 
     private int raw(int code) {
-        records = room(records, Wire.ACTION);
+        records = room(records, SimulatorWire.ACTION);
         int at = records.position();
-        Arrays.fill(records.array(), at, at + Wire.ACTION, (byte) 0);
+        Arrays.fill(records.array(), at, at + SimulatorWire.ACTION, (byte) 0);
         records.put(at, (byte) code);
-        records.position(at + Wire.ACTION);
+        records.position(at + SimulatorWire.ACTION);
         count++;
         return at;
     }
@@ -78,7 +78,7 @@
 
     /** Declares that the module of this instance failed. */
     void bug(long instance, String message) {
-        int at = record(instance, Wire.BUG);
+        int at = record(instance, SimulatorWire.BUG);
         span(at + 1, message.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -91,7 +91,7 @@
 
             @Override
             public void send(long request, long endpoint, long timeout) {
-                int at = record(Wire.CALL_OUT);
+                int at = record(SimulatorWire.CALL_OUT);
                 records.putLong(at + 1, request);
                 records.putInt(at + 9, (int) endpoint);
                 records.putLong(at + 13, timeout);
@@ -99,64 +99,64 @@
 
             @Override
             public void refuse(long request, long retryAfter) {
-                int at = record(Wire.TURN_AWAY);
+                int at = record(SimulatorWire.TURN_AWAY);
                 records.putLong(at + 1, request);
                 records.putLong(at + 9, retryAfter);
             }
 
             @Override
             public void fail(long request) {
-                int at = record(Wire.FINISH_ERROR);
+                int at = record(SimulatorWire.FINISH_ERROR);
                 records.putLong(at + 1, request);
             }
 
             @Override
             public void cancel(long request, int attempt) {
-                int at = record(Wire.UNDO_SEND);
+                int at = record(SimulatorWire.UNDO_SEND);
                 records.putLong(at + 1, request);
                 records.put(at + 9, (byte) attempt);
             }
 
             @Override
             public void probe(long endpoint) {
-                int at = record(Wire.POLL);
+                int at = record(SimulatorWire.POLL);
                 records.putInt(at + 1, (int) endpoint);
             }
 
             @Override
             public void closeIdle(long endpoint) {
-                int at = record(Wire.FREE_LINKS);
+                int at = record(SimulatorWire.FREE_LINKS);
                 records.putInt(at + 1, (int) endpoint);
             }
 
             @Override
             public void schedule(long at, long token) {
-                int record = record(Wire.SCHEDULE);
+                int record = record(SimulatorWire.SCHEDULE);
                 records.putLong(record + 1, at);
                 records.putLong(record + 9, token);
             }
 
             @Override
             public void subscribe(boolean on) {
-                int at = record(Wire.SUBSCRIBE);
+                int at = record(SimulatorWire.SUBSCRIBE);
                 records.put(at + 1, (byte) (on ? 1 : 0));
             }
 
             @Override
             public void fetchEndpoints() {
-                record(Wire.FETCH);
+                record(SimulatorWire.FETCH);
             }
 
             @Override
             public void tell(int copy, byte[] message) {
-                int at = record(Wire.PUBLISH);
+                int at = record(SimulatorWire.PUBLISH);
                 records.putInt(at + 1, copy);
                 span(at + 5, message);
             }
 
             @Override
             public void log(String line) {
-                span(record(Wire.EMIT) + 1, line.getBytes(StandardCharsets.UTF_8));
+                span(record(SimulatorWire.EMIT) + 1, line.getBytes(StandardCharsets.UTF_8));
             }
         };
     }
--- a/daemon/src/main/java/cedarrudder/sim/SimHost.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
@@ -1,10 +1,10 @@
-package cedarrudder.sim;
+package cedarrudder.simulator;
 
-import cedarrudder.Balancer;
-import cedarrudder.Decide;
-import cedarrudder.Tuning;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.PrequalBalancer;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.ReportFields;
+import cedarrudder.protocol.LoadReportFields;
 import cedarrudder.protocol.SettingsReader;
 import cedarrudder.protocol.SiteSettings;
 import java.io.BufferedInputStream;
@@ -23,39 +23,40 @@
  * Hosts balancer copies on the simulator's wire: batches of events on standard input, replies on
  * standard output.
  */
-public final class SimHost {
+public final class SimulatorHost {
 
-    private record Copy(Balancer balancer, ReportFields fields) {}
+    private record Copy(LoadBalancer balancer, LoadReportFields fields) {}
 
-    private final Tuning tuning;
+    private final BalancerParameters tuning;
     private final FrameEncoder reply = new FrameEncoder();
     private final Map<Long, Copy> copies = new HashMap<>();
-    private final Map<Integer, List<Balancer.Endpoint>> inventories = new HashMap<>();
+    private final Map<Integer, List<LoadBalancer.Endpoint>> inventories = new HashMap<>();
     private long current = -1;
 
-    private SimHost(Tuning tuning) {
+    private SimulatorHost(BalancerParameters tuning) {
         this.tuning = tuning;
     }
 
     /**
      * Serves standard input until it ends and returns the exit code. All copies have this tuning.
      */
-    public static int run(Tuning tuning) {
+    public static int run(BalancerParameters tuning) {
         try {
             serve(
                     tuning,
                     new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new FileOutputStream(FileDescriptor.out));
             return 0;
-        } catch (WireException | IOException e) {
+        } catch (SimulatorWireException | IOException e) {
             System.err.println("cedarrudder: " + e.getMessage());
             return 1;
         }
     }
 
     /** Answers batches until the input ends. */
-    static void serve(Tuning tuning, InputStream in, OutputStream out) throws IOException {
-        SimHost host = new SimHost(tuning);
+    static void serve(BalancerParameters tuning, InputStream in, OutputStream out)
+            throws IOException {
+        SimulatorHost host = new SimulatorHost(tuning);
         FrameDecoder batch = new FrameDecoder(in);
         while (batch.next()) {
             host.reply.clear();
@@ -68,10 +69,10 @@
 
     private void handle(FrameDecoder batch) {
         switch (batch.code()) {
-            case Wire.TO -> current = batch.u32(1);
-            case Wire.INVENTORY -> inventories.put(batch.u16(1), batch.endpoints(3));
-            case Wire.NEW_INSTANCE -> start(batch);
-            case Wire.KILL -> {
+            case SimulatorWire.TO -> current = batch.u32(1);
+            case SimulatorWire.INVENTORY -> inventories.put(batch.u16(1), batch.endpoints(3));
+            case SimulatorWire.NEW_INSTANCE -> start(batch);
+            case SimulatorWire.KILL -> {
                 copy(batch);
                 copies.remove(current);
             }
@@ -104,7 +105,8 @@
             throw batch.error("settings: " + e.getMessage());
         }
         SplittableRandom random = new SplittableRandom(seed);
-        Balancer balancer = new Decide(settings.module(), tuning, random, reply.actionsOf(current));
+        LoadBalancer balancer =
+                new PrequalBalancer(settings.module(), tuning, random, reply.actionsOf(current));
         copies.put(current, new Copy(balancer, settings.fields()));
     }
 
@@ -120,68 +122,69 @@
     /**
      * Reads the whole event first, so that a malformed one is not taken for a fault of the module.
      */
-    private Runnable decode(FrameDecoder batch, Balancer copy, ReportFields fields, long now) {
+    private Runnable decode(
+            FrameDecoder batch, LoadBalancer copy, LoadReportFields fields, long now) {
         switch (batch.code()) {
-            case Wire.VIEW -> {
+            case SimulatorWire.VIEW -> {
                 int kind = batch.u8(1);
-                if (kind == Wire.VIEW_FAILED) {
+                if (kind == SimulatorWire.VIEW_FAILED) {
                     return () -> copy.endpointsFailed(now);
                 }
-                Balancer.ListKind listKind = batch.listKind(kind);
-                List<Balancer.Endpoint> entries = inventories.get(batch.u16(6));
+                LoadBalancer.EndpointListKind listKind = batch.listKind(kind);
+                List<LoadBalancer.Endpoint> entries = inventories.get(batch.u16(6));
                 if (entries == null) {
                     throw batch.error("list " + batch.u16(6) + " was never given");
                 }
                 return () -> copy.endpoints(now, listKind, entries);
             }
-            case Wire.KNOCK -> {
+            case SimulatorWire.KNOCK -> {
                 int bits = batch.u8(9);
-                Balancer.Request request =
-                        new Balancer.Request(
+                LoadBalancer.Request request =
+                        new LoadBalancer.Request(
                                 batch.i64(1),
                                 batch.u8(12),
                                 batch.u16(10),
                                 batch.i64(13),
                                 batch.i64(21),
-                                (bits & Wire.BIT_REPEAT) != 0,
-                                (bits & Wire.BIT_WRITE) != 0,
-                                (bits & Wire.BIT_HINT) != 0 ? batch.i64(29) : 0);
+                                (bits & SimulatorWire.BIT_REPEAT) != 0,
+                                (bits & SimulatorWire.BIT_WRITE) != 0,
+                                (bits & SimulatorWire.BIT_HINT) != 0 ? batch.i64(29) : 0);
                 return () -> copy.request(now, request);
             }
-            case Wire.FIRST_BYTE -> {
+            case SimulatorWire.FIRST_BYTE -> {
                 long id = batch.i64(1);
                 long latency = batch.i64(9);
                 int attempt = batch.u8(17);
                 long endpoint = batch.u32(18);
                 return () -> copy.firstByte(now, id, attempt, endpoint, latency);
             }
-            case Wire.OUTCOME -> {
+            case SimulatorWire.OUTCOME -> {
                 long id = batch.i64(1);
                 int attempt = batch.u8(9);
                 long endpoint = batch.u32(10);
-                Balancer.Outcome outcome = batch.outcome(14);
+                LoadBalancer.Outcome outcome = batch.outcome(14);
                 long latency = batch.i64(16);
                 boolean settled = batch.u8(24) != 0;
-                Balancer.Load load = batch.load(25, fields);
+                LoadBalancer.LoadReport load = batch.load(25, fields);
                 return () ->
                         copy.outcome(now, id, attempt, endpoint, outcome, latency, settled, load);
             }
-            case Wire.CLIENT_LEFT -> {
+            case SimulatorWire.CLIENT_LEFT -> {
                 long id = batch.i64(1);
                 return () -> copy.clientLeft(now, id);
             }
-            case Wire.BELL -> {
+            case SimulatorWire.BELL -> {
                 long token = batch.i64(1);
                 return () -> copy.timer(now, token);
             }
-            case Wire.STATUS_BACK -> {
+            case SimulatorWire.STATUS_BACK -> {
                 long endpoint = batch.u32(1);
-                Balancer.Outcome outcome = batch.outcome(5);
+                LoadBalancer.Outcome outcome = batch.outcome(5);
                 long latency = batch.i64(7);
-                Balancer.Load load = batch.load(15, fields);
+                LoadBalancer.LoadReport load = batch.load(15, fields);
                 return () -> copy.probed(now, endpoint, outcome, latency, load);
             }
-            case Wire.WHISPER -> {
+            case SimulatorWire.WHISPER -> {
                 int from = batch.u16(1);
                 byte[] message = batch.bytes(3);
                 return () -> copy.message(now, from, message);
--- a/daemon/src/main/java/cedarrudder/sim/Wire.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorWire.java
@@ -1,7 +1,7 @@
-package cedarrudder.sim;
+package cedarrudder.simulator;
 
 /** Codes and sizes of the simulator's wire. */
-final class Wire {
+final class SimulatorWire {
     static final int BATCH_HEADER = 16;
     static final int REPLY_HEADER = 8;
     static final int EVENT = 48;
@@ -44,5 +44,5 @@
     static final int FETCH = 11;
     static final int AS = 12;
 
-    private Wire() {}
+    private SimulatorWire() {}
 }
--- a/daemon/src/main/java/cedarrudder/sim/WireException.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorWireException.java
@@ -1,10 +1,10 @@
-package cedarrudder.sim;
+package cedarrudder.simulator;
 
 /** Input that is not of the wire; the message says what and where. */
-final class WireException extends RuntimeException {
+final class SimulatorWireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    SimulatorWireException(String message) {
         super(message, null, false, false);
     }
 }
--- a/daemon/src/main/java/cedarrudder/toml/Document.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigDocument.java
@@ -22,22 +22,22 @@
  * so that one run finds all errors; {@link #check} then throws them together. Parsing is done by
  * tomlj, which unlike other TOML readers knows the line of each key.
  */
-public final class Document {
+public final class ConfigDocument {
 
     /** Larger files are no configuration. */
     private static final long MOST_BYTES = 4 << 20;
 
     private final String file;
-    private final List<Problem> problems = new ArrayList<>();
-    private final Map<String, Key> keys = new LinkedHashMap<>();
-    private final Table root;
+    private final List<ConfigProblem> problems = new ArrayList<>();
+    private final Map<String, ConfigKey> keys = new LinkedHashMap<>();
+    private final ConfigTable root;
 
-    private Document(String file, String text) {
+    private ConfigDocument(String file, String text) {
         this.file = file;
         TomlParseResult parsed = Toml.parse(text);
         for (TomlParseError error : parsed.errors()) {
             problems.add(
-                    new Problem(
+                    new ConfigProblem(
                             file,
                             error.position() == null ? 0 : error.position().line(),
                             "",
@@ -45,26 +45,26 @@
                             "TOML 1.0"));
         }
         // Guards against errors that only follow from a line that could not be read.
-        root = new Table(this, problems.isEmpty() ? parsed : Toml.parse(""), "", 0);
+        root = new ConfigTable(this, problems.isEmpty() ? parsed : Toml.parse(""), "", 0);
     }
 
     /** Reads a text; {@code file} is the name by which errors call it. */
-    public static Document parse(String file, String text) {
-        return new Document(file, text);
+    public static ConfigDocument parse(String file, String text) {
+        return new ConfigDocument(file, text);
     }
 
     /**
      * Reads a file.
      *
-     * @throws BadFileException if it isn't there, can't be read or is over 4 MiB
+     * @throws InvalidFileException if it isn't there, can't be read or is over 4 MiB
      */
-    public static Document read(Path path) throws BadFileException {
+    public static ConfigDocument read(Path path) throws InvalidFileException {
         try {
             if (Files.size(path) > MOST_BYTES) {
                 throw unreadable(
                         path, Files.size(path) + " bytes", MOST_BYTES + " bytes at the most");
             }
-            return new Document(path.toString(), Files.readString(path));
+            return new ConfigDocument(path.toString(), Files.readString(path));
         } catch (NoSuchFileException e) {
             throw unreadable(path, "no such file", "a TOML file");
         } catch (CharacterCodingException e) {
@@ -75,12 +75,13 @@
         }
     }
 
-    private static BadFileException unreadable(Path path, String found, String allowed) {
-        return new BadFileException(List.of(new Problem(path.toString(), 0, "", found, allowed)));
+    private static InvalidFileException unreadable(Path path, String found, String allowed) {
+        return new InvalidFileException(
+                List.of(new ConfigProblem(path.toString(), 0, "", found, allowed)));
     }
 
     /** The table at the top; empty where the text is no TOML. */
-    public Table root() {
+    public ConfigTable root() {
         return root;
     }
 
@@ -89,32 +90,32 @@
         return file;
     }
 
-    void asked(Key key) {
+    void asked(ConfigKey key) {
         keys.putIfAbsent(key.path(), key);
     }
 
     /** The keys that were asked for so far, there or not, in the order of their first asking. */
-    public List<Key> keys() {
+    public List<ConfigKey> keys() {
         return List.copyOf(keys.values());
     }
 
     void add(int line, String key, String found, String allowed) {
-        problems.add(new Problem(file, line, key, found, allowed));
+        problems.add(new ConfigProblem(file, line, key, found, allowed));
     }
 
     /** What is wrong so far, in the order of lines. */
-    public List<Problem> problems() {
-        return problems.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
+    public List<ConfigProblem> problems() {
+        return problems.stream().sorted(Comparator.comparingInt(ConfigProblem::line)).toList();
     }
 
     /**
      * To be called when all has been read.
      *
-     * @throws BadFileException if anything was wrong, with all of it
+     * @throws InvalidFileException if anything was wrong, with all of it
      */
-    public void check() throws BadFileException {
+    public void check() throws InvalidFileException {
         if (!problems.isEmpty()) {
-            throw new BadFileException(problems());
+            throw new InvalidFileException(problems());
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/toml/Problem.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigProblem.java
@@ -9,7 +9,7 @@
  * @param found what stands there, or {@code nothing}
  * @param allowed what may stand there
  */
-public record Problem(String file, int line, String key, String found, String allowed) {
+public record ConfigProblem(String file, int line, String key, String found, String allowed) {
 
     @Override
     public String toString() {
--- a/daemon/src/main/java/cedarrudder/toml/Table.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
@@ -17,12 +17,12 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a {@link Document}. Each method names a key that may stand in it; {@link #done}
- * reports every other key. A value that is missing or wrong is reported, and the default or the
- * least value comes in its place, so reading goes on. Numbers may be written as integers or
+ * One table of a {@link ConfigDocument}. Each method names a key that may stand in it; {@link
+ * #done} reports every other key. A value that is missing or wrong is reported, and the default or
+ * the least value comes in its place, so reading goes on. Numbers may be written as integers or
  * decimals.
  */
-public final class Table {
+public final class ConfigTable {
 
     /** A misspelt key is named with the known one that is at most so many changes away. */
     private static final int NEAREST = 3;
@@ -32,14 +32,14 @@
 
     private static final Pattern INDEX = Pattern.compile("\\[\\d+]");
 
-    private final Document document;
+    private final ConfigDocument document;
     private final TomlTable table;
     private final String path;
     private final int line;
     private final Set<String> known = new LinkedHashSet<>();
     private final Set<String> wrong = new HashSet<>();
 
-    Table(Document document, TomlTable table, String path, int line) {
+    ConfigTable(ConfigDocument document, TomlTable table, String path, int line) {
         this.document = document;
         this.table = table;
         this.path = path;
@@ -140,7 +140,9 @@
 
     private Object get(String key, boolean required, String allowed, String otherwise) {
         known.add(key);
-        document.asked(new Key(plain(path + key), allowed, required ? Key.REQUIRED : otherwise));
+        document.asked(
+                new ConfigKey(
+                        plain(path + key), allowed, required ? ConfigKey.REQUIRED : otherwise));
         Object value = table.get(List.of(key));
         if (value == null && required) {
             problem(key, "nothing", allowed);
@@ -223,7 +225,7 @@
                         least,
                         most,
                         otherwise == null,
-                        otherwise == null ? Key.REQUIRED : plain(otherwise));
+                        otherwise == null ? ConfigKey.REQUIRED : plain(otherwise));
         if (ends != null) {
             return ends;
         }
@@ -232,7 +234,7 @@
 
     /** A number or two as in {@link #range} that may be left out; null where it is. */
     public double[] rangeOrNull(String key, double least, double most) {
-        double[] ends = range(key, least, most, false, Key.NONE);
+        double[] ends = range(key, least, most, false, ConfigKey.NONE);
         return ends == null && has(key) ? new double[] {least, least} : ends;
     }
 
@@ -288,7 +290,7 @@
                         key,
                         otherwise == null,
                         "a text",
-                        otherwise == null || otherwise.isEmpty() ? Key.NONE : otherwise);
+                        otherwise == null || otherwise.isEmpty() ? ConfigKey.NONE : otherwise);
         if (value instanceof String text) {
             return text;
         }
@@ -301,7 +303,7 @@
     /** A time of day; it must be there. */
     public LocalTime time(String key) {
         String allowed = "a time of day such as 09:30:00";
-        Object value = get(key, true, allowed, Key.NONE);
+        Object value = get(key, true, allowed, ConfigKey.NONE);
         if (value instanceof LocalTime time) {
             return time;
         }
@@ -313,7 +315,7 @@
 
     /** A list of texts; empty where left out. */
     public List<String> texts(String key) {
-        Object value = get(key, false, "a list of texts", Key.NONE);
+        Object value = get(key, false, "a list of texts", ConfigKey.NONE);
         if (value == null) {
             return List.of();
         }
@@ -328,7 +330,7 @@
     /** A list of numbers; empty where left out. */
     public List<Double> numbers(String key, double least, double most) {
         String allowed = "a list of numbers from " + plain(least) + " to " + plain(most);
-        Object value = get(key, false, allowed, Key.NONE);
+        Object value = get(key, false, allowed, ConfigKey.NONE);
         if (value == null) {
             return List.of();
         }
@@ -351,13 +353,15 @@
     public <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) {
         E[] constants = of.getEnumConstants();
         String allowed =
-                Arrays.stream(constants).map(Table::written).collect(Collectors.joining(", "));
+                Arrays.stream(constants)
+                        .map(ConfigTable::written)
+                        .collect(Collectors.joining(", "));
         Object value =
                 get(
                         key,
                         otherwise == null,
                         allowed,
-                        otherwise == null ? Key.REQUIRED : written(otherwise));
+                        otherwise == null ? ConfigKey.REQUIRED : written(otherwise));
         for (E constant : constants) {
             if (written(constant).equals(value)) {
                 return constant;
@@ -377,10 +381,10 @@
     // ---- tables ----
 
     /** A table; null where left out. */
-    public Table table(String key) {
-        Object value = get(key, false, "a table", Key.NONE);
+    public ConfigTable table(String key) {
+        Object value = get(key, false, "a table", ConfigKey.NONE);
         if (value instanceof TomlTable child) {
-            return new Table(document, child, path + key + ".", lineOf(key));
+            return new ConfigTable(document, child, path + key + ".", lineOf(key));
         }
         if (value != null) {
             problem(key, shown(value), "a table");
@@ -389,21 +393,23 @@
     }
 
     /** A table whose keys are all missing where it is left out itself. */
-    public Table tableOrEmpty(String key) {
-        Table child = table(key);
-        return child != null ? child : new Table(document, Toml.parse(""), path + key + ".", line);
+    public ConfigTable tableOrEmpty(String key) {
+        ConfigTable child = table(key);
+        return child != null
+                ? child
+                : new ConfigTable(document, Toml.parse(""), path + key + ".", line);
     }
 
     /** An array of tables; empty where left out. */
-    public List<Table> tables(String key) {
+    public List<ConfigTable> tables(String key) {
         String allowed = "tables written [[" + plain(path + key) + "]]";
-        Object value = get(key, false, allowed, Key.NONE);
-        List<Table> tables = new ArrayList<>();
+        Object value = get(key, false, allowed, ConfigKey.NONE);
+        List<ConfigTable> tables = new ArrayList<>();
         if (value instanceof TomlArray array
                 && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             for (int i = 0; i < array.size(); i++) {
                 tables.add(
-                        new Table(
+                        new ConfigTable(
                                 document,
                                 array.getTable(i),
                                 path + key + "[" + i + "].",
--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -1,11 +1,11 @@
 package cedarrudder.transport;
 
-import cedarrudder.protocol.BadMessageException;
+import cedarrudder.forwarding.TimerService;
 import cedarrudder.protocol.HttpDecoder;
 import cedarrudder.protocol.HttpEncoder;
-import cedarrudder.protocol.Message;
-import cedarrudder.routing.Timers;
-import cedarrudder.transport.Desk.Done;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
+import cedarrudder.transport.AdminOperations.Done;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -25,7 +25,7 @@
 
 /**
  * The operators' address: one call to a connection, answered at once. It routes calls to the {@link
- * Desk} and knows nothing of RPCs.
+ * AdminOperations} and knows nothing of RPCs.
  */
 public final class AdminListener {
 
@@ -50,12 +50,12 @@
     private static final String DRAINS = "/-/drains";
     private static final Answer UNKNOWN_PATH = Answer.text(404, "unknown path");
 
-    private final Loop loop;
-    private final Desk desk;
+    private final ProxyEventLoop loop;
+    private final AdminOperations desk;
     private final Set<Call> calls = new LinkedHashSet<>();
     private Channel listening;
 
-    public AdminListener(Loop loop, Desk desk) {
+    public AdminListener(ProxyEventLoop loop, AdminOperations desk) {
         this.loop = loop;
         this.desk = desk;
     }
@@ -65,7 +65,7 @@
         var bound =
                 new ServerBootstrap()
                         .group(loop.group())
-                        .channelFactory(() -> new Door(loop))
+                        .channelFactory(() -> new HandoverSocket(loop))
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.ALLOCATOR, loop.buffers())
                         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -109,7 +109,7 @@
 
     /** Null where the answer comes later, to {@code later}. */
     private Answer route(String method, String target, Consumer<Answer> later)
-            throws BadMessageException {
+            throws MalformedMessageException {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
         int verb = path.lastIndexOf('/');
@@ -161,15 +161,15 @@
 
     /** A call such as {@code zone/a/begin}. */
     private Answer remove(String method, String call, Consumer<Answer> later)
-            throws BadMessageException {
+            throws MalformedMessageException {
         String[] parts = call.split("/", -1);
-        Desk.Which which =
+        AdminOperations.Which which =
                 parts.length == 3
                         ? switch (parts[0]) {
-                            case "node" -> Desk.Which.NODE;
-                            case "zone" -> Desk.Which.ZONE;
-                            case "pod" -> Desk.Which.POD;
-                            case "kind" -> Desk.Which.KIND;
+                            case "node" -> AdminOperations.Which.NODE;
+                            case "zone" -> AdminOperations.Which.ZONE;
+                            case "pod" -> AdminOperations.Which.POD;
+                            case "kind" -> AdminOperations.Which.KIND;
                             default -> null;
                         }
                         : null;
@@ -206,12 +206,13 @@
     }
 
     /** Decodes what is percent-encoded, once. */
-    private static String decoded(String segment) throws BadMessageException {
+    private static String decoded(String segment) throws MalformedMessageException {
         try {
             // A plus sign is one: the decoder is for forms, where it stands for a blank.
             return URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            throw new BadMessageException(BadMessageException.BAD_REQUEST, "bad percent-encoding");
+            throw new MalformedMessageException(
+                    MalformedMessageException.BAD_REQUEST, "bad percent-encoding");
         }
     }
 
@@ -238,7 +239,7 @@
         private long said;
         private boolean answered;
         private boolean waits;
-        private Timers.Timer patience;
+        private TimerService.Timer patience;
 
         Call(DuplexChannel channel) {
             this.channel = channel;
@@ -277,7 +278,7 @@
                 // the answer
             }
             try {
-                Message call = decoder.decode(in);
+                HttpMessage call = decoder.decode(in);
                 if (call != null) {
                     Answer answer =
                             route(call.head().method(), call.head().target(), this::answerLater);
@@ -290,7 +291,7 @@
                 } else if (decoder.awaitsContinue()) {
                     channel.writeAndFlush(HttpEncoder.goOn(loop.buffers()));
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 answer(Answer.text(e.status(), e.getMessage()));
             }
         }
--- a/daemon/src/main/java/cedarrudder/transport/Desk.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** What operators may ask of the proxy; all of it happens on the loop. */
-public interface Desk {
+public interface AdminOperations {
 
     /** What came of a call. */
     enum Done {
--- a/daemon/src/main/java/cedarrudder/transport/BodyPump.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -1,13 +1,13 @@
 package cedarrudder.transport;
 
-import cedarrudder.flow.BodyFlow;
+import cedarrudder.bodyflow.BodyFlow;
 import cedarrudder.protocol.HttpEncoder;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.WriteBufferWaterMark;
 
 /** Writes a flow to a channel, no faster than the channel takes it. */
-final class BodyPump {
+final class BodyWriter {
 
     /**
      * The least and the most bytes that wait to be written to a peer while a body flows to it; a
@@ -25,7 +25,7 @@
         void broke();
     }
 
-    private final Loop loop;
+    private final ProxyEventLoop loop;
     private final Channel channel;
     private final BodyFlow flow;
     private final boolean chunked;
@@ -39,8 +39,8 @@
     /**
      * @param spending runs before each piece that is taken for good
      */
-    BodyPump(
-            Loop loop,
+    BodyWriter(
+            ProxyEventLoop loop,
             Channel channel,
             BodyFlow flow,
             boolean chunked,
--- a/daemon/src/main/java/cedarrudder/transport/CallerState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnectionState.java
@@ -5,7 +5,7 @@
  * what no single flag shows: an answer on a connection whose output has ended, or a request taken
  * behind it.
  */
-enum CallerState {
+enum ClientConnectionState {
     /** It has said nothing yet. */
     NEW,
     /** It is between two requests. */
@@ -47,7 +47,7 @@
     }
 
     /** The state after an event; null where it can't come in this one. */
-    CallerState on(Event event) {
+    ClientConnectionState on(Event event) {
         if (event == Event.CLOSE) {
             return CLOSED;
         }
--- a/daemon/src/main/java/cedarrudder/transport/CallerLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
@@ -1,6 +1,6 @@
 package cedarrudder.transport;
 
-import cedarrudder.flow.BodyFlow;
+import cedarrudder.bodyflow.BodyFlow;
 import cedarrudder.protocol.HttpDecoder;
 
 /**
@@ -21,7 +21,7 @@
  *     flows
  * @param descriptorsShare the share of the process's descriptors that callers may hold
  */
-public record CallerLimits(
+public record ClientLimits(
         long requestPatience,
         long silentLong,
         long idlePatience,
@@ -34,8 +34,8 @@
      * What counts where nothing is set: operators may set each. None of it ends an RPC that waits
      * for its answer, so that it holds for classes of any deadline.
      */
-    public static final CallerLimits DEFAULT =
-            new CallerLimits(
+    public static final ClientLimits DEFAULT =
+            new ClientLimits(
                     2_500_000_000L,
                     1_000_000_000L,
                     5_000_000_000L,
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -1,18 +1,18 @@
 package cedarrudder.transport;
 
-import cedarrudder.protocol.BadMessageException;
+import cedarrudder.forwarding.DiscoveryPollSchedule;
+import cedarrudder.forwarding.DiscoveryTimeouts;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.TimerService;
+import cedarrudder.protocol.EndpointList;
+import cedarrudder.protocol.EndpointListParser;
+import cedarrudder.protocol.EndpointListReader;
 import cedarrudder.protocol.HttpDecoder;
 import cedarrudder.protocol.HttpEncoder;
+import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.ListGate;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.MalformedMessageException;
 import cedarrudder.protocol.ObjectStream;
-import cedarrudder.protocol.ResolverResult;
-import cedarrudder.protocol.ResolverResultReader;
-import cedarrudder.routing.Resolver;
-import cedarrudder.routing.ResolverClock;
-import cedarrudder.routing.ResolverPatience;
-import cedarrudder.routing.Timers;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -28,10 +28,10 @@
 
 /**
  * The connections to discovery: the watch on changes, and calls for the whole list. When they are
- * made and given up is for a {@link ResolverClock} to say, one for the watch and one for each whole
- * list.
+ * made and given up is for a {@link DiscoveryPollSchedule} to say, one for the watch and one for
+ * each whole list.
  */
-public final class DiscoveryClient implements Resolver {
+public final class DiscoveryClient implements EndpointDiscovery {
 
     private static final String LIST = "/catalog/members";
 
@@ -47,16 +47,16 @@
      */
     private static final long LATE = 1_050_000_000L;
 
-    private final Loop loop;
-    private final ResolverResultReader reader;
+    private final ProxyEventLoop loop;
+    private final EndpointListParser reader;
     private final RandomGenerator random;
-    private final Consumer<ResolverResult> results;
+    private final Consumer<EndpointList> results;
     private final Runnable failures;
     private final Bootstrap bootstrap;
     private final Asks watch;
-    private ResolverPatience patience;
+    private DiscoveryTimeouts patience;
     private InetSocketAddress address;
-    private final ListGate gate;
+    private final EndpointListReader gate;
     private final long again;
     private long version;
 
@@ -76,16 +76,16 @@
      *     list is asked for anew where nodes were left out
      */
     public DiscoveryClient(
-            Loop loop,
+            ProxyEventLoop loop,
             InetSocketAddress address,
-            ResolverPatience patience,
+            DiscoveryTimeouts patience,
             long longest,
             RandomGenerator random,
-            ResolverResultReader reader,
+            EndpointListParser reader,
             long known,
-            Consumer<ResolverResult> results,
+            Consumer<EndpointList> results,
             Runnable failures,
-            ListGate gate,
+            EndpointListReader gate,
             long again) {
         this.loop = loop;
         this.address = address;
@@ -107,7 +107,7 @@
     }
 
     /** These figures count from now on; a wait that has begun may last for as long as it was to. */
-    public void apply(ResolverPatience next) {
+    public void apply(DiscoveryTimeouts next) {
         patience = next;
         watch.clock.apply(next);
     }
@@ -155,7 +155,7 @@
     }
 
     private void refused() {
-        ListGate.Judged why = gate.last();
+        EndpointListReader.Judged why = gate.last();
         loop.log()
                 .warn("footprint.refused")
                 .with("bound", why.bound())
@@ -193,18 +193,18 @@
     }
 
     /** The calls that are out for the watch, or for one whole list. */
-    private final class Asks implements ResolverClock.Actions {
+    private final class Asks implements DiscoveryPollSchedule.Actions {
         private final boolean follows;
-        private final ResolverClock clock;
+        private final DiscoveryPollSchedule clock;
         private final Map<Integer, Call> calls = new HashMap<>();
-        private Timers.Timer timer;
+        private TimerService.Timer timer;
 
         /** A connection without a call yet; null: none. */
         private Call spare;
 
         Asks(boolean follows, long longest) {
             this.follows = follows;
-            this.clock = new ResolverClock(follows, longest, patience, random, this);
+            this.clock = new DiscoveryPollSchedule(follows, longest, patience, random, this);
         }
 
         @Override
@@ -352,7 +352,7 @@
                 return;
             }
             try {
-                Message end = decoder.decode(in);
+                HttpMessage end = decoder.decode(in);
                 if (end != null && end.head().status() == 200) {
                     objects.end();
                 }
@@ -363,7 +363,7 @@
                             "ended with status "
                                     + (end == null ? decoder.head() : end.head()).status());
                 }
-            } catch (BadMessageException | IllegalArgumentException e) {
+            } catch (MalformedMessageException | IllegalArgumentException e) {
                 fail(e.getMessage());
             }
         }
@@ -395,7 +395,7 @@
                 return;
             }
             boolean first = !answered;
-            ResolverResult result = take(text);
+            EndpointList result = take(text);
             if (result != null) {
                 if (gate != null && gate.roomier()) {
                     take(text); // what has left made room for more of it
@@ -405,7 +405,7 @@
         }
 
         /** Reads and passes on; null: it tells nothing new. */
-        private ResolverResult take(String text) {
+        private EndpointList take(String text) {
             JsonObject told = gate == null ? JsonObject.parse(text) : gate.read(text);
             boolean outdated =
                     told.whole("version") < version && !(asks.follows && told.flag("full", false));
@@ -415,7 +415,7 @@
                 return null;
             }
             // Not read: guards against what is outdated undoing what is known of nodes.
-            ResolverResult result = outdated ? null : reader.read(told);
+            EndpointList result = outdated ? null : reader.read(told);
             answered = true;
             asks.clock.told(loop.now(), number);
             if (outdated) {
--- a/daemon/src/main/java/cedarrudder/transport/NodeChannels.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
@@ -1,28 +1,28 @@
 package cedarrudder.transport;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
-import cedarrudder.budget.Carried;
-import cedarrudder.budget.FromBelow;
-import cedarrudder.figures.Figures;
-import cedarrudder.flow.BodyFlow;
-import cedarrudder.flow.HeldBytes;
-import cedarrudder.protocol.BadMessageException;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.bodyflow.BodyFlow;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.budget.PropagatedBudget;
+import cedarrudder.forwarding.AttemptTransport;
+import cedarrudder.forwarding.RequestAttempt;
+import cedarrudder.forwarding.RequestForwarder;
+import cedarrudder.forwarding.TimerService;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.protocol.BodyRemainder;
 import cedarrudder.protocol.BudgetHeaders;
-import cedarrudder.protocol.Head;
+import cedarrudder.protocol.EndpointList;
 import cedarrudder.protocol.HttpDecoder;
 import cedarrudder.protocol.HttpEncoder;
-import cedarrudder.protocol.LoadReport;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.ResolverResult;
-import cedarrudder.protocol.Rest;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.LoadReportParser;
+import cedarrudder.protocol.MalformedMessageException;
+import cedarrudder.protocol.MessageHead;
 import cedarrudder.protocol.SiteSettings;
-import cedarrudder.routing.CallAttempt;
-import cedarrudder.routing.ClientSide;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Timers;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -43,7 +43,7 @@
 import java.util.Set;
 
 /** The client side: the pool of channels to the nodes, and the call attempts and probes on them. */
-public final class NodeChannels implements ClientSide<Message, Message> {
+public final class EndpointConnectionPool implements AttemptTransport<HttpMessage, HttpMessage> {
 
     /** So many attempts in a row that nobody answered make a node a failing one. */
     private static final int FAILING = 5;
@@ -86,18 +86,19 @@
      */
     private static final double CONNECT_SHARE = 0.5;
 
-    private final Loop loop;
-    private final Driver<Message, Message> driver;
+    private final ProxyEventLoop loop;
+    private final RequestForwarder<HttpMessage, HttpMessage> driver;
     private final SiteSettings.Reports reports;
-    private final Figures figures;
-    private final HeldBytes held;
+    private final RequestMetrics figures;
+    private final BufferAccount held;
     private final Bootstrap bootstrap;
     private final long idleLimit;
-    private NodeLimits limits;
-    private NodeLimits.Bounds most;
+    private EndpointLimits limits;
+    private EndpointLimits.Bounds most;
     private final Map<Long, Node> nodes = new HashMap<>();
-    private final Map<CallAttempt<Message, Message>, Work> attempts = new IdentityHashMap<>();
-    private Timers.Timer sweeping;
+    private final Map<RequestAttempt<HttpMessage, HttpMessage>, Work> attempts =
+            new IdentityHashMap<>();
+    private TimerService.Timer sweeping;
     private int open;
 
     /**
@@ -105,14 +106,14 @@
      * @param figures where attempts are counted
      * @param held the account of what bodies hold
      */
-    public NodeChannels(
-            Loop loop,
-            Driver<Message, Message> driver,
+    public EndpointConnectionPool(
+            ProxyEventLoop loop,
+            RequestForwarder<HttpMessage, HttpMessage> driver,
             SiteSettings site,
-            NodeLimits limits,
-            NodeLimits.Bounds most,
-            Figures figures,
-            HeldBytes held) {
+            EndpointLimits limits,
+            EndpointLimits.Bounds most,
+            RequestMetrics figures,
+            BufferAccount held) {
         this.held = held;
         this.figures = figures;
         this.loop = loop;
@@ -125,20 +126,20 @@
         this.bootstrap =
                 new Bootstrap()
                         .group(loop.group())
-                        .channelFactory(NodeSocket::new)
+                        .channelFactory(EndpointSocket::new)
                         .option(ChannelOption.ALLOCATOR, loop.buffers())
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(
                                 ChannelOption.RCVBUF_ALLOCATOR,
                                 new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ))
-                        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyPump.WRITE_AHEAD)
+                        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyWriter.WRITE_AHEAD)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                                 (int) Math.max(1, connectNanos(site.module()) / 1_000_000));
         sweeping = loop.at(loop.now() + SWEEP, this::sweep);
     }
 
-    private static long connectNanos(Balancer.Settings settings) {
+    private static long connectNanos(LoadBalancer.BalancerSettings settings) {
         long set = settings.limits().connectTimeout();
         long grace = settings.safety().drainGrace();
         return Math.min(
@@ -150,7 +151,7 @@
      * From now on these limits count; channels that are open keep their bounds on bytes. Where
      * fewer channels may be there than are, idle ones are closed.
      */
-    public void apply(NodeLimits next, NodeLimits.Bounds bounds) {
+    public void apply(EndpointLimits next, EndpointLimits.Bounds bounds) {
         limits = next;
         most = bounds;
         for (int over = open - most.idle(); over > 0; over--) {
@@ -195,12 +196,12 @@
      * channels. Guards against keeping all nodes of a long day, and against a channel to a node
      * that is gone being used for the one that took over its address.
      */
-    public void resolved(ResolverResult result) {
+    public void resolved(EndpointList result) {
         Set<Long> listed = new HashSet<>();
-        for (ResolverResult.Node entry : result.nodes()) {
+        for (EndpointList.Node entry : result.nodes()) {
             long id = entry.endpoint().id();
             Node known = nodes.get(id);
-            boolean stays = entry.endpoint().state() != State.GONE;
+            boolean stays = entry.endpoint().state() != EndpointStatus.GONE;
             if (known != null && !(stays && known.address.equals(entry.address()))) {
                 nodes.remove(id).leave();
             }
@@ -245,7 +246,7 @@
     }
 
     @Override
-    public void start(CallAttempt<Message, Message> attempt) {
+    public void start(RequestAttempt<HttpMessage, HttpMessage> attempt) {
         Node node = nodes.get(attempt.endpoint());
         Work work = new Attempt(attempt, node);
         attempts.put(attempt, work);
@@ -253,7 +254,7 @@
     }
 
     @Override
-    public void abandon(CallAttempt<Message, Message> attempt) {
+    public void abandon(RequestAttempt<HttpMessage, HttpMessage> attempt) {
         Work work = attempts.remove(attempt);
         if (work != null) {
             work.giveUp();
@@ -358,10 +359,10 @@
             written = true;
         }
 
-        abstract void answered(Message answer);
+        abstract void answered(HttpMessage answer);
 
         /** The rest of what is to be written; null where {@link #encode} gives all of it. */
-        Rest rest() {
+        BodyRemainder rest() {
             return null;
         }
 
@@ -369,12 +370,12 @@
         void spend() {}
 
         /** Whether an answer with this head may go on before it is whole. */
-        boolean mayFlow(Head head) {
+        boolean mayFlow(MessageHead head) {
             return false;
         }
 
         /** The answer flows from here on; its end is told by {@link #answered}, without a body. */
-        void began(Message answer) {}
+        void began(HttpMessage answer) {}
 
         abstract void failed(Outcome outcome);
 
@@ -407,9 +408,9 @@
     }
 
     private final class Attempt extends Work {
-        private final CallAttempt<Message, Message> attempt;
+        private final RequestAttempt<HttpMessage, HttpMessage> attempt;
 
-        Attempt(CallAttempt<Message, Message> attempt, Node node) {
+        Attempt(RequestAttempt<HttpMessage, HttpMessage> attempt, Node node) {
             super(node);
             this.attempt = attempt;
         }
@@ -424,7 +425,7 @@
 
         @Override
         ByteBuf encode() {
-            Carried handed = attempt.handed();
+            PropagatedBudget handed = attempt.handed();
             return HttpEncoder.request(
                     loop.buffers(),
                     attempt.exchange().content(),
@@ -440,7 +441,7 @@
         }
 
         @Override
-        Rest rest() {
+        BodyRemainder rest() {
             return attempt.exchange().content().rest();
         }
 
@@ -450,30 +451,32 @@
         }
 
         @Override
-        boolean mayFlow(Head head) {
+        boolean mayFlow(MessageHead head) {
             return head.status() == 200;
         }
 
         @Override
-        void began(Message answer) {
+        void began(HttpMessage answer) {
             driver.began(attempt, answer, load(answer));
         }
 
         /** The load that an answer reports; null where it reports none. */
-        private Load load(Message answer) {
+        private LoadReport load(HttpMessage answer) {
             return reports == SiteSettings.Reports.ANSWERS
-                    ? LoadReport.parse(answer.head().fields().get("srv-load"))
+                    ? LoadReportParser.parse(answer.head().fields().get("srv-load"))
                     : null;
         }
 
         @Override
-        void answered(Message answer) {
+        void answered(HttpMessage answer) {
             attempts.remove(attempt);
             node.failures = 0;
-            Load load = load(answer);
+            LoadReport load = load(answer);
             int status = answer.head().status();
-            FromBelow below =
-                    attempt.handed() == null ? FromBelow.NOTHING : BudgetHeaders.result(answer);
+            DownstreamFeedback below =
+                    attempt.handed() == null
+                            ? DownstreamFeedback.NOTHING
+                            : BudgetHeaders.result(answer);
             if (status == 200) {
                 // Where it flowed the exchange is over, and this only tells how the attempt ended.
                 driver.served(attempt, answer, load, below);
@@ -493,7 +496,7 @@
     private final class Probe extends Work {
         private final long endpoint;
         private final long startedAt = loop.now();
-        private final Timers.Timer patience =
+        private final TimerService.Timer patience =
                 loop.at(startedAt + limits.probePatience(), this::expire);
 
         Probe(long endpoint, Node node) {
@@ -525,7 +528,7 @@
         }
 
         @Override
-        void answered(Message answer) {
+        void answered(HttpMessage answer) {
             if (node.gone) {
                 failed(Outcome.CANCELLED); // what it reports is true of nobody any more
                 return;
@@ -534,7 +537,10 @@
             node.failures = 0;
             boolean ok = answer.head().status() == 200;
             var load =
-                    ok ? LoadReport.parse(new String(answer.body(), StandardCharsets.UTF_8)) : null;
+                    ok
+                            ? LoadReportParser.parse(
+                                    new String(answer.body(), StandardCharsets.UTF_8))
+                            : null;
             driver.probed(
                     endpoint,
                     ok ? Outcome.OK : declined(answer) ? Outcome.FULL : Outcome.ERROR,
@@ -550,7 +556,7 @@
     }
 
     /** Whether a node turned a request away unseen. */
-    private static boolean declined(Message answer) {
+    private static boolean declined(HttpMessage answer) {
         int status = answer.head().status();
         return (status == 503 || status == 504)
                 && "1".equals(answer.head().fields().get("srv-declined"));
@@ -561,15 +567,15 @@
         private final Node node;
         private final HttpDecoder decoder =
                 HttpDecoder.ofFlows(false, limits.mostHead(), limits.mostBody(), BodyFlow.WINDOW);
-        private NodeSocket channel;
+        private EndpointSocket channel;
         private BodyFlow flow;
-        private BodyPump upload;
+        private BodyWriter upload;
         private int collected;
         private long heardAt;
         private Work work;
-        private Timers.Timer patience;
-        private Timers.Timer uploading;
-        private final ChannelLife life = new ChannelLife();
+        private TimerService.Timer patience;
+        private TimerService.Timer uploading;
+        private final EndpointConnectionState life = new EndpointConnectionState();
         private long upAt;
         private long idleSince;
 
@@ -579,7 +585,7 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            channel = (NodeSocket) context.channel();
+            channel = (EndpointSocket) context.channel();
             open++;
         }
 
@@ -594,7 +600,7 @@
          *
          * @return whether it was legal
          */
-        private boolean step(ChannelLife.Event event) {
+        private boolean step(EndpointConnectionState.Event event) {
             boolean legal = life.step(event);
             if (!legal) {
                 loop.log()
@@ -624,7 +630,7 @@
         void up(Work first) {
             upAt = loop.now();
             idleSince = upAt;
-            step(ChannelLife.Event.UP);
+            step(EndpointConnectionState.Event.UP);
             carry(first);
         }
 
@@ -645,7 +651,7 @@
             }
             work = next;
             next.channel = this;
-            if (!step(ChannelLife.Event.CARRIES)) {
+            if (!step(EndpointConnectionState.Event.CARRIES)) {
                 request.release();
                 return;
             }
@@ -659,7 +665,7 @@
                             wrote -> {
                                 if (!wrote.isSuccess()) {
                                     fail();
-                                } else if (step(ChannelLife.Event.WROTE)) {
+                                } else if (step(EndpointConnectionState.Event.WROTE)) {
                                     next.wrote();
                                 }
                             });
@@ -667,20 +673,20 @@
 
         /** Writes the rest of a request whose body flows. */
         private void upload(Work next) {
-            Rest rest = next.rest();
+            BodyRemainder rest = next.rest();
             upload =
-                    new BodyPump(
+                    new BodyWriter(
                             loop,
                             channel,
                             rest.flow(),
                             rest.length() < 0,
                             next::spend,
-                            new BodyPump.End() {
+                            new BodyWriter.End() {
                                 @Override
                                 public void wrote() {
                                     upload = null;
                                     uploading.cancel();
-                                    if (step(ChannelLife.Event.WROTE)) {
+                                    if (step(EndpointConnectionState.Event.WROTE)) {
                                         next.wrote();
                                     }
                                 }
@@ -701,7 +707,7 @@
          * silent: such a body has no deadline yet, and what its caller does is not seen while it is
          * not read.
          */
-        private void watch(BodyPump watched) {
+        private void watch(BodyWriter watched) {
             uploading =
                     loop.at(
                             loop.now() + BODY_STUCK / 4,
@@ -755,7 +761,7 @@
          * whole.
          */
         void retire() {
-            step(ChannelLife.Event.ENDS);
+            step(EndpointConnectionState.Event.ENDS);
             stopWaiting();
             held.add(-collected);
             collected = 0;
@@ -773,7 +779,7 @@
         }
 
         private boolean ended() {
-            return life.is(ChannelLife.State.ENDED);
+            return life.is(EndpointConnectionState.State.ENDED);
         }
 
         private void stopWaiting() {
@@ -793,13 +799,13 @@
             if (ended()) {
                 return;
             }
-            if (life.is(ChannelLife.State.IDLE)) {
+            if (life.is(EndpointConnectionState.State.IDLE)) {
                 retire(); // bytes that nobody asked for, such as those behind the last answer
                 return;
             }
             try {
                 heardAt = loop.now();
-                Message answer = decoder.decode(in);
+                HttpMessage answer = decoder.decode(in);
                 while (answer == null && decoder.large()) {
                     if (!work.mayFlow(decoder.head())) {
                         spoilt("too long a body");
@@ -820,7 +826,7 @@
                 if (flow != null) {
                     channel.config().setAutoRead(!flow.full());
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 spoilt(e.getMessage());
             }
         }
@@ -834,17 +840,17 @@
 
         /** The answer goes on as it comes from here on. */
         private void begin() {
-            if (life.is(ChannelLife.State.SENDING)) {
+            if (life.is(EndpointConnectionState.State.SENDING)) {
                 spoilt("an answer before the request");
                 return;
             }
-            if (!step(ChannelLife.Event.FLOWS)) {
+            if (!step(EndpointConnectionState.Event.FLOWS)) {
                 return;
             }
             BodyFlow next = new BodyFlow(held);
             flow = next;
-            Head head = decoder.head();
-            Rest rest = new Rest(next, decoder.bodyLength());
+            MessageHead head = decoder.head();
+            BodyRemainder rest = new BodyRemainder(next, decoder.bodyLength());
             next.whenRoom(
                     () ->
                             loop.run(
@@ -855,7 +861,7 @@
                                             channel.config().setAutoRead(true);
                                         }
                                     }));
-            work.began(new Message(head, decoder.flow(next::put), rest));
+            work.began(new HttpMessage(head, decoder.flow(next::put), rest));
         }
 
         /** An answer has begun some time ago and is not whole. */
@@ -883,13 +889,13 @@
             fail();
         }
 
-        private void finish(Message answer, boolean reusable) {
+        private void finish(HttpMessage answer, boolean reusable) {
             stopWaiting();
-            if (life.is(ChannelLife.State.SENDING)) {
+            if (life.is(EndpointConnectionState.State.SENDING)) {
                 spoilt("an answer before the request");
                 return;
             }
-            if (!step(ChannelLife.Event.ANSWERED)) {
+            if (!step(EndpointConnectionState.Event.ANSWERED)) {
                 return;
             }
             Work done = work;
@@ -914,7 +920,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            Message last = ended() || work == null ? null : decoder.atEnd();
+            HttpMessage last = ended() || work == null ? null : decoder.atEnd();
             if (last != null) {
                 finish(last, false);
             } else {
--- a/daemon/src/main/java/cedarrudder/transport/ChannelLife.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionState.java
@@ -1,17 +1,17 @@
 package cedarrudder.transport;
 
-import static cedarrudder.transport.ChannelLife.Event.ANSWERED;
-import static cedarrudder.transport.ChannelLife.Event.CARRIES;
-import static cedarrudder.transport.ChannelLife.Event.ENDS;
-import static cedarrudder.transport.ChannelLife.Event.FLOWS;
-import static cedarrudder.transport.ChannelLife.Event.UP;
-import static cedarrudder.transport.ChannelLife.Event.WROTE;
-import static cedarrudder.transport.ChannelLife.State.AWAITING;
-import static cedarrudder.transport.ChannelLife.State.CONNECTING;
-import static cedarrudder.transport.ChannelLife.State.ENDED;
-import static cedarrudder.transport.ChannelLife.State.FLOWING;
-import static cedarrudder.transport.ChannelLife.State.IDLE;
-import static cedarrudder.transport.ChannelLife.State.SENDING;
+import static cedarrudder.transport.EndpointConnectionState.Event.ANSWERED;
+import static cedarrudder.transport.EndpointConnectionState.Event.CARRIES;
+import static cedarrudder.transport.EndpointConnectionState.Event.ENDS;
+import static cedarrudder.transport.EndpointConnectionState.Event.FLOWS;
+import static cedarrudder.transport.EndpointConnectionState.Event.UP;
+import static cedarrudder.transport.EndpointConnectionState.Event.WROTE;
+import static cedarrudder.transport.EndpointConnectionState.State.AWAITING;
+import static cedarrudder.transport.EndpointConnectionState.State.CONNECTING;
+import static cedarrudder.transport.EndpointConnectionState.State.ENDED;
+import static cedarrudder.transport.EndpointConnectionState.State.FLOWING;
+import static cedarrudder.transport.EndpointConnectionState.State.IDLE;
+import static cedarrudder.transport.EndpointConnectionState.State.SENDING;
 
 import java.util.Map;
 
@@ -20,7 +20,7 @@
  * all that may happen. Guards against flags that contradict one another, by which a request could
  * go out on a connection that still carries one, or an answer be taken for that of another request.
  */
-final class ChannelLife {
+final class EndpointConnectionState {
 
     enum State {
         /** It is not up. */
--- a/daemon/src/main/java/cedarrudder/transport/NodeLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointLimits.java
@@ -1,6 +1,6 @@
 package cedarrudder.transport;
 
-import cedarrudder.flow.BodyFlow;
+import cedarrudder.bodyflow.BodyFlow;
 import cedarrudder.protocol.HttpDecoder;
 
 /**
@@ -17,7 +17,7 @@
  * @param descriptorsShare the share of the process's descriptors beyond which each new channel
  *     costs one that is idle
  */
-public record NodeLimits(
+public record EndpointLimits(
         long probePatience,
         long answerPatience,
         int mostHead,
@@ -28,8 +28,8 @@
      * What counts where nothing is set: operators may set each. An attempt ends by its deadline
      * anyway.
      */
-    public static final NodeLimits DEFAULT =
-            new NodeLimits(
+    public static final EndpointLimits DEFAULT =
+            new EndpointLimits(
                     250_000_000L, 300_000_000L, HttpDecoder.MOST_HEAD, HttpDecoder.MOST_FLOW, 0.25);
 
     /**
--- a/daemon/src/main/java/cedarrudder/transport/NodeSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointSocket.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 
 /** A socket to a node that can be asked, between two requests, whether all is quiet on it. */
-final class NodeSocket extends NioSocketChannel {
+final class EndpointSocket extends NioSocketChannel {
 
     /**
      * What comes where nothing should; nobody looks at it. Off the heap, so that a read needs no
--- a/daemon/src/main/java/cedarrudder/transport/Notes.java
+++ b/daemon/src/main/java/cedarrudder/transport/EventRecorder.java
@@ -6,7 +6,7 @@
  * Takes what happens to this copy, for a history that is judged afterwards; on the loop, which
  * never waits for it.
  */
-public interface Notes {
+public interface EventRecorder {
 
     /**
      * Something happened now.
--- a/daemon/src/main/java/cedarrudder/transport/Door.java
+++ b/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /** A listening socket that can be closed without losing who waits at it. */
-final class Door extends NioServerSocketChannel {
+final class HandoverSocket extends NioServerSocketChannel {
 
-    private final Loop loop;
+    private final ProxyEventLoop loop;
 
     /**
      * @param loop hears what went wrong at it
      */
-    Door(Loop loop) {
+    HandoverSocket(ProxyEventLoop loop) {
         this.loop = loop;
     }
 
