--- a/daemon/src/main/java/cedarrudder/transport/Listener.java
+++ b/daemon/src/main/java/cedarrudder/transport/HttpServer.java
@@ -1,19 +1,19 @@
 package cedarrudder.transport;
 
-import cedarrudder.Balancer;
-import cedarrudder.budget.Carried;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.bodyflow.BodyFlow;
+import cedarrudder.bodyflow.BufferAccount;
 import cedarrudder.budget.HopPath;
-import cedarrudder.flow.BodyFlow;
-import cedarrudder.flow.HeldBytes;
-import cedarrudder.protocol.BadMessageException;
-import cedarrudder.protocol.Head;
+import cedarrudder.budget.PropagatedBudget;
+import cedarrudder.forwarding.Exchange;
+import cedarrudder.forwarding.RequestForwarder;
+import cedarrudder.protocol.BodyRemainder;
 import cedarrudder.protocol.HttpDecoder;
 import cedarrudder.protocol.HttpEncoder;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.Rest;
-import cedarrudder.protocol.RpcFields;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Exchange;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
+import cedarrudder.protocol.MessageHead;
+import cedarrudder.protocol.RequestHeaders;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -41,7 +41,7 @@
 import java.util.function.Supplier;
 
 /** The server side: accepts callers, decodes their RPCs and answers them. */
-public final class Listener {
+public final class HttpServer {
 
     static final ChannelOption<Boolean> REUSE_PORT =
             NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
@@ -164,27 +164,27 @@
      */
     private static final long HALF_LONG = 100_000_000L;
 
-    private final Loop loop;
-    private final Driver<Message, Message> driver;
-    private final RpcFields fields;
+    private final ProxyEventLoop loop;
+    private final RequestForwarder<HttpMessage, HttpMessage> driver;
+    private final RequestHeaders fields;
     private final BooleanSupplier ready;
-    private CallerLimits limits;
+    private ClientLimits limits;
     private int mostCallers;
-    private final Set<Caller> callers = new HashSet<>();
+    private final Set<ClientConnection> callers = new HashSet<>();
 
     /**
      * The callers that may be closed to make room, by why they may; those longest so come first.
      */
-    private final Set<Caller> lingering = new LinkedHashSet<>();
+    private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
-    private final Set<Caller> silent = new LinkedHashSet<>();
-    private final Set<Caller> half = new LinkedHashSet<>();
-    private final Set<Caller> idle = new LinkedHashSet<>();
+    private final Set<ClientConnection> silent = new LinkedHashSet<>();
+    private final Set<ClientConnection> half = new LinkedHashSet<>();
+    private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
     /** The ids of the RPCs that are open. */
     private final Set<String> open = new HashSet<>();
 
-    private Door listening;
+    private HandoverSocket listening;
     private boolean full;
     private long lastId;
     private Runnable whenEmpty;
@@ -194,18 +194,18 @@
     private long drainedAt;
     private long replacedAt;
     private long answerBy = Long.MAX_VALUE;
-    private BiPredicate<Exchange<Message, Message>, Exchange.Reply<Message>> aside =
+    private BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> aside =
             (rpc, reply) -> false;
-    private final HeldBytes held;
+    private final BufferAccount held;
 
-    public Listener(
-            Loop loop,
-            Driver<Message, Message> driver,
-            RpcFields fields,
+    public HttpServer(
+            ProxyEventLoop loop,
+            RequestForwarder<HttpMessage, HttpMessage> driver,
+            RequestHeaders fields,
             BooleanSupplier ready,
-            CallerLimits limits,
+            ClientLimits limits,
             int mostCallers,
-            HeldBytes held) {
+            BufferAccount held) {
         this.held = held;
         this.loop = loop;
         this.driver = driver;
@@ -224,7 +224,7 @@
      * From now on these limits count; connections that are open keep their bounds on bytes. Where
      * fewer callers may be there than are, those that wait for nothing are closed.
      */
-    public void apply(CallerLimits next, int most) {
+    public void apply(ClientLimits next, int most) {
         limits = next;
         mostCallers = most;
         for (int over = callers.size() - mostCallers; !full && over > 0; over--) {
@@ -237,7 +237,8 @@
      * Lets someone else answer RPCs before the driver takes them, which it does where this says
      * false.
      */
-    public void setAside(BiPredicate<Exchange<Message, Message>, Exchange.Reply<Message>> answers) {
+    public void setAside(
+            BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> answers) {
         aside = answers;
     }
 
@@ -252,7 +253,7 @@
         ServerBootstrap doors =
                 new ServerBootstrap()
                         .group(loop.group())
-                        .channelFactory(() -> new Door(loop))
+                        .channelFactory(() -> new HandoverSocket(loop))
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .option(REUSE_PORT, shared)
                         .option(ChannelOption.SO_BACKLOG, 1024)
@@ -264,13 +265,13 @@
                                 new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ)
                                         .maxMessagesPerRead(READS))
                         .childOption(ChannelOption.ALLOCATOR, loop.buffers())
-                        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyPump.WRITE_AHEAD)
+                        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyWriter.WRITE_AHEAD)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childHandler(
                                 new ChannelInitializer<NioSocketChannel>() {
                                     @Override
                                     protected void initChannel(NioSocketChannel channel) {
-                                        channel.pipeline().addLast(new Caller(channel));
+                                        channel.pipeline().addLast(new ClientConnection(channel));
                                     }
                                 });
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
@@ -292,8 +293,8 @@
             told.completeExceptionally(bound.cause());
             return;
         }
-        Door before = listening;
-        listening = (Door) bound.channel();
+        HandoverSocket before = listening;
+        listening = (HandoverSocket) bound.channel();
         if (before != null) {
             before.close();
         } else {
@@ -305,7 +306,7 @@
     private void sweep() {
         long now = loop.now();
         loop.at(now + SWEEP, this::sweep); // first: guards against a fault below ending it for good
-        for (Caller caller : List.copyOf(callers)) {
+        for (ClientConnection caller : List.copyOf(callers)) {
             if (now >= caller.due) {
                 caller.expire();
             }
@@ -373,8 +374,8 @@
     private void sendAway(long now, long end) {
         long left = Math.max(1, (end - now) / SWEEP);
         long most = (idle.size() + silent.size() + left - 1) / left;
-        for (Set<Caller> from : List.of(idle, silent)) {
-            for (Caller caller : List.copyOf(from)) {
+        for (Set<ClientConnection> from : List.of(idle, silent)) {
+            for (ClientConnection caller : List.copyOf(from)) {
                 if (most-- > 0 && caller.mayGo(now)) {
                     caller.closeIfQuiet();
                 }
@@ -396,9 +397,9 @@
      * again.
      */
     private void makeRoom() {
-        Caller first = firstToGo();
+        ClientConnection first = firstToGo();
         for (int looks = callers.size(); first != null && looks > 0; looks--) {
-            CallerState was = first.state;
+            ClientConnectionState was = first.state;
             long before = first.came;
             first.look();
             if (first.state == was && (first.came == before || !was.rests())) {
@@ -416,8 +417,8 @@
         listening.config().setAutoRead(false);
     }
 
-    private Caller firstToGo() {
-        Caller first = first(lingering, 0);
+    private ClientConnection firstToGo() {
+        ClientConnection first = first(lingering, 0);
         first = first != null ? first : first(silent, limits.silentLong());
         first = first != null ? first : first(half, limits.silentLong());
         first = first != null ? first : first(idle, 0);
@@ -426,7 +427,7 @@
     }
 
     /** The callers of this state that may be closed to make room; null where it may not be. */
-    private Set<Caller> closable(CallerState state) {
+    private Set<ClientConnection> closable(ClientConnectionState state) {
         return switch (state) {
             case NEW -> silent;
             case IDLE -> idle;
@@ -439,8 +440,8 @@
     /**
      * The one of these that has been among them longest, and for so long; null where there is none.
      */
-    private Caller first(Set<Caller> among, long waited) {
-        Caller first = among.isEmpty() ? null : among.iterator().next();
+    private ClientConnection first(Set<ClientConnection> among, long waited) {
+        ClientConnection first = among.isEmpty() ? null : among.iterator().next();
         return first == null || first.since + waited > loop.now() ? null : first;
     }
 
@@ -509,8 +510,8 @@
 
     private void closeIdle() {
         long now = loop.now();
-        for (Set<Caller> from : List.of(silent, idle)) {
-            for (Caller caller : List.copyOf(from)) {
+        for (Set<ClientConnection> from : List.of(silent, idle)) {
+            for (ClientConnection caller : List.copyOf(from)) {
                 if (caller.mayGo(now)) {
                     caller.closeIfQuiet();
                 }
@@ -523,7 +524,7 @@
      * a request is not waited for any more.
      */
     private void cutOff() {
-        for (Caller caller : List.copyOf(callers)) {
+        for (ClientConnection caller : List.copyOf(callers)) {
             caller.look();
             if (caller.exchange != null) {
                 driver.cut(caller.exchange);
@@ -540,7 +541,7 @@
      */
     private void closeAll() {
         loop.at(loop.now() + SWEEP, this::closeAll);
-        for (Caller caller : List.copyOf(callers)) {
+        for (ClientConnection caller : List.copyOf(callers)) {
             caller.breakOff();
         }
     }
@@ -577,17 +578,18 @@
     private record Arrival(long upTo, long at) {}
 
     /** One connection from a caller, on which one RPC is answered at a time. */
-    final class Caller extends ChannelInboundHandlerAdapter implements Exchange.Reply<Message> {
+    final class ClientConnection extends ChannelInboundHandlerAdapter
+            implements Exchange.Reply<HttpMessage> {
         private final NioSocketChannel channel;
         private final HttpDecoder decoder =
                 HttpDecoder.ofFlows(true, limits.mostHead(), limits.mostBody(), BodyFlow.WINDOW);
         private ByteBuf ahead;
         private BodyFlow upload;
-        private BodyPump download;
+        private BodyWriter download;
         private boolean chunks;
         private int collected;
         private int whole;
-        private Exchange<Message, Message> exchange;
+        private Exchange<HttpMessage, HttpMessage> exchange;
         private String id;
         private boolean keepAlive;
         private boolean decoding;
@@ -600,12 +602,12 @@
         private final Deque<Arrival> arrivals = new ArrayDeque<>(1);
         private long dropped;
         private int behind;
-        private CallerState state = CallerState.NEW;
+        private ClientConnectionState state = ClientConnectionState.NEW;
         private long since;
         private long due;
         private long lastDue;
 
-        Caller(NioSocketChannel channel) {
+        ClientConnection(NioSocketChannel channel) {
             this.channel = channel;
         }
 
@@ -613,8 +615,8 @@
          * The one place where its state changes. What can't come in a state ends this connection
          * alone.
          */
-        void on(CallerState.Event event) {
-            CallerState next = state.on(event);
+        void on(ClientConnectionState.Event event) {
+            ClientConnectionState next = state.on(event);
             if (next == null) {
                 loop.log()
                         .fault("caller.failed", new IllegalStateException(event + " in " + state))
@@ -624,8 +626,8 @@
                 return;
             }
             long now = loop.now();
-            Set<Caller> from = closable(state);
-            Set<Caller> to = closable(next);
+            Set<ClientConnection> from = closable(state);
+            Set<ClientConnection> to = closable(next);
             if (from != to) {
                 if (from != null) {
                     from.remove(this);
@@ -640,11 +642,11 @@
         }
 
         /** When patience with it is over, once it comes to this state. */
-        private long due(CallerState next, long now) {
+        private long due(ClientConnectionState next, long now) {
             return switch (next) {
                 // The first request's counts from the connection.
                 case READING_HEAD ->
-                        state == CallerState.NEW ? due : now + limits.requestPatience();
+                        state == ClientConnectionState.NEW ? due : now + limits.requestPatience();
                 // Guards against a body that comes slowly being cut by the patience with its head.
                 case NEW, READING_BODY -> now + limits.requestPatience();
                 case IDLE -> now + limits.idlePatience();
@@ -659,11 +661,11 @@
          * connection that has just come, whose first request is on its way and would fail.
          */
         private boolean mayGo(long now) {
-            return state != CallerState.NEW || now - since >= HALF_LONG;
+            return state != ClientConnectionState.NEW || now - since >= HALF_LONG;
         }
 
         private void close() {
-            on(CallerState.Event.CLOSE);
+            on(ClientConnectionState.Event.CLOSE);
             channel.close();
         }
 
@@ -674,7 +676,7 @@
          * elsewhere.
          */
         private void hangUp() {
-            on(CallerState.Event.HALF_CLOSE);
+            on(ClientConnectionState.Event.HALF_CLOSE);
             linger();
         }
 
@@ -838,7 +840,7 @@
             in.release();
             if (dropped > MOST_DROPPED) {
                 due = loop.now();
-            } else if (state == CallerState.LINGERING) {
+            } else if (state == ClientConnectionState.LINGERING) {
                 due = Math.min(loop.now() + LAST_WORD, lastDue);
             }
         }
@@ -870,7 +872,7 @@
          * answers, which would all be kept here.
          */
         private boolean decodes() {
-            return upload != null ? state != CallerState.CLOSED : state.takesRequests();
+            return upload != null ? state != ClientConnectionState.CLOSED : state.takesRequests();
         }
 
         private boolean drops() {
@@ -936,9 +938,9 @@
                         continue;
                     }
                     if (state.rests()) {
-                        on(CallerState.Event.BYTES);
+                        on(ClientConnectionState.Event.BYTES);
                     }
-                    Message request = decoder.decode(ahead);
+                    HttpMessage request = decoder.decode(ahead);
                     count();
                     if (request != null) {
                         take(request, 0);
@@ -948,7 +950,7 @@
                         await();
                     }
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 loop.log()
                         .warn("caller.rejected")
                         .with("caller", channel.remoteAddress())
@@ -967,7 +969,7 @@
         }
 
         /** Takes what has come of a body that flows. */
-        private void uploadOn() throws BadMessageException {
+        private void uploadOn() throws MalformedMessageException {
             BodyFlow whole = upload;
             // What was decoded may have had its RPC answered, which drops the rest.
             if (decoder.decode(ahead) != null && upload == whole) {
@@ -986,11 +988,12 @@
         }
 
         /** A request that is too large to be held: the rest of it flows. */
-        private void takeLarge() throws BadMessageException {
+        private void takeLarge() throws MalformedMessageException {
             BodyFlow flow = new BodyFlow(held);
-            Head head = decoder.head();
+            MessageHead head = decoder.head();
             long length = decoder.bodyLength();
-            Message request = new Message(head, decoder.flow(flow::put), new Rest(flow, length));
+            HttpMessage request =
+                    new HttpMessage(head, decoder.flow(flow::put), new BodyRemainder(flow, length));
             count();
             upload = flow;
             flow.whenRoom(() -> loop.run(this::readMore));
@@ -1008,12 +1011,12 @@
         }
 
         /** Half a request is there, or what comes before one. */
-        private void await() throws BadMessageException {
-            if (decoder.head() != null && state == CallerState.READING_HEAD) {
-                on(CallerState.Event.HEAD);
+        private void await() throws MalformedMessageException {
+            if (decoder.head() != null && state == ClientConnectionState.READING_HEAD) {
+                on(ClientConnectionState.Event.HEAD);
                 if (held.usedUp()) {
-                    throw new BadMessageException(
-                            BadMessageException.UNAVAILABLE, "too much is held");
+                    throw new MalformedMessageException(
+                            MalformedMessageException.UNAVAILABLE, "too much is held");
                 }
             }
             if (decoder.awaitsContinue()) {
@@ -1024,7 +1027,7 @@
         /**
          * @param uploading how much longer its time may be while its body flows; 0: it is whole
          */
-        private void take(Message request, long uploading) throws BadMessageException {
+        private void take(HttpMessage request, long uploading) throws MalformedMessageException {
             chunks = request.head().takesChunks();
             keepAlive = request.head().keepsAlive();
             String target = request.head().target();
@@ -1034,12 +1037,12 @@
                 write(own(healthy ? 200 : 503, healthy ? "ready" : "not ready", last), last);
                 return;
             }
-            Carried carried = fields.carried(request);
+            PropagatedBudget carried = fields.carried(request);
             long readAt = readAt();
             var told = fields.read(request, ++lastId, readAt, loop.lateness(), answerBy, carried);
             if (uploading > 0) {
                 told =
-                        new Balancer.Request(
+                        new LoadBalancer.Request(
                                 told.id(),
                                 told.classIndex(),
                                 told.tenant(),
@@ -1054,13 +1057,13 @@
             if (!open.add(name)) {
                 // Guards against one caller's answer being made for another's request of the same
                 // name.
-                throw new BadMessageException(
-                        BadMessageException.BAD_REQUEST, "Req-Id is open already");
+                throw new MalformedMessageException(
+                        MalformedMessageException.BAD_REQUEST, "Req-Id is open already");
             }
             id = name;
             whole = request.body().length;
             held.add(whole);
-            on(CallerState.Event.RPC);
+            on(ClientConnectionState.Event.RPC);
             exchange = new Exchange<>(told, request, this, carried);
             if (uploading > 0) {
                 exchange.uploading(told.deadline() - uploading - readAt);
@@ -1087,7 +1090,7 @@
         }
 
         @Override
-        public void served(Message answer) {
+        public void served(HttpMessage answer) {
             boolean last = last();
             if (answer.rest() != null) {
                 download(answer, last || answer.rest().length() < 0 && !chunks);
@@ -1106,12 +1109,12 @@
         }
 
         /** Passes on an answer that flows; the RPC is open until its end. */
-        private void download(Message answer, boolean last) {
-            if (state == CallerState.CLOSED) {
+        private void download(HttpMessage answer, boolean last) {
+            if (state == ClientConnectionState.CLOSED) {
                 return; // the end of the connection, which is about to be told, ends the attempt
             }
             boolean chunked = answer.rest().length() < 0 && chunks;
-            on(last ? CallerState.Event.LAST_ANSWER : CallerState.Event.ANSWER);
+            on(last ? ClientConnectionState.Event.LAST_ANSWER : ClientConnectionState.Event.ANSWER);
             ByteBuf head =
                     made(
                             () ->
@@ -1128,13 +1131,13 @@
             }
             channel.write(head);
             download =
-                    new BodyPump(
+                    new BodyWriter(
                             loop,
                             channel,
                             answer.rest().flow(),
                             chunked,
                             () -> {},
-                            new BodyPump.End() {
+                            new BodyWriter.End() {
                                 @Override
                                 public void wrote() {
                                     download = null;
@@ -1219,7 +1222,7 @@
             over();
             if (answer == null) {
                 close();
-            } else if (state == CallerState.CLOSED) {
+            } else if (state == ClientConnectionState.CLOSED) {
                 answer.release();
             } else {
                 write(answer, last);
@@ -1245,7 +1248,7 @@
         }
 
         private void over() {
-            Rest rest = exchange.content().rest();
+            BodyRemainder rest = exchange.content().rest();
             exchange = null;
             open.remove(id);
             held.add(-whole);
@@ -1269,7 +1272,7 @@
          */
         private void leave() {
             if (exchange != null) {
-                Exchange<Message, Message> left = exchange;
+                Exchange<HttpMessage, HttpMessage> left = exchange;
                 driver.left(left);
                 if (exchange == left) {
                     over();
@@ -1283,7 +1286,7 @@
          * @param last whether it is the connection's last: what comes from now on is dropped
          */
         private void write(ByteBuf answer, boolean last) {
-            on(last ? CallerState.Event.LAST_ANSWER : CallerState.Event.ANSWER);
+            on(last ? ClientConnectionState.Event.LAST_ANSWER : ClientConnectionState.Event.ANSWER);
             if (last) {
                 dropUpload();
                 channel.config().setAutoRead(true);
@@ -1296,20 +1299,20 @@
                 close();
                 return;
             }
-            on(CallerState.Event.WROTE);
-            if (state == CallerState.LINGERING) {
+            on(ClientConnectionState.Event.WROTE);
+            if (state == ClientConnectionState.LINGERING) {
                 linger();
                 return;
             }
             decode();
             readOn();
-            if (stopping && state == CallerState.IDLE) {
+            if (stopping && state == ClientConnectionState.IDLE) {
                 closeIfQuiet();
             }
         }
 
         /** Answers a request that can't be read, and closes once the caller may have read that. */
-        private void reject(BadMessageException e) {
+        private void reject(MalformedMessageException e) {
             if (drops()) {
                 return; // the rest of a body whose RPC was answered meanwhile
             }
@@ -1328,7 +1331,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             callers.remove(this);
-            on(CallerState.Event.CLOSE);
+            on(ClientConnectionState.Event.CLOSE);
             dropAhead();
             held.add(-collected);
             collected = 0;
--- a/daemon/src/main/java/cedarrudder/transport/Membership.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -1,10 +1,10 @@
 package cedarrudder.transport;
 
+import cedarrudder.forwarding.TimerService;
 import cedarrudder.membership.Member;
 import cedarrudder.membership.Member.Standing;
 import cedarrudder.membership.MembershipSettings;
-import cedarrudder.membership.Swim;
-import cedarrudder.routing.Timers;
+import cedarrudder.membership.SwimMember;
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.IntConsumer;
@@ -12,22 +12,22 @@
 
 /**
  * Membership on the loop's clock and the socket to the peers; what it decides stands in {@link
- * Swim}. It belongs to the loop's thread.
+ * SwimMember}. It belongs to the loop's thread.
  */
-public final class Membership {
+public final class MembershipService {
 
     /** Takes that a copy counts as live from now on, or as dead. */
     public interface Lives {
         void lives(int copy, boolean lives);
     }
 
-    private final Loop loop;
+    private final ProxyEventLoop loop;
     private final PeerSocket peers;
     private final IntConsumer live;
-    private final Notes notes;
+    private final EventRecorder notes;
     private final long life;
-    private final Swim swim;
-    private Timers.Timer timer;
+    private final SwimMember swim;
+    private TimerService.Timer timer;
     private long wakesAt = Long.MAX_VALUE;
     private int told;
     private Lives each = (copy, lives) -> {};
@@ -40,8 +40,8 @@
      * @param live takes how many live, whenever that changes
      * @param notes takes what becomes known; null where nobody asked for that
      */
-    public Membership(
-            Loop loop,
+    public MembershipService(
+            ProxyEventLoop loop,
             PeerSocket peers,
             MembershipSettings settings,
             int copies,
@@ -49,7 +49,7 @@
             long life,
             RandomGenerator random,
             IntConsumer live,
-            Notes notes) {
+            EventRecorder notes) {
         this.loop = loop;
         this.peers = peers;
         this.live = live;
@@ -57,13 +57,13 @@
         this.life = life;
         this.told = copies;
         this.swim =
-                new Swim(
+                new SwimMember(
                         copies,
                         self,
                         life,
                         settings,
                         random,
-                        new Swim.Outlet() {
+                        new SwimMember.Actions() {
                             @Override
                             public void send(int to, byte[] message) {
                                 peers.tell(to, message);
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -1,7 +1,7 @@
 package cedarrudder.transport;
 
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Peers;
+import cedarrudder.forwarding.PeerTransport;
+import cedarrudder.forwarding.RequestForwarder;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -20,7 +20,7 @@
 import java.util.Map;
 
 /** The datagrams that proxies of one tier send one another. */
-public final class PeerSocket implements Peers {
+public final class PeerSocket implements PeerTransport {
 
     /** A longer message breaks the protocol. */
     private static final int MOST_MESSAGE = 256;
@@ -30,7 +30,7 @@
         void heard(int from, byte[] message);
     }
 
-    private final Loop loop;
+    private final ProxyEventLoop loop;
     private final List<InetSocketAddress> peers;
     private final InetSocketAddress all;
     private final Map<Byte, Hearer> byFirst = new HashMap<>();
@@ -42,7 +42,10 @@
      * @param all an address that reaches them all, or null where there is none
      */
     public PeerSocket(
-            Loop loop, Driver<?, ?> driver, List<InetSocketAddress> peers, InetSocketAddress all) {
+            ProxyEventLoop loop,
+            RequestForwarder<?, ?> driver,
+            List<InetSocketAddress> peers,
+            InetSocketAddress all) {
         this.loop = loop;
         this.hearer = driver::message;
         this.peers = peers;
@@ -82,7 +85,7 @@
                 .group(loop.group())
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.ALLOCATOR, loop.buffers())
-                .option(Listener.REUSE_PORT, shared)
+                .option(HttpServer.REUSE_PORT, shared)
                 .option(
                         ChannelOption.RCVBUF_ALLOCATOR,
                         new FixedRecvByteBufAllocator(MOST_MESSAGE + 1))
--- a/daemon/src/main/java/cedarrudder/transport/Loop.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
@@ -1,7 +1,7 @@
 package cedarrudder.transport;
 
+import cedarrudder.forwarding.TimerService;
 import cedarrudder.logging.Logger;
-import cedarrudder.routing.Timers;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocator;
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 
 /** The one event loop, which owns all that runs, and its clock. */
-public final class Loop implements Timers {
+public final class ProxyEventLoop implements TimerService {
 
     private static final int PAGE = 8192;
     private static final int CHUNK_ORDER = 5;
@@ -43,11 +43,11 @@
     private final ByteBufAllocator buffers =
             new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, 64, 16, true);
     private final Logger log;
-    private final Drift drift;
+    private final SkewedClock drift;
     private long lateBy;
     private long lateAt;
 
-    public Loop(Logger log) {
+    public ProxyEventLoop(Logger log) {
         this(log, null);
     }
 
@@ -55,7 +55,7 @@
      * @param drift what the clock of a trial makes of the machine's; null: the clock is the
      *     machine's
      */
-    public Loop(Logger log, Drift drift) {
+    public ProxyEventLoop(Logger log, SkewedClock drift) {
         this.log = log;
         this.drift = drift;
     }
--- a/daemon/src/main/java/cedarrudder/transport/Fleet.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -1,11 +1,11 @@
 package cedarrudder.transport;
 
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.fleet.FleetCopy;
-import cedarrudder.routing.Timers;
-import cedarrudder.table.RouteTable;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.coordination.CoordinatedReplica;
+import cedarrudder.forwarding.TimerService;
+import cedarrudder.routetable.RouteTable;
 import java.io.UncheckedIOException;
 import java.util.BitSet;
 import java.util.List;
@@ -14,10 +14,10 @@
 
 /**
  * What copies decide together, on the loop's clock and the socket to the peers; what it decides
- * stands in {@link FleetCopy}. It takes part while this process is the one of its number that
- * speaks, and keeps quiet before and after. It belongs to the loop's thread.
+ * stands in {@link CoordinatedReplica}. It takes part while this process is the one of its number
+ * that speaks, and keeps quiet before and after. It belongs to the loop's thread.
  */
-public final class Fleet {
+public final class ReplicaCoordinator {
 
     /** The first bytes of datagrams that are for it. */
     private static final byte LOG = (byte) 0xa6;
@@ -33,7 +33,7 @@
         void until(long instant);
 
         /** What became of a command that was proposed here; null where it is not committed. */
-        void settled(Proposal proposal, Outcome outcome, LogNumber number);
+        void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
         /** These nodes are being removed. */
         void leaving(List<RouteTable.Leaving> nodes);
@@ -45,27 +45,28 @@
          * @param outlet takes what it causes
          * @throws UncheckedIOException if what it must not forget can't be kept
          */
-        FleetCopy make(FleetCopy.Outlet outlet, long now);
+        CoordinatedReplica make(CoordinatedReplica.Actions outlet, long now);
 
         /** It takes part no more: another process may. */
         void ended();
     }
 
-    private final Loop loop;
+    private final ProxyEventLoop loop;
     private final PeerSocket peers;
     private final Maker maker;
     private final Host host;
-    private final Notes notes;
+    private final EventRecorder notes;
     private final BitSet dead = new BitSet();
-    private FleetCopy copy;
-    private Timers.Timer timer;
+    private CoordinatedReplica copy;
+    private TimerService.Timer timer;
     private long wakesAt = Long.MAX_VALUE;
     private boolean led;
 
     /**
      * @param notes takes what becomes known; null where nobody asked for that
      */
-    public Fleet(Loop loop, PeerSocket peers, Maker maker, Host host, Notes notes) {
+    public ReplicaCoordinator(
+            ProxyEventLoop loop, PeerSocket peers, Maker maker, Host host, EventRecorder notes) {
         this.loop = loop;
         this.peers = peers;
         this.maker = maker;
@@ -113,7 +114,7 @@
     }
 
     /** How things stand; null where this process takes no part. */
-    public FleetCopy.Status status() {
+    public CoordinatedReplica.Status status() {
         return copy == null ? null : copy.status(loop.now());
     }
 
@@ -145,7 +146,7 @@
     }
 
     /** Null where it takes no part. */
-    private <T> T act(Function<FleetCopy, T> event) {
+    private <T> T act(Function<CoordinatedReplica, T> event) {
         if (copy == null) {
             return null;
         }
@@ -171,7 +172,7 @@
 
     /** Sees to it that the next tick comes when it is due. */
     private void wake() {
-        FleetCopy.Status now = copy.status(loop.now());
+        CoordinatedReplica.Status now = copy.status(loop.now());
         if (now.leads() != led) {
             led = now.leads();
             if (led) {
@@ -191,7 +192,7 @@
         timer = loop.at(due, this::tick);
     }
 
-    private final class Out implements FleetCopy.Outlet {
+    private final class Out implements CoordinatedReplica.Actions {
         @Override
         public void send(int to, byte[] datagram) {
             peers.tell(to, datagram);
@@ -223,7 +224,7 @@
         }
 
         @Override
-        public void settled(Proposal proposal, Outcome outcome, LogNumber number) {
+        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
             host.settled(proposal, outcome, number);
         }
 
--- a/daemon/src/main/java/cedarrudder/transport/Drift.java
+++ b/daemon/src/main/java/cedarrudder/transport/SkewedClock.java
@@ -3,7 +3,7 @@
 /**
  * A clock for trials of many copies, on which time passes a little faster or slower than it does.
  */
-public final class Drift {
+public final class SkewedClock {
 
     private static final double MILLION = 1e6;
 
@@ -13,7 +13,7 @@
     /**
      * @param millionths time passes so much faster than it does; negative: slower
      */
-    public Drift(int millionths) {
+    public SkewedClock(int millionths) {
         this.rate = 1 + millionths / MILLION;
     }
 
--- a/daemon/src/test/java/cedarrudder/operator/OperatorTest.java
+++ b/daemon/src/test/java/cedarrudder/operator/OperatorFileTest.java
@@ -7,21 +7,21 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.agreement.AgreementSettings;
 import cedarrudder.budget.BudgetSettings;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.coordination.CoordinationSettings;
 import cedarrudder.failover.FailoverSettings;
 import cedarrudder.failover.Regions;
 import cedarrudder.failover.Regions.Region;
-import cedarrudder.fleet.FleetSettings;
+import cedarrudder.forwarding.DiscoveryTimeouts;
 import cedarrudder.logging.Level;
 import cedarrudder.logging.LogSettings;
 import cedarrudder.membership.MembershipSettings;
-import cedarrudder.routing.ResolverPatience;
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
-import cedarrudder.toml.Problem;
-import cedarrudder.transport.CallerLimits;
-import cedarrudder.transport.NodeLimits;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.ConfigProblem;
+import cedarrudder.toml.InvalidFileException;
+import cedarrudder.transport.ClientLimits;
+import cedarrudder.transport.EndpointLimits;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -29,25 +29,25 @@
 import org.testng.annotations.Test;
 
 /** The operator's file: what it says, what counts without it, and all that is wrong with it. */
-public class OperatorTest {
+public class OperatorFileTest {
 
     private static final Path SHIPPED = Path.of("deploy", "operator.toml");
 
-    private static Operator read(String text) throws BadFileException {
-        return Operator.read(Document.parse("o.toml", text));
+    private static OperatorFile read(String text) throws InvalidFileException {
+        return OperatorFile.read(ConfigDocument.parse("o.toml", text));
     }
 
-    private static void assertUsual(Operator operator) {
-        assertEquals(operator.of(LogTable.LOG), Log.DEFAULT);
-        assertEquals(operator.of(CallersTable.CALLERS), CallerLimits.DEFAULT);
-        assertEquals(operator.of(NodesTable.NODES), NodeLimits.DEFAULT);
-        assertEquals(operator.of(DiscoveryTable.DISCOVERY), ResolverPatience.DEFAULT);
+    private static void assertUsual(OperatorFile operator) {
+        assertEquals(operator.of(LogTable.LOG), LogConfiguration.DEFAULT);
+        assertEquals(operator.of(CallersTable.CALLERS), ClientLimits.DEFAULT);
+        assertEquals(operator.of(NodesTable.NODES), EndpointLimits.DEFAULT);
+        assertEquals(operator.of(DiscoveryTable.DISCOVERY), DiscoveryTimeouts.DEFAULT);
     }
 
     @Test
     public void theShippedFileChangesNothingAndShowsWhatCountsWithoutIt() throws Exception {
         String text = Files.readString(SHIPPED);
-        assertUsual(Operator.NONE);
+        assertUsual(OperatorFile.NONE);
         assertUsual(read(text));
         String uncommented = text.replaceAll("(?m)^#(?=[\\[a-z])", "");
         assertTrue(uncommented.contains("\n[log]\nformat = "), uncommented);
@@ -68,8 +68,8 @@
         assertNull(read(text).of(AgreementTable.AGREEMENT));
         assertEquals(
                 read(uncommented).of(AgreementTable.AGREEMENT),
-                new TogetherSettings(
-                        AgreementSettings.DEFAULT, FleetSettings.DEFAULT, List.of(), null));
+                new AgreementTableSettings(
+                        ConsensusSettings.DEFAULT, CoordinationSettings.DEFAULT, List.of(), null));
         assertNull(read(text).of(MembershipTable.MEMBERSHIP));
         assertEquals(read(uncommented).of(MembershipTable.MEMBERSHIP), MembershipSettings.DEFAULT);
     }
@@ -82,9 +82,9 @@
                 read("[footprint]\nheap_share = 0.2\nfrom_nodes = 7\nask_again_ms = 2000\n")
                         .of(FootprintTable.FOOTPRINT),
                 new FootprintSettings(0.2, 7, 2_000_000_000L));
-        BadFileException bad =
+        InvalidFileException bad =
                 expectThrows(
-                        BadFileException.class,
+                        InvalidFileException.class,
                         () -> read("[footprint]\nheap_share = 0.95\nask_again_ms = 10\n"));
         assertEquals(bad.problems().size(), 2, bad.problems().toString());
     }
@@ -100,9 +100,9 @@
                         .of(FailoverTable.FAILOVER)
                         .leave(),
                 List.of("b"));
-        BadFileException bad =
+        InvalidFileException bad =
                 expectThrows(
-                        BadFileException.class,
+                        InvalidFileException.class,
                         () ->
                                 read(
                                         """
@@ -148,7 +148,7 @@
         try {
             read("[membership]\nperiod_ms = 200\nack_patience_ms = 200\nhelper = 1\n");
             throw new AssertionError("taken");
-        } catch (BadFileException e) {
+        } catch (InvalidFileException e) {
             assertEquals(e.problems().size(), 2, e.problems().toString());
             assertEquals(
                     e.problems().get(0).toString(),
@@ -160,9 +160,9 @@
 
     @Test
     public void agreementNeedsMembershipAndTimesThatFitOneAnother() throws Exception {
-        BadFileException bad =
+        InvalidFileException bad =
                 expectThrows(
-                        BadFileException.class,
+                        InvalidFileException.class,
                         () ->
                                 read(
                                         """
@@ -186,7 +186,7 @@
                         "o.toml 600 with heartbeat_ms = 300",
                         "o.toml an unknown key",
                         "o.toml no [membership]"));
-        TogetherSettings read =
+        AgreementTableSettings read =
                 read("""
                 [membership]
                 [agreement]
@@ -198,8 +198,8 @@
                         .of(AgreementTable.AGREEMENT);
         assertEquals(
                 read,
-                new TogetherSettings(
-                        new AgreementSettings(
+                new AgreementTableSettings(
+                        new ConsensusSettings(
                                 150_000_000L,
                                 600_000_000L,
                                 1_200_000_000L,
@@ -210,14 +210,14 @@
                                 16_384,
                                 32,
                                 6_000_000_000L),
-                        FleetSettings.DEFAULT,
+                        CoordinationSettings.DEFAULT,
                         List.of("a", "b"),
                         Path.of("kept")));
     }
 
     @Test
     public void eachKeyCounts() throws Exception {
-        Operator operator =
+        OperatorFile operator =
                 read(
                         """
                         [log]
@@ -257,30 +257,33 @@
                         """);
         assertEquals(
                 operator.of(LogTable.LOG),
-                new Log(Log.Form.JSON, new LogSettings(Level.DEBUG, 0, 40)));
+                new LogConfiguration(
+                        LogConfiguration.Form.JSON, new LogSettings(Level.DEBUG, 0, 40)));
         assertEquals(
                 operator.of(CallersTable.CALLERS),
-                new CallerLimits(101_000_000, 51_000_000, 501_000_000, 502_000_000, 1025, 0, 0.6));
+                new ClientLimits(101_000_000, 51_000_000, 501_000_000, 502_000_000, 1025, 0, 0.6));
         assertEquals(
                 operator.of(NodesTable.NODES),
-                new NodeLimits(11_000_000, 12_000_000, 1026, 1, 0.3));
+                new EndpointLimits(11_000_000, 12_000_000, 1026, 1, 0.3));
         assertEquals(
                 operator.of(DiscoveryTable.DISCOVERY),
-                new ResolverPatience(102_000_000, 103_000_000, 2_501_000_000L, 7_000_000));
+                new DiscoveryTimeouts(102_000_000, 103_000_000, 2_501_000_000L, 7_000_000));
         assertEquals(
                 operator.of(BudgetTable.BUDGET),
                 new BudgetSettings("core.2", 5, 4, 2, 0.3, 7, 5_000_000_000L, 9, 0.2));
-        assertEquals(operator.with(LogTable.LOG, Log.DEFAULT).of(LogTable.LOG), Log.DEFAULT);
+        assertEquals(
+                operator.with(LogTable.LOG, LogConfiguration.DEFAULT).of(LogTable.LOG),
+                LogConfiguration.DEFAULT);
         assertSame(
-                operator.with(LogTable.LOG, Log.DEFAULT).of(NodesTable.NODES),
+                operator.with(LogTable.LOG, LogConfiguration.DEFAULT).of(NodesTable.NODES),
                 operator.of(NodesTable.NODES));
     }
 
     @Test
     public void allErrorsAreFoundInOneRun() {
-        BadFileException bad =
+        InvalidFileException bad =
                 expectThrows(
-                        BadFileException.class,
+                        InvalidFileException.class,
                         () ->
                                 read(
                                         """
@@ -305,7 +308,7 @@
                                         retry_least_per_s = 0
                                         """));
         assertEquals(
-                bad.problems().stream().map(Problem::toString).toList(),
+                bad.problems().stream().map(ConfigProblem::toString).toList(),
                 List.of(
                         "o.toml:3: callers.silent_patience_ms: found 700 with request_patience_ms ="
                             + " 500; allowed: no more than request_patience_ms, after which it is"
@@ -332,13 +335,14 @@
 
     @Test
     public void aShareThatOneTableSetsIsWeighedWithWhatCountsForTheOther() throws Exception {
-        BadFileException bad =
+        InvalidFileException bad =
                 expectThrows(
-                        BadFileException.class, () -> read("[callers]\ndescriptors_share = 0.7\n"));
+                        InvalidFileException.class,
+                        () -> read("[callers]\ndescriptors_share = 0.7\n"));
         assertEquals(bad.problems().get(0).line(), 2);
         assertFalse(
                 read("[callers]\ndescriptors_share = 0.65\n")
                         .of(CallersTable.CALLERS)
-                        .equals(CallerLimits.DEFAULT));
+                        .equals(ClientLimits.DEFAULT));
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/OperatorsCallsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
-import cedarrudder.operator.Operator;
+import cedarrudder.balancer.Await;
+import cedarrudder.operator.OperatorFile;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import cedarrudder.protocol.JsonObject;
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 
 /** What operators ask over their own address, and what clients see of it. */
-public class OperatorsCallsTest {
+public class AdminOperationsTest {
 
     private static final int CROWD = 40;
 
@@ -80,7 +80,7 @@
         Path patient = Files.createTempFile("operator", ".toml");
         Files.writeString(
                 patient, "[callers]\nidle_patience_ms = 60000\nrequest_patience_ms = 60000\n");
-        try (World world = new World(1).withAdmin().with(Operator.read(patient)).start();
+        try (World world = new World(1).withAdmin().with(OperatorFile.read(patient)).start();
                 Caller busy = world.caller();
                 Caller idle = world.caller();
                 Caller silent = world.caller()) {
--- a/daemon/src/test/java/cedarrudder/program/LogWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AsyncLogWriterTest.java
@@ -11,14 +11,14 @@
 import org.testng.annotations.Test;
 
 /** The thread that writes the log. */
-public class LogWriterTest {
+public class AsyncLogWriterTest {
 
     /** Guards against a log that is silent for months after one moment without memory. */
     @Test
     public void itWritesOnAfterALineThatItHadNoMemoryFor() throws Exception {
         BlockingQueue<String> written = new LinkedBlockingQueue<>();
-        LogWriter writer =
-                new LogWriter(
+        AsyncLogWriter writer =
+                new AsyncLogWriter(
                         new PrintStream(OutputStream.nullOutputStream()) {
                             @Override
                             public void println(String line) {
--- a/daemon/src/test/java/cedarrudder/program/BodyStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import cedarrudder.protocol.JsonObject;
@@ -26,7 +26,7 @@
  * Bodies that are too large to be held. The target {@link #STAYS} leaves a node's socket to the
  * test.
  */
-public class BodyStoriesTest {
+public class BodyScenarioTest {
 
     private static final int LARGE = 32 * 1024 * 1024;
     private static final int MANY = 40;
@@ -230,7 +230,7 @@
         try (World world =
                         new World(1)
                                 .with(
-                                        OperatorStoriesTest.operator(
+                                        OperatorScenarioTest.operator(
                                                 "[callers]\nanswer_patience_ms = 500\n"))
                                 .start();
                 Caller caller = world.caller()) {
@@ -258,7 +258,7 @@
         try (World world =
                         new World(1)
                                 .with(
-                                        OperatorStoriesTest.operator(
+                                        OperatorScenarioTest.operator(
                                                 "[callers]\nanswer_patience_ms = 500\n"))
                                 .start();
                 Caller reads = world.caller();
--- a/daemon/src/test/java/cedarrudder/program/BudgetStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.operator.Operator;
+import cedarrudder.operator.OperatorFile;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import java.nio.file.Files;
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 /** Budgets that travel, over sockets: what goes down, what comes up, and who speaks none of it. */
-public class BudgetStoriesTest {
+public class BudgetScenarioTest {
 
     private static final String[] TIERS = {"front", "core", "link"};
 
@@ -26,7 +26,7 @@
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(file, "[budget]\n" + String.join("\n", keys) + "\n");
-            return plain(tier, nodes).with(Operator.read(file));
+            return plain(tier, nodes).with(OperatorFile.read(file));
         } finally {
             Files.delete(file);
         }
--- a/daemon/src/test/java/cedarrudder/program/ChainIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ChainIT.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import java.io.BufferedReader;
--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.program.World.Caller;
-import cedarrudder.toml.Document;
+import cedarrudder.toml.ConfigDocument;
 import java.io.File;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -72,7 +72,8 @@
             }
             Map<String, String> sources = new HashMap<>();
             for (String line : Files.readAllLines(loaded, StandardCharsets.UTF_8)) {
-                // [0.042s][info][class,load] cedarrudder.Decide source: shared objects file (top)
+                // [0.042s][info][class,load] cedarrudder.balancer.PrequalBalancer source: shared
+                // objects file (top)
                 String[] parts =
                         line.substring(line.lastIndexOf(']') + 1).strip().split(" source: ");
                 if (parts.length == 2) {
@@ -88,7 +89,7 @@
     }
 
     private static String command() throws Exception {
-        Document deploy = Document.read(Path.of("deploy", "balancer.toml"));
+        ConfigDocument deploy = ConfigDocument.read(Path.of("deploy", "balancer.toml"));
         String command = deploy.root().text("run", null);
         assertTrue(command.startsWith("exec java "), command);
         return command;
@@ -102,10 +103,10 @@
         for (String name :
                 List.of(
                         "cedarrudder.program.Main",
-                        "cedarrudder.program.Proxy",
-                        "cedarrudder.Decide",
-                        "cedarrudder.routing.Driver",
-                        "cedarrudder.transport.Listener",
+                        "cedarrudder.program.ProxyServer",
+                        "cedarrudder.balancer.PrequalBalancer",
+                        "cedarrudder.forwarding.RequestForwarder",
+                        "cedarrudder.transport.HttpServer",
                         "cedarrudder.logging.Logger",
                         "io.netty.channel.nio.NioEventLoop")) {
             assertEquals(run.sources.get(name), FROM_ARCHIVE, name);
@@ -134,24 +135,29 @@
                                                 || name.startsWith("org.antlr.")
                                                 || name.startsWith(
                                                         "cedarrudder.program.HistoryFile")
-                                                || name.startsWith("cedarrudder.drainage.")
+                                                || name.startsWith("cedarrudder.draining.")
                                                 || name.startsWith("cedarrudder.conditions.")
                                                 || name.startsWith("dev.cel.")
-                                                || name.equals("cedarrudder.transport.Drift")
+                                                || name.equals("cedarrudder.transport.SkewedClock")
                                                 || name.startsWith("cedarrudder.footprint.")
-                                                || name.startsWith("cedarrudder.protocol.ListGate")
+                                                || name.startsWith(
+                                                        "cedarrudder.protocol.EndpointListReader")
                                                 || name.equals("cedarrudder.program.MachineLayout")
-                                                || name.startsWith("cedarrudder.agreement.")
-                                                || name.startsWith("cedarrudder.fleet.")
-                                                || name.startsWith("cedarrudder.table.")
-                                                || name.equals("cedarrudder.transport.Fleet")
-                                                || name.equals("cedarrudder.program.Failovers")
+                                                || name.startsWith("cedarrudder.consensus.")
+                                                || name.startsWith("cedarrudder.coordination.")
+                                                || name.startsWith("cedarrudder.routetable.")
+                                                || name.equals(
+                                                        "cedarrudder.transport.ReplicaCoordinator")
+                                                || name.equals("cedarrudder.program.FailoverWiring")
                                                 || name.startsWith("cedarrudder.failover.")
-                                                || name.equals("cedarrudder.program.Together")
-                                                || name.equals("cedarrudder.program.FileStore")
+                                                || name.equals(
+                                                        "cedarrudder.program.CoordinationWiring")
+                                                || name.equals(
+                                                        "cedarrudder.program.FileStableStorage")
                                                 || name.startsWith(
-                                                        "cedarrudder.program.CopyEstimate")
-                                                || name.equals("cedarrudder.transport.Membership"))
+                                                        "cedarrudder.program.ProcessMemoryEstimate")
+                                                || name.equals(
+                                                        "cedarrudder.transport.MembershipService"))
                         .toList();
         assertEquals(unwanted, List.of(), unwanted.toString());
     }
@@ -170,8 +176,8 @@
                     StandardCopyOption.REPLACE_EXISTING,
                     StandardCopyOption.COPY_ATTRIBUTES);
             Run run = run(command().replace("-jar " + JAR, "-jar " + copy));
-            assertNotNull(run.sources.get("cedarrudder.Decide"));
-            assertNotEquals(run.sources.get("cedarrudder.Decide"), FROM_ARCHIVE);
+            assertNotNull(run.sources.get("cedarrudder.balancer.PrequalBalancer"));
+            assertNotEquals(run.sources.get("cedarrudder.balancer.PrequalBalancer"), FROM_ARCHIVE);
             assertTrue(run.out.contains("Unable to use shared archive"), run.out);
         } finally {
             Files.delete(copy);
--- a/daemon/src/test/java/cedarrudder/program/CallerStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ClientScenarioTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.operator.Operator;
+import cedarrudder.operator.OperatorFile;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import java.net.SocketException;
@@ -19,7 +19,7 @@
  * Callers that do wrong, and those beside them that don't. Where patience is long, no close that a
  * test waits for can come of it.
  */
-public class CallerStoriesTest {
+public class ClientScenarioTest {
 
     private static final String PATIENT = "[callers]\nrequest_patience_ms = 60000\n";
     private static final int LARGE = 60_000;
@@ -29,7 +29,7 @@
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(file, operator);
-            return new World(1).with(Operator.read(file));
+            return new World(1).with(OperatorFile.read(file));
         } finally {
             Files.delete(file);
         }
--- a/daemon/src/test/java/cedarrudder/program/Collecting.java
+++ b/daemon/src/test/java/cedarrudder/program/Collecting.java
@@ -28,7 +28,7 @@
                                 }
                                 for (long most = 0; ; ) {
                                     Thread.sleep(1); // or a list of 10,000 takes minutes
-                                    long now = CopyEstimate.live();
+                                    long now = ProcessMemoryEstimate.live();
                                     if (now > most) {
                                         most = now;
                                         System.err.println(SAYS + now);
--- a/daemon/src/test/java/cedarrudder/program/ListCheckTest.java
+++ b/daemon/src/test/java/cedarrudder/program/EndpointListCheckTest.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.footprint.Limits;
+import cedarrudder.footprint.ProcessLimits;
 import cedarrudder.operator.FootprintSettings;
 import cedarrudder.operator.FootprintTable;
-import cedarrudder.operator.Operator;
+import cedarrudder.operator.OperatorFile;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -15,11 +15,11 @@
 import org.testng.annotations.Test;
 
 /** What {@code check --list} says. */
-public class ListCheckTest {
+public class EndpointListCheckTest {
 
     private static final long MEGABYTE = 1 << 20;
-    private static final Limits RUN =
-            new Limits(56 * MEGABYTE, 192 * MEGABYTE, 20 * MEGABYTE, 1_024);
+    private static final ProcessLimits RUN =
+            new ProcessLimits(56 * MEGABYTE, 192 * MEGABYTE, 20 * MEGABYTE, 1_024);
 
     /** What was said, and whether all fits. */
     private record Said(boolean fits, String text) {
@@ -34,14 +34,15 @@
         return file;
     }
 
-    private static Said check(Limits limits, Path list, Path before) {
+    private static Said check(ProcessLimits limits, Path list, Path before) {
         StringWriter said = new StringWriter();
-        Operator operator =
-                Operator.NONE.with(
+        OperatorFile operator =
+                OperatorFile.NONE.with(
                         FootprintTable.FOOTPRINT,
                         new FootprintSettings(0.5, 1_000, 1_000_000_000L));
         boolean fits =
-                new ListCheck(operator, limits, new PrintWriter(said, true)).check(list, before);
+                new EndpointListCheck(operator, limits, new PrintWriter(said, true))
+                        .check(list, before);
         return new Said(fits, said.toString());
     }
 
@@ -51,18 +52,18 @@
      */
     @Test
     public void aListFitsOrFitsInStepsOrSaysWhichBoundBindsAndByHowMuch() throws Exception {
-        Path list = file(Held.list(0, 10_000, 3));
+        Path list = file(RetainedEndpointList.list(0, 10_000, 3));
         Said fits = check(RUN, list, null);
         assertTrue(fits.fits, fits.text);
         assertTrue(fits.line("nodes: ").startsWith("nodes: fit; heap_at_peak needs "), fits.text);
         assertTrue(
                 fits.line("one more node: ")
                         .matches("one more node: 1\\d{3} at rest, 2\\d{3} at the peak"));
-        Said steps = check(RUN, list, file(Held.list(100_000, 10_000, 3)));
+        Said steps = check(RUN, list, file(RetainedEndpointList.list(100_000, 10_000, 3)));
         assertTrue(
                 steps.fits && steps.line("nodes: ").startsWith("nodes: fit in steps of ["),
                 steps.text);
-        Said never = check(RUN, file(Held.list(0, 28_000, 3)), null);
+        Said never = check(RUN, file(RetainedEndpointList.list(0, 28_000, 3)), null);
         assertTrue(
                 !never.fits
                         && never.line("nodes: ")
@@ -70,7 +71,11 @@
                                         "nodes: don't fit, \\d+ of them in no step; "
                                                 + "heap_at_rest needs \\d+ of \\d+, \\d+ too many"),
                 never.text);
-        Said few = check(new Limits(8 * MEGABYTE, 0, 0, 0), file(Held.list(0, 999, 3)), null);
+        Said few =
+                check(
+                        new ProcessLimits(8 * MEGABYTE, 0, 0, 0),
+                        file(RetainedEndpointList.list(0, 999, 3)),
+                        null);
         assertTrue(
                 few.line("nodes: ").endsWith("; all are loaded, since from_nodes is 1000"),
                 few.text);
@@ -79,14 +84,14 @@
     /** Guards against limits that are taken and then left out of the verdict. */
     @Test
     public void eachLimitBindsTheProcess() throws Exception {
-        Path list = file(Held.list(0, 100, 3));
+        Path list = file(RetainedEndpointList.list(0, 100, 3));
         assertTrue(check(RUN, list, null).line("process: fits; ").endsWith(" to spare"));
-        for (Limits tight :
-                new Limits[] {
-                    new Limits(20 * MEGABYTE, 0, 0, 0),
-                    new Limits(1 << 30, 60 * MEGABYTE, 0, 0),
-                    new Limits(1 << 30, 0, MEGABYTE, 0),
-                    new Limits(1 << 30, 0, 0, 700)
+        for (ProcessLimits tight :
+                new ProcessLimits[] {
+                    new ProcessLimits(20 * MEGABYTE, 0, 0, 0),
+                    new ProcessLimits(1 << 30, 60 * MEGABYTE, 0, 0),
+                    new ProcessLimits(1 << 30, 0, MEGABYTE, 0),
+                    new ProcessLimits(1 << 30, 0, 0, 700)
                 }) {
             Said said = check(tight, list, null);
             String bound =
@@ -108,7 +113,7 @@
                 Files.readString(Path.of("example", "config.json"))
                         .replace(
                                 "\"servers\": []",
-                                Held.list(0, 50, 1)
+                                RetainedEndpointList.list(0, 50, 1)
                                         .replaceFirst("^.*\"servers\":", "\"servers\":")
                                         .replaceFirst("}$", ""));
         Said said =
--- a/daemon/src/test/java/cedarrudder/program/FaultStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** What the review of the whole program found, as stories; see docs/audit-findings.md. */
-public class FaultStoriesTest {
+public class FaultScenarioTest {
 
     private static long figure(World world, String name) throws IOException {
         return JsonObject.parse(world.operator("GET", "/-/metrics").body()).whole(name);
@@ -284,7 +284,7 @@
         try (World world =
                 new World(40)
                         .with("\"sockets\": 1024", "\"sockets\": 240")
-                        .with(OperatorStoriesTest.operator("[nodes]\ndescriptors_share = 0.05\n"))
+                        .with(OperatorScenarioTest.operator("[nodes]\ndescriptors_share = 0.05\n"))
                         .withAdmin()
                         .start()) {
             List<Caller> crowd = crowd(world, 30);
--- a/daemon/src/test/java/cedarrudder/program/FileStoreTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -6,15 +6,15 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Golden;
-import cedarrudder.agreement.Entry;
-import cedarrudder.agreement.Entry.Kind;
-import cedarrudder.agreement.Group;
-import cedarrudder.agreement.Snapshot;
-import cedarrudder.agreement.Store.Kept;
-import cedarrudder.agreement.Store.Promise;
-import cedarrudder.agreement.Voter;
-import cedarrudder.agreement.Voters;
+import cedarrudder.consensus.LogEntry;
+import cedarrudder.consensus.LogEntry.Kind;
+import cedarrudder.consensus.Snapshot;
+import cedarrudder.consensus.StableStorage.Kept;
+import cedarrudder.consensus.StableStorage.Promise;
+import cedarrudder.consensus.Voter;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.consensus.VoterSet;
+import cedarrudder.conventions.Golden;
 import cedarrudder.logging.Logger;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -29,13 +29,13 @@
 import org.testng.annotations.Test;
 
 /** What a copy with a disk finds again. */
-public class FileStoreTest {
+public class FileStableStorageTest {
 
-    private static final Group GROUP = new Group(3, 1, 77);
+    private static final VoterGroup GROUP = new VoterGroup(3, 1, 77);
     private static final Promise FIRST = new Promise(GROUP, 9, 4, new Voter(2, 8), true);
     private static final Promise LATER = new Promise(GROUP, 9, 5, null, true);
     private static final Snapshot SNAPSHOT =
-            new Snapshot(6, 2, new Voters(List.of(new Voter(1, 9))), new byte[] {1, 2, 3});
+            new Snapshot(6, 2, new VoterSet(List.of(new Voter(1, 9))), new byte[] {1, 2, 3});
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private Path folder;
@@ -48,12 +48,12 @@
         log.reset();
     }
 
-    private FileStore open() {
-        return new FileStore(folder, 1, 5, new Logger(new PrintStream(log, true)));
+    private FileStableStorage open() {
+        return new FileStableStorage(folder, 1, 5, new Logger(new PrintStream(log, true)));
     }
 
-    private static Entry entry(int index) {
-        return new Entry(4, Kind.CONTENT, new byte[] {(byte) index, 7});
+    private static LogEntry entry(int index) {
+        return new LogEntry(4, Kind.CONTENT, new byte[] {(byte) index, 7});
     }
 
     /**
@@ -61,7 +61,7 @@
      * promise.
      */
     private void write() {
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             assertNull(store.kept());
             store.promise(FIRST);
             store.snapshot(SNAPSHOT);
@@ -90,11 +90,11 @@
     @Test
     public void whatWasSyncedIsFoundAgain() {
         write();
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             assertKept(store.kept(), LATER, 7, 8, 90, 10);
             store.entry(11, entry(11)); // not synced
         }
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             assertKept(store.kept(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
@@ -109,7 +109,7 @@
         write();
         Golden.check("consensus-store.txt", Golden.hex(Files.readAllBytes(file)));
         Files.write(file, Golden.bytes(Golden.read("consensus-store.txt")));
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             assertKept(store.kept(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
@@ -125,7 +125,7 @@
         int second = 0;
         for (int length = whole.length - 1; length >= 24; length--) {
             Files.write(file, Arrays.copyOf(whole, length));
-            try (FileStore store = open()) {
+            try (FileStableStorage store = open()) {
                 if (store.kept() == null) {
                     break; // within the first
                 }
@@ -134,13 +134,13 @@
                 store.promise(LATER);
                 store.sync();
             }
-            try (FileStore store = open()) {
+            try (FileStableStorage store = open()) {
                 assertKept(store.kept(), LATER, 7, 8, 9);
             }
         }
         assertTrue(second > 40, "only " + second);
         Files.write(file, Arrays.copyOf(whole, whole.length + 100)); // longer, and nothing in it
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             assertKept(store.kept(), LATER, 7, 8, 90, 10);
         }
     }
@@ -156,7 +156,7 @@
             turned[at] ^= 16;
             Files.write(file, turned);
             log.reset();
-            try (FileStore store = open()) {
+            try (FileStableStorage store = open()) {
                 assertNull(store.kept(), "byte " + at + " of " + last);
                 assertTrue(log.toString().contains("agreement.refused"), "byte " + at + ": " + log);
                 assertTrue(
@@ -166,7 +166,7 @@
                 store.sync();
             }
             assertEquals(Files.readAllBytes(folder.resolve("agreement.refused")), turned);
-            try (FileStore store = open()) {
+            try (FileStableStorage store = open()) {
                 assertEquals(store.kept().promise(), LATER);
             }
         }
@@ -175,8 +175,8 @@
     @Test
     public void anotherCopysFileIsRefused() throws IOException {
         write();
-        try (FileStore store =
-                new FileStore(folder, 2, 5, new Logger(new PrintStream(log, true)))) {
+        try (FileStableStorage store =
+                new FileStableStorage(folder, 2, 5, new Logger(new PrintStream(log, true)))) {
             assertNull(store.kept());
             assertTrue(
                     log.toString().contains("found a file of copy 1; allowed: 2"), log.toString());
@@ -185,7 +185,7 @@
 
     @Test
     public void oneProcessUsesAFolder() {
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             assertNull(store.kept());
             assertTrue(
                     expectThrows(UncheckedIOException.class, this::open)
@@ -203,10 +203,10 @@
     public void aSyncIsShort() {
         int syncs = Integer.getInteger("store.syncs", 20);
         long[] took = new long[syncs];
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             for (int i = 0; i < syncs; i++) {
                 store.promise(i % 2 == 0 ? FIRST : LATER);
-                store.entry(i + 1, new Entry(4, Kind.CONTENT, new byte[500]));
+                store.entry(i + 1, new LogEntry(4, Kind.CONTENT, new byte[500]));
                 long begun = System.nanoTime();
                 store.sync();
                 took[i] = System.nanoTime() - begun;
@@ -231,10 +231,10 @@
     /** Guards against a file that grows for as long as the copy lives. */
     @Test
     public void theFileStaysSmall() throws IOException {
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             store.promise(FIRST);
             for (int i = 1; i <= 3_000; i++) {
-                store.entry(i, new Entry(4, Kind.CONTENT, new byte[1_000]));
+                store.entry(i, new LogEntry(4, Kind.CONTENT, new byte[1_000]));
                 if (i % 16 == 0) {
                     store.snapshot(new Snapshot(i, 4, SNAPSHOT.voters(), new byte[5_000]));
                 }
@@ -245,7 +245,7 @@
             store.sync();
         }
         assertTrue(Files.size(file) < 1_300_000, "it has " + Files.size(file));
-        try (FileStore store = open()) {
+        try (FileStableStorage store = open()) {
             assertEquals(store.kept().snapshot().index(), 2_992);
             assertEquals(store.kept().entries().size(), 8);
         }
--- a/daemon/src/test/java/cedarrudder/program/FirstByteStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.FullNode;
 import cedarrudder.program.World.Received;
@@ -21,7 +21,7 @@
  * waited: its caller may have left, its node may drain, its time or the window of its repeats may
  * be over. The nodes' queues of connections are held full until the test opens them.
  */
-public class FirstByteStoriesTest {
+public class FirstByteScenarioTest {
 
     private static final String REFUSED = "HTTP/1.1 503 Service Unavailable";
 
--- a/daemon/src/test/java/cedarrudder/program/FootprintIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintIT.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import cedarrudder.protocol.JsonObject;
@@ -69,8 +69,8 @@
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, "[footprint]\nask_again_ms = 1000\n");
         try (World world = new World(3);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 Files.createTempDirectory("fit"),
                                 "",
@@ -104,7 +104,7 @@
             proxy.signal("TERM");
             String said = proxy.rest();
             assertFalse(said.contains("OutOfMemory"), said);
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
@@ -130,8 +130,8 @@
             world.with("\"servers\": []", "\"servers\": [" + entries + "]")
                     .with("\"version\": 0", "\"version\": 5");
             Nodes.play(world, call -> call.reply("200 OK", "done"));
-            try (Version proxy =
-                    new Version(
+            try (ProxyUnderTest proxy =
+                    new ProxyUnderTest(
                             world,
                             Files.createTempDirectory("fit"),
                             "",
@@ -157,8 +157,8 @@
     @Test
     public void withoutTheTableTheSameListIsSeenToEndOrStallIt() throws Exception {
         try (World world = new World(3);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world, Files.createTempDirectory("fit"), "", MACHINE, List.of())) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             tell(world);
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -2,12 +2,12 @@
 
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.footprint.Footprint;
-import cedarrudder.footprint.ListShape;
-import cedarrudder.footprint.TableFootprint;
+import cedarrudder.footprint.EndpointListFootprint;
+import cedarrudder.footprint.EndpointListShape;
+import cedarrudder.footprint.RouteTableFootprint;
 import cedarrudder.protocol.SiteSettings;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.TableCodec;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTableCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
@@ -20,10 +20,10 @@
     private static final double MOST_OVER = 0.15;
 
     /**
-     * Of what {@link Held#list} writes: ids of 10 characters, values that differ by address and
-     * zone.
+     * Of what {@link RetainedEndpointList#list} writes: ids of 10 characters, values that differ by
+     * address and zone.
      */
-    private static ListShape shape(String text, int nodes) {
+    private static EndpointListShape shape(String text, int nodes) {
         long values = 0;
         for (String entry : text.split("\\{\"id\"")) {
             for (String key : new String[] {"addr", "zone", "kind", "state"}) {
@@ -34,7 +34,7 @@
                 }
             }
         }
-        return new ListShape(nodes, text.length(), nodes * 10L, values);
+        return new EndpointListShape(nodes, text.length(), nodes * 10L, values);
     }
 
     private static String compare(String what, long estimate, long counted) {
@@ -52,30 +52,30 @@
      */
     @Test
     public void neverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen() throws Exception {
-        Footprint footprint = new Footprint(MachineLayout.read());
+        EndpointListFootprint footprint = new EndpointListFootprint(MachineLayout.read());
         StringBuilder wrong = new StringBuilder();
         String most = System.getProperty("footprint.nodes", "100");
         for (int nodes = 10; nodes <= Integer.parseInt(most); nodes *= 10) {
             for (int zones : new int[] {1, 12}) {
                 for (int tenants : new int[] {1, 20}) {
-                    SiteSettings site = Held.site(zones, tenants);
-                    Held held = new Held(site);
-                    long none = Held.graph(held.roots()).totalSize();
-                    String text = Held.list(0, nodes, zones);
+                    SiteSettings site = RetainedEndpointList.site(zones, tenants);
+                    RetainedEndpointList held = new RetainedEndpointList(site);
+                    long none = RetainedEndpointList.graph(held.roots()).totalSize();
+                    String text = RetainedEndpointList.list(0, nodes, zones);
                     held.load(text);
-                    ListShape list = shape(text, nodes);
+                    EndpointListShape list = shape(text, nodes);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants";
                     List<Object> kept = new ArrayList<>(held.roots());
                     kept.add(held.parsed.get(0)); // the buffer, which a watch keeps
-                    long rest = Held.graph(kept).totalSize() - none;
+                    long rest = RetainedEndpointList.graph(kept).totalSize() - none;
                     wrong.append(compare(name + ", at rest", footprint.atRest(list), rest));
                     List<Object> all = new ArrayList<>(held.roots());
                     all.addAll(held.parsed);
-                    long peak = Held.graph(all).totalSize() - none;
+                    long peak = RetainedEndpointList.graph(all).totalSize() - none;
                     wrong.append(
                             compare(
                                     name + ", at the peak",
-                                    footprint.atPeak(ListShape.NONE, list, nodes, nodes),
+                                    footprint.atPeak(EndpointListShape.NONE, list, nodes, nodes),
                                     peak));
                     held.load(text);
                     List<Object> again = new ArrayList<>(kept);
@@ -84,7 +84,7 @@
                             compare(
                                     name + ", told again",
                                     footprint.toldAgain(list),
-                                    Held.graph(again).totalSize() - none));
+                                    RetainedEndpointList.graph(again).totalSize() - none));
                 }
             }
         }
@@ -116,7 +116,7 @@
     /** Guards against a part of the route table that grew, or is forgotten. */
     @Test
     public void ofARouteTableLikewise() {
-        TableFootprint tables = new TableFootprint(MachineLayout.read());
+        RouteTableFootprint tables = new RouteTableFootprint(MachineLayout.read());
         StringBuilder wrong = new StringBuilder();
         for (int[] size :
                 new int[][] {
@@ -128,20 +128,24 @@
                     {64, 10_000, 256}
                 }) {
             RouteTable table = table(size[0], size[1], size[2]);
-            byte[] bytes = TableCodec.encode(table);
+            byte[] bytes = RouteTableCodec.encode(table);
             // What all lists share, and the ways, are the virtual machine's.
             List<Object> shared = List.of(RouteTable.Way.SPILLED, Stream.empty().toList());
             List<Object> all = new ArrayList<>(shared);
             all.addAll(List.of(table, bytes));
-            long counted = Held.graph(all).totalSize() - Held.graph(shared).totalSize();
+            long counted =
+                    RetainedEndpointList.graph(all).totalSize()
+                            - RetainedEndpointList.graph(shared).totalSize();
             wrong.append(
                     compare(
                             "table of " + size[0] + " zones, " + size[1] + " leaving",
                             tables.atRest(table),
                             counted));
-            RouteTable read = TableCodec.decode(bytes).table();
+            RouteTable read = RouteTableCodec.decode(bytes).table();
             all.addAll(List.of(read, bytes.clone()));
-            long both = Held.graph(all).totalSize() - Held.graph(shared).totalSize();
+            long both =
+                    RetainedEndpointList.graph(all).totalSize()
+                            - RetainedEndpointList.graph(shared).totalSize();
             assertTrue(tables.atPeak(table, read) >= both, "both " + both);
         }
         assertTrue(wrong.isEmpty(), wrong.toString());
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -3,13 +3,13 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
-import cedarrudder.footprint.CopyFootprint;
-import cedarrudder.footprint.CopyShape;
-import cedarrudder.footprint.ListShape;
+import cedarrudder.balancer.Await;
+import cedarrudder.footprint.EndpointListShape;
+import cedarrudder.footprint.ProcessFootprint;
+import cedarrudder.footprint.ProcessShape;
 import cedarrudder.program.World.Received;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.toml.Document;
+import cedarrudder.toml.ConfigDocument;
 import java.io.File;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -34,7 +34,8 @@
 
     /** The flags of the platform's command, with every collection one that compacts all. */
     private static List<String> flags() throws Exception {
-        String run = Document.read(Path.of("deploy", "balancer.toml")).root().text("run", null);
+        String run =
+                ConfigDocument.read(Path.of("deploy", "balancer.toml")).root().text("run", null);
         List<String> flags = new ArrayList<>(List.of("-XX:MarkSweepAlwaysCompactCount=1"));
         for (String word : run.split(" ")) {
             if (word.startsWith("-X")) {
@@ -87,7 +88,8 @@
      * Of nodes that refuse connections at once, so that none is open while descriptors are counted.
      */
     private static String list(int nodes, int zones) {
-        return Held.list(0, nodes, zones).replace("\"addr\":\"10.", "\"addr\":\"127.");
+        return RetainedEndpointList.list(0, nodes, zones)
+                .replace("\"addr\":\"10.", "\"addr\":\"127.");
     }
 
     private static Path operator(String more) throws IOException {
@@ -142,8 +144,8 @@
 
     private static Seen rest(int nodes, int zones, int tenants) throws Exception {
         try (World world = world(zones, tenants);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 Files.createTempDirectory("fit"),
                                 "",
@@ -174,9 +176,10 @@
 
     /** What a list is said to take, with the watch that tells it. */
     private static long list(String text, int nodes) {
-        CopyFootprint footprint = new CopyFootprint(MachineLayout.read());
-        ListShape list = new ListShape(nodes, text.length(), nodes * 10L, nodes * 37L);
-        return footprint.takes(new CopyShape(list, 0, 0, 0, 0, null, 0, 0, 0, 0)).rest()
+        ProcessFootprint footprint = new ProcessFootprint(MachineLayout.read());
+        EndpointListShape list =
+                new EndpointListShape(nodes, text.length(), nodes * 10L, nodes * 37L);
+        return footprint.takes(new ProcessShape(list, 0, 0, 0, 0, null, 0, 0, 0, 0)).rest()
                 - footprint.ground().heap();
     }
 
@@ -230,15 +233,15 @@
             List<String> flags = new ArrayList<>(flags());
             flags.add("-D" + Collecting.FILE + "=" + begin);
             try (World world = world(12, 20);
-                    Version proxy =
-                            new Version(
+                    ProxyUnderTest proxy =
+                            new ProxyUnderTest(
                                     world,
                                     Files.createTempDirectory("fit"),
                                     "",
                                     flags,
                                     List.of(
                                             "-cp",
-                                            Version.JAR
+                                            ProxyUnderTest.JAR
                                                     + File.pathSeparator
                                                     + Path.of("daemon", "target", "test-classes"),
                                             "cedarrudder.program.Collecting"),
@@ -278,8 +281,8 @@
     public void theHistoryHasWhatWasEstimatedAndWhatWasThenHeld() throws Exception {
         Path history = Files.createTempDirectory("history").resolve("history.jsonl");
         try (World world = world(3, 2);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 Files.createTempDirectory("fit"),
                                 "",
--- a/daemon/src/test/java/cedarrudder/program/LastCallsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/GracefulShutdownTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import java.io.IOException;
@@ -24,7 +24,7 @@
 import org.testng.annotations.Test;
 
 /** What callers that go on after SIGTERM get, up to the last connection. */
-public class LastCallsTest {
+public class GracefulShutdownTest {
 
     private static final int CALLERS = 24;
     private static final long KILLED_AFTER = 3_700_000_000L;
@@ -209,7 +209,7 @@
         try (World world =
                         new World(1)
                                 .with(
-                                        OperatorStoriesTest.operator(
+                                        OperatorScenarioTest.operator(
                                                 "[callers]\nanswer_patience_ms = 600000\n"))
                                 .start();
                 Caller deaf = world.caller()) {
--- a/daemon/src/test/java/cedarrudder/program/JsonLinesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/JsonLineWriterTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 
 /** The log as JSON, whatever its fields hold. */
-public class JsonLinesTest {
+public class JsonLineWriterTest {
 
     private static final int LINES = 200;
 
@@ -24,7 +24,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Logger log = new Logger(new PrintStream(out, true, StandardCharsets.UTF_8));
-        log.form(new JsonLines());
+        log.form(new JsonLineWriter());
         log.settings(new LogSettings(LogSettings.DEFAULT.level(), LINES, 300));
         for (int i = 0; i < LINES; i++) {
             StringBuilder garbage = new StringBuilder();
--- a/daemon/src/test/java/cedarrudder/program/LauncherIT.java
+++ b/daemon/src/test/java/cedarrudder/program/LauncherIT.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/daemon/src/test/java/cedarrudder/program/OperatorStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperatorScenarioTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.operator.Operator;
+import cedarrudder.operator.OperatorFile;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import cedarrudder.protocol.JsonObject;
@@ -21,13 +21,13 @@
  * What the operator's file sets, over sockets. Where a time is set, another event that would come
  * later, or sooner, without the setting shows that it counts.
  */
-public class OperatorStoriesTest {
+public class OperatorScenarioTest {
 
-    static Operator operator(String text) throws Exception {
+    static OperatorFile operator(String text) throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(file, text);
-            return Operator.read(file);
+            return OperatorFile.read(file);
         } finally {
             Files.delete(file);
         }
--- a/daemon/src/test/java/cedarrudder/program/ProxyStoriesTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** The proxy among scripted callers, nodes and discovery. */
-public class ProxyStoriesTest {
+public class ProxyServerScenarioTest {
 
     @Test
     public void anRpcPassesUnchangedAndItsAnswerComesBack() throws Exception {
--- a/daemon/src/test/java/cedarrudder/program/Version.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import cedarrudder.protocol.JsonObject;
@@ -18,7 +18,7 @@
 import java.util.List;
 
 /** One process of the built proxy, with an operators' address of its own. */
-final class Version implements AutoCloseable {
+final class ProxyUnderTest implements AutoCloseable {
 
     /** How a process ends that SIGTERM has ended. */
     static final int TERMINATED = 128 + 15;
@@ -29,7 +29,7 @@
     final Process process;
     final BufferedReader log;
 
-    Version(World world, Path state) throws IOException {
+    ProxyUnderTest(World world, Path state) throws IOException {
         this(world, state, "", List.of(), List.of());
     }
 
@@ -38,7 +38,8 @@
      * @param machine options of the virtual machine
      * @param options options of {@code serve}
      */
-    Version(World world, Path state, String before, List<String> machine, List<String> options)
+    ProxyUnderTest(
+            World world, Path state, String before, List<String> machine, List<String> options)
             throws IOException {
         this(world, state, before, machine, List.of("-jar", JAR), options);
     }
@@ -46,7 +47,7 @@
     /**
      * @param program how the virtual machine is told what to run
      */
-    Version(
+    ProxyUnderTest(
             World world,
             Path state,
             String before,
--- a/daemon/src/test/java/cedarrudder/program/Held.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -1,23 +1,23 @@
 package cedarrudder.program;
 
-import cedarrudder.Balancer.Actions;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Decide;
-import cedarrudder.figures.Figures;
-import cedarrudder.flow.HeldBytes;
+import cedarrudder.adminoverride.AdminOverrides;
+import cedarrudder.adminoverride.AdminOverrides.Named;
+import cedarrudder.balancer.LoadBalancer.Actions;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.PrequalBalancer;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.protocol.EndpointList;
+import cedarrudder.protocol.EndpointListParser;
+import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.ResolverResult;
-import cedarrudder.protocol.ResolverResultReader;
 import cedarrudder.protocol.SettingsReader;
 import cedarrudder.protocol.SiteSettings;
-import cedarrudder.rotation.Rotation;
-import cedarrudder.rotation.Rotation.Named;
-import cedarrudder.routing.Driver;
-import cedarrudder.transport.Loop;
-import cedarrudder.transport.NodeChannels;
-import cedarrudder.transport.NodeLimits;
+import cedarrudder.transport.EndpointConnectionPool;
+import cedarrudder.transport.EndpointLimits;
+import cedarrudder.transport.ProxyEventLoop;
 import java.io.ByteArrayOutputStream;
 import java.lang.reflect.Field;
 import java.nio.file.Files;
@@ -27,29 +27,29 @@
 import org.openjdk.jol.info.GraphLayout;
 
 /** What a proxy keeps of a list, in the same parts, with every root at hand for JOL. */
-final class Held {
+final class RetainedEndpointList {
 
     private final SiteSettings site;
-    private final ResolverResultReader reader;
-    private final NodeChannels channels;
-    private final Rotation rotation = new Rotation();
-    private final Decide module;
+    private final EndpointListParser reader;
+    private final EndpointConnectionPool channels;
+    private final AdminOverrides rotation = new AdminOverrides();
+    private final PrequalBalancer module;
 
-    Held(SiteSettings site) throws Exception {
+    RetainedEndpointList(SiteSettings site) throws Exception {
         this.site = site;
-        reader = new ResolverResultReader(site, () -> 1L << 40, () -> 1_790_000_000_000L);
+        reader = new EndpointListParser(site, () -> 1L << 40, () -> 1_790_000_000_000L);
         Actions none =
                 (Actions)
                         java.lang.reflect.Proxy.newProxyInstance(
-                                Held.class.getClassLoader(),
+                                RetainedEndpointList.class.getClassLoader(),
                                 new Class<?>[] {Actions.class},
                                 (self, method, of) -> null);
-        module = new Decide(site.module(), new SplittableRandom(1), none);
+        module = new PrequalBalancer(site.module(), new SplittableRandom(1), none);
         Logger log = new Logger(line -> true);
-        Loop loop = new Loop(log);
-        Figures figures = new Figures(site.module().classes().size());
-        Driver<Message, Message> driver =
-                new Driver<>(
+        ProxyEventLoop loop = new ProxyEventLoop(log);
+        RequestMetrics figures = new RequestMetrics(site.module().classes().size());
+        RequestForwarder<HttpMessage, HttpMessage> driver =
+                new RequestForwarder<>(
                         actions -> module,
                         site.module().limits().maxAttempts(),
                         loop,
@@ -57,14 +57,14 @@
                         null,
                         figures);
         channels =
-                new NodeChannels(
+                new EndpointConnectionPool(
                         loop,
                         driver,
                         site,
-                        NodeLimits.DEFAULT,
-                        NodeLimits.DEFAULT.bounds(1024, 512),
+                        EndpointLimits.DEFAULT,
+                        EndpointLimits.DEFAULT.bounds(1024, 512),
                         figures,
-                        new HeldBytes(HeldBytes.MOST));
+                        new BufferAccount(BufferAccount.MOST));
     }
 
     /** The example's settings, with so many zones and tenants. */
@@ -125,13 +125,13 @@
             gathered.write(text.charAt(i));
         }
         JsonObject json = JsonObject.parse(text);
-        ResolverResult result = reader.read(json);
+        EndpointList result = reader.read(json);
         channels.resolved(result);
         List<Named> named =
                 result.nodes().stream().map(n -> new Named(n.name(), n.endpoint())).toList();
-        var shown = rotation.listed(ListKind.FULL, named);
+        var shown = rotation.listed(EndpointListKind.FULL, named);
         parsed = List.of(gathered, text, json, json.list("servers", true), result);
-        module.endpoints(1L << 40, ListKind.FULL, shown);
+        module.endpoints(1L << 40, EndpointListKind.FULL, shown);
     }
 
     private static Object field(Object of, String name) throws Exception {
--- a/daemon/src/test/java/cedarrudder/program/ServeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ServeIT.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import cedarrudder.protocol.JsonObject;
@@ -76,7 +76,7 @@
                 serveOne(world, idle, "before");
                 caller.send(World.rpc("order", "/api", "x"));
                 Received taken = world.call();
-                Version.signal(process, "TERM");
+                ProxyUnderTest.signal(process, "TERM");
                 awaitLine(process, lines, "proxy.draining");
                 // Where this proxy is the only one, callers have nowhere else to go until it is
                 // back.
@@ -117,18 +117,18 @@
                 caller.send(World.rpc("order", "/api", "x"));
                 Received taken = world.call();
                 Files.writeString(file, "{");
-                Version.signal(process, "HUP");
+                ProxyUnderTest.signal(process, "HUP");
                 awaitLine(process, lines, "configuration.kept");
                 world.discovery = world.new Peer(world.lookups);
                 Files.writeString(file, world.configuration());
-                Version.signal(process, "HUP");
+                ProxyUnderTest.signal(process, "HUP");
                 while (World.await(world.lookups).socket().getLocalPort()
                         != world.discovery.server.getLocalPort()) {
                     // a watch at the old address
                 }
                 taken.reply("200 OK", "kept");
                 assertEquals(caller.read().body(), "kept");
-                Version.signal(process, "HUP");
+                ProxyUnderTest.signal(process, "HUP");
                 process.destroy();
             }
             assertEquals(Await.end("its end", process), TERMINATED);
@@ -153,7 +153,7 @@
             assertEquals(event(said, "proxy.listens").text("name", null), "example");
             Files.writeString(
                     operator, "[callers]\nbody_bytes = 300\nidle = 1\n[log]\nformat = \"xml\"\n");
-            Version.signal(process, "HUP");
+            ProxyUnderTest.signal(process, "HUP");
             JsonObject kept = event(awaitLine(process, lines, "operator.kept"), "operator.kept");
             assertEquals(kept.whole("problems"), 2);
             assertTrue(
@@ -161,10 +161,10 @@
                             .contains(".toml:3: callers.idle: found an unknown key"));
             assertEquals(answer(world, "four"), "HTTP/1.1 413 Content Too Large");
             Files.writeString(operator, "[callers]\nbody_bytes = 300\n");
-            Version.signal(process, "HUP");
+            ProxyUnderTest.signal(process, "HUP");
             awaitLine(process, lines, "operator.read");
             assertEquals(answer(world, "four"), "HTTP/1.1 200 OK");
-            Version.signal(process, "TERM");
+            ProxyUnderTest.signal(process, "TERM");
             awaitLine(process, lines, "INFO proxy.draining");
             assertEquals(Await.end("its end", process), TERMINATED);
         } finally {
@@ -240,7 +240,7 @@
         List<String> watched = List.of("-Xlog:class+load:file=" + loaded);
         Path state = Files.createTempDirectory("serve");
         try (World world = new World(1);
-                Version proxy = new Version(world, state, "", watched, List.of())) {
+                ProxyUnderTest proxy = new ProxyUnderTest(world, state, "", watched, List.of())) {
             proxy.awaitLine("proxy.listens");
         }
         String classes = Files.readString(loaded);
--- a/daemon/src/test/java/cedarrudder/program/ShortageIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ShortageIT.java
@@ -58,8 +58,8 @@
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, "[log]\nlines_per_s = 10000\n");
         try (World world = new World(1);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 folder(),
                                 "",
@@ -71,7 +71,7 @@
             serveOne(world, "after");
             proxy.signal("TERM");
             // What it still says is read only now; it ends whether it is read or not.
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
             assertTrue(proxy.rest().contains("caller.rejected"));
         }
     }
@@ -80,7 +80,7 @@
     @Test
     public void aLogWhoseReaderIsGoneStopsNothing() throws Exception {
         try (World world = new World(1);
-                Version proxy = new Version(world, folder())) {
+                ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             proxy.awaitReady();
             proxy.log.close();
@@ -88,7 +88,7 @@
             complain(world, 100);
             serveOne(world, "after");
             proxy.signal("TERM");
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
@@ -99,8 +99,9 @@
     @Test
     public void withoutADescriptorItRefusesAndGoesOnAfterwards() throws Exception {
         try (World world = new World(3).with("\"sockets\": 1024", "\"sockets\": 4096");
-                Version proxy =
-                        new Version(world, folder(), "ulimit -n 90;", List.of(), List.of())) {
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
+                                world, folder(), "ulimit -n 90;", List.of(), List.of())) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             proxy.awaitLine("proxy.listens");
             serveOne(world, "before");
@@ -135,7 +136,7 @@
             proxy.signal("TERM");
             String said = proxy.rest();
             assertFalse(said.contains("module.failed") || said.contains("task_failed"), said);
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
@@ -148,8 +149,8 @@
     public void withoutDirectMemorySomeAnswersBreakOffAndOthersAreServedAfterwards()
             throws Exception {
         try (World world = new World(1);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 folder(),
                                 "",
@@ -193,7 +194,7 @@
             String said = proxy.rest();
             assertTrue(said.contains("OutOfDirectMemoryError"), said);
             assertFalse(said.contains("Cannot reserve"), said);
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
@@ -205,7 +206,7 @@
     public void withoutAFolderForStateItSaysNoAndServesOn() throws Exception {
         Path none = Files.createTempFile("not-a-folder", "");
         try (World world = new World(1);
-                Version proxy = new Version(world, none)) {
+                ProxyUnderTest proxy = new ProxyUnderTest(world, none)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             proxy.awaitLine("proxy.listens");
             assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 503);
@@ -223,10 +224,10 @@
     public void aFolderForStateThatIsClearedInAnUpgradeTakesNoBanBack() throws Exception {
         Path state = folder();
         try (World world = new World(2);
-                Version first = new Version(world, state)) {
+                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             first.awaitLine("proxy.listens");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
-            try (Version second = new Version(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
                 first.awaitLine("successor=true");
                 // In one step: what goes file by file may meet the look that writes it anew.
                 try (Stream<Path> all = Files.list(state)) {
@@ -255,7 +256,7 @@
     public void aFolderForStateThatIsClearedBeforeAnUpgradeHidesNobody() throws Exception {
         Path state = folder();
         try (World world = new World(2);
-                Version first = new Version(world, state)) {
+                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             Nodes.list(world);
             first.awaitLine("proxy.listens");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
@@ -269,7 +270,7 @@
                         Files.delete(file);
                     }
                 }
-                try (Version next = new Version(world, state)) {
+                try (ProxyUnderTest next = new ProxyUnderTest(world, state)) {
                     if (!whole) {
                         next.awaitReady();
                     }
@@ -298,8 +299,8 @@
     public void connectionsThatStandKeepNoRoomForWhatCameOnThem() throws Exception {
         List<Caller> callers = new ArrayList<>();
         try (World world = new World(1);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 folder(),
                                 "",
@@ -318,7 +319,7 @@
             proxy.signal("TERM");
             String said = proxy.rest();
             assertFalse(said.contains("OutOfMemory"), said);
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         } finally {
             for (Caller caller : callers) {
                 caller.close();
@@ -331,8 +332,8 @@
     public void headsOfManyFieldsAreTurnedAwayAndOthersAreServed() throws Exception {
         List<Caller> callers = new ArrayList<>();
         try (World world = new World(1);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 folder(),
                                 "",
@@ -367,8 +368,8 @@
     @Test
     public void aFloodOfOperatorsCallsLeavesNothingBehind() throws Exception {
         try (World world = new World(1);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 folder(),
                                 "",
@@ -384,7 +385,7 @@
             proxy.signal("TERM");
             String said = proxy.rest();
             assertFalse(said.contains("OutOfMemory"), said);
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
@@ -394,7 +395,7 @@
     @Test
     public void peersThatFallSilentLeaveNothingBehind() throws Exception {
         try (World world = new World(2);
-                Version proxy = new Version(world, folder())) {
+                ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
             world.probesWait = true;
             proxy.awaitLine("proxy.listens");
             int before = proxy.descriptors();
@@ -441,7 +442,7 @@
     }
 
     /** Memory of its own that a process holds, in MiB. */
-    private static long resident(Version proxy) throws IOException {
+    private static long resident(ProxyUnderTest proxy) throws IOException {
         return Files.readAllLines(Path.of("/proc", Long.toString(proxy.process.pid()), "status"))
                         .stream()
                         .filter(line -> line.startsWith("RssAnon") || line.startsWith("RssShmem"))
@@ -451,7 +452,7 @@
     }
 
     /** The most that two processes, or one, hold for some time. */
-    private static long most(Version one, Version other) throws Exception {
+    private static long most(ProxyUnderTest one, ProxyUnderTest other) throws Exception {
         long most = 0;
         for (int i = 0; i < 40; i++) {
             most = Math.max(most, resident(one) + (one == other ? 0 : resident(other)));
@@ -500,7 +501,7 @@
         Path state = folder();
         byte[] body = new byte[32 * 1024 * 1024];
         try (World world = new World(8);
-                Version first = new Version(world, state, "", machine(), List.of())) {
+                ProxyUnderTest first = new ProxyUnderTest(world, state, "", machine(), List.of())) {
             Nodes.list(world);
             Nodes.play(
                     world,
@@ -516,7 +517,8 @@
             first.awaitReady();
             List<Caller> callers = new ArrayList<>(stuck(world, 480, "first-"));
             long alone = most(first, first);
-            try (Version second = new Version(world, state, "", machine(), List.of())) {
+            try (ProxyUnderTest second =
+                    new ProxyUnderTest(world, state, "", machine(), List.of())) {
                 second.awaitReady();
                 callers.addAll(stuck(world, 480, "second-"));
                 long both = most(first, second);
--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import java.io.IOException;
@@ -43,12 +43,12 @@
         Path state = folder();
         try (World world = new World(1)) {
             for (int moment : MOMENTS) {
-                try (Version proxy = new Version(world, state)) {
+                try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
                     Thread.sleep(moment);
                     proxy.kill();
                 }
             }
-            try (Version proxy = new Version(world, state)) {
+            try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
                 proxy.awaitLine("proxy.listens");
                 serveOne(world, "after");
             }
@@ -60,7 +60,7 @@
     public void aProxyThatIsToldToEndWithinItsStartEnds() throws Exception {
         try (World world = new World(1)) {
             for (int moment : MOMENTS) {
-                try (Version proxy = new Version(world, folder())) {
+                try (ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
                     Thread.sleep(moment);
                     proxy.signal("TERM");
                     String said = proxy.rest();
@@ -68,7 +68,7 @@
                     // At once it may meet the virtual machine half made, which then says 1, not
                     // 143.
                     if (moment > 0 || !said.isBlank()) {
-                        proxy.awaitEnd(Version.TERMINATED);
+                        proxy.awaitEnd(ProxyUnderTest.TERMINATED);
                     }
                 }
             }
@@ -79,7 +79,7 @@
     @Test
     public void aStormOfSignalsChangesNothingAndTheFirstToEndCounts() throws Exception {
         try (World world = new World(1);
-                Version proxy = new Version(world, folder())) {
+                ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
             proxy.awaitLine("proxy.listens");
             String pid = Long.toString(proxy.process.pid());
             Process storm =
@@ -97,7 +97,7 @@
             String said = proxy.rest();
             assertFalse(said.contains("Exception"), said);
             assertEquals(said.split("proxy.draining", -1).length - 1, 1, said);
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
@@ -109,10 +109,10 @@
     @Test
     public void aProxyWhoseJarWasReplacedEndsAllTheSame() throws Exception {
         Path jar = folder().resolve("cedarrudder.jar");
-        Files.copy(Path.of(Version.JAR), jar);
+        Files.copy(Path.of(ProxyUnderTest.JAR), jar);
         try (World world = new World(1);
-                Version proxy =
-                        new Version(
+                ProxyUnderTest proxy =
+                        new ProxyUnderTest(
                                 world,
                                 folder(),
                                 "",
@@ -130,7 +130,7 @@
             proxy.signal("TERM");
             proxy.awaitLine("proxy.draining");
             proxy.rest();
-            proxy.awaitEnd(Version.TERMINATED);
+            proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
@@ -142,7 +142,7 @@
     public void whatWasPromisedBeforeAKillHoldsAfterTheRestart() throws Exception {
         Path state = folder();
         try (World world = new World(2)) {
-            try (Version proxy = new Version(world, state)) {
+            try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
                 proxy.awaitLine("proxy.listens");
                 try (Caller taken = world.caller();
                         Caller half = world.caller();
@@ -179,7 +179,7 @@
     }
 
     private static void running(World world, Path state) throws Exception {
-        try (Version again = new Version(world, state)) {
+        try (ProxyUnderTest again = new ProxyUnderTest(world, state)) {
             again.awaitLine("proxy.listens");
             assertEquals(again.figure("out_of_rotation"), 1, "the ban is kept");
             try (Caller health = world.caller()) {
@@ -203,12 +203,12 @@
         Path state = folder();
         try (World world = new World(2)) {
             Nodes.list(world);
-            Version old = new Version(world, state);
+            ProxyUnderTest old = new ProxyUnderTest(world, state);
             old.awaitLine("proxy.listens");
             assertEquals(old.status("POST", "/-/nodes/n0/disable"), 200);
             // The new one is ready and dies: the old one takes its share back, and the ban is as it
             // was.
-            try (Version dies = new Version(world, state)) {
+            try (ProxyUnderTest dies = new ProxyUnderTest(world, state)) {
                 dies.awaitLine("proxy.listens");
                 assertEquals(dies.figure("out_of_rotation"), 1);
                 assertEquals(dies.status("POST", "/-/nodes/n0/enable"), 200);
@@ -218,7 +218,7 @@
             old.awaitFigure("out_of_rotation", 0);
             serveOne(world, "old");
             // The old one dies in the midst of giving way: the new one goes on alone.
-            try (Version next = new Version(world, state)) {
+            try (ProxyUnderTest next = new ProxyUnderTest(world, state)) {
                 next.awaitLine("proxy.listens");
                 old.signal("TERM");
                 old.awaitLine("proxy.replaced");
@@ -231,7 +231,7 @@
             } finally {
                 old.close();
             }
-            try (Version last = new Version(world, state)) {
+            try (ProxyUnderTest last = new ProxyUnderTest(world, state)) {
                 last.awaitLine("proxy.listens");
                 assertEquals(last.figure("out_of_rotation"), 1);
             }
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.program.World.Caller;
 import cedarrudder.program.World.Received;
 import java.io.IOException;
@@ -106,7 +106,7 @@
         Map<String, Integer> ran = new ConcurrentHashMap<>();
         Map<Integer, Integer> at = new ConcurrentHashMap<>();
         try (World world = new World(3);
-                Version first = new Version(world, state)) {
+                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             Nodes.play(
                     world,
                     call -> {
@@ -119,7 +119,7 @@
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
             Load load = new Load(world.port);
             load.awaitMore(50);
-            try (Version second = new Version(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
                 second.awaitLine("proxy.listens");
                 load.awaitMore(50);
                 assertEquals(second.status("GET", "/-/ready"), 200);
@@ -131,7 +131,7 @@
                 second.awaitFigure("out_of_rotation", 1);
                 first.signal("TERM");
                 first.awaitLine("proxy.replaced");
-                first.awaitEnd(Version.TERMINATED);
+                first.awaitEnd(ProxyUnderTest.TERMINATED);
                 load.awaitMore(200);
                 load.end();
                 assertEquals(load.wrong.toString(), "[]");
@@ -152,11 +152,11 @@
     public void whatEndsBesideOneThatIsNotReadyServesOnAsIfItWereAlone() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
         try (World world = new World(1);
-                Version first = new Version(world, state)) {
+                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             first.awaitLine("proxy.listens");
             // Not ready as long as discovery gives no list.
-            try (Version second = new Version(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
                 first.awaitLine("successor=true ready=false");
                 first.signal("TERM");
                 first.awaitLine("proxy.draining");
@@ -170,11 +170,11 @@
     public void aVersionThatDiesBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
         try (World world = new World(1);
-                Version first = new Version(world, state)) {
+                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             first.awaitLine("proxy.listens");
             Load load = new Load(world.port);
-            try (Version second = new Version(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
                 first.awaitLine("successor=true ready=false");
                 second.kill();
                 first.awaitLine("successor=false");
@@ -185,7 +185,7 @@
             assertEquals(first.status("GET", "/-/ready"), 200);
             first.signal("TERM");
             first.awaitLine("proxy.draining");
-            first.awaitEnd(Version.TERMINATED);
+            first.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/World.java
+++ b/daemon/src/test/java/cedarrudder/program/World.java
@@ -1,8 +1,8 @@
 package cedarrudder.program;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.logging.Logger;
-import cedarrudder.operator.Operator;
+import cedarrudder.operator.OperatorFile;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -319,8 +319,8 @@
     final Path state = Files.createTempDirectory("world").resolve("state");
 
     private final Socket adminHeld = new Socket();
-    private Operator operator = Operator.NONE;
-    private Proxy proxy;
+    private OperatorFile operator = OperatorFile.NONE;
+    private ProxyServer proxy;
 
     World(int nodeCount) throws IOException {
         for (int i = 0; i < nodeCount; i++) {
@@ -341,7 +341,7 @@
     }
 
     /** Sets the operator's file, or replaces it where the proxy runs already. */
-    World with(Operator next) {
+    World with(OperatorFile next) {
         operator = next;
         if (proxy != null) {
             proxy.apply(next);
@@ -382,22 +382,24 @@
 
     /** Starts a proxy in this process. */
     World start() throws IOException, InterruptedException {
-        Configuration configuration = Configuration.parse(configuration());
-        proxy = new Proxy(configuration, operator, new Logger(new PrintStream(log, true)), state);
+        ProxyConfiguration configuration = ProxyConfiguration.parse(configuration());
+        proxy =
+                new ProxyServer(
+                        configuration, operator, new Logger(new PrintStream(log, true)), state);
         proxy.start();
         return this;
     }
 
     /** The proxy is told to end; returns once it has. */
     void end() {
-        Proxy ends = proxy;
+        ProxyServer ends = proxy;
         proxy = null;
         ends.drain();
     }
 
     /** The configuration is replaced, and the proxy is told to read it again. */
     void reload(String configuration) {
-        proxy.reload(() -> Configuration.parse(configuration));
+        proxy.reload(() -> ProxyConfiguration.parse(configuration));
     }
 
     /** The example's configuration, with this world's addresses and all nodes known. */
--- a/daemon/src/test/java/cedarrudder/protocol/ResolverResultReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListParserTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /** What is kept from one resolver result to the next. */
-public class ResolverResultReaderTest {
+public class EndpointListParserTest {
 
     private static JsonObject result(boolean full, String id, String state) {
         return JsonObject.parse(
@@ -25,13 +25,13 @@
     private long clock = 7_000_000_000L;
     private long unixMillis = 1_000_000L;
 
-    private ResolverResultReader reader() throws Exception {
+    private EndpointListParser reader() throws Exception {
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
-        return new ResolverResultReader(
+        return new EndpointListParser(
                 SettingsReader.read(example.child("settings")), () -> clock, () -> unixMillis);
     }
 
-    private long startedAt(ResolverResultReader reader, String id, long millis) throws Exception {
+    private long startedAt(EndpointListParser reader, String id, long millis) throws Exception {
         String entry =
                 "{\"id\":\""
                         + id
@@ -54,7 +54,7 @@
      */
     @Test
     public void aStartIsPlacedByTheClocksOfTheMomentAndStaysThere() throws Exception {
-        ResolverResultReader reader = reader();
+        EndpointListParser reader = reader();
         long first = startedAt(reader, "a", unixMillis - 2000);
         assertEquals(first, clock - 2_000_000_000L);
         clock += 50_000_000_000L;
@@ -72,7 +72,7 @@
     /** Guards against keeping every id of a long day. */
     @Test
     public void aNodeThatIsGoneLeavesNothingBehind() throws Exception {
-        ResolverResultReader reader = reader();
+        EndpointListParser reader = reader();
         for (int i = 0; i < 100; i++) {
             reader.read(result(false, "node-" + i, "in_service"));
             reader.read(result(false, "node-" + i, "terminated"));
@@ -89,12 +89,12 @@
      */
     @Test
     public void anEntryThatCanNotBeReadTakesNoOtherAway() throws Exception {
-        ResolverResultReader reader = reader();
+        EndpointListParser reader = reader();
         reader.read(result(false, "a", "in_service"));
         String servers =
                 "{\"id\":\"a\",\"addr\":\"nowhere\",\"state\":\"in_service\"},{\"addr\":7},"
                         + "{\"id\":\"b\",\"addr\":\"127.0.0.1:1\",\"state\":\"terminating\"}";
-        ResolverResult mixed =
+        EndpointList mixed =
                 reader.read(
                         JsonObject.parse(
                                 "{\"version\":2,\"full\":false,\"servers\":[" + servers + "]}"));
@@ -119,7 +119,7 @@
         String good = "{\"id\":\"b\",\"addr\":\"127.0.0.1:1\",\"state\":\"terminating\"}";
         for (boolean full : new boolean[] {true, false}) {
             String list = "{\"version\":2,\"full\":" + full + ",\"servers\":[" + bad + good + "]}";
-            ResolverResult mixed = reader().read(JsonObject.parse(list));
+            EndpointList mixed = reader().read(JsonObject.parse(list));
             assertEquals(
                     mixed.nodes().stream().map(n -> n.name() + n.endpoint().state()).toList(),
                     List.of("bDRAINING"));
--- a/daemon/src/test/java/cedarrudder/protocol/ListGateTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListReaderTest.java
@@ -6,35 +6,36 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Balancer.State;
-import cedarrudder.footprint.Footprint;
-import cedarrudder.footprint.Layout;
-import cedarrudder.protocol.ResolverResult.Node;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.footprint.EndpointListFootprint;
+import cedarrudder.footprint.ObjectLayout;
+import cedarrudder.protocol.EndpointList.Node;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class ListGateTest {
+public class EndpointListReaderTest {
 
     /** Room for some hundreds of nodes. */
     private static final long ROOM = 2_000_000;
 
-    private ResolverResultReader reader;
+    private EndpointListParser reader;
 
     @BeforeMethod
     public void begin() throws Exception {
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
         reader =
-                new ResolverResultReader(
+                new EndpointListParser(
                         SettingsReader.read(example.child("settings")),
                         () -> 1L << 40,
                         () -> 1_790_000_000_000L);
     }
 
-    private ListGate gate(long room, int fromNodes) {
-        return new ListGate(new Footprint(Layout.of(true, true, 8)), reader, room, fromNodes);
+    private EndpointListReader gate(long room, int fromNodes) {
+        return new EndpointListReader(
+                new EndpointListFootprint(ObjectLayout.of(true, true, 8)), reader, room, fromNodes);
     }
 
     private static String entry(String id, String state) {
@@ -55,7 +56,7 @@
         return text.append("]}").toString();
     }
 
-    private List<Node> read(ListGate gate, String text) {
+    private List<Node> read(EndpointListReader gate, String text) {
         return reader.read(gate.read(text)).nodes();
     }
 
@@ -65,7 +66,7 @@
      */
     @Test
     public void whatLeavesCountsAndWhatIsAddedIsAddedInOrderAsFarAsItFits() {
-        ListGate gate = gate(ROOM, 0);
+        EndpointListReader gate = gate(ROOM, 0);
         read(gate, list(true, "", "a", 3));
         assertEquals(gate.last().waits(), 0);
         List<Node> nodes =
@@ -83,7 +84,7 @@
         assertTrue(added > 100 && added < 1_000, "added " + added);
         assertEquals(nodes.get(added - 1).name(), "b" + (added - 1), "in order");
         assertEquals(nodes.get(added).name(), "a1");
-        assertEquals(nodes.get(added).endpoint().state(), State.DRAINING);
+        assertEquals(nodes.get(added).endpoint().state(), EndpointStatus.DRAINING);
         assertFalse(reader.knows("a0"));
         assertEquals(gate.last().bound(), "heap_at_rest");
         assertEquals(gate.last().waits(), 5_001 - added - 1);
@@ -93,7 +94,7 @@
     /** Guards against changes that, few at a time, come to more than there is room for. */
     @Test
     public void changesAreJudgedWithWhatIsHeld() {
-        ListGate gate = gate(ROOM, 0);
+        EndpointListReader gate = gate(ROOM, 0);
         for (int i = 0; i < 100; i++) {
             read(gate, list(false, "", "c" + i + "-", 50));
         }
@@ -113,7 +114,7 @@
      */
     @Test
     public void whatHasLeftMakesRoomForMoreOfTheSameList() {
-        ListGate gate = gate(ROOM, 0);
+        EndpointListReader gate = gate(ROOM, 0);
         read(gate, list(true, "", "a", 700));
         String other = list(true, "", "b", 700);
         assertTrue(read(gate, other).size() < 700);
@@ -146,7 +147,7 @@
                     "{\"servers\":[{\"id\":[[1],{}]}]}",
                     "{\"version\":1,\"servers\":{}}"
                 }) {
-            ListGate gate = gate(1, 0);
+            EndpointListReader gate = gate(1, 0);
             String why =
                     expectThrows(
                                     IllegalArgumentException.class,
@@ -163,7 +164,7 @@
     /** Guards against a list of the configuration that is loaded as it is. */
     @Test
     public void theListOfTheConfigurationIsHeldToTheSameRoom() {
-        ListGate gate = gate(ROOM, 0);
+        EndpointListReader gate = gate(ROOM, 0);
         JsonObject list = JsonObject.parse(list(true, "5," + entry("x", "terminated"), "b", 5_000));
         List<Node> nodes = reader.read(gate.read(list)).nodes();
         assertTrue(nodes.size() > 100 && nodes.size() < 1_000, "read " + nodes.size());
@@ -171,7 +172,7 @@
         assertEquals(gate.last().outcome(), "does_not_fit");
         assertEquals(gate.held().textBytes(), 0, "no watch has told anything");
         assertEquals(gate.held().nodes(), reader.size());
-        ListGate wide = gate(1L << 40, 0);
+        EndpointListReader wide = gate(1L << 40, 0);
         assertSame(wide.read(list), list);
     }
 
@@ -180,7 +181,7 @@
      */
     @Test
     public void entriesThatCantBeReadAreNamedByTheirPlacesInTheWholeList() {
-        ListGate gate = gate(ROOM, 0);
+        EndpointListReader gate = gate(ROOM, 0);
         read(gate, list(true, "", "a", 2));
         String last =
                 list(true, "", "b", 5_000)
@@ -198,11 +199,11 @@
     /** Guards against operators told that nodes wait for good which the next telling adds. */
     @Test
     public void stepsSayWhatGetsInWhenWhatHasLeftMakesRoom() {
-        ListGate gate = gate(ROOM, 0);
+        EndpointListReader gate = gate(ROOM, 0);
         read(gate, list(true, "", "a", 700));
         assertEquals(gate.last().outcome(), "fits");
         read(gate, list(true, "", "b", 700));
-        ListGate.Judged judged = gate.last();
+        EndpointListReader.Judged judged = gate.last();
         assertEquals(judged.outcome(), "fits_in_steps");
         assertEquals(judged.steps().stream().mapToInt(Integer::intValue).sum(), 700);
         assertEquals(judged.steps().get(0), (Integer) (700 - judged.waits()));
--- a/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
@@ -22,14 +22,14 @@
 
     /** What comes of messages: each body, with a bar where it began to flow. */
     private static List<String> decode(boolean requests, String... pieces)
-            throws BadMessageException {
+            throws MalformedMessageException {
         HttpDecoder decoder = HttpDecoder.ofFlows(requests, HttpDecoder.MOST_HEAD, MOST, WINDOW);
         List<String> bodies = new ArrayList<>();
         StringBuilder flowed = new StringBuilder();
         for (String piece : pieces) {
             ByteBuf in = Unpooled.copiedBuffer(piece, StandardCharsets.ISO_8859_1);
             while (in.isReadable() || decoder.large()) {
-                Message whole = decoder.decode(in);
+                HttpMessage whole = decoder.decode(in);
                 if (whole != null) {
                     bodies.add(flowed + new String(whole.body(), StandardCharsets.ISO_8859_1));
                     flowed.setLength(0);
@@ -64,7 +64,7 @@
     /** Guards against bytes that are lost or doubled where a window ends, and where a read does. */
     @Test(dataProvider = "messages")
     public void itIsTheSameHoweverItIsCut(boolean requests, String text)
-            throws BadMessageException {
+            throws MalformedMessageException {
         String small =
                 requests
                         ? "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok"
@@ -89,8 +89,8 @@
             try {
                 decode(true, "POST / HTTP/1.1\r\nHost: a\r\n" + body);
                 assertTrue(false, "taken: " + body);
-            } catch (BadMessageException e) {
-                assertEquals(e.status(), BadMessageException.CONTENT_TOO_LARGE);
+            } catch (MalformedMessageException e) {
+                assertEquals(e.status(), MalformedMessageException.CONTENT_TOO_LARGE);
             }
         }
     }
--- a/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
@@ -28,12 +28,12 @@
     }
 
     private static List<String> decode(HttpDecoder decoder, String... pieces)
-            throws BadMessageException {
+            throws MalformedMessageException {
         List<String> messages = new ArrayList<>();
         for (String piece : pieces) {
             ByteBuf in = bytes(piece);
             while (in.isReadable()) {
-                Message message = decoder.decode(in);
+                HttpMessage message = decoder.decode(in);
                 if (message != null) {
                     messages.add(
                             message.head().status()
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void everyCutYieldsTheSameMessages() throws BadMessageException {
+    public void everyCutYieldsTheSameMessages() throws MalformedMessageException {
         List<String> expected = List.of("200 b abc", "503 null defgh");
         for (int i = 0; i <= TWO.length(); i++) {
             HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100);
@@ -64,7 +64,7 @@
 
     /** Guards against a watch that stands, and is read no more, once 2 GiB have come on it. */
     @Test
-    public void anAnswerThatGoesToASinkIsReadWithoutABound() throws BadMessageException {
+    public void anAnswerThatGoesToASinkIsReadWithoutABound() throws MalformedMessageException {
         for (boolean chunked : new boolean[] {true, false}) {
             HttpDecoder decoder = HttpDecoder.ofStreams(OutputStream.nullOutputStream());
             decoder.decode(
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void anAnswerWithoutLengthEndsWithItsConnection() throws BadMessageException {
+    public void anAnswerWithoutLengthEndsWithItsConnection() throws MalformedMessageException {
         HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100);
         assertNull(decoder.decode(bytes("HTTP/1.1 200 OK\r\n\r\nall of it")));
         assertEquals(new String(decoder.atEnd().body(), StandardCharsets.ISO_8859_1), "all of it");
@@ -119,7 +119,7 @@
     @Test(dataProvider = "nonsense")
     public void nonsenseIsTold(String text) {
         expectThrows(
-                BadMessageException.class,
+                MalformedMessageException.class,
                 () -> decode(HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100), text));
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
@@ -98,7 +98,7 @@
         HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
         ByteBuf in = Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
         try {
-            for (Message next = decoder.decode(in); next != null; next = decoder.decode(in)) {
+            for (HttpMessage next = decoder.decode(in); next != null; next = decoder.decode(in)) {
                 requests.add(
                         new Read(
                                 next.head().method(),
@@ -107,7 +107,7 @@
                                 new String(next.body(), StandardCharsets.ISO_8859_1)));
             }
             return new Reading(requests, false);
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             return new Reading(requests, true);
         }
     }
--- a/daemon/src/test/java/cedarrudder/protocol/LoadReportTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/LoadReportParserTest.java
@@ -6,12 +6,12 @@
 import org.testng.annotations.Test;
 
 /** Load reports, as nodes write them and as they come spoilt. */
-public class LoadReportTest {
+public class LoadReportParserTest {
 
     /** Guards against one absurd figure outweighing the reports of all other nodes. */
     @Test
     public void whatCantBeReadIsNoReport() {
-        assertEquals(LoadReport.parse("TEXT inflight=7, util=0.61").inFlight(), 7.0);
+        assertEquals(LoadReportParser.parse("TEXT inflight=7, util=0.61").inFlight(), 7.0);
         for (String spoilt :
                 new String[] {
                     "",
@@ -24,7 +24,7 @@
                     "=7",
                     "\u0000\u00ff"
                 }) {
-            assertNull(LoadReport.parse(spoilt), spoilt);
+            assertNull(LoadReportParser.parse(spoilt), spoilt);
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
@@ -89,16 +89,16 @@
     @Test(dataProvider = "refused")
     public void whatIsNoRequestIsToldAsSoonAsThatIsCertain(String text, int status)
             throws Exception {
-        BadMessageException whole =
-                expectThrows(BadMessageException.class, () -> decoder().decode(bytes(text)));
+        MalformedMessageException whole =
+                expectThrows(MalformedMessageException.class, () -> decoder().decode(bytes(text)));
         assertEquals(whole.status(), status);
         HttpDecoder split = decoder();
         for (int i = 0; i < text.length() - 1; i++) {
             split.decode(bytes(text.substring(i, i + 1)));
         }
-        BadMessageException last =
+        MalformedMessageException last =
                 expectThrows(
-                        BadMessageException.class,
+                        MalformedMessageException.class,
                         () -> split.decode(bytes(text.substring(text.length() - 1))));
         assertEquals(last.status(), status);
     }
@@ -122,7 +122,7 @@
     @Test(dataProvider = "taken")
     public void theFormsOfATargetComeToOne(String text, String target, String host)
             throws Exception {
-        Message request = decoder().decode(bytes(text));
+        HttpMessage request = decoder().decode(bytes(text));
         assertEquals(request.head().target(), target);
         assertEquals(request.head().fields().get("host"), host);
     }
@@ -148,7 +148,7 @@
     /** RFC 9110 7.6.1; what makes an RPC one can't be stripped so, its key above all. */
     @Test
     public void fieldsOfTheConnectionEndHereAndThoseOfTheRpcDont() throws Exception {
-        Message request =
+        HttpMessage request =
                 decoder()
                         .decode(
                                 bytes(
--- a/daemon/src/test/java/cedarrudder/protocol/RpcFieldsTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestHeadersTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Balancer.Request;
-import cedarrudder.budget.Carried;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.budget.PropagatedBudget;
 import io.netty.buffer.Unpooled;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -12,14 +12,15 @@
 import org.testng.annotations.Test;
 
 /** What the module is told of an RPC. */
-public class RpcFieldsTest {
+public class RequestHeadersTest {
 
     private static final long MS = 1_000_000L;
 
     private static Request read(long waitMillis, long lateness)
-            throws IOException, BadMessageException {
+            throws IOException, MalformedMessageException {
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
-        RpcFields fields = new RpcFields(SettingsReader.read(example.child("settings")).module());
+        RequestHeaders fields =
+                new RequestHeaders(SettingsReader.read(example.child("settings")).module());
         String text =
                 "POST /api HTTP/1.1\r\n"
                         + "Host: a\r\n"
@@ -31,9 +32,9 @@
                         + "Req-Deadline-Ms: "
                         + waitMillis
                         + "\r\n\r\n";
-        Message message =
-                Message.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
-        return fields.read(message, 7, 0, lateness, 5000 * MS, Carried.NOTHING);
+        HttpMessage message =
+                HttpMessage.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+        return fields.read(message, 7, 0, lateness, 5000 * MS, PropagatedBudget.NOTHING);
     }
 
     @Test
--- a/daemon/src/test/java/cedarrudder/sim/Frames.java
+++ b/daemon/src/test/java/cedarrudder/simulator/Frames.java
@@ -1,4 +1,4 @@
-package cedarrudder.sim;
+package cedarrudder.simulator;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -37,7 +37,7 @@
     }
 
     Frames record(int code, Consumer<ByteBuffer> fields) {
-        ByteBuffer record = buffer(Wire.EVENT);
+        ByteBuffer record = buffer(SimulatorWire.EVENT);
         record.put((byte) code);
         fields.accept(record);
         records.writeBytes(record.array());
@@ -46,36 +46,39 @@
     }
 
     Frames to(int instance) {
-        return record(Wire.TO, r -> r.putInt(instance));
+        return record(SimulatorWire.TO, r -> r.putInt(instance));
     }
 
     Frames start(long seed, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         int at = tail.size();
         tail.writeBytes(text);
-        return record(Wire.NEW_INSTANCE, r -> r.putLong(seed).putInt(at).putInt(text.length));
+        return record(
+                SimulatorWire.NEW_INSTANCE, r -> r.putLong(seed).putInt(at).putInt(text.length));
     }
 
     /** An inventory of ready endpoints with these ids. */
     Frames inventory(int number, int... ids) {
         int at = tail.size();
         for (int id : ids) {
-            ByteBuffer entry = buffer(Wire.ENDPOINT);
+            ByteBuffer entry = buffer(SimulatorWire.ENDPOINT);
             entry.putInt(id).position(10);
             entry.put((byte) 1).putFloat(1);
             tail.writeBytes(entry.array());
         }
         return record(
-                Wire.INVENTORY, r -> r.putShort((short) number).putInt(at).putInt(ids.length));
+                SimulatorWire.INVENTORY,
+                r -> r.putShort((short) number).putInt(at).putInt(ids.length));
     }
 
     Frames view(int kind, int inventory) {
-        return record(Wire.VIEW, r -> r.put((byte) kind).putInt(1).putShort((short) inventory));
+        return record(
+                SimulatorWire.VIEW, r -> r.put((byte) kind).putInt(1).putShort((short) inventory));
     }
 
     Frames knock(long id, long deadline) {
         return record(
-                Wire.KNOCK,
+                SimulatorWire.KNOCK,
                 r ->
                         r.putLong(id)
                                 .put((byte) 0)
@@ -86,7 +89,7 @@
 
     Frames outcome(long id, int attempt, int endpoint, int how, boolean settled) {
         return record(
-                Wire.OUTCOME,
+                SimulatorWire.OUTCOME,
                 r ->
                         r.putLong(id)
                                 .put((byte) attempt)
@@ -97,7 +100,7 @@
     }
 
     byte[] bytes() {
-        ByteBuffer frame = buffer(Wire.BATCH_HEADER + records.size() + tail.size());
+        ByteBuffer frame = buffer(SimulatorWire.BATCH_HEADER + records.size() + tail.size());
         frame.putInt(records.size() + tail.size()).putLong(now).putInt(count);
         frame.put(records.toByteArray()).put(tail.toByteArray());
         return frame.array();
@@ -111,34 +114,36 @@
         while (at < output.length) {
             int records = all.getInt(at);
             int length = all.getInt(at + 4);
-            int body = at + Wire.REPLY_HEADER;
+            int body = at + SimulatorWire.REPLY_HEADER;
             long instance = -1;
             for (int i = 0; i < records; i++) {
-                int r = body + i * Wire.ACTION;
+                int r = body + i * SimulatorWire.ACTION;
                 int code = all.get(r);
                 switch (code) {
-                    case Wire.AS -> instance = Integer.toUnsignedLong(all.getInt(r + 1));
-                    case Wire.CALL_OUT ->
+                    case SimulatorWire.AS -> instance = Integer.toUnsignedLong(all.getInt(r + 1));
+                    case SimulatorWire.CALL_OUT ->
                             lines.add(
                                     instance
                                             + " send "
                                             + all.getLong(r + 1)
                                             + " "
                                             + Integer.toUnsignedLong(all.getInt(r + 9)));
-                    case Wire.TURN_AWAY -> lines.add(instance + " refuse " + all.getLong(r + 1));
-                    case Wire.FINISH_ERROR -> lines.add(instance + " fail " + all.getLong(r + 1));
-                    case Wire.BUG, Wire.EMIT ->
+                    case SimulatorWire.TURN_AWAY ->
+                            lines.add(instance + " refuse " + all.getLong(r + 1));
+                    case SimulatorWire.FINISH_ERROR ->
+                            lines.add(instance + " fail " + all.getLong(r + 1));
+                    case SimulatorWire.BUG, SimulatorWire.EMIT ->
                             lines.add(
                                     instance
-                                            + (code == Wire.BUG ? " bug " : " log ")
+                                            + (code == SimulatorWire.BUG ? " bug " : " log ")
                                             + new String(
                                                     output,
                                                     body
-                                                            + records * Wire.ACTION
+                                                            + records * SimulatorWire.ACTION
                                                             + all.getInt(r + 1),
                                                     all.getInt(r + 5),
                                                     StandardCharsets.UTF_8));
-                    case Wire.POLL ->
+                    case SimulatorWire.POLL ->
                             lines.add(
                                     instance
                                             + " probe "
--- a/daemon/src/test/java/cedarrudder/sim/JarIT.java
+++ b/daemon/src/test/java/cedarrudder/simulator/JarIT.java
@@ -1,4 +1,4 @@
-package cedarrudder.sim;
+package cedarrudder.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -46,7 +46,7 @@
                 .to(3)
                 .start(7, Frames.SETTINGS)
                 .inventory(0, 11)
-                .view(Wire.VIEW_CACHED, 0)
+                .view(SimulatorWire.VIEW_CACHED, 0)
                 .knock(5, NOW + 1_000_000_000L)
                 .bytes();
     }
--- a/daemon/src/test/java/cedarrudder/sim/SimHostTest.java
+++ b/daemon/src/test/java/cedarrudder/simulator/SimulatorHostTest.java
@@ -1,12 +1,12 @@
-package cedarrudder.sim;
+package cedarrudder.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cedarrudder.Tuning;
+import cedarrudder.balancer.BalancerParameters;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.ReportFields;
+import cedarrudder.protocol.LoadReportFields;
 import cedarrudder.protocol.SettingsReader;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class SimHostTest {
+class SimulatorHostTest {
     private static final long NOW = 1_000_000_000L;
     private static final int BIG_ID = 0xFFFFFFF0; // above 2^31 when read as it should be
 
@@ -30,12 +30,13 @@
             in.writeBytes(batch);
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        SimHost.serve(Tuning.DEFAULTS, new ByteArrayInputStream(in.toByteArray()), out);
+        SimulatorHost.serve(
+                BalancerParameters.DEFAULTS, new ByteArrayInputStream(in.toByteArray()), out);
         return out.toByteArray();
     }
 
     private static void assertRejected(String message, byte[]... batches) {
-        WireException e = assertThrows(WireException.class, () -> serve(batches));
+        SimulatorWireException e = assertThrows(SimulatorWireException.class, () -> serve(batches));
         assertTrue(e.getMessage().contains(message), e.getMessage());
         assertTrue(e.getMessage().startsWith("batch "), e.getMessage());
         assertEquals(1, e.getMessage().lines().count());
@@ -46,7 +47,7 @@
                 .to(3)
                 .start(7, Frames.SETTINGS)
                 .inventory(0, BIG_ID)
-                .view(Wire.VIEW_CACHED, 0);
+                .view(SimulatorWire.VIEW_CACHED, 0);
     }
 
     @Test
@@ -97,7 +98,7 @@
                                 .to(2)
                                 .knock(6, NOW + 1000)
                                 .to(1)
-                                .record(Wire.KILL, r -> {})
+                                .record(SimulatorWire.KILL, r -> {})
                                 .start(3, Frames.SETTINGS)
                                 .inventory(0, 33)
                                 .view(2, 0)
@@ -154,7 +155,7 @@
                 serve(
                         started()
                                 .record(
-                                        Wire.KNOCK,
+                                        SimulatorWire.KNOCK,
                                         r ->
                                                 r.putLong(5)
                                                         .put((byte) 0)
@@ -172,14 +173,16 @@
                 serve(
                         started()
                                 .outcome(99, 0, BIG_ID, 0, true)
-                                .record(Wire.CLIENT_LEFT, r -> r.putLong(99))
-                                .record(Wire.STATUS_BACK, r -> r.putInt(77).putShort((short) 253))
-                                .record(Wire.FIRST_BYTE, r -> r.putLong(99))
-                                .record(Wire.WHISPER, r -> r.putShort((short) 1))
-                                .record(Wire.BELL, r -> r.putLong(1L << 60))
-                                .view(Wire.VIEW_FAILED, 9)
+                                .record(SimulatorWire.CLIENT_LEFT, r -> r.putLong(99))
+                                .record(
+                                        SimulatorWire.STATUS_BACK,
+                                        r -> r.putInt(77).putShort((short) 253))
+                                .record(SimulatorWire.FIRST_BYTE, r -> r.putLong(99))
+                                .record(SimulatorWire.WHISPER, r -> r.putShort((short) 1))
+                                .record(SimulatorWire.BELL, r -> r.putLong(1L << 60))
+                                .view(SimulatorWire.VIEW_FAILED, 9)
                                 .inventory(1)
-                                .view(Wire.VIEW_FULL, 1)
+                                .view(SimulatorWire.VIEW_FULL, 1)
                                 .bytes());
         assertTrue(Frames.actions(out).stream().noneMatch(a -> a.contains("bug")));
     }
@@ -210,12 +213,13 @@
         assertRejected("never started", new Frames(NOW).to(8).knock(1, 0).bytes());
         assertRejected("never started", new Frames(NOW).knock(1, 0).bytes());
         assertRejected("without a TO", new Frames(NOW).start(1, Frames.SETTINGS).bytes());
-        assertRejected("list 7 was never given", started().view(Wire.VIEW_FULL, 7).bytes());
+        assertRejected(
+                "list 7 was never given", started().view(SimulatorWire.VIEW_FULL, 7).bytes());
         assertRejected(
                 "outside the tail",
                 started()
                         .record(
-                                Wire.INVENTORY,
+                                SimulatorWire.INVENTORY,
                                 r -> r.putShort((short) 1).putInt(0).putInt(Integer.MAX_VALUE))
                         .bytes());
         assertRejected("unknown outcome 9", started().outcome(1, 0, 1, 9, false).bytes());
@@ -224,7 +228,7 @@
                 "a load report of 9 values",
                 started()
                         .record(
-                                Wire.STATUS_BACK,
+                                SimulatorWire.STATUS_BACK,
                                 r -> r.putInt(1).putShort((short) 0).putLong(0).put((byte) 9))
                         .bytes());
     }
@@ -258,7 +262,7 @@
 
     @Test
     void readsReportsInTheOrderThatTheSettingsName() {
-        ReportFields fields = SettingsReader.read(JsonObject.parse(Frames.SETTINGS)).fields();
+        LoadReportFields fields = SettingsReader.read(JsonObject.parse(Frames.SETTINGS)).fields();
         double[] values = {50, 4, 12};
         var load = fields.load(i -> values[i]);
         assertEquals(4, load.inFlight());
--- a/daemon/src/test/java/cedarrudder/toml/TableTest.java
+++ b/daemon/src/test/java/cedarrudder/toml/ConfigTableTest.java
@@ -8,21 +8,21 @@
 import org.testng.annotations.Test;
 
 /** What a strict reader says of files that are wrong, all in one run. */
-public class TableTest {
+public class ConfigTableTest {
 
     private enum Shade {
         LIGHT_BLUE,
         RED
     }
 
-    private static List<String> problems(Document document) {
-        return document.problems().stream().map(Problem::toString).toList();
+    private static List<String> problems(ConfigDocument document) {
+        return document.problems().stream().map(ConfigProblem::toString).toList();
     }
 
     @Test
     public void itReadsWhatIsThereAndTheDefaultsOfWhatIsNot() throws Exception {
-        Document document =
-                Document.parse(
+        ConfigDocument document =
+                ConfigDocument.parse(
                         "a.toml",
                         """
                         size = 3
@@ -31,7 +31,7 @@
                         [[part]]
                         name = "x"
                         """);
-        Table root = document.root();
+        ConfigTable root = document.root();
         assertEquals(root.whole("size", 1, 5), 3);
         assertEquals(root.whole("most", 1, 5, 4), 4);
         assertEquals(root.choice("shade", Shade.class, null), Shade.LIGHT_BLUE);
@@ -44,8 +44,8 @@
 
     @Test
     public void itFindsAllErrorsInOneRunWithTheirLines() {
-        Document document =
-                Document.parse(
+        ConfigDocument document =
+                ConfigDocument.parse(
                         "a.toml",
                         """
                         sise = 3
@@ -56,11 +56,11 @@
                         [[part]]
                         share = 3
                         """);
-        Table root = document.root();
+        ConfigTable root = document.root();
         root.whole("size", 1, 5, 2);
         root.choice("shade", Shade.class, null);
         root.whole("many", 1, 5, 1);
-        for (Table part : root.tables("part")) {
+        for (ConfigTable part : root.tables("part")) {
             part.number("share", 0, 1);
             part.text("name", null);
             part.done();
@@ -76,30 +76,33 @@
                         "a.toml:5: part[0].share: found \"half\"; allowed: a number from 0 to 1",
                         "a.toml:6: part[1].name: found nothing; allowed: a text",
                         "a.toml:7: part[1].share: found 3; allowed: a number from 0 to 1"));
-        assertEquals(expectThrows(BadFileException.class, document::check).problems().size(), 7);
+        assertEquals(
+                expectThrows(InvalidFileException.class, document::check).problems().size(), 7);
     }
 
     @Test
     public void aTextThatIsNoTomlIsNamedByItsLine() {
-        Document document = Document.parse("a.toml", "a = 1\nb = = 2\n");
+        ConfigDocument document = ConfigDocument.parse("a.toml", "a = 1\nb = = 2\n");
         assertEquals(document.problems().get(0).line(), 2);
         assertEquals(document.root().keys(), List.of());
-        BadFileException missing =
-                expectThrows(BadFileException.class, () -> Document.read(Path.of("none.toml")));
+        InvalidFileException missing =
+                expectThrows(
+                        InvalidFileException.class,
+                        () -> ConfigDocument.read(Path.of("none.toml")));
         assertEquals(missing.getMessage(), "none.toml: found no such file; allowed: a TOML file");
     }
 
     @Test
     public void itTellsWhatWasAskedForAndWhichKeysAreSound() {
-        Document document =
-                Document.parse(
+        ConfigDocument document =
+                ConfigDocument.parse(
                         "a.toml",
                         """
                         wait_ms = [5, 2]
                         most = 3
                         [[part]]
                         """);
-        Table root = document.root();
+        ConfigTable root = document.root();
         assertEquals(root.range("wait_ms", 0, 10, new double[] {1, 1}), new double[] {1, 1});
         assertEquals(root.rangeOrNull("share", 0, 1), null);
         root.whole("most", 1, 5);
@@ -112,18 +115,18 @@
         assertEquals(
                 document.keys(),
                 List.of(
-                        new Key(
+                        new ConfigKey(
                                 "wait_ms",
                                 "a number from 0 to 10, or two such as [low, high]",
                                 "1"),
-                        new Key(
+                        new ConfigKey(
                                 "share",
                                 "a number from 0 to 1, or two such as [low, high]",
-                                Key.NONE),
-                        new Key("most", "a whole number from 1 to 5", Key.REQUIRED),
-                        new Key("part", "tables written [[part]]", Key.NONE),
-                        new Key("part.on", "true or false", "true")));
-        assertEquals(Table.nearest("frnot", List.of("store", "front")), "front");
-        assertEquals(Table.nearest("x", List.of("store", "front")), null);
+                                ConfigKey.NONE),
+                        new ConfigKey("most", "a whole number from 1 to 5", ConfigKey.REQUIRED),
+                        new ConfigKey("part", "tables written [[part]]", ConfigKey.NONE),
+                        new ConfigKey("part.on", "true or false", "true")));
+        assertEquals(ConfigTable.nearest("frnot", List.of("store", "front")), "front");
+        assertEquals(ConfigTable.nearest("x", List.of("store", "front")), null);
     }
 }
--- a/daemon/src/test/java/cedarrudder/transport/BodyPumpTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.flow.BodyFlow;
-import cedarrudder.flow.HeldBytes;
+import cedarrudder.bodyflow.BodyFlow;
+import cedarrudder.bodyflow.BufferAccount;
 import cedarrudder.logging.Logger;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOutboundHandlerAdapter;
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** A body whose last bytes are still on their way. */
-public class BodyPumpTest {
+public class BodyWriterTest {
 
     /**
      * Guards against a caller that leaves as the last of its answer is written: the news of that
@@ -37,16 +37,16 @@
                             }
                         });
         List<String> told = new ArrayList<>();
-        BodyFlow flow = new BodyFlow(new HeldBytes(HeldBytes.MOST));
-        Loop loop = new Loop(new Logger(System.err));
-        BodyPump pump =
-                new BodyPump(
+        BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MOST));
+        ProxyEventLoop loop = new ProxyEventLoop(new Logger(System.err));
+        BodyWriter pump =
+                new BodyWriter(
                         loop,
                         channel,
                         flow,
                         true,
                         () -> {},
-                        new BodyPump.End() {
+                        new BodyWriter.End() {
                             @Override
                             public void wrote() {
                                 told.add("wrote");
--- /dev/null
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
@@ -0,0 +1,114 @@
+package cedarrudder.transport;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import cedarrudder.transport.ClientConnectionState.Event;
+import java.util.EnumSet;
+import java.util.Map;
+import java.util.Set;
+import org.testng.annotations.Test;
+
+/** The life of a caller's connection, transition by transition. */
+public class ClientConnectionStateTest {
+
+    private static final Map<ClientConnectionState, Map<Event, ClientConnectionState>> LEGAL =
+            Map.of(
+                    ClientConnectionState.NEW,
+                            Map.of(
+                                    Event.BYTES,
+                                    ClientConnectionState.READING_HEAD,
+                                    Event.HALF_CLOSE,
+                                    ClientConnectionState.LINGERING),
+                    ClientConnectionState.IDLE,
+                            Map.of(
+                                    Event.BYTES,
+                                    ClientConnectionState.READING_HEAD,
+                                    Event.HALF_CLOSE,
+                                    ClientConnectionState.LINGERING),
+                    ClientConnectionState.READING_HEAD,
+                            Map.of(
+                                    Event.HEAD,
+                                    ClientConnectionState.READING_BODY,
+                                    Event.RPC,
+                                    ClientConnectionState.OPEN,
+                                    Event.ANSWER,
+                                    ClientConnectionState.ANSWERING,
+                                    Event.LAST_ANSWER,
+                                    ClientConnectionState.DRAINING,
+                                    Event.HALF_CLOSE,
+                                    ClientConnectionState.LINGERING),
+                    ClientConnectionState.READING_BODY,
+                            Map.of(
+                                    Event.RPC,
+                                    ClientConnectionState.OPEN,
+                                    Event.ANSWER,
+                                    ClientConnectionState.ANSWERING,
+                                    Event.LAST_ANSWER,
+                                    ClientConnectionState.DRAINING,
+                                    Event.HALF_CLOSE,
+                                    ClientConnectionState.LINGERING),
+                    ClientConnectionState.OPEN,
+                            Map.of(
+                                    Event.ANSWER,
+                                    ClientConnectionState.ANSWERING,
+                                    Event.LAST_ANSWER,
+                                    ClientConnectionState.DRAINING),
+                    ClientConnectionState.ANSWERING,
+                            Map.of(Event.WROTE, ClientConnectionState.IDLE),
+                    ClientConnectionState.DRAINING,
+                            Map.of(Event.WROTE, ClientConnectionState.LINGERING),
+                    ClientConnectionState.LINGERING, Map.of(),
+                    ClientConnectionState.CLOSED, Map.of());
+
+    @Test
+    public void eachEventInEachStateIsAsTheTableSays() {
+        for (ClientConnectionState state : ClientConnectionState.values()) {
+            for (Event event : Event.values()) {
+                ClientConnectionState next =
+                        event == Event.CLOSE
+                                ? ClientConnectionState.CLOSED
+                                : LEGAL.get(state).get(event);
+                assertEquals(state.on(event), next, event + " in " + state);
+            }
+        }
+    }
+
+    @Test
+    public void eachStateIsReachedFromTheFirst() {
+        assertEquals(
+                reached(ClientConnectionState.NEW), EnumSet.allOf(ClientConnectionState.class));
+    }
+
+    /**
+     * Guards against a request that is taken, or an answer written, behind the end of our output.
+     */
+    @Test
+    public void noWayLeadsBackFromTheEnd() {
+        for (ClientConnectionState state : ClientConnectionState.values()) {
+            if (state.ends()) {
+                for (ClientConnectionState later : reached(state)) {
+                    assertTrue(later.ends() && !later.takesRequests(), later + " behind " + state);
+                }
+            }
+        }
+        assertFalse(
+                reached(ClientConnectionState.LINGERING).contains(ClientConnectionState.DRAINING));
+    }
+
+    private static Set<ClientConnectionState> reached(ClientConnectionState from) {
+        Set<ClientConnectionState> reached = EnumSet.of(from);
+        for (int before = 0; before < reached.size(); ) {
+            before = reached.size();
+            for (ClientConnectionState state : EnumSet.copyOf(reached)) {
+                for (Event event : Event.values()) {
+                    if (state.on(event) != null) {
+                        reached.add(state.on(event));
+                    }
+                }
+            }
+        }
+        return reached;
+    }
+}
--- a/daemon/src/test/java/cedarrudder/transport/CallerConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -4,21 +4,21 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
-import cedarrudder.Balancer;
-import cedarrudder.flow.BodyFlow;
-import cedarrudder.flow.HeldBytes;
+import cedarrudder.balancer.Await;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.bodyflow.BodyFlow;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.forwarding.AttemptTransport;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.Exchange;
+import cedarrudder.forwarding.PeerTransport;
+import cedarrudder.forwarding.RequestAttempt;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
+import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.RpcFields;
+import cedarrudder.protocol.RequestHeaders;
 import cedarrudder.protocol.SettingsReader;
-import cedarrudder.routing.CallAttempt;
-import cedarrudder.routing.ClientSide;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Exchange;
-import cedarrudder.routing.Peers;
-import cedarrudder.routing.Resolver;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -47,7 +47,7 @@
  * waits until the test has it refused, and what the test does on the loop comes between two reads
  * of the listener's.
  */
-public class CallerConnectionTest {
+public class ClientConnectionTest {
 
     private static final int PATIENCE_MILLIS = 20_000;
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -55,14 +55,14 @@
     /** So long that nothing a test waits for can come of it. */
     private static final long ENDLESS = 1_000_000_000_000L;
 
-    private static final CallerLimits PATIENT =
-            new CallerLimits(
+    private static final ClientLimits PATIENT =
+            new ClientLimits(
                     ENDLESS,
                     ENDLESS,
                     ENDLESS,
                     ENDLESS,
-                    CallerLimits.DEFAULT.mostHead(),
-                    CallerLimits.DEFAULT.mostBody(),
+                    ClientLimits.DEFAULT.mostHead(),
+                    ClientLimits.DEFAULT.mostBody(),
                     0.5);
 
     /**
@@ -73,35 +73,36 @@
 
     /** What is asked when an RPC is taken, on the loop and in the decoder's hands. */
     private interface Taken {
-        void by(Exchange<Message, Message> rpc, Listener.Caller caller) throws Exception;
+        void by(Exchange<HttpMessage, HttpMessage> rpc, HttpServer.ClientConnection caller)
+                throws Exception;
     }
 
     /** A listener whose RPCs wait for the test. */
     private static final class Service implements AutoCloseable {
         private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
         private final Logger log = new Logger(new PrintStream(lines, true));
-        private final Loop loop = new Loop(log);
-        private final HeldBytes held = new HeldBytes(HeldBytes.MOST);
+        private final ProxyEventLoop loop = new ProxyEventLoop(log);
+        private final BufferAccount held = new BufferAccount(BufferAccount.MOST);
         private final BlockingQueue<Long> requests = new LinkedBlockingQueue<>();
         private final BlockingQueue<Object> left = new LinkedBlockingQueue<>();
         private final BlockingQueue<Throwable> wrong = new LinkedBlockingQueue<>();
         private final CountDownLatch over = new CountDownLatch(1);
         private volatile Taken taken = (rpc, caller) -> {};
         private volatile boolean refusesAtOnce;
-        private Balancer.Actions actions;
-        private final Listener listener;
+        private LoadBalancer.Actions actions;
+        private final HttpServer listener;
         private final InetSocketAddress at;
 
         Service() throws Exception {
-            Driver<Message, Message> driver =
-                    new Driver<>(
+            RequestForwarder<HttpMessage, HttpMessage> driver =
+                    new RequestForwarder<>(
                             hands -> {
                                 actions = hands;
                                 return Played.by(
-                                        Balancer.class,
+                                        LoadBalancer.class,
                                         (event, with) -> {
                                             if (event.equals("request")) {
-                                                long id = ((Balancer.Request) with[1]).id();
+                                                long id = ((LoadBalancer.Request) with[1]).id();
                                                 if (refusesAtOnce) {
                                                     actions.refuse(id, 0);
                                                 } else {
@@ -117,10 +118,10 @@
                             log);
             driver.connect(
                     new NoNodes(),
-                    Played.by(Resolver.class, (action, with) -> {}),
-                    Played.by(Peers.class, (action, with) -> {}));
-            RpcFields fields =
-                    new RpcFields(
+                    Played.by(EndpointDiscovery.class, (action, with) -> {}),
+                    Played.by(PeerTransport.class, (action, with) -> {}));
+            RequestHeaders fields =
+                    new RequestHeaders(
                             SettingsReader.read(
                                             JsonObject.parse(
                                                             Files.readString(
@@ -129,11 +130,11 @@
                                                                             "config.json")))
                                                     .child("settings"))
                                     .module());
-            listener = new Listener(loop, driver, fields, () -> true, PATIENT, 10, held);
+            listener = new HttpServer(loop, driver, fields, () -> true, PATIENT, 10, held);
             listener.setAside(
                     (rpc, reply) -> {
                         try {
-                            taken.by(rpc, (Listener.Caller) reply);
+                            taken.by(rpc, (HttpServer.ClientConnection) reply);
                         } catch (Exception | AssertionError e) {
                             wrong.add(e);
                         }
@@ -226,17 +227,17 @@
         }
     }
 
-    private static final class NoNodes implements ClientSide<Message, Message> {
+    private static final class NoNodes implements AttemptTransport<HttpMessage, HttpMessage> {
         @Override
         public boolean knows(long endpoint) {
             return false;
         }
 
         @Override
-        public void start(CallAttempt<Message, Message> attempt) {}
+        public void start(RequestAttempt<HttpMessage, HttpMessage> attempt) {}
 
         @Override
-        public void abandon(CallAttempt<Message, Message> attempt) {}
+        public void abandon(RequestAttempt<HttpMessage, HttpMessage> attempt) {}
 
         @Override
         public void probe(long endpoint) {}
@@ -678,7 +679,7 @@
         for (boolean told : new boolean[] {true, false}) {
             try (Service service = new Service();
                     Socket caller = service.caller()) {
-                BlockingQueue<Listener.Caller> ends = new LinkedBlockingQueue<>();
+                BlockingQueue<HttpServer.ClientConnection> ends = new LinkedBlockingQueue<>();
                 service.taken = (rpc, reply) -> ends.add(reply);
                 send(caller, rpc("1", told ? "Connection: close\r\n" : ""));
                 long id = service.request();
@@ -771,17 +772,17 @@
         try (Service service = new Service();
                 Socket caller = service.caller();
                 Socket other = service.caller()) {
-            BlockingQueue<Listener.Caller> taken = new LinkedBlockingQueue<>();
+            BlockingQueue<HttpServer.ClientConnection> taken = new LinkedBlockingQueue<>();
             service.taken = (rpc, reply) -> taken.add(reply);
             for (Socket each : List.of(caller, other)) {
                 send(each, rpc(each == caller ? "1" : "2"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
                 if (each == caller) {
-                    Listener.Caller broken = Await.next("its connection", taken);
+                    HttpServer.ClientConnection broken = Await.next("its connection", taken);
                     long id = service.request();
                     service.on(
                             () -> {
-                                broken.on(CallerState.Event.WROTE);
+                                broken.on(ClientConnectionState.Event.WROTE);
                                 service.actions.refuse(
                                         id, 0); // which comes before the loop tells of the close
                                 return null;
--- a/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
@@ -3,15 +3,15 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 
-import cedarrudder.footprint.Footprint;
-import cedarrudder.footprint.Layout;
+import cedarrudder.footprint.EndpointListFootprint;
+import cedarrudder.footprint.ObjectLayout;
+import cedarrudder.forwarding.DiscoveryTimeouts;
 import cedarrudder.logging.Logger;
+import cedarrudder.protocol.EndpointList;
+import cedarrudder.protocol.EndpointListParser;
+import cedarrudder.protocol.EndpointListReader;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.ListGate;
-import cedarrudder.protocol.ResolverResult;
-import cedarrudder.protocol.ResolverResultReader;
 import cedarrudder.protocol.SettingsReader;
-import cedarrudder.routing.ResolverPatience;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -46,20 +46,20 @@
     /** So long that a test whose call waits for it fails, in nanoseconds. */
     private static final long NEVER_SOON = 600_000_000_000L;
 
-    private final BlockingQueue<ResolverResult> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<EndpointList> told = new LinkedBlockingQueue<>();
     private volatile boolean broken;
 
     /** Bytes for nodes and their lists; 0: all are loaded. */
     private long room;
 
-    private ListGate gate;
+    private EndpointListReader gate;
 
     /** The version of the list with which the client starts. */
     private long known;
 
     /** What a test does with a client whose watch is open. */
     private interface Story {
-        void play(Loop loop, DiscoveryClient client, ServerSocket discovery, Socket watch)
+        void play(ProxyEventLoop loop, DiscoveryClient client, ServerSocket discovery, Socket watch)
                 throws Exception;
     }
 
@@ -70,24 +70,28 @@
     private void play(long longest, Runnable failed, Story story) throws Exception {
         told.clear();
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
-        Loop loop = new Loop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
+        ProxyEventLoop loop =
+                new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            ResolverResultReader reader =
-                    new ResolverResultReader(
+            EndpointListParser reader =
+                    new EndpointListParser(
                             SettingsReader.read(example.child("settings")),
                             loop::now,
                             System::currentTimeMillis);
             gate =
                     room == 0
                             ? null
-                            : new ListGate(
-                                    new Footprint(Layout.of(true, true, 8)), reader, room, 0);
+                            : new EndpointListReader(
+                                    new EndpointListFootprint(ObjectLayout.of(true, true, 8)),
+                                    reader,
+                                    room,
+                                    0);
             DiscoveryClient client =
                     new DiscoveryClient(
                             loop,
                             new InetSocketAddress(
                                     InetAddress.getLoopbackAddress(), discovery.getLocalPort()),
-                            ResolverPatience.DEFAULT,
+                            DiscoveryTimeouts.DEFAULT,
                             longest,
                             new SplittableRandom(1),
                             reader,
@@ -107,15 +111,15 @@
         }
     }
 
-    private void take(ResolverResult result) {
+    private void take(EndpointList result) {
         if (broken) {
             throw new IllegalStateException("broken on purpose");
         }
         told.add(result);
     }
 
-    private static ResolverPatience patience(long call, long again, long watch) {
-        return new ResolverPatience(call * 1_000_000, again * 1_000_000, watch * 1_000_000, 0);
+    private static DiscoveryTimeouts patience(long call, long again, long watch) {
+        return new DiscoveryTimeouts(call * 1_000_000, again * 1_000_000, watch * 1_000_000, 0);
     }
 
     private static void chunk(Socket watch, String text) throws IOException {
@@ -498,10 +502,10 @@
                 () -> {},
                 (loop, client, discovery, watch) -> {
                     tell(watch, 5, true, "in_service");
-                    ResolverResult first = told.poll(20, TimeUnit.SECONDS);
+                    EndpointList first = told.poll(20, TimeUnit.SECONDS);
                     tell(watch, 4, false, "terminated");
                     tell(watch, 6, false, "in_service");
-                    ResolverResult next = told.poll(20, TimeUnit.SECONDS);
+                    EndpointList next = told.poll(20, TimeUnit.SECONDS);
                     assertEquals(next.version(), 6);
                     assertEquals(next.nodes().get(0).endpoint(), first.nodes().get(0).endpoint());
                 });
@@ -626,12 +630,12 @@
                         assertEquals(asked(last), FOLLOW + 7);
                         last.getOutputStream().write(STREAM.getBytes());
                         chunk(last, list(version, "n", 2));
-                        ResolverResult whole = told.poll(20, TimeUnit.SECONDS);
+                        EndpointList whole = told.poll(20, TimeUnit.SECONDS);
                         assertEquals(whole.full(), true);
                         assertEquals(whole.nodes().size(), 2);
                     }
                     tell(last, 3, false, "terminating");
-                    ResolverResult change = told.poll(20, TimeUnit.SECONDS);
+                    EndpointList change = told.poll(20, TimeUnit.SECONDS);
                     assertEquals(change.version(), 3);
                     assertEquals(change.full(), false);
                     last.close();
--- a/daemon/src/test/java/cedarrudder/transport/NodeChannelsTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionPoolTest.java
@@ -2,22 +2,22 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
-import cedarrudder.figures.Figures;
-import cedarrudder.flow.HeldBytes;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.Exchange;
+import cedarrudder.forwarding.PeerTransport;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.protocol.EndpointList;
+import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.ResolverResult;
 import cedarrudder.protocol.SettingsReader;
 import cedarrudder.protocol.SiteSettings;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Exchange;
-import cedarrudder.routing.Peers;
-import cedarrudder.routing.Resolver;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.net.InetAddress;
@@ -33,12 +33,12 @@
 import org.testng.annotations.Test;
 
 /** What the module hears of this process's own shortage. */
-public class NodeChannelsTest {
+public class EndpointConnectionPoolTest {
 
     /** Who is owed an answer, and waits for it. */
-    private static final class Caller implements Exchange.Reply<Message> {
+    private static final class Caller implements Exchange.Reply<HttpMessage> {
         @Override
-        public void served(Message answer) {}
+        public void served(HttpMessage answer) {}
 
         @Override
         public void refused(long retryAfter) {}
@@ -73,31 +73,35 @@
      */
     @Test
     public void aRequestThatCanNotBeMadeIsMootAtOnce() throws Exception {
-        Balancer.Request request =
-                new Balancer.Request(1, 0, 0, Long.MAX_VALUE, 0, false, false, 0);
+        LoadBalancer.Request request =
+                new LoadBalancer.Request(1, 0, 0, Long.MAX_VALUE, 0, false, false, 0);
         assertEquals(
                 play(
                         (driver, channels) ->
                                 driver.accept(
                                         new Exchange<>(
-                                                request, new Message(null, null), new Caller()))),
+                                                request,
+                                                new HttpMessage(null, null),
+                                                new Caller()))),
                 Outcome.MOOT);
     }
 
     /** Returns what the module hears first, which sends each RPC on to a silent node. */
-    private static Object play(BiConsumer<Driver<Message, Message>, NodeChannels> story)
+    private static Object play(
+            BiConsumer<RequestForwarder<HttpMessage, HttpMessage>, EndpointConnectionPool> story)
             throws Exception {
-        Loop loop = new Loop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
+        ProxyEventLoop loop =
+                new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
         SiteSettings site =
                 SettingsReader.read(
                         JsonObject.parse(Files.readString(Path.of("example", "config.json")))
                                 .child("settings"));
         BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-        Driver<Message, Message> driver =
-                new Driver<>(
+        RequestForwarder<HttpMessage, HttpMessage> driver =
+                new RequestForwarder<>(
                         actions ->
                                 Played.by(
-                                        Balancer.class,
+                                        LoadBalancer.class,
                                         (event, with) -> {
                                             if (event.equals("request")) {
                                                 actions.send(1, 1, 0);
@@ -109,29 +113,36 @@
                         loop,
                         new Logger(System.err));
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            NodeChannels channels =
-                    new NodeChannels(
+            EndpointConnectionPool channels =
+                    new EndpointConnectionPool(
                             loop,
                             driver,
                             site,
-                            NodeLimits.DEFAULT,
-                            new NodeLimits.Bounds(1, 1),
-                            new Figures(1),
-                            new HeldBytes(1));
+                            EndpointLimits.DEFAULT,
+                            new EndpointLimits.Bounds(1, 1),
+                            new RequestMetrics(1),
+                            new BufferAccount(1));
             driver.connect(
                     channels,
-                    Played.by(Resolver.class, (action, with) -> {}),
-                    Played.by(Peers.class, (action, with) -> {}));
+                    Played.by(EndpointDiscovery.class, (action, with) -> {}),
+                    Played.by(PeerTransport.class, (action, with) -> {}));
             loop.run(
                     () -> {
                         channels.resolved(
-                                new ResolverResult(
+                                new EndpointList(
                                         1,
                                         true,
                                         List.of(
-                                                new ResolverResult.Node(
+                                                new EndpointList.Node(
                                                         "n0",
-                                                        new Endpoint(1, 0, 0, 0, State.READY, 1, 0),
+                                                        new Endpoint(
+                                                                1,
+                                                                0,
+                                                                0,
+                                                                0,
+                                                                EndpointStatus.READY,
+                                                                1,
+                                                                0),
                                                         (InetSocketAddress)
                                                                 silent.getLocalSocketAddress())),
                                         List.of()));
--- a/daemon/src/test/java/cedarrudder/transport/ChannelLifeTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.transport.ChannelLife.Event;
-import cedarrudder.transport.ChannelLife.State;
+import cedarrudder.transport.EndpointConnectionState.Event;
+import cedarrudder.transport.EndpointConnectionState.State;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Every event in every state, against what is said here of each. */
-public class ChannelLifeTest {
+public class EndpointConnectionStateTest {
 
     /** A way to each state. */
     private static final Map<State, List<Event>> WAYS =
@@ -27,8 +27,8 @@
                                     List.of(Event.UP, Event.CARRIES, Event.WROTE, Event.FLOWS),
                             State.ENDED, List.of(Event.ENDS)));
 
-    private static ChannelLife in(State state) {
-        ChannelLife life = new ChannelLife();
+    private static EndpointConnectionState in(State state) {
+        EndpointConnectionState life = new EndpointConnectionState();
         for (Event event : WAYS.get(state)) {
             assertTrue(life.step(event), event + " on the way to " + state);
         }
@@ -60,7 +60,7 @@
 
     @Test(dataProvider = "steps")
     public void eachEventInEachStateDoesWhatIsSaid(State from, Event event, State to) {
-        ChannelLife life = in(from);
+        EndpointConnectionState life = in(from);
         assertEquals(life.step(event), to != null);
         assertTrue(life.is(to == null ? from : to), life.toString());
     }
