--- a/daemon/src/test/java/cedarrudder/transport/ListenerTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
@@ -4,23 +4,23 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
-import cedarrudder.Balancer;
-import cedarrudder.flow.BodyFlow;
-import cedarrudder.flow.HeldBytes;
+import cedarrudder.balancer.Await;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.bodyflow.BodyFlow;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.forwarding.AttemptTransport;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.PeerTransport;
+import cedarrudder.forwarding.RequestAttempt;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Level;
 import cedarrudder.logging.LogSettings;
 import cedarrudder.logging.Logger;
+import cedarrudder.protocol.BodyRemainder;
+import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.JsonObject;
-import cedarrudder.protocol.Message;
-import cedarrudder.protocol.Rest;
-import cedarrudder.protocol.RpcFields;
+import cedarrudder.protocol.RequestHeaders;
 import cedarrudder.protocol.SettingsReader;
-import cedarrudder.routing.CallAttempt;
-import cedarrudder.routing.ClientSide;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Peers;
-import cedarrudder.routing.Resolver;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -41,7 +41,7 @@
 import org.testng.annotations.Test;
 
 /** The moment in which a listener opens its door. */
-public class ListenerTest {
+public class HttpServerTest {
 
     private static final int TIMES = 200;
     private static final int WAITING = 30;
@@ -54,21 +54,21 @@
     @Test
     public void aCallerThatComesAtOnceFindsTheBoundInForce() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
-        Loop loop = new Loop(new Logger(new PrintStream(log, true)));
+        ProxyEventLoop loop = new ProxyEventLoop(new Logger(new PrintStream(log, true)));
         for (int i = 0; i < TIMES; i++) {
             try (Socket held = new Socket()) {
                 held.setReuseAddress(true);
                 held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 Thread caller = new Thread(() -> connect(held.getLocalPort()));
                 caller.start();
-                new Listener(
+                new HttpServer(
                                 loop,
                                 null,
                                 null,
                                 () -> true,
-                                CallerLimits.DEFAULT,
+                                ClientLimits.DEFAULT,
                                 0,
-                                new HeldBytes(1))
+                                new BufferAccount(1))
                         .listen((InetSocketAddress) held.getLocalSocketAddress(), false);
                 Await.end("a caller let in", caller);
             }
@@ -86,7 +86,7 @@
      */
     @Test
     public void anAnswerThatCanNotBeMadeEndsItsCallersConnection() throws Exception {
-        answered((driver, attempt) -> driver.served(attempt, new Message(null, null), null));
+        answered((driver, attempt) -> driver.served(attempt, new HttpMessage(null, null), null));
     }
 
     /**
@@ -95,11 +95,11 @@
      */
     @Test
     public void anAnswerThatFlowsAndCanNotBeginEndsItsCallersConnection() throws Exception {
-        Rest rest = new Rest(new BodyFlow(new HeldBytes(1000)), 100_000);
+        BodyRemainder rest = new BodyRemainder(new BodyFlow(new BufferAccount(1000)), 100_000);
         BrokenNode node =
                 answered(
                         (driver, attempt) ->
-                                driver.began(attempt, new Message(null, null, rest), null));
+                                driver.began(attempt, new HttpMessage(null, null, rest), null));
         assertEquals(node.abandoned().poll(20, TimeUnit.SECONDS), Boolean.TRUE);
     }
 
@@ -110,16 +110,17 @@
      */
     @Test
     public void whoWaitsAtTheDoorWhenASuccessorTakesOverIsAnswered() throws Exception {
-        Loop loop = new Loop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
-        Listener listener =
-                new Listener(
+        ProxyEventLoop loop =
+                new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
+        HttpServer listener =
+                new HttpServer(
                         loop,
                         null,
                         fields(),
                         () -> true,
-                        CallerLimits.DEFAULT,
+                        ClientLimits.DEFAULT,
                         WAITING,
-                        new HeldBytes(1000));
+                        new BufferAccount(1000));
         InetSocketAddress at =
                 listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         BlockingQueue<Socket> waiting = new LinkedBlockingQueue<>();
@@ -158,17 +159,18 @@
      */
     @Test
     public void whatHasComeByTheTimeOfTheCloseIsAnsweredAndNotReset() throws Exception {
-        Loop loop = new Loop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
-        RpcFields fields = fields();
-        Listener listener =
-                new Listener(
+        ProxyEventLoop loop =
+                new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
+        RequestHeaders fields = fields();
+        HttpServer listener =
+                new HttpServer(
                         loop,
                         null,
                         fields,
                         () -> true,
-                        CallerLimits.DEFAULT,
+                        ClientLimits.DEFAULT,
                         WAITING,
-                        new HeldBytes(1000));
+                        new BufferAccount(1000));
         InetSocketAddress at =
                 listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         CountDownLatch over = new CountDownLatch(1);
@@ -237,16 +239,16 @@
                             return true;
                         });
         log.settings(new LogSettings(Level.DEBUG, 20, 300));
-        Loop loop = new Loop(log);
+        ProxyEventLoop loop = new ProxyEventLoop(log);
         InetSocketAddress at =
-                new Listener(
+                new HttpServer(
                                 loop,
                                 null,
                                 fields(),
                                 () -> true,
-                                CallerLimits.DEFAULT,
+                                ClientLimits.DEFAULT,
                                 1,
-                                new HeldBytes(1000))
+                                new BufferAccount(1000))
                         .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         try (Socket half = new Socket(at.getAddress(), at.getPort())) {
             half.setSoTimeout(20_000);
@@ -270,8 +272,8 @@
         loop.stop();
     }
 
-    private static RpcFields fields() throws IOException {
-        return new RpcFields(
+    private static RequestHeaders fields() throws IOException {
+        return new RequestHeaders(
                 SettingsReader.read(
                                 JsonObject.parse(
                                                 Files.readString(Path.of("example", "config.json")))
@@ -281,20 +283,25 @@
 
     /** Has a node answer what can't be passed on. */
     private static BrokenNode answered(
-            BiConsumer<Driver<Message, Message>, CallAttempt<Message, Message>> answer)
+            BiConsumer<
+                            RequestForwarder<HttpMessage, HttpMessage>,
+                            RequestAttempt<HttpMessage, HttpMessage>>
+                    answer)
             throws Exception {
         Logger log = new Logger(new PrintStream(OutputStream.nullOutputStream()));
-        Loop loop = new Loop(log);
+        ProxyEventLoop loop = new ProxyEventLoop(log);
         BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-        Driver<Message, Message> driver =
-                new Driver<>(
+        RequestForwarder<HttpMessage, HttpMessage> driver =
+                new RequestForwarder<>(
                         actions ->
                                 Played.by(
-                                        Balancer.class,
+                                        LoadBalancer.class,
                                         (event, with) -> {
                                             if (event.equals("request")) {
                                                 actions.send(
-                                                        ((Balancer.Request) with[1]).id(), 1, 0);
+                                                        ((LoadBalancer.Request) with[1]).id(),
+                                                        1,
+                                                        0);
                                             } else if (event.equals("outcome")) {
                                                 told.add(with[4]);
                                             }
@@ -305,17 +312,17 @@
         BrokenNode node = new BrokenNode(driver, answer, new LinkedBlockingQueue<>());
         driver.connect(
                 node,
-                Played.by(Resolver.class, (action, with) -> {}),
-                Played.by(Peers.class, (action, with) -> {}));
+                Played.by(EndpointDiscovery.class, (action, with) -> {}),
+                Played.by(PeerTransport.class, (action, with) -> {}));
         InetSocketAddress at =
-                new Listener(
+                new HttpServer(
                                 loop,
                                 driver,
                                 fields(),
                                 () -> true,
-                                CallerLimits.DEFAULT,
+                                ClientLimits.DEFAULT,
                                 10,
-                                new HeldBytes(1000))
+                                new BufferAccount(1000))
                         .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         try (Socket caller = new Socket(at.getAddress(), at.getPort())) {
             caller.setSoTimeout(20_000);
@@ -330,17 +337,20 @@
                                     .getBytes());
             assertEquals(caller.getInputStream().read(), -1);
         }
-        assertEquals(told.poll(20, TimeUnit.SECONDS), Balancer.Outcome.OK);
+        assertEquals(told.poll(20, TimeUnit.SECONDS), LoadBalancer.Outcome.OK);
         loop.run(loop::stop);
         return node;
     }
 
     /** A node whose answers can't be passed on. */
     private record BrokenNode(
-            Driver<Message, Message> driver,
-            BiConsumer<Driver<Message, Message>, CallAttempt<Message, Message>> answer,
+            RequestForwarder<HttpMessage, HttpMessage> driver,
+            BiConsumer<
+                            RequestForwarder<HttpMessage, HttpMessage>,
+                            RequestAttempt<HttpMessage, HttpMessage>>
+                    answer,
             BlockingQueue<Boolean> abandoned)
-            implements ClientSide<Message, Message> {
+            implements AttemptTransport<HttpMessage, HttpMessage> {
 
         @Override
         public boolean knows(long endpoint) {
@@ -348,12 +358,12 @@
         }
 
         @Override
-        public void start(CallAttempt<Message, Message> attempt) {
+        public void start(RequestAttempt<HttpMessage, HttpMessage> attempt) {
             answer.accept(driver, attempt);
         }
 
         @Override
-        public void abandon(CallAttempt<Message, Message> attempt) {
+        public void abandon(RequestAttempt<HttpMessage, HttpMessage> attempt) {
             abandoned.add(true);
         }
 
--- a/daemon/src/test/java/cedarrudder/transport/MembershipTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
@@ -4,11 +4,11 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
 import cedarrudder.membership.MembershipSettings;
-import cedarrudder.protocol.Message;
-import cedarrudder.routing.Driver;
+import cedarrudder.protocol.HttpMessage;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -33,7 +33,7 @@
  * Membership over datagrams: two peers are played by the test, which reads and writes bytes by
  * hand.
  */
-public class MembershipTest {
+public class MembershipServiceTest {
 
     private static final int PATIENCE_MILLIS = 20_000;
     private static final long MILLI = 1_000_000L;
@@ -144,17 +144,17 @@
 
     private final BlockingQueue<Integer> live = new LinkedBlockingQueue<>();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private Loop loop;
+    private ProxyEventLoop loop;
     private Peer one;
     private Peer two;
-    private Membership membership;
+    private MembershipService membership;
     private InetSocketAddress own;
 
-    private Balancer module() {
-        return (Balancer)
+    private LoadBalancer module() {
+        return (LoadBalancer)
                 Proxy.newProxyInstance(
-                        Balancer.class.getClassLoader(),
-                        new Class<?>[] {Balancer.class},
+                        LoadBalancer.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancer.class},
                         (proxy, method, arguments) -> {
                             if (method.getName().equals("copies")) {
                                 live.add((Integer) arguments[1]);
@@ -167,19 +167,19 @@
     public void start() throws Exception {
         live.clear();
         log.reset();
-        loop = new Loop(new Logger(new PrintStream(log, true)));
+        loop = new ProxyEventLoop(new Logger(new PrintStream(log, true)));
         one = new Peer(1);
         two = new Peer(2);
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             own = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        Driver<Message, Message> driver =
-                new Driver<>(actions -> module(), 1, loop, new Logger(System.err));
+        RequestForwarder<HttpMessage, HttpMessage> driver =
+                new RequestForwarder<>(actions -> module(), 1, loop, new Logger(System.err));
         PeerSocket socket =
                 new PeerSocket(loop, driver, List.of(own, address(one), address(two)), null);
         socket.listen(own, false);
         membership =
-                new Membership(
+                new MembershipService(
                         loop,
                         socket,
                         QUICK,
--- a/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
-import cedarrudder.protocol.Message;
-import cedarrudder.routing.Driver;
+import cedarrudder.protocol.HttpMessage;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.lang.reflect.Proxy;
@@ -30,11 +30,11 @@
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
 
     /** A module that only notes the messages it is told of. */
-    private Balancer module() {
-        return (Balancer)
+    private LoadBalancer module() {
+        return (LoadBalancer)
                 Proxy.newProxyInstance(
-                        Balancer.class.getClassLoader(),
-                        new Class<?>[] {Balancer.class},
+                        LoadBalancer.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancer.class},
                         (proxy, method, arguments) -> {
                             if (method.getName().equals("message")) {
                                 told.add(arguments[1] + " " + text((byte[]) arguments[2], 4));
@@ -50,7 +50,7 @@
     @Test
     public void messagesGoBothWaysAndStrangersAreNotHeard() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
-        Loop loop = new Loop(new Logger(new PrintStream(log, true)));
+        ProxyEventLoop loop = new ProxyEventLoop(new Logger(new PrintStream(log, true)));
         InetAddress here = InetAddress.getLoopbackAddress();
         InetSocketAddress own;
         try (DatagramSocket free = new DatagramSocket(0, here)) {
@@ -59,8 +59,8 @@
         try (DatagramSocket other = new DatagramSocket(0, here);
                 DatagramSocket stranger = new DatagramSocket(0, here)) {
             other.setSoTimeout(PATIENCE_MILLIS);
-            Driver<Message, Message> driver =
-                    new Driver<>(actions -> module(), 1, loop, new Logger(System.err));
+            RequestForwarder<HttpMessage, HttpMessage> driver =
+                    new RequestForwarder<>(actions -> module(), 1, loop, new Logger(System.err));
             PeerSocket socket =
                     new PeerSocket(
                             loop,
--- a/daemon/src/test/java/cedarrudder/transport/LoopTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ProxyEventLoopTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import cedarrudder.logging.Logger;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelException;
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** The loop owns all that runs: whatever Netty would tell elsewhere is told there. */
-public class LoopTest {
+public class ProxyEventLoopTest {
 
     /**
      * Guards against the module, the driver and the callers being worked on by two threads at once:
@@ -24,7 +24,7 @@
      */
     @Test
     public void aChannelThatCanNotBeMadeIsToldOnTheLoop() throws Exception {
-        Loop loop = new Loop(new Logger(System.err));
+        ProxyEventLoop loop = new ProxyEventLoop(new Logger(System.err));
         BlockingQueue<List<Object>> told = new LinkedBlockingQueue<>();
         Bootstrap none =
                 new Bootstrap()
@@ -52,7 +52,7 @@
     @Test
     public void aClockThatDriftsKeepsItsPaceAndItsTimers() {
         for (int millionths : new int[] {-1_000, 1, 1_000}) {
-            Drift drift = new Drift(millionths);
+            SkewedClock drift = new SkewedClock(millionths);
             long begin = System.nanoTime();
             for (long passed : new long[] {1, 999, 1_000_000_007, 36_000_000_000_000L}) {
                 long own = drift.at(begin + passed) - drift.at(begin);
@@ -63,7 +63,7 @@
             }
         }
         long before = System.nanoTime();
-        long now = new Loop(new Logger(System.err), new Drift(-1_000)).now();
+        long now = new ProxyEventLoop(new Logger(System.err), new SkewedClock(-1_000)).now();
         assertEquals(now, before, 1e9);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/attack/Library.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/AttackCatalog.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /** All attacks, in their groups. */
-public final class Library {
+public final class AttackCatalog {
 
     private static final List<Attack> ALL = collect();
 
-    private Library() {}
+    private AttackCatalog() {}
 
     private static List<Attack> collect() {
         List<Attack> all = new ArrayList<>(StartLines.all());
@@ -16,7 +16,7 @@
         all.addAll(FieldLines.all());
         all.addAll(Framing.all());
         all.addAll(Connections.all());
-        all.addAll(Behaviours.all());
+        all.addAll(SustainedAttacks.all());
         return List.copyOf(all);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/attack/Connections.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Connections.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.attack;
 
 import static cedarrudder.lab.attack.Attack.of;
-import static cedarrudder.lab.attack.Owed.served;
-import static cedarrudder.lab.attack.Owed.servedAndClosed;
-import static cedarrudder.lab.attack.Owed.servedOr;
+import static cedarrudder.lab.attack.ExpectedAnswer.served;
+import static cedarrudder.lab.attack.ExpectedAnswer.servedAndClosed;
+import static cedarrudder.lab.attack.ExpectedAnswer.servedOr;
 
 import java.util.List;
 import java.util.Set;
@@ -17,11 +17,11 @@
 
     private Connections() {}
 
-    private static Attack one(String name, String about, String text, Owed owed) {
+    private static Attack one(String name, String about, String text, ExpectedAnswer owed) {
         return of(name, Group.CONNECTION, about, text, owed);
     }
 
-    private static Attack one(String name, String about, Script script, Owed owed) {
+    private static Attack one(String name, String about, Script script, ExpectedAnswer owed) {
         return new Attack(name, Group.CONNECTION, about, null, script, owed);
     }
 
@@ -31,7 +31,9 @@
                         "expect-continue",
                         "waits for a 100 before its body",
                         wire -> {
-                            wire.say(Words.post("", "Content-Length: 3", "Expect: 100-continue"));
+                            wire.say(
+                                    RequestTemplates.post(
+                                            "", "Content-Length: 3", "Expect: 100-continue"));
                             if (wire.readInterim()) {
                                 wire.say("abc");
                             }
@@ -41,7 +43,7 @@
                         "expect-continue-chunked",
                         "waits for a 100 before its chunks",
                         wire -> {
-                            wire.say(Words.chunked("", "Expect: 100-Continue"));
+                            wire.say(RequestTemplates.chunked("", "Expect: 100-Continue"));
                             if (wire.readInterim()) {
                                 wire.say("3\r\nabc\r\n0\r\n\r\n");
                             }
@@ -50,78 +52,87 @@
                 one(
                         "expect-continue-and-body",
                         "asks for a 100 and doesn't wait for it",
-                        Words.post("abc", "Content-Length: 3", "Expect: 100-continue"),
+                        RequestTemplates.post("abc", "Content-Length: 3", "Expect: 100-continue"),
                         served(EXPECT)),
                 one(
                         "expect-continue-without-body",
                         "asks for a 100 and has no body",
-                        Words.get("Expect: 100-continue"),
+                        RequestTemplates.get("Expect: 100-continue"),
                         served(EXPECT)),
                 one(
                         "expect-continue-in-http-1.0",
                         "asks for a 100 in HTTP/1.0, where there is none",
-                        Words.post("abc", "Content-Length: 3", "Expect: 100-continue")
+                        RequestTemplates.post("abc", "Content-Length: 3", "Expect: 100-continue")
                                 .replace("HTTP/1.1", "HTTP/1.0"),
                         servedAndClosed(EXPECT)),
                 one(
                         "expect-continue-too-long",
                         "asks for a 100 before a body that is too long",
-                        Words.post("", "Content-Length: 99999999", "Expect: 100-continue"),
-                        Owed.refused(EXPECT, 413, 417)),
+                        RequestTemplates.post(
+                                "", "Content-Length: 99999999", "Expect: 100-continue"),
+                        ExpectedAnswer.refused(EXPECT, 413, 417)),
                 one(
                         "expect-unknown",
                         "expects what nobody knows",
-                        Words.get("Expect: frob"),
+                        RequestTemplates.get("Expect: frob"),
                         servedOr(EXPECT, 417)),
                 one(
                         "pipelined",
                         "three requests in one piece: answers come in their order",
-                        Words.getAs("-1") + Words.getAs("-2") + Words.getAs("-3"),
+                        RequestTemplates.getAs("-1")
+                                + RequestTemplates.getAs("-2")
+                                + RequestTemplates.getAs("-3"),
                         served(PIPELINE).times(3)),
                 one(
                         "pipelined-nonsense",
                         "a request with nonsense behind it",
-                        Words.get() + "\0\0\0\0",
-                        new Owed(
-                                Set.of(200, 400), 2, false, Owed.End.CLOSED, true, 3000, PIPELINE)),
+                        RequestTemplates.get() + "\0\0\0\0",
+                        new ExpectedAnswer(
+                                Set.of(200, 400),
+                                2,
+                                false,
+                                ExpectedAnswer.End.CLOSED,
+                                true,
+                                3000,
+                                PIPELINE)),
                 one(
                         "pipelined-behind-close",
                         "a request behind one that asks for the end",
-                        Words.get("Connection: close") + Words.HIDDEN,
+                        RequestTemplates.get("Connection: close") + RequestTemplates.HIDDEN,
                         servedAndClosed("RFC 9112 9.6")),
                 one(
                         "pipelined-health",
                         "a request, /_health and a request",
-                        Words.getAs("-1")
+                        RequestTemplates.getAs("-1")
                                 + "GET /_health HTTP/1.1\r\n"
-                                + Words.HOST
+                                + RequestTemplates.HOST
                                 + "\r\n\r\n"
-                                + Words.getAs("-3"),
+                                + RequestTemplates.getAs("-3"),
                         served(PIPELINE).times(3)),
                 one(
                         "close",
                         "the connection's end asked for",
-                        Words.get("Connection: close"),
+                        RequestTemplates.get("Connection: close"),
                         servedAndClosed("RFC 9112 9.6")),
                 one(
                         "close-among-others",
                         "the end asked for among other options, in capitals",
-                        Words.get("Connection: x-a , CLOSE"),
+                        RequestTemplates.get("Connection: x-a , CLOSE"),
                         servedAndClosed("RFC 9112 9.6")),
                 one(
                         "listed-field",
                         "a field that is named as one of this connection alone",
-                        Words.get("Connection: X-Mark-Dropped", "X-Mark-Dropped: 1"),
+                        RequestTemplates.get("Connection: X-Mark-Dropped", "X-Mark-Dropped: 1"),
                         served(OPTIONS)),
                 one(
                         "listed-id",
                         "names Req-Id as one of this connection alone, to strip it",
-                        Words.get("Connection: Req-Id, Host, Req-Deadline-Ms"),
+                        RequestTemplates.get("Connection: Req-Id, Host, Req-Deadline-Ms"),
                         servedOr(OPTIONS, 400)),
                 one(
                         "fields-of-a-connection",
                         "fields that concern this connection alone",
-                        Words.get(
+                        RequestTemplates.get(
                                 "Keep-Alive: timeout=5",
                                 "TE: trailers",
                                 "Proxy-Connection: keep-alive"),
@@ -129,7 +140,7 @@
                 one(
                         "upgrade-to-http2",
                         "an upgrade to HTTP/2 asked for, which may be ignored",
-                        Words.get(
+                        RequestTemplates.get(
                                 "Connection: Upgrade, HTTP2-Settings",
                                 "Upgrade: h2c",
                                 "HTTP2-Settings: AAMAAABkAAQAoAAAAAIAAAAA"),
@@ -137,12 +148,12 @@
                 one(
                         "upgrade-to-websocket",
                         "an upgrade to WebSocket asked for, with bytes behind it",
-                        Words.get(
+                        RequestTemplates.get(
                                         "Connection: Upgrade",
                                         "Upgrade: websocket",
                                         "Sec-WebSocket-Key: AAAAAAAAAAAAAAAAAAAAAA==",
                                         "Sec-WebSocket-Version: 13")
-                                + Words.getAs("-2"),
+                                + RequestTemplates.getAs("-2"),
                         served("RFC 9110 7.8").times(2)));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/attack/Reached.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/DeliveredRequest.java
@@ -6,4 +6,4 @@
  * @param id what its {@code Req-Id} says; empty where there is none
  * @param unsound why it is no request that a proxy may send; null: it is sound
  */
-record Reached(String id, String unsound) {}
+record DeliveredRequest(String id, String unsound) {}
--- a/lab/src/main/java/cedarrudder/lab/attack/Owed.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ExpectedAnswer.java
@@ -14,7 +14,7 @@
  *     connection did
  * @param source the rule: a section of an RFC, or a bound of our own
  */
-public record Owed(
+public record ExpectedAnswer(
         Set<Integer> statuses,
         int answers,
         boolean closeDoes,
@@ -37,50 +37,52 @@
     private static final int ANSWERED_BY = 3000;
 
     /** Served, and what comes behind it too. */
-    public static Owed served(String source) {
-        return new Owed(Set.of(200), 1, false, End.OPEN, true, ANSWERED_BY, source);
+    public static ExpectedAnswer served(String source) {
+        return new ExpectedAnswer(Set.of(200), 1, false, End.OPEN, true, ANSWERED_BY, source);
     }
 
     /** Served, and the connection ends. */
-    public static Owed servedAndClosed(String source) {
-        return new Owed(Set.of(200), 1, false, End.CLOSED, true, ANSWERED_BY, source);
+    public static ExpectedAnswer servedAndClosed(String source) {
+        return new ExpectedAnswer(Set.of(200), 1, false, End.CLOSED, true, ANSWERED_BY, source);
     }
 
     /** Turned away with one of these statuses, and the connection ends. Nothing reaches a node. */
-    public static Owed refused(String source, Integer... statuses) {
-        return new Owed(Set.of(statuses), 1, false, End.CLOSED, true, ANSWERED_BY, source);
+    public static ExpectedAnswer refused(String source, Integer... statuses) {
+        return new ExpectedAnswer(
+                Set.of(statuses), 1, false, End.CLOSED, true, ANSWERED_BY, source);
     }
 
     /** Served, or turned away with one of these statuses. */
-    public static Owed servedOr(String source, Integer... statuses) {
+    public static ExpectedAnswer servedOr(String source, Integer... statuses) {
         Set<Integer> all = new java.util.TreeSet<>(Set.of(statuses));
         all.add(200);
-        return new Owed(Set.copyOf(all), 1, false, End.EITHER, true, ANSWERED_BY, source);
+        return new ExpectedAnswer(Set.copyOf(all), 1, false, End.EITHER, true, ANSWERED_BY, source);
     }
 
     /** An end in time, with or without one of these statuses. Nothing reaches a node. */
-    public static Owed closed(String source, Integer... statuses) {
-        return new Owed(Set.of(statuses), 1, true, End.CLOSED, true, ANSWERED_BY, source);
+    public static ExpectedAnswer closed(String source, Integer... statuses) {
+        return new ExpectedAnswer(Set.of(statuses), 1, true, End.CLOSED, true, ANSWERED_BY, source);
     }
 
     /** The same with so many answers. */
-    public Owed times(int count) {
-        return new Owed(statuses, count, closeDoes, end, reaches, withinMillis, source);
+    public ExpectedAnswer times(int count) {
+        return new ExpectedAnswer(statuses, count, closeDoes, end, reaches, withinMillis, source);
     }
 
     /** The same with another end. */
-    public Owed ends(End other) {
-        return new Owed(statuses, answers, closeDoes, other, reaches, withinMillis, source);
+    public ExpectedAnswer ends(End other) {
+        return new ExpectedAnswer(
+                statuses, answers, closeDoes, other, reaches, withinMillis, source);
     }
 
     /** The same with other patience. */
-    public Owed within(int millis) {
-        return new Owed(statuses, answers, closeDoes, end, reaches, millis, source);
+    public ExpectedAnswer within(int millis) {
+        return new ExpectedAnswer(statuses, answers, closeDoes, end, reaches, millis, source);
     }
 
     /** The same, answered by the daemon itself: nothing reaches a node. */
-    public Owed itself() {
-        return new Owed(statuses, answers, closeDoes, end, false, withinMillis, source);
+    public ExpectedAnswer itself() {
+        return new ExpectedAnswer(statuses, answers, closeDoes, end, false, withinMillis, source);
     }
 
     /** In a few words, as a table has it. */
--- a/lab/src/main/java/cedarrudder/lab/attack/FieldLines.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FieldLines.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.attack;
 
 import static cedarrudder.lab.attack.Attack.of;
-import static cedarrudder.lab.attack.Owed.refused;
-import static cedarrudder.lab.attack.Owed.served;
-import static cedarrudder.lab.attack.Owed.servedOr;
+import static cedarrudder.lab.attack.ExpectedAnswer.refused;
+import static cedarrudder.lab.attack.ExpectedAnswer.served;
+import static cedarrudder.lab.attack.ExpectedAnswer.servedOr;
 
 import java.util.List;
 
@@ -25,115 +25,116 @@
                         "folded-field",
                         group,
                         "a field that goes on in the next line",
-                        Words.get("X-A: one", " two"),
+                        RequestTemplates.get("X-A: one", " two"),
                         refused("RFC 9112 5.2", 400)),
                 of(
                         "folded-first-field",
                         group,
                         "a first field that goes on in the next line",
-                        Words.request("GET /api HTTP/1.1", " folded: x", Words.SAFE, ""),
+                        RequestTemplates.request(
+                                "GET /api HTTP/1.1", " folded: x", RequestTemplates.SAFE, ""),
                         refused("RFC 9112 2.2", 400)),
                 of(
                         "space-before-colon",
                         group,
                         "a space between name and colon",
-                        Words.get("X-A : one"),
+                        RequestTemplates.get("X-A : one"),
                         refused("RFC 9112 5.1", 400)),
                 of(
                         "no-colon",
                         group,
                         "a line without a colon",
-                        Words.get("X-A one"),
+                        RequestTemplates.get("X-A one"),
                         refused(FIELD, 400)),
                 of(
                         "no-name",
                         group,
                         "a field without a name",
-                        Words.get(": one"),
+                        RequestTemplates.get(": one"),
                         refused(FIELD, 400)),
                 of(
                         "bad-name",
                         group,
                         "a name with a character that none may have",
-                        Words.get("X(A: one"),
+                        RequestTemplates.get("X(A: one"),
                         refused(FIELD, 400)),
                 of(
                         "name-over-127",
                         group,
                         "a name with a byte over 127",
-                        Words.get("X-\u00e9: one"),
+                        RequestTemplates.get("X-\u00e9: one"),
                         refused(FIELD, 400)),
                 of(
                         "zero-in-value",
                         group,
                         "a byte of zero in a value",
-                        Words.get("X-A: o\0ne"),
+                        RequestTemplates.get("X-A: o\0ne"),
                         refused(VALUE, 400)),
                 of(
                         "carriage-return-in-value",
                         group,
                         "a bare carriage return in a value",
-                        Words.get("X-A: o\rX-B: ne"),
+                        RequestTemplates.get("X-A: o\rX-B: ne"),
                         refused(VALUE, 400)),
                 of(
                         "delete-in-value",
                         group,
                         "a control character in a value",
-                        Words.get("X-A: o\u007fne"),
+                        RequestTemplates.get("X-A: o\u007fne"),
                         servedOr(VALUE, 400)),
                 of(
                         "byte-over-127-in-value",
                         group,
                         "a byte over 127 in a value, which passes on unchanged",
-                        Words.get("X-A: caf\u00e9"),
+                        RequestTemplates.get("X-A: caf\u00e9"),
                         served(VALUE)),
                 of(
                         "empty-value",
                         group,
                         "a field without a value",
-                        Words.get("X-A:"),
+                        RequestTemplates.get("X-A:"),
                         served(VALUE)),
                 of(
                         "tabs-round-value",
                         group,
                         "tabs and spaces round a value",
-                        Words.get("X-A:\t one \t"),
+                        RequestTemplates.get("X-A:\t one \t"),
                         served(VALUE)),
                 of(
                         "many-fields",
                         group,
                         "900 short fields",
-                        Words.get(("X-A: b\r\n".repeat(899)) + "X-A: b"),
+                        RequestTemplates.get(("X-A: b\r\n".repeat(899)) + "X-A: b"),
                         servedOr("RFC 6585 5", 431)),
                 of(
                         "long-field",
                         group,
                         "a field over 16 KiB",
-                        Words.get("X-A: " + "b".repeat(LONG)),
+                        RequestTemplates.get("X-A: " + "b".repeat(LONG)),
                         refused("RFC 6585 5", 431)),
                 of(
                         "two-ids",
                         rpc,
                         "two fields Req-Id",
-                        Words.get("Req-Id: {id}-hidden"),
+                        RequestTemplates.get("Req-Id: {id}-hidden"),
                         refused(RPC, 400)),
                 of(
                         "two-deadlines",
                         rpc,
                         "two fields Req-Deadline-Ms",
-                        Words.get("Req-Deadline-Ms: 9"),
+                        RequestTemplates.get("Req-Deadline-Ms: 9"),
                         refused(RPC, 400)),
                 of(
                         "two-kinds",
                         rpc,
                         "two fields Req-Kind",
-                        Words.get("Req-Kind: {unsafe}"),
+                        RequestTemplates.get("Req-Kind: {unsafe}"),
                         refused(RPC, 400)),
                 of(
                         "two-keys",
                         rpc,
                         "two idempotency keys",
-                        Words.post(
+                        RequestTemplates.post(
                                 "",
                                 "Content-Length: 0",
                                 "Idempotency-Key: a",
@@ -143,37 +144,37 @@
                         "no-id",
                         rpc,
                         "no Req-Id",
-                        Words.get().replace("Req-Id: {id}\r\n", ""),
+                        RequestTemplates.get().replace("Req-Id: {id}\r\n", ""),
                         refused(RPC, 400)),
                 of(
                         "empty-id",
                         rpc,
                         "an empty Req-Id",
-                        Words.get().replace("Req-Id: {id}", "Req-Id:"),
+                        RequestTemplates.get().replace("Req-Id: {id}", "Req-Id:"),
                         refused(RPC, 400)),
                 of(
                         "deadline-with-sign",
                         rpc,
                         "a deadline below zero",
-                        Words.get().replace("2500", "-2500"),
+                        RequestTemplates.get().replace("2500", "-2500"),
                         refused(RPC, 400)),
                 of(
                         "deadline-overflows",
                         rpc,
                         "a deadline that overflows a number",
-                        Words.get().replace("2500", "9223372036854775808"),
+                        RequestTemplates.get().replace("2500", "9223372036854775808"),
                         refused(RPC, 400)),
                 of(
                         "key-where-none-belongs",
                         rpc,
                         "an idempotency key on what has none",
-                        Words.get("Idempotency-Key: a"),
+                        RequestTemplates.get("Idempotency-Key: a"),
                         refused(RPC, 400)),
                 of(
                         "body-of-a-get",
                         rpc,
                         "a body on what is safe to repeat",
-                        Words.get("Content-Length: 3") + "abc",
+                        RequestTemplates.get("Content-Length: 3") + "abc",
                         refused(RPC, 400)));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodKind.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodKind.java
@@ -7,7 +7,7 @@
     /** Nothing. */
     SILENT(""),
     /** Half a head. */
-    HALF("POST /api HTTP/1.1\r\n" + Words.HOST + "\r\nReq-"),
+    HALF("POST /api HTTP/1.1\r\n" + RequestTemplates.HOST + "\r\nReq-"),
     /** What can't become a request. */
     JUNK("\u0016\u0003\u0001\u0002\0\u0001\0\u0001\u00fc\u0003\u0003"),
     /** Whole requests that are refused. */
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
@@ -22,10 +22,11 @@
             throws IOException, InterruptedException {
         Flood flood = kind.text() == null ? null : new Flood(daemon.address(), kind, rate);
         Watch watch = new Watch(daemon.handle().pid());
-        try (GoodCallers kept =
-                        new GoodCallers(daemon.address(), GOOD, true, kind.name(), seconds);
-                GoodCallers fresh =
-                        new GoodCallers(daemon.address(), GOOD, false, kind.name(), seconds)) {
+        try (WellBehavedClients kept =
+                        new WellBehavedClients(daemon.address(), GOOD, true, kind.name(), seconds);
+                WellBehavedClients fresh =
+                        new WellBehavedClients(
+                                daemon.address(), GOOD, false, kind.name(), seconds)) {
             watch.start();
             FloodResult.Served ofKept = kept.result();
             FloodResult.Served ofFresh = fresh.result();
--- a/lab/src/main/java/cedarrudder/lab/attack/OwnDaemon.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/OwnDaemon.java
@@ -21,7 +21,7 @@
 public final class OwnDaemon implements Closeable {
 
     /** The classes and the tenant that it knows. */
-    public static final Words WORDS = new Words("lookup", "order", "acme");
+    public static final RequestTemplates WORDS = new RequestTemplates("lookup", "order", "acme");
 
     private static final int NODES = 3;
     private static final int READY_MILLIS = 20_000;
@@ -102,7 +102,7 @@
             socket.setSoTimeout(READY_MILLIS);
             socket.getOutputStream()
                     .write(
-                            ("GET /_health HTTP/1.1\r\n" + Words.HOST + "\r\n\r\n")
+                            ("GET /_health HTTP/1.1\r\n" + RequestTemplates.HOST + "\r\n\r\n")
                                     .getBytes(StandardCharsets.ISO_8859_1));
             InputStream in = socket.getInputStream();
             Answer answer = Answer.read(in, false);
--- a/lab/src/main/java/cedarrudder/lab/attack/Player.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Player.java
@@ -25,7 +25,7 @@
     private static final String HEALTHY = "ready\n";
 
     private final InetSocketAddress to;
-    private final Words words;
+    private final RequestTemplates words;
     private final ScriptedNodes nodes;
     private final int slack;
     private final ExecutorService threads =
@@ -42,7 +42,7 @@
      * @param slack times are allowed to be so many times what is owed: more than 1 on a machine
      *     that is short of cores
      */
-    Player(InetSocketAddress to, Words words, ScriptedNodes nodes, int slack) {
+    Player(InetSocketAddress to, RequestTemplates words, ScriptedNodes nodes, int slack) {
         this.to = to;
         this.words = words;
         this.nodes = nodes;
@@ -50,7 +50,7 @@
     }
 
     /** Plays against a daemon whose nodes are not ours to see. */
-    public static Player against(InetSocketAddress to, Words words) {
+    public static Player against(InetSocketAddress to, RequestTemplates words) {
         return new Player(to, words, null, 1);
     }
 
@@ -100,7 +100,7 @@
     }
 
     private Outcome judge(Attack attack, Wire wire, String id) {
-        Owed owed = attack.owed();
+        ExpectedAnswer owed = attack.owed();
         List<String> wrongs = new ArrayList<>(wire.wrongs());
         List<Integer> statuses = wire.answers().stream().map(Answer::status).toList();
         if (statuses.size() < owed.answers() && !(owed.closeDoes() && wire.ended())) {
@@ -110,13 +110,13 @@
                 .filter(s -> !allows(owed, s))
                 .findFirst()
                 .ifPresent(s -> wrongs.add(s + " is not owed"));
-        if (owed.end() == Owed.End.CLOSED && !wire.ended()) {
+        if (owed.end() == ExpectedAnswer.End.CLOSED && !wire.ended()) {
             wrongs.add("not closed");
-        } else if (owed.end() != Owed.End.CLOSED
+        } else if (owed.end() != ExpectedAnswer.End.CLOSED
                 && !wire.ended()
                 && !Boolean.TRUE.equals(wire.inStep())) {
             wrongs.add("out of step: a sound request behind it got no answer of its own");
-        } else if (owed.end() == Owed.End.OPEN && wire.ended()) {
+        } else if (owed.end() == ExpectedAnswer.End.OPEN && wire.ended()) {
             wrongs.add("closed");
         }
         if (wire.millis() < 0 || wire.millis() > owed.withinMillis() * slack) {
@@ -134,21 +134,21 @@
     }
 
     /** Nodes that are not ours may refuse or fail what is owed to be served. */
-    private boolean allows(Owed owed, int status) {
+    private boolean allows(ExpectedAnswer owed, int status) {
         return owed.statuses().contains(status)
                 || nodes == null
                         && owed.statuses().contains(200)
                         && (status == 502 || status == 503);
     }
 
-    private int judgeReached(Owed owed, Wire wire, String id, List<String> wrongs) {
-        List<Reached> all =
+    private int judgeReached(ExpectedAnswer owed, Wire wire, String id, List<String> wrongs) {
+        List<DeliveredRequest> all =
                 nodes.reached(id).stream().filter(r -> !r.id().endsWith(Wire.AFTER)).toList();
         all.stream()
                 .filter(r -> r.unsound() != null)
                 .findFirst()
                 .ifPresent(r -> wrongs.add("a node got an unsound " + r.unsound()));
-        long unread = all.stream().filter(r -> r.id().contains(Behaviours.UNREAD_ID)).count();
+        long unread = all.stream().filter(r -> r.id().contains(SustainedAttacks.UNREAD_ID)).count();
         if (unread > MOST_UNREAD) {
             wrongs.add(unread + " requests were passed on whose answers nobody reads");
         }
--- a/lab/src/main/java/cedarrudder/lab/attack/Words.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/RequestTemplates.java
@@ -8,7 +8,7 @@
  * @param unsafe a class of those that are not: {@code POST} without a key
  * @param owner a tenant
  */
-public record Words(String safe, String unsafe, String owner) {
+public record RequestTemplates(String safe, String unsafe, String owner) {
 
     static final String HOST = "Host: service.internal";
 
--- a/lab/src/main/java/cedarrudder/lab/attack/ScriptedNodes.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ScriptedNodes.java
@@ -66,7 +66,7 @@
     private final List<ServerSocket> servers = new ArrayList<>();
     private final AtomicReferenceArray<Since> moods;
     private final AtomicIntegerArray cuts;
-    private final Queue<Reached> reached = new ConcurrentLinkedQueue<>();
+    private final Queue<DeliveredRequest> reached = new ConcurrentLinkedQueue<>();
 
     /**
      * @throws IOException if there are no ports for so many
@@ -200,7 +200,7 @@
         if (request.target().equals("/_load") || request.target().equals("/ping")) {
             return ok(LOAD);
         }
-        reached.add(new Reached(request.id(), request.unsound()));
+        reached.add(new DeliveredRequest(request.id(), request.unsound()));
         if (request.target().startsWith("/slow")) {
             Thread.sleep(SLOW_MILLIS);
         }
@@ -246,12 +246,12 @@
     }
 
     /** What has reached them whose id begins with this. */
-    List<Reached> reached(String id) {
+    List<DeliveredRequest> reached(String id) {
         return reached.stream().filter(r -> r.id().startsWith(id)).toList();
     }
 
     /** What has reached them without an id. */
-    List<Reached> nameless() {
+    List<DeliveredRequest> nameless() {
         return reached("").stream().filter(r -> r.id().isEmpty()).toList();
     }
 
--- a/lab/src/main/java/cedarrudder/lab/attack/StartLines.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/StartLines.java
@@ -1,10 +1,10 @@
 package cedarrudder.lab.attack;
 
 import static cedarrudder.lab.attack.Attack.of;
-import static cedarrudder.lab.attack.Owed.refused;
-import static cedarrudder.lab.attack.Owed.served;
-import static cedarrudder.lab.attack.Owed.servedAndClosed;
-import static cedarrudder.lab.attack.Owed.servedOr;
+import static cedarrudder.lab.attack.ExpectedAnswer.refused;
+import static cedarrudder.lab.attack.ExpectedAnswer.served;
+import static cedarrudder.lab.attack.ExpectedAnswer.servedAndClosed;
+import static cedarrudder.lab.attack.ExpectedAnswer.servedOr;
 
 import java.util.List;
 
@@ -65,7 +65,7 @@
                         "proxy-protocol-1",
                         group,
                         "the line of the PROXY protocol, version 1, before a request",
-                        "PROXY TCP4 127.0.0.1 127.0.0.1 40000 80\r\n" + Words.get(),
+                        "PROXY TCP4 127.0.0.1 127.0.0.1 40000 80\r\n" + RequestTemplates.get(),
                         refused(LINE, 400)),
                 of(
                         "proxy-protocol-2",
@@ -89,13 +89,13 @@
                         "blank-line-before",
                         group,
                         "one empty line before a request",
-                        "\r\n" + Words.get(),
+                        "\r\n" + RequestTemplates.get(),
                         served(BLANK)),
                 of(
                         "bare-blank-line-before",
                         group,
                         "one bare line feed before a request",
-                        "\n" + Words.get(),
+                        "\n" + RequestTemplates.get(),
                         servedOr(BLANK, 400)),
                 of(
                         "blank-lines-without-end",
@@ -107,67 +107,67 @@
                         "space-before-method",
                         group,
                         "a space before the method",
-                        " " + Words.get(),
+                        " " + RequestTemplates.get(),
                         refused(LINE, 400)),
                 of(
                         "bare-line-feeds",
                         group,
                         "a head whose lines end in bare line feeds",
-                        Words.get().replace("\r\n", "\n"),
+                        RequestTemplates.get().replace("\r\n", "\n"),
                         servedOr(BLANK, 400)),
                 of(
                         "bare-carriage-returns",
                         group,
                         "a head whose lines end in bare carriage returns",
-                        Words.get().replace("\r\n", "\r"),
+                        RequestTemplates.get().replace("\r\n", "\r"),
                         refused(BLANK, 400)),
                 of(
                         "space-line-after-start",
                         group,
                         "white space between the first line and the fields",
-                        Words.get().replaceFirst("\r\n", "\r\n \r\n"),
+                        RequestTemplates.get().replaceFirst("\r\n", "\r\n \r\n"),
                         refused(BLANK, 400)),
                 of(
                         "two-spaces",
                         group,
                         "two spaces between method and target",
-                        Words.line("GET  /api HTTP/1.1"),
+                        RequestTemplates.line("GET  /api HTTP/1.1"),
                         refused(LINE, 400)),
                 of(
                         "tab-between",
                         group,
                         "a tab between method and target",
-                        Words.line("GET\t/api HTTP/1.1"),
+                        RequestTemplates.line("GET\t/api HTTP/1.1"),
                         refused(LINE, 400)),
                 of(
                         "space-after-version",
                         group,
                         "a space behind the version",
-                        Words.line("GET /api HTTP/1.1 "),
+                        RequestTemplates.line("GET /api HTTP/1.1 "),
                         refused(LINE, 400)),
                 of(
                         "no-version",
                         group,
                         "a first line without a version, fields behind it",
-                        Words.line("GET /api"),
+                        RequestTemplates.line("GET /api"),
                         refused(LINE, 400, 505)),
                 of(
                         "method-in-lower-case",
                         group,
                         "a method in lower case, which is another method",
-                        Words.line("get /api HTTP/1.1"),
+                        RequestTemplates.line("get /api HTTP/1.1"),
                         refused(METHOD, 400, 405, 501)),
                 of(
                         "unknown-method",
                         group,
                         "a method nobody knows",
-                        Words.line("FROB /api HTTP/1.1"),
+                        RequestTemplates.line("FROB /api HTTP/1.1"),
                         refused(METHOD, 400, 405, 501)),
                 of(
                         "bad-method",
                         group,
                         "a method with a character that none may have",
-                        Words.line("GE(T /api HTTP/1.1"),
+                        RequestTemplates.line("GE(T /api HTTP/1.1"),
                         refused(METHOD, 400)),
                 of(
                         "endless-method",
@@ -179,13 +179,13 @@
                         "connect",
                         group,
                         "a tunnel asked for",
-                        Words.line("CONNECT service.internal:80 HTTP/1.1"),
+                        RequestTemplates.line("CONNECT service.internal:80 HTTP/1.1"),
                         refused("RFC 9110 9.3.6", 400, 405, 501)),
                 of(
                         "trace",
                         group,
                         "a loop-back of the request asked for",
-                        Words.line("TRACE /api HTTP/1.1"),
+                        RequestTemplates.line("TRACE /api HTTP/1.1"),
                         refused("RFC 9110 9.3.8", 400, 405, 501)),
                 new Attack(
                         "head-of-an-rpc",
@@ -194,7 +194,7 @@
                         null,
                         wire -> {
                             wire.expectNoBodies();
-                            wire.say(Words.line("HEAD /api HTTP/1.1"));
+                            wire.say(RequestTemplates.line("HEAD /api HTTP/1.1"));
                         },
                         refused("RFC 9110 9.3.2", 400, 405, 501)),
                 new Attack(
@@ -205,38 +205,42 @@
                         null,
                         wire -> {
                             wire.expectNoBodies();
-                            wire.say("HEAD /_health HTTP/1.1\r\n" + Words.HOST + "\r\n\r\n");
+                            wire.say(
+                                    "HEAD /_health HTTP/1.1\r\n"
+                                            + RequestTemplates.HOST
+                                            + "\r\n\r\n");
                         },
                         served("RFC 9110 9.3.2").itself()),
                 of(
                         "http-2.0",
                         group,
                         "a major version that is not ours",
-                        Words.line("GET /api HTTP/2.0"),
+                        RequestTemplates.line("GET /api HTTP/2.0"),
                         refused(VERSION, 505)),
                 of(
                         "http-1.2",
                         group,
                         "a minor version that is not ours: to be served as the one we know",
-                        Words.line("GET /api HTTP/1.2"),
+                        RequestTemplates.line("GET /api HTTP/1.2"),
                         servedOr(VERSION, 505)),
                 of(
                         "http-in-lower-case",
                         group,
                         "a version in lower case",
-                        Words.line("GET /api http/1.1"),
+                        RequestTemplates.line("GET /api http/1.1"),
                         refused("RFC 9112 2.3", 400, 505)),
                 of(
                         "version-with-more-digits",
                         group,
                         "a version that is none",
-                        Words.line("GET /api HTTP/1.10"),
+                        RequestTemplates.line("GET /api HTTP/1.10"),
                         refused("RFC 9112 2.3", 400, 505)),
                 of(
                         "http-1.0",
                         group,
                         "HTTP/1.0 without Host, which then needs none",
-                        Words.request("GET /api HTTP/1.0", null, Words.SAFE, ""),
+                        RequestTemplates.request(
+                                "GET /api HTTP/1.0", null, RequestTemplates.SAFE, ""),
                         servedAndClosed("RFC 9112 3.2, 9.3")));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/attack/Behaviours.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/SustainedAttacks.java
@@ -1,16 +1,16 @@
 package cedarrudder.lab.attack;
 
 import static cedarrudder.lab.attack.Attack.of;
-import static cedarrudder.lab.attack.Owed.closed;
-import static cedarrudder.lab.attack.Owed.refused;
-import static cedarrudder.lab.attack.Owed.served;
+import static cedarrudder.lab.attack.ExpectedAnswer.closed;
+import static cedarrudder.lab.attack.ExpectedAnswer.refused;
+import static cedarrudder.lab.attack.ExpectedAnswer.served;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Set;
 
 /** Attacks that go on for longer. */
-final class Behaviours {
+final class SustainedAttacks {
 
     private static final String PATIENCE = "our bound: 2.5 s for a request";
     private static final String UNREAD = "our bound: 10 s for an answer";
@@ -28,7 +28,7 @@
     private static final int UNREAD_REQUESTS = 2000;
     private static final int RESENDS = 200;
 
-    private Behaviours() {}
+    private SustainedAttacks() {}
 
     static List<Attack> all() {
         return List.of(
@@ -41,23 +41,33 @@
                 of(
                         "half-head",
                         "half a head, then nothing",
-                        wire -> wire.say(half(Words.get())),
+                        wire -> wire.say(half(RequestTemplates.get())),
                         closed(PATIENCE, 408)),
                 of(
                         "half-body",
                         "half a body, then nothing",
-                        wire -> wire.say(Words.post("abc", "Content-Length: 300")),
+                        wire -> wire.say(RequestTemplates.post("abc", "Content-Length: 300")),
                         closed(PATIENCE, 408)),
                 of(
                         "half-chunks",
                         "chunks without the last one, then nothing",
-                        wire -> wire.say(Words.chunked("3\r\nabc\r\n")),
+                        wire -> wire.say(RequestTemplates.chunked("3\r\nabc\r\n")),
                         closed(PATIENCE, 408)),
                 of(
                         "half-behind-a-whole-one",
                         "a request and half of the next, then nothing",
-                        wire -> wire.say(Words.get() + half(Words.getAs("-hidden"))),
-                        new Owed(Set.of(200), 1, false, Owed.End.CLOSED, true, 3000, PATIENCE)),
+                        wire ->
+                                wire.say(
+                                        RequestTemplates.get()
+                                                + half(RequestTemplates.getAs("-hidden"))),
+                        new ExpectedAnswer(
+                                Set.of(200),
+                                1,
+                                false,
+                                ExpectedAnswer.End.CLOSED,
+                                true,
+                                3000,
+                                PATIENCE)),
                 of(
                         "slow-head",
                         "a head without an end, a byte each 25 ms",
@@ -70,7 +80,7 @@
                         "slow-body",
                         "a body without an end, a byte each 25 ms",
                         wire -> {
-                            wire.say(Words.post("", "Content-Length: " + DRIPS));
+                            wire.say(RequestTemplates.post("", "Content-Length: " + DRIPS));
                             wire.drip("b".repeat(DRIPS - 1), GAP_MILLIS);
                         },
                         closed(PATIENCE, 408)),
@@ -78,14 +88,14 @@
                         "slow-chunks",
                         "chunks without an end, a byte each 25 ms",
                         wire -> {
-                            wire.say(Words.chunked(""));
+                            wire.say(RequestTemplates.chunked(""));
                             wire.drip("1\r\nb\r\n".repeat(DRIPS), GAP_MILLIS);
                         },
                         closed(PATIENCE, 408)),
                 of(
                         "slow-but-whole",
                         "a sound request a byte at a time",
-                        wire -> wire.drip(Words.post("abc", "Content-Length: 3"), 0),
+                        wire -> wire.drip(RequestTemplates.post("abc", "Content-Length: 3"), 0),
                         served("RFC 9112 2.2")),
                 of(
                         "endless-line",
@@ -112,7 +122,7 @@
                         "endless-chunks",
                         "chunks of a byte without an end, at full speed",
                         wire -> {
-                            wire.say(Words.chunked(""));
+                            wire.say(RequestTemplates.chunked(""));
                             wire.pour("1\r\nb\r\n", POURED);
                         },
                         refused(BODY_BOUND, 413)),
@@ -120,7 +130,7 @@
                         "endless-chunk-extensions",
                         "chunks of a byte with long extensions, at full speed",
                         wire -> {
-                            wire.say(Words.chunked(""));
+                            wire.say(RequestTemplates.chunked(""));
                             wire.pour("1;" + "a".repeat(200) + "\r\nb\r\n", POURED);
                         },
                         refused(BODY_BOUND, 400, 413)),
@@ -128,7 +138,7 @@
                         "endless-chunk-size",
                         "a chunk's size without an end, at full speed",
                         wire -> {
-                            wire.say(Words.chunked(""));
+                            wire.say(RequestTemplates.chunked(""));
                             wire.pour("0", POURED);
                         },
                         refused("RFC 9112 7.1", 400, 431)),
@@ -136,7 +146,7 @@
                         "endless-trailer",
                         "a trailer without an end, at full speed",
                         wire -> {
-                            wire.say(Words.chunked("0\r\n"));
+                            wire.say(RequestTemplates.chunked("0\r\n"));
                             wire.pour("X-A: b\r\n", POURED);
                         },
                         refused(HEAD_BOUND, 431)),
@@ -153,25 +163,32 @@
                 of(
                         "id-twice-at-once",
                         "the same id on two connections at once: one is served",
-                        Behaviours::twiceAtOnce,
-                        new Owed(
+                        SustainedAttacks::twiceAtOnce,
+                        new ExpectedAnswer(
                                 Set.of(200, 400),
                                 2,
                                 false,
-                                Owed.End.EITHER,
+                                ExpectedAnswer.End.EITHER,
                                 true,
                                 3000,
                                 "our protocol: every request gets a new id")),
                 of(
                         "resends",
                         "the same request 200 times in one piece: each is answered, in turn",
-                        wire -> wire.say(Words.get().repeat(RESENDS)),
+                        wire -> wire.say(RequestTemplates.get().repeat(RESENDS)),
                         served("RFC 9112 9.3.2").times(RESENDS)),
                 of(
                         "answers-unread",
                         "2,000 requests whose answers of 60 KB are never read",
-                        Behaviours::unread,
-                        new Owed(Set.of(), 0, true, Owed.End.CLOSED, true, UNREAD_BY, UNREAD)));
+                        SustainedAttacks::unread,
+                        new ExpectedAnswer(
+                                Set.of(),
+                                0,
+                                true,
+                                ExpectedAnswer.End.CLOSED,
+                                true,
+                                UNREAD_BY,
+                                UNREAD)));
     }
 
     private static String half(String request) {
@@ -180,7 +197,7 @@
 
     /** Nothing of them may reach a node; the one that is sent whole is served. */
     private static void cutAtEveryPoint(Wire wire, boolean reset) throws IOException {
-        String text = wire.fill(Words.getAs("-hidden"));
+        String text = wire.fill(RequestTemplates.getAs("-hidden"));
         for (int i = 1; i < text.length(); i++) {
             try (Wire cut = wire.another(false)) {
                 cut.say(text.substring(0, i));
@@ -189,12 +206,12 @@
                 }
             }
         }
-        wire.say(Words.get());
+        wire.say(RequestTemplates.get());
     }
 
     private static void twiceAtOnce(Wire wire) throws IOException {
         try (Wire other = wire.another(false)) {
-            String slow = Words.get().replace("/api", "/slow");
+            String slow = RequestTemplates.get().replace("/api", "/slow");
             wire.say(slow);
             other.say(slow);
             Answer here = wire.read();
@@ -210,7 +227,7 @@
     private static void unread(Wire wire) throws IOException, InterruptedException {
         try (Wire deaf = wire.another(true)) {
             for (int i = 0; i < UNREAD_REQUESTS; i++) {
-                deaf.say(Words.getAs(UNREAD_ID + i).replace("/api", "/large"));
+                deaf.say(RequestTemplates.getAs(UNREAD_ID + i).replace("/api", "/large"));
             }
             if (!deaf.ends(UNREAD_BY, GAP_MILLIS)) {
                 deaf.wrong("not closed");
--- a/lab/src/main/java/cedarrudder/lab/attack/GoodCallers.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/WellBehavedClients.java
@@ -15,7 +15,7 @@
  * counts from when a request was due. One that finds itself late asks at once; none leaves a
  * request out.
  */
-final class GoodCallers implements Closeable {
+final class WellBehavedClients implements Closeable {
 
     private static final long EACH_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final int PATIENCE_MILLIS = 1000;
@@ -29,7 +29,7 @@
     private long asked;
 
     /** Begins; all end by themselves when the time is up. */
-    GoodCallers(InetSocketAddress to, int count, boolean keep, String run, int seconds) {
+    WellBehavedClients(InetSocketAddress to, int count, boolean keep, String run, int seconds) {
         this.to = to;
         this.keep = keep;
         long begin = System.nanoTime();
@@ -98,7 +98,7 @@
             socket.getOutputStream()
                     .write(
                             OwnDaemon.WORDS
-                                    .fill(Words.get(), id)
+                                    .fill(RequestTemplates.get(), id)
                                     .getBytes(StandardCharsets.ISO_8859_1));
             return Answer.read(socket.getInputStream(), false);
         } catch (IOException e) {
--- a/lab/src/main/java/cedarrudder/lab/attack/Wire.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Wire.java
@@ -21,7 +21,7 @@
     private static final int SMALL_BUFFER = 4 * 1024;
 
     private final InetSocketAddress to;
-    private final Words words;
+    private final RequestTemplates words;
     private final String id;
     private final int patienceMillis;
     private final RandomGenerator cuts;
@@ -47,7 +47,7 @@
      */
     Wire(
             InetSocketAddress to,
-            Words words,
+            RequestTemplates words,
             String id,
             int patienceMillis,
             RandomGenerator cuts,
@@ -240,7 +240,7 @@
     /**
      * Reads the answers owed, and finds out whether the connection has ended or is still in step.
      */
-    void finish(Owed owed) throws IOException {
+    void finish(ExpectedAnswer owed) throws IOException {
         while (answers.size() < owed.answers() && !ended) {
             if (read() == null) {
                 break;
@@ -249,13 +249,14 @@
         if (ended || socket.isClosed() || answers.size() < owed.answers() && !owed.closeDoes()) {
             return;
         }
-        if (closes || owed.end() == Owed.End.CLOSED) {
+        if (closes || owed.end() == ExpectedAnswer.End.CLOSED) {
             awaitEnd();
             return;
         }
         // What a request too many or too few bytes of a body would put out of step.
         bodiless = false;
-        byte[] next = words.fill(Words.getAs(AFTER), id).getBytes(StandardCharsets.ISO_8859_1);
+        byte[] next =
+                words.fill(RequestTemplates.getAs(AFTER), id).getBytes(StandardCharsets.ISO_8859_1);
         write(next, 0, next.length);
         int before = answers.size();
         Answer after = read();
--- a/lab/src/main/java/cedarrudder/lab/rivals/Admission.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Admission.java
@@ -1,7 +1,7 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
 
 /**
  * What the oracle turns away where clients enter, by worth. The share of their aims that recent
@@ -36,14 +36,14 @@
     /** A tenant may save up this many seconds of its share at a copy. */
     private static final double SHARE_SECONDS = 2;
 
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final double bestWorth;
     private final double[] saved;
     private final long[] savedAt;
     private double used;
     private long usedAt;
 
-    Admission(Settings settings) {
+    Admission(BalancerSettings settings) {
         this.settings = settings;
         this.bestWorth =
                 settings.classes().stream().mapToDouble(RequestClass::worth).max().orElse(1);
@@ -52,7 +52,7 @@
     }
 
     /** An attempt has ended; how long its RPC has taken by now counts, whatever the outcome. */
-    void ended(long now, Call call) {
+    void ended(long now, BaselineRequest call) {
         double share = Math.min(LATEST, (now - call.arrived) / (double) call.kind.aim());
         used = used(now);
         used += WEIGHT * (share - used);
@@ -63,7 +63,7 @@
         return used * StrictMath.exp(-(now - usedAt) / FORGET);
     }
 
-    boolean admits(long now, Call call) {
+    boolean admits(long now, BaselineRequest call) {
         boolean over = overShare(now, call.request.tenant());
         return used(now)
                 < (over ? OVER_SHARE : LEAST + (MOST - LEAST) * call.kind.worth() / bestWorth);
--- a/lab/src/main/java/cedarrudder/lab/rivals/Textbook.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BaselineBalancer.java
@@ -1,7 +1,7 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer;
-import cedarrudder.lab.policy.Truth;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.lab.policy.GroundTruth;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,7 +18,7 @@
  *
  * @param <S> what the pick notes of a node
  */
-final class Textbook<S> implements Balancer {
+final class BaselineBalancer<S> implements LoadBalancer {
 
     /** An RPC that no node may take now is looked at again after this long. */
     private static final long HOLD = 20_000_000L;
@@ -48,14 +48,14 @@
     private static final long TOKEN_HELD = 1;
     private static final long TOKEN_ASK = 2;
 
-    private final Settings settings;
-    private final Habits habits;
+    private final BalancerSettings settings;
+    private final BaselineParameters habits;
     private final RandomGenerator random;
     private final Actions actions;
     private final Pick<S> pick;
-    private final Map<Long, Member<S>> members = new HashMap<>();
-    private final List<Member<S>> ready = new ArrayList<>();
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final Map<Long, EndpointView<S>> members = new HashMap<>();
+    private final List<EndpointView<S>> ready = new ArrayList<>();
+    private final Map<Long, BaselineRequest> calls = new HashMap<>();
     private final Options options = new Options();
 
     private double meanWork;
@@ -66,12 +66,12 @@
     private int askFailures;
     private boolean started;
 
-    Textbook(
-            Settings settings,
-            Habits habits,
+    BaselineBalancer(
+            BalancerSettings settings,
+            BaselineParameters habits,
             RandomGenerator random,
             Actions actions,
-            Truth truth,
+            GroundTruth truth,
             Pick.Maker<S> maker) {
         this.settings = settings;
         this.habits = habits;
@@ -84,13 +84,13 @@
     // ---- the list of nodes ----
 
     @Override
-    public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
-        if (kind != ListKind.CHANGES) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.CHANGES) {
             Set<Long> named = new HashSet<>();
             for (Endpoint entry : entries) {
                 named.add(entry.id());
             }
-            for (Member<S> member : List.copyOf(ready)) {
+            for (EndpointView<S> member : List.copyOf(ready)) {
                 if (!named.contains(member.id)) {
                     drop(member);
                 }
@@ -117,14 +117,14 @@
                                                 * ASK_SPREAD
                                                 * settings.safety().askWithin()));
             }
-        } else if (kind != ListKind.CACHED) {
+        } else if (kind != EndpointListKind.CACHED) {
             askFailures = 0;
         }
     }
 
     private void list(long now, Endpoint entry) {
-        Member<S> member = members.get(entry.id());
-        if (entry.state() == State.GONE) {
+        EndpointView<S> member = members.get(entry.id());
+        if (entry.state() == EndpointStatus.GONE) {
             if (member != null) {
                 drop(member);
             }
@@ -132,7 +132,7 @@
         }
         boolean fresh = member == null || member.listed.startedAt() != entry.startedAt();
         if (member == null) {
-            member = new Member<>(entry);
+            member = new EndpointView<>(entry);
             members.put(member.id, member);
         }
         member.listed = entry;
@@ -149,14 +149,14 @@
         }
     }
 
-    private void remove(Member<S> member) {
+    private void remove(EndpointView<S> member) {
         if (member.inReady) {
             ready.remove(member);
             member.inReady = false;
         }
     }
 
-    private void drop(Member<S> member) {
+    private void drop(EndpointView<S> member) {
         Endpoint was = member.listed;
         member.listed =
                 new Endpoint(
@@ -164,7 +164,7 @@
                         was.zone(),
                         was.kind(),
                         was.cell(),
-                        State.GONE,
+                        EndpointStatus.GONE,
                         was.weight(),
                         was.startedAt());
         remove(member);
@@ -186,7 +186,9 @@
     @Override
     public void request(long now, Request request) {
         RequestClass kind = settings.classes().get(request.classIndex());
-        Call call = new Call(request, kind, now, Math.max(1, settings.limits().maxAttempts()));
+        BaselineRequest call =
+                new BaselineRequest(
+                        request, kind, now, Math.max(1, settings.limits().maxAttempts()));
         calls.put(request.id(), call);
         if (request.work() > 0) {
             meanWork += (meanWork == 0 ? 1 : WEIGHT) * (request.work() - meanWork);
@@ -208,18 +210,18 @@
     }
 
     /** What an RPC costs, in mean RPCs, as far as its hint tells. */
-    private double cost(Call call) {
+    private double cost(BaselineRequest call) {
         return call.request.work() > 0 ? call.request.work() / meanWork : 1;
     }
 
     /** Sends an RPC on its way, or holds it until a node may take it. */
-    private void place(long now, Call call) {
+    private void place(long now, BaselineRequest call) {
         if (now >= call.request.deadline()) {
             end(call);
             return;
         }
         options.of(now, call);
-        Member<S> member = pick.choose(now, call, options);
+        EndpointView<S> member = pick.choose(now, call, options);
         if (member != null) {
             int attempt = call.attempts++;
             call.to[attempt] = member;
@@ -247,14 +249,14 @@
             Outcome outcome,
             long latency,
             boolean settled,
-            Load load) {
-        Call call = calls.get(request);
+            LoadReport load) {
+        BaselineRequest call = calls.get(request);
         if (call == null || attempt >= call.attempts || call.ended[attempt] != null) {
             return;
         }
         call.ended[attempt] = outcome;
         call.out--;
-        Member<S> member = member(call, attempt);
+        EndpointView<S> member = member(call, attempt);
         member.inFlight--;
         pick.ended(now, call, member, latency);
         if (load != null) {
@@ -269,12 +271,12 @@
     }
 
     @SuppressWarnings("unchecked") // a call's attempts go to members of this copy only
-    private Member<S> member(Call call, int attempt) {
-        return (Member<S>) call.to[attempt];
+    private EndpointView<S> member(BaselineRequest call, int attempt) {
+        return (EndpointView<S>) call.to[attempt];
     }
 
     /** After an attempt failed: a further one, or the final answer. */
-    private void next(long now, Call call) {
+    private void next(long now, BaselineRequest call) {
         if (call.attempts <= habits.retries()
                 && further >= 1
                 && now < call.request.deadline()
@@ -287,7 +289,7 @@
     }
 
     /** The one place where an RPC is ended: refused where the rules allow that, else failed. */
-    private void end(Call call) {
+    private void end(BaselineRequest call) {
         call.answered = true;
         if (mayRefuse(call)) {
             actions.refuse(call.request.id(), 0);
@@ -297,7 +299,7 @@
         forgetIfDone(call);
     }
 
-    private void forgetIfDone(Call call) {
+    private void forgetIfDone(BaselineRequest call) {
         if (call.answered && call.out == 0) {
             calls.remove(call.request.id());
         }
@@ -305,7 +307,7 @@
 
     @Override
     public void firstByte(long now, long request, int attempt, long endpoint, long latency) {
-        Call call = calls.get(request);
+        BaselineRequest call = calls.get(request);
         if (call != null) {
             call.answered = true; // the stream ends it, for good or ill
         }
@@ -313,7 +315,7 @@
 
     @Override
     public void clientLeft(long now, long request) {
-        Call call = calls.get(request);
+        BaselineRequest call = calls.get(request);
         if (call == null) {
             return;
         }
@@ -335,7 +337,7 @@
         } else if (kind == TOKEN_ASK) {
             actions.subscribe(true);
         } else if (kind == TOKEN_HELD) {
-            Call call = calls.get(token % TOKEN_KIND);
+            BaselineRequest call = calls.get(token % TOKEN_KIND);
             if (call != null && call.held && !call.answered) {
                 place(now, call);
             }
@@ -343,8 +345,8 @@
     }
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {
-        Member<S> member = members.get(endpoint);
+    public void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load) {
+        EndpointView<S> member = members.get(endpoint);
         if (member != null && outcome == Outcome.OK && load != null) {
             pick.reported(now, member, load);
         }
@@ -358,24 +360,24 @@
     // ---- the gates ----
 
     /** What the pick may choose from, for the attempt at hand. */
-    private final class Options implements Choice<S> {
+    private final class Options implements Candidates<S> {
         private long now;
-        private Call call;
+        private BaselineRequest call;
         private double warmRate;
 
-        void of(long at, Call of) {
+        void of(long at, BaselineRequest of) {
             now = at;
             call = of;
             warmRate = -1;
         }
 
         @Override
-        public List<Member<S>> ready() {
+        public List<EndpointView<S>> ready() {
             return ready;
         }
 
         @Override
-        public boolean may(Member<S> member) {
+        public boolean may(EndpointView<S> member) {
             return member.ready()
                     && !call.tried(member)
                     && mayAttempt(now, call, member)
@@ -387,7 +389,7 @@
         private double warmRate() {
             if (warmRate < 0) {
                 int warm = 0;
-                for (Member<S> member : ready) {
+                for (EndpointView<S> member : ready) {
                     warm += member.cold(now, settings.safety()) ? 0 : 1;
                 }
                 warmRate = callRate / Math.max(1, warm == 0 ? ready.size() : warm);
@@ -396,17 +398,17 @@
         }
 
         @Override
-        public Member<S> draw(Member<S> except) {
+        public EndpointView<S> draw(EndpointView<S> except) {
             int count = ready.size();
             for (int i = 0; i < DRAWS && count > 0; i++) {
-                Member<S> member = ready.get(random.nextInt(count));
+                EndpointView<S> member = ready.get(random.nextInt(count));
                 if (member != except && may(member)) {
                     return member;
                 }
             }
             int start = count == 0 ? 0 : random.nextInt(count);
             for (int i = 0; i < count; i++) {
-                Member<S> member = ready.get((start + i) % count);
+                EndpointView<S> member = ready.get((start + i) % count);
                 if (member != except && may(member)) {
                     return member;
                 }
@@ -418,15 +420,15 @@
     /**
      * Whether an attempt may go to this node (null: to any at all), by what the earlier ones prove.
      */
-    private boolean mayAttempt(long now, Call call, Member<S> member) {
+    private boolean mayAttempt(long now, BaselineRequest call, EndpointView<S> member) {
         if (now >= call.request.deadline() || call.attempts >= call.to.length || call.out > 0) {
             return false;
         }
         int first = call.mayHaveRun();
-        if (first < 0 || call.kind.effect() == Effect.SAFE) {
+        if (first < 0 || call.kind.effect() == Idempotency.SAFE) {
             return true;
         }
-        if (call.kind.effect() == Effect.UNSAFE
+        if (call.kind.effect() == Idempotency.UNSAFE
                 || now >= call.sentAt[first] + call.kind.repeatWindow()) {
             return false;
         }
@@ -440,9 +442,9 @@
     }
 
     /** Whether the client may be told that trying again is harmless, by what the attempts prove. */
-    private boolean mayRefuse(Call call) {
+    private boolean mayRefuse(BaselineRequest call) {
         return call.mayHaveRun() < 0
-                || call.kind.effect() == Effect.SAFE
-                || call.kind.effect() == Effect.KEYED && call.kind.keyScope() == KeyScope.ALL;
+                || call.kind.effect() == Idempotency.SAFE
+                || call.kind.effect() == Idempotency.KEYED && call.kind.keyScope() == KeyScope.ALL;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Habits.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BaselineParameters.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 /**
  * What the rivals share besides the rules. The budget of further attempts is Finagle's {@code
@@ -10,7 +10,8 @@
  * @param saved further attempts that may be saved up
  * @param holdShare an RPC that no node may take now is kept for this share of its aim at the most
  */
-record Habits(int retries, double perCall, double perSecond, double saved, double holdShare) {
+record BaselineParameters(
+        int retries, double perCall, double perSecond, double saved, double holdShare) {
 
-    static final Habits USUAL = new Habits(1, 0.2, 10, 100, 0.5);
+    static final BaselineParameters USUAL = new BaselineParameters(1, 0.2, 10, 100, 0.5);
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Call.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BaselineRequest.java
@@ -1,15 +1,15 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
 
 /** An RPC that a rival has taken, with its attempts in the order sent. */
-final class Call {
+final class BaselineRequest {
     final Request request;
     final RequestClass kind;
     final long arrived;
-    final Member<?>[] to;
+    final EndpointView<?>[] to;
     final long[] sentAt;
     final Outcome[] ended;
     int attempts;
@@ -17,11 +17,11 @@
     boolean answered;
     boolean held;
 
-    Call(Request request, RequestClass kind, long arrived, int maxAttempts) {
+    BaselineRequest(Request request, RequestClass kind, long arrived, int maxAttempts) {
         this.request = request;
         this.kind = kind;
         this.arrived = arrived;
-        this.to = new Member<?>[maxAttempts];
+        this.to = new EndpointView<?>[maxAttempts];
         this.sentAt = new long[maxAttempts];
         this.ended = new Outcome[maxAttempts];
     }
@@ -36,7 +36,7 @@
         return -1;
     }
 
-    boolean tried(Member<?> member) {
+    boolean tried(EndpointView<?> member) {
         for (int i = 0; i < attempts; i++) {
             if (to[i] == member) {
                 return true;
--- a/lab/src/main/java/cedarrudder/lab/rivals/Broken.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BrokenPolicies.java
@@ -1,7 +1,7 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer;
-import cedarrudder.Decide;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.PrequalBalancer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,7 +16,7 @@
  * served as ever. No fault waits for chance: a fault whose RPCs, drains or cold starts come shows
  * each time.
  */
-final class Broken implements Balancer {
+final class BrokenPolicies implements LoadBalancer {
 
     /** What is broken. */
     enum Fault {
@@ -86,24 +86,25 @@
     }
 
     private final Fault fault;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final Actions actions;
-    private final Balancer sound;
+    private final LoadBalancer sound;
     private final Map<Long, Mine> mine = new HashMap<>();
     private final Map<Long, Endpoint> listed = new TreeMap<>();
     private final Map<Long, Long> leavingSince = new TreeMap<>();
     private int met;
 
-    Broken(Fault fault, Settings settings, RandomGenerator random, Actions actions) {
+    BrokenPolicies(
+            Fault fault, BalancerSettings settings, RandomGenerator random, Actions actions) {
         this.fault = fault;
         this.settings = settings;
         this.actions = actions;
-        this.sound = new Decide(settings, random, actions);
+        this.sound = new PrequalBalancer(settings, random, actions);
     }
 
     @Override
-    public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
-        if (kind != ListKind.CHANGES) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.CHANGES) {
             for (Long id : listed.keySet()) {
                 leavingSince.putIfAbsent(id, now);
             }
@@ -113,7 +114,7 @@
             listed.clear();
         }
         for (Endpoint entry : entries) {
-            if (entry.state() == State.READY) {
+            if (entry.state() == EndpointStatus.READY) {
                 listed.put(entry.id(), entry);
                 leavingSince.remove(entry.id());
             } else {
@@ -139,16 +140,16 @@
 
     /** Whether the fault can be shown now with an RPC of this class and deadline. */
     private boolean wants(long now, RequestClass kind, long deadline) {
-        boolean scoped = kind.effect() == Effect.KEYED && kind.keyScope() != KeyScope.ALL;
+        boolean scoped = kind.effect() == Idempotency.KEYED && kind.keyScope() != KeyScope.ALL;
         return switch (fault) {
             case LOST, ANSWERED_TWICE, ANSWERED_LATE -> true;
             case SENT_AFTER_END -> warm(now, null) != null;
-            case TWO_OUT -> kind.effect() == Effect.SAFE && warm(now, null) != null;
+            case TWO_OUT -> kind.effect() == Idempotency.SAFE && warm(now, null) != null;
             case RESENT_UNSAFE, REFUSED_AFTER_RUN ->
-                    kind.effect() == Effect.UNSAFE && warm(now, null) != null;
+                    kind.effect() == Idempotency.UNSAFE && warm(now, null) != null;
             case KEYED_OUTSIDE_GROUP -> scoped && warm(now, null) != null;
             case KEYED_AFTER_WINDOW ->
-                    kind.effect() == Effect.KEYED
+                    kind.effect() == Idempotency.KEYED
                             && warm(now, null) != null
                             && now + kind.repeatWindow() + SOON < deadline;
             case SENT_TO_DRAINED -> drained(now) != null;
@@ -233,7 +234,7 @@
             Outcome outcome,
             long latency,
             boolean settled,
-            Load load) {
+            LoadReport load) {
         Mine rpc = mine.get(request);
         if (rpc == null) {
             sound.outcome(now, request, attempt, endpoint, outcome, latency, settled, load);
@@ -283,7 +284,7 @@
     private Endpoint drained(long now) {
         for (Map.Entry<Long, Long> each : leavingSince.entrySet()) {
             if (now - each.getValue() > settings.safety().drainGrace()) {
-                return new Endpoint(each.getKey(), 0, 0, 0, State.GONE, 1, 0);
+                return new Endpoint(each.getKey(), 0, 0, 0, EndpointStatus.GONE, 1, 0);
             }
         }
         return null;
@@ -336,7 +337,7 @@
     }
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {
+    public void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load) {
         sound.probed(now, endpoint, outcome, latency, load);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/rivals/Choice.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Candidates.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 import java.util.List;
 
@@ -7,13 +7,13 @@
  *
  * @param <S> the pick's notes of a node
  */
-interface Choice<S> {
+interface Candidates<S> {
 
     /** All nodes that the list calls ready, in an order that is this copy's own. */
-    List<Member<S>> ready();
+    List<EndpointView<S>> ready();
 
     /** Whether the rules let this attempt go to this node. */
-    boolean may(Member<S> member);
+    boolean may(EndpointView<S> member);
 
     /**
      * A random node to which the attempt may go, each with the same chance; null when there is
@@ -21,5 +21,5 @@
      *
      * @param except one that is not to be drawn, or null
      */
-    Member<S> draw(Member<S> except);
+    EndpointView<S> draw(EndpointView<S> except);
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Member.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/EndpointView.java
@@ -1,8 +1,8 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
 
 /**
  * What a rival knows of one node: its line of the list, the attempts it has out there, what it may
@@ -10,7 +10,7 @@
  *
  * @param <S> the pick's own notes
  */
-final class Member<S> {
+final class EndpointView<S> {
 
     /** Part of the cold budget that is used, as in the decision module; the rest is for chance. */
     private static final double COLD_SHARE_USED = 0.5;
@@ -35,13 +35,13 @@
 
     private long allowanceAt;
 
-    Member(Endpoint listed) {
+    EndpointView(Endpoint listed) {
         this.id = listed.id();
         this.listed = listed;
     }
 
     boolean ready() {
-        return listed.state() == State.READY;
+        return listed.state() == EndpointStatus.READY;
     }
 
     /**
@@ -53,7 +53,7 @@
         allowanceAt = now;
     }
 
-    boolean cold(long now, Safety safety) {
+    boolean cold(long now, SafetyRules safety) {
         return listed.startedAt() != 0 && now - listed.startedAt() < safety.rampTime();
     }
 
@@ -62,7 +62,7 @@
      *
      * @param warmRate what a warm node gets from this copy, in mean requests a second
      */
-    boolean withinColdBudget(long now, double warmRate, Safety safety) {
+    boolean withinColdBudget(long now, double warmRate, SafetyRules safety) {
         double ramp = Math.max(0, now - listed.startedAt()) / (double) safety.rampTime();
         double capacity = safety.coldShare() + (1 - safety.coldShare()) * ramp;
         double rate = COLD_SHARE_USED * safety.fallMultiple() * capacity * warmRate;
--- a/lab/src/main/java/cedarrudder/lab/rivals/LeastRequests.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/LeastRequests.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 /**
  * Of two different nodes at random the one where this copy has fewer attempts out. Source: M.
@@ -8,9 +8,9 @@
 final class LeastRequests implements Pick<Void> {
 
     @Override
-    public Member<Void> choose(long now, Call call, Choice<Void> choice) {
-        Member<Void> one = choice.draw(null);
-        Member<Void> other = one == null ? null : choice.draw(one);
+    public EndpointView<Void> choose(long now, BaselineRequest call, Candidates<Void> choice) {
+        EndpointView<Void> one = choice.draw(null);
+        EndpointView<Void> other = one == null ? null : choice.draw(one);
         return other != null && other.inFlight < one.inFlight ? other : one;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Oracle.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Oracle.java
@@ -1,7 +1,7 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer.Settings;
-import cedarrudder.lab.policy.Truth;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.lab.policy.GroundTruth;
 
 /**
  * The bound: sees the true state of all nodes of its tier, at no cost and at once, and sends where
@@ -29,12 +29,12 @@
         private long at;
     }
 
-    private final Truth truth;
+    private final GroundTruth truth;
 
     /** Null behind the first tier: work has gone into each request there. */
     private final Admission admission;
 
-    Oracle(Settings settings, Truth truth) {
+    Oracle(BalancerSettings settings, GroundTruth truth) {
         this.truth = truth;
         this.admission = settings.tier() == 0 ? new Admission(settings) : null;
     }
@@ -45,16 +45,16 @@
     }
 
     @Override
-    public boolean admits(long now, Call call, Choice<Way> choice) {
+    public boolean admits(long now, BaselineRequest call, Candidates<Way> choice) {
         return admission == null || admission.admits(now, call);
     }
 
     @Override
-    public Member<Way> choose(long now, Call call, Choice<Way> choice) {
-        Member<Way> best = null;
+    public EndpointView<Way> choose(long now, BaselineRequest call, Candidates<Way> choice) {
+        EndpointView<Way> best = null;
         double bestTime = Double.POSITIVE_INFINITY;
         double work = work(call);
-        for (Member<Way> member : choice.ready()) {
+        for (EndpointView<Way> member : choice.ready()) {
             if (!truth.takes(member.id) || !truth.sound(member.id)) {
                 continue;
             }
@@ -70,18 +70,18 @@
         return best;
     }
 
-    private static double work(Call call) {
+    private static double work(BaselineRequest call) {
         return call.request.work() > 0 ? call.request.work() : UNKNOWN_WORK;
     }
 
     @Override
-    public void sent(long now, Call call, Member<Way> to) {
+    public void sent(long now, BaselineRequest call, EndpointView<Way> to) {
         to.notes.work = now - to.notes.at < WAY ? to.notes.work + work(call) : work(call);
         to.notes.at = now;
     }
 
     @Override
-    public void ended(long now, Call call, Member<Way> from, long latency) {
+    public void ended(long now, BaselineRequest call, EndpointView<Way> from, long latency) {
         if (admission != null) {
             admission.ended(now, call);
         }
--- a/lab/src/main/java/cedarrudder/lab/rivals/PeakEwma.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/PeakEwma.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 /**
  * Of two different nodes at random the one of lower cost: a moving average of latency, sensitive to
@@ -40,13 +40,14 @@
     }
 
     @Override
-    public Member<Average> choose(long now, Call call, Choice<Average> choice) {
-        Member<Average> one = choice.draw(null);
-        Member<Average> other = one == null ? null : choice.draw(one);
+    public EndpointView<Average> choose(
+            long now, BaselineRequest call, Candidates<Average> choice) {
+        EndpointView<Average> one = choice.draw(null);
+        EndpointView<Average> other = one == null ? null : choice.draw(one);
         return other != null && cost(now, other) < cost(now, one) ? other : one;
     }
 
-    static double cost(long now, Member<Average> member) {
+    static double cost(long now, EndpointView<Average> member) {
         Average average = member.notes;
         average.add(now, 0);
         return average.latency == 0 && member.inFlight != 0
@@ -55,7 +56,7 @@
     }
 
     @Override
-    public void ended(long now, Call call, Member<Average> from, long latency) {
+    public void ended(long now, BaselineRequest call, EndpointView<Average> from, long latency) {
         from.notes.add(now, latency);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/Rivals.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Policies.java
@@ -1,16 +1,16 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer;
-import cedarrudder.Decide;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.PrequalBalancer;
+import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
-import cedarrudder.lab.policy.Truth;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
 /** The policies by name: the decision module itself, its rivals, and those broken on purpose. */
-public final class Rivals {
+public final class Policies {
 
     /** The decision module under its defaults. */
     public static final String OWN = "cedarrudder";
@@ -20,21 +20,21 @@
 
     private record Named(String name, String source, Maker maker) implements Policy {
         @Override
-        public Balancer create(
-                Balancer.Settings settings,
+        public LoadBalancer create(
+                LoadBalancer.BalancerSettings settings,
                 RandomGenerator random,
-                Balancer.Actions actions,
-                Truth truth) {
+                LoadBalancer.Actions actions,
+                GroundTruth truth) {
             return maker.make(settings, random, actions, truth);
         }
     }
 
     private interface Maker {
-        Balancer make(
-                Balancer.Settings settings,
+        LoadBalancer make(
+                LoadBalancer.BalancerSettings settings,
                 RandomGenerator random,
-                Balancer.Actions actions,
-                Truth truth);
+                LoadBalancer.Actions actions,
+                GroundTruth truth);
     }
 
     private static final Map<String, Named> SOUND = new LinkedHashMap<>();
@@ -45,7 +45,8 @@
                 SOUND,
                 OWN,
                 "the decision module; the hot-cold rule after Wydrowski et al., Prequal, NSDI 2024",
-                (settings, random, actions, truth) -> new Decide(settings, random, actions));
+                (settings, random, actions, truth) ->
+                        new PrequalBalancer(settings, random, actions));
         rival(
                 "random",
                 "a base line; Envoy's RANDOM",
@@ -77,17 +78,17 @@
                 "a bound that sees the true state; shortest expected delay, Banawan and Zahorjan, "
                         + "INFOCOM 1989",
                 (settings, random, truth) -> new Oracle(settings, truth));
-        for (Broken.Fault fault : Broken.Fault.values()) {
+        for (BrokenPolicies.Fault fault : BrokenPolicies.Fault.values()) {
             add(
                     BROKEN,
                     fault.policy(),
                     "broken on purpose, to try the referee",
                     (settings, random, actions, truth) ->
-                            new Broken(fault, settings, random, actions));
+                            new BrokenPolicies(fault, settings, random, actions));
         }
     }
 
-    private Rivals() {}
+    private Policies() {}
 
     private static void add(Map<String, Named> to, String name, String source, Maker maker) {
         to.put(name, new Named(name, source, maker));
@@ -99,7 +100,8 @@
                 name,
                 source,
                 (settings, random, actions, truth) ->
-                        new Textbook<>(settings, Habits.USUAL, random, actions, truth, pick));
+                        new BaselineBalancer<>(
+                                settings, BaselineParameters.USUAL, random, actions, truth, pick));
     }
 
     /** The names of all sound policies, the module's own first and the bound last. */
--- a/lab/src/main/java/cedarrudder/lab/rivals/RandomPick.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/RandomPick.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 /**
  * A node at random, each with the same chance. Source: the base line of any balancer, as Envoy's
@@ -7,7 +7,7 @@
 final class RandomPick implements Pick<Void> {
 
     @Override
-    public Member<Void> choose(long now, Call call, Choice<Void> choice) {
+    public EndpointView<Void> choose(long now, BaselineRequest call, Candidates<Void> choice) {
         return choice.draw(null);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/rivals/RoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/RoundRobin.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 import java.util.List;
 
@@ -10,8 +10,8 @@
     private int next;
 
     @Override
-    public Member<Void> choose(long now, Call call, Choice<Void> choice) {
-        List<Member<Void>> ready = choice.ready();
+    public EndpointView<Void> choose(long now, BaselineRequest call, Candidates<Void> choice) {
+        List<EndpointView<Void>> ready = choice.ready();
         for (int i = 0; i < ready.size(); i++) {
             int at = Math.floorMod(next + i, ready.size());
             if (choice.may(ready.get(at))) {
--- a/lab/src/main/java/cedarrudder/lab/rivals/SubsetLeastRequests.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/SubsetLeastRequests.java
@@ -1,6 +1,6 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -23,19 +23,19 @@
     /** Nodes in a subset at the least; Finagle's for its deterministic aperture. */
     static final int LEAST = 12;
 
-    private record Placed(Member<Void> member, long order) {}
+    private record Placed(EndpointView<Void> member, long order) {}
 
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final RandomGenerator random;
-    private final List<Member<Void>> subset = new ArrayList<>();
+    private final List<EndpointView<Void>> subset = new ArrayList<>();
 
-    SubsetLeastRequests(Settings settings, RandomGenerator random) {
+    SubsetLeastRequests(BalancerSettings settings, RandomGenerator random) {
         this.settings = settings;
         this.random = random;
     }
 
     @Override
-    public void changed(List<Member<Void>> ready) {
+    public void changed(List<EndpointView<Void>> ready) {
         subset.clear();
         int copies = Math.max(1, settings.copies());
         int size =
@@ -46,7 +46,7 @@
         int subsets = ready.size() / size;
         long round = settings.self() / subsets;
         List<Placed> order = new ArrayList<>();
-        for (Member<Void> member : ready) {
+        for (EndpointView<Void> member : ready) {
             order.add(new Placed(member, scramble(member.id + scramble(round + 1))));
         }
         order.sort(Comparator.comparingLong(Placed::order).thenComparingLong(p -> p.member().id));
@@ -65,15 +65,15 @@
     }
 
     /** The nodes of this copy, for tests. */
-    List<Member<Void>> subset() {
+    List<EndpointView<Void>> subset() {
         return subset;
     }
 
     @Override
-    public Member<Void> choose(long now, Call call, Choice<Void> choice) {
-        Member<Void> best = null;
+    public EndpointView<Void> choose(long now, BaselineRequest call, Candidates<Void> choice) {
+        EndpointView<Void> best = null;
         int equals = 0;
-        for (Member<Void> member : subset) {
+        for (EndpointView<Void> member : subset) {
             if (best != null && member.inFlight > best.inFlight || !choice.may(member)) {
                 continue;
             }
--- a/lab/src/main/java/cedarrudder/lab/rivals/WeightedRoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/WeightedRoundRobin.java
@@ -1,8 +1,8 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer.Actions;
-import cedarrudder.Balancer.Limits;
-import cedarrudder.Balancer.Load;
+import cedarrudder.balancer.LoadBalancer.Actions;
+import cedarrudder.balancer.LoadBalancer.Limits;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -67,14 +67,14 @@
     private final Limits limits;
 
     /** By due time; of one time the node of lower number. */
-    private final PriorityQueue<Member<Turn>> turns =
+    private final PriorityQueue<EndpointView<Turn>> turns =
             new PriorityQueue<>(
                     (a, b) ->
                             a.notes.due != b.notes.due
                                     ? Double.compare(a.notes.due, b.notes.due)
                                     : Long.compare(a.id, b.id));
 
-    private final List<Member<Turn>> passed = new ArrayList<>();
+    private final List<EndpointView<Turn>> passed = new ArrayList<>();
     private double time;
     private double mean = 1;
     private double probesDue;
@@ -92,9 +92,9 @@
     }
 
     @Override
-    public void changed(List<Member<Turn>> ready) {
+    public void changed(List<EndpointView<Turn>> ready) {
         turns.clear();
-        for (Member<Turn> member : ready) {
+        for (EndpointView<Turn> member : ready) {
             if (!member.notes.queued) {
                 // Somewhere in its first turn: guards against copies that go through the nodes in
                 // step.
@@ -112,14 +112,14 @@
     }
 
     @Override
-    public Member<Turn> choose(long now, Call call, Choice<Turn> choice) {
-        Member<Turn> chosen = null;
+    public EndpointView<Turn> choose(long now, BaselineRequest call, Candidates<Turn> choice) {
+        EndpointView<Turn> chosen = null;
         while (chosen == null && !turns.isEmpty()) {
-            Member<Turn> next = turns.poll();
+            EndpointView<Turn> next = turns.poll();
             passed.add(next);
             chosen = choice.may(next) ? next : null;
         }
-        for (Member<Turn> member : passed) {
+        for (EndpointView<Turn> member : passed) {
             // One that may not take this attempt loses its turn, so that it isn't owed many at once
             // later.
             time = member == chosen ? Math.max(time, member.notes.due) : time;
@@ -131,12 +131,12 @@
     }
 
     @Override
-    public void sent(long now, Call call, Member<Turn> to) {
+    public void sent(long now, BaselineRequest call, EndpointView<Turn> to) {
         to.notes.sent++;
     }
 
     @Override
-    public void reported(long now, Member<Turn> of, Load load) {
+    public void reported(long now, EndpointView<Turn> of, LoadReport load) {
         Turn turn = of.notes;
         double kept = StrictMath.exp(-(now - turn.busyAt) / SMOOTH);
         turn.busy = smooth(turn.busy, load.utilisation(), kept);
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void tick(long now, List<Member<Turn>> ready, Actions actions) {
+    public void tick(long now, List<EndpointView<Turn>> ready, Actions actions) {
         if (++ticks % TICKS == 0) {
             weigh(now, ready);
         }
@@ -170,11 +170,11 @@
         }
     }
 
-    private void weigh(long now, List<Member<Turn>> ready) {
+    private void weigh(long now, List<EndpointView<Turn>> ready) {
         double sum = 0;
         int weighed = 0;
         double kept = StrictMath.exp(-PERIOD / SMOOTH);
-        for (Member<Turn> member : ready) {
+        for (EndpointView<Turn> member : ready) {
             Turn turn = member.notes;
             turn.rate = turn.rate * kept + turn.sent * 1e9 / PERIOD * (1 - kept);
             turn.sent = 0;
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Hands.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ActionsRelay.java
@@ -1,17 +1,17 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 
 /**
  * Passes actions on for as long as there is somebody to pass them to, so that a module can be held
  * alone.
  */
-final class Hands implements Balancer.Actions {
+final class ActionsRelay implements LoadBalancer.Actions {
 
-    private Balancer.Actions to;
+    private LoadBalancer.Actions to;
 
     /** Passes on to these from now on; null: to nobody. */
-    void passOn(Balancer.Actions actions) {
+    void passOn(LoadBalancer.Actions actions) {
         to = actions;
     }
 
--- a/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Decide;
+import cedarrudder.balancer.PrequalBalancer;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -33,17 +33,17 @@
     @Param({"cedarrudder", "none"})
     public String module;
 
-    private Surroundings proxy;
+    private SimulatedEnvironment proxy;
 
     @Setup
     public void fill() {
         proxy =
-                new Surroundings(
+                new SimulatedEnvironment(
                         nodes,
                         actions ->
                                 module.equals("none")
-                                        ? new NoDecision(actions)
-                                        : new Decide(
+                                        ? new PassThroughBalancer(actions)
+                                        : new PrequalBalancer(
                                                 Platform.settings(nodes / NODES_PER_COPY, 0),
                                                 new SplittableRandom(1),
                                                 actions));
--- a/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
@@ -1,10 +1,10 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer.Request;
-import cedarrudder.budget.Carried;
-import cedarrudder.protocol.BadMessageException;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.budget.PropagatedBudget;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.RpcFields;
+import cedarrudder.protocol.MalformedMessageException;
+import cedarrudder.protocol.RequestHeaders;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
@@ -28,7 +28,7 @@
     @Param({"0", "512", "16384"})
     public int body;
 
-    private final RpcFields fields = new RpcFields(Platform.settings(1, 0));
+    private final RequestHeaders fields = new RequestHeaders(Platform.settings(1, 0));
     private final HttpDecoder decoder =
             HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
     private ByteBuf bytes;
@@ -52,9 +52,14 @@
     }
 
     @Benchmark
-    public Request read() throws BadMessageException {
+    public Request read() throws MalformedMessageException {
         bytes.readerIndex(0);
         return fields.read(
-                decoder.decode(bytes), 1, Platform.SECOND, 0, Long.MAX_VALUE, Carried.NOTHING);
+                decoder.decode(bytes),
+                1,
+                Platform.SECOND,
+                0,
+                Long.MAX_VALUE,
+                PropagatedBudget.NOTHING);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Decide;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.PrequalBalancer;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
@@ -29,7 +29,7 @@
     @Param({"10", "100", "1000"})
     public int nodes;
 
-    private Surroundings proxy;
+    private SimulatedEnvironment proxy;
     private List<Endpoint> whole;
     private List<Endpoint> drains;
     private List<Endpoint> returns;
@@ -38,16 +38,16 @@
     @Setup
     public void fill() {
         proxy =
-                new Surroundings(
+                new SimulatedEnvironment(
                         nodes,
                         actions ->
-                                new Decide(
+                                new PrequalBalancer(
                                         Platform.settings(nodes / NODES_PER_COPY, 0),
                                         new SplittableRandom(1),
                                         actions));
         whole = Platform.nodes(nodes);
-        drains = List.of(Platform.node(nodes / 2, Balancer.State.DRAINING));
-        returns = List.of(Platform.node(nodes / 2, Balancer.State.READY));
+        drains = List.of(Platform.node(nodes / 2, LoadBalancer.EndpointStatus.DRAINING));
+        returns = List.of(Platform.node(nodes / 2, LoadBalancer.EndpointStatus.READY));
         for (int i = 0; i < FIRST; i++) {
             proxy.request();
         }
@@ -57,14 +57,14 @@
     @Benchmark
     public long oneChange() {
         drained = !drained;
-        proxy.changed(ListKind.CHANGES, drained ? drains : returns);
+        proxy.changed(EndpointListKind.CHANGES, drained ? drains : returns);
         return proxy.request();
     }
 
     /** The whole list comes again, unchanged. */
     @Benchmark
     public long wholeList() {
-        proxy.changed(ListKind.FULL, whole);
+        proxy.changed(EndpointListKind.FULL, whole);
         return proxy.request();
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer;
-import cedarrudder.Decide;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.PrequalBalancer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -34,7 +34,7 @@
     public static double ofModule(int nodes) {
         int copies = Math.max(1, nodes / NODES_PER_COPY);
         int modules = Math.max(20, NODES_IN_ALL / nodes);
-        List<Balancer> kept = new ArrayList<>(modules + 2);
+        List<LoadBalancer> kept = new ArrayList<>(modules + 2);
         kept.add(module(nodes, copies, 0));
         kept.add(module(nodes, copies, 1));
         long before = used();
@@ -49,14 +49,14 @@
     }
 
     /** A module that has served; its driver and all else around it is let go. */
-    private static Balancer module(int nodes, int copies, int self) {
-        Hands hands = new Hands();
-        Surroundings proxy =
-                new Surroundings(
+    private static LoadBalancer module(int nodes, int copies, int self) {
+        ActionsRelay hands = new ActionsRelay();
+        SimulatedEnvironment proxy =
+                new SimulatedEnvironment(
                         nodes,
                         actions -> {
                             hands.passOn(actions);
-                            return new Decide(
+                            return new PrequalBalancer(
                                     Platform.settings(copies, self),
                                     new SplittableRandom(self),
                                     hands);
--- a/lab/src/main/java/cedarrudder/lab/benchmark/NoDecision.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PassThroughBalancer.java
@@ -1,25 +1,25 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 import java.util.List;
 
 /**
  * Sends to the next node and ends nothing but what is served: the least that a balancer can do,
  * beside which the cost of decisions is seen.
  */
-final class NoDecision implements Balancer {
+final class PassThroughBalancer implements LoadBalancer {
 
     private final Actions actions;
     private long[] nodes = {};
     private int next;
 
-    NoDecision(Actions actions) {
+    PassThroughBalancer(Actions actions) {
         this.actions = actions;
     }
 
     @Override
-    public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
-        if (kind == ListKind.FULL) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind == EndpointListKind.FULL) {
             nodes = entries.stream().mapToLong(Endpoint::id).toArray();
         }
     }
@@ -39,7 +39,7 @@
             Outcome outcome,
             long latency,
             boolean settled,
-            Load load) {
+            LoadReport load) {
         if (!settled) {
             actions.fail(request);
         }
@@ -58,7 +58,7 @@
     public void timer(long now, long token) {}
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {}
+    public void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load) {}
 
     @Override
     public void message(long now, int from, byte[] message) {}
--- a/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
@@ -1,11 +1,11 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Decide;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.PrequalBalancer;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -44,13 +44,15 @@
     private int probes;
     private long now = Platform.SECOND;
     private long request;
-    private Balancer module;
+    private LoadBalancer module;
 
     @Setup
     public void fill() {
         int copies = Math.max(1, nodes / nodesPerCopy);
-        module = new Decide(Platform.settings(copies, 0), new SplittableRandom(1), new Hands());
-        module.endpoints(now, ListKind.FULL, Platform.nodes(nodes));
+        module =
+                new PrequalBalancer(
+                        Platform.settings(copies, 0), new SplittableRandom(1), new Hands());
+        module.endpoints(now, EndpointListKind.FULL, Platform.nodes(nodes));
         for (int i = 0; i < FIRST; i++) {
             place();
         }
@@ -83,12 +85,13 @@
                     node,
                     Outcome.OK,
                     0,
-                    new Load(node % 5, Double.NaN, 0.5, 15 + node % 10, Double.NaN, Double.NaN));
+                    new LoadReport(
+                            node % 5, Double.NaN, 0.5, 15 + node % 10, Double.NaN, Double.NaN));
         }
         return sentTo[(int) (request % OUT)];
     }
 
-    private final class Hands implements Balancer.Actions {
+    private final class Hands implements LoadBalancer.Actions {
         @Override
         public void send(long id, long endpoint, long timeout) {
             sentTo[(int) (id % OUT)] = endpoint;
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
@@ -1,16 +1,16 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.Goal;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Limits;
-import cedarrudder.Balancer.Prices;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
-import cedarrudder.Balancer.Tenant;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Limits;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.balancer.LoadBalancer.ServiceGoal;
+import cedarrudder.balancer.LoadBalancer.ServicePrices;
+import cedarrudder.balancer.LoadBalancer.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -25,8 +25,8 @@
     private Platform() {}
 
     /** What one of so many copies is told at its start. */
-    static Settings settings(int copies, int self) {
-        return new Settings(
+    static BalancerSettings settings(int copies, int self) {
+        return new BalancerSettings(
                 copies,
                 self,
                 0,
@@ -36,7 +36,7 @@
                 List.of(
                         new RequestClass(
                                 "lookup",
-                                Effect.SAFE,
+                                Idempotency.SAFE,
                                 KeyScope.ALL,
                                 150 * MS,
                                 600 * MS,
@@ -46,7 +46,7 @@
                                 false),
                         new RequestClass(
                                 "order",
-                                Effect.UNSAFE,
+                                Idempotency.UNSAFE,
                                 KeyScope.ALL,
                                 400 * MS,
                                 1500 * MS,
@@ -56,22 +56,22 @@
                                 false)),
                 List.of(new Tenant("shop", 0.6, 0), new Tenant("clinic", 0.4, 0)),
                 new Limits(true, true, true, true, 4, 2 * SECOND, 120 * MS, 30 * SECOND),
-                new Safety(2 * SECOND, 0.15, 20 * SECOND, 3, 3 * SECOND, 10 * SECOND),
-                new Goal(0.6, 0.2, 0.2, 0, 0.05),
-                new Prices(0.01, 0));
+                new SafetyRules(2 * SECOND, 0.15, 20 * SECOND, 3, 3 * SECOND, 10 * SECOND),
+                new ServiceGoal(0.6, 0.2, 0.2, 0, 0.05),
+                new ServicePrices(0.01, 0));
     }
 
     /** A list of so many ready nodes, each with an entry object of its own. */
     static List<Endpoint> nodes(int count) {
         List<Endpoint> list = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            list.add(node(i + 1, State.READY));
+            list.add(node(i + 1, EndpointStatus.READY));
         }
         return list;
     }
 
     /** One line of the list; nodes are numbered from 1. */
-    static Endpoint node(int number, State state) {
+    static Endpoint node(int number, EndpointStatus state) {
         return new Endpoint(number, 0, 0, number / CELL, state, 1, 0);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Surroundings.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/SimulatedEnvironment.java
@@ -1,16 +1,16 @@
 package cedarrudder.lab.benchmark;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.forwarding.AttemptTransport;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.Exchange;
+import cedarrudder.forwarding.RequestAttempt;
+import cedarrudder.forwarding.RequestForwarder;
+import cedarrudder.forwarding.TimerService;
 import cedarrudder.logging.Logger;
-import cedarrudder.routing.CallAttempt;
-import cedarrudder.routing.ClientSide;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Exchange;
-import cedarrudder.routing.Resolver;
-import cedarrudder.routing.Timers;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.util.List;
@@ -23,7 +23,7 @@
  * every probe answered, every timer rings. What it costs itself is shown by a balancer that decides
  * nothing.
  */
-final class Surroundings implements Timers, Resolver {
+final class SimulatedEnvironment implements TimerService, EndpointDiscovery {
 
     /** Time between two requests of this proxy. */
     private static final long BETWEEN = Platform.MS;
@@ -40,12 +40,12 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random = new SplittableRandom(1);
-    private final Driver<Object, Object> driver;
+    private final RequestForwarder<Object, Object> driver;
     private final Replies replies = new Replies();
     private long now = Platform.SECOND;
     private long order;
     private long requests;
-    private Balancer module;
+    private LoadBalancer module;
 
     /** One thing that is to happen; equal instants keep the order in which they were scheduled. */
     private static final class Event implements Comparable<Event>, Timer {
@@ -97,15 +97,15 @@
     }
 
     /** A proxy of the daemon's driver and of this module, which is told of its nodes at once. */
-    Surroundings(int nodes, Function<Balancer.Actions, Balancer> maker) {
+    SimulatedEnvironment(int nodes, Function<LoadBalancer.Actions, LoadBalancer> maker) {
         driver =
-                new Driver<>(
+                new RequestForwarder<>(
                         actions -> module = maker.apply(actions),
                         4,
                         this,
                         new Logger(new PrintStream(OutputStream.nullOutputStream())));
         driver.connect(new Client(), this, (copy, message) -> {});
-        driver.resolved(Balancer.ListKind.FULL, Platform.nodes(nodes));
+        driver.resolved(LoadBalancer.EndpointListKind.FULL, Platform.nodes(nodes));
     }
 
     /**
@@ -151,23 +151,23 @@
     }
 
     /** Something of the list of nodes changes. */
-    void changed(Balancer.ListKind kind, List<Balancer.Endpoint> entries) {
+    void changed(LoadBalancer.EndpointListKind kind, List<LoadBalancer.Endpoint> entries) {
         driver.resolved(kind, entries);
     }
 
     /** The module, to hold on to it alone. */
-    Balancer module() {
+    LoadBalancer module() {
         return module;
     }
 
-    private final class Client implements ClientSide<Object, Object> {
+    private final class Client implements AttemptTransport<Object, Object> {
         @Override
         public boolean knows(long endpoint) {
             return true;
         }
 
         @Override
-        public void start(CallAttempt<Object, Object> attempt) {
+        public void start(RequestAttempt<Object, Object> attempt) {
             if (driver.begins(attempt)) {
                 attempt.wrote(now);
                 at(now + SERVICE, () -> driver.served(attempt, ANSWER, null));
@@ -175,14 +175,14 @@
         }
 
         @Override
-        public void abandon(CallAttempt<Object, Object> attempt) {
+        public void abandon(RequestAttempt<Object, Object> attempt) {
             // Its end comes later and counts no more.
         }
 
         @Override
         public void probe(long endpoint) {
-            Load load =
-                    new Load(
+            LoadReport load =
+                    new LoadReport(
                             random.nextInt(5),
                             Double.NaN,
                             0.5,
--- a/lab/src/main/java/cedarrudder/lab/judge/OneEffect.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/AtMostOnceEffect.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,19 +16,19 @@
  * loaded} (group, index, sum, state after it) and {@code restored} (state). A group that began
  * without what an older one decided may decide it once more: what counts is what led to one state.
  */
-public final class OneEffect implements Rule {
+public final class AtMostOnceEffect implements Invariant {
 
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private final Set<String> handed = new HashSet<>();
     private final Map<String, String> outcomes = new HashMap<>();
     private final Map<String, Set<String>> takenBy = new HashMap<>();
     private final Map<String, Set<String>> effects = new HashMap<>();
     private final Map<String, String> states = new HashMap<>();
-    private final Map<String, Event> refused = new HashMap<>();
+    private final Map<String, HistoryEvent> refused = new HashMap<>();
     private final Set<String> loaded = new HashSet<>();
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         String process = event.copy() + ":" + event.life();
         switch (event.what()) {
             case "started" -> states.put(process, "");
@@ -58,7 +58,7 @@
         }
     }
 
-    private void settled(Event event) {
+    private void settled(HistoryEvent event) {
         String outcome = event.text("outcome");
         String before = outcomes.put(event.text("proposal"), outcome);
         if (before != null && !before.equals("UNKNOWN")) {
@@ -87,12 +87,12 @@
                 });
     }
 
-    private void breach(Event event, String why) {
-        breaches.add(new Breach("A3", event.at(), "copy " + event.copy() + ": " + why));
+    private void breach(HistoryEvent event, String why) {
+        breaches.add(new Violation("A3", event.at(), "copy " + event.copy() + ": " + why));
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/OutAtOnce.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ConcurrentDisruptions.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,13 +17,13 @@
  * <p>It reads {@code bound}, {@code node}, {@code leaving}, {@code drain}, and which copies can be
  * heard.
  */
-public final class OutAtOnce implements Rule {
+public final class ConcurrentDisruptions implements Invariant {
 
     private record Bound(Set<String> nodes, long most) {}
 
     private final long known;
-    private final World world = new World();
-    private final Removed removed = new Removed();
+    private final ProcessTimeline world = new ProcessTimeline();
+    private final DrainedNodes removed = new DrainedNodes();
     private final Map<String, Bound> bounds = new HashMap<>();
     private final Map<String, Long> downSince = new HashMap<>();
 
@@ -33,22 +33,23 @@
     private final Set<String> over = new HashSet<>();
     private final Set<String> returned = new HashSet<>();
     private final Set<String> told = new HashSet<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
 
     /**
      * @param known copies need not know yet of a node that went down less long ago; nanoseconds
      */
-    public OutAtOnce(long known) {
+    public ConcurrentDisruptions(long known) {
         this.known = known;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         switch (event.what()) {
             case "bound" ->
                     bounds.put(
                             event.text("name"),
-                            new Bound(Removed.names(event.text("nodes")), event.number("most")));
+                            new Bound(
+                                    DrainedNodes.names(event.text("nodes")), event.number("most")));
             case "node" -> {
                 if (event.text("mood").equals("well") || event.text("mood").equals("slow")) {
                     downSince.remove(event.text("node"));
@@ -57,7 +58,7 @@
                 }
             }
             case "leaving" -> {
-                Set<String> nodes = Removed.names(event.text("nodes"));
+                Set<String> nodes = DrainedNodes.names(event.text("nodes"));
                 for (String node : List.copyOf(over)) {
                     if (removed.of(event.life()).containsKey(node)
                             && !nodes.contains(node)
@@ -82,7 +83,7 @@
         removed.took(event);
     }
 
-    private void drain(Event event) {
+    private void drain(HistoryEvent event) {
         String node = event.text("node");
         if (!told.add(event.text("wave") + " " + node + " " + event.text("event"))) {
             return; // another copy has said it
@@ -110,7 +111,7 @@
     }
 
     /** Whether no other process keeps this node out. */
-    private boolean lastToKeep(Event event, String node) {
+    private boolean lastToKeep(HistoryEvent event, String node) {
         return world.copies().stream()
                 .flatMap(copy -> world.speaking(copy).stream())
                 .noneMatch(life -> life != event.life() && removed.of(life).containsKey(node));
@@ -137,7 +138,7 @@
     }
 
     /** Holds those that are out, this node among them, against the bounds that it is under. */
-    private void check(Event event, Set<String> decided, String node) {
+    private void check(HistoryEvent event, Set<String> decided, String node) {
         bounds.forEach(
                 (name, bound) -> {
                     Set<String> out = new TreeSet<>(decided);
@@ -150,7 +151,7 @@
                     out.retainAll(bound.nodes);
                     if (bound.nodes.contains(node) && out.size() > bound.most) {
                         breaches.add(
-                                new Breach(
+                                new Violation(
                                         "D1",
                                         event.at(),
                                         "copy "
@@ -169,7 +170,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/Drains.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/DrainInvariants.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,7 +17,7 @@
  * held to what both had heard. One that runs is not live where it stands still, or is held as dead
  * by who says so.
  */
-public final class Drains implements Rule {
+public final class DrainInvariants implements Invariant {
 
     private static final String NAME = "D2";
     private static final long MILLI = 1_000_000L;
@@ -30,27 +30,27 @@
 
     private final long stops;
     private final long grace;
-    private final World world = new World();
-    private final Beliefs beliefs = new Beliefs();
-    private final Removed removed = new Removed();
+    private final ProcessTimeline world = new ProcessTimeline();
+    private final MembershipClaims beliefs = new MembershipClaims();
+    private final DrainedNodes removed = new DrainedNodes();
     private final Map<String, Drain> drains = new HashMap<>();
     private final Set<String> told = new HashSet<>();
     private final Set<Open> open = new HashSet<>();
     private final Map<String, Set<Open>> openOf = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
 
     /**
      * @param stops nothing new reaches a node so long after a copy had the word; nanoseconds
      * @param grace what becomes of a removal is said so long after its time at the latest;
      *     nanoseconds
      */
-    public Drains(long stops, long grace) {
+    public DrainInvariants(long stops, long grace) {
         this.stops = stops;
         this.grace = grace;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         switch (event.what()) {
             case "reached" -> {
                 reached(event);
@@ -91,11 +91,11 @@
         }
     }
 
-    private static Open open(Event event) {
+    private static Open open(HistoryEvent event) {
         return new Open(event.text("node"), event.text("rpc"), event.copy());
     }
 
-    private void reached(Event event) {
+    private void reached(HistoryEvent event) {
         Set<Long> lives = world.running(event.copy());
         long since = lives.isEmpty() ? Long.MAX_VALUE : Long.MIN_VALUE;
         for (long life : lives) {
@@ -119,7 +119,7 @@
         }
     }
 
-    private void drain(Event event, String name) {
+    private void drain(HistoryEvent event, String name) {
         switch (event.text("event")) {
             case "begun" ->
                     drains.put(
@@ -141,7 +141,7 @@
         }
     }
 
-    private void empty(Event event) {
+    private void empty(HistoryEvent event) {
         for (Open call : open) {
             if (call.node.equals(event.text("node"))
                     && world.speaks(call.copy)
@@ -176,7 +176,7 @@
     }
 
     private void breach(long at, String why) {
-        breaches.add(new Breach(NAME, at, why));
+        breaches.add(new Violation(NAME, at, why));
     }
 
     @Override
@@ -185,7 +185,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/Removed.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/DrainedNodes.java
@@ -1,15 +1,15 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 
 /** Which nodes each process keeps out by common decision, by its own words, and since when. */
-final class Removed {
+final class DrainedNodes {
 
     private final Map<Long, Map<String, Long>> byLife = new HashMap<>();
 
-    void took(Event event) {
+    void took(HistoryEvent event) {
         if (event.what().equals("ended")) {
             byLife.remove(event.life());
         } else if (event.what().equals("leaving")) {
--- a/lab/src/main/java/cedarrudder/lab/judge/TrueDeaths.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/FailureDetection.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,7 +10,7 @@
  * is not held dead for longer than another, and not at all where nothing had happened to either for
  * long and nothing was lost; an old life is never believed again.
  */
-public final class TrueDeaths implements Rule {
+public final class FailureDetection implements Invariant {
 
     /**
      * What is allowed, in nanoseconds.
@@ -24,24 +24,24 @@
     private static final String NAME = "true deaths";
 
     private final Bounds bounds;
-    private final World world = new World();
-    private final Beliefs beliefs = new Beliefs();
+    private final ProcessTimeline world = new ProcessTimeline();
+    private final MembershipClaims beliefs = new MembershipClaims();
 
     /** By the life that holds it, and whom it is about. */
     private final Map<Long, Map<Integer, Long>> buried = new HashMap<>();
 
     private final Map<Long, Map<Integer, Long>> wrongSince = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private long found;
     private long longestToFind;
     private long falseDeaths;
 
-    public TrueDeaths(Bounds bounds) {
+    public FailureDetection(Bounds bounds) {
         this.bounds = bounds;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         look(event);
         switch (event.what()) {
             case "alive", "suspect" -> believed(event);
@@ -58,7 +58,7 @@
     }
 
     /** Looks at the pairs that an event is about; those of all others are as they were. */
-    private void look(Event event) {
+    private void look(HistoryEvent event) {
         switch (event.what()) {
             case "alive", "suspect", "dead" ->
                     look(event.at(), event.copy(), event.life(), (int) event.number("about"));
@@ -95,7 +95,7 @@
         }
     }
 
-    private void believed(Event event) {
+    private void believed(HistoryEvent event) {
         Long grave = buried.getOrDefault(event.life(), Map.of()).get((int) event.number("about"));
         if (grave != null && event.number("number") <= grave) {
             breach(
@@ -110,7 +110,7 @@
         }
     }
 
-    private void buried(Event event) {
+    private void buried(HistoryEvent event) {
         int about = (int) event.number("about");
         buried.computeIfAbsent(event.life(), life -> new HashMap<>())
                 .merge(about, event.number("number"), Math::max);
@@ -167,7 +167,7 @@
     }
 
     private void breach(long at, String why) {
-        breaches.add(new Breach(NAME, at, why));
+        breaches.add(new Violation(NAME, at, why));
     }
 
     @Override
@@ -191,7 +191,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/Estimates.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/FootprintInvariants.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,23 +12,23 @@
  * <p>It reads {@code estimate}, {@code took}, {@code held}, and {@code table}, which takes the load
  * "table" with its number.
  */
-public final class Estimates implements Rule {
+public final class FootprintInvariants implements Invariant {
 
     private record Estimate(boolean fits, long needed) {}
 
     private final double error;
     private final Map<Long, Map<String, Map<String, Estimate>>> byLife = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
 
     /**
      * @param error the process may hold more than was estimated by this share of it
      */
-    public Estimates(double error) {
+    public FootprintInvariants(double error) {
         this.error = error;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         switch (event.what()) {
             case "estimate" ->
                     byLife.computeIfAbsent(event.life(), life -> new HashMap<>())
@@ -59,11 +59,11 @@
         }
     }
 
-    private Map<String, Estimate> estimates(Event event, String load) {
+    private Map<String, Estimate> estimates(HistoryEvent event, String load) {
         return byLife.getOrDefault(event.life(), Map.of()).getOrDefault(load, Map.of());
     }
 
-    private void loads(Event event, String load) {
+    private void loads(HistoryEvent event, String load) {
         estimates(event, load)
                 .forEach(
                         (bound, of) -> {
@@ -73,12 +73,12 @@
                         });
     }
 
-    private void breach(Event event, String why) {
-        breaches.add(new Breach("M1", event.at(), "copy " + event.copy() + " " + why));
+    private void breach(HistoryEvent event, String why) {
+        breaches.add(new Violation("M1", event.at(), "copy " + event.copy() + " " + why));
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/History.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/History.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -27,7 +27,7 @@
     private History() {}
 
     /** An event as one line, without its end. */
-    public static String line(Event event) {
+    public static String line(HistoryEvent event) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
@@ -51,7 +51,7 @@
      * @param place what a complaint calls it
      * @throws IOException if it is no event; the message names place, found and allowed
      */
-    public static Event event(String line, String place) throws IOException {
+    public static HistoryEvent event(String line, String place) throws IOException {
         Map<String, String> fields = new TreeMap<>();
         try (JsonParser json = JSON.createParser(line)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
@@ -74,7 +74,7 @@
             }
         }
         try {
-            return new Event(
+            return new HistoryEvent(
                     Long.parseLong(taken(fields, "at", place)),
                     Integer.parseInt(taken(fields, "copy", place)),
                     Long.parseLong(taken(fields, "life", place)),
@@ -90,8 +90,8 @@
      * Reads files, one a copy, and puts events in the order of time; of one instant in that of the
      * files.
      */
-    public static List<Event> read(List<Path> files) throws IOException {
-        List<Event> all = new ArrayList<>();
+    public static List<HistoryEvent> read(List<Path> files) throws IOException {
+        List<HistoryEvent> all = new ArrayList<>();
         for (Path file : files) {
             String text = Files.readString(file);
             int line = 0;
@@ -101,7 +101,7 @@
                 from = to + 1;
             }
         }
-        all.sort(Comparator.comparingLong(Event::at));
+        all.sort(Comparator.comparingLong(HistoryEvent::at));
         return all;
     }
 
@@ -112,12 +112,13 @@
      * @param until when the history ended
      * @return what was broken, rule by rule in the order given
      */
-    public static List<Breach> judged(List<Event> events, long until, List<? extends Rule> rules) {
-        for (Event event : events) {
+    public static List<Violation> judged(
+            List<HistoryEvent> events, long until, List<? extends Invariant> rules) {
+        for (HistoryEvent event : events) {
             rules.forEach(rule -> rule.took(event));
         }
         rules.forEach(rule -> rule.ended(until));
-        return rules.stream().map(Rule::breaches).<Breach>mapMulti(List::forEach).toList();
+        return rules.stream().map(Invariant::breaches).<Violation>mapMulti(List::forEach).toList();
     }
 
     private static String taken(Map<String, String> fields, String name, String place)
--- a/lab/src/main/java/cedarrudder/lab/judge/Event.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/HistoryEvent.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.Map;
 import java.util.NoSuchElementException;
@@ -14,9 +14,9 @@
  * @param what what happened, a word
  * @param fields what else is known of it, as text
  */
-public record Event(long at, int copy, long life, String what, Map<String, String> fields) {
+public record HistoryEvent(long at, int copy, long life, String what, Map<String, String> fields) {
 
-    public Event {
+    public HistoryEvent {
         fields = Map.copyOf(fields);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/judge/Rule.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/Invariant.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.List;
 
@@ -6,10 +6,10 @@
  * One thing that must hold of many copies. It is told all that happened, in the order of time, and
  * knows nothing of the code that did it. For one history and one thread.
  */
-public interface Rule {
+public interface Invariant {
 
     /** Something happened, no sooner than all that was told before. */
-    void took(Event event);
+    void took(HistoryEvent event);
 
     /**
      * The history is over.
@@ -19,5 +19,5 @@
     default void ended(long at) {}
 
     /** What was broken so far, the first breach first. */
-    List<Breach> breaches();
+    List<Violation> breaches();
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/SureContact.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/LeaderContactBound.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,15 +10,15 @@
  * <p>It reads {@code sure} (since: what the copy believes, on the one clock of the run; reached:
  * what datagrams can have told it, on the same).
  */
-public final class SureContact implements Rule {
+public final class LeaderContactBound implements Invariant {
 
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         if (event.what().equals("sure") && event.number("since") > event.number("reached")) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             "contact",
                             event.at(),
                             "copy "
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/Leases.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/LeaseSafety.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,9 +11,9 @@
  * majority of the voters by any way.
  *
  * <p>It reads {@code table}, {@code lapsed}, {@code renewed}, {@code used}, {@code seated}, and
- * what {@link World} knows of copies and ways.
+ * what {@link ProcessTimeline} knows of copies and ways.
  */
-public final class Leases implements Rule {
+public final class LeaseSafety implements Invariant {
 
     private static final String NAME = "F3";
     private static final long MILLI = 1_000_000L;
@@ -22,23 +22,23 @@
     private record Held(long number, long lease) {}
 
     private final long underWay;
-    private final Contact contact = new Contact();
+    private final MajorityContact contact = new MajorityContact();
     private final Map<Long, Held> held = new HashMap<>();
 
     /** From when on a process's lease counts, where it says that. */
     private final Map<Long, Long> since = new HashMap<>();
 
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
 
     /**
      * @param underWay a word may be so old when it arrives; nanoseconds
      */
-    public Leases(long underWay) {
+    public LeaseSafety(long underWay) {
         this.underWay = underWay;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         contact.took(event);
         switch (event.what()) {
             case "table" ->
@@ -51,7 +51,7 @@
         }
     }
 
-    private void used(Event event) {
+    private void used(HistoryEvent event) {
         Held table = held.get(event.life());
         if (table == null || table.number != event.number("number")) {
             breach(
@@ -81,12 +81,12 @@
         }
     }
 
-    private void breach(Event event, String why) {
-        breaches.add(new Breach(NAME, event.at(), "copy " + event.copy() + " " + why));
+    private void breach(HistoryEvent event, String why) {
+        breaches.add(new Violation(NAME, event.at(), "copy " + event.copy() + " " + why));
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/Contact.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MajorityContact.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -10,7 +10,7 @@
  * When each copy could last hear of a majority of the voters: by copies that speak and ways of
  * which one direction at the least is whole. As long as no voters were told of, all can.
  */
-final class Contact {
+final class MajorityContact {
 
     /**
      * What lasted for less than this between two changes is not looked at: a cut is told way by
@@ -18,7 +18,7 @@
      */
     private static final long BURST = 1_000_000L;
 
-    private final World world = new World();
+    private final ProcessTimeline world = new ProcessTimeline();
     private Set<Integer> voters = Set.of();
     private String group = "";
     private long index = -1;
@@ -33,7 +33,7 @@
     private long changedAt;
     private boolean looked = true;
 
-    void took(Event event) {
+    void took(HistoryEvent event) {
         switch (event.what()) {
             case "speaks", "silent", "ended", "stopped", "continued", "cut", "healed" ->
                     changes(event);
@@ -55,7 +55,7 @@
     }
 
     /** What was so until now is kept. */
-    private void changes(Event event) {
+    private void changes(HistoryEvent event) {
         if (event.at() - changedAt > BURST || looked) {
             look(event.at());
             changedAt = event.at();
--- a/lab/src/main/java/cedarrudder/lab/judge/Beliefs.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MembershipClaims.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,11 +7,11 @@
  * Whom each process holds as dead, by its own words; before it says anything of a copy it holds it
  * as live.
  */
-final class Beliefs {
+final class MembershipClaims {
 
     private final Map<Long, Map<Integer, Boolean>> byLife = new HashMap<>();
 
-    void took(Event event) {
+    void took(HistoryEvent event) {
         switch (event.what()) {
             case "alive", "suspect", "dead" ->
                     byLife.computeIfAbsent(event.life(), l -> new HashMap<>())
--- a/lab/src/main/java/cedarrudder/lab/judge/Views.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MembershipConvergence.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,7 +8,7 @@
  * After the faults end, all live copies hold one view of who lives, and it is true, within a stated
  * time.
  */
-public final class Views implements Rule {
+public final class MembershipConvergence implements Invariant {
 
     private static final String NAME = "views";
 
@@ -19,21 +19,21 @@
             Set.of("started", "speaks", "silent", "ended", "stopped", "continued");
 
     private final long within;
-    private final World world = new World();
-    private final Beliefs beliefs = new Beliefs();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final ProcessTimeline world = new ProcessTimeline();
+    private final MembershipClaims beliefs = new MembershipClaims();
+    private final List<Violation> breaches = new ArrayList<>();
     private long wrongs;
     private long wrongUntil = Long.MIN_VALUE;
 
     /**
      * @param within from the end of the faults, in nanoseconds
      */
-    public Views(long within) {
+    public MembershipConvergence(long within) {
         this.within = within;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         if (world.overAt() <= event.at() && wrongs > 0) {
             wrongUntil = event.at(); // what was so until now
         }
@@ -52,7 +52,7 @@
     }
 
     /** Whether the belief that an event is about is wrong, as a number. */
-    private int wrong(long life, Event event) {
+    private int wrong(long life, HistoryEvent event) {
         return world.speaking(event.copy()).contains(life)
                         && wrong(event.copy(), life, (int) event.number("about"))
                 ? 1
@@ -101,15 +101,15 @@
     @Override
     public void ended(long at) {
         if (at < world.overAt() || at - world.overAt() < within) {
-            breaches.add(new Breach(NAME, at, "the history ends before copies have to agree"));
+            breaches.add(new Violation(NAME, at, "the history ends before copies have to agree"));
             return;
         }
         String wrong = wrong();
         if (!wrong.isEmpty()) {
-            breaches.add(new Breach(NAME, at, wrong));
+            breaches.add(new Violation(NAME, at, wrong));
         } else if (agreedAfter() > within) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             NAME,
                             wrongUntil,
                             "copies agreed only after " + agreedAfter() / 1_000_000 + " ms"));
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/World.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ProcessTimeline.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,7 +13,7 @@
  * {@code drained} of a copy that gets forged datagrams; {@code over} when no more faults come.
  * Those of the copies ({@code speaks}, {@code silent}) tell which process speaks for a number.
  */
-final class World {
+final class ProcessTimeline {
 
     private final Map<Integer, Set<Long>> running = new HashMap<>();
     private final Map<Integer, Set<Long>> speaking = new HashMap<>();
@@ -27,7 +27,7 @@
     private long lastDisturbance = Long.MIN_VALUE / 2;
     private long overAt = Long.MAX_VALUE;
 
-    void took(Event event) {
+    void took(HistoryEvent event) {
         int copy = event.copy();
         switch (event.what()) {
             case "started" -> {
@@ -71,7 +71,7 @@
         }
     }
 
-    private void disturb(Event event) {
+    private void disturb(HistoryEvent event) {
         disturbedAt.put(event.copy(), event.at());
         lastDisturbance = event.at();
     }
--- a/lab/src/main/java/cedarrudder/lab/judge/Plans.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/RouteTableHistory.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** The route tables in the order of their numbers, each as the first copy tells it. */
-final class Plans {
+final class RouteTableHistory {
 
     /** What a table gives of one zone's calls to another; {@code parts} of 10,000. */
     record Part(int from, int to, String way, int parts) {}
@@ -21,7 +21,7 @@
     private List<Part> before = List.of();
 
     /** Whether this is the first word of a table later than all that were told. */
-    boolean took(Event event) {
+    boolean took(HistoryEvent event) {
         if (!event.what().equals("table") || event.number("number") <= newest) {
             return false;
         }
--- a/lab/src/main/java/cedarrudder/lab/judge/OneAnswer.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleFinalAnswer.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,20 +14,20 @@
  * Nothing is owed by a process that was killed or stood still meanwhile, nor for what was asked so
  * long after its last process was told to end that it need not listen any more.
  */
-public final class OneAnswer implements Rule {
+public final class SingleFinalAnswer implements Invariant {
 
     private static final String NAME = "one answer";
 
     private final long patience;
     private final long listens;
     private final int atTheDoor;
-    private final Map<String, Event> open = new HashMap<>();
-    private final Map<String, Event> answered = new HashMap<>();
+    private final Map<String, HistoryEvent> open = new HashMap<>();
+    private final Map<String, HistoryEvent> answered = new HashMap<>();
     private final Map<Integer, Long> toldAt = new HashMap<>();
     private final Map<Integer, Set<Long>> lives = new HashMap<>();
     private final Map<Integer, Integer> doors = new HashMap<>();
     private final Set<Integer> excused = new HashSet<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private long asked;
 
     /**
@@ -36,14 +36,14 @@
      * @param atTheDoor so many connections may be reset when one of two processes closes its door:
      *     what the users allow an upgrade, since the kernel gives no way to prevent it
      */
-    public OneAnswer(long patience, long listens, int atTheDoor) {
+    public SingleFinalAnswer(long patience, long listens, int atTheDoor) {
         this.patience = patience;
         this.listens = listens;
         this.atTheDoor = atTheDoor;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         switch (event.what()) {
             case "asked" -> {
                 asked++;
@@ -56,7 +56,7 @@
             case "answered" -> {
                 if (answered.put(event.text("rpc"), event) != null) {
                     breaches.add(
-                            new Breach(
+                            new Violation(
                                     NAME,
                                     event.at(),
                                     "RPC "
@@ -91,7 +91,7 @@
         }
     }
 
-    private void broke(Event event) {
+    private void broke(HistoryEvent event) {
         if (open.remove(event.text("rpc")) == null) {
             return;
         }
@@ -100,7 +100,7 @@
             doors.put(event.copy(), left - 1);
         } else {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             NAME,
                             event.at(),
                             "RPC "
@@ -112,10 +112,10 @@
         }
     }
 
-    private void check(Event answer, Event asked) {
+    private void check(HistoryEvent answer, HistoryEvent asked) {
         if (asked != null && answer.at() - asked.at() > patience) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             NAME,
                             answer.at(),
                             "RPC "
@@ -130,10 +130,10 @@
 
     @Override
     public void ended(long at) {
-        for (Event each : open.values()) {
+        for (HistoryEvent each : open.values()) {
             if (at - each.at() > patience) {
                 breaches.add(
-                        new Breach(
+                        new Violation(
                                 NAME,
                                 at,
                                 "RPC "
@@ -151,7 +151,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/OneLeader.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleLeader.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,9 +14,9 @@
  * {@code seated} (group, voters), {@code voted} (group, term, as: its life as a voter, for) and
  * {@code leads} (group, term, as).
  */
-public final class OneLeader implements Rule {
+public final class SingleLeader implements Invariant {
 
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private final Map<String, String> leaders = new HashMap<>();
     private final Map<String, String> votes = new HashMap<>();
     private final Set<String> seated = new HashSet<>();
@@ -29,7 +29,7 @@
     private final Map<Integer, Long> lastLife = new HashMap<>();
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         switch (event.what()) {
             case "started", "joins" -> {
                 if (!event.fields().containsKey("kept")) {
@@ -63,7 +63,7 @@
         }
     }
 
-    private void voted(Event event) {
+    private void voted(HistoryEvent event) {
         String who = event.copy() + ":" + event.text("as");
         if (!remembers
                 .computeIfAbsent(who, w -> new HashSet<>(Set.of(event.life())))
@@ -81,16 +81,16 @@
         }
     }
 
-    private static String term(Event event) {
+    private static String term(HistoryEvent event) {
         return event.text("group") + " term " + event.text("term");
     }
 
-    private void breach(Event event, String why) {
-        breaches.add(new Breach("A2", event.at(), "copy " + event.copy() + ": " + why));
+    private void breach(HistoryEvent event, String why) {
+        breaches.add(new Violation("A2", event.at(), "copy " + event.copy() + ": " + why));
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/OneVoice.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleSpeaker.java
@@ -1,20 +1,20 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** At no time do two processes speak for one number. */
-public final class OneVoice implements Rule {
+public final class SingleSpeaker implements Invariant {
 
-    private final World world = new World();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final ProcessTimeline world = new ProcessTimeline();
+    private final List<Violation> breaches = new ArrayList<>();
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         world.took(event);
         if (event.what().equals("speaks") && world.speaking(event.copy()).size() > 1) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             "one voice",
                             event.at(),
                             "processes "
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/OneTable.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleTable.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,7 +18,7 @@
  * the entry, state after it) and {@code restored} (group, index, state, as). Groups are texts that
  * sort as they follow one another; voters are {@code copy:life}, with commas between.
  */
-public final class OneTable implements Rule {
+public final class SingleTable implements Invariant {
 
     private record Place(String group, long index) {}
 
@@ -26,7 +26,7 @@
     private record Proposed(Place place, String sum, Set<String> voters) {}
 
     private final long unwritten;
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private final Map<Place, Long> firstStored = new HashMap<>();
     private final Map<Integer, List<Long>> kills = new HashMap<>();
     private final Map<Place, String> states = new HashMap<>();
@@ -38,7 +38,7 @@
     private final Map<String, Place> newest = new HashMap<>();
 
     /** For histories without holes. */
-    public OneTable() {
+    public SingleTable() {
         this(0);
     }
 
@@ -47,12 +47,12 @@
      *     history; nanoseconds. A voter killed so soon after an entry was first stored may have had
      *     it.
      */
-    public OneTable(long unwritten) {
+    public SingleTable(long unwritten) {
         this.unwritten = unwritten;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         switch (event.what()) {
             case "doomed" ->
                     kills.computeIfAbsent(event.copy(), c -> new ArrayList<>()).add(event.at());
@@ -87,23 +87,23 @@
         }
     }
 
-    private static Place place(Event event) {
+    private static Place place(HistoryEvent event) {
         return new Place(event.text("group"), event.number("index"));
     }
 
-    private static Set<String> voters(Event event) {
+    private static Set<String> voters(HistoryEvent event) {
         return Set.of(event.text("voters").split(","));
     }
 
     private void same(
-            Event event, Place place, Map<Place, String> held, String found, String what) {
+            HistoryEvent event, Place place, Map<Place, String> held, String found, String what) {
         String other = held.putIfAbsent(place, found);
         if (other != null && !other.equals(found)) {
             breach(event, "two of " + place + ": " + what + " " + other + " and " + found);
         }
     }
 
-    private void rises(Event event, Place place) {
+    private void rises(HistoryEvent event, Place place) {
         Place before = newest.put(event.copy() + ":" + event.life(), place);
         if (before != null
                 && (before.group.compareTo(place.group) > 0
@@ -116,7 +116,7 @@
      * By the voters of its index, or by later ones that had it with the entry that made them
      * voters.
      */
-    private void remembered(Event event, Place place) {
+    private void remembered(HistoryEvent event, Place place) {
         Set<String> have = holders(place, event.text("sum"));
         TreeMap<Long, Set<String>> all = seated.getOrDefault(place.group, new TreeMap<>());
         Map.Entry<Long, Set<String>> then = all.floorEntry(place.index);
@@ -171,12 +171,12 @@
                 .anyMatch(at -> at >= stored && at - stored <= unwritten);
     }
 
-    private void breach(Event event, String why) {
-        breaches.add(new Breach("A1", event.at(), "copy " + event.copy() + ": " + why));
+    private void breach(HistoryEvent event, String why) {
+        breaches.add(new Violation("A1", event.at(), "copy " + event.copy() + ": " + why));
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/HeldTable.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/TableConvergence.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,16 +12,16 @@
  *
  * <p>It reads {@code table} with all its fields, {@code lapsed}, and which processes speak.
  */
-public final class HeldTable implements Rule {
+public final class TableConvergence implements Invariant {
 
     private record Held(long number, String content) {}
 
     private final long within;
-    private final World world = new World();
+    private final ProcessTimeline world = new ProcessTimeline();
     private final Map<Long, Held> held = new HashMap<>();
     private final Map<Long, Long> highest = new HashMap<>();
     private final Map<Long, String> contents = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private long differSince = Long.MAX_VALUE;
     private String how = "";
 
@@ -29,12 +29,12 @@
      * @param within they are one again by then, from the end of the faults or the difference's
      *     beginning
      */
-    public HeldTable(long within) {
+    public TableConvergence(long within) {
         this.within = within;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         world.took(event);
         if (event.what().equals("table")) {
             Held now = new Held(event.number("number"), event.fields().toString());
@@ -59,11 +59,11 @@
         }
     }
 
-    private void numbers(Event event, Held now) {
+    private void numbers(HistoryEvent event, Held now) {
         String other = contents.putIfAbsent(now.number, now.content);
         if (other != null && !other.equals(now.content)) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             "A1",
                             event.at(),
                             "copy "
@@ -78,7 +78,7 @@
         Long before = highest.put(event.life(), now.number);
         if (before != null && before > now.number) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             "A1",
                             event.at(),
                             "copy "
@@ -131,7 +131,7 @@
     private void check(long now) {
         if (differSince != Long.MAX_VALUE && now - differSince > within && !contents.isEmpty()) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             "one table",
                             now,
                             "copies held no one table for "
@@ -147,12 +147,13 @@
         check(at);
         if (!contents.isEmpty() && (at < world.overAt() || at - world.overAt() < within)) {
             breaches.add(
-                    new Breach("one table", at, "the history ends before copies have to hold one"));
+                    new Violation(
+                            "one table", at, "the history ends before copies have to hold one"));
         }
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/Breach.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/Violation.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 /**
  * One rule broken.
@@ -7,4 +7,4 @@
  * @param at when, on the clock of the events
  * @param why what was seen, in a sentence
  */
-public record Breach(String rule, long at, String why) {}
+public record Violation(String rule, long at, String why) {}
--- a/lab/src/main/java/cedarrudder/lab/judge/ZoneLeft.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ZoneEvacuation.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
  *
  * <p>It reads {@code placed}, {@code saw}, {@code table}, {@code evacuated}, {@code reopened}.
  */
-public final class ZoneLeft implements Rule {
+public final class ZoneEvacuation implements Invariant {
 
     /** What a copy saw of a zone: when it last was served there, and when calls failed. */
     private static final class Seen {
@@ -25,22 +25,22 @@
     }
 
     private final long window;
-    private final World world = new World();
-    private final Plans plans = new Plans();
+    private final ProcessTimeline world = new ProcessTimeline();
+    private final RouteTableHistory plans = new RouteTableHistory();
     private final Map<Integer, Integer> zones = new HashMap<>();
     private final Map<Integer, Map<Integer, Seen>> seen = new HashMap<>();
     private final Set<Integer> evacuated = new HashSet<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
 
     /**
      * @param window what was seen longer ago is no ground; nanoseconds
      */
-    public ZoneLeft(long window) {
+    public ZoneEvacuation(long window) {
         this.window = window;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         world.took(event);
         switch (event.what()) {
             case "placed" -> zones.put(event.copy(), (int) event.number("zone"));
@@ -67,7 +67,7 @@
         }
     }
 
-    private void check(Event event, int zone) {
+    private void check(HistoryEvent event, int zone) {
         long since = event.at() - window;
         Set<Integer> against = new TreeSet<>();
         Set<Integer> served = new HashSet<>();
@@ -90,7 +90,7 @@
         long well = others.stream().filter(served::contains).count();
         if (well * 2 > others.size()) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             "F1",
                             event.at(),
                             "table "
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/judge/ZoneLoad.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ZoneLoad.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * copies last said that they saw of it, until they say something else. A zone of which the world
  * tells no capacity is not looked at.
  */
-public final class ZoneLoad implements Rule {
+public final class ZoneLoad implements Invariant {
 
     /**
      * What is allowed.
@@ -33,20 +33,20 @@
     private static final long MINUTE = 60 * SECOND;
 
     private final Bounds bounds;
-    private final Plans plans = new Plans();
+    private final RouteTableHistory plans = new RouteTableHistory();
     private final Map<Integer, Double> capacity = new HashMap<>();
     private final Map<Integer, Map<Integer, Double>> sends = new HashMap<>();
     private final Map<Integer, Double> gets = new HashMap<>();
     private final Map<Integer, Long> overSince = new HashMap<>();
     private final Map<Integer, Deque<Long>> moves = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
 
     public ZoneLoad(Bounds bounds) {
         this.bounds = bounds;
     }
 
     @Override
-    public void took(Event event) {
+    public void took(HistoryEvent event) {
         switch (event.what()) {
             case "capacity" -> {
                 double next = event.number("per_s");
@@ -89,7 +89,7 @@
             Long since = overSince.get(zone);
             if (since != null && now - since > bounds.within) {
                 breaches.add(
-                        new Breach(
+                        new Violation(
                                 "F2",
                                 now,
                                 "zone "
@@ -125,7 +125,7 @@
         return most > 0 ? now / most : now > 0 ? Double.MAX_VALUE : 1;
     }
 
-    private void moved(Event event, int zone) {
+    private void moved(HistoryEvent event, int zone) {
         Deque<Long> last = moves.computeIfAbsent(zone, z -> new ArrayDeque<>());
         last.add(event.at());
         while (last.peek() <= event.at() - MINUTE) {
@@ -133,7 +133,7 @@
         }
         if (last.size() > bounds.moves) {
             breaches.add(
-                    new Breach(
+                    new Violation(
                             "F2",
                             event.at(),
                             "table "
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return breaches;
     }
 }
