--- a/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
@@ -1,19 +1,19 @@
 package cedarrudder.lab.cluster;
 
-import cedarrudder.drainage.Policy;
+import cedarrudder.draining.DrainPolicy;
 import cedarrudder.lab.attack.ScriptedNodes;
 import cedarrudder.lab.attack.ScriptedNodes.Mood;
 import cedarrudder.lab.attack.ToySite;
-import cedarrudder.lab.emulator.Place;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
-import cedarrudder.operator.DrainsFile;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.emulator.HostEnvironment;
+import cedarrudder.operator.DrainsConfiguration;
 import cedarrudder.operator.DrainsTable;
-import cedarrudder.operator.Operator;
-import cedarrudder.protocol.ResolverResultReader;
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
-import cedarrudder.toml.Table;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.protocol.EndpointListParser;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.ConfigTable;
+import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -42,13 +42,13 @@
     private static final long END_OF_NODE_MILLIS = 3_000;
 
     private final Script script;
-    private final Place place;
-    private final Chronicle chronicle;
+    private final HostEnvironment place;
+    private final HistoryRecorder chronicle;
     private final ScriptedNodes nodes;
     private final Mood[] moods;
     private final long[] starts;
-    private final List<Discovery> discoveries = new ArrayList<>();
-    private final List<Copy> copies = new ArrayList<>();
+    private final List<DiscoveryStub> discoveries = new ArrayList<>();
+    private final List<ReplicaProcess> copies = new ArrayList<>();
     private final Relay relay;
     private final ExecutorService beside =
             Executors.newCachedThreadPool(
@@ -62,15 +62,15 @@
     private final Set<Integer> unlisted = ConcurrentHashMap.newKeySet();
     private long version = 1;
 
-    private Cluster(Script script, long seed, Place place)
+    private Cluster(Script script, long seed, HostEnvironment place)
             throws IOException, InterruptedException {
         this.script = script;
         this.place = place;
-        chronicle = new Chronicle(place.folder().resolve("world.jsonl"));
+        chronicle = new HistoryRecorder(place.folder().resolve("world.jsonl"));
         moods = new Mood[script.nodes()];
         starts = new long[script.nodes()];
         for (int i = 0; i < script.copies(); i++) {
-            copies.add(new Copy(i, place, chronicle));
+            copies.add(new ReplicaProcess(i, place, chronicle));
         }
         nodes =
                 new ScriptedNodes(
@@ -78,11 +78,11 @@
                         copies.stream().map(copy -> copy.peers().getAddress()).toList(),
                         new NodeWords());
         for (int i = 0; i < script.copies(); i++) {
-            discoveries.add(new Discovery(list(i)));
+            discoveries.add(new DiscoveryStub(list(i)));
             chronicle.tell(i, 0, "placed", Map.of("zone", Integer.toString(script.zone(i))));
         }
         mood(IntStream.range(0, script.nodes()).boxed().toList(), Mood.WELL);
-        relay = new Relay(copies.stream().map(Copy::peers).toList(), seed);
+        relay = new Relay(copies.stream().map(ReplicaProcess::peers).toList(), seed);
         for (int i = 0; i < copies.size(); i++) {
             copies.get(i).configure(configuration(i, seed), operator(i));
         }
@@ -103,7 +103,7 @@
 
     /** As copies call a node in their histories. */
     private static String name(int node) {
-        return Long.toString(ResolverResultReader.hash("node-" + node));
+        return Long.toString(EndpointListParser.hash("node-" + node));
     }
 
     /** The list of nodes as a copy's discovery tells it. */
@@ -134,7 +134,7 @@
             moods[node] = mood;
             nodes.mood(node, mood);
             chronicle.tell(
-                    Chronicle.NOBODY,
+                    HistoryRecorder.NOBODY,
                     0,
                     "node",
                     Map.of(
@@ -143,7 +143,7 @@
                             "zone",
                             Integer.toString(script.zone(node)),
                             "mood",
-                            Table.written(mood)));
+                            ConfigTable.written(mood)));
             starts[node] = mood == Mood.COLD ? System.currentTimeMillis() : starts[node];
         }
         if (mood == Mood.COLD) {
@@ -160,7 +160,7 @@
      * @throws IOException if something can't be started or written
      * @throws InterruptedException if the calling thread is interrupted; the run is given up
      */
-    public static Verdict play(Script script, long seed, Place place)
+    public static Verdict play(Script script, long seed, HostEnvironment place)
             throws IOException, InterruptedException {
         Cluster cluster = new Cluster(script, seed, place);
         try {
@@ -175,7 +175,7 @@
     }
 
     private String configuration(int self, long seed) {
-        Copy copy = copies.get(self);
+        ReplicaProcess copy = copies.get(self);
         String peers =
                 IntStream.range(0, copies.size())
                         .mapToObj(
@@ -232,10 +232,10 @@
     }
 
     private Verdict play() throws IOException, InterruptedException {
-        chronicle.tell(Chronicle.NOBODY, 0, "weather", Map.of("calm", "1"));
-        for (Policy policy : bounds()) {
+        chronicle.tell(HistoryRecorder.NOBODY, 0, "weather", Map.of("calm", "1"));
+        for (DrainPolicy policy : bounds()) {
             chronicle.tell(
-                    Chronicle.NOBODY,
+                    HistoryRecorder.NOBODY,
                     0,
                     "bound",
                     Map.of(
@@ -249,7 +249,7 @@
                             Integer.toString(policy.tier().of(script.nodes()))));
         }
         List<Path> logs = new ArrayList<>();
-        for (Copy copy : copies) {
+        for (ReplicaProcess copy : copies) {
             logs.add(copy.start());
         }
         long readyBy = System.nanoTime() + READY;
@@ -259,16 +259,17 @@
             }
         }
         long until;
-        Callers callers = new Callers(copies.stream().map(Copy::address).toList(), chronicle);
+        TestClients callers =
+                new TestClients(copies.stream().map(ReplicaProcess::address).toList(), chronicle);
         try {
             long begins = System.nanoTime();
-            for (Step step : script.steps()) {
+            for (ScriptStep step : script.steps()) {
                 TimeUnit.NANOSECONDS.sleep(begins + step.at() - System.nanoTime());
                 take(step);
             }
             TimeUnit.NANOSECONDS.sleep(begins + script.length() - System.nanoTime());
             mend();
-            chronicle.tell(Chronicle.NOBODY, 0, "over", Map.of());
+            chronicle.tell(HistoryRecorder.NOBODY, 0, "over", Map.of());
             TimeUnit.NANOSECONDS.sleep(script.settle());
             until = System.nanoTime();
         } finally {
@@ -282,16 +283,16 @@
     }
 
     /** What all wrote until then; a rule is told of nothing that came of the end. */
-    private List<Event> events(long until) throws IOException {
+    private List<HistoryEvent> events(long until) throws IOException {
         List<Path> files = new ArrayList<>(List.of(place.folder().resolve("world.jsonl")));
         copies.forEach(copy -> files.addAll(copy.histories()));
         return History.read(files).stream().filter(event -> event.at() <= until).toList();
     }
 
-    private void take(Step step) throws IOException, InterruptedException {
+    private void take(ScriptStep step) throws IOException, InterruptedException {
         List<Integer> whom = step.leader() ? leader() : step.copies();
         for (int number : whom) {
-            Copy copy = copies.get(number);
+            ReplicaProcess copy = copies.get(number);
             switch (step.act()) {
                 case KILL -> copy.kill();
                 case BACK -> back(copy);
@@ -303,7 +304,7 @@
                         begun.add(
                                 beside.submit(
                                         () -> {
-                                            upgrade(copy, step.act() == Act.UPGRADE);
+                                            upgrade(copy, step.act() == ScriptAction.UPGRADE);
                                             return null;
                                         }));
                 case CALL ->
@@ -369,25 +370,27 @@
         return History.read(files).stream()
                 .filter(event -> event.what().equals("leads"))
                 .reduce((first, second) -> second)
-                .map(Event::copy)
+                .map(HistoryEvent::copy)
                 .stream()
                 .toList();
     }
 
-    private void remove(Step step) throws InterruptedException {
-        Removal removal = new Removal(copies.stream().map(Copy::admin).toList(), this::unlist);
+    private void remove(ScriptStep step) throws InterruptedException {
+        OperatorRemoval removal =
+                new OperatorRemoval(
+                        copies.stream().map(ReplicaProcess::admin).toList(), this::unlist);
         long began = System.nanoTime();
-        if (step.act() == Act.REMOVE) {
+        if (step.act() == ScriptAction.REMOVE) {
             removal.byDrains(step.nodes(), step.copies());
         } else {
             removal.byHand(
                     step.nodes(),
                     step.copies(),
                     atOnce(),
-                    bounds().stream().mapToLong(Policy::pace).max().orElse(0) / 1_000_000);
+                    bounds().stream().mapToLong(DrainPolicy::pace).max().orElse(0) / 1_000_000);
         }
         chronicle.tell(
-                Chronicle.NOBODY,
+                HistoryRecorder.NOBODY,
                 0,
                 "removed",
                 Map.of(
@@ -405,16 +408,16 @@
                 .orElse(1);
     }
 
-    private List<Policy> bounds() {
+    private List<DrainPolicy> bounds() {
         try {
-            DrainsFile file =
-                    Operator.read(
-                                    Document.parse(
+            DrainsConfiguration file =
+                    OperatorFile.read(
+                                    ConfigDocument.parse(
                                             "operator",
                                             script.operator() + ScriptReader.MEMBERSHIP))
                             .of(DrainsTable.DRAINS);
             return file == null ? List.of() : file.policies();
-        } catch (BadFileException e) {
+        } catch (InvalidFileException e) {
             throw new IllegalStateException("the script was read with it", e);
         }
     }
@@ -434,7 +437,7 @@
                 });
     }
 
-    private static void back(Copy copy) throws IOException, InterruptedException {
+    private static void back(ReplicaProcess copy) throws IOException, InterruptedException {
         if (copy.ends()) {
             copy.awaitEnd(END_MILLIS);
         }
@@ -443,7 +446,7 @@
         }
     }
 
-    private static void upgrade(Copy copy, boolean together)
+    private static void upgrade(ReplicaProcess copy, boolean together)
             throws IOException, InterruptedException {
         if (copy.runs()
                 && copy.awaitServing(
@@ -459,10 +462,10 @@
         chronicle.tell(copy, 0, "drained", Map.of());
     }
 
-    private void weather(Weather next) {
+    private void weather(NetworkConditions next) {
         relay.weather(next);
         chronicle.tell(
-                Chronicle.NOBODY,
+                HistoryRecorder.NOBODY,
                 0,
                 "weather",
                 Map.of("calm", next.calm() ? "1" : "0", "loss", Double.toString(next.loss())));
@@ -491,7 +494,7 @@
     }
 
     /** Cuts what goes between copies of one side and nodes of the other. */
-    private void cutNodes(List<Integer> these, Sides sides) {
+    private void cutNodes(List<Integer> these, NetworkPartition sides) {
         for (int copy = 0; copy < copies.size(); copy++) {
             boolean here = these.contains(copy);
             boolean there = !here && (sides.others().isEmpty() || sides.others().contains(copy));
@@ -528,22 +531,22 @@
             }
         }
         heal();
-        weather(Weather.CALM);
+        weather(NetworkConditions.CALM);
         for (int i = 0; i < script.nodes(); i++) {
             if (!unlisted.contains(i)) {
                 nodes.mood(i, Mood.WELL); // also to those copies to which alone it did otherwise
                 mood(List.of(i), Mood.WELL);
             }
         }
-        for (Copy copy : copies) {
+        for (ReplicaProcess copy : copies) {
             copy.signal("CONT", "", "continued");
             back(copy);
         }
     }
 
     private void end() throws InterruptedException {
-        copies.forEach(Copy::kill);
-        for (Copy copy : copies) {
+        copies.forEach(ReplicaProcess::kill);
+        for (ReplicaProcess copy : copies) {
             copy.awaitEnd(END_MILLIS);
         }
     }
@@ -552,10 +555,10 @@
         end();
         beside.shutdownNow();
         relay.end();
-        for (Copy copy : copies) {
+        for (ReplicaProcess copy : copies) {
             copy.close();
         }
-        for (Discovery discovery : discoveries) {
+        for (DiscoveryStub discovery : discoveries) {
             discovery.close();
         }
         nodes.close();
--- a/lab/src/main/java/cedarrudder/lab/cluster/Discovery.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/DiscoveryStub.java
@@ -13,7 +13,7 @@
 /**
  * A discovery: it answers calls with its list, pushes a new one to watches, and keeps them alive.
  */
-final class Discovery implements Closeable {
+final class DiscoveryStub implements Closeable {
 
     private static final int BACKLOG = 128;
     private static final int ALIVE_MILLIS = 2_000;
@@ -26,7 +26,7 @@
     /**
      * @param list the whole list as one line of JSON
      */
-    Discovery(String list) throws IOException {
+    DiscoveryStub(String list) throws IOException {
         this.list = list;
         start(this::accept);
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Chronicle.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/HistoryRecorder.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.cluster;
 
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -14,7 +14,7 @@
  * clock as the copies' own histories: {@link System#nanoTime} is one for all processes of a machine
  * on Linux. From any thread.
  */
-final class Chronicle implements AutoCloseable {
+final class HistoryRecorder implements AutoCloseable {
 
     /** Of events that are about no copy. */
     static final int NOBODY = -1;
@@ -22,7 +22,7 @@
     private final BufferedWriter out;
     private boolean closed;
 
-    Chronicle(Path file) throws IOException {
+    HistoryRecorder(Path file) throws IOException {
         out = Files.newBufferedWriter(file);
     }
 
@@ -32,7 +32,9 @@
             return;
         }
         try {
-            out.write(History.line(new Event(System.nanoTime(), copy, life, what, fields)) + "\n");
+            out.write(
+                    History.line(new HistoryEvent(System.nanoTime(), copy, life, what, fields))
+                            + "\n");
             out.flush(); // a lab that dies leaves what it saw
         } catch (IOException e) {
             throw new UncheckedIOException("the chronicle can't be written", e);
--- a/lab/src/main/java/cedarrudder/lab/cluster/Link.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Link.java
@@ -36,7 +36,7 @@
     }
 
     /** What becomes of a datagram; each delivery is to be followed by {@link #arrived}. */
-    List<Delivery> sent(long now, byte[] datagram, Weather weather) {
+    List<Delivery> sent(long now, byte[] datagram, NetworkConditions weather) {
         List<Delivery> deliveries = new ArrayList<>(2);
         int times =
                 cut || random.nextDouble() < weather.loss()
--- a/lab/src/main/java/cedarrudder/lab/cluster/Forger.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/MessageCorruption.java
@@ -6,7 +6,7 @@
  * Makes datagrams that no sound copy sends now: garbage, what was said long ago, and what is too
  * long.
  */
-final class Forger {
+final class MessageCorruption {
 
     private static final int KEPT = 64;
     private static final int MOST_BYTES = 256;
@@ -16,7 +16,7 @@
     private final byte[][] former = new byte[KEPT][];
     private int seen;
 
-    Forger(RandomGenerator random) {
+    MessageCorruption(RandomGenerator random) {
         this.random = random;
     }
 
--- a/lab/src/main/java/cedarrudder/lab/cluster/Weather.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/NetworkConditions.java
@@ -10,7 +10,7 @@
  * @param leastDelay of all, in nanoseconds
  * @param mostDelay the longest but for those that are late; delays are even between the two
  */
-public record Weather(
+public record NetworkConditions(
         double loss,
         double doubled,
         double late,
@@ -19,7 +19,8 @@
         long mostDelay) {
 
     /** Nothing is lost, and what comes takes as long as within a building. */
-    public static final Weather CALM = new Weather(0, 0, 0, 0, 100_000, 1_000_000);
+    public static final NetworkConditions CALM =
+            new NetworkConditions(0, 0, 0, 0, 100_000, 1_000_000);
 
     /** Whether nothing is done to datagrams but a delay. */
     boolean calm() {
--- a/lab/src/main/java/cedarrudder/lab/cluster/Sides.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/NetworkPartition.java
@@ -9,11 +9,11 @@
  * @param nodes those on the side of the copies; both empty: the ways to nodes stay whole
  * @param otherNodes those on the other side
  */
-record Sides(List<Integer> others, List<Integer> nodes, List<Integer> otherNodes) {
+record NetworkPartition(List<Integer> others, List<Integer> nodes, List<Integer> otherNodes) {
 
-    static final Sides ALL = new Sides(List.of(), List.of(), List.of());
+    static final NetworkPartition ALL = new NetworkPartition(List.of(), List.of(), List.of());
 
-    Sides {
+    NetworkPartition {
         others = List.copyOf(others);
         nodes = List.copyOf(nodes);
         otherNodes = List.copyOf(otherNodes);
--- a/lab/src/main/java/cedarrudder/lab/cluster/Removal.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/OperatorRemoval.java
@@ -10,7 +10,7 @@
 import java.util.function.IntConsumer;
 
 /** Operators who remove nodes: by drains, or by hand at each copy. */
-final class Removal {
+final class OperatorRemoval {
 
     private static final int PATIENCE_MILLIS = 6_000;
     private static final int HAND_MILLIS = 1_000;
@@ -25,7 +25,7 @@
     /**
      * @param unlist takes a node off discovery's list, and ends it
      */
-    Removal(List<InetSocketAddress> operators, IntConsumer unlist) {
+    OperatorRemoval(List<InetSocketAddress> operators, IntConsumer unlist) {
         this.operators = operators;
         this.unlist = unlist;
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/DrawnScript.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/RandomScript.java
@@ -11,7 +11,7 @@
  * Draws a script from a seed: copies in three zones that agree, and each kind of fault once, in an
  * order and upon copies that the seed gives.
  */
-public final class DrawnScript {
+public final class RandomScript {
 
     private static final int ZONES = 3;
     private static final int NODES = 6;
@@ -58,9 +58,9 @@
     private final SplittableRandom random;
     private final int copies;
     private final List<Integer> all;
-    private final List<Step> steps = new ArrayList<>();
+    private final List<ScriptStep> steps = new ArrayList<>();
 
-    private DrawnScript(long seed, int copies) {
+    private RandomScript(long seed, int copies) {
         this.random = new SplittableRandom(seed);
         this.copies = copies;
         this.all = IntStream.range(0, copies).boxed().toList();
@@ -68,21 +68,21 @@
 
     /** One seed, one script. */
     public static Script of(long seed, int copies) {
-        return new DrawnScript(seed, copies).draw();
+        return new RandomScript(seed, copies).draw();
     }
 
     private Script draw() {
         steps.add(
-                new Step(
+                new ScriptStep(
                         0,
-                        Act.CALL,
+                        ScriptAction.CALL,
                         List.of(0),
                         false,
-                        Weather.CALM,
+                        NetworkConditions.CALM,
                         0,
                         Mood.WELL,
                         List.of(),
-                        Sides.ALL,
+                        NetworkPartition.ALL,
                         new OperatorCall("POST", "/-/group", "", 200)));
         List<Fault> order = new ArrayList<>(List.of(Fault.values()));
         double at = 6;
@@ -119,66 +119,70 @@
         switch (fault) {
             case KILL -> {
                 List<Integer> killed = some((int) Math.max(1, MOST_KILLED * copies));
-                steps.add(Step.of(at, Act.KILL, killed));
-                steps.add(Step.of(at + lasts, Act.BACK, killed));
+                steps.add(ScriptStep.of(at, ScriptAction.KILL, killed));
+                steps.add(ScriptStep.of(at + lasts, ScriptAction.BACK, killed));
                 return lasts + 8; // until those that forgot vote again
             }
             case LEADER_KILLED -> {
-                steps.add(leader(at, Act.KILL));
-                steps.add(Step.of(at + lasts, Act.BACK, all));
+                steps.add(leader(at, ScriptAction.KILL));
+                steps.add(ScriptStep.of(at + lasts, ScriptAction.BACK, all));
             }
             case STOP -> {
-                steps.add(Step.of(at, Act.STOP, one));
-                steps.add(Step.of(at + 10, Act.GO_ON, one));
+                steps.add(ScriptStep.of(at, ScriptAction.STOP, one));
+                steps.add(ScriptStep.of(at + 10, ScriptAction.GO_ON, one));
                 return 12;
             }
             case LEADER_STOPPED -> {
-                steps.add(leader(at, Act.STOP));
-                steps.add(Step.of(at + HALT, Act.GO_ON, all));
+                steps.add(leader(at, ScriptAction.STOP));
+                steps.add(ScriptStep.of(at + HALT, ScriptAction.GO_ON, all));
                 return HALT + 2;
             }
             case TERM -> {
-                steps.add(Step.of(at, Act.TERM, one));
-                steps.add(Step.of(at + lasts, Act.BACK, one));
+                steps.add(ScriptStep.of(at, ScriptAction.TERM, one));
+                steps.add(ScriptStep.of(at + lasts, ScriptAction.BACK, one));
             }
             case HALVES -> {
-                steps.add(Step.of(at, Act.CUT, some(copies / 2)));
-                steps.add(Step.of(at + lasts + 5, Act.HEAL, List.of()));
+                steps.add(ScriptStep.of(at, ScriptAction.CUT, some(copies / 2)));
+                steps.add(ScriptStep.of(at + lasts + 5, ScriptAction.HEAL, List.of()));
                 return lasts + 8;
             }
             case MUTE, DEAFEN -> {
-                steps.add(Step.of(at, fault == Fault.MUTE ? Act.MUTE : Act.DEAFEN, one));
-                steps.add(Step.of(at + lasts, Act.HEAL, List.of()));
+                steps.add(
+                        ScriptStep.of(
+                                at,
+                                fault == Fault.MUTE ? ScriptAction.MUTE : ScriptAction.DEAFEN,
+                                one));
+                steps.add(ScriptStep.of(at + lasts, ScriptAction.HEAL, List.of()));
             }
             case ZONE_CUT -> {
                 int zone = random.nextInt(ZONES);
                 steps.add(
                         cut(
                                 at,
-                                Act.CUT,
+                                ScriptAction.CUT,
                                 zone,
-                                new Sides(
+                                new NetworkPartition(
                                         List.of(),
                                         ofZone(NODES, zone),
                                         IntStream.range(0, NODES)
                                                 .filter(i -> i % ZONES != zone)
                                                 .boxed()
                                                 .toList())));
-                steps.add(Step.of(at + lasts, Act.HEAL, List.of()));
+                steps.add(ScriptStep.of(at + lasts, ScriptAction.HEAL, List.of()));
             }
             case RING -> {
                 for (int zone = 0; zone < ZONES; zone++) {
                     steps.add(
                             cut(
                                     at,
-                                    Act.MUTE,
+                                    ScriptAction.MUTE,
                                     zone,
-                                    new Sides(
+                                    new NetworkPartition(
                                             ofZone(copies, (zone + 1) % ZONES),
                                             List.of(),
                                             List.of())));
                 }
-                steps.add(Step.of(at + lasts, Act.HEAL, List.of()));
+                steps.add(ScriptStep.of(at + lasts, ScriptAction.HEAL, List.of()));
             }
             case ZONE_DEAD -> {
                 int zone = random.nextInt(ZONES);
@@ -187,46 +191,46 @@
             }
             case WEATHER -> {
                 steps.add(
-                        Step.weather(
+                        ScriptStep.weather(
                                 at,
-                                new Weather(
+                                new NetworkConditions(
                                         0.3 * random.nextDouble(),
                                         0.2,
                                         0.2,
                                         0.05,
                                         2_000_000,
                                         21_000_000)));
-                steps.add(Step.weather(at + lasts, Weather.CALM));
+                steps.add(ScriptStep.weather(at + lasts, NetworkConditions.CALM));
             }
-            case FLOOD -> steps.add(Step.flood(at, one.get(0), 3));
-            case LEADER_REPLACED -> steps.add(leader(at, Act.UPGRADE));
-            case UPGRADE -> steps.add(Step.of(at, Act.UPGRADE, one));
-            case HANG_UP -> steps.add(Step.of(at, Act.HANG_UP, one));
+            case FLOOD -> steps.add(ScriptStep.flood(at, one.get(0), 3));
+            case LEADER_REPLACED -> steps.add(leader(at, ScriptAction.UPGRADE));
+            case UPGRADE -> steps.add(ScriptStep.of(at, ScriptAction.UPGRADE, one));
+            case HANG_UP -> steps.add(ScriptStep.of(at, ScriptAction.HANG_UP, one));
         }
         return lasts + 2;
     }
 
-    private static Step leader(double at, Act act) {
-        return new Step(
+    private static ScriptStep leader(double at, ScriptAction act) {
+        return new ScriptStep(
                 Script.nanos(at),
                 act,
                 List.of(),
                 true,
-                Weather.CALM,
+                NetworkConditions.CALM,
                 0,
                 Mood.WELL,
                 List.of(),
-                Sides.ALL,
+                NetworkPartition.ALL,
                 null);
     }
 
-    private Step cut(double at, Act act, int zone, Sides sides) {
-        return new Step(
+    private ScriptStep cut(double at, ScriptAction act, int zone, NetworkPartition sides) {
+        return new ScriptStep(
                 Script.nanos(at),
                 act,
                 ofZone(copies, zone),
                 false,
-                Weather.CALM,
+                NetworkConditions.CALM,
                 0,
                 Mood.WELL,
                 List.of(),
@@ -234,17 +238,17 @@
                 null);
     }
 
-    private static Step nodes(double at, int zone, Mood mood) {
-        return new Step(
+    private static ScriptStep nodes(double at, int zone, Mood mood) {
+        return new ScriptStep(
                 Script.nanos(at),
-                Act.NODES,
+                ScriptAction.NODES,
                 List.of(),
                 false,
-                Weather.CALM,
+                NetworkConditions.CALM,
                 0,
                 mood,
                 ofZone(NODES, zone),
-                Sides.ALL,
+                NetworkPartition.ALL,
                 null);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
@@ -37,14 +37,14 @@
         final int of;
         final int other;
         final Link link;
-        final Forger forger;
+        final MessageCorruption forger;
         Channel channel;
 
         Door(int of, int other, SplittableRandom random) {
             this.of = of;
             this.other = other;
             link = new Link(random.split());
-            forger = new Forger(random.split());
+            forger = new MessageCorruption(random.split());
         }
 
         @Override
@@ -84,7 +84,7 @@
     private final List<InetSocketAddress> copies;
     private final Door[][] doors;
     private final SplittableRandom random;
-    private Weather weather = Weather.CALM;
+    private NetworkConditions weather = NetworkConditions.CALM;
 
     /**
      * @param copies where each copy hears its peers
@@ -128,7 +128,7 @@
         return (InetSocketAddress) doors[of][other].channel.localAddress();
     }
 
-    void weather(Weather next) {
+    void weather(NetworkConditions next) {
         group.execute(() -> weather = next);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/cluster/Copy.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ReplicaProcess.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.cluster;
 
-import cedarrudder.lab.emulator.Place;
+import cedarrudder.lab.emulator.HostEnvironment;
 import cedarrudder.lab.emulator.Port;
-import cedarrudder.lab.emulator.Supervised;
+import cedarrudder.lab.emulator.SupervisedProcess;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -19,14 +19,14 @@
  * temporary files, in one life after another. Each life writes its history and its log to files of
  * its own.
  */
-final class Copy implements AutoCloseable {
+final class ReplicaProcess implements AutoCloseable {
 
     private static final int SOCKETS = 1024;
     private static final int LOOK_MILLIS = 20;
 
     private final int number;
-    private final Place place;
-    private final Chronicle chronicle;
+    private final HostEnvironment place;
+    private final HistoryRecorder chronicle;
     private final Port listen;
     private final List<Port> admins = new ArrayList<>();
     private final InetSocketAddress peers;
@@ -34,14 +34,15 @@
     private final List<String> crashes = new ArrayList<>();
 
     /** Processes that run, the one that was started first in front. */
-    private final List<Supervised> processes = new ArrayList<>();
+    private final List<SupervisedProcess> processes = new ArrayList<>();
 
     private final List<Long> expected = new ArrayList<>();
     private String configuration;
     private String operator;
     private int lives;
 
-    Copy(int number, Place place, Chronicle chronicle) throws IOException {
+    ReplicaProcess(int number, HostEnvironment place, HistoryRecorder chronicle)
+            throws IOException {
         this.number = number;
         this.place = place;
         this.chronicle = chronicle;
@@ -134,8 +135,8 @@
         Port admin = Port.hold(host(number, 2)); // each process has its own
         admins.add(admin);
         histories.add(history);
-        Supervised process =
-                Supervised.start(
+        SupervisedProcess process =
+                SupervisedProcess.start(
                         List.of("/bin/sh", "-c", place.command() + " --operator " + toml),
                         place.root(),
                         Map.of(
@@ -157,7 +158,7 @@
         return log;
     }
 
-    private synchronized void exited(Supervised process, int code, Path log) {
+    private synchronized void exited(SupervisedProcess process, int code, Path log) {
         chronicle.tell(number, process.pid(), "ended", Map.of("code", Integer.toString(code)));
         processes.remove(process);
         if (!expected.contains(process.pid())) {
@@ -185,7 +186,7 @@
 
     /** Kills all its processes. */
     synchronized void kill() {
-        for (Supervised process : processes) {
+        for (SupervisedProcess process : processes) {
             chronicle.tell(number, process.pid(), "doomed", Map.of());
             expected.add(process.pid());
             process.kill();
@@ -195,7 +196,7 @@
     /** Tells its first process to end. */
     synchronized void terminate() {
         if (!processes.isEmpty()) {
-            Supervised first = processes.get(0);
+            SupervisedProcess first = processes.get(0);
             chronicle.tell(number, first.pid(), "told", Map.of());
             expected.add(first.pid());
             first.terminate();
@@ -205,7 +206,7 @@
     /** Sends a signal to all its processes, and says before or after it what that means. */
     synchronized void signal(String name, String before, String after)
             throws IOException, InterruptedException {
-        for (Supervised process : processes) {
+        for (SupervisedProcess process : processes) {
             if (!before.isEmpty()) {
                 chronicle.tell(number, process.pid(), before, Map.of());
             }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Script.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Script.java
@@ -29,7 +29,7 @@
         List<Long> clockOffsets,
         List<Integer> clockDrifts,
         String operator,
-        List<Step> steps) {
+        List<ScriptStep> steps) {
 
     /** Copies at the least and at the most. */
     public static final int LEAST = 3;
@@ -43,7 +43,7 @@
     public Script {
         clockOffsets = List.copyOf(clockOffsets);
         clockDrifts = List.copyOf(clockDrifts);
-        steps = steps.stream().sorted(Comparator.comparingLong(Step::at)).toList();
+        steps = steps.stream().sorted(Comparator.comparingLong(ScriptStep::at)).toList();
     }
 
     static long nanos(double seconds) {
--- a/lab/src/main/java/cedarrudder/lab/cluster/Act.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptAction.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.cluster;
 
 /** What a script's step does. */
-public enum Act {
+public enum ScriptAction {
     /** SIGKILL. */
     KILL,
     /** A new life for each that has none. */
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
@@ -1,11 +1,11 @@
 package cedarrudder.lab.cluster;
 
 import cedarrudder.lab.attack.ScriptedNodes.Mood;
-import cedarrudder.operator.Operator;
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
-import cedarrudder.toml.Problem;
-import cedarrudder.toml.Table;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.ConfigProblem;
+import cedarrudder.toml.ConfigTable;
+import cedarrudder.toml.InvalidFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -33,10 +33,12 @@
     /** Tables that the lab writes itself. */
     private static final Set<String> OWN = Set.of("membership", "history");
 
-    private static final Set<Act> OF_COPIES =
-            EnumSet.complementOf(EnumSet.of(Act.HEAL, Act.WEATHER, Act.NODES));
+    private static final Set<ScriptAction> OF_COPIES =
+            EnumSet.complementOf(
+                    EnumSet.of(ScriptAction.HEAL, ScriptAction.WEATHER, ScriptAction.NODES));
 
-    private static final Set<Act> CUTS = EnumSet.of(Act.CUT, Act.MUTE, Act.DEAFEN);
+    private static final Set<ScriptAction> CUTS =
+            EnumSet.of(ScriptAction.CUT, ScriptAction.MUTE, ScriptAction.DEAFEN);
 
     private ScriptReader() {}
 
@@ -44,14 +46,14 @@
     private record Counts(int copies, int nodes, int zones) {}
 
     /**
-     * @throws BadFileException with all that is wrong with it
+     * @throws InvalidFileException with all that is wrong with it
      */
-    public static Script read(Path file) throws BadFileException {
-        return read(Document.read(file));
+    public static Script read(Path file) throws InvalidFileException {
+        return read(ConfigDocument.read(file));
     }
 
-    static Script read(Document document) throws BadFileException {
-        Table root = document.root();
+    static Script read(ConfigDocument document) throws InvalidFileException {
+        ConfigTable root = document.root();
         int copies = (int) root.whole("copies", Script.LEAST, Script.MOST);
         int nodes = (int) root.whole("nodes", 1, Script.MOST_NODES, 3);
         int zones = (int) root.whole("zones", 1, Script.MOST_ZONES, 1);
@@ -73,8 +75,8 @@
                         .map(Double::intValue)
                         .toList();
         String operator = operator(root);
-        List<Step> steps = new ArrayList<>();
-        for (Table table : root.tables("step")) {
+        List<ScriptStep> steps = new ArrayList<>();
+        for (ConfigTable table : root.tables("step")) {
             steps.add(step(table, new Counts(copies, nodes, zones), length));
             table.done();
         }
@@ -94,9 +96,9 @@
     }
 
     /** Tables for each copy's operator's file, held against what such a file may have. */
-    private static String operator(Table root) {
+    private static String operator(ConfigTable root) {
         String text = root.text("operator", "");
-        Document document = Document.parse("operator", text);
+        ConfigDocument document = ConfigDocument.parse("operator", text);
         document.root().keys().stream()
                 .filter(OWN::contains)
                 .forEach(
@@ -106,9 +108,9 @@
                                         "a table [" + name + "]",
                                         "others: the lab writes this one"));
         try {
-            Operator.read(Document.parse("operator", text + MEMBERSHIP));
-        } catch (BadFileException e) {
-            for (Problem problem : e.problems()) {
+            OperatorFile.read(ConfigDocument.parse("operator", text + MEMBERSHIP));
+        } catch (InvalidFileException e) {
+            for (ConfigProblem problem : e.problems()) {
                 root.problem(
                         "operator",
                         "line " + problem.line() + ", " + problem.key() + ": " + problem.found(),
@@ -118,31 +120,31 @@
         return text;
     }
 
-    private static Step step(Table table, Counts counts, double length) {
+    private static ScriptStep step(ConfigTable table, Counts counts, double length) {
         double at = table.number("at_s", 0, length);
-        Act act = table.choice("do", Act.class, null);
+        ScriptAction act = table.choice("do", ScriptAction.class, null);
         boolean leader = OF_COPIES.contains(act) && leader(table);
         List<Integer> whom =
                 OF_COPIES.contains(act) && !leader
                         ? numbers(table, "copies", counts.copies, counts.zones)
                         : List.of();
-        Weather weather = Weather.CALM;
+        NetworkConditions weather = NetworkConditions.CALM;
         double lasts = 0;
         Mood mood = Mood.WELL;
         List<Integer> which = List.of();
-        Sides sides = Sides.ALL;
+        NetworkPartition sides = NetworkPartition.ALL;
         OperatorCall call = null;
-        if (act == Act.WEATHER) {
+        if (act == ScriptAction.WEATHER) {
             double[] delay = table.range("delay_ms", 0, MOST_MILLIS, new double[] {0.1, 1});
             weather =
-                    new Weather(
+                    new NetworkConditions(
                             table.number("loss", 0, MOST_LOSS, 0),
                             table.number("doubled", 0, 1, 0),
                             table.number("late", 0, 1, 0),
                             table.number("corrupted", 0, 1, 0),
                             (long) (delay[0] * MILLION),
                             (long) (delay[1] * MILLION));
-        } else if (act == Act.FLOOD) {
+        } else if (act == ScriptAction.FLOOD) {
             lasts = table.number("length_s", 0.1, MOST_SECONDS);
             if (table.sound("at_s", "length_s") && at + lasts > length) {
                 table.problem(
@@ -150,18 +152,18 @@
                         Double.toString(lasts),
                         "an end before the script's, at " + length);
             }
-        } else if (act == Act.NODES) {
+        } else if (act == ScriptAction.NODES) {
             mood = table.choice("mood", Mood.class, null);
             which = numbers(table, "nodes", counts.nodes, counts.zones);
             whom = table.has("copies") ? numbers(table, "copies", counts.copies) : List.of();
         } else if (CUTS.contains(act)) {
             sides = sides(table, act, counts);
-        } else if (act == Act.REMOVE || act == Act.REMOVE_BY_HAND) {
+        } else if (act == ScriptAction.REMOVE || act == ScriptAction.REMOVE_BY_HAND) {
             which = numbers(table, "nodes", counts.nodes, counts.zones);
-        } else if (act == Act.CALL) {
+        } else if (act == ScriptAction.CALL) {
             call = call(table);
         }
-        return new Step(
+        return new ScriptStep(
                 Script.nanos(at),
                 act,
                 whom,
@@ -174,7 +176,7 @@
                 call);
     }
 
-    private static boolean leader(Table table) {
+    private static boolean leader(ConfigTable table) {
         boolean leader = table.flag("leader", false);
         for (String key : leader ? List.of("copies", "zones") : List.<String>of()) {
             if (table.has(key)) {
@@ -188,15 +190,15 @@
      * Who is on the other side; nodes are on sides only where whole zones are, and a cut goes both
      * ways.
      */
-    private static Sides sides(Table table, Act act, Counts counts) {
+    private static NetworkPartition sides(ConfigTable table, ScriptAction act, Counts counts) {
         boolean towards = table.has("towards");
         List<Integer> others =
                 towards ? ofZones(table, "towards", counts.copies, counts.zones) : List.of();
-        if (act != Act.CUT || !table.has("zones")) {
-            return new Sides(others, List.of(), List.of());
+        if (act != ScriptAction.CUT || !table.has("zones")) {
+            return new NetworkPartition(others, List.of(), List.of());
         }
         List<Integer> nodes = ofZones(table, "zones", counts.nodes, counts.zones);
-        return new Sides(
+        return new NetworkPartition(
                 others,
                 nodes,
                 towards
@@ -207,19 +209,22 @@
                                 .toList());
     }
 
-    private static OperatorCall call(Table table) {
+    private static OperatorCall call(ConfigTable table) {
         String method = table.text("method", "POST");
         if (!method.matches("[A-Z]{1,16}") && table.sound("method")) {
-            table.problem("method", Table.shown(method), "such as GET, POST");
+            table.problem("method", ConfigTable.shown(method), "such as GET, POST");
         }
         String path = table.text("path", null);
         if (!path.matches("/[!-~]*") && table.sound("path")) {
-            table.problem("path", Table.shown(path), "a path that begins with / and has no blank");
+            table.problem(
+                    "path", ConfigTable.shown(path), "a path that begins with / and has no blank");
         }
         String body = table.text("body", "");
         if (!body.matches("[\\x00-\\x7f]{0," + MOST_CALL + "}")) {
             table.problem(
-                    "body", Table.shown(body), "ASCII, " + MOST_CALL + " characters at the most");
+                    "body",
+                    ConfigTable.shown(body),
+                    "ASCII, " + MOST_CALL + " characters at the most");
         }
         return new OperatorCall(
                 method,
@@ -229,7 +234,7 @@
     }
 
     /** Numbers of copies or nodes, from 0, or those of whole zones. */
-    private static List<Integer> numbers(Table table, String key, int count, int zones) {
+    private static List<Integer> numbers(ConfigTable table, String key, int count, int zones) {
         if (!table.has("zones")) {
             return numbers(table, key, count);
         }
@@ -239,7 +244,7 @@
         return ofZones(table, "zones", count, zones);
     }
 
-    private static List<Integer> ofZones(Table table, String key, int count, int zones) {
+    private static List<Integer> ofZones(ConfigTable table, String key, int count, int zones) {
         List<Integer> chosen = numbers(table, key, zones);
         return IntStream.range(0, count)
                 .filter(number -> chosen.contains(number % zones))
@@ -248,7 +253,7 @@
     }
 
     /** Numbers from 0. */
-    private static List<Integer> numbers(Table table, String key, int count) {
+    private static List<Integer> numbers(ConfigTable table, String key, int count) {
         List<Double> numbers = table.numbers(key, 0, count - 1);
         if (table.sound(key)
                 && (numbers.isEmpty() || numbers.stream().anyMatch(n -> n != Math.rint(n)))) {
--- a/lab/src/main/java/cedarrudder/lab/cluster/Step.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptStep.java
@@ -9,68 +9,69 @@
  * @param at after the beginning, in nanoseconds
  * @param copies whom it is about
  * @param leader it is about the copy that leads then, whichever that is
- * @param weather of {@link Act#WEATHER}; else calm
- * @param length of {@link Act#FLOOD}, in nanoseconds
- * @param mood and {@code nodes} of {@link Act#NODES}
- * @param sides of {@link Act#CUT}, {@link Act#MUTE} and {@link Act#DEAFEN}
- * @param call of {@link Act#CALL}; else null
+ * @param weather of {@link ScriptAction#WEATHER}; else calm
+ * @param length of {@link ScriptAction#FLOOD}, in nanoseconds
+ * @param mood and {@code nodes} of {@link ScriptAction#NODES}
+ * @param sides of {@link ScriptAction#CUT}, {@link ScriptAction#MUTE} and {@link
+ *     ScriptAction#DEAFEN}
+ * @param call of {@link ScriptAction#CALL}; else null
  */
-public record Step(
+public record ScriptStep(
         long at,
-        Act act,
+        ScriptAction act,
         List<Integer> copies,
         boolean leader,
-        Weather weather,
+        NetworkConditions weather,
         long length,
         Mood mood,
         List<Integer> nodes,
-        Sides sides,
+        NetworkPartition sides,
         OperatorCall call) {
 
-    public Step {
+    public ScriptStep {
         copies = List.copyOf(copies);
         nodes = List.copyOf(nodes);
     }
 
-    static Step of(double seconds, Act act, List<Integer> copies) {
-        return new Step(
+    static ScriptStep of(double seconds, ScriptAction act, List<Integer> copies) {
+        return new ScriptStep(
                 Script.nanos(seconds),
                 act,
                 copies,
                 false,
-                Weather.CALM,
+                NetworkConditions.CALM,
                 0,
                 Mood.WELL,
                 List.of(),
-                Sides.ALL,
+                NetworkPartition.ALL,
                 null);
     }
 
-    static Step weather(double seconds, Weather weather) {
-        return new Step(
+    static ScriptStep weather(double seconds, NetworkConditions weather) {
+        return new ScriptStep(
                 Script.nanos(seconds),
-                Act.WEATHER,
+                ScriptAction.WEATHER,
                 List.of(),
                 false,
                 weather,
                 0,
                 Mood.WELL,
                 List.of(),
-                Sides.ALL,
+                NetworkPartition.ALL,
                 null);
     }
 
-    static Step flood(double seconds, int copy, double length) {
-        return new Step(
+    static ScriptStep flood(double seconds, int copy, double length) {
+        return new ScriptStep(
                 Script.nanos(seconds),
-                Act.FLOOD,
+                ScriptAction.FLOOD,
                 List.of(copy),
                 false,
-                Weather.CALM,
+                NetworkConditions.CALM,
                 Script.nanos(length),
                 Mood.WELL,
                 List.of(),
-                Sides.ALL,
+                NetworkPartition.ALL,
                 null);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Service.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ServiceSummary.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.cluster;
 
-import cedarrudder.lab.judge.Event;
+import cedarrudder.lab.checker.HistoryEvent;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,21 +14,22 @@
  * @param removals that were done
  * @param removalSeconds all of them together
  */
-public record Service(long refused, long failed, long late, long removals, double removalSeconds) {
+public record ServiceSummary(
+        long refused, long failed, long late, long removals, double removalSeconds) {
 
     /** The time that the site's first class of requests is to be answered in, in nanoseconds. */
     private static final long GOAL = 300_000_000L;
 
     private static final double SECOND = 1e9;
 
-    static Service of(List<Event> events) {
+    static ServiceSummary of(List<HistoryEvent> events) {
         Map<String, Long> askedAt = new HashMap<>();
         long refused = 0;
         long failed = 0;
         long late = 0;
         long removals = 0;
         long took = 0;
-        for (Event event : events) {
+        for (HistoryEvent event : events) {
             switch (event.what()) {
                 case "asked" -> askedAt.put(event.text("rpc"), event.at());
                 case "broke" -> failed++;
@@ -51,6 +52,6 @@
                 default -> {}
             }
         }
-        return new Service(refused, failed, late, removals, took / SECOND);
+        return new ServiceSummary(refused, failed, late, removals, took / SECOND);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Callers.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/TestClients.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.lab.attack.Answer;
 import cedarrudder.lab.attack.OwnDaemon;
-import cedarrudder.lab.attack.Words;
+import cedarrudder.lab.attack.RequestTemplates;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -19,18 +19,18 @@
  * One caller for each copy, which asks it each so often on a connection of its own and reads to
  * that connection's end: a second answer would be seen. All goes into the chronicle.
  */
-final class Callers {
+final class TestClients {
 
     private static final long EACH_MILLIS = 200;
 
     /** Longer than any copy may take: the deadline of a request is 2.5 s. */
     static final int PATIENCE_MILLIS = 5_000;
 
-    private final Chronicle chronicle;
+    private final HistoryRecorder chronicle;
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean over;
 
-    Callers(List<InetSocketAddress> copies, Chronicle chronicle) {
+    TestClients(List<InetSocketAddress> copies, HistoryRecorder chronicle) {
         this.chronicle = chronicle;
         for (int i = 0; i < copies.size(); i++) {
             int copy = i;
@@ -60,7 +60,7 @@
             socket.connect(to, PATIENCE_MILLIS);
             byte[] request =
                     OwnDaemon.WORDS
-                            .fill(Words.get("Connection: close"), rpc)
+                            .fill(RequestTemplates.get("Connection: close"), rpc)
                             .getBytes(StandardCharsets.ISO_8859_1);
             // Before it is sent: guards against an answer that is told before its question.
             tell(copy, rpc, "asked", Map.of());
--- a/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
@@ -1,21 +1,21 @@
 package cedarrudder.lab.cluster;
 
-import cedarrudder.lab.judge.Breach;
-import cedarrudder.lab.judge.Drains;
-import cedarrudder.lab.judge.Estimates;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.HeldTable;
-import cedarrudder.lab.judge.History;
-import cedarrudder.lab.judge.Leases;
-import cedarrudder.lab.judge.OneAnswer;
-import cedarrudder.lab.judge.OneLeader;
-import cedarrudder.lab.judge.OneTable;
-import cedarrudder.lab.judge.OneVoice;
-import cedarrudder.lab.judge.OutAtOnce;
-import cedarrudder.lab.judge.TrueDeaths;
-import cedarrudder.lab.judge.Views;
-import cedarrudder.lab.judge.ZoneLeft;
-import cedarrudder.lab.judge.ZoneLoad;
+import cedarrudder.lab.checker.ConcurrentDisruptions;
+import cedarrudder.lab.checker.DrainInvariants;
+import cedarrudder.lab.checker.FailureDetection;
+import cedarrudder.lab.checker.FootprintInvariants;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.checker.LeaseSafety;
+import cedarrudder.lab.checker.MembershipConvergence;
+import cedarrudder.lab.checker.SingleFinalAnswer;
+import cedarrudder.lab.checker.SingleLeader;
+import cedarrudder.lab.checker.SingleSpeaker;
+import cedarrudder.lab.checker.SingleTable;
+import cedarrudder.lab.checker.TableConvergence;
+import cedarrudder.lab.checker.Violation;
+import cedarrudder.lab.checker.ZoneEvacuation;
+import cedarrudder.lab.checker.ZoneLoad;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -36,7 +36,7 @@
  * @param service what callers got
  */
 public record Verdict(
-        List<Breach> breaches,
+        List<Violation> breaches,
         List<String> found,
         int events,
         long rpcs,
@@ -46,7 +46,7 @@
         double agreedSeconds,
         long leaders,
         long tables,
-        Service service) {
+        ServiceSummary service) {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long LISTENS = 300_000_000L;
@@ -96,35 +96,36 @@
      * @param within after the faults, in which copies have to agree; nanoseconds
      */
     public static Verdict of(
-            List<Event> events, long until, long period, long within, List<String> crashes) {
+            List<HistoryEvent> events, long until, long period, long within, List<String> crashes) {
         double scale = period / USUAL;
-        OneAnswer answers =
-                new OneAnswer(Callers.PATIENCE_MILLIS * 1_000_000L, LISTENS, AT_THE_DOOR);
-        TrueDeaths deaths =
-                new TrueDeaths(
-                        new TrueDeaths.Bounds(
+        SingleFinalAnswer answers =
+                new SingleFinalAnswer(
+                        TestClients.PATIENCE_MILLIS * 1_000_000L, LISTENS, AT_THE_DOOR);
+        FailureDetection deaths =
+                new FailureDetection(
+                        new FailureDetection.Bounds(
                                 (long) (60 * SECOND * scale),
                                 (long) (60 * SECOND * scale),
                                 (long) (60 * SECOND * scale)));
-        Views views = new Views(within);
-        List<Breach> breaches =
+        MembershipConvergence views = new MembershipConvergence(within);
+        List<Violation> breaches =
                 History.judged(
                         events,
                         until,
                         List.of(
                                 answers,
-                                new OneVoice(),
+                                new SingleSpeaker(),
                                 deaths,
                                 views,
-                                new OneTable(UNWRITTEN),
-                                new OneLeader(),
-                                new HeldTable(within),
-                                new Leases(UNDER_WAY),
-                                new ZoneLeft(WINDOW),
+                                new SingleTable(UNWRITTEN),
+                                new SingleLeader(),
+                                new TableConvergence(within),
+                                new LeaseSafety(UNDER_WAY),
+                                new ZoneEvacuation(WINDOW),
                                 new ZoneLoad(LOAD),
-                                new OutAtOnce(KNOWN),
-                                new Drains(STOPS, GRACE),
-                                new Estimates(ERROR)));
+                                new ConcurrentDisruptions(KNOWN),
+                                new DrainInvariants(STOPS, GRACE),
+                                new FootprintInvariants(ERROR)));
         List<String> found = new ArrayList<>(crashes);
         events.stream()
                 .filter(event -> event.what().equals("lost"))
@@ -147,10 +148,10 @@
                 (double) views.agreedAfter() / SECOND,
                 different(events, "leads", "group", "term"),
                 different(events, "table", "number"),
-                Service.of(events));
+                ServiceSummary.of(events));
     }
 
-    private static long different(List<Event> events, String what, String... fields) {
+    private static long different(List<HistoryEvent> events, String what, String... fields) {
         return events.stream()
                 .filter(event -> event.what().equals(what))
                 .map(event -> Arrays.stream(fields).map(event::text).toList())
--- a/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.cluster;
 
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.members.Mesh;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.membership.SwimSimulation;
 import cedarrudder.membership.MembershipSettings;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -24,15 +24,16 @@
     private static final double MOST_KILLED = 0.48;
     private static final int HALT = 10;
 
-    private final Mesh mesh;
-    private final List<Event> events = new ArrayList<>();
+    private final SwimSimulation mesh;
+    private final List<HistoryEvent> events = new ArrayList<>();
     private final long[] lives;
     private int told;
 
-    private VirtualRun(int copies, Mesh.Network network, MembershipSettings settings, long seed) {
-        mesh = new Mesh(copies, network, settings, seed);
+    private VirtualRun(
+            int copies, SwimSimulation.Network network, MembershipSettings settings, long seed) {
+        mesh = new SwimSimulation(copies, network, settings, seed);
         lives = new long[copies];
-        tell(Chronicle.NOBODY, "weather", Map.of("calm", network.loss() == 0 ? "1" : "0"));
+        tell(HistoryRecorder.NOBODY, "weather", Map.of("calm", network.loss() == 0 ? "1" : "0"));
         for (int i = 0; i < copies; i++) {
             begin(i);
         }
@@ -44,12 +45,17 @@
      * @param settle seconds after the faults in which all have to agree
      */
     public static Verdict play(
-            int copies, Mesh.Network network, MembershipSettings settings, long seed, int settle) {
+            int copies,
+            SwimSimulation.Network network,
+            MembershipSettings settings,
+            long seed,
+            int settle) {
         VirtualRun run = new VirtualRun(copies, network, settings, seed);
         run.faults(copies, new SplittableRandom(seed ^ 0x5eed));
-        run.tell(Chronicle.NOBODY, "over", Map.of());
+        run.tell(HistoryRecorder.NOBODY, "over", Map.of());
         run.pass(settle);
-        run.events.sort(Comparator.comparingLong(Event::at)); // of one instant: as they were told
+        run.events.sort(
+                Comparator.comparingLong(HistoryEvent::at)); // of one instant: as they were told
         return Verdict.of(
                 run.events, run.mesh.now(), settings.period(), settle * SECOND, List.of());
     }
@@ -118,7 +124,7 @@
     }
 
     private void tell(int copy, String what, Map<String, String> fields) {
-        events.add(new Event(mesh.now(), copy, life(copy), what, fields));
+        events.add(new HistoryEvent(mesh.now(), copy, life(copy), what, fields));
     }
 
     /** A number that no other life of any copy has. */
@@ -129,9 +135,9 @@
     private void pass(int seconds) {
         mesh.play(seconds * SECOND);
         for (; told < mesh.changes().size(); told++) {
-            Mesh.Change change = mesh.changes().get(told);
+            SwimSimulation.Change change = mesh.changes().get(told);
             events.add(
-                    new Event(
+                    new HistoryEvent(
                             change.at(),
                             change.observer(),
                             life(change.observer()),
--- a/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
@@ -1,11 +1,11 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.agreement.Agreement;
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.lab.agreement.Copies;
-import cedarrudder.lab.agreement.Storm;
-import cedarrudder.lab.agreement.Trial;
-import cedarrudder.lab.judge.Breach;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.RaftNode;
+import cedarrudder.lab.checker.Violation;
+import cedarrudder.lab.consensus.ConsensusSimulation;
+import cedarrudder.lab.consensus.ConsensusTrial;
+import cedarrudder.lab.consensus.FaultStorm;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.List;
@@ -82,9 +82,9 @@
                 "--loss",
                 "from 0 to below 1 each");
         check(
-                bytes >= 8 && bytes <= Agreement.MOST_CONTENT,
+                bytes >= 8 && bytes <= RaftNode.MOST_CONTENT,
                 "--bytes",
-                "from 8 to " + Agreement.MOST_CONTENT);
+                "from 8 to " + RaftNode.MOST_CONTENT);
         check(deaths >= 0 && deaths <= 1_000, "--deaths", "from 0 to 1000");
         long[] range = seeds.range(spec);
         PrintWriter out = spec.commandLine().getOut();
@@ -100,7 +100,7 @@
         int unsettled = 0;
         int broken = 0;
         for (long seed = range[0]; seed <= range[1]; seed++) {
-            Storm.Result result = Storm.play(seed, Agreement::new);
+            FaultStorm.Result result = FaultStorm.play(seed, RaftNode::new);
             loaded += result.loaded();
             leaders += result.leaders();
             answered += result.answered();
@@ -109,7 +109,7 @@
                 unsettled++;
             }
             broken += result.breaches().isEmpty() ? 0 : 1;
-            for (Breach breach :
+            for (Violation breach :
                     result.breaches().subList(0, Math.min(SHOWN, result.breaches().size()))) {
                 out.println("seed " + seed + ": " + breach);
             }
@@ -155,17 +155,17 @@
         boolean all = true;
         for (int size : sizes) {
             for (double loss : losses) {
-                Trial trial =
-                        new Trial(
+                ConsensusTrial trial =
+                        new ConsensusTrial(
                                 size,
-                                new Copies.Network(loss, 0, 0, 2 * MILLI, 21 * MILLI),
-                                AgreementSettings.DEFAULT,
+                                new ConsensusSimulation.Network(loss, 0, 0, 2 * MILLI, 21 * MILLI),
+                                ConsensusSettings.DEFAULT,
                                 bytes,
                                 deaths);
                 for (long seed = range[0]; seed <= range[1]; seed++) {
                     trial.play(seed);
                 }
-                Trial.Figures f = trial.figures();
+                ConsensusTrial.Figures f = trial.figures();
                 all &= f.missed() == 0;
                 rows.add(
                         List.of(
--- a/lab/src/main/java/cedarrudder/lab/command/AttackCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/AttackCommand.java
@@ -1,14 +1,14 @@
 package cedarrudder.lab.command;
 
 import cedarrudder.lab.attack.Attack;
+import cedarrudder.lab.attack.AttackCatalog;
 import cedarrudder.lab.attack.FloodKind;
 import cedarrudder.lab.attack.FloodResult;
 import cedarrudder.lab.attack.FloodRun;
-import cedarrudder.lab.attack.Library;
 import cedarrudder.lab.attack.Outcome;
 import cedarrudder.lab.attack.OwnDaemon;
 import cedarrudder.lab.attack.Player;
-import cedarrudder.lab.attack.Words;
+import cedarrudder.lab.attack.RequestTemplates;
 import cedarrudder.protocol.Addresses;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -146,7 +146,7 @@
     public Integer call() throws IOException, InterruptedException {
         List<Attack> attacks;
         try {
-            attacks = Library.named(names);
+            attacks = AttackCatalog.named(names);
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage(), e);
         }
@@ -198,7 +198,8 @@
     private List<Outcome> play(List<Attack> attacks) throws IOException, InterruptedException {
         if (to != null) {
             try (Player player =
-                    Player.against(Addresses.parse(to), new Words(safe, unsafe, owner))) {
+                    Player.against(
+                            Addresses.parse(to), new RequestTemplates(safe, unsafe, owner))) {
                 return player.play(attacks, run, cut);
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/command/CheckCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/CheckCommand.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.List;
@@ -31,7 +31,7 @@
         for (Path file : files) {
             try {
                 out.println(line(file, ScenarioReader.read(file)));
-            } catch (BadFileException e) {
+            } catch (InvalidFileException e) {
                 e.problems().forEach(problem -> spec.commandLine().getErr().println(problem));
                 code = ExitCode.USAGE;
             }
--- a/lab/src/main/java/cedarrudder/lab/command/Play.java
+++ b/lab/src/main/java/cedarrudder/lab/command/CheckedRuns.java
@@ -1,41 +1,41 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.Balancer;
-import cedarrudder.Decide;
-import cedarrudder.Tuning;
-import cedarrudder.TuningText;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.balancer.BalancerParametersParser;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.PrequalBalancer;
+import cedarrudder.lab.baselines.Policies;
 import cedarrudder.lab.model.Guard;
 import cedarrudder.lab.model.Model;
+import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.policy.TierBudgets;
-import cedarrudder.lab.policy.Truth;
-import cedarrudder.lab.referee.Figures;
-import cedarrudder.lab.referee.Judge;
-import cedarrudder.lab.rivals.Rivals;
+import cedarrudder.lab.referee.RuleParameters;
+import cedarrudder.lab.referee.RunChecker;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.trace.Trace;
 import java.util.function.UnaryOperator;
 import java.util.random.RandomGenerator;
 
 /** Plays runs of the model with the referee on, so that no result goes unjudged. */
-final class Play {
+final class CheckedRuns {
 
-    private Play() {}
+    private CheckedRuns() {}
 
     /** Our own decisions under some figures. */
-    private record Own(Tuning tuning, TierBudgets budgets) implements Policy {
+    private record Own(BalancerParameters tuning, TierBudgets budgets) implements Policy {
         @Override
         public String name() {
-            return Rivals.OWN;
+            return Policies.OWN;
         }
 
         @Override
-        public Balancer create(
-                Balancer.Settings settings,
+        public LoadBalancer create(
+                LoadBalancer.BalancerSettings settings,
                 RandomGenerator random,
-                Balancer.Actions actions,
-                Truth truth) {
-            return new Decide(settings, tuning, random, actions);
+                LoadBalancer.Actions actions,
+                GroundTruth truth) {
+            return new PrequalBalancer(settings, tuning, random, actions);
         }
     }
 
@@ -47,11 +47,11 @@
         }
 
         @Override
-        public Balancer create(
-                Balancer.Settings settings,
+        public LoadBalancer create(
+                LoadBalancer.BalancerSettings settings,
                 RandomGenerator random,
-                Balancer.Actions actions,
-                Truth truth) {
+                LoadBalancer.Actions actions,
+                GroundTruth truth) {
             return of.create(settings, random, actions, truth);
         }
     }
@@ -63,21 +63,21 @@
      * @throws IllegalArgumentException if there is none, or if figures are set for another than our
      *     own
      */
-    static Policy policy(String name, Tuning tuning, TierBudgets budgets) {
-        if (name.equals(Rivals.OWN)) {
+    static Policy policy(String name, BalancerParameters tuning, TierBudgets budgets) {
+        if (name.equals(Policies.OWN)) {
             return new Own(tuning, budgets);
         }
-        Policy rival = Rivals.named(name);
-        if (!TuningText.differences(tuning).isEmpty()) {
+        Policy rival = Policies.named(name);
+        if (!BalancerParametersParser.differences(tuning).isEmpty()) {
             throw new IllegalArgumentException(
-                    name + " has no figures to set; only " + Rivals.OWN + " has");
+                    name + " has no figures to set; only " + Policies.OWN + " has");
         }
         return budgets == null ? rival : new Budgeted(rival, budgets);
     }
 
     /** What results call a policy under some figures: {@code cedarrudder idle-ms=500 budget}. */
-    static String variant(String name, Tuning tuning, TierBudgets budgets) {
-        String figures = TuningText.differences(tuning);
+    static String variant(String name, BalancerParameters tuning, TierBudgets budgets) {
+        String figures = BalancerParametersParser.differences(tuning);
         return name
                 + (figures.isEmpty() ? "" : " " + figures)
                 + (budgets == null ? "" : " " + budgets);
@@ -97,7 +97,7 @@
             Guard guard,
             UnaryOperator<Trace> seen)
             throws InterruptedException {
-        Judge judge = new Judge(Figures.of(scenario), Model.START);
+        RunChecker judge = new RunChecker(RuleParameters.of(scenario), Model.START);
         Model.Played played =
                 Model.run(
                         scenario,
--- a/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
@@ -1,16 +1,16 @@
 package cedarrudder.lab.command;
 
 import cedarrudder.lab.cluster.Cluster;
-import cedarrudder.lab.cluster.DrawnScript;
+import cedarrudder.lab.cluster.RandomScript;
 import cedarrudder.lab.cluster.Script;
 import cedarrudder.lab.cluster.ScriptReader;
-import cedarrudder.lab.cluster.Service;
+import cedarrudder.lab.cluster.ServiceSummary;
 import cedarrudder.lab.cluster.Verdict;
 import cedarrudder.lab.cluster.VirtualRun;
-import cedarrudder.lab.emulator.Place;
-import cedarrudder.lab.members.Mesh;
+import cedarrudder.lab.emulator.HostEnvironment;
+import cedarrudder.lab.membership.SwimSimulation;
 import cedarrudder.membership.MembershipSettings;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -93,7 +93,7 @@
     private Path out;
 
     @Override
-    public Integer call() throws BadFileException, IOException, InterruptedException {
+    public Integer call() throws InvalidFileException, IOException, InterruptedException {
         int most = what.virtual ? MOST_VIRTUAL : Script.MOST;
         if (copies < Script.LEAST || copies > most || loss < 0 || loss >= 1) {
             throw new ParameterException(
@@ -131,14 +131,15 @@
                     what.virtual
                             ? VirtualRun.play(
                                     copies,
-                                    new Mesh.Network(loss, 100 * MICRO, 2_000 * MICRO),
+                                    new SwimSimulation.Network(loss, 100 * MICRO, 2_000 * MICRO),
                                     MembershipSettings.DEFAULT,
                                     seed,
                                     SETTLE)
                             : Cluster.play(
-                                    script == null ? DrawnScript.of(seed, copies) : script,
+                                    script == null ? RandomScript.of(seed, copies) : script,
                                     seed,
-                                    Place.of(root, out.resolve("seed-" + seed), List.of(), 0, 0));
+                                    HostEnvironment.of(
+                                            root, out.resolve("seed-" + seed), List.of(), 0, 0));
             good &= verdict.good();
             print.printf(
                     Locale.ROOT,
@@ -154,7 +155,7 @@
                     verdict.leaders(),
                     verdict.tables(),
                     verdict.good() ? "kept" : "BROKEN");
-            Service service = verdict.service();
+            ServiceSummary service = verdict.service();
             print.printf(
                     Locale.ROOT,
                     "      refused %d, failed %d, later than 0.3 s %d",
--- a/lab/src/main/java/cedarrudder/lab/command/CorrelateCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/CorrelateCommand.java
@@ -36,7 +36,7 @@
             output.flush();
             return 0;
         } catch (IOException e) {
-            spec.commandLine().getErr().println("correlate: " + Errors.told(e));
+            spec.commandLine().getErr().println("correlate: " + FileErrors.told(e));
             return 2;
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/command/DemoCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/DemoCommand.java
@@ -1,12 +1,12 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.lab.emulator.Emulated;
+import cedarrudder.lab.emulator.EmulationResult;
 import cedarrudder.lab.emulator.Emulator;
-import cedarrudder.lab.emulator.Place;
+import cedarrudder.lab.emulator.HostEnvironment;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -57,7 +57,7 @@
     private Long seed;
 
     @Override
-    public Integer call() throws BadFileException, IOException, InterruptedException {
+    public Integer call() throws InvalidFileException, IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file != null ? file : root.resolve(SCENARIO));
         long chosen = seed != null ? seed : System.currentTimeMillis() % MICROS;
@@ -69,16 +69,16 @@
                         + chosen
                         + ")");
         out.flush();
-        Emulated emulated =
+        EmulationResult emulated =
                 Emulator.play(
                         scenario,
                         chosen,
-                        Place.of(root, folder, List.of(), MEMORY_MB, SOCKETS),
+                        HostEnvironment.of(root, folder, List.of(), MEMORY_MB, SOCKETS),
                         second -> {
                             out.println(EmulateCommand.line(second));
                             out.flush();
                         });
-        Beside beside = new Beside(scenario);
+        ModelComparison beside = new ModelComparison(scenario);
         beside.add(emulated);
         Path page = beside.write(folder.resolve("results"));
         print(out, emulated);
@@ -87,7 +87,7 @@
         return emulated.clean() ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
-    private static void print(PrintWriter out, Emulated emulated) {
+    private static void print(PrintWriter out, EmulationResult emulated) {
         RunResult result = emulated.result();
         long inAim = result.classes().stream().mapToLong(RunResult.ClassResult::inAim).sum();
         long late = result.classes().stream().mapToLong(RunResult.ClassResult::late).sum();
--- a/lab/src/main/java/cedarrudder/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/EmulateCommand.java
@@ -1,11 +1,11 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.lab.emulator.Emulated;
+import cedarrudder.lab.emulator.EmulationResult;
 import cedarrudder.lab.emulator.Emulator;
-import cedarrudder.lab.emulator.Place;
+import cedarrudder.lab.emulator.HostEnvironment;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -91,18 +91,18 @@
     private boolean json;
 
     @Override
-    public Integer call() throws BadFileException, IOException, InterruptedException {
+    public Integer call() throws InvalidFileException, IOException, InterruptedException {
         long[] range = seeds.range(spec);
         Scenario scenario = ScenarioReader.read(file);
         Path folder = out != null ? out : Files.createTempDirectory("cedarrudder-emulate");
         PrintWriter err = spec.commandLine().getErr();
         PrintWriter output = spec.commandLine().getOut();
-        Beside beside = new Beside(scenario);
+        ModelComparison beside = new ModelComparison(scenario);
         boolean clean = true;
         for (long seed = range[0]; seed <= range[1]; seed++) {
             Path own = range[0] == range[1] ? folder : folder.resolve("seed-" + seed);
-            Place place = Place.of(root, own, cpus, memory, sockets);
-            Emulated emulated =
+            HostEnvironment place = HostEnvironment.of(root, own, cpus, memory, sockets);
+            EmulationResult emulated =
                     Emulator.play(
                             scenario,
                             seed,
@@ -156,12 +156,12 @@
     }
 
     /** What a run came to, for a terminal. */
-    static List<String> text(Emulated emulated) {
+    static List<String> text(EmulationResult emulated) {
         List<String> lines = new ArrayList<>();
         lines.add(emulated.result().scenario() + ", " + emulated.result().variant());
         lines.addAll(ResultText.runs(List.of(emulated.result())));
         lines.addAll(ResultText.details(emulated.result()));
-        Emulated.Own own = emulated.own();
+        EmulationResult.Own own = emulated.own();
         lines.add(
                 String.format(
                         Locale.ROOT,
@@ -182,15 +182,16 @@
         }
         long most =
                 emulated.proxies().stream()
-                        .mapToLong(Emulated.ProxyUse::residentKib)
+                        .mapToLong(EmulationResult.ProxyUse::residentKib)
                         .max()
                         .orElse(0);
         long open =
                 emulated.proxies().stream()
-                        .mapToLong(Emulated.ProxyUse::descriptors)
+                        .mapToLong(EmulationResult.ProxyUse::descriptors)
                         .max()
                         .orElse(0);
-        double cpu = emulated.proxies().stream().mapToDouble(Emulated.ProxyUse::cpuSeconds).sum();
+        double cpu =
+                emulated.proxies().stream().mapToDouble(EmulationResult.ProxyUse::cpuSeconds).sum();
         lines.add(
                 String.format(
                         Locale.ROOT,
@@ -201,7 +202,7 @@
                         open,
                         cpu));
         for (int i = 0; i < emulated.quarters().size(); i++) {
-            Emulated.Quarter quarter = emulated.quarters().get(i);
+            EmulationResult.Quarter quarter = emulated.quarters().get(i);
             lines.add(
                     String.format(
                             Locale.ROOT,
--- a/lab/src/main/java/cedarrudder/lab/command/ExperimentCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ExperimentCommand.java
@@ -1,6 +1,7 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.lab.baselines.Policies;
 import cedarrudder.lab.experiment.CodeHash;
 import cedarrudder.lab.experiment.Experiment;
 import cedarrudder.lab.experiment.Manifest;
@@ -10,11 +11,10 @@
 import cedarrudder.lab.experiment.Runner;
 import cedarrudder.lab.model.Guard;
 import cedarrudder.lab.model.Model;
-import cedarrudder.lab.model.Unheard;
+import cedarrudder.lab.model.NullTrace;
 import cedarrudder.lab.policy.Policy;
-import cedarrudder.lab.rivals.Rivals;
 import cedarrudder.lab.scenario.ScenarioReader;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -86,19 +86,20 @@
             return BAD_USAGE;
         }
         try {
-            List<String> policies = new ArrayList<>(Rivals.names());
-            policies.addAll(Rivals.brokenNames());
+            List<String> policies = new ArrayList<>(Policies.names());
+            policies.addAll(Policies.brokenNames());
             Plan plan = PlanReader.read(file, policies, ScenarioReader::read);
             Manifest manifest =
                     Manifest.of(
-                            plan, CodeHash.of(CodeHash.class, PlanReader.class, Balancer.class));
+                            plan,
+                            CodeHash.of(CodeHash.class, PlanReader.class, LoadBalancer.class));
             CountDownLatch closed = new CountDownLatch(1);
             try (ResultDirectory directory = ResultDirectory.open(folder, manifest)) {
                 return run(plan, directory, errors, closed);
             } finally {
                 closed.countDown();
             }
-        } catch (BadFileException e) {
+        } catch (InvalidFileException e) {
             e.problems().forEach(errors::println);
             return BAD_USAGE;
         } catch (ResultDirectory.OtherPlanException e) {
@@ -107,7 +108,7 @@
         } catch (IOException e) {
             errors.println(
                     "experiment: "
-                            + Errors.told(e)
+                            + FileErrors.told(e)
                             + ". Finished runs are kept; mend the cause and"
                             + " run the same command to go on.");
             return FAILED;
@@ -177,7 +178,7 @@
         return job -> {
             String name = job.variant().name();
             Policy policy =
-                    Play.policy(
+                    CheckedRuns.policy(
                             job.variant().policy(),
                             job.variant().tuning(),
                             job.variant().budgets());
@@ -189,9 +190,9 @@
                                         job.seed(),
                                         policy,
                                         name,
-                                        new Unheard(),
+                                        new NullTrace(),
                                         Guard.usual().measuring())
-                                : Play.play(
+                                : CheckedRuns.play(
                                         job.scenario(),
                                         job.seed(),
                                         policy,
--- a/lab/src/main/java/cedarrudder/lab/command/FailoverCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/FailoverCommand.java
@@ -1,11 +1,11 @@
 package cedarrudder.lab.command;
 
+import cedarrudder.lab.checker.Violation;
 import cedarrudder.lab.experiment.Bootstrap;
 import cedarrudder.lab.failover.FailoverRun;
 import cedarrudder.lab.failover.FailoverRun.Conditions;
 import cedarrudder.lab.failover.FailoverRun.Result;
 import cedarrudder.lab.failover.World;
-import cedarrudder.lab.judge.Breach;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -120,9 +120,9 @@
             for (String policy : policies) {
                 rows.add(row(world, policy, results.get(policy), second));
                 for (int i = 0; i < results.get(policy).size(); i++) {
-                    List<Breach> breaches = results.get(policy).get(i).breaches();
+                    List<Violation> breaches = results.get(policy).get(i).breaches();
                     broken += breaches.isEmpty() ? 0 : 1;
-                    for (Breach breach : breaches.subList(0, Math.min(SHOWN, breaches.size()))) {
+                    for (Violation breach : breaches.subList(0, Math.min(SHOWN, breaches.size()))) {
                         out.println(world + ", seed " + (range[0] + i) + ": " + breach);
                     }
                 }
--- a/lab/src/main/java/cedarrudder/lab/command/Errors.java
+++ b/lab/src/main/java/cedarrudder/lab/command/FileErrors.java
@@ -8,9 +8,9 @@
 import java.nio.file.NotDirectoryException;
 
 /** Errors of the file system in words; Java's own messages are often the file's name alone. */
-final class Errors {
+final class FileErrors {
 
-    private Errors() {}
+    private FileErrors() {}
 
     static String told(IOException error) {
         if (!(error instanceof FileSystemException at)) {
--- a/lab/src/main/java/cedarrudder/lab/command/JudgeCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/JudgeCommand.java
@@ -1,13 +1,13 @@
 package cedarrudder.lab.command;
 
 import cedarrudder.lab.emulator.Emulator;
-import cedarrudder.lab.referee.Figures;
-import cedarrudder.lab.referee.Referee;
+import cedarrudder.lab.referee.RuleChecker;
+import cedarrudder.lab.referee.RuleParameters;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
 import cedarrudder.lab.trace.TraceReader;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -42,10 +42,10 @@
     private Path scenario;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidFileException, IOException {
         Scenario played = ScenarioReader.read(scenario);
-        Figures figures = Emulator.figures(played);
-        Referee referee = new Referee(figures, 0);
+        RuleParameters figures = Emulator.figures(played);
+        RuleChecker referee = new RuleChecker(figures, 0);
         TraceReader.Read read = TraceReader.read(record, referee);
         referee.finish(read.last());
         List<RunResult.Breach> breaches = referee.breaches();
--- a/lab/src/main/java/cedarrudder/lab/command/Lab.java
+++ b/lab/src/main/java/cedarrudder/lab/command/Lab.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import java.io.PrintWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -76,7 +76,7 @@
 
     private static int failed(
             Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
-        if (fault instanceof BadFileException bad) {
+        if (fault instanceof InvalidFileException bad) {
             bad.problems().forEach(problem -> command.getErr().println(problem));
             return CommandLine.ExitCode.USAGE;
         }
--- a/lab/src/main/java/cedarrudder/lab/command/LoadCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/LoadCommand.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.Balancer.Effect;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.lab.load.LoadResult;
 import cedarrudder.lab.load.LoadRun;
 import cedarrudder.lab.load.Options;
@@ -9,7 +9,7 @@
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
 import cedarrudder.protocol.Addresses;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.toml.InvalidFileException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -37,7 +37,7 @@
     private static final int MOST_CONNECTIONS = 60_000;
     private static final int MOST_BODY = 64 * 1024;
     private static final List<Traffic.Kind> ONE_KIND =
-            List.of(new Traffic.Kind("lookup", Effect.SAFE, 1, 1000));
+            List.of(new Traffic.Kind("lookup", Idempotency.SAFE, 1, 1000));
 
     @Spec private CommandSpec spec;
 
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public Integer call() throws BadFileException, IOException, InterruptedException {
+    public Integer call() throws InvalidFileException, IOException, InterruptedException {
         Options options = options();
         LoadRun run =
                 new LoadRun(
@@ -200,7 +200,7 @@
         return ExitCode.OK;
     }
 
-    private Options options() throws BadFileException {
+    private Options options() throws InvalidFileException {
         within("--connections", connections, 1, MOST_CONNECTIONS);
         within("--threads", threads, 1, Math.min(MOST_THREADS, connections));
         within("--body", body, 0, MOST_BODY);
@@ -234,7 +234,7 @@
         }
     }
 
-    private Traffic traffic() throws BadFileException {
+    private Traffic traffic() throws InvalidFileException {
         List<Traffic.Kind> kinds = new ArrayList<>();
         List<Traffic.Tenant> owners = new ArrayList<>();
         if (scenario != null) {
@@ -287,8 +287,8 @@
         return parts;
     }
 
-    private Effect effect(String word) {
-        for (Effect effect : Effect.values()) {
+    private Idempotency effect(String word) {
+        for (Idempotency effect : Idempotency.values()) {
             if (effect.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return effect;
             }
--- a/lab/src/main/java/cedarrudder/lab/command/MembersCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/MembersCommand.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.lab.members.Detection;
-import cedarrudder.lab.members.Mesh;
-import cedarrudder.lab.members.Trouble;
+import cedarrudder.lab.membership.FailureDetectionTrial;
+import cedarrudder.lab.membership.SwimSimulation;
+import cedarrudder.lab.membership.TransientFaultTrial;
 import cedarrudder.membership.MembershipSettings;
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -75,7 +75,7 @@
             description =
                     "Instead of that, what passes again: ${COMPLETION-CANDIDATES}. "
                             + "Exit code 1 where not all agree in time after it.")
-    private List<Trouble.Kind> troubles = List.of();
+    private List<TransientFaultTrial.Kind> troubles = List.of();
 
     @Override
     public Integer call() {
@@ -93,8 +93,8 @@
         return troubles.isEmpty() ? detect(range) : suffer(range);
     }
 
-    private static Mesh.Network network(double loss) {
-        return new Mesh.Network(loss, 100 * MICRO, 2_000 * MICRO);
+    private static SwimSimulation.Network network(double loss) {
+        return new SwimSimulation.Network(loss, 100 * MICRO, 2_000 * MICRO);
     }
 
     private int suffer(long[] range) {
@@ -113,15 +113,16 @@
                         "bytes/s",
                         "most in 1 s"));
         boolean all = true;
-        for (Trouble.Kind kind : troubles) {
+        for (TransientFaultTrial.Kind kind : troubles) {
             for (int size : sizes) {
                 for (double loss : losses) {
-                    Trouble trouble =
-                            new Trouble(kind, size, network(loss), MembershipSettings.DEFAULT);
+                    TransientFaultTrial trouble =
+                            new TransientFaultTrial(
+                                    kind, size, network(loss), MembershipSettings.DEFAULT);
                     for (long seed = range[0]; seed <= range[1]; seed++) {
                         trouble.play(seed);
                     }
-                    Trouble.Figures f = trouble.figures();
+                    TransientFaultTrial.Figures f = trouble.figures();
                     all &= f.never() == 0;
                     rows.add(
                             List.of(
@@ -167,8 +168,8 @@
         boolean all = true;
         for (int size : sizes) {
             for (double loss : losses) {
-                Detection detection =
-                        new Detection(
+                FailureDetectionTrial detection =
+                        new FailureDetectionTrial(
                                 size,
                                 network(loss),
                                 dying,
@@ -178,7 +179,7 @@
                 for (long seed = range[0]; seed <= range[1]; seed++) {
                     detection.play(seed);
                 }
-                Detection.Figures f = detection.figures();
+                FailureDetectionTrial.Figures f = detection.figures();
                 all &= f.unseen() == 0;
                 rows.add(
                         List.of(
--- a/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
@@ -1,20 +1,20 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.Tuning;
-import cedarrudder.TuningText;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.balancer.BalancerParametersParser;
 import cedarrudder.budget.BudgetSettings;
+import cedarrudder.lab.baselines.Policies;
 import cedarrudder.lab.model.Guard;
 import cedarrudder.lab.model.Model;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.policy.TierBudgets;
 import cedarrudder.lab.result.RunResult;
-import cedarrudder.lab.rivals.Rivals;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
 import cedarrudder.lab.trace.TraceWriter;
 import cedarrudder.operator.BudgetTable;
-import cedarrudder.operator.Operator;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.operator.OperatorFile;
+import cedarrudder.toml.InvalidFileException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -58,7 +58,7 @@
     @Option(
             names = "--policy",
             paramLabel = "NAME",
-            defaultValue = Rivals.OWN,
+            defaultValue = Policies.OWN,
             description =
                     "Who decides; ${DEFAULT-VALUE} where not given. The command policies lists"
                             + " all.")
@@ -94,7 +94,7 @@
     private Path trace;
 
     @Override
-    public Integer call() throws BadFileException, IOException, InterruptedException {
+    public Integer call() throws InvalidFileException, IOException, InterruptedException {
         long[] range = seeds.range(spec);
         if (threads < 1 || threads > MOST_THREADS) {
             throw usage(
@@ -108,15 +108,15 @@
         }
         Scenario scenario = ScenarioReader.read(file);
         TierBudgets budgets = budgets(scenario);
-        Tuning tuning;
+        BalancerParameters tuning;
         Policy decides;
         try {
-            tuning = TuningText.read(figures);
-            decides = Play.policy(policy, tuning, budgets);
+            tuning = BalancerParametersParser.read(figures);
+            decides = CheckedRuns.policy(policy, tuning, budgets);
         } catch (IllegalArgumentException e) {
             throw usage(e.getMessage());
         }
-        String variant = Play.variant(policy, tuning, budgets);
+        String variant = CheckedRuns.variant(policy, tuning, budgets);
         List<RunResult> results = new ArrayList<>();
         boolean clean = true;
         ExecutorService pool = Executors.newFixedThreadPool(threads);
@@ -147,9 +147,9 @@
     }
 
     /** What the operator's file says of budgets, for all tiers; null where it says nothing. */
-    private TierBudgets budgets(Scenario scenario) throws BadFileException {
+    private TierBudgets budgets(Scenario scenario) throws InvalidFileException {
         BudgetSettings set =
-                operator == null ? null : Operator.read(operator).of(BudgetTable.BUDGET);
+                operator == null ? null : OperatorFile.read(operator).of(BudgetTable.BUDGET);
         if (set == null) {
             return null;
         }
@@ -165,13 +165,16 @@
     private RunResult run(Scenario scenario, long seed, Policy decides, String variant)
             throws IOException, InterruptedException {
         if (trace == null) {
-            return Play.play(scenario, seed, decides, variant, Guard.usual(), judged -> judged)
+            return CheckedRuns.play(
+                            scenario, seed, decides, variant, Guard.usual(), judged -> judged)
                     .result();
         }
         return TraceWriter.around(
                         trace,
                         Model.START,
-                        seen -> Play.play(scenario, seed, decides, variant, Guard.usual(), seen))
+                        seen ->
+                                CheckedRuns.play(
+                                        scenario, seed, decides, variant, Guard.usual(), seen))
                 .result();
     }
 
--- a/lab/src/main/java/cedarrudder/lab/command/Beside.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ModelComparison.java
@@ -1,7 +1,8 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.Tuning;
-import cedarrudder.lab.emulator.Emulated;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.lab.baselines.Policies;
+import cedarrudder.lab.emulator.EmulationResult;
 import cedarrudder.lab.emulator.Emulator;
 import cedarrudder.lab.experiment.Manifest;
 import cedarrudder.lab.experiment.Metric;
@@ -11,7 +12,6 @@
 import cedarrudder.lab.model.Model;
 import cedarrudder.lab.report.Report;
 import cedarrudder.lab.result.RunResult;
-import cedarrudder.lab.rivals.Rivals;
 import cedarrudder.lab.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,7 +24,7 @@
  * Runs of the emulator beside the model's of the same scenario and seeds, as an experiment's
  * results.
  */
-final class Beside {
+final class ModelComparison {
 
     private static final String MODEL = "model";
 
@@ -35,19 +35,19 @@
     private final List<RunResult> model = new ArrayList<>();
     private final List<RunResult> emulator = new ArrayList<>();
 
-    Beside(Scenario scenario) {
+    ModelComparison(Scenario scenario) {
         this.scenario = scenario;
     }
 
     /** Adds a run of the emulator, and plays the model's. */
-    void add(Emulated emulated) throws InterruptedException {
+    void add(EmulationResult emulated) throws InterruptedException {
         RunResult run = emulated.result();
         emulator.add(run.as(emulated.own().ranLate() ? LATE : Emulator.VARIANT));
         Model.Played played =
-                Play.play(
+                CheckedRuns.play(
                         scenario,
                         run.seed(),
-                        Play.policy(Rivals.OWN, Tuning.DEFAULTS, null),
+                        CheckedRuns.policy(Policies.OWN, BalancerParameters.DEFAULTS, null),
                         MODEL,
                         Guard.usual(),
                         judged -> judged);
@@ -107,10 +107,10 @@
     /** Writes the results and their report; gives the path of the page. */
     Path write(Path folder) throws IOException {
         List<Manifest.Contestant> contestants = new ArrayList<>();
-        contestants.add(new Manifest.Contestant(MODEL, Rivals.OWN, ""));
+        contestants.add(new Manifest.Contestant(MODEL, Policies.OWN, ""));
         for (String variant : List.of(Emulator.VARIANT, LATE)) {
             if (emulator.stream().anyMatch(run -> run.variant().equals(variant))) {
-                contestants.add(new Manifest.Contestant(variant, Rivals.OWN, ""));
+                contestants.add(new Manifest.Contestant(variant, Policies.OWN, ""));
             }
         }
         long first = model.get(0).seed();
--- a/lab/src/main/java/cedarrudder/lab/command/OverheadCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/OverheadCommand.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.lab.emulator.Place;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.lab.emulator.HostEnvironment;
 import cedarrudder.lab.emulator.Port;
-import cedarrudder.lab.emulator.Supervised;
+import cedarrudder.lab.emulator.SupervisedProcess;
 import cedarrudder.lab.load.LoadResult;
 import cedarrudder.lab.load.LoadRun;
 import cedarrudder.lab.load.Options;
@@ -154,12 +154,12 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("cedarrudder-overhead");
-        Place place = Place.of(root, folder, List.of(cpu), MEMORY_MB, sockets);
-        List<Supervised> started = new ArrayList<>();
+        HostEnvironment place = HostEnvironment.of(root, folder, List.of(cpu), MEMORY_MB, sockets);
+        List<SupervisedProcess> started = new ArrayList<>();
         try (StandIn nodes = new StandIn("127.0.0.1", nodeCount, 200, 2);
                 Port daemonAt = Port.hold("127.0.0.2");
                 Port relayAt = Port.hold("127.0.0.3")) {
-            Supervised daemon = daemon(place, folder, nodes, daemonAt);
+            SupervisedProcess daemon = daemon(place, folder, nodes, daemonAt);
             started.add(daemon);
             started.add(relay(place, folder, nodes, relayAt));
             Map<Way, List<InetSocketAddress>> targets = new EnumMap<>(Way.class);
@@ -170,14 +170,14 @@
             ready(daemonAt);
             measure(targets, daemon);
         } finally {
-            for (Supervised each : started) {
+            for (SupervisedProcess each : started) {
                 each.end();
             }
         }
         return ExitCode.OK;
     }
 
-    private void measure(Map<Way, List<InetSocketAddress>> targets, Supervised daemon)
+    private void measure(Map<Way, List<InetSocketAddress>> targets, SupervisedProcess daemon)
             throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         for (Way way : Way.values()) {
@@ -314,7 +314,8 @@
 
     private Options options(List<InetSocketAddress> targets, String rate) {
         Traffic traffic =
-                new Traffic(List.of(new Traffic.Kind("look", Effect.SAFE, 1, 10_000)), List.of());
+                new Traffic(
+                        List.of(new Traffic.Kind("look", Idempotency.SAFE, 1, 10_000)), List.of());
         return new Options(
                 targets,
                 Rate.parse(rate),
@@ -332,14 +333,15 @@
 
     // ---- what is measured ----
 
-    private String flags(Place place) {
+    private String flags(HostEnvironment place) {
         String all = place.command().replaceAll("^exec java (.*) -jar .*$", "$1");
         return compiler == Compiler.PLATFORM
                 ? all
                 : all.replaceAll("-XX:TieredStopAtLevel=1 |-XX:ReservedCodeCacheSize=\\S+ ?", "");
     }
 
-    private Supervised daemon(Place place, Path folder, StandIn nodes, Port at) throws IOException {
+    private SupervisedProcess daemon(HostEnvironment place, Path folder, StandIn nodes, Port at)
+            throws IOException {
         Path file = folder.resolve("daemon.json");
         InetSocketAddress discovery = nodes.discovery();
         Files.writeString(
@@ -364,7 +366,7 @@
                         .replaceAll(
                                 "^exec java .* -jar ",
                                 "exec java " + flags(place).replace("\\", "\\\\") + " -jar ");
-        return Supervised.start(
+        return SupervisedProcess.start(
                 pinned(command),
                 place.root(),
                 Map.of("BALANCER_CONFIG", file.toString()),
@@ -372,7 +374,8 @@
                 sockets);
     }
 
-    private Supervised relay(Place place, Path folder, StandIn nodes, Port at) throws IOException {
+    private SupervisedProcess relay(HostEnvironment place, Path folder, StandIn nodes, Port at)
+            throws IOException {
         // The archive holds the daemon's classes and serves its jar alone.
         String flags = flags(place).replaceAll("-Xshare:\\S+ |-XX:SharedArchiveFile=\\S+ ", "");
         StringBuilder command =
@@ -391,7 +394,7 @@
                                         .append(node.getAddress().getHostAddress())
                                         .append(':')
                                         .append(node.getPort()));
-        return Supervised.start(
+        return SupervisedProcess.start(
                 pinned(command.toString()),
                 Path.of("").toAbsolutePath(),
                 Map.of(),
--- a/lab/src/main/java/cedarrudder/lab/command/PoliciesCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/PoliciesCommand.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.command;
 
-import cedarrudder.lab.rivals.Rivals;
+import cedarrudder.lab.baselines.Policies;
 import java.util.ArrayList;
 import java.util.List;
 import picocli.CommandLine.Command;
@@ -21,15 +21,15 @@
 
     @Override
     public void run() {
-        List<String> names = new ArrayList<>(Rivals.names());
+        List<String> names = new ArrayList<>(Policies.names());
         if (broken) {
-            names.addAll(Rivals.brokenNames());
+            names.addAll(Policies.brokenNames());
         }
         int width = names.stream().mapToInt(String::length).max().orElse(0);
         for (String name : names) {
             spec.commandLine()
                     .getOut()
-                    .println(name + " ".repeat(width + 2 - name.length()) + Rivals.source(name));
+                    .println(name + " ".repeat(width + 2 - name.length()) + Policies.source(name));
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/command/ReportCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ReportCommand.java
@@ -58,7 +58,7 @@
             output.flush();
             return 0;
         } catch (IOException e) {
-            spec.commandLine().getErr().println("report: " + Errors.told(e));
+            spec.commandLine().getErr().println("report: " + FileErrors.told(e));
             return 1;
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/agreement/Copies.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
@@ -1,17 +1,17 @@
-package cedarrudder.lab.agreement;
-
-import cedarrudder.agreement.Agreement;
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.Entry;
-import cedarrudder.agreement.Group;
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Note;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.agreement.Store;
-import cedarrudder.agreement.Voter;
-import cedarrudder.agreement.Voters;
-import cedarrudder.lab.judge.Event;
+package cedarrudder.lab.consensus;
+
+import cedarrudder.consensus.ConsensusEvent;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.LogEntry;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.consensus.RaftNode;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.consensus.Voter;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.consensus.VoterSet;
+import cedarrudder.lab.checker.HistoryEvent;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
  * corrupts and cuts, and with clocks that differ and drift. What a copy loads is a running sum of
  * all that was loaded. One seed gives one history.
  */
-public final class Copies {
+public final class ConsensusSimulation {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long HOUR = 3_600 * SECOND;
@@ -59,18 +59,19 @@
      *
      * @param number null where it is not committed
      */
-    public record Settled(long at, Proposal proposal, Outcome outcome, LogNumber number) {}
+    public record Settled(
+            long at, Proposal proposal, ProposalOutcome outcome, LogPosition number) {}
 
     /** What makes a copy's part, so that a broken one can be put in its place. */
     public interface Maker {
-        Agreement make(
+        RaftNode make(
                 int[] zones,
                 int self,
                 long life,
-                AgreementSettings settings,
-                Store store,
+                ConsensusSettings settings,
+                StableStorage store,
                 RandomGenerator random,
-                Agreement.Outlet outlet,
+                RaftNode.Actions outlet,
                 long now);
     }
 
@@ -78,13 +79,13 @@
     private record Due(long at, long number, Runnable what) {}
 
     /** One place in the tier, and the process that runs there. */
-    private final class Place implements Agreement.Outlet {
+    private final class Place implements RaftNode.Actions {
         final int number;
         final long offset;
         final double drift;
         final Deque<Runnable> waiting = new ArrayDeque<>();
-        Store store = Store.NONE;
-        Agreement agreement;
+        StableStorage store = StableStorage.NONE;
+        RaftNode agreement;
         long process;
         long stalledUntil;
         long ticksAt = Long.MAX_VALUE;
@@ -118,7 +119,7 @@
             return offset + (long) (now * drift);
         }
 
-        void start(long life, Store on, boolean keeps) {
+        void start(long life, StableStorage on, boolean keeps) {
             process++;
             sum = 0;
             store = on;
@@ -217,7 +218,7 @@
 
         private void say(String what, Map<String, String> fields) {
             if (listener != null) {
-                listener.accept(new Event(now, number, process, what, fields));
+                listener.accept(new HistoryEvent(now, number, process, what, fields));
             }
         }
 
@@ -256,7 +257,7 @@
         }
 
         @Override
-        public void loaded(LogNumber at, byte[] content) {
+        public void loaded(LogPosition at, byte[] content) {
             sum = sum * 31 + checksum(content) + at.index();
             if (listener == null) {
                 return;
@@ -281,7 +282,7 @@
         }
 
         @Override
-        public void restored(LogNumber at, byte[] state) {
+        public void restored(LogPosition at, byte[] state) {
             sum = state.length < 8 ? 0 : ByteBuffer.wrap(state).getLong();
             if (at.index() > 0 && listener != null) {
                 say(
@@ -302,7 +303,7 @@
         }
 
         @Override
-        public void settled(Proposal proposal, Outcome outcome, LogNumber at) {
+        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition at) {
             settled.add(new Settled(now, proposal, outcome, at));
             if (listener != null) {
                 Map<String, String> fields =
@@ -323,15 +324,15 @@
         }
 
         @Override
-        public void noted(Note note) {
-            if (note instanceof Note.Leads) {
+        public void noted(ConsensusEvent note) {
+            if (note instanceof ConsensusEvent.Leads) {
                 leadsSince = now;
             }
             if (listener == null) {
                 return;
             }
             String group = text(note.group());
-            if (note instanceof Note.Voted n) {
+            if (note instanceof ConsensusEvent.Voted n) {
                 say(
                         "voted",
                         Map.of(
@@ -343,7 +344,7 @@
                                 Long.toString(n.by().life()),
                                 "for",
                                 text(n.candidate())));
-            } else if (note instanceof Note.Leads n) {
+            } else if (note instanceof ConsensusEvent.Leads n) {
                 say(
                         "leads",
                         Map.of(
@@ -353,7 +354,7 @@
                                 Long.toString(n.term()),
                                 "as",
                                 Long.toString(n.by().life())));
-            } else if (note instanceof Note.Stored n) {
+            } else if (note instanceof ConsensusEvent.Stored n) {
                 Map<String, String> fields =
                         new HashMap<>(
                                 Map.of(
@@ -365,11 +366,11 @@
                                         Long.toString(n.by().life()),
                                         "sum",
                                         Integer.toHexString(checksum(n.entry().content()))));
-                if (n.entry().kind() == Entry.Kind.VOTERS) {
-                    fields.put("voters", text(Voters.decode(n.entry().bytes())));
+                if (n.entry().kind() == LogEntry.Kind.VOTERS) {
+                    fields.put("voters", text(VoterSet.decode(n.entry().bytes())));
                 }
                 say("stored", fields);
-            } else if (note instanceof Note.Seated n) {
+            } else if (note instanceof ConsensusEvent.Seated n) {
                 say(
                         "seated",
                         Map.of(
@@ -383,9 +384,9 @@
         }
     }
 
-    private final AgreementSettings settings;
+    private final ConsensusSettings settings;
     private final Maker maker;
-    private final Consumer<Event> listener;
+    private final Consumer<HistoryEvent> listener;
     private final SplittableRandom random;
     private final int[] zones;
     private final int stateBytes;
@@ -397,7 +398,7 @@
                                     ? Long.compare(a.at, b.at)
                                     : Long.compare(a.number, b.number));
     private final boolean[][] cut;
-    private final Map<Group, String> groups = new HashMap<>();
+    private final Map<VoterGroup, String> groups = new HashMap<>();
     private Network network;
     private long now = 1_000 * SECOND;
     private long made;
@@ -411,15 +412,15 @@
      * @param stateBytes the size of what a copy has loaded, 8 or more
      * @param listener hears all that happens; or null
      */
-    public Copies(
+    public ConsensusSimulation(
             int size,
             Network network,
-            AgreementSettings settings,
+            ConsensusSettings settings,
             boolean disks,
             int stateBytes,
             long seed,
             Maker maker,
-            Consumer<Event> listener) {
+            Consumer<HistoryEvent> listener) {
         this.network = network;
         this.settings = settings;
         this.maker = maker;
@@ -432,7 +433,10 @@
             zones[i] = i % ZONES;
             places.add(new Place(i));
         }
-        places.forEach(place -> place.start(lives++, disks ? new Disk() : Store.NONE, false));
+        places.forEach(
+                place ->
+                        place.start(
+                                lives++, disks ? new SimulatedDisk() : StableStorage.NONE, false));
     }
 
     private void at(long instant, Runnable what) {
@@ -450,7 +454,7 @@
     }
 
     /** As texts that sort as the groups do. */
-    private String text(Group group) {
+    private String text(VoterGroup group) {
         return groups.computeIfAbsent(
                 group,
                 g -> String.format(Locale.ROOT, "%08x.%04x.%012x", g.era(), g.founder(), g.life()));
@@ -464,8 +468,10 @@
         return voter.copy() + ":" + voter.life();
     }
 
-    private static String text(Voters voters) {
-        return voters.all().stream().map(Copies::text).collect(Collectors.joining(","));
+    private static String text(VoterSet voters) {
+        return voters.all().stream()
+                .map(ConsensusSimulation::text)
+                .collect(Collectors.joining(","));
     }
 
     // ---- time ----
@@ -497,7 +503,7 @@
         Place place = places.get(number);
         place.agreement = null;
         place.process++;
-        if (place.store instanceof Disk disk) {
+        if (place.store instanceof SimulatedDisk disk) {
             disk.crash();
         }
         tellLives();
@@ -511,7 +517,7 @@
     }
 
     /** It starts again and says that it has this life and this store, though it kept nothing. */
-    public void pretend(int number, long life, Store with) {
+    public void pretend(int number, long life, StableStorage with) {
         places.get(number).start(life, with, false);
         tellLives();
     }
@@ -567,9 +573,9 @@
      * Something is proposed at this copy; its number, or null where the copy doesn't run or takes
      * nothing.
      */
-    public LogNumber propose(int number, byte[] content) {
+    public LogPosition propose(int number, byte[] content) {
         Place place = places.get(number);
-        LogNumber[] taken = new LogNumber[1];
+        LogPosition[] taken = new LogPosition[1];
         place.run(place.process, () -> taken[0] = place.agreement.propose(place.own(), content));
         return taken[0];
     }
@@ -639,7 +645,7 @@
     }
 
     /** A copy's part; null where it doesn't run. */
-    public Agreement view(int number) {
+    public RaftNode view(int number) {
         return places.get(number).agreement;
     }
 
@@ -665,7 +671,7 @@
         return found;
     }
 
-    private static boolean newer(Agreement one, Agreement other) {
+    private static boolean newer(RaftNode one, RaftNode other) {
         int byGroup = one.group().compareTo(other.group());
         return byGroup > 0 || byGroup == 0 && one.term() > other.term();
     }
@@ -696,7 +702,7 @@
     }
 
     /** Whether all that run have loaded this, or what came after it. */
-    public boolean allLoaded(LogNumber number) {
+    public boolean allLoaded(LogPosition number) {
         return places.stream()
                 .allMatch(
                         place ->
--- a/lab/src/main/java/cedarrudder/lab/agreement/Trial.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusTrial.java
@@ -1,15 +1,15 @@
-package cedarrudder.lab.agreement;
+package cedarrudder.lab.consensus;
 
-import cedarrudder.agreement.Agreement;
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.LogNumber;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.RaftNode;
 import org.HdrHistogram.Histogram;
 
 /**
  * What agreement takes when nothing else goes wrong: bytes, the time of a commit, and that of
  * another leader.
  */
-public final class Trial {
+public final class ConsensusTrial {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
@@ -52,8 +52,8 @@
             double busyMost) {}
 
     private final int size;
-    private final Copies.Network network;
-    private final AgreementSettings settings;
+    private final ConsensusSimulation.Network network;
+    private final ConsensusSettings settings;
     private final int contentBytes;
     private final int deathsOfSeed;
     private final Histogram commits = new Histogram(3);
@@ -68,10 +68,10 @@
      * @param deathsOfSeed how many leaders are killed after that, one after another; each comes
      *     back with nothing
      */
-    public Trial(
+    public ConsensusTrial(
             int size,
-            Copies.Network network,
-            AgreementSettings settings,
+            ConsensusSimulation.Network network,
+            ConsensusSettings settings,
             int contentBytes,
             int deathsOfSeed) {
         this.size = size;
@@ -84,9 +84,9 @@
     /** Plays one seed. */
     public void play(long seed) {
         seeds++;
-        Copies copies =
-                new Copies(
-                        size, network, settings, false, contentBytes, seed, Agreement::new, null);
+        ConsensusSimulation copies =
+                new ConsensusSimulation(
+                        size, network, settings, false, contentBytes, seed, RaftNode::new, null);
         copies.form(0);
         settle(copies);
         span(copies, 0, false);
@@ -109,7 +109,7 @@
     /**
      * Plays until a leader has all its voters and all copies hold the same, and a little longer.
      */
-    private void settle(Copies copies) {
+    private void settle(ConsensusSimulation copies) {
         long from = copies.now();
         do {
             copies.play(SECOND);
@@ -121,7 +121,7 @@
         copies.play(3 * SECOND);
     }
 
-    private void span(Copies copies, int at, boolean commits) {
+    private void span(ConsensusSimulation copies, int at, boolean commits) {
         long[] before = new long[size];
         for (int i = 0; i < size; i++) {
             before[i] = copies.bytes(i);
@@ -148,10 +148,10 @@
         bytes[at + 1] += most;
     }
 
-    private void commit(Copies copies) {
+    private void commit(ConsensusSimulation copies) {
         long from = copies.now();
         int leader = copies.leader();
-        LogNumber number = leader < 0 ? null : copies.propose(leader, new byte[contentBytes]);
+        LogPosition number = leader < 0 ? null : copies.propose(leader, new byte[contentBytes]);
         if (number == null) {
             missed++;
             return;
--- a/lab/src/main/java/cedarrudder/lab/agreement/Storm.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
@@ -1,13 +1,13 @@
-package cedarrudder.lab.agreement;
+package cedarrudder.lab.consensus;
 
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.lab.judge.Breach;
-import cedarrudder.lab.judge.OneEffect;
-import cedarrudder.lab.judge.OneLeader;
-import cedarrudder.lab.judge.OneTable;
-import cedarrudder.lab.judge.Rule;
-import cedarrudder.lab.judge.SureContact;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.lab.checker.AtMostOnceEffect;
+import cedarrudder.lab.checker.Invariant;
+import cedarrudder.lab.checker.LeaderContactBound;
+import cedarrudder.lab.checker.SingleLeader;
+import cedarrudder.lab.checker.SingleTable;
+import cedarrudder.lab.checker.Violation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -17,7 +17,7 @@
  * started again with nothing or with their disk; leaders that stall; cuts both and one way; loss;
  * operators who form groups and hand over.
  */
-public final class Storm {
+public final class FaultStorm {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
@@ -38,23 +38,23 @@
      */
     public record Result(
             long seed,
-            List<Breach> breaches,
+            List<Violation> breaches,
             long loaded,
             long leaders,
             long answered,
             long contacts,
             long settled) {}
 
-    private Storm() {}
+    private FaultStorm() {}
 
     /** Plays a seed with these parts in the copies. */
-    public static Result play(long seed, Copies.Maker maker) {
+    public static Result play(long seed, ConsensusSimulation.Maker maker) {
         SplittableRandom random = new SplittableRandom(seed);
         int size = random.nextInt(8) == 0 ? 11 + random.nextInt(20) : 3 + random.nextInt(8);
         boolean disks = random.nextInt(4) == 0;
         double loss = LOSSES[random.nextInt(LOSSES.length)];
-        AgreementSettings settings =
-                new AgreementSettings(
+        ConsensusSettings settings =
+                new ConsensusSettings(
                         150 * MILLI,
                         600 * MILLI,
                         1_200 * MILLI,
@@ -65,12 +65,17 @@
                         16_384,
                         8,
                         random.nextBoolean() ? 4 * SECOND : 0);
-        Copies.Network network = new Copies.Network(loss, 0.02, 0.01, 2 * MILLI, 21 * MILLI);
-        List<Rule> rules =
-                List.of(new OneTable(), new OneLeader(), new OneEffect(), new SureContact());
+        ConsensusSimulation.Network network =
+                new ConsensusSimulation.Network(loss, 0.02, 0.01, 2 * MILLI, 21 * MILLI);
+        List<Invariant> rules =
+                List.of(
+                        new SingleTable(),
+                        new SingleLeader(),
+                        new AtMostOnceEffect(),
+                        new LeaderContactBound());
         long[] counts = new long[4];
-        Copies copies =
-                new Copies(
+        ConsensusSimulation copies =
+                new ConsensusSimulation(
                         size,
                         network,
                         settings,
@@ -97,7 +102,7 @@
             copies.play(random.nextLong(1_500 * MILLI));
         }
         long settled = settle(copies, random, network);
-        List<Breach> breaches = new ArrayList<>();
+        List<Violation> breaches = new ArrayList<>();
         rules.forEach(
                 rule -> {
                     rule.ended(copies.now());
@@ -106,7 +111,7 @@
         return new Result(seed, breaches, counts[0], counts[1], counts[2], counts[3], settled);
     }
 
-    private static void fault(Copies copies, SplittableRandom random) {
+    private static void fault(ConsensusSimulation copies, SplittableRandom random) {
         int size = copies.size();
         int one = random.nextInt(size);
         int leader = copies.leader();
@@ -159,7 +164,7 @@
         }
     }
 
-    private static void restartAll(Copies copies) {
+    private static void restartAll(ConsensusSimulation copies) {
         for (int i = 0; i < copies.size(); i++) {
             if (!copies.runs(i)) {
                 copies.restart(i);
@@ -168,7 +173,7 @@
     }
 
     /** All copies that lead, or think so, take it: only one of them may bring it through. */
-    private static void propose(Copies copies, SplittableRandom random) {
+    private static void propose(ConsensusSimulation copies, SplittableRandom random) {
         for (int i = 0; i < copies.size(); i++) {
             if (copies.runs(i) && copies.view(i).leads()) {
                 byte[] content =
@@ -180,15 +185,15 @@
     }
 
     /** Any copy hands something on, or again what it does not know the fate of. */
-    private static void hand(Copies copies, SplittableRandom random) {
+    private static void hand(ConsensusSimulation copies, SplittableRandom random) {
         for (int i = 0; i < copies.size(); i++) {
             if (random.nextInt(4) != 0 || !copies.awake(i)) {
                 continue;
             }
-            List<Copies.Settled> settled = copies.settled(i);
+            List<ConsensusSimulation.Settled> settled = copies.settled(i);
             long patience = 500 * MILLI + random.nextLong(6 * SECOND);
             if (!settled.isEmpty()
-                    && settled.get(settled.size() - 1).outcome() == Outcome.UNKNOWN) {
+                    && settled.get(settled.size() - 1).outcome() == ProposalOutcome.UNKNOWN) {
                 copies.again(i, settled.get(settled.size() - 1).proposal(), patience);
             } else {
                 byte[] content =
@@ -200,11 +205,14 @@
     }
 
     /** No more faults; where nobody leads for long, an operator has a group formed. */
-    private static long settle(Copies copies, SplittableRandom random, Copies.Network network) {
+    private static long settle(
+            ConsensusSimulation copies,
+            SplittableRandom random,
+            ConsensusSimulation.Network network) {
         copies.heal();
         restartAll(copies);
         copies.network(
-                new Copies.Network(
+                new ConsensusSimulation.Network(
                         Math.min(network.loss(), 0.1),
                         0,
                         0,
--- a/lab/src/main/java/cedarrudder/lab/agreement/Disk.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/SimulatedDisk.java
@@ -1,19 +1,19 @@
-package cedarrudder.lab.agreement;
+package cedarrudder.lab.consensus;
 
-import cedarrudder.agreement.Entry;
-import cedarrudder.agreement.Snapshot;
-import cedarrudder.agreement.Store;
-import cedarrudder.agreement.Voters;
+import cedarrudder.consensus.LogEntry;
+import cedarrudder.consensus.Snapshot;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.consensus.VoterSet;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A lasting disk in virtual time: what was written and not synced is lost with the process. */
-public final class Disk implements Store {
+public final class SimulatedDisk implements StableStorage {
 
     private Kept synced;
     private Promise promise;
-    private Snapshot snapshot = new Snapshot(0, 0, new Voters(List.of()), new byte[0]);
-    private final List<Entry> entries = new ArrayList<>();
+    private Snapshot snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
+    private final List<LogEntry> entries = new ArrayList<>();
 
     /** The process is gone, and with it what it had not synced. */
     public void crash() {
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void entry(long index, Entry entry) {
+    public void entry(long index, LogEntry entry) {
         cut(index);
         entries.add(entry);
     }
--- a/lab/src/main/java/cedarrudder/lab/fleet/FleetWorld.java
+++ b/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
@@ -1,19 +1,19 @@
-package cedarrudder.lab.fleet;
-
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.agreement.Store;
-import cedarrudder.fleet.FleetCopy;
-import cedarrudder.fleet.FleetSettings;
-import cedarrudder.fleet.Removal;
-import cedarrudder.fleet.Shares;
-import cedarrudder.footprint.Room;
-import cedarrudder.lab.agreement.Copies.Network;
-import cedarrudder.lab.agreement.Disk;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.table.RouteTable;
+package cedarrudder.lab.coordination;
+
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.coordination.CoordinatedReplica;
+import cedarrudder.coordination.CoordinationSettings;
+import cedarrudder.coordination.DrainCoordination;
+import cedarrudder.coordination.TrafficCoordination;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.consensus.ConsensusSimulation.Network;
+import cedarrudder.lab.consensus.SimulatedDisk;
+import cedarrudder.routetable.RouteTable;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -31,7 +31,7 @@
  * cuts, clocks that differ and drift, processes that are killed and that stand still. One seed
  * gives one history.
  */
-public final class FleetWorld {
+public final class CoordinationSimulation {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long HOUR = 3_600 * SECOND;
@@ -39,20 +39,20 @@
 
     /** What makes a copy's part, with its subjects and its room. */
     public interface Maker {
-        FleetCopy make(
+        CoordinatedReplica make(
                 int[] zones,
                 int self,
                 long life,
-                Store store,
+                StableStorage store,
                 RandomGenerator random,
-                FleetCopy.Outlet outlet,
+                CoordinatedReplica.Actions outlet,
                 long now);
     }
 
     /** One whose zones keep their callers, and that has room for all. */
-    public static Maker plain(AgreementSettings agreed, FleetSettings settings) {
+    public static Maker plain(ConsensusSettings agreed, CoordinationSettings settings) {
         return (zones, self, life, store, random, outlet, now) ->
-                new FleetCopy(
+                new CoordinatedReplica(
                         zones,
                         self,
                         life,
@@ -60,9 +60,9 @@
                         settings,
                         store,
                         random,
-                        Shares.NONE,
-                        Removal.NONE,
-                        () -> Room.ANY,
+                        TrafficCoordination.NONE,
+                        DrainCoordination.NONE,
+                        () -> RouteTableCapacity.ANY,
                         outlet,
                         now);
     }
@@ -75,17 +75,17 @@
     private record Due(long at, long number, Runnable what) {}
 
     /** One place in the tier, and the process that runs there. */
-    private final class Place implements FleetCopy.Outlet {
+    private final class Place implements CoordinatedReplica.Actions {
         final int number;
         final long offset = (long) (random.nextDouble(-1, 1) * HOUR);
-        final double drift = 1 + random.nextDouble(-1, 1) / FleetSettings.DRIFT;
+        final double drift = 1 + random.nextDouble(-1, 1) / CoordinationSettings.DRIFT;
         final Deque<Runnable> waiting = new ArrayDeque<>();
-        Store store = Store.NONE;
-        FleetCopy copy;
+        StableStorage store = StableStorage.NONE;
+        CoordinatedReplica copy;
         RouteTable table;
         long until;
         List<RouteTable.Leaving> leaving = List.of();
-        final List<Outcome> settled = new ArrayList<>();
+        final List<ProposalOutcome> settled = new ArrayList<>();
         long process;
         long stalledUntil;
         long ticksAt;
@@ -99,7 +99,7 @@
             return offset + (long) (now * drift);
         }
 
-        void start(long life, Store on, boolean keeps) {
+        void start(long life, StableStorage on, boolean keeps) {
             process++;
             store = on;
             stalledUntil = 0;
@@ -195,18 +195,18 @@
         }
 
         @Override
-        public void settled(Proposal proposal, Outcome outcome, LogNumber number) {
+        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
             settled.add(outcome);
         }
 
         @Override
         public void noted(String what, Map<String, String> fields) {
-            listener.accept(new Event(now, number, process, what, fields));
+            listener.accept(new HistoryEvent(now, number, process, what, fields));
         }
     }
 
     private final Maker maker;
-    private final Consumer<Event> listener;
+    private final Consumer<HistoryEvent> listener;
     private final SplittableRandom random;
     private final int[] zones;
     private final List<Place> places = new ArrayList<>();
@@ -230,13 +230,13 @@
      * @param disks whether each has a lasting disk
      * @param listener hears all that happens
      */
-    public FleetWorld(
+    public CoordinationSimulation(
             int[] zones,
             Network network,
             boolean disks,
             long seed,
             Maker maker,
-            Consumer<Event> listener) {
+            Consumer<HistoryEvent> listener) {
         this.zones = zones.clone();
         this.network = network;
         this.maker = maker;
@@ -246,7 +246,10 @@
         for (int i = 0; i < zones.length; i++) {
             places.add(new Place(i));
         }
-        places.forEach(place -> place.start(lives++, disks ? new Disk() : Store.NONE, false));
+        places.forEach(
+                place ->
+                        place.start(
+                                lives++, disks ? new SimulatedDisk() : StableStorage.NONE, false));
     }
 
     private void at(long instant, Runnable what) {
@@ -288,7 +291,7 @@
         place.copy = null;
         place.table = null;
         place.process++;
-        if (place.store instanceof Disk disk) {
+        if (place.store instanceof SimulatedDisk disk) {
             disk.crash();
         }
         tellLives();
@@ -364,7 +367,7 @@
     }
 
     /** What became of all that was asked for at a copy, in the order in which that was known. */
-    public List<Outcome> settled(int number) {
+    public List<ProposalOutcome> settled(int number) {
         return places.get(number).settled;
     }
 
@@ -385,7 +388,7 @@
     }
 
     /** A copy's part; null where it doesn't run. */
-    public FleetCopy view(int number) {
+    public CoordinatedReplica view(int number) {
         return places.get(number).copy;
     }
 
@@ -421,8 +424,8 @@
     }
 
     private static boolean newer(Place one, Place other) {
-        FleetCopy.Status a = one.copy.status(one.own());
-        FleetCopy.Status b = other.copy.status(other.own());
+        CoordinatedReplica.Status a = one.copy.status(one.own());
+        CoordinatedReplica.Status b = other.copy.status(other.own());
         int byGroup = a.group().compareTo(b.group());
         return byGroup > 0 || byGroup == 0 && a.term() > b.term();
     }
--- a/lab/src/main/java/cedarrudder/lab/emulator/WrittenAside.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/BackgroundWriter.java
@@ -10,7 +10,7 @@
  * Writes to another stream on a thread of its own. Guards against a disk that is busy holding up
  * the loop that plays clients and nodes. Memory holds what is not written yet.
  */
-final class WrittenAside extends OutputStream {
+final class BackgroundWriter extends OutputStream {
 
     private static final byte[] END = new byte[0];
 
@@ -19,7 +19,7 @@
     private final Thread thread = new Thread(this::drain, "record");
     private volatile IOException failure;
 
-    WrittenAside(OutputStream to) {
+    BackgroundWriter(OutputStream to) {
         this.to = to;
         thread.setDaemon(true);
         thread.start();
--- a/lab/src/main/java/cedarrudder/lab/emulator/Calls.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ClientConnections.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -15,7 +15,7 @@
 import java.util.Deque;
 
 /** Connections of callers to one proxy: kept, and one more opened where all are busy. */
-final class Calls {
+final class ClientConnections {
 
     private static final int CONNECT_MILLIS = 1000;
 
@@ -24,7 +24,7 @@
     private final Bootstrap bootstrap;
     private final Deque<Link> idle = new ArrayDeque<>();
 
-    Calls(Emulation emulation, InetSocketAddress address) {
+    ClientConnections(Emulation emulation, InetSocketAddress address) {
         this.emulation = emulation;
         this.address = address;
         this.bootstrap =
@@ -35,7 +35,7 @@
                         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
     }
 
-    void send(WireTry what) {
+    void send(WireRequest what) {
         Link link = idle.pollLast();
         if (link != null) {
             link.send(what);
@@ -45,7 +45,7 @@
     }
 
     /** Sends on a new connection. */
-    void sendAnew(WireTry what) {
+    void sendAnew(WireRequest what) {
         Link link = new Link();
         bootstrap
                 .clone()
@@ -70,7 +70,7 @@
         private final HttpDecoder decoder =
                 HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
         private Channel channel;
-        private WireTry current;
+        private WireRequest current;
         private boolean used;
         private boolean heard;
 
@@ -79,7 +79,7 @@
             channel = context.channel();
         }
 
-        private void send(WireTry what) {
+        private void send(WireRequest what) {
             current = what;
             heard = false;
             channel.writeAndFlush(what.bytes(this));
@@ -101,11 +101,11 @@
         private void read(ByteBuf in) {
             heard = true;
             try {
-                Message answer = decoder.decode(in);
+                HttpMessage answer = decoder.decode(in);
                 if (answer == null) {
                     return;
                 }
-                WireTry what = current;
+                WireRequest what = current;
                 current = null;
                 used = true;
                 if (what == null || in.isReadable() || !answer.head().keepsAlive()) {
@@ -116,7 +116,7 @@
                 if (what != null) {
                     what.answered(answer);
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 channel.close();
             }
         }
@@ -126,12 +126,12 @@
             emulation.time.turn(
                     () -> {
                         idle.remove(this);
-                        WireTry what = current;
+                        WireRequest what = current;
                         current = null;
                         if (what == null) {
                             return;
                         }
-                        Message whole = decoder.atEnd();
+                        HttpMessage whole = decoder.atEnd();
                         if (whole != null) {
                             what.answered(whole);
                         } else if (used && !heard) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/Seen.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ClientOutcomes.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What clients saw since somebody last looked: tries by how they ended. Used on the loop. */
-final class Seen {
+final class ClientOutcomes {
 
     final long[] ends = new long[Caller.End.values().length];
     long tries;
--- a/lab/src/main/java/cedarrudder/lab/emulator/Lists.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/DiscoveryServer.java
@@ -1,16 +1,16 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import cedarrudder.lab.model.Directory;
+import cedarrudder.lab.model.DiscoveryClientModel;
 import cedarrudder.lab.model.Node;
 import cedarrudder.lab.model.Run;
-import cedarrudder.lab.model.Watcher;
 import cedarrudder.lab.scenario.Scenario;
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -33,7 +33,7 @@
  * Discovery as one proxy reaches it: the model's, over HTTP. What it has told the proxy is kept,
  * since the proxy's next life starts with that.
  */
-final class Lists {
+final class DiscoveryServer {
 
     private static final String LIST = "/catalog/members";
     private static final Pattern WATCH =
@@ -52,7 +52,7 @@
 
     private long toldVersion;
 
-    Lists(Emulation emulation, EmulatedProxy proxy, Port port) {
+    DiscoveryServer(Emulation emulation, EmulatedProxy proxy, Port port) {
         this.emulation = emulation;
         this.run = emulation.run();
         this.proxy = proxy;
@@ -85,7 +85,7 @@
             List<Node> nodes = new ArrayList<>();
             Directory.Listing listing = run.directory.listing(proxy.tier);
             listing.whole(entries, nodes);
-            keep(ListKind.FULL, entries, nodes, listing.version());
+            keep(EndpointListKind.FULL, entries, nodes, listing.version());
         }
         ObjectNode known =
                 JsonNodeFactory.instance.objectNode().put("version", toldVersion).put("full", true);
@@ -113,17 +113,17 @@
         }
     }
 
-    private void trace(long endpoint, int cell, int zone, State state, long startedAt) {
+    private void trace(long endpoint, int cell, int zone, EndpointStatus state, long startedAt) {
         run.trace.told(emulation.now(), proxy.number, endpoint, cell, zone, state, startedAt);
     }
 
-    private static State state(String word) {
+    private static EndpointStatus state(String word) {
         return word.equals("in_service")
-                ? State.READY
-                : word.equals("terminating") ? State.DRAINING : State.GONE;
+                ? EndpointStatus.READY
+                : word.equals("terminating") ? EndpointStatus.DRAINING : EndpointStatus.GONE;
     }
 
-    private static String word(State state) {
+    private static String word(EndpointStatus state) {
         return switch (state) {
             case READY -> "in_service";
             case DRAINING -> "terminating";
@@ -135,8 +135,9 @@
         return millis == 0 ? 0 : (long) (millis * 1e6) - emulation.epochNanos;
     }
 
-    private ArrayNode keep(ListKind kind, List<Endpoint> entries, List<Node> nodes, long version) {
-        if (kind != ListKind.CHANGES) {
+    private ArrayNode keep(
+            EndpointListKind kind, List<Endpoint> entries, List<Node> nodes, long version) {
+        if (kind != EndpointListKind.CHANGES) {
             told.clear();
         }
         ArrayNode servers = JsonNodeFactory.instance.arrayNode();
@@ -144,7 +145,7 @@
             Endpoint entry = entries.get(i);
             ObjectNode json = json(entry, nodes.get(i));
             servers.add(json);
-            if (entry.state() == State.GONE) {
+            if (entry.state() == EndpointStatus.GONE) {
                 told.remove(entry.id());
             } else {
                 told.put(entry.id(), json);
@@ -173,7 +174,8 @@
     }
 
     /** A call of the proxy, or a watch. */
-    private final class Connection extends ChannelInboundHandlerAdapter implements Watcher {
+    private final class Connection extends ChannelInboundHandlerAdapter
+            implements DiscoveryClientModel {
         private final HttpDecoder decoder =
                 HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
         private Channel channel;
@@ -195,7 +197,7 @@
 
         private void read(ByteBuf in) {
             try {
-                Message request = decoder.decode(in);
+                HttpMessage request = decoder.decode(in);
                 if (request == null) {
                     return;
                 }
@@ -210,7 +212,7 @@
                 } else {
                     emulation.find("proxy " + proxy.number + " asked discovery for " + target);
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 emulation.find(
                         "proxy "
                                 + proxy.number
@@ -245,7 +247,8 @@
         }
 
         @Override
-        public void tellLater(ListKind kind, List<Endpoint> entries, List<Node> nodes, long next) {
+        public void tellLater(
+                EndpointListKind kind, List<Endpoint> entries, List<Node> nodes, long next) {
             emulation.after(
                     run.network.nodes(proxy.zone, proxy.zone),
                     () -> {
@@ -255,8 +258,9 @@
                     });
         }
 
-        private void tell(ListKind kind, List<Endpoint> entries, List<Node> nodes, long next) {
-            boolean whole = kind != ListKind.CHANGES;
+        private void tell(
+                EndpointListKind kind, List<Endpoint> entries, List<Node> nodes, long next) {
+            boolean whole = kind != EndpointListKind.CHANGES;
             ObjectNode line =
                     JsonNodeFactory.instance.objectNode().put("version", next).put("full", whole);
             // A call may be overtaken by the watch; the proxy drops what is older, and so does what
--- a/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
@@ -1,12 +1,12 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 import cedarrudder.lab.model.Caller;
+import cedarrudder.lab.model.ClientAttempt;
 import cedarrudder.lab.model.Node;
 import cedarrudder.lab.model.Proxy;
 import cedarrudder.lab.model.Run;
 import cedarrudder.lab.model.Streams;
-import cedarrudder.lab.model.Try;
 import cedarrudder.lab.scenario.Scenario;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -49,13 +49,13 @@
 
     private final Emulation emulation;
     private final Port listen;
-    private final Lists lists;
-    private final Calls calls;
+    private final DiscoveryServer lists;
+    private final ClientConnections calls;
     private final Path file;
     private final Path log;
 
     /** The process of this life; null where there is none. */
-    private volatile Supervised process;
+    private volatile SupervisedProcess process;
 
     private volatile int life;
     private boolean running;
@@ -75,17 +75,17 @@
         this.log = emulation.place.folder().resolve("proxy-" + number + ".log");
         try {
             this.listen = Port.hold(Emulation.host(number, 1));
-            this.lists = new Lists(emulation, this, Lists.port(number));
+            this.lists = new DiscoveryServer(emulation, this, DiscoveryServer.port(number));
             for (Node node : run.nodesOf(tier)) {
                 emulation.side(node).open(this, Port.hold(Emulation.host(number, 3 + node.index)));
             }
         } catch (IOException e) {
             throw new UncheckedIOException("proxy " + number + " can't be given ports", e);
         }
-        this.calls = new Calls(emulation, listen.address());
+        this.calls = new ClientConnections(emulation, listen.address());
     }
 
-    Calls calls() {
+    ClientConnections calls() {
         return calls;
     }
 
@@ -95,8 +95,8 @@
     }
 
     @Override
-    protected Pending take(Caller caller, Try what) {
-        WireTry sent = new WireTry(emulation, this, caller, what);
+    protected Pending take(Caller caller, ClientAttempt what) {
+        WireRequest sent = new WireRequest(emulation, this, caller, what);
         sent.send();
         return sent;
     }
@@ -128,8 +128,8 @@
                 () -> {
                     try {
                         Files.writeString(file, configuration);
-                        Supervised started =
-                                Supervised.start(
+                        SupervisedProcess started =
+                                SupervisedProcess.start(
                                         emulation.place.commandOf(number),
                                         emulation.place.root(),
                                         environment(),
@@ -174,7 +174,7 @@
 
     private ObjectNode configuration() {
         Scenario scenario = run.scenario;
-        Balancer.Settings settings = run.world.settings(tier, self, zone);
+        LoadBalancer.BalancerSettings settings = run.world.settings(tier, self, zone);
         long seed = run.streams.seedOf(Streams.Concern.MODULE, (long) number << 32 | life - 1);
         ObjectNode json =
                 JsonNodeFactory.instance
@@ -193,7 +193,7 @@
     }
 
     /** Whether it says within its time that it takes RPCs. */
-    private boolean awaitHealth(Supervised started) {
+    private boolean awaitHealth(SupervisedProcess started) {
         long until = System.nanoTime() + PATIENCE;
         byte[] ask =
                 "GET /_health HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n"
@@ -224,7 +224,7 @@
         return false;
     }
 
-    private void started(int own, Supervised started) {
+    private void started(int own, SupervisedProcess started) {
         if (own != life || !running) {
             started.kill(); // it died before it was there
             return;
@@ -286,7 +286,7 @@
             return;
         }
         leaving = true;
-        Supervised ending = process;
+        SupervisedProcess ending = process;
         long longest =
                 run.scenario.classes().stream()
                         .mapToLong(Scenario.RequestKind::deadline)
@@ -303,7 +303,7 @@
             return;
         }
         try {
-            lists.move(Lists.port(number));
+            lists.move(DiscoveryServer.port(number));
             Files.writeString(file, configuration().toPrettyString());
             process.hangUp();
         } catch (IOException e) {
@@ -316,13 +316,13 @@
     /**
      * Looks what its process holds; ends the run where that is more than it may. From any thread.
      */
-    synchronized void look(int second, Held held) {
-        Supervised now = process;
+    synchronized void look(int second, ResourceUsage held) {
+        SupervisedProcess now = process;
         if (now == null) {
             return;
         }
-        Held.Sample sample =
-                new Held.Sample(
+        ResourceUsage.Sample sample =
+                new ResourceUsage.Sample(
                         second,
                         number,
                         life,
@@ -370,7 +370,7 @@
     }
 
     /** Its process; null where it has none. */
-    Supervised process() {
+    SupervisedProcess process() {
         return process;
     }
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/Emulation.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Emulation.java
@@ -36,11 +36,11 @@
     private static final int PROXIES_OF_A_BLOCK = 250;
 
     final EventLoop loop;
-    final RealTime time;
-    final Place place;
-    final Settled trace;
+    final RealTimeClock time;
+    final HostEnvironment place;
+    final ReorderBuffer trace;
     final long graceToAnswer;
-    final Wires wires;
+    final WireFaults wires;
 
     /** Ends with the run; with an exception where it could not be played. */
     final CompletableFuture<Void> over = new CompletableFuture<>();
@@ -49,15 +49,15 @@
     final CompletableFuture<Void> ready = new CompletableFuture<>();
 
     /** What clients saw since the last look. */
-    final Seen seen = new Seen();
+    final ClientOutcomes seen = new ClientOutcomes();
 
     /** RPCs that a proxy took and did not answer before it ended at a planned restart. */
     long lostAtRestarts;
 
     final long epochNanos;
     private final Run run;
-    private final Map<String, WireTry> tries = new HashMap<>();
-    private final Map<Node, NodeSide> sides = new LinkedHashMap<>();
+    private final Map<String, WireRequest> tries = new HashMap<>();
+    private final Map<Node, EndpointServer> sides = new LinkedHashMap<>();
     private final List<EmulatedProxy> proxies = new ArrayList<>();
     private int starting;
     private long ids;
@@ -67,16 +67,16 @@
             long seed,
             String variant,
             Trace trace,
-            Place place,
+            HostEnvironment place,
             EventLoop loop) {
         this.loop = loop;
         this.place = place;
-        this.trace = new Settled(trace);
-        this.time = new RealTime(loop, over::completeExceptionally);
-        this.graceToAnswer = scenario.rules().answerGrace() + Settled.HOLD;
+        this.trace = new ReorderBuffer(trace);
+        this.time = new RealTimeClock(loop, over::completeExceptionally);
+        this.graceToAnswer = scenario.rules().answerGrace() + ReorderBuffer.HOLD;
         this.run = new Run(scenario, seed, variant, this.trace, Model.START - PRELUDE, this);
         this.epochNanos = System.currentTimeMillis() * 1_000_000 - run.agenda.now();
-        this.wires = new Wires(this);
+        this.wires = new WireFaults(this);
     }
 
     Run run() {
@@ -152,14 +152,14 @@
 
     @Override
     public void changed(Node node) {
-        NodeSide side = sides.get(node);
+        EndpointServer side = sides.get(node);
         if (side != null) {
             side.changed();
         }
     }
 
-    NodeSide side(Node node) {
-        return sides.computeIfAbsent(node, each -> new NodeSide(this, each));
+    EndpointServer side(Node node) {
+        return sides.computeIfAbsent(node, each -> new EndpointServer(this, each));
     }
 
     List<EmulatedProxy> proxies() {
@@ -184,7 +184,7 @@
     }
 
     /** A request is on the wire, and may reach nodes from now on. */
-    void onTheWire(WireTry what) {
+    void onTheWire(WireRequest what) {
         tries.put(what.id(), what);
         after(
                 Math.max(0, what.what().deadline() - now()) + MEMORY,
@@ -192,14 +192,14 @@
     }
 
     /** The request of an id; null where no caller sent one lately. */
-    WireTry request(String id) {
+    WireRequest request(String id) {
         return tries.get(id);
     }
 
     /** Closes all ports; on the loop. */
     void close() {
         time.end();
-        sides.values().forEach(NodeSide::close);
+        sides.values().forEach(EndpointServer::close);
         proxies.forEach(EmulatedProxy::close);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/Emulated.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EmulationResult.java
@@ -13,7 +13,7 @@
  * @param lostAtRestarts RPCs that proxies took and left unanswered at planned restarts
  * @param record the file with all that the parties saw
  */
-public record Emulated(
+public record EmulationResult(
         RunResult result,
         Own own,
         List<ProxyUse> proxies,
--- a/lab/src/main/java/cedarrudder/lab/emulator/Emulator.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Emulator.java
@@ -2,8 +2,8 @@
 
 import cedarrudder.lab.model.Caller;
 import cedarrudder.lab.model.Model;
-import cedarrudder.lab.referee.Figures;
-import cedarrudder.lab.referee.Referee;
+import cedarrudder.lab.referee.RuleChecker;
+import cedarrudder.lab.referee.RuleParameters;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.trace.TraceWriter;
@@ -66,24 +66,25 @@
      * @throws IOException if something can't be started, or the record can't be written
      * @throws InterruptedException if the calling thread is interrupted; the run is given up
      */
-    public static Emulated play(Scenario scenario, long seed, Place place, Consumer<Second> live)
+    public static EmulationResult play(
+            Scenario scenario, long seed, HostEnvironment place, Consumer<Second> live)
             throws IOException, InterruptedException {
         Path record = place.folder().resolve("record.jsonl");
         NioEventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("emulator"));
         try (OutputStream out =
                 new BufferedOutputStream(
-                        new WrittenAside(Files.newOutputStream(record)), 1 << 16)) {
-            Referee referee = new Referee(figures(scenario), Model.START);
+                        new BackgroundWriter(Files.newOutputStream(record)), 1 << 16)) {
+            RuleChecker referee = new RuleChecker(figures(scenario), Model.START);
             TraceWriter writer = new TraceWriter(out, Model.START, referee);
             Emulation emulation =
                     new Emulation(scenario, seed, VARIANT, writer, place, group.next());
             Thread hook = new Thread(() -> killAll(emulation), "end-of-emulator");
             Runtime.getRuntime().addShutdownHook(hook);
             try {
-                Held held = new Held();
+                ResourceUsage held = new ResourceUsage();
                 double readySeconds = await(emulation, held, live);
                 held.write(place.folder().resolve("held.jsonl"));
-                Emulated emulated =
+                EmulationResult emulated =
                         emulation
                                 .loop
                                 .submit(
@@ -113,11 +114,11 @@
      * The figures by which records of the emulator are judged: limits grow by what sockets may
      * disorder.
      */
-    public static Figures figures(Scenario scenario) {
-        Figures plain = Figures.of(scenario);
-        return new Figures(
-                plain.answerGrace() + Settled.HOLD,
-                plain.drainGrace() + Settled.HOLD,
+    public static RuleParameters figures(Scenario scenario) {
+        RuleParameters plain = RuleParameters.of(scenario);
+        return new RuleParameters(
+                plain.answerGrace() + ReorderBuffer.HOLD,
+                plain.drainGrace() + ReorderBuffer.HOLD,
                 plain.fallMultiple(),
                 plain.fallWindow(),
                 plain.secondCopies(),
@@ -134,13 +135,13 @@
 
     private static void killAll(Emulation emulation) {
         for (EmulatedProxy proxy : List.copyOf(emulation.proxies())) {
-            Supervised process = proxy.process();
+            SupervisedProcess process = proxy.process();
             if (process != null) {
                 process.kill();
             }
         }
         for (EmulatedProxy proxy : List.copyOf(emulation.proxies())) {
-            Supervised process = proxy.process();
+            SupervisedProcess process = proxy.process();
             if (process != null) {
                 try {
                     process.end();
@@ -153,11 +154,11 @@
     }
 
     /** Plays it; gives the time until all proxies were ready. */
-    private static double await(Emulation emulation, Held held, Consumer<Second> live)
+    private static double await(Emulation emulation, ResourceUsage held, Consumer<Second> live)
             throws InterruptedException, ExecutionException {
         long begins = System.nanoTime();
         emulation.loop.execute(emulation::begin);
-        Warm.up();
+        ServerWarmup.up();
         try {
             CompletableFuture.anyOf(emulation.ready, emulation.over)
                     .get(READY_SECONDS, TimeUnit.SECONDS);
@@ -183,7 +184,7 @@
     }
 
     private static Second second(Emulation emulation, int number) {
-        Seen seen = emulation.seen;
+        ClientOutcomes seen = emulation.seen;
         int up = 0;
         int nodes = 0;
         for (int tier = 0; tier < emulation.run().world.tiers.size(); tier++) {
@@ -212,8 +213,12 @@
         return second;
     }
 
-    private static Emulated result(
-            Emulation emulation, Referee referee, double readySeconds, Held held, Path record) {
+    private static EmulationResult result(
+            Emulation emulation,
+            RuleChecker referee,
+            double readySeconds,
+            ResourceUsage held,
+            Path record) {
         emulation.trace.finish();
         referee.finish(emulation.now());
         RunResult result = emulation.run().result().judged(referee.breaches());
@@ -221,8 +226,8 @@
         double p99 = late.getValueAtPercentile(99) / 1000.0;
         double most = late.getMaxValue() / 1000.0;
         double lead = emulation.time.mostBefore() / 1e6;
-        Emulated.Own own =
-                new Emulated.Own(
+        EmulationResult.Own own =
+                new EmulationResult.Own(
                         late.getTotalCount(),
                         late.getValueAtPercentile(50) / 1000.0,
                         p99,
@@ -231,18 +236,18 @@
                         lead,
                         p99 > LATE_P99 || most > LATE_MOST,
                         readySeconds);
-        List<Emulated.ProxyUse> uses =
+        List<EmulationResult.ProxyUse> uses =
                 emulation.proxies().stream()
                         .map(
                                 proxy ->
-                                        new Emulated.ProxyUse(
+                                        new EmulationResult.ProxyUse(
                                                 proxy.number,
                                                 emulation.run().world.tiers.get(proxy.tier).name(),
                                                 proxy.mostKib(),
                                                 proxy.mostDescriptors(),
                                                 proxy.cpuSeconds()))
                         .toList();
-        return new Emulated(
+        return new EmulationResult(
                 result, own, uses, held.quarters(), emulation.lostAtRestarts, record.toString());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/emulator/NodeSide.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EndpointServer.java
@@ -1,13 +1,13 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.model.Node;
 import cedarrudder.lab.model.Run;
 import cedarrudder.lab.scenario.Scenario.WireTrouble;
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -25,7 +25,7 @@
  * A node of the model on sockets: a port for each proxy that sends to its tier, and their
  * connections.
  */
-final class NodeSide {
+final class EndpointServer {
 
     /** How often idle connections are looked over. */
     private static final long SWEEP = 1_000_000_000L;
@@ -36,7 +36,7 @@
     private final Map<EmulatedProxy, Listening> doors = new LinkedHashMap<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
 
-    NodeSide(Emulation emulation, Node node) {
+    EndpointServer(Emulation emulation, Node node) {
         this.emulation = emulation;
         this.run = emulation.run();
         this.node = node;
@@ -160,11 +160,11 @@
 
         private void read(ByteBuf in) {
             try {
-                Message request = decoder.decode(in);
+                HttpMessage request = decoder.decode(in);
                 if (request != null) {
                     come(request);
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 emulation.find(
                         "proxy "
                                 + proxy.number
@@ -173,7 +173,7 @@
             }
         }
 
-        private void come(Message request) {
+        private void come(HttpMessage request) {
             since = emulation.now();
             long arrives = Math.max(emulation.now(), shakenAt) + oneWay() - emulation.now();
             String target = request.head().target();
@@ -183,7 +183,7 @@
                 return;
             }
             String id = request.head().fields().get("req-id");
-            WireTry of = id == null ? null : emulation.request(id);
+            WireRequest of = id == null ? null : emulation.request(id);
             String wrong =
                     of == null
                             ? "an id that no caller sent"
@@ -213,7 +213,7 @@
         }
 
         /** When the proxy stops waiting. */
-        private long told(Message request) {
+        private long told(HttpMessage request) {
             String millis = request.head().fields().get("req-deadline-ms");
             try {
                 return emulation.now()
@@ -246,7 +246,7 @@
                                     }));
         }
 
-        private byte[] text(Load report) {
+        private byte[] text(LoadReport report) {
             return String.format(
                             Locale.ROOT,
                             "TEXT latency_ms=%.4f, inflight=%.4f, util=%.4f",
@@ -290,7 +290,7 @@
                 return;
             }
             done.ended(trouble == WireTrouble.SECOND_COPY ? Outcome.OK : Outcome.RESET);
-            Spoilt.write(trouble, channel, done.body());
+            MalformedAnswers.write(trouble, channel, done.body());
         }
 
         private void write(String status, String fields, byte[] body) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/Place.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/HostEnvironment.java
@@ -17,7 +17,7 @@
  * @param memoryMb a daemon that holds more is killed, as the platform would; 0: none is
  * @param sockets descriptors of a daemon at the most
  */
-public record Place(
+public record HostEnvironment(
         Path root, Path folder, String command, List<Integer> cpus, int memoryMb, int sockets) {
 
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
@@ -28,7 +28,8 @@
      *
      * @throws IOException if it has no deploy file that names {@code run}, or no built daemon
      */
-    public static Place of(Path root, Path folder, List<Integer> cpus, int memoryMb, int sockets)
+    public static HostEnvironment of(
+            Path root, Path folder, List<Integer> cpus, int memoryMb, int sockets)
             throws IOException {
         Path whole = root.toAbsolutePath().normalize();
         Matcher run = RUN.matcher(Files.readString(whole.resolve(DEPLOY)));
@@ -40,7 +41,7 @@
                     "the daemon is not built: no daemon/target/cedarrudder.jar in " + whole);
         }
         Files.createDirectories(folder);
-        return new Place(
+        return new HostEnvironment(
                 whole, folder.toAbsolutePath(), run.group(1), List.copyOf(cpus), memoryMb, sockets);
     }
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/Spoilt.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/MalformedAnswers.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.TimeUnit;
 
 /** Answers that are wrong on purpose. */
-final class Spoilt {
+final class MalformedAnswers {
 
     private static final int INTERIM_ANSWERS = 100;
     private static final long DRIP_MILLIS = 20;
 
-    private Spoilt() {}
+    private MalformedAnswers() {}
 
     /** Writes an answer in the way of a trouble. */
     static void write(WireTrouble trouble, Channel to, byte[] body) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/RealTime.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/RealTimeClock.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.lab.model.Agenda;
+import cedarrudder.lab.model.EventQueue;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
@@ -11,7 +11,7 @@
  * Plays a run's agenda by the machine's clock, on one event loop, which sockets share. Measures how
  * late it is: whoever plays nodes and clients too late must not blame a proxy for it.
  */
-final class RealTime {
+final class RealTimeClock {
 
     /** Nearer to its next event than this the loop spins: timers of the selector are no finer. */
     private static final long SPIN = 1_200_000L;
@@ -21,7 +21,7 @@
     private final EventLoop loop;
     private final Consumer<Throwable> failed;
     private final Histogram late = new Histogram(DIGITS);
-    private Agenda agenda;
+    private EventQueue agenda;
     private long offset;
     private long most;
     private long mostAt;
@@ -34,13 +34,13 @@
     /**
      * @param failed takes what an event throws; the run is over then
      */
-    RealTime(EventLoop loop, Consumer<Throwable> failed) {
+    RealTimeClock(EventLoop loop, Consumer<Throwable> failed) {
         this.loop = loop;
         this.failed = failed;
     }
 
     /** Begins; the agenda's instant is now. On the loop, like all below. */
-    void begin(Agenda ofRun) {
+    void begin(EventQueue ofRun) {
         agenda = ofRun;
         offset = agenda.now() - System.nanoTime();
     }
--- a/lab/src/main/java/cedarrudder/lab/emulator/Settled.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ReorderBuffer.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.trace.Trace;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * attempt that the proxy closed counts as ended before a later one was sent, and what was sent
  * counts as sent before its RPC's end.
  */
-final class Settled implements Trace {
+final class ReorderBuffer implements Trace {
 
     /** Time that events are held back, in nanoseconds; the limits of the rules grow by as much. */
     static final long HOLD = 50_000_000L;
@@ -38,7 +38,7 @@
     private final Trace next;
     private Deque<Held> held = new ArrayDeque<>();
 
-    Settled(Trace next) {
+    ReorderBuffer(Trace next) {
         this.next = next;
     }
 
@@ -92,7 +92,13 @@
 
     @Override
     public void told(
-            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
+            long now,
+            int proxy,
+            long endpoint,
+            int cell,
+            int zone,
+            EndpointStatus state,
+            long startedAt) {
         add(
                 now,
                 What.OTHER,
@@ -111,7 +117,7 @@
             long now,
             int proxy,
             long rpc,
-            Effect effect,
+            Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/Held.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ResourceUsage.java
@@ -15,7 +15,7 @@
  * What the daemons of a run held, looked at each second: tells what grows with time, which the most
  * that each held does not. It belongs to the thread that looks.
  */
-final class Held {
+final class ResourceUsage {
 
     private static final int QUARTERS = 4;
 
@@ -55,16 +55,16 @@
     }
 
     /** Medians of the samples of each quarter of the run; none where it was short. */
-    List<Emulated.Quarter> quarters() {
+    List<EmulationResult.Quarter> quarters() {
         int seconds = samples.isEmpty() ? 0 : samples.get(samples.size() - 1).second;
-        List<Emulated.Quarter> quarters = new ArrayList<>();
+        List<EmulationResult.Quarter> quarters = new ArrayList<>();
         for (int i = 0; i < QUARTERS && seconds >= SECONDS_FOR_QUARTERS; i++) {
             int from = seconds * i / QUARTERS;
             int to = seconds * (i + 1) / QUARTERS;
             List<Sample> own =
                     samples.stream().filter(s -> s.second > from && s.second <= to).toList();
             quarters.add(
-                    new Emulated.Quarter(
+                    new EmulationResult.Quarter(
                             median(own, Sample::residentKib),
                             median(own, Sample::descriptors),
                             own.stream().mapToLong(Sample::residentKib).max().orElse(0)));
--- a/lab/src/main/java/cedarrudder/lab/emulator/Warm.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ServerWarmup.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
+import cedarrudder.protocol.MalformedMessageException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
@@ -10,7 +10,7 @@
  * Runs the code of messages before the run begins: guards against the first callers meeting it
  * cold.
  */
-final class Warm {
+final class ServerWarmup {
 
     private static final int TIMES = 5_000;
     private static final byte[] REQUEST =
@@ -27,7 +27,7 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
                     .getBytes(StandardCharsets.ISO_8859_1);
 
-    private Warm() {}
+    private ServerWarmup() {}
 
     static void up() {
         HttpDecoder requests = HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
@@ -39,7 +39,7 @@
                 requests.decode(request.readerIndex(0));
                 answers.decode(answer.readerIndex(0));
             }
-        } catch (BadMessageException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException("a sound message was found to be none", e);
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 import cedarrudder.lab.scenario.Scenario;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -17,7 +17,8 @@
     /**
      * @param tier the tier that the proxy sends to
      */
-    static ObjectNode of(Balancer.Settings settings, Scenario scenario, Scenario.Tier tier) {
+    static ObjectNode of(
+            LoadBalancer.BalancerSettings settings, Scenario scenario, Scenario.Tier tier) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
         json.put("balancers", settings.copies())
                 .put("ordinal", settings.self())
@@ -29,7 +30,7 @@
         names(json.putArray("localities"), scenario.network().zones());
         names(json.putArray("kinds"), tier.kinds().stream().map(Scenario.Kind::name).toList());
         ArrayNode classes = json.putArray("request-classes");
-        for (Balancer.RequestClass kind : settings.classes()) {
+        for (LoadBalancer.RequestClass kind : settings.classes()) {
             classes.addObject()
                     .put("name", kind.name())
                     .put(
@@ -54,13 +55,13 @@
                     .put("stream", kind.stream());
         }
         ArrayNode tenants = json.putArray("tenants");
-        for (Balancer.Tenant tenant : settings.tenants()) {
+        for (LoadBalancer.Tenant tenant : settings.tenants()) {
             tenants.addObject()
                     .put("name", tenant.name())
                     .put("share", tenant.share())
                     .put("quota-per-s", tenant.quotaPerSecond());
         }
-        Balancer.Limits limits = settings.limits();
+        LoadBalancer.Limits limits = settings.limits();
         json.putObject("limits")
                 .put("probes", limits.probes())
                 .put("cancel", limits.cancel())
@@ -70,7 +71,7 @@
                 .put("max-retry-after-ns", limits.maxRetryAfter())
                 .put("dial-timeout-ns", limits.connectTimeout())
                 .put("conn-idle-ns", limits.connectionIdle());
-        Balancer.Safety safety = settings.safety();
+        LoadBalancer.SafetyRules safety = settings.safety();
         json.putObject("safety")
                 .put("stop-sending-within-ns", safety.drainGrace())
                 .put("cold-share", safety.coldShare())
@@ -78,7 +79,7 @@
                 .put("fall-multiple", safety.fallMultiple())
                 .put("fall-ns", safety.fallWindow())
                 .put("ask-within-ns", safety.askWithin());
-        Balancer.Goal goal = settings.goal();
+        LoadBalancer.ServiceGoal goal = settings.goal();
         json.putObject("goal")
                 .put("whole", goal.whole())
                 .put("worst-window", goal.worstWindow())
--- a/lab/src/main/java/cedarrudder/lab/emulator/Supervised.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/SupervisedProcess.java
@@ -17,7 +17,7 @@
  * reading end of a pipe from here, and kills it when the pipe closes. It gets no more descriptors
  * than it may have.
  */
-public final class Supervised {
+public final class SupervisedProcess {
 
     /** Descriptor 3 is the pipe; the process itself gets neither it nor our standard output. */
     private static final String SCRIPT =
@@ -39,7 +39,7 @@
     private final Process shell;
     private final long pid;
 
-    private Supervised(Process shell, long pid) {
+    private SupervisedProcess(Process shell, long pid) {
         this.shell = shell;
         this.pid = pid;
     }
@@ -51,7 +51,7 @@
      * @param descriptors the most that it may have
      * @throws IOException if it can't be started
      */
-    public static Supervised start(
+    public static SupervisedProcess start(
             List<String> command,
             Path folder,
             Map<String, String> environment,
@@ -82,7 +82,7 @@
             shell.destroyForcibly();
             throw new IOException("no process was started: " + String.join(" ", command));
         }
-        return new Supervised(shell, Long.parseLong(line.strip()));
+        return new SupervisedProcess(shell, Long.parseLong(line.strip()));
     }
 
     /** The process's id. */
--- a/lab/src/main/java/cedarrudder/lab/emulator/Wires.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireFaults.java
@@ -14,7 +14,7 @@
 import java.util.random.RandomGenerator;
 
 /** Plays what a scenario has for sockets to go wrong. Whom it strikes is drawn ahead. */
-final class Wires {
+final class WireFaults {
 
     private static final List<WireTrouble> SPOIL =
             List.of(
@@ -32,7 +32,7 @@
     private final Emulation emulation;
     private final Map<WireTrouble, Map<Node, Integer>> active = new EnumMap<>(WireTrouble.class);
 
-    Wires(Emulation emulation) {
+    WireFaults(Emulation emulation) {
         this.emulation = emulation;
         for (WireTrouble trouble : WireTrouble.values()) {
             active.put(trouble, new HashMap<>());
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireJob.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireJob.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.model.Job;
 import cedarrudder.lab.model.Node;
 import cedarrudder.lab.model.Run;
@@ -15,9 +15,9 @@
     private final Emulation emulation;
     private final Run run;
     private final Node node;
-    private final WireTry of;
+    private final WireRequest of;
     private final int number;
-    private final NodeSide.Connection on;
+    private final EndpointServer.Connection on;
     private final long deadline;
     private final long endpoint;
     private final byte[] body;
@@ -29,9 +29,9 @@
     WireJob(
             Emulation emulation,
             Node node,
-            WireTry of,
+            WireRequest of,
             int number,
-            NodeSide.Connection on,
+            EndpointServer.Connection on,
             long deadline) {
         super(node, of.what(), number);
         this.emulation = emulation;
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireTry.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireRequest.java
@@ -1,16 +1,16 @@
 package cedarrudder.lab.emulator;
 
-import cedarrudder.Balancer.Effect;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.lab.model.Caller;
+import cedarrudder.lab.model.ClientAttempt;
+import cedarrudder.lab.model.HashRandom;
 import cedarrudder.lab.model.Ledger;
-import cedarrudder.lab.model.Mix;
 import cedarrudder.lab.model.Proxy;
 import cedarrudder.lab.model.Run;
-import cedarrudder.lab.model.Try;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.trace.Trace.Final;
 import cedarrudder.protocol.HeaderFields;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
@@ -20,7 +20,7 @@
 import java.util.List;
 
 /** A caller's try at a proxy on a socket: its bytes, its attempts at nodes and its end. */
-final class WireTry implements Proxy.Pending {
+final class WireRequest implements Proxy.Pending {
 
     private static final String PATH = "/api/messages";
     private static final int BODY = 120;
@@ -29,7 +29,7 @@
     private final Run run;
     private final EmulatedProxy proxy;
     private final Caller caller;
-    private final Try what;
+    private final ClientAttempt what;
     private final Scenario.RequestKind kind;
     private final String id;
     private final byte[] body;
@@ -40,7 +40,7 @@
     private long rpc = -1;
 
     /** The connection that it is on; null before and after. */
-    private Calls.Link link;
+    private ClientConnections.Link link;
 
     private boolean left;
     private boolean ended;
@@ -48,7 +48,7 @@
     /** Attempts out at nodes. */
     int out;
 
-    WireTry(Emulation emulation, EmulatedProxy proxy, Caller caller, Try what) {
+    WireRequest(Emulation emulation, EmulatedProxy proxy, Caller caller, ClientAttempt what) {
         this.emulation = emulation;
         this.run = emulation.run();
         this.proxy = proxy;
@@ -57,9 +57,9 @@
         this.kind = run.scenario.classes().get(what.classIndex());
         // Of its own: two attempts of one request at one node call the next tier with the same
         // seed.
-        this.id = HexFormat.of().toHexDigits(Mix.of(what.seed(), emulation.nextId()));
+        this.id = HexFormat.of().toHexDigits(HashRandom.of(what.seed(), emulation.nextId()));
         this.body =
-                kind.effect() == Effect.SAFE
+                kind.effect() == Idempotency.SAFE
                         ? new byte[0]
                         : (id + "m".repeat(BODY)).getBytes(StandardCharsets.ISO_8859_1);
         this.startedAt = emulation.now();
@@ -69,7 +69,7 @@
         return id;
     }
 
-    Try what() {
+    ClientAttempt what() {
         return what;
     }
 
@@ -113,7 +113,7 @@
     }
 
     /** It goes out on a connection; these are its bytes. */
-    ByteBuf bytes(Calls.Link on) {
+    ByteBuf bytes(ClientConnections.Link on) {
         link = on;
         long now = emulation.now();
         rpc = run.nextRpc();
@@ -147,10 +147,10 @@
         if (what.hint() > 0) {
             head.append("\r\nReq-Cost: ").append(Math.max(1, what.hint() / 1000));
         }
-        if (kind.effect() == Effect.KEYED) {
+        if (kind.effect() == Idempotency.KEYED) {
             head.append("\r\nIdempotency-Key: ").append(key());
         }
-        if (kind.effect() != Effect.SAFE) {
+        if (kind.effect() != Idempotency.SAFE) {
             head.append("\r\nContent-Length: ").append(body.length);
         }
         byte[] start = head.append("\r\n\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
@@ -158,7 +158,7 @@
     }
 
     private String method() {
-        return kind.effect() == Effect.SAFE ? "GET" : "POST";
+        return kind.effect() == Idempotency.SAFE ? "GET" : "POST";
     }
 
     private String key() {
@@ -172,9 +172,9 @@
     /**
      * What is wrong with a request that a proxy sent on as this one; null where it is unchanged.
      */
-    String changedIn(Message request) {
+    String changedIn(HttpMessage request) {
         HeaderFields fields = request.head().fields();
-        String expected = kind.effect() == Effect.KEYED ? key() : null;
+        String expected = kind.effect() == Idempotency.KEYED ? key() : null;
         if (!request.head().method().equals(method()) || !request.head().target().equals(PATH)) {
             return "another method or path";
         }
@@ -188,7 +188,7 @@
     // ---- its end ----
 
     /** An answer has come whole. */
-    void answered(Message answer) {
+    void answered(HttpMessage answer) {
         if (ended) {
             return;
         }
@@ -211,7 +211,7 @@
         }
     }
 
-    private static long retryAfter(Message answer) {
+    private static long retryAfter(HttpMessage answer) {
         String seconds = answer.head().fields().get("retry-after");
         try {
             return seconds == null ? 0 : (long) (Double.parseDouble(seconds) * 1e9);
@@ -282,7 +282,7 @@
             return;
         }
         // It is over for the caller; whether the answer comes in its grace is still to be seen.
-        Calls.Link on = link;
+        ClientConnections.Link on = link;
         emulation.after(
                 what.deadline() + emulation.graceToAnswer - emulation.now(),
                 () -> {
--- a/lab/src/main/java/cedarrudder/lab/experiment/Change.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Change.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.lab.scenario.Draw;
 import cedarrudder.lab.scenario.Scenario;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 import java.lang.reflect.RecordComponent;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -24,7 +24,7 @@
     private static final double SECOND = 1e9;
 
     /** Reads a table {@code change}; what it doesn't know is reported there. */
-    static List<Change> read(Table table) {
+    static List<Change> read(ConfigTable table) {
         List<Change> changes = new ArrayList<>();
         new Section(table, "run", "", changes)
                 .range("length_s", "length", 1, 86_400, SECOND)
@@ -56,7 +56,7 @@
             prices.number(price, price, 0, 10);
         }
         prices.done();
-        Table tiers = table.table("tier");
+        ConfigTable tiers = table.table("tier");
         if (tiers != null) {
             for (String name : tiers.keys()) {
                 new Section(tiers, "tier", name, changes)
@@ -71,12 +71,12 @@
 
     /** One section of the table of changes. */
     private static final class Section {
-        private final Table table;
+        private final ConfigTable table;
         private final String section;
         private final String tier;
         private final List<Change> changes;
 
-        Section(Table parent, String section, String tier, List<Change> changes) {
+        Section(ConfigTable parent, String section, String tier, List<Change> changes) {
             this.table = parent.tableOrEmpty(tier.isEmpty() ? section : tier);
             this.section = section;
             this.tier = tier;
--- a/lab/src/main/java/cedarrudder/lab/experiment/Metric.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Metric.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.experiment;
 
 import cedarrudder.lab.result.RunResult;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 import java.util.function.ToDoubleFunction;
 
 /** A figure of a run by which variants are compared. */
@@ -141,6 +141,6 @@
     /** As plans write it: {@code worst-window}. */
     @Override
     public String toString() {
-        return Table.written(this);
+        return ConfigTable.written(this);
     }
 }
