--- a/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
@@ -1,15 +1,15 @@
 package cedarrudder.lab.experiment;
 
-import cedarrudder.Tuning;
-import cedarrudder.TuningText;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.balancer.BalancerParametersParser;
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.lab.policy.TierBudgets;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.operator.BudgetTable;
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
-import cedarrudder.toml.Problem;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.ConfigProblem;
+import cedarrudder.toml.ConfigTable;
+import cedarrudder.toml.InvalidFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -53,14 +53,14 @@
     /** Reads the scenario that a file holds. */
     public interface Scenarios {
         /**
-         * @throws BadFileException with everything that is wrong with the file
+         * @throws InvalidFileException with everything that is wrong with the file
          */
-        Scenario read(Path file) throws BadFileException;
+        Scenario read(Path file) throws InvalidFileException;
     }
 
     private final Collection<String> policies;
     private final Scenarios scenarios;
-    private final List<Problem> elsewhere = new ArrayList<>();
+    private final List<ConfigProblem> elsewhere = new ArrayList<>();
     private final Set<Path> broken = new HashSet<>();
 
     private PlanReader(Collection<String> policies, Scenarios scenarios) {
@@ -72,22 +72,22 @@
      * Reads a plan. Scenarios are named relative to its folder.
      *
      * @param policies the names of the policies there are
-     * @throws BadFileException with everything that is wrong with the plan and its scenarios
+     * @throws InvalidFileException with everything that is wrong with the plan and its scenarios
      */
     public static Plan read(Path file, Collection<String> policies, Scenarios scenarios)
-            throws BadFileException {
-        Document document = Document.read(file);
+            throws InvalidFileException {
+        ConfigDocument document = ConfigDocument.read(file);
         PlanReader reader = new PlanReader(policies, scenarios);
         Plan plan = reader.plan(document.root(), file);
-        List<Problem> problems = new ArrayList<>(document.problems());
+        List<ConfigProblem> problems = new ArrayList<>(document.problems());
         problems.addAll(reader.elsewhere);
         if (!problems.isEmpty()) {
-            throw new BadFileException(problems);
+            throw new InvalidFileException(problems);
         }
         return plan;
     }
 
-    private Plan plan(Table root, Path file) {
+    private Plan plan(ConfigTable root, Path file) {
         String name = name(root, file.getFileName().toString().replaceFirst("\\.toml$", ""));
         String about = root.text("about", null);
         long[] seeds = seeds(root);
@@ -110,7 +110,7 @@
                 name, about, entries, variants, baseline, seeds[0], seeds[1], metrics, measured);
     }
 
-    private static String name(Table table, String otherwise) {
+    private static String name(ConfigTable table, String otherwise) {
         String name = table.text("name", otherwise);
         if (!NAME.matcher(name).matches()) {
             table.problem("name", "\"" + name + "\"", NAMES);
@@ -118,7 +118,7 @@
         return name;
     }
 
-    private static long[] seeds(Table root) {
+    private static long[] seeds(ConfigTable root) {
         String text = root.text("seeds", null);
         Matcher range = SEEDS.matcher(text);
         if (!range.matches()) {
@@ -136,7 +136,7 @@
         return new long[] {first, last};
     }
 
-    private static List<Metric> metrics(Table root) {
+    private static List<Metric> metrics(ConfigTable root) {
         List<Metric> metrics = new ArrayList<>();
         for (String text : root.texts("metrics")) {
             Metric metric =
@@ -158,10 +158,10 @@
         return metrics.isEmpty() ? USUAL : metrics;
     }
 
-    private List<Variant> variants(Table root) {
+    private List<Variant> variants(ConfigTable root) {
         List<Variant> variants = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Table table : root.tables("variant")) {
+        for (ConfigTable table : root.tables("variant")) {
             String policy = table.text("policy", OWN);
             if (!policies.contains(policy)) {
                 table.problem("policy", "\"" + policy + "\"", String.join(", ", policies));
@@ -171,8 +171,8 @@
                 table.problem(
                         "name", "a second \"" + name + "\"", "a name that no other variant has");
             }
-            Tuning tuning = tuning(table, policy);
-            Table changes = table.table("change");
+            BalancerParameters tuning = tuning(table, policy);
+            ConfigTable changes = table.table("change");
             variants.add(
                     new Variant(
                             name,
@@ -188,8 +188,8 @@
         return variants;
     }
 
-    private static Tuning tuning(Table variant, String policy) {
-        Table set = variant.table("set");
+    private static BalancerParameters tuning(ConfigTable variant, String policy) {
+        ConfigTable set = variant.table("set");
         List<String> assignments = new ArrayList<>();
         if (set != null && !policy.equals(OWN)) {
             variant.problem(
@@ -203,12 +203,12 @@
                 }
             }
         }
-        return TuningText.read(assignments);
+        return BalancerParametersParser.read(assignments);
     }
 
     /** The budgets of a variant; null where it has none. */
-    private static TierBudgets budgets(Table variant) {
-        Table table = variant.table("budget");
+    private static TierBudgets budgets(ConfigTable variant) {
+        ConfigTable table = variant.table("budget");
         if (table == null) {
             return null;
         }
@@ -221,9 +221,9 @@
         return budgets;
     }
 
-    private static boolean allowed(Table set, String key, String assignment) {
+    private static boolean allowed(ConfigTable set, String key, String assignment) {
         try {
-            TuningText.read(List.of(assignment));
+            BalancerParametersParser.read(List.of(assignment));
             return true;
         } catch (IllegalArgumentException e) {
             set.problem(key, assignment, e.getMessage());
@@ -231,10 +231,10 @@
         }
     }
 
-    private List<Plan.Entry> entries(Table root, Path file, List<Variant> variants) {
+    private List<Plan.Entry> entries(ConfigTable root, Path file, List<Variant> variants) {
         List<Plan.Entry> entries = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Table table : root.tables("scenario")) {
+        for (ConfigTable table : root.tables("scenario")) {
             String text = table.text("file", null);
             Scenario scenario =
                     text.isEmpty() ? null : scenario(file.resolveSibling(text).normalize());
@@ -244,7 +244,7 @@
                         "name", "a second \"" + name + "\"", "a name that no other scenario has");
             }
             String family = table.text("family", "");
-            Table change = table.table("change");
+            ConfigTable change = table.table("change");
             List<Change> changes = change == null ? List.of() : Change.read(change);
             table.done();
             if (scenario != null) {
@@ -277,7 +277,7 @@
     private Scenario scenario(Path file) {
         try {
             return scenarios.read(file);
-        } catch (BadFileException e) {
+        } catch (InvalidFileException e) {
             if (broken.add(file)) {
                 elsewhere.addAll(e.problems());
             }
@@ -285,7 +285,7 @@
         }
     }
 
-    private static Scenario changed(Table table, Scenario scenario, List<Change> changes) {
+    private static Scenario changed(ConfigTable table, Scenario scenario, List<Change> changes) {
         Scenario changed = Objects.requireNonNull(scenario);
         for (Change change : changes) {
             try {
--- a/lab/src/main/java/cedarrudder/lab/experiment/Variant.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Variant.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.experiment;
 
-import cedarrudder.Tuning;
-import cedarrudder.TuningText;
+import cedarrudder.balancer.BalancerParameters;
+import cedarrudder.balancer.BalancerParametersParser;
 import cedarrudder.lab.policy.TierBudgets;
 import java.util.List;
 import java.util.stream.Collectors;
@@ -17,7 +17,11 @@
  * @param changes of each scenario's settings, in the order of reading
  */
 public record Variant(
-        String name, String policy, Tuning tuning, TierBudgets budgets, List<Change> changes) {
+        String name,
+        String policy,
+        BalancerParameters tuning,
+        TierBudgets budgets,
+        List<Change> changes) {
 
     /** Copies what it is given. */
     public Variant {
@@ -28,7 +32,8 @@
     public String differences() {
         Stream<String> figures =
                 Stream.of(
-                        TuningText.differences(tuning), budgets == null ? "" : budgets.toString());
+                        BalancerParametersParser.differences(tuning),
+                        budgets == null ? "" : budgets.toString());
         return Stream.concat(figures, changes.stream().map(Change::toString))
                 .filter(text -> !text.isEmpty())
                 .collect(Collectors.joining(" "));
--- a/lab/src/main/java/cedarrudder/lab/failover/Together.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
@@ -1,24 +1,24 @@
 package cedarrudder.lab.failover;
 
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.failover.Failover;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.coordination.CoordinatedReplica;
+import cedarrudder.coordination.CoordinationSettings;
+import cedarrudder.coordination.DrainCoordination;
+import cedarrudder.coordination.FailoverTraffic;
+import cedarrudder.coordination.TierView;
+import cedarrudder.coordination.TrafficCoordination;
+import cedarrudder.failover.FailoverCoordinator;
 import cedarrudder.failover.FailoverSettings;
 import cedarrudder.failover.Regions;
 import cedarrudder.failover.Regions.Region;
-import cedarrudder.failover.ZoneTally;
-import cedarrudder.fleet.FleetCopy;
-import cedarrudder.fleet.FleetSettings;
-import cedarrudder.fleet.Removal;
-import cedarrudder.fleet.Shares;
-import cedarrudder.fleet.Tier;
-import cedarrudder.fleet.ZoneShares;
-import cedarrudder.footprint.Room;
-import cedarrudder.lab.agreement.Copies.Network;
-import cedarrudder.lab.fleet.FleetWorld;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Share;
+import cedarrudder.failover.ZoneTrafficCounter;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.consensus.ConsensusSimulation.Network;
+import cedarrudder.lab.coordination.CoordinationSimulation;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Share;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -26,7 +26,7 @@
 import java.util.function.Consumer;
 
 /** Copies that decide in common: the parts that the daemon has, with their datagrams. */
-final class Together extends Policy {
+final class CoordinatedPolicy extends Policy {
 
     static final FailoverSettings SETTINGS =
             FailoverSettings.DEFAULT.regions(
@@ -44,22 +44,27 @@
     /** What makes a copy's plan, so that a broken one can be put in its place. */
     interface Maker {
         /** The shares of a copy, and where to tell of the tables it loads. */
-        Part make(FailoverSettings settings, int[] zoneOf, ZoneTally tally, long now);
+        Part make(FailoverSettings settings, int[] zoneOf, ZoneTrafficCounter tally, long now);
     }
 
     /** One copy's part in it. */
-    record Part(Shares shares, Consumer<RouteTable> loaded) {}
+    record Part(TrafficCoordination shares, Consumer<RouteTable> loaded) {}
 
     /** As it is built. */
     static Part real(
-            FailoverSettings settings, int[] zoneOf, ZoneTally tally, long now, Site site) {
-        Failover failover = new Failover(settings, Site.NAMES, zoneOf, tally, now);
-        return new Part(new ZoneShares(failover), table -> failover.loaded(site.now(), table));
+            FailoverSettings settings,
+            int[] zoneOf,
+            ZoneTrafficCounter tally,
+            long now,
+            Site site) {
+        FailoverCoordinator failover =
+                new FailoverCoordinator(settings, Site.NAMES, zoneOf, tally, now);
+        return new Part(new FailoverTraffic(failover), table -> failover.loaded(site.now(), table));
     }
 
     private final Site site;
-    private final Consumer<Event> listener;
-    private final FleetWorld world;
+    private final Consumer<HistoryEvent> listener;
+    private final CoordinationSimulation world;
     private final int[] zoneOf;
     private final Part[] parts;
     private final RouteTable[] held;
@@ -77,14 +82,14 @@
      * @param keepsPastLease a broken one, that goes on with a table whose lease is over
      * @param listener hears what a judge needs
      */
-    Together(
+    CoordinatedPolicy(
             Site site,
             FailoverSettings settings,
             Maker maker,
             boolean keepsPastLease,
             double loss,
             long seed,
-            Consumer<Event> listener) {
+            Consumer<HistoryEvent> listener) {
         this.site = site;
         this.listener = listener;
         this.keepsPastLease = keepsPastLease;
@@ -94,46 +99,46 @@
         this.lives = new long[zoneOf.length];
         this.startedAt = site.now();
         this.world =
-                new FleetWorld(
+                new CoordinationSimulation(
                         zoneOf,
                         new Network(loss, 0.01, 0, LEAST_DELAY, MOST_DELAY),
                         false,
                         seed,
                         (zones, self, life, store, random, outlet, now) -> {
-                            Copy copy = site.copies[self];
+                            SimulatedReplica copy = site.copies[self];
                             copy.tally =
-                                    new ZoneTally(
+                                    new ZoneTrafficCounter(
                                             self,
                                             copy.zone,
                                             life,
                                             Site.ZONES,
                                             settings.period(),
-                                            Copy.SAFETY,
+                                            SimulatedReplica.SAFETY,
                                             site.now());
-                            copy.tally.listed(ListKind.FULL, site.list());
+                            copy.tally.listed(EndpointListKind.FULL, site.list());
                             lives[self] = life;
                             held[self] = null;
                             parts[self] =
                                     maker == null
                                             ? real(settings, zones, copy.tally, site.now(), site)
                                             : maker.make(settings, zones, copy.tally, site.now());
-                            return new FleetCopy(
+                            return new CoordinatedReplica(
                                     zones,
                                     self,
                                     life,
-                                    AgreementSettings.DEFAULT,
-                                    FleetSettings.DEFAULT,
+                                    ConsensusSettings.DEFAULT,
+                                    CoordinationSettings.DEFAULT,
                                     store,
                                     random,
                                     new OnSiteTime(parts[self].shares),
-                                    Removal.NONE,
-                                    () -> Room.ANY,
+                                    DrainCoordination.NONE,
+                                    () -> RouteTableCapacity.ANY,
                                     outlet,
                                     now);
                         },
                         this::hears);
         this.worldStartedAt = world.now();
-        for (Copy copy : site.copies) {
+        for (SimulatedReplica copy : site.copies) {
             say(copy.number, "placed", Map.of("zone", Integer.toString(copy.zone)));
             say(copy.number, "started", Map.of());
             say(copy.number, "speaks", Map.of());
@@ -145,10 +150,10 @@
      * What a copy counts runs on the time of the site, which its own clock is beside by a part in
      * 1,000.
      */
-    private final class OnSiteTime implements Shares {
-        private final Shares shares;
+    private final class OnSiteTime implements TrafficCoordination {
+        private final TrafficCoordination shares;
 
-        OnSiteTime(Shares shares) {
+        OnSiteTime(TrafficCoordination shares) {
             this.shares = shares;
         }
 
@@ -163,10 +168,10 @@
         }
 
         @Override
-        public List<Share> plan(long now, Tier tier) {
+        public List<Share> plan(long now, TierView tier) {
             return shares.plan(
                     site.now(),
-                    new Tier() {
+                    new TierView() {
                         @Override
                         public int copies() {
                             return tier.copies();
@@ -206,7 +211,7 @@
     }
 
     /** What copies say, but for their starts, which are told once it is known what life that is. */
-    private void hears(Event event) {
+    private void hears(HistoryEvent event) {
         if (!event.what().equals("started")) {
             say(event.copy(), event.what(), event.fields());
         }
@@ -217,7 +222,7 @@
     }
 
     private void say(int copy, String what, Map<String, String> fields) {
-        listener.accept(new Event(site.now(), copy, life(copy), what, fields));
+        listener.accept(new HistoryEvent(site.now(), copy, life(copy), what, fields));
     }
 
     // ---- time ----
@@ -226,7 +231,7 @@
     void step(Site of) {
         world.play(site.now() - startedAt - (world.now() - worldStartedAt));
         boolean says = site.now() - saidAt >= SETTINGS.period();
-        for (Copy copy : site.copies) {
+        for (SimulatedReplica copy : site.copies) {
             if (!copy.up || copy.stalled()) {
                 continue;
             }
@@ -262,7 +267,7 @@
         saidAt = says ? site.now() : saidAt;
     }
 
-    private void saw(Copy copy) {
+    private void saw(SimulatedReplica copy) {
         for (int zone = 0; zone < Site.ZONES; zone++) {
             int[] saw = copy.saw[zone];
             boolean any = saw[0] + saw[1] + saw[2] > 0;
@@ -288,7 +293,7 @@
     }
 
     /** The bound on a zone's calls is divided among the copies of it that are there. */
-    private void apply(Copy copy, RouteTable table) {
+    private void apply(SimulatedReplica copy, RouteTable table) {
         Arrays.fill(copy.shares, 0);
         Arrays.fill(copy.bounds, 0);
         for (Share share : table.shares()) {
@@ -341,7 +346,7 @@
     /** Nothing passes between a zone's copies and all others, or all does. */
     void cutOff(int zone, boolean off) {
         List<Integer> these = new ArrayList<>();
-        for (Copy copy : site.copies) {
+        for (SimulatedReplica copy : site.copies) {
             if (copy.zone == zone) {
                 these.add(copy.number);
             }
@@ -352,7 +357,7 @@
             world.heal();
         }
         for (int one : these) {
-            for (Copy other : site.copies) {
+            for (SimulatedReplica other : site.copies) {
                 if (other.zone != zone) {
                     say(one, off ? "cut" : "healed", Map.of("to", Integer.toString(other.number)));
                     say(other.number, off ? "cut" : "healed", Map.of("to", Integer.toString(one)));
--- a/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
@@ -1,16 +1,16 @@
 package cedarrudder.lab.failover;
 
 import cedarrudder.failover.FailoverSettings;
-import cedarrudder.lab.judge.Breach;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
-import cedarrudder.lab.judge.Leases;
-import cedarrudder.lab.judge.OneLeader;
-import cedarrudder.lab.judge.OneTable;
-import cedarrudder.lab.judge.ZoneLeft;
-import cedarrudder.lab.judge.ZoneLoad;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Share;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.checker.LeaseSafety;
+import cedarrudder.lab.checker.SingleLeader;
+import cedarrudder.lab.checker.SingleTable;
+import cedarrudder.lab.checker.Violation;
+import cedarrudder.lab.checker.ZoneEvacuation;
+import cedarrudder.lab.checker.ZoneLoad;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Share;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -53,7 +53,7 @@
             int fallen,
             int moves,
             int mostMoves,
-            List<Breach> breaches) {}
+            List<Violation> breaches) {}
 
     /**
      * How it is played.
@@ -69,7 +69,7 @@
 
     private final Site site;
     private final Policy policy;
-    private final List<Event> events = new ArrayList<>();
+    private final List<HistoryEvent> events = new ArrayList<>();
     private final List<Deque<Long>> changes = new ArrayList<>();
     private RouteTable last;
     private int moves;
@@ -81,14 +81,14 @@
             Conditions conditions,
             long seed,
             FailoverSettings settings,
-            Together.Maker maker,
+            CoordinatedPolicy.Maker maker,
             boolean keepsPastLease) {
         SplittableRandom random = new SplittableRandom(seed);
         site = new Site(random.nextLong(), conditions.load);
-        Together together =
+        CoordinatedPolicy together =
                 kind != Policy.Kind.TOGETHER
                         ? null
-                        : new Together(
+                        : new CoordinatedPolicy(
                                 site,
                                 settings,
                                 maker,
@@ -113,11 +113,11 @@
         }
     }
 
-    private void stall(Together together, SplittableRandom random) {
+    private void stall(CoordinatedPolicy together, SplittableRandom random) {
         site.after(
                 Site.SECOND + (long) (random.nextDouble() * 6 * Site.SECOND),
                 () -> {
-                    Copy copy = site.copies[random.nextInt(site.copies.length)];
+                    SimulatedReplica copy = site.copies[random.nextInt(site.copies.length)];
                     long length = (long) (random.nextDouble() * 4 * Site.SECOND);
                     if (copy.up) {
                         copy.stalls(length);
@@ -141,7 +141,7 @@
                 Policy.Kind.valueOf(policy),
                 conditions,
                 seed,
-                Together.SETTINGS,
+                CoordinatedPolicy.SETTINGS,
                 null,
                 false);
     }
@@ -152,14 +152,14 @@
             Conditions conditions,
             long seed,
             FailoverSettings settings,
-            Together.Maker maker,
+            CoordinatedPolicy.Maker maker,
             boolean keepsPastLease) {
         FailoverRun run =
                 new FailoverRun(world, kind, conditions, seed, settings, maker, keepsPastLease);
         while (run.site.now() < World.END) {
             run.site.play(run.site.now() + STEP);
             run.policy.step(run.site);
-            if (run.policy instanceof Together together) {
+            if (run.policy instanceof CoordinatedPolicy together) {
                 run.look(together.newest());
             }
         }
@@ -172,15 +172,15 @@
                 kind == Policy.Kind.TOGETHER ? run.judged(settings) : List.of());
     }
 
-    private List<Breach> judged(FailoverSettings settings) {
+    private List<Violation> judged(FailoverSettings settings) {
         return History.judged(
                 events,
                 site.now(),
                 List.of(
-                        new OneTable(),
-                        new OneLeader(),
-                        new ZoneLeft(GROUND),
-                        new Leases(UNDER_WAY),
+                        new SingleTable(),
+                        new SingleLeader(),
+                        new ZoneEvacuation(GROUND),
+                        new LeaseSafety(UNDER_WAY),
                         new ZoneLoad(
                                 new ZoneLoad.Bounds(
                                         PART, TOLERANCE, WITHIN, settings.movesPerMinute()))));
--- a/lab/src/main/java/cedarrudder/lab/failover/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Policy.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.failover;
 
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.Arrays;
 
 /** How copies divide their calls among zones. */
@@ -47,12 +47,12 @@
             failures = new int[site.copies.length][site.nodes.length];
             times = new int[site.copies.length][site.nodes.length];
             until = new long[site.copies.length][site.nodes.length];
-            for (Copy copy : site.copies) {
+            for (SimulatedReplica copy : site.copies) {
                 copy.eyes = ended -> saw(site.now(), copy.number, ended);
             }
         }
 
-        private void saw(long now, int copy, Copy.Ended ended) {
+        private void saw(long now, int copy, SimulatedReplica.Ended ended) {
             if (ended.outcome() == Outcome.OK) {
                 failures[copy][ended.node()] = 0;
             } else if (ended.outcome() != Outcome.FULL
@@ -65,17 +65,17 @@
 
         @Override
         void step(Site site) {
-            for (Copy copy : site.copies) {
+            for (SimulatedReplica copy : site.copies) {
                 double left = 1;
                 Arrays.fill(copy.shares, 0);
                 for (int priority = 0; priority < PRIORITIES; priority++) {
                     double[] healthy = new double[Site.ZONES];
                     double all = 0;
                     int total = 0;
-                    for (Node node : site.nodes) {
+                    for (SimulatedNode node : site.nodes) {
                         if (Site.rank(copy.zone, node.zone) == priority) {
                             total++;
-                            if (node.listed == State.READY
+                            if (node.listed == EndpointStatus.READY
                                     && site.now() >= until[copy.number][node.id]) {
                                 healthy[node.zone]++;
                                 all++;
@@ -126,7 +126,7 @@
                     deal(site, dealt, room, left, whole, round % Site.ZONES, rank);
                 }
             }
-            for (Copy copy : site.copies) {
+            for (SimulatedReplica copy : site.copies) {
                 for (int to = 0; to < Site.ZONES; to++) {
                     copy.shares[to] =
                             comes[copy.zone] == 0 ? 0 : dealt[copy.zone][to] / comes[copy.zone];
--- a/lab/src/main/java/cedarrudder/lab/failover/Score.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Score.java
@@ -27,12 +27,12 @@
     }
 
     /** A call came. */
-    void came(Call call) {
+    void came(SimulatedRequest call) {
         of(call.came)[CAME] += call.worth();
     }
 
     /** It was served in time. */
-    void served(Call call) {
+    void served(SimulatedRequest call) {
         of(call.came)[SERVED] += call.worth();
     }
 
--- a/lab/src/main/java/cedarrudder/lab/failover/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedNode.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.failover;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * A node: slots, a queue, a speed; while it is cold it can do less, and sent far more than that it
  * falls over.
  */
-final class Node {
+final class SimulatedNode {
 
     static final int SLOTS = 4;
     static final long SERVICE = 50 * Site.MILLI;
@@ -55,7 +55,7 @@
     int life;
 
     /** What the list says of it. */
-    State listed = State.READY;
+    EndpointStatus listed = EndpointStatus.READY;
 
     long listedStart;
     int held;
@@ -69,7 +69,7 @@
     private long usedAt;
     private double reported;
 
-    Node(Site site, int id, int zone, RandomGenerator random) {
+    SimulatedNode(Site site, int id, int zone, RandomGenerator random) {
         this.site = site;
         this.id = id;
         this.zone = zone;
--- a/lab/src/main/java/cedarrudder/lab/failover/Copy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
@@ -1,12 +1,12 @@
 package cedarrudder.lab.failover;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.State;
-import cedarrudder.failover.ZoneTally;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.failover.ZoneTrafficCounter;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -20,15 +20,15 @@
  * where nothing can have run twice. It stands in for the decision module, and does the same
  * whatever the policy.
  */
-final class Copy {
+final class SimulatedReplica {
 
-    static final Safety SAFETY =
-            new Safety(
+    static final SafetyRules SAFETY =
+            new SafetyRules(
                     2 * Site.SECOND,
-                    Node.COLD_SHARE,
-                    Node.RAMP,
-                    Node.FALL_MULTIPLE,
-                    Node.FALL_WINDOW,
+                    SimulatedNode.COLD_SHARE,
+                    SimulatedNode.RAMP,
+                    SimulatedNode.FALL_MULTIPLE,
+                    SimulatedNode.FALL_WINDOW,
                     0);
 
     private static final long CONNECT = 250 * Site.MILLI;
@@ -61,7 +61,7 @@
     /** What a zone may get a second from this copy; 0: no bound. */
     final double[] bounds = new double[Site.ZONES];
 
-    ZoneTally tally;
+    ZoneTrafficCounter tally;
 
     /** Attempts that ended since somebody looked, by zones: served, failed, silent. */
     final int[][] saw = new int[Site.ZONES][3];
@@ -81,7 +81,7 @@
     private long stalledUntil;
     private int life;
 
-    Copy(Site site, int number, int zone, SplittableRandom random) {
+    SimulatedReplica(Site site, int number, int zone, SplittableRandom random) {
         this.site = site;
         this.number = number;
         this.zone = zone;
@@ -99,10 +99,10 @@
 
     void told(List<Endpoint> entries) {
         for (Endpoint entry : entries) {
-            ready[(int) entry.id()] = entry.state() == State.READY;
+            ready[(int) entry.id()] = entry.state() == EndpointStatus.READY;
         }
         if (tally != null) {
-            tally.listed(ListKind.CHANGES, entries);
+            tally.listed(EndpointListKind.CHANGES, entries);
         }
     }
 
@@ -158,7 +158,7 @@
 
     // ---- calls ----
 
-    void takes(Call call) {
+    void takes(SimulatedRequest call) {
         run(
                 life,
                 () -> {
@@ -169,7 +169,7 @@
                 });
     }
 
-    private void ends(Call call, boolean served) {
+    private void ends(SimulatedRequest call, boolean served) {
         if (call.over) {
             return;
         }
@@ -181,9 +181,9 @@
         }
     }
 
-    private void attempt(Call call) {
+    private void attempt(SimulatedRequest call) {
         int to = draw(call);
-        Node node = to < 0 || site.now() >= call.deadline() ? null : pick(to);
+        SimulatedNode node = to < 0 || site.now() >= call.deadline() ? null : pick(to);
         if (node == null) {
             ends(call, false);
             return;
@@ -206,13 +206,13 @@
     }
 
     /** One attempt that is out. */
-    private final class Attempt implements Node.Asked {
-        final Call call;
-        final Node node;
+    private final class Attempt implements SimulatedNode.Asked {
+        final SimulatedRequest call;
+        final SimulatedNode node;
         final int counted;
         boolean over;
 
-        Attempt(Call call, Node node, int counted) {
+        Attempt(SimulatedRequest call, SimulatedNode node, int counted) {
             this.call = call;
             this.node = node;
             this.counted = counted;
@@ -244,7 +244,8 @@
                         site.now(),
                         counted,
                         outcome,
-                        new Load(Double.NaN, Double.NaN, load, Double.NaN, Double.NaN, Double.NaN));
+                        new LoadReport(
+                                Double.NaN, Double.NaN, load, Double.NaN, Double.NaN, Double.NaN));
             }
             switch (outcome) {
                 case OK -> saw[node.zone][0]++;
@@ -260,7 +261,7 @@
             if (outcome == Outcome.OK) {
                 ends(call, true);
             } else if (!call.over
-                    && call.attempts < Call.ATTEMPTS
+                    && call.attempts < SimulatedRequest.ATTEMPTS
                     && (call.safe || outcome.provesNotRun())) {
                 attempt(call);
             } else {
@@ -270,13 +271,14 @@
     }
 
     /** The zone that gets it; -1 where it is refused. The less it is worth the sooner it is. */
-    private int draw(Call call) {
+    private int draw(SimulatedRequest call) {
         double all = Arrays.stream(shares).sum();
         double unserved = Math.max(0, 1 - all);
         double refused =
                 call.safe
-                        ? unserved / Call.SAFE_SHARE
-                        : (unserved - Call.SAFE_SHARE) / (1 - Call.SAFE_SHARE);
+                        ? unserved / SimulatedRequest.SAFE_SHARE
+                        : (unserved - SimulatedRequest.SAFE_SHARE)
+                                / (1 - SimulatedRequest.SAFE_SHARE);
         if (call.attempts == 0 && unserved > 1e-3 && random.nextDouble() < refused) {
             return -1;
         }
@@ -302,8 +304,8 @@
     }
 
     /** The less busy of two that may get one, which stands for what probes tell. */
-    private Node pick(int to) {
-        List<Node> may = new ArrayList<>();
+    private SimulatedNode pick(int to) {
+        List<SimulatedNode> may = new ArrayList<>();
         for (int i = to * Site.NODES; i < (to + 1) * Site.NODES; i++) {
             if (ready[i] && site.now() >= shunned[i] && withinColdBudget(site.nodes[i])) {
                 may.add(site.nodes[i]);
@@ -317,9 +319,10 @@
         if (may.isEmpty()) {
             return null;
         }
-        Node one = may.get(random.nextInt(may.size()));
-        Node other = may.get(random.nextInt(may.size()));
-        Node node = one.held / one.listedAble() <= other.held / other.listedAble() ? one : other;
+        SimulatedNode one = may.get(random.nextInt(may.size()));
+        SimulatedNode other = may.get(random.nextInt(may.size()));
+        SimulatedNode node =
+                one.held / one.listedAble() <= other.held / other.listedAble() ? one : other;
         allowance[node.id]--;
         return node;
     }
@@ -327,14 +330,14 @@
     /**
      * As the module holds to it: no copy alone, and not all together, send a cold node too much.
      */
-    private boolean withinColdBudget(Node node) {
+    private boolean withinColdBudget(SimulatedNode node) {
         double able = node.listedAble();
         if (able >= 1) {
             return true;
         }
         double rate =
                 able
-                        * Node.RATE
+                        * SimulatedNode.RATE
                         * (node.zone == zone
                                 ? NEAR_COLD / Site.COPIES
                                 : FAR_COLD / (Site.COPIES * (Site.ZONES - 1)));
--- a/lab/src/main/java/cedarrudder/lab/failover/Call.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedRequest.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.failover;
 
 /** A call of one of two classes: one that may be repeated, and one of more worth that may not. */
-final class Call {
+final class SimulatedRequest {
 
     static final double SAFE_SHARE = 0.7;
     static final double DEAR = 4;
@@ -13,7 +13,7 @@
     int attempts;
     boolean over;
 
-    Call(boolean safe, long came) {
+    SimulatedRequest(boolean safe, long came) {
         this.safe = safe;
         this.came = came;
     }
--- a/lab/src/main/java/cedarrudder/lab/failover/Site.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Site.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.failover;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -34,8 +34,8 @@
 
     private record Due(long at, long number, Runnable what) {}
 
-    final Node[] nodes = new Node[ZONES * NODES];
-    final Copy[] copies = new Copy[ZONES * COPIES];
+    final SimulatedNode[] nodes = new SimulatedNode[ZONES * NODES];
+    final SimulatedReplica[] copies = new SimulatedReplica[ZONES * COPIES];
 
     /** Calls a second that come in each zone. */
     final double[] demand = new double[ZONES];
@@ -59,11 +59,11 @@
     Site(long seed, double load) {
         random = new SplittableRandom(seed);
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = new Node(this, i, i / NODES, random.split());
+            nodes[i] = new SimulatedNode(this, i, i / NODES, random.split());
         }
-        Arrays.fill(demand, load * NODES * Node.RATE);
+        Arrays.fill(demand, load * NODES * SimulatedNode.RATE);
         for (int i = 0; i < copies.length; i++) {
-            copies[i] = new Copy(this, i, i / COPIES, random.split());
+            copies[i] = new SimulatedReplica(this, i, i / COPIES, random.split());
         }
         for (int zone = 0; zone < ZONES; zone++) {
             comes(zone, random.split());
@@ -94,8 +94,10 @@
                 (long) (-StrictMath.log(1 - own.nextDouble()) * 1e9 / Math.max(1e-3, demand[zone]))
                         + 1,
                 () -> {
-                    Copy copy = copyFor(zone, own);
-                    Call call = new Call(own.nextDouble() < Call.SAFE_SHARE, now);
+                    SimulatedReplica copy = copyFor(zone, own);
+                    SimulatedRequest call =
+                            new SimulatedRequest(
+                                    own.nextDouble() < SimulatedRequest.SAFE_SHARE, now);
                     total.came(call);
                     if (copy != null) {
                         copy.takes(call);
@@ -110,10 +112,10 @@
      * Callers go to a copy of their zone; where none is there, to one of the nearest zone that has
      * some.
      */
-    private Copy copyFor(int zone, SplittableRandom own) {
-        List<Copy> live = new ArrayList<>();
+    private SimulatedReplica copyFor(int zone, SplittableRandom own) {
+        List<SimulatedReplica> live = new ArrayList<>();
         for (int rank = 0; rank <= 2 && live.isEmpty(); rank++) {
-            for (Copy copy : copies) {
+            for (SimulatedReplica copy : copies) {
                 if (copy.up && rank(zone, copy.zone) == rank) {
                     live.add(copy);
                 }
@@ -139,7 +141,7 @@
             for (int rank = 0; rank <= 2 && !found; rank++) {
                 int live = 0;
                 int[] of = new int[ZONES];
-                for (Copy copy : copies) {
+                for (SimulatedReplica copy : copies) {
                     if (copy.up && rank(zone, copy.zone) == rank) {
                         live++;
                         of[copy.zone]++;
@@ -157,35 +159,35 @@
     /** Calls a second that a zone can serve now. */
     double capacity(int zone) {
         double able = 0;
-        for (Node node : nodes) {
+        for (SimulatedNode node : nodes) {
             able += node.zone == zone && !node.draining ? node.able() : 0;
         }
-        return able * Node.RATE;
+        return able * SimulatedNode.RATE;
     }
 
     // ---- the list ----
 
-    private void tell(Node node, State state, long start, long when) {
+    private void tell(SimulatedNode node, EndpointStatus state, long start, long when) {
         after(
                 when,
                 () -> {
                     node.listed = state;
                     node.listedStart = start;
-                    for (Copy copy : copies) {
+                    for (SimulatedReplica copy : copies) {
                         copy.told(List.of(node.endpoint()));
                     }
                 });
     }
 
     List<Endpoint> list() {
-        return Arrays.stream(nodes).map(Node::endpoint).toList();
+        return Arrays.stream(nodes).map(SimulatedNode::endpoint).toList();
     }
 
     // ---- faults ----
 
     /** All nodes of a zone are gone without a word. */
     void lose(int zone) {
-        for (Node node : nodes) {
+        for (SimulatedNode node : nodes) {
             if (node.zone == zone) {
                 node.dies();
                 int of = node.life;
@@ -193,7 +195,7 @@
                         MISSED,
                         () -> {
                             if (node.life == of) {
-                                tell(node, State.GONE, 0, 0);
+                                tell(node, EndpointStatus.GONE, 0, 0);
                             }
                         });
             }
@@ -202,21 +204,21 @@
 
     /** They start again, cold. */
     void bringBack(int zone) {
-        for (Node node : nodes) {
+        for (SimulatedNode node : nodes) {
             if (node.zone == zone) {
                 start(node);
             }
         }
     }
 
-    private void start(Node node) {
+    private void start(SimulatedNode node) {
         node.starts();
-        tell(node, State.READY, now, TOLD);
+        tell(node, EndpointStatus.READY, now, TOLD);
     }
 
     /** Those of a zone do so much of what they do when well. */
     void slow(int zone, double speed) {
-        for (Node node : nodes) {
+        for (SimulatedNode node : nodes) {
             if (node.zone == zone) {
                 node.speed = speed;
             }
@@ -226,14 +228,14 @@
     /** So many of a zone's nodes are removed, as an operator asks. */
     void drain(int zone, int count) {
         for (int i = 0; i < count; i++) {
-            Node node = nodes[zone * NODES + i];
+            SimulatedNode node = nodes[zone * NODES + i];
             node.draining = true;
-            tell(node, State.DRAINING, 0, TOLD);
+            tell(node, EndpointStatus.DRAINING, 0, TOLD);
         }
     }
 
     /** A cold node was sent too much. */
-    void fell(Node node) {
+    void fell(SimulatedNode node) {
         fallen++;
         node.dies();
         int of = node.life;
--- a/lab/src/main/java/cedarrudder/lab/failover/World.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/World.java
@@ -52,14 +52,14 @@
     private static final long DEAD_FOR = 40 * Site.SECOND;
 
     /** Sets up what happens; {@code together} is null where copies don't decide in common. */
-    void script(Site site, Together together, RandomGenerator random) {
+    void script(Site site, CoordinatedPolicy together, RandomGenerator random) {
         if (this == CASCADE) {
-            site.demand[BUSY] = BUSY_LOAD * Site.NODES * Node.RATE;
+            site.demand[BUSY] = BUSY_LOAD * Site.NODES * SimulatedNode.RATE;
         }
         site.after(AT - site.now(), () -> begin(site, together, random));
     }
 
-    private void begin(Site site, Together together, RandomGenerator random) {
+    private void begin(Site site, CoordinatedPolicy together, RandomGenerator random) {
         switch (this) {
             case CALM -> {}
             case SLOW -> site.slow(LOST, THIRD);
@@ -92,7 +92,7 @@
                 lose(site, LOST, BACK);
                 boolean[] dead = new boolean[site.copies.length];
                 int count = 0;
-                for (Copy copy : site.copies) {
+                for (SimulatedReplica copy : site.copies) {
                     dead[copy.number] = copy.zone == LOST;
                     count += copy.zone == LOST ? 1 : 0;
                 }
@@ -123,7 +123,7 @@
         }
     }
 
-    private static void cut(Site site, boolean off, Together together) {
+    private static void cut(Site site, boolean off, CoordinatedPolicy together) {
         for (int zone = 0; zone < Site.ZONES; zone++) {
             site.cut[LOST][zone] = off && zone != LOST;
             site.cut[zone][LOST] = off && zone != LOST;
@@ -133,7 +133,7 @@
         }
     }
 
-    private static void breaks(Site site, Together together, RandomGenerator random) {
+    private static void breaks(Site site, CoordinatedPolicy together, RandomGenerator random) {
         site.copies[LINK_COPY].broken = BROKEN;
         if (together != null) {
             together.link(LINK_COPY, random.nextDouble() >= BROKEN);
@@ -141,7 +141,7 @@
         site.after(BROKEN_SLICE, () -> breaks(site, together, random));
     }
 
-    private static void dies(Site site, Together together, int copy, long length) {
+    private static void dies(Site site, CoordinatedPolicy together, int copy, long length) {
         site.copies[copy].dies();
         if (together != null) {
             together.kill(copy);
--- a/lab/src/main/java/cedarrudder/lab/load/Engine.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Engine.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.load;
 
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -298,13 +298,13 @@
             ByteBuf in = (ByteBuf) bytes;
             try {
                 heard = true;
-                Message answer = decoder.decode(in);
+                HttpMessage answer = decoder.decode(in);
                 if (answer != null) {
                     answered(answer, in.isReadable());
                 } else if (current == null) {
                     channel.close(); // an answer to nothing
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 finish(End.GARBLED);
                 channel.close();
             } finally {
@@ -312,7 +312,7 @@
             }
         }
 
-        private void answered(Message answer, boolean more) {
+        private void answered(HttpMessage answer, boolean more) {
             int status = answer.head().status();
             boolean refused = status == 429 || status == 503;
             if (refused && answer.head().fields().get("retry-after") != null) {
@@ -344,7 +344,7 @@
         public void channelInactive(ChannelHandlerContext context) {
             links.remove(this);
             idle.remove(this);
-            Message whole = decoder.atEnd();
+            HttpMessage whole = decoder.atEnd();
             if (whole != null && current != null) {
                 answered(whole, false);
             }
--- a/lab/src/main/java/cedarrudder/lab/load/Request.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Request.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.load;
 
-import cedarrudder.Balancer.Effect;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import java.nio.charset.StandardCharsets;
@@ -54,8 +54,8 @@
             String body = "x".repeat(options.bodyBytes());
             for (int i = 0; i < heads.length; i++) {
                 Traffic.Kind kind = traffic.kinds().get(i);
-                boolean safe = kind.effect() == Effect.SAFE;
-                keyed[i] = kind.effect() == Effect.KEYED;
+                boolean safe = kind.effect() == Idempotency.SAFE;
+                keyed[i] = kind.effect() == Idempotency.KEYED;
                 ends[i] =
                         ascii(
                                 safe
--- a/lab/src/main/java/cedarrudder/lab/load/Saturation.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Saturation.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.load;
 
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -105,12 +105,12 @@
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             ByteBuf in = (ByteBuf) bytes;
             try {
-                Message answer = decoder.decode(in);
+                HttpMessage answer = decoder.decode(in);
                 if (answer != null) {
                     (answer.head().status() == 200 ? served : others).increment();
                     send(context);
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 others.increment();
                 context.close();
             } finally {
--- a/lab/src/main/java/cedarrudder/lab/load/StandIn.java
+++ b/lab/src/main/java/cedarrudder/lab/load/StandIn.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.load;
 
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -109,12 +109,12 @@
 
     /** What answers a request. */
     private interface Served {
-        void answer(ChannelHandlerContext context, Message request);
+        void answer(ChannelHandlerContext context, HttpMessage request);
     }
 
     private final class Node implements Served {
         @Override
-        public void answer(ChannelHandlerContext context, Message request) {
+        public void answer(ChannelHandlerContext context, HttpMessage request) {
             boolean asks = request.head().target().equals("/_load");
             context.writeAndFlush(
                     Unpooled.wrappedBuffer(asks ? report : answer), context.voidPromise());
@@ -123,7 +123,7 @@
 
     private final class Lists implements Served {
         @Override
-        public void answer(ChannelHandlerContext context, Message request) {
+        public void answer(ChannelHandlerContext context, HttpMessage request) {
             if (!request.head().target().contains("follow=1")) {
                 context.writeAndFlush(Unpooled.wrappedBuffer(ok(list)));
                 return;
@@ -159,10 +159,12 @@
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             ByteBuf in = (ByteBuf) bytes;
             try {
-                for (Message next = decoder.decode(in); next != null; next = decoder.decode(in)) {
+                for (HttpMessage next = decoder.decode(in);
+                        next != null;
+                        next = decoder.decode(in)) {
                     served.answer(context, next);
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 context.close();
             } finally {
                 in.release();
--- a/lab/src/main/java/cedarrudder/lab/load/Traffic.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Traffic.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.load;
 
-import cedarrudder.Balancer.Effect;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import java.util.List;
 import java.util.random.RandomGenerator;
 
@@ -19,7 +19,7 @@
      * @param deadlineMillis the client's wait for an answer, counted from the intended time of
      *     sending
      */
-    public record Kind(String name, Effect effect, double share, long deadlineMillis) {}
+    public record Kind(String name, Idempotency effect, double share, long deadlineMillis) {}
 
     /** A tenant and its weight among them, over 0. */
     public record Tenant(String name, double share) {}
--- a/lab/src/main/java/cedarrudder/lab/members/Detection.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/FailureDetectionTrial.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.members;
+package cedarrudder.lab.membership;
 
 import cedarrudder.membership.Member.Standing;
 import cedarrudder.membership.MembershipSettings;
@@ -13,7 +13,7 @@
  * What it takes to find out who died: many die at once in a calm mesh, and each survivor is
  * watched.
  */
-public final class Detection {
+public final class FailureDetectionTrial {
 
     private static final long SECOND = 1_000_000_000L;
 
@@ -44,7 +44,7 @@
             long mostInSecond) {}
 
     private final int size;
-    private final Mesh.Network network;
+    private final SwimSimulation.Network network;
     private final double dying;
     private final MembershipSettings settings;
     private final double calmSeconds;
@@ -64,9 +64,9 @@
      *     half
      * @param afterSeconds after it
      */
-    public Detection(
+    public FailureDetectionTrial(
             int size,
-            Mesh.Network network,
+            SwimSimulation.Network network,
             double dying,
             MembershipSettings settings,
             double calmSeconds,
@@ -82,7 +82,7 @@
     /** Plays one seed. */
     public void play(long seed) {
         seeds++;
-        Mesh mesh = new Mesh(size, network, settings, seed);
+        SwimSimulation mesh = new SwimSimulation(size, network, settings, seed);
         long half = (long) (calmSeconds / 2 * SECOND);
         mesh.play(half);
         long bytesBefore = mesh.bytes();
@@ -100,7 +100,7 @@
         mesh.play((long) (afterSeconds * SECOND));
         mostInSecond = Math.max(mostInSecond, mesh.mostInSecond());
         Map<Long, Long> found = new HashMap<>();
-        for (Mesh.Change change : mesh.changes()) {
+        for (SwimSimulation.Change change : mesh.changes()) {
             int about = change.now().number();
             if (change.now().standing() != Standing.DEAD) {
                 continue;
--- a/lab/src/main/java/cedarrudder/lab/members/Mesh.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
@@ -1,8 +1,8 @@
-package cedarrudder.lab.members;
+package cedarrudder.lab.membership;
 
 import cedarrudder.membership.Member;
 import cedarrudder.membership.MembershipSettings;
-import cedarrudder.membership.Swim;
+import cedarrudder.membership.SwimMember;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -13,7 +13,7 @@
  * Many instances of membership in virtual time, with a network that loses and delays what they
  * send. One seed gives one history.
  */
-public final class Mesh {
+public final class SwimSimulation {
 
     /** Where virtual time begins; its zero means nothing. */
     public static final long START = 1_000_000_000_000L;
@@ -44,7 +44,7 @@
     /** One place in the mesh, and the life that runs there. */
     private final class Place {
         final int number;
-        Swim swim;
+        SwimMember swim;
         int life;
         long ticksAt = Long.MAX_VALUE;
         long deaf;
@@ -61,13 +61,13 @@
         void start(long incarnation) {
             int own = ++life;
             swim =
-                    new Swim(
+                    new SwimMember(
                             places.size(),
                             number,
                             incarnation,
                             settings,
                             random.split(),
-                            new Swim.Outlet() {
+                            new SwimMember.Actions() {
                                 @Override
                                 public void send(int to, byte[] message) {
                                     Place.this.send(own, to, message);
@@ -151,7 +151,7 @@
     private long made;
 
     /** Starts so many instances at once; each life has its start in milliseconds as its number. */
-    public Mesh(int size, Network network, MembershipSettings settings, long seed) {
+    public SwimSimulation(int size, Network network, MembershipSettings settings, long seed) {
         this.network = network;
         this.settings = settings;
         this.random = new SplittableRandom(seed);
@@ -236,7 +236,7 @@
     }
 
     /** How an instance sees it; null where it doesn't run. */
-    public Swim view(int number) {
+    public SwimMember view(int number) {
         return places.get(number).swim;
     }
 
--- a/lab/src/main/java/cedarrudder/lab/members/Trouble.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.members;
+package cedarrudder.lab.membership;
 
 import cedarrudder.membership.Member.Standing;
 import cedarrudder.membership.MembershipSettings;
@@ -14,7 +14,7 @@
  * What passes again: some instances are in trouble for a time, and it is watched when all agree
  * after it.
  */
-public final class Trouble {
+public final class TransientFaultTrial {
 
     /** What happens to those in trouble, from {@link #BEGINS} on for {@link #LASTS}. */
     public enum Kind {
@@ -77,7 +77,7 @@
 
     private final Kind kind;
     private final int size;
-    private final Mesh.Network network;
+    private final SwimSimulation.Network network;
     private final MembershipSettings settings;
     private final List<Double> settled = new ArrayList<>();
     private int seeds;
@@ -87,7 +87,8 @@
     private double bytes;
     private long mostInSecond;
 
-    public Trouble(Kind kind, int size, Mesh.Network network, MembershipSettings settings) {
+    public TransientFaultTrial(
+            Kind kind, int size, SwimSimulation.Network network, MembershipSettings settings) {
         this.kind = kind;
         this.size = size;
         this.network = network;
@@ -97,7 +98,7 @@
     /** Plays one seed. */
     public void play(long seed) {
         seeds++;
-        Mesh mesh = new Mesh(size, network, settings, seed);
+        SwimSimulation mesh = new SwimSimulation(size, network, settings, seed);
         mesh.play(BEGINS * SECOND);
         SplittableRandom random = new SplittableRandom(seed ^ 0x7e57);
         Set<Integer> inTrouble = new HashSet<>();
@@ -119,7 +120,7 @@
         }
         mostInSecond = Math.max(mostInSecond, mesh.mostInSecond());
         boolean cut = kind == Kind.CUT || kind == Kind.ONE_WAY || kind == Kind.DEAF;
-        for (Mesh.Change change : mesh.changes()) {
+        for (SwimSimulation.Change change : mesh.changes()) {
             int about = change.now().number();
             if (change.now().standing() != Standing.DEAD
                     || kind == Kind.LATE && inTrouble.contains(about)) {
@@ -133,7 +134,7 @@
         }
     }
 
-    private void suffer(Mesh mesh, List<Integer> those) {
+    private void suffer(SwimSimulation mesh, List<Integer> those) {
         Set<Integer> set = Set.copyOf(those);
         switch (kind) {
             case CUT -> mesh.cut(set::contains);
@@ -147,11 +148,11 @@
         }
         mesh.heal();
         if (kind == Kind.LATE) {
-            mesh.restart(those.get(0), Mesh.LATER_LIFE);
+            mesh.restart(those.get(0), SwimSimulation.LATER_LIFE);
         }
     }
 
-    private static void restart(Mesh mesh, List<Integer> those) {
+    private static void restart(SwimSimulation mesh, List<Integer> those) {
         List<Integer> order = new ArrayList<>(those);
         Collections.sort(order);
         for (int second = 0; second < LASTS; second++) {
@@ -160,12 +161,12 @@
                             order.size() * second / LASTS, order.size() * (second + 1) / LASTS);
             now.forEach(mesh::kill);
             mesh.play(SECOND);
-            now.forEach(each -> mesh.restart(each, Mesh.LATER_LIFE));
+            now.forEach(each -> mesh.restart(each, SwimSimulation.LATER_LIFE));
         }
     }
 
     /** Whether all that run hold those that run as live, and no others. */
-    private static boolean agreed(Mesh mesh) {
+    private static boolean agreed(SwimSimulation mesh) {
         return IntStream.range(0, mesh.size())
                 .filter(mesh::runs)
                 .allMatch(
--- a/lab/src/main/java/cedarrudder/lab/model/Arrivals.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Arrivals.java
@@ -101,7 +101,7 @@
             tenant = among(run.world.traffic.length, i -> run.world.traffic[i]);
         }
         long seed = random.nextLong();
-        work = work > 0 ? work : run.world.classes.get(classIndex).drawn(Mix.of(seed, -5));
+        work = work > 0 ? work : run.world.classes.get(classIndex).drawn(HashRandom.of(seed, -5));
         double noise = random.nextGaussian();
         long hint =
                 figures.hintNoise() < 0
@@ -109,7 +109,7 @@
                         : Math.max(1, (long) (work * StrictMath.exp(figures.hintNoise() * noise)));
         Scenario.RequestKind kind = run.scenario.classes().get(classIndex);
         double worth = kind.worth() * work / run.world.classes.get(classIndex).work();
-        Ask ask = new Ask(run, classIndex, tenant, work, hint, worth, seed);
+        ClientRequest ask = new ClientRequest(run, classIndex, tenant, work, hint, worth, seed);
         run.ledger.asked(ask);
         ask.tryNow();
         next(now);
--- a/lab/src/main/java/cedarrudder/lab/model/Attempt.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Attempt.java
@@ -1,14 +1,14 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.budget.FromBelow;
-import cedarrudder.routing.CallAttempt;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.forwarding.RequestAttempt;
 
 /** One attempt at an RPC on its way to a node and back. */
-final class Attempt extends Carried {
+final class Attempt extends ProxyConnection {
 
-    final Call call;
-    final CallAttempt<Call, Attempt> handle;
+    final ProxyRequest call;
+    final RequestAttempt<ProxyRequest, Attempt> handle;
     final AtNode job;
 
     /** Its place among the proxy's attempts that are out. */
@@ -16,7 +16,12 @@
 
     private Outcome result = Outcome.TIMEOUT;
 
-    Attempt(Run run, Life proxy, Channel channel, Call call, CallAttempt<Call, Attempt> handle) {
+    Attempt(
+            Run run,
+            ProxyInstance proxy,
+            Channel channel,
+            ProxyRequest call,
+            RequestAttempt<ProxyRequest, Attempt> handle) {
         super(run, proxy, channel);
         this.call = call;
         this.handle = handle;
@@ -84,9 +89,9 @@
         }
 
         @Override
-        protected cedarrudder.budget.Carried goesDown() {
+        protected cedarrudder.budget.PropagatedBudget goesDown() {
             if (proxy.stripped) {
-                return cedarrudder.budget.Carried.NOTHING;
+                return cedarrudder.budget.PropagatedBudget.NOTHING;
             }
             return handle.handed() == null
                     ? call.what.said()
@@ -94,8 +99,8 @@
         }
 
         @Override
-        protected FromBelow goesUp() {
-            return proxy.stripped ? FromBelow.NOTHING : super.goesUp();
+        protected DownstreamFeedback goesUp() {
+            return proxy.stripped ? DownstreamFeedback.NOTHING : super.goesUp();
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Caller.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Caller.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.budget.FromBelow;
+import cedarrudder.budget.DownstreamFeedback;
 
 /** Who makes a call through a proxy: a client, or a request at a node. */
 public interface Caller {
@@ -15,7 +15,7 @@
     }
 
     /** The answer that comes next says this of budgets. */
-    default void told(FromBelow below) {
+    default void told(DownstreamFeedback below) {
         // A client makes nothing of it.
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/Try.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ClientAttempt.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.budget.Carried;
+import cedarrudder.budget.PropagatedBudget;
 
 /**
  * What a caller asks of a proxy with one try. Times are nanoseconds.
@@ -14,7 +14,7 @@
  * @param said what the caller says of budgets, and whether it says how long it waits
  * @param local whether the caller is the node that the proxy stands beside
  */
-public record Try(
+public record ClientAttempt(
         int classIndex,
         int tenant,
         double work,
@@ -23,20 +23,26 @@
         boolean repeat,
         long seed,
         long deadline,
-        Carried said,
+        PropagatedBudget said,
         boolean local) {
 
     /**
      * A node's call to the next tier: a request of the same class with work of its own. Where
      * clients give hints, nodes do, and theirs are exact.
      */
-    static Try below(World world, int tier, Try above, long seed, long deadline, Carried said) {
-        double work = world.classes.get(above.classIndex).drawn(Mix.of(seed, -5));
+    static ClientAttempt below(
+            World world,
+            int tier,
+            ClientAttempt above,
+            long seed,
+            long deadline,
+            PropagatedBudget said) {
+        double work = world.classes.get(above.classIndex).drawn(HashRandom.of(seed, -5));
         long hint =
                 above.hint == 0
                         ? 0
                         : Math.max(1, (long) (work * world.tiers.get(tier).workShare()));
-        return new Try(
+        return new ClientAttempt(
                 above.classIndex,
                 above.tenant,
                 work,
--- a/lab/src/main/java/cedarrudder/lab/model/Ask.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ClientRequest.java
@@ -1,15 +1,15 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.budget.Carried;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.budget.PropagatedBudget;
 import cedarrudder.lab.scenario.Scenario;
 
 /**
  * What one client wants: its first try and the repeats that belong to it. In the agenda it waits
  * for the end of a try's time, or of the time between two tries.
  */
-final class Ask extends Task implements Caller {
+final class ClientRequest extends Task implements Caller {
 
     /** A wait between tries is spread evenly over so much below and above its length. */
     private static final double BACKOFF_SPREAD = 0.5;
@@ -42,7 +42,8 @@
     private Proxy.Pending out;
     private int tries;
 
-    Ask(Run run, int classIndex, int tenant, double work, long hint, double worth, long seed) {
+    ClientRequest(
+            Run run, int classIndex, int tenant, double work, long hint, double worth, long seed) {
         this.run = run;
         this.classIndex = classIndex;
         this.tenant = tenant;
@@ -53,13 +54,13 @@
         this.startedAt = run.agenda.now();
         this.kind = run.scenario.classes().get(classIndex);
         this.deadline = startedAt + kind.deadline();
-        this.honours = Mix.unit(Mix.of(seed, -1)) < run.world.honour;
+        this.honours = HashRandom.unit(HashRandom.of(seed, -1)) < run.world.honour;
     }
 
     /** Whether its client repeats it by itself after a try that may have run. */
     private boolean repeatable() {
-        return kind.effect() == Effect.SAFE
-                || kind.effect() == Effect.KEYED
+        return kind.effect() == Idempotency.SAFE
+                || kind.effect() == Idempotency.KEYED
                         && kind.keyScope() == KeyScope.ALL
                         && run.agenda.now() < startedAt + kind.repeatWindow();
     }
@@ -70,9 +71,9 @@
         // Only who may try again gives a try up early.
         long wait =
                 repeatable() ? Math.min(left, (long) (run.world.tryShare * kind.deadline())) : left;
-        long trySeed = Mix.of(seed, tries++);
+        long trySeed = HashRandom.of(seed, tries++);
         run.agenda.at(now + wait, this);
-        Proxy to = run.front.pick(Mix.of(trySeed, -3), Mix.of(seed, -4));
+        Proxy to = run.front.pick(HashRandom.of(trySeed, -3), HashRandom.of(seed, -4));
         if (to == null) {
             again(End.FAILED, true, 0);
             return;
@@ -80,16 +81,16 @@
         out =
                 to.take(
                         this,
-                        new Try(
+                        new ClientAttempt(
                                 classIndex,
                                 tenant,
                                 work,
                                 hint,
-                                kind.effect() == Effect.KEYED ? seed | 1 : 0,
+                                kind.effect() == Idempotency.KEYED ? seed | 1 : 0,
                                 tries > 1 && run.scenario.clients().marksRepeats(),
                                 trySeed,
                                 now + wait,
-                                Carried.NOTHING,
+                                PropagatedBudget.NOTHING,
                                 false));
     }
 
@@ -126,7 +127,10 @@
             double wait =
                     run.world.backoff
                             * (run.scenario.clients().exponential() ? 1L << tries - 1 : 1);
-            wait *= 1 + BACKOFF_SPREAD * (2 * Mix.unit(Mix.of(seed, -10 - tries)) - 1);
+            wait *=
+                    1
+                            + BACKOFF_SPREAD
+                                    * (2 * HashRandom.unit(HashRandom.of(seed, -10 - tries)) - 1);
             if (honours) {
                 wait =
                         Math.max(
--- a/lab/src/main/java/cedarrudder/lab/model/Directory.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Directory.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import cedarrudder.lab.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,7 +49,7 @@
         private final int tier;
         private final List<Line> lines = new ArrayList<>();
         private final LongMap<Line> byId = new LongMap<>();
-        private final List<Watcher> watchers = new ArrayList<>();
+        private final List<DiscoveryClientModel> watchers = new ArrayList<>();
         private int listed;
         private long version = 1;
         private long published = 1;
@@ -69,7 +69,7 @@
             return published;
         }
 
-        private void set(Node node, long endpoint, State state, long startedAt) {
+        private void set(Node node, long endpoint, EndpointStatus state, long startedAt) {
             Line line = byId.get(endpoint);
             if (line == null) {
                 line = new Line();
@@ -77,11 +77,13 @@
                 byId.put(endpoint, line);
                 lines.add(line);
                 listed++;
-            } else if (line.told.state() == State.GONE && state != State.GONE) {
+            } else if (line.told.state() == EndpointStatus.GONE && state != EndpointStatus.GONE) {
                 listed++;
             }
             listed -=
-                    state == State.GONE && (line.told == null || line.told.state() != State.GONE)
+                    state == EndpointStatus.GONE
+                                    && (line.told == null
+                                            || line.told.state() != EndpointStatus.GONE)
                             ? 1
                             : 0;
             double size = node.kind.cores() * node.kind.speed();
@@ -108,7 +110,7 @@
             if (down > 0) {
                 return;
             }
-            for (Watcher who : List.copyOf(watchers)) {
+            for (DiscoveryClientModel who : List.copyOf(watchers)) {
                 if (who.toldVersion() < version) {
                     tell(who, who.toldVersion());
                 }
@@ -118,7 +120,7 @@
         /** The whole list as it is published. */
         public void whole(List<Endpoint> list, List<Node> nodes) {
             for (Line line : lines) {
-                if (line.told.state() != State.GONE) {
+                if (line.told.state() != EndpointStatus.GONE) {
                     list.add(line.told);
                     nodes.add(line.node);
                 }
@@ -130,7 +132,7 @@
         }
 
         /** Tells a proxy what has changed since a version, or the whole list if that is much. */
-        private int tell(Watcher who, long since) {
+        private int tell(DiscoveryClientModel who, long since) {
             List<Endpoint> list = new ArrayList<>();
             List<Node> nodes = new ArrayList<>();
             boolean whole = since == 0 || farBehind(since);
@@ -145,7 +147,8 @@
                 }
             }
             who.toldVersion(version);
-            who.tellLater(whole ? ListKind.FULL : ListKind.CHANGES, list, nodes, version);
+            who.tellLater(
+                    whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, list, nodes, version);
             return list.size();
         }
 
@@ -173,7 +176,7 @@
     /** A node that runs since long ago, before the run begins. */
     void listAtOnce(Node node) {
         Listing listing = listings.get(node.tier);
-        listing.set(node, node.endpoint, State.READY, 0);
+        listing.set(node, node.endpoint, EndpointStatus.READY, 0);
         listing.published = listing.version;
         run.agenda.cancel(listing.publishing);
     }
@@ -187,7 +190,8 @@
                 figures.add().draw(random),
                 () -> {
                     if (node.life == life) {
-                        listings.get(node.tier).set(node, endpoint, State.READY, startedAt);
+                        listings.get(node.tier)
+                                .set(node, endpoint, EndpointStatus.READY, startedAt);
                     }
                 });
     }
@@ -200,7 +204,7 @@
                 () -> {
                     // Guards against late news: what has come back by now is not gone.
                     if (!node.up() || node.endpoint != endpoint || node.draining) {
-                        listings.get(node.tier).set(node, endpoint, State.GONE, 0);
+                        listings.get(node.tier).set(node, endpoint, EndpointStatus.GONE, 0);
                     }
                 });
     }
@@ -217,7 +221,7 @@
                                 .set(
                                         node,
                                         endpoint,
-                                        begins ? State.GONE : State.READY,
+                                        begins ? EndpointStatus.GONE : EndpointStatus.READY,
                                         node.startedAt);
                     }
                 });
@@ -231,7 +235,8 @@
                 figures.notice().draw(random),
                 () -> {
                     if (node.life == life) {
-                        listings.get(node.tier).set(node, endpoint, State.DRAINING, node.startedAt);
+                        listings.get(node.tier)
+                                .set(node, endpoint, EndpointStatus.DRAINING, node.startedAt);
                     }
                 });
     }
@@ -250,21 +255,21 @@
     // ---- calls ----
 
     /** Opens a watch: what has changed since the version held comes first. */
-    public void watch(Watcher who) {
+    public void watch(DiscoveryClientModel who) {
         listings.get(who.tier()).watchers.remove(who);
         call(who, true);
     }
 
-    public void unwatch(Watcher who) {
+    public void unwatch(DiscoveryClientModel who) {
         listings.get(who.tier()).watchers.remove(who);
     }
 
     /** Sends the whole list once. */
-    public void fetch(Watcher who) {
+    public void fetch(DiscoveryClientModel who) {
         call(who, false);
     }
 
-    private void call(Watcher who, boolean watch) {
+    private void call(DiscoveryClientModel who, boolean watch) {
         run.agenda.at(
                 run.agenda.now() + run.network.nodes(who.zone(), who.zone()),
                 new Task() {
@@ -276,7 +281,7 @@
     }
 
     /** A call takes its turn at the one worker, or fails after having waited too long. */
-    private void come(Watcher who, boolean watch) {
+    private void come(DiscoveryClientModel who, boolean watch) {
         long now = run.agenda.now();
         Listing listing = listings.get(who.tier());
         long since = watch ? who.toldVersion() : 0;
@@ -308,7 +313,7 @@
                 });
     }
 
-    private void fail(Watcher who, long at) {
+    private void fail(DiscoveryClientModel who, long at) {
         run.agenda.at(
                 at,
                 new Task() {
@@ -328,7 +333,7 @@
         down++;
         outages++;
         for (Listing listing : listings) {
-            for (Watcher who : listing.watchers) {
+            for (DiscoveryClientModel who : listing.watchers) {
                 who.failLater();
             }
             listing.watchers.clear();
--- a/lab/src/main/java/cedarrudder/lab/model/Watcher.java
+++ b/lab/src/main/java/cedarrudder/lab/model/DiscoveryClientModel.java
@@ -1,11 +1,11 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
 import java.util.List;
 
 /** Who calls discovery, or watches it. */
-public interface Watcher {
+public interface DiscoveryClientModel {
 
     /** The tier whose nodes it asks for. */
     int tier();
@@ -25,7 +25,7 @@
      *
      * @param nodes where each entry's machine stands
      */
-    void tellLater(ListKind kind, List<Endpoint> entries, List<Node> nodes, long version);
+    void tellLater(EndpointListKind kind, List<Endpoint> entries, List<Node> nodes, long version);
 
     /** The news of a failed call, or of the end of a watch, is on its way to it. */
     void failLater();
--- a/lab/src/main/java/cedarrudder/lab/model/Agenda.java
+++ b/lab/src/main/java/cedarrudder/lab/model/EventQueue.java
@@ -11,7 +11,7 @@
  *
  * <p>A heap of four branches on arrays, so that neither scheduling nor moving allocates.
  */
-public final class Agenda {
+public final class EventQueue {
 
     private static final int BRANCHES = 4;
 
@@ -23,7 +23,7 @@
     private long now;
     private long handled;
 
-    Agenda(long start) {
+    EventQueue(long start) {
         now = start;
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/Front.java
+++ b/lab/src/main/java/cedarrudder/lab/model/FrontBalancer.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** What spreads clients over the proxies of the first tier. It knows late of those that died. */
-public final class Front {
+public final class FrontBalancer {
 
     private final Run run;
     private final List<List<Proxy>> taken = new ArrayList<>();
 
-    Front(Run run) {
+    FrontBalancer(Run run) {
         this.run = run;
         for (int i = 0; i < Math.max(1, run.scenario.network().zones().size()); i++) {
             taken.add(new ArrayList<>());
@@ -39,11 +39,11 @@
 
     /** A proxy of the client's zone, of any zone if there is none; null if there is none at all. */
     Proxy pick(long chance, long client) {
-        int zone = (int) (Mix.unit(client) * taken.size());
+        int zone = (int) (HashRandom.unit(client) * taken.size());
         for (int i = 0; i < taken.size(); i++) {
             List<Proxy> here = taken.get((zone + i) % taken.size());
             if (!here.isEmpty()) {
-                return here.get((int) (Mix.unit(chance) * here.size()));
+                return here.get((int) (HashRandom.unit(chance) * here.size()));
             }
         }
         return null;
--- a/lab/src/main/java/cedarrudder/lab/model/Watched.java
+++ b/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 import java.util.List;
 import java.util.function.Function;
 
@@ -8,7 +8,7 @@
  * A balancer under watch: what it throws, and what it does past the bounds, ends the run with a
  * finding. Stands between the driver and the balancer, and counts outcomes there.
  */
-final class Watched implements Balancer {
+final class GuardedBalancer implements LoadBalancer {
 
     /** Leaves a balancer that does too much; the run is over. */
     private static final class Enough extends RuntimeException {
@@ -24,13 +24,13 @@
     private final Guard guard;
     private final Ledger.OfTier counts;
     private final long startedAt;
-    private Settings settings;
-    private Balancer balancer;
+    private BalancerSettings settings;
+    private LoadBalancer balancer;
     private long taken;
     private long actions;
     private int now;
 
-    Watched(Run run, int proxy, Guard guard, Ledger.OfTier counts) {
+    GuardedBalancer(Run run, int proxy, Guard guard, Ledger.OfTier counts) {
         this.run = run;
         this.proxy = proxy;
         this.guard = guard;
@@ -39,7 +39,8 @@
     }
 
     /** Makes the balancer, with actions that are watched. */
-    Balancer around(Settings told, Actions hands, Function<Actions, Balancer> making) {
+    LoadBalancer around(
+            BalancerSettings told, Actions hands, Function<Actions, LoadBalancer> making) {
         settings = told;
         try {
             balancer = making.apply(new Limited(hands));
@@ -88,7 +89,7 @@
     // ---- events ----
 
     @Override
-    public void endpoints(long at, ListKind kind, List<Endpoint> entries) {
+    public void endpoints(long at, EndpointListKind kind, List<Endpoint> entries) {
         event(() -> balancer.endpoints(at, kind, entries));
     }
 
@@ -103,7 +104,7 @@
     }
 
     @Override
-    public void request(long at, Request request, Standing standing) {
+    public void request(long at, Request request, AdmissionHint standing) {
         event(() -> balancer.request(at, request, standing));
     }
 
@@ -121,7 +122,7 @@
             Outcome outcome,
             long latency,
             boolean settled,
-            Load load) {
+            LoadReport load) {
         counts.outcomes[outcome.ordinal()]++;
         if (outcome != Outcome.OK) {
             run.trace.ended(at, proxy, request, attempt, outcome);
@@ -148,7 +149,7 @@
     }
 
     @Override
-    public void probed(long at, long endpoint, Outcome outcome, long latency, Load load) {
+    public void probed(long at, long endpoint, Outcome outcome, long latency, LoadReport load) {
         event(() -> balancer.probed(at, endpoint, outcome, latency, load));
     }
 
@@ -158,7 +159,7 @@
     }
 
     @Override
-    public void shares(long at, List<ZoneShare> shares) {
+    public void shares(long at, List<ZoneTrafficShare> shares) {
         event(() -> balancer.shares(at, shares));
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/Mix.java
+++ b/lab/src/main/java/cedarrudder/lab/model/HashRandom.java
@@ -8,11 +8,11 @@
  * <p>The finaliser is that of MurmurHash3 with the constants of "mix13" (Stafford), as in
  * SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number generators, OOPSLA 2014).
  */
-public final class Mix {
+public final class HashRandom {
 
     private static final long GOLDEN = 0x9E3779B97F4A7C15L;
 
-    private Mix() {}
+    private HashRandom() {}
 
     /** One number of two. */
     public static long of(long a, long b) {
--- a/lab/src/main/java/cedarrudder/lab/model/Job.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Job.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.budget.Carried;
-import cedarrudder.budget.FromBelow;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.budget.PropagatedBudget;
 import cedarrudder.lab.scenario.Scenario;
 
 /**
@@ -23,7 +23,7 @@
     private static final double BEFORE_CALLS = 0.5;
 
     private final Node node;
-    private final Try what;
+    private final ClientAttempt what;
     private final long seed;
 
     /** Work at this tier for this attempt, in nanoseconds on a core of speed 1. */
@@ -52,7 +52,7 @@
     private Proxy.Pending below;
 
     /** What the answer that it got last from the next tier says of budgets. */
-    private FromBelow fromBelow = FromBelow.NOTHING;
+    private DownstreamFeedback fromBelow = DownstreamFeedback.NOTHING;
 
     /** Work that went into answers of the tiers below that it was built on; null: none. */
     private double[] belowSpent;
@@ -62,20 +62,21 @@
      *
      * @param number its number among the attempts of its RPC
      */
-    protected Job(Node node, Try what, int number) {
+    protected Job(Node node, ClientAttempt what, int number) {
         this.node = node;
         this.what = what;
-        this.seed = Mix.of(what.seed(), number);
+        this.seed = HashRandom.of(what.seed(), number);
         World.Tier tier = node.drawn;
         double noise = node.run.world.classes.get(what.classIndex()).attemptNoise();
         // A lognormal factor of mean 1.
         double factor =
-                noise > 0 ? StrictMath.exp(noise * Mix.normal(seed) - noise * noise / 2) : 1;
+                noise > 0 ? StrictMath.exp(noise * HashRandom.normal(seed) - noise * noise / 2) : 1;
         this.work = what.work() * tier.workShare() * factor;
         double calls = tier.calls();
         int whole = (int) calls;
         // From the request, not the attempt: a repeat calls as often as the first.
-        this.callsLeft = whole + (Mix.unit(Mix.of(what.seed(), -1)) < calls - whole ? 1 : 0);
+        this.callsLeft =
+                whole + (HashRandom.unit(HashRandom.of(what.seed(), -1)) < calls - whole ? 1 : 0);
     }
 
     /** When the proxy has to have answered; work that is still queued then may be declined. */
@@ -94,12 +95,12 @@
      * What it says of budgets to the next tier: a node passes on what came down to it. Nothing by
      * itself.
      */
-    protected Carried goesDown() {
-        return Carried.NOTHING;
+    protected PropagatedBudget goesDown() {
+        return PropagatedBudget.NOTHING;
     }
 
     /** What its answer says of budgets: what the node was told last. */
-    protected FromBelow goesUp() {
+    protected DownstreamFeedback goesUp() {
         return fromBelow;
     }
 
@@ -129,17 +130,17 @@
         below =
                 node.proxy.take(
                         this,
-                        Try.below(
+                        ClientAttempt.below(
                                 run.world,
                                 node.proxy.tier,
                                 what,
-                                Mix.of(what.seed(), callsMade++),
+                                HashRandom.of(what.seed(), callsMade++),
                                 now + Math.max(0, wait),
                                 goesDown().withDeadline(node.drawn.passesDeadline())));
     }
 
     @Override
-    public final void told(FromBelow below) {
+    public final void told(DownstreamFeedback below) {
         fromBelow = below;
     }
 
@@ -181,6 +182,6 @@
 
     /** Whether the node ends it with an error after its work. */
     boolean fails(double rate) {
-        return rate > 0 && Mix.unit(Mix.of(seed, -2)) < rate;
+        return rate > 0 && HashRandom.unit(HashRandom.of(seed, -2)) < rate;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Ledger.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Ledger.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.result.RunResult.ClassResult;
 import cedarrudder.lab.result.RunResult.Group;
@@ -39,7 +39,7 @@
     private static final class OfClass {
         long requests;
         long inAim;
-        final long[] ends = new long[Ask.End.values().length];
+        final long[] ends = new long[ClientRequest.End.values().length];
         final Histogram latency = new Histogram(DIGITS);
     }
 
@@ -49,7 +49,7 @@
     private final List<Tally> nodes = new ArrayList<>();
     private final OfClass[] classes;
     private final long[] tenantRequests;
-    private final Worth worth;
+    private final PriorityLedger worth;
     private final Histogram latency = new Histogram(DIGITS);
     private final double[] usefulWork;
     private final long[][] attempts;
@@ -77,7 +77,7 @@
         usefulWork = new double[tiers.length];
         shareBehind = run.world.shareBehind();
         int seconds = (int) ((run.until - run.start) / SECOND) + 1;
-        worth = new Worth(run.world, seconds);
+        worth = new PriorityLedger(run.world, seconds);
         attempts = new long[tiers.length][seconds];
         tries = new long[seconds];
         groupTries = new long[2 * classes.length];
@@ -108,12 +108,12 @@
         inFlight[second] = held;
     }
 
-    private boolean counts(Ask ask) {
+    private boolean counts(ClientRequest ask) {
         return ask.startedAt - run.start >= run.scenario.run().lead();
     }
 
     /** A first try. */
-    void asked(Ask ask) {
+    void asked(ClientRequest ask) {
         firstTries++;
         tries[second(ask.startedAt)]++;
         askedWork +=
@@ -132,7 +132,7 @@
         }
     }
 
-    private int group(Ask ask) {
+    private int group(ClientRequest ask) {
         return ask.classIndex + (ask.pastShare ? classes.length : 0);
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** The end of a first try with its repeats. */
-    void ended(Ask ask, Ask.End how) {
+    void ended(ClientRequest ask, ClientRequest.End how) {
         if (!counts(ask)) {
             return;
         }
@@ -150,7 +150,7 @@
         Scenario.RequestKind kind = run.scenario.classes().get(ask.classIndex);
         OfClass count = classes[ask.classIndex];
         count.ends[how.ordinal()]++;
-        if (how != Ask.End.SERVED) {
+        if (how != ClientRequest.End.SERVED) {
             groupUnserved[group(ask)]++;
             lateUnserved += took > kind.aim() ? ask.worth : 0;
             return;
@@ -170,7 +170,7 @@
 
     RunResult result(List<RunResult.Band> faults, String finding) {
         Scenario scenario = run.scenario;
-        Worth.Sum all = worth.sum();
+        PriorityLedger.Sum all = worth.sum();
         double whole = share(all.served(), all.asked());
         double worstWindow = Math.min(whole, worstWindow(all));
         double worstClass = whole;
@@ -181,16 +181,16 @@
             requests += count.requests;
             double goodput = share(all.servedOfClass()[i], all.askedOfClass()[i]);
             worstClass = Math.min(worstClass, goodput);
-            long servedCount = count.ends[Ask.End.SERVED.ordinal()];
+            long servedCount = count.ends[ClientRequest.End.SERVED.ordinal()];
             ofClasses.add(
                     new ClassResult(
                             scenario.classes().get(i).name(),
                             count.requests,
                             count.inAim,
                             servedCount - count.inAim,
-                            count.ends[Ask.End.REFUSED.ordinal()],
-                            count.ends[Ask.End.FAILED.ordinal()],
-                            count.ends[Ask.End.UNANSWERED.ordinal()],
+                            count.ends[ClientRequest.End.REFUSED.ordinal()],
+                            count.ends[ClientRequest.End.FAILED.ordinal()],
+                            count.ends[ClientRequest.End.UNANSWERED.ordinal()],
                             goodput,
                             latency(count.latency)));
         }
@@ -247,7 +247,7 @@
     }
 
     /** Windows begin at each whole second from the lead on, and end before arrivals do. */
-    private double worstWindow(Worth.Sum all) {
+    private double worstWindow(PriorityLedger.Sum all) {
         int length = (int) Math.max(1, run.scenario.run().window() / SECOND);
         int first = (int) (run.scenario.run().lead() / SECOND);
         int last = (int) (run.world.length / SECOND) - length;
@@ -366,7 +366,7 @@
         return results;
     }
 
-    private List<Second> series(Worth.Sum all) {
+    private List<Second> series(PriorityLedger.Sum all) {
         List<Second> seconds = new ArrayList<>();
         for (int i = 0; i < tries.length; i++) {
             int second = i;
--- a/lab/src/main/java/cedarrudder/lab/model/LongMap.java
+++ b/lab/src/main/java/cedarrudder/lab/model/LongMap.java
@@ -14,7 +14,7 @@
 
     private int slot(long key) {
         int mask = keys.length - 1;
-        int at = (int) (Mix.of(0, key) & mask);
+        int at = (int) (HashRandom.of(0, key) & mask);
         while (keys[at] != 0 && keys[at] != key) {
             at = at + 1 & mask;
         }
--- a/lab/src/main/java/cedarrudder/lab/model/ModelProxies.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ModelProxies.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.model;
 
+import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
-import cedarrudder.lab.policy.Truth;
 import cedarrudder.logging.Logger;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -17,7 +17,7 @@
     final Guard guard;
     final Logger log = new Logger(new PrintStream(OutputStream.nullOutputStream()));
     private final List<List<ModelProxy>> proxies = new ArrayList<>();
-    private Truth[] truths;
+    private GroundTruth[] truths;
     private RandomGenerator peerRandom;
 
     ModelProxies(Policy policy, Guard guard) {
@@ -28,7 +28,7 @@
     @Override
     public Proxy proxy(Run run, int number, int tier, int self, int zone) {
         if (truths == null) {
-            truths = new Truth[run.world.tiers.size()];
+            truths = new GroundTruth[run.world.tiers.size()];
             for (int i = 0; i < truths.length; i++) {
                 truths[i] = new TierTruth(run.nodesOf(i));
                 proxies.add(new ArrayList<>());
@@ -45,7 +45,7 @@
         // Messages ask the node themselves what has become of it.
     }
 
-    Truth truth(int tier) {
+    GroundTruth truth(int tier) {
         return truths[tier];
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/ModelProxy.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ModelProxy.java
@@ -1,19 +1,20 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ZoneShare;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * A modelled proxy: each of its lives is a new {@link Life} with the list that the last one had.
+ * A modelled proxy: each of its lives is a new {@link ProxyInstance} with the list that the last
+ * one had.
  */
 final class ModelProxy extends Proxy {
 
     final ModelProxies all;
 
     /** Null while it is down. */
-    Life life;
+    ProxyInstance life;
 
     private int lives;
 
@@ -33,14 +34,14 @@
     }
 
     @Override
-    protected Pending take(Caller caller, Try what) {
-        Call call = new Call(run, caller, this, what);
+    protected Pending take(Caller caller, ClientAttempt what) {
+        ProxyRequest call = new ProxyRequest(run, caller, this, what);
         call.send();
         return call;
     }
 
     @Override
-    public void shares(List<ZoneShare> shares) {
+    public void shares(List<ZoneTrafficShare> shares) {
         if (life != null) {
             life.shares(shares);
         }
@@ -68,7 +69,7 @@
             }
         }
         long seed = run.streams.seedOf(Streams.Concern.MODULE, (long) number << 32 | lives++);
-        life = new Life(run, this, seed, knownVersion);
+        life = new ProxyInstance(run, this, seed, knownVersion);
         life.begin(list, nodes);
         whenReady.run();
     }
@@ -81,7 +82,7 @@
     @Override
     protected void die() {
         if (life != null) {
-            Life ended = life;
+            ProxyInstance ended = life;
             known = ended.known();
             knownVersion = ended.version();
             life = null;
--- a/lab/src/main/java/cedarrudder/lab/model/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Node.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 
@@ -484,7 +484,7 @@
     public interface Probed {
 
         /** The node answers; {@code report} is null where it doesn't say. */
-        void answered(Outcome how, Load report);
+        void answered(Outcome how, LoadReport report);
     }
 
     /** A probe has come: answered beside the queue, as far as it answers so many. */
--- a/lab/src/main/java/cedarrudder/lab/model/Unheard.java
+++ b/lab/src/main/java/cedarrudder/lab/model/NullTrace.java
@@ -1,13 +1,13 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.trace.Trace;
 
 /** A trace that nobody reads. */
-public final class Unheard implements Trace {
+public final class NullTrace implements Trace {
 
     @Override
     public void proxyStarted(long now, int proxy, int tier) {}
@@ -17,7 +17,13 @@
 
     @Override
     public void told(
-            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {}
+            long now,
+            int proxy,
+            long endpoint,
+            int cell,
+            int zone,
+            EndpointStatus state,
+            long startedAt) {}
 
     @Override
     public void toldWhole(long now, int proxy) {}
@@ -27,7 +33,7 @@
             long now,
             int proxy,
             long rpc,
-            Effect effect,
+            Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {}
--- a/lab/src/main/java/cedarrudder/lab/model/Worth.java
+++ b/lab/src/main/java/cedarrudder/lab/model/PriorityLedger.java
@@ -11,7 +11,7 @@
  * beyond its quota: first what it was served stands for its share, then the rest. So a tenant over
  * its share loses nothing by what had to be turned away of it, whichever requests these were.
  */
-final class Worth {
+final class PriorityLedger {
 
     /**
      * What it comes to. Arrays are by second, by class and by tenant (of a tenant: within its
@@ -38,7 +38,7 @@
     private final double[] asked;
     private final double[] served;
 
-    Worth(World world, int seconds) {
+    PriorityLedger(World world, int seconds) {
         Scenario scenario = world.scenario;
         this.seconds = seconds;
         this.classes = world.classes.size();
--- a/lab/src/main/java/cedarrudder/lab/model/Probe.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Probe.java
@@ -1,14 +1,14 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 
 /** One probe on its way. */
-final class Probe extends Carried implements Node.Probed {
+final class Probe extends ProxyConnection implements Node.Probed {
 
     private final long startedAt;
     private Outcome result = Outcome.TIMEOUT;
-    private Load load;
+    private LoadReport load;
 
     private final Task patience =
             new Task() {
@@ -21,7 +21,7 @@
                 }
             };
 
-    Probe(Run run, Life proxy, Channel channel) {
+    Probe(Run run, ProxyInstance proxy, Channel channel) {
         super(run, proxy, channel);
         this.startedAt = run.agenda.now();
         run.agenda.at(startedAt + node.drawn.probeTimeout(), patience);
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void answered(Outcome how, Load report) {
+    public void answered(Outcome how, LoadReport report) {
         result = how;
         load = report;
         answer();
--- a/lab/src/main/java/cedarrudder/lab/model/Proxy.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Proxy.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.ZoneShare;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
 import java.util.List;
 
 /**
@@ -43,14 +43,14 @@
     protected abstract void die();
 
     /** A caller tries it. */
-    protected abstract Pending take(Caller caller, Try what);
+    protected abstract Pending take(Caller caller, ClientAttempt what);
 
     /**
      * Tells its decisions which part of its calls each zone may get; without effect where it is
      * down, and at a process, which has it from the other processes. Its next life knows nothing of
      * it.
      */
-    public void shares(List<ZoneShare> shares) {}
+    public void shares(List<ZoneTrafficShare> shares) {}
 
     /** Discovery is back, and tells those again that it tells unasked. */
     protected abstract void tellAgain();
--- a/lab/src/main/java/cedarrudder/lab/model/Carried.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyConnection.java
@@ -4,7 +4,7 @@
  * What a proxy sends to a node on a connection of its own: an attempt or a probe. It takes the idle
  * connection used last, or opens one; a connection carries one of them at a time.
  */
-abstract class Carried extends Task {
+abstract class ProxyConnection extends Task {
 
     /** Where it is. In the hands of the node it waits for nothing in the agenda. */
     enum Phase {
@@ -18,7 +18,7 @@
     }
 
     final Run run;
-    final Life proxy;
+    final ProxyInstance proxy;
     final Channel channel;
     final Node node;
 
@@ -37,7 +37,7 @@
     private boolean accepted;
     private long dueAt;
 
-    Carried(Run run, Life proxy, Channel channel) {
+    ProxyConnection(Run run, ProxyInstance proxy, Channel channel) {
         this.run = run;
         this.proxy = proxy;
         this.channel = channel;
@@ -203,9 +203,9 @@
 
     /** The news that a proxy has closed the connection. */
     static final class Hangup extends Task {
-        private final Carried of;
+        private final ProxyConnection of;
 
-        Hangup(Carried of) {
+        Hangup(ProxyConnection of) {
             this.of = of;
         }
 
--- a/lab/src/main/java/cedarrudder/lab/model/Life.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
@@ -1,26 +1,26 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
-import cedarrudder.Balancer.ZoneShare;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
+import cedarrudder.budget.BudgetEvents;
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.budget.Budgets;
-import cedarrudder.budget.FromBelow;
-import cedarrudder.budget.Notices;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.forwarding.AttemptTransport;
+import cedarrudder.forwarding.EndpointDiscovery;
+import cedarrudder.forwarding.Exchange;
+import cedarrudder.forwarding.PeerTransport;
+import cedarrudder.forwarding.RequestAttempt;
+import cedarrudder.forwarding.RequestForwarder;
+import cedarrudder.forwarding.TimerService;
 import cedarrudder.lab.policy.TierBudgets;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.trace.Trace.Final;
-import cedarrudder.routing.CallAttempt;
-import cedarrudder.routing.ClientSide;
-import cedarrudder.routing.Driver;
-import cedarrudder.routing.Exchange;
-import cedarrudder.routing.Peers;
-import cedarrudder.routing.Resolver;
-import cedarrudder.routing.Timers;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -30,7 +30,12 @@
  * One life of a proxy: the daemon's driver and the balancer under test, on modelled connections,
  * timers, discovery and datagrams. When it dies all of this is void.
  */
-final class Life implements ClientSide<Call, Attempt>, Resolver, Timers, Peers, Watcher {
+final class ProxyInstance
+        implements AttemptTransport<ProxyRequest, Attempt>,
+                EndpointDiscovery,
+                TimerService,
+                PeerTransport,
+                DiscoveryClientModel {
 
     /** How often idle connections are looked over, as in the daemon. */
     private static final long SWEEP = 1_000_000_000L;
@@ -57,15 +62,15 @@
     /** Whether the nodes that it sends to pass on nothing that is said of budgets. */
     final boolean stripped;
 
-    private final Driver<Call, Attempt> driver;
-    private final Watched watched;
+    private final RequestForwarder<ProxyRequest, Attempt> driver;
+    private final GuardedBalancer watched;
     private final LongMap<Channel> channels = new LongMap<>();
     private final LongMap<Endpoint> list = new LongMap<>();
     private final Ledger.OfTier counts;
     private final long idleLimit;
     private Attempt[] out = new Attempt[8];
     private int outs;
-    private Call[] open = new Call[8];
+    private ProxyRequest[] open = new ProxyRequest[8];
     private int opens;
     private long listMessageAt;
 
@@ -79,7 +84,7 @@
                 }
             };
 
-    Life(Run run, ModelProxy proxy, long seed, long knownVersion) {
+    ProxyInstance(Run run, ModelProxy proxy, long seed, long knownVersion) {
         this.run = run;
         this.proxy = proxy;
         this.tier = proxy.tier;
@@ -87,9 +92,9 @@
         this.toldVersion = knownVersion;
         this.heldVersion = knownVersion;
         this.counts = run.ledger.tiers[tier];
-        this.watched = new Watched(run, proxy.number, proxy.all.guard, counts);
+        this.watched = new GuardedBalancer(run, proxy.number, proxy.all.guard, counts);
         this.idleLimit = (long) (run.world.tiers.get(tier).idle() * IDLE_SHARE);
-        Balancer.Settings settings = run.world.settings(tier, proxy.self, zone);
+        LoadBalancer.BalancerSettings settings = run.world.settings(tier, proxy.self, zone);
         TierBudgets asked = proxy.all.policy.budgets();
         this.stripped = asked != null && asked.strips().contains(run.world.tiers.get(tier).name());
         BudgetSettings mine = asked == null ? null : asked.of(run.world.tiers.get(tier).name());
@@ -99,10 +104,10 @@
                         : new Budgets(
                                 mine,
                                 settings,
-                                new SplittableRandom(Mix.of(seed, -1)),
-                                Notices.NONE);
+                                new SplittableRandom(HashRandom.of(seed, -1)),
+                                BudgetEvents.NONE);
         this.driver =
-                new Driver<>(
+                new RequestForwarder<>(
                         actions ->
                                 watched.around(
                                         settings,
@@ -124,19 +129,19 @@
     /** Starts with the list that it had. */
     void begin(List<Endpoint> known, List<Node> nodes) {
         run.trace.proxyStarted(now(), proxy.number, tier);
-        take(ListKind.CACHED, known, nodes);
+        take(EndpointListKind.CACHED, known, nodes);
         if (!run.scenario.discovery().ask()) {
             run.directory.watch(this);
         }
         run.agenda.at(now() + SWEEP, sweep);
     }
 
-    void shares(List<ZoneShare> shares) {
+    void shares(List<ZoneTrafficShare> shares) {
         driver.shares(shares);
     }
 
     /** Takes an RPC from a caller. */
-    void accept(Call call, Exchange<Call, Attempt> exchange) {
+    void accept(ProxyRequest call, Exchange<ProxyRequest, Attempt> exchange) {
         if (opens == open.length) {
             open = Arrays.copyOf(open, 2 * opens);
         }
@@ -157,20 +162,20 @@
     }
 
     /** An RPC has its final answer. */
-    void closed(Call call, Final how) {
+    void closed(ProxyRequest call, Final how) {
         forget(call);
         counts.refused += how == Final.REFUSED ? 1 : 0;
         counts.failed += how == Final.FAILED ? 1 : 0;
     }
 
-    private void forget(Call call) {
-        Call last = open[--opens];
+    private void forget(ProxyRequest call) {
+        ProxyRequest last = open[--opens];
         open[opens] = null;
         open[call.openAt] = last;
         last.openAt = call.openAt;
     }
 
-    void callerLeft(Call call, Exchange<Call, Attempt> exchange) {
+    void callerLeft(ProxyRequest call, Exchange<ProxyRequest, Attempt> exchange) {
         forget(call);
         run.trace.callerLeft(now(), proxy.number, call.id);
         driver.left(exchange);
@@ -233,7 +238,8 @@
     }
 
     @Override
-    public void tellLater(ListKind kind, List<Endpoint> entries, List<Node> nodes, long version) {
+    public void tellLater(
+            EndpointListKind kind, List<Endpoint> entries, List<Node> nodes, long version) {
         arriveLater(
                 new Task() {
                     @Override
@@ -264,9 +270,9 @@
         run.agenda.at(listMessageAt, message);
     }
 
-    private void take(ListKind kind, List<Endpoint> entries, List<Node> nodes) {
+    private void take(EndpointListKind kind, List<Endpoint> entries, List<Node> nodes) {
         long now = now();
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListKind.CHANGES) {
             run.trace.toldWhole(now, proxy.number);
             dropUnnamed(entries);
         }
@@ -280,7 +286,7 @@
                     entry.zone(),
                     entry.state(),
                     entry.startedAt());
-            if (entry.state() == State.GONE) {
+            if (entry.state() == EndpointStatus.GONE) {
                 drop(entry.id());
             } else {
                 list.put(entry.id(), entry);
@@ -320,8 +326,8 @@
     }
 
     @Override
-    public void start(CallAttempt<Call, Attempt> handle) {
-        Call call = handle.exchange().content();
+    public void start(RequestAttempt<ProxyRequest, Attempt> handle) {
+        ProxyRequest call = handle.exchange().content();
         Attempt attempt = new Attempt(run, this, channels.get(handle.endpoint()), call, handle);
         counts.attempts++;
         counts.copies += call.out > 0 ? 1 : 0;
@@ -338,7 +344,7 @@
     }
 
     @Override
-    public void abandon(CallAttempt<Call, Attempt> handle) {
+    public void abandon(RequestAttempt<ProxyRequest, Attempt> handle) {
         Attempt attempt = handle.exchange().content().attempt(handle.number());
         if (attempt != null && !attempt.over) {
             attempt.giveUp();
@@ -378,7 +384,7 @@
                     attempt.handle,
                     outcome,
                     null,
-                    outcome == Outcome.ERROR ? attempt.job.goesUp() : FromBelow.NOTHING);
+                    outcome == Outcome.ERROR ? attempt.job.goesUp() : DownstreamFeedback.NOTHING);
         }
     }
 
@@ -388,7 +394,7 @@
         new Probe(run, this, channels.get(endpoint)).go();
     }
 
-    void probed(Probe probe, Outcome outcome, Load load) {
+    void probed(Probe probe, Outcome outcome, LoadReport load) {
         if (alive) {
             driver.probed(probe.channel.endpoint, outcome, probe.took(), load);
         }
@@ -480,10 +486,10 @@
     }
 
     private static final class Alarm extends Task implements Timer {
-        private final Life of;
+        private final ProxyInstance of;
         private Runnable task;
 
-        Alarm(Life of, Runnable task) {
+        Alarm(ProxyInstance of, Runnable task) {
             this.of = of;
             this.task = task;
         }
--- a/lab/src/main/java/cedarrudder/lab/model/Call.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
@@ -1,13 +1,13 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Request;
-import cedarrudder.budget.FromBelow;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.forwarding.Exchange;
 import cedarrudder.lab.trace.Trace.Final;
-import cedarrudder.routing.Exchange;
 import java.util.Arrays;
 
 /** One try of a caller: an RPC on its way to a proxy, in its hands, or answered. */
-final class Call extends Task implements Exchange.Reply<Attempt>, Proxy.Pending {
+final class ProxyRequest extends Task implements Exchange.Reply<Attempt>, Proxy.Pending {
 
     /**
      * The proxy answers this much before the caller gives up, or a tenth of its wait: the daemon's
@@ -24,11 +24,11 @@
 
     final Run run;
     final ModelProxy to;
-    final Try what;
+    final ClientAttempt what;
     private final Caller caller;
 
     long id;
-    Life life;
+    ProxyInstance life;
 
     /** When the proxy has to have answered. */
     long deadline;
@@ -43,15 +43,15 @@
     private Attempt servedBy;
 
     /** What its answer says of budgets; null where it says nothing. */
-    private FromBelow goesUp;
+    private DownstreamFeedback goesUp;
 
-    private Exchange<Call, Attempt> exchange;
+    private Exchange<ProxyRequest, Attempt> exchange;
     private Phase phase = Phase.TO_PROXY;
     private Caller.End end;
     private long retryAfter;
     private boolean left;
 
-    Call(Run run, Caller caller, ModelProxy to, Try what) {
+    ProxyRequest(Run run, Caller caller, ModelProxy to, ClientAttempt what) {
         this.run = run;
         this.caller = caller;
         this.to = to;
@@ -92,8 +92,8 @@
         }
         phase = Phase.AT_PROXY;
         id = run.nextRpc();
-        cedarrudder.budget.Carried carried =
-                life.budgets == null ? cedarrudder.budget.Carried.NOTHING : what.said();
+        cedarrudder.budget.PropagatedBudget carried =
+                life.budgets == null ? cedarrudder.budget.PropagatedBudget.NOTHING : what.said();
         if (!carried.deadline()) {
             wait = Math.min(wait, life.budgets.safeWait(what.classIndex()));
         }
@@ -185,9 +185,9 @@
 
     /** The news that a caller has gone. */
     private static final class Leaving extends Task {
-        private final Call call;
+        private final ProxyRequest call;
 
-        Leaving(Call call) {
+        Leaving(ProxyRequest call) {
             this.call = call;
         }
 
--- a/lab/src/main/java/cedarrudder/lab/model/Reports.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Reports.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Load;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
 
 /**
  * A node's reports of its load: taken at the ends of periods, each figure off by an error of
@@ -45,7 +45,7 @@
         this.seed =
                 run.streams.seedOf(Streams.Concern.REPORTS, (long) node.tier << 32 | node.index);
         this.period = node.drawn.reportPeriod();
-        this.phase = (long) (Mix.unit(seed) * period);
+        this.phase = (long) (HashRandom.unit(seed) * period);
         this.kept = StrictMath.exp(-period / USE_NANOS);
         int size = (int) Math.min(1000, 2 + node.drawn.reportDelay() / period);
         latencies = new double[size];
@@ -84,7 +84,7 @@
     }
 
     private double noisy(double figure, int which) {
-        double error = node.drawn.reportNoise() * Mix.normal(seed + 3 * refreshes + which);
+        double error = node.drawn.reportNoise() * HashRandom.normal(seed + 3 * refreshes + which);
         return Math.max(0, figure * (1 + error));
     }
 
@@ -92,7 +92,7 @@
      * The report that a probe finds now: the newest that has been on its way for long enough; or
      * null.
      */
-    Load sent(long now) {
+    LoadReport sent(long now) {
         long age = now - (due - period);
         long back =
                 age >= node.drawn.reportDelay()
@@ -103,7 +103,8 @@
         }
         back = Math.min(back, Math.min(refreshes, latencies.length) - 1);
         int at = (int) ((refreshes - 1 - back) % latencies.length);
-        return new Load(inFlights[at], Double.NaN, uses[at], latencies[at], Double.NaN, Double.NaN);
+        return new LoadReport(
+                inFlights[at], Double.NaN, uses[at], latencies[at], Double.NaN, Double.NaN);
     }
 
     /** A new machine knows nothing of its load. */
--- a/lab/src/main/java/cedarrudder/lab/model/Run.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Run.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Effect;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.trace.Trace;
@@ -46,11 +46,11 @@
     /** When it is over. */
     public final long until;
 
-    public final Agenda agenda;
+    public final EventQueue agenda;
     public final Network network;
     public final Ledger ledger;
     public final Directory directory;
-    public final Front front;
+    public final FrontBalancer front;
     final Faults faults;
     private final Cast cast;
     private final List<List<Node>> nodes = new ArrayList<>();
@@ -81,7 +81,7 @@
         this.seed = seed;
         this.variant = variant;
         this.trace = trace;
-        this.agenda = new Agenda(now);
+        this.agenda = new EventQueue(now);
         this.cast = cast;
         this.streams = new Streams(seed);
         this.world = new World(scenario, streams);
@@ -93,7 +93,7 @@
         this.network = new Network(world, streams.of(Streams.Concern.NETWORK, 0));
         this.ledger = new Ledger(this);
         this.directory = new Directory(this);
-        this.front = new Front(this);
+        this.front = new FrontBalancer(this);
         this.faults = new Faults(this);
         for (int i = 0; i < world.tiers.size(); i++) {
             List<Node> ofTier = new ArrayList<>();
@@ -189,7 +189,7 @@
     }
 
     boolean writes(int classIndex) {
-        return scenario.classes().get(classIndex).effect() != Effect.SAFE;
+        return scenario.classes().get(classIndex).effect() != Idempotency.SAFE;
     }
 
     public List<Proxy> proxiesTo(int tier) {
--- a/lab/src/main/java/cedarrudder/lab/model/Streams.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Streams.java
@@ -40,6 +40,6 @@
 
     /** The seed of such a source. */
     public long seedOf(Concern concern, long index) {
-        return Mix.of(Mix.of(seed, concern.ordinal()), index);
+        return HashRandom.of(HashRandom.of(seed, concern.ordinal()), index);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/TierTruth.java
+++ b/lab/src/main/java/cedarrudder/lab/model/TierTruth.java
@@ -1,13 +1,13 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.lab.policy.Truth;
+import cedarrudder.lab.policy.GroundTruth;
 import java.util.List;
 
 /**
  * The true state of a tier's nodes. A machine that has been replaced, or was never there, takes
  * nothing.
  */
-final class TierTruth implements Truth {
+final class TierTruth implements GroundTruth {
 
     private final List<Node> nodes;
     private final LongMap<Node> byId = new LongMap<>();
--- a/lab/src/main/java/cedarrudder/lab/model/World.java
+++ b/lab/src/main/java/cedarrudder/lab/model/World.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 import cedarrudder.lab.model.Streams.Concern;
 import cedarrudder.lab.scenario.Draw;
 import cedarrudder.lab.scenario.Scenario;
@@ -84,18 +84,18 @@
             return work
                     * switch (spread) {
                         case FIXED -> 1;
-                        case EXPONENTIAL -> -StrictMath.log(1 - Mix.unit(bits));
+                        case EXPONENTIAL -> -StrictMath.log(1 - HashRandom.unit(bits));
                         case LOGNORMAL -> {
                             double variance = StrictMath.log(1 + cv * cv);
                             yield StrictMath.exp(
-                                    Math.sqrt(variance) * Mix.normal(bits) - variance / 2);
+                                    Math.sqrt(variance) * HashRandom.normal(bits) - variance / 2);
                         }
                         case PARETO -> {
                             // The shape that has this coefficient of variation.
                             double alpha = 1 + Math.sqrt(1 + 1 / (cv * cv));
                             yield (alpha - 1)
                                     / alpha
-                                    * StrictMath.pow(1 - Mix.unit(bits), -1 / alpha);
+                                    * StrictMath.pow(1 - HashRandom.unit(bits), -1 / alpha);
                         }
                     };
         }
@@ -374,12 +374,12 @@
     }
 
     /** What the proxies of a tier are told of it, as the platform would tell them. */
-    public Balancer.Settings settings(int index, int self, int zone) {
+    public LoadBalancer.BalancerSettings settings(int index, int self, int zone) {
         Tier tier = tiers.get(index);
-        List<Balancer.RequestClass> kinds = new ArrayList<>();
+        List<LoadBalancer.RequestClass> kinds = new ArrayList<>();
         for (Scenario.RequestKind kind : scenario.classes()) {
             kinds.add(
-                    new Balancer.RequestClass(
+                    new LoadBalancer.RequestClass(
                             kind.name(),
                             kind.effect(),
                             kind.keyScope(),
@@ -390,10 +390,10 @@
                             kind.repeatWindow(),
                             false));
         }
-        List<Balancer.Tenant> tenants = new ArrayList<>();
+        List<LoadBalancer.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < quotas.length; i++) {
             Scenario.Customer tenant = scenario.tenants().get(i);
-            tenants.add(new Balancer.Tenant(tenant.name(), tenant.share(), quotas[i]));
+            tenants.add(new LoadBalancer.Tenant(tenant.name(), tenant.share(), quotas[i]));
         }
         double coldShare = 1;
         double rampTime = 0;
@@ -404,7 +404,7 @@
         Scenario.Allowed allowed = scenario.allowed();
         Scenario.Rules rules = scenario.rules();
         Scenario.Goal goal = scenario.goal();
-        return new Balancer.Settings(
+        return new LoadBalancer.BalancerSettings(
                 tier.copies(),
                 self,
                 zone,
@@ -413,7 +413,7 @@
                 scenario.discovery().ask(),
                 List.copyOf(kinds),
                 List.copyOf(tenants),
-                new Balancer.Limits(
+                new LoadBalancer.Limits(
                         allowed.probes(),
                         allowed.cancel(),
                         allowed.secondCopies(),
@@ -422,20 +422,20 @@
                         scenario.clients().mostRetryAfter(),
                         tier.connectTimeout(),
                         tier.idle()),
-                new Balancer.Safety(
+                new LoadBalancer.SafetyRules(
                         rules.drainGrace(),
                         coldShare,
                         (long) rampTime,
                         rules.fallMultiple(),
                         rules.fallWindow(),
                         scenario.discovery().askWithin()),
-                new Balancer.Goal(
+                new LoadBalancer.ServiceGoal(
                         goal.whole(),
                         goal.worstWindow(),
                         goal.worstClass(),
                         goal.worstTenant(),
                         goal.overShareWorth(),
                         true),
-                new Balancer.Prices(scenario.prices().probe(), 0));
+                new LoadBalancer.ServicePrices(scenario.prices().probe(), 0));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/policy/Truth.java
+++ b/lab/src/main/java/cedarrudder/lab/policy/GroundTruth.java
@@ -4,7 +4,7 @@
  * The true state of the nodes of a tier, as it is at this instant. Only a policy that serves as a
  * bound may look at it: no real balancer can.
  */
-public interface Truth {
+public interface GroundTruth {
 
     /**
      * Whether a request sent now would be taken in: the process runs, can be reached and has room.
--- a/lab/src/main/java/cedarrudder/lab/policy/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/policy/Policy.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.policy;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 import java.util.random.RandomGenerator;
 
 /** A way of deciding: makes the balancer of one proxy. */
@@ -15,11 +15,11 @@
      * @param random the balancer's own source of random numbers
      * @param truth the true state of the tier it sends to; for bounds only
      */
-    Balancer create(
-            Balancer.Settings settings,
+    LoadBalancer create(
+            LoadBalancer.BalancerSettings settings,
             RandomGenerator random,
-            Balancer.Actions actions,
-            Truth truth);
+            LoadBalancer.Actions actions,
+            GroundTruth truth);
 
     /** The budgets that its proxies have beside it; null: none. */
     default TierBudgets budgets() {
--- a/lab/src/main/java/cedarrudder/lab/referee/Listed.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ListedEndpoint.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.referee;
 
 /** What a proxy was told of a node. */
-final class Listed {
+final class ListedEndpoint {
     private static final long NEVER = Long.MAX_VALUE;
 
     int cell;
--- a/lab/src/main/java/cedarrudder/lab/referee/Rpc.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ObservedRequest.java
@@ -1,15 +1,15 @@
 package cedarrudder.lab.referee;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.Arrays;
 
 /** An RPC that a proxy has taken, and its attempts in the order sent. */
-final class Rpc {
+final class ObservedRequest {
     final int proxy;
     final int life;
-    final Effect effect;
+    final Idempotency effect;
     final KeyScope scope;
     final long repeatWindow;
     final long deadline;
@@ -42,7 +42,13 @@
     boolean[] knew = new boolean[2];
 
     /** {@code life} tells one life of the proxy from the next. */
-    Rpc(int proxy, int life, Effect effect, KeyScope scope, long repeatWindow, long deadline) {
+    ObservedRequest(
+            int proxy,
+            int life,
+            Idempotency effect,
+            KeyScope scope,
+            long repeatWindow,
+            long deadline) {
         this.proxy = proxy;
         this.life = life;
         this.effect = effect;
--- a/lab/src/main/java/cedarrudder/lab/referee/Referee.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RuleChecker.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.referee;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.result.RunResult.Breach;
 import cedarrudder.lab.trace.Trace;
 import java.util.ArrayList;
@@ -11,8 +11,8 @@
 
 /**
  * Reads what can be seen of a run and finds where the four rules are broken. It knows nothing of
- * the balancer that it judges, nor of the model; {@link Figures} is all it is told besides the
- * trace.
+ * the balancer that it judges, nor of the model; {@link RuleParameters} is all it is told besides
+ * the trace.
  *
  * <ol>
  *   <li>Each RPC taken by a proxy that lives gets one final answer by its deadline and the grace,
@@ -42,7 +42,7 @@
  * seconds more; and an entry for each node that a proxy was ever told of. Cost of an event: a few
  * look-ups, and for a whole list one step for each node. Not for use by several threads.
  */
-public final class Referee implements Trace {
+public final class RuleChecker implements Trace {
 
     /** An RPC is remembered for this long after its last answer was due, in nanoseconds. */
     public static final long MEMORY = 10_000_000_000L;
@@ -56,17 +56,17 @@
     private static final class Proxy {
         int life;
         boolean alive;
-        LongMap<Listed> listed = new LongMap<>();
-        List<Listed> inOrder = new ArrayList<>();
+        LongMap<ListedEndpoint> listed = new LongMap<>();
+        List<ListedEndpoint> inOrder = new ArrayList<>();
     }
 
-    private final Figures figures;
+    private final RuleParameters figures;
     private final long origin;
     private final List<Proxy> proxies = new ArrayList<>();
-    private final LongMap<Rpc> rpcs = new LongMap<>();
+    private final LongMap<ObservedRequest> rpcs = new LongMap<>();
     private final LongMap<ColdNode> cold = new LongMap<>();
-    private final Dates due = new Dates();
-    private final Dates forget = new Dates();
+    private final TimerHeap due = new TimerHeap();
+    private final TimerHeap forget = new TimerHeap();
     private final Breach[] first = new Breach[RULES];
     private final long[] counts = new long[RULES];
     private int most;
@@ -76,7 +76,7 @@
      *
      * @param origin the instant at which the run begins; times of breaches count from it
      */
-    public Referee(Figures figures, long origin) {
+    public RuleChecker(RuleParameters figures, long origin) {
         this.figures = figures;
         this.origin = origin;
     }
@@ -129,7 +129,7 @@
     /** Time goes by: answers become overdue, and old RPCs are forgotten. */
     private void pass(long now) {
         while (!due.isEmpty() && due.time() < now) {
-            Rpc rpc = rpcs.get(due.number());
+            ObservedRequest rpc = rpcs.get(due.number());
             if (!rpc.answered && !rpc.closed && lives(rpc)) {
                 rpc.closed = true;
                 breach(1, due.time(), rpc.proxy, due.number(), -1, "no final answer in time");
@@ -143,7 +143,7 @@
         }
     }
 
-    private boolean lives(Rpc rpc) {
+    private boolean lives(ObservedRequest rpc) {
         Proxy proxy = proxies.get(rpc.proxy);
         return proxy.alive && proxy.life == rpc.life;
     }
@@ -168,19 +168,25 @@
 
     @Override
     public void told(
-            long now, int number, long endpoint, int cell, int zone, State state, long startedAt) {
+            long now,
+            int number,
+            long endpoint,
+            int cell,
+            int zone,
+            EndpointStatus state,
+            long startedAt) {
         pass(now);
         Proxy proxy = proxy(number);
-        Listed listed = proxy.listed.get(endpoint);
+        ListedEndpoint listed = proxy.listed.get(endpoint);
         if (listed == null) {
-            listed = new Listed();
+            listed = new ListedEndpoint();
             proxy.listed.put(endpoint, listed);
             proxy.inOrder.add(listed);
         }
         listed.cell = cell;
         listed.zone = zone;
         listed.startedAt = startedAt;
-        if (state == State.READY) {
+        if (state == EndpointStatus.READY) {
             listed.ready();
         } else {
             listed.leaving(now);
@@ -190,7 +196,7 @@
     @Override
     public void toldWhole(long now, int number) {
         pass(now);
-        for (Listed listed : proxy(number).inOrder) {
+        for (ListedEndpoint listed : proxy(number).inOrder) {
             listed.absent(now);
         }
     }
@@ -202,12 +208,15 @@
             long now,
             int number,
             long id,
-            Effect effect,
+            Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {
         pass(now);
-        rpcs.put(id, new Rpc(number, proxy(number).life, effect, scope, repeatWindow, deadline));
+        rpcs.put(
+                id,
+                new ObservedRequest(
+                        number, proxy(number).life, effect, scope, repeatWindow, deadline));
         due.add(Math.max(now, deadline) + figures.answerGrace(), id);
         most = Math.max(most, rpcs.size());
     }
@@ -215,13 +224,13 @@
     @Override
     public void sent(long now, int number, long id, int attempt, long endpoint, double work) {
         pass(now);
-        Listed listed = proxy(number).listed.get(endpoint);
+        ListedEndpoint listed = proxy(number).listed.get(endpoint);
         if (listed == null) {
             breach(3, now, number, id, endpoint, "sent to a node that no list named");
         } else if (now - figures.drainGrace() > listed.knownSince()) {
             breach(3, now, number, id, endpoint, "sent to a node known to drain or to be gone");
         }
-        Rpc rpc = rpcs.get(id);
+        ObservedRequest rpc = rpcs.get(id);
         if (rpc == null || rpc.proxy != number) {
             breach(1, now, number, id, endpoint, "sent what the proxy doesn't hold");
             return;
@@ -242,15 +251,15 @@
     }
 
     /** What is wrong with a further attempt at a node of this cell and zone; null if nothing is. */
-    private String wrongAgain(long now, Rpc rpc, int cell, int zone) {
+    private String wrongAgain(long now, ObservedRequest rpc, int cell, int zone) {
         if (rpc.attempts >= figures.attempts()) {
             return "more attempts than allowed";
         }
         int ran = rpc.mayHaveRun();
-        if (ran >= 0 && rpc.effect == Effect.UNSAFE) {
+        if (ran >= 0 && rpc.effect == Idempotency.UNSAFE) {
             return "unsafe, sent again though it may have run";
         }
-        if (ran >= 0 && rpc.effect == Effect.KEYED) {
+        if (ran >= 0 && rpc.effect == Idempotency.KEYED) {
             if (now - rpc.sentAt[ran] > rpc.repeatWindow) {
                 return "keyed, sent again after its window";
             }
@@ -265,7 +274,7 @@
 
     /** Tells the work of an attempt that was sent just now, where it wasn't known when it was. */
     void weighed(long now, long id, int attempt, double work) {
-        Rpc rpc = rpcs.get(id);
+        ObservedRequest rpc = rpcs.get(id);
         if (rpc != null && attempt < rpc.attempts) {
             rpc.works[attempt] = work;
             press(now, rpc, id, attempt);
@@ -273,7 +282,7 @@
     }
 
     /** Counts the work of an attempt against its node, where that is cold. */
-    private void press(long now, Rpc rpc, long id, int attempt) {
+    private void press(long now, ObservedRequest rpc, long id, int attempt) {
         long endpoint = rpc.endpoints[attempt];
         ColdNode node = cold.get(endpoint);
         if (node == null) {
@@ -283,7 +292,7 @@
             cold.remove(endpoint);
             return;
         }
-        Listed listed = proxies.get(rpc.proxy).listed.get(endpoint);
+        ListedEndpoint listed = proxies.get(rpc.proxy).listed.get(endpoint);
         rpc.knew[attempt] =
                 listed != null
                         && listed.startedAt != 0
@@ -298,7 +307,7 @@
     @Override
     public void reached(long now, int number, long id, int attempt, long endpoint) {
         pass(now);
-        Rpc rpc = rpcs.get(id);
+        ObservedRequest rpc = rpcs.get(id);
         if (rpc != null && attempt < rpc.attempts) {
             rpc.reached[attempt] = true;
         }
@@ -307,7 +316,7 @@
     @Override
     public void ended(long now, int number, long id, int attempt, Outcome outcome) {
         pass(now);
-        Rpc rpc = rpcs.get(id);
+        ObservedRequest rpc = rpcs.get(id);
         if (rpc == null || attempt >= rpc.attempts || rpc.ended[attempt] != null) {
             return;
         }
@@ -322,7 +331,7 @@
     @Override
     public void answered(long now, int number, long id, Final how, int attempt) {
         pass(now);
-        Rpc rpc = rpcs.get(id);
+        ObservedRequest rpc = rpcs.get(id);
         if (rpc == null || rpc.proxy != number) {
             breach(1, now, number, id, -1, "answered what the proxy doesn't hold");
             return;
@@ -346,8 +355,8 @@
         }
         if (how == Final.REFUSED
                 && rpc.mayHaveRun() >= 0
-                && (rpc.effect == Effect.UNSAFE
-                        || rpc.effect == Effect.KEYED && rpc.scope != KeyScope.ALL)) {
+                && (rpc.effect == Idempotency.UNSAFE
+                        || rpc.effect == Idempotency.KEYED && rpc.scope != KeyScope.ALL)) {
             breach(2, now, number, id, -1, "refused though it may have run");
         }
     }
@@ -355,7 +364,7 @@
     @Override
     public void callerLeft(long now, int number, long id) {
         pass(now);
-        Rpc rpc = rpcs.get(id);
+        ObservedRequest rpc = rpcs.get(id);
         if (rpc != null && !rpc.told) {
             rpc.told = true;
             rpc.toldAt = now;
--- a/lab/src/main/java/cedarrudder/lab/referee/Figures.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RuleParameters.java
@@ -12,7 +12,7 @@
  * @param secondCopies whether two attempts of an RPC may be out at once
  * @param attempts of one RPC at the most
  */
-public record Figures(
+public record RuleParameters(
         long answerGrace,
         long drainGrace,
         double fallMultiple,
@@ -21,9 +21,9 @@
         int attempts) {
 
     /** Those of a scenario. */
-    public static Figures of(Scenario scenario) {
+    public static RuleParameters of(Scenario scenario) {
         Scenario.Rules rules = scenario.rules();
-        return new Figures(
+        return new RuleParameters(
                 rules.answerGrace(),
                 rules.drainGrace(),
                 rules.fallMultiple(),
--- a/lab/src/main/java/cedarrudder/lab/referee/Judge.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RunChecker.java
@@ -1,40 +1,40 @@
 package cedarrudder.lab.referee;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.policy.TierBudgets;
-import cedarrudder.lab.policy.Truth;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.result.RunResult.Breach;
-import cedarrudder.lab.trace.Tap;
 import cedarrudder.lab.trace.Trace;
+import cedarrudder.lab.trace.TracingBalancer;
 import java.util.List;
 import java.util.random.RandomGenerator;
 
 /**
  * Judges the balancers of a run, apart from the drivers around them. A driver answers an RPC that
  * its balancer has lost, and drops a second answer or what is sent too late; a trace of what
- * proxies write shows none of that. So each balancer gets a {@link Tap}, and what proxies are told,
- * take, send and answer is read there; of the run's own trace it reads the starts and ends of
- * proxies and nodes, what reaches nodes, and the work of attempts. An RPC's deadline is the one
- * that the balancer was told.
+ * proxies write shows none of that. So each balancer gets a {@link TracingBalancer}, and what
+ * proxies are told, take, send and answer is read there; of the run's own trace it reads the starts
+ * and ends of proxies and nodes, what reaches nodes, and the work of attempts. An RPC's deadline is
+ * the one that the balancer was told.
  *
  * <p>A run is given {@link #watched} as its policy and {@link #trace} as its trace. The run must
  * write {@code proxyStarted} after it has made the proxy's balancer and before it makes the next,
  * and numbers RPCs as requests are. One judge serves one run, on the run's thread.
  */
-public final class Judge {
+public final class RunChecker {
 
     /** The number of a proxy, which the run tells only when the proxy's balancer is made. */
     private static final class ProxyNumber {
         int number;
     }
 
-    private final Referee referee;
+    private final RuleChecker referee;
     private final FromRun fromRun = new FromRun();
     private long last;
     private ProxyNumber newest;
@@ -44,8 +44,8 @@
      *
      * @param origin the instant at which the run begins
      */
-    public Judge(Figures figures, long origin) {
-        this.referee = new Referee(figures, origin);
+    public RunChecker(RuleParameters figures, long origin) {
+        this.referee = new RuleChecker(figures, origin);
         this.last = origin;
     }
 
@@ -63,14 +63,14 @@
             }
 
             @Override
-            public Balancer create(
-                    Balancer.Settings settings,
+            public LoadBalancer create(
+                    LoadBalancer.BalancerSettings settings,
                     RandomGenerator random,
-                    Balancer.Actions actions,
-                    Truth truth) {
+                    LoadBalancer.Actions actions,
+                    GroundTruth truth) {
                 ProxyNumber own = new ProxyNumber();
                 newest = own;
-                return new Tap(
+                return new TracingBalancer(
                         referee,
                         () -> own.number,
                         settings,
@@ -120,7 +120,7 @@
                 long endpoint,
                 int cell,
                 int zone,
-                State state,
+                EndpointStatus state,
                 long startedAt) {
             last = now;
         }
@@ -135,7 +135,7 @@
                 long now,
                 int proxy,
                 long rpc,
-                Effect effect,
+                Idempotency effect,
                 KeyScope scope,
                 long repeatWindow,
                 long deadline) {
--- a/lab/src/main/java/cedarrudder/lab/referee/Dates.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/TimerHeap.java
@@ -5,7 +5,7 @@
 /**
  * A heap of instants, each with a number: gives them back by time, those of one instant by number.
  */
-final class Dates {
+final class TimerHeap {
     private long[] times = new long[64];
     private long[] numbers = new long[64];
     private int size;
--- a/lab/src/main/java/cedarrudder/lab/scenario/Figures.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/Figures.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.scenario;
 
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 
 /** Reads figures whose unit is the end of their key, into nanoseconds where they are times. */
 final class Figures {
@@ -29,7 +29,8 @@
      *
      * @param otherwise one number or two; none: the key must be there
      */
-    static Draw draw(Table table, String key, double least, double most, double... otherwise) {
+    static Draw draw(
+            ConfigTable table, String key, double least, double most, double... otherwise) {
         return scaled(
                 key,
                 table.range(
@@ -42,7 +43,7 @@
     }
 
     /** A figure that may be left out; null where it is. */
-    static Draw drawOrNull(Table table, String key, double least, double most) {
+    static Draw drawOrNull(ConfigTable table, String key, double least, double most) {
         double[] ends = table.rangeOrNull(key, least, most);
         return ends == null ? null : scaled(key, ends);
     }
@@ -53,12 +54,12 @@
     }
 
     /** A fixed time that must be there. */
-    static long time(Table table, String key, double least, double most) {
+    static long time(ConfigTable table, String key, double least, double most) {
         return Math.round(table.number(key, least, most) * unit(key));
     }
 
     /** A fixed time that may be left out. */
-    static long time(Table table, String key, double least, double most, double otherwise) {
+    static long time(ConfigTable table, String key, double least, double most, double otherwise) {
         return Math.round(table.number(key, least, most, otherwise) * unit(key));
     }
 
--- a/lab/src/main/java/cedarrudder/lab/scenario/LoadReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/LoadReader.java
@@ -1,15 +1,15 @@
 package cedarrudder.lab.scenario;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
 import cedarrudder.lab.scenario.Scenario.Arrivals;
 import cedarrudder.lab.scenario.Scenario.Customer;
 import cedarrudder.lab.scenario.Scenario.Recorded;
 import cedarrudder.lab.scenario.Scenario.RequestKind;
 import cedarrudder.lab.scenario.Scenario.Shape;
 import cedarrudder.lab.scenario.Scenario.Spread;
-import cedarrudder.toml.Problem;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigProblem;
+import cedarrudder.toml.ConfigTable;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -29,25 +29,25 @@
                     Shape.TRACE, List.of("trace"));
 
     private final Path folder;
-    private final List<Problem> elsewhere;
+    private final List<ConfigProblem> elsewhere;
 
     /**
      * @param folder where traces lie
      * @param elsewhere takes the problems of traces
      */
-    LoadReader(Path folder, List<Problem> elsewhere) {
+    LoadReader(Path folder, List<ConfigProblem> elsewhere) {
         this.folder = folder;
         this.elsewhere = elsewhere;
     }
 
-    List<RequestKind> classes(Table top) {
-        List<Table> tables = top.tables("class");
+    List<RequestKind> classes(ConfigTable top) {
+        List<ConfigTable> tables = top.tables("class");
         if (tables.isEmpty()) {
             top.problem("class", "nothing", "at least one [[class]]");
         }
         Set<String> names = new HashSet<>();
         List<RequestKind> classes = new ArrayList<>();
-        for (Table t : tables) {
+        for (ConfigTable t : tables) {
             classes.add(requestKind(t, ScenarioReader.ownName(t, names)));
             t.done();
         }
@@ -55,11 +55,11 @@
         return classes;
     }
 
-    private static RequestKind requestKind(Table t, String name) {
-        Effect effect = t.choice("effect", Effect.class, null);
+    private static RequestKind requestKind(ConfigTable t, String name) {
+        Idempotency effect = t.choice("effect", Idempotency.class, null);
         KeyScope scope = t.choice("scope", KeyScope.class, KeyScope.ALL);
         long window = Figures.time(t, "repeat_window_ms", 1, 600_000, 10_000);
-        if (effect != Effect.KEYED && t.sound("effect")) {
+        if (effect != Idempotency.KEYED && t.sound("effect")) {
             unused(t, "scope", "where effect is keyed only");
             unused(t, "repeat_window_ms", "where effect is keyed only");
         }
@@ -92,14 +92,14 @@
                 deadline,
                 t.number("worth", 0.001, 1000, 1),
                 t.number("late_worth", 0, 1, 0),
-                effect == Effect.KEYED ? window : 0);
+                effect == Idempotency.KEYED ? window : 0);
     }
 
-    List<Customer> tenants(Table top) {
+    List<Customer> tenants(ConfigTable top) {
         Set<String> names = new HashSet<>();
         List<Customer> tenants = new ArrayList<>();
-        List<Table> tables = top.tables("tenant");
-        for (Table t : tables) {
+        List<ConfigTable> tables = top.tables("tenant");
+        for (ConfigTable t : tables) {
             tenants.add(
                     new Customer(
                             ScenarioReader.ownName(t, names),
@@ -116,7 +116,8 @@
         return tenants;
     }
 
-    Arrivals arrivals(Table t, double shortest, List<RequestKind> classes, List<Customer> tenants) {
+    Arrivals arrivals(
+            ConfigTable t, double shortest, List<RequestKind> classes, List<Customer> tenants) {
         Shape shape = t.choice("shape", Shape.class, Shape.STEADY);
         Draw share = Figures.drawOrNull(t, "share", 0.001, 10);
         Draw perSecond = Figures.drawOrNull(t, "rate_per_s", 0.001, 1_000_000);
@@ -168,7 +169,7 @@
     }
 
     /** Keys that another shape uses, and the load, which is given in one way. */
-    private static void fits(Table t, Shape shape, Draw share, Draw perSecond) {
+    private static void fits(ConfigTable t, Shape shape, Draw share, Draw perSecond) {
         for (Shape other : Shape.values()) {
             if (other != shape) {
                 OF_SHAPE.get(other)
@@ -177,7 +178,9 @@
                                         unused(
                                                 t,
                                                 key,
-                                                "with shape " + Table.written(other) + " only"));
+                                                "with shape "
+                                                        + ConfigTable.written(other)
+                                                        + " only"));
             }
         }
         if (shape == Shape.TRACE) {
@@ -190,7 +193,7 @@
         }
     }
 
-    private static void unused(Table t, String key, String where) {
+    private static void unused(ConfigTable t, String key, String where) {
         if (t.has(key)) {
             t.problem(key, "a key that is not used", where);
         }
--- a/lab/src/main/java/cedarrudder/lab/scenario/Scenario.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/Scenario.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.scenario;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
 import java.util.List;
 
 /**
@@ -381,7 +381,7 @@
      */
     public record RequestKind(
             String name,
-            Effect effect,
+            Idempotency effect,
             KeyScope keyScope,
             Draw share,
             Draw work,
--- a/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
@@ -17,11 +17,11 @@
 import cedarrudder.lab.scenario.Scenario.Trouble;
 import cedarrudder.lab.scenario.Scenario.Wire;
 import cedarrudder.lab.scenario.Scenario.WireTrouble;
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
-import cedarrudder.toml.Key;
-import cedarrudder.toml.Problem;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.ConfigKey;
+import cedarrudder.toml.ConfigProblem;
+import cedarrudder.toml.ConfigTable;
+import cedarrudder.toml.InvalidFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -54,15 +54,15 @@
     /** A file beside the scenario: guards against a scenario that reads from anywhere. */
     static final Pattern FILE = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
 
-    private final Document own;
-    private final Document base;
+    private final ConfigDocument own;
+    private final ConfigDocument base;
     private final Path folder;
-    private final List<Problem> elsewhere = new ArrayList<>();
+    private final List<ConfigProblem> elsewhere = new ArrayList<>();
 
     /** The shortest run in nanoseconds; infinite where the length is wrong. */
     private double shortest = Double.POSITIVE_INFINITY;
 
-    private ScenarioReader(Document own, Document base, Path folder) {
+    private ScenarioReader(ConfigDocument own, ConfigDocument base, Path folder) {
         this.own = own;
         this.base = base;
         this.folder = folder;
@@ -71,17 +71,17 @@
     /**
      * Reads a file, the one it extends, and the trace it names.
      *
-     * @throws BadFileException with everything that is wrong with them
+     * @throws InvalidFileException with everything that is wrong with them
      */
-    public static Scenario read(Path file) throws BadFileException {
-        Document own = Document.read(file);
+    public static Scenario read(Path file) throws InvalidFileException {
+        ConfigDocument own = ConfigDocument.read(file);
         String extended = own.root().text("extends", "");
         Path folder = file.resolveSibling("");
-        Document base = null;
+        ConfigDocument base = null;
         if (FILE.matcher(extended).matches()) {
             try {
-                base = Document.read(folder.resolve(extended));
-            } catch (BadFileException e) {
+                base = ConfigDocument.read(folder.resolve(extended));
+            } catch (InvalidFileException e) {
                 own.root()
                         .problem(
                                 "extends",
@@ -108,9 +108,9 @@
     }
 
     /** Every key of the format, in the order of reading, with what it allows and its default. */
-    public static List<Key> keys() {
-        Document whole =
-                Document.parse(
+    public static List<ConfigKey> keys() {
+        ConfigDocument whole =
+                ConfigDocument.parse(
                         "keys",
                         "[[tier]]\n[[tier.kind]]\n[tier.choke]\n[[class]]\n"
                                 + "[[tenant]]\n[[fault]]\n[[wire]]\n");
@@ -119,32 +119,32 @@
         return whole.keys();
     }
 
-    private void check() throws BadFileException {
-        List<Problem> problems = new ArrayList<>(own.problems());
+    private void check() throws InvalidFileException {
+        List<ConfigProblem> problems = new ArrayList<>(own.problems());
         if (base != null) {
             problems.addAll(base.problems());
         }
         problems.addAll(elsewhere);
         if (!problems.isEmpty()) {
-            throw new BadFileException(problems);
+            throw new InvalidFileException(problems);
         }
     }
 
     /**
      * The top of the file in which a table stands: the file's own, or that of the one it extends.
      */
-    private Table top(String key) {
+    private ConfigTable top(String key) {
         boolean there = own.root().has(key);
         boolean inherited = base != null && base.root().has(key);
         return inherited && !there ? base.root() : own.root();
     }
 
-    private Table table(String key) {
+    private ConfigTable table(String key) {
         return top(key).tableOrEmpty(key);
     }
 
     private Scenario scenario(String fileName) {
-        Table root = own.root();
+        ConfigTable root = own.root();
         String name = name(root, root.text("name", fileName));
         String about = root.text("about", null);
         Run run = run(table("run"));
@@ -182,7 +182,7 @@
 
     // ---- the parts ----
 
-    private Run run(Table t) {
+    private Run run(ConfigTable t) {
         Draw length = Figures.draw(t, "length_s", 1, HOUR);
         if (t.sound("length_s")) {
             shortest = length.low();
@@ -204,7 +204,7 @@
         return new Run(length, lead, most, window);
     }
 
-    private static Network network(Table t) {
+    private static Network network(ConfigTable t) {
         List<String> zones = t.texts("zones");
         for (String zone : zones) {
             if (!NAME.matcher(zone).matches()) {
@@ -230,13 +230,13 @@
         return network;
     }
 
-    private static Front front(Table t) {
+    private static Front front(ConfigTable t) {
         Front front = new Front(Figures.draw(t, "notice_s", 0, MINUTE, 1, 4));
         t.done();
         return front;
     }
 
-    private static Clients clients(Table t, Allowed allowed) {
+    private static Clients clients(ConfigTable t, Allowed allowed) {
         Draw retries = Figures.draw(t, "retries", 0, 10, 0);
         Draw tryShare = Figures.draw(t, "try_share", 0.01, 1, 1);
         Draw backoff = Figures.draw(t, "backoff_ms", 0, 60_000, 20, 100);
@@ -257,7 +257,7 @@
         return new Clients(retries, tryShare, backoff, exponential, honour, most, marks);
     }
 
-    private static Discovery discovery(Table t) {
+    private static Discovery discovery(ConfigTable t) {
         Discovery discovery =
                 new Discovery(
                         t.flag("ask", true),
@@ -273,7 +273,7 @@
         return discovery;
     }
 
-    private static Allowed allowed(Table t) {
+    private static Allowed allowed(ConfigTable t) {
         Allowed allowed =
                 new Allowed(
                         t.flag("probes", true),
@@ -289,7 +289,7 @@
         return allowed;
     }
 
-    private static Rules rules(Table t) {
+    private static Rules rules(ConfigTable t) {
         Rules rules =
                 new Rules(
                         Figures.time(t, "drain_grace_ms", 1, 600_000, 2000),
@@ -300,7 +300,7 @@
         return rules;
     }
 
-    private static Goal goal(Table t, List<Customer> tenants) {
+    private static Goal goal(ConfigTable t, List<Customer> tenants) {
         Goal goal =
                 new Goal(
                         t.number("whole", 0, 1, 1),
@@ -326,7 +326,7 @@
         return goal;
     }
 
-    private static Prices prices(Table t) {
+    private static Prices prices(ConfigTable t) {
         Prices prices =
                 new Prices(
                         t.number("waste", 0, 1, 0),
@@ -338,10 +338,10 @@
         return prices;
     }
 
-    private List<Fault> faults(Table top, List<Tier> tiers) {
+    private List<Fault> faults(ConfigTable top, List<Tier> tiers) {
         List<Fault> faults = new ArrayList<>();
         List<String> names = tiers.stream().map(Tier::name).toList();
-        for (Table t : top.tables("fault")) {
+        for (ConfigTable t : top.tables("fault")) {
             Trouble trouble = t.choice("trouble", Trouble.class, null);
             boolean known = t.sound("trouble");
             int tier = tier(t, trouble, known, names);
@@ -381,10 +381,10 @@
         return faults;
     }
 
-    private List<Wire> wires(Table top, List<Tier> tiers) {
+    private List<Wire> wires(ConfigTable top, List<Tier> tiers) {
         List<Wire> wires = new ArrayList<>();
         List<String> names = tiers.stream().map(Tier::name).toList();
-        for (Table t : top.tables("wire")) {
+        for (ConfigTable t : top.tables("wire")) {
             WireTrouble trouble = t.choice("trouble", WireTrouble.class, null);
             int tier = -1;
             if (t.sound("trouble") && trouble.ofProxies()) {
@@ -393,7 +393,7 @@
                             "tier",
                             "a key that is not used",
                             "none with "
-                                    + Table.written(trouble)
+                                    + ConfigTable.written(trouble)
                                     + ": it strikes the first tier's proxies");
                 }
                 t.text("tier", "");
@@ -417,15 +417,20 @@
     }
 
     private static void fits(
-            Table t, String key, Draw found, boolean needed, Trouble trouble, String allowed) {
+            ConfigTable t,
+            String key,
+            Draw found,
+            boolean needed,
+            Trouble trouble,
+            String allowed) {
         if (needed && found == null) {
             t.problem(key, "nothing", allowed);
         } else if (!needed && found != null) {
-            t.problem(key, "a key that is not used", "none with " + Table.written(trouble));
+            t.problem(key, "a key that is not used", "none with " + ConfigTable.written(trouble));
         }
     }
 
-    private static int tier(Table t, Trouble trouble, boolean known, List<String> names) {
+    private static int tier(ConfigTable t, Trouble trouble, boolean known, List<String> names) {
         boolean needed = trouble != Trouble.DISCOVERY_DOWN && trouble != Trouble.PROXY_CRASH;
         if (known && !needed) {
             t.text("tier", "");
@@ -434,7 +439,7 @@
                         "tier",
                         "a key that is not used",
                         "none with "
-                                + Table.written(trouble)
+                                + ConfigTable.written(trouble)
                                 + (trouble == Trouble.PROXY_CRASH
                                         ? ": the first tier's proxies die"
                                         : ""));
@@ -444,11 +449,11 @@
         return tier(t, known, names);
     }
 
-    private static int tier(Table t, boolean known, List<String> names) {
+    private static int tier(ConfigTable t, boolean known, List<String> names) {
         String name = t.text("tier", "");
         int index = names.indexOf(name);
         if (known && index < 0) {
-            String nearest = Table.nearest(name, names);
+            String nearest = ConfigTable.nearest(name, names);
             t.problem(
                     "tier",
                     name.isEmpty() ? "nothing" : "\"" + name + "\", which names no tier",
@@ -462,7 +467,7 @@
     // ---- what the parts share ----
 
     /** A name that may stand in plans, reports and the names of files. */
-    static String name(Table t, String name) {
+    static String name(ConfigTable t, String name) {
         if (t.has("name") && !NAME.matcher(name).matches()) {
             t.problem("name", "\"" + name + "\"", NAMES);
         }
@@ -470,7 +475,7 @@
     }
 
     /** A name as above that no other of its kind has. */
-    static String ownName(Table t, Set<String> taken) {
+    static String ownName(ConfigTable t, Set<String> taken) {
         String name = name(t, t.text("name", null));
         if (!name.isEmpty() && !taken.add(name)) {
             t.problem("name", "\"" + name + "\" again", "a name of its own");
@@ -484,7 +489,7 @@
     }
 
     /** Shares that are drawn and then scaled to sum to 1 must be able to. */
-    static void sum(Table top, String key, List<Table> of, List<Draw> shares) {
+    static void sum(ConfigTable top, String key, List<ConfigTable> of, List<Draw> shares) {
         if (of.stream().anyMatch(each -> !each.sound("share"))) {
             return;
         }
--- a/lab/src/main/java/cedarrudder/lab/scenario/TierReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/TierReader.java
@@ -6,7 +6,7 @@
 import cedarrudder.lab.scenario.Scenario.Probing;
 import cedarrudder.lab.scenario.Scenario.Report;
 import cedarrudder.lab.scenario.Scenario.Tier;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigTable;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -19,8 +19,8 @@
 
     private final Set<String> names = new HashSet<>();
 
-    List<Tier> read(Table top) {
-        List<Table> tables = top.tables("tier");
+    List<Tier> read(ConfigTable top) {
+        List<ConfigTable> tables = top.tables("tier");
         if (tables.isEmpty()) {
             top.problem("tier", "nothing", "at least one [[tier]]");
         }
@@ -37,7 +37,7 @@
         return tiers;
     }
 
-    private Tier tier(Table t, int index, boolean last) {
+    private Tier tier(ConfigTable t, int index, boolean last) {
         String name = ScenarioReader.ownName(t, names);
         Draw nodes = Figures.drawOrNull(t, "nodes", 1, MOST_NODES);
         Draw relative = Figures.drawOrNull(t, "nodes_of_first", 0.01, 100);
@@ -101,14 +101,14 @@
         return tier;
     }
 
-    private static List<Kind> kinds(Table tier) {
-        List<Table> tables = tier.tables("kind");
+    private static List<Kind> kinds(ConfigTable tier) {
+        List<ConfigTable> tables = tier.tables("kind");
         if (tables.isEmpty()) {
             tier.problem("kind", "nothing", "at least one [[tier.kind]]");
         }
         Set<String> names = new HashSet<>();
         List<Kind> kinds = new ArrayList<>();
-        for (Table t : tables) {
+        for (ConfigTable t : tables) {
             kinds.add(
                     new Kind(
                             ScenarioReader.ownName(t, names),
@@ -131,7 +131,7 @@
         return kinds;
     }
 
-    private static Report report(Table t) {
+    private static Report report(ConfigTable t) {
         Report report =
                 new Report(
                         Figures.draw(t, "period_ms", 0.1, 60_000, 60, 240),
@@ -141,7 +141,7 @@
         return report;
     }
 
-    private static Connections connections(Table t) {
+    private static Connections connections(ConfigTable t) {
         Connections connections =
                 new Connections(
                         Figures.draw(t, "handshake_trips", 0, 10, 1, 3),
@@ -154,7 +154,7 @@
         return connections;
     }
 
-    private static Probing probing(Table t) {
+    private static Probing probing(ConfigTable t) {
         Probing probing =
                 new Probing(
                         Figures.draw(t, "work_us", 0, 1_000_000, 150),
@@ -164,7 +164,7 @@
         return probing;
     }
 
-    private static Choke choke(Table t) {
+    private static Choke choke(ConfigTable t) {
         if (t == null) {
             return null;
         }
--- a/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
@@ -3,8 +3,8 @@
 import cedarrudder.lab.scenario.Scenario.Customer;
 import cedarrudder.lab.scenario.Scenario.Recorded;
 import cedarrudder.lab.scenario.Scenario.RequestKind;
-import cedarrudder.toml.Problem;
-import cedarrudder.toml.Table;
+import cedarrudder.toml.ConfigProblem;
+import cedarrudder.toml.ConfigTable;
 import java.io.IOException;
 import java.io.Reader;
 import java.io.UncheckedIOException;
@@ -40,7 +40,7 @@
     private final Path file;
     private final List<String> classes;
     private final List<String> tenants;
-    private final List<Problem> problems;
+    private final List<ConfigProblem> problems;
     private int told;
     private double lastTime;
 
@@ -48,7 +48,10 @@
      * @param problems takes what is wrong
      */
     TraceReader(
-            Path file, List<RequestKind> classes, List<Customer> tenants, List<Problem> problems) {
+            Path file,
+            List<RequestKind> classes,
+            List<Customer> tenants,
+            List<ConfigProblem> problems) {
         this.file = file;
         this.classes = classes.stream().map(RequestKind::name).toList();
         this.tenants = tenants.stream().map(Customer::name).toList();
@@ -117,7 +120,7 @@
         }
         if (told >= MOST_PROBLEMS) {
             problems.add(
-                    new Problem(
+                    new ConfigProblem(
                             file.toString(),
                             0,
                             "",
@@ -137,7 +140,7 @@
             problem(
                     line,
                     "",
-                    Table.shown(String.join(",", record.toList())),
+                    ConfigTable.shown(String.join(",", record.toList())),
                     String.join(",", COLUMNS));
         }
     }
@@ -192,7 +195,7 @@
         problem(
                 line,
                 COLUMNS.get(column),
-                Table.shown(field),
+                ConfigTable.shown(field),
                 "a number from 0 to " + Figures.shown(most) + (mayBeEmpty ? ", or nothing" : ""));
         return 0;
     }
@@ -201,11 +204,11 @@
         String field = record.get(column);
         int index = names.indexOf(field);
         if (index < 0) {
-            String nearest = field.isEmpty() ? null : Table.nearest(field, names);
+            String nearest = field.isEmpty() ? null : ConfigTable.nearest(field, names);
             problem(
                     line,
                     COLUMNS.get(column),
-                    Table.shown(field),
+                    ConfigTable.shown(field),
                     nearest != null
                             ? "did you mean '" + nearest + "'?"
                             : names.isEmpty()
@@ -217,6 +220,6 @@
 
     private void problem(int line, String key, String found, String allowed) {
         told++;
-        problems.add(new Problem(file.toString(), line, key, found, allowed));
+        problems.add(new ConfigProblem(file.toString(), line, key, found, allowed));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/trace/Trace.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/Trace.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.trace;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 
 /**
  * What can be seen of a run from outside, in the order in which it happens: of each proxy its
@@ -32,7 +32,14 @@
     void proxyDied(long now, int proxy);
 
     /** A proxy was told of one entry of a list. {@code startedAt}: 0 for long ago. */
-    void told(long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt);
+    void told(
+            long now,
+            int proxy,
+            long endpoint,
+            int cell,
+            int zone,
+            EndpointStatus state,
+            long startedAt);
 
     /**
      * A proxy was told a whole list; what it didn't name is gone. Comes before the entries of that
@@ -45,7 +52,7 @@
             long now,
             int proxy,
             long rpc,
-            Effect effect,
+            Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline);
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.trace;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.trace.Trace.Final;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -84,7 +84,7 @@
                             whole(json, "endpoint"),
                             (int) whole(json, "cell"),
                             (int) whole(json, "zone"),
-                            State.valueOf(text(json, "state")),
+                            EndpointStatus.valueOf(text(json, "state")),
                             whole(json, "started"));
             case "told-whole" -> to.toldWhole(at, proxy(json));
             case "taken" ->
@@ -92,7 +92,7 @@
                             at,
                             proxy(json),
                             whole(json, "rpc"),
-                            Effect.valueOf(text(json, "effect")),
+                            Idempotency.valueOf(text(json, "effect")),
                             KeyScope.valueOf(text(json, "scope")),
                             whole(json, "window"),
                             whole(json, "deadline"));
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.trace;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.util.MinimalPrettyPrinter;
@@ -122,7 +122,13 @@
 
     @Override
     public void told(
-            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
+            long now,
+            int proxy,
+            long endpoint,
+            int cell,
+            int zone,
+            EndpointStatus state,
+            long startedAt) {
         line(
                 now,
                 "told",
@@ -148,7 +154,7 @@
             long now,
             int proxy,
             long rpc,
-            Effect effect,
+            Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {
--- a/lab/src/main/java/cedarrudder/lab/trace/Tap.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.trace;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 import cedarrudder.lab.trace.Trace.Final;
 import java.util.HashMap;
 import java.util.List;
@@ -17,7 +17,7 @@
  * <p>It writes the events of one proxy that the balancer takes part in. That proxies start and die,
  * what reaches nodes and how these start and end is for the one who plays the nodes to write.
  */
-public final class Tap implements Balancer {
+public final class TracingBalancer implements LoadBalancer {
 
     /** What is known of an RPC that is open or has attempts out. */
     private static final class Open {
@@ -30,7 +30,7 @@
     private final IntSupplier proxy;
     private final List<RequestClass> classes;
     private final LongToDoubleFunction work;
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final Map<Long, Open> rpcs = new HashMap<>();
     private long now;
 
@@ -43,13 +43,13 @@
      * @param actions carries out what the balancer does
      * @param make makes the balancer, given the actions that it is to use
      */
-    public Tap(
+    public TracingBalancer(
             Trace trace,
             IntSupplier proxy,
-            Settings settings,
+            BalancerSettings settings,
             LongToDoubleFunction work,
             Actions actions,
-            Function<Actions, Balancer> make) {
+            Function<Actions, LoadBalancer> make) {
         this.trace = trace;
         this.proxy = proxy;
         this.classes = settings.classes();
@@ -58,9 +58,9 @@
     }
 
     @Override
-    public void endpoints(long at, ListKind kind, List<Endpoint> entries) {
+    public void endpoints(long at, EndpointListKind kind, List<Endpoint> entries) {
         now = at;
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListKind.CHANGES) {
             trace.toldWhole(at, proxy.getAsInt());
         }
         for (Endpoint entry : entries) {
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void request(long at, Request request, Standing standing) {
+    public void request(long at, Request request, AdmissionHint standing) {
         taken(at, request);
         balancer.request(at, request, standing);
     }
@@ -123,7 +123,7 @@
             Outcome outcome,
             long latency,
             boolean settled,
-            Load load) {
+            LoadReport load) {
         now = at;
         trace.ended(at, proxy.getAsInt(), request, attempt, outcome);
         Open rpc = rpcs.get(request);
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void probed(long at, long endpoint, Outcome outcome, long latency, Load load) {
+    public void probed(long at, long endpoint, Outcome outcome, long latency, LoadReport load) {
         now = at;
         balancer.probed(at, endpoint, outcome, latency, load);
     }
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void shares(long at, List<ZoneShare> shares) {
+    public void shares(long at, List<ZoneTrafficShare> shares) {
         now = at;
         balancer.shares(at, shares);
     }
--- a/lab/src/test/java/cedarrudder/agreement/BrokenTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -1,16 +1,16 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.agreement.Copies;
-import cedarrudder.lab.agreement.Storm;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
-import cedarrudder.lab.judge.OneLeader;
-import cedarrudder.lab.judge.OneTable;
-import cedarrudder.lab.judge.SureContact;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.checker.LeaderContactBound;
+import cedarrudder.lab.checker.SingleLeader;
+import cedarrudder.lab.checker.SingleTable;
+import cedarrudder.lab.consensus.ConsensusSimulation;
+import cedarrudder.lab.consensus.FaultStorm;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
@@ -23,22 +23,25 @@
  * Programs that lack one rule each: the judge finds it, or a measure shows it. Seeds are fixed: the
  * verdict is the same.
  */
-public class BrokenTest {
+public class BrokenConsensusTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
-    private static final Copies.Network CALM = new Copies.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
+    private static final ConsensusSimulation.Network CALM =
+            new ConsensusSimulation.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
 
-    private static Copies.Maker with(Conduct conduct) {
+    private static ConsensusSimulation.Maker with(SafetyRules conduct) {
         return (zones, self, life, settings, store, random, outlet, now) ->
-                new Agreement(zones, self, life, settings, store, random, outlet, now, conduct);
+                new RaftNode(zones, self, life, settings, store, random, outlet, now, conduct);
     }
 
     /** The rules that seeds break, up to the first seed that breaks one of these. */
-    private static Set<String> broken(Conduct conduct, int seeds, String... wanted) {
+    private static Set<String> broken(SafetyRules conduct, int seeds, String... wanted) {
         Set<String> rules = new HashSet<>();
         for (long seed = 1; seed <= seeds && Collections.disjoint(rules, List.of(wanted)); seed++) {
-            Storm.play(seed, with(conduct)).breaches().forEach(breach -> rules.add(breach.rule()));
+            FaultStorm.play(seed, with(conduct))
+                    .breaches()
+                    .forEach(breach -> rules.add(breach.rule()));
         }
         return rules;
     }
@@ -47,7 +50,7 @@
     public void oneThatForgotVotesUnderItsNewLife() {
         Set<String> rules =
                 broken(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             boolean mayVote(boolean sworn, boolean seated) {
                                 return true;
@@ -63,7 +66,7 @@
     public void aProposalHandedOnTwiceTakesEffectTwice() {
         Set<String> rules =
                 broken(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             boolean once(boolean isNew) {
                                 return true;
@@ -79,7 +82,7 @@
     public void aContactThatCountsFromItsArrivalIsTooYoung() {
         Set<String> rules =
                 broken(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             long countsFrom(long askedAt, long answeredAt) {
                                 return answeredAt;
@@ -93,10 +96,10 @@
     /** Clocks that differ by 2 in 1,000, and a contact that stays the last for 40 minutes. */
     @Test
     public void withoutTheDriftAContactThatIsHandedOnIsTooYoung() {
-        assertEquals(handedOnForMinutes(new Conduct()), Set.of());
+        assertEquals(handedOnForMinutes(new SafetyRules()), Set.of());
         assertEquals(
                 handedOnForMinutes(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             long lengthened(long nanos) {
                                 return nanos;
@@ -105,9 +108,9 @@
                 Set.of("contact"));
     }
 
-    private static Set<String> handedOnForMinutes(Conduct conduct) {
-        List<Event> events = new ArrayList<>();
-        Copies copies = started(10, false, conduct, events);
+    private static Set<String> handedOnForMinutes(SafetyRules conduct) {
+        List<HistoryEvent> events = new ArrayList<>();
+        ConsensusSimulation copies = started(10, false, conduct, events);
         for (Voter voter : copies.view(copies.leader()).voters().all()) {
             copies.kill(voter.copy());
         }
@@ -128,10 +131,10 @@
      */
     @Test
     public void aForgedDatagramMovesNobody() {
-        assertTrue(staysAfterForgeries(new Conduct()));
+        assertTrue(staysAfterForgeries(new SafetyRules()));
         assertTrue(
                 !staysAfterForgeries(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             boolean believes(boolean answered) {
                                 return true;
@@ -139,24 +142,25 @@
                         }));
     }
 
-    private static boolean staysAfterForgeries(Conduct conduct) {
-        Copies copies = started(5, false, conduct, new ArrayList<>());
-        Group group = copies.view(0).group();
+    private static boolean staysAfterForgeries(SafetyRules conduct) {
+        ConsensusSimulation copies = started(5, false, conduct, new ArrayList<>());
+        VoterGroup group = copies.view(0).group();
         long life = copies.view(1).life();
         for (int i = 0; i < 100; i++) {
-            Message message =
+            RaftMessage message =
                     i % 2 == 0
-                            ? new Message.Digest(9, 9, 9, 1, 0, 0, i)
-                            : new Message.Sure(i, 0, 9);
-            Group other = new Group(group.era() + i % 3, 1, life);
+                            ? new RaftMessage.Digest(9, 9, 9, 1, 0, 0, i)
+                            : new RaftMessage.Sure(i, 0, 9);
+            VoterGroup other = new VoterGroup(group.era() + i % 3, 1, life);
             copies.inject(
                     0,
                     1,
-                    new Piece(other, 9, 1, life + i % 5, i, 0, 1, 0, message.encode()).encode());
+                    new MessageFragment(other, 9, 1, life + i % 5, i, 0, 1, 0, message.encode())
+                            .encode());
             copies.play(20 * MILLI);
         }
         copies.play(5 * SECOND);
-        LogNumber number =
+        LogPosition number =
                 copies.leader() < 0 ? null : copies.propose(copies.leader(), new byte[8]);
         copies.play(2 * SECOND);
         return number != null && number.group().equals(group) && copies.allLoaded(number);
@@ -168,11 +172,11 @@
      */
     @Test
     public void oneThatForgotVotesAsIfItRemembered() {
-        List<Event> events = new ArrayList<>();
-        Copies copies = started(5, false, new Conduct(), events);
+        List<HistoryEvent> events = new ArrayList<>();
+        ConsensusSimulation copies = started(5, false, new SafetyRules(), events);
         int leader = copies.leader();
-        Voters voters = copies.view(leader).voters();
-        Group group = copies.view(leader).group();
+        VoterSet voters = copies.view(leader).voters();
+        VoterGroup group = copies.view(leader).group();
         assertNotNull(copies.propose(leader, new byte[8]));
         copies.play(SECOND);
         for (Voter voter : voters.all()) {
@@ -183,13 +187,13 @@
         assertTrue(judged(copies, events).contains("A2"), events.toString());
     }
 
-    static Store pretending(Group group, Voter voter, Voters voters) {
-        return new Store() {
+    static StableStorage pretending(VoterGroup group, Voter voter, VoterSet voters) {
+        return new StableStorage() {
             @Override
             public Kept kept() {
                 return new Kept(
                         new Promise(group, voter.life(), 1, null, true),
-                        new Snapshot(1, 1, voters, new Proposers().with(new byte[8])),
+                        new Snapshot(1, 1, voters, new AppliedProposals().with(new byte[8])),
                         List.of());
             }
 
@@ -197,7 +201,7 @@
             public void promise(Promise promise) {}
 
             @Override
-            public void entry(long index, Entry entry) {}
+            public void entry(long index, LogEntry entry) {}
 
             @Override
             public void cut(long from) {}
@@ -214,14 +218,14 @@
     public void piecesOfDifferentMessagesMix() {
         Set<String> rules =
                 broken(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
-                            boolean same(Piece held, Piece other) {
+                            boolean same(MessageFragment held, MessageFragment other) {
                                 return held.count() == other.count();
                             }
 
                             @Override
-                            boolean intact(Piece held, byte[] message) {
+                            boolean intact(MessageFragment held, byte[] message) {
                                 return true;
                             }
                         },
@@ -234,10 +238,10 @@
     public void aNewGroupUsesNumbersAgain() {
         Set<String> rules =
                 broken(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
-                            Group next(Group known, Voter founder) {
-                                return new Group(known.era() + 1, 0, 0);
+                            VoterGroup next(VoterGroup known, Voter founder) {
+                                return new VoterGroup(known.era() + 1, 0, 0);
                             }
                         },
                         200,
@@ -252,10 +256,10 @@
      */
     @Test
     public void anEntryOfAnEarlierTermIsCommittedByCounting() {
-        assertEquals(figureEight(new Conduct()), Set.of());
+        assertEquals(figureEight(new SafetyRules()), Set.of());
         Set<String> rules =
                 figureEight(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             boolean counts(long entryTerm, long term) {
                                 return true;
@@ -264,14 +268,14 @@
         assertTrue(rules.contains("A1"), rules.toString());
     }
 
-    private static Set<String> figureEight(Conduct conduct) {
-        List<Event> events = new ArrayList<>();
-        Copies copies = started(5, true, conduct, events);
+    private static Set<String> figureEight(SafetyRules conduct) {
+        List<HistoryEvent> events = new ArrayList<>();
+        ConsensusSimulation copies = started(5, true, conduct, events);
         int first = copies.leader();
         int second = (first + 1) % 5;
         apart(copies, first, second);
         // As large as a batch: the entry after it goes in another message.
-        assertNotNull(copies.propose(first, new byte[Replication.MOST_BATCH]));
+        assertNotNull(copies.propose(first, new byte[LogReplication.MOST_BATCH]));
         copies.play(700 * MILLI);
         copies.kill(first);
         copies.kill(second);
@@ -312,7 +316,7 @@
     }
 
     /** Nothing passes between these two and the others. */
-    private static void apart(Copies copies, int one, int other) {
+    private static void apart(ConsensusSimulation copies, int one, int other) {
         for (int i = 0; i < copies.size(); i++) {
             for (int inside : new int[] {one, other}) {
                 if (i != one && i != other) {
@@ -326,10 +330,10 @@
     /** Terms that pass while one voter is cut off for 3 s each 6 s; each deposes a leader. */
     @Test
     public void withoutAskingAheadACutOffVoterDisturbs() {
-        long with = termsOfACutOffVoter(new Conduct());
+        long with = termsOfACutOffVoter(new SafetyRules());
         long without =
                 termsOfACutOffVoter(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             boolean asksFirst() {
                                 return false;
@@ -339,8 +343,8 @@
         assertTrue(without >= 10, "terms " + without);
     }
 
-    private static long termsOfACutOffVoter(Conduct conduct) {
-        Copies copies = started(5, false, conduct, new ArrayList<>());
+    private static long termsOfACutOffVoter(SafetyRules conduct) {
+        ConsensusSimulation copies = started(5, false, conduct, new ArrayList<>());
         long term = copies.view(copies.leader()).term();
         for (int round = 0; round < 5; round++) {
             int voter = (copies.leader() + 1) % 5;
@@ -355,10 +359,10 @@
     /** A leader that speaks and hears nobody: it has to go, or nothing is ever committed. */
     @Test
     public void withoutStepDownADeafLeaderStopsAll() {
-        assertTrue(commitsPastADeafLeader(new Conduct()));
+        assertTrue(commitsPastADeafLeader(new SafetyRules()));
         assertTrue(
                 !commitsPastADeafLeader(
-                        new Conduct() {
+                        new SafetyRules() {
                             @Override
                             boolean lapsed(long sinceMajority, long most) {
                                 return false;
@@ -366,24 +370,25 @@
                         }));
     }
 
-    private static boolean commitsPastADeafLeader(Conduct conduct) {
-        Copies copies = started(5, false, conduct, new ArrayList<>());
+    private static boolean commitsPastADeafLeader(SafetyRules conduct) {
+        ConsensusSimulation copies = started(5, false, conduct, new ArrayList<>());
         int deaf = copies.leader();
         IntStream.range(0, 5).forEach(i -> copies.cut(i, deaf, i != deaf));
         copies.play(4 * SECOND);
-        LogNumber number = copies.propose(copies.leader(), new byte[8]);
+        LogPosition number = copies.propose(copies.leader(), new byte[8]);
         copies.play(4 * SECOND);
         return IntStream.range(0, 5)
                 .filter(i -> i != deaf)
                 .allMatch(i -> copies.view(i).loaded().compareTo(number) >= 0);
     }
 
-    private static Copies started(int size, boolean disks, Conduct conduct, List<Event> events) {
-        Copies copies =
-                new Copies(
+    private static ConsensusSimulation started(
+            int size, boolean disks, SafetyRules conduct, List<HistoryEvent> events) {
+        ConsensusSimulation copies =
+                new ConsensusSimulation(
                         size,
                         CALM,
-                        AgreementSettings.DEFAULT,
+                        ConsensusSettings.DEFAULT,
                         disks,
                         8,
                         1,
@@ -395,12 +400,12 @@
         return copies;
     }
 
-    private static Set<String> judged(Copies copies, List<Event> events) {
+    private static Set<String> judged(ConsensusSimulation copies, List<HistoryEvent> events) {
         Set<String> rules = new HashSet<>();
         History.judged(
                         events,
                         copies.now(),
-                        List.of(new OneTable(), new OneLeader(), new SureContact()))
+                        List.of(new SingleTable(), new SingleLeader(), new LeaderContactBound()))
                 .forEach(breach -> rules.add(breach.rule()));
         return rules;
     }
