--- a/lab/src/test/java/cedarrudder/agreement/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -1,16 +1,16 @@
-package cedarrudder.agreement;
+package cedarrudder.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.agreement.Copies;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
-import cedarrudder.lab.judge.OneEffect;
-import cedarrudder.lab.judge.OneLeader;
-import cedarrudder.lab.judge.OneTable;
-import cedarrudder.lab.judge.SureContact;
+import cedarrudder.lab.checker.AtMostOnceEffect;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.checker.LeaderContactBound;
+import cedarrudder.lab.checker.SingleLeader;
+import cedarrudder.lab.checker.SingleTable;
+import cedarrudder.lab.consensus.ConsensusSimulation;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -26,36 +26,38 @@
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
-    private static final Copies.Network LOSSY =
-            new Copies.Network(0.1, 0.02, 0.01, 2 * MILLI, 21 * MILLI);
+    private static final ConsensusSimulation.Network LOSSY =
+            new ConsensusSimulation.Network(0.1, 0.02, 0.01, 2 * MILLI, 21 * MILLI);
 
-    private final List<Event> events = new ArrayList<>();
+    private final List<HistoryEvent> events = new ArrayList<>();
 
-    private Copies started(int size, AgreementSettings settings) {
+    private ConsensusSimulation started(int size, ConsensusSettings settings) {
         events.clear();
-        Copies copies = new Copies(size, LOSSY, settings, false, 8, 3, Agreement::new, events::add);
+        ConsensusSimulation copies =
+                new ConsensusSimulation(
+                        size, LOSSY, settings, false, 8, 3, RaftNode::new, events::add);
         copies.form(0);
         copies.play(15 * SECOND);
         assertEquals(copies.view(copies.leader()).voters().size(), 5);
         return copies;
     }
 
-    private Set<String> judged(Copies copies) {
+    private Set<String> judged(ConsensusSimulation copies) {
         Set<String> rules = new HashSet<>();
         History.judged(
                         events,
                         copies.now(),
                         List.of(
-                                new OneTable(),
-                                new OneLeader(),
-                                new OneEffect(),
-                                new SureContact()))
+                                new SingleTable(),
+                                new SingleLeader(),
+                                new AtMostOnceEffect(),
+                                new LeaderContactBound()))
                 .forEach(breach -> rules.add(breach.rule()));
         return rules;
     }
 
     /** Nothing passes between those that are in and those that are not. */
-    private static void part(Copies copies, Set<Integer> in) {
+    private static void part(ConsensusSimulation copies, Set<Integer> in) {
         for (int i = 0; i < copies.size(); i++) {
             for (int j = 0; j < copies.size(); j++) {
                 copies.cut(i, j, in.contains(i) != in.contains(j));
@@ -71,8 +73,8 @@
      */
     @Test
     public void twoRegionsThatEachSeeTheOtherAsLost() {
-        Copies copies = started(12, AgreementSettings.DEFAULT.silence(6 * SECOND));
-        Group group = copies.view(0).group();
+        ConsensusSimulation copies = started(12, ConsensusSettings.DEFAULT.silence(6 * SECOND));
+        VoterGroup group = copies.view(0).group();
         List<Integer> voters =
                 copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
         Set<Integer> most = new HashSet<>(voters.subList(0, 3));
@@ -89,7 +91,9 @@
         }
         copies.play(6 * SECOND);
         for (int i = 0; i < 12; i++) {
-            assertEquals(copies.settled(i).get(0).outcome() == Outcome.COMMITTED, most.contains(i));
+            assertEquals(
+                    copies.settled(i).get(0).outcome() == ProposalOutcome.COMMITTED,
+                    most.contains(i));
         }
         copies.heal();
         copies.play(10 * SECOND);
@@ -109,11 +113,11 @@
     }
 
     private Set<String> askedByBothSides(boolean pretends) {
-        Copies copies = started(5, AgreementSettings.DEFAULT);
+        ConsensusSimulation copies = started(5, ConsensusSettings.DEFAULT);
         int leader = copies.leader();
         int forgot = (leader + 1) % 5;
-        Voters voters = copies.view(leader).voters();
-        Group group = copies.view(leader).group();
+        VoterSet voters = copies.view(leader).voters();
+        VoterGroup group = copies.view(leader).group();
         long term = copies.view(leader).term();
         Voter was = new Voter(forgot, copies.view(forgot).life());
         Set<Integer> one = Set.of((forgot + 1) % 5, (forgot + 2) % 5);
@@ -125,7 +129,8 @@
             part(copies, with);
             copies.kill(forgot);
             if (pretends) {
-                copies.pretend(forgot, was.life(), BrokenTest.pretending(group, was, voters));
+                copies.pretend(
+                        forgot, was.life(), BrokenConsensusTest.pretending(group, was, voters));
             } else {
                 copies.restart(forgot);
             }
@@ -148,9 +153,9 @@
     public void somethingIsCommittedAsItsCopyIsToldToEnd() {
         int loaded = 0;
         for (long wait = 0; wait < 120; wait += 8) {
-            Copies copies = started(7, AgreementSettings.DEFAULT);
+            ConsensusSimulation copies = started(7, ConsensusSettings.DEFAULT);
             int leader = copies.leader();
-            LogNumber number = copies.propose(leader, new byte[] {9});
+            LogPosition number = copies.propose(leader, new byte[] {9});
             copies.hand(leader, new byte[] {8}, SECOND);
             copies.transfer(leader);
             copies.play(wait * MILLI);
@@ -179,7 +184,7 @@
                                                     && event.what().equals("loaded")
                                                     && event.number("index") == number.index()
                                                     && event.text("sum").equals(sum))
-                            .map(Event::copy)
+                            .map(HistoryEvent::copy)
                             .distinct()
                             .count();
             assertTrue(with == 0 || with == 6, "loaded by " + with + " after " + wait + " ms");
@@ -191,18 +196,19 @@
     /** Forty copies hand on all that they can while nothing is committed. */
     @Test
     public void whatOthersHandOnIsBounded() {
-        Copies copies = started(40, AgreementSettings.DEFAULT);
+        ConsensusSimulation copies = started(40, ConsensusSettings.DEFAULT);
         int leader = copies.leader();
         IntStream.range(0, 40).forEach(i -> copies.cut(i, leader, true));
         int before = events.size();
         for (int i = 0; i < 10_000; i++) {
             int from = (leader + 1 + i % 39) % 40;
-            Agreement view = copies.view(from);
-            Message hand = new Message.Hand(new Proposal(from, 1, i, view.loaded(), new byte[20]));
+            RaftNode view = copies.view(from);
+            RaftMessage hand =
+                    new RaftMessage.Hand(new Proposal(from, 1, i, view.loaded(), new byte[20]));
             copies.inject(
                     leader,
                     from,
-                    new Piece(
+                    new MessageFragment(
                                     view.group(),
                                     view.term(),
                                     from,
--- a/lab/src/test/java/cedarrudder/lab/attack/LibraryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/attack/AttackCatalogTest.java
@@ -18,24 +18,24 @@
 import org.testng.annotations.Test;
 
 /** The library, and the judge: servers broken on purpose must be found out. */
-public class LibraryTest {
+public class AttackCatalogTest {
 
-    private static final Words WORDS = new Words("lookup", "order", "acme");
+    private static final RequestTemplates WORDS = new RequestTemplates("lookup", "order", "acme");
 
     @Test
     public void namesAreAnybodysOwnAndThePageHasThemAll() throws IOException {
         String page = Files.readString(Path.of("docs", "ATTACKS.md"));
         Set<String> names = new HashSet<>();
-        for (Attack attack : Library.all()) {
+        for (Attack attack : AttackCatalog.all()) {
             assertTrue(names.add(attack.name()), attack.name());
             assertTrue(
                     page.contains("| `" + attack.name() + "` |"),
                     attack.name() + " is not on the page");
         }
         assertEquals(
-                Library.named(List.of("connect", "framing")).size(),
-                1 + Library.all().stream().filter(a -> a.group() == Group.FRAMING).count());
-        expectThrows(IllegalArgumentException.class, () -> Library.named(List.of("no-such")));
+                AttackCatalog.named(List.of("connect", "framing")).size(),
+                1 + AttackCatalog.all().stream().filter(a -> a.group() == Group.FRAMING).count());
+        expectThrows(IllegalArgumentException.class, () -> AttackCatalog.named(List.of("no-such")));
     }
 
     /** What a server that always says this gets from the judge. */
@@ -70,7 +70,7 @@
             thread.start();
             var to = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
             try (Player player = Player.against(to, WORDS)) {
-                return player.play(Library.named(List.of(attack)), "t", null).get(0).wrongs();
+                return player.play(AttackCatalog.named(List.of(attack)), "t", null).get(0).wrongs();
             }
         }
     }
--- a/lab/src/test/java/cedarrudder/lab/attack/AttackIT.java
+++ b/lab/src/test/java/cedarrudder/lab/attack/AttackIT.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Collectors;
@@ -29,10 +29,11 @@
 
     @Test
     public void everyAttackGetsWhatItIsOwedWholeAndInPieces() throws Exception {
-        List<Attack> inOnePiece = Library.all().stream().filter(a -> a.text() != null).toList();
+        List<Attack> inOnePiece =
+                AttackCatalog.all().stream().filter(a -> a.text() != null).toList();
         try (OwnDaemon daemon = new OwnDaemon(JAR, List.of(), 1024);
                 Player player = daemon.player(SLACK)) {
-            assertEquals(wrong(player.play(Library.all(), "whole", null)), "");
+            assertEquals(wrong(player.play(AttackCatalog.all(), "whole", null)), "");
             assertEquals(wrong(player.play(inOnePiece, "cut", SEED)), "", "seed " + SEED);
             assertEquals(daemon.nameless(), 0);
             assertTrue(daemon.healthy());
--- a/lab/src/test/java/cedarrudder/lab/attack/SplitTest.java
+++ b/lab/src/test/java/cedarrudder/lab/attack/SplitTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.protocol.BadMessageException;
 import cedarrudder.protocol.HttpDecoder;
-import cedarrudder.protocol.Message;
+import cedarrudder.protocol.HttpMessage;
+import cedarrudder.protocol.MalformedMessageException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
@@ -23,7 +23,7 @@
     private static final long SEED = 4711;
     private static final int SHORT = 2000;
     private static final int RANDOM_CUTS = 50;
-    private static final Words WORDS = new Words("lookup", "order", "acme");
+    private static final RequestTemplates WORDS = new RequestTemplates("lookup", "order", "acme");
 
     /** What the decoder made of pieces: requests, then how it ended. */
     private static List<String> read(byte[] bytes, List<Integer> cuts) {
@@ -35,7 +35,7 @@
             from = to;
             try {
                 while (in.isReadable()) {
-                    Message next = decoder.decode(in);
+                    HttpMessage next = decoder.decode(in);
                     if (next != null) {
                         read.add(
                                 next.head().method()
@@ -46,7 +46,7 @@
                                         + new String(next.body(), StandardCharsets.ISO_8859_1));
                     }
                 }
-            } catch (BadMessageException e) {
+            } catch (MalformedMessageException e) {
                 read.add("refused " + e.status());
                 return read;
             }
@@ -59,7 +59,7 @@
     public void everyCutOfAnAttackIsReadAlike() {
         SplittableRandom random = new SplittableRandom(SEED);
         int tried = 0;
-        for (Attack attack : Library.all()) {
+        for (Attack attack : AttackCatalog.all()) {
             if (attack.text() == null) {
                 continue;
             }
--- a/lab/src/test/java/cedarrudder/lab/rivals/RivalsInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/BaselinesInModelTest.java
@@ -1,12 +1,12 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.lab.model.Guard;
 import cedarrudder.lab.model.Model;
-import cedarrudder.lab.referee.Figures;
-import cedarrudder.lab.referee.Judge;
+import cedarrudder.lab.referee.RuleParameters;
+import cedarrudder.lab.referee.RunChecker;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.result.RunResult.Breach;
 import cedarrudder.lab.scenario.Draw;
@@ -23,7 +23,7 @@
  * The rivals in the model: they keep the rules there, and what is broken on purpose shows there
  * too.
  */
-public class RivalsInModelTest {
+public class BaselinesInModelTest {
     private static final int SEEDS = 10;
 
     /** A shipped scenario, its run and its faults so many times shorter. */
@@ -72,12 +72,12 @@
 
     private static RunResult play(Scenario scenario, String policy, long seed)
             throws InterruptedException {
-        Judge judge = new Judge(Figures.of(scenario), Model.START);
+        RunChecker judge = new RunChecker(RuleParameters.of(scenario), Model.START);
         Model.Played played =
                 Model.run(
                         scenario,
                         seed,
-                        judge.watched(Rivals.named(policy)),
+                        judge.watched(Policies.named(policy)),
                         policy,
                         judge.trace(),
                         Guard.usual());
@@ -98,7 +98,7 @@
     @Test(dataProvider = "rough")
     public void allKeepTheRules(String name, int shorter) throws Exception {
         Scenario scenario = scenario(name, shorter);
-        for (String policy : Rivals.names()) {
+        for (String policy : Policies.names()) {
             for (long seed = 1; seed <= SEEDS; seed++) {
                 RunResult result = play(scenario, policy, seed);
                 String run = policy + " on " + name + ", seed " + seed;
@@ -116,32 +116,32 @@
         Scenario scenario = scenario("diliman", 2);
         double[] bound = new double[SEEDS];
         for (int i = 0; i < SEEDS; i++) {
-            bound[i] = play(scenario, Rivals.BOUND, i + 1).goodput();
+            bound[i] = play(scenario, Policies.BOUND, i + 1).goodput();
         }
-        for (String policy : Rivals.names()) {
+        for (String policy : Policies.names()) {
             SummaryStatistics ahead = new SummaryStatistics();
-            for (int i = 0; i < SEEDS && !policy.equals(Rivals.BOUND); i++) {
+            for (int i = 0; i < SEEDS && !policy.equals(Policies.BOUND); i++) {
                 ahead.addValue(bound[i] - play(scenario, policy, i + 1).goodput());
             }
             double error = ahead.getStandardDeviation() / Math.sqrt(SEEDS);
             assertTrue(
-                    policy.equals(Rivals.BOUND) || ahead.getMean() > 3 * error,
+                    policy.equals(Policies.BOUND) || ahead.getMean() > 3 * error,
                     policy + ": " + ahead.getMean() + ", standard error " + error);
         }
     }
 
     @DataProvider
     public Object[][] faults() {
-        Object[][] rows = new Object[Broken.Fault.values().length][];
+        Object[][] rows = new Object[BrokenPolicies.Fault.values().length][];
         for (int i = 0; i < rows.length; i++) {
-            rows[i] = new Object[] {Broken.Fault.values()[i]};
+            rows[i] = new Object[] {BrokenPolicies.Fault.values()[i]};
         }
         return rows;
     }
 
     @Test(dataProvider = "faults")
     public void whatIsBrokenIsFoundInTheModel(Object fault) throws Exception {
-        Broken.Fault broken = (Broken.Fault) fault;
+        BrokenPolicies.Fault broken = (BrokenPolicies.Fault) fault;
         Scenario scenario = scenario("rules", 1);
         RunResult result = play(scenario, broken.policy(), 1);
         assertEquals(result.breaches().size(), 1, broken + ": " + result.breaches());
--- a/lab/src/test/java/cedarrudder/lab/rivals/NoActions.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/NoActions.java
@@ -1,9 +1,9 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import cedarrudder.Balancer;
+import cedarrudder.balancer.LoadBalancer;
 
 /** Actions that lead nowhere. */
-final class NoActions implements Balancer.Actions {
+final class NoActions implements LoadBalancer.Actions {
 
     @Override
     public void send(long request, long endpoint, long timeout) {}
--- a/lab/src/test/java/cedarrudder/lab/rivals/PicksTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/PicksTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -6,17 +6,17 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.Goal;
-import cedarrudder.Balancer.Limits;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Prices;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
-import cedarrudder.lab.policy.Truth;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Limits;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.balancer.LoadBalancer.ServiceGoal;
+import cedarrudder.balancer.LoadBalancer.ServicePrices;
+import cedarrudder.lab.policy.GroundTruth;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -34,14 +34,15 @@
             new Limits(true, true, true, true, 4, SECOND, SECOND, SECOND);
 
     /** Nodes 1, 2, ... all of which may take an attempt, but for those that are closed. */
-    private static final class Nodes<S> implements Choice<S> {
+    private static final class Nodes<S> implements Candidates<S> {
         final SplittableRandom random = new SplittableRandom(1);
-        final List<Member<S>> members = new ArrayList<>();
+        final List<EndpointView<S>> members = new ArrayList<>();
         final Set<Long> closed = new HashSet<>();
 
         Nodes(int count, Pick<S> pick) {
             for (long id = 1; id <= count; id++) {
-                Member<S> member = new Member<>(new Endpoint(id, 0, 0, 0, State.READY, 1, 0));
+                EndpointView<S> member =
+                        new EndpointView<>(new Endpoint(id, 0, 0, 0, EndpointStatus.READY, 1, 0));
                 member.notes = pick.fresh(0);
                 members.add(member);
             }
@@ -49,24 +50,25 @@
         }
 
         @Override
-        public List<Member<S>> ready() {
+        public List<EndpointView<S>> ready() {
             return members;
         }
 
         @Override
-        public boolean may(Member<S> member) {
+        public boolean may(EndpointView<S> member) {
             return !closed.contains(member.id);
         }
 
         @Override
-        public Member<S> draw(Member<S> except) {
-            List<Member<S>> open = members.stream().filter(m -> m != except && may(m)).toList();
+        public EndpointView<S> draw(EndpointView<S> except) {
+            List<EndpointView<S>> open =
+                    members.stream().filter(m -> m != except && may(m)).toList();
             return open.isEmpty() ? null : open.get(random.nextInt(open.size()));
         }
     }
 
-    private static Settings settings(int copies, int self) {
-        return new Settings(
+    private static BalancerSettings settings(int copies, int self) {
+        return new BalancerSettings(
                 copies,
                 self,
                 0,
@@ -76,21 +78,21 @@
                 SmallWorld.CLASSES,
                 List.of(),
                 LIMITS,
-                new Safety(SECOND, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
-                new Goal(1, 0, 0, 0, 1),
-                new Prices(0, 0));
+                new SafetyRules(SECOND, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
+                new ServiceGoal(1, 0, 0, 0, 1),
+                new ServicePrices(0, 0));
     }
 
-    private static Call call(long work) {
-        return new Call(
+    private static BaselineRequest call(long work) {
+        return new BaselineRequest(
                 new Request(1, 0, 0, SECOND, 0, false, false, work),
                 SmallWorld.CLASSES.get(0),
                 0,
                 4);
     }
 
-    private static Load load(double busy) {
-        return new Load(Double.NaN, Double.NaN, busy, Double.NaN, Double.NaN, Double.NaN);
+    private static LoadReport load(double busy) {
+        return new LoadReport(Double.NaN, Double.NaN, busy, Double.NaN, Double.NaN, Double.NaN);
     }
 
     @Test
@@ -122,7 +124,7 @@
     @Test
     public void peakEwmaJumpsUpAndDecays() {
         PeakEwma pick = new PeakEwma();
-        Member<PeakEwma.Average> member = new Nodes<>(1, pick).members.get(0);
+        EndpointView<PeakEwma.Average> member = new Nodes<>(1, pick).members.get(0);
         member.inFlight = 1;
         assertEquals(PeakEwma.cost(0, member), PeakEwma.PENALTY + 1);
         pick.ended(0, call(1), member, 100);
@@ -145,7 +147,7 @@
         for (long now = 0; now < 300 * SECOND; now += tick) {
             double[] sent = new double[2];
             for (int i = 0; i < 10; i++) {
-                Member<WeightedRoundRobin.Turn> member = pick.choose(now, call(1), nodes);
+                EndpointView<WeightedRoundRobin.Turn> member = pick.choose(now, call(1), nodes);
                 pick.sent(now, call(1), member);
                 sent[(int) member.id - 1]++;
             }
@@ -197,7 +199,7 @@
             assertEquals(pick.subset().size(), SubsetLeastRequests.LEAST);
             pick.subset().forEach(m -> covered.merge(m.id, 1, Integer::sum));
             Nodes<Void> nodes = new Nodes<>(125, pick);
-            List<Member<Void>> before = List.copyOf(pick.subset());
+            List<EndpointView<Void>> before = List.copyOf(pick.subset());
             nodes.members.remove(60);
             pick.changed(nodes.members);
             moved += (int) pick.subset().stream().filter(m -> !before.contains(m)).count();
@@ -219,7 +221,7 @@
      * The true state, made of what a test cares about; a node holds one request where it has work.
      */
     private record Seen(LongToDoubleFunction speed, LongToDoubleFunction work, long deaf)
-            implements Truth {
+            implements GroundTruth {
         @Override
         public boolean takes(long endpoint) {
             return endpoint != deaf;
@@ -249,11 +251,11 @@
     @Test
     public void oracleTakesTheOneThatIsDoneFirst() {
         // Node 2 is idle and slow, 3 is quick and has some work, 4 would be best but takes nothing.
-        Truth truth =
+        GroundTruth truth =
                 new Seen(id -> id == 2 ? 0.4 : 1, id -> id == 3 ? 10e6 : id == 1 ? 100e6 : 0, 4);
         Oracle pick = new Oracle(settings(1, 0), truth);
         Nodes<Oracle.Way> nodes = new Nodes<>(4, pick);
-        Member<Oracle.Way> third = nodes.members.get(2);
+        EndpointView<Oracle.Way> third = nodes.members.get(2);
         assertSame(pick.choose(0, call(20_000_000), nodes), third);
         // A short one shares the cores of a quick node, and is still done sooner than alone on the
         // slow one.
@@ -267,10 +269,10 @@
     public void oracleTurnsTheLeastWorthyAwayFirst() {
         RequestClass cheap = worth(1);
         RequestClass dear = worth(8);
-        Settings none = settings(1, 0);
+        BalancerSettings none = settings(1, 0);
         Admission admission =
                 new Admission(
-                        new Settings(
+                        new BalancerSettings(
                                 1,
                                 0,
                                 0,
@@ -283,7 +285,8 @@
                                 none.safety(),
                                 none.goal(),
                                 none.prices()));
-        Call slow = new Call(new Request(1, 0, 0, SECOND, 0, false, false, 0), cheap, 0, 4);
+        BaselineRequest slow =
+                new BaselineRequest(new Request(1, 0, 0, SECOND, 0, false, false, 0), cheap, 0, 4);
         int both = 0;
         int one = 0;
         for (int i = 0; i < 50; i++) {
@@ -312,15 +315,16 @@
                 false);
     }
 
-    private static Call call(RequestClass kind, int index) {
-        return new Call(new Request(1, index, 0, SECOND, 0, false, false, 0), kind, 0, 4);
+    private static BaselineRequest call(RequestClass kind, int index) {
+        return new BaselineRequest(
+                new Request(1, index, 0, SECOND, 0, false, false, 0), kind, 0, 4);
     }
 
     @Test
     public void unknownPolicyIsNamedWithThoseThatThereAre() {
-        assertThrows(IllegalArgumentException.class, () -> Rivals.named("least"));
+        assertThrows(IllegalArgumentException.class, () -> Policies.named("least"));
         assertEquals(
-                Rivals.names(),
+                Policies.names(),
                 List.of(
                         "cedarrudder",
                         "random",
--- a/lab/src/test/java/cedarrudder/lab/rivals/RulesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/RulesTest.java
@@ -1,15 +1,15 @@
-package cedarrudder.lab.rivals;
+package cedarrudder.lab.baselines;
 
-import static cedarrudder.lab.rivals.SmallWorld.MS;
-import static cedarrudder.lab.rivals.SmallWorld.ORIGIN;
-import static cedarrudder.lab.rivals.SmallWorld.SECOND;
-import static cedarrudder.lab.rivals.SmallWorld.STEP;
-import static cedarrudder.lab.rivals.SmallWorld.WORK;
+import static cedarrudder.lab.baselines.SmallWorld.MS;
+import static cedarrudder.lab.baselines.SmallWorld.ORIGIN;
+import static cedarrudder.lab.baselines.SmallWorld.SECOND;
+import static cedarrudder.lab.baselines.SmallWorld.STEP;
+import static cedarrudder.lab.baselines.SmallWorld.WORK;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.referee.Figures;
-import cedarrudder.lab.referee.Referee;
+import cedarrudder.lab.referee.RuleChecker;
+import cedarrudder.lab.referee.RuleParameters;
 import cedarrudder.lab.result.RunResult.Breach;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,23 +26,23 @@
     private static final long GRACE = 8 * MS;
     private static final int SEEDS = 12;
 
-    private static Figures figures(boolean secondCopies) {
-        return new Figures(GRACE, SECOND, 4, SECOND, secondCopies, 4);
+    private static RuleParameters figures(boolean secondCopies) {
+        return new RuleParameters(GRACE, SECOND, 4, SECOND, secondCopies, 4);
     }
 
     @DataProvider
     public Object[][] sound() {
-        return Rivals.names().stream().map(name -> new Object[] {name}).toArray(Object[][]::new);
+        return Policies.names().stream().map(name -> new Object[] {name}).toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "sound")
     public void keepsTheRulesWhateverHappens(String policy) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             boolean secondCopies = seed % 2 == 0;
-            Referee referee = new Referee(figures(secondCopies), ORIGIN);
+            RuleChecker referee = new RuleChecker(figures(secondCopies), ORIGIN);
             SmallWorld world =
                     new SmallWorld(
-                            Rivals.named(policy),
+                            Policies.named(policy),
                             1 + (int) seed % 3,
                             false,
                             secondCopies,
@@ -61,12 +61,12 @@
         for (int i = 0; i < 2; i++) {
             SmallWorld world =
                     new SmallWorld(
-                            Rivals.named(policy),
+                            Policies.named(policy),
                             2,
                             false,
                             true,
                             7,
-                            new Referee(figures(true), ORIGIN));
+                            new RuleChecker(figures(true), ORIGIN));
             world.play(1000);
             transcripts.add(world.transcript());
         }
@@ -77,20 +77,21 @@
     public void servesAllOnAQuietDay(String policy) {
         SmallWorld world =
                 new SmallWorld(
-                        Rivals.named(policy),
+                        Policies.named(policy),
                         2,
                         true,
                         false,
                         1,
-                        new Referee(figures(false), ORIGIN));
+                        new RuleChecker(figures(false), ORIGIN));
         world.play(1000);
         assertEquals(world.served(), 1000);
     }
 
     /** Plays a quiet day of one proxy that a fault breaks, and returns what the referee found. */
-    private static Breach caught(Broken.Fault fault, Consumer<SmallWorld> script) {
-        Referee referee = new Referee(figures(false), ORIGIN);
-        SmallWorld world = new SmallWorld(Rivals.named(fault.policy()), 1, true, false, 1, referee);
+    private static Breach caught(BrokenPolicies.Fault fault, Consumer<SmallWorld> script) {
+        RuleChecker referee = new RuleChecker(figures(false), ORIGIN);
+        SmallWorld world =
+                new SmallWorld(Policies.named(fault.policy()), 1, true, false, 1, referee);
         script.accept(world);
         referee.finish(world.play(300));
         List<Breach> found = referee.breaches();
@@ -100,12 +101,17 @@
     }
 
     private static void assertCaught(
-            Broken.Fault fault, long at, long rpc, long endpoint, String what) {
+            BrokenPolicies.Fault fault, long at, long rpc, long endpoint, String what) {
         assertCaught(caught(fault, world -> {}), fault, at, rpc, endpoint, what);
     }
 
     private static void assertCaught(
-            Breach found, Broken.Fault fault, long at, long rpc, long endpoint, String what) {
+            Breach found,
+            BrokenPolicies.Fault fault,
+            long at,
+            long rpc,
+            long endpoint,
+            String what) {
         assertEquals(
                 found, new Breach(fault.rule, at / 1e9, 0, rpc, endpoint, what, found.count()));
     }
@@ -116,13 +122,17 @@
     @Test
     public void catchesOneThatLosesRpcs() {
         assertCaught(
-                Broken.Fault.LOST, 5 * STEP + SECOND + GRACE, 5, -1, "no final answer in time");
+                BrokenPolicies.Fault.LOST,
+                5 * STEP + SECOND + GRACE,
+                5,
+                -1,
+                "no final answer in time");
     }
 
     @Test
     public void catchesOneThatAnswersLate() {
         assertCaught(
-                Broken.Fault.ANSWERED_LATE,
+                BrokenPolicies.Fault.ANSWERED_LATE,
                 5 * STEP + SECOND + GRACE,
                 5,
                 -1,
@@ -131,18 +141,18 @@
 
     @Test
     public void catchesOneThatAnswersTwice() {
-        assertCaught(Broken.Fault.ANSWERED_TWICE, 5 * STEP, 5, -1, "answered twice");
+        assertCaught(BrokenPolicies.Fault.ANSWERED_TWICE, 5 * STEP, 5, -1, "answered twice");
     }
 
     @Test
     public void catchesOneThatSendsAfterTheEnd() {
-        assertCaught(Broken.Fault.SENT_AFTER_END, 5 * STEP, 5, 2, "sent after its end");
+        assertCaught(BrokenPolicies.Fault.SENT_AFTER_END, 5 * STEP, 5, 2, "sent after its end");
     }
 
     @Test
     public void catchesOneThatResendsUnsafe() {
         assertCaught(
-                Broken.Fault.RESENT_UNSAFE,
+                BrokenPolicies.Fault.RESENT_UNSAFE,
                 22 * STEP + 2 * MS,
                 22,
                 3,
@@ -152,7 +162,7 @@
     @Test
     public void catchesOneThatLeavesTheCell() {
         assertCaught(
-                Broken.Fault.KEYED_OUTSIDE_GROUP,
+                BrokenPolicies.Fault.KEYED_OUTSIDE_GROUP,
                 13 * STEP + 2 * MS,
                 13,
                 3,
@@ -162,7 +172,7 @@
     @Test
     public void catchesOneThatResendsAfterTheWindow() {
         assertCaught(
-                Broken.Fault.KEYED_AFTER_WINDOW,
+                BrokenPolicies.Fault.KEYED_AFTER_WINDOW,
                 9 * STEP + 502 * MS,
                 9,
                 2,
@@ -172,7 +182,7 @@
     @Test
     public void catchesOneThatRefusesWhatMayHaveRun() {
         assertCaught(
-                Broken.Fault.REFUSED_AFTER_RUN,
+                BrokenPolicies.Fault.REFUSED_AFTER_RUN,
                 22 * STEP + MS,
                 22,
                 -1,
@@ -181,7 +191,12 @@
 
     @Test
     public void catchesOneWithTwoOutAtOnce() {
-        assertCaught(Broken.Fault.TWO_OUT, 21 * STEP + 2 * MS, 21, 3, "two attempts out at once");
+        assertCaught(
+                BrokenPolicies.Fault.TWO_OUT,
+                21 * STEP + 2 * MS,
+                21,
+                3,
+                "two attempts out at once");
     }
 
     @Test
@@ -189,11 +204,11 @@
         // From request 111 on the grace is over, and the fifth of these goes there.
         Breach found =
                 caught(
-                        Broken.Fault.SENT_TO_DRAINED,
+                        BrokenPolicies.Fault.SENT_TO_DRAINED,
                         world -> world.at(ORIGIN + 100 * MS, () -> world.drain(3)));
         assertCaught(
                 found,
-                Broken.Fault.SENT_TO_DRAINED,
+                BrokenPolicies.Fault.SENT_TO_DRAINED,
                 115 * STEP,
                 115,
                 3,
@@ -205,7 +220,7 @@
         long start = 95 * MS;
         Breach found =
                 caught(
-                        Broken.Fault.COLD_PUSHED_OVER,
+                        BrokenPolicies.Fault.COLD_PUSHED_OVER,
                         world -> world.at(ORIGIN + start, () -> world.restart(4)));
         // Every request goes there, from number 10 on: the first that is over what the node may
         // get.
@@ -217,7 +232,7 @@
         }
         assertCaught(
                 found,
-                Broken.Fault.COLD_PUSHED_OVER,
+                BrokenPolicies.Fault.COLD_PUSHED_OVER,
                 rpc * STEP,
                 rpc,
                 4,
@@ -227,8 +242,9 @@
 
     @Test
     public void everyFaultIsAPolicy() {
-        assertEquals(Rivals.brokenNames().size(), Broken.Fault.values().length);
+        assertEquals(Policies.brokenNames().size(), BrokenPolicies.Fault.values().length);
         assertTrue(
-                Rivals.brokenNames().containsAll(Set.of("broken-lost", "broken-cold-pushed-over")));
+                Policies.brokenNames()
+                        .containsAll(Set.of("broken-lost", "broken-cold-pushed-over")));
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/rivals/SmallWorld.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/SmallWorld.java
@@ -1,24 +1,24 @@
-package cedarrudder.lab.rivals;
-
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.Goal;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Limits;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Prices;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.RequestClass;
-import cedarrudder.Balancer.Safety;
-import cedarrudder.Balancer.Settings;
-import cedarrudder.Balancer.State;
+package cedarrudder.lab.baselines;
+
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Limits;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.balancer.LoadBalancer.SafetyRules;
+import cedarrudder.balancer.LoadBalancer.ServiceGoal;
+import cedarrudder.balancer.LoadBalancer.ServicePrices;
+import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
-import cedarrudder.lab.policy.Truth;
-import cedarrudder.lab.trace.Tap;
 import cedarrudder.lab.trace.Trace;
+import cedarrudder.lab.trace.TracingBalancer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -45,11 +45,11 @@
     /** Classes in the order in which requests have them: number n has class (n - 1) % 5. */
     public static final List<RequestClass> CLASSES =
             List.of(
-                    kind("safe", Effect.SAFE, KeyScope.ALL),
-                    kind("unsafe", Effect.UNSAFE, KeyScope.ALL),
-                    kind("cell", Effect.KEYED, KeyScope.CELL),
-                    kind("all", Effect.KEYED, KeyScope.ALL),
-                    kind("zone", Effect.KEYED, KeyScope.ZONE));
+                    kind("safe", Idempotency.SAFE, KeyScope.ALL),
+                    kind("unsafe", Idempotency.UNSAFE, KeyScope.ALL),
+                    kind("cell", Idempotency.KEYED, KeyScope.CELL),
+                    kind("all", Idempotency.KEYED, KeyScope.ALL),
+                    kind("zone", Idempotency.KEYED, KeyScope.ZONE));
 
     private record Due(long at, long order, Runnable what) {}
 
@@ -74,7 +74,7 @@
     private final SplittableRandom random;
     private final boolean quiet;
     private final boolean secondCopies;
-    private final Balancer[] proxies;
+    private final LoadBalancer[] proxies;
     private final int[] lives;
     private final PriorityQueue<Due> agenda =
             new PriorityQueue<>(
@@ -101,27 +101,27 @@
         this.random = new SplittableRandom(seed);
         this.quiet = quiet;
         this.secondCopies = secondCopies;
-        this.proxies = new Balancer[copies];
+        this.proxies = new LoadBalancer[copies];
         this.lives = new int[copies];
         for (long id = 1; id <= NODES; id++) {
-            nodes.put(id, node(id, State.READY, 0));
+            nodes.put(id, node(id, EndpointStatus.READY, 0));
         }
         for (int i = 0; i < copies; i++) {
             start(i);
         }
     }
 
-    private static RequestClass kind(String name, Effect effect, KeyScope scope) {
+    private static RequestClass kind(String name, Idempotency effect, KeyScope scope) {
         return new RequestClass(name, effect, scope, 200 * MS, SECOND, 1, 0, 500 * MS, false);
     }
 
     /** Neighbours are in different zones and cells. */
-    private static Endpoint node(long id, State state, long startedAt) {
+    private static Endpoint node(long id, EndpointStatus state, long startedAt) {
         return new Endpoint(id, (int) id % 2, 0, (int) id % 3, state, 1, startedAt);
     }
 
-    private Settings settings(int proxy) {
-        return new Settings(
+    private BalancerSettings settings(int proxy) {
+        return new BalancerSettings(
                 proxies.length,
                 proxy,
                 0,
@@ -131,9 +131,9 @@
                 CLASSES,
                 List.of(),
                 new Limits(true, true, secondCopies, true, 4, SECOND, 50 * MS, 30 * SECOND),
-                new Safety(SECOND, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
-                new Goal(0.8, 0.1, 0.1, 0, 0.1),
-                new Prices(0.01, 0));
+                new SafetyRules(SECOND, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
+                new ServiceGoal(0.8, 0.1, 0.1, 0, 0.1),
+                new ServicePrices(0.01, 0));
     }
 
     public void at(long when, Runnable what) {
@@ -174,34 +174,34 @@
     private void start(int proxy) {
         lives[proxy]++;
         trace.proxyStarted(now, proxy, 0);
-        Settings settings = settings(proxy);
+        BalancerSettings settings = settings(proxy);
         Hands hands = new Hands(proxy, lives[proxy]);
         proxies[proxy] =
-                new Tap(
+                new TracingBalancer(
                         trace,
                         () -> proxy,
                         settings,
                         id -> WORK,
                         hands,
                         actions -> policy.create(settings, random.split(), actions, truth()));
-        proxies[proxy].endpoints(now, ListKind.CACHED, list());
+        proxies[proxy].endpoints(now, EndpointListKind.CACHED, list());
     }
 
     private List<Endpoint> list() {
-        return nodes.values().stream().filter(n -> n.state() != State.GONE).toList();
+        return nodes.values().stream().filter(n -> n.state() != EndpointStatus.GONE).toList();
     }
 
     private void tell(Endpoint entry) {
-        for (Balancer proxy : proxies) {
+        for (LoadBalancer proxy : proxies) {
             if (proxy != null) {
-                proxy.endpoints(now, ListKind.CHANGES, List.of(entry));
+                proxy.endpoints(now, EndpointListKind.CHANGES, List.of(entry));
             }
         }
     }
 
     /** A node is listed as draining. */
     public void drain(long id) {
-        nodes.put(id, node(id, State.DRAINING, nodes.get(id).startedAt()));
+        nodes.put(id, node(id, EndpointStatus.DRAINING, nodes.get(id).startedAt()));
         tell(nodes.get(id));
     }
 
@@ -209,7 +209,7 @@
     public void restart(long id) {
         trace.nodeEnded(now, id);
         trace.nodeStarted(now, id, 1, 0.25, now + 10 * SECOND);
-        nodes.put(id, node(id, State.READY, now));
+        nodes.put(id, node(id, EndpointStatus.READY, now));
         tell(nodes.get(id));
     }
 
@@ -220,13 +220,13 @@
             case 0, 1 -> restart(id);
             case 2 -> drain(id);
             case 3 -> {
-                nodes.put(id, node(id, State.GONE, 0));
+                nodes.put(id, node(id, EndpointStatus.GONE, 0));
                 tell(nodes.get(id));
             }
             case 4 -> {
                 int proxy = random.nextInt(proxies.length);
                 if (proxies[proxy] != null) {
-                    proxies[proxy].endpoints(now, ListKind.FULL, list());
+                    proxies[proxy].endpoints(now, EndpointListKind.FULL, list());
                 }
             }
             default -> {
@@ -296,11 +296,11 @@
     }
 
     /** All nodes look alike; those that the list has as ready take requests. */
-    private Truth truth() {
-        return new Truth() {
+    private GroundTruth truth() {
+        return new GroundTruth() {
             @Override
             public boolean takes(long endpoint) {
-                return nodes.get(endpoint).state() == State.READY;
+                return nodes.get(endpoint).state() == EndpointStatus.READY;
             }
 
             @Override
@@ -325,7 +325,7 @@
         };
     }
 
-    private final class Hands implements Balancer.Actions {
+    private final class Hands implements LoadBalancer.Actions {
         private final int proxy;
         private final int life;
 
@@ -416,7 +416,7 @@
                                     2 * WAY,
                                     lost
                                             ? null
-                                            : new Load(
+                                            : new LoadReport(
                                                     random.nextInt(5),
                                                     Double.NaN,
                                                     0.5,
@@ -442,7 +442,7 @@
                         if (fails) {
                             proxies[proxy].endpointsFailed(now);
                         } else {
-                            proxies[proxy].endpoints(now, ListKind.FULL, list());
+                            proxies[proxy].endpoints(now, EndpointListKind.FULL, list());
                         }
                     });
         }
--- a/lab/src/test/java/cedarrudder/lab/judge/AgreementRulesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/checker/ConsensusInvariantsTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import static org.testng.Assert.assertEquals;
 
@@ -9,33 +9,33 @@
 import org.testng.annotations.Test;
 
 /** A1 and A2 on histories written by hand: a good one, and one thing wrong in each other. */
-public class AgreementRulesTest {
+public class ConsensusInvariantsTest {
 
-    private static Event event(int copy, long life, String what, String... fields) {
+    private static HistoryEvent event(int copy, long life, String what, String... fields) {
         Map<String, String> all = new HashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
             all.put(fields[i], fields[i + 1]);
         }
-        return new Event(0, copy, life, what, all);
+        return new HistoryEvent(0, copy, life, what, all);
     }
 
-    private static Event stored(int copy, long as, long index, String sum) {
+    private static HistoryEvent stored(int copy, long as, long index, String sum) {
         return event(
                 copy, as, "stored", "group", "1", "as", "" + as, "index", "" + index, "sum", sum);
     }
 
-    private static Event loaded(int copy, long index, String sum, String state) {
+    private static HistoryEvent loaded(int copy, long index, String sum, String state) {
         return event(
                 copy, 1, "loaded", "group", "1", "index", "" + index, "sum", sum, "state", state);
     }
 
-    private static Event voted(int copy, long life, long as, String by) {
+    private static HistoryEvent voted(int copy, long life, long as, String by) {
         return event(copy, life, "voted", "group", "1", "term", "4", "as", "" + as, "for", by);
     }
 
-    private static final Event SEATED =
+    private static final HistoryEvent SEATED =
             event(0, 1, "seated", "group", "1", "index", "1", "voters", "0:1,1:1,2:1");
-    private static final List<Event> GOOD =
+    private static final List<HistoryEvent> GOOD =
             List.of(
                     event(0, 1, "started", "kept", "0"),
                     SEATED,
@@ -47,15 +47,15 @@
                     voted(0, 1, 1, "0:1"),
                     event(0, 1, "leads", "group", "1", "term", "4", "as", "1"));
 
-    private static List<String> judged(Event... more) {
-        return judged(new OneTable(), more);
+    private static List<String> judged(HistoryEvent... more) {
+        return judged(new SingleTable(), more);
     }
 
-    private static List<String> judged(OneTable table, Event... more) {
-        List<Event> events = new ArrayList<>(GOOD);
+    private static List<String> judged(SingleTable table, HistoryEvent... more) {
+        List<HistoryEvent> events = new ArrayList<>(GOOD);
         events.addAll(List.of(more));
-        return History.judged(events, 1, List.of(table, new OneLeader())).stream()
-                .map(Breach::rule)
+        return History.judged(events, 1, List.of(table, new SingleLeader())).stream()
+                .map(Violation::rule)
                 .toList();
     }
 
@@ -66,9 +66,13 @@
     @Test
     public void whatAKilledProcessDidNotWriteIsAllowedFor() {
         for (long killedAt : new long[] {0, 10, 11}) {
-            Event killed = new Event(killedAt, 1, 1, "doomed", Map.of());
+            HistoryEvent killed = new HistoryEvent(killedAt, 1, 1, "doomed", Map.of());
             assertEquals(
-                    judged(new OneTable(10), stored(0, 1, 3, "b"), killed, loaded(0, 3, "b", "t")),
+                    judged(
+                            new SingleTable(10),
+                            stored(0, 1, 3, "b"),
+                            killed,
+                            loaded(0, 3, "b", "t")),
                     killedAt > 10 ? List.of("A1") : List.of());
             assertEquals(
                     judged(stored(0, 1, 3, "b"), killed, loaded(0, 3, "b", "t")), List.of("A1"));
--- a/lab/src/test/java/cedarrudder/lab/judge/FleetRulesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/checker/CoordinationInvariantsTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import static org.testng.Assert.assertEquals;
 
@@ -13,13 +13,13 @@
  * F1 to F3, D1, D2, M1 and 'one table' on histories written by hand: for each wrong that a rule is
  * there for one history that has it, and one that only just has not. Times are in milliseconds.
  */
-public class FleetRulesTest {
+public class CoordinationInvariantsTest {
 
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000;
 
     /** Six copies, two in each of three zones; the life of copy 3 is 13. */
-    private static final List<Event> START = new ArrayList<>();
+    private static final List<HistoryEvent> START = new ArrayList<>();
 
     static {
         for (int copy = 0; copy < 6; copy++) {
@@ -29,19 +29,19 @@
         }
     }
 
-    private static Event event(long at, int copy, String what, Object... fields) {
+    private static HistoryEvent event(long at, int copy, String what, Object... fields) {
         Map<String, String> all = new HashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
             all.put((String) fields[i], String.valueOf(fields[i + 1]));
         }
-        return new Event(at * MILLI, copy, copy + 10, what, all);
+        return new HistoryEvent(at * MILLI, copy, copy + 10, what, all);
     }
 
-    private static Event table(long at, int copy, long number, String shares) {
+    private static HistoryEvent table(long at, int copy, long number, String shares) {
         return event(at, copy, "table", "number", number, "lease", 5_000 * MILLI, "shares", shares);
     }
 
-    private static Event saw(long at, int copy, int zone, int served, int failed) {
+    private static HistoryEvent saw(long at, int copy, int zone, int served, int failed) {
         return event(
                 at,
                 copy,
@@ -61,16 +61,16 @@
     /**
      * Judges the start and these, up to so many milliseconds; gives what is wrong, without numbers.
      */
-    private static List<String> judged(Rule rule, long until, List<Event> events) {
-        List<Event> all = new ArrayList<>(START);
+    private static List<String> judged(Invariant rule, long until, List<HistoryEvent> events) {
+        List<HistoryEvent> all = new ArrayList<>(START);
         all.addAll(events);
-        all.sort(Comparator.comparingLong(Event::at));
+        all.sort(Comparator.comparingLong(HistoryEvent::at));
         return History.judged(all, until * MILLI, List.of(rule)).stream()
-                .map(Breach::rule)
+                .map(Violation::rule)
                 .toList();
     }
 
-    private static List<String> judged(Rule rule, long until, Event... events) {
+    private static List<String> judged(Invariant rule, long until, HistoryEvent... events) {
         return judged(rule, until, List.of(events));
     }
 
@@ -80,8 +80,9 @@
      * Copies that see zone 1 fail, the others that are served there, and then a table that leaves
      * it.
      */
-    private static List<String> left(long seenAt, int[] failing, int[] served, Event... more) {
-        List<Event> events = new ArrayList<>(List.of(more));
+    private static List<String> left(
+            long seenAt, int[] failing, int[] served, HistoryEvent... more) {
+        List<HistoryEvent> events = new ArrayList<>(List.of(more));
         for (int copy : failing) {
             events.add(saw(seenAt, copy, 1, 2, 3));
         }
@@ -91,7 +92,7 @@
         events.add(table(10_000, 0, 1, "1>1:near:10000:0"));
         events.add(table(20_000, 0, 2, "1>1:near:5000:0,1>2:moved:5000:0"));
         events.add(table(20_001, 1, 2, "1>1:near:5000:0,1>2:moved:5000:0"));
-        return judged(new ZoneLeft(5 * SECOND * MILLI), 30_000, events);
+        return judged(new ZoneEvacuation(5 * SECOND * MILLI), 30_000, events);
     }
 
     @Test
@@ -142,7 +143,7 @@
                 "others were not served a moment ago");
         assertEquals(
                 judged(
-                        new ZoneLeft(SECOND * MILLI),
+                        new ZoneEvacuation(SECOND * MILLI),
                         9,
                         saw(5, 2, 1, 9, 0),
                         saw(5, 3, 1, 9, 0),
@@ -155,8 +156,8 @@
 
     // ---- F2 ----
 
-    private static List<String> loaded(int most, int others, long until, Event... more) {
-        List<Event> events = new ArrayList<>(List.of(more));
+    private static List<String> loaded(int most, int others, long until, HistoryEvent... more) {
+        List<HistoryEvent> events = new ArrayList<>(List.of(more));
         events.add(event(1, -1, "capacity", "zone", 0, "per_s", 100));
         events.add(event(1, -1, "capacity", "zone", 1, "per_s", 100));
         for (long at = 500; at <= until; at += 500) {
@@ -191,7 +192,7 @@
     public void callersMoveNoOftenerThanStated() {
         String near = "0>0:near:10000:0,1>1:near:10000:0";
         String away = "0>1:moved:10000:0,1>1:near:10000:0";
-        List<Event> moves =
+        List<HistoryEvent> moves =
                 new ArrayList<>(
                         List.of(
                                 table(1_000, 0, 1, near),
@@ -212,28 +213,29 @@
 
     // ---- F3 ----
 
-    private static List<String> used(Event... events) {
-        List<Event> all = new ArrayList<>(List.of(events));
+    private static List<String> used(HistoryEvent... events) {
+        List<HistoryEvent> all = new ArrayList<>(List.of(events));
         all.add(event(0, 0, "seated", "group", "1", "index", 1, "voters", "0:1,2:1,4:1"));
-        return judged(new Leases(500 * MILLI), 60_000, all);
+        return judged(new LeaseSafety(500 * MILLI), 60_000, all);
     }
 
     /** The same for copy 0, whose lease of table 7 began after a second. */
-    private static List<String> leased(Event... events) {
-        List<Event> all = new ArrayList<>(List.of(renewed(1_000, 0, 0), table(1_000, 0, 7, "")));
+    private static List<String> leased(HistoryEvent... events) {
+        List<HistoryEvent> all =
+                new ArrayList<>(List.of(renewed(1_000, 0, 0), table(1_000, 0, 7, "")));
         all.addAll(List.of(events));
-        return used(all.toArray(Event[]::new));
+        return used(all.toArray(HistoryEvent[]::new));
     }
 
-    private static Event used(long at, int copy, long number) {
+    private static HistoryEvent used(long at, int copy, long number) {
         return event(at, copy, "used", "number", number);
     }
 
-    private static Event lapsed(long at, int copy, long number) {
+    private static HistoryEvent lapsed(long at, int copy, long number) {
         return event(at, copy, "lapsed", "number", number);
     }
 
-    private static Event renewed(long at, int copy, long age) {
+    private static HistoryEvent renewed(long at, int copy, long age) {
         return event(at, copy, "renewed", "age", age * MILLI);
     }
 
@@ -271,7 +273,8 @@
     /** Whatever a copy says of its lease: cut off from two of three voters it can hear of none. */
     @Test
     public void aLeaseEndsWithoutAMajority() {
-        List<Event> cut = new ArrayList<>(List.of(table(1_000, 0, 7, ""), renewed(5_000, 0, 0)));
+        List<HistoryEvent> cut =
+                new ArrayList<>(List.of(table(1_000, 0, 7, ""), renewed(5_000, 0, 0)));
         for (int other = 2; other < 6; other++) {
             for (int side = 0; side < 2; side++) {
                 cut.add(event(2_000, side, "cut", "to", other));
@@ -305,19 +308,19 @@
                 "the other way too");
     }
 
-    private static Event[] with(List<Event> events, Event... more) {
-        List<Event> all = new ArrayList<>(events);
+    private static HistoryEvent[] with(List<HistoryEvent> events, HistoryEvent... more) {
+        List<HistoryEvent> all = new ArrayList<>(events);
         all.addAll(List.of(more));
-        return all.toArray(Event[]::new);
+        return all.toArray(HistoryEvent[]::new);
     }
 
     // ---- D1 ----
 
-    private static Event leaving(long at, int copy, String nodes) {
+    private static HistoryEvent leaving(long at, int copy, String nodes) {
         return event(at, copy, "leaving", "nodes", nodes);
     }
 
-    private static Event drain(long at, int copy, int wave, String node, String what) {
+    private static HistoryEvent drain(long at, int copy, int wave, String node, String what) {
         return event(
                 at,
                 copy,
@@ -332,15 +335,15 @@
                 5_000 * MILLI);
     }
 
-    private static Event node(long at, String node, String mood) {
+    private static HistoryEvent node(long at, String node, String mood) {
         return event(at, -1, "node", "node", node, "zone", 0, "mood", mood);
     }
 
-    private static List<String> out(Event... events) {
-        List<Event> all = new ArrayList<>(List.of(events));
+    private static List<String> out(HistoryEvent... events) {
+        List<HistoryEvent> all = new ArrayList<>(List.of(events));
         all.add(event(0, -1, "bound", "name", "pod 1", "nodes", "a,b,c", "most", 2));
         all.add(event(0, -1, "bound", "name", "all", "nodes", "a,b,c,d,e,f", "most", 3));
-        return judged(new OutAtOnce(SECOND * MILLI), 90_000, all);
+        return judged(new ConcurrentDisruptions(SECOND * MILLI), 90_000, all);
     }
 
     @Test
@@ -363,7 +366,7 @@
                         event(2, 1, "ended"),
                         leaving(3, 0, "b,c")),
                 List.of());
-        Event[] two = {
+        HistoryEvent[] two = {
             drain(1, 0, 1, "a", "begun"), drain(1, 0, 1, "b", "begun"), leaving(5, 1, "a,b")
         };
         assertEquals(out(with(List.of(two), drain(6, 0, 2, "c", "begun"))), List.of("D1"));
@@ -427,17 +430,17 @@
 
     // ---- D2 ----
 
-    private static Event at(long at, int copy, String what, String rpc) {
+    private static HistoryEvent at(long at, int copy, String what, String rpc) {
         return event(at, copy, what, "node", "a", "rpc", rpc);
     }
 
-    private static List<String> drained(long until, Event... events) {
-        return judged(new Drains(2 * SECOND * MILLI, SECOND * MILLI), until, events);
+    private static List<String> drained(long until, HistoryEvent... events) {
+        return judged(new DrainInvariants(2 * SECOND * MILLI, SECOND * MILLI), until, events);
     }
 
     @Test
     public void nothingNewComesToANodeThatLeaves() {
-        Event had = leaving(1_000, 0, "a");
+        HistoryEvent had = leaving(1_000, 0, "a");
         assertEquals(drained(9_000, had, at(3_000, 0, "reached", "r")), List.of());
         assertEquals(drained(9_000, had, at(3_001, 0, "reached", "r")), List.of("D2"));
         assertEquals(
@@ -461,7 +464,7 @@
                 drained(
                         9_000,
                         had,
-                        new Event(2_000 * MILLI, 0, 99, "started", Map.of()),
+                        new HistoryEvent(2_000 * MILLI, 0, 99, "started", Map.of()),
                         at(3_001, 0, "reached", "r")),
                 List.of(),
                 "a second process has not heard");
@@ -469,9 +472,9 @@
 
     @Test
     public void aNodeIsEmptyWhenNobodyHasCallsThere() {
-        Event begun = drain(1_000, 0, 1, "a", "begun");
-        Event empty = drain(4_000, 0, 1, "a", "empty");
-        Event there = at(900, 2, "reached", "r");
+        HistoryEvent begun = drain(1_000, 0, 1, "a", "begun");
+        HistoryEvent empty = drain(4_000, 0, 1, "a", "empty");
+        HistoryEvent there = at(900, 2, "reached", "r");
         assertEquals(drained(9_000, begun, there, at(3_999, 2, "served", "r"), empty), List.of());
         assertEquals(
                 drained(9_000, begun, there, at(4_001, 2, "served", "r"), empty), List.of("D2"));
@@ -514,8 +517,8 @@
                         begun,
                         there,
                         event(3_999, 2, "ended"),
-                        new Event(3_999 * MILLI, 2, 99, "started", Map.of()),
-                        new Event(3_999 * MILLI, 2, 99, "speaks", Map.of()),
+                        new HistoryEvent(3_999 * MILLI, 2, 99, "started", Map.of()),
+                        new HistoryEvent(3_999 * MILLI, 2, 99, "speaks", Map.of()),
                         empty),
                 List.of(),
                 "in another life");
@@ -524,7 +527,7 @@
 
     @Test
     public void noRemovalIsOpenPastItsTime() {
-        Event begun = drain(1_000, 0, 1, "a", "begun");
+        HistoryEvent begun = drain(1_000, 0, 1, "a", "begun");
         assertEquals(drained(7_000, begun), List.of());
         assertEquals(drained(7_001, begun), List.of("D2"));
         assertEquals(drained(9_000, begun, drain(7_000, 0, 1, "a", "alarmed")), List.of());
@@ -549,7 +552,7 @@
 
     // ---- M1 ----
 
-    private static Event estimate(long at, int copy, String bound, int fits, long needed) {
+    private static HistoryEvent estimate(long at, int copy, String bound, int fits, long needed) {
         return event(
                 at,
                 copy,
@@ -566,7 +569,7 @@
 
     @Test
     public void nothingIsLoadedThatWasRefusedNorEstimatedTooLow() {
-        Estimates rule = new Estimates(0.03);
+        FootprintInvariants rule = new FootprintInvariants(0.03);
         assertEquals(
                 judged(
                         rule,
@@ -580,7 +583,7 @@
                 judged(rule, 9, estimate(1, 0, "peak", 0, 100), table(2, 0, 7, "")), List.of("M1"));
         assertEquals(
                 judged(
-                        new Estimates(0.03),
+                        new FootprintInvariants(0.03),
                         9,
                         estimate(1, 0, "peak", 0, 9),
                         estimate(1, 0, "rest", 1, 9),
@@ -589,7 +592,7 @@
                 "one bound is enough");
         assertEquals(
                 judged(
-                        new Estimates(0.03),
+                        new FootprintInvariants(0.03),
                         9,
                         estimate(1, 0, "peak", 0, 9),
                         estimate(2, 0, "peak", 1, 9),
@@ -599,7 +602,7 @@
         for (int now : new int[] {1_030, 1_031}) {
             assertEquals(
                     judged(
-                            new Estimates(0.03),
+                            new FootprintInvariants(0.03),
                             9,
                             estimate(1, 0, "peak", 1, 1_000),
                             event(2, 0, "held", "load", "table 7", "bound", "peak", "now", now),
@@ -610,13 +613,13 @@
 
     // ---- one table ----
 
-    private static List<String> held(long until, Event... events) {
-        List<Event> all = new ArrayList<>(List.of(events));
+    private static List<String> held(long until, HistoryEvent... events) {
+        List<HistoryEvent> all = new ArrayList<>(List.of(events));
         for (int copy = 0; copy < 6; copy++) {
             all.add(table(1_000, copy, 7, ""));
         }
         all.add(event(5_000, -1, "over"));
-        return judged(new HeldTable(3 * SECOND * MILLI), until, all);
+        return judged(new TableConvergence(3 * SECOND * MILLI), until, all);
     }
 
     @Test
@@ -662,6 +665,9 @@
         assertEquals(
                 held(8_000, table(2_000, 3, 7, "0>0:near:1:0"), table(2_001, 3, 7, "")),
                 List.of("A1"));
-        assertEquals(judged(new HeldTable(1), 9, event(1, -1, "over")), List.of(), "none ever was");
+        assertEquals(
+                judged(new TableConvergence(1), 9, event(1, -1, "over")),
+                List.of(),
+                "none ever was");
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/judge/HistoryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/checker/HistoryTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.judge;
+package cedarrudder.lab.checker;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -19,8 +19,8 @@
      */
     @Test
     public void aLineThatItsProcessDidNotFinishIsLeftOut() throws IOException {
-        Event first = new Event(5, 1, 9, "voted", Map.of("term", "7"));
-        Event second = new Event(3, 2, 9, "loaded", Map.of("digest", "a \"b\"\n"));
+        HistoryEvent first = new HistoryEvent(5, 1, 9, "voted", Map.of("term", "7"));
+        HistoryEvent second = new HistoryEvent(3, 2, 9, "loaded", Map.of("digest", "a \"b\"\n"));
         Path one = Files.createTempFile("copy", ".jsonl");
         Path other = Files.createTempFile("copy", ".jsonl");
         try {
--- a/lab/src/test/java/cedarrudder/lab/cluster/JudgedTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/CheckedHistoriesTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
-import cedarrudder.lab.members.Mesh;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.membership.SwimSimulation;
 import cedarrudder.membership.MembershipSettings;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -25,15 +25,15 @@
  * Sound programs keep the rules; for each rule there is one that is broken on purpose, and it is
  * caught.
  */
-public class JudgedTest {
+public class CheckedHistoriesTest {
 
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
     private static final int SETTLE = 90;
     private static final MembershipSettings SOUND = MembershipSettings.DEFAULT;
 
-    private static Mesh.Network network(double loss) {
-        return new Mesh.Network(loss, MILLI / 10, 2 * MILLI);
+    private static SwimSimulation.Network network(double loss) {
+        return new SwimSimulation.Network(loss, MILLI / 10, 2 * MILLI);
     }
 
     private static Set<String> broken(Verdict verdict) {
@@ -92,7 +92,7 @@
     public void oneThatTakesTheLivingForDeadIsCaught() {
         MembershipSettings hasty =
                 new MembershipSettings(SOUND.period(), 10_000, 0, 0.001, 1, 1, 1, 0, 10);
-        Mesh.Network slow = new Mesh.Network(0, 500 * MILLI, 1_500 * MILLI);
+        SwimSimulation.Network slow = new SwimSimulation.Network(0, 500 * MILLI, 1_500 * MILLI);
         assertCaught(
                 VirtualRun.play(12, slow, hasty, 1, SETTLE),
                 "true deaths",
@@ -105,17 +105,17 @@
      */
     @Test
     public void oneThatBelievesAnOldLifeIsCaught() {
-        List<Event> events = new ArrayList<>();
+        List<HistoryEvent> events = new ArrayList<>();
         long[] heard = {0, 0};
         boolean[] dead = new boolean[2];
-        events.add(new Event(0, 0, 100, "started", Map.of()));
-        events.add(new Event(0, 1, 101, "started", Map.of()));
-        events.add(new Event(0, 0, 100, "speaks", Map.of()));
-        events.add(new Event(0, 1, 101, "speaks", Map.of()));
+        events.add(new HistoryEvent(0, 0, 100, "started", Map.of()));
+        events.add(new HistoryEvent(0, 1, 101, "started", Map.of()));
+        events.add(new HistoryEvent(0, 0, 100, "speaks", Map.of()));
+        events.add(new HistoryEvent(0, 1, 101, "speaks", Map.of()));
         for (int second = 1; second < 60; second++) {
             boolean runs = second < 20;
             if (second == 20) {
-                events.add(new Event(second * SECOND, 1, 101, "ended", Map.of()));
+                events.add(new HistoryEvent(second * SECOND, 1, 101, "ended", Map.of()));
             }
             if (runs || second == 40) { // what was sent at 19 arrives
                 heard[1] = second;
@@ -132,8 +132,8 @@
         assertCaught(verdict, "true deaths", "believed copy 1's life 7 again");
     }
 
-    private static Event belief(int second, String what) {
-        return new Event(second * SECOND, 0, 100, what, Map.of("about", "1", "number", "7"));
+    private static HistoryEvent belief(int second, String what) {
+        return new HistoryEvent(second * SECOND, 0, 100, what, Map.of("about", "1", "number", "7"));
     }
 
     /** A server that answers one request twice, lets one go without, and serves one. */
@@ -144,9 +144,9 @@
             Thread thread = new Thread(() -> serve(server));
             thread.setDaemon(true);
             thread.start();
-            Chronicle chronicle = new Chronicle(file);
-            Callers callers =
-                    new Callers(
+            HistoryRecorder chronicle = new HistoryRecorder(file);
+            TestClients callers =
+                    new TestClients(
                             List.of((InetSocketAddress) server.getLocalSocketAddress()), chronicle);
             long until = System.nanoTime() + 20 * SECOND;
             while (Files.readString(file).split("\"asked\"").length < 6
@@ -155,7 +155,7 @@
             }
             callers.end();
             chronicle.close();
-            List<Event> events = History.read(List.of(file));
+            List<HistoryEvent> events = History.read(List.of(file));
             assertTrue(events.size() > 5, "callers asked too little: " + events);
             Verdict verdict =
                     Verdict.of(events, System.nanoTime(), SOUND.period(), SECOND, List.of());
--- a/lab/src/test/java/cedarrudder/lab/cluster/ClusterIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/ClusterIT.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.emulator.Place;
+import cedarrudder.lab.emulator.HostEnvironment;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -22,7 +22,7 @@
                 Cluster.play(
                         script,
                         SEED,
-                        Place.of(
+                        HostEnvironment.of(
                                 Path.of(""),
                                 Files.createTempDirectory("cluster"),
                                 List.of(),
@@ -66,7 +66,9 @@
                                 List.of(),
                                 List.of(),
                                 "",
-                                List.of(Step.of(0.1, Act.UPGRADE_APART, List.of(1)))));
+                                List.of(
+                                        ScriptStep.of(
+                                                0.1, ScriptAction.UPGRADE_APART, List.of(1)))));
         assertTrue(
                 verdict.breaches().stream().anyMatch(breach -> breach.rule().equals("one voice")),
                 verdict.toString());
--- a/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
@@ -4,14 +4,14 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.lab.attack.ToySite;
-import cedarrudder.lab.emulator.Place;
-import cedarrudder.lab.judge.Breach;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
-import cedarrudder.lab.judge.Leases;
-import cedarrudder.lab.judge.OneLeader;
-import cedarrudder.lab.judge.OneTable;
-import cedarrudder.lab.judge.OneVoice;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.checker.LeaseSafety;
+import cedarrudder.lab.checker.SingleLeader;
+import cedarrudder.lab.checker.SingleSpeaker;
+import cedarrudder.lab.checker.SingleTable;
+import cedarrudder.lab.checker.Violation;
+import cedarrudder.lab.emulator.HostEnvironment;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -59,17 +59,17 @@
 
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
-    private final List<Copy> copies = new ArrayList<>();
+    private final List<ReplicaProcess> copies = new ArrayList<>();
     private Path folder;
-    private Chronicle chronicle;
+    private HistoryRecorder chronicle;
 
     @BeforeMethod
     public void start() throws Exception {
         folder = Files.createTempDirectory("fleet");
-        chronicle = new Chronicle(folder.resolve("world.jsonl"));
-        Place place = Place.of(Path.of(""), folder, List.of(), 0, 0);
+        chronicle = new HistoryRecorder(folder.resolve("world.jsonl"));
+        HostEnvironment place = HostEnvironment.of(Path.of(""), folder, List.of(), 0, 0);
         for (int i = 0; i < COPIES; i++) {
-            copies.add(new Copy(i, place, chronicle));
+            copies.add(new ReplicaProcess(i, place, chronicle));
         }
         String peers =
                 copies.stream()
@@ -106,7 +106,7 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (Copy copy : copies) {
+        for (ReplicaProcess copy : copies) {
             copy.close();
         }
         chronicle.close();
@@ -203,7 +203,7 @@
         return IntStream.range(0, COPIES).filter(i -> i != copy).toArray();
     }
 
-    private List<Event> events() throws IOException {
+    private List<HistoryEvent> events() throws IOException {
         List<Path> files = new ArrayList<>(List.of(folder.resolve("world.jsonl")));
         copies.forEach(copy -> files.addAll(copy.histories()));
         return History.read(files);
@@ -221,7 +221,7 @@
 
     @Test
     public void theyAgreeThroughAKillAStopAndAnUpgrade() throws Exception {
-        for (Copy copy : copies) {
+        for (ReplicaProcess copy : copies) {
             copy.start();
         }
         await(
@@ -274,16 +274,16 @@
                 count("joins", upgraded, "kept", "1") >= 2,
                 "the new process did not find the file");
 
-        List<Event> events = events();
-        List<Breach> breaches =
+        List<HistoryEvent> events = events();
+        List<Violation> breaches =
                 History.judged(
                         events,
                         System.nanoTime(),
                         List.of(
-                                new OneTable(SECOND),
-                                new OneLeader(),
-                                new OneVoice(),
-                                new Leases(SECOND)));
+                                new SingleTable(SECOND),
+                                new SingleLeader(),
+                                new SingleSpeaker(),
+                                new LeaseSafety(SECOND)));
         assertEquals(breaches, List.of(), "in " + folder);
         assertTrue(copies.stream().allMatch(copy -> copy.crashes().isEmpty()));
         long after = leadsAfterTheKill(events);
@@ -292,7 +292,7 @@
 
     /** The first that it says of its table after it went on is that the lease is over. */
     private boolean lapsedBeforeAllElse(int copy) throws IOException {
-        List<Event> its = events().stream().filter(event -> event.copy() == copy).toList();
+        List<HistoryEvent> its = events().stream().filter(event -> event.copy() == copy).toList();
         long stopped =
                 its.stream()
                         .filter(event -> event.what().equals("stopped"))
@@ -311,7 +311,7 @@
                 .equals("lapsed");
     }
 
-    private static long leadsAfterTheKill(List<Event> events) {
+    private static long leadsAfterTheKill(List<HistoryEvent> events) {
         long from =
                 events.stream()
                         .filter(event -> event.what().equals("doomed"))
--- a/lab/src/test/java/cedarrudder/lab/cluster/RemovalIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/OperatorRemovalIT.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.emulator.Place;
+import cedarrudder.lab.emulator.HostEnvironment;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -14,7 +14,7 @@
  * against more out than the policy allows, calls to a node that leaves, a drain said done too
  * early, and calls that are lost.
  */
-public class RemovalIT {
+public class OperatorRemovalIT {
 
     private static final long SEED = 1;
 
@@ -25,7 +25,7 @@
                 Cluster.play(
                         script,
                         SEED,
-                        Place.of(
+                        HostEnvironment.of(
                                 Path.of(""),
                                 Files.createTempDirectory("removal"),
                                 List.of(),
--- a/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.InvalidFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -58,9 +58,10 @@
                 path = "no slash"
                 status = 99
                 """;
-        BadFileException bad =
+        InvalidFileException bad =
                 expectThrows(
-                        BadFileException.class, () -> ScriptReader.read(Document.parse("s", text)));
+                        InvalidFileException.class,
+                        () -> ScriptReader.read(ConfigDocument.parse("s", text)));
         assertEquals(
                 bad.problems().stream().map(p -> p.line() + " " + p.key()).toList(),
                 List.of(
@@ -85,10 +86,10 @@
      * Copies and nodes are dealt to zones in turn; a zone that is cut off takes its nodes along.
      */
     @Test
-    public void zonesAreCopiesAndNodes() throws BadFileException {
+    public void zonesAreCopiesAndNodes() throws InvalidFileException {
         Script script =
                 ScriptReader.read(
-                        Document.parse(
+                        ConfigDocument.parse(
                                 "s",
                                 """
                                 copies = 5
@@ -117,16 +118,19 @@
                                 """));
         assertEquals(script.steps().get(0).copies(), List.of(0, 3));
         assertEquals(
-                script.steps().get(0).sides(), new Sides(List.of(), List.of(0, 3), List.of(1, 2)));
+                script.steps().get(0).sides(),
+                new NetworkPartition(List.of(), List.of(0, 3), List.of(1, 2)));
         assertEquals(script.steps().get(1).copies(), List.of(4));
         assertEquals(script.steps().get(1).nodes(), List.of(1, 2));
-        assertEquals(script.steps().get(2).sides(), new Sides(List.of(2), List.of(), List.of()));
+        assertEquals(
+                script.steps().get(2).sides(),
+                new NetworkPartition(List.of(2), List.of(), List.of()));
         assertTrue(script.steps().get(3).leader());
         assertEquals(script.zone(4), 1);
     }
 
     @Test
-    public void theScriptsThatComeWithTheLabAreSound() throws BadFileException {
+    public void theScriptsThatComeWithTheLabAreSound() throws InvalidFileException {
         for (String name : List.of("short", "hard", "agreed")) {
             ScriptReader.read(Path.of("lab", "clusters", name + ".toml"));
         }
@@ -134,7 +138,7 @@
 
     @Test
     public void aSeedDrawsOneScript() {
-        assertEquals(DrawnScript.of(5, 12), DrawnScript.of(5, 12));
+        assertEquals(RandomScript.of(5, 12), RandomScript.of(5, 12));
     }
 
     /**
@@ -142,7 +146,8 @@
      */
     @Test
     public void aLinkDoesWhatTheWeatherSays() {
-        Weather weather = new Weather(0.3, 0.2, 0.1, 0.25, 2_000_000, 21_000_000);
+        NetworkConditions weather =
+                new NetworkConditions(0.3, 0.2, 0.1, 0.25, 2_000_000, 21_000_000);
         byte[] datagram = new byte[100];
         List<List<Long>> fates = new ArrayList<>();
         for (int time = 0; time < 2; time++) {
@@ -173,7 +178,7 @@
         Link link = new Link(new SplittableRandom(9));
         int underWay = 0;
         for (int i = 0; i < 1_000; i++) {
-            underWay += link.sent(i, datagram, Weather.CALM).size();
+            underWay += link.sent(i, datagram, NetworkConditions.CALM).size();
         }
         assertEquals(underWay, Link.MOST_UNDER_WAY);
         link.cut(true);
--- a/lab/src/test/java/cedarrudder/lab/command/GoldenRunsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/command/GoldenRunsTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Golden;
-import cedarrudder.lab.rivals.Rivals;
+import cedarrudder.conventions.Golden;
+import cedarrudder.lab.baselines.Policies;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -82,7 +82,7 @@
     @Test
     public void eachPolicyDoesAsThatOfTheEarlierBuild() {
         StringBuilder results = new StringBuilder();
-        for (String policy : Rivals.names()) {
+        for (String policy : Policies.names()) {
             results.append(
                     policy
                             + " "
--- a/lab/src/test/java/cedarrudder/lab/command/LabTest.java
+++ b/lab/src/test/java/cedarrudder/lab/command/LabTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.rivals.Rivals;
+import cedarrudder.lab.baselines.Policies;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -148,7 +148,7 @@
 
     @Test
     public void aBrokenRuleIsToldAndEndsWithOne() {
-        String broken = Rivals.brokenNames().get(0);
+        String broken = Policies.brokenNames().get(0);
         Said said = lab("model", good, "--policy", broken, "--seed", "2");
         assertEquals(said.code, 1);
         assertTrue(said.out.contains("seed 2: rule 1 broken "), said.out);
@@ -239,8 +239,9 @@
     @Test
     public void policiesAndVersionAreListed() {
         Said policies = lab("policies");
-        assertEquals(policies.out.lines().map(line -> line.split(" ")[0]).toList(), Rivals.names());
-        assertTrue(lab("policies", "--broken").out.lines().count() > Rivals.names().size());
+        assertEquals(
+                policies.out.lines().map(line -> line.split(" ")[0]).toList(), Policies.names());
+        assertTrue(lab("policies", "--broken").out.lines().count() > Policies.names().size());
         assertTrue(lab("version").out.startsWith("cedarrudder-lab "));
         Said help = lab("model", "--help");
         assertEquals(help.code, 0);
--- a/lab/src/test/java/cedarrudder/lab/agreement/CopiesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.agreement;
+package cedarrudder.lab.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -7,17 +7,17 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.agreement.Agreement;
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.agreement.Store;
-import cedarrudder.agreement.Voter;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.History;
-import cedarrudder.lab.judge.OneEffect;
-import cedarrudder.lab.judge.OneTable;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.consensus.RaftNode;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.consensus.Voter;
+import cedarrudder.lab.checker.AtMostOnceEffect;
+import cedarrudder.lab.checker.History;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.checker.SingleTable;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -27,31 +27,34 @@
  * Copies that agree, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
  * same.
  */
-public class CopiesTest {
+public class ConsensusSimulationTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
-    private static final Copies.Network CALM = new Copies.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
-    private static final AgreementSettings SETTINGS = AgreementSettings.DEFAULT;
+    private static final ConsensusSimulation.Network CALM =
+            new ConsensusSimulation.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
+    private static final ConsensusSettings SETTINGS = ConsensusSettings.DEFAULT;
 
-    private static Copies started(int size, AgreementSettings settings, int stateBytes) {
-        Copies copies =
-                new Copies(size, CALM, settings, false, stateBytes, 7, Agreement::new, null);
+    private static ConsensusSimulation started(
+            int size, ConsensusSettings settings, int stateBytes) {
+        ConsensusSimulation copies =
+                new ConsensusSimulation(
+                        size, CALM, settings, false, stateBytes, 7, RaftNode::new, null);
         copies.form(0);
         copies.play(15 * SECOND);
         assertEquals(copies.view(copies.leader()).voters().size(), 5);
         return copies;
     }
 
-    private static LogNumber commit(Copies copies) {
-        LogNumber number = copies.propose(copies.leader(), new byte[100]);
+    private static LogPosition commit(ConsensusSimulation copies) {
+        LogPosition number = copies.propose(copies.leader(), new byte[100]);
         assertNotNull(number);
         copies.play(2 * SECOND);
         assertTrue(copies.allLoaded(number));
         return number;
     }
 
-    private static void forgetAll(Copies copies) {
+    private static void forgetAll(ConsensusSimulation copies) {
         for (Voter voter : copies.view(copies.leader()).voters().all()) {
             copies.kill(voter.copy());
             copies.restart(voter.copy());
@@ -60,18 +63,18 @@
 
     @Test
     public void oneSeedGivesOneHistory() {
-        List<List<Event>> histories = new ArrayList<>();
+        List<List<HistoryEvent>> histories = new ArrayList<>();
         for (int time = 0; time < 2; time++) {
-            List<Event> events = new ArrayList<>();
-            Copies copies =
-                    new Copies(
+            List<HistoryEvent> events = new ArrayList<>();
+            ConsensusSimulation copies =
+                    new ConsensusSimulation(
                             9,
-                            new Copies.Network(0.1, 0.1, 0.1, MILLI, 20 * MILLI),
+                            new ConsensusSimulation.Network(0.1, 0.1, 0.1, MILLI, 20 * MILLI),
                             SETTINGS,
                             true,
                             600,
                             5,
-                            Agreement::new,
+                            RaftNode::new,
                             events::add);
             copies.form(2);
             copies.play(15 * SECOND);
@@ -88,7 +91,7 @@
     @Test
     public void stormsBreakNoRuleAndEnd() {
         for (long seed = 1; seed <= 100; seed++) {
-            Storm.Result result = Storm.play(seed, Agreement::new);
+            FaultStorm.Result result = FaultStorm.play(seed, RaftNode::new);
             assertEquals(result.breaches(), List.of(), "seed " + seed);
             assertTrue(result.settled() >= 0, "seed " + seed + " did not settle");
         }
@@ -96,7 +99,7 @@
 
     @Test
     public void whatALeaderSaysThatStoodStillHasNoEffect() {
-        Copies copies = started(7, SETTINGS, 8);
+        ConsensusSimulation copies = started(7, SETTINGS, 8);
         int stalled = copies.leader();
         long term = copies.view(stalled).term();
         copies.stall(stalled, 5 * SECOND);
@@ -105,7 +108,7 @@
         int other = copies.leader();
         assertNotEquals(other, stalled);
         assertTrue(copies.view(stalled).leads(), "it believes that it leads");
-        LogNumber number = commit(copies);
+        LogPosition number = commit(copies);
         copies.play(100 * MILLI);
         assertEquals(copies.leader(), other);
         assertFalse(copies.view(stalled).leads());
@@ -115,7 +118,7 @@
 
     @Test
     public void aVoterThatForgotVotesAgainUnderItsNewLife() {
-        Copies copies = started(5, SETTINGS, 8);
+        ConsensusSimulation copies = started(5, SETTINGS, 8);
         int leader = copies.leader();
         int voter = (leader + 1) % 5;
         long before = copies.view(voter).life();
@@ -128,7 +131,7 @@
 
     @Test
     public void aSilentVoterIsReplacedByOneOfItsZone() {
-        Copies copies = started(12, SETTINGS, 8);
+        ConsensusSimulation copies = started(12, SETTINGS, 8);
         int leader = copies.leader();
         Voter gone =
                 copies.view(leader).voters().all().stream()
@@ -149,23 +152,23 @@
 
     @Test
     public void aGroupWhoseMajorityForgotStopsUntilAnOperatorFormsAnother() {
-        Copies copies = started(9, SETTINGS, 8);
-        LogNumber before = commit(copies);
+        ConsensusSimulation copies = started(9, SETTINGS, 8);
+        LogPosition before = commit(copies);
         forgetAll(copies);
         copies.play(30 * SECOND);
         assertEquals(copies.leader(), -1);
         assertTrue(copies.agree(), "learners have it still");
         copies.form(3);
         copies.play(15 * SECOND);
-        LogNumber after = commit(copies);
+        LogPosition after = commit(copies);
         assertTrue(after.compareTo(before) > 0);
         assertTrue(copies.agree());
     }
 
     @Test
     public void afterTheStatedSilenceAMajorityOfCopiesFormsAGroupAndAMinorityDoesNot() {
-        Copies copies = started(9, SETTINGS.silence(6 * SECOND), 8);
-        LogNumber before = commit(copies);
+        ConsensusSimulation copies = started(9, SETTINGS.silence(6 * SECOND), 8);
+        LogPosition before = commit(copies);
         List<Integer> voters =
                 copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
         for (int i = 0; i < 9; i++) {
@@ -186,14 +189,14 @@
 
     @Test
     public void oneThatWasAwayGetsASnapshotInPieces() {
-        Copies copies = started(8, SETTINGS, 30_000);
+        ConsensusSimulation copies = started(8, SETTINGS, 30_000);
         int away = (copies.leader() + 1) % 8;
         copies.kill(away);
         for (int i = 0; i < 100; i++) {
             copies.propose(copies.leader(), new byte[200]);
             copies.play(100 * MILLI);
         }
-        copies.network(new Copies.Network(0.3, 0.02, 0.01, 2 * MILLI, 21 * MILLI));
+        copies.network(new ConsensusSimulation.Network(0.3, 0.02, 0.01, 2 * MILLI, 21 * MILLI));
         copies.restart(away);
         copies.play(15 * SECOND);
         assertTrue(copies.agree());
@@ -202,7 +205,7 @@
 
     @Test
     public void aLeaderHandsOverAtOnce() {
-        Copies copies = started(5, SETTINGS, 8);
+        ConsensusSimulation copies = started(5, SETTINGS, 8);
         int leader = copies.leader();
         copies.transfer(leader);
         copies.play(150 * MILLI);
@@ -216,7 +219,7 @@
      */
     @Test
     public void aCopyThatStoodStillKnowsThatItsContactIsOld() {
-        Copies copies = started(12, SETTINGS, 8);
+        ConsensusSimulation copies = started(12, SETTINGS, 8);
         copies.play(3 * SECOND);
         for (int i = 0; i < 12; i++) {
             assertTrue(copies.contactAge(i) >= 0 && copies.contactAge(i) < 3 * SECOND, "copy " + i);
@@ -232,8 +235,8 @@
     /** What copies that don't lead hand on is committed, one after another, and said once each. */
     @Test
     public void anyCopyProposesAndIsToldOnce() {
-        Copies copies = started(40, SETTINGS, 8);
-        copies.network(new Copies.Network(0.3, 0.05, 0.01, 2 * MILLI, 21 * MILLI));
+        ConsensusSimulation copies = started(40, SETTINGS, 8);
+        copies.network(new ConsensusSimulation.Network(0.3, 0.05, 0.01, 2 * MILLI, 21 * MILLI));
         for (int copy = 0; copy < 40; copy++) {
             for (int i = 0; i < 3; i++) {
                 assertNotNull(copies.hand(copy, new byte[] {(byte) copy, (byte) i}, 30 * SECOND));
@@ -241,10 +244,13 @@
         }
         copies.play(30 * SECOND);
         for (int copy = 0; copy < 40; copy++) {
-            List<Copies.Settled> settled = copies.settled(copy);
+            List<ConsensusSimulation.Settled> settled = copies.settled(copy);
             assertEquals(
-                    settled.stream().map(Copies.Settled::outcome).toList(),
-                    List.of(Outcome.COMMITTED, Outcome.COMMITTED, Outcome.COMMITTED),
+                    settled.stream().map(ConsensusSimulation.Settled::outcome).toList(),
+                    List.of(
+                            ProposalOutcome.COMMITTED,
+                            ProposalOutcome.COMMITTED,
+                            ProposalOutcome.COMMITTED),
                     "copy " + copy);
             for (int i = 0; i < 3; i++) {
                 assertEquals(settled.get(i).proposal().content()[1], i);
@@ -263,7 +269,7 @@
     @Test
     public void aProposalOutlivesItsLeader() {
         for (long wait = 2; wait < 90; wait += 4) {
-            Copies copies = started(7, SETTINGS, 8);
+            ConsensusSimulation copies = started(7, SETTINGS, 8);
             int leader = copies.leader();
             int by = (leader + 1) % 7;
             copies.hand(by, new byte[] {1}, 20 * SECOND);
@@ -271,7 +277,7 @@
             copies.kill(leader);
             copies.play(10 * SECOND);
             assertEquals(copies.settled(by).size(), 1, "after " + wait + " ms");
-            assertEquals(copies.settled(by).get(0).outcome(), Outcome.COMMITTED);
+            assertEquals(copies.settled(by).get(0).outcome(), ProposalOutcome.COMMITTED);
             assertTrue(copies.agree());
         }
     }
@@ -282,24 +288,25 @@
      */
     @Test
     public void whatIsNotKnownIsNotClaimed() {
-        Copies lone = new Copies(3, CALM, SETTINGS, false, 8, 7, Agreement::new, null);
+        ConsensusSimulation lone =
+                new ConsensusSimulation(3, CALM, SETTINGS, false, 8, 7, RaftNode::new, null);
         lone.hand(0, new byte[1], 3 * SECOND);
         lone.play(2_900 * MILLI);
         assertEquals(lone.settled(0), List.of());
         lone.play(200 * MILLI);
-        assertEquals(lone.settled(0).get(0).outcome(), Outcome.NOT_TAKEN);
-        Copies copies = started(7, SETTINGS, 8);
+        assertEquals(lone.settled(0).get(0).outcome(), ProposalOutcome.NOT_TAKEN);
+        ConsensusSimulation copies = started(7, SETTINGS, 8);
         int by = (copies.leader() + 1) % 7;
         for (int i = 0; i < 7; i++) {
             copies.cut(i, by, true);
         }
         Proposal proposal = copies.hand(by, new byte[] {7}, 2 * SECOND);
         copies.play(3 * SECOND);
-        assertEquals(copies.settled(by).get(0).outcome(), Outcome.UNKNOWN);
+        assertEquals(copies.settled(by).get(0).outcome(), ProposalOutcome.UNKNOWN);
         copies.heal();
         copies.again(by, proposal, 5 * SECOND);
         copies.play(5 * SECOND);
-        assertEquals(copies.settled(by).get(1).outcome(), Outcome.COMMITTED);
+        assertEquals(copies.settled(by).get(1).outcome(), ProposalOutcome.COMMITTED);
     }
 
     /**
@@ -308,8 +315,9 @@
      */
     @Test
     public void aProposalTakesEffectOnceThoughGroupsFollowOneAnother() {
-        List<Event> events = new ArrayList<>();
-        Copies copies = new Copies(7, CALM, SETTINGS, false, 8, 7, Agreement::new, events::add);
+        List<HistoryEvent> events = new ArrayList<>();
+        ConsensusSimulation copies =
+                new ConsensusSimulation(7, CALM, SETTINGS, false, 8, 7, RaftNode::new, events::add);
         copies.form(0);
         copies.play(15 * SECOND);
         int by = (copies.leader() + 1) % 7;
@@ -330,29 +338,30 @@
         copies.heal();
         copies.again(by, proposal, 5 * SECOND);
         copies.play(5 * SECOND);
-        assertEquals(copies.settled(by).get(1).outcome(), Outcome.COMMITTED);
+        assertEquals(copies.settled(by).get(1).outcome(), ProposalOutcome.COMMITTED);
         assertEquals(copies.settled(by).get(1).number().group().era(), era);
         assertEquals(
-                History.judged(events, copies.now(), List.of(new OneTable(), new OneEffect())),
+                History.judged(
+                        events, copies.now(), List.of(new SingleTable(), new AtMostOnceEffect())),
                 List.of());
     }
 
     /** Its clock went back: what a former life proposed does not stand for what this one does. */
     @Test
     public void aCopyThatComesBackWithAnEarlierLifeIsNotTakenForItsFormerSelf() {
-        Copies copies = started(7, SETTINGS, 8);
+        ConsensusSimulation copies = started(7, SETTINGS, 8);
         int by = (copies.leader() + 1) % 7;
         copies.hand(by, new byte[] {1}, 5 * SECOND);
         copies.play(3 * SECOND);
         copies.kill(by);
-        copies.pretend(by, 1, Store.NONE);
+        copies.pretend(by, 1, StableStorage.NONE);
         copies.play(3 * SECOND);
         copies.hand(by, new byte[] {2}, 5 * SECOND);
         copies.play(3 * SECOND);
-        assertNotEquals(copies.settled(by).get(0).outcome(), Outcome.COMMITTED);
+        assertNotEquals(copies.settled(by).get(0).outcome(), ProposalOutcome.COMMITTED);
         copies.hand(by, new byte[] {3}, 5 * SECOND);
         copies.play(3 * SECOND);
-        assertEquals(copies.settled(by).get(1).outcome(), Outcome.COMMITTED);
+        assertEquals(copies.settled(by).get(1).outcome(), ProposalOutcome.COMMITTED);
     }
 
     /**
@@ -361,11 +370,11 @@
      */
     @Test
     public void aLifeThatIsTooSmallIsMended() {
-        Copies copies = started(7, SETTINGS, 8);
+        ConsensusSimulation copies = started(7, SETTINGS, 8);
         int back = (copies.leader() + 1) % 7;
         long before = copies.view(back).life();
         copies.kill(back);
-        copies.pretend(back, 1, Store.NONE);
+        copies.pretend(back, 1, StableStorage.NONE);
         copies.play(5 * SECOND);
         commit(copies);
         assertTrue(copies.view(back).life() > before);
@@ -377,9 +386,9 @@
         double[] sent = new double[2];
         int[] sizes = {10, 200};
         for (int i = 0; i < 2; i++) {
-            Trial trial = new Trial(sizes[i], CALM, SETTINGS, 300, 1);
+            ConsensusTrial trial = new ConsensusTrial(sizes[i], CALM, SETTINGS, 300, 1);
             trial.play(1);
-            Trial.Figures figures = trial.figures();
+            ConsensusTrial.Figures figures = trial.figures();
             assertEquals(figures.missed(), 0);
             assertTrue(figures.commitMost() < 1.5 && figures.leaderMost() < 3, figures.toString());
             sent[i] = figures.busy();
--- a/lab/src/test/java/cedarrudder/lab/agreement/GoldenHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
@@ -1,18 +1,18 @@
-package cedarrudder.lab.agreement;
-
-import cedarrudder.Golden;
-import cedarrudder.agreement.Agreement;
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.Entry;
-import cedarrudder.agreement.LogNumber;
-import cedarrudder.agreement.Note;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Proposal;
-import cedarrudder.fleet.FleetSettings;
+package cedarrudder.lab.consensus;
+
+import cedarrudder.consensus.ConsensusEvent;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.LogEntry;
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.Proposal;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.consensus.RaftNode;
+import cedarrudder.conventions.Golden;
+import cedarrudder.coordination.CoordinationSettings;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.coordination.CoordinationSimulation;
 import cedarrudder.lab.failover.FailoverRun;
 import cedarrudder.lab.failover.World;
-import cedarrudder.lab.fleet.FleetWorld;
-import cedarrudder.lab.judge.Event;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -28,8 +28,8 @@
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
     private static final int SAMPLES = 120;
-    private static final Copies.Network ROUGH =
-            new Copies.Network(0.1, 0.05, 0.01, 2 * MILLI, 200 * MILLI);
+    private static final ConsensusSimulation.Network ROUGH =
+            new ConsensusSimulation.Network(0.1, 0.05, 0.01, 2 * MILLI, 200 * MILLI);
 
     private final StringBuilder samples = new StringBuilder();
     private Golden.Digest digest = new Golden.Digest();
@@ -43,7 +43,7 @@
         }
     }
 
-    private void event(Event event) {
+    private void event(HistoryEvent event) {
         digest.add(
                 event.at()
                         + " "
@@ -57,11 +57,11 @@
     }
 
     /** Passes all on, and counts what is sent. */
-    private final class Watched implements Agreement.Outlet {
-        private final Agreement.Outlet to;
+    private final class Watched implements RaftNode.Actions {
+        private final RaftNode.Actions to;
         private final int self;
 
-        Watched(int self, Agreement.Outlet to) {
+        Watched(int self, RaftNode.Actions to) {
             this.self = self;
             this.to = to;
         }
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public void loaded(LogNumber number, byte[] content) {
+        public void loaded(LogPosition number, byte[] content) {
             to.loaded(number, content);
         }
 
@@ -83,19 +83,20 @@
         }
 
         @Override
-        public void restored(LogNumber number, byte[] state) {
+        public void restored(LogPosition number, byte[] state) {
             to.restored(number, state);
         }
 
         @Override
-        public void settled(Proposal proposal, Outcome outcome, LogNumber number) {
+        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
             to.settled(proposal, outcome, number);
         }
 
         @Override
-        public void noted(Note note) {
+        public void noted(ConsensusEvent note) {
             kinds +=
-                    note instanceof Note.Stored stored && stored.entry().kind() == Entry.Kind.VOTERS
+                    note instanceof ConsensusEvent.Stored stored
+                                    && stored.entry().kind() == LogEntry.Kind.VOTERS
                             ? 1
                             : 0;
             to.noted(note);
@@ -107,11 +108,11 @@
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 12; seed++) {
             digest = new Golden.Digest();
-            Storm.Result result =
-                    Storm.play(
+            FaultStorm.Result result =
+                    FaultStorm.play(
                             seed,
                             (zones, self, life, settings, store, random, outlet, now) ->
-                                    new Agreement(
+                                    new RaftNode(
                                             zones,
                                             self,
                                             life,
@@ -144,13 +145,14 @@
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 6; seed++) {
             digest = new Golden.Digest();
-            FleetWorld world =
-                    new FleetWorld(
+            CoordinationSimulation world =
+                    new CoordinationSimulation(
                             new int[] {0, 1, 2, 0, 1, 2, 0},
                             ROUGH,
                             seed % 2 == 0,
                             seed,
-                            FleetWorld.plain(AgreementSettings.DEFAULT, FleetSettings.DEFAULT),
+                            CoordinationSimulation.plain(
+                                    ConsensusSettings.DEFAULT, CoordinationSettings.DEFAULT),
                             this::event);
             world.filter(
                     (from, to, bytes) -> {
@@ -176,7 +178,7 @@
         Golden.check("coordination-worlds.txt", lines.toString());
     }
 
-    private static int firstDown(FleetWorld world) {
+    private static int firstDown(CoordinationSimulation world) {
         for (int i = 0; i < world.size(); i++) {
             if (!world.runs(i)) {
                 return i;
--- a/lab/src/test/java/cedarrudder/lab/fleet/FleetWorldTest.java
+++ b/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.fleet;
+package cedarrudder.lab.coordination;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -6,23 +6,23 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.agreement.AgreementSettings;
-import cedarrudder.agreement.Outcome;
-import cedarrudder.agreement.Store;
-import cedarrudder.fleet.FleetCopy;
-import cedarrudder.fleet.FleetSettings;
-import cedarrudder.fleet.Removal;
-import cedarrudder.fleet.Shares;
-import cedarrudder.fleet.Tier;
-import cedarrudder.footprint.Room;
-import cedarrudder.lab.agreement.Copies.Network;
-import cedarrudder.lab.judge.Event;
-import cedarrudder.lab.judge.OneLeader;
-import cedarrudder.lab.judge.OneTable;
-import cedarrudder.lab.judge.Rule;
-import cedarrudder.table.RouteTable;
-import cedarrudder.table.RouteTable.Share;
-import cedarrudder.table.RouteTable.Way;
+import cedarrudder.consensus.ConsensusSettings;
+import cedarrudder.consensus.ProposalOutcome;
+import cedarrudder.consensus.StableStorage;
+import cedarrudder.coordination.CoordinatedReplica;
+import cedarrudder.coordination.CoordinationSettings;
+import cedarrudder.coordination.DrainCoordination;
+import cedarrudder.coordination.TierView;
+import cedarrudder.coordination.TrafficCoordination;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.lab.checker.HistoryEvent;
+import cedarrudder.lab.checker.Invariant;
+import cedarrudder.lab.checker.SingleLeader;
+import cedarrudder.lab.checker.SingleTable;
+import cedarrudder.lab.consensus.ConsensusSimulation.Network;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Way;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -36,37 +36,38 @@
 import org.testng.annotations.Test;
 
 /** Copies that decide together, with what goes wrong made to go wrong. Seeds are fixed. */
-public class FleetWorldTest {
+public class CoordinationSimulationTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
     private static final Network CALM = new Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
     private static final Network ROUGH = new Network(0.1, 0.05, 0.01, 2 * MILLI, 400 * MILLI);
-    private static final AgreementSettings AGREED = AgreementSettings.DEFAULT;
-    private static final FleetSettings SETTINGS =
-            new FleetSettings(
-                    FleetSettings.DEFAULT.period(), Long.getLong("fleet.lease_ms", 10_000) * MILLI);
+    private static final ConsensusSettings AGREED = ConsensusSettings.DEFAULT;
+    private static final CoordinationSettings SETTINGS =
+            new CoordinationSettings(
+                    CoordinationSettings.DEFAULT.period(),
+                    Long.getLong("fleet.lease_ms", 10_000) * MILLI);
     private static final long LEASE = SETTINGS.lease();
 
     /** Storms; many more by {@code -Dfleet.seeds}. */
     private static final long SEEDS = Long.getLong("fleet.seeds", 12);
 
-    private final List<Event> events = new ArrayList<>();
+    private final List<HistoryEvent> events = new ArrayList<>();
     private int parts = 1_000;
     private int room = Integer.MAX_VALUE;
 
     /** A plan that the test changes: so many parts of zone 0 spill into zone 1. */
-    private final class Plan implements Shares {
+    private final class Plan implements TrafficCoordination {
         @Override
         public List<byte[]> report(long now) {
-            return List.of(new byte[FleetCopy.MOST_PART], new byte[50]);
+            return List.of(new byte[CoordinatedReplica.MOST_PART], new byte[50]);
         }
 
         @Override
         public void reported(long now, int from, byte[] part) {}
 
         @Override
-        public List<Share> plan(long now, Tier tier) {
+        public List<Share> plan(long now, TierView tier) {
             return List.of(new Share(0, 1, Way.SPILLED, parts, 0));
         }
 
@@ -74,15 +75,15 @@
         public void leads(long now, boolean leads) {}
     }
 
-    private FleetCopy make(
+    private CoordinatedReplica make(
             int[] zones,
             int self,
             long life,
-            Store store,
+            StableStorage store,
             RandomGenerator random,
-            FleetCopy.Outlet outlet,
+            CoordinatedReplica.Actions outlet,
             long now) {
-        return new FleetCopy(
+        return new CoordinatedReplica(
                 zones,
                 self,
                 life,
@@ -91,18 +92,18 @@
                 store,
                 random,
                 new Plan(),
-                Removal.NONE,
-                () -> new Room(self == 3 ? room : Integer.MAX_VALUE, 10, 10),
+                DrainCoordination.NONE,
+                () -> new RouteTableCapacity(self == 3 ? room : Integer.MAX_VALUE, 10, 10),
                 outlet,
                 now);
     }
 
-    private FleetWorld started(int size, Network network, boolean disks, long seed) {
+    private CoordinationSimulation started(int size, Network network, boolean disks, long seed) {
         events.clear();
         parts = 1_000;
         room = Integer.MAX_VALUE;
-        FleetWorld world =
-                new FleetWorld(
+        CoordinationSimulation world =
+                new CoordinationSimulation(
                         IntStream.range(0, size).map(i -> i % 3).toArray(),
                         network,
                         disks,
@@ -119,13 +120,13 @@
         return table.shares().get(0).parts();
     }
 
-    private static int other(FleetWorld world) {
+    private static int other(CoordinationSimulation world) {
         return (world.leader() + 1) % world.size();
     }
 
     @Test
     public void oneTableIsUsedByAllVotersOrNot() {
-        FleetWorld world = started(9, CALM, false, 1);
+        CoordinationSimulation world = started(9, CALM, false, 1);
         long number = world.uses(0).number();
         parts = 2_000;
         world.play(2 * SECOND);
@@ -142,7 +143,7 @@
      */
     @Test
     public void oneThatIsCutOffKeepsItsTableForTheLeaseAndNoLonger() {
-        FleetWorld world = started(7, CALM, false, 2);
+        CoordinationSimulation world = started(7, CALM, false, 2);
         int away = other(world);
         world.cutOff(List.of(away));
         parts = 3_000;
@@ -164,7 +165,7 @@
     @Test
     public void aLeaderWithoutAMajorityKeepsNobodysLease() {
         for (long seed = 30; seed < 40; seed++) {
-            FleetWorld world = started(7, CALM, false, seed);
+            CoordinationSimulation world = started(7, CALM, false, seed);
             int leader = world.leader();
             int follows = (leader + 3) % 7;
             world.cutOff(List.of(leader, follows));
@@ -178,7 +179,7 @@
     /** Guards against one that wakes up using what it had, before it has heard of anything. */
     @Test
     public void oneThatStoodStillForLongerThanItsLeaseUsesNothingWhenItWakes() {
-        FleetWorld world = started(5, CALM, false, 4);
+        CoordinationSimulation world = started(5, CALM, false, 4);
         int leader = world.leader();
         world.stall(leader, LEASE + SECOND);
         parts = 4_000;
@@ -192,7 +193,7 @@
     /** One small copy holds a table back for all; when it has room, or is gone, the table comes. */
     @Test
     public void aTableThatTheSmallestLiveCopyCannotLoadIsNotAgreedOn() {
-        FleetWorld world = started(5, CALM, false, 5);
+        CoordinationSimulation world = started(5, CALM, false, 5);
         room = 10;
         world.play(2 * SECOND);
         parts = 5_000;
@@ -214,7 +215,7 @@
     /** Guards against numbers that begin anew in a group that an operator forms. */
     @Test
     public void numbersRiseOverGroups() {
-        FleetWorld world = started(5, CALM, false, 6);
+        CoordinationSimulation world = started(5, CALM, false, 6);
         long number = world.uses(0).number();
         IntStream.of(0, 1, 2).forEach(world::kill);
         world.play(2 * SECOND);
@@ -234,7 +235,7 @@
     /** Guards against a lease that is drawn out by old answers that come again and again. */
     @Test
     public void anAnswerThatComesAgainGivesNothing() {
-        FleetWorld world = started(5, CALM, false, 8);
+        CoordinationSimulation world = started(5, CALM, false, 8);
         int away = other(world);
         int leader = world.leader();
         byte[][] last = new byte[1][];
@@ -258,8 +259,9 @@
      */
     @Test
     public void answersToTheProcessBeforeGiveNothing() {
-        FleetWorld world =
-                new FleetWorld(new int[] {0, 1, 2, 0, 1}, CALM, true, 9, this::make, events::add);
+        CoordinationSimulation world =
+                new CoordinationSimulation(
+                        new int[] {0, 1, 2, 0, 1}, CALM, true, 9, this::make, events::add);
         List<byte[]> grants = new ArrayList<>();
         world.filter(
                 (from, to, datagram) -> {
@@ -300,7 +302,7 @@
     @Test
     public void aLeaderThatHasCommittedNothingConfirmsNothing() {
         for (long seed = 40; seed < 50; seed++) {
-            FleetWorld world = started(5, CALM, false, seed);
+            CoordinationSimulation world = started(5, CALM, false, seed);
             int leader = world.leader();
             int append = 2;
             world.filter(
@@ -346,7 +348,7 @@
     public void whatACopySendsAndHowSoonATableCounts() {
         for (String each : System.getProperty("fleet.sizes", "10,30").split(",")) {
             int size = Integer.parseInt(each);
-            FleetWorld world = started(size, CALM, false, 60);
+            CoordinationSimulation world = started(size, CALM, false, 60);
             world.play(20 * SECOND);
             long[] before = IntStream.range(0, size).mapToLong(world::bytes).toArray();
             world.play(30 * SECOND);
@@ -385,23 +387,23 @@
     /** A command can be proposed at any copy, whether it votes, leads or neither. */
     @Test
     public void whatIsProposedAtAnyCopyComesToAll() {
-        FleetWorld world = started(9, CALM, false, 11);
+        CoordinationSimulation world = started(9, CALM, false, 11);
         for (int copy = 0; copy < 9; copy++) {
             assertTrue(world.propose(copy, new byte[] {7}, 5 * SECOND));
         }
         world.play(4 * SECOND);
         for (int copy = 0; copy < 9; copy++) {
-            assertEquals(world.settled(copy), List.of(Outcome.COMMITTED), "copy " + copy);
+            assertEquals(world.settled(copy), List.of(ProposalOutcome.COMMITTED), "copy " + copy);
         }
         world.cutOff(List.of(other(world)));
         world.propose(other(world), new byte[] {7}, 2 * SECOND);
         world.play(3 * SECOND);
-        assertNotEquals(world.settled(other(world)).get(1), Outcome.COMMITTED);
+        assertNotEquals(world.settled(other(world)).get(1), ProposalOutcome.COMMITTED);
     }
 
     @Test
     public void garbageAndOldDatagramsChangeNothing() {
-        FleetWorld world = started(5, CALM, false, 7);
+        CoordinationSimulation world = started(5, CALM, false, 7);
         SplittableRandom random = new SplittableRandom(7);
         int one = other(world);
         for (int i = 0; i < 3_000; i++) {
@@ -424,7 +426,7 @@
     private static final class LeaseKept {
         private final Map<Long, Long> firstUsed = new TreeMap<>();
 
-        void look(FleetWorld world, String seed) {
+        void look(CoordinationSimulation world, String seed) {
             for (int copy = 0; copy < world.size(); copy++) {
                 RouteTable table = world.runs(copy) ? world.uses(copy) : null;
                 if (table != null) {
@@ -461,7 +463,7 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             int size = 5 + random.nextInt(5);
-            FleetWorld world = started(size, CALM, seed % 3 == 0, seed);
+            CoordinationSimulation world = started(size, CALM, seed % 3 == 0, seed);
             LeaseKept lease = new LeaseKept();
             world.network(ROUGH);
             for (int step = 0; step < 16; step++) {
@@ -495,9 +497,9 @@
                 world.play(30 * SECOND);
             }
             assertTrue(world.agree(), "seed " + seed + " does not settle");
-            List<Rule> rules = List.of(new OneTable(), new OneLeader());
+            List<Invariant> rules = List.of(new SingleTable(), new SingleLeader());
             events.forEach(event -> rules.forEach(rule -> rule.took(event)));
-            for (Rule rule : rules) {
+            for (Invariant rule : rules) {
                 assertEquals(rule.breaches(), List.of(), "seed " + seed);
             }
         }
--- a/lab/src/test/java/cedarrudder/lab/docs/Playground.java
+++ b/lab/src/test/java/cedarrudder/lab/docs/Playground.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertTrue;
 
+import cedarrudder.lab.baselines.Policies;
 import cedarrudder.lab.experiment.PlanReader;
-import cedarrudder.lab.rivals.Rivals;
 import cedarrudder.lab.scenario.ScenarioReader;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -78,7 +78,7 @@
         if (!kind.isEmpty()) {
             Path written = Files.writeString(folder.resolve("lab/plans/shown.toml"), block.text());
             if (kind.equals("plan")) {
-                PlanReader.read(written, Rivals.names(), ScenarioReader::read);
+                PlanReader.read(written, Policies.names(), ScenarioReader::read);
             } else {
                 play(
                         new Block(
--- a/lab/src/test/java/cedarrudder/lab/emulator/EmulatorIT.java
+++ b/lab/src/test/java/cedarrudder/lab/emulator/EmulatorIT.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.lab.referee.Referee;
+import cedarrudder.lab.referee.RuleChecker;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
@@ -129,11 +129,11 @@
         Files.writeString(file, SCENARIO);
         Scenario scenario = ScenarioReader.read(file);
         long before = ProcessHandle.current().descendants().count();
-        Emulated emulated =
+        EmulationResult emulated =
                 Emulator.play(
                         scenario,
                         SEED,
-                        Place.of(Path.of(""), folder.resolve("run"), List.of(), 0, 1024),
+                        HostEnvironment.of(Path.of(""), folder.resolve("run"), List.of(), 0, 1024),
                         second -> {});
         RunResult result = emulated.result();
         assertEquals(result.finding(), "");
@@ -143,7 +143,7 @@
         assertEquals(ProcessHandle.current().descendants().count(), before);
 
         Path record = Path.of(emulated.record());
-        Referee again = new Referee(Emulator.figures(scenario), 0);
+        RuleChecker again = new RuleChecker(Emulator.figures(scenario), 0);
         TraceReader.Read read = TraceReader.read(record, again);
         again.finish(read.last());
         assertEquals(again.breaches(), List.of());
@@ -152,7 +152,8 @@
         byte[] bytes = Files.readAllBytes(record);
         Path part = folder.resolve("part.jsonl");
         Files.write(part, Arrays.copyOf(bytes, bytes.length - 10));
-        TraceReader.Read cut = TraceReader.read(part, new Referee(Emulator.figures(scenario), 0));
+        TraceReader.Read cut =
+                TraceReader.read(part, new RuleChecker(Emulator.figures(scenario), 0));
         assertTrue(cut.cut());
         assertEquals(cut.events(), read.events() - 1);
     }
--- a/lab/src/test/java/cedarrudder/lab/emulator/SettledTest.java
+++ b/lab/src/test/java/cedarrudder/lab/emulator/ReorderBufferTest.java
@@ -2,28 +2,28 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
-import cedarrudder.lab.referee.Figures;
-import cedarrudder.lab.referee.Referee;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.lab.referee.RuleChecker;
+import cedarrudder.lab.referee.RuleParameters;
 import cedarrudder.lab.trace.Trace.Final;
 import org.testng.annotations.Test;
 
 /** What different sockets told in another order than the proxy did it. */
-public class SettledTest {
+public class ReorderBufferTest {
 
     private static final long MILLI = 1_000_000;
-    private final Figures figures = new Figures(0, 0, 3, 1, false, 3);
+    private final RuleParameters figures = new RuleParameters(0, 0, 3, 1, false, 3);
 
     /** A first attempt that the proxy closes, and a second, each read so late. */
     private int breaches(long closedRead, long secondRead) {
-        Referee referee = new Referee(figures, 0);
-        Settled settled = new Settled(referee);
+        RuleChecker referee = new RuleChecker(figures, 0);
+        ReorderBuffer settled = new ReorderBuffer(referee);
         settled.proxyStarted(0, 0, 0);
-        settled.told(0, 0, 1, 0, 0, State.READY, 0);
-        settled.taken(1, 0, 9, Effect.SAFE, KeyScope.ALL, 0, 1000 * MILLI);
+        settled.told(0, 0, 1, 0, 0, EndpointStatus.READY, 0);
+        settled.taken(1, 0, 9, Idempotency.SAFE, KeyScope.ALL, 0, 1000 * MILLI);
         settled.sent(2, 0, 9, 0, 1, 1);
         if (closedRead < secondRead) {
             settled.ended(closedRead, 0, 9, 0, Outcome.CANCELLED);
@@ -55,16 +55,16 @@
     @Test
     public void whatIsReadAfterTheAnswerWasSentBeforeIt() {
         for (long late : new long[] {10 * MILLI, 100 * MILLI}) {
-            Referee referee = new Referee(figures, 0);
-            Settled settled = new Settled(referee);
+            RuleChecker referee = new RuleChecker(figures, 0);
+            ReorderBuffer settled = new ReorderBuffer(referee);
             settled.proxyStarted(0, 0, 0);
-            settled.told(0, 0, 1, 0, 0, State.READY, 0);
-            settled.taken(1, 0, 9, Effect.SAFE, KeyScope.ALL, 0, 1000 * MILLI);
+            settled.told(0, 0, 1, 0, 0, EndpointStatus.READY, 0);
+            settled.taken(1, 0, 9, Idempotency.SAFE, KeyScope.ALL, 0, 1000 * MILLI);
             settled.answered(5, 0, 9, Final.FAILED, -1);
             settled.sent(5 + late, 0, 9, 0, 1, 1);
             settled.finish();
             referee.finish(2000 * MILLI);
-            assertEquals(referee.breaches().size(), late < Settled.HOLD ? 0 : 1);
+            assertEquals(referee.breaches().size(), late < ReorderBuffer.HOLD ? 0 : 1);
         }
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/emulator/SocketsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/emulator/SocketsTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -111,8 +111,8 @@
         private Parent() {}
 
         public static void main(String[] args) throws Exception {
-            Supervised child =
-                    Supervised.start(
+            SupervisedProcess child =
+                    SupervisedProcess.start(
                             List.of("sleep", "1000"),
                             Path.of("."),
                             Map.of(),
@@ -150,8 +150,8 @@
     @Test
     public void aProcessThatEndsIsToldWithItsCode() throws Exception {
         Path log = Files.createTempFile("supervised", ".log");
-        Supervised child =
-                Supervised.start(
+        SupervisedProcess child =
+                SupervisedProcess.start(
                         List.of("/bin/sh", "-c", "ulimit -n; echo $X; exit 7"),
                         Path.of("."),
                         Map.of("X", "given"),
--- a/lab/src/test/java/cedarrudder/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/ExperimentTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/lab/src/test/java/cedarrudder/lab/experiment/Fakes.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/Fakes.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.experiment;
 
-import cedarrudder.Tuning;
+import cedarrudder.balancer.BalancerParameters;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Draw;
 import cedarrudder.lab.scenario.Scenario;
@@ -52,7 +52,7 @@
     }
 
     static Variant variant(String name) {
-        return new Variant(name, name, Tuning.DEFAULTS, null, List.of());
+        return new Variant(name, name, BalancerParameters.DEFAULTS, null, List.of());
     }
 
     /** Two scenarios of one family and three variants, the first of which is the baseline. */
--- a/lab/src/test/java/cedarrudder/lab/experiment/FullDiskTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/FullDiskTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
+import cedarrudder.balancer.Await;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/lab/src/test/java/cedarrudder/lab/experiment/PlanReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/PlanReaderTest.java
@@ -4,15 +4,15 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Tuning;
+import cedarrudder.balancer.BalancerParameters;
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.lab.policy.TierBudgets;
 import cedarrudder.lab.scenario.Draw;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.ScenarioReader;
-import cedarrudder.toml.BadFileException;
-import cedarrudder.toml.Document;
-import cedarrudder.toml.Problem;
+import cedarrudder.toml.ConfigDocument;
+import cedarrudder.toml.ConfigProblem;
+import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,17 +27,17 @@
     /**
      * Stands for the reader of scenarios: a file whose name says that it is bad has two problems.
      */
-    private static Scenario scenario(Path file) throws BadFileException {
+    private static Scenario scenario(Path file) throws InvalidFileException {
         if (file.toString().contains("bad")) {
-            throw new BadFileException(
+            throw new InvalidFileException(
                     List.of(
-                            new Problem(file.getFileName().toString(), 3, "run", "x", "y"),
-                            new Problem(file.getFileName().toString(), 4, "tier", "x", "y")));
+                            new ConfigProblem(file.getFileName().toString(), 3, "run", "x", "y"),
+                            new ConfigProblem(file.getFileName().toString(), 4, "tier", "x", "y")));
         }
         return Fakes.scenario(file.getFileName().toString().replace(".toml", ""), 10);
     }
 
-    private static Plan read(String text) throws IOException, BadFileException {
+    private static Plan read(String text) throws IOException, InvalidFileException {
         Path folder = Files.createTempDirectory("plan");
         Path file = Files.writeString(folder.resolve("plan.toml"), text);
         try {
@@ -80,7 +80,9 @@
         assertEquals(changed.run().length(), new Draw(10e9, 20e9));
         assertFalse(changed.allowed().secondCopies());
         assertEquals(jobs.get(3).scenario().allowed().secondCopies(), true);
-        assertEquals(jobs.get(2).variant().tuning().get(Tuning.Figure.PROBES_PER_CALL), 0.2);
+        assertEquals(
+                jobs.get(2).variant().tuning().get(BalancerParameters.Parameter.PROBES_PER_CALL),
+                0.2);
         assertEquals(
                 jobs.get(2).variant().differences(),
                 "probes-per-call=0.2 allowed.second_copies=false");
@@ -110,9 +112,9 @@
         assertEquals(
                 plan.variants().get(1).budgets(), TierBudgets.everywhere(BudgetSettings.of("")));
         assertEquals(plan.variants().get(2).differences(), "budget tries=2 strips=front");
-        BadFileException bad =
+        InvalidFileException bad =
                 expectThrows(
-                        BadFileException.class,
+                        InvalidFileException.class,
                         () ->
                                 read(
                                         """
@@ -124,7 +126,7 @@
                                         budget = { hop = "front", trys = 1, old = ["back"] }
                                         """));
         assertEquals(
-                bad.problems().stream().map(Problem::key).toList(),
+                bad.problems().stream().map(ConfigProblem::key).toList(),
                 List.of("scenario[0].file", "variant[0].budget.hop", "variant[0].budget.trys"));
     }
 
@@ -151,7 +153,7 @@
                 [[variant]]
                 policy = "random"
                 """;
-        BadFileException bad = expectThrows(BadFileException.class, () -> read(plan));
+        InvalidFileException bad = expectThrows(InvalidFileException.class, () -> read(plan));
         List<String> said =
                 bad.problems().stream()
                         .map(p -> Path.of(p.file()).getFileName() + ":" + p.line() + ": " + p.key())
@@ -183,7 +185,7 @@
                 run.length_s = 5
                 allowed = { probes = false, peers = false, cancel = false, second_copies = false }
                 """;
-        List<Change> all = Change.read(Document.parse("all", changes).root());
+        List<Change> all = Change.read(ConfigDocument.parse("all", changes).root());
         assertEquals(all.size(), 5);
         Scenario scenario = Fakes.scenario("calm", 10);
         for (Change change : all) {
@@ -194,11 +196,12 @@
 
     /** The world looks at one of the two: a rate that a plan set beside a share changed nothing. */
     @Test
-    public void aRateTakesThePlaceOfAShareAndTheOtherWayRound() throws BadFileException {
+    public void aRateTakesThePlaceOfAShareAndTheOtherWayRound() throws InvalidFileException {
         Scenario scenario = ScenarioReader.read(Path.of("lab", "scenarios", "diliman.toml"));
         for (String load : List.of("rate_per_s", "share", "rate_per_s")) {
             for (Change change :
-                    Change.read(Document.parse("load", "arrivals." + load + " = 0.7").root())) {
+                    Change.read(
+                            ConfigDocument.parse("load", "arrivals." + load + " = 0.7").root())) {
                 scenario = change.apply(scenario);
             }
             boolean rate = load.equals("rate_per_s");
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -3,19 +3,19 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.failover.Assessment;
-import cedarrudder.failover.Evidence;
+import cedarrudder.coordination.CoordinatedReplica;
+import cedarrudder.coordination.TierView;
+import cedarrudder.coordination.TrafficCoordination;
 import cedarrudder.failover.FailoverSettings;
-import cedarrudder.failover.Picture;
-import cedarrudder.failover.ZoneTally;
-import cedarrudder.fleet.FleetCopy;
-import cedarrudder.fleet.Shares;
-import cedarrudder.fleet.Tier;
+import cedarrudder.failover.ZoneHealthAggregator;
+import cedarrudder.failover.ZoneHealthSnapshot;
+import cedarrudder.failover.ZoneObservations;
+import cedarrudder.failover.ZoneTrafficCounter;
+import cedarrudder.lab.checker.Violation;
 import cedarrudder.lab.failover.FailoverRun.Conditions;
 import cedarrudder.lab.failover.FailoverRun.Result;
-import cedarrudder.lab.judge.Breach;
-import cedarrudder.table.RouteTable.Share;
-import cedarrudder.table.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.Way;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -29,11 +29,11 @@
     private static final long SEED = 1;
 
     /** A planner without one of the things that hold the real one back. */
-    private static final class Naive implements Shares {
+    private static final class Naive implements TrafficCoordination {
         private final boolean oneWord;
         private final boolean capped;
-        private final ZoneTally tally;
-        private final Assessment assessment;
+        private final ZoneTrafficCounter tally;
+        private final ZoneHealthAggregator assessment;
         private final Set<Integer> accused = new HashSet<>();
 
         Naive(
@@ -41,22 +41,22 @@
                 boolean capped,
                 FailoverSettings settings,
                 int[] zoneOf,
-                ZoneTally tally) {
+                ZoneTrafficCounter tally) {
             this.oneWord = oneWord;
             this.capped = capped;
             this.tally = tally;
-            this.assessment = new Assessment(settings, zoneOf, Site.ZONES);
+            this.assessment = new ZoneHealthAggregator(settings, zoneOf, Site.ZONES);
         }
 
         @Override
         public List<byte[]> report(long now) {
-            Evidence evidence = tally.close(now, 0);
-            return evidence == null ? List.of() : evidence.encode(FleetCopy.MOST_PART);
+            ZoneObservations evidence = tally.close(now, 0);
+            return evidence == null ? List.of() : evidence.encode(CoordinatedReplica.MOST_PART);
         }
 
         @Override
         public void reported(long now, int from, byte[] part) {
-            Evidence evidence = Evidence.decode(part);
+            ZoneObservations evidence = ZoneObservations.decode(part);
             assessment.heard(now, evidence);
             evidence.seen().stream()
                     .filter(
@@ -68,15 +68,15 @@
         }
 
         @Override
-        public List<Share> plan(long now, Tier tier) {
-            Picture picture = assessment.picture(now);
+        public List<Share> plan(long now, TierView tier) {
+            ZoneHealthSnapshot picture = assessment.picture(now);
             List<Share> shares = new ArrayList<>();
             for (int zone = 0; zone < Site.ZONES; zone++) {
-                Picture.Zone seen = picture.zones().get(zone);
+                ZoneHealthSnapshot.Zone seen = picture.zones().get(zone);
                 boolean left =
                         oneWord
                                 ? accused.contains(zone)
-                                : seen.fresh() > 0 && seen.state() == Picture.State.LOST;
+                                : seen.fresh() > 0 && seen.state() == ZoneHealthSnapshot.State.LOST;
                 if (!left) {
                     for (int to = 0; to < Site.ZONES; to++) {
                         shares.add(
@@ -110,9 +110,9 @@
                 Policy.Kind.TOGETHER,
                 Conditions.USUAL,
                 SEED,
-                Together.SETTINGS,
+                CoordinatedPolicy.SETTINGS,
                 (settings, zoneOf, tally, now) ->
-                        new Together.Part(
+                        new CoordinatedPolicy.Part(
                                 new Naive(oneWord, capped, settings, zoneOf, tally), table -> {}),
                 false);
     }
@@ -128,8 +128,10 @@
 
     private static Result kept(World world) {
         Result result = FailoverRun.play(world, "TOGETHER", Conditions.USUAL, SEED);
-        assertEquals(result.breaches(), List.<Breach>of(), world + ", seed " + SEED);
-        assertTrue(result.mostMoves() <= Together.SETTINGS.movesPerMinute(), result.toString());
+        assertEquals(result.breaches(), List.<Violation>of(), world + ", seed " + SEED);
+        assertTrue(
+                result.mostMoves() <= CoordinatedPolicy.SETTINGS.movesPerMinute(),
+                result.toString());
         return result;
     }
 
@@ -168,7 +170,7 @@
                         Policy.Kind.TOGETHER,
                         new Conditions(0.5, 0.1, true),
                         SEED,
-                        Together.SETTINGS,
+                        CoordinatedPolicy.SETTINGS,
                         null,
                         false);
         assertEquals(calm.moves(), 0);
@@ -204,12 +206,12 @@
                         Policy.Kind.TOGETHER,
                         Conditions.USUAL,
                         SEED,
-                        Together.SETTINGS,
+                        CoordinatedPolicy.SETTINGS,
                         null,
                         true);
         assertCaught(result, "F3", "uses table");
         assertTrue(
                 Arrays.asList("F3")
-                        .containsAll(result.breaches().stream().map(Breach::rule).toList()));
+                        .containsAll(result.breaches().stream().map(Violation::rule).toList()));
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Await;
-import cedarrudder.Balancer.Effect;
+import cedarrudder.balancer.Await;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -30,7 +30,8 @@
 
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     private static final Traffic PLAIN =
-            new Traffic(List.of(new Traffic.Kind("lookup", Effect.SAFE, 1, 20_000)), List.of());
+            new Traffic(
+                    List.of(new Traffic.Kind("lookup", Idempotency.SAFE, 1, 20_000)), List.of());
 
     /** What a server answers to the request of a number, from 0; null: the connection is reset. */
     private interface Script {
@@ -220,7 +221,8 @@
     public void aRequestWithoutAnAnswerEndsAtItsDeadlineAndOneThatNeverLeftIsTold()
             throws Exception {
         Traffic brief =
-                new Traffic(List.of(new Traffic.Kind("order", Effect.KEYED, 1, 200)), List.of());
+                new Traffic(
+                        List.of(new Traffic.Kind("order", Idempotency.KEYED, 1, 200)), List.of());
         CountDownLatch never = new CountDownLatch(1);
         try (Server server =
                 new Server(
--- a/lab/src/test/java/cedarrudder/lab/members/MeshTest.java
+++ b/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
@@ -1,4 +1,4 @@
-package cedarrudder.lab.members;
+package cedarrudder.lab.membership;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -14,34 +14,36 @@
  * Membership among many, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
  * same.
  */
-public class MeshTest {
+public class SwimSimulationTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MILLI = 1_000_000L;
-    private static final Mesh.Network QUIET = new Mesh.Network(0, MILLI / 10, 2 * MILLI);
-    private static final Mesh.Network LOSSY = new Mesh.Network(0.3, MILLI / 10, 2 * MILLI);
+    private static final SwimSimulation.Network QUIET =
+            new SwimSimulation.Network(0, MILLI / 10, 2 * MILLI);
+    private static final SwimSimulation.Network LOSSY =
+            new SwimSimulation.Network(0.3, MILLI / 10, 2 * MILLI);
 
-    private static Mesh mesh(int size, Mesh.Network network, long seed) {
-        return new Mesh(size, network, MembershipSettings.DEFAULT, seed);
+    private static SwimSimulation mesh(int size, SwimSimulation.Network network, long seed) {
+        return new SwimSimulation(size, network, MembershipSettings.DEFAULT, seed);
     }
 
-    private static boolean allAgree(Mesh mesh, int about, boolean live) {
+    private static boolean allAgree(SwimSimulation mesh, int about, boolean live) {
         return IntStream.range(0, mesh.size())
                 .filter(i -> i != about && mesh.runs(i))
                 .allMatch(i -> mesh.view(i).member(about).live() == live);
     }
 
-    private static List<Mesh.Change> deaths(Mesh mesh) {
+    private static List<SwimSimulation.Change> deaths(SwimSimulation mesh) {
         return mesh.changes().stream().filter(c -> c.now().standing() == Standing.DEAD).toList();
     }
 
     @Test
     public void oneSeedGivesOneHistory() {
-        List<List<Mesh.Change>> histories =
+        List<List<SwimSimulation.Change>> histories =
                 List.of(1, 2).stream()
                         .map(
                                 time -> {
-                                    Mesh m = mesh(20, LOSSY, 5);
+                                    SwimSimulation m = mesh(20, LOSSY, 5);
                                     m.play(5 * SECOND);
                                     m.kill(3);
                                     m.play(30 * SECOND);
@@ -55,10 +57,10 @@
     @Test
     public void nearlyHalfDieAtOnceAndAllOthersFindOut() {
         for (long seed = 1; seed <= 3; seed++) {
-            Detection detection =
-                    new Detection(50, LOSSY, 0.48, MembershipSettings.DEFAULT, 20, 90);
+            FailureDetectionTrial detection =
+                    new FailureDetectionTrial(50, LOSSY, 0.48, MembershipSettings.DEFAULT, 20, 90);
             detection.play(seed);
-            Detection.Figures figures = detection.figures();
+            FailureDetectionTrial.Figures figures = detection.figures();
             assertEquals(figures.unseen(), 0, figures.toString());
             assertEquals(figures.falseDeaths(), 0, figures.toString());
         }
@@ -66,7 +68,7 @@
 
     @Test
     public void oneThatLeavesIsNotMissed() {
-        Mesh mesh = mesh(30, QUIET, 2);
+        SwimSimulation mesh = mesh(30, QUIET, 2);
         mesh.play(10 * SECOND);
         mesh.leave(4);
         mesh.play(5 * SECOND);
@@ -76,7 +78,7 @@
 
     @Test
     public void aNewLifeIsBelievedAndTheOldOneNotAgain() {
-        Mesh mesh = mesh(20, QUIET, 3);
+        SwimSimulation mesh = mesh(20, QUIET, 3);
         mesh.play(10 * SECOND);
         mesh.kill(7);
         mesh.play(40 * SECOND);
@@ -91,7 +93,7 @@
 
     @Test
     public void oneThatStartsLearnsWhoIsDead() {
-        Mesh mesh = mesh(20, QUIET, 4);
+        SwimSimulation mesh = mesh(20, QUIET, 4);
         mesh.play(5 * SECOND);
         mesh.kill(1);
         mesh.kill(2);
@@ -106,7 +108,7 @@
 
     @Test
     public void twoHalvesFindOneAnotherAgain() {
-        Mesh mesh = mesh(20, QUIET, 6);
+        SwimSimulation mesh = mesh(20, QUIET, 6);
         mesh.play(5 * SECOND);
         mesh.cut(i -> i < 10);
         mesh.play(60 * SECOND);
@@ -126,7 +128,7 @@
      */
     @Test
     public void thoseThatStandStillBuryNobody() {
-        Mesh mesh = mesh(40, QUIET, 8);
+        SwimSimulation mesh = mesh(40, QUIET, 8);
         mesh.play(5 * SECOND);
         for (int round = 0; round < 20; round++) {
             for (int slow = 0; slow < 4; slow++) {
@@ -149,7 +151,7 @@
         double[] bytes = new double[2];
         int[] sizes = {10, 200};
         for (int i = 0; i < 2; i++) {
-            Mesh mesh = mesh(sizes[i], QUIET, 9);
+            SwimSimulation mesh = mesh(sizes[i], QUIET, 9);
             mesh.play(30 * SECOND);
             perSecond[i] = mesh.messages() / 30.0 / sizes[i];
             bytes[i] = mesh.bytes() / 30.0 / sizes[i];
@@ -167,7 +169,7 @@
         double[] bytes = new double[2];
         int[] sizes = {10, 200};
         for (int i = 0; i < 2; i++) {
-            Mesh mesh = mesh(sizes[i], LOSSY, 9);
+            SwimSimulation mesh = mesh(sizes[i], LOSSY, 9);
             mesh.play(60 * SECOND);
             long before = mesh.bytes();
             mesh.play(20 * SECOND);
@@ -186,10 +188,11 @@
      */
     @Test
     public void troublePasses() {
-        for (Trouble.Kind kind : Trouble.Kind.values()) {
-            Trouble trouble = new Trouble(kind, 40, QUIET, MembershipSettings.DEFAULT);
+        for (TransientFaultTrial.Kind kind : TransientFaultTrial.Kind.values()) {
+            TransientFaultTrial trouble =
+                    new TransientFaultTrial(kind, 40, QUIET, MembershipSettings.DEFAULT);
             trouble.play(11);
-            Trouble.Figures figures = trouble.figures();
+            TransientFaultTrial.Figures figures = trouble.figures();
             assertEquals(figures.never(), 0, figures.toString());
             assertTrue(figures.worst() <= 15, figures.toString());
             assertEquals(figures.falseDeaths(), 0, figures.toString());
--- a/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
@@ -4,13 +4,13 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer;
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Outcome;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.budget.BudgetSettings;
+import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.policy.TierBudgets;
-import cedarrudder.lab.policy.Truth;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
 import java.util.HashMap;
@@ -36,7 +36,7 @@
         site.tiers = 3;
         site.retries = 0;
         site.errorRate = 0.5;
-        site.classes = List.of(site.kind(Effect.KEYED, 300 * Scenarios.MS, Scenarios.SECOND));
+        site.classes = List.of(site.kind(Idempotency.KEYED, 300 * Scenarios.MS, Scenarios.SECOND));
         return site;
     }
 
@@ -64,11 +64,11 @@
         }
 
         @Override
-        public Balancer create(
-                Balancer.Settings settings,
+        public LoadBalancer create(
+                LoadBalancer.BalancerSettings settings,
                 RandomGenerator random,
-                Balancer.Actions actions,
-                Truth truth) {
+                LoadBalancer.Actions actions,
+                GroundTruth truth) {
             Map<Long, Long> keys = new HashMap<>();
             return new Policies.First(actions) {
                 @Override
@@ -88,7 +88,7 @@
                         Outcome outcome,
                         long latency,
                         boolean settled,
-                        Load load) {
+                        LoadReport load) {
                     if (attempt > 0 && outcome != Outcome.MOOT) {
                         further.merge(keys.get(request), 1, Integer::sum);
                     }
--- a/lab/src/test/java/cedarrudder/lab/model/AgendaTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/EventQueueTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.Test;
 
 /** The order of events. */
-public class AgendaTest {
+public class EventQueueTest {
 
-    private final Agenda agenda = new Agenda(100);
+    private final EventQueue agenda = new EventQueue(100);
     private final List<String> seen = new ArrayList<>();
 
     private Task task(String name) {
@@ -27,7 +27,7 @@
 
     @Test
     public void sameInstantGoesByTheOrderOfScheduling() {
-        Agenda one = new Agenda(0);
+        EventQueue one = new EventQueue(0);
         List<String> order = new ArrayList<>();
         class Named extends Task {
             final String name;
--- a/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
@@ -5,12 +5,12 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
@@ -74,7 +74,7 @@
     public void aCrashedNodeRefusesAndComesBackCold() throws InterruptedException {
         site.work = 400 * Scenarios.MS;
         site.perSecond = 2;
-        site.classes = List.of(site.kind(Effect.SAFE, Scenarios.SECOND, 9 * Scenarios.SECOND));
+        site.classes = List.of(site.kind(Idempotency.SAFE, Scenarios.SECOND, 9 * Scenarios.SECOND));
         play(Trouble.CRASH, 1, FIRST);
         assertEquals(notes.find("nodeEnded", n -> n.at() == BEGINS).size(), 1);
         Ends down = ends(BEGINS, ENDS);
@@ -201,7 +201,9 @@
 
                                     @Override
                                     public void endpoints(
-                                            long now, ListKind kind, List<Endpoint> entries) {
+                                            long now,
+                                            EndpointListKind kind,
+                                            List<Endpoint> entries) {
                                         super.endpoints(now, kind, entries);
                                         if (asked == 0) {
                                             ask(now);
@@ -260,8 +262,8 @@
     @Test
     public void frozenReportsStayAsTheyAre() throws InterruptedException {
         site.perSecond = 60;
-        List<Load> before = new ArrayList<>();
-        List<Load> during = new ArrayList<>();
+        List<LoadReport> before = new ArrayList<>();
+        List<LoadReport> during = new ArrayList<>();
         Policy probes =
                 Policies.of(
                         "probes",
@@ -279,7 +281,7 @@
                                             long endpoint,
                                             Outcome outcome,
                                             long latency,
-                                            Load load) {
+                                            LoadReport load) {
                                         assertEquals(outcome, Outcome.OK);
                                         double at = (now - Model.START) / 1e9;
                                         if (at > 0.5 && at < BEGINS) {
--- a/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Actions;
-import cedarrudder.Balancer.Request;
+import cedarrudder.balancer.LoadBalancer.Actions;
+import cedarrudder.balancer.LoadBalancer.Request;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.result.RunResult;
 import org.testng.annotations.DataProvider;
@@ -79,7 +79,7 @@
                                     }
                                 });
         RunResult result =
-                Model.run(site.make(), 1, policy, "broken", new Unheard(), guard).result();
+                Model.run(site.make(), 1, policy, "broken", new NullTrace(), guard).result();
         assertTrue(result.finding().contains(finding), result.finding());
     }
 
@@ -92,7 +92,13 @@
                             throw new IllegalArgumentException("no such settings");
                         });
         RunResult result =
-                Model.run(new Scenarios().make(), 1, policy, "broken", new Unheard(), Guard.usual())
+                Model.run(
+                                new Scenarios().make(),
+                                1,
+                                policy,
+                                "broken",
+                                new NullTrace(),
+                                Guard.usual())
                         .result();
         assertTrue(result.finding().contains("no such settings"), result.finding());
     }
--- a/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Request;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.Request;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
@@ -37,9 +37,9 @@
         site.errorRate = 0.01;
         site.classes =
                 List.of(
-                        site.kind(Effect.SAFE, 300 * Scenarios.MS, Scenarios.SECOND),
-                        site.kind(Effect.KEYED, 300 * Scenarios.MS, Scenarios.SECOND),
-                        site.kind(Effect.UNSAFE, 300 * Scenarios.MS, Scenarios.SECOND));
+                        site.kind(Idempotency.SAFE, 300 * Scenarios.MS, Scenarios.SECOND),
+                        site.kind(Idempotency.KEYED, 300 * Scenarios.MS, Scenarios.SECOND),
+                        site.kind(Idempotency.UNSAFE, 300 * Scenarios.MS, Scenarios.SECOND));
         double at = 1;
         for (Trouble trouble : Trouble.values()) {
             site.fault(trouble, at, 3, 0.2, 4);
@@ -111,7 +111,7 @@
     public void repeatsOfAClientBelongToItsFirstTry() throws InterruptedException {
         Scenarios site = new Scenarios();
         site.marksRepeats = true;
-        site.classes = List.of(site.kind(Effect.SAFE, 900 * Scenarios.MS, Scenarios.SECOND));
+        site.classes = List.of(site.kind(Idempotency.SAFE, 900 * Scenarios.MS, Scenarios.SECOND));
         Policy refusesFirstTries =
                 Policies.of(
                         "v",
--- a/lab/src/test/java/cedarrudder/lab/model/Notes.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Notes.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.trace.Trace;
 import java.util.ArrayList;
 import java.util.List;
@@ -68,7 +68,13 @@
 
     @Override
     public void told(
-            long now, int proxy, long endpoint, int cell, int zone, State state, long startedAt) {
+            long now,
+            int proxy,
+            long endpoint,
+            int cell,
+            int zone,
+            EndpointStatus state,
+            long startedAt) {
         note("told", now, proxy, 0, cell, endpoint, state, startedAt);
     }
 
@@ -82,7 +88,7 @@
             long now,
             int proxy,
             long rpc,
-            Effect effect,
+            Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {
--- a/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
@@ -4,13 +4,13 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.Endpoint;
-import cedarrudder.Balancer.ListKind;
-import cedarrudder.Balancer.Load;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.Request;
-import cedarrudder.Balancer.Settings;
+import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.LoadReport;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.balancer.LoadBalancer.Request;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Draw;
@@ -111,7 +111,8 @@
         site.perSecond = 1;
         site.retries = 0;
         // A client leaves while the second tier works: after 0.1 s of the first tier's 0.2 s.
-        site.classes = List.of(site.kind(Effect.UNSAFE, 100 * Scenarios.MS, 200 * Scenarios.MS));
+        site.classes =
+                List.of(site.kind(Idempotency.UNSAFE, 100 * Scenarios.MS, 200 * Scenarios.MS));
         RunResult stopped = play(site.make(), FIRST);
         site.stopsCancelled = false;
         RunResult ran = play(site.make(), FIRST);
@@ -126,7 +127,8 @@
     @Test
     public void clientsComeBackWhenTheyWereTold() throws InterruptedException {
         site.perSecond = 5;
-        site.classes = List.of(site.kind(Effect.UNSAFE, Scenarios.SECOND, 3 * Scenarios.SECOND));
+        site.classes =
+                List.of(site.kind(Idempotency.UNSAFE, Scenarios.SECOND, 3 * Scenarios.SECOND));
         Policy later =
                 Policies.of(
                         "v",
@@ -183,7 +185,7 @@
         site.probesPerCore = 10;
         site.work = 100 * Scenarios.MS;
         site.perSecond = 50;
-        List<Load> loads = new ArrayList<>();
+        List<LoadReport> loads = new ArrayList<>();
         int[] turnedDown = new int[1];
         Policy probes =
                 Policies.of(
@@ -202,7 +204,7 @@
                                             long endpoint,
                                             Outcome outcome,
                                             long latency,
-                                            Load load) {
+                                            LoadReport load) {
                                         if (outcome == Outcome.OK) {
                                             assertTrue(
                                                     latency < 10 * Scenarios.MS,
@@ -217,7 +219,7 @@
         assertTrue(
                 loads.size() > 90 && loads.size() < 150, loads.size() + " of " + result.probes());
         assertTrue(turnedDown[0] > 250, turnedDown[0] + " turned down");
-        Load last = loads.get(loads.size() - 1);
+        LoadReport last = loads.get(loads.size() - 1);
         assertTrue(last.inFlight() > 5 && last.utilisation() > 0.9, last.toString());
         assertTrue(
                 last.latencyMillis() > 0 && last.latencyMillis() < 100, "without waiting: " + last);
@@ -234,9 +236,12 @@
                                 new Policies.First(actions) {
                                     @Override
                                     public void endpoints(
-                                            long now, ListKind kind, List<Endpoint> entries) {
+                                            long now,
+                                            EndpointListKind kind,
+                                            List<Endpoint> entries) {
                                         super.endpoints(now, kind, entries);
-                                        if (settings.self() == 0 && kind == ListKind.CACHED) {
+                                        if (settings.self() == 0
+                                                && kind == EndpointListKind.CACHED) {
                                             actions.tell(-1, new byte[] {7});
                                             actions.tell(2, new byte[256]);
                                         }
@@ -269,7 +274,7 @@
                 List.of(
                         new Scenario.Customer("one", 0.6, Draw.fixed(0.5), Draw.fixed(1)),
                         new Scenario.Customer("two", 0.4, Draw.fixed(0.5), Draw.fixed(2)));
-        List<Settings> told = new ArrayList<>();
+        List<BalancerSettings> told = new ArrayList<>();
         Policy listens =
                 Policies.of(
                         "v",
@@ -279,7 +284,7 @@
                         });
         RunResult result = play(site.make(), listens);
         assertEquals(told.size(), 2 + site.nodes);
-        Settings last = told.get(told.size() - 1);
+        BalancerSettings last = told.get(told.size() - 1);
         assertEquals(
                 List.of(last.copies(), last.self(), last.tier(), last.tiers()),
                 List.of(site.nodes, site.nodes - 1, 1, 2));
--- a/lab/src/test/java/cedarrudder/lab/model/Policies.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Policies.java
@@ -1,9 +1,9 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.Balancer;
-import cedarrudder.Decide;
+import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.PrequalBalancer;
+import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
-import cedarrudder.lab.policy.Truth;
 import java.util.List;
 import java.util.random.RandomGenerator;
 
@@ -11,12 +11,17 @@
 final class Policies {
 
     static final Policy DECIDE =
-            of("decide", (settings, random, actions) -> new Decide(settings, random, actions));
+            of(
+                    "decide",
+                    (settings, random, actions) -> new PrequalBalancer(settings, random, actions));
 
     private Policies() {}
 
     interface Maker {
-        Balancer make(Balancer.Settings settings, RandomGenerator random, Balancer.Actions actions);
+        LoadBalancer make(
+                LoadBalancer.BalancerSettings settings,
+                RandomGenerator random,
+                LoadBalancer.Actions actions);
     }
 
     static Policy of(String name, Maker maker) {
@@ -27,11 +32,11 @@
             }
 
             @Override
-            public Balancer create(
-                    Balancer.Settings settings,
+            public LoadBalancer create(
+                    LoadBalancer.BalancerSettings settings,
                     RandomGenerator random,
-                    Balancer.Actions actions,
-                    Truth truth) {
+                    LoadBalancer.Actions actions,
+                    GroundTruth truth) {
                 return maker.make(settings, random, actions);
             }
         };
@@ -41,7 +46,7 @@
      * One that sends each request to the first node of its list, once, and fails it when that
      * fails.
      */
-    static class First implements Balancer {
+    static class First implements LoadBalancer {
         final Actions actions;
         long first;
 
@@ -50,9 +55,9 @@
         }
 
         @Override
-        public void endpoints(long now, ListKind kind, List<Endpoint> entries) {
+        public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
             for (Endpoint entry : entries) {
-                if (first == 0 && entry.state() == State.READY) {
+                if (first == 0 && entry.state() == EndpointStatus.READY) {
                     first = entry.id();
                 }
             }
@@ -78,7 +83,7 @@
                 Outcome outcome,
                 long latency,
                 boolean settled,
-                Load load) {
+                LoadReport load) {
             if (!settled) {
                 actions.fail(request);
             }
@@ -91,7 +96,8 @@
         public void timer(long now, long token) {}
 
         @Override
-        public void probed(long now, long endpoint, Outcome outcome, long latency, Load load) {}
+        public void probed(
+                long now, long endpoint, Outcome outcome, long latency, LoadReport load) {}
 
         @Override
         public void message(long now, int from, byte[] message) {}
--- a/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.Balancer.Effect;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario.Spread;
 import java.util.List;
@@ -48,7 +48,7 @@
         site.handshakeWork = 0;
         site.connections = 1e9;
         long deadline = 100 * Scenarios.SECOND;
-        site.classes = List.of(site.kind(Effect.UNSAFE, deadline, deadline));
+        site.classes = List.of(site.kind(Idempotency.UNSAFE, deadline, deadline));
         long seed = 3;
         RunResult result =
                 Model.run(
@@ -58,7 +58,7 @@
                                         "first",
                                         (settings, random, actions) -> new Policies.First(actions)),
                                 "v",
-                                new Unheard(),
+                                new NullTrace(),
                                 Guard.usual())
                         .result();
         assertEquals(result.finding(), "");
--- a/lab/src/test/java/cedarrudder/lab/model/Scenarios.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Scenarios.java
@@ -2,8 +2,8 @@
 
 import static cedarrudder.lab.scenario.Draw.fixed;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
 import cedarrudder.lab.scenario.Draw;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.Scenario.Fault;
@@ -67,7 +67,7 @@
     final List<Fault> faults = new ArrayList<>();
 
     /** A class whose work is as set here. */
-    Scenario.RequestKind kind(Effect effect, long aim, long deadline) {
+    Scenario.RequestKind kind(Idempotency effect, long aim, long deadline) {
         return new Scenario.RequestKind(
                 effect.name(),
                 effect,
@@ -98,7 +98,7 @@
 
     Scenario make() {
         List<Scenario.RequestKind> kinds =
-                classes != null ? classes : List.of(kind(Effect.SAFE, 200 * MS, SECOND));
+                classes != null ? classes : List.of(kind(Idempotency.SAFE, 200 * MS, SECOND));
         List<Scenario.Tier> all = new ArrayList<>();
         for (int i = 0; i < tiers; i++) {
             all.add(tier(i));
--- a/lab/src/test/java/cedarrudder/lab/model/SharesInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/SharesInModelTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.ZoneShare;
+import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
 import cedarrudder.lab.result.RunResult;
 import java.util.ArrayList;
 import java.util.List;
@@ -55,12 +55,12 @@
     /** Each proxy sends these parts to its own zone and to the next; none: it has no shares. */
     private void tellAll(int own, int next) {
         for (Proxy proxy : run.proxiesTo(0)) {
-            List<ZoneShare> shares = new ArrayList<>();
+            List<ZoneTrafficShare> shares = new ArrayList<>();
             if (own > 0) {
-                shares.add(new ZoneShare(proxy.zone, own, 0));
+                shares.add(new ZoneTrafficShare(proxy.zone, own, 0));
             }
             if (next > 0) {
-                shares.add(new ZoneShare((proxy.zone + 1) % ZONES, next, 0));
+                shares.add(new ZoneTrafficShare((proxy.zone + 1) % ZONES, next, 0));
             }
             proxy.shares(shares);
         }
--- a/lab/src/test/java/cedarrudder/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/cedarrudder/lab/referee/RuleCheckerTest.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.result.RunResult.Breach;
 import cedarrudder.lab.trace.Trace.Final;
 import java.util.List;
@@ -14,22 +14,22 @@
 import org.testng.annotations.Test;
 
 /** The finer points of the rules, each on a trace of a few lines. */
-public class RefereeTest {
+public class RuleCheckerTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1000 * MS;
 
-    private Referee referee;
+    private RuleChecker referee;
 
     @BeforeMethod
     public void start() {
-        referee = new Referee(new Figures(8 * MS, SECOND, 4, SECOND, true, 4), 0);
+        referee = new RuleChecker(new RuleParameters(8 * MS, SECOND, 4, SECOND, true, 4), 0);
         referee.proxyStarted(0, 0, 0);
         for (int id = 1; id <= 6; id++) {
-            referee.told(0, 0, id, id % 3, id % 2, State.READY, 0);
+            referee.told(0, 0, id, id % 3, id % 2, EndpointStatus.READY, 0);
         }
     }
 
-    private void taken(long now, long rpc, Effect effect, KeyScope scope) {
+    private void taken(long now, long rpc, Idempotency effect, KeyScope scope) {
         referee.taken(now, 0, rpc, effect, scope, 500 * MS, now + SECOND);
     }
 
@@ -46,35 +46,35 @@
 
     @Test
     public void answerInGraceCounts() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.answered(SECOND + 8 * MS, 0, 1, Final.FAILED, -1);
         assertKept();
     }
 
     @Test
     public void answerAfterGraceIsOneBreachAtTheGracesEnd() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.answered(SECOND + 8 * MS + 1, 0, 1, Final.FAILED, -1);
         assertBroken(1, SECOND + 8 * MS, 1, -1, "no final answer in time");
     }
 
     @Test
     public void callerThatLeavesEarlyIsOwedNothing() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.callerLeft(SECOND - 1, 0, 1);
         assertKept();
     }
 
     @Test
     public void callerThatGoesAtItsDeadlineIsOwedAnAnswer() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.callerLeft(SECOND, 0, 1);
         assertBroken(1, SECOND + 8 * MS, 1, -1, "no final answer in time");
     }
 
     @Test
     public void proxyThatDiedOwesNothingEvenWhenItIsBack() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.proxyDied(10 * MS, 0);
         referee.proxyStarted(20 * MS, 0, 0);
         assertKept();
@@ -82,7 +82,7 @@
 
     @Test
     public void servedMustHaveReachedANode() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(MS, 0, 1, 0, 1, MS);
         referee.ended(2 * MS, 0, 1, 0, Outcome.OK);
         referee.answered(2 * MS, 0, 1, Final.SERVED, 0);
@@ -91,7 +91,7 @@
 
     @Test
     public void servedMustNameAnAttemptThatEndedWell() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(MS, 0, 1, 0, 1, MS);
         referee.reached(2 * MS, 0, 1, 0, 1);
         referee.ended(3 * MS, 0, 1, 0, Outcome.ERROR);
@@ -107,7 +107,7 @@
 
     @Test
     public void unsafeMayGoOnWhenItIsProvenNotToHaveRun() {
-        taken(0, 1, Effect.UNSAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.UNSAFE, KeyScope.ALL);
         referee.sent(MS, 0, 1, 0, 1, MS);
         referee.ended(2 * MS, 0, 1, 0, Outcome.FULL);
         referee.sent(2 * MS, 0, 1, 1, 2, MS);
@@ -118,7 +118,7 @@
 
     @Test
     public void proofThatComesLaterIsNoProof() {
-        taken(0, 1, Effect.UNSAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.UNSAFE, KeyScope.ALL);
         referee.sent(MS, 0, 1, 0, 1, MS);
         referee.sent(2 * MS, 0, 1, 1, 2, MS);
         referee.ended(3 * MS, 0, 1, 0, Outcome.FULL);
@@ -131,7 +131,7 @@
     public void keyedIsBoundToTheFirstThatMayHaveRun() {
         // Node 1 proves not to have run: the window and the cell are those of node 2, and 5 is in
         // its cell.
-        taken(0, 1, Effect.KEYED, KeyScope.CELL);
+        taken(0, 1, Idempotency.KEYED, KeyScope.CELL);
         referee.sent(0, 0, 1, 0, 1, MS);
         referee.ended(400 * MS, 0, 1, 0, Outcome.CONNECT_FAILED);
         referee.sent(400 * MS, 0, 1, 1, 2, MS);
@@ -143,7 +143,7 @@
 
     @Test
     public void keyedLeavesItsZone() {
-        taken(0, 1, Effect.KEYED, KeyScope.ZONE);
+        taken(0, 1, Idempotency.KEYED, KeyScope.ZONE);
         referee.sent(0, 0, 1, 0, 1, MS);
         referee.ended(MS, 0, 1, 0, Outcome.RESET);
         referee.sent(2 * MS, 0, 1, 1, 3, MS);
@@ -156,7 +156,7 @@
     public void keyedIsRefusedOnlyWhereAllNodesDropRepeats() {
         for (KeyScope scope : List.of(KeyScope.ALL, KeyScope.CELL)) {
             long rpc = scope.ordinal() + 1;
-            taken(0, rpc, Effect.KEYED, scope);
+            taken(0, rpc, Idempotency.KEYED, scope);
             referee.sent(0, 0, rpc, 0, 1, MS);
             referee.ended(MS, 0, rpc, 0, Outcome.ERROR);
             referee.answered(MS, 0, rpc, Final.REFUSED, -1);
@@ -166,7 +166,7 @@
 
     @Test
     public void attemptsAreCounted() {
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         for (int i = 0; i < 5; i++) {
             referee.sent(i, 0, 1, i, 1, MS);
         }
@@ -176,9 +176,9 @@
 
     @Test
     public void drainIsCountedFromItsFirstWord() {
-        referee.told(0, 0, 1, 1, 1, State.DRAINING, 0);
-        referee.told(SECOND, 0, 1, 1, 1, State.GONE, 0);
-        taken(0, 1, Effect.SAFE, KeyScope.ALL);
+        referee.told(0, 0, 1, 1, 1, EndpointStatus.DRAINING, 0);
+        referee.told(SECOND, 0, 1, 1, 1, EndpointStatus.GONE, 0);
+        taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(SECOND, 0, 1, 0, 1, MS);
         referee.sent(SECOND + 1, 0, 1, 1, 1, MS);
         referee.answered(SECOND + 1, 0, 1, Final.FAILED, -1);
@@ -188,10 +188,10 @@
     @Test
     public void wholeListWithoutANodeTellsThatItIsGone() {
         referee.toldWhole(0, 0);
-        referee.told(0, 0, 2, 2, 0, State.READY, 0);
+        referee.told(0, 0, 2, 2, 0, EndpointStatus.READY, 0);
         referee.toldWhole(900 * MS, 0);
-        referee.told(900 * MS, 0, 2, 2, 0, State.READY, 0);
-        taken(500 * MS, 1, Effect.SAFE, KeyScope.ALL);
+        referee.told(900 * MS, 0, 2, 2, 0, EndpointStatus.READY, 0);
+        taken(500 * MS, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(SECOND + 1, 0, 1, 0, 2, MS);
         referee.sent(SECOND + 1, 0, 1, 1, 1, MS);
         referee.answered(SECOND + 1, 0, 1, Final.FAILED, -1);
@@ -200,9 +200,9 @@
 
     @Test
     public void restartUnderTheSameIdLiftsADrain() {
-        referee.told(0, 0, 1, 1, 1, State.GONE, 0);
-        referee.told(3 * SECOND, 0, 1, 1, 1, State.READY, 2 * SECOND);
-        taken(3 * SECOND, 1, Effect.SAFE, KeyScope.ALL);
+        referee.told(0, 0, 1, 1, 1, EndpointStatus.GONE, 0);
+        referee.told(3 * SECOND, 0, 1, 1, 1, EndpointStatus.READY, 2 * SECOND);
+        taken(3 * SECOND, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(3 * SECOND, 0, 1, 0, 1, MS);
         referee.answered(3 * SECOND, 0, 1, Final.FAILED, -1);
         assertKept();
@@ -212,8 +212,8 @@
     public void proxyThatIsBackKnowsOnlyItsNewList() {
         referee.proxyDied(MS, 0);
         referee.proxyStarted(2 * MS, 0, 0);
-        referee.told(2 * MS, 0, 1, 1, 1, State.READY, 0);
-        taken(2 * MS, 1, Effect.SAFE, KeyScope.ALL);
+        referee.told(2 * MS, 0, 1, 1, 1, EndpointStatus.READY, 0);
+        taken(2 * MS, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(3 * MS, 0, 1, 0, 1, MS);
         referee.sent(4 * MS, 0, 1, 1, 2, MS);
         referee.answered(5 * MS, 0, 1, Final.FAILED, -1);
@@ -230,10 +230,10 @@
     private void flood(boolean told, Outcome outcome) {
         referee.nodeStarted(0, 1, 1, 0.25, 10 * SECOND);
         if (told) {
-            referee.told(0, 0, 1, 1, 1, State.READY, MS);
+            referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
         }
         for (int rpc = 1; rpc <= 15; rpc++) {
-            taken(0, rpc, Effect.SAFE, KeyScope.ALL);
+            taken(0, rpc, Idempotency.SAFE, KeyScope.ALL);
             referee.sent(0, 0, rpc, 0, 1, 100 * MS);
             referee.ended(0, 0, rpc, 0, outcome);
             referee.answered(0, 0, rpc, Final.FAILED, -1);
@@ -253,9 +253,9 @@
         for (int count = 9; count <= 10; count++) {
             start();
             referee.nodeStarted(0, 1, 1, 0.25, 1000 * SECOND);
-            referee.told(0, 0, 1, 1, 1, State.READY, MS);
+            referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
             for (int rpc = 1; rpc <= count; rpc++) {
-                taken(0, rpc, Effect.SAFE, KeyScope.ALL);
+                taken(0, rpc, Idempotency.SAFE, KeyScope.ALL);
                 referee.sent(0, 0, rpc, 0, 1, 100 * MS);
                 referee.answered(0, 0, rpc, Final.FAILED, -1);
             }
@@ -289,12 +289,12 @@
     @Test
     public void lessThanTwoThirdsFromThoseToldIsExcused() {
         referee.proxyStarted(0, 1, 0);
-        referee.told(0, 1, 1, 1, 1, State.READY, 0);
+        referee.told(0, 1, 1, 1, 1, EndpointStatus.READY, 0);
         referee.nodeStarted(0, 1, 1, 0.25, 10 * SECOND);
-        referee.told(0, 0, 1, 1, 1, State.READY, MS);
+        referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
         for (int rpc = 1; rpc <= 30; rpc++) {
             int proxy = rpc % 5 < 2 ? 1 : 0;
-            referee.taken(0, proxy, rpc, Effect.SAFE, KeyScope.ALL, 0, SECOND);
+            referee.taken(0, proxy, rpc, Idempotency.SAFE, KeyScope.ALL, 0, SECOND);
             referee.sent(0, proxy, rpc, 0, 1, 100 * MS);
             referee.reached(MS, proxy, rpc, 0, 1);
             referee.answered(2 * MS, proxy, rpc, Final.FAILED, -1);
@@ -305,10 +305,10 @@
     @Test
     public void workSpreadOverWindowsIsWithinTheBudget() {
         referee.nodeStarted(0, 1, 1, 0.25, 10 * SECOND);
-        referee.told(0, 0, 1, 1, 1, State.READY, MS);
+        referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
         for (int rpc = 1; rpc <= 100; rpc++) {
             long now = rpc * 100 * MS;
-            taken(now, rpc, Effect.SAFE, KeyScope.ALL);
+            taken(now, rpc, Idempotency.SAFE, KeyScope.ALL);
             referee.sent(now, 0, rpc, 0, 1, 100 * MS);
             referee.reached(now, 0, rpc, 0, 1);
             referee.answered(now, 0, rpc, Final.FAILED, -1);
@@ -321,13 +321,13 @@
         int rpcs = 200_000;
         for (int rpc = 1; rpc <= rpcs; rpc++) {
             long now = rpc * MS;
-            taken(now, rpc, Effect.SAFE, KeyScope.ALL);
+            taken(now, rpc, Idempotency.SAFE, KeyScope.ALL);
             referee.sent(now, 0, rpc, 0, 1 + rpc % 6, MS);
             referee.reached(now, 0, rpc, 0, 1 + rpc % 6);
             referee.ended(now, 0, rpc, 0, Outcome.OK);
             referee.answered(now, 0, rpc, Final.SERVED, 0);
         }
-        long most = (SECOND + 8 * MS + Referee.MEMORY) / MS + 2;
+        long most = (SECOND + 8 * MS + RuleChecker.MEMORY) / MS + 2;
         assertTrue(referee.mostRemembered() <= most, referee.mostRemembered() + " remembered");
         referee.finish(rpcs * MS + 100 * SECOND);
         assertEquals(referee.breaches(), List.of());
--- a/lab/src/test/java/cedarrudder/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/scenario/ScenarioReaderTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.toml.BadFileException;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -67,7 +67,7 @@
 
     /** What is wrong with a scenario, its files without their folder. */
     private List<String> problems(Path file) {
-        return expectThrows(BadFileException.class, () -> ScenarioReader.read(file))
+        return expectThrows(InvalidFileException.class, () -> ScenarioReader.read(file))
                 .problems()
                 .stream()
                 .map(problem -> problem.toString().replace(folder + "/", ""))
--- a/lab/src/test/java/cedarrudder/lab/trace/TraceReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/trace/TraceReaderTest.java
@@ -5,11 +5,11 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.Balancer.Effect;
-import cedarrudder.Balancer.KeyScope;
-import cedarrudder.Balancer.Outcome;
-import cedarrudder.Balancer.State;
-import cedarrudder.lab.model.Unheard;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.LoadBalancer.Outcome;
+import cedarrudder.lab.model.NullTrace;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -27,9 +27,9 @@
     private static void play(Trace trace, long origin) {
         trace.proxyStarted(origin + 1, 0, 2);
         trace.toldWhole(origin + 2, 0);
-        trace.told(origin + 2, 0, 7, 3, 1, State.DRAINING, origin + 1);
+        trace.told(origin + 2, 0, 7, 3, 1, EndpointStatus.DRAINING, origin + 1);
         trace.nodeStarted(origin + 3, 7, 2.5, 0.25, origin + 9);
-        trace.taken(origin + 4, 0, 11, Effect.KEYED, KeyScope.CELL, 5, origin + 90);
+        trace.taken(origin + 4, 0, 11, Idempotency.KEYED, KeyScope.CELL, 5, origin + 90);
         trace.sent(origin + 5, 0, 11, 0, 7, 12);
         trace.reached(origin + 6, 0, 11, 0, 7);
         trace.ended(origin + 7, 0, 11, 0, Outcome.OK);
@@ -41,7 +41,7 @@
 
     private static byte[] written(long origin) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        TraceWriter writer = new TraceWriter(bytes, origin, new Unheard());
+        TraceWriter writer = new TraceWriter(bytes, origin, new NullTrace());
         play(writer, origin);
         writer.finish();
         return bytes.toByteArray();
@@ -57,7 +57,7 @@
     public void whatIsReadIsWhatWasWritten() throws IOException {
         byte[] first = written(ORIGIN);
         ByteArrayOutputStream again = new ByteArrayOutputStream();
-        TraceWriter writer = new TraceWriter(again, 0, new Unheard());
+        TraceWriter writer = new TraceWriter(again, 0, new NullTrace());
         TraceReader.Read read = TraceReader.read(file(first), writer);
         writer.finish();
         assertEquals(
@@ -77,7 +77,7 @@
             long lines = text.chars().filter(c -> c == '\n').count();
             boolean ends = text.isEmpty() || text.endsWith("\n");
             boolean unended = text.endsWith("}");
-            TraceReader.Read read = TraceReader.read(file(part), new Unheard());
+            TraceReader.Read read = TraceReader.read(file(part), new NullTrace());
             assertEquals(read.events(), lines + (unended ? 1 : 0), text);
             assertEquals(read.cut(), !ends && !unended, text);
         }
@@ -94,7 +94,7 @@
                         () ->
                                 TraceReader.read(
                                         file(broken.getBytes(StandardCharsets.UTF_8)),
-                                        new Unheard()));
+                                        new NullTrace()));
         assertTrue(thrown.getMessage().endsWith(":1: no \"tier\""), thrown.getMessage());
     }
 }
--- a/stress/src/main/java/cedarrudder/program/HandOvers.java
+++ b/stress/src/main/java/cedarrudder/program/HandOvers.java
@@ -34,7 +34,7 @@
             desc = "callers came and were not waited for, or the other way round")
     @State
     public static class StartAndSignal {
-        private final StartGate gate = new StartGate();
+        private final StartupGate gate = new StartupGate();
 
         /** The thread that starts. */
         @Actor
@@ -59,8 +59,8 @@
     @State
     public static class TwoWritersAndTheEnd {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-        private final LogWriter log =
-                new LogWriter(new PrintStream(out, true, StandardCharsets.UTF_8));
+        private final AsyncLogWriter log =
+                new AsyncLogWriter(new PrintStream(out, true, StandardCharsets.UTF_8));
 
         /** The loop. */
         @Actor
@@ -93,7 +93,7 @@
     @Outcome(expect = FORBIDDEN, desc = "the last change was read by none")
     @State
     public static class SignalsAndTheirFile {
-        private final Hangups hangups = new Hangups();
+        private final ReloadSignal hangups = new ReloadSignal();
         private volatile int file;
         private int read;
 
