--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -30,13 +30,13 @@
 /**
  * Conditions in CEL (the Common Expression Language), by Google's own library. Of the language
  * everything is there that takes a time bounded by the text's length: no macros, so nothing loops,
- * and no regular expressions. A condition that takes longer than {@link #MOST_NANOS} all the same
+ * and no regular expressions. A condition that takes longer than {@link #MAX_NANOS} all the same
  * counts as one that can't be told.
  */
 public final class CelConditions implements ConditionCompiler {
 
     /** The longest that one may take, in nanoseconds of this thread's own work. */
-    public static final long MOST_NANOS = 50_000_000L;
+    public static final long MAX_NANOS = 50_000_000L;
 
     private static final CelOptions OPTIONS =
             CelOptions.current()
@@ -208,8 +208,8 @@
             // condition's.
             long begun = THREADS.getCurrentThreadCpuTime();
             boolean holds = (Boolean) program.eval(values);
-            if (THREADS.getCurrentThreadCpuTime() - begun > MOST_NANOS) {
-                throw new IllegalStateException("a condition took over " + MOST_NANOS + " ns");
+            if (THREADS.getCurrentThreadCpuTime() - begun > MAX_NANOS) {
+                throw new IllegalStateException("a condition took over " + MAX_NANOS + " ns");
             }
             return holds;
         } catch (CelEvaluationException e) {
--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -78,7 +78,7 @@
     @Test
     public void theLongestTextTakesNoTimeThatCouldBeSeen() {
         String text = "failed > 0.1";
-        while (text.length() < DrainPolicy.MOST_TEXT - 20) {
+        while (text.length() < DrainPolicy.MAX_TEXT - 20) {
             text += " || died > 5";
         }
         ConditionCompiler.OfFigures condition =
@@ -88,6 +88,6 @@
         for (int i = 0; i < times; i++) {
             assertEquals(condition.holds(FIGURES), false);
         }
-        assertTrue((System.nanoTime() - begun) / times < CelConditions.MOST_NANOS);
+        assertTrue((System.nanoTime() - begun) / times < CelConditions.MAX_NANOS);
     }
 }
--- a/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -28,7 +28,7 @@
      * Ids are kept this many at the most beyond those that are listed, the latest. It bounds memory
      * alone: what operators ask for an older one is answered as for one that was never listed.
      */
-    private static final int MOST_FORMER = 4096;
+    private static final int MAX_FORMER = 4096;
 
     /** A node under the id that operators know it by. */
     public record Named(String name, Endpoint endpoint) {}
@@ -66,7 +66,7 @@
         returnedAt.remove(name);
         if (listed.remove(name) != null) {
             former.add(name);
-            for (Iterator<String> oldest = former.iterator(); former.size() > MOST_FORMER; ) {
+            for (Iterator<String> oldest = former.iterator(); former.size() > MAX_FORMER; ) {
                 oldest.next();
                 oldest.remove();
             }
--- a/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
+++ b/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
@@ -42,15 +42,15 @@
      * Takes in an answer.
      *
      * @param out calls out now
-     * @param recentMost the most that were out at once lately
-     * @param least the limit never falls under this: this copy's part of what endpoints may always
+     * @param maxRecent the most that were out at once lately
+     * @param min the limit never falls under this: this copy's part of what endpoints may always
      *     hold. With no more out there is no queue left to shorten by turning more away. Guards
      *     against refusing for good where answers are slow for another reason: connections that
      *     come up late, endpoints that hang
      */
-    public void answered(boolean slow, int out, double recentMost, double least) {
+    public void answered(boolean slow, int out, double maxRecent, double min) {
         if (slow && less > 0) {
-            limit = Math.max(Math.max(1, least), Math.min(limit, cut * recentMost + 1) - less);
+            limit = Math.max(Math.max(1, min), Math.min(limit, cut * maxRecent + 1) - less);
         } else if (met || out > limit / 2) {
             limit += more;
             met = false;
--- a/core/src/main/java/cedarrudder/admission/EndpointConcurrencyLimit.java
+++ b/core/src/main/java/cedarrudder/admission/EndpointConcurrencyLimit.java
@@ -35,7 +35,7 @@
      * So few copies see the same part of the calls, each. With more, a copy has one or two calls at
      * an endpoint whatever the site, and its own figure says little of the others'.
      */
-    private static final int FEW_COPIES = 3;
+    private static final int FEW_REPLICAS = 3;
 
     /**
      * For this long, in nanoseconds, a report tells of what others have at an endpoint. No setting
@@ -98,9 +98,9 @@
      *
      * @param own how many of this copy's it holds
      */
-    public double held(long now, int own, int copies) {
+    public double held(long now, int own, int replicas) {
         double told = now - othersAt < REPORT_TELLS ? others : 0;
-        return own + (copies <= FEW_COPIES ? own * (copies - 1) : told);
+        return own + (replicas <= FEW_REPLICAS ? own * (replicas - 1) : told);
     }
 
     /** Requests that the endpoint may hold. */
--- a/core/src/main/java/cedarrudder/admission/TenantQuotas.java
+++ b/core/src/main/java/cedarrudder/admission/TenantQuotas.java
@@ -20,24 +20,24 @@
     private final double[] quotas;
     private final double[] saved;
     private final long[] at;
-    private int copies;
+    private int replicas;
 
     /**
      * @param quotas the share of each tenant over all copies, in requests a second; 0: it has no
      *     limit
-     * @param copies how many copies there are, each of which takes an equal part
+     * @param replicas how many copies there are, each of which takes an equal part
      */
-    public TenantQuotas(double[] quotas, int copies) {
+    public TenantQuotas(double[] quotas, int replicas) {
         this.quotas = quotas.clone();
-        this.copies = Math.max(1, copies);
+        this.replicas = Math.max(1, replicas);
         this.saved = new double[quotas.length];
         this.at = new long[quotas.length];
         Arrays.fill(at, Long.MIN_VALUE / 2); // long ago, wherever the clock begins: all is saved up
     }
 
     /** From now on so many copies divide the shares; what was saved stays, up to what may be. */
-    public void copies(int live) {
-        copies = Math.max(1, live);
+    public void replicas(int live) {
+        replicas = Math.max(1, live);
     }
 
     /**
@@ -48,7 +48,7 @@
         if (tenant >= quotas.length || quotas[tenant] <= 0) {
             return false;
         }
-        double rate = quotas[tenant] / copies;
+        double rate = quotas[tenant] / replicas;
         double sum = saved[tenant] + rate * (now - at[tenant]) / 1e9;
         saved[tenant] = Math.min(Math.max(1, SECONDS * rate), sum);
         at[tenant] = now;
--- a/core/src/main/java/cedarrudder/admission/ZoneTrafficSplit.java
+++ b/core/src/main/java/cedarrudder/admission/ZoneTrafficSplit.java
@@ -174,10 +174,10 @@
         if (found == null || found.parts == 0 || found.perSecond == 0) {
             return true;
         }
-        double most = Math.max(1, SECONDS * found.perSecond);
-        found.saved = Math.min(most, found.saved + found.perSecond * (now - found.at) / 1e9);
+        double max = Math.max(1, SECONDS * found.perSecond);
+        found.saved = Math.min(max, found.saved + found.perSecond * (now - found.at) / 1e9);
         found.at = now;
-        return open(found.saved, most, part);
+        return open(found.saved, max, part);
     }
 
     /** A call goes to a zone. */
@@ -188,7 +188,7 @@
         }
     }
 
-    private static boolean open(double saved, double most, double part) {
-        return saved >= 1 + Math.max(0, 1 - part) * (most - 1);
+    private static boolean open(double saved, double max, double part) {
+        return saved >= 1 + Math.max(0, 1 - part) * (max - 1);
     }
 }
--- a/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
@@ -112,13 +112,13 @@
         COLD_SHARE_USED(0.5, 0.01, 1);
 
         final double standard;
-        final double least;
-        final double most;
+        final double min;
+        final double max;
 
-        Parameter(double standard, double least, double most) {
+        Parameter(double standard, double min, double max) {
             this.standard = standard;
-            this.least = least;
-            this.most = most;
+            this.min = min;
+            this.max = max;
         }
     }
 
@@ -145,7 +145,7 @@
 
     /** This value with one figure set; outside its range it is an IllegalArgumentException. */
     public BalancerParameters with(Parameter figure, double value) {
-        if (!(value >= figure.least && value <= figure.most)) {
+        if (!(value >= figure.min && value <= figure.max)) {
             throw BalancerParametersParser.notAllowed(figure, value);
         }
         double[] changed = values.clone();
--- a/core/src/main/java/cedarrudder/balancer/BalancerParametersParser.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParametersParser.java
@@ -73,9 +73,9 @@
                         + ": found "
                         + found
                         + ", allowed is a number from "
-                        + number(figure.least)
+                        + number(figure.min)
                         + " to "
-                        + number(figure.most));
+                        + number(figure.max));
     }
 
     /** Without a fraction where it has none. */
--- a/core/src/main/java/cedarrudder/balancer/EndpointState.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointState.java
@@ -149,9 +149,9 @@
         double planned =
                 tuning.get(BalancerParameters.Parameter.COLD_SHARE_USED) * safety.fallMultiple();
         double rate = planned * capacity(now, safety) * warmRate;
-        double most = rate * safety.fallWindow() / 1e9 / 2;
-        double over = allowance + rate * (now - allowanceAt) / 1e9 - most;
-        allowance = most + (over <= 0 ? over : most < 1 ? over % 1 - 1 : 0);
+        double max = rate * safety.fallWindow() / 1e9 / 2;
+        double over = allowance + rate * (now - allowanceAt) / 1e9 - max;
+        allowance = max + (over <= 0 ? over : max < 1 ? over % 1 - 1 : 0);
         allowanceAt = now;
         return allowance >= 0;
     }
@@ -207,16 +207,16 @@
     }
 
     /** Whether it may be given one more request. */
-    boolean room(long now, int copies) {
-        return hold.room(hold.held(now, inFlight - uploads, copies));
+    boolean room(long now, int replicas) {
+        return hold.room(hold.held(now, inFlight - uploads, replicas));
     }
 
     /**
      * Takes in how long a good answer took, and the work that it was said to need; before {@link
      * #ended}.
      */
-    void answered(long now, int copies, long latency, long work) {
-        hold.answered(hold.held(now, inFlight - uploads, copies), latency, work);
+    void answered(long now, int replicas, long latency, long work) {
+        hold.answered(hold.held(now, inFlight - uploads, replicas), latency, work);
     }
 
     /** The latency it reports, smoothed: the newest has this weight. */
--- a/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -179,7 +179,7 @@
     /**
      * All that a copy is told when it starts.
      *
-     * @param copies how many copies send to this tier
+     * @param replicas how many copies send to this tier
      * @param self the number of this copy among them, from 0
      * @param zone the zone of this copy
      * @param tier the tier this copy sends to, from 0
@@ -187,7 +187,7 @@
      * @param askForEndpoints whether the list of endpoints comes only when asked for
      */
     record BalancerSettings(
-            int copies,
+            int replicas,
             int self,
             int zone,
             int tier,
@@ -254,22 +254,15 @@
          * Checks the ranges, which are the table's; what is wrong is an IllegalArgumentException.
          */
         public ZoneTrafficShare {
-            check("zone", zone, 0, RouteTable.MOST_ZONES - 1);
+            check("zone", zone, 0, RouteTable.MAX_ZONES - 1);
             check("parts", parts, 1, RouteTable.WHOLE);
             check("perSecond", perSecond, 0, Integer.MAX_VALUE);
         }
 
-        private static void check(String name, int found, int least, int most) {
-            if (found < least || found > most) {
+        private static void check(String name, int found, int min, int max) {
+            if (found < min || found > max) {
                 throw new IllegalArgumentException(
-                        "share."
-                                + name
-                                + ": found "
-                                + found
-                                + "; allowed: "
-                                + least
-                                + " to "
-                                + most);
+                        "share." + name + ": found " + found + "; allowed: " + min + " to " + max);
             }
         }
     }
@@ -326,7 +319,7 @@
         void fetchEndpoints();
 
         /** Sends a short message to one copy of this tier, or to all of them (-1). */
-        void tell(int copy, byte[] message);
+        void tell(int replica, byte[] message);
 
         /** Writes a line for the operator. */
         void log(String line);
@@ -410,10 +403,10 @@
     default void returned(long now, long endpoint) {}
 
     /**
-     * How many copies live, this one with them, from 1 to {@link BalancerSettings#copies}; until
+     * How many copies live, this one with them, from 1 to {@link BalancerSettings#replicas}; until
      * the first such event all do. A module that doesn't listen goes on with all.
      */
-    default void copies(long now, int live) {}
+    default void replicas(long now, int live) {}
 
     /**
      * Which part of this copy's calls each zone may get from now on, in place of what was said
--- a/core/src/main/java/cedarrudder/balancer/PrequalBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/PrequalBalancer.java
@@ -61,13 +61,13 @@
     /**
      * Work below this counts as this much: the way and the queue take their time whatever the work.
      */
-    private static final long LEAST_WORK = 20_000_000L;
+    private static final long MIN_WORK = 20_000_000L;
 
     /** Answers after which it is known how long they take. */
     private static final int STRETCH_KNOWN = 20;
 
     /** And this is the shortest silence that counts. */
-    private static final long SILENT_LEAST = 100_000_000L;
+    private static final long MIN_SILENT = 100_000_000L;
 
     /** Time over which rates are smoothed. */
     private static final double RATE_NANOS = 2e9;
@@ -113,7 +113,7 @@
     private double extra;
 
     private double callsOut;
-    private double mostOut;
+    private double maxOut;
     private double callRate;
     private double warmAnswers;
     private long callRateAt;
@@ -153,7 +153,7 @@
             worth.perWork(i, settings.classes().get(i).worth());
         }
         double[] quotas = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray();
-        this.shares = new TenantQuotas(quotas, settings.copies());
+        this.shares = new TenantQuotas(quotas, settings.replicas());
         this.limit =
                 new AdaptiveConcurrencyLimit(
                         tuning.get(Parameter.LIMIT_LESS),
@@ -460,7 +460,7 @@
                 ? (long)
                         (tuning.get(Parameter.LATE_STRETCH)
                                 * stretch.mean()
-                                * Math.max(LEAST_WORK, call.work))
+                                * Math.max(MIN_WORK, call.work))
                 : 0;
     }
 
@@ -487,7 +487,7 @@
      */
     private boolean eligible(long now, EndpointState server) {
         return server.ready()
-                && server.room(now, settings.copies())
+                && server.room(now, settings.replicas())
                 && !server.crowded(now)
                 && (!server.cold(now, settings.safety())
                         || server.withinColdBudget(
@@ -585,7 +585,7 @@
                         && stands(call.to[attempt]);
         thriftyUntil = full ? now + THRIFT : thriftyUntil;
         if (outcome == Outcome.OK) {
-            call.to[attempt].answered(now, settings.copies(), latency, call.work);
+            call.to[attempt].answered(now, settings.replicas(), latency, call.work);
             byClass[call.classIndex].add(latency);
             overall.add(latency);
             double warm =
@@ -602,7 +602,7 @@
             (call.work > 0 ? stretch : coreTime)
                     .add(
                             call.work > 0
-                                    ? latency / (double) Math.max(LEAST_WORK, call.work)
+                                    ? latency / (double) Math.max(MIN_WORK, call.work)
                                     : latency);
         }
         if (outcome == Outcome.OK || outcome == Outcome.TIMEOUT || outcome == Outcome.FULL) {
@@ -614,8 +614,8 @@
             limit.answered(
                     now - call.arrived > aim || outcome == Outcome.FULL,
                     out,
-                    mostOut,
-                    tuning.get(Parameter.HELD_START) * pool.ring.size() / settings.copies());
+                    maxOut,
+                    tuning.get(Parameter.HELD_START) * pool.ring.size() / settings.replicas());
         }
         call.to[attempt].ended(now, outcome);
         pool.ended(outcome);
@@ -759,8 +759,8 @@
      * all.
      */
     @Override
-    public void copies(long now, int live) {
-        shares.copies(live);
+    public void replicas(long now, int live) {
+        shares.replicas(live);
     }
 
     @Override
@@ -811,7 +811,7 @@
         warmAnswers *= kept;
         callRateAt = now;
         callsOut = callsOut * kept + out * (1 - kept);
-        mostOut = Math.max(out, mostOut * Math.pow(kept, 0.2));
+        maxOut = Math.max(out, maxOut * Math.pow(kept, 0.2));
     }
 
     /**
@@ -826,13 +826,13 @@
         int roster = pool.roster().size();
         int ring = pool.ring.size();
         double kept = Math.min(1, Math.exp(-(now - callRateAt) / RATE_NANOS));
-        double even = Math.min(callRate * kept, 1e9 / coreTime.mean() * ring / settings.copies());
+        double even = Math.min(callRate * kept, 1e9 / coreTime.mean() * ring / settings.replicas());
         return server.inRoster ? Math.max(even / roster, warmAnswers * kept) : even / ring;
     }
 
     private long patience() {
         double silent =
                 tuning.get(Parameter.SILENT_LATENCIES) * (overall.mean() + overall.deviation());
-        return Math.max(SILENT_LEAST, (long) silent);
+        return Math.max(MIN_SILENT, (long) silent);
     }
 }
--- a/core/src/main/java/cedarrudder/balancer/ProbePool.java
+++ b/core/src/main/java/cedarrudder/balancer/ProbePool.java
@@ -175,7 +175,7 @@
      */
     void resize(double callsOut) {
         double covering =
-                tuning.get(Parameter.ROSTER_COVER) * ring.size() / Math.max(1, settings.copies());
+                tuning.get(Parameter.ROSTER_COVER) * ring.size() / Math.max(1, settings.replicas());
         double bearing = tuning.get(Parameter.ROSTER_PER_CALL) * callsOut;
         int wanted =
                 (int)
@@ -225,10 +225,10 @@
     }
 
     /** Takes a run of those of the ring; returns how many there are. */
-    private int add(Predicate<EndpointState> which, int most) {
+    private int add(Predicate<EndpointState> which, int max) {
         List<EndpointState> from = ring.stream().filter(which).toList();
-        int count = Math.min(most, from.size());
-        long start = (long) settings.self() * from.size() / Math.max(1, settings.copies());
+        int count = Math.min(max, from.size());
+        long start = (long) settings.self() * from.size() / Math.max(1, settings.replicas());
         for (int i = 0; i < count; i++) {
             EndpointState server = from.get((int) ((start + i) % from.size()));
             server.inRoster = true;
--- a/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
@@ -25,7 +25,7 @@
     private static final int SMALL = 1024;
 
     private static final int WHOLE = 8 * 1024;
-    private static final int LEAST_JOINED = 64;
+    private static final int MIN_JOINED = 64;
 
     private final Queue<byte[]> pieces = new ArrayDeque<>();
 
@@ -72,7 +72,7 @@
             joined = piece; // which is enough where nothing waits
         } else {
             if (length > joined.length) {
-                joined = Arrays.copyOf(joined, Math.min(WHOLE, Math.max(LEAST_JOINED, 2 * length)));
+                joined = Arrays.copyOf(joined, Math.min(WHOLE, Math.max(MIN_JOINED, 2 * length)));
             }
             System.arraycopy(piece, 0, joined, joinedLength, piece.length);
         }
--- a/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
@@ -9,21 +9,21 @@
     /**
      * What counts where nothing is set: an eighth of the least memory seen for a proxy, in bytes.
      */
-    public static final long MOST = 16L * 1024 * 1024;
+    public static final long MAX = 16L * 1024 * 1024;
 
-    private long most;
+    private long max;
     private long held;
 
     /**
-     * @param most the bound, in bytes; each flow may hold one piece beyond it
+     * @param max the bound, in bytes; each flow may hold one piece beyond it
      */
-    public BufferAccount(long most) {
-        this.most = most;
+    public BufferAccount(long max) {
+        this.max = max;
     }
 
     /** From now on this is the bound. */
-    public void most(long bytes) {
-        most = bytes;
+    public void max(long bytes) {
+        max = bytes;
     }
 
     /** So many bytes more are held, or fewer. */
@@ -38,6 +38,6 @@
 
     /** Whether nothing new should be read. */
     public boolean usedUp() {
-        return held >= most;
+        return held >= max;
     }
 }
--- a/core/src/main/java/cedarrudder/budget/BudgetFields.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetFields.java
@@ -23,14 +23,14 @@
     public static final String RESULT = "Cedar-Result";
 
     private static final int VERSION = 1;
-    private static final int MOST_VERSION = 9_999;
-    private static final int MOST_LENGTH = 700;
-    private static final int MOST_PATH_LENGTH = 600;
-    private static final long MOST_MILLIS = 86_400_000L;
-    private static final int MOST_TRIES = 1_000;
-    private static final int MOST_DIGITS = 9;
-    private static final int MOST_HEX = 16;
-    private static final int MOST_FRACTION = 12;
+    private static final int MAX_VERSION = 9_999;
+    private static final int MAX_LENGTH = 700;
+    private static final int MAX_PATH_LENGTH = 600;
+    private static final long MAX_MILLIS = 86_400_000L;
+    private static final int MAX_TRIES = 1_000;
+    private static final int MAX_DIGITS = 9;
+    private static final int MAX_HEX = 16;
+    private static final int MAX_FRACTION = 12;
     private static final long MILLI = 1_000_000L;
 
     private BudgetFields() {}
@@ -40,8 +40,8 @@
     /** Reads what came with a call; a field that wasn't there, or was there twice, is null. */
     public static PropagatedBudget read(String budget, String path) {
         String[] keys = split(budget);
-        long left = MILLI * number(value(keys, "left"), MOST_MILLIS, 0);
-        int tries = (int) number(value(keys, "tries"), MOST_TRIES, -1);
+        long left = MILLI * number(value(keys, "left"), MAX_MILLIS, 0);
+        int tries = (int) number(value(keys, "tries"), MAX_TRIES, -1);
         return new PropagatedBudget(
                 keys != null,
                 true,
@@ -61,15 +61,15 @@
         int semicolon = path == null ? -1 : path.indexOf(';');
         return semicolon < 0 || !isVersion(path.substring(0, semicolon))
                 ? HopPath.EMPTY
-                : hops(path.substring(semicolon + 1, Math.min(path.length(), MOST_PATH_LENGTH)));
+                : hops(path.substring(semicolon + 1, Math.min(path.length(), MAX_PATH_LENGTH)));
     }
 
     private static HopPath hops(String text) {
         if (text == null) {
             return HopPath.EMPTY;
         }
-        List<String> hops = List.of(text.split(",", HopPath.MOST + 1));
-        return HopPath.read(hops.subList(0, Math.min(hops.size(), HopPath.MOST)));
+        List<String> hops = List.of(text.split(",", HopPath.MAX + 1));
+        return HopPath.read(hops.subList(0, Math.min(hops.size(), HopPath.MAX)));
     }
 
     /** The value of {@link #BUDGET} for a call. */
@@ -111,7 +111,7 @@
         }
         String why = value(keys, "why");
         return new DownstreamFeedback(
-                (int) number(value(keys, "spent"), MOST_TRIES, -1),
+                (int) number(value(keys, "spent"), MAX_TRIES, -1),
                 Why.of(why),
                 hops(value(keys, "path")));
     }
@@ -130,7 +130,7 @@
 
     /** The parts of a value; null where there is none that can be read. */
     private static String[] split(String text) {
-        if (text == null || text.length() > MOST_LENGTH) {
+        if (text == null || text.length() > MAX_LENGTH) {
             return null;
         }
         String[] parts = text.split(";");
@@ -138,7 +138,7 @@
     }
 
     private static boolean isVersion(String text) {
-        return number(text.strip(), MOST_VERSION, 0) >= VERSION;
+        return number(text.strip(), MAX_VERSION, 0) >= VERSION;
     }
 
     /** The value of a key; null where it isn't there. Of two the first counts. */
@@ -154,8 +154,8 @@
         return null;
     }
 
-    private static boolean digits(String text, int most) {
-        if (text == null || text.isEmpty() || text.length() > most) {
+    private static boolean digits(String text, int max) {
+        if (text == null || text.isEmpty() || text.length() > max) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
@@ -166,13 +166,13 @@
         return true;
     }
 
-    private static long number(String text, long most, long otherwise) {
-        long number = digits(text, MOST_DIGITS) ? Long.parseLong(text) : -1;
-        return number < 0 || number > most ? otherwise : number;
+    private static long number(String text, long max, long otherwise) {
+        long number = digits(text, MAX_DIGITS) ? Long.parseLong(text) : -1;
+        return number < 0 || number > max ? otherwise : number;
     }
 
     private static long hex(String text) {
-        boolean hex = text != null && !text.isEmpty() && text.length() <= MOST_HEX;
+        boolean hex = text != null && !text.isEmpty() && text.length() <= MAX_HEX;
         for (int i = 0; hex && i < text.length(); i++) {
             hex = text.charAt(i) < 128 && Character.digit(text.charAt(i), 16) >= 0;
         }
@@ -183,11 +183,11 @@
         int point = text == null ? -1 : text.indexOf('.');
         boolean decimal =
                 text != null
-                        && text.length() <= MOST_FRACTION
+                        && text.length() <= MAX_FRACTION
                         && (point < 0
                                 ? digits(text, 1)
                                 : digits(text.substring(0, point), 1)
-                                        && digits(text.substring(point + 1), MOST_FRACTION));
+                                        && digits(text.substring(point + 1), MAX_FRACTION));
         return decimal ? Math.min(1, Double.parseDouble(text)) : Double.NaN;
     }
 }
--- a/core/src/main/java/cedarrudder/budget/BudgetSettings.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetSettings.java
@@ -9,11 +9,10 @@
  * @param triesWithoutFields the same for a call that says nothing, at any tier but the first
  * @param keep of a call's further attempts this many are not handed down
  * @param share further attempts as a share of first tries, over the window
- * @param leastPerSecond further attempts a second that are allowed however few first tries there
- *     are
+ * @param minPerSecond further attempts a second that are allowed however few first tries there are
  * @param window the time over which the share is counted, in nanoseconds
- * @param mostHops a path of this many tiers may not grow
- * @param leastAdmitted the share of requests that is let in however much the tier below turns away
+ * @param maxHops a path of this many tiers may not grow
+ * @param minAdmitted the share of requests that is let in however much the tier below turns away
  */
 public record BudgetSettings(
         String hop,
@@ -21,10 +20,10 @@
         int triesWithoutFields,
         int keep,
         double share,
-        double leastPerSecond,
+        double minPerSecond,
         long window,
-        int mostHops,
-        double leastAdmitted) {
+        int maxHops,
+        double minAdmitted) {
 
     /** The same with this name for the tier, where none is set. */
     public BudgetSettings orHop(String name) {
@@ -36,10 +35,10 @@
                         triesWithoutFields,
                         keep,
                         share,
-                        leastPerSecond,
+                        minPerSecond,
                         window,
-                        mostHops,
-                        leastAdmitted);
+                        maxHops,
+                        minAdmitted);
     }
 
     /** The defaults, for a tier of this name. */
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -26,7 +26,7 @@
     private static final long WAY_UNKNOWN = 1_000_000L;
 
     /** And at most this share of what is left: a slow probe must not eat a quick request's time. */
-    private static final double WAY_MOST = 0.25;
+    private static final double MAX_WAY = 0.25;
 
     /**
      * Time can't suffice when it is less than what this share of the class's answers has needed ...
@@ -39,7 +39,7 @@
     /** ... the last of which came no longer ago than this: guards against refusing all for good. */
     private static final long NEEDS_COUNT = 5_000_000_000L;
 
-    private static final long LEAST_LEFT = 1_000_000L;
+    private static final long MIN_LEFT = 1_000_000L;
     private static final long MINUTE = 60_000_000_000L;
 
     private final BudgetSettings settings;
@@ -76,10 +76,10 @@
         this.site = site;
         this.random = random;
         this.notices = notices;
-        tokens = new RetryBudget(settings.share(), settings.leastPerSecond(), settings.window());
+        tokens = new RetryBudget(settings.share(), settings.minPerSecond(), settings.window());
         deadlines = new DefaultDeadline(site);
         scale = new PriorityScale(site);
-        gate = new PriorityAdmission(settings.leastAdmitted());
+        gate = new PriorityAdmission(settings.minAdmitted());
         needs = new QuantileEstimator[site.classes().size()];
         neededAt = new long[needs.length];
         for (int i = 0; i < needs.length; i++) {
@@ -127,7 +127,7 @@
     private AdmissionHint standing(
             long now, Request request, PropagatedBudget carried, double worth) {
         HopPath path = carried.path();
-        if (path.has(settings.hop()) || path.hops().size() >= settings.mostHops()) {
+        if (path.has(settings.hop()) || path.hops().size() >= settings.maxHops()) {
             return AdmissionHint.LOOP;
         }
         QuantileEstimator needed = needs[request.classIndex()];
@@ -233,13 +233,12 @@
     public PropagatedBudget handDown(long now, RequestBudget call) {
         long left = call.request.deadline() - now;
         long margin =
-                Math.min(
-                        way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (WAY_MOST * left));
+                Math.min(way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (MAX_WAY * left));
         boolean last = site.tier() >= site.tiers() - 1;
         return new PropagatedBudget(
                 true,
                 true,
-                Math.max(LEAST_LEFT, left - margin),
+                Math.max(MIN_LEFT, left - margin),
                 last ? 0 : call.attempts.handDown(settings.keep()),
                 Math.max(1, random.nextLong() >>> 1),
                 call.worth,
--- a/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
+++ b/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
@@ -17,21 +17,21 @@
     private static final double IMPATIENT = 0.1;
 
     private final QuantileEstimator[] waits;
-    private final long[] least;
-    private final long[] most;
+    private final long[] min;
+    private final long[] max;
 
     DefaultDeadline(BalancerSettings site) {
         int classes = site.classes().size();
         waits = new QuantileEstimator[classes];
-        least = new long[classes];
-        most = new long[classes];
+        min = new long[classes];
+        max = new long[classes];
         int tiers = Math.max(1, site.tiers());
         double ahead = Math.max(1, tiers - site.tier()) / (double) tiers;
         for (int i = 0; i < classes; i++) {
             RequestClass kind = site.classes().get(i);
             waits[i] = new QuantileEstimator();
-            least[i] = Math.max(1, (long) (ahead * Math.min(kind.aim(), kind.deadline())));
-            most[i] = Math.max(1, (long) (ahead * kind.deadline()));
+            min[i] = Math.max(1, (long) (ahead * Math.min(kind.aim(), kind.deadline())));
+            max[i] = Math.max(1, (long) (ahead * kind.deadline()));
         }
     }
 
@@ -44,7 +44,7 @@
     long of(int classIndex) {
         QuantileEstimator seen = waits[classIndex];
         return seen.count() < KNOWN
-                ? most[classIndex]
-                : Math.max(least[classIndex], Math.min(most[classIndex], seen.atLeast(IMPATIENT)));
+                ? max[classIndex]
+                : Math.max(min[classIndex], Math.min(max[classIndex], seen.atLeast(IMPATIENT)));
     }
 }
--- a/core/src/main/java/cedarrudder/budget/HopPath.java
+++ b/core/src/main/java/cedarrudder/budget/HopPath.java
@@ -13,8 +13,8 @@
     /** No tier. */
     public static final HopPath EMPTY = new HopPath(List.of());
 
-    static final int MOST = 16;
-    static final int MOST_NAME = 32;
+    static final int MAX = 16;
+    static final int MAX_NAME = 32;
 
     private final List<String> hops;
 
@@ -28,7 +28,7 @@
      * @throws IllegalArgumentException if there are too many, or one is no hop id
      */
     public static HopPath of(List<String> hops) {
-        if (hops.size() > MOST || !allHops(hops)) {
+        if (hops.size() > MAX || !allHops(hops)) {
             throw new IllegalArgumentException("no path: " + hops);
         }
         return new HopPath(List.copyOf(hops));
@@ -36,7 +36,7 @@
 
     /** The same, where what is no path is the empty one. */
     static HopPath read(List<String> hops) {
-        return hops.size() > MOST || !allHops(hops) ? EMPTY : new HopPath(List.copyOf(hops));
+        return hops.size() > MAX || !allHops(hops) ? EMPTY : new HopPath(List.copyOf(hops));
     }
 
     private static boolean allHops(List<String> hops) {
@@ -52,7 +52,7 @@
      * Whether a text may stand as a hop id: 1 to 32 letters, digits, dots, dashes and underscores.
      */
     public static boolean isHop(String text) {
-        boolean hop = !text.isEmpty() && text.length() <= MOST_NAME;
+        boolean hop = !text.isEmpty() && text.length() <= MAX_NAME;
         for (int i = 0; hop && i < text.length(); i++) {
             hop = mayStand(text.charAt(i));
         }
@@ -62,7 +62,7 @@
     /** The hop id nearest to a name, in which other characters become underscores. */
     public static String hopOf(String name) {
         StringBuilder hop = new StringBuilder();
-        for (int i = 0; i < Math.min(MOST_NAME, name.length()); i++) {
+        for (int i = 0; i < Math.min(MAX_NAME, name.length()); i++) {
             hop.append(mayStand(name.charAt(i)) ? name.charAt(i) : '_');
         }
         return hop.length() == 0 ? "_" : hop.toString();
@@ -88,7 +88,7 @@
 
     /** This path with one more tier; the same where it is as long as any may be. */
     HopPath plus(String hop) {
-        if (hops.size() >= MOST) {
+        if (hops.size() >= MAX) {
             return this;
         }
         List<String> longer = new ArrayList<>(hops);
--- a/core/src/main/java/cedarrudder/budget/LoopReporter.java
+++ b/core/src/main/java/cedarrudder/budget/LoopReporter.java
@@ -10,7 +10,7 @@
 final class LoopReporter {
 
     /** So many loops are remembered; more at a time are no misconfiguration but forged. */
-    static final int MOST = 64;
+    static final int MAX = 64;
 
     private static final long MINUTE = 60_000_000_000L;
 
@@ -28,10 +28,10 @@
     long due(long now, HopPath loop) {
         Seen seen = loops.get(loop);
         if (seen == null) {
-            if (loops.size() >= MOST) {
+            if (loops.size() >= MAX) {
                 loops.values().removeIf(each -> now - each.loggedAt >= MINUTE);
             }
-            if (loops.size() >= MOST) {
+            if (loops.size() >= MAX) {
                 return -1;
             }
             seen = new Seen();
--- a/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
@@ -28,7 +28,7 @@
     private static final double DOWN = 0.8;
     private static final double UP = 0.05;
 
-    private final double least;
+    private final double min;
     private final double[] arrived = new double[BUCKETS];
     private double total;
     private double share = 1;
@@ -37,8 +37,8 @@
     private long overloads;
     private double carry;
 
-    PriorityAdmission(double least) {
-        this.least = least;
+    PriorityAdmission(double min) {
+        this.min = min;
     }
 
     /** An attempt was answered; {@code overload}: by word that there was too much work below. */
@@ -95,7 +95,7 @@
         long steps = stepEnds == Long.MIN_VALUE ? 0 : 1 + (now - stepEnds) / STEP;
         if (answers >= JUDGED) {
             if (overloads > TOLERATED * answers) {
-                share = Math.max(least, share * DOWN);
+                share = Math.max(min, share * DOWN);
                 steps--;
             }
             answers = 0;
--- a/core/src/main/java/cedarrudder/budget/PriorityScale.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityScale.java
@@ -80,7 +80,7 @@
     }
 
     private boolean overShare(long now, int tenant) {
-        double rate = site.tenants().get(tenant).quotaPerSecond() / Math.max(1, site.copies());
+        double rate = site.tenants().get(tenant).quotaPerSecond() / Math.max(1, site.replicas());
         if (rate <= 0) {
             return false;
         }
--- a/core/src/main/java/cedarrudder/budget/QuantileEstimator.java
+++ b/core/src/main/java/cedarrudder/budget/QuantileEstimator.java
@@ -12,20 +12,20 @@
  */
 final class QuantileEstimator {
 
-    private static final double LEAST = 100_000;
+    private static final double MIN = 100_000;
     private static final int PER_OCTAVE = 4;
     private static final int BUCKETS = 96;
-    private static final int MOST = 512;
+    private static final int MAX = 512;
 
     private final double[] counts = new double[BUCKETS];
     private double total;
 
     /** Takes in a duration in nanoseconds; what is out of bounds counts as the nearest bound. */
     void add(long nanos) {
-        double octaves = Math.log(Math.max(LEAST, nanos) / LEAST) / Math.log(2);
+        double octaves = Math.log(Math.max(MIN, nanos) / MIN) / Math.log(2);
         counts[Math.min(BUCKETS - 1, (int) (PER_OCTAVE * octaves))]++;
         total++;
-        if (total >= MOST) {
+        if (total >= MAX) {
             total = 0;
             for (int i = 0; i < BUCKETS; i++) {
                 counts[i] /= 2;
@@ -58,7 +58,7 @@
     }
 
     private static long bound(int bucket) {
-        return (long) (LEAST * Math.pow(2, bucket / (double) PER_OCTAVE));
+        return (long) (MIN * Math.pow(2, bucket / (double) PER_OCTAVE));
     }
 
     private int bucket(double quantile) {
--- a/core/src/main/java/cedarrudder/budget/RetryBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RetryBudget.java
@@ -12,7 +12,7 @@
     private static final int SLOTS = 10;
 
     private final double share;
-    private final double least;
+    private final double min;
     private final long slotLength;
     private final long[] first = new long[SLOTS];
     private final long[] spent = new long[SLOTS];
@@ -20,9 +20,9 @@
     private long firstInAll;
     private long spentInAll;
 
-    RetryBudget(double share, double leastPerSecond, long window) {
+    RetryBudget(double share, double minPerSecond, long window) {
         this.share = share;
-        this.least = leastPerSecond * window / 1e9;
+        this.min = minPerSecond * window / 1e9;
         this.slotLength = Math.max(1, window / SLOTS);
     }
 
@@ -41,7 +41,7 @@
     /** Whether a further attempt may go out. */
     boolean covers(long now) {
         at(now);
-        return share * firstInAll + least - spentInAll >= 1;
+        return share * firstInAll + min - spentInAll >= 1;
     }
 
     private int at(long now) {
--- a/core/src/main/java/cedarrudder/budget/SharedBudgets.java
+++ b/core/src/main/java/cedarrudder/budget/SharedBudgets.java
@@ -11,7 +11,7 @@
 final class SharedBudgets {
 
     /** At 1,000 calls a second with a deadline of 5 s a third of this is in use. */
-    static final int MOST = 16_384;
+    static final int MAX = 16_384;
 
     private record Entry(AttemptBudget budget, long expires) {}
 
@@ -31,7 +31,7 @@
         }
         Entry entry = grants.get(grant);
         if (entry == null) {
-            if (grants.size() >= MOST) {
+            if (grants.size() >= MAX) {
                 // Guards against a flood of forged grants pushing out one that is spent, which
                 // would refill
                 // it.
--- a/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
+++ b/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
@@ -8,22 +8,22 @@
 /**
  * What each copy's last proposal was that took effect: part of what copies agree on, and the same
  * at all that loaded the same. A copy hands on one after another, so that the last one tells of all
- * before it. It remembers {@value #MOST} copies; of one that it forgot, it takes only what was made
+ * before it. It remembers {@value #MAX} copies; of one that it forgot, it takes only what was made
  * after it forgot.
  */
 final class AppliedProposals {
 
-    static final int MOST = 512;
+    static final int MAX = 512;
 
     /** What it takes in a snapshot at most. */
-    static final int MOST_BYTES = 2 + Proposal.NUMBER_BYTES + MOST * (18 + Proposal.NUMBER_BYTES);
+    static final int MAX_BYTES = 2 + Proposal.NUMBER_BYTES + MAX * (18 + Proposal.NUMBER_BYTES);
 
     /**
      * One that took effect.
      *
      * @param number under which it did
      */
-    record Last(long life, long sequence, LogPosition number) {}
+    record Last(long incarnation, long sequence, LogPosition number) {}
 
     /** What a snapshot holds: these, and the state of the copy. */
     record Parts(AppliedProposals proposers, byte[] state) {}
@@ -34,24 +34,26 @@
     private LogPosition forgotten = new LogPosition(VoterGroup.NONE, 0);
 
     /** The last one of a copy that took effect; null where none did or it was forgotten. */
-    Last last(int copy) {
-        return lasts.get(copy);
+    Last last(int replica) {
+        return lasts.get(replica);
     }
 
     /** Whether it has not taken effect, and none has that came after it. */
     boolean isNew(Proposal proposal) {
-        Last last = lasts.get(proposal.copy());
+        Last last = lasts.get(proposal.replica());
         return last == null
                 ? proposal.after().compareTo(forgotten) >= 0
-                : proposal.life() > last.life
-                        || proposal.life() == last.life && proposal.sequence() > last.sequence;
+                : proposal.incarnation() > last.incarnation
+                        || proposal.incarnation() == last.incarnation
+                                && proposal.sequence() > last.sequence;
     }
 
     /** It takes effect. */
     void took(Proposal proposal, LogPosition number) {
-        lasts.remove(proposal.copy());
-        lasts.put(proposal.copy(), new Last(proposal.life(), proposal.sequence(), number));
-        if (lasts.size() > MOST) {
+        lasts.remove(proposal.replica());
+        lasts.put(
+                proposal.replica(), new Last(proposal.incarnation(), proposal.sequence(), number));
+        if (lasts.size() > MAX) {
             forgotten = lasts.remove(lasts.keySet().iterator().next()).number;
         }
     }
@@ -67,8 +69,10 @@
         out.putShort((short) lasts.size());
         Proposal.put(out, forgotten);
         lasts.forEach(
-                (copy, last) -> {
-                    out.putShort(copy.shortValue()).putLong(last.life).putLong(last.sequence);
+                (replica, last) -> {
+                    out.putShort(replica.shortValue())
+                            .putLong(last.incarnation)
+                            .putLong(last.sequence);
                     Proposal.put(out, last.number);
                 });
         return out.put(state).array();
@@ -84,14 +88,12 @@
                 read.forgotten = Proposal.number(in);
             }
             for (int i = 0; i < count; i++) {
-                int copy = in.getShort() & 0xffff;
-                read.lasts.put(copy, new Last(in.getLong(), in.getLong(), Proposal.number(in)));
+                int replica = in.getShort() & 0xffff;
+                read.lasts.put(replica, new Last(in.getLong(), in.getLong(), Proposal.number(in)));
             }
             byte[] state = new byte[in.remaining()];
             in.get(state);
-            return count > MOST || state.length > RaftNode.MOST_STATE
-                    ? null
-                    : new Parts(read, state);
+            return count > MAX || state.length > RaftNode.MAX_STATE ? null : new Parts(read, state);
         } catch (BufferUnderflowException e) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
@@ -4,12 +4,12 @@
  * The figures of agreement. Times are nanoseconds.
  *
  * @param heartbeat between two messages of a leader to each other voter; at least 1 ms
- * @param electionLeast a voter that hears no leader for so long may ask for votes; at least 3
+ * @param minElection a voter that hears no leader for so long may ask for votes; at least 3
  *     heartbeats
- * @param electionMost the longest that one waits; a leader that a majority has not answered for so
+ * @param maxElection the longest that one waits; a leader that a majority has not answered for so
  *     long steps down
  * @param voters how many there are to be: 3, 5 or 7
- * @param voterPatience a voter silent for so long is replaced; over {@code electionMost}
+ * @param voterPatience a voter silent for so long is replaced; over {@code maxElection}
  * @param spreadPeriod between two digests of a copy; at least 1 ms
  * @param fanout to how many others it passes on what it has just learned; from 1 to 8
  * @param bytesPerSecond the most that it spends on entries, snapshots and repeats for others; at
@@ -19,8 +19,8 @@
  */
 public record ConsensusSettings(
         long heartbeat,
-        long electionLeast,
-        long electionMost,
+        long minElection,
+        long maxElection,
         int voters,
         long voterPatience,
         long spreadPeriod,
@@ -48,14 +48,10 @@
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
     public ConsensusSettings {
         check(heartbeat >= MILLI, "heartbeat", heartbeat, "1 ms or more");
-        check(
-                electionLeast >= 3 * heartbeat,
-                "electionLeast",
-                electionLeast,
-                "3 heartbeats or more");
-        check(electionMost > electionLeast, "electionMost", electionMost, "over electionLeast");
+        check(minElection >= 3 * heartbeat, "electionLeast", minElection, "3 heartbeats or more");
+        check(maxElection > minElection, "electionMost", maxElection, "over electionLeast");
         check(voters == 3 || voters == 5 || voters == 7, "voters", voters, "3, 5 or 7");
-        check(voterPatience > electionMost, "voterPatience", voterPatience, "over electionMost");
+        check(voterPatience > maxElection, "voterPatience", voterPatience, "over electionMost");
         check(spreadPeriod >= MILLI, "spreadPeriod", spreadPeriod, "1 ms or more");
         check(fanout >= 1 && fanout <= 8, "fanout", fanout, "1 to 8");
         check(bytesPerSecond >= 1_024, "bytesPerSecond", bytesPerSecond, "1,024 or more");
@@ -71,8 +67,8 @@
     public ConsensusSettings silence(long other) {
         return new ConsensusSettings(
                 heartbeat,
-                electionLeast,
-                electionMost,
+                minElection,
+                maxElection,
                 voters,
                 voterPatience,
                 spreadPeriod,
--- a/core/src/main/java/cedarrudder/consensus/Election.java
+++ b/core/src/main/java/cedarrudder/consensus/Election.java
@@ -42,7 +42,7 @@
         this.settings = settings;
         this.conduct = conduct;
         this.random = random;
-        this.heardAt = now - settings.electionLeast();
+        this.heardAt = now - settings.minElection();
         putOff(now);
     }
 
@@ -59,7 +59,7 @@
         vote = null;
         sworn = false;
         leader = -1;
-        heardAt = now - settings.electionLeast();
+        heardAt = now - settings.minElection();
         putOff(now);
     }
 
@@ -85,7 +85,7 @@
 
     /** The copy that leads, as far as this one knows; -1 where it knows of none. */
     int leader() {
-        return leads() ? circle.self().copy() : leader;
+        return leads() ? circle.self().replica() : leader;
     }
 
     /** The group has committed this life as a voter. */
@@ -103,10 +103,10 @@
     private void putOff(long now) {
         electionAt =
                 now
-                        + settings.electionLeast()
+                        + settings.minElection()
                         + (long)
                                 (random.nextDouble()
-                                        * (settings.electionMost() - settings.electionLeast()));
+                                        * (settings.maxElection() - settings.minElection()));
     }
 
     /** A leader of a term that is not past has been heard of. */
@@ -130,7 +130,7 @@
 
     /** Whether it has heard of a leader so lately that another is not called for. */
     private boolean content(long now) {
-        return leads() || leader >= 0 && now - heardAt < settings.electionLeast();
+        return leads() || leader >= 0 && now - heardAt < settings.minElection();
     }
 
     long due() {
@@ -183,7 +183,7 @@
         for (Voter voter : log.voters().all()) {
             if (!granted.contains(voter)) {
                 circle.post(
-                        voter.copy(),
+                        voter.replica(),
                         new AskVote(ahead, called, log.last(), log.term(log.last())),
                         ahead ? term + 1 : term);
             }
@@ -213,7 +213,8 @@
                         || ask.lastTerm() == ownTerm && ask.lastIndex() >= log.last();
         if (ask.ahead()) {
             circle.post(
-                    by.copy(), new SayVote(true, inTerm > term && upToDate && mayVote(), inTerm));
+                    by.replica(),
+                    new SayVote(true, inTerm > term && upToDate && mayVote(), inTerm));
             return;
         }
         if (inTerm > term) {
@@ -229,7 +230,7 @@
         if (grants) {
             putOff(now);
         }
-        circle.post(by.copy(), new SayVote(false, grants, inTerm));
+        circle.post(by.replica(), new SayVote(false, grants, inTerm));
     }
 
     void said(long now, Voter by, long inTerm, SayVote say) {
--- a/core/src/main/java/cedarrudder/consensus/LogDissemination.java
+++ b/core/src/main/java/cedarrudder/consensus/LogDissemination.java
@@ -17,8 +17,8 @@
  */
 final class LogDissemination {
 
-    private static final int MOST_PUSHED = 2_048;
-    private static final int MOST_NEWS = 4_096;
+    private static final int MAX_PUSHED = 2_048;
+    private static final int MAX_NEWS = 4_096;
     private static final long MILLI = 1_000_000L;
     private static final int CHUNK = 4_096;
 
@@ -106,7 +106,7 @@
         beatTerm = circle.term();
         beat++;
         beatAt = now;
-        leader = circle.self().copy();
+        leader = circle.self().replica();
     }
 
     long due() {
@@ -134,7 +134,7 @@
                             beatTerm,
                             beat,
                             Math.max(0, leader),
-                            tier.life(to),
+                            tier.incarnation(to),
                             contact.age(now),
                             asks.ask(now, to)));
         }
@@ -198,7 +198,7 @@
     void learned(long now, long from) {
         RaftLog log = circle.log();
         boolean small = from >= log.base();
-        News news = small ? news(from, MOST_PUSHED) : null;
+        News news = small ? news(from, MAX_PUSHED) : null;
         small = small && from + news.entries().size() == log.committed();
         for (int i = 0; i < settings.fanout(); i++) {
             int to = tier.any(random);
@@ -212,13 +212,13 @@
         digestAt = Math.min(digestAt, now + HOT_PERIOD);
     }
 
-    private News news(long after, int most) {
+    private News news(long after, int max) {
         RaftLog log = circle.log();
         List<LogEntry> entries = new ArrayList<>();
         int bytes = 0;
         for (long i = after + 1; i <= log.committed(); i++) {
             bytes += RaftMessage.size(log.entry(i));
-            if (bytes > most && !(entries.isEmpty() && most == MOST_NEWS)) {
+            if (bytes > max && !(entries.isEmpty() && max == MAX_NEWS)) {
                 break;
             }
             entries.add(log.entry(i));
@@ -235,9 +235,10 @@
             beatTerm = digest.beatTerm();
             beat = digest.beat();
             beatAt = now;
-            leader = digest.leader() < tier.copies() ? digest.leader() : -1;
+            leader = digest.leader() < tier.replicas() ? digest.leader() : -1;
         }
-        if (digest.yourLife() != 0 && digest.yourLife() < circle.self().life()) {
+        if (digest.yourIncarnation() != 0
+                && digest.yourIncarnation() < circle.self().incarnation()) {
             answer(now, from, digest);
         } else {
             compare(now, from, digest);
@@ -268,7 +269,7 @@
     }
 
     private void feed(long now, int to, long after) {
-        News news = news(after, MOST_NEWS);
+        News news = news(after, MAX_NEWS);
         if (!news.entries().isEmpty() && allowance.spend(now, size(news.entries()))) {
             circle.post(to, news);
         }
@@ -327,7 +328,7 @@
         }
         log.commit(end);
         circle.advanced(now);
-        if (size(news.entries()) > MOST_NEWS / 2) {
+        if (size(news.entries()) > MAX_NEWS / 2) {
             askedAt = now - PATIENCE;
             ask(now, from);
         }
--- a/core/src/main/java/cedarrudder/consensus/LogReplication.java
+++ b/core/src/main/java/cedarrudder/consensus/LogReplication.java
@@ -16,7 +16,7 @@
 final class LogReplication {
 
     /** Entries in one message take at most so many bytes, or there is one. */
-    static final int MOST_BATCH = 4_096;
+    static final int MAX_BATCH = 4_096;
 
     /**
      * A message of entries is not repeated for so long: pieces that were lost are asked for by
@@ -167,7 +167,7 @@
             RaftLog log = circle.log();
             if (progress.sentEnd >= log.base()) {
                 circle.post(
-                        to.copy(),
+                        to.replica(),
                         new Append(
                                 progress.sentEnd,
                                 log.term(progress.sentEnd),
@@ -201,7 +201,7 @@
                                 ? log.last()
                                 : Math.max(progress.match, log.base());
                 circle.post(
-                        to.copy(),
+                        to.replica(),
                         new Append(after, log.term(after), log.committed(), ask, List.of()));
             }
             return;
@@ -211,7 +211,7 @@
         for (long i = progress.next; i <= log.last(); i++) {
             LogEntry entry = log.entry(i);
             bytes += RaftMessage.size(entry);
-            if (!batch.isEmpty() && bytes > MOST_BATCH) {
+            if (!batch.isEmpty() && bytes > MAX_BATCH) {
                 break;
             }
             batch.add(entry);
@@ -221,7 +221,7 @@
         progress.sentEnd = progress.next + batch.size() - 1;
         progress.probeAt = now + PROBE;
         long after = progress.next - 1;
-        circle.post(to.copy(), new Append(after, log.term(after), log.committed(), ask, batch));
+        circle.post(to.replica(), new Append(after, log.term(after), log.committed(), ask, batch));
     }
 
     void said(long now, Voter by, SayAppend say) {
@@ -230,7 +230,7 @@
             return;
         }
         progress.answeredAt = now;
-        progress.askedAt = Math.max(progress.askedAt, asks.at(by.copy(), say.answers()));
+        progress.askedAt = Math.max(progress.askedAt, asks.at(by.replica(), say.answers()));
         RaftLog log = circle.log();
         if (say.same()) {
             if (say.index() > progress.match && say.index() <= log.last()) {
--- a/core/src/main/java/cedarrudder/consensus/MessageFragment.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragment.java
@@ -4,7 +4,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * One piece of a message, of at most {@value #MOST_BYTES} bytes: the platform's datagrams hold 256,
+ * One piece of a message, of at most {@value #MAX_BYTES} bytes: the platform's datagrams hold 256,
  * of which the rest is kept for what proves the sender, as with membership's.
  *
  * <p>Big-endian: a first byte that no message of membership begins with, group (era 4 bytes,
@@ -19,7 +19,7 @@
         VoterGroup group,
         long term,
         int sender,
-        long life,
+        long incarnation,
         int message,
         int place,
         int count,
@@ -27,11 +27,11 @@
         byte[] part) {
 
     static final byte FIRST = (byte) 0xa6;
-    static final int MOST_BYTES = 224;
+    static final int MAX_BYTES = 224;
     static final int HEAD = 45;
     static final int TAIL = 4;
-    static final int MOST_PART = MOST_BYTES - HEAD - TAIL;
-    static final int MOST_COUNT = 256;
+    static final int MAX_PART = MAX_BYTES - HEAD - TAIL;
+    static final int MAX_COUNT = 256;
 
     private static final int U16 = 0xffff;
 
@@ -40,10 +40,10 @@
         out.put(FIRST)
                 .putInt(group.era())
                 .putShort((short) group.founder())
-                .putLong(group.life())
+                .putLong(group.incarnation())
                 .putLong(term)
                 .putShort((short) sender)
-                .putLong(life)
+                .putLong(incarnation)
                 .putInt(message)
                 .putShort((short) place)
                 .putShort((short) count)
@@ -54,8 +54,8 @@
     }
 
     /** Reads a piece; null where the bytes are none. */
-    static MessageFragment decode(byte[] bytes, int copies) {
-        if (bytes.length <= HEAD + TAIL || bytes.length > MOST_BYTES || bytes[0] != FIRST) {
+    static MessageFragment decode(byte[] bytes, int replicas) {
+        if (bytes.length <= HEAD + TAIL || bytes.length > MAX_BYTES || bytes[0] != FIRST) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
@@ -65,7 +65,7 @@
         VoterGroup group = new VoterGroup(in.getInt(), in.getShort() & U16, in.getLong());
         long term = in.getLong();
         int sender = in.getShort() & U16;
-        long life = in.getLong();
+        long incarnation = in.getLong();
         int message = in.getInt();
         int place = in.getShort() & U16;
         int count = in.getShort() & U16;
@@ -74,16 +74,17 @@
         in.get(part);
         boolean good =
                 group.era() >= 0
-                        && group.founder() < copies
-                        && group.life() >= 0
+                        && group.founder() < replicas
+                        && group.incarnation() >= 0
                         && term >= 0
-                        && sender < copies
-                        && life >= 0
+                        && sender < replicas
+                        && incarnation >= 0
                         && place < count
-                        && count <= MOST_COUNT
-                        && (place == count - 1 || part.length == MOST_PART);
+                        && count <= MAX_COUNT
+                        && (place == count - 1 || part.length == MAX_PART);
         return good
-                ? new MessageFragment(group, term, sender, life, message, place, count, whole, part)
+                ? new MessageFragment(
+                        group, term, sender, incarnation, message, place, count, whole, part)
                 : null;
     }
 
--- a/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
@@ -16,15 +16,15 @@
 final class MessageFragmenter {
 
     /** Messages that are not whole yet. Guards against work and memory without end for a flood. */
-    private static final int MOST_PARTIAL = 16;
+    private static final int MAX_PARTIAL = 16;
 
     /** Messages that were sent, kept to be repeated. */
-    private static final int MOST_SENT = 16;
+    private static final int MAX_SENT = 16;
 
-    private static final int MOST_DONE = 64;
+    private static final int MAX_DONE = 64;
     private static final long STALE = 2_000_000_000L;
     private static final long PATIENCE = 40_000_000L;
-    private static final int MOST_LACKS = 8;
+    private static final int MAX_LACKS = 8;
 
     /** A message of which some pieces have come. */
     private static final class Partial {
@@ -41,7 +41,7 @@
         }
     }
 
-    private record Done(int sender, long life, int message) {}
+    private record Done(int sender, long incarnation, int message) {}
 
     private record Sent(int to, int message, List<byte[]> pieces) {}
 
@@ -61,7 +61,7 @@
     }
 
     List<byte[]> cut(VoterGroup group, long term, Voter self, int to, byte[] message) {
-        int count = (message.length + MessageFragment.MOST_PART - 1) / MessageFragment.MOST_PART;
+        int count = (message.length + MessageFragment.MAX_PART - 1) / MessageFragment.MAX_PART;
         int whole = MessageFragment.checksum(message, 0, message.length);
         int number = messages++;
         List<byte[]> pieces = new ArrayList<>(count);
@@ -69,14 +69,14 @@
             byte[] part =
                     Arrays.copyOfRange(
                             message,
-                            i * MessageFragment.MOST_PART,
-                            Math.min(message.length, (i + 1) * MessageFragment.MOST_PART));
+                            i * MessageFragment.MAX_PART,
+                            Math.min(message.length, (i + 1) * MessageFragment.MAX_PART));
             pieces.add(
                     new MessageFragment(
                                     group,
                                     term,
-                                    self.copy(),
-                                    self.life(),
+                                    self.replica(),
+                                    self.incarnation(),
                                     number,
                                     i,
                                     count,
@@ -86,7 +86,7 @@
         }
         if (count > 1) {
             sent.add(new Sent(to, number, pieces));
-            if (sent.size() > MOST_SENT) {
+            if (sent.size() > MAX_SENT) {
                 sent.remove();
             }
         }
@@ -111,7 +111,7 @@
         if (piece.count() == 1) {
             return piece.part();
         }
-        Done whole = new Done(piece.sender(), piece.life(), piece.message());
+        Done whole = new Done(piece.sender(), piece.incarnation(), piece.message());
         Partial partial = done.contains(whole) ? null : held(piece);
         if (partial == null || partial.parts[piece.place()] != null) {
             return null;
@@ -124,7 +124,7 @@
         }
         partials.remove(partial);
         done.add(whole);
-        if (done.size() > MOST_DONE) {
+        if (done.size() > MAX_DONE) {
             done.remove();
         }
         byte[] message = new byte[Arrays.stream(partial.parts).mapToInt(part -> part.length).sum()];
@@ -142,7 +142,7 @@
                 return each;
             }
         }
-        if (partials.size() == MOST_PARTIAL) {
+        if (partials.size() == MAX_PARTIAL) {
             partials.remove(0);
         }
         Partial made = new Partial(piece);
@@ -170,7 +170,7 @@
             if (now >= each.staleAt) {
                 all.remove();
             } else if (now >= each.lackAt) {
-                each.lackAt = ++each.lacks < MOST_LACKS ? now + PATIENCE : Long.MAX_VALUE;
+                each.lackAt = ++each.lacks < MAX_LACKS ? now + PATIENCE : Long.MAX_VALUE;
                 BitSet missing = new BitSet();
                 for (int i = 0; i < each.parts.length; i++) {
                     missing.set(i, each.parts[i] == null);
--- a/core/src/main/java/cedarrudder/consensus/PendingQueries.java
+++ b/core/src/main/java/cedarrudder/consensus/PendingQueries.java
@@ -16,7 +16,7 @@
     /** Asked of anybody. */
     static final int ANY = -1;
 
-    private static final int MOST = 32;
+    private static final int MAX = 32;
 
     private record Asked(int number, int of, long at) {}
 
@@ -31,7 +31,7 @@
     int ask(long now, int of) {
         int number = random.nextInt();
         asked.add(new Asked(number, of, now));
-        if (asked.size() > MOST) {
+        if (asked.size() > MAX) {
             asked.remove();
         }
         return number;
--- a/core/src/main/java/cedarrudder/consensus/Proposal.java
+++ b/core/src/main/java/cedarrudder/consensus/Proposal.java
@@ -7,24 +7,27 @@
  * Something that a copy wants to have agreed on, whoever leads. Its identity is copy, life and
  * sequence: it takes effect at most once, however often it is handed on.
  *
- * @param copy the one that proposes
- * @param life of that one's process
+ * @param replica the one that proposes
+ * @param incarnation of that one's process
  * @param sequence rises in that life
  * @param after what that one had loaded before it handed it on
  * @param content not to be changed
  */
-public record Proposal(int copy, long life, long sequence, LogPosition after, byte[] content) {
+public record Proposal(
+        int replica, long incarnation, long sequence, LogPosition after, byte[] content) {
 
     static final int NUMBER_BYTES = 22;
     private static final int U16 = 0xffff;
 
     boolean same(Proposal other) {
-        return copy == other.copy && life == other.life && sequence == other.sequence;
+        return replica == other.replica
+                && incarnation == other.incarnation
+                && sequence == other.sequence;
     }
 
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(18 + NUMBER_BYTES + content.length);
-        out.putShort((short) copy).putLong(life).putLong(sequence);
+        out.putShort((short) replica).putLong(incarnation).putLong(sequence);
         put(out, after);
         return out.put(content).array();
     }
@@ -33,15 +36,15 @@
     static Proposal decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
-            int copy = in.getShort() & U16;
-            long life = in.getLong();
+            int replica = in.getShort() & U16;
+            long incarnation = in.getLong();
             long sequence = in.getLong();
             LogPosition after = number(in);
             byte[] content = new byte[in.remaining()];
             in.get(content);
-            return life < 1 || content.length > RaftNode.MOST_HANDED
+            return incarnation < 1 || content.length > RaftNode.MAX_HANDED
                     ? null
-                    : new Proposal(copy, life, sequence, after, content);
+                    : new Proposal(replica, incarnation, sequence, after, content);
         } catch (BufferUnderflowException e) {
             return null;
         }
@@ -51,7 +54,7 @@
         VoterGroup group = number.group();
         out.putInt(group.era())
                 .putShort((short) group.founder())
-                .putLong(group.life())
+                .putLong(group.incarnation())
                 .putLong(number.index());
     }
 
--- a/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -10,7 +10,7 @@
  */
 final class ProposalForwarder {
 
-    static final int MOST_WAITING = 16;
+    static final int MAX_WAITING = 16;
 
     /** Until it is asked again, where the leader has not said that it has it. */
     private static final long UNHEARD = 300_000_000L;
@@ -35,7 +35,7 @@
     private final RaftContext circle;
     private final RaftNode.Actions outlet;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private long life;
+    private long incarnation;
     private long sequence;
     private int askedOf = -1;
     private long askedTerm;
@@ -45,10 +45,11 @@
      * @param sequence after which it counts: a process that begins with a life that was there
      *     before needs others
      */
-    ProposalForwarder(RaftContext circle, RaftNode.Actions outlet, long life, long sequence) {
+    ProposalForwarder(
+            RaftContext circle, RaftNode.Actions outlet, long incarnation, long sequence) {
         this.circle = circle;
         this.outlet = outlet;
-        this.life = life;
+        this.incarnation = incarnation;
         this.sequence = sequence;
     }
 
@@ -59,18 +60,19 @@
 
     /** Null where too many wait. */
     Proposal make(long now, LogPosition after, byte[] content, long patience) {
-        if (waiting.size() >= MOST_WAITING) {
+        if (waiting.size() >= MAX_WAITING) {
             return null;
         }
         Proposal made =
-                new Proposal(circle.self().copy(), life, ++sequence, after, content.clone());
+                new Proposal(
+                        circle.self().replica(), incarnation, ++sequence, after, content.clone());
         waiting.add(new Waiting(made, now + patience, false));
         return made;
     }
 
     /** The same once more; false where too many wait, or it waits. */
     boolean again(long now, Proposal proposal, long patience) {
-        if (waiting.size() >= MOST_WAITING
+        if (waiting.size() >= MAX_WAITING
                 || waiting.stream().anyMatch(each -> each.proposal.same(proposal))) {
             return false;
         }
@@ -105,7 +107,7 @@
         askedOf = leader;
         askedTerm = circle.term();
         askAt = now + UNHEARD;
-        if (leader == circle.self().copy()) {
+        if (leader == circle.self().replica()) {
             first.handed |= circle.takes(now, first.proposal);
         } else {
             first.handed = true;
@@ -127,7 +129,7 @@
         Waiting first = waiting.peek();
         if (first != null
                 && from == askedOf
-                && first.proposal.life() == took.life()
+                && first.proposal.incarnation() == took.incarnation()
                 && first.proposal.sequence() == took.sequence()) {
             askAt = now + HEARD;
         }
@@ -138,11 +140,13 @@
         while (last != null && !waiting.isEmpty()) {
             Waiting first = waiting.peek();
             Proposal its = first.proposal;
-            boolean committed = last.life() == its.life() && last.sequence() == its.sequence();
-            boolean earlier = last.life() > its.life();
+            boolean committed =
+                    last.incarnation() == its.incarnation() && last.sequence() == its.sequence();
+            boolean earlier = last.incarnation() > its.incarnation();
             if (!committed
                     && !earlier
-                    && (last.life() < its.life() || last.sequence() < its.sequence())) {
+                    && (last.incarnation() < its.incarnation()
+                            || last.sequence() < its.sequence())) {
                 return;
             }
             waiting.remove();
@@ -150,7 +154,7 @@
             if (earlier) {
                 // A process before this one had a larger life: what is made from here on goes
                 // beyond it.
-                life = Math.max(life, last.life() + 1);
+                incarnation = Math.max(incarnation, last.incarnation() + 1);
             }
             settle(first, committed ? last.number() : null);
         }
--- a/core/src/main/java/cedarrudder/consensus/RaftMessage.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftMessage.java
@@ -13,7 +13,7 @@
 sealed interface RaftMessage {
 
     /** What the fields of any message take, without entries and parts. */
-    int MOST_FIXED = 128;
+    int MAX_FIXED = 128;
 
     /** The first byte of {@link Digest} and of {@link Sure}. */
     byte DIGEST = 5;
@@ -52,12 +52,18 @@
      * @param beatTerm the term of the newest sign of a leader that it heard of
      * @param beat the number of that sign
      * @param leader the copy that it is of
-     * @param yourLife the largest life that it knows of the one it tells
+     * @param yourIncarnation the largest life that it knows of the one it tells
      * @param age of the contact that it knows of, as in {@link Sure}
      * @param ask what the answer is to name
      */
     record Digest(
-            long committed, long beatTerm, long beat, int leader, long yourLife, int age, int ask)
+            long committed,
+            long beatTerm,
+            long beat,
+            int leader,
+            long yourIncarnation,
+            int age,
+            int ask)
             implements RaftMessage {}
 
     /**
@@ -95,10 +101,10 @@
     record Hand(Proposal proposal) implements RaftMessage {}
 
     /** The leader has it, or it took effect, or one after it did. */
-    record Took(long life, long sequence) implements RaftMessage {}
+    record Took(long incarnation, long sequence) implements RaftMessage {}
 
     default byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(MOST_FIXED + variable());
+        ByteBuffer out = ByteBuffer.allocate(MAX_FIXED + variable());
         if (this instanceof AskVote m) {
             out.put((byte) 0)
                     .put(bit(m.ahead))
@@ -124,7 +130,7 @@
                     .putLong(m.beatTerm)
                     .putLong(m.beat)
                     .putShort((short) m.leader)
-                    .putLong(m.yourLife)
+                    .putLong(m.yourIncarnation)
                     .putInt(m.age)
                     .putInt(m.ask);
         } else if (this instanceof Ask m) {
@@ -148,7 +154,7 @@
         } else if (this instanceof Hand m) {
             out.put((byte) 10).put(m.proposal.encode());
         } else if (this instanceof Took m) {
-            out.put((byte) 11).putLong(m.life).putLong(m.sequence);
+            out.put((byte) 11).putLong(m.incarnation).putLong(m.sequence);
         } else if (this instanceof Sure m) {
             out.put(SURE).putInt(m.answers).putInt(m.age).putLong(m.committed);
         }
@@ -231,8 +237,8 @@
             return m.index >= 0;
         } else if (this instanceof Digest m) {
             return m.committed >= 0
-                    && m.yourLife >= 0
-                    && m.yourLife < Long.MAX_VALUE >> 1
+                    && m.yourIncarnation >= 0
+                    && m.yourIncarnation < Long.MAX_VALUE >> 1
                     && m.age >= -1;
         } else if (this instanceof Sure m) {
             return m.age >= -1 && m.committed >= 0;
@@ -244,7 +250,7 @@
             return m.voters != null
                     && m.index > 0
                     && m.total >= 0
-                    && m.total <= RaftNode.MOST_SNAPSHOT
+                    && m.total <= RaftNode.MAX_SNAPSHOT
                     && m.offset >= 0
                     && m.offset <= m.total
                     && m.bytes.length <= m.total - m.offset;
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -32,24 +32,24 @@
 public final class RaftNode {
 
     /** The largest content of one entry, in bytes. */
-    public static final int MOST_CONTENT = 32_768;
+    public static final int MAX_CONTENT = 32_768;
 
     /** The largest state of a copy, in bytes. */
-    public static final int MOST_STATE = 262_144;
+    public static final int MAX_STATE = 262_144;
 
     /** The largest content of a proposal that is handed on, in bytes. */
-    public static final int MOST_HANDED = 4_096;
+    public static final int MAX_HANDED = 4_096;
 
-    static final int MOST_SNAPSHOT = MOST_STATE + AppliedProposals.MOST_BYTES;
+    static final int MAX_SNAPSHOT = MAX_STATE + AppliedProposals.MAX_BYTES;
 
     /** Entries that a leader holds without knowing that they are committed. */
-    private static final int MOST_OPEN = 32;
+    private static final int MAX_OPEN = 32;
 
     /** How many of them others may have handed on, one each. */
-    private static final int MOST_OPEN_HANDED = 16;
+    private static final int MAX_OPEN_HANDED = 16;
 
     /** Voters without which nothing is taken: a group that is just formed waits for others. */
-    private static final int LEAST_VOTERS = 3;
+    private static final int MIN_VOTERS = 3;
 
     /** What it causes. */
     public interface Actions {
@@ -60,7 +60,7 @@
         void loaded(LogPosition number, byte[] content);
 
         /**
-         * All that was loaded, as at most {@link #MOST_STATE} bytes; the same at each copy that
+         * All that was loaded, as at most {@link #MAX_STATE} bytes; the same at each copy that
          * loaded the same.
          */
         byte[] state();
@@ -119,27 +119,27 @@
      *
      * @param zones the zone of each copy of the tier, from 1 to 65,535 copies
      * @param self the number of this one
-     * @param life larger than that of any earlier life of this one, such as the time of its start
-     *     in milliseconds; where it is not, the others say so and it takes the next one; where the
-     *     store remembers, only proposals go by it
+     * @param incarnation larger than that of any earlier life of this one, such as the time of its
+     *     start in milliseconds; where it is not, the others say so and it takes the next one;
+     *     where the store remembers, only proposals go by it
      * @throws IllegalArgumentException if a figure is outside its range
      */
     public RaftNode(
             int[] zones,
             int self,
-            long life,
+            long incarnation,
             ConsensusSettings settings,
             StableStorage store,
             RandomGenerator random,
             Actions outlet,
             long now) {
-        this(zones, self, life, settings, store, random, outlet, now, new SafetyRules());
+        this(zones, self, incarnation, settings, store, random, outlet, now, new SafetyRules());
     }
 
     RaftNode(
             int[] zones,
             int self,
-            long life,
+            long incarnation,
             ConsensusSettings settings,
             StableStorage store,
             RandomGenerator random,
@@ -150,11 +150,11 @@
                 || zones.length > 0xffff
                 || self < 0
                 || self >= zones.length
-                || life < 1) {
+                || incarnation < 1) {
             throw new IllegalArgumentException(
-                    "copy " + self + " of " + zones.length + ", life " + life);
+                    "copy " + self + " of " + zones.length + ", life " + incarnation);
         }
-        this.self = new Voter(self, life);
+        this.self = new Voter(self, incarnation);
         this.settings = settings;
         this.store = store;
         this.random = random;
@@ -170,12 +170,13 @@
                 new LogDissemination(circle, settings, tier, random, allowance, contact, now);
         this.seats = new VoterReplacement(circle, settings, tier, random);
         this.proposing =
-                new ProposalForwarder(circle, outlet, life, random.nextInt() & Integer.MAX_VALUE);
+                new ProposalForwarder(
+                        circle, outlet, incarnation, random.nextInt() & Integer.MAX_VALUE);
         this.handed = new ByteRateLimiter(settings.bytesPerSecond(), now);
         waitAnew(now);
         StableStorage.Kept kept = store.kept();
         if (kept != null) {
-            this.self = new Voter(self, kept.promise().life());
+            this.self = new Voter(self, kept.promise().incarnation());
             group = kept.promise().group();
             election.remember(kept.promise());
             log.remember(kept.snapshot(), kept.entries());
@@ -207,7 +208,7 @@
 
         @Override
         public void post(int to, RaftMessage message, long term) {
-            if (to != self.copy()) {
+            if (to != self.replica()) {
                 pieces.cut(group, term, self, to, message.encode())
                         .forEach(piece -> out.add(new Out(to, piece)));
             }
@@ -251,8 +252,8 @@
     }
 
     /** This copy's life as a voter. */
-    public long life() {
-        return self.life();
+    public long incarnation() {
+        return self.incarnation();
     }
 
     /** Whether this copy leads, as far as it knows; nothing is settled by that alone. */
@@ -328,7 +329,7 @@
         spreading.tick(now);
         if (settings.silence() > 0 && !election.leads() && now >= formsAt()) {
             waitAnew(now);
-            if (tier.living() * 2 > tier.copies()) {
+            if (tier.living() * 2 > tier.replicas()) {
                 formNext(now);
             }
         }
@@ -365,18 +366,18 @@
      * @return its number if it comes to be committed; another may get that number if this copy
      *     loses its lead first. Null where this copy does not lead, the group has not enough voters
      *     yet, or too much is under way
-     * @throws IllegalArgumentException if the content is larger than {@link #MOST_CONTENT}
+     * @throws IllegalArgumentException if the content is larger than {@link #MAX_CONTENT}
      */
     public LogPosition propose(long now, byte[] content) {
-        if (content.length > MOST_CONTENT) {
+        if (content.length > MAX_CONTENT) {
             throw new IllegalArgumentException(
-                    "content: found " + content.length + " bytes; allowed: up to " + MOST_CONTENT);
+                    "content: found " + content.length + " bytes; allowed: up to " + MAX_CONTENT);
         }
         lapse(now);
         LogPosition number = null;
         if (election.leads()
-                && log.voters().size() >= LEAST_VOTERS
-                && log.last() - log.committed() < MOST_OPEN) {
+                && log.voters().size() >= MIN_VOTERS
+                && log.last() - log.committed() < MAX_OPEN) {
             append(now, new LogEntry(election.term(), Kind.CONTENT, content.clone()));
             number = new LogPosition(group, log.last());
         }
@@ -391,12 +392,12 @@
      * @param patience after which its outcome is said, whatever is known by then, in nanoseconds
      * @return what {@link Actions#settled} will name; null where too many wait here, so that it is
      *     not taken
-     * @throws IllegalArgumentException if the content is larger than {@link #MOST_HANDED}
+     * @throws IllegalArgumentException if the content is larger than {@link #MAX_HANDED}
      */
     public Proposal hand(long now, byte[] content, long patience) {
-        if (content.length > MOST_HANDED) {
+        if (content.length > MAX_HANDED) {
             throw new IllegalArgumentException(
-                    "content: found " + content.length + " bytes; allowed: up to " + MOST_HANDED);
+                    "content: found " + content.length + " bytes; allowed: up to " + MAX_HANDED);
         }
         Proposal made = proposing.make(now, loaded(), content, patience);
         end(now);
@@ -421,14 +422,14 @@
      * make it hold is bounded: one of each copy, and so many of all.
      */
     private boolean takes(long now, Proposal proposal) {
-        if (!election.leads() || log.voters().size() < LEAST_VOTERS) {
+        if (!election.leads() || log.voters().size() < MIN_VOTERS) {
             return false;
         }
         int open = 0;
         for (long i = log.committed() + 1; i <= log.last(); i++) {
             if (log.entry(i).kind() == Kind.HANDED) {
                 Proposal other = Proposal.decode(log.entry(i).bytes());
-                if (other.copy() == proposal.copy()) {
+                if (other.replica() == proposal.replica()) {
                     return other.same(proposal);
                 }
                 open++;
@@ -438,8 +439,8 @@
             return true;
         }
         byte[] bytes = proposal.encode();
-        if (open >= MOST_OPEN_HANDED
-                || log.last() - log.committed() >= MOST_OPEN
+        if (open >= MAX_OPEN_HANDED
+                || log.last() - log.committed() >= MAX_OPEN
                 || !handed.spend(now, bytes.length)) {
             return false;
         }
@@ -457,12 +458,12 @@
         for (Voter voter : election.leads() ? log.voters().all() : List.<Voter>of()) {
             if (!voter.equals(self)
                     && replication.match(voter) == log.last()
-                    && tier.lives(voter.copy())) {
+                    && tier.incarnations(voter.replica())) {
                 to = voter;
             }
         }
         if (to != null) {
-            circle.post(to.copy(), new Lead());
+            circle.post(to.replica(), new Lead());
         }
         end(now);
         return to != null;
@@ -473,9 +474,9 @@
      * and makes a voter, and keeps it from forming a group by itself while it sees no more than
      * half of the tier; no safety rests on it.
      */
-    public void lives(int copy, boolean lives) {
-        if (copy != self.copy()) {
-            tier.lives(copy, lives);
+    public void lives(int replica, boolean lives) {
+        if (replica != self.replica()) {
+            tier.incarnations(replica, lives);
         }
     }
 
@@ -487,16 +488,16 @@
      */
     public void received(long now, int from, byte[] bytes) {
         lapse(now);
-        MessageFragment piece = MessageFragment.decode(bytes, tier.copies());
+        MessageFragment piece = MessageFragment.decode(bytes, tier.replicas());
         if (piece == null) {
             malformed++;
-        } else if (piece.sender() != from || from == self.copy()) {
+        } else if (piece.sender() != from || from == self.replica()) {
             notItsSender++;
         } else if (admits(now, piece)) {
             byte[] whole = pieces.take(now, piece);
             RaftMessage message = whole == null ? null : RaftMessage.decode(whole);
             if (message != null) {
-                handle(now, new Voter(from, piece.life()), piece.term(), message);
+                handle(now, new Voter(from, piece.incarnation()), piece.term(), message);
                 lead(now);
             } else if (whole != null) {
                 malformed++;
@@ -511,7 +512,7 @@
      */
     private void lapse(long now) {
         if (election.leads()
-                && conduct.lapsed(replication.sinceMajority(now), settings.electionMost())) {
+                && conduct.lapsed(replication.sinceMajority(now), settings.maxElection())) {
             election.follow(now, election.term());
         }
     }
@@ -520,12 +521,15 @@
     private boolean admits(long now, MessageFragment piece) {
         int from = piece.sender();
         int byGroup = piece.group().compareTo(group);
-        boolean raises = byGroup > 0 || piece.life() > tier.life(from) && tier.life(from) > 0;
+        boolean raises =
+                byGroup > 0
+                        || piece.incarnation() > tier.incarnation(from)
+                                && tier.incarnation(from) > 0;
         if (raises && !conduct.believes(answers(from, piece))) {
             spreading.refuse(now, from, digest(piece), true);
             return false;
         }
-        if (piece.life() < tier.life(from)) {
+        if (piece.incarnation() < tier.incarnation(from)) {
             stale++;
             spreading.refuse(now, from, digest(piece), true);
             return false;
@@ -537,7 +541,7 @@
             }
             return false;
         }
-        tier.heard(now, from, piece.life());
+        tier.heard(now, from, piece.incarnation());
         if (byGroup > 0) {
             join(now, piece.group());
         }
@@ -604,7 +608,7 @@
         } else if (message instanceof SayVote m) {
             election.said(now, from, term, m);
         } else if (message instanceof Append m) {
-            follow(now, from.copy(), term, m);
+            follow(now, from.replica(), term, m);
         } else if (message instanceof SayAppend m) {
             if (election.leads() && term == election.term()) {
                 replication.said(now, from, m);
@@ -612,24 +616,24 @@
                 election.follow(now, term);
             }
         } else if (message instanceof Lead) {
-            if (term == election.term() && from.copy() == election.leader()) {
+            if (term == election.term() && from.replica() == election.leader()) {
                 election.call(now);
             }
         } else if (message instanceof Digest m) {
-            if (m.yourLife() > self.life() && !election.sworn()) {
-                self = new Voter(self.copy(), m.yourLife() + 1);
+            if (m.yourIncarnation() > self.incarnation() && !election.sworn()) {
+                self = new Voter(self.replica(), m.yourIncarnation() + 1);
                 promised = true;
             }
-            spreading.told(now, from.copy(), m);
+            spreading.told(now, from.replica(), m);
         } else if (message instanceof Ask m) {
-            spreading.asked(now, from.copy(), m);
+            spreading.asked(now, from.replica(), m);
         } else if (message instanceof News m) {
-            spreading.took(now, from.copy(), m);
+            spreading.took(now, from.replica(), m);
             if (log.term(log.committed()) > election.term()) {
                 election.follow(now, log.term(log.committed()));
             }
         } else if (message instanceof Chunk m) {
-            Snapshot whole = spreading.took(now, from.copy(), m);
+            Snapshot whole = spreading.took(now, from.replica(), m);
             if (whole != null && AppliedProposals.decode(whole.state()) != null) {
                 install(now, whole);
                 spreading.learned(now, 0);
@@ -637,19 +641,21 @@
                 malformed++;
             }
         } else if (message instanceof Hand m) {
-            if (m.proposal().copy() != from.copy()) {
+            if (m.proposal().replica() != from.replica()) {
                 notItsSender++;
             } else if (takes(now, m.proposal())) {
-                circle.post(from.copy(), new Took(m.proposal().life(), m.proposal().sequence()));
+                circle.post(
+                        from.replica(),
+                        new Took(m.proposal().incarnation(), m.proposal().sequence()));
             }
         } else if (message instanceof Sure m) {
-            spreading.took(now, from.copy(), m);
+            spreading.took(now, from.replica(), m);
         } else if (message instanceof Took m) {
-            proposing.heard(now, from.copy(), m);
+            proposing.heard(now, from.replica(), m);
         } else if (message instanceof Lack m) {
-            for (byte[] piece : pieces.again(from.copy(), m)) {
+            for (byte[] piece : pieces.again(from.replica(), m)) {
                 if (allowance.spend(now, piece.length)) {
-                    out.add(new Out(from.copy(), piece));
+                    out.add(new Out(from.replica(), piece));
                 }
             }
         }
@@ -663,7 +669,7 @@
             replication = null;
         } else if (replication == null) {
             replication = new LogReplication(circle, settings, conduct, random, now);
-            log.voters().all().forEach(voter -> tier.expect(now, voter.copy()));
+            log.voters().all().forEach(voter -> tier.expect(now, voter.replica()));
             append(now, new LogEntry(election.term(), Kind.BEGIN, new byte[0]));
         }
     }
@@ -748,14 +754,14 @@
             proposers.took(proposal, number);
             outlet.loaded(number, proposal.content());
         }
-        proposing.loaded(proposers.last(self.copy()));
+        proposing.loaded(proposers.last(self.replica()));
     }
 
     private byte[] state() {
         byte[] state = outlet.state();
-        if (state.length > MOST_STATE) {
+        if (state.length > MAX_STATE) {
             throw new IllegalStateException(
-                    "state: found " + state.length + " bytes; allowed: up to " + MOST_STATE);
+                    "state: found " + state.length + " bytes; allowed: up to " + MAX_STATE);
         }
         return proposers.with(state);
     }
@@ -787,7 +793,7 @@
             store.promise(
                     new StableStorage.Promise(
                             group,
-                            self.life(),
+                            self.incarnation(),
                             election.term(),
                             election.vote(),
                             election.sworn()));
@@ -796,10 +802,10 @@
     }
 
     private void end(long now) {
-        proposing.loaded(proposers.last(self.copy()));
+        proposing.loaded(proposers.last(self.replica()));
         proposing.tick(now);
         if (election.leads()
-                && log.voters().size() >= LEAST_VOTERS
+                && log.voters().size() >= MIN_VOTERS
                 && log.term(log.committed()) == election.term()) {
             contact.sure(replication.answeredSince(now), log.committed());
         }
--- a/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
+++ b/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
@@ -14,51 +14,51 @@
 
     private final int self;
     private final int[] zones;
-    private final long[] lives;
+    private final long[] incarnations;
     private final long[] heardAt;
     private final BitSet dead = new BitSet();
 
     ReplicaDirectory(int self, int[] zones, long now) {
         this.self = self;
         this.zones = zones.clone();
-        this.lives = new long[zones.length];
+        this.incarnations = new long[zones.length];
         this.heardAt = new long[zones.length];
         Arrays.fill(heardAt, now - Long.MAX_VALUE / 4);
     }
 
-    int copies() {
+    int replicas() {
         return zones.length;
     }
 
-    int zone(int copy) {
-        return zones[copy];
+    int zone(int replica) {
+        return zones[replica];
     }
 
     /** The largest life of a copy that was heard of. */
-    long life(int copy) {
-        return lives[copy];
+    long incarnation(int replica) {
+        return incarnations[replica];
     }
 
-    long heardAt(int copy) {
-        return heardAt[copy];
+    long heardAt(int replica) {
+        return heardAt[replica];
     }
 
-    void heard(long now, int copy, long life) {
-        lives[copy] = life;
-        heardAt[copy] = now;
+    void heard(long now, int replica, long incarnation) {
+        incarnations[replica] = incarnation;
+        heardAt[replica] = now;
     }
 
     /** Voters are reckoned from now on: those who were not heard of get the same time as all. */
-    void expect(long now, int copy) {
-        heardAt[copy] = Math.max(heardAt[copy], now);
+    void expect(long now, int replica) {
+        heardAt[replica] = Math.max(heardAt[replica], now);
     }
 
-    void lives(int copy, boolean lives) {
-        dead.set(copy, !lives);
+    void incarnations(int replica, boolean lives) {
+        dead.set(replica, !lives);
     }
 
-    boolean lives(int copy) {
-        return !dead.get(copy);
+    boolean incarnations(int replica) {
+        return !dead.get(replica);
     }
 
     int living() {
@@ -71,7 +71,7 @@
         for (int i = 0; i < TRIES && zones.length > 1; i++) {
             found = random.nextInt(zones.length - 1);
             found += found >= self ? 1 : 0;
-            if (lives(found)) {
+            if (incarnations(found)) {
                 break;
             }
         }
--- a/core/src/main/java/cedarrudder/consensus/SafetyRules.java
+++ b/core/src/main/java/cedarrudder/consensus/SafetyRules.java
@@ -29,13 +29,13 @@
     }
 
     /** Whether a leader steps down that a majority has not answered for so long (thesis, 6.2). */
-    boolean lapsed(long sinceMajority, long most) {
-        return sinceMajority >= most;
+    boolean lapsed(long sinceMajority, long max) {
+        return sinceMajority >= max;
     }
 
     /** The group that a copy forms: no other has had or will have it. */
     VoterGroup next(VoterGroup known, Voter founder) {
-        return new VoterGroup(known.era() + 1, founder.copy(), founder.life());
+        return new VoterGroup(known.era() + 1, founder.replica(), founder.incarnation());
     }
 
     /** Whether a proposal that was handed on takes effect: only the first time. */
@@ -65,7 +65,7 @@
     /** Whether a piece belongs to the message of which another piece is held. */
     boolean same(MessageFragment held, MessageFragment other) {
         return held.message() == other.message()
-                && held.life() == other.life()
+                && held.incarnation() == other.incarnation()
                 && held.count() == other.count()
                 && held.whole() == other.whole()
                 && held.group().equals(other.group())
--- a/core/src/main/java/cedarrudder/consensus/StableStorage.java
+++ b/core/src/main/java/cedarrudder/consensus/StableStorage.java
@@ -11,11 +11,11 @@
     /**
      * What a copy has promised.
      *
-     * @param life of the copy as a voter; a process that remembers goes on with it
+     * @param incarnation of the copy as a voter; a process that remembers goes on with it
      * @param vote whom it voted for in that term, or null
      * @param sworn whether a committed set of voters has had this life
      */
-    record Promise(VoterGroup group, long life, long term, Voter vote, boolean sworn) {}
+    record Promise(VoterGroup group, long incarnation, long term, Voter vote, boolean sworn) {}
 
     /**
      * What was read back, whole.
--- a/core/src/main/java/cedarrudder/consensus/Voter.java
+++ b/core/src/main/java/cedarrudder/consensus/Voter.java
@@ -4,6 +4,6 @@
  * One who votes: a copy in one of its lives. The same copy in a later life is another, who
  * remembers nothing of it.
  *
- * @param copy its number in the tier
+ * @param replica its number in the tier
  */
-public record Voter(int copy, long life) {}
+public record Voter(int replica, long incarnation) {}
--- a/core/src/main/java/cedarrudder/consensus/VoterGroup.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterGroup.java
@@ -9,9 +9,9 @@
  *
  * @param era one more than the highest that its founder knew of; 0 is that of no group
  * @param founder the copy that formed it
- * @param life the founder's life
+ * @param incarnation the founder's life
  */
-public record VoterGroup(int era, int founder, long life) implements Comparable<VoterGroup> {
+public record VoterGroup(int era, int founder, long incarnation) implements Comparable<VoterGroup> {
 
     /** That of a copy that has heard of none. */
     public static final VoterGroup NONE = new VoterGroup(0, 0, 0);
@@ -19,7 +19,7 @@
     private static final Comparator<VoterGroup> ORDER =
             Comparator.comparingInt(VoterGroup::era)
                     .thenComparingInt(VoterGroup::founder)
-                    .thenComparingLong(VoterGroup::life);
+                    .thenComparingLong(VoterGroup::incarnation);
 
     @Override
     public int compareTo(VoterGroup other) {
--- a/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
@@ -45,11 +45,12 @@
         for (Voter voter : voters.all()) {
             boolean gone =
                     !voter.equals(circle.self())
-                            && (tier.life(voter.copy()) > voter.life()
-                                    || now - tier.heardAt(voter.copy()) > settings.voterPatience());
+                            && (tier.incarnation(voter.replica()) > voter.incarnation()
+                                    || now - tier.heardAt(voter.replica())
+                                            > settings.voterPatience());
             boolean back =
-                    tier.life(voter.copy()) > voter.life()
-                            && now - tier.heardAt(voter.copy()) < settings.voterPatience() / 2;
+                    tier.incarnation(voter.replica()) > voter.incarnation()
+                            && now - tier.heardAt(voter.replica()) < settings.voterPatience() / 2;
             if (gone && (voters.size() > 3 || !spare.isEmpty() || back)) {
                 return voters.without(voter);
             }
@@ -75,22 +76,24 @@
     private List<Voter> spare(long now, VoterSet voters) {
         List<Voter> best = new ArrayList<>();
         long fewest = Long.MAX_VALUE;
-        for (int copy = 0; copy < tier.copies(); copy++) {
-            if (voters.hasCopy(copy)
-                    || copy == circle.self().copy()
-                    || !tier.lives(copy)
-                    || now - tier.heardAt(copy) > settings.voterPatience() / 2) {
+        for (int replica = 0; replica < tier.replicas(); replica++) {
+            if (voters.hasCopy(replica)
+                    || replica == circle.self().replica()
+                    || !tier.incarnations(replica)
+                    || now - tier.heardAt(replica) > settings.voterPatience() / 2) {
                 continue;
             }
-            int zone = tier.zone(copy);
+            int zone = tier.zone(replica);
             long there =
-                    voters.all().stream().filter(voter -> tier.zone(voter.copy()) == zone).count();
+                    voters.all().stream()
+                            .filter(voter -> tier.zone(voter.replica()) == zone)
+                            .count();
             if (there < fewest) {
                 fewest = there;
                 best.clear();
             }
             if (there == fewest) {
-                best.add(new Voter(copy, tier.life(copy)));
+                best.add(new Voter(replica, tier.incarnation(replica)));
             }
         }
         return best;
--- a/core/src/main/java/cedarrudder/consensus/VoterSet.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterSet.java
@@ -6,13 +6,13 @@
 import java.util.function.Predicate;
 
 /**
- * Those who vote, at most {@value #MOST}; a change adds one or takes one away, so that majorities
+ * Those who vote, at most {@value #MAX}; a change adds one or takes one away, so that majorities
  * overlap.
  */
 public record VoterSet(List<Voter> all) {
 
     /** One more than the most that are asked for: a change may pass through it. */
-    public static final int MOST = 8;
+    public static final int MAX = 8;
 
     static final VoterSet NOBODY = new VoterSet(List.of());
 
@@ -26,8 +26,8 @@
         return all.contains(voter);
     }
 
-    boolean hasCopy(int copy) {
-        return all.stream().anyMatch(voter -> voter.copy() == copy);
+    boolean hasCopy(int replica) {
+        return all.stream().anyMatch(voter -> voter.replica() == replica);
     }
 
     public int size() {
@@ -52,7 +52,7 @@
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(1 + BYTES * all.size());
         out.put((byte) all.size());
-        all.forEach(voter -> out.putShort((short) voter.copy()).putLong(voter.life()));
+        all.forEach(voter -> out.putShort((short) voter.replica()).putLong(voter.incarnation()));
         return out.array();
     }
 
@@ -60,7 +60,7 @@
     public static VoterSet decode(byte[] bytes) {
         if (bytes.length == 0
                 || bytes[0] < 0
-                || bytes[0] > MOST
+                || bytes[0] > MAX
                 || bytes.length != 1 + BYTES * bytes[0]) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
@@ -43,14 +43,14 @@
      * What {@link TrafficCoordination}, and {@link DrainCoordination}, may say in one report:
      * parts, and bytes of each.
      */
-    public static final int MOST_PARTS = 4;
+    public static final int MAX_PARTS = 4;
 
-    public static final int MOST_PART = 136;
+    public static final int MAX_PART = 136;
 
     /** What the log can take of a table. */
     private static final RouteTableCapacity LOG =
             new RouteTableCapacity(
-                    RaftNode.MOST_CONTENT - 1, RouteTable.MOST_LEAVING, Integer.MAX_VALUE);
+                    RaftNode.MAX_CONTENT - 1, RouteTable.MAX_LEAVING, Integer.MAX_VALUE);
 
     /** What an entry holds, by its first byte. */
     private static final byte TABLE = 1;
@@ -70,10 +70,10 @@
      */
     private static final int START = 20;
 
-    private static final long MOST_START = (1L << 42) - 1;
+    private static final long MAX_START = (1L << 42) - 1;
 
     /** What is proposed and not loaded after so many periods is taken to have come to nothing. */
-    private static final int MOST_WAITED = 10;
+    private static final int MAX_WAITED = 10;
 
     /** A copy that was silent for so many reports says nothing of its room. */
     private static final int HEARD_LATELY = 4;
@@ -174,7 +174,7 @@
      *
      * @param zones the zone of each copy of the tier
      * @param self the number of this one
-     * @param life larger than that of any earlier life of this one
+     * @param incarnation larger than that of any earlier life of this one
      * @param room what this copy can load now
      * @throws IllegalArgumentException if a figure is outside its range, or the lease is too short
      *     for so many copies
@@ -182,7 +182,7 @@
     public CoordinatedReplica(
             int[] zones,
             int self,
-            long life,
+            long incarnation,
             ConsensusSettings agreed,
             CoordinationSettings settings,
             StableStorage store,
@@ -192,14 +192,14 @@
             Supplier<RouteTableCapacity> room,
             Actions outlet,
             long now) {
-        if (settings.lease() < settings.leastLease(zones.length)) {
+        if (settings.lease() < settings.minLease(zones.length)) {
             throw new IllegalArgumentException(
                     "lease: found "
                             + settings.lease()
                             + " ns with "
                             + zones.length
                             + " copies; allowed: "
-                            + settings.leastLease(zones.length)
+                            + settings.minLease(zones.length)
                             + " ns or more");
         }
         this.zones = zones.clone();
@@ -216,10 +216,11 @@
         this.lease = new TableLease(now);
         this.until = lease.until();
         this.contact = lease.contact();
-        this.number = (life & MOST_START) << START;
+        this.number = (incarnation & MAX_START) << START;
         this.reportAt = now + (long) (random.nextDouble() * reports);
         this.agreement =
-                new RaftNode(zones, self, life, agreed, store, random, new FromLog(store), now);
+                new RaftNode(
+                        zones, self, incarnation, agreed, store, random, new FromLog(store), now);
     }
 
     /** What the log causes. */
@@ -275,8 +276,8 @@
                                 at,
                                 bytes,
                                 agreement == null
-                                        ? store.kept().promise().life()
-                                        : agreement.life()));
+                                        ? store.kept().promise().incarnation()
+                                        : agreement.incarnation()));
             }
         }
 
@@ -289,7 +290,7 @@
         public void noted(ConsensusEvent note) {
             if (note instanceof ConsensusEvent.Stored stored
                     && stored.entry().kind() == LogEntry.Kind.BEGIN
-                    && stored.by().copy() == self
+                    && stored.by().replica() == self
                     && stored.entry().term() == agreement.term()
                     && agreement.leads()) {
                 firstOfTerm = stored.index();
@@ -301,7 +302,7 @@
     /** What {@link TrafficCoordination} and {@link DrainCoordination} see where this copy leads. */
     private final class View implements TierView {
         @Override
-        public int copies() {
+        public int replicas() {
             return zones.length;
         }
 
@@ -311,13 +312,13 @@
         }
 
         @Override
-        public int zone(int copy) {
-            return zones[copy];
+        public int zone(int replica) {
+            return zones[replica];
         }
 
         @Override
-        public boolean lives(int copy) {
-            return !dead.get(copy);
+        public boolean lives(int replica) {
+            return !dead.get(replica);
         }
 
         @Override
@@ -326,8 +327,10 @@
         }
 
         @Override
-        public long leaseOver(int copy) {
-            return reporters.grantedAt(copy) + longest + 2 * longest / CoordinationSettings.DRIFT;
+        public long leaseOver(int replica) {
+            return reporters.grantedAt(replica)
+                    + longest
+                    + 2 * longest / CoordinationSettings.DRIFT;
         }
     }
 
@@ -393,7 +396,7 @@
             } else if (sealed.sender() != from || from == self) {
                 notItsSender++;
             } else if (sealed.letter() instanceof ReportMessage.Report report) {
-                reported(from, sealed.life(), report);
+                reported(from, sealed.incarnation(), report);
             } else if (sealed.letter() instanceof ReportMessage.Grant grant) {
                 granted(grant);
             }
@@ -404,9 +407,9 @@
     }
 
     /** Membership holds that a copy lives, or that it is dead; no safety rests on it. */
-    public void lives(int copy, boolean lives) {
-        dead.set(copy, !lives);
-        agreement.lives(copy, lives);
+    public void lives(int replica, boolean lives) {
+        dead.set(replica, !lives);
+        agreement.lives(replica, lives);
     }
 
     /**
@@ -547,7 +550,8 @@
     }
 
     private long majorityAt() {
-        return reporters.majorityAt(now, new Voter(self, agreement.life()), agreement.voters());
+        return reporters.majorityAt(
+                now, new Voter(self, agreement.incarnation()), agreement.voters());
     }
 
     // ---- reports ----
@@ -568,7 +572,7 @@
         for (int next = 0; next == 0 || next < parts.size(); ) {
             List<Part> these = new ArrayList<>();
             int size = 0;
-            while (next < parts.size() && size + parts.get(next).bytes().length <= MOST_PART) {
+            while (next < parts.size() && size + parts.get(next).bytes().length <= MAX_PART) {
                 size += parts.get(next).bytes().length + PART_HEAD;
                 these.add(parts.get(next++));
             }
@@ -597,7 +601,7 @@
     }
 
     private void post(int to, ReportMessage letter) {
-        outlet.send(to, letter.encode(self, agreement.life()));
+        outlet.send(to, letter.encode(self, agreement.incarnation()));
     }
 
     private void took(int from, Part part) {
@@ -608,13 +612,13 @@
         }
     }
 
-    private void reported(int from, long life, ReportMessage.Report report) {
+    private void reported(int from, long incarnation, ReportMessage.Report report) {
         if (!agreement.leads()) {
             return;
         }
         boolean ours =
                 report.group().equals(agreement.group()) && report.term() == agreement.term();
-        boolean fresh = reporters.took(now, from, life, report, ours);
+        boolean fresh = reporters.took(now, from, incarnation, report, ours);
         if (fresh) {
             // Of another group or term what a copy has carried out is told by other numbers.
             report.parts().stream()
@@ -631,7 +635,7 @@
             post(
                     from,
                     new ReportMessage.Grant(
-                            life,
+                            incarnation,
                             report.number(),
                             agreement.group(),
                             agreement.term(),
@@ -643,7 +647,7 @@
     }
 
     private void granted(ReportMessage.Grant grant) {
-        if (grant.life() != agreement.life()
+        if (grant.incarnation() != agreement.incarnation()
                 || grant.asked() > number
                 || grant.asked() <= number - OPEN) {
             return;
@@ -677,7 +681,7 @@
         }
         if (waitsFor != null
                 && agreement.loaded().compareTo(waitsFor) < 0
-                && now - waitsSince < MOST_WAITED * settings.period()) {
+                && now - waitsSince < MAX_WAITED * settings.period()) {
             return;
         }
         waitsFor = null;
@@ -722,22 +726,22 @@
     private static final int COUNTER = 28;
 
     private static final int FOUNDER = 16;
-    private static final long MOST_BASE = Long.MAX_VALUE >>> COUNTER;
+    private static final long MAX_BASE = Long.MAX_VALUE >>> COUNTER;
 
     /** No table of a group before has a number above it. */
     private static long base(VoterGroup group) {
-        return Math.min((long) group.era() << FOUNDER | group.founder(), MOST_BASE) << COUNTER;
+        return Math.min((long) group.era() << FOUNDER | group.founder(), MAX_BASE) << COUNTER;
     }
 
     /** A table that the smallest live copy can't load is not agreed on. */
     private boolean roomEverywhere(RouteTable table) {
         Map<Integer, RouteTableCapacity> rooms = new HashMap<>();
-        for (int copy = 0; copy < zones.length; copy++) {
-            if (copy == self) {
-                rooms.put(copy, room.get().least(LOG));
-            } else if (tier.lives(copy)
-                    && reporters.heardSince(copy, now - HEARD_LATELY * reports)) {
-                rooms.put(copy, reporters.room(copy));
+        for (int replica = 0; replica < zones.length; replica++) {
+            if (replica == self) {
+                rooms.put(replica, room.get().min(LOG));
+            } else if (tier.lives(replica)
+                    && reporters.heardSince(replica, now - HEARD_LATELY * reports)) {
+                rooms.put(replica, reporters.room(replica));
             }
         }
         Integer by = RouteTableCapacity.holdsBack(table, rooms);
--- a/core/src/main/java/cedarrudder/coordination/CoordinationSettings.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinationSettings.java
@@ -28,22 +28,22 @@
      */
     private static final long APART = 5 * MILLI;
 
-    private static final int LEAST_REPORTS = 4;
+    private static final int MIN_REPORTS = 4;
 
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
     public CoordinationSettings {
         check(period >= 10 * MILLI, "period", period, "10 ms or more");
-        check(lease >= LEAST_REPORTS * period, "lease", lease, "4 periods or more");
+        check(lease >= MIN_REPORTS * period, "lease", lease, "4 periods or more");
     }
 
     /** Between two reports of one of so many copies. */
-    public long reports(int copies) {
-        return Math.max(period, APART * copies);
+    public long reports(int replicas) {
+        return Math.max(period, APART * replicas);
     }
 
     /** The shortest lease with which so many copies can keep a table. */
-    public long leastLease(int copies) {
-        return LEAST_REPORTS * reports(copies);
+    public long minLease(int replicas) {
+        return MIN_REPORTS * reports(replicas);
     }
 
     private static void check(boolean allowed, String name, Object found, String range) {
--- a/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
+++ b/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
@@ -15,8 +15,8 @@
 
     @Override
     public List<byte[]> report(long now) {
-        List<byte[]> parts = failover.report(now, CoordinatedReplica.MOST_PART);
-        return parts.subList(0, Math.min(CoordinatedReplica.MOST_PARTS, parts.size()));
+        List<byte[]> parts = failover.report(now, CoordinatedReplica.MAX_PART);
+        return parts.subList(0, Math.min(CoordinatedReplica.MAX_PARTS, parts.size()));
     }
 
     @Override
--- a/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
@@ -34,13 +34,19 @@
                             "term",
                             text(n.term()),
                             "as",
-                            text(n.by().life()),
+                            text(n.by().incarnation()),
                             "for",
                             text(n.candidate())));
         } else if (note instanceof ConsensusEvent.Leads n) {
             return new Said(
                     "leads",
-                    Map.of("group", group, "term", text(n.term()), "as", text(n.by().life())));
+                    Map.of(
+                            "group",
+                            group,
+                            "term",
+                            text(n.term()),
+                            "as",
+                            text(n.by().incarnation())));
         } else if (note instanceof ConsensusEvent.Stored n) {
             Map<String, String> fields =
                     new HashMap<>(
@@ -50,7 +56,7 @@
                                     "index",
                                     text(n.index()),
                                     "as",
-                                    text(n.by().life()),
+                                    text(n.by().incarnation()),
                                     "sum",
                                     sum(n.entry().content())));
             if (n.entry().kind() == LogEntry.Kind.VOTERS) {
@@ -84,7 +90,7 @@
                         sum(state)));
     }
 
-    static Said restored(LogPosition number, byte[] state, long life) {
+    static Said restored(LogPosition number, byte[] state, long incarnation) {
         return new Said(
                 "restored",
                 Map.of(
@@ -95,7 +101,7 @@
                         "state",
                         sum(state),
                         "as",
-                        text(life)));
+                        text(incarnation)));
     }
 
     static Said table(RouteTable table) {
@@ -153,12 +159,12 @@
     }
 
     /** A copy has no room for what the one that leads would have agreed on. */
-    static Said heldBack(int copy, int bytes, int nodes, RouteTableCapacity room) {
+    static Said heldBack(int replica, int bytes, int nodes, RouteTableCapacity room) {
         return new Said(
                 "held-back",
                 Map.of(
                         "by",
-                        text(copy),
+                        text(replica),
                         "bytes",
                         text(bytes),
                         "nodes",
@@ -170,7 +176,7 @@
     /** As texts that sort as the groups do. */
     static String text(VoterGroup group) {
         return String.format(
-                Locale.ROOT, "%08x.%04x.%016x", group.era(), group.founder(), group.life());
+                Locale.ROOT, "%08x.%04x.%016x", group.era(), group.founder(), group.incarnation());
     }
 
     static String text(VoterSet voters) {
@@ -178,7 +184,7 @@
     }
 
     private static String text(Voter voter) {
-        return voter.copy() + ":" + voter.life();
+        return voter.replica() + ":" + voter.incarnation();
     }
 
     private static String text(long number) {
--- a/core/src/main/java/cedarrudder/coordination/ReportCollector.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportCollector.java
@@ -14,9 +14,9 @@
      * One copy is answered so often a period at the most. Guards against work without end for a
      * flood.
      */
-    private static final int MOST_ANSWERS = 8;
+    private static final int MAX_ANSWERS = 8;
 
-    private final long[] lives;
+    private final long[] incarnations;
     private final long[] numbers;
     private final long[] withUs;
     private final long[] heardAt;
@@ -25,21 +25,21 @@
     private final RouteTableCapacity[] rooms;
     private long highest;
 
-    ReportCollector(int copies, long now) {
-        lives = new long[copies];
-        numbers = new long[copies];
-        withUs = new long[copies];
-        heardAt = new long[copies];
-        grantedAt = new long[copies];
-        answeredAt = new long[copies];
-        rooms = new RouteTableCapacity[copies];
+    ReportCollector(int replicas, long now) {
+        incarnations = new long[replicas];
+        numbers = new long[replicas];
+        withUs = new long[replicas];
+        heardAt = new long[replicas];
+        grantedAt = new long[replicas];
+        answeredAt = new long[replicas];
+        rooms = new RouteTableCapacity[replicas];
         begin(now);
     }
 
     /** This copy leads from here on: what it knew before is of another term. */
     void begin(long now) {
         long never = now - Long.MAX_VALUE / 4;
-        Arrays.fill(lives, 0);
+        Arrays.fill(incarnations, 0);
         Arrays.fill(numbers, 0);
         Arrays.fill(withUs, never);
         Arrays.fill(heardAt, never);
@@ -50,14 +50,16 @@
     }
 
     /** Takes a report; false where it is an old one. */
-    boolean took(long now, int from, long life, ReportMessage.Report report, boolean inOurTerm) {
-        if (life < lives[from] || life == lives[from] && report.number() <= numbers[from]) {
+    boolean took(
+            long now, int from, long incarnation, ReportMessage.Report report, boolean inOurTerm) {
+        if (incarnation < incarnations[from]
+                || incarnation == incarnations[from] && report.number() <= numbers[from]) {
             return false;
         }
-        if (life > lives[from]) {
+        if (incarnation > incarnations[from]) {
             withUs[from] = now - Long.MAX_VALUE / 4;
         }
-        lives[from] = life;
+        incarnations[from] = incarnation;
         numbers[from] = report.number();
         heardAt[from] = now;
         rooms[from] = report.room();
@@ -70,7 +72,7 @@
 
     /** Whether one that asks gets an answer now. */
     boolean answers(long now, int to, long period) {
-        if (now - answeredAt[to] < period / MOST_ANSWERS) {
+        if (now - answeredAt[to] < period / MAX_ANSWERS) {
             return false;
         }
         answeredAt[to] = now;
@@ -88,8 +90,8 @@
     }
 
     /** After that it can have no lease that it got here or of a leader before. */
-    long grantedAt(int copy) {
-        return grantedAt[copy];
+    long grantedAt(int replica) {
+        return grantedAt[replica];
     }
 
     /**
@@ -103,8 +105,9 @@
                                 voter ->
                                         voter.equals(self)
                                                 ? now
-                                                : lives[voter.copy()] == voter.life()
-                                                        ? withUs[voter.copy()]
+                                                : incarnations[voter.replica()]
+                                                                == voter.incarnation()
+                                                        ? withUs[voter.replica()]
                                                         : now - Long.MAX_VALUE / 4)
                         .sorted()
                         .toArray();
@@ -112,13 +115,13 @@
     }
 
     /** Whether one has reported since then. */
-    boolean heardSince(int copy, long instant) {
-        return heardAt[copy] >= instant;
+    boolean heardSince(int replica, long instant) {
+        return heardAt[replica] >= instant;
     }
 
     /** The room of a copy; null where it has not said. */
-    RouteTableCapacity room(int copy) {
-        return rooms[copy];
+    RouteTableCapacity room(int replica) {
+        return rooms[replica];
     }
 
     /** The highest number of a table that any copy has had. */
--- a/core/src/main/java/cedarrudder/coordination/ReportMessage.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportMessage.java
@@ -9,8 +9,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * What copies tell one another beside the log, in datagrams of at most {@value #MOST_BYTES} bytes:
- * a first byte that no message of membership or agreement begins with, the kind, the sender (2) and
+ * What copies tell one another beside the log, in datagrams of at most {@value #MAX_BYTES} bytes: a
+ * first byte that no message of membership or agreement begins with, the kind, the sender (2) and
  * its life (8), the fields, and a checksum (CRC32C, 4) of all before it. Big-endian.
  */
 sealed interface ReportMessage {
@@ -18,7 +18,7 @@
     /** The first byte of all of them. */
     byte FIRST = (byte) 0xa7;
 
-    int MOST_BYTES = 224;
+    int MAX_BYTES = 224;
 
     /** No instant: clocks may say 0, and less. */
     long NEVER = Long.MIN_VALUE;
@@ -36,7 +36,7 @@
     record Part(Of of, byte[] bytes) {}
 
     /** Who sent it, in which of its lives. */
-    record Sealed(int sender, long life, ReportMessage letter) {}
+    record Sealed(int sender, long incarnation, ReportMessage letter) {}
 
     /**
      * A copy says how it is, and asks the one that leads whether its table still holds.
@@ -69,7 +69,7 @@
     /**
      * The answer of the one that leads.
      *
-     * @param life that of the one that asked
+     * @param incarnation that of the one that asked
      * @param asked the number of its report
      * @param at the instant of the answer, on the leader's clock: to be said back to it
      * @param age how long before that a majority was certainly with it; -1 where it does not know
@@ -77,7 +77,7 @@
      * @param last the highest number of a report of that life: the next must be higher
      */
     record Grant(
-            long life,
+            long incarnation,
             long asked,
             VoterGroup group,
             long term,
@@ -87,13 +87,13 @@
             long last)
             implements ReportMessage {}
 
-    default byte[] encode(int sender, long life) {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
+    default byte[] encode(int sender, long incarnation) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         out.put(FIRST);
         if (this instanceof Report m) {
             out.put((byte) (m.asks ? 1 : 0))
                     .putShort((short) sender)
-                    .putLong(life)
+                    .putLong(incarnation)
                     .putLong(m.number);
             put(out, m.group);
             out.putLong(m.term).putLong(m.heardAt).putLong(m.table).putLong(m.highest);
@@ -104,8 +104,8 @@
         } else if (this instanceof Grant m) {
             out.put((byte) 2)
                     .putShort((short) sender)
-                    .putLong(life)
-                    .putLong(m.life)
+                    .putLong(incarnation)
+                    .putLong(m.incarnation)
                     .putLong(m.asked);
             put(out, m.group);
             out.putLong(m.term).putLong(m.at).putLong(m.age).putLong(m.table).putLong(m.last);
@@ -117,8 +117,8 @@
     }
 
     /** Reads a datagram; null where the bytes are none. Whatever they are it throws nothing. */
-    static Sealed decode(byte[] bytes, int copies) {
-        if (bytes.length < HEAD + SUM || bytes.length > MOST_BYTES || bytes[0] != FIRST) {
+    static Sealed decode(byte[] bytes, int replicas) {
+        if (bytes.length < HEAD + SUM || bytes.length > MAX_BYTES || bytes[0] != FIRST) {
             return null;
         }
         int length = bytes.length - SUM;
@@ -130,7 +130,7 @@
             in.get();
             int kind = in.get();
             int sender = in.getShort() & 0xffff;
-            long life = in.getLong();
+            long incarnation = in.getLong();
             ReportMessage letter =
                     switch (kind) {
                         case 0, 1 ->
@@ -159,10 +159,10 @@
             boolean good =
                     letter != null
                             && !in.hasRemaining()
-                            && sender < copies
-                            && life >= 0
+                            && sender < replicas
+                            && incarnation >= 0
                             && letter.plausible();
-            return good ? new Sealed(sender, life, letter) : null;
+            return good ? new Sealed(sender, incarnation, letter) : null;
         } catch (BufferUnderflowException e) {
             return null;
         }
@@ -176,7 +176,7 @@
                     && m.table >= 0
                     && m.highest >= m.table
                     && m.highest < Long.MAX_VALUE >> 1
-                    && m.parts.size() <= 2 * CoordinatedReplica.MOST_PARTS;
+                    && m.parts.size() <= 2 * CoordinatedReplica.MAX_PARTS;
         } else if (this instanceof Grant m) {
             return m.term >= 0
                     && m.age >= -1
@@ -203,7 +203,7 @@
     }
 
     private static void put(ByteBuffer out, VoterGroup group) {
-        out.putInt(group.era()).putShort((short) group.founder()).putLong(group.life());
+        out.putInt(group.era()).putShort((short) group.founder()).putLong(group.incarnation());
     }
 
     private static VoterGroup group(ByteBuffer in) {
--- a/core/src/main/java/cedarrudder/coordination/TierView.java
+++ b/core/src/main/java/cedarrudder/coordination/TierView.java
@@ -6,15 +6,15 @@
 public interface TierView {
 
     /** How many copies there may be. */
-    int copies();
+    int replicas();
 
     int self();
 
     /** The zone of a copy. */
-    int zone(int copy);
+    int zone(int replica);
 
     /** Whether membership holds that a copy lives. */
-    boolean lives(int copy);
+    boolean lives(int replica);
 
     /** What the copies have agreed on last, loaded here; null before the first. */
     RouteTable agreed();
@@ -23,5 +23,5 @@
      * When a copy that is silent has certainly left its table, on this copy's clock: until then its
      * calls go where that says.
      */
-    long leaseOver(int copy);
+    long leaseOver(int replica);
 }
--- a/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
@@ -10,8 +10,8 @@
 public interface TrafficCoordination {
 
     /**
-     * What this copy saw since it was asked last: at most {@link CoordinatedReplica#MOST_PARTS}
-     * parts of at most {@link CoordinatedReplica#MOST_PART} bytes, each of which stands for itself,
+     * What this copy saw since it was asked last: at most {@link CoordinatedReplica#MAX_PARTS}
+     * parts of at most {@link CoordinatedReplica#MAX_PART} bytes, each of which stands for itself,
      * as any may be lost.
      */
     List<byte[]> report(long now);
--- a/core/src/main/java/cedarrudder/draining/CompactCodec.java
+++ b/core/src/main/java/cedarrudder/draining/CompactCodec.java
@@ -66,14 +66,14 @@
             this.bytes = bytes;
         }
 
-        long whole(long most) {
+        long whole(long max) {
             long value = 0;
             for (int shift = 0; shift < Long.SIZE - 1; shift += BITS) {
                 int next = one();
                 value |= (long) (next & MORE - 1) << shift;
                 if ((next & MORE) == 0) {
-                    if (value > most) {
-                        throw wrong(value, "0 to " + most);
+                    if (value > max) {
+                        throw wrong(value, "0 to " + max);
                     }
                     return value;
                 }
@@ -88,16 +88,16 @@
             return bytes[at++] & 0xff;
         }
 
-        int small(int most) {
-            return (int) whole(most);
+        int small(int max) {
+            return (int) whole(max);
         }
 
         /**
          * How many entries follow; each takes a byte or more, so that no more are read than there
          * are.
          */
-        int count(int most) {
-            int count = small(most);
+        int count(int max) {
+            int count = small(max);
             if (count > bytes.length - at) {
                 throw wrong(count, "up to " + (bytes.length - at));
             }
@@ -112,15 +112,15 @@
             return Double.longBitsToDouble(bits);
         }
 
-        byte[] block(int most) {
-            byte[] block = new byte[count(most)];
+        byte[] block(int max) {
+            byte[] block = new byte[count(max)];
             System.arraycopy(bytes, at, block, 0, block.length);
             at += block.length;
             return block;
         }
 
-        String text(int mostBytes) {
-            return new String(block(mostBytes), StandardCharsets.UTF_8);
+        String text(int maxBytes) {
+            return new String(block(maxBytes), StandardCharsets.UTF_8);
         }
 
         <E extends Enum<E>> E choice(E[] of) {
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -71,7 +71,7 @@
 
     /** The policies that are for a node, as bits; one that can't be told is, and pauses. */
     int of(DrainableNode node) {
-        if (known.size() > 2 * DrainPolicy.MOST_NODES) {
+        if (known.size() > 2 * DrainPolicy.MAX_NODES) {
             known.clear();
         }
         return known.computeIfAbsent(node.with(Standing.SERVING), this::work);
--- a/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
+++ b/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
@@ -58,14 +58,14 @@
     Bound breaks(DrainableNode node, boolean out) {
         int more = out ? 0 : 1;
         Group[] groups = groups(node);
-        DrainPolicy.Most[] most = {policy.pod(), policy.zone(), policy.tier()};
+        DrainPolicy.Most[] max = {policy.pod(), policy.zone(), policy.tier()};
         int[] left = {policy.left().pod(), policy.left().zone(), policy.left().tier()};
-        Bound[] mostBound = {Bound.POD, Bound.ZONE, Bound.TIER};
+        Bound[] maxBound = {Bound.POD, Bound.ZONE, Bound.TIER};
         Bound[] leftBound = {Bound.LEFT_POD, Bound.LEFT_ZONE, Bound.LEFT_TIER};
         for (int i = 0; i < groups.length; i++) {
             int then = groups[i].out + more;
-            if (then > most[i].of(groups[i].listed)) {
-                return mostBound[i];
+            if (then > max[i].of(groups[i].listed)) {
+                return maxBound[i];
             }
             if (groups[i].listed - then < left[i]) {
                 return leftBound[i];
@@ -90,7 +90,7 @@
         return over(pods, policy.pod()) || over(zones, policy.zone()) || over(tiers, policy.tier());
     }
 
-    private static boolean over(Map<Object, Group> groups, DrainPolicy.Most most) {
-        return groups.values().stream().anyMatch(group -> group.out > most.of(group.listed));
+    private static boolean over(Map<Object, Group> groups, DrainPolicy.Most max) {
+        return groups.values().stream().anyMatch(group -> group.out > max.of(group.listed));
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -12,25 +12,25 @@
 public sealed interface DrainCommand {
 
     /** Nodes that one call of an operator's may name. */
-    int MOST_IDS = 500;
+    int MAX_IDS = 500;
 
     /** Bytes of policies in one command. */
     int PART = 4_000;
 
     /** What copies propose to the leader has no more bytes. */
-    int MOST_BYTES = 4_080;
+    int MAX_BYTES = 4_080;
 
     /** Changes in one step. */
-    int MOST_CHANGES = 512;
+    int MAX_CHANGES = 512;
 
     /** Groups of waiting nodes, and nodes with calls, that a step tells of. */
-    int MOST_TOLD = 16;
+    int MAX_TOLD = 16;
 
     /**
      * An operator's call.
      *
      * @param cancel whether the drains are to end; else they are to begin
-     * @param nodes at most {@link #MOST_IDS}
+     * @param nodes at most {@link #MAX_IDS}
      */
     record Call(boolean cancel, List<Long> nodes) implements DrainCommand {}
 
@@ -113,7 +113,7 @@
     record Wait(int policy, Bound bound, int nodes) {}
 
     /** A node that leaves has so many calls of a copy; -1: that copy has not said yet. */
-    record Still(int slot, int copy, long calls) {}
+    record Still(int slot, int replica, long calls) {}
 
     /** What the leader knows that others don't, for operators. */
     record Told(List<Wait> waits, List<Still> still) {
@@ -174,8 +174,8 @@
     private static Call call(CompactCodec.Reader in) {
         boolean cancel = in.small(1) == 1;
         List<Long> nodes = new ArrayList<>();
-        for (int left = in.count(MOST_IDS); left > 0; left--) {
-            nodes.add(in.whole(DrainStateMachine.MOST_NODE));
+        for (int left = in.count(MAX_IDS); left > 0; left--) {
+            nodes.add(in.whole(DrainStateMachine.MAX_NODE));
         }
         return new Call(cancel, nodes);
     }
@@ -183,8 +183,8 @@
     private static Part part(CompactCodec.Reader in) {
         long revision = in.whole(Long.MAX_VALUE);
         int sum = (int) in.whole(0xffffffffL);
-        int index = in.small(PolicyCodec.MOST_BYTES / PART);
-        int count = in.small(PolicyCodec.MOST_BYTES / PART + 1);
+        int index = in.small(PolicyCodec.MAX_BYTES / PART);
+        int count = in.small(PolicyCodec.MAX_BYTES / PART + 1);
         if (index >= count) {
             throw new IllegalArgumentException("part " + index + " of " + count);
         }
@@ -195,11 +195,11 @@
         long basis = in.whole(Long.MAX_VALUE);
         long clock = in.whole(Long.MAX_VALUE);
         List<Pause> pauses = new ArrayList<>();
-        for (int left = in.count(DrainPolicy.MOST_POLICIES); left > 0; left--) {
-            pauses.add(new Pause(in.small(DrainPolicy.MOST_POLICIES - 1), in.small(1) == 1));
+        for (int left = in.count(DrainPolicy.MAX_POLICIES); left > 0; left--) {
+            pauses.add(new Pause(in.small(DrainPolicy.MAX_POLICIES - 1), in.small(1) == 1));
         }
         List<Change> changes = new ArrayList<>();
-        for (int left = in.count(MOST_CHANGES); left > 0; left--) {
+        for (int left = in.count(MAX_CHANGES); left > 0; left--) {
             DrainEvent event = in.choice(DrainEvent.values());
             int slot = in.small(Integer.MAX_VALUE);
             changes.add(
@@ -208,7 +208,7 @@
                                     event,
                                     slot,
                                     in.whole(Long.MAX_VALUE),
-                                    in.whole(DrainPolicy.MOST_TIME),
+                                    in.whole(DrainPolicy.MAX_TIME),
                                     in.choice(AtEnd.values()),
                                     in.choice(Restarted.values()),
                                     (int) in.whole(0xffffffffL))
@@ -231,21 +231,21 @@
         out.put(told.waits.size());
         told.waits.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
         out.put(told.still.size());
-        told.still.forEach(each -> out.put(each.slot).put(each.copy).put(each.calls + 1));
+        told.still.forEach(each -> out.put(each.slot).put(each.replica).put(each.calls + 1));
     }
 
     /** Reads what {@link #write} wrote. */
     static Told told(CompactCodec.Reader in) {
         List<Wait> waits = new ArrayList<>();
-        for (int left = in.count(MOST_TOLD); left > 0; left--) {
+        for (int left = in.count(MAX_TOLD); left > 0; left--) {
             waits.add(
                     new Wait(
-                            in.small(DrainPolicy.MOST_POLICIES) - 1,
+                            in.small(DrainPolicy.MAX_POLICIES) - 1,
                             in.choice(Bound.values()),
-                            in.small(DrainPolicy.MOST_NODES)));
+                            in.small(DrainPolicy.MAX_NODES)));
         }
         List<Still> still = new ArrayList<>();
-        for (int left = in.count(MOST_TOLD); left > 0; left--) {
+        for (int left = in.count(MAX_TOLD); left > 0; left--) {
             still.add(
                     new Still(
                             in.small(Integer.MAX_VALUE),
--- a/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -21,13 +21,13 @@
 public final class DrainCoordinator {
 
     /** The largest number of a node. */
-    public static final long MOST_NODE = DrainStateMachine.MOST_NODE;
+    public static final long MAX_NODE = DrainStateMachine.MAX_NODE;
 
     /** Nodes that one call may name. */
-    public static final int MOST_IDS = DrainCommand.MOST_IDS;
+    public static final int MAX_IDS = DrainCommand.MAX_IDS;
 
     private static final long MILLI = 1_000_000L;
-    private static final int MOST_REPORTS = 2;
+    private static final int MAX_REPORTS = 2;
 
     /**
      * An event that changed something, and what follows beside the state.
@@ -81,7 +81,7 @@
             DrainCommand.Told told,
             List<Ended> ended) {}
 
-    private final int copies;
+    private final int replicas;
     private final int self;
     private final ConditionCompiler conditions;
     private final Actions outlet;
@@ -96,26 +96,26 @@
     private int somewhere;
 
     /**
-     * @param copies how many there may be, and {@code self} the number of this one
+     * @param replicas how many there may be, and {@code self} the number of this one
      */
     public DrainCoordinator(
-            int copies,
+            int replicas,
             int self,
             DrainSettings settings,
             ConditionCompiler conditions,
             Actions outlet,
             long now) {
         DrainPolicy.check(
-                copies >= 1 && copies <= 0xffff && self >= 0 && self < copies,
+                replicas >= 1 && replicas <= 0xffff && self >= 0 && self < replicas,
                 "copy",
-                self + " of " + copies,
+                self + " of " + replicas,
                 "one of up to 65,535");
-        this.copies = copies;
+        this.replicas = replicas;
         this.self = self;
         this.conditions = conditions;
         this.outlet = outlet;
         this.reckonedAt = now;
-        heard = new ReportedDrainProgress(settings, copies);
+        heard = new ReportedDrainProgress(settings, replicas);
         heard.clear(now);
         scheduler = new WaveScheduler(settings, heard);
         rules = new CompiledPolicies(agreed.policies(), conditions);
@@ -128,20 +128,20 @@
      * revision do.
      *
      * @param revision from 1
-     * @throws IllegalArgumentException if they are more than {@link PolicyCodec#MOST_BYTES}
+     * @throws IllegalArgumentException if they are more than {@link PolicyCodec#MAX_BYTES}
      */
     public void policies(long revision, List<DrainPolicy> policies) {
         byte[] bytes = PolicyCodec.encode(policies);
         DrainPolicy.check(
-                bytes.length <= PolicyCodec.MOST_BYTES,
+                bytes.length <= PolicyCodec.MAX_BYTES,
                 "policies",
                 bytes.length + " bytes",
-                "up to " + PolicyCodec.MOST_BYTES);
+                "up to " + PolicyCodec.MAX_BYTES);
         DrainPolicy.check(
-                policies.size() <= DrainPolicy.MOST_POLICIES,
+                policies.size() <= DrainPolicy.MAX_POLICIES,
                 "policies",
                 policies.size(),
-                "up to " + DrainPolicy.MOST_POLICIES);
+                "up to " + DrainPolicy.MAX_POLICIES);
         DrainPolicy.check(revision >= 1, "revision", revision, "1 or more");
         int count = Math.max(1, (bytes.length + DrainCommand.PART - 1) / DrainCommand.PART);
         List<Part> parts = new ArrayList<>();
@@ -254,16 +254,16 @@
     /**
      * The command by which operators ask for drains of nodes, or cancel them.
      *
-     * @param nodes from 1 to {@link #MOST_IDS}
+     * @param nodes from 1 to {@link #MAX_IDS}
      */
     public static byte[] call(boolean cancel, List<Long> nodes) {
         DrainPolicy.check(
                 !nodes.isEmpty()
-                        && nodes.size() <= MOST_IDS
-                        && nodes.stream().allMatch(node -> node >= 0 && node <= MOST_NODE),
+                        && nodes.size() <= MAX_IDS
+                        && nodes.stream().allMatch(node -> node >= 0 && node <= MAX_NODE),
                 "nodes",
                 nodes,
-                "1 to " + MOST_IDS + " numbers of nodes");
+                "1 to " + MAX_IDS + " numbers of nodes");
         return new Call(cancel, nodes).encode();
     }
 
@@ -290,13 +290,13 @@
         List<byte[]> parts = new ArrayList<>();
         List<Drain> open = agreed.drains().stream().filter(drain -> drain.state.open()).toList();
         List<Long> disabled = local.disabled().stream().sorted().toList();
-        for (int i = 0; i < MOST_REPORTS; i++) {
+        for (int i = 0; i < MAX_REPORTS; i++) {
             int first = from;
             int last = Integer.MAX_VALUE;
             List<DrainReport.Calls> held = new ArrayList<>();
             for (Drain drain : open) {
                 int calls = drain.slot < first ? 0 : local.calls(drain.node);
-                if (calls > 0 && held.size() == DrainReport.mostCalls()) {
+                if (calls > 0 && held.size() == DrainReport.maxCalls()) {
                     last = drain.slot - 1;
                     break;
                 } else if (calls > 0) {
@@ -305,7 +305,7 @@
             }
             from = last == Integer.MAX_VALUE ? 0 : last + 1;
             List<Long> some = new ArrayList<>();
-            for (int j = 0; j < Math.min(DrainReport.mostSome(), disabled.size()); j++) {
+            for (int j = 0; j < Math.min(DrainReport.maxSome(), disabled.size()); j++) {
                 some.add(disabled.get(somewhere++ % disabled.size()));
             }
             somewhere = disabled.isEmpty() ? 0 : somewhere % disabled.size();
@@ -337,7 +337,7 @@
      * part.
      */
     public void reported(long now, int sender, byte[] part) {
-        if (sender < 0 || sender >= copies) {
+        if (sender < 0 || sender >= replicas) {
             return;
         }
         DrainReport report = DrainReport.decode(part);
@@ -355,9 +355,9 @@
      */
     public byte[] next(
             long now, long utcMillis, Collection<DrainableNode> nodes, IntPredicate lives) {
-        heard.look(now, copy -> copy == self || lives.test(copy));
+        heard.look(now, replica -> replica == self || lives.test(replica));
         DrainCommand step =
-                scheduler.next(now, clock(now), utcMillis, agreed, rules, nodes, copies);
+                scheduler.next(now, clock(now), utcMillis, agreed, rules, nodes, replicas);
         return step == null ? null : step.encode();
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -45,20 +45,20 @@
         List<Window> closed) {
 
     /** Nodes in all that drains may be open for. */
-    public static final int MOST_NODES = 4_096;
+    public static final int MAX_NODES = 4_096;
 
     /** Policies that count at once. */
-    public static final int MOST_POLICIES = 32;
+    public static final int MAX_POLICIES = 32;
 
-    public static final int MOST_TEXT = 512;
-    public static final int MOST_WINDOWS = 32;
+    public static final int MAX_TEXT = 512;
+    public static final int MAX_WINDOWS = 32;
     public static final int WEEK = 7 * 24 * 60;
 
     /** The longest time, in nanoseconds: a day. */
-    public static final long MOST_TIME = 86_400_000_000_000L;
+    public static final long MAX_TIME = 86_400_000_000_000L;
 
     /** The shortest time for a node, in nanoseconds. */
-    public static final long LEAST_TIME = 1_000_000_000L;
+    public static final long MIN_TIME = 1_000_000_000L;
 
     /** Any pod. */
     public static final int ANY_POD = -1;
@@ -103,13 +103,7 @@
      * @param where a condition
      */
     public record Whom(
-            String tier,
-            String zone,
-            int pod,
-            String kind,
-            double least,
-            double most,
-            String where) {
+            String tier, String zone, int pod, String kind, double min, double max, String where) {
         /** Every node. */
         public static final Whom ALL = new Whom("", "", ANY_POD, "", 0, Double.MAX_VALUE, "");
 
@@ -119,18 +113,18 @@
                             && zone != null
                             && kind != null
                             && where != null
-                            && where.length() <= MOST_TEXT
-                            && tier.length() <= MOST_TEXT
-                            && zone.length() <= MOST_TEXT
-                            && kind.length() <= MOST_TEXT,
+                            && where.length() <= MAX_TEXT
+                            && tier.length() <= MAX_TEXT
+                            && zone.length() <= MAX_TEXT
+                            && kind.length() <= MAX_TEXT,
                     "whom",
                     "a longer text",
-                    "up to " + MOST_TEXT + " characters");
+                    "up to " + MAX_TEXT + " characters");
             check(pod >= ANY_POD, "pod", pod, "0 or more");
             check(
-                    least >= 0 && most >= least,
+                    min >= 0 && max >= min,
                     "weight",
-                    least + " to " + most,
+                    min + " to " + max,
                     "0 or more, the lower first");
         }
 
@@ -140,8 +134,8 @@
                     && (zone.isEmpty() || zone.equals(node.zone()))
                     && (pod == ANY_POD || pod == node.pod())
                     && (kind.isEmpty() || kind.equals(node.kind()))
-                    && node.weight() >= least
-                    && node.weight() <= most;
+                    && node.weight() >= min
+                    && node.weight() <= max;
         }
     }
 
@@ -151,13 +145,13 @@
      */
     public record Most(int nodes, double share) {
         /** No bound. */
-        public static final Most ANY = new Most(MOST_NODES, 1);
+        public static final Most ANY = new Most(MAX_NODES, 1);
 
         /** A share of whole nodes such as 0.1 of 10 is not to fail for a rounding. */
         private static final double ROUNDING = 1e-9;
 
         public Most {
-            check(nodes >= 0 && nodes <= MOST_NODES, "nodes", nodes, "0 to " + MOST_NODES);
+            check(nodes >= 0 && nodes <= MAX_NODES, "nodes", nodes, "0 to " + MAX_NODES);
             check(share >= 0 && share <= 1, "share", share, "0 to 1");
         }
 
@@ -231,11 +225,7 @@
      * Checks all that is said above; what is wrong is an IllegalArgumentException that names it.
      */
     public DrainPolicy {
-        check(
-                name != null && !name.isEmpty() && name.length() <= MOST_TEXT,
-                "name",
-                name,
-                "a text");
+        check(name != null && !name.isEmpty() && name.length() <= MAX_TEXT, "name", name, "a text");
         check(
                 whom != null
                         && pod != null
@@ -248,26 +238,22 @@
                 "policy",
                 "nothing",
                 "all of it");
-        check(wave >= 1 && wave <= MOST_NODES, "wave", wave, "1 to " + MOST_NODES);
-        check(pace >= 0 && pace <= MOST_TIME, "pace", pace, "0 to " + MOST_TIME);
-        check(died >= 0 && died <= MOST_NODES, "died", died, "0 to " + MOST_NODES);
-        check(
-                time >= LEAST_TIME && time <= MOST_TIME,
-                "time",
-                time,
-                LEAST_TIME + " to " + MOST_TIME);
+        check(wave >= 1 && wave <= MAX_NODES, "wave", wave, "1 to " + MAX_NODES);
+        check(pace >= 0 && pace <= MAX_TIME, "pace", pace, "0 to " + MAX_TIME);
+        check(died >= 0 && died <= MAX_NODES, "died", died, "0 to " + MAX_NODES);
+        check(time >= MIN_TIME && time <= MAX_TIME, "time", time, MIN_TIME + " to " + MAX_TIME);
         for (String condition : List.of(pauseIf, goOnIf, giveBackIf)) {
             check(
-                    condition.length() <= MOST_TEXT,
+                    condition.length() <= MAX_TEXT,
                     "condition",
                     condition.length() + " characters",
-                    "up to " + MOST_TEXT);
+                    "up to " + MAX_TEXT);
         }
         check(
-                closed.size() <= MOST_WINDOWS,
+                closed.size() <= MAX_WINDOWS,
                 "closed",
                 closed.size() + " windows",
-                "up to " + MOST_WINDOWS);
+                "up to " + MAX_WINDOWS);
         closed = List.copyOf(closed);
     }
 
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -25,24 +25,24 @@
         TrafficSample flow) {
 
     /** Bytes of one part, at the most. */
-    static final int MOST_BYTES = 136;
+    static final int MAX_BYTES = 136;
 
-    private static final int MOST_CALLS = 8;
-    private static final int MOST_SOME = 3;
-    private static final int MOST_DISABLED = 1 << 14;
-    private static final int MOST_COUNT = 1 << 27;
+    private static final int MAX_CALLS = 8;
+    private static final int MAX_SOME = 3;
+    private static final int MAX_DISABLED = 1 << 14;
+    private static final int MAX_COUNT = 1 << 27;
     private static final int KIND = 0;
 
     /** So many calls at one node. */
     record Calls(int slot, int calls) {}
 
     /** How many slots with calls one part may tell of. */
-    static int mostCalls() {
-        return MOST_CALLS;
+    static int maxCalls() {
+        return MAX_CALLS;
     }
 
-    static int mostSome() {
-        return MOST_SOME;
+    static int maxSome() {
+        return MAX_SOME;
     }
 
     byte[] encode() {
@@ -55,13 +55,13 @@
                         .put(calls.size());
         int before = first;
         for (Calls each : calls) {
-            out.put(each.slot - before).put(Math.min(each.calls, MOST_DISABLED));
+            out.put(each.slot - before).put(Math.min(each.calls, MAX_DISABLED));
             before = each.slot;
         }
-        out.put(Math.min(disabled, MOST_DISABLED)).put(some.size());
+        out.put(Math.min(disabled, MAX_DISABLED)).put(some.size());
         some.forEach(out::put);
         for (int each : new int[] {flow.ended(), flow.refused(), flow.failed(), flow.late()}) {
-            out.put(Math.min(each, MOST_COUNT));
+            out.put(Math.min(each, MAX_COUNT));
         }
         return out.bytes();
     }
@@ -70,7 +70,7 @@
     static DrainReport decode(byte[] bytes) {
         try {
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
-            if (bytes.length > MOST_BYTES || in.small(KIND) != KIND) {
+            if (bytes.length > MAX_BYTES || in.small(KIND) != KIND) {
                 return null;
             }
             long version = in.whole(Long.MAX_VALUE);
@@ -78,21 +78,21 @@
             int last = in.small(Integer.MAX_VALUE);
             List<Calls> calls = new ArrayList<>();
             int slot = first;
-            for (int left = in.count(MOST_CALLS); left > 0; left--) {
+            for (int left = in.count(MAX_CALLS); left > 0; left--) {
                 slot += in.small(Integer.MAX_VALUE - slot);
-                calls.add(new Calls(slot, in.small(MOST_DISABLED)));
+                calls.add(new Calls(slot, in.small(MAX_DISABLED)));
             }
-            int disabled = in.small(MOST_DISABLED);
+            int disabled = in.small(MAX_DISABLED);
             List<Long> some = new ArrayList<>();
-            for (int left = in.count(MOST_SOME); left > 0; left--) {
-                some.add(in.whole(DrainStateMachine.MOST_NODE));
+            for (int left = in.count(MAX_SOME); left > 0; left--) {
+                some.add(in.whole(DrainStateMachine.MAX_NODE));
             }
             TrafficSample flow =
                     new TrafficSample(
-                            in.small(MOST_COUNT),
-                            in.small(MOST_COUNT),
-                            in.small(MOST_COUNT),
-                            in.small(MOST_COUNT));
+                            in.small(MAX_COUNT),
+                            in.small(MAX_COUNT),
+                            in.small(MAX_COUNT),
+                            in.small(MAX_COUNT));
             in.done();
             return new DrainReport(version, first, last, calls, disabled, some, flow);
         } catch (IllegalArgumentException e) {
--- a/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -26,12 +26,12 @@
  */
 final class DrainStateMachine {
 
-    static final long MOST_NODE = (1L << 52) - 1;
+    static final long MAX_NODE = (1L << 52) - 1;
 
     private static final int VERSION = 1;
-    private static final int MOST_WAVE = 1 << 16;
-    private static final int MOST_ENDED = 256;
-    private static final int MOST_PARTS = PolicyCodec.MOST_BYTES / DrainCommand.PART + 1;
+    private static final int MAX_WAVE = 1 << 16;
+    private static final int MAX_ENDED = 256;
+    private static final int MAX_PARTS = PolicyCodec.MAX_BYTES / DrainCommand.PART + 1;
 
     /** A drain of one node. */
     static final class Drain {
@@ -192,7 +192,7 @@
         for (long node : call.nodes()) {
             if (!call.cancel()
                     && !byNode.containsKey(node)
-                    && drains.size() < DrainPolicy.MOST_NODES
+                    && drains.size() < DrainPolicy.MAX_NODES
                     && nextSlot < Integer.MAX_VALUE) {
                 Drain drain = new Drain(nextSlot++, node);
                 drain.state = DrainState.NONE;
@@ -219,7 +219,7 @@
             }
         }
         if (step.changes().stream().anyMatch(each -> each.event() == DrainEvent.BEGUN)) {
-            wave = (wave + 1) % MOST_WAVE;
+            wave = (wave + 1) % MAX_WAVE;
         }
         for (Change change : step.changes()) {
             Drain drain = drains.get(change.slot());
@@ -264,7 +264,7 @@
             drains.remove(drain.slot);
             byNode.remove(drain.node);
             ended.addLast(new DrainCoordinator.Ended(drain.node, event));
-            if (ended.size() > MOST_ENDED) {
+            if (ended.size() > MAX_ENDED) {
                 ended.removeFirst();
             }
         }
@@ -377,10 +377,10 @@
             state.version = in.whole(Long.MAX_VALUE);
             state.clock = in.whole(Long.MAX_VALUE);
             state.nextSlot = in.small(Integer.MAX_VALUE);
-            state.wave = in.small(MOST_WAVE - 1);
+            state.wave = in.small(MAX_WAVE - 1);
             state.revision = in.whole(Long.MAX_VALUE);
             state.sum = (int) in.whole(0xffffffffL);
-            byte[] policyBytes = in.block(PolicyCodec.MOST_BYTES);
+            byte[] policyBytes = in.block(PolicyCodec.MAX_BYTES);
             List<DrainPolicy> policies = PolicyCodec.decode(policyBytes);
             if (policies == null) {
                 return null;
@@ -392,16 +392,16 @@
             }
             state.comingRevision = in.whole(Long.MAX_VALUE);
             state.comingSum = (int) in.whole(0xffffffffL);
-            state.coming = new byte[in.count(MOST_PARTS)][];
+            state.coming = new byte[in.count(MAX_PARTS)][];
             for (int i = 0; i < state.coming.length; i++) {
                 boolean here = in.small(1) == 1;
                 byte[] part = in.block(DrainCommand.PART);
                 state.coming[i] = here ? part : null;
             }
-            for (int left = in.count(DrainPolicy.MOST_NODES); left > 0; left--) {
-                Drain drain = new Drain(in.small(Integer.MAX_VALUE), in.whole(MOST_NODE));
+            for (int left = in.count(DrainPolicy.MAX_NODES); left > 0; left--) {
+                Drain drain = new Drain(in.small(Integer.MAX_VALUE), in.whole(MAX_NODE));
                 drain.state = in.choice(DrainState.values());
-                drain.wave = in.small(MOST_WAVE - 1);
+                drain.wave = in.small(MAX_WAVE - 1);
                 drain.start = in.whole(Long.MAX_VALUE);
                 drain.within = in.whole(Long.MAX_VALUE);
                 drain.until = in.whole(Long.MAX_VALUE);
@@ -415,10 +415,10 @@
                     return null;
                 }
             }
-            for (int left = in.count(MOST_ENDED); left > 0; left--) {
+            for (int left = in.count(MAX_ENDED); left > 0; left--) {
                 state.ended.addLast(
                         new DrainCoordinator.Ended(
-                                in.whole(MOST_NODE), in.choice(DrainEvent.values())));
+                                in.whole(MAX_NODE), in.choice(DrainEvent.values())));
             }
             state.told = DrainCommand.told(in);
             in.done();
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -16,9 +16,9 @@
 public final class PolicyCodec {
 
     /** All policies together take no more than this. */
-    public static final int MOST_BYTES = 24_000;
+    public static final int MAX_BYTES = 24_000;
 
-    private static final int MOST_TEXT_BYTES = 3 * DrainPolicy.MOST_TEXT;
+    private static final int MAX_TEXT_BYTES = 3 * DrainPolicy.MAX_TEXT;
 
     private PolicyCodec() {}
 
@@ -31,11 +31,11 @@
                     .put(whom.zone())
                     .put(whom.pod() + 1)
                     .put(whom.kind())
-                    .put(whom.least())
-                    .put(whom.most())
+                    .put(whom.min())
+                    .put(whom.max())
                     .put(whom.where());
-            for (Most most : List.of(policy.pod(), policy.zone(), policy.tier())) {
-                out.put(most.nodes()).put(most.share());
+            for (Most max : List.of(policy.pod(), policy.zone(), policy.tier())) {
+                out.put(max.nodes()).put(max.share());
             }
             Left left = policy.left();
             out.put(left.pod()).put(left.zone()).put(left.tier()).put(left.weight());
@@ -63,7 +63,7 @@
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
             List<DrainPolicy> policies = new ArrayList<>();
             Set<String> names = new HashSet<>();
-            for (int left = in.count(DrainPolicy.MOST_POLICIES); left > 0; left--) {
+            for (int left = in.count(DrainPolicy.MAX_POLICIES); left > 0; left--) {
                 DrainPolicy policy = policy(in);
                 if (!names.add(policy.name())) {
                     return null;
@@ -88,9 +88,9 @@
                         in.number(),
                         in.number(),
                         text(in));
-        Most pod = most(in);
-        Most zone = most(in);
-        Most tier = most(in);
+        Most pod = max(in);
+        Most zone = max(in);
+        Most tier = max(in);
         Left left =
                 new Left(
                         in.small(Integer.MAX_VALUE),
@@ -98,17 +98,17 @@
                         in.small(Integer.MAX_VALUE),
                         in.number());
         Order order = in.choice(Order.values());
-        int wave = in.small(DrainPolicy.MOST_NODES);
-        long pace = in.whole(DrainPolicy.MOST_TIME);
-        int died = in.small(DrainPolicy.MOST_NODES);
+        int wave = in.small(DrainPolicy.MAX_NODES);
+        long pace = in.whole(DrainPolicy.MAX_TIME);
+        int died = in.small(DrainPolicy.MAX_NODES);
         String pauseIf = text(in);
         String goOnIf = text(in);
         String giveBackIf = text(in);
-        long time = in.whole(DrainPolicy.MOST_TIME);
+        long time = in.whole(DrainPolicy.MAX_TIME);
         AtEnd atEnd = in.choice(AtEnd.values());
         Restarted restarted = in.choice(Restarted.values());
         List<Window> closed = new ArrayList<>();
-        for (int count = in.count(DrainPolicy.MOST_WINDOWS); count > 0; count--) {
+        for (int count = in.count(DrainPolicy.MAX_WINDOWS); count > 0; count--) {
             closed.add(
                     new Window(
                             in.small(Integer.MAX_VALUE),
@@ -136,10 +136,10 @@
     }
 
     private static String text(CompactCodec.Reader in) {
-        return in.text(MOST_TEXT_BYTES);
+        return in.text(MAX_TEXT_BYTES);
     }
 
-    private static Most most(CompactCodec.Reader in) {
+    private static Most max(CompactCodec.Reader in) {
         return new Most(in.small(Integer.MAX_VALUE), in.number());
     }
 }
--- a/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
@@ -7,8 +7,8 @@
  * @param failed the part that failed
  * @param late the part that ended past its deadline
  * @param capacityLeft the weight that serves, as a part of the weight that is listed
- * @param liveCopies copies that live
- * @param copies copies that there may be
+ * @param liveReplicas copies that live
+ * @param replicas copies that there may be
  * @param out nodes that are out, for whatever reason
  * @param died nodes that the policy is for, that fail, and that were not taken out by a drain
  */
@@ -17,8 +17,8 @@
         double failed,
         double late,
         double capacityLeft,
-        int liveCopies,
-        int copies,
+        int liveReplicas,
+        int replicas,
         int out,
         int died) {
 
@@ -52,8 +52,8 @@
             case FAILED -> failed;
             case LATE -> late;
             case CAPACITY_LEFT -> capacityLeft;
-            case LIVE_COPIES -> (long) liveCopies;
-            case COPIES -> (long) copies;
+            case LIVE_COPIES -> (long) liveReplicas;
+            case COPIES -> (long) replicas;
             case OUT -> (long) out;
             case DIED -> (long) died;
         };
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -32,7 +32,7 @@
                     zones >= 1
                             && pods >= 1
                             && nodes >= 1
-                            && (long) zones * pods * nodes <= DrainPolicy.MOST_NODES * 4L,
+                            && (long) zones * pods * nodes <= DrainPolicy.MAX_NODES * 4L,
                     "fleet",
                     zones + " zones, " + pods + " pods, " + nodes + " nodes",
                     "1 or more of each, 16,384 nodes in all");
@@ -61,9 +61,9 @@
 
     private static final Pattern TEXT = Pattern.compile("'([^']*)'|\"([^\"]*)\"");
     private static final Pattern NUMBER = Pattern.compile("\\d+(\\.\\d+)?");
-    private static final int MOST_SAMPLES = 20_000;
-    private static final int MOST_PODS = 64;
-    private static final int[] COPIES = {1, 3, 30};
+    private static final int MAX_SAMPLES = 20_000;
+    private static final int MAX_PODS = 64;
+    private static final int[] REPLICAS = {1, 3, 30};
 
     private final List<DrainPolicy> policies;
     private final ConditionCompiler conditions;
@@ -90,7 +90,7 @@
                 }
             }
         }
-        fleets.add(new Fleet(1, 1, DrainPolicy.MOST_NODES));
+        fleets.add(new Fleet(1, 1, DrainPolicy.MAX_NODES));
         return fleets;
     }
 
@@ -213,9 +213,9 @@
 
     /** Whether none of the conditions holds while all is well, for some number of copies. */
     private boolean calm(String text, List<String> others, int out) {
-        for (int copies : COPIES) {
+        for (int replicas : REPLICAS) {
             PolicyConditionInputs figures =
-                    new PolicyConditionInputs(0, 0, 0, 1 - out * 0.01, copies, copies, out, 0);
+                    new PolicyConditionInputs(0, 0, 0, 1 - out * 0.01, replicas, replicas, out, 0);
             boolean calm = isFalse(text, figures);
             for (String other : others) {
                 calm &= isFalse(other, figures);
@@ -294,9 +294,9 @@
 
     private static String said(DrainPolicy policy, Bound bound) {
         return switch (bound) {
-            case POD -> most(policy.pod());
-            case ZONE -> most(policy.zone());
-            case TIER -> most(policy.tier());
+            case POD -> max(policy.pod());
+            case ZONE -> max(policy.zone());
+            case TIER -> max(policy.tier());
             case LEFT_POD -> String.valueOf(policy.left().pod());
             case LEFT_ZONE -> String.valueOf(policy.left().zone());
             case LEFT_TIER -> String.valueOf(policy.left().tier());
@@ -304,12 +304,12 @@
         };
     }
 
-    private static String most(DrainPolicy.Most most) {
-        return most.share() == 1
-                ? "nodes = " + most.nodes()
-                : most.nodes() == DrainPolicy.MOST_NODES
-                        ? "share = " + most.share()
-                        : "nodes = " + most.nodes() + ", share = " + most.share();
+    private static String max(DrainPolicy.Most max) {
+        return max.share() == 1
+                ? "nodes = " + max.nodes()
+                : max.nodes() == DrainPolicy.MAX_NODES
+                        ? "share = " + max.share()
+                        : "nodes = " + max.nodes() + ", share = " + max.share();
     }
 
     private static String allowed(Bound bound) {
@@ -447,8 +447,8 @@
                     texts.add(text);
                 }
             }
-            weights.add(whom.least());
-            weights.add(Math.min(whom.most(), 1_000));
+            weights.add(whom.min());
+            weights.add(Math.min(whom.max(), 1_000));
             if (whom.pod() != DrainPolicy.ANY_POD) {
                 pods.add(whom.pod());
             }
@@ -465,7 +465,7 @@
                 pods.add((int) Math.min(value, 1_000_000));
             }
         }
-        for (int pod = 0; pod < MOST_PODS; pod++) {
+        for (int pod = 0; pod < MAX_PODS; pod++) {
             pods.add(pod);
         }
         List<ConditionCompiler.OfNode> where =
@@ -476,7 +476,7 @@
                                         readOfNodes.computeIfAbsent(
                                                 policy.whom().where(), conditions::node))
                         .toList();
-        int left = MOST_SAMPLES;
+        int left = MAX_SAMPLES;
         for (double weight : weights) {
             for (String kind : texts) {
                 for (String zone : texts) {
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -30,11 +30,11 @@
     private record Said(long version, int calls) {}
 
     private final DrainSettings settings;
-    private final Copy[] copies;
+    private final Copy[] replicas;
 
-    ReportedDrainProgress(DrainSettings settings, int copies) {
+    ReportedDrainProgress(DrainSettings settings, int replicas) {
         this.settings = settings;
-        this.copies = new Copy[copies];
+        this.replicas = new Copy[replicas];
         clear(0);
     }
 
@@ -42,27 +42,27 @@
      * This copy begins to lead: it knows nothing of the others, and each may have lived until now.
      */
     void clear(long now) {
-        for (int i = 0; i < copies.length; i++) {
-            copies[i] = new Copy();
-            copies[i].livedAt = now;
+        for (int i = 0; i < replicas.length; i++) {
+            replicas[i] = new Copy();
+            replicas[i].livedAt = now;
         }
     }
 
     void took(long now, int from, DrainReport report, DrainStateMachine agreed) {
-        Copy copy = copies[from];
-        copy.version = report.version();
-        copy.at = now;
-        copy.said = true;
-        copy.flow = report.flow();
-        copy.disabled = report.disabled();
+        Copy replica = replicas[from];
+        replica.version = report.version();
+        replica.at = now;
+        replica.said = true;
+        replica.flow = report.flow();
+        replica.disabled = report.disabled();
         for (long node : report.some()) {
-            copy.disabledAt.put(node, now);
+            replica.disabledAt.put(node, now);
         }
-        long stale = now - settings.patience() * (1 + report.disabled() / DrainReport.mostSome());
-        copy.disabledAt.values().removeIf(at -> at < stale);
+        long stale = now - settings.patience() * (1 + report.disabled() / DrainReport.maxSome());
+        replica.disabledAt.values().removeIf(at -> at < stale);
         Map<Integer, Integer> calls = new HashMap<>();
         report.calls().forEach(each -> calls.put(each.slot(), each.calls()));
-        for (Iterator<Integer> slots = copy.calls.keySet().iterator(); slots.hasNext(); ) {
+        for (Iterator<Integer> slots = replica.calls.keySet().iterator(); slots.hasNext(); ) {
             Drain drain = agreed.slot(slots.next());
             if (drain == null || !drain.state.open()) {
                 slots.remove();
@@ -70,7 +70,7 @@
         }
         for (Drain drain : agreed.drains()) {
             if (drain.state.open() && drain.slot >= report.first() && drain.slot <= report.last()) {
-                copy.calls.put(
+                replica.calls.put(
                         drain.slot, new Said(report.version(), calls.getOrDefault(drain.slot, 0)));
             }
         }
@@ -78,38 +78,38 @@
 
     /** Those that live are noted as such, for the time after their death. */
     void look(long now, IntPredicate lives) {
-        for (int i = 0; i < copies.length; i++) {
+        for (int i = 0; i < replicas.length; i++) {
             if (lives.test(i)) {
-                copies[i].livedAt = now;
+                replicas[i].livedAt = now;
             }
         }
     }
 
     /** Whether a copy has to be waited for. */
-    private boolean awaited(long now, int copy) {
-        return now - copies[copy].livedAt < settings.forgets();
+    private boolean awaited(long now, int replica) {
+        return now - replicas[replica].livedAt < settings.forgets();
     }
 
-    private boolean lives(long now, int copy) {
-        return copies[copy].livedAt == now;
+    private boolean lives(long now, int replica) {
+        return replicas[replica].livedAt == now;
     }
 
-    private boolean fresh(long now, Copy copy) {
-        return copy.said && now - copy.at < settings.patience();
+    private boolean fresh(long now, Copy replica) {
+        return replica.said && now - replica.at < settings.patience();
     }
 
     /** The live copies that have said nothing lately. */
     int silent(long now) {
         int silent = 0;
-        for (int i = 0; i < copies.length; i++) {
-            silent += lives(now, i) && !fresh(now, copies[i]) ? 1 : 0;
+        for (int i = 0; i < replicas.length; i++) {
+            silent += lives(now, i) && !fresh(now, replicas[i]) ? 1 : 0;
         }
         return silent;
     }
 
     int live(long now) {
         int live = 0;
-        for (int i = 0; i < copies.length; i++) {
+        for (int i = 0; i < replicas.length; i++) {
             live += lives(now, i) ? 1 : 0;
         }
         return live;
@@ -117,11 +117,11 @@
 
     /** Whether all that have to be waited for have carried out the state of this version. */
     boolean allHave(long now, long version) {
-        for (int i = 0; i < copies.length; i++) {
+        for (int i = 0; i < replicas.length; i++) {
             if (awaited(now, i)
-                    && (!copies[i].said
-                            || copies[i].version < version
-                            || lives(now, i) && !fresh(now, copies[i]))) {
+                    && (!replicas[i].said
+                            || replicas[i].version < version
+                            || lives(now, i) && !fresh(now, replicas[i]))) {
                 return false;
             }
         }
@@ -131,13 +131,13 @@
     /** Where calls are, or may be, that keep a node's drain open; empty where it has none. */
     List<DrainCommand.Still> still(long now, Drain drain) {
         List<DrainCommand.Still> still = new ArrayList<>();
-        for (int i = 0; i < copies.length; i++) {
+        for (int i = 0; i < replicas.length; i++) {
             if (awaited(now, i)) {
-                Said said = copies[i].calls.get(drain.slot);
+                Said said = replicas[i].calls.get(drain.slot);
                 boolean known =
                         said != null
                                 && said.version >= drain.since
-                                && (fresh(now, copies[i]) || !lives(now, i));
+                                && (fresh(now, replicas[i]) || !lives(now, i));
                 if (!known || said.calls > 0) {
                     still.add(new DrainCommand.Still(drain.slot, i, known ? said.calls : -1));
                 }
@@ -149,8 +149,8 @@
     /** What became of the calls of the live copies. */
     TrafficSample flow(long now) {
         TrafficSample sum = TrafficSample.NONE;
-        for (int i = 0; i < copies.length; i++) {
-            sum = lives(now, i) && fresh(now, copies[i]) ? sum.plus(copies[i].flow) : sum;
+        for (int i = 0; i < replicas.length; i++) {
+            sum = lives(now, i) && fresh(now, replicas[i]) ? sum.plus(replicas[i].flow) : sum;
         }
         return sum;
     }
@@ -161,12 +161,12 @@
      */
     Set<Long> disabled(long now) {
         Set<Long> all = new HashSet<>();
-        for (int i = 0; i < copies.length; i++) {
+        for (int i = 0; i < replicas.length; i++) {
             if (lives(now, i)) {
-                if (copies[i].disabledAt.size() < copies[i].disabled) {
+                if (replicas[i].disabledAt.size() < replicas[i].disabled) {
                     return null;
                 }
-                all.addAll(copies[i].disabledAt.keySet());
+                all.addAll(replicas[i].disabledAt.keySet());
             }
         }
         return all;
--- a/core/src/main/java/cedarrudder/draining/WaveScheduler.java
+++ b/core/src/main/java/cedarrudder/draining/WaveScheduler.java
@@ -159,7 +159,7 @@
         }
 
         /** Which policies pause, go on or give back. */
-        void halt(int copies) {
+        void halt(int replicas) {
             double listed = 0;
             double serving = 0;
             int out = 0;
@@ -178,7 +178,7 @@
                                 flow.late() / ended,
                                 listed == 0 ? 0 : serving / listed,
                                 heard.live(now),
-                                copies,
+                                replicas,
                                 out,
                                 died(i));
                 boolean back = rules.givesBack(i, figures) == CompiledPolicies.Told.YES;
@@ -239,7 +239,7 @@
             Object[] only = new Object[rules.size()];
             for (Drain drain : waiting) {
                 Wait wait = wait(drain, inWave, only);
-                if (wait != null || changes.size() >= DrainCommand.MOST_CHANGES) {
+                if (wait != null || changes.size() >= DrainCommand.MAX_CHANGES) {
                     waits.merge(wait == null ? new Wait(-1, Bound.WAVE, 0) : wait, 1, Integer::sum);
                     continue;
                 }
@@ -348,10 +348,10 @@
                     pauses,
                     List.copyOf(changes.values()),
                     new Told(
-                            told.subList(0, Math.min(DrainCommand.MOST_TOLD, told.size())),
+                            told.subList(0, Math.min(DrainCommand.MAX_TOLD, told.size())),
                             List.copyOf(
                                     still.subList(
-                                            0, Math.min(DrainCommand.MOST_TOLD, still.size())))));
+                                            0, Math.min(DrainCommand.MAX_TOLD, still.size())))));
         }
     }
 
@@ -368,14 +368,14 @@
             DrainStateMachine agreed,
             CompiledPolicies rules,
             Collection<DrainableNode> listed,
-            int copies) {
+            int replicas) {
         if (agreed.drains().isEmpty()) {
             missingSince.clear();
             return null;
         }
         Look look = new Look(now, clock, Window.minute(utcMillis), agreed, rules, listed);
         look.follow();
-        look.halt(copies);
+        look.halt(replicas);
         look.begin();
         Step step = look.step();
         boolean open = agreed.drains().stream().anyMatch(drain -> drain.state.open());
--- a/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -72,9 +72,9 @@
      * Ends the period and says what was seen in it; nothing where this copy stood still, or has
      * just said it.
      *
-     * @param most bytes of a part, as {@link ZoneObservations#encode} takes it
+     * @param max bytes of a part, as {@link ZoneObservations#encode} takes it
      */
-    public List<byte[]> report(long now, int most) {
+    public List<byte[]> report(long now, int max) {
         if (now - closedAt < settings.period() / 2) {
             return List
                     .of(); // asked again so soon: guards against a period of which nothing can be
@@ -82,13 +82,13 @@
         }
         closedAt = now;
         ZoneObservations evidence = tally.close(now, table);
-        return evidence == null ? List.of() : evidence.encode(most);
+        return evidence == null ? List.of() : evidence.encode(max);
     }
 
     /** At the copy that leads: a part of what another saw, or it itself. It may be no such part. */
     public void reported(long now, int from, byte[] part) {
         ZoneObservations evidence = ZoneObservations.decode(part);
-        if (evidence != null && evidence.copy() == from) {
+        if (evidence != null && evidence.replica() == from) {
             assessment.heard(now, evidence);
         }
     }
--- a/core/src/main/java/cedarrudder/failover/FailoverSettings.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverSettings.java
@@ -10,7 +10,7 @@
  *     room
  * @param period a copy sums up what it saw once in this time; from 10 ms
  * @param evidenceAge what is older counts for nothing; at least two periods
- * @param leastCopies so many copies of a zone must say so before that zone's word counts, or all
+ * @param minReplicas so many copies of a zone must say so before that zone's word counts, or all
  *     where it has fewer; from 1
  * @param badShare a copy says that a zone is lost where more than this share of its calls there
  *     failed or was silent; over 0, below 1
@@ -21,8 +21,7 @@
  * @param lossHold a loss must be seen for so long; from 0
  * @param returnStep calls come back by this share of the zone's at once; over 0, to 1
  * @param returnHold so long a zone must do well before each step; over the period
- * @param returnHoldMost that time doubles up to this for a zone that comes and goes; no less than
- *     it
+ * @param maxReturnHold that time doubles up to this for a zone that comes and goes; no less than it
  * @param movesPerMinute the shares of one zone's calls change no more often within 60 s; from 8
  * @param watchShare this share of a zone's calls goes to all others together, so that they are
  *     seen; 0 to 0.05
@@ -32,20 +31,20 @@
         List<String> leave,
         long period,
         long evidenceAge,
-        int leastCopies,
+        int minReplicas,
         double badShare,
         double targetShare,
         double nearShare,
         long lossHold,
         double returnStep,
         long returnHold,
-        long returnHoldMost,
+        long maxReturnHold,
         int movesPerMinute,
         double watchShare) {
 
     private static final long MILLI = 1_000_000L;
-    private static final int LEAST_MOVES = 8;
-    private static final double MOST_WATCH = 0.05;
+    private static final int MIN_MOVES = 8;
+    private static final double MAX_WATCH = 0.05;
 
     /** What serves where nothing else is said. */
     public static final FailoverSettings DEFAULT =
@@ -75,7 +74,7 @@
                 "no contradiction");
         check(period >= 10 * MILLI, "period", period, "10 ms or more");
         check(evidenceAge >= 2 * period, "evidenceAge", evidenceAge, "two periods or more");
-        check(leastCopies >= 1, "leastCopies", leastCopies, "1 or more");
+        check(minReplicas >= 1, "leastCopies", minReplicas, "1 or more");
         check(badShare > 0 && badShare < 1, "badShare", badShare, "over 0, below 1");
         check(targetShare > 0 && targetShare <= 1, "targetShare", targetShare, "over 0, to 1");
         check(nearShare > 0 && nearShare <= 1, "nearShare", nearShare, "over 0, to 1");
@@ -83,20 +82,20 @@
         check(returnStep > 0 && returnStep <= 1, "returnStep", returnStep, "over 0, to 1");
         check(returnHold > period, "returnHold", returnHold, "over the period");
         check(
-                returnHoldMost >= returnHold,
+                maxReturnHold >= returnHold,
                 "returnHoldMost",
-                returnHoldMost,
+                maxReturnHold,
                 "no less than returnHold");
         check(
-                movesPerMinute >= LEAST_MOVES,
+                movesPerMinute >= MIN_MOVES,
                 "movesPerMinute",
                 movesPerMinute,
-                LEAST_MOVES + " or more");
+                MIN_MOVES + " or more");
         check(
-                watchShare >= 0 && watchShare <= MOST_WATCH,
+                watchShare >= 0 && watchShare <= MAX_WATCH,
                 "watchShare",
                 watchShare,
-                "0 to " + MOST_WATCH);
+                "0 to " + MAX_WATCH);
     }
 
     /** The same with other regions. */
@@ -106,14 +105,14 @@
                 leave,
                 period,
                 evidenceAge,
-                leastCopies,
+                minReplicas,
                 badShare,
                 targetShare,
                 nearShare,
                 lossHold,
                 returnStep,
                 returnHold,
-                returnHoldMost,
+                maxReturnHold,
                 movesPerMinute,
                 watchShare);
     }
--- a/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -28,7 +28,7 @@
 public final class TrafficSplitPlanner {
 
     /** Changes of fewer parts of a zone's whole are not made, and are no moves. */
-    public static final int LEAST_MOVE = 200;
+    public static final int MIN_MOVE = 200;
 
     /**
      * The window of the bound on moves: a minute, and what one table takes longer to a copy than
@@ -52,7 +52,7 @@
      * A target may be found so far past what its own calls may take before others are taken from it
      * at once.
      */
-    private static final double PAST_MOST = 1.05;
+    private static final double MAX_PAST = 1.05;
 
     /** Calls so far over the bound of their share are held back, and not only by chance. */
     private static final double OUTGROWN = 1.1;
@@ -64,7 +64,7 @@
     private static final double BLIND_GROWTH = 1.25;
 
     /** A zone's calls that are fewer a second are not moved. */
-    private static final double LEAST_DEMAND = 0.5;
+    private static final double MIN_DEMAND = 0.5;
 
     private static final int KNOWN_TABLES = 16;
 
@@ -75,7 +75,7 @@
      * Where calls go that are moved already changes for so many parts more that are served, or
      * nearer.
      */
-    private static final int LEAST_GAIN = 500;
+    private static final int MIN_GAIN = 500;
 
     /** Why the shares of a zone's calls change. */
     public enum Reason {
@@ -215,7 +215,7 @@
             boolean over =
                     picture.zones().get(zone).capacity() > 0
                             && load(held, picture, zone)
-                                    > PAST_MOST
+                                    > MAX_PAST
                                             * settings.nearShare()
                                             * picture.zones().get(zone).capacity();
             courses[zone].overSince =
@@ -237,7 +237,7 @@
         // What the rows that stay hold is only known now; a change that came to nothing is none.
         moves.removeIf(
                 move ->
-                        next.moved(move.zone(), held) < LEAST_MOVE
+                        next.moved(move.zone(), held) < MIN_MOVE
                                 && !outgrown(held, picture, move.zone()));
         for (int zone = 0; zone < zones; zone++) {
             int each = zone;
@@ -255,7 +255,7 @@
         fresh.movedAt = course.movedAt;
         fresh.hold = Math.max(settings.returnHold(), course.hold);
         int near = held.parts[zone][zone];
-        if (near < RouteTable.WHOLE - 2 * watch() - LEAST_MOVE) {
+        if (near < RouteTable.WHOLE - 2 * watch() - MIN_MOVE) {
             fresh.ceiling = near <= 2 * watch() ? 0 : near / (double) RouteTable.WHOLE;
             fresh.limited = true;
             fresh.left = held.left[zone] || fresh.ceiling == 0;
@@ -320,7 +320,7 @@
             course.left = false;
             course.moved = false;
         }
-        if (now - course.cutAt > 2 * settings.returnHoldMost() && course.ceiling == 1) {
+        if (now - course.cutAt > 2 * settings.maxReturnHold() && course.ceiling == 1) {
             course.hold = settings.returnHold();
         }
     }
@@ -331,9 +331,9 @@
      */
     private void cut(long now, Course course, double ceiling) {
         if (ceiling < course.ceiling) {
-            if (now - course.cutAt < 2 * settings.returnHoldMost()
+            if (now - course.cutAt < 2 * settings.maxReturnHold()
                     && course.steppedAt > course.cutAt) {
-                course.hold = Math.min(2 * course.hold, settings.returnHoldMost());
+                course.hold = Math.min(2 * course.hold, settings.maxReturnHold());
             }
             course.cut = true;
             course.ceiling = ceiling;
@@ -356,8 +356,8 @@
         }
         boolean bounds = outgrown(held, picture, zone);
         if (picture.zones().get(zone).fresh() == 0
-                || picture.zones().get(zone).demand() < LEAST_DEMAND
-                || wanted.moved(zone, held) < LEAST_MOVE && !bounds) {
+                || picture.zones().get(zone).demand() < MIN_DEMAND
+                || wanted.moved(zone, held) < MIN_MOVE && !bounds) {
             return null;
         }
         boolean bad = badTarget(now, held, picture, zone);
@@ -374,13 +374,10 @@
                                                 : Reason.TARGETS;
         boolean urgent = course.cut || course.evacuated && leaves || reason == Reason.LOST || bad;
         // Guards against calls going to and fro among zones that serve them as well.
-        if (!urgent
-                && !bounds
-                && course.steppedAt != now
-                && gain(held, wanted, zone) < LEAST_GAIN) {
+        if (!urgent && !bounds && course.steppedAt != now && gain(held, wanted, zone) < MIN_GAIN) {
             return null;
         }
-        int most =
+        int max =
                 settings.movesPerMinute()
                         - (urgent ? 0 : KEPT_FOR_LEAVING)
                         - (urgent || reason == Reason.RETURN ? 0 : KEPT_FOR_RETURN);
@@ -390,7 +387,7 @@
                 urgent
                         || reason == Reason.RETURN && course.steppedAt == now
                         || now - course.movedAt >= settings.returnHold();
-        return soon && course.moves.size() < most ? reason : null;
+        return soon && course.moves.size() < max ? reason : null;
     }
 
     /** Parts more that are served, or served nearer. */
@@ -415,7 +412,7 @@
         for (int to = 0; to < zones; to++) {
             Zone zone = picture.zones().get(to);
             if (to != from
-                    && held.parts[from][to] > LEAST_MOVE
+                    && held.parts[from][to] > MIN_MOVE
                     && (!zone.takes(from)
                             || courses[to].evacuated
                             || now - courses[to].overSince >= STRAIN_PERIODS * settings.period())) {
@@ -431,7 +428,7 @@
             double rate =
                     picture.zones().get(from).demand() * held.parts[from][to] / RouteTable.WHOLE;
             if (to != from
-                    && held.parts[from][to] > LEAST_MOVE
+                    && held.parts[from][to] > MIN_MOVE
                     && held.perSecond[from][to] > 0
                     && rate > OUTGROWN * held.perSecond[from][to]
                     && load(held, picture, to)
@@ -524,14 +521,14 @@
                         to != from
                                         && (moving[from]
                                                 ? dealt[from][to] > 0
-                                                : held.parts[from][to] > LEAST_MOVE)
+                                                : held.parts[from][to] > MIN_MOVE)
                                 ? 1
                                 : 0;
             }
         }
         TrafficSplit next = new TrafficSplit(zones);
         for (int zone = 0; zone < zones; zone++) {
-            if (moving[zone] && picture.zones().get(zone).demand() >= LEAST_DEMAND) {
+            if (moving[zone] && picture.zones().get(zone).demand() >= MIN_DEMAND) {
                 write(next, dealt[zone], excess[zone], room, sharers, picture, zone);
             } else {
                 next.row(zone, held);
@@ -554,13 +551,13 @@
         if (!serves(zone, course)) {
             return 0;
         }
-        double most =
+        double max =
                 zone.blind() && course.wellSince != Long.MAX_VALUE
                         ? Math.max(
                                 settings.targetShare() * zone.capacity(),
                                 BLIND_GROWTH * zone.served())
                         : settings.targetShare() * zone.capacity();
-        return most - zone.demand() - hidden(picture, number);
+        return max - zone.demand() - hidden(picture, number);
     }
 
     /** Deals what is over to the nearest that have room. */
@@ -585,8 +582,8 @@
             ZoneHealthSnapshot picture,
             int from,
             int rank,
-            double most) {
-        double wanted = Math.min(most, excess[from]);
+            double max) {
+        double wanted = Math.min(max, excess[from]);
         double all = 0;
         for (int to = 0; to < zones; to++) {
             all += suits(picture, from, to, rank) ? Math.max(0, room[to]) : 0;
@@ -656,15 +653,15 @@
         int[] row = next.parts[zone];
         int each = Math.max(1, watch() / (zones - 1));
         for (int to = 0; to < zones; to++) {
-            int least = to == zone ? watch() : each;
-            int lacks = least - row[to];
+            int min = to == zone ? watch() : each;
+            int lacks = min - row[to];
             if (lacks > 0) {
-                int most = 0;
+                int max = 0;
                 for (int other = 0; other < zones; other++) {
-                    most = row[other] > row[most] ? other : most;
+                    max = row[other] > row[max] ? other : max;
                 }
-                lacks = Math.min(lacks, next.unserved(zone) + Math.max(0, row[most] - least));
-                row[most] -= Math.max(0, lacks - next.unserved(zone));
+                lacks = Math.min(lacks, next.unserved(zone) + Math.max(0, row[max] - min));
+                row[max] -= Math.max(0, lacks - next.unserved(zone));
                 row[to] += lacks;
             }
         }
