--- a/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
@@ -32,7 +32,7 @@
     private static final double WHOLE_VOTE = 3;
 
     /** The least part of a vote that counts. */
-    private static final double LEAST_VOTE = 0.3;
+    private static final double MIN_VOTE = 0.3;
 
     /** What is so many times older than evidence may be says nothing of a zone. */
     private static final int OLD = 4;
@@ -41,7 +41,7 @@
     private static final int STILL_PERIODS = 2;
 
     /** Of the votes of a zone's copies. */
-    private static final double MOST = 0.6;
+    private static final double MAX = 0.6;
 
     /**
      * Where other zones can't tell, the zone's own copies must have said so for so many periods.
@@ -63,9 +63,9 @@
     private static final double FALLS = 0.6;
 
     /** Below this use of a zone, and this rate, nothing is learned of its capacity. */
-    private static final double LEAST_LOAD = 0.15;
+    private static final double MIN_LOAD = 0.15;
 
-    private static final double LEAST_RATE = 5;
+    private static final double MIN_RATE = 5;
 
     /** Calls that nobody tells of count where they are over this share of the capacity. */
     private static final double UNSEEN = 0.05;
@@ -95,7 +95,7 @@
     }
 
     private static final class Copy {
-        long life = -1;
+        long incarnation = -1;
         long sequence = -1;
         long heardAt;
         double came;
@@ -107,7 +107,7 @@
     private final FailoverSettings settings;
     private final int[] zoneOf;
     private final int zones;
-    private final Copy[] copies;
+    private final Copy[] replicas;
 
     /** Calls a second that one warm node of weight 1 serves; 0: not known. */
     private final double[] each;
@@ -131,19 +131,19 @@
         Arrays.fill(full, Double.NaN);
         this.aloneSince = new long[zones];
         this.alone = new boolean[zones];
-        this.copies = new Copy[zoneOf.length];
-        Arrays.setAll(copies, i -> new Copy());
-        for (Copy copy : copies) {
-            forget(copy);
+        this.replicas = new Copy[zoneOf.length];
+        Arrays.setAll(replicas, i -> new Copy());
+        for (Copy replica : replicas) {
+            forget(replica);
         }
     }
 
-    private void forget(Copy copy) {
-        copy.words = new Word[zones];
-        Arrays.setAll(copy.words, i -> new Word());
-        copy.sequence = -1;
-        copy.came = 0;
-        copy.unserved = 0;
+    private void forget(Copy replica) {
+        replica.words = new Word[zones];
+        Arrays.setAll(replica.words, i -> new Word());
+        replica.sequence = -1;
+        replica.came = 0;
+        replica.unserved = 0;
     }
 
     /**
@@ -151,34 +151,35 @@
      * nothing.
      */
     public void heard(long now, ZoneObservations evidence) {
-        if (evidence.copy() >= copies.length || zoneOf[evidence.copy()] != evidence.zone()) {
+        if (evidence.replica() >= replicas.length
+                || zoneOf[evidence.replica()] != evidence.zone()) {
             return;
         }
-        Copy copy = copies[evidence.copy()];
-        if (evidence.life() < copy.life) {
+        Copy replica = replicas[evidence.replica()];
+        if (evidence.incarnation() < replica.incarnation) {
             return;
         }
-        if (evidence.life() > copy.life) {
-            forget(copy);
-            copy.life = evidence.life();
+        if (evidence.incarnation() > replica.incarnation) {
+            forget(replica);
+            replica.incarnation = evidence.incarnation();
         }
         double seconds = evidence.millis() / MILLIS;
-        if (evidence.sequence() > copy.sequence) {
-            boolean first = copy.sequence < 0;
+        if (evidence.sequence() > replica.sequence) {
+            boolean first = replica.sequence < 0;
             double rate = evidence.came() / seconds;
-            copy.came = first ? rate : copy.came + NEWEST * (rate - copy.came);
-            copy.unserved =
+            replica.came = first ? rate : replica.came + NEWEST * (rate - replica.came);
+            replica.unserved =
                     first
                             ? evidence.unserved() / seconds
-                            : copy.unserved
-                                    + NEWEST * (evidence.unserved() / seconds - copy.unserved);
-            copy.sequence = evidence.sequence();
-            copy.heardAt = now;
-            copy.table = evidence.table();
+                            : replica.unserved
+                                    + NEWEST * (evidence.unserved() / seconds - replica.unserved);
+            replica.sequence = evidence.sequence();
+            replica.heardAt = now;
+            replica.table = evidence.table();
         }
         for (Seen seen : evidence.seen()) {
             if (seen.zone() < zones) {
-                heard(now, copy.words[seen.zone()], evidence.sequence(), seen, seconds);
+                heard(now, replica.words[seen.zone()], evidence.sequence(), seen, seconds);
             }
         }
     }
@@ -194,7 +195,7 @@
                     word.basis < 0
                             ? 0
                             : StrictMath.pow(
-                                    KEPT, Math.min(ZoneObservations.MOST_AGE, basis - word.basis));
+                                    KEPT, Math.min(ZoneObservations.MAX_AGE, basis - word.basis));
             word.served = kept * word.served + seen.served();
             word.failed = kept * word.failed + seen.failed() + seen.silent();
             word.refused = kept * word.refused + seen.refused();
@@ -221,9 +222,9 @@
             pictures.add(zone(now, zone, learns));
         }
         List<Away> away = new ArrayList<>();
-        for (int i = 0; i < copies.length; i++) {
-            if (copies[i].life >= 0 && !fresh(now, copies[i]) && copies[i].came > 0) {
-                away.add(new Away(zoneOf[i], copies[i].came, copies[i].table));
+        for (int i = 0; i < replicas.length; i++) {
+            if (replicas[i].incarnation >= 0 && !fresh(now, replicas[i]) && replicas[i].came > 0) {
+                away.add(new Away(zoneOf[i], replicas[i].came, replicas[i].table));
             }
         }
         return new ZoneHealthSnapshot(pictures, away);
@@ -235,15 +236,17 @@
      * @param leaseOver of each copy, when that is where it stays silent
      */
     public void lapse(long now, IntToLongFunction leaseOver) {
-        for (int i = 0; i < copies.length; i++) {
-            if (!fresh(now, copies[i]) && now - leaseOver.applyAsLong(i) > 0) {
-                copies[i].came = 0;
+        for (int i = 0; i < replicas.length; i++) {
+            if (!fresh(now, replicas[i]) && now - leaseOver.applyAsLong(i) > 0) {
+                replicas[i].came = 0;
             }
         }
     }
 
-    private boolean fresh(long now, Copy copy) {
-        return copy.life >= 0 && copy.sequence >= 0 && now - copy.heardAt <= settings.evidenceAge();
+    private boolean fresh(long now, Copy replica) {
+        return replica.incarnation >= 0
+                && replica.sequence >= 0
+                && now - replica.heardAt <= settings.evidenceAge();
     }
 
     private Zone zone(long now, int zone, boolean learns) {
@@ -259,10 +262,10 @@
             }
             othersBad += from == zone ? 0 : votes.bad;
             othersWell += from == zone ? 0 : votes.well;
-            others += from == zone ? 0 : votes.copies;
+            others += from == zone ? 0 : votes.replicas;
         }
         int said =
-                others < settings.leastCopies()
+                others < settings.minReplicas()
                         ? 0
                         : new Votes(othersBad, othersWell, others).word();
         double demand = 0;
@@ -271,14 +274,14 @@
         double reports = 0;
         double strained = 0;
         int fresh = 0;
-        int[] able = new int[copies.length];
+        int[] able = new int[replicas.length];
         int known = 0;
-        for (int i = 0; i < copies.length; i++) {
-            Copy copy = copies[i];
-            if (!fresh(now, copy)) {
+        for (int i = 0; i < replicas.length; i++) {
+            Copy replica = replicas[i];
+            if (!fresh(now, replica)) {
                 continue;
             }
-            Word word = copy.words[zone];
+            Word word = replica.words[zone];
             if (word.seen != null) {
                 served += word.rate;
                 if (word.seen.age() == 0 && word.seen.load() > 0) {
@@ -290,8 +293,8 @@
             }
             if (zoneOf[i] == zone) {
                 fresh++;
-                demand += copy.came;
-                strained += strained(copy, word) ? 1 : 0;
+                demand += replica.came;
+                strained += strained(replica, word) ? 1 : 0;
             }
         }
         Arrays.sort(able, 0, known);
@@ -306,10 +309,10 @@
         }
         boolean turnsAway =
                 fresh > 0
-                        && strained >= Math.min(settings.leastCopies(), fresh)
-                        && strained > MOST * fresh;
+                        && strained >= Math.min(settings.minReplicas(), fresh)
+                        && strained > MAX * fresh;
         boolean strains = turnsAway || full[zone] > FULL;
-        if (learns && state == State.WELL && units > 0 && served >= LEAST_RATE) {
+        if (learns && state == State.WELL && units > 0 && served >= MIN_RATE) {
             learn(zone, served / units, load, strains);
         }
         double capacity = each[zone] * units;
@@ -327,8 +330,8 @@
                 well);
     }
 
-    private static boolean strained(Copy copy, Word word) {
-        return copy.came >= 1 && copy.unserved > TURNED_AWAY * copy.came
+    private static boolean strained(Copy replica, Word word) {
+        return replica.came >= 1 && replica.unserved > TURNED_AWAY * replica.came
                 || word.ended >= WHOLE_VOTE && word.refused > TURNED_AWAY * word.ended;
     }
 
@@ -338,7 +341,7 @@
             // it does.
             each[zone] =
                     strains ? each[zone] + FALLS * (rate - each[zone]) : Math.max(each[zone], rate);
-        } else if (load >= LEAST_LOAD) {
+        } else if (load >= MIN_LOAD) {
             double sample = rate / Math.min(1, load);
             each[zone] +=
                     each[zone] == 0
@@ -347,17 +350,17 @@
                                     * (sample - each[zone]);
         } else {
             // Guards against a site that is nearly idle being taken for one that can serve nothing.
-            each[zone] = Math.max(each[zone], rate / LEAST_LOAD);
+            each[zone] = Math.max(each[zone], rate / MIN_LOAD);
         }
     }
 
     /** What the copies of one zone say of another; copies that say nothing are not counted. */
-    private record Votes(double bad, double well, int copies) {
+    private record Votes(double bad, double well, int replicas) {
 
         /** 1 that it is well, -1 that it is bad, 0 nothing. */
         int word() {
             double all = bad + well;
-            return all == 0 ? 0 : bad >= MOST * all ? -1 : well >= MOST * all ? 1 : 0;
+            return all == 0 ? 0 : bad >= MAX * all ? -1 : well >= MAX * all ? 1 : 0;
         }
     }
 
@@ -370,22 +373,22 @@
         double well = 0;
         int said = 0;
         int able = 0;
-        for (int i = 0; i < copies.length; i++) {
-            Copy copy = copies[i];
-            if (zoneOf[i] != from || !fresh(now, copy)) {
+        for (int i = 0; i < replicas.length; i++) {
+            Copy replica = replicas[i];
+            if (zoneOf[i] != from || !fresh(now, replica)) {
                 continue;
             }
             able++;
-            Word word = copy.words[zone];
+            Word word = replica.words[zone];
             long age = now - word.at;
-            if (word.seen == null || age > OLD * settings.evidenceAge() || servedNowhere(copy)) {
+            if (word.seen == null || age > OLD * settings.evidenceAge() || servedNowhere(replica)) {
                 continue;
             }
             double ill = word.bad(settings.period());
             double all = word.served + word.refused + ill;
             boolean listed = word.seen.nodes() > 0;
             double vote = listed ? Math.min(1, all / WHOLE_VOTE) : 1;
-            if (vote >= LEAST_VOTE) {
+            if (vote >= MIN_VOTE) {
                 said++;
                 vote *= StrictMath.pow(2, -(double) age / settings.evidenceAge());
                 bad += !listed || ill > settings.badShare() * all ? vote : 0;
@@ -393,7 +396,7 @@
             }
         }
         // Of its own zone several must have said so; others send few calls there.
-        return from == zone && said < Math.min(settings.leastCopies(), able)
+        return from == zone && said < Math.min(settings.minReplicas(), able)
                 ? new Votes(0, 0, 0)
                 : new Votes(bad, well, said);
     }
@@ -402,11 +405,11 @@
      * Whether nobody serves a copy that asked more than one zone. Guards against a copy whose own
      * link is broken: it says of every zone that it is lost.
      */
-    private boolean servedNowhere(Copy copy) {
+    private boolean servedNowhere(Copy replica) {
         int asked = 0;
-        for (Word word : copy.words) {
+        for (Word word : replica.words) {
             if (word.seen != null
-                    && word.served + word.refused + word.failed >= LEAST_VOTE * WHOLE_VOTE) {
+                    && word.served + word.refused + word.failed >= MIN_VOTE * WHOLE_VOTE) {
                 asked++;
                 if (word.served + word.refused > word.failed) {
                     return false;
@@ -435,7 +438,7 @@
             boolean lost =
                     unheard
                             ? now - aloneSince[zone] >= ALONE_PERIODS * settings.period()
-                                    && fresh >= settings.leastCopies()
+                                    && fresh >= settings.minReplicas()
                             : said < 0 && zonesBad > 0;
             return lost ? State.LOST : State.UNKNOWN;
         }
--- a/core/src/main/java/cedarrudder/failover/ZoneObservations.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneObservations.java
@@ -16,9 +16,9 @@
  * <p>As bytes: a version, then {@link Varint}s in the order of the components. What does not fit
  * one part goes into several, split between zones; each begins with the same head.
  *
- * @param copy who saw it, below {@value #MOST_COPIES}
+ * @param replica who saw it, below {@value #MAX_REPLICAS}
  * @param zone its zone
- * @param life its life; a later one replaces what an earlier one said
+ * @param incarnation its life; a later one replaces what an earlier one said
  * @param sequence rises by one each period of that life
  * @param table the number of the table that it uses; 0 for none
  * @param millis how long the period was, in milliseconds; from 1
@@ -27,9 +27,9 @@
  * @param seen what it saw, ordered by zone
  */
 public record ZoneObservations(
-        int copy,
+        int replica,
         int zone,
-        long life,
+        long incarnation,
         long sequence,
         long table,
         int millis,
@@ -38,21 +38,21 @@
         List<Seen> seen) {
 
     /** What a part takes at the most, so that a datagram has room for more. */
-    public static final int MOST_BYTES = 200;
+    public static final int MAX_BYTES = 200;
 
     /** The longest head and one zone fit into so many. */
-    public static final int LEAST_BYTES = 88;
+    public static final int MIN_BYTES = 88;
 
-    public static final int MOST_COPIES = 1 << 16;
+    public static final int MAX_REPLICAS = 1 << 16;
 
     /** Counts are below this; what is more is said to be one less. */
-    public static final int MOST_COUNT = 1 << 20;
+    public static final int MAX_COUNT = 1 << 20;
 
     /** Periods after which what was seen of a zone is forgotten. */
-    public static final int MOST_AGE = 20;
+    public static final int MAX_AGE = 20;
 
     private static final int VERSION = 1;
-    private static final int MOST_MILLIS = 1 << 20;
+    private static final int MAX_MILLIS = 1 << 20;
 
     /**
      * What it saw of one zone.
@@ -110,18 +110,18 @@
     /**
      * The parts; one at the least.
      *
-     * @param most bytes of each, from {@link #LEAST_BYTES} to {@link #MOST_BYTES}
+     * @param max bytes of each, from {@link #MIN_BYTES} to {@link #MAX_BYTES}
      */
-    public List<byte[]> encode(int most) {
+    public List<byte[]> encode(int max) {
         List<byte[]> parts = new ArrayList<>();
-        ByteBuffer out = head(most);
+        ByteBuffer out = head(max);
         for (Seen each : seen) {
             int before = out.position();
             try {
                 put(out, each);
             } catch (BufferOverflowException e) {
                 parts.add(Arrays.copyOf(out.array(), before));
-                out = head(most);
+                out = head(max);
                 put(out, each);
             }
         }
@@ -129,10 +129,11 @@
         return parts;
     }
 
-    private ByteBuffer head(int most) {
-        ByteBuffer out = ByteBuffer.allocate(most);
+    private ByteBuffer head(int max) {
+        ByteBuffer out = ByteBuffer.allocate(max);
         out.put((byte) VERSION);
-        for (long figure : new long[] {copy, zone, life, sequence, table, millis, came, unserved}) {
+        for (long figure :
+                new long[] {replica, zone, incarnation, sequence, table, millis, came, unserved}) {
             Varint.put(out, figure);
         }
         return out;
@@ -146,39 +147,45 @@
 
     /** Reads a part; null where the bytes are none. Throws nothing, whatever they are. */
     public static ZoneObservations decode(byte[] bytes) {
-        if (bytes.length < 2 || bytes.length > MOST_BYTES || bytes[0] != VERSION) {
+        if (bytes.length < 2 || bytes.length > MAX_BYTES || bytes[0] != VERSION) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
         try {
-            int copy = figure(in, MOST_COPIES);
-            int zone = figure(in, RouteTable.MOST_ZONES);
-            long life = Varint.get(in);
+            int replica = figure(in, MAX_REPLICAS);
+            int zone = figure(in, RouteTable.MAX_ZONES);
+            long incarnation = Varint.get(in);
             long sequence = Varint.get(in);
             long table = Varint.get(in);
-            int millis = figure(in, MOST_MILLIS);
-            int came = figure(in, MOST_COUNT);
-            int unserved = figure(in, MOST_COUNT);
+            int millis = figure(in, MAX_MILLIS);
+            int came = figure(in, MAX_COUNT);
+            int unserved = figure(in, MAX_COUNT);
             List<Seen> seen = new ArrayList<>();
-            int least = 0;
+            int min = 0;
             while (in.hasRemaining()) {
                 int[] figures = new int[FIGURES];
                 for (int i = 0; i < FIGURES; i++) {
-                    figures[i] = figure(in, MOST_COUNT);
+                    figures[i] = figure(in, MAX_COUNT);
                 }
                 Seen each = Seen.of(figures);
-                if (each.zone < least
-                        || each.zone >= RouteTable.MOST_ZONES
-                        || each.age > MOST_AGE) {
+                if (each.zone < min || each.zone >= RouteTable.MAX_ZONES || each.age > MAX_AGE) {
                     return null;
                 }
-                least = each.zone + 1;
+                min = each.zone + 1;
                 seen.add(each);
             }
-            return life < 0 || sequence < 0 || table < 0 || millis < 1
+            return incarnation < 0 || sequence < 0 || table < 0 || millis < 1
                     ? null
                     : new ZoneObservations(
-                            copy, zone, life, sequence, table, millis, came, unserved, seen);
+                            replica,
+                            zone,
+                            incarnation,
+                            sequence,
+                            table,
+                            millis,
+                            came,
+                            unserved,
+                            seen);
         } catch (BufferUnderflowException e) {
             return null; // it ends too soon, or has a number in another form or out of its range
         }
--- a/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
@@ -40,9 +40,9 @@
         Seen last;
     }
 
-    private final int copy;
+    private final int replica;
     private final int own;
-    private final long life;
+    private final long incarnation;
     private final long period;
     private final SafetyRules safety;
     private final Zone[] zones;
@@ -58,10 +58,16 @@
      * @param period how long periods are to be, in nanoseconds
      */
     public ZoneTrafficCounter(
-            int copy, int own, long life, int zones, long period, SafetyRules safety, long now) {
-        this.copy = copy;
+            int replica,
+            int own,
+            long incarnation,
+            int zones,
+            long period,
+            SafetyRules safety,
+            long now) {
+        this.replica = replica;
         this.own = own;
-        this.life = life;
+        this.incarnation = incarnation;
         this.period = period;
         this.safety = safety;
         this.zones = new Zone[zones];
@@ -174,9 +180,9 @@
         ZoneObservations evidence =
                 counts
                         ? new ZoneObservations(
-                                copy,
+                                replica,
                                 own,
-                                life,
+                                incarnation,
                                 ++sequence,
                                 table,
                                 (int) Math.max(1, Math.min(length / MILLION, MILLION)),
@@ -225,7 +231,7 @@
         if (fresh.ended() == 0
                 && fresh.out() == 0
                 && last != null
-                && last.age() < ZoneObservations.MOST_AGE) {
+                && last.age() < ZoneObservations.MAX_AGE) {
             // Nothing was asked of it: what was seen last, with its age, and the nodes as they are
             // now.
             zone.last =
@@ -273,13 +279,13 @@
             nodes[i][2] =
                     (int)
                             Math.min(
-                                    ZoneObservations.MOST_COUNT - 1,
+                                    ZoneObservations.MAX_COUNT - 1,
                                     Math.round(HUNDREDTHS * able[i]));
         }
         return nodes;
     }
 
     private static int bound(int count) {
-        return Math.max(0, Math.min(count, ZoneObservations.MOST_COUNT - 1));
+        return Math.max(0, Math.min(count, ZoneObservations.MAX_COUNT - 1));
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -36,7 +36,7 @@
     private static final int FIXED_TEXT = 1024;
 
     /** Steps are worked out up to so many. */
-    private static final int MOST_STEPS = 16;
+    private static final int MAX_STEPS = 16;
 
     /** What binds. */
     public enum Bound {
@@ -243,7 +243,7 @@
             EndpointListShape held, EndpointListShape told, int added, boolean full, long room) {
         List<Integer> steps = new ArrayList<>();
         EndpointListShape now = held;
-        for (int left = added; left > 0 && steps.size() < MOST_STEPS; ) {
+        for (int left = added; left > 0 && steps.size() < MAX_STEPS; ) {
             int step = judge(now, told, left, full, room).step();
             if (step == 0) {
                 return steps;
@@ -256,12 +256,12 @@
     }
 
     /** So many nodes like those of a list may be held and told again, beside nothing else. */
-    public int most(EndpointListShape like, long room) {
-        int most = 0;
+    public int max(EndpointListShape like, long room) {
+        int max = 0;
         for (int step = 1 << 23; step > 0 && like.nodes() > 0; step >>>= 1) {
-            EndpointListShape more = like.of(most + step);
-            most += toldAgain(more) <= room ? step : 0;
+            EndpointListShape more = like.of(max + step);
+            max += toldAgain(more) <= room ? step : 0;
         }
-        return most;
+        return max;
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -36,9 +36,9 @@
      * The parser's buffer has so many characters at the least; those of longer texts are read in
      * parts.
      */
-    private static final int LEAST_PARSED = 4_000;
+    private static final int MIN_PARSED = 4_000;
 
-    private static final int MOST_PARSED = 1 << 15;
+    private static final int MAX_PARSED = 1 << 15;
 
     private static final int CALLER = 3_050;
     private static final int CHANNEL = 2_530;
@@ -112,8 +112,8 @@
     }
 
     /** All that counts, one after the other. */
-    public List<Term> terms(ProcessShape copy) {
-        EndpointListShape list = copy.list();
+    public List<Term> terms(ProcessShape replica) {
+        EndpointListShape list = replica.list();
         List<Term> terms = new ArrayList<>();
         terms.add(
                 new Term(
@@ -124,40 +124,40 @@
                                 ground.heap(),
                                 ground.direct(),
                                 ground.descriptors())));
-        terms.add(term("zones", copy.zones(), name()));
-        terms.add(term("kinds", copy.kinds(), name()));
+        terms.add(term("zones", replica.zones(), name()));
+        terms.add(term("kinds", replica.kinds(), name()));
         terms.add(
                 term(
                         "classes",
-                        copy.classes(),
+                        replica.classes(),
                         name() + layout.object(1, 10 * 8) + layout.object(0, 3 * 8)));
-        terms.add(term("tenants", copy.tenants(), name() + layout.object(1, 2 * 8) + 3 * 8));
+        terms.add(term("tenants", replica.tenants(), name() + layout.object(1, 2 * 8) + 3 * 8));
         long rest = lists.atRest(list) + watch(list);
         terms.add(
                 new Term(
                         "nodes",
                         list.nodes(),
                         new MemoryEstimate(rest, watch(list) + lists.toldAgain(list), 0, 0)));
-        long table = tables.atRest(copy.table());
+        long table = tables.atRest(replica.table());
         terms.add(
                 new Term(
                         "table",
-                        copy.table() == null ? 0 : 1,
+                        replica.table() == null ? 0 : 1,
                         new MemoryEstimate(
                                 table,
-                                copy.table() == null
+                                replica.table() == null
                                         ? 0
-                                        : tables.atPeak(copy.table(), copy.table()),
+                                        : tables.atPeak(replica.table(), replica.table()),
                                 0,
                                 0)));
-        terms.add(connections("callers", copy.callers(), CALLER));
-        terms.add(connections("channels", copy.channels(), CHANNEL));
-        long flowing = Math.min(copy.bodies(), copy.bodyBytes() / FLOWS) * WAITS;
-        long bodies = copy.bodies() * measured(UNDER_WAY) + copy.bodyBytes();
+        terms.add(connections("callers", replica.callers(), CALLER));
+        terms.add(connections("channels", replica.channels(), CHANNEL));
+        long flowing = Math.min(replica.bodies(), replica.bodyBytes() / FLOWS) * WAITS;
+        long bodies = replica.bodies() * measured(UNDER_WAY) + replica.bodyBytes();
         terms.add(
                 new Term(
                         "bodies",
-                        copy.bodies(),
+                        replica.bodies(),
                         new MemoryEstimate(
                                 bodies, bodies, (flowing + CHUNK - 1) / CHUNK * CHUNK, 0)));
         return terms;
@@ -191,23 +191,21 @@
             return 0;
         }
         long parsed =
-                list.textBytes() > MOST_PARSED
-                        ? LEAST_PARSED
-                        : Math.max(LEAST_PARSED, list.textBytes());
+                list.textBytes() > MAX_PARSED ? MIN_PARSED : Math.max(MIN_PARSED, list.textBytes());
         return measured(WATCH) + layout.array(parsed, 2);
     }
 
     /** What the copy takes in all. */
-    public MemoryEstimate takes(ProcessShape copy) {
-        return terms(copy).stream()
+    public MemoryEstimate takes(ProcessShape replica) {
+        return terms(replica).stream()
                 .map(Term::takes)
                 .reduce(MemoryEstimate.NOTHING, MemoryEstimate::plus);
     }
 
     /** What one more node like the others takes, with its share of what grows in steps. */
-    public MemoryEstimate oneMoreNode(ProcessShape copy) {
-        int nodes = copy.list().nodes();
-        MemoryEstimate more = takes(copy.of(2 * nodes)).minus(takes(copy));
+    public MemoryEstimate oneMoreNode(ProcessShape replica) {
+        int nodes = replica.list().nodes();
+        MemoryEstimate more = takes(replica.of(2 * nodes)).minus(takes(replica));
         return nodes == 0
                 ? MemoryEstimate.NOTHING
                 : new MemoryEstimate(
@@ -218,13 +216,13 @@
     }
 
     /** What the copy takes of the machine's memory, in bytes. */
-    public long resident(ProcessShape copy) {
-        return resident(copy, takes(copy));
+    public long resident(ProcessShape replica) {
+        return resident(replica, takes(replica));
     }
 
-    private long resident(ProcessShape copy, MemoryEstimate all) {
+    private long resident(ProcessShape replica, MemoryEstimate all) {
         long grown = all.peak() - ground.heap();
-        long young = copy.callers() > 0 ? YOUNG : Math.min(YOUNG, ALLOCATED * grown);
+        long young = replica.callers() > 0 ? YOUNG : Math.min(YOUNG, ALLOCATED * grown);
         return ground.resident() + young + grown + all.direct() - ground.direct();
     }
 
@@ -237,13 +235,13 @@
     }
 
     /** Whether a copy fits, and which bound is nearest. */
-    public Verdict judge(ProcessShape copy, ProcessLimits limits) {
-        MemoryEstimate all = takes(copy);
+    public Verdict judge(ProcessShape replica, ProcessLimits limits) {
+        MemoryEstimate all = takes(replica);
         Verdict rest = verdict(Bound.HEAP_AT_REST, all.rest(), limits.heap());
         return Stream.of(
                         rest,
                         verdict(Bound.HEAP_AT_PEAK, all.peak(), limits.heap()),
-                        verdict(Bound.RESIDENT, resident(copy, all), limits.resident()),
+                        verdict(Bound.RESIDENT, resident(replica, all), limits.resident()),
                         verdict(Bound.DIRECT, all.direct(), limits.direct()),
                         verdict(Bound.DESCRIPTORS, all.descriptors(), limits.descriptors()))
                 // What does not even fit at rest is said so, though the peak lacks more.
--- a/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
@@ -19,15 +19,15 @@
     /** How many bytes an answer takes. */
     public static final int BYTES = 9;
 
-    private static final int MOST = (1 << 24) - 1;
+    private static final int MAX = (1 << 24) - 1;
 
     /** Of a copy that asks nobody. */
-    public static final RouteTableCapacity ANY = new RouteTableCapacity(MOST, MOST, MOST);
+    public static final RouteTableCapacity ANY = new RouteTableCapacity(MAX, MAX, MAX);
 
     public RouteTableCapacity {
-        bytes = Math.max(0, Math.min(MOST, bytes));
-        leaving = Math.max(0, Math.min(MOST, leaving));
-        nodes = Math.max(0, Math.min(MOST, nodes));
+        bytes = Math.max(0, Math.min(MAX, bytes));
+        leaving = Math.max(0, Math.min(MAX, leaving));
+        nodes = Math.max(0, Math.min(MAX, nodes));
     }
 
     /** Whether a table of so many compact bytes may be loaded. */
@@ -36,7 +36,7 @@
     }
 
     /** What both have room for. */
-    public RouteTableCapacity least(RouteTableCapacity other) {
+    public RouteTableCapacity min(RouteTableCapacity other) {
         return new RouteTableCapacity(
                 Math.min(bytes, other.bytes),
                 Math.min(leaving, other.leaving),
@@ -44,8 +44,8 @@
     }
 
     /** What all have room for; all there is where there is none. */
-    public static RouteTableCapacity least(Collection<RouteTableCapacity> rooms) {
-        return rooms.stream().reduce(ANY, RouteTableCapacity::least);
+    public static RouteTableCapacity min(Collection<RouteTableCapacity> rooms) {
+        return rooms.stream().reduce(ANY, RouteTableCapacity::min);
     }
 
     /**
--- a/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
@@ -18,20 +18,20 @@
     private static final int LEAVING_BYTES = 2;
 
     /** Most compact bytes of a node that leaves: a distance of 52 bits and a wave of 16. */
-    private static final int MOST_LEAVING_BYTES = 11;
+    private static final int MAX_LEAVING_BYTES = 11;
 
     /** The most compact bytes that a table can have, with all that it may hold. */
-    private static final int MOST_BYTES =
+    private static final int MAX_BYTES =
             64
-                    + RouteTable.MOST_ZONES * RouteTable.MOST_ZONES * 10
-                    + RouteTable.MOST_LEAVING * MOST_LEAVING_BYTES
-                    + RouteTable.MOST_CLASSES * 7;
+                    + RouteTable.MAX_ZONES * RouteTable.MAX_ZONES * 10
+                    + RouteTable.MAX_LEAVING * MAX_LEAVING_BYTES
+                    + RouteTable.MAX_CLASSES * 7;
 
     /** An entry that is read stands in a list that grew, in the text's order and in the table's. */
     private static final int LISTS = 3;
 
     /** Bytes are written, gathered and copied: so many times what the table has. */
-    private static final int COPIES = 4;
+    private static final int REPLICAS = 4;
 
     private final ObjectLayout layout;
 
@@ -64,7 +64,7 @@
         return atRest(held)
                 + atRest(next)
                 + entries * LISTS * layout.reference()
-                + COPIES * layout.array(bytes(next), 1);
+                + REPLICAS * layout.array(bytes(next), 1);
     }
 
     /**
@@ -77,30 +77,30 @@
     public RouteTableCapacity room(RouteTable held, long room, int nodes) {
         long left = room - atRest(held);
         int bytes = 0;
-        for (int step = Integer.highestOneBit(MOST_BYTES); step > 0; step >>>= 1) {
-            if (bytes + step <= MOST_BYTES && most(bytes + step) <= left) {
+        for (int step = Integer.highestOneBit(MAX_BYTES); step > 0; step >>>= 1) {
+            if (bytes + step <= MAX_BYTES && max(bytes + step) <= left) {
                 bytes += step;
             }
         }
         long each =
-                leaving() + (1 + LISTS) * layout.reference() + (1 + COPIES) * MOST_LEAVING_BYTES;
+                leaving() + (1 + LISTS) * layout.reference() + (1 + REPLICAS) * MAX_LEAVING_BYTES;
         long leaving = Math.max(0, left - fixed() - lists()) / each;
         return new RouteTableCapacity(
-                bytes, (int) Math.min(RouteTable.MOST_LEAVING, leaving), nodes);
+                bytes, (int) Math.min(RouteTable.MAX_LEAVING, leaving), nodes);
     }
 
     /** The most that a table of so many compact bytes takes while it is read. */
-    private long most(long bytes) {
+    private long max(long bytes) {
         int references = (1 + LISTS) * layout.reference();
         long shares =
-                Math.min(bytes / SHARE_BYTES, (long) RouteTable.MOST_ZONES * RouteTable.MOST_ZONES);
+                Math.min(bytes / SHARE_BYTES, (long) RouteTable.MAX_ZONES * RouteTable.MAX_ZONES);
         long leaving =
-                Math.min(bytes / LEAVING_BYTES, RouteTable.MOST_LEAVING + RouteTable.MOST_CLASSES);
+                Math.min(bytes / LEAVING_BYTES, RouteTable.MAX_LEAVING + RouteTable.MAX_CLASSES);
         return fixed()
                 + lists()
                 + shares * (share() + references)
                 + leaving * (leaving() + references)
-                + (1 + COPIES) * layout.array(bytes, 1);
+                + (1 + REPLICAS) * layout.array(bytes, 1);
     }
 
     /** The table itself. */
--- a/core/src/main/java/cedarrudder/forwarding/PeerTransport.java
+++ b/core/src/main/java/cedarrudder/forwarding/PeerTransport.java
@@ -4,5 +4,5 @@
 public interface PeerTransport {
 
     /** Sends a message to one of them by its number, or to all (-1). It may be lost. */
-    void tell(int copy, byte[] message);
+    void tell(int replica, byte[] message);
 }
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -396,8 +396,8 @@
     }
 
     /** So many proxies of the tier live, this one with them. */
-    public void copies(int live) {
-        post(() -> balancer.copies(timers.now(), live));
+    public void replicas(int live) {
+        post(() -> balancer.replicas(timers.now(), live));
     }
 
     /** Each zone may get such a part of the RPCs; an empty list: as the module sees fit. */
@@ -647,8 +647,8 @@
         }
 
         @Override
-        public void tell(int copy, byte[] message) {
-            peers.tell(copy, message);
+        public void tell(int replica, byte[] message) {
+            peers.tell(replica, message);
         }
 
         @Override
--- a/core/src/main/java/cedarrudder/membership/GossipQueue.java
+++ b/core/src/main/java/cedarrudder/membership/GossipQueue.java
@@ -48,17 +48,17 @@
      * Takes what goes into a message.
      *
      * @param message has room for some
-     * @param most a piece goes out so often
+     * @param max a piece goes out so often
      */
-    void fill(GossipMessage message, int most) {
-        while (byTimes.size() <= most) {
+    void fill(GossipMessage message, int max) {
+        while (byTimes.size() <= max) {
             byTimes.add(new LinkedHashMap<>());
         }
-        for (int sent = byTimes.size() - 1; sent >= most; sent--) {
+        for (int sent = byTimes.size() - 1; sent >= max; sent--) {
             forget(byTimes.get(sent)); // fewer live than before
         }
         List<News> taken = new ArrayList<>();
-        for (int sent = 0; sent < most && !message.full(); sent++) {
+        for (int sent = 0; sent < max && !message.full(); sent++) {
             Iterator<News> each = byTimes.get(sent).values().iterator();
             while (!message.full() && each.hasNext()) {
                 News piece = each.next();
@@ -70,7 +70,7 @@
         }
         for (News piece : taken) {
             int number = piece.member().number();
-            if (++times[number] >= most) {
+            if (++times[number] >= max) {
                 times[number] = -1;
                 waiting--;
             } else {
--- a/core/src/main/java/cedarrudder/membership/IndirectProbes.java
+++ b/core/src/main/java/cedarrudder/membership/IndirectProbes.java
@@ -16,14 +16,14 @@
      * More are not held at one time. Guards against each taking long where half have died; whom one
      * passes over another asks.
      */
-    private static final int MOST = 3;
+    private static final int MAX = 3;
 
     /** How often each was asked without an answer; the one whose turn it is comes first. */
     private final Map<Integer, Integer> silences = new LinkedHashMap<>();
 
     /** One did not answer. */
     void add(int number, int silent) {
-        if (silences.size() < MOST) {
+        if (silences.size() < MAX) {
             silences.putIfAbsent(number, silent);
         }
     }
--- a/core/src/main/java/cedarrudder/membership/Member.java
+++ b/core/src/main/java/cedarrudder/membership/Member.java
@@ -5,12 +5,12 @@
  *
  * @param number the instance's number among all of its tier, from 0
  * @param incarnation grows with each life and each time the instance contradicts what is said of
- *     it; from 0 to {@link #MOST_INCARNATION}
+ *     it; from 0 to {@link #MAX_INCARNATION}
  */
 public record Member(int number, long incarnation, Standing standing) {
 
     /** A larger one is none. Guards against a forged one that nothing could follow. */
-    public static final long MOST_INCARNATION = 1L << 62;
+    public static final long MAX_INCARNATION = 1L << 62;
 
     /** Whether an instance lives, as far as is known. */
     public enum Standing {
--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -6,9 +6,9 @@
  * @param period between two instances asked by one that is well; at least 1 ms
  * @param ackPatience after which others are asked to ask; less than the period
  * @param helpers how many others are; from 0
- * @param suspicionLeast a suspicion that others confirm stands this many periods, times the
- *     logarithm to the base 10 of the live instances where that is over 1; over 0
- * @param suspicionMost one that nobody confirms stands this many times longer; at least 1
+ * @param minSuspicion a suspicion that others confirm stands this many periods, times the logarithm
+ *     to the base 10 of the live instances where that is over 1; over 0
+ * @param maxSuspicion one that nobody confirms stands this many times longer; at least 1
  * @param confirmations confirmations that make it as short as can be; at least 1
  * @param spread a piece of news goes out this many times the logarithm to the base 2 of the live
  *     instances
@@ -20,8 +20,8 @@
         long period,
         long ackPatience,
         int helpers,
-        double suspicionLeast,
-        double suspicionMost,
+        double minSuspicion,
+        double maxSuspicion,
         int confirmations,
         int spread,
         int worstHealth,
@@ -40,8 +40,8 @@
                 ackPatience,
                 "over 0, below the period");
         check(helpers >= 0, "helpers", helpers, "0 or more");
-        check(suspicionLeast > 0, "suspicionLeast", suspicionLeast, "over 0");
-        check(suspicionMost >= 1, "suspicionMost", suspicionMost, "1 or more");
+        check(minSuspicion > 0, "suspicionLeast", minSuspicion, "over 0");
+        check(maxSuspicion >= 1, "suspicionMost", maxSuspicion, "1 or more");
         check(confirmations >= 1, "confirmations", confirmations, "1 or more");
         check(spread >= 1, "spread", spread, "1 or more");
         check(worstHealth >= 0, "worstHealth", worstHealth, "0 or more");
--- a/core/src/main/java/cedarrudder/membership/StateExchange.java
+++ b/core/src/main/java/cedarrudder/membership/StateExchange.java
@@ -82,7 +82,7 @@
             return null;
         }
         int first = next < instances ? next : 0;
-        next = first + Window.MOST_BITS;
+        next = first + Window.MAX_BITS;
         int end = Math.min(instances, next);
         byte[] bits = told.get(first, end).toByteArray();
         return new Window(first, Arrays.copyOf(bits, (end - first + 7) / 8));
--- a/core/src/main/java/cedarrudder/membership/Suspicion.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicion.java
@@ -10,8 +10,8 @@
  */
 final class Suspicion {
 
-    private final double least;
-    private final double most;
+    private final double min;
+    private final double max;
     private final int confirmations;
     private final Set<Integer> accusers = new HashSet<>();
     private long since;
@@ -20,10 +20,10 @@
     /**
      * @param accuser the first instance that said so, which confirms nothing
      */
-    Suspicion(long now, int accuser, double least, double most, int confirmations) {
+    Suspicion(long now, int accuser, double min, double max, int confirmations) {
         this.since = now;
-        this.least = least;
-        this.most = most;
+        this.min = min;
+        this.max = max;
         this.confirmations = confirmations;
         confirmedBy(accuser, now);
     }
@@ -34,7 +34,7 @@
             return false;
         }
         double share = Math.log(accusers.size()) / Math.log(confirmations + 1.0);
-        long until = since + (long) Math.max(least, most - (most - least) * share);
+        long until = since + (long) Math.max(min, max - (max - min) * share);
         deadAt = Math.min(deadAt, Math.max(now, until));
         return true;
     }
@@ -44,7 +44,7 @@
      * confirmations.
      */
     void shorten(long now) {
-        deadAt = Math.min(deadAt, Math.max(now, since + (long) least));
+        deadAt = Math.min(deadAt, Math.max(now, since + (long) min));
     }
 
     /** It lasts so much longer. */
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -46,12 +46,12 @@
      * Questions answered in a period. Guards against answering all that waited while this one stood
      * still.
      */
-    private static final int MOST_ANSWERS = 64;
+    private static final int MAX_ANSWERS = 64;
 
     /**
      * Questions asked on behalf of others at one time. Guards against work without end for a flood.
      */
-    private static final int MOST_RELAYS = 64;
+    private static final int MAX_RELAYS = 64;
 
     /** The one that asked for others hears that one is at it after this share of its patience. */
     private static final double NACK_SHARE = 0.8;
@@ -72,7 +72,7 @@
     private static final int OWN_ASKS = 2;
 
     /** More are never asked for. Guards against losses so high that nobody would be suspected. */
-    private static final int MOST_SILENCES = 16;
+    private static final int MAX_SILENCES = 16;
 
     /** A question that is out. */
     private static final class Question {
@@ -127,14 +127,14 @@
      *
      * @param instances how many there may be, from 1 to 65,535
      * @param self the number of this one
-     * @param life larger than that of any earlier life of this one, such as the time of its start
-     *     in milliseconds; where it is not, the others say so and it takes the next one
+     * @param incarnation larger than that of any earlier life of this one, such as the time of its
+     *     start in milliseconds; where it is not, the others say so and it takes the next one
      * @throws IllegalArgumentException if a figure is outside its range
      */
     public SwimMember(
             int instances,
             int self,
-            long life,
+            long incarnation,
             MembershipSettings settings,
             RandomGenerator random,
             Actions outlet,
@@ -143,10 +143,10 @@
                 || instances > 0xffff
                 || self < 0
                 || self >= instances
-                || life < 0
-                || life > Member.MOST_INCARNATION) {
+                || incarnation < 0
+                || incarnation > Member.MAX_INCARNATION) {
             throw new IllegalArgumentException(
-                    "instance " + self + " of " + instances + ", life " + life);
+                    "instance " + self + " of " + instances + ", life " + incarnation);
         }
         this.self = self;
         this.settings = settings;
@@ -154,7 +154,7 @@
         this.outlet = outlet;
         this.members = new Member[instances];
         for (int i = 0; i < instances; i++) {
-            members[i] = new Member(i, i == self ? life : 0, Standing.ALIVE);
+            members[i] = new Member(i, i == self ? incarnation : 0, Standing.ALIVE);
         }
         this.suspicions = new Suspicions(random.nextInt(instances));
         this.exchange = new StateExchange(instances);
@@ -281,7 +281,7 @@
      * alone.
      */
     private int silences() {
-        return Math.min(MOST_SILENCES, loss.silences(FALSE_SUSPICIONS / live()));
+        return Math.min(MAX_SILENCES, loss.silences(FALSE_SUSPICIONS / live()));
     }
 
     private void sendNacks(long now) {
@@ -421,7 +421,7 @@
     }
 
     private void answer(SwimMessage packet) {
-        if (answers >= MOST_ANSWERS) {
+        if (answers >= MAX_ANSWERS) {
             unanswered++;
             return;
         }
@@ -432,7 +432,7 @@
     private void relay(long now, SwimMessage packet) {
         if (packet.subject() == self
                 || packet.subject() == packet.from()
-                || relays.size() >= MOST_RELAYS) {
+                || relays.size() >= MAX_RELAYS) {
             relaysRefused++;
             return;
         }
@@ -548,8 +548,8 @@
 
     private void suspect(long now, Member news, int accuser) {
         // One that does badly itself takes longer to bury others, as over everything.
-        double least =
-                settings.suspicionLeast()
+        double min =
+                settings.minSuspicion()
                         * Math.max(1, Math.log10(live()))
                         * settings.period()
                         * (health + 1);
@@ -559,8 +559,8 @@
                 new Suspicion(
                         now,
                         accuser,
-                        least,
-                        least * settings.suspicionMost(),
+                        min,
+                        min * settings.maxSuspicion(),
                         settings.confirmations()));
         hold(news);
     }
@@ -595,7 +595,7 @@
                 news.incarnation() > own.incarnation()
                         || news.incarnation() == own.incarnation()
                                 && news.standing() != Standing.ALIVE;
-        if (wrong && news.incarnation() < Member.MOST_INCARNATION) {
+        if (wrong && news.incarnation() < Member.MAX_INCARNATION) {
             members[self] = new Member(self, news.incarnation() + 1, Standing.ALIVE);
             refuted++;
             if (news.standing() != Standing.ALIVE) {
@@ -621,8 +621,8 @@
         }
         tell(members[self].as(Standing.DEAD), self);
         int told = 0;
-        int most = Math.max(1, settings.helpers());
-        for (int i = 0; i < order.length && told < most; i++) {
+        int max = Math.max(1, settings.helpers());
+        for (int i = 0; i < order.length && told < max; i++) {
             if (members[order[i]].standing() == Standing.ALIVE) {
                 send(order[i], Kind.PING, ++questions, order[i]);
                 told++;
--- a/core/src/main/java/cedarrudder/membership/SwimMessage.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMessage.java
@@ -9,7 +9,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * One message between instances, of at most {@value #MOST_BYTES} bytes: the platform's datagrams
+ * One message between instances, of at most {@value #MAX_BYTES} bytes: the platform's datagrams
  * hold 256, of which the rest is kept for what proves the sender.
  *
  * <p>Room (1 byte, {@value #ROOM}: membership); version in the high four bits, then whether a
@@ -40,7 +40,7 @@
         Window window,
         List<News> news) {
 
-    static final int MOST_BYTES = 224;
+    static final int MAX_BYTES = 224;
 
     private static final byte ROOM = 1;
     private static final int VERSION = 2;
@@ -54,7 +54,7 @@
      * The longest head and the end: the first two, varints of at most 5, 3, 9 and 3 bytes, the
      * digest.
      */
-    private static final int MOST_HEAD = 2 + 5 + 3 + 9 + 3 + 4 + CHECK;
+    private static final int MAX_HEAD = 2 + 5 + 3 + 9 + 3 + 4 + CHECK;
 
     private static final int LEFT = 3;
     private static final Standing[] STANDINGS = Standing.values();
@@ -92,7 +92,7 @@
      */
     record Window(int first, byte[] bits) {
 
-        static final int MOST_BITS = 8 * 128;
+        static final int MAX_BITS = 8 * 128;
 
         boolean dead(int number) {
             int at = number - first;
@@ -106,7 +106,7 @@
     }
 
     byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
+        ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         out.put(ROOM)
                 .put((byte) (VERSION << 4 | (window == null ? 0 : HAS_WINDOW) | kind.ordinal()));
         Varint.put(out, question & 0xffffffffL);
@@ -148,14 +148,14 @@
 
     /** How many bytes are left for news beside this window. */
     static int room(Window window) {
-        return MOST_BYTES - MOST_HEAD - (window == null ? 0 : 5 + window.bits().length);
+        return MAX_BYTES - MAX_HEAD - (window == null ? 0 : 5 + window.bits().length);
     }
 
     /** Reads a message; null where the bytes are none, or name an instance that can't be. */
     static SwimMessage decode(byte[] bytes, int instances) {
         int end = bytes.length - CHECK;
         if (end < 2
-                || bytes.length > MOST_BYTES
+                || bytes.length > MAX_BYTES
                 || bytes[0] != ROOM
                 || bytes[1] >> 4 != VERSION
                 || (bytes[1] & 15 & ~HAS_WINDOW) >= KINDS
@@ -188,7 +188,7 @@
             if (!below(first, instances)
                     || first % 8 != 0
                     || length < 1
-                    || length > Window.MOST_BITS / 8
+                    || length > Window.MAX_BITS / 8
                     || first + 8 * length > instances + 7) {
                 return null;
             }
@@ -231,6 +231,6 @@
     }
 
     private static boolean plausible(long incarnation) {
-        return incarnation >= 0 && incarnation <= Member.MOST_INCARNATION;
+        return incarnation >= 0 && incarnation <= Member.MAX_INCARNATION;
     }
 }
--- a/core/src/main/java/cedarrudder/routetable/RouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTable.java
@@ -30,16 +30,16 @@
     public static final int WHOLE = 10_000;
 
     /** Zones, classes and waves are numbered from 0 to one less than this. */
-    public static final int MOST_ZONES = 64;
+    public static final int MAX_ZONES = 64;
 
-    public static final int MOST_CLASSES = 256;
-    public static final int MOST_WAVES = 1 << 16;
+    public static final int MAX_CLASSES = 256;
+    public static final int MAX_WAVES = 1 << 16;
 
     /** Nodes that are being removed at once. */
-    public static final int MOST_LEAVING = 1 << 14;
+    public static final int MAX_LEAVING = 1 << 14;
 
     /** Nodes have numbers below this, as the module knows them. */
-    public static final long MOST_NODE = 1L << 52;
+    public static final long MAX_NODE = 1L << 52;
 
     /** Why a zone serves the callers of another, or its own. */
     public enum Way {
@@ -61,8 +61,8 @@
      */
     public record Share(int from, int to, Way way, int parts, int perSecond) {
         public Share {
-            check(from >= 0 && from < MOST_ZONES, "share.from", from, "0 to " + (MOST_ZONES - 1));
-            check(to >= 0 && to < MOST_ZONES, "share.to", to, "0 to " + (MOST_ZONES - 1));
+            check(from >= 0 && from < MAX_ZONES, "share.from", from, "0 to " + (MAX_ZONES - 1));
+            check(to >= 0 && to < MAX_ZONES, "share.to", to, "0 to " + (MAX_ZONES - 1));
             check(way != null, "share.way", null, "near, spilled, moved");
             check(parts >= 1 && parts <= WHOLE, "share.parts", parts, "1 to " + WHOLE);
             check(perSecond >= 0, "share.perSecond", perSecond, "0 or more");
@@ -72,8 +72,8 @@
     /** A node that is being removed, and the wave in which it is. */
     public record Leaving(long node, int wave) {
         public Leaving {
-            check(node >= 0 && node < MOST_NODE, "leaving.node", node, "0 to 2^52 - 1");
-            check(wave >= 0 && wave < MOST_WAVES, "leaving.wave", wave, "0 to " + (MOST_WAVES - 1));
+            check(node >= 0 && node < MAX_NODE, "leaving.node", node, "0 to 2^52 - 1");
+            check(wave >= 0 && wave < MAX_WAVES, "leaving.wave", wave, "0 to " + (MAX_WAVES - 1));
         }
     }
 
@@ -81,10 +81,10 @@
     public record Limit(int classIndex, int perSecond) {
         public Limit {
             check(
-                    classIndex >= 0 && classIndex < MOST_CLASSES,
+                    classIndex >= 0 && classIndex < MAX_CLASSES,
                     "limit.class",
                     classIndex,
-                    "0 to " + (MOST_CLASSES - 1));
+                    "0 to " + (MAX_CLASSES - 1));
             check(perSecond >= 0, "limit.perSecond", perSecond, "0 or more");
         }
     }
@@ -98,10 +98,10 @@
         check(term >= 0, "term", term, "0 or more");
         check(lease > 0, "lease", lease, "over 0");
         check(
-                leaving.size() <= MOST_LEAVING,
+                leaving.size() <= MAX_LEAVING,
                 "leaving",
                 leaving.size() + " nodes",
-                "up to " + MOST_LEAVING);
+                "up to " + MAX_LEAVING);
         shares =
                 shares.stream()
                         .sorted(Comparator.comparingInt(Share::from).thenComparing(Share::to))
--- a/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
@@ -21,7 +21,7 @@
     private static final int SUM = 4;
     private static final int BITS = 7;
     private static final int MORE = 1 << BITS;
-    private static final int MOST_SHARES = RouteTable.MOST_ZONES * RouteTable.MOST_ZONES;
+    private static final int MAX_SHARES = RouteTable.MAX_ZONES * RouteTable.MAX_ZONES;
 
     /** What reading came to: a table, or why there is none. */
     public record Decoded(RouteTable table, String fault) {}
@@ -116,26 +116,26 @@
             long term = whole("term", 0, Long.MAX_VALUE);
             long lease = whole("lease", 1, Long.MAX_VALUE);
             List<Share> shares = new ArrayList<>();
-            for (int left = count("shares", MOST_SHARES); left > 0; left--) {
+            for (int left = count("shares", MAX_SHARES); left > 0; left--) {
                 shares.add(
                         new Share(
-                                small("share.from", RouteTable.MOST_ZONES - 1),
-                                small("share.to", RouteTable.MOST_ZONES - 1),
+                                small("share.from", RouteTable.MAX_ZONES - 1),
+                                small("share.to", RouteTable.MAX_ZONES - 1),
                                 Way.values()[small("share.way", Way.values().length - 1)],
                                 small("share.parts", RouteTable.WHOLE),
                                 small("share.perSecond", Integer.MAX_VALUE)));
             }
             List<Leaving> leaving = new ArrayList<>();
             long node = 0;
-            for (int left = count("leaving", RouteTable.MOST_LEAVING); left > 0; left--) {
-                node += whole("leaving.node", 0, RouteTable.MOST_NODE - 1 - node);
-                leaving.add(new Leaving(node, small("leaving.wave", RouteTable.MOST_WAVES - 1)));
+            for (int left = count("leaving", RouteTable.MAX_LEAVING); left > 0; left--) {
+                node += whole("leaving.node", 0, RouteTable.MAX_NODE - 1 - node);
+                leaving.add(new Leaving(node, small("leaving.wave", RouteTable.MAX_WAVES - 1)));
             }
             List<Limit> limits = new ArrayList<>();
-            for (int left = count("limits", RouteTable.MOST_CLASSES); left > 0; left--) {
+            for (int left = count("limits", RouteTable.MAX_CLASSES); left > 0; left--) {
                 limits.add(
                         new Limit(
-                                small("limit.class", RouteTable.MOST_CLASSES - 1),
+                                small("limit.class", RouteTable.MAX_CLASSES - 1),
                                 small("limit.perSecond", Integer.MAX_VALUE)));
             }
             if (at < end) {
@@ -152,15 +152,15 @@
          * A number of entries; each takes two bytes or more, so that no more are read than there
          * are.
          */
-        private int count(String name, int most) {
-            return (int) whole(name, 0, Math.min(most, (end - at) / 2));
+        private int count(String name, int max) {
+            return (int) whole(name, 0, Math.min(max, (end - at) / 2));
         }
 
-        private int small(String name, int most) {
-            return (int) whole(name, 0, most);
+        private int small(String name, int max) {
+            return (int) whole(name, 0, max);
         }
 
-        private long whole(String name, long least, long most) {
+        private long whole(String name, long min, long max) {
             long value = 0;
             for (int shift = 0; shift < Long.SIZE - 1; shift += BITS) {
                 if (at == end) {
@@ -172,8 +172,8 @@
                     if (next == 0 && shift > 0) {
                         throw wrong(name, "a number with a zero too much", "the shortest form");
                     }
-                    if (value < least || value > most) {
-                        throw wrong(name, value, least + " to " + most);
+                    if (value < min || value > max) {
+                        throw wrong(name, value, min + " to " + max);
                     }
                     return value;
                 }
--- a/core/src/test/java/cedarrudder/admission/AdaptiveConcurrencyLimitTest.java
+++ b/core/src/test/java/cedarrudder/admission/AdaptiveConcurrencyLimitTest.java
@@ -11,10 +11,10 @@
 
     private static final long SECOND = 1_000_000_000L;
 
-    private static AdaptiveConcurrencyLimit after(int slow, double least) {
+    private static AdaptiveConcurrencyLimit after(int slow, double min) {
         AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(1, 0.2, 4);
         for (int i = 0; i < slow; i++) {
-            limit.answered(true, 10, 10, least);
+            limit.answered(true, 10, 10, min);
         }
         return limit;
     }
--- a/core/src/test/java/cedarrudder/admission/TenantQuotasTest.java
+++ b/core/src/test/java/cedarrudder/admission/TenantQuotasTest.java
@@ -23,11 +23,11 @@
     public void theShareOfOneCopyFollowsThoseThatLive() {
         TenantQuotas meter = new TenantQuotas(new double[] {120}, 4);
         assertEquals((double) within(meter, SECOND), 30, 1);
-        meter.copies(2);
+        meter.replicas(2);
         assertEquals((double) within(meter, 100 * SECOND), 60, 1);
-        meter.copies(4);
+        meter.replicas(4);
         assertEquals((double) within(meter, 200 * SECOND), 30, 1);
-        meter.copies(0); // nobody says so; it counts itself at the least
+        meter.replicas(0); // nobody says so; it counts itself at the least
         assertEquals((double) within(meter, 300 * SECOND), 120, 1);
     }
 }
--- a/core/src/test/java/cedarrudder/admission/ZoneTrafficSplitTest.java
+++ b/core/src/test/java/cedarrudder/admission/ZoneTrafficSplitTest.java
@@ -49,8 +49,8 @@
     public void copiesBeginAtDifferentPointsAndGoOnOverNewTables() {
         int first = 0;
         int far = 0;
-        for (int copy = 0; copy < 500; copy++) {
-            ZoneTrafficSplit own = new ZoneTrafficSplit(0, WHOLE, new SplittableRandom(copy));
+        for (int replica = 0; replica < 500; replica++) {
+            ZoneTrafficSplit own = new ZoneTrafficSplit(0, WHOLE, new SplittableRandom(replica));
             for (int i = 0; i < 40; i++) {
                 own.set(List.of(new Part(0, 9_000, 0), new Part(3, 1_000, 0)));
                 boolean gone = own.next(0, 1, true) == 3;
--- a/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
+++ b/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
@@ -55,7 +55,7 @@
     public void everyFigureTakesTheEndsOfItsRange() {
         Site site = new Site();
         for (Parameter figure : Parameter.values()) {
-            for (double value : new double[] {figure.least, figure.most}) {
+            for (double value : new double[] {figure.min, figure.max}) {
                 Recorder did = new Recorder();
                 PrequalBalancer decide =
                         new PrequalBalancer(
--- a/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
@@ -26,15 +26,15 @@
     @CsvSource({
         "1, 8", "5, 10", "15, 40", "20, 10", "30, 10", "30, 40", "100, 10", "100, 40", "500, 50"
     })
-    void copiesTogetherStayWithinTheBound(int copies, int endpoints) {
-        double[] few = copies < 500 ? new double[] {0, 1} : new double[] {1};
+    void copiesTogetherStayWithinTheBound(int replicas, int endpoints) {
+        double[] few = replicas < 500 ? new double[] {0, 1} : new double[] {1};
         for (double cold : TABLES ? new double[] {0, 0.5, 0.9, 1} : few) {
             play(
                     ColdFleet.FIRST,
-                    copies,
+                    replicas,
                     endpoints,
                     cold,
-                    TABLES && copies < 500
+                    TABLES && replicas < 500
                             ? new double[] {0.1, 0.4, 0.7, 1.2}
                             : new double[] {1.2});
         }
@@ -43,12 +43,12 @@
     /** Settings are other elsewhere, and so is what copies are told. */
     @ParameterizedTest
     @CsvSource({"5, 10", "30, 10", "100, 10"})
-    void soTheyDoInOtherDeployments(int copies, int endpoints) {
+    void soTheyDoInOtherDeployments(int replicas, int endpoints) {
         for (Deployment deployment : ColdFleet.OTHERS) {
             for (double cold : TABLES ? new double[] {0, 0.5, 1} : new double[] {0, 1}) {
                 play(
                         deployment,
-                        copies,
+                        replicas,
                         endpoints,
                         cold,
                         TABLES ? new double[] {0.1, 0.4, 0.7, 1.2} : new double[] {1.2});
@@ -57,7 +57,7 @@
     }
 
     private static void play(
-            Deployment deployment, int copies, int endpoints, double cold, double[] loads) {
+            Deployment deployment, int replicas, int endpoints, double cold, double[] loads) {
         World world = null;
         Seen worst = null;
         double byWork = 0;
@@ -70,14 +70,14 @@
                 boolean burst = trouble == Trouble.BURST || trouble == Trouble.THRONG;
                 // A lone copy has nobody who could get its calls.
                 boolean lone =
-                        copies == 1
+                        replicas == 1
                                 && (trouble == Trouble.SHIFT
                                         || trouble == Trouble.RESTART
                                         || trouble == Trouble.SEVEN_IN_TEN_DIE);
                 for (long after = burst ? 0 : 3; after <= 3 && !lone; after += 3) {
                     World each =
                             new World(
-                                    copies,
+                                    replicas,
                                     endpoints,
                                     Math.max(1, (int) (cold * endpoints)),
                                     5,
@@ -107,7 +107,7 @@
                 "| %s | %d, %d | %s | %.2f | %d of %d | %.2f | %.3f | seeds 1 to %d; %s "
                         + "at load %s, %s%n",
                 deployment,
-                copies,
+                replicas,
                 endpoints,
                 cold,
                 worst.worst(),
@@ -124,11 +124,11 @@
     /** Guards against a bound that nothing reaches: these copies aren't told of the start. */
     @ParameterizedTest
     @CsvSource({"15, 40", "100, 10", "100, 40"})
-    void withoutTheirGuardCopiesPushItOver(int copies, int endpoints) {
+    void withoutTheirGuardCopiesPushItOver(int replicas, int endpoints) {
         Seen seen =
                 ColdFleet.play(
                         new World(
-                                copies,
+                                replicas,
                                 endpoints,
                                 endpoints / 2,
                                 5,
@@ -139,7 +139,7 @@
                                 false),
                         BalancerParameters.DEFAULTS,
                         1);
-        System.out.println("seed 1, " + copies + " copies that are not told: " + seen);
+        System.out.println("seed 1, " + replicas + " copies that are not told: " + seen);
         assertTrue(seen.worst() > 1, seen.toString());
     }
 
@@ -149,18 +149,18 @@
      */
     @ParameterizedTest
     @CsvSource({"1", "15", "100", "500"})
-    void theBudgetAloneBearsCopiesThatWantNothingElse(int copies) {
+    void theBudgetAloneBearsCopiesThatWantNothingElse(int replicas) {
         for (double capacity : new double[] {33, 5}) {
             for (int second = 0; second <= 20; second += 5) {
                 long from = second * Site.SECOND;
                 long until = from + ColdFleet.SAFETY.fallWindow();
                 double bound = ColdFleet.bound(ColdFleet.SAFETY, until, capacity);
-                int eager = greedy(copies, capacity, from, false);
-                int atOnce = greedy(copies, capacity, from, true);
+                int eager = greedy(replicas, capacity, from, false);
+                int atOnce = greedy(replicas, capacity, from, true);
                 double allowed = ColdFleet.allowed(ColdFleet.SAFETY, until, capacity);
                 System.out.printf(
                         "| %d | %.0f | %d | %.0f | %.0f | %d | %d |%n",
-                        copies, capacity, second + 3, allowed, bound, eager, atOnce);
+                        replicas, capacity, second + 3, allowed, bound, eager, atOnce);
                 assertTrue(
                         eager <= bound && atOnce <= bound,
                         eager + " and " + atOnce + " of " + bound);
@@ -172,9 +172,9 @@
      * Sends within the window from an instant on, at six tenths of the load that a warm endpoint
      * can do.
      */
-    private static int greedy(int copies, double capacity, long from, boolean atOnce) {
+    private static int greedy(int replicas, double capacity, long from, boolean atOnce) {
         SplittableRandom random = new SplittableRandom(7);
-        double[] part = random.doubles(copies, 0.1, 1).map(d -> d > 0.8 ? 4 : d).toArray();
+        double[] part = random.doubles(replicas, 0.1, 1).map(d -> d > 0.8 ? 4 : d).toArray();
         double sum = 0;
         List<EndpointState> servers = new ArrayList<>();
         for (double p : part) {
@@ -188,7 +188,7 @@
         }
         int sent = 0;
         for (long now = 1; now <= from + ColdFleet.SAFETY.fallWindow(); now += 20 * Site.MS) {
-            for (int i = 0; i < copies; i++) {
+            for (int i = 0; i < replicas; i++) {
                 double rate = 0.6 * capacity * part[i] / sum;
                 while (servers.get(i)
                                 .withinColdBudget(
--- a/core/src/test/java/cedarrudder/balancer/ColdFleet.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdFleet.java
@@ -125,7 +125,7 @@
      * @param told whether the copies are told of the start; if not, they go without their guard
      */
     record World(
-            int copies,
+            int replicas,
             int endpoints,
             int cold,
             double capacity,
@@ -262,7 +262,7 @@
 
         Copy(int self, long seed) {
             Site site = new Site();
-            site.copies = world.copies;
+            site.replicas = world.replicas;
             site.probes = world.deployment.probes;
             site.self = self;
             site.classes =
@@ -281,7 +281,7 @@
             module =
                     new PrequalBalancer(
                             new BalancerSettings(
-                                    s.copies(),
+                                    s.replicas(),
                                     self,
                                     0,
                                     1,
@@ -401,7 +401,7 @@
         public void fetchEndpoints() {}
 
         @Override
-        public void tell(int copy, byte[] message) {}
+        public void tell(int replica, byte[] message) {}
 
         @Override
         public void log(String line) {}
@@ -427,7 +427,7 @@
     /** What discovery has: what a copy that starts now is told. */
     private final List<Endpoint> listed = new ArrayList<>();
 
-    private final List<Copy> copies = new ArrayList<>();
+    private final List<Copy> replicas = new ArrayList<>();
     private final double[] weights;
     private Seen seen = new Seen(0, 0, 0, 0, 0, 0, 0);
     private long now = 1;
@@ -448,9 +448,9 @@
         for (long id = world.cold + 1; id <= world.endpoints; id++) {
             start(id, 0);
         }
-        weights = new double[world.copies];
+        weights = new double[world.replicas];
         for (int i = 0; i < weights.length; i++) {
-            copies.add(new Copy(i, random.nextLong()));
+            replicas.add(new Copy(i, random.nextLong()));
             // Some see several times the mean.
             weights[i] = random.nextInt(5) == 0 ? 4 : random.nextDouble(0.1, 1);
         }
@@ -468,7 +468,7 @@
     private void startCold(long from, long to) {
         List<Endpoint> fresh =
                 LongStream.rangeClosed(from, to).mapToObj(id -> start(id, now)).toList();
-        copies.stream()
+        replicas.stream()
                 .filter(c -> !c.dead)
                 .forEach(c -> c.module.endpoints(now, EndpointListKind.CHANGES, fresh));
     }
@@ -543,9 +543,9 @@
         int at;
         do {
             at = random.nextInt(weights.length);
-        } while (random.nextDouble() * 4 > weights[at] || copies.get(at).dead);
-        boolean second = copies.size() > weights.length && random.nextBoolean();
-        copies.get(second ? at + weights.length : at).call(++ids, tries, work);
+        } while (random.nextDouble() * 4 > weights[at] || replicas.get(at).dead);
+        boolean second = replicas.size() > weights.length && random.nextBoolean();
+        replicas.get(second ? at + weights.length : at).call(++ids, tries, work);
     }
 
     private void trouble() {
@@ -562,7 +562,7 @@
                         now + Site.SECOND,
                         () ->
                                 IntStream.range(0, weights.length)
-                                        .filter(i -> copies.get(i).dead)
+                                        .filter(i -> replicas.get(i).dead)
                                         .forEach(this::restart));
             }
             case ROLL -> {
@@ -571,14 +571,14 @@
                     later(
                             now + i * 10L / weights.length * Site.SECOND,
                             () -> {
-                                copies.get(self).die();
+                                replicas.get(self).die();
                                 restart(self);
                             });
                 }
             }
             case UPGRADE -> {
                 for (int i = 0; i < weights.length; i++) {
-                    copies.add(new Copy(i, random.nextLong()));
+                    replicas.add(new Copy(i, random.nextLong()));
                 }
             }
             case THRONG ->
@@ -591,11 +591,11 @@
     private void killSevenInTen() {
         IntStream.range(0, weights.length)
                 .filter(i -> i % 10 >= 3)
-                .forEach(i -> copies.get(i).die());
+                .forEach(i -> replicas.get(i).die());
     }
 
     /** A new life of a copy knows what discovery says, and nothing else. */
     private void restart(int self) {
-        copies.set(self, new Copy(self, random.nextLong()));
+        replicas.set(self, new Copy(self, random.nextLong()));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
@@ -40,18 +40,18 @@
         "5, 2, 400",
         "40, 2, 4000"
     })
-    void manyCopiesTogetherStayWithinTheBudget(int copies, int processes, int requestsPerSecond) {
+    void manyCopiesTogetherStayWithinTheBudget(int replicas, int processes, int requestsPerSecond) {
         long start = 1000 * Site.SECOND;
         List<PrequalBalancer> decides = new ArrayList<>();
         List<Recorder> did = new ArrayList<>();
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
-        site.copies = copies;
+        site.replicas = replicas;
         // Of two processes of a copy, as in an upgrade, the second gets its part of the calls a
         // second before
         // the endpoint starts. Guards against two whole budgets where the users count one proxy.
-        for (int i = 0; i < copies * processes; i++) {
-            site.self = i % copies;
+        for (int i = 0; i < replicas * processes; i++) {
+            site.self = i % replicas;
             did.add(new Recorder());
             decides.add(new PrequalBalancer(site.settings(), new SplittableRandom(i), did.get(i)));
             decides.get(i).endpoints(start, EndpointListKind.CACHED, Site.readyUpTo(WARM));
@@ -73,7 +73,7 @@
                     decide.endpoints(now, EndpointListKind.CHANGES, List.of(cold));
                 }
             }
-            int at = random.nextInt(now < coldFrom - Site.SECOND ? copies : decides.size());
+            int at = random.nextInt(now < coldFrom - Site.SECOND ? replicas : decides.size());
             PrequalBalancer decide = decides.get(at);
             Recorder recorder = did.get(at);
             recorder.clear();
@@ -104,12 +104,12 @@
                 double part = safety.coldShare() + (1 - safety.coldShare()) * ramp;
                 // Warm endpoints bear this much each, so they can do that at the least.
                 double canDo = requestsPerSecond / (double) WARM * part;
-                double most = safety.fallMultiple() * canDo * safety.fallWindow() / 1e9;
+                double max = safety.fallMultiple() * canDo * safety.fallWindow() / 1e9;
                 assertTrue(
-                        toCold.size() <= most,
+                        toCold.size() <= max,
                         toCold.size()
                                 + " sent in a window, "
-                                + most
+                                + max
                                 + " allowed, "
                                 + (now - coldFrom) / MS
                                 + " ms after its start");
--- a/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
@@ -61,7 +61,7 @@
                                         ? Long.compare(a.at, b.at)
                                         : Long.compare(a.order, b.order));
         private final SplittableRandom random;
-        private final List<Copy> copies = new ArrayList<>();
+        private final List<Copy> replicas = new ArrayList<>();
         private final int perSecond;
         private final boolean ask;
         private Discovery state = Discovery.WELL;
@@ -74,12 +74,12 @@
         private int unanswered;
         private final List<Long> calls = new ArrayList<>();
 
-        World(long seed, int copies, int perSecond, boolean ask) {
+        World(long seed, int replicas, int perSecond, boolean ask) {
             this.random = new SplittableRandom(seed);
             this.perSecond = perSecond;
             this.ask = ask;
-            for (int i = 0; i < copies; i++) {
-                this.copies.add(new Copy());
+            for (int i = 0; i < replicas; i++) {
+                this.replicas.add(new Copy());
             }
         }
 
@@ -102,12 +102,12 @@
          */
         void become(Discovery next) {
             state = next;
-            for (Copy copy : copies) {
-                List<Integer> open = List.copyOf(copy.open);
+            for (Copy replica : replicas) {
+                List<Integer> open = List.copyOf(replica.open);
                 if (endsWatches(next)) {
-                    open.forEach(copy::broke);
+                    open.forEach(replica::broke);
                 } else if (next != Discovery.WELL) {
-                    copy.open.clear(); // nothing comes on them any more
+                    replica.open.clear(); // nothing comes on them any more
                 }
             }
         }
@@ -125,9 +125,12 @@
          * When the last copy was told for the first time after an instant; -1 where one was not.
          */
         long allTold(long from) {
-            return copies.stream().anyMatch(copy -> copy.toldAt < from)
+            return replicas.stream().anyMatch(replica -> replica.toldAt < from)
                     ? -1
-                    : copies.stream().mapToLong(copy -> copy.firstAfter(from)).max().orElseThrow()
+                    : replicas.stream()
+                                    .mapToLong(replica -> replica.firstAfter(from))
+                                    .max()
+                                    .orElseThrow()
                             - from;
         }
 
@@ -358,16 +361,16 @@
     private static long silence(long seed, int unanswered, int refused, long late) {
         World world = new World(seed, 1, 1000, true);
         world.run(20 * S);
-        World.Copy copy = world.copies.get(0);
-        int call = copy.open.iterator().next();
-        copy.clock.told(world.now, call);
-        copy.open.remove(call); // from now on nothing comes on it
+        World.Copy replica = world.replicas.get(0);
+        int call = replica.open.iterator().next();
+        replica.clock.told(world.now, call);
+        replica.open.remove(call); // from now on nothing comes on it
         long from = world.now;
         world.late = late;
         world.unanswered = unanswered;
-        copy.refuses = refused;
+        replica.refuses = refused;
         world.run(from + 30 * S);
-        return copy.firstAfter(from) - from;
+        return replica.firstAfter(from) - from;
     }
 
     /**
@@ -384,11 +387,11 @@
         for (Discovery state :
                 new Discovery[] {Discovery.DOWN, Discovery.BUSY, Discovery.SILENT, Discovery.CUT}) {
             StringBuilder row = new StringBuilder("| " + state);
-            for (int copies : new int[] {1, 100}) {
+            for (int replicas : new int[] {1, 100}) {
                 for (int trouble = 0; trouble < 3; trouble++) {
                     long longest = 0;
-                    for (long seed = 0; seed < (copies == 1 ? 2000 : 200); seed++) {
-                        longest = Math.max(longest, outage(seed, copies, state, trouble));
+                    for (long seed = 0; seed < (replicas == 1 ? 2000 : 200); seed++) {
+                        longest = Math.max(longest, outage(seed, replicas, state, trouble));
                     }
                     row.append(String.format(" | %.2f", longest / 1e9));
                     assertTrue(longest < 5500 * MS, row.toString());
@@ -399,15 +402,15 @@
     }
 
     /** How long after an outage the last copy is told. */
-    private static long outage(long seed, int copies, Discovery state, int trouble) {
-        World world = new World(seed, copies, copies / 10 + 60, true);
+    private static long outage(long seed, int replicas, Discovery state, int trouble) {
+        World world = new World(seed, replicas, replicas / 10 + 60, true);
         world.run(20 * S);
         world.late = trouble > 0 ? LATE : 0;
         world.lateByChance = seed % 2 == 1;
         world.become(state);
         world.run(world.now + world.random.nextLong(100 * MS, 20 * S));
         world.become(Discovery.WELL);
-        world.copies.forEach(copy -> copy.refuses = trouble > 1 ? 1 : 0);
+        world.replicas.forEach(replica -> replica.refuses = trouble > 1 ? 1 : 0);
         long from = world.now;
         world.run(from + 30 * S);
         return world.allTold(from);
@@ -444,9 +447,9 @@
         World world = new World(seed, 1, 1000, true);
         world.run(20 * S);
         world.late = LATE;
-        World.Copy copy = world.copies.get(0);
+        World.Copy replica = world.replicas.get(0);
         if (outage == Discovery.WELL) {
-            copy.broke(copy.open.iterator().next());
+            replica.broke(replica.open.iterator().next());
         } else {
             world.become(outage);
             world.run(world.now + world.random.nextLong(100 * MS, 20 * S));
@@ -455,7 +458,7 @@
         world.unanswered = 1;
         long from = world.now;
         world.run(from + 30 * S);
-        return copy.firstAfter(from) - from;
+        return replica.firstAfter(from) - from;
     }
 
     /** Guards against a watch on which pieces of an object that never ends count as life. */
@@ -692,55 +695,56 @@
     public void manyCopiesDoNotCrowdDiscovery() {
         System.out.println(
                 "| copies | trouble | most calls in 1 s | in 10 s | in 60 s | told after |");
-        for (int copies : new int[] {1, 100, 500}) {
-            play(copies, "all watches silent", Discovery.WELL, 0);
-            play(copies, "the same, after one line for all", Discovery.WELL, 0);
-            play(copies, "discovery down for 8 s", Discovery.DOWN, 8);
-            play(copies, "discovery down for 30 s", Discovery.DOWN, 30);
-            play(copies, "discovery silent for 8 s", Discovery.SILENT, 8);
-            play(copies, "discovery silent for 30 s", Discovery.SILENT, 30);
-            play(copies, "discovery refuses for 8 s", Discovery.BUSY, 8);
-            play(copies, "discovery refuses for 30 s", Discovery.BUSY, 30);
-            play(copies, "discovery cut off for 8 s", Discovery.CUT, 8);
-            play(copies, "discovery cut off for 30 s", Discovery.CUT, 30);
+        for (int replicas : new int[] {1, 100, 500}) {
+            play(replicas, "all watches silent", Discovery.WELL, 0);
+            play(replicas, "the same, after one line for all", Discovery.WELL, 0);
+            play(replicas, "discovery down for 8 s", Discovery.DOWN, 8);
+            play(replicas, "discovery down for 30 s", Discovery.DOWN, 30);
+            play(replicas, "discovery silent for 8 s", Discovery.SILENT, 8);
+            play(replicas, "discovery silent for 30 s", Discovery.SILENT, 30);
+            play(replicas, "discovery refuses for 8 s", Discovery.BUSY, 8);
+            play(replicas, "discovery refuses for 30 s", Discovery.BUSY, 30);
+            play(replicas, "discovery cut off for 8 s", Discovery.CUT, 8);
+            play(replicas, "discovery cut off for 30 s", Discovery.CUT, 30);
         }
     }
 
-    private static void play(int copies, String trouble, Discovery state, int seconds) {
-        World world = new World(7, copies, copies / 10 + 60, true);
+    private static void play(int replicas, String trouble, Discovery state, int seconds) {
+        World world = new World(7, replicas, replicas / 10 + 60, true);
         world.run(30 * S);
         long from = world.now;
         if (trouble.endsWith("for all")) {
-            world.copies.forEach(copy -> copy.clock.told(world.now, copy.open.iterator().next()));
+            world.replicas.forEach(
+                    replica -> replica.clock.told(world.now, replica.open.iterator().next()));
         }
         world.become(state == Discovery.WELL ? Discovery.SILENT : state);
         world.run(from + seconds * S);
         world.become(Discovery.WELL);
         world.run(from + 100 * S);
         int[] each = world.counts(from, S, 60);
-        int most = Arrays.stream(each).max().orElseThrow();
+        int max = Arrays.stream(each).max().orElseThrow();
         int crowd = Arrays.stream(world.counts(from, 100 * MS, 600)).max().orElseThrow();
         double told = world.allTold(from + seconds * S) / 1e9;
         System.out.printf(
                 "| %d | %s | %d | %d | %d | %.1f s |%n",
-                copies,
+                replicas,
                 trouble,
-                most,
+                max,
                 Arrays.stream(each, 0, 10).sum(),
                 Arrays.stream(each).sum(),
                 told);
         assertTrue(
-                most <= copies && crowd <= 3 + copies / 5,
+                max <= replicas && crowd <= 3 + replicas / 5,
                 trouble
                         + " and "
-                        + copies
+                        + replicas
                         + " copies: "
-                        + most
+                        + max
                         + " calls in 1 s, "
                         + crowd
                         + " in 100 ms");
         assertTrue(
-                told > 0 && told < (copies > 100 ? 12 : 6),
+                told > 0 && told < (replicas > 100 ? 12 : 6),
                 trouble + ": told after " + told + " s");
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
@@ -45,15 +45,15 @@
     @Test
     void aTurnThatIsNotUsedPassesBy() {
         SafetyRules safety = new Site().settings().safety();
-        int copies = 1000;
+        int replicas = 1000;
         int ready = 0;
-        for (int i = 0; i < copies; i++) {
+        for (int i = 0; i < replicas; i++) {
             EndpointState server =
                     new EndpointState(
                             Site.endpoint(1, 0, 0, EndpointStatus.READY, 1),
                             1,
                             4,
-                            i / (double) copies);
+                            i / (double) replicas);
             // 0.02 requests a second at first: planned is half of the multiple, a quarter of it
             // while cold.
             for (long now = 1; now < 1 + 2 * Site.SECOND; now += 50 * MS) {
@@ -66,7 +66,7 @@
                             : 0;
         }
         // Half a window's part of each: 0.5 x 4 x 0.4 x 0.04 / 2.
-        assertTrue(ready <= 0.016 * copies + 2, ready + " of " + copies + " may send at once");
-        assertTrue(ready >= 0.016 * copies - 2, ready + " of " + copies + " may send at once");
+        assertTrue(ready <= 0.016 * replicas + 2, ready + " of " + replicas + " may send at once");
+        assertTrue(ready >= 0.016 * replicas - 2, ready + " of " + replicas + " may send at once");
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/NaivePool.java
+++ b/core/src/test/java/cedarrudder/balancer/NaivePool.java
@@ -186,7 +186,7 @@
                                                         <= limit + 1e-9)
                         .toList();
         if (!cold.isEmpty()) {
-            return least(
+            return min(
                     cold,
                     v ->
                             v.server().untried
@@ -194,14 +194,14 @@
                                     : v.latency() * (1 + inFlight(now, v, others, turnover)));
         }
         List<Valid> sound = allowed.stream().filter(v -> !suspect.test(v.server())).toList();
-        return least(sound.isEmpty() ? allowed : sound, v -> inFlight(now, v, others, turnover));
+        return min(sound.isEmpty() ? allowed : sound, v -> inFlight(now, v, others, turnover));
     }
 
     /** All that tie for the least. */
-    private static List<EndpointState> least(List<Valid> among, ToDoubleFunction<Valid> by) {
-        double least = among.stream().mapToDouble(by).min().orElse(0);
+    private static List<EndpointState> min(List<Valid> among, ToDoubleFunction<Valid> by) {
+        double min = among.stream().mapToDouble(by).min().orElse(0);
         return among.stream()
-                .filter(v -> by.applyAsDouble(v) <= least + 1e-9)
+                .filter(v -> by.applyAsDouble(v) <= min + 1e-9)
                 .map(Valid::server)
                 .toList();
     }
--- a/core/src/test/java/cedarrudder/balancer/NaivePoolTest.java
+++ b/core/src/test/java/cedarrudder/balancer/NaivePoolTest.java
@@ -46,7 +46,7 @@
             this.wrong = wrong;
             random = new SplittableRandom(seed);
             Site site = new Site();
-            site.copies = 1 + random.nextInt(3);
+            site.replicas = 1 + random.nextInt(3);
             pool = new ProbePool(site.settings(), BalancerParameters.DEFAULTS, random.split(), did);
             for (int i = 1; i <= NODES; i++) {
                 servers.add(
--- a/core/src/test/java/cedarrudder/balancer/OverloadTest.java
+++ b/core/src/test/java/cedarrudder/balancer/OverloadTest.java
@@ -52,7 +52,7 @@
         BalancerSettings settings = site.settings();
         BalancerSettings byWork =
                 new BalancerSettings(
-                        settings.copies(),
+                        settings.replicas(),
                         settings.self(),
                         0,
                         settings.tier(),
@@ -108,7 +108,7 @@
 
     @Test
     public void eachOfFewCopiesTakesItsPart() {
-        site.copies = 2;
+        site.replicas = 2;
         PrequalBalancer decide = start(2);
         for (int id = 1; id <= 20; id++) {
             ask(decide, id, 0);
@@ -118,7 +118,7 @@
 
     @Test
     public void whatManyOthersHaveThereIsKnownFromReports() {
-        site.copies = 10;
+        site.replicas = 10;
         PrequalBalancer decide = start(1);
         ask(decide, 1, 0);
         long probed = did.probed.get(0);
--- a/core/src/test/java/cedarrudder/balancer/PrequalBalancerTest.java
+++ b/core/src/test/java/cedarrudder/balancer/PrequalBalancerTest.java
@@ -668,19 +668,19 @@
 
     @Test
     void turnsFewAwayOnAQuietDayForAFewSlowAnswers() {
-        RequestClass most = Site.UNSAFE;
+        RequestClass max = Site.UNSAFE;
         RequestClass little =
                 new RequestClass(
                         "little",
-                        most.effect(),
-                        most.keyScope(),
-                        most.aim(),
-                        most.deadline(),
-                        most.worth() / 10,
+                        max.effect(),
+                        max.keyScope(),
+                        max.aim(),
+                        max.deadline(),
+                        max.worth() / 10,
                         0,
                         0,
                         false);
-        site.classes = List.of(little, most);
+        site.classes = List.of(little, max);
         PrequalBalancer decide = start(THREE);
         for (int id = 1; id <= 500; id++) {
             decide.request(now, new Request(id, id % 2, 0, now + SECOND, 0, false, false, 0));
@@ -703,7 +703,7 @@
      */
     @Test
     void turnsNothingAwayThatEndpointsMayAlwaysHold() {
-        site.copies = 3;
+        site.replicas = 3;
         PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
         for (int id = 1; id <= 400; id++) {
             ask(decide, id);
--- a/core/src/test/java/cedarrudder/balancer/Recorder.java
+++ b/core/src/test/java/cedarrudder/balancer/Recorder.java
@@ -78,8 +78,8 @@
     }
 
     @Override
-    public void tell(int copy, byte[] message) {
-        lines.add("tell " + copy);
+    public void tell(int replica, byte[] message) {
+        lines.add("tell " + replica);
     }
 
     @Override
--- a/core/src/test/java/cedarrudder/balancer/RosterTest.java
+++ b/core/src/test/java/cedarrudder/balancer/RosterTest.java
@@ -18,16 +18,16 @@
 class RosterTest {
 
     /** The endpoints that each of some copies sends to, over a hundred quick calls. */
-    private static Map<Integer, Set<Long>> used(int copies, int endpoints) {
+    private static Map<Integer, Set<Long>> used(int replicas, int endpoints) {
         Map<Integer, Set<Long>> used = new HashMap<>();
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
-        site.copies = copies;
-        for (int copy = 0; copy < copies; copy++) {
-            site.self = copy;
+        site.replicas = replicas;
+        for (int replica = 0; replica < replicas; replica++) {
+            site.self = replica;
             Recorder did = new Recorder();
             PrequalBalancer decide =
-                    new PrequalBalancer(site.settings(), new SplittableRandom(copy), did);
+                    new PrequalBalancer(site.settings(), new SplittableRandom(replica), did);
             long now = 100 * Site.SECOND;
             decide.endpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
             for (int id = 1; id <= 100; id++) {
@@ -47,7 +47,7 @@
                             true,
                             null);
                 }
-                used.computeIfAbsent(copy, c -> new HashSet<>()).add(sent.endpoint());
+                used.computeIfAbsent(replica, c -> new HashSet<>()).add(sent.endpoint());
             }
         }
         return used;
@@ -55,15 +55,16 @@
 
     @Test
     void manyCopiesConnectToFewEndpointsEachAndToAllOfThemEvenly() {
-        Map<Long, Integer> copiesOf = new HashMap<>();
+        Map<Long, Integer> replicasOf = new HashMap<>();
         used(60, 80)
                 .forEach(
-                        (copy, endpoints) -> {
-                            assertTrue(endpoints.size() <= 8, copy + " uses " + endpoints.size());
-                            endpoints.forEach(e -> copiesOf.merge(e, 1, Integer::sum));
+                        (replica, endpoints) -> {
+                            assertTrue(
+                                    endpoints.size() <= 8, replica + " uses " + endpoints.size());
+                            endpoints.forEach(e -> replicasOf.merge(e, 1, Integer::sum));
                         });
-        assertEquals(80, copiesOf.size(), "every endpoint is of use to someone");
-        assertTrue(copiesOf.values().stream().allMatch(n -> n <= 8), copiesOf.toString());
+        assertEquals(80, replicasOf.size(), "every endpoint is of use to someone");
+        assertTrue(replicasOf.values().stream().allMatch(n -> n <= 8), replicasOf.toString());
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/balancer/RulesModel.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesModel.java
@@ -36,18 +36,18 @@
         long at();
     }
 
-    private record Taken(long at, long rpc, RequestClass kind) implements Event {}
+    private record Taken(long at, long request, RequestClass kind) implements Event {}
 
     /** The last byte of the request came; its caller waits until then. */
-    private record Whole(long at, long rpc, long answerBy) implements Event {}
+    private record Whole(long at, long request, long answerBy) implements Event {}
 
-    private record Sent(long at, long rpc, int attempt, String node) implements Event {}
+    private record Sent(long at, long request, int attempt, String node) implements Event {}
 
-    private record Ended(long at, long rpc, int attempt, Outcome outcome) implements Event {}
+    private record Ended(long at, long request, int attempt, Outcome outcome) implements Event {}
 
-    private record Answered(long at, long rpc) implements Event {}
+    private record Answered(long at, long request) implements Event {}
 
-    private record Left(long at, long rpc) implements Event {}
+    private record Left(long at, long request) implements Event {}
 
     private record Told(
             long at, String node, EndpointStatus state, int zone, int cell, long startedAt)
@@ -89,21 +89,21 @@
 
     // ---- what happens ----
 
-    void taken(long now, long rpc, RequestClass kind) {
-        history.add(new Taken(now, rpc, kind));
+    void taken(long now, long request, RequestClass kind) {
+        history.add(new Taken(now, request, kind));
     }
 
-    void whole(long now, long rpc, long answerBy) {
-        history.add(new Whole(now, rpc, answerBy));
+    void whole(long now, long request, long answerBy) {
+        history.add(new Whole(now, request, answerBy));
     }
 
     /** The first that is known of an attempt's end. */
-    void ended(long now, long rpc, int attempt, Outcome outcome) {
-        history.add(new Ended(now, rpc, attempt, outcome));
+    void ended(long now, long request, int attempt, Outcome outcome) {
+        history.add(new Ended(now, request, attempt, outcome));
     }
 
-    void left(long now, long rpc) {
-        history.add(new Left(now, rpc));
+    void left(long now, long request) {
+        history.add(new Left(now, request));
     }
 
     void told(long now, String node, EndpointStatus state, int zone, int cell, long startedAt) {
@@ -123,15 +123,15 @@
     // ---- what is judged ----
 
     /** The decisions want an attempt, whether it is carried out or not. */
-    void wanted(long now, long rpc) {
-        check(open(rpc), "sent after the end", "rpc " + rpc);
+    void wanted(long now, long request) {
+        check(open(request), "sent after the end", "rpc " + request);
     }
 
     /** An attempt goes out. */
-    void sent(long now, long rpc, int attempt, String node) {
-        check(open(rpc), "begun after the end", "rpc " + rpc);
-        List<Sent> before = attempts(rpc);
-        check(before.size() < maxAttempts, "too many attempts", "rpc " + rpc);
+    void sent(long now, long request, int attempt, String node) {
+        check(open(request), "begun after the end", "rpc " + request);
+        List<Sent> before = attempts(request);
+        check(before.size() < maxAttempts, "too many attempts", "rpc " + request);
         Told told = told(node);
         check(told != null, "sent to a node that was never listed", node);
         long offLimits = offLimitsSince(node);
@@ -143,43 +143,43 @@
             check(
                     copies || ended(earlier) != null,
                     "a second copy where none may be",
-                    "rpc " + rpc);
+                    "rpc " + request);
         }
-        RequestClass kind = kind(rpc);
+        RequestClass kind = kind(request);
         Sent ran = mayHaveRun(before);
         if (ran != null && kind.effect() != Idempotency.SAFE) {
-            check(kind.effect() == Idempotency.KEYED, "single-send sent twice", "rpc " + rpc);
+            check(kind.effect() == Idempotency.KEYED, "single-send sent twice", "rpc " + request);
             check(
                     now < ran.at() + kind.repeatWindow(),
                     "sent again after its key is forgotten",
-                    "rpc " + rpc);
+                    "rpc " + request);
             Told then = toldAt(ran);
             check(
                     kind.keyScope() == KeyScope.ALL
                             || kind.keyScope() == KeyScope.ZONE && then.zone() == told.zone()
                             || kind.keyScope() == KeyScope.CELL && then.cell() == told.cell(),
                     "sent again outside its group",
-                    "rpc " + rpc);
+                    "rpc " + request);
         }
-        history.add(new Sent(now, rpc, attempt, node));
+        history.add(new Sent(now, request, attempt, node));
         checkCold(now, told);
     }
 
     /**
      * The caller gets its answer; {@code by} is the attempt whose answer it is, where it is served.
      */
-    void answered(long now, long rpc, Answer how, int by) {
-        check(open(rpc), "a second answer", "rpc " + rpc);
-        Long answerBy = answerBy(rpc);
-        check(answerBy == null || now <= answerBy + slack, "answered too late", "rpc " + rpc);
-        List<Sent> attempts = attempts(rpc);
+    void answered(long now, long request, Answer how, int by) {
+        check(open(request), "a second answer", "rpc " + request);
+        Long answerBy = answerBy(request);
+        check(answerBy == null || now <= answerBy + slack, "answered too late", "rpc " + request);
+        List<Sent> attempts = attempts(request);
         if (how == Answer.SERVED) {
             check(
                     attempts.stream().anyMatch(s -> s.attempt() == by && ended(s) == Outcome.OK),
                     "served with what no node made",
-                    "rpc " + rpc + " by attempt " + by);
+                    "rpc " + request + " by attempt " + by);
         }
-        RequestClass kind = kind(rpc);
+        RequestClass kind = kind(request);
         if (how == Answer.REFUSED) {
             check(
                     mayHaveRun(attempts) == null
@@ -187,16 +187,16 @@
                             || kind.effect() == Idempotency.KEYED
                                     && kind.keyScope() == KeyScope.ALL,
                     "refused though it may have run",
-                    "rpc " + rpc);
+                    "rpc " + request);
         }
-        history.add(new Answered(now, rpc));
+        history.add(new Answered(now, request));
     }
 
     /** By now each RPC whose time is over has its answer. */
     void checkAllAnswered(long now) {
         for (Event event : sinceKill()) {
             if (event instanceof Whole whole && now > whole.answerBy() + slack) {
-                check(!open(whole.rpc()), "no answer", "rpc " + whole.rpc());
+                check(!open(whole.request()), "no answer", "rpc " + whole.request());
             }
         }
     }
@@ -217,36 +217,36 @@
         return history.subList(from, history.size());
     }
 
-    private boolean open(long rpc) {
+    private boolean open(long request) {
         boolean open = false;
         for (Event event : sinceKill()) {
-            open |= event instanceof Taken taken && taken.rpc() == rpc;
+            open |= event instanceof Taken taken && taken.request() == request;
             open &=
-                    !(event instanceof Answered answered && answered.rpc() == rpc)
-                            && !(event instanceof Left left && left.rpc() == rpc);
+                    !(event instanceof Answered answered && answered.request() == request)
+                            && !(event instanceof Left left && left.request() == request);
         }
         return open;
     }
 
-    private RequestClass kind(long rpc) {
+    private RequestClass kind(long request) {
         return history.stream()
-                .filter(e -> e instanceof Taken taken && taken.rpc() == rpc)
+                .filter(e -> e instanceof Taken taken && taken.request() == request)
                 .map(e -> ((Taken) e).kind())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private Long answerBy(long rpc) {
+    private Long answerBy(long request) {
         return history.stream()
-                .filter(e -> e instanceof Whole whole && whole.rpc() == rpc)
+                .filter(e -> e instanceof Whole whole && whole.request() == request)
                 .map(e -> ((Whole) e).answerBy())
                 .findFirst()
                 .orElse(null);
     }
 
-    private List<Sent> attempts(long rpc) {
+    private List<Sent> attempts(long request) {
         return history.stream()
-                .filter(e -> e instanceof Sent sent && sent.rpc() == rpc)
+                .filter(e -> e instanceof Sent sent && sent.request() == request)
                 .map(e -> (Sent) e)
                 .toList();
     }
@@ -257,7 +257,7 @@
                 .filter(
                         e ->
                                 e instanceof Ended ended
-                                        && ended.rpc() == sent.rpc()
+                                        && ended.request() == sent.request()
                                         && ended.attempt() == sent.attempt())
                 .map(e -> ((Ended) e).outcome())
                 .findFirst()
@@ -318,7 +318,7 @@
             return;
         }
         double part = safety.coldShare() + (1 - safety.coldShare()) * age / safety.rampTime();
-        double most =
+        double max =
                 FOR_CHANCE * safety.fallMultiple() * part * capacity * safety.fallWindow() / 1e9;
         long got =
                 history.stream()
@@ -329,6 +329,6 @@
                                                 && sent.at() > now - safety.fallWindow()
                                                 && sent.at() >= told.startedAt())
                         .count();
-        check(got <= most, "a cold node pushed over", told.node() + " got " + got + " of " + most);
+        check(got <= max, "a cold node pushed over", told.node() + " got " + got + " of " + max);
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesWorld.java
@@ -73,7 +73,7 @@
 
     private static final long MS = Site.MS;
     private static final int NODES = 9;
-    private static final int MOST_AWAY = 3;
+    private static final int MAX_AWAY = 3;
     private static final long STRANGER = 999;
 
     /** These show only where the module lets each attempt begin. */
@@ -121,7 +121,7 @@
     private int instance;
     private long now;
     private long order;
-    private long lastRpc;
+    private long lastRequest;
     private int served;
 
     RulesWorld(long seed, Fault fault) {
@@ -156,14 +156,14 @@
     // ---- the run ----
 
     /** Plays so many RPCs; an error tells the seed's prefix by the number of events. */
-    void run(int rpcs) {
+    void run(int requests) {
         for (int i = 1; i <= NODES; i++) {
             nodes.put("n" + i, Site.endpoint(i, i % 2, i % 3, EndpointStatus.READY, 0));
         }
         old = new TreeMap<>(nodes);
         begin();
         long when = now;
-        for (int i = 0; i < rpcs; i++) {
+        for (int i = 0; i < requests; i++) {
             when += random.nextLong(2 * BETWEEN);
             anytime(when, this::arrive);
         }
@@ -235,7 +235,7 @@
                         new Logger(new PrintStream(OutputStream.nullOutputStream())),
                         null,
                         figures);
-        driver.connect(new Client(), new Discovery(), (copy, message) -> {});
+        driver.connect(new Client(), new Discovery(), (replica, message) -> {});
         tell(EndpointListKind.CACHED, old);
     }
 
@@ -435,8 +435,7 @@
 
     private void change(String name, Endpoint node, EndpointStatus state, long startedAt) {
         // So few are away at once that the others bear what comes.
-        if (settled(node)
-                && nodes.values().stream().filter(n -> !settled(n)).count() >= MOST_AWAY) {
+        if (settled(node) && nodes.values().stream().filter(n -> !settled(n)).count() >= MAX_AWAY) {
             return;
         }
         nodes.put(name, Site.endpoint(node.id(), node.zone(), node.cell(), state, startedAt));
@@ -510,17 +509,17 @@
     // ---- callers ----
 
     private void arrive() {
-        long rpc = ++lastRpc;
+        long requestId = ++lastRequest;
         int index = random.nextInt(settings.classes().size());
         RequestClass kind = settings.classes().get(index);
         long wait = 50 * MS + random.nextLong(950 * MS);
         boolean uploads = random.nextInt(12) == 0;
         long toDriver = wait + (fault == Fault.ANSWERS_LATE ? 400 * MS : 0);
         long work = random.nextBoolean() ? 0 : 20 * MS;
-        model.taken(now, rpc, kind);
+        model.taken(now, requestId, kind);
         var request =
                 new Request(
-                        rpc,
+                        requestId,
                         index,
                         0,
                         now + toDriver + (uploads ? 60_000 * MS : 0),
@@ -529,32 +528,33 @@
                         kind.effect() != Idempotency.SAFE,
                         work,
                         uploads);
-        Exchange<String, String> exchange = new Exchange<>(request, "q" + rpc, new Answers(rpc));
+        Exchange<String, String> exchange =
+                new Exchange<>(request, "q" + requestId, new Answers(requestId));
         if (uploads) {
-            uploading.put(rpc, exchange.uploading(toDriver));
-            at(now + random.nextLong(150 * MS), () -> whole(rpc, wait));
+            uploading.put(requestId, exchange.uploading(toDriver));
+            at(now + random.nextLong(150 * MS), () -> whole(requestId, wait));
         } else {
-            model.whole(now, rpc, now + wait);
+            model.whole(now, requestId, now + wait);
         }
         driver.accept(exchange);
         if (random.nextInt(20) == 0) {
-            at(now + random.nextLong(200 * MS), () -> leave(rpc, exchange));
+            at(now + random.nextLong(200 * MS), () -> leave(requestId, exchange));
         }
     }
 
-    private void whole(long rpc, long wait) {
-        Exchange<String, String> exchange = uploading.remove(rpc);
+    private void whole(long requestId, long wait) {
+        Exchange<String, String> exchange = uploading.remove(requestId);
         if (exchange != null) {
-            model.whole(now, rpc, now + wait);
+            model.whole(now, requestId, now + wait);
             driver.whole(exchange);
         }
     }
 
     /** The caller has gone; the driver hears of it at once, or some time later. */
-    private void leave(long rpc, Exchange<String, String> exchange) {
-        uploading.remove(rpc);
-        gone.add(rpc);
-        model.left(now, rpc);
+    private void leave(long requestId, Exchange<String, String> exchange) {
+        uploading.remove(requestId);
+        gone.add(requestId);
+        model.left(now, requestId);
         if (random.nextBoolean()) {
             driver.left(exchange);
         } else {
@@ -563,24 +563,30 @@
     }
 
     private final class Answers implements Exchange.Reply<String> {
-        private final long rpc;
+        private final long requestId;
 
-        Answers(long rpc) {
-            this.rpc = rpc;
+        Answers(long requestId) {
+            this.requestId = requestId;
         }
 
         private void got(RulesModel.Answer how, int by) {
-            uploading.remove(rpc);
-            if (gone.contains(rpc)) {
+            uploading.remove(requestId);
+            if (gone.contains(requestId)) {
                 return; // nobody hears it
             }
-            if (fault == Fault.FORGETS_TO_ANSWER && rpc % 50 == 0) {
+            if (fault == Fault.FORGETS_TO_ANSWER && requestId % 50 == 0) {
                 return;
             }
-            model.answered(now, rpc, how, by);
-            transcript.append(now).append(' ').append(how).append(' ').append(rpc).append('\n');
-            if (fault == Fault.ANSWERS_TWICE && rpc % 50 == 0) {
-                model.answered(now, rpc, how, by);
+            model.answered(now, requestId, how, by);
+            transcript
+                    .append(now)
+                    .append(' ')
+                    .append(how)
+                    .append(' ')
+                    .append(requestId)
+                    .append('\n');
+            if (fault == Fault.ANSWERS_TWICE && requestId % 50 == 0) {
+                model.answered(now, requestId, how, by);
             }
         }
 
@@ -603,7 +609,7 @@
 
         @Override
         public boolean waits() {
-            return !gone.contains(rpc);
+            return !gone.contains(requestId);
         }
     }
 
@@ -662,9 +668,9 @@
             if (!driver.begins(attempt) && fault != Fault.BEGINS_FOR_NOBODY) {
                 return;
             }
-            long rpc = attempt.exchange().request().id();
-            model.sent(now, rpc, attempt.number(), node);
-            boolean half = uploading.containsKey(rpc);
+            long request = attempt.exchange().request().id();
+            model.sent(now, request, attempt.number(), node);
+            boolean half = uploading.containsKey(request);
             if (!half) {
                 written.add(attempt);
                 attempt.wrote(now);
--- a/core/src/test/java/cedarrudder/balancer/Site.java
+++ b/core/src/test/java/cedarrudder/balancer/Site.java
@@ -26,7 +26,7 @@
     static final RequestClass KEYED_IN_ZONE = requestClass(Idempotency.KEYED, KeyScope.ZONE);
     static final RequestClass UNSAFE = requestClass(Idempotency.UNSAFE, KeyScope.ALL);
 
-    int copies = 1;
+    int replicas = 1;
     int self;
     int tier;
     int tiers = 1;
@@ -46,7 +46,7 @@
 
     BalancerSettings settings() {
         return new BalancerSettings(
-                copies,
+                replicas,
                 self,
                 0,
                 tier,
--- a/core/src/test/java/cedarrudder/balancer/Steps.java
+++ b/core/src/test/java/cedarrudder/balancer/Steps.java
@@ -43,8 +43,8 @@
         site.classes =
                 List.of(Site.SAFE, Site.UNSAFE, Site.KEYED, Site.KEYED_IN_CELL, Site.KEYED_IN_ZONE);
         site.tenants = List.of(new Tenant("a", 1, 80), new Tenant("b", 1, 0));
-        site.copies = 1 + random.nextInt(12);
-        site.self = random.nextInt(site.copies);
+        site.replicas = 1 + random.nextInt(12);
+        site.self = random.nextInt(site.replicas);
         site.tiers = 2;
         site.tier = random.nextInt(2);
         site.ask = random.nextBoolean();
@@ -145,7 +145,7 @@
             case 96 -> decide.whole(now, request);
             case 97 -> decide.returned(now, endpoint);
             case 98 -> decide.brokeOff(now, endpoint, now - 100 * MS);
-            default -> decide.copies(now, 1 + random.nextInt(site.copies));
+            default -> decide.replicas(now, 1 + random.nextInt(site.replicas));
         }
     }
 
--- a/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
+++ b/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
@@ -16,7 +16,7 @@
      */
     @Test
     public void aWindowOfSingleBytesIsKeptInFewPieces() {
-        BufferAccount account = new BufferAccount(BufferAccount.MOST);
+        BufferAccount account = new BufferAccount(BufferAccount.MAX);
         BodyFlow flow = new BodyFlow(account);
         while (!flow.full()) {
             flow.put(new byte[1]);
@@ -35,7 +35,7 @@
     public void whatIsTakenIsWhatWasPut() {
         long seed = 20261201;
         SplittableRandom random = new SplittableRandom(seed);
-        BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MOST));
+        BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MAX));
         ByteArrayOutputStream put = new ByteArrayOutputStream();
         ByteArrayOutputStream taken = new ByteArrayOutputStream();
         for (int i = 0; i < 20_000; i++) {
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -30,7 +30,7 @@
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
     private static final int BEST = 0;
-    private static final int LEAST = 1;
+    private static final int MIN = 1;
     private static final DownstreamFeedback OVERLOAD = result(0, Why.OVERLOAD);
 
     private final List<String> log = new ArrayList<>();
@@ -57,7 +57,7 @@
                         0,
                         0,
                         false);
-        RequestClass least =
+        RequestClass min =
                 new RequestClass(
                         "least",
                         Idempotency.UNSAFE,
@@ -75,7 +75,7 @@
                 tier,
                 3,
                 false,
-                List.of(best, least),
+                List.of(best, min),
                 List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 0)),
                 new Limits(true, true, true, true, 4, 0, 0, 0),
                 new SafetyRules(0, 1, 0, 1, 0, 0),
@@ -147,7 +147,7 @@
     @Test
     public void aFullTableOfGrantsGivesNothingAndIsFreeAgainWhenTheyExpire() {
         SharedBudgets grants = new SharedBudgets();
-        for (int i = 1; i <= SharedBudgets.MOST; i++) {
+        for (int i = 1; i <= SharedBudgets.MAX; i++) {
             assertTrue(grants.of(now, i, 1, now + SECOND).covers());
         }
         assertFalse(grants.of(now, -1, 1, now + SECOND).covers());
@@ -281,14 +281,14 @@
     public void aSafeWaitComesFromClassAndTierAndWhatCallersWaited() {
         for (int tier = 0; tier < 3; tier++) {
             Budgets budgets = budgets(tier);
-            long most = 900 * MILLI * (3 - tier) / 3;
-            assertEquals(budgets.safeWait(BEST), most);
+            long max = 900 * MILLI * (3 - tier) / 3;
+            assertEquals(budgets.safeWait(BEST), max);
             waits(budgets, 450 * MILLI / (1 + tier));
             long wait = 450 * MILLI / (1 + tier);
             assertTrue(
                     budgets.safeWait(BEST) > 0.8 * wait && budgets.safeWait(BEST) <= wait,
                     "tier " + tier);
-            assertEquals(budgets.safeWait(LEAST), most, "another class");
+            assertEquals(budgets.safeWait(MIN), max, "another class");
             waits(budgets, MILLI);
             assertEquals(
                     budgets.safeWait(BEST),
@@ -296,7 +296,7 @@
                     "nonsense is bounded below");
             waits(budgets, 3_600 * SECOND);
             waits(budgets, 3_600 * SECOND);
-            assertEquals(budgets.safeWait(BEST), most, "and above");
+            assertEquals(budgets.safeWait(BEST), max, "and above");
         }
     }
 
@@ -368,25 +368,22 @@
     @Test
     public void theLeastWorthGoesFirstWhileTheTierBelowSaysOverload() {
         Budgets budgets = budgets(1);
-        assertEquals(admitted(budgets, BEST) + admitted(budgets, LEAST), 200);
+        assertEquals(admitted(budgets, BEST) + admitted(budgets, MIN), 200);
         for (int i = 0; i < 3; i++) {
             overloaded(budgets, 20, 20);
             now += 300 * MILLI;
         }
-        int least = 0;
+        int min = 0;
         int best = 0;
         for (int i = 0; i < 100; i++) {
             best +=
                     call(budgets, BEST, said(0, 0, false)).standing() == AdmissionHint.WANTED
                             ? 1
                             : 0;
-            least +=
-                    call(budgets, LEAST, said(0, 0, false)).standing() == AdmissionHint.WANTED
-                            ? 1
-                            : 0;
+            min += call(budgets, MIN, said(0, 0, false)).standing() == AdmissionHint.WANTED ? 1 : 0;
         }
         assertEquals(best, 100);
-        assertTrue(least < 10, "let in of the least " + least);
+        assertTrue(min < 10, "let in of the least " + min);
         RequestBudget carriedLess =
                 call(
                         budgets,
@@ -394,7 +391,7 @@
                         new PropagatedBudget(true, true, 0, 0, 0, 0.05, false, HopPath.EMPTY));
         assertEquals(carriedLess.worth(), 0.05, "the tier above knows it to be worth less");
         int steps = 0;
-        while (admitted(budgets, LEAST) < 100) {
+        while (admitted(budgets, MIN) < 100) {
             now += 250 * MILLI;
             assertTrue(++steps < 40, "it never comes back");
         }
@@ -415,7 +412,7 @@
                     Outcome.ERROR,
                     MILLI,
                     i < overloads ? OVERLOAD : DownstreamFeedback.NOTHING);
-            call(budgets, LEAST, said(0, 0, false));
+            call(budgets, MIN, said(0, 0, false));
         }
     }
 
@@ -427,17 +424,17 @@
         Budgets budgets = budgets(1);
         overloaded(budgets, 19, 19);
         now += 300 * MILLI;
-        assertEquals(admitted(budgets, LEAST), 100, "19 answers");
+        assertEquals(admitted(budgets, MIN), 100, "19 answers");
         overloaded(budgets, 0, 110);
         now += 300 * MILLI;
         overloaded(budgets, 5, 50);
         now += 300 * MILLI;
-        assertEquals(admitted(budgets, LEAST), 100, "one in ten");
+        assertEquals(admitted(budgets, MIN), 100, "one in ten");
         overloaded(budgets, 1, 1);
         now += 300 * MILLI;
         overloaded(budgets, 19, 19);
         now += 300 * MILLI;
-        assertTrue(admitted(budgets, LEAST) < 100, "20 answers, over several steps");
+        assertTrue(admitted(budgets, MIN) < 100, "20 answers, over several steps");
     }
 
     private int admitted(Budgets budgets, int kind) {
@@ -490,8 +487,8 @@
                         DownstreamFeedback.NOTHING);
             }
             double best = call(budgets, BEST, said(0, 0, false)).worth();
-            double least = call(budgets, LEAST, said(0, 0, false)).worth();
-            assertTrue(byWork ? best > least : best < least, best + " and " + least);
+            double min = call(budgets, MIN, said(0, 0, false)).worth();
+            assertTrue(byWork ? best > min : best < min, best + " and " + min);
         }
     }
 
@@ -507,7 +504,7 @@
         assertEquals(budgets.arrived(now, repeat, PropagatedBudget.NOTHING).worth(), 0.8);
         PropagatedBudget forged =
                 new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY);
-        assertEquals(call(budgets, LEAST, forged).worth(), 1.0 / 6);
+        assertEquals(call(budgets, MIN, forged).worth(), 1.0 / 6);
     }
 
     // ---- loops ----
@@ -538,7 +535,7 @@
         for (int i = 0; i < 1_000; i++) {
             call(budgets, BEST, said(0, 0, false, "tier-1", "forged-" + i));
         }
-        assertEquals(log.size(), LoopReporter.MOST);
+        assertEquals(log.size(), LoopReporter.MAX);
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/consensus/AppliedProposalsTest.java
+++ b/core/src/test/java/cedarrudder/consensus/AppliedProposalsTest.java
@@ -13,8 +13,9 @@
 
     private static final VoterGroup GROUP = new VoterGroup(1, 0, 1);
 
-    private static Proposal proposal(int copy, long life, long sequence, long after) {
-        return new Proposal(copy, life, sequence, new LogPosition(GROUP, after), new byte[3]);
+    private static Proposal proposal(int replica, long incarnation, long sequence, long after) {
+        return new Proposal(
+                replica, incarnation, sequence, new LogPosition(GROUP, after), new byte[3]);
     }
 
     @Test
@@ -34,14 +35,14 @@
     @Test
     public void oneThatWasForgottenIsNotTakenAgain() {
         AppliedProposals proposers = new AppliedProposals();
-        for (int copy = 0; copy <= AppliedProposals.MOST; copy++) {
-            proposers.took(proposal(copy, 1, 1, copy), new LogPosition(GROUP, copy + 1));
+        for (int replica = 0; replica <= AppliedProposals.MAX; replica++) {
+            proposers.took(proposal(replica, 1, 1, replica), new LogPosition(GROUP, replica + 1));
         }
         assertNull(proposers.last(0));
         assertFalse(proposers.isNew(proposal(0, 1, 1, 0)));
         assertTrue(proposers.isNew(proposal(0, 1, 2, 1)));
         byte[] held = proposers.with(new byte[] {4});
-        assertTrue(held.length <= AppliedProposals.MOST_BYTES + 1);
+        assertTrue(held.length <= AppliedProposals.MAX_BYTES + 1);
         AppliedProposals.Parts read = AppliedProposals.decode(held);
         assertEquals(read.state(), new byte[] {4});
         assertEquals(read.proposers().with(new byte[] {4}), held);
--- a/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
+++ b/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
@@ -87,7 +87,7 @@
         }
         assertEquals(receiver.lacks(receiver.due() - 1), List.of());
         List<MessageFragmenter.Wanted> wanted = receiver.lacks(receiver.due());
-        assertEquals(wanted.get(0).of(), SENDER.copy());
+        assertEquals(wanted.get(0).of(), SENDER.replica());
         List<byte[]> again = sender.again(1, wanted.get(0).lack());
         assertEquals(again, List.of(wire.get(2), wire.get(5)));
         assertEquals(sender.again(3, wanted.get(0).lack()), List.of());
@@ -147,7 +147,7 @@
         SplittableRandom random = new SplittableRandom(11);
         Unsynced store = new Unsynced();
         int[] zones = new int[10];
-        RaftNode copy =
+        RaftNode replica =
                 new RaftNode(
                         zones,
                         0,
@@ -187,13 +187,13 @@
                             public void noted(ConsensusEvent note) {}
                         },
                         0);
-        copy.form(0);
+        replica.form(0);
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
-            now = Math.max(now + 1, Math.min(copy.due(), now + MILLI));
-            copy.tick(now);
+            now = Math.max(now + 1, Math.min(replica.due(), now + MILLI));
+            replica.tick(now);
         }
-        assertTrue(copy.leads());
+        assertTrue(replica.leads());
         long began = System.nanoTime();
         for (int i = 0; i < 200_000; i++) {
             byte[] noise = new byte[random.nextInt(260)];
@@ -201,9 +201,9 @@
             if (i % 2 == 0 && noise.length > 0) {
                 noise[0] = MessageFragment.FIRST;
             }
-            copy.received(now, 1, noise);
+            replica.received(now, 1, noise);
         }
-        assertEquals(copy.counts().malformed(), 200_000);
+        assertEquals(replica.counts().malformed(), 200_000);
         RaftMessage[] kinds = {
             new RaftMessage.AskVote(false, true, 4, 2),
             new RaftMessage.SayVote(false, true, 2),
@@ -226,10 +226,10 @@
                 body[random.nextInt(body.length)] = (byte) random.nextInt(256);
             }
             MessageFragment piece =
-                    new MessageFragment(copy.group(), random.nextInt(4), 1, 9, i, 0, 1, 0, body);
-            copy.received(now, 1, piece.encode());
+                    new MessageFragment(replica.group(), random.nextInt(4), 1, 9, i, 0, 1, 0, body);
+            replica.received(now, 1, piece.encode());
             now += MILLI;
-            copy.tick(now);
+            replica.tick(now);
         }
         long took = System.nanoTime() - began;
         assertTrue(took < 30_000L * MILLI, "400,000 messages took " + took + " ns");
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -44,18 +44,18 @@
                     "failed > 0.1",
                     "failed < 0.01",
                     "",
-                    DrainPolicy.LEAST_TIME,
+                    DrainPolicy.MIN_TIME,
                     AtEnd.KEEP_WAITING,
                     Restarted.OUT,
                     List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
 
     private static List<byte[]> good() {
-        List<Long> most =
-                LongStream.range(0, DrainCommand.MOST_IDS)
-                        .mapToObj(i -> DrainStateMachine.MOST_NODE - i)
+        List<Long> max =
+                LongStream.range(0, DrainCommand.MAX_IDS)
+                        .mapToObj(i -> DrainStateMachine.MAX_NODE - i)
                         .toList();
         return List.of(
-                new Call(true, most).encode(),
+                new Call(true, max).encode(),
                 new DrainCommand.Part(Long.MAX_VALUE, -1, 1, 2, new byte[DrainCommand.PART])
                         .encode(),
                 new Step(
@@ -128,26 +128,26 @@
     @Test
     public void theLargestPartsFit() {
         for (byte[] bytes : good().subList(0, 2)) {
-            assertEquals(bytes.length <= DrainCommand.MOST_BYTES, true, bytes.length + " bytes");
+            assertEquals(bytes.length <= DrainCommand.MAX_BYTES, true, bytes.length + " bytes");
         }
-        int most = Integer.MAX_VALUE;
+        int max = Integer.MAX_VALUE;
         List<DrainReport.Calls> calls =
-                LongStream.range(0, DrainReport.mostCalls())
-                        .mapToObj(i -> new DrainReport.Calls((int) (i * (most / 16)), most))
+                LongStream.range(0, DrainReport.maxCalls())
+                        .mapToObj(i -> new DrainReport.Calls((int) (i * (max / 16)), max))
                         .toList();
         List<Long> some =
-                LongStream.range(0, DrainReport.mostSome())
-                        .mapToObj(i -> DrainStateMachine.MOST_NODE)
+                LongStream.range(0, DrainReport.maxSome())
+                        .mapToObj(i -> DrainStateMachine.MAX_NODE)
                         .toList();
         byte[] largest =
                 new DrainReport(
                                 1L << 40,
                                 0,
-                                most,
+                                max,
                                 calls,
-                                most,
+                                max,
                                 some,
-                                new TrafficSample(most, most, most, most))
+                                new TrafficSample(max, max, max, max))
                         .encode();
         assertNotNull(DrainReport.decode(largest), largest.length + " bytes");
     }
@@ -181,7 +181,7 @@
             PolicyCodec.decode(bytes);
         }
         assertNull(DrainCommand.decode(new byte[0]));
-        drains.next(0, 0, List.of(), copy -> true);
+        drains.next(0, 0, List.of(), replica -> true);
         assertNotNull(drains.progress());
     }
 
--- a/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -23,7 +23,7 @@
 public class DrainCoordinatorTest {
 
     private static final long PERIOD = 500_000_000L;
-    private static final int COPIES = 2;
+    private static final int REPLICAS = 2;
 
     /** A copy with what it has. */
     private final class Copy implements DrainCoordinator.Local, DrainCoordinator.Actions {
@@ -35,7 +35,7 @@
         Copy(int number) {
             drains =
                     new DrainCoordinator(
-                            COPIES,
+                            REPLICAS,
                             number,
                             DrainSettings.DEFAULT,
                             DrainSimulation.CONDITIONS,
@@ -107,15 +107,15 @@
     /** A period: those that speak report, the leader has its next command committed at all. */
     private void turn(Copy... speak) {
         now += PERIOD;
-        for (Copy copy : speak) {
-            copy.drains
-                    .report(now, copy)
-                    .forEach(part -> leader.drains.reported(now, copy == leader ? 0 : 1, part));
+        for (Copy replica : speak) {
+            replica.drains
+                    .report(now, replica)
+                    .forEach(part -> leader.drains.reported(now, replica == leader ? 0 : 1, part));
         }
-        for (Copy copy : speak) {
-            commit(copy.drains.wanted());
+        for (Copy replica : speak) {
+            commit(replica.drains.wanted());
         }
-        commit(leader.drains.next(now, utc, nodes.values(), copy -> true));
+        commit(leader.drains.next(now, utc, nodes.values(), replica -> true));
     }
 
     private void commit(byte[] command) {
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -64,7 +64,7 @@
         private boolean stalled;
         private long diedAt;
         private int applied;
-        private long life;
+        private long incarnation;
         private Set<Long> leaving = new HashSet<>();
         private final Map<Long, Integer> calls = new HashMap<>();
         private final Set<Long> disabled = new HashSet<>();
@@ -75,10 +75,10 @@
         }
 
         void begin() {
-            life++;
+            incarnation++;
             drains =
                     new DrainCoordinator(
-                            copies, number, DrainSettings.DEFAULT, CONDITIONS, this, now);
+                            replicas, number, DrainSettings.DEFAULT, CONDITIONS, this, now);
             drains.policies(1, policies);
             applied = 0;
             calls.clear();
@@ -105,12 +105,12 @@
                 return;
             }
             calls.merge(node.id(), 1, Integer::sum);
-            long begun = life;
+            long begun = incarnation;
             long takes = random.nextInt(50) == 0 ? 20 * SECOND : random.nextLong(2 * SECOND);
             at(
                     now + takes,
                     () -> {
-                        if (life == begun && live) {
+                        if (incarnation == begun && live) {
                             calls.merge(node.id(), -1, Integer::sum);
                         }
                     });
@@ -137,7 +137,7 @@
 
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final int copies;
+    private final int replicas;
     private final List<Copy> all = new ArrayList<>();
     private final Map<Long, DrainableNode> nodes = new HashMap<>();
     private final List<byte[]> log = new ArrayList<>();
@@ -164,7 +164,7 @@
     DrainSimulation(long seed) {
         random = new SplittableRandom(seed);
         removes = random.nextBoolean();
-        copies = 3 + random.nextInt(6);
+        replicas = 3 + random.nextInt(6);
         loss = random.nextInt(3) * 0.15;
         int zones = 1 + random.nextInt(3);
         int pods = zones * (1 + random.nextInt(3));
@@ -225,7 +225,7 @@
                         Restarted.BACK,
                         List.of());
         policies = random.nextBoolean() ? List.of(wide) : List.of(wide, narrow);
-        for (int i = 0; i < copies; i++) {
+        for (int i = 0; i < replicas; i++) {
             all.add(new Copy(i));
         }
     }
@@ -249,8 +249,8 @@
     /** Runs it; what was wrong, or null. */
     String run(long faults, long rest) {
         long end = START + faults;
-        for (Copy copy : all) {
-            at(now + random.nextLong(PERIOD), () -> reports(copy));
+        for (Copy replica : all) {
+            at(now + random.nextLong(PERIOD), () -> reports(replica));
         }
         at(now, this::leads);
         at(now, () -> propose(all.get(0).drains.wanted()));
@@ -287,29 +287,29 @@
     }
 
     private Copy any() {
-        return all.get(random.nextInt(copies));
+        return all.get(random.nextInt(replicas));
     }
 
     private void sends() {
-        for (Copy copy : all) {
+        for (Copy replica : all) {
             nodes.values().stream()
                     .sorted((a, b) -> Long.compare(a.id(), b.id()))
                     .forEach(
                             node -> {
                                 if (random.nextInt(4) == 0) {
-                                    copy.call(node);
+                                    replica.call(node);
                                 }
                             });
         }
         at(now + 200 * MILLI, this::sends);
     }
 
-    private void reports(Copy copy) {
-        if (copy.live && !copy.stalled) {
+    private void reports(Copy replica) {
+        if (replica.live && !replica.stalled) {
             int to = leader;
-            for (byte[] part : copy.drains.report(now, copy)) {
+            for (byte[] part : replica.drains.report(now, replica)) {
                 int times =
-                        copy.number == to || random.nextDouble() >= loss
+                        replica.number == to || random.nextDouble() >= loss
                                 ? 1 + random.nextInt(10) / 9
                                 : 0;
                 for (int i = 0; i < times; i++) {
@@ -317,13 +317,13 @@
                             now + random.nextLong(30 * MILLI),
                             () -> {
                                 if (all.get(to).live && !all.get(to).stalled) {
-                                    all.get(to).drains.reported(now, copy.number, part);
+                                    all.get(to).drains.reported(now, replica.number, part);
                                 }
                             });
                 }
             }
         }
-        at(now + PERIOD, () -> reports(copy));
+        at(now + PERIOD, () -> reports(replica));
     }
 
     private void leads() {
@@ -345,8 +345,8 @@
     /**
      * Membership: a death is found some seconds late, and one that stands still is taken for dead.
      */
-    private boolean seenLive(int copy) {
-        Copy one = all.get(copy);
+    private boolean seenLive(int replica) {
+        Copy one = all.get(replica);
         return one.live && !one.stalled || now - one.diedAt < 3 * SECOND;
     }
 
@@ -370,8 +370,8 @@
         }
         states.add(truth.encode());
         outs();
-        for (Copy copy : all) {
-            at(now + random.nextLong(SECOND), copy::catchUp);
+        for (Copy replica : all) {
+            at(now + random.nextLong(SECOND), replica::catchUp);
         }
     }
 
@@ -397,24 +397,24 @@
         }
         if (each.event() == DrainEvent.EMPTY) {
             emptied++;
-            for (Copy copy : all) {
-                if (copy.live && copy.calls(each.node()) > 0) {
+            for (Copy replica : all) {
+                if (replica.live && replica.calls(each.node()) > 0) {
                     wrong(
                             "node "
                                     + each.node()
                                     + " is said empty with calls of copy "
-                                    + copy.number);
+                                    + replica.number);
                 }
             }
         }
         if (each.event() == DrainEvent.RETURNED) {
-            for (Copy copy : all) {
-                if (copy.live && copy.leaving.contains(each.node())) {
+            for (Copy replica : all) {
+                if (replica.live && replica.leaving.contains(each.node())) {
                     wrong(
                             "node "
                                     + each.node()
                                     + " counts as back, and copy "
-                                    + copy.number
+                                    + replica.number
                                     + " knows not");
                 }
             }
@@ -429,7 +429,9 @@
         truth.drains().stream()
                 .filter(drain -> drain.state.out())
                 .forEach(drain -> out.add(drain.node));
-        all.stream().filter(copy -> copy.live).forEach(copy -> out.addAll(copy.leaving));
+        all.stream()
+                .filter(replica -> replica.live)
+                .forEach(replica -> out.addAll(replica.leaving));
         for (DrainPolicy policy : truth.policies()) {
             DisruptionCounts counted = new DisruptionCounts(policy);
             for (DrainableNode node : nodes.values()) {
@@ -455,32 +457,32 @@
     private long late;
 
     private void fault() {
-        Copy copy = any();
+        Copy replica = any();
         switch (random.nextInt(6)) {
             case 0 -> {
-                if (copy.live && all.stream().filter(each -> each.live).count() > 2) {
-                    copy.live = false;
-                    copy.diedAt = now;
-                    copy.life++;
-                    copy.calls.clear();
-                    copy.leaving.clear();
+                if (replica.live && all.stream().filter(each -> each.live).count() > 2) {
+                    replica.live = false;
+                    replica.diedAt = now;
+                    replica.incarnation++;
+                    replica.calls.clear();
+                    replica.leaving.clear();
                     at(
                             now + 4 * SECOND + random.nextLong(20 * SECOND),
                             () -> {
-                                copy.live = true;
-                                copy.begin();
-                                copy.catchUp();
+                                replica.live = true;
+                                replica.begin();
+                                replica.catchUp();
                             });
-                    late += copy.number == leader ? 5 * SECOND : 0;
+                    late += replica.number == leader ? 5 * SECOND : 0;
                     replace();
                 }
             }
             case 1 -> {
-                copy.stalled = true;
-                copy.diedAt = now;
+                replica.stalled = true;
+                replica.diedAt = now;
                 late += 5 * SECOND;
-                at(now + 5 * SECOND, () -> copy.stalled = false);
-                at(now + 6 * SECOND, copy::catchUp);
+                at(now + 5 * SECOND, () -> replica.stalled = false);
+                at(now + 6 * SECOND, replica::catchUp);
                 replace();
             }
             case 2 -> replace();
@@ -524,7 +526,7 @@
         for (int i = 0;
                 i < 10 && (leader == old || !all.get(leader).live || all.get(leader).stalled);
                 i++) {
-            leader = random.nextInt(copies);
+            leader = random.nextInt(replicas);
         }
         if (leader != old) {
             leaders++;
--- a/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
@@ -42,13 +42,13 @@
                 pauseIf,
                 "",
                 "",
-                DrainPolicy.LEAST_TIME,
+                DrainPolicy.MIN_TIME,
                 atEnd,
                 Restarted.BACK,
                 List.of(closed));
     }
 
-    private static DrainPolicy most(int nodes, double share) {
+    private static DrainPolicy max(int nodes, double share) {
         return policy("p", Whom.ALL, new Most(nodes, share), Left.NOTHING, "", AtEnd.LET_GO);
     }
 
@@ -62,10 +62,10 @@
 
     @Test
     public void aPolicyThatNeverLetsAnybodyGoIsFound() {
-        assertEquals(keys(null, most(1, 0.25)), List.of());
-        assertEquals(keys(null, most(0, 1)), List.of("out_per_pod"));
-        assertEquals(keys(new Fleet(3, 2, 3), most(1, 0.25)), List.of("out_per_pod"));
-        assertEquals(keys(new Fleet(3, 2, 4), most(1, 0.25)), List.of());
+        assertEquals(keys(null, max(1, 0.25)), List.of());
+        assertEquals(keys(null, max(0, 1)), List.of("out_per_pod"));
+        assertEquals(keys(new Fleet(3, 2, 3), max(1, 0.25)), List.of("out_per_pod"));
+        assertEquals(keys(new Fleet(3, 2, 4), max(1, 0.25)), List.of());
         assertEquals(
                 keys(null, policy("p", Whom.ALL, Most.ANY, new Left(0, 0, 0, 1), "", AtEnd.LET_GO)),
                 List.of("left.weight"));
@@ -128,7 +128,7 @@
         assertEquals(
                 PolicyValidator.check(
                                 List.of(
-                                        most(2, 1),
+                                        max(2, 1),
                                         policy(
                                                 "q",
                                                 Whom.ALL,
--- a/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
@@ -28,7 +28,7 @@
     private static final long PERIOD = 500 * MILLI;
     private static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
     private static final int ZONES = 5;
-    private static final int COPIES = 4;
+    private static final int REPLICAS = 4;
     private static final int FLAPS = 3;
     private static final double CAPACITY = 480;
     private static final double DEMAND = 240;
@@ -41,7 +41,7 @@
 
     /** What is true, seen by copies without any noise; calls go where the table says. */
     private static final class Play {
-        final int[] zoneOf = new int[ZONES * COPIES];
+        final int[] zoneOf = new int[ZONES * REPLICAS];
         final ZoneHealthAggregator assessment;
         final TrafficSplitPlanner planner;
         final boolean[] lost = new boolean[ZONES];
@@ -60,7 +60,7 @@
         final List<Long> flapping = new ArrayList<>();
 
         final Random random = new Random(4);
-        final Seen[][] last = new Seen[ZONES * COPIES][ZONES];
+        final Seen[][] last = new Seen[ZONES * REPLICAS][ZONES];
         double loss;
         RouteTable table;
         long now;
@@ -72,7 +72,7 @@
 
         Play(FailoverSettings settings) {
             planner = new TrafficSplitPlanner(settings, settings.regions().ranks(NAMES), 0);
-            Arrays.setAll(zoneOf, copy -> copy / COPIES);
+            Arrays.setAll(zoneOf, replica -> replica / REPLICAS);
             Arrays.fill(able, 1);
             Arrays.fill(demand, DEMAND);
             assessment = new ZoneHealthAggregator(SETTINGS, zoneOf, ZONES);
@@ -102,24 +102,24 @@
             sequence++;
             double[] loads = new double[ZONES];
             Arrays.setAll(loads, this::load);
-            for (int copy = 0; copy < zoneOf.length; copy++) {
+            for (int replica = 0; replica < zoneOf.length; replica++) {
                 List<Seen> seen = new ArrayList<>();
                 for (int zone = 0; zone < ZONES; zone++) {
                     double part =
                             table == null
-                                    ? zone == zoneOf[copy] ? 1 : 0
-                                    : parts(zoneOf[copy], zone) / 1e4;
-                    double calls = demand[zoneOf[copy]] / COPIES / 2 * part;
+                                    ? zone == zoneOf[replica] ? 1 : 0
+                                    : parts(zoneOf[replica], zone) / 1e4;
+                    double calls = demand[zoneOf[replica]] / REPLICAS / 2 * part;
                     int ended = (int) (calls + random.nextDouble());
                     double capacity = CAPACITY * able[zone];
                     int served =
-                            lost[zone] || broken.contains(copy)
+                            lost[zone] || broken.contains(replica)
                                     ? 0
                                     : (int) Math.round(ended * Math.min(1, capacity / loads[zone]));
-                    int refused = lost[zone] || broken.contains(copy) ? 0 : ended - served;
-                    Seen before = last[copy][zone];
+                    int refused = lost[zone] || broken.contains(replica) ? 0 : ended - served;
+                    Seen before = last[replica][zone];
                     Seen now =
-                            ended == 0 && before != null && before.age() < ZoneObservations.MOST_AGE
+                            ended == 0 && before != null && before.age() < ZoneObservations.MAX_AGE
                                     ? new Seen(
                                             zone,
                                             before.age() + 1,
@@ -154,22 +154,22 @@
                                             6,
                                             0,
                                             units(zone));
-                    last[copy][zone] = now;
+                    last[replica][zone] = now;
                     seen.add(now);
                 }
                 ZoneObservations evidence =
                         new ZoneObservations(
-                                copy,
-                                zoneOf[copy],
+                                replica,
+                                zoneOf[replica],
                                 1,
                                 sequence,
                                 0,
                                 500,
-                                (int) (demand[zoneOf[copy]] / COPIES / 2),
+                                (int) (demand[zoneOf[replica]] / REPLICAS / 2),
                                 0,
                                 seen);
                 for (byte[] part : evidence.encode(136)) {
-                    if (!silent.contains(copy) && random.nextDouble() >= loss) {
+                    if (!silent.contains(replica) && random.nextDouble() >= loss) {
                         assessment.heard(now, ZoneObservations.decode(part));
                     }
                 }
@@ -380,13 +380,13 @@
         }
     }
 
-    private static ZoneObservations says(int copy, Integer... bad) {
+    private static ZoneObservations says(int replica, Integer... bad) {
         List<Seen> seen = new ArrayList<>();
         for (int zone = 0; zone < ZONES && bad.length > 0; zone++) {
             boolean ill = Arrays.asList(bad).contains(zone);
             seen.add(new Seen(zone, 0, ill ? 0 : 9, 0, ill ? 9 : 0, 0, 0, 0, 0, 6, 0, 600));
         }
-        return new ZoneObservations(copy, copy / COPIES, 1, 1, 0, 500, 30, 0, seen);
+        return new ZoneObservations(replica, replica / REPLICAS, 1, 1, 0, 500, 30, 0, seen);
     }
 
     /** Guards against a zone's word that is one copy's, or that of copies with a broken link. */
@@ -400,8 +400,8 @@
         play.assessment.heard(0, says(7, 1));
         assertTrue(play.assessment.picture(0).zones().get(1).bad().contains(1), "two copies' word");
         play = new Play();
-        for (int copy = 4; copy < 8; copy++) {
-            play.assessment.heard(0, says(copy, 0, 1, 2, 3, 4));
+        for (int replica = 4; replica < 8; replica++) {
+            play.assessment.heard(0, says(replica, 0, 1, 2, 3, 4));
         }
         assertEquals(play.assessment.picture(0).zones().get(1).bad(), Set.of(), "served nowhere");
     }
@@ -435,10 +435,10 @@
         play.seconds(4);
         ZoneHealthSnapshot picture = play.assessment.picture(play.now);
         assertEquals(picture.zones().get(1).fresh(), 0);
-        assertEquals(picture.away().size(), COPIES);
+        assertEquals(picture.away().size(), REPLICAS);
         assertEquals(picture.zones().get(1).state(), State.WELL, "others are served there");
         assertEquals(play.moves, List.of());
-        play.assessment.lapse(play.now, copy -> play.now - 1);
+        play.assessment.lapse(play.now, replica -> play.now - 1);
         assertEquals(play.assessment.picture(play.now).away(), List.of());
     }
 }
--- a/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
+++ b/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
@@ -31,10 +31,10 @@
                 seen.add(
                         new Seen(
                                 zone,
-                                random.nextInt(ZoneObservations.MOST_AGE + 1),
+                                random.nextInt(ZoneObservations.MAX_AGE + 1),
                                 random.nextInt(3_000),
                                 random.nextInt(9),
-                                random.nextInt(ZoneObservations.MOST_COUNT),
+                                random.nextInt(ZoneObservations.MAX_COUNT),
                                 random.nextInt(200),
                                 random.nextInt(90),
                                 random.nextInt(4_000),
@@ -65,19 +65,19 @@
         Random random = new Random(SEED);
         for (int i = 0; i < 2_000; i++) {
             ZoneObservations evidence = any(random, random.nextInt(65));
-            int most =
-                    ZoneObservations.LEAST_BYTES
+            int max =
+                    ZoneObservations.MIN_BYTES
                             + random.nextInt(
-                                    ZoneObservations.MOST_BYTES - ZoneObservations.LEAST_BYTES + 1);
+                                    ZoneObservations.MAX_BYTES - ZoneObservations.MIN_BYTES + 1);
             List<Seen> seen = new ArrayList<>();
-            for (byte[] part : evidence.encode(most)) {
-                assertTrue(part.length <= most, "seed " + SEED + ", " + i);
+            for (byte[] part : evidence.encode(max)) {
+                assertTrue(part.length <= max, "seed " + SEED + ", " + i);
                 ZoneObservations read = ZoneObservations.decode(part);
                 assertEquals(
                         new ZoneObservations(
-                                read.copy(),
+                                read.replica(),
                                 read.zone(),
-                                read.life(),
+                                read.incarnation(),
                                 read.sequence(),
                                 read.table(),
                                 read.millis(),
@@ -104,7 +104,7 @@
                                 new Seen(1, 0, 0, 0, 1, 0, 1, 0, 60, 8, 0, 800),
                                 new Seen(2, 9, 1, 0, 0, 0, 0, 0, 50, 8, 0, 800),
                                 new Seen(3, 0, 58, 1, 0, 1, 4, 0, 70, 8, 1, 720)));
-        assertEquals(usual.encode(ZoneObservations.MOST_BYTES).size(), 1);
+        assertEquals(usual.encode(ZoneObservations.MAX_BYTES).size(), 1);
     }
 
     /** Guards against a peer that ends this process, or has it keep what can't be. */
@@ -115,7 +115,7 @@
             byte[] bytes =
                     i % 2 == 0
                             ? new byte[random.nextInt(260)]
-                            : any(random, 6).encode(ZoneObservations.MOST_BYTES).get(0);
+                            : any(random, 6).encode(ZoneObservations.MAX_BYTES).get(0);
             if (i % 2 == 0) {
                 random.nextBytes(bytes);
                 if (bytes.length > 0) {
@@ -126,7 +126,7 @@
             }
             ZoneObservations read = ZoneObservations.decode(bytes);
             assertTrue(
-                    read == null || read.encode(ZoneObservations.MOST_BYTES).get(0).length <= 200);
+                    read == null || read.encode(ZoneObservations.MAX_BYTES).get(0).length <= 200);
         }
         assertNull(ZoneObservations.decode(new byte[0]));
     }
--- a/core/src/test/java/cedarrudder/footprint/EndpointListFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/EndpointListFootprintTest.java
@@ -68,11 +68,11 @@
                 "at once");
         List<Integer> never = FOOTPRINT.steps(list, list(50_000), 45_000, true, room);
         assertTrue(never.stream().mapToInt(Integer::intValue).sum() < 45_000, never.toString());
-        int most = FOOTPRINT.most(list, room);
-        assertTrue(FOOTPRINT.judge(EndpointListShape.NONE, list(most), most, true, room).fits());
+        int max = FOOTPRINT.max(list, room);
+        assertTrue(FOOTPRINT.judge(EndpointListShape.NONE, list(max), max, true, room).fits());
         assertFalse(
                 FOOTPRINT
-                        .judge(EndpointListShape.NONE, list(most + 50), most + 50, true, room)
+                        .judge(EndpointListShape.NONE, list(max + 50), max + 50, true, room)
                         .fits());
     }
 
--- a/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
@@ -24,7 +24,8 @@
         return new EndpointListShape(nodes, nodes * 150L, nodes * 10L, nodes * 37L);
     }
 
-    private static ProcessShape copy(int nodes, int callers, int channels, int bodies, long bytes) {
+    private static ProcessShape replica(
+            int nodes, int callers, int channels, int bodies, long bytes) {
         return new ProcessShape(list(nodes), 12, 2, 3, 20, null, callers, channels, bodies, bytes);
     }
 
@@ -35,12 +36,12 @@
     /** Guards against a term that is forgotten in the sum, or counts under another bound. */
     @Test
     public void eachTermAddsToWhatItTakes() {
-        MemoryEstimate none = FOOTPRINT.takes(copy(1_000, 0, 0, 0, 0));
-        MemoryEstimate callers = FOOTPRINT.takes(copy(1_000, 100, 0, 0, 0)).minus(none);
+        MemoryEstimate none = FOOTPRINT.takes(replica(1_000, 0, 0, 0, 0));
+        MemoryEstimate callers = FOOTPRINT.takes(replica(1_000, 100, 0, 0, 0)).minus(none);
         assertEquals(callers.descriptors(), 100);
         assertTrue(callers.rest() > 200_000 && callers.rest() == callers.peak());
-        assertEquals(FOOTPRINT.takes(copy(1_000, 0, 40, 0, 0)).minus(none).descriptors(), 40);
-        MemoryEstimate bodies = FOOTPRINT.takes(copy(1_000, 0, 0, 10, 600_000)).minus(none);
+        assertEquals(FOOTPRINT.takes(replica(1_000, 0, 40, 0, 0)).minus(none).descriptors(), 40);
+        MemoryEstimate bodies = FOOTPRINT.takes(replica(1_000, 0, 0, 10, 600_000)).minus(none);
         assertTrue(
                 bodies.rest() > 600_000
                         && bodies.direct() >= 9 * 32_768
@@ -74,39 +75,40 @@
 
     @Test
     public void oneMoreNodeTakesWhatAThousandTakeByTheThousand() {
-        MemoryEstimate one = FOOTPRINT.oneMoreNode(copy(1_000, 0, 0, 0, 0));
+        MemoryEstimate one = FOOTPRINT.oneMoreNode(replica(1_000, 0, 0, 0, 0));
         MemoryEstimate thousand =
                 FOOTPRINT
-                        .takes(copy(2_000, 0, 0, 0, 0))
-                        .minus(FOOTPRINT.takes(copy(1_000, 0, 0, 0, 0)));
+                        .takes(replica(2_000, 0, 0, 0, 0))
+                        .minus(FOOTPRINT.takes(replica(1_000, 0, 0, 0, 0)));
         assertEquals(one.rest(), thousand.rest() / 1_000);
         assertTrue(
                 one.rest() > 900 && one.peak() > one.rest() + 900 && one.descriptors() == 0,
                 one.toString());
-        assertEquals(FOOTPRINT.oneMoreNode(copy(0, 0, 0, 0, 0)), MemoryEstimate.NOTHING);
+        assertEquals(FOOTPRINT.oneMoreNode(replica(0, 0, 0, 0, 0)), MemoryEstimate.NOTHING);
     }
 
     /** Guards against a verdict that names a bound which is not the one that binds. */
     @Test
     public void theBoundThatBindsIsNamedWithWhatLacks() {
-        ProcessShape copy = copy(10_000, 500, 200, 10, 600_000);
-        MemoryEstimate all = FOOTPRINT.takes(copy);
-        assertTrue(FOOTPRINT.judge(copy, LARGE).fits());
+        ProcessShape replica = replica(10_000, 500, 200, 10, 600_000);
+        MemoryEstimate all = FOOTPRINT.takes(replica);
+        assertTrue(FOOTPRINT.judge(replica, LARGE).fits());
         ProcessLimits[] tight = {
             new ProcessLimits(all.rest() - 5, 0, 0, 0),
             new ProcessLimits(all.peak() - 5, 0, 0, 0),
-            new ProcessLimits(1L << 32, FOOTPRINT.resident(copy) - 5, 1L << 30, 1 << 16),
+            new ProcessLimits(1L << 32, FOOTPRINT.resident(replica) - 5, 1L << 30, 1 << 16),
             new ProcessLimits(1L << 32, 0, all.direct() - 5, 1 << 16),
             new ProcessLimits(1L << 32, 1L << 33, 1L << 30, all.descriptors() - 5)
         };
         for (Bound bound : Bound.values()) {
-            Verdict verdict = FOOTPRINT.judge(copy, tight[bound.ordinal()]);
+            Verdict verdict = FOOTPRINT.judge(replica, tight[bound.ordinal()]);
             assertFalse(verdict.fits(), bound + ": " + verdict);
             assertEquals(verdict.bound(), bound);
             assertEquals(verdict.spare(), -5);
         }
         assertTrue(
-                FOOTPRINT.judge(copy, new ProcessLimits(0, 0, 0, 0)).fits(), "no bound is known");
+                FOOTPRINT.judge(replica, new ProcessLimits(0, 0, 0, 0)).fits(),
+                "no bound is known");
     }
 
     /**
--- a/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -46,7 +46,7 @@
                         .mapToObj(
                                 i ->
                                         new Leaving(
-                                                i * 0x9E3779B97L % RouteTable.MOST_NODE,
+                                                i * 0x9E3779B97L % RouteTable.MAX_NODE,
                                                 (int) (i / 8)))
                         .toList(),
                 List.of());
@@ -64,7 +64,7 @@
         assertEquals(RouteTableCapacity.holdsBack(next, rooms), (Integer) 2);
         assertNull(
                 RouteTableCapacity.holdsBack(table(2, 3, 100), rooms), "one that it has room for");
-        assertEquals(RouteTableCapacity.least(rooms.values()), small);
+        assertEquals(RouteTableCapacity.min(rooms.values()), small);
         rooms.remove(2);
         assertNull(RouteTableCapacity.holdsBack(next, rooms), "without it");
     }
@@ -109,7 +109,7 @@
             }
         }
         RouteTableCapacity all = TABLES.room(held, 20_000_000, 0);
-        RouteTable largest = table(2, 64, RouteTable.MOST_LEAVING);
+        RouteTable largest = table(2, 64, RouteTable.MAX_LEAVING);
         assertTrue(all.holds(largest, RouteTableFootprint.bytes(largest)), all.toString());
         assertFalse(TABLES.room(held, 0, 0).holds(table(2, 1, 0), 8));
     }
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -35,7 +35,7 @@
  */
 public class RequestForwarderTest {
 
-    private static final int MOST_ATTEMPTS = 2;
+    private static final int MAX_ATTEMPTS = 2;
     private static final long DEADLINE = 1000;
 
     private static final LoadBalancer.BalancerSettings SITE =
@@ -122,7 +122,7 @@
                             actions = did;
                             return new Module();
                         },
-                        MOST_ATTEMPTS,
+                        MAX_ATTEMPTS,
                         new TimerService() {
                             @Override
                             public long now() {
@@ -241,7 +241,7 @@
     public void attemptsBeyondTheMostAreMoot() {
         onRequest =
                 () -> {
-                    for (int i = 0; i <= MOST_ATTEMPTS; i++) {
+                    for (int i = 0; i <= MAX_ATTEMPTS; i++) {
                         actions.send(1, 7, 0);
                     }
                 };
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -21,7 +21,7 @@
 public class SwimMemberTest {
 
     private static final long SECOND = 1_000_000_000L;
-    private static final long LIFE = 1_000;
+    private static final long INCARNATION = 1_000;
 
     /** What went out: to whom, and what. */
     private record Sent(int to, SwimMessage packet) {}
@@ -39,14 +39,14 @@
                 new SwimMember(
                         instances,
                         0,
-                        LIFE,
+                        INCARNATION,
                         settings,
                         new SplittableRandom(7),
                         new SwimMember.Actions() {
                             @Override
                             public void send(int to, byte[] message) {
                                 assertTrue(
-                                        message.length <= SwimMessage.MOST_BYTES,
+                                        message.length <= SwimMessage.MAX_BYTES,
                                         message.length + " bytes");
                                 sent.add(new Sent(to, SwimMessage.decode(message, instances)));
                             }
@@ -63,17 +63,18 @@
         start(instances, MembershipSettings.DEFAULT);
     }
 
-    private void hear(int from, Kind kind, int question, long life, int subject, News... news) {
-        swim.received(now, from, packet(kind, question, from, life, subject, news).encode());
+    private void hear(
+            int from, Kind kind, int question, long incarnation, int subject, News... news) {
+        swim.received(now, from, packet(kind, question, from, incarnation, subject, news).encode());
     }
 
     private static SwimMessage packet(
-            Kind kind, int question, int from, long life, int subject, News... news) {
-        return new SwimMessage(kind, question, from, life, subject, 0, null, List.of(news));
+            Kind kind, int question, int from, long incarnation, int subject, News... news) {
+        return new SwimMessage(kind, question, from, incarnation, subject, 0, null, List.of(news));
     }
 
-    private static News news(int number, long life, Standing standing, int accuser) {
-        return new News(new Member(number, life, standing), accuser);
+    private static News news(int number, long incarnation, Standing standing, int accuser) {
+        return new News(new Member(number, incarnation, standing), accuser);
     }
 
     /** Lets it do what it wants to, until it sends a message of this kind. */
@@ -247,18 +248,18 @@
     @Test
     public void whatIsSaidOfItselfIsContradicted() {
         start(3);
-        hear(1, Kind.PING, 5, 1, 0, news(0, LIFE, Standing.SUSPECT, 2));
+        hear(1, Kind.PING, 5, 1, 0, news(0, INCARNATION, Standing.SUSPECT, 2));
         Sent answer = await(Kind.ACK);
-        assertEquals(answer.packet.incarnation(), LIFE + 1);
+        assertEquals(answer.packet.incarnation(), INCARNATION + 1);
         assertTrue(
-                answer.packet.news().contains(news(0, LIFE + 1, Standing.ALIVE, 0)),
+                answer.packet.news().contains(news(0, INCARNATION + 1, Standing.ALIVE, 0)),
                 answer.toString());
         // An older life of its own had a larger number: it takes the next.
-        hear(1, Kind.PING, 6, 1, 0, news(0, LIFE + 70, Standing.DEAD, 2));
-        assertEquals(await(Kind.ACK).packet.incarnation(), LIFE + 71);
+        hear(1, Kind.PING, 6, 1, 0, news(0, INCARNATION + 70, Standing.DEAD, 2));
+        assertEquals(await(Kind.ACK).packet.incarnation(), INCARNATION + 71);
         // Old claims change nothing.
-        hear(1, Kind.PING, 7, 1, 0, news(0, LIFE + 70, Standing.DEAD, 2));
-        assertEquals(await(Kind.ACK).packet.incarnation(), LIFE + 71);
+        hear(1, Kind.PING, 7, 1, 0, news(0, INCARNATION + 70, Standing.DEAD, 2));
+        assertEquals(await(Kind.ACK).packet.incarnation(), INCARNATION + 71);
         assertEquals(swim.counts().refuted(), 2);
     }
 
@@ -338,9 +339,9 @@
             now = swim.due();
             swim.tick(now);
         }
-        double least = 4 * Math.log10(30) * MembershipSettings.DEFAULT.period();
+        double min = 4 * Math.log10(30) * MembershipSettings.DEFAULT.period();
         assertEquals(
-                now - began, least, MembershipSettings.DEFAULT.period(), "the shortest suspicion");
+                now - began, min, MembershipSettings.DEFAULT.period(), "the shortest suspicion");
         // Of a life that was never heard of it is: so one that starts learns whom the others
         // buried.
         hear(2, Kind.NACK, 0, 5, 2, news(8, 20, Standing.DEAD, 2));
@@ -411,7 +412,11 @@
         assertFalse(sent.isEmpty());
         assertTrue(
                 sent.stream()
-                        .allMatch(s -> s.packet.news().contains(news(0, LIFE, Standing.DEAD, 0))),
+                        .allMatch(
+                                s ->
+                                        s.packet
+                                                .news()
+                                                .contains(news(0, INCARNATION, Standing.DEAD, 0))),
                 sent.toString());
         sent.clear();
         hear(1, Kind.PING, 1, 1, 0);
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
@@ -12,10 +12,10 @@
     public static final AgreementTable AGREEMENT = new AgreementTable();
 
     private static final long MILLI = 1_000_000L;
-    private static final long LEAST_BEAT = 10;
-    private static final long MOST_BEAT = 10_000;
-    private static final long MOST_TIME = 600_000;
-    private static final long LEAST_PLAN = 100;
+    private static final long MIN_BEAT = 10;
+    private static final long MAX_BEAT = 10_000;
+    private static final long MAX_TIME = 600_000;
+    private static final long MIN_PLAN = 100;
     private static final int BEATS = 3;
     private static final int REPORTS = 4;
 
@@ -26,25 +26,24 @@
     @Override
     AgreementTableSettings read(ConfigTable table) {
         ConsensusSettings usual = ConsensusSettings.DEFAULT;
-        long beat =
-                CommonKeys.millis(table, "heartbeat_ms", LEAST_BEAT, MOST_BEAT, usual.heartbeat());
-        long least =
+        long beat = CommonKeys.millis(table, "heartbeat_ms", MIN_BEAT, MAX_BEAT, usual.heartbeat());
+        long min =
                 CommonKeys.millis(
-                        table, "election_least_ms", LEAST_BEAT, MOST_TIME, usual.electionLeast());
-        if (least < BEATS * beat && table.sound("heartbeat_ms", "election_least_ms")) {
+                        table, "election_least_ms", MIN_BEAT, MAX_TIME, usual.minElection());
+        if (min < BEATS * beat && table.sound("heartbeat_ms", "election_least_ms")) {
             wrong(
                     table,
                     "election_least_ms",
-                    least,
+                    min,
                     "heartbeat_ms",
                     beat,
                     "three times that or more");
         }
-        long most =
+        long max =
                 CommonKeys.millis(
-                        table, "election_most_ms", LEAST_BEAT, MOST_TIME, usual.electionMost());
-        if (most <= least && table.sound("election_least_ms", "election_most_ms")) {
-            wrong(table, "election_most_ms", most, "election_least_ms", least, "more than that");
+                        table, "election_most_ms", MIN_BEAT, MAX_TIME, usual.maxElection());
+        if (max <= min && table.sound("election_least_ms", "election_most_ms")) {
+            wrong(table, "election_most_ms", max, "election_least_ms", min, "more than that");
         }
         int voters = (int) table.whole("voters", BEATS, 7, usual.voters());
         if (voters % 2 == 0) {
@@ -52,11 +51,11 @@
         }
         long patience =
                 CommonKeys.millis(
-                        table, "voter_patience_ms", LEAST_BEAT, MOST_TIME, usual.voterPatience());
-        if (patience <= most && table.sound("election_most_ms", "voter_patience_ms")) {
-            wrong(table, "voter_patience_ms", patience, "election_most_ms", most, "more than that");
+                        table, "voter_patience_ms", MIN_BEAT, MAX_TIME, usual.voterPatience());
+        if (patience <= max && table.sound("election_most_ms", "voter_patience_ms")) {
+            wrong(table, "voter_patience_ms", patience, "election_most_ms", max, "more than that");
         }
-        long silence = CommonKeys.millis(table, "silence_ms", 0, MOST_TIME, usual.silence());
+        long silence = CommonKeys.millis(table, "silence_ms", 0, MAX_TIME, usual.silence());
         if (silence > 0 && silence <= patience && table.sound("voter_patience_ms", "silence_ms")) {
             wrong(
                     table,
@@ -70,15 +69,15 @@
                 CommonKeys.millis(
                         table,
                         "plan_ms",
-                        LEAST_PLAN,
-                        MOST_TIME,
+                        MIN_PLAN,
+                        MAX_TIME,
                         CoordinationSettings.DEFAULT.period());
         long lease =
                 CommonKeys.millis(
                         table,
                         "lease_ms",
-                        LEAST_PLAN,
-                        MOST_TIME,
+                        MIN_PLAN,
+                        MAX_TIME,
                         CoordinationSettings.DEFAULT.lease());
         if (lease < REPORTS * period && table.sound("plan_ms", "lease_ms")) {
             wrong(table, "lease_ms", lease, "plan_ms", period, "four times that or more");
@@ -99,8 +98,8 @@
                 sound
                         ? new ConsensusSettings(
                                 beat,
-                                least,
-                                most,
+                                min,
+                                max,
                                 voters,
                                 patience,
                                 usual.spreadPeriod(),
--- a/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
@@ -11,13 +11,13 @@
 
     public static final BudgetTable BUDGET = new BudgetTable();
 
-    private static final int MOST_TRIES = 16;
-    private static final int MOST_PER_SECOND = 1_000;
-    private static final int LEAST_PATH = 2;
-    private static final int MOST_PATH = 16;
-    private static final double LEAST_LET_IN = 0.01;
-    private static final long LEAST_WINDOW = 1_000;
-    private static final long MOST_WINDOW = 60_000;
+    private static final int MAX_TRIES = 16;
+    private static final int MAX_PER_SECOND = 1_000;
+    private static final int MIN_PATH = 2;
+    private static final int MAX_PATH = 16;
+    private static final double MIN_LET_IN = 0.01;
+    private static final long MIN_WINDOW = 1_000;
+    private static final long MAX_WINDOW = 60_000;
 
     private BudgetTable() {
         super("budget", BudgetSettings.class, null);
@@ -30,21 +30,20 @@
         BudgetSettings read =
                 new BudgetSettings(
                         table.text("hop", ""),
-                        (int) table.whole("tries", 0, MOST_TRIES, usual.tries()),
+                        (int) table.whole("tries", 0, MAX_TRIES, usual.tries()),
                         (int)
                                 table.whole(
                                         "tries_without_fields",
                                         0,
-                                        MOST_TRIES,
+                                        MAX_TRIES,
                                         usual.triesWithoutFields()),
-                        (int) table.whole("keep_tries", 0, MOST_TRIES, usual.keep()),
+                        (int) table.whole("keep_tries", 0, MAX_TRIES, usual.keep()),
                         table.number("retry_share", 0, 1, usual.share()),
-                        table.number(
-                                "retry_least_per_s", 0, MOST_PER_SECOND, usual.leastPerSecond()),
+                        table.number("retry_least_per_s", 0, MAX_PER_SECOND, usual.minPerSecond()),
                         CommonKeys.millis(
-                                table, "window_ms", LEAST_WINDOW, MOST_WINDOW, usual.window()),
-                        (int) table.whole("path_most", LEAST_PATH, MOST_PATH, usual.mostHops()),
-                        table.number("let_in_least", LEAST_LET_IN, 1, usual.leastAdmitted()));
+                                table, "window_ms", MIN_WINDOW, MAX_WINDOW, usual.window()),
+                        (int) table.whole("path_most", MIN_PATH, MAX_PATH, usual.maxHops()),
+                        table.number("let_in_least", MIN_LET_IN, 1, usual.minAdmitted()));
         check(table, read);
         return read;
     }
@@ -68,7 +67,7 @@
                     read.keep() + " with tries = " + read.tries(),
                     "no more than tries, of which they are kept");
         }
-        if (read.tries() > 0 && read.share() == 0 && read.leastPerSecond() == 0) {
+        if (read.tries() > 0 && read.share() == 0 && read.minPerSecond() == 0) {
             table.problem(
                     "tries",
                     read.tries() + " with retry_share = 0 and retry_least_per_s = 0",
--- a/daemon/src/main/java/cedarrudder/operator/CallersTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/CallersTable.java
@@ -32,8 +32,8 @@
                 CommonKeys.millis(table, "idle_patience_ms", 500, 3_600_000, usual.idlePatience()),
                 CommonKeys.millis(
                         table, "answer_patience_ms", 500, 600_000, usual.answerPatience()),
-                CommonKeys.headBytes(table, usual.mostHead()),
-                CommonKeys.bodyBytes(table, usual.mostBody()),
+                CommonKeys.headBytes(table, usual.maxHead()),
+                CommonKeys.bodyBytes(table, usual.maxBody()),
                 CommonKeys.descriptorsShare(table, usual.descriptorsShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
+++ b/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
@@ -6,10 +6,10 @@
 final class CommonKeys {
 
     private static final long NANOS_A_MILLI = 1_000_000;
-    private static final int LEAST_HEAD = 1024;
-    private static final int MOST_HEAD = 256 * 1024;
-    private static final int MOST_BODY = 1024 * 1024 * 1024;
-    private static final double LEAST_SHARE = 0.05;
+    private static final int MIN_HEAD = 1024;
+    private static final int MAX_HEAD = 256 * 1024;
+    private static final int MAX_BODY = 1024 * 1024 * 1024;
+    private static final double MIN_SHARE = 0.05;
 
     static final String SHARE = "descriptors_share";
 
@@ -17,24 +17,24 @@
      * What callers and channels to nodes may have together; discovery and the process's files need
      * some.
      */
-    static final double MOST_SHARES = 0.9;
+    static final double MAX_SHARES = 0.9;
 
     private CommonKeys() {}
 
     /** A time in whole milliseconds; in nanoseconds from here on. */
-    static long millis(ConfigTable table, String key, long least, long most, long otherwiseNanos) {
-        return NANOS_A_MILLI * table.whole(key, least, most, otherwiseNanos / NANOS_A_MILLI);
+    static long millis(ConfigTable table, String key, long min, long max, long otherwiseNanos) {
+        return NANOS_A_MILLI * table.whole(key, min, max, otherwiseNanos / NANOS_A_MILLI);
     }
 
     static int headBytes(ConfigTable table, int otherwise) {
-        return (int) table.whole("head_bytes", LEAST_HEAD, MOST_HEAD, otherwise);
+        return (int) table.whole("head_bytes", MIN_HEAD, MAX_HEAD, otherwise);
     }
 
     static int bodyBytes(ConfigTable table, int otherwise) {
-        return (int) table.whole("body_bytes", 0, MOST_BODY, otherwise);
+        return (int) table.whole("body_bytes", 0, MAX_BODY, otherwise);
     }
 
     static double descriptorsShare(ConfigTable table, double otherwise) {
-        return table.number(SHARE, LEAST_SHARE, MOST_SHARES - LEAST_SHARE, otherwise);
+        return table.number(SHARE, MIN_SHARE, MAX_SHARES - MIN_SHARE, otherwise);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
@@ -11,7 +11,7 @@
     /**
      * Discovery says something every 2 s; a shorter patience would lose every watch that stands.
      */
-    private static final int LEAST_WATCH = 2_500;
+    private static final int MIN_WATCH = 2_500;
 
     private DiscoveryTable() {
         super("discovery", DiscoveryTimeouts.class, DiscoveryTimeouts.DEFAULT);
@@ -23,7 +23,7 @@
         return new DiscoveryTimeouts(
                 CommonKeys.millis(table, "call_patience_ms", 100, 60_000, usual.call()),
                 CommonKeys.millis(table, "ask_again_ms", 100, 60_000, usual.again()),
-                CommonKeys.millis(table, "watch_patience_ms", LEAST_WATCH, 600_000, usual.watch()),
+                CommonKeys.millis(table, "watch_patience_ms", MIN_WATCH, 600_000, usual.watch()),
                 CommonKeys.millis(table, "watch_spread_ms", 0, 60_000, usual.spread()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -28,11 +28,11 @@
 final class DrainsReader {
 
     private static final long MILLI = 1_000_000;
-    private static final long MOST_REVISION = 1L << 52;
-    private static final int MOST_POD = 1_000_000;
-    private static final double MOST_WEIGHT = 1_000_000;
+    private static final long MAX_REVISION = 1L << 52;
+    private static final int MAX_POD = 1_000_000;
+    private static final double MAX_WEIGHT = 1_000_000;
     private static final long USUAL_TIME = 60_000 * MILLI;
-    private static final int MOST_FLEET = 4_096;
+    private static final int MAX_FLEET = 4_096;
     private static final List<String> DAYS =
             List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun");
     private static final List<String> BOUNDS =
@@ -43,15 +43,14 @@
 
     static DrainsConfiguration read(ConfigTable table) {
         ConditionCompiler conditions = new ConditionsJar();
-        long revision = table.whole("revision", 1, MOST_REVISION);
+        long revision = table.whole("revision", 1, MAX_REVISION);
         Fleet fleet = fleet(table.table("fleet"));
         List<ConfigTable> tables = table.tables("policy");
-        if (tables.isEmpty() && table.sound("policy")
-                || tables.size() > DrainPolicy.MOST_POLICIES) {
+        if (tables.isEmpty() && table.sound("policy") || tables.size() > DrainPolicy.MAX_POLICIES) {
             table.problem(
                     "policy",
                     tables.size() + " policies",
-                    "1 to " + DrainPolicy.MOST_POLICIES + " tables written [[drains.policy]]");
+                    "1 to " + DrainPolicy.MAX_POLICIES + " tables written [[drains.policy]]");
         }
         List<DrainPolicy> policies = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -72,7 +71,7 @@
             policies.add(policy);
         }
         PolicyValidator.Result result =
-                sound && policies.size() <= DrainPolicy.MOST_POLICIES
+                sound && policies.size() <= DrainPolicy.MAX_POLICIES
                         ? PolicyValidator.check(policies, conditions, fleet)
                         : new PolicyValidator.Result(List.of(), List.of());
         for (Finding finding : result.findings()) {
@@ -85,11 +84,11 @@
                             finding.allowed());
         }
         int bytes = PolicyCodec.encode(policies).length;
-        if (bytes > PolicyCodec.MOST_BYTES) {
+        if (bytes > PolicyCodec.MAX_BYTES) {
             table.problem(
                     "policy",
                     "policies of " + bytes + " bytes as copies tell them",
-                    "up to " + PolicyCodec.MOST_BYTES);
+                    "up to " + PolicyCodec.MAX_BYTES);
         }
         return new DrainsConfiguration(revision, policies, result.both(), conditions);
     }
@@ -98,12 +97,12 @@
         if (table == null) {
             return null;
         }
-        long zones = table.whole("zones", 1, MOST_FLEET);
-        long pods = table.whole("pods_per_zone", 1, MOST_FLEET);
-        long nodes = table.whole("nodes_per_pod", 1, MOST_FLEET);
-        boolean fits = zones * pods * nodes <= MOST_FLEET;
+        long zones = table.whole("zones", 1, MAX_FLEET);
+        long pods = table.whole("pods_per_zone", 1, MAX_FLEET);
+        long nodes = table.whole("nodes_per_pod", 1, MAX_FLEET);
+        boolean fits = zones * pods * nodes <= MAX_FLEET;
         if (!fits) {
-            table.problem("", zones * pods * nodes + " nodes", "up to " + MOST_FLEET);
+            table.problem("", zones * pods * nodes + " nodes", "up to " + MAX_FLEET);
         }
         table.done();
         return fits ? new Fleet((int) zones, (int) pods, (int) nodes) : null;
@@ -115,22 +114,22 @@
         String name = faults.text("name", null);
         String tier = faults.text("tier", "");
         String zone = faults.text("zone", "");
-        int pod = table.has("pod") ? (int) table.whole("pod", 0, MOST_POD) : DrainPolicy.ANY_POD;
+        int pod = table.has("pod") ? (int) table.whole("pod", 0, MAX_POD) : DrainPolicy.ANY_POD;
         String kind = faults.text("kind", "");
-        double[] weight = table.range("weight", 0, MOST_WEIGHT, new double[] {0, MOST_WEIGHT});
+        double[] weight = table.range("weight", 0, MAX_WEIGHT, new double[] {0, MAX_WEIGHT});
         String where = faults.text("where", "");
-        Most perPod = faults.most("out_per_pod");
-        Most perZone = faults.most("out_per_zone");
-        Most perTier = faults.most("out_per_tier");
+        Most perPod = faults.max("out_per_pod");
+        Most perZone = faults.max("out_per_zone");
+        Most perTier = faults.max("out_per_tier");
         Left left = faults.left();
         if (BOUNDS.stream().noneMatch(table::has)) {
             faults.problem(
                     "out_per_tier", "no bound", "one at least of " + String.join(", ", BOUNDS));
         }
         Order order = table.choice("order", Order.class, Order.AS_ASKED);
-        int wave = (int) table.whole("wave", 1, DrainPolicy.MOST_NODES, DrainPolicy.MOST_NODES);
-        long pace = CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MOST_TIME / MILLI, 0);
-        int died = (int) table.whole("died", 0, DrainPolicy.MOST_NODES, 1);
+        int wave = (int) table.whole("wave", 1, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
+        long pace = CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MAX_TIME / MILLI, 0);
+        int died = (int) table.whole("died", 0, DrainPolicy.MAX_NODES, 1);
         String pauseIf = faults.text("pause_if", "");
         String goOnIf = faults.text("go_on_if", "");
         String giveBackIf = faults.text("give_back_if", "");
@@ -138,8 +137,8 @@
                 CommonKeys.millis(
                         table,
                         "node_ms",
-                        DrainPolicy.LEAST_TIME / MILLI,
-                        DrainPolicy.MOST_TIME / MILLI,
+                        DrainPolicy.MIN_TIME / MILLI,
+                        DrainPolicy.MAX_TIME / MILLI,
                         USUAL_TIME);
         AtEnd atEnd = table.choice("at_end", AtEnd.class, AtEnd.KEEP_WAITING);
         Restarted restarted = table.choice("restarted", Restarted.class, Restarted.BACK);
@@ -198,26 +197,25 @@
         String text(String key, String otherwise) {
             String text = table.text(key, otherwise);
             sound &= table.sound(key);
-            if (text.length() > DrainPolicy.MOST_TEXT
+            if (text.length() > DrainPolicy.MAX_TEXT
                     || text.isEmpty() && otherwise == null && table.sound(key)) {
-                problem(key, text.length() + " characters", "1 to " + DrainPolicy.MOST_TEXT);
+                problem(key, text.length() + " characters", "1 to " + DrainPolicy.MAX_TEXT);
             }
             return text;
         }
 
-        Most most(String key) {
-            ConfigTable most = table.table(key);
-            if (most == null) {
+        Most max(String key) {
+            ConfigTable max = table.table(key);
+            if (max == null) {
                 sound &= table.sound(key);
                 return Most.ANY;
             }
-            int nodes =
-                    (int) most.whole("nodes", 0, DrainPolicy.MOST_NODES, DrainPolicy.MOST_NODES);
-            double share = most.number("share", 0, 1, 1);
-            if (!most.has("nodes") && !most.has("share")) {
+            int nodes = (int) max.whole("nodes", 0, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
+            double share = max.number("share", 0, 1, 1);
+            if (!max.has("nodes") && !max.has("share")) {
                 problem(key, "an empty table", "nodes, share or both");
             }
-            most.done();
+            max.done();
             return new Most(nodes, share);
         }
 
@@ -229,9 +227,9 @@
             }
             Left all =
                     new Left(
-                            (int) left.whole("per_pod", 0, DrainPolicy.MOST_NODES, 0),
-                            (int) left.whole("per_zone", 0, DrainPolicy.MOST_NODES, 0),
-                            (int) left.whole("per_tier", 0, DrainPolicy.MOST_NODES, 0),
+                            (int) left.whole("per_pod", 0, DrainPolicy.MAX_NODES, 0),
+                            (int) left.whole("per_zone", 0, DrainPolicy.MAX_NODES, 0),
+                            (int) left.whole("per_tier", 0, DrainPolicy.MAX_NODES, 0),
                             left.number("weight", 0, 1, 0));
             left.done();
             return all;
@@ -264,8 +262,8 @@
                     sound = false;
                 }
             }
-            if (windows.size() > DrainPolicy.MOST_WINDOWS) {
-                problem("closed", windows.size() + " windows", "up to " + DrainPolicy.MOST_WINDOWS);
+            if (windows.size() > DrainPolicy.MAX_WINDOWS) {
+                problem("closed", windows.size() + " windows", "up to " + DrainPolicy.MAX_WINDOWS);
             }
             return windows;
         }
--- a/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
@@ -15,16 +15,16 @@
 
     public static final FailoverTable FAILOVER = new FailoverTable();
 
-    private static final long LEAST_PERIOD = 100;
-    private static final long MOST_PERIOD = 60_000;
-    private static final long MOST_TIME = 3_600_000;
-    private static final int MOST_COPIES = 16;
-    private static final double LEAST_SHARE = 0.05;
-    private static final double LEAST_PART = 0.1;
-    private static final double MOST_BAD = 0.95;
-    private static final double MOST_WATCH = 0.05;
-    private static final int LEAST_MOVES = 8;
-    private static final int MOST_MOVES = 60;
+    private static final long MIN_PERIOD = 100;
+    private static final long MAX_PERIOD = 60_000;
+    private static final long MAX_TIME = 3_600_000;
+    private static final int MAX_REPLICAS = 16;
+    private static final double MIN_SHARE = 0.05;
+    private static final double MIN_PART = 0.1;
+    private static final double MAX_BAD = 0.95;
+    private static final double MAX_WATCH = 0.05;
+    private static final int MIN_MOVES = 8;
+    private static final int MAX_MOVES = 60;
     private static final long NANOS_A_MILLI = 1_000_000;
 
     private FailoverTable() {
@@ -35,11 +35,10 @@
     FailoverSettings read(ConfigTable table) {
         FailoverSettings usual = FailoverSettings.DEFAULT;
         Regions regions = regions(table);
-        long period =
-                CommonKeys.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
+        long period = CommonKeys.millis(table, "period_ms", MIN_PERIOD, MAX_PERIOD, usual.period());
         long age =
                 CommonKeys.millis(
-                        table, "evidence_age_ms", 2 * LEAST_PERIOD, MOST_TIME, usual.evidenceAge());
+                        table, "evidence_age_ms", 2 * MIN_PERIOD, MAX_TIME, usual.evidenceAge());
         if (age < 2 * period) {
             table.problem(
                     "evidence_age_ms",
@@ -49,7 +48,7 @@
         }
         long hold =
                 CommonKeys.millis(
-                        table, "return_hold_ms", LEAST_PERIOD, MOST_TIME, usual.returnHold());
+                        table, "return_hold_ms", MIN_PERIOD, MAX_TIME, usual.returnHold());
         if (hold <= period) {
             table.problem(
                     "return_hold_ms",
@@ -57,40 +56,31 @@
                     "more than the period");
             hold = 2 * period;
         }
-        long most =
+        long max =
                 CommonKeys.millis(
-                        table,
-                        "return_hold_most_ms",
-                        LEAST_PERIOD,
-                        MOST_TIME,
-                        usual.returnHoldMost());
-        if (most < hold) {
+                        table, "return_hold_most_ms", MIN_PERIOD, MAX_TIME, usual.maxReturnHold());
+        if (max < hold) {
             table.problem(
                     "return_hold_most_ms",
-                    most / NANOS_A_MILLI + " with return_hold_ms = " + hold / NANOS_A_MILLI,
+                    max / NANOS_A_MILLI + " with return_hold_ms = " + hold / NANOS_A_MILLI,
                     "no less than return_hold_ms");
-            most = hold;
+            max = hold;
         }
         return new FailoverSettings(
                 regions,
                 table.texts("leave"),
                 period,
                 age,
-                (int) table.whole("least_copies", 1, MOST_COPIES, usual.leastCopies()),
-                table.number("bad_share", LEAST_SHARE, MOST_BAD, usual.badShare()),
-                table.number("target_share", LEAST_PART, 1, usual.targetShare()),
-                table.number("near_share", LEAST_PART, 1, usual.nearShare()),
-                CommonKeys.millis(table, "loss_hold_ms", 0, MOST_TIME, usual.lossHold()),
-                table.number("return_step", LEAST_SHARE, 1, usual.returnStep()),
+                (int) table.whole("least_copies", 1, MAX_REPLICAS, usual.minReplicas()),
+                table.number("bad_share", MIN_SHARE, MAX_BAD, usual.badShare()),
+                table.number("target_share", MIN_PART, 1, usual.targetShare()),
+                table.number("near_share", MIN_PART, 1, usual.nearShare()),
+                CommonKeys.millis(table, "loss_hold_ms", 0, MAX_TIME, usual.lossHold()),
+                table.number("return_step", MIN_SHARE, 1, usual.returnStep()),
                 hold,
-                most,
-                (int)
-                        table.whole(
-                                "moves_per_minute",
-                                LEAST_MOVES,
-                                MOST_MOVES,
-                                usual.movesPerMinute()),
-                table.number("watch_share", 0, MOST_WATCH, usual.watchShare()));
+                max,
+                (int) table.whole("moves_per_minute", MIN_MOVES, MAX_MOVES, usual.movesPerMinute()),
+                table.number("watch_share", 0, MAX_WATCH, usual.watchShare()));
     }
 
     /**
--- a/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
@@ -7,9 +7,9 @@
 
     public static final FootprintTable FOOTPRINT = new FootprintTable();
 
-    private static final double LEAST_SHARE = 0.05;
-    private static final double MOST_SHARE = 0.9;
-    private static final int MOST_NODES = 1_000_000;
+    private static final double MIN_SHARE = 0.05;
+    private static final double MAX_SHARE = 0.9;
+    private static final int MAX_NODES = 1_000_000;
 
     private FootprintTable() {
         super("footprint", FootprintSettings.class, null);
@@ -19,8 +19,8 @@
     FootprintSettings read(ConfigTable table) {
         FootprintSettings usual = FootprintSettings.DEFAULT;
         return new FootprintSettings(
-                table.number("heap_share", LEAST_SHARE, MOST_SHARE, usual.heapShare()),
-                (int) table.whole("from_nodes", 0, MOST_NODES, usual.fromNodes()),
+                table.number("heap_share", MIN_SHARE, MAX_SHARE, usual.heapShare()),
+                (int) table.whole("from_nodes", 0, MAX_NODES, usual.fromNodes()),
                 CommonKeys.millis(table, "ask_again_ms", 1_000, 600_000, usual.again()));
     }
 }
