--- a/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
@@ -11,10 +11,10 @@
     public static final HistoryTable HISTORY = new HistoryTable();
 
     /** Sixty years and more either way: a clock that lost its battery says 1970. */
-    private static final long MOST_OFFSET = 2_000_000_000_000L;
+    private static final long MAX_OFFSET = 2_000_000_000_000L;
 
     /** One part in a thousand: what copies allow each other's clocks. */
-    private static final int MOST_DRIFT = 1_000;
+    private static final int MAX_DRIFT = 1_000;
 
     private HistoryTable() {
         super("history", HistorySettings.class, null);
@@ -28,7 +28,7 @@
         }
         return new HistorySettings(
                 Path.of(file),
-                table.whole("clock_offset_ms", -MOST_OFFSET, MOST_OFFSET, 0),
-                (int) table.whole("clock_drift_ppm", -MOST_DRIFT, MOST_DRIFT, 0));
+                table.whole("clock_offset_ms", -MAX_OFFSET, MAX_OFFSET, 0),
+                (int) table.whole("clock_drift_ppm", -MAX_DRIFT, MAX_DRIFT, 0));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/LogTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/LogTable.java
@@ -9,9 +9,9 @@
 
     public static final LogTable LOG = new LogTable();
 
-    private static final int MOST_LINES = 10_000;
-    private static final int LEAST_CHARS = 40;
-    private static final int MOST_CHARS = 10_000;
+    private static final int MAX_LINES = 10_000;
+    private static final int MIN_CHARS = 40;
+    private static final int MAX_CHARS = 10_000;
 
     private LogTable() {
         super("log", LogConfiguration.class, LogConfiguration.DEFAULT);
@@ -25,9 +25,7 @@
                         "format", LogConfiguration.Form.class, LogConfiguration.DEFAULT.form()),
                 new LogSettings(
                         table.choice("level", Level.class, usual.level()),
-                        (int) table.whole("lines_per_s", 0, MOST_LINES, usual.linesPerSecond()),
-                        (int)
-                                table.whole(
-                                        "line_chars", LEAST_CHARS, MOST_CHARS, usual.lineChars())));
+                        (int) table.whole("lines_per_s", 0, MAX_LINES, usual.linesPerSecond()),
+                        (int) table.whole("line_chars", MIN_CHARS, MAX_CHARS, usual.lineChars())));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -8,17 +8,17 @@
 
     public static final MembershipTable MEMBERSHIP = new MembershipTable();
 
-    private static final long LEAST_PERIOD = 100;
-    private static final long MOST_PERIOD = 60_000;
-    private static final long LEAST_PATIENCE = 10;
-    private static final int MOST_HELPERS = 8;
-    private static final double LEAST_SUSPICION = 0.5;
-    private static final double MOST_SUSPICION = 100;
-    private static final double MOST_STRETCH = 20;
-    private static final int MOST_CONFIRMATIONS = 16;
-    private static final int MOST_SPREAD = 16;
-    private static final int MOST_HEALTH = 32;
-    private static final int MOST_REVIVE = 1_000;
+    private static final long MIN_PERIOD = 100;
+    private static final long MAX_PERIOD = 60_000;
+    private static final long MIN_PATIENCE = 10;
+    private static final int MAX_HELPERS = 8;
+    private static final double MIN_SUSPICION = 0.5;
+    private static final double MAX_SUSPICION = 100;
+    private static final double MAX_STRETCH = 20;
+    private static final int MAX_CONFIRMATIONS = 16;
+    private static final int MAX_SPREAD = 16;
+    private static final int MAX_HEALTH = 32;
+    private static final int MAX_REVIVE = 1_000;
 
     private MembershipTable() {
         super("membership", MembershipSettings.class, null);
@@ -27,11 +27,10 @@
     @Override
     MembershipSettings read(ConfigTable table) {
         MembershipSettings usual = MembershipSettings.DEFAULT;
-        long period =
-                CommonKeys.millis(table, "period_ms", LEAST_PERIOD, MOST_PERIOD, usual.period());
+        long period = CommonKeys.millis(table, "period_ms", MIN_PERIOD, MAX_PERIOD, usual.period());
         long patience =
                 CommonKeys.millis(
-                        table, "ack_patience_ms", LEAST_PATIENCE, MOST_PERIOD, usual.ackPatience());
+                        table, "ack_patience_ms", MIN_PATIENCE, MAX_PERIOD, usual.ackPatience());
         if (patience >= period) {
             table.problem(
                     "ack_patience_ms",
@@ -42,16 +41,13 @@
         return new MembershipSettings(
                 period,
                 patience,
-                (int) table.whole("helpers", 0, MOST_HELPERS, usual.helpers()),
+                (int) table.whole("helpers", 0, MAX_HELPERS, usual.helpers()),
                 table.number(
-                        "suspicion_periods",
-                        LEAST_SUSPICION,
-                        MOST_SUSPICION,
-                        usual.suspicionLeast()),
-                table.number("suspicion_stretch", 1, MOST_STRETCH, usual.suspicionMost()),
-                (int) table.whole("confirmations", 1, MOST_CONFIRMATIONS, usual.confirmations()),
-                (int) table.whole("spread", 1, MOST_SPREAD, usual.spread()),
-                (int) table.whole("worst_health", 0, MOST_HEALTH, usual.worstHealth()),
-                (int) table.whole("revive_periods", 1, MOST_REVIVE, usual.revivePeriods()));
+                        "suspicion_periods", MIN_SUSPICION, MAX_SUSPICION, usual.minSuspicion()),
+                table.number("suspicion_stretch", 1, MAX_STRETCH, usual.maxSuspicion()),
+                (int) table.whole("confirmations", 1, MAX_CONFIRMATIONS, usual.confirmations()),
+                (int) table.whole("spread", 1, MAX_SPREAD, usual.spread()),
+                (int) table.whole("worst_health", 0, MAX_HEALTH, usual.worstHealth()),
+                (int) table.whole("revive_periods", 1, MAX_REVIVE, usual.revivePeriods()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/NodesTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/NodesTable.java
@@ -18,8 +18,8 @@
         return new EndpointLimits(
                 CommonKeys.millis(table, "probe_patience_ms", 10, 10_000, usual.probePatience()),
                 CommonKeys.millis(table, "answer_patience_ms", 10, 60_000, usual.answerPatience()),
-                CommonKeys.headBytes(table, usual.mostHead()),
-                CommonKeys.bodyBytes(table, usual.mostBody()),
+                CommonKeys.headBytes(table, usual.maxHead()),
+                CommonKeys.bodyBytes(table, usual.maxBody()),
                 CommonKeys.descriptorsShare(table, usual.descriptorsShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
+++ b/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
@@ -105,7 +105,7 @@
     private void checkShares(ConfigTable root) {
         double callers = of(CallersTable.CALLERS).descriptorsShare();
         double nodes = of(NodesTable.NODES).descriptorsShare();
-        if (callers + nodes > CommonKeys.MOST_SHARES + ROUNDING) {
+        if (callers + nodes > CommonKeys.MAX_SHARES + ROUNDING) {
             String where =
                     values.containsKey(NodesTable.NODES.name())
                             ? NodesTable.NODES.name()
@@ -114,7 +114,7 @@
                     .problem(
                             CommonKeys.SHARE,
                             callers + " of [callers] and " + nodes + " of [nodes]",
-                            CommonKeys.MOST_SHARES + " for both together");
+                            CommonKeys.MAX_SHARES + " for both together");
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
@@ -19,13 +19,13 @@
 final class AsyncLogWriter {
 
     /** Lines that wait to be written, at the most: some 100 KB. */
-    static final int MOST = 256;
+    static final int MAX = 256;
 
     /**
      * A longer line that the program itself did not make, such as a fault's of a library, is cut
      * there.
      */
-    private static final int MOST_BYTES = 1024;
+    private static final int MAX_BYTES = 1024;
 
     /**
      * How long the end may wait for the last lines to be read, in milliseconds; all answers are
@@ -39,15 +39,15 @@
     private volatile boolean ending;
 
     AsyncLogWriter(PrintStream out) {
-        this(out, "log", MOST);
+        this(out, "log", MAX);
     }
 
     /**
      * @param name the thread's
-     * @param most lines that wait, at the most
+     * @param max lines that wait, at the most
      */
-    AsyncLogWriter(PrintStream out, String name, int most) {
-        lines = new ArrayBlockingQueue<>(most);
+    AsyncLogWriter(PrintStream out, String name, int max) {
+        lines = new ArrayBlockingQueue<>(max);
         thread = new Thread(() -> write(out), name);
         thread.setDaemon(true);
         thread.start();
@@ -108,7 +108,7 @@
      * time.
      */
     private final class Lines extends OutputStream {
-        private final byte[] line = new byte[MOST_BYTES];
+        private final byte[] line = new byte[MAX_BYTES];
         private int length;
 
         @Override
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -105,23 +105,23 @@
      * @throws IllegalArgumentException if they are not those of these copies
      */
     static int[] zones(
-            AgreementTableSettings settings, List<String> names, int copies, int self, int own) {
-        int[] zones = new int[copies];
+            AgreementTableSettings settings, List<String> names, int replicas, int self, int own) {
+        int[] zones = new int[replicas];
         if (settings.zones().isEmpty() && names.size() <= 1) {
             return zones;
         }
-        if (settings.zones().size() != copies) {
+        if (settings.zones().size() != replicas) {
             throw new IllegalArgumentException(
                     "agreement.zones: found "
                             + settings.zones().size()
                             + " with "
-                            + copies
+                            + replicas
                             + " peers and "
                             + names.size()
                             + " zones; allowed: the zone of each peer, in "
                             + "their order");
         }
-        for (int i = 0; i < copies; i++) {
+        for (int i = 0; i < replicas; i++) {
             zones[i] = names.indexOf(settings.zones().get(i));
             if (zones[i] < 0) {
                 throw new IllegalArgumentException(
@@ -151,11 +151,11 @@
 
     @Override
     public CoordinatedReplica make(CoordinatedReplica.Actions outlet, long now) {
-        int copies = self.zones.length;
+        int replicas = self.zones.length;
         store =
                 settings.folder() == null
                         ? null
-                        : new FileStableStorage(settings.folder(), self.number, copies, log);
+                        : new FileStableStorage(settings.folder(), self.number, replicas, log);
         StableStorage kept = store == null ? StableStorage.NONE : store;
         if (notes != null) {
             notes.note("joins", Map.of("kept", kept.kept() == null ? 0 : 1));
@@ -182,10 +182,10 @@
         }
     }
 
-    private void lives(int copy, boolean lives) {
-        dead.set(copy, !lives);
-        fleet.lives(copy, lives);
-        if (table != null && self.zones[copy] == self.zones[self.number]) {
+    private void lives(int replica, boolean lives) {
+        dead.set(replica, !lives);
+        fleet.lives(replica, lives);
+        if (table != null && self.zones[replica] == self.zones[self.number]) {
             table(table);
         }
     }
@@ -209,8 +209,11 @@
         table = next;
         int own = self.zones[self.number];
         int living = 0;
-        for (int copy = 0; copy < self.zones.length; copy++) {
-            living += self.zones[copy] == own && (copy == self.number || !dead.get(copy)) ? 1 : 0;
+        for (int replica = 0; replica < self.zones.length; replica++) {
+            living +=
+                    self.zones[replica] == own && (replica == self.number || !dead.get(replica))
+                            ? 1
+                            : 0;
         }
         int divided = living;
         driver.shares(
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -56,10 +56,10 @@
         }
     }
 
-    private record Key(long life, long sequence) {}
+    private record Key(long incarnation, long sequence) {}
 
     private final ProxyEventLoop loop;
-    private final int copies;
+    private final int replicas;
     private final int self;
     private final LocalTrafficView view;
     private final EventRecorder notes;
@@ -73,14 +73,14 @@
 
     DrainWiring(
             ProxyEventLoop loop,
-            int copies,
+            int replicas,
             int self,
             DrainsConfiguration file,
             LocalTrafficView view,
             EventRecorder notes,
             Logger log) {
         this.loop = loop;
-        this.copies = copies;
+        this.replicas = replicas;
         this.self = self;
         this.file = file;
         this.view = view;
@@ -92,7 +92,7 @@
     DrainCoordination begin(long now) {
         drains =
                 new DrainCoordinator(
-                        copies, self, DrainSettings.DEFAULT, file.conditions(), this, now);
+                        replicas, self, DrainSettings.DEFAULT, file.conditions(), this, now);
         drains.policies(file.revision(), file.policies());
         return this;
     }
@@ -133,7 +133,7 @@
             return;
         }
         Call call = new Call(cancel, nodes, then);
-        for (int from = 0; from < nodes.size(); from += DrainCoordinator.MOST_IDS) {
+        for (int from = 0; from < nodes.size(); from += DrainCoordinator.MAX_IDS) {
             call.left++;
             Proposal made =
                     fleet.propose(
@@ -143,13 +143,13 @@
                                             from,
                                             Math.min(
                                                     nodes.size(),
-                                                    from + DrainCoordinator.MOST_IDS))),
+                                                    from + DrainCoordinator.MAX_IDS))),
                             PATIENCE);
             if (made == null) {
                 call.left--;
                 call.failed = true;
             } else {
-                calls.put(new Key(made.life(), made.sequence()), call);
+                calls.put(new Key(made.incarnation(), made.sequence()), call);
             }
         }
         end(call);
@@ -157,7 +157,7 @@
 
     /** What became of a proposal; false where it is none of these. */
     boolean settled(Proposal proposal, ProposalOutcome outcome) {
-        Call call = calls.remove(new Key(proposal.life(), proposal.sequence()));
+        Call call = calls.remove(new Key(proposal.incarnation(), proposal.sequence()));
         if (call != null) {
             call.left--;
             call.failed |= outcome != ProposalOutcome.COMMITTED;
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -81,7 +81,7 @@
             if (slots.containsKey(each.slot())) {
                 json.writeStartObject();
                 json.writeStringField("node", name(node, slots.get(each.slot())));
-                json.writeNumberField("copy", each.copy());
+                json.writeNumberField("copy", each.replica());
                 if (each.calls() >= 0) {
                     json.writeNumberField("calls", each.calls());
                 }
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -40,7 +40,7 @@
     private record Read(JsonObject list, JsonObject configuration) {}
 
     private final ObjectLayout layout = MachineLayout.read();
-    private final ProcessFootprint copy = new ProcessFootprint(layout);
+    private final ProcessFootprint replica = new ProcessFootprint(layout);
     private final OperatorFile operator;
     private final ProcessLimits limits;
     private final PrintWriter out;
@@ -83,7 +83,7 @@
                         ? ProxyConfiguration.DEFAULT_SOCKETS
                         : ProxyConfiguration.sockets(configuration);
         EndpointListShape list = EndpointListReader.shape(told.list);
-        int callers = operator.of(CallersTable.CALLERS).mostCallers(sockets);
+        int callers = operator.of(CallersTable.CALLERS).maxCallers(sockets);
         int channels = operator.of(NodesTable.NODES).bounds(sockets, callers).idle();
         ProcessShape shape =
                 new ProcessShape(
@@ -96,10 +96,10 @@
                         callers,
                         channels,
                         callers,
-                        BufferAccount.MOST);
+                        BufferAccount.MAX);
         out.println(file + ": " + list.nodes() + " nodes");
         terms(shape);
-        MemoryEstimate one = copy.oneMoreNode(shape);
+        MemoryEstimate one = replica.oneMoreNode(shape);
         out.println("one more node: " + one.rest() + " at rest, " + one.peak() + " at the peak");
         boolean nodes = nodes(shape, list, told.list, held);
         return process(shape) && nodes;
@@ -107,9 +107,9 @@
 
     private void terms(ProcessShape shape) {
         out.println(row("term", "count", "heap at rest", "heap at peak", "direct", "descriptors"));
-        copy.terms(shape)
+        replica.terms(shape)
                 .forEach(term -> out.println(row(term.name(), term.count(), term.takes())));
-        out.println(row("all", "", copy.takes(shape)));
+        out.println(row("all", "", replica.takes(shape)));
     }
 
     private static String row(String name, Object count, MemoryEstimate takes) {
@@ -125,7 +125,7 @@
             ProcessShape shape, EndpointListShape list, JsonObject told, JsonObject held) {
         FootprintSettings set = operator.of(FootprintTable.FOOTPRINT);
         double share = set == null ? FootprintSettings.DEFAULT.heapShare() : set.heapShare();
-        long room = Math.min((long) (share * limits.heap()), copy.left(shape, limits.heap()));
+        long room = Math.min((long) (share * limits.heap()), replica.left(shape, limits.heap()));
         EndpointListFootprint footprint = new EndpointListFootprint(layout);
         Set<String> known = held == null ? Set.of() : ids(held);
         int added =
@@ -141,8 +141,8 @@
         EndpointListFootprint.Verdict verdict = footprint.judge(before, list, added, true, room);
         List<Integer> steps = footprint.steps(before, list, added, true, room);
         int never = added - steps.stream().mapToInt(Integer::intValue).sum();
-        int least = set == null ? FootprintSettings.DEFAULT.fromNodes() : set.fromNodes();
-        boolean few = list.nodes() < least;
+        int min = set == null ? FootprintSettings.DEFAULT.fromNodes() : set.fromNodes();
+        boolean few = list.nodes() < min;
         String outcome =
                 verdict.fits()
                         ? "fit"
@@ -155,7 +155,7 @@
                         + "; "
                         + told(verdict.bound(), verdict.needed(), room)
                         + (few && !verdict.fits()
-                                ? "; all are loaded, since from_nodes is " + least
+                                ? "; all are loaded, since from_nodes is " + min
                                 : ""));
         return few || never == 0;
     }
@@ -170,7 +170,7 @@
 
     /** Whether the process fits with all callers, channels and bodies that it may come to have. */
     private boolean process(ProcessShape shape) {
-        ProcessFootprint.Verdict verdict = copy.judge(shape, limits);
+        ProcessFootprint.Verdict verdict = replica.judge(shape, limits);
         out.println(
                 "process: "
                         + (verdict.fits() ? "fits" : "does not fit")
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -34,7 +34,7 @@
     /**
      * @param reports how often copies report
      * @param zoneOf the zone of each copy
-     * @param life larger than that of any process of this copy before
+     * @param incarnation larger than that of any process of this copy before
      * @param notes takes what was seen of zones; null where nobody asked for that
      * @throws IllegalArgumentException if the settings don't fit the site or the reports
      */
@@ -43,7 +43,7 @@
             SiteSettings site,
             long reports,
             int[] zoneOf,
-            long life,
+            long incarnation,
             long now,
             RequestForwarder<?, ?> driver,
             EventRecorder notes,
@@ -62,7 +62,7 @@
                 new ZoneTrafficCounter(
                         site.module().self(),
                         site.module().zone(),
-                        life,
+                        incarnation,
                         site.zones().size(),
                         reports,
                         site.module().safety(),
--- a/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -48,12 +48,12 @@
      * The file is written anew once it is larger than this, and than four times what it has to
      * hold.
      */
-    private static final long LEAST_SIZE = 1 << 20;
+    private static final long MIN_SIZE = 1 << 20;
 
     private static final int WASTE = 4;
 
     /** No batch is larger: a snapshot and all entries that may be open are less. */
-    private static final int MOST_BATCH = 16 << 20;
+    private static final int MAX_BATCH = 16 << 20;
 
     private static final byte PROMISE = 1;
     private static final byte ENTRY = 2;
@@ -71,8 +71,8 @@
 
     private final Path folder;
     private final Path file;
-    private final int copy;
-    private final int copies;
+    private final int replica;
+    private final int replicas;
     private final FileChannel guard;
     private FileChannel channel;
     private long size;
@@ -88,11 +88,11 @@
      *
      * @throws UncheckedIOException if the folder can't be used, or another process uses it
      */
-    FileStableStorage(Path folder, int copy, int copies, Logger log) {
+    FileStableStorage(Path folder, int replica, int replicas, Logger log) {
         this.folder = folder;
         this.file = folder.resolve("agreement");
-        this.copy = copy;
-        this.copies = copies;
+        this.replica = replica;
+        this.replicas = replicas;
         try {
             Files.createDirectories(folder);
             guard =
@@ -153,7 +153,7 @@
             entries.clear();
             anew();
         }
-        anewAt = Math.max(LEAST_SIZE, WASTE * size);
+        anewAt = Math.max(MIN_SIZE, WASTE * size);
     }
 
     // ---- reading ----
@@ -169,8 +169,8 @@
             throw new Refused(0, "another kind of file", MAGIC);
         }
         check(8, "version", in.getInt(), VERSION);
-        check(12, "a file of copy", in.getInt(), copy);
-        check(16, "a tier of copies", in.getInt(), copies);
+        check(12, "a file of copy", in.getInt(), replica);
+        check(16, "a tier of copies", in.getInt(), replicas);
         if (in.getInt() != sum(in.array(), 0, HEAD - Integer.BYTES)) {
             throw new Refused(20, "a head whose checksum does not fit", "one that does");
         }
@@ -182,7 +182,7 @@
             int length = in.getInt();
             if (in.getInt() != sum(in.array(), at, Integer.BYTES)
                     || length < 0
-                    || length > MOST_BATCH) {
+                    || length > MAX_BATCH) {
                 throw new Refused(at, "a length whose checksum does not fit", "one that does");
             }
             if (length > in.remaining() - Integer.BYTES) {
@@ -232,10 +232,10 @@
             switch (in.get()) {
                 case PROMISE -> {
                     VoterGroup group = new VoterGroup(in.getInt(), in.getInt(), in.getLong());
-                    long life = in.getLong();
+                    long incarnation = in.getLong();
                     long term = in.getLong();
                     Voter vote = in.get() == 0 ? null : new Voter(in.getInt(), in.getLong());
-                    promise = new Promise(group, life, term, vote, in.get() != 0);
+                    promise = new Promise(group, incarnation, term, vote, in.get() != 0);
                 }
                 case ENTRY -> take(in.getLong(), entry(in));
                 case CUT -> drop(in.getLong());
@@ -327,13 +327,13 @@
         out.writeByte(PROMISE);
         out.writeInt(made.group().era());
         out.writeInt(made.group().founder());
-        out.writeLong(made.group().life());
-        out.writeLong(made.life());
+        out.writeLong(made.group().incarnation());
+        out.writeLong(made.incarnation());
         out.writeLong(made.term());
         out.writeByte(made.vote() == null ? 0 : 1);
         if (made.vote() != null) {
-            out.writeInt(made.vote().copy());
-            out.writeLong(made.vote().life());
+            out.writeInt(made.vote().replica());
+            out.writeLong(made.vote().incarnation());
         }
         out.writeByte(made.sworn() ? 1 : 0);
     }
@@ -353,8 +353,8 @@
         out.writeLong(of.term());
         out.writeByte(of.voters().size());
         for (Voter voter : of.voters().all()) {
-            out.writeInt(voter.copy());
-            out.writeLong(voter.life());
+            out.writeInt(voter.replica());
+            out.writeLong(voter.incarnation());
         }
         out.writeInt(of.state().length);
         out.write(of.state());
@@ -429,8 +429,8 @@
                 ByteBuffer.allocate(HEAD)
                         .put(MAGIC.getBytes(StandardCharsets.ISO_8859_1))
                         .putInt(VERSION)
-                        .putInt(copy)
-                        .putInt(copies);
+                        .putInt(replica)
+                        .putInt(replicas);
         head.putInt(sum(head.array(), 0, HEAD - Integer.BYTES)).flip();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         if (promise != null) {
@@ -466,7 +466,7 @@
             channel.close();
         }
         channel = made;
-        anewAt = Math.max(LEAST_SIZE, WASTE * size);
+        anewAt = Math.max(MIN_SIZE, WASTE * size);
     }
 
     /** Another process may use the folder from now on. */
--- a/daemon/src/main/java/cedarrudder/program/HistoryFile.java
+++ b/daemon/src/main/java/cedarrudder/program/HistoryFile.java
@@ -22,20 +22,20 @@
 final class HistoryFile implements EventRecorder {
 
     /** Lines that wait to be written, at the most: some 500 KB. */
-    private static final int MOST = 4_096;
+    private static final int MAX = 4_096;
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final int copy;
-    private final long life = ProcessHandle.current().pid();
+    private final int replica;
+    private final long incarnation = ProcessHandle.current().pid();
     private final AsyncLogWriter lines;
     private long lost;
 
     /**
      * @throws IllegalArgumentException if the file can't be written
      */
-    HistoryFile(Path file, int copy) {
-        this.copy = copy;
+    HistoryFile(Path file, int replica) {
+        this.replica = replica;
         try {
             lines =
                     new AsyncLogWriter(
@@ -44,7 +44,7 @@
                                     true,
                                     StandardCharsets.UTF_8),
                             "history",
-                            MOST);
+                            MAX);
         } catch (IOException e) {
             throw new IllegalArgumentException(
                     "[history]: found "
@@ -72,8 +72,8 @@
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
             json.writeNumberField("at", System.nanoTime());
-            json.writeNumberField("copy", copy);
-            json.writeNumberField("life", life);
+            json.writeNumberField("copy", replica);
+            json.writeNumberField("life", incarnation);
             json.writeStringField("what", what);
             for (Map.Entry<String, ?> field : fields.entrySet()) {
                 json.writeStringField(field.getKey(), String.valueOf(field.getValue()));
--- a/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
+++ b/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
@@ -24,7 +24,7 @@
     private static final String DRAINED = "drained";
 
     /** Longer names are more than a folder takes. */
-    private static final int MOST_NAME = 200;
+    private static final int MAX_NAME = 200;
 
     /** What the folder says. */
     record Told(Set<String> disabled, boolean drained) {}
@@ -77,7 +77,7 @@
 
     private static String nodeFile(String node) throws IOException {
         String name = NODE + URLEncoder.encode(node, StandardCharsets.UTF_8);
-        if (name.length() > MOST_NAME) {
+        if (name.length() > MAX_NAME) {
             throw new IOException("too long an id for a file: " + name.length() + " characters");
         }
         return name;
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -43,7 +43,7 @@
     private final RouteTableFootprint tables;
     private final ProcessLimits limits;
     private final Now now;
-    private ProcessFootprint copy;
+    private ProcessFootprint replica;
     private boolean measured;
     private int judged;
     private String loads;
@@ -59,7 +59,7 @@
         this.limits = limits;
         this.now = now;
         ProcessBaseline usual = new ProcessFootprint(layout).ground();
-        this.copy =
+        this.replica =
                 new ProcessFootprint(
                         layout,
                         new ProcessBaseline(
@@ -87,10 +87,10 @@
      * Bytes of the heap for nodes and their lists: a share of it, and no more than is left beside
      * all that the process may come to hold.
      */
-    long room(double share, Load most) {
+    long room(double share, Load max) {
         return Math.min(
                 (long) (share * limits.heap()),
-                copy.left(shape(EndpointListShape.NONE, most), limits.heap()));
+                replica.left(shape(EndpointListShape.NONE, max), limits.heap()));
     }
 
     /**
@@ -99,15 +99,15 @@
      * estimate that knows nothing of the other tables of the operator's file.
      */
     void measure(EndpointListShape held) {
-        long known = copy.takes(shape(held, now.load())).rest() - copy.ground().heap();
-        copy =
+        long known = replica.takes(shape(held, now.load())).rest() - replica.ground().heap();
+        replica =
                 new ProcessFootprint(
                         layout,
                         new ProcessBaseline(
                                 live() - known + STARTING,
-                                copy.ground().resident(),
-                                copy.ground().direct(),
-                                copy.ground().descriptors()));
+                                replica.ground().resident(),
+                                replica.ground().direct(),
+                                replica.ground().descriptors()));
         measured = true;
     }
 
@@ -136,16 +136,16 @@
         ProcessShape shape = shape(gate.held(), now.load());
         return new MetricsPage.Estimate(
                 gate.last(),
-                copy.takes(shape),
-                copy.oneMoreNode(shape),
-                copy.resident(shape),
-                copy.judge(shape, limits),
+                replica.takes(shape),
+                replica.oneMoreNode(shape),
+                replica.resident(shape),
+                replica.judge(shape, limits),
                 room(null, gate));
     }
 
     /** What this copy can load of route tables, beside the nodes that it holds. */
     RouteTableCapacity room(RouteTable held, EndpointListReader gate) {
-        return tables.room(held, gate.left(), gate.most());
+        return tables.room(held, gate.left(), gate.max());
     }
 
     /**
@@ -172,7 +172,7 @@
                         "fits",
                         fits ? 1 : 0,
                         "needed",
-                        copy.takes(shape(list, now.load())).rest()));
+                        replica.takes(shape(list, now.load())).rest()));
     }
 
     /**
@@ -185,11 +185,11 @@
         Thread measuring =
                 new Thread(
                         () -> {
-                            long least = Long.MAX_VALUE;
+                            long min = Long.MAX_VALUE;
                             for (int i = 0; i < COLLECTIONS; i++) {
-                                least = Math.min(least, live());
+                                min = Math.min(min, live());
                             }
-                            long held = least;
+                            long held = min;
                             loop.accept(
                                     () ->
                                             history.note(
--- a/daemon/src/main/java/cedarrudder/program/ProxyConfiguration.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyConfiguration.java
@@ -37,7 +37,7 @@
      * With fewer the process itself, discovery, one caller and one node have no room beside each
      * other.
      */
-    private static final int LEAST_SOCKETS = 8;
+    private static final int MIN_SOCKETS = 8;
 
     /** Reads the configuration file; an IllegalArgumentException says what is wrong with it. */
     static ProxyConfiguration parse(String text) {
@@ -59,8 +59,7 @@
 
     /** How many descriptors a configuration allows. */
     static int sockets(JsonObject json) {
-        return (int)
-                json.child("limits").number("sockets", DEFAULT_SOCKETS, LEAST_SOCKETS, MEGABYTE);
+        return (int) json.child("limits").number("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, MEGABYTE);
     }
 
     /** The same, with the operators' address from the environment where that names one. */
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -81,7 +81,7 @@
     private static final long WATCH = 100_000_000L;
 
     /** So many looks a successor leaves it to its predecessor to write anew what was cleared. */
-    private static final int MOST_WAITED = 10;
+    private static final int MAX_WAITED = 10;
 
     /**
      * Looks at the folder after the last other process has gone: what it took back is to be seen
@@ -118,7 +118,7 @@
     private final CoordinationWiring together;
     private final RequestMetrics figures;
     private final AdminOverrides rotation = new AdminOverrides();
-    private final BufferAccount held = new BufferAccount(BufferAccount.MOST);
+    private final BufferAccount held = new BufferAccount(BufferAccount.MAX);
     private final PersistedAdminState kept;
     private final ProcessHandover handover;
     private final CountDownLatch fresh = new CountDownLatch(1);
@@ -177,7 +177,7 @@
                         driver,
                         site,
                         nodes,
-                        nodes.bounds(sockets, callers.mostCallers(sockets)),
+                        nodes.bounds(sockets, callers.maxCallers(sockets)),
                         figures,
                         held);
         clockOffset = recorded == null ? 0 : recorded.clockOffset();
@@ -191,7 +191,7 @@
                         : new EndpointListReader(
                                 new EndpointListFootprint(MachineLayout.read()),
                                 reader,
-                                estimate.room(lists.heapShare(), most()),
+                                estimate.room(lists.heapShare(), max()),
                                 lists.fromNodes());
         discovery =
                 new DiscoveryClient(
@@ -219,7 +219,7 @@
                         new RequestHeaders(site.module(), budgets),
                         () -> resolved && serving,
                         callers,
-                        callers.mostCallers(sockets),
+                        callers.maxCallers(sockets),
                         held);
         driver.connect(channels, discovery, peers);
         history = recorded == null ? null : new HistoryFile(recorded.file(), site.module().self());
@@ -262,14 +262,14 @@
     }
 
     /** All that the process may come to hold beside nodes. */
-    private ProcessMemoryEstimate.Load most() {
+    private ProcessMemoryEstimate.Load max() {
         int sockets = configuration.sockets();
-        int callers = operator.of(CallersTable.CALLERS).mostCallers(sockets);
+        int callers = operator.of(CallersTable.CALLERS).maxCallers(sockets);
         return new ProcessMemoryEstimate.Load(
                 callers,
                 operator.of(NodesTable.NODES).bounds(sockets, callers).idle(),
                 callers,
-                BufferAccount.MOST);
+                BufferAccount.MAX);
     }
 
     /** Membership of this tier's proxies; null where the operator's file has none. */
@@ -297,7 +297,7 @@
                 module.self(),
                 Math.max(0, wallClock()),
                 new SplittableRandom(configuration.seed()).split().split(),
-                driver::copies,
+                driver::replicas,
                 history);
     }
 
@@ -309,20 +309,20 @@
             return null;
         }
         var module = configuration.site().module();
-        int copies = configuration.peers().size();
-        if (set.fleet().lease() < set.fleet().leastLease(copies)) {
+        int replicas = configuration.peers().size();
+        if (set.fleet().lease() < set.fleet().minLease(replicas)) {
             throw new IllegalArgumentException(
                     "agreement.lease_ms: found "
                             + set.fleet().lease() / 1_000_000
                             + " with "
-                            + copies
+                            + replicas
                             + " peers; allowed: "
-                            + set.fleet().leastLease(copies) / 1_000_000
+                            + set.fleet().minLease(replicas) / 1_000_000
                             + " or more");
         }
         int[] zones =
                 CoordinationWiring.zones(
-                        set, configuration.site().zones(), copies, module.self(), module.zone());
+                        set, configuration.site().zones(), replicas, module.self(), module.zone());
         FailoverSettings moves = operator.of(FailoverTable.FAILOVER);
         FailoverWiring failovers =
                 moves == null
@@ -330,7 +330,7 @@
                         : new FailoverWiring(
                                 moves,
                                 configuration.site(),
-                                set.fleet().reports(copies),
+                                set.fleet().reports(replicas),
                                 zones,
                                 Math.max(1, wallClock()),
                                 loop.now(),
@@ -418,10 +418,10 @@
         }
         var site = configuration.site();
         int tier = site.module().tier();
-        if (set.mostHops() < site.module().tiers()) {
+        if (set.maxHops() < site.module().tiers()) {
             throw new IllegalArgumentException(
                     "budget.path_most: found "
-                            + set.mostHops()
+                            + set.maxHops()
                             + " with "
                             + site.module().tiers()
                             + " tiers; allowed: no less than there are tiers");
@@ -620,7 +620,7 @@
         try {
             // Not beside one that ran before: guards against what this one has yet to read counting
             // as gone.
-            boolean may = !others.predecessor() || ++waited > MOST_WAITED;
+            boolean may = !others.predecessor() || ++waited > MAX_WAITED;
             if (handover.renew(
                     may,
                     () -> {
@@ -674,11 +674,11 @@
     private void setBounds() {
         int processes = others.any() ? 2 : 1;
         int sockets = configuration.sockets() / processes;
-        held.most(BufferAccount.MOST / processes);
+        held.max(BufferAccount.MAX / processes);
         var callers = operator.of(CallersTable.CALLERS);
-        listener.apply(callers, callers.mostCallers(sockets));
+        listener.apply(callers, callers.maxCallers(sockets));
         var nodes = operator.of(NodesTable.NODES);
-        channels.apply(nodes, nodes.bounds(sockets, callers.mostCallers(sockets)));
+        channels.apply(nodes, nodes.bounds(sockets, callers.maxCallers(sockets)));
     }
 
     private void warmUp(InetSocketAddress at, CountDownLatch warmed) {
@@ -1004,7 +1004,7 @@
             // one whose jar was replaced under it, so that a class of it can't be loaded any more.
             boolean over;
             do {
-                over = drained.await(listener.mostEnding(), TimeUnit.NANOSECONDS);
+                over = drained.await(listener.maxEnding(), TimeUnit.NANOSECONDS);
             } while (!over && flows());
             loop.stop();
             if (history != null) {
--- a/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
+++ b/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
@@ -49,14 +49,14 @@
         json.writeObjectFieldStart("group");
         json.writeNumberField("era", status.group().era());
         json.writeNumberField("founder", status.group().founder());
-        json.writeNumberField("life", status.group().life());
+        json.writeNumberField("life", status.group().incarnation());
         json.writeEndObject();
         json.writeNumberField("term", status.term());
         json.writeNumberField("leader", status.leader());
         json.writeBooleanField("leads", status.leads());
         json.writeArrayFieldStart("voters");
         for (Voter voter : status.voters().all()) {
-            json.writeNumber(voter.copy());
+            json.writeNumber(voter.replica());
         }
         json.writeEndArray();
         RouteTable agreed = status.agreed();
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -57,7 +57,7 @@
     private static final int RPCS_A_CHANNEL = 3;
 
     /** Readiness never waits longer than this for it. */
-    private static final long MOST = 3_000_000_000L;
+    private static final long MAX = 3_000_000_000L;
 
     private static final long SELF = 1;
 
@@ -124,8 +124,8 @@
                         EndpointLimits.DEFAULT,
                         new EndpointLimits.Bounds(RPCS, RPCS),
                         new RequestMetrics(settings.classes().size()),
-                        new BufferAccount(BufferAccount.MOST));
-        driver.connect(new Self(), new NoDiscovery(), (copy, message) -> {});
+                        new BufferAccount(BufferAccount.MAX));
+        driver.connect(new Self(), new NoDiscovery(), (replica, message) -> {});
         Endpoint self = new Endpoint(SELF, settings.zone(), 0, 0, EndpointStatus.READY, 1, 0);
         channels.resolved(
                 new EndpointList(
@@ -135,7 +135,7 @@
 
     /** Begins; to be called on the loop. */
     void start() {
-        loop.at(loop.now() + MOST, this::finish);
+        loop.at(loop.now() + MAX, this::finish);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
         }
@@ -170,9 +170,9 @@
         if (++sent % RPCS_A_CHANNEL == 0) {
             channels.closeIdle(SELF);
         }
-        long deadline = loop.now() + MOST;
-        Request rpc = new Request(sent, 0, 0, deadline, 0, false, false, 0);
-        driver.accept(new Exchange<>(rpc, request, new Reply()));
+        long deadline = loop.now() + MAX;
+        Request event = new Request(sent, 0, 0, deadline, 0, false, false, 0);
+        driver.accept(new Exchange<>(event, request, new Reply()));
     }
 
     private void finish() {
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -119,8 +119,8 @@
     }
 
     /** So many nodes like those that are held there is room for. */
-    public int most() {
-        return footprint.most(held(), room);
+    public int max() {
+        return footprint.max(held(), room);
     }
 
     /** What came of the last list; null before the first one. */
--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -15,33 +15,33 @@
 public final class HttpDecoder {
 
     /** The largest head that is read where nothing else is set. */
-    public static final int MOST_HEAD = 16 * 1024;
+    public static final int MAX_HEAD = 16 * 1024;
 
     /** The largest body that is passed on where nothing else is set, by the protocol. */
-    public static final int MOST_BODY = 64 * 1024;
+    public static final int MAX_BODY = 64 * 1024;
 
     /**
      * The largest body that is passed on in pieces where nothing else is set: twice what occurs.
      */
-    public static final int MOST_FLOW = 64 * 1024 * 1024;
+    public static final int MAX_FLOW = 64 * 1024 * 1024;
 
     /** The line before a chunk: a length of a few digits, and extensions that nobody reads. */
-    private static final int MOST_CHUNK_LINE = 256;
+    private static final int MAX_CHUNK_LINE = 256;
 
     private static final byte[] EMPTY = new byte[0];
 
     /**
      * Interim answers (1xx) before the final one; RFC 9110 15.2 sets no bound, and one is usual.
      */
-    private static final int MOST_INTERIM = 16;
+    private static final int MAX_INTERIM = 16;
 
     private static final int FIRST_HEAD_SIZE = 512;
 
     /** Empty lines before a message: RFC 9112 2.2 asks for one to be skipped. */
-    private static final int MOST_BLANK = 8;
+    private static final int MAX_BLANK = 8;
 
     /** No method that is registered is half as long. */
-    private static final int MOST_METHOD = 64;
+    private static final int MAX_METHOD = 64;
 
     private enum State {
         HEAD,
@@ -54,8 +54,8 @@
     }
 
     private final boolean requests;
-    private final int mostHead;
-    private final long mostBody;
+    private final int maxHead;
+    private final long maxBody;
     private final long window;
     private OutputStream sink;
     private ByteArrayOutputStream collected;
@@ -78,23 +78,23 @@
 
     private HttpDecoder(
             boolean requests,
-            int mostHead,
-            long mostBody,
+            int maxHead,
+            long maxBody,
             OutputStream sink,
             ByteArrayOutputStream collected,
             long window) {
         this.window = window;
         this.requests = requests;
-        this.mostHead = mostHead;
-        this.mostBody = mostBody;
+        this.maxHead = maxHead;
+        this.maxBody = maxBody;
         this.sink = sink;
         this.collected = collected;
     }
 
     /** Decodes whole requests, with heads and bodies of up to so many bytes. */
-    public static HttpDecoder ofRequests(int mostHead, int mostBody) {
+    public static HttpDecoder ofRequests(int maxHead, int maxBody) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-        return new HttpDecoder(true, mostHead, mostBody, body, body, Integer.MAX_VALUE);
+        return new HttpDecoder(true, maxHead, maxBody, body, body, Integer.MAX_VALUE);
     }
 
     /**
@@ -102,22 +102,22 @@
      * the decoder stands until {@link #flow} says where to.
      *
      * @param requests whether they are requests, else answers
-     * @param mostBody the largest body that is read, collected or not
+     * @param maxBody the largest body that is read, collected or not
      */
-    public static HttpDecoder ofFlows(boolean requests, int mostHead, long mostBody, int window) {
+    public static HttpDecoder ofFlows(boolean requests, int maxHead, long maxBody, int window) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-        return new HttpDecoder(requests, mostHead, mostBody, body, body, window);
+        return new HttpDecoder(requests, maxHead, maxBody, body, body, window);
     }
 
     /** Decodes whole answers, with heads and bodies of up to so many bytes. */
-    public static HttpDecoder ofAnswers(int mostHead, int mostBody) {
+    public static HttpDecoder ofAnswers(int maxHead, int maxBody) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-        return new HttpDecoder(false, mostHead, mostBody, body, body, Integer.MAX_VALUE);
+        return new HttpDecoder(false, maxHead, maxBody, body, body, Integer.MAX_VALUE);
     }
 
     /** Decodes answers whose bodies go to a sink as they come, without a bound. */
     public static HttpDecoder ofStreams(OutputStream sink) {
-        return new HttpDecoder(false, MOST_HEAD, Long.MAX_VALUE, sink, null, Long.MAX_VALUE);
+        return new HttpDecoder(false, MAX_HEAD, Long.MAX_VALUE, sink, null, Long.MAX_VALUE);
     }
 
     /** The head of the message at hand, or null before it is whole. */
@@ -161,7 +161,7 @@
     public boolean large() {
         return head != null
                 && pieces == null
-                && bodySeen < mostBody
+                && bodySeen < maxBody
                 && (!requests && declared > window || bodySeen >= window);
     }
 
@@ -213,7 +213,7 @@
                             yield false;
                         }
                         case CHUNK_END -> {
-                            if (readLine(in, MOST_CHUNK_LINE)) {
+                            if (readLine(in, MAX_CHUNK_LINE)) {
                                 state = State.CHUNK_LINE;
                             }
                             if (lineLength > 0 && line[0] != '\r') {
@@ -269,7 +269,7 @@
      */
     private boolean readHead(ByteBuf in) throws MalformedMessageException {
         int from = lineLength;
-        int end = from + Math.min(in.readableBytes(), mostHead - from);
+        int end = from + Math.min(in.readableBytes(), maxHead - from);
         if (end == from) {
             throw new MalformedMessageException(
                     begun == null && requests
@@ -307,7 +307,7 @@
             lineStart = i + 1;
             if (empty && begun == null) {
                 headStart = lineStart; // an empty line before a message is allowed, and skipped
-                if (++blank > MOST_BLANK) {
+                if (++blank > MAX_BLANK) {
                     throw MalformedMessageException.badRequest("nothing but empty lines");
                 }
             } else if (empty) {
@@ -362,7 +362,7 @@
     /** Checks what has come of a first line without its end, as far as its method goes. */
     private void checkMethod(int from, int end) throws MalformedMessageException {
         for (int i = from; i < end && line[i] != ' '; i++) {
-            if (i - from == MOST_METHOD) {
+            if (i - from == MAX_METHOD) {
                 throw new MalformedMessageException(
                         MalformedMessageException.NOT_IMPLEMENTED, "too long a method");
             }
@@ -375,8 +375,8 @@
         }
     }
 
-    private void append(byte next, int most) throws MalformedMessageException {
-        if (lineLength >= most) {
+    private void append(byte next, int max) throws MalformedMessageException {
+        if (lineLength >= max) {
             throw new MalformedMessageException(
                     MalformedMessageException.FIELDS_TOO_LARGE, "too long a head");
         }
@@ -392,7 +392,7 @@
         String coding = head.fields().single("transfer-encoding");
         if (!requests && head.status() < 200) {
             head = null; // an interim answer: the final one follows
-            if (++interim > MOST_INTERIM) {
+            if (++interim > MAX_INTERIM) {
                 // Guards against a node that never comes to its answer.
                 throw MalformedMessageException.badRequest("too many interim answers");
             }
@@ -444,15 +444,15 @@
     }
 
     private void check(long more) throws MalformedMessageException {
-        if (more > mostBody - bodySeen) {
+        if (more > maxBody - bodySeen) {
             throw new MalformedMessageException(
                     MalformedMessageException.CONTENT_TOO_LARGE, "too long a body");
         }
     }
 
     private boolean readFixed(ByteBuf in) throws MalformedMessageException {
-        long most = pieces == null ? Math.min(bodyLeft, window - bodySeen) : bodyLeft;
-        int count = (int) Math.min(most, in.readableBytes());
+        long max = pieces == null ? Math.min(bodyLeft, window - bodySeen) : bodyLeft;
+        int count = (int) Math.min(max, in.readableBytes());
         check(count);
         try {
             if (pieces == null) {
@@ -477,7 +477,7 @@
      * here and in nothing else (RFC 9112 7.1), since whoever takes less sees chunks where we see
      * their content.
      */
-    private boolean readLine(ByteBuf in, int most) throws MalformedMessageException {
+    private boolean readLine(ByteBuf in, int max) throws MalformedMessageException {
         if (lineStart < 0) {
             lineStart = 0;
             lineLength = 0;
@@ -493,13 +493,13 @@
                 lineStart = -1; // the next line starts afresh
                 return true;
             }
-            append(next, most);
+            append(next, max);
         }
         return false;
     }
 
     private boolean readChunkLine(ByteBuf in) throws MalformedMessageException {
-        if (!readLine(in, MOST_CHUNK_LINE)) {
+        if (!readLine(in, MAX_CHUNK_LINE)) {
             return false;
         }
         int digits = 0;
@@ -523,7 +523,7 @@
     }
 
     private boolean readTrailer(ByteBuf in) throws MalformedMessageException {
-        if (!readLine(in, mostHead)) {
+        if (!readLine(in, maxHead)) {
             return false;
         }
         if (lineLength > 0) {
@@ -531,7 +531,7 @@
                     line, 0, lineLength); // dropped, but guards against a request that hides there
         }
         trailerSeen += lineLength;
-        if (trailerSeen > mostHead) {
+        if (trailerSeen > maxHead) {
             throw new MalformedMessageException(
                     MalformedMessageException.FIELDS_TOO_LARGE, "too long a trailer");
         }
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -19,7 +19,7 @@
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     /** What frames a chunk: its length in hexadecimal digits and two line ends. */
-    private static final int MOST_FRAME = 12;
+    private static final int MAX_FRAME = 12;
 
     private HttpEncoder() {}
 
@@ -125,13 +125,13 @@
         }
         byte[] start = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
         byte[] body = message.body();
-        ByteBuf out = buffers.buffer(start.length + body.length + MOST_FRAME).writeBytes(start);
+        ByteBuf out = buffers.buffer(start.length + body.length + MAX_FRAME).writeBytes(start);
         return body.length == 0 ? out : write(out, body, chunked);
     }
 
     /** A piece of a body that flows; it holds at least one byte. */
     public static ByteBuf piece(ByteBufAllocator buffers, byte[] piece, boolean chunked) {
-        return write(buffers.buffer(piece.length + MOST_FRAME), piece, chunked);
+        return write(buffers.buffer(piece.length + MAX_FRAME), piece, chunked);
     }
 
     /** The end of a body in chunks. */
--- a/daemon/src/main/java/cedarrudder/protocol/HttpMessage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpMessage.java
@@ -17,6 +17,6 @@
 
     /** The request that these bytes hold. */
     public static HttpMessage requestOf(ByteBuf bytes) throws MalformedMessageException {
-        return HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY).decode(bytes);
+        return HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY).decode(bytes);
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
+++ b/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
@@ -140,24 +140,24 @@
     }
 
     /** The same, within bounds; else the message has what was found and what is allowed. */
-    public long whole(String key, long least, long most) {
+    public long whole(String key, long min, long max) {
         long value = whole(key);
-        return (long) within(key, value, least, most);
+        return (long) within(key, value, min, max);
     }
 
     /** The same for a number that may be left out. */
-    public double number(String key, double otherwise, double least, double most) {
-        return within(key, number(key, otherwise), least, most);
+    public double number(String key, double otherwise, double min, double max) {
+        return within(key, number(key, otherwise), min, max);
     }
 
-    private double within(String key, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
+    private double within(String key, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
             throw notAllowed(
                     key,
                     plain(value),
-                    most == Double.MAX_VALUE || most == Long.MAX_VALUE
-                            ? plain(least) + " or more"
-                            : plain(least) + " to " + plain(most));
+                    max == Double.MAX_VALUE || max == Long.MAX_VALUE
+                            ? plain(min) + " or more"
+                            : plain(min) + " to " + plain(max));
         }
         return value;
     }
--- a/daemon/src/main/java/cedarrudder/protocol/LoadReportParser.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReportParser.java
@@ -9,7 +9,7 @@
 public final class LoadReportParser {
 
     /** No node has more of anything. */
-    private static final double MOST = 1e6;
+    private static final double MAX = 1e6;
 
     private LoadReportParser() {}
 
@@ -30,7 +30,7 @@
                     double figure = Double.parseDouble(part.substring(equals + 1));
                     // Guards against nonsense that is a number: it would outweigh all other nodes'
                     // reports.
-                    if (figure >= 0 && figure <= MOST) {
+                    if (figure >= 0 && figure <= MAX) {
                         figures.put(part.substring(0, equals), figure);
                     }
                 } catch (NumberFormatException e) {
--- a/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
@@ -33,7 +33,7 @@
      * against a head that takes forty times its bytes: each field is some objects, and a head has
      * room for 4,000.
      */
-    private static final int MOST_FIELDS = 128;
+    private static final int MAX_FIELDS = 128;
 
     /** What first lines mostly hold: made once, and not for each message. */
     private static final String[] USUAL = {"HTTP/1.1", "GET", "POST", "200", "OK", "503"};
@@ -130,10 +130,10 @@
 
     /** Adds a field line, which is given without its end. */
     void addField(byte[] bytes, int from, int to) throws MalformedMessageException {
-        if (fields.all().size() == MOST_FIELDS) {
+        if (fields.all().size() == MAX_FIELDS) {
             throw new MalformedMessageException(
                     MalformedMessageException.FIELDS_TOO_LARGE,
-                    "more than " + MOST_FIELDS + " header fields");
+                    "more than " + MAX_FIELDS + " header fields");
         }
         fields.add(field(bytes, from, to));
     }
--- a/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
@@ -25,7 +25,7 @@
         void object(String text);
     }
 
-    private final int most;
+    private final int max;
     private final Events events;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
@@ -33,10 +33,10 @@
     private boolean escaped;
 
     /**
-     * @param most the largest object that is read, in bytes; a larger one is an IOException
+     * @param max the largest object that is read, in bytes; a larger one is an IOException
      */
-    public ObjectStream(int most, Events events) {
-        this.most = most;
+    public ObjectStream(int max, Events events) {
+        this.max = max;
         this.events = events;
     }
 
@@ -59,7 +59,7 @@
             }
             events.begun();
         }
-        if (object.size() >= most) {
+        if (object.size() >= max) {
             throw new IOException("too long a list");
         }
         object.write(next);
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -14,9 +14,9 @@
      * Larger figures are nonsense, and would overflow as nanoseconds: a day in milliseconds, where
      * callers of any site wait for some hundred ms to many seconds.
      */
-    private static final long MOST = 86_400_000L;
+    private static final long MAX = 86_400_000L;
 
-    private static final int MOST_DIGITS = 18;
+    private static final int MAX_DIGITS = 18;
 
     /**
      * The answer is ready this much earlier than the client gives up, or a tenth of its wait
@@ -149,9 +149,9 @@
     }
 
     private static long wait(String value) throws MalformedMessageException {
-        boolean whole = value.length() <= MOST_DIGITS && MessageHead.isNumber(value);
+        boolean whole = value.length() <= MAX_DIGITS && MessageHead.isNumber(value);
         long millis = whole ? Long.parseLong(value) : 0;
-        if (millis == 0 || millis > MOST) {
+        if (millis == 0 || millis > MAX) {
             throw MalformedMessageException.badRequest("bad req-deadline-ms");
         }
         return millis;
@@ -171,7 +171,7 @@
         try {
             long number = Long.parseLong(point < 0 ? value : value.substring(0, point));
             if (number >= 0) {
-                return Math.min(MOST, number);
+                return Math.min(MAX, number);
             }
         } catch (NumberFormatException e) {
             // falls through to the same answer as a number that makes no sense
--- a/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
@@ -46,7 +46,7 @@
      * No count of machines, zones or attempts is larger: guards against a number cut short in a
      * cast.
      */
-    private static final int MOST_COUNTED = 1_000_000;
+    private static final int MAX_COUNTED = 1_000_000;
 
     /** No time is longer: a week. Guards against sums of times that overflow. */
     private static final long LONGEST = 7 * 86_400_000_000_000L;
@@ -67,13 +67,13 @@
                             node.number("share", 0, 0, Double.MAX_VALUE),
                             node.number("quota-per-s", 0, 0, Double.MAX_VALUE)));
         }
-        int copies = (int) root.whole("balancers", 1, MOST_COUNTED);
+        int replicas = (int) root.whole("balancers", 1, MAX_COUNTED);
         List<String> tiers = root.texts("tiers");
         List<String> zones = root.texts("localities");
         BalancerSettings settings =
                 new BalancerSettings(
-                        copies,
-                        (int) root.whole("ordinal", 0, copies - 1),
+                        replicas,
+                        (int) root.whole("ordinal", 0, replicas - 1),
                         (int) root.number("zone", 0, 0, listed(zones)),
                         (int) root.number("layer", 0, 0, listed(tiers)),
                         Math.max(1, tiers.size()),
@@ -96,7 +96,7 @@
 
     /** The largest index into a list of names; any where none are named. */
     private static int listed(List<String> names) {
-        return names.isEmpty() ? MOST_COUNTED : names.size() - 1;
+        return names.isEmpty() ? MAX_COUNTED : names.size() - 1;
     }
 
     private static List<RequestClass> classes(JsonObject root) {
@@ -132,7 +132,7 @@
                 limits.flag("cancel", false),
                 limits.flag("parallel-tries", false),
                 limits.flag("retry-after", false),
-                (int) limits.number("max-attempts", 1, 1, MOST_COUNTED),
+                (int) limits.number("max-attempts", 1, 1, MAX_COUNTED),
                 (long) limits.number("max-retry-after-ns", 0, 0, LONGEST),
                 (long) limits.number("dial-timeout-ns", 0, 0, LONGEST),
                 (long) limits.number("conn-idle-ns", 0, 0, LONGEST));
--- a/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
@@ -27,7 +27,7 @@
      */
     private static final int CHUNK = 1 << 16;
 
-    private static final int MOST_VALUES = 4;
+    private static final int MAX_VALUES = 4;
     private static final int FIRST_STATUS = 249;
 
     /** Outcomes by code, from the first. */
@@ -230,7 +230,7 @@
      */
     LoadReport load(int offset, LoadReportFields fields) {
         int count = u8(offset);
-        if (count > MOST_VALUES) {
+        if (count > MAX_VALUES) {
             throw error("a load report of " + count + " values");
         }
         int first = at + offset + 1;
--- a/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
@@ -148,9 +148,9 @@
             }
 
             @Override
-            public void tell(int copy, byte[] message) {
+            public void tell(int replica, byte[] message) {
                 int at = record(SimulatorWire.PUBLISH);
-                records.putInt(at + 1, copy);
+                records.putInt(at + 1, replica);
                 span(at + 5, message);
             }
 
--- a/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
@@ -29,7 +29,7 @@
 
     private final BalancerParameters tuning;
     private final FrameEncoder reply = new FrameEncoder();
-    private final Map<Long, Copy> copies = new HashMap<>();
+    private final Map<Long, Copy> replicas = new HashMap<>();
     private final Map<Integer, List<LoadBalancer.Endpoint>> inventories = new HashMap<>();
     private long current = -1;
 
@@ -73,16 +73,16 @@
             case SimulatorWire.INVENTORY -> inventories.put(batch.u16(1), batch.endpoints(3));
             case SimulatorWire.NEW_INSTANCE -> start(batch);
             case SimulatorWire.KILL -> {
-                copy(batch);
-                copies.remove(current);
+                replica(batch);
+                replicas.remove(current);
             }
-            default -> deliver(batch, copy(batch));
+            default -> deliver(batch, replica(batch));
         }
     }
 
-    private Copy copy(FrameDecoder batch) {
-        Copy copy = copies.get(current);
-        if (copy == null) {
+    private Copy replica(FrameDecoder batch) {
+        Copy replica = replicas.get(current);
+        if (replica == null) {
             throw batch.error(
                     "event "
                             + batch.code()
@@ -90,7 +90,7 @@
                             + current
                             + ", which was never started");
         }
-        return copy;
+        return replica;
     }
 
     private void start(FrameDecoder batch) {
@@ -107,11 +107,11 @@
         SplittableRandom random = new SplittableRandom(seed);
         LoadBalancer balancer =
                 new PrequalBalancer(settings.module(), tuning, random, reply.actionsOf(current));
-        copies.put(current, new Copy(balancer, settings.fields()));
+        replicas.put(current, new Copy(balancer, settings.fields()));
     }
 
-    private void deliver(FrameDecoder batch, Copy copy) {
-        Runnable event = decode(batch, copy.balancer(), copy.fields(), batch.now());
+    private void deliver(FrameDecoder batch, Copy replica) {
+        Runnable event = decode(batch, replica.balancer(), replica.fields(), batch.now());
         try {
             event.run();
         } catch (RuntimeException e) {
@@ -123,19 +123,19 @@
      * Reads the whole event first, so that a malformed one is not taken for a fault of the module.
      */
     private Runnable decode(
-            FrameDecoder batch, LoadBalancer copy, LoadReportFields fields, long now) {
+            FrameDecoder batch, LoadBalancer replica, LoadReportFields fields, long now) {
         switch (batch.code()) {
             case SimulatorWire.VIEW -> {
                 int kind = batch.u8(1);
                 if (kind == SimulatorWire.VIEW_FAILED) {
-                    return () -> copy.endpointsFailed(now);
+                    return () -> replica.endpointsFailed(now);
                 }
                 LoadBalancer.EndpointListKind listKind = batch.listKind(kind);
                 List<LoadBalancer.Endpoint> entries = inventories.get(batch.u16(6));
                 if (entries == null) {
                     throw batch.error("list " + batch.u16(6) + " was never given");
                 }
-                return () -> copy.endpoints(now, listKind, entries);
+                return () -> replica.endpoints(now, listKind, entries);
             }
             case SimulatorWire.KNOCK -> {
                 int bits = batch.u8(9);
@@ -149,14 +149,14 @@
                                 (bits & SimulatorWire.BIT_REPEAT) != 0,
                                 (bits & SimulatorWire.BIT_WRITE) != 0,
                                 (bits & SimulatorWire.BIT_HINT) != 0 ? batch.i64(29) : 0);
-                return () -> copy.request(now, request);
+                return () -> replica.request(now, request);
             }
             case SimulatorWire.FIRST_BYTE -> {
                 long id = batch.i64(1);
                 long latency = batch.i64(9);
                 int attempt = batch.u8(17);
                 long endpoint = batch.u32(18);
-                return () -> copy.firstByte(now, id, attempt, endpoint, latency);
+                return () -> replica.firstByte(now, id, attempt, endpoint, latency);
             }
             case SimulatorWire.OUTCOME -> {
                 long id = batch.i64(1);
@@ -167,27 +167,28 @@
                 boolean settled = batch.u8(24) != 0;
                 LoadBalancer.LoadReport load = batch.load(25, fields);
                 return () ->
-                        copy.outcome(now, id, attempt, endpoint, outcome, latency, settled, load);
+                        replica.outcome(
+                                now, id, attempt, endpoint, outcome, latency, settled, load);
             }
             case SimulatorWire.CLIENT_LEFT -> {
                 long id = batch.i64(1);
-                return () -> copy.clientLeft(now, id);
+                return () -> replica.clientLeft(now, id);
             }
             case SimulatorWire.BELL -> {
                 long token = batch.i64(1);
-                return () -> copy.timer(now, token);
+                return () -> replica.timer(now, token);
             }
             case SimulatorWire.STATUS_BACK -> {
                 long endpoint = batch.u32(1);
                 LoadBalancer.Outcome outcome = batch.outcome(5);
                 long latency = batch.i64(7);
                 LoadBalancer.LoadReport load = batch.load(15, fields);
-                return () -> copy.probed(now, endpoint, outcome, latency, load);
+                return () -> replica.probed(now, endpoint, outcome, latency, load);
             }
             case SimulatorWire.WHISPER -> {
                 int from = batch.u16(1);
                 byte[] message = batch.bytes(3);
-                return () -> copy.message(now, from, message);
+                return () -> replica.message(now, from, message);
             }
             default -> throw batch.error("unknown event code " + batch.code());
         }
--- a/daemon/src/main/java/cedarrudder/toml/ConfigDocument.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigDocument.java
@@ -25,7 +25,7 @@
 public final class ConfigDocument {
 
     /** Larger files are no configuration. */
-    private static final long MOST_BYTES = 4 << 20;
+    private static final long MAX_BYTES = 4 << 20;
 
     private final String file;
     private final List<ConfigProblem> problems = new ArrayList<>();
@@ -60,9 +60,9 @@
      */
     public static ConfigDocument read(Path path) throws InvalidFileException {
         try {
-            if (Files.size(path) > MOST_BYTES) {
+            if (Files.size(path) > MAX_BYTES) {
                 throw unreadable(
-                        path, Files.size(path) + " bytes", MOST_BYTES + " bytes at the most");
+                        path, Files.size(path) + " bytes", MAX_BYTES + " bytes at the most");
             }
             return new ConfigDocument(path.toString(), Files.readString(path));
         } catch (NoSuchFileException e) {
--- a/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
@@ -28,7 +28,7 @@
     private static final int NEAREST = 3;
 
     /** Longer values are cut in messages. */
-    private static final int MOST_SHOWN = 60;
+    private static final int MAX_SHOWN = 60;
 
     private static final Pattern INDEX = Pattern.compile("\\[\\d+]");
 
@@ -111,11 +111,11 @@
      */
     public static String nearest(String key, Collection<String> among) {
         String nearest = null;
-        int least = Math.min(NEAREST, Math.max(1, key.length() / 2)) + 1;
+        int min = Math.min(NEAREST, Math.max(1, key.length() / 2)) + 1;
         for (String each : among) {
             int distance = distance(key, each);
-            if (distance < least) {
-                least = distance;
+            if (distance < min) {
+                min = distance;
                 nearest = each;
             }
         }
@@ -161,28 +161,28 @@
                         : value instanceof TomlArray array
                                 ? array.toList().toString()
                                 : String.valueOf(value);
-        return text.length() > MOST_SHOWN ? text.substring(0, MOST_SHOWN) + "..." : text;
+        return text.length() > MAX_SHOWN ? text.substring(0, MAX_SHOWN) + "..." : text;
     }
 
     // ---- values ----
 
     /** A whole number that must be there. */
-    public long whole(String key, long least, long most) {
-        return whole(key, least, most, least, true);
+    public long whole(String key, long min, long max) {
+        return whole(key, min, max, min, true);
     }
 
     /** A whole number that may be left out. */
-    public long whole(String key, long least, long most, long otherwise) {
-        return whole(key, least, most, otherwise, false);
+    public long whole(String key, long min, long max, long otherwise) {
+        return whole(key, min, max, otherwise, false);
     }
 
-    private long whole(String key, long least, long most, long otherwise, boolean required) {
-        String allowed = "a whole number from " + least + " to " + most;
+    private long whole(String key, long min, long max, long otherwise, boolean required) {
+        String allowed = "a whole number from " + min + " to " + max;
         Object value = get(key, required, allowed, Long.toString(otherwise));
         if (value == null) {
             return otherwise;
         }
-        if (value instanceof Long number && number >= least && number <= most) {
+        if (value instanceof Long number && number >= min && number <= max) {
             return number;
         }
         problem(key, shown(value), allowed);
@@ -190,25 +190,24 @@
     }
 
     /** A number that must be there. */
-    public double number(String key, double least, double most) {
-        return number(key, least, most, least, true);
+    public double number(String key, double min, double max) {
+        return number(key, min, max, min, true);
     }
 
     /** A number that may be left out. */
-    public double number(String key, double least, double most, double otherwise) {
-        return number(key, least, most, otherwise, false);
+    public double number(String key, double min, double max, double otherwise) {
+        return number(key, min, max, otherwise, false);
     }
 
-    private double number(
-            String key, double least, double most, double otherwise, boolean required) {
-        String allowed = "a number from " + plain(least) + " to " + plain(most);
+    private double number(String key, double min, double max, double otherwise, boolean required) {
+        String allowed = "a number from " + plain(min) + " to " + plain(max);
         Object value = get(key, required, allowed, plain(otherwise));
         if (value == null) {
             return otherwise;
         }
         if (value instanceof Number number
-                && number.doubleValue() >= least
-                && number.doubleValue() <= most) {
+                && number.doubleValue() >= min
+                && number.doubleValue() <= max) {
             return number.doubleValue();
         }
         problem(key, shown(value), allowed);
@@ -218,34 +217,33 @@
     /**
      * A number, or two in brackets between which one is drawn; null stands for none where left out.
      */
-    public double[] range(String key, double least, double most, double[] otherwise) {
+    public double[] range(String key, double min, double max, double[] otherwise) {
         double[] ends =
                 range(
                         key,
-                        least,
-                        most,
+                        min,
+                        max,
                         otherwise == null,
                         otherwise == null ? ConfigKey.REQUIRED : plain(otherwise));
         if (ends != null) {
             return ends;
         }
-        return otherwise == null ? new double[] {least, least} : otherwise;
+        return otherwise == null ? new double[] {min, min} : otherwise;
     }
 
     /** A number or two as in {@link #range} that may be left out; null where it is. */
-    public double[] rangeOrNull(String key, double least, double most) {
-        double[] ends = range(key, least, most, false, ConfigKey.NONE);
-        return ends == null && has(key) ? new double[] {least, least} : ends;
+    public double[] rangeOrNull(String key, double min, double max) {
+        double[] ends = range(key, min, max, false, ConfigKey.NONE);
+        return ends == null && has(key) ? new double[] {min, min} : ends;
     }
 
     /** Null where the value is missing or wrong. */
-    private double[] range(
-            String key, double least, double most, boolean required, String otherwise) {
+    private double[] range(String key, double min, double max, boolean required, String otherwise) {
         String allowed =
                 "a number from "
-                        + plain(least)
+                        + plain(min)
                         + " to "
-                        + plain(most)
+                        + plain(max)
                         + ", or two such as [low, high]";
         Object value = get(key, required, allowed, otherwise);
         if (value == null) {
@@ -265,7 +263,7 @@
                     key,
                     shown(value),
                     "the lower end first: " + plain(new double[] {ends[1], ends[0]}));
-        } else if (ends != null && ends[0] >= least && ends[1] <= most) {
+        } else if (ends != null && ends[0] >= min && ends[1] <= max) {
             return ends;
         } else {
             problem(key, shown(value), allowed);
@@ -328,8 +326,8 @@
     }
 
     /** A list of numbers; empty where left out. */
-    public List<Double> numbers(String key, double least, double most) {
-        String allowed = "a list of numbers from " + plain(least) + " to " + plain(most);
+    public List<Double> numbers(String key, double min, double max) {
+        String allowed = "a list of numbers from " + plain(min) + " to " + plain(max);
         Object value = get(key, false, allowed, ConfigKey.NONE);
         if (value == null) {
             return List.of();
@@ -339,8 +337,8 @@
                         .allMatch(
                                 each ->
                                         each instanceof Number n
-                                                && n.doubleValue() >= least
-                                                && n.doubleValue() <= most)) {
+                                                && n.doubleValue() >= min
+                                                && n.doubleValue() <= max)) {
             return array.toList().stream().map(each -> ((Number) each).doubleValue()).toList();
         }
         problem(key, shown(value), allowed);
--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -33,12 +33,12 @@
      * Connections at once; at this bound the one that has said least makes room, the oldest of
      * those.
      */
-    public static final int MOST_CALLS = 16;
+    public static final int MAX_CALLS = 16;
 
     /** Bytes of a call, which has a short path and no body to speak of. */
-    private static final int MOST_HEAD = 4096;
+    private static final int MAX_HEAD = 4096;
 
-    private static final int MOST_BODY = 1024;
+    private static final int MAX_BODY = 1024;
 
     /** A call must be whole by then, in nanoseconds from its connection. */
     private static final long PATIENCE = 5_000_000_000L;
@@ -220,22 +220,22 @@
      * Guards against callers who say nothing, or half a call, shutting out those who say all of it.
      */
     private void makeRoom() {
-        Call least = null;
+        Call min = null;
         for (Call call : calls) {
-            least = least == null || call.said < least.said ? call : least;
+            min = min == null || call.said < min.said ? call : min;
         }
-        if (least != null) {
+        if (min != null) {
             // Not once it has closed, which is later: guards against the same one making room for
             // many.
-            calls.remove(least);
-            least.channel.close();
+            calls.remove(min);
+            min.channel.close();
         }
     }
 
     /** One connection, with one call. */
     private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
         private final DuplexChannel channel;
-        private final HttpDecoder decoder = HttpDecoder.ofRequests(MOST_HEAD, MOST_BODY);
+        private final HttpDecoder decoder = HttpDecoder.ofRequests(MAX_HEAD, MAX_BODY);
         private long said;
         private boolean answered;
         private boolean waits;
@@ -247,7 +247,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            if (calls.size() >= MOST_CALLS) {
+            if (calls.size() >= MAX_CALLS) {
                 makeRoom();
             }
             calls.add(this);
--- a/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
@@ -16,8 +16,8 @@
  *     after 2 s; those that ask once and stay would pile up
  * @param answerPatience a caller that hasn't read its answer for so long has given up waiting for
  *     it
- * @param mostHead the largest head of a request, in bytes
- * @param mostBody the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW}
+ * @param maxHead the largest head of a request, in bytes
+ * @param maxBody the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW}
  *     flows
  * @param descriptorsShare the share of the process's descriptors that callers may hold
  */
@@ -26,8 +26,8 @@
         long silentLong,
         long idlePatience,
         long answerPatience,
-        int mostHead,
-        int mostBody,
+        int maxHead,
+        int maxBody,
         double descriptorsShare) {
 
     /**
@@ -40,12 +40,12 @@
                     1_000_000_000L,
                     5_000_000_000L,
                     10_000_000_000L,
-                    HttpDecoder.MOST_HEAD,
-                    HttpDecoder.MOST_FLOW,
+                    HttpDecoder.MAX_HEAD,
+                    HttpDecoder.MAX_FLOW,
                     0.5);
 
     /** How many callers may be connected at once, of a process with so many descriptors. */
-    public int mostCallers(int descriptors) {
+    public int maxCallers(int descriptors) {
         return Math.max(1, (int) (descriptors * descriptorsShare));
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -36,7 +36,7 @@
     private static final String LIST = "/catalog/members";
 
     /** The largest list that is read. */
-    private static final int MOST_LIST = 4 * 1024 * 1024;
+    private static final int MAX_LIST = 4 * 1024 * 1024;
 
     /** What has come meanwhile is read for so long, in nanoseconds, before silence is judged. */
     private static final long TURN = 1_000_000L;
@@ -271,7 +271,7 @@
     private final class Call extends SimpleChannelInboundHandler<ByteBuf>
             implements ObjectStream.Events {
         private final Asks asks;
-        private final ObjectStream objects = new ObjectStream(MOST_LIST, this);
+        private final ObjectStream objects = new ObjectStream(MAX_LIST, this);
         private final HttpDecoder decoder = HttpDecoder.ofStreams(objects);
         private final InetSocketAddress to = address;
         private final long dialledAt = loop.now();
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
@@ -73,7 +73,7 @@
      * Bytes that one read takes at the most: a piece of a body that flows. Guards against memory
      * that many slow callers hold, each a piece of theirs on its way.
      */
-    private static final int MOST_READ = 16 * 1024;
+    private static final int MAX_READ = 16 * 1024;
 
     private static final int FIRST_READ = 1024;
 
@@ -94,7 +94,7 @@
     private final Bootstrap bootstrap;
     private final long idleLimit;
     private EndpointLimits limits;
-    private EndpointLimits.Bounds most;
+    private EndpointLimits.Bounds max;
     private final Map<Long, Node> nodes = new HashMap<>();
     private final Map<RequestAttempt<HttpMessage, HttpMessage>, Work> attempts =
             new IdentityHashMap<>();
@@ -102,7 +102,7 @@
     private int open;
 
     /**
-     * @param most how many channels there may be
+     * @param max how many channels there may be
      * @param figures where attempts are counted
      * @param held the account of what bodies hold
      */
@@ -111,7 +111,7 @@
             RequestForwarder<HttpMessage, HttpMessage> driver,
             SiteSettings site,
             EndpointLimits limits,
-            EndpointLimits.Bounds most,
+            EndpointLimits.Bounds max,
             RequestMetrics figures,
             BufferAccount held) {
         this.held = held;
@@ -120,7 +120,7 @@
         this.driver = driver;
         this.reports = site.reports();
         this.limits = limits;
-        this.most = most;
+        this.max = max;
         long idle = site.module().limits().connectionIdle();
         this.idleLimit = idle == 0 ? Long.MAX_VALUE : (long) (idle * IDLE_SHARE);
         this.bootstrap =
@@ -131,7 +131,7 @@
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(
                                 ChannelOption.RCVBUF_ALLOCATOR,
-                                new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ))
+                                new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MAX_READ))
                         .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyWriter.WRITE_AHEAD)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
@@ -153,8 +153,8 @@
      */
     public void apply(EndpointLimits next, EndpointLimits.Bounds bounds) {
         limits = next;
-        most = bounds;
-        for (int over = open - most.idle(); over > 0; over--) {
+        max = bounds;
+        for (int over = open - max.idle(); over > 0; over--) {
             closeOldest();
         }
     }
@@ -283,8 +283,8 @@
             }
             idle.retire();
         }
-        boolean madeRoom = open >= most.idle() && closeOldest();
-        if (open >= most.all() && !madeRoom) {
+        boolean madeRoom = open >= max.idle() && closeOldest();
+        if (open >= max.all() && !madeRoom) {
             work.unsent(); // guards against attempts that take the descriptors of operators and
             // discovery
             return;
@@ -566,7 +566,7 @@
     private final class NodeChannel extends SimpleChannelInboundHandler<ByteBuf> {
         private final Node node;
         private final HttpDecoder decoder =
-                HttpDecoder.ofFlows(false, limits.mostHead(), limits.mostBody(), BodyFlow.WINDOW);
+                HttpDecoder.ofFlows(false, limits.maxHead(), limits.maxBody(), BodyFlow.WINDOW);
         private EndpointSocket channel;
         private BodyFlow flow;
         private BodyWriter upload;
--- a/daemon/src/main/java/cedarrudder/transport/EndpointLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointLimits.java
@@ -11,8 +11,8 @@
  *     been spoilt; one that is still coming after so long flows to its caller as it comes. Guards
  *     against waiting until the RPC's end for the rest of an answer that is shorter than it says,
  *     or whose head never ends
- * @param mostHead the largest head of an answer, in bytes
- * @param mostBody the largest body of an answer, in bytes; what is over {@link BodyFlow#WINDOW}
+ * @param maxHead the largest head of an answer, in bytes
+ * @param maxBody the largest body of an answer, in bytes; what is over {@link BodyFlow#WINDOW}
  *     flows
  * @param descriptorsShare the share of the process's descriptors beyond which each new channel
  *     costs one that is idle
@@ -20,8 +20,8 @@
 public record EndpointLimits(
         long probePatience,
         long answerPatience,
-        int mostHead,
-        int mostBody,
+        int maxHead,
+        int maxBody,
         double descriptorsShare) {
 
     /**
@@ -30,7 +30,7 @@
      */
     public static final EndpointLimits DEFAULT =
             new EndpointLimits(
-                    250_000_000L, 300_000_000L, HttpDecoder.MOST_HEAD, HttpDecoder.MOST_FLOW, 0.25);
+                    250_000_000L, 300_000_000L, HttpDecoder.MAX_HEAD, HttpDecoder.MAX_FLOW, 0.25);
 
     /**
      * Of what callers leave, this many descriptors are no channel's: 16 calls of operators,
--- a/daemon/src/main/java/cedarrudder/transport/HttpServer.java
+++ b/daemon/src/main/java/cedarrudder/transport/HttpServer.java
@@ -86,7 +86,7 @@
     private static final long LAST_WORD = 1_000_000_000L;
 
     private static final long LAST_WORDS = 5_000_000_000L;
-    private static final long MOST_DROPPED = HttpDecoder.MOST_FLOW;
+    private static final long MAX_DROPPED = HttpDecoder.MAX_FLOW;
 
     /**
      * Bytes of a caller behind its open RPC that are read and kept, charged to the account of
@@ -112,7 +112,7 @@
      */
     private static final long ARRIVAL = 10_000_000L;
 
-    private static final int MOST_ARRIVALS = 64;
+    private static final int MAX_ARRIVALS = 64;
 
     /**
      * One look at a socket reads so often at the most. Guards against one that is sent to at full
@@ -125,7 +125,7 @@
      * stood right behind it. Guards against a caller that sends ahead without end and never lets
      * go.
      */
-    private static final int MOST_BEHIND = 64;
+    private static final int MAX_BEHIND = 64;
 
     /**
      * How clients are sent away when operators drain the proxy, counted from then: the front still
@@ -147,7 +147,7 @@
      * Bytes taken from one caller before it is another's turn, in so many reads. Guards against
      * callers that send at full speed without end: each turn of the loop reads little of theirs.
      */
-    private static final int MOST_READ = 16 * 1024;
+    private static final int MAX_READ = 16 * 1024;
 
     private static final int READS = 2;
     private static final int FIRST_READ = 1024;
@@ -157,7 +157,7 @@
     private static final long UPLOAD_SILENCE = 5_000_000_000L;
 
     /** A body that flows may take so long: 32 MB at 64 kB a second take 500 s. */
-    private static final long UPLOAD_MOST = 600_000_000_000L;
+    private static final long MAX_UPLOAD = 600_000_000_000L;
 
     /**
      * The bytes of a request that is sent in one piece come sooner, even to a loop that runs late.
@@ -169,7 +169,7 @@
     private final RequestHeaders fields;
     private final BooleanSupplier ready;
     private ClientLimits limits;
-    private int mostCallers;
+    private int maxCallers;
     private final Set<ClientConnection> callers = new HashSet<>();
 
     /**
@@ -195,7 +195,7 @@
     private long replacedAt;
     private long answerBy = Long.MAX_VALUE;
     private BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> aside =
-            (rpc, reply) -> false;
+            (request, reply) -> false;
     private final BufferAccount held;
 
     public HttpServer(
@@ -204,7 +204,7 @@
             RequestHeaders fields,
             BooleanSupplier ready,
             ClientLimits limits,
-            int mostCallers,
+            int maxCallers,
             BufferAccount held) {
         this.held = held;
         this.loop = loop;
@@ -212,7 +212,7 @@
         this.fields = fields;
         this.ready = ready;
         this.limits = limits;
-        this.mostCallers = mostCallers;
+        this.maxCallers = maxCallers;
     }
 
     /** How many callers are connected. */
@@ -224,10 +224,10 @@
      * From now on these limits count; connections that are open keep their bounds on bytes. Where
      * fewer callers may be there than are, those that wait for nothing are closed.
      */
-    public void apply(ClientLimits next, int most) {
+    public void apply(ClientLimits next, int max) {
         limits = next;
-        mostCallers = most;
-        for (int over = callers.size() - mostCallers; !full && over > 0; over--) {
+        maxCallers = max;
+        for (int over = callers.size() - maxCallers; !full && over > 0; over--) {
             makeRoom();
         }
         takeMore();
@@ -262,7 +262,7 @@
                                 new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
                         .childOption(
                                 ChannelOption.RCVBUF_ALLOCATOR,
-                                new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MOST_READ)
+                                new AdaptiveRecvByteBufAllocator(FIRST_READ, FIRST_READ, MAX_READ)
                                         .maxMessagesPerRead(READS))
                         .childOption(ChannelOption.ALLOCATOR, loop.buffers())
                         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BodyWriter.WRITE_AHEAD)
@@ -311,7 +311,7 @@
                 caller.expire();
             }
         }
-        for (int over = callers.size() - mostCallers; full && over > 0; over--) {
+        for (int over = callers.size() - maxCallers; full && over > 0; over--) {
             makeRoom();
         }
         takeMore();
@@ -356,7 +356,7 @@
     }
 
     /** After so long, in nanoseconds, an end over which nothing flows is stuck; from any thread. */
-    public long mostEnding() {
+    public long maxEnding() {
         return Math.min(LONGEST_COUNTED, fields.longestWait()) + KILLED_AFTER + STUCK;
     }
 
@@ -373,10 +373,10 @@
      */
     private void sendAway(long now, long end) {
         long left = Math.max(1, (end - now) / SWEEP);
-        long most = (idle.size() + silent.size() + left - 1) / left;
+        long max = (idle.size() + silent.size() + left - 1) / left;
         for (Set<ClientConnection> from : List.of(idle, silent)) {
             for (ClientConnection caller : List.copyOf(from)) {
-                if (most-- > 0 && caller.mayGo(now)) {
+                if (max-- > 0 && caller.mayGo(now)) {
                     caller.closeIfQuiet();
                 }
             }
@@ -446,7 +446,7 @@
     }
 
     private void takeMore() {
-        if (full && callers.size() <= mostCallers) {
+        if (full && callers.size() <= maxCallers) {
             full = false;
             listening.config().setAutoRead(true);
         }
@@ -582,7 +582,7 @@
             implements Exchange.Reply<HttpMessage> {
         private final NioSocketChannel channel;
         private final HttpDecoder decoder =
-                HttpDecoder.ofFlows(true, limits.mostHead(), limits.mostBody(), BodyFlow.WINDOW);
+                HttpDecoder.ofFlows(true, limits.maxHead(), limits.maxBody(), BodyFlow.WINDOW);
         private ByteBuf ahead;
         private BodyFlow upload;
         private BodyWriter download;
@@ -777,7 +777,7 @@
             silent.add(this);
             since = loop.now();
             due = due(state, since);
-            if (callers.size() > mostCallers) {
+            if (callers.size() > maxCallers) {
                 makeRoom();
             }
         }
@@ -811,7 +811,7 @@
             boolean joins =
                     last != null
                             && (loop.now() - last.at() < ARRIVAL
-                                    || arrivals.size() >= MOST_ARRIVALS);
+                                    || arrivals.size() >= MAX_ARRIVALS);
             if (joins) {
                 arrivals.removeLast();
             }
@@ -838,7 +838,7 @@
         private void drop(ByteBuf in) {
             dropped += in.readableBytes();
             in.release();
-            if (dropped > MOST_DROPPED) {
+            if (dropped > MAX_DROPPED) {
                 due = loop.now();
             } else if (state == ClientConnectionState.LINGERING) {
                 due = Math.min(loop.now() + LAST_WORD, lastDue);
@@ -999,7 +999,7 @@
             flow.whenRoom(() -> loop.run(this::readMore));
             take(
                     request,
-                    loop.now() < answerBy ? UPLOAD_MOST : 0); // behind what was cut off none begins
+                    loop.now() < answerBy ? MAX_UPLOAD : 0); // behind what was cut off none begins
         }
 
         /** There is room again for what the caller sends. */
@@ -1086,7 +1086,7 @@
                 return false;
             }
             look();
-            return !holds() || ++behind > MOST_BEHIND;
+            return !holds() || ++behind > MAX_BEHIND;
         }
 
         @Override
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -18,24 +18,24 @@
 
     /** Takes that a copy counts as live from now on, or as dead. */
     public interface Lives {
-        void lives(int copy, boolean lives);
+        void lives(int replica, boolean lives);
     }
 
     private final ProxyEventLoop loop;
     private final PeerSocket peers;
     private final IntConsumer live;
     private final EventRecorder notes;
-    private final long life;
+    private final long incarnation;
     private final SwimMember swim;
     private TimerService.Timer timer;
     private long wakesAt = Long.MAX_VALUE;
     private int told;
-    private Lives each = (copy, lives) -> {};
+    private Lives each = (replica, lives) -> {};
 
     /**
-     * @param copies how many proxies of the tier there may be, and {@code self} the number of this
-     *     one
-     * @param life larger than that of the process before, such as the time of its start in
+     * @param replicas how many proxies of the tier there may be, and {@code self} the number of
+     *     this one
+     * @param incarnation larger than that of the process before, such as the time of its start in
      *     milliseconds
      * @param live takes how many live, whenever that changes
      * @param notes takes what becomes known; null where nobody asked for that
@@ -44,9 +44,9 @@
             ProxyEventLoop loop,
             PeerSocket peers,
             MembershipSettings settings,
-            int copies,
+            int replicas,
             int self,
-            long life,
+            long incarnation,
             RandomGenerator random,
             IntConsumer live,
             EventRecorder notes) {
@@ -54,13 +54,13 @@
         this.peers = peers;
         this.live = live;
         this.notes = notes;
-        this.life = life;
-        this.told = copies;
+        this.incarnation = incarnation;
+        this.told = replicas;
         this.swim =
                 new SwimMember(
-                        copies,
+                        replicas,
                         self,
-                        life,
+                        incarnation,
                         settings,
                         random,
                         new SwimMember.Actions() {
@@ -85,7 +85,7 @@
     /** Begins; on the loop. */
     public void start() {
         peers.hearer(this::heard);
-        note("speaks", Map.of("number", life));
+        note("speaks", Map.of("number", incarnation));
         wake();
     }
 
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -23,7 +23,7 @@
 public final class PeerSocket implements PeerTransport {
 
     /** A longer message breaks the protocol. */
-    private static final int MOST_MESSAGE = 256;
+    private static final int MAX_MESSAGE = 256;
 
     /** Takes a message from one of the others, by its number. */
     interface Hearer {
@@ -88,7 +88,7 @@
                 .option(HttpServer.REUSE_PORT, shared)
                 .option(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(MOST_MESSAGE + 1))
+                        new FixedRecvByteBufAllocator(MAX_MESSAGE + 1))
                 .handler(new Incoming())
                 .bind(address);
     }
@@ -109,12 +109,13 @@
     }
 
     @Override
-    public void tell(int copy, byte[] message) {
-        InetSocketAddress to = copy < 0 ? all : copy < peers.size() ? peers.get(copy) : null;
-        if (channel == null || to == null || message.length > MOST_MESSAGE) {
+    public void tell(int replica, byte[] message) {
+        InetSocketAddress to =
+                replica < 0 ? all : replica < peers.size() ? peers.get(replica) : null;
+        if (channel == null || to == null || message.length > MAX_MESSAGE) {
             loop.log()
                     .warn("peer.unreachable")
-                    .with("copy", copy)
+                    .with("copy", replica)
                     .with("bytes", message.length)
                     .write();
             return;
@@ -127,7 +128,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             int from = peers.indexOf(packet.sender());
-            if (from < 0 || packet.content().readableBytes() > MOST_MESSAGE) {
+            if (from < 0 || packet.content().readableBytes() > MAX_MESSAGE) {
                 loop.log()
                         .warn("peer.rejected")
                         .with("from", packet.sender())
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -57,7 +57,7 @@
     private final Host host;
     private final EventRecorder notes;
     private final BitSet dead = new BitSet();
-    private CoordinatedReplica copy;
+    private CoordinatedReplica replica;
     private TimerService.Timer timer;
     private long wakesAt = Long.MAX_VALUE;
     private boolean led;
@@ -79,8 +79,8 @@
         peers.hearer(LOG, this::heard);
         peers.hearer(BESIDE, this::heard);
         try {
-            copy = maker.make(new Out(), loop.now());
-            dead.stream().forEach(number -> copy.lives(number, false));
+            replica = maker.make(new Out(), loop.now());
+            dead.stream().forEach(number -> replica.lives(number, false));
             wake();
         } catch (UncheckedIOException e) {
             stopped(e);
@@ -96,8 +96,8 @@
     }
 
     private void end() {
-        if (copy != null) {
-            copy = null;
+        if (replica != null) {
+            replica = null;
             if (timer != null) {
                 timer.cancel();
             }
@@ -108,14 +108,14 @@
     /** Membership holds that a copy lives, or that it is dead. */
     public void lives(int number, boolean lives) {
         dead.set(number, !lives);
-        if (copy != null) {
-            copy.lives(number, lives);
+        if (replica != null) {
+            replica.lives(number, lives);
         }
     }
 
     /** How things stand; null where this process takes no part. */
     public CoordinatedReplica.Status status() {
-        return copy == null ? null : copy.status(loop.now());
+        return replica == null ? null : replica.status(loop.now());
     }
 
     /** An operator has this copy form a group; false where it can't. */
@@ -147,11 +147,11 @@
 
     /** Null where it takes no part. */
     private <T> T act(Function<CoordinatedReplica, T> event) {
-        if (copy == null) {
+        if (replica == null) {
             return null;
         }
         try {
-            T result = event.apply(copy);
+            T result = event.apply(replica);
             wake();
             return result;
         } catch (UncheckedIOException e) {
@@ -172,7 +172,7 @@
 
     /** Sees to it that the next tick comes when it is due. */
     private void wake() {
-        CoordinatedReplica.Status now = copy.status(loop.now());
+        CoordinatedReplica.Status now = replica.status(loop.now());
         if (now.leads() != led) {
             led = now.leads();
             if (led) {
@@ -181,7 +181,7 @@
                 loop.log().info("agreement.follows").with("term", now.term()).write();
             }
         }
-        long due = copy.due();
+        long due = replica.due();
         if (due == wakesAt) {
             return;
         }
--- a/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
@@ -66,7 +66,7 @@
                 }
             }
             assertTrue(
-                    answered > 0 && answered <= AdminListener.MOST_CALLS, answered + " were left");
+                    answered > 0 && answered <= AdminListener.MAX_CALLS, answered + " were left");
             for (Caller caller : crowd) {
                 caller.close();
             }
@@ -85,7 +85,7 @@
                 Caller idle = world.caller();
                 Caller silent = world.caller()) {
             serveOn(world, idle, "idle");
-            busy.send(World.rpc("order", "/api", "x").replace("id-1", "busy"));
+            busy.send(World.request("order", "/api", "x").replace("id-1", "busy"));
             Received open = world.call();
             assertEquals(world.status("POST", "/-/drain"), 200);
             assertEquals(health(world), "HTTP/1.1 503 Service Unavailable");
@@ -129,7 +129,7 @@
                 assertEquals(served(world, caller, "one-" + i), nodePort(world, 1));
             }
             assertEquals(world.status("POST", "/-/nodes/n1/disable"), 200);
-            caller.send(World.rpc("lookup", "/api", "").replace("id-1", "none"));
+            caller.send(World.request("lookup", "/api", "").replace("id-1", "none"));
             assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
             world.probesWait = true;
             assertEquals(world.status("POST", "/-/nodes/n0/enable"), 200);
@@ -139,7 +139,7 @@
             int answered = 0;
             for (int i = 0; answered == 0; i++) {
                 // Cold: now and then there is no room for one yet.
-                caller.send(World.rpc("lookup", "/api", "").replace("id-1", "two-" + i));
+                caller.send(World.request("lookup", "/api", "").replace("id-1", "two-" + i));
                 Received call = world.calls.poll(300, TimeUnit.MILLISECONDS);
                 if (call != null) {
                     assertEquals(call.socket().getLocalPort(), nodePort(world, 0));
@@ -188,11 +188,11 @@
             String before = page(world);
             assertTrue(before.contains("\"order\":{\"fulfilled\":0"), before);
             serveOn(world, caller, "served");
-            caller.send(World.rpc("order", "/api", "x").replace("id-1", "failed"));
+            caller.send(World.request("order", "/api", "x").replace("id-1", "failed"));
             world.call().reply("500 Broken", "");
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
             Caller leaving = world.caller();
-            leaving.send(World.rpc("order", "/api", "x").replace("id-1", "leaves"));
+            leaving.send(World.request("order", "/api", "x").replace("id-1", "leaves"));
             world.call();
             assertEquals(metric(world, "open_requests"), 1);
             leaving.close();
@@ -220,7 +220,7 @@
 
     /** Serves an RPC and tells at which node's port it came. */
     private static int served(World world, Caller caller, String id) throws Exception {
-        caller.send(World.rpc("lookup", "/api", "").replace("id-1", id));
+        caller.send(World.request("lookup", "/api", "").replace("id-1", id));
         Received call = world.call();
         call.reply("200 OK", id);
         assertEquals(caller.read().body(), id);
@@ -240,7 +240,7 @@
     }
 
     private static void serveOn(World world, Caller caller, String text) throws Exception {
-        caller.send(World.rpc("lookup", "/api", "").replace("id-1", text));
+        caller.send(World.request("lookup", "/api", "").replace("id-1", text));
         world.call().reply("200 OK", text);
         assertEquals(caller.read().body(), text);
     }
--- a/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
@@ -97,7 +97,7 @@
     }
 
     private static String upload(String id) {
-        return World.rpc("order", STAYS, "", "Transfer-Encoding: chunked")
+        return World.request("order", STAYS, "", "Transfer-Encoding: chunked")
                 .replace("Content-Length: 0\r\n", "")
                 .replace("id-1", id);
     }
@@ -153,7 +153,9 @@
             List<Caller> slow = new ArrayList<>();
             for (int i = 0; i < MANY; i++) {
                 Caller caller = world.caller();
-                slow.add(caller.send(World.rpc("lookup", STAYS, "").replace("id-1", "slow-" + i)));
+                slow.add(
+                        caller.send(
+                                World.request("lookup", STAYS, "").replace("id-1", "slow-" + i)));
                 Received call = world.call();
                 call.raw(
                         "HTTP/1.1 200 OK\r\nContent-Length: "
@@ -168,7 +170,7 @@
                 assertTrue(held <= MANY * 2 * 64 * 1024, held + " bytes are held");
             }
             try (Caller other = world.caller()) {
-                other.send(World.rpc("lookup", "/api", ""));
+                other.send(World.request("lookup", "/api", ""));
                 world.call().reply("200 OK", "small");
                 assertEquals(other.read().body(), "small");
             }
@@ -193,7 +195,7 @@
             for (String framing : framings) {
                 try (World world = new World(1).start();
                         Caller caller = world.caller()) {
-                    caller.send(World.rpc("lookup", STAYS, "").replace("HTTP/1.1", version));
+                    caller.send(World.request("lookup", STAYS, "").replace("HTTP/1.1", version));
                     Received call = world.call();
                     call.raw("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
                     call.raw(
@@ -234,7 +236,7 @@
                                                 "[callers]\nanswer_patience_ms = 500\n"))
                                 .start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", STAYS, "").replace("HTTP/1.1", "HTTP/1.0"));
+            caller.send(World.request("lookup", STAYS, "").replace("HTTP/1.1", "HTTP/1.0"));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             Nodes.daemon(() -> write(call.socket().getOutputStream(), 3, LARGE, true, new CRC32()));
@@ -263,12 +265,12 @@
                                 .start();
                 Caller reads = world.caller();
                 Caller deaf = world.caller()) {
-            reads.send(World.rpc("lookup", STAYS, "").replace("id-1", "reads"));
+            reads.send(World.request("lookup", STAYS, "").replace("id-1", "reads"));
             Received slow = world.call();
             slow.raw("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nx");
             assertEquals(reads.readHead().first(), "HTTP/1.1 200 OK");
             assertEquals(reads.in().read(), 'x');
-            deaf.send(World.rpc("lookup", STAYS, "").replace("id-1", "deaf"));
+            deaf.send(World.request("lookup", STAYS, "").replace("id-1", "deaf"));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
             Nodes.daemon(
@@ -334,7 +336,7 @@
     public void aSmallAnswerThatIsSlowToComeIsPassedOnAsItComes() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", STAYS, ""));
+            caller.send(World.request("lookup", STAYS, ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
             Nodes.daemon(
--- a/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
@@ -62,7 +62,7 @@
         try (World world = world(0, 1).start();
                 Caller caller = world.caller()) {
             caller.send(
-                    World.rpc(
+                    World.request(
                             "booking",
                             "/api/x?y=1",
                             "{\"a\":1}",
@@ -98,14 +98,15 @@
                 Caller caller = world.caller()) {
             String budget = "1;left=5;tries=0;grant=7";
             caller.send(
-                    World.rpc(
+                    World.request(
                             "lookup", "/api", "", "Cedar-Budget: " + budget, "Cedar-Path: 1;core"));
             Received call = world.call();
             assertEquals(call.field("Cedar-Budget"), budget);
             assertEquals(call.field("Cedar-Path"), "1;core");
             call.reply("200 OK", "done", "Cedar-Result: 1;spent=0");
             assertEquals(caller.read().field("Cedar-Result"), "1;spent=0");
-            caller.send(World.rpc("lookup", "/api", "").replace("Req-Deadline-Ms: 30000\r\n", ""));
+            caller.send(
+                    World.request("lookup", "/api", "").replace("Req-Deadline-Ms: 30000\r\n", ""));
             assertEquals(caller.read().first(), "HTTP/1.1 400 Bad Request");
         }
     }
@@ -119,7 +120,7 @@
         try (World world = world(1, 1).start();
                 Caller caller = world.caller()) {
             caller.send(
-                    World.rpc("lookup", "/stays-for-test", "")
+                    World.request("lookup", "/stays-for-test", "")
                             .replace("Req-Deadline-Ms: 30000\r\n", ""));
             Received call = world.call();
             long left = Long.parseLong(call.field("Req-Deadline-Ms"));
@@ -134,7 +135,8 @@
         try (World world = world(1, 1).start();
                 Caller caller = world.caller()) {
             caller.send(
-                    World.rpc("lookup", "/stays-for-test", "", "Cedar-Budget: 1;left=400;tries=0"));
+                    World.request(
+                            "lookup", "/stays-for-test", "", "Cedar-Budget: 1;left=400;tries=0"));
             Received call = world.call();
             assertTrue(Long.parseLong(call.field("Req-Deadline-Ms")) <= 400);
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
@@ -158,12 +160,12 @@
     }
 
     @Test(dataProvider = "forged")
-    public void whateverAFieldSaysRaisesNothing(String[] fields, int most) throws Exception {
+    public void whateverAFieldSaysRaisesNothing(String[] fields, int max) throws Exception {
         try (World world = world(1, 1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x", fields));
+            caller.send(World.request("order", "/api", "x", fields));
             Received call = world.call();
-            assertTrue(tries(call) <= most, call.field("Cedar-Budget"));
+            assertTrue(tries(call) <= max, call.field("Cedar-Budget"));
             assertTrue(figure(call, "Cedar-Budget", "left") < 30_000);
             assertTrue(figure(call, "Cedar-Budget", "worth") <= 1);
             assertEquals(call.field("Cedar-Path"), "1;core");
@@ -189,7 +191,7 @@
                 Caller caller = world.caller()) {
             for (int tries = 1; tries >= 0; tries--) {
                 caller.send(
-                        World.rpc(
+                        World.request(
                                 "booking",
                                 "/api",
                                 "x",
@@ -210,7 +212,7 @@
     public void whatIsSafeToRepeatIsRefusedWhenItsBudgetRunsOut() throws Exception {
         try (World world = world(1, 2).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", "/api", "", "Cedar-Budget: 1;tries=0;grant=7"));
+            caller.send(World.request("lookup", "/api", "", "Cedar-Budget: 1;tries=0;grant=7"));
             world.call().reset();
             Received answer = caller.read();
             assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
@@ -224,7 +226,7 @@
     public void whatMustNotRunTwiceIsNotSentAgainHoweverMuchIsLeft() throws Exception {
         try (World world = world(0, 2).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             world.call().reset();
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
             assertTrue(world.calls.isEmpty());
@@ -237,11 +239,11 @@
                 Caller first = world.caller();
                 Caller second = world.caller()) {
             String budget = "Cedar-Budget: 1;tries=1;grant=abc";
-            first.send(World.rpc("lookup", "/api", "", budget, "Cedar-Path: 1;front,left"));
+            first.send(World.request("lookup", "/api", "", budget, "Cedar-Path: 1;front,left"));
             world.call().reset();
             world.call().reset();
             assertEquals(first.read().field("Cedar-Result"), "1;spent=1;why=tries");
-            second.send(World.rpc("lookup", "/api", "", budget, "Cedar-Path: 1;front,right"));
+            second.send(World.request("lookup", "/api", "", budget, "Cedar-Path: 1;front,right"));
             world.call().reset();
             assertEquals(second.read().field("Cedar-Result"), "1;spent=1;why=tries");
             assertTrue(world.calls.isEmpty());
@@ -261,13 +263,15 @@
                 assertTrue(i < 20_000, "it lets in whatever comes");
                 // Lookups are worth 1 in 300 ms and orders 2 in 1,000: orders are worth less for
                 // their work.
-                caller.send(World.rpc("lookup", "/api", "", budget + i).replace("id-1", "l" + i));
+                caller.send(
+                        World.request("lookup", "/api", "", budget + i).replace("id-1", "l" + i));
                 world.call().reply("500 Error", "", "Cedar-Result: 1;spent=0;why=overload");
                 Received answer = caller.read();
                 assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
                 assertEquals(answer.field("Cedar-Result"), "1;spent=0;why=overload");
                 caller.send(
-                        World.rpc("order", "/api", "x", budget + "f" + i).replace("id-1", "o" + i));
+                        World.request("order", "/api", "x", budget + "f" + i)
+                                .replace("id-1", "o" + i));
                 // Either it reaches a node, or it is refused before any node has seen it.
                 Nodes.daemon(() -> world.calls.add(caller.read()));
                 Received next = world.call();
@@ -280,7 +284,7 @@
                     assertEquals(next.field("Cedar-Result"), "1;spent=0;why=overload");
                 }
             }
-            caller.send(World.rpc("lookup", "/api", "", budget + "aaaa"));
+            caller.send(World.request("lookup", "/api", "", budget + "aaaa"));
             world.call().reply("200 OK", "the best still get in");
             assertEquals(caller.read().body(), "the best still get in");
         }
@@ -309,7 +313,7 @@
                         Nodes.relay(front.port, true).serve(call);
                     });
             for (int i = 1; i <= 3; i++) {
-                caller.send(World.rpc("lookup", "/api", "").replace("id-1", "loop-" + i));
+                caller.send(World.request("lookup", "/api", "").replace("id-1", "loop-" + i));
                 Received answer = caller.read();
                 assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
                 assertEquals(answer.body(), "a loop: front > core > front\n");
@@ -335,7 +339,7 @@
                 Caller caller = front.caller()) {
             Nodes.play(front, Nodes.relay(core.port, true));
             Nodes.play(core, Nodes.relay(link.port, true));
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             Received call = link.call();
             assertEquals(call.field("Cedar-Path"), "1;front,link");
             assertEquals(tries(call), 0.0, "the last tier hands nothing down");
@@ -350,7 +354,7 @@
                 World core = world(1, 3).start();
                 Caller caller = front.caller()) {
             Nodes.play(front, Nodes.relay(core.port, false));
-            caller.send(World.rpc("lookup", "/api", ""));
+            caller.send(World.request("lookup", "/api", ""));
             Received first = core.call();
             assertEquals(first.field("Cedar-Path"), "1;core");
             assertEquals(tries(first), 0.0);
--- a/daemon/src/test/java/cedarrudder/program/ChainIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ChainIT.java
@@ -122,7 +122,7 @@
             String name = kind + "-" + number;
             trees.computeIfAbsent(name, added -> new Tree()).calls.incrementAndGet(0);
             caller.send(
-                    World.rpc(kind, "/api", "", "Test-Tree: " + name, "Req-Cost: 20000")
+                    World.request(kind, "/api", "", "Test-Tree: " + name, "Req-Cost: 20000")
                             .replace("id-1", name)
                             .replace("30000", "2000"));
             return caller.read();
@@ -179,14 +179,14 @@
     }
 
     /** What a run came to; attempts are counted where they reach nodes. */
-    private record Run(double[] multiples, int most, int served) {
+    private record Run(double[] multiples, int max, int served) {
 
         @Override
         public String toString() {
             return "attempts a first try "
                     + Arrays.toString(multiples)
                     + ", most further attempts of a tree "
-                    + most
+                    + max
                     + ", served "
                     + served;
         }
@@ -201,15 +201,15 @@
         }
         double[] multiples = new double[TIERS];
         double first = requests;
-        int most = 0;
+        int max = 0;
         for (int tier = 0; tier < TIERS; tier++) {
             for (Tree tree : chain.trees.values()) {
                 multiples[tier] += tree.attempts.get(tier) / first;
-                most = Math.max(most, tree.further());
+                max = Math.max(max, tree.further());
             }
             first *= CALLS[tier];
         }
-        return new Run(multiples, most, served);
+        return new Run(multiples, max, served);
     }
 
     /**
@@ -222,7 +222,7 @@
             try (Chain chain = new Chain(budgets, call -> call.reply("500 Error", ""))) {
                 Run run = run(chain, 20);
                 System.out.println("all fail, budgets " + budgets + ": " + run);
-                assertTrue(run.most > 0 && budgets == run.most <= TRIES, run.toString());
+                assertTrue(run.max > 0 && budgets == run.max <= TRIES, run.toString());
                 assertEquals(run.served, 0);
             }
         }
@@ -248,7 +248,7 @@
                     assertTrue(run.multiples[tier] <= 1.2 + 15 / first, run.toString());
                     first *= CALLS[tier];
                 }
-                assertTrue(!budgets || run.most <= TRIES, run.toString());
+                assertTrue(!budgets || run.max <= TRIES, run.toString());
             }
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -62,7 +62,7 @@
                     Thread.sleep(1);
                 }
                 try (Caller caller = world.caller()) {
-                    caller.send(World.rpc("lookup", "/api", ""));
+                    caller.send(World.request("lookup", "/api", ""));
                     world.call().reply("200 OK", "served");
                     assertEquals(caller.read().body(), "served");
                 }
--- a/daemon/src/test/java/cedarrudder/program/ClientScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ClientScenarioTest.java
@@ -54,8 +54,8 @@
     public void aCallerThatWaitsForA100GetsOne() throws Exception {
         try (World world = world(PATIENT).start();
                 Caller caller = world.caller()) {
-            String rpc = World.rpc("order", "/api", "body", "Expect: 100-continue");
-            caller.send(rpc.substring(0, rpc.length() - 4));
+            String request = World.request("order", "/api", "body", "Expect: 100-continue");
+            caller.send(request.substring(0, request.length() - 4));
             assertEquals(caller.read().first(), "HTTP/1.1 100 Continue");
             caller.send("body");
             Received call = world.call();
@@ -83,7 +83,7 @@
         try (World world = world(PATIENT).start();
                 Caller caller = world.caller()) {
             caller.send(
-                    World.rpc(
+                    World.request(
                             "lookup",
                             "http://other.example/api?x=1",
                             "",
@@ -115,11 +115,11 @@
                         call.reply("200 OK", "x".repeat(LARGE));
                     });
             for (int i = 0; i < UNREAD; i++) {
-                deaf.send(World.rpc("lookup", "/api", "").replace("id-1", "deaf-" + i));
+                deaf.send(World.request("lookup", "/api", "").replace("id-1", "deaf-" + i));
             }
             awaitClosed(deaf);
             assertTrue(served.get() < UNREAD, served + " answers were made ready");
-            good.send(World.rpc("lookup", "/api", ""));
+            good.send(World.request("lookup", "/api", ""));
             assertEquals(good.read().body().length(), LARGE);
         }
     }
@@ -144,7 +144,7 @@
                                 .with("\"sockets\": 1024", "\"sockets\": 16")
                                 .start();
                 Caller waiting = world.caller()) {
-            waiting.send(World.rpc("order", "/api", "x"));
+            waiting.send(World.request("order", "/api", "x"));
             Received call = world.call();
             for (int i = 0; i < 10; i++) {
                 // That the first is answered shows that the half behind it, of the same piece, was
@@ -155,7 +155,7 @@
                 assertEquals(half.get(i).read().body(), "ready\n");
             }
             try (Caller late = world.caller()) {
-                late.send(World.rpc("lookup", "/api", "").replace("id-1", "id-2"));
+                late.send(World.request("lookup", "/api", "").replace("id-1", "id-2"));
                 world.call().reply("200 OK", "late");
                 assertEquals(late.read().body(), "late");
             }
--- a/daemon/src/test/java/cedarrudder/program/Collecting.java
+++ b/daemon/src/test/java/cedarrudder/program/Collecting.java
@@ -26,11 +26,11 @@
                                 while (!Files.exists(file)) {
                                     Thread.sleep(10);
                                 }
-                                for (long most = 0; ; ) {
+                                for (long max = 0; ; ) {
                                     Thread.sleep(1); // or a list of 10,000 takes minutes
                                     long now = ProcessMemoryEstimate.live();
-                                    if (now > most) {
-                                        most = now;
+                                    if (now > max) {
+                                        max = now;
                                         System.err.println(SAYS + now);
                                     }
                                 }
@@ -44,7 +44,7 @@
     }
 
     /** What a line says; 0 where it is another one. */
-    static long most(String line) {
+    static long max(String line) {
         return line.startsWith(SAYS) ? Long.parseLong(line.substring(SAYS.length())) : 0;
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -30,7 +30,7 @@
     }
 
     private static String upload(String id) {
-        return World.rpc("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
+        return World.request("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
                 .replace("Content-Length: 0\r\n", "")
                 .replace("id-1", id);
     }
@@ -69,7 +69,7 @@
     public void aWholeBodyIsHeldInTheAccountUntilItsAnswer() throws Exception {
         try (World world = new World(1).withAdmin().start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x".repeat(1000)));
+            caller.send(World.request("order", "/api", "x".repeat(1000)));
             Received call = world.call();
             assertEquals(figure(world, "held_bytes"), 1000);
             call.reply("200 OK", "done");
@@ -141,7 +141,7 @@
 
     /** Has one RPC served, and returns the port of the node that served it. */
     private static int call(World world, Caller caller, String id) throws Exception {
-        caller.send(World.rpc("order", "/api", "x").replace("id-1", id));
+        caller.send(World.request("order", "/api", "x").replace("id-1", id));
         Received call = world.call();
         call.reply("200 OK", "done");
         assertEquals(caller.read().body(), "done");
@@ -157,7 +157,7 @@
             for (int i = 0; i < 8 && figure(world, "out_of_rotation") == 0; i++) {
                 try (Caller caller = world.caller()) {
                     caller.send(
-                            World.rpc("lookup", "/stays-for-test", "")
+                            World.request("lookup", "/stays-for-test", "")
                                     .replace("id-1", "large-" + i));
                     Received call = world.call();
                     call.raw(
@@ -178,7 +178,7 @@
         try (World world = new World(1).withAdmin().start()) {
             Received call;
             try (Caller caller = world.caller()) {
-                caller.send(World.rpc("lookup", "/stays-for-test", ""));
+                caller.send(World.request("lookup", "/stays-for-test", ""));
                 call = world.call();
                 call.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
                 assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
@@ -201,7 +201,7 @@
             for (int cut = 0; cut <= answer.length(); cut++) {
                 try (Caller caller = world.caller()) {
                     caller.send(
-                            World.rpc("order", "/stays-for-test", "x")
+                            World.request("order", "/stays-for-test", "x")
                                     .replace("id-1", "cut-" + cut));
                     Received call = world.call();
                     call.raw(answer.substring(0, cut));
@@ -225,7 +225,7 @@
         List<Caller> crowd = new ArrayList<>();
         for (int i = 0; i < callers; i++) {
             crowd.add(world.caller());
-            crowd.get(i).send(World.rpc("order", "/api", "x").replace("id-1", "crowd-" + i));
+            crowd.get(i).send(World.request("order", "/api", "x").replace("id-1", "crowd-" + i));
         }
         return crowd;
     }
@@ -234,7 +234,7 @@
     @Test
     public void attemptsBeyondTheBoundOnChannelsAreRefusedAndOperatorsAreHeard() throws Exception {
         int sockets = 240;
-        int most = sockets / 2 - 48;
+        int max = sockets / 2 - 48;
         try (World world =
                 new World(40)
                         .with("\"sockets\": 1024", "\"sockets\": " + sockets)
@@ -242,8 +242,7 @@
                         .start()) {
             List<Caller> crowd = crowd(world, sockets / 2);
             List<Received> calls = calls(world, crowd.size());
-            assertTrue(
-                    calls.size() <= most && calls.size() > most / 2, calls.size() + " of " + most);
+            assertTrue(calls.size() <= max && calls.size() > max / 2, calls.size() + " of " + max);
             assertEquals(world.status("GET", "/-/ready"), 200);
             for (Received call : calls) {
                 call.reply("200 OK", "done");
@@ -261,7 +260,7 @@
     }
 
     /** Takes the calls that come until so many RPCs were refused, or are at nodes. */
-    private static List<Received> calls(World world, int rpcs) throws Exception {
+    private static List<Received> calls(World world, int requests) throws Exception {
         List<Received> calls = new ArrayList<>();
         for (int i = 0; ; i++) {
             assertTrue(i < 5_000, calls.size() + " calls");
@@ -272,7 +271,8 @@
             }
             JsonObject figures = JsonObject.parse(world.operator("GET", "/-/metrics").body());
             long refused = figures.child("operations").child("order").whole("throttled");
-            if (figures.whole("open_requests") == calls.size() && calls.size() + refused == rpcs) {
+            if (figures.whole("open_requests") == calls.size()
+                    && calls.size() + refused == requests) {
                 return calls;
             }
         }
@@ -315,7 +315,7 @@
                 World.FullNode full = world.new FullNode(0)) {
             world.start();
             try (Caller caller = world.caller()) {
-                caller.send(World.rpc("order", "/api", "x"));
+                caller.send(World.request("order", "/api", "x"));
                 assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
             }
             assertEquals(full.awaitConnections(0).size(), 0, "none came up");
@@ -329,7 +329,7 @@
     public void anAnswerWithoutALengthThatIsResetIsNotAWholeOne() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", "/stays-for-test", ""));
+            caller.send(World.request("lookup", "/stays-for-test", ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(100_000));
             assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
@@ -349,7 +349,7 @@
         try (World world = new World(1).withAdmin().start();
                 Caller caller = world.caller()) {
             caller.send(
-                    World.rpc("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
+                    World.request("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
                             .replace("Content-Length: 0\r\n", ""));
             byte[] piece = ("10000\r\n" + "x".repeat(65536) + "\r\n").getBytes();
             Nodes.daemon(
--- a/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -36,16 +36,16 @@
                 .withAdmin();
     }
 
-    private static String rpc(String kind, String id) {
-        return World.rpc(kind, "/api", kind.equals("lookup") ? "" : "x").replace("id-1", id);
+    private static String request(String kind, String id) {
+        return World.request(kind, "/api", kind.equals("lookup") ? "" : "x").replace("id-1", id);
     }
 
     private static JsonObject figures(World world) throws IOException {
         return JsonObject.parse(world.operator("GET", "/-/metrics").body());
     }
 
-    private static void awaitOpen(World world, int rpcs) throws Exception {
-        Await.until(rpcs + " open", () -> figures(world).whole("open_requests") == rpcs);
+    private static void awaitOpen(World world, int requests) throws Exception {
+        Await.until(requests + " open", () -> figures(world).whole("open_requests") == requests);
     }
 
     private static long left(World world, String kind) throws IOException {
@@ -78,14 +78,14 @@
                 FullNode full = world.new FullNode(0)) {
             world.start();
             try (Caller leaves = world.caller()) {
-                leaves.send(rpc("order", "leaves"));
+                leaves.send(request("order", "leaves"));
                 awaitOpen(world, 1);
             }
             awaitOpen(world, 0);
             full.open();
             Socket late = full.awaitConnections(1).get(0);
             try (Caller caller = world.caller()) {
-                caller.send(rpc("order", "stays"));
+                caller.send(request("order", "stays"));
                 assertEquals(serve(world, caller, "stays").socket(), late, "it serves another");
             }
         }
@@ -102,7 +102,7 @@
             world.start();
             List<Caller> crowd = new ArrayList<>();
             for (int i = 0; i < 2 * many; i++) {
-                crowd.add(world.caller().send(rpc("order", "leaves-" + i)));
+                crowd.add(world.caller().send(request("order", "leaves-" + i)));
             }
             awaitOpen(world, 2 * many);
             for (Caller caller : crowd) {
@@ -116,7 +116,7 @@
             Await.until("late connections", () -> connections(full) >= 2 * many);
             try (Caller caller = world.caller()) {
                 for (int i = 0; i < 3; i++) {
-                    caller.send(rpc("order", "stays-" + i));
+                    caller.send(request("order", "stays-" + i));
                     serve(world, caller, "stays-" + i);
                 }
             }
@@ -130,12 +130,12 @@
     /** An RPC with more behind it than is read ahead: of further RPCs, or of its own body. */
     private static String muchAtOnce(String id, boolean flows) {
         String chunked =
-                World.rpc("order", "/api", "", "Transfer-Encoding: chunked")
+                World.request("order", "/api", "", "Transfer-Encoding: chunked")
                         .replace("Content-Length: 0\r\n", "")
                         .replace("id-1", id);
         return flows
                 ? chunked + "30d40\r\n" + "x".repeat(200_000) + "\r\n0\r\n\r\n"
-                : rpc("order", id) + rpc("lookup", id + "-next").repeat(1_500);
+                : request("order", id) + request("lookup", id + "-next").repeat(1_500);
     }
 
     private static void awaitUnseen(long from) throws Exception {
@@ -170,7 +170,7 @@
             full.awaitConnections(1);
             awaitOpen(world, 0);
             try (Caller caller = world.caller()) {
-                caller.send(rpc("order", "stays"));
+                caller.send(request("order", "stays"));
                 serve(world, caller, "stays"); // the first that comes there
             }
             assertTrue(world.calls.isEmpty());
@@ -188,7 +188,7 @@
             world.start();
             try (Caller caller = world.caller()) {
                 caller.send(
-                        rpc("order", "first")
+                        request("order", "first")
                                 + "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".repeat(behind));
                 awaitOpen(world, 1);
                 awaitUnseen(System.nanoTime());
@@ -197,7 +197,7 @@
                 for (int i = 0; i < behind; i++) {
                     assertEquals(caller.read().first(), "HTTP/1.1 200 OK", "answer " + i);
                 }
-                caller.send(rpc("order", "last"));
+                caller.send(request("order", "last"));
                 serve(world, caller, "last");
             }
         }
@@ -217,7 +217,7 @@
         try (World world = world(2).with("\"cancel\": true", "\"cancel\": " + cancel).start()) {
             Received first;
             try (Caller leaves = world.caller()) {
-                leaves.send(rpc("lookup", "leaves"));
+                leaves.send(request("lookup", "leaves"));
                 first = world.call();
             }
             awaitOpen(world, 0);
@@ -226,7 +226,7 @@
             }
             try (Caller caller = world.caller()) {
                 for (int i = 0; i < 3; i++) {
-                    caller.send(rpc("order", "stays-" + i));
+                    caller.send(request("order", "stays-" + i));
                     serve(world, caller, "stays-" + i);
                 }
             }
@@ -243,7 +243,7 @@
             discovery.tell(list(7, world.entries("terminating")));
             Await.until("a node that drains", () -> figures(world).whole("out_of_rotation") == 1);
             try (Caller leaves = world.caller()) {
-                leaves.send(rpc("order", "leaves"));
+                leaves.send(request("order", "leaves"));
                 awaitOpen(world, 1);
             }
             awaitOpen(world, 0);
@@ -251,7 +251,7 @@
             discovery.tell(list(8, world.entries("in_service")));
             Await.until("a node", () -> figures(world).whole("out_of_rotation") == 0);
             try (Caller caller = world.caller()) {
-                caller.send(rpc("order", "stays"));
+                caller.send(request("order", "stays"));
                 serve(world, caller, "stays");
             }
             assertTrue(world.calls.isEmpty());
@@ -320,7 +320,7 @@
             Discovery discovery = new Discovery(world);
             try (Caller late = world.caller();
                     Caller caller = world.caller()) {
-                late.send(rpc("order", "late"));
+                late.send(request("order", "late"));
                 awaitOpen(world, 1);
                 discovery.tell(
                         list(
@@ -337,7 +337,7 @@
                 assertEquals(late.read().body(), "elsewhere");
                 full.open();
                 full.awaitConnections(1);
-                caller.send(rpc("order", "next"));
+                caller.send(request("order", "next"));
                 serve(world, caller, "next");
                 assertTrue(world.calls.isEmpty());
             }
@@ -366,9 +366,9 @@
             try (Caller hangs = world.caller();
                     Caller caller = world.caller()) {
                 long earlier = System.currentTimeMillis() - 1_000;
-                hangs.send(rpc("order", "hangs"));
+                hangs.send(request("order", "hangs"));
                 world.call();
-                caller.send(rpc("order", "first"));
+                caller.send(request("order", "first"));
                 Socket first = serve(world, caller, "first").socket();
                 long served = System.currentTimeMillis();
                 Await.until("a later millisecond", () -> System.currentTimeMillis() > served + 1);
@@ -383,7 +383,7 @@
                                         + ",{\"id\":\"told\",\"addr\":\"127.0.0.1:9\","
                                         + "\"state\":\"terminating\"}"));
                 Await.until("the list", () -> figures(world).whole("out_of_rotation") == 1);
-                caller.send(rpc("order", "second"));
+                caller.send(request("order", "second"));
                 assertEquals(
                         serve(world, caller, "second").socket() != first,
                         before,
@@ -406,7 +406,7 @@
                 Caller caller = world.caller()) {
             Socket last = null;
             for (int i = 0; i < 5; i++) {
-                caller.send(rpc("order", "rpc-" + i));
+                caller.send(request("order", "rpc-" + i));
                 Socket next = serve(world, caller, "rpc-" + i).socket();
                 assertTrue(
                         next != last,
@@ -432,7 +432,8 @@
             world.start();
             try (Caller caller = world.caller()) {
                 caller.send(
-                        rpc("order", "short").replace("Deadline-Ms: 30000", "Deadline-Ms: 400"));
+                        request("order", "short")
+                                .replace("Deadline-Ms: 30000", "Deadline-Ms: 400"));
                 assertEquals(caller.read().first(), REFUSED);
             }
             assertEquals(figures(world).whole("relayed"), 0);
@@ -453,7 +454,8 @@
             Discovery discovery = new Discovery(world);
             try (Caller caller = world.caller()) {
                 caller.send(
-                        rpc("booking", "keyed").replace("Req-Id", "Idempotency-Key: k\r\nReq-Id"));
+                        request("booking", "keyed")
+                                .replace("Req-Id", "Idempotency-Key: k\r\nReq-Id"));
                 Received first = world.call();
                 long sentBy = System.nanoTime();
                 discovery.tell(
@@ -484,11 +486,11 @@
                 world.start();
                 try (Caller caller = world.caller()) {
                     String chunked =
-                            World.rpc("order", "/api", "", "Transfer-Encoding: chunked")
+                            World.request("order", "/api", "", "Transfer-Encoding: chunked")
                                     .replace("Content-Length: 0\r\n", "");
                     caller.send(
                             !flows
-                                    ? rpc("order", "id-1")
+                                    ? request("order", "id-1")
                                     : chunked + "13880\r\n" + "x".repeat(80_000) + "\r\n0\r\n\r\n");
                     long sentBy = System.nanoTime();
                     awaitOpen(world, 1);
@@ -521,7 +523,7 @@
                             "HTTP/1.1 200 OK\r\n\r\nhalf",
                             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")) {
                 try (Caller caller = world.caller()) {
-                    caller.send(World.rpc("order", "/stays-for-test", "x"));
+                    caller.send(World.request("order", "/stays-for-test", "x"));
                     Received call = world.call();
                     call.raw(answer);
                     call.reset();
@@ -538,11 +540,11 @@
     public void aSecondAnswerThatComesLateAnswersNothing() throws Exception {
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
-            caller.send(rpc("order", "first"));
+            caller.send(request("order", "first"));
             Received first = serve(world, caller, "first");
             first.reply("200 OK", "first again");
             Await.until("the end of its connection", () -> world.ended.contains(first.socket()));
-            caller.send(rpc("order", "second"));
+            caller.send(request("order", "second"));
             Received second = serve(world, caller, "second");
             assertTrue(second.socket() != first.socket(), "a connection of its own");
         }
@@ -554,7 +556,7 @@
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
             for (int i = 0; i < 5; i++) {
-                caller.send(rpc("order", "rpc-" + i).replace("/api", "/stays-for-test"));
+                caller.send(request("order", "rpc-" + i).replace("/api", "/stays-for-test"));
                 serve(world, caller, "rpc-" + i)
                         .reset(); // nobody else holds it: the reset is out at once
             }
@@ -566,12 +568,12 @@
     public void interimAnswersWithoutEndAreNoAnswer() throws Exception {
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
-            caller.send(rpc("order", "interim"));
+            caller.send(request("order", "interim"));
             Received call = world.call();
             call.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(17));
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
             Await.until("the end of its connection", () -> world.ended.contains(call.socket()));
-            caller.send(rpc("order", "next"));
+            caller.send(request("order", "next"));
             serve(world, caller, "next");
         }
     }
@@ -580,7 +582,7 @@
     public void aCleanEndIsTheEndOfAnAnswerWithoutALength() throws Exception {
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/stays-for-test", "x"));
+            caller.send(World.request("order", "/stays-for-test", "x"));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
             call.socket().close();
--- a/daemon/src/test/java/cedarrudder/program/FootprintIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintIT.java
@@ -38,7 +38,7 @@
 
     private static Received serve(World world, String id) throws Exception {
         try (Caller caller = world.caller()) {
-            return caller.send(World.rpc("order", "/api", "x").replace("id-1", id)).read();
+            return caller.send(World.request("order", "/api", "x").replace("id-1", id)).read();
         }
     }
 
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -16,8 +16,8 @@
 /** What is worked out beside the objects themselves, as JOL counts them on this virtual machine. */
 public class FootprintOfGraphsTest {
 
-    private static final double MOST_UNDER = 0.03;
-    private static final double MOST_OVER = 0.15;
+    private static final double MAX_UNDER = 0.03;
+    private static final double MAX_OVER = 0.15;
 
     /**
      * Of what {@link RetainedEndpointList#list} writes: ids of 10 characters, values that differ by
@@ -44,7 +44,7 @@
                         "%s: worked out %d, counted %d, %+.1f %%",
                         what, estimate, counted, 100 * off);
         System.out.println(line);
-        return off < -MOST_UNDER || off > MOST_OVER ? line + "\n" : "";
+        return off < -MAX_UNDER || off > MAX_OVER ? line + "\n" : "";
     }
 
     /**
@@ -54,8 +54,8 @@
     public void neverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen() throws Exception {
         EndpointListFootprint footprint = new EndpointListFootprint(MachineLayout.read());
         StringBuilder wrong = new StringBuilder();
-        String most = System.getProperty("footprint.nodes", "100");
-        for (int nodes = 10; nodes <= Integer.parseInt(most); nodes *= 10) {
+        String max = System.getProperty("footprint.nodes", "100");
+        for (int nodes = 10; nodes <= Integer.parseInt(max); nodes *= 10) {
             for (int zones : new int[] {1, 12}) {
                 for (int tenants : new int[] {1, 20}) {
                     SiteSettings site = RetainedEndpointList.site(zones, tenants);
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -26,8 +26,8 @@
  */
 public class FootprintOfProcessesIT {
 
-    private static final double MOST_UNDER = 0.03;
-    private static final double MOST_OVER = 0.15;
+    private static final double MAX_UNDER = 0.03;
+    private static final double MAX_OVER = 0.15;
 
     /** What a process said and held, and what the heap held before the list. */
     private record Seen(JsonObject says, long before, long heap, long resident, int descriptors) {}
@@ -188,7 +188,7 @@
         String line =
                 String.format("%s: said %d, held %d, %+.1f %%", what, estimate, held, 100 * off);
         System.out.println(line);
-        return off < -MOST_UNDER || off > MOST_OVER ? line + "\n" : "";
+        return off < -MAX_UNDER || off > MAX_OVER ? line + "\n" : "";
     }
 
     /** Guards against a term that is forgotten, or one that grew since it was measured. */
@@ -252,11 +252,11 @@
                         "the first collection",
                         proxy.process,
                         proxy.log,
-                        line -> Collecting.most(line) > 0);
+                        line -> Collecting.max(line) > 0);
                 // Told again and again: a peak is short, and each passes it.
                 String list = list(nodes, 12);
                 tell(world, list, list, list, list(nodes - 1, 12));
-                long[] most = {0};
+                long[] max = {0};
                 proxy.awaitFigure("registry_entries", nodes - 1);
                 JsonObject says =
                         JsonObject.parse(proxy.call("GET", "/-/metrics").body())
@@ -265,12 +265,9 @@
                 proxy.signal("TERM");
                 proxy.rest()
                         .lines()
-                        .forEach(line -> most[0] = Math.max(most[0], Collecting.most(line)));
+                        .forEach(line -> max[0] = Math.max(max[0], Collecting.max(line)));
                 wrong.append(
-                        compare(
-                                nodes + " nodes, at the peak",
-                                says.whole("heap_at_peak"),
-                                most[0]));
+                        compare(nodes + " nodes, at the peak", says.whole("heap_at_peak"), max[0]));
             }
         }
         assertTrue(wrong.isEmpty(), wrong.toString());
--- a/daemon/src/test/java/cedarrudder/program/GracefulShutdownTest.java
+++ b/daemon/src/test/java/cedarrudder/program/GracefulShutdownTest.java
@@ -39,7 +39,7 @@
             for (int i = 0; last.equals("none"); i++) {
                 try {
                     caller.send(
-                            World.rpc("order", "/api", "x")
+                            World.request("order", "/api", "x")
                                     .replace("id-1", name + i)
                                     .replace("30000", "900"));
                 } catch (SocketException e) {
@@ -122,23 +122,23 @@
         try (World world = new World(1).start();
                 Caller taken = world.caller();
                 Caller behind = world.caller()) {
-            taken.send(World.rpc("order", "/stays-for-test", "x"));
+            taken.send(World.request("order", "/stays-for-test", "x"));
             world.call();
             Thread end = new Thread(world::end);
             long told = System.nanoTime();
             end.start();
             // A second request behind the first of the same connection, read ahead of its answer.
             behind.send(
-                    World.rpc("lookup", "/api", "").replace("id-1", "behind-1")
-                            + World.rpc("lookup", "/api", "").replace("id-1", "behind-2"));
+                    World.request("lookup", "/api", "").replace("id-1", "behind-1")
+                            + World.request("lookup", "/api", "").replace("id-1", "behind-2"));
             world.call().reply("200 OK", "first");
             assertEquals(behind.read().body(), "first");
             world.call().reply("200 OK", "second");
             assertEquals(behind.read().body(), "second");
             Thread.sleep(1500); // half a request is not waited for as long as the end takes
             try (Caller half = world.caller()) {
-                String rpc = World.rpc("lookup", "/api", "").replace("id-1", "half");
-                half.send(rpc.substring(0, rpc.length() - 2));
+                String request = World.request("lookup", "/api", "").replace("id-1", "half");
+                half.send(request.substring(0, request.length() - 2));
                 assertEquals(behind.read(), null, "closed between requests");
                 half.send("\r\n");
                 world.call().reply("200 OK", "whole");
@@ -163,16 +163,16 @@
         String more =
                 "POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n"
                         + "y".repeat(400_000);
-        String one = World.rpc("order", "/api", "x").replace("HTTP/1.1", "HTTP/1.0");
-        String told = World.rpc("order", "/api", "x", "Connection: close");
+        String one = World.request("order", "/api", "x").replace("HTTP/1.1", "HTTP/1.0");
+        String told = World.request("order", "/api", "x", "Connection: close");
         try (World world = new World(1).start()) {
-            for (String rpc : List.of(one, told)) {
+            for (String request : List.of(one, told)) {
                 try (Socket caller = new Socket()) {
                     caller.setReceiveBufferSize(4096);
                     caller.setSoTimeout(20_000);
                     caller.connect(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), world.port));
-                    caller.getOutputStream().write(rpc.getBytes(StandardCharsets.ISO_8859_1));
+                    caller.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                     Received call = world.call();
                     // The kernel takes it, whoever reads it.
                     caller.getOutputStream().write(more.getBytes(StandardCharsets.ISO_8859_1));
@@ -213,7 +213,7 @@
                                                 "[callers]\nanswer_patience_ms = 600000\n"))
                                 .start();
                 Caller deaf = world.caller()) {
-            deaf.send(World.rpc("lookup", "/stays-for-test", ""));
+            deaf.send(World.request("lookup", "/stays-for-test", ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + large + "\r\n\r\n");
             Nodes.daemon(() -> call.raw("x".repeat(large)));
--- a/daemon/src/test/java/cedarrudder/program/Nodes.java
+++ b/daemon/src/test/java/cedarrudder/program/Nodes.java
@@ -73,7 +73,7 @@
         try (Caller caller = new Caller(port)) {
             String kind = request.field("Req-Kind");
             return caller.send(
-                            World.rpc(
+                            World.request(
                                             kind,
                                             "/api",
                                             kind.equals("lookup") ? "" : request.body(),
--- a/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
@@ -36,11 +36,11 @@
     }
 
     /** Calls until told to stop, or so often; every tenth call is left before its answer. */
-    private void call(World world, String name, AtomicBoolean on, int most) throws IOException {
+    private void call(World world, String name, AtomicBoolean on, int max) throws IOException {
         Caller open = null;
-        for (int i = 0; i < most && on.get(); i++) {
+        for (int i = 0; i < max && on.get(); i++) {
             open = open == null ? world.caller() : open;
-            open.send(World.rpc("order", "/api", "x").replace("id-1", name + i));
+            open.send(World.request("order", "/api", "x").replace("id-1", name + i));
             if (i % 10 == 9) {
                 open.close();
                 open = null;
@@ -58,7 +58,7 @@
         }
     }
 
-    private List<Thread> load(World world, AtomicBoolean on, int most) {
+    private List<Thread> load(World world, AtomicBoolean on, int max) {
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             String name = "c" + i + "-";
@@ -66,7 +66,7 @@
                     new Thread(
                             () -> {
                                 try {
-                                    call(world, name, on, most);
+                                    call(world, name, on, max);
                                 } catch (IOException e) {
                                     failed.addAndGet(1_000_000); // no caller's connection may break
                                 }
--- a/daemon/src/test/java/cedarrudder/program/OperatorScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperatorScenarioTest.java
@@ -34,7 +34,7 @@
     }
 
     private static void serve(World world, Caller caller, String id) throws Exception {
-        caller.send(World.rpc("lookup", "/api", "").replace("id-1", id));
+        caller.send(World.request("lookup", "/api", "").replace("id-1", id));
         world.call().reply("200 OK", id);
         assertEquals(caller.read().body(), id);
     }
@@ -56,8 +56,8 @@
                                                 + "[nodes]\nhead_bytes = 2048\nbody_bytes = 5\n"))
                         .start()) {
             String[][] sent = {
-                {World.rpc("order", "/api", "four"), "413"},
-                {World.rpc("lookup", "/api", "", "A: " + "x".repeat(1024)), "431"}
+                {World.request("order", "/api", "four"), "413"},
+                {World.request("lookup", "/api", "", "A: " + "x".repeat(1024)), "431"}
             };
             for (String[] each : sent) {
                 try (Caller caller = world.caller()) {
@@ -73,7 +73,7 @@
                     {ok + "0\r\nA: " + "x".repeat(2048) + "\r\n\r\n", "502"}
                 };
                 for (String[] each : answers) {
-                    caller.send(World.rpc("order", "/api", "abc"));
+                    caller.send(World.request("order", "/api", "abc"));
                     world.call().raw(each[0]);
                     assertTrue(caller.read().first().startsWith("HTTP/1.1 " + each[1]), each[0]);
                 }
@@ -120,7 +120,7 @@
             awaitOverdue(world);
             assertFalse(world.ended.contains(probe.socket()), "the probe was given up");
             try (Caller caller = world.caller()) {
-                caller.send(World.rpc("order", "/api", "x"));
+                caller.send(World.request("order", "/api", "x"));
                 Received call = world.call();
                 call.raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
                 awaitOverdue(world);
@@ -154,7 +154,7 @@
                 Caller deaf = world.caller()) {
             Nodes.play(world, call -> call.reply("200 OK", answer));
             for (int i = 0; i < answers; i++) {
-                deaf.send(World.rpc("lookup", "/api", "").replace("id-1", "id" + i));
+                deaf.send(World.request("lookup", "/api", "").replace("id-1", "id" + i));
             }
             awaitOverdue(world);
             int read = 0;
@@ -203,7 +203,7 @@
         try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 20").start()) {
             for (int i = 0; i < 4; i++) {
                 callers.add(world.caller());
-                callers.get(i).send(World.rpc("lookup", "/api", "").replace("id-1", "id" + i));
+                callers.get(i).send(World.request("lookup", "/api", "").replace("id-1", "id" + i));
                 calls.add(world.call());
             }
             for (int i = 0; i < 4; i++) {
--- a/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
@@ -21,7 +21,7 @@
     public void anRpcPassesUnchangedAndItsAnswerComesBack() throws Exception {
         try (World world = new World(2).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1"));
+            caller.send(World.request("booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1"));
             Received call = world.call();
             assertEquals(call.first(), "POST /api/x?y=1 HTTP/1.1");
             assertEquals(call.body(), "{\"a\":1}");
@@ -41,12 +41,14 @@
     public void splitAndJoinedBytesAreTheSameRpcs() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            for (char next : World.rpc("order", "/api", "body").toCharArray()) {
+            for (char next : World.request("order", "/api", "body").toCharArray()) {
                 caller.send(String.valueOf(next));
             }
             Received split = world.call();
             assertEquals(split.body(), "body");
-            caller.send(World.rpc("order", "/api/2", "two") + World.rpc("lookup", "/api/3", ""));
+            caller.send(
+                    World.request("order", "/api/2", "two")
+                            + World.request("lookup", "/api/3", ""));
             split.reply("200 OK", "1");
             assertEquals(caller.read().body(), "1");
             Received second = world.call();
@@ -64,7 +66,7 @@
                 Caller caller = world.caller()) {
             world.nodes.get(0).close();
             for (int i = 0; i < 8; i++) {
-                caller.send(World.rpc("order", "/api", "x"));
+                caller.send(World.request("order", "/api", "x"));
                 world.call().reply("200 OK", "ok");
                 assertEquals(caller.read().body(), "ok");
             }
@@ -75,7 +77,7 @@
     public void whatMayHaveRunIsNotSentAgain() throws Exception {
         try (World world = new World(2).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             world.call().reset();
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
             assertTrue(world.calls.isEmpty());
@@ -86,7 +88,7 @@
     public void whatNeverRanIsRefusedWithAnUnavailableStatus() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             world.call().reply("503 Full", "", "Srv-Declined: 1");
             assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
         }
@@ -96,7 +98,7 @@
     public void aBodyThatEndsWithItsConnectionIsWhole() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("lookup", "/api", ""));
+            caller.send(World.request("lookup", "/api", ""));
             Received call = world.call();
             call.raw("HTTP/1.1 200 OK\r\n\r\nto the end");
             call.socket().close();
@@ -109,11 +111,11 @@
     public void aChannelThatItsNodeClosedIsNotUsedAgain() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             Received first = world.call();
             first.reply("200 OK", "1", "Connection: close");
             assertEquals(caller.read().body(), "1");
-            caller.send(World.rpc("order", "/api", "y"));
+            caller.send(World.request("order", "/api", "y"));
             Received second = world.call();
             assertNotEquals(second.socket().getPort(), first.socket().getPort());
             second.reply("200 OK", "2");
@@ -126,7 +128,7 @@
         try (World world = new World(1).start()) {
             Received call;
             try (Caller caller = world.caller()) {
-                caller.send(World.rpc("lookup", "/stays-for-test", ""));
+                caller.send(World.request("lookup", "/stays-for-test", ""));
                 call = world.call();
             }
             call.awaitEnd();
@@ -137,7 +139,7 @@
     public void anRpcIsAnsweredAtItsDeadlineThoughItsNodeIsSilent() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/stays-for-test", "x").replace("30000", "2000"));
+            caller.send(World.request("order", "/stays-for-test", "x").replace("30000", "2000"));
             Received call = world.call();
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
             call.awaitEnd();
@@ -148,10 +150,10 @@
     public void nonsenseFromANodeEndsOnlyThatAttempt() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             world.call().raw("\u0001\u0002 what\r\n\r\n");
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            caller.send(World.rpc("order", "/api", "y"));
+            caller.send(World.request("order", "/api", "y"));
             world.call().reply("200 OK", "fine");
             assertEquals(caller.read().body(), "fine");
         }
@@ -226,20 +228,20 @@
         return new Object[][] {
             {"nonsense\r\n\r\n", "400"},
             {"GET /api HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
-            {World.rpc("unheard-of", "/api", ""), "400"},
-            {World.rpc("order", "/api", "x", "Content-Length: 2"), "400"},
-            {World.rpc("order", "/api", "x", "Content-Length: 1"), "400"},
-            {World.rpc("order", "/api", "x", "Transfer-Encoding: chunked"), "400"},
-            {World.rpc("order", "/api", "x").replace("30000", "soon"), "400"},
-            {World.rpc("order", "/api", "x").replace("30000", "-5"), "400"},
-            {World.rpc("order", "/api", "x").replace("30000", "0"), "400"},
-            {World.rpc("order", "/api", "x").replace("30000", "999999999999999999999"), "400"},
-            {World.rpc("order", "/api", "x").replace("POST", "GET"), "400"},
-            {World.rpc("order", "/api", "x", "Idempotency-Key: k"), "400"},
-            {World.rpc("booking", "/api", "x"), "400"},
-            {World.rpc("lookup", "/api", "x", "Content-Length: 1"), "400"},
-            {World.rpc("order", "/api", "").replace("Length: 0", "Length: 67108865"), "413"},
-            {World.rpc("lookup", "/api", "", "A: " + "x".repeat(17 * 1024)), "431"},
+            {World.request("unheard-of", "/api", ""), "400"},
+            {World.request("order", "/api", "x", "Content-Length: 2"), "400"},
+            {World.request("order", "/api", "x", "Content-Length: 1"), "400"},
+            {World.request("order", "/api", "x", "Transfer-Encoding: chunked"), "400"},
+            {World.request("order", "/api", "x").replace("30000", "soon"), "400"},
+            {World.request("order", "/api", "x").replace("30000", "-5"), "400"},
+            {World.request("order", "/api", "x").replace("30000", "0"), "400"},
+            {World.request("order", "/api", "x").replace("30000", "999999999999999999999"), "400"},
+            {World.request("order", "/api", "x").replace("POST", "GET"), "400"},
+            {World.request("order", "/api", "x", "Idempotency-Key: k"), "400"},
+            {World.request("booking", "/api", "x"), "400"},
+            {World.request("lookup", "/api", "x", "Content-Length: 1"), "400"},
+            {World.request("order", "/api", "").replace("Length: 0", "Length: 67108865"), "413"},
+            {World.request("lookup", "/api", "", "A: " + "x".repeat(17 * 1024)), "431"},
         };
     }
 
@@ -261,14 +263,14 @@
         try (World world = new World(1).start();
                 Caller first = world.caller();
                 Caller second = world.caller()) {
-            first.send(World.rpc("order", "/api", "x"));
+            first.send(World.request("order", "/api", "x"));
             Received call = world.call();
             assertEquals(
-                    second.send(World.rpc("order", "/api", "y")).read().first(),
+                    second.send(World.request("order", "/api", "y")).read().first(),
                     "HTTP/1.1 400 Bad Request");
             call.reply("200 OK", "mine");
             assertEquals(first.read().body(), "mine");
-            first.send(World.rpc("order", "/api", "z"));
+            first.send(World.request("order", "/api", "z"));
             assertEquals(world.call().body(), "z");
         }
     }
@@ -281,9 +283,9 @@
                 Caller half = world.caller();
                 Caller waiting = world.caller();
                 Caller served = world.caller()) {
-            waiting.send(World.rpc("order", "/api", "x"));
+            waiting.send(World.request("order", "/api", "x"));
             Received call = world.call();
-            served.send(World.rpc("lookup", "/api", "").replace("id-1", "id-2"));
+            served.send(World.request("lookup", "/api", "").replace("id-1", "id-2"));
             world.call().reply("200 OK", "once");
             assertEquals(served.read().body(), "once");
             half.send("POST /api HTTP/1.1\r\nReq-");
@@ -303,13 +305,13 @@
         List<Caller> silent = new ArrayList<>();
         try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 16").start();
                 Caller waiting = world.caller()) {
-            waiting.send(World.rpc("order", "/api", "x"));
+            waiting.send(World.request("order", "/api", "x"));
             Received call = world.call();
             for (int i = 0; i < 40; i++) {
                 silent.add(world.caller());
             }
             try (Caller late = world.caller()) {
-                late.send(World.rpc("lookup", "/api", "").replace("id-1", "id-2"));
+                late.send(World.request("lookup", "/api", "").replace("id-1", "id-2"));
                 world.call().reply("200 OK", "late");
                 assertEquals(late.read().body(), "late");
             }
@@ -330,7 +332,7 @@
         try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 16").start()) {
             for (int i = 0; i < 8; i++) {
                 idle.add(world.caller());
-                idle.get(i).send(World.rpc("lookup", "/api", ""));
+                idle.get(i).send(World.request("lookup", "/api", ""));
                 world.call().reply("200 OK", "once");
                 assertEquals(idle.get(i).read().body(), "once");
             }
@@ -339,7 +341,7 @@
                 assertNull(idle.get(0).read());
                 assertNull(idle.get(1).read());
                 for (Caller caller : List.of(first, second)) {
-                    caller.send(World.rpc("lookup", "/api", ""));
+                    caller.send(World.request("lookup", "/api", ""));
                     world.call().reply("200 OK", "new");
                     assertEquals(caller.read().body(), "new");
                 }
@@ -371,11 +373,11 @@
     public void aSpoiltAnswerFailsAtOnceAndIsNeverPassedOn(String answer) throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             Received spoilt = world.call();
             spoilt.raw(answer);
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            caller.send(World.rpc("order", "/api", "y"));
+            caller.send(World.request("order", "/api", "y"));
             Received next = world.call();
             assertNotEquals(next.socket().getPort(), spoilt.socket().getPort());
             next.reply("200 OK", "fine");
@@ -388,12 +390,12 @@
     public void bytesBehindAGoodAnswerAnswerNothing() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             Received first = world.call();
             String one = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
             first.raw("HTTP/1.1 103 Early Hints\r\n\r\n" + one + one);
             assertEquals(caller.read().body(), "one");
-            caller.send(World.rpc("order", "/api", "y"));
+            caller.send(World.request("order", "/api", "y"));
             Received second = world.call();
             assertNotEquals(second.socket().getPort(), first.socket().getPort());
             second.reply("200 OK", "two");
@@ -410,7 +412,7 @@
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
             Received watch = World.await(world.lookups);
-            caller.send(World.rpc("order", "/api", "x"));
+            caller.send(World.request("order", "/api", "x"));
             Received old = world.call();
             old.reply("200 OK", "old");
             assertEquals(caller.read().body(), "old");
@@ -422,7 +424,7 @@
                             + world.entries("in_service").replace("\"n0\"", "\"new\"")
                             + "]}\n");
             old.awaitEnd();
-            caller.send(World.rpc("order", "/api", "y"));
+            caller.send(World.request("order", "/api", "y"));
             Received call = world.call();
             assertNotEquals(call.socket().getPort(), old.socket().getPort());
             call.reply("200 OK", "new");
@@ -460,9 +462,9 @@
                     "warm-up-"
                             + Long.toHexString(random.nextLong())
                             + Long.toHexString(random.nextLong());
-            caller.send(World.rpc("lookup", "/warm-up", "").replace("id-1", id));
+            caller.send(World.request("lookup", "/warm-up", "").replace("id-1", id));
             assertEquals(caller.read().first(), "HTTP/1.1 200 OK");
-            caller.send(World.rpc("lookup", "/api", ""));
+            caller.send(World.request("lookup", "/api", ""));
             Received call = world.call();
             assertEquals(call.field("Req-Id"), "id-1");
             call.reply("200 OK", "done");
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -64,7 +64,7 @@
                         EndpointLimits.DEFAULT,
                         EndpointLimits.DEFAULT.bounds(1024, 512),
                         figures,
-                        new BufferAccount(BufferAccount.MOST));
+                        new BufferAccount(BufferAccount.MAX));
     }
 
     /** The example's settings, with so many zones and tenants. */
--- a/daemon/src/test/java/cedarrudder/program/ServeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ServeIT.java
@@ -74,7 +74,7 @@
                     Caller idle = world.caller();
                     Caller late = world.caller()) {
                 serveOne(world, idle, "before");
-                caller.send(World.rpc("order", "/api", "x"));
+                caller.send(World.request("order", "/api", "x"));
                 Received taken = world.call();
                 ProxyUnderTest.signal(process, "TERM");
                 awaitLine(process, lines, "proxy.draining");
@@ -93,7 +93,7 @@
     }
 
     private static void serveOne(World world, Caller caller, String text) throws Exception {
-        caller.send(World.rpc("lookup", "/api", "").replace("id-1", text));
+        caller.send(World.request("lookup", "/api", "").replace("id-1", text));
         world.call().reply("200 OK", text);
         assertEquals(caller.read().body(), text);
     }
@@ -114,7 +114,7 @@
                                     process.getInputStream(), StandardCharsets.UTF_8));
             skipWhereNotHeard(process, awaitLine(process, lines, "proxy.listens"));
             try (Caller caller = world.caller()) {
-                caller.send(World.rpc("order", "/api", "x"));
+                caller.send(World.request("order", "/api", "x"));
                 Received taken = world.call();
                 Files.writeString(file, "{");
                 ProxyUnderTest.signal(process, "HUP");
@@ -197,7 +197,7 @@
                                 }
                             });
             node.start();
-            caller.send(World.rpc("order", "/api", body));
+            caller.send(World.request("order", "/api", body));
             String first = caller.read().first();
             node.interrupt();
             Await.end("the node's end", node);
--- a/daemon/src/test/java/cedarrudder/program/ShortageIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ShortageIT.java
@@ -27,7 +27,7 @@
      * What two processes may hold of their own, in MiB: of 192, the rest is for files that both
      * map.
      */
-    private static final long MOST_OF_BOTH = 172;
+    private static final long MAX_OF_BOTH = 172;
 
     private static Path folder() throws IOException {
         return Files.createTempDirectory("shortage");
@@ -35,7 +35,7 @@
 
     private static void serveOne(World world, String id) throws Exception {
         try (Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x").replace("id-1", id));
+            caller.send(World.request("order", "/api", "x").replace("id-1", id));
             assertEquals(caller.read().body(), "done", id);
         }
     }
@@ -110,7 +110,7 @@
             for (int i = 0; i < 150; i++) {
                 Caller caller = world.caller();
                 crowd.add(caller);
-                caller.send(World.rpc("order", "/api", "x").replace("id-1", "crowd-" + i));
+                caller.send(World.request("order", "/api", "x").replace("id-1", "crowd-" + i));
             }
             int served = 0;
             int refused = 0;
@@ -168,7 +168,7 @@
             for (int i = 0; i < 100; i++) {
                 Caller caller = world.caller();
                 slow.add(caller);
-                caller.send(World.rpc("lookup", "/api", "").replace("id-1", "slow-" + i));
+                caller.send(World.request("lookup", "/api", "").replace("id-1", "slow-" + i));
             }
             int whole = 0;
             for (Caller caller : slow) {
@@ -186,7 +186,7 @@
             proxy.awaitFigure("open_requests", 0);
             proxy.awaitFigure("held_bytes", 0);
             try (Caller caller = world.caller()) {
-                caller.send(World.rpc("lookup", "/api", "").replace("id-1", "after"));
+                caller.send(World.request("lookup", "/api", "").replace("id-1", "after"));
                 assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
                 assertEquals(caller.in().readNBytes(body.length).length, body.length);
             }
@@ -312,7 +312,7 @@
             for (int i = 0; i < 400; i++) {
                 Caller caller = world.caller();
                 callers.add(caller);
-                caller.send(World.rpc("order", "/api", body).replace("id-1", "large-" + i));
+                caller.send(World.request("order", "/api", body).replace("id-1", "large-" + i));
                 Received answer = caller.read();
                 assertEquals(answer == null ? "closed" : answer.body(), "done", "caller " + i);
             }
@@ -404,7 +404,7 @@
                 Caller caller = world.caller();
                 callers.add(caller);
                 caller.send(
-                        World.rpc("order", "/stays-for-test", "x")
+                        World.request("order", "/stays-for-test", "x")
                                 .replace("id-1", "silent-" + i)
                                 .replace("30000", "300"));
             }
@@ -452,13 +452,13 @@
     }
 
     /** The most that two processes, or one, hold for some time. */
-    private static long most(ProxyUnderTest one, ProxyUnderTest other) throws Exception {
-        long most = 0;
+    private static long max(ProxyUnderTest one, ProxyUnderTest other) throws Exception {
+        long max = 0;
         for (int i = 0; i < 40; i++) {
-            most = Math.max(most, resident(one) + (one == other ? 0 : resident(other)));
+            max = Math.max(max, resident(one) + (one == other ? 0 : resident(other)));
             Thread.sleep(100);
         }
-        return most;
+        return max;
     }
 
     /**
@@ -471,13 +471,13 @@
             Caller caller = world.caller();
             all.add(caller);
             if (i % 2 == 0) {
-                caller.send(World.rpc("lookup", "/api", "").replace("id-1", name + i));
+                caller.send(World.request("lookup", "/api", "").replace("id-1", name + i));
                 continue;
             }
             Nodes.daemon(
                     () -> {
                         caller.send(
-                                World.rpc(
+                                World.request(
                                                 "order",
                                                 "/stays-for-test",
                                                 "",
@@ -516,13 +516,13 @@
                     });
             first.awaitReady();
             List<Caller> callers = new ArrayList<>(stuck(world, 480, "first-"));
-            long alone = most(first, first);
+            long alone = max(first, first);
             try (ProxyUnderTest second =
                     new ProxyUnderTest(world, state, "", machine(), List.of())) {
                 second.awaitReady();
                 callers.addAll(stuck(world, 480, "second-"));
-                long both = most(first, second);
-                assertTrue(both < MOST_OF_BOTH, alone + " MiB alone, " + both + " both");
+                long both = max(first, second);
+                assertTrue(both < MAX_OF_BOTH, alone + " MiB alone, " + both + " both");
             }
             for (Caller caller : callers) {
                 caller.close();
--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -31,7 +31,7 @@
 
     private static void serveOne(World world, String id) throws Exception {
         try (Caller caller = world.caller()) {
-            caller.send(World.rpc("order", "/api", "x").replace("id-1", id));
+            caller.send(World.request("order", "/api", "x").replace("id-1", id));
             world.call().reply("200 OK", id);
             assertEquals(caller.read().body(), id);
         }
@@ -149,14 +149,18 @@
                         Caller large = world.caller()) {
                     assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 200);
                     assertEquals(proxy.status("POST", "/-/drain"), 200);
-                    large.send(World.rpc("lookup", "/stays-for-test", "").replace("id-1", "large"));
+                    large.send(
+                            World.request("lookup", "/stays-for-test", "")
+                                    .replace("id-1", "large"));
                     world.call()
                             .raw(
                                     "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
                                             + "x".repeat(100_000));
                     assertEquals(large.readHead().first(), "HTTP/1.1 200 OK");
                     half.send("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\n");
-                    taken.send(World.rpc("order", "/stays-for-test", "x").replace("id-1", "taken"));
+                    taken.send(
+                            World.request("order", "/stays-for-test", "x")
+                                    .replace("id-1", "taken"));
                     Received running = world.call();
                     proxy.kill();
                     running.awaitEnd();
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -59,7 +59,7 @@
                 boolean fresh = open == null;
                 try {
                     open = fresh ? new Caller(port) : open;
-                    open.send(World.rpc("order", "/api", "x").replace("id-1", name + i));
+                    open.send(World.request("order", "/api", "x").replace("id-1", name + i));
                     Received answer = open.read();
                     if (answer == null || !answer.first().contains(" 200 ")) {
                         told(wrong, answer == null ? "closed on " + name + i : answer.first());
--- a/daemon/src/test/java/cedarrudder/program/World.java
+++ b/daemon/src/test/java/cedarrudder/program/World.java
@@ -450,7 +450,7 @@
     }
 
     /** An RPC as a caller writes it. */
-    static String rpc(String kind, String target, String body, String... fields) {
+    static String request(String kind, String target, String body, String... fields) {
         return (kind.equals("lookup") ? "GET " : "POST ")
                 + target
                 + " HTTP/1.1\r\nHost: service.internal\r\n"
--- a/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
@@ -15,7 +15,7 @@
 public class FlowDecodingTest {
 
     private static final int WINDOW = 8;
-    private static final int MOST = 64;
+    private static final int MAX = 64;
     private static final String BODY = "0123456789abcdefghij";
     private static final String CHUNKS =
             "5\r\n01234\r\n3;x=\"y\"\r\n567\r\nC\r\n89abcdefghij\r\n0\r\nT: u\r\n\r\n";
@@ -23,7 +23,7 @@
     /** What comes of messages: each body, with a bar where it began to flow. */
     private static List<String> decode(boolean requests, String... pieces)
             throws MalformedMessageException {
-        HttpDecoder decoder = HttpDecoder.ofFlows(requests, HttpDecoder.MOST_HEAD, MOST, WINDOW);
+        HttpDecoder decoder = HttpDecoder.ofFlows(requests, HttpDecoder.MAX_HEAD, MAX, WINDOW);
         List<String> bodies = new ArrayList<>();
         StringBuilder flowed = new StringBuilder();
         for (String piece : pieces) {
--- a/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
@@ -51,7 +51,7 @@
     public void everyCutYieldsTheSameMessages() throws MalformedMessageException {
         List<String> expected = List.of("200 b abc", "503 null defgh");
         for (int i = 0; i <= TWO.length(); i++) {
-            HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100);
+            HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100);
             assertEquals(
                     decode(decoder, TWO.substring(0, i), TWO.substring(i)),
                     expected,
@@ -59,7 +59,7 @@
             assertTrue(decoder.between());
         }
         assertEquals(
-                decode(HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100), TWO.split("")), expected);
+                decode(HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100), TWO.split("")), expected);
     }
 
     /** Guards against a watch that stands, and is read no more, once 2 GiB have come on it. */
@@ -87,7 +87,7 @@
 
     @Test
     public void anAnswerWithoutLengthEndsWithItsConnection() throws MalformedMessageException {
-        HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100);
+        HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100);
         assertNull(decoder.decode(bytes("HTTP/1.1 200 OK\r\n\r\nall of it")));
         assertEquals(new String(decoder.atEnd().body(), StandardCharsets.ISO_8859_1), "all of it");
         assertNull(decoder.decode(bytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhalf")));
@@ -112,7 +112,7 @@
             {start + "Transfer-Encoding: chunked\r\n\r\nffffffff\r\n"},
             {start + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"},
             {start + "\r\n" + "x".repeat(101)},
-            {"x".repeat(HttpDecoder.MOST_HEAD + 1)},
+            {"x".repeat(HttpDecoder.MAX_HEAD + 1)},
         };
     }
 
@@ -120,6 +120,6 @@
     public void nonsenseIsTold(String text) {
         expectThrows(
                 MalformedMessageException.class,
-                () -> decode(HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, 100), text));
+                () -> decode(HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100), text));
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
@@ -24,7 +24,7 @@
 
     private static final long SEED = 20_251;
     private static final int RUNS = 20_000;
-    private static final int MOST_SPOILT = 3;
+    private static final int MAX_SPOILT = 3;
 
     private static final String[] SOUND = {
         "GET /a HTTP/1.1\r\nHost: h\r\nA: b\r\n\r\n",
@@ -75,7 +75,7 @@
 
     private static String spoilt(SplittableRandom random) {
         StringBuilder text = new StringBuilder(SOUND[random.nextInt(SOUND.length)]);
-        for (int i = random.nextInt(MOST_SPOILT) + 1; i > 0; i--) {
+        for (int i = random.nextInt(MAX_SPOILT) + 1; i > 0; i--) {
             int at = random.nextInt(text.length());
             String odd = ODD[random.nextInt(ODD.length)];
             switch (random.nextInt(4)) {
@@ -95,7 +95,7 @@
 
     private static Reading ours(String text) {
         List<Read> requests = new ArrayList<>();
-        HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+        HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         ByteBuf in = Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
         try {
             for (HttpMessage next = decoder.decode(in); next != null; next = decoder.decode(in)) {
@@ -115,7 +115,7 @@
     private static Reading theirs(String text) {
         EmbeddedChannel channel =
                 new EmbeddedChannel(
-                        new HttpRequestDecoder(), new HttpObjectAggregator(HttpDecoder.MOST_BODY));
+                        new HttpRequestDecoder(), new HttpObjectAggregator(HttpDecoder.MAX_BODY));
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
         List<Read> requests = new ArrayList<>();
         boolean refused = false;
--- a/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
@@ -25,12 +25,12 @@
     }
 
     private static HttpDecoder decoder() {
-        return HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+        return HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
     }
 
     /** A head that is a byte longer than one may be. */
     private static String longer(String start) {
-        return start + "x".repeat(HttpDecoder.MOST_HEAD + 1 - start.length());
+        return start + "x".repeat(HttpDecoder.MAX_HEAD + 1 - start.length());
     }
 
     /** Each is refused as soon as these bytes are there, whatever may follow. */
--- a/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
@@ -37,7 +37,7 @@
                             }
                         });
         List<String> told = new ArrayList<>();
-        BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MOST));
+        BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MAX));
         ProxyEventLoop loop = new ProxyEventLoop(new Logger(System.err));
         BodyWriter pump =
                 new BodyWriter(
