--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -61,8 +61,8 @@
                     ENDLESS,
                     ENDLESS,
                     ENDLESS,
-                    ClientLimits.DEFAULT.mostHead(),
-                    ClientLimits.DEFAULT.mostBody(),
+                    ClientLimits.DEFAULT.maxHead(),
+                    ClientLimits.DEFAULT.maxBody(),
                     0.5);
 
     /**
@@ -73,7 +73,7 @@
 
     /** What is asked when an RPC is taken, on the loop and in the decoder's hands. */
     private interface Taken {
-        void by(Exchange<HttpMessage, HttpMessage> rpc, HttpServer.ClientConnection caller)
+        void by(Exchange<HttpMessage, HttpMessage> request, HttpServer.ClientConnection caller)
                 throws Exception;
     }
 
@@ -82,12 +82,12 @@
         private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
         private final Logger log = new Logger(new PrintStream(lines, true));
         private final ProxyEventLoop loop = new ProxyEventLoop(log);
-        private final BufferAccount held = new BufferAccount(BufferAccount.MOST);
+        private final BufferAccount held = new BufferAccount(BufferAccount.MAX);
         private final BlockingQueue<Long> requests = new LinkedBlockingQueue<>();
         private final BlockingQueue<Object> left = new LinkedBlockingQueue<>();
         private final BlockingQueue<Throwable> wrong = new LinkedBlockingQueue<>();
         private final CountDownLatch over = new CountDownLatch(1);
-        private volatile Taken taken = (rpc, caller) -> {};
+        private volatile Taken taken = (request, caller) -> {};
         private volatile boolean refusesAtOnce;
         private LoadBalancer.Actions actions;
         private final HttpServer listener;
@@ -132,9 +132,9 @@
                                     .module());
             listener = new HttpServer(loop, driver, fields, () -> true, PATIENT, 10, held);
             listener.setAside(
-                    (rpc, reply) -> {
+                    (request, reply) -> {
                         try {
-                            taken.by(rpc, (HttpServer.ClientConnection) reply);
+                            taken.by(request, (HttpServer.ClientConnection) reply);
                         } catch (Exception | AssertionError e) {
                             wrong.add(e);
                         }
@@ -204,7 +204,7 @@
                     () -> {
                         listener.drain(over::countDown);
                         return loop.at(
-                                loop.now() + listener.mostEnding() - LATE_ON,
+                                loop.now() + listener.maxEnding() - LATE_ON,
                                 () -> {
                                     try {
                                         lateOn.call();
@@ -246,7 +246,7 @@
         public void closeIdle(long endpoint) {}
     }
 
-    private static String rpc(String id, String... fields) {
+    private static String request(String id, String... fields) {
         return "GET /api HTTP/1.1\r\nHost: a\r\nReq-Id: "
                 + id
                 + "\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\n"
@@ -291,9 +291,9 @@
         for (boolean reset : new boolean[] {false, true}) {
             try (Service service = new Service()) {
                 Socket caller = service.caller();
-                send(caller, rpc("1"));
+                send(caller, request("1"));
                 long id = service.request();
-                send(caller, rpc("2") + rpc("3"));
+                send(caller, request("2") + request("3"));
                 Await.until(
                         "the bytes behind it are kept", () -> service.on(service.held::held) > 0);
                 leave(caller, reset);
@@ -313,7 +313,7 @@
         int behind = 40_000;
         try (Service service = new Service();
                 Socket caller = service.caller()) {
-            send(caller, rpc("1"));
+            send(caller, request("1"));
             CompletableFuture<Void> sent =
                     CompletableFuture.runAsync(
                             () -> {
@@ -356,15 +356,15 @@
         try (Service service = new Service();
                 Socket caller = service.caller()) {
             List<Long> deadlines = new ArrayList<>();
-            service.taken = (rpc, reply) -> deadlines.add(rpc.request().deadline());
-            send(caller, rpc("1"));
+            service.taken = (request, reply) -> deadlines.add(request.request().deadline());
+            send(caller, request("1"));
             Await.until("the first is taken", () -> service.requests.size() == 1);
-            send(caller, rpc("2"));
+            send(caller, request("2"));
             Await.until("the second is kept", () -> service.on(service.held::held) > 0);
             long kept = System.nanoTime();
             Await.until(
                     "a second later", () -> System.nanoTime() - kept > TimeUnit.SECONDS.toNanos(1));
-            send(caller, rpc("3"));
+            send(caller, request("3"));
             for (int i = 0; i < 3; i++) {
                 service.refuse();
                 read(caller);
@@ -384,15 +384,15 @@
                 BlockingQueue<Boolean> waits = new LinkedBlockingQueue<>();
                 Socket caller = service.caller();
                 service.taken =
-                        (rpc, reply) -> {
+                        (request, reply) -> {
                             waits.add(reply.waits());
-                            send(caller, rpc("2"));
+                            send(caller, request("2"));
                             waits.add(reply.waits());
                             send(caller, "x".repeat(5000));
                             leave(caller, reset);
                             waits.add(reply.waits());
                         };
-                send(caller, rpc("1"));
+                send(caller, request("1"));
                 assertTrue(Await.next("a look", waits), "it waits");
                 assertTrue(Await.next("a look", waits), "it waits, and has sent more");
                 assertFalse(Await.next("a look", waits), "it has gone");
@@ -411,17 +411,17 @@
         try (Service service = new Service();
                 Socket caller = service.caller()) {
             service.taken =
-                    (rpc, reply) -> {
-                        if (rpc.request().id() > 3) {
+                    (request, reply) -> {
+                        if (request.request().id() > 3) {
                             return;
                         }
-                        String next = rpc("" + (rpc.request().id() + 1));
+                        String next = request("" + (request.request().id() + 1));
                         for (int i = 0; i < next.length(); i += 50) {
                             send(caller, next.substring(i, Math.min(next.length(), i + 50)));
                             assertTrue(reply.waits());
                         }
                     };
-            send(caller, rpc("1") + HEALTH);
+            send(caller, request("1") + HEALTH);
             for (int i = 0; i < 4; i++) {
                 service.refuse();
                 assertTrue(read(caller).startsWith("HTTP/1.1 503"), "RPC " + i);
@@ -451,9 +451,9 @@
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             CompletableFuture<String> whole = new CompletableFuture<>();
             service.taken =
-                    (rpc, reply) -> {
-                        BodyFlow flow = rpc.content().rest().flow();
-                        got.writeBytes(rpc.content().body());
+                    (request, reply) -> {
+                        BodyFlow flow = request.content().rest().flow();
+                        got.writeBytes(request.content().body());
                         flow.whenMore(
                                 () -> {
                                     try {
@@ -505,11 +505,14 @@
                     Socket caller = service.caller()) {
                 String chunk = "400\r\n" + "x".repeat(1024) + "\r\n";
                 service.taken =
-                        (rpc, reply) -> {
-                            rpc.content()
+                        (request, reply) -> {
+                            request.content()
                                     .rest()
                                     .flow()
-                                    .whenMore(() -> service.actions.refuse(rpc.request().id(), 0));
+                                    .whenMore(
+                                            () ->
+                                                    service.actions.refuse(
+                                                            request.request().id(), 0));
                             send(caller, chunk.repeat(3) + end);
                             assertTrue(
                                     reply.waits()); // so that all of it is in the decoder's hands
@@ -539,7 +542,7 @@
                     Socket idle = service.caller()) {
                 send(idle, HEALTH);
                 assertTrue(read(idle).startsWith("HTTP/1.1 200"));
-                send(caller, rpc("1"));
+                send(caller, request("1"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
                 if (byHand) {
                     service.on(
@@ -555,7 +558,7 @@
                 long id = service.request();
                 service.on(
                         () -> {
-                            send(caller, rpc("2") + rpc("3"));
+                            send(caller, request("2") + request("3"));
                             service.actions.refuse(id, 0);
                             return null;
                         });
@@ -579,15 +582,15 @@
      */
     @Test
     public void whatStandsBehindAnAnswerAtOnceIsAnsweredToo() throws Exception {
-        for (String atOnce : List.of(HEALTH, rpc("2"))) {
+        for (String atOnce : List.of(HEALTH, request("2"))) {
             try (Service service = new Service();
                     Socket caller = service.caller()) {
-                send(caller, rpc("1"));
+                send(caller, request("1"));
                 long id = service.request();
                 service.drain(
                         () -> {
                             service.refusesAtOnce = true;
-                            send(caller, atOnce + rpc("3") + rpc("4"));
+                            send(caller, atOnce + request("3") + request("4"));
                             service.actions.refuse(id, 0);
                             return null;
                         });
@@ -609,7 +612,7 @@
     public void whatStandsBehindWhatIsCutOffIsAnsweredToo() throws Exception {
         try (Service service = new Service();
                 Socket caller = service.caller()) {
-            send(caller, rpc("1") + rpc("2") + rpc("3"));
+            send(caller, request("1") + request("2") + request("3"));
             Await.until("it is taken", () -> service.requests.size() == 1);
             service.refusesAtOnce = true;
             service.drain();
@@ -632,11 +635,12 @@
         try (Service service = new Service();
                 Socket caller = service.caller()) {
             BlockingQueue<Long> left = new LinkedBlockingQueue<>();
-            service.taken = (rpc, reply) -> left.add(rpc.request().deadline() - service.loop.now());
+            service.taken =
+                    (request, reply) -> left.add(request.request().deadline() - service.loop.now());
             send(
                     caller,
-                    rpc("1")
-                            + rpc("2", "Content-Length: 80000\r\n")
+                    request("1")
+                            + request("2", "Content-Length: 80000\r\n")
                                     .replace("GET", "POST")
                                     .replace("lookup", "order")
                             + "x".repeat(80_000));
@@ -655,11 +659,11 @@
     public void whoSendsAheadWithoutEndIsLetGo() throws Exception {
         try (Service service = new Service();
                 Socket caller = service.caller()) {
-            send(caller, rpc("0"));
+            send(caller, request("0"));
             service.replace();
             int answers = 0;
             for (String answer = ""; !answer.contains("Connection: close"); answers++) {
-                send(caller, rpc("" + (answers + 1)));
+                send(caller, request("" + (answers + 1)));
                 service.refuse();
                 answer = read(caller);
                 assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
@@ -680,8 +684,8 @@
             try (Service service = new Service();
                     Socket caller = service.caller()) {
                 BlockingQueue<HttpServer.ClientConnection> ends = new LinkedBlockingQueue<>();
-                service.taken = (rpc, reply) -> ends.add(reply);
-                send(caller, rpc("1", told ? "Connection: close\r\n" : ""));
+                service.taken = (request, reply) -> ends.add(reply);
+                send(caller, request("1", told ? "Connection: close\r\n" : ""));
                 long id = service.request();
                 service.on(
                         () -> {
@@ -689,7 +693,7 @@
                             if (!told) {
                                 ends.take().closeIfQuiet();
                             }
-                            send(caller, rpc("late"));
+                            send(caller, request("late"));
                             return null;
                         });
                 assertEquals(read(caller).contains("Connection: close"), told);
@@ -720,7 +724,7 @@
                 service.refusesAtOnce = atOnce;
                 service.on(
                         () -> {
-                            send(asks, rpc("1"));
+                            send(asks, request("1"));
                             service.listener.apply(PATIENT, 1);
                             return null;
                         });
@@ -746,12 +750,12 @@
                 Socket rests = service.caller()) {
             send(rests, HEALTH);
             read(rests);
-            send(told, rpc("1", "Connection: close\r\n"));
+            send(told, request("1", "Connection: close\r\n"));
             long id = service.request();
             service.on(
                     () -> {
                         service.actions.refuse(id, 0);
-                        send(told, rpc("late"));
+                        send(told, request("late"));
                         service.listener.apply(PATIENT, 1);
                         return null;
                     });
@@ -773,9 +777,9 @@
                 Socket caller = service.caller();
                 Socket other = service.caller()) {
             BlockingQueue<HttpServer.ClientConnection> taken = new LinkedBlockingQueue<>();
-            service.taken = (rpc, reply) -> taken.add(reply);
+            service.taken = (request, reply) -> taken.add(reply);
             for (Socket each : List.of(caller, other)) {
-                send(each, rpc(each == caller ? "1" : "2"));
+                send(each, request(each == caller ? "1" : "2"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
                 if (each == caller) {
                     HttpServer.ClientConnection broken = Await.next("its connection", taken);
--- a/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
@@ -66,7 +66,7 @@
     private static final class Peer {
         final DatagramSocket socket;
         final BlockingQueue<byte[]> heard = new LinkedBlockingQueue<>();
-        volatile long life = 7;
+        volatile long incarnation = 7;
         volatile boolean silent;
         private final int number;
 
@@ -105,7 +105,7 @@
                     break;
                 }
             }
-            out.put((byte) number).put((byte) life).put((byte) subject).putInt(0);
+            out.put((byte) number).put((byte) incarnation).put((byte) subject).putInt(0);
             CRC32C sum = new CRC32C();
             sum.update(out.array(), 0, out.position());
             out.putInt((int) sum.getValue());
@@ -187,7 +187,7 @@
                         0,
                         1_000,
                         new SplittableRandom(3),
-                        driver::copies,
+                        driver::replicas,
                         null);
         loop.run(membership::start);
     }
@@ -215,7 +215,7 @@
         awaitLive(2);
         one.awaitNews(2, DEAD);
         assertTrue(log.toString().contains("member.dead copy=2 live=2"), log.toString());
-        two.life = 8;
+        two.incarnation = 8;
         two.silent = false;
         awaitLive(3);
         assertTrue(log.toString().contains("member.back copy=2 live=3"), log.toString());
--- a/lab/src/main/java/cedarrudder/lab/attack/Answer.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Answer.java
@@ -13,7 +13,7 @@
  */
 public record Answer(int status, String head, String body) {
 
-    private static final int MOST_HEAD = 32 * 1024;
+    private static final int MAX_HEAD = 32 * 1024;
 
     /** One that is no answer of HTTP. */
     static final class UnsoundException extends IOException {
@@ -40,7 +40,7 @@
                 throw new EOFException("an answer was cut in its head");
             }
             head.append((char) next);
-            if (head.length() > MOST_HEAD) {
+            if (head.length() > MAX_HEAD) {
                 throw new UnsoundException("an answer's head has no end");
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/attack/FieldLines.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FieldLines.java
@@ -12,14 +12,14 @@
 
     private static final String FIELD = "RFC 9112 5";
     private static final String VALUE = "RFC 9110 5.5";
-    private static final String RPC = "our protocol: an RPC says what it is, once";
+    private static final String REQUEST = "our protocol: an RPC says what it is, once";
     private static final int LONG = 20_000;
 
     private FieldLines() {}
 
     static List<Attack> all() {
         Group group = Group.FIELDS;
-        Group rpc = Group.RPC;
+        Group request = Group.RPC;
         return List.of(
                 of(
                         "folded-field",
@@ -114,67 +114,67 @@
                         refused("RFC 6585 5", 431)),
                 of(
                         "two-ids",
-                        rpc,
+                        request,
                         "two fields Req-Id",
                         RequestTemplates.get("Req-Id: {id}-hidden"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "two-deadlines",
-                        rpc,
+                        request,
                         "two fields Req-Deadline-Ms",
                         RequestTemplates.get("Req-Deadline-Ms: 9"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "two-kinds",
-                        rpc,
+                        request,
                         "two fields Req-Kind",
                         RequestTemplates.get("Req-Kind: {unsafe}"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "two-keys",
-                        rpc,
+                        request,
                         "two idempotency keys",
                         RequestTemplates.post(
                                 "",
                                 "Content-Length: 0",
                                 "Idempotency-Key: a",
                                 "Idempotency-Key: b"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "no-id",
-                        rpc,
+                        request,
                         "no Req-Id",
                         RequestTemplates.get().replace("Req-Id: {id}\r\n", ""),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "empty-id",
-                        rpc,
+                        request,
                         "an empty Req-Id",
                         RequestTemplates.get().replace("Req-Id: {id}", "Req-Id:"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "deadline-with-sign",
-                        rpc,
+                        request,
                         "a deadline below zero",
                         RequestTemplates.get().replace("2500", "-2500"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "deadline-overflows",
-                        rpc,
+                        request,
                         "a deadline that overflows a number",
                         RequestTemplates.get().replace("2500", "9223372036854775808"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "key-where-none-belongs",
-                        rpc,
+                        request,
                         "an idempotency key on what has none",
                         RequestTemplates.get("Idempotency-Key: a"),
-                        refused(RPC, 400)),
+                        refused(REQUEST, 400)),
                 of(
                         "body-of-a-get",
-                        rpc,
+                        request,
                         "a body on what is safe to repeat",
                         RequestTemplates.get("Content-Length: 3") + "abc",
-                        refused(RPC, 400)));
+                        refused(REQUEST, 400)));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/attack/Flood.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Flood.java
@@ -14,7 +14,7 @@
 final class Flood implements Closeable {
 
     /** No more are held, whatever the rate: the attacker's own descriptors. */
-    private static final int MOST_HELD = 4000;
+    private static final int MAX_HELD = 4000;
 
     private static final int READ = 4096;
 
@@ -57,7 +57,7 @@
     }
 
     private void open() {
-        if (selector.keys().size() >= MOST_HELD) {
+        if (selector.keys().size() >= MAX_HELD) {
             unopened++;
             return;
         }
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodResult.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodResult.java
@@ -7,8 +7,8 @@
  * @param fresh those that open one for each request
  * @param opened connections of the flood that came up
  * @param unopened those that the flood was due to open and couldn't
- * @param mostOpen the most of the daemon's descriptors that were in use; -1: can't be seen
- * @param mostMemory the most of its resident memory, in KiB; -1: can't be seen
+ * @param maxOpen the most of the daemon's descriptors that were in use; -1: can't be seen
+ * @param maxMemory the most of its resident memory, in KiB; -1: can't be seen
  */
 public record FloodResult(
         FloodKind kind,
@@ -16,8 +16,8 @@
         Served fresh,
         int opened,
         int unopened,
-        int mostOpen,
-        long mostMemory) {
+        int maxOpen,
+        long maxMemory) {
 
     /**
      * Requests and how they went.
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
@@ -38,8 +38,8 @@
                     ofFresh,
                     flood == null ? 0 : flood.opened(),
                     flood == null ? 0 : flood.unopened(),
-                    watch.mostOpen,
-                    watch.mostMemory);
+                    watch.maxOpen,
+                    watch.maxMemory);
         } finally {
             if (flood != null) {
                 flood.close();
@@ -50,8 +50,8 @@
     /** Looks now and then at what a process has; a system that doesn't tell leaves it at -1. */
     private static final class Watch extends Thread {
         private final Path process;
-        private int mostOpen = -1;
-        private long mostMemory = -1;
+        private int maxOpen = -1;
+        private long maxMemory = -1;
 
         Watch(long pid) {
             super("watch");
@@ -64,11 +64,11 @@
             try {
                 while (true) {
                     try (Stream<Path> open = Files.list(process.resolve("fd"))) {
-                        mostOpen = Math.max(mostOpen, (int) open.count());
+                        maxOpen = Math.max(maxOpen, (int) open.count());
                     }
-                    mostMemory =
+                    maxMemory =
                             Math.max(
-                                    mostMemory,
+                                    maxMemory,
                                     Files.readAllLines(process.resolve("status")).stream()
                                             .filter(line -> line.startsWith("VmRSS:"))
                                             .mapToLong(
--- a/lab/src/main/java/cedarrudder/lab/attack/NodeReader.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/NodeReader.java
@@ -12,7 +12,7 @@
  */
 final class NodeReader {
 
-    private static final int MOST_HEAD = 64 * 1024;
+    private static final int MAX_HEAD = 64 * 1024;
     private static final String LINE = "[A-Z]+ /[!-\"$-~]* HTTP/1\\.1";
     private static final String FIELD = "[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\\t -~\\x80-\\xff]*";
 
@@ -52,7 +52,7 @@
                 return null;
             }
             text.append((char) next);
-            if (text.length() > MOST_HEAD) {
+            if (text.length() > MAX_HEAD) {
                 return new Request("", "", "a head without an end");
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/attack/Player.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Player.java
@@ -20,7 +20,7 @@
     /**
      * Answers of 60 KB that a proxy may make ready for who reads none: what sockets' buffers hold.
      */
-    private static final int MOST_UNREAD = 200;
+    private static final int MAX_UNREAD = 200;
 
     private static final String HEALTHY = "ready\n";
 
@@ -149,7 +149,7 @@
                 .findFirst()
                 .ifPresent(r -> wrongs.add("a node got an unsound " + r.unsound()));
         long unread = all.stream().filter(r -> r.id().contains(SustainedAttacks.UNREAD_ID)).count();
-        if (unread > MOST_UNREAD) {
+        if (unread > MAX_UNREAD) {
             wrongs.add(unread + " requests were passed on whose answers nobody reads");
         }
         List<String> served =
--- a/lab/src/main/java/cedarrudder/lab/attack/RequestTemplates.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/RequestTemplates.java
@@ -13,14 +13,14 @@
     static final String HOST = "Host: service.internal";
 
     /** What makes a {@code GET} an RPC, with line ends. */
-    static final String SAFE = rpc("{id}", "{safe}");
+    static final String SAFE = request("{id}", "{safe}");
 
     /** What makes a {@code POST} an RPC, with line ends. */
-    static final String UNSAFE = rpc("{id}", "{unsafe}");
+    static final String UNSAFE = request("{id}", "{unsafe}");
 
     /** A request that stands where no server may see one. */
     static final String HIDDEN =
-            "GET /hidden HTTP/1.1\r\n" + HOST + "\r\n" + rpc("{id}-hidden", "{safe}") + "\r\n";
+            "GET /hidden HTTP/1.1\r\n" + HOST + "\r\n" + request("{id}-hidden", "{safe}") + "\r\n";
 
     /** What the places are filled with. */
     public String fill(String text, String id) {
@@ -30,7 +30,7 @@
                 .replace("{owner}", owner);
     }
 
-    private static String rpc(String id, String kind) {
+    private static String request(String id, String kind) {
         return "Req-Id: "
                 + id
                 + "\r\nReq-Kind: "
@@ -45,7 +45,7 @@
 
     /** A sound {@code GET} whose id has this behind it. */
     static String getAs(String suffix, String... fields) {
-        return request("GET /api HTTP/1.1", HOST, rpc("{id}" + suffix, "{safe}"), "", fields);
+        return request("GET /api HTTP/1.1", HOST, request("{id}" + suffix, "{safe}"), "", fields);
     }
 
     /** A {@code GET} with another first line, and all else sound. */
@@ -71,12 +71,12 @@
         return post(body, all);
     }
 
-    static String request(String line, String host, String rpc, String body, String... fields) {
+    static String request(String line, String host, String request, String body, String... fields) {
         StringBuilder text = new StringBuilder(line).append("\r\n");
         if (host != null) {
             text.append(host).append("\r\n");
         }
-        text.append(rpc);
+        text.append(request);
         for (String field : fields) {
             text.append(field).append("\r\n");
         }
--- a/lab/src/main/java/cedarrudder/lab/attack/ToySite.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ToySite.java
@@ -35,14 +35,14 @@
     private ToySite() {}
 
     /** The settings of one of so many proxies, as JSON. */
-    public static String settings(int copies, int ordinal) {
-        return settings(copies, ordinal, 0, List.of("here"));
+    public static String settings(int replicas, int ordinal) {
+        return settings(replicas, ordinal, 0, List.of("here"));
     }
 
     /** The same for one in a zone of several. */
-    public static String settings(int copies, int ordinal, int zone, List<String> zones) {
+    public static String settings(int replicas, int ordinal, int zone, List<String> zones) {
         return SETTINGS.formatted(
-                        copies,
+                        replicas,
                         ordinal,
                         zone,
                         zones.stream()
--- a/lab/src/main/java/cedarrudder/lab/attack/Wire.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Wire.java
@@ -106,13 +106,13 @@
     /**
      * Sends a text again and again at full speed, until so many bytes are out, or an answer comes.
      */
-    void pour(String text, long most) throws IOException {
+    void pour(String text, long max) throws IOException {
         byte[] once = words.fill(text, id).getBytes(StandardCharsets.ISO_8859_1);
         byte[] piece = new byte[Math.max(1, PIECE / once.length) * once.length];
         for (int i = 0; i < piece.length; i++) {
             piece[i] = once[i % once.length];
         }
-        for (long sent = 0; sent < most && !answered() && !broken; sent += piece.length) {
+        for (long sent = 0; sent < max && !answered() && !broken; sent += piece.length) {
             write(piece, 0, piece.length);
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/baselines/Admission.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Admission.java
@@ -25,10 +25,10 @@
     private static final double OVER_SHARE = 0.15;
 
     /** The same for a class that is worth nothing ... */
-    private static final double LEAST = 0.25;
+    private static final double MIN = 0.25;
 
     /** ... and for the class worth most. */
-    private static final double MOST = 0.5;
+    private static final double MAX = 0.5;
 
     /** One answer counts as having taken this many times its aim at the most. */
     private static final double LATEST = 2;
@@ -65,8 +65,7 @@
 
     boolean admits(long now, BaselineRequest call) {
         boolean over = overShare(now, call.request.tenant());
-        return used(now)
-                < (over ? OVER_SHARE : LEAST + (MOST - LEAST) * call.kind.worth() / bestWorth);
+        return used(now) < (over ? OVER_SHARE : MIN + (MAX - MIN) * call.kind.worth() / bestWorth);
     }
 
     /** Whether a request is past its tenant's share, of which each copy takes an equal part. */
@@ -75,7 +74,7 @@
         if (quota <= 0) {
             return false;
         }
-        double rate = quota / Math.max(1, settings.copies());
+        double rate = quota / Math.max(1, settings.replicas());
         saved[tenant] =
                 Math.min(
                         Math.max(1, SHARE_SECONDS * rate),
--- a/lab/src/main/java/cedarrudder/lab/baselines/BrokenPolicies.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BrokenPolicies.java
@@ -133,9 +133,9 @@
             sound.request(now, request);
             return;
         }
-        Mine rpc = new Mine(request, kind);
-        mine.put(request.id(), rpc);
-        take(now, rpc);
+        Mine own = new Mine(request, kind);
+        mine.put(request.id(), own);
+        take(now, own);
     }
 
     /** Whether the fault can be shown now with an RPC of this class and deadline. */
@@ -157,44 +157,44 @@
         };
     }
 
-    private void take(long now, Mine rpc) {
-        long id = rpc.request.id();
+    private void take(long now, Mine own) {
+        long id = own.request.id();
         switch (fault) {
             case LOST -> {}
-            case ANSWERED_LATE -> later(rpc, rpc.request.deadline() + LATE);
+            case ANSWERED_LATE -> later(own, own.request.deadline() + LATE);
             case ANSWERED_TWICE -> {
                 actions.refuse(id, 0);
                 actions.refuse(id, 0);
             }
             case SENT_AFTER_END -> {
                 actions.refuse(id, 0);
-                send(rpc, warm(now, null), 0);
+                send(own, warm(now, null), 0);
             }
-            case SENT_TO_DRAINED -> send(rpc, drained(now), 0);
-            case COLD_PUSHED_OVER -> send(rpc, newest(now), 0);
+            case SENT_TO_DRAINED -> send(own, drained(now), 0);
+            case COLD_PUSHED_OVER -> send(own, newest(now), 0);
             case RESENT_UNSAFE, TWO_OUT, KEYED_OUTSIDE_GROUP -> {
-                send(rpc, warm(now, null), 0);
-                later(rpc, now + SOON);
+                send(own, warm(now, null), 0);
+                later(own, now + SOON);
             }
-            case REFUSED_AFTER_RUN -> send(rpc, warm(now, null), AT_ONCE);
+            case REFUSED_AFTER_RUN -> send(own, warm(now, null), AT_ONCE);
             case KEYED_AFTER_WINDOW -> {
-                send(rpc, warm(now, null), AT_ONCE);
-                later(rpc, now + rpc.kind.repeatWindow() + SOON);
+                send(own, warm(now, null), AT_ONCE);
+                later(own, now + own.kind.repeatWindow() + SOON);
             }
             default -> throw new IllegalStateException("unknown fault " + fault);
         }
     }
 
-    private void send(Mine rpc, Endpoint to, long timeout) {
-        rpc.first = rpc.first == null ? to : rpc.first;
-        rpc.out++;
-        actions.send(rpc.request.id(), to.id(), timeout);
+    private void send(Mine own, Endpoint to, long timeout) {
+        own.first = own.first == null ? to : own.first;
+        own.out++;
+        actions.send(own.request.id(), to.id(), timeout);
     }
 
     /** Asks for the wrong step at an instant; the tokens of the module are never negative. */
-    private void later(Mine rpc, long at) {
-        rpc.waits = true;
-        actions.schedule(at, -rpc.request.id() - 1);
+    private void later(Mine own, long at) {
+        own.waits = true;
+        actions.schedule(at, -own.request.id() - 1);
     }
 
     @Override
@@ -203,26 +203,26 @@
             sound.timer(now, token);
             return;
         }
-        Mine rpc = mine.get(-token - 1);
-        if (rpc == null || rpc.over) {
+        Mine own = mine.get(-token - 1);
+        if (own == null || own.over) {
             return;
         }
-        rpc.waits = false;
+        own.waits = false;
         if (fault == Fault.ANSWERED_LATE) {
-            fail(rpc);
+            fail(own);
             return;
         }
-        Endpoint next = fault == Fault.KEYED_AFTER_WINDOW ? rpc.first : warm(now, rpc);
-        if (next != null && now < rpc.request.deadline()) {
-            send(rpc, next, 0);
-        } else if (rpc.out == 0) {
-            fail(rpc);
+        Endpoint next = fault == Fault.KEYED_AFTER_WINDOW ? own.first : warm(now, own);
+        if (next != null && now < own.request.deadline()) {
+            send(own, next, 0);
+        } else if (own.out == 0) {
+            fail(own);
         }
     }
 
-    private void fail(Mine rpc) {
-        rpc.over = true;
-        actions.fail(rpc.request.id());
+    private void fail(Mine own) {
+        own.over = true;
+        actions.fail(own.request.id());
     }
 
     @Override
@@ -235,21 +235,21 @@
             long latency,
             boolean settled,
             LoadReport load) {
-        Mine rpc = mine.get(request);
-        if (rpc == null) {
+        Mine own = mine.get(request);
+        if (own == null) {
             sound.outcome(now, request, attempt, endpoint, outcome, latency, settled, load);
             return;
         }
-        rpc.out--;
-        rpc.over |= settled;
-        if (!rpc.over && fault == Fault.REFUSED_AFTER_RUN && !outcome.provesNotRun()) {
-            rpc.over = true;
+        own.out--;
+        own.over |= settled;
+        if (!own.over && fault == Fault.REFUSED_AFTER_RUN && !outcome.provesNotRun()) {
+            own.over = true;
             actions.refuse(request, 0);
         }
-        if (!rpc.over && rpc.out == 0 && (!rpc.waits || now >= rpc.request.deadline())) {
-            fail(rpc);
+        if (!own.over && own.out == 0 && (!own.waits || now >= own.request.deadline())) {
+            fail(own);
         }
-        if (rpc.over && rpc.out == 0) {
+        if (own.over && own.out == 0) {
             mine.remove(request);
         }
     }
@@ -257,16 +257,16 @@
     // ---- whom to treat wrongly ----
 
     /** A warm node; not the first of this RPC, and outside its group where the fault needs that. */
-    private Endpoint warm(long now, Mine rpc) {
+    private Endpoint warm(long now, Mine own) {
         List<Endpoint> fit = new ArrayList<>();
         for (Endpoint entry : listed.values()) {
             boolean warm =
                     entry.startedAt() == 0
                             || now - entry.startedAt() > settings.safety().rampTime();
             boolean other =
-                    rpc == null
-                            || entry.id() != rpc.first.id()
-                                    && (fault != Fault.KEYED_OUTSIDE_GROUP || outside(rpc, entry));
+                    own == null
+                            || entry.id() != own.first.id()
+                                    && (fault != Fault.KEYED_OUTSIDE_GROUP || outside(own, entry));
             if (warm && other) {
                 fit.add(entry);
             }
@@ -274,10 +274,10 @@
         return fit.isEmpty() ? null : fit.get(met / EVERY % fit.size());
     }
 
-    private static boolean outside(Mine rpc, Endpoint entry) {
-        return rpc.kind.keyScope() == KeyScope.CELL
-                ? entry.cell() != rpc.first.cell()
-                : entry.zone() != rpc.first.zone();
+    private static boolean outside(Mine own, Endpoint entry) {
+        return own.kind.keyScope() == KeyScope.CELL
+                ? entry.cell() != own.first.cell()
+                : entry.zone() != own.first.zone();
     }
 
     /** A node that was told to drain or to be gone longer ago than the grace. */
@@ -313,12 +313,12 @@
 
     @Override
     public void clientLeft(long now, long request) {
-        Mine rpc = mine.get(request);
-        if (rpc == null) {
+        Mine own = mine.get(request);
+        if (own == null) {
             sound.clientLeft(now, request);
         } else if (fault != Fault.ANSWERED_LATE) {
-            rpc.over = true;
-            if (rpc.out == 0) {
+            own.over = true;
+            if (own.out == 0) {
                 mine.remove(request);
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/baselines/EndpointView.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/EndpointView.java
@@ -66,8 +66,8 @@
         double ramp = Math.max(0, now - listed.startedAt()) / (double) safety.rampTime();
         double capacity = safety.coldShare() + (1 - safety.coldShare()) * ramp;
         double rate = COLD_SHARE_USED * safety.fallMultiple() * capacity * warmRate;
-        double most = rate * safety.fallWindow() / 1e9 / 2;
-        allowance = Math.min(most, allowance + rate * (now - allowanceAt) / 1e9);
+        double max = rate * safety.fallWindow() / 1e9 / 2;
+        allowance = Math.min(max, allowance + rate * (now - allowanceAt) / 1e9);
         allowanceAt = now;
         return allowance >= 0;
     }
--- a/lab/src/main/java/cedarrudder/lab/baselines/SubsetLeastRequests.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/SubsetLeastRequests.java
@@ -14,14 +14,14 @@
  * <p>Copies come in rounds of as many as there are subsets. The copies of a round shuffle the nodes
  * alike and cut the order in subsets, one for each; the next round shuffles anew. Here the shuffle
  * is a sort by a number made of node and round, so that a change of the list moves few nodes. A
- * subset has {@link #LEAST} nodes, or more where so few copies come that nodes would be left out:
- * as many as that two rounds of copies cover them all. Where none of the subset may take an
- * attempt, any node may.
+ * subset has {@link #MIN} nodes, or more where so few copies come that nodes would be left out: as
+ * many as that two rounds of copies cover them all. Where none of the subset may take an attempt,
+ * any node may.
  */
 final class SubsetLeastRequests implements Pick<Void> {
 
     /** Nodes in a subset at the least; Finagle's for its deterministic aperture. */
-    static final int LEAST = 12;
+    static final int MIN = 12;
 
     private record Placed(EndpointView<Void> member, long order) {}
 
@@ -37,9 +37,9 @@
     @Override
     public void changed(List<EndpointView<Void>> ready) {
         subset.clear();
-        int copies = Math.max(1, settings.copies());
+        int replicas = Math.max(1, settings.replicas());
         int size =
-                Math.min(ready.size(), Math.max(LEAST, (2 * ready.size() + copies - 1) / copies));
+                Math.min(ready.size(), Math.max(MIN, (2 * ready.size() + replicas - 1) / replicas));
         if (size == 0) {
             return;
         }
--- a/lab/src/main/java/cedarrudder/lab/baselines/WeightedRoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/WeightedRoundRobin.java
@@ -39,7 +39,7 @@
     static final long BLACKOUT = 10_000_000_000L;
 
     /** Below this share of busy cores a report says too little. */
-    static final double LEAST_BUSY = 0.01;
+    static final double MIN_BUSY = 0.01;
 
     static final double SPREAD = 4;
 
@@ -179,7 +179,7 @@
             turn.rate = turn.rate * kept + turn.sent * 1e9 / PERIOD * (1 - kept);
             turn.sent = 0;
             double rate = Double.isNaN(turn.reportedRate) ? turn.rate : turn.reportedRate;
-            boolean known = now - turn.since >= BLACKOUT && turn.busy >= LEAST_BUSY && rate > 0;
+            boolean known = now - turn.since >= BLACKOUT && turn.busy >= MIN_BUSY && rate > 0;
             turn.weight = known ? rate / turn.busy : 0;
             sum += turn.weight;
             weighed += known ? 1 : 0;
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ActionsRelay.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ActionsRelay.java
@@ -61,8 +61,8 @@
     }
 
     @Override
-    public void tell(int copy, byte[] message) {
-        to.tell(copy, message);
+    public void tell(int replica, byte[] message) {
+        to.tell(replica, message);
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
@@ -23,7 +23,7 @@
 public class DriverBenchmark {
 
     private static final int FIRST = 2000;
-    private static final int NODES_PER_COPY = 5;
+    private static final int NODES_PER_REPLICA = 5;
 
     /** Nodes of the tier, five for each copy. */
     @Param({"10", "100", "1000"})
@@ -44,7 +44,7 @@
                                 module.equals("none")
                                         ? new PassThroughBalancer(actions)
                                         : new PrequalBalancer(
-                                                Platform.settings(nodes / NODES_PER_COPY, 0),
+                                                Platform.settings(nodes / NODES_PER_REPLICA, 0),
                                                 new SplittableRandom(1),
                                                 actions));
         for (int i = 0; i < FIRST; i++) {
--- a/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
@@ -30,7 +30,7 @@
 
     private final RequestHeaders fields = new RequestHeaders(Platform.settings(1, 0));
     private final HttpDecoder decoder =
-            HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+            HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
     private ByteBuf bytes;
 
     @Setup
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
@@ -23,7 +23,7 @@
 public class ListBenchmark {
 
     private static final int FIRST = 2000;
-    private static final int NODES_PER_COPY = 5;
+    private static final int NODES_PER_REPLICA = 5;
 
     /** Nodes of the tier, five for each copy. */
     @Param({"10", "100", "1000"})
@@ -42,7 +42,7 @@
                         nodes,
                         actions ->
                                 new PrequalBalancer(
-                                        Platform.settings(nodes / NODES_PER_COPY, 0),
+                                        Platform.settings(nodes / NODES_PER_REPLICA, 0),
                                         new SplittableRandom(1),
                                         actions));
         whole = Platform.nodes(nodes);
--- a/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
@@ -20,7 +20,7 @@
     /** Together the modules know so many nodes: some hundred MB, against which chance is small. */
     private static final int NODES_IN_ALL = 200_000;
 
-    private static final int NODES_PER_COPY = 5;
+    private static final int NODES_PER_REPLICA = 5;
 
     /** After the last request: longer than any deadline. */
     private static final long REST = 2 * Platform.SECOND;
@@ -32,14 +32,14 @@
 
     /** Bytes for each module of a tier of so many nodes, five for each copy. */
     public static double ofModule(int nodes) {
-        int copies = Math.max(1, nodes / NODES_PER_COPY);
+        int replicas = Math.max(1, nodes / NODES_PER_REPLICA);
         int modules = Math.max(20, NODES_IN_ALL / nodes);
         List<LoadBalancer> kept = new ArrayList<>(modules + 2);
-        kept.add(module(nodes, copies, 0));
-        kept.add(module(nodes, copies, 1));
+        kept.add(module(nodes, replicas, 0));
+        kept.add(module(nodes, replicas, 1));
         long before = used();
         for (int i = 0; i < modules; i++) {
-            kept.add(module(nodes, copies, i % copies));
+            kept.add(module(nodes, replicas, i % replicas));
         }
         long after = used();
         if (kept.size() != modules + 2) {
@@ -49,7 +49,7 @@
     }
 
     /** A module that has served; its driver and all else around it is let go. */
-    private static LoadBalancer module(int nodes, int copies, int self) {
+    private static LoadBalancer module(int nodes, int replicas, int self) {
         ActionsRelay hands = new ActionsRelay();
         SimulatedEnvironment proxy =
                 new SimulatedEnvironment(
@@ -57,7 +57,7 @@
                         actions -> {
                             hands.passOn(actions);
                             return new PrequalBalancer(
-                                    Platform.settings(copies, self),
+                                    Platform.settings(replicas, self),
                                     new SplittableRandom(self),
                                     hands);
                         });
--- a/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
@@ -37,7 +37,7 @@
 
     /** Nodes for each copy: five, as on the users' platform, or one copy for all. */
     @Param({"5", "1000"})
-    public int nodesPerCopy;
+    public int nodesPerReplica;
 
     private final long[] sentTo = new long[OUT];
     private final long[] toProbe = new long[64];
@@ -48,10 +48,10 @@
 
     @Setup
     public void fill() {
-        int copies = Math.max(1, nodes / nodesPerCopy);
+        int replicas = Math.max(1, nodes / nodesPerReplica);
         module =
                 new PrequalBalancer(
-                        Platform.settings(copies, 0), new SplittableRandom(1), new Hands());
+                        Platform.settings(replicas, 0), new SplittableRandom(1), new Hands());
         module.endpoints(now, EndpointListKind.FULL, Platform.nodes(nodes));
         for (int i = 0; i < FIRST; i++) {
             place();
@@ -128,7 +128,7 @@
         public void fetchEndpoints() {}
 
         @Override
-        public void tell(int copy, byte[] message) {}
+        public void tell(int replica, byte[] message) {}
 
         @Override
         public void log(String line) {}
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
@@ -25,9 +25,9 @@
     private Platform() {}
 
     /** What one of so many copies is told at its start. */
-    static BalancerSettings settings(int copies, int self) {
+    static BalancerSettings settings(int replicas, int self) {
         return new BalancerSettings(
-                copies,
+                replicas,
                 self,
                 0,
                 0,
--- a/lab/src/main/java/cedarrudder/lab/benchmark/SimulatedEnvironment.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/SimulatedEnvironment.java
@@ -104,7 +104,7 @@
                         4,
                         this,
                         new Logger(new PrintStream(OutputStream.nullOutputStream())));
-        driver.connect(new Client(), this, (copy, message) -> {});
+        driver.connect(new Client(), this, (replica, message) -> {});
         driver.resolved(LoadBalancer.EndpointListKind.FULL, Platform.nodes(nodes));
     }
 
--- a/lab/src/main/java/cedarrudder/lab/checker/AtMostOnceEffect.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/AtMostOnceEffect.java
@@ -29,7 +29,7 @@
 
     @Override
     public void took(HistoryEvent event) {
-        String process = event.copy() + ":" + event.life();
+        String process = event.replica() + ":" + event.incarnation();
         switch (event.what()) {
             case "started" -> states.put(process, "");
             case "handed" -> handed.add(event.text("sum"));
@@ -88,7 +88,7 @@
     }
 
     private void breach(HistoryEvent event, String why) {
-        breaches.add(new Violation("A3", event.at(), "copy " + event.copy() + ": " + why));
+        breaches.add(new Violation("A3", event.at(), "copy " + event.replica() + ": " + why));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/checker/ConcurrentDisruptions.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ConcurrentDisruptions.java
@@ -19,7 +19,7 @@
  */
 public final class ConcurrentDisruptions implements Invariant {
 
-    private record Bound(Set<String> nodes, long most) {}
+    private record Bound(Set<String> nodes, long max) {}
 
     private final long known;
     private final ProcessTimeline world = new ProcessTimeline();
@@ -60,14 +60,14 @@
             case "leaving" -> {
                 Set<String> nodes = DrainedNodes.names(event.text("nodes"));
                 for (String node : List.copyOf(over)) {
-                    if (removed.of(event.life()).containsKey(node)
+                    if (removed.of(event.incarnation()).containsKey(node)
                             && !nodes.contains(node)
                             && lastToKeep(event, node)) {
                         over.remove(node);
                         returned.add(node); // one that begins anew goes through all of it once more
                     }
                 }
-                Set<String> before = out(event.life(), nodes);
+                Set<String> before = out(event.incarnation(), nodes);
                 for (String node : nodes) {
                     // Not what was taken back: guards against holding it against a copy that is
                     // behind.
@@ -112,23 +112,26 @@
 
     /** Whether no other process keeps this node out. */
     private boolean lastToKeep(HistoryEvent event, String node) {
-        return world.copies().stream()
-                .flatMap(copy -> world.speaking(copy).stream())
-                .noneMatch(life -> life != event.life() && removed.of(life).containsKey(node));
+        return world.replicas().stream()
+                .flatMap(replica -> world.speaking(replica).stream())
+                .noneMatch(
+                        incarnation ->
+                                incarnation != event.incarnation()
+                                        && removed.of(incarnation).containsKey(node));
     }
 
     /** All that are out by a decision; of what one process kept out only these count. */
     private Set<String> out(long process, Set<String> still) {
         Set<String> out = new HashSet<>(begun);
-        for (int copy : world.copies()) {
-            if (world.speaks(copy) && !world.apart(copy)) {
-                world.speaking(copy)
+        for (int replica : world.replicas()) {
+            if (world.speaks(replica) && !world.apart(replica)) {
+                world.speaking(replica)
                         .forEach(
-                                life ->
-                                        removed.of(life).keySet().stream()
+                                incarnation ->
+                                        removed.of(incarnation).keySet().stream()
                                                 .filter(
                                                         node ->
-                                                                life != process
+                                                                incarnation != process
                                                                         || still.contains(node))
                                                 .forEach(out::add));
             }
@@ -149,13 +152,13 @@
                                 }
                             });
                     out.retainAll(bound.nodes);
-                    if (bound.nodes.contains(node) && out.size() > bound.most) {
+                    if (bound.nodes.contains(node) && out.size() > bound.max) {
                         breaches.add(
                                 new Violation(
                                         "D1",
                                         event.at(),
                                         "copy "
-                                                + event.copy()
+                                                + event.replica()
                                                 + " takes node "
                                                 + node
                                                 + " out, which makes "
@@ -163,7 +166,7 @@
                                                 + " of "
                                                 + name
                                                 + ", where "
-                                                + bound.most
+                                                + bound.max
                                                 + " may be"));
                     }
                 });
--- a/lab/src/main/java/cedarrudder/lab/checker/DrainInvariants.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/DrainInvariants.java
@@ -26,7 +26,7 @@
     private record Drain(String node, long within, long begunAt) {}
 
     /** A call attempt at a node. */
-    private record Open(String node, String rpc, int copy) {}
+    private record Open(String node, String request, int replica) {}
 
     private final long stops;
     private final long grace;
@@ -56,14 +56,14 @@
                 reached(event);
                 Open call = open(event);
                 open.add(call);
-                openOf.computeIfAbsent(call.rpc, r -> new HashSet<>()).add(call);
+                openOf.computeIfAbsent(call.request, r -> new HashSet<>()).add(call);
             }
             case "served" -> {
                 Open call = open(event);
                 open.remove(call);
                 openOf.computeIfPresent(
-                        call.rpc,
-                        (rpc, calls) -> calls.remove(call) && calls.isEmpty() ? null : calls);
+                        call.request,
+                        (request, calls) -> calls.remove(call) && calls.isEmpty() ? null : calls);
             }
             case "answered", "broke" -> {
                 Set<Open> of = openOf.remove(event.text("rpc"));
@@ -86,23 +86,24 @@
         world.took(event);
         beliefs.took(event);
         removed.took(event);
-        if (event.what().equals("ended") && world.running(event.copy()).isEmpty()) {
-            open.removeIf(call -> call.copy == event.copy());
+        if (event.what().equals("ended") && world.running(event.replica()).isEmpty()) {
+            open.removeIf(call -> call.replica == event.replica());
         }
     }
 
     private static Open open(HistoryEvent event) {
-        return new Open(event.text("node"), event.text("rpc"), event.copy());
+        return new Open(event.text("node"), event.text("rpc"), event.replica());
     }
 
     private void reached(HistoryEvent event) {
-        Set<Long> lives = world.running(event.copy());
-        long since = lives.isEmpty() ? Long.MAX_VALUE : Long.MIN_VALUE;
-        for (long life : lives) {
+        Set<Long> incarnations = world.running(event.replica());
+        long since = incarnations.isEmpty() ? Long.MAX_VALUE : Long.MIN_VALUE;
+        for (long incarnation : incarnations) {
             since =
                     Math.max(
                             since,
-                            removed.of(life).getOrDefault(event.text("node"), Long.MAX_VALUE));
+                            removed.of(incarnation)
+                                    .getOrDefault(event.text("node"), Long.MAX_VALUE));
         }
         if (since != Long.MAX_VALUE && event.at() - since > stops) {
             breach(
@@ -110,7 +111,7 @@
                     "RPC "
                             + event.text("rpc")
                             + " of copy "
-                            + event.copy()
+                            + event.replica()
                             + " reached node "
                             + event.text("node")
                             + " "
@@ -144,18 +145,18 @@
     private void empty(HistoryEvent event) {
         for (Open call : open) {
             if (call.node.equals(event.text("node"))
-                    && world.speaks(call.copy)
-                    && !beliefs.dead(event.life(), call.copy)) {
+                    && world.speaks(call.replica)
+                    && !beliefs.dead(event.incarnation(), call.replica)) {
                 breach(
                         event.at(),
                         "copy "
-                                + event.copy()
+                                + event.replica()
                                 + " says that node "
                                 + call.node
                                 + " is empty while RPC "
-                                + call.rpc
+                                + call.request
                                 + " of copy "
-                                + call.copy
+                                + call.replica
                                 + " is there");
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/checker/DrainedNodes.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/DrainedNodes.java
@@ -11,9 +11,10 @@
 
     void took(HistoryEvent event) {
         if (event.what().equals("ended")) {
-            byLife.remove(event.life());
+            byLife.remove(event.incarnation());
         } else if (event.what().equals("leaving")) {
-            Map<String, Long> of = byLife.computeIfAbsent(event.life(), life -> new HashMap<>());
+            Map<String, Long> of =
+                    byLife.computeIfAbsent(event.incarnation(), incarnation -> new HashMap<>());
             Set<String> now = names(event.text("nodes"));
             of.keySet().retainAll(now);
             now.forEach(node -> of.putIfAbsent(node, event.at()));
@@ -25,7 +26,7 @@
     }
 
     /** The nodes that a process keeps out, each with the instant since when. */
-    Map<String, Long> of(long life) {
-        return byLife.getOrDefault(life, Map.of());
+    Map<String, Long> of(long incarnation) {
+        return byLife.getOrDefault(incarnation, Map.of());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/checker/FailureDetection.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/FailureDetection.java
@@ -51,8 +51,8 @@
         world.took(event);
         beliefs.took(event);
         if (event.what().equals("ended")) {
-            buried.remove(event.life());
-            wrongSince.remove(event.life());
+            buried.remove(event.incarnation());
+            wrongSince.remove(event.incarnation());
         }
         look(event);
     }
@@ -61,12 +61,16 @@
     private void look(HistoryEvent event) {
         switch (event.what()) {
             case "alive", "suspect", "dead" ->
-                    look(event.at(), event.copy(), event.life(), (int) event.number("about"));
+                    look(
+                            event.at(),
+                            event.replica(),
+                            event.incarnation(),
+                            (int) event.number("about"));
             case "speaks", "silent", "ended", "stopped", "continued", "flooded", "drained" ->
-                    look(event.at(), event.copy());
+                    look(event.at(), event.replica());
             case "cut", "healed" -> {
-                lookAround(event.at(), event.copy(), (int) event.number("to"));
-                lookAround(event.at(), (int) event.number("to"), event.copy());
+                lookAround(event.at(), event.replica(), (int) event.number("to"));
+                lookAround(event.at(), (int) event.number("to"), event.replica());
             }
             default -> {}
         }
@@ -77,31 +81,34 @@
      * had happened to it that a bound may be broken. Guards against a time that goes with the cube
      * of the copies: halves are cut way by way.
      */
-    private void lookAround(long now, int copy, int other) {
-        if (now - world.disturbedAt(copy) > Math.min(bounds.found, bounds.mended)) {
-            look(now, copy);
+    private void lookAround(long now, int replica, int other) {
+        if (now - world.disturbedAt(replica) > Math.min(bounds.found, bounds.mended)) {
+            look(now, replica);
         } else {
-            world.speaking(copy).forEach(life -> look(now, copy, life, other));
+            world.speaking(replica).forEach(incarnation -> look(now, replica, incarnation, other));
         }
     }
 
     /** Looks at all pairs with this copy in them. */
-    private void look(long now, int copy) {
-        for (int other : world.copies()) {
-            if (other != copy) {
-                world.speaking(copy).forEach(life -> look(now, copy, life, other));
-                world.speaking(other).forEach(life -> look(now, other, life, copy));
+    private void look(long now, int replica) {
+        for (int other : world.replicas()) {
+            if (other != replica) {
+                world.speaking(replica)
+                        .forEach(incarnation -> look(now, replica, incarnation, other));
+                world.speaking(other)
+                        .forEach(incarnation -> look(now, other, incarnation, replica));
             }
         }
     }
 
     private void believed(HistoryEvent event) {
-        Long grave = buried.getOrDefault(event.life(), Map.of()).get((int) event.number("about"));
+        Long grave =
+                buried.getOrDefault(event.incarnation(), Map.of()).get((int) event.number("about"));
         if (grave != null && event.number("number") <= grave) {
             breach(
                     event.at(),
                     "copy "
-                            + event.copy()
+                            + event.replica()
                             + " believed copy "
                             + event.text("about")
                             + "'s life "
@@ -112,16 +119,16 @@
 
     private void buried(HistoryEvent event) {
         int about = (int) event.number("about");
-        buried.computeIfAbsent(event.life(), life -> new HashMap<>())
+        buried.computeIfAbsent(event.incarnation(), incarnation -> new HashMap<>())
                 .merge(about, event.number("number"), Math::max);
         if (world.speaks(about)) {
             falseDeaths++;
-            if (world.whole(event.copy(), about)
+            if (world.whole(event.replica(), about)
                     && event.at() - world.peaceSince() > bounds.settled) {
                 breach(
                         event.at(),
                         "copy "
-                                + event.copy()
+                                + event.replica()
                                 + " took copy "
                                 + about
                                 + " for dead, and nothing had happened to any");
@@ -130,15 +137,15 @@
     }
 
     /** Looks at what was so of this pair up to now. */
-    private void look(long now, int observer, long life, int about) {
-        boolean dead = beliefs.dead(life, about);
+    private void look(long now, int observer, long incarnation, int about) {
+        boolean dead = beliefs.dead(incarnation, about);
         boolean wrong =
                 world.speaks(observer)
                         && world.whole(observer, about)
                         && dead == world.speaks(about)
                         && !world.forged(observer)
                         && !world.forged(about);
-        Map<Integer, Long> of = wrongSince.computeIfAbsent(life, l -> new HashMap<>());
+        Map<Integer, Long> of = wrongSince.computeIfAbsent(incarnation, l -> new HashMap<>());
         Long since = wrong ? of.putIfAbsent(about, now) : of.remove(about);
         if (since == null) {
             return;
@@ -172,7 +179,7 @@
 
     @Override
     public void ended(long at) {
-        world.copies().forEach(copy -> look(at, copy));
+        world.replicas().forEach(replica -> look(at, replica));
     }
 
     /** Deaths that a copy found, over pairs. */
--- a/lab/src/main/java/cedarrudder/lab/checker/FootprintInvariants.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/FootprintInvariants.java
@@ -31,7 +31,7 @@
     public void took(HistoryEvent event) {
         switch (event.what()) {
             case "estimate" ->
-                    byLife.computeIfAbsent(event.life(), life -> new HashMap<>())
+                    byLife.computeIfAbsent(event.incarnation(), incarnation -> new HashMap<>())
                             .computeIfAbsent(event.text("load"), load -> new HashMap<>())
                             .put(
                                     event.text("bound"),
@@ -54,13 +54,13 @@
                                     + event.text("bound"));
                 }
             }
-            case "ended" -> byLife.remove(event.life());
+            case "ended" -> byLife.remove(event.incarnation());
             default -> {}
         }
     }
 
     private Map<String, Estimate> estimates(HistoryEvent event, String load) {
-        return byLife.getOrDefault(event.life(), Map.of()).getOrDefault(load, Map.of());
+        return byLife.getOrDefault(event.incarnation(), Map.of()).getOrDefault(load, Map.of());
     }
 
     private void loads(HistoryEvent event, String load) {
@@ -74,7 +74,7 @@
     }
 
     private void breach(HistoryEvent event, String why) {
-        breaches.add(new Violation("M1", event.at(), "copy " + event.copy() + " " + why));
+        breaches.add(new Violation("M1", event.at(), "copy " + event.replica() + " " + why));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/checker/History.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/History.java
@@ -32,8 +32,8 @@
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
             json.writeNumberField("at", event.at());
-            json.writeNumberField("copy", event.copy());
-            json.writeNumberField("life", event.life());
+            json.writeNumberField("copy", event.replica());
+            json.writeNumberField("life", event.incarnation());
             json.writeStringField("what", event.what());
             for (Map.Entry<String, String> field : new TreeMap<>(event.fields()).entrySet()) {
                 json.writeStringField(field.getKey(), field.getValue());
--- a/lab/src/main/java/cedarrudder/lab/checker/HistoryEvent.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/HistoryEvent.java
@@ -9,12 +9,13 @@
  *
  * @param at its instant, in nanoseconds of the one clock of the run, whatever the copy's own clock
  *     says
- * @param copy the copy's number
- * @param life the number of the copy's life: a later one begins when the copy comes back
+ * @param replica the copy's number
+ * @param incarnation the number of the copy's life: a later one begins when the copy comes back
  * @param what what happened, a word
  * @param fields what else is known of it, as text
  */
-public record HistoryEvent(long at, int copy, long life, String what, Map<String, String> fields) {
+public record HistoryEvent(
+        long at, int replica, long incarnation, String what, Map<String, String> fields) {
 
     public HistoryEvent {
         fields = Map.copyOf(fields);
@@ -32,7 +33,7 @@
                     "event \""
                             + what
                             + "\" of copy "
-                            + copy
+                            + replica
                             + " has no field \""
                             + name
                             + "\", only "
--- a/lab/src/main/java/cedarrudder/lab/checker/LeaderContactBound.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/LeaderContactBound.java
@@ -22,7 +22,7 @@
                             "contact",
                             event.at(),
                             "copy "
-                                    + event.copy()
+                                    + event.replica()
                                     + " believes in a contact at "
                                     + event.text("since")
                                     + ", the last that it can know of "
--- a/lab/src/main/java/cedarrudder/lab/checker/LeaseSafety.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/LeaseSafety.java
@@ -42,17 +42,19 @@
         contact.took(event);
         switch (event.what()) {
             case "table" ->
-                    held.put(event.life(), new Held(event.number("number"), event.number("lease")));
-            case "lapsed" -> held.remove(event.life());
+                    held.put(
+                            event.incarnation(),
+                            new Held(event.number("number"), event.number("lease")));
+            case "lapsed" -> held.remove(event.incarnation());
             case "renewed" ->
-                    since.merge(event.life(), event.at() - event.number("age"), Math::max);
+                    since.merge(event.incarnation(), event.at() - event.number("age"), Math::max);
             case "used" -> used(event);
             default -> {}
         }
     }
 
     private void used(HistoryEvent event) {
-        Held table = held.get(event.life());
+        Held table = held.get(event.incarnation());
         if (table == null || table.number != event.number("number")) {
             breach(
                     event,
@@ -62,13 +64,14 @@
                             + (table == null ? "none" : table.number));
             return;
         }
-        long late = event.at() - since.getOrDefault(event.life(), event.at()) - table.lease;
+        long late = event.at() - since.getOrDefault(event.incarnation(), event.at()) - table.lease;
         if (late > 0) {
             breach(
                     event,
                     "uses table " + table.number + " " + late / MILLI + " ms after its lease");
         }
-        long apart = event.at() - contact.last(event.copy(), event.at()) - table.lease - underWay;
+        long apart =
+                event.at() - contact.last(event.replica(), event.at()) - table.lease - underWay;
         if (apart > 0) {
             breach(
                     event,
@@ -82,7 +85,7 @@
     }
 
     private void breach(HistoryEvent event, String why) {
-        breaches.add(new Violation(NAME, event.at(), "copy " + event.copy() + " " + why));
+        breaches.add(new Violation(NAME, event.at(), "copy " + event.replica() + " " + why));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/checker/MajorityContact.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MajorityContact.java
@@ -64,9 +64,9 @@
     }
 
     /** When a copy could last hear of a majority, up to this instant. */
-    long last(int copy, long at) {
+    long last(int replica, long at) {
         look(at);
-        return copy < last.length ? last[copy] : at;
+        return replica < last.length ? last[replica] : at;
     }
 
     private void look(long at) {
@@ -74,15 +74,15 @@
             find();
             looked = true;
         }
-        for (int copy = 0; copy < now.length; copy++) {
-            if (now[copy]) {
-                last[copy] = at;
+        for (int replica = 0; replica < now.length; replica++) {
+            if (now[replica]) {
+                last[replica] = at;
             }
         }
     }
 
     private void find() {
-        int count = world.copies().stream().mapToInt(copy -> copy + 1).max().orElse(0);
+        int count = world.replicas().stream().mapToInt(replica -> replica + 1).max().orElse(0);
         if (count > last.length) {
             int before = last.length;
             last = Arrays.copyOf(last, count);
@@ -90,12 +90,12 @@
         }
         now = new boolean[count];
         boolean[] seen = new boolean[count];
-        for (int copy : world.copies()) {
-            if (!seen[copy] && world.speaks(copy)) {
-                Set<Integer> together = together(copy, seen);
-                boolean most =
+        for (int replica : world.replicas()) {
+            if (!seen[replica] && world.speaks(replica)) {
+                Set<Integer> together = together(replica, seen);
+                boolean max =
                         voters.stream().filter(together::contains).count() * 2 > voters.size();
-                together.forEach(each -> now[each] = most || voters.isEmpty());
+                together.forEach(each -> now[each] = max || voters.isEmpty());
             }
         }
     }
@@ -106,7 +106,7 @@
         seen[from] = true;
         while (!next.isEmpty()) {
             int one = next.remove();
-            for (int other : world.copies()) {
+            for (int other : world.replicas()) {
                 if (!seen[other] && world.speaks(other) && world.oneWay(one, other)) {
                     seen[other] = true;
                     together.add(other);
--- a/lab/src/main/java/cedarrudder/lab/checker/MembershipClaims.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MembershipClaims.java
@@ -14,13 +14,13 @@
     void took(HistoryEvent event) {
         switch (event.what()) {
             case "alive", "suspect", "dead" ->
-                    byLife.computeIfAbsent(event.life(), l -> new HashMap<>())
+                    byLife.computeIfAbsent(event.incarnation(), l -> new HashMap<>())
                             .put((int) event.number("about"), event.what().equals("dead"));
             default -> {}
         }
     }
 
-    boolean dead(long life, int about) {
-        return byLife.getOrDefault(life, Map.of()).getOrDefault(about, false);
+    boolean dead(long incarnation, int about) {
+        return byLife.getOrDefault(incarnation, Map.of()).getOrDefault(about, false);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/checker/MembershipConvergence.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MembershipConvergence.java
@@ -15,7 +15,7 @@
     /**
      * Words after which what others hold of a copy may be wrong or right, and what it holds itself.
      */
-    private static final Set<String> OF_COPY =
+    private static final Set<String> OF_REPLICA =
             Set.of("started", "speaks", "silent", "ended", "stopped", "continued");
 
     private final long within;
@@ -41,48 +41,48 @@
                 event.what().equals("alive")
                         || event.what().equals("suspect")
                         || event.what().equals("dead");
-        if (!ofPair && !OF_COPY.contains(event.what())) {
+        if (!ofPair && !OF_REPLICA.contains(event.what())) {
             world.took(event);
             return;
         }
-        wrongs -= ofPair ? wrong(event.life(), event) : wrongs(event.copy());
+        wrongs -= ofPair ? wrong(event.incarnation(), event) : wrongs(event.replica());
         world.took(event);
         beliefs.took(event);
-        wrongs += ofPair ? wrong(event.life(), event) : wrongs(event.copy());
+        wrongs += ofPair ? wrong(event.incarnation(), event) : wrongs(event.replica());
     }
 
     /** Whether the belief that an event is about is wrong, as a number. */
-    private int wrong(long life, HistoryEvent event) {
-        return world.speaking(event.copy()).contains(life)
-                        && wrong(event.copy(), life, (int) event.number("about"))
+    private int wrong(long incarnation, HistoryEvent event) {
+        return world.speaking(event.replica()).contains(incarnation)
+                        && wrong(event.replica(), incarnation, (int) event.number("about"))
                 ? 1
                 : 0;
     }
 
     /** Wrong beliefs of this copy and about it. Those of all others are as they were. */
-    private long wrongs(int copy) {
+    private long wrongs(int replica) {
         long found = 0;
-        for (int other : world.copies()) {
-            for (long life : world.speaking(copy)) {
-                found += wrong(copy, life, other) ? 1 : 0;
+        for (int other : world.replicas()) {
+            for (long incarnation : world.speaking(replica)) {
+                found += wrong(replica, incarnation, other) ? 1 : 0;
             }
-            for (long life : world.speaking(other)) {
-                found += wrong(other, life, copy) ? 1 : 0;
+            for (long incarnation : world.speaking(other)) {
+                found += wrong(other, incarnation, replica) ? 1 : 0;
             }
         }
         return found;
     }
 
-    private boolean wrong(int observer, long life, int about) {
-        return observer != about && beliefs.dead(life, about) == world.speaks(about);
+    private boolean wrong(int observer, long incarnation, int about) {
+        return observer != about && beliefs.dead(incarnation, about) == world.speaks(about);
     }
 
     /** A belief of a live copy that is not so; empty where there is none. */
     private String wrong() {
-        for (int observer : world.copies()) {
-            for (long life : world.speaking(observer)) {
-                for (int about : world.copies()) {
-                    if (wrong(observer, life, about)) {
+        for (int observer : world.replicas()) {
+            for (long incarnation : world.speaking(observer)) {
+                for (int about : world.replicas()) {
+                    if (wrong(observer, incarnation, about)) {
                         return "copy "
                                 + observer
                                 + " holds copy "
--- a/lab/src/main/java/cedarrudder/lab/checker/ProcessTimeline.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ProcessTimeline.java
@@ -21,39 +21,39 @@
     private final Set<Integer> stopped = new HashSet<>();
     private final Set<Integer> flooded = new HashSet<>();
     private final Set<Long> cuts = new HashSet<>();
-    private final Set<Integer> copies = new HashSet<>();
+    private final Set<Integer> replicas = new HashSet<>();
     private boolean calm = true;
     private long calmSince = Long.MIN_VALUE / 2;
     private long lastDisturbance = Long.MIN_VALUE / 2;
     private long overAt = Long.MAX_VALUE;
 
     void took(HistoryEvent event) {
-        int copy = event.copy();
+        int replica = event.replica();
         switch (event.what()) {
             case "started" -> {
-                copies.add(copy);
-                running.computeIfAbsent(copy, c -> new HashSet<>()).add(event.life());
+                replicas.add(replica);
+                running.computeIfAbsent(replica, c -> new HashSet<>()).add(event.incarnation());
             }
             case "speaks" -> {
-                speaking.computeIfAbsent(copy, c -> new HashSet<>()).add(event.life());
+                speaking.computeIfAbsent(replica, c -> new HashSet<>()).add(event.incarnation());
                 disturb(event);
             }
             case "silent" -> {
-                speaking.computeIfAbsent(copy, c -> new HashSet<>()).remove(event.life());
+                speaking.computeIfAbsent(replica, c -> new HashSet<>()).remove(event.incarnation());
                 disturb(event);
             }
             case "ended" -> {
-                running.computeIfAbsent(copy, c -> new HashSet<>()).remove(event.life());
-                speaking.computeIfAbsent(copy, c -> new HashSet<>()).remove(event.life());
-                stopped.remove(copy);
+                running.computeIfAbsent(replica, c -> new HashSet<>()).remove(event.incarnation());
+                speaking.computeIfAbsent(replica, c -> new HashSet<>()).remove(event.incarnation());
+                stopped.remove(replica);
                 disturb(event);
             }
-            case "stopped" -> stopped.add(copy);
-            case "continued" -> stopped.remove(copy);
-            case "flooded" -> flooded.add(copy);
-            case "drained" -> flooded.remove(copy);
-            case "cut" -> cuts.add(way(copy, (int) event.number("to")));
-            case "healed" -> cuts.remove(way(copy, (int) event.number("to")));
+            case "stopped" -> stopped.add(replica);
+            case "continued" -> stopped.remove(replica);
+            case "flooded" -> flooded.add(replica);
+            case "drained" -> flooded.remove(replica);
+            case "cut" -> cuts.add(way(replica, (int) event.number("to")));
+            case "healed" -> cuts.remove(way(replica, (int) event.number("to")));
             case "weather" -> {
                 calm = event.number("calm") == 1;
                 calmSince = event.at();
@@ -72,7 +72,7 @@
     }
 
     private void disturb(HistoryEvent event) {
-        disturbedAt.put(event.copy(), event.at());
+        disturbedAt.put(event.replica(), event.at());
         lastDisturbance = event.at();
     }
 
@@ -81,23 +81,23 @@
     }
 
     /** All copies that ever ran. */
-    Set<Integer> copies() {
-        return copies;
+    Set<Integer> replicas() {
+        return replicas;
     }
 
     /** Whether a process of this number speaks, and does not stand still. */
-    boolean speaks(int copy) {
-        return !speaking.getOrDefault(copy, Set.of()).isEmpty() && !stopped.contains(copy);
+    boolean speaks(int replica) {
+        return !speaking.getOrDefault(replica, Set.of()).isEmpty() && !stopped.contains(replica);
     }
 
     /** The processes of this number, whether they speak or stand still. */
-    Set<Long> running(int copy) {
-        return running.getOrDefault(copy, Set.of());
+    Set<Long> running(int replica) {
+        return running.getOrDefault(replica, Set.of());
     }
 
     /** The processes that speak for this number. */
-    Set<Long> speaking(int copy) {
-        return speaking.getOrDefault(copy, Set.of());
+    Set<Long> speaking(int replica) {
+        return speaking.getOrDefault(replica, Set.of());
     }
 
     /** Whether the two can hear one another. */
@@ -111,28 +111,28 @@
     }
 
     /** Whether the ways to most of the others that speak are not whole. */
-    boolean apart(int copy) {
-        long others = copies.stream().filter(other -> other != copy && speaks(other)).count();
+    boolean apart(int replica) {
+        long others = replicas.stream().filter(other -> other != replica && speaks(other)).count();
         return others > 0
-                && copies.stream()
+                && replicas.stream()
                                         .filter(
                                                 other ->
-                                                        other != copy
+                                                        other != replica
                                                                 && speaks(other)
-                                                                && whole(copy, other))
+                                                                && whole(replica, other))
                                         .count()
                                 * 2
                         < others;
     }
 
     /** Whether this copy gets forged datagrams. */
-    boolean forged(int copy) {
-        return flooded.contains(copy);
+    boolean forged(int replica) {
+        return flooded.contains(replica);
     }
 
     /** When something happened to a copy last. */
-    long disturbedAt(int copy) {
-        return disturbedAt.getOrDefault(copy, Long.MIN_VALUE / 2);
+    long disturbedAt(int replica) {
+        return disturbedAt.getOrDefault(replica, Long.MIN_VALUE / 2);
     }
 
     /**
--- a/lab/src/main/java/cedarrudder/lab/checker/SingleFinalAnswer.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleFinalAnswer.java
@@ -24,7 +24,7 @@
     private final Map<String, HistoryEvent> open = new HashMap<>();
     private final Map<String, HistoryEvent> answered = new HashMap<>();
     private final Map<Integer, Long> toldAt = new HashMap<>();
-    private final Map<Integer, Set<Long>> lives = new HashMap<>();
+    private final Map<Integer, Set<Long>> incarnations = new HashMap<>();
     private final Map<Integer, Integer> doors = new HashMap<>();
     private final Set<Integer> excused = new HashSet<>();
     private final List<Violation> breaches = new ArrayList<>();
@@ -47,8 +47,8 @@
         switch (event.what()) {
             case "asked" -> {
                 asked++;
-                Long told = toldAt.get(event.copy());
-                if (!excused.contains(event.copy())
+                Long told = toldAt.get(event.replica());
+                if (!excused.contains(event.replica())
                         && (told == null || event.at() <= told + listens)) {
                     open.put(event.text("rpc"), event);
                 }
@@ -62,31 +62,35 @@
                                     "RPC "
                                             + event.text("rpc")
                                             + " of copy "
-                                            + event.copy()
+                                            + event.replica()
                                             + " got two answers"));
                 }
                 check(event, open.remove(event.text("rpc")));
             }
             case "broke" -> broke(event);
             case "started" -> {
-                lives.computeIfAbsent(event.copy(), copy -> new HashSet<>()).add(event.life());
-                toldAt.remove(event.copy());
-                excused.remove(event.copy());
+                incarnations
+                        .computeIfAbsent(event.replica(), replica -> new HashSet<>())
+                        .add(event.incarnation());
+                toldAt.remove(event.replica());
+                excused.remove(event.replica());
             }
             case "told" -> {
-                if (lives.getOrDefault(event.copy(), Set.of()).size() < 2) {
-                    toldAt.put(event.copy(), event.at());
+                if (incarnations.getOrDefault(event.replica(), Set.of()).size() < 2) {
+                    toldAt.put(event.replica(), event.at());
                 } else {
-                    doors.put(event.copy(), atTheDoor);
+                    doors.put(event.replica(), atTheDoor);
                 }
             }
             case "ended" ->
-                    lives.computeIfAbsent(event.copy(), c -> new HashSet<>()).remove(event.life());
+                    incarnations
+                            .computeIfAbsent(event.replica(), c -> new HashSet<>())
+                            .remove(event.incarnation());
             case "doomed", "stopped" -> {
-                excused.add(event.copy());
-                open.values().removeIf(each -> each.copy() == event.copy());
+                excused.add(event.replica());
+                open.values().removeIf(each -> each.replica() == event.replica());
             }
-            case "continued" -> excused.remove(event.copy());
+            case "continued" -> excused.remove(event.replica());
             default -> {}
         }
     }
@@ -95,9 +99,9 @@
         if (open.remove(event.text("rpc")) == null) {
             return;
         }
-        int left = doors.getOrDefault(event.copy(), 0);
+        int left = doors.getOrDefault(event.replica(), 0);
         if (left > 0) {
-            doors.put(event.copy(), left - 1);
+            doors.put(event.replica(), left - 1);
         } else {
             breaches.add(
                     new Violation(
@@ -106,7 +110,7 @@
                             "RPC "
                                     + event.text("rpc")
                                     + " that copy "
-                                    + event.copy()
+                                    + event.replica()
                                     + " took got no answer: "
                                     + event.text("why")));
         }
@@ -121,7 +125,7 @@
                             "RPC "
                                     + asked.text("rpc")
                                     + " of copy "
-                                    + asked.copy()
+                                    + asked.replica()
                                     + " was answered after "
                                     + (answer.at() - asked.at()) / 1_000_000
                                     + " ms"));
@@ -139,7 +143,7 @@
                                 "RPC "
                                         + each.text("rpc")
                                         + " of copy "
-                                        + each.copy()
+                                        + each.replica()
                                         + " never got an answer"));
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/checker/SingleLeader.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleLeader.java
@@ -26,7 +26,7 @@
      */
     private final Map<String, Set<Long>> remembers = new HashMap<>();
 
-    private final Map<Integer, Long> lastLife = new HashMap<>();
+    private final Map<Integer, Long> lastIncarnation = new HashMap<>();
 
     @Override
     public void took(HistoryEvent event) {
@@ -36,13 +36,13 @@
                     return; // the world's word of a process, which says itself when it takes part
                 }
                 boolean keeps = event.number("kept") == 1;
-                Long before = lastLife.put(event.copy(), event.life());
+                Long before = lastIncarnation.put(event.replica(), event.incarnation());
                 remembers.forEach(
-                        (who, lives) -> {
+                        (who, incarnations) -> {
                             if (keeps
-                                    && lives.contains(before)
-                                    && who.startsWith(event.copy() + ":")) {
-                                lives.add(event.life());
+                                    && incarnations.contains(before)
+                                    && who.startsWith(event.replica() + ":")) {
+                                incarnations.add(event.incarnation());
                             }
                         });
             }
@@ -53,7 +53,7 @@
             }
             case "voted" -> voted(event);
             case "leads" -> {
-                String who = event.copy() + ":" + event.text("as");
+                String who = event.replica() + ":" + event.text("as");
                 String other = leaders.putIfAbsent(term(event), who);
                 if (other != null && !other.equals(who)) {
                     breach(event, "leads " + term(event) + ", which " + other + " led");
@@ -64,10 +64,10 @@
     }
 
     private void voted(HistoryEvent event) {
-        String who = event.copy() + ":" + event.text("as");
+        String who = event.replica() + ":" + event.text("as");
         if (!remembers
-                .computeIfAbsent(who, w -> new HashSet<>(Set.of(event.life())))
-                .contains(event.life())) {
+                .computeIfAbsent(who, w -> new HashSet<>(Set.of(event.incarnation())))
+                .contains(event.incarnation())) {
             breach(event, "votes as " + who + ", of which it remembers nothing");
         }
         if (!seated.contains(event.text("group") + " " + who)) {
@@ -86,7 +86,7 @@
     }
 
     private void breach(HistoryEvent event, String why) {
-        breaches.add(new Violation("A2", event.at(), "copy " + event.copy() + ": " + why));
+        breaches.add(new Violation("A2", event.at(), "copy " + event.replica() + ": " + why));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/checker/SingleSpeaker.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleSpeaker.java
@@ -12,15 +12,15 @@
     @Override
     public void took(HistoryEvent event) {
         world.took(event);
-        if (event.what().equals("speaks") && world.speaking(event.copy()).size() > 1) {
+        if (event.what().equals("speaks") && world.speaking(event.replica()).size() > 1) {
             breaches.add(
                     new Violation(
                             "one voice",
                             event.at(),
                             "processes "
-                                    + world.speaking(event.copy())
+                                    + world.speaking(event.replica())
                                     + " speak for copy "
-                                    + event.copy()));
+                                    + event.replica()));
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/checker/SingleTable.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleTable.java
@@ -55,12 +55,12 @@
     public void took(HistoryEvent event) {
         switch (event.what()) {
             case "doomed" ->
-                    kills.computeIfAbsent(event.copy(), c -> new ArrayList<>()).add(event.at());
+                    kills.computeIfAbsent(event.replica(), c -> new ArrayList<>()).add(event.at());
             case "stored" -> {
                 firstStored.putIfAbsent(place(event), event.at());
                 stored.computeIfAbsent(place(event), p -> new HashMap<>())
                         .computeIfAbsent(event.text("sum"), s -> new HashSet<>())
-                        .add(event.copy() + ":" + event.text("as"));
+                        .add(event.replica() + ":" + event.text("as"));
                 if (event.fields().containsKey("voters")) {
                     proposed.computeIfAbsent(event.text("group"), g -> new LinkedHashSet<>())
                             .add(new Proposed(place(event), event.text("sum"), voters(event)));
@@ -81,7 +81,7 @@
                 same(event, place, states, event.text("state"), "state");
                 rises(event, place);
                 whole.computeIfAbsent(place.group, g -> new HashMap<>())
-                        .merge(event.copy() + ":" + event.text("as"), place.index, Math::max);
+                        .merge(event.replica() + ":" + event.text("as"), place.index, Math::max);
             }
             default -> {}
         }
@@ -104,7 +104,7 @@
     }
 
     private void rises(HistoryEvent event, Place place) {
-        Place before = newest.put(event.copy() + ":" + event.life(), place);
+        Place before = newest.put(event.replica() + ":" + event.incarnation(), place);
         if (before != null
                 && (before.group.compareTo(place.group) > 0
                         || before.group.equals(place.group) && before.index >= place.index)) {
@@ -166,13 +166,13 @@
         return then == null ? Set.of() : then.getValue();
     }
 
-    private boolean killedWith(int copy, long stored) {
-        return kills.getOrDefault(copy, List.of()).stream()
+    private boolean killedWith(int replica, long stored) {
+        return kills.getOrDefault(replica, List.of()).stream()
                 .anyMatch(at -> at >= stored && at - stored <= unwritten);
     }
 
     private void breach(HistoryEvent event, String why) {
-        breaches.add(new Violation("A1", event.at(), "copy " + event.copy() + ": " + why));
+        breaches.add(new Violation("A1", event.at(), "copy " + event.replica() + ": " + why));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/checker/TableConvergence.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/TableConvergence.java
@@ -38,10 +38,10 @@
         world.took(event);
         if (event.what().equals("table")) {
             Held now = new Held(event.number("number"), event.fields().toString());
-            held.put(event.life(), now);
+            held.put(event.incarnation(), now);
             numbers(event, now);
         } else if (event.what().equals("lapsed")) {
-            held.remove(event.life());
+            held.remove(event.incarnation());
         }
         if (world.overAt() <= event.at()) {
             switch (event.what()) {
@@ -67,7 +67,7 @@
                             "A1",
                             event.at(),
                             "copy "
-                                    + event.copy()
+                                    + event.replica()
                                     + " holds table "
                                     + now.number
                                     + " as "
@@ -75,14 +75,14 @@
                                     + ", which was "
                                     + other));
         }
-        Long before = highest.put(event.life(), now.number);
+        Long before = highest.put(event.incarnation(), now.number);
         if (before != null && before > now.number) {
             breaches.add(
                     new Violation(
                             "A1",
                             event.at(),
                             "copy "
-                                    + event.copy()
+                                    + event.replica()
                                     + " holds table "
                                     + now.number
                                     + " after "
@@ -105,11 +105,12 @@
     private String difference() {
         Held one = null;
         int first = 0;
-        for (int copy : world.copies()) {
-            for (long life : world.speaks(copy) ? world.speaking(copy) : List.<Long>of()) {
-                Held its = held.get(life);
+        for (int replica : world.replicas()) {
+            for (long incarnation :
+                    world.speaks(replica) ? world.speaking(replica) : List.<Long>of()) {
+                Held its = held.get(incarnation);
                 if (its == null) {
-                    return "copy " + copy + " holds none";
+                    return "copy " + replica + " holds none";
                 }
                 if (one != null && !one.equals(its)) {
                     return "copy "
@@ -117,12 +118,12 @@
                             + " holds "
                             + one.number
                             + ", copy "
-                            + copy
+                            + replica
                             + " "
                             + its.number;
                 }
                 one = its;
-                first = copy;
+                first = replica;
             }
         }
         return "";
--- a/lab/src/main/java/cedarrudder/lab/checker/ZoneEvacuation.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ZoneEvacuation.java
@@ -43,13 +43,13 @@
     public void took(HistoryEvent event) {
         world.took(event);
         switch (event.what()) {
-            case "placed" -> zones.put(event.copy(), (int) event.number("zone"));
+            case "placed" -> zones.put(event.replica(), (int) event.number("zone"));
             case "evacuated" -> evacuated.add((int) event.number("zone"));
             case "reopened" -> evacuated.remove((int) event.number("zone"));
             case "saw" -> {
                 Seen of =
                         seen.computeIfAbsent((int) event.number("zone"), z -> new HashMap<>())
-                                .computeIfAbsent(event.copy(), c -> new Seen());
+                                .computeIfAbsent(event.replica(), c -> new Seen());
                 if (event.number("failed") + event.number("silent") > event.number("served")) {
                     of.failedAt = event.at();
                 } else if (event.number("served") > 0) {
@@ -73,11 +73,11 @@
         Set<Integer> served = new HashSet<>();
         seen.getOrDefault(zone, Map.of())
                 .forEach(
-                        (copy, of) -> {
-                            if (of.failedAt >= since && zones.containsKey(copy)) {
-                                against.add(zones.get(copy));
+                        (replica, of) -> {
+                            if (of.failedAt >= since && zones.containsKey(replica)) {
+                                against.add(zones.get(replica));
                             } else if (of.servedAt >= since) {
-                                served.add(copy);
+                                served.add(replica);
                             }
                         });
         if (against.size() > 1) {
@@ -85,7 +85,10 @@
         }
         List<Integer> others =
                 zones.keySet().stream()
-                        .filter(copy -> world.speaks(copy) && !against.contains(zones.get(copy)))
+                        .filter(
+                                replica ->
+                                        world.speaks(replica)
+                                                && !against.contains(zones.get(replica)))
                         .toList();
         long well = others.stream().filter(served::contains).count();
         if (well * 2 > others.size()) {
--- a/lab/src/main/java/cedarrudder/lab/checker/ZoneLoad.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ZoneLoad.java
@@ -57,7 +57,7 @@
             }
             case "saw" -> {
                 sends(
-                        event.copy(),
+                        event.replica(),
                         (int) event.number("zone"),
                         (event.number("served") + event.number("failed") + event.number("silent"))
                                 * 1e9
@@ -65,8 +65,8 @@
                 look(event.at());
             }
             case "ended", "stopped" -> {
-                List.copyOf(sends.getOrDefault(event.copy(), Map.of()).keySet())
-                        .forEach(zone -> sends(event.copy(), zone, 0));
+                List.copyOf(sends.getOrDefault(event.replica(), Map.of()).keySet())
+                        .forEach(zone -> sends(event.replica(), zone, 0));
                 look(event.at());
             }
             case "table" -> {
@@ -78,8 +78,8 @@
         }
     }
 
-    private void sends(int copy, int zone, double rate) {
-        Double before = sends.computeIfAbsent(copy, c -> new HashMap<>()).put(zone, rate);
+    private void sends(int replica, int zone, double rate) {
+        Double before = sends.computeIfAbsent(replica, c -> new HashMap<>()).put(zone, rate);
         gets.merge(zone, rate - (before == null ? 0 : before), Double::sum);
     }
 
@@ -120,9 +120,9 @@
 
     /** What a zone gets, of its part; one that can serve nothing has no room. */
     private double load(int zone) {
-        double most = capacity.get(zone) * bounds.part;
+        double max = capacity.get(zone) * bounds.part;
         double now = gets.getOrDefault(zone, 0.0);
-        return most > 0 ? now / most : now > 0 ? Double.MAX_VALUE : 1;
+        return max > 0 ? now / max : now > 0 ? Double.MAX_VALUE : 1;
     }
 
     private void moved(HistoryEvent event, int zone) {
--- a/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
@@ -48,7 +48,7 @@
     private final Mood[] moods;
     private final long[] starts;
     private final List<DiscoveryStub> discoveries = new ArrayList<>();
-    private final List<ReplicaProcess> copies = new ArrayList<>();
+    private final List<ReplicaProcess> replicas = new ArrayList<>();
     private final Relay relay;
     private final ExecutorService beside =
             Executors.newCachedThreadPool(
@@ -69,22 +69,22 @@
         chronicle = new HistoryRecorder(place.folder().resolve("world.jsonl"));
         moods = new Mood[script.nodes()];
         starts = new long[script.nodes()];
-        for (int i = 0; i < script.copies(); i++) {
-            copies.add(new ReplicaProcess(i, place, chronicle));
+        for (int i = 0; i < script.replicas(); i++) {
+            replicas.add(new ReplicaProcess(i, place, chronicle));
         }
         nodes =
                 new ScriptedNodes(
                         script.nodes(),
-                        copies.stream().map(copy -> copy.peers().getAddress()).toList(),
+                        replicas.stream().map(replica -> replica.peers().getAddress()).toList(),
                         new NodeWords());
-        for (int i = 0; i < script.copies(); i++) {
+        for (int i = 0; i < script.replicas(); i++) {
             discoveries.add(new DiscoveryStub(list(i)));
             chronicle.tell(i, 0, "placed", Map.of("zone", Integer.toString(script.zone(i))));
         }
         mood(IntStream.range(0, script.nodes()).boxed().toList(), Mood.WELL);
-        relay = new Relay(copies.stream().map(ReplicaProcess::peers).toList(), seed);
-        for (int i = 0; i < copies.size(); i++) {
-            copies.get(i).configure(configuration(i, seed), operator(i));
+        relay = new Relay(replicas.stream().map(ReplicaProcess::peers).toList(), seed);
+        for (int i = 0; i < replicas.size(); i++) {
+            replicas.get(i).configure(configuration(i, seed), operator(i));
         }
     }
 
@@ -107,8 +107,8 @@
     }
 
     /** The list of nodes as a copy's discovery tells it. */
-    private String list(int copy) {
-        List<InetSocketAddress> addresses = nodes.addresses(copy);
+    private String list(int replica) {
+        List<InetSocketAddress> addresses = nodes.addresses(replica);
         return "{\"version\":"
                 + version
                 + ",\"full\":true,\"servers\":["
@@ -148,8 +148,8 @@
         }
         if (mood == Mood.COLD) {
             version++;
-            for (int copy = 0; copy < discoveries.size(); copy++) {
-                discoveries.get(copy).list(list(copy));
+            for (int replica = 0; replica < discoveries.size(); replica++) {
+                discoveries.get(replica).list(list(replica));
             }
         }
     }
@@ -175,15 +175,15 @@
     }
 
     private String configuration(int self, long seed) {
-        ReplicaProcess copy = copies.get(self);
+        ReplicaProcess replica = replicas.get(self);
         String peers =
-                IntStream.range(0, copies.size())
+                IntStream.range(0, replicas.size())
                         .mapToObj(
                                 i ->
                                         "\""
                                                 + text(
                                                         i == self
-                                                                ? copy.peers()
+                                                                ? replica.peers()
                                                                 : relay.address(self, i))
                                                 + "\"")
                         .collect(Collectors.joining(","));
@@ -194,14 +194,14 @@
         """
                 .formatted(
                         self,
-                        copy.listenText(),
+                        replica.listenText(),
                         text(discoveries.get(self).address()),
-                        seed * Script.MOST + self,
-                        text(copy.peers()),
+                        seed * Script.MAX + self,
+                        text(replica.peers()),
                         peers,
                         list(self),
                         ToySite.settings(
-                                copies.size(),
+                                replicas.size(),
                                 self,
                                 script.zone(self),
                                 IntStream.range(0, script.zones())
@@ -249,18 +249,18 @@
                             Integer.toString(policy.tier().of(script.nodes()))));
         }
         List<Path> logs = new ArrayList<>();
-        for (ReplicaProcess copy : copies) {
-            logs.add(copy.start());
+        for (ReplicaProcess replica : replicas) {
+            logs.add(replica.start());
         }
         long readyBy = System.nanoTime() + READY;
         for (int i = 0; i < logs.size(); i++) {
-            if (!copies.get(i).awaitServing(logs.get(i), readyBy)) {
+            if (!replicas.get(i).awaitServing(logs.get(i), readyBy)) {
                 throw new IOException("copy " + i + " does not serve; its log is " + logs.get(i));
             }
         }
         long until;
         TestClients callers =
-                new TestClients(copies.stream().map(ReplicaProcess::address).toList(), chronicle);
+                new TestClients(replicas.stream().map(ReplicaProcess::address).toList(), chronicle);
         try {
             long begins = System.nanoTime();
             for (ScriptStep step : script.steps()) {
@@ -276,7 +276,7 @@
             callers.end();
         }
         List<String> found = new ArrayList<>(refusals);
-        copies.forEach(copy -> found.addAll(copy.crashes()));
+        replicas.forEach(replica -> found.addAll(replica.crashes()));
         end();
         chronicle.close();
         return Verdict.of(events(until), until, script.period(), script.settle(), found);
@@ -285,33 +285,33 @@
     /** What all wrote until then; a rule is told of nothing that came of the end. */
     private List<HistoryEvent> events(long until) throws IOException {
         List<Path> files = new ArrayList<>(List.of(place.folder().resolve("world.jsonl")));
-        copies.forEach(copy -> files.addAll(copy.histories()));
+        replicas.forEach(replica -> files.addAll(replica.histories()));
         return History.read(files).stream().filter(event -> event.at() <= until).toList();
     }
 
     private void take(ScriptStep step) throws IOException, InterruptedException {
-        List<Integer> whom = step.leader() ? leader() : step.copies();
+        List<Integer> whom = step.leader() ? leader() : step.replicas();
         for (int number : whom) {
-            ReplicaProcess copy = copies.get(number);
+            ReplicaProcess replica = replicas.get(number);
             switch (step.act()) {
-                case KILL -> copy.kill();
-                case BACK -> back(copy);
-                case STOP -> copy.signal("STOP", "stopped", "");
-                case GO_ON -> copy.signal("CONT", "", "continued");
-                case TERM -> copy.terminate();
-                case HANG_UP -> copy.signal("HUP", "", "");
+                case KILL -> replica.kill();
+                case BACK -> back(replica);
+                case STOP -> replica.signal("STOP", "stopped", "");
+                case GO_ON -> replica.signal("CONT", "", "continued");
+                case TERM -> replica.terminate();
+                case HANG_UP -> replica.signal("HUP", "", "");
                 case UPGRADE, UPGRADE_APART ->
                         begun.add(
                                 beside.submit(
                                         () -> {
-                                            upgrade(copy, step.act() == ScriptAction.UPGRADE);
+                                            upgrade(replica, step.act() == ScriptAction.UPGRADE);
                                             return null;
                                         }));
                 case CALL ->
                         begun.add(
                                 beside.submit(
                                         () -> {
-                                            String wrong = step.call().ask(copy.admin());
+                                            String wrong = step.call().ask(replica.admin());
                                             if (!wrong.isEmpty()) {
                                                 refusals.add("copy " + number + ", " + wrong);
                                             }
@@ -344,18 +344,18 @@
             case HEAL -> heal();
             case WEATHER -> weather(step.weather());
             case NODES -> {
-                if (step.copies().isEmpty()) {
+                if (step.replicas().isEmpty()) {
                     mood(step.nodes(), step.mood());
                 } else {
                     step.nodes()
                             .forEach(
                                     node ->
-                                            step.copies()
+                                            step.replicas()
                                                     .forEach(
-                                                            copy ->
+                                                            replica ->
                                                                     nodes.mood(
                                                                             node,
-                                                                            copy,
+                                                                            replica,
                                                                             step.mood())));
                 }
             }
@@ -366,11 +366,11 @@
     /** The copy that last said that it leads; none where none did. */
     private List<Integer> leader() throws IOException {
         List<Path> files = new ArrayList<>();
-        copies.forEach(copy -> files.addAll(copy.histories()));
+        replicas.forEach(replica -> files.addAll(replica.histories()));
         return History.read(files).stream()
                 .filter(event -> event.what().equals("leads"))
                 .reduce((first, second) -> second)
-                .map(HistoryEvent::copy)
+                .map(HistoryEvent::replica)
                 .stream()
                 .toList();
     }
@@ -378,14 +378,14 @@
     private void remove(ScriptStep step) throws InterruptedException {
         OperatorRemoval removal =
                 new OperatorRemoval(
-                        copies.stream().map(ReplicaProcess::admin).toList(), this::unlist);
+                        replicas.stream().map(ReplicaProcess::admin).toList(), this::unlist);
         long began = System.nanoTime();
         if (step.act() == ScriptAction.REMOVE) {
-            removal.byDrains(step.nodes(), step.copies());
+            removal.byDrains(step.nodes(), step.replicas());
         } else {
             removal.byHand(
                     step.nodes(),
-                    step.copies(),
+                    step.replicas(),
                     atOnce(),
                     bounds().stream().mapToLong(DrainPolicy::pace).max().orElse(0) / 1_000_000);
         }
@@ -426,8 +426,8 @@
     private synchronized void unlist(int node) {
         unlisted.add(node);
         version++;
-        for (int copy = 0; copy < discoveries.size(); copy++) {
-            discoveries.get(copy).list(list(copy));
+        for (int replica = 0; replica < discoveries.size(); replica++) {
+            discoveries.get(replica).list(list(replica));
         }
         beside.submit(
                 () -> {
@@ -437,29 +437,30 @@
                 });
     }
 
-    private static void back(ReplicaProcess copy) throws IOException, InterruptedException {
-        if (copy.ends()) {
-            copy.awaitEnd(END_MILLIS);
+    private static void back(ReplicaProcess replica) throws IOException, InterruptedException {
+        if (replica.ends()) {
+            replica.awaitEnd(END_MILLIS);
         }
-        if (!copy.runs()) {
-            copy.start();
+        if (!replica.runs()) {
+            replica.start();
         }
     }
 
-    private static void upgrade(ReplicaProcess copy, boolean together)
+    private static void upgrade(ReplicaProcess replica, boolean together)
             throws IOException, InterruptedException {
-        if (copy.runs()
-                && copy.awaitServing(
-                        together ? copy.start() : copy.startApart(), System.nanoTime() + READY)) {
-            copy.terminate();
+        if (replica.runs()
+                && replica.awaitServing(
+                        together ? replica.start() : replica.startApart(),
+                        System.nanoTime() + READY)) {
+            replica.terminate();
         }
     }
 
-    private void flood(int copy, long length) throws InterruptedException {
-        chronicle.tell(copy, 0, "flooded", Map.of());
-        relay.flood(copy, System.nanoTime() + length);
+    private void flood(int replica, long length) throws InterruptedException {
+        chronicle.tell(replica, 0, "flooded", Map.of());
+        relay.flood(replica, System.nanoTime() + length);
         TimeUnit.NANOSECONDS.sleep(length);
-        chronicle.tell(copy, 0, "drained", Map.of());
+        chronicle.tell(replica, 0, "drained", Map.of());
     }
 
     private void weather(NetworkConditions next) {
@@ -477,7 +478,7 @@
      */
     private void cut(List<Integer> these, List<Integer> others, boolean out, boolean in) {
         for (int one : these) {
-            for (int other = 0; other < copies.size(); other++) {
+            for (int other = 0; other < replicas.size(); other++) {
                 if (!these.contains(other) && (others.isEmpty() || others.contains(other))) {
                     cut(one, other, out);
                     cut(other, one, in);
@@ -495,24 +496,24 @@
 
     /** Cuts what goes between copies of one side and nodes of the other. */
     private void cutNodes(List<Integer> these, NetworkPartition sides) {
-        for (int copy = 0; copy < copies.size(); copy++) {
-            boolean here = these.contains(copy);
-            boolean there = !here && (sides.others().isEmpty() || sides.others().contains(copy));
+        for (int replica = 0; replica < replicas.size(); replica++) {
+            boolean here = these.contains(replica);
+            boolean there = !here && (sides.others().isEmpty() || sides.others().contains(replica));
             for (int node :
                     here ? sides.otherNodes() : there ? sides.nodes() : List.<Integer>of()) {
-                nodes.cut(node, copy, true);
+                nodes.cut(node, replica, true);
             }
         }
     }
 
     private void heal() {
-        for (int copy = 0; copy < copies.size(); copy++) {
+        for (int replica = 0; replica < replicas.size(); replica++) {
             for (int node = 0; node < script.nodes(); node++) {
-                nodes.cut(node, copy, false);
+                nodes.cut(node, replica, false);
             }
         }
-        for (int from = 0; from < copies.size(); from++) {
-            for (int to = 0; to < copies.size(); to++) {
+        for (int from = 0; from < replicas.size(); from++) {
+            for (int to = 0; to < replicas.size(); to++) {
                 if (from != to) {
                     relay.cut(from, to, false);
                     chronicle.tell(from, 0, "healed", Map.of("to", Integer.toString(to)));
@@ -538,16 +539,16 @@
                 mood(List.of(i), Mood.WELL);
             }
         }
-        for (ReplicaProcess copy : copies) {
-            copy.signal("CONT", "", "continued");
-            back(copy);
+        for (ReplicaProcess replica : replicas) {
+            replica.signal("CONT", "", "continued");
+            back(replica);
         }
     }
 
     private void end() throws InterruptedException {
-        copies.forEach(ReplicaProcess::kill);
-        for (ReplicaProcess copy : copies) {
-            copy.awaitEnd(END_MILLIS);
+        replicas.forEach(ReplicaProcess::kill);
+        for (ReplicaProcess replica : replicas) {
+            replica.awaitEnd(END_MILLIS);
         }
     }
 
@@ -555,8 +556,8 @@
         end();
         beside.shutdownNow();
         relay.end();
-        for (ReplicaProcess copy : copies) {
-            copy.close();
+        for (ReplicaProcess replica : replicas) {
+            replica.close();
         }
         for (DiscoveryStub discovery : discoveries) {
             discovery.close();
--- a/lab/src/main/java/cedarrudder/lab/cluster/HistoryRecorder.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/HistoryRecorder.java
@@ -27,13 +27,15 @@
     }
 
     /** Something happens now. */
-    synchronized void tell(int copy, long life, String what, Map<String, String> fields) {
+    synchronized void tell(int replica, long incarnation, String what, Map<String, String> fields) {
         if (closed) {
             return;
         }
         try {
             out.write(
-                    History.line(new HistoryEvent(System.nanoTime(), copy, life, what, fields))
+                    History.line(
+                                    new HistoryEvent(
+                                            System.nanoTime(), replica, incarnation, what, fields))
                             + "\n");
             out.flush(); // a lab that dies leaves what it saw
         } catch (IOException e) {
--- a/lab/src/main/java/cedarrudder/lab/cluster/Link.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Link.java
@@ -15,12 +15,12 @@
     public record Delivery(long at, byte[] datagram) {}
 
     /** Datagrams under way at once; a copy sends some 40 a second to all others together. */
-    static final int MOST_UNDER_WAY = 256;
+    static final int MAX_UNDER_WAY = 256;
 
     /** One that is late takes up to so much longer, in nanoseconds. */
     private static final long LATE = 300_000_000L;
 
-    private static final int MOST_TURNED = 8;
+    private static final int MAX_TURNED = 8;
 
     private final RandomGenerator random;
     private int underWay;
@@ -42,12 +42,12 @@
                 cut || random.nextDouble() < weather.loss()
                         ? 0
                         : random.nextDouble() < weather.doubled() ? 2 : 1;
-        for (int i = 0; i < times && underWay < MOST_UNDER_WAY; i++) {
+        for (int i = 0; i < times && underWay < MAX_UNDER_WAY; i++) {
             long delay =
-                    weather.leastDelay()
+                    weather.minDelay()
                             + (long)
                                     (random.nextDouble()
-                                            * (weather.mostDelay() - weather.leastDelay()));
+                                            * (weather.maxDelay() - weather.minDelay()));
             if (random.nextDouble() < weather.late()) {
                 delay += (long) (random.nextDouble() * LATE);
             }
@@ -69,7 +69,7 @@
 
     private byte[] turned(byte[] datagram) {
         byte[] changed = datagram.clone();
-        for (int i = 1 + random.nextInt(MOST_TURNED); i > 0 && changed.length > 0; i--) {
+        for (int i = 1 + random.nextInt(MAX_TURNED); i > 0 && changed.length > 0; i--) {
             changed[random.nextInt(changed.length)] ^= (byte) (1 << random.nextInt(8));
         }
         return changed;
--- a/lab/src/main/java/cedarrudder/lab/cluster/MessageCorruption.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/MessageCorruption.java
@@ -9,8 +9,8 @@
 final class MessageCorruption {
 
     private static final int KEPT = 64;
-    private static final int MOST_BYTES = 256;
-    private static final int MOST_OVERSIZED = 1_400;
+    private static final int MAX_BYTES = 256;
+    private static final int MAX_OVERSIZED = 1_400;
 
     private final RandomGenerator random;
     private final byte[][] former = new byte[KEPT][];
@@ -35,8 +35,8 @@
         byte[] bytes =
                 new byte
                         [kind == 1
-                                ? MOST_BYTES + 1 + random.nextInt(MOST_OVERSIZED - MOST_BYTES)
-                                : random.nextInt(MOST_BYTES + 1)];
+                                ? MAX_BYTES + 1 + random.nextInt(MAX_OVERSIZED - MAX_BYTES)
+                                : random.nextInt(MAX_BYTES + 1)];
         random.nextBytes(bytes);
         return bytes;
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/NetworkConditions.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/NetworkConditions.java
@@ -7,16 +7,11 @@
  * @param doubled the share that comes twice
  * @param late the share that comes so late that others overtake it
  * @param corrupted the share of which bits are turned
- * @param leastDelay of all, in nanoseconds
- * @param mostDelay the longest but for those that are late; delays are even between the two
+ * @param minDelay of all, in nanoseconds
+ * @param maxDelay the longest but for those that are late; delays are even between the two
  */
 public record NetworkConditions(
-        double loss,
-        double doubled,
-        double late,
-        double corrupted,
-        long leastDelay,
-        long mostDelay) {
+        double loss, double doubled, double late, double corrupted, long minDelay, long maxDelay) {
 
     /** Nothing is lost, and what comes takes as long as within a building. */
     public static final NetworkConditions CALM =
--- a/lab/src/main/java/cedarrudder/lab/cluster/OperatorRemoval.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/OperatorRemoval.java
@@ -31,9 +31,9 @@
     }
 
     /** The body of an answer with status 200; else null. */
-    private static String ask(InetSocketAddress copy, String method, String path, int patience) {
+    private static String ask(InetSocketAddress replica, String method, String path, int patience) {
         try {
-            Answer answer = new OperatorCall(method, path, "", 200).answer(copy, patience);
+            Answer answer = new OperatorCall(method, path, "", 200).answer(replica, patience);
             return answer != null && answer.status() == 200 ? answer.body() : null;
         } catch (IOException e) {
             return null; // stopped, or ended
@@ -44,11 +44,11 @@
      * By drains: each node is asked for until one of the copies has said yes, and is taken off the
      * list once any copy says that it is out. Returns when all are.
      */
-    void byDrains(List<Integer> nodes, List<Integer> copies) throws InterruptedException {
+    void byDrains(List<Integer> nodes, List<Integer> replicas) throws InterruptedException {
         int asked = 0;
         for (int node : nodes) {
             while (ask(
-                            operators.get(copies.get(asked++ % copies.size())),
+                            operators.get(replicas.get(asked++ % replicas.size())),
                             "POST",
                             "/-/drains/node/node-" + node + "/begin",
                             PATIENCE_MILLIS)
@@ -60,7 +60,7 @@
         while (!left.isEmpty()) {
             String page =
                     ask(
-                            operators.get(copies.get(asked++ % copies.size())),
+                            operators.get(replicas.get(asked++ % replicas.size())),
                             "GET",
                             "/-/drains",
                             HAND_MILLIS);
@@ -80,15 +80,15 @@
      *
      * @param pace milliseconds between two such turns
      */
-    void byHand(List<Integer> nodes, List<Integer> copies, int atOnce, long pace)
+    void byHand(List<Integer> nodes, List<Integer> replicas, int atOnce, long pace)
             throws InterruptedException {
         for (int from = 0; from < nodes.size(); from += atOnce) {
             List<Integer> these =
                     new ArrayList<>(nodes.subList(from, Math.min(nodes.size(), from + atOnce)));
             for (int node : these) {
-                for (int copy : copies) {
+                for (int replica : replicas) {
                     ask(
-                            operators.get(copy),
+                            operators.get(replica),
                             "POST",
                             "/-/nodes/node-" + node + "/disable",
                             HAND_MILLIS);
--- a/lab/src/main/java/cedarrudder/lab/cluster/RandomScript.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/RandomScript.java
@@ -21,7 +21,7 @@
     private static final int DRIFT = 1_000;
 
     /** The share that may be killed at once: less than half. */
-    private static final double MOST_KILLED = 0.48;
+    private static final double MAX_KILLED = 0.48;
 
     /** Longer than the lease that is given here. */
     private static final double HALT = 6;
@@ -56,19 +56,19 @@
     }
 
     private final SplittableRandom random;
-    private final int copies;
+    private final int replicas;
     private final List<Integer> all;
     private final List<ScriptStep> steps = new ArrayList<>();
 
-    private RandomScript(long seed, int copies) {
+    private RandomScript(long seed, int replicas) {
         this.random = new SplittableRandom(seed);
-        this.copies = copies;
-        this.all = IntStream.range(0, copies).boxed().toList();
+        this.replicas = replicas;
+        this.all = IntStream.range(0, replicas).boxed().toList();
     }
 
     /** One seed, one script. */
-    public static Script of(long seed, int copies) {
-        return new RandomScript(seed, copies).draw();
+    public static Script of(long seed, int replicas) {
+        return new RandomScript(seed, replicas).draw();
     }
 
     private Script draw() {
@@ -91,13 +91,13 @@
         }
         List<Long> offsets = new ArrayList<>();
         List<Integer> drifts = new ArrayList<>();
-        for (int i = 0; i < copies; i++) {
+        for (int i = 0; i < replicas; i++) {
             offsets.add(
                     random.nextInt(3) == 0 ? random.nextLong(-HOUR_MILLIS, HOUR_MILLIS + 1) : 0);
             drifts.add(random.nextInt(-1, 2) * DRIFT);
         }
         return new Script(
-                copies,
+                replicas,
                 NODES,
                 ZONES,
                 PERIOD,
@@ -118,7 +118,7 @@
         List<Integer> one = some(1);
         switch (fault) {
             case KILL -> {
-                List<Integer> killed = some((int) Math.max(1, MOST_KILLED * copies));
+                List<Integer> killed = some((int) Math.max(1, MAX_KILLED * replicas));
                 steps.add(ScriptStep.of(at, ScriptAction.KILL, killed));
                 steps.add(ScriptStep.of(at + lasts, ScriptAction.BACK, killed));
                 return lasts + 8; // until those that forgot vote again
@@ -142,7 +142,7 @@
                 steps.add(ScriptStep.of(at + lasts, ScriptAction.BACK, one));
             }
             case HALVES -> {
-                steps.add(ScriptStep.of(at, ScriptAction.CUT, some(copies / 2)));
+                steps.add(ScriptStep.of(at, ScriptAction.CUT, some(replicas / 2)));
                 steps.add(ScriptStep.of(at + lasts + 5, ScriptAction.HEAL, List.of()));
                 return lasts + 8;
             }
@@ -178,7 +178,7 @@
                                     ScriptAction.MUTE,
                                     zone,
                                     new NetworkPartition(
-                                            ofZone(copies, (zone + 1) % ZONES),
+                                            ofZone(replicas, (zone + 1) % ZONES),
                                             List.of(),
                                             List.of())));
                 }
@@ -228,7 +228,7 @@
         return new ScriptStep(
                 Script.nanos(at),
                 act,
-                ofZone(copies, zone),
+                ofZone(replicas, zone),
                 false,
                 NetworkConditions.CALM,
                 0,
--- a/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
@@ -27,7 +27,7 @@
  */
 final class Relay {
 
-    private static final int MOST_BYTES = 2_048;
+    private static final int MAX_BYTES = 2_048;
 
     /** Forged datagrams between two looks at what else there is to do. */
     private static final int AT_ONCE = 100;
@@ -49,7 +49,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            if (!packet.sender().equals(copies.get(of))) {
+            if (!packet.sender().equals(replicas.get(of))) {
                 return; // Guards against a stranger on this machine.
             }
             byte[] bytes = ByteBufUtil.getBytes(packet.content());
@@ -70,7 +70,7 @@
         /** Hands a datagram to the copy whose door this is, as if from the other. */
         void hand(byte[] bytes) {
             channel.writeAndFlush(
-                    new DatagramPacket(Unpooled.wrappedBuffer(bytes), copies.get(of)));
+                    new DatagramPacket(Unpooled.wrappedBuffer(bytes), replicas.get(of)));
         }
 
         @Override
@@ -81,18 +81,18 @@
 
     private final NioEventLoopGroup group =
             new NioEventLoopGroup(1, new DefaultThreadFactory("relay", true));
-    private final List<InetSocketAddress> copies;
+    private final List<InetSocketAddress> replicas;
     private final Door[][] doors;
     private final SplittableRandom random;
     private NetworkConditions weather = NetworkConditions.CALM;
 
     /**
-     * @param copies where each copy hears its peers
+     * @param replicas where each copy hears its peers
      */
-    Relay(List<InetSocketAddress> copies, long seed) throws IOException, InterruptedException {
-        this.copies = List.copyOf(copies);
+    Relay(List<InetSocketAddress> replicas, long seed) throws IOException, InterruptedException {
+        this.replicas = List.copyOf(replicas);
         this.random = new SplittableRandom(seed);
-        this.doors = new Door[copies.size()][copies.size()];
+        this.doors = new Door[replicas.size()][replicas.size()];
         for (int of = 0; of < doors.length; of++) {
             for (int other = 0; other < doors.length; other++) {
                 if (of != other) {
@@ -109,7 +109,7 @@
                         .channel(NioDatagramChannel.class)
                         .option(
                                 ChannelOption.RCVBUF_ALLOCATOR,
-                                new FixedRecvByteBufAllocator(MOST_BYTES))
+                                new FixedRecvByteBufAllocator(MAX_BYTES))
                         .handler(door)
                         .bind(new InetSocketAddress("127.0.0.1", 0))
                         .await();
@@ -138,16 +138,16 @@
     }
 
     /** Gives a copy forged datagrams, as if from all others, as fast as can be until then. */
-    void flood(int copy, long until) {
+    void flood(int replica, long until) {
         group.execute(
                 () -> {
-                    for (int i = 0; i < AT_ONCE && copies.size() > 1; i++) {
-                        int other = random.nextInt(copies.size() - 1);
-                        Door door = doors[copy][other < copy ? other : other + 1];
+                    for (int i = 0; i < AT_ONCE && replicas.size() > 1; i++) {
+                        int other = random.nextInt(replicas.size() - 1);
+                        Door door = doors[replica][other < replica ? other : other + 1];
                         door.hand(door.forger.next());
                     }
                     if (System.nanoTime() < until) {
-                        flood(copy, until);
+                        flood(replica, until);
                     }
                 });
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/ReplicaProcess.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ReplicaProcess.java
@@ -39,7 +39,7 @@
     private final List<Long> expected = new ArrayList<>();
     private String configuration;
     private String operator;
-    private int lives;
+    private int incarnations;
 
     ReplicaProcess(int number, HostEnvironment place, HistoryRecorder chronicle)
             throws IOException {
@@ -120,7 +120,7 @@
 
     private synchronized Path start(String folder) throws IOException {
         Path temporary = place.folder().resolve(folder);
-        String name = "copy-" + number + "-" + ++lives;
+        String name = "copy-" + number + "-" + ++incarnations;
         Path history = place.folder().resolve(name + ".jsonl");
         Path log = place.folder().resolve(name + ".log");
         Path json = place.folder().resolve(name + ".json");
--- a/lab/src/main/java/cedarrudder/lab/cluster/Script.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Script.java
@@ -6,7 +6,7 @@
 /**
  * What happens to copies, and when.
  *
- * @param copies how many there are
+ * @param replicas how many there are
  * @param nodes behind them
  * @param zones that copies and nodes are dealt to: number 4 of 3 zones is in zone 1
  * @param period of membership, in nanoseconds
@@ -20,7 +20,7 @@
  * @param steps in the order of time
  */
 public record Script(
-        int copies,
+        int replicas,
         int nodes,
         int zones,
         long period,
@@ -32,11 +32,11 @@
         List<ScriptStep> steps) {
 
     /** Copies at the least and at the most. */
-    public static final int LEAST = 3;
+    public static final int MIN = 3;
 
-    public static final int MOST = 30;
-    static final int MOST_NODES = 30;
-    static final int MOST_ZONES = 8;
+    public static final int MAX = 30;
+    static final int MAX_NODES = 30;
+    static final int MAX_ZONES = 8;
 
     private static final long SECOND = 1_000_000_000L;
 
@@ -50,12 +50,12 @@
         return (long) (seconds * SECOND);
     }
 
-    long clockOffset(int copy) {
-        return copy < clockOffsets.size() ? clockOffsets.get(copy) : 0;
+    long clockOffset(int replica) {
+        return replica < clockOffsets.size() ? clockOffsets.get(replica) : 0;
     }
 
-    int clockDrift(int copy) {
-        return copy < clockDrifts.size() ? clockDrifts.get(copy) : 0;
+    int clockDrift(int replica) {
+        return replica < clockDrifts.size() ? clockDrifts.get(replica) : 0;
     }
 
     /** The zone of a copy, or of a node. */
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
@@ -16,16 +16,16 @@
 /** Reads a script from TOML, with all errors at once. */
 public final class ScriptReader {
 
-    private static final double MOST_SECONDS = 3_600;
-    private static final double MOST_MILLIS = 1_000;
-    private static final double MOST_LOSS = 0.9;
-    private static final long MOST_OFFSET = 2_000_000_000_000L;
+    private static final double MAX_SECONDS = 3_600;
+    private static final double MAX_MILLIS = 1_000;
+    private static final double MAX_LOSS = 0.9;
+    private static final long MAX_OFFSET = 2_000_000_000_000L;
     private static final int MILLION = 1_000_000;
 
-    private static final int MOST_DRIFT = 1_000;
-    private static final int LEAST_STATUS = 200;
-    private static final int MOST_STATUS = 599;
-    private static final int MOST_CALL = 1_024;
+    private static final int MAX_DRIFT = 1_000;
+    private static final int MIN_STATUS = 200;
+    private static final int MAX_STATUS = 599;
+    private static final int MAX_CALL = 1_024;
 
     /** As the lab writes it; behind the others, as errors name their lines. */
     static final String MEMBERSHIP = "\n[membership]\n";
@@ -33,7 +33,7 @@
     /** Tables that the lab writes itself. */
     private static final Set<String> OWN = Set.of("membership", "history");
 
-    private static final Set<ScriptAction> OF_COPIES =
+    private static final Set<ScriptAction> OF_REPLICAS =
             EnumSet.complementOf(
                     EnumSet.of(ScriptAction.HEAL, ScriptAction.WEATHER, ScriptAction.NODES));
 
@@ -43,7 +43,7 @@
     private ScriptReader() {}
 
     /** How many of each there are. */
-    private record Counts(int copies, int nodes, int zones) {}
+    private record Counts(int replicas, int nodes, int zones) {}
 
     /**
      * @throws InvalidFileException with all that is wrong with it
@@ -54,36 +54,36 @@
 
     static Script read(ConfigDocument document) throws InvalidFileException {
         ConfigTable root = document.root();
-        int copies = (int) root.whole("copies", Script.LEAST, Script.MOST);
-        int nodes = (int) root.whole("nodes", 1, Script.MOST_NODES, 3);
-        int zones = (int) root.whole("zones", 1, Script.MOST_ZONES, 1);
-        if (zones > Math.min(copies, nodes) && root.sound("zones", "copies", "nodes")) {
+        int replicas = (int) root.whole("copies", Script.MIN, Script.MAX);
+        int nodes = (int) root.whole("nodes", 1, Script.MAX_NODES, 3);
+        int zones = (int) root.whole("zones", 1, Script.MAX_ZONES, 1);
+        if (zones > Math.min(replicas, nodes) && root.sound("zones", "copies", "nodes")) {
             root.problem(
                     "zones",
                     Integer.toString(zones),
-                    "a copy and a node for each: " + Math.min(copies, nodes) + " at the most");
+                    "a copy and a node for each: " + Math.min(replicas, nodes) + " at the most");
         }
         long period = MILLION * root.whole("period_ms", 100, 10_000, 500);
-        double length = root.number("length_s", 1, MOST_SECONDS);
-        double settle = root.number("settle_s", 1, MOST_SECONDS, 60);
+        double length = root.number("length_s", 1, MAX_SECONDS);
+        double settle = root.number("settle_s", 1, MAX_SECONDS, 60);
         List<Long> offsets =
-                root.numbers("clock_offsets_ms", -MOST_OFFSET, MOST_OFFSET).stream()
+                root.numbers("clock_offsets_ms", -MAX_OFFSET, MAX_OFFSET).stream()
                         .map(Double::longValue)
                         .toList();
         List<Integer> drifts =
-                root.numbers("clock_drifts_ppm", -MOST_DRIFT, MOST_DRIFT).stream()
+                root.numbers("clock_drifts_ppm", -MAX_DRIFT, MAX_DRIFT).stream()
                         .map(Double::intValue)
                         .toList();
         String operator = operator(root);
         List<ScriptStep> steps = new ArrayList<>();
         for (ConfigTable table : root.tables("step")) {
-            steps.add(step(table, new Counts(copies, nodes, zones), length));
+            steps.add(step(table, new Counts(replicas, nodes, zones), length));
             table.done();
         }
         root.done();
         document.check();
         return new Script(
-                copies,
+                replicas,
                 nodes,
                 zones,
                 period,
@@ -123,10 +123,10 @@
     private static ScriptStep step(ConfigTable table, Counts counts, double length) {
         double at = table.number("at_s", 0, length);
         ScriptAction act = table.choice("do", ScriptAction.class, null);
-        boolean leader = OF_COPIES.contains(act) && leader(table);
+        boolean leader = OF_REPLICAS.contains(act) && leader(table);
         List<Integer> whom =
-                OF_COPIES.contains(act) && !leader
-                        ? numbers(table, "copies", counts.copies, counts.zones)
+                OF_REPLICAS.contains(act) && !leader
+                        ? numbers(table, "copies", counts.replicas, counts.zones)
                         : List.of();
         NetworkConditions weather = NetworkConditions.CALM;
         double lasts = 0;
@@ -135,17 +135,17 @@
         NetworkPartition sides = NetworkPartition.ALL;
         OperatorCall call = null;
         if (act == ScriptAction.WEATHER) {
-            double[] delay = table.range("delay_ms", 0, MOST_MILLIS, new double[] {0.1, 1});
+            double[] delay = table.range("delay_ms", 0, MAX_MILLIS, new double[] {0.1, 1});
             weather =
                     new NetworkConditions(
-                            table.number("loss", 0, MOST_LOSS, 0),
+                            table.number("loss", 0, MAX_LOSS, 0),
                             table.number("doubled", 0, 1, 0),
                             table.number("late", 0, 1, 0),
                             table.number("corrupted", 0, 1, 0),
                             (long) (delay[0] * MILLION),
                             (long) (delay[1] * MILLION));
         } else if (act == ScriptAction.FLOOD) {
-            lasts = table.number("length_s", 0.1, MOST_SECONDS);
+            lasts = table.number("length_s", 0.1, MAX_SECONDS);
             if (table.sound("at_s", "length_s") && at + lasts > length) {
                 table.problem(
                         "length_s",
@@ -155,7 +155,7 @@
         } else if (act == ScriptAction.NODES) {
             mood = table.choice("mood", Mood.class, null);
             which = numbers(table, "nodes", counts.nodes, counts.zones);
-            whom = table.has("copies") ? numbers(table, "copies", counts.copies) : List.of();
+            whom = table.has("copies") ? numbers(table, "copies", counts.replicas) : List.of();
         } else if (CUTS.contains(act)) {
             sides = sides(table, act, counts);
         } else if (act == ScriptAction.REMOVE || act == ScriptAction.REMOVE_BY_HAND) {
@@ -193,7 +193,7 @@
     private static NetworkPartition sides(ConfigTable table, ScriptAction act, Counts counts) {
         boolean towards = table.has("towards");
         List<Integer> others =
-                towards ? ofZones(table, "towards", counts.copies, counts.zones) : List.of();
+                towards ? ofZones(table, "towards", counts.replicas, counts.zones) : List.of();
         if (act != ScriptAction.CUT || !table.has("zones")) {
             return new NetworkPartition(others, List.of(), List.of());
         }
@@ -220,17 +220,17 @@
                     "path", ConfigTable.shown(path), "a path that begins with / and has no blank");
         }
         String body = table.text("body", "");
-        if (!body.matches("[\\x00-\\x7f]{0," + MOST_CALL + "}")) {
+        if (!body.matches("[\\x00-\\x7f]{0," + MAX_CALL + "}")) {
             table.problem(
                     "body",
                     ConfigTable.shown(body),
-                    "ASCII, " + MOST_CALL + " characters at the most");
+                    "ASCII, " + MAX_CALL + " characters at the most");
         }
         return new OperatorCall(
                 method,
                 path,
                 body,
-                (int) table.whole("status", LEAST_STATUS, MOST_STATUS, LEAST_STATUS));
+                (int) table.whole("status", MIN_STATUS, MAX_STATUS, MIN_STATUS));
     }
 
     /** Numbers of copies or nodes, from 0, or those of whole zones. */
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptStep.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptStep.java
@@ -7,7 +7,7 @@
  * One step of a script.
  *
  * @param at after the beginning, in nanoseconds
- * @param copies whom it is about
+ * @param replicas whom it is about
  * @param leader it is about the copy that leads then, whichever that is
  * @param weather of {@link ScriptAction#WEATHER}; else calm
  * @param length of {@link ScriptAction#FLOOD}, in nanoseconds
@@ -19,7 +19,7 @@
 public record ScriptStep(
         long at,
         ScriptAction act,
-        List<Integer> copies,
+        List<Integer> replicas,
         boolean leader,
         NetworkConditions weather,
         long length,
@@ -29,15 +29,15 @@
         OperatorCall call) {
 
     public ScriptStep {
-        copies = List.copyOf(copies);
+        replicas = List.copyOf(replicas);
         nodes = List.copyOf(nodes);
     }
 
-    static ScriptStep of(double seconds, ScriptAction act, List<Integer> copies) {
+    static ScriptStep of(double seconds, ScriptAction act, List<Integer> replicas) {
         return new ScriptStep(
                 Script.nanos(seconds),
                 act,
-                copies,
+                replicas,
                 false,
                 NetworkConditions.CALM,
                 0,
@@ -61,11 +61,11 @@
                 null);
     }
 
-    static ScriptStep flood(double seconds, int copy, double length) {
+    static ScriptStep flood(double seconds, int replica, double length) {
         return new ScriptStep(
                 Script.nanos(seconds),
                 ScriptAction.FLOOD,
-                List.of(copy),
+                List.of(replica),
                 false,
                 NetworkConditions.CALM,
                 Script.nanos(length),
--- a/lab/src/main/java/cedarrudder/lab/cluster/TestClients.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/TestClients.java
@@ -30,20 +30,21 @@
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean over;
 
-    TestClients(List<InetSocketAddress> copies, HistoryRecorder chronicle) {
+    TestClients(List<InetSocketAddress> replicas, HistoryRecorder chronicle) {
         this.chronicle = chronicle;
-        for (int i = 0; i < copies.size(); i++) {
-            int copy = i;
-            Thread thread = new Thread(() -> call(copy, copies.get(copy)), "caller-" + copy);
+        for (int i = 0; i < replicas.size(); i++) {
+            int replica = i;
+            Thread thread =
+                    new Thread(() -> call(replica, replicas.get(replica)), "caller-" + replica);
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
         }
     }
 
-    private void call(int copy, InetSocketAddress to) {
+    private void call(int replica, InetSocketAddress to) {
         for (int i = 0; !over; i++) {
-            ask(copy, to, "c" + copy + "-" + i);
+            ask(replica, to, "c" + replica + "-" + i);
             try {
                 TimeUnit.MILLISECONDS.sleep(EACH_MILLIS);
             } catch (InterruptedException e) {
@@ -52,7 +53,7 @@
         }
     }
 
-    private void ask(int copy, InetSocketAddress to, String rpc) {
+    private void ask(int replica, InetSocketAddress to, String requestId) {
         boolean asked = false;
         boolean answered = false;
         try (Socket socket = new Socket()) {
@@ -60,39 +61,43 @@
             socket.connect(to, PATIENCE_MILLIS);
             byte[] request =
                     OwnDaemon.WORDS
-                            .fill(RequestTemplates.get("Connection: close"), rpc)
+                            .fill(RequestTemplates.get("Connection: close"), requestId)
                             .getBytes(StandardCharsets.ISO_8859_1);
             // Before it is sent: guards against an answer that is told before its question.
-            tell(copy, rpc, "asked", Map.of());
+            tell(replica, requestId, "asked", Map.of());
             asked = true;
             socket.getOutputStream().write(request);
             InputStream in = socket.getInputStream();
             for (Answer answer = Answer.read(in, false);
                     answer != null;
                     answer = Answer.read(in, false)) {
-                tell(copy, rpc, "answered", Map.of("status", Integer.toString(answer.status())));
+                tell(
+                        replica,
+                        requestId,
+                        "answered",
+                        Map.of("status", Integer.toString(answer.status())));
                 answered = true;
             }
             if (!answered) {
-                tell(copy, rpc, "broke", Map.of("why", "closed"));
+                tell(replica, requestId, "broke", Map.of("why", "closed"));
             }
         } catch (SocketTimeoutException e) {
-            broke(copy, rpc, asked && !answered, "nothing came in time");
+            broke(replica, requestId, asked && !answered, "nothing came in time");
         } catch (IOException e) {
-            broke(copy, rpc, asked && !answered, String.valueOf(e.getMessage()));
+            broke(replica, requestId, asked && !answered, String.valueOf(e.getMessage()));
         }
     }
 
-    private void broke(int copy, String rpc, boolean owed, String why) {
+    private void broke(int replica, String requestId, boolean owed, String why) {
         if (owed) {
-            tell(copy, rpc, "broke", Map.of("why", why));
+            tell(replica, requestId, "broke", Map.of("why", why));
         }
     }
 
-    private void tell(int copy, String rpc, String what, Map<String, String> fields) {
+    private void tell(int replica, String requestId, String what, Map<String, String> fields) {
         Map<String, String> all = new HashMap<>(fields);
-        all.put("rpc", rpc);
-        chronicle.tell(copy, 0, what, all);
+        all.put("rpc", requestId);
+        chronicle.tell(replica, 0, what, all);
     }
 
     /** Lets each have the answer that it waits for, and ends. */
--- a/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
@@ -26,7 +26,7 @@
  * @param found what is no breach of a rule, and makes the run worth nothing all the same: a copy
  *     that crashed, a history with holes
  * @param events that were judged
- * @param rpcs that were asked
+ * @param requests that were asked
  * @param deaths that a copy found, over pairs
  * @param slowestSeconds the longest that one took
  * @param falseDeaths times that one that ran was taken for dead, with ground or without
@@ -39,7 +39,7 @@
         List<Violation> breaches,
         List<String> found,
         int events,
-        long rpcs,
+        long requests,
         long deaths,
         double slowestSeconds,
         long falseDeaths,
@@ -133,7 +133,7 @@
                         event ->
                                 found.add(
                                         "copy "
-                                                + event.copy()
+                                                + event.replica()
                                                 + " lost "
                                                 + event.text("events")
                                                 + " events of its history"));
--- a/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
@@ -21,20 +21,20 @@
 
     private static final long SECOND = 1_000_000_000L;
     private static final int MILLION = 1_000_000;
-    private static final double MOST_KILLED = 0.48;
+    private static final double MAX_KILLED = 0.48;
     private static final int HALT = 10;
 
     private final SwimSimulation mesh;
     private final List<HistoryEvent> events = new ArrayList<>();
-    private final long[] lives;
+    private final long[] incarnations;
     private int told;
 
     private VirtualRun(
-            int copies, SwimSimulation.Network network, MembershipSettings settings, long seed) {
-        mesh = new SwimSimulation(copies, network, settings, seed);
-        lives = new long[copies];
+            int replicas, SwimSimulation.Network network, MembershipSettings settings, long seed) {
+        mesh = new SwimSimulation(replicas, network, settings, seed);
+        incarnations = new long[replicas];
         tell(HistoryRecorder.NOBODY, "weather", Map.of("calm", network.loss() == 0 ? "1" : "0"));
-        for (int i = 0; i < copies; i++) {
+        for (int i = 0; i < replicas; i++) {
             begin(i);
         }
     }
@@ -45,13 +45,13 @@
      * @param settle seconds after the faults in which all have to agree
      */
     public static Verdict play(
-            int copies,
+            int replicas,
             SwimSimulation.Network network,
             MembershipSettings settings,
             long seed,
             int settle) {
-        VirtualRun run = new VirtualRun(copies, network, settings, seed);
-        run.faults(copies, new SplittableRandom(seed ^ 0x5eed));
+        VirtualRun run = new VirtualRun(replicas, network, settings, seed);
+        run.faults(replicas, new SplittableRandom(seed ^ 0x5eed));
         run.tell(HistoryRecorder.NOBODY, "over", Map.of());
         run.pass(settle);
         run.events.sort(
@@ -60,23 +60,23 @@
                 run.events, run.mesh.now(), settings.period(), settle * SECOND, List.of());
     }
 
-    private void faults(int copies, SplittableRandom random) {
+    private void faults(int replicas, SplittableRandom random) {
         pass(20);
         Set<Integer> dead = new HashSet<>();
-        while (dead.size() < Math.max(1, (int) (MOST_KILLED * copies))) {
-            dead.add(random.nextInt(copies));
+        while (dead.size() < Math.max(1, (int) (MAX_KILLED * replicas))) {
+            dead.add(random.nextInt(replicas));
         }
         dead.forEach(
-                copy -> {
-                    end(copy);
-                    mesh.kill(copy);
+                replica -> {
+                    end(replica);
+                    mesh.kill(replica);
                 });
         pass(80 + random.nextInt(20)); // longer than a death may take to be found
         dead.forEach(this::back);
         pass(60);
         Set<Integer> half = new HashSet<>();
-        while (half.size() < copies / 2) {
-            half.add(random.nextInt(copies));
+        while (half.size() < replicas / 2) {
+            half.add(random.nextInt(replicas));
         }
         mesh.cut(half::contains);
         cut(half, "cut");
@@ -84,13 +84,13 @@
         mesh.heal();
         cut(half, "healed");
         pass(60);
-        int halts = random.nextInt(copies);
+        int halts = random.nextInt(replicas);
         tell(halts, "stopped", Map.of());
         mesh.stall(halts, HALT * SECOND);
         pass(HALT);
         tell(halts, "continued", Map.of());
         pass(30);
-        int leaves = random.nextInt(copies);
+        int leaves = random.nextInt(replicas);
         tell(leaves, "silent", Map.of());
         end(leaves);
         mesh.leave(leaves);
@@ -99,8 +99,8 @@
     }
 
     private void cut(Set<Integer> half, String what) {
-        for (int from = 0; from < lives.length; from++) {
-            for (int to = 0; to < lives.length; to++) {
+        for (int from = 0; from < incarnations.length; from++) {
+            for (int to = 0; to < incarnations.length; to++) {
                 if (half.contains(from) != half.contains(to)) {
                     tell(from, what, Map.of("to", Integer.toString(to)));
                 }
@@ -108,28 +108,28 @@
         }
     }
 
-    private void back(int copy) {
-        mesh.restart(copy, mesh.now() / MILLION);
-        begin(copy);
+    private void back(int replica) {
+        mesh.restart(replica, mesh.now() / MILLION);
+        begin(replica);
     }
 
-    private void begin(int copy) {
-        lives[copy]++;
-        tell(copy, "started", Map.of());
-        tell(copy, "speaks", Map.of());
+    private void begin(int replica) {
+        incarnations[replica]++;
+        tell(replica, "started", Map.of());
+        tell(replica, "speaks", Map.of());
     }
 
-    private void end(int copy) {
-        tell(copy, "ended", Map.of());
+    private void end(int replica) {
+        tell(replica, "ended", Map.of());
     }
 
-    private void tell(int copy, String what, Map<String, String> fields) {
-        events.add(new HistoryEvent(mesh.now(), copy, life(copy), what, fields));
+    private void tell(int replica, String what, Map<String, String> fields) {
+        events.add(new HistoryEvent(mesh.now(), replica, incarnation(replica), what, fields));
     }
 
     /** A number that no other life of any copy has. */
-    private long life(int copy) {
-        return copy < 0 ? 0 : (long) copy << 16 | lives[copy];
+    private long incarnation(int replica) {
+        return replica < 0 ? 0 : (long) replica << 16 | incarnations[replica];
     }
 
     private void pass(int seconds) {
@@ -140,7 +140,7 @@
                     new HistoryEvent(
                             change.at(),
                             change.observer(),
-                            life(change.observer()),
+                            incarnation(change.observer()),
                             change.now().standing().name().toLowerCase(Locale.ROOT),
                             Map.of(
                                     "about",
--- a/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
@@ -82,9 +82,9 @@
                 "--loss",
                 "from 0 to below 1 each");
         check(
-                bytes >= 8 && bytes <= RaftNode.MOST_CONTENT,
+                bytes >= 8 && bytes <= RaftNode.MAX_CONTENT,
                 "--bytes",
-                "from 8 to " + RaftNode.MOST_CONTENT);
+                "from 8 to " + RaftNode.MAX_CONTENT);
         check(deaths >= 0 && deaths <= 1_000, "--deaths", "from 0 to 1000");
         long[] range = seeds.range(spec);
         PrintWriter out = spec.commandLine().getOut();
@@ -176,18 +176,18 @@
                                 Long.toString(f.commits()),
                                 figure(f.commitP50(), 2),
                                 figure(f.commitP99(), 2),
-                                figure(f.commitMost(), 2),
+                                figure(f.maxCommit(), 2),
                                 Long.toString(f.deaths()),
                                 figure(f.leaderP50(), 2),
                                 figure(f.leaderP99(), 2),
-                                figure(f.leaderMost(), 2),
+                                figure(f.maxLeader(), 2),
                                 figure(f.ageP50(), 2),
                                 figure(f.ageP99(), 2),
-                                figure(f.ageMost(), 2),
+                                figure(f.maxAge(), 2),
                                 figure(f.idle(), 0),
-                                figure(f.idleMost(), 0),
+                                figure(f.maxIdle(), 0),
                                 figure(f.busy(), 0),
-                                figure(f.busyMost(), 0)));
+                                figure(f.maxBusy(), 0)));
             }
         }
         ResultText.table(rows).forEach(out::println);
--- a/lab/src/main/java/cedarrudder/lab/command/AttackCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/AttackCommand.java
@@ -242,8 +242,8 @@
                             fresh.share(),
                             fresh.p50(),
                             fresh.p99(),
-                            result.mostOpen(),
-                            result.mostMemory());
+                            result.maxOpen(),
+                            result.maxMemory());
                 }
                 out.flush();
             }
--- a/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
@@ -35,9 +35,9 @@
                         + " two, and judges what they wrote. Exit code 1 where a rule was broken.")
 final class ClusterCommand implements Callable<Integer> {
 
-    private static final int MOST_VIRTUAL = 1_000;
+    private static final int MAX_VIRTUAL = 1_000;
     private static final int SETTLE = 90;
-    private static final int MOST_SHOWN = 100;
+    private static final int MAX_SHOWN = 100;
     private static final long MICRO = 1_000;
 
     /** A script of a file, or one that each seed draws. */
@@ -68,7 +68,7 @@
             description =
                     "With --draw: copies, from 3 to 30, with --virtual to 1000; ${DEFAULT-VALUE}"
                             + " where not given.")
-    private int copies;
+    private int replicas;
 
     @Option(
             names = "--loss",
@@ -94,16 +94,16 @@
 
     @Override
     public Integer call() throws InvalidFileException, IOException, InterruptedException {
-        int most = what.virtual ? MOST_VIRTUAL : Script.MOST;
-        if (copies < Script.LEAST || copies > most || loss < 0 || loss >= 1) {
+        int max = what.virtual ? MAX_VIRTUAL : Script.MAX;
+        if (replicas < Script.MIN || replicas > max || loss < 0 || loss >= 1) {
             throw new ParameterException(
                     spec.commandLine(),
                     "--copies: found "
-                            + copies
+                            + replicas
                             + "; allowed: from "
-                            + Script.LEAST
+                            + Script.MIN
                             + " to "
-                            + most
+                            + max
                             + "; --loss: found "
                             + loss
                             + "; allowed: from 0 to below 1");
@@ -126,17 +126,17 @@
                 "verdict");
         boolean good = true;
         for (long seed = range[0]; seed <= range[1]; seed++) {
-            int playing = script == null ? copies : script.copies();
+            int playing = script == null ? replicas : script.replicas();
             Verdict verdict =
                     what.virtual
                             ? VirtualRun.play(
-                                    copies,
+                                    replicas,
                                     new SwimSimulation.Network(loss, 100 * MICRO, 2_000 * MICRO),
                                     MembershipSettings.DEFAULT,
                                     seed,
                                     SETTLE)
                             : Cluster.play(
-                                    script == null ? RandomScript.of(seed, copies) : script,
+                                    script == null ? RandomScript.of(seed, replicas) : script,
                                     seed,
                                     HostEnvironment.of(
                                             root, out.resolve("seed-" + seed), List.of(), 0, 0));
@@ -147,7 +147,7 @@
                     seed,
                     playing,
                     verdict.events(),
-                    verdict.rpcs(),
+                    verdict.requests(),
                     verdict.deaths(),
                     verdict.slowestSeconds(),
                     verdict.falseDeaths(),
@@ -170,12 +170,12 @@
                                     "; nodes removed in %.1f s",
                                     service.removalSeconds()));
             verdict.breaches().stream()
-                    .limit(MOST_SHOWN)
+                    .limit(MAX_SHOWN)
                     .forEach(
                             breach ->
                                     print.println("      " + breach.rule() + ": " + breach.why()));
-            if (verdict.breaches().size() > MOST_SHOWN) {
-                print.println("      and " + (verdict.breaches().size() - MOST_SHOWN) + " more");
+            if (verdict.breaches().size() > MAX_SHOWN) {
+                print.println("      and " + (verdict.breaches().size() - MAX_SHOWN) + " more");
             }
             verdict.found().forEach(each -> print.println("      " + each));
             print.flush();
--- a/lab/src/main/java/cedarrudder/lab/command/DemoCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/DemoCommand.java
@@ -130,7 +130,7 @@
                             "NOTE:     this machine ran late (p99 %.1f ms, at most "
                                     + "%.1f); the figures tell little about the daemon",
                             emulated.own().p99(),
-                            emulated.own().most()));
+                            emulated.own().max()));
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/EmulateCommand.java
@@ -169,9 +169,9 @@
                                 + " the lead %.1f ms, over %d events; proxies ready after %.1f s",
                         own.p50(),
                         own.p99(),
-                        own.most(),
-                        own.mostAt(),
-                        own.mostInLead(),
+                        own.max(),
+                        own.maxAt(),
+                        own.maxInLead(),
                         own.events(),
                         own.readySeconds()));
         if (own.ranLate()) {
@@ -180,7 +180,7 @@
         if (emulated.lostAtRestarts() > 0) {
             lines.add("lost at planned restarts: " + emulated.lostAtRestarts() + " RPCs");
         }
-        long most =
+        long max =
                 emulated.proxies().stream()
                         .mapToLong(EmulationResult.ProxyUse::residentKib)
                         .max()
@@ -198,7 +198,7 @@
                         "%d proxies: at most %.1f MiB and %d descriptors each, %.1f "
                                 + "s of processor time together",
                         emulated.proxies().size(),
-                        most / 1024.0,
+                        max / 1024.0,
                         open,
                         cpu));
         for (int i = 0; i < emulated.quarters().size(); i++) {
@@ -211,7 +211,7 @@
                             i + 1,
                             quarter.residentKib() / 1024.0,
                             quarter.descriptors(),
-                            quarter.mostKib() / 1024.0));
+                            quarter.maxKib() / 1024.0));
         }
         lines.add("record: " + emulated.record());
         return lines;
--- a/lab/src/main/java/cedarrudder/lab/command/FailoverCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/FailoverCommand.java
@@ -149,7 +149,7 @@
                 figure(100 * results.stream().mapToDouble(Result::out).average().orElseThrow(), 2),
                 Integer.toString(results.stream().mapToInt(Result::fallen).sum()),
                 Integer.toString(results.stream().mapToInt(Result::moves).sum()),
-                Integer.toString(results.stream().mapToInt(Result::mostMoves).max().orElseThrow()),
+                Integer.toString(results.stream().mapToInt(Result::maxMoves).max().orElseThrow()),
                 Long.toString(results.stream().filter(r -> !r.breaches().isEmpty()).count()));
     }
 
--- a/lab/src/main/java/cedarrudder/lab/command/LoadCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/LoadCommand.java
@@ -33,9 +33,9 @@
                         + " whatever comes back. Exit code 1 where the rate could not be kept.")
 final class LoadCommand implements Callable<Integer> {
 
-    private static final int MOST_THREADS = 64;
-    private static final int MOST_CONNECTIONS = 60_000;
-    private static final int MOST_BODY = 64 * 1024;
+    private static final int MAX_THREADS = 64;
+    private static final int MAX_CONNECTIONS = 60_000;
+    private static final int MAX_BODY = 64 * 1024;
     private static final List<Traffic.Kind> ONE_KIND =
             List.of(new Traffic.Kind("lookup", Idempotency.SAFE, 1, 1000));
 
@@ -201,9 +201,9 @@
     }
 
     private Options options() throws InvalidFileException {
-        within("--connections", connections, 1, MOST_CONNECTIONS);
-        within("--threads", threads, 1, Math.min(MOST_THREADS, connections));
-        within("--body", body, 0, MOST_BODY);
+        within("--connections", connections, 1, MAX_CONNECTIONS);
+        within("--threads", threads, 1, Math.min(MAX_THREADS, connections));
+        within("--body", body, 0, MAX_BODY);
         if (!path.startsWith("/") || path.chars().anyMatch(c -> c <= ' ' || c >= 0x7f)) {
             throw usage("--path: found \"" + path + "\"; allowed: a path that begins with /");
         }
@@ -308,16 +308,10 @@
         throw usage(option + ": found \"" + text + "\"; allowed: a number over 0");
     }
 
-    private void within(String option, int value, int least, int most) {
-        if (value < least || value > most) {
+    private void within(String option, int value, int min, int max) {
+        if (value < min || value > max) {
             throw usage(
-                    option
-                            + ": found "
-                            + value
-                            + "; allowed: a number from "
-                            + least
-                            + " to "
-                            + most);
+                    option + ": found " + value + "; allowed: a number from " + min + " to " + max);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/command/MembersCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/MembersCommand.java
@@ -136,7 +136,7 @@
                                     figure(f.worst(), 1),
                                     Integer.toString(f.never()),
                                     figure(f.bytesPerSecond(), 0),
-                                    Long.toString(f.mostInSecond())));
+                                    Long.toString(f.maxInSecond())));
                 }
             }
         }
@@ -189,11 +189,11 @@
                                 f.unseen() + " of " + f.pairs(),
                                 figure(f.p50(), 1),
                                 figure(f.p99(), 1),
-                                figure(f.most(), 1),
+                                figure(f.max(), 1),
                                 Long.toString(f.falseDeaths()),
                                 figure(f.bytesPerSecond(), 0),
                                 figure(f.messagesPerSecond(), 1),
-                                Long.toString(f.mostInSecond())));
+                                Long.toString(f.maxInSecond())));
             }
         }
         return print(rows, all);
--- a/lab/src/main/java/cedarrudder/lab/command/MemoryCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/MemoryCommand.java
@@ -19,7 +19,7 @@
         })
 final class MemoryCommand implements Callable<Integer> {
 
-    private static final int MOST_NODES = 100_000;
+    private static final int MAX_NODES = 100_000;
 
     @Spec private CommandSpec spec;
 
@@ -34,10 +34,10 @@
     @Override
     public Integer call() {
         for (int nodes : sizes) {
-            if (nodes < 1 || nodes > MOST_NODES) {
+            if (nodes < 1 || nodes > MAX_NODES) {
                 throw new ParameterException(
                         spec.commandLine(),
-                        "--nodes: found " + nodes + "; allowed: a number from 1 to " + MOST_NODES);
+                        "--nodes: found " + nodes + "; allowed: a number from 1 to " + MAX_NODES);
             }
         }
         spec.commandLine().getOut().println("nodes  bytes a proxy  bytes a proxy and node");
--- a/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
@@ -46,7 +46,7 @@
                         + "rule or was ended early.")
 final class ModelCommand implements Callable<Integer> {
 
-    private static final int MOST_THREADS = 256;
+    private static final int MAX_THREADS = 256;
 
     @Spec private CommandSpec spec;
 
@@ -96,12 +96,9 @@
     @Override
     public Integer call() throws InvalidFileException, IOException, InterruptedException {
         long[] range = seeds.range(spec);
-        if (threads < 1 || threads > MOST_THREADS) {
+        if (threads < 1 || threads > MAX_THREADS) {
             throw usage(
-                    "--threads: found "
-                            + threads
-                            + "; allowed: a number from 1 to "
-                            + MOST_THREADS);
+                    "--threads: found " + threads + "; allowed: a number from 1 to " + MAX_THREADS);
         }
         if (trace != null && range[0] != range[1]) {
             throw usage("--trace: found several seeds; allowed: one");
--- a/lab/src/main/java/cedarrudder/lab/command/Seeds.java
+++ b/lab/src/main/java/cedarrudder/lab/command/Seeds.java
@@ -9,7 +9,7 @@
 /** The options that name one seed or several. */
 final class Seeds {
 
-    private static final int MOST_SEEDS = 100_000;
+    private static final int MAX_SEEDS = 100_000;
     private static final Pattern SEEDS = Pattern.compile("(\\d{1,18})\\.\\.(\\d{1,18})");
 
     @Option(
@@ -34,7 +34,7 @@
         if (parts.matches()) {
             long first = Long.parseLong(parts.group(1));
             long last = Long.parseLong(parts.group(2));
-            if (first <= last && last - first < MOST_SEEDS) {
+            if (first <= last && last - first < MAX_SEEDS) {
                 return new long[] {first, last};
             }
         }
@@ -44,7 +44,7 @@
                         + several
                         + "; allowed: two "
                         + "numbers such as 1..20, at most "
-                        + MOST_SEEDS
+                        + MAX_SEEDS
                         + " seeds");
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
@@ -39,7 +39,7 @@
     private static final long SECOND = 1_000_000_000L;
     private static final long HOUR = 3_600 * SECOND;
     private static final int ZONES = 3;
-    private static final int MOST_WAITING = 2_000;
+    private static final int MAX_WAITING = 2_000;
 
     /**
      * What the network does.
@@ -47,12 +47,12 @@
      * @param loss the share of datagrams that are lost, from 0 to 1
      * @param doubled the share that comes twice
      * @param corrupt the share of which one bit is wrong
-     * @param leastDelay of those that come, in nanoseconds
-     * @param mostDelay the longest; delays are even between the two, so datagrams overtake one
+     * @param minDelay of those that come, in nanoseconds
+     * @param maxDelay the longest; delays are even between the two, so datagrams overtake one
      *     another
      */
     public record Network(
-            double loss, double doubled, double corrupt, long leastDelay, long mostDelay) {}
+            double loss, double doubled, double corrupt, long minDelay, long maxDelay) {}
 
     /**
      * What a copy was told of a proposal of its own.
@@ -67,7 +67,7 @@
         RaftNode make(
                 int[] zones,
                 int self,
-                long life,
+                long incarnation,
                 ConsensusSettings settings,
                 StableStorage store,
                 RandomGenerator random,
@@ -119,7 +119,7 @@
             return offset + (long) (now * drift);
         }
 
-        void start(long life, StableStorage on, boolean keeps) {
+        void start(long incarnation, StableStorage on, boolean keeps) {
             process++;
             sum = 0;
             store = on;
@@ -132,7 +132,9 @@
             Arrays.fill(answered, Long.MIN_VALUE);
             places.forEach(each -> each.sentTo[number] = Long.MIN_VALUE);
             say("started", Map.of("kept", keeps ? "1" : "0"));
-            agreement = maker.make(zones, number, life, settings, on, random.split(), this, own());
+            agreement =
+                    maker.make(
+                            zones, number, incarnation, settings, on, random.split(), this, own());
             ticksAt = Long.MAX_VALUE;
             wake();
         }
@@ -143,7 +145,7 @@
                 return;
             }
             if (now < stalledUntil) {
-                if (waiting.size() < MOST_WAITING) {
+                if (waiting.size() < MAX_WAITING) {
                     waiting.add(what);
                 }
                 return;
@@ -168,7 +170,11 @@
             if (agreement.leads()) {
                 List<Long> asked =
                         agreement.voters().all().stream()
-                                .map(voter -> voter.copy() == number ? now : answered[voter.copy()])
+                                .map(
+                                        voter ->
+                                                voter.replica() == number
+                                                        ? now
+                                                        : answered[voter.replica()])
                                 .sorted(Comparator.reverseOrder())
                                 .toList();
                 reached = Math.max(reached, asked.get(asked.size() / 2));
@@ -242,7 +248,7 @@
                 long reach = reached;
                 long had = target.sentTo[number];
                 at(
-                        now + random.nextLong(network.leastDelay, network.mostDelay + 1),
+                        now + random.nextLong(network.minDelay, network.maxDelay + 1),
                         () -> {
                             if (!blocked(number, to)) {
                                 target.run(
@@ -297,8 +303,8 @@
                                 "as",
                                 Long.toString(
                                         agreement == null
-                                                ? store.kept().promise().life()
-                                                : agreement.life())));
+                                                ? store.kept().promise().incarnation()
+                                                : agreement.incarnation())));
             }
         }
 
@@ -341,7 +347,7 @@
                                 "term",
                                 Long.toString(n.term()),
                                 "as",
-                                Long.toString(n.by().life()),
+                                Long.toString(n.by().incarnation()),
                                 "for",
                                 text(n.candidate())));
             } else if (note instanceof ConsensusEvent.Leads n) {
@@ -353,7 +359,7 @@
                                 "term",
                                 Long.toString(n.term()),
                                 "as",
-                                Long.toString(n.by().life())));
+                                Long.toString(n.by().incarnation())));
             } else if (note instanceof ConsensusEvent.Stored n) {
                 Map<String, String> fields =
                         new HashMap<>(
@@ -363,7 +369,7 @@
                                         "index",
                                         Long.toString(n.index()),
                                         "as",
-                                        Long.toString(n.by().life()),
+                                        Long.toString(n.by().incarnation()),
                                         "sum",
                                         Integer.toHexString(checksum(n.entry().content()))));
                 if (n.entry().kind() == LogEntry.Kind.VOTERS) {
@@ -402,7 +408,7 @@
     private Network network;
     private long now = 1_000 * SECOND;
     private long made;
-    private long lives = 1;
+    private long incarnations = 1;
     private long leadsSince = -1;
 
     /**
@@ -436,7 +442,9 @@
         places.forEach(
                 place ->
                         place.start(
-                                lives++, disks ? new SimulatedDisk() : StableStorage.NONE, false));
+                                incarnations++,
+                                disks ? new SimulatedDisk() : StableStorage.NONE,
+                                false));
     }
 
     private void at(long instant, Runnable what) {
@@ -457,15 +465,21 @@
     private String text(VoterGroup group) {
         return groups.computeIfAbsent(
                 group,
-                g -> String.format(Locale.ROOT, "%08x.%04x.%012x", g.era(), g.founder(), g.life()));
+                g ->
+                        String.format(
+                                Locale.ROOT,
+                                "%08x.%04x.%012x",
+                                g.era(),
+                                g.founder(),
+                                g.incarnation()));
     }
 
     private static String text(Proposal proposal) {
-        return proposal.copy() + ":" + proposal.life() + ":" + proposal.sequence();
+        return proposal.replica() + ":" + proposal.incarnation() + ":" + proposal.sequence();
     }
 
     private static String text(Voter voter) {
-        return voter.copy() + ":" + voter.life();
+        return voter.replica() + ":" + voter.incarnation();
     }
 
     private static String text(VoterSet voters) {
@@ -512,13 +526,13 @@
     /** It starts again, in a new life, with its disk where it has one. */
     public void restart(int number) {
         Place place = places.get(number);
-        place.start(lives++, place.store, place.store.kept() != null);
+        place.start(incarnations++, place.store, place.store.kept() != null);
         tellLives();
     }
 
     /** It starts again and says that it has this life and this store, though it kept nothing. */
-    public void pretend(int number, long life, StableStorage with) {
-        places.get(number).start(life, with, false);
+    public void pretend(int number, long incarnation, StableStorage with) {
+        places.get(number).start(incarnation, with, false);
         tellLives();
     }
 
--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusTrial.java
@@ -27,7 +27,7 @@
      * @param leaderP99 from the death of a leader until another leads, over deaths
      * @param ageP99 of the last sure contact that a copy knows, over copies and seconds
      * @param idle bytes a copy a second, the mean of all copies
-     * @param idleMost that of the copy that sent most
+     * @param maxIdle that of the copy that sent most
      * @param busy the same while something is committed each second
      */
     public record Figures(
@@ -38,18 +38,18 @@
             long commits,
             double commitP50,
             double commitP99,
-            double commitMost,
+            double maxCommit,
             long deaths,
             double leaderP50,
             double leaderP99,
-            double leaderMost,
+            double maxLeader,
             double ageP50,
             double ageP99,
-            double ageMost,
+            double maxAge,
             double idle,
-            double idleMost,
+            double maxIdle,
             double busy,
-            double busyMost) {}
+            double maxBusy) {}
 
     private final int size;
     private final ConsensusSimulation.Network network;
@@ -138,14 +138,14 @@
             }
         }
         double all = 0;
-        double most = 0;
+        double max = 0;
         for (int i = 0; i < size; i++) {
             double own = (copies.bytes(i) - before[i]) / (double) SPAN;
             all += own;
-            most = Math.max(most, own);
+            max = Math.max(max, own);
         }
         bytes[at] += all / size;
-        bytes[at + 1] += most;
+        bytes[at + 1] += max;
     }
 
     private void commit(ConsensusSimulation copies) {
--- a/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
@@ -216,8 +216,8 @@
                         Math.min(network.loss(), 0.1),
                         0,
                         0,
-                        network.leastDelay(),
-                        network.mostDelay()));
+                        network.minDelay(),
+                        network.maxDelay()));
         copies.play(8 * SECOND);
         long from = copies.now();
         boolean taken = false;
