--- a/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
@@ -35,14 +35,14 @@
 
     private static final long SECOND = 1_000_000_000L;
     private static final long HOUR = 3_600 * SECOND;
-    private static final int MOST_WAITING = 2_000;
+    private static final int MAX_WAITING = 2_000;
 
     /** What makes a copy's part, with its subjects and its room. */
     public interface Maker {
         CoordinatedReplica make(
                 int[] zones,
                 int self,
-                long life,
+                long incarnation,
                 StableStorage store,
                 RandomGenerator random,
                 CoordinatedReplica.Actions outlet,
@@ -51,11 +51,11 @@
 
     /** One whose zones keep their callers, and that has room for all. */
     public static Maker plain(ConsensusSettings agreed, CoordinationSettings settings) {
-        return (zones, self, life, store, random, outlet, now) ->
+        return (zones, self, incarnation, store, random, outlet, now) ->
                 new CoordinatedReplica(
                         zones,
                         self,
-                        life,
+                        incarnation,
                         agreed,
                         settings,
                         store,
@@ -81,7 +81,7 @@
         final double drift = 1 + random.nextDouble(-1, 1) / CoordinationSettings.DRIFT;
         final Deque<Runnable> waiting = new ArrayDeque<>();
         StableStorage store = StableStorage.NONE;
-        CoordinatedReplica copy;
+        CoordinatedReplica replica;
         RouteTable table;
         long until;
         List<RouteTable.Leaving> leaving = List.of();
@@ -99,7 +99,7 @@
             return offset + (long) (now * drift);
         }
 
-        void start(long life, StableStorage on, boolean keeps) {
+        void start(long incarnation, StableStorage on, boolean keeps) {
             process++;
             store = on;
             stalledUntil = 0;
@@ -107,18 +107,18 @@
             table = null;
             leaving = List.of();
             noted("started", Map.of("kept", keeps ? "1" : "0"));
-            copy = maker.make(zones, number, life, on, random.split(), this, own());
+            replica = maker.make(zones, number, incarnation, on, random.split(), this, own());
             ticksAt = Long.MAX_VALUE;
             wake();
         }
 
         /** Does it now, or where it stands still, as soon as it goes on. */
         void run(long of, Runnable what) {
-            if (of != process || copy == null) {
+            if (of != process || replica == null) {
                 return;
             }
             if (now < stalledUntil) {
-                if (waiting.size() < MOST_WAITING) {
+                if (waiting.size() < MAX_WAITING) {
                     waiting.add(what);
                 }
                 return;
@@ -128,7 +128,7 @@
         }
 
         void resume(long of) {
-            if (of == process && copy != null && now >= stalledUntil) {
+            if (of == process && replica != null && now >= stalledUntil) {
                 while (!waiting.isEmpty()) {
                     waiting.remove().run();
                 }
@@ -137,7 +137,7 @@
         }
 
         private void wake() {
-            long at = Math.max(now + 1, (long) Math.ceil((copy.due() - offset) / drift) + 1);
+            long at = Math.max(now + 1, (long) Math.ceil((replica.due() - offset) / drift) + 1);
             if (at < ticksAt || ticksAt <= now) {
                 ticksAt = at;
                 long of = process;
@@ -146,7 +146,7 @@
                         () -> {
                             if (of == process && ticksAt == at) {
                                 ticksAt = Long.MAX_VALUE;
-                                run(of, () -> copy.tick(own()));
+                                run(of, () -> replica.tick(own()));
                             }
                         });
             }
@@ -168,12 +168,12 @@
                     comes[random.nextInt(comes.length)] ^= (byte) (1 << random.nextInt(8));
                 }
                 at(
-                        now + random.nextLong(network.leastDelay(), network.mostDelay() + 1),
+                        now + random.nextLong(network.minDelay(), network.maxDelay() + 1),
                         () -> {
                             if (!cut[number][to]) {
                                 target.run(
                                         target.process,
-                                        () -> target.copy.received(target.own(), number, comes));
+                                        () -> target.replica.received(target.own(), number, comes));
                             }
                         });
             }
@@ -221,7 +221,7 @@
     private Filter filter = (from, to, datagram) -> true;
     private long now = 1_000 * SECOND;
     private long made;
-    private long lives = 1;
+    private long incarnations = 1;
 
     /**
      * Starts all copies at once, in no group.
@@ -249,7 +249,9 @@
         places.forEach(
                 place ->
                         place.start(
-                                lives++, disks ? new SimulatedDisk() : StableStorage.NONE, false));
+                                incarnations++,
+                                disks ? new SimulatedDisk() : StableStorage.NONE,
+                                false));
     }
 
     private void at(long instant, Runnable what) {
@@ -288,7 +290,7 @@
     /** This one is gone without a word. */
     public void kill(int number) {
         Place place = places.get(number);
-        place.copy = null;
+        place.replica = null;
         place.table = null;
         place.process++;
         if (place.store instanceof SimulatedDisk disk) {
@@ -300,7 +302,7 @@
     /** It starts again, in a new life, with its disk where it has one. */
     public void restart(int number) {
         Place place = places.get(number);
-        place.start(lives++, place.store, place.store.kept() != null);
+        place.start(incarnations++, place.store, place.store.kept() != null);
         tellLives();
     }
 
@@ -340,10 +342,10 @@
     private void tellLives() {
         for (Place place : places) {
             for (Place other : places) {
-                if (place != other && place.copy != null) {
-                    place.copy.lives(
+                if (place != other && place.replica != null) {
+                    place.replica.lives(
                             other.number,
-                            other.copy != null
+                            other.replica != null
                                     && !cut[place.number][other.number]
                                     && !cut[other.number][place.number]);
                 }
@@ -354,7 +356,7 @@
     /** An operator has it form a group. */
     public void form(int number) {
         Place place = places.get(number);
-        place.run(place.process, () -> place.copy.form(place.own()));
+        place.run(place.process, () -> place.replica.form(place.own()));
     }
 
     /** An operator asks for something at this copy; false where it does not take it. */
@@ -362,7 +364,8 @@
         Place place = places.get(number);
         Proposal[] made = new Proposal[1];
         place.run(
-                place.process, () -> made[0] = place.copy.propose(place.own(), command, patience));
+                place.process,
+                () -> made[0] = place.replica.propose(place.own(), command, patience));
         return made[0] != null;
     }
 
@@ -374,7 +377,7 @@
     /** Gives a copy bytes as if from another. */
     public void inject(int to, int from, byte[] bytes) {
         Place place = places.get(to);
-        place.run(place.process, () -> place.copy.received(place.own(), from, bytes));
+        place.run(place.process, () -> place.replica.received(place.own(), from, bytes));
     }
 
     // ---- what is seen ----
@@ -384,12 +387,12 @@
     }
 
     public boolean runs(int number) {
-        return places.get(number).copy != null;
+        return places.get(number).replica != null;
     }
 
     /** A copy's part; null where it doesn't run. */
     public CoordinatedReplica view(int number) {
-        return places.get(number).copy;
+        return places.get(number).replica;
     }
 
     /**
@@ -413,9 +416,9 @@
     public int leader() {
         int found = -1;
         for (Place place : places) {
-            if (place.copy != null
+            if (place.replica != null
                     && now >= place.stalledUntil
-                    && place.copy.status(place.own()).leads()
+                    && place.replica.status(place.own()).leads()
                     && (found < 0 || newer(place, places.get(found)))) {
                 found = place.number;
             }
@@ -424,8 +427,8 @@
     }
 
     private static boolean newer(Place one, Place other) {
-        CoordinatedReplica.Status a = one.copy.status(one.own());
-        CoordinatedReplica.Status b = other.copy.status(other.own());
+        CoordinatedReplica.Status a = one.replica.status(one.own());
+        CoordinatedReplica.Status b = other.replica.status(other.own());
         int byGroup = a.group().compareTo(b.group());
         return byGroup > 0 || byGroup == 0 && a.term() > b.term();
     }
@@ -434,7 +437,7 @@
     public boolean agree() {
         Map<RouteTable, Integer> used = new HashMap<>();
         for (Place place : places) {
-            if (place.copy != null) {
+            if (place.replica != null) {
                 used.merge(uses(place.number), 1, Integer::sum);
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/emulator/ClientConnections.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ClientConnections.java
@@ -68,7 +68,7 @@
     /** A connection, which carries one try at a time. */
     final class Link extends ChannelInboundHandlerAdapter {
         private final HttpDecoder decoder =
-                HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+                HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         private Channel channel;
         private WireRequest current;
         private boolean used;
--- a/lab/src/main/java/cedarrudder/lab/emulator/DiscoveryServer.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/DiscoveryServer.java
@@ -177,7 +177,7 @@
     private final class Connection extends ChannelInboundHandlerAdapter
             implements DiscoveryClientModel {
         private final HttpDecoder decoder =
-                HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+                HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         private Channel channel;
         private boolean watches;
         private boolean answering;
--- a/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
@@ -57,15 +57,15 @@
     /** The process of this life; null where there is none. */
     private volatile SupervisedProcess process;
 
-    private volatile int life;
+    private volatile int incarnation;
     private boolean running;
     private boolean leaving;
     private Runnable whenReady = () -> {};
 
     /** The most that a process of it held. */
-    private long mostKib;
+    private long maxKib;
 
-    private long mostDescriptors;
+    private long maxDescriptors;
     private double cpuSeconds;
 
     EmulatedProxy(Emulation emulation, Run run, int number, int tier, int self, int zone) {
@@ -115,7 +115,7 @@
 
     @Override
     protected void start(Runnable ready) {
-        int own = ++life;
+        int own = ++incarnation;
         running = true;
         leaving = false;
         whenReady = ready;
@@ -154,7 +154,7 @@
     private Map<String, String> environment() throws IOException {
         Path temporary =
                 Files.createDirectories(
-                        emulation.place.folder().resolve("tmp-" + number + "-" + life));
+                        emulation.place.folder().resolve("tmp-" + number + "-" + incarnation));
         return Map.of(
                 "BALANCER_NAME",
                 name(),
@@ -175,7 +175,8 @@
     private ObjectNode configuration() {
         Scenario scenario = run.scenario;
         LoadBalancer.BalancerSettings settings = run.world.settings(tier, self, zone);
-        long seed = run.streams.seedOf(Streams.Concern.MODULE, (long) number << 32 | life - 1);
+        long seed =
+                run.streams.seedOf(Streams.Concern.MODULE, (long) number << 32 | incarnation - 1);
         ObjectNode json =
                 JsonNodeFactory.instance
                         .objectNode()
@@ -225,7 +226,7 @@
     }
 
     private void started(int own, SupervisedProcess started) {
-        if (own != life || !running) {
+        if (own != incarnation || !running) {
             started.kill(); // it died before it was there
             return;
         }
@@ -239,14 +240,14 @@
 
     private void healthy(int own, boolean healthy) {
         emulation.started();
-        if (own == life && running && healthy) {
+        if (own == incarnation && running && healthy) {
             whenReady.run();
         }
     }
 
     /** A process of it has ended. One that nobody ended has crashed. */
     private void exited(int own, int code) {
-        if (own != life || !running) {
+        if (own != incarnation || !running) {
             return;
         }
         running = false;
@@ -325,7 +326,7 @@
                 new ResourceUsage.Sample(
                         second,
                         number,
-                        life,
+                        incarnation,
                         now.residentKib(),
                         now.descriptors(),
                         now.cpuSeconds());
@@ -333,12 +334,12 @@
             return; // it ended meanwhile
         }
         held.add(sample);
-        mostKib = Math.max(mostKib, sample.residentKib());
-        mostDescriptors = Math.max(mostDescriptors, sample.descriptors());
+        maxKib = Math.max(maxKib, sample.residentKib());
+        maxDescriptors = Math.max(maxDescriptors, sample.descriptors());
         cpuSeconds = Math.max(cpuSeconds, sample.cpuSeconds());
-        int most = emulation.place.memoryMb();
-        if (most > 0 && mostKib > most * KIB_OF_A_MIB) {
-            long found = mostKib;
+        int max = emulation.place.memoryMb();
+        if (max > 0 && maxKib > max * KIB_OF_A_MIB) {
+            long found = maxKib;
             emulation.loop.execute(
                     () ->
                             emulation.find(
@@ -347,17 +348,17 @@
                                             + " held "
                                             + found
                                             + " KiB of memory; "
-                                            + most
+                                            + max
                                             + " MiB are allowed"));
         }
     }
 
-    synchronized long mostKib() {
-        return mostKib;
+    synchronized long maxKib() {
+        return maxKib;
     }
 
-    synchronized long mostDescriptors() {
-        return mostDescriptors;
+    synchronized long maxDescriptors() {
+        return maxDescriptors;
     }
 
     synchronized double cpuSeconds() {
--- a/lab/src/main/java/cedarrudder/lab/emulator/EmulationResult.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EmulationResult.java
@@ -24,8 +24,8 @@
     /**
      * How late the emulator played its parts, in milliseconds: its timers, its nodes, its clients.
      *
-     * @param mostAt when it was latest, in seconds since the run's start
-     * @param mostInLead the same in the lead, which isn't counted: there the emulator itself is
+     * @param maxAt when it was latest, in seconds since the run's start
+     * @param maxInLead the same in the lead, which isn't counted: there the emulator itself is
      *     still cold
      * @param ranLate whether it was too late for the run to count: then it is the machine that was
      *     busy
@@ -35,9 +35,9 @@
             long events,
             double p50,
             double p99,
-            double most,
-            double mostAt,
-            double mostInLead,
+            double max,
+            double maxAt,
+            double maxInLead,
             boolean ranLate,
             double readySeconds) {}
 
@@ -48,7 +48,7 @@
     /**
      * Medians over the processes and seconds of a quarter of the run, and the most that one held.
      */
-    public record Quarter(double residentKib, double descriptors, long mostKib) {}
+    public record Quarter(double residentKib, double descriptors, long maxKib) {}
 
     /** Whether nothing was found: no rule broken, nothing lost, and a run that can be trusted. */
     public boolean clean() {
--- a/lab/src/main/java/cedarrudder/lab/emulator/Emulator.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Emulator.java
@@ -42,7 +42,7 @@
      */
     private static final double LATE_P99 = 5;
 
-    private static final double LATE_MOST = 100;
+    private static final double MAX_LATE = 100;
 
     /** A second as clients saw it. */
     public record Second(
@@ -224,17 +224,17 @@
         RunResult result = emulation.run().result().judged(referee.breaches());
         var late = emulation.time.late();
         double p99 = late.getValueAtPercentile(99) / 1000.0;
-        double most = late.getMaxValue() / 1000.0;
-        double lead = emulation.time.mostBefore() / 1e6;
+        double max = late.getMaxValue() / 1000.0;
+        double lead = emulation.time.maxBefore() / 1e6;
         EmulationResult.Own own =
                 new EmulationResult.Own(
                         late.getTotalCount(),
                         late.getValueAtPercentile(50) / 1000.0,
                         p99,
-                        most,
-                        (emulation.time.mostAt() - Model.START) / 1e9,
+                        max,
+                        (emulation.time.maxAt() - Model.START) / 1e9,
                         lead,
-                        p99 > LATE_P99 || most > LATE_MOST,
+                        p99 > LATE_P99 || max > MAX_LATE,
                         readySeconds);
         List<EmulationResult.ProxyUse> uses =
                 emulation.proxies().stream()
@@ -243,8 +243,8 @@
                                         new EmulationResult.ProxyUse(
                                                 proxy.number,
                                                 emulation.run().world.tiers.get(proxy.tier).name(),
-                                                proxy.mostKib(),
-                                                proxy.mostDescriptors(),
+                                                proxy.maxKib(),
+                                                proxy.maxDescriptors(),
                                                 proxy.cpuSeconds()))
                         .toList();
         return new EmulationResult(
--- a/lab/src/main/java/cedarrudder/lab/emulator/EndpointServer.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EndpointServer.java
@@ -64,7 +64,7 @@
     void changed() {
         if (node.up() || node.hears()) {
             List.copyOf(connections).stream()
-                    .filter(each -> each.life != node.life)
+                    .filter(each -> each.incarnation != node.incarnation)
                     .forEach(Connection::reset);
         }
         look();
@@ -76,17 +76,17 @@
         Listening.Mode mode =
                 !through
                         ? Listening.Mode.SILENT
-                        : node.up() && node.connections < mostConnections()
+                        : node.up() && node.connections < maxConnections()
                                 ? Listening.Mode.OPEN
                                 : Listening.Mode.REFUSES;
         doors.values().forEach(door -> door.set(mode));
     }
 
-    private double mostConnections() {
-        double most = node.drawn.connections() * node.kind.cores();
+    private double maxConnections() {
+        double max = node.drawn.connections() * node.kind.cores();
         return emulation.wires.on(node, WireTrouble.FEW_CONNECTIONS)
-                ? Math.min(most, doors.size())
-                : most;
+                ? Math.min(max, doors.size())
+                : max;
     }
 
     private void sweep() {
@@ -108,11 +108,11 @@
     final class Connection extends ChannelInboundHandlerAdapter {
         private final EmulatedProxy proxy;
         private final HttpDecoder decoder =
-                HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+                HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         private Channel channel;
 
         /** The life of the machine that accepted it. */
-        private int life;
+        private int incarnation;
 
         private boolean counted;
         private long since;
@@ -138,7 +138,7 @@
 
         private void accept() {
             connections.add(this);
-            life = node.life;
+            incarnation = node.incarnation;
             since = emulation.now();
             shakenAt = since + (long) (2 * node.drawn.handshakeTrips() * oneWay());
             if (emulation.wires.on(node, WireTrouble.RESET_BEFORE) || !node.accepts()) {
@@ -206,7 +206,7 @@
             emulation.after(
                     arrives,
                     () -> {
-                        if (job == next && life == node.life && node.hears()) {
+                        if (job == next && incarnation == node.incarnation && node.hears()) {
                             node.arrive(next);
                         }
                     });
@@ -225,7 +225,7 @@
         }
 
         private void probe() {
-            if (life != node.life
+            if (incarnation != node.incarnation
                     || !node.hears()
                     || emulation.wires.on(node, WireTrouble.PROBES_UNANSWERED)) {
                 return;
@@ -235,7 +235,7 @@
                             emulation.after(
                                     oneWay(),
                                     () -> {
-                                        if (node.speaks() && life == node.life) {
+                                        if (node.speaks() && incarnation == node.incarnation) {
                                             write(
                                                     how == Outcome.OK
                                                             ? "200 OK"
@@ -263,7 +263,7 @@
             emulation.after(
                     oneWay(),
                     () -> {
-                        if (job != done || !node.speaks() || life != node.life) {
+                        if (job != done || !node.speaks() || incarnation != node.incarnation) {
                             return;
                         }
                         job = null;
@@ -321,7 +321,7 @@
             emulation.time.turn(
                     () -> {
                         connections.remove(this);
-                        if (counted && life == node.life) {
+                        if (counted && incarnation == node.incarnation) {
                             node.connections--;
                             look();
                         }
@@ -332,7 +332,7 @@
                             emulation.after(
                                     oneWay(),
                                     () -> {
-                                        if (life == node.life && node.hears()) {
+                                        if (incarnation == node.incarnation && node.hears()) {
                                             node.left(left);
                                         }
                                     });
--- a/lab/src/main/java/cedarrudder/lab/emulator/Listening.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Listening.java
@@ -39,7 +39,7 @@
     /** Until the system has let go of the listener before. */
     private static final long AGAIN_MICROS = 500;
 
-    private static final int MOST_TRIES = 4000;
+    private static final int MAX_TRIES = 4000;
 
     private final EventLoop loop;
     private final Port port;
@@ -123,7 +123,7 @@
                         if (silent) {
                             fill();
                         }
-                    } else if (tries < MOST_TRIES) {
+                    } else if (tries < MAX_TRIES) {
                         loop.schedule(
                                 () -> {
                                     if (change == changes) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/MalformedAnswers.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/MalformedAnswers.java
@@ -21,7 +21,7 @@
         switch (trouble) {
             case GARBLE -> text(to, "\u0000\u0007 no answer at all \u00ff\r\n\r\n");
             case TOO_LONG ->
-                    bytes(to, HttpDecoder.MOST_BODY + 1, new byte[HttpDecoder.MOST_BODY + 1]);
+                    bytes(to, HttpDecoder.MAX_BODY + 1, new byte[HttpDecoder.MAX_BODY + 1]);
             case TOO_SHORT -> {
                 bytes(to, body.length + 1, body);
                 to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
--- a/lab/src/main/java/cedarrudder/lab/emulator/RealTimeClock.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/RealTimeClock.java
@@ -23,8 +23,8 @@
     private final Histogram late = new Histogram(DIGITS);
     private EventQueue agenda;
     private long offset;
-    private long most;
-    private long mostAt;
+    private long max;
+    private long maxAt;
     private long before;
     private ScheduledFuture<?> timer;
     private long timerAt = Long.MAX_VALUE;
@@ -82,9 +82,9 @@
     private void due() {
         while (!over && agenda.next(now())) {
             long by = Math.max(0, now() - agenda.now());
-            if (by > most) {
-                most = by;
-                mostAt = agenda.now();
+            if (by > max) {
+                max = by;
+                maxAt = agenda.now();
             }
             late.recordValue(by / 1000);
         }
@@ -125,19 +125,19 @@
 
     /** Lateness counts from now on. */
     void measureAnew() {
-        before = most;
-        most = 0;
+        before = max;
+        max = 0;
         late.reset();
     }
 
     /** By how much the latest event came late before lateness counted, in nanoseconds. */
-    long mostBefore() {
+    long maxBefore() {
         return before;
     }
 
     /** The instant of the event that came latest. */
-    long mostAt() {
-        return mostAt;
+    long maxAt() {
+        return maxAt;
     }
 
     /** How late events came, in microseconds. */
--- a/lab/src/main/java/cedarrudder/lab/emulator/ReorderBuffer.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ReorderBuffer.java
@@ -33,7 +33,7 @@
         OTHER
     }
 
-    private record Held(long at, What what, long rpc, int attempt, Passing passing) {}
+    private record Held(long at, What what, long request, int attempt, Passing passing) {}
 
     private final Trace next;
     private Deque<Held> held = new ArrayDeque<>();
@@ -42,11 +42,11 @@
         this.next = next;
     }
 
-    private void add(long now, What what, long rpc, int attempt, Passing passing) {
+    private void add(long now, What what, long request, int attempt, Passing passing) {
         while (!held.isEmpty() && held.peek().at <= now - HOLD) {
             pass(held.poll());
         }
-        held.add(new Held(now, what, rpc, attempt, passing));
+        held.add(new Held(now, what, request, attempt, passing));
     }
 
     private void pass(Held event) {
@@ -61,22 +61,22 @@
 
     /** Adds an event before the first of its RPC that it must not come after. */
     private void addBefore(
-            What first, long now, What what, long rpc, int attempt, Passing passing) {
+            What first, long now, What what, long request, int attempt, Passing passing) {
         Held before = null;
         for (Held event : held) {
             if (event.what == first
-                    && event.rpc == rpc
+                    && event.request == request
                     && (first == What.OVER || event.attempt > attempt)) {
                 before = event;
                 break;
             }
         }
         if (before == null || before.at <= now - HOLD) {
-            add(now, what, rpc, attempt, passing);
+            add(now, what, request, attempt, passing);
             return;
         }
         List<Held> all = new ArrayList<>(held);
-        all.add(all.indexOf(before), new Held(before.at, what, rpc, attempt, passing));
+        all.add(all.indexOf(before), new Held(before.at, what, request, attempt, passing));
         held = new ArrayDeque<>(all);
     }
 
@@ -116,7 +116,7 @@
     public void taken(
             long now,
             int proxy,
-            long rpc,
+            long request,
             Idempotency effect,
             KeyScope scope,
             long repeatWindow,
@@ -124,50 +124,56 @@
         add(
                 now,
                 What.OTHER,
-                rpc,
+                request,
                 -1,
-                (trace, at) -> trace.taken(at, proxy, rpc, effect, scope, repeatWindow, deadline));
+                (trace, at) ->
+                        trace.taken(at, proxy, request, effect, scope, repeatWindow, deadline));
     }
 
     @Override
-    public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {
+    public void sent(long now, int proxy, long request, int attempt, long endpoint, double work) {
         addBefore(
                 What.OVER,
                 now,
                 What.SENT,
-                rpc,
+                request,
                 attempt,
-                (trace, at) -> trace.sent(at, proxy, rpc, attempt, endpoint, work));
+                (trace, at) -> trace.sent(at, proxy, request, attempt, endpoint, work));
     }
 
     @Override
-    public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) {
-        Passing passing = (trace, at) -> trace.ended(at, proxy, rpc, attempt, outcome);
+    public void ended(long now, int proxy, long request, int attempt, Outcome outcome) {
+        Passing passing = (trace, at) -> trace.ended(at, proxy, request, attempt, outcome);
         if (outcome == Outcome.CANCELLED) {
-            addBefore(What.SENT, now, What.OTHER, rpc, attempt, passing);
+            addBefore(What.SENT, now, What.OTHER, request, attempt, passing);
         } else {
-            add(now, What.OTHER, rpc, attempt, passing);
+            add(now, What.OTHER, request, attempt, passing);
         }
     }
 
     @Override
-    public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {
+    public void reached(long now, int proxy, long request, int attempt, long endpoint) {
         add(
                 now,
                 What.OTHER,
-                rpc,
+                request,
                 attempt,
-                (trace, at) -> trace.reached(at, proxy, rpc, attempt, endpoint));
+                (trace, at) -> trace.reached(at, proxy, request, attempt, endpoint));
     }
 
     @Override
-    public void answered(long now, int proxy, long rpc, Final how, int attempt) {
-        add(now, What.OVER, rpc, -1, (trace, at) -> trace.answered(at, proxy, rpc, how, attempt));
+    public void answered(long now, int proxy, long request, Final how, int attempt) {
+        add(
+                now,
+                What.OVER,
+                request,
+                -1,
+                (trace, at) -> trace.answered(at, proxy, request, how, attempt));
     }
 
     @Override
-    public void callerLeft(long now, int proxy, long rpc) {
-        add(now, What.OVER, rpc, -1, (trace, at) -> trace.callerLeft(at, proxy, rpc));
+    public void callerLeft(long now, int proxy, long request) {
+        add(now, What.OVER, request, -1, (trace, at) -> trace.callerLeft(at, proxy, request));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/emulator/ResourceUsage.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ResourceUsage.java
@@ -28,13 +28,13 @@
     /**
      * One look at one process.
      *
-     * @param life counts the processes of this proxy, from 1
+     * @param incarnation counts the processes of this proxy, from 1
      * @param cpuSeconds of this process since its start
      */
     record Sample(
             int second,
             int proxy,
-            int life,
+            int incarnation,
             long residentKib,
             long descriptors,
             double cpuSeconds) {}
--- a/lab/src/main/java/cedarrudder/lab/emulator/ServerWarmup.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ServerWarmup.java
@@ -30,8 +30,8 @@
     private ServerWarmup() {}
 
     static void up() {
-        HttpDecoder requests = HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
-        HttpDecoder answers = HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+        HttpDecoder requests = HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
+        HttpDecoder answers = HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         ByteBuf request = Unpooled.wrappedBuffer(REQUEST);
         ByteBuf answer = Unpooled.wrappedBuffer(ANSWER);
         try {
--- a/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
@@ -20,7 +20,7 @@
     static ObjectNode of(
             LoadBalancer.BalancerSettings settings, Scenario scenario, Scenario.Tier tier) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
-        json.put("balancers", settings.copies())
+        json.put("balancers", settings.replicas())
                 .put("ordinal", settings.self())
                 .put("layer", settings.tier())
                 .put("zone", settings.zone())
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireJob.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireJob.java
@@ -64,10 +64,10 @@
     /** The node has read it; whoever judges knows it as sent. */
     void sent() {
         run.ledger.tiers[node.tier].attempts++;
-        run.ledger.tiers[node.tier].copies += of.out > 0 ? 1 : 0;
+        run.ledger.tiers[node.tier].replicas += of.out > 0 ? 1 : 0;
         run.ledger.attempt(emulation.now(), node.tier);
         of.out++;
-        run.trace.sent(emulation.now(), of.proxy().number, of.rpc(), number, endpoint, work);
+        run.trace.sent(emulation.now(), of.proxy().number, of.request(), number, endpoint, work);
     }
 
     /** It is over for the proxy; the first end counts. */
@@ -78,7 +78,7 @@
         ended = true;
         of.out--;
         run.ledger.tiers[node.tier].outcomes[outcome.ordinal()]++;
-        run.trace.ended(emulation.now(), of.proxy().number, of.rpc(), number, outcome);
+        run.trace.ended(emulation.now(), of.proxy().number, of.request(), number, outcome);
     }
 
     @Override
@@ -88,7 +88,7 @@
 
     @Override
     protected void reached() {
-        run.trace.reached(emulation.now(), of.proxy().number, of.rpc(), number, endpoint);
+        run.trace.reached(emulation.now(), of.proxy().number, of.request(), number, endpoint);
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireRequest.java
@@ -37,7 +37,7 @@
     private final List<WireJob> jobs = new ArrayList<>();
 
     /** Its number in the trace; -1 before it is on the wire. */
-    private long rpc = -1;
+    private long request = -1;
 
     /** The connection that it is on; null before and after. */
     private ClientConnections.Link link;
@@ -73,8 +73,8 @@
         return what;
     }
 
-    long rpc() {
-        return rpc;
+    long request() {
+        return request;
     }
 
     EmulatedProxy proxy() {
@@ -116,13 +116,13 @@
     ByteBuf bytes(ClientConnections.Link on) {
         link = on;
         long now = emulation.now();
-        rpc = run.nextRpc();
-        counts().rpcs++;
+        request = run.nextRequest();
+        counts().requests++;
         emulation.onTheWire(this);
         run.trace.taken(
                 now,
                 proxy.number,
-                rpc,
+                request,
                 kind.effect(),
                 kind.keyScope(),
                 kind.repeatWindow(),
@@ -222,7 +222,7 @@
 
     private void end(Final how, int attempt) {
         ended = true;
-        run.trace.answered(emulation.now(), proxy.number, rpc, how, attempt);
+        run.trace.answered(emulation.now(), proxy.number, request, how, attempt);
     }
 
     /** Its connection broke before a whole answer, or brought what can't be read. */
@@ -238,7 +238,7 @@
     /** A close of the connection crossed it: the proxy has not read it, and it goes once more. */
     void crossed() {
         link = null;
-        run.trace.callerLeft(emulation.now(), proxy.number, rpc);
+        run.trace.callerLeft(emulation.now(), proxy.number, request);
         if (!left) {
             proxy.calls().sendAnew(this);
         }
@@ -277,7 +277,7 @@
             return;
         }
         if (emulation.now() < what.deadline()) {
-            run.trace.callerLeft(emulation.now(), proxy.number, rpc);
+            run.trace.callerLeft(emulation.now(), proxy.number, request);
             link.hangUp();
             return;
         }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Bootstrap.java
@@ -37,7 +37,7 @@
     }
 
     /** With fewer values a resample says nothing. */
-    private static final int LEAST = 3;
+    private static final int MIN = 3;
 
     private static final int RESAMPLES = 10_000;
     private static final long SEED = 19_870_301;
@@ -53,7 +53,7 @@
     /** The interval of the mean of independent values. */
     public static Interval mean(double[] values) {
         int n = values.length;
-        if (n < LEAST) {
+        if (n < MIN) {
             return Interval.NONE;
         }
         RandomGenerator random = random();
@@ -92,17 +92,17 @@
             double[] sorted, double estimate, double acceleration, double quantile) {
         double below =
                 Arrays.stream(sorted).map(v -> v < estimate ? 1 : v == estimate ? 0.5 : 0).sum();
-        double least = 0.5 / sorted.length;
+        double min = 0.5 / sorted.length;
         double bias =
                 NORMAL.inverseCumulativeProbability(
-                        Math.max(least, Math.min(1 - least, below / sorted.length)));
+                        Math.max(min, Math.min(1 - min, below / sorted.length)));
         Percentile percentile = new Percentile();
         percentile.setData(sorted);
         double[] ends = new double[2];
         for (int i = 0; i < 2; i++) {
             double z = bias + (i == 0 ? -quantile : quantile);
             double share = NORMAL.cumulativeProbability(bias + z / (1 - acceleration * z));
-            ends[i] = percentile.evaluate(100 * Math.max(least, Math.min(1 - least, share)));
+            ends[i] = percentile.evaluate(100 * Math.max(min, Math.min(1 - min, share)));
         }
         return new Interval(ends[0], ends[1]);
     }
@@ -117,7 +117,7 @@
      */
     public static Interval spearmanInterval(double[] a, double[] b) {
         int n = a.length;
-        if (n < LEAST) {
+        if (n < MIN) {
             return Interval.NONE;
         }
         RandomGenerator random = random();
--- a/lab/src/main/java/cedarrudder/lab/experiment/Change.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Change.java
@@ -94,23 +94,23 @@
             return this;
         }
 
-        Section whole(String key, String setting, int least, int most) {
+        Section whole(String key, String setting, int min, int max) {
             if (table.has(key)) {
-                add(key, setting, (int) table.whole(key, least, most));
+                add(key, setting, (int) table.whole(key, min, max));
             }
             return this;
         }
 
-        Section number(String key, String setting, double least, double most) {
+        Section number(String key, String setting, double min, double max) {
             if (table.has(key)) {
-                add(key, setting, table.number(key, least, most));
+                add(key, setting, table.number(key, min, max));
             }
             return this;
         }
 
-        Section range(String key, String setting, double least, double most, double unit) {
+        Section range(String key, String setting, double min, double max, double unit) {
             if (table.has(key)) {
-                double[] ends = table.range(key, least, most, null);
+                double[] ends = table.range(key, min, max, null);
                 add(key, setting, new Draw(ends[0] * unit, ends[1] * unit));
             }
             return this;
--- a/lab/src/main/java/cedarrudder/lab/experiment/Correlation.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Correlation.java
@@ -24,7 +24,7 @@
     private static final List<String> HEADS = List.of("variant", "kind", "mean");
     private static final CSVFormat FORMAT =
             CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).setTrim(true).get();
-    private static final int LEAST = 3;
+    private static final int MIN = 3;
 
     /** A variant and the kind of day it was on. */
     private record Cell(String variant, String kind) {}
@@ -40,7 +40,7 @@
         Map<Cell, Double> a = read(first);
         Map<Cell, Double> b = read(second);
         List<Cell> both = a.keySet().stream().filter(b::containsKey).toList();
-        if (both.size() < LEAST) {
+        if (both.size() < MIN) {
             throw new IOException(
                     "only "
                             + both.size()
@@ -49,7 +49,7 @@
                             + " and "
                             + second
                             + " match by variant and kind; at least "
-                            + LEAST
+                            + MIN
                             + " are needed");
         }
         List<Correlation> found = new ArrayList<>();
--- a/lab/src/main/java/cedarrudder/lab/experiment/Curves.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Curves.java
@@ -19,7 +19,7 @@
     private static final double BACK = 0.95;
 
     /** Groups of fewer first tries say nothing of a share. */
-    private static final int LEAST_GROUP = 20;
+    private static final int MIN_GROUP = 20;
 
     private Curves() {}
 
@@ -42,8 +42,8 @@
         return worst;
     }
 
-    private static double attempts(RunResult run, int from, int to, double least) {
-        double most = least;
+    private static double attempts(RunResult run, int from, int to, double min) {
+        double max = min;
         for (int tier = 0; tier < run.tiers().size(); tier++) {
             double sent = 0;
             double tries = 0;
@@ -51,9 +51,9 @@
                 sent += second.byTier().get(tier);
                 tries += second.tries();
             }
-            most = Math.max(most, sent / Math.max(1, tries * run.tiers().get(tier).visits()));
+            max = Math.max(max, sent / Math.max(1, tries * run.tiers().get(tier).visits()));
         }
-        return most;
+        return max;
     }
 
     /**
@@ -109,7 +109,7 @@
      */
     static double shedOrder(RunResult run) {
         List<RunResult.Group> groups =
-                run.groups().stream().filter(g -> g.requests() >= LEAST_GROUP).toList();
+                run.groups().stream().filter(g -> g.requests() >= MIN_GROUP).toList();
         double[] worth = groups.stream().mapToDouble(RunResult.Group::worthPerWork).toArray();
         double[] unserved =
                 groups.stream().mapToDouble(g -> (double) g.unserved() / g.requests()).toArray();
--- a/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
@@ -37,7 +37,7 @@
     private static final String SEED_RANGE = "the first and the last seed, such as \"1..20\"";
 
     /** Guards against a slip of the keyboard that would run for weeks. */
-    private static final long MOST_SEEDS = 10_000;
+    private static final long MAX_SEEDS = 10_000;
 
     private static final double ANY = 1e12;
     private static final List<Metric> USUAL =
@@ -129,9 +129,9 @@
         }
         long first = Long.parseLong(range.group(1));
         long last = Long.parseLong(range.group(2));
-        if (last < first || last - first >= MOST_SEEDS) {
+        if (last < first || last - first >= MAX_SEEDS) {
             root.problem(
-                    "seeds", "\"" + text + "\"", SEED_RANGE + ", " + MOST_SEEDS + " at the most");
+                    "seeds", "\"" + text + "\"", SEED_RANGE + ", " + MAX_SEEDS + " at the most");
         }
         return new long[] {first, last};
     }
--- a/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
@@ -35,8 +35,8 @@
                                     new Region("east", List.of("a", "b", "c"), List.of()),
                                     new Region("west", List.of("d", "e"), List.of()))));
 
-    private static final long LEAST_DELAY = 2 * Site.MILLI;
-    private static final long MOST_DELAY = 21 * Site.MILLI;
+    private static final long MIN_DELAY = 2 * Site.MILLI;
+    private static final long MAX_DELAY = 21 * Site.MILLI;
 
     /** More calls a second than are sent to a zone so that it is seen, with their repeats. */
     private static final double WATCHED = 30;
@@ -68,11 +68,11 @@
     private final int[] zoneOf;
     private final Part[] parts;
     private final RouteTable[] held;
-    private final long[] lives;
+    private final long[] incarnations;
     private final long startedAt;
     private final long worldStartedAt;
     private final boolean keepsPastLease;
-    private final boolean[][] said = new boolean[Site.ZONES * Site.COPIES][Site.ZONES];
+    private final boolean[][] said = new boolean[Site.ZONES * Site.REPLICAS][Site.ZONES];
     private final long[] capacities = new long[Site.ZONES];
     private long saidAt;
 
@@ -93,39 +93,40 @@
         this.site = site;
         this.listener = listener;
         this.keepsPastLease = keepsPastLease;
-        this.zoneOf = Arrays.stream(site.copies).mapToInt(copy -> copy.zone).toArray();
+        this.zoneOf = Arrays.stream(site.replicas).mapToInt(replica -> replica.zone).toArray();
         this.parts = new Part[zoneOf.length];
         this.held = new RouteTable[zoneOf.length];
-        this.lives = new long[zoneOf.length];
+        this.incarnations = new long[zoneOf.length];
         this.startedAt = site.now();
         this.world =
                 new CoordinationSimulation(
                         zoneOf,
-                        new Network(loss, 0.01, 0, LEAST_DELAY, MOST_DELAY),
+                        new Network(loss, 0.01, 0, MIN_DELAY, MAX_DELAY),
                         false,
                         seed,
-                        (zones, self, life, store, random, outlet, now) -> {
-                            SimulatedReplica copy = site.copies[self];
-                            copy.tally =
+                        (zones, self, incarnation, store, random, outlet, now) -> {
+                            SimulatedReplica replica = site.replicas[self];
+                            replica.tally =
                                     new ZoneTrafficCounter(
                                             self,
-                                            copy.zone,
-                                            life,
+                                            replica.zone,
+                                            incarnation,
                                             Site.ZONES,
                                             settings.period(),
                                             SimulatedReplica.SAFETY,
                                             site.now());
-                            copy.tally.listed(EndpointListKind.FULL, site.list());
-                            lives[self] = life;
+                            replica.tally.listed(EndpointListKind.FULL, site.list());
+                            incarnations[self] = incarnation;
                             held[self] = null;
                             parts[self] =
                                     maker == null
-                                            ? real(settings, zones, copy.tally, site.now(), site)
-                                            : maker.make(settings, zones, copy.tally, site.now());
+                                            ? real(settings, zones, replica.tally, site.now(), site)
+                                            : maker.make(
+                                                    settings, zones, replica.tally, site.now());
                             return new CoordinatedReplica(
                                     zones,
                                     self,
-                                    life,
+                                    incarnation,
                                     ConsensusSettings.DEFAULT,
                                     CoordinationSettings.DEFAULT,
                                     store,
@@ -138,10 +139,10 @@
                         },
                         this::hears);
         this.worldStartedAt = world.now();
-        for (SimulatedReplica copy : site.copies) {
-            say(copy.number, "placed", Map.of("zone", Integer.toString(copy.zone)));
-            say(copy.number, "started", Map.of());
-            say(copy.number, "speaks", Map.of());
+        for (SimulatedReplica replica : site.replicas) {
+            say(replica.number, "placed", Map.of("zone", Integer.toString(replica.zone)));
+            say(replica.number, "started", Map.of());
+            say(replica.number, "speaks", Map.of());
         }
         world.form(0);
     }
@@ -173,8 +174,8 @@
                     site.now(),
                     new TierView() {
                         @Override
-                        public int copies() {
-                            return tier.copies();
+                        public int replicas() {
+                            return tier.replicas();
                         }
 
                         @Override
@@ -183,13 +184,13 @@
                         }
 
                         @Override
-                        public int zone(int copy) {
-                            return tier.zone(copy);
+                        public int zone(int replica) {
+                            return tier.zone(replica);
                         }
 
                         @Override
-                        public boolean lives(int copy) {
-                            return tier.lives(copy);
+                        public boolean lives(int replica) {
+                            return tier.lives(replica);
                         }
 
                         @Override
@@ -198,8 +199,8 @@
                         }
 
                         @Override
-                        public long leaseOver(int copy) {
-                            return site.now() + tier.leaseOver(copy) - now;
+                        public long leaseOver(int replica) {
+                            return site.now() + tier.leaseOver(replica) - now;
                         }
                     });
         }
@@ -213,16 +214,16 @@
     /** What copies say, but for their starts, which are told once it is known what life that is. */
     private void hears(HistoryEvent event) {
         if (!event.what().equals("started")) {
-            say(event.copy(), event.what(), event.fields());
+            say(event.replica(), event.what(), event.fields());
         }
     }
 
-    private long life(int copy) {
-        return copy < 0 ? 0 : (long) copy << 16 | lives[copy];
+    private long incarnation(int replica) {
+        return replica < 0 ? 0 : (long) replica << 16 | incarnations[replica];
     }
 
-    private void say(int copy, String what, Map<String, String> fields) {
-        listener.accept(new HistoryEvent(site.now(), copy, life(copy), what, fields));
+    private void say(int replica, String what, Map<String, String> fields) {
+        listener.accept(new HistoryEvent(site.now(), replica, incarnation(replica), what, fields));
     }
 
     // ---- time ----
@@ -231,26 +232,26 @@
     void step(Site of) {
         world.play(site.now() - startedAt - (world.now() - worldStartedAt));
         boolean says = site.now() - saidAt >= SETTINGS.period();
-        for (SimulatedReplica copy : site.copies) {
-            if (!copy.up || copy.stalled()) {
+        for (SimulatedReplica replica : site.replicas) {
+            if (!replica.up || replica.stalled()) {
                 continue;
             }
-            RouteTable uses = world.uses(copy.number);
+            RouteTable uses = world.uses(replica.number);
             if (uses == null && keepsPastLease) {
-                uses = held[copy.number];
+                uses = held[replica.number];
             }
-            if (uses != null && uses != held[copy.number]) {
-                parts[copy.number].loaded.accept(uses);
-                apply(copy, uses);
+            if (uses != null && uses != held[replica.number]) {
+                parts[replica.number].loaded.accept(uses);
+                apply(replica, uses);
             } else if (uses == null) {
-                copy.near();
+                replica.near();
             }
-            held[copy.number] = uses;
+            held[replica.number] = uses;
             if (says && uses != null) {
-                say(copy.number, "used", Map.of("number", Long.toString(uses.number())));
+                say(replica.number, "used", Map.of("number", Long.toString(uses.number())));
             }
             if (says) {
-                saw(copy);
+                saw(replica);
             }
         }
         for (int zone = 0; zone < Site.ZONES && says; zone++) {
@@ -267,13 +268,13 @@
         saidAt = says ? site.now() : saidAt;
     }
 
-    private void saw(SimulatedReplica copy) {
+    private void saw(SimulatedReplica replica) {
         for (int zone = 0; zone < Site.ZONES; zone++) {
-            int[] saw = copy.saw[zone];
+            int[] saw = replica.saw[zone];
             boolean any = saw[0] + saw[1] + saw[2] > 0;
-            if (any || said[copy.number][zone]) {
+            if (any || said[replica.number][zone]) {
                 say(
-                        copy.number,
+                        replica.number,
                         "saw",
                         Map.of(
                                 "zone",
@@ -287,19 +288,19 @@
                                 "span",
                                 Long.toString(site.now() - saidAt)));
             }
-            said[copy.number][zone] = any;
+            said[replica.number][zone] = any;
             Arrays.fill(saw, 0);
         }
     }
 
     /** The bound on a zone's calls is divided among the copies of it that are there. */
-    private void apply(SimulatedReplica copy, RouteTable table) {
-        Arrays.fill(copy.shares, 0);
-        Arrays.fill(copy.bounds, 0);
+    private void apply(SimulatedReplica replica, RouteTable table) {
+        Arrays.fill(replica.shares, 0);
+        Arrays.fill(replica.bounds, 0);
         for (Share share : table.shares()) {
-            if (share.from() == copy.zone) {
-                copy.shares[share.to()] = share.parts() / (double) RouteTable.WHOLE;
-                copy.bounds[share.to()] = share.perSecond() / (double) Site.COPIES;
+            if (share.from() == replica.zone) {
+                replica.shares[share.to()] = share.parts() / (double) RouteTable.WHOLE;
+                replica.bounds[share.to()] = share.perSecond() / (double) Site.REPLICAS;
             }
         }
     }
@@ -310,30 +311,30 @@
         return world.leader();
     }
 
-    void kill(int copy) {
-        world.kill(copy);
-        say(copy, "silent", Map.of());
-        say(copy, "ended", Map.of());
+    void kill(int replica) {
+        world.kill(replica);
+        say(replica, "silent", Map.of());
+        say(replica, "ended", Map.of());
     }
 
-    void restart(int copy) {
-        world.restart(copy);
-        say(copy, "started", Map.of());
-        say(copy, "speaks", Map.of());
+    void restart(int replica) {
+        world.restart(replica);
+        say(replica, "started", Map.of());
+        say(replica, "speaks", Map.of());
     }
 
-    void stall(int copy, long length) {
-        world.stall(copy, length);
-        say(copy, "stopped", Map.of());
-        site.after(length, () -> say(copy, "continued", Map.of()));
+    void stall(int replica, long length) {
+        world.stall(replica, length);
+        say(replica, "stopped", Map.of());
+        site.after(length, () -> say(replica, "continued", Map.of()));
     }
 
     /** Datagrams between a copy and all others pass, or don't. */
-    void link(int copy, boolean passes) {
+    void link(int replica, boolean passes) {
         for (int other = 0; other < zoneOf.length; other++) {
-            if (other != copy) {
-                way(copy, other, passes);
-                way(other, copy, passes);
+            if (other != replica) {
+                way(replica, other, passes);
+                way(other, replica, passes);
             }
         }
     }
@@ -346,9 +347,9 @@
     /** Nothing passes between a zone's copies and all others, or all does. */
     void cutOff(int zone, boolean off) {
         List<Integer> these = new ArrayList<>();
-        for (SimulatedReplica copy : site.copies) {
-            if (copy.zone == zone) {
-                these.add(copy.number);
+        for (SimulatedReplica replica : site.replicas) {
+            if (replica.zone == zone) {
+                these.add(replica.number);
             }
         }
         if (off) {
@@ -357,7 +358,7 @@
             world.heal();
         }
         for (int one : these) {
-            for (SimulatedReplica other : site.copies) {
+            for (SimulatedReplica other : site.replicas) {
                 if (other.zone != zone) {
                     say(one, off ? "cut" : "healed", Map.of("to", Integer.toString(other.number)));
                     say(other.number, off ? "cut" : "healed", Map.of("to", Integer.toString(one)));
--- a/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
@@ -45,14 +45,14 @@
      * @param out of the attempts on the calm half minute before, the share that left their zone
      * @param fallen cold nodes that were pushed over
      * @param moves tables after the first that changed some zone's shares
-     * @param mostMoves changes of one zone's shares within 60 s, the most
+     * @param maxMoves changes of one zone's shares within 60 s, the most
      */
     public record Result(
             double goodput,
             double out,
             int fallen,
             int moves,
-            int mostMoves,
+            int maxMoves,
             List<Violation> breaches) {}
 
     /**
@@ -73,7 +73,7 @@
     private final List<Deque<Long>> changes = new ArrayList<>();
     private RouteTable last;
     private int moves;
-    private int mostMoves;
+    private int maxMoves;
 
     private FailoverRun(
             World world,
@@ -117,12 +117,12 @@
         site.after(
                 Site.SECOND + (long) (random.nextDouble() * 6 * Site.SECOND),
                 () -> {
-                    SimulatedReplica copy = site.copies[random.nextInt(site.copies.length)];
+                    SimulatedReplica replica = site.replicas[random.nextInt(site.replicas.length)];
                     long length = (long) (random.nextDouble() * 4 * Site.SECOND);
-                    if (copy.up) {
-                        copy.stalls(length);
+                    if (replica.up) {
+                        replica.stalls(length);
                         if (together != null) {
-                            together.stall(copy.number, length);
+                            together.stall(replica.number, length);
                         }
                     }
                     stall(together, random);
@@ -168,7 +168,7 @@
                 run.site.total.out(CALM_FROM, World.AT),
                 run.site.fallen,
                 run.moves,
-                run.mostMoves,
+                run.maxMoves,
                 kind == Policy.Kind.TOGETHER ? run.judged(settings) : List.of());
     }
 
@@ -199,7 +199,7 @@
                 while (of.peek() <= site.now() - WINDOW) {
                     of.remove();
                 }
-                mostMoves = Math.max(mostMoves, of.size());
+                maxMoves = Math.max(maxMoves, of.size());
             }
         }
         moves += moved ? 1 : 0;
--- a/lab/src/main/java/cedarrudder/lab/failover/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Policy.java
@@ -44,39 +44,39 @@
         private final long[][] until;
 
         OwnEyes(Site site) {
-            failures = new int[site.copies.length][site.nodes.length];
-            times = new int[site.copies.length][site.nodes.length];
-            until = new long[site.copies.length][site.nodes.length];
-            for (SimulatedReplica copy : site.copies) {
-                copy.eyes = ended -> saw(site.now(), copy.number, ended);
+            failures = new int[site.replicas.length][site.nodes.length];
+            times = new int[site.replicas.length][site.nodes.length];
+            until = new long[site.replicas.length][site.nodes.length];
+            for (SimulatedReplica replica : site.replicas) {
+                replica.eyes = ended -> saw(site.now(), replica.number, ended);
             }
         }
 
-        private void saw(long now, int copy, SimulatedReplica.Ended ended) {
+        private void saw(long now, int replica, SimulatedReplica.Ended ended) {
             if (ended.outcome() == Outcome.OK) {
-                failures[copy][ended.node()] = 0;
+                failures[replica][ended.node()] = 0;
             } else if (ended.outcome() != Outcome.FULL
-                    && ++failures[copy][ended.node()] >= IN_A_ROW
-                    && now >= until[copy][ended.node()]) {
-                failures[copy][ended.node()] = 0;
-                until[copy][ended.node()] = now + EJECTED * ++times[copy][ended.node()];
+                    && ++failures[replica][ended.node()] >= IN_A_ROW
+                    && now >= until[replica][ended.node()]) {
+                failures[replica][ended.node()] = 0;
+                until[replica][ended.node()] = now + EJECTED * ++times[replica][ended.node()];
             }
         }
 
         @Override
         void step(Site site) {
-            for (SimulatedReplica copy : site.copies) {
+            for (SimulatedReplica replica : site.replicas) {
                 double left = 1;
-                Arrays.fill(copy.shares, 0);
+                Arrays.fill(replica.shares, 0);
                 for (int priority = 0; priority < PRIORITIES; priority++) {
                     double[] healthy = new double[Site.ZONES];
                     double all = 0;
                     int total = 0;
                     for (SimulatedNode node : site.nodes) {
-                        if (Site.rank(copy.zone, node.zone) == priority) {
+                        if (Site.rank(replica.zone, node.zone) == priority) {
                             total++;
                             if (node.listed == EndpointStatus.READY
-                                    && site.now() >= until[copy.number][node.id]) {
+                                    && site.now() >= until[replica.number][node.id]) {
                                 healthy[node.zone]++;
                                 all++;
                             }
@@ -87,16 +87,16 @@
                                     left,
                                     total == 0 ? 0 : Math.min(1, OVERPROVISIONED * all / total));
                     for (int zone = 0; zone < Site.ZONES && all > 0; zone++) {
-                        copy.shares[zone] += part * healthy[zone] / all;
+                        replica.shares[zone] += part * healthy[zone] / all;
                     }
                     left -= all > 0 ? part : 0;
                 }
-                double sum = Arrays.stream(copy.shares).sum();
+                double sum = Arrays.stream(replica.shares).sum();
                 if (sum == 0) {
-                    copy.near();
+                    replica.near();
                 } else {
                     for (int zone = 0; zone < Site.ZONES; zone++) {
-                        copy.shares[zone] /= sum;
+                        replica.shares[zone] /= sum;
                     }
                 }
             }
@@ -105,7 +105,7 @@
 
     /** Near as far as a zone truly can now, the rest as near as there truly is room. */
     static final class AllSeeing extends Policy {
-        private static final double MOST = 0.95;
+        private static final double MAX = 0.95;
         private static final int ROUNDS = 20;
 
         @Override
@@ -115,7 +115,7 @@
             double[][] dealt = new double[Site.ZONES][Site.ZONES];
             double[] left = comes.clone();
             for (int zone = 0; zone < Site.ZONES; zone++) {
-                room[zone] = MOST * site.capacity(zone);
+                room[zone] = MAX * site.capacity(zone);
                 dealt[zone][zone] = Math.min(room[zone], comes[zone]);
                 room[zone] -= dealt[zone][zone];
                 left[zone] -= dealt[zone][zone];
@@ -126,10 +126,12 @@
                     deal(site, dealt, room, left, whole, round % Site.ZONES, rank);
                 }
             }
-            for (SimulatedReplica copy : site.copies) {
+            for (SimulatedReplica replica : site.replicas) {
                 for (int to = 0; to < Site.ZONES; to++) {
-                    copy.shares[to] =
-                            comes[copy.zone] == 0 ? 0 : dealt[copy.zone][to] / comes[copy.zone];
+                    replica.shares[to] =
+                            comes[replica.zone] == 0
+                                    ? 0
+                                    : dealt[replica.zone][to] / comes[replica.zone];
                 }
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/failover/SimulatedNode.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedNode.java
@@ -52,7 +52,7 @@
     long startedAt;
 
     /** One more each time that it dies or starts. */
-    int life;
+    int incarnation;
 
     /** What the list says of it. */
     EndpointStatus listed = EndpointStatus.READY;
@@ -133,8 +133,8 @@
         while (came.peek() < site.now() - FALL_WINDOW) {
             came.remove();
         }
-        double most = FALL_MULTIPLE * able() * RATE * FALL_WINDOW / 1e9;
-        if (!cold() || came.size() <= most + ROOM * StrictMath.sqrt(most) + ROOM) {
+        double max = FALL_MULTIPLE * able() * RATE * FALL_WINDOW / 1e9;
+        if (!cold() || came.size() <= max + ROOM * StrictMath.sqrt(max) + ROOM) {
             return false;
         }
         site.fell(this);
@@ -145,12 +145,12 @@
         use();
         busy.put(asked, true);
         held++;
-        int of = life;
+        int of = incarnation;
         double time = -StrictMath.log(1 - random.nextDouble()) * SERVICE / able();
         site.after(
                 (long) Math.min(time, 60e9) + 1,
                 () -> {
-                    if (of == life) {
+                    if (of == incarnation) {
                         use();
                         busy.remove(asked);
                         held--;
@@ -167,7 +167,7 @@
     void dies() {
         use();
         up = false;
-        life++;
+        incarnation++;
         busy.clear();
         waiting.clear();
         came.clear();
--- a/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
@@ -43,7 +43,7 @@
     private static final double NEAR_COLD = 1;
 
     private static final double FAR_COLD = 0.6;
-    private static final int MOST_WAITING = 5_000;
+    private static final int MAX_WAITING = 5_000;
 
     /** How an attempt ended. */
     record Ended(int zone, int node, Outcome outcome) {}
@@ -79,7 +79,7 @@
     private final long[] tokensAt = new long[Site.ZONES];
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private long stalledUntil;
-    private int life;
+    private int incarnation;
 
     SimulatedReplica(Site site, int number, int zone, SplittableRandom random) {
         this.site = site;
@@ -109,7 +109,7 @@
     /** The process is gone, with its calls. */
     void dies() {
         up = false;
-        life++;
+        incarnation++;
         waiting.clear();
         stalledUntil = 0;
     }
@@ -125,11 +125,11 @@
 
     void stalls(long length) {
         stalledUntil = site.now() + length;
-        int of = life;
+        int of = incarnation;
         site.after(
                 length,
                 () -> {
-                    if (of == life && site.now() >= stalledUntil) {
+                    if (of == incarnation && site.now() >= stalledUntil) {
                         while (!waiting.isEmpty()) {
                             waiting.remove().run();
                         }
@@ -139,11 +139,11 @@
 
     /** Does it now, or once it goes on where it stands still; not at all in another life. */
     private void run(int of, Runnable what) {
-        if (of != life || !up) {
+        if (of != incarnation || !up) {
             return;
         }
         if (site.now() < stalledUntil) {
-            if (waiting.size() < MOST_WAITING) {
+            if (waiting.size() < MAX_WAITING) {
                 waiting.add(what);
             }
         } else {
@@ -152,7 +152,7 @@
     }
 
     private void later(long length, Runnable what) {
-        int of = life;
+        int of = incarnation;
         site.after(length, () -> run(of, what));
     }
 
@@ -160,7 +160,7 @@
 
     void takes(SimulatedRequest call) {
         run(
-                life,
+                incarnation,
                 () -> {
                     if (tally != null) {
                         tally.came();
@@ -293,8 +293,8 @@
     }
 
     private boolean token(int to) {
-        double most = Math.max(2, bounds[to] / 2);
-        tokens[to] = Math.min(most, tokens[to] + bounds[to] * (site.now() - tokensAt[to]) / 1e9);
+        double max = Math.max(2, bounds[to] / 2);
+        tokens[to] = Math.min(max, tokens[to] + bounds[to] * (site.now() - tokensAt[to]) / 1e9);
         tokensAt[to] = site.now();
         if (tokens[to] < 1) {
             return false;
@@ -339,8 +339,8 @@
                 able
                         * SimulatedNode.RATE
                         * (node.zone == zone
-                                ? NEAR_COLD / Site.COPIES
-                                : FAR_COLD / (Site.COPIES * (Site.ZONES - 1)));
+                                ? NEAR_COLD / Site.REPLICAS
+                                : FAR_COLD / (Site.REPLICAS * (Site.ZONES - 1)));
         allowance[node.id] =
                 Math.min(
                         rate / 2,
--- a/lab/src/main/java/cedarrudder/lab/failover/Site.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Site.java
@@ -18,7 +18,7 @@
     static final long SECOND = 1_000 * MILLI;
 
     static final int ZONES = 5;
-    static final int COPIES = 4;
+    static final int REPLICAS = 4;
     static final int NODES = 6;
     static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
     static final int[] REGION = {0, 0, 0, 1, 1};
@@ -35,7 +35,7 @@
     private record Due(long at, long number, Runnable what) {}
 
     final SimulatedNode[] nodes = new SimulatedNode[ZONES * NODES];
-    final SimulatedReplica[] copies = new SimulatedReplica[ZONES * COPIES];
+    final SimulatedReplica[] replicas = new SimulatedReplica[ZONES * REPLICAS];
 
     /** Calls a second that come in each zone. */
     final double[] demand = new double[ZONES];
@@ -62,8 +62,8 @@
             nodes[i] = new SimulatedNode(this, i, i / NODES, random.split());
         }
         Arrays.fill(demand, load * NODES * SimulatedNode.RATE);
-        for (int i = 0; i < copies.length; i++) {
-            copies[i] = new SimulatedReplica(this, i, i / COPIES, random.split());
+        for (int i = 0; i < replicas.length; i++) {
+            replicas[i] = new SimulatedReplica(this, i, i / REPLICAS, random.split());
         }
         for (int zone = 0; zone < ZONES; zone++) {
             comes(zone, random.split());
@@ -94,13 +94,13 @@
                 (long) (-StrictMath.log(1 - own.nextDouble()) * 1e9 / Math.max(1e-3, demand[zone]))
                         + 1,
                 () -> {
-                    SimulatedReplica copy = copyFor(zone, own);
+                    SimulatedReplica replica = replicaFor(zone, own);
                     SimulatedRequest call =
                             new SimulatedRequest(
                                     own.nextDouble() < SimulatedRequest.SAFE_SHARE, now);
                     total.came(call);
-                    if (copy != null) {
-                        copy.takes(call);
+                    if (replica != null) {
+                        replica.takes(call);
                     }
                     comes(zone, own);
                 });
@@ -112,12 +112,12 @@
      * Callers go to a copy of their zone; where none is there, to one of the nearest zone that has
      * some.
      */
-    private SimulatedReplica copyFor(int zone, SplittableRandom own) {
+    private SimulatedReplica replicaFor(int zone, SplittableRandom own) {
         List<SimulatedReplica> live = new ArrayList<>();
         for (int rank = 0; rank <= 2 && live.isEmpty(); rank++) {
-            for (SimulatedReplica copy : copies) {
-                if (copy.up && rank(zone, copy.zone) == rank) {
-                    live.add(copy);
+            for (SimulatedReplica replica : replicas) {
+                if (replica.up && rank(zone, replica.zone) == rank) {
+                    live.add(replica);
                 }
             }
         }
@@ -141,10 +141,10 @@
             for (int rank = 0; rank <= 2 && !found; rank++) {
                 int live = 0;
                 int[] of = new int[ZONES];
-                for (SimulatedReplica copy : copies) {
-                    if (copy.up && rank(zone, copy.zone) == rank) {
+                for (SimulatedReplica replica : replicas) {
+                    if (replica.up && rank(zone, replica.zone) == rank) {
                         live++;
-                        of[copy.zone]++;
+                        of[replica.zone]++;
                     }
                 }
                 found = live > 0;
@@ -173,8 +173,8 @@
                 () -> {
                     node.listed = state;
                     node.listedStart = start;
-                    for (SimulatedReplica copy : copies) {
-                        copy.told(List.of(node.endpoint()));
+                    for (SimulatedReplica replica : replicas) {
+                        replica.told(List.of(node.endpoint()));
                     }
                 });
     }
@@ -190,11 +190,11 @@
         for (SimulatedNode node : nodes) {
             if (node.zone == zone) {
                 node.dies();
-                int of = node.life;
+                int of = node.incarnation;
                 after(
                         MISSED,
                         () -> {
-                            if (node.life == of) {
+                            if (node.incarnation == of) {
                                 tell(node, EndpointStatus.GONE, 0, 0);
                             }
                         });
@@ -238,11 +238,11 @@
     void fell(SimulatedNode node) {
         fallen++;
         node.dies();
-        int of = node.life;
+        int of = node.incarnation;
         after(
                 FALLEN,
                 () -> {
-                    if (node.life == of) {
+                    if (node.incarnation == of) {
                         start(node);
                     }
                 });
--- a/lab/src/main/java/cedarrudder/lab/failover/World.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/World.java
@@ -45,7 +45,7 @@
     private static final double THIRD = 1 / 3.0;
     private static final double BROKEN = 0.5;
     private static final long BROKEN_SLICE = 100 * Site.MILLI;
-    private static final int LINK_COPY = 9;
+    private static final int LINK_REPLICA = 9;
     private static final int UPGRADED = 13;
     private static final long REPLACED = Site.SECOND;
     private static final double DEAD = 0.48;
@@ -90,11 +90,11 @@
             }
             case HALF -> {
                 lose(site, LOST, BACK);
-                boolean[] dead = new boolean[site.copies.length];
+                boolean[] dead = new boolean[site.replicas.length];
                 int count = 0;
-                for (SimulatedReplica copy : site.copies) {
-                    dead[copy.number] = copy.zone == LOST;
-                    count += copy.zone == LOST ? 1 : 0;
+                for (SimulatedReplica replica : site.replicas) {
+                    dead[replica.number] = replica.zone == LOST;
+                    count += replica.zone == LOST ? 1 : 0;
                 }
                 while (count < (int) (DEAD * dead.length)) {
                     int next = random.nextInt(dead.length);
@@ -134,24 +134,24 @@
     }
 
     private static void breaks(Site site, CoordinatedPolicy together, RandomGenerator random) {
-        site.copies[LINK_COPY].broken = BROKEN;
+        site.replicas[LINK_REPLICA].broken = BROKEN;
         if (together != null) {
-            together.link(LINK_COPY, random.nextDouble() >= BROKEN);
+            together.link(LINK_REPLICA, random.nextDouble() >= BROKEN);
         }
         site.after(BROKEN_SLICE, () -> breaks(site, together, random));
     }
 
-    private static void dies(Site site, CoordinatedPolicy together, int copy, long length) {
-        site.copies[copy].dies();
+    private static void dies(Site site, CoordinatedPolicy together, int replica, long length) {
+        site.replicas[replica].dies();
         if (together != null) {
-            together.kill(copy);
+            together.kill(replica);
         }
         site.after(
                 length,
                 () -> {
-                    site.copies[copy].starts();
+                    site.replicas[replica].starts();
                     if (together != null) {
-                        together.restart(copy);
+                        together.restart(replica);
                     }
                 });
     }
--- a/lab/src/main/java/cedarrudder/lab/load/Engine.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Engine.java
@@ -28,7 +28,7 @@
 final class Engine {
 
     /** An answer that can't be read without end costs no more memory than this. */
-    private static final int MOST_BODY = 1 << 20;
+    private static final int MAX_BODY = 1 << 20;
 
     /** Nearer to its next send than this the loop spins: timers of the selector are no finer. */
     private static final long SPIN = 1_500_000L;
@@ -43,7 +43,7 @@
     private final RandomGenerator random;
     private final Schedule schedule;
     private final int everyNth;
-    private final int mostLinks;
+    private final int maxLinks;
     private final long start;
     private final Runnable whenDone;
     private final Request.Writer writer;
@@ -80,7 +80,7 @@
         this.random = random;
         this.schedule = schedule;
         this.everyNth = everyNth;
-        this.mostLinks = Math.max(1, options.connections() / everyNth);
+        this.maxLinks = Math.max(1, options.connections() / everyNth);
         this.start = start;
         this.whenDone = whenDone;
         this.writer = new Request.Writer(options);
@@ -194,7 +194,7 @@
             return;
         }
         waiting.add(request);
-        if (links.size() + opening < mostLinks) {
+        if (links.size() + opening < maxLinks) {
             connect();
         }
     }
@@ -235,7 +235,7 @@
     /** Guards against requests that wait for a connection after the last one has gone. */
     private void openForWaiting() {
         waiting.removeIf(request -> request.over);
-        if (!done && waiting.size() > opening && links.size() + opening < mostLinks) {
+        if (!done && waiting.size() > opening && links.size() + opening < maxLinks) {
             connect();
         }
     }
@@ -256,7 +256,7 @@
 
     /** A connection, which carries one request at a time. */
     private final class Link extends ChannelInboundHandlerAdapter {
-        private final HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, MOST_BODY);
+        private final HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, MAX_BODY);
         private Channel channel;
         private Request current;
         private boolean used;
--- a/lab/src/main/java/cedarrudder/lab/load/LoadResult.java
+++ b/lab/src/main/java/cedarrudder/lab/load/LoadResult.java
@@ -42,7 +42,7 @@
     private static final double KEPT_PERCENTILE = 99;
 
     /** Percentiles; all 0 where there is nothing. */
-    public record Times(long count, double p50, double p90, double p99, double p999, double most) {
+    public record Times(long count, double p50, double p90, double p99, double p999, double max) {
 
         static Times of(Histogram micros) {
             return new Times(
@@ -102,25 +102,25 @@
 
     private static List<String> problems(Options options, Counts counts) {
         List<String> problems = new ArrayList<>();
-        double most = options.mostLateMillis();
+        double max = options.maxLateMillis();
         double turned = counts.turned.getValueAtPercentile(KEPT_PERCENTILE) / 1000.0;
         double left = counts.left.getValueAtPercentile(KEPT_PERCENTILE) / 1000.0;
-        if (turned > most) {
+        if (turned > max) {
             problems.add(
                     String.format(
                             Locale.ROOT,
                             "this tool ran late: 1 in 100 sends was turned to "
                                     + "%.1f ms or more after its time (allowed: %.1f)",
                             turned,
-                            most));
-        } else if (left > most) {
+                            max));
+        } else if (left > max) {
             problems.add(
                     String.format(
                             Locale.ROOT,
                             "no connection was free: 1 in 100 requests left %.1f ms or more after"
                                     + " its time (allowed: %.1f); %d connections at the most",
                             left,
-                            most,
+                            max,
                             options.connections()));
         }
         long unsent = counts.ends(End.UNSENT);
@@ -196,6 +196,6 @@
                 times.p90(),
                 times.p99(),
                 times.p999(),
-                times.most());
+                times.max());
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/load/Options.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Options.java
@@ -14,8 +14,7 @@
  * @param bodyBytes the length of the body of requests that have one, up to 64 KiB
  * @param threads event loops, each with an even share of the sends and of the connections
  * @param seed of gaps, classes, tenants and ids
- * @param mostLateMillis the rate was kept if no more than one send in a hundred left later than
- *     this
+ * @param maxLateMillis the rate was kept if no more than one send in a hundred left later than this
  */
 public record Options(
         List<InetSocketAddress> targets,
@@ -29,4 +28,4 @@
         int bodyBytes,
         int threads,
         long seed,
-        double mostLateMillis) {}
+        double maxLateMillis) {}
--- a/lab/src/main/java/cedarrudder/lab/load/Rate.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Rate.java
@@ -12,8 +12,8 @@
  */
 public record Rate(List<Part> parts) {
 
-    private static final double MOST_PER_SECOND = 1_000_000;
-    private static final double MOST_SECONDS = 86_400;
+    private static final double MAX_PER_SECOND = 1_000_000;
+    private static final double MAX_SECONDS = 86_400;
     private static final Pattern PART =
             Pattern.compile("(\\d+(?:\\.\\d+)?)(?::(\\d+(?:\\.\\d+)?))?@(\\d+(?:\\.\\d+)?)");
 
@@ -48,12 +48,12 @@
             double from = Double.parseDouble(found.group(1));
             double to = found.group(2) == null ? from : Double.parseDouble(found.group(2));
             double seconds = Double.parseDouble(found.group(3));
-            if (Math.max(from, to) > MOST_PER_SECOND || Math.max(from, to) == 0) {
+            if (Math.max(from, to) > MAX_PER_SECOND || Math.max(from, to) == 0) {
                 throw wrong(
-                        each, "a rate over 0, and at most " + (long) MOST_PER_SECOND + " a second");
+                        each, "a rate over 0, and at most " + (long) MAX_PER_SECOND + " a second");
             }
-            if (seconds <= 0 || seconds > MOST_SECONDS) {
-                throw wrong(each, "a time over 0, and at most " + (long) MOST_SECONDS + " s");
+            if (seconds <= 0 || seconds > MAX_SECONDS) {
+                throw wrong(each, "a time over 0, and at most " + (long) MAX_SECONDS + " s");
             }
             parts.add(new Part(from, to, seconds));
         }
--- a/lab/src/main/java/cedarrudder/lab/load/Saturation.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Saturation.java
@@ -73,7 +73,7 @@
 
     private final class Busy extends ChannelInboundHandlerAdapter {
         private final HttpDecoder decoder =
-                HttpDecoder.ofAnswers(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+                HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         private final Request.Writer writer = new Request.Writer(options);
         private final RandomGenerator random;
 
--- a/lab/src/main/java/cedarrudder/lab/load/StandIn.java
+++ b/lab/src/main/java/cedarrudder/lab/load/StandIn.java
@@ -148,7 +148,7 @@
 
     private static final class Connection extends ChannelInboundHandlerAdapter {
         private final HttpDecoder decoder =
-                HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+                HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         private final Served served;
 
         Connection(Served served) {
--- a/lab/src/main/java/cedarrudder/lab/membership/FailureDetectionTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/FailureDetectionTrial.java
@@ -27,7 +27,7 @@
      * @param bytesPerSecond of an instance, while all ran and none had just started, without
      *     headers of lower layers
      * @param messagesPerSecond the same in messages
-     * @param mostInSecond the most messages of one instance in one second, dying and after included
+     * @param maxInSecond the most messages of one instance in one second, dying and after included
      */
     public record Figures(
             int size,
@@ -37,11 +37,11 @@
             long unseen,
             double p50,
             double p99,
-            double most,
+            double max,
             long falseDeaths,
             double bytesPerSecond,
             double messagesPerSecond,
-            long mostInSecond) {}
+            long maxInSecond) {}
 
     private final int size;
     private final SwimSimulation.Network network;
@@ -56,7 +56,7 @@
     private long falseDeaths;
     private double bytes;
     private double messages;
-    private long mostInSecond;
+    private long maxInSecond;
 
     /**
      * @param dying the share that dies at once
@@ -98,7 +98,7 @@
         long diedAt = mesh.now();
         dead.forEach(mesh::kill);
         mesh.play((long) (afterSeconds * SECOND));
-        mostInSecond = Math.max(mostInSecond, mesh.mostInSecond());
+        maxInSecond = Math.max(maxInSecond, mesh.maxInSecond());
         Map<Long, Long> found = new HashMap<>();
         for (SwimSimulation.Change change : mesh.changes()) {
             int about = change.now().number();
@@ -131,6 +131,6 @@
                 falseDeaths,
                 bytes / seeds,
                 messages / seeds,
-                mostInSecond);
+                maxInSecond);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
@@ -19,21 +19,21 @@
     public static final long START = 1_000_000_000_000L;
 
     /** The first lives began some time within a day, in milliseconds. */
-    private static final long FIRST_LIFE = 1_700_000_000_000L;
+    private static final long FIRST_INCARNATION = 1_700_000_000_000L;
 
     private static final long DAY = 24L * 3600 * 1000;
 
     /** A life that begins after all of the first. */
-    public static final long LATER_LIFE = FIRST_LIFE + 2 * DAY;
+    public static final long LATER_INCARNATION = FIRST_INCARNATION + 2 * DAY;
 
     /**
      * What the network does.
      *
      * @param loss the share of messages that are lost, from 0 to 1
-     * @param leastDelay of those that come, in nanoseconds
-     * @param mostDelay the longest; delays are even between the two
+     * @param minDelay of those that come, in nanoseconds
+     * @param maxDelay the longest; delays are even between the two
      */
-    public record Network(double loss, long leastDelay, long mostDelay) {}
+    public record Network(double loss, long minDelay, long maxDelay) {}
 
     /** An instance changed its mind about another. */
     public record Change(long at, int observer, Member before, Member now) {}
@@ -45,21 +45,21 @@
     private final class Place {
         final int number;
         SwimMember swim;
-        int life;
+        int generation;
         long ticksAt = Long.MAX_VALUE;
         long deaf;
         long messages;
         long bytes;
         long inSecond;
         long second;
-        long mostInSecond;
+        long maxInSecond;
 
         Place(int number) {
             this.number = number;
         }
 
         void start(long incarnation) {
-            int own = ++life;
+            int own = ++generation;
             swim =
                     new SwimMember(
                             places.size(),
@@ -92,15 +92,13 @@
             long current = now / 1_000_000_000L;
             inSecond = current == second ? inSecond + 1 : 1;
             second = current;
-            mostInSecond = Math.max(mostInSecond, inSecond);
-            if (own != life || random.nextDouble() < network.loss || cut(number, to)) {
+            maxInSecond = Math.max(maxInSecond, inSecond);
+            if (own != generation || random.nextDouble() < network.loss || cut(number, to)) {
                 return;
             }
             long delay =
-                    network.leastDelay
-                            + (long)
-                                    (random.nextDouble()
-                                            * (network.mostDelay - network.leastDelay));
+                    network.minDelay
+                            + (long) (random.nextDouble() * (network.maxDelay - network.minDelay));
             at(now + delay, () -> places.get(to).take(number, message));
         }
 
@@ -118,7 +116,7 @@
             long due = Math.max(Math.max(swim.due(), deaf), now + 1);
             if (due < ticksAt || ticksAt <= now) {
                 ticksAt = due;
-                int own = life;
+                int own = generation;
                 if (due != Long.MAX_VALUE) {
                     at(due, () -> tick(own, due));
                 }
@@ -126,7 +124,7 @@
         }
 
         private void tick(int own, long planned) {
-            if (own == life && swim != null && ticksAt == planned) {
+            if (own == generation && swim != null && ticksAt == planned) {
                 ticksAt = Long.MAX_VALUE;
                 swim.tick(now);
                 wake();
@@ -158,7 +156,7 @@
         for (int i = 0; i < size; i++) {
             places.add(new Place(i));
         }
-        places.forEach(place -> place.start(FIRST_LIFE + random.nextLong(DAY)));
+        places.forEach(place -> place.start(FIRST_INCARNATION + random.nextLong(DAY)));
     }
 
     private void at(long instant, Runnable what) {
@@ -188,7 +186,7 @@
     public void kill(int number) {
         Place place = places.get(number);
         place.swim = null;
-        place.life++;
+        place.generation++;
     }
 
     /** It leaves in good order. */
@@ -260,7 +258,7 @@
     }
 
     /** The most messages that one instance sent within one second. */
-    public long mostInSecond() {
-        return places.stream().mapToLong(place -> place.mostInSecond).max().orElse(0);
+    public long maxInSecond() {
+        return places.stream().mapToLong(place -> place.maxInSecond).max().orElse(0);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
@@ -51,7 +51,7 @@
      *     seconds
      * @param never seeds in which that took longer than {@link #AFTER}
      * @param bytesPerSecond of an instance, while it lasted
-     * @param mostInSecond the most messages of one instance in one second
+     * @param maxInSecond the most messages of one instance in one second
      */
     public record Figures(
             Kind kind,
@@ -64,7 +64,7 @@
             double worst,
             int never,
             double bytesPerSecond,
-            long mostInSecond) {}
+            long maxInSecond) {}
 
     /** Seconds after which it begins, that it lasts, and that agreement is waited for. */
     public static final int BEGINS = 30;
@@ -85,7 +85,7 @@
     private long falseDeaths;
     private long heldDead;
     private double bytes;
-    private long mostInSecond;
+    private long maxInSecond;
 
     public TransientFaultTrial(
             Kind kind, int size, SwimSimulation.Network network, MembershipSettings settings) {
@@ -118,7 +118,7 @@
         } else {
             never++;
         }
-        mostInSecond = Math.max(mostInSecond, mesh.mostInSecond());
+        maxInSecond = Math.max(maxInSecond, mesh.maxInSecond());
         boolean cut = kind == Kind.CUT || kind == Kind.ONE_WAY || kind == Kind.DEAF;
         for (SwimSimulation.Change change : mesh.changes()) {
             int about = change.now().number();
@@ -148,7 +148,7 @@
         }
         mesh.heal();
         if (kind == Kind.LATE) {
-            mesh.restart(those.get(0), SwimSimulation.LATER_LIFE);
+            mesh.restart(those.get(0), SwimSimulation.LATER_INCARNATION);
         }
     }
 
@@ -161,7 +161,7 @@
                             order.size() * second / LASTS, order.size() * (second + 1) / LASTS);
             now.forEach(mesh::kill);
             mesh.play(SECOND);
-            now.forEach(each -> mesh.restart(each, SwimSimulation.LATER_LIFE));
+            now.forEach(each -> mesh.restart(each, SwimSimulation.LATER_INCARNATION));
         }
     }
 
@@ -191,6 +191,6 @@
                 settled.isEmpty() ? Double.NaN : settled.get(settled.size() - 1),
                 never,
                 bytes / seeds,
-                mostInSecond);
+                maxInSecond);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Arrivals.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Arrivals.java
@@ -14,7 +14,7 @@
     private final Run run;
     private final RandomGenerator random;
     private final Scenario.Arrivals figures;
-    private final double most;
+    private final double max;
     private long count;
     private int line;
     private long phaseUntil;
@@ -24,7 +24,7 @@
         this.run = run;
         this.random = run.streams.of(Streams.Concern.ARRIVALS, 0);
         this.figures = run.scenario.arrivals();
-        this.most =
+        this.max =
                 switch (figures.shape()) {
                     case BURSTY -> run.world.perSecond * (1 + run.world.swing);
                     case PAYDAY -> run.world.perSecond * Math.max(1, run.world.peak);
@@ -45,15 +45,15 @@
             }
             return;
         }
-        if (most <= 0) {
+        if (max <= 0) {
             return;
         }
         // A Poisson process of changing rate, by thinning (Lewis and Shedler 1979).
         double at = after;
         do {
-            at += -StrictMath.log(1 - random.nextDouble()) / most * 1e9;
+            at += -StrictMath.log(1 - random.nextDouble()) / max * 1e9;
         } while (at <= run.start + run.world.length
-                && random.nextDouble() * most >= rate((long) at));
+                && random.nextDouble() * max >= rate((long) at));
         if (at <= run.start + run.world.length) {
             run.agenda.at((long) at, this);
         }
--- a/lab/src/main/java/cedarrudder/lab/model/Channel.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Channel.java
@@ -28,7 +28,7 @@
     boolean take(long now) {
         while (idle > 0) {
             int machine = machines[--idle];
-            if (machine == node.life || !node.knownToBeOver(machine, now)) {
+            if (machine == node.incarnation || !node.knownToBeOver(machine, now)) {
                 taken = machine;
                 return true;
             }
@@ -42,7 +42,7 @@
      */
     void give(int machine, long now) {
         if (gone) {
-            node.connections -= machine == node.life ? 1 : 0;
+            node.connections -= machine == node.incarnation ? 1 : 0;
             return;
         }
         if (idle == machines.length) {
@@ -64,7 +64,7 @@
             if (since[i] > before) {
                 machines[kept] = machines[i];
                 since[kept++] = since[i];
-            } else if (machines[i] == node.life) {
+            } else if (machines[i] == node.incarnation) {
                 node.connections--;
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/model/ChokeWatch.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ChokeWatch.java
@@ -84,11 +84,11 @@
                 looks >= LOOKS
                         && (node.tally.held - before) / figures.rest()
                                 < figures.below() * node.kind.cores();
-        if (rested || now >= chokedAt + figures.most()) {
+        if (rested || now >= chokedAt + figures.max()) {
             clear();
         } else {
             node.run.agenda.at(
-                    Math.min(chokedAt + figures.most(), now + figures.rest() / LOOKS), timer);
+                    Math.min(chokedAt + figures.max(), now + figures.rest() / LOOKS), timer);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/ClientRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ClientRequest.java
@@ -132,10 +132,7 @@
                             + BACKOFF_SPREAD
                                     * (2 * HashRandom.unit(HashRandom.of(seed, -10 - tries)) - 1);
             if (honours) {
-                wait =
-                        Math.max(
-                                wait,
-                                Math.min(retryAfter, run.scenario.clients().mostRetryAfter()));
+                wait = Math.max(wait, Math.min(retryAfter, run.scenario.clients().maxRetryAfter()));
             }
             long at = run.agenda.now() + (long) wait;
             if (at < deadline) {
--- a/lab/src/main/java/cedarrudder/lab/model/ColdBudget.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ColdBudget.java
@@ -52,11 +52,11 @@
      */
     boolean spent(double capacity) {
         double sum = 0;
-        double most = 0;
+        double max = 0;
         for (int i = 0; i < PARTS; i++) {
             sum += work[i];
-            most = Math.max(most, largest[i]);
+            max = Math.max(max, largest[i]);
         }
-        return sum - most > multiple * capacity * window;
+        return sum - max > multiple * capacity * window;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/Directory.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Directory.java
@@ -185,11 +185,11 @@
     void started(Node node) {
         long endpoint = node.endpoint;
         long startedAt = node.startedAt;
-        int life = node.life;
+        int incarnation = node.incarnation;
         after(
                 figures.add().draw(random),
                 () -> {
-                    if (node.life == life) {
+                    if (node.incarnation == incarnation) {
                         listings.get(node.tier)
                                 .set(node, endpoint, EndpointStatus.READY, startedAt);
                     }
@@ -212,11 +212,11 @@
     /** A node doesn't answer any more, or answers again. */
     void silence(Node node, boolean begins) {
         long endpoint = node.endpoint;
-        int life = node.life;
+        int incarnation = node.incarnation;
         after(
                 (begins ? figures.silentNotice() : figures.add()).draw(random),
                 () -> {
-                    if (node.life == life && (node.silent > 0) == begins) {
+                    if (node.incarnation == incarnation && (node.silent > 0) == begins) {
                         listings.get(node.tier)
                                 .set(
                                         node,
@@ -230,11 +230,11 @@
     /** A node drains. */
     void draining(Node node) {
         long endpoint = node.endpoint;
-        int life = node.life;
+        int incarnation = node.incarnation;
         after(
                 figures.notice().draw(random),
                 () -> {
-                    if (node.life == life) {
+                    if (node.incarnation == incarnation) {
                         listings.get(node.tier)
                                 .set(node, endpoint, EndpointStatus.DRAINING, node.startedAt);
                     }
--- a/lab/src/main/java/cedarrudder/lab/model/EventQueue.java
+++ b/lab/src/main/java/cedarrudder/lab/model/EventQueue.java
@@ -129,19 +129,18 @@
             if (first >= size) {
                 break;
             }
-            int least = first;
+            int min = first;
             int end = Math.min(first + BRANCHES, size);
             for (int i = first + 1; i < end; i++) {
-                if (before(instants[i], orders[i], least)) {
-                    least = i;
+                if (before(instants[i], orders[i], min)) {
+                    min = i;
                 }
             }
-            if (!(instants[least] < instant
-                    || instants[least] == instant && orders[least] < order)) {
+            if (!(instants[min] < instant || instants[min] == instant && orders[min] < order)) {
                 break;
             }
-            put(place, instants[least], orders[least], tasks[least]);
-            place = least;
+            put(place, instants[min], orders[min], tasks[min]);
+            place = min;
         }
         put(place, instant, order, task);
     }
--- a/lab/src/main/java/cedarrudder/lab/model/Guard.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Guard.java
@@ -7,7 +7,7 @@
  * @param atOnce actions on one event
  * @param free actions of a proxy that cost it nothing
  * @param perSecond further ones for each second of a proxy's life
- * @param perRpc further ones for each RPC that it takes
+ * @param perRequest further ones for each RPC that it takes
  * @param stallSeconds of processor time inside one event: a balancer that needs longer never ends.
  *     Measured on the run's own thread, so that a busy machine doesn't end a sound run
  * @param timed whether the time inside balancers is measured; it costs two readings of the clock an
@@ -17,7 +17,7 @@
         int atOnce,
         long free,
         double perSecond,
-        double perRpc,
+        double perRequest,
         double stallSeconds,
         boolean timed) {
 
@@ -28,6 +28,6 @@
 
     /** The same, with the time inside balancers measured. */
     public Guard measuring() {
-        return new Guard(atOnce, free, perSecond, perRpc, stallSeconds, true);
+        return new Guard(atOnce, free, perSecond, perRequest, stallSeconds, true);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
@@ -154,8 +154,8 @@
     }
 
     @Override
-    public void copies(long at, int live) {
-        event(() -> balancer.copies(at, live));
+    public void replicas(long at, int live) {
+        event(() -> balancer.replicas(at, live));
     }
 
     @Override
@@ -182,7 +182,7 @@
                 over("loops: over " + guard.atOnce() + " actions on one event");
             }
             double seconds = (run.agenda.now() - startedAt) / 1e9;
-            if (actions > guard.free() + guard.perSecond() * seconds + guard.perRpc() * taken) {
+            if (actions > guard.free() + guard.perSecond() * seconds + guard.perRequest() * taken) {
                 over("floods: " + actions + " actions for " + taken + " RPCs");
             }
         }
@@ -256,10 +256,10 @@
         }
 
         @Override
-        public void tell(int copy, byte[] message) {
+        public void tell(int replica, byte[] message) {
             count();
             allowed(run.scenario.allowed().peers(), "messages between proxies");
-            hands.tell(copy, message);
+            hands.tell(replica, message);
         }
 
         @Override
--- a/lab/src/main/java/cedarrudder/lab/model/Ledger.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Ledger.java
@@ -25,9 +25,9 @@
 
     /** Counts of one tier's proxies. */
     public static final class OfTier {
-        public long rpcs;
+        public long requests;
         public long attempts;
-        public long copies;
+        public long replicas;
         public long refused;
         public long failed;
         public long probes;
@@ -349,11 +349,11 @@
                     new TierResult(
                             tier.name(),
                             tier.machines().size(),
-                            tier.copies(),
+                            tier.replicas(),
                             tier.visits(),
-                            count.rpcs,
+                            count.requests,
                             count.attempts,
-                            count.copies,
+                            count.replicas,
                             Arrays.stream(count.outcomes).boxed().toList(),
                             count.refused,
                             count.failed,
--- a/lab/src/main/java/cedarrudder/lab/model/ModelProxy.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ModelProxy.java
@@ -16,7 +16,7 @@
     /** Null while it is down. */
     ProxyInstance life;
 
-    private int lives;
+    private int incarnations;
 
     /** The list as it last had it; null before the first start. */
     private List<Directory.Entry> known;
@@ -68,7 +68,8 @@
                 nodes.add(entry.node());
             }
         }
-        long seed = run.streams.seedOf(Streams.Concern.MODULE, (long) number << 32 | lives++);
+        long seed =
+                run.streams.seedOf(Streams.Concern.MODULE, (long) number << 32 | incarnations++);
         life = new ProxyInstance(run, this, seed, knownVersion);
         life.begin(list, nodes);
         whenReady.run();
--- a/lab/src/main/java/cedarrudder/lab/model/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Node.java
@@ -45,7 +45,7 @@
     public long endpoint;
 
     /** Counts the ends of machines here. */
-    public int life;
+    public int incarnation;
 
     /** Its start; 0: long ago. */
     long startedAt;
@@ -152,8 +152,9 @@
     }
 
     /** Whether a machine that stood here is known to have ended, by the resets that it sent. */
-    boolean knownToBeOver(int formerLife, long now) {
-        return formerLife < life - 1 || !endedSilently && now >= endedAt + (long) run.world.cross;
+    boolean knownToBeOver(int formerIncarnation, long now) {
+        return formerIncarnation < incarnation - 1
+                || !endedSilently && now >= endedAt + (long) run.world.cross;
     }
 
     /** Takes a new connection if it may; a machine that is down, or full, refuses it. */
@@ -491,8 +492,8 @@
     public void probe(Probed probe) {
         advance();
         long now = run.agenda.now();
-        double most = drawn.probesPerSecond() * kind.cores();
-        probesSaved = Math.min(Math.max(1, most), probesSaved + most * (now - probesAt) / 1e9);
+        double max = drawn.probesPerSecond() * kind.cores();
+        probesSaved = Math.min(Math.max(1, max), probesSaved + max * (now - probesAt) / 1e9);
         probesAt = now;
         if (probesSaved < 1) {
             probe.answered(Outcome.ERROR, null);
@@ -556,7 +557,7 @@
         if (proxy != null) {
             proxy.die();
         }
-        life++;
+        incarnation++;
         connections = 0;
         for (int i = 0; i < actives; i++) {
             Job job = active[i];
--- a/lab/src/main/java/cedarrudder/lab/model/NullTrace.java
+++ b/lab/src/main/java/cedarrudder/lab/model/NullTrace.java
@@ -32,26 +32,26 @@
     public void taken(
             long now,
             int proxy,
-            long rpc,
+            long request,
             Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {}
 
     @Override
-    public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {}
+    public void sent(long now, int proxy, long request, int attempt, long endpoint, double work) {}
 
     @Override
-    public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) {}
+    public void ended(long now, int proxy, long request, int attempt, Outcome outcome) {}
 
     @Override
-    public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {}
+    public void reached(long now, int proxy, long request, int attempt, long endpoint) {}
 
     @Override
-    public void answered(long now, int proxy, long rpc, Final how, int attempt) {}
+    public void answered(long now, int proxy, long request, Final how, int attempt) {}
 
     @Override
-    public void callerLeft(long now, int proxy, long rpc) {}
+    public void callerLeft(long now, int proxy, long request) {}
 
     @Override
     public void nodeStarted(
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyConnection.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyConnection.java
@@ -108,7 +108,7 @@
             case OPENING -> knock();
             case OPENED -> opened();
             case REFUSED -> {
-                if (accepted && machine == node.life) {
+                if (accepted && machine == node.incarnation) {
                     node.connections--;
                 }
                 end(Ending.NO_CONNECTION);
@@ -128,7 +128,7 @@
             return;
         }
         accepted = node.accepts();
-        machine = node.life;
+        machine = node.incarnation;
         if (!node.speaks()) {
             run.agenda.at(openedBy, this);
         } else if (!accepted) {
@@ -141,7 +141,7 @@
     }
 
     private void opened() {
-        if (machine != node.life) {
+        if (machine != node.incarnation) {
             end(Ending.NO_CONNECTION);
         } else if (over) {
             node.connections--;
@@ -180,7 +180,7 @@
         if (!node.hears()) {
             return;
         }
-        if (machine != node.life || !node.up()) {
+        if (machine != node.incarnation || !node.up()) {
             reset();
         } else {
             reached();
@@ -211,7 +211,7 @@
 
         @Override
         protected void run() {
-            if (of.machine == of.node.life) {
+            if (of.machine == of.node.incarnation) {
                 of.node.connections--;
                 if (of.node.hears()) {
                     of.leftAtNode();
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
@@ -43,7 +43,7 @@
     /** A connection is closed after this share of the time after which its node closes it. */
     private static final double IDLE_SHARE = 0.8;
 
-    private static final int MOST_MESSAGE = 256;
+    private static final int MAX_MESSAGE = 256;
 
     final Run run;
     final ModelProxy proxy;
@@ -147,7 +147,7 @@
         }
         call.openAt = opens;
         open[opens++] = call;
-        counts.rpcs++;
+        counts.requests++;
         watched.taken();
         Scenario.RequestKind kind = run.scenario.classes().get(call.what.classIndex());
         run.trace.taken(
@@ -330,7 +330,7 @@
         ProxyRequest call = handle.exchange().content();
         Attempt attempt = new Attempt(run, this, channels.get(handle.endpoint()), call, handle);
         counts.attempts++;
-        counts.copies += call.out > 0 ? 1 : 0;
+        counts.replicas += call.out > 0 ? 1 : 0;
         run.ledger.attempt(now(), tier);
         call.sent(attempt);
         if (outs == out.length) {
@@ -436,20 +436,20 @@
     }
 
     @Override
-    public void tell(int copy, byte[] message) {
-        if (message.length > MOST_MESSAGE) {
+    public void tell(int replica, byte[] message) {
+        if (message.length > MAX_MESSAGE) {
             run.end(
                     "proxy "
                             + proxy.number
                             + " sent a message of "
                             + message.length
                             + " bytes; "
-                            + MOST_MESSAGE
+                            + MAX_MESSAGE
                             + " are allowed");
             return;
         }
         for (ModelProxy other : proxy.all.to(tier)) {
-            if (other != proxy && (copy == -1 || other.self == copy)) {
+            if (other != proxy && (replica == -1 || other.self == replica)) {
                 run.ledger.peerBytes += message.length;
                 if (proxy.all.peerRandom().nextDouble() >= run.scenario.network().peerLoss()) {
                     deliver(other, message.clone());
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
@@ -91,7 +91,7 @@
             return;
         }
         phase = Phase.AT_PROXY;
-        id = run.nextRpc();
+        id = run.nextRequest();
         cedarrudder.budget.PropagatedBudget carried =
                 life.budgets == null ? cedarrudder.budget.PropagatedBudget.NOTHING : what.said();
         if (!carried.deadline()) {
--- a/lab/src/main/java/cedarrudder/lab/model/Run.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Run.java
@@ -66,7 +66,7 @@
     volatile long progress;
 
     private volatile String finding = "";
-    private long rpcs;
+    private long requests;
     private long endpoints;
 
     /**
@@ -157,7 +157,7 @@
         int number = 0;
         int zones = Math.max(1, scenario.network().zones().size());
         List<Proxy> first = new ArrayList<>();
-        for (int i = 0; i < world.tiers.get(0).copies(); i++) {
+        for (int i = 0; i < world.tiers.get(0).replicas(); i++) {
             first.add(cast.proxy(this, number++, 0, i, i % zones));
         }
         proxies.add(first);
@@ -184,8 +184,8 @@
         return ++endpoints * 0x9E3779B1L & 0xFFFFFFFFL;
     }
 
-    public long nextRpc() {
-        return ++rpcs;
+    public long nextRequest() {
+        return ++requests;
     }
 
     boolean writes(int classIndex) {
--- a/lab/src/main/java/cedarrudder/lab/model/World.java
+++ b/lab/src/main/java/cedarrudder/lab/model/World.java
@@ -37,24 +37,18 @@
 
     /** What overdriving does, as drawn. */
     public record Choking(
-            double at,
-            long over,
-            double slower,
-            long rest,
-            double below,
-            long most,
-            double price) {}
+            double at, long over, double slower, long rest, double below, long max, double price) {}
 
     /**
      * A tier as drawn.
      *
-     * @param copies how many proxies send to this tier
+     * @param replicas how many proxies send to this tier
      * @param calls calls to the next tier that a request makes here on average
      * @param visits requests that come here for each of a client
      */
     public record Tier(
             String name,
-            int copies,
+            int replicas,
             double workShare,
             double calls,
             double visits,
@@ -297,7 +291,7 @@
                 Math.max(1, choke.slower().draw(random)),
                 (long) choke.rest().draw(random),
                 choke.below().draw(random),
-                (long) choke.most().draw(random),
+                (long) choke.max().draw(random),
                 choke.price());
     }
 
@@ -310,13 +304,13 @@
         int[] kindOf = new int[nodes];
         double[] owed = new double[shares.length];
         for (int i = 0; i < nodes; i++) {
-            int most = 0;
+            int max = 0;
             for (int k = 0; k < shares.length; k++) {
                 owed[k] += shares[k] / sum;
-                most = owed[k] > owed[most] + 1e-9 ? k : most;
+                max = owed[k] > owed[max] + 1e-9 ? k : max;
             }
-            owed[most]--;
-            kindOf[i] = most;
+            owed[max]--;
+            kindOf[i] = max;
         }
         int[] order = shuffled(nodes, random);
         int[] dealt = new int[nodes];
@@ -359,7 +353,7 @@
     }
 
     private double capacity() {
-        double least = Double.POSITIVE_INFINITY;
+        double min = Double.POSITIVE_INFINITY;
         for (Tier tier : tiers) {
             double cores = 0;
             for (Machine machine : tier.machines()) {
@@ -367,10 +361,10 @@
             }
             double work = meanWork() * tier.workShare() * tier.visits();
             if (work > 0) {
-                least = Math.min(least, cores * 1e9 / work);
+                min = Math.min(min, cores * 1e9 / work);
             }
         }
-        return least;
+        return min;
     }
 
     /** What the proxies of a tier are told of it, as the platform would tell them. */
@@ -405,7 +399,7 @@
         Scenario.Rules rules = scenario.rules();
         Scenario.Goal goal = scenario.goal();
         return new LoadBalancer.BalancerSettings(
-                tier.copies(),
+                tier.replicas(),
                 self,
                 zone,
                 index,
@@ -419,7 +413,7 @@
                         allowed.secondCopies(),
                         allowed.retryAfter(),
                         allowed.attempts(),
-                        scenario.clients().mostRetryAfter(),
+                        scenario.clients().maxRetryAfter(),
                         tier.connectTimeout(),
                         tier.idle()),
                 new LoadBalancer.SafetyRules(
--- a/lab/src/main/java/cedarrudder/lab/policy/TierBudgets.java
+++ b/lab/src/main/java/cedarrudder/lab/policy/TierBudgets.java
@@ -36,10 +36,10 @@
                         settings.triesWithoutFields(),
                         settings.keep(),
                         settings.share(),
-                        settings.leastPerSecond(),
+                        settings.minPerSecond(),
                         settings.window(),
-                        settings.mostHops(),
-                        settings.leastAdmitted());
+                        settings.maxHops(),
+                        settings.minAdmitted());
     }
 
     /**
@@ -54,10 +54,10 @@
                 wrong.add("no tier \"" + tier + "\" among " + String.join(", ", tiers));
             }
         }
-        if (settings.mostHops() < tiers.size()) {
+        if (settings.maxHops() < tiers.size()) {
             wrong.add(
                     "path_most = "
-                            + settings.mostHops()
+                            + settings.maxHops()
                             + " with "
                             + tiers.size()
                             + " tiers: each call of the last would be taken for a loop");
@@ -78,10 +78,10 @@
                 usual.triesWithoutFields());
         add(text, "keep_tries", settings.keep(), usual.keep());
         add(text, "retry_share", settings.share(), usual.share());
-        add(text, "retry_least_per_s", settings.leastPerSecond(), usual.leastPerSecond());
+        add(text, "retry_least_per_s", settings.minPerSecond(), usual.minPerSecond());
         add(text, "window_ms", settings.window() / 1_000_000, usual.window() / 1_000_000);
-        add(text, "path_most", settings.mostHops(), usual.mostHops());
-        add(text, "let_in_least", settings.leastAdmitted(), usual.leastAdmitted());
+        add(text, "path_most", settings.maxHops(), usual.maxHops());
+        add(text, "let_in_least", settings.minAdmitted(), usual.minAdmitted());
         add(text, "strips", String.join(",", strips), "");
         add(text, "old", String.join(",", old), "");
         return text.toString();
--- a/lab/src/main/java/cedarrudder/lab/referee/ColdNode.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ColdNode.java
@@ -18,7 +18,7 @@
     /** The proxy and the RPC of what was sent last. */
     int lastProxy;
 
-    long lastRpc;
+    long lastRequest;
 
     private final long warmAt;
     private final double capacity;
@@ -117,11 +117,11 @@
     }
 
     private double heaviest() {
-        double most = 0;
+        double max = 0;
         for (int i = 0; i < size; i++) {
-            most = Math.max(most, works[(first + i) % works.length]);
+            max = Math.max(max, works[(first + i) % works.length]);
         }
-        return most;
+        return max;
     }
 
     private void grow() {
--- a/lab/src/main/java/cedarrudder/lab/referee/ObservedRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ObservedRequest.java
@@ -8,7 +8,7 @@
 /** An RPC that a proxy has taken, and its attempts in the order sent. */
 final class ObservedRequest {
     final int proxy;
-    final int life;
+    final int incarnation;
     final Idempotency effect;
     final KeyScope scope;
     final long repeatWindow;
@@ -41,16 +41,16 @@
     /** Whether the proxy knew then that the node had just started. */
     boolean[] knew = new boolean[2];
 
-    /** {@code life} tells one life of the proxy from the next. */
+    /** {@code incarnation} tells one life of the proxy from the next. */
     ObservedRequest(
             int proxy,
-            int life,
+            int incarnation,
             Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {
         this.proxy = proxy;
-        this.life = life;
+        this.incarnation = incarnation;
         this.effect = effect;
         this.scope = scope;
         this.repeatWindow = repeatWindow;
--- a/lab/src/main/java/cedarrudder/lab/referee/RuleChecker.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RuleChecker.java
@@ -54,7 +54,7 @@
 
     /** A proxy, over all its lives. */
     private static final class Proxy {
-        int life;
+        int incarnation;
         boolean alive;
         LongMap<ListedEndpoint> listed = new LongMap<>();
         List<ListedEndpoint> inOrder = new ArrayList<>();
@@ -63,13 +63,13 @@
     private final RuleParameters figures;
     private final long origin;
     private final List<Proxy> proxies = new ArrayList<>();
-    private final LongMap<ObservedRequest> rpcs = new LongMap<>();
+    private final LongMap<ObservedRequest> requests = new LongMap<>();
     private final LongMap<ColdNode> cold = new LongMap<>();
     private final TimerHeap due = new TimerHeap();
     private final TimerHeap forget = new TimerHeap();
     private final Breach[] first = new Breach[RULES];
     private final long[] counts = new long[RULES];
-    private int most;
+    private int max;
 
     /**
      * A referee for one run.
@@ -109,13 +109,14 @@
     }
 
     /** The most RPCs that were remembered at once. */
-    public int mostRemembered() {
-        return most;
+    public int maxRemembered() {
+        return max;
     }
 
-    private void breach(int rule, long now, int proxy, long rpc, long endpoint, String what) {
+    private void breach(int rule, long now, int proxy, long request, long endpoint, String what) {
         if (counts[rule - 1]++ == 0) {
-            first[rule - 1] = new Breach(rule, (now - origin) / 1e9, proxy, rpc, endpoint, what, 1);
+            first[rule - 1] =
+                    new Breach(rule, (now - origin) / 1e9, proxy, request, endpoint, what, 1);
         }
     }
 
@@ -129,23 +130,23 @@
     /** Time goes by: answers become overdue, and old RPCs are forgotten. */
     private void pass(long now) {
         while (!due.isEmpty() && due.time() < now) {
-            ObservedRequest rpc = rpcs.get(due.number());
-            if (!rpc.answered && !rpc.closed && lives(rpc)) {
-                rpc.closed = true;
-                breach(1, due.time(), rpc.proxy, due.number(), -1, "no final answer in time");
+            ObservedRequest request = requests.get(due.number());
+            if (!request.answered && !request.closed && lives(request)) {
+                request.closed = true;
+                breach(1, due.time(), request.proxy, due.number(), -1, "no final answer in time");
             }
             forget.add(due.time() + MEMORY, due.number());
             due.remove();
         }
         while (!forget.isEmpty() && forget.time() < now) {
-            rpcs.remove(forget.number());
+            requests.remove(forget.number());
             forget.remove();
         }
     }
 
-    private boolean lives(ObservedRequest rpc) {
-        Proxy proxy = proxies.get(rpc.proxy);
-        return proxy.alive && proxy.life == rpc.life;
+    private boolean lives(ObservedRequest request) {
+        Proxy proxy = proxies.get(request.proxy);
+        return proxy.alive && proxy.incarnation == request.incarnation;
     }
 
     // ---- proxies and what they are told ----
@@ -154,7 +155,7 @@
     public void proxyStarted(long now, int number, int tier) {
         pass(now);
         Proxy proxy = proxy(number);
-        proxy.life++;
+        proxy.incarnation++;
         proxy.alive = true;
         proxy.listed = new LongMap<>();
         proxy.inOrder = new ArrayList<>();
@@ -213,12 +214,12 @@
             long repeatWindow,
             long deadline) {
         pass(now);
-        rpcs.put(
+        requests.put(
                 id,
                 new ObservedRequest(
-                        number, proxy(number).life, effect, scope, repeatWindow, deadline));
+                        number, proxy(number).incarnation, effect, scope, repeatWindow, deadline));
         due.add(Math.max(now, deadline) + figures.answerGrace(), id);
-        most = Math.max(most, rpcs.size());
+        max = Math.max(max, requests.size());
     }
 
     @Override
@@ -230,60 +231,60 @@
         } else if (now - figures.drainGrace() > listed.knownSince()) {
             breach(3, now, number, id, endpoint, "sent to a node known to drain or to be gone");
         }
-        ObservedRequest rpc = rpcs.get(id);
-        if (rpc == null || rpc.proxy != number) {
+        ObservedRequest request = requests.get(id);
+        if (request == null || request.proxy != number) {
             breach(1, now, number, id, endpoint, "sent what the proxy doesn't hold");
             return;
         }
-        if (rpc.answered && !rpc.told || rpc.told && now > rpc.toldAt) {
+        if (request.answered && !request.told || request.told && now > request.toldAt) {
             breach(1, now, number, id, endpoint, "sent after its end");
         }
         int cell = listed == null ? -1 : listed.cell;
         int zone = listed == null ? -1 : listed.zone;
-        String wrong = wrongAgain(now, rpc, cell, zone);
+        String wrong = wrongAgain(now, request, cell, zone);
         if (wrong != null) {
             breach(2, now, number, id, endpoint, wrong);
         }
-        rpc.add(now, endpoint, cell, zone, work);
+        request.add(now, endpoint, cell, zone, work);
         if (work > 0) {
-            press(now, rpc, id, rpc.attempts - 1);
+            press(now, request, id, request.attempts - 1);
         }
     }
 
     /** What is wrong with a further attempt at a node of this cell and zone; null if nothing is. */
-    private String wrongAgain(long now, ObservedRequest rpc, int cell, int zone) {
-        if (rpc.attempts >= figures.attempts()) {
+    private String wrongAgain(long now, ObservedRequest request, int cell, int zone) {
+        if (request.attempts >= figures.attempts()) {
             return "more attempts than allowed";
         }
-        int ran = rpc.mayHaveRun();
-        if (ran >= 0 && rpc.effect == Idempotency.UNSAFE) {
+        int ran = request.mayHaveRun();
+        if (ran >= 0 && request.effect == Idempotency.UNSAFE) {
             return "unsafe, sent again though it may have run";
         }
-        if (ran >= 0 && rpc.effect == Idempotency.KEYED) {
-            if (now - rpc.sentAt[ran] > rpc.repeatWindow) {
+        if (ran >= 0 && request.effect == Idempotency.KEYED) {
+            if (now - request.sentAt[ran] > request.repeatWindow) {
                 return "keyed, sent again after its window";
             }
-            if (rpc.scope == KeyScope.CELL && rpc.cells[ran] != cell
-                    || rpc.scope == KeyScope.ZONE && rpc.zones[ran] != zone) {
+            if (request.scope == KeyScope.CELL && request.cells[ran] != cell
+                    || request.scope == KeyScope.ZONE && request.zones[ran] != zone) {
                 return "keyed, sent again outside its "
-                        + (rpc.scope == KeyScope.CELL ? "cell" : "zone");
+                        + (request.scope == KeyScope.CELL ? "cell" : "zone");
             }
         }
-        return rpc.out > 0 && !figures.secondCopies() ? "two attempts out at once" : null;
+        return request.out > 0 && !figures.secondCopies() ? "two attempts out at once" : null;
     }
 
     /** Tells the work of an attempt that was sent just now, where it wasn't known when it was. */
     void weighed(long now, long id, int attempt, double work) {
-        ObservedRequest rpc = rpcs.get(id);
-        if (rpc != null && attempt < rpc.attempts) {
-            rpc.works[attempt] = work;
-            press(now, rpc, id, attempt);
+        ObservedRequest request = requests.get(id);
+        if (request != null && attempt < request.attempts) {
+            request.works[attempt] = work;
+            press(now, request, id, attempt);
         }
     }
 
     /** Counts the work of an attempt against its node, where that is cold. */
-    private void press(long now, ObservedRequest rpc, long id, int attempt) {
-        long endpoint = rpc.endpoints[attempt];
+    private void press(long now, ObservedRequest request, long id, int attempt) {
+        long endpoint = request.endpoints[attempt];
         ColdNode node = cold.get(endpoint);
         if (node == null) {
             return;
@@ -292,71 +293,71 @@
             cold.remove(endpoint);
             return;
         }
-        ListedEndpoint listed = proxies.get(rpc.proxy).listed.get(endpoint);
-        rpc.knew[attempt] =
+        ListedEndpoint listed = proxies.get(request.proxy).listed.get(endpoint);
+        request.knew[attempt] =
                 listed != null
                         && listed.startedAt != 0
                         && listed.startedAt > node.startedAt - START_ROUNDING;
-        node.lastProxy = rpc.proxy;
-        node.lastRpc = id;
-        if (node.sent(now, rpc.works[attempt], rpc.knew[attempt])) {
-            breach(4, now, rpc.proxy, id, endpoint, "a cold node was pushed over");
+        node.lastProxy = request.proxy;
+        node.lastRequest = id;
+        if (node.sent(now, request.works[attempt], request.knew[attempt])) {
+            breach(4, now, request.proxy, id, endpoint, "a cold node was pushed over");
         }
     }
 
     @Override
     public void reached(long now, int number, long id, int attempt, long endpoint) {
         pass(now);
-        ObservedRequest rpc = rpcs.get(id);
-        if (rpc != null && attempt < rpc.attempts) {
-            rpc.reached[attempt] = true;
+        ObservedRequest request = requests.get(id);
+        if (request != null && attempt < request.attempts) {
+            request.reached[attempt] = true;
         }
     }
 
     @Override
     public void ended(long now, int number, long id, int attempt, Outcome outcome) {
         pass(now);
-        ObservedRequest rpc = rpcs.get(id);
-        if (rpc == null || attempt >= rpc.attempts || rpc.ended[attempt] != null) {
+        ObservedRequest request = requests.get(id);
+        if (request == null || attempt >= request.attempts || request.ended[attempt] != null) {
             return;
         }
-        rpc.ended[attempt] = outcome;
-        rpc.out--;
-        ColdNode node = cold.get(rpc.endpoints[attempt]);
+        request.ended[attempt] = outcome;
+        request.out--;
+        ColdNode node = cold.get(request.endpoints[attempt]);
         if (node != null && (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT)) {
-            node.takeBack(rpc.sentAt[attempt], rpc.works[attempt], rpc.knew[attempt]);
+            node.takeBack(request.sentAt[attempt], request.works[attempt], request.knew[attempt]);
         }
     }
 
     @Override
     public void answered(long now, int number, long id, Final how, int attempt) {
         pass(now);
-        ObservedRequest rpc = rpcs.get(id);
-        if (rpc == null || rpc.proxy != number) {
+        ObservedRequest request = requests.get(id);
+        if (request == null || request.proxy != number) {
             breach(1, now, number, id, -1, "answered what the proxy doesn't hold");
             return;
         }
-        if (rpc.answered) {
+        if (request.answered) {
             breach(1, now, number, id, -1, "answered twice");
             return;
         }
-        rpc.answered = true;
+        request.answered = true;
         if (how == Final.SERVED) {
-            rpc.told = true;
-            rpc.toldAt = now;
+            request.told = true;
+            request.toldAt = now;
             boolean real =
                     attempt >= 0
-                            && attempt < rpc.attempts
-                            && rpc.reached[attempt]
-                            && rpc.ended[attempt] == Outcome.OK;
+                            && attempt < request.attempts
+                            && request.reached[attempt]
+                            && request.ended[attempt] == Outcome.OK;
             if (!real) {
                 breach(1, now, number, id, -1, "served what no node made for it");
             }
         }
         if (how == Final.REFUSED
-                && rpc.mayHaveRun() >= 0
-                && (rpc.effect == Idempotency.UNSAFE
-                        || rpc.effect == Idempotency.KEYED && rpc.scope != KeyScope.ALL)) {
+                && request.mayHaveRun() >= 0
+                && (request.effect == Idempotency.UNSAFE
+                        || request.effect == Idempotency.KEYED && request.scope != KeyScope.ALL)) {
             breach(2, now, number, id, -1, "refused though it may have run");
         }
     }
@@ -364,13 +365,13 @@
     @Override
     public void callerLeft(long now, int number, long id) {
         pass(now);
-        ObservedRequest rpc = rpcs.get(id);
-        if (rpc != null && !rpc.told) {
-            rpc.told = true;
-            rpc.toldAt = now;
+        ObservedRequest request = requests.get(id);
+        if (request != null && !request.told) {
+            request.told = true;
+            request.toldAt = now;
             // From the deadline on nobody leaves: then it is the answer that has not come, and is
             // still owed.
-            rpc.closed |= now < rpc.deadline;
+            request.closed |= now < request.deadline;
         }
     }
 
@@ -396,7 +397,13 @@
         pass(now);
         ColdNode node = cold.get(endpoint);
         if (node != null && node.cold(now) && node.fell(now)) {
-            breach(4, now, node.lastProxy, node.lastRpc, endpoint, "a cold node was pushed over");
+            breach(
+                    4,
+                    now,
+                    node.lastProxy,
+                    node.lastRequest,
+                    endpoint,
+                    "a cold node was pushed over");
         }
         cold.remove(endpoint);
     }
--- a/lab/src/main/java/cedarrudder/lab/referee/RunChecker.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RunChecker.java
@@ -74,7 +74,7 @@
                         referee,
                         () -> own.number,
                         settings,
-                        rpc -> 0,
+                        request -> 0,
                         actions,
                         tapped -> policy.create(settings, random, tapped, truth));
             }
@@ -134,7 +134,7 @@
         public void taken(
                 long now,
                 int proxy,
-                long rpc,
+                long request,
                 Idempotency effect,
                 KeyScope scope,
                 long repeatWindow,
@@ -143,29 +143,30 @@
         }
 
         @Override
-        public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {
+        public void sent(
+                long now, int proxy, long request, int attempt, long endpoint, double work) {
             last = now;
-            referee.weighed(now, rpc, attempt, work);
+            referee.weighed(now, request, attempt, work);
         }
 
         @Override
-        public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) {
+        public void ended(long now, int proxy, long request, int attempt, Outcome outcome) {
             last = now;
         }
 
         @Override
-        public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {
+        public void reached(long now, int proxy, long request, int attempt, long endpoint) {
             last = now;
-            referee.reached(now, proxy, rpc, attempt, endpoint);
+            referee.reached(now, proxy, request, attempt, endpoint);
         }
 
         @Override
-        public void answered(long now, int proxy, long rpc, Final how, int attempt) {
+        public void answered(long now, int proxy, long request, Final how, int attempt) {
             last = now;
         }
 
         @Override
-        public void callerLeft(long now, int proxy, long rpc) {
+        public void callerLeft(long now, int proxy, long request) {
             last = now;
         }
 
--- a/lab/src/main/java/cedarrudder/lab/report/Plots.java
+++ b/lab/src/main/java/cedarrudder/lab/report/Plots.java
@@ -108,8 +108,8 @@
                         RowPlot.NO_MARK,
                         true,
                         Style.GREY);
-        int most = kinds.values().stream().mapToInt(List::size).max().orElse(0);
-        for (int rank = 0; rank < most; rank++) {
+        int max = kinds.values().stream().mapToInt(List::size).max().orElse(0);
+        for (int rank = 0; rank < max; rank++) {
             plot.kind(
                     rank == 0 ? "middle node of the fastest kind" : "of kind " + (rank + 1),
                     rank,
--- a/lab/src/main/java/cedarrudder/lab/report/TimePlot.java
+++ b/lab/src/main/java/cedarrudder/lab/report/TimePlot.java
@@ -30,7 +30,7 @@
     private static final int WIDTH = 900;
     private static final int STRIP = 84;
     private static final int AROUND = 60;
-    private static final int MOST_POINTS = 180;
+    private static final int MAX_POINTS = 180;
     private static final double HEADROOM = 0.06;
     private static final double HALF = 0.5;
     private static final int DARKEST = 50;
@@ -51,7 +51,7 @@
                         .mapToInt(TimePlot::asked)
                         .max()
                         .orElse(0);
-        this.step = Math.max(1, (seconds + MOST_POINTS - 1) / MOST_POINTS);
+        this.step = Math.max(1, (seconds + MAX_POINTS - 1) / MAX_POINTS);
     }
 
     /** The seconds of a run until the last in which anything was asked for. */
@@ -103,23 +103,23 @@
             }
             strips.add(lines);
         }
-        double least = least(strips);
-        strips.forEach(lines -> all.add(strip(lines, least)));
+        double min = min(strips);
+        strips.forEach(lines -> all.add(strip(lines, min)));
         return new Plot(Style.chart(all, false), WIDTH, AROUND + STRIP * strips.size());
     }
 
     /** Where the scale of all strips begins: a tenth that is below all lines. */
-    private static double least(List<XYSeriesCollection> strips) {
-        double least =
+    private static double min(List<XYSeriesCollection> strips) {
+        double min =
                 strips.stream()
                         .filter(lines -> lines.getItemCount(0) > 0)
                         .mapToDouble(lines -> lines.getSeries(0).getMinY())
                         .min()
                         .orElse(0);
-        return Math.max(0, Math.min(0.9, Math.floor(least * 10 - 0.5) / 10));
+        return Math.max(0, Math.min(0.9, Math.floor(min * 10 - 0.5) / 10));
     }
 
-    private XYPlot strip(XYSeriesCollection lines, double least) {
+    private XYPlot strip(XYSeriesCollection lines, double min) {
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
         renderer.setDrawSeriesLineAsPath(true);
         renderer.setSeriesPaint(0, Style.BLUE);
@@ -132,8 +132,8 @@
         NumberAxis share = new NumberAxis(lines.getSeries(0).getKey().toString());
         // Names lie along the rows, as they do in the other plots.
         share.setLabelAngle(Math.PI / 2);
-        share.setRange(least, 1 + (1 - least) * HEADROOM);
-        share.setTickUnit(new NumberTickUnit(least < HALF ? HALF : (1 - least) / 2));
+        share.setRange(min, 1 + (1 - min) * HEADROOM);
+        share.setTickUnit(new NumberTickUnit(min < HALF ? HALF : (1 - min) / 2));
         Style.axis(share);
         XYPlot plot = new XYPlot(lines, null, share, renderer);
         Style.plot(plot);
--- a/lab/src/main/java/cedarrudder/lab/scenario/Figures.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/Figures.java
@@ -29,22 +29,21 @@
      *
      * @param otherwise one number or two; none: the key must be there
      */
-    static Draw draw(
-            ConfigTable table, String key, double least, double most, double... otherwise) {
+    static Draw draw(ConfigTable table, String key, double min, double max, double... otherwise) {
         return scaled(
                 key,
                 table.range(
                         key,
-                        least,
-                        most,
+                        min,
+                        max,
                         otherwise.length == 0
                                 ? null
                                 : new double[] {otherwise[0], otherwise[otherwise.length - 1]}));
     }
 
     /** A figure that may be left out; null where it is. */
-    static Draw drawOrNull(ConfigTable table, String key, double least, double most) {
-        double[] ends = table.rangeOrNull(key, least, most);
+    static Draw drawOrNull(ConfigTable table, String key, double min, double max) {
+        double[] ends = table.rangeOrNull(key, min, max);
         return ends == null ? null : scaled(key, ends);
     }
 
@@ -54,13 +53,13 @@
     }
 
     /** A fixed time that must be there. */
-    static long time(ConfigTable table, String key, double least, double most) {
-        return Math.round(table.number(key, least, most) * unit(key));
+    static long time(ConfigTable table, String key, double min, double max) {
+        return Math.round(table.number(key, min, max) * unit(key));
     }
 
     /** A fixed time that may be left out. */
-    static long time(ConfigTable table, String key, double least, double most, double otherwise) {
-        return Math.round(table.number(key, least, most, otherwise) * unit(key));
+    static long time(ConfigTable table, String key, double min, double max, double otherwise) {
+        return Math.round(table.number(key, min, max, otherwise) * unit(key));
     }
 
     /** A figure in its key's unit, as problems show it: at most three digits behind the point. */
--- a/lab/src/main/java/cedarrudder/lab/scenario/Scenario.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/Scenario.java
@@ -156,7 +156,7 @@
      * @param backoff the first wait
      * @param exponential whether waits double
      * @param honour the share of clients that come back no sooner than they were told
-     * @param mostRetryAfter they honour no longer wait
+     * @param maxRetryAfter they honour no longer wait
      * @param marksRepeats whether a repeat is marked
      */
     public record Clients(
@@ -165,7 +165,7 @@
             Draw backoff,
             boolean exponential,
             Draw honour,
-            long mostRetryAfter,
+            long maxRetryAfter,
             boolean marksRepeats) {}
 
     /**
@@ -344,7 +344,7 @@
      * @param slower by which factor
      * @param rest it recovers after it has been mostly idle for this long
      * @param below mostly idle: fewer requests held for each core than this
-     * @param most or after this long in any case
+     * @param max or after this long in any case
      * @param price the points that go if all nodes choke once
      */
     public record Choke(
@@ -354,7 +354,7 @@
             Draw slower,
             Draw rest,
             Draw below,
-            Draw most,
+            Draw max,
             double price) {}
 
     /** How work varies from request to request of a class. */
--- a/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
@@ -41,7 +41,7 @@
 
     private static final double HOUR = 3600;
     private static final double MINUTE = 60;
-    private static final double MOST_SCALE = 100;
+    private static final double MAX_SCALE = 100;
 
     /**
      * Weights and shares may miss their sum by as much: decimals of the file, not of the machine.
@@ -188,7 +188,7 @@
             shortest = length.low();
         }
         long lead = Figures.time(t, "lead_s", 0, HOUR, 1);
-        int most = (int) t.whole("most_requests", 1, 5_000_000, 1_000_000);
+        int max = (int) t.whole("most_requests", 1, 5_000_000, 1_000_000);
         long window = Figures.time(t, "window_s", 0.1, HOUR, 10);
         if (lead >= shortest) {
             t.problem("lead_s", Figures.shown("lead_s", lead), beforeTheEnd(shortest));
@@ -201,7 +201,7 @@
                             + Figures.shown("window_s", shortest - lead));
         }
         t.done();
-        return new Run(length, lead, most, window);
+        return new Run(length, lead, max, window);
     }
 
     private static Network network(ConfigTable t) {
@@ -242,7 +242,7 @@
         Draw backoff = Figures.draw(t, "backoff_ms", 0, 60_000, 20, 100);
         boolean exponential = t.flag("exponential", true);
         Draw honour = Figures.draw(t, "honour", 0, 1, 1);
-        long most = Figures.time(t, "most_retry_after_ms", 0, 60_000, 2000);
+        long max = Figures.time(t, "most_retry_after_ms", 0, 60_000, 2000);
         boolean marks = t.flag("marks_repeats", false);
         if (!allowed.retryAfter()) {
             if (t.has("honour") && honour.high() > 0) {
@@ -254,7 +254,7 @@
             honour = Draw.fixed(0);
         }
         t.done();
-        return new Clients(retries, tryShare, backoff, exponential, honour, most, marks);
+        return new Clients(retries, tryShare, backoff, exponential, honour, max, marks);
     }
 
     private static Discovery discovery(ConfigTable t) {
@@ -293,7 +293,7 @@
         Rules rules =
                 new Rules(
                         Figures.time(t, "drain_grace_ms", 1, 600_000, 2000),
-                        t.number("fall_multiple", 1, MOST_SCALE, 3),
+                        t.number("fall_multiple", 1, MAX_SCALE, 3),
                         Figures.time(t, "fall_window_ms", 1, 600_000, 3000),
                         Figures.time(t, "answer_grace_ms", 0, 60_000, 10));
         t.done();
--- a/lab/src/main/java/cedarrudder/lab/scenario/TierReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/TierReader.java
@@ -15,7 +15,7 @@
 /** Reads the tiers of a scenario and their kinds of machines. */
 final class TierReader {
 
-    private static final int MOST_NODES = 10_000;
+    private static final int MAX_NODES = 10_000;
 
     private final Set<String> names = new HashSet<>();
 
@@ -39,7 +39,7 @@
 
     private Tier tier(ConfigTable t, int index, boolean last) {
         String name = ScenarioReader.ownName(t, names);
-        Draw nodes = Figures.drawOrNull(t, "nodes", 1, MOST_NODES);
+        Draw nodes = Figures.drawOrNull(t, "nodes", 1, MAX_NODES);
         Draw relative = Figures.drawOrNull(t, "nodes_of_first", 0.01, 100);
         if (index == 0 && relative != null) {
             t.problem(
@@ -56,7 +56,7 @@
                     "nodes",
                     "nothing",
                     index == 0
-                            ? "a number from 1 to " + MOST_NODES
+                            ? "a number from 1 to " + MAX_NODES
                             : "either nodes or nodes_of_first");
         }
         Draw proxies = Figures.drawOrNull(t, "proxies", 1, 1000);
@@ -73,7 +73,7 @@
         if (last && t.has("calls")) {
             t.problem("calls", "calls to the next tier", "no such key at the last tier");
         }
-        Draw cellSize = Figures.draw(t, "cell_size", 1, MOST_NODES, 4);
+        Draw cellSize = Figures.draw(t, "cell_size", 1, MAX_NODES, 4);
         double passes = t.number("passes_deadline", 0, 1, 1);
         if (last && t.has("passes_deadline")) {
             t.problem(
@@ -178,10 +178,10 @@
                         Figures.draw(t, "below_per_core", 0.01, 10_000, 0.3),
                         Figures.draw(t, "most_s", 0.01, 3600, 20, 30),
                         t.number("price", 0, 1, 0));
-        if (t.sound("most_s", "rest_s") && choke.most().high() < choke.rest().low()) {
+        if (t.sound("most_s", "rest_s") && choke.max().high() < choke.rest().low()) {
             t.problem(
                     "most_s",
-                    Figures.shown("most_s", choke.most().high()),
+                    Figures.shown("most_s", choke.max().high()),
                     "no less than rest_s, " + Figures.shown("rest_s", choke.rest().low()));
         }
         t.done();
--- a/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
@@ -27,14 +27,14 @@
 final class TraceReader {
 
     private static final List<String> COLUMNS = List.of("time_ms", "class", "tenant", "work_ms");
-    private static final long MOST_BYTES = 256L << 20;
-    private static final int MOST_LINES = 5_000_000;
+    private static final long MAX_BYTES = 256L << 20;
+    private static final int MAX_LINES = 5_000_000;
 
     /** Further broken lines are not told: guards against a wrong file that fills a screen. */
-    private static final int MOST_PROBLEMS = 20;
+    private static final int MAX_PROBLEMS = 20;
 
-    private static final double MOST_TIME_MS = 3_600_000;
-    private static final double MOST_WORK_MS = 60_000;
+    private static final double MAX_TIME_MS = 3_600_000;
+    private static final double MAX_WORK_MS = 60_000;
     private static final double MILLI = 1e6;
 
     private final Path file;
@@ -62,8 +62,8 @@
     List<Recorded> read() {
         List<Recorded> trace = new ArrayList<>();
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                problem(0, "", Files.size(file) + " bytes", MOST_BYTES + " bytes at the most");
+            if (Files.size(file) > MAX_BYTES) {
+                problem(0, "", Files.size(file) + " bytes", MAX_BYTES + " bytes at the most");
                 return trace;
             }
             try (Reader reader = Files.newBufferedReader(file);
@@ -89,7 +89,7 @@
     private void lines(CSVParser parser, List<Recorded> trace) throws IOException {
         Iterator<CSVRecord> records = parser.iterator();
         int count = 0;
-        while (told < MOST_PROBLEMS) {
+        while (told < MAX_PROBLEMS) {
             // The parser counts the line ends it has read; a field in quotes may hold some of its
             // own.
             int line = (int) parser.getCurrentLineNumber() + 1;
@@ -108,8 +108,8 @@
             }
             if (count++ == 0) {
                 header(line, record);
-            } else if (count > MOST_LINES) {
-                problem(line, "", "more lines", MOST_LINES + " lines at the most");
+            } else if (count > MAX_LINES) {
+                problem(line, "", "more lines", MAX_LINES + " lines at the most");
                 return;
             } else {
                 Recorded recorded = recorded(line, record);
@@ -118,13 +118,13 @@
                 }
             }
         }
-        if (told >= MOST_PROBLEMS) {
+        if (told >= MAX_PROBLEMS) {
             problems.add(
                     new ConfigProblem(
                             file.toString(),
                             0,
                             "",
-                            "more than " + (MOST_PROBLEMS - 1) + " broken lines",
+                            "more than " + (MAX_PROBLEMS - 1) + " broken lines",
                             "the rest was not read"));
         } else if (count < 2) {
             problem(
@@ -158,11 +158,11 @@
             return null;
         }
         int before = told;
-        double time = number(line, record, 0, MOST_TIME_MS, false);
+        double time = number(line, record, 0, MAX_TIME_MS, false);
         int kind = name(line, record, 1, classes);
         int tenant =
                 tenants.isEmpty() && record.get(2).isEmpty() ? 0 : name(line, record, 2, tenants);
-        double work = number(line, record, 3, MOST_WORK_MS, true);
+        double work = number(line, record, 3, MAX_WORK_MS, true);
         if (told > before) {
             return null;
         }
@@ -178,7 +178,7 @@
         return new Recorded(Math.round(time * MILLI), kind, tenant, Math.round(work * MILLI));
     }
 
-    private double number(int line, CSVRecord record, int column, double most, boolean mayBeEmpty) {
+    private double number(int line, CSVRecord record, int column, double max, boolean mayBeEmpty) {
         String field = record.get(column);
         if (field.isEmpty() && mayBeEmpty) {
             return 0;
@@ -189,14 +189,14 @@
         } catch (NumberFormatException e) {
             value = Double.NaN;
         }
-        if (value >= 0 && value <= most) {
+        if (value >= 0 && value <= max) {
             return value;
         }
         problem(
                 line,
                 COLUMNS.get(column),
                 ConfigTable.shown(field),
-                "a number from 0 to " + Figures.shown(most) + (mayBeEmpty ? ", or nothing" : ""));
+                "a number from 0 to " + Figures.shown(max) + (mayBeEmpty ? ", or nothing" : ""));
         return 0;
     }
 
--- a/lab/src/main/java/cedarrudder/lab/trace/Trace.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/Trace.java
@@ -51,28 +51,28 @@
     void taken(
             long now,
             int proxy,
-            long rpc,
+            long request,
             Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline);
 
     /** A proxy writes an attempt to a node. {@code work}: on a core of speed 1 at this tier. */
-    void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work);
+    void sent(long now, int proxy, long request, int attempt, long endpoint, double work);
 
     /** The outcome that an attempt had for the proxy. */
-    void ended(long now, int proxy, long rpc, int attempt, Outcome outcome);
+    void ended(long now, int proxy, long request, int attempt, Outcome outcome);
 
     /** A node has begun to work on an attempt, or has taken it into its queue. */
-    void reached(long now, int proxy, long rpc, int attempt, long endpoint);
+    void reached(long now, int proxy, long request, int attempt, long endpoint);
 
     /**
      * A proxy gives an RPC its final answer. SERVED names the attempt whose answer it is; else -1.
      */
-    void answered(long now, int proxy, long rpc, Final how, int attempt);
+    void answered(long now, int proxy, long request, Final how, int attempt);
 
     /** The caller of an RPC has gone before it was answered; nothing is owed any more. */
-    void callerLeft(long now, int proxy, long rpc);
+    void callerLeft(long now, int proxy, long request);
 
     /**
      * A node has started cold.
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
@@ -91,13 +91,13 @@
         }
     }
 
-    private void ofRpc(long now, String event, int proxy, long rpc, Fields fields) {
+    private void ofRequest(long now, String event, int proxy, long request, Fields fields) {
         line(
                 now,
                 event,
                 out -> {
                     out.writeNumberField("proxy", proxy);
-                    out.writeNumberField("rpc", rpc);
+                    out.writeNumberField("rpc", request);
                     fields.write(out);
                 });
     }
@@ -153,86 +153,86 @@
     public void taken(
             long now,
             int proxy,
-            long rpc,
+            long request,
             Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {
-        ofRpc(
+        ofRequest(
                 now,
                 "taken",
                 proxy,
-                rpc,
+                request,
                 out -> {
                     out.writeStringField("effect", effect.name());
                     out.writeStringField("scope", scope.name());
                     out.writeNumberField("window", repeatWindow);
                     out.writeNumberField("deadline", deadline - origin);
                 });
-        next.taken(now, proxy, rpc, effect, scope, repeatWindow, deadline);
+        next.taken(now, proxy, request, effect, scope, repeatWindow, deadline);
     }
 
     @Override
-    public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {
-        ofRpc(
+    public void sent(long now, int proxy, long request, int attempt, long endpoint, double work) {
+        ofRequest(
                 now,
                 "sent",
                 proxy,
-                rpc,
+                request,
                 out -> {
                     out.writeNumberField("attempt", attempt);
                     out.writeNumberField("endpoint", endpoint);
                     out.writeNumberField("work", Math.round(work));
                 });
-        next.sent(now, proxy, rpc, attempt, endpoint, work);
+        next.sent(now, proxy, request, attempt, endpoint, work);
     }
 
     @Override
-    public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) {
-        ofRpc(
+    public void ended(long now, int proxy, long request, int attempt, Outcome outcome) {
+        ofRequest(
                 now,
                 "ended",
                 proxy,
-                rpc,
+                request,
                 out -> {
                     out.writeNumberField("attempt", attempt);
                     out.writeStringField("outcome", outcome.name());
                 });
-        next.ended(now, proxy, rpc, attempt, outcome);
+        next.ended(now, proxy, request, attempt, outcome);
     }
 
     @Override
-    public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {
-        ofRpc(
+    public void reached(long now, int proxy, long request, int attempt, long endpoint) {
+        ofRequest(
                 now,
                 "reached",
                 proxy,
-                rpc,
+                request,
                 out -> {
                     out.writeNumberField("attempt", attempt);
                     out.writeNumberField("endpoint", endpoint);
                 });
-        next.reached(now, proxy, rpc, attempt, endpoint);
+        next.reached(now, proxy, request, attempt, endpoint);
     }
 
     @Override
-    public void answered(long now, int proxy, long rpc, Final how, int attempt) {
-        ofRpc(
+    public void answered(long now, int proxy, long request, Final how, int attempt) {
+        ofRequest(
                 now,
                 "answered",
                 proxy,
-                rpc,
+                request,
                 out -> {
                     out.writeStringField("how", how.name());
                     out.writeNumberField("attempt", attempt);
                 });
-        next.answered(now, proxy, rpc, how, attempt);
+        next.answered(now, proxy, request, how, attempt);
     }
 
     @Override
-    public void callerLeft(long now, int proxy, long rpc) {
-        ofRpc(now, "caller-left", proxy, rpc, out -> {});
-        next.callerLeft(now, proxy, rpc);
+    public void callerLeft(long now, int proxy, long request) {
+        ofRequest(now, "caller-left", proxy, request, out -> {});
+        next.callerLeft(now, proxy, request);
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
@@ -31,7 +31,7 @@
     private final List<RequestClass> classes;
     private final LongToDoubleFunction work;
     private final LoadBalancer balancer;
-    private final Map<Long, Open> rpcs = new HashMap<>();
+    private final Map<Long, Open> requests = new HashMap<>();
     private long now;
 
     /**
@@ -96,7 +96,7 @@
 
     private void taken(long at, Request request) {
         now = at;
-        rpcs.put(request.id(), new Open());
+        requests.put(request.id(), new Open());
         RequestClass kind = classes.get(request.classIndex());
         trace.taken(
                 at,
@@ -126,14 +126,14 @@
             LoadReport load) {
         now = at;
         trace.ended(at, proxy.getAsInt(), request, attempt, outcome);
-        Open rpc = rpcs.get(request);
-        if (rpc != null) {
-            rpc.out--;
-            if (outcome == Outcome.OK && settled && !rpc.over) {
+        Open open = requests.get(request);
+        if (open != null) {
+            open.out--;
+            if (outcome == Outcome.OK && settled && !open.over) {
                 trace.answered(at, proxy.getAsInt(), request, Final.SERVED, attempt);
-                rpc.over = true;
+                open.over = true;
             }
-            forgetIfDone(request, rpc);
+            forgetIfDone(request, open);
         }
         balancer.outcome(at, request, attempt, endpoint, outcome, latency, settled, load);
     }
@@ -164,9 +164,9 @@
     }
 
     @Override
-    public void copies(long at, int live) {
+    public void replicas(long at, int live) {
         now = at;
-        balancer.copies(at, live);
+        balancer.replicas(at, live);
     }
 
     @Override
@@ -182,16 +182,16 @@
     }
 
     private void end(long request) {
-        Open rpc = rpcs.get(request);
-        if (rpc != null) {
-            rpc.over = true;
-            forgetIfDone(request, rpc);
+        Open open = requests.get(request);
+        if (open != null) {
+            open.over = true;
+            forgetIfDone(request, open);
         }
     }
 
-    private void forgetIfDone(long request, Open rpc) {
-        if (rpc.over && rpc.out == 0) {
-            rpcs.remove(request);
+    private void forgetIfDone(long request, Open open) {
+        if (open.over && open.out == 0) {
+            requests.remove(request);
         }
     }
 
@@ -205,11 +205,11 @@
 
         @Override
         public void send(long request, long endpoint, long timeout) {
-            Open rpc = rpcs.get(request);
+            Open open = requests.get(request);
             int attempt = 0;
-            if (rpc != null) {
-                attempt = rpc.attempts++;
-                rpc.out++;
+            if (open != null) {
+                attempt = open.attempts++;
+                open.out++;
             }
             trace.sent(
                     now, proxy.getAsInt(), request, attempt, endpoint, work.applyAsDouble(request));
@@ -261,8 +261,8 @@
         }
 
         @Override
-        public void tell(int copy, byte[] message) {
-            to.tell(copy, message);
+        public void tell(int replica, byte[] message) {
+            to.tell(replica, message);
         }
 
         @Override
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -31,8 +31,9 @@
             new ConsensusSimulation.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
 
     private static ConsensusSimulation.Maker with(SafetyRules conduct) {
-        return (zones, self, life, settings, store, random, outlet, now) ->
-                new RaftNode(zones, self, life, settings, store, random, outlet, now, conduct);
+        return (zones, self, incarnation, settings, store, random, outlet, now) ->
+                new RaftNode(
+                        zones, self, incarnation, settings, store, random, outlet, now, conduct);
     }
 
     /** The rules that seeds break, up to the first seed that breaks one of these. */
@@ -112,7 +113,7 @@
         List<HistoryEvent> events = new ArrayList<>();
         ConsensusSimulation copies = started(10, false, conduct, events);
         for (Voter voter : copies.view(copies.leader()).voters().all()) {
-            copies.kill(voter.copy());
+            copies.kill(voter.replica());
         }
         for (int round = 0; round < 4; round++) {
             for (int i = 0; i < 10; i++) {
@@ -145,17 +146,18 @@
     private static boolean staysAfterForgeries(SafetyRules conduct) {
         ConsensusSimulation copies = started(5, false, conduct, new ArrayList<>());
         VoterGroup group = copies.view(0).group();
-        long life = copies.view(1).life();
+        long incarnation = copies.view(1).incarnation();
         for (int i = 0; i < 100; i++) {
             RaftMessage message =
                     i % 2 == 0
                             ? new RaftMessage.Digest(9, 9, 9, 1, 0, 0, i)
                             : new RaftMessage.Sure(i, 0, 9);
-            VoterGroup other = new VoterGroup(group.era() + i % 3, 1, life);
+            VoterGroup other = new VoterGroup(group.era() + i % 3, 1, incarnation);
             copies.inject(
                     0,
                     1,
-                    new MessageFragment(other, 9, 1, life + i % 5, i, 0, 1, 0, message.encode())
+                    new MessageFragment(
+                                    other, 9, 1, incarnation + i % 5, i, 0, 1, 0, message.encode())
                             .encode());
             copies.play(20 * MILLI);
         }
@@ -180,8 +182,8 @@
         assertNotNull(copies.propose(leader, new byte[8]));
         copies.play(SECOND);
         for (Voter voter : voters.all()) {
-            copies.kill(voter.copy());
-            copies.pretend(voter.copy(), voter.life(), pretending(group, voter, voters));
+            copies.kill(voter.replica());
+            copies.pretend(voter.replica(), voter.incarnation(), pretending(group, voter, voters));
         }
         copies.play(5 * SECOND);
         assertTrue(judged(copies, events).contains("A2"), events.toString());
@@ -192,7 +194,7 @@
             @Override
             public Kept kept() {
                 return new Kept(
-                        new Promise(group, voter.life(), 1, null, true),
+                        new Promise(group, voter.incarnation(), 1, null, true),
                         new Snapshot(1, 1, voters, new AppliedProposals().with(new byte[8])),
                         List.of());
             }
@@ -275,7 +277,7 @@
         int second = (first + 1) % 5;
         apart(copies, first, second);
         // As large as a batch: the entry after it goes in another message.
-        assertNotNull(copies.propose(first, new byte[LogReplication.MOST_BATCH]));
+        assertNotNull(copies.propose(first, new byte[LogReplication.MAX_BATCH]));
         copies.play(700 * MILLI);
         copies.kill(first);
         copies.kill(second);
@@ -364,7 +366,7 @@
                 !commitsPastADeafLeader(
                         new SafetyRules() {
                             @Override
-                            boolean lapsed(long sinceMajority, long most) {
+                            boolean lapsed(long sinceMajority, long max) {
                                 return false;
                             }
                         }));
--- a/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -76,24 +76,24 @@
         ConsensusSimulation copies = started(12, ConsensusSettings.DEFAULT.silence(6 * SECOND));
         VoterGroup group = copies.view(0).group();
         List<Integer> voters =
-                copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
-        Set<Integer> most = new HashSet<>(voters.subList(0, 3));
-        IntStream.range(0, 12).filter(i -> !voters.contains(i)).limit(3).forEach(most::add);
-        part(copies, most);
+                copies.view(copies.leader()).voters().all().stream().map(Voter::replica).toList();
+        Set<Integer> max = new HashSet<>(voters.subList(0, 3));
+        IntStream.range(0, 12).filter(i -> !voters.contains(i)).limit(3).forEach(max::add);
+        part(copies, max);
         long cutAt = copies.now();
         copies.play(600 * SECOND);
-        assertTrue(most.contains(copies.leader()));
+        assertTrue(max.contains(copies.leader()));
         for (int i = 0; i < 12; i++) {
             assertEquals(copies.view(i).group(), group);
-            assertEquals(copies.contactAge(i) < 5 * SECOND, most.contains(i), "copy " + i);
-            assertTrue(most.contains(i) || copies.contactAge(i) > (copies.now() - cutAt) * 0.998);
+            assertEquals(copies.contactAge(i) < 5 * SECOND, max.contains(i), "copy " + i);
+            assertTrue(max.contains(i) || copies.contactAge(i) > (copies.now() - cutAt) * 0.998);
             assertNotNull(copies.hand(i, new byte[] {(byte) i}, 5 * SECOND));
         }
         copies.play(6 * SECOND);
         for (int i = 0; i < 12; i++) {
             assertEquals(
                     copies.settled(i).get(0).outcome() == ProposalOutcome.COMMITTED,
-                    most.contains(i));
+                    max.contains(i));
         }
         copies.heal();
         copies.play(10 * SECOND);
@@ -119,7 +119,7 @@
         VoterSet voters = copies.view(leader).voters();
         VoterGroup group = copies.view(leader).group();
         long term = copies.view(leader).term();
-        Voter was = new Voter(forgot, copies.view(forgot).life());
+        Voter was = new Voter(forgot, copies.view(forgot).incarnation());
         Set<Integer> one = Set.of((forgot + 1) % 5, (forgot + 2) % 5);
         for (int side = 0; side < 2; side++) {
             Set<Integer> with = new HashSet<>(one);
@@ -130,7 +130,9 @@
             copies.kill(forgot);
             if (pretends) {
                 copies.pretend(
-                        forgot, was.life(), BrokenConsensusTest.pretending(group, was, voters));
+                        forgot,
+                        was.incarnation(),
+                        BrokenConsensusTest.pretending(group, was, voters));
             } else {
                 copies.restart(forgot);
             }
@@ -170,7 +172,7 @@
                     events.stream()
                             .filter(
                                     event ->
-                                            event.copy() == leader
+                                            event.replica() == leader
                                                     && event.what().equals("stored")
                                                     && event.number("index") == number.index())
                             .findFirst()
@@ -180,11 +182,11 @@
                     events.stream()
                             .filter(
                                     event ->
-                                            event.copy() != leader
+                                            event.replica() != leader
                                                     && event.what().equals("loaded")
                                                     && event.number("index") == number.index()
                                                     && event.text("sum").equals(sum))
-                            .map(HistoryEvent::copy)
+                            .map(HistoryEvent::replica)
                             .distinct()
                             .count();
             assertTrue(with == 0 || with == 6, "loaded by " + with + " after " + wait + " ms");
@@ -212,7 +214,7 @@
                                     view.group(),
                                     view.term(),
                                     from,
-                                    view.life(),
+                                    view.incarnation(),
                                     i,
                                     0,
                                     1,
--- a/lab/src/test/java/cedarrudder/lab/attack/SplitTest.java
+++ b/lab/src/test/java/cedarrudder/lab/attack/SplitTest.java
@@ -27,7 +27,7 @@
 
     /** What the decoder made of pieces: requests, then how it ended. */
     private static List<String> read(byte[] bytes, List<Integer> cuts) {
-        HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MOST_HEAD, HttpDecoder.MOST_BODY);
+        HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         List<String> read = new ArrayList<>();
         int from = 0;
         for (int to : cuts) {
--- a/lab/src/test/java/cedarrudder/lab/baselines/NoActions.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/NoActions.java
@@ -33,7 +33,7 @@
     public void fetchEndpoints() {}
 
     @Override
-    public void tell(int copy, byte[] message) {}
+    public void tell(int replica, byte[] message) {}
 
     @Override
     public void log(String line) {}
--- a/lab/src/test/java/cedarrudder/lab/baselines/PicksTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/PicksTest.java
@@ -67,9 +67,9 @@
         }
     }
 
-    private static BalancerSettings settings(int copies, int self) {
+    private static BalancerSettings settings(int replicas, int self) {
         return new BalancerSettings(
-                copies,
+                replicas,
                 self,
                 0,
                 0,
@@ -189,14 +189,14 @@
 
     @Test
     public void subsetsOfARoundCoverNodesEvenlyAndChangeLittle() {
-        int copies = 40;
+        int replicas = 40;
         Map<Long, Integer> covered = new HashMap<>();
         int moved = 0;
-        for (int self = 0; self < copies; self++) {
+        for (int self = 0; self < replicas; self++) {
             SubsetLeastRequests pick =
-                    new SubsetLeastRequests(settings(copies, self), new SplittableRandom(1));
+                    new SubsetLeastRequests(settings(replicas, self), new SplittableRandom(1));
             new Nodes<>(120, pick);
-            assertEquals(pick.subset().size(), SubsetLeastRequests.LEAST);
+            assertEquals(pick.subset().size(), SubsetLeastRequests.MIN);
             pick.subset().forEach(m -> covered.merge(m.id, 1, Integer::sum));
             Nodes<Void> nodes = new Nodes<>(125, pick);
             List<EndpointView<Void>> before = List.copyOf(pick.subset());
@@ -207,11 +207,11 @@
         // Ten subsets of 12 make a round of 120 nodes: four rounds cover each node four times.
         assertEquals(Set.copyOf(covered.values()), Set.of(4));
         assertEquals(covered.size(), 120);
-        assertTrue(moved <= 4 * copies, moved + " of " + 12 * copies + " moved");
+        assertTrue(moved <= 4 * replicas, moved + " of " + 12 * replicas + " moved");
     }
 
     @Test
-    public void fewCopiesTakeLargerSubsets() {
+    public void fewReplicasTakeLargerSubsets() {
         SubsetLeastRequests pick = new SubsetLeastRequests(settings(1, 0), new SplittableRandom(1));
         new Nodes<>(50, pick);
         assertEquals(pick.subset().size(), 50);
--- a/lab/src/test/java/cedarrudder/lab/baselines/RulesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/RulesTest.java
@@ -101,26 +101,26 @@
     }
 
     private static void assertCaught(
-            BrokenPolicies.Fault fault, long at, long rpc, long endpoint, String what) {
-        assertCaught(caught(fault, world -> {}), fault, at, rpc, endpoint, what);
+            BrokenPolicies.Fault fault, long at, long request, long endpoint, String what) {
+        assertCaught(caught(fault, world -> {}), fault, at, request, endpoint, what);
     }
 
     private static void assertCaught(
             Breach found,
             BrokenPolicies.Fault fault,
             long at,
-            long rpc,
+            long request,
             long endpoint,
             String what) {
         assertEquals(
-                found, new Breach(fault.rule, at / 1e9, 0, rpc, endpoint, what, found.count()));
+                found, new Breach(fault.rule, at / 1e9, 0, request, endpoint, what, found.count()));
     }
 
     /**
      * The broken module takes the fifth of the RPCs that suit its fault; number n comes at n steps.
      */
     @Test
-    public void catchesOneThatLosesRpcs() {
+    public void catchesOneThatLosesRequests() {
         assertCaught(
                 BrokenPolicies.Fault.LOST,
                 5 * STEP + SECOND + GRACE,
@@ -224,17 +224,18 @@
                         world -> world.at(ORIGIN + start, () -> world.restart(4)));
         // Every request goes there, from number 10 on: the first that is over what the node may
         // get.
-        long rpc = 10;
+        long request = 10;
         double came = WORK;
-        while (came <= 4 * SECOND * (0.25 + 0.75 * (rpc * STEP - start) / (10.0 * SECOND)) + WORK) {
+        while (came
+                <= 4 * SECOND * (0.25 + 0.75 * (request * STEP - start) / (10.0 * SECOND)) + WORK) {
             came += WORK;
-            rpc++;
+            request++;
         }
         assertCaught(
                 found,
                 BrokenPolicies.Fault.COLD_PUSHED_OVER,
-                rpc * STEP,
-                rpc,
+                request * STEP,
+                request,
                 4,
                 "a cold node was pushed over");
         assertEquals(found.count(), 1);
--- a/lab/src/test/java/cedarrudder/lab/baselines/SmallWorld.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/SmallWorld.java
@@ -55,16 +55,16 @@
 
     private static final class Rpc {
         final int proxy;
-        final int life;
+        final int incarnation;
         final long deadline;
         final List<Long> to = new ArrayList<>();
         final List<Long> sentAt = new ArrayList<>();
         final List<Boolean> ended = new ArrayList<>();
         boolean over;
 
-        Rpc(int proxy, int life, long deadline) {
+        Rpc(int proxy, int incarnation, long deadline) {
             this.proxy = proxy;
-            this.life = life;
+            this.incarnation = incarnation;
             this.deadline = deadline;
         }
     }
@@ -75,14 +75,14 @@
     private final boolean quiet;
     private final boolean secondCopies;
     private final LoadBalancer[] proxies;
-    private final int[] lives;
+    private final int[] incarnations;
     private final PriorityQueue<Due> agenda =
             new PriorityQueue<>(
                     (a, b) ->
                             a.at != b.at
                                     ? Long.compare(a.at, b.at)
                                     : Long.compare(a.order, b.order));
-    private final Map<Long, Rpc> rpcs = new HashMap<>();
+    private final Map<Long, Rpc> requests = new HashMap<>();
     private final Map<Long, Endpoint> nodes = new HashMap<>();
     private final StringBuilder transcript = new StringBuilder();
     private long now = ORIGIN;
@@ -91,7 +91,7 @@
 
     public SmallWorld(
             Policy policy,
-            int copies,
+            int replicas,
             boolean quiet,
             boolean secondCopies,
             long seed,
@@ -101,12 +101,12 @@
         this.random = new SplittableRandom(seed);
         this.quiet = quiet;
         this.secondCopies = secondCopies;
-        this.proxies = new LoadBalancer[copies];
-        this.lives = new int[copies];
+        this.proxies = new LoadBalancer[replicas];
+        this.incarnations = new int[replicas];
         for (long id = 1; id <= NODES; id++) {
             nodes.put(id, node(id, EndpointStatus.READY, 0));
         }
-        for (int i = 0; i < copies; i++) {
+        for (int i = 0; i < replicas; i++) {
             start(i);
         }
     }
@@ -172,10 +172,10 @@
     // ---- what happens ----
 
     private void start(int proxy) {
-        lives[proxy]++;
+        incarnations[proxy]++;
         trace.proxyStarted(now, proxy, 0);
         BalancerSettings settings = settings(proxy);
-        Hands hands = new Hands(proxy, lives[proxy]);
+        Hands hands = new Hands(proxy, incarnations[proxy]);
         proxies[proxy] =
                 new TracingBalancer(
                         trace,
@@ -247,51 +247,51 @@
         }
         int index = (int) ((id - 1) % CLASSES.size());
         long wait = quiet ? SECOND : 1 + random.nextLong(SECOND);
-        Rpc rpc = new Rpc(proxy, lives[proxy], now + wait);
-        rpcs.put(id, rpc);
-        at(rpc.deadline, () -> expire(id, rpc));
+        Rpc request = new Rpc(proxy, incarnations[proxy], now + wait);
+        requests.put(id, request);
+        at(request.deadline, () -> expire(id, request));
         if (!quiet && random.nextInt(20) == 0) {
-            at(now + random.nextLong(200 * MS), () -> leave(id, rpc));
+            at(now + random.nextLong(200 * MS), () -> leave(id, request));
         }
         proxies[proxy].request(
-                now, new Request(id, index, 0, rpc.deadline, id, false, false, WORK));
+                now, new Request(id, index, 0, request.deadline, id, false, false, WORK));
     }
 
-    private boolean lives(Rpc rpc) {
-        return proxies[rpc.proxy] != null && lives[rpc.proxy] == rpc.life;
+    private boolean incarnations(Rpc request) {
+        return proxies[request.proxy] != null && incarnations[request.proxy] == request.incarnation;
     }
 
-    private void expire(long id, Rpc rpc) {
-        for (int i = 0; i < rpc.to.size(); i++) {
-            ended(id, rpc, i, Outcome.TIMEOUT);
+    private void expire(long id, Rpc request) {
+        for (int i = 0; i < request.to.size(); i++) {
+            ended(id, request, i, Outcome.TIMEOUT);
         }
-        at(now + 5 * MS, () -> leave(id, rpc));
+        at(now + 5 * MS, () -> leave(id, request));
     }
 
-    private void leave(long id, Rpc rpc) {
-        if (!rpc.over && lives(rpc)) {
-            rpc.over = true;
-            proxies[rpc.proxy].clientLeft(now, id);
+    private void leave(long id, Rpc request) {
+        if (!request.over && incarnations(request)) {
+            request.over = true;
+            proxies[request.proxy].clientLeft(now, id);
         }
     }
 
-    private void ended(long id, Rpc rpc, int attempt, Outcome outcome) {
-        if (rpc.ended.get(attempt) || !lives(rpc)) {
+    private void ended(long id, Rpc request, int attempt, Outcome outcome) {
+        if (request.ended.get(attempt) || !incarnations(request)) {
             return;
         }
-        rpc.ended.set(attempt, true);
-        if (outcome == Outcome.OK && !rpc.over) {
-            rpc.over = true;
+        request.ended.set(attempt, true);
+        if (outcome == Outcome.OK && !request.over) {
+            request.over = true;
             served++;
         }
-        proxies[rpc.proxy].outcome(
+        proxies[request.proxy].outcome(
                 now,
                 id,
                 attempt,
-                rpc.to.get(attempt),
+                request.to.get(attempt),
                 outcome,
-                now - rpc.sentAt.get(attempt),
-                rpc.over,
+                now - request.sentAt.get(attempt),
+                request.over,
                 null);
     }
 
@@ -327,18 +327,18 @@
 
     private final class Hands implements LoadBalancer.Actions {
         private final int proxy;
-        private final int life;
+        private final int incarnation;
 
-        Hands(int proxy, int life) {
+        Hands(int proxy, int incarnation) {
             this.proxy = proxy;
-            this.life = life;
+            this.incarnation = incarnation;
         }
 
         private void later(long when, Runnable what) {
             at(
                     when,
                     () -> {
-                        if (proxies[proxy] != null && lives[proxy] == life) {
+                        if (proxies[proxy] != null && incarnations[proxy] == incarnation) {
                             what.run();
                         }
                     });
@@ -353,13 +353,13 @@
                     .append(' ')
                     .append(endpoint)
                     .append('\n');
-            Rpc rpc = rpcs.get(id);
-            int attempt = rpc.to.size();
-            rpc.to.add(endpoint);
-            rpc.sentAt.add(now);
-            rpc.ended.add(false);
-            if (rpc.over || now >= rpc.deadline || attempt >= 4) {
-                at(now, () -> ended(id, rpc, attempt, Outcome.MOOT));
+            Rpc request = requests.get(id);
+            int attempt = request.to.size();
+            request.to.add(endpoint);
+            request.sentAt.add(now);
+            request.ended.add(false);
+            if (request.over || now >= request.deadline || attempt >= 4) {
+                at(now, () -> ended(id, request, attempt, Outcome.MOOT));
                 return;
             }
             Outcome outcome =
@@ -377,29 +377,29 @@
                 at(now + WAY, () -> trace.reached(now, proxy, id, attempt, endpoint));
             }
             if (timeout > 0) {
-                at(now + timeout, () -> ended(id, rpc, attempt, Outcome.TIMEOUT));
+                at(now + timeout, () -> ended(id, request, attempt, Outcome.TIMEOUT));
             }
             if (outcome != Outcome.TIMEOUT) {
                 long lasts = quiet ? SERVICE : WAY + random.nextLong(300 * MS);
-                at(now + lasts, () -> ended(id, rpc, attempt, outcome));
+                at(now + lasts, () -> ended(id, request, attempt, outcome));
             }
         }
 
         @Override
         public void refuse(long id, long retryAfter) {
             transcript.append(now).append(" refuse ").append(id).append('\n');
-            rpcs.get(id).over = true;
+            requests.get(id).over = true;
         }
 
         @Override
         public void fail(long id) {
             transcript.append(now).append(" fail ").append(id).append('\n');
-            rpcs.get(id).over = true;
+            requests.get(id).over = true;
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            at(now, () -> ended(id, rpcs.get(id), attempt, Outcome.CANCELLED));
+            at(now, () -> ended(id, requests.get(id), attempt, Outcome.CANCELLED));
         }
 
         @Override
@@ -451,7 +451,7 @@
         public void fetchEndpoints() {}
 
         @Override
-        public void tell(int copy, byte[] message) {}
+        public void tell(int replica, byte[] message) {}
 
         @Override
         public void log(String line) {}
--- a/lab/src/test/java/cedarrudder/lab/checker/ConsensusInvariantsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/checker/ConsensusInvariantsTest.java
@@ -11,26 +11,48 @@
 /** A1 and A2 on histories written by hand: a good one, and one thing wrong in each other. */
 public class ConsensusInvariantsTest {
 
-    private static HistoryEvent event(int copy, long life, String what, String... fields) {
+    private static HistoryEvent event(
+            int replica, long incarnation, String what, String... fields) {
         Map<String, String> all = new HashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
             all.put(fields[i], fields[i + 1]);
         }
-        return new HistoryEvent(0, copy, life, what, all);
+        return new HistoryEvent(0, replica, incarnation, what, all);
     }
 
-    private static HistoryEvent stored(int copy, long as, long index, String sum) {
+    private static HistoryEvent stored(int replica, long as, long index, String sum) {
         return event(
-                copy, as, "stored", "group", "1", "as", "" + as, "index", "" + index, "sum", sum);
+                replica,
+                as,
+                "stored",
+                "group",
+                "1",
+                "as",
+                "" + as,
+                "index",
+                "" + index,
+                "sum",
+                sum);
     }
 
-    private static HistoryEvent loaded(int copy, long index, String sum, String state) {
+    private static HistoryEvent loaded(int replica, long index, String sum, String state) {
         return event(
-                copy, 1, "loaded", "group", "1", "index", "" + index, "sum", sum, "state", state);
+                replica,
+                1,
+                "loaded",
+                "group",
+                "1",
+                "index",
+                "" + index,
+                "sum",
+                sum,
+                "state",
+                state);
     }
 
-    private static HistoryEvent voted(int copy, long life, long as, String by) {
-        return event(copy, life, "voted", "group", "1", "term", "4", "as", "" + as, "for", by);
+    private static HistoryEvent voted(int replica, long incarnation, long as, String by) {
+        return event(
+                replica, incarnation, "voted", "group", "1", "term", "4", "as", "" + as, "for", by);
     }
 
     private static final HistoryEvent SEATED =
--- a/lab/src/test/java/cedarrudder/lab/checker/CoordinationInvariantsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/checker/CoordinationInvariantsTest.java
@@ -22,29 +22,30 @@
     private static final List<HistoryEvent> START = new ArrayList<>();
 
     static {
-        for (int copy = 0; copy < 6; copy++) {
-            START.add(event(0, copy, "started"));
-            START.add(event(0, copy, "placed", "zone", copy / 2));
-            START.add(event(0, copy, "speaks"));
+        for (int replica = 0; replica < 6; replica++) {
+            START.add(event(0, replica, "started"));
+            START.add(event(0, replica, "placed", "zone", replica / 2));
+            START.add(event(0, replica, "speaks"));
         }
     }
 
-    private static HistoryEvent event(long at, int copy, String what, Object... fields) {
+    private static HistoryEvent event(long at, int replica, String what, Object... fields) {
         Map<String, String> all = new HashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
             all.put((String) fields[i], String.valueOf(fields[i + 1]));
         }
-        return new HistoryEvent(at * MILLI, copy, copy + 10, what, all);
+        return new HistoryEvent(at * MILLI, replica, replica + 10, what, all);
     }
 
-    private static HistoryEvent table(long at, int copy, long number, String shares) {
-        return event(at, copy, "table", "number", number, "lease", 5_000 * MILLI, "shares", shares);
+    private static HistoryEvent table(long at, int replica, long number, String shares) {
+        return event(
+                at, replica, "table", "number", number, "lease", 5_000 * MILLI, "shares", shares);
     }
 
-    private static HistoryEvent saw(long at, int copy, int zone, int served, int failed) {
+    private static HistoryEvent saw(long at, int replica, int zone, int served, int failed) {
         return event(
                 at,
-                copy,
+                replica,
                 "saw",
                 "zone",
                 zone,
@@ -83,11 +84,11 @@
     private static List<String> left(
             long seenAt, int[] failing, int[] served, HistoryEvent... more) {
         List<HistoryEvent> events = new ArrayList<>(List.of(more));
-        for (int copy : failing) {
-            events.add(saw(seenAt, copy, 1, 2, 3));
+        for (int replica : failing) {
+            events.add(saw(seenAt, replica, 1, 2, 3));
         }
-        for (int copy : served) {
-            events.add(saw(seenAt, copy, 1, 3, 2));
+        for (int replica : served) {
+            events.add(saw(seenAt, replica, 1, 3, 2));
         }
         events.add(table(10_000, 0, 1, "1>1:near:10000:0"));
         events.add(table(20_000, 0, 2, "1>1:near:5000:0,1>2:moved:5000:0"));
@@ -156,12 +157,12 @@
 
     // ---- F2 ----
 
-    private static List<String> loaded(int most, int others, long until, HistoryEvent... more) {
+    private static List<String> loaded(int max, int others, long until, HistoryEvent... more) {
         List<HistoryEvent> events = new ArrayList<>(List.of(more));
         events.add(event(1, -1, "capacity", "zone", 0, "per_s", 100));
         events.add(event(1, -1, "capacity", "zone", 1, "per_s", 100));
         for (long at = 500; at <= until; at += 500) {
-            events.add(saw(at, 0, 0, most / 2, 0)); // in half a second
+            events.add(saw(at, 0, 0, max / 2, 0)); // in half a second
             events.add(saw(at, 2, 1, others / 2, 0));
         }
         return judged(
@@ -227,16 +228,16 @@
         return used(all.toArray(HistoryEvent[]::new));
     }
 
-    private static HistoryEvent used(long at, int copy, long number) {
-        return event(at, copy, "used", "number", number);
+    private static HistoryEvent used(long at, int replica, long number) {
+        return event(at, replica, "used", "number", number);
     }
 
-    private static HistoryEvent lapsed(long at, int copy, long number) {
-        return event(at, copy, "lapsed", "number", number);
+    private static HistoryEvent lapsed(long at, int replica, long number) {
+        return event(at, replica, "lapsed", "number", number);
     }
 
-    private static HistoryEvent renewed(long at, int copy, long age) {
-        return event(at, copy, "renewed", "age", age * MILLI);
+    private static HistoryEvent renewed(long at, int replica, long age) {
+        return event(at, replica, "renewed", "age", age * MILLI);
     }
 
     @Test
@@ -316,14 +317,14 @@
 
     // ---- D1 ----
 
-    private static HistoryEvent leaving(long at, int copy, String nodes) {
-        return event(at, copy, "leaving", "nodes", nodes);
+    private static HistoryEvent leaving(long at, int replica, String nodes) {
+        return event(at, replica, "leaving", "nodes", nodes);
     }
 
-    private static HistoryEvent drain(long at, int copy, int wave, String node, String what) {
+    private static HistoryEvent drain(long at, int replica, int wave, String node, String what) {
         return event(
                 at,
-                copy,
+                replica,
                 "drain",
                 "wave",
                 wave,
@@ -430,8 +431,8 @@
 
     // ---- D2 ----
 
-    private static HistoryEvent at(long at, int copy, String what, String rpc) {
-        return event(at, copy, what, "node", "a", "rpc", rpc);
+    private static HistoryEvent at(long at, int replica, String what, String request) {
+        return event(at, replica, what, "node", "a", "rpc", request);
     }
 
     private static List<String> drained(long until, HistoryEvent... events) {
@@ -552,10 +553,11 @@
 
     // ---- M1 ----
 
-    private static HistoryEvent estimate(long at, int copy, String bound, int fits, long needed) {
+    private static HistoryEvent estimate(
+            long at, int replica, String bound, int fits, long needed) {
         return event(
                 at,
-                copy,
+                replica,
                 "estimate",
                 "load",
                 "table 7",
@@ -615,8 +617,8 @@
 
     private static List<String> held(long until, HistoryEvent... events) {
         List<HistoryEvent> all = new ArrayList<>(List.of(events));
-        for (int copy = 0; copy < 6; copy++) {
-            all.add(table(1_000, copy, 7, ""));
+        for (int replica = 0; replica < 6; replica++) {
+            all.add(table(1_000, replica, 7, ""));
         }
         all.add(event(5_000, -1, "over"));
         return judged(new TableConvergence(3 * SECOND * MILLI), until, all);
--- a/lab/src/test/java/cedarrudder/lab/cluster/CheckedHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/CheckedHistoriesTest.java
@@ -58,9 +58,10 @@
     @Test
     public void membershipKeepsTheRulesInVirtualTime() {
         for (long seed = 1; seed <= 10; seed++) {
-            for (int copies : new int[] {5, 12}) {
-                Verdict verdict = VirtualRun.play(copies, network(0), SOUND, seed, SETTLE);
-                assertEquals(verdict.breaches(), List.of(), "seed " + seed + ", copies " + copies);
+            for (int replicas : new int[] {5, 12}) {
+                Verdict verdict = VirtualRun.play(replicas, network(0), SOUND, seed, SETTLE);
+                assertEquals(
+                        verdict.breaches(), List.of(), "seed " + seed + ", copies " + replicas);
                 assertTrue(verdict.deaths() > 0, verdict.toString());
             }
         }
