--- a/lab/src/test/java/cedarrudder/lab/cluster/ClusterIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/ClusterIT.java
@@ -36,7 +36,7 @@
     public void fiveCopiesKeepTheRulesThroughAShortScript() throws Exception {
         Verdict verdict = play(ScriptReader.read(Path.of("lab", "clusters", "short.toml")));
         assertTrue(verdict.good(), "seed " + SEED + ": " + verdict);
-        assertTrue(verdict.deaths() > 0 && verdict.rpcs() > 100, verdict.toString());
+        assertTrue(verdict.deaths() > 0 && verdict.requests() > 100, verdict.toString());
     }
 
     /**
--- a/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
@@ -39,7 +39,7 @@
  */
 public class FleetIT {
 
-    private static final int COPIES = 5;
+    private static final int REPLICAS = 5;
 
     /** This one has a lasting disk. */
     private static final int KEEPS = 4;
@@ -59,7 +59,7 @@
 
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
-    private final List<ReplicaProcess> copies = new ArrayList<>();
+    private final List<ReplicaProcess> replicas = new ArrayList<>();
     private Path folder;
     private HistoryRecorder chronicle;
 
@@ -68,15 +68,15 @@
         folder = Files.createTempDirectory("fleet");
         chronicle = new HistoryRecorder(folder.resolve("world.jsonl"));
         HostEnvironment place = HostEnvironment.of(Path.of(""), folder, List.of(), 0, 0);
-        for (int i = 0; i < COPIES; i++) {
-            copies.add(new ReplicaProcess(i, place, chronicle));
+        for (int i = 0; i < REPLICAS; i++) {
+            replicas.add(new ReplicaProcess(i, place, chronicle));
         }
         String peers =
-                copies.stream()
-                        .map(copy -> "\"" + text(copy.peers()) + "\"")
+                replicas.stream()
+                        .map(replica -> "\"" + text(replica.peers()) + "\"")
                         .collect(Collectors.joining(","));
-        for (int i = 0; i < COPIES; i++) {
-            copies.get(i)
+        for (int i = 0; i < REPLICAS; i++) {
+            replicas.get(i)
                     .configure(
                             """
                             {"name": "c%d", "listen": "%s", "discovery": "127.0.0.1:1", "seed": "%x",
@@ -85,11 +85,11 @@
                             """
                                     .formatted(
                                             i,
-                                            copies.get(i).listenText(),
+                                            replicas.get(i).listenText(),
                                             77 + i,
-                                            text(copies.get(i).peers()),
+                                            text(replicas.get(i).peers()),
                                             peers,
-                                            ToySite.settings(COPIES, i)),
+                                            ToySite.settings(REPLICAS, i)),
                             """
                             [membership]
                             [agreement]
@@ -106,25 +106,25 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (ReplicaProcess copy : copies) {
-            copy.close();
+        for (ReplicaProcess replica : replicas) {
+            replica.close();
         }
         chronicle.close();
-        copies.clear();
+        replicas.clear();
     }
 
     private static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private String call(int copy, String method, String path) {
+    private String call(int replica, String method, String path) {
         try {
             HttpResponse<String> answer =
                     http.send(
                             HttpRequest.newBuilder(
                                             URI.create(
                                                     "http://"
-                                                            + text(copies.get(copy).admin())
+                                                            + text(replicas.get(replica).admin())
                                                             + path))
                                     .timeout(Duration.ofSeconds(2))
                                     .method(method, HttpRequest.BodyPublishers.noBody())
@@ -143,8 +143,8 @@
         return found.find() ? found.group(1) : "-1";
     }
 
-    private Seen seen(int copy) {
-        String json = call(copy, "GET", "/-/table");
+    private Seen seen(int replica) {
+        String json = call(replica, "GET", "/-/table");
         return new Seen(
                 field(json, "used").equals("true"),
                 Long.parseLong(field(json, "number")),
@@ -161,7 +161,7 @@
                     System.nanoTime() < until,
                     what
                             + ": "
-                            + IntStream.range(0, COPIES)
+                            + IntStream.range(0, REPLICAS)
                                     .mapToObj(i -> call(i, "GET", "/-/table"))
                                     .toList()
                             + " in "
@@ -194,52 +194,54 @@
         return leader[0];
     }
 
-    private void begin(int copy) throws Exception {
-        Path log = copies.get(copy).start();
-        assertTrue(copies.get(copy).awaitServing(log, System.nanoTime() + PATIENCE), "see " + log);
+    private void begin(int replica) throws Exception {
+        Path log = replicas.get(replica).start();
+        assertTrue(
+                replicas.get(replica).awaitServing(log, System.nanoTime() + PATIENCE),
+                "see " + log);
     }
 
-    private static int[] without(int copy) {
-        return IntStream.range(0, COPIES).filter(i -> i != copy).toArray();
+    private static int[] without(int replica) {
+        return IntStream.range(0, REPLICAS).filter(i -> i != replica).toArray();
     }
 
     private List<HistoryEvent> events() throws IOException {
         List<Path> files = new ArrayList<>(List.of(folder.resolve("world.jsonl")));
-        copies.forEach(copy -> files.addAll(copy.histories()));
+        replicas.forEach(replica -> files.addAll(replica.histories()));
         return History.read(files);
     }
 
-    private long count(String what, int copy, String field, String value) throws IOException {
+    private long count(String what, int replica, String field, String value) throws IOException {
         return events().stream()
                 .filter(
                         event ->
                                 event.what().equals(what)
-                                        && event.copy() == copy
+                                        && event.replica() == replica
                                         && event.text(field).equals(value))
                 .count();
     }
 
     @Test
     public void theyAgreeThroughAKillAStopAndAnUpgrade() throws Exception {
-        for (ReplicaProcess copy : copies) {
-            copy.start();
+        for (ReplicaProcess replica : replicas) {
+            replica.start();
         }
         await(
                 "all answer",
                 () ->
-                        IntStream.range(0, COPIES)
+                        IntStream.range(0, REPLICAS)
                                 .allMatch(i -> !call(i, "GET", "/-/table").isEmpty()));
         assertEquals(call(0, "POST", "/-/group"), "done\n");
-        int[] all = IntStream.range(0, COPIES).toArray();
+        int[] all = IntStream.range(0, REPLICAS).toArray();
         int first = awaitOneTable("after the group was formed", 1, all);
-        await("five voters", () -> seen(first).voters.split(",").length == COPIES);
+        await("five voters", () -> seen(first).voters.split(",").length == REPLICAS);
 
         // The leader is killed: another leads, the table stands, and the killed one comes back as a
         // learner.
         long term = seen(first).term;
         long number = seen(first).number;
-        copies.get(first).kill();
-        copies.get(first).awaitEnd(10_000);
+        replicas.get(first).kill();
+        replicas.get(first).awaitEnd(10_000);
         int second = awaitOneTable("after the leader was killed", term + 1, without(first));
         assertEquals(seen(second).number, number);
         begin(first);
@@ -247,8 +249,8 @@
         assertEquals(count("joins", first, "kept", "0"), first == KEEPS ? 1 : 2);
 
         // The one with a disk is killed and goes on with the life that it had.
-        copies.get(KEEPS).kill();
-        copies.get(KEEPS).awaitEnd(10_000);
+        replicas.get(KEEPS).kill();
+        replicas.get(KEEPS).awaitEnd(10_000);
         begin(KEEPS);
         awaitOneTable("with the one that has a disk", term + 1, all);
         assertTrue(count("joins", KEEPS, "kept", "1") >= 1, "it did not find its file");
@@ -257,17 +259,17 @@
         // own.
         int third = awaitOneTable("before the stop", term + 1, all);
         long thirdTerm = seen(third).term;
-        copies.get(third).signal("STOP", "stopped", "");
+        replicas.get(third).signal("STOP", "stopped", "");
         awaitOneTable("while the leader stands still", thirdTerm + 1, without(third));
         TimeUnit.MILLISECONDS.sleep(LEASE_MILLIS);
-        copies.get(third).signal("CONT", "", "continued");
+        replicas.get(third).signal("CONT", "", "continued");
         awaitOneTable("once it goes on", thirdTerm + 1, all);
         assertTrue(lapsedBeforeAllElse(third), "it used its table when it woke");
 
         // A copy is replaced by a new process, which takes up its file where it has one.
         int upgraded = KEEPS;
         begin(upgraded);
-        copies.get(upgraded).terminate();
+        replicas.get(upgraded).terminate();
         await("the new process takes part", () -> seen(upgraded).used);
         awaitOneTable("after the upgrade", 1, all);
         assertTrue(
@@ -285,14 +287,15 @@
                                 new SingleSpeaker(),
                                 new LeaseSafety(SECOND)));
         assertEquals(breaches, List.of(), "in " + folder);
-        assertTrue(copies.stream().allMatch(copy -> copy.crashes().isEmpty()));
+        assertTrue(replicas.stream().allMatch(replica -> replica.crashes().isEmpty()));
         long after = leadsAfterTheKill(events);
         assertTrue(after < LEAD, "another leads after " + after / 1_000_000 + " ms");
     }
 
     /** The first that it says of its table after it went on is that the lease is over. */
-    private boolean lapsedBeforeAllElse(int copy) throws IOException {
-        List<HistoryEvent> its = events().stream().filter(event -> event.copy() == copy).toList();
+    private boolean lapsedBeforeAllElse(int replica) throws IOException {
+        List<HistoryEvent> its =
+                events().stream().filter(event -> event.replica() == replica).toList();
         long stopped =
                 its.stream()
                         .filter(event -> event.what().equals("stopped"))
--- a/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
@@ -86,7 +86,7 @@
      * Copies and nodes are dealt to zones in turn; a zone that is cut off takes its nodes along.
      */
     @Test
-    public void zonesAreCopiesAndNodes() throws InvalidFileException {
+    public void zonesAreReplicasAndNodes() throws InvalidFileException {
         Script script =
                 ScriptReader.read(
                         ConfigDocument.parse(
@@ -116,11 +116,11 @@
                                 do = "kill"
                                 leader = true
                                 """));
-        assertEquals(script.steps().get(0).copies(), List.of(0, 3));
+        assertEquals(script.steps().get(0).replicas(), List.of(0, 3));
         assertEquals(
                 script.steps().get(0).sides(),
                 new NetworkPartition(List.of(), List.of(0, 3), List.of(1, 2)));
-        assertEquals(script.steps().get(1).copies(), List.of(4));
+        assertEquals(script.steps().get(1).replicas(), List.of(4));
         assertEquals(script.steps().get(1).nodes(), List.of(1, 2));
         assertEquals(
                 script.steps().get(2).sides(),
@@ -164,7 +164,7 @@
                 for (Link.Delivery each : all) {
                     fate.add(each.at());
                     turned += each.datagram() == datagram ? 0 : 1;
-                    late += each.at() - i > weather.mostDelay() ? 1 : 0;
+                    late += each.at() - i > weather.maxDelay() ? 1 : 0;
                     link.arrived();
                 }
             }
@@ -180,7 +180,7 @@
         for (int i = 0; i < 1_000; i++) {
             underWay += link.sent(i, datagram, NetworkConditions.CALM).size();
         }
-        assertEquals(underWay, Link.MOST_UNDER_WAY);
+        assertEquals(underWay, Link.MAX_UNDER_WAY);
         link.cut(true);
         assertEquals(link.arrived(), false);
     }
--- a/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
@@ -56,8 +56,8 @@
 
     private static void forgetAll(ConsensusSimulation copies) {
         for (Voter voter : copies.view(copies.leader()).voters().all()) {
-            copies.kill(voter.copy());
-            copies.restart(voter.copy());
+            copies.kill(voter.replica());
+            copies.restart(voter.replica());
         }
     }
 
@@ -121,12 +121,15 @@
         ConsensusSimulation copies = started(5, SETTINGS, 8);
         int leader = copies.leader();
         int voter = (leader + 1) % 5;
-        long before = copies.view(voter).life();
+        long before = copies.view(voter).incarnation();
         copies.kill(voter);
         copies.restart(voter);
         copies.play(8 * SECOND);
         assertFalse(copies.view(leader).voters().has(new Voter(voter, before)));
-        assertTrue(copies.view(leader).voters().has(new Voter(voter, copies.view(voter).life())));
+        assertTrue(
+                copies.view(leader)
+                        .voters()
+                        .has(new Voter(voter, copies.view(voter).incarnation())));
     }
 
     @Test
@@ -135,17 +138,17 @@
         int leader = copies.leader();
         Voter gone =
                 copies.view(leader).voters().all().stream()
-                        .filter(v -> v.copy() != leader)
+                        .filter(v -> v.replica() != leader)
                         .findFirst()
                         .get();
-        copies.kill(gone.copy());
+        copies.kill(gone.replica());
         copies.play(15 * SECOND);
         List<Voter> voters = copies.view(copies.leader()).voters().all();
         assertEquals(voters.size(), 5);
         assertFalse(voters.contains(gone));
         for (int zone = 0; zone < 3; zone++) {
             int wanted = zone;
-            long there = voters.stream().filter(v -> v.copy() % 3 == wanted).count();
+            long there = voters.stream().filter(v -> v.replica() % 3 == wanted).count();
             assertTrue(there == 1 || there == 2, voters.toString());
         }
     }
@@ -170,7 +173,7 @@
         ConsensusSimulation copies = started(9, SETTINGS.silence(6 * SECOND), 8);
         LogPosition before = commit(copies);
         List<Integer> voters =
-                copies.view(copies.leader()).voters().all().stream().map(Voter::copy).toList();
+                copies.view(copies.leader()).voters().all().stream().map(Voter::replica).toList();
         for (int i = 0; i < 9; i++) {
             for (int j = 0; j < 9; j++) {
                 copies.cut(i, j, voters.contains(i) != voters.contains(j));
@@ -237,21 +240,22 @@
     public void anyCopyProposesAndIsToldOnce() {
         ConsensusSimulation copies = started(40, SETTINGS, 8);
         copies.network(new ConsensusSimulation.Network(0.3, 0.05, 0.01, 2 * MILLI, 21 * MILLI));
-        for (int copy = 0; copy < 40; copy++) {
+        for (int replica = 0; replica < 40; replica++) {
             for (int i = 0; i < 3; i++) {
-                assertNotNull(copies.hand(copy, new byte[] {(byte) copy, (byte) i}, 30 * SECOND));
+                assertNotNull(
+                        copies.hand(replica, new byte[] {(byte) replica, (byte) i}, 30 * SECOND));
             }
         }
         copies.play(30 * SECOND);
-        for (int copy = 0; copy < 40; copy++) {
-            List<ConsensusSimulation.Settled> settled = copies.settled(copy);
+        for (int replica = 0; replica < 40; replica++) {
+            List<ConsensusSimulation.Settled> settled = copies.settled(replica);
             assertEquals(
                     settled.stream().map(ConsensusSimulation.Settled::outcome).toList(),
                     List.of(
                             ProposalOutcome.COMMITTED,
                             ProposalOutcome.COMMITTED,
                             ProposalOutcome.COMMITTED),
-                    "copy " + copy);
+                    "copy " + replica);
             for (int i = 0; i < 3; i++) {
                 assertEquals(settled.get(i).proposal().content()[1], i);
                 assertTrue(
@@ -372,12 +376,12 @@
     public void aLifeThatIsTooSmallIsMended() {
         ConsensusSimulation copies = started(7, SETTINGS, 8);
         int back = (copies.leader() + 1) % 7;
-        long before = copies.view(back).life();
+        long before = copies.view(back).incarnation();
         copies.kill(back);
         copies.pretend(back, 1, StableStorage.NONE);
         copies.play(5 * SECOND);
         commit(copies);
-        assertTrue(copies.view(back).life() > before);
+        assertTrue(copies.view(back).incarnation() > before);
     }
 
     /** What a copy sends does not grow with the number of copies. */
@@ -390,7 +394,7 @@
             trial.play(1);
             ConsensusTrial.Figures figures = trial.figures();
             assertEquals(figures.missed(), 0);
-            assertTrue(figures.commitMost() < 1.5 && figures.leaderMost() < 3, figures.toString());
+            assertTrue(figures.maxCommit() < 1.5 && figures.maxLeader() < 3, figures.toString());
             sent[i] = figures.busy();
         }
         assertTrue(sent[1] <= sent[0], sent[0] + ", " + sent[1]);
--- a/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
@@ -47,9 +47,9 @@
         digest.add(
                 event.at()
                         + " "
-                        + event.copy()
+                        + event.replica()
                         + " "
-                        + event.life()
+                        + event.incarnation()
                         + " "
                         + event.what()
                         + " "
@@ -67,9 +67,9 @@
         }
 
         @Override
-        public void send(int copy, byte[] piece) {
-            datagram(self, copy, piece);
-            to.send(copy, piece);
+        public void send(int replica, byte[] piece) {
+            datagram(self, replica, piece);
+            to.send(replica, piece);
         }
 
         @Override
@@ -111,11 +111,11 @@
             FaultStorm.Result result =
                     FaultStorm.play(
                             seed,
-                            (zones, self, life, settings, store, random, outlet, now) ->
+                            (zones, self, incarnation, settings, store, random, outlet, now) ->
                                     new RaftNode(
                                             zones,
                                             self,
-                                            life,
+                                            incarnation,
                                             settings,
                                             store,
                                             random,
@@ -209,7 +209,7 @@
                                 + " "
                                 + result.moves()
                                 + " "
-                                + result.mostMoves()
+                                + result.maxMoves()
                                 + " "
                                 + result.breaches().size()
                                 + "\n");
--- a/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
@@ -60,7 +60,7 @@
     private final class Plan implements TrafficCoordination {
         @Override
         public List<byte[]> report(long now) {
-            return List.of(new byte[CoordinatedReplica.MOST_PART], new byte[50]);
+            return List.of(new byte[CoordinatedReplica.MAX_PART], new byte[50]);
         }
 
         @Override
@@ -78,7 +78,7 @@
     private CoordinatedReplica make(
             int[] zones,
             int self,
-            long life,
+            long incarnation,
             StableStorage store,
             RandomGenerator random,
             CoordinatedReplica.Actions outlet,
@@ -86,7 +86,7 @@
         return new CoordinatedReplica(
                 zones,
                 self,
-                life,
+                incarnation,
                 AGREED,
                 SETTINGS,
                 store,
@@ -388,12 +388,13 @@
     @Test
     public void whatIsProposedAtAnyCopyComesToAll() {
         CoordinationSimulation world = started(9, CALM, false, 11);
-        for (int copy = 0; copy < 9; copy++) {
-            assertTrue(world.propose(copy, new byte[] {7}, 5 * SECOND));
+        for (int replica = 0; replica < 9; replica++) {
+            assertTrue(world.propose(replica, new byte[] {7}, 5 * SECOND));
         }
         world.play(4 * SECOND);
-        for (int copy = 0; copy < 9; copy++) {
-            assertEquals(world.settled(copy), List.of(ProposalOutcome.COMMITTED), "copy " + copy);
+        for (int replica = 0; replica < 9; replica++) {
+            assertEquals(
+                    world.settled(replica), List.of(ProposalOutcome.COMMITTED), "copy " + replica);
         }
         world.cutOff(List.of(other(world)));
         world.propose(other(world), new byte[] {7}, 2 * SECOND);
@@ -427,8 +428,8 @@
         private final Map<Long, Long> firstUsed = new TreeMap<>();
 
         void look(CoordinationSimulation world, String seed) {
-            for (int copy = 0; copy < world.size(); copy++) {
-                RouteTable table = world.runs(copy) ? world.uses(copy) : null;
+            for (int replica = 0; replica < world.size(); replica++) {
+                RouteTable table = world.runs(replica) ? world.uses(replica) : null;
                 if (table != null) {
                     firstUsed.putIfAbsent(table.number(), world.now());
                     for (var later : firstUsed.entrySet()) {
@@ -439,7 +440,7 @@
                                         || world.now() - later.getValue() <= LEASE,
                                 seed
                                         + ": copy "
-                                        + copy
+                                        + replica
                                         + " uses "
                                         + table.number()
                                         + " while "
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -51,7 +51,7 @@
         @Override
         public List<byte[]> report(long now) {
             ZoneObservations evidence = tally.close(now, 0);
-            return evidence == null ? List.of() : evidence.encode(CoordinatedReplica.MOST_PART);
+            return evidence == null ? List.of() : evidence.encode(CoordinatedReplica.MAX_PART);
         }
 
         @Override
@@ -130,7 +130,7 @@
         Result result = FailoverRun.play(world, "TOGETHER", Conditions.USUAL, SEED);
         assertEquals(result.breaches(), List.<Violation>of(), world + ", seed " + SEED);
         assertTrue(
-                result.mostMoves() <= CoordinatedPolicy.SETTINGS.movesPerMinute(),
+                result.maxMoves() <= CoordinatedPolicy.SETTINGS.movesPerMinute(),
                 result.toString());
         return result;
     }
@@ -141,9 +141,9 @@
         for (World world : List.of(World.ZONE, World.CASCADE, World.SLOW)) {
             Result result = kept(world);
             double none = FailoverRun.play(world, "NONE", Conditions.USUAL, SEED).goodput();
-            double most = FailoverRun.play(world, "ALL_SEEING", Conditions.USUAL, SEED).goodput();
+            double max = FailoverRun.play(world, "ALL_SEEING", Conditions.USUAL, SEED).goodput();
             assertTrue(
-                    result.goodput() > none + 0.03 && result.goodput() > 0.95 * most,
+                    result.goodput() > none + 0.03 && result.goodput() > 0.95 * max,
                     world
                             + ", seed "
                             + SEED
@@ -152,7 +152,7 @@
                             + ", without "
                             + none
                             + ", all-seeing "
-                            + most);
+                            + max);
             assertEquals(result.fallen(), 0);
         }
     }
--- a/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
@@ -147,7 +147,7 @@
             assertEquals(result.ends().get("served"), Long.valueOf(100));
             // Request i was to leave 5 (50 - i) ms before the fiftieth: 25 of them 125 ms or more.
             assertTrue(result.latency().p90() >= 120, result.toString());
-            assertTrue(result.latency().most() >= 244, result.toString());
+            assertTrue(result.latency().max() >= 244, result.toString());
         }
         long logged = 0;
         try (HistogramLogReader reader = new HistogramLogReader(hlog.toFile())) {
--- a/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
@@ -157,7 +157,7 @@
             bytes[i] = mesh.bytes() / 30.0 / sizes[i];
             mesh.kill(0);
             mesh.play(30 * SECOND);
-            assertTrue(mesh.mostInSecond() <= 40, mesh.mostInSecond() + " messages in a second");
+            assertTrue(mesh.maxInSecond() <= 40, mesh.maxInSecond() + " messages in a second");
         }
         assertEquals(perSecond[1], perSecond[0], 0.5);
         assertTrue(bytes[1] <= 1.5 * bytes[0], bytes[0] + " and " + bytes[1] + " bytes a second");
--- a/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
@@ -60,7 +60,8 @@
         for (Notes.Note sent : notes.between("sent", from, to)) {
             List<Notes.Note> ended =
                     notes.find(
-                            "ended", n -> n.rpc() == sent.rpc() && n.attempt() == sent.attempt());
+                            "ended",
+                            n -> n.request() == sent.request() && n.attempt() == sent.attempt());
             assertEquals(ended.size(), 1);
             if (!outcomes.contains(ended.get(0).word())) {
                 outcomes.add(ended.get(0).word());
@@ -242,7 +243,7 @@
                         "taken",
                         n ->
                                 n.at() < BEGINS
-                                        && notes.find("answered", a -> a.rpc() == n.rpc())
+                                        && notes.find("answered", a -> a.request() == n.request())
                                                 .isEmpty());
         assertFalse(lost.isEmpty());
         assertTrue(notes.between("taken", BEGINS, ENDS).isEmpty());
--- a/lab/src/test/java/cedarrudder/lab/model/Notes.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Notes.java
@@ -19,7 +19,7 @@
             String what,
             double at,
             int proxy,
-            long rpc,
+            long request,
             int attempt,
             long endpoint,
             String word,
@@ -31,7 +31,7 @@
             String what,
             long now,
             int proxy,
-            long rpc,
+            long request,
             int attempt,
             long endpoint,
             Object word,
@@ -41,7 +41,7 @@
                         what,
                         (now - Model.START) / 1e9,
                         proxy,
-                        rpc,
+                        request,
                         attempt,
                         endpoint,
                         String.valueOf(word),
@@ -87,37 +87,37 @@
     public void taken(
             long now,
             int proxy,
-            long rpc,
+            long request,
             Idempotency effect,
             KeyScope scope,
             long repeatWindow,
             long deadline) {
-        note("taken", now, proxy, rpc, 0, 0, effect, deadline);
+        note("taken", now, proxy, request, 0, 0, effect, deadline);
     }
 
     @Override
-    public void sent(long now, int proxy, long rpc, int attempt, long endpoint, double work) {
-        note("sent", now, proxy, rpc, attempt, endpoint, "", work);
+    public void sent(long now, int proxy, long request, int attempt, long endpoint, double work) {
+        note("sent", now, proxy, request, attempt, endpoint, "", work);
     }
 
     @Override
-    public void ended(long now, int proxy, long rpc, int attempt, Outcome outcome) {
-        note("ended", now, proxy, rpc, attempt, 0, outcome, 0);
+    public void ended(long now, int proxy, long request, int attempt, Outcome outcome) {
+        note("ended", now, proxy, request, attempt, 0, outcome, 0);
     }
 
     @Override
-    public void reached(long now, int proxy, long rpc, int attempt, long endpoint) {
-        note("reached", now, proxy, rpc, attempt, endpoint, "", 0);
+    public void reached(long now, int proxy, long request, int attempt, long endpoint) {
+        note("reached", now, proxy, request, attempt, endpoint, "", 0);
     }
 
     @Override
-    public void answered(long now, int proxy, long rpc, Final how, int attempt) {
-        note("answered", now, proxy, rpc, attempt, 0, how, 0);
+    public void answered(long now, int proxy, long request, Final how, int attempt) {
+        note("answered", now, proxy, request, attempt, 0, how, 0);
     }
 
     @Override
-    public void callerLeft(long now, int proxy, long rpc) {
-        note("callerLeft", now, proxy, rpc, 0, 0, "", 0);
+    public void callerLeft(long now, int proxy, long request) {
+        note("callerLeft", now, proxy, request, 0, 0, "", 0);
     }
 
     @Override
--- a/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
@@ -286,7 +286,7 @@
         assertEquals(told.size(), 2 + site.nodes);
         BalancerSettings last = told.get(told.size() - 1);
         assertEquals(
-                List.of(last.copies(), last.self(), last.tier(), last.tiers()),
+                List.of(last.replicas(), last.self(), last.tier(), last.tiers()),
                 List.of(site.nodes, site.nodes - 1, 1, 2));
         assertTrue(last.askForEndpoints());
         assertEquals(last.safety().coldShare(), site.coldFrom);
--- a/lab/src/test/java/cedarrudder/lab/referee/RuleCheckerTest.java
+++ b/lab/src/test/java/cedarrudder/lab/referee/RuleCheckerTest.java
@@ -29,14 +29,15 @@
         }
     }
 
-    private void taken(long now, long rpc, Idempotency effect, KeyScope scope) {
-        referee.taken(now, 0, rpc, effect, scope, 500 * MS, now + SECOND);
+    private void taken(long now, long request, Idempotency effect, KeyScope scope) {
+        referee.taken(now, 0, request, effect, scope, 500 * MS, now + SECOND);
     }
 
-    private void assertBroken(int rule, long at, long rpc, long endpoint, String what) {
+    private void assertBroken(int rule, long at, long request, long endpoint, String what) {
         referee.finish(100 * SECOND);
         assertEquals(
-                referee.breaches(), List.of(new Breach(rule, at / 1e9, 0, rpc, endpoint, what, 1)));
+                referee.breaches(),
+                List.of(new Breach(rule, at / 1e9, 0, request, endpoint, what, 1)));
     }
 
     private void assertKept() {
@@ -155,11 +156,11 @@
     @Test
     public void keyedIsRefusedOnlyWhereAllNodesDropRepeats() {
         for (KeyScope scope : List.of(KeyScope.ALL, KeyScope.CELL)) {
-            long rpc = scope.ordinal() + 1;
-            taken(0, rpc, Idempotency.KEYED, scope);
-            referee.sent(0, 0, rpc, 0, 1, MS);
-            referee.ended(MS, 0, rpc, 0, Outcome.ERROR);
-            referee.answered(MS, 0, rpc, Final.REFUSED, -1);
+            long request = scope.ordinal() + 1;
+            taken(0, request, Idempotency.KEYED, scope);
+            referee.sent(0, 0, request, 0, 1, MS);
+            referee.ended(MS, 0, request, 0, Outcome.ERROR);
+            referee.answered(MS, 0, request, Final.REFUSED, -1);
         }
         assertBroken(2, MS, KeyScope.CELL.ordinal() + 1, -1, "refused though it may have run");
     }
@@ -232,11 +233,11 @@
         if (told) {
             referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
         }
-        for (int rpc = 1; rpc <= 15; rpc++) {
-            taken(0, rpc, Idempotency.SAFE, KeyScope.ALL);
-            referee.sent(0, 0, rpc, 0, 1, 100 * MS);
-            referee.ended(0, 0, rpc, 0, outcome);
-            referee.answered(0, 0, rpc, Final.FAILED, -1);
+        for (int request = 1; request <= 15; request++) {
+            taken(0, request, Idempotency.SAFE, KeyScope.ALL);
+            referee.sent(0, 0, request, 0, 1, 100 * MS);
+            referee.ended(0, 0, request, 0, outcome);
+            referee.answered(0, 0, request, Final.FAILED, -1);
         }
     }
 
@@ -254,10 +255,10 @@
             start();
             referee.nodeStarted(0, 1, 1, 0.25, 1000 * SECOND);
             referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
-            for (int rpc = 1; rpc <= count; rpc++) {
-                taken(0, rpc, Idempotency.SAFE, KeyScope.ALL);
-                referee.sent(0, 0, rpc, 0, 1, 100 * MS);
-                referee.answered(0, 0, rpc, Final.FAILED, -1);
+            for (int request = 1; request <= count; request++) {
+                taken(0, request, Idempotency.SAFE, KeyScope.ALL);
+                referee.sent(0, 0, request, 0, 1, 100 * MS);
+                referee.answered(0, 0, request, Final.FAILED, -1);
             }
             referee.nodeEnded(0, 1);
             if (count == 9) {
@@ -292,12 +293,12 @@
         referee.told(0, 1, 1, 1, 1, EndpointStatus.READY, 0);
         referee.nodeStarted(0, 1, 1, 0.25, 10 * SECOND);
         referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
-        for (int rpc = 1; rpc <= 30; rpc++) {
-            int proxy = rpc % 5 < 2 ? 1 : 0;
-            referee.taken(0, proxy, rpc, Idempotency.SAFE, KeyScope.ALL, 0, SECOND);
-            referee.sent(0, proxy, rpc, 0, 1, 100 * MS);
-            referee.reached(MS, proxy, rpc, 0, 1);
-            referee.answered(2 * MS, proxy, rpc, Final.FAILED, -1);
+        for (int request = 1; request <= 30; request++) {
+            int proxy = request % 5 < 2 ? 1 : 0;
+            referee.taken(0, proxy, request, Idempotency.SAFE, KeyScope.ALL, 0, SECOND);
+            referee.sent(0, proxy, request, 0, 1, 100 * MS);
+            referee.reached(MS, proxy, request, 0, 1);
+            referee.answered(2 * MS, proxy, request, Final.FAILED, -1);
         }
         assertKept();
     }
@@ -306,30 +307,30 @@
     public void workSpreadOverWindowsIsWithinTheBudget() {
         referee.nodeStarted(0, 1, 1, 0.25, 10 * SECOND);
         referee.told(0, 0, 1, 1, 1, EndpointStatus.READY, MS);
-        for (int rpc = 1; rpc <= 100; rpc++) {
-            long now = rpc * 100 * MS;
-            taken(now, rpc, Idempotency.SAFE, KeyScope.ALL);
-            referee.sent(now, 0, rpc, 0, 1, 100 * MS);
-            referee.reached(now, 0, rpc, 0, 1);
-            referee.answered(now, 0, rpc, Final.FAILED, -1);
+        for (int request = 1; request <= 100; request++) {
+            long now = request * 100 * MS;
+            taken(now, request, Idempotency.SAFE, KeyScope.ALL);
+            referee.sent(now, 0, request, 0, 1, 100 * MS);
+            referee.reached(now, 0, request, 0, 1);
+            referee.answered(now, 0, request, Final.FAILED, -1);
         }
         assertKept();
     }
 
     @Test
     public void forgetsWhatIsLongOver() {
-        int rpcs = 200_000;
-        for (int rpc = 1; rpc <= rpcs; rpc++) {
-            long now = rpc * MS;
-            taken(now, rpc, Idempotency.SAFE, KeyScope.ALL);
-            referee.sent(now, 0, rpc, 0, 1 + rpc % 6, MS);
-            referee.reached(now, 0, rpc, 0, 1 + rpc % 6);
-            referee.ended(now, 0, rpc, 0, Outcome.OK);
-            referee.answered(now, 0, rpc, Final.SERVED, 0);
+        int requests = 200_000;
+        for (int request = 1; request <= requests; request++) {
+            long now = request * MS;
+            taken(now, request, Idempotency.SAFE, KeyScope.ALL);
+            referee.sent(now, 0, request, 0, 1 + request % 6, MS);
+            referee.reached(now, 0, request, 0, 1 + request % 6);
+            referee.ended(now, 0, request, 0, Outcome.OK);
+            referee.answered(now, 0, request, Final.SERVED, 0);
         }
-        long most = (SECOND + 8 * MS + RuleChecker.MEMORY) / MS + 2;
-        assertTrue(referee.mostRemembered() <= most, referee.mostRemembered() + " remembered");
-        referee.finish(rpcs * MS + 100 * SECOND);
+        long max = (SECOND + 8 * MS + RuleChecker.MEMORY) / MS + 2;
+        assertTrue(referee.maxRemembered() <= max, referee.maxRemembered() + " remembered");
+        referee.finish(requests * MS + 100 * SECOND);
         assertEquals(referee.breaches(), List.of());
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/scenario/RecordedTraceTest.java
+++ b/lab/src/test/java/cedarrudder/lab/scenario/RecordedTraceTest.java
@@ -14,7 +14,7 @@
 
     private static final long SEED = 20;
     private static final double LENGTH = 40;
-    private static final double MOST_PER_SECOND = 300;
+    private static final double MAX_PER_SECOND = 300;
     private static final String[] CLASSES = {"status", "single", "batch"};
     private static final double[] CLASS_SHARES = {0.5, 0.28, 0.22};
     private static final double[] WORK_MS = {26, 87, 155};
@@ -38,11 +38,11 @@
         StringBuilder text = new StringBuilder("time_ms,class,tenant,work_ms\n");
         int lines = 0;
         for (double at = 0; ; ) {
-            at -= StrictMath.log(1 - random.nextDouble()) / MOST_PER_SECOND;
+            at -= StrictMath.log(1 - random.nextDouble()) / MAX_PER_SECOND;
             if (at >= LENGTH) {
                 return text.toString();
             }
-            if (random.nextDouble() * MOST_PER_SECOND < rate(at)) {
+            if (random.nextDouble() * MAX_PER_SECOND < rate(at)) {
                 int kind = pick(random, CLASS_SHARES);
                 int tenant = pick(random, TENANT_SHARES);
                 double work = -WORK_MS[kind] * StrictMath.log(1 - random.nextDouble());
