--- a/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -41,7 +41,7 @@
 
     /** Takes in what discovery says, and returns it as the module is to see it. */
     public List<Endpoint> listed(EndpointListKind kind, List<Named> entries) {
-        if (kind != EndpointListKind.CHANGES) {
+        if (kind != EndpointListKind.DELTA) {
             Set<String> named = new HashSet<>();
             entries.forEach(entry -> named.add(entry.name()));
             List.copyOf(listed.keySet()).stream()
@@ -50,7 +50,7 @@
         }
         List<Endpoint> shown = new ArrayList<>(entries.size());
         for (Named entry : entries) {
-            if (entry.endpoint().state() == EndpointStatus.GONE) {
+            if (entry.endpoint().status() == EndpointStatus.REMOVED) {
                 leave(entry.name());
                 shown.add(entry.endpoint());
             } else {
@@ -82,7 +82,7 @@
         EndpointStatus state =
                 disabled.contains(name) || leaving.contains(entry.id())
                         ? EndpointStatus.DRAINING
-                        : entry.state();
+                        : entry.status();
         long startedAt =
                 Math.max(entry.startedAt(), returnedAt.getOrDefault(name, entry.startedAt()));
         return new Endpoint(
--- a/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
+++ b/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
@@ -1,59 +1,65 @@
 package cedarrudder.admission;
 
 /**
- * A limit on the calls out at once that follows what answers say: slow ones lower it, quick ones
- * raise it.
+ * A limit on the attempts of one replica that are in flight at once. It follows the latency of
+ * answers: slow ones lower it, quick ones raise it.
  *
- * <p>Guards against overload, in which all would be served and all too late. It is the additive
- * increase of TCP with an additive decrease, so that it rests where a set share of the answers is
- * slow.
+ * <p>Without it overload would serve every request, and each too late. It is the additive increase
+ * of TCP with an additive decrease, so that it rests where a set share of the answers is slow.
  */
 public final class AdaptiveConcurrencyLimit {
 
-    private final double less;
-    private final double more;
-    private final double cut;
+    private final double decrease;
+    private final double increase;
+    private final double cutFactor;
     private double limit = Integer.MAX_VALUE;
 
-    /** Whether a request was turned away since the limit last grew. */
-    private boolean met;
+    /** Whether a request was rejected since the limit last grew. */
+    private boolean reached;
 
     /**
-     * @param less what a slow answer takes off; 0: there is no limit
-     * @param more what a quick one adds
-     * @param cut a slow answer cuts the limit to this many times the recent peak of calls out at
-     *     the most. Guards against turning the least worthy away on quiet days: they stop at a
-     *     small part of the limit
+     * A limit that begins without a bound.
+     *
+     * @param decrease what a slow answer takes off; 0: there is no limit
+     * @param increase what a quick one adds
+     * @param cutFactor a slow answer cuts the limit to at most this many times the recent peak of
+     *     attempts in flight. Requests of low priority are rejected at a small part of the limit,
+     *     so a smaller factor would reject them on quiet days
      */
-    public AdaptiveConcurrencyLimit(double less, double more, double cut) {
-        this.less = less;
-        this.more = more;
-        this.cut = cut;
+    public AdaptiveConcurrencyLimit(double decrease, double increase, double cutFactor) {
+        this.decrease = decrease;
+        this.increase = increase;
+        this.cutFactor = cutFactor;
     }
 
-    /** Whether one more call may go out, for a request that finds only this part of the limit. */
-    public boolean room(int out, double part) {
-        boolean room = out < 1 || out < limit * part;
-        met |= !room;
-        return room;
+    /**
+     * Whether one more request may be let in.
+     *
+     * @param inFlight attempts in flight now
+     * @param share the part of the limit that is open to this request, from 0 to 1
+     */
+    public boolean tryAdmit(int inFlight, double share) {
+        boolean admitted = inFlight < 1 || inFlight < limit * share;
+        reached |= !admitted;
+        return admitted;
     }
 
     /**
-     * Takes in an answer.
+     * Adapts the limit to an answer.
      *
-     * @param out calls out now
-     * @param maxRecent the most that were out at once lately
-     * @param min the limit never falls under this: this copy's part of what endpoints may always
-     *     hold. With no more out there is no queue left to shorten by turning more away. Guards
-     *     against refusing for good where answers are slow for another reason: connections that
-     *     come up late, endpoints that hang
+     * @param inFlight attempts in flight now
+     * @param recentPeak the most that were in flight at once in the recent past
+     * @param min the limit never falls below this: the replica's part of what endpoints may always
+     *     hold. With no more in flight there is no queue left to shorten by rejecting, and answers
+     *     are slow for another reason, such as late connections or endpoints that hang
      */
-    public void answered(boolean slow, int out, double maxRecent, double min) {
-        if (slow && less > 0) {
-            limit = Math.max(Math.max(1, min), Math.min(limit, cut * maxRecent + 1) - less);
-        } else if (met || out > limit / 2) {
-            limit += more;
-            met = false;
+    public void onResponse(boolean slow, int inFlight, double recentPeak, double min) {
+        if (slow && decrease > 0) {
+            double cut = Math.min(limit, cutFactor * recentPeak + 1);
+            limit = Math.max(Math.max(1, min), cut - decrease);
+        } else if (reached || inFlight > limit / 2) {
+            limit += increase;
+            reached = false;
         }
     }
 }
--- a/core/src/main/java/cedarrudder/admission/AdmissionQueue.java
+++ b/core/src/main/java/cedarrudder/admission/AdmissionQueue.java
@@ -9,49 +9,62 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for room, in lanes of equal worth: the lane worth most goes first, and in a
- * lane who came first. So the least worth for its work goes without when there is too much, and
- * chance chooses none.
+ * Requests that wait for capacity, in lanes of equal priority: the lane of highest priority goes
+ * first, and in a lane the one that arrived first. So load is shed by priority and not by chance.
+ *
+ * @param <T> a request
  */
 public final class AdmissionQueue<T> {
 
-    /** What became of a request that was offered room. */
+    /** What became of a request that was offered capacity. */
     public enum Offer {
         /** It no longer waits. */
         TAKEN,
-        /** There is no room for this one, though there may be for others. */
-        NONE_FOR_IT,
-        /** There is no room for any. */
-        NONE
+        /** There is no capacity for this one, though there may be for others. */
+        SKIPPED,
+        /** There is no capacity for any. */
+        NO_CAPACITY
     }
 
-    private record Waiter<T>(long number, T request) {}
+    private record Waiting<T>(long arrival, T request) {}
 
-    private final List<ArrayDeque<Waiter<T>>> lanes = new ArrayList<>();
+    private final List<ArrayDeque<Waiting<T>>> lanes = new ArrayList<>();
     private final List<Integer> order = new ArrayList<>();
     private int size;
-    private long came;
+    private long arrivals;
 
+    /** An empty queue with this many lanes. */
     public AdmissionQueue(int lanes) {
         for (int i = 0; i < lanes; i++) {
             this.lanes.add(new ArrayDeque<>());
         }
     }
 
+    /** Adds a request at the end of a lane. */
     public void add(int lane, T request) {
-        lanes.get(lane).addLast(new Waiter<>(came++, request));
+        lanes.get(lane).addLast(new Waiting<>(arrivals++, request));
         size++;
     }
 
+    /** How many requests wait. */
     public int size() {
         return size;
     }
 
     /**
-     * Offers room to those that wait until there is none; of lanes of equal worth, where one came
-     * first.
+     * Offers capacity to those that wait until there is none. Of lanes of equal priority the one
+     * whose first request arrived first goes first.
      */
-    public void release(IntToDoubleFunction worth, Function<T, Offer> offer) {
+    public void dispatch(IntToDoubleFunction priority, Function<T, Offer> offer) {
+        sortLanes(priority);
+        for (int lane : order) {
+            if (dispatchLane(lanes.get(lane), offer) == Offer.NO_CAPACITY) {
+                return;
+            }
+        }
+    }
+
+    private void sortLanes(IntToDoubleFunction priority) {
         order.clear();
         for (int i = 0; i < lanes.size(); i++) {
             if (!lanes.get(i).isEmpty()) {
@@ -59,31 +72,31 @@
             }
         }
         order.sort(
-                Comparator.comparingDouble((Integer i) -> -worth.applyAsDouble(i))
-                        .thenComparingLong(i -> lanes.get(i).peekFirst().number()));
-        for (int lane : order) {
-            ArrayDeque<Waiter<T>> queue = lanes.get(lane);
-            Offer answer = Offer.TAKEN;
-            while (answer == Offer.TAKEN && !queue.isEmpty()) {
-                answer = offer.apply(queue.peekFirst().request());
-                if (answer == Offer.TAKEN) {
-                    queue.removeFirst();
-                    size--;
-                }
-            }
-            if (answer == Offer.NONE) {
-                return;
+                Comparator.comparingDouble((Integer lane) -> -priority.applyAsDouble(lane))
+                        .thenComparingLong(lane -> lanes.get(lane).peekFirst().arrival()));
+    }
+
+    /** Offers capacity to the requests of a lane; returns the answer of the last one. */
+    private Offer dispatchLane(ArrayDeque<Waiting<T>> lane, Function<T, Offer> offer) {
+        Offer answer = Offer.TAKEN;
+        while (answer == Offer.TAKEN && !lane.isEmpty()) {
+            answer = offer.apply(lane.peekFirst().request());
+            if (answer == Offer.TAKEN) {
+                lane.removeFirst();
+                size--;
             }
         }
+        return answer;
     }
 
-    /** Takes out all that no longer should wait. */
-    public List<T> remove(Predicate<T> over) {
-        List<T> out = new ArrayList<>();
-        for (ArrayDeque<Waiter<T>> lane : lanes) {
-            lane.removeIf(waiter -> over.test(waiter.request()) && out.add(waiter.request()));
+    /** Removes all that match and returns them. */
+    public List<T> removeIf(Predicate<T> matches) {
+        List<T> removed = new ArrayList<>();
+        for (ArrayDeque<Waiting<T>> lane : lanes) {
+            lane.removeIf(
+                    waiting -> matches.test(waiting.request()) && removed.add(waiting.request()));
         }
-        size -= out.size();
-        return out;
+        size -= removed.size();
+        return removed;
     }
 }
--- a/core/src/main/java/cedarrudder/admission/EndpointConcurrencyLimit.java
+++ b/core/src/main/java/cedarrudder/admission/EndpointConcurrencyLimit.java
@@ -3,104 +3,112 @@
 /**
  * How many requests one endpoint may hold, learned from how long its answers take for their work.
  *
- * <p>An endpoint that holds far more than it can work on is driven past what it does best: it may
- * slow down as a whole, and stay slow while the same load comes. So the limit begins at a safe
- * value. It grows only while the endpoint is at it and still answers in hardly more than the time
- * that the work was said to take, so that nothing waits there; and it goes back when answers take
- * clearly longer. A small endpoint keeps the safe value; one of many processors comes to hold many.
+ * <p>An endpoint that holds far more than it can work on may slow down as a whole, and stay slow
+ * while the same load comes. So the limit begins at a safe value. It grows only while the endpoint
+ * is at it and still answers in hardly more than the time that the work was said to take, so that
+ * nothing waits there; and it shrinks when answers take clearly longer. A small endpoint keeps the
+ * safe value; one of many processors comes to hold many.
  *
  * <p>This is TCP Vegas (Brakmo and Peterson, 1995), as in Netflix' concurrency-limits, with the
  * work that a request was said to need in place of the least time seen. An endpoint that is full
- * from the first moment on never shows its least time, and a least time that is too long drives the
- * limit up without end.
+ * from the first moment on never shows its least time, and one that is too long drives the limit up
+ * without end.
  */
 public final class EndpointConcurrencyLimit {
 
-    /**
-     * Answers that count, about, and that must have been seen before the limit moves: samples, no
-     * time.
-     */
-    private static final int ANSWERS = 20;
+    /** Answers that count, about, and that must have been seen before the limit moves. */
+    private static final int WINDOW_ANSWERS = 20;
 
-    /** Up to this many times the work said, nothing waits: the way there takes its time, too. */
-    private static final double EASY = 1.25;
+    /** Up to this many times the work said, nothing waits: the network takes its time, too. */
+    private static final double NO_QUEUE_STRETCH = 1.25;
 
     /** Past this many times the work said, much waits. */
-    private static final double BUSY = 2;
+    private static final double LONG_QUEUE_STRETCH = 2;
 
     /** The endpoint is at its limit when it holds no less than the limit, less this. */
-    private static final double NEAR = 1;
+    private static final double AT_LIMIT_MARGIN = 1;
 
     /**
-     * So few copies see the same part of the calls, each. With more, a copy has one or two calls at
-     * an endpoint whatever the site, and its own figure says little of the others'.
+     * Up to this many replicas each see an equal part of the requests. With more, a replica has one
+     * or two requests at an endpoint, and its own number says little of the others'.
      */
     private static final int FEW_REPLICAS = 3;
 
     /**
-     * For this long, in nanoseconds, a report tells of what others have at an endpoint. No setting
-     * tells how old reports are; they are refreshed some times a second where there are any.
+     * For this long, in nanoseconds, a report tells what others have in flight. No setting tells
+     * how old reports are; they are refreshed some times a second where there are any.
      */
-    private static final long REPORT_TELLS = 2_000_000_000L;
+    private static final long REPORT_VALIDITY_NANOS = 2_000_000_000L;
+
+    private static final double RETAINED = 1 - 1.0 / WINDOW_ANSWERS;
 
-    private final double start;
-    private double others;
-    private long othersAt;
+    private final double initialLimit;
+    private double inFlightOfOthers;
+    private long reportedAt;
     private double limit;
-    private double time;
-    private double work;
+    private double latencySum;
+    private double expectedSum;
     private int answers;
 
     /**
-     * @param start the safe number of requests, to begin with and always; 0: there is no limit
+     * A limit for one endpoint.
+     *
+     * @param initialLimit the safe number of requests, to begin with and always; 0: there is no
+     *     limit
      */
-    public EndpointConcurrencyLimit(double start) {
-        this.start = start;
-        this.limit = start > 0 ? start : Double.POSITIVE_INFINITY;
+    public EndpointConcurrencyLimit(double initialLimit) {
+        this.initialLimit = initialLimit;
+        this.limit = initialLimit > 0 ? initialLimit : Double.POSITIVE_INFINITY;
     }
 
     /**
-     * Takes in a good answer. One whose work is not known ends the limit: it could not be learned.
+     * Takes a good answer. One whose work is not known removes the limit: it can't be learned.
      *
-     * @param held requests that the endpoint held, this one among them
-     * @param latency how long the answer took, in nanoseconds
-     * @param said the work that the request was said to need, in nanoseconds; 0: not known
+     * @param inFlight requests that the endpoint held, this one among them
+     * @param latencyNanos how long the answer took
+     * @param expectedWorkNanos the work that the request was said to need; 0: not known
      */
-    public void answered(double held, double latency, double said) {
-        if (said <= 0) {
+    public void onResponse(double inFlight, double latencyNanos, double expectedWorkNanos) {
+        if (expectedWorkNanos <= 0) {
             limit = Double.POSITIVE_INFINITY;
         }
-        double kept = 1 - 1.0 / ANSWERS;
-        time = time * kept + latency;
-        work = work * kept + said;
-        if (++answers >= ANSWERS && time < EASY * work && held >= limit - NEAR) {
+        latencySum = latencySum * RETAINED + latencyNanos;
+        expectedSum = expectedSum * RETAINED + expectedWorkNanos;
+        answers++;
+        if (answers < WINDOW_ANSWERS) {
+            return;
+        }
+        boolean atLimit = inFlight >= limit - AT_LIMIT_MARGIN;
+        if (latencySum < NO_QUEUE_STRETCH * expectedSum && atLimit) {
             limit += 1 / limit;
-        } else if (answers >= ANSWERS && time > BUSY * work) {
-            limit = Math.max(Math.min(start, limit), limit - 1 / limit);
+        } else if (latencySum > LONG_QUEUE_STRETCH * expectedSum) {
+            limit = Math.max(Math.min(initialLimit, limit), limit - 1 / limit);
         }
     }
 
     /** Whether an endpoint that holds this many requests may be given another. */
-    public boolean room(double held) {
-        return held < limit;
+    public boolean hasCapacity(double inFlight) {
+        return inFlight < limit;
     }
 
-    /** Takes in how many requests of others the endpoint reported to hold at an instant. */
-    public void reported(long now, double ofOthers) {
-        others = Math.max(0, ofOthers);
-        othersAt = now;
+    /** Takes how many requests of other replicas the endpoint reported to hold at an instant. */
+    public void onLoadReport(long now, double ofOthers) {
+        inFlightOfOthers = Math.max(0, ofOthers);
+        reportedAt = now;
     }
 
     /**
-     * How many requests the endpoint holds now. Where few copies send, each has an equal part of
-     * the calls, and its own figure is newer than any report. Where many do, each has one or two
-     * calls out here, and only a report tells of the others'.
+     * How many requests the endpoint holds now. Where few replicas send, each has an equal part of
+     * the requests, and its own number is newer than any report. Where many do, each has one or two
+     * requests there, and only a report tells of the others'.
      *
-     * @param own how many of this copy's it holds
+     * @param own how many of this replica's it holds
      */
-    public double held(long now, int own, int replicas) {
-        double told = now - othersAt < REPORT_TELLS ? others : 0;
-        return own + (replicas <= FEW_REPLICAS ? own * (replicas - 1) : told);
+    public double inFlight(long now, int own, int replicas) {
+        if (replicas <= FEW_REPLICAS) {
+            return own + own * (replicas - 1);
+        }
+        return own + (now - reportedAt < REPORT_VALIDITY_NANOS ? inFlightOfOthers : 0);
     }
 
     /** Requests that the endpoint may hold. */
--- a/core/src/main/java/cedarrudder/admission/MovingAverage.java
+++ b/core/src/main/java/cedarrudder/admission/MovingAverage.java
@@ -1,24 +1,28 @@
 package cedarrudder.admission;
 
-/** A mean and a mean deviation that follow what is measured. */
+/** An exponentially weighted moving average, with the mean absolute deviation from it. */
 public final class MovingAverage {
 
-    private final double weight;
+    private final double newestWeight;
     private double mean;
     private double deviation;
     private long count;
 
     /**
-     * @param weight the weight of the newest value, from 0 to 1; the first ones weigh more
+     * An average of no values.
+     *
+     * @param newestWeight the weight of the newest value, from 0 to 1; the first values weigh more
      */
-    public MovingAverage(double weight) {
-        this.weight = weight;
+    public MovingAverage(double newestWeight) {
+        this.newestWeight = newestWeight;
     }
 
+    /** Adds a value. */
     public void add(double value) {
-        double part = Math.max(weight, 1.0 / ++count);
-        deviation += part * (Math.abs(value - mean) - deviation);
-        mean += part * (value - mean);
+        count++;
+        double weight = Math.max(newestWeight, 1.0 / count);
+        deviation += weight * (Math.abs(value - mean) - deviation);
+        mean += weight * (value - mean);
     }
 
     /** The mean, in the unit of the values; 0 before the first. */
@@ -26,7 +30,7 @@
         return mean;
     }
 
-    /** How far values lie from the mean, on the average. */
+    /** How far values lie from the mean, on average. */
     public double deviation() {
         return deviation;
     }
--- a/core/src/main/java/cedarrudder/admission/TenantQuotas.java
+++ b/core/src/main/java/cedarrudder/admission/TenantQuotas.java
@@ -3,59 +3,59 @@
 import java.util.Arrays;
 
 /**
- * Tells which requests are past their tenant's share: a token bucket for each tenant.
+ * Tells which requests exceed their tenant's quota: a token bucket for each tenant.
  *
- * <p>Guards against a tenant that crowds out the others: only what it sends beyond its share counts
- * less, not the whole tenant.
+ * <p>Only what a tenant sends beyond its quota counts less, not all that it sends, so that none
+ * crowds out the others.
  */
 public final class TenantQuotas {
 
-    /**
-     * A tenant may save up this many seconds of its share; what comes past that is over its share.
-     * So what may be saved follows the settings' quota and the number of copies; one request may be
-     * in any case.
-     */
-    private static final double SECONDS = 2;
+    /** A tenant may save up this many seconds of its quota; one request in any case. */
+    private static final double BURST_SECONDS = 2;
+
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private final double[] quotas;
-    private final double[] saved;
-    private final long[] at;
+    private final double[] quotaPerSecond;
+    private final double[] tokens;
+    private final long[] refilledAt;
     private int replicas;
 
     /**
-     * @param quotas the share of each tenant over all copies, in requests a second; 0: it has no
-     *     limit
-     * @param replicas how many copies there are, each of which takes an equal part
+     * Quotas with full buckets.
+     *
+     * @param quotaPerSecond the quota of each tenant over all replicas, in requests a second; 0: it
+     *     has no limit
+     * @param replicas how many replicas there are, each of which takes an equal part
      */
-    public TenantQuotas(double[] quotas, int replicas) {
-        this.quotas = quotas.clone();
+    public TenantQuotas(double[] quotaPerSecond, int replicas) {
+        this.quotaPerSecond = quotaPerSecond.clone();
         this.replicas = Math.max(1, replicas);
-        this.saved = new double[quotas.length];
-        this.at = new long[quotas.length];
-        Arrays.fill(at, Long.MIN_VALUE / 2); // long ago, wherever the clock begins: all is saved up
+        this.tokens = new double[quotaPerSecond.length];
+        this.refilledAt = new long[quotaPerSecond.length];
+        Arrays.fill(refilledAt, Long.MIN_VALUE / 2); // long ago: the buckets are full
     }
 
-    /** From now on so many copies divide the shares; what was saved stays, up to what may be. */
-    public void replicas(int live) {
+    /** From now on this many replicas divide the quotas; tokens that were saved stay. */
+    public void onLiveReplicas(int live) {
         replicas = Math.max(1, live);
     }
 
     /**
-     * Counts a request of a tenant, and tells whether it is past the share. An unknown tenant has
+     * Counts a request of a tenant and tells whether it exceeds the quota. An unknown tenant has
      * none.
      */
-    public boolean past(long now, int tenant) {
-        if (tenant >= quotas.length || quotas[tenant] <= 0) {
+    public boolean isOverQuota(long now, int tenant) {
+        if (tenant >= quotaPerSecond.length || quotaPerSecond[tenant] <= 0) {
             return false;
         }
-        double rate = quotas[tenant] / replicas;
-        double sum = saved[tenant] + rate * (now - at[tenant]) / 1e9;
-        saved[tenant] = Math.min(Math.max(1, SECONDS * rate), sum);
-        at[tenant] = now;
-        if (saved[tenant] < 1) {
+        double rate = quotaPerSecond[tenant] / replicas;
+        double refilled = tokens[tenant] + rate * (now - refilledAt[tenant]) / NANOS_PER_SECOND;
+        tokens[tenant] = Math.min(Math.max(1, BURST_SECONDS * rate), refilled);
+        refilledAt[tenant] = now;
+        if (tokens[tenant] < 1) {
             return true;
         }
-        saved[tenant]--;
+        tokens[tenant]--;
         return false;
     }
 }
--- a/core/src/main/java/cedarrudder/admission/ZoneTrafficSplit.java
+++ b/core/src/main/java/cedarrudder/admission/ZoneTrafficSplit.java
@@ -8,187 +8,205 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Deals calls to zones by their parts, keeps what each zone gets a second within its bound, and
- * tells which calls fit nowhere.
+ * Splits requests over zones by their parts, keeps the rate of each zone within its bound, and
+ * tells which requests fit nowhere.
  *
- * <p>Each call moves a point by the golden ratio round a circle which the zones divide by their
- * parts (a sequence of low discrepancy, after Weyl, 1916). So of any run of calls each zone gets
- * its part to within a call or two, where a draw for each would stray by the root of their number;
- * nothing has to be kept when parts change; and copies whose points start at random don't send to
- * the same zone at the same time.
+ * <p>Each request moves a point by the golden ratio round a circle which the zones divide by their
+ * parts (a low-discrepancy sequence, Weyl 1916). So of any run of requests each zone gets its part
+ * to within a request or two, where a random draw for each would stray by the root of their number;
+ * no state is needed when parts change; and replicas whose points start at random don't send to the
+ * same zone at the same time.
  *
- * <p>Where the parts are less than a whole, each call pays in that share of a call, and each that
- * goes takes one out. Whoever asks with a part of 1 may take all that was saved; who is worth less
- * finds some of it kept from him, as in a {@link AdaptiveConcurrencyLimit}: so the least worthy
- * goes without. The bounds a second are the same by time.
+ * <p>Where the parts are less than a whole, each request adds that share of a token, and each that
+ * is sent takes one. A request that asks with a share of 1 may take all tokens; one of lower
+ * priority finds some of them reserved, as in {@link AdaptiveConcurrencyLimit}, so that the lowest
+ * priority is shed first. The rates of zones work the same way by time.
  */
 public final class ZoneTrafficSplit {
 
-    /** No zone may get the call. */
-    public static final int NOWHERE = -1;
+    /** No zone may get the request. */
+    public static final int NO_ZONE = -1;
 
-    /**
-     * A zone may save up this many seconds of its bound, which copies agree on; one call in any
-     * case.
-     */
-    private static final double SECONDS = 0.5;
+    /** A zone may save up this many seconds of its rate; one request in any case. */
+    private static final double BURST_SECONDS = 0.5;
 
-    /**
-     * So many calls may be saved up by those that didn't go: enough to tell worth apart, soon used
-     * up.
-     */
-    private static final double CALLS = 20;
+    /** Tokens that requests which were not sent may save up: enough to tell priorities apart. */
+    private static final double MAX_TOKENS = 20;
 
-    private static final double GOLDEN = (Math.sqrt(5) - 1) / 2;
+    private static final double GOLDEN_RATIO = (Math.sqrt(5) - 1) / 2;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     /**
      * What a zone may get.
      *
-     * @param parts of the whole, so many; over 0
-     * @param perSecond its bound in calls a second; 0: none
+     * @param parts this many of the whole; over 0
+     * @param maxPerSecond its bound in requests a second; 0: none
      */
-    public record Part(int zone, int parts, int perSecond) {}
+    public record Part(int zone, int parts, int maxPerSecond) {}
 
+    /** One zone, with a token bucket for its rate. */
     private static final class Zone {
-        final int number;
-        int parts;
-        int perSecond;
-        double saved = Double.POSITIVE_INFINITY;
-        long at;
+        private final int number;
+        private int parts;
+        private int maxPerSecond;
+        private double tokens = Double.POSITIVE_INFINITY;
+        private long refilledAt;
 
-        Zone(int number) {
+        private Zone(int number) {
             this.number = number;
         }
+
+        private boolean hasCapacity(long now, double share) {
+            if (parts == 0 || maxPerSecond == 0) {
+                return true;
+            }
+            double max = Math.max(1, BURST_SECONDS * maxPerSecond);
+            double refilled = tokens + maxPerSecond * (now - refilledAt) / NANOS_PER_SECOND;
+            tokens = Math.min(max, refilled);
+            refilledAt = now;
+            return isOpen(tokens, max, share);
+        }
     }
 
-    private final int own;
+    private final int ownZone;
     private final int whole;
     private final RandomGenerator random;
 
-    /** All zones that ever had a part. Guards against new savings with each change of the parts. */
+    /** All zones that ever had a part; they keep their tokens when parts change. */
     private final Map<Integer, Zone> known = new HashMap<>();
 
-    /** Those that have one, in the order in which they stand in for one another. */
+    /** Those that have a part, in the order in which they stand in for one another. */
     private Zone[] zones = new Zone[0];
 
-    private double sum;
-    private double paid = CALLS;
+    private double sumOfParts;
+    private double tokens = MAX_TOKENS;
+
+    /** The point on the circle, from 0 to 1; NaN before the first parts. */
     private double point = Double.NaN;
 
     /**
-     * @param own the zone that stands in first for all others
-     * @param whole what all parts sum up to where every call has a place
+     * A split without parts.
+     *
+     * @param ownZone the zone that stands in first for all others
+     * @param whole what all parts sum up to where every request has a place
      * @param random asked once, where to begin
      */
-    public ZoneTrafficSplit(int own, int whole, RandomGenerator random) {
-        this.own = own;
+    public ZoneTrafficSplit(int ownZone, int whole, RandomGenerator random) {
+        this.ownZone = ownZone;
         this.whole = whole;
         this.random = random;
     }
 
     /**
-     * Sets the parts of zones, one at the least, in place of the former. The savings stay as they
-     * are.
+     * Sets the parts of zones, one at least, in place of the former ones.
      *
      * @throws IllegalArgumentException where a zone comes twice, or the parts are more than a
      *     whole; nothing changes then
      */
-    public void set(List<Part> parts) {
-        long all = parts.stream().mapToLong(Part::parts).sum();
+    public void update(List<Part> parts) {
+        long sum = parts.stream().mapToLong(Part::parts).sum();
         List<Integer> numbers = parts.stream().map(Part::zone).toList();
         if (numbers.stream().distinct().count() < numbers.size()) {
             throw new IllegalArgumentException(
                     "shares: found zones " + numbers + "; allowed: each once");
         }
-        if (all > whole) {
+        if (sum > whole) {
             throw new IllegalArgumentException(
-                    "shares: found " + all + " parts in all; allowed: up to " + whole);
+                    "shares: found " + sum + " parts in all; allowed: up to " + whole);
+        }
+        if (Double.isNaN(point)) {
+            point = random.nextDouble();
+        }
+        sumOfParts = sum;
+        if (sum == whole) {
+            tokens = MAX_TOKENS;
         }
-        point = Double.isNaN(point) ? random.nextDouble() : point;
-        sum = all;
-        paid = all == whole ? CALLS : paid;
         known.values().forEach(zone -> zone.parts = 0);
         for (Part part : parts) {
             Zone zone = known.computeIfAbsent(part.zone(), Zone::new);
             zone.parts = part.parts();
-            zone.perSecond = part.perSecond();
+            zone.maxPerSecond = part.maxPerSecond();
         }
         zones =
                 numbers.stream()
-                        .sorted(Comparator.comparing(number -> number != own))
+                        .sorted(Comparator.comparing(number -> number != ownZone))
                         .map(known::get)
                         .toArray(Zone[]::new);
     }
 
     /** Whether a zone has a part. */
-    public boolean has(int zone) {
+    public boolean isServing(int zone) {
         Zone found = known.get(zone);
         return found != null && found.parts > 0;
     }
 
     /**
-     * The zone for a call that has come, to be asked for each: the one whose turn it is, or where
-     * its bound is reached the first that stands in for it.
+     * The zone for a request that has arrived, to be called for each: the one whose turn it is, or
+     * where its rate is reached the first that stands in for it.
      *
-     * @param part of what is saved, so much is open to this call; from 0 to 1
-     * @param goes whether it goes anywhere at all; one that doesn't leaves its place to others
+     * @param share the share of saved tokens that is open to this request, from 0 to 1
+     * @param admitted whether it is sent at all; one that is not leaves its place to others
+     * @return {@link #NO_ZONE} where none may get it
      */
-    public int next(long now, double part, boolean goes) {
-        paid = Math.min(CALLS, paid + sum / whole);
-        if (!goes || !open(paid, CALLS, part)) {
-            return NOWHERE;
+    public int assignZone(long now, double share, boolean admitted) {
+        tokens = Math.min(MAX_TOKENS, tokens + sumOfParts / whole);
+        if (!admitted || !isOpen(tokens, MAX_TOKENS, share)) {
+            return NO_ZONE;
         }
-        point = (point + GOLDEN) % 1;
-        int at = 0;
-        for (double left = point * sum - zones[0].parts; left >= 0 && at < zones.length - 1; ) {
-            left -= zones[++at].parts;
+        point = (point + GOLDEN_RATIO) % 1;
+        int[] candidates = candidates(now, zoneAtPoint(), share);
+        if (candidates.length == 0) {
+            return NO_ZONE;
         }
-        int[] open = order(now, zones[at].number, part);
-        paid -= open.length > 0 ? 1 : 0;
-        return open.length > 0 ? open[0] : NOWHERE;
+        tokens--;
+        return candidates[0];
+    }
+
+    private int zoneAtPoint() {
+        int index = 0;
+        double rest = point * sumOfParts - zones[0].parts;
+        while (rest >= 0 && index < zones.length - 1) {
+            index++;
+            rest -= zones[index].parts;
+        }
+        return zones[index].number;
     }
 
     /**
-     * The zones that may get a call: this one first, if it has a part, and then those that stand in
-     * for it.
+     * The zones that may get a request: this one first, if it has a part, and then those that stand
+     * in for it.
      *
-     * @param part as for {@link #next}
+     * @param share as for {@link #assignZone}
      */
-    public int[] order(long now, int first, double part) {
-        int[] order = new int[zones.length];
+    public int[] candidates(long now, int first, double share) {
+        int[] candidates = new int[zones.length];
         int count = 0;
-        if (has(first) && room(now, first, part)) {
-            order[count++] = first;
+        if (isServing(first) && hasCapacity(now, first, share)) {
+            candidates[count++] = first;
         }
         for (Zone zone : zones) {
-            if (zone.number != first && room(now, zone.number, part)) {
-                order[count++] = zone.number;
+            if (zone.number != first && zone.hasCapacity(now, share)) {
+                candidates[count++] = zone.number;
             }
         }
-        return Arrays.copyOf(order, count);
+        return Arrays.copyOf(candidates, count);
     }
 
-    /** Whether a zone's bound lets such a call go there; a zone without a bound does. */
-    public boolean room(long now, int zone, double part) {
+    /** Whether a zone's rate has room for such a request; a zone without a bound always has. */
+    public boolean hasCapacity(long now, int zone, double share) {
         Zone found = known.get(zone);
-        if (found == null || found.parts == 0 || found.perSecond == 0) {
-            return true;
-        }
-        double max = Math.max(1, SECONDS * found.perSecond);
-        found.saved = Math.min(max, found.saved + found.perSecond * (now - found.at) / 1e9);
-        found.at = now;
-        return open(found.saved, max, part);
+        return found == null || found.hasCapacity(now, share);
     }
 
-    /** A call goes to a zone. */
-    public void sent(int zone) {
+    /** A request was sent to a zone. */
+    public void onSent(int zone) {
         Zone found = known.get(zone);
-        if (found != null && found.perSecond > 0) {
-            found.saved--;
+        if (found != null && found.maxPerSecond > 0) {
+            found.tokens--;
         }
     }
 
-    private static boolean open(double saved, double max, double part) {
-        return saved >= 1 + Math.max(0, 1 - part) * (max - 1);
+    private static boolean isOpen(double tokens, double max, double share) {
+        return tokens >= 1 + Math.max(0, 1 - share) * (max - 1);
     }
 }
--- a/core/src/main/java/cedarrudder/balancer/BalancerParametersParser.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParametersParser.java
@@ -3,7 +3,6 @@
 import cedarrudder.balancer.BalancerParameters.Parameter;
 import java.util.Arrays;
 import java.util.List;
-import java.util.Locale;
 import java.util.stream.Collectors;
 
 /** The figures of a {@link BalancerParameters} in writing: {@code max-age-ms=1500}. */
@@ -13,7 +12,7 @@
 
     /** The name of a figure as written: small letters and hyphens. */
     public static String name(Parameter figure) {
-        return figure.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return figure.writtenName;
     }
 
     /**
--- /dev/null
+++ b/core/src/main/java/cedarrudder/balancer/EndpointDirectory.java
@@ -0,0 +1,102 @@
+package cedarrudder.balancer;
+
+import cedarrudder.balancer.BalancerParameters.Parameter;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.EndpointListKind;
+import cedarrudder.balancer.LoadBalancer.EndpointStatus;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.random.RandomGenerator;
+
+/**
+ * The listed endpoints, one {@link EndpointState} an incarnation. An endpoint that is not ready
+ * leaves the probe pool and the subset at once.
+ */
+final class EndpointDirectory {
+
+    private final BalancerParameters parameters;
+    private final RandomGenerator random;
+    private final EndpointSubset subset;
+    private final ProbePool pool;
+    private final Map<Long, EndpointState> endpoints = new HashMap<>();
+
+    EndpointDirectory(
+            BalancerParameters parameters,
+            RandomGenerator random,
+            EndpointSubset subset,
+            ProbePool pool) {
+        this.parameters = parameters;
+        this.random = random;
+        this.subset = subset;
+        this.pool = pool;
+    }
+
+    /** The present incarnation of an endpoint; null where it is not listed. */
+    EndpointState get(long id) {
+        return endpoints.get(id);
+    }
+
+    /** Whether this incarnation is listed, and ready. */
+    boolean isCurrent(EndpointState endpoint) {
+        return endpoint.isReady() && endpoints.get(endpoint.id()) == endpoint;
+    }
+
+    int count(Predicate<EndpointState> matches) {
+        return (int) endpoints.values().stream().filter(matches).count();
+    }
+
+    /** Takes a list or changes to it; what a whole list does not name is removed. */
+    void update(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.DELTA) {
+            Set<Long> named = new HashSet<>();
+            entries.forEach(entry -> named.add(entry.id()));
+            endpoints.values().stream()
+                    .filter(endpoint -> !named.contains(endpoint.id()))
+                    .toList()
+                    .forEach(this::remove);
+        }
+        entries.forEach(entry -> update(now, entry));
+    }
+
+    private void update(long now, Endpoint entry) {
+        EndpointState known = endpoints.get(entry.id());
+        boolean removed = entry.status() == EndpointStatus.REMOVED;
+        if (known != null && (removed || isOtherIncarnation(known.endpoint(), entry))) {
+            remove(known);
+        }
+        if (removed) {
+            return;
+        }
+        EndpointState endpoint = endpoints.computeIfAbsent(entry.id(), id -> newState(now, entry));
+        endpoint.setEndpoint(entry);
+        show(endpoint, endpoint.isReady());
+    }
+
+    /** Nothing known of a former incarnation may be taken for the present one's. */
+    private static boolean isOtherIncarnation(Endpoint known, Endpoint entry) {
+        return known.startedAt() != entry.startedAt()
+                || known.zone() != entry.zone()
+                || known.cell() != entry.cell();
+    }
+
+    private EndpointState newState(long now, Endpoint entry) {
+        return new EndpointState(
+                entry, now, parameters.get(Parameter.INITIAL_ENDPOINT_LIMIT), random.nextDouble());
+    }
+
+    private void remove(EndpointState endpoint) {
+        show(endpoint, false);
+        endpoints.remove(endpoint.id());
+    }
+
+    private void show(EndpointState endpoint, boolean ready) {
+        subset.update(endpoint, ready);
+        if (!ready) {
+            pool.remove(endpoint);
+        }
+    }
+}
--- a/core/src/main/java/cedarrudder/balancer/EndpointState.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointState.java
@@ -7,256 +7,235 @@
 import cedarrudder.balancer.LoadBalancer.SafetyRules;
 
 /**
- * What one copy knows of one endpoint: its own attempts there, how they ended, whether it is
- * silent, whether it drains, and how much this copy may still send it while it is cold.
+ * What this replica knows of one incarnation of an endpoint: its own attempts there and how they
+ * ended, its probes, its connections, and how much it may still send while the endpoint warms up. A
+ * restart of the endpoint begins a new one.
  */
 final class EndpointState {
 
-    /** Weight of the newest outcome in the failure share: about the last five calls count. */
-    private static final double FAILURE_WEIGHT = 0.2;
-
-    /**
-     * An endpoint is failing when more than this share of its recent calls failed ("mostly", see
-     * DESIGN).
-     */
-    private static final double FAILING = 0.5;
-
-    /**
-     * The failure share is halved each time this long goes by, so that no verdict lasts for good.
-     */
-    private static final double FORGIVE_NANOS = 2e9;
-
-    /** An endpoint that took no connection is taken to be out of them for this long. */
-    private static final long CROWDED_NANOS = 300_000_000L;
-
-    final long id;
-    Endpoint listed;
+    private final long id;
+    private final long ringOrder;
+    private final EndpointConcurrencyLimit concurrencyLimit;
+    private final SlowStartBudget slowStartBudget;
+    private final ConnectionEstimate connections = new ConnectionEstimate();
+    private final FailureRate failures = new FailureRate();
+    private final ProbeState probe = new ProbeState();
+    private Endpoint endpoint;
+    private boolean inSubset;
+    private boolean inOtherZone;
+    private boolean unused = true;
+    private int inFlight;
+    private int uploading;
+
+    /** Since when attempts have been in flight with nothing coming back; valid while any is. */
+    private long waitingSince;
 
     /**
-     * Position in the ring of ready endpoints' order: the id, scrambled, so that neighbours are
-     * unrelated.
+     * @param initialLimit how many requests it may hold until more is known of it; 0: any number
+     * @param slowStartDebt where its slow-start budget begins, in mean requests below zero, from 0
+     *     to 1
      */
-    final long order;
-
-    /** Whether this copy probes it (see ProbePool). */
-    boolean inRoster;
+    EndpointState(Endpoint endpoint, long now, double initialLimit, double slowStartDebt) {
+        this.id = endpoint.id();
+        this.ringOrder = scramble(endpoint.id());
+        this.endpoint = endpoint;
+        this.concurrencyLimit = new EndpointConcurrencyLimit(initialLimit);
+        this.slowStartBudget = new SlowStartBudget(now, slowStartDebt);
+    }
 
-    /** Whether it is in another zone than this copy. */
-    boolean far;
+    /** A bijective hash (the finalizer of SplitMix64): neighbouring ids become unrelated. */
+    private static long scramble(long id) {
+        long z = id * 0x9E3779B97F4A7C15L;
+        z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
+        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
+        return z ^ (z >>> 31);
+    }
 
-    /** This copy's own attempts that are out. */
-    int inFlight;
+    // ---- what the endpoint list says
 
-    /** Whether a probe of this copy is out. */
-    boolean probeOut;
+    long id() {
+        return id;
+    }
 
-    /** Whether the last probe got no answer. */
-    boolean mute;
+    /** Its position among ready endpoints, the same at every replica and unrelated to its id. */
+    long ringOrder() {
+        return ringOrder;
+    }
 
-    /** When this copy last probed it. */
-    long probedAt;
+    Endpoint endpoint() {
+        return endpoint;
+    }
 
-    /** This copy's own attempts that were out when it last probed. */
-    int ownAtProbe;
+    void setEndpoint(Endpoint listed) {
+        endpoint = listed;
+    }
 
-    /**
-     * Since when attempts have been out with nothing coming back; meaningless while none is out.
-     */
-    private long waitingSince;
+    int zone() {
+        return endpoint.zone();
+    }
 
-    /**
-     * Connections that this copy is likely to have open there, one for each attempt out at once.
-     */
-    private int open;
+    boolean isReady() {
+        return endpoint.status() == EndpointStatus.READY;
+    }
 
-    /** Most attempts out at once since the last look at the connections. */
-    private int peak;
+    /** Whether it is in another zone than this replica. */
+    boolean isInOtherZone() {
+        return inOtherZone;
+    }
 
-    private long crowdedUntil = Long.MIN_VALUE;
+    void setInOtherZone(boolean other) {
+        inOtherZone = other;
+    }
 
-    /** Whether nothing was sent to it since it started. */
-    boolean untried = true;
+    /** Whether this replica probes it. */
+    boolean isInSubset() {
+        return inSubset;
+    }
 
-    /** How many requests it may hold, and what it held for others when it last reported. */
-    final EndpointConcurrencyLimit hold;
+    void setInSubset(boolean member) {
+        inSubset = member;
+    }
 
-    /**
-     * Those of the attempts out whose requests are still being written: the endpoint has not begun
-     * them.
-     */
-    int uploads;
+    // ---- slow start
 
-    private double latency;
+    boolean isWarmingUp(long now, SafetyRules safety) {
+        return endpoint.startedAt() != 0 && now - endpoint.startedAt() < safety.slowStartNanos();
+    }
 
-    private double failureShare;
-    private long failureAt;
+    /** The share of its whole capacity that it has at least, from the cold share to 1. */
+    double capacity(long now, SafetyRules safety) {
+        if (!isWarmingUp(now, safety)) {
+            return 1;
+        }
+        double progress =
+                Math.max(0, now - endpoint.startedAt()) / (double) safety.slowStartNanos();
+        return safety.coldCapacityShare() + (1 - safety.coldCapacityShare()) * progress;
+    }
 
     /**
-     * What may be sent while cold, in mean requests; a send needs it to be positive and may
-     * overdraw it.
+     * Whether the slow-start budget has room for an attempt.
+     *
+     * @param warmRate what one warm endpoint does for this replica, in mean requests a second
      */
-    private double allowance;
+    boolean withinSlowStartBudget(
+            long now, double warmRate, BalancerParameters parameters, SafetyRules safety) {
+        return slowStartBudget.tryRefill(now, capacity(now, safety), warmRate, parameters, safety);
+    }
 
-    private long allowanceAt;
+    // ---- attempts
 
     /**
-     * Begins one life of an endpoint: a restart begins another. Its cold-start budget begins
-     * somewhere between nothing and one request in debt. Guards against every copy spending a first
-     * request at once: over many copies the first sends then come spread out at the budget's rate.
+     * Records an attempt.
      *
-     * @param heldStart how many requests it may hold until more is known of it; 0: any number
-     * @param firstDraw where its budget begins, from 0 to 1
+     * @param cost what it costs, in mean requests
      */
-    EndpointState(Endpoint listed, long now, double heldStart, double firstDraw) {
-        this.allowance = -firstDraw;
-        this.allowanceAt = now;
-        this.hold = new EndpointConcurrencyLimit(heldStart);
-        this.id = listed.id();
-        this.order = scramble(listed.id());
-        this.listed = listed;
-    }
-
-    static long scramble(long id) {
-        long z = id * 0x9E3779B97F4A7C15L;
-        z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
-        return z ^ (z >>> 31);
-    }
-
-    boolean ready() {
-        return listed.state() == EndpointStatus.READY;
-    }
-
-    boolean cold(long now, SafetyRules safety) {
-        return listed.startedAt() != 0 && now - listed.startedAt() < safety.rampTime();
-    }
-
-    /** The share of its whole capacity that it has, at the least. */
-    double capacity(long now, SafetyRules safety) {
-        double ramp = Math.max(0, now - listed.startedAt()) / (double) safety.rampTime();
-        return cold(now, safety) ? safety.coldShare() + (1 - safety.coldShare()) * ramp : 1;
+    void onAttemptSent(long now, double cost) {
+        unused = false;
+        if (inFlight == 0) {
+            waitingSince = now;
+        }
+        inFlight++;
+        connections.onAttemptSent(inFlight);
+        slowStartBudget.spend(cost);
     }
 
-    /**
-     * Whether the slow-start budget, a token bucket, has room for a send. It fills with the load
-     * that one warm endpoint bears from this copy, in mean requests a second: no endpoint bears
-     * more than it can do. Half a window's part is saved up at most; where that is under one
-     * request, a turn not used passes by. Guards against all copies together: those that have
-     * waited would send their one request at once.
-     */
-    boolean withinColdBudget(
-            long now, double warmRate, BalancerParameters tuning, SafetyRules safety) {
-        double planned =
-                tuning.get(BalancerParameters.Parameter.COLD_SHARE_USED) * safety.fallMultiple();
-        double rate = planned * capacity(now, safety) * warmRate;
-        double max = rate * safety.fallWindow() / 1e9 / 2;
-        double over = allowance + rate * (now - allowanceAt) / 1e9 - max;
-        allowance = max + (over <= 0 ? over : max < 1 ? over % 1 - 1 : 0);
-        allowanceAt = now;
-        return allowance >= 0;
-    }
-
-    void sent(long now, double cost) {
-        untried = false;
-        waitingSince = inFlight++ == 0 ? now : waitingSince;
-        open = Math.max(open, inFlight);
-        peak = Math.max(peak, inFlight);
-        allowance -= cost;
-    }
-
-    void ended(long now, Outcome outcome) {
+    void onAttemptEnded(long now, Outcome outcome) {
         inFlight--;
         if (outcome == Outcome.CONNECT_FAILED) {
-            open = Math.max(inFlight, open - 1);
-            crowdedUntil = now + CROWDED_NANOS;
+            connections.onConnectFailed(now, inFlight);
         }
-        if (outcome == Outcome.CANCELLED || outcome == Outcome.MOOT) {
+        if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_STARTED) {
             return; // says nothing of the endpoint
         }
-        waitingSince = outcome == Outcome.TIMEOUT ? waitingSince : now;
-        judge(now, outcome == Outcome.OK);
+        if (outcome != Outcome.TIMEOUT) {
+            waitingSince = now;
+        }
+        failures.record(now, outcome == Outcome.OK);
     }
 
-    private void judge(long now, boolean good) {
-        double share = failureShare(now);
-        failureShare = share + FAILURE_WEIGHT * ((good ? 0 : 1) - share);
-        failureAt = now;
+    /** Records a good answer, before {@link #onAttemptEnded}. */
+    void onServed(long now, int replicas, long latency, long expectedWorkNanos) {
+        concurrencyLimit.onResponse(held(now, replicas), latency, expectedWorkNanos);
     }
 
     /**
-     * An answer that had begun, and counts as good, broke off: it weighs as two, to make up for
-     * that. One of a former life says nothing of this.
+     * An answer that had begun, and was counted as good, was aborted: it counts as two failures to
+     * make up for that. An attempt sent to a former incarnation says nothing of this one.
      */
-    void brokeOff(long now, long sentAt) {
-        for (int i = 0; i < 2 && sentAt >= listed.startedAt(); i++) {
-            judge(now, false);
+    void onResponseAborted(long now, long sentAt) {
+        if (sentAt < endpoint.startedAt()) {
+            return;
         }
+        failures.record(now, false);
+        failures.record(now, false);
     }
 
-    private double failureShare(long now) {
-        return failureShare == 0
-                ? 0
-                : failureShare * Math.pow(2, -(now - failureAt) / FORGIVE_NANOS);
+    /** An attempt went out whose request is still being uploaded: it is not executed yet. */
+    void uploadStarted() {
+        uploading++;
+    }
+
+    void uploadEnded() {
+        uploading--;
+    }
+
+    /** This replica's own attempts in flight. */
+    int inFlight() {
+        return inFlight;
+    }
+
+    /** Whether nothing was sent to it since it started. */
+    boolean isUnused() {
+        return unused;
+    }
+
+    // ---- what counts against it
+
+    boolean isFailing(long now) {
+        return failures.isFailing(now);
     }
 
     /**
-     * Guards against sinkholes: an endpoint that fails fast holds little and would draw ever more.
+     * Whether nothing came back for too long while attempts are in flight, though it may still
+     * answer probes.
      */
-    boolean failing(long now) {
-        return failureShare(now) > FAILING;
+    boolean isUnresponsive(long now, long timeoutNanos) {
+        return inFlight > uploading && now - waitingSince > timeoutNanos;
     }
 
     /** Whether it may be given one more request. */
-    boolean room(long now, int replicas) {
-        return hold.room(hold.held(now, inFlight - uploads, replicas));
+    boolean hasCapacity(long now, int replicas) {
+        return concurrencyLimit.hasCapacity(held(now, replicas));
     }
 
-    /**
-     * Takes in how long a good answer took, and the work that it was said to need; before {@link
-     * #ended}.
-     */
-    void answered(long now, int replicas, long latency, long work) {
-        hold.answered(hold.held(now, inFlight - uploads, replicas), latency, work);
+    private double held(long now, int replicas) {
+        return concurrencyLimit.inFlight(now, inFlight - uploading, replicas);
     }
 
-    /** The latency it reports, smoothed: the newest has this weight. */
-    double reportedLatency(double newest, double weight) {
-        latency = latency == 0 ? newest : latency + weight * (newest - latency);
-        return latency;
+    /** Takes what it reported to have in flight for other replicas. */
+    void onLoadReport(long now, double inFlightOfOthers) {
+        concurrencyLimit.onLoadReport(now, inFlightOfOthers);
     }
 
-    /** Whether a send would have to open a connection. */
-    boolean needsConnection() {
-        return inFlight >= open;
+    // ---- connections and probes
+
+    boolean needsNewConnection() {
+        return connections.needsNewConnection(inFlight);
     }
 
-    /**
-     * Guards against waiting, time after time, for a connection that an endpoint has no room for.
-     */
-    boolean crowded(long now) {
-        return now < crowdedUntil && needsConnection();
+    boolean isCrowded(long now) {
+        return connections.isCrowded(now, inFlight);
     }
 
-    /**
-     * Whether more connections are open than were of use since the last look; if so, they can be
-     * closed.
-     */
-    boolean trim() {
-        boolean surplus = open > Math.max(1, peak);
-        peak = inFlight;
-        return surplus;
+    boolean takeSurplusConnections() {
+        return connections.takeSurplus(inFlight);
     }
 
-    /** Counts the idle connections as closed. */
-    void closed() {
-        open = inFlight;
+    void onIdleConnectionsClosed() {
+        connections.onIdleClosed(inFlight);
     }
 
-    /**
-     * Guards against endpoints that take requests and answer none, though they may still answer
-     * probes.
-     */
-    boolean silent(long now, long patience) {
-        return inFlight > uploads && now - waitingSince > patience;
+    ProbeState probe() {
+        return probe;
     }
 }
--- a/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -22,7 +22,7 @@
         /** The endpoint answered with an error; the work may have run. */
         ERROR(false),
         /** Turned away unseen, the queue being full or the endpoint draining. */
-        FULL(true),
+        REJECTED(true),
         /** No answer in time; the work may have run or be running. */
         TIMEOUT(false),
         /** No connection could be made in time. */
@@ -35,7 +35,7 @@
          * Never sent: its request was over, out of time or attempts, or there was no room for it
          * here.
          */
-        MOOT(true);
+        NOT_STARTED(true);
 
         private final boolean provesNotRun;
 
@@ -66,99 +66,101 @@
     /** What the tiers above and below let know of a request, before work goes into it. */
     enum AdmissionHint {
         /** Nothing speaks against it. */
-        WANTED,
+        ADMIT,
         /** It has come here before: the tiers send to one another in a circle. */
         LOOP,
         /** Its time can't suffice. */
-        NO_TIME,
+        DEADLINE_TOO_SHORT,
         /** The tier below has too much work, and others are worth more for theirs. */
-        OVERLOAD
+        OVERLOADED
     }
 
     /** What the list of endpoints says of one of them. */
     enum EndpointStatus {
         READY,
         DRAINING,
-        GONE
+        REMOVED
     }
 
     /** Whether a list replaces what was known or changes it. */
     enum EndpointListKind {
         FULL,
-        CHANGES,
+        DELTA,
         CACHED
     }
 
     /**
      * One class of requests.
      *
-     * @param aim answers within this time of arrival earn the full worth
-     * @param deadline the longest a client waits, over all its tries
-     * @param lateWorth the share of the worth that a later answer still earns
-     * @param repeatWindow how long endpoints remember a key, from the send of the first attempt
+     * @param latencyObjectiveNanos answers within this time of arrival earn the full worth
+     * @param deadlineNanos the longest a client waits, over all its tries
+     * @param lateWeight the share of the worth that a later answer still earns
+     * @param keyWindowNanos how long endpoints remember a key, from the send of the first attempt
      *     that may have run
-     * @param stream whether answers are streamed
+     * @param streaming whether answers are streamed
      */
     record RequestClass(
             String name,
-            Idempotency effect,
+            Idempotency idempotency,
             KeyScope keyScope,
-            long aim,
-            long deadline,
-            double worth,
-            double lateWorth,
-            long repeatWindow,
-            boolean stream) {}
+            long latencyObjectiveNanos,
+            long deadlineNanos,
+            double priorityWeight,
+            double lateWeight,
+            long keyWindowNanos,
+            boolean streaming) {}
 
     /**
      * One tenant: its share of the service, and that share in requests a second over all copies (0:
      * none).
      */
-    record Tenant(String name, double share, double quotaPerSecond) {}
+    record Tenant(String name, double quotaShare, double quotaPerSecond) {}
 
     /** What the site permits. {@code maxAttempts} counts all attempts of one request. */
     record Limits(
-            boolean probes,
-            boolean cancel,
-            boolean parallelTries,
-            boolean retryAfter,
+            boolean probing,
+            boolean cancellation,
+            boolean hedging,
+            boolean retryAfterAdvice,
             int maxAttempts,
-            long maxRetryAfter,
-            long connectTimeout,
-            long connectionIdle) {}
+            long maxRetryAfterNanos,
+            long connectTimeoutNanos,
+            long connectionIdleNanos) {}
 
     /**
      * The figures of the rules.
      *
-     * @param drainGrace sends to a draining or gone endpoint stop within this time of being told
-     * @param coldShare an endpoint starts with at least this share of its capacity
-     * @param rampTime and is warm within this time
-     * @param fallMultiple sent more than this multiple of what it can do ...
-     * @param fallWindow ... for this long, a cold endpoint falls over
-     * @param askWithin where the list must be asked for: how long a copy may go without asking
+     * @param drainGraceNanos sends to a draining or gone endpoint stop within this time of being
+     *     told
+     * @param coldCapacityShare an endpoint starts with at least this share of its capacity
+     * @param slowStartNanos and is warm within this time
+     * @param overloadMultiple sent more than this multiple of what it can do ...
+     * @param overloadWindowNanos ... for this long, a cold endpoint falls over
+     * @param pollIntervalNanos where the list must be asked for: how long a copy may go without
+     *     asking
      */
     record SafetyRules(
-            long drainGrace,
-            double coldShare,
-            long rampTime,
-            double fallMultiple,
-            long fallWindow,
-            long askWithin) {}
+            long drainGraceNanos,
+            double coldCapacityShare,
+            long slowStartNanos,
+            double overloadMultiple,
+            long overloadWindowNanos,
+            long pollIntervalNanos) {}
 
     /**
      * What service is worth to the site: the weights of its goal, and the worth of a request over
      * its share.
      *
-     * @param worthByWork whether a request's worth is its class's for each unit of its work, and
+     * @param weightByWork whether a request's worth is its class's for each unit of its work, and
      *     not the same for all requests of the class
      */
     record ServiceGoal(
-            double whole,
-            double worstWindow,
-            double worstClass,
-            double worstTenant,
-            double overShareWorth,
-            boolean worthByWork) {
+            double overallWeight,
+            double worstWindowWeight,
+            double worstClassWeight,
+            double worstTenantWeight,
+            double overQuotaWeight,
+            boolean weightByWork) {
         /** Requests of a class are worth the same, whatever their work. */
         public ServiceGoal(
                 double whole,
@@ -183,16 +185,16 @@
      * @param self the number of this copy among them, from 0
      * @param zone the zone of this copy
      * @param tier the tier this copy sends to, from 0
-     * @param tiers how many tiers there are
-     * @param askForEndpoints whether the list of endpoints comes only when asked for
+     * @param tierCount how many tiers there are
+     * @param pollsEndpoints whether the list of endpoints comes only when asked for
      */
     record BalancerSettings(
             int replicas,
             int self,
             int zone,
             int tier,
-            int tiers,
-            boolean askForEndpoints,
+            int tierCount,
+            boolean pollsEndpoints,
             List<RequestClass> classes,
             List<Tenant> tenants,
             Limits limits,
@@ -209,24 +211,24 @@
             int zone,
             int kind,
             int cell,
-            EndpointStatus state,
+            EndpointStatus status,
             double weight,
             long startedAt) {}
 
     /**
-     * A request. {@code repeat}: its client marked it as a repeat. {@code work}: the work expected,
-     * 0 if unknown. {@code uploading}: its body still comes, and {@link LoadBalancer#whole} tells
-     * of its end; until then no endpoint has begun it.
+     * A request. {@code repeat}: its client marked it as a repeat. {@code expectedWorkNanos}: the
+     * work expected, 0 if unknown. {@code uploading}: its body still comes, and {@link
+     * LoadBalancer#onUploadComplete} tells of its end; until then no endpoint has begun it.
      */
     record Request(
             long id,
             int classIndex,
             int tenant,
             long deadline,
-            long key,
+            long idempotencyKey,
             boolean repeat,
             boolean write,
-            long work,
+            long expectedWorkNanos,
             boolean uploading) {
         /** One that is there whole. */
         public Request(
@@ -247,16 +249,16 @@
      *
      * @param zone as the list of endpoints numbers it
      * @param parts of {@link RouteTable#WHOLE}, so many; from 1
-     * @param perSecond it gets no more calls a second from this copy; 0: no bound
+     * @param maxPerSecond it gets no more calls a second from this copy; 0: no bound
      */
-    record ZoneTrafficShare(int zone, int parts, int perSecond) {
+    record ZoneTrafficShare(int zone, int parts, int maxPerSecond) {
         /**
          * Checks the ranges, which are the table's; what is wrong is an IllegalArgumentException.
          */
         public ZoneTrafficShare {
             check("zone", zone, 0, RouteTable.MAX_ZONES - 1);
             check("parts", parts, 1, RouteTable.WHOLE);
-            check("perSecond", perSecond, 0, Integer.MAX_VALUE);
+            check("perSecond", maxPerSecond, 0, Integer.MAX_VALUE);
         }
 
         private static void check(String name, int found, int min, int max) {
@@ -270,10 +272,10 @@
     /** An endpoint's own report of its load. A figure that it does not report is NaN. */
     record LoadReport(
             double inFlight,
-            double queue,
-            double utilisation,
+            double queued,
+            double utilization,
             double latencyMillis,
-            double perSecond,
+            double requestsPerSecond,
             double errorsPerSecond) {}
 
     /**
@@ -284,42 +286,42 @@
          * Starts an attempt; the attempts of a request are numbered from 0 as sent. Time-out 0: the
          * deadline.
          */
-        void send(long request, long endpoint, long timeout);
+        void startAttempt(long request, long endpoint, long timeout);
 
         /**
          * Ends a request: it was not done and may harmlessly be tried again, after a while (0: no
          * advice).
          */
-        void refuse(long request, long retryAfter);
+        void reject(long request, long retryAfter);
 
         /** Ends a request: it failed, and nothing is promised. */
         void fail(long request);
 
         /** Stops waiting for one attempt. */
-        void cancel(long request, int attempt);
+        void cancelAttempt(long request, int attempt);
 
         /** Asks one endpoint for its load. */
-        void probe(long endpoint);
+        void sendProbe(long endpoint);
 
         /** Closes the idle connections to one endpoint. */
-        void closeIdle(long endpoint);
+        void closeIdleConnections(long endpoint);
 
         /**
-         * Asks for {@link LoadBalancer#timer} with this token at this instant or soon after, never
-         * at once.
+         * Asks for {@link LoadBalancer#onTimer} with this token at this instant or soon after,
+         * never at once.
          */
-        void schedule(long at, long token);
+        void scheduleTimer(long at, long token);
 
         /**
          * Asks to be told of changes to the list from now on (and of those missed), or no longer.
          */
-        void subscribe(boolean on);
+        void watchEndpoints(boolean on);
 
         /** Asks for the whole list once. */
         void fetchEndpoints();
 
         /** Sends a short message to one copy of this tier, or to all of them (-1). */
-        void tell(int replica, byte[] message);
+        void sendToPeers(int replica, byte[] message);
 
         /** Writes a line for the operator. */
         void log(String line);
@@ -329,30 +331,30 @@
      * The list of endpoints, or changes to it. A ready endpoint with a new start time has
      * restarted.
      */
-    void endpoints(long now, EndpointListKind kind, List<Endpoint> entries);
+    void onEndpoints(long now, EndpointListKind kind, List<Endpoint> entries);
 
     /** A call for the list failed or a subscription broke; the old list stands. */
-    void endpointsFailed(long now);
+    void onEndpointsUnavailable(long now);
 
     /** A request has come in; the copy now owes it one final answer. */
-    void request(long now, Request request);
+    void onRequest(long now, Request request);
 
     /**
-     * A request has come in, with how it stands; any but {@link AdmissionHint#WANTED} should be
+     * A request has come in, with how it stands; any but {@link AdmissionHint#ADMIT} should be
      * turned away. A module that doesn't listen takes it as any other.
      */
-    default void request(long now, Request request, AdmissionHint standing) {
-        request(now, request);
+    default void onRequest(long now, Request request, AdmissionHint standing) {
+        onRequest(now, request);
     }
 
     /** A streamed answer has begun; the attempt is the client's from here on. */
-    void firstByte(long now, long request, int attempt, long endpoint, long latency);
+    void onFirstByte(long now, long request, int attempt, long endpoint, long latency);
 
     /**
      * An attempt ended. {@code settled}: the request is over, by this or earlier. {@code load} may
      * be null.
      */
-    void outcome(
+    void onAttemptEnded(
             long now,
             long request,
             int attempt,
@@ -365,28 +367,28 @@
     /**
      * What an attempt that was sent, and of which no byte has gone out yet, ends with instead of
      * beginning now; null: it may begin. {@link Outcome#CONNECT_FAILED} where another endpoint may
-     * take the request in its place, {@link Outcome#MOOT} where nothing more may be sent for it. It
-     * is a question, and changes nothing; the outcome is told like any other. A module that doesn't
-     * answer lets all begin.
+     * take the request in its place, {@link Outcome#NOT_STARTED} where nothing more may be sent for
+     * it. It is a question, and changes nothing; the outcome is told like any other. A module that
+     * doesn't answer lets all begin.
      */
-    default Outcome denial(long now, long request, int attempt) {
+    default Outcome startDenial(long now, long request, int attempt) {
         return null;
     }
 
     /** The last byte of a request that was uploading has come: its client's wait begins now. */
-    default void whole(long now, long request) {}
+    default void onUploadComplete(long now, long request) {}
 
     /** The client has gone; the request is over. */
-    void clientLeft(long now, long request);
+    void onClientLeft(long now, long request);
 
     /** A scheduled time has come. */
-    void timer(long now, long token);
+    void onTimer(long now, long token);
 
     /**
      * The probe that was sent {@code latency} ago came back. {@code load} is null unless it was
      * answered with a report.
      */
-    void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load);
+    void onProbeEnded(long now, long endpoint, Outcome outcome, long latency, LoadReport load);
 
     /**
      * An answer that had begun, with which its attempt has been told as served, broke off. A module
@@ -394,19 +396,19 @@
      *
      * @param sentAt when the attempt was sent
      */
-    default void brokeOff(long now, long endpoint, long sentAt) {}
+    default void onResponseAborted(long now, long endpoint, long sentAt) {}
 
     /**
      * An operator has put an endpoint back, which should get calls soon: nothing may be known of
      * it.
      */
-    default void returned(long now, long endpoint) {}
+    default void onEndpointReenabled(long now, long endpoint) {}
 
     /**
      * How many copies live, this one with them, from 1 to {@link BalancerSettings#replicas}; until
      * the first such event all do. A module that doesn't listen goes on with all.
      */
-    default void replicas(long now, int live) {}
+    default void onLiveReplicas(long now, int live) {}
 
     /**
      * Which part of this copy's calls each zone may get from now on, in place of what was said
@@ -415,16 +417,16 @@
      * twice, or parts that sum up to more than a whole, are an IllegalArgumentException, and what
      * was said before stands. A module that doesn't listen goes on as it was.
      */
-    default void shares(long now, List<ZoneTrafficShare> shares) {}
+    default void onZoneShares(long now, List<ZoneTrafficShare> shares) {}
 
     /**
      * How many of the listed endpoints are avoided now: they drain, they fail, or they are silent.
      * It is a question, and changes nothing.
      */
-    default int avoided(long now) {
+    default int avoidedEndpoints(long now) {
         return 0;
     }
 
     /** A message from another copy of this tier. */
-    void message(long now, int from, byte[] message);
+    void onPeerMessage(long now, int from, byte[] message);
 }
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -103,7 +103,7 @@
         double own = scale.of(now, request.classIndex(), request.tenant(), repeat);
         double worth = Double.isNaN(carried.worth()) ? own : Math.min(carried.worth(), own);
         AdmissionHint standing = standing(now, request, carried, worth);
-        if (standing == AdmissionHint.WANTED) {
+        if (standing == AdmissionHint.ADMIT) {
             if (repeat) {
                 tokens.spend(now);
             } else {
@@ -135,9 +135,9 @@
             needed.clear();
         }
         if (needed.count() >= NEEDS_KNOWN && request.deadline() - now < needed.atLeast(QUICKEST)) {
-            return AdmissionHint.NO_TIME;
+            return AdmissionHint.DEADLINE_TOO_SHORT;
         }
-        return gate.admits(now, worth) ? AdmissionHint.WANTED : AdmissionHint.OVERLOAD;
+        return gate.admits(now, worth) ? AdmissionHint.ADMIT : AdmissionHint.OVERLOADED;
     }
 
     /** Takes the least of what the call says and what this tier allows. */
@@ -152,7 +152,7 @@
                         tries,
                         Math.max(
                                 request.deadline(),
-                                now + site.classes().get(request.classIndex()).deadline()));
+                                now + site.classes().get(request.classIndex()).deadlineNanos()));
     }
 
     /** The caller has gone before it was answered. */
@@ -190,7 +190,7 @@
             call.closed = true;
             call.said = below.why();
             call.loop = below.path();
-        } else if (outcome == Outcome.FULL) {
+        } else if (outcome == Outcome.REJECTED) {
             call.said = Why.OVERLOAD;
         }
         if (outcome == Outcome.OK) {
@@ -234,7 +234,7 @@
         long left = call.request.deadline() - now;
         long margin =
                 Math.min(way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (MAX_WAY * left));
-        boolean last = site.tier() >= site.tiers() - 1;
+        boolean last = site.tier() >= site.tierCount() - 1;
         return new PropagatedBudget(
                 true,
                 true,
@@ -265,12 +265,12 @@
     }
 
     private void minute() {
-        long overload = stood[AdmissionHint.OVERLOAD.ordinal()];
-        long noTime = stood[AdmissionHint.NO_TIME.ordinal()];
+        long overload = stood[AdmissionHint.OVERLOADED.ordinal()];
+        long noTime = stood[AdmissionHint.DEADLINE_TOO_SHORT.ordinal()];
         if (overload + noTime + byTree + byShare > 0) {
             notices.minute(
                     new BudgetEvents.Minute(
-                            stood[AdmissionHint.WANTED.ordinal()] + overload + noTime,
+                            stood[AdmissionHint.ADMIT.ordinal()] + overload + noTime,
                             byTree,
                             byShare,
                             overload,
--- a/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
+++ b/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
@@ -25,13 +25,20 @@
         waits = new QuantileEstimator[classes];
         min = new long[classes];
         max = new long[classes];
-        int tiers = Math.max(1, site.tiers());
+        int tiers = Math.max(1, site.tierCount());
         double ahead = Math.max(1, tiers - site.tier()) / (double) tiers;
         for (int i = 0; i < classes; i++) {
             RequestClass kind = site.classes().get(i);
             waits[i] = new QuantileEstimator();
-            min[i] = Math.max(1, (long) (ahead * Math.min(kind.aim(), kind.deadline())));
-            max[i] = Math.max(1, (long) (ahead * kind.deadline()));
+            min[i] =
+                    Math.max(
+                            1,
+                            (long)
+                                    (ahead
+                                            * Math.min(
+                                                    kind.latencyObjectiveNanos(),
+                                                    kind.deadlineNanos())));
+            max[i] = Math.max(1, (long) (ahead * kind.deadlineNanos()));
         }
     }
 
--- a/core/src/main/java/cedarrudder/budget/PriorityScale.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityScale.java
@@ -32,7 +32,7 @@
 
     PriorityScale(BalancerSettings site) {
         this.site = site;
-        byWork = site.goal().worthByWork();
+        byWork = site.goal().weightByWork();
         int classes = site.classes().size();
         worth = new double[classes];
         means = new double[classes];
@@ -59,8 +59,12 @@
         }
         double best = 0;
         for (int i = 0; i < worth.length; i++) {
-            double work = byWork ? 1 : Math.max(1, known ? means[i] : classes.get(i).aim());
-            worth[i] = Math.max(0, classes.get(i).worth()) / work;
+            double work =
+                    byWork
+                            ? 1
+                            : Math.max(
+                                    1, known ? means[i] : classes.get(i).latencyObjectiveNanos());
+            worth[i] = Math.max(0, classes.get(i).priorityWeight()) / work;
             best = Math.max(best, worth[i]);
         }
         for (int i = 0; i < worth.length; i++) {
@@ -75,7 +79,7 @@
     double of(long now, int classIndex, int tenant, boolean repeat) {
         boolean over = site.tier() == 0 && tenant < shares.length && overShare(now, tenant);
         return worth[classIndex]
-                * (over ? Math.max(0, Math.min(1, site.goal().overShareWorth())) : 1)
+                * (over ? Math.max(0, Math.min(1, site.goal().overQuotaWeight())) : 1)
                 * (repeat ? REPEAT : 1);
     }
 
--- a/core/src/main/java/cedarrudder/budget/RequestBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RequestBudget.java
@@ -89,9 +89,9 @@
     private Why why() {
         return switch (standing) {
             case LOOP -> Why.LOOP;
-            case OVERLOAD -> Why.OVERLOAD;
-            case NO_TIME -> Why.TIME;
-            case WANTED -> said == Why.NOT_SAID && denied ? Why.TRIES : said;
+            case OVERLOADED -> Why.OVERLOAD;
+            case DEADLINE_TOO_SHORT -> Why.TIME;
+            case ADMIT -> said == Why.NOT_SAID && denied ? Why.TRIES : said;
         };
     }
 
--- a/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -81,7 +81,7 @@
             // told
         }
         closedAt = now;
-        ZoneObservations evidence = tally.close(now, table);
+        ZoneObservations evidence = tally.closePeriod(now, table);
         return evidence == null ? List.of() : evidence.encode(max);
     }
 
--- a/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
@@ -32,9 +32,9 @@
         int served;
         int failed;
         int silent;
-        int refused;
-        int out;
-        long backAt;
+        int rejected;
+        int inFlight;
+        long lastAnswerAt;
         double loads;
         int reports;
         Seen last;
@@ -49,7 +49,7 @@
     private final Map<Long, Endpoint> listed = new HashMap<>();
     private long openedAt;
     private long sequence;
-    private int came;
+    private int requests;
     private int unserved;
     private boolean shaken;
 
@@ -78,12 +78,12 @@
     }
 
     /** The list of nodes, or changes to it. */
-    public void listed(EndpointListKind kind, List<Endpoint> entries) {
-        if (kind != EndpointListKind.CHANGES) {
+    public void onEndpoints(EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.DELTA) {
             listed.clear();
         }
         for (Endpoint entry : entries) {
-            if (entry.state() == EndpointStatus.GONE) {
+            if (entry.status() == EndpointStatus.REMOVED) {
                 listed.remove(entry.id());
             } else {
                 listed.put(entry.id(), entry);
@@ -92,12 +92,12 @@
     }
 
     /** A call came to this copy. */
-    public void came() {
-        came++;
+    public void onRequest() {
+        requests++;
     }
 
     /** A call was refused or failed here. */
-    public void unserved() {
+    public void onUnserved() {
         unserved++;
     }
 
@@ -109,13 +109,13 @@
     }
 
     /** An attempt goes out; its zone's number to be given back at its end, or -1. */
-    public int sent(long now, long endpoint) {
+    public int onAttemptSent(long now, long endpoint) {
         Zone zone = zone(endpoint);
         if (zone == null) {
             return -1;
         }
-        if (zone.out++ == 0) {
-            zone.backAt = now;
+        if (zone.inFlight++ == 0) {
+            zone.lastAnswerAt = now;
         }
         return listed.get(endpoint).zone();
     }
@@ -123,17 +123,17 @@
     /**
      * An attempt ended.
      *
-     * @param of what {@link #sent} gave
+     * @param of what {@link #onAttemptSent} gave
      */
-    public void ended(long now, int of, Outcome outcome, LoadReport load) {
+    public void onAttemptEnded(long now, int of, Outcome outcome, LoadReport load) {
         if (of >= 0) {
-            zones[of].out--;
+            zones[of].inFlight--;
             count(now, zones[of], outcome, load);
         }
     }
 
     /** A probe came back, or did not. */
-    public void probed(long now, long endpoint, Outcome outcome, LoadReport load) {
+    public void onProbeEnded(long now, long endpoint, Outcome outcome, LoadReport load) {
         Zone zone = zone(endpoint);
         if (zone != null) {
             count(now, zone, outcome, load);
@@ -145,14 +145,14 @@
             case OK -> zone.served++;
             case ERROR, RESET -> zone.failed++;
             case TIMEOUT, CONNECT_FAILED -> zone.silent++;
-            case FULL -> zone.refused++;
+            case REJECTED -> zone.rejected++;
             default -> {} // called off, or never sent: says nothing of the zone
         }
-        if (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.FULL) {
-            zone.backAt = now;
+        if (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED) {
+            zone.lastAnswerAt = now;
         }
-        if (load != null && load.utilisation() >= 0) {
-            zone.loads += Math.min(2, load.utilisation());
+        if (load != null && load.utilization() >= 0) {
+            zone.loads += Math.min(2, load.utilization());
             zone.reports++;
         }
     }
@@ -164,7 +164,7 @@
      *
      * @param table the number of the table in use; 0 for none
      */
-    public ZoneObservations close(long now, long table) {
+    public ZoneObservations closePeriod(long now, long table) {
         long length = now - openedAt;
         boolean stood = length > STOOD_STILL * period;
         boolean counts = !stood && !shaken && length > 0;
@@ -172,7 +172,7 @@
         List<Seen> seen = new ArrayList<>();
         int[][] nodes = nodes(now);
         for (int i = 0; i < zones.length; i++) {
-            Seen each = close(now, i, zones[i], nodes[i], counts);
+            Seen each = closePeriod(now, i, zones[i], nodes[i], counts);
             if (each != null && !listed.isEmpty()) {
                 seen.add(each);
             }
@@ -186,18 +186,18 @@
                                 ++sequence,
                                 table,
                                 (int) Math.max(1, Math.min(length / MILLION, MILLION)),
-                                bound(came),
+                                bound(requests),
                                 bound(unserved),
                                 seen)
                         : null;
         openedAt = now;
-        came = 0;
+        requests = 0;
         unserved = 0;
         return evidence;
     }
 
     /** What is said of a zone; null where nothing is known of it. */
-    private static Seen close(long now, int number, Zone zone, int[] nodes, boolean counts) {
+    private static Seen closePeriod(long now, int number, Zone zone, int[] nodes, boolean counts) {
         Seen fresh =
                 new Seen(
                         number,
@@ -205,10 +205,14 @@
                         bound(zone.served),
                         bound(zone.failed),
                         bound(zone.silent),
-                        bound(zone.refused),
-                        bound(zone.out),
-                        zone.out > 0
-                                ? bound((int) Math.min((now - zone.backAt) / MILLION, MILLION))
+                        bound(zone.rejected),
+                        bound(zone.inFlight),
+                        zone.inFlight > 0
+                                ? bound(
+                                        (int)
+                                                Math.min(
+                                                        (now - zone.lastAnswerAt) / MILLION,
+                                                        MILLION))
                                 : 0,
                         zone.reports == 0
                                 ? 0
@@ -219,12 +223,12 @@
         zone.served = 0;
         zone.failed = 0;
         zone.silent = 0;
-        zone.refused = 0;
+        zone.rejected = 0;
         zone.loads = 0;
         zone.reports = 0;
         if (!counts) {
             zone.last = null;
-            zone.backAt = now;
+            zone.lastAnswerAt = now;
             return null;
         }
         Seen last = zone.last;
@@ -262,17 +266,21 @@
         int[][] nodes = new int[zones.length][3];
         double[] able = new double[zones.length];
         for (Endpoint entry : listed.values()) {
-            if (entry.state() == EndpointStatus.READY
+            if (entry.status() == EndpointStatus.READY
                     && entry.zone() >= 0
                     && entry.zone() < zones.length) {
                 boolean cold =
-                        entry.startedAt() != 0 && now - entry.startedAt() < safety.rampTime();
-                double ramp = Math.max(0, now - entry.startedAt()) / (double) safety.rampTime();
+                        entry.startedAt() != 0 && now - entry.startedAt() < safety.slowStartNanos();
+                double ramp =
+                        Math.max(0, now - entry.startedAt()) / (double) safety.slowStartNanos();
                 nodes[entry.zone()][0]++;
                 nodes[entry.zone()][1] += cold ? 1 : 0;
                 able[entry.zone()] +=
                         entry.weight()
-                                * (cold ? safety.coldShare() + (1 - safety.coldShare()) * ramp : 1);
+                                * (cold
+                                        ? safety.coldCapacityShare()
+                                                + (1 - safety.coldCapacityShare()) * ramp
+                                        : 1);
             }
         }
         for (int i = 0; i < nodes.length; i++) {
--- /dev/null
+++ b/core/src/main/java/cedarrudder/failover/package-info.java
@@ -0,0 +1,10 @@
+/**
+ * Zone failover: observations of zones by each replica, their aggregation at the leader, and the
+ * planning of the traffic split.
+ *
+ * <p>{@link cedarrudder.failover.FailoverCoordinator} is one replica's part. Off unless the
+ * operator's file has {@code [failover]}.
+ *
+ * <p>Uses {@code balancer}, {@code membership} and {@code routetable}.
+ */
+package cedarrudder.failover;
--- a/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
+++ b/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
@@ -6,407 +6,448 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When discovery is asked, and when what was asked counts as lost: for the watch, or for one call
- * for the whole list. Pure: events with their time in nanoseconds come in, actions go out; a call
- * is a number.
+ * When discovery is called, and when a call counts as lost: for the watch, or for one call for the
+ * whole list. Pure: events with their time in nanoseconds come in, actions go out; a call is a
+ * number.
  *
- * <p>An object or an empty line that is whole counts as life, and so does the first byte of an
- * object, once. Guards against a watch that goes on with pieces of an object that never ends. So a
- * watch is lost at the latest {@code watch + spread} after its last byte, and is opened anew at
- * once. While no call has an answer one more is made each {@code again} (a hedged request), on
- * another connection, and those before are waited for all the same: who queues at a busy discovery
- * loses no place. So {@code call / again} and one are out at a time at the most; of a whole list
- * two. For the next of them a spare connection is dialled while the one before has no answer:
- * guards against two connections in a row that come up late.
+ * <p><b>Silence.</b> A complete object or an empty line is a sign of life, and so is the first byte
+ * of an object, once; a watch that goes on with pieces of an object that never ends does not count
+ * as alive for good. So a watch is lost at the latest {@code watchSilenceNanos + jitterNanos} after
+ * its last byte, and is opened anew at once.
  *
- * <p>Once all has failed the watch is asked for after a backoff with jitter: {@code spread} at the
- * most where a watch ended, a quarter of it where the first call failed or the last fell silent,
- * then {@link #longest}. The cap is low: guards against a list that is late once discovery is back,
- * however long it was away. {@link Actions#failed} tells the module once for all that fails until
- * the watch is told again; its own waits neither lengthen nor shorten these.
+ * <p><b>Hedging.</b> While no call has an answer one more is made each {@code hedgeNanos}, on
+ * another connection, and those before are waited for all the same, so that none loses its place in
+ * the queue of a busy discovery. At most {@code callNanos / hedgeNanos} and one are in flight at a
+ * time; of a whole list two. For the next of them a spare connection is dialled while the one
+ * before has no answer, since two connections in a row may come up late.
+ *
+ * <p><b>Backoff.</b> Once all calls have failed the next one is made after a backoff with jitter:
+ * at most {@code jitterNanos} where a watch ended, a quarter of it where the first call failed or
+ * the last fell silent, then {@link #maxBackoffNanos}. The cap is low, since a list may not be late
+ * once discovery is back, however long it was away. {@link Actions#onUnavailable} tells the
+ * balancer once of all that fails until the watch is answered again; the balancer's own backoff
+ * neither lengthens nor shortens these.
  */
 public final class DiscoveryPollSchedule {
 
     /**
-     * The backoff's cap, in nanoseconds. Guards against a change that is told over 6 s after
-     * discovery is back: the cap, a connection that comes up a second late and a refusal, and all
-     * of these once more, take 5.1 s.
+     * The backoff's cap. A change has to be known 6 s after discovery is back: the cap, a
+     * connection that comes up a second late and a refusal, and all of these once more, take 5.1 s.
      */
-    private static final long LONGEST = 1_500_000_000L;
+    private static final long MAX_BACKOFF_NANOS = 1_500_000_000L;
 
     /**
-     * So much of the time in which one must have asked at the most. The rest is for a call that
-     * waits and a connection that comes up late.
+     * The cap as a share of the poll interval; the rest is for a call that waits and a connection
+     * that comes up late.
      */
-    private static final double LONGEST_PART = 0.6;
+    private static final double MAX_BACKOFF_INTERVAL_SHARE = 0.6;
 
-    /**
-     * Where lists are pushed: what the agent has counts at once, and it serves this machine alone.
-     */
-    private static final long LONGEST_PUSHED = 750_000_000L;
+    /** The cap where lists are pushed: an agent serves this machine alone. */
+    private static final long MAX_BACKOFF_PUSHED_NANOS = 750_000_000L;
 
     /**
-     * So much of the cap is by chance. Guards against a storm: with what is left no copy calls
-     * twice in a second, and with the chance copies that failed together drift apart.
+     * The part of the backoff that is random. With the rest no replica calls twice in a second, and
+     * with the random part replicas that failed together drift apart.
      */
-    private static final double JITTER = 1.0 / 3;
+    private static final double JITTER_SHARE = 1.0 / 3;
+
+    /** The part of the jitter that a failed call waits: calls are spread already. */
+    private static final int FAILED_CALL_JITTER_DIVISOR = 4;
 
-    /** The connection attempt delay that RFC 8305, 5 recommends, in nanoseconds. */
-    private static final long DIAL = 250_000_000L;
+    /** The connection attempt delay that RFC 8305, section 5, recommends. */
+    private static final long SPARE_DIAL_DELAY_NANOS = 250_000_000L;
 
     private static final long NEVER = Long.MAX_VALUE;
 
+    /** Why a call is dropped. */
+    public enum DropReason {
+        /** It brought nothing for too long. */
+        SILENT,
+        /** Another call takes its place, or the list is no longer wanted. */
+        SUPERSEDED
+    }
+
     /** What comes of the events. */
     public interface Actions {
 
-        /** Makes a call, on a connection of its own, the spare one if there is one. */
+        /** Makes a call, on a connection of its own; the spare one if there is one. */
         void open(int call);
 
         /** Dials a spare connection, or closes the one there is. */
-        void spare(boolean wanted);
+        void dialSpare(boolean wanted);
 
-        /**
-         * Gives a call up; {@code why} is null where nothing failed and another takes its place.
-         */
-        void drop(int call, String why);
+        /** Drops a call. */
+        void drop(int call, DropReason reason);
 
         /**
-         * Wants {@link DiscoveryPollSchedule#due} at an instant; an earlier wish no longer counts.
+         * Wants {@link DiscoveryPollSchedule#onTimer} at an instant; an earlier wish no longer
+         * counts.
          */
-        void wake(long at);
+        void scheduleTimer(long at);
 
-        /** Nothing that was asked is left to wait for. */
-        void failed();
+        /** No call is left to wait for. */
+        void onUnavailable();
     }
 
-    private static final class Ask {
+    /** One call, from its dial to its end. */
+    private static final class Call {
         private final int number;
         private final long openedAt;
-        private final long spread;
-        private long heardAt;
-        private boolean up;
-        private boolean alive;
+        private final long jitter;
+        private boolean connected;
+        private boolean answered;
+        private long lastHeardAt;
 
-        Ask(int number, long now, long spread) {
+        private Call(int number, long now, long jitter) {
             this.number = number;
             this.openedAt = now;
-            this.spread = spread;
+            this.jitter = jitter;
         }
 
-        void heard(long now) {
-            heardAt = now;
-            alive = true;
+        private void heard(long now) {
+            lastHeardAt = now;
+            answered = true;
         }
 
-        long overAt(DiscoveryTimeouts patience) {
-            return alive ? heardAt + patience.watch() + spread : openedAt + patience.call();
+        private long lostAt(DiscoveryTimeouts timeouts) {
+            return answered
+                    ? lastHeardAt + timeouts.watchSilenceNanos() + jitter
+                    : openedAt + timeouts.callNanos();
         }
     }
 
-    private final boolean follows;
-    private final long longest;
+    private final boolean watching;
+    private final long maxBackoffNanos;
     private final RandomGenerator random;
     private final Actions actions;
-    private DiscoveryTimeouts patience;
+    private DiscoveryTimeouts timeouts;
 
-    /** Calls without an answer, the oldest first. */
-    private final List<Ask> asked = new ArrayList<>(2);
+    /** Calls that have brought no list yet, the oldest first. */
+    private final List<Call> pending = new ArrayList<>(2);
 
-    /** The watch that tells; while discovery moves, the one at its former address. */
-    private Ask standing;
+    /** The watch that brings updates; while the address changes, the one at the former address. */
+    private Call established;
 
     private boolean wanted;
-    private boolean moving;
-    private boolean reported;
+    private boolean addressChanging;
+    private boolean unavailableReported;
     private int failures;
 
-    /**
-     * Whether discovery ended what went wrong last, by a refusal or a close: it is there, maybe
-     * busy.
-     */
-    private boolean answers;
+    /** Whether discovery itself ended the last call that failed: it is there, maybe busy. */
+    private boolean reachable;
 
-    /** When one more call is made, unless there is an answer by then. */
-    private long nextAt = NEVER;
-
-    private long dialAt = NEVER;
-    private long armed = NEVER;
-    private int last;
+    private long nextCallAt = NEVER;
+    private long spareDialAt = NEVER;
+    private long timerAt = NEVER;
+    private int lastNumber;
 
     /**
-     * @param follows whether it is the watch that is asked for, else one whole list
-     * @param longest at most so long after a failure it is asked for again, in nanoseconds; 0 where
+     * A schedule that has made no call yet.
+     *
+     * @param watching whether it is the watch that is called for, else one whole list
+     * @param maxBackoffNanos at most this long after a failure the next call is made; 0 where
      *     others see to it
      */
     public DiscoveryPollSchedule(
-            boolean follows,
-            long longest,
-            DiscoveryTimeouts patience,
+            boolean watching,
+            long maxBackoffNanos,
+            DiscoveryTimeouts timeouts,
             RandomGenerator random,
             Actions actions) {
-        this.follows = follows;
-        this.longest = longest;
-        this.patience = patience;
+        this.watching = watching;
+        this.maxBackoffNanos = maxBackoffNanos;
+        this.timeouts = timeouts;
         this.random = random;
         this.actions = actions;
     }
 
     /** The backoff's cap at a site, in nanoseconds. */
-    public static long longest(BalancerSettings settings) {
-        return settings.askForEndpoints()
-                ? Math.min(LONGEST, (long) (LONGEST_PART * settings.safety().askWithin()))
-                : LONGEST_PUSHED;
+    public static long maxBackoffNanos(BalancerSettings settings) {
+        if (!settings.pollsEndpoints()) {
+            return MAX_BACKOFF_PUSHED_NANOS;
+        }
+        double share = MAX_BACKOFF_INTERVAL_SHARE * settings.safety().pollIntervalNanos();
+        return Math.min(MAX_BACKOFF_NANOS, (long) share);
     }
 
-    /** These figures count from now on; a wait that has begun may last for as long as it was to. */
+    /**
+     * These timeouts count from now on; a backoff that has begun lasts for as long as it was to.
+     */
     public void apply(DiscoveryTimeouts next) {
-        patience = next;
+        timeouts = next;
     }
 
-    /** Whether the watch stands, or is asked for. */
-    public boolean busy() {
-        return standing != null || !asked.isEmpty();
+    /** Whether the watch is established, or called for. */
+    public boolean isActive() {
+        return established != null || !pending.isEmpty();
     }
 
-    /**
-     * The list is wanted. Without effect while it is asked for, told, or soon to be asked for
-     * again.
-     */
-    public void ask(long now) {
+    // ---- what is wanted
+
+    /** The list is wanted. Without effect while it is called for, watched, or soon called for. */
+    public void poll(long now) {
         wanted = true;
-        if (asked.isEmpty() && (standing == null || moving) && nextAt == NEVER) {
-            reported = false;
+        boolean watched = established != null && !addressChanging;
+        if (pending.isEmpty() && !watched && nextCallAt == NEVER) {
+            unavailableReported = false;
             open(now);
         }
     }
 
     /**
-     * Discovery has moved: it is asked at its new address at once, also where a failed call at the
-     * old one is to be made again only later. A watch that stands tells on until the new one does.
+     * Discovery has another address: it is called there at once, also where the next call at the
+     * old one was to wait. An established watch goes on until the new one is.
      */
-    public void move(long now) {
+    public void onAddressChanged(long now) {
         if (wanted) {
-            dropAsked();
-            moving = standing != null;
+            dropPending();
+            addressChanging = established != null;
             failures = 0;
-            answers = false; // of the new address nothing is known
+            reachable = false; // of the new address nothing is known
             open(now);
         }
     }
 
     /** The list is no longer wanted. */
-    public void end() {
+    public void stop() {
         wanted = false;
-        moving = false;
-        nextAt = NEVER;
-        dialAt = NEVER;
-        actions.spare(false);
-        dropAsked();
-        dropStanding(null);
+        addressChanging = false;
+        cancelNextCall();
+        dropPending();
+        dropEstablished(DropReason.SUPERSEDED);
+    }
+
+    private void cancelNextCall() {
+        nextCallAt = NEVER;
+        spareDialAt = NEVER;
+        actions.dialSpare(false);
     }
 
+    // ---- what calls bring
+
     /** The connection of a call is up: it may have a place in discovery's queue from now on. */
-    public void connected(int call) {
-        Ask ask = asked(call);
-        if (ask != null) {
-            ask.up = true;
+    public void onConnected(int number) {
+        Call call = pending(number);
+        if (call != null) {
+            call.connected = true;
         }
     }
 
     /** The first byte of an object came. */
-    public void begun(long now, int call) {
-        if (stands(call)) {
-            standing.heard(now);
+    public void onObjectStarted(long now, int number) {
+        if (isEstablished(number)) {
+            established.heard(now);
         }
     }
 
     /**
-     * An empty line came: nothing has changed. It doesn't speak for an address at which nothing was
-     * told.
+     * An empty line came: nothing has changed. It says nothing for an address that has brought no
+     * list.
      */
-    public void blank(long now, int call) {
-        if (!moving || stands(call)) {
-            told(now, call);
+    public void onHeartbeat(long now, int number) {
+        if (!addressChanging || isEstablished(number)) {
+            onUpdate(now, number);
             return;
         }
-        Ask ask = asked(call);
-        if (ask != null) {
-            ask.heard(now);
+        Call call = pending(number);
+        if (call != null) {
+            call.heard(now);
         }
     }
 
-    /**
-     * An object of the list came whole, and could be read. What else was asked is no longer needed.
-     */
-    public void told(long now, int call) {
-        if (stands(call)) {
-            standing.heard(now);
-            arm();
+    /** A list or a change came that could be read. Other calls are no longer needed. */
+    public void onUpdate(long now, int number) {
+        if (isEstablished(number)) {
+            established.heard(now);
+            updateTimer();
             return;
         }
-        Ask ask = asked(call);
-        if (ask != null) {
-            asked.remove(ask);
-            dropAsked();
-            dropStanding(null);
-            moving = false;
-            reported = false;
-            nextAt = NEVER;
-            dialAt = NEVER;
-            actions.spare(false);
-            wanted = follows;
-            if (follows) {
-                standing = ask;
-                ask.heard(now);
-                arm();
-            }
+        Call call = pending(number);
+        if (call == null) {
+            return;
+        }
+        pending.remove(call);
+        dropPending();
+        dropEstablished(DropReason.SUPERSEDED);
+        addressChanging = false;
+        unavailableReported = false;
+        cancelNextCall();
+        wanted = watching;
+        if (watching) {
+            established = call;
+            call.heard(now);
+            updateTimer();
         }
     }
 
     /** A call ended, or can't be made or read. */
-    public void broke(long now, int call) {
-        if (stands(call)) {
-            lost(now);
+    public void onCallFailed(long now, int number) {
+        if (isEstablished(number)) {
+            onWatchEnded(now);
+            return;
+        }
+        Call call = pending(number);
+        if (call == null) {
             return;
         }
-        Ask ask = asked(call);
-        answers |= ask != null && ask.up;
-        if (asked.remove(ask) && asked.isEmpty()) {
-            failed(now, patience.spread() / 4); // calls are spread already
+        reachable |= call.connected;
+        pending.remove(call);
+        if (pending.isEmpty()) {
+            backOff(now, timeouts.jitterNanos() / FAILED_CALL_JITTER_DIVISOR);
         }
     }
 
-    /** The instant that was wished for has come, or is past. */
-    public void due(long now) {
-        armed = NEVER;
-        if (standing != null && now >= standing.overAt(patience)) {
-            answers = false;
-            dropStanding("silent");
-            if (!moving) {
-                failures = 0;
-                nextAt = now;
-            }
-            moving = false;
-        }
-        boolean waited = !asked.isEmpty();
-        for (Ask ask : List.copyOf(asked)) {
-            if (now >= ask.overAt(patience)) {
-                answers = false;
-                asked.remove(ask);
-                actions.drop(ask.number, "silent");
-            }
+    /** A watch at a former address was to end; the one that takes its place reports for both. */
+    private void onWatchEnded(long now) {
+        boolean lastedLong = now - established.openedAt >= maxBackoffNanos;
+        if (lastedLong) {
+            failures = 0; // one that ends as soon as it has answered is no success
         }
-        if (waited && asked.isEmpty()) {
-            failures = 0; // guards against a wait on top of a whole patience, in which nothing was
-            // called
-            failed(now, patience.spread() / 4); // calls are spread already
+        established = null;
+        if (!addressChanging) {
+            reachable = true;
+            backOff(now, timeouts.jitterNanos());
         }
-        if (now >= callAt()) {
+        addressChanging = false;
+    }
+
+    // ---- time
+
+    /** The instant that was wished for has come, or is past. */
+    public void onTimer(long now) {
+        timerAt = NEVER;
+        dropSilentWatch(now);
+        dropSilentCalls(now);
+        if (now >= effectiveNextCallAt()) {
             open(now);
-        } else if (now >= dialAt) {
-            dialAt = NEVER;
-            actions.spare(!queues());
+        } else if (now >= spareDialAt) {
+            spareDialAt = NEVER;
+            actions.dialSpare(!isQueuedAtDiscovery());
         }
-        arm();
+        updateTimer();
     }
 
-    /**
-     * Guards against a storm when the network is back: of the calls that wait for a connection only
-     * the newest is kept, since what was lost of the others is sent again too.
-     */
-    private void open(long now) {
-        for (Ask ask : List.copyOf(asked)) {
-            if (!ask.up) {
-                asked.remove(ask);
-                actions.drop(ask.number, null);
-            }
+    private void dropSilentWatch(long now) {
+        if (established == null || now < established.lostAt(timeouts)) {
+            return;
+        }
+        reachable = false;
+        dropEstablished(DropReason.SILENT);
+        if (!addressChanging) {
+            failures = 0;
+            nextCallAt = now;
         }
-        Ask ask = new Ask(++last, now, (long) (random.nextDouble() * patience.spread()));
-        asked.add(ask);
-        nextAt = longest > 0 || asked.size() == 1 ? now + patience.again() : NEVER;
-        dialAt = longest > 0 ? now + DIAL : NEVER;
-        arm();
-        actions.open(ask.number);
+        addressChanging = false;
     }
 
-    /** The watch at a former address was to end; the one that takes its place reports for both. */
-    private void lost(long now) {
-        if (now - standing.openedAt >= longest) {
-            failures = 0; // else one that ends as soon as it has told would be asked for without a
-            // pause
+    private void dropSilentCalls(long now) {
+        boolean waited = !pending.isEmpty();
+        for (Call call : List.copyOf(pending)) {
+            if (now >= call.lostAt(timeouts)) {
+                reachable = false;
+                pending.remove(call);
+                actions.drop(call.number, DropReason.SILENT);
+            }
         }
-        standing = null;
-        if (!moving) {
-            answers = true;
-            failed(now, patience.spread());
+        if (waited && pending.isEmpty()) {
+            failures = 0; // a whole timeout has gone by, so no long backoff on top of it
+            backOff(now, timeouts.jitterNanos() / FAILED_CALL_JITTER_DIVISOR);
         }
-        moving = false;
     }
 
     /**
-     * @param first at most so long the backoff is where nothing failed before, in nanoseconds
+     * Makes a call. Of those that wait for a connection only the newest is kept: what the network
+     * lost of the others is sent again once it is back, and all would come at the same time.
      */
-    private void failed(long now, long first) {
-        nextAt = longest > 0 ? now + backoff(Math.min(first, longest)) : NEVER;
-        dialAt = NEVER;
-        arm();
-        if (!reported) {
-            reported = longest > 0;
-            actions.failed();
+    private void open(long now) {
+        for (Call call : List.copyOf(pending)) {
+            if (!call.connected) {
+                pending.remove(call);
+                actions.drop(call.number, DropReason.SUPERSEDED);
+            }
         }
+        lastNumber++;
+        long jitter = (long) (random.nextDouble() * timeouts.jitterNanos());
+        Call call = new Call(lastNumber, now, jitter);
+        pending.add(call);
+        boolean repeats = maxBackoffNanos > 0;
+        nextCallAt = repeats || pending.size() == 1 ? now + timeouts.hedgeNanos() : NEVER;
+        spareDialAt = repeats ? now + SPARE_DIAL_DELAY_NANOS : NEVER;
+        updateTimer();
+        actions.open(call.number);
     }
 
-    private long backoff(long first) {
-        return failures++ == 0
-                ? (long) (random.nextDouble() * first)
-                : longest - (long) (random.nextDouble() * JITTER * longest);
+    /**
+     * All calls have failed.
+     *
+     * @param maxFirst the longest backoff where nothing failed before, in nanoseconds
+     */
+    private void backOff(long now, long maxFirst) {
+        boolean repeats = maxBackoffNanos > 0;
+        nextCallAt = repeats ? now + nextBackoff(Math.min(maxFirst, maxBackoffNanos)) : NEVER;
+        spareDialAt = NEVER;
+        updateTimer();
+        if (!unavailableReported) {
+            unavailableReported = repeats;
+            actions.onUnavailable();
+        }
     }
 
-    private boolean stands(int call) {
-        return standing != null && standing.number == call;
+    private long nextBackoff(long maxFirst) {
+        failures++;
+        if (failures == 1) {
+            return (long) (random.nextDouble() * maxFirst);
+        }
+        return maxBackoffNanos - (long) (random.nextDouble() * JITTER_SHARE * maxBackoffNanos);
     }
 
-    private Ask asked(int call) {
-        return asked.stream().filter(ask -> ask.number == call).findFirst().orElse(null);
+    /** No call is made beside one that is answered, or has its place in discovery's queue. */
+    private long effectiveNextCallAt() {
+        boolean answered = pending.stream().anyMatch(call -> call.answered);
+        return isQueuedAtDiscovery() || answered ? NEVER : nextCallAt;
     }
 
-    private void dropAsked() {
-        asked.forEach(ask -> actions.drop(ask.number, null));
-        asked.clear();
+    /**
+     * Whether a call has a place in the queue of a discovery that is there. Hedged calls at one
+     * that serves a few in a second would make all replicas wait twice as long.
+     */
+    private boolean isQueuedAtDiscovery() {
+        return reachable && pending.stream().anyMatch(call -> call.connected);
     }
 
-    private void dropStanding(String why) {
-        if (standing != null) {
-            actions.drop(standing.number, why);
-            standing = null;
+    private void updateTimer() {
+        long next = Math.min(effectiveNextCallAt(), spareDialAt);
+        if (established != null) {
+            next = Math.min(next, established.lostAt(timeouts));
+        }
+        for (Call call : pending) {
+            next = Math.min(next, call.lostAt(timeouts));
+        }
+        if (next < timerAt) {
+            timerAt = next;
+            actions.scheduleTimer(next);
         }
     }
 
-    /** None is made beside one that is alive, or has its place. */
-    private long callAt() {
-        return queues() || asked.stream().anyMatch(ask -> ask.alive) ? NEVER : nextAt;
+    // ---- the calls
+
+    private boolean isEstablished(int number) {
+        return established != null && established.number == number;
     }
 
-    /**
-     * Whether a call has a place in the queue of a discovery that is there. Guards against a storm
-     * of hedged calls: at one that serves a few in a second, each copy's second call makes all wait
-     * twice as long.
-     */
-    private boolean queues() {
-        return answers && asked.stream().anyMatch(ask -> ask.up);
+    private Call pending(int number) {
+        return pending.stream().filter(call -> call.number == number).findFirst().orElse(null);
     }
 
-    private void arm() {
-        long next = Math.min(callAt(), dialAt);
-        if (standing != null) {
-            next = Math.min(next, standing.overAt(patience));
-        }
-        for (Ask ask : asked) {
-            next = Math.min(next, ask.overAt(patience));
-        }
-        if (next < armed) {
-            armed = next;
-            actions.wake(next);
+    private void dropPending() {
+        pending.forEach(call -> actions.drop(call.number, DropReason.SUPERSEDED));
+        pending.clear();
+    }
+
+    private void dropEstablished(DropReason reason) {
+        if (established != null) {
+            actions.drop(established.number, reason);
+            established = null;
         }
     }
 }
--- a/core/src/main/java/cedarrudder/forwarding/DiscoveryTimeouts.java
+++ b/core/src/main/java/cedarrudder/forwarding/DiscoveryTimeouts.java
@@ -3,16 +3,17 @@
 /**
  * How long discovery is waited for, in nanoseconds.
  *
- * @param call a call without an answer has failed after so long
- * @param again while none has an answer one more is made after so long, and those before still
- *     wait. A connection may come up a second late, so less than that would ask twice for nothing
- * @param watch a watch brings a line at least every 2 s, which may come a second late; one that was
- *     silent for so long is lost. Guards against a network that was cut: its connection stays open
- *     and says nothing
- * @param spread and up to so much longer, by chance, as where it ended: guards against all copies
- *     asking at once
+ * @param callNanos a call without an answer has failed after this long
+ * @param hedgeNanos while no call has an answer one more is made after this long, and those before
+ *     still wait. A connection may come up a second late, so less would call twice for nothing
+ * @param watchSilenceNanos a watch that was silent for this long is lost: it brings a line at least
+ *     every 2 s, which may come a second late, and a connection that was cut off stays open and
+ *     brings nothing
+ * @param jitterNanos and up to this much longer, at random, so that replicas do not all poll at
+ *     once
  */
-public record DiscoveryTimeouts(long call, long again, long watch, long spread) {
+public record DiscoveryTimeouts(
+        long callNanos, long hedgeNanos, long watchSilenceNanos, long jitterNanos) {
 
     /** What counts where nothing is set. */
     public static final DiscoveryTimeouts DEFAULT =
--- a/core/src/main/java/cedarrudder/forwarding/EndpointDiscovery.java
+++ b/core/src/main/java/cedarrudder/forwarding/EndpointDiscovery.java
@@ -1,11 +1,11 @@
 package cedarrudder.forwarding;
 
-/** Discovery, as the driver sees it. Results and failures are reported to the driver. */
+/** Discovery, as the forwarder sees it. Lists and failures are reported to the forwarder. */
 public interface EndpointDiscovery {
 
     /** Opens the watch on changes, or ends it. */
-    void subscribe(boolean on);
+    void watch(boolean on);
 
     /** Asks once for the whole list. */
-    void fetch();
+    void fetchAll();
 }
--- a/core/src/main/java/cedarrudder/forwarding/Exchange.java
+++ b/core/src/main/java/cedarrudder/forwarding/Exchange.java
@@ -8,146 +8,176 @@
 import java.util.List;
 
 /**
- * One RPC between its caller and the nodes: the only thing that the server side and the client side
- * share.
+ * One request between its client and the endpoints: the only thing that the server side and the
+ * client side share.
  *
- * <p>The server side makes it and is told through {@link Reply} how it ended; the client side reads
- * its content to carry out the call attempts. What the content and the answers are is the
- * protocol's affair.
+ * <p>The server side makes it and is told through {@link Reply} how it ended; the attempt transport
+ * reads its content to carry out the attempts. What content and answers are is the protocol's
+ * affair.
  *
- * @param <Q> what is passed on to a node
- * @param <A> what a node answers
+ * @param <Q> what is forwarded to an endpoint
+ * @param <A> what an endpoint answers
  */
 public final class Exchange<Q, A> {
 
-    /** The server side's end of an exchange. Exactly one of these is called, once. */
+    /**
+     * The server side's end of an exchange. Exactly one of {@link #served}, {@link #rejected} and
+     * {@link #failed} is called, once, unless the client leaves.
+     *
+     * @param <A> what an endpoint answers
+     */
     public interface Reply<A> {
-        /** A node's answer, to be passed on. */
+        /** An endpoint's answer, to be passed on. */
         void served(A answer);
 
         /**
-         * An unavailable status: trying again is harmless, after this many nanoseconds (0: no
-         * advice).
+         * An unavailable status: trying again is harmless.
+         *
+         * @param retryAfter advice when to retry, in nanoseconds; 0: none
          */
-        void refused(long retryAfter);
+        void rejected(long retryAfter);
 
         /** It failed, and nothing is promised. */
         void failed();
 
         /**
-         * Whether the caller is still there, looked up now and not by what was last heard of it.
-         * Asked, by the driver's thread, right before the first byte of an attempt goes out. False
-         * counts as {@link RequestForwarder#left}, which may also be called within this, for this
-         * exchange; nothing else of the driver's may be.
+         * Whether the client is still there, looked up now and not by what was last received.
+         * Called on the event loop right before the first byte of an attempt goes out. False counts
+         * as {@link RequestForwarder#clientLeft}, which may also be called within this, for this
+         * exchange; nothing else of the forwarder may be.
          */
-        boolean waits();
+        boolean isClientWaiting();
 
         /**
-         * Whether the caller could be seen to have gone. Where not, since what it sent is not read
-         * for want of room, {@link #waits} says nothing, and no attempt may begin.
+         * Whether it would be seen that the client has left. Where not, since what it sent is not
+         * read for want of buffers, {@link #isClientWaiting} says nothing, and no attempt may
+         * start.
          */
-        default boolean seen() {
+        default boolean canSeeClient() {
             return true;
         }
     }
 
+    /** The life of an exchange; {@link #isOver} but for {@code OPEN}. */
+    private enum State {
+        /** An answer is owed. */
+        OPEN,
+        /** A response streams to the client, which owns it from its start on. */
+        STREAMING,
+        /** All is said. */
+        ENDED
+    }
+
     private final LoadBalancer.Request request;
     private final Q content;
     private final Reply<A> reply;
-    private final PropagatedBudget carried;
+    private final PropagatedBudget receivedBudget;
     private final List<RequestAttempt<Q, A>> attempts = new ArrayList<>(1);
-    private TimerService.Timer timer;
-    private int out;
-    private boolean over;
-    private RequestAttempt<Q, A> flowing;
+    private State state = State.OPEN;
+    private RequestAttempt<Q, A> streamingAttempt;
+    private TimerService.Timer deadlineTimer;
+    private int attemptsInFlight;
     private long expiry;
-    private long onceWhole;
-    private boolean uploaded;
-    private boolean spent;
+    private boolean upload;
+    private long timeoutAfterUpload;
+    private boolean contentDiscarded;
     private boolean mayHaveRun;
     private RequestBudget budget;
-    private DownstreamFeedback result;
+    private DownstreamFeedback feedback;
 
-    /** Its id must be new; its deadline is an instant of the driver's clock. */
+    /** Its id must be new; its deadline is an instant of the forwarder's clock. */
     public Exchange(LoadBalancer.Request request, Q content, Reply<A> reply) {
         this(request, content, reply, PropagatedBudget.NOTHING);
     }
 
-    /** The same, with what its caller said of budgets, which counts where the driver has some. */
+    /** The same with the budget that came with it, which counts where the forwarder has budgets. */
     public Exchange(
-            LoadBalancer.Request request, Q content, Reply<A> reply, PropagatedBudget carried) {
+            LoadBalancer.Request request,
+            Q content,
+            Reply<A> reply,
+            PropagatedBudget receivedBudget) {
         this.request = request;
         this.expiry = request.deadline();
         this.content = content;
         this.reply = reply;
-        this.carried = carried;
+        this.receivedBudget = receivedBudget;
     }
 
+    /** What the balancer knows of it. */
     public LoadBalancer.Request request() {
         return request;
     }
 
+    /** What is forwarded. */
     public Q content() {
         return content;
     }
 
-    PropagatedBudget carried() {
-        return carried;
+    Reply<A> reply() {
+        return reply;
+    }
+
+    // ---- budgets
+
+    PropagatedBudget receivedBudget() {
+        return receivedBudget;
     }
 
-    /** What it may cost; null before the module was told of it, and where there are no budgets. */
+    /**
+     * What it may cost; null before the balancer has received it, and where there are no budgets.
+     */
     public RequestBudget budget() {
         return budget;
     }
 
-    void budget(RequestBudget mayCost) {
-        budget = mayCost;
+    void budget(RequestBudget granted) {
+        budget = granted;
     }
 
-    /** What goes up with the answer, from the moment of the reply on; null where nothing does. */
-    public DownstreamFeedback result() {
-        return result;
+    /**
+     * What the tier above learns with the answer, from the moment of the reply on; null where
+     * nothing.
+     */
+    public DownstreamFeedback feedback() {
+        return feedback;
     }
 
-    void result(DownstreamFeedback goesUp) {
-        result = goesUp;
+    void feedback(DownstreamFeedback forClient) {
+        feedback = forClient;
     }
 
-    Reply<A> reply() {
-        return reply;
-    }
+    // ---- time and upload
 
     /**
-     * Its content is still being read. Its deadline counts from the last byte of it, so until then
-     * it has none but that of the request.
+     * Its content is still being received. Its deadline counts from the last byte of it; until then
+     * it has that of the request.
      *
-     * @param wait how long its caller waits from then on, in nanoseconds
+     * @param timeout how long its client waits from then on, in nanoseconds
      */
-    public Exchange<Q, A> uploading(long wait) {
-        uploaded = true;
-        onceWhole = wait;
+    public Exchange<Q, A> withUpload(long timeout) {
+        upload = true;
+        timeoutAfterUpload = timeout;
         return this;
     }
 
-    /** Whether its content was still being read when it came. */
-    boolean uploaded() {
-        return uploaded;
+    /** Whether its content was still being received when it was accepted. */
+    boolean isUpload() {
+        return upload;
     }
 
-    /** How long the caller waits once all of the content was read. */
-    long onceWhole() {
-        return onceWhole;
+    long timeoutAfterUpload() {
+        return timeoutAfterUpload;
     }
 
     /**
-     * What is left of its caller's wait, in nanoseconds: a node may be told no more. While its
-     * content is being read that is the wait from its last byte on.
+     * What is left of its client's wait, in nanoseconds: an endpoint may be given no more. While
+     * its content is being received that is the wait from its last byte on.
      */
-    public long left(long now) {
-        return uploaded ? Math.min(onceWhole, expiry - now) : expiry - now;
+    public long remainingNanos(long now) {
+        return upload ? Math.min(timeoutAfterUpload, expiry - now) : expiry - now;
     }
 
-    /** When its time is over, by the driver's clock. */
+    /** The instant at which its time is over. */
     public long expiry() {
         return expiry;
     }
@@ -156,76 +186,85 @@
         expiry = instant;
     }
 
-    /** Content that is not held any more has gone out: no further attempt can be made. */
-    public void spend() {
-        spent = true;
+    boolean isExpired(long now) {
+        return now >= expiry;
     }
 
-    boolean spent() {
-        return spent;
+    void deadlineTimer(TimerService.Timer timer) {
+        deadlineTimer = timer;
     }
 
-    /** The attempt whose answer flows to the caller; null where none does. */
-    RequestAttempt<Q, A> flowing() {
-        return flowing;
+    /** Cancels the deadline, which would keep the exchange and its body in memory. */
+    void cancelDeadline() {
+        deadlineTimer.cancel();
     }
 
-    /** Its answer has begun; it is over but for that. */
-    void begin(RequestAttempt<Q, A> attempt) {
-        flowing = attempt;
-        over = true;
+    /** Content that is no longer buffered has gone out: no further attempt can be made. */
+    public void discardContent() {
+        contentDiscarded = true;
     }
 
-    /** The answer that flowed has ended, or its caller has left; true once. */
-    boolean endFlow() {
-        boolean flowed = flowing != null;
-        flowing = null;
-        return flowed;
+    boolean contentDiscarded() {
+        return contentDiscarded;
     }
 
-    boolean over() {
-        return over;
+    // ---- its life
+
+    /** Whether its client has its answer, or the start of one, or has left. */
+    boolean isOver() {
+        return state != State.OPEN;
     }
 
     void end() {
-        over = true;
+        state = State.ENDED;
     }
 
-    List<RequestAttempt<Q, A>> attempts() {
-        return attempts;
+    /** The attempt whose response streams to the client; null where none does. */
+    RequestAttempt<Q, A> streamingAttempt() {
+        return streamingAttempt;
     }
 
-    RequestAttempt<Q, A> attempt(long endpoint, long now) {
-        RequestAttempt<Q, A> attempt = new RequestAttempt<>(this, attempts.size(), endpoint, now);
-        attempts.add(attempt);
-        out++;
-        return attempt;
+    void startStreaming(RequestAttempt<Q, A> attempt) {
+        state = State.STREAMING;
+        streamingAttempt = attempt;
     }
 
-    void expiresBy(TimerService.Timer deadline) {
-        timer = deadline;
+    /** The response that streamed has ended, or its client has left; true once. */
+    boolean endStreaming() {
+        boolean streamed = state == State.STREAMING;
+        if (streamed) {
+            state = State.ENDED;
+            streamingAttempt = null;
+        }
+        return streamed;
     }
 
-    /**
-     * Calls the deadline off. Guards against every RPC of the last seconds being kept in memory,
-     * bodies and all, until its deadline comes.
-     */
-    void forget() {
-        timer.cancel();
+    // ---- attempts
+
+    List<RequestAttempt<Q, A>> attempts() {
+        return attempts;
+    }
+
+    RequestAttempt<Q, A> newAttempt(long endpoint, long now, int zone) {
+        RequestAttempt<Q, A> attempt =
+                new RequestAttempt<>(this, attempts.size(), endpoint, now, zone);
+        attempts.add(attempt);
+        attemptsInFlight++;
+        return attempt;
     }
 
-    /** Counts an attempt as ended; an exchange may be forgotten once it is over and none is out. */
     void attemptEnded(LoadBalancer.Outcome outcome) {
-        out--;
+        attemptsInFlight--;
         mayHaveRun |= !outcome.provesNotRun();
     }
 
-    /** Whether an attempt that has ended may have run. */
+    /** Whether an attempt that has ended may have been executed. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    boolean forgettable() {
-        return over && out == 0;
+    /** Whether it may be forgotten: it is over and no attempt is in flight. */
+    boolean isDone() {
+        return isOver() && attemptsInFlight == 0;
     }
 }
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -8,647 +8,630 @@
 import cedarrudder.balancer.LoadBalancer.ZoneTrafficShare;
 import cedarrudder.budget.Budgets;
 import cedarrudder.budget.DownstreamFeedback;
+import cedarrudder.budget.RequestBudget;
 import cedarrudder.failover.ZoneTrafficCounter;
 import cedarrudder.logging.Logger;
 import cedarrudder.metrics.RequestMetrics;
 import cedarrudder.metrics.RequestMetrics.End;
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Queue;
 import java.util.function.Function;
 
 /**
- * Feeds the decision module with events, one at a time, and carries out its actions. It decides
- * nothing.
+ * Feeds the balancer with events, one at a time, and carries out its actions. It decides nothing.
  *
- * <p>An action never re-enters the module: what it causes (a connection refused at once, an attempt
- * that is moot) waits in the queue until the event at hand has been handled, as it would on the
- * simulator's wire.
+ * <p>An action never re-enters the balancer: what it causes, such as a connection that is refused
+ * at once, waits in {@link SerialEventQueue} until the event at hand has been handled, as it would
+ * on the simulator's wire.
+ *
+ * <p>Not thread-safe: it belongs to the event loop.
+ *
+ * @param <Q> what is forwarded to an endpoint
+ * @param <A> what an endpoint answers
  */
 public final class RequestForwarder<Q, A> {
 
     /**
-     * An RPC that the module has not ended this long after its deadline is ended for it. The
+     * A request that the balancer has not ended this long after its deadline is ended for it. The
      * protocol allows ten times as much past any site's limits, and the deadline here is before the
      * client's.
      */
-    private static final long OVERDUE = 5_000_000L;
+    private static final long OVERDUE_NANOS = 5_000_000L;
 
     private final TimerService timers;
     private final Logger log;
     private final int maxAttempts;
     private final LoadBalancer balancer;
     private final Budgets budgets;
-    private final RequestMetrics figures;
-    private final Queue<Runnable> events = new ArrayDeque<>();
+    private final RequestAccounting accounting;
+    private final SerialEventQueue events;
     private final Map<Long, Exchange<Q, A>> exchanges = new HashMap<>();
-    private AttemptTransport<Q, A> client;
-    private EndpointDiscovery resolver;
+    private AttemptTransport<Q, A> transport;
+    private EndpointDiscovery discovery;
     private PeerTransport peers;
-    private ZoneTrafficCounter tally;
-    private boolean delivering;
-    private boolean shared;
-    private long sharesUntil = Long.MAX_VALUE;
-    private Runnable byShares;
+    private boolean zoneSharesSet;
+    private long zoneSharesValidUntil = Long.MAX_VALUE;
+    private Runnable onZoneShareUsed = () -> {};
 
+    /** A forwarder without budgets and metrics. */
     public RequestForwarder(
-            Function<LoadBalancer.Actions, LoadBalancer> module,
+            Function<LoadBalancer.Actions, LoadBalancer> newBalancer,
             int maxAttempts,
             TimerService timers,
             Logger log) {
-        this(module, maxAttempts, timers, log, null, null);
+        this(newBalancer, maxAttempts, timers, log, null, null);
     }
 
     /**
-     * @param budgets asked before each further attempt that the module wants; null: none
-     * @param figures where RPCs are counted; null: nowhere
+     * A forwarder, to be completed by {@link #attach}.
+     *
+     * @param newBalancer makes the balancer that acts through what it is given
+     * @param maxAttempts attempts of one request beyond which none goes out
+     * @param budgets asked before each further attempt that the balancer starts; null: none
+     * @param metrics where requests are counted; null: nowhere
      */
     public RequestForwarder(
-            Function<LoadBalancer.Actions, LoadBalancer> module,
+            Function<LoadBalancer.Actions, LoadBalancer> newBalancer,
             int maxAttempts,
             TimerService timers,
             Logger log,
             Budgets budgets,
-            RequestMetrics figures) {
-        this.figures = figures;
+            RequestMetrics metrics) {
+        this.accounting = new RequestAccounting(metrics);
         this.timers = timers;
         this.log = log;
         this.budgets = budgets;
         this.maxAttempts = maxAttempts;
-        this.balancer = module.apply(new Hands());
+        this.events = new SerialEventQueue(log, this::expireZoneShares);
+        this.balancer = newBalancer.apply(new BalancerActions());
     }
 
     /** Completes the wiring; to be called before the first event. */
-    public void connect(
-            AttemptTransport<Q, A> clientSide, EndpointDiscovery discovery, PeerTransport others) {
-        client = clientSide;
-        resolver = discovery;
-        peers = others;
+    public void attach(
+            AttemptTransport<Q, A> attemptTransport,
+            EndpointDiscovery endpointDiscovery,
+            PeerTransport peerTransport) {
+        transport = attemptTransport;
+        discovery = endpointDiscovery;
+        peers = peerTransport;
     }
 
-    /**
-     * Has what becomes of calls counted by zones from now on; to be called before the first event.
-     */
-    public void count(ZoneTrafficCounter byZones) {
-        tally = byZones;
+    /** Counts requests by zones from now on; to be called before the first event. */
+    public void countByZone(ZoneTrafficCounter counter) {
+        accounting.countByZone(counter);
     }
 
-    // ---- events ----
+    // ---- requests
 
-    /** Takes an RPC; its reply is called exactly once unless the caller leaves. */
+    /** Accepts a request; its reply is called exactly once unless the client leaves. */
     public void accept(Exchange<Q, A> exchange) {
         exchanges.put(exchange.request().id(), exchange);
-        if (figures != null) {
-            figures.taken(exchange.request().classIndex());
-        }
-        if (tally != null) {
-            tally.came();
+        accounting.onAccepted(exchange);
+        exchange.deadlineTimer(timers.at(exchange.request().deadline(), () -> expire(exchange)));
+        events.post(() -> deliverRequest(exchange));
+    }
+
+    private void deliverRequest(Exchange<Q, A> exchange) {
+        long now = timers.now();
+        if (budgets == null) {
+            balancer.onRequest(now, exchange.request());
+            return;
         }
-        exchange.expiresBy(timers.at(exchange.request().deadline(), () -> expire(exchange)));
-        post(
-                () -> {
-                    if (budgets == null) {
-                        balancer.request(timers.now(), exchange.request());
-                    } else {
-                        exchange.budget(
-                                budgets.arrived(
-                                        timers.now(), exchange.request(), exchange.carried()));
-                        balancer.request(
-                                timers.now(), exchange.request(), exchange.budget().standing());
-                    }
-                });
+        RequestBudget budget = budgets.arrived(now, exchange.request(), exchange.receivedBudget());
+        exchange.budget(budget);
+        balancer.onRequest(timers.now(), exchange.request(), budget.standing());
     }
 
-    /** The last byte of a request has been read whose first were taken before: its time starts. */
-    public void whole(Exchange<Q, A> exchange) {
-        if (!exchange.over()) {
-            exchange.expiry(timers.now() + exchange.onceWhole());
-            exchange.forget();
-            exchange.expiresBy(timers.at(exchange.expiry(), () -> expire(exchange)));
-            post(() -> balancer.whole(timers.now(), exchange.request().id()));
+    /** The last byte of a request's body was received: its time starts. */
+    public void uploadComplete(Exchange<Q, A> exchange) {
+        if (exchange.isOver()) {
+            return;
         }
+        exchange.expiry(timers.now() + exchange.timeoutAfterUpload());
+        exchange.cancelDeadline();
+        exchange.deadlineTimer(timers.at(exchange.expiry(), () -> expire(exchange)));
+        events.post(() -> balancer.onUploadComplete(timers.now(), exchange.request().id()));
     }
 
-    /** The caller has gone. */
-    public void left(Exchange<Q, A> exchange) {
-        RequestAttempt<Q, A> flowing = exchange.flowing();
-        if (exchange.endFlow()) {
-            count(exchange, End.LEFT);
-            giveUp(flowing, Outcome.CANCELLED);
+    /** The client has left: nothing more goes out for it. */
+    public void clientLeft(Exchange<Q, A> exchange) {
+        RequestAttempt<Q, A> streaming = exchange.streamingAttempt();
+        if (exchange.endStreaming()) {
+            accounting.onEnded(exchange, End.CLIENT_LEFT);
+            giveUp(streaming, Outcome.CANCELLED);
         }
-        leave(exchange, End.LEFT);
+        endWithoutBalancer(exchange, End.CLIENT_LEFT);
     }
 
-    private void leave(Exchange<Q, A> exchange, End how) {
-        if (exchange.over()) {
+    /** Ends an exchange that the balancer has not ended, and tells the balancer so. */
+    private void endWithoutBalancer(Exchange<Q, A> exchange, End end) {
+        if (exchange.isOver()) {
             return;
         }
-        end(exchange, how);
+        end(exchange, end);
         forgetIfDone(exchange);
         if (exchange.budget() != null) {
             budgets.left(timers.now(), exchange.budget());
         }
-        post(() -> balancer.clientLeft(timers.now(), exchange.request().id()));
+        events.post(() -> balancer.onClientLeft(timers.now(), exchange.request().id()));
     }
 
-    /** The one place where an exchange ends, but for {@link #began}. */
-    private void end(Exchange<Q, A> exchange, End how) {
+    /** The one place where an exchange ends, but for {@link #responseStarted}. */
+    private void end(Exchange<Q, A> exchange, End end) {
         exchange.end();
-        count(exchange, how);
-        dropUnbegun(exchange);
+        accounting.onEnded(exchange, end);
+        dropWaitingAttempts(exchange);
     }
 
     /**
-     * Guards against a request that goes out for nobody: what still waits for its connection as its
-     * RPC ends never begins, whatever may be called off by the settings.
+     * What still waits for its connection as its request ends never starts, whatever the settings
+     * say of cancellation: it would go out for nobody.
      */
-    private void dropUnbegun(Exchange<Q, A> exchange) {
-        for (int i = 0;
-                i < exchange.attempts().size();
-                i++) { // more may come meanwhile, which end at once
-            if (exchange.attempts().get(i).waits()) {
-                giveUp(exchange.attempts().get(i), Outcome.MOOT);
+    private void dropWaitingAttempts(Exchange<Q, A> exchange) {
+        for (int i = 0; i < exchange.attempts().size(); i++) { // more may come, which end at once
+            if (exchange.attempts().get(i).isWaiting()) {
+                giveUp(exchange.attempts().get(i), Outcome.NOT_STARTED);
             }
         }
     }
 
+    private void forgetIfDone(Exchange<Q, A> exchange) {
+        if (exchange.isDone()) {
+            exchange.cancelDeadline();
+            exchanges.remove(exchange.request().id());
+        }
+    }
+
+    // ---- the start of an attempt
+
     /**
      * Whether the first byte of an attempt may go out now: the one gate of every attempt, to be
-     * asked once, right before. Guards against what has changed since the module sent it, which may
-     * be long ago where a connection came up late: its caller has left, or could have left unseen,
-     * its time is over, its node has left the list, drains or has started anew, or the window of
-     * its repeats is past. An attempt that may not begin ends with this, so as to prove that it did
-     * not run.
+     * asked once, right before. The balancer may have started it long ago, where its connection
+     * came up late. Since then its client may have left, or could have left unseen, its time may be
+     * over, its endpoint may have been removed, drain or have restarted, or the window of its
+     * idempotency key may be past. An attempt that may not start ends with this, so that it is
+     * proven not to have run.
      */
-    public boolean begins(RequestAttempt<Q, A> attempt) {
+    public boolean mayStart(RequestAttempt<Q, A> attempt) {
         Exchange<Q, A> exchange = attempt.exchange();
-        if (!exchange.over() && !exchange.reply().waits()) {
-            left(exchange); // which ends the attempt, too
+        if (!exchange.isOver() && !exchange.reply().isClientWaiting()) {
+            clientLeft(exchange); // which ends the attempt, too
         }
-        withdraw(attempt, exchange.over() || exchange.reply().seen());
-        if (attempt.ended()) {
+        boolean canSeeClient = exchange.isOver() || exchange.reply().canSeeClient();
+        endIfDenied(attempt, canSeeClient);
+        if (attempt.hasEnded()) {
             return false;
         }
-        attempt.begin();
+        attempt.startWriting();
         return true;
     }
 
     /**
-     * Ends an attempt that waits for its connection, and could not begin any more.
+     * Ends an attempt that waits for its connection, and could not start any more.
      *
-     * @param seen whether its caller would be seen to have gone
+     * @param canSeeClient whether it would be seen that its client has left
      */
-    private void withdraw(RequestAttempt<Q, A> attempt, boolean seen) {
-        Outcome denial =
-                !attempt.waits() ? null : seen ? denial(attempt, attempt.exchange()) : Outcome.MOOT;
+    private void endIfDenied(RequestAttempt<Q, A> attempt, boolean canSeeClient) {
+        if (!attempt.isWaiting()) {
+            return;
+        }
+        Outcome denial = canSeeClient ? startDenial(attempt) : Outcome.NOT_STARTED;
         if (denial != null) {
-            told(
-                    attempt,
-                    Outcome.MOOT,
-                    null); // its node was not asked: this says nothing of its zone
-            attempt.zone(-1);
-            client.abandon(attempt);
-            ended(attempt, denial, null);
+            // Its endpoint was not contacted, so this says nothing of its zone.
+            accounting.onAttemptEnded(timers.now(), attempt, Outcome.NOT_STARTED, null);
+            attempt.leaveZone();
+            transport.abandonAttempt(attempt);
+            attemptEnded(attempt, denial, null);
         }
     }
 
-    private Outcome denial(RequestAttempt<Q, A> attempt, Exchange<Q, A> exchange) {
+    /** What an attempt ends with instead of starting now; null where it may start. */
+    private Outcome startDenial(RequestAttempt<Q, A> attempt) {
+        Exchange<Q, A> exchange = attempt.exchange();
         long now = timers.now();
-        if (exchange.over() || exchange.spent() || now >= exchange.expiry()) {
-            return Outcome.MOOT;
+        if (!mayAttempt(exchange, now)) {
+            return Outcome.NOT_STARTED;
         }
-        if (!client.knows(attempt.endpoint())) {
+        if (!transport.knowsEndpoint(attempt.endpoint())) {
             return Outcome.CONNECT_FAILED;
         }
         try {
-            return balancer.denial(now, exchange.request().id(), attempt.number());
+            return balancer.startDenial(now, exchange.request().id(), attempt.number());
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            log.fault("module.failed", e)
-                    .write(); // as for its events: its caller must not wait for it
-            return Outcome.MOOT;
+            // As for its events: a fault of the balancer must not hold its client up.
+            log.fault("module.failed", e).write();
+            return Outcome.NOT_STARTED;
         }
     }
 
-    private void count(Exchange<Q, A> exchange, End how) {
-        if (figures != null) {
-            figures.ended(exchange.request().classIndex(), how);
-        }
-        if (tally != null && (how == End.THROTTLED || how == End.FAULTED)) {
-            tally.unserved();
-        }
+    /** Whether anything more may be sent for a request at all. */
+    private boolean mayAttempt(Exchange<Q, A> exchange, long now) {
+        return !exchange.isOver() && !exchange.contentDiscarded() && !exchange.isExpired(now);
     }
 
+    // ---- the end of an attempt
+
     /**
-     * A node's answer has begun, which is too large to be held: it is the caller's from here on,
-     * and no deadline cuts it. Its end is told by {@link #ended}.
+     * An endpoint's response has begun, which is too large to be buffered: it is the client's from
+     * here on, and no deadline cuts it. Its end is reported by {@link #attemptEnded}.
      *
-     * <p>For the module the attempt has been served with this. Guards against nodes being taken for
-     * full, or silent, by answers that callers read slowly; of one that breaks off later it hears
+     * <p>For the balancer the attempt is served with this, since endpoints would else count as full
+     * or unresponsive by clients that read slowly. Of a response that is aborted later it hears
      * once more.
      */
-    public void began(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
-        post(
-                () -> {
-                    Exchange<Q, A> exchange = attempt.exchange();
-                    if (attempt.ended()) {
-                        return;
-                    }
-                    if (exchange.over()) {
-                        giveUp(attempt, Outcome.CANCELLED);
-                        return;
-                    }
-                    attempt.answers(timers.now());
-                    told(attempt, Outcome.OK, load);
-                    exchange.begin(attempt);
-                    dropUnbegun(exchange);
-                    exchange.forget();
-                    exchange.result(budgets == null ? null : exchange.budget().served());
-                    exchange.reply().served(answer);
-                    balancer.outcome(
-                            timers.now(),
-                            exchange.request().id(),
-                            attempt.number(),
-                            attempt.endpoint(),
-                            Outcome.OK,
-                            attempt.took(timers.now()),
-                            true,
-                            load);
-                });
+    public void responseStarted(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
+        events.post(() -> deliverResponseStart(attempt, answer, load));
+    }
+
+    private void deliverResponseStart(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
+        Exchange<Q, A> exchange = attempt.exchange();
+        if (attempt.hasEnded()) {
+            return;
+        }
+        if (exchange.isOver()) {
+            giveUp(attempt, Outcome.CANCELLED);
+            return;
+        }
+        attempt.responseStarted(timers.now());
+        accounting.onAttemptEnded(timers.now(), attempt, Outcome.OK, load);
+        exchange.startStreaming(attempt);
+        dropWaitingAttempts(exchange);
+        exchange.cancelDeadline();
+        exchange.feedback(budgets == null ? null : exchange.budget().served());
+        exchange.reply().served(answer);
+        tellOutcome(attempt, Outcome.OK, attempt.latencyNanos(timers.now()), true, load);
     }
 
-    /** A node served an attempt. */
+    /** An endpoint served an attempt. */
     public void served(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
         served(attempt, answer, load, DownstreamFeedback.NOTHING);
     }
 
     /** The same, with what the answer says of budgets. */
     public void served(
-            RequestAttempt<Q, A> attempt, A answer, LoadReport load, DownstreamFeedback below) {
-        ended(attempt, Outcome.OK, answer, load, below);
+            RequestAttempt<Q, A> attempt, A answer, LoadReport load, DownstreamFeedback feedback) {
+        attemptEnded(attempt, Outcome.OK, answer, load, feedback);
     }
 
     /** An attempt ended in any other way. */
-    public void ended(RequestAttempt<Q, A> attempt, Outcome outcome, LoadReport load) {
-        ended(attempt, outcome, load, DownstreamFeedback.NOTHING);
+    public void attemptEnded(RequestAttempt<Q, A> attempt, Outcome outcome, LoadReport load) {
+        attemptEnded(attempt, outcome, load, DownstreamFeedback.NOTHING);
     }
 
     /** The same, with what the answer says of budgets. */
-    public void ended(
+    public void attemptEnded(
             RequestAttempt<Q, A> attempt,
             Outcome outcome,
             LoadReport load,
-            DownstreamFeedback below) {
-        ended(attempt, outcome, null, load, below);
+            DownstreamFeedback feedback) {
+        attemptEnded(attempt, outcome, null, load, feedback);
     }
 
-    private void ended(
+    private void attemptEnded(
             RequestAttempt<Q, A> attempt,
             Outcome outcome,
             A answer,
             LoadReport load,
-            DownstreamFeedback below) {
-        if (!attempt.end()) {
-            return;
+            DownstreamFeedback feedback) {
+        if (attempt.end()) {
+            long latency = attempt.latencyNanos(timers.now());
+            events.post(() -> deliverAttemptEnd(attempt, outcome, answer, latency, load, feedback));
         }
-        long latency = attempt.took(timers.now());
-        post(
-                () -> {
-                    Exchange<Q, A> exchange = attempt.exchange();
-                    exchange.attemptEnded(outcome);
-                    if (attempt.handed() != null) {
-                        budgets.ended(
-                                timers.now(),
-                                exchange.budget(),
-                                attempt.handed(),
-                                outcome,
-                                latency,
-                                below);
-                    }
-                    if (attempt.answering() && exchange.endFlow()) {
-                        count(exchange, outcome == Outcome.OK ? End.FULFILLED : End.FAULTED);
-                    }
-                    if (outcome == Outcome.OK && !exchange.over()) {
-                        end(exchange, End.FULFILLED);
-                        exchange.result(budgets == null ? null : exchange.budget().served());
-                        exchange.reply().served(answer);
-                    }
-                    forgetIfDone(exchange);
-                    if (!attempt.answering()) {
-                        told(attempt, outcome, load);
-                    } else {
-                        if (outcome != Outcome.OK && outcome != Outcome.CANCELLED) {
-                            balancer.brokeOff(
-                                    timers.now(), attempt.endpoint(), attempt.startedAt());
-                        }
-                        return; // the module has heard of the rest
-                    }
-                    balancer.outcome(
-                            timers.now(),
-                            exchange.request().id(),
-                            attempt.number(),
-                            attempt.endpoint(),
-                            outcome,
-                            latency,
-                            exchange.over(),
-                            load);
-                });
     }
 
-    private void told(RequestAttempt<Q, A> attempt, Outcome outcome, LoadReport load) {
-        if (tally != null) {
-            tally.ended(timers.now(), attempt.zone(), outcome, load);
-        }
-    }
-
-    /** A probe came back; {@code load} is null unless it brought a report. */
-    public void probed(long endpoint, Outcome outcome, long latency, LoadReport load) {
-        if (tally != null) {
-            tally.probed(timers.now(), endpoint, outcome, load);
-        }
-        if (budgets != null && outcome == Outcome.OK) {
-            budgets.probed(latency);
+    private void deliverAttemptEnd(
+            RequestAttempt<Q, A> attempt,
+            Outcome outcome,
+            A answer,
+            long latency,
+            LoadReport load,
+            DownstreamFeedback feedback) {
+        Exchange<Q, A> exchange = attempt.exchange();
+        exchange.attemptEnded(outcome);
+        if (attempt.propagatedBudget() != null) {
+            budgets.ended(
+                    timers.now(),
+                    exchange.budget(),
+                    attempt.propagatedBudget(),
+                    outcome,
+                    latency,
+                    feedback);
+        }
+        if (attempt.isStreaming() && exchange.endStreaming()) {
+            accounting.onEnded(exchange, outcome == Outcome.OK ? End.SERVED : End.FAILED);
+        }
+        if (outcome == Outcome.OK && !exchange.isOver()) {
+            end(exchange, End.SERVED);
+            exchange.feedback(budgets == null ? null : exchange.budget().served());
+            exchange.reply().served(answer);
         }
-        post(() -> balancer.probed(timers.now(), endpoint, outcome, latency, load));
-    }
-
-    /** A resolver result: the list of nodes, or changes to it. */
-    public void resolved(EndpointListKind kind, List<Endpoint> entries) {
-        if (tally != null) {
-            tally.listed(kind, entries);
+        forgetIfDone(exchange);
+        if (!attempt.isStreaming()) {
+            accounting.onAttemptEnded(timers.now(), attempt, outcome, load);
+            tellOutcome(attempt, outcome, latency, exchange.isOver(), load);
+        } else if (outcome != Outcome.OK && outcome != Outcome.CANCELLED) {
+            balancer.onResponseAborted(timers.now(), attempt.endpoint(), attempt.startedAt());
         }
-        post(
-                () -> {
-                    balancer.endpoints(timers.now(), kind, entries);
-                    // Guards against a wait for a connection to a node that has left: another may
-                    // take it now.
-                    for (Exchange<Q, A> exchange : List.copyOf(exchanges.values())) {
-                        List.copyOf(exchange.attempts())
-                                .forEach(attempt -> withdraw(attempt, true));
-                    }
-                });
-    }
-
-    /** A call to discovery failed or the watch broke. */
-    public void unresolved() {
-        post(() -> balancer.endpointsFailed(timers.now()));
-    }
-
-    /** So many proxies of the tier live, this one with them. */
-    public void replicas(int live) {
-        post(() -> balancer.replicas(timers.now(), live));
     }
 
-    /** Each zone may get such a part of the RPCs; an empty list: as the module sees fit. */
-    public void shares(List<ZoneTrafficShare> shares) {
-        post(
-                () -> {
-                    shared = !shares.isEmpty();
-                    balancer.shares(timers.now(), shares);
-                });
+    private void tellOutcome(
+            RequestAttempt<Q, A> attempt,
+            Outcome outcome,
+            long latency,
+            boolean settled,
+            LoadReport load) {
+        balancer.onAttemptEnded(
+                timers.now(),
+                attempt.exchange().request().id(),
+                attempt.number(),
+                attempt.endpoint(),
+                outcome,
+                latency,
+                settled,
+                load);
     }
 
     /**
-     * From that instant on the shares that were said last must not be used. It is looked at before
-     * each event of the module. Guards against a process that stood still and goes on, in its first
-     * moment, by what copies had agreed on long ago.
+     * Ends an attempt from here. The outcome of one whose last byte was never written says that it
+     * did not run, whatever it is ended for, so that its client may repeat it.
      */
-    public void sharesUntil(long instant) {
-        sharesUntil = instant;
-    }
-
-    /** Runs this whenever an RPC goes out by shares that were said; null: nobody wants to know. */
-    public void onShared(Runnable hears) {
-        byShares = hears;
-    }
-
-    /** An operator has put a node back. */
-    public void returned(long endpoint) {
-        post(() -> balancer.returned(timers.now(), endpoint));
-    }
-
-    /** How many of the listed nodes the module avoids now. */
-    public int avoided() {
-        return balancer.avoided(timers.now());
-    }
-
-    /** A message came from another proxy of the tier. */
-    public void message(int from, byte[] message) {
-        post(() -> balancer.message(timers.now(), from, message));
-    }
-
-    private void post(Runnable event) {
-        events.add(event);
-        if (delivering) {
+    private void giveUp(RequestAttempt<Q, A> attempt, Outcome outcome) {
+        if (attempt.hasEnded()) {
             return;
         }
-        delivering = true;
-        try {
-            for (Runnable next = events.poll(); next != null; next = events.poll()) {
-                deliver(next);
-            }
-        } finally {
-            delivering = false;
-        }
+        Outcome ifUnsent =
+                outcome == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : Outcome.NOT_STARTED;
+        Outcome proven = attempt.isExecuting() ? outcome : ifUnsent;
+        transport.abandonAttempt(attempt);
+        attemptEnded(attempt, proven, null);
     }
 
-    private void deliver(Runnable event) {
-        try {
-            if (shared && timers.now() >= sharesUntil) {
-                shared = false;
-                balancer.shares(timers.now(), List.of());
-            }
-            event.run();
-        } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            // Guards against one bad event keeping those behind it; the RPC it concerns still has
-            // its timer.
-            log.fault("module.failed", e).write();
-        }
-    }
-
-    // ---- the end of an RPC's time ----
+    // ---- the end of a request's time
 
     /**
-     * The deadline of an RPC: what is still out has timed out, upon which the module ends the RPC:
-     * with the last of them it knows whether any may have run. Each RPC has this timer of its own,
-     * so that none depends on its attempts, or on the module, for an answer.
+     * The deadline of a request: its attempts in flight time out, and with the last of them the
+     * balancer ends the request, since it then knows whether any may have run. Each request has
+     * this timer of its own, so that none depends on its attempts, or on the balancer, for an
+     * answer.
      */
     private void expire(Exchange<Q, A> exchange) {
-        // A copy: guards against a module that sends again upon a time-out, and so adds to the
-        // attempts.
+        // A copy, since a balancer may start another attempt upon a time-out.
         for (RequestAttempt<Q, A> attempt : List.copyOf(exchange.attempts())) {
             giveUp(attempt, Outcome.TIMEOUT);
         }
-        if (!exchange.over() && figures != null) {
-            figures.late();
-        }
-        if (!exchange.over()) {
-            timers.at(timers.now() + OVERDUE, () -> overdue(exchange));
+        if (!exchange.isOver()) {
+            accounting.onDeadlineMissed();
+            timers.at(timers.now() + OVERDUE_NANOS, () -> endOverdue(exchange));
         }
     }
 
     /**
-     * Ends an RPC before its time, since this process ends. Guards against callers that get no
-     * answer at all, since their time was to be over later than this process.
+     * Ends a request before its time, since this process ends: its client would get no answer at
+     * all.
      */
-    public void cut(Exchange<Q, A> exchange) {
-        if (!exchange.over()) {
-            exchange.expiry(timers.now()); // first: guards against further attempts
-            exchange.forget();
+    public void expireNow(Exchange<Q, A> exchange) {
+        if (!exchange.isOver()) {
+            exchange.expiry(timers.now()); // first, so that no further attempt starts
+            exchange.cancelDeadline();
             expire(exchange);
         }
     }
 
-    /**
-     * What was never sent on, or is known not to have run, is refused: guards against no repeat of
-     * it.
-     */
-    private void overdue(Exchange<Q, A> exchange) {
-        if (exchange.over()) {
+    /** Ends a request that the balancer did not end: rejects what is known not to have run. */
+    private void endOverdue(Exchange<Q, A> exchange) {
+        if (exchange.isOver()) {
             return;
         }
         log.warn("rpc.overdue").with("rpc", exchange.request().id()).write();
         if (exchange.mayHaveRun()) {
             exchange.reply().failed();
-            leave(exchange, End.FAULTED);
+            endWithoutBalancer(exchange, End.FAILED);
         } else {
-            exchange.reply().refused(0);
-            leave(exchange, End.THROTTLED);
+            exchange.reply().rejected(0);
+            endWithoutBalancer(exchange, End.REJECTED);
+        }
+    }
+
+    // ---- endpoints, probes and other replicas
+
+    /** A probe ended; {@code load} is null unless it brought a report. */
+    public void probeEnded(long endpoint, Outcome outcome, long latency, LoadReport load) {
+        accounting.onProbeEnded(timers.now(), endpoint, outcome, load);
+        if (budgets != null && outcome == Outcome.OK) {
+            budgets.probed(latency);
         }
+        events.post(() -> balancer.onProbeEnded(timers.now(), endpoint, outcome, latency, load));
+    }
+
+    /** The endpoint list, or changes to it. */
+    public void endpointsUpdated(EndpointListKind kind, List<Endpoint> entries) {
+        accounting.onEndpoints(kind, entries);
+        events.post(
+                () -> {
+                    balancer.onEndpoints(timers.now(), kind, entries);
+                    endDeniedAttempts();
+                });
     }
 
     /**
-     * Ends an attempt from here. Guards against the outcome of one whose last byte was never
-     * written saying that it may have run: its caller would be told so, and might not repeat it.
+     * Attempts that wait for a connection to an endpoint which may no longer be sent to end now:
+     * another endpoint may take their requests.
      */
-    private void giveUp(RequestAttempt<Q, A> attempt, Outcome outcome) {
-        if (!attempt.ended()) {
-            Outcome unsent = outcome == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : Outcome.MOOT;
-            Outcome truth = attempt.mayRun() ? outcome : unsent;
-            client.abandon(attempt);
-            ended(attempt, truth, null);
+    private void endDeniedAttempts() {
+        for (Exchange<Q, A> exchange : List.copyOf(exchanges.values())) {
+            for (RequestAttempt<Q, A> attempt : List.copyOf(exchange.attempts())) {
+                endIfDenied(attempt, true);
+            }
         }
     }
 
-    private void forgetIfDone(Exchange<Q, A> exchange) {
-        if (exchange.forgettable()) {
-            exchange.forget();
-            exchanges.remove(exchange.request().id());
-        }
+    /** A call to discovery failed or the watch broke. */
+    public void endpointsUnavailable() {
+        events.post(() -> balancer.onEndpointsUnavailable(timers.now()));
+    }
+
+    /** An operator has put an endpoint back. */
+    public void endpointReenabled(long endpoint) {
+        events.post(() -> balancer.onEndpointReenabled(timers.now(), endpoint));
+    }
+
+    /** How many of the listed endpoints the balancer avoids now. */
+    public int avoidedEndpoints() {
+        return balancer.avoidedEndpoints(timers.now());
+    }
+
+    /** This many replicas of the tier are alive, this one among them. */
+    public void liveReplicas(int live) {
+        events.post(() -> balancer.onLiveReplicas(timers.now(), live));
+    }
+
+    /** A message came from another replica of the tier. */
+    public void peerMessage(int from, byte[] message) {
+        events.post(() -> balancer.onPeerMessage(timers.now(), from, message));
+    }
+
+    /** Each zone may get such a part of the requests; empty: as the balancer sees fit. */
+    public void shares(List<ZoneTrafficShare> shares) {
+        events.post(
+                () -> {
+                    zoneSharesSet = !shares.isEmpty();
+                    balancer.onZoneShares(timers.now(), shares);
+                });
+    }
+
+    /**
+     * From that instant on the zone shares that were set last must not be used. It is looked at
+     * before each event, since a process that was stopped would go on in its first moment by what
+     * replicas agreed on long ago.
+     */
+    public void zoneSharesValidUntil(long instant) {
+        zoneSharesValidUntil = instant;
+    }
+
+    /** Runs this whenever a request is sent by zone shares that were set. */
+    public void onZoneShareUsed(Runnable listener) {
+        onZoneShareUsed = listener;
     }
 
-    // ---- actions ----
+    private void expireZoneShares() {
+        if (zoneSharesSet && timers.now() >= zoneSharesValidUntil) {
+            zoneSharesSet = false;
+            balancer.onZoneShares(timers.now(), List.of());
+        }
+    }
 
-    private final class Hands implements LoadBalancer.Actions {
+    /** Carries out what the balancer wants done. */
+    private final class BalancerActions implements LoadBalancer.Actions {
 
         @Override
-        public void send(long request, long endpoint, long timeout) {
-            Exchange<Q, A> exchange = exchanges.get(request);
+        public void startAttempt(long requestId, long endpoint, long timeout) {
+            Exchange<Q, A> exchange = exchanges.get(requestId);
             if (exchange == null) {
-                log.warn("module.sent_late").with("rpc", request).write();
+                log.warn("module.sent_late").with("rpc", requestId).write();
                 return;
             }
             long now = timers.now();
-            RequestAttempt<Q, A> attempt = exchange.attempt(endpoint, now);
-            attempt.zone(tally == null ? -1 : tally.sent(now, endpoint));
-            if (exchange.over()
-                    || exchange.spent()
-                    || now >= exchange.expiry()
-                    || attempt.number() >= maxAttempts) {
-                ended(attempt, Outcome.MOOT, null);
-                return;
-            }
-            if (!client.knows(endpoint)) {
-                // Not moot: another node may well be there.
-                ended(attempt, Outcome.CONNECT_FAILED, null);
+            int zone = accounting.onAttemptSent(now, endpoint);
+            RequestAttempt<Q, A> attempt = exchange.newAttempt(endpoint, now, zone);
+            Outcome refusal = refusal(exchange, attempt, now);
+            if (refusal != null) {
+                attemptEnded(attempt, refusal, null);
                 return;
             }
             if (budgets != null) {
-                if (!budgets.mayAttempt(now, exchange.budget())) {
-                    ended(attempt, Outcome.MOOT, null);
-                    return;
-                }
-                attempt.hand(budgets.handDown(now, exchange.budget()));
+                attempt.propagate(budgets.handDown(now, exchange.budget()));
             }
-            if (shared && byShares != null) {
-                byShares.run();
+            if (zoneSharesSet) {
+                onZoneShareUsed.run();
             }
             if (timeout != 0) {
                 timers.at(now + timeout, () -> giveUp(attempt, Outcome.TIMEOUT));
             }
-            client.start(attempt);
+            transport.startAttempt(attempt);
+        }
+
+        /** What an attempt ends with at once; null where it may go to the transport. */
+        private Outcome refusal(Exchange<Q, A> exchange, RequestAttempt<Q, A> attempt, long now) {
+            if (!mayAttempt(exchange, now) || attempt.number() >= maxAttempts) {
+                return Outcome.NOT_STARTED;
+            }
+            if (!transport.knowsEndpoint(attempt.endpoint())) {
+                return Outcome.CONNECT_FAILED; // another endpoint may well be there
+            }
+            boolean withinBudget = budgets == null || budgets.mayAttempt(now, exchange.budget());
+            return withinBudget ? null : Outcome.NOT_STARTED;
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {
-            Exchange<Q, A> exchange = finish(request, End.THROTTLED);
+        public void reject(long requestId, long retryAfter) {
+            Exchange<Q, A> exchange = finish(requestId, End.REJECTED);
             if (exchange != null) {
-                exchange.result(budgets == null ? null : exchange.budget().refused());
-                exchange.reply().refused(retryAfter);
+                exchange.feedback(budgets == null ? null : exchange.budget().refused());
+                exchange.reply().rejected(retryAfter);
             }
         }
 
         @Override
-        public void fail(long request) {
-            Exchange<Q, A> exchange = finish(request, End.FAULTED);
+        public void fail(long requestId) {
+            Exchange<Q, A> exchange = finish(requestId, End.FAILED);
             if (exchange != null) {
-                exchange.result(budgets == null ? null : exchange.budget().failed());
+                exchange.feedback(budgets == null ? null : exchange.budget().failed());
                 exchange.reply().failed();
             }
         }
 
-        /** Marks an RPC as over; null when it was already. */
-        private Exchange<Q, A> finish(long request, End how) {
-            Exchange<Q, A> exchange = exchanges.get(request);
-            if (exchange == null || exchange.over()) {
+        /** Marks a request as over; null where it was already. */
+        private Exchange<Q, A> finish(long requestId, End end) {
+            Exchange<Q, A> exchange = exchanges.get(requestId);
+            if (exchange == null || exchange.isOver()) {
                 return null;
             }
-            end(exchange, how);
+            end(exchange, end);
             forgetIfDone(exchange);
             return exchange;
         }
 
         @Override
-        public void cancel(long request, int attempt) {
-            Exchange<Q, A> exchange = exchanges.get(request);
+        public void cancelAttempt(long requestId, int attempt) {
+            Exchange<Q, A> exchange = exchanges.get(requestId);
             if (exchange != null && attempt < exchange.attempts().size()) {
                 giveUp(exchange.attempts().get(attempt), Outcome.CANCELLED);
             }
         }
 
         @Override
-        public void probe(long endpoint) {
-            if (client.knows(endpoint)) {
-                client.probe(endpoint);
+        public void sendProbe(long endpoint) {
+            if (transport.knowsEndpoint(endpoint)) {
+                transport.sendProbe(endpoint);
             } else {
-                probed(endpoint, Outcome.MOOT, 0, null);
+                probeEnded(endpoint, Outcome.NOT_STARTED, 0, null);
             }
         }
 
         @Override
-        public void closeIdle(long endpoint) {
-            client.closeIdle(endpoint);
+        public void closeIdleConnections(long endpoint) {
+            transport.closeIdleConnections(endpoint);
         }
 
         @Override
-        public void schedule(long at, long token) {
-            timers.at(at, () -> post(() -> balancer.timer(timers.now(), token)));
+        public void scheduleTimer(long at, long token) {
+            timers.at(at, () -> events.post(() -> balancer.onTimer(timers.now(), token)));
         }
 
         @Override
-        public void subscribe(boolean on) {
-            resolver.subscribe(on);
+        public void watchEndpoints(boolean on) {
+            discovery.watch(on);
         }
 
         @Override
         public void fetchEndpoints() {
-            resolver.fetch();
+            discovery.fetchAll();
         }
 
         @Override
-        public void tell(int replica, byte[] message) {
-            peers.tell(replica, message);
+        public void sendToPeers(int replica, byte[] message) {
+            peers.send(replica, message);
         }
 
         @Override
--- a/core/src/main/java/cedarrudder/forwarding/TimerService.java
+++ b/core/src/main/java/cedarrudder/forwarding/TimerService.java
@@ -8,7 +8,7 @@
 
     /** A task that waits for its time. */
     interface Timer {
-        /** Calls the task off; without effect once it has run. */
+        /** Cancels the task; without effect once it has run. */
         void cancel();
     }
 
--- /dev/null
+++ b/core/src/main/java/cedarrudder/membership/package-info.java
@@ -0,0 +1,9 @@
+/**
+ * Group membership after SWIM (Das, Gupta and Motivala, 2002) with suspicion and Lifeguard's local
+ * health: which replicas of a tier are alive.
+ *
+ * <p>{@link cedarrudder.membership.SwimMember} is fed datagrams and time.
+ *
+ * <p>Uses nothing else of the project.
+ */
+package cedarrudder.membership;
--- a/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
+++ b/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
@@ -10,79 +10,79 @@
     /** How an RPC ended, by what its caller got. */
     public enum End {
         /** A node's answer. */
-        FULFILLED,
+        SERVED,
         /** 429 or 503, whoever worded it: a repeat is harmless. */
-        THROTTLED,
+        REJECTED,
         /** Any other status, or an answer that is visibly not whole. */
-        FAULTED,
+        FAILED,
         /** Nothing: the caller had gone. */
-        LEFT
+        CLIENT_LEFT
     }
 
     private final long[][] ended;
-    private final long[] taken;
-    private final long[] relayed;
-    private long late;
-    private long open;
+    private final long[] accepted;
+    private final long[] forwarded;
+    private long deadlinesMissed;
+    private long openRequests;
 
     /**
      * @param classes how many classes of requests there are
      */
     public RequestMetrics(int classes) {
         ended = new long[End.values().length][classes];
-        taken = new long[classes];
-        relayed = new long[classes];
+        accepted = new long[classes];
+        forwarded = new long[classes];
     }
 
     /** An RPC of this class was taken. */
-    public void taken(int kind) {
-        taken[kind]++;
-        open++;
+    public void onAccepted(int kind) {
+        accepted[kind]++;
+        openRequests++;
     }
 
     /** One that was taken has ended; to be called once for each. */
-    public void ended(int kind, End how) {
+    public void onEnded(int kind, End how) {
         ended[how.ordinal()][kind]++;
-        open--;
+        openRequests--;
     }
 
     /** The time of one was over before it had ended. */
-    public void late() {
-        late++;
+    public void onDeadlineMissed() {
+        deadlinesMissed++;
     }
 
     /** RPCs whose time was over before they had ended. */
-    public long allLate() {
-        return late;
+    public long deadlinesMissed() {
+        return deadlinesMissed;
     }
 
     /** An attempt of this class was written whole to a node. */
-    public void relayed(int kind) {
-        relayed[kind]++;
+    public void onForwarded(int kind) {
+        forwarded[kind]++;
     }
 
     /** How many classes there are. */
     public int classes() {
-        return taken.length;
+        return accepted.length;
     }
 
     /** RPCs of a class that ended like this. */
-    public long allEnded(int kind, End how) {
+    public long ended(int kind, End how) {
         return ended[how.ordinal()][kind];
     }
 
     /** RPCs of a class that were taken, however they ended. */
-    public long allTaken(int kind) {
-        return taken[kind];
+    public long accepted(int kind) {
+        return accepted[kind];
     }
 
     /** Attempts of a class that were written whole. */
-    public long allRelayed(int kind) {
-        return relayed[kind];
+    public long forwarded(int kind) {
+        return forwarded[kind];
     }
 
     /** RPCs that were taken and have not ended. */
-    public long open() {
-        return open;
+    public long openRequests() {
+        return openRequests;
     }
 }
--- /dev/null
+++ b/core/src/main/java/cedarrudder/routetable/package-info.java
@@ -0,0 +1,9 @@
+/**
+ * The route table that replicas agree on: immutable, numbered, with its compact form and the delta
+ * between two tables.
+ *
+ * <p>A replica loads a table whole or not at all, and numbers only rise.
+ *
+ * <p>Uses nothing else of the project.
+ */
+package cedarrudder.routetable;
--- a/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
+++ b/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
@@ -22,7 +22,7 @@
 
     private static EndpointStatus seen(
             AdminOverrides rotation, EndpointListKind kind, Named... entries) {
-        return rotation.listed(kind, List.of(entries)).get(0).state();
+        return rotation.listed(kind, List.of(entries)).get(0).status();
     }
 
     /** Guards against a ban that a line of discovery's takes back. */
@@ -33,16 +33,16 @@
                 seen(rotation, EndpointListKind.FULL, named("a", EndpointStatus.READY, 5)),
                 EndpointStatus.READY);
         rotation.disable("a");
-        assertEquals(rotation.shown("a").state(), EndpointStatus.DRAINING);
+        assertEquals(rotation.shown("a").status(), EndpointStatus.DRAINING);
         assertEquals(
-                seen(rotation, EndpointListKind.CHANGES, named("a", EndpointStatus.READY, 9)),
+                seen(rotation, EndpointListKind.DELTA, named("a", EndpointStatus.READY, 9)),
                 EndpointStatus.DRAINING);
         assertEquals(
-                seen(rotation, EndpointListKind.CHANGES, named("a", EndpointStatus.GONE, 9)),
-                EndpointStatus.GONE);
+                seen(rotation, EndpointListKind.DELTA, named("a", EndpointStatus.REMOVED, 9)),
+                EndpointStatus.REMOVED);
         assertNull(rotation.shown("a"));
         assertEquals(
-                seen(rotation, EndpointListKind.CHANGES, named("a", EndpointStatus.READY, 20)),
+                seen(rotation, EndpointListKind.DELTA, named("a", EndpointStatus.READY, 20)),
                 EndpointStatus.DRAINING);
         rotation.listed(EndpointListKind.FULL, List.of());
         assertTrue(rotation.knows("a"));
@@ -63,16 +63,16 @@
                 List.of(named("a", EndpointStatus.READY, 0), named("b", EndpointStatus.READY, 0)));
         Set<Long> a = Set.of((long) "a".hashCode());
         assertEquals(rotation.leaving(a, 100), Set.of("a"));
-        assertEquals(rotation.shown("a").state(), EndpointStatus.DRAINING);
-        assertEquals(rotation.shown("b").state(), EndpointStatus.READY);
+        assertEquals(rotation.shown("a").status(), EndpointStatus.DRAINING);
+        assertEquals(rotation.shown("b").status(), EndpointStatus.READY);
         rotation.disable("a");
         rotation.enable("a", 150);
-        assertEquals(rotation.shown("a").state(), EndpointStatus.DRAINING);
+        assertEquals(rotation.shown("a").status(), EndpointStatus.DRAINING);
         rotation.disable("a");
         assertEquals(rotation.leaving(Set.of(), 200), Set.of("a"));
-        assertEquals(rotation.shown("a").state(), EndpointStatus.DRAINING);
+        assertEquals(rotation.shown("a").status(), EndpointStatus.DRAINING);
         rotation.enable("a", 300);
-        assertEquals(rotation.shown("a").state(), EndpointStatus.READY);
+        assertEquals(rotation.shown("a").status(), EndpointStatus.READY);
         assertEquals(rotation.shown("a").startedAt(), 300);
         assertEquals(rotation.leaving(a, 400), Set.of("a"));
         assertEquals(rotation.leaving(a, 500), Set.of());
@@ -95,9 +95,9 @@
         rotation.enable("a", 100);
         rotation.enable("a", 300);
         rotation.enable("b", 200);
-        assertEquals(rotation.shown("a").state(), EndpointStatus.READY);
+        assertEquals(rotation.shown("a").status(), EndpointStatus.READY);
         assertEquals(rotation.shown("a").startedAt(), 100);
-        assertEquals(rotation.shown("b").state(), EndpointStatus.DRAINING);
+        assertEquals(rotation.shown("b").status(), EndpointStatus.DRAINING);
         // The same start for good, so that no later list makes it start again, until a later start
         // is told.
         assertEquals(
@@ -109,7 +109,7 @@
                 100);
         assertEquals(
                 rotation.listed(
-                                EndpointListKind.CHANGES,
+                                EndpointListKind.DELTA,
                                 List.of(named("a", EndpointStatus.READY, 400)))
                         .get(0)
                         .startedAt(),
--- a/core/src/test/java/cedarrudder/admission/AdmissionQueueTest.java
+++ b/core/src/test/java/cedarrudder/admission/AdmissionQueueTest.java
@@ -18,7 +18,7 @@
     private void offer(int room, Offer otherwise) {
         offered.clear();
         int[] left = {room};
-        line.release(
+        line.dispatch(
                 lane -> worth[lane],
                 request -> {
                     offered.add(request);
@@ -38,21 +38,21 @@
 
     @Test
     public void theWorthiestGoFirstAndInALaneWhoCameFirst() {
-        offer(4, Offer.NONE);
+        offer(4, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("most", "middle 1", "middle 2", "least"));
         assertEquals(line.size(), 0);
     }
 
     @Test
     public void whereThereIsNoRoomNobodyElseIsOfferedIt() {
-        offer(1, Offer.NONE);
+        offer(1, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("most", "middle 1"));
         assertEquals(line.size(), 3);
     }
 
     @Test
     public void whoFitsNowhereHoldsUpNoOtherLane() {
-        offer(0, Offer.NONE_FOR_IT);
+        offer(0, Offer.SKIPPED);
         assertEquals(offered, List.of("most", "middle 1", "least"));
         assertEquals(line.size(), 4);
     }
@@ -60,23 +60,23 @@
     @Test
     public void worthIsAskedAnewEachTime() {
         worth[0] = 9;
-        offer(1, Offer.NONE);
+        offer(1, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("least", "most"));
     }
 
     @Test
     public void ofEqualWorthWhoCameFirstGoesFirst() {
         worth[1] = worth[2] = worth[0];
-        offer(3, Offer.NONE);
+        offer(3, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("least", "middle 1", "middle 2", "most"));
     }
 
     @Test
     public void whoLeavesIsTakenOutOfEachLane() {
-        List<String> left = line.remove(request -> request.startsWith("m"));
+        List<String> left = line.removeIf(request -> request.startsWith("m"));
         assertEquals(left, List.of("most", "middle 1", "middle 2"));
         assertEquals(line.size(), 1);
-        offer(9, Offer.NONE);
+        offer(9, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("least"));
     }
 }
--- a/core/src/test/java/cedarrudder/admission/EndpointConcurrencyLimitTest.java
+++ b/core/src/test/java/cedarrudder/admission/EndpointConcurrencyLimitTest.java
@@ -16,7 +16,7 @@
             EndpointConcurrencyLimit limit, int processors, int answers) {
         for (int i = 0; i < answers; i++) {
             double held = Math.ceil(limit.limit());
-            limit.answered(held, WORK * Math.max(1, held / processors), WORK);
+            limit.onResponse(held, WORK * Math.max(1, held / processors), WORK);
         }
         return limit;
     }
@@ -24,8 +24,8 @@
     @Test
     public void itBeginsAtTheSafeValue() {
         EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
-        assertTrue(limit.room(3));
-        assertFalse(limit.room(4));
+        assertTrue(limit.hasCapacity(3));
+        assertFalse(limit.hasCapacity(4));
         assertEquals(full(limit, 16, 19).limit(), 4.0, "too few answers to go by");
     }
 
@@ -51,7 +51,7 @@
     public void itDoesNotGrowWhereItIsNotMet() {
         EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
         for (int i = 0; i < 1000; i++) {
-            limit.answered(2, WORK, WORK);
+            limit.onResponse(2, WORK, WORK);
         }
         assertEquals(limit.limit(), 4.0);
     }
@@ -59,8 +59,8 @@
     @Test
     public void withoutWhatItNeedsThereIsNoLimit() {
         EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
-        limit.answered(4, WORK, 0);
-        assertTrue(limit.room(1000));
-        assertTrue(full(new EndpointConcurrencyLimit(0), 1, 100).room(1000));
+        limit.onResponse(4, WORK, 0);
+        assertTrue(limit.hasCapacity(1000));
+        assertTrue(full(new EndpointConcurrencyLimit(0), 1, 100).hasCapacity(1000));
     }
 }
--- a/core/src/test/java/cedarrudder/admission/TenantQuotasTest.java
+++ b/core/src/test/java/cedarrudder/admission/TenantQuotasTest.java
@@ -13,7 +13,7 @@
     private static int within(TenantQuotas meter, long from) {
         int within = 0;
         for (int i = 0; i < 10_000; i++) {
-            boolean past = meter.past(from + i * (SECOND / 1_000), 0);
+            boolean past = meter.isOverQuota(from + i * (SECOND / 1_000), 0);
             within += i >= 9_000 && !past ? 1 : 0;
         }
         return within;
@@ -23,11 +23,11 @@
     public void theShareOfOneCopyFollowsThoseThatLive() {
         TenantQuotas meter = new TenantQuotas(new double[] {120}, 4);
         assertEquals((double) within(meter, SECOND), 30, 1);
-        meter.replicas(2);
+        meter.onLiveReplicas(2);
         assertEquals((double) within(meter, 100 * SECOND), 60, 1);
-        meter.replicas(4);
+        meter.onLiveReplicas(4);
         assertEquals((double) within(meter, 200 * SECOND), 30, 1);
-        meter.replicas(0); // nobody says so; it counts itself at the least
+        meter.onLiveReplicas(0); // nobody says so; it counts itself at the least
         assertEquals((double) within(meter, 300 * SECOND), 120, 1);
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
+++ b/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
@@ -26,8 +26,8 @@
         BalancerParameters tuning =
                 BalancerParametersParser.read(
                         List.of("max-age-ms=9", "rif-quantile=0.9", "max-age-ms=1500"));
-        assertEquals(tuning.get(Parameter.MAX_AGE_MS), 1500.0);
-        assertEquals(tuning.nanos(Parameter.MAX_AGE_MS), 1500 * Site.MS);
+        assertEquals(tuning.get(Parameter.PROBE_MAX_AGE_MS), 1500.0);
+        assertEquals(tuning.nanos(Parameter.PROBE_MAX_AGE_MS), 1500 * Site.MS);
         assertEquals(
                 BalancerParametersParser.differences(tuning), "max-age-ms=1500 rif-quantile=0.9");
         assertEquals(
@@ -63,8 +63,8 @@
                                 BalancerParameters.DEFAULTS.with(figure, value),
                                 new SplittableRandom(1),
                                 did);
-                decide.endpoints(Site.SECOND, EndpointListKind.CACHED, Site.readyUpTo(4));
-                decide.request(
+                decide.onEndpoints(Site.SECOND, EndpointListKind.CACHED, Site.readyUpTo(4));
+                decide.onRequest(
                         Site.SECOND, new Request(1, 0, 0, 3 * Site.SECOND, 0, false, false, 0));
                 assertEquals(did.sent.size(), 1, figure + "=" + value);
             }
--- a/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
@@ -18,7 +18,7 @@
      */
     @Test
     public void aTenantBeginsWithItsShare() {
-        assertFalse(new TenantQuotas(new double[] {10}, 1).past(BEGIN, 0));
+        assertFalse(new TenantQuotas(new double[] {10}, 1).isOverQuota(BEGIN, 0));
     }
 
     /** Guards against worths that are no numbers, by which nobody can be ordered. */
@@ -26,10 +26,12 @@
     public void worthsAreNumbers() {
         ClassPriority worth = new ClassPriority(2, 0.8, 0.2, 0.1);
         long begin = 100_000 * BEGIN;
-        worth.asked(begin, 0, 1);
-        worth.asked(begin, 1, 1);
-        worth.served(begin, 1, 1);
-        assertTrue(worth.next(0, false) > worth.next(1, false), "who is served worst goes first");
+        worth.onRequest(begin, 0, 1);
+        worth.onRequest(begin, 1, 1);
+        worth.onServed(begin, 1, 1);
+        assertTrue(
+                worth.priority(0, false) > worth.priority(1, false),
+                "who is served worst goes first");
     }
 
     /**
@@ -37,6 +39,6 @@
      */
     @Test
     public void anEndpointHasRoomForConnections() {
-        assertFalse(new EndpointState(Site.ready(1), BEGIN, 4, 0).crowded(BEGIN));
+        assertFalse(new EndpointState(Site.ready(1), BEGIN, 4, 0).isCrowded(BEGIN));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
@@ -153,7 +153,7 @@
         for (double capacity : new double[] {33, 5}) {
             for (int second = 0; second <= 20; second += 5) {
                 long from = second * Site.SECOND;
-                long until = from + ColdFleet.SAFETY.fallWindow();
+                long until = from + ColdFleet.SAFETY.overloadWindowNanos();
                 double bound = ColdFleet.bound(ColdFleet.SAFETY, until, capacity);
                 int eager = greedy(replicas, capacity, from, false);
                 int atOnce = greedy(replicas, capacity, from, true);
@@ -187,14 +187,16 @@
                             random.nextDouble()));
         }
         int sent = 0;
-        for (long now = 1; now <= from + ColdFleet.SAFETY.fallWindow(); now += 20 * Site.MS) {
+        for (long now = 1;
+                now <= from + ColdFleet.SAFETY.overloadWindowNanos();
+                now += 20 * Site.MS) {
             for (int i = 0; i < replicas; i++) {
                 double rate = 0.6 * capacity * part[i] / sum;
                 while (servers.get(i)
-                                .withinColdBudget(
+                                .withinSlowStartBudget(
                                         now, rate, BalancerParameters.DEFAULTS, ColdFleet.SAFETY)
                         && (!atOnce || now > from)) {
-                    servers.get(i).sent(now, 1);
+                    servers.get(i).onAttemptSent(now, 1);
                     sent += now > from ? 1 : 0;
                 }
             }
