--- a/core/src/test/java/cedarrudder/balancer/ColdFleet.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdFleet.java
@@ -197,7 +197,7 @@
         private void count(double work) {
             came.add(new Came(now, work));
             workCame += work;
-            while (came.peek().at <= now - safety.fallWindow()) {
+            while (came.peek().at <= now - safety.overloadWindowNanos()) {
                 workCame -= came.remove().work;
             }
             toCold++;
@@ -222,11 +222,11 @@
 
         void takes(Copy from, long request, int attempt, long id) {
             double work = works.get(request);
-            if (startedAt != 0 && now - startedAt < safety.rampTime()) {
+            if (startedAt != 0 && now - startedAt < safety.slowStartNanos()) {
                 count(work);
             }
             if (holds >= 20) {
-                later(now, () -> from.ended(request, attempt, id, Outcome.FULL, 0));
+                later(now, () -> from.ended(request, attempt, id, Outcome.REJECTED, 0));
                 return;
             }
             holds++;
@@ -296,7 +296,7 @@
                             tuning,
                             new SplittableRandom(seed),
                             this);
-            module.endpoints(now, EndpointListKind.CACHED, listed);
+            module.onEndpoints(now, EndpointListKind.CACHED, listed);
         }
 
         void call(long id, int tries, double work) {
@@ -304,7 +304,7 @@
             deadlines.put(id, until);
             triesLeft.put(id, tries);
             works.put(id, work);
-            module.request(
+            module.onRequest(
                     now,
                     new Request(
                             id,
@@ -324,18 +324,18 @@
                     triesLeft.remove(request);
                     served++;
                 }
-                module.outcome(now, request, attempt, node, outcome, latency, settled, null);
+                module.onAttemptEnded(now, request, attempt, node, outcome, latency, settled, null);
             }
         }
 
         @Override
-        public void send(long request, long endpoint, long timeout) {
+        public void startAttempt(long request, long endpoint, long timeout) {
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
             later(now, () -> nodes.get(endpoint).takes(this, request, attempt, endpoint));
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {
+        public void reject(long request, long retryAfter) {
             over(request);
         }
 
@@ -361,13 +361,13 @@
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void sendProbe(long endpoint) {
             later(
                     now + Site.MS,
                     () -> {
                         if (!dead) {
                             Node node = nodes.get(endpoint);
-                            module.probed(
+                            module.onProbeEnded(
                                     now,
                                     endpoint,
                                     Outcome.OK,
@@ -378,30 +378,30 @@
         }
 
         @Override
-        public void schedule(long at, long token) {
+        public void scheduleTimer(long at, long token) {
             later(
                     at,
                     () -> {
                         if (!dead) {
-                            module.timer(now, token);
+                            module.onTimer(now, token);
                         }
                     });
         }
 
         @Override
-        public void cancel(long request, int attempt) {}
+        public void cancelAttempt(long request, int attempt) {}
 
         @Override
-        public void closeIdle(long endpoint) {}
+        public void closeIdleConnections(long endpoint) {}
 
         @Override
-        public void subscribe(boolean on) {}
+        public void watchEndpoints(boolean on) {}
 
         @Override
         public void fetchEndpoints() {}
 
         @Override
-        public void tell(int replica, byte[] message) {}
+        public void sendToPeers(int replica, byte[] message) {}
 
         @Override
         public void log(String line) {}
@@ -470,7 +470,7 @@
                 LongStream.rangeClosed(from, to).mapToObj(id -> start(id, now)).toList();
         replicas.stream()
                 .filter(c -> !c.dead)
-                .forEach(c -> c.module.endpoints(now, EndpointListKind.CHANGES, fresh));
+                .forEach(c -> c.module.onEndpoints(now, EndpointListKind.DELTA, fresh));
     }
 
     /** Plays a world to the end of the warm-up. */
@@ -480,15 +480,20 @@
 
     /** The share of its capacity that an endpoint has at this age. */
     static double share(SafetyRules safety, long age) {
-        return safety.coldShare()
-                + (1 - safety.coldShare()) * Math.min(1, age / (double) safety.rampTime());
+        return safety.coldCapacityShare()
+                + (1 - safety.coldCapacityShare())
+                        * Math.min(1, age / (double) safety.slowStartNanos());
     }
 
     /**
      * What the settings allow an endpoint of this age within the window, in requests of mean work.
      */
     static double allowed(SafetyRules safety, long age, double capacity) {
-        return safety.fallMultiple() * share(safety, age) * capacity * safety.fallWindow() / 1e9;
+        return safety.overloadMultiple()
+                * share(safety, age)
+                * capacity
+                * safety.overloadWindowNanos()
+                / 1e9;
     }
 
     /** More than this pushes it over. */
@@ -510,7 +515,7 @@
                         + (world.trouble == Trouble.THRONG || world.trouble == Trouble.BLACKOUT
                                 ? world.after
                                 : 0)
-                        + safety.rampTime();
+                        + safety.slowStartNanos();
         while (events.peek().at < end) {
             Event event = events.remove();
             now = event.at;
--- a/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
@@ -54,7 +54,7 @@
             site.self = i % replicas;
             did.add(new Recorder());
             decides.add(new PrequalBalancer(site.settings(), new SplittableRandom(i), did.get(i)));
-            decides.get(i).endpoints(start, EndpointListKind.CACHED, Site.readyUpTo(WARM));
+            decides.get(i).onEndpoints(start, EndpointListKind.CACHED, Site.readyUpTo(WARM));
         }
         SafetyRules safety = site.settings().safety();
         long coldFrom = start + 5 * Site.SECOND;
@@ -70,18 +70,19 @@
                 told = true;
                 Endpoint cold = Site.endpoint(COLD, 0, 0, EndpointStatus.READY, coldFrom);
                 for (PrequalBalancer decide : decides) {
-                    decide.endpoints(now, EndpointListKind.CHANGES, List.of(cold));
+                    decide.onEndpoints(now, EndpointListKind.DELTA, List.of(cold));
                 }
             }
             int at = random.nextInt(now < coldFrom - Site.SECOND ? replicas : decides.size());
             PrequalBalancer decide = decides.get(at);
             Recorder recorder = did.get(at);
             recorder.clear();
-            decide.request(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+            decide.onRequest(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
             for (long probe : List.copyOf(recorder.probed)) {
                 // The fresh endpoint reads empty and quick, as fresh ones do.
                 boolean fresh = probe == COLD;
-                decide.probed(now, probe, Outcome.OK, 0, Site.load(fresh ? 0 : 4, fresh ? 1 : 20));
+                decide.onProbeEnded(
+                        now, probe, Outcome.OK, 0, Site.load(fresh ? 0 : 4, fresh ? 1 : 20));
             }
             for (Recorder.Sent sent : List.copyOf(recorder.sent)) {
                 if (sent.endpoint() == COLD) {
@@ -93,18 +94,18 @@
             while (!out.isEmpty() && out.peek().until <= now) {
                 Out done = out.remove();
                 Recorder.Sent sent = done.sent;
-                done.at.outcome(
+                done.at.onAttemptEnded(
                         now, sent.request(), 0, sent.endpoint(), Outcome.OK, LASTS, true, null);
             }
-            while (!toCold.isEmpty() && toCold.peek() <= now - safety.fallWindow()) {
+            while (!toCold.isEmpty() && toCold.peek() <= now - safety.overloadWindowNanos()) {
                 toCold.remove();
             }
-            if (told && now < coldFrom + safety.rampTime()) {
-                double ramp = (now - coldFrom) / (double) safety.rampTime();
-                double part = safety.coldShare() + (1 - safety.coldShare()) * ramp;
+            if (told && now < coldFrom + safety.slowStartNanos()) {
+                double ramp = (now - coldFrom) / (double) safety.slowStartNanos();
+                double part = safety.coldCapacityShare() + (1 - safety.coldCapacityShare()) * ramp;
                 // Warm endpoints bear this much each, so they can do that at the least.
                 double canDo = requestsPerSecond / (double) WARM * part;
-                double max = safety.fallMultiple() * canDo * safety.fallWindow() / 1e9;
+                double max = safety.overloadMultiple() * canDo * safety.overloadWindowNanos() / 1e9;
                 assertTrue(
                         toCold.size() <= max,
                         toCold.size()
--- a/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
@@ -139,7 +139,7 @@
             private final DiscoveryPollSchedule clock =
                     new DiscoveryPollSchedule(
                             true,
-                            DiscoveryPollSchedule.longest(site(ask)),
+                            DiscoveryPollSchedule.maxBackoffNanos(site(ask)),
                             DiscoveryTimeouts.DEFAULT,
                             own.split(),
                             this);
@@ -160,10 +160,10 @@
                                         LoadBalancer.class.getClassLoader(),
                                         new Class<?>[] {LoadBalancer.Actions.class},
                                         (self, method, args) -> {
-                                            if (method.getName().equals("schedule")) {
+                                            if (method.getName().equals("scheduleTimer")) {
                                                 at((long) args[0], () -> tick((long) args[1]));
-                                            } else if (method.getName().equals("subscribe")) {
-                                                clock.ask(now);
+                                            } else if (method.getName().equals("watchEndpoints")) {
+                                                clock.poll(now);
                                             }
                                             return null;
                                         });
@@ -172,16 +172,16 @@
                         now,
                         () -> {
                             if (!ask) {
-                                clock.ask(now);
+                                clock.poll(now);
                             }
-                            module.endpoints(now, EndpointListKind.CACHED, List.of());
+                            module.onEndpoints(now, EndpointListKind.CACHED, List.of());
                         });
             }
 
             /** Not the module's ticks: they would only cost the test its time. */
             private void tick(long token) {
                 if (token != 0) {
-                    module.timer(now, token);
+                    module.onTimer(now, token);
                 }
             }
 
@@ -199,7 +199,7 @@
             }
 
             @Override
-            public void spare(boolean wanted) {
+            public void dialSpare(boolean wanted) {
                 spare = wanted ? new Link() : null;
             }
 
@@ -240,7 +240,7 @@
                         calls.add(now);
                         broke(call);
                     } else if (open.contains(call) && up) {
-                        clock.connected(call);
+                        clock.onConnected(call);
                         at(now + WIRE, () -> come(call));
                     }
                 }
@@ -266,7 +266,7 @@
 
             private void broke(int call) {
                 if (open.remove(call)) {
-                    clock.broke(now, call);
+                    clock.onCallFailed(now, call);
                 }
             }
 
@@ -278,8 +278,8 @@
                     broke(call);
                     return;
                 }
-                clock.told(now, call);
-                module.endpoints(now, EndpointListKind.CHANGES, List.of());
+                clock.onUpdate(now, call);
+                module.onEndpoints(now, EndpointListKind.DELTA, List.of());
                 toldAt = now;
                 told.add(now);
                 at(now + 2 * S + random.nextLong(LATE), () -> line(call));
@@ -287,31 +287,31 @@
 
             private void line(int call) {
                 if (state == Discovery.WELL && open.contains(call)) {
-                    clock.blank(now, call);
+                    clock.onHeartbeat(now, call);
                     at(now + 2 * S + random.nextLong(LATE), () -> line(call));
                 }
             }
 
             @Override
-            public void drop(int call, String why) {
+            public void drop(int call, DiscoveryPollSchedule.DropReason reason) {
                 open.remove(call);
             }
 
             @Override
-            public void wake(long at) {
+            public void scheduleTimer(long at) {
                 armed = at;
                 World.this.at(
                         at + TURN,
                         () -> {
                             if (armed == at) {
-                                clock.due(now);
+                                clock.onTimer(now);
                             }
                         });
             }
 
             @Override
-            public void failed() {
-                module.endpointsFailed(now);
+            public void onUnavailable() {
+                module.onEndpointsUnavailable(now);
             }
         }
     }
@@ -363,7 +363,7 @@
         world.run(20 * S);
         World.Copy replica = world.replicas.get(0);
         int call = replica.open.iterator().next();
-        replica.clock.told(world.now, call);
+        replica.clock.onUpdate(world.now, call);
         replica.open.remove(call); // from now on nothing comes on it
         long from = world.now;
         world.late = late;
@@ -466,23 +466,23 @@
     public void anObjectThatNeverEndsIsNoLife() {
         List<String> done = new ArrayList<>();
         DiscoveryPollSchedule clock = clock(done, 6 * S);
-        clock.ask(0);
-        clock.told(0, 1);
-        clock.begun(2 * S, 1);
+        clock.poll(0);
+        clock.onUpdate(0, 1);
+        clock.onObjectStarted(2 * S, 1);
         for (long at = 2 * S; at < 8 * S; at += 50 * MS) {
-            clock.due(at);
+            clock.onTimer(at);
         }
         assertEquals(
                 calls(done),
                 List.of(
                         "open 1",
-                        "spare false",
-                        "drop 1 silent",
+                        "dialSpare false",
+                        "drop 1 SILENT",
                         "open 2",
-                        "spare true",
-                        "drop 2 null",
+                        "dialSpare true",
+                        "drop 2 SUPERSEDED",
                         "open 3",
-                        "spare true"));
+                        "dialSpare true"));
     }
 
     /**
@@ -493,37 +493,38 @@
     public void itIsAskedAtOnceWhereItMovedAndSoonWhereListsArePushed() {
         List<String> done = new ArrayList<>();
         DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-        clock.ask(0);
-        clock.told(1, 1);
-        clock.move(S);
-        clock.blank(S + 1, 2);
-        clock.broke(S + 2, 2);
-        clock.due(S + 2 + 750 * MS);
-        clock.connected(3);
-        clock.due(S + 2 + 1000 * MS);
-        clock.due(S + 2 + 2000 * MS);
-        clock.told(S + 3 + 2000 * MS, 4);
+        clock.poll(0);
+        clock.onUpdate(1, 1);
+        clock.onAddressChanged(S);
+        clock.onHeartbeat(S + 1, 2);
+        clock.onCallFailed(S + 2, 2);
+        clock.onTimer(S + 2 + 750 * MS);
+        clock.onConnected(3);
+        clock.onTimer(S + 2 + 1000 * MS);
+        clock.onTimer(S + 2 + 2000 * MS);
+        clock.onUpdate(S + 3 + 2000 * MS, 4);
         assertEquals(
                 calls(done),
                 List.of(
                         "open 1",
-                        "spare false",
+                        "dialSpare false",
                         "open 2",
-                        "failed",
+                        "onUnavailable",
                         "open 3",
-                        "spare true",
+                        "dialSpare true",
                         "open 4",
-                        "drop 3 null",
-                        "drop 1 null",
-                        "spare false"));
+                        "drop 3 SUPERSEDED",
+                        "drop 1 SUPERSEDED",
+                        "dialSpare false"));
         done.clear();
-        DiscoveryPollSchedule pushed = clock(done, DiscoveryPollSchedule.longest(site(false)));
-        pushed.ask(0);
-        pushed.broke(0, 1);
-        pushed.due(750 * MS);
-        pushed.broke(750 * MS, 2);
-        pushed.due(1500 * MS);
-        assertEquals(calls(done), List.of("open 1", "failed", "open 2", "open 3"));
+        DiscoveryPollSchedule pushed =
+                clock(done, DiscoveryPollSchedule.maxBackoffNanos(site(false)));
+        pushed.poll(0);
+        pushed.onCallFailed(0, 1);
+        pushed.onTimer(750 * MS);
+        pushed.onCallFailed(750 * MS, 2);
+        pushed.onTimer(1500 * MS);
+        assertEquals(calls(done), List.of("open 1", "onUnavailable", "open 2", "open 3"));
     }
 
     /**
@@ -536,22 +537,22 @@
         for (boolean endsAfterwards : new boolean[] {false, true}) {
             List<String> done = new ArrayList<>();
             DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-            clock.ask(0);
-            clock.told(0, 1);
-            clock.broke(2 * S, 1);
-            clock.due(3 * S);
-            clock.told(3 * S, 2);
+            clock.poll(0);
+            clock.onUpdate(0, 1);
+            clock.onCallFailed(2 * S, 1);
+            clock.onTimer(3 * S);
+            clock.onUpdate(3 * S, 2);
             done.clear();
-            clock.move(4 * S);
+            clock.onAddressChanged(4 * S);
             if (endsAfterwards) {
-                clock.broke(4 * S + 1, 2);
+                clock.onCallFailed(4 * S + 1, 2);
             }
-            clock.connected(3);
-            clock.due(4 * S + 250 * MS);
-            clock.due(4 * S + 1250 * MS);
+            clock.onConnected(3);
+            clock.onTimer(4 * S + 250 * MS);
+            clock.onTimer(4 * S + 1250 * MS);
             assertEquals(
                     calls(done),
-                    List.of("open 3", "spare true", "open 4"),
+                    List.of("open 3", "dialSpare true", "open 4"),
                     "ends: " + endsAfterwards);
         }
     }
@@ -565,34 +566,34 @@
     public void noCallIsMadeTwiceWhileDiscoveryAnswers() {
         List<String> done = new ArrayList<>();
         DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-        clock.ask(0);
-        clock.told(0, 1);
-        clock.broke(S, 1);
-        clock.due(2 * S);
-        clock.connected(2);
-        clock.due(2 * S + 250 * MS);
-        clock.due(2 * S + 1250 * MS);
-        clock.broke(4 * S, 2);
-        clock.due(6 * S);
-        clock.connected(3);
-        clock.due(6 * S + 250 * MS);
-        clock.due(6 * S + 1250 * MS);
+        clock.poll(0);
+        clock.onUpdate(0, 1);
+        clock.onCallFailed(S, 1);
+        clock.onTimer(2 * S);
+        clock.onConnected(2);
+        clock.onTimer(2 * S + 250 * MS);
+        clock.onTimer(2 * S + 1250 * MS);
+        clock.onCallFailed(4 * S, 2);
+        clock.onTimer(6 * S);
+        clock.onConnected(3);
+        clock.onTimer(6 * S + 250 * MS);
+        clock.onTimer(6 * S + 1250 * MS);
         assertEquals(
                 calls(done),
                 List.of(
                         "open 1",
-                        "spare false",
-                        "failed",
+                        "dialSpare false",
+                        "onUnavailable",
                         "open 2",
-                        "spare false",
+                        "dialSpare false",
                         "open 3",
-                        "spare false"));
+                        "dialSpare false"));
         done.clear();
-        clock.due(9 * S);
-        clock.due(11 * S);
-        clock.connected(4);
-        clock.due(11 * S + 1250 * MS);
-        assertEquals(calls(done), List.of("drop 3 silent", "open 4", "open 5"));
+        clock.onTimer(9 * S);
+        clock.onTimer(11 * S);
+        clock.onConnected(4);
+        clock.onTimer(11 * S + 1250 * MS);
+        assertEquals(calls(done), List.of("drop 3 SILENT", "open 4", "open 5"));
     }
 
     /**
@@ -605,15 +606,15 @@
         List<String> asked = new ArrayList<>();
         for (List<String> done : List.of(alone, asked)) {
             DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-            clock.ask(0);
+            clock.poll(0);
             for (int call = 1; call < 20; call++) {
-                clock.broke(call * 2 * S, call);
+                clock.onCallFailed(call * 2 * S, call);
                 for (long at = call * 2 * S; at < (call + 1) * 2 * S; at += 10 * MS) {
                     if (done == asked) {
-                        clock.ask(at);
+                        clock.poll(at);
                     }
                     if (done.lastIndexOf("open " + (call + 1)) < 0) {
-                        clock.due(at);
+                        clock.onTimer(at);
                     }
                 }
             }
@@ -629,35 +630,35 @@
     public void aWatchThatEndsIsOpenedAnewSoonUnlessItEndsAtOnce() {
         List<String> done = new ArrayList<>();
         DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-        clock.ask(0);
-        clock.told(0, 1);
-        clock.broke(1500 * MS, 1);
-        clock.due(2500 * MS);
-        clock.told(2500 * MS, 2);
-        clock.broke(2600 * MS, 2);
-        clock.due(3599 * MS);
+        clock.poll(0);
+        clock.onUpdate(0, 1);
+        clock.onCallFailed(1500 * MS, 1);
+        clock.onTimer(2500 * MS);
+        clock.onUpdate(2500 * MS, 2);
+        clock.onCallFailed(2600 * MS, 2);
+        clock.onTimer(3599 * MS);
         assertEquals(done.lastIndexOf("open 3"), -1, "not yet");
-        clock.due(4100 * MS);
-        clock.told(4100 * MS, 3);
-        clock.broke(5600 * MS, 3);
-        clock.due(6600 * MS);
+        clock.onTimer(4100 * MS);
+        clock.onUpdate(4100 * MS, 3);
+        clock.onCallFailed(5600 * MS, 3);
+        clock.onTimer(6600 * MS);
         assertEquals(
                 calls(done),
                 List.of(
                         "open 1",
-                        "spare false",
-                        "failed",
+                        "dialSpare false",
+                        "onUnavailable",
                         "open 2",
-                        "spare false",
-                        "failed",
+                        "dialSpare false",
+                        "onUnavailable",
                         "open 3",
-                        "spare false",
-                        "failed",
+                        "dialSpare false",
+                        "onUnavailable",
                         "open 4"));
     }
 
     private static List<String> calls(List<String> done) {
-        return done.stream().filter(line -> !line.startsWith("wake")).toList();
+        return done.stream().filter(line -> !line.startsWith("scheduleTimer")).toList();
     }
 
     private static DiscoveryPollSchedule clock(List<String> done, long longest) {
@@ -715,7 +716,7 @@
         long from = world.now;
         if (trouble.endsWith("for all")) {
             world.replicas.forEach(
-                    replica -> replica.clock.told(world.now, replica.open.iterator().next()));
+                    replica -> replica.clock.onUpdate(world.now, replica.open.iterator().next()));
         }
         world.become(state == Discovery.WELL ? Discovery.SILENT : state);
         world.run(from + seconds * S);
--- a/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
@@ -14,13 +14,13 @@
     @Test
     void isSilentWhenNothingComesBackForTooLong() {
         EndpointState server = new EndpointState(Site.ready(1), 0, 4, 0);
-        assertFalse(server.silent(900 * MS, 100 * MS), "nothing is out");
-        server.sent(0, 1);
-        server.sent(50 * MS, 1);
-        assertFalse(server.silent(100 * MS, 100 * MS));
-        assertTrue(server.silent(101 * MS, 100 * MS));
-        server.ended(110 * MS, Outcome.OK);
-        assertFalse(server.silent(111 * MS, 100 * MS), "an answer ends the silence");
+        assertFalse(server.isUnresponsive(900 * MS, 100 * MS), "nothing is out");
+        server.onAttemptSent(0, 1);
+        server.onAttemptSent(50 * MS, 1);
+        assertFalse(server.isUnresponsive(100 * MS, 100 * MS));
+        assertTrue(server.isUnresponsive(101 * MS, 100 * MS));
+        server.onAttemptEnded(110 * MS, Outcome.OK);
+        assertFalse(server.isUnresponsive(111 * MS, 100 * MS), "an answer ends the silence");
     }
 
     @Test
@@ -30,12 +30,12 @@
         EndpointState server =
                 new EndpointState(Site.endpoint(1, 0, 0, EndpointStatus.READY, 1), 1, 4, 0.5);
         assertFalse(
-                server.withinColdBudget(2, 10, defaults, safety),
+                server.withinSlowStartBudget(2, 10, defaults, safety),
                 "no copy sends its first request at once");
-        assertTrue(server.withinColdBudget(1 + 200 * MS, 10, defaults, safety));
-        server.sent(1 + 200 * MS, 1);
+        assertTrue(server.withinSlowStartBudget(1 + 200 * MS, 10, defaults, safety));
+        server.onAttemptSent(1 + 200 * MS, 1);
         assertFalse(
-                server.withinColdBudget(2 + 200 * MS, 10, defaults, safety),
+                server.withinSlowStartBudget(2 + 200 * MS, 10, defaults, safety),
                 "nor the next right after");
     }
 
@@ -57,10 +57,10 @@
             // 0.02 requests a second at first: planned is half of the multiple, a quarter of it
             // while cold.
             for (long now = 1; now < 1 + 2 * Site.SECOND; now += 50 * MS) {
-                server.withinColdBudget(now, 0.04, BalancerParameters.DEFAULTS, safety);
+                server.withinSlowStartBudget(now, 0.04, BalancerParameters.DEFAULTS, safety);
             }
             ready +=
-                    server.withinColdBudget(
+                    server.withinSlowStartBudget(
                                     1 + 2 * Site.SECOND, 0.04, BalancerParameters.DEFAULTS, safety)
                             ? 1
                             : 0;
--- a/core/src/test/java/cedarrudder/balancer/RosterTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointSubsetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whom copies send to: few each, and all endpoints between them. */
-class RosterTest {
+class EndpointSubsetTest {
 
     /** The endpoints that each of some copies sends to, over a hundred quick calls. */
     private static Map<Integer, Set<Long>> used(int replicas, int endpoints) {
@@ -29,15 +29,15 @@
             PrequalBalancer decide =
                     new PrequalBalancer(site.settings(), new SplittableRandom(replica), did);
             long now = 100 * Site.SECOND;
-            decide.endpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
+            decide.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
             for (int id = 1; id <= 100; id++) {
                 now += 10 * Site.MS;
-                decide.request(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+                decide.onRequest(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
                 Recorder.Sent sent = did.sent.get(id - 1);
                 if (id > 2) {
                     Recorder.Sent done = did.sent.get(id - 3);
                     long lasted = 20 * Site.MS;
-                    decide.outcome(
+                    decide.onAttemptEnded(
                             now,
                             done.request(),
                             0,
--- a/core/src/test/java/cedarrudder/balancer/Example.java
+++ b/core/src/test/java/cedarrudder/balancer/Example.java
@@ -52,7 +52,7 @@
                         new ServiceGoal(1, 0, 0, 0, 1),
                         new ServicePrices(0, 0));
         LoadBalancer balancer = new PrequalBalancer(settings, new SplittableRandom(seed), actions);
-        balancer.endpoints(
+        balancer.onEndpoints(
                 now,
                 EndpointListKind.FULL,
                 List.of(
@@ -66,9 +66,9 @@
      */
     static void serve(LoadBalancer balancer, long now) {
         long deadline = now + Duration.ofSeconds(2).toNanos();
-        balancer.request(now, new Request(42, 0, 0, deadline, 0, false, false, 0));
+        balancer.onRequest(now, new Request(42, 0, 0, deadline, 0, false, false, 0));
         long answered = now + Duration.ofMillis(30).toNanos();
-        balancer.outcome(answered, 42, 0, 1, Outcome.OK, answered - now, true, null);
+        balancer.onAttemptEnded(answered, 42, 0, 1, Outcome.OK, answered - now, true, null);
     }
 
     private Example() {}
--- a/core/src/test/java/cedarrudder/balancer/ExampleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ExampleTest.java
@@ -20,7 +20,8 @@
 
     @Test
     void theLibrarysPageShowsItAsItIs() throws IOException {
-        String source = Files.readString(Path.of("core/src/test/java/cedarrudder/Example.java"));
+        String source =
+                Files.readString(Path.of("core/src/test/java/cedarrudder/balancer/Example.java"));
         int from = source.indexOf("    /** One copy");
         String body = source.substring(from, source.indexOf("    private Example"));
         String shown = body.stripTrailing().stripIndent();
--- a/core/src/test/java/cedarrudder/balancer/FormerIncarnationTest.java
+++ b/core/src/test/java/cedarrudder/balancer/FormerIncarnationTest.java
@@ -31,22 +31,22 @@
         decide = new PrequalBalancer(new Site().settings(), new SplittableRandom(1), did);
         now = 1000 * MS;
         id = 0;
-        decide.endpoints(now, EndpointListKind.FULL, Site.readyUpTo(2));
+        decide.onEndpoints(now, EndpointListKind.FULL, Site.readyUpTo(2));
     }
 
     /** Sends a request and serves it at once; returns where it went. */
     private long request() {
         did.clear();
-        decide.request(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+        decide.onRequest(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
         long to = did.sent.get(0).endpoint();
-        decide.outcome(now + MS, id, 0, to, Outcome.OK, MS, true, null);
+        decide.onAttemptEnded(now + MS, id, 0, to, Outcome.OK, MS, true, null);
         now += 50 * MS;
         return to;
     }
 
     private void answerProbes(Outcome outcome) {
         for (long probed : List.copyOf(did.probed)) {
-            decide.probed(
+            decide.onProbeEnded(
                     now, probed, outcome, 0, Site.load(probed == 1 ? 0 : 5, probed == 1 ? 1 : 90));
         }
         did.probed.clear();
@@ -64,9 +64,9 @@
     }
 
     private void restartTheQuickOne() {
-        decide.endpoints(
+        decide.onEndpoints(
                 now,
-                EndpointListKind.CHANGES,
+                EndpointListKind.DELTA,
                 List.of(Site.endpoint(1, 0, 0, EndpointStatus.READY, now)));
         now += 900 * MS; // its cold budget would allow a request by now
     }
@@ -86,20 +86,20 @@
         did.clear();
         while (!did.probed.contains(1L)) {
             now += 1000 * MS;
-            decide.timer(now, 0); // a tick: an idle copy asks now and then
+            decide.onTimer(now, 0); // a tick: an idle copy asks now and then
         }
         long asked = now;
         answerOnly(2);
         restartTheQuickOne();
-        decide.probed(now, 1, Outcome.OK, now - asked, Site.load(0, 1));
+        decide.onProbeEnded(now, 1, Outcome.OK, now - asked, Site.load(0, 1));
         assertEquals(request(), 2);
     }
 
     private void answerOnly(long endpoint) {
         while (!did.probed.contains(endpoint)) {
             now += 1000 * MS;
-            decide.timer(now, 0);
+            decide.onTimer(now, 0);
         }
-        decide.probed(now, endpoint, Outcome.OK, 0, Site.load(5, 90));
+        decide.onProbeEnded(now, endpoint, Outcome.OK, 0, Site.load(5, 90));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/InternalFaultTest.java
+++ b/core/src/test/java/cedarrudder/balancer/InternalFaultTest.java
@@ -47,7 +47,7 @@
         Timer last = did.timers.get(did.timers.size() - 1);
         did.clear();
         broken = action;
-        expectThrows(IllegalStateException.class, () -> decide.timer(now, last.token()));
+        expectThrows(IllegalStateException.class, () -> decide.onTimer(now, last.token()));
         broken = "";
         assertEquals(
                 did.timers.stream().map(Timer::token).toList(),
@@ -59,9 +59,9 @@
     /** Guards against a copy that, after one fault, never again asks for a load by itself. */
     @Test
     public void theTickGoesOnAfterAProbeThatFailed() {
-        decide.endpoints(1000 * MS, EndpointListKind.FULL, Site.readyUpTo(2));
-        Timer next = fire("probe", 20_000 * MS);
-        decide.timer(next.at(), next.token());
+        decide.onEndpoints(1000 * MS, EndpointListKind.FULL, Site.readyUpTo(2));
+        Timer next = fire("sendProbe", 20_000 * MS);
+        decide.onTimer(next.at(), next.token());
         assertEquals(did.probed.size(), 0, "its place is taken by the one that failed, for now");
         assertEquals(did.timers.size(), 2);
     }
@@ -72,15 +72,15 @@
      */
     @Test
     public void thoseThatWaitAreToldAfterOneThatCouldNotBe() {
-        decide.endpoints(
+        decide.onEndpoints(
                 1000 * MS,
                 EndpointListKind.FULL,
                 List.of(Site.endpoint(1, 0, 0, EndpointStatus.DRAINING, 0)));
         for (int id = 1; id <= 2; id++) {
-            decide.request(1000 * MS, new Request(id, 0, 0, 2000 * MS, 0, false, false, 0));
+            decide.onRequest(1000 * MS, new Request(id, 0, 0, 2000 * MS, 0, false, false, 0));
         }
-        Timer next = fire("refuse", 1900 * MS);
-        decide.timer(next.at(), next.token());
+        Timer next = fire("reject", 1900 * MS);
+        decide.onTimer(next.at(), next.token());
         assertEquals(did.refused, List.of(1L, 2L));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/OverloadTest.java
+++ b/core/src/test/java/cedarrudder/balancer/OverloadTest.java
@@ -27,10 +27,10 @@
     private static final RequestClass WORTHY =
             new RequestClass(
                     "worthy",
-                    SAFE.effect(),
+                    SAFE.idempotency(),
                     SAFE.keyScope(),
-                    SAFE.aim(),
-                    SAFE.deadline(),
+                    SAFE.latencyObjectiveNanos(),
+                    SAFE.deadlineNanos(),
                     5,
                     0,
                     0,
@@ -56,7 +56,7 @@
                         settings.self(),
                         0,
                         settings.tier(),
-                        settings.tiers(),
+                        settings.tierCount(),
                         false,
                         settings.classes(),
                         settings.tenants(),
@@ -64,27 +64,28 @@
                         settings.safety(),
                         new ServiceGoal(0.9, 0.1, 0, 0, 0.1, true),
                         settings.prices());
-        BalancerParameters noCopies = BalancerParameters.DEFAULTS.with(Parameter.LATE_STRETCH, 0);
+        BalancerParameters noCopies = BalancerParameters.DEFAULTS.with(Parameter.HEDGE_STRETCH, 0);
         PrequalBalancer decide =
                 new PrequalBalancer(byWork, noCopies, new SplittableRandom(7), did);
-        decide.endpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
+        decide.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
         return decide;
     }
 
     private void ask(PrequalBalancer decide, long id, int kind) {
-        decide.request(now, new Request(id, kind, 0, now + 10 * SECOND, 0, false, false, 20 * MS));
+        decide.onRequest(
+                now, new Request(id, kind, 0, now + 10 * SECOND, 0, false, false, 20 * MS));
     }
 
     /** The line's next look at who waits. */
     private void ring(PrequalBalancer decide) {
         Recorder.Timer next = did.timers.get(did.timers.size() - 1);
         now = next.at();
-        decide.timer(now, next.token());
+        decide.onTimer(now, next.token());
     }
 
     private void ends(PrequalBalancer decide, int sent, Outcome outcome) {
         Recorder.Sent which = did.sent.get(sent);
-        decide.outcome(
+        decide.onAttemptEnded(
                 now,
                 which.request(),
                 0,
@@ -122,7 +123,7 @@
         PrequalBalancer decide = start(1);
         ask(decide, 1, 0);
         long probed = did.probed.get(0);
-        decide.probed(
+        decide.onProbeEnded(
                 now,
                 probed,
                 Outcome.OK,
@@ -156,10 +157,10 @@
         RequestClass patient =
                 new RequestClass(
                         "patient",
-                        SAFE.effect(),
+                        SAFE.idempotency(),
                         SAFE.keyScope(),
-                        20 * SAFE.aim(),
-                        20 * SAFE.deadline(),
+                        20 * SAFE.latencyObjectiveNanos(),
+                        20 * SAFE.deadlineNanos(),
                         5,
                         0,
                         0,
@@ -195,7 +196,7 @@
             ask(decide, id, 1);
         }
         ask(decide, 5, 1);
-        decide.request(now, new Request(6, 0, 1, now + SECOND, 0, false, false, 20 * MS));
+        decide.onRequest(now, new Request(6, 0, 1, now + SECOND, 0, false, false, 20 * MS));
         ends(decide, 0, Outcome.OK);
         assertEquals(did.sent.get(4).request(), 6L, "worth less, but within its share");
     }
@@ -204,9 +205,9 @@
     public void aRequestThatFitsNowhereHoldsUpNoOther() {
         site.classes = List.of(Site.KEYED_IN_CELL, Site.SAFE);
         PrequalBalancer decide = start(0);
-        decide.endpoints(
+        decide.onEndpoints(
                 now,
-                EndpointListKind.CHANGES,
+                EndpointListKind.DELTA,
                 List.of(Site.endpoint(1, 0, 1, EndpointStatus.READY, 0)));
         ask(decide, 1, 0);
         ends(decide, 0, Outcome.ERROR);
@@ -221,7 +222,7 @@
         for (int id = 1; id <= 6; id++) {
             ask(decide, id, 0);
         }
-        decide.clientLeft(now, 5);
+        decide.onClientLeft(now, 5);
         ends(decide, 0, Outcome.OK);
         assertEquals(did.sent.get(4).request(), 6L);
         ring(decide);
@@ -235,7 +236,7 @@
         for (int id = 1; id <= 4; id++) {
             ask(decide, id, 0);
         }
-        decide.request(now, new Request(5, 0, 0, now + 30 * MS, 0, false, false, 0));
+        decide.onRequest(now, new Request(5, 0, 0, now + 30 * MS, 0, false, false, 0));
         assertEquals(did.refused, List.of(5L), "too little time is left to look at it again");
     }
 
@@ -246,8 +247,8 @@
             ask(decide, id, 0);
         }
         Recorder.Sent first = did.sent.get(0);
-        decide.outcome(now, 1, 0, first.endpoint(), Outcome.OK, 100 * MS, true, null);
-        decide.request(now, new Request(7, 0, 0, now, 0, false, false, 0));
+        decide.onAttemptEnded(now, 1, 0, first.endpoint(), Outcome.OK, 100 * MS, true, null);
+        decide.onRequest(now, new Request(7, 0, 0, now, 0, false, false, 0));
         assertEquals(did.comeBack, List.of(20 * MS), "five are out, each for 100 ms");
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/PrequalBalancerTest.java
+++ b/core/src/test/java/cedarrudder/balancer/PrequalBalancerTest.java
@@ -29,7 +29,7 @@
 
     private PrequalBalancer start(Endpoint... endpoints) {
         PrequalBalancer decide = new PrequalBalancer(site.settings(), new SplittableRandom(7), did);
-        decide.endpoints(now, EndpointListKind.CACHED, List.of(endpoints));
+        decide.onEndpoints(now, EndpointListKind.CACHED, List.of(endpoints));
         return decide;
     }
 
@@ -39,7 +39,7 @@
     }
 
     private void ask(PrequalBalancer decide, long id) {
-        decide.request(now, new Request(id, 0, 0, now + SECOND, 0, false, false, 0));
+        decide.onRequest(now, new Request(id, 0, 0, now + SECOND, 0, false, false, 0));
     }
 
     private void end(PrequalBalancer decide, long id, int attempt, Outcome outcome) {
@@ -50,7 +50,7 @@
                         .findFirst()
                         .orElseThrow()
                         .endpoint();
-        decide.outcome(now, id, attempt, endpoint, outcome, MS, outcome == Outcome.OK, null);
+        decide.onAttemptEnded(now, id, attempt, endpoint, outcome, MS, outcome == Outcome.OK, null);
     }
 
     private static final Endpoint[] THREE = {Site.ready(1), Site.ready(2), Site.ready(3)};
@@ -61,9 +61,9 @@
     private PrequalBalancer startLate(RequestClass kind, Endpoint... endpoints) {
         PrequalBalancer decide = startWith(kind, endpoints);
         for (int id = 1; id <= 21; id++) {
-            decide.request(now, new Request(id, 0, 0, now + SECOND, 0, false, false, 20 * MS));
+            decide.onRequest(now, new Request(id, 0, 0, now + SECOND, 0, false, false, 20 * MS));
             if (id <= 20) {
-                decide.outcome(
+                decide.onAttemptEnded(
                         now,
                         id,
                         0,
@@ -80,7 +80,7 @@
     private void ring(PrequalBalancer decide) {
         for (Recorder.Timer timer : List.copyOf(did.timers)) {
             now = Math.max(now, timer.at());
-            decide.timer(timer.at(), timer.token());
+            decide.onTimer(timer.at(), timer.token());
         }
     }
 
@@ -111,7 +111,7 @@
     @Test
     void tellsWhoIsTurnedAwayWhenToComeBack() {
         PrequalBalancer decide = startLate(Site.SAFE, THREE);
-        decide.request(now, new Request(22, 0, 0, now, 0, false, false, 0));
+        decide.onRequest(now, new Request(22, 0, 0, now, 0, false, false, 0));
         assertEquals(List.of(10 * MS), did.comeBack);
     }
 
@@ -131,7 +131,7 @@
             site.classes = List.of(Site.KEYED_IN_CELL);
             PrequalBalancer decide =
                     new PrequalBalancer(site.settings(), new SplittableRandom(seed), did);
-            decide.endpoints(now, EndpointListKind.CACHED, List.of(many));
+            decide.onEndpoints(now, EndpointListKind.CACHED, List.of(many));
             ask(decide, 1);
             now += 50 * MS; // over the time for which it may wait in line
             end(decide, 1, 0, Outcome.ERROR);
@@ -178,7 +178,7 @@
     @Test
     void endsAtOnceWhatComesPastItsDeadline() {
         PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
-        decide.request(now, new Request(1, 0, 0, now, 0, false, false, 0));
+        decide.onRequest(now, new Request(1, 0, 0, now, 0, false, false, 0));
         assertEquals(List.of(1L), did.refused);
         assertTrue(did.sent.isEmpty());
     }
@@ -192,8 +192,8 @@
             did.clear();
             PrequalBalancer decide = startWith(kind, Site.ready(1), Site.ready(2));
             ask(decide, 1);
-            end(decide, 1, 0, kind == Site.UNSAFE ? Outcome.FULL : Outcome.RESET);
-            end(decide, 1, 1, Outcome.MOOT);
+            end(decide, 1, 0, kind == Site.UNSAFE ? Outcome.REJECTED : Outcome.RESET);
+            end(decide, 1, 1, Outcome.NOT_STARTED);
             assertEquals(2, did.sent.size(), kind.name());
             assertEquals(
                     kind == Site.KEYED_IN_CELL ? List.of(1L) : List.of(), did.failed, kind.name());
@@ -207,7 +207,7 @@
         PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
         long id = 0;
         for (LoadBalancer.AdmissionHint standing : LoadBalancer.AdmissionHint.values()) {
-            decide.request(
+            decide.onRequest(
                     now, new Request(++id, 0, 0, now + SECOND, 0, false, false, 0), standing);
         }
         assertEquals(List.of(2L, 3L, 4L), did.refused);
@@ -222,7 +222,7 @@
         for (int i = 0; i < 20 && did.refused.isEmpty(); i++) {
             Recorder.Timer next = did.timers.get(did.timers.size() - 1);
             now = next.at();
-            decide.timer(now, next.token());
+            decide.onTimer(now, next.token());
         }
         assertEquals(List.of(1L), did.refused);
         assertTrue(now < 100 * SECOND + 200 * MS, "before its aim");
@@ -233,9 +233,9 @@
         PrequalBalancer decide = startWith(Site.UNSAFE);
         ask(decide, 1);
         Recorder.Timer held = did.timers.get(did.timers.size() - 1);
-        decide.endpoints(now, EndpointListKind.CHANGES, List.of(Site.ready(5)));
+        decide.onEndpoints(now, EndpointListKind.DELTA, List.of(Site.ready(5)));
         now = held.at();
-        decide.timer(now, held.token());
+        decide.onTimer(now, held.token());
         assertEquals(List.of(new Recorder.Sent(1, 5)), did.sent);
     }
 
@@ -245,10 +245,10 @@
         ask(decide, 1);
         end(decide, 1, 0, Outcome.OK);
         did.lines.clear();
-        decide.clientLeft(now, 1);
-        decide.outcome(now, 1, 0, 1, Outcome.OK, MS, true, null);
-        decide.outcome(now, 99, 0, 1, Outcome.OK, MS, true, null);
-        decide.probed(now, 99, Outcome.OK, MS, Site.load(1, 1));
+        decide.onClientLeft(now, 1);
+        decide.onAttemptEnded(now, 1, 0, 1, Outcome.OK, MS, true, null);
+        decide.onAttemptEnded(now, 99, 0, 1, Outcome.OK, MS, true, null);
+        decide.onProbeEnded(now, 99, Outcome.OK, MS, Site.load(1, 1));
         assertEquals(List.of(), did.lines);
     }
 
@@ -256,7 +256,7 @@
     void callsOffTheWorkOfAClientThatLeft() {
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
-        decide.clientLeft(now, 1);
+        decide.onClientLeft(now, 1);
         assertTrue(did.lines.contains("cancel 1 0"));
         did.lines.clear();
         end(decide, 1, 0, Outcome.CANCELLED);
@@ -268,7 +268,7 @@
         site.cancel = false;
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
-        decide.clientLeft(now, 1);
+        decide.onClientLeft(now, 1);
         assertFalse(did.lines.contains("cancel 1 0"));
     }
 
@@ -276,7 +276,7 @@
     void leavesAStreamThatHasBegunToItsClient() {
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
-        decide.firstByte(now, 1, 0, did.sent.get(0).endpoint(), MS);
+        decide.onFirstByte(now, 1, 0, did.sent.get(0).endpoint(), MS);
         now += 2 * SECOND;
         end(decide, 1, 0, Outcome.RESET);
         assertTrue(did.failed.isEmpty() && did.refused.isEmpty() && did.sent.size() == 1);
@@ -298,7 +298,7 @@
 
     @Test
     void resendsAnUnsafeRequestProvedNotToHaveRun() {
-        for (Outcome outcome : List.of(Outcome.FULL, Outcome.CONNECT_FAILED)) {
+        for (Outcome outcome : List.of(Outcome.REJECTED, Outcome.CONNECT_FAILED)) {
             did.clear();
             PrequalBalancer decide = startWith(Site.UNSAFE, THREE);
             ask(decide, 1);
@@ -313,10 +313,10 @@
         site.maxAttempts = 2;
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
-        end(decide, 1, 0, Outcome.FULL);
-        end(decide, 1, 1, Outcome.FULL);
+        end(decide, 1, 0, Outcome.REJECTED);
+        end(decide, 1, 1, Outcome.REJECTED);
         now += SECOND / 2;
-        List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
+        List.copyOf(did.timers).forEach(t -> decide.onTimer(now, t.token()));
         assertEquals(2, did.sent.size());
         assertEquals(List.of(1L), did.refused);
     }
@@ -331,7 +331,7 @@
         ask(decide, 1);
         end(decide, 1, 0, Outcome.ERROR);
         now += SECOND / 2;
-        List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
+        List.copyOf(did.timers).forEach(t -> decide.onTimer(now, t.token()));
         assertEquals(1, did.sent.size());
         assertEquals(
                 List.of(1L), did.failed, "a refusal would promise what only the cell can keep");
@@ -346,7 +346,7 @@
         PrequalBalancer decide =
                 startWith(Site.KEYED_IN_CELL, Site.endpoint(1, 0, 1, EndpointStatus.READY, 0));
         ask(decide, 1);
-        decide.endpoints(
+        decide.onEndpoints(
                 now,
                 EndpointListKind.FULL,
                 List.of(
@@ -354,7 +354,7 @@
                         Site.endpoint(2, 0, 2, EndpointStatus.READY, 0)));
         end(decide, 1, 0, Outcome.ERROR);
         now += SECOND / 2;
-        List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
+        List.copyOf(did.timers).forEach(t -> decide.onTimer(now, t.token()));
         assertEquals(1, did.sent.size());
         assertEquals(List.of(1L), did.failed);
     }
@@ -395,11 +395,11 @@
         PrequalBalancer decide = startWith(Site.SAFE, Site.ready(1), Site.ready(2));
         ask(decide, 100);
         for (long probe : List.copyOf(did.probed)) {
-            decide.probed(now, probe, Outcome.OK, 0, Site.load(0, 1));
+            decide.onProbeEnded(now, probe, Outcome.OK, 0, Site.load(0, 1));
         }
-        decide.endpoints(
+        decide.onEndpoints(
                 now,
-                EndpointListKind.CHANGES,
+                EndpointListKind.DELTA,
                 List.of(Site.endpoint(1, 0, 0, EndpointStatus.DRAINING, 0)));
         did.clear();
         for (int id = 1; id <= 50; id++) {
@@ -411,7 +411,7 @@
     @Test
     void takesAnEndpointMissingFromAWholeListAsGone() {
         PrequalBalancer decide = startWith(Site.SAFE, Site.ready(1), Site.ready(2));
-        decide.endpoints(now, EndpointListKind.FULL, List.of(Site.ready(2)));
+        decide.onEndpoints(now, EndpointListKind.FULL, List.of(Site.ready(2)));
         for (int id = 1; id <= 50; id++) {
             ask(decide, id);
         }
@@ -428,18 +428,18 @@
         List<List<Endpoint>> lists =
                 List.of(
                         List.of(Site.endpoint(1, 0, 0, EndpointStatus.DRAINING, 0)),
-                        List.of(Site.endpoint(1, 0, 0, EndpointStatus.GONE, 0)),
+                        List.of(Site.endpoint(1, 0, 0, EndpointStatus.REMOVED, 0)),
                         List.of(Site.ready(2)),
                         List.of(Site.endpoint(1, 0, 0, EndpointStatus.READY, now)));
         for (List<Endpoint> list : lists) {
             did.clear();
             PrequalBalancer decide = startWith(Site.UNSAFE, Site.ready(1));
             ask(decide, 1);
-            assertNull(decide.denial(now, 1, 0));
+            assertNull(decide.startDenial(now, 1, 0));
             boolean whole = list.get(0).id() != 1;
-            decide.endpoints(now, whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, list);
-            assertEquals(Outcome.CONNECT_FAILED, decide.denial(now, 1, 0), list.toString());
-            decide.endpoints(now, EndpointListKind.CHANGES, List.of(Site.ready(3)));
+            decide.onEndpoints(now, whole ? EndpointListKind.FULL : EndpointListKind.DELTA, list);
+            assertEquals(Outcome.CONNECT_FAILED, decide.startDenial(now, 1, 0), list.toString());
+            decide.onEndpoints(now, EndpointListKind.DELTA, List.of(Site.ready(3)));
             end(decide, 1, 0, Outcome.CONNECT_FAILED);
             assertEquals(2, did.sent.size(), "another takes it");
         }
@@ -455,14 +455,14 @@
             end(decide, 1, 0, Outcome.RESET);
             assertEquals(2, did.sent.size());
             now += 500 * MS - 1;
-            assertNull(decide.denial(now, 1, 1));
+            assertNull(decide.startDenial(now, 1, 1));
             now += 1;
             if (kind == Site.SAFE) {
-                assertNull(decide.denial(now, 1, 1), "it may run as often as one likes");
+                assertNull(decide.startDenial(now, 1, 1), "it may run as often as one likes");
                 continue;
             }
-            assertEquals(Outcome.MOOT, decide.denial(now, 1, 1));
-            end(decide, 1, 1, Outcome.MOOT);
+            assertEquals(Outcome.NOT_STARTED, decide.startDenial(now, 1, 1));
+            end(decide, 1, 1, Outcome.NOT_STARTED);
             assertEquals(kind == Site.KEYED ? List.of(1L) : List.of(), did.refused);
             assertEquals(kind == Site.KEYED ? List.of() : List.of(1L), did.failed);
         }
@@ -474,9 +474,9 @@
         PrequalBalancer decide = startLate(Site.KEYED, THREE);
         ring(decide);
         assertEquals(22, did.sent.size(), "a second copy");
-        assertNull(decide.denial(now, 21, 0));
+        assertNull(decide.startDenial(now, 21, 0));
         now += 500 * MS;
-        assertEquals(Outcome.MOOT, decide.denial(now, 21, 0));
+        assertEquals(Outcome.NOT_STARTED, decide.startDenial(now, 21, 0));
     }
 
     @Test
@@ -484,10 +484,10 @@
         site.cancel = false;
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
-        decide.clientLeft(now, 1);
-        assertEquals(Outcome.MOOT, decide.denial(now, 1, 0));
-        assertEquals(Outcome.MOOT, decide.denial(now, 1, 1));
-        assertEquals(Outcome.MOOT, decide.denial(now, 9, 0));
+        decide.onClientLeft(now, 1);
+        assertEquals(Outcome.NOT_STARTED, decide.startDenial(now, 1, 0));
+        assertEquals(Outcome.NOT_STARTED, decide.startDenial(now, 1, 1));
+        assertEquals(Outcome.NOT_STARTED, decide.startDenial(now, 9, 0));
     }
 
     /** Guards against a request that leaves the line for an endpoint though its client is gone. */
@@ -496,8 +496,8 @@
         PrequalBalancer decide = startWith(Site.UNSAFE);
         ask(decide, 1);
         ask(decide, 2);
-        decide.clientLeft(now, 1);
-        decide.endpoints(now, EndpointListKind.CHANGES, List.of(Site.ready(5)));
+        decide.onClientLeft(now, 1);
+        decide.onEndpoints(now, EndpointListKind.DELTA, List.of(Site.ready(5)));
         ring(decide);
         assertEquals(List.of(new Recorder.Sent(2, 5)), did.sent);
         assertTrue(did.refused.isEmpty() && did.failed.isEmpty());
@@ -507,7 +507,7 @@
     void sendsNoSecondCopyForAClientThatHasLeft() {
         site.cancel = false;
         PrequalBalancer decide = startLate(Site.SAFE, THREE);
-        decide.clientLeft(now, 21);
+        decide.onClientLeft(now, 21);
         ring(decide);
         end(decide, 21, 0, Outcome.RESET);
         assertEquals(21, did.sent.size());
@@ -519,9 +519,9 @@
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         long left = did.sent.get(0).endpoint();
-        decide.endpoints(
+        decide.onEndpoints(
                 now,
-                EndpointListKind.CHANGES,
+                EndpointListKind.DELTA,
                 List.of(Site.endpoint(left, 0, 0, EndpointStatus.DRAINING, 0)));
         end(decide, 1, 0, Outcome.CONNECT_FAILED);
         end(decide, 1, 1, Outcome.OK);
@@ -539,12 +539,12 @@
         PrequalBalancer decide = start();
         Recorder.Timer first = did.timers.get(did.timers.size() - 1);
         assertTrue(first.at() - now <= 4 * SECOND + 1);
-        decide.timer(first.at(), first.token());
+        decide.onTimer(first.at(), first.token());
         assertTrue(did.lines.contains("subscribe true"));
         long wait = 0;
         for (int i = 0; i < 4; i++) {
             did.clear();
-            decide.endpointsFailed(now);
+            decide.onEndpointsUnavailable(now);
             long next = did.timers.get(0).at() - now;
             assertTrue(next > wait / 3, "backs off");
             wait = next;
@@ -556,7 +556,7 @@
     void keepsTheOldListWhenACallForItFails() {
         site.ask = true;
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
-        decide.endpointsFailed(now);
+        decide.onEndpointsUnavailable(now);
         ask(decide, 1);
         assertEquals(1, did.sent.size());
     }
@@ -570,7 +570,7 @@
         for (int id = 1; id <= 12; id++) {
             ask(decide, id);
         }
-        decide.timer(now + 5 * SECOND, 0);
+        decide.onTimer(now + 5 * SECOND, 0);
         assertTrue(did.probed.isEmpty());
         assertEquals(12, did.sent.size());
     }
@@ -580,7 +580,7 @@
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
         ask(decide, 1);
         now += 900 * MS;
-        List.copyOf(did.timers).forEach(t -> decide.timer(now, t.token()));
+        List.copyOf(did.timers).forEach(t -> decide.onTimer(now, t.token()));
         assertEquals(1, did.sent.size());
     }
 
@@ -609,7 +609,7 @@
         for (int id = 1; id <= 200; id++) {
             ask(decide, id);
             for (long probe : List.copyOf(did.probed)) {
-                decide.probed(
+                decide.onProbeEnded(
                         now,
                         probe,
                         Outcome.OK,
@@ -632,7 +632,7 @@
         for (int id = 1; id <= 200; id++) {
             ask(decide, id);
             for (long probe : List.copyOf(did.probed)) {
-                decide.probed(now, probe, Outcome.OK, 0, Site.load(0, probe == 1 ? 1 : 5));
+                decide.onProbeEnded(now, probe, Outcome.OK, 0, Site.load(0, probe == 1 ? 1 : 5));
             }
             did.probed.clear();
             now += 5 * MS;
@@ -672,18 +672,18 @@
         RequestClass little =
                 new RequestClass(
                         "little",
-                        max.effect(),
+                        max.idempotency(),
                         max.keyScope(),
-                        max.aim(),
-                        max.deadline(),
-                        max.worth() / 10,
+                        max.latencyObjectiveNanos(),
+                        max.deadlineNanos(),
+                        max.priorityWeight() / 10,
                         0,
                         0,
                         false);
         site.classes = List.of(little, max);
         PrequalBalancer decide = start(THREE);
         for (int id = 1; id <= 500; id++) {
-            decide.request(now, new Request(id, id % 2, 0, now + SECOND, 0, false, false, 0));
+            decide.onRequest(now, new Request(id, id % 2, 0, now + SECOND, 0, false, false, 0));
             now += 20 * MS;
             int quick = id - 3;
             if (quick > 0 && quick % 20 != 0 && !did.refused.contains((long) quick)) {
@@ -734,12 +734,12 @@
         int[] refused = new int[2];
         for (int id = 1; id <= 1000; id++) {
             did.refused.clear();
-            decide.request(now, new Request(id, 0, id % 2, now + SECOND, 0, false, false, 0));
+            decide.onRequest(now, new Request(id, 0, id % 2, now + SECOND, 0, false, false, 0));
             refused[id % 2] += did.refused.size();
             now += 5 * MS;
             if (id % 2 == 0 && !did.sent.isEmpty()) {
                 Recorder.Sent first = did.sent.remove(0);
-                decide.outcome(
+                decide.onAttemptEnded(
                         now, first.request(), 0, first.endpoint(), Outcome.OK, 5 * MS, true, null);
             }
         }
--- a/core/src/test/java/cedarrudder/balancer/NaivePoolTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ProbePoolTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** The real pool, step by step beside the naive one, through odd answers and lists. */
-public class NaivePoolTest {
+public class ProbePoolTest {
 
     private static final long MS = Site.MS;
     private static final int NODES = 24;
@@ -29,11 +29,13 @@
     /** Both pools, and the world that they are told of. */
     private static final class Pools {
         final SplittableRandom random;
-        final NaivePool naive = new NaivePool();
+        final ReferenceProbePool naive = new ReferenceProbePool();
         final Recorder did = new Recorder();
         final List<EndpointState> servers = new ArrayList<>();
         final List<Out> out = new ArrayList<>();
         final ProbePool pool;
+        final EndpointSubset subset;
+        final ProbeScheduler probes;
         long now = 5000 * MS;
         final boolean wrong;
         int filled;
@@ -47,7 +49,16 @@
             random = new SplittableRandom(seed);
             Site site = new Site();
             site.replicas = 1 + random.nextInt(3);
-            pool = new ProbePool(site.settings(), BalancerParameters.DEFAULTS, random.split(), did);
+            pool = new ProbePool(BalancerParameters.DEFAULTS);
+            subset = new EndpointSubset(site.settings(), BalancerParameters.DEFAULTS, pool::remove);
+            probes =
+                    new ProbeScheduler(
+                            site.settings(),
+                            BalancerParameters.DEFAULTS,
+                            random.split(),
+                            did,
+                            subset,
+                            pool);
             for (int i = 1; i <= NODES; i++) {
                 servers.add(
                         new EndpointState(
@@ -55,7 +66,7 @@
                                 now,
                                 4,
                                 0));
-                pool.listed(servers.get(i - 1), true);
+                show(servers.get(i - 1), true);
             }
         }
 
@@ -70,25 +81,33 @@
                                 random.nextBoolean()
                                         ? EndpointStatus.READY
                                         : EndpointStatus.DRAINING);
-                case 2 -> server.sent(now, 1);
+                case 2 -> server.onAttemptSent(now, 1);
                 case 3 -> {
-                    if (server.inFlight > 0) {
-                        server.ended(now, Outcome.values()[random.nextInt(6)]);
+                    if (server.inFlight() > 0) {
+                        server.onAttemptEnded(now, Outcome.values()[random.nextInt(6)]);
                     }
                 }
-                case 4 -> pool.resize(random.nextInt(40));
-                case 5, 6 -> pool.call(now);
-                case 7 -> pool.idle(now);
+                case 4 -> subset.resize(random.nextInt(40));
+                case 5, 6 -> probes.onRequest(now);
+                case 7 -> probes.onTick(now);
                 default -> answer();
             }
             for (long probed : did.probed) {
                 EndpointState asked =
-                        servers.stream().filter(s -> s.id == probed).findFirst().orElseThrow();
-                naive.asked(now, asked, asked.inFlight);
+                        servers.stream().filter(s -> s.id() == probed).findFirst().orElseThrow();
+                naive.asked(now, asked, asked.inFlight());
                 out.add(new Out(now, asked));
             }
             did.clear();
-            naive.roster(now, new HashSet<>(pool.roster()));
+            naive.roster(now, new HashSet<>(subset.members()));
+        }
+
+        /** As the directory does: an endpoint that is not ready leaves the pool at once. */
+        private void show(EndpointState server, boolean ready) {
+            subset.update(server, ready);
+            if (!ready) {
+                pool.remove(server);
+            }
         }
 
         /**
@@ -96,24 +115,23 @@
          * same.
          */
         private void restart(EndpointState server) {
-            pool.listed(server, false);
+            show(server, false);
             naive.unlisted(now, server);
             EndpointState next =
                     new EndpointState(
-                            Site.endpoint(
-                                    server.id, server.listed.zone(), 0, EndpointStatus.READY, now),
+                            Site.endpoint(server.id(), server.zone(), 0, EndpointStatus.READY, now),
                             now,
                             4,
                             0);
             servers.set(servers.indexOf(server), next);
-            pool.listed(next, true);
+            show(next, true);
         }
 
         private void list(EndpointState server, EndpointStatus state) {
-            server.listed =
+            server.setEndpoint(
                     Site.endpoint(
-                            server.id, server.listed.zone(), 0, state, server.listed.startedAt());
-            pool.listed(server, state == EndpointStatus.READY);
+                            server.id(), server.zone(), 0, state, server.endpoint().startedAt()));
+            show(server, state == EndpointStatus.READY);
             if (state != EndpointStatus.READY) {
                 naive.unlisted(now, server);
             }
@@ -130,7 +148,7 @@
             Outcome how =
                     switch (random.nextInt(12)) {
                         case 0, 1 -> Outcome.TIMEOUT;
-                        case 2 -> Outcome.MOOT;
+                        case 2 -> Outcome.NOT_STARTED;
                         default -> Outcome.OK;
                     };
             LoadReport load =
@@ -140,17 +158,17 @@
             // As Decide does: by the id, so that an answer meets whoever has it now.
             EndpointState life =
                     servers.stream()
-                            .filter(s -> s.id == probe.server().id)
+                            .filter(s -> s.id() == probe.server().id())
                             .findFirst()
                             .orElseThrow();
-            pool.probed(now, life, how, wrong ? now : probe.at(), load);
-            naive.told(now, life, probe.at(), how, life.ready() ? load : null);
+            probes.onProbeEnded(now, life, how, wrong ? now : probe.at(), load);
+            naive.told(now, life, probe.at(), how, life.isReady() ? load : null);
         }
 
         void compare(long seed, int step) {
             String where = "seed " + seed + ", first " + step + " steps";
-            Predicate<EndpointState> may = s -> (s.id + step) % 3 > 0;
-            Predicate<EndpointState> suspect = s -> (s.id * 7 + step) % 5 == 0;
+            Predicate<EndpointState> may = s -> (s.id() + step) % 3 > 0;
+            Predicate<EndpointState> suspect = s -> (s.id() * 7 + step) % 5 == 0;
             // Long enough that no report ages so far that two come to the same but for rounding.
             double turnover = 3000 * MS;
             EndpointState real = pool.pick(now, turnover, may, suspect);
@@ -168,7 +186,7 @@
         }
 
         private static Object id(EndpointState server) {
-            return server == null ? "none" : server.id;
+            return server == null ? "none" : server.id();
         }
     }
 
--- a/core/src/test/java/cedarrudder/balancer/ProbeRateTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ProbeSchedulerTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** How many probes calls pay for: few while they go well, more where they fail. */
-public class ProbeRateTest {
+public class ProbeSchedulerTest {
 
     private static final int CALLS = 1000;
 
@@ -25,19 +25,20 @@
         PrequalBalancer decide =
                 new PrequalBalancer(site.settings(), tuning, new SplittableRandom(5), did);
         long now = 100 * Site.SECOND;
-        decide.endpoints(now, EndpointListKind.CACHED, Site.readyUpTo(8));
+        decide.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(8));
         int sent = 0;
         for (int id = 1; id <= 2 * CALLS; id++) {
             now += 10 * Site.MS;
-            decide.request(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+            decide.onRequest(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
             sent += id > CALLS ? did.probed.size() : 0;
             for (long endpoint : List.copyOf(did.probed)) {
-                decide.probed(now, endpoint, Outcome.OK, 0, Site.load(0, 1));
+                decide.onProbeEnded(now, endpoint, Outcome.OK, 0, Site.load(0, 1));
             }
             did.probed.clear();
             Recorder.Sent last = did.sent.get(did.sent.size() - 1);
             Outcome how = id % period == 0 ? outcome : Outcome.OK;
-            decide.outcome(now, id, 0, last.endpoint(), how, Site.MS, how == Outcome.OK, null);
+            decide.onAttemptEnded(
+                    now, id, 0, last.endpoint(), how, Site.MS, how == Outcome.OK, null);
         }
         return sent;
     }
@@ -61,7 +62,8 @@
     @Test
     public void failuresNeverMeanFewerProbes() {
         BalancerParameters eager =
-                BalancerParameters.DEFAULTS.with(BalancerParameters.Parameter.PROBES_PER_CALL, 1);
+                BalancerParameters.DEFAULTS.with(
+                        BalancerParameters.Parameter.PROBES_PER_REQUEST, 1);
         assertEquals(probes(eager, 5, Outcome.RESET), CALLS);
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/Recorder.java
+++ b/core/src/test/java/cedarrudder/balancer/Recorder.java
@@ -27,13 +27,13 @@
     }
 
     @Override
-    public void send(long request, long endpoint, long timeout) {
+    public void startAttempt(long request, long endpoint, long timeout) {
         lines.add("send " + request + " " + endpoint + " " + timeout);
         sent.add(new Sent(request, endpoint));
     }
 
     @Override
-    public void refuse(long request, long retryAfter) {
+    public void reject(long request, long retryAfter) {
         lines.add("refuse " + request);
         refused.add(request);
         comeBack.add(retryAfter);
@@ -46,29 +46,29 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         lines.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void probe(long endpoint) {
+    public void sendProbe(long endpoint) {
         lines.add("probe " + endpoint);
         probed.add(endpoint);
     }
 
     @Override
-    public void closeIdle(long endpoint) {
+    public void closeIdleConnections(long endpoint) {
         lines.add("close " + endpoint);
     }
 
     @Override
-    public void schedule(long at, long token) {
+    public void scheduleTimer(long at, long token) {
         lines.add("schedule " + at + " " + token);
         timers.add(new Timer(at, token));
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void watchEndpoints(boolean on) {
         lines.add("subscribe " + on);
     }
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void tell(int replica, byte[] message) {
+    public void sendToPeers(int replica, byte[] message) {
         lines.add("tell " + replica);
     }
 
--- a/core/src/test/java/cedarrudder/balancer/NaivePool.java
+++ b/core/src/test/java/cedarrudder/balancer/ReferenceProbePool.java
@@ -15,7 +15,7 @@
  * told: what is valid is derived anew at each question. Slow, and without entries that could go
  * wrong.
  */
-final class NaivePool {
+final class ReferenceProbePool {
 
     /** A probe that went out, with this copy's own requests there at that time. */
     private record Asked(long at, EndpointState server, int own) {}
@@ -64,11 +64,11 @@
                 valid.removeIf(v -> v.server() == gone.server());
             } else if (history.get(i) instanceof Told told
                     && counts(i)
-                    && told.outcome() != Outcome.MOOT) {
+                    && told.outcome() != Outcome.NOT_STARTED) {
                 valid.removeIf(v -> v.server() == told.server() || tooOld(told.at(), v));
                 if (told.outcome() == Outcome.OK && told.load() != null) {
                     if (valid.size()
-                            == (int) BalancerParameters.DEFAULTS.get(Parameter.POOL_SIZE)) {
+                            == (int) BalancerParameters.DEFAULTS.get(Parameter.POOL_CAPACITY)) {
                         valid.remove(
                                 valid.stream()
                                         .min(Comparator.comparingLong(Valid::at))
@@ -89,7 +89,7 @@
     }
 
     private static boolean tooOld(long now, Valid valid) {
-        return now - valid.at() > BalancerParameters.DEFAULTS.nanos(Parameter.MAX_AGE_MS);
+        return now - valid.at() > BalancerParameters.DEFAULTS.nanos(Parameter.PROBE_MAX_AGE_MS);
     }
 
     /** The last probe of a server before an answer; null where there is none. */
@@ -132,7 +132,8 @@
                 double weight =
                         smoothed == 0
                                 ? 1
-                                : BalancerParameters.DEFAULTS.get(Parameter.REPORT_WEIGHT);
+                                : BalancerParameters.DEFAULTS.get(
+                                        Parameter.REPORTED_LATENCY_WEIGHT);
                 smoothed += weight * (told.load().latencyMillis() - smoothed);
             }
         }
@@ -147,9 +148,9 @@
         double age = now - entry.at() + BalancerParameters.DEFAULTS.nanos(Parameter.REPORT_AGE_MS);
         double kept = Math.exp(-age / turnover);
         EndpointState server = entry.server();
-        return server.inFlight
-                + (server.needsConnection() && !server.untried ? 1 : 0)
-                + (server.far ? 1 : 0)
+        return server.inFlight()
+                + (server.needsNewConnection() && !server.isUnused() ? 1 : 0)
+                + (server.isInOtherZone() ? 1 : 0)
                 + Math.max(0, others + (entry.rif() - entry.own() - others) * kept);
     }
 
@@ -189,7 +190,7 @@
             return min(
                     cold,
                     v ->
-                            v.server().untried
+                            v.server().isUnused()
                                     ? 0
                                     : v.latency() * (1 + inFlight(now, v, others, turnover)));
         }
--- a/core/src/test/java/cedarrudder/balancer/RulesModel.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesModel.java
@@ -136,7 +136,7 @@
         check(told != null, "sent to a node that was never listed", node);
         long offLimits = offLimitsSince(node);
         check(
-                offLimits >= now - safety.drainGrace(),
+                offLimits >= now - safety.drainGraceNanos(),
                 "sent to a node that drains or is gone",
                 node + " is so since " + (now - offLimits) + " ns");
         for (Sent earlier : before) {
@@ -147,10 +147,13 @@
         }
         RequestClass kind = kind(request);
         Sent ran = mayHaveRun(before);
-        if (ran != null && kind.effect() != Idempotency.SAFE) {
-            check(kind.effect() == Idempotency.KEYED, "single-send sent twice", "rpc " + request);
+        if (ran != null && kind.idempotency() != Idempotency.SAFE) {
             check(
-                    now < ran.at() + kind.repeatWindow(),
+                    kind.idempotency() == Idempotency.KEYED,
+                    "single-send sent twice",
+                    "rpc " + request);
+            check(
+                    now < ran.at() + kind.keyWindowNanos(),
                     "sent again after its key is forgotten",
                     "rpc " + request);
             Told then = toldAt(ran);
@@ -183,8 +186,8 @@
         if (how == Answer.REFUSED) {
             check(
                     mayHaveRun(attempts) == null
-                            || kind.effect() == Idempotency.SAFE
-                            || kind.effect() == Idempotency.KEYED
+                            || kind.idempotency() == Idempotency.SAFE
+                            || kind.idempotency() == Idempotency.KEYED
                                     && kind.keyScope() == KeyScope.ALL,
                     "refused though it may have run",
                     "rpc " + request);
@@ -314,19 +317,26 @@
      */
     private void checkCold(long now, Told told) {
         long age = now - told.startedAt();
-        if (told.startedAt() == 0 || age >= safety.rampTime()) {
+        if (told.startedAt() == 0 || age >= safety.slowStartNanos()) {
             return;
         }
-        double part = safety.coldShare() + (1 - safety.coldShare()) * age / safety.rampTime();
+        double part =
+                safety.coldCapacityShare()
+                        + (1 - safety.coldCapacityShare()) * age / safety.slowStartNanos();
         double max =
-                FOR_CHANCE * safety.fallMultiple() * part * capacity * safety.fallWindow() / 1e9;
+                FOR_CHANCE
+                        * safety.overloadMultiple()
+                        * part
+                        * capacity
+                        * safety.overloadWindowNanos()
+                        / 1e9;
         long got =
                 history.stream()
                         .filter(
                                 e ->
                                         e instanceof Sent sent
                                                 && sent.node().equals(told.node())
-                                                && sent.at() > now - safety.fallWindow()
+                                                && sent.at() > now - safety.overloadWindowNanos()
                                                 && sent.at() >= told.startedAt())
                         .count();
         check(got <= max, "a cold node pushed over", told.node() + " got " + got + " of " + max);
--- a/core/src/test/java/cedarrudder/balancer/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesWorld.java
@@ -187,13 +187,13 @@
         long ended = 0;
         for (int kind = 0; kind < figures.classes(); kind++) {
             for (End how : End.values()) {
-                ended += figures.allEnded(kind, how);
+                ended += figures.ended(kind, how);
             }
-            ended -= figures.allTaken(kind);
+            ended -= figures.accepted(kind);
         }
-        if (ended + figures.open() != 0 || figures.open() != 0) {
+        if (ended + figures.openRequests() != 0 || figures.openRequests() != 0) {
             throw new AssertionError(
-                    "counted " + ended + " too many ends, " + figures.open() + " open");
+                    "counted " + ended + " too many ends, " + figures.openRequests() + " open");
         }
     }
 
@@ -235,7 +235,7 @@
                         new Logger(new PrintStream(OutputStream.nullOutputStream())),
                         null,
                         figures);
-        driver.connect(new Client(), new Discovery(), (replica, message) -> {});
+        driver.attach(new Client(), new Discovery(), (replica, message) -> {});
         tell(EndpointListKind.CACHED, old);
     }
 
@@ -252,8 +252,8 @@
         if (fault == Fault.FORGETS_THE_WINDOW || fault == Fault.COPIES_WHERE_FORBIDDEN) {
             Site wrong = new Site();
             wrong.parallelTries =
-                    fault == Fault.COPIES_WHERE_FORBIDDEN || settings.limits().parallelTries();
-            wrong.ask = settings.askForEndpoints();
+                    fault == Fault.COPIES_WHERE_FORBIDDEN || settings.limits().hedging();
+            wrong.ask = settings.pollsEndpoints();
             wrong.tiers = 2;
             wrong.tier = 1;
             wrong.maxAttempts = settings.limits().maxAttempts();
@@ -263,13 +263,13 @@
                                     c ->
                                             new RequestClass(
                                                     c.name(),
-                                                    c.effect(),
+                                                    c.idempotency(),
                                                     c.keyScope(),
-                                                    c.aim(),
-                                                    c.deadline(),
-                                                    c.worth(),
+                                                    c.latencyObjectiveNanos(),
+                                                    c.deadlineNanos(),
+                                                    c.priorityWeight(),
                                                     0,
-                                                    50 * c.repeatWindow(),
+                                                    50 * c.keyWindowNanos(),
                                                     false))
                             .toList();
             toldOf = wrong.settings();
@@ -295,11 +295,11 @@
                             try {
                                 if (fault == Fault.REFUSES_WHAT_MAY_HAVE_RUN
                                         && method.getName().equals("fail")) {
-                                    hands.refuse((long) arguments[0], 0);
+                                    hands.reject((long) arguments[0], 0);
                                     return null;
                                 }
                                 if (DENIES_NOTHING.contains(fault)
-                                        && method.getName().equals("denial")) {
+                                        && method.getName().equals("startDenial")) {
                                     return null;
                                 }
                                 return method.invoke(sound, arguments);
@@ -312,14 +312,14 @@
     /** What the module does, before the driver sees it. */
     private void act(String action, Object[] a) {
         transcript.append(now).append(' ').append(action).append(' ').append(a[0]).append('\n');
-        if (action.equals("send")) {
+        if (action.equals("startAttempt")) {
             if (!gone.contains((long) a[0])) {
                 model.wanted(now, (long) a[0]);
             }
             if (fault == Fault.LEAVES_THE_POD) {
                 List<Long> ready =
                         nodes.values().stream()
-                                .filter(n -> n.state() == EndpointStatus.READY)
+                                .filter(n -> n.status() == EndpointStatus.READY)
                                 .map(Endpoint::id)
                                 .toList();
                 a[1] = ready.get(random.nextInt(ready.size()));
@@ -332,7 +332,7 @@
     /** What the module hears, before it does. */
     @SuppressWarnings("unchecked")
     private void hear(String event, Object[] a) {
-        if (event.equals("endpoints")) {
+        if (event.equals("onEndpoints")) {
             boolean hides = fault == Fault.SENDS_TO_DRAINING;
             a[2] =
                     ((List<Endpoint>) a[2])
@@ -345,25 +345,25 @@
                                                             e.kind(),
                                                             e.cell(),
                                                             hides
-                                                                            && e.state()
+                                                                            && e.status()
                                                                                     == EndpointStatus
                                                                                             .DRAINING
                                                                     ? EndpointStatus.READY
-                                                                    : e.state(),
+                                                                    : e.status(),
                                                             e.weight(),
                                                             fault == Fault.PUSHES_COLD_NODES
                                                                     ? 0
                                                                     : e.startedAt()))
                                     .toList();
-        } else if (event.equals("outcome")
+        } else if (event.equals("onAttemptEnded")
                 && a[4] == Outcome.RESET
                 && !(boolean) a[6]
                 && fault == Fault.RESENDS_SINGLE_SEND) {
-            hands.send((long) a[1], (long) a[3], 0);
-        } else if (event.equals("outcome")
+            hands.startAttempt((long) a[1], (long) a[3], 0);
+        } else if (event.equals("onAttemptEnded")
                 && (boolean) a[6]
                 && fault == Fault.SENDS_AFTER_THE_END) {
-            hands.send((long) a[1], (long) a[3], 0);
+            hands.startAttempt((long) a[1], (long) a[3], 0);
         }
     }
 
@@ -381,24 +381,24 @@
                                 node.id(),
                                 node.zone(),
                                 (node.cell() + 1) % 3,
-                                node.state(),
+                                node.status(),
                                 node.startedAt()));
-                tell(EndpointListKind.CHANGES, Map.of(name, nodes.get(name)));
+                tell(EndpointListKind.DELTA, Map.of(name, nodes.get(name)));
             }
             case 0, 1 -> change(name, node, EndpointStatus.DRAINING, node.startedAt());
-            case 2 -> change(name, node, EndpointStatus.GONE, node.startedAt());
+            case 2 -> change(name, node, EndpointStatus.REMOVED, node.startedAt());
             case 3 -> change(name, node, EndpointStatus.READY, now);
             case 4 -> tell(EndpointListKind.FULL, nodes);
             case 5 -> tell(EndpointListKind.FULL, old);
-            case 6 -> tell(EndpointListKind.CHANGES, nodes);
+            case 6 -> tell(EndpointListKind.DELTA, nodes);
             case 7 -> byHand(name);
             default -> old = new TreeMap<>(nodes);
         }
         for (Map.Entry<String, Endpoint> away : List.copyOf(nodes.entrySet())) {
-            if (away.getValue().state() != EndpointStatus.READY && random.nextInt(6) == 0) {
+            if (away.getValue().status() != EndpointStatus.READY && random.nextInt(6) == 0) {
                 // Back after a restart, or the drain was called off.
                 boolean restarted =
-                        away.getValue().state() == EndpointStatus.GONE || random.nextBoolean();
+                        away.getValue().status() == EndpointStatus.REMOVED || random.nextBoolean();
                 change(
                         away.getKey(),
                         away.getValue(),
@@ -429,8 +429,9 @@
     }
 
     private boolean settled(Endpoint node) {
-        return node.state() == EndpointStatus.READY
-                && (node.startedAt() == 0 || now - node.startedAt() > settings.safety().rampTime());
+        return node.status() == EndpointStatus.READY
+                && (node.startedAt() == 0
+                        || now - node.startedAt() > settings.safety().slowStartNanos());
     }
 
     private void change(String name, Endpoint node, EndpointStatus state, long startedAt) {
@@ -440,7 +441,7 @@
         }
         nodes.put(name, Site.endpoint(node.id(), node.zone(), node.cell(), state, startedAt));
         if (random.nextInt(4) > 0) {
-            tell(EndpointListKind.CHANGES, Map.of(name, nodes.get(name)));
+            tell(EndpointListKind.DELTA, Map.of(name, nodes.get(name)));
         }
     }
 
@@ -450,26 +451,26 @@
      */
     private void tell(EndpointListKind kind, Map<String, Endpoint> list) {
         List<AdminOverrides.Named> named = new ArrayList<>();
-        if (kind != EndpointListKind.CHANGES) {
+        if (kind != EndpointListKind.DELTA) {
             for (String name : nodes.keySet()) {
-                if (!list.containsKey(name) || list.get(name).state() == EndpointStatus.GONE) {
-                    model.told(now, name, EndpointStatus.GONE, 0, 0, 0);
+                if (!list.containsKey(name) || list.get(name).status() == EndpointStatus.REMOVED) {
+                    model.told(now, name, EndpointStatus.REMOVED, 0, 0, 0);
                 }
             }
             known.clear();
         }
         list.forEach(
                 (name, node) -> {
-                    if (kind == EndpointListKind.CHANGES || node.state() != EndpointStatus.GONE) {
+                    if (kind == EndpointListKind.DELTA || node.status() != EndpointStatus.REMOVED) {
                         model.told(
                                 now,
                                 name,
-                                node.state(),
+                                node.status(),
                                 node.zone(),
                                 node.cell(),
                                 node.startedAt());
                         named.add(new AdminOverrides.Named(name, node));
-                        if (node.state() == EndpointStatus.GONE) {
+                        if (node.status() == EndpointStatus.REMOVED) {
                             known.remove(node.id());
                         } else {
                             known.put(node.id(), name);
@@ -477,7 +478,7 @@
                     }
                 });
         List<Endpoint> shown = rotation.listed(kind, named);
-        driver.resolved(
+        driver.endpointsUpdated(
                 kind,
                 fault == Fault.IGNORES_BANS
                         ? named.stream().map(AdminOverrides.Named::endpoint).toList()
@@ -499,9 +500,9 @@
         }
         Endpoint shown = rotation.shown(name);
         if (shown != null && fault != Fault.IGNORES_BANS) {
-            driver.resolved(EndpointListKind.CHANGES, List.of(shown));
+            driver.endpointsUpdated(EndpointListKind.DELTA, List.of(shown));
             if (!bar) {
-                driver.returned(shown.id());
+                driver.endpointReenabled(shown.id());
             }
         }
     }
@@ -525,13 +526,13 @@
                         now + toDriver + (uploads ? 60_000 * MS : 0),
                         0,
                         false,
-                        kind.effect() != Idempotency.SAFE,
+                        kind.idempotency() != Idempotency.SAFE,
                         work,
                         uploads);
         Exchange<String, String> exchange =
                 new Exchange<>(request, "q" + requestId, new Answers(requestId));
         if (uploads) {
-            uploading.put(requestId, exchange.uploading(toDriver));
+            uploading.put(requestId, exchange.withUpload(toDriver));
             at(now + random.nextLong(150 * MS), () -> whole(requestId, wait));
         } else {
             model.whole(now, requestId, now + wait);
@@ -546,7 +547,7 @@
         Exchange<String, String> exchange = uploading.remove(requestId);
         if (exchange != null) {
             model.whole(now, requestId, now + wait);
-            driver.whole(exchange);
+            driver.uploadComplete(exchange);
         }
     }
 
@@ -556,9 +557,9 @@
         gone.add(requestId);
         model.left(now, requestId);
         if (random.nextBoolean()) {
-            driver.left(exchange);
+            driver.clientLeft(exchange);
         } else {
-            at(now + random.nextLong(100 * MS), () -> driver.left(exchange));
+            at(now + random.nextLong(100 * MS), () -> driver.clientLeft(exchange));
         }
     }
 
@@ -598,7 +599,7 @@
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void rejected(long retryAfter) {
             got(RulesModel.Answer.REFUSED, -1);
         }
 
@@ -608,7 +609,7 @@
         }
 
         @Override
-        public boolean waits() {
+        public boolean isClientWaiting() {
             return !gone.contains(requestId);
         }
     }
@@ -631,14 +632,14 @@
 
     private final class Discovery implements EndpointDiscovery {
         @Override
-        public void subscribe(boolean on) {
+        public void watch(boolean on) {
             if (random.nextBoolean()) {
-                at(now + 100 * MS, () -> driver.unresolved());
+                at(now + 100 * MS, () -> driver.endpointsUnavailable());
             }
         }
 
         @Override
-        public void fetch() {}
+        public void fetchAll() {}
     }
 
     /**
@@ -650,12 +651,12 @@
         private final Set<RequestAttempt<String, String>> written = new HashSet<>();
 
         @Override
-        public boolean knows(long endpoint) {
+        public boolean knowsEndpoint(long endpoint) {
             return known.containsKey(endpoint) || endpoint == STRANGER;
         }
 
         @Override
-        public void start(RequestAttempt<String, String> attempt) {
+        public void startAttempt(RequestAttempt<String, String> attempt) {
             String node = known.getOrDefault(attempt.endpoint(), "stranger");
             if (random.nextInt(8) > 0) {
                 go(attempt, node);
@@ -665,7 +666,7 @@
         }
 
         private void go(RequestAttempt<String, String> attempt, String node) {
-            if (!driver.begins(attempt) && fault != Fault.BEGINS_FOR_NOBODY) {
+            if (!driver.mayStart(attempt) && fault != Fault.BEGINS_FOR_NOBODY) {
                 return;
             }
             long request = attempt.exchange().request().id();
@@ -673,14 +674,14 @@
             boolean half = uploading.containsKey(request);
             if (!half) {
                 written.add(attempt);
-                attempt.wrote(now);
+                attempt.writeComplete(now);
             }
             int draw = random.nextInt(20);
             Outcome how =
                     draw < 2
                             ? Outcome.ERROR
                             : draw < 4
-                                    ? Outcome.FULL
+                                    ? Outcome.REJECTED
                                     : draw < 6
                                             ? Outcome.CONNECT_FAILED
                                             : draw < 8 ? Outcome.RESET : Outcome.OK;
@@ -704,7 +705,7 @@
         private void begin(RequestAttempt<String, String> attempt) {
             if (told.putIfAbsent(attempt, true) == null) {
                 model.ended(now, attempt.exchange().request().id(), attempt.number(), Outcome.OK);
-                driver.began(attempt, String.valueOf(attempt.number()), null);
+                driver.responseStarted(attempt, String.valueOf(attempt.number()), null);
                 Outcome end = random.nextBoolean() ? Outcome.OK : Outcome.RESET;
                 at(now + random.nextLong(500 * MS), () -> pass(attempt, end));
             }
@@ -724,12 +725,12 @@
                         String.valueOf(attempt.number()),
                         Site.load(random.nextInt(5), 20));
             } else {
-                driver.ended(attempt, outcome, null);
+                driver.attemptEnded(attempt, outcome, null);
             }
         }
 
         @Override
-        public void abandon(RequestAttempt<String, String> attempt) {
+        public void abandonAttempt(RequestAttempt<String, String> attempt) {
             if (told.putIfAbsent(attempt, true) == null) {
                 model.ended(
                         now,
@@ -740,7 +741,7 @@
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void sendProbe(long endpoint) {
             long lasts = random.nextLong(60 * MS);
             Outcome outcome = random.nextInt(6) == 0 ? Outcome.TIMEOUT : Outcome.OK;
             // A node that has just started reads empty and quick.
@@ -752,17 +753,17 @@
             at(
                     now + lasts,
                     () ->
-                            driver.probed(
+                            driver.probeEnded(
                                     endpoint, outcome, lasts, outcome == Outcome.OK ? load : null));
             if (random.nextInt(8) == 0) {
                 long again = lasts + random.nextLong(300 * MS);
                 at(
                         now + again,
-                        () -> driver.probed(endpoint, Outcome.OK, again, Site.load(9, 900)));
+                        () -> driver.probeEnded(endpoint, Outcome.OK, again, Site.load(9, 900)));
             }
         }
 
         @Override
-        public void closeIdle(long endpoint) {}
+        public void closeIdleConnections(long endpoint) {}
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/Steps.java
+++ b/core/src/test/java/cedarrudder/balancer/Steps.java
@@ -53,7 +53,7 @@
         for (int id = 1; id <= ENDPOINTS; id++) {
             list.add(Site.endpoint(id, id % 3, id % 5, EndpointStatus.READY, 0));
         }
-        decide.endpoints(now, EndpointListKind.CACHED, list);
+        decide.onEndpoints(now, EndpointListKind.CACHED, list);
         take();
     }
 
@@ -63,7 +63,7 @@
             now += random.nextLong(8 * MS);
             for (Recorder.Timer timer : timers.stream().filter(t -> t.at() <= now).toList()) {
                 timers.remove(timer);
-                decide.timer(now, timer.token());
+                decide.onTimer(now, timer.token());
                 take();
             }
             step(random.nextInt(100));
@@ -92,15 +92,15 @@
                             false,
                             work,
                             random.nextInt(20) == 0);
-            decide.request(
+            decide.onRequest(
                     now,
                     request,
-                    random.nextInt(50) == 0 ? AdmissionHint.OVERLOAD : AdmissionHint.WANTED);
+                    random.nextInt(50) == 0 ? AdmissionHint.OVERLOADED : AdmissionHint.ADMIT);
         } else if (draw < 82 && !outs.isEmpty()) {
             Out out = outs.remove(random.nextInt(outs.size()));
             int how = random.nextInt(3 * Outcome.values().length);
             Outcome outcome = how < Outcome.values().length ? Outcome.values()[how] : Outcome.OK;
-            decide.outcome(
+            decide.onAttemptEnded(
                     now,
                     out.request,
                     out.attempt,
@@ -111,7 +111,7 @@
                     null);
         } else if (draw < 88 && !probes.isEmpty()) {
             boolean good = random.nextInt(8) > 0;
-            decide.probed(
+            decide.onProbeEnded(
                     now,
                     probes.remove(random.nextInt(probes.size())),
                     good ? Outcome.OK : Outcome.TIMEOUT,
@@ -122,7 +122,9 @@
             EndpointStatus state =
                     random.nextInt(3) > 0
                             ? EndpointStatus.READY
-                            : random.nextBoolean() ? EndpointStatus.DRAINING : EndpointStatus.GONE;
+                            : random.nextBoolean()
+                                    ? EndpointStatus.DRAINING
+                                    : EndpointStatus.REMOVED;
             list.set(
                     (int) id - 1,
                     Site.endpoint(
@@ -130,8 +132,8 @@
                             was.zone(),
                             random.nextInt(5),
                             state,
-                            was.state() == EndpointStatus.GONE ? now : was.startedAt()));
-            decide.endpoints(now, EndpointListKind.CHANGES, List.of(list.get((int) id - 1)));
+                            was.status() == EndpointStatus.REMOVED ? now : was.startedAt()));
+            decide.onEndpoints(now, EndpointListKind.DELTA, List.of(list.get((int) id - 1)));
         } else {
             rare(draw, id, requests == 0 ? 1 : 1 + random.nextLong(requests));
         }
@@ -139,13 +141,13 @@
 
     private void rare(int draw, long endpoint, long request) {
         switch (draw) {
-            case 93 -> decide.endpoints(now, EndpointListKind.FULL, list);
-            case 94 -> decide.endpointsFailed(now);
-            case 95 -> decide.clientLeft(now, request);
-            case 96 -> decide.whole(now, request);
-            case 97 -> decide.returned(now, endpoint);
-            case 98 -> decide.brokeOff(now, endpoint, now - 100 * MS);
-            default -> decide.replicas(now, 1 + random.nextInt(site.replicas));
+            case 93 -> decide.onEndpoints(now, EndpointListKind.FULL, list);
+            case 94 -> decide.onEndpointsUnavailable(now);
+            case 95 -> decide.onClientLeft(now, request);
+            case 96 -> decide.onUploadComplete(now, request);
+            case 97 -> decide.onEndpointReenabled(now, endpoint);
+            case 98 -> decide.onResponseAborted(now, endpoint, now - 100 * MS);
+            default -> decide.onLiveReplicas(now, 1 + random.nextInt(site.replicas));
         }
     }
 
--- a/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
@@ -32,10 +32,10 @@
     private static final RequestClass WORTHY =
             new RequestClass(
                     "worthy",
-                    Site.SAFE.effect(),
+                    Site.SAFE.idempotency(),
                     Site.SAFE.keyScope(),
-                    Site.SAFE.aim(),
-                    Site.SAFE.deadline(),
+                    Site.SAFE.latencyObjectiveNanos(),
+                    Site.SAFE.deadlineNanos(),
                     9,
                     0,
                     0,
@@ -59,7 +59,7 @@
         for (int zone = 0; zone < ZONES; zone++) {
             all.addAll(zone(zone, EndpointStatus.READY));
         }
-        decide.endpoints(now, EndpointListKind.CACHED, all);
+        decide.onEndpoints(now, EndpointListKind.CACHED, all);
     }
 
     private static List<Endpoint> zone(int zone, EndpointStatus state) {
@@ -71,7 +71,7 @@
     }
 
     private void shares(ZoneTrafficShare... shares) {
-        decide.shares(now, List.of(shares));
+        decide.onZoneShares(now, List.of(shares));
     }
 
     private static ZoneTrafficShare share(int zone, int parts) {
@@ -79,14 +79,14 @@
     }
 
     private long ask(int kind) {
-        decide.request(now, new Request(++last, kind, 0, now + SECOND, 0, false, false, 0));
+        decide.onRequest(now, new Request(++last, kind, 0, now + SECOND, 0, false, false, 0));
         return last;
     }
 
     /** Ends the last attempt of a request. */
     private void end(long id, Outcome outcome) {
         List<Recorder.Sent> sent = did.sent.stream().filter(s -> s.request() == id).toList();
-        decide.outcome(
+        decide.onAttemptEnded(
                 now,
                 id,
                 sent.size() - 1,
@@ -103,7 +103,7 @@
         did.probed.clear();
         for (long endpoint : out) {
             boolean good = sound.test(endpoint);
-            decide.probed(
+            decide.onProbeEnded(
                     now,
                     endpoint,
                     good ? Outcome.OK : Outcome.TIMEOUT,
@@ -156,7 +156,7 @@
             Steps untold = new Steps(seed);
             Steps told = new Steps(seed);
             for (int i = 0; i < 100; i++) {
-                told.decide.shares(told.now, List.of());
+                told.decide.onZoneShares(told.now, List.of());
                 untold.play(30);
                 told.play(30);
                 assertEquals(told.digest(), untold.digest(), "seed " + seed + ", step " + 30 * i);
@@ -236,11 +236,11 @@
     @Test
     public void theOwnZoneStandsInForOneThatDrainsThenTheOthers() {
         shares(share(1, 5_000), share(2, 4_000), share(0, 1_000));
-        decide.endpoints(now, EndpointListKind.CHANGES, zone(1, EndpointStatus.DRAINING));
+        decide.onEndpoints(now, EndpointListKind.DELTA, zone(1, EndpointStatus.DRAINING));
         int[] zones = serve(500, 5 * MS);
         assertEquals(zones[0], 300, 5, Arrays.toString(zones));
         assertEquals(zones[2], 200, 5, Arrays.toString(zones));
-        decide.endpoints(now, EndpointListKind.CHANGES, zone(0, EndpointStatus.GONE));
+        decide.onEndpoints(now, EndpointListKind.DELTA, zone(0, EndpointStatus.REMOVED));
         assertEquals(serve(100, 5 * MS), new int[] {0, 0, 100});
     }
 
@@ -251,9 +251,9 @@
         assertEquals(zones[0] + zones[1] + zones[2], 300);
         assertTrue(zones[0] > 60 && zones[1] > 60, Arrays.toString(zones));
         assertTrue(did.lines.stream().filter(line -> line.startsWith("probe")).count() > 20);
-        decide.endpoints(
+        decide.onEndpoints(
                 now,
-                EndpointListKind.CHANGES,
+                EndpointListKind.DELTA,
                 List.of(Site.endpoint(90, 9, 0, EndpointStatus.READY, 0)));
         long id = ask(0);
         assertEquals(did.sent.get(did.sent.size() - 1), new Recorder.Sent(id, 90));
@@ -267,12 +267,13 @@
     public void aZoneThatIsFullSendsNothingToOthers() {
         shares(share(1, 10_000));
         for (int i = 0; i < 100; i++) {
-            decide.request(now, new Request(++last, 0, 0, now + SECOND, 0, false, false, 20 * MS));
+            decide.onRequest(
+                    now, new Request(++last, 0, 0, now + SECOND, 0, false, false, 20 * MS));
         }
         assertEquals(did.sent.size(), EACH * 4, "each holds four");
         assertTrue(did.sent.stream().allMatch(s -> s.endpoint() / 10 == 1));
         now += 100 * MS;
-        List.copyOf(did.timers).forEach(timer -> decide.timer(now, timer.token()));
+        List.copyOf(did.timers).forEach(timer -> decide.onTimer(now, timer.token()));
         assertEquals(did.refused.size(), 100 - EACH * 4);
     }
 
@@ -330,7 +331,7 @@
 
     @Test
     public void whatIsOverABoundGoesToTheNextZone() {
-        decide.shares(now, List.of(new ZoneTrafficShare(1, 9_000, 50), share(2, 1_000)));
+        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 9_000, 50), share(2, 1_000)));
         int[] zones = serve(2_000, 5 * MS);
         assertEquals(zones[1], 50 * 10 + 15, 10);
         assertEquals(zones[2], 2_000 - zones[1]);
@@ -339,9 +340,10 @@
     /** Guards against a bound that holds only until the other zones are full. */
     @Test
     public void aBoundHoldsWhereTheOtherZonesAreFull() {
-        decide.shares(now, List.of(new ZoneTrafficShare(1, 5_000, 2), share(2, 5_000)));
+        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 5_000, 2), share(2, 5_000)));
         for (int i = 0; i < 100; i++) {
-            decide.request(now, new Request(++last, 0, 0, now + SECOND, 0, false, false, 20 * MS));
+            decide.onRequest(
+                    now, new Request(++last, 0, 0, now + SECOND, 0, false, false, 20 * MS));
         }
         assertEquals(did.sent.stream().filter(sent -> sent.endpoint() / 10 == 1).count(), 1);
         assertEquals(did.sent.size(), 1 + EACH * 4, "each holds four");
@@ -356,7 +358,7 @@
         int served = 0;
         for (int i = 0; i < 2_000; i++) {
             if (i % 100 == 0) { // replaced under load, with no new savings
-                decide.shares(now, List.of(new ZoneTrafficShare(1, 10_000, 50)));
+                decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 50)));
             }
             now += 5 * MS;
             did.sent.clear();
@@ -373,12 +375,12 @@
 
     @Test
     public void repeatsCountInTheBound() {
-        decide.shares(now, List.of(new ZoneTrafficShare(1, 10_000, 2)));
-        end(ask(0), Outcome.FULL);
+        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 2)));
+        end(ask(0), Outcome.REJECTED);
         assertEquals(did.sent.size(), 1, "no second one within half a second");
         assertEquals(did.refused.size(), 1);
         now += SECOND;
-        decide.shares(now, List.of(new ZoneTrafficShare(1, 10_000, 10)));
+        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 10)));
         int sends = 0;
         for (int i = 0; i < 200; i++) {
             now += 50 * MS;
@@ -386,8 +388,15 @@
             long id = ask(0);
             for (int of = 0; of < did.sent.size(); of++) {
                 sends++;
-                decide.outcome(
-                        now, id, of, did.sent.get(of).endpoint(), Outcome.FULL, MS, false, null);
+                decide.onAttemptEnded(
+                        now,
+                        id,
+                        of,
+                        did.sent.get(of).endpoint(),
+                        Outcome.REJECTED,
+                        MS,
+                        false,
+                        null);
             }
         }
         assertTrue(sends <= 10 * 10 + 5 + 1, "sends " + sends);
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -268,7 +268,12 @@
         assertEquals(call(budgets, BEST, said(3, 0, false)).refused().why(), Why.OVERLOAD);
         RequestBudget full = call(budgets, BEST, said(0, 0, false));
         budgets.ended(
-                now, full, attempt(budgets, full), Outcome.FULL, MILLI, DownstreamFeedback.NOTHING);
+                now,
+                full,
+                attempt(budgets, full),
+                Outcome.REJECTED,
+                MILLI,
+                DownstreamFeedback.NOTHING);
         assertEquals(full.refused().why(), Why.OVERLOAD);
         assertNull(
                 call(budgets, BEST, PropagatedBudget.NOTHING).refused(),
@@ -355,12 +360,11 @@
         }
         Request late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
         RequestBudget call = budgets.arrived(now, late, said(0, 0, false));
-        assertEquals(call.standing(), AdmissionHint.NO_TIME);
+        assertEquals(call.standing(), AdmissionHint.DEADLINE_TOO_SHORT);
         assertEquals(call.refused().why(), Why.TIME);
         now += 6 * SECOND;
         late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
-        assertEquals(
-                budgets.arrived(now, late, said(0, 0, false)).standing(), AdmissionHint.WANTED);
+        assertEquals(budgets.arrived(now, late, said(0, 0, false)).standing(), AdmissionHint.ADMIT);
     }
 
     // ---- worth ----
@@ -377,10 +381,10 @@
         int best = 0;
         for (int i = 0; i < 100; i++) {
             best +=
-                    call(budgets, BEST, said(0, 0, false)).standing() == AdmissionHint.WANTED
+                    call(budgets, BEST, said(0, 0, false)).standing() == AdmissionHint.ADMIT
                             ? 1
                             : 0;
-            min += call(budgets, MIN, said(0, 0, false)).standing() == AdmissionHint.WANTED ? 1 : 0;
+            min += call(budgets, MIN, said(0, 0, false)).standing() == AdmissionHint.ADMIT ? 1 : 0;
         }
         assertEquals(best, 100);
         assertTrue(min < 10, "let in of the least " + min);
@@ -441,7 +445,7 @@
         int admitted = 0;
         for (int i = 0; i < 100; i++) {
             admitted +=
-                    call(budgets, kind, said(0, 0, false)).standing() == AdmissionHint.WANTED
+                    call(budgets, kind, said(0, 0, false)).standing() == AdmissionHint.ADMIT
                             ? 1
                             : 0;
         }
--- a/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
+++ b/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
@@ -141,7 +141,7 @@
                         500 * MILLI,
                         new SafetyRules(0, 0.2, 10 * SECOND, 2, SECOND, 0),
                         now);
-        tally.listed(
+        tally.onEndpoints(
                 EndpointListKind.FULL,
                 List.of(
                         new Endpoint(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
@@ -155,15 +155,20 @@
     public void itCountsByZones() {
         ZoneTrafficCounter tally = tally(0);
         for (Outcome outcome : Outcome.values()) {
-            tally.came();
-            tally.ended(MILLI, tally.sent(0, 1), outcome, new LoadReport(0, 0, 0.5, 0, 0, 0));
+            tally.onRequest();
+            tally.onAttemptEnded(
+                    MILLI, tally.onAttemptSent(0, 1), outcome, new LoadReport(0, 0, 0.5, 0, 0, 0));
         }
-        tally.sent(2 * MILLI, 2);
-        tally.unserved();
-        tally.ended(3 * MILLI, tally.sent(0, 9), Outcome.ERROR, null); // a node that is not listed
-        tally.probed(3 * MILLI, 3, Outcome.TIMEOUT, null);
+        tally.onAttemptSent(2 * MILLI, 2);
+        tally.onUnserved();
+        tally.onAttemptEnded(
+                3 * MILLI,
+                tally.onAttemptSent(0, 9),
+                Outcome.ERROR,
+                null); // a node that is not listed
+        tally.onProbeEnded(3 * MILLI, 3, Outcome.TIMEOUT, null);
         assertEquals(
-                tally.close(500 * MILLI, 5),
+                tally.closePeriod(500 * MILLI, 5),
                 new ZoneObservations(
                         2,
                         0,
@@ -188,7 +193,7 @@
                                         1,
                                         100 + 2 * 64), // cold: 0.2 + 0.8 * 5.5 / 10
                                 new Seen(1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0))));
-        ZoneObservations next = tally.close(1_000 * MILLI, 5);
+        ZoneObservations next = tally.closePeriod(1_000 * MILLI, 5);
         assertEquals(next.seen().get(1).age(), 1);
         assertEquals(next.sequence(), 2);
     }
@@ -197,10 +202,12 @@
     @Test
     public void aCopyThatStoodStillSaysNothing() {
         ZoneTrafficCounter tally = tally(0);
-        int sent = tally.sent(0, 1);
-        assertNull(tally.close(3_000 * MILLI, 0));
-        tally.ended(3_100 * MILLI, sent, Outcome.TIMEOUT, null);
-        assertNull(tally.close(3_500 * MILLI, 0), "what ends just after it is still of that time");
-        assertNotNull(tally.close(4_000 * MILLI, 0));
+        int sent = tally.onAttemptSent(0, 1);
+        assertNull(tally.closePeriod(3_000 * MILLI, 0));
+        tally.onAttemptEnded(3_100 * MILLI, sent, Outcome.TIMEOUT, null);
+        assertNull(
+                tally.closePeriod(3_500 * MILLI, 0),
+                "what ends just after it is still of that time");
+        assertNotNull(tally.closePeriod(4_000 * MILLI, 0));
     }
 }
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -94,7 +94,7 @@
         denial = null;
         knows = true;
         budgets = null;
-        onRequest = () -> actions.send(1, 7, 0);
+        onRequest = () -> actions.startAttempt(1, 7, 0);
         onOutcome = () -> {};
         onDenial = () -> {};
         build();
@@ -103,11 +103,11 @@
     /** Guards against an RPC that is counted twice, or not at all, however it ended. */
     @AfterMethod
     public void everyRpcTakenIsCountedOnce() {
-        long ended = Arrays.stream(End.values()).mapToLong(how -> figures.allEnded(0, how)).sum();
-        assertEquals(figures.allTaken(0), ended + figures.open());
-        assertEquals(figures.allEnded(0, End.FULFILLED), said("served"));
-        assertEquals(figures.allEnded(0, End.THROTTLED), said("refused"));
-        assertEquals(figures.allEnded(0, End.FAULTED), said("failed"));
+        long ended = Arrays.stream(End.values()).mapToLong(how -> figures.ended(0, how)).sum();
+        assertEquals(figures.accepted(0), ended + figures.openRequests());
+        assertEquals(figures.ended(0, End.SERVED), said("served"));
+        assertEquals(figures.ended(0, End.REJECTED), said("refused"));
+        assertEquals(figures.ended(0, End.FAILED), said("failed"));
     }
 
     private long said(String word) {
@@ -138,7 +138,7 @@
                         new Logger(new PrintStream(OutputStream.nullOutputStream())),
                         budgets,
                         figures);
-        driver.connect(new Client(), null, null);
+        driver.attach(new Client(), null, null);
     }
 
     private void accept() {
@@ -158,7 +158,7 @@
                             }
 
                             @Override
-                            public void refused(long retryAfter) {
+                            public void rejected(long retryAfter) {
                                 seen.add("refused");
                             }
 
@@ -168,12 +168,12 @@
                             }
 
                             @Override
-                            public boolean waits() {
+                            public boolean isClientWaiting() {
                                 return waits;
                             }
 
                             @Override
-                            public boolean seen() {
+                            public boolean canSeeClient() {
                                 return inSight;
                             }
                         },
@@ -187,7 +187,7 @@
         refuseConnections = true;
         onRequest =
                 () -> {
-                    actions.send(1, 7, 0);
+                    actions.startAttempt(1, 7, 0);
                     seen.add("request handled");
                 };
         accept();
@@ -198,8 +198,8 @@
     public void theFirstServedAttemptEndsTheRpcAndTheOtherIsSettled() {
         onRequest =
                 () -> {
-                    actions.send(1, 7, 0);
-                    actions.send(1, 8, 0);
+                    actions.startAttempt(1, 7, 0);
+                    actions.startAttempt(1, 8, 0);
                 };
         accept();
         driver.served(started.get(1), "b", null);
@@ -219,13 +219,13 @@
      */
     @Test
     public void sharesAreOverBeforeTheNextEventOnceTheirTimeIs() {
-        driver.sharesUntil(100);
+        driver.zoneSharesValidUntil(100);
         driver.shares(List.of(new LoadBalancer.ZoneTrafficShare(0, 10_000, 0)));
-        driver.onShared(() -> seen.add("by shares"));
+        driver.onZoneShareUsed(() -> seen.add("by shares"));
         accept();
         now = 100;
-        driver.resolved(LoadBalancer.EndpointListKind.CHANGES, List.of());
-        driver.resolved(LoadBalancer.EndpointListKind.CHANGES, List.of());
+        driver.endpointsUpdated(LoadBalancer.EndpointListKind.DELTA, List.of());
+        driver.endpointsUpdated(LoadBalancer.EndpointListKind.DELTA, List.of());
         assertEquals(seen, List.of("shares 1", "by shares", "start 0", "shares 0"));
     }
 
@@ -242,11 +242,11 @@
         onRequest =
                 () -> {
                     for (int i = 0; i <= MAX_ATTEMPTS; i++) {
-                        actions.send(1, 7, 0);
+                        actions.startAttempt(1, 7, 0);
                     }
                 };
         accept();
-        assertEquals(seen, List.of("start 0", "start 1", "outcome 2 MOOT open"));
+        assertEquals(seen, List.of("start 0", "start 1", "outcome 2 NOT_STARTED open"));
     }
 
     /** Another node may be there: only what may not be sent at all is moot. */
@@ -269,19 +269,20 @@
         onOutcome =
                 () -> {
                     if (seen.size() == 2) {
-                        actions.send(1, 8, 0);
+                        actions.startAttempt(1, 8, 0);
                     } else {
                         actions.fail(1);
                     }
                 };
         Exchange<String, String> exchange =
                 accept(new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
-        assertEquals(started.get(0).handed().path().hops(), List.of("front"));
-        driver.ended(started.get(0), Outcome.RESET, null);
+        assertEquals(started.get(0).propagatedBudget().path().hops(), List.of("front"));
+        driver.attemptEnded(started.get(0), Outcome.RESET, null);
         assertEquals(
-                seen, List.of("start 0", "outcome 0 RESET open", "outcome 1 MOOT open", "failed"));
+                seen,
+                List.of("start 0", "outcome 0 RESET open", "outcome 1 NOT_STARTED open", "failed"));
         assertEquals(
-                exchange.result(),
+                exchange.feedback(),
                 new DownstreamFeedback(0, DownstreamFeedback.Why.TRIES, HopPath.EMPTY));
     }
 
@@ -297,17 +298,21 @@
         build();
         onRequest =
                 () -> {
-                    actions.send(1, 7, 0);
-                    actions.send(1, 8, 0);
+                    actions.startAttempt(1, 7, 0);
+                    actions.startAttempt(1, 8, 0);
                 };
         Exchange<String, String> exchange =
                 accept(new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
         driver.served(started.get(0), "a", null);
         assertEquals(
                 seen,
-                List.of("start 0", "outcome 1 MOOT open", "served a", "outcome 0 OK settled"));
+                List.of(
+                        "start 0",
+                        "outcome 1 NOT_STARTED open",
+                        "served a",
+                        "outcome 0 OK settled"));
         assertEquals(
-                exchange.result(),
+                exchange.feedback(),
                 new DownstreamFeedback(0, DownstreamFeedback.Why.NOT_SAID, HopPath.EMPTY));
     }
 
@@ -320,7 +325,7 @@
                         new SplittableRandom(1),
                         BudgetEvents.NONE);
         build();
-        onOutcome = () -> actions.refuse(1, 0);
+        onOutcome = () -> actions.reject(1, 0);
         Exchange<String, String> exchange =
                 accept(
                         new PropagatedBudget(
@@ -332,9 +337,9 @@
                                 1,
                                 false,
                                 HopPath.of(List.of("front", "core"))));
-        assertEquals(seen, List.of("outcome 0 MOOT open", "refused"));
+        assertEquals(seen, List.of("outcome 0 NOT_STARTED open", "refused"));
         assertEquals(
-                exchange.result(),
+                exchange.feedback(),
                 new DownstreamFeedback(
                         0,
                         DownstreamFeedback.Why.LOOP,
@@ -344,7 +349,7 @@
     @Test
     public void givingUpAbandonsTheAttemptAndLaterNewsOfItIsIgnored() {
         accept();
-        actions.cancel(1, 0);
+        actions.cancelAttempt(1, 0);
         driver.served(started.get(0), "late", null);
         assertEquals(seen, List.of("start 0", "abandon 0", "outcome 0 CANCELLED open"));
     }
@@ -364,16 +369,16 @@
         onOutcome =
                 () -> {
                     onOutcome = () -> actions.fail(1);
-                    actions.send(1, 8, 0);
+                    actions.startAttempt(1, 8, 0);
                 };
-        driver.cut(accept(PropagatedBudget.NOTHING));
+        driver.expireNow(accept(PropagatedBudget.NOTHING));
         assertEquals(
                 seen,
                 List.of(
                         "start 0",
                         "abandon 0",
                         "outcome 0 TIMEOUT open",
-                        "outcome 1 MOOT open",
+                        "outcome 1 NOT_STARTED open",
                         "failed"));
     }
 
@@ -413,7 +418,7 @@
                     throw new StackOverflowError("made on purpose");
                 };
         Exchange<String, String> exchange = accept(PropagatedBudget.NOTHING);
-        driver.left(exchange);
+        driver.clientLeft(exchange);
         assertEquals(seen, List.of("client left"));
     }
 
@@ -432,9 +437,9 @@
      */
     @Test
     public void whatWaitsForItsConnectionAsItsCallerLeavesNeverBegins() {
-        driver.left(acceptDialling());
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT settled", "client left"));
-        assertFalse(driver.begins(started.get(0)));
+        driver.clientLeft(acceptDialling());
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "client left"));
+        assertFalse(driver.mayStart(started.get(0)));
         assertEquals(seen.size(), 3);
     }
 
@@ -445,14 +450,14 @@
             start();
             onRequest =
                     () -> {
-                        actions.send(1, 7, 0);
-                        actions.send(1, 8, 0);
+                        actions.startAttempt(1, 7, 0);
+                        actions.startAttempt(1, 8, 0);
                     };
             acceptDialling();
-            assertTrue(driver.begins(started.get(1)));
-            started.get(1).wrote(now);
+            assertTrue(driver.mayStart(started.get(1)));
+            started.get(1).writeComplete(now);
             if (flows) {
-                driver.began(started.get(1), "b", null);
+                driver.responseStarted(started.get(1), "b", null);
                 driver.served(started.get(1), "b", null);
             } else {
                 driver.served(started.get(1), "b", null);
@@ -463,8 +468,8 @@
                             "abandon 0",
                             "served b",
                             "outcome 1 OK settled",
-                            "outcome 0 MOOT settled"));
-            assertFalse(driver.begins(started.get(0)));
+                            "outcome 0 NOT_STARTED settled"));
+            assertFalse(driver.mayStart(started.get(0)));
         }
     }
 
@@ -472,9 +477,9 @@
     public void whatWaitsForItsConnectionAsTheModuleEndsItsRpcNeverBegins() {
         acceptDialling();
         onOutcome = () -> {};
-        actions.refuse(1, 0);
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT settled", "refused"));
-        assertFalse(driver.begins(started.get(0)));
+        actions.reject(1, 0);
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "refused"));
+        assertFalse(driver.mayStart(started.get(0)));
     }
 
     /** Guards against the same where nobody has read yet that the caller is gone. */
@@ -482,8 +487,8 @@
     public void aCallerIsLookedForAsAnAttemptBegins() {
         acceptDialling();
         waits = false;
-        assertFalse(driver.begins(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT settled", "client left"));
+        assertFalse(driver.mayStart(started.get(0)));
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "client left"));
     }
 
     /**
@@ -493,25 +498,25 @@
     public void nothingBeginsForACallerOutOfSight() {
         acceptDialling();
         inSight = false;
-        assertFalse(driver.begins(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT open"));
+        assertFalse(driver.mayStart(started.get(0)));
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
     @Test
     public void nothingBeginsOnceItsTimeIsOverThoughNoTimerHasTold() {
         acceptDialling();
         now = DEADLINE;
-        assertFalse(driver.begins(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT open"));
+        assertFalse(driver.mayStart(started.get(0)));
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
     @Test
     public void whatTheModuleDeniesEndsWithItsWord() {
-        for (Outcome word : List.of(Outcome.MOOT, Outcome.CONNECT_FAILED)) {
+        for (Outcome word : List.of(Outcome.NOT_STARTED, Outcome.CONNECT_FAILED)) {
             start();
             acceptDialling();
             denial = word;
-            assertFalse(driver.begins(started.get(0)));
+            assertFalse(driver.mayStart(started.get(0)));
             assertEquals(seen, List.of("abandon 0", "outcome 0 " + word + " open"));
         }
     }
@@ -524,15 +529,15 @@
     public void aListThatDeniesWhatWaitsEndsItAtOnceAndNothingElse() {
         onRequest =
                 () -> {
-                    actions.send(1, 7, 0);
-                    actions.send(1, 8, 0);
+                    actions.startAttempt(1, 7, 0);
+                    actions.startAttempt(1, 8, 0);
                 };
         acceptDialling();
-        assertTrue(driver.begins(started.get(1)));
-        driver.resolved(EndpointListKind.CHANGES, List.of());
+        assertTrue(driver.mayStart(started.get(1)));
+        driver.endpointsUpdated(EndpointListKind.DELTA, List.of());
         assertEquals(seen, List.of());
         denial = Outcome.CONNECT_FAILED;
-        driver.resolved(EndpointListKind.CHANGES, List.of());
+        driver.endpointsUpdated(EndpointListKind.DELTA, List.of());
         assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
@@ -540,16 +545,16 @@
     public void nothingBeginsAtANodeThatHasLeftTheList() {
         acceptDialling();
         knows = false;
-        assertFalse(driver.begins(started.get(0)));
+        assertFalse(driver.mayStart(started.get(0)));
         assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
     /** Guards against half a body: some of it went out with another attempt. */
     @Test
     public void nothingBeginsWhoseContentIsSpent() {
-        acceptDialling().spend();
-        assertFalse(driver.begins(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT open"));
+        acceptDialling().discardContent();
+        assertFalse(driver.mayStart(started.get(0)));
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
     /** Guards against a caller that waits until its deadline, since the module could not say. */
@@ -560,8 +565,8 @@
                 () -> {
                     throw new IllegalStateException("a fault of the module");
                 };
-        assertFalse(driver.begins(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT open"));
+        assertFalse(driver.mayStart(started.get(0)));
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
     // ---- what an attempt that is given up says ----
@@ -580,7 +585,7 @@
 
     @Test
     public void anAttemptsTimeOutBeforeItsConnectionIsUpCouldNotConnect() {
-        onRequest = () -> actions.send(1, 7, 5);
+        onRequest = () -> actions.startAttempt(1, 7, 5);
         acceptDialling();
         timers.remove(1).run();
         assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
@@ -590,62 +595,62 @@
     @Test
     public void whatIsHalfWrittenHasNotRun() {
         acceptDialling();
-        assertTrue(driver.begins(started.get(0)));
-        actions.cancel(1, 0);
-        assertEquals(seen, List.of("abandon 0", "outcome 0 MOOT open"));
+        assertTrue(driver.mayStart(started.get(0)));
+        actions.cancelAttempt(1, 0);
+        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
     private final class Client implements AttemptTransport<String, String> {
         @Override
-        public boolean knows(long endpoint) {
+        public boolean knowsEndpoint(long endpoint) {
             return knows;
         }
 
         @Override
-        public void start(RequestAttempt<String, String> attempt) {
+        public void startAttempt(RequestAttempt<String, String> attempt) {
             seen.add("start " + attempt.number());
             started.add(attempt);
             if (refuseConnections) {
-                driver.ended(attempt, Outcome.CONNECT_FAILED, null);
-            } else if (!dials && driver.begins(attempt)) {
-                attempt.wrote(now);
+                driver.attemptEnded(attempt, Outcome.CONNECT_FAILED, null);
+            } else if (!dials && driver.mayStart(attempt)) {
+                attempt.writeComplete(now);
             }
         }
 
         @Override
-        public void abandon(RequestAttempt<String, String> attempt) {
+        public void abandonAttempt(RequestAttempt<String, String> attempt) {
             seen.add("abandon " + attempt.number());
         }
 
         @Override
-        public void probe(long endpoint) {}
+        public void sendProbe(long endpoint) {}
 
         @Override
-        public void closeIdle(long endpoint) {}
+        public void closeIdleConnections(long endpoint) {}
     }
 
     private final class Module implements LoadBalancer {
         @Override
-        public void endpoints(long at, EndpointListKind kind, List<Endpoint> entries) {}
+        public void onEndpoints(long at, EndpointListKind kind, List<Endpoint> entries) {}
 
         @Override
-        public void shares(long at, List<ZoneTrafficShare> shares) {
+        public void onZoneShares(long at, List<ZoneTrafficShare> shares) {
             seen.add("shares " + shares.size());
         }
 
         @Override
-        public void endpointsFailed(long at) {}
+        public void onEndpointsUnavailable(long at) {}
 
         @Override
-        public void request(long at, Request request) {
+        public void onRequest(long at, Request request) {
             onRequest.run();
         }
 
         @Override
-        public void firstByte(long at, long request, int attempt, long endpoint, long latency) {}
+        public void onFirstByte(long at, long request, int attempt, long endpoint, long latency) {}
 
         @Override
-        public void outcome(
+        public void onAttemptEnded(
                 long at,
                 long request,
                 int attempt,
@@ -659,24 +664,24 @@
         }
 
         @Override
-        public Outcome denial(long at, long request, int attempt) {
+        public Outcome startDenial(long at, long request, int attempt) {
             onDenial.run();
             return denial;
         }
 
         @Override
-        public void clientLeft(long at, long request) {
+        public void onClientLeft(long at, long request) {
             seen.add("client left");
         }
 
         @Override
-        public void timer(long at, long token) {}
+        public void onTimer(long at, long token) {}
 
         @Override
-        public void probed(
+        public void onProbeEnded(
                 long at, long endpoint, Outcome outcome, long latency, LoadReport load) {}
 
         @Override
-        public void message(long at, int from, byte[] message) {}
+        public void onPeerMessage(long at, int from, byte[] message) {}
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
@@ -21,9 +21,10 @@
     DiscoveryTimeouts read(ConfigTable table) {
         DiscoveryTimeouts usual = DiscoveryTimeouts.DEFAULT;
         return new DiscoveryTimeouts(
-                CommonKeys.millis(table, "call_patience_ms", 100, 60_000, usual.call()),
-                CommonKeys.millis(table, "ask_again_ms", 100, 60_000, usual.again()),
-                CommonKeys.millis(table, "watch_patience_ms", MIN_WATCH, 600_000, usual.watch()),
-                CommonKeys.millis(table, "watch_spread_ms", 0, 60_000, usual.spread()));
+                CommonKeys.millis(table, "call_patience_ms", 100, 60_000, usual.callNanos()),
+                CommonKeys.millis(table, "ask_again_ms", 100, 60_000, usual.hedgeNanos()),
+                CommonKeys.millis(
+                        table, "watch_patience_ms", MIN_WATCH, 600_000, usual.watchSilenceNanos()),
+                CommonKeys.millis(table, "watch_spread_ms", 0, 60_000, usual.jitterNanos()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -51,7 +51,7 @@
 
     private final Self self;
     private final AgreementTableSettings settings;
-    private final RequestForwarder<?, ?> driver;
+    private final RequestForwarder<?, ?> forwarder;
     private final Consumer<Set<Long>> leaving;
     private final FailoverWiring failovers;
     private final DrainWiring removals;
@@ -75,7 +75,7 @@
             MembershipService membership,
             AgreementTableSettings settings,
             Self self,
-            RequestForwarder<?, ?> driver,
+            RequestForwarder<?, ?> forwarder,
             Consumer<Set<Long>> leaving,
             FailoverWiring failovers,
             DrainWiring removals,
@@ -83,7 +83,7 @@
             Logger log) {
         this.settings = settings;
         this.self = self;
-        this.driver = driver;
+        this.forwarder = forwarder;
         this.leaving = leaving;
         this.failovers = failovers;
         this.removals = removals;
@@ -93,7 +93,7 @@
         this.fleet = new ReplicaCoordinator(loop, peers, this, this, notes);
         membership.onEach(this::lives);
         if (notes != null) {
-            driver.onShared(() -> used(loop.now()));
+            forwarder.onZoneShareUsed(() -> used(loop.now()));
         }
     }
 
@@ -216,7 +216,7 @@
                             : 0;
         }
         int divided = living;
-        driver.shares(
+        forwarder.shares(
                 next == null
                         ? List.of()
                         : next.shares().stream()
@@ -252,7 +252,7 @@
 
     @Override
     public void until(long instant) {
-        driver.sharesUntil(instant);
+        forwarder.zoneSharesValidUntil(instant);
     }
 
     @Override
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -185,7 +185,7 @@
 
     @Override
     public List<byte[]> report(long now) {
-        out = view.calls();
+        out = view.attemptsInFlight();
         samples.addLast(new Sample(now, view.ended()));
         while (samples.size() > 1 && now - samples.getFirst().at > WINDOW) {
             samples.removeFirst();
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -45,7 +45,7 @@
             int[] zoneOf,
             long incarnation,
             long now,
-            RequestForwarder<?, ?> driver,
+            RequestForwarder<?, ?> forwarder,
             EventRecorder notes,
             Logger log) {
         if (settings.period() != reports) {
@@ -72,7 +72,7 @@
         this.zones = site.zones();
         this.notes = notes;
         this.log = log;
-        driver.count(tally);
+        forwarder.countByZone(tally);
         apply(settings);
     }
 
--- a/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
+++ b/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
@@ -65,9 +65,9 @@
                                                 entry.weight(),
                                                 disabled.contains(id)
                                                         ? Standing.DISABLED
-                                                        : entry.state() == EndpointStatus.DRAINING
+                                                        : entry.status() == EndpointStatus.DRAINING
                                                                 ? Standing.TERMINATING
-                                                                : channels.failing(entry.id())
+                                                                : channels.isFailing(entry.id())
                                                                         ? Standing.FAILED
                                                                         : Standing.SERVING,
                                                 reader.startMillis(id))));
@@ -78,9 +78,9 @@
         return index >= 0 && index < names.size() ? names.get(index) : "";
     }
 
-    /** Calls that are out, by node. */
-    Map<Long, Integer> calls() {
-        return channels.calls();
+    /** Attempts in flight, by endpoint. */
+    Map<Long, Integer> attemptsInFlight() {
+        return channels.attemptsInFlight();
     }
 
     /** The numbers of listed nodes that are left out here by hand. */
@@ -97,16 +97,16 @@
         long refused = 0;
         long failed = 0;
         for (int i = 0; i < figures.classes(); i++) {
-            served += figures.allEnded(i, End.FULFILLED);
-            refused += figures.allEnded(i, End.THROTTLED);
-            failed += figures.allEnded(i, End.FAULTED);
+            served += figures.ended(i, End.SERVED);
+            refused += figures.ended(i, End.REJECTED);
+            failed += figures.ended(i, End.FAILED);
         }
         // Differences are what counts: these may pass the largest number and begin anew.
         return new TrafficSample(
                 (int) (served + refused + failed),
                 (int) refused,
                 (int) failed,
-                (int) figures.allLate());
+                (int) figures.deadlinesMissed());
     }
 
     /** What the machine's clock says; milliseconds since 1970. */
--- /dev/null
+++ b/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
@@ -0,0 +1,162 @@
+package cedarrudder.program;
+
+import cedarrudder.adminoverride.AdminOverrides;
+import cedarrudder.balancer.LoadBalancer.Endpoint;
+import cedarrudder.balancer.LoadBalancer.RequestClass;
+import cedarrudder.bodyflow.BufferAccount;
+import cedarrudder.forwarding.RequestForwarder;
+import cedarrudder.metrics.RequestMetrics;
+import cedarrudder.protocol.EndpointListReader;
+import cedarrudder.protocol.MetricsPage;
+import cedarrudder.protocol.SiteSettings;
+import cedarrudder.transport.AdminOperations;
+import cedarrudder.transport.HttpServer;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
+/** What operators ask for at the administrative address, carried out by the parts of a proxy. */
+final class ProxyAdminOperations implements AdminOperations {
+
+    /**
+     * The parts of a proxy that operators reach.
+     *
+     * @param ready whether the proxy has a list, is warm and listens for clients
+     * @param estimate null where the operator's file has no {@code [footprint]}
+     * @param listReader null where the operator's file has no {@code [footprint]}
+     * @param coordination null where the operator's file has no {@code [agreement]}
+     * @param drains null where the operator's file has no {@code [drains]}
+     */
+    record Parts(
+            SiteSettings site,
+            BooleanSupplier ready,
+            HttpServer server,
+            RequestForwarder<?, ?> forwarder,
+            RequestMetrics metrics,
+            BufferAccount buffers,
+            EndpointAdministration endpoints,
+            HandoverCoordinator handover,
+            ProcessMemoryEstimate estimate,
+            EndpointListReader listReader,
+            CoordinationWiring coordination,
+            DrainWiring drains) {}
+
+    private final Parts parts;
+    private final AdminOverrides overrides;
+    private final List<String> classNames;
+
+    ProxyAdminOperations(Parts parts) {
+        this.parts = parts;
+        this.overrides = parts.endpoints().overrides();
+        this.classNames = parts.site().module().classes().stream().map(RequestClass::name).toList();
+    }
+
+    // ---- pages
+
+    @Override
+    public boolean ready() {
+        return parts.ready().getAsBoolean() && parts.server().isServing();
+    }
+
+    @Override
+    public byte[] figures() {
+        return MetricsPage.write(
+                parts.metrics(),
+                classNames,
+                overrides.size(),
+                parts.forwarder().avoidedEndpoints(),
+                parts.buffers().held(),
+                parts.estimate() == null ? null : parts.estimate().figures(parts.listReader()));
+    }
+
+    @Override
+    public byte[] table() {
+        return parts.coordination() == null
+                ? null
+                : RouteTablePage.write(
+                        parts.coordination().fleet(), parts.site().zones(), overrides::name);
+    }
+
+    @Override
+    public byte[] drains() {
+        return parts.drains() == null
+                ? null
+                : DrainsPage.write(parts.drains().progress(), overrides::name);
+    }
+
+    // ---- what replicas decide together
+
+    @Override
+    public Done group() {
+        return parts.coordination().fleet().form() ? Done.YES : Done.NO;
+    }
+
+    @Override
+    public void remove(Which which, String name, boolean cancel, Consumer<Done> then) {
+        List<Long> chosen =
+                overrides.listed().entrySet().stream()
+                        .filter(entry -> matches(which, name, entry.getKey(), entry.getValue()))
+                        .map(entry -> entry.getValue().id())
+                        .sorted()
+                        .toList();
+        if (chosen.isEmpty()) {
+            then.accept(Done.UNKNOWN);
+        } else {
+            parts.drains().call(parts.coordination().fleet(), cancel, chosen, then);
+        }
+    }
+
+    private boolean matches(Which which, String name, String endpointName, Endpoint endpoint) {
+        return switch (which) {
+            case NODE -> endpointName.equals(name);
+            case ZONE -> isNamed(parts.site().zones(), name, endpoint.zone());
+            case POD -> Integer.toString(endpoint.cell()).equals(name);
+            case KIND -> isNamed(parts.site().kinds(), name, endpoint.kind());
+        };
+    }
+
+    private static boolean isNamed(List<String> names, String name, int index) {
+        return index >= 0 && names.indexOf(name) == index;
+    }
+
+    // ---- endpoints by hand
+
+    @Override
+    public Done disable(String name) {
+        if (!overrides.knows(name)) {
+            return Done.UNKNOWN;
+        }
+        return persistThen(state -> state.disable(name), () -> parts.endpoints().disable(name));
+    }
+
+    @Override
+    public Done enable(String name) {
+        if (!overrides.knows(name)) {
+            return Done.UNKNOWN;
+        }
+        return persistThen(state -> state.enable(name), () -> parts.endpoints().enable(name));
+    }
+
+    // ---- draining by hand
+
+    @Override
+    public Done drain() {
+        return persistThen(PersistedAdminState::drain, parts.server()::drainByOperator);
+    }
+
+    @Override
+    public Done resume() {
+        if (!parts.server().isServing()) {
+            return Done.NO;
+        }
+        return persistThen(PersistedAdminState::resume, parts.server()::resumeByOperator);
+    }
+
+    private Done persistThen(HandoverCoordinator.Change change, Runnable action) {
+        if (!parts.handover().persist(change)) {
+            return Done.NO;
+        }
+        action.run();
+        return Done.YES;
+    }
+}
--- a/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
@@ -6,34 +6,19 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The proxy as a process: its files, its signals, its end. */
+/** The proxy as a process: its files, its signals and its end. */
 final class ProxyProcess {
 
     private static final int FAILED = 1;
+    private static final String CONFIGURATION_VARIABLE = "BALANCER_CONFIG";
+    private static final String ADMIN_ADDRESS_VARIABLE = "BALANCER_ADMIN_ADDR";
 
     private ProxyProcess() {}
 
-    /**
-     * Spares Netty what it does for larger programs. Each of these costs start-up time or memory,
-     * which count on one core: looking for a hardware address, sizing for all cores of the machine,
-     * watching for leaks.
-     */
-    private static void keepNettySmall() {
-        // Guards against Netty trying logging libraries that are not there, which fails slowly.
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
-        System.setProperty("io.netty.availableProcessors", "1");
-        System.setProperty("io.netty.leakDetection.level", "disabled");
-        // Lets Netty count direct memory itself; the jar's manifest opens the package. Guards
-        // against a loop
-        // that stands still for half a second at each allocation where none is left: the library
-        // sleeps then.
-        System.setProperty("io.netty.tryReflectionSetAccessible", "true");
-    }
-
     /**
      * Starts a proxy, which runs on after this returns 0; else the exit code, and one line says
      * why, or one for each problem of the operator's file.
@@ -41,46 +26,72 @@
     static int serve(ServeOptions options) throws InterruptedException {
         try {
             OperatorFile operator = options.read();
-            String file = System.getenv("BALANCER_CONFIG");
+            String file = System.getenv(CONFIGURATION_VARIABLE);
             if (file == null) {
-                throw new IllegalArgumentException("BALANCER_CONFIG is not set");
+                throw new IllegalArgumentException(CONFIGURATION_VARIABLE + " is not set");
             }
-            keepNettySmall(); // first: reading addresses begins Netty
-            ProxyConfiguration configuration = read(file);
+            configureNetty(); // first, since reading addresses initializes Netty
+            ProxyConfiguration configuration = readConfiguration(file);
             AsyncLogWriter lines = AsyncLogWriter.inPlaceOfStandardError();
             ProxyServer proxy =
                     new ProxyServer(
-                            configuration, operator, new Logger(lines::take), state(configuration));
-            // Before anything listens: guards against the virtual machine's own answers to signals.
-            // SIGHUP
-            // would end it, and so would SIGTERM: it ends when this hook has, and all taken is
-            // answered.
-            ReloadSignal hangups = new ReloadSignal();
-            Signals.onHangup(
-                    () -> hangups.heard(() -> reload(proxy, file, options)), proxy::noHangup);
-            Runtime.getRuntime()
-                    .addShutdownHook(
-                            new Thread(
-                                    () -> {
-                                        proxy.drain();
-                                        lines.end();
-                                    },
-                                    "drain"));
-            return start(proxy);
+                            configuration,
+                            operator,
+                            new Logger(lines::take),
+                            stateFolder(configuration));
+            handleSignals(proxy, file, options, lines);
+            start(proxy);
+            return 0;
         } catch (IllegalArgumentException | IOException e) {
-            System.err.println(
-                    "cedarrudder: " + String.valueOf(e.getMessage()).replaceAll("\\R", " "));
+            printError(String.valueOf(e.getMessage()).replaceAll("\\R", " "));
             return FAILED;
         } catch (InvalidFileException e) {
-            e.problems().forEach(problem -> System.err.println("cedarrudder: " + problem));
+            e.problems().forEach(ProxyProcess::printError);
             return FAILED;
         }
     }
 
-    private static int start(ProxyServer proxy) throws IOException, InterruptedException {
+    private static void printError(Object problem) {
+        System.err.println("cedarrudder: " + problem);
+    }
+
+    /**
+     * Spares Netty what it does for larger programs. Each of these costs start-up time or memory,
+     * which count on one core: looking for a hardware address, sizing for all cores of the machine,
+     * watching for leaks, and trying logging libraries that are not there.
+     */
+    private static void configureNetty() {
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+        System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
+        System.setProperty("io.netty.availableProcessors", "1");
+        System.setProperty("io.netty.leakDetection.level", "disabled");
+        // Lets Netty count direct memory itself; the jar's manifest opens the package. The library
+        // would else sleep for half a second at each allocation where none is left.
+        System.setProperty("io.netty.tryReflectionSetAccessible", "true");
+    }
+
+    /**
+     * Takes over SIGHUP and SIGTERM, before anything listens. The virtual machine would end the
+     * process at both; at SIGTERM it ends once this hook has, and all that was taken is answered.
+     */
+    private static void handleSignals(
+            ProxyServer proxy, String file, ServeOptions options, AsyncLogWriter lines) {
+        ReloadSignal reloads = new ReloadSignal();
+        Signals.onHangup(
+                () -> reloads.onSignal(() -> reload(proxy, file, options)), proxy::noReloadSignal);
+        Thread shutdown =
+                new Thread(
+                        () -> {
+                            proxy.shutDown();
+                            lines.end();
+                        },
+                        "drain");
+        Runtime.getRuntime().addShutdownHook(shutdown);
+    }
+
+    private static void start(ProxyServer proxy) throws IOException, InterruptedException {
         try {
             proxy.start();
-            return 0;
         } catch (IOException | IllegalArgumentException e) {
             proxy.abandon();
             throw e;
@@ -95,7 +106,7 @@
      * by one of these threads at a time ({@link ReloadSignal}).
      */
     private static void reload(ProxyServer proxy, String file, ServeOptions options) {
-        proxy.reload(() -> read(file));
+        proxy.reload(() -> readConfiguration(file));
         if (options.operator() != null) {
             try {
                 proxy.apply(options.read());
@@ -106,20 +117,20 @@
     }
 
     /**
-     * Where this proxy keeps its state, by the address at which its clients find it: guards against
-     * proxies that share a folder for temporary files taking up one another's.
+     * Where this proxy keeps its state, by the address at which its clients find it: several
+     * proxies may share a folder for temporary files.
      */
-    private static Path state(ProxyConfiguration configuration) {
+    private static Path stateFolder(ProxyConfiguration configuration) {
         String folder = System.getenv("TMPDIR");
-        return Path.of(
-                folder == null || folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder,
-                "cedarrudder-"
-                        + configuration.listen().getAddress().getHostAddress().replace(':', '.')
-                        + "-"
-                        + configuration.listen().getPort());
+        if (folder == null || folder.isEmpty()) {
+            folder = System.getProperty("java.io.tmpdir");
+        }
+        InetSocketAddress listen = configuration.listen();
+        String host = listen.getAddress().getHostAddress().replace(':', '.');
+        return Path.of(folder, "cedarrudder-" + host + "-" + listen.getPort());
     }
 
-    private static ProxyConfiguration read(String file) throws IOException {
+    private static ProxyConfiguration readConfiguration(String file) throws IOException {
         String text;
         try {
             text = Files.readString(Path.of(file));
@@ -127,7 +138,7 @@
             throw new IOException("can't read the configuration: " + e.getMessage(), e);
         }
         try {
-            return ProxyConfiguration.parse(text).withAdmin(System.getenv("BALANCER_ADMIN_ADDR"));
+            return ProxyConfiguration.parse(text).withAdmin(System.getenv(ADMIN_ADDRESS_VARIABLE));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("configuration: " + e.getMessage(), e);
         }
