--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -1,31 +1,20 @@
 package cedarrudder.program;
 
-import cedarrudder.adminoverride.AdminOverrides;
-import cedarrudder.adminoverride.AdminOverrides.Named;
-import cedarrudder.balancer.LoadBalancer.Endpoint;
 import cedarrudder.balancer.LoadBalancer.EndpointListKind;
-import cedarrudder.balancer.LoadBalancer.EndpointStatus;
-import cedarrudder.balancer.LoadBalancer.RequestClass;
 import cedarrudder.balancer.PrequalBalancer;
 import cedarrudder.bodyflow.BufferAccount;
-import cedarrudder.budget.BudgetSettings;
 import cedarrudder.budget.Budgets;
-import cedarrudder.draining.DrainPolicy;
-import cedarrudder.failover.FailoverSettings;
 import cedarrudder.footprint.EndpointListFootprint;
 import cedarrudder.footprint.RouteTableCapacity;
 import cedarrudder.forwarding.DiscoveryPollSchedule;
 import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
 import cedarrudder.logging.TextLines;
-import cedarrudder.membership.MembershipSettings;
 import cedarrudder.metrics.RequestMetrics;
 import cedarrudder.operator.AgreementTable;
-import cedarrudder.operator.AgreementTableSettings;
 import cedarrudder.operator.BudgetTable;
 import cedarrudder.operator.CallersTable;
 import cedarrudder.operator.DiscoveryTable;
-import cedarrudder.operator.DrainsConfiguration;
 import cedarrudder.operator.DrainsTable;
 import cedarrudder.operator.FailoverTable;
 import cedarrudder.operator.FootprintSettings;
@@ -37,20 +26,20 @@
 import cedarrudder.operator.MembershipTable;
 import cedarrudder.operator.NodesTable;
 import cedarrudder.operator.OperatorFile;
-import cedarrudder.program.ProcessHandover.Others;
 import cedarrudder.protocol.EndpointList;
 import cedarrudder.protocol.EndpointListParser;
 import cedarrudder.protocol.EndpointListReader;
 import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.JsonObject;
 import cedarrudder.protocol.MalformedMessageException;
-import cedarrudder.protocol.MetricsPage;
 import cedarrudder.protocol.RequestHeaders;
+import cedarrudder.routetable.RouteTable;
 import cedarrudder.toml.InvalidFileException;
 import cedarrudder.transport.AdminListener;
-import cedarrudder.transport.AdminOperations;
+import cedarrudder.transport.ClientLimits;
 import cedarrudder.transport.DiscoveryClient;
 import cedarrudder.transport.EndpointConnectionPool;
+import cedarrudder.transport.EndpointLimits;
 import cedarrudder.transport.HttpServer;
 import cedarrudder.transport.MembershipService;
 import cedarrudder.transport.PeerSocket;
@@ -60,191 +49,190 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 
-/** One proxy: its parts, wired together. */
+/**
+ * One proxy: its parts wired together, its start, the reload of its configuration and its end.
+ *
+ * <p>The parts belong to the event loop. {@link #start}, {@link #reload}, {@link #apply} and {@link
+ * #shutDown} are called from other threads and hand over tasks.
+ */
 final class ProxyServer {
 
-    /**
-     * How often a node that was enabled is asked for its load, in nanoseconds, and how many times.
-     */
-    private static final long WELCOME = 1_000_000_000L;
-
-    private static final int WELCOMES = 5;
-
-    /** How often a proxy looks for other processes of it, in nanoseconds. */
-    private static final long WATCH = 100_000_000L;
+    /** A successor waits this long for discovery's list before it lets clients in. */
+    private static final long FRESH_LIST_TIMEOUT_NANOS = 2_000_000_000L;
 
-    /** So many looks a successor leaves it to its predecessor to write anew what was cleared. */
-    private static final int MAX_WAITED = 10;
-
-    /**
-     * Looks at the folder after the last other process has gone: what it took back is to be seen
-     * twice.
-     */
-    private static final int LOOKS = 2;
-
-    /**
-     * A successor waits so long, in nanoseconds, for discovery's list before it lets callers in.
-     */
-    private static final long FRESH = 2_000_000_000L;
-
-    /**
-     * The loop answers a question of another thread within so long, in nanoseconds, or counts as
-     * over.
-     */
-    private static final long ANSWER = 3_000_000_000L;
+    /** The loop answers another thread within this time, or counts as over. */
+    private static final long LOOP_ANSWER_TIMEOUT_NANOS = 3_000_000_000L;
 
     private final Logger log;
     private ProxyConfiguration configuration;
+    private OperatorFile operator;
     private final ProxyEventLoop loop;
-    private final RequestForwarder<HttpMessage, HttpMessage> driver;
-    private final EndpointConnectionPool channels;
-    private final EndpointListParser reader;
-    private final EndpointListReader footprint;
-    private final ProcessMemoryEstimate estimate;
+    private final RequestForwarder<HttpMessage, HttpMessage> forwarder;
+    private final EndpointConnectionPool connections;
+    private final EndpointAdministration endpoints;
+    private final EndpointListParser listParser;
     private final DiscoveryClient discovery;
     private final PeerSocket peers;
-    private final HttpServer listener;
+    private final HttpServer server;
+    private final HandoverCoordinator handover;
+    private final RequestMetrics metrics;
+    private final BufferAccount buffers = new BufferAccount(BufferAccount.MAX);
+    private final StartupGate gate = new StartupGate();
+    private final CountDownLatch freshList = new CountDownLatch(1);
+
+    // Subsystems that are off where the operator's file has no table for them: null then.
+    private final EndpointListReader listReader;
+    private final ProcessMemoryEstimate estimate;
     private final HistoryFile history;
-    private final long clockOffset;
     private final MembershipService membership;
-    private final DrainWiring removals;
-    private final CoordinationWiring together;
-    private final RequestMetrics figures;
-    private final AdminOverrides rotation = new AdminOverrides();
-    private final BufferAccount held = new BufferAccount(BufferAccount.MAX);
-    private final PersistedAdminState kept;
-    private final ProcessHandover handover;
-    private final CountDownLatch fresh = new CountDownLatch(1);
-    private OperatorFile operator;
-    private Others others = Others.NONE;
+    private final DrainWiring drains;
+    private final CoordinationWiring coordination;
 
-    /** So many looks at what operators asked of others are still to come. */
-    private int looks;
-
-    private int waited;
-    private PersistedAdminState.Told lastTold;
-    private boolean resolved;
+    private boolean hasEndpoints;
     private boolean serving;
 
-    /** Another process of this proxy speaks to the peers still. */
-    private boolean hushed;
-
-    private final StartupGate gate = new StartupGate();
-
     /**
-     * @param state where what operators ask for is kept; read and written only where they can ask
+     * Wires the parts; nothing is opened yet.
+     *
+     * @param state where what operators ask for is persisted; read and written only where they can
+     *     ask
+     * @throws IllegalArgumentException where the operator's file does not fit the configuration
      */
     ProxyServer(ProxyConfiguration configuration, OperatorFile operator, Logger log, Path state) {
-        kept = new PersistedAdminState(state);
-        handover = new ProcessHandover(state);
         this.operator = operator;
         this.configuration = configuration;
         this.log = log;
         var site = configuration.site();
-        var callers = operator.of(CallersTable.CALLERS);
-        var nodes = operator.of(NodesTable.NODES);
         setLog(operator.of(LogTable.LOG));
         HistorySettings recorded = operator.of(HistoryTable.HISTORY);
-        loop =
-                recorded == null || recorded.clockDrift() == 0
-                        ? new ProxyEventLoop(log)
-                        : new ProxyEventLoop(log, new SkewedClock(recorded.clockDrift()));
-        Budgets budgets = budgets(operator.of(BudgetTable.BUDGET));
-        figures = new RequestMetrics(site.module().classes().size());
-        driver =
-                new RequestForwarder<>(
-                        actions ->
-                                new PrequalBalancer(
-                                        site.module(),
-                                        new SplittableRandom(configuration.seed()),
-                                        actions),
-                        site.module().limits().maxAttempts(),
-                        loop,
-                        log,
-                        budgets,
-                        figures);
+        long clockOffset = recorded == null ? 0 : recorded.clockOffset();
+        loop = newLoop(recorded, log);
+        Budgets budgets =
+                ReplicaWiring.budgets(operator.of(BudgetTable.BUDGET), configuration, log);
+        metrics = new RequestMetrics(site.module().classes().size());
+        forwarder = newForwarder(budgets);
         int sockets = configuration.sockets();
-        channels =
+        ClientLimits clientLimits = operator.of(CallersTable.CALLERS);
+        EndpointLimits endpointLimits = operator.of(NodesTable.NODES);
+        int maxClients = clientLimits.maxCallers(sockets);
+        connections =
                 new EndpointConnectionPool(
                         loop,
-                        driver,
+                        forwarder,
                         site,
-                        nodes,
-                        nodes.bounds(sockets, callers.maxCallers(sockets)),
-                        figures,
-                        held);
-        clockOffset = recorded == null ? 0 : recorded.clockOffset();
-        reader = new EndpointListParser(site, loop::now, this::wallClock);
-        long version = (long) configuration.known().number("version", 0);
-        FootprintSettings lists = operator.of(FootprintTable.FOOTPRINT);
-        estimate = lists == null ? null : estimate();
-        footprint =
-                lists == null
-                        ? null
-                        : new EndpointListReader(
-                                new EndpointListFootprint(MachineLayout.read()),
-                                reader,
-                                estimate.room(lists.heapShare(), max()),
-                                lists.fromNodes());
-        discovery =
-                new DiscoveryClient(
-                        loop,
-                        configuration.discovery(),
-                        operator.of(DiscoveryTable.DISCOVERY),
-                        DiscoveryPollSchedule.longest(site.module()),
-                        new SplittableRandom(configuration.seed()).split().split().split(),
-                        reader,
-                        version,
-                        result ->
-                                resolved(
-                                        result,
-                                        result.full()
-                                                ? EndpointListKind.FULL
-                                                : EndpointListKind.CHANGES),
-                        driver::unresolved,
-                        footprint,
-                        lists == null ? 0 : lists.again());
-        peers = new PeerSocket(loop, driver, configuration.peers(), configuration.peersAll());
-        listener =
+                        endpointLimits,
+                        endpointLimits.bounds(sockets, maxClients),
+                        metrics,
+                        buffers);
+        listParser = new EndpointListParser(site, loop::now, () -> wallClockMillis(clockOffset));
+        FootprintSettings footprint = operator.of(FootprintTable.FOOTPRINT);
+        estimate = footprint == null ? null : newEstimate();
+        listReader = footprint == null ? null : newListReader(footprint);
+        discovery = newDiscoveryClient(footprint);
+        peers = new PeerSocket(loop, forwarder, configuration.peers(), configuration.peersAll());
+        server =
                 new HttpServer(
                         loop,
-                        driver,
+                        forwarder,
                         new RequestHeaders(site.module(), budgets),
-                        () -> resolved && serving,
-                        callers,
-                        callers.maxCallers(sockets),
-                        held);
-        driver.connect(channels, discovery, peers);
+                        this::isReady,
+                        clientLimits,
+                        maxClients,
+                        buffers);
+        forwarder.attach(connections, discovery, peers);
+        endpoints = new EndpointAdministration(loop, log, forwarder);
+        handover =
+                new HandoverCoordinator(loop, log, server, endpoints, state, new OtherProcesses());
         history = recorded == null ? null : new HistoryFile(recorded.file(), site.module().self());
-        if (estimate != null && history != null) {
-            footprint.whenJudged(
-                    judged -> {
-                        if (estimate.measured()) {
-                            estimate.judged(judged, history);
-                        }
-                    });
-        }
-        membership = membership(operator.of(MembershipTable.MEMBERSHIP));
-        removals = removals(operator.of(DrainsTable.DRAINS));
-        together = together(operator.of(AgreementTable.AGREEMENT));
+        recordEstimates();
+        ReplicaWiring wiring =
+                new ReplicaWiring(
+                        configuration,
+                        loop,
+                        peers,
+                        forwarder,
+                        () -> wallClockMillis(clockOffset),
+                        history,
+                        log);
+        membership = wiring.membership(operator.of(MembershipTable.MEMBERSHIP));
+        drains =
+                wiring.drains(
+                        operator.of(DrainsTable.DRAINS),
+                        endpoints.overrides(),
+                        connections,
+                        listParser,
+                        metrics);
+        coordination =
+                wiring.coordination(
+                        operator.of(AgreementTable.AGREEMENT),
+                        operator.of(FailoverTable.FAILOVER),
+                        membership,
+                        drains,
+                        this::routeTableCapacity,
+                        endpoints::setDraining);
+    }
+
+    // ---- wiring
+
+    private static ProxyEventLoop newLoop(HistorySettings recorded, Logger log) {
+        boolean skewed = recorded != null && recorded.clockDrift() != 0;
+        return skewed
+                ? new ProxyEventLoop(log, new SkewedClock(recorded.clockDrift()))
+                : new ProxyEventLoop(log);
+    }
+
+    private RequestForwarder<HttpMessage, HttpMessage> newForwarder(Budgets budgets) {
+        var module = configuration.site().module();
+        return new RequestForwarder<>(
+                actions ->
+                        new PrequalBalancer(
+                                module, new SplittableRandom(configuration.seed()), actions),
+                module.limits().maxAttempts(),
+                loop,
+                log,
+                budgets,
+                metrics);
     }
 
     /** What the machine's clock says, or is taken to say in a trial; milliseconds. */
-    private long wallClock() {
-        return System.currentTimeMillis() + clockOffset;
+    private static long wallClockMillis(long offset) {
+        return System.currentTimeMillis() + offset;
     }
 
-    private ProcessMemoryEstimate estimate() {
-        // Usual are an operators' address, with the file of this proxy's processes, and one for its
-        // peers.
-        int further =
+    private DiscoveryClient newDiscoveryClient(FootprintSettings footprint) {
+        return new DiscoveryClient(
+                loop,
+                configuration.discovery(),
+                operator.of(DiscoveryTable.DISCOVERY),
+                DiscoveryPollSchedule.maxBackoffNanos(configuration.site().module()),
+                new SplittableRandom(configuration.seed()).split().split().split(),
+                listParser,
+                (long) configuration.known().number("version", 0),
+                list ->
+                        onEndpoints(
+                                list, list.full() ? EndpointListKind.FULL : EndpointListKind.DELTA),
+                forwarder::endpointsUnavailable,
+                listReader,
+                footprint == null ? 0 : footprint.again());
+    }
+
+    private EndpointListReader newListReader(FootprintSettings footprint) {
+        return new EndpointListReader(
+                new EndpointListFootprint(MachineLayout.read()),
+                listParser,
+                estimate.room(footprint.heapShare(), maxLoad()),
+                footprint.fromNodes());
+    }
+
+    private ProcessMemoryEstimate newEstimate() {
+        // By default there are an administrative address, with the file of this proxy's processes,
+        // and one for its peers.
+        int furtherDescriptors =
                 (operator.of(HistoryTable.HISTORY) == null ? 0 : 1)
                         - (configuration.admin() == null ? 2 : 0)
                         - (configuration.peerListen() == null ? 1 : 0);
@@ -252,439 +240,182 @@
                 configuration.site(),
                 MachineLayout.read(),
                 MachineLayout.limits(configuration.memory()),
-                further,
+                furtherDescriptors,
                 () ->
                         new ProcessMemoryEstimate.Load(
-                                listener.callers(),
-                                channels.open(),
-                                (int) figures.open(),
-                                held.held()));
+                                server.clients(),
+                                connections.open(),
+                                (int) metrics.openRequests(),
+                                buffers.held()));
     }
 
-    /** All that the process may come to hold beside nodes. */
-    private ProcessMemoryEstimate.Load max() {
+    /** The most that the process may come to hold beside endpoints. */
+    private ProcessMemoryEstimate.Load maxLoad() {
         int sockets = configuration.sockets();
-        int callers = operator.of(CallersTable.CALLERS).maxCallers(sockets);
+        int maxClients = operator.of(CallersTable.CALLERS).maxCallers(sockets);
         return new ProcessMemoryEstimate.Load(
-                callers,
-                operator.of(NodesTable.NODES).bounds(sockets, callers).idle(),
-                callers,
+                maxClients,
+                operator.of(NodesTable.NODES).bounds(sockets, maxClients).idle(),
+                maxClients,
                 BufferAccount.MAX);
     }
 
-    /** Membership of this tier's proxies; null where the operator's file has none. */
-    private MembershipService membership(MembershipSettings set) {
-        if (set == null) {
-            return null;
-        }
-        var module = configuration.site().module();
-        int peersKnown = configuration.peers().size();
-        if (configuration.peerListen() == null || peersKnown < 2 || module.self() >= peersKnown) {
-            throw new IllegalArgumentException(
-                    "[membership]: found peer_listen "
-                            + configuration.peerListen()
-                            + " and "
-                            + peersKnown
-                            + " peers with ordinal "
-                            + module.self()
-                            + "; allowed: an address, and two peers or more, this one among them");
+    private void recordEstimates() {
+        if (estimate != null && history != null) {
+            listReader.whenJudged(
+                    judged -> {
+                        if (estimate.measured()) {
+                            estimate.judged(judged, history);
+                        }
+                    });
         }
-        return new MembershipService(
-                loop,
-                peers,
-                set,
-                peersKnown,
-                module.self(),
-                Math.max(0, wallClock()),
-                new SplittableRandom(configuration.seed()).split().split(),
-                driver::replicas,
-                history);
     }
 
-    /**
-     * What proxies of this tier decide together; null where the operator's file has no such table.
-     */
-    private CoordinationWiring together(AgreementTableSettings set) {
-        if (set == null) {
-            return null;
-        }
-        var module = configuration.site().module();
-        int replicas = configuration.peers().size();
-        if (set.fleet().lease() < set.fleet().minLease(replicas)) {
-            throw new IllegalArgumentException(
-                    "agreement.lease_ms: found "
-                            + set.fleet().lease() / 1_000_000
-                            + " with "
-                            + replicas
-                            + " peers; allowed: "
-                            + set.fleet().minLease(replicas) / 1_000_000
-                            + " or more");
-        }
-        int[] zones =
-                CoordinationWiring.zones(
-                        set, configuration.site().zones(), replicas, module.self(), module.zone());
-        FailoverSettings moves = operator.of(FailoverTable.FAILOVER);
-        FailoverWiring failovers =
-                moves == null
-                        ? null
-                        : new FailoverWiring(
-                                moves,
-                                configuration.site(),
-                                set.fleet().reports(replicas),
-                                zones,
-                                Math.max(1, wallClock()),
-                                loop.now(),
-                                driver,
-                                history,
-                                log);
-        return new CoordinationWiring(
-                loop,
-                peers,
-                membership,
-                set,
-                new CoordinationWiring.Self(
-                        zones,
-                        module.self(),
-                        this::wallClock,
-                        new SplittableRandom(configuration.seed()).split().split().split().split(),
-                        held ->
-                                estimate == null
-                                        ? RouteTableCapacity.ANY
-                                        : estimate.room(held, footprint)),
-                driver,
-                this::leaving,
-                failovers,
-                removals,
-                history,
-                log);
+    private RouteTableCapacity routeTableCapacity(RouteTable held) {
+        return estimate == null ? RouteTableCapacity.ANY : estimate.room(held, listReader);
     }
 
-    /** Begins to speak to the peers, as the process of this proxy that does; on the loop. */
-    private void speakUp() {
-        membership.start();
-        if (together != null) {
-            together.fleet().start();
-            if (removals != null) {
-                removals.propose(together.fleet());
-            }
-        }
+    private boolean isReady() {
+        return hasEndpoints && serving;
     }
 
-    /** Drains by policies; null where the operator's file has none. */
-    private DrainWiring removals(DrainsConfiguration file) {
-        if (file == null) {
-            return null;
+    // ---- the start
+
+    /**
+     * Starts it: the balancer learns the list it had before, then clients are let in.
+     *
+     * @throws IOException where an address can't be listened at
+     */
+    void start() throws IOException, InterruptedException {
+        boolean administered = configuration.admin() != null;
+        if (administered) {
+            handover.join();
         }
-        List<String> zones = configuration.site().zones();
-        for (DrainPolicy policy : file.policies()) {
-            if (!policy.whom().zone().isEmpty() && !zones.contains(policy.whom().zone())) {
-                throw new IllegalArgumentException(
-                        "drains.policy.zone: found "
-                                + policy.whom().zone()
-                                + " in '"
-                                + policy.name()
-                                + "'; allowed: "
-                                + String.join(", ", zones));
-            }
+        boolean replacing = handover.hasPredecessor();
+        boolean speaks = membership == null || handover.claimSpeaker();
+        startParts(administered, replacing, speaks);
+        if (administered) {
+            new AdminListener(loop, adminOperations()).listen(configuration.admin());
         }
-        return new DrainWiring(
-                loop,
-                configuration.peers().size(),
-                configuration.site().module().self(),
-                file,
-                new LocalTrafficView(
-                        configuration.site(), rotation, channels, reader, figures, this::wallClock),
-                history,
-                log);
-    }
-
-    /** These nodes are being removed in common. */
-    private void leaving(Set<Long> nodes) {
-        for (String node : rotation.leaving(nodes, loop.now())) {
-            if (rotation.shown(node).state() == EndpointStatus.READY) {
-                log.info("node.stays").with("node", node).write();
-            } else {
-                log.info("node.leaving").with("node", node).write();
+        if (configuration.peerListen() != null && speaks) {
+            peers.listen(configuration.peerListen(), administered);
+            if (membership != null) {
+                loop.run(this::startSpeaking);
             }
-            show(node);
-            welcome(node, WELCOMES);
         }
-    }
-
-    /** The budgets of this tier; null where the operator's file has none. */
-    private Budgets budgets(BudgetSettings set) {
-        if (set == null) {
-            return null;
+        warmUp();
+        if (replacing) {
+            freshList.await(FRESH_LIST_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
         }
-        var site = configuration.site();
-        int tier = site.module().tier();
-        if (set.maxHops() < site.module().tiers()) {
-            throw new IllegalArgumentException(
-                    "budget.path_most: found "
-                            + set.maxHops()
-                            + " with "
-                            + site.module().tiers()
-                            + " tiers; allowed: no less than there are tiers");
+        if (!gate.join()) {
+            return; // told to end before any client could come
         }
-        // Not the module's own numbers: guards against what one draws telling what the other will.
-        return new Budgets(
-                set.orHop(tier < site.tiers().size() ? site.tiers().get(tier) : "tier-" + tier),
-                site.module(),
-                new SplittableRandom(configuration.seed()).split(),
-                new BudgetEventLogger(log));
+        server.listen(configuration.listen(), administered);
+        loop.run(() -> onServing(administered));
     }
 
-    /** Starts it: the module learns the list it had before, then callers are let in. */
-    void start() throws IOException, InterruptedException {
-        boolean shared = configuration.admin() != null;
-        if (shared) {
-            joinOthers();
-        }
-        boolean replacing = others.predecessor(); // before the loop has it
-        boolean speaks = membership == null || speak();
-        EndpointList known = known();
-        CountDownLatch told = new CountDownLatch(1);
+    /**
+     * Starts the parts on the loop, with the list of the configuration; returns once that is done.
+     */
+    private void startParts(boolean administered, boolean replacing, boolean speaks)
+            throws InterruptedException {
+        EndpointList known = takeKnownList();
+        CountDownLatch done = new CountDownLatch(1);
         loop.run(
                 () -> {
-                    hushed = !speaks;
-                    if (shared) {
-                        takeUp();
-                        setBounds();
-                        watchOthers();
-                    }
-                    if (known != null && footprint != null && footprint.last().waits() > 0) {
-                        discovery.startedShort(); // first: the watch is asked for from there
-                    }
-                    if (!configuration.site().module().askForEndpoints()) {
-                        discovery.subscribe(
-                                true); // nobody asks for it: what was pushed counts from now on
-                    }
-                    if (replacing) {
-                        discovery.fetch();
+                    handover.setSilent(!speaks);
+                    if (administered) {
+                        handover.start();
                     }
+                    startDiscovery(known, replacing);
                     if (known != null) {
-                        resolved(known, EndpointListKind.CACHED);
+                        onEndpoints(known, EndpointListKind.CACHED);
                     } else {
-                        driver.resolved(EndpointListKind.CACHED, List.of());
+                        forwarder.endpointsUpdated(EndpointListKind.CACHED, List.of());
                     }
                     if (estimate != null) {
                         measure();
                     }
-                    told.countDown();
+                    done.countDown();
                 });
-        told.await();
-        if (shared) {
-            new AdminListener(loop, new OnDuty()).listen(configuration.admin());
+        done.await();
+    }
+
+    private void startDiscovery(EndpointList known, boolean replacing) {
+        if (known != null && listReader != null && listReader.last().waits() > 0) {
+            discovery.startedShort(); // first, since the watch is asked for from there
         }
-        if (configuration.peerListen() != null && speaks) {
-            peers.listen(configuration.peerListen(), shared);
-            if (membership != null) {
-                loop.run(this::speakUp);
-            }
+        if (!configuration.site().module().pollsEndpoints()) {
+            discovery.watch(true); // nobody asks for it: what was pushed counts from now on
         }
-        // Not at the callers' address: guards against RPCs of the warm-up reaching another process
-        // there.
-        InetSocketAddress own =
-                listener.listen(
-                        new InetSocketAddress(configuration.listen().getAddress(), 0), false);
-        CountDownLatch warmed = new CountDownLatch(1);
-        loop.run(() -> warmUp(own, warmed));
-        warmed.await();
         if (replacing) {
-            fresh.await(FRESH, TimeUnit.NANOSECONDS);
-        }
-        if (!gate.join()) {
-            return; // told to end before anyone could come
+            discovery.fetchAll();
         }
-        listener.listen(configuration.listen(), shared);
-        loop.run(
-                () -> {
-                    if (shared) {
-                        tellReady();
-                    }
-                    serving = true;
-                    log.info("proxy.listens")
-                            .with("name", configuration.name())
-                            .with("address", configuration.listen())
-                            .write();
-                });
     }
 
-    /** The list that it had before; null where there was none. */
-    private EndpointList known() {
+    /** The list of the configuration, which drops it; null where it has none. */
+    private EndpointList takeKnownList() {
         JsonObject list = configuration.known();
         configuration = configuration.withoutKnown();
-        return list.list("servers", false).isEmpty()
-                ? null
-                : reader.read(footprint == null ? list : footprint.read(list));
+        if (list.list("servers", false).isEmpty()) {
+            return null;
+        }
+        return listParser.read(listReader == null ? list : listReader.read(list));
     }
 
-    /** What this process takes beside nodes, once it has the list with which it starts. */
+    /** What this process takes beside endpoints, once it has the list with which it starts. */
     private void measure() {
-        estimate.measure(footprint.held());
-        if (history != null && footprint.last() != null) {
-            estimate.judged(
-                    footprint.last(), history); // by what was measured, not by what is usual
+        estimate.measure(listReader.held());
+        if (history != null && listReader.last() != null) {
+            estimate.judged(listReader.last(), history);
             estimate.took(history, loop::run);
         }
     }
 
-    /** Finds out who else runs for this proxy; one that can't find out takes itself to be alone. */
-    private void joinOthers() throws InterruptedException {
-        try {
-            handover.join();
-            others = handover.look();
-        } catch (IOException e) {
-            log.warn("state.unreadable").with("why", e.toString()).write();
-        }
-    }
-
-    /** Whether this process is the one that speaks to the peers. */
-    private boolean speak() {
-        try {
-            return handover.speak();
-        } catch (IOException e) {
-            log.warn("state.unreadable").with("why", e.toString()).write();
-            return true;
-        }
-    }
-
-    /**
-     * Speaks to the peers no longer: a successor does, or they are told that this proxy is gone.
-     */
-    private void hush(boolean replaced) {
-        if (membership == null || hushed) {
-            hushed = false;
-            return;
-        }
-        if (together != null) {
-            together.fleet().leave(); // first: what it says goes out by the peers' socket
-        }
-        if (replaced) {
-            membership.hush();
-        } else {
-            membership.leave();
-        }
-        try {
-            handover.hush();
-        } catch (IOException e) {
-            log.warn("state.unreadable").with("why", e.toString()).write();
-        }
-    }
-
-    /** Before operators are told: guards against a predecessor that ends as if nobody took over. */
-    private void tellReady() {
-        try {
-            handover.ready();
-        } catch (IOException e) {
-            log.warn("state.unreadable").with("why", e.toString()).write();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // the loop ends
-        }
-    }
-
-    /** Looks who else runs, and what operators have asked of it. */
-    private void watchOthers() {
-        loop.at(loop.now() + WATCH, this::watchOthers);
-        try {
-            renewState();
-            Others now = handover.look();
-            if (!now.equals(others)) {
-                log.info("upgrade.others")
-                        .with("predecessor", now.predecessor())
-                        .with("successor", now.successor())
-                        .with("ready", now.successorReady())
-                        .write();
-            }
-            looks = now.any() || others.any() ? LOOKS : Math.max(0, looks - 1);
-            others = now;
-            if (hushed && handover.speak()) {
-                hushed = false;
-                peers.takeOver(configuration.peerListen(), this::speakUp);
-            }
-            if (looks > 0) {
-                setBounds();
-                takeOver(kept.read());
-            }
-        } catch (IOException e) {
-            log.warn("state.unreadable").with("why", e.toString()).write();
-        }
-    }
-
-    /**
-     * Writes what operators have asked for anew where somebody has cleared the folder. Guards
-     * against bans that are gone at the next start, and against two processes that don't see each
-     * other.
-     */
-    private void renewState() throws IOException {
-        try {
-            // Not beside one that ran before: guards against what this one has yet to read counting
-            // as gone.
-            boolean may = !others.predecessor() || ++waited > MAX_WAITED;
-            if (handover.renew(
-                    may,
-                    () -> {
-                        lastTold = null;
-                        for (String node : rotation.disabled()) {
-                            kept.disable(node);
-                        }
-                        if (listener.drained()) {
-                            kept.drain();
-                        }
-                    })) {
-                log.warn("state.renewed").write();
-            }
-            waited = 0;
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // the loop ends
-        }
+    private ProxyAdminOperations adminOperations() {
+        return new ProxyAdminOperations(
+                new ProxyAdminOperations.Parts(
+                        configuration.site(),
+                        this::isReady,
+                        server,
+                        forwarder,
+                        metrics,
+                        buffers,
+                        endpoints,
+                        handover,
+                        estimate,
+                        listReader,
+                        coordination,
+                        drains));
     }
 
-    /**
-     * Does what operators asked of another process of this proxy. What is taken back has to be gone
-     * at two looks in turn at a folder that stands. Guards against a look in the midst of its being
-     * cleared.
-     */
-    private void takeOver(PersistedAdminState.Told told) {
-        PersistedAdminState.Told before = lastTold;
-        lastTold = told;
-        for (String node : told.disabled()) {
-            if (!rotation.disabled().contains(node)) {
-                leaveOut(node);
-            }
-        }
-        for (String node : rotation.disabled()) {
-            if (before != null
-                    && !before.disabled().contains(node)
-                    && !told.disabled().contains(node)) {
-                putBack(node);
+    /** Begins to speak to the peers, as the process of this proxy that does; on the loop. */
+    private void startSpeaking() {
+        membership.start();
+        if (coordination != null) {
+            coordination.fleet().start();
+            if (drains != null) {
+                drains.propose(coordination.fleet());
             }
         }
-        if (told.drained()) {
-            listener.drainByHand();
-        } else if (before != null && !before.drained()) {
-            listener.resume();
-        }
     }
 
     /**
-     * Two processes of a proxy together hold no more descriptors, and bytes of bodies, than one
-     * may.
+     * Sends itself requests, not at the clients' address, where another process of this proxy might
+     * get them.
      */
-    private void setBounds() {
-        int processes = others.any() ? 2 : 1;
-        int sockets = configuration.sockets() / processes;
-        held.max(BufferAccount.MAX / processes);
-        var callers = operator.of(CallersTable.CALLERS);
-        listener.apply(callers, callers.maxCallers(sockets));
-        var nodes = operator.of(NodesTable.NODES);
-        channels.apply(nodes, nodes.bounds(sockets, callers.maxCallers(sockets)));
+    private void warmUp() throws IOException, InterruptedException {
+        InetSocketAddress anyPort = new InetSocketAddress(configuration.listen().getAddress(), 0);
+        InetSocketAddress own = server.listen(anyPort, false);
+        CountDownLatch warmed = new CountDownLatch(1);
+        loop.run(() -> startWarmUp(own, warmed));
+        warmed.await();
     }
 
-    private void warmUp(InetSocketAddress at, CountDownLatch warmed) {
+    private void startWarmUp(InetSocketAddress own, CountDownLatch warmed) {
         try {
-            Warmup warmup = new Warmup(loop, configuration, at, log, warmed::countDown);
-            listener.setAside(warmup.answers());
+            Warmup warmup = new Warmup(loop, configuration, own, log, warmed::countDown);
+            server.setInterceptor(warmup.answers());
             warmup.start();
         } catch (MalformedMessageException | RuntimeException e) {
             log.fault("proxy.not_warmed", e).write();
@@ -692,85 +423,69 @@
         }
     }
 
-    private void resolved(EndpointList result, EndpointListKind kind) {
-        if (!result.unread().isEmpty()) {
+    private void onServing(boolean administered) {
+        if (administered) {
+            handover.announceReady();
+        }
+        serving = true;
+        log.info("proxy.listens")
+                .with("name", configuration.name())
+                .with("address", configuration.listen())
+                .write();
+    }
+
+    // ---- endpoints and other processes
+
+    private void onEndpoints(EndpointList list, EndpointListKind kind) {
+        if (!list.unread().isEmpty()) {
             log.warn("discovery.unread")
-                    .with("entries", result.unread().size())
-                    .with("first", result.unread().get(0))
+                    .with("entries", list.unread().size())
+                    .with("first", list.unread().get(0))
                     .write();
         }
-        channels.resolved(result);
-        resolved |= !result.nodes().isEmpty();
+        connections.onEndpoints(list);
+        hasEndpoints |= !list.nodes().isEmpty();
         if (kind != EndpointListKind.CACHED) {
-            fresh.countDown();
+            freshList.countDown();
         }
-        driver.resolved(
-                kind,
-                rotation.listed(
-                        kind,
-                        result.nodes().stream()
-                                .map(node -> new Named(node.name(), node.endpoint()))
-                                .toList()));
+        endpoints.onEndpoints(kind, list);
         if (estimate != null && history != null && estimate.measured()) {
             estimate.took(history, loop::run);
         }
     }
 
-    /** Takes up what operators asked for before this process began. */
-    private void takeUp() {
-        try {
-            PersistedAdminState.Told told = kept.read();
-            told.disabled().forEach(rotation::disable);
-            if (told.drained()) {
-                listener.drainByHand();
-            }
-        } catch (IOException e) {
-            // Guards against a start that fails for a folder's sake: what can't be read counts as
-            // absent.
-            log.warn("state.unreadable").with("why", e.getMessage()).write();
-        }
-    }
-
-    /** The module is to see a node anew, where it is listed. */
-    private void show(String node) {
-        Endpoint entry = rotation.shown(node);
-        if (entry != null) {
-            driver.resolved(EndpointListKind.CHANGES, List.of(entry));
+    /** What changes as other processes of this proxy come and go. */
+    private final class OtherProcesses implements HandoverCoordinator.Listener {
+        @Override
+        public void onProcesses(int processes) {
+            applyBounds(processes);
         }
-    }
 
-    /**
-     * A node is back: asks it for its load now and each second for a while, since it may still be
-     * starting. Guards against it standing idle: the module sends mostly to nodes whose load it
-     * knows, and with few calls it asks few of them.
-     */
-    private void welcome(String node, int times) {
-        Endpoint entry = rotation.shown(node);
-        if (entry != null && entry.state() == EndpointStatus.READY && times > 0) {
-            driver.returned(entry.id());
-            loop.at(loop.now() + WELCOME, () -> welcome(node, times - 1));
+        @Override
+        public void onSpeaker() {
+            peers.takeOver(configuration.peerListen(), ProxyServer.this::startSpeaking);
         }
     }
 
-    private void leaveOut(String node) {
-        rotation.disable(node);
-        log.info("node.disabled").with("node", node).write();
-        show(node);
+    /** All processes of a proxy together hold no more descriptors and buffers than one may. */
+    private void applyBounds(int processes) {
+        int sockets = configuration.sockets() / processes;
+        buffers.max(BufferAccount.MAX / processes);
+        ClientLimits clientLimits = operator.of(CallersTable.CALLERS);
+        int maxClients = clientLimits.maxCallers(sockets);
+        server.apply(clientLimits, maxClients);
+        EndpointLimits endpointLimits = operator.of(NodesTable.NODES);
+        connections.apply(endpointLimits, endpointLimits.bounds(sockets, maxClients));
     }
 
-    private void putBack(String node) {
-        rotation.enable(node, loop.now());
-        log.info("node.enabled").with("node", node).write();
-        show(node);
-        welcome(node, WELCOMES);
-    }
+    // ---- reload
 
     /**
-     * Takes up what the operator has changed, from any thread: the address of discovery. The rest
-     * of a configuration counts from the next start. RPCs and callers notice nothing.
+     * Takes what has changed in the configuration, from any thread: the address of discovery. The
+     * rest counts from the next start. Requests and clients notice nothing.
      *
-     * <p>It is read on the caller's thread: guards against a slow file making the loop stand still.
-     * Of two changes the later one counts where the caller reads one at a time.
+     * <p>It is read on the caller's thread, since a slow file would stop the loop. Of two changes
+     * the later one counts where the caller reads one at a time.
      *
      * @param changed reads the configuration, or says in an exception why it can't
      */
@@ -783,32 +498,30 @@
                         discovery.moveTo(next.discovery());
                     });
         } catch (Exception e) {
-            // Guards against a file that is broken or half written ending what works.
+            // A file that is broken or half written must not end what works.
             loop.run(() -> log.warn("configuration.kept").with("why", e.getMessage()).write());
         }
     }
 
-    /** Takes up what the operator's file says now, from any thread. RPCs notice nothing. */
+    /** Takes what the operator's file says now, from any thread. Requests notice nothing. */
     void apply(OperatorFile next) {
         loop.run(
                 () -> {
                     operator = next;
                     setLog(operator.of(LogTable.LOG));
-                    setBounds();
+                    applyBounds(handover.processes());
                     discovery.apply(operator.of(DiscoveryTable.DISCOVERY));
-                    if (together != null) {
-                        together.apply(operator.of(FailoverTable.FAILOVER));
+                    if (coordination != null) {
+                        coordination.apply(operator.of(FailoverTable.FAILOVER));
                     }
-                    if (removals != null) {
-                        removals.apply(operator.of(DrainsTable.DRAINS));
+                    if (drains != null) {
+                        drains.apply(operator.of(DrainsTable.DRAINS));
                     }
                     log.info("operator.read").write();
                 });
     }
 
-    /**
-     * Tells in the log that the operator's file can't be used, from any thread; nothing changes.
-     */
+    /** Logs that the operator's file can't be used, from any thread; nothing changes. */
     void keep(InvalidFileException bad) {
         loop.run(
                 () ->
@@ -818,158 +531,18 @@
                                 .write());
     }
 
-    private void setLog(LogConfiguration how) {
-        log.settings(how.settings());
-        log.form(how.form() == LogConfiguration.Form.JSON ? new JsonLineWriter() : new TextLines());
+    private void setLog(LogConfiguration configured) {
+        log.settings(configured.settings());
+        boolean json = configured.form() == LogConfiguration.Form.JSON;
+        log.form(json ? new JsonLineWriter() : new TextLines());
     }
 
-    /** Tells in the log that a SIGHUP will not be heard, and why; from any thread. */
-    void noHangup(String why) {
+    /** Logs that SIGHUP will not be handled, and why; from any thread. */
+    void noReloadSignal(String why) {
         loop.run(() -> log.warn("sighup.not_handled").with("why", why).write());
     }
 
-    private boolean successorReady() {
-        try {
-            if (configuration.admin() == null) {
-                return false;
-            }
-            renewState();
-            return handover.look().successorReady();
-        } catch (IOException e) {
-            log.warn("state.unreadable").with("why", e.toString()).write();
-            return false;
-        }
-    }
-
-    /** What writes what is to be kept. */
-    private interface Keeping {
-        void run() throws IOException;
-    }
-
-    /** What operators ask for, carried out by the parts. */
-    private final class OnDuty implements AdminOperations {
-        private final List<String> classes =
-                configuration.site().module().classes().stream().map(RequestClass::name).toList();
-
-        @Override
-        public boolean ready() {
-            return resolved && serving && listener.lasts();
-        }
-
-        @Override
-        public byte[] figures() {
-            return MetricsPage.write(
-                    figures,
-                    classes,
-                    rotation.size(),
-                    driver.avoided(),
-                    held.held(),
-                    estimate == null ? null : estimate.figures(footprint));
-        }
-
-        @Override
-        public byte[] table() {
-            return together == null
-                    ? null
-                    : RouteTablePage.write(
-                            together.fleet(), configuration.site().zones(), rotation::name);
-        }
-
-        @Override
-        public Done group() {
-            return together.fleet().form() ? Done.YES : Done.NO;
-        }
-
-        @Override
-        public byte[] drains() {
-            return removals == null ? null : DrainsPage.write(removals.progress(), rotation::name);
-        }
-
-        @Override
-        public void remove(Which which, String name, boolean cancel, Consumer<Done> then) {
-            List<Long> nodes =
-                    rotation.listed().entrySet().stream()
-                            .filter(
-                                    entry ->
-                                            switch (which) {
-                                                case NODE -> entry.getKey().equals(name);
-                                                case ZONE ->
-                                                        configuration.site().zones().indexOf(name)
-                                                                        == entry.getValue().zone()
-                                                                && entry.getValue().zone() >= 0;
-                                                case POD ->
-                                                        Integer.toString(entry.getValue().cell())
-                                                                .equals(name);
-                                                case KIND ->
-                                                        configuration.site().kinds().indexOf(name)
-                                                                        == entry.getValue().kind()
-                                                                && entry.getValue().kind() >= 0;
-                                            })
-                            .map(entry -> entry.getValue().id())
-                            .sorted()
-                            .toList();
-            if (nodes.isEmpty()) {
-                then.accept(Done.UNKNOWN);
-            } else {
-                removals.call(together.fleet(), cancel, nodes, then);
-            }
-        }
-
-        @Override
-        public Done disable(String node) {
-            return !rotation.knows(node)
-                    ? Done.UNKNOWN
-                    : keep(
-                            () -> kept.disable(node),
-                            () -> {
-                                if (!rotation.disabled().contains(node)) {
-                                    leaveOut(node);
-                                }
-                            });
-        }
-
-        @Override
-        public Done enable(String node) {
-            return !rotation.knows(node)
-                    ? Done.UNKNOWN
-                    : keep(
-                            () -> kept.enable(node),
-                            () -> {
-                                if (rotation.disabled().contains(node)) {
-                                    putBack(node);
-                                }
-                            });
-        }
-
-        /**
-         * Does what was asked once it is kept. Guards against a yes that a new process knows
-         * nothing of.
-         */
-        private Done keep(Keeping keeping, Runnable then) {
-            try {
-                renewState(); // first: guards against this change being undone with the rest
-                keeping.run();
-            } catch (IOException e) {
-                log.warn("state.not_kept").with("why", e.toString()).write();
-                return Done.NO;
-            }
-            then.run();
-            return Done.YES;
-        }
-
-        @Override
-        public Done drain() {
-            return keep(kept::drain, listener::drainByHand);
-        }
-
-        @Override
-        public Done resume() {
-            if (!listener.lasts()) {
-                return Done.NO;
-            }
-            return keep(kept::resume, listener::resume);
-        }
-    }
+    // ---- the end
 
     /** It could not start: to end it, nothing needs to be waited for. From any thread. */
     void abandon() {
@@ -977,35 +550,18 @@
     }
 
     /**
-     * Answers all that was taken and returns when nothing is left; at once where callers could not
+     * Answers all that was taken and returns when nothing is left; at once where no client could
      * come yet. To be called from another thread.
      */
-    void drain() {
+    void shutDown() {
         if (!gate.end()) {
             loop.stop();
             return;
         }
-        CountDownLatch drained = new CountDownLatch(1);
-        loop.run(
-                () -> {
-                    boolean replaced = successorReady();
-                    hush(replaced);
-                    if (replaced) {
-                        log.info("proxy.replaced").write();
-                        listener.replace(drained::countDown);
-                    } else {
-                        log.info("proxy.draining").write();
-                        listener.drain(drained::countDown);
-                    }
-                });
+        CountDownLatch done = new CountDownLatch(1);
+        loop.run(() -> startShutdown(done));
         try {
-            // Guards against a process that never ends since a part of its end can't be carried
-            // out, such as
-            // one whose jar was replaced under it, so that a class of it can't be loaded any more.
-            boolean over;
-            do {
-                over = drained.await(listener.maxEnding(), TimeUnit.NANOSECONDS);
-            } while (!over && flows());
+            awaitShutdown(done);
             loop.stop();
             if (history != null) {
                 history.end();
@@ -1015,15 +571,55 @@
         }
     }
 
-    /** Whether a body still flows; no, where the loop does not say within {@link #ANSWER}. */
-    private boolean flows() throws InterruptedException {
-        CountDownLatch flowing = new CountDownLatch(1);
+    private void startShutdown(CountDownLatch done) {
+        boolean replaced = configuration.admin() != null && handover.isSuccessorReady();
+        stopSpeaking(replaced);
+        if (replaced) {
+            log.info("proxy.replaced").write();
+            server.handOver(done::countDown);
+        } else {
+            log.info("proxy.draining").write();
+            server.shutDown(done::countDown);
+        }
+    }
+
+    /** Speaks to the peers no longer: a successor does, or they learn that this replica is gone. */
+    private void stopSpeaking(boolean replaced) {
+        boolean spoke = handover.endSpeaking();
+        if (membership == null || !spoke) {
+            return;
+        }
+        if (coordination != null) {
+            coordination.fleet().leave(); // first: what it says goes out by the peers' socket
+        }
+        if (replaced) {
+            membership.hush();
+        } else {
+            membership.leave();
+        }
+        handover.releaseSpeaker();
+    }
+
+    /**
+     * Waits for the shutdown, but not for one that is stuck, such as that of a process whose jar
+     * was replaced under it, so that a class of it can't be loaded any more.
+     */
+    private void awaitShutdown(CountDownLatch done) throws InterruptedException {
+        boolean over;
+        do {
+            over = done.await(server.maxShutdownNanos(), TimeUnit.NANOSECONDS);
+        } while (!over && isStreaming());
+    }
+
+    /** Whether a body is still streamed; no, where the loop does not say in time. */
+    private boolean isStreaming() throws InterruptedException {
+        CountDownLatch streaming = new CountDownLatch(1);
         loop.run(
                 () -> {
-                    if (listener.flows()) {
-                        flowing.countDown();
+                    if (server.isStreaming()) {
+                        streaming.countDown();
                     }
                 });
-        return flowing.await(ANSWER, TimeUnit.NANOSECONDS);
+        return streaming.await(LOOP_ANSWER_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/StartupGate.java
+++ b/daemon/src/main/java/cedarrudder/program/StartupGate.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Whether callers may have come: the start asks before it joins their address, the signal to end
- * before it waits for them, each on a thread of its own. Whoever asks first decides, and the other
- * is told.
+ * Whether clients may have come: the start asks before it listens at their address, the signal to
+ * end before it waits for them, each on a thread of its own. Whoever asks first decides.
+ * Thread-safe.
  */
 final class StartupGate {
 
@@ -17,12 +17,12 @@
 
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
-    /** Callers are about to come; false where the process has been told to end, and none may. */
+    /** Clients are about to come; false where the process has been told to end, and none may. */
     boolean join() {
         return phase.compareAndSet(Phase.STARTING, Phase.JOINED);
     }
 
-    /** The process ends; true where callers may have come, who are owed their answers. */
+    /** The process ends; true where clients may have come, who are owed their responses. */
     boolean end() {
         return !phase.compareAndSet(Phase.STARTING, Phase.ENDED) && phase.get() == Phase.JOINED;
     }
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -63,7 +63,7 @@
 
     private final ProxyEventLoop loop;
     private final BalancerSettings settings;
-    private final RequestForwarder<HttpMessage, HttpMessage> driver;
+    private final RequestForwarder<HttpMessage, HttpMessage> forwarder;
     private final EndpointConnectionPool channels;
     private final String token;
     private final HttpMessage request;
@@ -95,7 +95,7 @@
                         ? ""
                         : "Req-Owner: " + settings.tenants().get(0).name() + "\r\n";
         String method =
-                switch (settings.classes().get(0).effect()) {
+                switch (settings.classes().get(0).idempotency()) {
                     case SAFE -> "GET /warm-up HTTP/1.1\r\n";
                     case KEYED -> "POST /warm-up HTTP/1.1\r\nIdempotency-Key: " + token + "\r\n";
                     case UNSAFE -> "POST /warm-up HTTP/1.1\r\n";
@@ -110,7 +110,7 @@
                         + owner
                         + "Req-Deadline-Ms: 1000\r\n\r\n";
         request = HttpMessage.requestOf(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
-        driver =
+        forwarder =
                 new RequestForwarder<>(
                         actions -> new PrequalBalancer(settings, random, actions),
                         settings.limits().maxAttempts(),
@@ -119,18 +119,18 @@
         channels =
                 new EndpointConnectionPool(
                         loop,
-                        driver,
+                        forwarder,
                         configuration.site(),
                         EndpointLimits.DEFAULT,
                         new EndpointLimits.Bounds(RPCS, RPCS),
                         new RequestMetrics(settings.classes().size()),
                         new BufferAccount(BufferAccount.MAX));
-        driver.connect(new Self(), new NoDiscovery(), (replica, message) -> {});
+        forwarder.attach(new Self(), new NoDiscovery(), (replica, message) -> {});
         Endpoint self = new Endpoint(SELF, settings.zone(), 0, 0, EndpointStatus.READY, 1, 0);
-        channels.resolved(
+        channels.onEndpoints(
                 new EndpointList(
                         0, true, List.of(new EndpointList.Node("self", self, at)), List.of()));
-        driver.resolved(EndpointListKind.FULL, List.of(self));
+        forwarder.endpointsUpdated(EndpointListKind.FULL, List.of(self));
     }
 
     /** Begins; to be called on the loop. */
@@ -168,11 +168,11 @@
         }
         out++;
         if (++sent % RPCS_A_CHANNEL == 0) {
-            channels.closeIdle(SELF);
+            channels.closeIdleConnections(SELF);
         }
         long deadline = loop.now() + MAX;
         Request event = new Request(sent, 0, 0, deadline, 0, false, false, 0);
-        driver.accept(new Exchange<>(event, request, new Reply()));
+        forwarder.accept(new Exchange<>(event, request, new Reply()));
     }
 
     private void finish() {
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void rejected(long retryAfter) {
             served(null); // one that found no room beside the others is no reason to end cold
         }
 
@@ -202,7 +202,7 @@
         }
 
         @Override
-        public boolean waits() {
+        public boolean isClientWaiting() {
             return true;
         }
     }
@@ -229,23 +229,23 @@
     /** The channels to itself; probes are answered here, since a listener answers none. */
     private final class Self implements AttemptTransport<HttpMessage, HttpMessage> {
         @Override
-        public boolean knows(long endpoint) {
-            return channels.knows(endpoint);
+        public boolean knowsEndpoint(long endpoint) {
+            return channels.knowsEndpoint(endpoint);
         }
 
         @Override
-        public void start(RequestAttempt<HttpMessage, HttpMessage> attempt) {
-            channels.start(attempt);
+        public void startAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
+            channels.startAttempt(attempt);
         }
 
         @Override
-        public void abandon(RequestAttempt<HttpMessage, HttpMessage> attempt) {
-            channels.abandon(attempt);
+        public void abandonAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
+            channels.abandonAttempt(attempt);
         }
 
         @Override
-        public void probe(long endpoint) {
-            driver.probed(
+        public void sendProbe(long endpoint) {
+            forwarder.probeEnded(
                     endpoint,
                     Outcome.OK,
                     0,
@@ -253,16 +253,16 @@
         }
 
         @Override
-        public void closeIdle(long endpoint) {
-            channels.closeIdle(endpoint);
+        public void closeIdleConnections(long endpoint) {
+            channels.closeIdleConnections(endpoint);
         }
     }
 
     private static final class NoDiscovery implements EndpointDiscovery {
         @Override
-        public void subscribe(boolean on) {}
+        public void watch(boolean on) {}
 
         @Override
-        public void fetch() {}
+        public void fetchAll() {}
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/cedarrudder/program/package-info.java
@@ -0,0 +1,9 @@
+/**
+ * The program: the command line, configuration, wiring, signals, reload, handover and exit.
+ *
+ * <p>{@link cedarrudder.program.Main} starts it, {@link cedarrudder.program.ProxyProcess} is the
+ * process, {@link cedarrudder.program.ProxyServer} wires the parts.
+ *
+ * <p>Uses all other packages of the daemon and of core.
+ */
+package cedarrudder.program;
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
@@ -93,7 +93,7 @@
             nodes.add(
                     new EndpointList.Node(
                             id,
-                            new Endpoint(number(id), -1, -1, 0, EndpointStatus.GONE, 1, 0),
+                            new Endpoint(number(id), -1, -1, 0, EndpointStatus.REMOVED, 1, 0),
                             null));
             forget(id);
         }
@@ -150,7 +150,7 @@
                 switch (word) {
                     case "in_service" -> EndpointStatus.READY;
                     case "terminating" -> EndpointStatus.DRAINING;
-                    case "terminated" -> EndpointStatus.GONE;
+                    case "terminated" -> EndpointStatus.REMOVED;
                     default ->
                             throw new IllegalArgumentException(
                                     "unknown state '"
@@ -168,7 +168,7 @@
                         state,
                         entry.number("weight", 1),
                         startedAt(id, entry.number("started_ms", 0)));
-        if (state == EndpointStatus.GONE) {
+        if (state == EndpointStatus.REMOVED) {
             forget(id);
         }
         return new EndpointList.Node(id, endpoint, address);
--- a/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
@@ -59,17 +59,17 @@
             json.writeObjectFieldStart("operations");
             for (int i = 0; i < figures.classes(); i++) {
                 json.writeObjectFieldStart(classes.get(i));
-                json.writeNumberField("fulfilled", figures.allEnded(i, End.FULFILLED));
-                json.writeNumberField("throttled", figures.allEnded(i, End.THROTTLED));
-                json.writeNumberField("faulted", figures.allEnded(i, End.FAULTED));
-                json.writeNumberField("left", figures.allEnded(i, End.LEFT));
-                json.writeNumberField("relayed", figures.allRelayed(i));
-                relayed += figures.allRelayed(i);
+                json.writeNumberField("fulfilled", figures.ended(i, End.SERVED));
+                json.writeNumberField("throttled", figures.ended(i, End.REJECTED));
+                json.writeNumberField("faulted", figures.ended(i, End.FAILED));
+                json.writeNumberField("left", figures.ended(i, End.CLIENT_LEFT));
+                json.writeNumberField("relayed", figures.forwarded(i));
+                relayed += figures.forwarded(i);
                 json.writeEndObject();
             }
             json.writeEndObject();
             json.writeNumberField("relayed", relayed);
-            json.writeNumberField("open_requests", figures.open());
+            json.writeNumberField("open_requests", figures.openRequests());
             json.writeNumberField("registry_entries", listed);
             json.writeNumberField("out_of_rotation", avoided);
             json.writeNumberField("held_bytes", held);
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -91,7 +91,7 @@
         if (kind < 0) {
             throw MalformedMessageException.badRequest("unknown Req-Kind");
         }
-        checkFit(request, kinds.get(kind).effect());
+        checkFit(request, kinds.get(kind).idempotency());
         int tenant = 0;
         if (!tenants.isEmpty()) {
             tenant = tenants.indexOf(require(fields, "req-owner"));
@@ -126,7 +126,7 @@
 
     /** The longest that any class of callers waits, in nanoseconds. */
     public long longestWait() {
-        return kinds.stream().mapToLong(LoadBalancer.RequestClass::deadline).max().orElse(0);
+        return kinds.stream().mapToLong(LoadBalancer.RequestClass::deadlineNanos).max().orElse(0);
     }
 
     /**
--- a/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
@@ -32,12 +32,12 @@
 
     /** Outcomes by code, from the first. */
     private static final Outcome[] OUTCOMES = {
-        Outcome.MOOT,
+        Outcome.NOT_STARTED,
         Outcome.CANCELLED,
         Outcome.RESET,
         Outcome.CONNECT_FAILED,
         Outcome.TIMEOUT,
-        Outcome.FULL,
+        Outcome.REJECTED,
         Outcome.ERROR
     };
 
@@ -187,7 +187,7 @@
             int phase = Byte.toUnsignedInt(frame.get(from + 10));
             EndpointStatus state =
                     switch (phase) {
-                        case 0 -> EndpointStatus.GONE;
+                        case 0 -> EndpointStatus.REMOVED;
                         case 1 -> EndpointStatus.READY;
                         case 2 -> EndpointStatus.DRAINING;
                         default -> throw error("unknown phase " + phase);
@@ -208,7 +208,7 @@
     EndpointListKind listKind(int kind) {
         return switch (kind) {
             case SimulatorWire.VIEW_FULL -> EndpointListKind.FULL;
-            case SimulatorWire.VIEW_DELTA -> EndpointListKind.CHANGES;
+            case SimulatorWire.VIEW_DELTA -> EndpointListKind.DELTA;
             case SimulatorWire.VIEW_CACHED -> EndpointListKind.CACHED;
             default -> throw error("unknown kind of view " + kind);
         };
--- a/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
@@ -90,7 +90,7 @@
             }
 
             @Override
-            public void send(long request, long endpoint, long timeout) {
+            public void startAttempt(long request, long endpoint, long timeout) {
                 int at = record(SimulatorWire.CALL_OUT);
                 records.putLong(at + 1, request);
                 records.putInt(at + 9, (int) endpoint);
@@ -98,7 +98,7 @@
             }
 
             @Override
-            public void refuse(long request, long retryAfter) {
+            public void reject(long request, long retryAfter) {
                 int at = record(SimulatorWire.TURN_AWAY);
                 records.putLong(at + 1, request);
                 records.putLong(at + 9, retryAfter);
@@ -111,33 +111,33 @@
             }
 
             @Override
-            public void cancel(long request, int attempt) {
+            public void cancelAttempt(long request, int attempt) {
                 int at = record(SimulatorWire.UNDO_SEND);
                 records.putLong(at + 1, request);
                 records.put(at + 9, (byte) attempt);
             }
 
             @Override
-            public void probe(long endpoint) {
+            public void sendProbe(long endpoint) {
                 int at = record(SimulatorWire.POLL);
                 records.putInt(at + 1, (int) endpoint);
             }
 
             @Override
-            public void closeIdle(long endpoint) {
+            public void closeIdleConnections(long endpoint) {
                 int at = record(SimulatorWire.FREE_LINKS);
                 records.putInt(at + 1, (int) endpoint);
             }
 
             @Override
-            public void schedule(long at, long token) {
+            public void scheduleTimer(long at, long token) {
                 int record = record(SimulatorWire.SCHEDULE);
                 records.putLong(record + 1, at);
                 records.putLong(record + 9, token);
             }
 
             @Override
-            public void subscribe(boolean on) {
+            public void watchEndpoints(boolean on) {
                 int at = record(SimulatorWire.SUBSCRIBE);
                 records.put(at + 1, (byte) (on ? 1 : 0));
             }
@@ -148,7 +148,7 @@
             }
 
             @Override
-            public void tell(int replica, byte[] message) {
+            public void sendToPeers(int replica, byte[] message) {
                 int at = record(SimulatorWire.PUBLISH);
                 records.putInt(at + 1, replica);
                 span(at + 5, message);
--- a/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
@@ -128,14 +128,14 @@
             case SimulatorWire.VIEW -> {
                 int kind = batch.u8(1);
                 if (kind == SimulatorWire.VIEW_FAILED) {
-                    return () -> replica.endpointsFailed(now);
+                    return () -> replica.onEndpointsUnavailable(now);
                 }
                 LoadBalancer.EndpointListKind listKind = batch.listKind(kind);
                 List<LoadBalancer.Endpoint> entries = inventories.get(batch.u16(6));
                 if (entries == null) {
                     throw batch.error("list " + batch.u16(6) + " was never given");
                 }
-                return () -> replica.endpoints(now, listKind, entries);
+                return () -> replica.onEndpoints(now, listKind, entries);
             }
             case SimulatorWire.KNOCK -> {
                 int bits = batch.u8(9);
@@ -149,14 +149,14 @@
                                 (bits & SimulatorWire.BIT_REPEAT) != 0,
                                 (bits & SimulatorWire.BIT_WRITE) != 0,
                                 (bits & SimulatorWire.BIT_HINT) != 0 ? batch.i64(29) : 0);
-                return () -> replica.request(now, request);
+                return () -> replica.onRequest(now, request);
             }
             case SimulatorWire.FIRST_BYTE -> {
                 long id = batch.i64(1);
                 long latency = batch.i64(9);
                 int attempt = batch.u8(17);
                 long endpoint = batch.u32(18);
-                return () -> replica.firstByte(now, id, attempt, endpoint, latency);
+                return () -> replica.onFirstByte(now, id, attempt, endpoint, latency);
             }
             case SimulatorWire.OUTCOME -> {
                 long id = batch.i64(1);
@@ -167,28 +167,28 @@
                 boolean settled = batch.u8(24) != 0;
                 LoadBalancer.LoadReport load = batch.load(25, fields);
                 return () ->
-                        replica.outcome(
+                        replica.onAttemptEnded(
                                 now, id, attempt, endpoint, outcome, latency, settled, load);
             }
             case SimulatorWire.CLIENT_LEFT -> {
                 long id = batch.i64(1);
-                return () -> replica.clientLeft(now, id);
+                return () -> replica.onClientLeft(now, id);
             }
             case SimulatorWire.BELL -> {
                 long token = batch.i64(1);
-                return () -> replica.timer(now, token);
+                return () -> replica.onTimer(now, token);
             }
             case SimulatorWire.STATUS_BACK -> {
                 long endpoint = batch.u32(1);
                 LoadBalancer.Outcome outcome = batch.outcome(5);
                 long latency = batch.i64(7);
                 LoadBalancer.LoadReport load = batch.load(15, fields);
-                return () -> replica.probed(now, endpoint, outcome, latency, load);
+                return () -> replica.onProbeEnded(now, endpoint, outcome, latency, load);
             }
             case SimulatorWire.WHISPER -> {
                 int from = batch.u16(1);
                 byte[] message = batch.bytes(3);
-                return () -> replica.message(now, from, message);
+                return () -> replica.onPeerMessage(now, from, message);
             }
             default -> throw batch.error("unknown event code " + batch.code());
         }
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnectionState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnectionState.java
@@ -1,45 +1,46 @@
 package cedarrudder.transport;
 
 /**
- * Where a caller's connection is in its life, as one table of states and events. Guards against
- * what no single flag shows: an answer on a connection whose output has ended, or a request taken
- * behind it.
+ * Where a client's connection is in its life, as one table of states and events. So no response can
+ * begin on a connection whose output has ended, and no request is taken behind that.
  */
 enum ClientConnectionState {
-    /** It has said nothing yet. */
+    /** Nothing was received on it yet. */
     NEW,
     /** It is between two requests. */
     IDLE,
-    /** Half a head is there. */
+    /** Part of a head is there. */
     READING_HEAD,
-    /** Half a body is there, which is collected. */
+    /** Part of a body is there, which is collected. */
     READING_BODY,
-    /** An RPC is open; its body may still flow. */
-    OPEN,
-    /** An answer is being written, behind which the next request is read. */
-    ANSWERING,
+    /** A request is open; its body may still be streamed. */
+    REQUEST_OPEN,
+    /** A response is being written, behind which the next request is read. */
+    RESPONDING,
     /**
-     * Its last answer is being written: what comes is dropped, but for the body that still flows.
+     * Its last response is being written: what comes is dropped, but for a body that is still
+     * streamed.
      */
-    DRAINING,
+    SENDING_LAST_RESPONSE,
     /** The lingering close: our output has ended, and what comes is dropped. */
     LINGERING,
+    /** It is closed. */
     CLOSED;
 
-    /** What changes it. */
+    /** What changes the state. */
     enum Event {
         /** The first byte of a request is there. */
         BYTES,
-        /** A head is whole, and its body is not. */
+        /** A head is complete, and its body is not. */
         HEAD,
-        /** An RPC is taken. */
-        RPC,
-        /** An answer begins. */
-        ANSWER,
-        /** An answer begins that is the connection's last. */
-        LAST_ANSWER,
-        /** The answer is written. */
-        WROTE,
+        /** A request is taken. */
+        REQUEST,
+        /** A response begins. */
+        RESPONSE,
+        /** A response begins that is the connection's last. */
+        LAST_RESPONSE,
+        /** The response is written. */
+        WRITTEN,
         /** Our output ends with nothing owed. */
         HALF_CLOSE,
         /** The connection ends, from whichever side; more than once at times. */
@@ -61,20 +62,20 @@
             case READING_HEAD, READING_BODY ->
                     switch (event) {
                         case HEAD -> this == READING_HEAD ? READING_BODY : null;
-                        case RPC -> OPEN;
-                        case ANSWER -> ANSWERING;
-                        case LAST_ANSWER -> DRAINING;
+                        case REQUEST -> REQUEST_OPEN;
+                        case RESPONSE -> RESPONDING;
+                        case LAST_RESPONSE -> SENDING_LAST_RESPONSE;
                         case HALF_CLOSE -> LINGERING;
                         default -> null;
                     };
-            case OPEN ->
+            case REQUEST_OPEN ->
                     switch (event) {
-                        case ANSWER -> ANSWERING;
-                        case LAST_ANSWER -> DRAINING;
+                        case RESPONSE -> RESPONDING;
+                        case LAST_RESPONSE -> SENDING_LAST_RESPONSE;
                         default -> null;
                     };
-            case ANSWERING -> event == Event.WROTE ? IDLE : null;
-            case DRAINING -> event == Event.WROTE ? LINGERING : null;
+            case RESPONDING -> event == Event.WRITTEN ? IDLE : null;
+            case SENDING_LAST_RESPONSE -> event == Event.WRITTEN ? LINGERING : null;
             case LINGERING, CLOSED -> null;
         };
     }
@@ -84,13 +85,13 @@
         return this == NEW || this == IDLE || this == READING_HEAD || this == READING_BODY;
     }
 
-    /** Whether it may be closed as one on which nothing has been asked. */
+    /** Whether it may be closed as one on which nothing was requested. */
     boolean rests() {
         return this == NEW || this == IDLE;
     }
 
-    /** Whether what comes is dropped, but for a body that still flows. */
+    /** Whether what comes is dropped, but for a body that is still streamed. */
     boolean ends() {
-        return this == DRAINING || this == LINGERING || this == CLOSED;
+        return this == SENDING_LAST_RESPONSE || this == LINGERING || this == CLOSED;
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -113,11 +113,11 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void watch(boolean on) {
         if (on) {
-            watch.clock.ask(loop.now());
+            watch.clock.poll(loop.now());
         } else {
-            watch.clock.end();
+            watch.clock.stop();
         }
     }
 
@@ -129,13 +129,13 @@
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
             address = next;
-            watch.clock.move(loop.now());
+            watch.clock.onAddressChanged(loop.now());
         }
     }
 
     @Override
-    public void fetch() {
-        new Asks(false, 0).clock.ask(loop.now());
+    public void fetchAll() {
+        new Asks(false, 0).clock.poll(loop.now());
     }
 
     /**
@@ -185,7 +185,7 @@
                     () -> {
                         asksAgain = false;
                         if (waiting) {
-                            fetch();
+                            fetchAll();
                             askAgain();
                         }
                     });
@@ -223,7 +223,7 @@
         }
 
         @Override
-        public void spare(boolean wanted) {
+        public void dialSpare(boolean wanted) {
             if (spare != null) {
                 spare.close();
             }
@@ -234,11 +234,11 @@
         }
 
         @Override
-        public void drop(int call, String why) {
+        public void drop(int call, DiscoveryPollSchedule.DropReason reason) {
             Call dropped = calls.remove(call);
             if (dropped != null) {
-                if (why != null) {
-                    dropped.warn(why);
+                if (reason == DiscoveryPollSchedule.DropReason.SILENT) {
+                    dropped.warn("silent");
                 }
                 dropped.close();
             }
@@ -249,19 +249,23 @@
          * meanwhile.
          */
         @Override
-        public void wake(long at) {
+        public void scheduleTimer(long at) {
             if (timer != null) {
                 timer.cancel();
             }
             timer =
                     loop.at(
                             at,
-                            () -> timer = loop.at(loop.now() + TURN, () -> clock.due(loop.now())));
+                            () ->
+                                    timer =
+                                            loop.at(
+                                                    loop.now() + TURN,
+                                                    () -> clock.onTimer(loop.now())));
         }
 
         @Override
-        public void failed() {
-            if (follows || !watch.clock.busy()) {
+        public void onUnavailable() {
+            if (follows || !watch.clock.isActive()) {
                 failures.run(); // else the watch stands, and tells what the call would have
             }
         }
@@ -304,7 +308,7 @@
 
         private void send() {
             if (up && target != null) {
-                asks.clock.connected(number);
+                asks.clock.onConnected(number);
                 channel.writeAndFlush(
                         HttpEncoder.get(
                                 loop.buffers(),
@@ -321,7 +325,7 @@
                             .handler(this)
                             .option(
                                     ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                    (int) (patience.call() / 1_000_000));
+                                    (int) (patience.callNanos() / 1_000_000));
             loop.connect(
                     own,
                     to,
@@ -376,7 +380,7 @@
         @Override
         public void begun() {
             if (!over && !refused()) {
-                asks.clock.begun(loop.now(), number);
+                asks.clock.onObjectStarted(loop.now(), number);
             }
         }
 
@@ -384,7 +388,7 @@
         @Override
         public void line() {
             if (!over && asks.follows && !refused()) {
-                asks.clock.blank(loop.now(), number);
+                asks.clock.onHeartbeat(loop.now(), number);
             }
         }
 
@@ -417,7 +421,7 @@
             // Not read: guards against what is outdated undoing what is known of nodes.
             EndpointList result = outdated ? null : reader.read(told);
             answered = true;
-            asks.clock.told(loop.now(), number);
+            asks.clock.onUpdate(loop.now(), number);
             if (outdated) {
                 return null; // a change that the watch at the former address has told already
             }
@@ -450,7 +454,7 @@
                 }
                 close();
                 asks.calls.remove(number);
-                asks.clock.broke(loop.now(), number);
+                asks.clock.onCallFailed(loop.now(), number);
             }
         }
 
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnectionState.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionState.java
@@ -1,27 +1,26 @@
 package cedarrudder.transport;
 
-import static cedarrudder.transport.EndpointConnectionState.Event.ANSWERED;
-import static cedarrudder.transport.EndpointConnectionState.Event.CARRIES;
-import static cedarrudder.transport.EndpointConnectionState.Event.ENDS;
-import static cedarrudder.transport.EndpointConnectionState.Event.FLOWS;
-import static cedarrudder.transport.EndpointConnectionState.Event.UP;
-import static cedarrudder.transport.EndpointConnectionState.Event.WROTE;
-import static cedarrudder.transport.EndpointConnectionState.State.AWAITING;
+import static cedarrudder.transport.EndpointConnectionState.Event.ANSWER_COMPLETE;
+import static cedarrudder.transport.EndpointConnectionState.Event.CONNECTED;
+import static cedarrudder.transport.EndpointConnectionState.Event.REQUEST_STARTED;
+import static cedarrudder.transport.EndpointConnectionState.Event.REQUEST_WRITTEN;
+import static cedarrudder.transport.EndpointConnectionState.Event.STREAM_STARTED;
+import static cedarrudder.transport.EndpointConnectionState.State.AWAITING_ANSWER;
 import static cedarrudder.transport.EndpointConnectionState.State.CONNECTING;
-import static cedarrudder.transport.EndpointConnectionState.State.ENDED;
-import static cedarrudder.transport.EndpointConnectionState.State.FLOWING;
 import static cedarrudder.transport.EndpointConnectionState.State.IDLE;
 import static cedarrudder.transport.EndpointConnectionState.State.SENDING;
+import static cedarrudder.transport.EndpointConnectionState.State.STREAMING;
 
 import java.util.Map;
 
 /**
- * Where a connection to a node is in its life. It knows no sockets and no clock; {@link #LEGAL} is
- * all that may happen. Guards against flags that contradict one another, by which a request could
- * go out on a connection that still carries one, or an answer be taken for that of another request.
+ * Where a connection to an endpoint is in its life. It knows no sockets and no clock; {@link
+ * #TRANSITIONS} is all that may happen. So no request goes out on a connection that still carries
+ * one, and no answer is taken for that of another request.
  */
 final class EndpointConnectionState {
 
+    /** The states. */
     enum State {
         /** It is not up. */
         CONNECTING,
@@ -29,46 +28,56 @@
         IDLE,
         /** A request goes out on it; no answer may come yet. */
         SENDING,
-        /** The request is out whole, and its answer awaited or read. */
-        AWAITING,
-        /** The answer goes on to the caller as it comes. */
-        FLOWING,
+        /** The request is written, and its answer awaited or read. */
+        AWAITING_ANSWER,
+        /** The answer is streamed to the client. */
+        STREAMING,
         /** It is closed, or about to be: nothing is read of it any more. */
         ENDED
     }
 
+    /** What changes the state. */
     enum Event {
-        /** The connection is there. */
-        UP,
+        /** The connection is up. */
+        CONNECTED,
         /** The first byte of a request is about to go out. */
-        CARRIES,
+        REQUEST_STARTED,
         /** The last byte of the request is out. */
-        WROTE,
-        /** The answer has begun to go on to the caller. */
-        FLOWS,
-        /** The answer is there whole. */
-        ANSWERED,
+        REQUEST_WRITTEN,
+        /** The answer has begun to be streamed to the client. */
+        STREAM_STARTED,
+        /** The answer is complete. */
+        ANSWER_COMPLETE,
         /** Either side ends it, or it broke; may happen at any time, and again. */
-        ENDS
+        ENDED
     }
 
-    /** What may happen in each state but for {@link Event#ENDS}, and which state comes of it. */
-    static final Map<State, Map<Event, State>> LEGAL =
+    /** What may happen in each state but for {@link Event#ENDED}, and which state comes of it. */
+    static final Map<State, Map<Event, State>> TRANSITIONS =
             Map.of(
-                    CONNECTING, Map.of(UP, IDLE),
-                    IDLE, Map.of(CARRIES, SENDING),
-                    SENDING, Map.of(WROTE, AWAITING),
-                    AWAITING, Map.of(FLOWS, FLOWING, ANSWERED, IDLE),
-                    FLOWING, Map.of(ANSWERED, IDLE),
-                    ENDED, Map.of());
+                    CONNECTING,
+                    Map.of(CONNECTED, IDLE),
+                    IDLE,
+                    Map.of(REQUEST_STARTED, SENDING),
+                    SENDING,
+                    Map.of(REQUEST_WRITTEN, AWAITING_ANSWER),
+                    AWAITING_ANSWER,
+                    Map.of(STREAM_STARTED, STREAMING, ANSWER_COMPLETE, IDLE),
+                    STREAMING,
+                    Map.of(ANSWER_COMPLETE, IDLE),
+                    State.ENDED,
+                    Map.of());
 
     private State state = CONNECTING;
 
-    /** Takes a step; false where it is not legal, upon which the connection is to be ended. */
-    boolean step(Event event) {
-        State next = event == ENDS ? ENDED : LEGAL.get(state).get(event);
-        state = next == null ? state : next;
-        return next != null;
+    /** Changes the state; false where that is not legal, and the connection is to be ended. */
+    boolean on(Event event) {
+        State next = event == Event.ENDED ? State.ENDED : TRANSITIONS.get(state).get(event);
+        if (next == null) {
+            return false;
+        }
+        state = next;
+        return true;
     }
 
     boolean is(State asked) {
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -66,7 +66,7 @@
                         new SwimMember.Actions() {
                             @Override
                             public void send(int to, byte[] message) {
-                                peers.tell(to, message);
+                                peers.send(to, message);
                             }
 
                             @Override
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -43,11 +43,11 @@
      */
     public PeerSocket(
             ProxyEventLoop loop,
-            RequestForwarder<?, ?> driver,
+            RequestForwarder<?, ?> forwarder,
             List<InetSocketAddress> peers,
             InetSocketAddress all) {
         this.loop = loop;
-        this.hearer = driver::message;
+        this.hearer = forwarder::peerMessage;
         this.peers = peers;
         this.all = all;
     }
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void tell(int replica, byte[] message) {
+    public void send(int replica, byte[] message) {
         InetSocketAddress to =
                 replica < 0 ? all : replica < peers.size() ? peers.get(replica) : null;
         if (channel == null || to == null || message.length > MAX_MESSAGE) {
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -195,7 +195,7 @@
     private final class Out implements CoordinatedReplica.Actions {
         @Override
         public void send(int to, byte[] datagram) {
-            peers.tell(to, datagram);
+            peers.send(to, datagram);
         }
 
         @Override
--- a/daemon/src/main/java/cedarrudder/transport/ServiceState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ServiceState.java
@@ -44,12 +44,12 @@
     /**
      * Whether callers at this address are welcome: a successor's process takes those who come now.
      */
-    boolean healthy() {
+    boolean isHealthy() {
         return life != Life.ENDING && !drained;
     }
 
     /** Whether this process goes on. */
-    boolean lasts() {
+    boolean isServing() {
         return life == Life.SERVING;
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/cedarrudder/transport/package-info.java
@@ -0,0 +1,11 @@
+/**
+ * All that uses Netty's channels: the event loop and its clock, the HTTP server, the endpoint
+ * connections, discovery's connection, the administrative address and the datagrams between
+ * replicas.
+ *
+ * <p>One event loop owns all state of this package; there are no locks.
+ *
+ * <p>Uses {@code forwarding}, {@code protocol}, the packages whose state machines it drives, and
+ * Netty.
+ */
+package cedarrudder.transport;
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -126,12 +126,12 @@
         }
         JsonObject json = JsonObject.parse(text);
         EndpointList result = reader.read(json);
-        channels.resolved(result);
+        channels.onEndpoints(result);
         List<Named> named =
                 result.nodes().stream().map(n -> new Named(n.name(), n.endpoint())).toList();
         var shown = rotation.listed(EndpointListKind.FULL, named);
         parsed = List.of(gathered, text, json, json.list("servers", true), result);
-        module.endpoints(1L << 40, EndpointListKind.FULL, shown);
+        module.onEndpoints(1L << 40, EndpointListKind.FULL, shown);
     }
 
     private static Object field(Object of, String name) throws Exception {
--- a/daemon/src/test/java/cedarrudder/program/World.java
+++ b/daemon/src/test/java/cedarrudder/program/World.java
@@ -394,7 +394,7 @@
     void end() {
         ProxyServer ends = proxy;
         proxy = null;
-        ends.drain();
+        ends.shutDown();
     }
 
     /** The configuration is replaced, and the proxy is told to read it again. */
@@ -503,7 +503,7 @@
     @Override
     public void close() throws IOException {
         if (proxy != null) {
-            proxy.drain();
+            proxy.shutDown();
         }
         discovery.close();
         for (Peer node : nodes) {
--- a/daemon/src/test/java/cedarrudder/protocol/EndpointListParserTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListParserTest.java
@@ -99,8 +99,8 @@
                         JsonObject.parse(
                                 "{\"version\":2,\"full\":false,\"servers\":[" + servers + "]}"));
         assertEquals(
-                mixed.nodes().stream().map(n -> n.name() + n.endpoint().state()).toList(),
-                List.of("aGONE", "bDRAINING"));
+                mixed.nodes().stream().map(n -> n.name() + n.endpoint().status()).toList(),
+                List.of("aREMOVED", "bDRAINING"));
         assertEquals(
                 mixed.unread().toString(),
                 "[servers[0]: 'nowhere' is not an address, servers[1]: 'servers[1].state' is"
@@ -121,7 +121,7 @@
             String list = "{\"version\":2,\"full\":" + full + ",\"servers\":[" + bad + good + "]}";
             EndpointList mixed = reader().read(JsonObject.parse(list));
             assertEquals(
-                    mixed.nodes().stream().map(n -> n.name() + n.endpoint().state()).toList(),
+                    mixed.nodes().stream().map(n -> n.name() + n.endpoint().status()).toList(),
                     List.of("bDRAINING"));
             assertEquals(
                     mixed.unread().toString(),
--- a/daemon/src/test/java/cedarrudder/protocol/EndpointListReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListReaderTest.java
@@ -84,7 +84,7 @@
         assertTrue(added > 100 && added < 1_000, "added " + added);
         assertEquals(nodes.get(added - 1).name(), "b" + (added - 1), "in order");
         assertEquals(nodes.get(added).name(), "a1");
-        assertEquals(nodes.get(added).endpoint().state(), EndpointStatus.DRAINING);
+        assertEquals(nodes.get(added).endpoint().status(), EndpointStatus.DRAINING);
         assertFalse(reader.knows("a0"));
         assertEquals(gate.last().bound(), "heap_at_rest");
         assertEquals(gate.last().waits(), 5_001 - added - 1);
--- a/daemon/src/test/java/cedarrudder/protocol/SettingsReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/SettingsReaderTest.java
@@ -114,14 +114,14 @@
                                         + " \"goal-time-ns\": 1, \"give-up-ns\": 2}], \"safety\":"
                                         + " {\"stop-sending-within-ns\": 0}}"));
         assertEquals(site.reports(), SiteSettings.Reports.NONE);
-        assertEquals(site.module().askForEndpoints(), false);
-        assertEquals(site.module().limits().probes(), false);
-        assertEquals(site.module().limits().cancel(), false);
-        assertEquals(site.module().limits().parallelTries(), false);
-        assertEquals(site.module().limits().retryAfter(), false);
+        assertEquals(site.module().pollsEndpoints(), false);
+        assertEquals(site.module().limits().probing(), false);
+        assertEquals(site.module().limits().cancellation(), false);
+        assertEquals(site.module().limits().hedging(), false);
+        assertEquals(site.module().limits().retryAfterAdvice(), false);
         assertEquals(site.module().limits().maxAttempts(), 1);
         assertEquals(site.module().tenants().size(), 0);
-        assertEquals(site.module().tiers(), 1);
+        assertEquals(site.module().tierCount(), 1);
     }
 
     private static String example() throws IOException {
--- a/daemon/src/test/java/cedarrudder/simulator/SimulatorHostTest.java
+++ b/daemon/src/test/java/cedarrudder/simulator/SimulatorHostTest.java
@@ -267,7 +267,7 @@
         var load = fields.load(i -> values[i]);
         assertEquals(4, load.inFlight());
         assertEquals(12, load.latencyMillis());
-        assertEquals(50, load.perSecond());
-        assertTrue(Double.isNaN(load.queue()));
+        assertEquals(50, load.requestsPerSecond());
+        assertTrue(Double.isNaN(load.queued()));
     }
 }
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
@@ -31,34 +31,34 @@
                             Map.of(
                                     Event.HEAD,
                                     ClientConnectionState.READING_BODY,
-                                    Event.RPC,
-                                    ClientConnectionState.OPEN,
-                                    Event.ANSWER,
-                                    ClientConnectionState.ANSWERING,
-                                    Event.LAST_ANSWER,
-                                    ClientConnectionState.DRAINING,
+                                    Event.REQUEST,
+                                    ClientConnectionState.REQUEST_OPEN,
+                                    Event.RESPONSE,
+                                    ClientConnectionState.RESPONDING,
+                                    Event.LAST_RESPONSE,
+                                    ClientConnectionState.SENDING_LAST_RESPONSE,
                                     Event.HALF_CLOSE,
                                     ClientConnectionState.LINGERING),
                     ClientConnectionState.READING_BODY,
                             Map.of(
-                                    Event.RPC,
-                                    ClientConnectionState.OPEN,
-                                    Event.ANSWER,
-                                    ClientConnectionState.ANSWERING,
-                                    Event.LAST_ANSWER,
-                                    ClientConnectionState.DRAINING,
+                                    Event.REQUEST,
+                                    ClientConnectionState.REQUEST_OPEN,
+                                    Event.RESPONSE,
+                                    ClientConnectionState.RESPONDING,
+                                    Event.LAST_RESPONSE,
+                                    ClientConnectionState.SENDING_LAST_RESPONSE,
                                     Event.HALF_CLOSE,
                                     ClientConnectionState.LINGERING),
-                    ClientConnectionState.OPEN,
+                    ClientConnectionState.REQUEST_OPEN,
                             Map.of(
-                                    Event.ANSWER,
-                                    ClientConnectionState.ANSWERING,
-                                    Event.LAST_ANSWER,
-                                    ClientConnectionState.DRAINING),
-                    ClientConnectionState.ANSWERING,
-                            Map.of(Event.WROTE, ClientConnectionState.IDLE),
-                    ClientConnectionState.DRAINING,
-                            Map.of(Event.WROTE, ClientConnectionState.LINGERING),
+                                    Event.RESPONSE,
+                                    ClientConnectionState.RESPONDING,
+                                    Event.LAST_RESPONSE,
+                                    ClientConnectionState.SENDING_LAST_RESPONSE),
+                    ClientConnectionState.RESPONDING,
+                            Map.of(Event.WRITTEN, ClientConnectionState.IDLE),
+                    ClientConnectionState.SENDING_LAST_RESPONSE,
+                            Map.of(Event.WRITTEN, ClientConnectionState.LINGERING),
                     ClientConnectionState.LINGERING, Map.of(),
                     ClientConnectionState.CLOSED, Map.of());
 
@@ -94,7 +94,8 @@
             }
         }
         assertFalse(
-                reached(ClientConnectionState.LINGERING).contains(ClientConnectionState.DRAINING));
+                reached(ClientConnectionState.LINGERING)
+                        .contains(ClientConnectionState.SENDING_LAST_RESPONSE));
     }
 
     private static Set<ClientConnectionState> reached(ClientConnectionState from) {
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -73,8 +73,7 @@
 
     /** What is asked when an RPC is taken, on the loop and in the decoder's hands. */
     private interface Taken {
-        void by(Exchange<HttpMessage, HttpMessage> request, HttpServer.ClientConnection caller)
-                throws Exception;
+        void by(Exchange<HttpMessage, HttpMessage> request, ClientRequest reply) throws Exception;
     }
 
     /** A listener whose RPCs wait for the test. */
@@ -101,14 +100,14 @@
                                 return Played.by(
                                         LoadBalancer.class,
                                         (event, with) -> {
-                                            if (event.equals("request")) {
+                                            if (event.equals("onRequest")) {
                                                 long id = ((LoadBalancer.Request) with[1]).id();
                                                 if (refusesAtOnce) {
-                                                    actions.refuse(id, 0);
+                                                    actions.reject(id, 0);
                                                 } else {
                                                     requests.add(id);
                                                 }
-                                            } else if (event.equals("clientLeft")) {
+                                            } else if (event.equals("onClientLeft")) {
                                                 left.add(with[1]);
                                             }
                                         });
@@ -116,7 +115,7 @@
                             1,
                             loop,
                             log);
-            driver.connect(
+            driver.attach(
                     new NoNodes(),
                     Played.by(EndpointDiscovery.class, (action, with) -> {}),
                     Played.by(PeerTransport.class, (action, with) -> {}));
@@ -131,10 +130,10 @@
                                                     .child("settings"))
                                     .module());
             listener = new HttpServer(loop, driver, fields, () -> true, PATIENT, 10, held);
-            listener.setAside(
+            listener.setInterceptor(
                     (request, reply) -> {
                         try {
-                            taken.by(request, (HttpServer.ClientConnection) reply);
+                            taken.by(request, (ClientRequest) reply);
                         } catch (Exception | AssertionError e) {
                             wrong.add(e);
                         }
@@ -173,7 +172,7 @@
             long id = request();
             on(
                     () -> {
-                        actions.refuse(id, 0);
+                        actions.reject(id, 0);
                         return null;
                     });
         }
@@ -181,7 +180,7 @@
         void replace() throws Exception {
             on(
                     () -> {
-                        listener.replace(over::countDown);
+                        listener.handOver(over::countDown);
                         return null;
                     });
         }
@@ -189,7 +188,7 @@
         void drain() throws Exception {
             on(
                     () -> {
-                        listener.drain(over::countDown);
+                        listener.shutDown(over::countDown);
                         return null;
                     });
         }
@@ -202,9 +201,9 @@
         void drain(Callable<?> lateOn) throws Exception {
             on(
                     () -> {
-                        listener.drain(over::countDown);
+                        listener.shutDown(over::countDown);
                         return loop.at(
-                                loop.now() + listener.maxEnding() - LATE_ON,
+                                loop.now() + listener.maxShutdownNanos() - LATE_ON,
                                 () -> {
                                     try {
                                         lateOn.call();
@@ -229,21 +228,21 @@
 
     private static final class NoNodes implements AttemptTransport<HttpMessage, HttpMessage> {
         @Override
-        public boolean knows(long endpoint) {
+        public boolean knowsEndpoint(long endpoint) {
             return false;
         }
 
         @Override
-        public void start(RequestAttempt<HttpMessage, HttpMessage> attempt) {}
+        public void startAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {}
 
         @Override
-        public void abandon(RequestAttempt<HttpMessage, HttpMessage> attempt) {}
+        public void abandonAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {}
 
         @Override
-        public void probe(long endpoint) {}
+        public void sendProbe(long endpoint) {}
 
         @Override
-        public void closeIdle(long endpoint) {}
+        public void closeIdleConnections(long endpoint) {}
     }
 
     private static String request(String id, String... fields) {
@@ -385,12 +384,12 @@
                 Socket caller = service.caller();
                 service.taken =
                         (request, reply) -> {
-                            waits.add(reply.waits());
+                            waits.add(reply.isClientWaiting());
                             send(caller, request("2"));
-                            waits.add(reply.waits());
+                            waits.add(reply.isClientWaiting());
                             send(caller, "x".repeat(5000));
                             leave(caller, reset);
-                            waits.add(reply.waits());
+                            waits.add(reply.isClientWaiting());
                         };
                 send(caller, request("1"));
                 assertTrue(Await.next("a look", waits), "it waits");
@@ -418,7 +417,7 @@
                         String next = request("" + (request.request().id() + 1));
                         for (int i = 0; i < next.length(); i += 50) {
                             send(caller, next.substring(i, Math.min(next.length(), i + 50)));
-                            assertTrue(reply.waits());
+                            assertTrue(reply.isClientWaiting());
                         }
                     };
             send(caller, request("1") + HEALTH);
@@ -460,7 +459,7 @@
                                         if (sent.get() < chunks.size()) {
                                             send(caller, chunks.get(sent.getAndIncrement()));
                                         }
-                                        reply.waits();
+                                        reply.isClientWaiting();
                                     } catch (IOException e) {
                                         service.wrong.add(e);
                                     }
@@ -511,11 +510,11 @@
                                     .flow()
                                     .whenMore(
                                             () ->
-                                                    service.actions.refuse(
+                                                    service.actions.reject(
                                                             request.request().id(), 0));
                             send(caller, chunk.repeat(3) + end);
-                            assertTrue(
-                                    reply.waits()); // so that all of it is in the decoder's hands
+                            assertTrue(reply.isClientWaiting()); // so that all of it is in the
+                            // decoder's hands
                         };
                 send(
                         caller,
@@ -547,7 +546,7 @@
                 if (byHand) {
                     service.on(
                             () -> {
-                                service.listener.drainByHand();
+                                service.listener.drainByOperator();
                                 return null;
                             });
                 } else {
@@ -559,7 +558,7 @@
                 service.on(
                         () -> {
                             send(caller, request("2") + request("3"));
-                            service.actions.refuse(id, 0);
+                            service.actions.reject(id, 0);
                             return null;
                         });
                 for (int i = 1; i <= 3; i++) {
@@ -591,7 +590,7 @@
                         () -> {
                             service.refusesAtOnce = true;
                             send(caller, atOnce + request("3") + request("4"));
-                            service.actions.refuse(id, 0);
+                            service.actions.reject(id, 0);
                             return null;
                         });
                 for (int i = 1; i <= 4; i++) {
@@ -683,13 +682,13 @@
         for (boolean told : new boolean[] {true, false}) {
             try (Service service = new Service();
                     Socket caller = service.caller()) {
-                BlockingQueue<HttpServer.ClientConnection> ends = new LinkedBlockingQueue<>();
-                service.taken = (request, reply) -> ends.add(reply);
+                BlockingQueue<ClientConnection> ends = new LinkedBlockingQueue<>();
+                service.taken = (request, reply) -> ends.add(reply.connection());
                 send(caller, request("1", told ? "Connection: close\r\n" : ""));
                 long id = service.request();
                 service.on(
                         () -> {
-                            service.actions.refuse(id, 0);
+                            service.actions.reject(id, 0);
                             if (!told) {
                                 ends.take().closeIfQuiet();
                             }
@@ -701,7 +700,7 @@
                 caller.shutdownOutput();
                 Await.until(
                         "the end of the connection",
-                        () -> service.on(service.listener::callers) == 0);
+                        () -> service.on(service.listener::clients) == 0);
                 assertTrue(service.requests.isEmpty());
             }
         }
@@ -754,12 +753,12 @@
             long id = service.request();
             service.on(
                     () -> {
-                        service.actions.refuse(id, 0);
+                        service.actions.reject(id, 0);
                         send(told, request("late"));
                         service.listener.apply(PATIENT, 1);
                         return null;
                     });
-            Await.until("there is room", () -> service.on(service.listener::callers) == 1);
+            Await.until("there is room", () -> service.on(service.listener::clients) == 1);
             assertTrue(read(told).contains("Connection: close"));
             send(told, "x");
             send(rests, HEALTH);
@@ -776,18 +775,18 @@
         try (Service service = new Service();
                 Socket caller = service.caller();
                 Socket other = service.caller()) {
-            BlockingQueue<HttpServer.ClientConnection> taken = new LinkedBlockingQueue<>();
-            service.taken = (request, reply) -> taken.add(reply);
+            BlockingQueue<ClientConnection> taken = new LinkedBlockingQueue<>();
+            service.taken = (request, reply) -> taken.add(reply.connection());
             for (Socket each : List.of(caller, other)) {
                 send(each, request(each == caller ? "1" : "2"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
                 if (each == caller) {
-                    HttpServer.ClientConnection broken = Await.next("its connection", taken);
+                    ClientConnection broken = Await.next("its connection", taken);
                     long id = service.request();
                     service.on(
                             () -> {
-                                broken.on(ClientConnectionState.Event.WROTE);
-                                service.actions.refuse(
+                                broken.on(ClientConnectionState.Event.WRITTEN);
+                                service.actions.reject(
                                         id, 0); // which comes before the loop tells of the close
                                 return null;
                             });
--- a/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
@@ -101,7 +101,7 @@
                             gate,
                             AGAIN);
             discovery.setSoTimeout(20_000);
-            loop.run(() -> client.subscribe(true));
+            loop.run(() -> client.watch(true));
             try (Socket watch = discovery.accept()) {
                 watch.getOutputStream().write(STREAM.getBytes());
                 story.play(loop, client, discovery, watch);
@@ -153,12 +153,12 @@
         play(
                 failures::incrementAndGet,
                 (loop, client, discovery, watch) -> {
-                    loop.run(client::fetch);
+                    loop.run(client::fetchAll);
                     try (Socket list = discovery.accept()) {
                         list.getInputStream().read();
                         list.setSoLinger(true, 0);
                     }
-                    loop.run(client::fetch);
+                    loop.run(client::fetchAll);
                     try (Socket second = discovery.accept()) {
                         second.getInputStream().read();
                         second.getOutputStream()
@@ -262,7 +262,7 @@
                     tell(watch, 1, true, "in_service");
                     assertNotNull(told.poll(20, TimeUnit.SECONDS));
                     loop.run(() -> client.apply(patience(600_000, 200, 600_000)));
-                    loop.run(client::fetch);
+                    loop.run(client::fetchAll);
                     try (Socket half = discovery.accept()) {
                         half.getOutputStream().write(STREAM.getBytes());
                         chunk(half, "{\"version\":2,\"full\":true,");
@@ -301,7 +301,7 @@
                     assertEquals(told.poll(20, TimeUnit.SECONDS).nodes().get(0).name(), "a}{\"");
                     chunk(watch, String.format(indented, 2).substring(40) + "\n");
                     assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
-                    loop.run(client::fetch);
+                    loop.run(client::fetchAll);
                     try (Socket list = discovery.accept()) {
                         String text = String.format(indented, 3);
                         list.getOutputStream()
--- a/daemon/src/test/java/cedarrudder/transport/EndpointConnectionPoolTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionPoolTest.java
@@ -41,13 +41,13 @@
         public void served(HttpMessage answer) {}
 
         @Override
-        public void refused(long retryAfter) {}
+        public void rejected(long retryAfter) {}
 
         @Override
         public void failed() {}
 
         @Override
-        public boolean waits() {
+        public boolean isClientWaiting() {
             return true;
         }
     }
@@ -61,10 +61,10 @@
         assertEquals(
                 play(
                         (driver, channels) -> {
-                            channels.probe(1);
-                            channels.probe(1);
+                            channels.sendProbe(1);
+                            channels.sendProbe(1);
                         }),
-                Outcome.MOOT,
+                Outcome.NOT_STARTED,
                 "the second, for which there is no room");
     }
 
@@ -83,7 +83,7 @@
                                                 request,
                                                 new HttpMessage(null, null),
                                                 new Caller()))),
-                Outcome.MOOT);
+                Outcome.NOT_STARTED);
     }
 
     /** Returns what the module hears first, which sends each RPC on to a silent node. */
@@ -103,10 +103,11 @@
                                 Played.by(
                                         LoadBalancer.class,
                                         (event, with) -> {
-                                            if (event.equals("request")) {
-                                                actions.send(1, 1, 0);
-                                            } else if (!event.equals("denial")) {
-                                                told.add(with[event.equals("probed") ? 2 : 4]);
+                                            if (event.equals("onRequest")) {
+                                                actions.startAttempt(1, 1, 0);
+                                            } else if (!event.equals("startDenial")) {
+                                                told.add(
+                                                        with[event.equals("onProbeEnded") ? 2 : 4]);
                                             }
                                         }),
                         1,
@@ -122,13 +123,13 @@
                             new EndpointLimits.Bounds(1, 1),
                             new RequestMetrics(1),
                             new BufferAccount(1));
-            driver.connect(
+            driver.attach(
                     channels,
                     Played.by(EndpointDiscovery.class, (action, with) -> {}),
                     Played.by(PeerTransport.class, (action, with) -> {}));
             loop.run(
                     () -> {
-                        channels.resolved(
+                        channels.onEndpoints(
                                 new EndpointList(
                                         1,
                                         true,
--- a/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
@@ -20,17 +20,25 @@
             new EnumMap<>(
                     Map.of(
                             State.CONNECTING, List.of(),
-                            State.IDLE, List.of(Event.UP),
-                            State.SENDING, List.of(Event.UP, Event.CARRIES),
-                            State.AWAITING, List.of(Event.UP, Event.CARRIES, Event.WROTE),
-                            State.FLOWING,
-                                    List.of(Event.UP, Event.CARRIES, Event.WROTE, Event.FLOWS),
-                            State.ENDED, List.of(Event.ENDS)));
+                            State.IDLE, List.of(Event.CONNECTED),
+                            State.SENDING, List.of(Event.CONNECTED, Event.REQUEST_STARTED),
+                            State.AWAITING_ANSWER,
+                                    List.of(
+                                            Event.CONNECTED,
+                                            Event.REQUEST_STARTED,
+                                            Event.REQUEST_WRITTEN),
+                            State.STREAMING,
+                                    List.of(
+                                            Event.CONNECTED,
+                                            Event.REQUEST_STARTED,
+                                            Event.REQUEST_WRITTEN,
+                                            Event.STREAM_STARTED),
+                            State.ENDED, List.of(Event.ENDED)));
 
     private static EndpointConnectionState in(State state) {
         EndpointConnectionState life = new EndpointConnectionState();
         for (Event event : WAYS.get(state)) {
-            assertTrue(life.step(event), event + " on the way to " + state);
+            assertTrue(life.on(event), event + " on the way to " + state);
         }
         assertTrue(life.is(state));
         return life;
@@ -40,11 +48,11 @@
     @DataProvider
     public Object[][] steps() {
         State[][] table = {
-            // UP, CARRIES, WROTE, FLOWS, ANSWERED, ENDS
+            // CONNECTED, REQUEST_STARTED, REQUEST_WRITTEN, STREAM_STARTED, ANSWER_COMPLETE, ENDED
             {State.IDLE, null, null, null, null, State.ENDED},
             {null, State.SENDING, null, null, null, State.ENDED},
-            {null, null, State.AWAITING, null, null, State.ENDED},
-            {null, null, null, State.FLOWING, State.IDLE, State.ENDED},
+            {null, null, State.AWAITING_ANSWER, null, null, State.ENDED},
+            {null, null, null, State.STREAMING, State.IDLE, State.ENDED},
             {null, null, null, null, State.IDLE, State.ENDED},
             {null, null, null, null, null, State.ENDED}
         };
@@ -61,15 +69,15 @@
     @Test(dataProvider = "steps")
     public void eachEventInEachStateDoesWhatIsSaid(State from, Event event, State to) {
         EndpointConnectionState life = in(from);
-        assertEquals(life.step(event), to != null);
+        assertEquals(life.on(event), to != null);
         assertTrue(life.is(to == null ? from : to), life.toString());
     }
 
     /** Guards against a second request on a connection whose first is not answered whole. */
     @Test
     public void nothingElseIsCarriedBetweenARequestAndItsAnswer() {
-        for (State busy : List.of(State.SENDING, State.AWAITING, State.FLOWING)) {
-            assertFalse(in(busy).step(Event.CARRIES), busy.toString());
+        for (State busy : List.of(State.SENDING, State.AWAITING_ANSWER, State.STREAMING)) {
+            assertFalse(in(busy).on(Event.REQUEST_STARTED), busy.toString());
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
@@ -99,7 +99,8 @@
         BrokenNode node =
                 answered(
                         (driver, attempt) ->
-                                driver.began(attempt, new HttpMessage(null, null, rest), null));
+                                driver.responseStarted(
+                                        attempt, new HttpMessage(null, null, rest), null));
         assertEquals(node.abandoned().poll(20, TimeUnit.SECONDS), Boolean.TRUE);
     }
 
@@ -137,7 +138,7 @@
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
                     }
-                    listener.replace(replaced::countDown);
+                    listener.handOver(replaced::countDown);
                 });
         for (int i = 0; i < WAITING; i++) {
             try (Socket caller = waiting.poll(20, TimeUnit.SECONDS)) {
@@ -202,7 +203,7 @@
                                         throw new UncheckedIOException(e);
                                     }
                                 });
-                        listener.drain(over::countDown);
+                        listener.shutDown(over::countDown);
                     });
             try (Socket late = Await.next("the close", waiting)) {
                 late.setSoTimeout(20_000);
@@ -297,12 +298,12 @@
                                 Played.by(
                                         LoadBalancer.class,
                                         (event, with) -> {
-                                            if (event.equals("request")) {
-                                                actions.send(
+                                            if (event.equals("onRequest")) {
+                                                actions.startAttempt(
                                                         ((LoadBalancer.Request) with[1]).id(),
                                                         1,
                                                         0);
-                                            } else if (event.equals("outcome")) {
+                                            } else if (event.equals("onAttemptEnded")) {
                                                 told.add(with[4]);
                                             }
                                         }),
@@ -310,7 +311,7 @@
                         loop,
                         log);
         BrokenNode node = new BrokenNode(driver, answer, new LinkedBlockingQueue<>());
-        driver.connect(
+        driver.attach(
                 node,
                 Played.by(EndpointDiscovery.class, (action, with) -> {}),
                 Played.by(PeerTransport.class, (action, with) -> {}));
@@ -353,25 +354,25 @@
             implements AttemptTransport<HttpMessage, HttpMessage> {
 
         @Override
-        public boolean knows(long endpoint) {
+        public boolean knowsEndpoint(long endpoint) {
             return true;
         }
 
         @Override
-        public void start(RequestAttempt<HttpMessage, HttpMessage> attempt) {
+        public void startAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
             answer.accept(driver, attempt);
         }
 
         @Override
-        public void abandon(RequestAttempt<HttpMessage, HttpMessage> attempt) {
+        public void abandonAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
             abandoned.add(true);
         }
 
         @Override
-        public void probe(long endpoint) {}
+        public void sendProbe(long endpoint) {}
 
         @Override
-        public void closeIdle(long endpoint) {}
+        public void closeIdleConnections(long endpoint) {}
     }
 
     /** Comes as soon as anybody listens there, and goes without a trace. */
--- a/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
@@ -156,7 +156,7 @@
                         LoadBalancer.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
                         (proxy, method, arguments) -> {
-                            if (method.getName().equals("copies")) {
+                            if (method.getName().equals("onLiveReplicas")) {
                                 live.add((Integer) arguments[1]);
                             }
                             return null;
@@ -187,7 +187,7 @@
                         0,
                         1_000,
                         new SplittableRandom(3),
-                        driver::replicas,
+                        driver::liveReplicas,
                         null);
         loop.run(membership::start);
     }
--- a/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
@@ -36,7 +36,7 @@
                         LoadBalancer.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
                         (proxy, method, arguments) -> {
-                            if (method.getName().equals("message")) {
+                            if (method.getName().equals("onPeerMessage")) {
                                 told.add(arguments[1] + " " + text((byte[]) arguments[2], 4));
                             }
                             return null;
@@ -68,8 +68,8 @@
                             List.of(own, (InetSocketAddress) other.getLocalSocketAddress()),
                             null);
             socket.listen(own, false);
-            loop.run(() -> socket.tell(-1, new byte[] {1})); // there is no address for all
-            loop.run(() -> socket.tell(1, "hello".getBytes(StandardCharsets.UTF_8)));
+            loop.run(() -> socket.send(-1, new byte[] {1})); // there is no address for all
+            loop.run(() -> socket.send(1, "hello".getBytes(StandardCharsets.UTF_8)));
             DatagramPacket packet = new DatagramPacket(new byte[300], 300);
             other.receive(packet);
             assertEquals(text(packet.getData(), packet.getLength()), "hello");
--- a/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
@@ -51,7 +51,7 @@
             boolean healthy) {
         ServiceState next = new ServiceState(life, drained).on(event);
         assertEquals(next, new ServiceState(then, drainedThen));
-        assertEquals(next.healthy(), healthy);
-        assertEquals(next.lasts(), then == Life.SERVING);
+        assertEquals(next.isHealthy(), healthy);
+        assertEquals(next.isServing(), then == Life.SERVING);
     }
 }
--- /dev/null
+++ b/lab/src/main/java/cedarrudder/lab/attack/package-info.java
@@ -0,0 +1,2 @@
+/** A catalog of protocol violations by clients, each with the answer that is expected. */
+package cedarrudder.lab.attack;
--- a/lab/src/main/java/cedarrudder/lab/baselines/Admission.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Admission.java
@@ -46,14 +46,18 @@
     Admission(BalancerSettings settings) {
         this.settings = settings;
         this.bestWorth =
-                settings.classes().stream().mapToDouble(RequestClass::worth).max().orElse(1);
+                settings.classes().stream()
+                        .mapToDouble(RequestClass::priorityWeight)
+                        .max()
+                        .orElse(1);
         this.saved = new double[settings.tenants().size()];
         this.savedAt = new long[saved.length];
     }
 
     /** An attempt has ended; how long its RPC has taken by now counts, whatever the outcome. */
     void ended(long now, BaselineRequest call) {
-        double share = Math.min(LATEST, (now - call.arrived) / (double) call.kind.aim());
+        double share =
+                Math.min(LATEST, (now - call.arrived) / (double) call.kind.latencyObjectiveNanos());
         used = used(now);
         used += WEIGHT * (share - used);
         usedAt = now;
@@ -65,7 +69,8 @@
 
     boolean admits(long now, BaselineRequest call) {
         boolean over = overShare(now, call.request.tenant());
-        return used(now) < (over ? OVER_SHARE : MIN + (MAX - MIN) * call.kind.worth() / bestWorth);
+        return used(now)
+                < (over ? OVER_SHARE : MIN + (MAX - MIN) * call.kind.priorityWeight() / bestWorth);
     }
 
     /** Whether a request is past its tenant's share, of which each copy takes an equal part. */
--- a/lab/src/main/java/cedarrudder/lab/baselines/BaselineBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BaselineBalancer.java
@@ -84,8 +84,8 @@
     // ---- the list of nodes ----
 
     @Override
-    public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
-        if (kind != EndpointListKind.CHANGES) {
+    public void onEndpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.DELTA) {
             Set<Long> named = new HashSet<>();
             for (Endpoint entry : entries) {
                 named.add(entry.id());
@@ -104,10 +104,10 @@
         if (!started) {
             started = true;
             if (pick.period() > 0) {
-                actions.schedule(
+                actions.scheduleTimer(
                         now + 1 + (long) (random.nextDouble() * pick.period()), TOKEN_TICK);
             }
-            if (settings.askForEndpoints()) {
+            if (settings.pollsEndpoints()) {
                 // Guards against all copies asking at once a service that takes seconds to serve
                 // them all.
                 ask(
@@ -115,7 +115,7 @@
                                 + (long)
                                         (random.nextDouble()
                                                 * ASK_SPREAD
-                                                * settings.safety().askWithin()));
+                                                * settings.safety().pollIntervalNanos()));
             }
         } else if (kind != EndpointListKind.CACHED) {
             askFailures = 0;
@@ -124,7 +124,7 @@
 
     private void list(long now, Endpoint entry) {
         EndpointView<S> member = members.get(entry.id());
-        if (entry.state() == EndpointStatus.GONE) {
+        if (entry.status() == EndpointStatus.REMOVED) {
             if (member != null) {
                 drop(member);
             }
@@ -164,7 +164,7 @@
                         was.zone(),
                         was.kind(),
                         was.cell(),
-                        EndpointStatus.GONE,
+                        EndpointStatus.REMOVED,
                         was.weight(),
                         was.startedAt());
         remove(member);
@@ -172,26 +172,26 @@
     }
 
     @Override
-    public void endpointsFailed(long now) {
+    public void onEndpointsUnavailable(long now) {
         long wait = ASK_AGAIN << Math.min(askFailures++, 3);
         ask(now + wait / 2 + (long) (random.nextDouble() * wait));
     }
 
     private void ask(long at) {
-        actions.schedule(at + 1, TOKEN_ASK * TOKEN_KIND);
+        actions.scheduleTimer(at + 1, TOKEN_ASK * TOKEN_KIND);
     }
 
     // ---- the life of an RPC ----
 
     @Override
-    public void request(long now, Request request) {
+    public void onRequest(long now, Request request) {
         RequestClass kind = settings.classes().get(request.classIndex());
         BaselineRequest call =
                 new BaselineRequest(
                         request, kind, now, Math.max(1, settings.limits().maxAttempts()));
         calls.put(request.id(), call);
-        if (request.work() > 0) {
-            meanWork += (meanWork == 0 ? 1 : WEIGHT) * (request.work() - meanWork);
+        if (request.expectedWorkNanos() > 0) {
+            meanWork += (meanWork == 0 ? 1 : WEIGHT) * (request.expectedWorkNanos() - meanWork);
         }
         further =
                 Math.min(
@@ -211,7 +211,9 @@
 
     /** What an RPC costs, in mean RPCs, as far as its hint tells. */
     private double cost(BaselineRequest call) {
-        return call.request.work() > 0 ? call.request.work() / meanWork : 1;
+        return call.request.expectedWorkNanos() > 0
+                ? call.request.expectedWorkNanos() / meanWork
+                : 1;
     }
 
     /** Sends an RPC on its way, or holds it until a node may take it. */
@@ -230,18 +232,18 @@
             call.held = false;
             member.sent(cost(call));
             pick.sent(now, call, member);
-            actions.send(call.request.id(), member.id, 0);
-        } else if (now - call.arrived < habits.holdShare() * call.kind.aim()
+            actions.startAttempt(call.request.id(), member.id, 0);
+        } else if (now - call.arrived < habits.holdShare() * call.kind.latencyObjectiveNanos()
                 && now + HOLD < call.request.deadline()) {
             call.held = true;
-            actions.schedule(now + HOLD, TOKEN_HELD * TOKEN_KIND + call.request.id());
+            actions.scheduleTimer(now + HOLD, TOKEN_HELD * TOKEN_KIND + call.request.id());
         } else {
             end(call);
         }
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long now,
             long request,
             int attempt,
@@ -292,7 +294,7 @@
     private void end(BaselineRequest call) {
         call.answered = true;
         if (mayRefuse(call)) {
-            actions.refuse(call.request.id(), 0);
+            actions.reject(call.request.id(), 0);
         } else {
             actions.fail(call.request.id());
         }
@@ -306,7 +308,7 @@
     }
 
     @Override
-    public void firstByte(long now, long request, int attempt, long endpoint, long latency) {
+    public void onFirstByte(long now, long request, int attempt, long endpoint, long latency) {
         BaselineRequest call = calls.get(request);
         if (call != null) {
             call.answered = true; // the stream ends it, for good or ill
@@ -314,28 +316,28 @@
     }
 
     @Override
-    public void clientLeft(long now, long request) {
+    public void onClientLeft(long now, long request) {
         BaselineRequest call = calls.get(request);
         if (call == null) {
             return;
         }
         call.answered = true;
-        for (int i = 0; i < call.attempts && settings.limits().cancel(); i++) {
+        for (int i = 0; i < call.attempts && settings.limits().cancellation(); i++) {
             if (call.ended[i] == null) {
-                actions.cancel(request, i);
+                actions.cancelAttempt(request, i);
             }
         }
         forgetIfDone(call);
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void onTimer(long now, long token) {
         long kind = token / TOKEN_KIND;
         if (kind == TOKEN_TICK) {
             pick.tick(now, ready, actions);
-            actions.schedule(now + pick.period(), TOKEN_TICK);
+            actions.scheduleTimer(now + pick.period(), TOKEN_TICK);
         } else if (kind == TOKEN_ASK) {
-            actions.subscribe(true);
+            actions.watchEndpoints(true);
         } else if (kind == TOKEN_HELD) {
             BaselineRequest call = calls.get(token % TOKEN_KIND);
             if (call != null && call.held && !call.answered) {
@@ -345,7 +347,8 @@
     }
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load) {
+    public void onProbeEnded(
+            long now, long endpoint, Outcome outcome, long latency, LoadReport load) {
         EndpointView<S> member = members.get(endpoint);
         if (member != null && outcome == Outcome.OK && load != null) {
             pick.reported(now, member, load);
@@ -353,7 +356,7 @@
     }
 
     @Override
-    public void message(long now, int from, byte[] message) {
+    public void onPeerMessage(long now, int from, byte[] message) {
         // Rivals send one another nothing.
     }
 
@@ -425,11 +428,11 @@
             return false;
         }
         int first = call.mayHaveRun();
-        if (first < 0 || call.kind.effect() == Idempotency.SAFE) {
+        if (first < 0 || call.kind.idempotency() == Idempotency.SAFE) {
             return true;
         }
-        if (call.kind.effect() == Idempotency.UNSAFE
-                || now >= call.sentAt[first] + call.kind.repeatWindow()) {
+        if (call.kind.idempotency() == Idempotency.UNSAFE
+                || now >= call.sentAt[first] + call.kind.keyWindowNanos()) {
             return false;
         }
         Endpoint then = call.to[first].listed;
@@ -444,7 +447,8 @@
     /** Whether the client may be told that trying again is harmless, by what the attempts prove. */
     private boolean mayRefuse(BaselineRequest call) {
         return call.mayHaveRun() < 0
-                || call.kind.effect() == Idempotency.SAFE
-                || call.kind.effect() == Idempotency.KEYED && call.kind.keyScope() == KeyScope.ALL;
+                || call.kind.idempotency() == Idempotency.SAFE
+                || call.kind.idempotency() == Idempotency.KEYED
+                        && call.kind.keyScope() == KeyScope.ALL;
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/baselines/BrokenPolicies.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BrokenPolicies.java
@@ -103,8 +103,8 @@
     }
 
     @Override
-    public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
-        if (kind != EndpointListKind.CHANGES) {
+    public void onEndpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.DELTA) {
             for (Long id : listed.keySet()) {
                 leavingSince.putIfAbsent(id, now);
             }
@@ -114,7 +114,7 @@
             listed.clear();
         }
         for (Endpoint entry : entries) {
-            if (entry.state() == EndpointStatus.READY) {
+            if (entry.status() == EndpointStatus.READY) {
                 listed.put(entry.id(), entry);
                 leavingSince.remove(entry.id());
             } else {
@@ -122,15 +122,15 @@
                 leavingSince.putIfAbsent(entry.id(), now);
             }
         }
-        sound.endpoints(now, kind, entries);
+        sound.onEndpoints(now, kind, entries);
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void onRequest(long now, Request request) {
         RequestClass kind = settings.classes().get(request.classIndex());
         if (!wants(now, kind, request.deadline())
                 || ++met % EVERY != 0 && fault != Fault.COLD_PUSHED_OVER) {
-            sound.request(now, request);
+            sound.onRequest(now, request);
             return;
         }
         Mine own = new Mine(request, kind);
@@ -140,18 +140,18 @@
 
     /** Whether the fault can be shown now with an RPC of this class and deadline. */
     private boolean wants(long now, RequestClass kind, long deadline) {
-        boolean scoped = kind.effect() == Idempotency.KEYED && kind.keyScope() != KeyScope.ALL;
+        boolean scoped = kind.idempotency() == Idempotency.KEYED && kind.keyScope() != KeyScope.ALL;
         return switch (fault) {
             case LOST, ANSWERED_TWICE, ANSWERED_LATE -> true;
             case SENT_AFTER_END -> warm(now, null) != null;
-            case TWO_OUT -> kind.effect() == Idempotency.SAFE && warm(now, null) != null;
+            case TWO_OUT -> kind.idempotency() == Idempotency.SAFE && warm(now, null) != null;
             case RESENT_UNSAFE, REFUSED_AFTER_RUN ->
-                    kind.effect() == Idempotency.UNSAFE && warm(now, null) != null;
+                    kind.idempotency() == Idempotency.UNSAFE && warm(now, null) != null;
             case KEYED_OUTSIDE_GROUP -> scoped && warm(now, null) != null;
             case KEYED_AFTER_WINDOW ->
-                    kind.effect() == Idempotency.KEYED
+                    kind.idempotency() == Idempotency.KEYED
                             && warm(now, null) != null
-                            && now + kind.repeatWindow() + SOON < deadline;
+                            && now + kind.keyWindowNanos() + SOON < deadline;
             case SENT_TO_DRAINED -> drained(now) != null;
             case COLD_PUSHED_OVER -> newest(now) != null;
         };
@@ -163,11 +163,11 @@
             case LOST -> {}
             case ANSWERED_LATE -> later(own, own.request.deadline() + LATE);
             case ANSWERED_TWICE -> {
-                actions.refuse(id, 0);
-                actions.refuse(id, 0);
+                actions.reject(id, 0);
+                actions.reject(id, 0);
             }
             case SENT_AFTER_END -> {
-                actions.refuse(id, 0);
+                actions.reject(id, 0);
                 send(own, warm(now, null), 0);
             }
             case SENT_TO_DRAINED -> send(own, drained(now), 0);
@@ -179,7 +179,7 @@
             case REFUSED_AFTER_RUN -> send(own, warm(now, null), AT_ONCE);
             case KEYED_AFTER_WINDOW -> {
                 send(own, warm(now, null), AT_ONCE);
-                later(own, now + own.kind.repeatWindow() + SOON);
+                later(own, now + own.kind.keyWindowNanos() + SOON);
             }
             default -> throw new IllegalStateException("unknown fault " + fault);
         }
@@ -188,19 +188,19 @@
     private void send(Mine own, Endpoint to, long timeout) {
         own.first = own.first == null ? to : own.first;
         own.out++;
-        actions.send(own.request.id(), to.id(), timeout);
+        actions.startAttempt(own.request.id(), to.id(), timeout);
     }
 
     /** Asks for the wrong step at an instant; the tokens of the module are never negative. */
     private void later(Mine own, long at) {
         own.waits = true;
-        actions.schedule(at, -own.request.id() - 1);
+        actions.scheduleTimer(at, -own.request.id() - 1);
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void onTimer(long now, long token) {
         if (token >= 0) {
-            sound.timer(now, token);
+            sound.onTimer(now, token);
             return;
         }
         Mine own = mine.get(-token - 1);
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long now,
             long request,
             int attempt,
@@ -237,14 +237,14 @@
             LoadReport load) {
         Mine own = mine.get(request);
         if (own == null) {
-            sound.outcome(now, request, attempt, endpoint, outcome, latency, settled, load);
+            sound.onAttemptEnded(now, request, attempt, endpoint, outcome, latency, settled, load);
             return;
         }
         own.out--;
         own.over |= settled;
         if (!own.over && fault == Fault.REFUSED_AFTER_RUN && !outcome.provesNotRun()) {
             own.over = true;
-            actions.refuse(request, 0);
+            actions.reject(request, 0);
         }
         if (!own.over && own.out == 0 && (!own.waits || now >= own.request.deadline())) {
             fail(own);
@@ -262,7 +262,7 @@
         for (Endpoint entry : listed.values()) {
             boolean warm =
                     entry.startedAt() == 0
-                            || now - entry.startedAt() > settings.safety().rampTime();
+                            || now - entry.startedAt() > settings.safety().slowStartNanos();
             boolean other =
                     own == null
                             || entry.id() != own.first.id()
@@ -283,8 +283,8 @@
     /** A node that was told to drain or to be gone longer ago than the grace. */
     private Endpoint drained(long now) {
         for (Map.Entry<Long, Long> each : leavingSince.entrySet()) {
-            if (now - each.getValue() > settings.safety().drainGrace()) {
-                return new Endpoint(each.getKey(), 0, 0, 0, EndpointStatus.GONE, 1, 0);
+            if (now - each.getValue() > settings.safety().drainGraceNanos()) {
+                return new Endpoint(each.getKey(), 0, 0, 0, EndpointStatus.REMOVED, 1, 0);
             }
         }
         return null;
@@ -296,7 +296,7 @@
         for (Endpoint entry : listed.values()) {
             boolean cold =
                     entry.startedAt() != 0
-                            && now - entry.startedAt() < settings.safety().rampTime();
+                            && now - entry.startedAt() < settings.safety().slowStartNanos();
             if (cold && (newest == null || entry.startedAt() > newest.startedAt())) {
                 newest = entry;
             }
@@ -307,15 +307,15 @@
     // ---- what goes to the module as it is ----
 
     @Override
-    public Outcome denial(long now, long request, int attempt) {
-        return mine.containsKey(request) ? null : sound.denial(now, request, attempt);
+    public Outcome startDenial(long now, long request, int attempt) {
+        return mine.containsKey(request) ? null : sound.startDenial(now, request, attempt);
     }
 
     @Override
-    public void clientLeft(long now, long request) {
+    public void onClientLeft(long now, long request) {
         Mine own = mine.get(request);
         if (own == null) {
-            sound.clientLeft(now, request);
+            sound.onClientLeft(now, request);
         } else if (fault != Fault.ANSWERED_LATE) {
             own.over = true;
             if (own.out == 0) {
@@ -325,24 +325,25 @@
     }
 
     @Override
-    public void endpointsFailed(long now) {
-        sound.endpointsFailed(now);
+    public void onEndpointsUnavailable(long now) {
+        sound.onEndpointsUnavailable(now);
     }
 
     @Override
-    public void firstByte(long now, long request, int attempt, long endpoint, long latency) {
+    public void onFirstByte(long now, long request, int attempt, long endpoint, long latency) {
         if (!mine.containsKey(request)) {
-            sound.firstByte(now, request, attempt, endpoint, latency);
+            sound.onFirstByte(now, request, attempt, endpoint, latency);
         }
     }
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load) {
-        sound.probed(now, endpoint, outcome, latency, load);
+    public void onProbeEnded(
+            long now, long endpoint, Outcome outcome, long latency, LoadReport load) {
+        sound.onProbeEnded(now, endpoint, outcome, latency, load);
     }
 
     @Override
-    public void message(long now, int from, byte[] message) {
-        sound.message(now, from, message);
+    public void onPeerMessage(long now, int from, byte[] message) {
+        sound.onPeerMessage(now, from, message);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/baselines/EndpointView.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/EndpointView.java
@@ -41,7 +41,7 @@
     }
 
     boolean ready() {
-        return listed.state() == EndpointStatus.READY;
+        return listed.status() == EndpointStatus.READY;
     }
 
     /**
@@ -54,7 +54,7 @@
     }
 
     boolean cold(long now, SafetyRules safety) {
-        return listed.startedAt() != 0 && now - listed.startedAt() < safety.rampTime();
+        return listed.startedAt() != 0 && now - listed.startedAt() < safety.slowStartNanos();
     }
 
     /**
@@ -63,10 +63,10 @@
      * @param warmRate what a warm node gets from this copy, in mean requests a second
      */
     boolean withinColdBudget(long now, double warmRate, SafetyRules safety) {
-        double ramp = Math.max(0, now - listed.startedAt()) / (double) safety.rampTime();
-        double capacity = safety.coldShare() + (1 - safety.coldShare()) * ramp;
-        double rate = COLD_SHARE_USED * safety.fallMultiple() * capacity * warmRate;
-        double max = rate * safety.fallWindow() / 1e9 / 2;
+        double ramp = Math.max(0, now - listed.startedAt()) / (double) safety.slowStartNanos();
+        double capacity = safety.coldCapacityShare() + (1 - safety.coldCapacityShare()) * ramp;
+        double rate = COLD_SHARE_USED * safety.overloadMultiple() * capacity * warmRate;
+        double max = rate * safety.overloadWindowNanos() / 1e9 / 2;
         allowance = Math.min(max, allowance + rate * (now - allowanceAt) / 1e9);
         allowanceAt = now;
         return allowance >= 0;
--- a/lab/src/main/java/cedarrudder/lab/baselines/Oracle.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Oracle.java
@@ -71,7 +71,9 @@
     }
 
     private static double work(BaselineRequest call) {
-        return call.request.work() > 0 ? call.request.work() : UNKNOWN_WORK;
+        return call.request.expectedWorkNanos() > 0
+                ? call.request.expectedWorkNanos()
+                : UNKNOWN_WORK;
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/baselines/WeightedRoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/WeightedRoundRobin.java
@@ -139,8 +139,8 @@
     public void reported(long now, EndpointView<Turn> of, LoadReport load) {
         Turn turn = of.notes;
         double kept = StrictMath.exp(-(now - turn.busyAt) / SMOOTH);
-        turn.busy = smooth(turn.busy, load.utilisation(), kept);
-        turn.reportedRate = smooth(turn.reportedRate, load.perSecond(), kept);
+        turn.busy = smooth(turn.busy, load.utilization(), kept);
+        turn.reportedRate = smooth(turn.reportedRate, load.requestsPerSecond(), kept);
         turn.busyAt = now;
     }
 
@@ -160,13 +160,13 @@
         if (++ticks % TICKS == 0) {
             weigh(now, ready);
         }
-        if (!limits.probes()) {
+        if (!limits.probing()) {
             return;
         }
         double each = (double) PERIOD / TICKS;
         probesDue += Math.min(ready.size() * each / ROUND, PROBES * each / 1e9);
         for (; probesDue >= 1 && !ready.isEmpty(); probesDue--) {
-            actions.probe(ready.get(nextProbe++ % ready.size()).id);
+            actions.sendProbe(ready.get(nextProbe++ % ready.size()).id);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ActionsRelay.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ActionsRelay.java
@@ -16,13 +16,13 @@
     }
 
     @Override
-    public void send(long request, long endpoint, long timeout) {
-        to.send(request, endpoint, timeout);
+    public void startAttempt(long request, long endpoint, long timeout) {
+        to.startAttempt(request, endpoint, timeout);
     }
 
     @Override
-    public void refuse(long request, long retryAfter) {
-        to.refuse(request, retryAfter);
+    public void reject(long request, long retryAfter) {
+        to.reject(request, retryAfter);
     }
 
     @Override
@@ -31,28 +31,28 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        to.cancel(request, attempt);
+    public void cancelAttempt(long request, int attempt) {
+        to.cancelAttempt(request, attempt);
     }
 
     @Override
-    public void probe(long endpoint) {
-        to.probe(endpoint);
+    public void sendProbe(long endpoint) {
+        to.sendProbe(endpoint);
     }
 
     @Override
-    public void closeIdle(long endpoint) {
-        to.closeIdle(endpoint);
+    public void closeIdleConnections(long endpoint) {
+        to.closeIdleConnections(endpoint);
     }
 
     @Override
-    public void schedule(long at, long token) {
-        to.schedule(at, token);
+    public void scheduleTimer(long at, long token) {
+        to.scheduleTimer(at, token);
     }
 
     @Override
-    public void subscribe(boolean on) {
-        to.subscribe(on);
+    public void watchEndpoints(boolean on) {
+        to.watchEndpoints(on);
     }
 
     @Override
@@ -61,8 +61,8 @@
     }
 
     @Override
-    public void tell(int replica, byte[] message) {
-        to.tell(replica, message);
+    public void sendToPeers(int replica, byte[] message) {
+        to.sendToPeers(replica, message);
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
@@ -57,7 +57,7 @@
     @Benchmark
     public long oneChange() {
         drained = !drained;
-        proxy.changed(EndpointListKind.CHANGES, drained ? drains : returns);
+        proxy.changed(EndpointListKind.DELTA, drained ? drains : returns);
         return proxy.request();
     }
 
--- a/lab/src/main/java/cedarrudder/lab/benchmark/PassThroughBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PassThroughBalancer.java
@@ -18,20 +18,20 @@
     }
 
     @Override
-    public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+    public void onEndpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
         if (kind == EndpointListKind.FULL) {
             nodes = entries.stream().mapToLong(Endpoint::id).toArray();
         }
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void onRequest(long now, Request request) {
         next = (next + 1) % nodes.length;
-        actions.send(request.id(), nodes[next], 0);
+        actions.startAttempt(request.id(), nodes[next], 0);
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long now,
             long request,
             int attempt,
@@ -46,20 +46,21 @@
     }
 
     @Override
-    public void endpointsFailed(long now) {}
+    public void onEndpointsUnavailable(long now) {}
 
     @Override
-    public void firstByte(long now, long request, int attempt, long endpoint, long latency) {}
+    public void onFirstByte(long now, long request, int attempt, long endpoint, long latency) {}
 
     @Override
-    public void clientLeft(long now, long request) {}
+    public void onClientLeft(long now, long request) {}
 
     @Override
-    public void timer(long now, long token) {}
+    public void onTimer(long now, long token) {}
 
     @Override
-    public void probed(long now, long endpoint, Outcome outcome, long latency, LoadReport load) {}
+    public void onProbeEnded(
+            long now, long endpoint, Outcome outcome, long latency, LoadReport load) {}
 
     @Override
-    public void message(long now, int from, byte[] message) {}
+    public void onPeerMessage(long now, int from, byte[] message) {}
 }
--- a/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
@@ -52,7 +52,7 @@
         module =
                 new PrequalBalancer(
                         Platform.settings(replicas, 0), new SplittableRandom(1), new Hands());
-        module.endpoints(now, EndpointListKind.FULL, Platform.nodes(nodes));
+        module.onEndpoints(now, EndpointListKind.FULL, Platform.nodes(nodes));
         for (int i = 0; i < FIRST; i++) {
             place();
         }
@@ -63,7 +63,7 @@
         now += Platform.MS;
         if (request >= OUT) {
             long oldest = request + 1 - OUT;
-            module.outcome(
+            module.onAttemptEnded(
                     now,
                     oldest,
                     0,
@@ -74,13 +74,13 @@
                     null);
         }
         request++;
-        module.request(
+        module.onRequest(
                 now,
                 new Request(
                         request, 0, 0, now + 600 * Platform.MS, 0, false, false, 15 * Platform.MS));
         while (probes > 0) {
             long node = toProbe[--probes];
-            module.probed(
+            module.onProbeEnded(
                     now,
                     node,
                     Outcome.OK,
@@ -93,17 +93,17 @@
 
     private final class Hands implements LoadBalancer.Actions {
         @Override
-        public void send(long id, long endpoint, long timeout) {
+        public void startAttempt(long id, long endpoint, long timeout) {
             sentTo[(int) (id % OUT)] = endpoint;
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void sendProbe(long endpoint) {
             toProbe[probes++] = endpoint;
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
+        public void reject(long id, long retryAfter) {
             throw new IllegalStateException("refused: then this measures something else");
         }
 
@@ -113,22 +113,22 @@
         }
 
         @Override
-        public void cancel(long id, int attempt) {}
+        public void cancelAttempt(long id, int attempt) {}
 
         @Override
-        public void closeIdle(long endpoint) {}
+        public void closeIdleConnections(long endpoint) {}
 
         @Override
-        public void schedule(long at, long token) {}
+        public void scheduleTimer(long at, long token) {}
 
         @Override
-        public void subscribe(boolean on) {}
+        public void watchEndpoints(boolean on) {}
 
         @Override
         public void fetchEndpoints() {}
 
         @Override
-        public void tell(int replica, byte[] message) {}
+        public void sendToPeers(int replica, byte[] message) {}
 
         @Override
         public void log(String line) {}
--- a/lab/src/main/java/cedarrudder/lab/benchmark/SimulatedEnvironment.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/SimulatedEnvironment.java
@@ -40,7 +40,7 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random = new SplittableRandom(1);
-    private final RequestForwarder<Object, Object> driver;
+    private final RequestForwarder<Object, Object> forwarder;
     private final Replies replies = new Replies();
     private long now = Platform.SECOND;
     private long order;
@@ -81,7 +81,7 @@
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void rejected(long retryAfter) {
             other++;
         }
 
@@ -91,21 +91,21 @@
         }
 
         @Override
-        public boolean waits() {
+        public boolean isClientWaiting() {
             return true;
         }
     }
 
     /** A proxy of the daemon's driver and of this module, which is told of its nodes at once. */
     SimulatedEnvironment(int nodes, Function<LoadBalancer.Actions, LoadBalancer> maker) {
-        driver =
+        forwarder =
                 new RequestForwarder<>(
                         actions -> module = maker.apply(actions),
                         4,
                         this,
                         new Logger(new PrintStream(OutputStream.nullOutputStream())));
-        driver.connect(new Client(), this, (replica, message) -> {});
-        driver.resolved(LoadBalancer.EndpointListKind.FULL, Platform.nodes(nodes));
+        forwarder.attach(new Client(), this, (replica, message) -> {});
+        forwarder.endpointsUpdated(LoadBalancer.EndpointListKind.FULL, Platform.nodes(nodes));
     }
 
     /**
@@ -118,7 +118,7 @@
     long request() {
         pass(BETWEEN);
         int kind = requests % UNSAFE_PART == 0 ? 1 : 0;
-        driver.accept(
+        forwarder.accept(
                 new Exchange<>(
                         new Request(
                                 ++requests,
@@ -152,7 +152,7 @@
 
     /** Something of the list of nodes changes. */
     void changed(LoadBalancer.EndpointListKind kind, List<LoadBalancer.Endpoint> entries) {
-        driver.resolved(kind, entries);
+        forwarder.endpointsUpdated(kind, entries);
     }
 
     /** The module, to hold on to it alone. */
@@ -162,25 +162,25 @@
 
     private final class Client implements AttemptTransport<Object, Object> {
         @Override
-        public boolean knows(long endpoint) {
+        public boolean knowsEndpoint(long endpoint) {
             return true;
         }
 
         @Override
-        public void start(RequestAttempt<Object, Object> attempt) {
-            if (driver.begins(attempt)) {
-                attempt.wrote(now);
-                at(now + SERVICE, () -> driver.served(attempt, ANSWER, null));
+        public void startAttempt(RequestAttempt<Object, Object> attempt) {
+            if (forwarder.mayStart(attempt)) {
+                attempt.writeComplete(now);
+                at(now + SERVICE, () -> forwarder.served(attempt, ANSWER, null));
             }
         }
 
         @Override
-        public void abandon(RequestAttempt<Object, Object> attempt) {
+        public void abandonAttempt(RequestAttempt<Object, Object> attempt) {
             // Its end comes later and counts no more.
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void sendProbe(long endpoint) {
             LoadReport load =
                     new LoadReport(
                             random.nextInt(5),
@@ -189,11 +189,13 @@
                             15 + random.nextInt(10),
                             Double.NaN,
                             Double.NaN);
-            at(now + PROBE_TRIP, () -> driver.probed(endpoint, Outcome.OK, PROBE_TRIP, load));
+            at(
+                    now + PROBE_TRIP,
+                    () -> forwarder.probeEnded(endpoint, Outcome.OK, PROBE_TRIP, load));
         }
 
         @Override
-        public void closeIdle(long endpoint) {
+        public void closeIdleConnections(long endpoint) {
             // No connections are modelled.
         }
     }
@@ -211,12 +213,12 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void watch(boolean on) {
         // The list comes by itself.
     }
 
     @Override
-    public void fetch() {
+    public void fetchAll() {
         // The list comes by itself.
     }
 }
--- /dev/null
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * JMH benchmarks of the decisions, the forwarder and the HTTP decoder, and a measurement of memory.
+ */
+package cedarrudder.lab.benchmark;
--- a/lab/src/main/java/cedarrudder/lab/emulator/DiscoveryServer.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/DiscoveryServer.java
@@ -120,14 +120,14 @@
     private static EndpointStatus state(String word) {
         return word.equals("in_service")
                 ? EndpointStatus.READY
-                : word.equals("terminating") ? EndpointStatus.DRAINING : EndpointStatus.GONE;
+                : word.equals("terminating") ? EndpointStatus.DRAINING : EndpointStatus.REMOVED;
     }
 
     private static String word(EndpointStatus state) {
         return switch (state) {
             case READY -> "in_service";
             case DRAINING -> "terminating";
-            case GONE -> "terminated";
+            case REMOVED -> "terminated";
         };
     }
 
@@ -137,7 +137,7 @@
 
     private ArrayNode keep(
             EndpointListKind kind, List<Endpoint> entries, List<Node> nodes, long version) {
-        if (kind != EndpointListKind.CHANGES) {
+        if (kind != EndpointListKind.DELTA) {
             told.clear();
         }
         ArrayNode servers = JsonNodeFactory.instance.arrayNode();
@@ -145,7 +145,7 @@
             Endpoint entry = entries.get(i);
             ObjectNode json = json(entry, nodes.get(i));
             servers.add(json);
-            if (entry.state() == EndpointStatus.GONE) {
+            if (entry.status() == EndpointStatus.REMOVED) {
                 told.remove(entry.id());
             } else {
                 told.put(entry.id(), json);
@@ -168,7 +168,7 @@
                 .put("zone", scenario.network().zones().get(entry.zone()))
                 .put("kind", scenario.tiers().get(proxy.tier).kinds().get(entry.kind()).name())
                 .put("cell", entry.cell())
-                .put("state", word(entry.state()))
+                .put("state", word(entry.status()))
                 .put("weight", entry.weight())
                 .put("started_ms", started);
     }
@@ -260,7 +260,7 @@
 
         private void tell(
                 EndpointListKind kind, List<Endpoint> entries, List<Node> nodes, long next) {
-            boolean whole = kind != EndpointListKind.CHANGES;
+            boolean whole = kind != EndpointListKind.DELTA;
             ObjectNode line =
                     JsonNodeFactory.instance.objectNode().put("version", next).put("full", whole);
             // A call may be overtaken by the watch; the proxy drops what is older, and so does what
@@ -284,7 +284,7 @@
                                         entry.id(),
                                         entry.cell(),
                                         entry.zone(),
-                                        entry.state(),
+                                        entry.status(),
                                         entry.startedAt()));
             }
             if (!watches) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/EndpointServer.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EndpointServer.java
@@ -252,7 +252,7 @@
                             "TEXT latency_ms=%.4f, inflight=%.4f, util=%.4f",
                             report.latencyMillis(),
                             report.inFlight(),
-                            report.utilisation())
+                            report.utilization())
                     .getBytes(StandardCharsets.ISO_8859_1);
         }
 
@@ -274,10 +274,10 @@
                         }
                         done.ended(outcome);
                         write(
-                                outcome == Outcome.FULL
+                                outcome == Outcome.REJECTED
                                         ? "503 Service Unavailable"
                                         : "500 Internal Server Error",
-                                outcome == Outcome.FULL ? "Srv-Declined: 1\r\n" : "",
+                                outcome == Outcome.REJECTED ? "Srv-Declined: 1\r\n" : "",
                                 new byte[0]);
                     });
         }
--- a/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/SettingsJson.java
@@ -24,8 +24,8 @@
                 .put("ordinal", settings.self())
                 .put("layer", settings.tier())
                 .put("zone", settings.zone())
-                .put("discovery", settings.askForEndpoints() ? "ask" : "push")
-                .put("over-share-worth", settings.goal().overShareWorth());
+                .put("discovery", settings.pollsEndpoints() ? "ask" : "push")
+                .put("over-share-worth", settings.goal().overQuotaWeight());
         names(json.putArray("tiers"), scenario.tiers().stream().map(Scenario.Tier::name).toList());
         names(json.putArray("localities"), scenario.network().zones());
         names(json.putArray("kinds"), tier.kinds().stream().map(Scenario.Kind::name).toList());
@@ -35,7 +35,7 @@
                     .put("name", kind.name())
                     .put(
                             "idempotency",
-                            switch (kind.effect()) {
+                            switch (kind.idempotency()) {
                                 case SAFE -> "retryable";
                                 case KEYED -> "dedup";
                                 case UNSAFE -> "fragile";
@@ -47,44 +47,44 @@
                                 case ZONE -> "zone";
                                 case CELL -> "cell";
                             })
-                    .put("goal-time-ns", kind.aim())
-                    .put("give-up-ns", kind.deadline())
-                    .put("value", kind.worth())
-                    .put("late-worth", kind.lateWorth())
-                    .put("repeat-window-ns", kind.repeatWindow())
-                    .put("stream", kind.stream());
+                    .put("goal-time-ns", kind.latencyObjectiveNanos())
+                    .put("give-up-ns", kind.deadlineNanos())
+                    .put("value", kind.priorityWeight())
+                    .put("late-worth", kind.lateWeight())
+                    .put("repeat-window-ns", kind.keyWindowNanos())
+                    .put("stream", kind.streaming());
         }
         ArrayNode tenants = json.putArray("tenants");
         for (LoadBalancer.Tenant tenant : settings.tenants()) {
             tenants.addObject()
                     .put("name", tenant.name())
-                    .put("share", tenant.share())
+                    .put("share", tenant.quotaShare())
                     .put("quota-per-s", tenant.quotaPerSecond());
         }
         LoadBalancer.Limits limits = settings.limits();
         json.putObject("limits")
-                .put("probes", limits.probes())
-                .put("cancel", limits.cancel())
-                .put("parallel-tries", limits.parallelTries())
-                .put("retry-after", limits.retryAfter())
+                .put("probes", limits.probing())
+                .put("cancel", limits.cancellation())
+                .put("parallel-tries", limits.hedging())
+                .put("retry-after", limits.retryAfterAdvice())
                 .put("max-attempts", limits.maxAttempts())
-                .put("max-retry-after-ns", limits.maxRetryAfter())
-                .put("dial-timeout-ns", limits.connectTimeout())
-                .put("conn-idle-ns", limits.connectionIdle());
+                .put("max-retry-after-ns", limits.maxRetryAfterNanos())
+                .put("dial-timeout-ns", limits.connectTimeoutNanos())
+                .put("conn-idle-ns", limits.connectionIdleNanos());
         LoadBalancer.SafetyRules safety = settings.safety();
         json.putObject("safety")
-                .put("stop-sending-within-ns", safety.drainGrace())
-                .put("cold-share", safety.coldShare())
-                .put("ramp-time-ns", safety.rampTime())
-                .put("fall-multiple", safety.fallMultiple())
-                .put("fall-ns", safety.fallWindow())
-                .put("ask-within-ns", safety.askWithin());
+                .put("stop-sending-within-ns", safety.drainGraceNanos())
+                .put("cold-share", safety.coldCapacityShare())
+                .put("ramp-time-ns", safety.slowStartNanos())
+                .put("fall-multiple", safety.overloadMultiple())
+                .put("fall-ns", safety.overloadWindowNanos())
+                .put("ask-within-ns", safety.pollIntervalNanos());
         LoadBalancer.ServiceGoal goal = settings.goal();
         json.putObject("goal")
-                .put("whole", goal.whole())
-                .put("worst-window", goal.worstWindow())
-                .put("worst-class", goal.worstClass())
-                .put("worst-tenant", goal.worstTenant());
+                .put("whole", goal.overallWeight())
+                .put("worst-window", goal.worstWindowWeight())
+                .put("worst-class", goal.worstClassWeight())
+                .put("worst-tenant", goal.worstTenantWeight());
         json.putObject("costs")
                 .put("probe", settings.prices().probe())
                 .put("handshake", settings.prices().handshake());
--- /dev/null
+++ b/lab/src/main/java/cedarrudder/lab/experiment/package-info.java
@@ -0,0 +1,2 @@
+/** Experiments: plans, runs, results on disk, and statistics over them. */
+package cedarrudder.lab.experiment;
--- a/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
@@ -115,7 +115,7 @@
                                             settings.period(),
                                             SimulatedReplica.SAFETY,
                                             site.now());
-                            replica.tally.listed(EndpointListKind.FULL, site.list());
+                            replica.tally.onEndpoints(EndpointListKind.FULL, site.list());
                             incarnations[self] = incarnation;
                             held[self] = null;
                             parts[self] =
--- a/lab/src/main/java/cedarrudder/lab/failover/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Policy.java
@@ -55,7 +55,7 @@
         private void saw(long now, int replica, SimulatedReplica.Ended ended) {
             if (ended.outcome() == Outcome.OK) {
                 failures[replica][ended.node()] = 0;
-            } else if (ended.outcome() != Outcome.FULL
+            } else if (ended.outcome() != Outcome.REJECTED
                     && ++failures[replica][ended.node()] >= IN_A_ROW
                     && now >= until[replica][ended.node()]) {
                 failures[replica][ended.node()] = 0;
--- a/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
@@ -99,10 +99,10 @@
 
     void told(List<Endpoint> entries) {
         for (Endpoint entry : entries) {
-            ready[(int) entry.id()] = entry.state() == EndpointStatus.READY;
+            ready[(int) entry.id()] = entry.status() == EndpointStatus.READY;
         }
         if (tally != null) {
-            tally.listed(EndpointListKind.CHANGES, entries);
+            tally.onEndpoints(EndpointListKind.DELTA, entries);
         }
     }
 
@@ -163,7 +163,7 @@
                 incarnation,
                 () -> {
                     if (tally != null) {
-                        tally.came();
+                        tally.onRequest();
                     }
                     attempt(call);
                 });
@@ -177,7 +177,7 @@
         if (served && site.now() <= call.deadline()) {
             site.total.served(call);
         } else if (tally != null) {
-            tally.unserved();
+            tally.onUnserved();
         }
     }
 
@@ -191,7 +191,8 @@
         call.attempts++;
         site.total.sent(zone, to);
         Attempt attempt =
-                new Attempt(call, node, tally == null ? -1 : tally.sent(site.now(), node.id));
+                new Attempt(
+                        call, node, tally == null ? -1 : tally.onAttemptSent(site.now(), node.id));
         boolean lost = random.nextDouble() < broken;
         if (site.cut[zone][to] || !node.up && !lost) {
             later(CONNECT, () -> attempt.ended(Outcome.CONNECT_FAILED, Double.NaN));
@@ -231,7 +232,7 @@
 
         @Override
         public void full(double load) {
-            answered(Outcome.FULL, load);
+            answered(Outcome.REJECTED, load);
         }
 
         void ended(Outcome outcome, double load) {
@@ -240,7 +241,7 @@
             }
             over = true;
             if (tally != null) {
-                tally.ended(
+                tally.onAttemptEnded(
                         site.now(),
                         counted,
                         outcome,
--- a/lab/src/main/java/cedarrudder/lab/failover/Site.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Site.java
@@ -195,7 +195,7 @@
                         MISSED,
                         () -> {
                             if (node.incarnation == of) {
-                                tell(node, EndpointStatus.GONE, 0, 0);
+                                tell(node, EndpointStatus.REMOVED, 0, 0);
                             }
                         });
             }
--- a/lab/src/main/java/cedarrudder/lab/model/Attempt.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Attempt.java
@@ -93,9 +93,9 @@
             if (proxy.stripped) {
                 return cedarrudder.budget.PropagatedBudget.NOTHING;
             }
-            return handle.handed() == null
+            return handle.propagatedBudget() == null
                     ? call.what.said()
-                    : handle.handed().after(writtenAt - handle.startedAt());
+                    : handle.propagatedBudget().after(writtenAt - handle.startedAt());
         }
 
         @Override
--- a/lab/src/main/java/cedarrudder/lab/model/Directory.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Directory.java
@@ -77,13 +77,14 @@
                 byId.put(endpoint, line);
                 lines.add(line);
                 listed++;
-            } else if (line.told.state() == EndpointStatus.GONE && state != EndpointStatus.GONE) {
+            } else if (line.told.status() == EndpointStatus.REMOVED
+                    && state != EndpointStatus.REMOVED) {
                 listed++;
             }
             listed -=
-                    state == EndpointStatus.GONE
+                    state == EndpointStatus.REMOVED
                                     && (line.told == null
-                                            || line.told.state() != EndpointStatus.GONE)
+                                            || line.told.status() != EndpointStatus.REMOVED)
                             ? 1
                             : 0;
             double size = node.kind.cores() * node.kind.speed();
@@ -120,7 +121,7 @@
         /** The whole list as it is published. */
         public void whole(List<Endpoint> list, List<Node> nodes) {
             for (Line line : lines) {
-                if (line.told.state() != EndpointStatus.GONE) {
+                if (line.told.status() != EndpointStatus.REMOVED) {
                     list.add(line.told);
                     nodes.add(line.node);
                 }
@@ -148,7 +149,7 @@
             }
             who.toldVersion(version);
             who.tellLater(
-                    whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, list, nodes, version);
+                    whole ? EndpointListKind.FULL : EndpointListKind.DELTA, list, nodes, version);
             return list.size();
         }
 
@@ -204,7 +205,7 @@
                 () -> {
                     // Guards against late news: what has come back by now is not gone.
                     if (!node.up() || node.endpoint != endpoint || node.draining) {
-                        listings.get(node.tier).set(node, endpoint, EndpointStatus.GONE, 0);
+                        listings.get(node.tier).set(node, endpoint, EndpointStatus.REMOVED, 0);
                     }
                 });
     }
@@ -221,7 +222,7 @@
                                 .set(
                                         node,
                                         endpoint,
-                                        begins ? EndpointStatus.GONE : EndpointStatus.READY,
+                                        begins ? EndpointStatus.REMOVED : EndpointStatus.READY,
                                         node.startedAt);
                     }
                 });
--- a/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
@@ -89,32 +89,32 @@
     // ---- events ----
 
     @Override
-    public void endpoints(long at, EndpointListKind kind, List<Endpoint> entries) {
-        event(() -> balancer.endpoints(at, kind, entries));
+    public void onEndpoints(long at, EndpointListKind kind, List<Endpoint> entries) {
+        event(() -> balancer.onEndpoints(at, kind, entries));
     }
 
     @Override
-    public void endpointsFailed(long at) {
-        event(() -> balancer.endpointsFailed(at));
+    public void onEndpointsUnavailable(long at) {
+        event(() -> balancer.onEndpointsUnavailable(at));
     }
 
     @Override
-    public void request(long at, Request request) {
-        event(() -> balancer.request(at, request));
+    public void onRequest(long at, Request request) {
+        event(() -> balancer.onRequest(at, request));
     }
 
     @Override
-    public void request(long at, Request request, AdmissionHint standing) {
-        event(() -> balancer.request(at, request, standing));
+    public void onRequest(long at, Request request, AdmissionHint standing) {
+        event(() -> balancer.onRequest(at, request, standing));
     }
 
     @Override
-    public void firstByte(long at, long request, int attempt, long endpoint, long latency) {
-        event(() -> balancer.firstByte(at, request, attempt, endpoint, latency));
+    public void onFirstByte(long at, long request, int attempt, long endpoint, long latency) {
+        event(() -> balancer.onFirstByte(at, request, attempt, endpoint, latency));
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long at,
             long request,
             int attempt,
@@ -129,43 +129,44 @@
         }
         event(
                 () ->
-                        balancer.outcome(
+                        balancer.onAttemptEnded(
                                 at, request, attempt, endpoint, outcome, latency, settled, load));
     }
 
     @Override
-    public Outcome denial(long at, long request, int attempt) {
-        return run.ended() ? null : balancer.denial(at, request, attempt);
+    public Outcome startDenial(long at, long request, int attempt) {
+        return run.ended() ? null : balancer.startDenial(at, request, attempt);
     }
 
     @Override
-    public void clientLeft(long at, long request) {
-        event(() -> balancer.clientLeft(at, request));
+    public void onClientLeft(long at, long request) {
+        event(() -> balancer.onClientLeft(at, request));
     }
 
     @Override
-    public void timer(long at, long token) {
-        event(() -> balancer.timer(at, token));
+    public void onTimer(long at, long token) {
+        event(() -> balancer.onTimer(at, token));
     }
 
     @Override
-    public void probed(long at, long endpoint, Outcome outcome, long latency, LoadReport load) {
-        event(() -> balancer.probed(at, endpoint, outcome, latency, load));
+    public void onProbeEnded(
+            long at, long endpoint, Outcome outcome, long latency, LoadReport load) {
+        event(() -> balancer.onProbeEnded(at, endpoint, outcome, latency, load));
     }
 
     @Override
-    public void replicas(long at, int live) {
-        event(() -> balancer.replicas(at, live));
+    public void onLiveReplicas(long at, int live) {
+        event(() -> balancer.onLiveReplicas(at, live));
     }
 
     @Override
-    public void shares(long at, List<ZoneTrafficShare> shares) {
-        event(() -> balancer.shares(at, shares));
+    public void onZoneShares(long at, List<ZoneTrafficShare> shares) {
+        event(() -> balancer.onZoneShares(at, shares));
     }
 
     @Override
-    public void message(long at, int from, byte[] message) {
-        event(() -> balancer.message(at, from, message));
+    public void onPeerMessage(long at, int from, byte[] message) {
+        event(() -> balancer.onPeerMessage(at, from, message));
     }
 
     /** Counts each action, and turns down those past the bounds or not allowed. */
@@ -200,15 +201,15 @@
         }
 
         @Override
-        public void send(long request, long endpoint, long timeout) {
+        public void startAttempt(long request, long endpoint, long timeout) {
             count();
-            hands.send(request, endpoint, timeout);
+            hands.startAttempt(request, endpoint, timeout);
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {
+        public void reject(long request, long retryAfter) {
             count();
-            hands.refuse(request, retryAfter);
+            hands.reject(request, retryAfter);
         }
 
         @Override
@@ -218,35 +219,35 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
+        public void cancelAttempt(long request, int attempt) {
             count();
-            allowed(settings.limits().cancel(), "cancel");
-            hands.cancel(request, attempt);
+            allowed(settings.limits().cancellation(), "cancel");
+            hands.cancelAttempt(request, attempt);
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void sendProbe(long endpoint) {
             count();
-            allowed(settings.limits().probes(), "probes");
-            hands.probe(endpoint);
+            allowed(settings.limits().probing(), "probes");
+            hands.sendProbe(endpoint);
         }
 
         @Override
-        public void closeIdle(long endpoint) {
+        public void closeIdleConnections(long endpoint) {
             count();
-            hands.closeIdle(endpoint);
+            hands.closeIdleConnections(endpoint);
         }
 
         @Override
-        public void schedule(long at, long token) {
+        public void scheduleTimer(long at, long token) {
             count();
-            hands.schedule(at, token);
+            hands.scheduleTimer(at, token);
         }
 
         @Override
-        public void subscribe(boolean on) {
+        public void watchEndpoints(boolean on) {
             count();
-            hands.subscribe(on);
+            hands.watchEndpoints(on);
         }
 
         @Override
@@ -256,10 +257,10 @@
         }
 
         @Override
-        public void tell(int replica, byte[] message) {
+        public void sendToPeers(int replica, byte[] message) {
             count();
             allowed(run.scenario.allowed().peers(), "messages between proxies");
-            hands.tell(replica, message);
+            hands.sendToPeers(replica, message);
         }
 
         @Override
--- a/lab/src/main/java/cedarrudder/lab/model/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Node.java
@@ -343,7 +343,7 @@
         } else if (declining > 0 || draining || !hasRoom()) {
             tally.declined++;
             declinedWork += job.work;
-            job.answer(Outcome.FULL);
+            job.answer(Outcome.REJECTED);
         } else {
             hold(job);
             job.reached();
@@ -427,7 +427,7 @@
             if (kind.dropsExpired() && run.agenda.now() >= next.deadline()) {
                 release(next);
                 tally.declined++;
-                next.answer(Outcome.FULL);
+                next.answer(Outcome.REJECTED);
             } else {
                 start(next);
             }
