--- a/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
@@ -62,7 +62,7 @@
     /** Whether the nodes that it sends to pass on nothing that is said of budgets. */
     final boolean stripped;
 
-    private final RequestForwarder<ProxyRequest, Attempt> driver;
+    private final RequestForwarder<ProxyRequest, Attempt> forwarder;
     private final GuardedBalancer watched;
     private final LongMap<Channel> channels = new LongMap<>();
     private final LongMap<Endpoint> list = new LongMap<>();
@@ -106,7 +106,7 @@
                                 settings,
                                 new SplittableRandom(HashRandom.of(seed, -1)),
                                 BudgetEvents.NONE);
-        this.driver =
+        this.forwarder =
                 new RequestForwarder<>(
                         actions ->
                                 watched.around(
@@ -123,7 +123,7 @@
                         proxy.all.log,
                         budgets,
                         null);
-        driver.connect(this, this, this);
+        forwarder.attach(this, this, this);
     }
 
     /** Starts with the list that it had. */
@@ -137,7 +137,7 @@
     }
 
     void shares(List<ZoneTrafficShare> shares) {
-        driver.shares(shares);
+        forwarder.shares(shares);
     }
 
     /** Takes an RPC from a caller. */
@@ -158,7 +158,7 @@
                 kind.keyScope(),
                 kind.repeatWindow(),
                 call.what.deadline());
-        driver.accept(exchange);
+        forwarder.accept(exchange);
     }
 
     /** An RPC has its final answer. */
@@ -178,7 +178,7 @@
     void callerLeft(ProxyRequest call, Exchange<ProxyRequest, Attempt> exchange) {
         forget(call);
         run.trace.callerLeft(now(), proxy.number, call.id);
-        driver.left(exchange);
+        forwarder.clientLeft(exchange);
     }
 
     /** Dies: whoever waits for it, or works for it, finds the connection reset. */
@@ -259,7 +259,7 @@
                     @Override
                     protected void run() {
                         if (alive) {
-                            driver.unresolved();
+                            forwarder.endpointsUnavailable();
                         }
                     }
                 });
@@ -272,7 +272,7 @@
 
     private void take(EndpointListKind kind, List<Endpoint> entries, List<Node> nodes) {
         long now = now();
-        if (kind != EndpointListKind.CHANGES) {
+        if (kind != EndpointListKind.DELTA) {
             run.trace.toldWhole(now, proxy.number);
             dropUnnamed(entries);
         }
@@ -284,9 +284,9 @@
                     entry.id(),
                     entry.cell(),
                     entry.zone(),
-                    entry.state(),
+                    entry.status(),
                     entry.startedAt());
-            if (entry.state() == EndpointStatus.GONE) {
+            if (entry.status() == EndpointStatus.REMOVED) {
                 drop(entry.id());
             } else {
                 list.put(entry.id(), entry);
@@ -295,7 +295,7 @@
                 }
             }
         }
-        driver.resolved(kind, entries);
+        forwarder.endpointsUpdated(kind, entries);
     }
 
     private void dropUnnamed(List<Endpoint> entries) {
@@ -321,12 +321,12 @@
     // ---- the client side ----
 
     @Override
-    public boolean knows(long endpoint) {
+    public boolean knowsEndpoint(long endpoint) {
         return channels.get(endpoint) != null;
     }
 
     @Override
-    public void start(RequestAttempt<ProxyRequest, Attempt> handle) {
+    public void startAttempt(RequestAttempt<ProxyRequest, Attempt> handle) {
         ProxyRequest call = handle.exchange().content();
         Attempt attempt = new Attempt(run, this, channels.get(handle.endpoint()), call, handle);
         counts.attempts++;
@@ -344,7 +344,7 @@
     }
 
     @Override
-    public void abandon(RequestAttempt<ProxyRequest, Attempt> handle) {
+    public void abandonAttempt(RequestAttempt<ProxyRequest, Attempt> handle) {
         Attempt attempt = handle.exchange().content().attempt(handle.number());
         if (attempt != null && !attempt.over) {
             attempt.giveUp();
@@ -354,9 +354,9 @@
 
     /** Whether an attempt may go out now; where not, it has been abandoned. */
     boolean begins(Attempt attempt) {
-        boolean begins = driver.begins(attempt.handle);
+        boolean begins = forwarder.mayStart(attempt.handle);
         if (begins) {
-            attempt.handle.wrote(now());
+            attempt.handle.writeComplete(now());
         }
         return begins;
     }
@@ -378,9 +378,9 @@
         if (outcome == Outcome.OK) {
             // Before the answer that it brings, which the driver passes on first.
             run.trace.ended(now(), proxy.number, attempt.call.id, attempt.handle.number(), outcome);
-            driver.served(attempt.handle, attempt, null, attempt.job.goesUp());
+            forwarder.served(attempt.handle, attempt, null, attempt.job.goesUp());
         } else {
-            driver.ended(
+            forwarder.attemptEnded(
                     attempt.handle,
                     outcome,
                     null,
@@ -389,19 +389,19 @@
     }
 
     @Override
-    public void probe(long endpoint) {
+    public void sendProbe(long endpoint) {
         counts.probes++;
         new Probe(run, this, channels.get(endpoint)).go();
     }
 
     void probed(Probe probe, Outcome outcome, LoadReport load) {
         if (alive) {
-            driver.probed(probe.channel.endpoint, outcome, probe.took(), load);
+            forwarder.probeEnded(probe.channel.endpoint, outcome, probe.took(), load);
         }
     }
 
     @Override
-    public void closeIdle(long endpoint) {
+    public void closeIdleConnections(long endpoint) {
         Channel channel = channels.get(endpoint);
         if (channel != null) {
             channel.closeAll();
@@ -422,7 +422,7 @@
     // ---- discovery and peers ----
 
     @Override
-    public void subscribe(boolean on) {
+    public void watch(boolean on) {
         if (on) {
             run.directory.watch(this);
         } else {
@@ -431,12 +431,12 @@
     }
 
     @Override
-    public void fetch() {
+    public void fetchAll() {
         run.directory.fetch(this);
     }
 
     @Override
-    public void tell(int replica, byte[] message) {
+    public void send(int replica, byte[] message) {
         if (message.length > MAX_MESSAGE) {
             run.end(
                     "proxy "
@@ -465,7 +465,7 @@
                     @Override
                     protected void run() {
                         if (to.life != null) {
-                            to.life.driver.message(proxy.self, message);
+                            to.life.forwarder.peerMessage(proxy.self, message);
                         }
                     }
                 });
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void refused(long after) {
+    public void rejected(long after) {
         finish(Final.REFUSED, Caller.End.REFUSED, after, -1);
     }
 
@@ -146,7 +146,7 @@
 
     /** The news that it has gone comes to the proxy's life, which tells the driver then. */
     @Override
-    public boolean waits() {
+    public boolean isClientWaiting() {
         return true;
     }
 
@@ -157,7 +157,7 @@
         // A proxy without budgets passes an answer on with all that it says.
         goesUp =
                 life.budgets != null
-                        ? exchange.result()
+                        ? exchange.feedback()
                         : servedBy != null ? servedBy.job.goesUp() : null;
         life.closed(this, how);
         run.trace.answered(run.agenda.now(), to.number, id, how, attempt);
--- a/lab/src/main/java/cedarrudder/lab/referee/RuleChecker.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RuleChecker.java
@@ -324,7 +324,7 @@
         request.ended[attempt] = outcome;
         request.out--;
         ColdNode node = cold.get(request.endpoints[attempt]);
-        if (node != null && (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT)) {
+        if (node != null && (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.NOT_STARTED)) {
             node.takeBack(request.sentAt[attempt], request.works[attempt], request.knew[attempt]);
         }
     }
--- /dev/null
+++ b/lab/src/main/java/cedarrudder/lab/report/package-info.java
@@ -0,0 +1,2 @@
+/** Reports of experiments: plots, tables and pages. */
+package cedarrudder.lab.report;
--- /dev/null
+++ b/lab/src/main/java/cedarrudder/lab/scenario/package-info.java
@@ -0,0 +1,2 @@
+/** Scenarios: a platform and what happens to it, read from TOML. */
+package cedarrudder.lab.scenario;
--- a/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
@@ -58,9 +58,9 @@
     }
 
     @Override
-    public void endpoints(long at, EndpointListKind kind, List<Endpoint> entries) {
+    public void onEndpoints(long at, EndpointListKind kind, List<Endpoint> entries) {
         now = at;
-        if (kind != EndpointListKind.CHANGES) {
+        if (kind != EndpointListKind.DELTA) {
             trace.toldWhole(at, proxy.getAsInt());
         }
         for (Endpoint entry : entries) {
@@ -70,28 +70,28 @@
                     entry.id(),
                     entry.cell(),
                     entry.zone(),
-                    entry.state(),
+                    entry.status(),
                     entry.startedAt());
         }
-        balancer.endpoints(at, kind, entries);
+        balancer.onEndpoints(at, kind, entries);
     }
 
     @Override
-    public void endpointsFailed(long at) {
+    public void onEndpointsUnavailable(long at) {
         now = at;
-        balancer.endpointsFailed(at);
+        balancer.onEndpointsUnavailable(at);
     }
 
     @Override
-    public void request(long at, Request request) {
+    public void onRequest(long at, Request request) {
         taken(at, request);
-        balancer.request(at, request);
+        balancer.onRequest(at, request);
     }
 
     @Override
-    public void request(long at, Request request, AdmissionHint standing) {
+    public void onRequest(long at, Request request, AdmissionHint standing) {
         taken(at, request);
-        balancer.request(at, request, standing);
+        balancer.onRequest(at, request, standing);
     }
 
     private void taken(long at, Request request) {
@@ -102,20 +102,20 @@
                 at,
                 proxy.getAsInt(),
                 request.id(),
-                kind.effect(),
+                kind.idempotency(),
                 kind.keyScope(),
-                kind.repeatWindow(),
+                kind.keyWindowNanos(),
                 request.deadline());
     }
 
     @Override
-    public void firstByte(long at, long request, int attempt, long endpoint, long latency) {
+    public void onFirstByte(long at, long request, int attempt, long endpoint, long latency) {
         now = at;
-        balancer.firstByte(at, request, attempt, endpoint, latency);
+        balancer.onFirstByte(at, request, attempt, endpoint, latency);
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long at,
             long request,
             int attempt,
@@ -135,50 +135,51 @@
             }
             forgetIfDone(request, open);
         }
-        balancer.outcome(at, request, attempt, endpoint, outcome, latency, settled, load);
+        balancer.onAttemptEnded(at, request, attempt, endpoint, outcome, latency, settled, load);
     }
 
     @Override
-    public Outcome denial(long at, long request, int attempt) {
-        return balancer.denial(at, request, attempt);
+    public Outcome startDenial(long at, long request, int attempt) {
+        return balancer.startDenial(at, request, attempt);
     }
 
     @Override
-    public void clientLeft(long at, long request) {
+    public void onClientLeft(long at, long request) {
         now = at;
         trace.callerLeft(at, proxy.getAsInt(), request);
         end(request);
-        balancer.clientLeft(at, request);
+        balancer.onClientLeft(at, request);
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void onTimer(long at, long token) {
         now = at;
-        balancer.timer(at, token);
+        balancer.onTimer(at, token);
     }
 
     @Override
-    public void probed(long at, long endpoint, Outcome outcome, long latency, LoadReport load) {
+    public void onProbeEnded(
+            long at, long endpoint, Outcome outcome, long latency, LoadReport load) {
         now = at;
-        balancer.probed(at, endpoint, outcome, latency, load);
+        balancer.onProbeEnded(at, endpoint, outcome, latency, load);
     }
 
     @Override
-    public void replicas(long at, int live) {
+    public void onLiveReplicas(long at, int live) {
         now = at;
-        balancer.replicas(at, live);
+        balancer.onLiveReplicas(at, live);
     }
 
     @Override
-    public void shares(long at, List<ZoneTrafficShare> shares) {
+    public void onZoneShares(long at, List<ZoneTrafficShare> shares) {
         now = at;
-        balancer.shares(at, shares);
+        balancer.onZoneShares(at, shares);
     }
 
     @Override
-    public void message(long at, int from, byte[] message) {
+    public void onPeerMessage(long at, int from, byte[] message) {
         now = at;
-        balancer.message(at, from, message);
+        balancer.onPeerMessage(at, from, message);
     }
 
     private void end(long request) {
@@ -204,7 +205,7 @@
         }
 
         @Override
-        public void send(long request, long endpoint, long timeout) {
+        public void startAttempt(long request, long endpoint, long timeout) {
             Open open = requests.get(request);
             int attempt = 0;
             if (open != null) {
@@ -213,14 +214,14 @@
             }
             trace.sent(
                     now, proxy.getAsInt(), request, attempt, endpoint, work.applyAsDouble(request));
-            to.send(request, endpoint, timeout);
+            to.startAttempt(request, endpoint, timeout);
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {
+        public void reject(long request, long retryAfter) {
             trace.answered(now, proxy.getAsInt(), request, Final.REFUSED, -1);
             end(request);
-            to.refuse(request, retryAfter);
+            to.reject(request, retryAfter);
         }
 
         @Override
@@ -231,28 +232,28 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
-            to.cancel(request, attempt);
+        public void cancelAttempt(long request, int attempt) {
+            to.cancelAttempt(request, attempt);
         }
 
         @Override
-        public void probe(long endpoint) {
-            to.probe(endpoint);
+        public void sendProbe(long endpoint) {
+            to.sendProbe(endpoint);
         }
 
         @Override
-        public void closeIdle(long endpoint) {
-            to.closeIdle(endpoint);
+        public void closeIdleConnections(long endpoint) {
+            to.closeIdleConnections(endpoint);
         }
 
         @Override
-        public void schedule(long at, long token) {
-            to.schedule(at, token);
+        public void scheduleTimer(long at, long token) {
+            to.scheduleTimer(at, token);
         }
 
         @Override
-        public void subscribe(boolean on) {
-            to.subscribe(on);
+        public void watchEndpoints(boolean on) {
+            to.watchEndpoints(on);
         }
 
         @Override
@@ -261,8 +262,8 @@
         }
 
         @Override
-        public void tell(int replica, byte[] message) {
-            to.tell(replica, message);
+        public void sendToPeers(int replica, byte[] message) {
+            to.sendToPeers(replica, message);
         }
 
         @Override
--- /dev/null
+++ b/lab/src/main/java/cedarrudder/lab/trace/package-info.java
@@ -0,0 +1,2 @@
+/** Traces of runs: all that can be seen of them from outside. */
+package cedarrudder.lab.trace;
--- a/lab/src/test/java/cedarrudder/lab/baselines/NoActions.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/NoActions.java
@@ -6,34 +6,34 @@
 final class NoActions implements LoadBalancer.Actions {
 
     @Override
-    public void send(long request, long endpoint, long timeout) {}
+    public void startAttempt(long request, long endpoint, long timeout) {}
 
     @Override
-    public void refuse(long request, long retryAfter) {}
+    public void reject(long request, long retryAfter) {}
 
     @Override
     public void fail(long request) {}
 
     @Override
-    public void cancel(long request, int attempt) {}
+    public void cancelAttempt(long request, int attempt) {}
 
     @Override
-    public void probe(long endpoint) {}
+    public void sendProbe(long endpoint) {}
 
     @Override
-    public void closeIdle(long endpoint) {}
+    public void closeIdleConnections(long endpoint) {}
 
     @Override
-    public void schedule(long at, long token) {}
+    public void scheduleTimer(long at, long token) {}
 
     @Override
-    public void subscribe(boolean on) {}
+    public void watchEndpoints(boolean on) {}
 
     @Override
     public void fetchEndpoints() {}
 
     @Override
-    public void tell(int replica, byte[] message) {}
+    public void sendToPeers(int replica, byte[] message) {}
 
     @Override
     public void log(String line) {}
--- a/lab/src/test/java/cedarrudder/lab/baselines/PicksTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/PicksTest.java
@@ -290,28 +290,28 @@
         int both = 0;
         int one = 0;
         for (int i = 0; i < 50; i++) {
-            boolean first = admission.admits(cheap.aim(), call(cheap, 0));
-            boolean second = admission.admits(cheap.aim(), call(dear, 1));
+            boolean first = admission.admits(cheap.latencyObjectiveNanos(), call(cheap, 0));
+            boolean second = admission.admits(cheap.latencyObjectiveNanos(), call(dear, 1));
             assertTrue(second || !first);
             both += first ? 1 : 0;
             one += second ? 1 : 0;
-            admission.ended(cheap.aim(), slow);
+            admission.ended(cheap.latencyObjectiveNanos(), slow);
         }
         assertTrue(both > 0 && one > both && one < 50, both + " and " + one);
-        assertTrue(admission.admits(cheap.aim() + 10 * SECOND, call(cheap, 0)));
+        assertTrue(admission.admits(cheap.latencyObjectiveNanos() + 10 * SECOND, call(cheap, 0)));
     }
 
     private static RequestClass worth(double worth) {
         RequestClass kind = SmallWorld.CLASSES.get(0);
         return new RequestClass(
                 "worth " + worth,
-                kind.effect(),
+                kind.idempotency(),
                 kind.keyScope(),
-                kind.aim(),
-                kind.deadline(),
+                kind.latencyObjectiveNanos(),
+                kind.deadlineNanos(),
                 worth,
                 0,
-                kind.repeatWindow(),
+                kind.keyWindowNanos(),
                 false);
     }
 
--- a/lab/src/test/java/cedarrudder/lab/baselines/SmallWorld.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/SmallWorld.java
@@ -184,17 +184,17 @@
                         id -> WORK,
                         hands,
                         actions -> policy.create(settings, random.split(), actions, truth()));
-        proxies[proxy].endpoints(now, EndpointListKind.CACHED, list());
+        proxies[proxy].onEndpoints(now, EndpointListKind.CACHED, list());
     }
 
     private List<Endpoint> list() {
-        return nodes.values().stream().filter(n -> n.state() != EndpointStatus.GONE).toList();
+        return nodes.values().stream().filter(n -> n.status() != EndpointStatus.REMOVED).toList();
     }
 
     private void tell(Endpoint entry) {
         for (LoadBalancer proxy : proxies) {
             if (proxy != null) {
-                proxy.endpoints(now, EndpointListKind.CHANGES, List.of(entry));
+                proxy.onEndpoints(now, EndpointListKind.DELTA, List.of(entry));
             }
         }
     }
@@ -220,13 +220,13 @@
             case 0, 1 -> restart(id);
             case 2 -> drain(id);
             case 3 -> {
-                nodes.put(id, node(id, EndpointStatus.GONE, 0));
+                nodes.put(id, node(id, EndpointStatus.REMOVED, 0));
                 tell(nodes.get(id));
             }
             case 4 -> {
                 int proxy = random.nextInt(proxies.length);
                 if (proxies[proxy] != null) {
-                    proxies[proxy].endpoints(now, EndpointListKind.FULL, list());
+                    proxies[proxy].onEndpoints(now, EndpointListKind.FULL, list());
                 }
             }
             default -> {
@@ -253,7 +253,7 @@
         if (!quiet && random.nextInt(20) == 0) {
             at(now + random.nextLong(200 * MS), () -> leave(id, request));
         }
-        proxies[proxy].request(
+        proxies[proxy].onRequest(
                 now, new Request(id, index, 0, request.deadline, id, false, false, WORK));
     }
 
@@ -271,7 +271,7 @@
     private void leave(long id, Rpc request) {
         if (!request.over && incarnations(request)) {
             request.over = true;
-            proxies[request.proxy].clientLeft(now, id);
+            proxies[request.proxy].onClientLeft(now, id);
         }
     }
 
@@ -284,7 +284,7 @@
             request.over = true;
             served++;
         }
-        proxies[request.proxy].outcome(
+        proxies[request.proxy].onAttemptEnded(
                 now,
                 id,
                 attempt,
@@ -300,7 +300,7 @@
         return new GroundTruth() {
             @Override
             public boolean takes(long endpoint) {
-                return nodes.get(endpoint).state() == EndpointStatus.READY;
+                return nodes.get(endpoint).status() == EndpointStatus.READY;
             }
 
             @Override
@@ -345,7 +345,7 @@
         }
 
         @Override
-        public void send(long id, long endpoint, long timeout) {
+        public void startAttempt(long id, long endpoint, long timeout) {
             transcript
                     .append(now)
                     .append(" send ")
@@ -359,7 +359,7 @@
             request.sentAt.add(now);
             request.ended.add(false);
             if (request.over || now >= request.deadline || attempt >= 4) {
-                at(now, () -> ended(id, request, attempt, Outcome.MOOT));
+                at(now, () -> ended(id, request, attempt, Outcome.NOT_STARTED));
                 return;
             }
             Outcome outcome =
@@ -367,7 +367,7 @@
                             ? Outcome.OK
                             : switch (random.nextInt(10)) {
                                 case 0 -> Outcome.ERROR;
-                                case 1 -> Outcome.FULL;
+                                case 1 -> Outcome.REJECTED;
                                 case 2 -> Outcome.CONNECT_FAILED;
                                 case 3 -> Outcome.RESET;
                                 case 4 -> Outcome.TIMEOUT;
@@ -386,7 +386,7 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
+        public void reject(long id, long retryAfter) {
             transcript.append(now).append(" refuse ").append(id).append('\n');
             requests.get(id).over = true;
         }
@@ -398,18 +398,18 @@
         }
 
         @Override
-        public void cancel(long id, int attempt) {
+        public void cancelAttempt(long id, int attempt) {
             at(now, () -> ended(id, requests.get(id), attempt, Outcome.CANCELLED));
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void sendProbe(long endpoint) {
             transcript.append(now).append(" probe ").append(endpoint).append('\n');
             boolean lost = !quiet && random.nextInt(5) == 0;
             later(
                     now + 2 * WAY,
                     () ->
-                            proxies[proxy].probed(
+                            proxies[proxy].onProbeEnded(
                                     now,
                                     endpoint,
                                     lost ? Outcome.TIMEOUT : Outcome.OK,
@@ -426,23 +426,23 @@
         }
 
         @Override
-        public void closeIdle(long endpoint) {}
+        public void closeIdleConnections(long endpoint) {}
 
         @Override
-        public void schedule(long when, long token) {
-            later(Math.max(when, now + 1), () -> proxies[proxy].timer(now, token));
+        public void scheduleTimer(long when, long token) {
+            later(Math.max(when, now + 1), () -> proxies[proxy].onTimer(now, token));
         }
 
         @Override
-        public void subscribe(boolean on) {
+        public void watchEndpoints(boolean on) {
             boolean fails = random.nextBoolean();
             later(
                     now + 100 * MS,
                     () -> {
                         if (fails) {
-                            proxies[proxy].endpointsFailed(now);
+                            proxies[proxy].onEndpointsUnavailable(now);
                         } else {
-                            proxies[proxy].endpoints(now, EndpointListKind.FULL, list());
+                            proxies[proxy].onEndpoints(now, EndpointListKind.FULL, list());
                         }
                     });
         }
@@ -451,7 +451,7 @@
         public void fetchEndpoints() {}
 
         @Override
-        public void tell(int replica, byte[] message) {}
+        public void sendToPeers(int replica, byte[] message) {}
 
         @Override
         public void log(String line) {}
--- a/lab/src/test/java/cedarrudder/lab/experiment/PlanReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/PlanReaderTest.java
@@ -81,7 +81,7 @@
         assertFalse(changed.allowed().secondCopies());
         assertEquals(jobs.get(3).scenario().allowed().secondCopies(), true);
         assertEquals(
-                jobs.get(2).variant().tuning().get(BalancerParameters.Parameter.PROBES_PER_CALL),
+                jobs.get(2).variant().tuning().get(BalancerParameters.Parameter.PROBES_PER_REQUEST),
                 0.2);
         assertEquals(
                 jobs.get(2).variant().differences(),
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -50,7 +50,7 @@
 
         @Override
         public List<byte[]> report(long now) {
-            ZoneObservations evidence = tally.close(now, 0);
+            ZoneObservations evidence = tally.closePeriod(now, 0);
             return evidence == null ? List.of() : evidence.encode(CoordinatedReplica.MAX_PART);
         }
 
--- a/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
@@ -72,15 +72,16 @@
             Map<Long, Long> keys = new HashMap<>();
             return new Policies.First(actions) {
                 @Override
-                public void request(long now, Request request) {
-                    keys.put(request.id(), request.key());
-                    Long first = deadlines.putIfAbsent(request.key(), request.deadline());
+                public void onRequest(long now, Request request) {
+                    keys.put(request.id(), request.idempotencyKey());
+                    Long first =
+                            deadlines.putIfAbsent(request.idempotencyKey(), request.deadline());
                     latest = first == null ? latest : Math.max(latest, request.deadline() - first);
-                    super.request(now, request);
+                    super.onRequest(now, request);
                 }
 
                 @Override
-                public void outcome(
+                public void onAttemptEnded(
                         long now,
                         long request,
                         int attempt,
@@ -89,11 +90,11 @@
                         long latency,
                         boolean settled,
                         LoadReport load) {
-                    if (attempt > 0 && outcome != Outcome.MOOT) {
+                    if (attempt > 0 && outcome != Outcome.NOT_STARTED) {
                         further.merge(keys.get(request), 1, Integer::sum);
                     }
-                    if (!settled && outcome != Outcome.MOOT) {
-                        actions.send(request, first, 0);
+                    if (!settled && outcome != Outcome.NOT_STARTED) {
+                        actions.startAttempt(request, first, 0);
                     } else if (!settled) {
                         actions.fail(request);
                     }
--- a/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
@@ -201,11 +201,11 @@
                                     private long asked;
 
                                     @Override
-                                    public void endpoints(
+                                    public void onEndpoints(
                                             long now,
                                             EndpointListKind kind,
                                             List<Endpoint> entries) {
-                                        super.endpoints(now, kind, entries);
+                                        super.onEndpoints(now, kind, entries);
                                         if (asked == 0) {
                                             ask(now);
                                         } else {
@@ -215,11 +215,11 @@
 
                                     private void ask(long now) {
                                         asked = now;
-                                        actions.subscribe(true);
+                                        actions.watchEndpoints(true);
                                     }
 
                                     @Override
-                                    public void endpointsFailed(long now) {
+                                    public void onEndpointsUnavailable(long now) {
                                         failed.add((now - Model.START) / 1e9);
                                         ask(now);
                                     }
@@ -271,13 +271,13 @@
                         (settings, random, actions) ->
                                 new Policies.First(actions) {
                                     @Override
-                                    public void request(long now, Request request) {
-                                        super.request(now, request);
-                                        actions.probe(first);
+                                    public void onRequest(long now, Request request) {
+                                        super.onRequest(now, request);
+                                        actions.sendProbe(first);
                                     }
 
                                     @Override
-                                    public void probed(
+                                    public void onProbeEnded(
                                             long now,
                                             long endpoint,
                                             Outcome outcome,
--- a/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
@@ -36,10 +36,10 @@
                             }
                         }
             },
-            {"floods: ", (Fault) (actions, now, request) -> actions.schedule(now, 1)},
+            {"floods: ", (Fault) (actions, now, request) -> actions.scheduleTimer(now, 1)},
             {
                 "used messages between proxies",
-                (Fault) (actions, now, request) -> actions.tell(-1, new byte[1])
+                (Fault) (actions, now, request) -> actions.sendToPeers(-1, new byte[1])
             },
             {
                 "never came back",
@@ -69,13 +69,13 @@
                         (settings, random, actions) ->
                                 new Policies.First(actions) {
                                     @Override
-                                    public void request(long now, Request request) {
+                                    public void onRequest(long now, Request request) {
                                         fault.on(actions, now, request);
                                     }
 
                                     @Override
-                                    public void timer(long now, long token) {
-                                        actions.schedule(now, token);
+                                    public void onTimer(long now, long token) {
+                                        actions.scheduleTimer(now, token);
                                     }
                                 });
         RunResult result =
--- a/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
@@ -118,11 +118,11 @@
                         (settings, random, actions) ->
                                 new Policies.First(actions) {
                                     @Override
-                                    public void request(long now, Request request) {
+                                    public void onRequest(long now, Request request) {
                                         if (request.repeat()) {
-                                            super.request(now, request);
+                                            super.onRequest(now, request);
                                         } else {
-                                            actions.refuse(request.id(), 100 * Scenarios.MS);
+                                            actions.reject(request.id(), 100 * Scenarios.MS);
                                         }
                                     }
                                 });
@@ -143,7 +143,7 @@
                         (settings, random, actions) ->
                                 new Policies.First(actions) {
                                     @Override
-                                    public void request(long now, Request request) {}
+                                    public void onRequest(long now, Request request) {}
                                 });
         Seen seen = play(new Scenarios().make(), 2, never);
         RunResult.ClassResult kind = seen.result().classes().get(0);
--- a/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
@@ -86,11 +86,11 @@
                         (settings, random, actions) ->
                                 new Policies.First(actions) {
                                     @Override
-                                    public void request(long now, Request request) {
+                                    public void onRequest(long now, Request request) {
                                         if (settings.tier() == 1) {
-                                            actions.refuse(request.id(), 0);
+                                            actions.reject(request.id(), 0);
                                         } else {
-                                            super.request(now, request);
+                                            super.onRequest(now, request);
                                         }
                                     }
                                 });
@@ -137,11 +137,11 @@
                                     private int count;
 
                                     @Override
-                                    public void request(long now, Request request) {
+                                    public void onRequest(long now, Request request) {
                                         if (count++ == 0) {
-                                            actions.refuse(request.id(), 1500 * Scenarios.MS);
+                                            actions.reject(request.id(), 1500 * Scenarios.MS);
                                         } else {
-                                            super.request(now, request);
+                                            super.onRequest(now, request);
                                         }
                                     }
                                 });
@@ -173,7 +173,7 @@
         site.work = 100 * Scenarios.MS;
         site.perSecond = 60;
         RunResult result = play(site.make(), FIRST);
-        long declined = result.tiers().get(0).outcomes().get(Outcome.FULL.ordinal());
+        long declined = result.tiers().get(0).outcomes().get(Outcome.REJECTED.ordinal());
         assertTrue(declined > 100, result.tiers().toString());
         assertEquals(result.nodes().get(0).declined(), declined);
         assertTrue(result.nodes().get(0).meanHeld() <= 3);
@@ -193,13 +193,13 @@
                         (settings, random, actions) ->
                                 new Policies.First(actions) {
                                     @Override
-                                    public void request(long now, Request request) {
-                                        super.request(now, request);
-                                        actions.probe(first);
+                                    public void onRequest(long now, Request request) {
+                                        super.onRequest(now, request);
+                                        actions.sendProbe(first);
                                     }
 
                                     @Override
-                                    public void probed(
+                                    public void onProbeEnded(
                                             long now,
                                             long endpoint,
                                             Outcome outcome,
@@ -220,7 +220,7 @@
                 loads.size() > 90 && loads.size() < 150, loads.size() + " of " + result.probes());
         assertTrue(turnedDown[0] > 250, turnedDown[0] + " turned down");
         LoadReport last = loads.get(loads.size() - 1);
-        assertTrue(last.inFlight() > 5 && last.utilisation() > 0.9, last.toString());
+        assertTrue(last.inFlight() > 5 && last.utilization() > 0.9, last.toString());
         assertTrue(
                 last.latencyMillis() > 0 && last.latencyMillis() < 100, "without waiting: " + last);
     }
@@ -235,20 +235,20 @@
                         (settings, random, actions) ->
                                 new Policies.First(actions) {
                                     @Override
-                                    public void endpoints(
+                                    public void onEndpoints(
                                             long now,
                                             EndpointListKind kind,
                                             List<Endpoint> entries) {
-                                        super.endpoints(now, kind, entries);
+                                        super.onEndpoints(now, kind, entries);
                                         if (settings.self() == 0
                                                 && kind == EndpointListKind.CACHED) {
-                                            actions.tell(-1, new byte[] {7});
-                                            actions.tell(2, new byte[256]);
+                                            actions.sendToPeers(-1, new byte[] {7});
+                                            actions.sendToPeers(2, new byte[256]);
                                         }
                                     }
 
                                     @Override
-                                    public void message(long now, int from, byte[] message) {
+                                    public void onPeerMessage(long now, int from, byte[] message) {
                                         assertTrue(
                                                 now - Model.START >= 5 * Scenarios.MS
                                                         && now - Model.START < 6 * Scenarios.MS);
@@ -286,11 +286,11 @@
         assertEquals(told.size(), 2 + site.nodes);
         BalancerSettings last = told.get(told.size() - 1);
         assertEquals(
-                List.of(last.replicas(), last.self(), last.tier(), last.tiers()),
+                List.of(last.replicas(), last.self(), last.tier(), last.tierCount()),
                 List.of(site.nodes, site.nodes - 1, 1, 2));
-        assertTrue(last.askForEndpoints());
-        assertEquals(last.safety().coldShare(), site.coldFrom);
-        assertEquals(last.safety().rampTime(), (long) site.coldTime);
+        assertTrue(last.pollsEndpoints());
+        assertEquals(last.safety().coldCapacityShare(), site.coldFrom);
+        assertEquals(last.safety().slowStartNanos(), (long) site.coldTime);
         // Four cores, 5 ms of work for each request at either tier.
         assertEquals(last.tenants().get(0).quotaPerSecond(), 0.6 * 0.5 * 800, 1e-6);
         double one = result.tenants().get(0).requests();
@@ -315,11 +315,11 @@
                                     private int count;
 
                                     @Override
-                                    public void request(long now, Request request) {
+                                    public void onRequest(long now, Request request) {
                                         if (request.tenant() == 0 && count++ % 2 == 0) {
                                             actions.fail(request.id());
                                         } else {
-                                            super.request(now, request);
+                                            super.onRequest(now, request);
                                         }
                                     }
                                 });
--- a/lab/src/test/java/cedarrudder/lab/model/Policies.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Policies.java
@@ -55,27 +55,27 @@
         }
 
         @Override
-        public void endpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
+        public void onEndpoints(long now, EndpointListKind kind, List<Endpoint> entries) {
             for (Endpoint entry : entries) {
-                if (first == 0 && entry.state() == EndpointStatus.READY) {
+                if (first == 0 && entry.status() == EndpointStatus.READY) {
                     first = entry.id();
                 }
             }
         }
 
         @Override
-        public void endpointsFailed(long now) {}
+        public void onEndpointsUnavailable(long now) {}
 
         @Override
-        public void request(long now, Request request) {
-            actions.send(request.id(), first, 0);
+        public void onRequest(long now, Request request) {
+            actions.startAttempt(request.id(), first, 0);
         }
 
         @Override
-        public void firstByte(long now, long request, int attempt, long endpoint, long latency) {}
+        public void onFirstByte(long now, long request, int attempt, long endpoint, long latency) {}
 
         @Override
-        public void outcome(
+        public void onAttemptEnded(
                 long now,
                 long request,
                 int attempt,
@@ -90,16 +90,16 @@
         }
 
         @Override
-        public void clientLeft(long now, long request) {}
+        public void onClientLeft(long now, long request) {}
 
         @Override
-        public void timer(long now, long token) {}
+        public void onTimer(long now, long token) {}
 
         @Override
-        public void probed(
+        public void onProbeEnded(
                 long now, long endpoint, Outcome outcome, long latency, LoadReport load) {}
 
         @Override
-        public void message(long now, int from, byte[] message) {}
+        public void onPeerMessage(long now, int from, byte[] message) {}
     }
 }
--- a/lab/src/test/java/cedarrudder/lab/referee/RuleCheckerTest.java
+++ b/lab/src/test/java/cedarrudder/lab/referee/RuleCheckerTest.java
@@ -110,7 +110,7 @@
     public void unsafeMayGoOnWhenItIsProvenNotToHaveRun() {
         taken(0, 1, Idempotency.UNSAFE, KeyScope.ALL);
         referee.sent(MS, 0, 1, 0, 1, MS);
-        referee.ended(2 * MS, 0, 1, 0, Outcome.FULL);
+        referee.ended(2 * MS, 0, 1, 0, Outcome.REJECTED);
         referee.sent(2 * MS, 0, 1, 1, 2, MS);
         referee.ended(3 * MS, 0, 1, 1, Outcome.CONNECT_FAILED);
         referee.answered(3 * MS, 0, 1, Final.REFUSED, -1);
@@ -122,8 +122,8 @@
         taken(0, 1, Idempotency.UNSAFE, KeyScope.ALL);
         referee.sent(MS, 0, 1, 0, 1, MS);
         referee.sent(2 * MS, 0, 1, 1, 2, MS);
-        referee.ended(3 * MS, 0, 1, 0, Outcome.FULL);
-        referee.ended(4 * MS, 0, 1, 1, Outcome.FULL);
+        referee.ended(3 * MS, 0, 1, 0, Outcome.REJECTED);
+        referee.ended(4 * MS, 0, 1, 1, Outcome.REJECTED);
         referee.answered(4 * MS, 0, 1, Final.REFUSED, -1);
         assertBroken(2, 2 * MS, 1, 2, "unsafe, sent again though it may have run");
     }
@@ -178,7 +178,7 @@
     @Test
     public void drainIsCountedFromItsFirstWord() {
         referee.told(0, 0, 1, 1, 1, EndpointStatus.DRAINING, 0);
-        referee.told(SECOND, 0, 1, 1, 1, EndpointStatus.GONE, 0);
+        referee.told(SECOND, 0, 1, 1, 1, EndpointStatus.REMOVED, 0);
         taken(0, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(SECOND, 0, 1, 0, 1, MS);
         referee.sent(SECOND + 1, 0, 1, 1, 1, MS);
@@ -201,7 +201,7 @@
 
     @Test
     public void restartUnderTheSameIdLiftsADrain() {
-        referee.told(0, 0, 1, 1, 1, EndpointStatus.GONE, 0);
+        referee.told(0, 0, 1, 1, 1, EndpointStatus.REMOVED, 0);
         referee.told(3 * SECOND, 0, 1, 1, 1, EndpointStatus.READY, 2 * SECOND);
         taken(3 * SECOND, 1, Idempotency.SAFE, KeyScope.ALL);
         referee.sent(3 * SECOND, 0, 1, 0, 1, MS);
@@ -271,7 +271,7 @@
 
     @Test
     public void declinedWorkPushesToo() {
-        flood(true, Outcome.FULL);
+        flood(true, Outcome.REJECTED);
         assertBroken(4, 0, 12, 1, "a cold node was pushed over");
     }
 
--- a/stress/src/main/java/cedarrudder/program/HandOvers.java
+++ b/stress/src/main/java/cedarrudder/program/HandOvers.java
@@ -100,14 +100,14 @@
         /** One signal, before which nothing had changed. */
         @Actor
         public void first() {
-            hangups.heard(() -> read = file);
+            hangups.onSignal(() -> read = file);
         }
 
         /** The file changes, and then a second signal comes. */
         @Actor
         public void second() {
             file = 1;
-            hangups.heard(() -> read = file);
+            hangups.onSignal(() -> read = file);
         }
 
         /** What counts in the end. */
