--- a/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -73,6 +73,22 @@
                 + layout.object(2, 2 * 4);
     }
 
+    /** What the balancer holds of one endpoint: its state and the objects that the state owns. */
+    private long balancerState() {
+        long state = layout.object(6, 3 * 8 + 2 * 4 + 3);
+        long concurrencyLimit = layout.object(0, 6 * 8 + 4);
+        long slowStartBudget = layout.object(0, 2 * 8);
+        long connectionEstimate = layout.object(0, 8 + 2 * 4);
+        long failureRate = layout.object(0, 2 * 8);
+        long probeState = layout.object(0, 2 * 8 + 4 + 2);
+        return state
+                + concurrencyLimit
+                + slowStartBudget
+                + connectionEstimate
+                + failureRate
+                + probeState;
+    }
+
     /**
      * Bytes that a node that is held already takes while it is told again: its id, its address and
      * what the module is told of it, before and behind the rotation, are there twice.
@@ -98,11 +114,10 @@
                         + layout.object(1, 2 * 4)
                         + layout.array(IDLE, layout.reference());
         long rotation = layout.entry(false) + endpoint();
-        long server = layout.object(2, 10 * 8 + 5 * 4 + 4) + layout.object(0, 6 * 8 + 4);
         long module =
                 layout.entry(false)
                         + layout.boxed()
-                        + server
+                        + balancerState()
                         + endpoint()
                         + 2L * layout.reference();
         return reader + channels + rotation + module;
--- a/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
@@ -67,8 +67,11 @@
     /** These endpoints are drained in common; those that no longer are come back. */
     void setDraining(Set<Long> endpoints) {
         for (String name : overrides.leaving(endpoints, loop.now())) {
-            boolean stays = overrides.shown(name).status() == EndpointStatus.READY;
-            log.info(stays ? "node.stays" : "node.leaving").with("node", name).write();
+            if (overrides.shown(name).status() == EndpointStatus.READY) {
+                log.info("node.stays").with("node", name).write();
+            } else {
+                log.info("node.leaving").with("node", name).write();
+            }
             show(name);
             probe(name, PROBES_AFTER_RETURN);
         }
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -33,6 +33,9 @@
  */
 public final class DiscoveryClient implements EndpointDiscovery {
 
+    /** Why a call was dropped, as the log says it. */
+    private static final String SILENT = "silent";
+
     private static final String LIST = "/catalog/members";
 
     /** The largest list that is read. */
@@ -238,7 +241,7 @@
             Call dropped = calls.remove(call);
             if (dropped != null) {
                 if (reason == DiscoveryPollSchedule.DropReason.SILENT) {
-                    dropped.warn("silent");
+                    dropped.warn(SILENT);
                 }
                 dropped.close();
             }
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -145,7 +145,7 @@
                 field(reader, "numbers"),
                 field(reader, "starts"),
                 field(reader, "names"),
-                field(channels, "nodes"),
+                field(channels, "endpoints"),
                 rotation,
                 module);
     }
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -798,7 +798,8 @@
             assertTrue(
                     service.lines.toString().contains("caller.failed"), service.lines.toString());
             assertTrue(
-                    service.lines.toString().contains("WROTE in OPEN"), service.lines.toString());
+                    service.lines.toString().contains("WRITTEN in REQUEST_OPEN"),
+                    service.lines.toString());
             service.lines.reset();
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
@@ -1,9 +1,7 @@
 package cedarrudder.lab.trace;
 
-import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.balancer.LoadBalancer.KeyScope;
-import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.trace.Trace.Final;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -84,7 +82,7 @@
                             whole(json, "endpoint"),
                             (int) whole(json, "cell"),
                             (int) whole(json, "zone"),
-                            EndpointStatus.valueOf(text(json, "state")),
+                            TraceNames.status(text(json, "state")),
                             whole(json, "started"));
             case "told-whole" -> to.toldWhole(at, proxy(json));
             case "taken" ->
@@ -110,7 +108,7 @@
                             proxy(json),
                             whole(json, "rpc"),
                             attempt(json),
-                            Outcome.valueOf(text(json, "outcome")));
+                            TraceNames.outcome(text(json, "outcome")));
             case "reached" ->
                     to.reached(
                             at,
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
@@ -137,7 +137,7 @@
                     out.writeNumberField("endpoint", endpoint);
                     out.writeNumberField("cell", cell);
                     out.writeNumberField("zone", zone);
-                    out.writeStringField("state", state.name());
+                    out.writeStringField("state", TraceNames.of(state));
                     out.writeNumberField("started", startedAt == 0 ? 0 : startedAt - origin);
                 });
         next.told(now, proxy, endpoint, cell, zone, state, startedAt);
@@ -196,7 +196,7 @@
                 request,
                 out -> {
                     out.writeNumberField("attempt", attempt);
-                    out.writeStringField("outcome", outcome.name());
+                    out.writeStringField("outcome", TraceNames.of(outcome));
                 });
         next.ended(now, proxy, request, attempt, outcome);
     }
--- a/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
@@ -94,7 +94,7 @@
     @Test
     public void discoveryTellsLateOfTheEndAndTheStart() throws InterruptedException {
         play(Trouble.CRASH, 1, FIRST);
-        Notes.Note gone = notes.find("told", n -> n.word().equals("GONE")).get(0);
+        Notes.Note gone = notes.find("told", n -> n.word().equals("REMOVED")).get(0);
         Notes.Note back = notes.find("told", n -> n.word().equals("READY") && n.at() > 1).get(0);
         // A second until it is noticed, half a second at the most until changes go out.
         assertTrue(gone.at() >= BEGINS + 1 && gone.at() < BEGINS + 1.51, "told at " + gone.at());
@@ -122,7 +122,7 @@
         // Once its idle connection is used up, new ones never come up.
         assertEquals(ends(BEGINS + 1, BEGINS + 1.5).outcomes(), List.of("CONNECT_FAILED"));
         assertTrue(ends(BEGINS + 1, BEGINS + 1.5).longest() >= 0.12);
-        double told = notes.find("told", n -> n.word().equals("GONE")).get(0).at();
+        double told = notes.find("told", n -> n.word().equals("REMOVED")).get(0).at();
         assertTrue(told >= BEGINS + 2, "its silence is noticed later: " + told);
     }
 
@@ -136,7 +136,7 @@
     @Test
     public void aNodeThatDeclinesTakesNothing() throws InterruptedException {
         play(Trouble.DECLINE, 1, FIRST);
-        assertEquals(ends(BEGINS, ENDS - 0.1).outcomes(), List.of("FULL"));
+        assertEquals(ends(BEGINS, ENDS - 0.1).outcomes(), List.of("REJECTED"));
         assertTrue(notes.between("reached", BEGINS + 0.01, ENDS).isEmpty());
         assertTrue(result.nodes().get(0).declined() > 30);
     }
@@ -145,7 +145,7 @@
     public void aDrainingNodeFinishesAndEnds() throws InterruptedException {
         play(Trouble.DRAIN, 1, FIRST);
         assertEquals(notes.find("told", n -> n.at() > 1).get(0).word(), "DRAINING");
-        assertEquals(ends(BEGINS, ENDS - 0.1).outcomes(), List.of("FULL"));
+        assertEquals(ends(BEGINS, ENDS - 0.1).outcomes(), List.of("REJECTED"));
         assertTrue(
                 notes.find("ended", n -> n.word().equals("RESET")).isEmpty(),
                 "what it had is finished");
