--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -137,7 +137,7 @@
         return condition;
     }
 
-    /** Loads what it needs. Guards against classes that are read while the loop waits. */
+    /** Loads what it needs. This avoids classes that are read while the loop waits. */
     private static void tried(BooleanSupplier condition) {
         try {
             condition.getAsBoolean();
@@ -204,7 +204,7 @@
 
     private static boolean holds(CelRuntime.Program program, Map<String, ?> values) {
         try {
-            // Not by the clock: guards against a busy machine's pauses being taken for the
+            // Not by the clock: this avoids a busy machine's pauses being taken for the
             // condition's.
             long begun = THREADS.getCurrentThreadCpuTime();
             boolean holds = (Boolean) program.eval(values);
--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -63,7 +63,7 @@
         assertThrows(InvalidConditionException.class, () -> conditions.node("failed > 0.1"));
     }
 
-    /** Guards against a division by 0 or an overflow that ends the loop. */
+    /** Detects a division by 0 or an overflow that ends the loop. */
     @Test
     public void oneThatCanNotBeToldThrowsAtRunTime() {
         assertThrows(
@@ -74,7 +74,7 @@
                 () -> conditions.figures("9223372036854775807 + out > 0").holds(FIGURES));
     }
 
-    /** Guards against a text within the bound that keeps the loop for long. */
+    /** Detects a text within the bound that keeps the loop for long. */
     @Test
     public void theLongestTextTakesNoTimeThatCouldBeSeen() {
         String text = "failed > 0.1";
--- a/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -14,23 +14,23 @@
 import java.util.Set;
 
 /**
- * Which listed nodes operators have disabled, and which are being removed in common: laid over what
- * discovery lists. The module sees such a node as one that drains, so that every rule on drains
- * holds for it, and nothing else knows of disabling.
+ * Which listed endpoints operators have disabled, and which are being removed in common: laid over
+ * what discovery lists. The balancer sees such an endpoint as one that drains, so that every rule
+ * on drains holds for it, and nothing else knows of disabling.
  *
- * <p>A node that is enabled again counts as started then. Guards against a node that was restarted
- * meanwhile being sent the load of a warm one, before discovery tells of its new start. Pure; not
- * thread-safe.
+ * <p>An endpoint that is enabled again counts as started then. This avoids an endpoint that was
+ * restarted meanwhile being sent the load of a warm one, before discovery tells of its new start.
+ * Pure; not thread-safe.
  */
 public final class AdminOverrides {
 
     /**
-     * Ids are kept this many at the most beyond those that are listed, the latest. It bounds memory
+     * Ids are kept this many at most beyond those that are listed, the latest. It bounds memory
      * alone: what operators ask for an older one is answered as for one that was never listed.
      */
     private static final int MAX_FORMER = 4096;
 
-    /** A node under the id that operators know it by. */
+    /** An endpoint under the id that operators know it by. */
     public record Named(String name, Endpoint endpoint) {}
 
     private final Map<String, Endpoint> listed = new HashMap<>();
@@ -39,7 +39,7 @@
     private final Set<String> disabled = new HashSet<>();
     private Set<Long> leaving = Set.of();
 
-    /** Takes in what discovery says, and returns it as the module is to see it. */
+    /** Takes in what discovery says, and returns it as the balancer is to see it. */
     public List<Endpoint> listed(EndpointListKind kind, List<Named> entries) {
         if (kind != EndpointListKind.DELTA) {
             Set<String> named = new HashSet<>();
@@ -73,7 +73,7 @@
         }
     }
 
-    /** A listed node as the module is to see it now; null where it is not listed. */
+    /** A listed endpoint as the balancer is to see it now; null where it is not listed. */
     public Endpoint shown(String name) {
         Endpoint entry = listed.get(name);
         if (entry == null) {
@@ -95,17 +95,19 @@
                 startedAt);
     }
 
-    /** Whether a node of this id was ever listed, as far as is remembered. */
+    /** Whether an endpoint of this id was ever listed, as far as is remembered. */
     public boolean knows(String name) {
         return listed.containsKey(name) || former.contains(name) || disabled.contains(name);
     }
 
-    /** From now on the node is left out, whatever discovery lists. */
+    /** From now on the endpoint is left out, whatever discovery lists. */
     public void disable(String name) {
         disabled.add(name);
     }
 
-    /** From now on the node is what discovery lists, and as if it had started at {@code now}. */
+    /**
+     * From now on the endpoint is what discovery lists, and as if it had started at {@code now}.
+     */
     public void enable(String name, long now) {
         if (disabled.remove(name)) {
             returnedAt.put(name, now);
@@ -117,10 +119,11 @@
     }
 
     /**
-     * These nodes, by the numbers of the module, are being removed in common: they are left out as
-     * disabled ones are, and neither of the two puts back a node that the other leaves out.
+     * These endpoints, by the numbers of the balancer, are being removed in common: they are left
+     * out as disabled ones are, and neither of the two puts back an endpoint that the other leaves
+     * out.
      *
-     * @return listed nodes that the module is to see anew
+     * @return listed endpoints that the balancer is to see anew
      */
     public Set<String> leaving(Set<Long> nodes, long now) {
         Set<String> changed = new HashSet<>();
@@ -137,12 +140,12 @@
         return changed;
     }
 
-    /** The nodes that are disabled now. */
+    /** The endpoints that are disabled now. */
     public Set<String> disabled() {
         return Set.copyOf(disabled);
     }
 
-    /** The id of a listed node by its number; null where there is none. */
+    /** The id of a listed endpoint by its number; null where there is none. */
     public String name(long node) {
         return listed.entrySet().stream()
                 .filter(entry -> entry.getValue().id() == node)
@@ -151,12 +154,12 @@
                 .orElse(null);
     }
 
-    /** What discovery lists, by id, whatever operators or copies leave out. */
+    /** What discovery lists, by id, whatever operators or replicas leave out. */
     public Map<String, Endpoint> listed() {
         return Collections.unmodifiableMap(listed);
     }
 
-    /** How many nodes discovery lists. */
+    /** How many endpoints discovery lists. */
     public int size() {
         return listed.size();
     }
--- a/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
@@ -16,7 +16,7 @@
          */
         PROBES_PER_REQUEST("probes-per-call", 0.1, 0, 16),
         /**
-         * Probes per call, at the least, where calls fail: endpoints differ then, and picks must
+         * Probes per call, at least, where calls fail: endpoints differ then, and picks must
          * follow.
          */
         PROBES_PER_REQUEST_FAILING("probes-per-call-failing", 0.3, 0, 16),
@@ -29,7 +29,7 @@
         PROBES_PER_REQUEST_SPARSE("probes-per-call-thin", 1, 0, 16),
         /** A pool of fewer entries than this is thin; 0: never. */
         SPARSE_POOL_SIZE("thin-pool", 3, 0, 256),
-        /** Entries kept at the most, as in the paper; a part of one counts as none. */
+        /** Entries kept at most, as in the paper; a part of one counts as none. */
         POOL_CAPACITY("pool-size", 16, 1, 256),
         /**
          * An older entry leaves. Its RIF has aged away long before; the latency holds for longer.
@@ -42,18 +42,18 @@
         /** Weight of the newest reported latency: it is a mean over few requests, and noisy. */
         REPORTED_LATENCY_WEIGHT("report-weight", 0.3, 0.001, 1),
         /**
-         * A copy that has sent no probe for this long sends one, so that its next call finds some
-         * entry.
+         * A replica that has sent no probe for this long sends one, so that its next call finds
+         * some entry.
          */
         IDLE_PROBE_INTERVAL_MS("idle-ms", 1000, 1, 600_000),
         /** An entry is hot when its RIF exceeds this quantile of the pool's. */
         RIF_QUANTILE("rif-quantile", 0.25, 0, 1),
-        /** Endpoints that a copy probes at the least. */
+        /** Endpoints that a replica probes at least. */
         SUBSET_MIN_SIZE("roster-least", 6, 1, 100_000),
-        /** Endpoints in the roster for each call that the copy has out on the average. */
+        /** Endpoints in the roster for each call that the replica has out on the average. */
         SUBSET_PER_REQUEST("roster-per-call", 0.4, 0, 100),
         /**
-         * Copies that have an endpoint in their rosters, at the least: with few copies none goes
+         * Replicas that have an endpoint in their rosters, at least: with few replicas none goes
          * unused.
          */
         SUBSET_COVERAGE("roster-cover", 2, 0, 100_000),
@@ -79,7 +79,7 @@
         RETRY_AFTER_EXPONENT("come-back-turn", 1, 0, 1),
         /**
          * An answer is late when it takes this many times longer than others for its work; 0: no
-         * copies.
+         * replicas.
          */
         HEDGE_STRETCH("late-stretch", 3, 0, 1000),
         /**
@@ -96,9 +96,9 @@
          */
         LIMIT_INCREASE("limit-more", 0.2, 0, 1000),
         /**
-         * A slow answer cuts the limit to this many times the recent peak of calls out at the most.
-         * Guards against turning the least worthy away on quiet days: they stop at a small part of
-         * the limit.
+         * A slow answer cuts the limit to this many times the recent peak of calls out at most.
+         * This avoids turning the least worthy away on quiet days: they stop at a small part of the
+         * limit.
          */
         LIMIT_CUT_FACTOR("limit-cut", 4, 1, 1e6),
         /**
--- a/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -4,12 +4,11 @@
 import java.util.List;
 
 /**
- * What one copy of the balancer is told, and what it may do: the whole interface of the decision
- * module.
+ * What one copy of the balancer is told, and what it may do: the whole interface of the balancer.
  *
- * <p>A copy is told of everything through the event methods below, each with the time at which it
- * happened. It answers through {@link Actions}. It keeps no clock, starts no thread and shares
- * nothing with other copies. All times are nanoseconds; instants are readings of one clock that
+ * <p>A replica is told of everything through the event methods below, each with the time at which
+ * it happened. It answers through {@link Actions}. It keeps no clock, starts no thread and shares
+ * nothing with other replicas. All times are nanoseconds; instants are readings of one clock that
  * never goes back and whose zero means nothing. An implementation is not thread-safe: call it from
  * one thread at a time.
  */
@@ -21,7 +20,7 @@
         OK(false),
         /** The endpoint answered with an error; the work may have run. */
         ERROR(false),
-        /** Turned away unseen, the queue being full or the endpoint draining. */
+        /** Rejected unseen, the queue being full or the endpoint draining. */
         REJECTED(true),
         /** No answer in time; the work may have run or be running. */
         TIMEOUT(false),
@@ -29,7 +28,7 @@
         CONNECT_FAILED(true),
         /** The connection broke while the attempt was out. */
         RESET(false),
-        /** Called off by this copy; the work may have run. */
+        /** Called off by this replica; the work may have run. */
         CANCELLED(false),
         /**
          * Never sent: its request was over, out of time or attempts, or there was no room for it
@@ -111,8 +110,8 @@
             boolean streaming) {}
 
     /**
-     * One tenant: its share of the service, and that share in requests a second over all copies (0:
-     * none).
+     * One tenant: its share of the service, and that share in requests a second over all replicas
+     * (0: none).
      */
     record Tenant(String name, double quotaShare, double quotaPerSecond) {}
 
@@ -136,7 +135,7 @@
      * @param slowStartNanos and is warm within this time
      * @param overloadMultiple sent more than this multiple of what it can do ...
      * @param overloadWindowNanos ... for this long, a cold endpoint falls over
-     * @param pollIntervalNanos where the list must be asked for: how long a copy may go without
+     * @param pollIntervalNanos where the list must be asked for: how long a replica may go without
      *     asking
      */
     record SafetyRules(
@@ -179,12 +178,12 @@
     record ServicePrices(double probe, double handshake) {}
 
     /**
-     * All that a copy is told when it starts.
+     * All that a replica is told when it starts.
      *
-     * @param replicas how many copies send to this tier
-     * @param self the number of this copy among them, from 0
-     * @param zone the zone of this copy
-     * @param tier the tier this copy sends to, from 0
+     * @param replicas how many replicas send to this tier
+     * @param self the number of this replica among them, from 0
+     * @param zone the zone of this replica
+     * @param tier the tier this replica sends to, from 0
      * @param tierCount how many tiers there are
      * @param pollsEndpoints whether the list of endpoints comes only when asked for
      */
@@ -245,11 +244,11 @@
     }
 
     /**
-     * What one zone may get of a copy's calls, by the table that the copies agree on.
+     * What one zone may get of a replica's calls, by the table that the replicas agree on.
      *
      * @param zone as the list of endpoints numbers it
-     * @param parts of {@link RouteTable#WHOLE}, so many; from 1
-     * @param maxPerSecond it gets no more calls a second from this copy; 0: no bound
+     * @param parts of {@link RouteTable#WHOLE}, this many; from 1
+     * @param maxPerSecond it gets no more calls a second from this replica; 0: no bound
      */
     record ZoneTrafficShare(int zone, int parts, int maxPerSecond) {
         /**
@@ -279,7 +278,8 @@
             double errorsPerSecond) {}
 
     /**
-     * What a copy may do. Everything takes effect at the time of the event being handled, in order.
+     * What a replica may do. Everything takes effect at the time of the event being handled, in
+     * order.
      */
     interface Actions {
         /**
@@ -336,12 +336,12 @@
     /** A call for the list failed or a subscription broke; the old list stands. */
     void onEndpointsUnavailable(long now);
 
-    /** A request has come in; the copy now owes it one final answer. */
+    /** A request has come in; the replica now owes it one final answer. */
     void onRequest(long now, Request request);
 
     /**
      * A request has come in, with how it stands; any but {@link AdmissionHint#ADMIT} should be
-     * turned away. A module that doesn't listen takes it as any other.
+     * rejected. A module that doesn't listen takes it as any other.
      */
     default void onRequest(long now, Request request, AdmissionHint standing) {
         onRequest(now, request);
@@ -405,15 +405,15 @@
     default void onEndpointReenabled(long now, long endpoint) {}
 
     /**
-     * How many copies live, this one with them, from 1 to {@link BalancerSettings#replicas}; until
-     * the first such event all do. A module that doesn't listen goes on with all.
+     * How many replicas live, this one with them, from 1 to {@link BalancerSettings#replicas};
+     * until the first such event all do. A module that doesn't listen goes on with all.
      */
     default void onLiveReplicas(long now, int live) {}
 
     /**
-     * Which part of this copy's calls each zone may get from now on, in place of what was said
-     * before. Their order is that in which they stand in for one another, after the copy's own
-     * zone. An empty list, as at the start: any zone may, as the module sees fit. A zone named
+     * Which part of this replica's calls each zone may get from now on, in place of what was said
+     * before. Their order is that in which they stand in for one another, after the replica's own
+     * zone. An empty list, as at the start: any zone may, as the balancer sees fit. A zone named
      * twice, or parts that sum up to more than a whole, are an IllegalArgumentException, and what
      * was said before stands. A module that doesn't listen goes on as it was.
      */
--- a/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
@@ -9,13 +9,14 @@
  * pieces. The reading side puts pieces and stops reading while the flow is full; the writing side
  * takes them. Owned by the event loop; not thread-safe.
  *
- * <p>Guards against memory that grows with the bodies: whatever their size and number, each holds a
+ * <p>This avoids memory that grows with the bodies: whatever their size and number, each holds a
  * window.
  */
 public final class BodyFlow {
 
     /**
-     * A flow that holds so much, in bytes, is full: the protocol's largest body, whatever the site.
+     * A flow that holds this much, in bytes, is full: the protocol's largest body, whatever the
+     * site.
      */
     public static final int WINDOW = 64 * 1024;
 
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Guards against a window that costs many times its bytes, since its sender cut it into single
+     * This avoids a window that costs many times its bytes, since its sender cut it into single
      * ones.
      */
     private void join(byte[] piece) {
--- a/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
@@ -26,7 +26,7 @@
         max = bytes;
     }
 
-    /** So many bytes more are held, or fewer. */
+    /** This many bytes more are held, or fewer. */
     public void add(long bytes) {
         held += bytes;
     }
--- a/core/src/main/java/cedarrudder/budget/AttemptBudget.java
+++ b/core/src/main/java/cedarrudder/budget/AttemptBudget.java
@@ -1,7 +1,7 @@
 package cedarrudder.budget;
 
 /**
- * What one call, or the calls of one node under one grant, may still spend on further attempts,
+ * What one call, or the calls of one endpoint under one grant, may still spend on further attempts,
  * here and below.
  *
  * <p>At any time what is left, what was spent here and what was handed down and not given back add
@@ -29,7 +29,8 @@
     }
 
     /**
-     * What an attempt may hand down if so many are kept; it counts as spent until it is given back.
+     * What an attempt may hand down if this many are kept; it counts as spent until it is given
+     * back.
      */
     int handDown(int keep) {
         int handed = Math.max(0, left - keep);
@@ -38,14 +39,14 @@
     }
 
     /**
-     * Takes back what an attempt was handed and has not used. Guards against an answer that claims
-     * to have spent more than was handed down, which would cost the other attempts theirs.
+     * Takes back what an attempt was handed and has not used. This avoids an answer that claims to
+     * have spent more than was handed down, which would cost the other attempts theirs.
      */
     void giveBack(int handed, int spentBelow) {
         left += Math.max(0, handed - spentBelow);
     }
 
-    /** What the caller that gave this has to count as used. */
+    /** What the client that gave this has to count as used. */
     int spent() {
         return start - left;
     }
--- a/core/src/main/java/cedarrudder/budget/BudgetEvents.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetEvents.java
@@ -30,8 +30,8 @@
      * @param requests that came, loops aside
      * @param deniedByTree further attempts that the budget of their tree denied
      * @param deniedByShare further attempts that the share of first tries denied
-     * @param overload requests turned away since the tier below has too much work
-     * @param noTime requests turned away since their time couldn't suffice
+     * @param overload requests rejected since the tier below has too much work
+     * @param noTime requests rejected since their time couldn't suffice
      * @param letInPercent the part of requests that is let in now
      */
     record Minute(
--- a/core/src/main/java/cedarrudder/budget/BudgetSettings.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetSettings.java
@@ -12,7 +12,7 @@
  * @param minPerSecond further attempts a second that are allowed however few first tries there are
  * @param window the time over which the share is counted, in nanoseconds
  * @param maxHops a path of this many tiers may not grow
- * @param minAdmitted the share of requests that is let in however much the tier below turns away
+ * @param minAdmitted the share of requests that is let in however much the tier below rejects
  */
 public record BudgetSettings(
         String hop,
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -19,7 +19,7 @@
  */
 public final class Budgets {
 
-    /** The way is taken to be as long as this share of the probes took at the most. */
+    /** The way is taken to be as long as this share of the probes took at most. */
     private static final double WAY = 0.9;
 
     /** Without any probe the way is taken to be this long. */
@@ -33,10 +33,10 @@
      */
     private static final double QUICKEST = 0.05;
 
-    /** ... of at least so many answers ... */
+    /** ... of at least this many answers ... */
     private static final int NEEDS_KNOWN = 50;
 
-    /** ... the last of which came no longer ago than this: guards against refusing all for good. */
+    /** ... the last of which came no longer ago than this: this avoids refusing all for good. */
     private static final long NEEDS_COUNT = 5_000_000_000L;
 
     private static final long MIN_LEFT = 1_000_000L;
@@ -63,7 +63,7 @@
     private final long[] stood = new long[AdmissionHint.values().length];
 
     /**
-     * @param site what the module is told of the site
+     * @param site what the balancer is told of the site
      * @param random names what is handed down; two proxies must not have the same numbers
      * @param notices what is told to the operator
      */
@@ -94,7 +94,7 @@
 
     // ---- what happens ----
 
-    /** A request has come, with its deadline and what its caller said. */
+    /** A request has come, with its deadline and what its client said. */
     public RequestBudget arrived(long now, Request request, PropagatedBudget carried) {
         if (carried.deadline()) {
             deadlines.waited(request.classIndex(), request.deadline() - now);
@@ -155,7 +155,7 @@
                                 now + site.classes().get(request.classIndex()).deadlineNanos()));
     }
 
-    /** The caller has gone before it was answered. */
+    /** The client has gone before it was answered. */
     public void left(long now, RequestBudget call) {
         if (!call.carried.deadline()) {
             deadlines.waited(call.request.classIndex(), now - call.arrivedAt);
--- a/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
+++ b/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
@@ -4,12 +4,12 @@
 import cedarrudder.balancer.LoadBalancer.RequestClass;
 
 /**
- * How long a call that doesn't say may take: what the least patient tenth of the callers of its
+ * How long a call that doesn't say may take: what the least patient tenth of the clients of its
  * class were seen to wait, but no less than the class's aim and no more than its deadline, both
  * times the share of the tiers that are still to come. Until 20 waits were seen it is the most.
  *
- * <p>Guards against work that goes on when nobody waits any more, and against callers who say
- * nonsense moving the others' time out of bounds.
+ * <p>This avoids work that goes on when nobody waits any more, and against clients who say nonsense
+ * moving the others' time out of bounds.
  */
 final class DefaultDeadline {
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /** A caller said that it waits so long, or was seen to leave after so long. */
+    /** A client said that it waits so long, or was seen to leave after this long. */
     void waited(int classIndex, long nanos) {
         waits[classIndex].add(nanos);
     }
--- a/core/src/main/java/cedarrudder/budget/LoopReporter.java
+++ b/core/src/main/java/cedarrudder/budget/LoopReporter.java
@@ -5,11 +5,11 @@
 
 /**
  * Which refusals of a loop get a line in the log: the first, and one a minute with the count since
- * then. Guards against a loop, which brings a request each time round, filling the log.
+ * then. This avoids a loop, which brings a request each time round, filling the log.
  */
 final class LoopReporter {
 
-    /** So many loops are remembered; more at a time are no misconfiguration but forged. */
+    /** This many loops are remembered; more at a time are no misconfiguration but forged. */
     static final int MAX = 64;
 
     private static final long MINUTE = 60_000_000_000L;
--- a/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
@@ -10,7 +10,7 @@
 
     private static final int BUCKETS = 64;
 
-    /** The histogram is halved when it holds so many: what came lately counts. */
+    /** The histogram is halved when it holds this many: what came lately counts. */
     private static final double REMEMBERED = 256;
 
     /** The share is set anew this often. */
@@ -20,8 +20,8 @@
     private static final double TOLERATED = 0.15;
 
     /**
-     * ... of at least so many, over as many steps as it takes. Guards against a proxy with a few
-     * calls a second turning the least worthy away because one of its calls met a full node.
+     * ... of at least this many, over as many steps as it takes. This avoids a proxy with a few
+     * calls a second turning the least worthy away because one of its calls met a full endpoint.
      */
     private static final int JUDGED = 20;
 
@@ -101,7 +101,7 @@
             answers = 0;
             overloads = 0;
         }
-        // Guards against a flood at once when the tier below is back: the share rises by steps.
+        // This avoids a flood at once when the tier below is back: the share rises by steps.
         share = Math.min(1, share + UP * Math.min(steps, (long) (1 / UP)));
         stepEnds = now + STEP;
     }
--- a/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
+++ b/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
@@ -4,12 +4,12 @@
  * What comes down to a tier with a call. All of it has been bounded when it was read, and none of
  * it is more than a wish: what a tier's own settings allow bounds it again.
  *
- * @param spoken whether the caller speaks these fields, so that it is told what became of its
+ * @param spoken whether the client speaks these fields, so that it is told what became of its
  *     budget
- * @param deadline whether the caller itself said how long it waits
- * @param left how long the caller waits, less the way, in nanoseconds; 0 where not said
+ * @param deadline whether the client itself said how long it waits
+ * @param left how long the client waits, less the way, in nanoseconds; 0 where not said
  * @param tries further attempts for this tier and all below; -1 where not said
- * @param grant names the hand-down, so that calls of one node share it; 0 where not said
+ * @param grant names the hand-down, so that calls of one endpoint share it; 0 where not said
  * @param worth the worth for its work, from 0 to 1; NaN where not said
  * @param repeat whether this is part of what a client or a tier above sends again
  * @param path the tiers passed
@@ -24,7 +24,7 @@
         boolean repeat,
         HopPath path) {
 
-    /** What is known of a call whose caller speaks none of this and said how long it waits. */
+    /** What is known of a call whose client speaks none of this and said how long it waits. */
     public static final PropagatedBudget NOTHING =
             new PropagatedBudget(false, true, 0, -1, 0, Double.NaN, false, HopPath.EMPTY);
 
@@ -34,7 +34,7 @@
                 spoken, deadline, Math.max(1, left - elapsed), tries, grant, worth, repeat, path);
     }
 
-    /** The same of a caller that said, or didn't say, how long it waits. */
+    /** The same of a client that said, or didn't say, how long it waits. */
     public PropagatedBudget withDeadline(boolean said) {
         return said == deadline
                 ? this
--- a/core/src/main/java/cedarrudder/budget/RequestBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RequestBudget.java
@@ -52,7 +52,7 @@
         this.loop = loop;
     }
 
-    /** What the module is told of it. */
+    /** What the balancer is told of it. */
     public AdmissionHint standing() {
         return standing;
     }
@@ -63,21 +63,21 @@
     }
 
     /**
-     * What goes up with the answer that serves it; null where the caller doesn't speak these
+     * What goes up with the answer that serves it; null where the client doesn't speak these
      * fields.
      */
     public DownstreamFeedback served() {
         return up(Why.NOT_SAID);
     }
 
-    /** What goes up with a refusal; null where the caller doesn't speak these fields. */
+    /** What goes up with a refusal; null where the client doesn't speak these fields. */
     public DownstreamFeedback refused() {
         Why why = why();
-        // Turned away by the module itself before anything was sent: there was no room for it.
+        // Rejected by the balancer itself before anything was sent: there was no room for it.
         return up(why == Why.NOT_SAID && sent == 0 ? Why.OVERLOAD : why);
     }
 
-    /** What goes up with a failure; null where the caller doesn't speak these fields. */
+    /** What goes up with a failure; null where the client doesn't speak these fields. */
     public DownstreamFeedback failed() {
         return up(why());
     }
--- a/core/src/main/java/cedarrudder/budget/SharedBudgets.java
+++ b/core/src/main/java/cedarrudder/budget/SharedBudgets.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Which calls share one budget. A node copies what it was handed to each of its calls, and the same
- * request may come by two paths: under one grant there is one budget, whatever the calls say.
+ * Which calls share one budget. An endpoint replicas what it was handed to each of its calls, and
+ * the same request may come by two paths: under one grant there is one budget, whatever the calls
+ * say.
  */
 final class SharedBudgets {
 
@@ -32,7 +33,7 @@
         Entry entry = grants.get(grant);
         if (entry == null) {
             if (grants.size() >= MAX) {
-                // Guards against a flood of forged grants pushing out one that is spent, which
+                // This avoids a flood of forged grants pushing out one that is spent, which
                 // would refill
                 // it.
                 return new AttemptBudget(0);
--- a/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
+++ b/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /**
- * What each copy's last proposal was that took effect: part of what copies agree on, and the same
- * at all that loaded the same. A copy hands on one after another, so that the last one tells of all
- * before it. It remembers {@value #MAX} copies; of one that it forgot, it takes only what was made
- * after it forgot.
+ * What each replica's last proposal was that took effect: part of what replicas agree on, and the
+ * same at all that loaded the same. A replica hands on one after another, so that the last one
+ * tells of all before it. It remembers {@value #MAX} replicas; of one that it forgot, it takes only
+ * what was made after it forgot.
  */
 final class AppliedProposals {
 
@@ -25,7 +25,7 @@
      */
     record Last(long incarnation, long sequence, LogPosition number) {}
 
-    /** What a snapshot holds: these, and the state of the copy. */
+    /** What a snapshot holds: these, and the state of the replica. */
     record Parts(AppliedProposals proposers, byte[] state) {}
 
     /** Those whose last one is oldest come first. */
@@ -33,7 +33,7 @@
 
     private LogPosition forgotten = new LogPosition(VoterGroup.NONE, 0);
 
-    /** The last one of a copy that took effect; null where none did or it was forgotten. */
+    /** The last one of a replica that took effect; null where none did or it was forgotten. */
     Last last(int replica) {
         return lasts.get(replica);
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /** With the state of the copy, as a snapshot holds it. */
+    /** With the state of the replica, as a snapshot holds it. */
     byte[] with(byte[] state) {
         ByteBuffer out =
                 ByteBuffer.allocate(
--- a/core/src/main/java/cedarrudder/consensus/ByteRateLimiter.java
+++ b/core/src/main/java/cedarrudder/consensus/ByteRateLimiter.java
@@ -1,8 +1,8 @@
 package cedarrudder.consensus;
 
 /**
- * How many bytes may still be spent on others: so many a second, and at most those of one second at
- * once.
+ * How many bytes may still be spent on others: this many a second, and at most those of one second
+ * at once.
  */
 final class ByteRateLimiter {
 
--- a/core/src/main/java/cedarrudder/consensus/ConsensusEvent.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusEvent.java
@@ -1,6 +1,6 @@
 package cedarrudder.consensus;
 
-/** What a copy says of itself, for logs and for a judge. */
+/** What a replica says of itself, for logs and for a judge. */
 public sealed interface ConsensusEvent {
 
     VoterGroup group();
--- a/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
@@ -4,18 +4,18 @@
  * The figures of agreement. Times are nanoseconds.
  *
  * @param heartbeat between two messages of a leader to each other voter; at least 1 ms
- * @param minElection a voter that hears no leader for so long may ask for votes; at least 3
+ * @param minElection a voter that hears no leader for this long may ask for votes; at least 3
  *     heartbeats
  * @param maxElection the longest that one waits; a leader that a majority has not answered for so
  *     long steps down
  * @param voters how many there are to be: 3, 5 or 7
- * @param voterPatience a voter silent for so long is replaced; over {@code maxElection}
- * @param spreadPeriod between two digests of a copy; at least 1 ms
+ * @param voterPatience a voter silent for this long is replaced; over {@code maxElection}
+ * @param spreadPeriod between two digests of a replica; at least 1 ms
  * @param fanout to how many others it passes on what it has just learned; from 1 to 8
  * @param bytesPerSecond the most that it spends on entries, snapshots and repeats for others; at
  *     least 1,024
  * @param keptEntries how many committed entries it keeps for others; at least 8
- * @param silence after which a copy that hears of no leader forms a new group; 0 is never
+ * @param silence after which a replica that hears of no leader forms a new group; 0 is never
  */
 public record ConsensusSettings(
         long heartbeat,
--- a/core/src/main/java/cedarrudder/consensus/Election.java
+++ b/core/src/main/java/cedarrudder/consensus/Election.java
@@ -9,7 +9,7 @@
 /** Terms, votes and who leads (paper, 5.2 and 5.4.1; thesis, 4.2.3 and 9.6). */
 final class Election {
 
-    /** What a copy does in its term. */
+    /** What a replica does in its term. */
     enum Role {
         FOLLOWS,
         ASKS_AHEAD,
@@ -83,7 +83,7 @@
         return sworn;
     }
 
-    /** The copy that leads, as far as this one knows; -1 where it knows of none. */
+    /** The replica that leads, as far as this one knows; -1 where it knows of none. */
     int leader() {
         return leads() ? circle.self().replica() : leader;
     }
--- a/core/src/main/java/cedarrudder/consensus/LeaderContact.java
+++ b/core/src/main/java/cedarrudder/consensus/LeaderContact.java
@@ -1,12 +1,12 @@
 package cedarrudder.consensus;
 
 /**
- * Since when a leader was surely in office, as far as that has come to this copy: an instant of its
- * own clock at or after which a majority answered a leader, of whose commits until then this copy
- * has loaded all.
+ * Since when a leader was surely in office, as far as that has come to this replica: an instant of
+ * its own clock at or after which a majority answered a leader, of whose commits until then this
+ * replica has loaded all.
  *
  * <p>It comes from copy to copy as an age. Nobody knows how long a datagram was on its way or lay
- * unread, so an age counts from the instant at which this copy asked for it, never from when it
+ * unread, so an age counts from the instant at which this replica asked for it, never from when it
  * came.
  */
 final class LeaderContact {
@@ -27,7 +27,7 @@
         return since;
     }
 
-    /** Another group: of its commits this copy has loaded none. */
+    /** Another group: of its commits this replica has loaded none. */
     void reset() {
         since = UNKNOWN;
         index = 0;
--- a/core/src/main/java/cedarrudder/consensus/LogDissemination.java
+++ b/core/src/main/java/cedarrudder/consensus/LogDissemination.java
@@ -11,9 +11,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How what is committed comes to all copies: who learns something passes it on to a few at random,
- * and each copy tells another now and then what it has, so that the one that lacks something asks
- * for it (Demers and others 1987). What a copy sends does not depend on how many there are.
+ * How what is committed comes to all replicas: who learns something passes it on to a few at
+ * random, and each replica tells another now and then what it has, so that the one that lacks
+ * something asks for it (Demers and others 1987). What a replica sends does not depend on how many
+ * there are.
  */
 final class LogDissemination {
 
@@ -30,7 +31,7 @@
 
     private static final int HOT_DIGESTS = 10;
 
-    /** A contact older than so many periods is asked for twice as often. */
+    /** A contact older than this many periods is asked for twice as often. */
     private static final int OLD_PERIODS = 5;
 
     private static final long REPLIES = 10_000_000L;
@@ -87,7 +88,7 @@
         leader = -1;
     }
 
-    /** Which copy the newest sign of a leader was of; -1 where there was none. */
+    /** Which replica the newest sign of a leader was of; -1 where there was none. */
     int leader() {
         return leader;
     }
@@ -101,7 +102,7 @@
         return beatAt;
     }
 
-    /** This copy leads, and a majority answers it. */
+    /** This replica leads, and a majority answers it. */
     void beats(long now) {
         beatTerm = circle.term();
         beat++;
@@ -165,7 +166,7 @@
         return asks.at(by, sure.answers()) != PendingQueries.NEVER;
     }
 
-    /** Takes a contact, where this copy has loaded all that it is of. */
+    /** Takes a contact, where this replica has loaded all that it is of. */
     void took(long now, int from, Sure sure) {
         long askedAt = asks.at(from, sure.answers());
         if (askedAt != PendingQueries.NEVER
--- a/core/src/main/java/cedarrudder/consensus/LogEntry.java
+++ b/core/src/main/java/cedarrudder/consensus/LogEntry.java
@@ -12,7 +12,7 @@
     public enum Kind {
         /** A new leader's first, which commits what came before it. */
         BEGIN,
-        /** What the copies agree on; its bytes are their own affair. */
+        /** What the replicas agree on; its bytes are their own affair. */
         CONTENT,
         /** The same, as a proposal that was handed on: it takes effect once. */
         HANDED,
--- a/core/src/main/java/cedarrudder/consensus/LogPosition.java
+++ b/core/src/main/java/cedarrudder/consensus/LogPosition.java
@@ -1,7 +1,7 @@
 package cedarrudder.consensus;
 
 /**
- * The number of something that copies agreed on. It rises within a group and over groups.
+ * The number of something that replicas agreed on. It rises within a group and over groups.
  *
  * @param index its place in the group's log, from 1
  */
--- a/core/src/main/java/cedarrudder/consensus/LogReplication.java
+++ b/core/src/main/java/cedarrudder/consensus/LogReplication.java
@@ -15,18 +15,18 @@
  */
 final class LogReplication {
 
-    /** Entries in one message take at most so many bytes, or there is one. */
+    /** Entries in one message take at most this many bytes, or there is one. */
     static final int MAX_BATCH = 4_096;
 
     /**
-     * A message of entries is not repeated for so long: pieces that were lost are asked for by
+     * A message of entries is not repeated for this long: pieces that were lost are asked for by
      * themselves.
      */
     private static final int REPEAT_HEARTBEATS = 4;
 
     /**
-     * So long after entries went out it asks if they came, and again after twice that: answers get
-     * lost.
+     * This long after entries went out it asks if they came, and again after twice that: answers
+     * get lost.
      */
     private static final long PROBE = 60_000_000L;
 
@@ -105,7 +105,7 @@
         return voter.equals(circle.self()) ? circle.log().last() : found == null ? 0 : found.match;
     }
 
-    /** How long it is since so many had answered that they are a majority. */
+    /** How long it is since this many had answered that they are a majority. */
     long sinceMajority(long now) {
         List<Long> ages =
                 circle.log().voters().all().stream()
--- a/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
@@ -15,7 +15,7 @@
  */
 final class MessageFragmenter {
 
-    /** Messages that are not whole yet. Guards against work and memory without end for a flood. */
+    /** Messages that are not whole yet. This avoids work and memory without end for a flood. */
     private static final int MAX_PARTIAL = 16;
 
     /** Messages that were sent, kept to be repeated. */
--- a/core/src/main/java/cedarrudder/consensus/PendingQueries.java
+++ b/core/src/main/java/cedarrudder/consensus/PendingQueries.java
@@ -27,7 +27,7 @@
         this.random = random;
     }
 
-    /** Asks this copy something now; returns the number that the answer is to name. */
+    /** Asks this replica something now; returns the number that the answer is to name. */
     int ask(long now, int of) {
         int number = random.nextInt();
         asked.add(new Asked(number, of, now));
--- a/core/src/main/java/cedarrudder/consensus/Proposal.java
+++ b/core/src/main/java/cedarrudder/consensus/Proposal.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * Something that a copy wants to have agreed on, whoever leads. Its identity is copy, life and
+ * Something that a replica wants to have agreed on, whoever leads. Its identity is copy, life and
  * sequence: it takes effect at most once, however often it is handed on.
  *
  * @param replica the one that proposes
--- a/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -5,7 +5,7 @@
 import java.util.Iterator;
 
 /**
- * What this copy proposes, whoever leads: handed to the leader that it knows, one after another,
+ * What this replica proposes, whoever leads: handed to the leader that it knows, one after another,
  * and again where the leader changes or nothing is heard, until it has loaded what became of it.
  */
 final class ProposalForwarder {
--- a/core/src/main/java/cedarrudder/consensus/RaftContext.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftContext.java
@@ -1,6 +1,6 @@
 package cedarrudder.consensus;
 
-/** What the parts of one copy's agreement have of the whole. */
+/** What the parts of one replica's agreement have of the whole. */
 interface RaftContext {
 
     Voter self();
@@ -9,7 +9,7 @@
 
     RaftLog log();
 
-    /** Sends a message in the copy's own term. */
+    /** Sends a message in the replica's own term. */
     default void post(int to, RaftMessage message) {
         post(to, message, term());
     }
@@ -18,10 +18,10 @@
 
     long term();
 
-    /** The copy that leads, as far as this one knows; -1 where it knows of none. */
+    /** The replica that leads, as far as this one knows; -1 where it knows of none. */
     int leader();
 
-    /** Takes a proposal where this copy leads; false where it can't now. */
+    /** Takes a proposal where this replica leads; false where it can't now. */
     boolean takes(long now, Proposal proposal);
 
     /** What was promised has changed. */
--- a/core/src/main/java/cedarrudder/consensus/RaftLog.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftLog.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The entries that a copy holds: some that are committed, kept for others, and those that may yet
- * be taken back. What lies before them is in the snapshot.
+ * The entries that a replica holds: some that are committed, kept for others, and those that may
+ * yet be taken back. What lies before them is in the snapshot.
  */
 final class RaftLog {
 
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Puts what is committed into the snapshot and keeps so many entries of it for others. */
+    /** Puts what is committed into the snapshot and keeps this many entries of it for others. */
     void compact(byte[] state, int keep) {
         snapshot = new Snapshot(committed, term(committed), votersAt(committed), state);
         store.snapshot(snapshot);
--- a/core/src/main/java/cedarrudder/consensus/RaftMessage.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftMessage.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * What copies tell one another. The head of its pieces has group, term, sender and the sender's
+ * What replicas tell one another. The head of its pieces has group, term, sender and the sender's
  * life.
  */
 sealed interface RaftMessage {
@@ -47,11 +47,11 @@
     record Lead() implements RaftMessage {}
 
     /**
-     * What a copy has; also asks for a {@link Sure}.
+     * What a replica has; also asks for a {@link Sure}.
      *
      * @param beatTerm the term of the newest sign of a leader that it heard of
      * @param beat the number of that sign
-     * @param leader the copy that it is of
+     * @param leader the replica that it is of
      * @param yourIncarnation the largest life that it knows of the one it tells
      * @param age of the contact that it knows of, as in {@link Sure}
      * @param ask what the answer is to name
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -19,7 +19,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the copies of a tier agree on, as one of them takes part: a log by Raft (Ongaro and
+ * What the replicas of a tier agree on, as one of them takes part: a log by Raft (Ongaro and
  * Ousterhout 2014; Ongaro's thesis 2014) among a few voters, spread to all others. Voters that
  * forgot come back as learners (Liskov and Cowling 2012, recovery), and a group whose majority
  * forgot stops until a new one is formed.
@@ -34,7 +34,7 @@
     /** The largest content of one entry, in bytes. */
     public static final int MAX_CONTENT = 32_768;
 
-    /** The largest state of a copy, in bytes. */
+    /** The largest state of a replica, in bytes. */
     public static final int MAX_STATE = 262_144;
 
     /** The largest content of a proposal that is handed on, in bytes. */
@@ -60,7 +60,7 @@
         void loaded(LogPosition number, byte[] content);
 
         /**
-         * All that was loaded, as at most {@link #MAX_STATE} bytes; the same at each copy that
+         * All that was loaded, as at most {@link #MAX_STATE} bytes; the same at each replica that
          * loaded the same.
          */
         byte[] state();
@@ -117,7 +117,7 @@
     /**
      * Takes part as one that is in no group, or where its store remembers one, in that.
      *
-     * @param zones the zone of each copy of the tier, from 1 to 65,535 copies
+     * @param zones the zone of each copy of the tier, from 1 to 65,535 replicas
      * @param self the number of this one
      * @param incarnation larger than that of any earlier life of this one, such as the time of its
      *     start in milliseconds; where it is not, the others say so and it takes the next one;
@@ -251,17 +251,17 @@
         return group;
     }
 
-    /** This copy's life as a voter. */
+    /** This replica's life as a voter. */
     public long incarnation() {
         return self.incarnation();
     }
 
-    /** Whether this copy leads, as far as it knows; nothing is settled by that alone. */
+    /** Whether this replica leads, as far as it knows; nothing is settled by that alone. */
     public boolean leads() {
         return election.leads();
     }
 
-    /** The copy that leads, as far as this one knows; -1 where it knows of none. */
+    /** The replica that leads, as far as this one knows; -1 where it knows of none. */
     public int leader() {
         return election.leader() >= 0 || spreading.beatTerm() < election.term()
                 ? election.leader()
@@ -272,7 +272,7 @@
         return election.term();
     }
 
-    /** Those who vote, as far as this copy knows. */
+    /** Those who vote, as far as this replica knows. */
     public VoterSet voters() {
         return log.voters();
     }
@@ -283,11 +283,11 @@
     }
 
     /**
-     * The latest instant of this copy's clock at which a leader whom a majority answered was surely
-     * in office, all of whose commits until then are loaded here; {@link Long#MIN_VALUE} where none
-     * is known. It rises within a group. It is never later than it truly was, however late
-     * datagrams came and however long this copy stood still, where clocks drift by no more than 1
-     * in 1,000.
+     * The latest instant of this replica's clock at which a leader whom a majority answered was
+     * surely in office, all of whose commits until then are loaded here; {@link Long#MIN_VALUE}
+     * where none is known. It rises within a group. It is never later than it truly was, however
+     * late datagrams came and however long this replica stood still, where clocks drift by no more
+     * than 1 in 1,000.
      */
     public long sureSince() {
         return contact.since();
@@ -337,8 +337,9 @@
     }
 
     /**
-     * Forms a new group with this copy as its only voter and its state as the first; others join it
-     * as they hear of it. What an older group goes on to do has no effect where this one is known.
+     * Forms a new group with this replica as its only voter and its state as the first; others join
+     * it as they hear of it. What an older group goes on to do has no effect where this one is
+     * known.
      *
      * @return false where no further group can be formed
      */
@@ -363,9 +364,9 @@
     /**
      * Proposes something to be agreed on.
      *
-     * @return its number if it comes to be committed; another may get that number if this copy
-     *     loses its lead first. Null where this copy does not lead, the group has not enough voters
-     *     yet, or too much is under way
+     * @return its number if it comes to be committed; another may get that number if this replica
+     *     loses its lead first. Null where this replica does not lead, the group has not enough
+     *     voters yet, or too much is under way
      * @throws IllegalArgumentException if the content is larger than {@link #MAX_CONTENT}
      */
     public LogPosition propose(long now, byte[] content) {
@@ -386,7 +387,7 @@
     }
 
     /**
-     * Has something agreed on, whoever leads. Those of one copy go one after another, in their
+     * Has something agreed on, whoever leads. Those of one replica go one after another, in their
      * order.
      *
      * @param patience after which its outcome is said, whatever is known by then, in nanoseconds
@@ -406,7 +407,7 @@
 
     /**
      * Hands on again what {@link #hand} made in this process and what became of which is unknown:
-     * where it took effect, it does not do so again. Where a later one of this copy took effect
+     * where it took effect, it does not do so again. Where a later one of this replica took effect
      * since, it stays unknown.
      *
      * @return false where too many wait here, or it does
@@ -418,8 +419,8 @@
     }
 
     /**
-     * Takes what a copy hands on, as the one that leads; false where it can't now. What others can
-     * make it hold is bounded: one of each copy, and so many of all.
+     * Takes what a replica hands on, as the one that leads; false where it can't now. What others
+     * can make it hold is bounded: one of each replica, and this many of all.
      */
     private boolean takes(long now, Proposal proposal) {
         if (!election.leads() || log.voters().size() < MIN_VOTERS) {
@@ -449,8 +450,8 @@
     }
 
     /**
-     * Has another voter lead that has all entries, such as before this copy ends; false where none
-     * has.
+     * Has another voter lead that has all entries, such as before this replica ends; false where
+     * none has.
      */
     public boolean transfer(long now) {
         lapse(now);
@@ -470,8 +471,8 @@
     }
 
     /**
-     * Membership holds that a copy lives, or that it is dead. It guides whom this copy speaks to
-     * and makes a voter, and keeps it from forming a group by itself while it sees no more than
+     * Membership holds that a replica lives, or that it is dead. It guides whom this replica speaks
+     * to and makes a voter, and keeps it from forming a group by itself while it sees no more than
      * half of the tier; no safety rests on it.
      */
     public void lives(int replica, boolean lives) {
@@ -484,7 +485,7 @@
      * Takes a piece. One that can't be read, or that names another as its sender, is counted and
      * dropped.
      *
-     * @param from the copy whose address it came from
+     * @param from the replica whose address it came from
      */
     public void received(long now, int from, byte[] bytes) {
         lapse(now);
@@ -569,7 +570,7 @@
     }
 
     /**
-     * Leaves all that was, and has nothing of the other group yet. What the copy has loaded, and
+     * Leaves all that was, and has nothing of the other group yet. What the replica has loaded, and
      * what of it was handed on, stays together until another state takes its place: it may be the
      * first of the next group.
      */
@@ -588,7 +589,7 @@
     }
 
     /**
-     * Copies that hear of no leader don't all form a group at once, and those that have nothing
+     * Replicas that hear of no leader don't all form a group at once, and those that have nothing
      * come last.
      */
     private void waitAnew(long now) {
--- a/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
+++ b/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a copy knows of the others of its tier: where they are, their lives, and when it heard of
+ * What a replica knows of the others of its tier: where they are, their lives, and when it heard of
  * them.
  */
 final class ReplicaDirectory {
@@ -34,7 +34,7 @@
         return zones[replica];
     }
 
-    /** The largest life of a copy that was heard of. */
+    /** The largest life of a replica that was heard of. */
     long incarnation(int replica) {
         return incarnations[replica];
     }
--- a/core/src/main/java/cedarrudder/consensus/SafetyRules.java
+++ b/core/src/main/java/cedarrudder/consensus/SafetyRules.java
@@ -7,7 +7,7 @@
 class SafetyRules {
 
     /**
-     * Whether a copy may vote, or ask for votes: a life that the group has committed as a voter,
+     * Whether a replica may vote, or ask for votes: a life that the group has committed as a voter,
      * and that has not been taken out since. One that forgot has a new life, which is not (Liskov
      * and Cowling 2012, recovery).
      */
@@ -28,12 +28,12 @@
         return entryTerm == term;
     }
 
-    /** Whether a leader steps down that a majority has not answered for so long (thesis, 6.2). */
+    /** Whether a leader steps down that a majority has not answered for this long (thesis, 6.2). */
     boolean lapsed(long sinceMajority, long max) {
         return sinceMajority >= max;
     }
 
-    /** The group that a copy forms: no other has had or will have it. */
+    /** The group that a replica forms: no other has had or will have it. */
     VoterGroup next(VoterGroup known, Voter founder) {
         return new VoterGroup(known.era() + 1, founder.replica(), founder.incarnation());
     }
--- a/core/src/main/java/cedarrudder/consensus/Snapshot.java
+++ b/core/src/main/java/cedarrudder/consensus/Snapshot.java
@@ -6,7 +6,7 @@
  * @param index of the last of them
  * @param term of that entry
  * @param voters who voted after it
- * @param state what the copy made of them; not to be changed
+ * @param state what the replica made of them; not to be changed
  */
 public record Snapshot(long index, long term, VoterSet voters, byte[] state) {
 
--- a/core/src/main/java/cedarrudder/consensus/StableStorage.java
+++ b/core/src/main/java/cedarrudder/consensus/StableStorage.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Where a copy keeps what it must not forget. What was written counts once {@link #sync} has
+ * Where a replica keeps what it must not forget. What was written counts once {@link #sync} has
  * returned: nothing is spoken of before that. One that can't write any more has to end the process.
  */
 public interface StableStorage {
 
     /**
-     * What a copy has promised.
+     * What a replica has promised.
      *
-     * @param incarnation of the copy as a voter; a process that remembers goes on with it
+     * @param incarnation of the replica as a voter; a process that remembers goes on with it
      * @param vote whom it voted for in that term, or null
      * @param sworn whether a committed set of voters has had this life
      */
@@ -49,7 +49,7 @@
      */
     void sync();
 
-    /** That of a copy without a lasting disk: it forgets all with its life. */
+    /** That of a replica without a lasting disk: it forgets all with its life. */
     StableStorage NONE =
             new StableStorage() {
                 @Override
--- a/core/src/main/java/cedarrudder/consensus/Voter.java
+++ b/core/src/main/java/cedarrudder/consensus/Voter.java
@@ -1,7 +1,7 @@
 package cedarrudder.consensus;
 
 /**
- * One who votes: a copy in one of its lives. The same copy in a later life is another, who
+ * One who votes: a replica in one of its lives. The same replica in a later life is another, who
  * remembers nothing of it.
  *
  * @param replica its number in the tier
--- a/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
@@ -6,8 +6,8 @@
 
 /**
  * Whom a leader makes a voter and whom it takes out, one at a time (thesis, 4.1 and 4.2): out are
- * those that are silent or came back in another life; in come live copies, from the zones with the
- * fewest voters, that have the whole log.
+ * those that are silent or came back in another life; in come live replicas, from the zones with
+ * the fewest voters, that have the whole log.
  */
 final class VoterReplacement {
 
--- a/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
@@ -29,8 +29,8 @@
 
 /**
  * One copy of a tier, as it decides with the others: the log, the route table that comes of it and
- * its lease, the reports to the copy that leads and, where this one does, the plan. Where callers
- * go and which nodes leave are the affairs of {@link TrafficCoordination} and {@link
+ * its lease, the reports to the replica that leads and, where this one does, the plan. Where
+ * clients go and which nodes leave are the affairs of {@link TrafficCoordination} and {@link
  * DrainCoordination}.
  *
  * <p>It has no clock, no socket and no thread. It is told of datagrams and of the time, which never
@@ -65,17 +65,17 @@
 
     /**
      * A process numbers its reports from its start, in milliseconds, times 2 to the power of this.
-     * Guards against an answer to the process before, where it had the same life, being taken for
-     * one to this one.
+     * This avoids an answer to the process before, where it had the same life, being taken for one
+     * to this one.
      */
     private static final int START = 20;
 
     private static final long MAX_START = (1L << 42) - 1;
 
-    /** What is proposed and not loaded after so many periods is taken to have come to nothing. */
+    /** What is proposed and not loaded after this many periods is taken to have come to nothing. */
     private static final int MAX_WAITED = 10;
 
-    /** A copy that was silent for so many reports says nothing of its room. */
+    /** A replica that was silent for this many reports says nothing of its room. */
     private static final int HEARD_LATELY = 4;
 
     /** What it causes. */
@@ -84,15 +84,15 @@
         void send(int to, byte[] datagram);
 
         /**
-         * This table counts from here on; null: none does, and the copy does what it does without
-         * one.
+         * This table counts from here on; null: none does, and the replica does what it does
+         * without one.
          */
         void table(RouteTable table);
 
         /**
          * The table that counts must not be used from this instant on, unless another one is said
-         * before. To be looked at before each use: guards against one who stood still and goes on
-         * with a table of then.
+         * before. To be looked at before each use: this avoids one who stood still and goes on with
+         * a table of then.
          */
         void until(long instant);
 
@@ -175,9 +175,9 @@
      * @param zones the zone of each copy of the tier
      * @param self the number of this one
      * @param incarnation larger than that of any earlier life of this one
-     * @param room what this copy can load now
+     * @param room what this replica can load now
      * @throws IllegalArgumentException if a figure is outside its range, or the lease is too short
-     *     for so many copies
+     *     for this many replicas
      */
     public CoordinatedReplica(
             int[] zones,
@@ -265,7 +265,7 @@
         public void restored(LogPosition at, byte[] bytes) {
             ReplicatedState state = ReplicatedState.decode(bytes);
             if (state == null) {
-                // Guards against a state that another version wrote: nothing of it counts.
+                // This avoids a state that another version wrote: nothing of it counts.
                 state = new ReplicatedState(null, new byte[0]);
             }
             removal.restored(now, state.removal());
@@ -299,7 +299,9 @@
         }
     }
 
-    /** What {@link TrafficCoordination} and {@link DrainCoordination} see where this copy leads. */
+    /**
+     * What {@link TrafficCoordination} and {@link DrainCoordination} see where this replica leads.
+     */
     private final class View implements TierView {
         @Override
         public int replicas() {
@@ -349,7 +351,7 @@
                 used == null ? 0 : Math.max(0, until - at));
     }
 
-    /** The copy that leads, as far as this one knows; -1 where it knows of none. */
+    /** The replica that leads, as far as this one knows; -1 where it knows of none. */
     public int leader() {
         return agreement.leader();
     }
@@ -406,7 +408,7 @@
         settle();
     }
 
-    /** Membership holds that a copy lives, or that it is dead; no safety rests on it. */
+    /** Membership holds that a replica lives, or that it is dead; no safety rests on it. */
     public void lives(int replica, boolean lives) {
         dead.set(replica, !lives);
         agreement.lives(replica, lives);
@@ -425,7 +427,7 @@
     }
 
     /**
-     * Proposes a command of {@link DrainCoordination}, at any copy, whoever leads.
+     * Proposes a command of {@link DrainCoordination}, at any replica, whoever leads.
      *
      * @param patience after which its outcome is said, whatever is known by then; nanoseconds
      * @return what {@link Actions#settled} will name; null where too many wait here, so that it is
@@ -439,7 +441,7 @@
         return made;
     }
 
-    /** This copy is about to end: another leads where this one does; false where none can. */
+    /** This replica is about to end: another leads where this one does; false where none can. */
     public boolean leave(long at) {
         begin(at);
         boolean handed = agreement.transfer(now);
@@ -447,7 +449,7 @@
         return handed;
     }
 
-    /** First of all: guards against one that stood still doing anything with what was then. */
+    /** First of all: this avoids one that stood still doing anything with what was then. */
     private void begin(long at) {
         now = at;
         settle();
@@ -620,7 +622,7 @@
                 report.group().equals(agreement.group()) && report.term() == agreement.term();
         boolean fresh = reporters.took(now, from, incarnation, report, ours);
         if (fresh) {
-            // Of another group or term what a copy has carried out is told by other numbers.
+            // Of another group or term what a replica has carried out is told by other numbers.
             report.parts().stream()
                     .filter(part -> ours || part.of() != Of.REMOVAL)
                     .forEach(part -> took(from, part));
@@ -654,7 +656,7 @@
         }
         int byGroup = grant.group().compareTo(grantGroup);
         if (byGroup < 0 || byGroup == 0 && grant.term() < grantTerm) {
-            return; // guards against one that led before being asked again and again
+            return; // this avoids one that led before being asked again and again
         }
         number = Math.max(number, grant.last());
         boolean first = byGroup != 0 || grant.term() != grantTerm;
@@ -733,7 +735,7 @@
         return Math.min((long) group.era() << FOUNDER | group.founder(), MAX_BASE) << COUNTER;
     }
 
-    /** A table that the smallest live copy can't load is not agreed on. */
+    /** A table that the smallest live replica can't load is not agreed on. */
     private boolean roomEverywhere(RouteTable table) {
         Map<Integer, RouteTableCapacity> rooms = new HashMap<>();
         for (int replica = 0; replica < zones.length; replica++) {
--- a/core/src/main/java/cedarrudder/coordination/CoordinationSettings.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinationSettings.java
@@ -1,12 +1,12 @@
 package cedarrudder.coordination;
 
 /**
- * The figures of what copies decide together. Times are nanoseconds.
+ * The figures of what replicas decide together. Times are nanoseconds.
  *
- * @param period between two plans of the copy that leads, and between two reports of each copy; at
- *     least 10 ms
- * @param lease how long a copy that hears nothing more of a leader with a majority goes on with its
- *     table; at least four reports
+ * @param period between two plans of the replica that leads, and between two reports of each
+ *     replica; at least 10 ms
+ * @param lease how long a replica that hears nothing more of a leader with a majority goes on with
+ *     its table; at least four reports
  */
 public record CoordinationSettings(long period, long lease) {
 
@@ -17,14 +17,14 @@
             new CoordinationSettings(500 * MILLI, 10_000 * MILLI);
 
     /**
-     * Clocks of two copies differ by no more than one part in so many, in the time that passes on
-     * them.
+     * Clocks of two replicas differ by no more than one part in this many, in the time that passes
+     * on them.
      */
     public static final int DRIFT = 1_000;
 
     /**
-     * All reports come to one copy: each copy has so long between two of its own, for each copy
-     * there is. Guards against a leader that hears more the larger the tier is.
+     * All reports come to one replica: each replica has so long between two of its own, for each
+     * replica there is. This avoids a leader that hears more the larger the tier is.
      */
     private static final long APART = 5 * MILLI;
 
@@ -36,12 +36,12 @@
         check(lease >= MIN_REPORTS * period, "lease", lease, "4 periods or more");
     }
 
-    /** Between two reports of one of so many copies. */
+    /** Between two reports of one of this many replicas. */
     public long reports(int replicas) {
         return Math.max(period, APART * replicas);
     }
 
-    /** The shortest lease with which so many copies can keep a table. */
+    /** The shortest lease with which this many replicas can keep a table. */
     public long minLease(int replicas) {
         return MIN_REPORTS * reports(replicas);
     }
--- a/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
@@ -4,25 +4,29 @@
 import java.util.List;
 
 /**
- * Which nodes are being removed: a state that all copies agree on, changed by commands that they
+ * Which nodes are being removed: a state that all replicas agree on, changed by commands that they
  * agree on. What a command does must depend on the state and the command alone.
  */
 public interface DrainCoordination {
 
-    /** What this copy still has at the nodes that leave; as {@link TrafficCoordination#report}. */
+    /**
+     * What this replica still has at the nodes that leave; as {@link TrafficCoordination#report}.
+     */
     List<byte[]> report(long now);
 
     /**
-     * At the copy that leads: a part of what another still has, or it itself. It may be no such
+     * At the replica that leads: a part of what another still has, or it itself. It may be no such
      * part.
      */
     void reported(long now, int from, byte[] part);
 
-    /** At the copy that leads, each period: a command that is due by what was reported, or null. */
+    /**
+     * At the replica that leads, each period: a command that is due by what was reported, or null.
+     */
     byte[] next(long now, TierView tier);
 
     /**
-     * This copy leads from here on, or no longer: what was reported to it before counts no more.
+     * This replica leads from here on, or no longer: what was reported to it before counts no more.
      */
     void leads(long now, boolean leads);
 
@@ -32,7 +36,7 @@
     /** The nodes being removed now, by the state. */
     List<RouteTable.Leaving> leaving();
 
-    /** The state; the same at each copy that applied the same. */
+    /** The state; the same at each replica that applied the same. */
     byte[] state();
 
     /** This state takes the place of the one that is; empty is that before the first command. */
--- a/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import java.util.zip.CRC32C;
 
-/** What a copy says of itself in a history, in the words that a judge reads. */
+/** What a replica says of itself in a history, in the words that a judge reads. */
 final class HistoryEventText {
 
     /** Something that happened, and what else is known of it. */
@@ -158,7 +158,7 @@
         return new Said("refused", Map.of("number", text(table.number()), "why", why));
     }
 
-    /** A copy has no room for what the one that leads would have agreed on. */
+    /** A replica has no room for what the one that leads would have agreed on. */
     static Said heldBack(int replica, int bytes, int nodes, RouteTableCapacity room) {
         return new Said(
                 "held-back",
--- a/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * All that copies have agreed on, as bytes: the length of the table (4), the table, and the state
+ * All that replicas have agreed on, as bytes: the length of the table (4), the table, and the state
  * of the removal. No bytes at all are what there is before the first entry.
  *
  * @param table null before the first
--- a/core/src/main/java/cedarrudder/coordination/ReportCollector.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportCollector.java
@@ -6,13 +6,13 @@
 import java.util.Arrays;
 
 /**
- * What the copy that leads knows of the copies that report to it, and when a majority was with it.
+ * What the replica that leads knows of the replicas that report to it, and when a majority was with
+ * it.
  */
 final class ReportCollector {
 
     /**
-     * One copy is answered so often a period at the most. Guards against work without end for a
-     * flood.
+     * One replica is answered so often a period at most. This avoids work without end for a flood.
      */
     private static final int MAX_ANSWERS = 8;
 
@@ -36,7 +36,7 @@
         begin(now);
     }
 
-    /** This copy leads from here on: what it knew before is of another term. */
+    /** This replica leads from here on: what it knew before is of another term. */
     void begin(long now) {
         long never = now - Long.MAX_VALUE / 4;
         Arrays.fill(incarnations, 0);
@@ -119,12 +119,12 @@
         return heardAt[replica] >= instant;
     }
 
-    /** The room of a copy; null where it has not said. */
+    /** The room of a replica; null where it has not said. */
     RouteTableCapacity room(int replica) {
         return rooms[replica];
     }
 
-    /** The highest number of a table that any copy has had. */
+    /** The highest number of a table that any replica has had. */
     long highest() {
         return highest;
     }
--- a/core/src/main/java/cedarrudder/coordination/ReportMessage.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportMessage.java
@@ -9,8 +9,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * What copies tell one another beside the log, in datagrams of at most {@value #MAX_BYTES} bytes: a
- * first byte that no message of membership or agreement begins with, the kind, the sender (2) and
+ * What replicas tell one another beside the log, in datagrams of at most {@value #MAX_BYTES} bytes:
+ * a first byte that no message of membership or agreement begins with, the kind, the sender (2) and
  * its life (8), the fields, and a checksum (CRC32C, 4) of all before it. Big-endian.
  */
 sealed interface ReportMessage {
@@ -39,7 +39,7 @@
     record Sealed(int sender, long incarnation, ReportMessage letter) {}
 
     /**
-     * A copy says how it is, and asks the one that leads whether its table still holds.
+     * A replica says how it is, and asks the one that leads whether its table still holds.
      *
      * @param asks whether it wants an answer; of several datagrams of one report only the first
      *     does
--- a/core/src/main/java/cedarrudder/coordination/TableLease.java
+++ b/core/src/main/java/cedarrudder/coordination/TableLease.java
@@ -4,10 +4,10 @@
 import cedarrudder.routetable.RouteTable;
 
 /**
- * How long a copy may use what it has loaded: from its last sure contact, on its own clock alone. A
- * contact is the moment at which it sent a report that a leader answered, less how long before the
- * answer that leader last knew a majority with it; so an answer that is late, doubled or kept by
- * others for long gives nothing that it did not give when it was new.
+ * How long a replica may use what it has loaded: from its last sure contact, on its own clock
+ * alone. A contact is the moment at which it sent a report that a leader answered, less how long
+ * before the answer that leader last knew a majority with it; so an answer that is late, doubled or
+ * kept by others for long gives nothing that it did not give when it was new.
  */
 final class TableLease {
 
@@ -25,7 +25,7 @@
         contact = none;
     }
 
-    /** What is agreed on, as far as this copy has loaded it; null before the first table. */
+    /** What is agreed on, as far as this replica has loaded it; null before the first table. */
     RouteTable agreed() {
         return agreed;
     }
@@ -62,7 +62,7 @@
             ahead =
                     new Ahead(
                             in, table,
-                            instant); // the first: guards against one that is never caught up
+                            instant); // the first: this avoids one that is never caught up
         }
     }
 
--- a/core/src/main/java/cedarrudder/coordination/TierView.java
+++ b/core/src/main/java/cedarrudder/coordination/TierView.java
@@ -2,26 +2,26 @@
 
 import cedarrudder.routetable.RouteTable;
 
-/** What the copy that leads knows of the others when it plans. */
+/** What the replica that leads knows of the others when it plans. */
 public interface TierView {
 
-    /** How many copies there may be. */
+    /** How many replicas there may be. */
     int replicas();
 
     int self();
 
-    /** The zone of a copy. */
+    /** The zone of a replica. */
     int zone(int replica);
 
-    /** Whether membership holds that a copy lives. */
+    /** Whether membership holds that a replica lives. */
     boolean lives(int replica);
 
-    /** What the copies have agreed on last, loaded here; null before the first. */
+    /** What the replicas have agreed on last, loaded here; null before the first. */
     RouteTable agreed();
 
     /**
-     * When a copy that is silent has certainly left its table, on this copy's clock: until then its
-     * calls go where that says.
+     * When a replica that is silent has certainly left its table, on this replica's clock: until
+     * then its calls go where that says.
      */
     long leaseOver(int replica);
 }
--- a/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
@@ -4,30 +4,32 @@
 import java.util.List;
 
 /**
- * Which zones serve whose callers: each copy says what it saw, and the copy that leads plans from
- * what all said. Nothing of it is agreed on but the plan.
+ * Which zones serve whose clients: each replica says what it saw, and the replica that leads plans
+ * from what all said. Nothing of it is agreed on but the plan.
  */
 public interface TrafficCoordination {
 
     /**
-     * What this copy saw since it was asked last: at most {@link CoordinatedReplica#MAX_PARTS}
+     * What this replica saw since it was asked last: at most {@link CoordinatedReplica#MAX_PARTS}
      * parts of at most {@link CoordinatedReplica#MAX_PART} bytes, each of which stands for itself,
      * as any may be lost.
      */
     List<byte[]> report(long now);
 
-    /** At the copy that leads: a part of what another saw, or it itself. It may be no such part. */
+    /**
+     * At the replica that leads: a part of what another saw, or it itself. It may be no such part.
+     */
     void reported(long now, int from, byte[] part);
 
-    /** At the copy that leads, each period: the shares that should hold. */
+    /** At the replica that leads, each period: the shares that should hold. */
     List<RouteTable.Share> plan(long now, TierView tier);
 
     /**
-     * This copy leads from here on, or no longer: what was reported to it before counts no more.
+     * This replica leads from here on, or no longer: what was reported to it before counts no more.
      */
     void leads(long now, boolean leads);
 
-    /** Callers stay in their zones. */
+    /** Clients stay in their zones. */
     TrafficCoordination NONE =
             new TrafficCoordination() {
                 @Override
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -44,7 +44,7 @@
                     figures(policy.giveBackIf(), conditions, false),
                     true);
         } catch (RuntimeException e) {
-            // Guards against a copy of another version, that can't read it, letting go what it
+            // This avoids a copy of another version, that can't read it, letting go what it
             // forbids.
             return new Rule(
                     policy,
--- a/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
+++ b/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
@@ -3,7 +3,7 @@
 /** Reads conditions, in whatever language they are written. */
 public interface ConditionCompiler {
 
-    /** What is asked of the figures that copies share. */
+    /** What is asked of the figures that replicas share. */
     interface OfFigures {
         /**
          * Whether it holds.
--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -17,7 +17,7 @@
     /** Bytes of policies in one command. */
     int PART = 4_000;
 
-    /** What copies propose to the leader has no more bytes. */
+    /** What replicas propose to the leader has no more bytes. */
     int MAX_BYTES = 4_080;
 
     /** Changes in one step. */
@@ -79,7 +79,7 @@
     enum Bound {
         /** No policy is for it. */
         NO_POLICY,
-        /** Some live copy has said nothing lately. */
+        /** Some live replica has said nothing lately. */
         REPORTS,
         /** A node that is out is listed no more, and it is not agreed on yet that it is gone. */
         UNLISTED,
@@ -93,7 +93,7 @@
         PACE,
         /** Another pod or zone goes first. */
         ORDER,
-        /** So many are out in its pod. */
+        /** This many are out in its pod. */
         POD,
         /** In its zone. */
         ZONE,
@@ -109,10 +109,12 @@
         LEFT_WEIGHT
     }
 
-    /** So many nodes wait for a bound of a policy; the policy is -1 where the bound is of none. */
+    /**
+     * This many nodes wait for a bound of a policy; the policy is -1 where the bound is of none.
+     */
     record Wait(int policy, Bound bound, int nodes) {}
 
-    /** A node that leaves has so many calls of a copy; -1: that copy has not said yet. */
+    /** A node that leaves has this many calls of a replica; -1: that replica has not said yet. */
     record Still(int slot, int replica, long calls) {}
 
     /** What the leader knows that others don't, for operators. */
--- a/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -11,9 +11,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * The drains of a tier's nodes, as one copy takes part: a state that all copies change alike by the
- * commands that they agree on; what this copy says to the one that leads; and what it has committed
- * where it leads.
+ * The drains of a tier's nodes, as one replica takes part: a state that all replicas change alike
+ * by the commands that they agree on; what this replica says to the one that leads; and what it has
+ * committed where it leads.
  *
  * <p>It has no clock, no socket and no thread, and draws nothing. Not thread-safe: from one thread
  * at a time, and its outlet must not call it. Whatever bytes it is given it throws nothing.
@@ -52,7 +52,7 @@
         void happened(Happened happened);
     }
 
-    /** What this copy has itself. */
+    /** What this replica has itself. */
     public interface Local {
         /** Its calls at a node. */
         int calls(long node);
@@ -71,7 +71,7 @@
      * All drains, for operators.
      *
      * @param paused names of policies that pause
-     * @param told what the copy that leads had found when it last said so
+     * @param told what the replica that leads had found when it last said so
      */
     public record Progress(
             long revision,
@@ -124,8 +124,8 @@
     // ---- what is agreed on ----
 
     /**
-     * This copy's file has these policies: they are to count for all copies, if none of a higher
-     * revision do.
+     * This replica's file has these policies: they are to count for all replicas, if none of a
+     * higher revision do.
      *
      * @param revision from 1
      * @throws IllegalArgumentException if they are more than {@link PolicyCodec#MAX_BYTES}
@@ -155,7 +155,8 @@
     }
 
     /**
-     * Whether other policies of the same or a higher revision count than those of this copy's file.
+     * Whether other policies of the same or a higher revision count than those of this replica's
+     * file.
      */
     public boolean overruled() {
         return !own.isEmpty()
@@ -167,7 +168,7 @@
     public void apply(long now, byte[] command) {
         List<DrainPolicy> policies = agreed.policies();
         List<Happened> happened = agreed.apply(command);
-        // What has passed here since it last heard of the clock counts. Guards against a clock that
+        // What has passed here since it last heard of the clock counts. This avoids a clock that
         // falls
         // behind by the time of a commit each time that it is committed.
         reckoned = Math.max(clock(now), agreed.clock());
@@ -200,7 +201,7 @@
         return reckoned + (now - reckonedAt) / MILLI;
     }
 
-    /** The state; the same at each copy that applied the same. */
+    /** The state; the same at each replica that applied the same. */
     public byte[] state() {
         return agreed.encode();
     }
@@ -220,7 +221,9 @@
         return agreed.state(node);
     }
 
-    /** Whether a node counts as out: it leaves, or not all copies may know yet that it is back. */
+    /**
+     * Whether a node counts as out: it leaves, or not all replicas may know yet that it is back.
+     */
     public boolean out(long node) {
         return agreed.state(node).out();
     }
@@ -249,7 +252,7 @@
                 agreed.ended());
     }
 
-    // ---- what any copy proposes ----
+    // ---- what any replica proposes ----
 
     /**
      * The command by which operators ask for drains of nodes, or cancel them.
@@ -268,7 +271,7 @@
     }
 
     /**
-     * A command by which the policies of this copy's file come to count for all; null where they
+     * A command by which the policies of this replica's file come to count for all; null where they
      * may not.
      */
     public byte[] wanted() {
@@ -280,11 +283,11 @@
         return null;
     }
 
-    // ---- what copies say to the one that leads ----
+    // ---- what replicas say to the one that leads ----
 
     /**
-     * What this copy has to say, in parts of at most 136 bytes that stand for themselves, at most
-     * two.
+     * What this replica has to say, in parts of at most 136 bytes that stand for themselves, at
+     * most two.
      */
     public List<byte[]> report(long now, Local local) {
         List<byte[]> parts = new ArrayList<>();
@@ -326,14 +329,14 @@
         return parts;
     }
 
-    /** This copy leads from here on, or no longer. */
+    /** This replica leads from here on, or no longer. */
     public void leads(long now, boolean leads) {
         heard.clear(now);
         scheduler.clear();
     }
 
     /**
-     * At the copy that leads: a part of what another says, or this one itself. It may be no such
+     * At the replica that leads: a part of what another says, or this one itself. It may be no such
      * part.
      */
     public void reported(long now, int sender, byte[] part) {
@@ -347,11 +350,11 @@
     }
 
     /**
-     * At the copy that leads, each period: what is to be committed, or null.
+     * At the replica that leads, each period: what is to be committed, or null.
      *
      * @param utcMillis since 1970, by this machine's clock
-     * @param nodes as this copy sees them
-     * @param lives whether a copy lives
+     * @param nodes as this replica sees them
+     * @param lives whether a replica lives
      */
     public byte[] next(
             long now, long utcMillis, Collection<DrainableNode> nodes, IntPredicate lives) {
--- a/core/src/main/java/cedarrudder/draining/DrainEvent.java
+++ b/core/src/main/java/cedarrudder/draining/DrainEvent.java
@@ -8,7 +8,7 @@
     CANCELLED,
     /** Its wave begins. */
     BEGUN,
-    /** Every live copy has had the wave and has no call there. */
+    /** Every live replica has had the wave and has no call there. */
     EMPTY,
     /** Its time is up, and it counts as drained. */
     LET_GO,
@@ -24,6 +24,6 @@
     RESTARTED_OUT,
     /** It is not listed any more. */
     GONE,
-    /** Every live copy knows that it is back. */
+    /** Every live replica knows that it is back. */
     RETURNED
 }
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -13,9 +13,9 @@
  * @param tier and in the tier
  * @param left what must be left
  * @param order the order in which they go
- * @param wave how many go in one wave at the most
+ * @param wave how many go in one wave at most
  * @param pace nanoseconds between the end of a wave and the next
- * @param died so many of them may fail, beside those taken out, before no further wave begins
+ * @param died this many of them may fail, beside those taken out, before no further wave begins
  * @param pauseIf while it holds no wave begins; empty: never
  * @param goOnIf after a pause waves begin once it holds; empty: once the reason of the pause is
  *     over
@@ -155,7 +155,7 @@
             check(share >= 0 && share <= 1, "share", share, "0 to 1");
         }
 
-        /** How many of so many. */
+        /** How many of this many. */
         public int of(int listed) {
             return Math.min(nodes, (int) Math.floor(share * listed + ROUNDING));
         }
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * What a copy says to the one that leads, in parts that stand for themselves.
+ * What a replica says to the one that leads, in parts that stand for themselves.
  *
  * @param version of the state that it has carried out
  * @param first the lowest slot that it tells of
  * @param last and the highest: nodes that leave in between, and are not named, have no calls of
- *     this copy
+ *     this replica
  * @param calls by slot, rising
  * @param disabled how many nodes are left out here by hand
  * @param some of them
@@ -24,7 +24,7 @@
         List<Long> some,
         TrafficSample flow) {
 
-    /** Bytes of one part, at the most. */
+    /** Bytes of one part, at most. */
     static final int MAX_BYTES = 136;
 
     private static final int MAX_CALLS = 8;
@@ -33,7 +33,7 @@
     private static final int MAX_COUNT = 1 << 27;
     private static final int KIND = 0;
 
-    /** So many calls at one node. */
+    /** This many calls at one node. */
     record Calls(int slot, int calls) {}
 
     /** How many slots with calls one part may tell of. */
--- a/core/src/main/java/cedarrudder/draining/DrainSettings.java
+++ b/core/src/main/java/cedarrudder/draining/DrainSettings.java
@@ -3,10 +3,10 @@
 /**
  * The figures of the mechanism; times are nanoseconds.
  *
- * @param patience a copy that has said nothing for so long keeps waves from beginning and drains
- *     from ending
- * @param forgets and one that lives no more is waited for so long: membership may be wrong
- * @param unlisted a node that is not listed for so long is gone
+ * @param patience a replica that has said nothing for this long keeps waves from beginning and
+ *     drains from ending
+ * @param forgets and one that lives no more is waited for this long: membership may be wrong
+ * @param unlisted a node that is not listed for this long is gone
  * @param beat while drains are open the agreed clock is committed so often
  */
 public record DrainSettings(long patience, long forgets, long unlisted, long beat) {
--- a/core/src/main/java/cedarrudder/draining/DrainState.java
+++ b/core/src/main/java/cedarrudder/draining/DrainState.java
@@ -17,12 +17,14 @@
     /** So too, and then it waits for another wave. */
     RETURNING_TO_WAIT;
 
-    /** Whether copies send it nothing new. */
+    /** Whether replicas send it nothing new. */
     public boolean leaves() {
         return this == LEAVING || this == OVERDUE || this == OUT;
     }
 
-    /** Whether it counts as out: it leaves, or some copy may not have heard yet that it is back. */
+    /**
+     * Whether it counts as out: it leaves, or some replica may not have heard yet that it is back.
+     */
     public boolean out() {
         return leaves() || this == RETURNING || this == RETURNING_TO_WAIT;
     }
--- a/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -21,7 +21,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * What copies agree on of drains: the same at each that applied the same commands in their order,
+ * What replicas agree on of drains: the same at each that applied the same commands in their order,
  * whatever its clock, its list of nodes and its file say. Not thread-safe.
  */
 final class DrainStateMachine {
--- a/core/src/main/java/cedarrudder/draining/DrainTransitions.java
+++ b/core/src/main/java/cedarrudder/draining/DrainTransitions.java
@@ -24,7 +24,7 @@
 import java.util.Map;
 
 /**
- * What becomes of a drain: one table of states and events, which all copies apply alike. An event
+ * What becomes of a drain: one table of states and events, which all replicas apply alike. An event
  * that has no row in a state changes nothing there: it came twice, too late, or was overtaken by
  * another.
  */
@@ -34,9 +34,9 @@
     public enum Effect {
         /** Nothing. */
         NOTHING,
-        /** Copies are to send it nothing new. */
+        /** Replicas are to send it nothing new. */
         LEAVE,
-        /** Copies are to send to it again. */
+        /** Replicas are to send to it again. */
         RETURN,
         /** The log says that its time is up. */
         ALARM,
--- a/core/src/main/java/cedarrudder/draining/DrainableNode.java
+++ b/core/src/main/java/cedarrudder/draining/DrainableNode.java
@@ -1,12 +1,12 @@
 package cedarrudder.draining;
 
 /**
- * A node as one copy sees it.
+ * A node as one replica sees it.
  *
- * @param id its number, as the module and the route table know it
+ * @param id its number, as the balancer and the route table know it
  * @param tier the name of the tier that it belongs to
  * @param zone the name of its zone; empty where it has none
- * @param pod its pod; the module calls it cell
+ * @param pod its pod; the balancer calls it cell
  * @param kind the name of its kind; empty where it has none
  * @param start its last start, as discovery tells it, in milliseconds since 1970; 0: long ago
  */
@@ -23,7 +23,7 @@
     /** Whether a node serves, and why not. */
     public enum Standing {
         SERVING,
-        /** Left out by hand, at one copy or more. */
+        /** Left out by hand, at one replica or more. */
         DISABLED,
         /** Discovery says that it leaves. */
         TERMINATING,
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Policies as bytes, as copies agree on them. */
+/** Policies as bytes, as replicas agree on them. */
 public final class PolicyCodec {
 
     /** All policies together take no more than this. */
--- a/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
@@ -1,14 +1,14 @@
 package cedarrudder.draining;
 
 /**
- * What the copies share, as conditions see it.
+ * What the replicas share, as conditions see it.
  *
- * @param refused the part of all calls that was refused, over the copies' last window
+ * @param refused the part of all calls that was refused, over the replicas' last window
  * @param failed the part that failed
  * @param late the part that ended past its deadline
  * @param capacityLeft the weight that serves, as a part of the weight that is listed
- * @param liveReplicas copies that live
- * @param replicas copies that there may be
+ * @param liveReplicas replicas that live
+ * @param replicas replicas that there may be
  * @param out nodes that are out, for whatever reason
  * @param died nodes that the policy is for, that fail, and that were not taken out by a drain
  */
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -211,7 +211,7 @@
         return -1;
     }
 
-    /** Whether none of the conditions holds while all is well, for some number of copies. */
+    /** Whether none of the conditions holds while all is well, for some number of replicas. */
     private boolean calm(String text, List<String> others, int out) {
         for (int replicas : REPLICAS) {
             PolicyConditionInputs figures =
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -11,8 +11,8 @@
 import java.util.function.IntPredicate;
 
 /**
- * What the copy that leads has heard of all copies, its own word among them. It is no part of the
- * state.
+ * What the replica that leads has heard of all replicas, its own word among them. It is no part of
+ * the state.
  */
 final class ReportedDrainProgress {
 
@@ -39,7 +39,8 @@
     }
 
     /**
-     * This copy begins to lead: it knows nothing of the others, and each may have lived until now.
+     * This replica begins to lead: it knows nothing of the others, and each may have lived until
+     * now.
      */
     void clear(long now) {
         for (int i = 0; i < replicas.length; i++) {
@@ -85,7 +86,7 @@
         }
     }
 
-    /** Whether a copy has to be waited for. */
+    /** Whether a replica has to be waited for. */
     private boolean awaited(long now, int replica) {
         return now - replicas[replica].livedAt < settings.forgets();
     }
@@ -98,7 +99,7 @@
         return replica.said && now - replica.at < settings.patience();
     }
 
-    /** The live copies that have said nothing lately. */
+    /** The live replicas that have said nothing lately. */
     int silent(long now) {
         int silent = 0;
         for (int i = 0; i < replicas.length; i++) {
@@ -146,7 +147,7 @@
         return still;
     }
 
-    /** What became of the calls of the live copies. */
+    /** What became of the calls of the live replicas. */
     TrafficSample flow(long now) {
         TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < replicas.length; i++) {
@@ -156,7 +157,7 @@
     }
 
     /**
-     * Nodes that are left out by hand at a live copy; null where one has not said all of its own
+     * Nodes that are left out by hand at a live replica; null where one has not said all of its own
      * yet.
      */
     Set<Long> disabled(long now) {
--- a/core/src/main/java/cedarrudder/draining/WaveScheduler.java
+++ b/core/src/main/java/cedarrudder/draining/WaveScheduler.java
@@ -23,8 +23,8 @@
 import java.util.Set;
 
 /**
- * What the copy that leads has committed next. It keeps nothing that another leader could not find
- * out.
+ * What the replica that leads has committed next. It keeps nothing that another leader could not
+ * find out.
  */
 final class WaveScheduler {
 
@@ -39,7 +39,7 @@
         this.heard = heard;
     }
 
-    /** This copy begins to lead. */
+    /** This replica begins to lead. */
     void clear() {
         missingSince.clear();
     }
@@ -358,7 +358,7 @@
     /**
      * The next step; null where there is nothing to say.
      *
-     * @param clock the agreed one, as this copy reckons that it stands now; milliseconds
+     * @param clock the agreed one, as this replica reckons that it stands now; milliseconds
      * @param utcMillis since 1970, by this machine's clock
      */
     Step next(
--- a/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -8,7 +8,7 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * One copy's part in failover: it says what it saw, and where it leads plans from what all said.
+ * One replica's part in failover: it says what it saw, and where it leads plans from what all said.
  * Not thread-safe.
  */
 public final class FailoverCoordinator {
@@ -27,7 +27,7 @@
     /**
      * @param names of the zones, in the order of their numbers
      * @param zoneOf the zone of each copy of the tier
-     * @param tally what this copy counts
+     * @param tally what this replica counts
      * @throws IllegalArgumentException if a zone is named that there is not
      */
     public FailoverCoordinator(
@@ -69,15 +69,14 @@
     }
 
     /**
-     * Ends the period and says what was seen in it; nothing where this copy stood still, or has
+     * Ends the period and says what was seen in it; nothing where this replica stood still, or has
      * just said it.
      *
      * @param max bytes of a part, as {@link ZoneObservations#encode} takes it
      */
     public List<byte[]> report(long now, int max) {
         if (now - closedAt < settings.period() / 2) {
-            return List
-                    .of(); // asked again so soon: guards against a period of which nothing can be
+            return List.of(); // asked again so soon: this avoids a period of which nothing can be
             // told
         }
         closedAt = now;
@@ -85,7 +84,9 @@
         return evidence == null ? List.of() : evidence.encode(max);
     }
 
-    /** At the copy that leads: a part of what another saw, or it itself. It may be no such part. */
+    /**
+     * At the replica that leads: a part of what another saw, or it itself. It may be no such part.
+     */
     public void reported(long now, int from, byte[] part) {
         ZoneObservations evidence = ZoneObservations.decode(part);
         if (evidence != null && evidence.replica() == from) {
@@ -94,10 +95,10 @@
     }
 
     /**
-     * At the copy that leads, each period: the shares that should hold.
+     * At the replica that leads, each period: the shares that should hold.
      *
      * @param agreed the table that is agreed on; null before the first
-     * @param leaseOver when a copy that is silent has certainly left its table
+     * @param leaseOver when a replica that is silent has certainly left its table
      */
     public List<Share> plan(long now, RouteTable agreed, IntToLongFunction leaseOver) {
         if (agreed != null) {
@@ -113,7 +114,7 @@
     }
 
     /**
-     * This copy leads from here on, or no longer: what was reported to it before counts no more.
+     * This replica leads from here on, or no longer: what was reported to it before counts no more.
      */
     public void leads() {
         assessment = new ZoneHealthAggregator(settings, zoneOf, zones);
--- a/core/src/main/java/cedarrudder/failover/FailoverSettings.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverSettings.java
@@ -8,17 +8,17 @@
  * @param regions which zones make a region
  * @param leave zones that operators have left, by name: their calls go elsewhere as far as there is
  *     room
- * @param period a copy sums up what it saw once in this time; from 10 ms
+ * @param period a replica sums up what it saw once in this time; from 10 ms
  * @param evidenceAge what is older counts for nothing; at least two periods
- * @param minReplicas so many copies of a zone must say so before that zone's word counts, or all
- *     where it has fewer; from 1
- * @param badShare a copy says that a zone is lost where more than this share of its calls there
+ * @param minReplicas this many replicas of a zone must say so before that zone's word counts, or
+ *     all where it has fewer; from 1
+ * @param badShare a replica says that a zone is lost where more than this share of its calls there
  *     failed or was silent; over 0, below 1
  * @param targetShare other zones' calls don't take a zone past this share of what it can do now;
  *     over 0, to 1
- * @param nearShare a zone that can't serve all of its own calls gets so much of what it can do now;
- *     over 0, to 1
- * @param lossHold a loss must be seen for so long; from 0
+ * @param nearShare a zone that can't serve all of its own calls gets this much of what it can do
+ *     now; over 0, to 1
+ * @param lossHold a loss must be seen for this long; from 0
  * @param returnStep calls come back by this share of the zone's at once; over 0, to 1
  * @param returnHold so long a zone must do well before each step; over the period
  * @param maxReturnHold that time doubles up to this for a zone that comes and goes; no less than it
--- a/core/src/main/java/cedarrudder/failover/TrafficSplit.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplit.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Shares as rows, one for each zone of callers: parts and bounds by the zone that serves. */
+/** Shares as rows, one for each zone of clients: parts and bounds by the zone that serves. */
 final class TrafficSplit {
 
     /** So few are not what left a zone: they go there to be seen. */
@@ -43,7 +43,7 @@
         return shares;
     }
 
-    /** Copies a zone's row. */
+    /** Replicas a zone's row. */
     void row(int from, TrafficSplit of) {
         parts[from] = of.parts[from].clone();
         perSecond[from] = of.perSecond[from].clone();
--- a/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -16,14 +16,13 @@
 
 /**
  * Which zone serves which part of a zone's calls: near while that is safe, else as near as there is
- * room. Every copy has one and tells it of each table that it loads; the one that leads asks it for
- * the next shares. Not thread-safe.
+ * room. Every replica has one and tells it of each table that it loads; the one that leads asks it
+ * for the next shares. Not thread-safe.
  *
  * <p>Of each zone it holds a <i>ceiling</i>: the part of its own calls that it may get. A loss
- * takes it to nothing, calls that are turned away to what the zone can do, and it comes back by
- * steps. What is over the ceiling goes to other zones, to each up to its target share and no
- * further. How often the shares of one zone's calls change is bounded here, whatever the evidence
- * says.
+ * takes it to nothing, calls that are rejected to what the zone can do, and it comes back by steps.
+ * What is over the ceiling goes to other zones, to each up to its target share and no further. How
+ * often the shares of one zone's calls change is bounded here, whatever the evidence says.
  */
 public final class TrafficSplitPlanner {
 
@@ -31,21 +30,21 @@
     public static final int MIN_MOVE = 200;
 
     /**
-     * The window of the bound on moves: a minute, and what one table takes longer to a copy than
+     * The window of the bound on moves: a minute, and what one table takes longer to a replica than
      * another.
      */
     private static final long WINDOW = 63_000_000_000L;
 
-    /** Of the moves that a zone has, so many are kept for leaving it. */
+    /** Of the moves that a zone has, this many are kept for leaving it. */
     private static final int KEPT_FOR_LEAVING = 2;
 
-    /** And so many for its return. */
+    /** And this many for its return. */
     private static final int KEPT_FOR_RETURN = 4;
 
-    /** A zone must be strained for so many periods before calls leave it for that. */
+    /** A zone must be strained for this many periods before calls leave it for that. */
     private static final int STRAIN_PERIODS = 3;
 
-    /** Room is dealt out in so many rounds, so that zones that want the same share it. */
+    /** Room is dealt out in this many rounds, so that zones that want the same share it. */
     private static final int ROUNDS = 20;
 
     /**
@@ -58,8 +57,8 @@
     private static final double OUTGROWN = 1.1;
 
     /**
-     * A zone whose nodes don't report may be given so much more than it serves, each time it did
-     * well.
+     * A zone whose endpoints don't report may be given this much more than it serves, each time it
+     * did well.
      */
     private static final double BLIND_GROWTH = 1.25;
 
@@ -72,7 +71,7 @@
     private static final double WATCHED = 0.06;
 
     /**
-     * Where calls go that are moved already changes for so many parts more that are served, or
+     * Where calls go that are moved already changes for this many parts more that are served, or
      * nearer.
      */
     private static final int MIN_GAIN = 500;
@@ -94,8 +93,8 @@
     /**
      * One zone's shares change.
      *
-     * @param bad the zones whose copies say that it does not serve them
-     * @param well the zones whose copies say that it does
+     * @param bad the zones whose replicas say that it does not serve them
+     * @param well the zones whose replicas say that it does
      */
     public record Move(int zone, Reason reason, Set<Integer> bad, Set<Integer> well) {}
 
@@ -154,7 +153,7 @@
     }
 
     /**
-     * A table is loaded; all copies tell this of each, since any may lead next. Said twice it
+     * A table is loaded; all replicas tell this of each, since any may lead next. Said twice it
      * counts once.
      */
     public void loaded(long now, RouteTable table) {
@@ -177,7 +176,7 @@
     }
 
     /**
-     * This copy leads from here on, or no longer. Guards against what it knew when it led before
+     * This replica leads from here on, or no longer. This avoids what it knew when it led before
      * being acted on.
      */
     public void leads() {
@@ -274,7 +273,7 @@
     private void follow(long now, int number, Zone zone, boolean evacuated, double near) {
         Course course = courses[number];
         course.cut = false;
-        // Where its own copies say nothing it may be lost to the others alone.
+        // Where its own replicas say nothing it may be lost to the others alone.
         boolean lost = zone.state() == State.LOST && zone.bad().contains(number);
         course.badSince = !lost ? Long.MAX_VALUE : Math.min(course.badSince, now);
         course.strainedSince =
@@ -373,7 +372,7 @@
                                                 ? Reason.RETURN
                                                 : Reason.TARGETS;
         boolean urgent = course.cut || course.evacuated && leaves || reason == Reason.LOST || bad;
-        // Guards against calls going to and fro among zones that serve them as well.
+        // This avoids calls going to and fro among zones that serve them as well.
         if (!urgent && !bounds && course.steppedAt != now && gain(held, wanted, zone) < MIN_GAIN) {
             return null;
         }
@@ -456,8 +455,8 @@
     }
 
     /**
-     * Calls of copies that are cut off. Where nodes report their load they are seen there; else
-     * they are reckoned with where their last table sent them.
+     * Calls of replicas that are cut off. Where endpoints report their load they are seen there;
+     * else they are reckoned with where their last table sent them.
      */
     private double hidden(ZoneHealthSnapshot picture, int to) {
         if (!picture.zones().get(to).blind()) {
@@ -506,7 +505,7 @@
             }
         }
         dealAll(dealt, excess, room, picture);
-        // What would be turned away elsewhere may take zones as far as their own calls may.
+        // What would be rejected elsewhere may take zones as far as their own calls may.
         double more = settings.nearShare() - settings.targetShare();
         for (int zone = 0; zone < zones && more > 0; zone++) {
             Zone seen = picture.zones().get(zone);
@@ -636,7 +635,7 @@
         }
         if (!course.left
                 || near + 1e-9 >= seen.demand() - moved * seen.demand() / RouteTable.WHOLE) {
-            // None is turned away for a zone that serves, and no part is lost by rounding.
+            // None is rejected for a zone that serves, and no part is lost by rounding.
             next.parts[zone][zone] = (int) (RouteTable.WHOLE - moved);
         }
         watched(next, zone);
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
@@ -12,13 +12,13 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * Puts together what many copies saw. A copy's later word replaces its earlier one, an older life
- * counts nothing, and what is old ages out. Not thread-safe.
+ * Puts together what many replicas saw. A replica's later word replaces its earlier one, an older
+ * life counts nothing, and what is old ages out. Not thread-safe.
  *
- * <p>Copies vote, and zones of copies: within a zone each copy that has seen enough has one vote,
- * however many calls it has, and a zone of copies says <i>bad</i> or <i>well</i> by the most of its
- * votes. Guards against one copy's broken link, and against the word of copies of one zone alone
- * while others are served.
+ * <p>Replicas vote, and zones of replicas: within a zone each replica that has seen enough has one
+ * vote, however many calls it has, and a zone of replicas says <i>bad</i> or <i>well</i> by the
+ * most of its votes. This avoids one replica's broken link, and against the word of replicas of one
+ * zone alone while others are served.
  */
 public final class ZoneHealthAggregator {
 
@@ -26,32 +26,33 @@
     private static final double KEPT = 0.6;
 
     /**
-     * Calls that a copy must have seen end, or wait, before it has a whole vote; with fewer, a part
-     * of one.
+     * Calls that a replica must have seen end, or wait, before it has a whole vote; with fewer, a
+     * part of one.
      */
     private static final double WHOLE_VOTE = 3;
 
     /** The least part of a vote that counts. */
     private static final double MIN_VOTE = 0.3;
 
-    /** What is so many times older than evidence may be says nothing of a zone. */
+    /** What is this many times older than evidence may be says nothing of a zone. */
     private static final int OLD = 4;
 
-    /** Calls out with nothing back for so many periods count as silent. */
+    /** Calls out with nothing back for this many periods count as silent. */
     private static final int STILL_PERIODS = 2;
 
-    /** Of the votes of a zone's copies. */
+    /** Of the votes of a zone's replicas. */
     private static final double MAX = 0.6;
 
     /**
-     * Where other zones can't tell, the zone's own copies must have said so for so many periods.
+     * Where other zones can't tell, the zone's own replicas must have said so for this many
+     * periods.
      */
     private static final int ALONE_PERIODS = 6;
 
-    /** A zone's copies say that it is strained where so much of their calls is turned away, ... */
+    /** A zone's replicas say that it is strained where this much of their calls is rejected, ... */
     private static final double TURNED_AWAY = 0.05;
 
-    /** ... or where its nodes say, over some periods, that they are so full. */
+    /** ... or where its endpoints say, over some periods, that they are so full. */
     private static final double FULL = 0.97;
 
     /** Rates are smoothed by this weight of the newest. */
@@ -73,7 +74,7 @@
     private static final double HUNDREDTHS = 100;
     private static final double MILLIS = 1_000;
 
-    /** What a copy last said of a zone, with what it said before fading away. */
+    /** What a replica last said of a zone, with what it said before fading away. */
     private static final class Word {
         long sequence = -1;
 
@@ -109,7 +110,7 @@
     private final int zones;
     private final Copy[] replicas;
 
-    /** Calls a second that one warm node of weight 1 serves; 0: not known. */
+    /** Calls a second that one warm endpoint of weight 1 serves; 0: not known. */
     private final double[] each;
 
     /** How full zones are, smoothed; NaN: not known. */
@@ -120,7 +121,7 @@
     private long learnedAt = Long.MIN_VALUE;
 
     /**
-     * @param zoneOf the zone of each copy
+     * @param zoneOf the zone of each replica
      */
     public ZoneHealthAggregator(FailoverSettings settings, int[] zoneOf, int zones) {
         this.settings = settings;
@@ -147,7 +148,7 @@
     }
 
     /**
-     * A part of a copy's evidence has come; what is of no known copy or zone, or old, changes
+     * A part of a replica's evidence has come; what is of no known copy or zone, or old, changes
      * nothing.
      */
     public void heard(long now, ZoneObservations evidence) {
@@ -231,9 +232,9 @@
     }
 
     /**
-     * Copies whose lease is over for certain: their calls are reckoned with no longer.
+     * Replicas whose lease is over for certain: their calls are reckoned with no longer.
      *
-     * @param leaseOver of each copy, when that is where it stays silent
+     * @param leaseOver of each replica, when that is where it stays silent
      */
     public void lapse(long now, IntToLongFunction leaseOver) {
         for (int i = 0; i < replicas.length; i++) {
@@ -349,12 +350,12 @@
                             : (strains && sample < each[zone] ? FALLS : LEARNS)
                                     * (sample - each[zone]);
         } else {
-            // Guards against a site that is nearly idle being taken for one that can serve nothing.
+            // This avoids a site that is nearly idle being taken for one that can serve nothing.
             each[zone] = Math.max(each[zone], rate / MIN_LOAD);
         }
     }
 
-    /** What the copies of one zone say of another; copies that say nothing are not counted. */
+    /** What the replicas of one zone say of another; replicas that say nothing are not counted. */
     private record Votes(double bad, double well, int replicas) {
 
         /** 1 that it is well, -1 that it is bad, 0 nothing. */
@@ -365,7 +366,7 @@
     }
 
     /**
-     * What was seen longer ago weighs less: guards against a zone that is well by what was seen
+     * What was seen longer ago weighs less: this avoids a zone that is well by what was seen
      * before.
      */
     private Votes votes(long now, int from, int zone) {
@@ -402,8 +403,8 @@
     }
 
     /**
-     * Whether nobody serves a copy that asked more than one zone. Guards against a copy whose own
-     * link is broken: it says of every zone that it is lost.
+     * Whether nobody serves a replica that asked more than one zone. This avoids a replica whose
+     * own link is broken: it says of every zone that it is lost.
      */
     private boolean servedNowhere(Copy replica) {
         int asked = 0;
@@ -420,7 +421,7 @@
     }
 
     /**
-     * @param said what the copies of all other zones say together, as {@link Votes#word} has it
+     * @param said what the replicas of all other zones say together, as {@link Votes#word} has it
      */
     private State state(
             long now, int zone, Set<Integer> bad, Set<Integer> well, int said, int fresh) {
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * What is held of all zones at an instant, from the evidence of many copies.
+ * What is held of all zones at an instant, from the evidence of many replicas.
  *
  * @param zones by number
- * @param away copies that have not been heard of for long, whose lease may still run
+ * @param away replicas that have not been heard of for long, whose lease may still run
  */
 public record ZoneHealthSnapshot(List<Zone> zones, List<Away> away) {
 
@@ -15,27 +15,28 @@
     public enum State {
         /** Too little is known. */
         UNKNOWN,
-        /** Its own copies, and others that can tell, are served there. */
+        /** Its own replicas, and others that can tell, are served there. */
         WELL,
-        /** Its own copies are served there, those of other zones are not. */
+        /** Its own replicas are served there, those of other zones are not. */
         CUT_OFF,
-        /** Enough copies in enough zones are not served there. */
+        /** Enough replicas in enough zones are not served there. */
         LOST
     }
 
     /**
      * One zone. Rates are calls a second.
      *
-     * @param strained enough of its copies say that it turns calls away, or that its nodes are full
-     * @param demand calls that come to its copies
-     * @param served calls of all copies that it serves
+     * @param strained enough of its replicas say that it turns calls away, or that its endpoints
+     *     are full
+     * @param demand calls that come to its replicas
+     * @param served calls of all replicas that it serves
      * @param capacity what it can do now; 0 where nothing is known
-     * @param blind whether its nodes don't report their load: then the capacity is the most that it
-     *     was seen to serve well
+     * @param blind whether its endpoints don't report their load: then the capacity is the most
+     *     that it was seen to serve well
      * @param unseen what it serves of calls of which no evidence tells
-     * @param fresh copies of this zone whose evidence is fresh
-     * @param bad the zones whose copies say that they are not served there
-     * @param well the zones whose copies say that they are
+     * @param fresh replicas of this zone whose evidence is fresh
+     * @param bad the zones whose replicas say that they are not served there
+     * @param well the zones whose replicas say that they are
      */
     public record Zone(
             State state,
@@ -56,7 +57,7 @@
     }
 
     /**
-     * A copy that may still use the table it last told of.
+     * A replica that may still use the table it last told of.
      *
      * @param zone its zone
      * @param rate calls a second that came to it
--- a/core/src/main/java/cedarrudder/failover/ZoneObservations.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneObservations.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /**
- * What one copy saw of the zones in a period. It tells what happened to its calls and judges
+ * What one replica saw of the zones in a period. It tells what happened to its calls and judges
  * nothing.
  *
  * <p>As bytes: a version, then {@link Varint}s in the order of the components. What does not fit
@@ -37,10 +37,10 @@
         int unserved,
         List<Seen> seen) {
 
-    /** What a part takes at the most, so that a datagram has room for more. */
+    /** What a part takes at most, so that a datagram has room for more. */
     public static final int MAX_BYTES = 200;
 
-    /** The longest head and one zone fit into so many. */
+    /** The longest head and one zone fit into this many. */
     public static final int MIN_BYTES = 88;
 
     public static final int MAX_REPLICAS = 1 << 16;
@@ -61,12 +61,12 @@
      * @param served its calls there that were answered well
      * @param failed that were answered with an error, or broke off
      * @param silent that got no answer in time, or no connection
-     * @param refused that were turned away unseen
+     * @param refused that were rejected unseen
      * @param out that are out
      * @param still for how many milliseconds nothing has come back while calls were out
-     * @param load the mean of the utilisations that nodes there reported, in hundredths and one
+     * @param load the mean of the utilisations that endpoints there reported, in hundredths and one
      *     more; 0: none
-     * @param nodes nodes that are listed as ready
+     * @param nodes endpoints that are listed as ready
      * @param cold of those the ones that have just started
      * @param able what all of them can do now, in hundredths of what a warm one of weight 1 can
      */
@@ -108,7 +108,7 @@
     }
 
     /**
-     * The parts; one at the least.
+     * The parts; one at least.
      *
      * @param max bytes of each, from {@link #MIN_BYTES} to {@link #MAX_BYTES}
      */
--- a/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 
 /**
- * Counts, by zones, what one copy's calls and probes came to, and closes a period as {@link
- * ZoneObservations}. It is fed where outcomes are told to the decision module, and costs one
- * look-up each. Not thread-safe.
+ * Counts, by zones, what one replica's calls and probes came to, and closes a period as {@link
+ * ZoneObservations}. It is fed where outcomes are told to the balancer, and costs one look-up each.
+ * Not thread-safe.
  */
 public final class ZoneTrafficCounter {
 
     /**
-     * A period that took so many times longer tells of a process that stood still, not of zones.
+     * A period that took this many times longer tells of a process that stood still, not of zones.
      */
     private static final double STOOD_STILL = 1.4;
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The list of nodes, or changes to it. */
+    /** The list of endpoints, or changes to it. */
     public void onEndpoints(EndpointListKind kind, List<Endpoint> entries) {
         if (kind != EndpointListKind.DELTA) {
             listed.clear();
@@ -91,7 +91,7 @@
         }
     }
 
-    /** A call came to this copy. */
+    /** A call came to this replica. */
     public void onRequest() {
         requests++;
     }
@@ -146,7 +146,7 @@
             case ERROR, RESET -> zone.failed++;
             case TIMEOUT, CONNECT_FAILED -> zone.silent++;
             case REJECTED -> zone.rejected++;
-            default -> {} // called off, or never sent: says nothing of the zone
+            default -> {} // cancelled, or never sent: says nothing of the zone
         }
         if (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED) {
             zone.lastAnswerAt = now;
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Ends the period and begins the next; null where this copy stood still in it or in the one
-     * before, for then what it saw is of its own making. Guards against a copy that was stopped
+     * Ends the period and begins the next; null where this replica stood still in it or in the one
+     * before, for then what it saw is of its own making. This avoids a replica that was stopped
      * telling that every zone was silent.
      *
      * @param table the number of the table in use; 0 for none
@@ -236,7 +236,8 @@
                 && fresh.out() == 0
                 && last != null
                 && last.age() < ZoneObservations.MAX_AGE) {
-            // Nothing was asked of it: what was seen last, with its age, and the nodes as they are
+            // Nothing was asked of it: what was seen last, with its age, and the endpoints as they
+            // are
             // now.
             zone.last =
                     new Seen(
@@ -259,7 +260,7 @@
     }
 
     /**
-     * Of each zone: nodes that are ready, those of them that are cold, and what all can do, in
+     * Of each zone: endpoints that are ready, those of them that are cold, and what all can do, in
      * hundredths.
      */
     private int[][] nodes(long now) {
--- a/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -35,7 +35,7 @@
 
     private static final int FIXED_TEXT = 1024;
 
-    /** Steps are worked out up to so many. */
+    /** Steps are worked out up to this many. */
     private static final int MAX_STEPS = 16;
 
     /** What binds. */
@@ -50,7 +50,7 @@
      * What comes of a list.
      *
      * @param fits whether all that it adds may be added now
-     * @param step so many of the nodes that it adds may be added now
+     * @param step this many of the nodes that it adds may be added now
      * @param bound the one that is nearest, or that binds
      * @param needed bytes that the whole list takes under it
      */
@@ -91,14 +91,15 @@
 
     /**
      * Bytes that a node that is held already takes while it is told again: its id, its address and
-     * what the module is told of it, before and behind the rotation, are there twice.
+     * what the balancer is told of it, before and behind the rotation, are there twice.
      */
     private long again(long idChars) {
         return layout.text(idChars) + address() + 2 * endpoint();
     }
 
     /**
-     * Bytes that one more node with an id of so many characters takes at rest, without hash tables.
+     * Bytes that one more node with an id of this many characters takes at rest, without hash
+     * tables.
      */
     private long node(long idChars) {
         long reader =
@@ -136,7 +137,7 @@
     /**
      * What reading a list takes beside what is kept of it.
      *
-     * @param taken so many of its entries are kept until it has been read; the others go as they
+     * @param taken this many of its entries are kept until it has been read; the others go as they
      *     are read
      */
     public long reading(EndpointListShape list, int taken) {
@@ -174,10 +175,10 @@
     }
 
     /**
-     * What is held at the most while a list is read: what was held, what is added, and the text.
+     * What is held at most while a list is read: what was held, what is added, and the text.
      *
-     * @param taken so many of the list's entries are kept until it has been read
-     * @param added so many of those are new
+     * @param taken this many of the list's entries are kept until it has been read
+     * @param added this many of those are new
      */
     public long atPeak(EndpointListShape held, EndpointListShape list, int taken, int added) {
         return atRest(held.plus(list, added))
@@ -186,8 +187,7 @@
     }
 
     /**
-     * What is held at the most while all that is held is told again, as discovery does now and
-     * then.
+     * What is held at most while all that is held is told again, as discovery does now and then.
      */
     public long toldAgain(EndpointListShape held) {
         return held.nodes() == 0 ? 0 : atPeak(held, held, held.nodes(), 0);
@@ -220,7 +220,8 @@
 
     /**
      * Whether a list may be loaded, or how much of it. A list is told again and again, so there
-     * must be room to read what is held once more: else the copy would never again hear of a drain.
+     * must be room to read what is held once more: else the replica would never again hear of a
+     * drain.
      *
      * @param told the list, or changes
      * @param added how many of the nodes that it names are not held
@@ -270,7 +271,7 @@
         return steps;
     }
 
-    /** So many nodes like those of a list may be held and told again, beside nothing else. */
+    /** This many nodes like those of a list may be held and told again, beside nothing else. */
     public int max(EndpointListShape like, long room) {
         int max = 0;
         for (int step = 1 << 23; step > 0 && like.nodes() > 0; step >>>= 1) {
--- a/core/src/main/java/cedarrudder/footprint/EndpointListShape.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListShape.java
@@ -1,7 +1,7 @@
 package cedarrudder.footprint;
 
 /**
- * What a resolver result is like, as far as it costs anything. Zones, kinds and cells cost nothing
+ * What an endpoint list is like, as far as it costs anything. Zones, kinds and cells cost nothing
  * by themselves: nodes hold their numbers.
  *
  * @param nodes how many it lists
@@ -18,7 +18,7 @@
         return texts == 0 ? 0 : (chars + texts / 2) / texts;
     }
 
-    /** A list of so many nodes like those of this one. */
+    /** A list of this many nodes like those of this one. */
     public EndpointListShape of(int some) {
         return nodes == 0
                 ? this
@@ -30,7 +30,8 @@
     }
 
     /**
-     * What is held once so many of another list's nodes were added: the larger text's buffer stays.
+     * What is held once this many of another list's nodes were added: the larger text's buffer
+     * stays.
      */
     public EndpointListShape plus(EndpointListShape other, int some) {
         EndpointListShape added = other.of(some);
--- a/core/src/main/java/cedarrudder/footprint/MemoryEstimate.java
+++ b/core/src/main/java/cedarrudder/footprint/MemoryEstimate.java
@@ -6,7 +6,7 @@
  * @param rest bytes of the heap that stay
  * @param peak bytes of the heap at the peak of loading, with those that stay
  * @param direct bytes of direct memory
- * @param descriptors so many
+ * @param descriptors this many
  */
 public record MemoryEstimate(long rest, long peak, long direct, int descriptors) {
 
--- a/core/src/main/java/cedarrudder/footprint/ObjectLayout.java
+++ b/core/src/main/java/cedarrudder/footprint/ObjectLayout.java
@@ -21,17 +21,17 @@
         return new ObjectLayout(header, header + LENGTH, shortReferences ? 4 : 8, alignment);
     }
 
-    /** An object with so many references and so many bytes of other fields. */
+    /** An object with this many references and this many bytes of other fields. */
     long object(int references, int bytes) {
         return aligned(header + (long) references * reference + bytes);
     }
 
-    /** An array of so many elements of a size. */
+    /** An array of this many elements of a size. */
     long array(long elements, int size) {
         return aligned(arrayHeader + elements * size);
     }
 
-    /** A text of so many characters, all of them Latin. */
+    /** A text of this many characters, all of them Latin. */
     long text(long chars) {
         return object(1, 5) + array(chars, 1);
     }
@@ -42,7 +42,7 @@
     }
 
     /**
-     * The table of a hash map that has grown to so many entries; one that never had any has none.
+     * The table of a hash map that has grown to this many entries; one that never had any has none.
      */
     long hashTable(long entries) {
         if (entries == 0) {
--- a/core/src/main/java/cedarrudder/footprint/ProcessBaseline.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessBaseline.java
@@ -1,12 +1,12 @@
 package cedarrudder.footprint;
 
 /**
- * What a process takes before the first list and the first caller.
+ * What a process takes before the first list and the first client.
  *
  * @param heap bytes of the heap after a collection
  * @param resident bytes of the machine's memory
  * @param direct bytes of direct memory
- * @param descriptors so many, those of the watch with them
+ * @param descriptors this many, those of the watch with them
  */
 public record ProcessBaseline(long heap, long resident, long direct, int descriptors) {
 
--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -7,16 +7,16 @@
 import java.util.stream.Stream;
 
 /**
- * What a whole copy takes: the heap at rest and at the peak of loading, direct memory, descriptors
- * and the machine's memory. What grows with a list or a table is worked out from the layout of
- * objects; what is there before the first of them, and what a connection takes, was measured on
- * real processes (docs/FOOTPRINT.md), with references of four bytes and of eight; a test holds the
- * sums against such processes.
+ * What a whole replica takes: the heap at rest and at the peak of loading, direct memory,
+ * descriptors and the machine's memory. What grows with a list or a table is worked out from the
+ * layout of objects; what is there before the first of them, and what a connection takes, was
+ * measured on real processes (docs/FOOTPRINT.md), with references of four bytes and of eight; a
+ * test holds the sums against such processes.
  */
 public final class ProcessFootprint {
 
     /**
-     * With references of eight bytes, so much more is taken by what was measured with those of
+     * With references of eight bytes, this much more is taken by what was measured with those of
      * four.
      */
     private static final double WIDE = 1.39;
@@ -26,14 +26,14 @@
      */
     private static final long YOUNG = 3_000_000;
 
-    /** So many times what a list takes at its peak is allocated while it is read. */
+    /** This many times what a list takes at its peak is allocated while it is read. */
     private static final int ALLOCATED = 3;
 
     /** What discovery's first word leaves behind. */
     private static final long WATCH = 61_500;
 
     /**
-     * The parser's buffer has so many characters at the least; those of longer texts are read in
+     * The parser's buffer has this many characters at least; those of longer texts are read in
      * parts.
      */
     private static final int MIN_PARSED = 4_000;
@@ -44,11 +44,11 @@
     private static final int CHANNEL = 2_530;
     private static final int UNDER_WAY = 460;
 
-    /** Direct memory comes in pieces of so many bytes. */
+    /** Direct memory comes in pieces of this many bytes. */
     private static final int CHUNK = 1 << 18;
 
     /**
-     * A body that flows holds so much of the heap, and so much waits in direct memory to be
+     * A body that flows holds this much of the heap, and this much waits in direct memory to be
      * written.
      */
     private static final int FLOWS = 1 << 16;
@@ -57,7 +57,7 @@
 
     private static final int NAME = 10;
 
-    /** What binds a copy. */
+    /** What binds a replica. */
     public enum Bound {
         HEAP_AT_REST,
         HEAP_AT_PEAK,
@@ -70,7 +70,7 @@
     public record Term(String name, long count, MemoryEstimate takes) {}
 
     /**
-     * What comes of a copy.
+     * What comes of a replica.
      *
      * @param fits whether all bounds leave room
      * @param bound the one that is exceeded by most, or that has the least to spare, in parts of
@@ -80,7 +80,7 @@
      */
     public record Verdict(boolean fits, Bound bound, long needed, long room) {
 
-        /** So much is left; below 0: so much is lacking. */
+        /** This much is left; below 0: this much is lacking. */
         public long spare() {
             return room - needed;
         }
@@ -195,7 +195,7 @@
         return measured(WATCH) + layout.array(parsed, 2);
     }
 
-    /** What the copy takes in all. */
+    /** What the replica takes in all. */
     public MemoryEstimate takes(ProcessShape replica) {
         return terms(replica).stream()
                 .map(Term::takes)
@@ -215,7 +215,7 @@
                         more.descriptors() / nodes);
     }
 
-    /** What the copy takes of the machine's memory, in bytes. */
+    /** What the replica takes of the machine's memory, in bytes. */
     public long resident(ProcessShape replica) {
         return resident(replica, takes(replica));
     }
@@ -227,14 +227,14 @@
     }
 
     /**
-     * What of the heap is left for nodes and their lists, beside all else that the copy may come to
-     * hold.
+     * What of the heap is left for nodes and their lists, beside all else that the replica may come
+     * to hold.
      */
     public long left(ProcessShape without, long heap) {
         return Math.max(0, heap - takes(without.of(0)).rest());
     }
 
-    /** Whether a copy fits, and which bound is nearest. */
+    /** Whether a replica fits, and which bound is nearest. */
     public Verdict judge(ProcessShape replica, ProcessLimits limits) {
         MemoryEstimate all = takes(replica);
         Verdict rest = verdict(Bound.HEAP_AT_REST, all.rest(), limits.heap());
--- a/core/src/main/java/cedarrudder/footprint/ProcessLimits.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessLimits.java
@@ -6,6 +6,6 @@
  * @param heap the heap's maximum, in bytes
  * @param resident bytes of the machine's memory
  * @param direct bytes of direct memory
- * @param descriptors so many
+ * @param descriptors this many
  */
 public record ProcessLimits(long heap, long resident, long direct, long descriptors) {}
--- a/core/src/main/java/cedarrudder/footprint/ProcessShape.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessShape.java
@@ -12,7 +12,7 @@
  * @param classes of requests
  * @param tenants of the settings
  * @param table the route table that it uses; null: none
- * @param callers connections of callers
+ * @param callers connections of clients
  * @param channels connections to nodes
  * @param bodies requests under way
  * @param bodyBytes what those hold of bodies, in bytes
@@ -29,7 +29,7 @@
         int bodies,
         long bodyBytes) {
 
-    /** The same with so many nodes, of the same kind. */
+    /** The same with this many nodes, of the same kind. */
     ProcessShape of(int nodes) {
         return new ProcessShape(
                 list.of(nodes),
--- a/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * The largest route table and list of nodes that a copy has room for: what it answers when copies
- * decide on a table. Nine bytes, three a figure; a larger figure is told as the largest that these
- * hold.
+ * The largest route table and list of nodes that a replica has room for: what it answers when
+ * replicas decide on a table. Nine bytes, three a figure; a larger figure is told as the largest
+ * that these hold.
  *
  * @param bytes compact bytes of a table
  * @param leaving nodes that it names as leaving
@@ -21,7 +21,7 @@
 
     private static final int MAX = (1 << 24) - 1;
 
-    /** Of a copy that asks nobody. */
+    /** Of a replica that asks nobody. */
     public static final RouteTableCapacity ANY = new RouteTableCapacity(MAX, MAX, MAX);
 
     public RouteTableCapacity {
@@ -30,7 +30,7 @@
         nodes = Math.max(0, Math.min(MAX, nodes));
     }
 
-    /** Whether a table of so many compact bytes may be loaded. */
+    /** Whether a table of this many compact bytes may be loaded. */
     public boolean holds(RouteTable table, int size) {
         return size <= bytes && table.leaving().size() <= leaving;
     }
@@ -49,10 +49,10 @@
     }
 
     /**
-     * The copy that holds a table back in common: of those that can't load it the one with the
+     * The replica that holds a table back in common: of those that can't load it the one with the
      * least room.
      *
-     * @param rooms what the live copies have told
+     * @param rooms what the live replicas have told
      * @return null where all can load it
      */
     public static Integer holdsBack(RouteTable table, Map<Integer, RouteTableCapacity> rooms) {
--- a/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
@@ -30,7 +30,7 @@
     /** An entry that is read stands in a list that grew, in the text's order and in the table's. */
     private static final int LISTS = 3;
 
-    /** Bytes are written, gathered and copied: so many times what the table has. */
+    /** Bytes are written, gathered and copied: this many times what the table has. */
     private static final int REPLICAS = 4;
 
     private final ObjectLayout layout;
@@ -56,8 +56,7 @@
     }
 
     /**
-     * What is held at the most while a next table is read: both side by side, and what reading
-     * takes.
+     * What is held at most while a next table is read: both side by side, and what reading takes.
      */
     public long atPeak(RouteTable held, RouteTable next) {
         long entries = next.shares().size() + next.leaving().size() + next.limits().size();
@@ -72,7 +71,7 @@
      * known yet, so each is reckoned as what costs most.
      *
      * @param room bytes of heap for tables, with the one that is held
-     * @param nodes so many nodes there is room for, which the answer carries
+     * @param nodes this many nodes there is room for, which the answer carries
      */
     public RouteTableCapacity room(RouteTable held, long room, int nodes) {
         long left = room - atRest(held);
@@ -89,7 +88,7 @@
                 bytes, (int) Math.min(RouteTable.MAX_LEAVING, leaving), nodes);
     }
 
-    /** The most that a table of so many compact bytes takes while it is read. */
+    /** The most that a table of this many compact bytes takes while it is read. */
     private long max(long bytes) {
         int references = (1 + LISTS) * layout.reference();
         long shares =
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -396,7 +396,7 @@
      * answer.
      */
     private void expire(Exchange<Q, A> exchange) {
-        // A copy, since a balancer may start another attempt upon a time-out.
+        // A replica, since a balancer may start another attempt upon a time-out.
         for (RequestAttempt<Q, A> attempt : List.copyOf(exchange.attempts())) {
             giveUp(attempt, Outcome.TIMEOUT);
         }
--- a/core/src/main/java/cedarrudder/logging/Logger.java
+++ b/core/src/main/java/cedarrudder/logging/Logger.java
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Guards against a peer that sends nonsense without end: writing it all down would fill the
-     * pipe that the log goes to, and a full pipe blocks the event loop.
+     * This avoids a peer that sends nonsense without end: writing it all down would fill the pipe
+     * that the log goes to, and a full pipe blocks the event loop.
      */
     private boolean hasRoom() {
         long now = System.nanoTime();
@@ -151,7 +151,7 @@
         }
 
         /**
-         * Guards against a peer that sends long texts, and against one that writes log lines of its
+         * This avoids a peer that sends long texts, and against one that writes log lines of its
          * own by sending line ends. Halves of character pairs are no text either, and a cut may
          * leave one.
          */
--- a/core/src/main/java/cedarrudder/membership/GossipQueue.java
+++ b/core/src/main/java/cedarrudder/membership/GossipQueue.java
@@ -16,8 +16,8 @@
 final class GossipQueue {
 
     /**
-     * What went out so many times, by the place in the list; in each the one that waits longest is
-     * first.
+     * What went out this many times, by the place in the list; in each the one that waits longest
+     * is first.
      */
     private final List<Map<Integer, News>> byTimes = new ArrayList<>();
 
--- a/core/src/main/java/cedarrudder/membership/IndirectProbes.java
+++ b/core/src/main/java/cedarrudder/membership/IndirectProbes.java
@@ -6,14 +6,14 @@
 
 /**
  * Those that did not answer, while nobody is told yet: each is asked again, by turns, until it is
- * heard or has been silent too often for the losses that are seen. Guards against news of a
- * suspicion, and news of its contradiction, for each answer that is lost: with the instances these
- * grow, and the room for them does not.
+ * heard or has been silent too often for the losses that are seen. This avoids news of a suspicion,
+ * and news of its contradiction, for each answer that is lost: with the instances these grow, and
+ * the room for them does not.
  */
 final class IndirectProbes {
 
     /**
-     * More are not held at one time. Guards against each taking long where half have died; whom one
+     * More are not held at one time. This avoids each taking long where half have died; whom one
      * passes over another asks.
      */
     private static final int MAX = 3;
--- a/core/src/main/java/cedarrudder/membership/Member.java
+++ b/core/src/main/java/cedarrudder/membership/Member.java
@@ -9,7 +9,7 @@
  */
 public record Member(int number, long incarnation, Standing standing) {
 
-    /** A larger one is none. Guards against a forged one that nothing could follow. */
+    /** A larger one is none. This avoids a forged one that nothing could follow. */
     public static final long MAX_INCARNATION = 1L << 62;
 
     /** Whether an instance lives, as far as is known. */
--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -14,7 +14,7 @@
  *     instances
  * @param worstHealth an instance that does badly itself waits up to this many times longer, and
  *     once more
- * @param revivePeriods one of the dead is asked again each so many periods; at least 1
+ * @param revivePeriods one of the dead is asked again each this many periods; at least 1
  */
 public record MembershipSettings(
         long period,
--- a/core/src/main/java/cedarrudder/membership/Suspicion.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicion.java
@@ -5,7 +5,7 @@
 
 /**
  * How long one instance is suspected before it counts as dead: long at first, shorter with each
- * other instance that says the same (Lifeguard, "LHA-Suspicion"). Guards against one instance that
+ * other instance that says the same (Lifeguard, "LHA-Suspicion"). This avoids one instance that
  * hears nothing itself declaring all others dead.
  */
 final class Suspicion {
@@ -47,7 +47,7 @@
         deadAt = Math.min(deadAt, Math.max(now, since + (long) min));
     }
 
-    /** It lasts so much longer. */
+    /** It lasts this much longer. */
     void extend(long length) {
         since += length;
         deadAt += length;
--- a/core/src/main/java/cedarrudder/membership/Suspicions.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicions.java
@@ -72,7 +72,7 @@
         return asked;
     }
 
-    /** All of them last so much longer: nothing could be heard meanwhile. */
+    /** All of them last this much longer: nothing could be heard meanwhile. */
     void extend(long length) {
         byNumber.values().forEach(suspicion -> suspicion.extend(length));
     }
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -43,13 +43,13 @@
             long malformed, long notItsSender, long refuted, long relaysRefused, long unanswered) {}
 
     /**
-     * Questions answered in a period. Guards against answering all that waited while this one stood
+     * Questions answered in a period. This avoids answering all that waited while this one stood
      * still.
      */
     private static final int MAX_ANSWERS = 64;
 
     /**
-     * Questions asked on behalf of others at one time. Guards against work without end for a flood.
+     * Questions asked on behalf of others at one time. This avoids work without end for a flood.
      */
     private static final int MAX_RELAYS = 64;
 
@@ -60,7 +60,7 @@
     private static final int APPEALS = 2;
 
     /**
-     * All live instances together ask each of the suspected about so often a period. Guards against
+     * All live instances together ask each of the suspected about so often a period. This avoids
      * all of a large tier asking one at once.
      */
     private static final int ASKS_OF_A_SUSPECT = 8;
@@ -71,7 +71,7 @@
     /** In its period a question goes out twice, besides by helpers. */
     private static final int OWN_ASKS = 2;
 
-    /** More are never asked for. Guards against losses so high that nobody would be suspected. */
+    /** More are never asked for. This avoids losses so high that nobody would be suspected. */
     private static final int MAX_SILENCES = 16;
 
     /** A question that is out. */
@@ -164,7 +164,7 @@
             order[i] = i < self ? i : i + 1;
         }
         shuffle();
-        // Spread over a period. Guards against all that start at once asking at once for ever.
+        // Spread over a period. This avoids all that start at once asking at once for ever.
         nextPeriod = now + (long) (random.nextDouble() * settings.period());
     }
 
@@ -231,7 +231,7 @@
     }
 
     /**
-     * This instance did not run for so long. Guards against burying others for answers that wait
+     * This instance did not run for this long. This avoids burying others for answers that wait
      * unread, and for contradictions that it could not hear.
      */
     private void stoodStill(long late) {
@@ -249,7 +249,7 @@
 
     /**
      * Asks one of those that did not answer or that are suspected, by turns: the first is heard or
-     * suspected, the second hears what is said of it and contradicts. Guards against burying the
+     * suspected, the second hears what is said of it and contradicts. This avoids burying the
      * living where messages are lost. Twice a period, however many there are.
      */
     private void appeal(long now) {
@@ -302,7 +302,7 @@
 
     private void askHelpers() {
         question.asked = true;
-        // Once more itself. Guards against suspecting whoever met two losses, where many are lost.
+        // Once more itself. This avoids suspecting whoever met two losses, where many are lost.
         send(question.target, Kind.PING, question.number, question.target);
         List<Integer> others = new ArrayList<>();
         for (int number : order) {
@@ -351,7 +351,7 @@
             send(target, Kind.PING, question.number, target);
         }
         if (++periods % settings.revivePeriods() == 0 && exchange.dead() > 0) {
-            // Guards against two halves that were cut from one another staying apart: it
+            // This avoids two halves that were cut from one another staying apart: it
             // contradicts.
             int number = exchange.any(random);
             send(number, Kind.PING, ++questions, number);
@@ -539,7 +539,7 @@
             suspicions.remove(number);
             hold(news);
         }
-        // Guards against a start that nobody missed filling all messages: whom it concerns hears it
+        // This avoids a start that nobody missed filling all messages: whom it concerns hears it
         // itself.
         if (!byItself || known.standing() != Standing.ALIVE) {
             tell(news, accuser);
@@ -577,7 +577,7 @@
 
     /**
      * Another one holds a life as dead that is known here: it is suspected for the shortest time,
-     * and not buried at once. Guards against one that hears nobody, and against the halves of a cut
+     * and not buried at once. This avoids one that hears nobody, and against the halves of a cut
      * when it heals, which would hold as dead whom they hear all the time, until these contradict.
      */
     private void claimed(long now, Member known, int accuser) {
--- a/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
+++ b/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
@@ -7,15 +7,15 @@
  */
 public final class RequestMetrics {
 
-    /** How an RPC ended, by what its caller got. */
+    /** How a request ended, by what its client got. */
     public enum End {
-        /** A node's answer. */
+        /** An endpoint's answer. */
         SERVED,
         /** 429 or 503, whoever worded it: a repeat is harmless. */
         REJECTED,
         /** Any other status, or an answer that is visibly not whole. */
         FAILED,
-        /** Nothing: the caller had gone. */
+        /** Nothing: the client had gone. */
         CLIENT_LEFT
     }
 
@@ -34,7 +34,7 @@
         forwarded = new long[classes];
     }
 
-    /** An RPC of this class was taken. */
+    /** A request of this class was taken. */
     public void onAccepted(int kind) {
         accepted[kind]++;
         openRequests++;
@@ -51,12 +51,12 @@
         deadlinesMissed++;
     }
 
-    /** RPCs whose time was over before they had ended. */
+    /** requests whose time was over before they had ended. */
     public long deadlinesMissed() {
         return deadlinesMissed;
     }
 
-    /** An attempt of this class was written whole to a node. */
+    /** An attempt of this class was written whole to an endpoint. */
     public void onForwarded(int kind) {
         forwarded[kind]++;
     }
@@ -66,12 +66,12 @@
         return accepted.length;
     }
 
-    /** RPCs of a class that ended like this. */
+    /** requests of a class that ended like this. */
     public long ended(int kind, End how) {
         return ended[how.ordinal()][kind];
     }
 
-    /** RPCs of a class that were taken, however they ended. */
+    /** requests of a class that were taken, however they ended. */
     public long accepted(int kind) {
         return accepted[kind];
     }
@@ -81,7 +81,7 @@
         return forwarded[kind];
     }
 
-    /** RPCs that were taken and have not ended. */
+    /** requests that were taken and have not ended. */
     public long openRequests() {
         return openRequests;
     }
--- a/core/src/main/java/cedarrudder/routetable/CurrentRouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/CurrentRouteTable.java
@@ -1,7 +1,7 @@
 package cedarrudder.routetable;
 
 /**
- * The table that a copy uses. It loads one whole or not at all, and numbers only rise. Not
+ * The table that a replica uses. It loads one whole or not at all, and numbers only rise. Not
  * thread-safe.
  */
 public final class CurrentRouteTable {
--- a/core/src/main/java/cedarrudder/routetable/RouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTable.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What the copies of a tier have agreed on, whole: where each zone's callers are served, which
+ * What the replicas of a tier have agreed on, whole: where each zone's clients are served, which
  * nodes are being removed, and what each class may get while it holds. Immutable; equal contents
  * are equal, in whatever order they were given, and have the same {@linkplain RouteTableCodec
  * bytes}.
  *
  * @param number the table's own; it only rises, over all groups; at least 1
- * @param group the group of copies that agreed on it; at least 0
+ * @param group the group of replicas that agreed on it; at least 0
  * @param term the term in which they did; at least 0
- * @param lease how long a copy that hears nothing more may use it, in nanoseconds; over 0
+ * @param lease how long a replica that hears nothing more may use it, in nanoseconds; over 0
  * @param shares which part of a zone's calls which zone serves, ordered by both zones
  * @param leaving the nodes being removed, ordered by node
  * @param limits what classes may get, ordered by class; a class without one is not limited
@@ -38,10 +38,10 @@
     /** Nodes that are being removed at once. */
     public static final int MAX_LEAVING = 1 << 14;
 
-    /** Nodes have numbers below this, as the module knows them. */
+    /** Nodes have numbers below this, as the balancer knows them. */
     public static final long MAX_NODE = 1L << 52;
 
-    /** Why a zone serves the callers of another, or its own. */
+    /** Why a zone serves the clients of another, or its own. */
     public enum Way {
         /** It is the one that they belong to. */
         NEAR,
@@ -54,9 +54,9 @@
     /**
      * A part of one zone's calls.
      *
-     * @param from the zone of the callers
+     * @param from the zone of the clients
      * @param to the zone that serves them
-     * @param parts of {@link #WHOLE}, so many; from 1
+     * @param parts of {@link #WHOLE}, this many; from 1
      * @param perSecond it gets no more calls a second from there; 0: no bound
      */
     public record Share(int from, int to, Way way, int parts, int perSecond) {
--- a/core/src/main/java/cedarrudder/routetable/RouteTableDelta.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableDelta.java
@@ -28,7 +28,7 @@
         List<Limit> limits,
         List<Integer> freed) {
 
-    /** A zone of callers and one that serves them. */
+    /** A zone of clients and one that serves them. */
     public record Pair(int from, int to) {
         static Pair of(Share share) {
             return new Pair(share.from(), share.to());
--- a/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
+++ b/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** What the module sees of nodes that operators have disabled. */
+/** What the balancer sees of endpoints that operators have disabled. */
 public class AdminOverridesTest {
 
     private static Named named(String name, EndpointStatus state, long startedAt) {
@@ -25,7 +25,7 @@
         return rotation.listed(kind, List.of(entries)).get(0).status();
     }
 
-    /** Guards against a ban that a line of discovery's takes back. */
+    /** Detects a ban that a line of discovery's takes back. */
     @Test
     public void aDisabledNodeDrainsWhateverDiscoveryLists() {
         AdminOverrides rotation = new AdminOverrides();
@@ -52,9 +52,7 @@
                 EndpointStatus.DRAINING);
     }
 
-    /**
-     * Guards against a ban by hand that the end of a removal takes back, and the other way round.
-     */
+    /** Detects a ban by hand that the end of a removal takes back, and the other way round. */
     @Test
     public void removedInCommonAndDisabledByHandDontUndoOneAnother() {
         AdminOverrides rotation = new AdminOverrides();
@@ -81,7 +79,7 @@
         assertEquals(rotation.disabled(), Set.of());
     }
 
-    /** Guards against a node that was restarted meanwhile getting the load of a warm one. */
+    /** Detects an endpoint that was restarted meanwhile getting the load of a warm one. */
     @Test
     public void anEnabledNodeIsAsDiscoveryListsItAndStartsCold() {
         AdminOverrides rotation = new AdminOverrides();
--- a/core/src/test/java/cedarrudder/admission/TenantQuotasTest.java
+++ b/core/src/test/java/cedarrudder/admission/TenantQuotasTest.java
@@ -4,7 +4,7 @@
 
 import org.testng.annotations.Test;
 
-/** A tenant's share is divided by the copies that live. */
+/** A tenant's share is divided by the replicas that live. */
 public class TenantQuotasTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -27,7 +27,7 @@
         assertEquals((double) within(meter, 100 * SECOND), 60, 1);
         meter.onLiveReplicas(4);
         assertEquals((double) within(meter, 200 * SECOND), 30, 1);
-        meter.onLiveReplicas(0); // nobody says so; it counts itself at the least
+        meter.onLiveReplicas(0); // nobody says so; it counts itself at least
         assertEquals((double) within(meter, 300 * SECOND), 120, 1);
     }
 }
--- a/core/src/test/java/cedarrudder/admission/ZoneTrafficSplitTest.java
+++ b/core/src/test/java/cedarrudder/admission/ZoneTrafficSplitTest.java
@@ -28,7 +28,7 @@
         return zone;
     }
 
-    /** Guards against draws, of which a hundredth strays by a third in a thousand calls. */
+    /** Detects draws, of which a hundredth strays by a third in a thousand calls. */
     @Test
     public void anyRunOfCallsIsNearItsParts() {
         deal.update(List.of(new Part(0, 9_900, 0), new Part(3, 100, 0)));
@@ -42,8 +42,7 @@
     }
 
     /**
-     * Guards against copies that turn to a zone all at once, and against a part that new tables
-     * starve.
+     * Detects replicas that turn to a zone all at once, and against a part that new tables starve.
      */
     @Test
     public void copiesBeginAtDifferentPointsAndGoOnOverNewTables() {
@@ -62,7 +61,7 @@
         assertEquals(far, 2_000, 100);
     }
 
-    /** Guards against a bound that is none, and against new savings with each table. */
+    /** Detects a bound that is none, and against new savings with each table. */
     @Test
     public void aBoundHoldsHoweverOftenItIsSetAndTheNextZoneGetsTheRest() {
         int bounded = 0;
@@ -105,7 +104,7 @@
         assertEquals(fit[0], 2_000, 20);
     }
 
-    /** Guards against a call that doesn't go taking the place of one that may. */
+    /** Detects a call that doesn't go taking the place of one that may. */
     @Test
     public void callsThatAreTurnedAwayLeaveTheirPlaceToOthers() {
         deal.update(List.of(new Part(0, 5_000, 0)));
@@ -116,7 +115,7 @@
         assertEquals(fit, 500);
     }
 
-    /** Guards against turning calls away for a debt of a former table. */
+    /** Detects turning calls away for a debt of a former table. */
     @Test
     public void whatIsWholeAgainTurnsNoneAway() {
         deal.update(List.of(new Part(0, 1, 0)));
--- a/core/src/test/java/cedarrudder/balancer/Await.java
+++ b/core/src/test/java/cedarrudder/balancer/Await.java
@@ -126,8 +126,7 @@
         StringBuilder said = new StringBuilder();
         long end = end();
         while (true) {
-            boolean ended =
-                    !process.isAlive(); // before the look: guards against missing its last words
+            boolean ended = !process.isAlive(); // before the look: detects missing its last words
             if (!ended && !lines.ready()) {
                 if (System.nanoTime() - end > 0) {
                     process.destroyForcibly();
--- a/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
+++ b/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The module's figures as a value. */
+/** The balancer's figures as a value. */
 public class BalancerParametersTest {
 
     private static String complaint(String assignment) {
--- a/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
@@ -13,15 +13,14 @@
     private static final long BEGIN = -10 * Site.SECOND;
 
     /**
-     * Guards against a tenant that counts as over its share until the clock has passed zero, and
-     * after.
+     * Detects a tenant that counts as over its share until the clock has passed zero, and after.
      */
     @Test
     public void aTenantBeginsWithItsShare() {
         assertFalse(new TenantQuotas(new double[] {10}, 1).isOverQuota(BEGIN, 0));
     }
 
-    /** Guards against worths that are no numbers, by which nobody can be ordered. */
+    /** Detects worths that are no numbers, by which nobody can be ordered. */
     @Test
     public void worthsAreNumbers() {
         ClassPriority worth = new ClassPriority(2, 0.8, 0.2, 0.1);
@@ -34,9 +33,7 @@
                 "who is served worst goes first");
     }
 
-    /**
-     * Guards against endpoints that count as out of connections until the clock has passed zero.
-     */
+    /** Detects endpoints that count as out of connections until the clock has passed zero. */
     @Test
     public void anEndpointHasRoomForConnections() {
         assertFalse(new EndpointState(Site.ready(1), BEGIN, 4, 0).isCrowded(BEGIN));
--- a/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What all copies together send to cold endpoints, beside what the standing test bears: N and two
+ * What all replicas together send to cold endpoints, beside what the standing test bears: N and two
  * roots of N and 2 requests, N being what the settings allow then. {@code -Dcold.tables=true}
  * prints docs/COLD.md's tables, in some minutes.
  */
@@ -21,7 +21,7 @@
     private static final boolean TABLES = Boolean.getBoolean("cold.tables");
     private static final int SEEDS = TABLES ? 3 : 1;
 
-    /** Few copies and many, and many copies to an endpoint, each with few calls. */
+    /** Few replicas and many, and many replicas to an endpoint, each with few calls. */
     @ParameterizedTest
     @CsvSource({
         "1, 8", "5, 10", "15, 40", "20, 10", "30, 10", "30, 40", "100, 10", "100, 40", "500, 50"
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Settings are other elsewhere, and so is what copies are told. */
+    /** Settings are other elsewhere, and so is what replicas are told. */
     @ParameterizedTest
     @CsvSource({"5, 10", "30, 10", "100, 10"})
     void soTheyDoInOtherDeployments(int replicas, int endpoints) {
@@ -68,7 +68,7 @@
             for (Trouble trouble : Trouble.values()) {
                 // A burst may come with the start, and after it.
                 boolean burst = trouble == Trouble.BURST || trouble == Trouble.THRONG;
-                // A lone copy has nobody who could get its calls.
+                // A lone replica has nobody who could get its calls.
                 boolean lone =
                         replicas == 1
                                 && (trouble == Trouble.SHIFT
@@ -121,7 +121,7 @@
                 world.trouble());
     }
 
-    /** Guards against a bound that nothing reaches: these copies aren't told of the start. */
+    /** Detects a bound that nothing reaches: these replicas aren't told of the start. */
     @ParameterizedTest
     @CsvSource({"15, 40", "100, 10", "100, 40"})
     void withoutTheirGuardCopiesPushItOver(int replicas, int endpoints) {
@@ -144,8 +144,8 @@
     }
 
     /**
-     * The budget alone, under copies that want nothing else than to send there: those that send as
-     * soon as it lets them, and those that all wait for one another and send at once.
+     * The budget alone, under replicas that want nothing else than to send there: those that send
+     * as soon as it lets them, and those that all wait for one another and send at once.
      */
     @ParameterizedTest
     @CsvSource({"1", "15", "100", "500"})
--- a/core/src/test/java/cedarrudder/balancer/ColdFleet.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdFleet.java
@@ -20,9 +20,9 @@
 import java.util.stream.LongStream;
 
 /**
- * Copies of the module and the endpoints of one tier in virtual time, some of which start cold at
- * {@link #COLD_AT}. Counts what reaches each of these within the time that the settings name,
- * beside {@link #bound}. The copies send to a later tier, where nothing is turned away on its
+ * Replicas of the balancer and the endpoints of one tier in virtual time, some of which start cold
+ * at {@link #COLD_AT}. Counts what reaches each of these within the time that the settings name,
+ * beside {@link #bound}. The replicas send to a later tier, where nothing is rejected on its
  * coming, and who is refused or fails comes again twice. Everything follows from the seed.
  */
 final class ColdFleet {
@@ -69,20 +69,24 @@
                 2 * Site.SECOND, coldShare, rampTime, fallMultiple, fallWindow, 10 * Site.SECOND);
     }
 
-    /** What happens to the copies and the calls, {@link #after} the cold start. */
+    /** What happens to the replicas and the calls, {@link #after} the cold start. */
     enum Trouble {
         NONE,
         /** For 3 s three times the calls come. */
         BURST,
-        /** All calls go to other copies than before. */
+        /** All calls go to other replicas than before. */
         SHIFT,
-        /** Seven in ten copies die, and the others get their calls. */
+        /** Seven in ten replicas die, and the others get their calls. */
         SEVEN_IN_TEN_DIE,
-        /** A second process of each copy starts, knowing no rate, and gets half of its calls. */
+        /** A second process of each replica starts, knowing no rate, and gets half of its calls. */
         UPGRADE,
-        /** Seven in ten copies are killed at once, and are back a second later, knowing nothing. */
+        /**
+         * Seven in ten replicas are killed at once, and are back a second later, knowing nothing.
+         */
         RESTART,
-        /** A tenth of the copies is killed in each second, and is back at once, knowing nothing. */
+        /**
+         * A tenth of the replicas is killed in each second, and is back at once, knowing nothing.
+         */
         ROLL,
         /**
          * Half of the warm endpoints come back cold and a quarter more join, under a {@link
@@ -97,11 +101,11 @@
      * What differs from one deployment to another.
      *
      * @param cores of each endpoint
-     * @param hints whether copies are told of each request's work, and so learn what an endpoint
+     * @param hints whether replicas are told of each request's work, and so learn what an endpoint
      *     may hold
      * @param probes whether endpoints may be asked for their load
-     * @param spread how far what endpoints can do lies apart: a third does so much less, a third so
-     *     much more
+     * @param spread how far what endpoints can do lies apart: a third does this much less, a third
+     *     so much more
      */
     record Deployment(
             String name,
@@ -122,7 +126,7 @@
      * @param cold how many of the endpoints start cold
      * @param capacity requests of mean work that a warm endpoint can do in a second
      * @param load calls that come, as a part of what all endpoints could do if they were warm
-     * @param told whether the copies are told of the start; if not, they go without their guard
+     * @param told whether the replicas are told of the start; if not, they go without their guard
      */
     record World(
             int replicas,
@@ -350,7 +354,7 @@
             deadlines.keySet().forEach(this::over);
         }
 
-        /** Its client comes again, with what is left of its tries, to any copy. */
+        /** Its client comes again, with what is left of its tries, to any replica. */
         private void over(long request) {
             Integer tries = triesLeft.remove(request);
             if (tries != null && tries > 0) {
@@ -424,7 +428,7 @@
     private final Map<Long, Integer> triesLeft = new HashMap<>();
     private final Map<Long, Double> works = new HashMap<>();
 
-    /** What discovery has: what a copy that starts now is told. */
+    /** What discovery has: what a replica that starts now is told. */
     private final List<Endpoint> listed = new ArrayList<>();
 
     private final List<Copy> replicas = new ArrayList<>();
@@ -599,7 +603,7 @@
                 .forEach(i -> replicas.get(i).die());
     }
 
-    /** A new life of a copy knows what discovery says, and nothing else. */
+    /** A new life of a replica knows what discovery says, and nothing else. */
     private void restart(int self) {
         replicas.set(self, new Copy(self, random.nextLong()));
     }
--- a/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many copies, each alone, and an endpoint that has just started: together they must not push it
+ * Many replicas, each alone, and an endpoint that has just started: together they must not push it
  * over.
  */
 class ColdStartTest {
@@ -47,9 +47,9 @@
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
         site.replicas = replicas;
-        // Of two processes of a copy, as in an upgrade, the second gets its part of the calls a
+        // Of two processes of a replica, as in an upgrade, the second gets its part of the calls a
         // second before
-        // the endpoint starts. Guards against two whole budgets where the users count one proxy.
+        // the endpoint starts. Detects two whole budgets where the users count one proxy.
         for (int i = 0; i < replicas * processes; i++) {
             site.self = i % replicas;
             did.add(new Recorder());
@@ -103,7 +103,7 @@
             if (told && now < coldFrom + safety.slowStartNanos()) {
                 double ramp = (now - coldFrom) / (double) safety.slowStartNanos();
                 double part = safety.coldCapacityShare() + (1 - safety.coldCapacityShare()) * ramp;
-                // Warm endpoints bear this much each, so they can do that at the least.
+                // Warm endpoints bear this much each, so they can do that at least.
                 double canDo = requestsPerSecond / (double) WARM * part;
                 double max = safety.overloadMultiple() * canDo * safety.overloadWindowNanos() / 1e9;
                 assertTrue(
--- a/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
@@ -16,13 +16,15 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The list's clock in virtual time: copies of a proxy, each with its module, and one discovery. */
+/**
+ * The list's clock in virtual time: replicas of a proxy, each with its module, and one discovery.
+ */
 public class DiscoveryPollScheduleTest {
 
     private static final long MS = 1_000_000;
     private static final long S = 1000 * MS;
 
-    /** Each way over the wire takes so long at the most, and a connection may come up so late. */
+    /** Each way over the wire takes so long at most, and a connection may come up so late. */
     private static final long WIRE = 21 * MS;
 
     private static final long LATE = S;
@@ -31,7 +33,7 @@
     private static final long TURN = MS;
 
     /**
-     * The system sends the first packet of a connection again so long after it was lost, and ever
+     * The system sends the first packet of a connection again this long after it was lost, and ever
      * later.
      */
     private static final long[] SENT_AGAIN = {S, 2 * S, 4 * S, 8 * S, 16 * S};
@@ -122,7 +124,7 @@
         }
 
         /**
-         * When the last copy was told for the first time after an instant; -1 where one was not.
+         * When the last replica was told for the first time after an instant; -1 where one was not.
          */
         long allTold(long from) {
             return replicas.stream().anyMatch(replica -> replica.toldAt < from)
@@ -150,7 +152,7 @@
             private long armed;
             private Link spare;
 
-            /** So many calls get a refusal from a discovery that is well. */
+            /** This many calls get a refusal from a discovery that is well. */
             private int refuses;
 
             Copy() {
@@ -178,7 +180,7 @@
                         });
             }
 
-            /** Not the module's ticks: they would only cost the test its time. */
+            /** Not the balancer's ticks: they would only cost the test its time. */
             private void tick(long token) {
                 if (token != 0) {
                     module.onTimer(now, token);
@@ -322,13 +324,13 @@
         return site.settings();
     }
 
-    /** Guards against calls that nobody needs: lines up to a second late are no silence. */
+    /** Detects calls that nobody needs: lines up to a second late are no silence. */
     @Test
     public void aWatchThatIsWellIsAskedForOnce() {
         for (boolean ask : new boolean[] {true, false}) {
             World world = new World(1, 200, 1000, ask);
             world.run(30 * S);
-            int dials = world.dials; // with spare ones, where the start keeps copies waiting
+            int dials = world.dials; // with spare ones, where the start keeps replicas waiting
             world.run(600 * S);
             assertEquals(world.calls.size(), 200);
             assertEquals(world.dials, dials);
@@ -336,9 +338,9 @@
     }
 
     /**
-     * Guards against a list that is late: a copy is told again before what it missed counts as
-     * told, 6 s after the last byte, also where the reopening is silent or refused too and each
-     * connection is late.
+     * Detects a list that is late: a replica is told again before what it missed counts as told, 6
+     * s after the last byte, also where the reopening is silent or refused too and each connection
+     * is late.
      */
     @Test
     public void aSilentWatchIsOpenedAnewInTime() {
@@ -357,7 +359,7 @@
         assertTrue(longest[2] < 5.6 * S, "refused: " + longest[2]);
     }
 
-    /** How long one copy, told last an instant before, is without a list. */
+    /** How long one replica, told last an instant before, is without a list. */
     private static long silence(long seed, int unanswered, int refused, long late) {
         World world = new World(seed, 1, 1000, true);
         world.run(20 * S);
@@ -374,9 +376,9 @@
     }
 
     /**
-     * Guards against a list that is late once discovery is back, since what failed before has made
-     * the waits long: whatever the outage was like and at whatever phase of a call it ends, all
-     * copies are told well before what there was to be told counts as told, 6 s later; also where
+     * Detects a list that is late once discovery is back, since what failed before has made the
+     * waits long: whatever the outage was like and at whatever phase of a call it ends, all
+     * replicas are told well before what there was to be told counts as told, 6 s later; also where
      * the first answer is a refusal and connections are late.
      */
     @Test
@@ -401,7 +403,7 @@
         }
     }
 
-    /** How long after an outage the last copy is told. */
+    /** How long after an outage the last replica is told. */
     private static long outage(long seed, int replicas, Discovery state, int trouble) {
         World world = new World(seed, replicas, replicas / 10 + 60, true);
         world.run(20 * S);
@@ -417,9 +419,9 @@
     }
 
     /**
-     * Guards against a list that is late where discovery ended the watch, or refused calls, and the
-     * first call after that hangs: its silence is known a whole patience later, and no further wait
-     * is due then.
+     * Detects a list that is late where discovery ended the watch, or refused calls, and the first
+     * call after that hangs: its silence is known a whole patience later, and no further wait is
+     * due then.
      */
     @Test
     public void aCallThatHangsAfterAnEndIsMadeAnewInTime() {
@@ -440,8 +442,8 @@
     }
 
     /**
-     * How long after the end of its watch, or of an outage, one copy is told; the first call then
-     * hangs.
+     * How long after the end of its watch, or of an outage, one replica is told; the first call
+     * then hangs.
      */
     private static long hang(long seed, Discovery outage) {
         World world = new World(seed, 1, 1000, true);
@@ -461,7 +463,7 @@
         return replica.firstAfter(from) - from;
     }
 
-    /** Guards against a watch on which pieces of an object that never ends count as life. */
+    /** Detects a watch on which pieces of an object that never ends count as life. */
     @Test
     public void anObjectThatNeverEndsIsNoLife() {
         List<String> done = new ArrayList<>();
@@ -486,8 +488,8 @@
     }
 
     /**
-     * Guards against a proxy that waits while discovery has moved, or lists are pushed; what the
-     * new address has counts 4 s later, also where the first call there fails or hangs.
+     * Detects a proxy that waits while discovery has moved, or lists are pushed; what the new
+     * address has counts 4 s later, also where the first call there fails or hangs.
      */
     @Test
     public void itIsAskedAtOnceWhereItMovedAndSoonWhereListsArePushed() {
@@ -528,9 +530,8 @@
     }
 
     /**
-     * Guards against a call at a new address that hangs, and is made anew only after its whole
-     * patience, since discovery had ended a watch at its former one: 4 s are owed after it has
-     * moved.
+     * Detects a call at a new address that hangs, and is made anew only after its whole patience,
+     * since discovery had ended a watch at its former one: 4 s are owed after it has moved.
      */
     @Test
     public void whatAFormerAddressAnsweredSaysNothingOfTheNewOne() {
@@ -558,9 +559,9 @@
     }
 
     /**
-     * Guards against a storm of hedged calls at a discovery that is there and serves few in a
-     * second: one that has its place in the queue is made once, until it was silent for a call's
-     * whole patience.
+     * Detects a storm of hedged calls at a discovery that is there and serves few in a second: one
+     * that has its place in the queue is made once, until it was silent for a call's whole
+     * patience.
      */
     @Test
     public void noCallIsMadeTwiceWhileDiscoveryAnswers() {
@@ -597,7 +598,7 @@
     }
 
     /**
-     * Guards against two that own one wait: what the module asks for meanwhile makes no call, nor a
+     * Detects two that own one wait: what the balancer asks for meanwhile makes no call, nor a
      * later one.
      */
     @Test
@@ -623,9 +624,7 @@
         assertTrue(alone.contains("open 19"), alone.toString());
     }
 
-    /**
-     * Guards against a discovery that ends each watch once it has told being asked without a pause.
-     */
+    /** Detects a discovery that ends each watch once it has told being asked without a pause. */
     @Test
     public void aWatchThatEndsIsOpenedAnewSoonUnlessItEndsAtOnce() {
         List<String> done = new ArrayList<>();
@@ -686,11 +685,11 @@
     }
 
     /**
-     * Guards against a storm: no second sees more calls than there are copies, no 100 ms more than
-     * a fifth of that, and once discovery can answer all have been told before what it has counts
-     * as told, 6 s later; where there are more copies than it can serve by then, within the 10 s
+     * Detects a storm: no second sees more calls than there are replicas, no 100 ms more than a
+     * fifth of that, and once discovery can answer all have been told before what it has counts as
+     * told, 6 s later; where there are more replicas than it can serve by then, within the 10 s
      * that count anew, and 2 s for acting on it. It serves 60 calls a second, and a tenth of the
-     * copies.
+     * replicas.
      */
     @Test
     public void manyCopiesDoNotCrowdDiscovery() {
--- a/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
@@ -39,9 +39,7 @@
                 "nor the next right after");
     }
 
-    /**
-     * Guards against many copies that all wait for a call, and then send their one request at once.
-     */
+    /** Detects many replicas that all wait for a call, and then send their one request at once. */
     @Test
     void aTurnThatIsNotUsedPassesBy() {
         SafetyRules safety = new Site().settings().safety();
--- a/core/src/test/java/cedarrudder/balancer/EndpointSubsetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointSubsetTest.java
@@ -14,10 +14,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Whom copies send to: few each, and all endpoints between them. */
+/** Whom replicas send to: few each, and all endpoints between them. */
 class EndpointSubsetTest {
 
-    /** The endpoints that each of some copies sends to, over a hundred quick calls. */
+    /** The endpoints that each of some replicas sends to, over a hundred quick calls. */
     private static Map<Integer, Set<Long>> used(int replicas, int endpoints) {
         Map<Integer, Set<Long>> used = new HashMap<>();
         Site site = new Site();
--- a/core/src/test/java/cedarrudder/balancer/ExampleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ExampleTest.java
@@ -22,7 +22,7 @@
     void theLibrarysPageShowsItAsItIs() throws IOException {
         String source =
                 Files.readString(Path.of("core/src/test/java/cedarrudder/balancer/Example.java"));
-        int from = source.indexOf("    /** One copy");
+        int from = source.indexOf("    /** One replica");
         String body = source.substring(from, source.indexOf("    private Example"));
         String shown = body.stripTrailing().stripIndent();
         assertTrue(Files.readString(Path.of("docs/LIBRARY.md")).contains(shown));
--- a/core/src/test/java/cedarrudder/balancer/FormerIncarnationTest.java
+++ b/core/src/test/java/cedarrudder/balancer/FormerIncarnationTest.java
@@ -71,7 +71,7 @@
         now += 900 * MS; // its cold budget would allow a request by now
     }
 
-    /** Guards against a node that has just started being picked by what it reported before. */
+    /** Detects an endpoint that has just started being picked by what it reported before. */
     @Test
     public void whatAnEndpointReportedBeforeItsRestartIsForgotten() {
         learn();
@@ -79,7 +79,7 @@
         assertEquals(request(), 2, "only what is known of the other counts");
     }
 
-    /** Guards against the same, where the report was on its way. */
+    /** Detects the same, where the report was on its way. */
     @Test
     public void anAnswerToAProbeFromBeforeTheRestartIsNotTaken() {
         learn();
--- a/core/src/test/java/cedarrudder/balancer/InternalFaultTest.java
+++ b/core/src/test/java/cedarrudder/balancer/InternalFaultTest.java
@@ -56,7 +56,7 @@
         return did.timers.get(0);
     }
 
-    /** Guards against a copy that, after one fault, never again asks for a load by itself. */
+    /** Detects a replica that, after one fault, never again asks for a load by itself. */
     @Test
     public void theTickGoesOnAfterAProbeThatFailed() {
         decide.onEndpoints(1000 * MS, EndpointListKind.FULL, Site.readyUpTo(2));
@@ -67,8 +67,7 @@
     }
 
     /**
-     * Guards against requests that wait in line for their deadlines, since one of them could not be
-     * told.
+     * Detects requests that wait in line for their deadlines, since one of them could not be told.
      */
     @Test
     public void thoseThatWaitAreToldAfterOneThatCouldNotBe() {
--- a/core/src/test/java/cedarrudder/balancer/PrequalBalancerTest.java
+++ b/core/src/test/java/cedarrudder/balancer/PrequalBalancerTest.java
@@ -55,7 +55,7 @@
 
     private static final Endpoint[] THREE = {Site.ready(1), Site.ready(2), Site.ready(3)};
 
-    // ---- second copies ----
+    // ---- hedged requests ----
 
     /** Twenty answers of 10 ms for work of 20 ms, then one request that stays out. */
     private PrequalBalancer startLate(RequestClass kind, Endpoint... endpoints) {
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Guards against a repeat that is given up since chance did not find the few endpoints that may
-     * take it: a cell has some, however long the list is.
+     * Detects a repeat that is given up since chance did not find the few endpoints that may take
+     * it: a cell has some, however long the list is.
      */
     @Test
     void findsTheCellOfARepeatInALongList() {
@@ -152,7 +152,7 @@
         assertEquals(1, did.sent.size());
     }
 
-    /** Guards against an answer that forbids a repeat, at its deadline, of what never ran. */
+    /** Detects an answer that forbids a repeat, at its deadline, of what never ran. */
     @Test
     void refusesAtTheDeadlineWhatCanNotHaveRun() {
         PrequalBalancer decide = startLate(Site.KEYED_IN_CELL, THREE);
@@ -183,9 +183,7 @@
         assertTrue(did.sent.isEmpty());
     }
 
-    /**
-     * Guards against holding a request for an endpoint when nothing may be sent for it any more.
-     */
+    /** Detects holding a request for an endpoint when nothing may be sent for it any more. */
     @Test
     void endsAtOnceByItsClassWhatMayNotBeSentAgain() {
         for (RequestClass kind : List.of(Site.SAFE, Site.KEYED_IN_CELL, Site.UNSAFE)) {
@@ -338,8 +336,7 @@
     }
 
     /**
-     * Guards against a repeat in the cell that an endpoint has moved to since it got the first
-     * attempt.
+     * Detects a repeat in the cell that an endpoint has moved to since it got the first attempt.
      */
     @Test
     void resendsWithinTheCellInWhichTheFirstAttemptRan() {
@@ -420,9 +417,7 @@
 
     // ---- what was sent, and has not begun ----
 
-    /**
-     * Guards against an attempt that begins where nothing new may go: its connection came up late.
-     */
+    /** Detects an attempt that begins where nothing new may go: its connection came up late. */
     @Test
     void deniesWhatWasSentToAnEndpointThatHasLeftSince() {
         List<List<Endpoint>> lists =
@@ -445,7 +440,7 @@
         }
     }
 
-    /** Guards against a repeat of what has run, begun when endpoints have forgotten its key. */
+    /** Detects a repeat of what has run, begun when endpoints have forgotten its key. */
     @Test
     void deniesARepeatThatHasNotBegunWithinItsWindow() {
         for (RequestClass kind : List.of(Site.KEYED, Site.KEYED_IN_CELL, Site.SAFE)) {
@@ -490,7 +485,7 @@
         assertEquals(Outcome.NOT_STARTED, decide.startDenial(now, 9, 0));
     }
 
-    /** Guards against a request that leaves the line for an endpoint though its client is gone. */
+    /** Detects a request that leaves the line for an endpoint though its client is gone. */
     @Test
     void sendsNothingOnceItsClientHasLeftTheLine() {
         PrequalBalancer decide = startWith(Site.UNSAFE);
@@ -513,7 +508,7 @@
         assertEquals(21, did.sent.size());
     }
 
-    /** Guards against the end of one node's life closing the idle connections to all others. */
+    /** Detects the end of one endpoint's life closing the idle connections to all others. */
     @Test
     void keepsItsConnectionsAfterACallToOneThatHasLeft() {
         PrequalBalancer decide = startWith(Site.SAFE, THREE);
@@ -698,8 +693,8 @@
     }
 
     /**
-     * Guards against a limit that falls to one call where answers are slow for another reason than
-     * too many of them: endpoints may always hold four, of which a third are this copy's.
+     * Detects a limit that falls to one call where answers are slow for another reason than too
+     * many of them: endpoints may always hold four, of which a third are this replica's.
      */
     @Test
     void turnsNothingAwayThatEndpointsMayAlwaysHold() {
--- a/core/src/test/java/cedarrudder/balancer/ProbePoolTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ProbePoolTest.java
@@ -198,9 +198,9 @@
     }
 
     /**
-     * Guards against a pool that is untrue to what nodes reported: an old report over a newer one,
-     * one that counts twice, one of a former life, one that outlives its age, its place or its
-     * node's listing.
+     * Detects a pool that is untrue to what endpoints reported: an old report over a newer one, one
+     * that counts twice, one of a former life, one that outlives its age, its place or its
+     * endpoint's listing.
      */
     @Test(dataProvider = "seeds")
     public void thePoolIsWhatTheReportsSay(long seed) {
@@ -213,7 +213,7 @@
                 pools.filled >= 4 && pools.picked > STEPS / 4, pools.filled + " " + pools.picked);
     }
 
-    /** Guards against a comparison that can't fail. */
+    /** Detects a comparison that can't fail. */
     @Test(
             expectedExceptions = AssertionError.class,
             expectedExceptionsMessageRegExp = "seed \\d+, first .*")
--- a/core/src/test/java/cedarrudder/balancer/Recorder.java
+++ b/core/src/test/java/cedarrudder/balancer/Recorder.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps what a copy does, one line an action, and what tests ask for most. */
+/** Keeps what a replica does, one line an action, and what tests ask for most. */
 final class Recorder implements LoadBalancer.Actions {
     record Sent(long request, long endpoint) {}
 
--- a/core/src/test/java/cedarrudder/balancer/ReferenceProbePool.java
+++ b/core/src/test/java/cedarrudder/balancer/ReferenceProbePool.java
@@ -17,7 +17,7 @@
  */
 final class ReferenceProbePool {
 
-    /** A probe that went out, with this copy's own requests there at that time. */
+    /** A probe that went out, with this replica's own requests there at that time. */
     private record Asked(long at, EndpointState server, int own) {}
 
     /** What came back, and when the probe that it answers was sent. */
@@ -56,7 +56,7 @@
         roster = servers;
     }
 
-    /** The reports that count now, of those that may hold so many places. */
+    /** The reports that count now, of those that may hold this many places. */
     List<Valid> valid(long now) {
         List<Valid> valid = new ArrayList<>();
         for (int i = 0; i < history.size(); i++) {
