--- a/core/src/test/java/cedarrudder/balancer/RulesModel.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesModel.java
@@ -38,7 +38,7 @@
 
     private record Taken(long at, long request, RequestClass kind) implements Event {}
 
-    /** The last byte of the request came; its caller waits until then. */
+    /** The last byte of the request came; its client waits until then. */
     private record Whole(long at, long request, long answerBy) implements Event {}
 
     private record Sent(long at, long request, int attempt, String node) implements Event {}
@@ -71,8 +71,8 @@
     private final long slack;
 
     /**
-     * @param copies whether two attempts of an RPC may be out at once
-     * @param capacity requests a second that a warm node bears
+     * @param copies whether two attempts of a request may be out at once
+     * @param capacity requests a second that a warm endpoint bears
      * @param slack how much later than it should be an answer still counts
      */
     RulesModel(int maxAttempts, boolean copies, SafetyRules safety, double capacity, long slack) {
@@ -110,7 +110,7 @@
         history.add(new Told(now, node, state, zone, cell, startedAt));
     }
 
-    /** Operators have disabled a node, or put it back. */
+    /** Operators have disabled an endpoint, or put it back. */
     void barred(long now, String node, boolean barred) {
         history.add(new Barred(now, node, barred));
     }
@@ -169,7 +169,7 @@
     }
 
     /**
-     * The caller gets its answer; {@code by} is the attempt whose answer it is, where it is served.
+     * The client gets its answer; {@code by} is the attempt whose answer it is, where it is served.
      */
     void answered(long now, long request, Answer how, int by) {
         check(open(request), "a second answer", "rpc " + request);
@@ -195,7 +195,7 @@
         history.add(new Answered(now, request));
     }
 
-    /** By now each RPC whose time is over has its answer. */
+    /** By now each request whose time is over has its answer. */
     void checkAllAnswered(long now) {
         for (Event event : sinceKill()) {
             if (event instanceof Whole whole && now > whole.answerBy() + slack) {
@@ -274,7 +274,7 @@
                 .orElse(null);
     }
 
-    /** What was last told of a node; null where it was never listed. */
+    /** What was last told of an endpoint; null where it was never listed. */
     private Told told(String node) {
         Told last = null;
         for (Event event : sinceKill()) {
@@ -291,7 +291,7 @@
         return last;
     }
 
-    /** Since when a node may get nothing new; {@link Long#MAX_VALUE} where it may. */
+    /** Since when an endpoint may get nothing new; {@link Long#MAX_VALUE} where it may. */
     private long offLimitsSince(String node) {
         long listed = Long.MAX_VALUE;
         long barred = Long.MAX_VALUE;
@@ -311,9 +311,9 @@
     }
 
     /**
-     * A node that started a short while ago has got no more within the window that ends now than
-     * the budget allows for its capacity now. Each send ends a window, so every window is looked
-     * at.
+     * An endpoint that started a short while ago has got no more within the window that ends now
+     * than the budget allows for its capacity now. Each send ends a window, so every window is
+     * looked at.
      */
     private void checkCold(long now, Told told) {
         long age = now - told.startedAt();
--- a/core/src/test/java/cedarrudder/balancer/RulesTest.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesTest.java
@@ -10,7 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The real driver, module and overlay of nodes by hand, step by step beside the model of the rules.
+ * The real driver, module and overlay of endpoints by hand, step by step beside the model of the
+ * rules.
  */
 public class RulesTest {
 
@@ -45,14 +46,14 @@
                 .toArray(Object[][]::new);
     }
 
-    /** Guards against any rule broken by a history that is legal but odd. */
+    /** Detects any rule broken by a history that is legal but odd. */
     @Test(dataProvider = "seeds")
     public void theRulesHoldWhateverHappens(long seed) {
         RulesWorld world = play(seed, Fault.NONE);
         assertTrue(world.served() > RPCS / 8, "served " + world.served());
     }
 
-    /** Guards against decisions that depend on anything but the events. */
+    /** Detects decisions that depend on anything but the events. */
     @Test
     public void theSameEventsMakeTheSameActions() {
         for (long seed = 1; seed <= 3; seed++) {
@@ -68,9 +69,7 @@
                 .toArray(Object[][]::new);
     }
 
-    /**
-     * Guards against a model that can't fail: each rule is broken on purpose, and must be named.
-     */
+    /** Detects a model that can't fail: each rule is broken on purpose, and must be named. */
     @Test(dataProvider = "faults")
     public void aPartMadeWrongIsCaught(Fault fault) {
         String said = "nothing";
--- a/core/src/test/java/cedarrudder/balancer/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesWorld.java
@@ -35,8 +35,8 @@
 import java.util.TreeSet;
 
 /**
- * A world of legal but odd events round the real driver, module and overlay of nodes by hand, with
- * the model of the rules beside them: each step is told to both. All is drawn from one seed. A
+ * A world of legal but odd events round the real driver, module and overlay of endpoints by hand,
+ * with the model of the rules beside them: each step is told to both. All is drawn from one seed. A
  * {@link Fault} makes one part wrong on purpose, which the model must catch.
  */
 final class RulesWorld {
@@ -76,14 +76,14 @@
     private static final int MAX_AWAY = 3;
     private static final long STRANGER = 999;
 
-    /** These show only where the module lets each attempt begin. */
+    /** These show only where the balancer lets each attempt begin. */
     private static final Set<Fault> DENIES_NOTHING =
             Set.of(
                     Fault.RESENDS_SINGLE_SEND,
                     Fault.BEGINS_ON_DRAINING,
                     Fault.BEGINS_AFTER_THE_WINDOW);
 
-    /** Each warm node bears so many requests a second, and so many come in all. */
+    /** Each warm endpoint bears this many requests a second, and this many come in all. */
     private static final double CAPACITY = 12;
 
     private static final long BETWEEN = 25 * MS;
@@ -103,14 +103,14 @@
                                     ? Long.compare(a.at, b.at)
                                     : Long.compare(a.order, b.order));
 
-    /** The nodes as they are, and as they were when an old list was made. */
+    /** The endpoints as they are, and as they were when an old list was made. */
     private final Map<String, Endpoint> nodes = new TreeMap<>();
 
     private Map<String, Endpoint> old = Map.of();
     private final TreeSet<String> disabled = new TreeSet<>();
     private final Map<Long, Exchange<String, String>> uploading = new HashMap<>();
 
-    /** The RPCs whose callers have gone, though the driver may not have heard of it. */
+    /** The requests whose clients have gone, though the driver may not have heard of it. */
     private final Set<Long> gone = new HashSet<>();
 
     private Map<Long, String> known = new HashMap<>();
@@ -155,7 +155,7 @@
 
     // ---- the run ----
 
-    /** Plays so many RPCs; an error tells the seed's prefix by the number of events. */
+    /** Plays this many requests; an error tells the seed's prefix by the number of events. */
     void run(int requests) {
         for (int i = 1; i <= NODES; i++) {
             nodes.put("n" + i, Site.endpoint(i, i % 2, i % 3, EndpointStatus.READY, 0));
@@ -309,7 +309,7 @@
                         }));
     }
 
-    /** What the module does, before the driver sees it. */
+    /** What the balancer does, before the driver sees it. */
     private void act(String action, Object[] a) {
         transcript.append(now).append(' ').append(action).append(' ').append(a[0]).append('\n');
         if (action.equals("startAttempt")) {
@@ -329,7 +329,7 @@
         }
     }
 
-    /** What the module hears, before it does. */
+    /** What the balancer hears, before it does. */
     @SuppressWarnings("unchecked")
     private void hear(String event, Object[] a) {
         if (event.equals("onEndpoints")) {
@@ -367,7 +367,7 @@
         }
     }
 
-    // ---- nodes and discovery ----
+    // ---- endpoints and discovery ----
 
     private void happen() {
         String name = "n" + (1 + random.nextInt(NODES));
@@ -396,7 +396,7 @@
         }
         for (Map.Entry<String, Endpoint> away : List.copyOf(nodes.entrySet())) {
             if (away.getValue().status() != EndpointStatus.READY && random.nextInt(6) == 0) {
-                // Back after a restart, or the drain was called off.
+                // Back after a restart, or the drain was cancelled.
                 boolean restarted =
                         away.getValue().status() == EndpointStatus.REMOVED || random.nextBoolean();
                 change(
@@ -408,7 +408,9 @@
         }
     }
 
-    /** In one seed of two shares take the place of others, or of none; a zone may have no node. */
+    /**
+     * In one seed of two shares take the place of others, or of none; a zone may have no endpoint.
+     */
     private void share() {
         if (shared && random.nextInt(3) == 0) {
             int far = random.nextInt(4);
@@ -507,7 +509,7 @@
         }
     }
 
-    // ---- callers ----
+    // ---- clients ----
 
     private void arrive() {
         long requestId = ++lastRequest;
@@ -551,7 +553,7 @@
         }
     }
 
-    /** The caller has gone; the driver hears of it at once, or some time later. */
+    /** The client has gone; the driver hears of it at once, or some time later. */
     private void leave(long requestId, Exchange<String, String> exchange) {
         uploading.remove(requestId);
         gone.add(requestId);
@@ -643,7 +645,7 @@
     }
 
     /**
-     * Nodes, whose outcomes come late, twice, in another order, and of what was given up; and
+     * Endpoints, whose outcomes come late, twice, in another order, and of what was given up; and
      * connections to them, of which some come up late.
      */
     private final class Client implements AttemptTransport<String, String> {
@@ -744,7 +746,7 @@
         public void sendProbe(long endpoint) {
             long lasts = random.nextLong(60 * MS);
             Outcome outcome = random.nextInt(6) == 0 ? Outcome.TIMEOUT : Outcome.OK;
-            // A node that has just started reads empty and quick.
+            // An endpoint that has just started reads empty and quick.
             boolean fresh =
                     nodes.values().stream().anyMatch(n -> n.id() == endpoint && !settled(n));
             LoadBalancer.LoadReport load =
--- a/core/src/test/java/cedarrudder/balancer/Steps.java
+++ b/core/src/test/java/cedarrudder/balancer/Steps.java
@@ -16,7 +16,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Random steps of all kinds for one copy among thirty endpoints in three zones, drawn from a seed.
+ * Random steps of all kinds for one replica among thirty endpoints in three zones, drawn from a
+ * seed.
  */
 final class Steps {
 
@@ -57,7 +58,7 @@
         take();
     }
 
-    /** Plays so many steps. */
+    /** Plays this many steps. */
     void play(int steps) {
         for (int i = 0; i < steps; i++) {
             now += random.nextLong(8 * MS);
--- a/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
@@ -20,7 +20,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Calls keep to the zones that have shares. The copy is in zone 0; endpoint 10 z + i is in zone z.
+ * Calls keep to the zones that have shares. The replica is in zone 0; endpoint 10 z + i is in zone
+ * z.
  */
 public class ZoneTrafficShareTest {
 
@@ -112,7 +113,7 @@
         }
     }
 
-    /** So many calls, one in so long, each served at once; how many went to each zone. */
+    /** This many calls, one in so long, each served at once; how many went to each zone. */
     private int[] serve(int calls, long every) {
         int[] zones = new int[ZONES];
         for (int i = 0; i < calls; i++) {
@@ -135,7 +136,7 @@
     // ---- without shares ----
 
     /**
-     * Guards against shares that cost a copy without a table anything: all that it does, with every
+     * Detects shares that cost a replica without a table anything: all that it does, with every
      * argument, is what the build before them did. The figures are that build's. Whoever changes
      * decisions on purpose puts his own here, and says so.
      */
@@ -149,7 +150,7 @@
         }
     }
 
-    /** Guards against an empty list that draws from the random source, or unsettles the roster. */
+    /** Detects an empty list that draws from the random source, or unsettles the roster. */
     @Test
     public void anEmptyListChangesNothing() {
         for (int seed = 1; seed <= 3; seed++) {
@@ -189,10 +190,7 @@
         assertEquals(zones[1], 250, 3);
     }
 
-    /**
-     * Guards against probes, connections and entries of the pool that stay where nothing may be
-     * sent.
-     */
+    /** Detects probes, connections and entries of the pool that stay where nothing may be sent. */
     @Test
     public void probesAndConnectionsMoveAtOnce() {
         serve(300, 5 * MS);
@@ -260,7 +258,7 @@
     }
 
     /**
-     * Guards against overload of one zone that pulls down the next: its nodes are full, and not
+     * Detects overload of one zone that pulls down the next: its endpoints are full, and not
      * unsound.
      */
     @Test
@@ -277,7 +275,7 @@
         assertEquals(did.refused.size(), 100 - EACH * 4);
     }
 
-    /** Guards against a table that holds calls in a zone which is dead, as this copy can see. */
+    /** Detects a table that holds calls in a zone which is dead, as this replica can see. */
     @Test
     public void aDeadZoneIsLeftBeforeTheTableSaysSo() {
         shares(share(1, 10_000));
@@ -337,7 +335,7 @@
         assertEquals(zones[2], 2_000 - zones[1]);
     }
 
-    /** Guards against a bound that holds only until the other zones are full. */
+    /** Detects a bound that holds only until the other zones are full. */
     @Test
     public void aBoundHoldsWhereTheOtherZonesAreFull() {
         decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 5_000, 2), share(2, 5_000)));
@@ -349,10 +347,7 @@
         assertEquals(did.sent.size(), 1 + EACH * 4, "each holds four");
     }
 
-    /**
-     * Guards against calls that wait for a bound: they are refused at once, and none that may run
-     * is.
-     */
+    /** Detects calls that wait for a bound: they are refused at once, and none that may run is. */
     @Test
     public void whatIsOverAllBoundsIsRefusedAtOnce() {
         int served = 0;
@@ -437,7 +432,7 @@
         }
     }
 
-    /** Guards against a table that is wrong taking the place of none. */
+    /** Detects a table that is wrong taking the place of none. */
     @Test
     public void whatIsWrongAtFirstHoldsNothing() {
         assertThrows(
--- a/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
+++ b/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
@@ -11,8 +11,7 @@
 public class BodyFlowTest {
 
     /**
-     * Guards against a window that costs thirty times its bytes, since each came in a piece of its
-     * own.
+     * Detects a window that costs thirty times its bytes, since each came in a piece of its own.
      */
     @Test
     public void aWindowOfSingleBytesIsKeptInFewPieces() {
@@ -30,7 +29,7 @@
         assertEquals(account.held(), 0);
     }
 
-    /** Guards against bytes lost, doubled or out of order as small pieces are joined. */
+    /** Detects bytes lost, doubled or out of order as small pieces are joined. */
     @Test
     public void whatIsTakenIsWhatWasPut() {
         long seed = 20261201;
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -132,7 +132,7 @@
         assertEquals(further(budgets(1), call(budgets(1), BEST, said(999, 0, false))), 3);
     }
 
-    /** The same request by two paths, or the calls of one node one after another. */
+    /** The same request by two paths, or the calls of one endpoint one after another. */
     @Test
     public void callsUnderOneGrantShareOneBudgetWhateverTheySay() {
         Budgets budgets = budgets(1);
@@ -143,7 +143,7 @@
         assertEquals(further(budgets, call(budgets, BEST, said(2, 78, false, "tier-0"))), 2);
     }
 
-    /** Guards against a flood of made-up grants pushing out one that is spent. */
+    /** Detects a flood of made-up grants pushing out one that is spent. */
     @Test
     public void aFullTableOfGrantsGivesNothingAndIsFreeAgainWhenTheyExpire() {
         SharedBudgets grants = new SharedBudgets();
@@ -181,8 +181,9 @@
     }
 
     /**
-     * Three tiers with nodes that call on once or twice and copy what they were given or some of
-     * it, and attempts that end in every way: the further attempts of a tree never pass its budget.
+     * Three tiers with endpoints that call on once or twice and copy what they were given or some
+     * of it, and attempts that end in every way: the further attempts of a tree never pass its
+     * budget.
      */
     @Test
     public void noTreeSpendsMoreThanItsBudget() {
@@ -314,7 +315,7 @@
         }
     }
 
-    /** A caller that doesn't say how long it waits, and leaves, has shown it. */
+    /** A client that doesn't say how long it waits, and leaves, has shown it. */
     @Test
     public void callersWhoLeaveTeachTheSafeWait() {
         Budgets budgets = budgets(0);
@@ -403,7 +404,7 @@
     }
 
     /**
-     * So many answers, the first of which say overload; as many of the least worth come as of the
+     * This many answers, the first of which say overload; as many of the least worth come as of the
      * best.
      */
     private void overloaded(Budgets budgets, int overloads, int answers) {
@@ -421,7 +422,8 @@
     }
 
     /**
-     * A few answers prove nothing, and one in ten is what a node that died makes of a good tier.
+     * A few answers prove nothing, and one in ten is what an endpoint that died makes of a good
+     * tier.
      */
     @Test
     public void nobodyIsTurnedAwayForAFewAnswersOrASmallPartOfThem() {
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -23,10 +23,7 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/**
- * What travels and is kept. Guards against garbage that throws, and against what changes on its
- * way.
- */
+/** What travels and is kept. Detects garbage that throws, and against what changes on its way. */
 public class DrainCommandCodecTest {
 
     private static final DrainPolicy POLICY =
@@ -102,7 +99,7 @@
         assertEquals(DrainReport.decode(report.encode()), report);
     }
 
-    /** Guards against a command or a report that another build of the same tier can't read. */
+    /** Detects a command or a report that another build of the same tier can't read. */
     @Test
     public void theFormIsThatOfTheEarlierBuild() {
         StringBuilder forms = new StringBuilder();
@@ -124,7 +121,7 @@
         Golden.check("drain-commands.txt", forms.toString());
     }
 
-    /** Guards against what does not fit a report, or what copies may hand on. */
+    /** Detects what does not fit a report, or what replicas may hand on. */
     @Test
     public void theLargestPartsFit() {
         for (byte[] bytes : good().subList(0, 2)) {
--- a/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -19,13 +19,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Single turns of drains between two copies, of which the first leads. */
+/** Single turns of drains between two replicas, of which the first leads. */
 public class DrainCoordinatorTest {
 
     private static final long PERIOD = 500_000_000L;
     private static final int REPLICAS = 2;
 
-    /** A copy with what it has. */
+    /** A replica with what it has. */
     private final class Copy implements DrainCoordinator.Local, DrainCoordinator.Actions {
         private final Map<Long, Integer> calls = new HashMap<>();
         private Set<Long> disabled = Set.of();
@@ -155,7 +155,7 @@
                 List.of(new DrainCommand.Wait(0, DrainCommand.Bound.TIER, 1)));
     }
 
-    /** Guards against a wave that begins on the word of some. */
+    /** Detects a wave that begins on the word of some. */
     @Test
     public void aLiveCopyThatSaysNothingHoldsWavesUp() {
         leader.drains.policies(1, List.of(policy(2, "", "", 6)));
@@ -169,8 +169,7 @@
     }
 
     /**
-     * Guards against what a process had said counting for long for the one that began anew in its
-     * place.
+     * Detects what a process had said counting for long for the one that began anew in its place.
      */
     @Test
     public void whatACopySaidLongAgoDoesNotCount() {
@@ -271,7 +270,7 @@
                 List.of(new DrainCoordinator.Ended(0, DrainEvent.RETURNED)));
     }
 
-    /** Guards against a drain that goes on for good: at the end of its time the log says so. */
+    /** Detects a drain that goes on for good: at the end of its time the log says so. */
     @Test
     public void oneWhoseTimeIsUpIsOverdueUntilItIsEmpty() {
         other.calls.put(0L, 1);
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -19,8 +19,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Copies in virtual time over a log that orders what they propose, and loses some of it with its
- * leader. It judges by what is true: which copy sends where, and who has calls at whom.
+ * Replicas in virtual time over a log that orders what they propose, and loses some of it with its
+ * leader. It judges by what is true: which replica sends where, and who has calls at whom.
  */
 final class DrainSimulation {
 
@@ -238,7 +238,7 @@
         wrong = wrong == null ? what + " at " + (now - START) / MILLI + " ms" : wrong;
     }
 
-    /** A digest of all that was committed, and of the state that copies had after each. */
+    /** A digest of all that was committed, and of the state that replicas had after each. */
     Golden.Digest history() {
         Golden.Digest digest = new Golden.Digest();
         log.forEach(digest::add);
@@ -422,7 +422,8 @@
     }
 
     /**
-     * Never more out by drains than each policy allows, with those that some copy still leaves out.
+     * Never more out by drains than each policy allows, with those that some replica still leaves
+     * out.
      */
     private void outs() {
         Set<Long> out = new HashSet<>();
--- a/core/src/test/java/cedarrudder/draining/DrainSimulationTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulationTest.java
@@ -7,10 +7,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Random worlds: copies that die, stall and join, leaders that are replaced with steps under way,
- * lost and doubled reports, nodes that fail and restart. Guards against more out than the strictest
- * policy allows, a drain said done while a live copy has calls there, one open past its time, and
- * copies that disagree.
+ * Random worlds: replicas that die, stall and join, leaders that are replaced with steps under way,
+ * lost and doubled reports, nodes that fail and restart. Detects more out than the strictest policy
+ * allows, a drain said done while a live replica has calls there, one open past its time, and
+ * replicas that disagree.
  */
 public class DrainSimulationTest {
 
--- a/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The table of states and events, walked whole by commands. Guards against an event that comes
- * twice, late or overtaken by another doing what nobody asked for.
+ * The table of states and events, walked whole by commands. Detects an event that comes twice, late
+ * or overtaken by another doing what nobody asked for.
  */
 public class DrainTransitionsTest {
 
@@ -90,10 +90,7 @@
         }
     }
 
-    /**
-     * Guards against what a leader found out before others did counting after it: two waves at
-     * once.
-     */
+    /** Detects what a leader found out before others did counting after it: two waves at once. */
     @Test
     public void aStepThatSawAnotherStateChangesNothing() {
         DrainStateMachine agreed = new DrainStateMachine();
--- a/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
@@ -15,8 +15,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Policies that are well formed, and wrong. Guards against a check that always fails, and one that
- * can't.
+ * Policies that are well formed, and wrong. Detects a check that always fails, and one that can't.
  */
 public class PolicyValidatorTest {
 
--- a/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What many copies' evidence comes to, and what is planned upon it. Zones 0 to 2 are one region, 3
- * and 4 another.
+ * What many replicas' evidence comes to, and what is planned upon it. Zones 0 to 2 are one region,
+ * 3 and 4 another.
  */
 public class TrafficSplitPlannerTest {
 
@@ -39,7 +39,7 @@
                                     new Region("east", List.of("a", "b", "c"), List.of()),
                                     new Region("west", List.of("d", "e"), List.of()))));
 
-    /** What is true, seen by copies without any noise; calls go where the table says. */
+    /** What is true, seen by replicas without any noise; calls go where the table says. */
     private static final class Play {
         final int[] zoneOf = new int[ZONES * REPLICAS];
         final ZoneHealthAggregator assessment;
@@ -48,7 +48,7 @@
         final double[] able = new double[ZONES];
         final double[] demand = new double[ZONES];
 
-        /** Nodes there have just started, which the list tells. */
+        /** Endpoints there have just started, which the list tells. */
         final boolean[] cold = new boolean[ZONES];
 
         final Set<Integer> broken = new TreeSet<>();
@@ -212,11 +212,8 @@
         return play;
     }
 
-    /** Guards against calls that leave their zone for nothing. */
-    /**
-     * Guards against refusing what is lost at night: of zones that are nearly idle nothing is
-     * learned.
-     */
+    /** Detects calls that leave their zone for nothing. */
+    /** Detects refusing what is lost at night: of zones that are nearly idle nothing is learned. */
     @Test
     public void zonesThatAreNearlyIdleTakeAllThatIsLost() {
         Play play = new Play();
@@ -281,7 +278,7 @@
         assertTrue(last > 9_900, play.table.toString());
     }
 
-    /** Guards against the second zone falling over what the first one lost. */
+    /** Detects the second zone falling over what the first one lost. */
     @Test
     public void whatFitsNowhereStaysUnserved() {
         Play play = calm();
@@ -313,7 +310,7 @@
     }
 
     /**
-     * F1. Guards against one copy's broken link, and one zone's copies, moving what others are
+     * F1. Detects one replica's broken link, and one zone's replicas, moving what others are
      * served.
      */
     @Test
@@ -322,12 +319,12 @@
         play.broken.add(5);
         play.seconds(60);
         assertEquals(play.moves, List.of());
-        play.broken.addAll(List.of(4, 6, 7)); // all copies of zone 1: the others are served there
+        play.broken.addAll(List.of(4, 6, 7)); // all replicas of zone 1: the others are served there
         play.seconds(60);
         assertEquals(play.moves, List.of());
     }
 
-    /** Guards against a zone that comes and goes taking the traffic with it each time. */
+    /** Detects a zone that comes and goes taking the traffic with it each time. */
     @Test
     public void aZoneThatComesAndGoesMovesABoundedNumberOfTimes() {
         for (int half : new int[] {3, 10, 20}) {
@@ -347,7 +344,7 @@
         }
     }
 
-    /** The bound by itself, where no hold helps: guards against moves without end. */
+    /** The bound by itself, where no hold helps: detects moves without end. */
     @Test
     public void theBoundOnMovesHoldsWithoutAnyHold() {
         FailoverSettings hasty =
@@ -389,7 +386,7 @@
         return new ZoneObservations(replica, replica / REPLICAS, 1, 1, 0, 500, 30, 0, seen);
     }
 
-    /** Guards against a zone's word that is one copy's, or that of copies with a broken link. */
+    /** Detects a zone's word that is one replica's, or that of replicas with a broken link. */
     @Test
     public void oneCopyAndBrokenLinksAreNoWordOfTheirZone() {
         Play play = new Play();
@@ -406,7 +403,7 @@
         assertEquals(play.assessment.picture(0).zones().get(1).bad(), Set.of(), "served nowhere");
     }
 
-    /** What an operator leaves goes as a loss does, but nothing of it is turned away. */
+    /** What an operator leaves goes as a loss does, but nothing of it is rejected. */
     @Test
     public void anEvacuatedZoneServesWhatFitsNowhereElse() {
         Play play = calm();
@@ -422,7 +419,7 @@
         assertTrue(sum > 9_990, play.table.toString());
     }
 
-    /** Guards against words that are old, of a former life, or of copies that are cut off. */
+    /** Detects words that are old, of a former life, or of replicas that are cut off. */
     @Test
     public void oldWordsCountNothing() {
         Play play = calm();
--- a/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
+++ b/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What a copy says it saw: as bytes, and as it is counted. */
+/** What a replica says it saw: as bytes, and as it is counted. */
 public class ZoneObservationsTest {
 
     private static final long SEED = 4;
@@ -56,10 +56,7 @@
                 seen);
     }
 
-    /**
-     * Guards against evidence that is another once it has travelled, or is too long for its
-     * datagram.
-     */
+    /** Detects evidence that is another once it has travelled, or is too long for its datagram. */
     @Test
     public void whatIsWrittenIsRead() {
         Random random = new Random(SEED);
@@ -107,7 +104,7 @@
         assertEquals(usual.encode(ZoneObservations.MAX_BYTES).size(), 1);
     }
 
-    /** Guards against a peer that ends this process, or has it keep what can't be. */
+    /** Detects a peer that ends this process, or has it keep what can't be. */
     @Test
     public void garbageIsNone() {
         Random random = new Random(SEED);
@@ -150,7 +147,7 @@
         return tally;
     }
 
-    /** Guards against calls counted for another zone, and cold nodes taken for warm ones. */
+    /** Detects calls counted for another zone, and cold endpoints taken for warm ones. */
     @Test
     public void itCountsByZones() {
         ZoneTrafficCounter tally = tally(0);
@@ -165,7 +162,7 @@
                 3 * MILLI,
                 tally.onAttemptSent(0, 9),
                 Outcome.ERROR,
-                null); // a node that is not listed
+                null); // an endpoint that is not listed
         tally.onProbeEnded(3 * MILLI, 3, Outcome.TIMEOUT, null);
         assertEquals(
                 tally.closePeriod(500 * MILLI, 5),
@@ -198,7 +195,7 @@
         assertEquals(next.sequence(), 2);
     }
 
-    /** Guards against a copy that was stopped telling that every zone fell silent. */
+    /** Detects a replica that was stopped telling that every zone fell silent. */
     @Test
     public void aCopyThatStoodStillSaysNothing() {
         ZoneTrafficCounter tally = tally(0);
--- a/core/src/test/java/cedarrudder/footprint/EndpointListFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/EndpointListFootprintTest.java
@@ -18,7 +18,7 @@
         return new EndpointListShape(nodes, nodes * 150L, nodes * 10L, nodes * 37L);
     }
 
-    /** Guards against a verdict that forgets the peak: what fits at rest alone is refused. */
+    /** Detects a verdict that forgets the peak: what fits at rest alone is refused. */
     @Test
     public void whatFitsAtRestAndNotWhileItIsReadIsRefused() {
         EndpointListShape list = list(5_000);
@@ -39,7 +39,7 @@
                         .fits());
     }
 
-    /** Guards against old and new nodes side by side where there is room for either alone. */
+    /** Detects old and new nodes side by side where there is room for either alone. */
     @Test
     public void anotherListOfTheSameSizeFitsInSteps() {
         EndpointListShape list = list(5_000);
@@ -52,9 +52,7 @@
         assertTrue(FOOTPRINT.atPeak(list, list, other.step() + 1, other.step() + 1) > room);
     }
 
-    /**
-     * Guards against operators who hear only that a list does not fit, where it gets in by itself.
-     */
+    /** Detects operators who hear only that a list does not fit, where it gets in by itself. */
     @Test
     public void theStepsAreThoseThatComeWhenTheListIsToldAgainAndAgain() {
         EndpointListShape list = list(5_000);
@@ -76,10 +74,7 @@
                         .fits());
     }
 
-    /**
-     * Guards against changes that are held and can't be told again: of a drain nothing would be
-     * heard.
-     */
+    /** Detects changes that are held and can't be told again: of a drain nothing would be heard. */
     @Test
     public void changesLeaveRoomForTheWholeListToBeReadAgain() {
         EndpointListShape held = list(4_000);
@@ -91,7 +86,7 @@
                 "while the changes are read");
     }
 
-    /** Guards against an estimate that takes time by the node. */
+    /** Detects an estimate that takes time by the node. */
     @Test
     public void anEstimateTakesUnderAMillisecond() {
         EndpointListShape list = list(1_000);
--- a/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
@@ -33,7 +33,7 @@
         return new ProcessShape(list(1_000), 12, 2, 3, 20, table, 50, 20, 0, 0);
     }
 
-    /** Guards against a term that is forgotten in the sum, or counts under another bound. */
+    /** Detects a term that is forgotten in the sum, or counts under another bound. */
     @Test
     public void eachTermAddsToWhatItTakes() {
         MemoryEstimate none = FOOTPRINT.takes(replica(1_000, 0, 0, 0, 0));
@@ -87,7 +87,7 @@
         assertEquals(FOOTPRINT.oneMoreNode(replica(0, 0, 0, 0, 0)), MemoryEstimate.NOTHING);
     }
 
-    /** Guards against a verdict that names a bound which is not the one that binds. */
+    /** Detects a verdict that names a bound which is not the one that binds. */
     @Test
     public void theBoundThatBindsIsNamedWithWhatLacks() {
         ProcessShape replica = replica(10_000, 500, 200, 10, 600_000);
@@ -112,8 +112,7 @@
     }
 
     /**
-     * Guards against an estimate that takes time by the node, or a table read anew for each of its
-     * parts.
+     * Detects an estimate that takes time by the node, or a table read anew for each of its parts.
      */
     @Test
     public void aCopyOfAThousandEntriesIsJudgedInUnderAMillisecondOnceItIsWarm() {
--- a/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -52,7 +52,7 @@
                 List.of());
     }
 
-    /** Guards against a table that most can load, committed, which one copy can't. */
+    /** Detects a table that most can load, committed, which one replica can't. */
     @Test
     public void oneSmallCopyAmongLargeOnesHoldsATableBackInCommon() {
         RouteTable held = table(1, 3, 10);
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Guards against copies that go on deciding for a copy that has started since and can't follow.
+     * Detects replicas that go on deciding for a replica that has started since and can't follow.
      */
     @Test
     public void aTableThatFitsEveryCopyButTheOneThatStartsNextIsKeptAndTheNextOneHeldBack() {
@@ -94,8 +94,7 @@
     }
 
     /**
-     * Guards against a room that promises what loading then takes more for, whatever the table is
-     * like.
+     * Detects a room that promises what loading then takes more for, whatever the table is like.
      */
     @Test
     public void whatTheRoomHoldsIsNeverMoreThanThereIs() {
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -30,8 +30,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What the module is told, and what is carried out, with every part round the driver played by the
- * test.
+ * What the balancer is told, and what is carried out, with every part round the driver played by
+ * the test.
  */
 public class RequestForwarderTest {
 
@@ -100,7 +100,7 @@
         build();
     }
 
-    /** Guards against an RPC that is counted twice, or not at all, however it ended. */
+    /** Detects a request that is counted twice, or not at all, however it ended. */
     @AfterMethod
     public void everyRpcTakenIsCountedOnce() {
         long ended = Arrays.stream(End.values()).mapToLong(how -> figures.ended(0, how)).sum();
@@ -214,9 +214,7 @@
                         "outcome 0 OK settled"));
     }
 
-    /**
-     * Guards against a process that stood still and sends its first RPC by shares that are over.
-     */
+    /** Detects a process that stood still and sends its first request by shares that are over. */
     @Test
     public void sharesAreOverBeforeTheNextEventOnceTheirTimeIs() {
         driver.zoneSharesValidUntil(100);
@@ -249,7 +247,7 @@
         assertEquals(seen, List.of("start 0", "start 1", "outcome 2 NOT_STARTED open"));
     }
 
-    /** Another node may be there: only what may not be sent at all is moot. */
+    /** Another endpoint may be there: only what may not be sent at all is moot. */
     @Test
     public void anAttemptAtAnUnknownNodeCouldNotConnect() {
         knows = false;
@@ -286,7 +284,7 @@
                 new DownstreamFeedback(0, DownstreamFeedback.Why.TRIES, HopPath.EMPTY));
     }
 
-    /** A second copy that is denied leaves the first attempt alone, which may well be served. */
+    /** A hedged request that is denied leaves the first attempt alone, which may well be served. */
     @Test
     public void aSecondCopyThatTheBudgetDeniesLeavesTheFirstAttemptOut() {
         budgets =
@@ -363,7 +361,7 @@
         assertEquals(seen, List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "failed"));
     }
 
-    /** Guards against further attempts for an RPC that has no time left, since its process ends. */
+    /** Detects further attempts for a request that has no time left, since its process ends. */
     @Test
     public void anRpcThatIsCutOffBeforeItsTimeIsEndedAndNotSentAgain() {
         onOutcome =
@@ -382,7 +380,7 @@
                         "failed"));
     }
 
-    /** Guards against a refusal, which invites a repeat, of what may have run. */
+    /** Detects a refusal, which invites a repeat, of what may have run. */
     @Test
     public void anRpcThatTheModuleForgetsFailsWhereItMayHaveRun() {
         accept();
@@ -394,7 +392,7 @@
                 List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "failed", "client left"));
     }
 
-    /** Guards against an answer that forbids a repeat of what was never sent on. */
+    /** Detects an answer that forbids a repeat of what was never forwarded. */
     @Test
     public void anRpcThatTheModuleForgetsIsRefusedWhereItCanNotHaveRun() {
         onRequest =
@@ -408,9 +406,7 @@
         assertEquals(seen, List.of("refused", "client left"));
     }
 
-    /**
-     * Guards against an error of the virtual machine's in one event taking those behind it away.
-     */
+    /** Detects an error of the virtual machine's in one event taking those behind it away. */
     @Test
     public void anErrorInTheModuleIsNoMoreThanAFault() {
         onRequest =
@@ -424,7 +420,7 @@
 
     // ---- the gate before the first byte ----
 
-    /** Takes an RPC whose first attempt waits for its connection. */
+    /** Takes a request whose first attempt waits for its connection. */
     private Exchange<String, String> acceptDialling() {
         dials = true;
         Exchange<String, String> exchange = accept(PropagatedBudget.NOTHING);
@@ -432,9 +428,7 @@
         return exchange;
     }
 
-    /**
-     * Guards against a request that goes out for a caller that left while the connection came up.
-     */
+    /** Detects a request that goes out for a client that left while the connection came up. */
     @Test
     public void whatWaitsForItsConnectionAsItsCallerLeavesNeverBegins() {
         driver.clientLeft(acceptDialling());
@@ -443,7 +437,7 @@
         assertEquals(seen.size(), 3);
     }
 
-    /** Guards against copies that begin after another was served, or began to be. */
+    /** Detects replicas that begin after another was served, or began to be. */
     @Test
     public void whatWaitsForItsConnectionAsAnotherIsServedNeverBegins() {
         for (boolean flows : new boolean[] {false, true}) {
@@ -482,7 +476,7 @@
         assertFalse(driver.mayStart(started.get(0)));
     }
 
-    /** Guards against the same where nobody has read yet that the caller is gone. */
+    /** Detects the same where nobody has read yet that the client is gone. */
     @Test
     public void aCallerIsLookedForAsAnAttemptBegins() {
         acceptDialling();
@@ -491,9 +485,7 @@
         assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "client left"));
     }
 
-    /**
-     * Guards against an attempt for a caller that may have gone unseen; what is out for it goes on.
-     */
+    /** Detects an attempt for a client that may have gone unseen; what is out for it goes on. */
     @Test
     public void nothingBeginsForACallerOutOfSight() {
         acceptDialling();
@@ -522,7 +514,7 @@
     }
 
     /**
-     * Guards against a wait for a connection that nothing may be sent on, while another node may
+     * Detects a wait for a connection that nothing may be forwarded, while another endpoint may
      * take it.
      */
     @Test
@@ -549,7 +541,7 @@
         assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
-    /** Guards against half a body: some of it went out with another attempt. */
+    /** Detects half a body: some of it went out with another attempt. */
     @Test
     public void nothingBeginsWhoseContentIsSpent() {
         acceptDialling().discardContent();
@@ -557,7 +549,7 @@
         assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
-    /** Guards against a caller that waits until its deadline, since the module could not say. */
+    /** Detects a client that waits until its deadline, since the balancer could not say. */
     @Test
     public void aFaultOfTheModulesAtTheGateIsNoMoreThanAFault() {
         acceptDialling();
@@ -571,7 +563,7 @@
 
     // ---- what an attempt that is given up says ----
 
-    /** Guards against an answer that forbids a repeat of what was never sent. */
+    /** Detects an answer that forbids a repeat of what was never sent. */
     @Test
     public void atTheDeadlineWhatWaitsForItsConnectionCouldNotConnect() {
         acceptDialling();
@@ -591,7 +583,7 @@
         assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
-    /** Its last byte is not out, so its node has not begun it. */
+    /** Its last byte is not out, so its endpoint has not begun it. */
     @Test
     public void whatIsHalfWrittenHasNotRun() {
         acceptDialling();
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -436,8 +436,7 @@
     }
 
     /**
-     * Guards against a life's number that nobody ever had: a turned bit once set one that all
-     * believed.
+     * Detects a life's number that nobody ever had: a turned bit once set one that all believed.
      */
     @Test
     public void aTurnedBitAnywhereIsNoMessage() {
--- a/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
@@ -60,7 +60,7 @@
                 limits);
     }
 
-    /** Guards against a table that is another once it has travelled, and two forms of one table. */
+    /** Detects a table that is another once it has travelled, and two forms of one table. */
     @Test
     public void whatIsWrittenIsRead() {
         Random random = new Random(SEED);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Guards against a table that another build of the same tier can't read. */
+    /** Detects a table that another build of the same tier can't read. */
     @Test
     public void theFormIsThatOfTheEarlierBuild() {
         Random random = new Random(SEED);
@@ -95,7 +95,7 @@
         return bytes;
     }
 
-    /** Guards against what the wire did to a table being loaded: each bit, and each length. */
+    /** Detects what the wire did to a table being loaded: each bit, and each length. */
     @Test
     public void whatIsDamagedIsRefused() {
         byte[] good = RouteTableCodec.encode(any(new Random(SEED), 7));
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Guards against a peer's bytes that end the loop, though their checksum fits. */
+    /** Detects a peer's bytes that end the loop, though their checksum fits. */
     @Test
     public void noBytesThrowAndWhatIsReadHasOneForm() {
         Random random = new Random(SEED);
@@ -175,9 +175,7 @@
                 "leaving: found node 5 twice; allowed: once");
     }
 
-    /**
-     * Guards against a stale leader's table taking back what counts, and two tables of one number.
-     */
+    /** Detects a stale leader's table taking back what counts, and two tables of one number. */
     @Test
     public void numbersOnlyRise() {
         Random random = new Random(SEED);
@@ -192,9 +190,7 @@
         assertEquals(tables.current().number(), 9);
     }
 
-    /**
-     * Guards against a change that is missed: a node that stays out, a share or a limit that stays.
-     */
+    /** Detects a change that is missed: a node that stays out, a share or a limit that stays. */
     @Test
     public void theDifferenceAppliedGivesTheNext() {
         Random random = new Random(SEED);
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The table {@code [agreement]}: what copies decide together. Absent, each decides alone. */
+/** The table {@code [agreement]}: what replicas decide together. Absent, each decides alone. */
 public final class AgreementTable extends OperatorSection<AgreementTableSettings> {
 
     public static final AgreementTable AGREEMENT = new AgreementTable();
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTableSettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTableSettings.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * What copies decide together, and how.
+ * What replicas decide together, and how.
  *
- * @param zones the zone of each copy by its number, as the settings name it; empty where there is
- *     one zone
- * @param folder where this copy keeps what it must not forget, or null where it may forget
+ * @param zones the zone of each replica by its number, as the settings name it; empty where there
+ *     is one zone
+ * @param folder where this replica keeps what it must not forget, or null where it may forget
  */
 public record AgreementTableSettings(
         ConsensusSettings agreement, CoordinationSettings fleet, List<String> zones, Path folder) {
--- a/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
+++ b/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
@@ -14,8 +14,8 @@
     static final String SHARE = "descriptors_share";
 
     /**
-     * What callers and channels to nodes may have together; discovery and the process's files need
-     * some.
+     * What clients and channels to endpoints may have together; discovery and the process's files
+     * need some.
      */
     static final double MAX_SHARES = 0.9;
 
--- a/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
+++ b/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
@@ -10,7 +10,7 @@
 import java.net.URLClassLoader;
 
 /**
- * The reader of conditions, in a jar of its own beside the program's. Guards against a start that
+ * The reader of conditions, in a jar of its own beside the program's. This avoids a start that
  * reads the list of its thousands of files where no policy has a condition.
  */
 final class ConditionsJar implements ConditionCompiler {
--- a/daemon/src/main/java/cedarrudder/operator/DrainsConfiguration.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsConfiguration.java
@@ -8,9 +8,9 @@
 /**
  * What the operator's file says of drains.
  *
- * @param revision the highest of all copies' counts for all
- * @param both the pairs of policies that are for some node both
- * @param conditions what reads the conditions of these policies, and of those that other copies
+ * @param revision the highest of all replicas' counts for all
+ * @param both the pairs of policies that are for some endpoint both
+ * @param conditions what reads the conditions of these policies, and of those that other replicas
  *     have
  */
 public record DrainsConfiguration(
--- a/daemon/src/main/java/cedarrudder/operator/DrainsTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsTable.java
@@ -2,7 +2,9 @@
 
 import cedarrudder.toml.ConfigTable;
 
-/** The table {@code [drains]}: what must hold while nodes leave. Absent, nothing of it is there. */
+/**
+ * The table {@code [drains]}: what must hold while endpoints leave. Absent, nothing of it is there.
+ */
 public final class DrainsTable extends OperatorSection<DrainsConfiguration> {
 
     public static final DrainsTable DRAINS = new DrainsTable();
--- a/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * The table {@code [failover]}: when zones serve one another's callers. Absent, copies decide
+ * The table {@code [failover]}: when zones serve one another's clients. Absent, replicas decide
  * alone.
  */
 public final class FailoverTable extends OperatorSection<FailoverSettings> {
--- a/daemon/src/main/java/cedarrudder/operator/FootprintSettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintSettings.java
@@ -1,11 +1,12 @@
 package cedarrudder.operator;
 
 /**
- * How much of the heap lists of nodes may take.
+ * How much of the heap lists of endpoints may take.
  *
- * @param heapShare of the heap's maximum, for nodes and their lists at the peak of loading
- * @param fromNodes with fewer nodes than that, nothing is left out
- * @param again so long after nodes were left out the whole list is asked for anew; nanoseconds
+ * @param heapShare of the heap's maximum, for endpoints and their lists at the peak of loading
+ * @param fromNodes with fewer endpoints than that, nothing is left out
+ * @param again this long after endpoints were left out the whole list is asked for anew;
+ *     nanoseconds
  */
 public record FootprintSettings(double heapShare, int fromNodes, long again) {
 
--- a/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
@@ -2,7 +2,9 @@
 
 import cedarrudder.toml.ConfigTable;
 
-/** The table {@code [footprint]}: what lists of nodes may take. Absent, every list is loaded. */
+/**
+ * The table {@code [footprint]}: what lists of endpoints may take. Absent, every list is loaded.
+ */
 public final class FootprintTable extends OperatorSection<FootprintSettings> {
 
     public static final FootprintTable FOOTPRINT = new FootprintTable();
--- a/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 
 /**
- * The table {@code [history]}: what a copy did, written for a judge. Absent, nothing is written.
+ * The table {@code [history]}: what a replica did, written for a judge. Absent, nothing is written.
  */
 public final class HistoryTable extends OperatorSection<HistorySettings> {
 
@@ -13,7 +13,7 @@
     /** Sixty years and more either way: a clock that lost its battery says 1970. */
     private static final long MAX_OFFSET = 2_000_000_000_000L;
 
-    /** One part in a thousand: what copies allow each other's clocks. */
+    /** One part in a thousand: what replicas allow each other's clocks. */
     private static final int MAX_DRIFT = 1_000;
 
     private HistoryTable() {
--- a/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
+++ b/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Guards against callers and nodes together taking what discovery and the process itself need.
+     * This avoids clients and endpoints together taking what discovery and the process itself need.
      */
     private void checkShares(ConfigTable root) {
         double callers = of(CallersTable.CALLERS).descriptorsShare();
--- a/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes lines on a thread of its own. Guards against a reader of standard error that has stopped
+ * Writes lines on a thread of its own. This avoids a reader of standard error that has stopped
  * reading, or reads slowly: whoever writes to a full pipe stands still until there is room, and the
  * event loop must not.
  *
@@ -18,7 +18,7 @@
  */
 final class AsyncLogWriter {
 
-    /** Lines that wait to be written, at the most: some 100 KB. */
+    /** Lines that wait to be written, at most: some 100 KB. */
     static final int MAX = 256;
 
     /**
@@ -44,7 +44,7 @@
 
     /**
      * @param name the thread's
-     * @param max lines that wait, at the most
+     * @param max lines that wait, at most
      */
     AsyncLogWriter(PrintStream out, String name, int max) {
         lines = new ArrayBlockingQueue<>(max);
@@ -97,7 +97,7 @@
             try {
                 out.println(line);
             } catch (OutOfMemoryError e) {
-                // This line is lost: guards against a log that is silent from then on, for months
+                // This line is lost: this avoids a log that is silent from then on, for months
                 // maybe.
             }
         }
--- a/daemon/src/main/java/cedarrudder/program/CheckCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/CheckCommand.java
@@ -129,7 +129,7 @@
                 << 10 * " kmg".indexOf(found.group(2).isEmpty() ? " " : found.group(2));
     }
 
-    /** Which of two policies binds nodes that both are for. */
+    /** Which of two policies binds endpoints that both are for. */
     private static void tell(Path file, DrainsConfiguration drains, PrintWriter out) {
         for (Both both : drains == null ? List.<Both>of() : drains.both()) {
             out.println(
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -46,7 +46,7 @@
             RandomGenerator random,
             Function<RouteTable, RouteTableCapacity> room) {}
 
-    /** A history tells of calls that go by a table this often at the most. */
+    /** A history tells of calls that go by a table this often at most. */
     private static final long SAID_APART = 100_000_000L;
 
     private final Self self;
@@ -65,7 +65,8 @@
     private long saidAt;
 
     /**
-     * @param leaving takes the numbers of all nodes that are being removed, whenever that changes
+     * @param leaving takes the numbers of all endpoints that are being removed, whenever that
+     *     changes
      * @param failovers null where operators have not asked for them
      * @param removals null where operators have no policies
      */
@@ -98,11 +99,11 @@
     }
 
     /**
-     * The zone of each copy.
+     * The zone of each replica.
      *
      * @param names of all zones, by number
-     * @param own the zone of this copy
-     * @throws IllegalArgumentException if they are not those of these copies
+     * @param own the zone of this replica
+     * @throws IllegalArgumentException if they are not those of these replicas
      */
     static int[] zones(
             AgreementTableSettings settings, List<String> names, int replicas, int self, int own) {
@@ -198,8 +199,8 @@
     }
 
     /**
-     * Shares of this copy's zone; what a zone's callers may send a second is divided by its live
-     * copies.
+     * Shares of this replica's zone; what a zone's clients may send a second is divided by its live
+     * replicas.
      */
     @Override
     public void table(RouteTable next) {
@@ -235,7 +236,7 @@
                                 .toList());
     }
 
-    /** Guards against a judge that can't tell when a table was still used. */
+    /** This avoids a judge that can't tell when a table was still used. */
     private void used(long now) {
         if (table != null && now - saidAt >= SAID_APART) {
             saidAt = now;
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -26,7 +26,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Drains by policies, wired to what this copy sees and does. On the loop's thread. */
+/** Drains by policies, wired to what this replica sees and does. On the loop's thread. */
 final class DrainWiring
         implements DrainCoordination, DrainCoordinator.Local, DrainCoordinator.Actions {
 
@@ -41,7 +41,7 @@
 
     private record Sample(long at, TrafficSample all) {}
 
-    /** A call of operators, of which so many parts are not settled yet. */
+    /** A call of operators, of which this many parts are not settled yet. */
     private static final class Call {
         private final Consumer<Done> then;
         private final boolean cancel;
@@ -97,7 +97,7 @@
         return this;
     }
 
-    /** Sees to it that the policies of this copy's file count, where they may. */
+    /** Sees to it that the policies of this replica's file count, where they may. */
     void propose(ReplicaCoordinator fleet) {
         loop.at(loop.now() + AGAIN, () -> propose(fleet));
         byte[] wanted = drains == null ? null : drains.wanted();
@@ -126,7 +126,7 @@
 
     // ---- operators ----
 
-    /** Has nodes leave, or ends that. */
+    /** Has endpoints leave, or ends that. */
     void call(ReplicaCoordinator fleet, boolean cancel, List<Long> nodes, Consumer<Done> then) {
         if (drains == null) {
             then.accept(Done.NO);
@@ -166,7 +166,7 @@
         return call != null;
     }
 
-    /** Guards against a yes to what there was no room for. */
+    /** This avoids a yes to what there was no room for. */
     private void end(Call call) {
         if (call.left == 0) {
             boolean none =
@@ -181,7 +181,7 @@
         return drains == null ? null : drains.progress();
     }
 
-    // ---- what copies agree on ----
+    // ---- what replicas agree on ----
 
     @Override
     public List<byte[]> report(long now) {
@@ -228,7 +228,7 @@
         drains.restored(now, state);
     }
 
-    // ---- what this copy has ----
+    // ---- what this replica has ----
 
     @Override
     public int calls(long node) {
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -26,7 +26,7 @@
      * Writes it.
      *
      * @param progress null where this process takes no part
-     * @param node the id of a node by its number, or null where it is not listed
+     * @param node the id of an endpoint by its number, or null where it is not listed
      */
     static byte[] write(Progress progress, LongFunction<String> node) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -26,13 +26,14 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Tells what a list of nodes takes of a process with given limits, and whether it fits. */
+/** Tells what a list of endpoints takes of a process with given limits, and whether it fits. */
 final class EndpointListCheck {
 
     private static final String LIST = "servers";
 
     /**
-     * The collector keeps a space free for what survives: of a heap's maximum one part of so many.
+     * The collector keeps a space free for what survives: of a heap's maximum one part of this
+     * many.
      */
     private static final int SURVIVORS = 30;
 
@@ -120,7 +121,7 @@
         return String.format("%-8s%8s%14s%14s%10s%13s", cells);
     }
 
-    /** Whether the nodes fit into their share of the heap. */
+    /** Whether the endpoints fit into their share of the heap. */
     private boolean nodes(
             ProcessShape shape, EndpointListShape list, JsonObject told, JsonObject held) {
         FootprintSettings set = operator.of(FootprintTable.FOOTPRINT);
@@ -168,7 +169,7 @@
         return ids;
     }
 
-    /** Whether the process fits with all callers, channels and bodies that it may come to have. */
+    /** Whether the process fits with all clients, channels and bodies that it may come to have. */
     private boolean process(ProcessShape shape) {
         ProcessFootprint.Verdict verdict = replica.judge(shape, limits);
         out.println(
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -18,7 +18,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Failover that copies decide together, wired to what this copy sees. On the loop's thread. */
+/**
+ * Failover that replicas decide together, wired to what this replica sees. On the loop's thread.
+ */
 final class FailoverWiring implements TrafficCoordination {
 
     private static final long MILLI = 1_000_000L;
@@ -32,9 +34,9 @@
     private List<String> left = List.of();
 
     /**
-     * @param reports how often copies report
-     * @param zoneOf the zone of each copy
-     * @param incarnation larger than that of any process of this copy before
+     * @param reports how often replicas report
+     * @param zoneOf the zone of each replica
+     * @param incarnation larger than that of any process of this replica before
      * @param notes takes what was seen of zones; null where nobody asked for that
      * @throws IllegalArgumentException if the settings don't fit the site or the reports
      */
--- a/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -28,14 +28,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a copy must not forget, in one file: a head, and a batch for each sync, which has all that
- * was written since the one before. A batch counts whole or not at all. What follows the last whole
- * one is cut off where it is the rest of a write that did not end; else the file is refused, set
- * aside, and the copy counts as one that forgot.
+ * What a replica must not forget, in one file: a head, and a batch for each sync, which has all
+ * that was written since the one before. A batch counts whole or not at all. What follows the last
+ * whole one is cut off where it is the rest of a write that did not end; else the file is refused,
+ * set aside, and the replica counts as one that forgot.
  *
- * <p>Big-endian. Head: {@value #MAGIC}, version (4), the copy (4), how many there may be (4),
- * checksum (4). Batch: length (4), its checksum (4), so many bytes, their checksum (4). Checksums
- * are CRC32C. It belongs to the loop's thread, which waits for the disk once an event at the most.
+ * <p>Big-endian. Head: {@value #MAGIC}, version (4), the replica (4), how many there may be (4),
+ * checksum (4). Batch: length (4), its checksum (4), this many bytes, their checksum (4). Checksums
+ * are CRC32C. It belongs to the loop's thread, which waits for the disk once an event at most.
  */
 final class FileStableStorage implements StableStorage, Closeable {
 
@@ -84,7 +84,7 @@
     private Kept kept;
 
     /**
-     * Opens what an earlier process of this copy left in a folder, or begins with nothing.
+     * Opens what an earlier process of this replica left in a folder, or begins with nothing.
      *
      * @throws UncheckedIOException if the folder can't be used, or another process uses it
      */
--- a/daemon/src/main/java/cedarrudder/program/HistoryFile.java
+++ b/daemon/src/main/java/cedarrudder/program/HistoryFile.java
@@ -13,15 +13,15 @@
 import java.util.Map;
 
 /**
- * Writes what happens to this copy as lines of JSON, for a judge that reads the files of all copies
- * afterwards. The time is {@link System#nanoTime}, which is one clock for all processes of a
- * machine on Linux (CLOCK_MONOTONIC); the life is the process's id. Each line goes to the file by
+ * Writes what happens to this replica as lines of JSON, for a judge that reads the files of all
+ * replicas afterwards. The time is {@link System#nanoTime}, which is one clock for all processes of
+ * a machine on Linux (CLOCK_MONOTONIC); the life is the process's id. Each line goes to the file by
  * itself, so that SIGKILL takes those alone that still wait. It belongs to the loop's thread but
  * for {@link #end}.
  */
 final class HistoryFile implements EventRecorder {
 
-    /** Lines that wait to be written, at the most: some 500 KB. */
+    /** Lines that wait to be written, at most: some 500 KB. */
     private static final int MAX = 4_096;
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -58,7 +58,7 @@
 
     @Override
     public void note(String what, Map<String, ?> fields) {
-        // Guards against a judge that takes a history with holes for a whole one.
+        // This avoids a judge that takes a history with holes for a whole one.
         if (lost > 0 && lines.take(line("lost", Map.of("events", lost)))) {
             lost = 0;
         }
--- a/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
+++ b/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
@@ -18,7 +18,7 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
 
-/** What this copy sees of nodes and calls. On the loop's thread. */
+/** What this replica sees of endpoints and calls. On the loop's thread. */
 final class LocalTrafficView {
 
     private final SiteSettings site;
@@ -46,7 +46,7 @@
         this.clock = clock;
     }
 
-    /** What discovery lists, each with whether it serves as far as this copy can tell. */
+    /** What discovery lists, each with whether it serves as far as this replica can tell. */
     Collection<DrainableNode> nodes() {
         int tier = site.module().tier();
         String name = named(site.tiers(), tier);
@@ -83,7 +83,7 @@
         return channels.attemptsInFlight();
     }
 
-    /** The numbers of listed nodes that are left out here by hand. */
+    /** The numbers of listed endpoints that are left out here by hand. */
     Set<Long> disabled() {
         return rotation.disabled().stream()
                 .filter(rotation.listed()::containsKey)
--- a/daemon/src/main/java/cedarrudder/program/Main.java
+++ b/daemon/src/main/java/cedarrudder/program/Main.java
@@ -6,8 +6,8 @@
 /**
  * The program. Its commands are {@code serve}, {@code adapter}, {@code check} and {@code version}.
  *
- * <p>Guards against paying for what a start doesn't need: {@code serve} and {@code adapter} alone,
- * which the platform starts in many copies on shared cores, go past the reader of arguments, and
+ * <p>This avoids paying for what a start doesn't need: {@code serve} and {@code adapter} alone,
+ * which the platform starts in many replicas on shared cores, go past the reader of arguments, and
  * none of its classes are loaded.
  */
 public final class Main {
--- a/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
+++ b/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
@@ -14,7 +14,7 @@
 
 /**
  * What operators have asked for and what outlives the process: a folder with an empty file for each
- * node that is disabled, and one while clients are sent away. Each change is one creation or
+ * endpoint that is disabled, and one while clients are sent away. Each change is one creation or
  * deletion, so a kill at any moment leaves the state before it or after it, and two processes see
  * the same.
  */
@@ -37,8 +37,8 @@
 
     /**
      * Reads the folder. An IOException: it can't be read, or isn't there, though {@link
-     * ProcessHandover} has made it. Guards against bans that are taken back because somebody
-     * removed the folder.
+     * ProcessHandover} has made it. This avoids bans that are taken back because somebody removed
+     * the folder.
      */
     Told read() throws IOException {
         Set<String> disabled = new HashSet<>();
--- a/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
@@ -46,7 +46,7 @@
     private static final int SINCE = 8;
 
     /**
-     * Another process's look at a byte locks it for a moment: so many tries tell that from a
+     * Another process's look at a byte locks it for a moment: this many tries tell that from a
      * process.
      */
     private static final int TRIES = 5;
@@ -102,7 +102,7 @@
     /**
      * Takes a place in the file that is there now where it is another than the one it was, since
      * somebody has removed that. Of the processes that had a place before one has what the folder
-     * said written anew, before any of them can be seen again. Guards against those that start
+     * said written anew, before any of them can be seen again. This avoids those that start
      * afterwards finding nobody and no ban.
      *
      * @param may whether this process may be the one; else an IOException says that it is to come
@@ -113,7 +113,7 @@
         if (file == null || own >= 0 && identity.equals(identity())) {
             return false;
         }
-        own = -1; // until it has a place: guards against a failure here being the last look at it
+        own = -1; // until it has a place: this avoids a failure here being the last look at it
         file.close();
         open();
         FileLock lock = lock(RESTORING);
@@ -220,8 +220,8 @@
 
     /**
      * Takes the right to speak to the peers, which one process has at a time; false where another
-     * has it. Guards against two lives under one number, of which each hears half of the answers
-     * and contradicts the other.
+     * has it. This avoids two lives under one number, of which each hears half of the answers and
+     * contradicts the other.
      */
     boolean speak() throws IOException {
         if (own >= 0 && !spoke) {
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -30,7 +30,7 @@
     /** What a start still adds: listeners, and the classes that its warm-up loads. */
     private static final long STARTING = 235_000;
 
-    /** What a process holds beside its nodes. */
+    /** What a process holds beside its endpoints. */
     record Load(int callers, int channels, int bodies, long bodyBytes) {}
 
     /** Tells what the process holds now. */
@@ -49,7 +49,7 @@
     private String loads;
 
     /**
-     * @param further so many descriptors more than usual are open for good
+     * @param further this many descriptors more than usual are open for good
      */
     ProcessMemoryEstimate(
             SiteSettings site, ObjectLayout layout, ProcessLimits limits, int further, Now now) {
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Bytes of the heap for nodes and their lists: a share of it, and no more than is left beside
-     * all that the process may come to hold.
+     * Bytes of the heap for endpoints and their lists: a share of it, and no more than is left
+     * beside all that the process may come to hold.
      */
     long room(double share, Load max) {
         return Math.min(
@@ -95,8 +95,8 @@
 
     /**
      * From now on what was there before the first list is what this process says, after a
-     * collection. To be called in the loop's first turn, when nobody waits. Guards against an
-     * estimate that knows nothing of the other tables of the operator's file.
+     * collection. To be called in the loop's first turn, when nobody waits. This avoids an estimate
+     * that knows nothing of the other tables of the operator's file.
      */
     void measure(EndpointListShape held) {
         long known = replica.takes(shape(held, now.load())).rest() - replica.ground().heap();
@@ -143,13 +143,13 @@
                 room(null, gate));
     }
 
-    /** What this copy can load of route tables, beside the nodes that it holds. */
+    /** What this replica can load of route tables, beside the endpoints that it holds. */
     RouteTableCapacity room(RouteTable held, EndpointListReader gate) {
         return tables.room(held, gate.left(), gate.max());
     }
 
     /**
-     * Writes a verdict for the judge of many copies: of the whole list, and of what is loaded of
+     * Writes a verdict for the judge of many replicas: of the whole list, and of what is loaded of
      * it.
      */
     void judged(Judged list, EventRecorder history) {
--- a/daemon/src/main/java/cedarrudder/program/ProxyConfiguration.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyConfiguration.java
@@ -14,7 +14,7 @@
  * @param peerListen where datagrams from other proxies arrive, or null where there are none
  * @param peersAll an address that reaches all of them, or null
  * @param memory bytes of the machine's memory that it may take; 0: nothing is said
- * @param known the list of nodes as this proxy last had it, still as JSON
+ * @param known the list of endpoints as this proxy last had it, still as JSON
  */
 record ProxyConfiguration(
         String name,
@@ -34,8 +34,8 @@
     private static final int MEGABYTE = 1 << 20;
 
     /**
-     * With fewer the process itself, discovery, one caller and one node have no room beside each
-     * other.
+     * With fewer the process itself, discovery, one client and one endpoint have no room beside
+     * each other.
      */
     private static final int MIN_SOCKETS = 8;
 
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -484,8 +484,8 @@
      * Takes what has changed in the configuration, from any thread: the address of discovery. The
      * rest counts from the next start. Requests and clients notice nothing.
      *
-     * <p>It is read on the caller's thread, since a slow file would stop the loop. Of two changes
-     * the later one counts where the caller reads one at a time.
+     * <p>It is read on the client's thread, since a slow file would stop the loop. Of two changes
+     * the later one counts where the client reads one at a time.
      *
      * @param changed reads the configuration, or says in an exception why it can't
      */
--- a/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
+++ b/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.function.LongFunction;
 
-/** What the copies have agreed on, as operators read it: one JSON object. */
+/** What the replicas have agreed on, as operators read it: one JSON object. */
 final class RouteTablePage {
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -25,7 +25,7 @@
      * Writes it.
      *
      * @param zones the names of the zones by their numbers
-     * @param node the id of a node by its number, or null where it is not listed
+     * @param node the id of an endpoint by its number, or null where it is not listed
      */
     static byte[] write(ReplicaCoordinator fleet, List<String> zones, LongFunction<String> node) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/daemon/src/main/java/cedarrudder/program/Signals.java
+++ b/daemon/src/main/java/cedarrudder/program/Signals.java
@@ -15,7 +15,7 @@
      * Runs a task at each SIGHUP, on a thread of its own, in place of ending the virtual machine.
      *
      * <p>By reflection, since the compiler warns of the class by its name and takes no word that it
-     * is meant; the module that holds it is open to all programs.
+     * is meant; the balancer that holds it is open to all programs.
      *
      * @param otherwise is told why, where the virtual machine doesn't allow it
      */
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -31,12 +31,12 @@
 import java.util.function.BiPredicate;
 
 /**
- * Some RPCs from the proxy to itself before it says that it is ready, so that the code they run
+ * Some requests from the proxy to itself before it says that it is ready, so that the code they run
  * through is loaded and partly compiled.
  *
- * <p>Guards against the first callers meeting a program that takes milliseconds of its core for
- * each RPC: with all proxies of a machine starting at once, loops were up to 355 ms late and 31
- * RPCs found no answer in time.
+ * <p>This avoids the first clients meeting a program that takes milliseconds of its core for each
+ * request: with all proxies of a machine starting at once, loops were up to 355 ms late and 31
+ * requests found no answer in time.
  *
  * <p>They go out through a driver, a module and channels of their own, which are thrown away, and
  * come in at the proxy's listener, where this answers them: they alone carry an id that nobody else
@@ -44,16 +44,16 @@
  */
 final class Warmup {
 
-    /** So many in all: what they run through is the same code whatever the settings. */
+    /** This many in all: what they run through is the same code whatever the settings. */
     private static final int RPCS = 100;
 
     /**
-     * So many are out at a time. Guards against waiting for the network most of the time until
+     * This many are out at a time. This avoids waiting for the network most of the time until
      * ready.
      */
     private static final int AT_ONCE = 4;
 
-    /** Callers' first connections all come at once, so the way of a new one is taken often too. */
+    /** Clients' first connections all come at once, so the way of a new one is taken often too. */
     private static final int RPCS_A_CHANNEL = 3;
 
     /** Readiness never waits longer than this for it. */
@@ -142,10 +142,10 @@
     }
 
     /**
-     * Answers an RPC if it is one of the warm-up's own, and keeps nothing of it but its id. To be
-     * asked for as long as the proxy lives: where the warm-up ends at its time, or a second copy is
-     * out, bytes of an RPC may be read after its end. Guards against such a one going on to a node,
-     * as was seen on a busy core.
+     * Answers a request if it is one of the warm-up's own, and keeps nothing of it but its id. To
+     * be asked for as long as the proxy lives: where the warm-up ends at its time, or a hedged
+     * request is out, bytes of a request may be read after its end. This avoids such a one going on
+     * to an endpoint, as was seen on a busy core.
      */
     BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> answers() {
         String own = token;
--- a/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
@@ -18,7 +18,7 @@
 
     private BudgetHeaders() {}
 
-    /** What a caller said; a field that came twice counts as none. */
+    /** What a client said; a field that came twice counts as none. */
     public static PropagatedBudget read(HttpMessage request) {
         HeaderFields fields = request.head().fields();
         return BudgetFields.read(fields.only(BUDGET), fields.only(PATH));
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** Reads resolver results, and gives each node the number by which the module knows it. */
+/** Reads endpoint lists, and gives each endpoint the number by which the balancer knows it. */
 public final class EndpointListParser {
 
     private static final long FNV_BASIS = 0xCBF29CE484222325L;
@@ -27,7 +27,7 @@
     private final Map<Long, String> names = new HashMap<>();
     private long idChars;
 
-    /** A node's start as discovery tells it, and as an instant of the program's clock. */
+    /** An endpoint's start as discovery tells it, and as an instant of the program's clock. */
     private record Start(double millis, long instant) {}
 
     /**
@@ -40,16 +40,16 @@
         this.unixMillis = unixMillis;
     }
 
-    /** How many nodes have a number. */
+    /** How many endpoints have a number. */
     int size() {
         return numbers.size();
     }
 
     /**
      * Reads a result; an IllegalArgumentException says what is wrong with it as a whole. Of an
-     * entry that can't be read the result tells, and its node counts as gone: nobody knows whether
-     * it drains. Guards against one such entry keeping all others from being heard, drains among
-     * them, for as long as it stays.
+     * entry that can't be read the result tells, and its endpoint counts as gone: nobody knows
+     * whether it drains. This avoids one such entry keeping all others from being heard, drains
+     * among them, for as long as it stays.
      */
     public EndpointList read(JsonObject json) {
         long version = json.whole("version");
@@ -99,14 +99,14 @@
         }
     }
 
-    /** Whether this node has a number. */
+    /** Whether this endpoint has a number. */
     boolean knows(String id) {
         return numbers.containsKey(id);
     }
 
     /**
-     * When a node began by what discovery says, in milliseconds since 1970; 0: long ago, or not
-     * known.
+     * When an endpoint began by what discovery says, in milliseconds since 1970; 0: long ago, or
+     * not known.
      */
     public long startMillis(String id) {
         Start known = starts.get(id);
@@ -119,7 +119,8 @@
     }
 
     /**
-     * Guards against keeping every id of a long day: a node that is gone needs no number any more.
+     * This avoids keeping every id of a long day: an endpoint that is gone needs no number any
+     * more.
      */
     private void forget(String id) {
         starts.remove(id);
@@ -129,10 +130,10 @@
     }
 
     /**
-     * The instant of a node's start; 0: long ago. It is worked out when the start is first told, by
-     * what the clocks say then, and kept. Guards against a restart being seen in a start time that
-     * was mapped a little differently, and against a cold node being taken for a warm one, or the
-     * other way round, once the machine's clock was set.
+     * The instant of an endpoint's start; 0: long ago. It is worked out when the start is first
+     * told, by what the clocks say then, and kept. This avoids a restart being seen in a start time
+     * that was mapped a little differently, and against a cold endpoint being taken for a warm one,
+     * or the other way round, once the machine's clock was set.
      */
     private long startedAt(String id, double millis) {
         Start known = starts.get(id);
@@ -175,9 +176,9 @@
     }
 
     /**
-     * The number of a node: a hash of its id, so that all proxies of a tier number a node alike,
-     * which the module's common order of nodes rests on. Where two ids collide the later one takes
-     * the next number.
+     * The number of an endpoint: a hash of its id, so that all proxies of a tier number an endpoint
+     * alike, which the balancer's common order of endpoints rests on. Where two ids collide the
+     * later one takes the next number.
      */
     private long number(String id) {
         Long known = numbers.get(id);
@@ -193,7 +194,7 @@
         return number;
     }
 
-    /** The number of the one node whose id has it; where ids collide, of the first. */
+    /** The number of the one endpoint whose id has it; where ids collide, of the first. */
     public static long hash(String id) {
         long hash = FNV_BASIS;
         for (byte b : id.getBytes(StandardCharsets.UTF_8)) {
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -12,10 +12,11 @@
 import java.util.function.Predicate;
 
 /**
- * Reads the texts of resolver results within a given room of the heap. A text is looked through
- * first, without an object made of it. What fits is read as it is. Of what does not fit, nodes are
- * added in the list's order for as long as there is room, and the others are left out, to be told
- * again; all that it says of nodes that are known is read, so that those that leave or drain do so.
+ * Reads the texts of endpoint lists within a given room of the heap. A text is looked through
+ * first, without an object made of it. What fits is read as it is. Of what does not fit, endpoints
+ * are added in the list's order for as long as there is room, and the others are left out, to be
+ * told again; all that it says of endpoints that are known is read, so that those that leave or
+ * drain do so.
  */
 public final class EndpointListReader {
 
@@ -45,10 +46,10 @@
      * @param bound the one that is nearest, or that binds, as operators read it
      * @param needed bytes that the whole list takes under it
      * @param room bytes that there are
-     * @param held nodes that were held before
-     * @param wanted nodes that the list would have this process hold
-     * @param waits so many of those were left out
-     * @param steps how many nodes each telling adds where it does not fit at once; this one the
+     * @param held endpoints that were held before
+     * @param wanted endpoints that the list would have this process hold
+     * @param waits this many of those were left out
+     * @param steps how many endpoints each telling adds where it does not fit at once; this one the
      *     first
      * @param all what would be held with all of it
      * @param then what will be held once it has been read
@@ -65,7 +66,7 @@
             EndpointListShape all,
             EndpointListShape then) {
 
-        /** So many nodes get in by no step. */
+        /** This many endpoints get in by no step. */
         public int never() {
             return waits - steps.stream().skip(1).mapToInt(Integer::intValue).sum();
         }
@@ -87,8 +88,8 @@
 
     /**
      * @param reader reads what this one lets through, and says what is known
-     * @param room bytes of heap for nodes and their lists
-     * @param fromNodes with fewer nodes than that nothing is left out
+     * @param room bytes of heap for endpoints and their lists
+     * @param fromNodes with fewer endpoints than that nothing is left out
      */
     public EndpointListReader(
             EndpointListFootprint footprint, EndpointListParser reader, long room, int fromNodes) {
@@ -113,12 +114,12 @@
                 like.nodes() == 0 ? 0 : like.valueChars() * reader.size() / like.nodes());
     }
 
-    /** Bytes for nodes and their lists that what is held leaves at rest. */
+    /** Bytes for endpoints and their lists that what is held leaves at rest. */
     public long left() {
         return Math.max(0, room - footprint.atRest(held()));
     }
 
-    /** So many nodes like those that are held there is room for. */
+    /** This many endpoints like those that are held there is room for. */
     public int max() {
         return footprint.max(held(), room);
     }
@@ -129,14 +130,15 @@
     }
 
     /**
-     * Whether nodes of the last list have left since it was read, so that more of it may fit now.
+     * Whether endpoints of the last list have left since it was read, so that more of it may fit
+     * now.
      */
     public boolean roomier() {
         return last.waits() > 0 && reader.size() < last.held() + mayAdd;
     }
 
     /**
-     * Reads a text that holds a resolver result; an IllegalArgumentException says that it holds
+     * Reads a text that holds an endpoint list; an IllegalArgumentException says that it holds
      * none.
      */
     public JsonObject read(String text) {
@@ -209,8 +211,8 @@
     }
 
     /**
-     * What is held once so many of the nodes that a list adds were added, and what it ends has
-     * left.
+     * What is held once this many of the endpoints that a list adds were added, and what it ends
+     * has left.
      */
     private EndpointListShape after(
             EndpointListShape held, EndpointListShape list, Look look, int added) {
@@ -219,7 +221,7 @@
         return new EndpointListShape(all.nodes(), largest, all.idChars(), all.valueChars());
     }
 
-    /** Known nodes, and of the others as many as fit. */
+    /** Known endpoints, and of the others as many as fit. */
     private Predicate<JsonObject> taken() {
         int[] left = {mayAdd};
         return entry -> entry != null && known(entry) || !isGone(entry) && left[0]-- > 0;
@@ -229,7 +231,7 @@
         return entry.isText("id") && reader.knows(entry.text("id", null));
     }
 
-    /** A node that is not known and has left is nothing to be added. */
+    /** An endpoint that is not known and has left is nothing to be added. */
     private static boolean isGone(JsonObject entry) {
         return entry != null && entry.isText("state") && gone(entry.text("state", null));
     }
--- a/daemon/src/main/java/cedarrudder/protocol/FieldName.java
+++ b/daemon/src/main/java/cedarrudder/protocol/FieldName.java
@@ -157,8 +157,8 @@
     }
 
     /**
-     * Whether it goes further even where {@code Connection} lists it. Guards against a caller that
-     * strips an RPC of what makes it one, its key say.
+     * Whether it goes further even where {@code Connection} lists it. This avoids a client that
+     * strips a request of what makes it one, its key say.
      */
     boolean kept() {
         return kept;
--- a/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
@@ -26,7 +26,7 @@
         fields.add(field);
     }
 
-    /** Sets a field that is there once at the most. */
+    /** Sets a field that is there once at most. */
     void set(String name, String value) {
         Field set = new Field(FieldName.of(name), value);
         for (int i = 0; i < fields.size(); i++) {
--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -10,7 +10,7 @@
 
 /**
  * Decodes the HTTP/1.1 messages of one direction of a connection. Bytes may come split or joined in
- * any way. Memory is bounded: so much for a head, and so much for a body.
+ * any way. Memory is bounded: this much for a head, and this much for a body.
  */
 public final class HttpDecoder {
 
@@ -91,14 +91,14 @@
         this.collected = collected;
     }
 
-    /** Decodes whole requests, with heads and bodies of up to so many bytes. */
+    /** Decodes whole requests, with heads and bodies of up to this many bytes. */
     public static HttpDecoder ofRequests(int maxHead, int maxBody) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         return new HttpDecoder(true, maxHead, maxBody, body, body, Integer.MAX_VALUE);
     }
 
     /**
-     * Decodes messages of which so much of the body is collected, at the most. Where there is more
+     * Decodes messages of which this much of the body is collected, at most. Where there is more
      * the decoder stands until {@link #flow} says where to.
      *
      * @param requests whether they are requests, else answers
@@ -109,7 +109,7 @@
         return new HttpDecoder(requests, maxHead, maxBody, body, body, window);
     }
 
-    /** Decodes whole answers, with heads and bodies of up to so many bytes. */
+    /** Decodes whole answers, with heads and bodies of up to this many bytes. */
     public static HttpDecoder ofAnswers(int maxHead, int maxBody) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         return new HttpDecoder(false, maxHead, maxBody, body, body, Integer.MAX_VALUE);
@@ -127,7 +127,7 @@
 
     /**
      * Whether the sender waits for a 100 before it sends the body of the request at hand (RFC 9110
-     * 10.1.1); true once for each request at the most.
+     * 10.1.1); true once for each request at most.
      */
     public boolean awaitsContinue() {
         boolean bodyNext =
@@ -155,7 +155,7 @@
     /**
      * Whether the message at hand has more of a body than is collected, and stands until it flows.
      * An answer that says so is large at once, since its first bytes are waited for; a request once
-     * all is collected that may be, since it can be sent again for so long; and where no more may
+     * all is collected that may be, since it can be sent again for this long; and where no more may
      * come it is not.
      */
     public boolean large() {
@@ -189,7 +189,7 @@
     }
 
     /**
-     * Guards against a connection that keeps the room of its largest body for as long as it stands.
+     * This avoids a connection that keeps the room of its largest body for as long as it stands.
      */
     private void startAfresh() {
         if (collected != null && collected.size() > 0) {
@@ -260,11 +260,11 @@
     }
 
     /**
-     * Takes what has come in one piece and looks for line ends in the copy. Guards against a slow
+     * Takes what has come in one piece and looks for line ends in the replica. This avoids a slow
      * start: asking the buffer for each byte took milliseconds a message until the code was
      * compiled.
      *
-     * <p>Each line is read as it ends, and no byte passes that none may hold. Guards against what
+     * <p>Each line is read as it ends, and no byte passes that none may hold. This avoids what
      * can't become a message, such as a TLS handshake, holding its connection until patience ends.
      */
     private boolean readHead(ByteBuf in) throws MalformedMessageException {
@@ -297,7 +297,7 @@
             }
             int textEnd = i > lineStart && line[i - 1] == '\r' ? i - 1 : i;
             if (textEnd == i && requests) {
-                // RFC 9112 2.2 leaves it open. Guards against a field that whoever stands before us
+                // RFC 9112 2.2 leaves it open. This avoids a field that whoever stands before us
                 // takes for
                 // a part of the one before it: a length, say.
                 throw MalformedMessageException.badRequest("a bare line feed");
@@ -393,7 +393,7 @@
         if (!requests && head.status() < 200) {
             head = null; // an interim answer: the final one follows
             if (++interim > MAX_INTERIM) {
-                // Guards against a node that never comes to its answer.
+                // This avoids an endpoint that never comes to its answer.
                 throw MalformedMessageException.badRequest("too many interim answers");
             }
             return false;
@@ -402,7 +402,7 @@
             return true;
         }
         if (coding != null) {
-            // Guards against request smuggling: two parties that disagree on where a body ends.
+            // This avoids request smuggling: two parties that disagree on where a body ends.
             if (length != null || head.isOld()) {
                 throw MalformedMessageException.badRequest("unclear length");
             }
@@ -473,9 +473,9 @@
     /**
      * Reads a short line of a chunked body into {@code line}; false where its end has not come yet.
      *
-     * <p>Guards against request smuggling: other than in a head, a line ends in both characters
-     * here and in nothing else (RFC 9112 7.1), since whoever takes less sees chunks where we see
-     * their content.
+     * <p>This avoids request smuggling: other than in a head, a line ends in both characters here
+     * and in nothing else (RFC 9112 7.1), since whoever takes less sees chunks where we see their
+     * content.
      */
     private boolean readLine(ByteBuf in, int max) throws MalformedMessageException {
         if (lineStart < 0) {
@@ -528,7 +528,7 @@
         }
         if (lineLength > 0) {
             MessageHead.field(
-                    line, 0, lineLength); // dropped, but guards against a request that hides there
+                    line, 0, lineLength); // dropped, but this avoids a request that hides there
         }
         trailerSeen += lineLength;
         if (trailerSeen > maxHead) {
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -24,8 +24,8 @@
     private HttpEncoder() {}
 
     /**
-     * A request as it goes on to a node: unchanged but for the time that is left and, where there
-     * are budgets, what is handed down.
+     * A request as it goes on to an endpoint: unchanged but for the time that is left and, where
+     * there are budgets, what is handed down.
      *
      * @param handed null where there are no budgets
      */
@@ -70,7 +70,7 @@
                 && (listed.isEmpty() || field.name().kept() || !listed.contains(field.key()));
     }
 
-    /** What lets a caller send the body that it holds back. */
+    /** What lets a client send the body that it holds back. */
     public static ByteBuf goOn(ByteBufAllocator buffers) {
         return buffers.buffer(CONTINUE.length).writeBytes(CONTINUE);
     }
@@ -84,11 +84,11 @@
     }
 
     /**
-     * A node's answer as it goes on to the caller.
+     * An endpoint's answer as it goes on to the client.
      *
      * @param budgets whether what it says of budgets was for this proxy and goes no further
      * @param result what this proxy says of them; null: nothing
-     * @param chunks whether the caller takes a body in chunks; one that flows and has no length
+     * @param chunks whether the client takes a body in chunks; one that flows and has no length
      *     ends with the connection otherwise
      */
     public static ByteBuf served(
--- a/daemon/src/main/java/cedarrudder/protocol/LoadReportParser.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReportParser.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.StringTokenizer;
 
-/** Load reports as nodes write them: {@code TEXT inflight=7, queue=2, util=0.61}. */
+/** Load reports as endpoints write them: {@code TEXT inflight=7, queue=2, util=0.61}. */
 public final class LoadReportParser {
 
-    /** No node has more of anything. */
+    /** No endpoint has more of anything. */
     private static final double MAX = 1e6;
 
     private LoadReportParser() {}
@@ -28,7 +28,7 @@
             if (equals > 0) {
                 try {
                     double figure = Double.parseDouble(part.substring(equals + 1));
-                    // Guards against nonsense that is a number: it would outweigh all other nodes'
+                    // This avoids nonsense that is a number: it would outweigh all other endpoints'
                     // reports.
                     if (figure >= 0 && figure <= MAX) {
                         figures.put(part.substring(0, equals), figure);
--- a/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
@@ -29,7 +29,7 @@
     private static final String SCHEME = "http://";
 
     /**
-     * Fields of one head, at the most (RFC 6585 5; servers that bound them allow some 100). Guards
+     * Fields of one head, at most (RFC 6585 5; servers that bound them allow some 100). Guards
      * against a head that takes forty times its bytes: each field is some objects, and a head has
      * room for 4,000.
      */
@@ -81,7 +81,7 @@
 
     /**
      * Takes the forms of a target that a server must take (RFC 9112 3.2), and makes one of them, so
-     * that nodes get a path however the caller wrote it.
+     * that endpoints get a path however the client wrote it.
      */
     private static MessageHead ofRequest(String method, String target, String version)
             throws MalformedMessageException {
@@ -143,8 +143,7 @@
      * target replaces it, and a request of HTTP/1.0 without one gets an empty one, as it goes on as
      * HTTP/1.1.
      *
-     * <p>Guards against two parties that tell requests apart by host and take different fields for
-     * it.
+     * <p>This avoids two parties that tell requests apart by host and take different fields for it.
      */
     void checkHost() throws MalformedMessageException {
         String host = fields.single("host");
--- a/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
@@ -21,7 +21,7 @@
      *
      * @param list what came of the last list
      * @param all what is held now, and what telling it again takes at the peak
-     * @param node what one more node takes
+     * @param node what one more endpoint takes
      * @param resident bytes of the machine's memory
      * @param nearest the bound that is nearest
      * @param room the largest route table and list there is room for
@@ -40,7 +40,7 @@
      * Writes the page.
      *
      * @param classes the names of the classes, by the index under which they are counted
-     * @param listed how many nodes discovery lists
+     * @param listed how many endpoints discovery lists
      * @param avoided how many of those get nothing new now
      * @param held bytes of bodies that the process holds
      * @param estimate null: no list was judged
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -7,12 +7,12 @@
 import cedarrudder.budget.PropagatedBudget;
 import java.util.List;
 
-/** The header fields that make a request an RPC, and what the module is told of it. */
+/** The header fields that make a request a request, and what the balancer is told of it. */
 public final class RequestHeaders {
 
     /**
      * Larger figures are nonsense, and would overflow as nanoseconds: a day in milliseconds, where
-     * callers of any site wait for some hundred ms to many seconds.
+     * clients of any site wait for some hundred ms to many seconds.
      */
     private static final long MAX = 86_400_000L;
 
@@ -20,10 +20,10 @@
 
     /**
      * The answer is ready this much earlier than the client gives up, or a tenth of its wait
-     * earlier. Guards against a loop that runs late: as callers come to proxies that have just
-     * started, all on one core, loops were seen up to 95 ms late, and an RPC was lost whose bytes
-     * had waited that long to be read. The tenth makes it hold for any deadline: one of 50 ms loses
-     * 5.
+     * earlier. This avoids a loop that runs late: as clients come to proxies that have just
+     * started, all on one core, loops were seen up to 95 ms late, and a request was lost whose
+     * bytes had waited that long to be read. The tenth makes it hold for any deadline: one of 50 ms
+     * loses 5.
      */
     private static final long MARGIN = 40_000_000L;
 
@@ -39,7 +39,7 @@
     }
 
     /**
-     * @param budgets what a caller says of them is read, and it need not say how long it waits;
+     * @param budgets what a client says of them is read, and it need not say how long it waits;
      *     null: none
      */
     public RequestHeaders(BalancerSettings site, Budgets budgets) {
@@ -55,7 +55,7 @@
     }
 
     /**
-     * What the caller says of budgets; {@link PropagatedBudget#NOTHING} where there are none here.
+     * What the client says of budgets; {@link PropagatedBudget#NOTHING} where there are none here.
      */
     public PropagatedBudget carried(HttpMessage request) {
         return budgets == null
@@ -65,17 +65,17 @@
     }
 
     /**
-     * Reads what the module is told of a request that was read at {@code now}, by a loop that has
-     * lately been late by so much.
+     * Reads what the balancer is told of a request that was read at {@code now}, by a loop that has
+     * lately been late by this much.
      *
      * <p>The client counts its wait from its send and until our answer's last byte has reached it.
-     * Guards against answering just too late: the way here and back, and this process's own delays,
+     * This avoids answering just too late: the way here and back, and this process's own delays,
      * come off. On an overloaded day the first tier's loop was 40 to 70 ms late in its first
-     * second, which no fixed margin that leaves quick RPCs their time would cover twice, once for
-     * reading and once for answering.
+     * second, which no fixed margin that leaves quick requests their time would cover twice, once
+     * for reading and once for answering.
      *
      * @param latest the answer is ready by then in any case
-     * @param carried what the caller says of budgets
+     * @param carried what the client says of budgets
      */
     public LoadBalancer.Request read(
             HttpMessage request,
@@ -124,13 +124,13 @@
                 work);
     }
 
-    /** The longest that any class of callers waits, in nanoseconds. */
+    /** The longest that any class of clients waits, in nanoseconds. */
     public long longestWait() {
         return kinds.stream().mapToLong(LoadBalancer.RequestClass::deadlineNanos).max().orElse(0);
     }
 
     /**
-     * The class fixes the method. Guards against passing on what nodes have to turn away, or what
+     * The class fixes the method. This avoids passing on what endpoints have to reject, or what
      * would be repeated by its class though its key or method says otherwise.
      */
     private static void checkFit(HttpMessage request, Idempotency effect)
--- a/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
@@ -43,12 +43,11 @@
                     SiteSettings.Reports.NONE);
 
     /**
-     * No count of machines, zones or attempts is larger: guards against a number cut short in a
-     * cast.
+     * No count of machines, zones or attempts is larger: this avoids a number cut short in a cast.
      */
     private static final int MAX_COUNTED = 1_000_000;
 
-    /** No time is longer: a week. Guards against sums of times that overflow. */
+    /** No time is longer: a week. This avoids sums of times that overflow. */
     private static final long LONGEST = 7 * 86_400_000_000_000L;
 
     private SettingsReader() {}
--- a/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * All that the settings say: what the module is told, and what only its host needs.
+ * All that the settings say: what the balancer is told, and what only its host needs.
  *
  * @param fields which value of a load report stands where, on the simulator's wire
  * @param reports where load reports come from
  * @param tiers the names of the tiers, the first first
- * @param zones the names of the zones, in the order in which the module numbers them
+ * @param zones the names of the zones, in the order in which the balancer numbers them
  * @param kinds the names of the machine kinds, likewise
  */
 public record SiteSettings(
--- a/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
@@ -22,8 +22,7 @@
 final class FrameDecoder {
 
     /**
-     * What is read at once at the most, so that no length field can ask for memory that never
-     * fills.
+     * What is read at once at most, so that no length field can ask for memory that never fills.
      */
     private static final int CHUNK = 1 << 16;
 
--- a/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
@@ -76,7 +76,7 @@
         tail.put(content);
     }
 
-    /** Declares that the module of this instance failed. */
+    /** Declares that the balancer of this instance failed. */
     void bug(long instance, String message) {
         int at = record(instance, SimulatorWire.BUG);
         span(at + 1, message.getBytes(StandardCharsets.UTF_8));
--- a/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
@@ -20,7 +20,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Hosts balancer copies on the simulator's wire: batches of events on standard input, replies on
+ * Hosts balancer replicas on the simulator's wire: batches of events on standard input, replies on
  * standard output.
  */
 public final class SimulatorHost {
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Serves standard input until it ends and returns the exit code. All copies have this tuning.
+     * Serves standard input until it ends and returns the exit code. All replicas have this tuning.
      */
     public static int run(BalancerParameters tuning) {
         try {
@@ -120,7 +120,8 @@
     }
 
     /**
-     * Reads the whole event first, so that a malformed one is not taken for a fault of the module.
+     * Reads the whole event first, so that a malformed one is not taken for a fault of the
+     * balancer.
      */
     private Runnable decode(
             FrameDecoder batch, LoadBalancer replica, LoadReportFields fields, long now) {
--- a/daemon/src/main/java/cedarrudder/toml/ConfigDocument.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigDocument.java
@@ -44,7 +44,7 @@
                             String.valueOf(error.getMessage()).replaceAll("\\R", " "),
                             "TOML 1.0"));
         }
-        // Guards against errors that only follow from a line that could not be read.
+        // This avoids errors that only follow from a line that could not be read.
         root = new ConfigTable(this, problems.isEmpty() ? parsed : Toml.parse(""), "", 0);
     }
 
--- a/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
@@ -24,7 +24,7 @@
  */
 public final class ConfigTable {
 
-    /** A misspelt key is named with the known one that is at most so many changes away. */
+    /** A misspelt key is named with the known one that is at most this many changes away. */
     private static final int NEAREST = 3;
 
     /** Longer values are cut in messages. */
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Whether no problem of these keys was reported. Guards against errors that only follow from
+     * Whether no problem of these keys was reported. This avoids errors that only follow from
      * others: a value that stands in for a wrong one is not to be held against other values.
      */
     public boolean sound(String... keys) {
--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -25,7 +25,7 @@
 
 /**
  * The operators' address: one call to a connection, answered at once. It routes calls to the {@link
- * AdminOperations} and knows nothing of RPCs.
+ * AdminOperations} and knows nothing of requests.
  */
 public final class AdminListener {
 
@@ -43,7 +43,7 @@
     /** A call must be whole by then, in nanoseconds from its connection. */
     private static final long PATIENCE = 5_000_000_000L;
 
-    /** Who has its answer may stay for so long. */
+    /** Who has its answer may stay for this long. */
     private static final long LAST_WORD = 1_000_000_000L;
 
     private static final String NODES = "/-/nodes/";
@@ -217,7 +217,7 @@
     }
 
     /**
-     * Guards against callers who say nothing, or half a call, shutting out those who say all of it.
+     * This avoids clients who say nothing, or half a call, shutting out those who say all of it.
      */
     private void makeRoom() {
         Call min = null;
@@ -225,7 +225,7 @@
             min = min == null || call.said < min.said ? call : min;
         }
         if (min != null) {
-            // Not once it has closed, which is later: guards against the same one making room for
+            // Not once it has closed, which is later: this avoids the same one making room for
             // many.
             calls.remove(min);
             min.channel.close();
@@ -261,8 +261,7 @@
         }
 
         /**
-         * Guards against memory that grows with the rate of calls, as long as their time is not
-         * over.
+         * This avoids memory that grows with the rate of calls, as long as their time is not over.
          */
         private void stopWaiting() {
             if (patience != null) {
--- a/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
@@ -9,7 +9,7 @@
     enum Done {
         /** It counts from now on; also where it did already. */
         YES,
-        /** It names a node that was never listed. */
+        /** It names an endpoint that was never listed. */
         UNKNOWN,
         /** It can't be done, or can't be kept. */
         NO
@@ -21,13 +21,13 @@
     /** The figures, as JSON. */
     byte[] figures();
 
-    /** Leaves a node out until it is enabled. */
+    /** Leaves an endpoint out until it is enabled. */
     Done disable(String node);
 
-    /** Puts a node back. */
+    /** Puts an endpoint back. */
     Done enable(String node);
 
-    /** Nodes that a call names at once. */
+    /** Endpoints that a call names at once. */
     enum Which {
         NODE,
         ZONE,
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Has nodes leave by the policies of drains, or ends that; for all copies.
+     * Has endpoints leave by the policies of drains, or ends that; for all replicas.
      *
-     * @param name an id, or what all nodes have that are meant
+     * @param name an id, or what all endpoints have that are meant
      * @param then takes what came of it, once it is committed or that can't be told any more
      */
     void remove(Which which, String name, boolean cancel, Consumer<Done> then);
@@ -53,10 +53,11 @@
     Done resume();
 
     /**
-     * What the copies agreed on and how this one stands, as JSON; null where they agree on nothing.
+     * What the replicas agreed on and how this one stands, as JSON; null where they agree on
+     * nothing.
      */
     byte[] table();
 
-    /** Forms a group of copies that agree, with this one as the first. */
+    /** Forms a group of replicas that agree, with this one as the first. */
     Done group();
 }
--- a/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -11,8 +11,8 @@
 
     /**
      * The least and the most bytes that wait to be written to a peer while a body flows to it; a
-     * piece, of 16 KiB at the most, may come on top. Guards against direct memory that callers use
-     * up who don't read.
+     * piece, of 16 KiB at most, may come on top. This avoids direct memory that clients use up who
+     * don't read.
      */
     static final WriteBufferWaterMark WRITE_AHEAD = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
 
@@ -77,7 +77,7 @@
                 channel.write(HttpEncoder.piece(loop.buffers(), piece, chunked));
             }
         } catch (OutOfMemoryError e) {
-            // A piece is lost: guards against a body that goes on without it, or waits for good.
+            // A piece is lost: this avoids a body that goes on without it, or waits for good.
             loop.log().fault("body.broken", e).write();
             stop();
             end.broke();
@@ -95,7 +95,7 @@
                     .addListener(
                             last -> {
                                 if (stopped) {
-                                    return; // guards against news of a body to a caller or a node
+                                    return; // this avoids news of a body to a client or an endpoint
                                     // that has gone
                                 }
                                 if (last.isSuccess()) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Whether the channel takes nothing, and has taken nothing for so long, in nanoseconds. */
+    /** Whether the channel takes nothing, and has taken nothing for this long, in nanoseconds. */
     boolean stuck(long nanos) {
         return !channel.isWritable() && loop.now() - movedAt >= nanos;
     }
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
@@ -47,7 +47,7 @@
         return all.size();
     }
 
-    /** A copy, since most of what is done to a connection changes the set. */
+    /** A replica, since most of what is done to a connection changes the set. */
     List<ClientConnection> copy() {
         return List.copyOf(all);
     }
--- a/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
@@ -4,22 +4,22 @@
 import cedarrudder.protocol.HttpDecoder;
 
 /**
- * What callers may cost. Times are in nanoseconds.
+ * What clients may cost. Times are in nanoseconds.
  *
  * @param requestPatience a request must be whole this long after its connection came, or after its
- *     first byte where others came before it. Guards against half requests and silent connections
+ *     first byte where others came before it. This avoids half requests and silent connections
  *     holding descriptors: whoever sends what is no request is owed an answer or a close within 3 s
- * @param silentLong callers send their first request as they connect, and each in one piece; one
- *     that is silent, or has sent half a request, for so long gives up its place where room is
+ * @param silentLong clients send their first request as they connect, and each in one piece; one
+ *     that is silent, or has sent half a request, for this long gives up its place where room is
  *     needed
- * @param idlePatience a caller between requests is closed after so long. The protocol allows it
+ * @param idlePatience a client between requests is closed after this long. The protocol allows it
  *     after 2 s; those that ask once and stay would pile up
- * @param answerPatience a caller that hasn't read its answer for so long has given up waiting for
+ * @param answerPatience a client that hasn't read its answer for this long has given up waiting for
  *     it
  * @param maxHead the largest head of a request, in bytes
  * @param maxBody the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW}
  *     flows
- * @param descriptorsShare the share of the process's descriptors that callers may hold
+ * @param descriptorsShare the share of the process's descriptors that clients may hold
  */
 public record ClientLimits(
         long requestPatience,
@@ -31,8 +31,8 @@
         double descriptorsShare) {
 
     /**
-     * What counts where nothing is set: operators may set each. None of it ends an RPC that waits
-     * for its answer, so that it holds for classes of any deadline.
+     * What counts where nothing is set: operators may set each. None of it ends a request that
+     * waits for its answer, so that it holds for classes of any deadline.
      */
     public static final ClientLimits DEFAULT =
             new ClientLimits(
@@ -44,7 +44,7 @@
                     HttpDecoder.MAX_FLOW,
                     0.5);
 
-    /** How many callers may be connected at once, of a process with so many descriptors. */
+    /** How many clients may be connected at once, of a process with this many descriptors. */
     public int maxCallers(int descriptors) {
         return Math.max(1, (int) (descriptors * descriptorsShare));
     }
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -41,7 +41,7 @@
     /** The largest list that is read. */
     private static final int MAX_LIST = 4 * 1024 * 1024;
 
-    /** What has come meanwhile is read for so long, in nanoseconds, before silence is judged. */
+    /** What has come meanwhile is read for this long, in nanoseconds, before silence is judged. */
     private static final long TURN = 1_000_000L;
 
     /**
@@ -70,13 +70,13 @@
     private boolean asksAgain;
 
     /**
-     * @param longest so long after a failure the watch is asked for again at the latest, in
+     * @param longest this long after a failure the watch is asked for again at the latest, in
      *     nanoseconds
      * @param known the version of the list that the proxy starts with
      * @param failures told when nothing that was asked is left to wait for
      * @param gate leaves out what there is no room for; null: all is read
-     * @param again after so long, in nanoseconds, and by chance up to half as much more, the whole
-     *     list is asked for anew where nodes were left out
+     * @param again after this long, in nanoseconds, and by chance up to half as much more, the
+     *     whole list is asked for anew where endpoints were left out
      */
     public DiscoveryClient(
             ProxyEventLoop loop,
@@ -142,7 +142,7 @@
     }
 
     /**
-     * What was read counts. Guards against a version that is taken for known while nodes of it
+     * What was read counts. This avoids a version that is taken for known while endpoints of it
      * wait: discovery would tell them no more.
      *
      * @param all whether what came had all that waited before
@@ -171,7 +171,9 @@
                 .write();
     }
 
-    /** Of the list with which the process starts nodes were left out: discovery is to tell them. */
+    /**
+     * Of the list with which the process starts endpoints were left out: discovery is to tell them.
+     */
     public void startedShort() {
         refused();
         waiting = true;
@@ -179,7 +181,7 @@
         askAgain();
     }
 
-    /** Not at once: guards against calls without end for a list that still does not fit. */
+    /** Not at once: this avoids calls without end for a list that still does not fit. */
     private void askAgain() {
         if (waiting && !asksAgain) {
             asksAgain = true;
@@ -248,8 +250,7 @@
         }
 
         /**
-         * Reads first: guards against a loop that was late taking for silent what has come
-         * meanwhile.
+         * Reads first: this avoids a loop that was late taking for silent what has come meanwhile.
          */
         @Override
         public void scheduleTimer(long at) {
@@ -274,7 +275,7 @@
         }
     }
 
-    /** One call to discovery, on a connection of its own. It fails once at the most. */
+    /** One call to discovery, on a connection of its own. It fails once at most. */
     private final class Call extends SimpleChannelInboundHandler<ByteBuf>
             implements ObjectStream.Events {
         private final Asks asks;
@@ -417,11 +418,11 @@
             boolean outdated =
                     told.whole("version") < version && !(asks.follows && told.flag("full", false));
             if (outdated && !asks.follows) {
-                // Guards against a late answer taking back what the watch has told since.
+                // This avoids a late answer taking back what the watch has told since.
                 fail("older than what is known");
                 return null;
             }
-            // Not read: guards against what is outdated undoing what is known of nodes.
+            // Not read: this avoids what is outdated undoing what is known of endpoints.
             EndpointList result = outdated ? null : reader.read(told);
             answered = true;
             asks.clock.onUpdate(loop.now(), number);
--- a/daemon/src/main/java/cedarrudder/transport/EndpointLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointLimits.java
@@ -4,13 +4,13 @@
 import cedarrudder.protocol.HttpDecoder;
 
 /**
- * What nodes may cost. Times are in nanoseconds.
+ * What endpoints may cost. Times are in nanoseconds.
  *
- * @param probePatience a probe without an answer is given up after so long
- * @param answerPatience an answer that has begun, of which nothing more has come for so long, has
- *     been spoilt; one that is still coming after so long flows to its caller as it comes. Guards
- *     against waiting until the RPC's end for the rest of an answer that is shorter than it says,
- *     or whose head never ends
+ * @param probePatience a probe without an answer is given up after this long
+ * @param answerPatience an answer that has begun, of which nothing more has come for this long, has
+ *     been spoilt; one that is still coming after this long flows to its client as it comes. Guards
+ *     against waiting until the request's end for the rest of an answer that is shorter than it
+ *     says, or whose head never ends
  * @param maxHead the largest head of an answer, in bytes
  * @param maxBody the largest body of an answer, in bytes; what is over {@link BodyFlow#WINDOW}
  *     flows
@@ -33,7 +33,7 @@
                     250_000_000L, 300_000_000L, HttpDecoder.MAX_HEAD, HttpDecoder.MAX_FLOW, 0.25);
 
     /**
-     * Of what callers leave, this many descriptors are no channel's: 16 calls of operators,
+     * Of what clients leave, this many descriptors are no channel's: 16 calls of operators,
      * discovery, the log, the program's own files. Where there are few, a fifth of all.
      */
     private static final int RESERVED = 48;
@@ -41,12 +41,12 @@
     /**
      * How many channels there may be.
      *
-     * @param idle beyond so many, each new one costs one that is idle
-     * @param all beyond so many, none is opened
+     * @param idle beyond this many, each new one costs one that is idle
+     * @param all beyond this many, none is opened
      */
     public record Bounds(int idle, int all) {}
 
-    /** The bounds of a process with so many descriptors, of which callers may hold some. */
+    /** The bounds of a process with this many descriptors, of which clients may hold some. */
     public Bounds bounds(int descriptors, int callers) {
         return new Bounds(
                 Math.max(1, (int) (descriptors * descriptorsShare)),
--- a/daemon/src/main/java/cedarrudder/transport/EndpointSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointSocket.java
@@ -7,7 +7,7 @@
 /** A socket to an endpoint that can tell, between two requests, whether nothing came on it. */
 final class EndpointSocket extends NioSocketChannel {
 
-    /** Takes what comes where nothing should. Off the heap, so that a read needs no copy. */
+    /** Takes what comes where nothing should. Off the heap, so that a read needs no replica. */
     private static final ByteBuffer SURPLUS = ByteBuffer.allocateDirect(1);
 
     /**
--- a/daemon/src/main/java/cedarrudder/transport/EventRecorder.java
+++ b/daemon/src/main/java/cedarrudder/transport/EventRecorder.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Takes what happens to this copy, for a history that is judged afterwards; on the loop, which
+ * Takes what happens to this replica, for a history that is judged afterwards; on the loop, which
  * never waits for it.
  */
 public interface EventRecorder {
--- a/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Tells by the project's log that a connection could not be accepted. Guards against the
-     * library's own, which opens files for its first line: with no descriptor left that is an error
-     * that ends the loop.
+     * Tells by the project's log that a connection could not be accepted. This avoids the library's
+     * own, which opens files for its first line: with no descriptor left that is an error that ends
+     * the loop.
      */
     @Override
     protected DefaultChannelPipeline newChannelPipeline() {
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Takes all connections that wait and closes the socket right behind the last. Guards against
+     * Takes all connections that wait and closes the socket right behind the last. This avoids
      * connections that the kernel has accepted being reset: it resets what is in the queue of a
      * socket that is closed.
      *
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -16,7 +16,7 @@
  */
 public final class MembershipService {
 
-    /** Takes that a copy counts as live from now on, or as dead. */
+    /** Takes that a replica counts as live from now on, or as dead. */
     public interface Lives {
         void lives(int replica, boolean lives);
     }
@@ -77,7 +77,7 @@
                         loop.now());
     }
 
-    /** Tells this one of each copy, from now on; before it begins. */
+    /** Tells this one of each replica, from now on; before it begins. */
     public void onEach(Lives hears) {
         each = hears;
     }
--- a/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
@@ -134,7 +134,7 @@
 
     /**
      * Ends the loop, from any thread but its own: what it still owns is closed. Returns once that
-     * is done, or after {@link #ENDING}. Guards against a process whose last moments load other
+     * is done, or after {@link #ENDING}. This avoids a process whose last moments load other
      * classes each time, by who is first: the class-data archive is made of what one run loaded.
      */
     public void stop() {
@@ -151,7 +151,7 @@
         try {
             task.run();
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            // Guards against a fault in one task ending what the loop does for all others.
+            // This avoids a fault in one task ending what the loop does for all others.
             log.fault("loop.task_failed", e).write();
         }
     }
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -13,7 +13,7 @@
 import java.util.function.Function;
 
 /**
- * What copies decide together, on the loop's clock and the socket to the peers; what it decides
+ * What replicas decide together, on the loop's clock and the socket to the peers; what it decides
  * stands in {@link CoordinatedReplica}. It takes part while this process is the one of its number
  * that speaks, and keeps quiet before and after. It belongs to the loop's thread.
  */
@@ -35,11 +35,11 @@
         /** What became of a command that was proposed here; null where it is not committed. */
         void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
-        /** These nodes are being removed. */
+        /** These endpoints are being removed. */
         void leaving(List<RouteTable.Leaving> nodes);
     }
 
-    /** Makes this copy's part at the moment at which it begins to take part. */
+    /** Makes this replica's part at the moment at which it begins to take part. */
     public interface Maker {
         /**
          * @param outlet takes what it causes
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Membership holds that a copy lives, or that it is dead. */
+    /** Membership holds that a replica lives, or that it is dead. */
     public void lives(int number, boolean lives) {
         dead.set(number, !lives);
         if (replica != null) {
@@ -118,7 +118,7 @@
         return replica == null ? null : replica.status(loop.now());
     }
 
-    /** An operator has this copy form a group; false where it can't. */
+    /** An operator has this replica form a group; false where it can't. */
     public boolean form() {
         return Boolean.TRUE.equals(act(part -> part.form(loop.now())));
     }
@@ -161,9 +161,8 @@
     }
 
     /**
-     * What it must not forget can't be kept. Guards against speaking of what it would have
-     * forgotten: it says nothing more, and callers are served as without a table once its lease is
-     * over.
+     * What it must not forget can't be kept. This avoids speaking of what it would have forgotten:
+     * it says nothing more, and clients are served as without a table once its lease is over.
      */
     private void stopped(UncheckedIOException e) {
         loop.log().warn("agreement.stopped").with("why", e.getMessage()).write();
--- a/daemon/src/main/java/cedarrudder/transport/ServiceState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ServiceState.java
@@ -13,7 +13,7 @@
     enum Life {
         SERVING,
         /**
-         * SIGTERM came and nobody takes over: what is taken is answered, then callers are left
+         * SIGTERM came and nobody takes over: what is taken is answered, then clients are left
          * alone.
          */
         ENDING,
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Whether callers at this address are welcome: a successor's process takes those who come now.
+     * Whether clients at this address are welcome: a successor's process takes those who come now.
      */
     boolean isHealthy() {
         return life != Life.ENDING && !drained;
--- a/daemon/src/main/java/cedarrudder/transport/SkewedClock.java
+++ b/daemon/src/main/java/cedarrudder/transport/SkewedClock.java
@@ -1,7 +1,7 @@
 package cedarrudder.transport;
 
 /**
- * A clock for trials of many copies, on which time passes a little faster or slower than it does.
+ * A clock for trials of many replicas, on which time passes a little faster or slower than it does.
  */
 public final class SkewedClock {
 
@@ -11,7 +11,7 @@
     private final double rate;
 
     /**
-     * @param millionths time passes so much faster than it does; negative: slower
+     * @param millionths time passes this much faster than it does; negative: slower
      */
     public SkewedClock(int millionths) {
         this.rate = 1 + millionths / MILLION;
@@ -27,7 +27,7 @@
     }
 
     /**
-     * So much time of the machine's clock takes that much of this one, or a little more;
+     * This much time of the machine's clock takes that much of this one, or a little more;
      * nanoseconds.
      */
     long real(long nanos) {
--- a/daemon/src/test/java/cedarrudder/operator/OperatorFileTest.java
+++ b/daemon/src/test/java/cedarrudder/operator/OperatorFileTest.java
@@ -89,7 +89,7 @@
         assertEquals(bad.problems().size(), 2, bad.problems().toString());
     }
 
-    /** Guards against a zone in two regions, and times of which one makes the other void. */
+    /** Detects a zone in two regions, and times of which one makes the other void. */
     @Test
     public void failoverSaysAllThatContradictsItself() throws Exception {
         assertEquals(
--- a/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
@@ -43,9 +43,7 @@
         }
     }
 
-    /**
-     * Guards against those who say nothing, or half a call, shutting out those who say all of it.
-     */
+    /** Detects those who say nothing, or half a call, shutting out those who say all of it. */
     @Test
     public void aCrowdOfSilentAndHalfCallsLeavesRoomForAWholeOne() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
@@ -73,10 +71,10 @@
         }
     }
 
-    /** Guards against clients staying with a proxy that operators want to be alone with. */
+    /** Detects clients staying with a proxy that operators want to be alone with. */
     @Test
     public void aDrainSendsClientsAwayAndLosesNothingAndResumeTakesItBack() throws Exception {
-        // With so much patience only the drain closes what is idle, or silent.
+        // With this much patience only the drain closes what is idle, or silent.
         Path patient = Files.createTempFile("operator", ".toml");
         Files.writeString(
                 patient, "[callers]\nidle_patience_ms = 60000\nrequest_patience_ms = 60000\n");
@@ -110,8 +108,7 @@
     }
 
     /**
-     * Guards against a ban that fails to reach work which waits, or that outlives the call that
-     * ends it.
+     * Detects a ban that fails to reach work which waits, or that outlives the call that ends it.
      */
     @Test
     public void aDisabledNodeGetsNothingNewUntilItIsEnabled() throws Exception {
@@ -151,7 +148,7 @@
         }
     }
 
-    /** Guards against a yes that the next process knows nothing of. */
+    /** Detects a yes that the next process knows nothing of. */
     @Test
     public void whatCantBeKeptIsANoAndWhatWasKeptIsTakenUp() throws Exception {
         try (World world = new World(2).withAdmin()) {
@@ -180,7 +177,7 @@
         }
     }
 
-    /** Guards against figures that tell something else than what peers saw. */
+    /** Detects figures that tell something else than what peers saw. */
     @Test
     public void figuresTellWhatCallersAndNodesSaw() throws Exception {
         try (World world = new World(1).withAdmin().start();
@@ -218,7 +215,7 @@
         return world.nodes.get(node).server.getLocalPort();
     }
 
-    /** Serves an RPC and tells at which node's port it came. */
+    /** Serves a request and tells at which endpoint's port it came. */
     private static int served(World world, Caller caller, String id) throws Exception {
         caller.send(World.request("lookup", "/api", "").replace("id-1", id));
         Received call = world.call();
--- a/daemon/src/test/java/cedarrudder/program/AsyncLogWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AsyncLogWriterTest.java
@@ -13,7 +13,7 @@
 /** The thread that writes the log. */
 public class AsyncLogWriterTest {
 
-    /** Guards against a log that is silent for months after one moment without memory. */
+    /** Detects a log that is silent for months after one moment without memory. */
     @Test
     public void itWritesOnAfterALineThatItHadNoMemoryFor() throws Exception {
         BlockingQueue<String> written = new LinkedBlockingQueue<>();
--- a/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
@@ -23,8 +23,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Bodies that are too large to be held. The target {@link #STAYS} leaves a node's socket to the
- * test.
+ * Bodies that are too large to be held. The target {@link #STAYS} leaves an endpoint's socket to
+ * the test.
  */
 public class BodyScenarioTest {
 
@@ -67,7 +67,7 @@
         return line.toString(StandardCharsets.ISO_8859_1).strip();
     }
 
-    /** Reads a body in chunks, or of so many bytes, and returns its sum. */
+    /** Reads a body in chunks, or of this many bytes, and returns its sum. */
     private static CRC32 read(InputStream in, int length) throws IOException {
         CRC32 sum = new CRC32();
         if (length >= 0) {
@@ -102,9 +102,7 @@
                 .replace("id-1", id);
     }
 
-    /**
-     * Guards against bytes that are lost, doubled or out of order, whichever side is the slower.
-     */
+    /** Detects bytes that are lost, doubled or out of order, whichever side is the slower. */
     @Test
     public void bodiesOf32MegabytesGoThroughBothWays() throws Exception {
         try (World world = new World(1).start();
@@ -142,10 +140,7 @@
         return sum.getValue();
     }
 
-    /**
-     * Guards against memory that grows with the bodies, and against callers that wait for one
-     * another.
-     */
+    /** Detects memory that grows with the bodies, and against clients that wait for one another. */
     @Test
     public void manyLargeAnswersThatNobodyReadsAreHeldWithinTheBoundAndOthersAreServed()
             throws Exception {
@@ -187,7 +182,7 @@
         }
     }
 
-    /** Guards against an answer that ends early and looks whole, however its end is told. */
+    /** Detects an answer that ends early and looks whole, however its end is told. */
     @Test
     public void anAnswerThatBreaksOffIsVisiblyNotWhole() throws Exception {
         String[] framings = {"Content-Length: 200000", "Transfer-Encoding: chunked"};
@@ -224,8 +219,8 @@
     }
 
     /**
-     * Guards against an answer without a length that looks whole, since its caller was given up as
-     * one that reads nothing: what had been written goes on to it, and then the end.
+     * Detects an answer without a length that looks whole, since its client was given up as one
+     * that reads nothing: what had been written goes on to it, and then the end.
      */
     @Test
     public void anAnswerWhoseCallerIsGivenUpIsVisiblyNotWhole() throws Exception {
@@ -250,8 +245,8 @@
     }
 
     /**
-     * Guards against a caller that reads all there is being given up as one that doesn't, since its
-     * node takes longer over the answer than there is patience with callers. Another one, whose
+     * Detects a client that reads all there is being given up as one that doesn't, since its
+     * endpoint takes longer over the answer than there is patience with clients. Another one, whose
      * answer began later and who reads nothing of it, is given up meanwhile.
      */
     @Test
@@ -282,10 +277,7 @@
         }
     }
 
-    /**
-     * Guards against half a request being sent again, and one that may have run being called
-     * harmless.
-     */
+    /** Detects half a request being sent again, and one that may have run being called harmless. */
     @Test
     public void aRequestThatBreaksOffIsRefusedBeforeItsLastByteAndFailsAfterIt() throws Exception {
         try (World world = new World(2).start();
@@ -311,9 +303,7 @@
         }
     }
 
-    /**
-     * Guards against a caller that leaves within its upload keeping a node waiting for the rest.
-     */
+    /** Detects a client that leaves within its upload keeping an endpoint waiting for the rest. */
     @Test
     public void aCallerThatLeavesWithinItsUploadEndsTheAttempt() throws Exception {
         try (World world = new World(1).start()) {
@@ -331,7 +321,7 @@
         }
     }
 
-    /** Guards against an answer that comes slowly being taken for one that has no end. */
+    /** Detects an answer that comes slowly being taken for one that has no end. */
     @Test
     public void aSmallAnswerThatIsSlowToComeIsPassedOnAsItComes() throws Exception {
         try (World world = new World(1).start();
--- a/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
@@ -272,7 +272,7 @@
                 caller.send(
                         World.request("order", "/api", "x", budget + "f" + i)
                                 .replace("id-1", "o" + i));
-                // Either it reaches a node, or it is refused before any node has seen it.
+                // Either it reaches an endpoint, or it is refused before any endpoint has seen it.
                 Nodes.daemon(() -> world.calls.add(caller.read()));
                 Received next = world.call();
                 if (next.first().startsWith("POST")) {
@@ -292,7 +292,7 @@
 
     // ---- loops ----
 
-    /** The nodes of two tiers call each other's tier by mistake. */
+    /** The endpoints of two tiers call each other's tier by mistake. */
     @Test
     public void aLoopIsRefusedWhereItClosesAndItsPathIsInTheAnswerAndOnceInTheLog()
             throws Exception {
@@ -330,7 +330,7 @@
 
     // ---- old and new ----
 
-    /** An old daemon passes on what it doesn't know, and its nodes copy it. */
+    /** An old daemon passes on what it doesn't know, and its endpoints copy it. */
     @Test
     public void anOldDaemonBetweenNewOnesLetsTheFieldsPass() throws Exception {
         try (World front = world(0, 1).start();
--- a/daemon/src/test/java/cedarrudder/program/ChainIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ChainIT.java
@@ -25,16 +25,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Three tiers of the built jar, a process each, with nodes that call down and copy the fields. What
- * is counted are the attempts that reach nodes, for each tree: all that one first request of a
- * client causes.
+ * Three tiers of the built jar, a process each, with endpoints that call down and copy the fields.
+ * What is counted are the attempts that reach endpoints, for each tree: all that one first request
+ * of a client causes.
  */
 public class ChainIT {
 
     private static final int TIERS = 3;
     private static final int NODES = 4;
 
-    /** Calls that a node of each tier makes to the next, one after another. */
+    /** Calls that an endpoint of each tier makes to the next, one after another. */
     private static final int[] CALLS = {2, 1, 0};
 
     private static final int TRIES = 3;
@@ -128,7 +128,7 @@
             return caller.read();
         }
 
-        /** Whether a request was turned away by the first proxy before any node had seen it. */
+        /** Whether a request was rejected by the first proxy before any endpoint had seen it. */
         boolean unsent(String kind, int number) {
             return trees.get(kind + "-" + number).attempts.get(0) == 0;
         }
@@ -178,7 +178,7 @@
         Nodes.daemon(() -> lines.lines().forEach(each -> {}));
     }
 
-    /** What a run came to; attempts are counted where they reach nodes. */
+    /** What a run came to; attempts are counted where they reach endpoints. */
     private record Run(double[] multiples, int max, int served) {
 
         @Override
@@ -229,7 +229,8 @@
     }
 
     /**
-     * One of four nodes of the last tier answers after 400 ms: each tier finds its answers late.
+     * One of four endpoints of the last tier answers after 400 ms: each tier finds its answers
+     * late.
      */
     @Test
     public void attemptsAtEachTierStayWithinTheStatedMultipleWhenALastTierNodeTurnsSlow()
@@ -254,8 +255,8 @@
     }
 
     /**
-     * Work that the last tier can't do is turned away by the first, the least worth first, and let
-     * in again.
+     * Work that the last tier can't do is rejected by the first, the least worth first, and let in
+     * again.
      */
     @Test
     public void overloadOfTheLastTierIsFeltAtTheFirstAndOverWhenItIs() throws Exception {
--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -31,7 +31,7 @@
     /** What a run came to: where each class came from, and all that it said. */
     private record Run(Map<String, String> sources, String out, String err) {}
 
-    /** Starts the command, waits until the proxy is ready, serves an RPC and ends it. */
+    /** Starts the command, waits until the proxy is ready, serves a request and ends it. */
     private static Run run(String command) throws IOException, InterruptedException {
         Path loaded = Files.createTempFile("cedarrudder", ".classes");
         Path out = Files.createTempFile("cedarrudder", ".out");
--- a/daemon/src/test/java/cedarrudder/program/ClientScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ClientScenarioTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Callers that do wrong, and those beside them that don't. Where patience is long, no close that a
+ * Clients that do wrong, and those beside them that don't. Where patience is long, no close that a
  * test waits for can come of it.
  */
 public class ClientScenarioTest {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Guards against what is no request holding a descriptor until patience ends. */
+    /** Detects what is no request holding a descriptor until patience ends. */
     @Test
     public void bytesThatCantBecomeARequestAreAnsweredAtOnce() throws Exception {
         try (World world = world(PATIENT).start()) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Guards against the body of an answer to HEAD being taken for the next answer. */
+    /** Detects the body of an answer to HEAD being taken for the next answer. */
     @Test
     public void anAnswerToHeadHasNoBody() throws Exception {
         try (World world = world(PATIENT).start();
@@ -99,8 +99,7 @@
     }
 
     /**
-     * Guards against answers piling up in memory for a caller that sends requests and reads none of
-     * them.
+     * Detects answers piling up in memory for a client that sends requests and reads none of them.
      */
     @Test
     public void whoReadsNoAnswersIsAskedForNoMoreAndClosed() throws Exception {
@@ -135,7 +134,7 @@
         }
     }
 
-    /** Guards against half requests keeping everybody else out until patience with them ends. */
+    /** Detects half requests keeping everybody else out until patience with them ends. */
     @Test
     public void atItsBoundTheProxyClosesHalfRequests() throws Exception {
         List<Caller> half = new ArrayList<>();
--- a/daemon/src/test/java/cedarrudder/program/EndpointListCheckTest.java
+++ b/daemon/src/test/java/cedarrudder/program/EndpointListCheckTest.java
@@ -46,10 +46,7 @@
         return new Said(fits, said.toString());
     }
 
-    /**
-     * Guards against an operator who hears of a list that does not fit only once a proxy is told
-     * it.
-     */
+    /** Detects an operator who hears of a list that does not fit only once a proxy is told it. */
     @Test
     public void aListFitsOrFitsInStepsOrSaysWhichBoundBindsAndByHowMuch() throws Exception {
         Path list = file(RetainedEndpointList.list(0, 10_000, 3));
@@ -81,7 +78,7 @@
                 few.text);
     }
 
-    /** Guards against limits that are taken and then left out of the verdict. */
+    /** Detects limits that are taken and then left out of the verdict. */
     @Test
     public void eachLimitBindsTheProcess() throws Exception {
         Path list = file(RetainedEndpointList.list(0, 100, 3));
@@ -106,7 +103,7 @@
         }
     }
 
-    /** Guards against settings and limits of a configuration that count for nothing. */
+    /** Detects settings and limits of a configuration that count for nothing. */
     @Test
     public void aConfigurationSaysItsListAndSettingsToo() throws Exception {
         String example =
@@ -123,7 +120,7 @@
         assertEquals(said.line("callers").split(" +")[1], "100");
     }
 
-    /** Guards against a fault in place of what is wrong with the file. */
+    /** Detects a fault in place of what is wrong with the file. */
     @Test
     public void whatIsNoListIsSaidWithFoundAndAllowed() throws Exception {
         for (String text :
--- a/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -36,16 +36,14 @@
     }
 
     /**
-     * Guards against an account that fills up for good: what had been read of a body, and was never
-     * taken by a node, stayed in it, 64 KiB each time, and after some 300 times every body was
+     * Detects an account that fills up for good: what had been read of a body, and was never taken
+     * by an endpoint, stayed in it, 64 KiB each time, and after some 300 times every body was
      * refused.
      */
     @Test
     public void aBodyThatNoNodeTookIsNotHeldAfterItsAnswer() throws Exception {
         try (World world = new World(1).withAdmin()) {
-            world.nodes
-                    .get(0)
-                    .close(); // first: guards against a probe's connection to it that stays
+            world.nodes.get(0).close(); // first: detects a probe's connection to it that stays
             world.start();
             for (int i = 0; i < 20; i++) {
                 try (Caller caller = world.caller()) {
@@ -62,9 +60,7 @@
         }
     }
 
-    /**
-     * Guards against memory that nothing bounds: many requests of 64 KiB each, whole and under way.
-     */
+    /** Detects memory that nothing bounds: many requests of 64 KiB each, whole and under way. */
     @Test
     public void aWholeBodyIsHeldInTheAccountUntilItsAnswer() throws Exception {
         try (World world = new World(1).withAdmin().start();
@@ -78,9 +74,7 @@
         }
     }
 
-    /**
-     * Guards against two answers to one request: that its node lost it, and that it can't be read.
-     */
+    /** Detects two answers to one request: that its endpoint lost it, and that it can't be read. */
     @Test
     public void aRequestThatIsSpoiltWithinItsBodyGetsOneAnswer() throws Exception {
         try (World world = new World(1).withAdmin().start();
@@ -100,7 +94,7 @@
     }
 
     /**
-     * Guards against a load that another process reported, at the address that the node had before.
+     * Detects a load that another process reported, at the address that the endpoint had before.
      */
     @Test
     public void aProbesAnswerFromTheAddressThatANodeHadBeforeIsNotTaken() throws Exception {
@@ -139,7 +133,7 @@
         }
     }
 
-    /** Has one RPC served, and returns the port of the node that served it. */
+    /** Has one request served, and returns the port of the endpoint that served it. */
     private static int call(World world, Caller caller, String id) throws Exception {
         caller.send(World.request("order", "/api", "x").replace("id-1", id));
         Received call = world.call();
@@ -148,9 +142,7 @@
         return call.socket().getLocalPort();
     }
 
-    /**
-     * Guards against a node that breaks off each large answer being used as one that serves well.
-     */
+    /** Detects an endpoint that breaks off each large answer being used as one that serves well. */
     @Test
     public void aNodeThatBreaksOffItsAnswersCountsAsFailing() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
@@ -172,7 +164,7 @@
         }
     }
 
-    /** Guards against a node that goes on with an answer that nobody waits for any more. */
+    /** Detects an endpoint that goes on with an answer that nobody waits for any more. */
     @Test
     public void aCallerThatLeavesWithinItsAnswerEndsTheAttempt() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
@@ -191,8 +183,7 @@
     }
 
     /**
-     * Guards against any part of an answer being served, and against a caller that waits, at every
-     * cut.
+     * Detects any part of an answer being served, and against a client that waits, at every cut.
      */
     @Test
     public void anAnswerThatIsCutAtAnyByteIsServedWholeOrNotAtAll() throws Exception {
@@ -220,7 +211,7 @@
         }
     }
 
-    /** So many callers, each of which sends an RPC that its node is to answer. */
+    /** This many clients, each of which sends a request that its endpoint is to answer. */
     private static List<Caller> crowd(World world, int callers) throws Exception {
         List<Caller> crowd = new ArrayList<>();
         for (int i = 0; i < callers; i++) {
@@ -230,7 +221,7 @@
         return crowd;
     }
 
-    /** Guards against attempts that take the descriptors of operators and discovery. */
+    /** Detects attempts that take the descriptors of operators and discovery. */
     @Test
     public void attemptsBeyondTheBoundOnChannelsAreRefusedAndOperatorsAreHeard() throws Exception {
         int sockets = 240;
@@ -259,7 +250,7 @@
         }
     }
 
-    /** Takes the calls that come until so many RPCs were refused, or are at nodes. */
+    /** Takes the calls that come until this many requests were refused, or are at endpoints. */
     private static List<Received> calls(World world, int requests) throws Exception {
         List<Received> calls = new ArrayList<>();
         for (int i = 0; ; i++) {
@@ -278,7 +269,7 @@
         }
     }
 
-    /** Guards against the share of descriptors for idle channels bounding the attempts, too. */
+    /** Detects the share of descriptors for idle channels bounding the attempts, too. */
     @Test
     public void theShareOfDescriptorsForIdleChannelsBoundsNoAttempts() throws Exception {
         try (World world =
@@ -302,7 +293,7 @@
     }
 
     /**
-     * Guards against a request that reaches a node long after it was told to drain, since its
+     * Detects a request that reaches an endpoint long after it was told to drain, since its
      * connection took as long as the settings allow: the rule on drains ends the wait sooner.
      */
     @Test
@@ -322,9 +313,7 @@
         }
     }
 
-    /**
-     * Guards against an answer that says no length, and that its node breaks off, looking whole.
-     */
+    /** Detects an answer that says no length, and that its endpoint breaks off, looking whole. */
     @Test
     public void anAnswerWithoutALengthThatIsResetIsNotAWholeOne() throws Exception {
         try (World world = new World(1).start();
@@ -341,7 +330,7 @@
     }
 
     /**
-     * Guards against a caller that waits ten minutes, and memory held as long, for a node that is
+     * Detects a client that waits ten minutes, and memory held as long, for an endpoint that is
      * silent in the midst of a body: it has no deadline before its end. The bound is 30 s.
      */
     @Test
@@ -376,9 +365,7 @@
         return caller.read();
     }
 
-    /**
-     * Guards against a node that is never asked again for the sake of one answer that never came.
-     */
+    /** Detects an endpoint that is never asked again for the sake of one answer that never came. */
     @Test
     public void aProbeThatIsNeverAnsweredFreesItsPlace() throws Exception {
         try (World world = new World(1).start()) {
--- a/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a copy with a disk finds again. */
+/** What a replica with a disk finds again. */
 public class FileStableStorageTest {
 
     private static final VoterGroup GROUP = new VoterGroup(3, 1, 77);
@@ -100,10 +100,7 @@
         assertEquals(log.toString(), "");
     }
 
-    /**
-     * Guards against a store that another build wrote and this one can't open, or the other way
-     * round.
-     */
+    /** Detects a store that another build wrote and this one can't open, or the other way round. */
     @Test
     public void theFileIsThatOfTheEarlierBuild() throws IOException {
         write();
@@ -145,7 +142,7 @@
         }
     }
 
-    /** One bit turned anywhere before the last batch, and the copy begins as one that forgot. */
+    /** One bit turned anywhere before the last batch, and the replica begins as one that forgot. */
     @Test
     public void aCorruptFileIsRefusedAndSetAside() throws IOException {
         write();
@@ -228,7 +225,7 @@
                 took[syncs / 2] < 1_000_000_000L, "a disk that takes " + took[syncs / 2] + " ns");
     }
 
-    /** Guards against a file that grows for as long as the copy lives. */
+    /** Detects a file that grows for as long as the replica lives. */
     @Test
     public void theFileStaysSmall() throws IOException {
         try (FileStableStorage store = open()) {
--- a/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -18,8 +18,8 @@
 
 /**
  * What may still go out when a connection comes up long after it was asked for, or a request has
- * waited: its caller may have left, its node may drain, its time or the window of its repeats may
- * be over. The nodes' queues of connections are held full until the test opens them.
+ * waited: its client may have left, its endpoint may drain, its time or the window of its repeats
+ * may be over. The endpoints' queues of connections are held full until the test opens them.
  */
 public class FirstByteScenarioTest {
 
@@ -52,7 +52,7 @@
         return figures(world).child("operations").child(kind).whole("left");
     }
 
-    /** The next RPC at a node has this id; it is answered. */
+    /** The next request at an endpoint has this id; it is answered. */
     private static Received serve(World world, Caller caller, String id) throws Exception {
         Received call = world.call();
         assertEquals(call.field("Req-Id"), id);
@@ -66,11 +66,11 @@
         return new Object[][] {{true}, {false}};
     }
 
-    // ---- its caller has left ----
+    // ---- its client has left ----
 
     /**
-     * Guards against an attempt that begins for nobody, as the settings may forbid to call off what
-     * has begun; and against a connection that its node has paid for being thrown away.
+     * Detects an attempt that begins for nobody, as the settings may forbid to cancel what has
+     * begun; and against a connection that its endpoint has paid for being thrown away.
      */
     @Test(dataProvider = "mayCancel")
     public void whatIsSentOnALateConnectionIsNotOfACallerThatLeft(boolean cancel) throws Exception {
@@ -127,7 +127,9 @@
         }
     }
 
-    /** An RPC with more behind it than is read ahead: of further RPCs, or of its own body. */
+    /**
+     * A request with more behind it than is read ahead: of further requests, or of its own body.
+     */
     private static String muchAtOnce(String id, boolean flows) {
         String chunked =
                 World.request("order", "/api", "", "Transfer-Encoding: chunked")
@@ -149,10 +151,7 @@
         return new Object[][] {{false, false}, {false, true}, {true, false}, {true, true}};
     }
 
-    /**
-     * Guards against an attempt for a caller whose end stands behind more than there is room to
-     * read.
-     */
+    /** Detects an attempt for a client whose end stands behind more than there is room to read. */
     @Test(dataProvider = "endsBehindMuch")
     public void nothingBeginsForACallerWhoseEndCouldNotBeSeen(boolean flows, boolean reset)
             throws Exception {
@@ -178,7 +177,8 @@
     }
 
     /**
-     * The price of that: one who stays, and sent so much ahead, is told that its RPC did not run.
+     * The price of that: one who stays, and sent this much ahead, is told that its request did not
+     * run.
      */
     @Test
     public void whoSentMuchAheadAndStaysIsRefusedOnceAndThenServed() throws Exception {
@@ -211,7 +211,7 @@
         return all;
     }
 
-    /** Guards against a further attempt for nobody, where what is out may not be called off. */
+    /** Detects a further attempt for nobody, where what is out may not be cancelled. */
     @Test(dataProvider = "mayCancel")
     public void noFurtherAttemptFollowsOneWhoseCallerLeft(boolean cancel) throws Exception {
         try (World world = world(2).with("\"cancel\": true", "\"cancel\": " + cancel).start()) {
@@ -234,7 +234,7 @@
         }
     }
 
-    /** Guards against a request that leaves the line for a node though its caller is gone. */
+    /** Detects a request that leaves the line for an endpoint though its client is gone. */
     @Test(dataProvider = "mayCancel")
     public void aCallerThatLeavesTheLineIsNotSentOn(boolean cancel) throws Exception {
         try (World world = world(1).with("\"cancel\": true", "\"cancel\": " + cancel)) {
@@ -259,8 +259,8 @@
     }
 
     /**
-     * Discovery: each watch gets the list of the moment and all later ones. Guards against a story
-     * that tells a watch which the proxy has given up, since it was not answered while the proxy
+     * Discovery: each watch gets the list of the moment and all later ones. Detects a story that
+     * tells a watch which the proxy has given up, since it was not answered while the proxy
      * started.
      */
     private static final class Discovery {
@@ -296,7 +296,7 @@
         }
     }
 
-    // ---- its node has left ----
+    // ---- its endpoint has left ----
 
     private static String list(int version, String entries) {
         return "{\"version\":" + version + ",\"full\":true,\"servers\":[" + entries + "]}\n";
@@ -308,8 +308,7 @@
     }
 
     /**
-     * Guards against a request that reaches a node long after it was told to drain, or left the
-     * list.
+     * Detects a request that reaches an endpoint long after it was told to drain, or left the list.
      */
     @Test(dataProvider = "waysToLeave")
     public void aLateConnectionToANodeThatHasLeftCarriesNothing(String how) throws Exception {
@@ -353,10 +352,10 @@
     }
 
     /**
-     * Guards against a request that is lost on an idle connection to what its node was before it
+     * Detects a request that is lost on an idle connection to what its endpoint was before it
      * started anew under the same id and address, where its machine had vanished without a word;
-     * and against a connection that is of this life being thrown away. While an RPC is out there
-     * the module closes none.
+     * and against a connection that is of this life being thrown away. While a request is out there
+     * the balancer closes none.
      */
     @Test(dataProvider = "startsOfANode")
     public void aConnectionFromBeforeItsNodesStartCarriesNothing(boolean before) throws Exception {
@@ -393,7 +392,7 @@
     }
 
     /**
-     * Guards against a request on a connection that its node may have closed already, since it was
+     * Detects a request on a connection that its endpoint may have closed already, since it was
      * idle for as long as the settings say: the pool is looked over only each second.
      */
     @Test
@@ -422,9 +421,7 @@
 
     // ---- its time is over ----
 
-    /**
-     * Guards against an answer that forbids a repeat of what was never sent on: that is no failure.
-     */
+    /** Detects an answer that forbids a repeat of what was never forwarded: that is no failure. */
     @Test
     public void anRpcWhoseConnectionIsNotUpByItsDeadlineIsRefused() throws Exception {
         try (World world = world(1);
@@ -441,7 +438,7 @@
         }
     }
 
-    /** Guards against a repeat that begins when nodes have forgotten what ran before. */
+    /** Detects a repeat that begins when endpoints have forgotten what ran before. */
     @Test
     public void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotSent() throws Exception {
         try (World world =
@@ -477,7 +474,7 @@
         }
     }
 
-    /** Guards against a node that works for longer than its caller waits. */
+    /** Detects an endpoint that works for longer than its client waits. */
     @Test
     public void aNodeIsToldNoMoreThanIsLeftOnceItsConnectionIsUp() throws Exception {
         for (boolean flows : new boolean[] {false, true}) {
@@ -509,8 +506,7 @@
     // ---- what a reset says ----
 
     /**
-     * Guards against an answer without a length that its node breaks off being served as a whole
-     * one.
+     * Detects an answer without a length that its endpoint breaks off being served as a whole one.
      */
     @Test
     public void aResetIsNoEndOfAnAnswer() throws Exception {
@@ -533,9 +529,7 @@
         }
     }
 
-    /**
-     * Guards against an answer that its node sends twice being taken for that to the next request.
-     */
+    /** Detects an answer that its endpoint sends twice being taken for that to the next request. */
     @Test
     public void aSecondAnswerThatComesLateAnswersNothing() throws Exception {
         try (World world = world(1).start();
@@ -550,7 +544,7 @@
         }
     }
 
-    /** Guards against a request on a connection that its node has reset while nothing was on it. */
+    /** Detects a request on a connection that its endpoint has reset while nothing was on it. */
     @Test
     public void aConnectionThatWasResetWhileIdleCarriesNothing() throws Exception {
         try (World world = world(1).start();
@@ -563,7 +557,7 @@
         }
     }
 
-    /** Guards against memory and time that go into answers that never begin. */
+    /** Detects memory and time that go into answers that never begin. */
     @Test
     public void interimAnswersWithoutEndAreNoAnswer() throws Exception {
         try (World world = world(1).start();
--- a/daemon/src/test/java/cedarrudder/program/FootprintIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintIT.java
@@ -24,7 +24,7 @@
 
     private static final List<String> MACHINE = List.of("-XX:+UseSerialGC", "-Xms32m", "-Xmx56m");
 
-    /** All of them at the address of the first node, which answers. */
+    /** All of them at the address of the first endpoint, which answers. */
     private static String list(World world) {
         String one = world.entries("in_service").split(",\\{")[0];
         String other = "{" + world.entries("terminating").split(",\\{")[1];
@@ -60,10 +60,7 @@
                 });
     }
 
-    /**
-     * Guards against a proxy that dies of a list, and against one that hears of no drain for its
-     * sake.
-     */
+    /** Detects a proxy that dies of a list, and against one that hears of no drain for its sake. */
     @Test
     public void aListThatDoesNotFitIsAppliedAsFarAsItDoesAndCallersAreServed() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
@@ -78,7 +75,7 @@
                                 List.of("--operator", operator.toString()))) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             tell(world);
-            // Told, and then twice more since nodes wait.
+            // Told, and then twice more since endpoints wait.
             for (int i = 0; i < 3; i++) {
                 proxy.awaitLine("footprint.refused bound=heap_at_");
             }
@@ -108,10 +105,7 @@
         }
     }
 
-    /**
-     * Guards against a process that dies of the list in its configuration, or never hears of the
-     * rest.
-     */
+    /** Detects a process that dies of the list in its configuration, or never hears of the rest. */
     @Test
     public void aListInTheConfigurationThatDoesNotFitIsLoadedAsFarAsItDoes() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
@@ -153,7 +147,7 @@
         }
     }
 
-    /** Guards against a list that the first test's process could have loaded as it is. */
+    /** Detects a list that the first test's process could have loaded as it is. */
     @Test
     public void withoutTheTableTheSameListIsSeenToEndOrStallIt() throws Exception {
         try (World world = new World(3);
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -47,9 +47,7 @@
         return off < -MAX_UNDER || off > MAX_OVER ? line + "\n" : "";
     }
 
-    /**
-     * Guards against a part that grew, or one that is forgotten, at rest or while a list is read.
-     */
+    /** Detects a part that grew, or one that is forgotten, at rest or while a list is read. */
     @Test
     public void neverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen() throws Exception {
         EndpointListFootprint footprint = new EndpointListFootprint(MachineLayout.read());
@@ -113,7 +111,7 @@
         return new RouteTable(1, 1, 1, 1, shares, nodes, classes);
     }
 
-    /** Guards against a part of the route table that grew, or is forgotten. */
+    /** Detects a part of the route table that grew, or is forgotten. */
     @Test
     public void ofARouteTableLikewise() {
         RouteTableFootprint tables = new RouteTableFootprint(MachineLayout.read());
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -85,7 +85,8 @@
     }
 
     /**
-     * Of nodes that refuse connections at once, so that none is open while descriptors are counted.
+     * Of endpoints that refuse connections at once, so that none is open while descriptors are
+     * counted.
      */
     private static String list(int nodes, int zones) {
         return RetainedEndpointList.list(0, nodes, zones)
@@ -124,9 +125,9 @@
     }
 
     /**
-     * Discovery resets each call as long as this holds. Guards against calls that wait for it, and
-     * the spare connection beside them, being counted as held before a list was told: they go once
-     * it is.
+     * Discovery resets each call as long as this holds. Detects calls that wait for it, and the
+     * spare connection beside them, being counted as held before a list was told: they go once it
+     * is.
      */
     private static AtomicBoolean turnAway(World world) {
         AtomicBoolean away = new AtomicBoolean(true);
@@ -191,7 +192,7 @@
         return off < -MAX_UNDER || off > MAX_OVER ? line + "\n" : "";
     }
 
-    /** Guards against a term that is forgotten, or one that grew since it was measured. */
+    /** Detects a term that is forgotten, or one that grew since it was measured. */
     @Test
     public void atRestNeverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen()
             throws Exception {
@@ -222,7 +223,7 @@
         assertTrue(wrong.isEmpty(), wrong.toString());
     }
 
-    /** Guards against an estimate that forgets the peak. */
+    /** Detects an estimate that forgets the peak. */
     @Test
     public void atThePeakOfLoadingLikewise() throws Exception {
         StringBuilder wrong = new StringBuilder();
@@ -273,7 +274,7 @@
         assertTrue(wrong.isEmpty(), wrong.toString());
     }
 
-    /** Guards against a history from which nobody can tell whether the estimate held. */
+    /** Detects a history from which nobody can tell whether the estimate held. */
     @Test
     public void theHistoryHasWhatWasEstimatedAndWhatWasThenHeld() throws Exception {
         Path history = Files.createTempDirectory("history").resolve("history.jsonl");
--- a/daemon/src/test/java/cedarrudder/program/GracefulShutdownTest.java
+++ b/daemon/src/test/java/cedarrudder/program/GracefulShutdownTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.Test;
 
-/** What callers that go on after SIGTERM get, up to the last connection. */
+/** What clients that go on after SIGTERM get, up to the last connection. */
 public class GracefulShutdownTest {
 
     private static final int CALLERS = 24;
@@ -63,10 +63,10 @@
     }
 
     /**
-     * Guards against requests that are lost in the last moments: each that was sent has its answer,
-     * or its connection was closed in order between two requests. Callers come anew for 0.4 s, and
-     * each goes on until its connection ends; some pause for so long that their connections are
-     * idle when they are closed.
+     * Detects requests that are lost in the last moments: each that was sent has its answer, or its
+     * connection was closed in order between two requests. Clients come anew for 0.4 s, and each
+     * goes on until its connection ends; some pause for this long that their connections are idle
+     * when they are closed.
      */
     @Test
     public void eachRequestAfterSigtermIsAnsweredOrItsConnectionClosedBeforeIt() throws Exception {
@@ -113,9 +113,8 @@
     }
 
     /**
-     * Guards against a request that was taken and never answered, since its time would be over only
-     * after the process is killed, and against half a request that becomes whole in the last
-     * moments.
+     * Detects a request that was taken and never answered, since its time would be over only after
+     * the process is killed, and against half a request that becomes whole in the last moments.
      */
     @Test
     public void whatIsOpenInTheLastMomentGetsItsAnswer() throws Exception {
@@ -153,9 +152,8 @@
     }
 
     /**
-     * Guards against the last answer of a connection being lost: closing it while bytes of its
-     * caller's are unread resets it, and the reset takes along what the caller's side has no room
-     * for yet.
+     * Detects the last answer of a connection being lost: closing it while bytes of its client's
+     * are unread resets it, and the reset takes along what the client's side has no room for yet.
      */
     @Test
     public void theLastAnswerIsNotLostWhereItsCallerSendsMore() throws Exception {
@@ -191,7 +189,7 @@
         }
     }
 
-    /** Another caller's answer shows that the loop has gone on. */
+    /** Another client's answer shows that the loop has gone on. */
     private static void answered(World world) throws IOException {
         try (Caller other = world.caller()) {
             assertEquals(
@@ -200,9 +198,7 @@
         }
     }
 
-    /**
-     * Guards against callers that don't read their answers holding the process until it is killed.
-     */
+    /** Detects clients that don't read their answers holding the process until it is killed. */
     @Test
     public void aCallerThatDoesNotReadDoesNotHoldTheEnd() throws Exception {
         int large = 32 * 1024 * 1024;
--- a/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
+++ b/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
@@ -11,15 +11,14 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** What a copy writes of itself. */
+/** What a replica writes of itself. */
 public class HistoryFileTest {
 
     private static final int MANY = 20_000;
     private static final int PATIENCE_SECONDS = 20;
 
     /**
-     * Guards against a loop that waits for a slow disk, and a judge that takes what has holes for
-     * whole.
+     * Detects a loop that waits for a slow disk, and a judge that takes what has holes for whole.
      */
     @Test
     public void whatCannotBeWrittenIsCountedAndNobodyWaits() throws Exception {
--- a/daemon/src/test/java/cedarrudder/program/Nodes.java
+++ b/daemon/src/test/java/cedarrudder/program/Nodes.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Nodes that answer by themselves, some by calling the next tier as real ones do. */
+/** Endpoints that answer by themselves, some by calling the next tier as real ones do. */
 final class Nodes {
 
     private static final AtomicLong IDS = new AtomicLong();
 
-    /** What a node does with a call. */
+    /** What an endpoint does with a call. */
     interface Node {
         void serve(Received call) throws Exception;
     }
 
     private Nodes() {}
 
-    /** All nodes of a world do this from now on, each call on a thread of its own. */
+    /** All endpoints of a world do this from now on, each call on a thread of its own. */
     static void play(World world, Node node) {
         daemon(
                 () -> {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * What a node copies to the calls that it makes for a request, or to its answer, of the answer
-     * it got.
+     * What an endpoint replicas to the calls that it makes for a request, or to its answer, of the
+     * answer it got.
      */
     static String[] copied(Received from, String... names) {
         List<String> fields = new ArrayList<>();
@@ -98,7 +98,7 @@
         return fields.toArray(String[]::new);
     }
 
-    /** A node that calls a proxy once and copies all fields of budgets, or none. */
+    /** An endpoint that calls a proxy once and replicas all fields of budgets, or none. */
     static Node relay(int port, boolean copies) {
         return call ->
                 pass(
--- a/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-/** Figures and nodes by hand while callers call, nodes fail and callers leave. */
+/** Figures and endpoints by hand while clients call, endpoints fail and clients leave. */
 public class OperationUnderLoadTest {
 
     private static final int CALLERS = 8;
     private static final int CALLS = 100;
 
-    /** How long a node may get something new once it counts as draining, in nanoseconds. */
+    /** How long an endpoint may get something new once it counts as draining, in nanoseconds. */
     private static final long DRAIN_GRACE = 2_000_000_000L;
 
     private final AtomicInteger served = new AtomicInteger();
@@ -68,7 +68,7 @@
                                 try {
                                     call(world, name, on, max);
                                 } catch (IOException e) {
-                                    failed.addAndGet(1_000_000); // no caller's connection may break
+                                    failed.addAndGet(1_000_000); // no client's connection may break
                                 }
                             });
             thread.start();
@@ -77,7 +77,7 @@
         return threads;
     }
 
-    /** Guards against figures that drift from what callers and nodes saw once things go wrong. */
+    /** Detects figures that drift from what clients and endpoints saw once things go wrong. */
     @Test
     public void figuresAreWhatPeersSawUnderLoadAndFaults() throws Exception {
         AtomicInteger arrived = new AtomicInteger();
@@ -97,7 +97,7 @@
                 Await.end("the end of a caller", thread);
             }
             JsonObject page = page(world);
-            // A node may still be reading what a caller has left.
+            // An endpoint may still be reading what a client has left.
             for (int i = 0;
                     i < 20_000
                             && (page.whole("open_requests") > 0
@@ -106,7 +106,7 @@
                 page = page(world);
             }
             JsonObject orders = page.child("operations").child("order");
-            // What a caller left may stand under any count: it may have been answered already.
+            // What a client left may stand under any count: it may have been answered already.
             long spare = CALLERS * CALLS - served.get() - refused.get() - failed.get();
             assertEquals(spare, left.get());
             long counted = 0;
@@ -129,8 +129,7 @@
     }
 
     /**
-     * Guards against a node that is being restarted getting calls, and one that is back getting
-     * none.
+     * Detects an endpoint that is being restarted getting calls, and one that is back getting none.
      */
     @Test
     public void aNodeIsDisabledRestartedAndEnabledUnderLoad() throws Exception {
--- a/daemon/src/test/java/cedarrudder/program/OperatorScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperatorScenarioTest.java
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Without it an idle caller is closed long after one that has sent nothing. */
+    /** Without it an idle client is closed long after one that has sent nothing. */
     @Test
     public void patienceWithCallersCounts() throws Exception {
         try (World world =
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Without it the probe would be given up, and the answer spoilt, long before the caller is
+     * Without it the probe would be given up, and the answer spoilt, long before the client is
      * closed.
      */
     @Test
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Without it the call would wait for longer than a caller that sends nothing. */
+    /** Without it the call would wait for longer than a client that sends nothing. */
     @Test
     public void patienceWithDiscoveryCounts() throws Exception {
         try (World world =
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Fewer callers and channels may be there from the moment that the file says so. */
+    /** Fewer clients and channels may be there from the moment that the file says so. */
     @Test
     public void sharesOfDescriptorsCountAtOnce() throws Exception {
         List<Caller> idle = new ArrayList<>();
--- a/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The proxy among scripted callers, nodes and discovery. */
+/** The proxy among scripted clients, endpoints and discovery. */
 public class ProxyServerScenarioTest {
 
     @Test
@@ -106,7 +106,7 @@
         }
     }
 
-    /** A write on a channel that its node has closed would be a reset, and the RPC lost. */
+    /** A write on a channel that its endpoint has closed would be a reset, and the request lost. */
     @Test
     public void aChannelThatItsNodeClosedIsNotUsedAgain() throws Exception {
         try (World world = new World(1).start();
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Guards against serving on with an old list for good after discovery was away. */
+    /** Detects serving on with an old list for good after discovery was away. */
     @Test
     public void aLostWatchIsOpenedAgainFromTheVersionHeld() throws Exception {
         try (World world = new World(1).start()) {
@@ -182,8 +182,7 @@
     }
 
     /**
-     * Guards against a proxy that hears nothing where lists are pushed, since its module asks for
-     * none.
+     * Detects a proxy that hears nothing where lists are pushed, since its module asks for none.
      */
     @Test
     public void whereListsArePushedTheWatchIsHeldFromTheStart() throws Exception {
@@ -196,7 +195,7 @@
         }
     }
 
-    /** Guards against a gap in the list while the watch moves: the old one tells until then. */
+    /** Detects a gap in the list while the watch moves: the old one tells until then. */
     @Test
     public void aMovedDiscoveryIsWatchedAtItsNewAddressWithoutAGap() throws Exception {
         try (World world = new World(1).start()) {
@@ -257,7 +256,7 @@
         }
     }
 
-    /** Guards against one caller's answer being made for another's request of the same id. */
+    /** Detects one client's answer being made for another's request of the same id. */
     @Test
     public void anIdThatIsOpenIsNotTakenAgain() throws Exception {
         try (World world = new World(1).start();
@@ -275,7 +274,7 @@
         }
     }
 
-    /** Guards against silent connections and half requests holding descriptors for good. */
+    /** Detects silent connections and half requests holding descriptors for good. */
     @Test
     public void whoSendsNoWholeRequestIsClosedAndWhoWaitsForAnAnswerIsNot() throws Exception {
         try (World world = new World(1).start();
@@ -297,9 +296,7 @@
         }
     }
 
-    /**
-     * Guards against running out of descriptors: only those may be closed that wait for nothing.
-     */
+    /** Detects running out of descriptors: only those may be closed that wait for nothing. */
     @Test
     public void atItsBoundTheProxyClosesThoseWhoSaidNothing() throws Exception {
         List<Caller> silent = new ArrayList<>();
@@ -324,7 +321,8 @@
     }
 
     /**
-     * A recorded day failed RPCs whose connections were closed before their first bytes had come.
+     * A recorded day failed requests whose connections were closed before their first bytes had
+     * come.
      */
     @Test
     public void atItsBoundTheProxyClosesIdleCallersBeforeThoseThatHaveJustCome() throws Exception {
@@ -353,7 +351,7 @@
     }
 
     /**
-     * What can't be read, or has no end, failed and may have run; none of it may reach the caller.
+     * What can't be read, or has no end, failed and may have run; none of it may reach the client.
      */
     @DataProvider
     public Object[][] spoiltAnswers() {
@@ -385,7 +383,7 @@
         }
     }
 
-    /** Guards against what is left over from one answer being taken for the next. */
+    /** Detects what is left over from one answer being taken for the next. */
     @Test
     public void bytesBehindAGoodAnswerAnswerNothing() throws Exception {
         try (World world = new World(1).start();
@@ -404,7 +402,7 @@
     }
 
     /**
-     * Guards against a channel to a node that is gone being used for the one that has its address
+     * Detects a channel to an endpoint that is gone being used for the one that has its address
      * now.
      */
     @Test
@@ -449,8 +447,8 @@
     }
 
     /**
-     * Bytes of the warm-up that are read after its end, such as those of a second copy of its last
-     * RPC.
+     * Bytes of the warm-up that are read after its end, such as those of a hedged request of its
+     * last request.
      */
     @Test
     public void whatIsLeftOfTheWarmUpReachesNoNode() throws Exception {
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -67,7 +67,7 @@
                         new BufferAccount(BufferAccount.MAX));
     }
 
-    /** The example's settings, with so many zones and tenants. */
+    /** The example's settings, with this many zones and tenants. */
     static SiteSettings site(int zones, int tenants) throws Exception {
         StringBuilder zone = new StringBuilder();
         StringBuilder tenant = new StringBuilder();
@@ -91,7 +91,7 @@
         return SettingsReader.read(JsonObject.parse(text).child("settings"));
     }
 
-    /** A whole list as discovery writes it; nodes are numbered from {@code first} on. */
+    /** A whole list as discovery writes it; endpoints are numbered from {@code first} on. */
     static String list(int first, int nodes, int zones) {
         StringBuilder text = new StringBuilder("{\"version\":7,\"full\":true,\"servers\":[");
         for (int i = 0; i < nodes; i++) {
--- a/daemon/src/test/java/cedarrudder/program/ServeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ServeIT.java
@@ -78,7 +78,7 @@
                 Received taken = world.call();
                 ProxyUnderTest.signal(process, "TERM");
                 awaitLine(process, lines, "proxy.draining");
-                // Where this proxy is the only one, callers have nowhere else to go until it is
+                // Where this proxy is the only one, clients have nowhere else to go until it is
                 // back.
                 serveOne(world, idle, "still");
                 serveOne(world, late, "late");
@@ -181,7 +181,8 @@
     }
 
     /**
-     * The first line of the answer to an RPC with this body; a node answers those that reach it.
+     * The first line of the answer to a request with this body; an endpoint answers those that
+     * reach it.
      */
     private static String answer(World world, String body) throws Exception {
         try (Caller caller = world.caller()) {
@@ -192,7 +193,7 @@
                                     world.call().reply("200 OK", "done");
                                 } catch (InterruptedException | IOException e) {
                                     Thread.currentThread()
-                                            .interrupt(); // the RPC was turned away before it got
+                                            .interrupt(); // the request was rejected before it got
                                     // here
                                 }
                             });
@@ -231,9 +232,7 @@
         }
     }
 
-    /**
-     * Guards against a start that takes time, and throws errors, over logging libraries not there.
-     */
+    /** Detects a start that takes time, and throws errors, over logging libraries not there. */
     @Test
     public void itLooksForNoLoggingLibrary() throws Exception {
         Path loaded = Files.createTempFile("loaded", ".log");
--- a/daemon/src/test/java/cedarrudder/program/ShortageIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ShortageIT.java
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Has the proxy say so many lines. */
+    /** Has the proxy say this many lines. */
     private static void complain(World world, int times) throws IOException {
         for (int i = 0; i < times; i++) {
             try (Caller caller = world.caller()) {
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Guards against an event loop that stands still, and all RPCs with it, since nobody reads its
+     * Detects an event loop that stands still, and all requests with it, since nobody reads its
      * log.
      */
     @Test
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Guards against a proxy that ends with whoever read its log. */
+    /** Detects a proxy that ends with whoever read its log. */
     @Test
     public void aLogWhoseReaderIsGoneStopsNothing() throws Exception {
         try (World world = new World(1);
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Guards against a proxy that dies, stalls or keeps anything for good once it has no descriptor
-     * left: to accept, to connect, or to keep a ban.
+     * Detects a proxy that dies, stalls or keeps anything for good once it has no descriptor left:
+     * to accept, to connect, or to keep a ban.
      */
     @Test
     public void withoutADescriptorItRefusesAndGoesOnAfterwards() throws Exception {
@@ -141,9 +141,9 @@
     }
 
     /**
-     * Guards against a proxy that dies, or sends half a body as a whole one, where direct memory
-     * runs out, and against a loop that stands still: the library says so by another error, half a
-     * second late.
+     * Detects a proxy that dies, or sends half a body as a whole one, where direct memory runs out,
+     * and against a loop that stands still: the library says so by another error, half a second
+     * late.
      */
     @Test
     public void withoutDirectMemorySomeAnswersBreakOffAndOthersAreServedAfterwards()
@@ -199,8 +199,7 @@
     }
 
     /**
-     * Guards against a yes to operators that nothing stands behind, and against a proxy that ends
-     * of it.
+     * Detects a yes to operators that nothing stands behind, and against a proxy that ends of it.
      */
     @Test
     public void withoutAFolderForStateItSaysNoAndServesOn() throws Exception {
@@ -217,8 +216,7 @@
     }
 
     /**
-     * Guards against bans that end because somebody cleared the folder while two processes run for
-     * one.
+     * Detects bans that end because somebody cleared the folder while two processes run for one.
      */
     @Test
     public void aFolderForStateThatIsClearedInAnUpgradeTakesNoBanBack() throws Exception {
@@ -248,9 +246,9 @@
     }
 
     /**
-     * Guards against two versions that don't see each other, and bans that are gone, since a
-     * cleaner emptied the folder before the new one started: who runs writes it anew, also in the
-     * midst of the other's start.
+     * Detects two versions that don't see each other, and bans that are gone, since a cleaner
+     * emptied the folder before the new one started: who runs writes it anew, also in the midst of
+     * the other's start.
      */
     @Test
     public void aFolderForStateThatIsClearedBeforeAnUpgradeHidesNobody() throws Exception {
@@ -292,8 +290,8 @@
     }
 
     /**
-     * Guards against connections that keep, as long as they stand, the room that their largest body
-     * took: 64 KiB each, in no account.
+     * Detects connections that keep, as long as they stand, the room that their largest body took:
+     * 64 KiB each, in no account.
      */
     @Test
     public void connectionsThatStandKeepNoRoomForWhatCameOnThem() throws Exception {
@@ -327,7 +325,7 @@
         }
     }
 
-    /** Guards against heads that take forty times their size, cut into fields of a few bytes. */
+    /** Detects heads that take forty times their size, cut into fields of a few bytes. */
     @Test
     public void headsOfManyFieldsAreTurnedAwayAndOthersAreServed() throws Exception {
         List<Caller> callers = new ArrayList<>();
@@ -361,10 +359,7 @@
         }
     }
 
-    /**
-     * Guards against memory that grows with the rate of operators' calls: each kept its time
-     * running.
-     */
+    /** Detects memory that grows with the rate of operators' calls: each kept its time running. */
     @Test
     public void aFloodOfOperatorsCallsLeavesNothingBehind() throws Exception {
         try (World world = new World(1);
@@ -389,9 +384,7 @@
         }
     }
 
-    /**
-     * Guards against probes, attempts and callers that add up while peers are connected and silent.
-     */
+    /** Detects probes, attempts and clients that add up while peers are connected and silent. */
     @Test
     public void peersThatFallSilentLeaveNothingBehind() throws Exception {
         try (World world = new World(2);
@@ -462,7 +455,8 @@
     }
 
     /**
-     * Callers whose bodies their nodes don't read, beside callers that don't read their answers.
+     * Clients whose bodies their endpoints don't read, beside clients that don't read their
+     * answers.
      */
     private static List<Caller> stuck(World world, int callers, String name) throws Exception {
         List<Caller> all = new ArrayList<>();
@@ -493,8 +487,7 @@
     }
 
     /**
-     * Guards against an upgrade that is killed for its memory, since both processes are full of
-     * bodies.
+     * Detects an upgrade that is killed for its memory, since both processes are full of bodies.
      */
     @Test
     public void twoProcessesFullOfBodiesStayWithinTheMemoryOfOne() throws Exception {
