--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Guards against a start that leaves something behind which the next one stumbles over. */
+    /** Detects a start that leaves something behind which the next one stumbles over. */
     @Test
     public void aProxyKilledAtAnyMomentOfItsStartStartsAgain() throws Exception {
         Path state = folder();
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Guards against a start that a SIGTERM meets: it ends in order, whatever it had begun. */
+    /** Detects a start that a SIGTERM meets: it ends in order, whatever it had begun. */
     @Test
     public void aProxyThatIsToldToEndWithinItsStartEnds() throws Exception {
         try (World world = new World(1)) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Guards against signals that pile up, and against one that undoes another. */
+    /** Detects signals that pile up, and against one that undoes another. */
     @Test
     public void aStormOfSignalsChangesNothingAndTheFirstToEndCounts() throws Exception {
         try (World world = new World(1);
@@ -102,9 +102,8 @@
     }
 
     /**
-     * Guards against a process that outlives SIGTERM for good since a class of its end can't be
-     * loaded any more: somebody has written its jar anew under it. Its callers are served until
-     * then.
+     * Detects a process that outlives SIGTERM for good since a class of its end can't be loaded any
+     * more: somebody has written its jar anew under it. Its clients are served until then.
      */
     @Test
     public void aProxyWhoseJarWasReplacedEndsAllTheSame() throws Exception {
@@ -135,8 +134,8 @@
     }
 
     /**
-     * Guards against a promise that dies with the process: what ran once runs once, a caller sees
-     * the break, a node sees that nobody waits, bans and a drain are kept where the folder is.
+     * Detects a promise that dies with the process: what ran once runs once, a client sees the
+     * break, an endpoint sees that nobody waits, bans and a drain are kept where the folder is.
      */
     @Test
     public void whatWasPromisedBeforeAKillHoldsAfterTheRestart() throws Exception {
@@ -201,7 +200,7 @@
         }
     }
 
-    /** Guards against a handover that only holds while both processes live. */
+    /** Detects a handover that only holds while both processes live. */
     @Test
     public void aKillAtEachStepOfAHandoverLeavesOneThatServes() throws Exception {
         Path state = folder();
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -26,14 +26,14 @@
     private static final int CALLERS = 6;
 
     /**
-     * So many requests an upgrade may end at the door, say the users. The kernel resets a
+     * This many requests an upgrade may end at the door, say the users. The kernel resets a
      * connection that it accepts between the old process's last look at its queue and the close,
      * some 40 us later; nothing that a Java program can ask of it prevents that
      * (docs/audit-findings.md, 39).
      */
     private static final int AT_THE_DOOR = 2;
 
-    /** Callers that go on calling, each on its connection for as long as that stays open. */
+    /** Clients that go on calling, each on its connection for as long as that stays open. */
     private static final class Load {
         final AtomicBoolean on = new AtomicBoolean(true);
         final AtomicInteger served = new AtomicInteger();
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Guards against callers, bans or requests that fall between the two processes. */
+    /** Detects clients, bans or requests that fall between the two processes. */
     @Test
     public void twoVersionsHandOverUnderLoadAndNothingIsLostOrRunTwice() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Guards against an old process that closes its door before another one can serve. */
+    /** Detects an old process that closes its door before another one can serve. */
     @Test
     public void whatEndsBesideOneThatIsNotReadyServesOnAsIfItWereAlone() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Guards against an old process that gives way to one that never served. */
+    /** Detects an old process that gives way to one that never served. */
     @Test
     public void aVersionThatDiesBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
--- a/daemon/src/test/java/cedarrudder/program/World.java
+++ b/daemon/src/test/java/cedarrudder/program/World.java
@@ -31,8 +31,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The world round a proxy, played by a test on loopback sockets: callers, nodes and discovery.
- * Nodes answer probes by themselves; all else waits in a queue for the test's answer.
+ * The world round a proxy, played by a test on loopback sockets: clients, endpoints and discovery.
+ * Endpoints answer probes by themselves; all else waits in a queue for the test's answer.
  */
 final class World implements AutoCloseable {
 
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Listens at a port, which may be one that was closed just now. Guards against a thread within
-     * its accept that holds on to it for another moment.
+     * Listens at a port, which may be one that was closed just now. Detects a thread within its
+     * accept that holds on to it for another moment.
      */
     private static ServerSocket listen(int port, int queue) throws IOException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
@@ -178,8 +178,8 @@
     }
 
     /**
-     * A node whose queue of connections is full: further ones come up once it is opened, when the
-     * kernel of who wants them asks again, which it does after 1, 3 and 7 s.
+     * An endpoint whose queue of connections is full: further ones come up once it is opened, when
+     * the kernel of who wants them asks again, which it does after 1, 3 and 7 s.
      */
     final class FullNode implements Closeable {
         private static final int FULL_MILLIS = 500;
@@ -187,7 +187,7 @@
         private final ServerSocket server;
         private final List<Socket> before = new ArrayList<>();
 
-        /** Closes a node, and listens in its place. */
+        /** Closes an endpoint, and listens in its place. */
         FullNode(int node) throws IOException {
             this.node = node;
             nodes.get(node).close();
@@ -211,13 +211,13 @@
             }
         }
 
-        /** Takes connections from now on, and answers like any node. */
+        /** Takes connections from now on, and answers like any endpoint. */
         void open() {
             nodes.set(node, new Peer(calls, server));
         }
 
         /**
-         * Waits until so many connections besides those that fill it have come up, and returns
+         * Waits until this many connections besides those that fill it have come up, and returns
          * them.
          */
         List<Socket> awaitConnections(int count) throws Exception {
@@ -244,7 +244,7 @@
         }
     }
 
-    /** A caller's connection. */
+    /** A client's connection. */
     static final class Caller implements Closeable {
         private final Socket socket;
 
@@ -301,11 +301,12 @@
     volatile boolean probesWait;
 
     /**
-     * The connections to nodes and discovery, in the order accepted, but for those that wait there.
+     * The connections to endpoints and discovery, in the order accepted, but for those that wait
+     * there.
      */
     final Queue<Socket> accepted = new ConcurrentLinkedQueue<>();
 
-    /** The connections to nodes and discovery that have ended. */
+    /** The connections to endpoints and discovery that have ended. */
     final Set<Socket> ended = ConcurrentHashMap.newKeySet();
 
     final List<Peer> nodes = new ArrayList<>();
@@ -326,7 +327,7 @@
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(new Peer(calls));
         }
-        // Held until the world ends, bound and not listening: guards against another socket getting
+        // Held until the world ends, bound and not listening: detects another socket getting
         // the port
         // before the proxy does. The proxy may listen there, since both ask for SO_REUSEADDR.
         held.setReuseAddress(true);
@@ -402,7 +403,7 @@
         proxy.reload(() -> ProxyConfiguration.parse(configuration));
     }
 
-    /** The example's configuration, with this world's addresses and all nodes known. */
+    /** The example's configuration, with this world's addresses and all endpoints known. */
     String configuration() throws IOException {
         String text = Files.readString(Path.of("example", "config.json"));
         for (Map.Entry<String, String> change : changes.entrySet()) {
@@ -414,7 +415,7 @@
                 .replace("\"servers\": []", "\"servers\": [" + entries("in_service") + "]");
     }
 
-    /** The entries of all nodes, as discovery writes them. */
+    /** The entries of all endpoints, as discovery writes them. */
     String entries(String state) {
         List<String> entries = new ArrayList<>();
         for (Peer node : nodes) {
@@ -431,7 +432,7 @@
         return String.join(",", entries);
     }
 
-    /** A node that was closed comes back at its address. */
+    /** An endpoint that was closed comes back at its address. */
     void restart(int node) throws IOException {
         nodes.set(node, new Peer(calls, nodes.get(node).server.getLocalPort()));
     }
@@ -440,7 +441,7 @@
         return new Caller(port);
     }
 
-    /** The next RPC that reached a node. */
+    /** The next request that reached an endpoint. */
     Received call() throws InterruptedException {
         return await(calls);
     }
@@ -449,7 +450,7 @@
         return Await.next("a request", queue);
     }
 
-    /** An RPC as a caller writes it. */
+    /** A request as a client writes it. */
     static String request(String kind, String target, String body, String... fields) {
         return (kind.equals("lookup") ? "GET " : "POST ")
                 + target
--- a/daemon/src/test/java/cedarrudder/protocol/EndpointListParserTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListParserTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What is kept from one resolver result to the next. */
+/** What is kept from one endpoint list to the next. */
 public class EndpointListParserTest {
 
     private static JsonObject result(boolean full, String id, String state) {
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Guards against cold nodes taken for warm ones, which are then pushed over, once the machine's
+     * Detects cold endpoints taken for warm ones, which are then pushed over, once the machine's
      * clock was set or has drifted since the proxy began; and against a restart seen where there
      * was none.
      */
@@ -69,7 +69,7 @@
         assertEquals(startedAt(reader, "e", 0), 0, "long ago");
     }
 
-    /** Guards against keeping every id of a long day. */
+    /** Detects keeping every id of a long day. */
     @Test
     public void aNodeThatIsGoneLeavesNothingBehind() throws Exception {
         EndpointListParser reader = reader();
@@ -84,8 +84,7 @@
     }
 
     /**
-     * Guards against one entry that can't be read keeping drains of all other nodes from being
-     * heard.
+     * Detects one entry that can't be read keeping drains of all other endpoints from being heard.
      */
     @Test
     public void anEntryThatCanNotBeReadTakesNoOtherAway() throws Exception {
@@ -111,7 +110,7 @@
         assertEquals(reader.size(), 1, "a whole list of which nothing can be read changes nothing");
     }
 
-    /** Guards against an entry whose id is no text, or that is no object at all, doing so. */
+    /** Detects an entry whose id is no text, or that is no object at all, doing so. */
     @Test
     public void anEntryWhoseIdIsNoTextTakesNoOtherAway() throws Exception {
         String bad =
--- a/daemon/src/test/java/cedarrudder/protocol/EndpointListReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListReaderTest.java
@@ -18,7 +18,7 @@
 
 public class EndpointListReaderTest {
 
-    /** Room for some hundreds of nodes. */
+    /** Room for some hundreds of endpoints. */
     private static final long ROOM = 2_000_000;
 
     private EndpointListParser reader;
@@ -60,10 +60,7 @@
         return reader.read(gate.read(text)).nodes();
     }
 
-    /**
-     * Guards against a list that is refused whole: its drains, and what it no longer names, were
-     * lost.
-     */
+    /** Detects a list that is refused whole: its drains, and what it no longer names, were lost. */
     @Test
     public void whatLeavesCountsAndWhatIsAddedIsAddedInOrderAsFarAsItFits() {
         EndpointListReader gate = gate(ROOM, 0);
@@ -91,7 +88,7 @@
         assertEquals(gate.last().wanted(), 5_004);
     }
 
-    /** Guards against changes that, few at a time, come to more than there is room for. */
+    /** Detects changes that, few at a time, come to more than there is room for. */
     @Test
     public void changesAreJudgedWithWhatIsHeld() {
         EndpointListReader gate = gate(ROOM, 0);
@@ -109,7 +106,7 @@
     }
 
     /**
-     * Guards against room that stays empty until the list is told again, once its former nodes have
+     * Detects room that stays empty until the list is told again, once its former endpoints have
      * left.
      */
     @Test
@@ -129,10 +126,7 @@
         assertEquals(read(gate(1, 50), list(false, "", "b", 50)).size(), 0);
     }
 
-    /**
-     * Guards against what is broken being said otherwise, or taken for a list, where the table is
-     * on.
-     */
+    /** Detects what is broken being said otherwise, or taken for a list, where the table is on. */
     @Test
     public void whatIsNoListIsSaidAsWithoutIt() {
         for (String text :
@@ -161,7 +155,7 @@
         }
     }
 
-    /** Guards against a list of the configuration that is loaded as it is. */
+    /** Detects a list of the configuration that is loaded as it is. */
     @Test
     public void theListOfTheConfigurationIsHeldToTheSameRoom() {
         EndpointListReader gate = gate(ROOM, 0);
@@ -176,9 +170,7 @@
         assertSame(wide.read(list), list);
     }
 
-    /**
-     * Guards against an entry that can't be read being looked for at another place than its own.
-     */
+    /** Detects an entry that can't be read being looked for at another place than its own. */
     @Test
     public void entriesThatCantBeReadAreNamedByTheirPlacesInTheWholeList() {
         EndpointListReader gate = gate(ROOM, 0);
@@ -196,7 +188,7 @@
         assertTrue(unread.startsWith("[servers[5001]: unknown state 'asleep'"), unread);
     }
 
-    /** Guards against operators told that nodes wait for good which the next telling adds. */
+    /** Detects operators told that endpoints wait for good which the next telling adds. */
     @Test
     public void stepsSayWhatGetsInWhenWhatHasLeftMakesRoom() {
         EndpointListReader gate = gate(ROOM, 0);
--- a/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
@@ -61,7 +61,7 @@
         };
     }
 
-    /** Guards against bytes that are lost or doubled where a window ends, and where a read does. */
+    /** Detects bytes that are lost or doubled where a window ends, and where a read does. */
     @Test(dataProvider = "messages")
     public void itIsTheSameHoweverItIsCut(boolean requests, String text)
             throws MalformedMessageException {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Guards against a body without an end, whether it says its length or not. */
+    /** Detects a body without an end, whether it says its length or not. */
     @Test
     public void moreThanIsAllowedIsRefused() {
         for (String body :
--- a/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
@@ -62,7 +62,7 @@
                 decode(HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100), TWO.split("")), expected);
     }
 
-    /** Guards against a watch that stands, and is read no more, once 2 GiB have come on it. */
+    /** Detects a watch that stands, and is read no more, once 2 GiB have come on it. */
     @Test
     public void anAnswerThatGoesToASinkIsReadWithoutABound() throws MalformedMessageException {
         for (boolean chunked : new boolean[] {true, false}) {
--- a/daemon/src/test/java/cedarrudder/protocol/LoadReportParserTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/LoadReportParserTest.java
@@ -5,10 +5,10 @@
 
 import org.testng.annotations.Test;
 
-/** Load reports, as nodes write them and as they come spoilt. */
+/** Load reports, as endpoints write them and as they come spoilt. */
 public class LoadReportParserTest {
 
-    /** Guards against one absurd figure outweighing the reports of all other nodes. */
+    /** Detects one absurd figure outweighing the reports of all other endpoints. */
     @Test
     public void whatCantBeReadIsNoReport() {
         assertEquals(LoadReportParser.parse("TEXT inflight=7, util=0.61").inFlight(), 7.0);
--- a/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
@@ -103,7 +103,7 @@
         assertEquals(last.status(), status);
     }
 
-    /** A request's first line and Host, and the target and the Host that go on to a node. */
+    /** A request's first line and Host, and the target and the Host that go on to an endpoint. */
     @DataProvider
     public Object[][] taken() {
         return new Object[][] {
@@ -145,7 +145,7 @@
         assertFalse(decoder.awaitsContinue());
     }
 
-    /** RFC 9110 7.6.1; what makes an RPC one can't be stripped so, its key above all. */
+    /** RFC 9110 7.6.1; what makes a request one can't be stripped so, its key above all. */
     @Test
     public void fieldsOfTheConnectionEndHereAndThoseOfTheRpcDont() throws Exception {
         HttpMessage request =
--- a/daemon/src/test/java/cedarrudder/protocol/RequestHeadersTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestHeadersTest.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import org.testng.annotations.Test;
 
-/** What the module is told of an RPC. */
+/** What the balancer is told of a request. */
 public class RequestHeadersTest {
 
     private static final long MS = 1_000_000L;
@@ -43,8 +43,8 @@
     }
 
     /**
-     * An RPC was lost whose bytes had waited for a late loop: its deadline counts from the client's
-     * send.
+     * A request was lost whose bytes had waited for a late loop: its deadline counts from the
+     * client's send.
      */
     @Test
     public void aLateLoopAnswersEarlier() throws Exception {
--- a/daemon/src/test/java/cedarrudder/protocol/SettingsReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/SettingsReaderTest.java
@@ -101,9 +101,7 @@
                 said);
     }
 
-    /**
-     * Guards against settings that need what another customer's have: all that may be absent is.
-     */
+    /** Detects settings that need what another customer's have: all that may be absent is. */
     @Test
     public void whatMayBeLeftOutMeansThatItIsNotAllowed() throws IOException {
         SiteSettings site =
--- a/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
@@ -18,8 +18,8 @@
 public class BodyWriterTest {
 
     /**
-     * Guards against a caller that leaves as the last of its answer is written: the news of that
-     * write came to a connection that had been cleared away already, and threw there.
+     * Detects a client that leaves as the last of its answer is written: the news of that write
+     * came to a connection that had been cleared away already, and threw there.
      */
     @Test
     public void oneThatWasStoppedTellsNobodyOfItsLastWrite() {
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** The life of a caller's connection, transition by transition. */
+/** The life of a client's connection, transition by transition. */
 public class ClientConnectionStateTest {
 
     private static final Map<ClientConnectionState, Map<Event, ClientConnectionState>> LEGAL =
@@ -81,9 +81,7 @@
                 reached(ClientConnectionState.NEW), EnumSet.allOf(ClientConnectionState.class));
     }
 
-    /**
-     * Guards against a request that is taken, or an answer written, behind the end of our output.
-     */
+    /** Detects a request that is taken, or an answer written, behind the end of our output. */
     @Test
     public void noWayLeadsBackFromTheEnd() {
         for (ClientConnectionState state : ClientConnectionState.values()) {
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -43,7 +43,7 @@
 import org.testng.annotations.Test;
 
 /**
- * A caller's connection from its first byte to its end. The decisions are the test's own: an RPC
+ * A client's connection from its first byte to its end. The decisions are the test's own: a request
  * waits until the test has it refused, and what the test does on the loop comes between two reads
  * of the listener's.
  */
@@ -71,12 +71,12 @@
      */
     private static final long LATE_ON = 3_200_000_000L;
 
-    /** What is asked when an RPC is taken, on the loop and in the decoder's hands. */
+    /** What is asked when a request is taken, on the loop and in the decoder's hands. */
     private interface Taken {
         void by(Exchange<HttpMessage, HttpMessage> request, ClientRequest reply) throws Exception;
     }
 
-    /** A listener whose RPCs wait for the test. */
+    /** A listener whose requests wait for the test. */
     private static final class Service implements AutoCloseable {
         private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
         private final Logger log = new Logger(new PrintStream(lines, true));
@@ -167,7 +167,7 @@
             return Await.next("an RPC", requests);
         }
 
-        /** Has the oldest RPC that waits refused. */
+        /** Has the oldest request that waits refused. */
         void refuse() throws Exception {
             long id = request();
             on(
@@ -282,8 +282,7 @@
     }
 
     /**
-     * Guards against an RPC that is sent on for a caller that has gone: its end stands behind
-     * bytes.
+     * Detects a request that is forwarded for a client that has gone: its end stands behind bytes.
      */
     @Test
     public void anEndBehindBytesThatWaitEndsTheOpenRpc() throws Exception {
@@ -303,10 +302,7 @@
         }
     }
 
-    /**
-     * Guards against memory that a caller fills by sending ahead, and against what is kept being
-     * lost.
-     */
+    /** Detects memory that a client fills by sending ahead, and against what is kept being lost. */
     @Test
     public void whatIsKeptAheadIsBoundedAndThenAnswered() throws Exception {
         int behind = 40_000;
@@ -346,8 +342,8 @@
     }
 
     /**
-     * Guards against answers long after their time: that of a request starts with its last byte,
-     * also where it waits behind another one; and one that came later has its own.
+     * Detects answers long after their time: that of a request starts with its last byte, also
+     * where it waits behind another one; and one that came later has its own.
      */
     @Test
     public void theTimeOfARequestStartsAsItIsReadAndNotAsItIsItsTurn() throws Exception {
@@ -375,7 +371,7 @@
         }
     }
 
-    /** Guards against an end that the kernel has and the loop has not, since it is late. */
+    /** Detects an end that the kernel has and the loop has not, since it is late. */
     @Test
     public void aLookFindsTheEndBehindWhatHasCome() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
@@ -402,8 +398,8 @@
     }
 
     /**
-     * Guards against bytes that are lost or come out of order where a look brings them while others
-     * are being decoded: whole requests, halves, and pieces of a body that flows.
+     * Detects bytes that are lost or come out of order where a look brings them while others are
+     * being decoded: whole requests, halves, and pieces of a body that flows.
      */
     @Test
     public void whatALookBringsWithinADecodeKeepsItsOrder() throws Exception {
@@ -493,9 +489,8 @@
     }
 
     /**
-     * Guards against a fault, or a second answer, where an RPC is answered from within the
-     * decoder's hands: behind the piece that does it stand others, and the body's end, or what
-     * can't be read.
+     * Detects a fault, or a second answer, where a request is answered from within the decoder's
+     * hands: behind the piece that does it stand others, and the body's end, or what can't be read.
      */
     @Test
     public void anAnswerFromWithinAFlowIsTheOnlyOne() throws Exception {
@@ -532,7 +527,7 @@
         }
     }
 
-    /** Guards against requests that were whole behind the open one as its connection was to end. */
+    /** Detects requests that were whole behind the open one as its connection was to end. */
     @Test
     public void whatStandsBehindTheLastRequestIsAnsweredToo() throws Exception {
         for (boolean byHand : new boolean[] {true, false}) {
@@ -575,9 +570,9 @@
     }
 
     /**
-     * Guards against requests that were read and get no answer: they stand behind one that is
-     * answered in the decoder's hands, as the service ends and each connection on which nothing is
-     * open is closed.
+     * Detects requests that were read and get no answer: they stand behind one that is answered in
+     * the decoder's hands, as the service ends and each connection on which nothing is open is
+     * closed.
      */
     @Test
     public void whatStandsBehindAnAnswerAtOnceIsAnsweredToo() throws Exception {
@@ -603,10 +598,7 @@
         }
     }
 
-    /**
-     * Guards against requests that get no answer, since one they stand behind is cut off at the
-     * end.
-     */
+    /** Detects requests that get no answer, since one they stand behind is cut off at the end. */
     @Test
     public void whatStandsBehindWhatIsCutOffIsAnsweredToo() throws Exception {
         try (Service service = new Service();
@@ -625,7 +617,7 @@
     }
 
     /**
-     * Guards against a body that begins to flow to a node behind an RPC that was cut off, and is
+     * Detects a body that begins to flow to an endpoint behind a request that was cut off, and is
      * broken off there by the end of the process: what flows has a longer time, but not past that
      * moment.
      */
@@ -653,7 +645,7 @@
         }
     }
 
-    /** Guards against a caller that sends ahead for good and so holds its connection. */
+    /** Detects a client that sends ahead for good and so holds its connection. */
     @Test
     public void whoSendsAheadWithoutEndIsLetGo() throws Exception {
         try (Service service = new Service();
@@ -673,9 +665,9 @@
     }
 
     /**
-     * Guards against a request that is sent on though its caller has been shown the end, and
-     * against a reset that takes what the caller has not read yet: behind a last answer, and on a
-     * connection that rested. The loop itself sends, right behind the end of its output.
+     * Detects a request that is forwarded though its client has been shown the end, and against a
+     * reset that takes what the client has not read yet: behind a last answer, and on a connection
+     * that rested. The loop itself sends, right behind the end of its output.
      */
     @Test
     public void whatComesBehindTheEndOfOurOutputIsReadAndDropped() throws Exception {
@@ -707,8 +699,8 @@
     }
 
     /**
-     * Guards against a request that has come on a connection that is closed for want of room, also
-     * where it is answered at once, and the connection is between requests again.
+     * Detects a request that has come on a connection that is closed for want of room, also where
+     * it is answered at once, and the connection is between requests again.
      */
     @Test
     public void whoIsToMakeRoomIsReadFirst() throws Exception {
@@ -739,8 +731,8 @@
     }
 
     /**
-     * Guards against the last answer of a connection being lost as it makes room: closed over bytes
-     * that have come, it is reset. One that is not takes another byte.
+     * Detects the last answer of a connection being lost as it makes room: closed over bytes that
+     * have come, it is reset. One that is not takes another byte.
      */
     @Test
     public void whoHasItsLastAnswerIsReadBeforeItMakesRoom() throws Exception {
@@ -767,8 +759,7 @@
     }
 
     /**
-     * Guards against a connection that goes on in a state nobody thought of, and against others
-     * paying.
+     * Detects a connection that goes on in a state nobody thought of, and against others paying.
      */
     @Test
     public void whatCanNotComeInAStateEndsItsConnectionAlone() throws Exception {
@@ -804,9 +795,7 @@
         }
     }
 
-    /**
-     * Guards against half a request, and a caller that does not hear the end, holding the process.
-     */
+    /** Detects half a request, and a client that does not hear the end, holding the process. */
     @Test
     public void halfARequestDoesNotHoldTheEnd() throws Exception {
         List<Socket> callers = new ArrayList<>();
--- a/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
@@ -36,7 +36,9 @@
 
     private static final long STARTED = 1_700_000_000_000L;
 
-    /** The whole list is asked for so long after nodes of it were left out, in nanoseconds. */
+    /**
+     * The whole list is asked for this long after endpoints of it were left out, in nanoseconds.
+     */
     private static final long AGAIN = 300_000_000L;
 
     private static final String STREAM = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -49,7 +51,7 @@
     private final BlockingQueue<EndpointList> told = new LinkedBlockingQueue<>();
     private volatile boolean broken;
 
-    /** Bytes for nodes and their lists; 0: all are loaded. */
+    /** Bytes for endpoints and their lists; 0: all are loaded. */
     private long room;
 
     private EndpointListReader gate;
@@ -144,9 +146,7 @@
         chunk(watch, line);
     }
 
-    /**
-     * Guards against a list call that fails being taken for a watch that broke, and is opened anew.
-     */
+    /** Detects a list call that fails being taken for a watch that broke, and is opened anew. */
     @Test
     public void aListCallThatFailsIsNoFailureOfTheWatch() throws Exception {
         AtomicInteger failures = new AtomicInteger();
@@ -173,9 +173,7 @@
                 });
     }
 
-    /**
-     * Guards against a watch that stands, and is read no more, after a fault with one of its lines.
-     */
+    /** Detects a watch that stands, and is read no more, after a fault with one of its lines. */
     @Test
     public void aFaultWithALineIsToldAsALostWatch() throws Exception {
         Semaphore failures = new Semaphore(0);
@@ -192,7 +190,7 @@
         broken = false;
     }
 
-    /** Guards against memory that a line of a list without an end uses up. */
+    /** Detects memory that a line of a list without an end uses up. */
     @Test
     public void aLineWithoutAnEndIsToldAsALostWatch() throws Exception {
         Semaphore failures = new Semaphore(0);
@@ -213,8 +211,8 @@
     }
 
     /**
-     * Guards against a list that stands still for good, since the network to discovery was cut, or
-     * since the pieces of a line that never ends count as life.
+     * Detects a list that stands still for good, since the network to discovery was cut, or since
+     * the pieces of a line that never ends count as life.
      */
     @Test
     public void aWatchThatFallsSilentIsOpenedAnewAtOnce() throws Exception {
@@ -250,10 +248,7 @@
         }
     }
 
-    /**
-     * Guards against waiting for an answer that never comes, or stops half way, until it is given
-     * up.
-     */
+    /** Detects waiting for an answer that never comes, or stops half way, until it is given up. */
     @Test
     public void aCallWithoutAWholeAnswerIsMadeASecondTimeBesideTheFirst() throws Exception {
         play(
@@ -280,8 +275,7 @@
     }
 
     /**
-     * Guards against a list that is not understood where it comes indented, on a watch or in an
-     * answer.
+     * Detects a list that is not understood where it comes indented, on a watch or in an answer.
      */
     @Test
     public void aListMayComeIndented() throws Exception {
@@ -317,8 +311,7 @@
     }
 
     /**
-     * Guards against a list that is late since the module, which was told of the failure, waits
-     * longer.
+     * Detects a list that is late since the balancer, which was told of the failure, waits longer.
      */
     @Test
     public void aLostWatchIsOpenedAnewWhereTheModuleDoesNotAsk() throws Exception {
@@ -357,7 +350,7 @@
     }
 
     /**
-     * Guards against nodes that are lost for good, since discovery was told that their version is
+     * Detects endpoints that are lost for good, since discovery was told that their version is
      * known, and against calls without a pause for a list that still does not fit.
      */
     @Test
@@ -432,7 +425,7 @@
         room = 0;
     }
 
-    /** Guards against nodes of the configuration's list that were left out and are never told. */
+    /** Detects endpoints of the configuration's list that were left out and are never told. */
     @Test
     public void whatTheStartLeftOutIsAskedForFromTheBeginning() throws Exception {
         room = 2_000_000;
@@ -465,9 +458,7 @@
         known = 0;
     }
 
-    /**
-     * Guards against a list that stands still, since the new address began with what can't be read.
-     */
+    /** Detects a list that stands still, since the new address began with what can't be read. */
     @Test
     public void theFormerWatchTellsOnUntilTheNewOneHasToldWhatCanBeRead() throws Exception {
         play(
@@ -493,7 +484,7 @@
     }
 
     /**
-     * Guards against a line that is older than what is known changing what is known of a node: it
+     * Detects a line that is older than what is known changing what is known of an endpoint: it
      * counted as restarted with the next that told of it, and all that was learnt of it was lost.
      */
     @Test
@@ -512,8 +503,8 @@
     }
 
     /**
-     * Guards against a healthy watch that ends, or is reset, being opened anew only after a long
-     * wait: its end is the first failure, and the next call comes within the spread.
+     * Detects a healthy watch that ends, or is reset, being opened anew only after a long wait: its
+     * end is the first failure, and the next call comes within the spread.
      */
     @Test
     public void aWatchThatEndsIsOpenedAnewWithinTheSpread() throws Exception {
@@ -538,7 +529,7 @@
         }
     }
 
-    /** Guards against a refusal whose body is waited for, or taken for a list. */
+    /** Detects a refusal whose body is waited for, or taken for a list. */
     @Test
     public void aRefusalWithABodyIsNoList() throws Exception {
         play(
@@ -585,8 +576,8 @@
     }
 
     /**
-     * Guards against a list that is spoilt taking the place of the last good one, or being the last
-     * asked for.
+     * Detects a list that is spoilt taking the place of the last good one, or being the last asked
+     * for.
      */
     @Test
     public void aSpoiltListChangesNothingAndIsAskedForAgain() throws Exception {
@@ -611,9 +602,8 @@
     }
 
     /**
-     * Guards against the whole list of a discovery that began anew, whose versions are as old as
-     * what is known or older, being passed over: what it doesn't name is gone. Changes follow from
-     * there.
+     * Detects the whole list of a discovery that began anew, whose versions are as old as what is
+     * known or older, being passed over: what it doesn't name is gone. Changes follow from there.
      */
     @Test
     public void aWholeListOnAWatchCountsWhateverItsVersion() throws Exception {
@@ -646,8 +636,8 @@
     }
 
     /**
-     * Guards against a list that is lost where the network cuts it: here at each byte, in all that
-     * HTTP allows.
+     * Detects a list that is lost where the network cuts it: here at each byte, in all that HTTP
+     * allows.
      */
     @Test
     public void aListInPiecesIsRead() throws Exception {
@@ -688,9 +678,8 @@
     }
 
     /**
-     * Guards against two connections in a row that come up late: while a call has no answer a spare
-     * one is dialled, and the next call goes out on it, whether the first was refused or says
-     * nothing.
+     * Detects two connections in a row that come up late: while a call has no answer a spare one is
+     * dialled, and the next call goes out on it, whether the first was refused or says nothing.
      */
     @Test
     public void theNextCallGoesOutOnTheSpareConnection() throws Exception {
@@ -723,10 +712,7 @@
         }
     }
 
-    /**
-     * Guards against a spare connection that stays open for nothing, or whose end counts as a
-     * failure.
-     */
+    /** Detects a spare connection that stays open for nothing, or whose end counts as a failure. */
     @Test
     public void aSpareConnectionIsClosedOnceTheListIsTold() throws Exception {
         AtomicInteger failures = new AtomicInteger();
@@ -760,8 +746,8 @@
     }
 
     /**
-     * Guards against a call that goes to the address that discovery has left, on the spare
-     * connection there.
+     * Detects a call that goes to the address that discovery has left, on the spare connection
+     * there.
      */
     @Test
     public void aSpareConnectionToAFormerAddressIsNotUsed() throws Exception {
@@ -790,7 +776,7 @@
     }
 
     /**
-     * Guards against a list that is late after discovery has moved, since the first call at the new
+     * Detects a list that is late after discovery has moved, since the first call at the new
      * address is refused or hangs: it is asked again there, and what was dialled to the old address
      * is not used.
      */
@@ -840,8 +826,8 @@
     }
 
     /**
-     * Guards against a list that is late after discovery has moved, since it had ended a watch at
-     * its former address before, and so counts as there: of the new address nothing is known.
+     * Detects a list that is late after discovery has moved, since it had ended a watch at its
+     * former address before, and so counts as there: of the new address nothing is known.
      */
     @Test
     public void aCallThatHangsAtANewAddressIsMadeASecondTimeWhateverTheFormerDid()
--- a/daemon/src/test/java/cedarrudder/transport/EndpointConnectionPoolTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionPoolTest.java
@@ -32,7 +32,7 @@
 import java.util.function.BiConsumer;
 import org.testng.annotations.Test;
 
-/** What the module hears of this process's own shortage. */
+/** What the balancer hears of this process's own shortage. */
 public class EndpointConnectionPoolTest {
 
     /** Who is owed an answer, and waits for it. */
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Guards against a node that counts as failing, and as out of connections, for what it never
-     * saw: this process has no room for a connection to it.
+     * Detects an endpoint that counts as failing, and as out of connections, for what it never saw:
+     * this process has no room for a connection to it.
      */
     @Test
     public void aProbeWithoutRoomForAConnectionSaysNothingOfItsNode() throws Exception {
@@ -68,9 +68,7 @@
                 "the second, for which there is no room");
     }
 
-    /**
-     * Guards against a caller that waits until its deadline for a request that could not be made.
-     */
+    /** Detects a client that waits until its deadline for a request that could not be made. */
     @Test
     public void aRequestThatCanNotBeMadeIsMootAtOnce() throws Exception {
         LoadBalancer.Request request =
@@ -86,7 +84,7 @@
                 Outcome.NOT_STARTED);
     }
 
-    /** Returns what the module hears first, which sends each RPC on to a silent node. */
+    /** Returns what the balancer hears first, which sends each request on to a silent endpoint. */
     private static Object play(
             BiConsumer<RequestForwarder<HttpMessage, HttpMessage>, EndpointConnectionPool> story)
             throws Exception {
--- a/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
@@ -73,7 +73,7 @@
         assertTrue(life.is(to == null ? from : to), life.toString());
     }
 
-    /** Guards against a second request on a connection whose first is not answered whole. */
+    /** Detects a second request on a connection whose first is not answered whole. */
     @Test
     public void nothingElseIsCarriedBetweenARequestAndItsAnswer() {
         for (State busy : List.of(State.SENDING, State.AWAITING_ANSWER, State.STREAMING)) {
--- a/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
@@ -47,9 +47,9 @@
     private static final int WAITING = 30;
 
     /**
-     * Guards against callers that come before the thread that opens the door has told so: for them
-     * the door was not there, or was the one before. Each opening is met by one, at a bound that
-     * lets none in.
+     * Detects clients that come before the thread that opens the door has told so: for them the
+     * door was not there, or was the one before. Each opening is met by one, at a bound that lets
+     * none in.
      */
     @Test
     public void aCallerThatComesAtOnceFindsTheBoundInForce() throws Exception {
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Guards against a caller that waits for good for an answer that can't be made, for want of
-     * memory say, and against a module that never hears how the attempt ended.
+     * Detects a client that waits for good for an answer that can't be made, for want of memory
+     * say, and against a module that never hears how the attempt ended.
      */
     @Test
     public void anAnswerThatCanNotBeMadeEndsItsCallersConnection() throws Exception {
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Guards against the same where the answer flows, and against a node that goes on with it for
+     * Detects the same where the answer flows, and against an endpoint that goes on with it for
      * nobody.
      */
     @Test
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Guards against connections that the kernel has accepted being reset as a successor takes
-     * over: all that wait at the door when it closes are let in. The loop connects them itself, so
-     * none is accepted before.
+     * Detects connections that the kernel has accepted being reset as a successor takes over: all
+     * that wait at the door when it closes are let in. The loop connects them itself, so none is
+     * accepted before.
      */
     @Test
     public void whoWaitsAtTheDoorWhenASuccessorTakesOverIsAnswered() throws Exception {
@@ -153,10 +153,10 @@
     }
 
     /**
-     * Guards against requests that the kernel has as their connections are closed, which a reset
-     * would take away: one on an idle connection, and one on a connection that waits at the door.
-     * The loop itself writes them, behind its last look and right before it closes, so that it has
-     * read none by then.
+     * Detects requests that the kernel has as their connections are closed, which a reset would
+     * take away: one on an idle connection, and one on a connection that waits at the door. The
+     * loop itself writes them, behind its last look and right before it closes, so that it has read
+     * none by then.
      */
     @Test
     public void whatHasComeByTheTimeOfTheCloseIsAnsweredAndNotReset() throws Exception {
@@ -226,7 +226,7 @@
         }
     }
 
-    /** Guards against a fault in one look at the connections ending all bounds on their time. */
+    /** Detects a fault in one look at the connections ending all bounds on their time. */
     @Test
     public void connectionsAreLookedOverAfterAFaultInALook() throws Exception {
         AtomicBoolean broken = new AtomicBoolean();
@@ -282,7 +282,7 @@
                         .module());
     }
 
-    /** Has a node answer what can't be passed on. */
+    /** Has an endpoint answer what can't be passed on. */
     private static BrokenNode answered(
             BiConsumer<
                             RequestForwarder<HttpMessage, HttpMessage>,
@@ -343,7 +343,7 @@
         return node;
     }
 
-    /** A node whose answers can't be passed on. */
+    /** An endpoint whose answers can't be passed on. */
     private record BrokenNode(
             RequestForwarder<HttpMessage, HttpMessage> driver,
             BiConsumer<
--- a/daemon/src/test/java/cedarrudder/transport/ProxyEventLoopTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ProxyEventLoopTest.java
@@ -18,7 +18,7 @@
 public class ProxyEventLoopTest {
 
     /**
-     * Guards against the module, the driver and the callers being worked on by two threads at once:
+     * Detects the balancer, the driver and the clients being worked on by two threads at once:
      * where no descriptor is left Netty can't make the channel, and tells so on a thread of its
      * own.
      */
@@ -48,7 +48,7 @@
         loop.stop();
     }
 
-    /** Guards against a trial whose timers run before they are due on the copy's own clock. */
+    /** Detects a trial whose timers run before they are due on the replica's own clock. */
     @Test
     public void aClockThatDriftsKeepsItsPaceAndItsTimers() {
         for (int millionths : new int[] {-1_000, 1, 1_000}) {
--- a/deploy/ClassData.java
+++ b/deploy/ClassData.java
@@ -29,7 +29,7 @@
 
     private static final int RPCS = 40;
 
-    /** A body of so many bytes is not held whole. */
+    /** A body of this many bytes is not held whole. */
     private static final int LARGE = 200_000;
 
     /** A port on which nothing listens. */
--- a/lab/src/main/java/cedarrudder/lab/attack/Answer.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Answer.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An answer as a caller reads it. The reader is strict: it takes only what a caller needs no
+ * An answer as a client reads it. The reader is strict: it takes only what a client needs no
  * leniency for.
  *
  * @param head its first line and fields
--- a/lab/src/main/java/cedarrudder/lab/attack/ExpectedAnswer.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ExpectedAnswer.java
@@ -46,13 +46,13 @@
         return new ExpectedAnswer(Set.of(200), 1, false, End.CLOSED, true, ANSWERED_BY, source);
     }
 
-    /** Turned away with one of these statuses, and the connection ends. Nothing reaches a node. */
+    /** Rejected with one of these statuses, and the connection ends. Nothing reaches a node. */
     public static ExpectedAnswer refused(String source, Integer... statuses) {
         return new ExpectedAnswer(
                 Set.of(statuses), 1, false, End.CLOSED, true, ANSWERED_BY, source);
     }
 
-    /** Served, or turned away with one of these statuses. */
+    /** Served, or rejected with one of these statuses. */
     public static ExpectedAnswer servedOr(String source, Integer... statuses) {
         Set<Integer> all = new java.util.TreeSet<>(Set.of(statuses));
         all.add(200);
@@ -64,7 +64,7 @@
         return new ExpectedAnswer(Set.of(statuses), 1, true, End.CLOSED, true, ANSWERED_BY, source);
     }
 
-    /** The same with so many answers. */
+    /** The same with this many answers. */
     public ExpectedAnswer times(int count) {
         return new ExpectedAnswer(statuses, count, closeDoes, end, reaches, withinMillis, source);
     }
--- a/lab/src/main/java/cedarrudder/lab/attack/FieldLines.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FieldLines.java
@@ -7,7 +7,7 @@
 
 import java.util.List;
 
-/** Attacks with the header fields, and with those that make an RPC. */
+/** Attacks with the header fields, and with those that make a request. */
 final class FieldLines {
 
     private static final String FIELD = "RFC 9112 5";
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodKind.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodKind.java
@@ -2,7 +2,7 @@
 
 /** What the connections of a flood say; each is held until the other side ends it. */
 public enum FloodKind {
-    /** Nobody floods: what the good callers get without. */
+    /** Nobody floods: what the good clients get without. */
     NONE(null),
     /** Nothing. */
     SILENT(""),
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodResult.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodResult.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.attack;
 
 /**
- * What good callers got while a flood ran.
+ * What good clients got while a flood ran.
  *
  * @param kept those that keep their connections
  * @param fresh those that open one for each request
--- a/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/FloodRun.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** Floods a daemon of our own beside 20 good callers, half of which keep their connections. */
+/** Floods a daemon of our own beside 20 good clients, half of which keep their connections. */
 public final class FloodRun {
 
     private static final int GOOD = 10;
@@ -14,7 +14,7 @@
     private FloodRun() {}
 
     /**
-     * Floods for so many seconds.
+     * Floods for this many seconds.
      *
      * @param rate connections of the flood a second
      */
--- a/lab/src/main/java/cedarrudder/lab/attack/Group.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Group.java
@@ -12,7 +12,7 @@
     FRAMING,
     /** {@code Expect}, pipelining, options of a connection, upgrades. */
     CONNECTION,
-    /** What makes a request an RPC. */
+    /** What makes a request a request. */
     RPC,
     /** What goes on for longer: half requests, slow and endless ones, answers nobody reads. */
     BEHAVIOUR
--- a/lab/src/main/java/cedarrudder/lab/attack/NodeReader.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/NodeReader.java
@@ -16,7 +16,7 @@
     private static final String LINE = "[A-Z]+ /[!-\"$-~]* HTTP/1\\.1";
     private static final String FIELD = "[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\\t -~\\x80-\\xff]*";
 
-    /** Fields of the caller's connection, which end there. */
+    /** Fields of the client's connection, which end there. */
     private static final Set<String> ENDS_THERE =
             Set.of(
                     "connection",
--- a/lab/src/main/java/cedarrudder/lab/attack/OwnDaemon.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/OwnDaemon.java
@@ -117,7 +117,7 @@
         return address;
     }
 
-    /** Plays against it; times may be so many times what is owed. */
+    /** Plays against it; times may be this many times what is owed. */
     public Player player(int slack) {
         return new Player(address, WORDS, nodes, slack);
     }
--- a/lab/src/main/java/cedarrudder/lab/attack/Player.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Player.java
@@ -39,7 +39,7 @@
 
     /**
      * @param nodes those of the daemon under attack; null where they are not ours to see
-     * @param slack times are allowed to be so many times what is owed: more than 1 on a machine
+     * @param slack times are allowed to be this many times what is owed: more than 1 on a machine
      *     that is short of cores
      */
     Player(InetSocketAddress to, RequestTemplates words, ScriptedNodes nodes, int slack) {
--- a/lab/src/main/java/cedarrudder/lab/attack/RequestTemplates.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/RequestTemplates.java
@@ -12,10 +12,10 @@
 
     static final String HOST = "Host: service.internal";
 
-    /** What makes a {@code GET} an RPC, with line ends. */
+    /** What makes a {@code GET} a request, with line ends. */
     static final String SAFE = request("{id}", "{safe}");
 
-    /** What makes a {@code POST} an RPC, with line ends. */
+    /** What makes a {@code POST} a request, with line ends. */
     static final String UNSAFE = request("{id}", "{unsafe}");
 
     /** A request that stands where no server may see one. */
--- a/lab/src/main/java/cedarrudder/lab/attack/ScriptedNodes.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ScriptedNodes.java
@@ -31,7 +31,7 @@
     private static final int BACKLOG = 512;
     private static final double MILLION = 1e6;
 
-    /** A cold node takes as long as a slow one at first, and is as the others after so long. */
+    /** A cold node takes as long as a slow one at first, and is as the others after this long. */
     private static final int WARM_MILLIS = 1_000;
 
     /** What a node does. */
@@ -69,7 +69,7 @@
     private final Queue<DeliveredRequest> reached = new ConcurrentLinkedQueue<>();
 
     /**
-     * @throws IOException if there are no ports for so many
+     * @throws IOException if there are no ports for this many
      */
     public ScriptedNodes(int count) throws IOException {
         this(
@@ -86,7 +86,7 @@
 
     /**
      * @param addresses for each proxy the one at which it finds the nodes
-     * @throws IOException if there are no ports for so many
+     * @throws IOException if there are no ports for this many
      */
     public ScriptedNodes(int count, List<InetAddress> addresses, Witness witness)
             throws IOException {
@@ -174,7 +174,7 @@
     }
 
     /**
-     * Lets so much time pass, and sees the other side end it meanwhile. Guards against a call that
+     * Lets this much time pass, and sees the other side end it meanwhile. This avoids a call that
      * was given up long ago being taken for one that is still here.
      */
     private static void await(Socket socket, PushbackInputStream in, int millis)
--- a/lab/src/main/java/cedarrudder/lab/attack/ToySite.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/ToySite.java
@@ -34,7 +34,7 @@
 
     private ToySite() {}
 
-    /** The settings of one of so many proxies, as JSON. */
+    /** The settings of one of this many proxies, as JSON. */
     public static String settings(int replicas, int ordinal) {
         return settings(replicas, ordinal, 0, List.of("here"));
     }
--- a/lab/src/main/java/cedarrudder/lab/attack/WellBehavedClients.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/WellBehavedClients.java
@@ -11,7 +11,7 @@
 import org.HdrHistogram.Recorder;
 
 /**
- * Callers that do no wrong: each asks at fixed times, whether the answer before came or not, and
+ * Clients that do no wrong: each asks at fixed times, whether the answer before came or not, and
  * counts from when a request was due. One that finds itself late asks at once; none leaves a
  * request out.
  */
--- a/lab/src/main/java/cedarrudder/lab/attack/Wire.java
+++ b/lab/src/main/java/cedarrudder/lab/attack/Wire.java
@@ -104,7 +104,8 @@
     }
 
     /**
-     * Sends a text again and again at full speed, until so many bytes are out, or an answer comes.
+     * Sends a text again and again at full speed, until this many bytes are out, or an answer
+     * comes.
      */
     void pour(String text, long max) throws IOException {
         byte[] once = words.fill(text, id).getBytes(StandardCharsets.ISO_8859_1);
--- a/lab/src/main/java/cedarrudder/lab/baselines/Admission.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Admission.java
@@ -4,7 +4,7 @@
 import cedarrudder.balancer.LoadBalancer.RequestClass;
 
 /**
- * What the oracle turns away where clients enter, by worth. The share of their aims that recent
+ * What the oracle rejects where clients enter, by worth. The share of their aims that recent
  * answers took tells how near to overload all tiers together are; the nearer, the more a request
  * must be worth to be taken. Without this the bound would be none in overload: all would be served,
  * and all too late. The limits were found by trying six sets of them on four scenarios of the lab,
@@ -30,10 +30,10 @@
     /** ... and for the class worth most. */
     private static final double MAX = 0.5;
 
-    /** One answer counts as having taken this many times its aim at the most. */
+    /** One answer counts as having taken this many times its aim at most. */
     private static final double LATEST = 2;
 
-    /** A tenant may save up this many seconds of its share at a copy. */
+    /** A tenant may save up this many seconds of its share at a replica. */
     private static final double SHARE_SECONDS = 2;
 
     private final BalancerSettings settings;
@@ -54,7 +54,7 @@
         this.savedAt = new long[saved.length];
     }
 
-    /** An attempt has ended; how long its RPC has taken by now counts, whatever the outcome. */
+    /** An attempt has ended; how long its request has taken by now counts, whatever the outcome. */
     void ended(long now, BaselineRequest call) {
         double share =
                 Math.min(LATEST, (now - call.arrived) / (double) call.kind.latencyObjectiveNanos());
@@ -73,7 +73,7 @@
                 < (over ? OVER_SHARE : MIN + (MAX - MIN) * call.kind.priorityWeight() / bestWorth);
     }
 
-    /** Whether a request is past its tenant's share, of which each copy takes an equal part. */
+    /** Whether a request is past its tenant's share, of which each replica takes an equal part. */
     private boolean overShare(long now, int tenant) {
         double quota = tenant < saved.length ? settings.tenants().get(tenant).quotaPerSecond() : 0;
         if (quota <= 0) {
--- a/lab/src/main/java/cedarrudder/lab/baselines/BaselineBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BaselineBalancer.java
@@ -11,16 +11,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that the rivals have in common: the life of an RPC, one further attempt where the rules allow
- * it, the gates of the four rules, and the list of nodes. What is left to the {@link Pick} is which
- * node gets an attempt, so that two rivals in one scenario differ in nothing else. None sends a
- * second copy while a first is out, and none sets a node aside because its calls fail.
+ * All that the rivals have in common: the life of a request, one further attempt where the rules
+ * allow it, the gates of the four rules, and the list of nodes. What is left to the {@link Pick} is
+ * which node gets an attempt, so that two rivals in one scenario differ in nothing else. None sends
+ * a hedged request while a first is out, and none sets a node aside because its calls fail.
  *
  * @param <S> what the pick notes of a node
  */
 final class BaselineBalancer<S> implements LoadBalancer {
 
-    /** An RPC that no node may take now is looked at again after this long. */
+    /** A request that no node may take now is looked at again after this long. */
     private static final long HOLD = 20_000_000L;
 
     /**
@@ -108,7 +108,7 @@
                         now + 1 + (long) (random.nextDouble() * pick.period()), TOKEN_TICK);
             }
             if (settings.pollsEndpoints()) {
-                // Guards against all copies asking at once a service that takes seconds to serve
+                // This avoids all replicas asking at once a service that takes seconds to serve
                 // them all.
                 ask(
                         now
@@ -143,7 +143,7 @@
         if (!member.ready()) {
             remove(member);
         } else if (!member.inReady) {
-            // Anywhere: guards against all copies going through the nodes in step.
+            // Anywhere: this avoids all replicas going through the nodes in step.
             ready.add(random.nextInt(ready.size() + 1), member);
             member.inReady = true;
         }
@@ -181,7 +181,7 @@
         actions.scheduleTimer(at + 1, TOKEN_ASK * TOKEN_KIND);
     }
 
-    // ---- the life of an RPC ----
+    // ---- the life of a request ----
 
     @Override
     public void onRequest(long now, Request request) {
@@ -209,14 +209,14 @@
         place(now, call);
     }
 
-    /** What an RPC costs, in mean RPCs, as far as its hint tells. */
+    /** What a request costs, in mean requests, as far as its hint tells. */
     private double cost(BaselineRequest call) {
         return call.request.expectedWorkNanos() > 0
                 ? call.request.expectedWorkNanos() / meanWork
                 : 1;
     }
 
-    /** Sends an RPC on its way, or holds it until a node may take it. */
+    /** Sends a request on its way, or holds it until a node may take it. */
     private void place(long now, BaselineRequest call) {
         if (now >= call.request.deadline()) {
             end(call);
@@ -272,7 +272,7 @@
         forgetIfDone(call);
     }
 
-    @SuppressWarnings("unchecked") // a call's attempts go to members of this copy only
+    @SuppressWarnings("unchecked") // a call's attempts go to members of this replica only
     private EndpointView<S> member(BaselineRequest call, int attempt) {
         return (EndpointView<S>) call.to[attempt];
     }
@@ -290,7 +290,7 @@
         }
     }
 
-    /** The one place where an RPC is ended: refused where the rules allow that, else failed. */
+    /** The one place where a request is ended: refused where the rules allow that, else failed. */
     private void end(BaselineRequest call) {
         call.answered = true;
         if (mayRefuse(call)) {
@@ -388,7 +388,7 @@
                             || member.withinColdBudget(now, warmRate(), settings.safety()));
         }
 
-        /** What a warm node gets from this copy, in mean requests a second. */
+        /** What a warm node gets from this replica, in mean requests a second. */
         private double warmRate() {
             if (warmRate < 0) {
                 int warm = 0;
--- a/lab/src/main/java/cedarrudder/lab/baselines/BaselineRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BaselineRequest.java
@@ -4,7 +4,7 @@
 import cedarrudder.balancer.LoadBalancer.Request;
 import cedarrudder.balancer.LoadBalancer.RequestClass;
 
-/** An RPC that a rival has taken, with its attempts in the order sent. */
+/** A request that a rival has taken, with its attempts in the order sent. */
 final class BaselineRequest {
     final Request request;
     final RequestClass kind;
--- a/lab/src/main/java/cedarrudder/lab/baselines/BrokenPolicies.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/BrokenPolicies.java
@@ -11,16 +11,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The decision module with one thing broken on purpose, so that it can be seen that the referee
- * finds it. Each fault takes some RPCs away from the module and treats them wrongly; the others are
- * served as ever. No fault waits for chance: a fault whose RPCs, drains or cold starts come shows
- * each time.
+ * The balancer with one thing broken on purpose, so that it can be seen that the referee finds it.
+ * Each fault takes some requests away from the balancer and treats them wrongly; the others are
+ * served as ever. No fault waits for chance: a fault whose requests, drains or cold starts come
+ * shows each time.
  */
 final class BrokenPolicies implements LoadBalancer {
 
     /** What is broken. */
     enum Fault {
-        /** Some RPCs get no answer. */
+        /** Some requests get no answer. */
         LOST(1),
         /** Some are refused twice. */
         ANSWERED_TWICE(1),
@@ -56,19 +56,19 @@
         }
     }
 
-    /** Of the RPCs that a fault can treat wrongly, one in so many. */
+    /** Of the requests that a fault can treat wrongly, one in this many. */
     private static final int EVERY = 5;
 
     /** An attempt that is to time out at once gets so long. */
     private static final long AT_ONCE = 1_000_000L;
 
-    /** The wrong step follows the first after so long. */
+    /** The wrong step follows the first after this long. */
     private static final long SOON = 2_000_000L;
 
-    /** And a late answer follows its deadline after so long. */
+    /** And a late answer follows its deadline after this long. */
     private static final long LATE = 1_000_000_000L;
 
-    /** An RPC that was taken from the module. */
+    /** A request that was taken from the balancer. */
     private static final class Mine {
         final Request request;
         final RequestClass kind;
@@ -138,7 +138,7 @@
         take(now, own);
     }
 
-    /** Whether the fault can be shown now with an RPC of this class and deadline. */
+    /** Whether the fault can be shown now with a request of this class and deadline. */
     private boolean wants(long now, RequestClass kind, long deadline) {
         boolean scoped = kind.idempotency() == Idempotency.KEYED && kind.keyScope() != KeyScope.ALL;
         return switch (fault) {
@@ -191,7 +191,7 @@
         actions.startAttempt(own.request.id(), to.id(), timeout);
     }
 
-    /** Asks for the wrong step at an instant; the tokens of the module are never negative. */
+    /** Asks for the wrong step at an instant; the tokens of the balancer are never negative. */
     private void later(Mine own, long at) {
         own.waits = true;
         actions.scheduleTimer(at, -own.request.id() - 1);
@@ -256,7 +256,9 @@
 
     // ---- whom to treat wrongly ----
 
-    /** A warm node; not the first of this RPC, and outside its group where the fault needs that. */
+    /**
+     * A warm node; not the first of this request, and outside its group where the fault needs that.
+     */
     private Endpoint warm(long now, Mine own) {
         List<Endpoint> fit = new ArrayList<>();
         for (Endpoint entry : listed.values()) {
@@ -304,7 +306,7 @@
         return newest;
     }
 
-    // ---- what goes to the module as it is ----
+    // ---- what goes to the balancer as it is ----
 
     @Override
     public Outcome startDenial(long now, long request, int attempt) {
--- a/lab/src/main/java/cedarrudder/lab/baselines/Candidates.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Candidates.java
@@ -9,7 +9,7 @@
  */
 interface Candidates<S> {
 
-    /** All nodes that the list calls ready, in an order that is this copy's own. */
+    /** All nodes that the list calls ready, in an order that is this replica's own. */
     List<EndpointView<S>> ready();
 
     /** Whether the rules let this attempt go to this node. */
--- a/lab/src/main/java/cedarrudder/lab/baselines/EndpointView.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/EndpointView.java
@@ -12,7 +12,7 @@
  */
 final class EndpointView<S> {
 
-    /** Part of the cold budget that is used, as in the decision module; the rest is for chance. */
+    /** Part of the cold budget that is used, as in the balancer; the rest is for chance. */
     private static final double COLD_SHARE_USED = 0.5;
 
     final long id;
@@ -24,7 +24,7 @@
     /** Whether it is among the ready. */
     boolean inReady;
 
-    /** This copy's own attempts that are out. */
+    /** This replica's own attempts that are out. */
     int inFlight;
 
     /**
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Begins the cold budget in debt, by a draw from 0 to 1: the first sends of many copies spread
-     * out.
+     * Begins the cold budget in debt, by a draw from 0 to 1: the first sends of many replicas
+     * spread out.
      */
     void startCold(long now, double debt) {
         allowance = -debt;
@@ -60,7 +60,7 @@
     /**
      * Whether a cold node may get one more.
      *
-     * @param warmRate what a warm node gets from this copy, in mean requests a second
+     * @param warmRate what a warm node gets from this replica, in mean requests a second
      */
     boolean withinColdBudget(long now, double warmRate, SafetyRules safety) {
         double ramp = Math.max(0, now - listed.startedAt()) / (double) safety.slowStartNanos();
--- a/lab/src/main/java/cedarrudder/lab/baselines/LeastRequests.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/LeastRequests.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.baselines;
 
 /**
- * Of two different nodes at random the one where this copy has fewer attempts out. Source: M.
+ * Of two different nodes at random the one where this replica has fewer attempts out. Source: M.
  * Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10), 2001;
  * Envoy's LEAST_REQUEST with its default of two choices.
  */
--- a/lab/src/main/java/cedarrudder/lab/baselines/Oracle.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Oracle.java
@@ -7,8 +7,7 @@
  * The bound: sees the true state of all nodes of its tier, at no cost and at once, and sends where
  * this request is done first, among nodes that take it and are sound. No real balancer can do that.
  * It keeps the rules like the others and doesn't know what comes next: it shows what a pick could
- * do, and is no proven upper bound. Where clients enter it turns away by worth, see {@link
- * Admission}.
+ * do, and is no proven upper bound. Where clients enter it rejects by worth, see {@link Admission}.
  *
  * <p>Cores share their time among the requests in work: one of work w waits for no more than w of
  * each request that is there, so it is done in (min(backlog, held w) + w) / capacity. Source:
@@ -23,7 +22,7 @@
     /** Work that is taken where there is no hint, in nanoseconds. */
     private static final double UNKNOWN_WORK = 50e6;
 
-    /** What is on its way to a node from this copy. */
+    /** What is on its way to a node from this replica. */
     static final class Way {
         private double work;
         private long at;
--- a/lab/src/main/java/cedarrudder/lab/baselines/Pick.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Pick.java
@@ -15,7 +15,7 @@
  */
 interface Pick<S> {
 
-    /** Makes the pick of one copy. */
+    /** Makes the pick of one replica. */
     interface Maker<S> {
         Pick<S> make(BalancerSettings settings, RandomGenerator random, GroundTruth truth);
     }
@@ -25,7 +25,7 @@
         return null;
     }
 
-    /** Whether to take an RPC on that has just come. Textbook policies take all. */
+    /** Whether to take a request on that has just come. Textbook policies take all. */
     default boolean admits(long now, BaselineRequest call, Candidates<S> choice) {
         return true;
     }
--- a/lab/src/main/java/cedarrudder/lab/baselines/Policies.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/Policies.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** The policies by name: the decision module itself, its rivals, and those broken on purpose. */
+/** The policies by name: the balancer itself, its rivals, and those broken on purpose. */
 public final class Policies {
 
-    /** The decision module under its defaults. */
+    /** The balancer under its defaults. */
     public static final String OWN = "cedarrudder";
 
     /** The bound that sees the true state. */
@@ -104,7 +104,7 @@
                                 settings, BaselineParameters.USUAL, random, actions, truth, pick));
     }
 
-    /** The names of all sound policies, the module's own first and the bound last. */
+    /** The names of all sound policies, the balancer's own first and the bound last. */
     public static List<String> names() {
         return List.copyOf(SOUND.keySet());
     }
--- a/lab/src/main/java/cedarrudder/lab/baselines/RoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/RoundRobin.java
@@ -4,7 +4,7 @@
 
 /**
  * One node after another. Source: Envoy's ROUND_ROBIN without weights, which also begins somewhere
- * at random so that copies are out of step.
+ * at random so that replicas are out of step.
  */
 final class RoundRobin implements Pick<Void> {
     private int next;
--- a/lab/src/main/java/cedarrudder/lab/baselines/SubsetLeastRequests.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/SubsetLeastRequests.java
@@ -7,20 +7,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Each copy sends only to a subset of the nodes, and there to the one where it has fewest attempts
- * out, at random among equals. Source: deterministic subsetting in Beyer et al., "Site Reliability
- * Engineering", O'Reilly 2016, chapter 20, with least requests inside the subset as there.
+ * Each replica sends only to a subset of the nodes, and there to the one where it has fewest
+ * attempts out, at random among equals. Source: deterministic subsetting in Beyer et al., "Site
+ * Reliability Engineering", O'Reilly 2016, chapter 20, with least requests inside the subset as
+ * there.
  *
- * <p>Copies come in rounds of as many as there are subsets. The copies of a round shuffle the nodes
- * alike and cut the order in subsets, one for each; the next round shuffles anew. Here the shuffle
- * is a sort by a number made of node and round, so that a change of the list moves few nodes. A
- * subset has {@link #MIN} nodes, or more where so few copies come that nodes would be left out: as
- * many as that two rounds of copies cover them all. Where none of the subset may take an attempt,
- * any node may.
+ * <p>Replicas come in rounds of as many as there are subsets. The replicas of a round shuffle the
+ * nodes alike and cut the order in subsets, one for each; the next round shuffles anew. Here the
+ * shuffle is a sort by a number made of node and round, so that a change of the list moves few
+ * nodes. A subset has {@link #MIN} nodes, or more where so few replicas come that nodes would be
+ * left out: as many as that two rounds of replicas cover them all. Where none of the subset may
+ * take an attempt, any node may.
  */
 final class SubsetLeastRequests implements Pick<Void> {
 
-    /** Nodes in a subset at the least; Finagle's for its deterministic aperture. */
+    /** Nodes in a subset at least; Finagle's for its deterministic aperture. */
     static final int MIN = 12;
 
     private record Placed(EndpointView<Void> member, long order) {}
@@ -64,7 +65,7 @@
         return z ^ (z >>> 31);
     }
 
-    /** The nodes of this copy, for tests. */
+    /** The nodes of this replica, for tests. */
     List<EndpointView<Void>> subset() {
         return subset;
     }
--- a/lab/src/main/java/cedarrudder/lab/baselines/WeightedRoundRobin.java
+++ b/lab/src/main/java/cedarrudder/lab/baselines/WeightedRoundRobin.java
@@ -16,8 +16,8 @@
  *
  * <p>Reports come by probes that are not tied to calls: each node once in {@link #ROUND}, or as
  * often as {@link #PROBES} a second allow. Where reports tell requests a second, that is q; else q
- * is what this copy sends there. Then the copies' shares of a node are all alike only as long as
- * nothing drives them apart; so a weight counts as at most {@link #SPREAD} times the mean and at
+ * is what this replica sends there. Then the replicas' shares of a node are all alike only as long
+ * as nothing drives them apart; so a weight counts as at most {@link #SPREAD} times the mean and at
  * least the mean over {@link #SPREAD} (ours). A node without a weight yet counts as the mean. Turns
  * go by earliest due time, the next one 1 / w later.
  */
@@ -26,7 +26,7 @@
     /** Each node is to be asked for its load once in this time. */
     static final long ROUND = 5_000_000_000L;
 
-    /** Probes a second of one copy at the most. */
+    /** Probes a second of one replica at most. */
     static final double PROBES = 100;
 
     /** Weights are computed anew once in this time; gRPC's default. */
@@ -96,7 +96,7 @@
         turns.clear();
         for (EndpointView<Turn> member : ready) {
             if (!member.notes.queued) {
-                // Somewhere in its first turn: guards against copies that go through the nodes in
+                // Somewhere in its first turn: this avoids replicas that go through the nodes in
                 // step.
                 member.notes.due = time + random.nextDouble() / weight(member.notes);
                 member.notes.queued = true;
--- a/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
@@ -25,11 +25,11 @@
     private static final int FIRST = 2000;
     private static final int NODES_PER_REPLICA = 5;
 
-    /** Nodes of the tier, five for each copy. */
+    /** Nodes of the tier, five for each replica. */
     @Param({"10", "100", "1000"})
     public int nodes;
 
-    /** Who decides: the module, or nobody. */
+    /** Who decides: the balancer, or nobody. */
     @Param({"cedarrudder", "none"})
     public String module;
 
--- a/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** The daemon's reading of one RPC, from bytes in one piece to what the module is told. */
+/** The daemon's reading of one request, from bytes in one piece to what the balancer is told. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
@@ -25,7 +25,7 @@
     private static final int FIRST = 2000;
     private static final int NODES_PER_REPLICA = 5;
 
-    /** Nodes of the tier, five for each copy. */
+    /** Nodes of the tier, five for each replica. */
     @Param({"10", "100", "1000"})
     public int nodes;
 
--- a/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/MemoryUse.java
@@ -7,17 +7,19 @@
 import java.util.SplittableRandom;
 
 /**
- * The memory that the module of one proxy holds: many modules are made and kept, and what the heap
- * has grown by is divided by their number. Each has settings and entries of the list of nodes of
- * its own, as in a process of its own, and has served requests that are over. The first two, which
- * load the classes, aren't counted.
+ * The memory that the balancer of one proxy holds: many modules are made and kept, and what the
+ * heap has grown by is divided by their number. Each has settings and entries of the list of nodes
+ * of its own, as in a process of its own, and has served requests that are over. The first two,
+ * which load the classes, aren't counted.
  */
 public final class MemoryUse {
 
     /** Requests that each module serves first. */
     private static final int REQUESTS = 300;
 
-    /** Together the modules know so many nodes: some hundred MB, against which chance is small. */
+    /**
+     * Together the modules know this many nodes: some hundred MB, against which chance is small.
+     */
     private static final int NODES_IN_ALL = 200_000;
 
     private static final int NODES_PER_REPLICA = 5;
@@ -30,7 +32,7 @@
 
     private MemoryUse() {}
 
-    /** Bytes for each module of a tier of so many nodes, five for each copy. */
+    /** Bytes for each module of a tier of this many nodes, five for each replica. */
     public static double ofModule(int nodes) {
         int replicas = Math.max(1, nodes / NODES_PER_REPLICA);
         int modules = Math.max(20, NODES_IN_ALL / nodes);
--- a/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
@@ -18,8 +18,9 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * The module alone: a request is taken and placed, the oldest of twenty that are out is served, and
- * probes that came of it are answered. A pick is the larger part of that. Timers don't ring here.
+ * The balancer alone: a request is taken and placed, the oldest of twenty that are out is served,
+ * and probes that came of it are answered. A pick is the larger part of that. Timers don't ring
+ * here.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -35,7 +36,7 @@
     @Param({"10", "100", "1000"})
     public int nodes;
 
-    /** Nodes for each copy: five, as on the users' platform, or one copy for all. */
+    /** Nodes for each replica: five, as on the users' platform, or one replica for all. */
     @Param({"5", "1000"})
     public int nodesPerReplica;
 
--- a/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/Platform.java
@@ -24,7 +24,7 @@
 
     private Platform() {}
 
-    /** What one of so many copies is told at its start. */
+    /** What one of this many replicas is told at its start. */
     static BalancerSettings settings(int replicas, int self) {
         return new BalancerSettings(
                 replicas,
@@ -61,7 +61,7 @@
                 new ServicePrices(0.01, 0));
     }
 
-    /** A list of so many ready nodes, each with an entry object of its own. */
+    /** A list of this many ready nodes, each with an entry object of its own. */
     static List<Endpoint> nodes(int count) {
         List<Endpoint> list = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/lab/src/main/java/cedarrudder/lab/benchmark/SimulatedEnvironment.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/SimulatedEnvironment.java
@@ -33,7 +33,7 @@
 
     private static final long PROBE_TRIP = Platform.MS / 2;
 
-    /** One in so many requests is unsafe. */
+    /** One in this many requests is unsafe. */
     private static final int UNSAFE_PART = 5;
 
     private static final Object ANSWER = new Object();
@@ -137,7 +137,7 @@
         return replies.served;
     }
 
-    /** Takes no request for so long: after some seconds nothing is out any more. */
+    /** Takes no request for this long: after some seconds nothing is out any more. */
     void pass(long nanos) {
         long until = now + nanos;
         for (Event next = events.peek(); next != null && next.at <= until; next = events.peek()) {
@@ -155,7 +155,7 @@
         forwarder.endpointsUpdated(kind, entries);
     }
 
-    /** The module, to hold on to it alone. */
+    /** The balancer, to hold on to it alone. */
     LoadBalancer module() {
         return module;
     }
--- a/lab/src/main/java/cedarrudder/lab/checker/AtMostOnceEffect.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/AtMostOnceEffect.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /**
- * A3: what a copy hands on takes effect at most once, and the one final word on it is true:
+ * A3: what a replica hands on takes effect at most once, and the one final word on it is true:
  * committed under that number, or never.
  *
  * <p>It reads {@code started}, {@code handed} (proposal, sum of its content, which no other has),
--- a/lab/src/main/java/cedarrudder/lab/checker/ConcurrentDisruptions.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ConcurrentDisruptions.java
@@ -10,12 +10,12 @@
 
 /**
  * D1: never more nodes out at once than the strictest bound allows. A node is out from the first
- * word of any copy that it leaves until it is not listed any more, or was taken back and the last
- * copy that can hear of it has followed; and while it is dead, silent, or cold. A bound is broken
- * by a removal that begins where it is full, not by a node that dies.
+ * word of any replica that it leaves until it is not listed any more, or was taken back and the
+ * last replica that can hear of it has followed; and while it is dead, silent, or cold. A bound is
+ * broken by a removal that begins where it is full, not by a node that dies.
  *
- * <p>It reads {@code bound}, {@code node}, {@code leaving}, {@code drain}, and which copies can be
- * heard.
+ * <p>It reads {@code bound}, {@code node}, {@code leaving}, {@code drain}, and which replicas can
+ * be heard.
  */
 public final class ConcurrentDisruptions implements Invariant {
 
@@ -36,7 +36,7 @@
     private final List<Violation> breaches = new ArrayList<>();
 
     /**
-     * @param known copies need not know yet of a node that went down less long ago; nanoseconds
+     * @param known replicas need not know yet of a node that went down less long ago; nanoseconds
      */
     public ConcurrentDisruptions(long known) {
         this.known = known;
@@ -69,7 +69,7 @@
                 }
                 Set<String> before = out(event.incarnation(), nodes);
                 for (String node : nodes) {
-                    // Not what was taken back: guards against holding it against a copy that is
+                    // Not what was taken back: this avoids holding it against a replica that is
                     // behind.
                     if (!over.contains(node) && !returned.contains(node) && before.add(node)) {
                         check(event, before, node);
@@ -86,7 +86,7 @@
     private void drain(HistoryEvent event) {
         String node = event.text("node");
         if (!told.add(event.text("wave") + " " + node + " " + event.text("event"))) {
-            return; // another copy has said it
+            return; // another replica has said it
         }
         switch (event.text("event")) {
             case "begun" -> {
--- a/lab/src/main/java/cedarrudder/lab/checker/DrainInvariants.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/DrainInvariants.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * D2: nothing new comes to a node a stated time after the copy took it out; none is said to be
- * empty while a live copy has calls there; and of none it is left open past its time what becomes
- * of it.
+ * D2: nothing new comes to a node a stated time after the replica took it out; none is said to be
+ * empty while a live replica has calls there; and of none it is left open past its time what
+ * becomes of it.
  *
- * <p>It reads {@code leaving} and {@code drain} of the copies, {@code reached} and {@code served}
- * of the nodes, {@code answered} and {@code broke} of the callers. A copy with two processes is
+ * <p>It reads {@code leaving} and {@code drain} of the replicas, {@code reached} and {@code served}
+ * of the nodes, {@code answered} and {@code broke} of the clients. A replica with two processes is
  * held to what both had heard. One that runs is not live where it stands still, or is held as dead
  * by who says so.
  */
@@ -40,8 +40,8 @@
     private final List<Violation> breaches = new ArrayList<>();
 
     /**
-     * @param stops nothing new reaches a node so long after a copy had the word; nanoseconds
-     * @param grace what becomes of a removal is said so long after its time at the latest;
+     * @param stops nothing new reaches a node this long after a replica had the word; nanoseconds
+     * @param grace what becomes of a removal is said this long after its time at the latest;
      *     nanoseconds
      */
     public DrainInvariants(long stops, long grace) {
--- a/lab/src/main/java/cedarrudder/lab/checker/FailureDetection.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/FailureDetection.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Whom copies hold as dead: a death is found within a stated time; one that runs and can be reached
- * is not held dead for longer than another, and not at all where nothing had happened to either for
- * long and nothing was lost; an old life is never believed again.
+ * Whom replicas hold as dead: a death is found within a stated time; one that runs and can be
+ * reached is not held dead for longer than another, and not at all where nothing had happened to
+ * either for long and nothing was lost; an old life is never believed again.
  */
 public final class FailureDetection implements Invariant {
 
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Looks at the one pair that a cut is about, and at all with this copy where so long nothing
-     * had happened to it that a bound may be broken. Guards against a time that goes with the cube
-     * of the copies: halves are cut way by way.
+     * Looks at the one pair that a cut is about, and at all with this replica where so long nothing
+     * had happened to it that a bound may be broken. This avoids a time that goes with the cube of
+     * the replicas: halves are cut way by way.
      */
     private void lookAround(long now, int replica, int other) {
         if (now - world.disturbedAt(replica) > Math.min(bounds.found, bounds.mended)) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Looks at all pairs with this copy in them. */
+    /** Looks at all pairs with this replica in them. */
     private void look(long now, int replica) {
         for (int other : world.replicas()) {
             if (other != replica) {
@@ -182,7 +182,7 @@
         world.replicas().forEach(replica -> look(at, replica));
     }
 
-    /** Deaths that a copy found, over pairs. */
+    /** Deaths that a replica found, over pairs. */
     public long found() {
         return found;
     }
--- a/lab/src/main/java/cedarrudder/lab/checker/FootprintInvariants.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/FootprintInvariants.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * M1: no copy loads what its estimate refused; no estimate is under what the process then held by
- * more than a stated error. The last estimate of a load under a bound counts.
+ * M1: no replica loads what its estimate refused; no estimate is under what the process then held
+ * by more than a stated error. The last estimate of a load under a bound counts.
  *
  * <p>It reads {@code estimate}, {@code took}, {@code held}, and {@code table}, which takes the load
  * "table" with its number.
--- a/lab/src/main/java/cedarrudder/lab/checker/History.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/History.java
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 
 /**
- * Histories of copies, as lines of JSON: {@code
+ * Histories of replicas, as lines of JSON: {@code
  * {"at":12,"copy":3,"life":1,"what":"voted","term":7}}. Fields are texts or whole numbers. A last
  * line without its end was being written when its process died, and is left out.
  */
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Reads files, one a copy, and puts events in the order of time; of one instant in that of the
-     * files.
+     * Reads files, one a replica, and puts events in the order of time; of one instant in that of
+     * the files.
      */
     public static List<HistoryEvent> read(List<Path> files) throws IOException {
         List<HistoryEvent> all = new ArrayList<>();
--- a/lab/src/main/java/cedarrudder/lab/checker/HistoryEvent.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/HistoryEvent.java
@@ -4,13 +4,14 @@
 import java.util.NoSuchElementException;
 
 /**
- * Something that a copy says of itself, or that the world says of a copy: its start, its end, a cut
- * of its link.
+ * Something that a replica says of itself, or that the world says of a replica: its start, its end,
+ * a cut of its link.
  *
- * @param at its instant, in nanoseconds of the one clock of the run, whatever the copy's own clock
- *     says
- * @param replica the copy's number
- * @param incarnation the number of the copy's life: a later one begins when the copy comes back
+ * @param at its instant, in nanoseconds of the one clock of the run, whatever the replica's own
+ *     clock says
+ * @param replica the replica's number
+ * @param incarnation the number of the replica's life: a later one begins when the replica comes
+ *     back
  * @param what what happened, a word
  * @param fields what else is known of it, as text
  */
--- a/lab/src/main/java/cedarrudder/lab/checker/Invariant.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/Invariant.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One thing that must hold of many copies. It is told all that happened, in the order of time, and
- * knows nothing of the code that did it. For one history and one thread.
+ * One thing that must hold of many replicas. It is told all that happened, in the order of time,
+ * and knows nothing of the code that did it. For one history and one thread.
  */
 public interface Invariant {
 
--- a/lab/src/main/java/cedarrudder/lab/checker/LeaderContactBound.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/LeaderContactBound.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * What leases rest on: no copy holds the last sure contact of a leader with a majority to be
+ * What leases rest on: no replica holds the last sure contact of a leader with a majority to be
  * younger than any of which word can have come to it.
  *
- * <p>It reads {@code sure} (since: what the copy believes, on the one clock of the run; reached:
+ * <p>It reads {@code sure} (since: what the replica believes, on the one clock of the run; reached:
  * what datagrams can have told it, on the same).
  */
 public final class LeaderContactBound implements Invariant {
--- a/lab/src/main/java/cedarrudder/lab/checker/LeaseSafety.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/LeaseSafety.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * F3: no copy uses a table past its lease, by its own words where it says since when that counts;
- * and whatever it says, none uses a table for longer than that lease after it could last hear of a
- * majority of the voters by any way.
+ * F3: no replica uses a table past its lease, by its own words where it says since when that
+ * counts; and whatever it says, none uses a table for longer than that lease after it could last
+ * hear of a majority of the voters by any way.
  *
  * <p>It reads {@code table}, {@code lapsed}, {@code renewed}, {@code used}, {@code seated}, and
- * what {@link ProcessTimeline} knows of copies and ways.
+ * what {@link ProcessTimeline} knows of replicas and ways.
  */
 public final class LeaseSafety implements Invariant {
 
--- a/lab/src/main/java/cedarrudder/lab/checker/MajorityContact.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MajorityContact.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * When each copy could last hear of a majority of the voters: by copies that speak and ways of
- * which one direction at the least is whole. As long as no voters were told of, all can.
+ * When each replica could last hear of a majority of the voters: by replicas that speak and ways of
+ * which one direction at least is whole. As long as no voters were told of, all can.
  */
 final class MajorityContact {
 
@@ -24,7 +24,7 @@
     private long index = -1;
 
     /**
-     * When each copy last had contact, as far as looked at; and which have it since the last
+     * When each replica last had contact, as far as looked at; and which have it since the last
      * change.
      */
     private long[] last = new long[0];
@@ -63,7 +63,7 @@
         }
     }
 
-    /** When a copy could last hear of a majority, up to this instant. */
+    /** When a replica could last hear of a majority, up to this instant. */
     long last(int replica, long at) {
         look(at);
         return replica < last.length ? last[replica] : at;
--- a/lab/src/main/java/cedarrudder/lab/checker/MembershipClaims.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MembershipClaims.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Whom each process holds as dead, by its own words; before it says anything of a copy it holds it
- * as live.
+ * Whom each process holds as dead, by its own words; before it says anything of a replica it holds
+ * it as live.
  */
 final class MembershipClaims {
 
--- a/lab/src/main/java/cedarrudder/lab/checker/MembershipConvergence.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/MembershipConvergence.java
@@ -5,15 +5,16 @@
 import java.util.Set;
 
 /**
- * After the faults end, all live copies hold one view of who lives, and it is true, within a stated
- * time.
+ * After the faults end, all live replicas hold one view of who lives, and it is true, within a
+ * stated time.
  */
 public final class MembershipConvergence implements Invariant {
 
     private static final String NAME = "views";
 
     /**
-     * Words after which what others hold of a copy may be wrong or right, and what it holds itself.
+     * Words after which what others hold of a replica may be wrong or right, and what it holds
+     * itself.
      */
     private static final Set<String> OF_REPLICA =
             Set.of("started", "speaks", "silent", "ended", "stopped", "continued");
@@ -59,7 +60,7 @@
                 : 0;
     }
 
-    /** Wrong beliefs of this copy and about it. Those of all others are as they were. */
+    /** Wrong beliefs of this replica and about it. Those of all others are as they were. */
     private long wrongs(int replica) {
         long found = 0;
         for (int other : world.replicas()) {
@@ -77,7 +78,7 @@
         return observer != about && beliefs.dead(incarnation, about) == world.speaks(about);
     }
 
-    /** A belief of a live copy that is not so; empty where there is none. */
+    /** A belief of a live replica that is not so; empty where there is none. */
     private String wrong() {
         for (int observer : world.replicas()) {
             for (long incarnation : world.speaking(observer)) {
--- a/lab/src/main/java/cedarrudder/lab/checker/ProcessTimeline.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ProcessTimeline.java
@@ -6,12 +6,13 @@
 import java.util.Set;
 
 /**
- * What the world's events say of copies: which process of each runs, which stands still, which
+ * What the world's events say of replicas: which process of each runs, which stands still, which
  * links are cut, whether datagrams are lost. Words: {@code started}, {@code told} (SIGTERM), {@code
- * ended}, {@code stopped}, {@code continued} of a copy's process; {@code cut} and {@code healed} of
- * the way from a copy {@code to} another; {@code weather} with {@code calm}; {@code flooded} and
- * {@code drained} of a copy that gets forged datagrams; {@code over} when no more faults come.
- * Those of the copies ({@code speaks}, {@code silent}) tell which process speaks for a number.
+ * ended}, {@code stopped}, {@code continued} of a replica's process; {@code cut} and {@code healed}
+ * of the way from a replica {@code to} another; {@code weather} with {@code calm}; {@code flooded}
+ * and {@code drained} of a replica that gets forged datagrams; {@code over} when no more faults
+ * come. Those of the replicas ({@code speaks}, {@code silent}) tell which process speaks for a
+ * number.
  */
 final class ProcessTimeline {
 
@@ -80,7 +81,7 @@
         return (long) from << 32 | to;
     }
 
-    /** All copies that ever ran. */
+    /** All replicas that ever ran. */
     Set<Integer> replicas() {
         return replicas;
     }
@@ -125,12 +126,12 @@
                         < others;
     }
 
-    /** Whether this copy gets forged datagrams. */
+    /** Whether this replica gets forged datagrams. */
     boolean forged(int replica) {
         return flooded.contains(replica);
     }
 
-    /** When something happened to a copy last. */
+    /** When something happened to a replica last. */
     long disturbedAt(int replica) {
         return disturbedAt.getOrDefault(replica, Long.MIN_VALUE / 2);
     }
--- a/lab/src/main/java/cedarrudder/lab/checker/RouteTableHistory.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/RouteTableHistory.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The route tables in the order of their numbers, each as the first copy tells it. */
+/** The route tables in the order of their numbers, each as the first replica tells it. */
 final class RouteTableHistory {
 
     /** What a table gives of one zone's calls to another; {@code parts} of 10,000. */
@@ -51,7 +51,8 @@
     }
 
     /**
-     * Zones of callers that the newest table moves away: they get so much less of their own calls.
+     * Zones of clients that the newest table moves away: they get this much less of their own
+     * calls.
      */
     Set<Integer> left() {
         Set<Integer> left = new HashSet<>();
@@ -79,7 +80,7 @@
                 .sum();
     }
 
-    /** Zones of callers to which the newest table gives other shares than the one before did. */
+    /** Zones of clients to which the newest table gives other shares than the one before did. */
     Set<Integer> changed() {
         Set<Integer> changed = new HashSet<>();
         Set<Part> old = new HashSet<>(before);
--- a/lab/src/main/java/cedarrudder/lab/checker/SingleFinalAnswer.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleFinalAnswer.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * One final answer for each RPC that a copy took and that its process outlived. Words of callers:
- * {@code asked} when the request was sent whole, {@code answered} for each final answer, {@code
- * broke} where the connection ended without one or the caller gave up; each with the {@code rpc}.
- * Nothing is owed by a process that was killed or stood still meanwhile, nor for what was asked so
- * long after its last process was told to end that it need not listen any more.
+ * One final answer for each request that a replica took and that its process outlived. Words of
+ * clients: {@code asked} when the request was sent whole, {@code answered} for each final answer,
+ * {@code broke} where the connection ended without one or the client gave up; each with the {@code
+ * rpc}. Nothing is owed by a process that was killed or stood still meanwhile, nor for what was
+ * asked so long after its last process was told to end that it need not listen any more.
  */
 public final class SingleFinalAnswer implements Invariant {
 
@@ -32,9 +32,9 @@
 
     /**
      * @param patience by then an answer is there, from when it was asked; nanoseconds
-     * @param listens a process that is told to end takes RPCs for so long; nanoseconds
-     * @param atTheDoor so many connections may be reset when one of two processes closes its door:
-     *     what the users allow an upgrade, since the kernel gives no way to prevent it
+     * @param listens a process that is told to end takes requests for this long; nanoseconds
+     * @param atTheDoor this many connections may be reset when one of two processes closes its
+     *     door: what the users allow an upgrade, since the kernel gives no way to prevent it
      */
     public SingleFinalAnswer(long patience, long listens, int atTheDoor) {
         this.patience = patience;
@@ -149,7 +149,7 @@
         }
     }
 
-    /** RPCs that were asked. */
+    /** requests that were asked. */
     public long asked() {
         return asked;
     }
--- a/lab/src/main/java/cedarrudder/lab/checker/SingleLeader.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleLeader.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /**
- * A2: one leader a term; a copy that forgot voted in nothing before its new life was committed.
+ * A2: one leader a term; a replica that forgot voted in nothing before its new life was committed.
  *
  * <p>It reads {@code started} (kept: 1 where the life begins with what the last one had stored),
  * {@code seated} (group, voters), {@code voted} (group, term, as: its life as a voter, for) and
--- a/lab/src/main/java/cedarrudder/lab/checker/SingleTable.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/SingleTable.java
@@ -149,7 +149,7 @@
                             }
                         });
         if (unwritten > 0 && firstStored.containsKey(place)) {
-            // The life is not told of here, nor needed: a copy that comes back in another is no
+            // The life is not told of here, nor needed: a replica that comes back in another is no
             // voter yet.
             for (String voter : voters(place)) {
                 if (killedWith(Integer.parseInt(voter.split(":")[0]), firstStored.get(place))) {
--- a/lab/src/main/java/cedarrudder/lab/checker/TableConvergence.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/TableConvergence.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * After the faults all live copies hold one route table: they differ, or one has none, never for
+ * After the faults all live replicas hold one route table: they differ, or one has none, never for
  * longer than a stated time. And of A1: one number, one table, whoever holds it; numbers rise in
- * each life. Where no copy ever held a table there is none to hold.
+ * each life. Where no replica ever held a table there is none to hold.
  *
  * <p>It reads {@code table} with all its fields, {@code lapsed}, and which processes speak.
  */
@@ -101,7 +101,7 @@
         }
     }
 
-    /** How the live copies differ; empty where they don't. */
+    /** How the live replicas differ; empty where they don't. */
     private String difference() {
         Held one = null;
         int first = 0;
--- a/lab/src/main/java/cedarrudder/lab/checker/ZoneEvacuation.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ZoneEvacuation.java
@@ -9,16 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * F1: no zone is left on the word of copies of one zone alone, while most others were served there.
- * A table leaves a zone when it moves more of its calls away than the table before. A copy speaks
- * against a zone where in some period of the window before that more of its calls there failed or
- * were silent than were served; it was served there where none was such.
+ * F1: no zone is left on the word of replicas of one zone alone, while most others were served
+ * there. A table leaves a zone when it moves more of its calls away than the table before. A
+ * replica speaks against a zone where in some period of the window before that more of its calls
+ * there failed or were silent than were served; it was served there where none was such.
  *
  * <p>It reads {@code placed}, {@code saw}, {@code table}, {@code evacuated}, {@code reopened}.
  */
 public final class ZoneEvacuation implements Invariant {
 
-    /** What a copy saw of a zone: when it last was served there, and when calls failed. */
+    /** What a replica saw of a zone: when it last was served there, and when calls failed. */
     private static final class Seen {
         long servedAt = Long.MIN_VALUE;
         long failedAt = Long.MIN_VALUE;
--- a/lab/src/main/java/cedarrudder/lab/checker/ZoneLoad.java
+++ b/lab/src/main/java/cedarrudder/lab/checker/ZoneLoad.java
@@ -10,12 +10,12 @@
 
 /**
  * F2: no zone gets more than its stated part of what it can serve while another has room, for
- * longer than a stated time; and the shares of one zone's callers change no more often in a minute
+ * longer than a stated time; and the shares of one zone's clients change no more often in a minute
  * than stated.
  *
- * <p>It reads {@code capacity}, {@code saw}, {@code table}, and which copies run. A zone gets what
- * copies last said that they saw of it, until they say something else. A zone of which the world
- * tells no capacity is not looked at.
+ * <p>It reads {@code capacity}, {@code saw}, {@code table}, and which replicas run. A zone gets
+ * what replicas last said that they saw of it, until they say something else. A zone of which the
+ * world tells no capacity is not looked at.
  */
 public final class ZoneLoad implements Invariant {
 
@@ -25,7 +25,7 @@
      * @param part a zone may get this part of its capacity, such as 0.9
      * @param tolerance by which figures of one period may be off, as a share
      * @param within it is over by then, from when it began or a capacity changed last; nanoseconds
-     * @param moves of one zone's callers in a minute at the most
+     * @param moves of one zone's clients in a minute at most
      */
     public record Bounds(double part, double tolerance, long within, int moves) {}
 
--- a/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
@@ -32,8 +32,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays a script with real copies: processes of the built daemon with a relay between each two,
- * nodes and a discovery behind them and callers in front. What they wrote is judged afterwards.
+ * Plays a script with real replicas: processes of the built daemon with a relay between each two,
+ * nodes and a discovery behind them and clients in front. What they wrote is judged afterwards.
  */
 public final class Cluster {
 
@@ -101,12 +101,12 @@
         }
     }
 
-    /** As copies call a node in their histories. */
+    /** As replicas call a node in their histories. */
     private static String name(int node) {
         return Long.toString(EndpointListParser.hash("node-" + node));
     }
 
-    /** The list of nodes as a copy's discovery tells it. */
+    /** The list of nodes as a replica's discovery tells it. */
     private String list(int replica) {
         List<InetSocketAddress> addresses = nodes.addresses(replica);
         return "{\"version\":"
@@ -125,7 +125,7 @@
                 + "]}";
     }
 
-    /** From now on these do so, to all copies; those that start anew are told of. */
+    /** From now on these do so, to all replicas; those that start anew are told of. */
     private synchronized void mood(List<Integer> which, Mood mood) {
         for (int node : which) {
             if (mood == moods[node]) {
@@ -363,7 +363,7 @@
         }
     }
 
-    /** The copy that last said that it leads; none where none did. */
+    /** The replica that last said that it leads; none where none did. */
     private List<Integer> leader() throws IOException {
         List<Path> files = new ArrayList<>();
         replicas.forEach(replica -> files.addAll(replica.histories()));
@@ -422,7 +422,7 @@
         }
     }
 
-    /** A node leaves the list of all copies, and ends a moment later. */
+    /** A node leaves the list of all replicas, and ends a moment later. */
     private synchronized void unlist(int node) {
         unlisted.add(node);
         version++;
@@ -494,7 +494,7 @@
         }
     }
 
-    /** Cuts what goes between copies of one side and nodes of the other. */
+    /** Cuts what goes between replicas of one side and nodes of the other. */
     private void cutNodes(List<Integer> these, NetworkPartition sides) {
         for (int replica = 0; replica < replicas.size(); replica++) {
             boolean here = these.contains(replica);
@@ -535,7 +535,7 @@
         weather(NetworkConditions.CALM);
         for (int i = 0; i < script.nodes(); i++) {
             if (!unlisted.contains(i)) {
-                nodes.mood(i, Mood.WELL); // also to those copies to which alone it did otherwise
+                nodes.mood(i, Mood.WELL); // also to those replicas to which alone it did otherwise
                 mood(List.of(i), Mood.WELL);
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/cluster/HistoryRecorder.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/HistoryRecorder.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /**
- * Writes down what the world does to copies and what callers see, in the same form and on the same
- * clock as the copies' own histories: {@link System#nanoTime} is one for all processes of a machine
- * on Linux. From any thread.
+ * Writes down what the world does to replicas and what clients see, in the same form and on the
+ * same clock as the replicas' own histories: {@link System#nanoTime} is one for all processes of a
+ * machine on Linux. From any thread.
  */
 final class HistoryRecorder implements AutoCloseable {
 
-    /** Of events that are about no copy. */
+    /** Of events that are about no replica. */
     static final int NOBODY = -1;
 
     private final BufferedWriter out;
--- a/lab/src/main/java/cedarrudder/lab/cluster/Link.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Link.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The way of datagrams from one copy to another: what becomes of each is decided here, by the
+ * The way of datagrams from one replica to another: what becomes of each is decided here, by the
  * weather and a random source alone. What is under way is bounded; beyond that the newest is lost,
  * as in a full buffer.
  */
@@ -14,10 +14,10 @@
     /** A datagram that arrives. */
     public record Delivery(long at, byte[] datagram) {}
 
-    /** Datagrams under way at once; a copy sends some 40 a second to all others together. */
+    /** Datagrams under way at once; a replica sends some 40 a second to all others together. */
     static final int MAX_UNDER_WAY = 256;
 
-    /** One that is late takes up to so much longer, in nanoseconds. */
+    /** One that is late takes up to this much longer, in nanoseconds. */
     private static final long LATE = 300_000_000L;
 
     private static final int MAX_TURNED = 8;
--- a/lab/src/main/java/cedarrudder/lab/cluster/NetworkConditions.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/NetworkConditions.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.cluster;
 
 /**
- * What the wire between copies does to datagrams.
+ * What the wire between replicas does to datagrams.
  *
  * @param loss the share that is lost, from 0 to 1
  * @param doubled the share that comes twice
--- a/lab/src/main/java/cedarrudder/lab/cluster/NetworkPartition.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/NetworkPartition.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The two sides of a cut, beside the copies that a step is about.
+ * The two sides of a cut, beside the replicas that a step is about.
  *
- * @param others the copies on the other side; empty: all others
- * @param nodes those on the side of the copies; both empty: the ways to nodes stay whole
+ * @param others the replicas on the other side; empty: all others
+ * @param nodes those on the side of the replicas; both empty: the ways to nodes stay whole
  * @param otherNodes those on the other side
  */
 record NetworkPartition(List<Integer> others, List<Integer> nodes, List<Integer> otherNodes) {
--- a/lab/src/main/java/cedarrudder/lab/cluster/OperatorCall.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/OperatorCall.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What an operator asks a copy.
+ * What an operator asks a replica.
  *
  * @param method such as {@code POST}
  * @param path with what is behind it
--- a/lab/src/main/java/cedarrudder/lab/cluster/OperatorRemoval.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/OperatorRemoval.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
 
-/** Operators who remove nodes: by drains, or by hand at each copy. */
+/** Operators who remove nodes: by drains, or by hand at each replica. */
 final class OperatorRemoval {
 
     private static final int PATIENCE_MILLIS = 6_000;
     private static final int HAND_MILLIS = 1_000;
     private static final long LOOK_MILLIS = 200;
 
-    /** By hand a node that was disabled everywhere is taken off after so long. */
+    /** By hand a node that was disabled everywhere is taken off after this long. */
     private static final long WAIT_MILLIS = 2_000;
 
     private final List<InetSocketAddress> operators;
@@ -41,8 +41,8 @@
     }
 
     /**
-     * By drains: each node is asked for until one of the copies has said yes, and is taken off the
-     * list once any copy says that it is out. Returns when all are.
+     * By drains: each node is asked for until one of the replicas has said yes, and is taken off
+     * the list once any replica says that it is out. Returns when all are.
      */
     void byDrains(List<Integer> nodes, List<Integer> replicas) throws InterruptedException {
         int asked = 0;
@@ -75,7 +75,7 @@
     }
 
     /**
-     * By hand, as many at once as the policy would have: each is disabled at all copies in turn,
+     * By hand, as many at once as the policy would have: each is disabled at all replicas in turn,
      * one that gives no answer within a second is left, and after a while it is taken off the list.
      *
      * @param pace milliseconds between two such turns
--- a/lab/src/main/java/cedarrudder/lab/cluster/RandomScript.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/RandomScript.java
@@ -8,8 +8,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Draws a script from a seed: copies in three zones that agree, and each kind of fault once, in an
- * order and upon copies that the seed gives.
+ * Draws a script from a seed: replicas in three zones that agree, and each kind of fault once, in
+ * an order and upon replicas that the seed gives.
  */
 public final class RandomScript {
 
@@ -26,7 +26,7 @@
     /** Longer than the lease that is given here. */
     private static final double HALT = 6;
 
-    /** A group whose majority forgot has been silent for so long before another is formed. */
+    /** A group whose majority forgot has been silent for this long before another is formed. */
     private static final String AGREEMENT =
             """
             [agreement]
--- a/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Relay.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between each two copies. A copy tells its peers apart by the address that a datagram comes
- * from, so each copy has a socket here for each of the others: to it, that socket is the other.
- * What copy 2 sends to its socket "5" goes by a {@link Link} and leaves by the socket that is "2"
- * to copy 5. One thread owns all of it.
+ * Stands between each two replicas. A replica tells its peers apart by the address that a datagram
+ * comes from, so each replica has a socket here for each of the others: to it, that socket is the
+ * other. What copy 2 sends to its socket "5" goes by a {@link Link} and leaves by the socket that
+ * is "2" to copy 5. One thread owns all of it.
  */
 final class Relay {
 
@@ -32,7 +32,7 @@
     /** Forged datagrams between two looks at what else there is to do. */
     private static final int AT_ONCE = 100;
 
-    /** What one copy takes another for. */
+    /** What one replica takes another for. */
     private final class Door extends SimpleChannelInboundHandler<DatagramPacket> {
         final int of;
         final int other;
@@ -50,7 +50,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             if (!packet.sender().equals(replicas.get(of))) {
-                return; // Guards against a stranger on this machine.
+                return; // This avoids a stranger on this machine.
             }
             byte[] bytes = ByteBufUtil.getBytes(packet.content());
             Door to = doors[other][of];
@@ -67,7 +67,7 @@
             }
         }
 
-        /** Hands a datagram to the copy whose door this is, as if from the other. */
+        /** Hands a datagram to the replica whose door this is, as if from the other. */
         void hand(byte[] bytes) {
             channel.writeAndFlush(
                     new DatagramPacket(Unpooled.wrappedBuffer(bytes), replicas.get(of)));
@@ -75,7 +75,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // a copy that is gone: its port is closed
+            // a replica that is gone: its port is closed
         }
     }
 
@@ -87,7 +87,7 @@
     private NetworkConditions weather = NetworkConditions.CALM;
 
     /**
-     * @param replicas where each copy hears its peers
+     * @param replicas where each replica hears its peers
      */
     Relay(List<InetSocketAddress> replicas, long seed) throws IOException, InterruptedException {
         this.replicas = List.copyOf(replicas);
@@ -137,7 +137,7 @@
         group.execute(() -> doors[from][to].link.cut(cut));
     }
 
-    /** Gives a copy forged datagrams, as if from all others, as fast as can be until then. */
+    /** Gives a replica forged datagrams, as if from all others, as fast as can be until then. */
     void flood(int replica, long until) {
         group.execute(
                 () -> {
--- a/lab/src/main/java/cedarrudder/lab/cluster/ReplicaProcess.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ReplicaProcess.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One copy: the built daemon on loopback addresses of its own, with a folder of its own for
+ * One replica: the built daemon on loopback addresses of its own, with a folder of its own for
  * temporary files, in one life after another. Each life writes its history and its log to files of
  * its own.
  */
@@ -62,7 +62,7 @@
         return peers;
     }
 
-    /** Where callers find it. */
+    /** Where clients find it. */
     InetSocketAddress address() {
         return listen.address();
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Script.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Script.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * What happens to copies, and when.
+ * What happens to replicas, and when.
  *
  * @param replicas how many there are
  * @param nodes behind them
- * @param zones that copies and nodes are dealt to: number 4 of 3 zones is in zone 1
+ * @param zones that replicas and nodes are dealt to: number 4 of 3 zones is in zone 1
  * @param period of membership, in nanoseconds
  * @param length until the faults are over, in nanoseconds: what is cut, stopped or away then is
  *     mended
- * @param settle after that, in which copies have to agree; nanoseconds
- * @param clockOffsets of each copy, in milliseconds; those beyond its end have none
- * @param clockDrifts of each copy, in millionths; those beyond its end have none
- * @param operator more tables of each copy's operator's file; {@code {folder}} stands for its own
- *     folder
+ * @param settle after that, in which replicas have to agree; nanoseconds
+ * @param clockOffsets of each replica, in milliseconds; those beyond its end have none
+ * @param clockDrifts of each replica, in millionths; those beyond its end have none
+ * @param operator more tables of each replica's operator's file; {@code {folder}} stands for its
+ *     own folder
  * @param steps in the order of time
  */
 public record Script(
@@ -31,7 +31,7 @@
         String operator,
         List<ScriptStep> steps) {
 
-    /** Copies at the least and at the most. */
+    /** Replicas at least and at most. */
     public static final int MIN = 3;
 
     public static final int MAX = 30;
@@ -58,7 +58,7 @@
         return replica < clockDrifts.size() ? clockDrifts.get(replica) : 0;
     }
 
-    /** The zone of a copy, or of a node. */
+    /** The zone of a replica, or of a node. */
     int zone(int number) {
         return number % zones;
     }
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptAction.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptAction.java
@@ -22,13 +22,13 @@
      */
     UPGRADE_APART,
     /**
-     * Nothing passes between these copies and others; of whole zones, nor between their nodes and
+     * Nothing passes between these replicas and others; of whole zones, nor between their nodes and
      * others.
      */
     CUT,
-    /** Nothing that these copies send arrives. */
+    /** Nothing that these replicas send arrives. */
     MUTE,
-    /** Nothing that is sent to these copies arrives. */
+    /** Nothing that is sent to these replicas arrives. */
     DEAFEN,
     /** All ways are whole again. */
     HEAL,
@@ -36,17 +36,17 @@
     WEATHER,
     /** Forged datagrams at full speed. */
     FLOOD,
-    /** Nodes do so from now on, to all copies or to these. */
+    /** Nodes do so from now on, to all replicas or to these. */
     NODES,
-    /** An operator asks these copies something. */
+    /** An operator asks these replicas something. */
     CALL,
     /**
-     * Operators have nodes leave by drains, asked of these copies in turn, and take each off the
+     * Operators have nodes leave by drains, asked of these replicas in turn, and take each off the
      * list.
      */
     REMOVE,
     /**
-     * The same by hand: each node is disabled at one copy after another, and taken off the list.
+     * The same by hand: each node is disabled at one replica after another, and taken off the list.
      */
     REMOVE_BY_HAND
 }
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
@@ -95,7 +95,7 @@
                 steps);
     }
 
-    /** Tables for each copy's operator's file, held against what such a file may have. */
+    /** Tables for each replica's operator's file, held against what such a file may have. */
     private static String operator(ConfigTable root) {
         String text = root.text("operator", "");
         ConfigDocument document = ConfigDocument.parse("operator", text);
@@ -233,7 +233,7 @@
                 (int) table.whole("status", MIN_STATUS, MAX_STATUS, MIN_STATUS));
     }
 
-    /** Numbers of copies or nodes, from 0, or those of whole zones. */
+    /** Numbers of replicas or nodes, from 0, or those of whole zones. */
     private static List<Integer> numbers(ConfigTable table, String key, int count, int zones) {
         if (!table.has("zones")) {
             return numbers(table, key, count);
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptStep.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptStep.java
@@ -8,7 +8,7 @@
  *
  * @param at after the beginning, in nanoseconds
  * @param replicas whom it is about
- * @param leader it is about the copy that leads then, whichever that is
+ * @param leader it is about the replica that leads then, whichever that is
  * @param weather of {@link ScriptAction#WEATHER}; else calm
  * @param length of {@link ScriptAction#FLOOD}, in nanoseconds
  * @param mood and {@code nodes} of {@link ScriptAction#NODES}
--- a/lab/src/main/java/cedarrudder/lab/cluster/ServiceSummary.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ServiceSummary.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * What callers got, and how long removals took.
+ * What clients got, and how long removals took.
  *
  * @param refused answers that say that a repeat does no harm
  * @param failed other answers than a node's, and connections that broke
--- a/lab/src/main/java/cedarrudder/lab/cluster/TestClients.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/TestClients.java
@@ -16,14 +16,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One caller for each copy, which asks it each so often on a connection of its own and reads to
+ * One client for each replica, which asks it each so often on a connection of its own and reads to
  * that connection's end: a second answer would be seen. All goes into the chronicle.
  */
 final class TestClients {
 
     private static final long EACH_MILLIS = 200;
 
-    /** Longer than any copy may take: the deadline of a request is 2.5 s. */
+    /** Longer than any replica may take: the deadline of a request is 2.5 s. */
     static final int PATIENCE_MILLIS = 5_000;
 
     private final HistoryRecorder chronicle;
@@ -63,7 +63,7 @@
                     OwnDaemon.WORDS
                             .fill(RequestTemplates.get("Connection: close"), requestId)
                             .getBytes(StandardCharsets.ISO_8859_1);
-            // Before it is sent: guards against an answer that is told before its question.
+            // Before it is sent: this avoids an answer that is told before its question.
             tell(replica, requestId, "asked", Map.of());
             asked = true;
             socket.getOutputStream().write(request);
--- a/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Verdict.java
@@ -23,17 +23,17 @@
 /**
  * What the judge says of a history.
  *
- * @param found what is no breach of a rule, and makes the run worth nothing all the same: a copy
+ * @param found what is no breach of a rule, and makes the run worth nothing all the same: a replica
  *     that crashed, a history with holes
  * @param events that were judged
  * @param requests that were asked
- * @param deaths that a copy found, over pairs
+ * @param deaths that a replica found, over pairs
  * @param slowestSeconds the longest that one took
  * @param falseDeaths times that one that ran was taken for dead, with ground or without
  * @param agreedSeconds from the end of the faults until all held one view
  * @param leaders that there were
  * @param tables that there were
- * @param service what callers got
+ * @param service what clients got
  */
 public record Verdict(
         List<Violation> breaches,
@@ -67,7 +67,7 @@
     /** What is over its time is said to be, over the time that a leader's loss takes. */
     private static final long GRACE = 10 * SECOND;
 
-    /** Copies find out by then that a node is down. */
+    /** Replicas find out by then that a node is down. */
     private static final long KNOWN = 5 * SECOND;
 
     /** What was seen of a zone longer ago is no ground to leave it. */
@@ -76,7 +76,7 @@
     /** As docs/FOOTPRINT.md has it. */
     private static final double ERROR = 0.03;
 
-    /** What the defaults of failover promise, and what callers by chance may add. */
+    /** What the defaults of failover promise, and what clients by chance may add. */
     private static final ZoneLoad.Bounds LOAD = new ZoneLoad.Bounds(0.92, 0.1, 10 * SECOND, 8);
 
     /** What is allowed to membership at its usual period of 500 ms; others in proportion. */
@@ -93,7 +93,7 @@
      * @param events in the order of time
      * @param until when the history ended
      * @param period of membership, by which its bounds go; nanoseconds
-     * @param within after the faults, in which copies have to agree; nanoseconds
+     * @param within after the faults, in which replicas have to agree; nanoseconds
      */
     public static Verdict of(
             List<HistoryEvent> events, long until, long period, long within, List<String> crashes) {
--- a/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
@@ -14,8 +14,8 @@
 
 /**
  * The same state machines in virtual time under the same judge: deaths of up to 48 % at once and
- * their return, a cut that leaves two halves and heals, a copy that stands still, one that leaves
- * and comes back. One seed, one history.
+ * their return, a cut that leaves two halves and heals, a replica that stands still, one that
+ * leaves and comes back. One seed, one history.
  */
 public final class VirtualRun {
 
@@ -127,7 +127,7 @@
         events.add(new HistoryEvent(mesh.now(), replica, incarnation(replica), what, fields));
     }
 
-    /** A number that no other life of any copy has. */
+    /** A number that no other life of any replica has. */
     private long incarnation(int replica) {
         return replica < 0 ? 0 : (long) replica << 16 | incarnations[replica];
     }
--- a/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/AgreementCommand.java
@@ -20,8 +20,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code agreement}: whether copies agree whatever goes wrong, and what it costs them when nothing
- * does.
+ * {@code agreement}: whether replicas agree whatever goes wrong, and what it costs them when
+ * nothing does.
  */
 @Command(
         name = "agreement",
--- a/lab/src/main/java/cedarrudder/lab/command/CheckedRuns.java
+++ b/lab/src/main/java/cedarrudder/lab/command/CheckedRuns.java
@@ -106,7 +106,7 @@
                         variant,
                         seen.apply(judge.trace()),
                         guard);
-        // Guards against reading what a run that had to be left behind may still write to.
+        // This avoids reading what a run that had to be left behind may still write to.
         return played.result().tiers().isEmpty()
                 ? played
                 : new Model.Played(judge.judged(played.result()), played.cost());
--- a/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ClusterCommand.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code cluster}: real copies, faults between them, and the judge. */
+/** {@code cluster}: real replicas, faults between them, and the judge. */
 @Command(
         name = "cluster",
         description =
--- a/lab/src/main/java/cedarrudder/lab/command/ExperimentCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ExperimentCommand.java
@@ -43,7 +43,7 @@
     private static final int FAILED = 1;
     private static final int BAD_USAGE = 2;
 
-    /** Guards against a disk that hangs and keeps a program that should end. */
+    /** This avoids a disk that hangs and keeps a program that should end. */
     private static final long CLOSE_SECONDS = 10;
 
     private static final boolean TERMINAL = System.console() != null;
--- a/lab/src/main/java/cedarrudder/lab/command/MemoryCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/MemoryCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code memory}: what the module of one proxy holds, by the number of nodes. */
+/** {@code memory}: what the balancer of one proxy holds, by the number of nodes. */
 @Command(
         name = "memory",
         description = {
--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
@@ -30,9 +30,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Copies of a tier that agree, in virtual time, with a network that loses, delays, doubles,
- * corrupts and cuts, and with clocks that differ and drift. What a copy loads is a running sum of
- * all that was loaded. One seed gives one history.
+ * Replicas of a tier that agree, in virtual time, with a network that loses, delays, doubles,
+ * corrupts and cuts, and with clocks that differ and drift. What a replica loads is a running sum
+ * of all that was loaded. One seed gives one history.
  */
 public final class ConsensusSimulation {
 
@@ -55,14 +55,14 @@
             double loss, double doubled, double corrupt, long minDelay, long maxDelay) {}
 
     /**
-     * What a copy was told of a proposal of its own.
+     * What a replica was told of a proposal of its own.
      *
      * @param number null where it is not committed
      */
     public record Settled(
             long at, Proposal proposal, ProposalOutcome outcome, LogPosition number) {}
 
-    /** What makes a copy's part, so that a broken one can be put in its place. */
+    /** What makes a replica's part, so that a broken one can be put in its place. */
     public interface Maker {
         RaftNode make(
                 int[] zones,
@@ -412,10 +412,10 @@
     private long leadsSince = -1;
 
     /**
-     * Starts so many at once, in no group.
+     * Starts this many at once, in no group.
      *
      * @param disks whether each has a lasting disk
-     * @param stateBytes the size of what a copy has loaded, 8 or more
+     * @param stateBytes the size of what a replica has loaded, 8 or more
      * @param listener hears all that happens; or null
      */
     public ConsensusSimulation(
@@ -494,7 +494,7 @@
         return now;
     }
 
-    /** Plays on for so long, in nanoseconds. */
+    /** Plays on for this long, in nanoseconds. */
     public void play(long length) {
         long until = now + length;
         while (!due.isEmpty() && due.peek().at <= until) {
@@ -536,7 +536,7 @@
         tellLives();
     }
 
-    /** For so long it does nothing; what comes meanwhile waits. */
+    /** For this long it does nothing; what comes meanwhile waits. */
     public void stall(int number, long length) {
         Place place = places.get(number);
         place.stalledUntil = now + length;
@@ -584,8 +584,8 @@
     }
 
     /**
-     * Something is proposed at this copy; its number, or null where the copy doesn't run or takes
-     * nothing.
+     * Something is proposed at this replica; its number, or null where the replica doesn't run or
+     * takes nothing.
      */
     public LogPosition propose(int number, byte[] content) {
         Place place = places.get(number);
@@ -595,8 +595,8 @@
     }
 
     /**
-     * Something is handed on by this copy to whoever leads; null where it doesn't run or too many
-     * wait.
+     * Something is handed on by this replica to whoever leads; null where it doesn't run or too
+     * many wait.
      */
     public Proposal hand(int number, byte[] content, long patience) {
         Place place = places.get(number);
@@ -630,7 +630,7 @@
         place.run(place.process, () -> place.agreement.transfer(place.own()));
     }
 
-    /** Gives a copy bytes as if from another. */
+    /** Gives a replica bytes as if from another. */
     public void inject(int to, int from, byte[] bytes) {
         Place place = places.get(to);
         place.run(place.process, () -> place.agreement.received(place.own(), from, bytes));
@@ -646,7 +646,7 @@
         return places.get(number).agreement != null;
     }
 
-    /** How old the last sure contact is, on a copy's own clock; -1 where it knows of none. */
+    /** How old the last sure contact is, on a replica's own clock; -1 where it knows of none. */
     public long contactAge(int number) {
         Place place = places.get(number);
         long since = place.agreement.sureSince();
@@ -658,18 +658,18 @@
         return runs(number) && now >= places.get(number).stalledUntil;
     }
 
-    /** A copy's part; null where it doesn't run. */
+    /** A replica's part; null where it doesn't run. */
     public RaftNode view(int number) {
         return places.get(number).agreement;
     }
 
-    /** The sum of all that a copy has loaded. */
+    /** The sum of all that a replica has loaded. */
     public long sum(int number) {
         return places.get(number).sum;
     }
 
     /**
-     * The copy that leads the newest term of the newest group, of those that run and don't stand
+     * The replica that leads the newest term of the newest group, of those that run and don't stand
      * still; or -1.
      */
     public int leader() {
@@ -690,12 +690,12 @@
         return byGroup > 0 || byGroup == 0 && one.term() > other.term();
     }
 
-    /** When a copy last began to lead; -1 where none did. */
+    /** When a replica last began to lead; -1 where none did. */
     public long leadsSince() {
         return leadsSince;
     }
 
-    /** What a copy was told of its proposals since it started, in order. */
+    /** What a replica was told of its proposals since it started, in order. */
     public List<Settled> settled(int number) {
         return List.copyOf(places.get(number).settled);
     }
@@ -710,7 +710,7 @@
         return places.stream().mapToLong(place -> place.bytes).sum();
     }
 
-    /** The bytes that one copy's place sent. */
+    /** The bytes that one replica's place sent. */
     public long bytes(int number) {
         return places.get(number).bytes;
     }
--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusTrial.java
@@ -21,13 +21,13 @@
      * What came of some seeds. Times are seconds, bytes are those of datagrams without headers of
      * lower layers.
      *
-     * @param missed commits that not all copies had loaded, or leaders that did not come, within a
-     *     minute
-     * @param commitP99 from the proposal until the last copy had loaded it, over commits
+     * @param missed commits that not all replicas had loaded, or leaders that did not come, within
+     *     a minute
+     * @param commitP99 from the proposal until the last replica had loaded it, over commits
      * @param leaderP99 from the death of a leader until another leads, over deaths
-     * @param ageP99 of the last sure contact that a copy knows, over copies and seconds
-     * @param idle bytes a copy a second, the mean of all copies
-     * @param maxIdle that of the copy that sent most
+     * @param ageP99 of the last sure contact that a replica knows, over replicas and seconds
+     * @param idle bytes a replica a second, the mean of all replicas
+     * @param maxIdle that of the replica that sent most
      * @param busy the same while something is committed each second
      */
     public record Figures(
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Plays until a leader has all its voters and all copies hold the same, and a little longer.
+     * Plays until a leader has all its voters and all replicas hold the same, and a little longer.
      */
     private void settle(ConsensusSimulation copies) {
         long from = copies.now();
--- a/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Some copies, some faults drawn from a seed, and the judge: copies killed, up to 48 % at once, and
- * started again with nothing or with their disk; leaders that stall; cuts both and one way; loss;
- * operators who form groups and hand over.
+ * Some replicas, some faults drawn from a seed, and the judge: replicas killed, up to 48 % at once,
+ * and started again with nothing or with their disk; leaders that stall; cuts both and one way;
+ * loss; operators who form groups and hand over.
  */
 public final class FaultStorm {
 
@@ -29,11 +29,11 @@
     /**
      * What came of a seed.
      *
-     * @param loaded how often a copy loaded something
-     * @param leaders how often a copy began to lead
-     * @param answered how often a copy was told what became of something that it had handed on
-     * @param contacts how often a copy came to believe in a newer contact
-     * @param settled how long after the last fault all copies held the same, in nanoseconds; -1
+     * @param loaded how often a replica loaded something
+     * @param leaders how often a replica began to lead
+     * @param answered how often a replica was told what became of something that it had handed on
+     * @param contacts how often a replica came to believe in a newer contact
+     * @param settled how long after the last fault all replicas held the same, in nanoseconds; -1
      *     where they did not
      */
     public record Result(
@@ -47,7 +47,7 @@
 
     private FaultStorm() {}
 
-    /** Plays a seed with these parts in the copies. */
+    /** Plays a seed with these parts in the replicas. */
     public static Result play(long seed, ConsensusSimulation.Maker maker) {
         SplittableRandom random = new SplittableRandom(seed);
         int size = random.nextInt(8) == 0 ? 11 + random.nextInt(20) : 3 + random.nextInt(8);
@@ -172,7 +172,7 @@
         }
     }
 
-    /** All copies that lead, or think so, take it: only one of them may bring it through. */
+    /** All replicas that lead, or think so, take it: only one of them may bring it through. */
     private static void propose(ConsensusSimulation copies, SplittableRandom random) {
         for (int i = 0; i < copies.size(); i++) {
             if (copies.runs(i) && copies.view(i).leads()) {
--- a/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
@@ -27,8 +27,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Copies of a tier that decide together, in virtual time: a network that loses, delays, doubles and
- * cuts, clocks that differ and drift, processes that are killed and that stand still. One seed
+ * Replicas of a tier that decide together, in virtual time: a network that loses, delays, doubles
+ * and cuts, clocks that differ and drift, processes that are killed and that stand still. One seed
  * gives one history.
  */
 public final class CoordinationSimulation {
@@ -37,7 +37,7 @@
     private static final long HOUR = 3_600 * SECOND;
     private static final int MAX_WAITING = 2_000;
 
-    /** What makes a copy's part, with its subjects and its room. */
+    /** What makes a replica's part, with its subjects and its room. */
     public interface Maker {
         CoordinatedReplica make(
                 int[] zones,
@@ -49,7 +49,7 @@
                 long now);
     }
 
-    /** One whose zones keep their callers, and that has room for all. */
+    /** One whose zones keep their clients, and that has room for all. */
     public static Maker plain(ConsensusSettings agreed, CoordinationSettings settings) {
         return (zones, self, incarnation, store, random, outlet, now) ->
                 new CoordinatedReplica(
@@ -224,9 +224,9 @@
     private long incarnations = 1;
 
     /**
-     * Starts all copies at once, in no group.
+     * Starts all replicas at once, in no group.
      *
-     * @param zones that of each copy
+     * @param zones that of each replica
      * @param disks whether each has a lasting disk
      * @param listener hears all that happens
      */
@@ -264,7 +264,7 @@
         return now;
     }
 
-    /** Plays on for so long, in nanoseconds. */
+    /** Plays on for this long, in nanoseconds. */
     public void play(long length) {
         long until = now + length;
         while (!due.isEmpty() && due.peek().at <= until) {
@@ -306,7 +306,7 @@
         tellLives();
     }
 
-    /** For so long it does nothing; what comes meanwhile waits. */
+    /** For this long it does nothing; what comes meanwhile waits. */
     public void stall(int number, long length) {
         Place place = places.get(number);
         place.stalledUntil = now + length;
@@ -359,7 +359,7 @@
         place.run(place.process, () -> place.replica.form(place.own()));
     }
 
-    /** An operator asks for something at this copy; false where it does not take it. */
+    /** An operator asks for something at this replica; false where it does not take it. */
     public boolean propose(int number, byte[] command, long patience) {
         Place place = places.get(number);
         Proposal[] made = new Proposal[1];
@@ -369,12 +369,12 @@
         return made[0] != null;
     }
 
-    /** What became of all that was asked for at a copy, in the order in which that was known. */
+    /** What became of all that was asked for at a replica, in the order in which that was known. */
     public List<ProposalOutcome> settled(int number) {
         return places.get(number).settled;
     }
 
-    /** Gives a copy bytes as if from another. */
+    /** Gives a replica bytes as if from another. */
     public void inject(int to, int from, byte[] bytes) {
         Place place = places.get(to);
         place.run(place.process, () -> place.replica.received(place.own(), from, bytes));
@@ -390,13 +390,13 @@
         return places.get(number).replica != null;
     }
 
-    /** A copy's part; null where it doesn't run. */
+    /** A replica's part; null where it doesn't run. */
     public CoordinatedReplica view(int number) {
         return places.get(number).replica;
     }
 
     /**
-     * The table that a copy would use for a call that came now, as its host looks at the time
+     * The table that a replica would use for a call that came now, as its host looks at the time
      * before each; null where it would use none.
      */
     public RouteTable uses(int number) {
@@ -404,14 +404,14 @@
         return place.table == null || place.own() >= place.until ? null : place.table;
     }
 
-    /** Nodes that a copy leaves out. */
+    /** Nodes that a replica leaves out. */
     public List<RouteTable.Leaving> leaving(int number) {
         return places.get(number).leaving;
     }
 
     /**
-     * The copy that leads the newest term of the newest group, of those that don't stand still; or
-     * -1.
+     * The replica that leads the newest term of the newest group, of those that don't stand still;
+     * or -1.
      */
     public int leader() {
         int found = -1;
@@ -444,7 +444,7 @@
         return used.size() == 1 && !used.containsKey(null);
     }
 
-    /** All bytes that a copy's place sent, without the headers of lower layers. */
+    /** All bytes that a replica's place sent, without the headers of lower layers. */
     public long bytes(int number) {
         return places.get(number).bytes;
     }
--- a/lab/src/main/java/cedarrudder/lab/emulator/BackgroundWriter.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/BackgroundWriter.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * Writes to another stream on a thread of its own. Guards against a disk that is busy holding up
- * the loop that plays clients and nodes. Memory holds what is not written yet.
+ * Writes to another stream on a thread of its own. This avoids a disk that is busy holding up the
+ * loop that plays clients and nodes. Memory holds what is not written yet.
  */
 final class BackgroundWriter extends OutputStream {
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/ClientConnections.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ClientConnections.java
@@ -14,7 +14,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Connections of callers to one proxy: kept, and one more opened where all are busy. */
+/** Connections of clients to one proxy: kept, and one more opened where all are busy. */
 final class ClientConnections {
 
     private static final int CONNECT_MILLIS = 1000;
@@ -85,7 +85,7 @@
             channel.writeAndFlush(what.bytes(this));
         }
 
-        /** The caller goes away. */
+        /** The client goes away. */
         void hangUp() {
             current = null;
             channel.close();
--- a/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EmulatedProxy.java
@@ -42,7 +42,7 @@
     /** At a planned restart new connections still come for this long. */
     private static final long LINGER = 300_000_000L;
 
-    /** SIGKILL comes so long after the longest wait of a caller. */
+    /** SIGKILL comes this long after the longest wait of a client. */
     private static final long KILLED_AFTER = 700_000_000L;
 
     private static final long KIB_OF_A_MIB = 1024;
@@ -193,7 +193,7 @@
         return json;
     }
 
-    /** Whether it says within its time that it takes RPCs. */
+    /** Whether it says within its time that it takes requests. */
     private boolean awaitHealth(SupervisedProcess started) {
         long until = System.nanoTime() + PATIENCE;
         byte[] ask =
--- a/lab/src/main/java/cedarrudder/lab/emulator/Emulation.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Emulation.java
@@ -51,7 +51,7 @@
     /** What clients saw since the last look. */
     final ClientOutcomes seen = new ClientOutcomes();
 
-    /** RPCs that a proxy took and did not answer before it ended at a planned restart. */
+    /** requests that a proxy took and did not answer before it ended at a planned restart. */
     long lostAtRestarts;
 
     final long epochNanos;
@@ -191,7 +191,7 @@
                 () -> tries.remove(what.id(), what));
     }
 
-    /** The request of an id; null where no caller sent one lately. */
+    /** The request of an id; null where no client sent one lately. */
     WireRequest request(String id) {
         return tries.get(id);
     }
--- a/lab/src/main/java/cedarrudder/lab/emulator/EmulationResult.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/EmulationResult.java
@@ -10,7 +10,7 @@
  * @param own the emulator's own error
  * @param proxies what each process held
  * @param quarters of a run of two minutes or more: what processes held in each
- * @param lostAtRestarts RPCs that proxies took and left unanswered at planned restarts
+ * @param lostAtRestarts requests that proxies took and left unanswered at planned restarts
  * @param record the file with all that the parties saw
  */
 public record EmulationResult(
--- a/lab/src/main/java/cedarrudder/lab/emulator/HostEnvironment.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/HostEnvironment.java
@@ -15,7 +15,7 @@
  * @param command what {@code run} names there, to be started by a shell from the root
  * @param cpus processors that daemons are dealt to, one each; empty: the system deals them
  * @param memoryMb a daemon that holds more is killed, as the platform would; 0: none is
- * @param sockets descriptors of a daemon at the most
+ * @param sockets descriptors of a daemon at most
  */
 public record HostEnvironment(
         Path root, Path folder, String command, List<Integer> cpus, int memoryMb, int sockets) {
--- a/lab/src/main/java/cedarrudder/lab/emulator/Port.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/Port.java
@@ -9,7 +9,7 @@
  * A loopback address and a port that is nobody else's, whether something listens there or not. A
  * socket that is bound and doesn't listen keeps it: a connection is refused, another program that
  * chooses a port doesn't get it, and a server that asks for {@code SO_REUSEADDR}, as Java's do, may
- * listen there (Linux). Guards against a port being taken between its choice and its use.
+ * listen there (Linux). This avoids a port being taken between its choice and its use.
  */
 public final class Port implements AutoCloseable {
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/ReorderBuffer.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ReorderBuffer.java
@@ -15,7 +15,7 @@
  * proxy does in one order on different connections may be read in another: it closes an attempt's
  * connection and sends the next one, or sends one more and then answers. Within the hold, an
  * attempt that the proxy closed counts as ended before a later one was sent, and what was sent
- * counts as sent before its RPC's end.
+ * counts as sent before its request's end.
  */
 final class ReorderBuffer implements Trace {
 
@@ -59,7 +59,7 @@
         held.clear();
     }
 
-    /** Adds an event before the first of its RPC that it must not come after. */
+    /** Adds an event before the first of its request that it must not come after. */
     private void addBefore(
             What first, long now, What what, long request, int attempt, Passing passing) {
         Held before = null;
--- a/lab/src/main/java/cedarrudder/lab/emulator/ServerWarmup.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/ServerWarmup.java
@@ -7,8 +7,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Runs the code of messages before the run begins: guards against the first callers meeting it
- * cold.
+ * Runs the code of messages before the run begins: this avoids the first clients meeting it cold.
  */
 final class ServerWarmup {
 
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireFaults.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireFaults.java
@@ -93,7 +93,7 @@
         }
     }
 
-    /** So many of them, at least one, as chance has it. */
+    /** This many of them, at least one, as chance has it. */
     private static <T> List<T> struck(List<T> all, double part, RandomGenerator random) {
         List<T> left = new ArrayList<>(all);
         List<T> some = new ArrayList<>();
--- a/lab/src/main/java/cedarrudder/lab/emulator/WireRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/emulator/WireRequest.java
@@ -19,7 +19,7 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** A caller's try at a proxy on a socket: its bytes, its attempts at nodes and its end. */
+/** A client's try at a proxy on a socket: its bytes, its attempts at nodes and its end. */
 final class WireRequest implements Proxy.Pending {
 
     private static final String PATH = "/api/messages";
@@ -87,7 +87,7 @@
 
     // ---- on its way ----
 
-    /** Goes to the proxy, at once where that stands beside the caller. */
+    /** Goes to the proxy, at once where that stands beside the client. */
     void send() {
         emulation.after(what.local() ? 0 : run.network.clients(), this::arrive);
     }
@@ -170,7 +170,7 @@
     }
 
     /**
-     * What is wrong with a request that a proxy sent on as this one; null where it is unchanged.
+     * What is wrong with a request that a proxy forwarded as this one; null where it is unchanged.
      */
     String changedIn(HttpMessage request) {
         HeaderFields fields = request.head().fields();
@@ -198,7 +198,7 @@
             WireJob from =
                     jobs.stream().filter(job -> job.made(answer.body())).findFirst().orElse(null);
             end(Final.SERVED, from == null ? -1 : from.number());
-            // What no node made is a breach, and no answer that a caller can use.
+            // What no node made is a breach, and no answer that a client can use.
             tell(from == null ? Caller.End.FAILED : Caller.End.SERVED, 0, from);
         } else if (status == 429 || status == 503) {
             counts().refused++;
@@ -281,7 +281,7 @@
             link.hangUp();
             return;
         }
-        // It is over for the caller; whether the answer comes in its grace is still to be seen.
+        // It is over for the client; whether the answer comes in its grace is still to be seen.
         ClientConnections.Link on = link;
         emulation.after(
                 what.deadline() + emulation.graceToAnswer - emulation.now(),
--- a/lab/src/main/java/cedarrudder/lab/experiment/Change.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Change.java
@@ -131,7 +131,7 @@
         if (tier.isEmpty()) {
             Record changed = with(get(scenario, section), setting, value);
             if (section.equals("arrivals")) {
-                // One stands for the other. Guards against a change that is made and then not
+                // One stands for the other. This avoids a change that is made and then not
                 // looked at.
                 changed = with(changed, setting.equals("share") ? "perSecond" : "share", null);
             }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Curves.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Curves.java
@@ -10,7 +10,7 @@
     private static final int WINDOW = 10;
 
     /**
-     * Goodput is back when that of so many seconds is; a single heavy request pulls one second
+     * Goodput is back when that of this many seconds is; a single heavy request pulls one second
      * down.
      */
     private static final int BACK_SECONDS = 5;
--- a/lab/src/main/java/cedarrudder/lab/experiment/Experiment.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Experiment.java
@@ -12,12 +12,12 @@
 
 /**
  * Makes the runs of a plan that are not finished yet, by several threads. Runs are made by worker
- * threads; one thread, the caller of {@link #run}, writes their results. {@link #stop} may be
+ * threads; one thread, the client of {@link #run}, writes their results. {@link #stop} may be
  * called by any thread.
  */
 public final class Experiment {
 
-    /** Results are on the disk at the latest so long after they were written. */
+    /** Results are on the disk at the latest this long after they were written. */
     private static final long FORCE_EVERY = TimeUnit.SECONDS.toNanos(2);
 
     private static final long LOOK_EVERY_MS = 500;
@@ -78,7 +78,7 @@
                         threads,
                         task -> {
                             Thread thread = new Thread(task, "run");
-                            // Guards against a run that hangs and keeps a stopped program alive.
+                            // This avoids a run that hangs and keeps a stopped program alive.
                             thread.setDaemon(true);
                             return thread;
                         });
@@ -126,7 +126,7 @@
                 failure = new IllegalStateException("its result says that it is " + key);
             }
         } catch (RuntimeException | Error e) {
-            // Guards against a fault of the model that would hide in a thread: it is told, others
+            // This avoids a fault of the model that would hide in a thread: it is told, others
             // go on.
             failure = e;
         }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Metric.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Metric.java
@@ -65,7 +65,7 @@
     /** Probes a first try, over all tiers. */
     PROBES("Probes a request", "probes", false, RunResult::probes),
 
-    /** Second copies a first try, over all tiers. */
+    /** Second replicas a first try, over all tiers. */
     COPIES(
             "Second copies a request",
             "copies",
--- a/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
@@ -36,7 +36,7 @@
     private static final Pattern SEEDS = Pattern.compile("(\\d{1,9})\\.\\.(\\d{1,9})");
     private static final String SEED_RANGE = "the first and the last seed, such as \"1..20\"";
 
-    /** Guards against a slip of the keyboard that would run for weeks. */
+    /** This avoids a slip of the keyboard that would run for weeks. */
     private static final long MAX_SEEDS = 10_000;
 
     private static final double ANY = 1e12;
--- a/lab/src/main/java/cedarrudder/lab/experiment/ResultDirectory.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/ResultDirectory.java
@@ -85,7 +85,7 @@
                 Path draft = folder.resolve(MANIFEST + ".new");
                 Files.write(
                         draft, JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(manifest));
-                // Guards against a manifest of which a crash left only a part.
+                // This avoids a manifest of which a crash left only a part.
                 Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE);
             }
             return new ResultDirectory(folder, lock);
--- a/lab/src/main/java/cedarrudder/lab/experiment/TimeLeft.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/TimeLeft.java
@@ -35,7 +35,7 @@
         whole.open = open.size();
     }
 
-    /** A run is finished that kept a thread for so long. */
+    /** A run is finished that kept a thread for this long. */
     void finished(Job job, double seconds) {
         for (Tally tally : List.of(whole, tallies.get(job.key().scenario()))) {
             tally.open--;
--- a/lab/src/main/java/cedarrudder/lab/experiment/Variant.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Variant.java
@@ -23,7 +23,7 @@
         TierBudgets budgets,
         List<Change> changes) {
 
-    /** Copies what it is given. */
+    /** Replicas what it is given. */
     public Variant {
         changes = List.copyOf(changes);
     }
--- a/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
@@ -25,7 +25,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Copies that decide in common: the parts that the daemon has, with their datagrams. */
+/** Replicas that decide in common: the parts that the daemon has, with their datagrams. */
 final class CoordinatedPolicy extends Policy {
 
     static final FailoverSettings SETTINGS =
@@ -41,13 +41,13 @@
     /** More calls a second than are sent to a zone so that it is seen, with their repeats. */
     private static final double WATCHED = 30;
 
-    /** What makes a copy's plan, so that a broken one can be put in its place. */
+    /** What makes a replica's plan, so that a broken one can be put in its place. */
     interface Maker {
-        /** The shares of a copy, and where to tell of the tables it loads. */
+        /** The shares of a replica, and where to tell of the tables it loads. */
         Part make(FailoverSettings settings, int[] zoneOf, ZoneTrafficCounter tally, long now);
     }
 
-    /** One copy's part in it. */
+    /** One replica's part in it. */
     record Part(TrafficCoordination shares, Consumer<RouteTable> loaded) {}
 
     /** As it is built. */
@@ -148,8 +148,8 @@
     }
 
     /**
-     * What a copy counts runs on the time of the site, which its own clock is beside by a part in
-     * 1,000.
+     * What a replica counts runs on the time of the site, which its own clock is beside by a part
+     * in 1,000.
      */
     private final class OnSiteTime implements TrafficCoordination {
         private final TrafficCoordination shares;
@@ -211,7 +211,9 @@
         }
     }
 
-    /** What copies say, but for their starts, which are told once it is known what life that is. */
+    /**
+     * What replicas say, but for their starts, which are told once it is known what life that is.
+     */
     private void hears(HistoryEvent event) {
         if (!event.what().equals("started")) {
             say(event.replica(), event.what(), event.fields());
@@ -293,7 +295,7 @@
         }
     }
 
-    /** The bound on a zone's calls is divided among the copies of it that are there. */
+    /** The bound on a zone's calls is divided among the replicas of it that are there. */
     private void apply(SimulatedReplica replica, RouteTable table) {
         Arrays.fill(replica.shares, 0);
         Arrays.fill(replica.bounds, 0);
@@ -329,7 +331,7 @@
         site.after(length, () -> say(replica, "continued", Map.of()));
     }
 
-    /** Datagrams between a copy and all others pass, or don't. */
+    /** Datagrams between a replica and all others pass, or don't. */
     void link(int replica, boolean passes) {
         for (int other = 0; other < zoneOf.length; other++) {
             if (other != replica) {
@@ -344,7 +346,7 @@
         say(from, passes ? "healed" : "cut", Map.of("to", Integer.toString(to)));
     }
 
-    /** Nothing passes between a zone's copies and all others, or all does. */
+    /** Nothing passes between a zone's replicas and all others, or all does. */
     void cutOff(int zone, boolean off) {
         List<Integer> these = new ArrayList<>();
         for (SimulatedReplica replica : site.replicas) {
@@ -367,7 +369,7 @@
         }
     }
 
-    /** The newest table that any copy uses; null where none does. */
+    /** The newest table that any replica uses; null where none does. */
     RouteTable newest() {
         RouteTable newest = null;
         for (RouteTable table : held) {
--- a/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
@@ -60,7 +60,7 @@
      *
      * @param load what comes to a zone, of what it can do
      * @param loss datagrams that are lost
-     * @param stalls whether copies stand still now and then
+     * @param stalls whether replicas stand still now and then
      */
     public record Conditions(double load, double loss, boolean stalls) {
         /** What serves where nothing else is said. */
--- a/lab/src/main/java/cedarrudder/lab/failover/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Policy.java
@@ -4,12 +4,12 @@
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.Arrays;
 
-/** How copies divide their calls among zones. */
+/** How replicas divide their calls among zones. */
 abstract class Policy {
 
     /** What can be chosen. */
     enum Kind {
-        /** Every copy stays in its zone. */
+        /** Every replica stays in its zone. */
         NONE,
         /** Each by what it sees itself, as Envoy documents its priorities. */
         OWN_EYES,
@@ -19,10 +19,10 @@
         TOGETHER
     }
 
-    /** Time passes; each copy's shares are set. */
+    /** Time passes; each replica's shares are set. */
     abstract void step(Site site);
 
-    /** Every copy stays in its zone. */
+    /** Every replica stays in its zone. */
     static final class Near extends Policy {
         @Override
         void step(Site site) {}
--- a/lab/src/main/java/cedarrudder/lab/failover/SimulatedNode.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedNode.java
@@ -95,7 +95,7 @@
                 : COLD_SHARE + (1 - COLD_SHARE) * (site.now() - since) / RAMP;
     }
 
-    /** What a copy reckons with, which knows its start from the list. */
+    /** What a replica reckons with, which knows its start from the list. */
     double listedAble() {
         return ramp(listedStart);
     }
--- a/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
@@ -16,9 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * What a copy does with calls: a zone by its shares, in it the less busy of two nodes, a repeat
- * where nothing can have run twice. It stands in for the decision module, and does the same
- * whatever the policy.
+ * What a replica does with calls: a zone by its shares, in it the less busy of two nodes, a repeat
+ * where nothing can have run twice. It stands in for the balancer, and does the same whatever the
+ * policy.
  */
 final class SimulatedReplica {
 
@@ -33,11 +33,11 @@
 
     private static final long CONNECT = 250 * Site.MILLI;
 
-    /** A node that took no connection is left out for so long where there is another. */
+    /** A node that took no connection is left out for this long where there is another. */
     private static final long SHUNNED = Site.SECOND;
 
     /**
-     * What copies of a node's own zone, and all others, may send it while it is cold, of what it
+     * What replicas of a node's own zone, and all others, may send it while it is cold, of what it
      * can do.
      */
     private static final double NEAR_COLD = 1;
@@ -58,7 +58,7 @@
     /** The part of its calls that each zone gets; what is left is refused by worth. */
     final double[] shares = new double[Site.ZONES];
 
-    /** What a zone may get a second from this copy; 0: no bound. */
+    /** What a zone may get a second from this replica; 0: no bound. */
     final double[] bounds = new double[Site.ZONES];
 
     ZoneTrafficCounter tally;
@@ -329,7 +329,8 @@
     }
 
     /**
-     * As the module holds to it: no copy alone, and not all together, send a cold node too much.
+     * As the balancer holds to it: no replica alone, and not all together, send a cold node too
+     * much.
      */
     private boolean withinColdBudget(SimulatedNode node) {
         double able = node.listedAble();
--- a/lab/src/main/java/cedarrudder/lab/failover/Site.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Site.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Zones with nodes, copies and callers, in virtual time. Zones 0 to 2 are one region, 3 and 4
- * another. It is the truth, of which a policy sees what its copies see.
+ * Zones with nodes, replicas and clients, in virtual time. Zones 0 to 2 are one region, 3 and 4
+ * another. It is the truth, of which a policy sees what its replicas see.
  */
 final class Site {
 
@@ -23,7 +23,7 @@
     static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
     static final int[] REGION = {0, 0, 0, 1, 1};
 
-    /** The list tells of a node so long after. */
+    /** The list tells of a node this long after. */
     private static final long TOLD = 1_500 * MILLI;
 
     /** A node that died without a word is taken off the list. */
@@ -87,7 +87,7 @@
         now = until;
     }
 
-    // ---- callers ----
+    // ---- clients ----
 
     private void comes(int zone, SplittableRandom own) {
         after(
@@ -109,7 +109,7 @@
     final Score total = new Score(this);
 
     /**
-     * Callers go to a copy of their zone; where none is there, to one of the nearest zone that has
+     * Clients go to a copy of their zone; where none is there, to one of the nearest zone that has
      * some.
      */
     private SimulatedReplica replicaFor(int zone, SplittableRandom own) {
@@ -133,7 +133,7 @@
         return from == to ? MILLI : REGION[from] == REGION[to] ? 3 * MILLI : 21 * MILLI;
     }
 
-    /** Calls a second that come to the copies of each zone, as callers choose. */
+    /** Calls a second that come to the replicas of each zone, as clients choose. */
     double[] comesTo() {
         double[] comes = new double[ZONES];
         for (int zone = 0; zone < ZONES; zone++) {
@@ -216,7 +216,7 @@
         tell(node, EndpointStatus.READY, now, TOLD);
     }
 
-    /** Those of a zone do so much of what they do when well. */
+    /** Those of a zone do this much of what they do when well. */
     void slow(int zone, double speed) {
         for (SimulatedNode node : nodes) {
             if (node.zone == zone) {
@@ -225,7 +225,7 @@
         }
     }
 
-    /** So many of a zone's nodes are removed, as an operator asks. */
+    /** This many of a zone's nodes are removed, as an operator asks. */
     void drain(int zone, int count) {
         for (int i = 0; i < count; i++) {
             SimulatedNode node = nodes[zone * NODES + i];
--- a/lab/src/main/java/cedarrudder/lab/failover/World.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/World.java
@@ -14,7 +14,7 @@
     SLOW,
     /** Nothing passes between a zone and the others for 30 s; inside it is well. */
     CUT,
-    /** Half of what one copy sends and is sent is lost. */
+    /** Half of what one replica sends and is sent is lost. */
     LINK,
     /** A zone is gone for 1.5 s of each 3. */
     FLAP_3,
@@ -24,11 +24,11 @@
     CASCADE,
     /** It is lost while a third of another zone's nodes are being removed. */
     DRAIN,
-    /** It is lost while a copy elsewhere is replaced. */
+    /** It is lost while a replica elsewhere is replaced. */
     UPGRADE,
-    /** It is lost and the copy that leads with it. */
+    /** It is lost and the replica that leads with it. */
     ELECTION,
-    /** It is lost with its copies and others, 48 % in all. */
+    /** It is lost with its replicas and others, 48 % in all. */
     HALF;
 
     /** When it begins. */
@@ -51,7 +51,7 @@
     private static final double DEAD = 0.48;
     private static final long DEAD_FOR = 40 * Site.SECOND;
 
-    /** Sets up what happens; {@code together} is null where copies don't decide in common. */
+    /** Sets up what happens; {@code together} is null where replicas don't decide in common. */
     void script(Site site, CoordinatedPolicy together, RandomGenerator random) {
         if (this == CASCADE) {
             site.demand[BUSY] = BUSY_LOAD * Site.NODES * SimulatedNode.RATE;
--- a/lab/src/main/java/cedarrudder/lab/load/Engine.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Engine.java
@@ -232,7 +232,7 @@
         return request;
     }
 
-    /** Guards against requests that wait for a connection after the last one has gone. */
+    /** This avoids requests that wait for a connection after the last one has gone. */
     private void openForWaiting() {
         waiting.removeIf(request -> request.over);
         if (!done && waiting.size() > opening && links.size() + opening < maxLinks) {
--- a/lab/src/main/java/cedarrudder/lab/load/LoadRun.java
+++ b/lab/src/main/java/cedarrudder/lab/load/LoadRun.java
@@ -18,7 +18,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends requests to an address that speaks the callers' protocol and counts what comes of them. The
+ * Sends requests to an address that speaks the clients' protocol and counts what comes of them. The
  * loop is open: a request is sent at its time, whether or not earlier ones are answered, and its
  * latency counts from that time, so a server that stalls is charged for all that it kept waiting
  * (no coordinated omission, Tene 2013).
--- a/lab/src/main/java/cedarrudder/lab/load/Options.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Options.java
@@ -6,10 +6,10 @@
 /**
  * What a load run is to do.
  *
- * @param targets where callers connect; connections are dealt out in turn
+ * @param targets where clients connect; connections are dealt out in turn
  * @param leadSeconds what is to leave before this is sent and not counted: connections come up then
  * @param poisson whether gaps are those of a Poisson process; else they are even
- * @param connections open at once at the most, over all threads; a request waits where all are busy
+ * @param connections open at once at most, over all threads; a request waits where all are busy
  * @param fresh whether each request has a connection of its own
  * @param bodyBytes the length of the body of requests that have one, up to 64 KiB
  * @param threads event loops, each with an even share of the sends and of the connections
--- a/lab/src/main/java/cedarrudder/lab/load/Rate.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Rate.java
@@ -20,12 +20,12 @@
     /** From one rate evenly to another; rates in requests a second, a time in seconds. */
     public record Part(double from, double to, double seconds) {
 
-        /** Requests that are to leave in the first so many seconds of it. */
+        /** Requests that are to leave in the first this many seconds of it. */
         double sent(double after) {
             return from * after + (to - from) * after * after / (2 * seconds);
         }
 
-        /** The time after which so many have left; no less than 0 and no more than its length. */
+        /** The time after which this many have left; no less than 0 and no more than its length. */
         double after(double count) {
             double slope = (to - from) / seconds;
             // The root of slope/2 t^2 + from t = count, in the form that doesn't cancel.
--- a/lab/src/main/java/cedarrudder/lab/load/Relay.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Relay.java
@@ -15,7 +15,7 @@
 import java.util.List;
 
 /**
- * Passes bytes on between a caller's connection and one of its own to a target, on one event loop,
+ * Passes bytes on between a client's connection and one of its own to a target, on one event loop,
  * and reads nothing in them: the least that any proxy on Netty can cost, to hold the daemon's
  * figures against.
  */
--- a/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
@@ -148,7 +148,9 @@
     private long now = START;
     private long made;
 
-    /** Starts so many instances at once; each life has its start in milliseconds as its number. */
+    /**
+     * Starts this many instances at once; each life has its start in milliseconds as its number.
+     */
     public SwimSimulation(int size, Network network, MembershipSettings settings, long seed) {
         this.network = network;
         this.settings = settings;
@@ -171,7 +173,7 @@
         return now;
     }
 
-    /** Plays on for so long, in nanoseconds. */
+    /** Plays on for this long, in nanoseconds. */
     public void play(long length) {
         long until = now + length;
         while (!events.isEmpty() && events.peek().at <= until) {
@@ -202,7 +204,7 @@
     }
 
     /**
-     * For so long it hears and does nothing; what comes meanwhile waits, as in a socket's buffer.
+     * For this long it hears and does nothing; what comes meanwhile waits, as in a socket's buffer.
      */
     public void stall(int number, long length) {
         places.get(number).deaf = now + length;
--- a/lab/src/main/java/cedarrudder/lab/model/Attempt.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Attempt.java
@@ -4,7 +4,7 @@
 import cedarrudder.budget.DownstreamFeedback;
 import cedarrudder.forwarding.RequestAttempt;
 
-/** One attempt at an RPC on its way to a node and back. */
+/** One attempt at a request on its way to a node and back. */
 final class Attempt extends ProxyConnection {
 
     final ProxyRequest call;
--- a/lab/src/main/java/cedarrudder/lab/model/ClientRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ClientRequest.java
@@ -11,7 +11,7 @@
  */
 final class ClientRequest extends Task implements Caller {
 
-    /** A wait between tries is spread evenly over so much below and above its length. */
+    /** A wait between tries is spread evenly over this much below and above its length. */
     private static final double BACKOFF_SPREAD = 0.5;
 
     /** How the last try ended. */
--- a/lab/src/main/java/cedarrudder/lab/model/ColdBudget.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ColdBudget.java
@@ -10,7 +10,7 @@
  */
 final class ColdBudget {
 
-    /** A window is counted in so many parts; it is so much longer at the most than it should be. */
+    /** A window is counted in this many parts; it is this much longer at most than it should be. */
     private static final int PARTS = 30;
 
     private final double multiple;
--- a/lab/src/main/java/cedarrudder/lab/model/Directory.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Directory.java
@@ -14,7 +14,9 @@
  */
 public final class Directory {
 
-    /** A proxy that is so many changes behind, as a share of the list, is told the whole of it. */
+    /**
+     * A proxy that is this many changes behind, as a share of the list, is told the whole of it.
+     */
     private static final double FAR_BEHIND = 0.5;
 
     /** One that lacks fewer changes than this is told these. */
@@ -203,7 +205,7 @@
         after(
                 (silently ? figures.silentNotice() : figures.notice()).draw(random),
                 () -> {
-                    // Guards against late news: what has come back by now is not gone.
+                    // This avoids late news: what has come back by now is not gone.
                     if (!node.up() || node.endpoint != endpoint || node.draining) {
                         listings.get(node.tier).set(node, endpoint, EndpointStatus.REMOVED, 0);
                     }
--- a/lab/src/main/java/cedarrudder/lab/model/Faults.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Faults.java
@@ -70,7 +70,7 @@
                         machines));
     }
 
-    /** So many of them, at least one, as chance has it. */
+    /** This many of them, at least one, as chance has it. */
     private static <T> List<T> struck(List<T> all, double part, RandomGenerator random) {
         int count = (int) Math.min(all.size(), Math.max(1, Math.round(part * all.size())));
         int[] order = World.shuffled(all.size(), random);
--- a/lab/src/main/java/cedarrudder/lab/model/Guard.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Guard.java
@@ -7,7 +7,7 @@
  * @param atOnce actions on one event
  * @param free actions of a proxy that cost it nothing
  * @param perSecond further ones for each second of a proxy's life
- * @param perRequest further ones for each RPC that it takes
+ * @param perRequest further ones for each request that it takes
  * @param stallSeconds of processor time inside one event: a balancer that needs longer never ends.
  *     Measured on the run's own thread, so that a busy machine doesn't end a sound run
  * @param timed whether the time inside balancers is measured; it costs two readings of the clock an
--- a/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
@@ -50,7 +50,7 @@
         return this;
     }
 
-    /** An RPC was taken. */
+    /** A request was taken. */
     void taken() {
         taken++;
     }
--- a/lab/src/main/java/cedarrudder/lab/model/Job.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Job.java
@@ -60,7 +60,7 @@
     /**
      * An attempt for a node.
      *
-     * @param number its number among the attempts of its RPC
+     * @param number its number among the attempts of its request
      */
     protected Job(Node node, ClientAttempt what, int number) {
         this.node = node;
--- a/lab/src/main/java/cedarrudder/lab/model/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Node.java
@@ -19,7 +19,7 @@
     private static final long WARMING_STEP = 50_000_000L;
 
     /**
-     * A part of work counts as done when less than this is left, in nanoseconds: guards against
+     * A part of work counts as done when less than this is left, in nanoseconds: this avoids
      * rounding.
      */
     private static final double ROUNDING = 0.5;
@@ -488,7 +488,7 @@
         void answered(Outcome how, LoadReport report);
     }
 
-    /** A probe has come: answered beside the queue, as far as it answers so many. */
+    /** A probe has come: answered beside the queue, as far as it answers this many. */
     public void probe(Probed probe) {
         advance();
         long now = run.agenda.now();
--- a/lab/src/main/java/cedarrudder/lab/model/PriorityLedger.java
+++ b/lab/src/main/java/cedarrudder/lab/model/PriorityLedger.java
@@ -7,9 +7,9 @@
  * Worth asked for and served, by second, tenant and class, in which tenants have shares.
  *
  * <p>What a tenant is served in a second counts whole up to its quota, a quota's worth being that
- * of so many mean requests; what is served beyond that counts little. So does what it asked for
+ * of this many mean requests; what is served beyond that counts little. So does what it asked for
  * beyond its quota: first what it was served stands for its share, then the rest. So a tenant over
- * its share loses nothing by what had to be turned away of it, whichever requests these were.
+ * its share loses nothing by what had to be rejected of it, whichever requests these were.
  */
 final class PriorityLedger {
 
--- a/lab/src/main/java/cedarrudder/lab/model/Proxy.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Proxy.java
@@ -33,7 +33,7 @@
     /** Whether it runs, ready or not. */
     protected abstract boolean up();
 
-    /** Starts it, with the list that it last had; {@code whenReady} once it takes RPCs. */
+    /** Starts it, with the list that it last had; {@code whenReady} once it takes requests. */
     protected abstract void start(Runnable whenReady);
 
     /** Its machine is another one: it starts with the list as it is then. */
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyConnection.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyConnection.java
@@ -84,7 +84,7 @@
 
     /**
      * Stops waiting for it: its connection is closed, which the node learns when the news of it
-     * arrives. Guards against that news overtaking the request.
+     * arrives. This avoids that news overtaking the request.
      */
     final void giveUp() {
         over = true;
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
@@ -140,7 +140,7 @@
         forwarder.shares(shares);
     }
 
-    /** Takes an RPC from a caller. */
+    /** Takes a request from a caller. */
     void accept(ProxyRequest call, Exchange<ProxyRequest, Attempt> exchange) {
         if (opens == open.length) {
             open = Arrays.copyOf(open, 2 * opens);
@@ -161,7 +161,7 @@
         forwarder.accept(exchange);
     }
 
-    /** An RPC has its final answer. */
+    /** A request has its final answer. */
     void closed(ProxyRequest call, Final how) {
         forget(call);
         counts.refused += how == Final.REFUSED ? 1 : 0;
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
@@ -6,7 +6,7 @@
 import cedarrudder.lab.trace.Trace.Final;
 import java.util.Arrays;
 
-/** One try of a caller: an RPC on its way to a proxy, in its hands, or answered. */
+/** One try of a caller: a request on its way to a proxy, in its hands, or answered. */
 final class ProxyRequest extends Task implements Exchange.Reply<Attempt>, Proxy.Pending {
 
     /**
--- a/lab/src/main/java/cedarrudder/lab/model/Run.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Run.java
@@ -27,7 +27,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     /**
-     * After the last arrival's last deadline a run goes on for so long, so that late answers are
+     * After the last arrival's last deadline a run goes on for this long, so that late answers are
      * seen.
      */
     private static final long AFTERMATH = SECOND;
--- a/lab/src/main/java/cedarrudder/lab/model/Task.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Task.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-/** Something that happens at an instant of a run. It waits in the agenda once at the most. */
+/** Something that happens at an instant of a run. It waits in the agenda once at most. */
 public abstract class Task {
 
     /** Where it stands in the agenda's heap; -1: nowhere. */
--- a/lab/src/main/java/cedarrudder/lab/policy/TierBudgets.java
+++ b/lab/src/main/java/cedarrudder/lab/policy/TierBudgets.java
@@ -15,7 +15,7 @@
  */
 public record TierBudgets(BudgetSettings settings, List<String> strips, List<String> old) {
 
-    /** Copies what it is given. */
+    /** Replicas what it is given. */
     public TierBudgets {
         strips = List.copyOf(strips);
         old = List.copyOf(old);
--- a/lab/src/main/java/cedarrudder/lab/referee/ColdNode.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ColdNode.java
@@ -15,7 +15,7 @@
 
     final long startedAt;
 
-    /** The proxy and the RPC of what was sent last. */
+    /** The proxy and the request of what was sent last. */
     int lastProxy;
 
     long lastRequest;
@@ -74,7 +74,7 @@
             size--;
         }
         if (size == 0) {
-            // Exactly nothing: guards against rounding errors that add up.
+            // Exactly nothing: this avoids rounding errors that add up.
             sum = 0;
             sumKnew = 0;
         }
--- a/lab/src/main/java/cedarrudder/lab/referee/ObservedRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ObservedRequest.java
@@ -5,7 +5,7 @@
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.Arrays;
 
-/** An RPC that a proxy has taken, and its attempts in the order sent. */
+/** A request that a proxy has taken, and its attempts in the order sent. */
 final class ObservedRequest {
     final int proxy;
     final int incarnation;
@@ -17,13 +17,13 @@
     /** Whether a final answer was given. */
     boolean answered;
 
-    /** Whether the proxy was told of the end: an answer was served, or the caller left. */
+    /** Whether the proxy was told of the end: an answer was served, or the client left. */
     boolean told;
 
     long toldAt;
 
     /**
-     * Whether nothing more is owed, though nothing was answered: the caller left, or it is lost
+     * Whether nothing more is owed, though nothing was answered: the client left, or it is lost
      * already.
      */
     boolean closed;
--- a/lab/src/main/java/cedarrudder/lab/referee/RuleChecker.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RuleChecker.java
@@ -15,13 +15,13 @@
  * the trace.
  *
  * <ol>
- *   <li>Each RPC taken by a proxy that lives gets one final answer by its deadline and the grace,
- *       and what is served came from an attempt that reached a node and ended well. Nothing is sent
- *       for an RPC that is over.
- *   <li>What may have run is sent again or refused only as its class allows: an unsafe RPC never; a
- *       keyed one to the nodes that drop its repeats, within the window from the send of the first
- *       attempt that may have run, and it is refused only where all nodes drop them. Two attempts
- *       are out at once only where that is allowed.
+ *   <li>Each request taken by a proxy that lives gets one final answer by its deadline and the
+ *       grace, and what is served came from an attempt that reached a node and ended well. Nothing
+ *       is sent for a request that is over.
+ *   <li>What may have run is sent again or refused only as its class allows: an unsafe request
+ *       never; a keyed one to the nodes that drop its repeats, within the window from the send of
+ *       the first attempt that may have run, and it is refused only where all nodes drop them. Two
+ *       attempts are out at once only where that is allowed.
  *   <li>Nothing is sent to a node later than the grace after the proxy was told that it drains or
  *       is gone, be it by an entry or by a whole list without it; nor to a node that no list of the
  *       proxy ever named. A later entry that calls it ready lifts this. Where the list must be
@@ -31,20 +31,20 @@
  *       multiple of what it can do now, times the window; for chance the one heaviest attempt
  *       doesn't count. It counts where two thirds of that work came from proxies that had been told
  *       of the start. What could not be sent after all is taken back. A node that ends under nearly
- *       so much has been pushed over too. What was meant for a former node at the same address is
+ *       this much has been pushed over too. What was meant for a former node at the same address is
  *       not seen.
  * </ol>
  *
- * <p>Of each rule the first breach is kept, and how many there were: RPCs for the first rule, sends
- * and refusals for the second, sends for the third, nodes for the fourth.
+ * <p>Of each rule the first breach is kept, and how many there were: requests for the first rule,
+ * sends and refusals for the second, sends for the third, nodes for the fourth.
  *
- * <p>Memory: an RPC is forgotten {@link #MEMORY} after its time, so it holds what is open and some
- * seconds more; and an entry for each node that a proxy was ever told of. Cost of an event: a few
- * look-ups, and for a whole list one step for each node. Not for use by several threads.
+ * <p>Memory: a request is forgotten {@link #MEMORY} after its time, so it holds what is open and
+ * some seconds more; and an entry for each node that a proxy was ever told of. Cost of an event: a
+ * few look-ups, and for a whole list one step for each node. Not for use by several threads.
  */
 public final class RuleChecker implements Trace {
 
-    /** An RPC is remembered for this long after its last answer was due, in nanoseconds. */
+    /** A request is remembered for this long after its last answer was due, in nanoseconds. */
     public static final long MEMORY = 10_000_000_000L;
 
     /** Start times that lists tell may be rounded down to milliseconds. */
@@ -108,7 +108,7 @@
         pass(now);
     }
 
-    /** The most RPCs that were remembered at once. */
+    /** The most requests that were remembered at once. */
     public int maxRemembered() {
         return max;
     }
@@ -127,7 +127,7 @@
         return proxies.get(number);
     }
 
-    /** Time goes by: answers become overdue, and old RPCs are forgotten. */
+    /** Time goes by: answers become overdue, and old requests are forgotten. */
     private void pass(long now) {
         while (!due.isEmpty() && due.time() < now) {
             ObservedRequest request = requests.get(due.number());
@@ -202,7 +202,7 @@
         }
     }
 
-    // ---- RPCs ----
+    // ---- requests ----
 
     @Override
     public void taken(
--- a/lab/src/main/java/cedarrudder/lab/referee/RuleParameters.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RuleParameters.java
@@ -5,12 +5,12 @@
 /**
  * The public figures by which a run is judged; times are nanoseconds.
  *
- * @param answerGrace a final answer counts until so long after the deadline
+ * @param answerGrace a final answer counts until this long after the deadline
  * @param drainGrace sends to a draining or gone node stop within this time of being told
  * @param fallMultiple a cold node sent more than this multiple of what it can do ...
- * @param fallWindow ... for so long falls over
- * @param secondCopies whether two attempts of an RPC may be out at once
- * @param attempts of one RPC at the most
+ * @param fallWindow ... for this long falls over
+ * @param secondCopies whether two attempts of a request may be out at once
+ * @param attempts of one request at most
  */
 public record RuleParameters(
         long answerGrace,
--- a/lab/src/main/java/cedarrudder/lab/referee/RunChecker.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RunChecker.java
@@ -16,16 +16,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Judges the balancers of a run, apart from the drivers around them. A driver answers an RPC that
- * its balancer has lost, and drops a second answer or what is sent too late; a trace of what
+ * Judges the balancers of a run, apart from the drivers around them. A driver answers a request
+ * that its balancer has lost, and drops a second answer or what is sent too late; a trace of what
  * proxies write shows none of that. So each balancer gets a {@link TracingBalancer}, and what
  * proxies are told, take, send and answer is read there; of the run's own trace it reads the starts
- * and ends of proxies and nodes, what reaches nodes, and the work of attempts. An RPC's deadline is
- * the one that the balancer was told.
+ * and ends of proxies and nodes, what reaches nodes, and the work of attempts. A request's deadline
+ * is the one that the balancer was told.
  *
  * <p>A run is given {@link #watched} as its policy and {@link #trace} as its trace. The run must
  * write {@code proxyStarted} after it has made the proxy's balancer and before it makes the next,
- * and numbers RPCs as requests are. One judge serves one run, on the run's thread.
+ * and numbers requests as requests are. One judge serves one run, on the run's thread.
  */
 public final class RunChecker {
 
--- a/lab/src/main/java/cedarrudder/lab/report/Plots.java
+++ b/lab/src/main/java/cedarrudder/lab/report/Plots.java
@@ -69,7 +69,7 @@
         return plot.plot();
     }
 
-    /** What a request costs others: attempts, probes and second copies. */
+    /** What a request costs others: attempts, probes and hedged requests. */
     Plot effort(String scenario) {
         RowPlot plot = new RowPlot("messages a request, all tiers").fromZero();
         means(
