--- a/lab/src/main/java/cedarrudder/lab/result/RunResult.java
+++ b/lab/src/main/java/cedarrudder/lab/result/RunResult.java
@@ -152,12 +152,12 @@
      * @param visits requests that come here for each of a client, on average, if none is ever
      *     repeated
      * @param work done for requests, in seconds on a core of speed 1
-     * @param rpcs RPCs that its proxies took
+     * @param rpcs requests that its proxies took
      * @param attempts attempts that they sent
-     * @param copies of which second copies: sent while another was out
+     * @param copies of which hedged requests: sent while another was out
      * @param outcomes by the order of {@code Balancer.Outcome}
-     * @param refused RPCs that the proxies refused
-     * @param failed RPCs that they failed
+     * @param refused requests that the proxies refused
+     * @param failed requests that they failed
      * @param probes probes that they sent
      * @param wasted the share of the work done that went into nothing
      * @param chokes how often a node choked
--- a/lab/src/main/java/cedarrudder/lab/scenario/Scenario.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/Scenario.java
@@ -208,7 +208,7 @@
      * @param drainGrace sends to a draining or gone node stop within this time of being told
      * @param fallMultiple a cold node sent more than this multiple of what it can do ...
      * @param fallWindow ... for this long falls over and stays down
-     * @param answerGrace a final answer counts until so long after the client's deadline
+     * @param answerGrace a final answer counts until this long after the client's deadline
      */
     public record Rules(long drainGrace, double fallMultiple, long fallWindow, long answerGrace) {}
 
@@ -340,7 +340,7 @@
      * @param chance the chance, drawn for each run, that nodes of this tier choke at all
      * @param at waiting requests for each core that are far too many; those that were declined for
      *     want of room count until the node would have come to them
-     * @param over a node with more than these for so long chokes
+     * @param over a node with more than these for this long chokes
      * @param slower by which factor
      * @param rest it recovers after it has been mostly idle for this long
      * @param below mostly idle: fewer requests held for each core than this
@@ -447,7 +447,7 @@
         ENDLESS,
         /** Nodes send interim answers without number before the answer. */
         INTERIM_FLOOD,
-        /** Nodes send a second copy of the answer behind it. */
+        /** Nodes send a hedged request of the answer behind it. */
         SECOND_COPY,
         /** Nodes reset a connection as soon as it is up. */
         RESET_BEFORE,
--- a/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
@@ -51,7 +51,7 @@
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
     private static final String NAMES = "up to 40 small letters, digits and hyphens";
 
-    /** A file beside the scenario: guards against a scenario that reads from anywhere. */
+    /** A file beside the scenario: this avoids a scenario that reads from anywhere. */
     static final Pattern FILE = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
 
     private final ConfigDocument own;
@@ -96,7 +96,7 @@
                             "the name of a scenario beside this one");
         }
         if (!own.root().sound("extends")) {
-            // Guards against errors that only follow: without its base all that it inherits is
+            // This avoids errors that only follow: without its base all that it inherits is
             // missing.
             own.check();
         }
--- a/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/TraceReader.java
@@ -30,7 +30,7 @@
     private static final long MAX_BYTES = 256L << 20;
     private static final int MAX_LINES = 5_000_000;
 
-    /** Further broken lines are not told: guards against a wrong file that fills a screen. */
+    /** Further broken lines are not told: this avoids a wrong file that fills a screen. */
     private static final int MAX_PROBLEMS = 20;
 
     private static final double MAX_TIME_MS = 3_600_000;
--- a/lab/src/main/java/cedarrudder/lab/trace/Trace.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/Trace.java
@@ -10,15 +10,15 @@
  * messages, of each node its starts and what reaches it. Whoever judges a run reads this and
  * nothing else.
  *
- * <p>Proxies and RPCs are numbered over the whole run; a proxy that comes back after a crash keeps
- * its number, its RPCs have new ones. {@code endpoint} is the id by which lists name a node; a node
- * that restarts keeps it. Instants are nanoseconds of the run's clock and never go back; the first
- * event is of the run's start. An attempt that is moot is never sent: it has an outcome and nothing
- * else.
+ * <p>Proxies and requests are numbered over the whole run; a proxy that comes back after a crash
+ * keeps its number, its requests have new ones. {@code endpoint} is the id by which lists name a
+ * node; a node that restarts keeps it. Instants are nanoseconds of the run's clock and never go
+ * back; the first event is of the run's start. An attempt that is moot is never sent: it has an
+ * outcome and nothing else.
  */
 public interface Trace {
 
-    /** How a proxy ended an RPC. */
+    /** How a proxy ended a request. */
     enum Final {
         SERVED,
         REFUSED,
@@ -47,7 +47,7 @@
      */
     void toldWhole(long now, int proxy);
 
-    /** A proxy has taken an RPC; {@code deadline} is when its caller gives up. */
+    /** A proxy has taken a request; {@code deadline} is when its client gives up. */
     void taken(
             long now,
             int proxy,
@@ -67,11 +67,12 @@
     void reached(long now, int proxy, long request, int attempt, long endpoint);
 
     /**
-     * A proxy gives an RPC its final answer. SERVED names the attempt whose answer it is; else -1.
+     * A proxy gives a request its final answer. SERVED names the attempt whose answer it is; else
+     * -1.
      */
     void answered(long now, int proxy, long request, Final how, int attempt);
 
-    /** The caller of an RPC has gone before it was answered; nothing is owed any more. */
+    /** The client of a request has gone before it was answered; nothing is owed any more. */
     void callerLeft(long now, int proxy, long request);
 
     /**
--- a/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
@@ -12,14 +12,14 @@
 /**
  * Stands between a balancer and whatever feeds it, passes everything on, and writes down what went
  * by. So a run is judged by what its balancers did, even where a driver around them mends it: an
- * RPC that a balancer loses is lost, though the driver answers for it in the end.
+ * request that a balancer loses is lost, though the driver answers for it in the end.
  *
  * <p>It writes the events of one proxy that the balancer takes part in. That proxies start and die,
  * what reaches nodes and how these start and end is for the one who plays the nodes to write.
  */
 public final class TracingBalancer implements LoadBalancer {
 
-    /** What is known of an RPC that is open or has attempts out. */
+    /** What is known of a request that is open or has attempts out. */
     private static final class Open {
         int attempts;
         int out;
@@ -39,7 +39,8 @@
      *
      * @param proxy the number of the proxy in the trace; asked for with each event, and not before
      *     the first
-     * @param work the work of an RPC, by its id, on a core of speed 1 at the tier of this balancer
+     * @param work the work of a request, by its id, on a core of speed 1 at the tier of this
+     *     balancer
      * @param actions carries out what the balancer does
      * @param make makes the balancer, given the actions that it is to use
      */
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -78,7 +78,9 @@
         assertTrue(rules.contains("A3"), rules.toString());
     }
 
-    /** What lay unread for as long as a copy stood still would make a contact as much younger. */
+    /**
+     * What lay unread for as long as a replica stood still would make a contact as much younger.
+     */
     @Test
     public void aContactThatCountsFromItsArrivalIsTooYoung() {
         Set<String> rules =
@@ -169,7 +171,7 @@
     }
 
     /**
-     * The plain paper without a disk: the copy says that it is who it was, and remembers no vote
+     * The plain paper without a disk: the replica says that it is who it was, and remembers no vote
      * and no entry.
      */
     @Test
--- a/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 /**
- * What copies must come through, each made to happen. Their clocks differ by up to an hour and
+ * What replicas must come through, each made to happen. Their clocks differ by up to an hour and
  * drift by up to 1 in 1,000, as in all of the model.
  */
 public class HardCasesTest {
@@ -148,8 +148,8 @@
     }
 
     /**
-     * The copy that leads is told to end just after it took something: it hands over, and is gone
-     * at any moment after. All that go on load it, or none does and its number is another's.
+     * The replica that leads is told to end just after it took something: it hands over, and is
+     * gone at any moment after. All that go on load it, or none does and its number is another's.
      */
     @Test
     public void somethingIsCommittedAsItsCopyIsToldToEnd() {
@@ -195,7 +195,7 @@
         assertTrue(loaded > 0, "none of all");
     }
 
-    /** Forty copies hand on all that they can while nothing is committed. */
+    /** Forty replicas hand on all that they can while nothing is committed. */
     @Test
     public void whatOthersHandOnIsBounded() {
         ConsensusSimulation copies = started(40, ConsensusSettings.DEFAULT);
--- a/lab/src/test/java/cedarrudder/lab/attack/AttackIT.java
+++ b/lab/src/test/java/cedarrudder/lab/attack/AttackIT.java
@@ -16,7 +16,8 @@
     private static final long SEED = 9;
 
     /**
-     * Times may be so many times what is owed: a machine short of cores is no fault of the daemon.
+     * Times may be this many times what is owed: a machine short of cores is no fault of the
+     * daemon.
      */
     private static final int SLACK = 5;
 
--- a/lab/src/test/java/cedarrudder/lab/baselines/BaselinesInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/BaselinesInModelTest.java
@@ -26,7 +26,7 @@
 public class BaselinesInModelTest {
     private static final int SEEDS = 10;
 
-    /** A shipped scenario, its run and its faults so many times shorter. */
+    /** A shipped scenario, its run and its faults this many times shorter. */
     private static Scenario scenario(String name, double shorter) throws Exception {
         Scenario full = ScenarioReader.read(Path.of("lab", "scenarios", name + ".toml"));
         Scenario.Run run =
--- a/lab/src/test/java/cedarrudder/lab/baselines/RulesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/RulesTest.java
@@ -117,7 +117,8 @@
     }
 
     /**
-     * The broken module takes the fifth of the RPCs that suit its fault; number n comes at n steps.
+     * The broken module takes the fifth of the requests that suit its fault; number n comes at n
+     * steps.
      */
     @Test
     public void catchesOneThatLosesRequests() {
--- a/lab/src/test/java/cedarrudder/lab/baselines/SmallWorld.java
+++ b/lab/src/test/java/cedarrudder/lab/baselines/SmallWorld.java
@@ -141,7 +141,7 @@
     }
 
     /**
-     * Plays so many requests and the time in which they must be answered, and returns the last
+     * Plays this many requests and the time in which they must be answered, and returns the last
      * instant.
      */
     public long play(int requests) {
--- a/lab/src/test/java/cedarrudder/lab/checker/CoordinationInvariantsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/checker/CoordinationInvariantsTest.java
@@ -18,7 +18,7 @@
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000;
 
-    /** Six copies, two in each of three zones; the life of copy 3 is 13. */
+    /** Six replicas, two in each of three zones; the life of replica 3 is 13. */
     private static final List<HistoryEvent> START = new ArrayList<>();
 
     static {
@@ -60,7 +60,8 @@
     }
 
     /**
-     * Judges the start and these, up to so many milliseconds; gives what is wrong, without numbers.
+     * Judges the start and these, up to this many milliseconds; gives what is wrong, without
+     * numbers.
      */
     private static List<String> judged(Invariant rule, long until, List<HistoryEvent> events) {
         List<HistoryEvent> all = new ArrayList<>(START);
@@ -78,7 +79,7 @@
     // ---- F1 ----
 
     /**
-     * Copies that see zone 1 fail, the others that are served there, and then a table that leaves
+     * Replicas that see zone 1 fail, the others that are served there, and then a table that leaves
      * it.
      */
     private static List<String> left(
@@ -271,7 +272,9 @@
         assertEquals(used(used(2_001, 0, 7)), List.of("F3"), "never held");
     }
 
-    /** Whatever a copy says of its lease: cut off from two of three voters it can hear of none. */
+    /**
+     * Whatever a replica says of its lease: cut off from two of three voters it can hear of none.
+     */
     @Test
     public void aLeaseEndsWithoutAMajority() {
         List<HistoryEvent> cut =
--- a/lab/src/test/java/cedarrudder/lab/checker/HistoryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/checker/HistoryTest.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** What copies write of themselves, read again. */
+/** What replicas write of themselves, read again. */
 public class HistoryTest {
 
     /**
-     * A copy that is killed within a line must not take the lines before it, or the other copies',
-     * away.
+     * A replica that is killed within a line must not take the lines before it, or the other
+     * replicas', away.
      */
     @Test
     public void aLineThatItsProcessDidNotFinishIsLeftOut() throws IOException {
--- a/lab/src/test/java/cedarrudder/lab/cluster/ClusterIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/ClusterIT.java
@@ -10,7 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Real copies with faults between them. Bounds are so wide that a busy machine changes no verdict.
+ * Real replicas with faults between them. Bounds are so wide that a busy machine changes no
+ * verdict.
  */
 public class ClusterIT {
 
@@ -40,7 +41,7 @@
     }
 
     /**
-     * What copies agree on, with leaders killed, stopped and replaced and a ring of one-way cuts.
+     * What replicas agree on, with leaders killed, stopped and replaced and a ring of one-way cuts.
      */
     @Test
     public void copiesThatAgreeKeepTheRules() throws Exception {
--- a/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/FleetIT.java
@@ -34,7 +34,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Real copies that agree: killed, stopped and replaced, and their histories judged. Waits have
+ * Real replicas that agree: killed, stopped and replaced, and their histories judged. Waits have
  * bounds that a busy machine does not reach.
  */
 public class FleetIT {
@@ -53,7 +53,7 @@
     private static final long LEASE_MILLIS = 4_000;
     private static final int LOOK_MILLIS = 50;
 
-    /** What a copy's operators' address says of what was agreed on. */
+    /** What a replica's operators' address says of what was agreed on. */
     private record Seen(
             boolean used, long number, int leader, boolean leads, long term, String voters) {}
 
@@ -266,7 +266,7 @@
         awaitOneTable("once it goes on", thirdTerm + 1, all);
         assertTrue(lapsedBeforeAllElse(third), "it used its table when it woke");
 
-        // A copy is replaced by a new process, which takes up its file where it has one.
+        // A replica is replaced by a new process, which takes up its file where it has one.
         int upgraded = KEEPS;
         begin(upgraded);
         replicas.get(upgraded).terminate();
--- a/lab/src/test/java/cedarrudder/lab/cluster/OperatorRemovalIT.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/OperatorRemovalIT.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Nodes leave by drains, over real copies, with the one that leads killed in the midst. Guards
+ * Nodes leave by drains, over real replicas, with the one that leads killed in the midst. Guards
  * against more out than the policy allows, calls to a node that leaves, a drain said done too
  * early, and calls that are lost.
  */
--- a/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/ScriptTest.java
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Copies and nodes are dealt to zones in turn; a zone that is cut off takes its nodes along.
+     * Replicas and nodes are dealt to zones in turn; a zone that is cut off takes its nodes along.
      */
     @Test
     public void zonesAreReplicasAndNodes() throws InvalidFileException {
--- a/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Copies that agree, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
+ * Replicas that agree, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
  * same.
  */
 public class ConsensusSimulationTest {
@@ -235,7 +235,9 @@
         assertTrue(copies.contactAge(still) < 3 * SECOND);
     }
 
-    /** What copies that don't lead hand on is committed, one after another, and said once each. */
+    /**
+     * What replicas that don't lead hand on is committed, one after another, and said once each.
+     */
     @Test
     public void anyCopyProposesAndIsToldOnce() {
         ConsensusSimulation copies = started(40, SETTINGS, 8);
@@ -384,7 +386,7 @@
         assertTrue(copies.view(back).incarnation() > before);
     }
 
-    /** What a copy sends does not grow with the number of copies. */
+    /** What a replica sends does not grow with the number of replicas. */
     @Test
     public void oneOfManySendsNoMoreThanOneOfFew() {
         double[] sent = new double[2];
--- a/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 
 /**
- * What copies that decide together send and do from a seed, held against an earlier build. Every
+ * What replicas that decide together send and do from a seed, held against an earlier build. Every
  * datagram is in the digests, so where they are the same the two builds may run in one tier.
  */
 public class GoldenHistoriesTest {
--- a/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
@@ -35,7 +35,7 @@
 import org.testng.Reporter;
 import org.testng.annotations.Test;
 
-/** Copies that decide together, with what goes wrong made to go wrong. Seeds are fixed. */
+/** Replicas that decide together, with what goes wrong made to go wrong. Seeds are fixed. */
 public class CoordinationSimulationTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -56,7 +56,7 @@
     private int parts = 1_000;
     private int room = Integer.MAX_VALUE;
 
-    /** A plan that the test changes: so many parts of zone 0 spill into zone 1. */
+    /** A plan that the test changes: this many parts of zone 0 spill into zone 1. */
     private final class Plan implements TrafficCoordination {
         @Override
         public List<byte[]> report(long now) {
@@ -138,9 +138,7 @@
         assertTrue(events.stream().noneMatch(event -> event.what().equals("lapsed")));
     }
 
-    /**
-     * Guards against one that is cut off using a table for longer than its lease, or for much less.
-     */
+    /** Detects one that is cut off using a table for longer than its lease, or for much less. */
     @Test
     public void oneThatIsCutOffKeepsItsTableForTheLeaseAndNoLonger() {
         CoordinationSimulation world = started(7, CALM, false, 2);
@@ -158,10 +156,7 @@
         assertEquals(parts(world.uses(away)), 3_000);
     }
 
-    /**
-     * Guards against a leader that has lost its majority keeping its own lease, and those of
-     * others.
-     */
+    /** Detects a leader that has lost its majority keeping its own lease, and those of others. */
     @Test
     public void aLeaderWithoutAMajorityKeepsNobodysLease() {
         for (long seed = 30; seed < 40; seed++) {
@@ -176,7 +171,7 @@
         }
     }
 
-    /** Guards against one that wakes up using what it had, before it has heard of anything. */
+    /** Detects one that wakes up using what it had, before it has heard of anything. */
     @Test
     public void oneThatStoodStillForLongerThanItsLeaseUsesNothingWhenItWakes() {
         CoordinationSimulation world = started(5, CALM, false, 4);
@@ -190,7 +185,9 @@
         assertEquals(parts(world.uses(leader)), 4_000);
     }
 
-    /** One small copy holds a table back for all; when it has room, or is gone, the table comes. */
+    /**
+     * One small replica holds a table back for all; when it has room, or is gone, the table comes.
+     */
     @Test
     public void aTableThatTheSmallestLiveCopyCannotLoadIsNotAgreedOn() {
         CoordinationSimulation world = started(5, CALM, false, 5);
@@ -212,7 +209,7 @@
         assertTrue(world.agree());
     }
 
-    /** Guards against numbers that begin anew in a group that an operator forms. */
+    /** Detects numbers that begin anew in a group that an operator forms. */
     @Test
     public void numbersRiseOverGroups() {
         CoordinationSimulation world = started(5, CALM, false, 6);
@@ -232,7 +229,7 @@
         return datagram[0] == (byte) 0xa7 && datagram[1] == 2;
     }
 
-    /** Guards against a lease that is drawn out by old answers that come again and again. */
+    /** Detects a lease that is drawn out by old answers that come again and again. */
     @Test
     public void anAnswerThatComesAgainGivesNothing() {
         CoordinationSimulation world = started(5, CALM, false, 8);
@@ -341,9 +338,7 @@
         }
     }
 
-    /**
-     * Guards against what grows with the number of copies; more of them by {@code -Dfleet.sizes}.
-     */
+    /** Detects what grows with the number of replicas; more of them by {@code -Dfleet.sizes}. */
     @Test
     public void whatACopySendsAndHowSoonATableCounts() {
         for (String each : System.getProperty("fleet.sizes", "10,30").split(",")) {
@@ -384,7 +379,7 @@
         }
     }
 
-    /** A command can be proposed at any copy, whether it votes, leads or neither. */
+    /** A command can be proposed at any replica, whether it votes, leads or neither. */
     @Test
     public void whatIsProposedAtAnyCopyComesToAll() {
         CoordinationSimulation world = started(9, CALM, false, 11);
@@ -421,8 +416,8 @@
     }
 
     /**
-     * What was agreed on first in one group: no other copy uses an earlier one for longer than its
-     * lease.
+     * What was agreed on first in one group: no other replica uses an earlier one for longer than
+     * its lease.
      */
     private static final class LeaseKept {
         private final Map<Long, Long> firstUsed = new TreeMap<>();
@@ -455,8 +450,8 @@
     }
 
     /**
-     * Copies killed, stalled and cut off while tables change, on a network that delays by up to 400
-     * ms, doubles and loses: what was agreed on is one, and no lease is outlived, however words
+     * Replicas killed, stalled and cut off while tables change, on a network that delays by up to
+     * 400 ms, doubles and loses: what was agreed on is one, and no lease is outlived, however words
      * travel.
      */
     @Test
--- a/lab/src/test/java/cedarrudder/lab/docs/Playground.java
+++ b/lab/src/test/java/cedarrudder/lab/docs/Playground.java
@@ -17,8 +17,8 @@
 
 /**
  * Plays the examples of one page, in their order, in a folder that looks like the checkout: small
- * files are copies, with other ports, and whole modules are links. What the examples write stays in
- * the folder.
+ * files are replicas, with other ports, and whole modules are links. What the examples write stays
+ * in the folder.
  */
 final class Playground implements AutoCloseable {
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Links to folders within one, and copies of its files that are as old as they. */
+    /** Links to folders within one, and replicas of its files that are as old as they. */
     private void mirror(String name, List<String> links) throws IOException {
         Files.createDirectories(folder.resolve(name));
         try (Stream<Path> entries = Files.list(root.resolve(name))) {
--- a/lab/src/test/java/cedarrudder/lab/experiment/BootstrapTest.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/BootstrapTest.java
@@ -17,7 +17,7 @@
 
     private static final long SEED = 7;
 
-    /** The share of samples of so many values whose interval holds the true mean, 0. */
+    /** The share of samples of this many values whose interval holds the true mean, 0. */
     private static double coverage(int values, ToDoubleFunction<RandomGenerator> draw) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(SEED);
         int samples = 400;
--- a/lab/src/test/java/cedarrudder/lab/experiment/Fakes.java
+++ b/lab/src/test/java/cedarrudder/lab/experiment/Fakes.java
@@ -15,7 +15,7 @@
 
     private Fakes() {}
 
-    /** A scenario with one tier, {@code front}, of so many nodes. */
+    /** A scenario with one tier, {@code front}, of this many nodes. */
     static Scenario scenario(String name, int nodes) {
         Scenario.Tier tier =
                 new Scenario.Tier(
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -135,7 +135,7 @@
         return result;
     }
 
-    /** Guards against rules that are kept on paper only, and against failover that wins nothing. */
+    /** Detects rules that are kept on paper only, and against failover that wins nothing. */
     @Test
     public void itServesMoreThanStayingAndKeepsTheRules() {
         for (World world : List.of(World.ZONE, World.CASCADE, World.SLOW)) {
@@ -158,7 +158,7 @@
     }
 
     /**
-     * Guards against moves for one copy's broken link, for copies that stood still, and for a cut.
+     * Detects moves for one replica's broken link, for replicas that stood still, and for a cut.
      */
     @Test
     public void nothingMovesOnAFalseGround() {
@@ -177,7 +177,7 @@
         assertTrue(calm.out() < 0.01, "out of the zone " + calm.out());
     }
 
-    /** One seed, one history: guards against a run that depends on anything else. */
+    /** One seed, one history: detects a run that depends on anything else. */
     @Test
     public void oneSeedGivesOneResult() {
         assertEquals(kept(World.FLAP_20).toString(), kept(World.FLAP_20).toString());
--- a/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
@@ -128,7 +128,7 @@
     }
 
     /**
-     * The first answers come when request 50 is there: so much those before it waited, by their
+     * The first answers come when request 50 is there: this much those before it waited, by their
      * times.
      */
     @Test
--- a/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
@@ -25,9 +25,7 @@
     private static final long SEED = 11;
     private static final int TRIES = 3;
 
-    /**
-     * No share over all requests, and nobody turned away: what bounds attempts is the tree alone.
-     */
+    /** No share over all requests, and nobody rejected: what bounds attempts is the tree alone. */
     private static final BudgetSettings TREE_ALONE =
             new BudgetSettings("", TRIES, 1, 1, 1, 1000, 10 * Scenarios.SECOND, 8, 1);
 
--- a/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
@@ -96,7 +96,7 @@
         play(Trouble.CRASH, 1, FIRST);
         Notes.Note gone = notes.find("told", n -> n.word().equals("REMOVED")).get(0);
         Notes.Note back = notes.find("told", n -> n.word().equals("READY") && n.at() > 1).get(0);
-        // A second until it is noticed, half a second at the most until changes go out.
+        // A second until it is noticed, half a second at most until changes go out.
         assertTrue(gone.at() >= BEGINS + 1 && gone.at() < BEGINS + 1.51, "told at " + gone.at());
         assertTrue(back.at() >= ENDS + 0.5 && back.at() < ENDS + 1.01, "told at " + back.at());
         assertEquals(back.figure(), Model.START + ENDS * 1e9, 1.0);
--- a/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
@@ -14,7 +14,7 @@
 
     private static final double SECONDS = 6000;
 
-    /** Of the mean, for so long a run: its standard error is about 2 %. */
+    /** Of the mean, for this long a run: its standard error is about 2 %. */
     private static final double TOLERANCE = 0.05;
 
     @DataProvider
--- a/lab/src/test/java/cedarrudder/lab/model/SharesInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/SharesInModelTest.java
@@ -96,7 +96,7 @@
         assertTrue(result.whole() > 0.9, result.toString());
     }
 
-    /** Guards against a proxy that starts with the shares of its former life. */
+    /** Detects a proxy that starts with the shares of its former life. */
     @Test
     public void theNextLifeKnowsNothingOfThem() {
         at(2, () -> tellAll(0, 10_000));
--- a/stress/src/main/java/cedarrudder/program/HandOvers.java
+++ b/stress/src/main/java/cedarrudder/program/HandOvers.java
@@ -23,7 +23,7 @@
     private HandOvers() {}
 
     /**
-     * The start joins the callers' address while SIGTERM comes: never both as if the other had not
+     * The start joins the clients' address while SIGTERM comes: never both as if the other had not
      * been.
      */
     @JCStressTest
