--- a/core/src/test/java/cedarrudder/balancer/Example.java
+++ b/core/src/test/java/cedarrudder/balancer/Example.java
@@ -21,7 +21,7 @@
 /** A sidecar's use of the library, as the README shows it. */
 final class Example {
 
-    /** One copy of a sidecar before a tier whose requests are safe to repeat. */
+    /** One replica of a sidecar before a tier whose requests are safe to repeat. */
     static LoadBalancer start(Actions actions, long seed, long now) {
         long second = Duration.ofSeconds(1).toNanos();
         RequestClass lookup =
