--- a/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -37,7 +37,7 @@
     private final Map<String, Long> returnedAt = new HashMap<>();
     private final Set<String> former = new LinkedHashSet<>();
     private final Set<String> disabled = new HashSet<>();
-    private Set<Long> leaving = Set.of();
+    private Set<Long> draining = Set.of();
 
     /** Takes in what discovery says, and returns it as the balancer is to see it. */
     public List<Endpoint> listed(EndpointListKind kind, List<Named> entries) {
@@ -46,12 +46,12 @@
             entries.forEach(entry -> named.add(entry.name()));
             List.copyOf(listed.keySet()).stream()
                     .filter(name -> !named.contains(name))
-                    .forEach(this::leave);
+                    .forEach(this::remove);
         }
         List<Endpoint> shown = new ArrayList<>(entries.size());
         for (Named entry : entries) {
             if (entry.endpoint().status() == EndpointStatus.REMOVED) {
-                leave(entry.name());
+                remove(entry.name());
                 shown.add(entry.endpoint());
             } else {
                 former.remove(entry.name());
@@ -62,7 +62,7 @@
         return shown;
     }
 
-    private void leave(String name) {
+    private void remove(String name) {
         returnedAt.remove(name);
         if (listed.remove(name) != null) {
             former.add(name);
@@ -80,7 +80,7 @@
             return null;
         }
         EndpointStatus state =
-                disabled.contains(name) || leaving.contains(entry.id())
+                disabled.contains(name) || draining.contains(entry.id())
                         ? EndpointStatus.DRAINING
                         : entry.status();
         long startedAt =
@@ -125,18 +125,18 @@
      *
      * @return listed endpoints that the balancer is to see anew
      */
-    public Set<String> leaving(Set<Long> nodes, long now) {
+    public Set<String> setDraining(Set<Long> nodes, long now) {
         Set<String> changed = new HashSet<>();
         listed.forEach(
                 (name, entry) -> {
-                    if (leaving.contains(entry.id()) != nodes.contains(entry.id())) {
+                    if (draining.contains(entry.id()) != nodes.contains(entry.id())) {
                         if (!nodes.contains(entry.id()) && !disabled.contains(name)) {
                             returnedAt.put(name, now);
                         }
                         changed.add(name);
                     }
                 });
-        leaving = Set.copyOf(nodes);
+        draining = Set.copyOf(nodes);
         return changed;
     }
 
--- a/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
@@ -3,131 +3,119 @@
 import java.util.Arrays;
 
 /**
- * The figures that the design leaves open, as one value. {@link #DEFAULTS} serves; a variant
- * changes some. Each has the unit that its name ends with; most are plain numbers. They are read
- * with each call, so they stand in an array.
+ * The parameters that the design leaves open, as one immutable value. {@link #DEFAULTS} serves; a
+ * variant changes some. They are read with each request, so they stand in an array.
  */
 public final class BalancerParameters {
 
-    /** What may be set: its default, and the least and the largest value allowed. */
+    /**
+     * One parameter: its written name, its default and its range. Most are plain numbers; a unit
+     * stands in the name.
+     */
     public enum Parameter {
         /**
-         * Probes per call while calls go well: a probe costs real work, and can change little then.
+         * Probes a request while requests are served: a probe costs real work, and changes little.
          */
         PROBES_PER_REQUEST("probes-per-call", 0.1, 0, 16),
-        /**
-         * Probes per call, at least, where calls fail: endpoints differ then, and picks must
-         * follow.
-         */
+        /** Probes a request, at least, where attempts fail: endpoints differ then. */
         PROBES_PER_REQUEST_FAILING("probes-per-call-failing", 0.3, 0, 16),
         /**
-         * Share of failed attempts from which on that many are sent; the rate rises evenly up to
-         * it.
+         * Share of failed attempts from which on that rate is reached; it rises evenly up to it.
          */
         PROBE_RATE_FAILURE_SHARE("probes-failed-share", 0.1, 0.001, 1),
-        /** Probes per call while the pool is thin: an empty pool means blind picks. */
+        /** Probes a request while the pool is sparse: an empty pool means blind picks. */
         PROBES_PER_REQUEST_SPARSE("probes-per-call-thin", 1, 0, 16),
-        /** A pool of fewer entries than this is thin; 0: never. */
+        /** A pool of fewer entries than this is sparse; 0: never. */
         SPARSE_POOL_SIZE("thin-pool", 3, 0, 256),
-        /** Entries kept at most, as in the paper; a part of one counts as none. */
+        /** Entries of the pool, as in the paper; a fraction counts as none. */
         POOL_CAPACITY("pool-size", 16, 1, 256),
-        /**
-         * An older entry leaves. Its RIF has aged away long before; the latency holds for longer.
-         */
+        /** An older entry leaves. Its RIF has aged away long before; the latency holds longer. */
         PROBE_MAX_AGE_MS("max-age-ms", 5000, 1, 600_000),
-        /**
-         * How old a report is when it comes: refreshed a few times a second, it is then on its way.
-         */
+        /** How old a report is when it comes: endpoints refresh it a few times a second. */
         REPORT_AGE_MS("report-age-ms", 200, 0, 60_000),
         /** Weight of the newest reported latency: it is a mean over few requests, and noisy. */
         REPORTED_LATENCY_WEIGHT("report-weight", 0.3, 0.001, 1),
-        /**
-         * A replica that has sent no probe for this long sends one, so that its next call finds
-         * some entry.
-         */
+        /** A replica that has sent no probe for this long sends one. */
         IDLE_PROBE_INTERVAL_MS("idle-ms", 1000, 1, 600_000),
         /** An entry is hot when its RIF exceeds this quantile of the pool's. */
         RIF_QUANTILE("rif-quantile", 0.25, 0, 1),
-        /** Endpoints that a replica probes at least. */
+        /** Endpoints that a replica probes, at least. */
         SUBSET_MIN_SIZE("roster-least", 6, 1, 100_000),
-        /** Endpoints in the roster for each call that the replica has out on the average. */
+        /** Endpoints in the subset for each attempt that is in flight on average. */
         SUBSET_PER_REQUEST("roster-per-call", 0.4, 0, 100),
-        /**
-         * Replicas that have an endpoint in their rosters, at least: with few replicas none goes
-         * unused.
-         */
+        /** Replicas that have an endpoint in their subsets, at least: none goes unused. */
         SUBSET_COVERAGE("roster-cover", 2, 0, 100_000),
         /** An endpoint's requests have turned over, mostly, after this many mean latencies. */
         TURNOVER_LATENCIES("turnover-latencies", 2, 0.01, 1000),
-        /** Weight of the newest latency in the means. */
+        /** Weight of the newest latency in the averages. */
         LATENCY_WEIGHT("latency-weight", 0.05, 0.001, 1),
-        /** An endpoint from which nothing came back for this many mean latencies is silent. */
+        /** An endpoint that sent nothing for this many mean latencies is unresponsive. */
         UNRESPONSIVE_LATENCIES("silent-latencies", 6, 1, 1000),
-        /**
-         * A request is held for at most this share of its aim; then it is worth more told so than
-         * kept.
-         */
+        /** A request is queued for at most this share of its latency objective. */
         QUEUE_TIMEOUT_SHARE("hold-share", 0.1, 0, 1),
         /** Requests that an endpoint may hold to begin with, and always; 0: no limit. */
         INITIAL_ENDPOINT_LIMIT("held-start", 4, 0, 1e6),
-        /** How far worth decides who of those that wait goes first; 0: who came first does. */
+        /** How far priority decides who of the queue goes first; 0: who came first does. */
         QUEUE_PRIORITY_EXPONENT("line-by-worth", 1, 0, 1),
-        /**
-         * How far the advice when to come back is divided by the calls out; 0: it is a request's
-         * time.
-         */
+        /** How far the advice when to retry is divided by the attempts in flight. */
         RETRY_AFTER_EXPONENT("come-back-turn", 1, 0, 1),
-        /**
-         * An answer is late when it takes this many times longer than others for its work; 0: no
-         * replicas.
-         */
+        /** An answer is late when it takes this many times longer than others; 0: no hedging. */
         HEDGE_STRETCH("late-stretch", 3, 0, 1000),
-        /**
-         * Further attempts that an ordinary call pays for: retries stay a small part of the load.
-         */
+        /** Further attempts that an admitted request adds to the retry budget. */
         RETRY_BUDGET_PER_REQUEST("extra-per-call", 0.1, 0, 16),
-        /** Further attempts that may be saved up, to get past a short trouble. */
+        /** Further attempts that may be saved up, to get past a short fault. */
         RETRY_BUDGET_MAX("extra-most", 10, 0, 1e6),
-        /** What one slow answer takes off the limit of calls out at once; 0: there is no limit. */
+        /** What one slow answer takes off the concurrency limit; 0: there is no limit. */
         LIMIT_DECREASE("limit-less", 1, 0, 1000),
-        /**
-         * And what a quick one adds: it rests where one in six is slow, more than a bad endpoint
-         * makes.
-         */
+        /** What a quick one adds: the limit rests where one answer in six is slow. */
         LIMIT_INCREASE("limit-more", 0.2, 0, 1000),
-        /**
-         * A slow answer cuts the limit to this many times the recent peak of calls out at most.
-         * This avoids turning the least worthy away on quiet days: they stop at a small part of the
-         * limit.
-         */
+        /** A slow answer cuts the limit to at most this many times the recent peak. */
         LIMIT_CUT_FACTOR("limit-cut", 4, 1, 1e6),
-        /**
-         * An answer is slow past this share of its aim: where one in six is, most are still in
-         * time.
-         */
+        /** An answer is slow past this share of its latency objective. */
         SLOW_OBJECTIVE_SHARE("slow-share", 0.8, 0.01, 100),
-        /** Part of the limit that is kept from the requests worth least for their work. */
+        /** Part of the limit that is reserved from the requests of least weight for their work. */
         LIMIT_RESERVED_SHARE("kept-from-least", 0.8, 0, 1),
-        /** Part of the cold-start budget that is planned for; the rest is room for chance. */
+        /** Part of the slow-start budget that is planned for; the rest is room for chance. */
         SLOW_START_BUDGET_SHARE("cold-share-used", 0.5, 0.01, 1);
 
-        final String writtenName;
-        final double standard;
-        final double min;
-        final double max;
+        private final String writtenName;
+        private final double defaultValue;
+        private final double min;
+        private final double max;
 
-        Parameter(String writtenName, double standard, double min, double max) {
+        Parameter(String writtenName, double defaultValue, double min, double max) {
             this.writtenName = writtenName;
-            this.standard = standard;
+            this.defaultValue = defaultValue;
             this.min = min;
             this.max = max;
         }
+
+        /** The name by which it is set and reported: small letters and hyphens. */
+        public String writtenName() {
+            return writtenName;
+        }
+
+        double defaultValue() {
+            return defaultValue;
+        }
+
+        double min() {
+            return min;
+        }
+
+        double max() {
+            return max;
+        }
     }
 
     /** What serves where nothing else is said. */
     public static final BalancerParameters DEFAULTS =
             new BalancerParameters(
-                    Arrays.stream(Parameter.values()).mapToDouble(f -> f.standard).toArray());
+                    Arrays.stream(Parameter.values())
+                            .mapToDouble(Parameter::defaultValue)
+                            .toArray());
+
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private final double[] values;
 
@@ -135,23 +123,27 @@
         this.values = values;
     }
 
-    /** A figure, in its unit. */
-    public double get(Parameter figure) {
-        return values[figure.ordinal()];
+    /** A parameter, in its unit. */
+    public double get(Parameter parameter) {
+        return values[parameter.ordinal()];
     }
 
-    /** A figure in milliseconds, as nanoseconds. */
-    long nanos(Parameter figure) {
-        return (long) (get(figure) * 1e6);
+    /** A parameter in milliseconds, as nanoseconds. */
+    long nanos(Parameter parameter) {
+        return (long) (get(parameter) * NANOS_PER_MILLI);
     }
 
-    /** This value with one figure set; outside its range it is an IllegalArgumentException. */
-    public BalancerParameters with(Parameter figure, double value) {
-        if (!(value >= figure.min && value <= figure.max)) {
-            throw BalancerParametersParser.notAllowed(figure, value);
+    /**
+     * These parameters with one of them set.
+     *
+     * @throws IllegalArgumentException where the value is out of its range
+     */
+    public BalancerParameters with(Parameter parameter, double value) {
+        if (!(value >= parameter.min() && value <= parameter.max())) {
+            throw BalancerParametersParser.notAllowed(parameter, value);
         }
         double[] changed = values.clone();
-        changed[figure.ordinal()] = value;
+        changed[parameter.ordinal()] = value;
         return new BalancerParameters(changed);
     }
 }
--- a/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * What one copy of the balancer is told, and what it may do: the whole interface of the balancer.
+ * The decisions of one replica of the proxy: events in, actions out. This is the whole interface of
+ * the balancer.
  *
- * <p>A replica is told of everything through the event methods below, each with the time at which
- * it happened. It answers through {@link Actions}. It keeps no clock, starts no thread and shares
- * nothing with other replicas. All times are nanoseconds; instants are readings of one clock that
- * never goes back and whose zero means nothing. An implementation is not thread-safe: call it from
- * one thread at a time.
+ * <p>A balancer learns of everything through the event methods below, each with the instant at
+ * which it happened, and answers through {@link Actions}. It has no clock, starts no thread and
+ * shares nothing with other replicas. Instants are nanoseconds of one clock that never goes back
+ * and whose zero means nothing. An implementation is not thread-safe: call it from one thread at a
+ * time.
  */
 public interface LoadBalancer {
 
@@ -20,20 +21,17 @@
         OK(false),
         /** The endpoint answered with an error; the work may have run. */
         ERROR(false),
-        /** Rejected unseen, the queue being full or the endpoint draining. */
+        /** Rejected without being executed: the endpoint's queue is full, or it drains. */
         REJECTED(true),
         /** No answer in time; the work may have run or be running. */
         TIMEOUT(false),
         /** No connection could be made in time. */
         CONNECT_FAILED(true),
-        /** The connection broke while the attempt was out. */
+        /** The connection broke while the attempt was in flight. */
         RESET(false),
-        /** Called off by this replica; the work may have run. */
+        /** Cancelled by this replica; the work may have run. */
         CANCELLED(false),
-        /**
-         * Never sent: its request was over, out of time or attempts, or there was no room for it
-         * here.
-         */
+        /** Never sent: its request was over, out of time or of attempts, or buffers were full. */
         NOT_STARTED(true);
 
         private final boolean provesNotRun;
@@ -42,27 +40,33 @@
             this.provesNotRun = provesNotRun;
         }
 
-        /** Whether this outcome proves that the attempt never ran. */
+        /** Whether this outcome proves that the attempt was never executed. */
         public boolean provesNotRun() {
             return provesNotRun;
         }
     }
 
-    /** How far the requests of a class may be repeated once one attempt may have run. */
+    /** Whether the requests of a class may be retried once one attempt may have run. */
     enum Idempotency {
+        /** Always: a repeat has no effect. */
         SAFE,
+        /** With the same idempotency key, where endpoints remember it. */
         KEYED,
+        /** Never. */
         UNSAFE
     }
 
-    /** Which endpoints drop the repeats of a keyed request. */
+    /** Which endpoints recognize an idempotency key. */
     enum KeyScope {
+        /** All of them. */
         ALL,
+        /** Those of the zone that got the key first. */
         ZONE,
+        /** Those of the cell that got the key first. */
         CELL
     }
 
-    /** What the tiers above and below let know of a request, before work goes into it. */
+    /** What the tiers above and below know of a request before work goes into it. */
     enum AdmissionHint {
         /** Nothing speaks against it. */
         ADMIT,
@@ -70,31 +74,38 @@
         LOOP,
         /** Its time can't suffice. */
         DEADLINE_TOO_SHORT,
-        /** The tier below has too much work, and others are worth more for theirs. */
+        /** The tier below has too much work, and other requests have a higher priority. */
         OVERLOADED
     }
 
-    /** What the list of endpoints says of one of them. */
+    /** What the endpoint list says of an endpoint. */
     enum EndpointStatus {
+        /** It takes requests. */
         READY,
+        /** It takes no new requests and ends soon. */
         DRAINING,
+        /** It is no longer listed. */
         REMOVED
     }
 
     /** Whether a list replaces what was known or changes it. */
     enum EndpointListKind {
+        /** The whole list. */
         FULL,
+        /** Changes to it. */
         DELTA,
+        /** The whole list as it was last known, from the configuration. */
         CACHED
     }
 
     /**
      * One class of requests.
      *
-     * @param latencyObjectiveNanos answers within this time of arrival earn the full worth
-     * @param deadlineNanos the longest a client waits, over all its tries
-     * @param lateWeight the share of the worth that a later answer still earns
-     * @param keyWindowNanos how long endpoints remember a key, from the send of the first attempt
+     * @param latencyObjectiveNanos answers within this time of arrival have the full weight
+     * @param deadlineNanos the longest that a client waits, over all its tries
+     * @param priorityWeight the weight of one served request in the site's goal
+     * @param lateWeight the share of the weight that a later answer still has
+     * @param keyWindowNanos how long endpoints remember an idempotency key, from the first attempt
      *     that may have run
      * @param streaming whether answers are streamed
      */
@@ -110,12 +121,23 @@
             boolean streaming) {}
 
     /**
-     * One tenant: its share of the service, and that share in requests a second over all replicas
-     * (0: none).
+     * One tenant.
+     *
+     * @param quotaShare its share of the service
+     * @param quotaPerSecond that share in requests a second over all replicas; 0: none
      */
     record Tenant(String name, double quotaShare, double quotaPerSecond) {}
 
-    /** What the site permits. {@code maxAttempts} counts all attempts of one request. */
+    /**
+     * What the site permits.
+     *
+     * @param probing whether endpoints may be probed
+     * @param cancellation whether attempts in flight may be cancelled
+     * @param hedging whether a request may have several attempts in flight
+     * @param retryAfterAdvice whether rejections may carry advice when to retry
+     * @param maxAttempts all attempts of one request
+     * @param connectionIdleNanos endpoints close connections that are idle for this long; 0: never
+     */
     record Limits(
             boolean probing,
             boolean cancellation,
@@ -127,16 +149,15 @@
             long connectionIdleNanos) {}
 
     /**
-     * The figures of the rules.
+     * The parameters of the rules that keep endpoints from harm.
      *
-     * @param drainGraceNanos sends to a draining or gone endpoint stop within this time of being
-     *     told
+     * @param drainGraceNanos nothing is sent to a draining or removed endpoint this long after that
+     *     is known
      * @param coldCapacityShare an endpoint starts with at least this share of its capacity
      * @param slowStartNanos and is warm within this time
      * @param overloadMultiple sent more than this multiple of what it can do ...
-     * @param overloadWindowNanos ... for this long, a cold endpoint falls over
-     * @param pollIntervalNanos where the list must be asked for: how long a replica may go without
-     *     asking
+     * @param overloadWindowNanos ... for this long, an endpoint that warms up fails
+     * @param pollIntervalNanos where discovery is polled: the longest between two polls
      */
     record SafetyRules(
             long drainGraceNanos,
@@ -147,10 +168,14 @@
             long pollIntervalNanos) {}
 
     /**
-     * What service is worth to the site: the weights of its goal, and the worth of a request over
-     * its share.
+     * The site's goal, as a weighted sum of shares of weight that are served.
      *
-     * @param weightByWork whether a request's worth is its class's for each unit of its work, and
+     * @param overallWeight of all that is served
+     * @param worstWindowWeight of the worst span of time
+     * @param worstClassWeight of the class that is served worst
+     * @param worstTenantWeight of the tenant that is served worst
+     * @param overQuotaWeight the share of its weight that a request over its tenant's quota has
+     * @param weightByWork whether a request's weight is its class's for each unit of its work, and
      *     not the same for all requests of the class
      */
     record ServiceGoal(
@@ -160,32 +185,41 @@
             double worstTenantWeight,
             double overQuotaWeight,
             boolean weightByWork) {
-        /** Requests of a class are worth the same, whatever their work. */
+
+        /** A goal in which requests of a class have the same weight, whatever their work. */
         public ServiceGoal(
-                double whole,
-                double worstWindow,
-                double worstClass,
-                double worstTenant,
-                double overShareWorth) {
-            this(whole, worstWindow, worstClass, worstTenant, overShareWorth, false);
+                double overallWeight,
+                double worstWindowWeight,
+                double worstClassWeight,
+                double worstTenantWeight,
+                double overQuotaWeight) {
+            this(
+                    overallWeight,
+                    worstWindowWeight,
+                    worstClassWeight,
+                    worstTenantWeight,
+                    overQuotaWeight,
+                    false);
         }
     }
 
     /**
-     * What the site charges, in parts of the goal: for a probe and for a new connection, each for a
-     * first try.
+     * What the site charges, in parts of the goal and for each request that has come in.
+     *
+     * @param probe for a probe
+     * @param handshake for a new connection
      */
     record ServicePrices(double probe, double handshake) {}
 
     /**
-     * All that a replica is told when it starts.
+     * All that a balancer is given when it starts.
      *
      * @param replicas how many replicas send to this tier
      * @param self the number of this replica among them, from 0
      * @param zone the zone of this replica
-     * @param tier the tier this replica sends to, from 0
+     * @param tier the tier that this replica sends to, from 0
      * @param tierCount how many tiers there are
-     * @param pollsEndpoints whether the list of endpoints comes only when asked for
+     * @param pollsEndpoints whether discovery has to be polled; else it pushes lists
      */
     record BalancerSettings(
             int replicas,
@@ -202,8 +236,10 @@
             ServicePrices prices) {}
 
     /**
-     * One line of the list of endpoints. {@code startedAt} is the instant of its last start; 0:
-     * long ago.
+     * One entry of the endpoint list.
+     *
+     * @param startedAt the instant of its last start; 0: long ago. Another one is another
+     *     incarnation
      */
     record Endpoint(
             long id,
@@ -215,9 +251,13 @@
             long startedAt) {}
 
     /**
-     * A request. {@code repeat}: its client marked it as a repeat. {@code expectedWorkNanos}: the
-     * work expected, 0 if unknown. {@code uploading}: its body still comes, and {@link
-     * LoadBalancer#onUploadComplete} tells of its end; until then no endpoint has begun it.
+     * A request.
+     *
+     * @param deadline the instant after which no answer is of use
+     * @param repeat whether its client marked it as a repeat
+     * @param expectedWorkNanos the work that it is said to need; 0: not known
+     * @param uploading whether its body is still received, until {@link #onUploadComplete}; no
+     *     endpoint executes it before
      */
     record Request(
             long id,
@@ -229,30 +269,43 @@
             boolean write,
             long expectedWorkNanos,
             boolean uploading) {
-        /** One that is there whole. */
+
+        /** A request that was received completely. */
         public Request(
                 long id,
                 int classIndex,
                 int tenant,
                 long deadline,
-                long key,
+                long idempotencyKey,
                 boolean repeat,
                 boolean write,
-                long work) {
-            this(id, classIndex, tenant, deadline, key, repeat, write, work, false);
+                long expectedWorkNanos) {
+            this(
+                    id,
+                    classIndex,
+                    tenant,
+                    deadline,
+                    idempotencyKey,
+                    repeat,
+                    write,
+                    expectedWorkNanos,
+                    false);
         }
     }
 
     /**
-     * What one zone may get of a replica's calls, by the table that the replicas agree on.
+     * What one zone may get of a replica's requests, by the route table that replicas agree on.
      *
-     * @param zone as the list of endpoints numbers it
-     * @param parts of {@link RouteTable#WHOLE}, this many; from 1
-     * @param maxPerSecond it gets no more calls a second from this replica; 0: no bound
+     * @param zone as the endpoint list numbers it
+     * @param parts this many of {@link RouteTable#WHOLE}; from 1
+     * @param maxPerSecond it gets no more requests a second from this replica; 0: no bound
      */
     record ZoneTrafficShare(int zone, int parts, int maxPerSecond) {
+
         /**
-         * Checks the ranges, which are the table's; what is wrong is an IllegalArgumentException.
+         * Checks the ranges, which are the table's.
+         *
+         * @throws IllegalArgumentException where a value is out of its range
          */
         public ZoneTrafficShare {
             check("zone", zone, 0, RouteTable.MAX_ZONES - 1);
@@ -268,7 +321,7 @@
         }
     }
 
-    /** An endpoint's own report of its load. A figure that it does not report is NaN. */
+    /** An endpoint's own report of its load. A value that it does not report is NaN. */
     record LoadReport(
             double inFlight,
             double queued,
@@ -277,73 +330,64 @@
             double requestsPerSecond,
             double errorsPerSecond) {}
 
-    /**
-     * What a replica may do. Everything takes effect at the time of the event being handled, in
-     * order.
-     */
+    /** What a balancer may do. Actions take effect in order, at the time of the event at hand. */
     interface Actions {
         /**
-         * Starts an attempt; the attempts of a request are numbered from 0 as sent. Time-out 0: the
-         * deadline.
+         * Starts an attempt; the attempts of a request are numbered from 0 in the order started.
+         *
+         * @param timeout in nanoseconds; 0: the request's deadline
          */
         void startAttempt(long request, long endpoint, long timeout);
 
         /**
-         * Ends a request: it was not done and may harmlessly be tried again, after a while (0: no
-         * advice).
+         * Ends a request: it was not executed and may harmlessly be retried.
+         *
+         * @param retryAfter advice when to retry, in nanoseconds; 0: none
          */
         void reject(long request, long retryAfter);
 
         /** Ends a request: it failed, and nothing is promised. */
         void fail(long request);
 
-        /** Stops waiting for one attempt. */
+        /** Stops waiting for an attempt. */
         void cancelAttempt(long request, int attempt);
 
-        /** Asks one endpoint for its load. */
+        /** Probes an endpoint for its load. */
         void sendProbe(long endpoint);
 
-        /** Closes the idle connections to one endpoint. */
+        /** Closes the idle connections to an endpoint. */
         void closeIdleConnections(long endpoint);
 
-        /**
-         * Asks for {@link LoadBalancer#onTimer} with this token at this instant or soon after,
-         * never at once.
-         */
+        /** Asks for {@link #onTimer} with this token at an instant or soon after, never at once. */
         void scheduleTimer(long at, long token);
 
-        /**
-         * Asks to be told of changes to the list from now on (and of those missed), or no longer.
-         */
+        /** Opens the watch on the endpoint list, from the changes last known on, or ends it. */
         void watchEndpoints(boolean on);
 
-        /** Asks for the whole list once. */
+        /** Asks for the whole endpoint list once. */
         void fetchEndpoints();
 
-        /** Sends a short message to one copy of this tier, or to all of them (-1). */
+        /** Sends a short message to one replica of this tier, or to all of them (-1). */
         void sendToPeers(int replica, byte[] message);
 
         /** Writes a line for the operator. */
         void log(String line);
     }
 
-    /**
-     * The list of endpoints, or changes to it. A ready endpoint with a new start time has
-     * restarted.
-     */
+    /** The endpoint list, or changes to it. */
     void onEndpoints(long now, EndpointListKind kind, List<Endpoint> entries);
 
-    /** A call for the list failed or a subscription broke; the old list stands. */
+    /** A call to discovery failed or a watch broke; the known list stands. */
     void onEndpointsUnavailable(long now);
 
-    /** A request has come in; the replica now owes it one final answer. */
+    /** A request has arrived; the balancer now owes it one final answer. */
     void onRequest(long now, Request request);
 
     /**
-     * A request has come in, with how it stands; any but {@link AdmissionHint#ADMIT} should be
-     * rejected. A module that doesn't listen takes it as any other.
+     * A request has arrived with a hint; any but {@link AdmissionHint#ADMIT} should be rejected. A
+     * balancer that does not override this takes it as any other.
      */
-    default void onRequest(long now, Request request, AdmissionHint standing) {
+    default void onRequest(long now, Request request, AdmissionHint hint) {
         onRequest(now, request);
     }
 
@@ -351,8 +395,10 @@
     void onFirstByte(long now, long request, int attempt, long endpoint, long latency);
 
     /**
-     * An attempt ended. {@code settled}: the request is over, by this or earlier. {@code load} may
-     * be null.
+     * An attempt ended.
+     *
+     * @param settled whether the request is over, by this or earlier
+     * @param load null where none was reported
      */
     void onAttemptEnded(
             long now,
@@ -365,68 +411,67 @@
             LoadReport load);
 
     /**
-     * What an attempt that was sent, and of which no byte has gone out yet, ends with instead of
-     * beginning now; null: it may begin. {@link Outcome#CONNECT_FAILED} where another endpoint may
-     * take the request in its place, {@link Outcome#NOT_STARTED} where nothing more may be sent for
-     * it. It is a question, and changes nothing; the outcome is told like any other. A module that
-     * doesn't answer lets all begin.
+     * What an attempt that was started, and of which no byte has gone out, ends with instead of
+     * being sent now; null: it may be sent. {@link Outcome#CONNECT_FAILED} where another endpoint
+     * may take the request, {@link Outcome#NOT_STARTED} where nothing more may be sent for it. This
+     * is a question, and changes nothing; the outcome is reported like any other. A balancer that
+     * does not override it lets all be sent.
      */
     default Outcome startDenial(long now, long request, int attempt) {
         return null;
     }
 
-    /** The last byte of a request that was uploading has come: its client's wait begins now. */
+    /** The body of a request that was uploading is complete: its client's wait begins now. */
     default void onUploadComplete(long now, long request) {}
 
-    /** The client has gone; the request is over. */
+    /** The client has left; the request is over. */
     void onClientLeft(long now, long request);
 
-    /** A scheduled time has come. */
+    /** A timer of {@link Actions#scheduleTimer} has expired. */
     void onTimer(long now, long token);
 
     /**
-     * The probe that was sent {@code latency} ago came back. {@code load} is null unless it was
-     * answered with a report.
+     * A probe ended.
+     *
+     * @param latency how long ago it was sent
+     * @param load null unless it was answered with a report
      */
     void onProbeEnded(long now, long endpoint, Outcome outcome, long latency, LoadReport load);
 
     /**
-     * An answer that had begun, with which its attempt has been told as served, broke off. A module
-     * that doesn't listen never hears of it.
+     * A streamed answer, with which its attempt was reported as served, was aborted.
      *
      * @param sentAt when the attempt was sent
      */
     default void onResponseAborted(long now, long endpoint, long sentAt) {}
 
-    /**
-     * An operator has put an endpoint back, which should get calls soon: nothing may be known of
-     * it.
-     */
+    /** An operator has put an endpoint back, which should get requests soon. */
     default void onEndpointReenabled(long now, long endpoint) {}
 
     /**
-     * How many replicas live, this one with them, from 1 to {@link BalancerSettings#replicas};
-     * until the first such event all do. A module that doesn't listen goes on with all.
+     * How many replicas are alive, this one among them, from 1 to {@link
+     * BalancerSettings#replicas}; until the first such event all are.
      */
     default void onLiveReplicas(long now, int live) {}
 
     /**
-     * Which part of this replica's calls each zone may get from now on, in place of what was said
-     * before. Their order is that in which they stand in for one another, after the replica's own
-     * zone. An empty list, as at the start: any zone may, as the balancer sees fit. A zone named
-     * twice, or parts that sum up to more than a whole, are an IllegalArgumentException, and what
-     * was said before stands. A module that doesn't listen goes on as it was.
+     * Which part of this replica's requests each zone may get from now on. Their order is that in
+     * which they stand in for one another, after the replica's own zone. Empty, as at the start: as
+     * the balancer sees fit.
+     *
+     * @throws IllegalArgumentException where a zone is named twice, or parts sum up to more than a
+     *     whole; what counted before counts on
      */
     default void onZoneShares(long now, List<ZoneTrafficShare> shares) {}
 
     /**
-     * How many of the listed endpoints are avoided now: they drain, they fail, or they are silent.
-     * It is a question, and changes nothing.
+     * How many of the listed endpoints are avoided now: they drain, fail, or are unresponsive. This
+     * is a question, and changes nothing.
      */
     default int avoidedEndpoints(long now) {
         return 0;
     }
 
-    /** A message from another copy of this tier. */
+    /** A message from another replica of this tier. */
     void onPeerMessage(long now, int from, byte[] message);
 }
--- a/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
@@ -20,7 +20,7 @@
      */
     public static final int WINDOW = 64 * 1024;
 
-    private static final Runnable NOBODY = () -> {};
+    private static final Runnable NO_LISTENER = () -> {};
 
     /** Pieces below this size, in bytes, are joined while they wait, up to a whole one. */
     private static final int SMALL = 1024;
@@ -35,11 +35,11 @@
 
     private int joinedLength;
     private final BufferAccount account;
-    private int held;
+    private int bufferedBytes;
     private boolean ended;
     private boolean broken;
-    private Runnable whenMore = NOBODY;
-    private Runnable whenRoom = NOBODY;
+    private Runnable whenMore = NO_LISTENER;
+    private Runnable whenRoom = NO_LISTENER;
 
     public BodyFlow(BufferAccount account) {
         this.account = account;
@@ -54,7 +54,7 @@
                 endJoined();
                 pieces.add(piece);
             }
-            held += piece.length;
+            bufferedBytes += piece.length;
             account.add(piece.length);
             whenMore.run();
         }
@@ -90,8 +90,8 @@
     }
 
     /** Whether to put nothing more for now. While the account is used up one piece is enough. */
-    public boolean full() {
-        return held >= WINDOW || held > 0 && account.usedUp();
+    public boolean isFull() {
+        return bufferedBytes >= WINDOW || bufferedBytes > 0 && account.isExhausted();
     }
 
     /** That was all. */
@@ -105,10 +105,10 @@
      * taken.
      */
     public void fail() {
-        if (!broken && !atEnd()) {
+        if (!broken && !isAtEnd()) {
             broken = true;
-            account.add(-held);
-            held = 0;
+            account.add(-bufferedBytes);
+            bufferedBytes = 0;
             pieces.clear();
             joined = null;
             joinedLength = 0;
@@ -123,7 +123,7 @@
         }
         byte[] piece = pieces.poll();
         if (piece != null) {
-            held -= piece.length;
+            bufferedBytes -= piece.length;
             account.add(-piece.length);
             whenRoom.run();
         }
@@ -131,12 +131,12 @@
     }
 
     /** Whether all was put and taken. */
-    public boolean atEnd() {
-        return ended && held == 0;
+    public boolean isAtEnd() {
+        return ended && bufferedBytes == 0;
     }
 
     /** Whether the rest will not come. */
-    public boolean broken() {
+    public boolean isBroken() {
         return broken;
     }
 
--- a/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
@@ -12,7 +12,7 @@
     public static final long MAX = 16L * 1024 * 1024;
 
     private long max;
-    private long held;
+    private long bufferedBytes;
 
     /**
      * @param max the bound, in bytes; each flow may hold one piece beyond it
@@ -28,16 +28,16 @@
 
     /** This many bytes more are held, or fewer. */
     public void add(long bytes) {
-        held += bytes;
+        bufferedBytes += bytes;
     }
 
     /** How many bytes are held. */
-    public long held() {
-        return held;
+    public long bufferedBytes() {
+        return bufferedBytes;
     }
 
     /** Whether nothing new should be read. */
-    public boolean usedUp() {
-        return held >= max;
+    public boolean isExhausted() {
+        return bufferedBytes >= max;
     }
 }
--- a/core/src/main/java/cedarrudder/budget/AttemptBudget.java
+++ b/core/src/main/java/cedarrudder/budget/AttemptBudget.java
@@ -32,7 +32,7 @@
      * What an attempt may hand down if this many are kept; it counts as spent until it is given
      * back.
      */
-    int handDown(int keep) {
+    int propagate(int keep) {
         int handed = Math.max(0, left - keep);
         left -= handed;
         return handed;
--- a/core/src/main/java/cedarrudder/budget/BudgetFields.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetFields.java
@@ -76,13 +76,13 @@
     public static String budget(PropagatedBudget carried) {
         return VERSION
                 + ";left="
-                + Math.max(1, carried.left() / MILLI)
+                + Math.max(1, carried.remainingNanos() / MILLI)
                 + ";tries="
-                + carried.tries()
+                + carried.attempts()
                 + ";grant="
                 + Long.toHexString(carried.grant())
                 + ";worth="
-                + thousandths(carried.worth())
+                + thousandths(carried.priority())
                 + (carried.repeat() ? ";repeat=1" : "");
     }
 
@@ -119,7 +119,7 @@
     /** The value of {@link #RESULT} for an answer. */
     public static String result(DownstreamFeedback result) {
         return VERSION
-                + (result.spent() < 0 ? "" : ";spent=" + result.spent())
+                + (result.attemptsSpent() < 0 ? "" : ";spent=" + result.attemptsSpent())
                 + (result.why() == Why.NOT_SAID ? "" : ";why=" + result.why().word())
                 + (result.path().hops().isEmpty()
                         ? ""
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -45,12 +45,12 @@
     private final BudgetSettings settings;
     private final BalancerSettings site;
     private final RandomGenerator random;
-    private final BudgetEvents notices;
-    private final RetryBudget tokens;
+    private final BudgetEvents events;
+    private final RetryBudget retryBudget;
     private final SharedBudgets grants = new SharedBudgets();
     private final DefaultDeadline deadlines;
-    private final PriorityScale scale;
-    private final PriorityAdmission gate;
+    private final PriorityScale priorityScale;
+    private final PriorityAdmission priorityAdmission;
     private final LoopReporter loops = new LoopReporter();
     private final QuantileEstimator way = new QuantileEstimator();
     private final QuantileEstimator[] needs;
@@ -75,11 +75,11 @@
         this.settings = settings;
         this.site = site;
         this.random = random;
-        this.notices = notices;
-        tokens = new RetryBudget(settings.share(), settings.minPerSecond(), settings.window());
+        this.events = notices;
+        retryBudget = new RetryBudget(settings.share(), settings.minPerSecond(), settings.window());
         deadlines = new DefaultDeadline(site);
-        scale = new PriorityScale(site);
-        gate = new PriorityAdmission(settings.minAdmitted());
+        priorityScale = new PriorityScale(site);
+        priorityAdmission = new PriorityAdmission(settings.minAdmitted());
         needs = new QuantileEstimator[site.classes().size()];
         neededAt = new long[needs.length];
         for (int i = 0; i < needs.length; i++) {
@@ -88,26 +88,26 @@
     }
 
     /** How long a call of this class that doesn't say may take, in nanoseconds. */
-    public long safeWait(int classIndex) {
+    public long defaultDeadline(int classIndex) {
         return deadlines.of(classIndex);
     }
 
     // ---- what happens ----
 
     /** A request has come, with its deadline and what its client said. */
-    public RequestBudget arrived(long now, Request request, PropagatedBudget carried) {
+    public RequestBudget onRequest(long now, Request request, PropagatedBudget carried) {
         if (carried.deadline()) {
-            deadlines.waited(request.classIndex(), request.deadline() - now);
+            deadlines.onWaited(request.classIndex(), request.deadline() - now);
         }
         boolean repeat = carried.repeat() || request.repeat();
-        double own = scale.of(now, request.classIndex(), request.tenant(), repeat);
-        double worth = Double.isNaN(carried.worth()) ? own : Math.min(carried.worth(), own);
+        double own = priorityScale.of(now, request.classIndex(), request.tenant(), repeat);
+        double worth = Double.isNaN(carried.priority()) ? own : Math.min(carried.priority(), own);
         AdmissionHint standing = standing(now, request, carried, worth);
         if (standing == AdmissionHint.ADMIT) {
             if (repeat) {
-                tokens.spend(now);
+                retryBudget.spend(now);
             } else {
-                tokens.first(now);
+                retryBudget.first(now);
             }
         }
         tell(now, standing, carried);
@@ -137,13 +137,16 @@
         if (needed.count() >= NEEDS_KNOWN && request.deadline() - now < needed.atLeast(QUICKEST)) {
             return AdmissionHint.DEADLINE_TOO_SHORT;
         }
-        return gate.admits(now, worth) ? AdmissionHint.ADMIT : AdmissionHint.OVERLOADED;
+        return priorityAdmission.admits(now, worth)
+                ? AdmissionHint.ADMIT
+                : AdmissionHint.OVERLOADED;
     }
 
     /** Takes the least of what the call says and what this tier allows. */
     private AttemptBudget attempts(long now, Request request, PropagatedBudget carried) {
         int unsaid = site.tier() == 0 ? settings.tries() : settings.triesWithoutFields();
-        int tries = carried.tries() < 0 ? unsaid : Math.min(carried.tries(), settings.tries());
+        int tries =
+                carried.attempts() < 0 ? unsaid : Math.min(carried.attempts(), settings.tries());
         return carried.grant() == 0
                 ? new AttemptBudget(tries)
                 : grants.of(
@@ -156,24 +159,24 @@
     }
 
     /** The client has gone before it was answered. */
-    public void left(long now, RequestBudget call) {
-        if (!call.carried.deadline()) {
-            deadlines.waited(call.request.classIndex(), now - call.arrivedAt);
+    public void onClientLeft(long now, RequestBudget call) {
+        if (!call.received.deadline()) {
+            deadlines.onWaited(call.request.classIndex(), now - call.arrivedAt);
         }
     }
 
     /** A probe took so long, there and back. */
-    public void probed(long latency) {
+    public void onProbeAnswered(long latency) {
         way.add(latency);
     }
 
     /**
      * An attempt ended.
      *
-     * @param handed what {@link #handDown} gave it
+     * @param handed what {@link #propagate} gave it
      * @param below what its answer said
      */
-    public void ended(
+    public void onAttemptEnded(
             long now,
             RequestBudget call,
             PropagatedBudget handed,
@@ -181,26 +184,26 @@
             long latency,
             DownstreamFeedback below) {
         if (outcome.provesNotRun()) {
-            call.attempts.giveBack(handed.tries(), 0);
-        } else if (below.spent() >= 0) {
-            call.attempts.giveBack(handed.tries(), below.spent());
+            call.attempts.giveBack(handed.attempts(), 0);
+        } else if (below.attemptsSpent() >= 0) {
+            call.attempts.giveBack(handed.attempts(), below.attemptsSpent());
         }
         boolean overload = below.why() == Why.OVERLOAD;
         if (overload || below.why() == Why.LOOP) {
             call.closed = true;
-            call.said = below.why();
+            call.requestedDeadline = below.why();
             call.loop = below.path();
         } else if (outcome == Outcome.REJECTED) {
-            call.said = Why.OVERLOAD;
+            call.requestedDeadline = Why.OVERLOAD;
         }
         if (outcome == Outcome.OK) {
             int kind = call.request.classIndex();
-            scale.served(kind, latency);
+            priorityScale.served(kind, latency);
             needs[kind].add(latency);
             neededAt[kind] = now;
         }
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
-            gate.answered(now, overload);
+            priorityAdmission.onAnswer(now, overload);
         }
     }
 
@@ -216,21 +219,21 @@
         }
         if (call.sent > 0) {
             boolean tree = !call.closed && call.attempts.covers();
-            if (!tree || !tokens.covers(now)) {
+            if (!tree || !retryBudget.covers(now)) {
                 call.denied = true;
                 byTree += tree ? 0 : 1;
                 byShare += tree ? 1 : 0;
                 return false;
             }
             call.attempts.spend();
-            tokens.spend(now);
+            retryBudget.spend(now);
         }
         call.sent++;
         return true;
     }
 
     /** What goes down with the attempt that was just allowed. */
-    public PropagatedBudget handDown(long now, RequestBudget call) {
+    public PropagatedBudget propagate(long now, RequestBudget call) {
         long left = call.request.deadline() - now;
         long margin =
                 Math.min(way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (MAX_WAY * left));
@@ -239,11 +242,11 @@
                 true,
                 true,
                 Math.max(MIN_LEFT, left - margin),
-                last ? 0 : call.attempts.handDown(settings.keep()),
+                last ? 0 : call.attempts.propagate(settings.keep()),
                 Math.max(1, random.nextLong() >>> 1),
-                call.worth,
+                call.priority,
                 call.repeat || call.sent > 1,
-                call.carried.path().plus(settings.hop()));
+                call.received.path().plus(settings.hop()));
     }
 
     // ---- what the operator reads ----
@@ -253,7 +256,7 @@
         if (standing == AdmissionHint.LOOP) {
             long more = loops.due(now, carried.path().from(settings.hop()));
             if (more >= 0) {
-                notices.loop(carried.path().plus(settings.hop()), more);
+                events.loop(carried.path().plus(settings.hop()), more);
             }
         }
         if (minuteEnds == Long.MIN_VALUE) {
@@ -268,14 +271,14 @@
         long overload = stood[AdmissionHint.OVERLOADED.ordinal()];
         long noTime = stood[AdmissionHint.DEADLINE_TOO_SHORT.ordinal()];
         if (overload + noTime + byTree + byShare > 0) {
-            notices.minute(
+            events.minute(
                     new BudgetEvents.Minute(
                             stood[AdmissionHint.ADMIT.ordinal()] + overload + noTime,
                             byTree,
                             byShare,
                             overload,
                             noTime,
-                            Math.round(100 * gate.share())));
+                            Math.round(100 * priorityAdmission.share())));
         }
         byTree = 0;
         byShare = 0;
--- a/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
+++ b/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
@@ -43,7 +43,7 @@
     }
 
     /** A client said that it waits so long, or was seen to leave after this long. */
-    void waited(int classIndex, long nanos) {
+    void onWaited(int classIndex, long nanos) {
         waits[classIndex].add(nanos);
     }
 
--- a/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
+++ b/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
@@ -3,11 +3,11 @@
 /**
  * What goes up to a tier with an answer.
  *
- * @param spent how much of what was handed down has been used; -1 where not said
+ * @param attemptsSpent how much of what was handed down has been used; -1 where not said
  * @param why why the call wasn't served; {@link Why#NOT_SAID} also where it was
  * @param path the path that closes a loop; empty where there is none
  */
-public record DownstreamFeedback(int spent, Why why, HopPath path) {
+public record DownstreamFeedback(int attemptsSpent, Why why, HopPath path) {
 
     /** An answer that says nothing. */
     public static final DownstreamFeedback NOTHING =
--- a/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
@@ -42,7 +42,7 @@
     }
 
     /** An attempt was answered; {@code overload}: by word that there was too much work below. */
-    void answered(long now, boolean overload) {
+    void onAnswer(long now, boolean overload) {
         step(now);
         answers++;
         overloads += overload ? 1 : 0;
--- a/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
+++ b/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
@@ -4,23 +4,23 @@
  * What comes down to a tier with a call. All of it has been bounded when it was read, and none of
  * it is more than a wish: what a tier's own settings allow bounds it again.
  *
- * @param spoken whether the client speaks these fields, so that it is told what became of its
+ * @param isPresent whether the client speaks these fields, so that it is told what became of its
  *     budget
  * @param deadline whether the client itself said how long it waits
- * @param left how long the client waits, less the way, in nanoseconds; 0 where not said
- * @param tries further attempts for this tier and all below; -1 where not said
+ * @param remainingNanos how long the client waits, less the way, in nanoseconds; 0 where not said
+ * @param attempts further attempts for this tier and all below; -1 where not said
  * @param grant names the hand-down, so that calls of one endpoint share it; 0 where not said
- * @param worth the worth for its work, from 0 to 1; NaN where not said
+ * @param priority the worth for its work, from 0 to 1; NaN where not said
  * @param repeat whether this is part of what a client or a tier above sends again
  * @param path the tiers passed
  */
 public record PropagatedBudget(
-        boolean spoken,
+        boolean isPresent,
         boolean deadline,
-        long left,
-        int tries,
+        long remainingNanos,
+        int attempts,
         long grant,
-        double worth,
+        double priority,
         boolean repeat,
         HopPath path) {
 
@@ -31,13 +31,21 @@
     /** The same, some nanoseconds later. */
     public PropagatedBudget after(long elapsed) {
         return new PropagatedBudget(
-                spoken, deadline, Math.max(1, left - elapsed), tries, grant, worth, repeat, path);
+                isPresent,
+                deadline,
+                Math.max(1, remainingNanos - elapsed),
+                attempts,
+                grant,
+                priority,
+                repeat,
+                path);
     }
 
     /** The same of a client that said, or didn't say, how long it waits. */
     public PropagatedBudget withDeadline(boolean said) {
         return said == deadline
                 ? this
-                : new PropagatedBudget(spoken, said, left, tries, grant, worth, repeat, path);
+                : new PropagatedBudget(
+                        isPresent, said, remainingNanos, attempts, grant, priority, repeat, path);
     }
 }
--- a/core/src/main/java/cedarrudder/budget/RequestBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RequestBudget.java
@@ -11,10 +11,10 @@
 public final class RequestBudget {
 
     final Request request;
-    final PropagatedBudget carried;
+    final PropagatedBudget received;
     final long arrivedAt;
     final AdmissionHint standing;
-    final double worth;
+    final double priority;
     final boolean repeat;
     final AttemptBudget attempts;
 
@@ -28,7 +28,7 @@
     boolean denied;
 
     /** What answers said of why it wasn't served. */
-    Why said = Why.NOT_SAID;
+    Why requestedDeadline = Why.NOT_SAID;
 
     /** The path that closes a loop; empty where there is none. */
     HopPath loop;
@@ -43,10 +43,10 @@
             AttemptBudget attempts,
             HopPath loop) {
         this.request = request;
-        this.carried = carried;
+        this.received = carried;
         this.arrivedAt = arrivedAt;
         this.standing = standing;
-        this.worth = worth;
+        this.priority = worth;
         this.repeat = repeat;
         this.attempts = attempts;
         this.loop = loop;
@@ -58,32 +58,32 @@
     }
 
     /** The worth for its work, from 0 to 1, by the least of what any tier says. */
-    public double worth() {
-        return worth;
+    public double priority() {
+        return priority;
     }
 
     /**
      * What goes up with the answer that serves it; null where the client doesn't speak these
      * fields.
      */
-    public DownstreamFeedback served() {
-        return up(Why.NOT_SAID);
+    public DownstreamFeedback servedFeedback() {
+        return feedback(Why.NOT_SAID);
     }
 
     /** What goes up with a refusal; null where the client doesn't speak these fields. */
-    public DownstreamFeedback refused() {
+    public DownstreamFeedback rejectedFeedback() {
         Why why = why();
         // Rejected by the balancer itself before anything was sent: there was no room for it.
-        return up(why == Why.NOT_SAID && sent == 0 ? Why.OVERLOAD : why);
+        return feedback(why == Why.NOT_SAID && sent == 0 ? Why.OVERLOAD : why);
     }
 
     /** What goes up with a failure; null where the client doesn't speak these fields. */
-    public DownstreamFeedback failed() {
-        return up(why());
+    public DownstreamFeedback failedFeedback() {
+        return feedback(why());
     }
 
-    private DownstreamFeedback up(Why why) {
-        return carried.spoken() ? new DownstreamFeedback(attempts.spent(), why, loop) : null;
+    private DownstreamFeedback feedback(Why why) {
+        return received.isPresent() ? new DownstreamFeedback(attempts.spent(), why, loop) : null;
     }
 
     private Why why() {
@@ -91,7 +91,8 @@
             case LOOP -> Why.LOOP;
             case OVERLOADED -> Why.OVERLOAD;
             case DEADLINE_TOO_SHORT -> Why.TIME;
-            case ADMIT -> said == Why.NOT_SAID && denied ? Why.TRIES : said;
+            case ADMIT ->
+                    requestedDeadline == Why.NOT_SAID && denied ? Why.TRIES : requestedDeadline;
         };
     }
 
--- a/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
+++ b/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
@@ -26,21 +26,21 @@
     record Last(long incarnation, long sequence, LogPosition number) {}
 
     /** What a snapshot holds: these, and the state of the replica. */
-    record Parts(AppliedProposals proposers, byte[] state) {}
+    record Parts(AppliedProposals appliedProposals, byte[] state) {}
 
     /** Those whose last one is oldest come first. */
-    private final Map<Integer, Last> lasts = new LinkedHashMap<>();
+    private final Map<Integer, Last> lastByReplica = new LinkedHashMap<>();
 
     private LogPosition forgotten = new LogPosition(VoterGroup.NONE, 0);
 
     /** The last one of a replica that took effect; null where none did or it was forgotten. */
     Last last(int replica) {
-        return lasts.get(replica);
+        return lastByReplica.get(replica);
     }
 
     /** Whether it has not taken effect, and none has that came after it. */
     boolean isNew(Proposal proposal) {
-        Last last = lasts.get(proposal.replica());
+        Last last = lastByReplica.get(proposal.replica());
         return last == null
                 ? proposal.after().compareTo(forgotten) >= 0
                 : proposal.incarnation() > last.incarnation
@@ -49,26 +49,26 @@
     }
 
     /** It takes effect. */
-    void took(Proposal proposal, LogPosition number) {
-        lasts.remove(proposal.replica());
-        lasts.put(
+    void onApplied(Proposal proposal, LogPosition number) {
+        lastByReplica.remove(proposal.replica());
+        lastByReplica.put(
                 proposal.replica(), new Last(proposal.incarnation(), proposal.sequence(), number));
-        if (lasts.size() > MAX) {
-            forgotten = lasts.remove(lasts.keySet().iterator().next()).number;
+        if (lastByReplica.size() > MAX) {
+            forgotten = lastByReplica.remove(lastByReplica.keySet().iterator().next()).number;
         }
     }
 
     /** With the state of the replica, as a snapshot holds it. */
-    byte[] with(byte[] state) {
+    byte[] encodeWith(byte[] state) {
         ByteBuffer out =
                 ByteBuffer.allocate(
                         2
                                 + Proposal.NUMBER_BYTES
-                                + lasts.size() * (18 + Proposal.NUMBER_BYTES)
+                                + lastByReplica.size() * (18 + Proposal.NUMBER_BYTES)
                                 + state.length);
-        out.putShort((short) lasts.size());
+        out.putShort((short) lastByReplica.size());
         Proposal.put(out, forgotten);
-        lasts.forEach(
+        lastByReplica.forEach(
                 (replica, last) -> {
                     out.putShort(replica.shortValue())
                             .putLong(last.incarnation)
@@ -89,7 +89,8 @@
             }
             for (int i = 0; i < count; i++) {
                 int replica = in.getShort() & 0xffff;
-                read.lasts.put(replica, new Last(in.getLong(), in.getLong(), Proposal.number(in)));
+                read.lastByReplica.put(
+                        replica, new Last(in.getLong(), in.getLong(), Proposal.number(in)));
             }
             byte[] state = new byte[in.remaining()];
             in.get(state);
--- a/core/src/main/java/cedarrudder/consensus/ByteRateLimiter.java
+++ b/core/src/main/java/cedarrudder/consensus/ByteRateLimiter.java
@@ -9,25 +9,25 @@
     private static final double SECOND = 1e9;
 
     private final int perSecond;
-    private double left;
-    private long at;
+    private double tokens;
+    private long refilledAt;
 
     ByteRateLimiter(int perSecond, long now) {
         this.perSecond = perSecond;
-        this.left = perSecond;
-        this.at = now;
+        this.tokens = perSecond;
+        this.refilledAt = now;
     }
 
     /**
      * Spends them, if anything is left: one message may go beyond, and is paid for before the next.
      */
-    boolean spend(long now, int bytes) {
-        left = Math.min(perSecond, left + (now - at) * (perSecond / SECOND));
-        at = now;
-        if (left <= 0) {
+    boolean tryAcquire(long now, int bytes) {
+        tokens = Math.min(perSecond, tokens + (now - refilledAt) * (perSecond / SECOND));
+        refilledAt = now;
+        if (tokens <= 0) {
             return false;
         }
-        left -= bytes;
+        tokens -= bytes;
         return true;
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/ConsensusEvent.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusEvent.java
@@ -6,16 +6,16 @@
     VoterGroup group();
 
     /** It promised a vote, its own included. */
-    record Voted(VoterGroup group, long term, Voter by, Voter candidate)
+    record VoteGranted(VoterGroup group, long term, Voter by, Voter candidate)
             implements ConsensusEvent {}
 
     /** It leads from here on. */
-    record Leads(VoterGroup group, long term, Voter by) implements ConsensusEvent {}
+    record LeaderElected(VoterGroup group, long term, Voter by) implements ConsensusEvent {}
 
     /** It has stored an entry and may say so. */
-    record Stored(VoterGroup group, long index, Voter by, LogEntry entry)
+    record EntryStored(VoterGroup group, long index, Voter by, LogEntry entry)
             implements ConsensusEvent {}
 
     /** It knows that these voters are committed. */
-    record Seated(VoterGroup group, long index, VoterSet voters) implements ConsensusEvent {}
+    record VotersChanged(VoterGroup group, long index, VoterSet voters) implements ConsensusEvent {}
 }
--- a/core/src/main/java/cedarrudder/consensus/Election.java
+++ b/core/src/main/java/cedarrudder/consensus/Election.java
@@ -1,7 +1,7 @@
 package cedarrudder.consensus;
 
-import cedarrudder.consensus.RaftMessage.AskVote;
-import cedarrudder.consensus.RaftMessage.SayVote;
+import cedarrudder.consensus.RaftMessage.RequestVote;
+import cedarrudder.consensus.RaftMessage.VoteResponse;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.random.RandomGenerator;
@@ -11,26 +11,26 @@
 
     /** What a replica does in its term. */
     enum Role {
-        FOLLOWS,
-        ASKS_AHEAD,
-        ASKS,
-        LEADS
+        FOLLOWER,
+        PRE_CANDIDATE,
+        CANDIDATE,
+        LEADER
     }
 
-    private final RaftContext circle;
+    private final RaftContext context;
     private final ConsensusSettings settings;
-    private final SafetyRules conduct;
+    private final SafetyRules rules;
     private final RandomGenerator random;
     private final Set<Voter> granted = new HashSet<>();
-    private Role role = Role.FOLLOWS;
+    private Role role = Role.FOLLOWER;
     private long term;
     private Voter vote;
-    private boolean sworn;
+    private boolean admitted;
     private int leader = -1;
-    private long heardAt;
-    private long electionAt;
+    private long leaderHeardAt;
+    private long electionTimeoutAt;
     private long askAt;
-    private boolean called;
+    private boolean transferred;
 
     Election(
             RaftContext circle,
@@ -38,37 +38,37 @@
             SafetyRules conduct,
             RandomGenerator random,
             long now) {
-        this.circle = circle;
+        this.context = circle;
         this.settings = settings;
-        this.conduct = conduct;
+        this.rules = conduct;
         this.random = random;
-        this.heardAt = now - settings.minElection();
-        putOff(now);
+        this.leaderHeardAt = now - settings.minElection();
+        resetElectionTimeout(now);
     }
 
-    void remember(StableStorage.Promise promise) {
+    void restore(StableStorage.HardState promise) {
         term = promise.term();
         vote = promise.vote();
-        sworn = promise.sworn();
+        admitted = promise.admitted();
     }
 
     /** Another group: nothing of the former counts. */
     void reset(long now) {
-        role = Role.FOLLOWS;
+        role = Role.FOLLOWER;
         term = 0;
         vote = null;
-        sworn = false;
+        admitted = false;
         leader = -1;
-        heardAt = now - settings.minElection();
-        putOff(now);
+        leaderHeardAt = now - settings.minElection();
+        resetElectionTimeout(now);
     }
 
     Role role() {
         return role;
     }
 
-    boolean leads() {
-        return role == Role.LEADS;
+    boolean isLeader() {
+        return role == Role.LEADER;
     }
 
     long term() {
@@ -79,29 +79,29 @@
         return vote;
     }
 
-    boolean sworn() {
-        return sworn;
+    boolean isAdmitted() {
+        return admitted;
     }
 
     /** The replica that leads, as far as this one knows; -1 where it knows of none. */
     int leader() {
-        return leads() ? circle.self().replica() : leader;
+        return isLeader() ? context.self().replica() : leader;
     }
 
     /** The group has committed this life as a voter. */
-    void swear() {
-        if (!sworn) {
-            sworn = true;
-            circle.promised();
+    void admitAsVoter() {
+        if (!admitted) {
+            admitted = true;
+            context.onHardStateChanged();
         }
     }
 
     boolean mayVote() {
-        return conduct.mayVote(sworn, circle.log().voters().has(circle.self()));
+        return rules.mayVote(admitted, context.log().voters().contains(context.self()));
     }
 
-    private void putOff(long now) {
-        electionAt =
+    private void resetElectionTimeout(long now) {
+        electionTimeoutAt =
                 now
                         + settings.minElection()
                         + (long)
@@ -110,141 +110,143 @@
     }
 
     /** A leader of a term that is not past has been heard of. */
-    void heard(long now, int from, long ofTerm) {
-        follow(now, ofTerm);
+    void onLeaderHeard(long now, int from, long ofTerm) {
+        becomeFollower(now, ofTerm);
         leader = from;
-        heardAt = now;
+        leaderHeardAt = now;
     }
 
     /** Goes on as one who follows, in this term where it is a later one. */
-    void follow(long now, long ofTerm) {
+    void becomeFollower(long now, long ofTerm) {
         if (ofTerm > term) {
             term = ofTerm;
             vote = null;
             leader = -1;
-            circle.promised();
+            context.onHardStateChanged();
         }
-        role = Role.FOLLOWS;
-        putOff(now);
+        role = Role.FOLLOWER;
+        resetElectionTimeout(now);
     }
 
     /** Whether it has heard of a leader so lately that another is not called for. */
     private boolean content(long now) {
-        return leads() || leader >= 0 && now - heardAt < settings.minElection();
+        return isLeader() || leader >= 0 && now - leaderHeardAt < settings.minElection();
     }
 
     long due() {
-        if (leads() || !mayVote()) {
+        if (isLeader() || !mayVote()) {
             return Long.MAX_VALUE;
         }
-        return role == Role.FOLLOWS ? electionAt : Math.min(electionAt, askAt);
+        return role == Role.FOLLOWER ? electionTimeoutAt : Math.min(electionTimeoutAt, askAt);
     }
 
     void tick(long now) {
-        if (leads() || !mayVote()) {
+        if (isLeader() || !mayVote()) {
             return;
         }
-        if (now >= electionAt) {
+        if (now >= electionTimeoutAt) {
             leader = -1;
-            called = false;
-            begin(now, conduct.asksFirst() ? Role.ASKS_AHEAD : Role.ASKS);
-        } else if (role != Role.FOLLOWS && now >= askAt) {
-            ask(now);
+            transferred = false;
+            begin(now, rules.requiresPreVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE);
+        } else if (role != Role.FOLLOWER && now >= askAt) {
+            requestVotes(now);
         }
     }
 
     /** The leader told it to. */
-    void call(long now) {
-        if (!leads() && mayVote()) {
-            called = true;
-            begin(now, Role.ASKS);
+    void startElection(long now) {
+        if (!isLeader() && mayVote()) {
+            transferred = true;
+            begin(now, Role.CANDIDATE);
         }
     }
 
     private void begin(long now, Role as) {
         role = as;
         granted.clear();
-        granted.add(circle.self());
-        if (as == Role.ASKS) {
+        granted.add(context.self());
+        if (as == Role.CANDIDATE) {
             term++;
-            vote = circle.self();
-            circle.promised();
-            circle.note(new ConsensusEvent.Voted(circle.group(), term, vote, vote));
+            vote = context.self();
+            context.onHardStateChanged();
+            context.record(new ConsensusEvent.VoteGranted(context.group(), term, vote, vote));
         }
-        putOff(now);
-        ask(now);
+        resetElectionTimeout(now);
+        requestVotes(now);
         count(now);
     }
 
-    private void ask(long now) {
+    private void requestVotes(long now) {
         askAt = now + settings.heartbeat();
-        boolean ahead = role == Role.ASKS_AHEAD;
-        RaftLog log = circle.log();
+        boolean ahead = role == Role.PRE_CANDIDATE;
+        RaftLog log = context.log();
         for (Voter voter : log.voters().all()) {
             if (!granted.contains(voter)) {
-                circle.post(
+                context.send(
                         voter.replica(),
-                        new AskVote(ahead, called, log.last(), log.term(log.last())),
+                        new RequestVote(
+                                ahead, transferred, log.lastIndex(), log.term(log.lastIndex())),
                         ahead ? term + 1 : term);
             }
         }
     }
 
     private void count(long now) {
-        if (!circle.log().voters().majority(granted::contains)) {
+        if (!context.log().voters().quorum(granted::contains)) {
             return;
         }
-        if (role == Role.ASKS_AHEAD) {
-            begin(now, Role.ASKS);
-        } else if (role == Role.ASKS) {
-            role = Role.LEADS;
-            circle.note(new ConsensusEvent.Leads(circle.group(), term, circle.self()));
+        if (role == Role.PRE_CANDIDATE) {
+            begin(now, Role.CANDIDATE);
+        } else if (role == Role.CANDIDATE) {
+            role = Role.LEADER;
+            context.record(new ConsensusEvent.LeaderElected(context.group(), term, context.self()));
         }
     }
 
-    void asked(long now, Voter by, long inTerm, AskVote ask) {
-        if (content(now) && !ask.called()) {
+    void onRequestVote(long now, Voter by, long inTerm, RequestVote ask) {
+        if (content(now) && !ask.transferred()) {
             return;
         }
-        RaftLog log = circle.log();
-        long ownTerm = log.term(log.last());
+        RaftLog log = context.log();
+        long ownTerm = log.term(log.lastIndex());
         boolean upToDate =
                 ask.lastTerm() > ownTerm
-                        || ask.lastTerm() == ownTerm && ask.lastIndex() >= log.last();
-        if (ask.ahead()) {
-            circle.post(
+                        || ask.lastTerm() == ownTerm && ask.lastIndex() >= log.lastIndex();
+        if (ask.preVote()) {
+            context.send(
                     by.replica(),
-                    new SayVote(true, inTerm > term && upToDate && mayVote(), inTerm));
+                    new VoteResponse(true, inTerm > term && upToDate && mayVote(), inTerm));
             return;
         }
         if (inTerm > term) {
-            follow(now, inTerm);
+            becomeFollower(now, inTerm);
         }
         boolean grants =
                 inTerm == term && upToDate && mayVote() && (vote == null || vote.equals(by));
         if (grants && vote == null) {
             vote = by;
-            circle.promised();
-            circle.note(new ConsensusEvent.Voted(circle.group(), term, circle.self(), by));
+            context.onHardStateChanged();
+            context.record(
+                    new ConsensusEvent.VoteGranted(context.group(), term, context.self(), by));
         }
         if (grants) {
-            putOff(now);
+            resetElectionTimeout(now);
         }
-        circle.post(by.replica(), new SayVote(false, grants, inTerm));
+        context.send(by.replica(), new VoteResponse(false, grants, inTerm));
     }
 
-    void said(long now, Voter by, long inTerm, SayVote say) {
+    void onVoteResponse(long now, Voter by, long inTerm, VoteResponse say) {
         if (inTerm > term && !say.granted()) {
-            if (!leads()) {
-                follow(now, inTerm);
+            if (!isLeader()) {
+                becomeFollower(now, inTerm);
             }
             return;
         }
-        boolean ahead = role == Role.ASKS_AHEAD;
+        boolean ahead = role == Role.PRE_CANDIDATE;
         if (say.granted()
-                && (ahead || role == Role.ASKS)
-                && say.ahead() == ahead
-                && say.askedTerm() == (ahead ? term + 1 : term)) {
+                && (ahead || role == Role.CANDIDATE)
+                && say.preVote() == ahead
+                && say.requestedTerm() == (ahead ? term + 1 : term)) {
             granted.add(by);
             count(now);
         }
--- a/core/src/main/java/cedarrudder/consensus/LeaderContact.java
+++ b/core/src/main/java/cedarrudder/consensus/LeaderContact.java
@@ -15,12 +15,12 @@
 
     private static final long MILLI = 1_000_000L;
 
-    private final SafetyRules conduct;
+    private final SafetyRules rules;
     private long since = UNKNOWN;
     private long index;
 
     LeaderContact(SafetyRules conduct) {
-        this.conduct = conduct;
+        this.rules = conduct;
     }
 
     long since() {
@@ -38,7 +38,7 @@
         return index;
     }
 
-    void sure(long instant, long committed) {
+    void onQuorum(long instant, long committed) {
         if (instant > since) {
             since = instant;
             index = committed;
@@ -51,7 +51,9 @@
     }
 
     /** One who was asked at that instant, and has answered now, knew of a contact of this age. */
-    void told(long now, long askedAt, int age, long committed) {
-        sure(conduct.countsFrom(askedAt, now) - conduct.lengthened(age * MILLI), committed);
+    void onReported(long now, long askedAt, int age, long committed) {
+        onQuorum(
+                rules.contactCountsFrom(askedAt, now) - rules.withClockDrift(age * MILLI),
+                committed);
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/LogDissemination.java
+++ b/core/src/main/java/cedarrudder/consensus/LogDissemination.java
@@ -1,10 +1,10 @@
 package cedarrudder.consensus;
 
-import cedarrudder.consensus.RaftMessage.Ask;
-import cedarrudder.consensus.RaftMessage.Chunk;
+import cedarrudder.consensus.RaftMessage.CommittedEntries;
 import cedarrudder.consensus.RaftMessage.Digest;
-import cedarrudder.consensus.RaftMessage.News;
-import cedarrudder.consensus.RaftMessage.Sure;
+import cedarrudder.consensus.RaftMessage.DigestResponse;
+import cedarrudder.consensus.RaftMessage.FetchRequest;
+import cedarrudder.consensus.RaftMessage.SnapshotChunk;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -38,23 +38,23 @@
     private static final long PATIENCE = 100_000_000L;
 
     /** A snapshot of which the beginning is there. */
-    private record Fetch(Chunk first, byte[] state, int got) {}
+    private record Fetch(SnapshotChunk first, byte[] state, int received) {}
 
-    private final RaftContext circle;
+    private final RaftContext context;
     private final ConsensusSettings settings;
-    private final ReplicaDirectory tier;
+    private final ReplicaDirectory replicas;
     private final RandomGenerator random;
-    private final ByteRateLimiter allowance;
+    private final ByteRateLimiter limiter;
     private final LeaderContact contact;
-    private final PendingQueries asks;
+    private final PendingQueries queries;
     private Fetch fetch;
     private long askedAt;
     private long digestAt;
     private int hotDigests;
     private long repliedAt;
-    private long beatTerm;
-    private long beat;
-    private long beatAt;
+    private long heartbeatTerm;
+    private long heartbeatSequence;
+    private long heartbeatAt;
     private int leader = -1;
 
     LogDissemination(
@@ -65,26 +65,26 @@
             ByteRateLimiter allowance,
             LeaderContact contact,
             long now) {
-        this.circle = circle;
+        this.context = circle;
         this.settings = settings;
-        this.tier = tier;
+        this.replicas = tier;
         this.random = random;
-        this.allowance = allowance;
+        this.limiter = allowance;
         this.contact = contact;
-        this.asks = new PendingQueries(random);
+        this.queries = new PendingQueries(random);
         this.digestAt = now + (long) (random.nextDouble() * settings.spreadPeriod());
         this.askedAt = now - PATIENCE;
         this.repliedAt = now - REPLIES;
-        this.beatAt = now;
+        this.heartbeatAt = now;
     }
 
     /** Another group: nothing of the former counts. */
     void reset(long now) {
         fetch = null;
         askedAt = now - PATIENCE;
-        beatTerm = 0;
-        beat = 0;
-        beatAt = now;
+        heartbeatTerm = 0;
+        heartbeatSequence = 0;
+        heartbeatAt = now;
         leader = -1;
     }
 
@@ -93,21 +93,21 @@
         return leader;
     }
 
-    long beatTerm() {
-        return beatTerm;
+    long heartbeatTerm() {
+        return heartbeatTerm;
     }
 
     /** When it last heard that a leader leads. */
-    long beatAt() {
-        return beatAt;
+    long heartbeatAt() {
+        return heartbeatAt;
     }
 
     /** This replica leads, and a majority answers it. */
-    void beats(long now) {
-        beatTerm = circle.term();
-        beat++;
-        beatAt = now;
-        leader = circle.self().replica();
+    void onLeaderHeartbeat(long now) {
+        heartbeatTerm = context.term();
+        heartbeatSequence++;
+        heartbeatAt = now;
+        leader = context.self().replica();
     }
 
     long due() {
@@ -122,22 +122,22 @@
             long period = settings.spreadPeriod() / (old ? 2 : 1);
             digestAt = now + (hotDigests > 0 ? Math.min(HOT_PERIOD, period) : period);
             hotDigests = Math.max(0, hotDigests - 1);
-            tell(now, tier.any(random));
+            sendDigest(now, replicas.random(random));
         }
     }
 
-    private void tell(long now, int to) {
+    private void sendDigest(long now, int to) {
         if (to >= 0) {
-            circle.post(
+            context.send(
                     to,
                     new Digest(
-                            circle.log().committed(),
-                            beatTerm,
-                            beat,
+                            context.log().commitIndex(),
+                            heartbeatTerm,
+                            heartbeatSequence,
                             Math.max(0, leader),
-                            tier.incarnation(to),
+                            replicas.incarnation(to),
                             contact.age(now),
-                            asks.ask(now, to)));
+                            queries.add(now, to)));
         }
     }
 
@@ -145,34 +145,34 @@
      * Answers one whose piece is not admitted, at most one each 10 ms: its question, if it is one,
      * and where it has to learn or to prove something, with a question.
      */
-    void refuse(long now, int to, Digest asks, boolean tells) {
+    void rejectOutdated(long now, int to, Digest asks, boolean tells) {
         if (now - repliedAt >= REPLIES) {
             repliedAt = now;
             if (asks != null) {
-                answer(now, to, asks);
+                respond(now, to, asks);
             }
             if (tells || asks == null) {
-                tell(now, to);
+                sendDigest(now, to);
             }
         }
     }
 
-    private void answer(long now, int to, Digest asks) {
-        circle.post(to, new Sure(asks.ask(), contact.age(now), contact.index()));
+    private void respond(long now, int to, Digest asks) {
+        context.send(to, new DigestResponse(asks.queryId(), contact.age(now), contact.index()));
     }
 
     /** Whether this one answers what was asked of it. */
-    boolean answers(int by, Sure sure) {
-        return asks.at(by, sure.answers()) != PendingQueries.NEVER;
+    boolean answersQuery(int by, DigestResponse sure) {
+        return queries.sentAt(by, sure.queryId()) != PendingQueries.NEVER;
     }
 
     /** Takes a contact, where this replica has loaded all that it is of. */
-    void took(long now, int from, Sure sure) {
-        long askedAt = asks.at(from, sure.answers());
+    void onReceived(long now, int from, DigestResponse sure) {
+        long askedAt = queries.sentAt(from, sure.queryId());
         if (askedAt != PendingQueries.NEVER
                 && sure.age() >= 0
-                && circle.log().committed() >= sure.committed()) {
-            contact.told(now, askedAt, sure.age(), sure.committed());
+                && context.log().commitIndex() >= sure.commitIndex()) {
+            contact.onReported(now, askedAt, sure.age(), sure.commitIndex());
         }
     }
 
@@ -182,120 +182,122 @@
         int own = contact.age(now);
         int other = digest.age();
         if (own >= 0 && (other < 0 || own + margin < other)) {
-            if (allowance.spend(now, MessageFragment.HEAD)) {
-                answer(now, from, digest);
+            if (limiter.tryAcquire(now, MessageFragment.HEAD)) {
+                respond(now, from, digest);
             }
         } else if (other >= 0
                 && (own < 0 || other + margin < own)
-                && digest.committed() <= circle.log().committed()
-                && allowance.spend(now, MessageFragment.HEAD)) {
-            tell(now, from);
+                && digest.commitIndex() <= context.log().commitIndex()
+                && limiter.tryAcquire(now, MessageFragment.HEAD)) {
+            sendDigest(now, from);
         }
     }
 
     /**
      * More is committed than up to there: passes it on at once, or says that there is something.
      */
-    void learned(long now, long from) {
-        RaftLog log = circle.log();
-        boolean small = from >= log.base();
-        News news = small ? news(from, MAX_PUSHED) : null;
-        small = small && from + news.entries().size() == log.committed();
+    void onCommitted(long now, long from) {
+        RaftLog log = context.log();
+        boolean small = from >= log.firstIndex();
+        CommittedEntries news = small ? committedEntries(from, MAX_PUSHED) : null;
+        small = small && from + news.entries().size() == log.commitIndex();
         for (int i = 0; i < settings.fanout(); i++) {
-            int to = tier.any(random);
-            if (small && to >= 0 && allowance.spend(now, size(news.entries()))) {
-                circle.post(to, news);
+            int to = replicas.random(random);
+            if (small && to >= 0 && limiter.tryAcquire(now, size(news.entries()))) {
+                context.send(to, news);
             } else {
-                tell(now, to);
+                sendDigest(now, to);
             }
         }
         hotDigests = HOT_DIGESTS;
         digestAt = Math.min(digestAt, now + HOT_PERIOD);
     }
 
-    private News news(long after, int max) {
-        RaftLog log = circle.log();
+    private CommittedEntries committedEntries(long after, int max) {
+        RaftLog log = context.log();
         List<LogEntry> entries = new ArrayList<>();
         int bytes = 0;
-        for (long i = after + 1; i <= log.committed(); i++) {
+        for (long i = after + 1; i <= log.commitIndex(); i++) {
             bytes += RaftMessage.size(log.entry(i));
             if (bytes > max && !(entries.isEmpty() && max == MAX_NEWS)) {
                 break;
             }
             entries.add(log.entry(i));
         }
-        return new News(after, entries);
+        return new CommittedEntries(after, entries);
     }
 
     private static int size(List<LogEntry> entries) {
         return MessageFragment.HEAD + entries.stream().mapToInt(RaftMessage::size).sum();
     }
 
-    void told(long now, int from, Digest digest) {
-        if (digest.beatTerm() > beatTerm || digest.beatTerm() == beatTerm && digest.beat() > beat) {
-            beatTerm = digest.beatTerm();
-            beat = digest.beat();
-            beatAt = now;
-            leader = digest.leader() < tier.replicas() ? digest.leader() : -1;
+    void onDigest(long now, int from, Digest digest) {
+        if (digest.heartbeatTerm() > heartbeatTerm
+                || digest.heartbeatTerm() == heartbeatTerm
+                        && digest.heartbeatSequence() > heartbeatSequence) {
+            heartbeatTerm = digest.heartbeatTerm();
+            heartbeatSequence = digest.heartbeatSequence();
+            heartbeatAt = now;
+            leader = digest.leader() < replicas.replicas() ? digest.leader() : -1;
         }
         if (digest.yourIncarnation() != 0
-                && digest.yourIncarnation() < circle.self().incarnation()) {
-            answer(now, from, digest);
+                && digest.yourIncarnation() < context.self().incarnation()) {
+            respond(now, from, digest);
         } else {
             compare(now, from, digest);
         }
-        RaftLog log = circle.log();
-        if (digest.committed() > log.committed()) {
-            ask(now, from);
-        } else if (digest.committed() < log.committed()) {
-            if (digest.committed() >= log.base()) {
-                feed(now, from, digest.committed());
+        RaftLog log = context.log();
+        if (digest.commitIndex() > log.commitIndex()) {
+            fetchFrom(now, from);
+        } else if (digest.commitIndex() < log.commitIndex()) {
+            if (digest.commitIndex() >= log.firstIndex()) {
+                feed(now, from, digest.commitIndex());
             } else {
-                tell(now, from);
+                sendDigest(now, from);
             }
         }
     }
 
     /** Asks this one for what is lacking, unless something was asked for just now. */
-    void ask(long now, int from) {
+    void fetchFrom(long now, int from) {
         if (now - askedAt >= PATIENCE) {
             askedAt = now;
-            circle.post(
+            context.send(
                     from,
-                    new Ask(
-                            circle.log().committed(),
+                    new FetchRequest(
+                            context.log().commitIndex(),
                             fetch == null ? 0 : fetch.first.index(),
-                            fetch == null ? 0 : fetch.got));
+                            fetch == null ? 0 : fetch.received));
         }
     }
 
     private void feed(long now, int to, long after) {
-        News news = news(after, MAX_NEWS);
-        if (!news.entries().isEmpty() && allowance.spend(now, size(news.entries()))) {
-            circle.post(to, news);
+        CommittedEntries news = committedEntries(after, MAX_NEWS);
+        if (!news.entries().isEmpty() && limiter.tryAcquire(now, size(news.entries()))) {
+            context.send(to, news);
         }
     }
 
-    void asked(long now, int by, Ask ask) {
-        RaftLog log = circle.log();
-        if (ask.after() >= log.committed()) {
+    void onFetchRequest(long now, int by, FetchRequest ask) {
+        RaftLog log = context.log();
+        if (ask.afterIndex() >= log.commitIndex()) {
             return;
         }
-        if (ask.after() >= log.base()) {
-            feed(now, by, ask.after());
+        if (ask.afterIndex() >= log.firstIndex()) {
+            feed(now, by, ask.afterIndex());
             return;
         }
         Snapshot snapshot = log.snapshot();
         byte[] state = snapshot.state();
         int offset =
-                ask.snapshot() == snapshot.index() && ask.offset() <= state.length
+                ask.snapshotIndex() == snapshot.index() && ask.offset() <= state.length
                         ? ask.offset()
                         : 0;
         int end = Math.min(state.length, offset + CHUNK);
-        if (allowance.spend(now, MessageFragment.HEAD + end - offset)) {
-            circle.post(
+        if (limiter.tryAcquire(now, MessageFragment.HEAD + end - offset)) {
+            context.send(
                     by,
-                    new Chunk(
+                    new SnapshotChunk(
                             snapshot.index(),
                             snapshot.term(),
                             snapshot.voters(),
@@ -307,37 +309,38 @@
     }
 
     /** Takes committed entries. */
-    void took(long now, int from, News news) {
-        RaftLog log = circle.log();
-        if (news.after() > log.committed()) {
-            ask(now, from);
+    void onReceived(long now, int from, CommittedEntries news) {
+        RaftLog log = context.log();
+        if (news.previousIndex() > log.commitIndex()) {
+            fetchFrom(now, from);
             return;
         }
-        long end = news.after() + news.entries().size();
-        if (end <= log.committed()) {
+        long end = news.previousIndex() + news.entries().size();
+        if (end <= log.commitIndex()) {
             return;
         }
-        for (long i = log.committed() + 1; i <= end; i++) {
-            LogEntry entry = news.entries().get((int) (i - news.after() - 1));
+        for (long i = log.commitIndex() + 1; i <= end; i++) {
+            LogEntry entry = news.entries().get((int) (i - news.previousIndex() - 1));
             if (log.term(i) != entry.term()) {
-                if (i <= log.last()) {
-                    log.cut(i);
+                if (i <= log.lastIndex()) {
+                    log.truncateFrom(i);
                 }
                 log.append(entry);
-                circle.note(new ConsensusEvent.Stored(circle.group(), i, circle.self(), entry));
+                context.record(
+                        new ConsensusEvent.EntryStored(context.group(), i, context.self(), entry));
             }
         }
         log.commit(end);
-        circle.advanced(now);
+        context.onCommitAdvanced(now);
         if (size(news.entries()) > MAX_NEWS / 2) {
             askedAt = now - PATIENCE;
-            ask(now, from);
+            fetchFrom(now, from);
         }
     }
 
     /** Takes part of a snapshot; returns it once it is whole. */
-    Snapshot took(long now, int from, Chunk chunk) {
-        if (chunk.index() <= circle.log().committed()) {
+    Snapshot onReceived(long now, int from, SnapshotChunk chunk) {
+        if (chunk.index() <= context.log().commitIndex()) {
             return null;
         }
         boolean goesOn =
@@ -351,19 +354,19 @@
             }
             fetch = new Fetch(chunk, new byte[chunk.total()], 0);
         }
-        if (chunk.offset() != fetch.got) {
+        if (chunk.offset() != fetch.received) {
             return null;
         }
-        System.arraycopy(chunk.bytes(), 0, fetch.state, fetch.got, chunk.bytes().length);
-        fetch = new Fetch(fetch.first, fetch.state, fetch.got + chunk.bytes().length);
-        if (fetch.got < fetch.state.length) {
+        System.arraycopy(chunk.bytes(), 0, fetch.state, fetch.received, chunk.bytes().length);
+        fetch = new Fetch(fetch.first, fetch.state, fetch.received + chunk.bytes().length);
+        if (fetch.received < fetch.state.length) {
             askedAt = now - PATIENCE;
-            ask(now, from);
+            fetchFrom(now, from);
             return null;
         }
         Fetch whole = fetch;
         fetch = null;
-        return MessageFragment.checksum(whole.state, 0, whole.got) != chunk.sum()
+        return MessageFragment.checksum(whole.state, 0, whole.received) != chunk.sum()
                 ? null
                 : new Snapshot(chunk.index(), chunk.term(), chunk.voters(), whole.state);
     }
--- a/core/src/main/java/cedarrudder/consensus/LogEntry.java
+++ b/core/src/main/java/cedarrudder/consensus/LogEntry.java
@@ -11,17 +11,17 @@
     /** What an entry is for. */
     public enum Kind {
         /** A new leader's first, which commits what came before it. */
-        BEGIN,
+        TERM_START,
         /** What the replicas agree on; its bytes are their own affair. */
         CONTENT,
         /** The same, as a proposal that was handed on: it takes effect once. */
-        HANDED,
+        FORWARDED,
         /** Those who vote from here on. */
         VOTERS
     }
 
     /** What is loaded of it, if it is loaded. */
     public byte[] content() {
-        return kind == Kind.HANDED ? Proposal.decode(bytes).content() : bytes;
+        return kind == Kind.FORWARDED ? Proposal.decode(bytes).content() : bytes;
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/LogReplication.java
+++ b/core/src/main/java/cedarrudder/consensus/LogReplication.java
@@ -1,7 +1,7 @@
 package cedarrudder.consensus;
 
-import cedarrudder.consensus.RaftMessage.Append;
-import cedarrudder.consensus.RaftMessage.SayAppend;
+import cedarrudder.consensus.RaftMessage.AppendEntries;
+import cedarrudder.consensus.RaftMessage.AppendResponse;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -32,8 +32,8 @@
 
     /** How far one other is. */
     private static final class Progress {
-        long match;
-        long next;
+        long matchIndex;
+        long nextIndex;
         long sentAt;
 
         /** The last entry that was sent. */
@@ -42,24 +42,24 @@
         long probeAt;
 
         /** When it was sent what it answered last. */
-        long askedAt = PendingQueries.NEVER;
+        long answeredQueryAt = PendingQueries.NEVER;
 
-        boolean underWay;
+        boolean inFlight;
         long answeredAt;
 
         Progress(long next, long now) {
-            this.next = next;
+            this.nextIndex = next;
             this.answeredAt = now;
         }
     }
 
-    private final RaftContext circle;
+    private final RaftContext context;
     private final ConsensusSettings settings;
-    private final SafetyRules conduct;
-    private final Map<Voter, Progress> others = new HashMap<>();
-    private final PendingQueries asks;
+    private final SafetyRules rules;
+    private final Map<Voter, Progress> followers = new HashMap<>();
+    private final PendingQueries queries;
     private int ask;
-    private Voter trainee;
+    private Voter learner;
     private long heartbeatAt;
 
     LogReplication(
@@ -68,50 +68,53 @@
             SafetyRules conduct,
             RandomGenerator random,
             long now) {
-        this.circle = circle;
+        this.context = circle;
         this.settings = settings;
-        this.conduct = conduct;
+        this.rules = conduct;
         this.heartbeatAt = now;
-        this.asks = new PendingQueries(random);
-        this.ask = asks.ask(now, PendingQueries.ANY);
+        this.queries = new PendingQueries(random);
+        this.ask = queries.add(now, PendingQueries.ANY);
         targets().forEach(voter -> progress(now, voter));
     }
 
     private List<Voter> targets() {
-        List<Voter> all = new ArrayList<>(circle.log().voters().all());
-        all.remove(circle.self());
-        if (trainee != null && !all.contains(trainee)) {
-            all.add(trainee);
+        List<Voter> all = new ArrayList<>(context.log().voters().all());
+        all.remove(context.self());
+        if (learner != null && !all.contains(learner)) {
+            all.add(learner);
         }
         return all;
     }
 
     private Progress progress(long now, Voter voter) {
-        return others.computeIfAbsent(voter, v -> new Progress(circle.log().last() + 1, now));
+        return followers.computeIfAbsent(
+                voter, v -> new Progress(context.log().lastIndex() + 1, now));
     }
 
     /** Sends entries to this one too, who does not vote yet; null ends that. */
-    void train(Voter voter) {
-        trainee = voter;
+    void startLearner(Voter voter) {
+        learner = voter;
     }
 
-    Voter trainee() {
-        return trainee;
+    Voter learner() {
+        return learner;
     }
 
     /** Up to which index this one has the log. */
-    long match(Voter voter) {
-        Progress found = others.get(voter);
-        return voter.equals(circle.self()) ? circle.log().last() : found == null ? 0 : found.match;
+    long matchIndex(Voter voter) {
+        Progress found = followers.get(voter);
+        return voter.equals(context.self())
+                ? context.log().lastIndex()
+                : found == null ? 0 : found.matchIndex;
     }
 
     /** How long it is since this many had answered that they are a majority. */
-    long sinceMajority(long now) {
+    long sinceMajorityNanos(long now) {
         List<Long> ages =
-                circle.log().voters().all().stream()
+                context.log().voters().all().stream()
                         .map(
                                 voter ->
-                                        voter.equals(circle.self())
+                                        voter.equals(context.self())
                                                 ? 0L
                                                 : now - progress(now, voter).answeredAt)
                         .sorted()
@@ -125,12 +128,12 @@
      */
     long answeredSince(long now) {
         List<Long> asked =
-                circle.log().voters().all().stream()
+                context.log().voters().all().stream()
                         .map(
                                 voter ->
-                                        voter.equals(circle.self())
+                                        voter.equals(context.self())
                                                 ? now
-                                                : progress(now, voter).askedAt)
+                                                : progress(now, voter).answeredQueryAt)
                         .sorted(Comparator.reverseOrder())
                         .toList();
         return asked.isEmpty() ? PendingQueries.NEVER : asked.get(asked.size() / 2);
@@ -139,8 +142,8 @@
     long due() {
         long due = heartbeatAt;
         for (Voter voter : targets()) {
-            Progress progress = others.get(voter);
-            due = progress == null || !progress.underWay ? due : Math.min(due, progress.probeAt);
+            Progress progress = followers.get(voter);
+            due = progress == null || !progress.inFlight ? due : Math.min(due, progress.probeAt);
         }
         return due;
     }
@@ -152,8 +155,8 @@
             return false;
         }
         heartbeatAt = now + settings.heartbeat();
-        others.keySet().retainAll(targets());
-        ask = asks.ask(now, PendingQueries.ANY);
+        followers.keySet().retainAll(targets());
+        ask = queries.add(now, PendingQueries.ANY);
         for (Voter voter : targets()) {
             send(now, voter, true);
         }
@@ -162,16 +165,16 @@
 
     private void probe(long now, Voter to) {
         Progress progress = progress(now, to);
-        if (progress.underWay && now >= progress.probeAt) {
+        if (progress.inFlight && now >= progress.probeAt) {
             progress.probeAt = now + 2 * Math.max(PROBE, progress.probeAt - progress.sentAt);
-            RaftLog log = circle.log();
-            if (progress.sentEnd >= log.base()) {
-                circle.post(
+            RaftLog log = context.log();
+            if (progress.sentEnd >= log.firstIndex()) {
+                context.send(
                         to.replica(),
-                        new Append(
+                        new AppendEntries(
                                 progress.sentEnd,
                                 log.term(progress.sentEnd),
-                                log.committed(),
+                                log.commitIndex(),
                                 ask,
                                 List.of()));
             }
@@ -179,36 +182,39 @@
     }
 
     /** There is more to send. */
-    void appended(long now) {
+    void onAppended(long now) {
         for (Voter voter : targets()) {
             send(now, voter, false);
         }
-        count(now);
+        advanceCommitIndex(now);
     }
 
     private void send(long now, Voter to, boolean beats) {
-        RaftLog log = circle.log();
+        RaftLog log = context.log();
         Progress progress = progress(now, to);
         boolean waits =
-                progress.underWay
+                progress.inFlight
                         && now - progress.sentAt < REPEAT_HEARTBEATS * settings.heartbeat();
-        if (progress.next <= log.base() || waits || progress.next > log.last()) {
+        if (progress.nextIndex <= log.firstIndex()
+                || waits
+                || progress.nextIndex > log.lastIndex()) {
             if (beats) {
                 // What it lacks is on its way, or it has to ask for a snapshot, which it learns
                 // from this.
                 long after =
-                        progress.next > log.last()
-                                ? log.last()
-                                : Math.max(progress.match, log.base());
-                circle.post(
+                        progress.nextIndex > log.lastIndex()
+                                ? log.lastIndex()
+                                : Math.max(progress.matchIndex, log.firstIndex());
+                context.send(
                         to.replica(),
-                        new Append(after, log.term(after), log.committed(), ask, List.of()));
+                        new AppendEntries(
+                                after, log.term(after), log.commitIndex(), ask, List.of()));
             }
             return;
         }
         List<LogEntry> batch = new ArrayList<>();
         int bytes = 0;
-        for (long i = progress.next; i <= log.last(); i++) {
+        for (long i = progress.nextIndex; i <= log.lastIndex(); i++) {
             LogEntry entry = log.entry(i);
             bytes += RaftMessage.size(entry);
             if (!batch.isEmpty() && bytes > MAX_BATCH) {
@@ -216,34 +222,38 @@
             }
             batch.add(entry);
         }
-        progress.underWay = true;
+        progress.inFlight = true;
         progress.sentAt = now;
-        progress.sentEnd = progress.next + batch.size() - 1;
+        progress.sentEnd = progress.nextIndex + batch.size() - 1;
         progress.probeAt = now + PROBE;
-        long after = progress.next - 1;
-        circle.post(to.replica(), new Append(after, log.term(after), log.committed(), ask, batch));
+        long after = progress.nextIndex - 1;
+        context.send(
+                to.replica(),
+                new AppendEntries(after, log.term(after), log.commitIndex(), ask, batch));
     }
 
-    void said(long now, Voter by, SayAppend say) {
-        Progress progress = others.get(by);
+    void onResponse(long now, Voter by, AppendResponse say) {
+        Progress progress = followers.get(by);
         if (progress == null) {
             return;
         }
         progress.answeredAt = now;
-        progress.askedAt = Math.max(progress.askedAt, asks.at(by.replica(), say.answers()));
-        RaftLog log = circle.log();
-        if (say.same()) {
-            if (say.index() > progress.match && say.index() <= log.last()) {
-                progress.match = say.index();
-                progress.next = progress.match + 1;
-                progress.underWay = false;
-                count(now);
+        progress.answeredQueryAt =
+                Math.max(progress.answeredQueryAt, queries.sentAt(by.replica(), say.queryId()));
+        RaftLog log = context.log();
+        if (say.success()) {
+            if (say.matchIndex() > progress.matchIndex && say.matchIndex() <= log.lastIndex()) {
+                progress.matchIndex = say.matchIndex();
+                progress.nextIndex = progress.matchIndex + 1;
+                progress.inFlight = false;
+                advanceCommitIndex(now);
             }
-        } else if (say.index() + 1 < progress.next || progress.underWay) {
-            progress.next = Math.max(progress.match, Math.min(say.index(), log.last())) + 1;
-            progress.underWay = false;
+        } else if (say.matchIndex() + 1 < progress.nextIndex || progress.inFlight) {
+            progress.nextIndex =
+                    Math.max(progress.matchIndex, Math.min(say.matchIndex(), log.lastIndex())) + 1;
+            progress.inFlight = false;
         }
-        if (progress.next <= log.last()) {
+        if (progress.nextIndex <= log.lastIndex()) {
             send(now, by, false);
         }
     }
@@ -252,14 +262,14 @@
      * An entry is counted by the voters of its own index: one to be added counts from the entry
      * that adds it.
      */
-    private void count(long now) {
-        RaftLog log = circle.log();
-        for (long i = log.last(); i > log.committed(); i--) {
+    private void advanceCommitIndex(long now) {
+        RaftLog log = context.log();
+        for (long i = log.lastIndex(); i > log.commitIndex(); i--) {
             long index = i;
-            if (conduct.counts(log.term(i), circle.term())
-                    && log.votersAt(i).majority(voter -> match(voter) >= index)) {
+            if (rules.countsVote(log.term(i), context.term())
+                    && log.votersAt(i).quorum(voter -> matchIndex(voter) >= index)) {
                 log.commit(i);
-                circle.advanced(now);
+                context.onCommitAdvanced(now);
                 return;
             }
         }
--- a/core/src/main/java/cedarrudder/consensus/MessageFragment.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragment.java
@@ -11,20 +11,20 @@
  * founder 2, life 8), term (8), sender (2) and its life (8), message (4), place (2) and count (2),
  * checksum of the whole message (4), its part of the message, checksum of the piece (4).
  *
- * @param message its number, by the sender
- * @param place which piece it is, from 0
- * @param whole the checksum (CRC32C) of the message
+ * @param messageId its number, by the sender
+ * @param index which piece it is, from 0
+ * @param messageChecksum the checksum (CRC32C) of the message
  */
 record MessageFragment(
         VoterGroup group,
         long term,
         int sender,
         long incarnation,
-        int message,
-        int place,
+        int messageId,
+        int index,
         int count,
-        int whole,
-        byte[] part) {
+        int messageChecksum,
+        byte[] payload) {
 
     static final byte FIRST = (byte) 0xa6;
     static final int MAX_BYTES = 224;
@@ -36,7 +36,7 @@
     private static final int U16 = 0xffff;
 
     byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(HEAD + part.length + TAIL);
+        ByteBuffer out = ByteBuffer.allocate(HEAD + payload.length + TAIL);
         out.put(FIRST)
                 .putInt(group.era())
                 .putShort((short) group.founder())
@@ -44,12 +44,12 @@
                 .putLong(term)
                 .putShort((short) sender)
                 .putLong(incarnation)
-                .putInt(message)
-                .putShort((short) place)
+                .putInt(messageId)
+                .putShort((short) index)
                 .putShort((short) count)
-                .putInt(whole)
-                .put(part);
-        out.putInt(checksum(out.array(), 0, HEAD + part.length));
+                .putInt(messageChecksum)
+                .put(payload);
+        out.putInt(checksum(out.array(), 0, HEAD + payload.length));
         return out.array();
     }
 
--- a/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
@@ -41,13 +41,13 @@
         }
     }
 
-    private record Done(int sender, long incarnation, int message) {}
+    private record Completed(int sender, long incarnation, int message) {}
 
     private record Sent(int to, int message, List<byte[]> pieces) {}
 
-    private final SafetyRules conduct;
+    private final SafetyRules rules;
     private final List<Partial> partials = new ArrayList<>();
-    private final Deque<Done> done = new ArrayDeque<>();
+    private final Deque<Completed> done = new ArrayDeque<>();
     private final Deque<Sent> sent = new ArrayDeque<>();
     private int messages;
 
@@ -56,11 +56,11 @@
      *     than before
      */
     MessageFragmenter(SafetyRules conduct, int first) {
-        this.conduct = conduct;
+        this.rules = conduct;
         this.messages = first;
     }
 
-    List<byte[]> cut(VoterGroup group, long term, Voter self, int to, byte[] message) {
+    List<byte[]> split(VoterGroup group, long term, Voter self, int to, byte[] message) {
         int count = (message.length + MessageFragment.MAX_PART - 1) / MessageFragment.MAX_PART;
         int whole = MessageFragment.checksum(message, 0, message.length);
         int number = messages++;
@@ -94,9 +94,9 @@
     }
 
     /** The pieces of a message that this one says it lacks. */
-    List<byte[]> again(int to, RaftMessage.Lack lack) {
+    List<byte[]> resend(int to, RaftMessage.MissingFragments lack) {
         for (Sent each : sent) {
-            if (each.to == to && each.message == lack.message()) {
+            if (each.to == to && each.message == lack.messageId()) {
                 return BitSet.valueOf(lack.missing()).stream()
                         .filter(place -> place < each.pieces.size())
                         .mapToObj(each.pieces::get)
@@ -107,16 +107,16 @@
     }
 
     /** Takes a piece; returns the message when it is whole, else null. */
-    byte[] take(long now, MessageFragment piece) {
+    byte[] accept(long now, MessageFragment piece) {
         if (piece.count() == 1) {
-            return piece.part();
+            return piece.payload();
         }
-        Done whole = new Done(piece.sender(), piece.incarnation(), piece.message());
-        Partial partial = done.contains(whole) ? null : held(piece);
-        if (partial == null || partial.parts[piece.place()] != null) {
+        Completed whole = new Completed(piece.sender(), piece.incarnation(), piece.messageId());
+        Partial partial = done.contains(whole) ? null : buffered(piece);
+        if (partial == null || partial.parts[piece.index()] != null) {
             return null;
         }
-        partial.parts[piece.place()] = piece.part();
+        partial.parts[piece.index()] = piece.payload();
         partial.lackAt = now + PATIENCE;
         partial.staleAt = now + STALE;
         if (++partial.got < partial.parts.length) {
@@ -133,12 +133,12 @@
             System.arraycopy(part, 0, message, at, part.length);
             at += part.length;
         }
-        return conduct.intact(partial.first, message) ? message : null;
+        return rules.isIntact(partial.first, message) ? message : null;
     }
 
-    private Partial held(MessageFragment piece) {
+    private Partial buffered(MessageFragment piece) {
         for (Partial each : partials) {
-            if (each.first.sender() == piece.sender() && conduct.same(each.first, piece)) {
+            if (each.first.sender() == piece.sender() && rules.isSameMessage(each.first, piece)) {
                 return each;
             }
         }
@@ -150,7 +150,7 @@
         return made;
     }
 
-    /** When {@link #lacks} is to be called next. */
+    /** When {@link #missing} is to be called next. */
     long due() {
         long due = Long.MAX_VALUE;
         for (Partial each : partials) {
@@ -160,11 +160,11 @@
     }
 
     /** What is to be asked for again, and of whom. */
-    record Wanted(int of, RaftMessage.Lack lack) {}
+    record Missing(int of, RaftMessage.MissingFragments lack) {}
 
     /** Drops what is stale and says what is missing of the rest. */
-    List<Wanted> lacks(long now) {
-        List<Wanted> wanted = new ArrayList<>();
+    List<Missing> missing(long now) {
+        List<Missing> wanted = new ArrayList<>();
         for (Iterator<Partial> all = partials.iterator(); all.hasNext(); ) {
             Partial each = all.next();
             if (now >= each.staleAt) {
@@ -176,9 +176,10 @@
                     missing.set(i, each.parts[i] == null);
                 }
                 wanted.add(
-                        new Wanted(
+                        new Missing(
                                 each.first.sender(),
-                                new RaftMessage.Lack(each.first.message(), missing.toByteArray())));
+                                new RaftMessage.MissingFragments(
+                                        each.first.messageId(), missing.toByteArray())));
             }
         }
         return wanted;
--- a/core/src/main/java/cedarrudder/consensus/PendingQueries.java
+++ b/core/src/main/java/cedarrudder/consensus/PendingQueries.java
@@ -10,7 +10,9 @@
  */
 final class PendingQueries {
 
-    /** What {@link #at} says of an answer to nothing that was asked, or to what is forgotten. */
+    /**
+     * What {@link #sentAt} says of an answer to nothing that was asked, or to what is forgotten.
+     */
     static final long NEVER = Long.MIN_VALUE;
 
     /** Asked of anybody. */
@@ -18,28 +20,28 @@
 
     private static final int MAX = 32;
 
-    private record Asked(int number, int of, long at) {}
+    private record Query(int number, int of, long at) {}
 
     private final RandomGenerator random;
-    private final Deque<Asked> asked = new ArrayDeque<>();
+    private final Deque<Query> queries = new ArrayDeque<>();
 
     PendingQueries(RandomGenerator random) {
         this.random = random;
     }
 
     /** Asks this replica something now; returns the number that the answer is to name. */
-    int ask(long now, int of) {
+    int add(long now, int of) {
         int number = random.nextInt();
-        asked.add(new Asked(number, of, now));
-        if (asked.size() > MAX) {
-            asked.remove();
+        queries.add(new Query(number, of, now));
+        if (queries.size() > MAX) {
+            queries.remove();
         }
         return number;
     }
 
     /** When what this one answers was asked. */
-    long at(int by, int number) {
-        for (Asked each : asked) {
+    long sentAt(int by, int number) {
+        for (Query each : queries) {
             if (each.number == number && (each.of == by || each.of == ANY)) {
                 return each.at;
             }
--- a/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -13,10 +13,10 @@
     static final int MAX_WAITING = 16;
 
     /** Until it is asked again, where the leader has not said that it has it. */
-    private static final long UNHEARD = 300_000_000L;
+    private static final long RESEND_AFTER_SILENCE = 300_000_000L;
 
     /** The same where it has: it may have lost its lead without another being known yet. */
-    private static final long HEARD = 1_000_000_000L;
+    private static final long RESEND_AFTER_ACCEPTED = 1_000_000_000L;
 
     private static final class Waiting {
         final Proposal proposal;
@@ -32,8 +32,8 @@
         }
     }
 
-    private final RaftContext circle;
-    private final RaftNode.Actions outlet;
+    private final RaftContext context;
+    private final RaftNode.Actions actions;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private long incarnation;
     private long sequence;
@@ -47,8 +47,8 @@
      */
     ProposalForwarder(
             RaftContext circle, RaftNode.Actions outlet, long incarnation, long sequence) {
-        this.circle = circle;
-        this.outlet = outlet;
+        this.context = circle;
+        this.actions = outlet;
         this.incarnation = incarnation;
         this.sequence = sequence;
     }
@@ -59,19 +59,19 @@
     }
 
     /** Null where too many wait. */
-    Proposal make(long now, LogPosition after, byte[] content, long patience) {
+    Proposal add(long now, LogPosition after, byte[] content, long patience) {
         if (waiting.size() >= MAX_WAITING) {
             return null;
         }
         Proposal made =
                 new Proposal(
-                        circle.self().replica(), incarnation, ++sequence, after, content.clone());
+                        context.self().replica(), incarnation, ++sequence, after, content.clone());
         waiting.add(new Waiting(made, now + patience, false));
         return made;
     }
 
     /** The same once more; false where too many wait, or it waits. */
-    boolean again(long now, Proposal proposal, long patience) {
+    boolean addAgain(long now, Proposal proposal, long patience) {
         if (waiting.size() >= MAX_WAITING
                 || waiting.stream().anyMatch(each -> each.proposal.same(proposal))) {
             return false;
@@ -85,7 +85,7 @@
         for (Waiting each : waiting) {
             due = Math.min(due, each.until);
         }
-        return waiting.isEmpty() || circle.leader() < 0 ? due : Math.min(due, askAt);
+        return waiting.isEmpty() || context.leader() < 0 ? due : Math.min(due, askAt);
     }
 
     void tick(long now) {
@@ -97,26 +97,26 @@
                 settle(each, null);
             }
         }
-        int leader = circle.leader();
+        int leader = context.leader();
         if (waiting.isEmpty()
                 || leader < 0
-                || leader == askedOf && circle.term() == askedTerm && now < askAt) {
+                || leader == askedOf && context.term() == askedTerm && now < askAt) {
             return;
         }
         Waiting first = waiting.peek();
         askedOf = leader;
-        askedTerm = circle.term();
-        askAt = now + UNHEARD;
-        if (leader == circle.self().replica()) {
-            first.handed |= circle.takes(now, first.proposal);
+        askedTerm = context.term();
+        askAt = now + RESEND_AFTER_SILENCE;
+        if (leader == context.self().replica()) {
+            first.handed |= context.acceptProposal(now, first.proposal);
         } else {
             first.handed = true;
-            circle.post(leader, new RaftMessage.Hand(first.proposal));
+            context.send(leader, new RaftMessage.ForwardProposal(first.proposal));
         }
     }
 
     private void settle(Waiting its, LogPosition number) {
-        outlet.settled(
+        actions.onProposalSettled(
                 its.proposal,
                 number != null
                         ? ProposalOutcome.COMMITTED
@@ -125,18 +125,18 @@
     }
 
     /** The leader has one, or knows what became of it. */
-    void heard(long now, int from, RaftMessage.Took took) {
+    void onAccepted(long now, int from, RaftMessage.ProposalAccepted took) {
         Waiting first = waiting.peek();
         if (first != null
                 && from == askedOf
                 && first.proposal.incarnation() == took.incarnation()
                 && first.proposal.sequence() == took.sequence()) {
-            askAt = now + HEARD;
+            askAt = now + RESEND_AFTER_ACCEPTED;
         }
     }
 
     /** More was loaded: says what became of the first, where that is known. */
-    void loaded(AppliedProposals.Last last) {
+    void onApplied(AppliedProposals.Last last) {
         while (last != null && !waiting.isEmpty()) {
             Waiting first = waiting.peek();
             Proposal its = first.proposal;
--- a/core/src/main/java/cedarrudder/consensus/RaftLog.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftLog.java
@@ -14,36 +14,37 @@
     private Snapshot snapshot = Snapshot.EMPTY;
     private long base;
     private long baseTerm;
-    private VoterSet baseVoters = VoterSet.NOBODY;
-    private VoterSet voters = VoterSet.NOBODY;
+    private VoterSet baseVoters = VoterSet.EMPTY;
+    private VoterSet voters = VoterSet.EMPTY;
     private long votersAt;
-    private long committed;
+    private long commitIndex;
 
     RaftLog(StableStorage store) {
         this.store = store;
     }
 
     /** Takes what was read back, which is in the store. */
-    void remember(Snapshot of, List<LogEntry> after) {
+    void restore(Snapshot of, List<LogEntry> after) {
         reset(of);
         entries.addAll(after);
-        seat();
+        applyVoters();
     }
 
     /** Holds nothing but this from here on. */
     void install(Snapshot of) {
-        boolean goesOn = of.index() <= last() && of.index() > base && term(of.index()) == of.term();
+        boolean goesOn =
+                of.index() <= lastIndex() && of.index() > base && term(of.index()) == of.term();
         List<LogEntry> after =
                 goesOn
                         ? List.copyOf(entries.subList((int) (of.index() - base), entries.size()))
                         : List.of();
         if (!goesOn) {
-            store.cut(of.index() + 1);
+            store.truncateFrom(of.index() + 1);
         }
         store.snapshot(of);
         reset(of);
         entries.addAll(after);
-        seat();
+        applyVoters();
     }
 
     private void reset(Snapshot of) {
@@ -51,9 +52,9 @@
         base = of.index();
         baseTerm = of.term();
         baseVoters = of.voters();
-        committed = base;
+        commitIndex = base;
         entries.clear();
-        seat();
+        applyVoters();
     }
 
     Snapshot snapshot() {
@@ -61,29 +62,29 @@
     }
 
     /** The index before that of the first entry held. */
-    long base() {
+    long firstIndex() {
         return base;
     }
 
-    long last() {
+    long lastIndex() {
         return base + entries.size();
     }
 
     /** The index up to which entries are known to be committed. */
-    long committed() {
-        return committed;
+    long commitIndex() {
+        return commitIndex;
     }
 
     /** Entries up to this one are committed; an earlier one changes nothing. */
     void commit(long index) {
-        committed = Math.max(committed, Math.min(index, last()));
+        commitIndex = Math.max(commitIndex, Math.min(index, lastIndex()));
     }
 
     /** The term of an entry; -1 where it isn't known. */
     long term(long index) {
         return index == base
                 ? baseTerm
-                : index > base && index <= last() ? entry(index).term() : -1;
+                : index > base && index <= lastIndex() ? entry(index).term() : -1;
     }
 
     LogEntry entry(long index) {
@@ -92,17 +93,17 @@
 
     void append(LogEntry entry) {
         entries.add(entry);
-        store.entry(last(), entry);
+        store.append(lastIndex(), entry);
         if (entry.kind() == LogEntry.Kind.VOTERS) {
-            seat();
+            applyVoters();
         }
     }
 
     /** Takes back this entry and those after it, none of them committed. */
-    void cut(long from) {
+    void truncateFrom(long from) {
         entries.subList((int) (from - base - 1), entries.size()).clear();
-        store.cut(from);
-        seat();
+        store.truncateFrom(from);
+        applyVoters();
     }
 
     /** The newest voters, committed or not: they count from the moment at which they are held. */
@@ -124,10 +125,10 @@
         return baseVoters;
     }
 
-    private void seat() {
+    private void applyVoters() {
         voters = baseVoters;
         votersAt = base;
-        for (long i = last(); i > base; i--) {
+        for (long i = lastIndex(); i > base; i--) {
             if (entry(i).kind() == LogEntry.Kind.VOTERS) {
                 voters = VoterSet.decode(entry(i).bytes());
                 votersAt = i;
@@ -138,15 +139,15 @@
 
     /** Puts what is committed into the snapshot and keeps this many entries of it for others. */
     void compact(byte[] state, int keep) {
-        snapshot = new Snapshot(committed, term(committed), votersAt(committed), state);
+        snapshot = new Snapshot(commitIndex, term(commitIndex), votersAt(commitIndex), state);
         store.snapshot(snapshot);
-        long first = Math.max(base, committed - keep);
+        long first = Math.max(base, commitIndex - keep);
         VoterSet then = votersAt(first);
         long term = term(first);
         entries.subList(0, (int) (first - base)).clear();
         base = first;
         baseTerm = term;
         baseVoters = then;
-        seat();
+        applyVoters();
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/RaftMessage.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftMessage.java
@@ -15,55 +15,62 @@
     /** What the fields of any message take, without entries and parts. */
     int MAX_FIXED = 128;
 
-    /** The first byte of {@link Digest} and of {@link Sure}. */
+    /** The first byte of {@link Digest} and of {@link DigestResponse}. */
     byte DIGEST = 5;
 
-    byte SURE = 12;
+    byte DIGEST_RESPONSE = 12;
 
     /**
      * Asks for a vote in the term of the message, or whether there would be one.
      *
-     * @param ahead whether it only asks if there would be
-     * @param called whether a leader told it to, so that hearing a leader is no reason to refuse
+     * @param preVote whether it only asks if there would be
+     * @param transferred whether a leader told it to, so that hearing a leader is no reason to
+     *     refuse
      */
-    record AskVote(boolean ahead, boolean called, long lastIndex, long lastTerm)
+    record RequestVote(boolean preVote, boolean transferred, long lastIndex, long lastTerm)
             implements RaftMessage {}
 
     /** The answer; the message's term is that of the one who answers. */
-    record SayVote(boolean ahead, boolean granted, long askedTerm) implements RaftMessage {}
+    record VoteResponse(boolean preVote, boolean granted, long requestedTerm)
+            implements RaftMessage {}
 
     /**
      * A leader's entries after one that both must have.
      *
-     * @param ask what the answer is to name
+     * @param queryId what the answer is to name
      */
-    record Append(long after, long afterTerm, long committed, int ask, List<LogEntry> entries)
+    record AppendEntries(
+            long previousIndex,
+            long previousTerm,
+            long commitIndex,
+            int queryId,
+            List<LogEntry> entries)
             implements RaftMessage {}
 
     /** Up to where the follower's log is that of the leader, or up to where it may be. */
-    record SayAppend(boolean same, long index, int answers) implements RaftMessage {}
+    record AppendResponse(boolean success, long matchIndex, int queryId) implements RaftMessage {}
 
     /** The one who gets it asks for votes at once. */
-    record Lead() implements RaftMessage {}
+    record TimeoutNow() implements RaftMessage {}
 
     /**
-     * What a replica has; also asks for a {@link Sure}.
+     * What a replica has; also asks for a {@link DigestResponse}.
      *
-     * @param beatTerm the term of the newest sign of a leader that it heard of
-     * @param beat the number of that sign
+     * @param heartbeatTerm the term of the newest sign of a leader that it heard of
+     * @param heartbeatSequence the number of that sign
      * @param leader the replica that it is of
      * @param yourIncarnation the largest life that it knows of the one it tells
-     * @param age of the contact that it knows of, as in {@link Sure}
-     * @param ask what the answer is to name
+     * @param age of the contact that it knows of, as in {@link DigestResponse}
+     * @param queryId what the answer is to name
      */
     record Digest(
-            long committed,
-            long beatTerm,
-            long beat,
+            long commitIndex,
+            long heartbeatTerm,
+            long heartbeatSequence,
             int leader,
             long yourIncarnation,
             int age,
-            int ask)
+            int queryId)
             implements RaftMessage {}
 
     /**
@@ -72,73 +79,73 @@
      *
      * @param age in milliseconds; -1 where it knows of none
      */
-    record Sure(int answers, int age, long committed) implements RaftMessage {}
+    record DigestResponse(int queryId, int age, long commitIndex) implements RaftMessage {}
 
     /**
      * Asks for committed entries.
      *
-     * @param snapshot the index of one of which it has the beginning, or 0
+     * @param snapshotIndex the index of one of which it has the beginning, or 0
      * @param offset how much of it
      */
-    record Ask(long after, long snapshot, int offset) implements RaftMessage {}
+    record FetchRequest(long afterIndex, long snapshotIndex, int offset) implements RaftMessage {}
 
     /** Committed entries after one. */
-    record News(long after, List<LogEntry> entries) implements RaftMessage {}
+    record CommittedEntries(long previousIndex, List<LogEntry> entries) implements RaftMessage {}
 
     /**
      * Part of a snapshot.
      *
      * @param sum the checksum of the whole state
      */
-    record Chunk(
+    record SnapshotChunk(
             long index, long term, VoterSet voters, int sum, int total, int offset, byte[] bytes)
             implements RaftMessage {}
 
     /** Pieces of a message have not come; a bit each. */
-    record Lack(int message, byte[] missing) implements RaftMessage {}
+    record MissingFragments(int messageId, byte[] missing) implements RaftMessage {}
 
     /** Hands a proposal to the one that leads. */
-    record Hand(Proposal proposal) implements RaftMessage {}
+    record ForwardProposal(Proposal proposal) implements RaftMessage {}
 
     /** The leader has it, or it took effect, or one after it did. */
-    record Took(long incarnation, long sequence) implements RaftMessage {}
+    record ProposalAccepted(long incarnation, long sequence) implements RaftMessage {}
 
     default byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(MAX_FIXED + variable());
-        if (this instanceof AskVote m) {
+        if (this instanceof RequestVote m) {
             out.put((byte) 0)
-                    .put(bit(m.ahead))
-                    .put(bit(m.called))
+                    .put(bit(m.preVote))
+                    .put(bit(m.transferred))
                     .putLong(m.lastIndex)
                     .putLong(m.lastTerm);
-        } else if (this instanceof SayVote m) {
-            out.put((byte) 1).put(bit(m.ahead)).put(bit(m.granted)).putLong(m.askedTerm);
-        } else if (this instanceof Append m) {
+        } else if (this instanceof VoteResponse m) {
+            out.put((byte) 1).put(bit(m.preVote)).put(bit(m.granted)).putLong(m.requestedTerm);
+        } else if (this instanceof AppendEntries m) {
             out.put((byte) 2)
-                    .putLong(m.after)
-                    .putLong(m.afterTerm)
-                    .putLong(m.committed)
-                    .putInt(m.ask);
+                    .putLong(m.previousIndex)
+                    .putLong(m.previousTerm)
+                    .putLong(m.commitIndex)
+                    .putInt(m.queryId);
             put(out, m.entries);
-        } else if (this instanceof SayAppend m) {
-            out.put((byte) 3).put(bit(m.same)).putLong(m.index).putInt(m.answers);
-        } else if (this instanceof Lead) {
+        } else if (this instanceof AppendResponse m) {
+            out.put((byte) 3).put(bit(m.success)).putLong(m.matchIndex).putInt(m.queryId);
+        } else if (this instanceof TimeoutNow) {
             out.put((byte) 4);
         } else if (this instanceof Digest m) {
             out.put(DIGEST)
-                    .putLong(m.committed)
-                    .putLong(m.beatTerm)
-                    .putLong(m.beat)
+                    .putLong(m.commitIndex)
+                    .putLong(m.heartbeatTerm)
+                    .putLong(m.heartbeatSequence)
                     .putShort((short) m.leader)
                     .putLong(m.yourIncarnation)
                     .putInt(m.age)
-                    .putInt(m.ask);
-        } else if (this instanceof Ask m) {
-            out.put((byte) 6).putLong(m.after).putLong(m.snapshot).putInt(m.offset);
-        } else if (this instanceof News m) {
-            out.put((byte) 7).putLong(m.after);
+                    .putInt(m.queryId);
+        } else if (this instanceof FetchRequest m) {
+            out.put((byte) 6).putLong(m.afterIndex).putLong(m.snapshotIndex).putInt(m.offset);
+        } else if (this instanceof CommittedEntries m) {
+            out.put((byte) 7).putLong(m.previousIndex);
             put(out, m.entries);
-        } else if (this instanceof Chunk m) {
+        } else if (this instanceof SnapshotChunk m) {
             byte[] voters = m.voters.encode();
             out.put((byte) 8)
                     .putLong(m.index)
@@ -149,14 +156,14 @@
                     .putInt(m.total)
                     .putInt(m.offset)
                     .put(m.bytes);
-        } else if (this instanceof Lack m) {
-            out.put((byte) 9).putInt(m.message).put(m.missing);
-        } else if (this instanceof Hand m) {
+        } else if (this instanceof MissingFragments m) {
+            out.put((byte) 9).putInt(m.messageId).put(m.missing);
+        } else if (this instanceof ForwardProposal m) {
             out.put((byte) 10).put(m.proposal.encode());
-        } else if (this instanceof Took m) {
+        } else if (this instanceof ProposalAccepted m) {
             out.put((byte) 11).putLong(m.incarnation).putLong(m.sequence);
-        } else if (this instanceof Sure m) {
-            out.put(SURE).putInt(m.answers).putInt(m.age).putLong(m.committed);
+        } else if (this instanceof DigestResponse m) {
+            out.put(DIGEST_RESPONSE).putInt(m.queryId).putInt(m.age).putLong(m.commitIndex);
         }
         byte[] bytes = new byte[out.position()];
         out.flip().get(bytes);
@@ -170,16 +177,17 @@
             RaftMessage read =
                     switch (in.get()) {
                         case 0 ->
-                                new AskVote(
+                                new RequestVote(
                                         in.get() != 0, in.get() != 0, in.getLong(), in.getLong());
-                        case 1 -> new SayVote(in.get() != 0, in.get() != 0, in.getLong());
+                        case 1 -> new VoteResponse(in.get() != 0, in.get() != 0, in.getLong());
                         case 2 -> {
                             long after = in.getLong();
                             long term = in.getLong();
-                            yield new Append(after, term, in.getLong(), in.getInt(), entries(in));
+                            yield new AppendEntries(
+                                    after, term, in.getLong(), in.getInt(), entries(in));
                         }
-                        case 3 -> new SayAppend(in.get() != 0, in.getLong(), in.getInt());
-                        case 4 -> new Lead();
+                        case 3 -> new AppendResponse(in.get() != 0, in.getLong(), in.getInt());
+                        case 4 -> new TimeoutNow();
                         case DIGEST ->
                                 new Digest(
                                         in.getLong(),
@@ -189,10 +197,10 @@
                                         in.getLong(),
                                         in.getInt(),
                                         in.getInt());
-                        case 6 -> new Ask(in.getLong(), in.getLong(), in.getInt());
-                        case 7 -> new News(in.getLong(), entries(in));
+                        case 6 -> new FetchRequest(in.getLong(), in.getLong(), in.getInt());
+                        case 7 -> new CommittedEntries(in.getLong(), entries(in));
                         case 8 ->
-                                new Chunk(
+                                new SnapshotChunk(
                                         in.getLong(),
                                         in.getLong(),
                                         VoterSet.decode(take(in, in.get() & 0xff)),
@@ -200,53 +208,56 @@
                                         in.getInt(),
                                         in.getInt(),
                                         take(in, in.remaining()));
-                        case 9 -> new Lack(in.getInt(), take(in, in.remaining()));
-                        case 10 -> new Hand(Proposal.decode(take(in, in.remaining())));
-                        case 11 -> new Took(in.getLong(), in.getLong());
-                        case SURE -> new Sure(in.getInt(), in.getInt(), in.getLong());
+                        case 9 -> new MissingFragments(in.getInt(), take(in, in.remaining()));
+                        case 10 -> new ForwardProposal(Proposal.decode(take(in, in.remaining())));
+                        case 11 -> new ProposalAccepted(in.getLong(), in.getLong());
+                        case DIGEST_RESPONSE ->
+                                new DigestResponse(in.getInt(), in.getInt(), in.getLong());
                         default -> null;
                     };
-            return read != null && !in.hasRemaining() && read.plausible() ? read : null;
+            return read != null && !in.hasRemaining() && read.isPlausible() ? read : null;
         } catch (BufferUnderflowException e) {
             return null;
         }
     }
 
     private int variable() {
-        if (this instanceof Append m) {
+        if (this instanceof AppendEntries m) {
             return m.entries.stream().mapToInt(RaftMessage::size).sum();
-        } else if (this instanceof News m) {
+        } else if (this instanceof CommittedEntries m) {
             return m.entries.stream().mapToInt(RaftMessage::size).sum();
-        } else if (this instanceof Chunk m) {
+        } else if (this instanceof SnapshotChunk m) {
             return m.bytes.length;
         }
-        return this instanceof Lack m
+        return this instanceof MissingFragments m
                 ? m.missing.length
-                : this instanceof Hand m ? m.proposal.content().length : 0;
+                : this instanceof ForwardProposal m ? m.proposal.content().length : 0;
     }
 
-    private boolean plausible() {
-        if (this instanceof AskVote m) {
+    private boolean isPlausible() {
+        if (this instanceof RequestVote m) {
             return m.lastIndex >= 0 && m.lastTerm >= 0;
-        } else if (this instanceof Append m) {
+        } else if (this instanceof AppendEntries m) {
             return m.entries != null
-                    && m.after >= 0
-                    && m.after < Long.MAX_VALUE >> 1
-                    && m.committed >= 0;
-        } else if (this instanceof SayAppend m) {
-            return m.index >= 0;
+                    && m.previousIndex >= 0
+                    && m.previousIndex < Long.MAX_VALUE >> 1
+                    && m.commitIndex >= 0;
+        } else if (this instanceof AppendResponse m) {
+            return m.matchIndex >= 0;
         } else if (this instanceof Digest m) {
-            return m.committed >= 0
+            return m.commitIndex >= 0
                     && m.yourIncarnation >= 0
                     && m.yourIncarnation < Long.MAX_VALUE >> 1
                     && m.age >= -1;
-        } else if (this instanceof Sure m) {
-            return m.age >= -1 && m.committed >= 0;
-        } else if (this instanceof Ask m) {
-            return m.after >= 0 && m.offset >= 0;
-        } else if (this instanceof News m) {
-            return m.entries != null && m.after >= 0 && m.after < Long.MAX_VALUE >> 1;
-        } else if (this instanceof Chunk m) {
+        } else if (this instanceof DigestResponse m) {
+            return m.age >= -1 && m.commitIndex >= 0;
+        } else if (this instanceof FetchRequest m) {
+            return m.afterIndex >= 0 && m.offset >= 0;
+        } else if (this instanceof CommittedEntries m) {
+            return m.entries != null
+                    && m.previousIndex >= 0
+                    && m.previousIndex < Long.MAX_VALUE >> 1;
+        } else if (this instanceof SnapshotChunk m) {
             return m.voters != null
                     && m.index > 0
                     && m.total >= 0
@@ -254,7 +265,7 @@
                     && m.offset >= 0
                     && m.offset <= m.total
                     && m.bytes.length <= m.total - m.offset;
-        } else if (this instanceof Hand m) {
+        } else if (this instanceof ForwardProposal m) {
             return m.proposal != null;
         }
         return true;
@@ -298,7 +309,7 @@
                     || kind < 0
                     || kind >= Kind.values().length
                     || kind == Kind.VOTERS.ordinal() && VoterSet.decode(bytes) == null
-                    || kind == Kind.HANDED.ordinal() && Proposal.decode(bytes) == null) {
+                    || kind == Kind.FORWARDED.ordinal() && Proposal.decode(bytes) == null) {
                 return null;
             }
             entries.add(new LogEntry(term, Kind.values()[kind], bytes));
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -1,33 +1,33 @@
 package cedarrudder.consensus;
 
 import cedarrudder.consensus.LogEntry.Kind;
-import cedarrudder.consensus.RaftMessage.Append;
-import cedarrudder.consensus.RaftMessage.Ask;
-import cedarrudder.consensus.RaftMessage.AskVote;
-import cedarrudder.consensus.RaftMessage.Chunk;
+import cedarrudder.consensus.RaftMessage.AppendEntries;
+import cedarrudder.consensus.RaftMessage.AppendResponse;
+import cedarrudder.consensus.RaftMessage.CommittedEntries;
 import cedarrudder.consensus.RaftMessage.Digest;
-import cedarrudder.consensus.RaftMessage.Hand;
-import cedarrudder.consensus.RaftMessage.Lack;
-import cedarrudder.consensus.RaftMessage.Lead;
-import cedarrudder.consensus.RaftMessage.News;
-import cedarrudder.consensus.RaftMessage.SayAppend;
-import cedarrudder.consensus.RaftMessage.SayVote;
-import cedarrudder.consensus.RaftMessage.Sure;
-import cedarrudder.consensus.RaftMessage.Took;
+import cedarrudder.consensus.RaftMessage.DigestResponse;
+import cedarrudder.consensus.RaftMessage.FetchRequest;
+import cedarrudder.consensus.RaftMessage.ForwardProposal;
+import cedarrudder.consensus.RaftMessage.MissingFragments;
+import cedarrudder.consensus.RaftMessage.ProposalAccepted;
+import cedarrudder.consensus.RaftMessage.RequestVote;
+import cedarrudder.consensus.RaftMessage.SnapshotChunk;
+import cedarrudder.consensus.RaftMessage.TimeoutNow;
+import cedarrudder.consensus.RaftMessage.VoteResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
 
 /**
- * What the replicas of a tier agree on, as one of them takes part: a log by Raft (Ongaro and
- * Ousterhout 2014; Ongaro's thesis 2014) among a few voters, spread to all others. Voters that
- * forgot come back as learners (Liskov and Cowling 2012, recovery), and a group whose majority
- * forgot stops until a new one is formed.
+ * One replica's part in a replicated log by Raft (Ongaro and Ousterhout 2014; Ongaro's thesis 2014)
+ * among a few voters, whose committed entries are disseminated to all other replicas. Voters that
+ * lost their state come back as learners (Liskov and Cowling 2012, recovery), and a group whose
+ * majority lost its state stops until a new one is formed.
  *
- * <p>It has no clock, no socket and no thread. It is told of messages and of the time, which never
- * goes back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one
- * thread at a time, and its outlet must not call it. Whatever it sends leaves at the end of an
- * event, after all that it says is in the store.
+ * <p>It has no clock, no socket and no thread. It is fed datagrams and the time, which never goes
+ * back, and says by {@link #due} when it wants the time next. Not thread-safe: from one thread at a
+ * time, and its actions must not call it. Whatever it sends leaves at the end of an event, after
+ * all that it says is in the storage.
  */
 public final class RaftNode {
 
@@ -37,103 +37,106 @@
     /** The largest state of a replica, in bytes. */
     public static final int MAX_STATE = 262_144;
 
-    /** The largest content of a proposal that is handed on, in bytes. */
+    /** The largest content of a proposal that is forwarded to the leader, in bytes. */
     public static final int MAX_HANDED = 4_096;
 
     static final int MAX_SNAPSHOT = MAX_STATE + AppliedProposals.MAX_BYTES;
 
+    private static final int MAX_REPLICAS = 0xffff;
+
     /** Entries that a leader holds without knowing that they are committed. */
     private static final int MAX_OPEN = 32;
 
-    /** How many of them others may have handed on, one each. */
-    private static final int MAX_OPEN_HANDED = 16;
+    /** How many of them others may have forwarded, one each. */
+    private static final int MAX_OPEN_FORWARDED = 16;
 
     /** Voters without which nothing is taken: a group that is just formed waits for others. */
     private static final int MIN_VOTERS = 3;
 
     /** What it causes. */
     public interface Actions {
-        /** Sends a piece of at most 224 bytes; it may be lost. */
-        void send(int to, byte[] piece);
+        /** Sends a datagram of at most 224 bytes; it may be lost. */
+        void send(int to, byte[] datagram);
 
-        /** This is committed: takes effect here, after all before it. */
-        void loaded(LogPosition number, byte[] content);
+        /** Applies a committed entry, after all before it. */
+        void apply(LogPosition position, byte[] content);
 
         /**
-         * All that was loaded, as at most {@link #MAX_STATE} bytes; the same at each replica that
-         * loaded the same.
+         * All that was applied, as at most {@link #MAX_STATE} bytes; the same at each replica that
+         * applied the same.
          */
         byte[] state();
 
-        /** This state takes the place of all that was loaded. */
-        void restored(LogPosition number, byte[] state);
+        /** Replaces all that was applied by this state. */
+        void restore(LogPosition position, byte[] state);
 
         /**
-         * What became of a proposal that was handed on here, said once; it comes after {@link
-         * #loaded}.
+         * A proposal of this replica is settled; said once, after {@link #apply}.
          *
-         * @param number the one that it was loaded under, where it is committed; otherwise null
+         * @param position where it was applied, where it is committed; otherwise null
          */
-        void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
+        void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition position);
 
-        /** Something that others may want to know. */
-        void noted(ConsensusEvent note);
+        /** Records an event, for logs and checkers. */
+        void record(ConsensusEvent event);
     }
 
-    /** What came that was none, or came too late; for figures. */
+    /** Datagrams that were dropped: unreadable, from another sender, or outdated. */
     public record Counts(long malformed, long notItsSender, long stale) {}
 
-    private record Out(int to, byte[] piece) {}
+    private record Outgoing(int to, byte[] datagram) {}
 
-    private final Actions outlet;
+    private final Actions actions;
     private final ConsensusSettings settings;
     private final RandomGenerator random;
-    private final SafetyRules conduct;
-    private final StableStorage store;
-    private final ReplicaDirectory tier;
+    private final SafetyRules rules;
+    private final StableStorage storage;
+    private final ReplicaDirectory replicas;
     private final RaftLog log;
-    private final MessageFragmenter pieces;
-    private final ByteRateLimiter allowance;
+    private final MessageFragmenter fragmenter;
+    private final ByteRateLimiter resendLimiter;
+    private final ByteRateLimiter forwardedLimiter;
     private final LeaderContact contact;
-    private final RaftContext circle = new Own();
+    private final RaftContext context = new Context();
     private final Election election;
-    private final LogDissemination spreading;
-    private final VoterReplacement seats;
-    private final ProposalForwarder proposing;
-    private final ByteRateLimiter handed;
-    private final List<Out> out = new ArrayList<>();
+    private final LogDissemination dissemination;
+    private final VoterReplacement voterReplacement;
+    private final ProposalForwarder forwarder;
+    private final LogApplier applier;
+    private final LogFollower follower;
+    private final GroupFormation formation;
+    private final List<Outgoing> outgoing = new ArrayList<>();
     private Voter self;
     private VoterGroup group = VoterGroup.NONE;
+
+    /** What a leader does in its term; null where this replica does not lead. */
     private LogReplication replication;
-    private AppliedProposals proposers = new AppliedProposals();
-    private long applied;
-    private long waitsFrom;
-    private long wait;
-    private boolean promised;
+
+    private boolean hardStateChanged;
     private long malformed;
     private long notItsSender;
     private long stale;
 
     /**
-     * Takes part as one that is in no group, or where its store remembers one, in that.
+     * Takes part as one that is in no group, or where its storage holds one, in that.
      *
-     * @param zones the zone of each copy of the tier, from 1 to 65,535 replicas
+     * @param zones the zone of each replica of the tier, from 1 to 65,535 replicas
      * @param self the number of this one
-     * @param incarnation larger than that of any earlier life of this one, such as the time of its
-     *     start in milliseconds; where it is not, the others say so and it takes the next one;
-     *     where the store remembers, only proposals go by it
-     * @throws IllegalArgumentException if a figure is outside its range
+     * @param incarnation larger than that of any earlier one of this replica, such as the time of
+     *     its start in milliseconds; where it is not, the others say so and it takes the next one;
+     *     where the storage holds a state, only proposals go by it
+     * @throws IllegalArgumentException if a value is outside its range
      */
     public RaftNode(
             int[] zones,
             int self,
             long incarnation,
             ConsensusSettings settings,
-            StableStorage store,
+            StableStorage storage,
             RandomGenerator random,
-            Actions outlet,
+            Actions actions,
             long now) {
-        this(zones, self, incarnation, settings, store, random, outlet, now, new SafetyRules());
+        this(zones, self, incarnation, settings, storage, random, actions, now, new SafetyRules());
     }
 
     RaftNode(
@@ -141,56 +144,58 @@
             int self,
             long incarnation,
             ConsensusSettings settings,
-            StableStorage store,
+            StableStorage storage,
             RandomGenerator random,
-            Actions outlet,
+            Actions actions,
             long now,
-            SafetyRules conduct) {
-        if (zones.length < 1
-                || zones.length > 0xffff
-                || self < 0
-                || self >= zones.length
-                || incarnation < 1) {
+            SafetyRules rules) {
+        boolean valid =
+                zones.length >= 1
+                        && zones.length <= MAX_REPLICAS
+                        && self >= 0
+                        && self < zones.length
+                        && incarnation >= 1;
+        if (!valid) {
             throw new IllegalArgumentException(
                     "copy " + self + " of " + zones.length + ", life " + incarnation);
         }
         this.self = new Voter(self, incarnation);
         this.settings = settings;
-        this.store = store;
+        this.storage = storage;
         this.random = random;
-        this.outlet = outlet;
-        this.conduct = conduct;
-        this.tier = new ReplicaDirectory(self, zones, now);
-        this.log = new RaftLog(store);
-        this.pieces = new MessageFragmenter(conduct, random.nextInt());
-        this.contact = new LeaderContact(conduct);
-        this.allowance = new ByteRateLimiter(settings.bytesPerSecond(), now);
-        this.election = new Election(circle, settings, conduct, random, now);
-        this.spreading =
-                new LogDissemination(circle, settings, tier, random, allowance, contact, now);
-        this.seats = new VoterReplacement(circle, settings, tier, random);
-        this.proposing =
+        this.actions = actions;
+        this.rules = rules;
+        this.replicas = new ReplicaDirectory(self, zones, now);
+        this.log = new RaftLog(storage);
+        this.fragmenter = new MessageFragmenter(rules, random.nextInt());
+        this.contact = new LeaderContact(rules);
+        this.resendLimiter = new ByteRateLimiter(settings.bytesPerSecond(), now);
+        this.election = new Election(context, settings, rules, random, now);
+        this.dissemination =
+                new LogDissemination(
+                        context, settings, replicas, random, resendLimiter, contact, now);
+        this.voterReplacement = new VoterReplacement(context, settings, replicas, random);
+        this.forwarder =
                 new ProposalForwarder(
-                        circle, outlet, incarnation, random.nextInt() & Integer.MAX_VALUE);
-        this.handed = new ByteRateLimiter(settings.bytesPerSecond(), now);
-        waitAnew(now);
-        StableStorage.Kept kept = store.kept();
-        if (kept != null) {
-            this.self = new Voter(self, kept.promise().incarnation());
-            group = kept.promise().group();
-            election.remember(kept.promise());
-            log.remember(kept.snapshot(), kept.entries());
-            applied = log.committed();
-            AppliedProposals.Parts parts = AppliedProposals.decode(kept.snapshot().state());
-            if (parts == null) {
-                throw new IllegalArgumentException("store: its snapshot is none");
-            }
-            proposers = parts.proposers();
-            outlet.restored(new LogPosition(group, applied), parts.state());
+                        context, actions, incarnation, random.nextInt() & Integer.MAX_VALUE);
+        this.forwardedLimiter = new ByteRateLimiter(settings.bytesPerSecond(), now);
+        this.applier = new LogApplier(context, settings, rules, actions, forwarder);
+        this.follower = new LogFollower(context, election, dissemination);
+        this.formation = new GroupFormation(settings, random, now);
+        if (storage.recovered() != null) {
+            recover(storage.recovered());
         }
     }
 
-    private final class Own implements RaftContext {
+    private void recover(StableStorage.Recovered recovered) {
+        self = new Voter(self.replica(), recovered.hardState().incarnation());
+        group = recovered.hardState().group();
+        election.restore(recovered.hardState());
+        log.restore(recovered.snapshot(), recovered.entries());
+        applier.restore(recovered.snapshot());
+    }
+
+    private final class Context implements RaftContext {
         @Override
         public Voter self() {
             return self;
@@ -207,10 +212,11 @@
         }
 
         @Override
-        public void post(int to, RaftMessage message, long term) {
+        public void send(int to, RaftMessage message, long term) {
             if (to != self.replica()) {
-                pieces.cut(group, term, self, to, message.encode())
-                        .forEach(piece -> out.add(new Out(to, piece)));
+                fragmenter
+                        .split(group, term, self, to, message.encode())
+                        .forEach(datagram -> outgoing.add(new Outgoing(to, datagram)));
             }
         }
 
@@ -225,49 +231,56 @@
         }
 
         @Override
-        public boolean takes(long now, Proposal proposal) {
-            return RaftNode.this.takes(now, proposal);
+        public boolean acceptProposal(long now, Proposal proposal) {
+            return RaftNode.this.acceptProposal(now, proposal);
         }
 
         @Override
-        public void promised() {
-            promised = true;
+        public void onHardStateChanged() {
+            hardStateChanged = true;
         }
 
         @Override
-        public void advanced(long now) {
-            apply(now);
+        public void sync() {
+            RaftNode.this.sync();
         }
 
         @Override
-        public void note(ConsensusEvent note) {
-            outlet.noted(note);
+        public void onCommitAdvanced(long now) {
+            applyCommitted(now);
+        }
+
+        @Override
+        public void record(ConsensusEvent event) {
+            actions.record(event);
         }
     }
 
-    // ---- what is known ----
+    // ---- what is known
 
+    /** The group that this replica belongs to. */
     public VoterGroup group() {
         return group;
     }
 
-    /** This replica's life as a voter. */
+    /** This replica's incarnation as a voter. */
     public long incarnation() {
         return self.incarnation();
     }
 
     /** Whether this replica leads, as far as it knows; nothing is settled by that alone. */
-    public boolean leads() {
-        return election.leads();
+    public boolean isLeader() {
+        return election.isLeader();
     }
 
     /** The replica that leads, as far as this one knows; -1 where it knows of none. */
     public int leader() {
-        return election.leader() >= 0 || spreading.beatTerm() < election.term()
-                ? election.leader()
-                : spreading.leader();
+        boolean electionKnows =
+                election.leader() >= 0 || dissemination.heartbeatTerm() < election.term();
+        return electionKnows ? election.leader() : dissemination.leader();
     }
 
+    /** This replica's term. */
     public long term() {
         return election.term();
     }
@@ -277,65 +290,62 @@
         return log.voters();
     }
 
-    /** What was loaded last, or the state that stands for it. */
-    public LogPosition loaded() {
-        return new LogPosition(group, applied);
+    /** What was applied last, or the state that stands for it. */
+    public LogPosition appliedPosition() {
+        return applier.position();
     }
 
     /**
      * The latest instant of this replica's clock at which a leader whom a majority answered was
-     * surely in office, all of whose commits until then are loaded here; {@link Long#MIN_VALUE}
+     * surely in office, all of whose commits until then are applied here; {@link Long#MIN_VALUE}
      * where none is known. It rises within a group. It is never later than it truly was, however
-     * late datagrams came and however long this replica stood still, where clocks drift by no more
+     * late datagrams came and however long this replica was stopped, where clocks drift by no more
      * than 1 in 1,000.
      */
-    public long sureSince() {
+    public long leaderContactSince() {
         return contact.since();
     }
 
+    /** Datagrams that were dropped. */
     public Counts counts() {
         return new Counts(malformed, notItsSender, stale);
     }
 
-    // ---- events ----
+    // ---- time
 
     /** When {@link #tick} is to be called next; it does no harm to call it sooner or later. */
     public long due() {
-        long due = Math.min(Math.min(election.due(), spreading.due()), pieces.due());
-        if (election.leads()) {
+        long due = Math.min(Math.min(election.due(), dissemination.due()), fragmenter.due());
+        if (election.isLeader()) {
             due = Math.min(due, replication.due());
+        } else if (formation.isAllowed()) {
+            due = Math.min(due, formationDueAt());
         }
-        if (settings.silence() > 0 && !election.leads()) {
-            due = Math.min(due, formsAt());
-        }
-        return Math.min(due, proposing.due());
+        return Math.min(due, forwarder.due());
     }
 
     /** Does what is due. */
     public void tick(long now) {
-        lapse(now);
-        for (MessageFragmenter.Wanted wanted : pieces.lacks(now)) {
-            circle.post(wanted.of(), wanted.lack());
+        stepDownWithoutQuorum(now);
+        for (MessageFragmenter.Missing missing : fragmenter.missing(now)) {
+            context.send(missing.of(), missing.lack());
         }
         election.tick(now);
-        lead(now);
-        if (election.leads() && replication.tick(now)) {
-            spreading.beats(now);
-            VoterSet next = seats.next(now, replication);
+        updateRole(now);
+        if (election.isLeader() && replication.tick(now)) {
+            dissemination.onLeaderHeartbeat(now);
+            VoterSet next = voterReplacement.next(now, replication);
             if (next != null) {
                 append(now, new LogEntry(election.term(), Kind.VOTERS, next.encode()));
             }
         }
-        spreading.tick(now);
-        if (settings.silence() > 0 && !election.leads() && now >= formsAt()) {
-            waitAnew(now);
-            if (tier.living() * 2 > tier.replicas()) {
-                formNext(now);
-            }
-        }
-        end(now);
+        dissemination.tick(now);
+        formGroupIfDue(now);
+        finishEvent(now);
     }
 
+    // ---- groups
+
     /**
      * Forms a new group with this replica as its only voter and its state as the first; others join
      * it as they hear of it. What an older group goes on to do has no effect where this one is
@@ -343,92 +353,133 @@
      *
      * @return false where no further group can be formed
      */
-    public boolean form(long now) {
-        boolean formed = formNext(now);
-        end(now);
+    public boolean formGroup(long now) {
+        boolean formed = formNextGroup(now);
+        finishEvent(now);
         return formed;
     }
 
-    private boolean formNext(long now) {
+    private boolean formNextGroup(long now) {
         if (group.era() == Integer.MAX_VALUE) {
             return false;
         }
-        VoterGroup next = conduct.next(group, self);
-        byte[] state = state();
-        join(now, next);
-        Snapshot first = new Snapshot(1, 1, new VoterSet(List.of(self)), state);
-        install(now, first);
+        VoterGroup next = rules.nextGroup(group, self);
+        byte[] state = applier.encodeState();
+        joinGroup(now, next);
+        install(now, new Snapshot(1, 1, new VoterSet(List.of(self)), state));
         return true;
     }
 
+    private long formationDueAt() {
+        return formation.dueAt(dissemination.heartbeatAt(), applier.applied() > 0);
+    }
+
+    /** Forms a group by itself, where that is allowed and most replicas are alive. */
+    private void formGroupIfDue(long now) {
+        if (!formation.isAllowed() || election.isLeader() || now < formationDueAt()) {
+            return;
+        }
+        formation.restart(now);
+        if (replicas.liveCount() * 2 > replicas.replicas()) {
+            formNextGroup(now);
+        }
+    }
+
+    /**
+     * Leaves all that was, and has nothing of the other group yet. What the replica has applied,
+     * and what of it was forwarded, stays together until another state takes its place: it may be
+     * the first of the next group.
+     */
+    private void joinGroup(long now, VoterGroup other) {
+        group = other;
+        log.install(Snapshot.EMPTY);
+        fragmenter.clear();
+        election.reset(now);
+        dissemination.reset(now);
+        forwarder.reset();
+        contact.reset();
+        formation.restart(now);
+        replication = null;
+        applier.reset();
+        hardStateChanged = true;
+    }
+
+    // ---- proposals
+
     /**
-     * Proposes something to be agreed on.
+     * Proposes an entry.
      *
-     * @return its number if it comes to be committed; another may get that number if this replica
-     *     loses its lead first. Null where this replica does not lead, the group has not enough
-     *     voters yet, or too much is under way
+     * @return its position if it comes to be committed; another may get that position if this
+     *     replica loses its lead first. Null where this replica does not lead, the group has not
+     *     enough voters yet, or too much is in flight
      * @throws IllegalArgumentException if the content is larger than {@link #MAX_CONTENT}
      */
     public LogPosition propose(long now, byte[] content) {
-        if (content.length > MAX_CONTENT) {
-            throw new IllegalArgumentException(
-                    "content: found " + content.length + " bytes; allowed: up to " + MAX_CONTENT);
-        }
-        lapse(now);
-        LogPosition number = null;
-        if (election.leads()
-                && log.voters().size() >= MIN_VOTERS
-                && log.last() - log.committed() < MAX_OPEN) {
+        checkSize(content, MAX_CONTENT);
+        stepDownWithoutQuorum(now);
+        LogPosition position = null;
+        if (leadsEnoughVoters() && !isLogFull()) {
             append(now, new LogEntry(election.term(), Kind.CONTENT, content.clone()));
-            number = new LogPosition(group, log.last());
+            position = new LogPosition(group, log.lastIndex());
+        }
+        finishEvent(now);
+        return position;
+    }
+
+    private static void checkSize(byte[] content, int max) {
+        if (content.length > max) {
+            throw new IllegalArgumentException(
+                    "content: found " + content.length + " bytes; allowed: up to " + max);
         }
-        end(now);
-        return number;
+    }
+
+    private boolean leadsEnoughVoters() {
+        return election.isLeader() && log.voters().size() >= MIN_VOTERS;
+    }
+
+    private boolean isLogFull() {
+        return log.lastIndex() - log.commitIndex() >= MAX_OPEN;
     }
 
     /**
-     * Has something agreed on, whoever leads. Those of one replica go one after another, in their
-     * order.
+     * Proposes something, whoever leads. Those of one replica go one after another, in their order.
      *
      * @param patience after which its outcome is said, whatever is known by then, in nanoseconds
-     * @return what {@link Actions#settled} will name; null where too many wait here, so that it is
-     *     not taken
+     * @return what {@link Actions#onProposalSettled} will name; null where too many wait here, so
+     *     that it is not taken
      * @throws IllegalArgumentException if the content is larger than {@link #MAX_HANDED}
      */
-    public Proposal hand(long now, byte[] content, long patience) {
-        if (content.length > MAX_HANDED) {
-            throw new IllegalArgumentException(
-                    "content: found " + content.length + " bytes; allowed: up to " + MAX_HANDED);
-        }
-        Proposal made = proposing.make(now, loaded(), content, patience);
-        end(now);
+    public Proposal forward(long now, byte[] content, long patience) {
+        checkSize(content, MAX_HANDED);
+        Proposal made = forwarder.add(now, appliedPosition(), content, patience);
+        finishEvent(now);
         return made;
     }
 
     /**
-     * Hands on again what {@link #hand} made in this process and what became of which is unknown:
-     * where it took effect, it does not do so again. Where a later one of this replica took effect
-     * since, it stays unknown.
+     * Forwards again what {@link #forward} made in this process and the outcome of which is
+     * unknown: where it took effect, it does not do so again. Where a later one of this replica
+     * took effect since, it stays unknown.
      *
      * @return false where too many wait here, or it does
      */
-    public boolean again(long now, Proposal proposal, long patience) {
-        boolean taken = proposing.again(now, proposal, patience);
-        end(now);
+    public boolean forwardAgain(long now, Proposal proposal, long patience) {
+        boolean taken = forwarder.addAgain(now, proposal, patience);
+        finishEvent(now);
         return taken;
     }
 
     /**
-     * Takes what a replica hands on, as the one that leads; false where it can't now. What others
-     * can make it hold is bounded: one of each replica, and this many of all.
+     * Takes what a replica forwards, as the leader; false where it can't now. What others can make
+     * it hold is bounded: one of each replica, and {@value #MAX_OPEN_FORWARDED} of all.
      */
-    private boolean takes(long now, Proposal proposal) {
-        if (!election.leads() || log.voters().size() < MIN_VOTERS) {
+    private boolean acceptProposal(long now, Proposal proposal) {
+        if (!leadsEnoughVoters()) {
             return false;
         }
         int open = 0;
-        for (long i = log.committed() + 1; i <= log.last(); i++) {
-            if (log.entry(i).kind() == Kind.HANDED) {
+        for (long i = log.commitIndex() + 1; i <= log.lastIndex(); i++) {
+            if (log.entry(i).kind() == Kind.FORWARDED) {
                 Proposal other = Proposal.decode(log.entry(i).bytes());
                 if (other.replica() == proposal.replica()) {
                     return other.same(proposal);
@@ -436,384 +487,315 @@
                 open++;
             }
         }
-        if (!conduct.once(proposers.isNew(proposal))) {
+        if (!applier.mayTakeEffect(proposal)) {
             return true;
         }
         byte[] bytes = proposal.encode();
-        if (open >= MAX_OPEN_HANDED
-                || log.last() - log.committed() >= MAX_OPEN
-                || !handed.spend(now, bytes.length)) {
+        if (open >= MAX_OPEN_FORWARDED
+                || isLogFull()
+                || !forwardedLimiter.tryAcquire(now, bytes.length)) {
             return false;
         }
-        append(now, new LogEntry(election.term(), Kind.HANDED, bytes));
+        append(now, new LogEntry(election.term(), Kind.FORWARDED, bytes));
         return true;
     }
 
-    /**
-     * Has another voter lead that has all entries, such as before this replica ends; false where
-     * none has.
-     */
-    public boolean transfer(long now) {
-        lapse(now);
-        Voter to = null;
-        for (Voter voter : election.leads() ? log.voters().all() : List.<Voter>of()) {
-            if (!voter.equals(self)
-                    && replication.match(voter) == log.last()
-                    && tier.incarnations(voter.replica())) {
-                to = voter;
-            }
-        }
-        if (to != null) {
-            circle.post(to.replica(), new Lead());
-        }
-        end(now);
-        return to != null;
-    }
+    // ---- what is received
 
     /**
-     * Membership holds that a replica lives, or that it is dead. It guides whom this replica speaks
-     * to and makes a voter, and keeps it from forming a group by itself while it sees no more than
-     * half of the tier; no safety rests on it.
+     * Membership holds that a replica is alive, or dead. It guides whom this replica sends to and
+     * makes a voter, and keeps it from forming a group by itself while it sees no more than half of
+     * the tier; no safety rests on it.
      */
-    public void lives(int replica, boolean lives) {
+    public void setAlive(int replica, boolean alive) {
         if (replica != self.replica()) {
-            tier.incarnations(replica, lives);
+            replicas.setAlive(replica, alive);
         }
     }
 
     /**
-     * Takes a piece. One that can't be read, or that names another as its sender, is counted and
+     * Takes a datagram. One that can't be read, or that names another as its sender, is counted and
      * dropped.
      *
      * @param from the replica whose address it came from
      */
-    public void received(long now, int from, byte[] bytes) {
-        lapse(now);
-        MessageFragment piece = MessageFragment.decode(bytes, tier.replicas());
-        if (piece == null) {
+    public void onDatagram(long now, int from, byte[] datagram) {
+        stepDownWithoutQuorum(now);
+        MessageFragment fragment = MessageFragment.decode(datagram, replicas.replicas());
+        if (fragment == null) {
             malformed++;
-        } else if (piece.sender() != from || from == self.replica()) {
+        } else if (fragment.sender() != from || from == self.replica()) {
             notItsSender++;
-        } else if (admits(now, piece)) {
-            byte[] whole = pieces.take(now, piece);
-            RaftMessage message = whole == null ? null : RaftMessage.decode(whole);
+        } else if (admit(now, fragment)) {
+            byte[] message = fragmenter.accept(now, fragment);
             if (message != null) {
-                handle(now, new Voter(from, piece.incarnation()), piece.term(), message);
-                lead(now);
-            } else if (whole != null) {
-                malformed++;
+                onMessage(now, fragment, message);
             }
         }
-        end(now);
+        finishEvent(now);
     }
 
-    /**
-     * A leader that was away for long, or whom nobody answers, does nothing before it has stepped
-     * down.
-     */
-    private void lapse(long now) {
-        if (election.leads()
-                && conduct.lapsed(replication.sinceMajority(now), settings.maxElection())) {
-            election.follow(now, election.term());
-        }
-    }
-
-    /** Looks at what every piece says, before anything of it is kept. */
-    private boolean admits(long now, MessageFragment piece) {
-        int from = piece.sender();
-        int byGroup = piece.group().compareTo(group);
-        boolean raises =
-                byGroup > 0
-                        || piece.incarnation() > tier.incarnation(from)
-                                && tier.incarnation(from) > 0;
-        if (raises && !conduct.believes(answers(from, piece))) {
-            spreading.refuse(now, from, digest(piece), true);
+    private void onMessage(long now, MessageFragment last, byte[] bytes) {
+        RaftMessage message = RaftMessage.decode(bytes);
+        if (message == null) {
+            malformed++;
+            return;
+        }
+        Voter from = new Voter(last.sender(), last.incarnation());
+        onMessage(now, from, last.term(), message);
+        updateRole(now);
+    }
+
+    /** Looks at what every fragment says, before anything of it is kept. */
+    private boolean admit(long now, MessageFragment fragment) {
+        int from = fragment.sender();
+        int byGroup = fragment.group().compareTo(group);
+        long known = replicas.incarnation(from);
+        boolean raises = byGroup > 0 || fragment.incarnation() > known && known > 0;
+        if (raises && !rules.acceptsRaise(answersQuery(from, fragment))) {
+            dissemination.rejectOutdated(now, from, digest(fragment), true);
             return false;
         }
-        if (piece.incarnation() < tier.incarnation(from)) {
+        if (fragment.incarnation() < known) {
             stale++;
-            spreading.refuse(now, from, digest(piece), true);
+            dissemination.rejectOutdated(now, from, digest(fragment), true);
             return false;
         }
         if (byGroup < 0) {
             stale++;
-            if (piece.part()[0] != RaftMessage.SURE) {
-                spreading.refuse(now, from, digest(piece), false);
+            if (fragment.payload()[0] != RaftMessage.DIGEST_RESPONSE) {
+                dissemination.rejectOutdated(now, from, digest(fragment), false);
             }
             return false;
         }
-        tier.heard(now, from, piece.incarnation());
+        replicas.onHeard(now, from, fragment.incarnation());
         if (byGroup > 0) {
-            join(now, piece.group());
+            joinGroup(now, fragment.group());
         }
         return true;
     }
 
     /**
-     * A raise is only believed of one who answers: whoever sends from a peer's address can't do
-     * that.
+     * A higher group or incarnation is only believed of one who answers a query: whoever sends from
+     * a peer's address can't do that.
      */
-    private boolean answers(int from, MessageFragment piece) {
-        return piece.count() == 1
-                && piece.part()[0] == RaftMessage.SURE
-                && RaftMessage.decode(piece.part()) instanceof Sure sure
-                && spreading.answers(from, sure);
-    }
-
-    /** The question of a piece that is not admitted; null where it is none. */
-    private static Digest digest(MessageFragment piece) {
-        return piece.count() == 1
-                        && piece.part()[0] == RaftMessage.DIGEST
-                        && RaftMessage.decode(piece.part()) instanceof Digest digest
+    private boolean answersQuery(int from, MessageFragment fragment) {
+        return fragment.count() == 1
+                && fragment.payload()[0] == RaftMessage.DIGEST_RESPONSE
+                && RaftMessage.decode(fragment.payload()) instanceof DigestResponse response
+                && dissemination.answersQuery(from, response);
+    }
+
+    /** The digest in a fragment that is not admitted; null where it is none. */
+    private static Digest digest(MessageFragment fragment) {
+        return fragment.count() == 1
+                        && fragment.payload()[0] == RaftMessage.DIGEST
+                        && RaftMessage.decode(fragment.payload()) instanceof Digest digest
                 ? digest
                 : null;
     }
 
-    /**
-     * Leaves all that was, and has nothing of the other group yet. What the replica has loaded, and
-     * what of it was handed on, stays together until another state takes its place: it may be the
-     * first of the next group.
-     */
-    private void join(long now, VoterGroup other) {
-        group = other;
-        log.install(Snapshot.EMPTY);
-        pieces.clear();
-        election.reset(now);
-        spreading.reset(now);
-        proposing.reset();
-        contact.reset();
-        waitAnew(now);
-        replication = null;
-        applied = 0;
-        promised = true;
+    private void onMessage(long now, Voter from, long term, RaftMessage message) {
+        int sender = from.replica();
+        if (message instanceof RequestVote m) {
+            election.onRequestVote(now, from, term, m);
+        } else if (message instanceof VoteResponse m) {
+            election.onVoteResponse(now, from, term, m);
+        } else if (message instanceof AppendEntries m) {
+            follower.onAppend(now, sender, term, m);
+        } else if (message instanceof AppendResponse m) {
+            onAppendResponse(now, from, term, m);
+        } else if (message instanceof TimeoutNow) {
+            onTimeoutNow(now, sender, term);
+        } else if (message instanceof Digest m) {
+            onDigest(now, sender, m);
+        } else if (message instanceof FetchRequest m) {
+            dissemination.onFetchRequest(now, sender, m);
+        } else if (message instanceof CommittedEntries m) {
+            onCommittedEntries(now, sender, m);
+        } else if (message instanceof SnapshotChunk m) {
+            onSnapshotChunk(now, sender, m);
+        } else if (message instanceof ForwardProposal m) {
+            onForwardedProposal(now, sender, m.proposal());
+        } else if (message instanceof DigestResponse m) {
+            dissemination.onReceived(now, sender, m);
+        } else if (message instanceof ProposalAccepted m) {
+            forwarder.onAccepted(now, sender, m);
+        } else if (message instanceof MissingFragments m) {
+            resend(now, sender, m);
+        }
     }
 
-    /**
-     * Replicas that hear of no leader don't all form a group at once, and those that have nothing
-     * come last.
-     */
-    private void waitAnew(long now) {
-        waitsFrom = now;
-        wait = settings.silence() + (long) (random.nextDouble() * settings.silence());
-    }
-
-    private long formsAt() {
-        return Math.max(spreading.beatAt(), waitsFrom)
-                + wait
-                + (applied == 0 ? settings.silence() : 0);
-    }
-
-    private void handle(long now, Voter from, long term, RaftMessage message) {
-        if (message instanceof AskVote m) {
-            election.asked(now, from, term, m);
-        } else if (message instanceof SayVote m) {
-            election.said(now, from, term, m);
-        } else if (message instanceof Append m) {
-            follow(now, from.replica(), term, m);
-        } else if (message instanceof SayAppend m) {
-            if (election.leads() && term == election.term()) {
-                replication.said(now, from, m);
-            } else if (term > election.term() && log.voters().has(from)) {
-                election.follow(now, term);
-            }
-        } else if (message instanceof Lead) {
-            if (term == election.term() && from.replica() == election.leader()) {
-                election.call(now);
-            }
-        } else if (message instanceof Digest m) {
-            if (m.yourIncarnation() > self.incarnation() && !election.sworn()) {
-                self = new Voter(self.replica(), m.yourIncarnation() + 1);
-                promised = true;
-            }
-            spreading.told(now, from.replica(), m);
-        } else if (message instanceof Ask m) {
-            spreading.asked(now, from.replica(), m);
-        } else if (message instanceof News m) {
-            spreading.took(now, from.replica(), m);
-            if (log.term(log.committed()) > election.term()) {
-                election.follow(now, log.term(log.committed()));
-            }
-        } else if (message instanceof Chunk m) {
-            Snapshot whole = spreading.took(now, from.replica(), m);
-            if (whole != null && AppliedProposals.decode(whole.state()) != null) {
-                install(now, whole);
-                spreading.learned(now, 0);
-            } else if (whole != null) {
-                malformed++;
-            }
-        } else if (message instanceof Hand m) {
-            if (m.proposal().replica() != from.replica()) {
-                notItsSender++;
-            } else if (takes(now, m.proposal())) {
-                circle.post(
-                        from.replica(),
-                        new Took(m.proposal().incarnation(), m.proposal().sequence()));
-            }
-        } else if (message instanceof Sure m) {
-            spreading.took(now, from.replica(), m);
-        } else if (message instanceof Took m) {
-            proposing.heard(now, from.replica(), m);
-        } else if (message instanceof Lack m) {
-            for (byte[] piece : pieces.again(from.replica(), m)) {
-                if (allowance.spend(now, piece.length)) {
-                    out.add(new Out(from.replica(), piece));
-                }
-            }
+    private void onAppendResponse(long now, Voter from, long term, AppendResponse response) {
+        if (election.isLeader() && term == election.term()) {
+            replication.onResponse(now, from, response);
+        } else if (term > election.term() && log.voters().contains(from)) {
+            election.becomeFollower(now, term);
         }
     }
 
-    // ---- leading and following ----
+    /** The leader hands its office over (thesis, 3.10). */
+    private void onTimeoutNow(long now, int from, long term) {
+        if (term == election.term() && from == election.leader()) {
+            election.startElection(now);
+        }
+    }
 
-    /** Begins to lead where it was just elected: its first entry commits all before it. */
-    private void lead(long now) {
-        if (!election.leads()) {
-            replication = null;
-        } else if (replication == null) {
-            replication = new LogReplication(circle, settings, conduct, random, now);
-            log.voters().all().forEach(voter -> tier.expect(now, voter.replica()));
-            append(now, new LogEntry(election.term(), Kind.BEGIN, new byte[0]));
+    /** Another knows a later incarnation of this replica: it takes the next one. */
+    private void onDigest(long now, int from, Digest digest) {
+        if (digest.yourIncarnation() > self.incarnation() && !election.isAdmitted()) {
+            self = new Voter(self.replica(), digest.yourIncarnation() + 1);
+            hardStateChanged = true;
         }
+        dissemination.onDigest(now, from, digest);
     }
 
-    private void append(long now, LogEntry entry) {
-        log.append(entry);
-        sync();
-        outlet.noted(new ConsensusEvent.Stored(group, log.last(), self, entry));
-        replication.appended(now);
+    private void onCommittedEntries(long now, int from, CommittedEntries entries) {
+        dissemination.onReceived(now, from, entries);
+        long committedTerm = log.term(log.commitIndex());
+        if (committedTerm > election.term()) {
+            election.becomeFollower(now, committedTerm);
+        }
     }
 
-    private void follow(long now, int leader, long term, Append append) {
-        if (term < election.term()) {
-            circle.post(leader, new SayAppend(false, log.last(), append.ask()));
+    private void onSnapshotChunk(long now, int from, SnapshotChunk chunk) {
+        Snapshot complete = dissemination.onReceived(now, from, chunk);
+        if (complete == null) {
             return;
         }
-        election.heard(now, leader, term);
-        long after = append.after();
-        int skip = (int) Math.max(0, Math.min(log.committed() - after, append.entries().size()));
-        after += skip;
-        boolean behind = after < log.committed();
-        if (!behind
-                && (after > log.last()
-                        || log.term(after)
-                                != (skip == 0
-                                        ? append.afterTerm()
-                                        : append.entries().get(skip - 1).term()))) {
-            circle.post(
-                    leader,
-                    new SayAppend(
-                            false, Math.max(0, Math.min(log.last(), after - 1)), append.ask()));
-            if (append.committed() > log.last()) {
-                spreading.ask(now, leader);
-            }
+        if (AppliedProposals.decode(complete.state()) == null) {
+            malformed++;
             return;
         }
-        if (!behind) {
-            for (LogEntry entry : append.entries().subList(skip, append.entries().size())) {
-                after++;
-                if (log.term(after) != entry.term()) {
-                    if (after <= log.last()) {
-                        log.cut(after);
-                    }
-                    log.append(entry);
-                    outlet.noted(new ConsensusEvent.Stored(group, after, self, entry));
-                }
-            }
+        install(now, complete);
+        dissemination.onCommitted(now, 0);
+    }
+
+    private void onForwardedProposal(long now, int from, Proposal proposal) {
+        if (proposal.replica() != from) {
+            notItsSender++;
+        } else if (acceptProposal(now, proposal)) {
+            context.send(from, new ProposalAccepted(proposal.incarnation(), proposal.sequence()));
         }
-        sync();
-        circle.post(leader, new SayAppend(true, after, append.ask()));
-        long known = Math.min(append.committed(), after);
-        if (known > log.committed()) {
-            log.commit(known);
-            apply(now);
+    }
+
+    private void resend(long now, int to, MissingFragments missing) {
+        for (byte[] datagram : fragmenter.resend(to, missing)) {
+            if (resendLimiter.tryAcquire(now, datagram.length)) {
+                outgoing.add(new Outgoing(to, datagram));
+            }
         }
     }
 
-    // ---- what is committed ----
+    // ---- leading
 
-    private void apply(long now) {
-        sync();
-        long from = applied;
-        while (applied < log.committed()) {
-            LogEntry entry = log.entry(++applied);
-            if (entry.kind() == Kind.CONTENT) {
-                outlet.loaded(new LogPosition(group, applied), entry.bytes());
-            } else if (entry.kind() == Kind.HANDED) {
-                takesEffect(new LogPosition(group, applied), Proposal.decode(entry.bytes()));
-            } else if (entry.kind() == Kind.VOTERS) {
-                seated(applied, VoterSet.decode(entry.bytes()));
-            }
+    /**
+     * A leader that was stopped for long, or whom no majority answers, does nothing before it has
+     * stepped down (thesis, 6.2).
+     */
+    private void stepDownWithoutQuorum(long now) {
+        if (election.isLeader()
+                && rules.hasLostQuorum(
+                        replication.sinceMajorityNanos(now), settings.maxElection())) {
+            election.becomeFollower(now, election.term());
         }
-        if (log.committed() - log.snapshot().index() >= 2L * settings.keptEntries()) {
-            log.compact(state(), settings.keptEntries());
+    }
+
+    /** Begins to lead where it was just elected: its first entry commits all before it. */
+    private void updateRole(long now) {
+        if (!election.isLeader()) {
+            replication = null;
+        } else if (replication == null) {
+            replication = new LogReplication(context, settings, rules, random, now);
+            log.voters().all().forEach(voter -> replicas.expectAnswer(now, voter.replica()));
+            append(now, new LogEntry(election.term(), Kind.TERM_START, new byte[0]));
         }
-        spreading.learned(now, from);
     }
 
-    /** Once, whatever leaders took into the log. */
-    private void takesEffect(LogPosition number, Proposal proposal) {
-        if (conduct.once(proposers.isNew(proposal))) {
-            proposers.took(proposal, number);
-            outlet.loaded(number, proposal.content());
+    private void append(long now, LogEntry entry) {
+        log.append(entry);
+        sync();
+        actions.record(new ConsensusEvent.EntryStored(group, log.lastIndex(), self, entry));
+        replication.onAppended(now);
+    }
+
+    /**
+     * Has another voter lead that has all entries, such as before this replica ends; false where
+     * none has (thesis, 3.10).
+     */
+    public boolean transferLeadership(long now) {
+        stepDownWithoutQuorum(now);
+        Voter successor = election.isLeader() ? upToDateVoter() : null;
+        if (successor != null) {
+            context.send(successor.replica(), new TimeoutNow());
         }
-        proposing.loaded(proposers.last(self.replica()));
+        finishEvent(now);
+        return successor != null;
     }
 
-    private byte[] state() {
-        byte[] state = outlet.state();
-        if (state.length > MAX_STATE) {
-            throw new IllegalStateException(
-                    "state: found " + state.length + " bytes; allowed: up to " + MAX_STATE);
+    private Voter upToDateVoter() {
+        Voter found = null;
+        for (Voter voter : log.voters().all()) {
+            if (!voter.equals(self)
+                    && replication.matchIndex(voter) == log.lastIndex()
+                    && replicas.isAlive(voter.replica())) {
+                found = voter;
+            }
         }
-        return proposers.with(state);
+        return found;
+    }
+
+    // ---- what is committed
+
+    private void applyCommitted(long now) {
+        sync();
+        long before = applier.applied();
+        applier.applyCommitted(this::onVoters);
+        dissemination.onCommitted(now, before);
     }
 
     private void install(long now, Snapshot snapshot) {
         log.install(snapshot);
-        applied = log.committed();
         sync();
-        AppliedProposals.Parts parts = AppliedProposals.decode(snapshot.state());
-        proposers = parts.proposers();
-        outlet.restored(new LogPosition(group, applied), parts.state());
-        seated(applied, snapshot.voters());
-        election.follow(now, Math.max(election.term(), snapshot.term()));
+        applier.install(snapshot);
+        onVoters(applier.applied(), snapshot.voters());
+        election.becomeFollower(now, Math.max(election.term(), snapshot.term()));
     }
 
-    private void seated(long index, VoterSet voters) {
-        outlet.noted(new ConsensusEvent.Seated(group, index, voters));
-        if (voters.has(self)) {
-            election.swear();
+    private void onVoters(long index, VoterSet voters) {
+        actions.record(new ConsensusEvent.VotersChanged(group, index, voters));
+        if (voters.contains(self)) {
+            election.admitAsVoter();
         }
     }
 
-    // ---- the end of an event ----
+    // ---- the end of an event
 
-    /** What was written and promised is kept from here on. */
+    /** What was written and promised is persisted from here on. */
     private void sync() {
-        if (promised) {
-            promised = false;
-            store.promise(
-                    new StableStorage.Promise(
+        if (hardStateChanged) {
+            hardStateChanged = false;
+            storage.hardState(
+                    new StableStorage.HardState(
                             group,
                             self.incarnation(),
                             election.term(),
                             election.vote(),
-                            election.sworn()));
+                            election.isAdmitted()));
         }
-        store.sync();
+        storage.sync();
     }
 
-    private void end(long now) {
-        proposing.loaded(proposers.last(self.replica()));
-        proposing.tick(now);
-        if (election.leads()
-                && log.voters().size() >= MIN_VOTERS
-                && log.term(log.committed()) == election.term()) {
-            contact.sure(replication.answeredSince(now), log.committed());
+    private void finishEvent(long now) {
+        applier.settleOwn();
+        forwarder.tick(now);
+        if (leadsEnoughVoters() && log.term(log.commitIndex()) == election.term()) {
+            contact.onQuorum(replication.answeredSince(now), log.commitIndex());
         }
-        if (promised) {
+        if (hardStateChanged) {
             sync();
         }
-        out.forEach(each -> outlet.send(each.to, each.piece));
-        out.clear();
+        outgoing.forEach(each -> actions.send(each.to, each.datagram));
+        outgoing.clear();
     }
 }
