--- a/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
+++ b/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
@@ -5,12 +5,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a replica knows of the others of its tier: where they are, their lives, and when it heard of
- * them.
+ * What a replica knows of the others of its tier: their zones and incarnations, whether they are
+ * alive, and when they were heard of.
  */
 final class ReplicaDirectory {
 
-    private static final int TRIES = 16;
+    private static final int RANDOM_TRIES = 16;
 
     private final int self;
     private final int[] zones;
@@ -34,7 +34,7 @@
         return zones[replica];
     }
 
-    /** The largest life of a replica that was heard of. */
+    /** The highest incarnation of a replica that was heard of; 0: none. */
     long incarnation(int replica) {
         return incarnations[replica];
     }
@@ -43,35 +43,35 @@
         return heardAt[replica];
     }
 
-    void heard(long now, int replica, long incarnation) {
+    void onHeard(long now, int replica, long incarnation) {
         incarnations[replica] = incarnation;
         heardAt[replica] = now;
     }
 
-    /** Voters are reckoned from now on: those who were not heard of get the same time as all. */
-    void expect(long now, int replica) {
+    /** A voter is expected to answer from now on, also one that was never heard of. */
+    void expectAnswer(long now, int replica) {
         heardAt[replica] = Math.max(heardAt[replica], now);
     }
 
-    void incarnations(int replica, boolean lives) {
-        dead.set(replica, !lives);
+    void setAlive(int replica, boolean alive) {
+        dead.set(replica, !alive);
     }
 
-    boolean incarnations(int replica) {
+    boolean isAlive(int replica) {
         return !dead.get(replica);
     }
 
-    int living() {
+    int liveCount() {
         return zones.length - dead.cardinality();
     }
 
-    /** One of the others, of those that live where one is found soon; -1 where there is none. */
-    int any(RandomGenerator random) {
+    /** One of the others at random, an alive one where one is found soon; -1: there is none. */
+    int random(RandomGenerator random) {
         int found = -1;
-        for (int i = 0; i < TRIES && zones.length > 1; i++) {
+        for (int i = 0; i < RANDOM_TRIES && zones.length > 1; i++) {
             found = random.nextInt(zones.length - 1);
             found += found >= self ? 1 : 0;
-            if (incarnations(found)) {
+            if (isAlive(found)) {
                 break;
             }
         }
--- a/core/src/main/java/cedarrudder/consensus/SafetyRules.java
+++ b/core/src/main/java/cedarrudder/consensus/SafetyRules.java
@@ -19,61 +19,61 @@
      * Whether a candidate first asks if it would be voted for, and leaves the term alone (thesis,
      * 9.6).
      */
-    boolean asksFirst() {
+    boolean requiresPreVote() {
         return true;
     }
 
     /** Whether counting may commit an entry: only one of the leader's own term (paper, 5.4.2). */
-    boolean counts(long entryTerm, long term) {
+    boolean countsVote(long entryTerm, long term) {
         return entryTerm == term;
     }
 
     /** Whether a leader steps down that a majority has not answered for this long (thesis, 6.2). */
-    boolean lapsed(long sinceMajority, long max) {
+    boolean hasLostQuorum(long sinceMajority, long max) {
         return sinceMajority >= max;
     }
 
     /** The group that a replica forms: no other has had or will have it. */
-    VoterGroup next(VoterGroup known, Voter founder) {
+    VoterGroup nextGroup(VoterGroup known, Voter founder) {
         return new VoterGroup(known.era() + 1, founder.replica(), founder.incarnation());
     }
 
     /** Whether a proposal that was handed on takes effect: only the first time. */
-    boolean once(boolean isNew) {
+    boolean mayTakeEffect(boolean isNew) {
         return isNew;
     }
 
     /**
      * How long a time may be on this clock that another measured: each is off by up to 1 in 1,000.
      */
-    long lengthened(long nanos) {
+    long withClockDrift(long nanos) {
         return nanos + nanos / 400;
     }
 
     /** From when the age of a contact counts: from the question, whenever the answer came. */
-    long countsFrom(long askedAt, long answeredAt) {
+    long contactCountsFrom(long askedAt, long answeredAt) {
         return askedAt;
     }
 
     /**
      * Whether a higher group or life is followed: only where its sender has answered a question.
      */
-    boolean believes(boolean answered) {
+    boolean acceptsRaise(boolean answered) {
         return answered;
     }
 
     /** Whether a piece belongs to the message of which another piece is held. */
-    boolean same(MessageFragment held, MessageFragment other) {
-        return held.message() == other.message()
+    boolean isSameMessage(MessageFragment held, MessageFragment other) {
+        return held.messageId() == other.messageId()
                 && held.incarnation() == other.incarnation()
                 && held.count() == other.count()
-                && held.whole() == other.whole()
+                && held.messageChecksum() == other.messageChecksum()
                 && held.group().equals(other.group())
                 && held.term() == other.term();
     }
 
     /** Whether what was put together is what was sent. */
-    boolean intact(MessageFragment held, byte[] message) {
-        return MessageFragment.checksum(message, 0, message.length) == held.whole();
+    boolean isIntact(MessageFragment held, byte[] message) {
+        return MessageFragment.checksum(message, 0, message.length) == held.messageChecksum();
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/Snapshot.java
+++ b/core/src/main/java/cedarrudder/consensus/Snapshot.java
@@ -11,5 +11,5 @@
 public record Snapshot(long index, long term, VoterSet voters, byte[] state) {
 
     /** Before the first entry. */
-    static final Snapshot EMPTY = new Snapshot(0, 0, VoterSet.NOBODY, new byte[0]);
+    static final Snapshot EMPTY = new Snapshot(0, 0, VoterSet.EMPTY, new byte[0]);
 }
--- a/core/src/main/java/cedarrudder/consensus/StableStorage.java
+++ b/core/src/main/java/cedarrudder/consensus/StableStorage.java
@@ -13,31 +13,31 @@
      *
      * @param incarnation of the replica as a voter; a process that remembers goes on with it
      * @param vote whom it voted for in that term, or null
-     * @param sworn whether a committed set of voters has had this life
+     * @param admitted whether a committed set of voters has had this life
      */
-    record Promise(VoterGroup group, long incarnation, long term, Voter vote, boolean sworn) {}
+    record HardState(VoterGroup group, long incarnation, long term, Voter vote, boolean admitted) {}
 
     /**
      * What was read back, whole.
      *
      * @param entries those after the snapshot; their voters may not be committed
      */
-    record Kept(Promise promise, Snapshot snapshot, List<LogEntry> entries) {
-        public Kept {
+    record Recovered(HardState hardState, Snapshot snapshot, List<LogEntry> entries) {
+        public Recovered {
             entries = List.copyOf(entries);
         }
     }
 
     /** What an earlier process wrote and synced; null where nothing is left of it. */
-    Kept kept();
+    Recovered recovered();
 
-    void promise(Promise promise);
+    void hardState(HardState promise);
 
     /** Entries from here on are replaced by this one. */
-    void entry(long index, LogEntry entry);
+    void append(long index, LogEntry entry);
 
     /** Entries from here on are gone. */
-    void cut(long from);
+    void truncateFrom(long from);
 
     /** Entries up to it need not be kept; those after it stay. */
     void snapshot(Snapshot snapshot);
@@ -53,18 +53,18 @@
     StableStorage NONE =
             new StableStorage() {
                 @Override
-                public Kept kept() {
+                public Recovered recovered() {
                     return null;
                 }
 
                 @Override
-                public void promise(Promise promise) {}
+                public void hardState(HardState promise) {}
 
                 @Override
-                public void entry(long index, LogEntry entry) {}
+                public void append(long index, LogEntry entry) {}
 
                 @Override
-                public void cut(long from) {}
+                public void truncateFrom(long from) {}
 
                 @Override
                 public void snapshot(Snapshot snapshot) {}
--- a/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
@@ -13,20 +13,20 @@
 
     private static final int TRAINING_HEARTBEATS = 20;
 
-    private final RaftContext circle;
+    private final RaftContext context;
     private final ConsensusSettings settings;
-    private final ReplicaDirectory tier;
+    private final ReplicaDirectory replicas;
     private final RandomGenerator random;
-    private long trainedUntil;
+    private long learnerUntil;
 
     VoterReplacement(
             RaftContext circle,
             ConsensusSettings settings,
             ReplicaDirectory tier,
             RandomGenerator random) {
-        this.circle = circle;
+        this.context = circle;
         this.settings = settings;
-        this.tier = tier;
+        this.replicas = tier;
         this.random = random;
     }
 
@@ -34,66 +34,68 @@
      * The voters that are to follow those of now; null where they may stay or can't be changed yet.
      */
     VoterSet next(long now, LogReplication replication) {
-        RaftLog log = circle.log();
+        RaftLog log = context.log();
         boolean settled =
-                log.votersAt() <= log.committed() && log.term(log.committed()) == circle.term();
+                log.votersAt() <= log.commitIndex()
+                        && log.term(log.commitIndex()) == context.term();
         if (!settled) {
             return null;
         }
         VoterSet voters = log.voters();
-        List<Voter> spare = spare(now, voters);
+        List<Voter> spare = candidate(now, voters);
         for (Voter voter : voters.all()) {
             boolean gone =
-                    !voter.equals(circle.self())
-                            && (tier.incarnation(voter.replica()) > voter.incarnation()
-                                    || now - tier.heardAt(voter.replica())
+                    !voter.equals(context.self())
+                            && (replicas.incarnation(voter.replica()) > voter.incarnation()
+                                    || now - replicas.heardAt(voter.replica())
                                             > settings.voterPatience());
             boolean back =
-                    tier.incarnation(voter.replica()) > voter.incarnation()
-                            && now - tier.heardAt(voter.replica()) < settings.voterPatience() / 2;
+                    replicas.incarnation(voter.replica()) > voter.incarnation()
+                            && now - replicas.heardAt(voter.replica())
+                                    < settings.voterPatience() / 2;
             if (gone && (voters.size() > 3 || !spare.isEmpty() || back)) {
                 return voters.without(voter);
             }
         }
         if (voters.size() >= settings.voters()) {
-            replication.train(null);
+            replication.startLearner(null);
             return null;
         }
-        Voter trainee = replication.trainee();
-        boolean fits = trainee != null && spare.contains(trainee) && now < trainedUntil;
-        if (fits && replication.match(trainee) >= log.committed()) {
-            replication.train(null);
+        Voter trainee = replication.learner();
+        boolean fits = trainee != null && spare.contains(trainee) && now < learnerUntil;
+        if (fits && replication.matchIndex(trainee) >= log.commitIndex()) {
+            replication.startLearner(null);
             return voters.with(trainee);
         }
         if (!fits && !spare.isEmpty()) {
-            replication.train(spare.get(random.nextInt(spare.size())));
-            trainedUntil = now + TRAINING_HEARTBEATS * settings.heartbeat();
+            replication.startLearner(spare.get(random.nextInt(spare.size())));
+            learnerUntil = now + TRAINING_HEARTBEATS * settings.heartbeat();
         }
         return null;
     }
 
     /** Those who could be voters, of the zones that have the fewest. */
-    private List<Voter> spare(long now, VoterSet voters) {
+    private List<Voter> candidate(long now, VoterSet voters) {
         List<Voter> best = new ArrayList<>();
         long fewest = Long.MAX_VALUE;
-        for (int replica = 0; replica < tier.replicas(); replica++) {
-            if (voters.hasCopy(replica)
-                    || replica == circle.self().replica()
-                    || !tier.incarnations(replica)
-                    || now - tier.heardAt(replica) > settings.voterPatience() / 2) {
+        for (int replica = 0; replica < replicas.replicas(); replica++) {
+            if (voters.containsReplica(replica)
+                    || replica == context.self().replica()
+                    || !replicas.isAlive(replica)
+                    || now - replicas.heardAt(replica) > settings.voterPatience() / 2) {
                 continue;
             }
-            int zone = tier.zone(replica);
+            int zone = replicas.zone(replica);
             long there =
                     voters.all().stream()
-                            .filter(voter -> tier.zone(voter.replica()) == zone)
+                            .filter(voter -> replicas.zone(voter.replica()) == zone)
                             .count();
             if (there < fewest) {
                 fewest = there;
                 best.clear();
             }
             if (there == fewest) {
-                best.add(new Voter(replica, tier.incarnation(replica)));
+                best.add(new Voter(replica, replicas.incarnation(replica)));
             }
         }
         return best;
--- a/core/src/main/java/cedarrudder/consensus/VoterSet.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterSet.java
@@ -14,7 +14,7 @@
     /** One more than the most that are asked for: a change may pass through it. */
     public static final int MAX = 8;
 
-    static final VoterSet NOBODY = new VoterSet(List.of());
+    static final VoterSet EMPTY = new VoterSet(List.of());
 
     private static final int BYTES = 10;
 
@@ -22,11 +22,11 @@
         all = List.copyOf(all);
     }
 
-    public boolean has(Voter voter) {
+    public boolean contains(Voter voter) {
         return all.contains(voter);
     }
 
-    boolean hasCopy(int replica) {
+    boolean containsReplica(int replica) {
         return all.stream().anyMatch(voter -> voter.replica() == replica);
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** Whether more than half of them do. */
-    public boolean majority(Predicate<Voter> does) {
+    public boolean quorum(Predicate<Voter> does) {
         return all.stream().filter(does).count() * 2 > all.size();
     }
 
--- a/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
@@ -11,8 +11,8 @@
 import cedarrudder.consensus.Voter;
 import cedarrudder.consensus.VoterGroup;
 import cedarrudder.consensus.VoterSet;
-import cedarrudder.coordination.ReportMessage.Of;
 import cedarrudder.coordination.ReportMessage.Part;
+import cedarrudder.coordination.ReportMessage.ReportKind;
 import cedarrudder.footprint.RouteTableCapacity;
 import cedarrudder.footprint.RouteTableFootprint;
 import cedarrudder.routetable.CurrentRouteTable;
@@ -87,30 +87,30 @@
          * This table counts from here on; null: none does, and the replica does what it does
          * without one.
          */
-        void table(RouteTable table);
+        void onTable(RouteTable table);
 
         /**
          * The table that counts must not be used from this instant on, unless another one is said
          * before. To be looked at before each use: this avoids one who stood still and goes on with
          * a table of then.
          */
-        void until(long instant);
+        void onLeaseExtended(long instant);
 
         /**
          * These nodes are being removed, whether a table counts or not: a lease that is over brings
          * none back.
          */
-        void leaving(List<RouteTable.Leaving> leaving);
+        void onDrainingNodes(List<RouteTable.DrainingNode> leaving);
 
         /**
          * What became of a command that was proposed here, said once.
          *
          * @param number the one that it was applied under, where it is committed; otherwise null
          */
-        void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
+        void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
         /** Something that others may want to know; words of {@code docs/AGREEMENT.md}. */
-        void noted(String what, Map<String, String> fields);
+        void record(String what, Map<String, String> fields);
     }
 
     /** How things stand, for operators. */
@@ -127,29 +127,29 @@
     /** What came that was none, for figures. */
     public record Counts(long malformed, long notItsSender) {}
 
-    private final Actions outlet;
+    private final Actions actions;
     private final CoordinationSettings settings;
     private final int[] zones;
     private final int self;
     private final long reports;
     private final RandomGenerator random;
-    private final TrafficCoordination shares;
-    private final DrainCoordination removal;
-    private final Supplier<RouteTableCapacity> room;
+    private final TrafficCoordination trafficCoordination;
+    private final DrainCoordination drainCoordination;
+    private final Supplier<RouteTableCapacity> capacity;
     private final CurrentRouteTable tables = new CurrentRouteTable();
     private final ReportCollector reporters;
     private final BitSet dead = new BitSet();
-    private final TierView tier = new View();
+    private final TierView tierView = new View();
     private final long[] sentAt = new long[OPEN];
     private final TableLease lease;
-    private final RaftNode agreement;
+    private final RaftNode raft;
 
     private RouteTable used;
     private boolean counts;
     private boolean fits;
     private long until;
     private long contact;
-    private List<RouteTable.Leaving> leaving = List.of();
+    private List<RouteTable.DrainingNode> drainingNodes = List.of();
     private long longest;
 
     private long reportAt;
@@ -158,10 +158,10 @@
     private long grantTerm;
     private long grantAt = ReportMessage.NEVER;
 
-    private boolean led;
+    private boolean wasLeader;
     private long planAt;
     private long firstOfTerm;
-    private LogPosition waitsFor;
+    private LogPosition waitsForNumber;
     private long waitsSince;
     private RouteTable heldBack;
 
@@ -207,10 +207,10 @@
         this.settings = settings;
         this.reports = settings.reports(zones.length);
         this.random = random;
-        this.shares = shares;
-        this.removal = removal;
-        this.room = room;
-        this.outlet = outlet;
+        this.trafficCoordination = shares;
+        this.drainCoordination = removal;
+        this.capacity = room;
+        this.actions = outlet;
         this.now = now;
         this.reporters = new ReportCollector(zones.length, now);
         this.lease = new TableLease(now);
@@ -218,26 +218,33 @@
         this.contact = lease.contact();
         this.number = (incarnation & MAX_START) << START;
         this.reportAt = now + (long) (random.nextDouble() * reports);
-        this.agreement =
+        this.raft =
                 new RaftNode(
-                        zones, self, incarnation, agreed, store, random, new FromLog(store), now);
+                        zones,
+                        self,
+                        incarnation,
+                        agreed,
+                        store,
+                        random,
+                        new LogActions(store),
+                        now);
     }
 
     /** What the log causes. */
-    private final class FromLog implements RaftNode.Actions {
+    private final class LogActions implements RaftNode.Actions {
         private final StableStorage store;
 
-        FromLog(StableStorage store) {
+        LogActions(StableStorage store) {
             this.store = store;
         }
 
         @Override
         public void send(int to, byte[] piece) {
-            outlet.send(to, piece);
+            actions.send(to, piece);
         }
 
         @Override
-        public void loaded(LogPosition at, byte[] content) {
+        public void apply(LogPosition at, byte[] content) {
             if (content.length > 0 && content[0] == TABLE) {
                 byte[] bytes = new byte[content.length - 1];
                 System.arraycopy(content, 1, bytes, 0, bytes.length);
@@ -250,52 +257,53 @@
             } else if (content.length > 0 && content[0] == COMMAND) {
                 byte[] command = new byte[content.length - 1];
                 System.arraycopy(content, 1, command, 0, command.length);
-                removal.apply(now, command);
+                drainCoordination.apply(now, command);
                 agreed(at.group(), lease.agreed());
             }
-            say(HistoryEventText.loaded(at, content, state()));
+            recordHistory(HistoryEventText.loaded(at, content, state()));
         }
 
         @Override
         public byte[] state() {
-            return new ReplicatedState(lease.agreed(), removal.state()).encode();
+            return new ReplicatedState(lease.agreed(), drainCoordination.state()).encode();
         }
 
         @Override
-        public void restored(LogPosition at, byte[] bytes) {
+        public void restore(LogPosition at, byte[] bytes) {
             ReplicatedState state = ReplicatedState.decode(bytes);
             if (state == null) {
                 // This avoids a state that another version wrote: nothing of it counts.
                 state = new ReplicatedState(null, new byte[0]);
             }
-            removal.restored(now, state.removal());
+            drainCoordination.restored(now, state.drainState());
             agreed(at.group(), state.table());
             if (at.index() > 0) {
-                say(
+                recordHistory(
                         HistoryEventText.restored(
                                 at,
                                 bytes,
-                                agreement == null
-                                        ? store.kept().promise().incarnation()
-                                        : agreement.incarnation()));
+                                raft == null
+                                        ? store.recovered().hardState().incarnation()
+                                        : raft.incarnation()));
             }
         }
 
         @Override
-        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
-            outlet.settled(proposal, outcome, number);
+        public void onProposalSettled(
+                Proposal proposal, ProposalOutcome outcome, LogPosition number) {
+            actions.onProposalSettled(proposal, outcome, number);
         }
 
         @Override
-        public void noted(ConsensusEvent note) {
-            if (note instanceof ConsensusEvent.Stored stored
-                    && stored.entry().kind() == LogEntry.Kind.BEGIN
+        public void record(ConsensusEvent note) {
+            if (note instanceof ConsensusEvent.EntryStored stored
+                    && stored.entry().kind() == LogEntry.Kind.TERM_START
                     && stored.by().replica() == self
-                    && stored.entry().term() == agreement.term()
-                    && agreement.leads()) {
+                    && stored.entry().term() == raft.term()
+                    && raft.isLeader()) {
                 firstOfTerm = stored.index();
             }
-            say(HistoryEventText.of(note));
+            recordHistory(HistoryEventText.of(note));
         }
     }
 
@@ -319,7 +327,7 @@
         }
 
         @Override
-        public boolean lives(int replica) {
+        public boolean isAlive(int replica) {
             return !dead.get(replica);
         }
 
@@ -329,7 +337,7 @@
         }
 
         @Override
-        public long leaseOver(int replica) {
+        public long isLeaseOver(int replica) {
             return reporters.grantedAt(replica)
                     + longest
                     + 2 * longest / CoordinationSettings.DRIFT;
@@ -341,11 +349,11 @@
     /** How things stand. */
     public Status status(long at) {
         return new Status(
-                agreement.group(),
-                agreement.term(),
+                raft.group(),
+                raft.term(),
                 leader(),
-                agreement.leads(),
-                agreement.voters(),
+                raft.isLeader(),
+                raft.voters(),
                 lease.agreed(),
                 used,
                 used == null ? 0 : Math.max(0, until - at));
@@ -353,7 +361,7 @@
 
     /** The replica that leads, as far as this one knows; -1 where it knows of none. */
     public int leader() {
-        return agreement.leader();
+        return raft.leader();
     }
 
     public Counts counts() {
@@ -364,32 +372,32 @@
 
     /** When {@link #tick} is to be called next; it does no harm to call it sooner or later. */
     public long due() {
-        long due = Math.min(agreement.due(), reportAt);
+        long due = Math.min(raft.due(), reportAt);
         due = used == null ? due : Math.min(due, until);
-        return agreement.leads() ? Math.min(due, planAt) : due;
+        return raft.isLeader() ? Math.min(due, planAt) : due;
     }
 
     /** Does what is due. */
     public void tick(long at) {
         begin(at);
-        agreement.tick(now);
-        settle();
+        raft.tick(now);
+        settleLeadership();
         if (now >= reportAt) {
             reportAt = now + reports;
             if (!fits) {
-                look(); // there may be room by now
+                updateTable(); // there may be room by now
             }
             report();
         }
-        if (agreement.leads() && now >= planAt) {
+        if (raft.isLeader() && now >= planAt) {
             planAt = now + settings.period();
             plan();
         }
-        settle();
+        settleLeadership();
     }
 
     /** Takes a datagram that begins as one of agreement, or as one of these. Garbage is dropped. */
-    public void received(long at, int from, byte[] bytes) {
+    public void onDatagram(long at, int from, byte[] bytes) {
         begin(at);
         if (bytes.length > 0 && bytes[0] == ReportMessage.FIRST) {
             ReportMessage.Sealed sealed = ReportMessage.decode(bytes, zones.length);
@@ -398,20 +406,20 @@
             } else if (sealed.sender() != from || from == self) {
                 notItsSender++;
             } else if (sealed.letter() instanceof ReportMessage.Report report) {
-                reported(from, sealed.incarnation(), report);
+                onReport(from, sealed.incarnation(), report);
             } else if (sealed.letter() instanceof ReportMessage.Grant grant) {
-                granted(grant);
+                onGrant(grant);
             }
         } else {
-            agreement.received(now, from, bytes);
+            raft.onDatagram(now, from, bytes);
         }
-        settle();
+        settleLeadership();
     }
 
     /** Membership holds that a replica lives, or that it is dead; no safety rests on it. */
-    public void lives(int replica, boolean lives) {
+    public void setAlive(int replica, boolean lives) {
         dead.set(replica, !lives);
-        agreement.lives(replica, lives);
+        raft.setAlive(replica, lives);
     }
 
     /**
@@ -419,10 +427,10 @@
      *
      * @return false where no further group can be formed
      */
-    public boolean form(long at) {
+    public boolean formGroup(long at) {
         begin(at);
-        boolean formed = agreement.form(now);
-        settle();
+        boolean formed = raft.formGroup(now);
+        settleLeadership();
         return formed;
     }
 
@@ -430,33 +438,33 @@
      * Proposes a command of {@link DrainCoordination}, at any replica, whoever leads.
      *
      * @param patience after which its outcome is said, whatever is known by then; nanoseconds
-     * @return what {@link Actions#settled} will name; null where too many wait here, so that it is
-     *     not taken
+     * @return what {@link Actions#onProposalSettled} will name; null where too many wait here, so
+     *     that it is not taken
      * @throws IllegalArgumentException if it is larger than what may be handed on
      */
     public Proposal propose(long at, byte[] command, long patience) {
         begin(at);
-        Proposal made = agreement.hand(now, tagged(COMMAND, command), patience);
-        settle();
+        Proposal made = raft.forward(now, tagged(COMMAND, command), patience);
+        settleLeadership();
         return made;
     }
 
     /** This replica is about to end: another leads where this one does; false where none can. */
-    public boolean leave(long at) {
+    public boolean stop(long at) {
         begin(at);
-        boolean handed = agreement.transfer(now);
-        settle();
+        boolean handed = raft.transferLeadership(now);
+        settleLeadership();
         return handed;
     }
 
     /** First of all: this avoids one that stood still doing anything with what was then. */
     private void begin(long at) {
         now = at;
-        settle();
+        settleLeadership();
     }
 
-    private void say(HistoryEventText.Said said) {
-        outlet.noted(said.what(), said.fields());
+    private void recordHistory(HistoryEventText.HistoryEntry said) {
+        actions.record(said.what(), said.fields());
     }
 
     private static byte[] tagged(byte tag, byte[] content) {
@@ -479,51 +487,51 @@
             longest = Math.max(longest, table.lease());
             CurrentRouteTable.Loaded loaded = tables.load(table);
             counts = loaded.counts();
-            look();
+            updateTable();
             if (!fits) {
-                say(HistoryEventText.refused(table, counts ? "no room" : loaded.why()));
+                recordHistory(HistoryEventText.refused(table, counts ? "no room" : loaded.why()));
             }
         }
-        List<RouteTable.Leaving> next = removal.leaving();
-        if (!next.equals(leaving)) {
-            leaving = next;
-            say(HistoryEventText.leaving(leaving));
-            outlet.leaving(leaving);
+        List<RouteTable.DrainingNode> next = drainCoordination.drainingNodes();
+        if (!next.equals(drainingNodes)) {
+            drainingNodes = next;
+            recordHistory(HistoryEventText.leaving(drainingNodes));
+            actions.onDrainingNodes(drainingNodes);
         }
     }
 
     /** Whether there is room for what is agreed on. */
-    private void look() {
+    private void updateTable() {
         RouteTable table = lease.agreed();
-        fits = counts && room.get().holds(table, RouteTableFootprint.bytes(table));
+        fits = counts && capacity.get().fits(table, RouteTableFootprint.bytes(table));
     }
 
     /** Sees to it that the table that counts is the one that may. */
-    private void settle() {
-        if (agreement.leads() != led) {
-            led = !led;
+    private void settleLeadership() {
+        if (raft.isLeader() != wasLeader) {
+            wasLeader = !wasLeader;
             planAt = now;
-            waitsFor = null;
-            if (led) {
+            waitsForNumber = null;
+            if (wasLeader) {
                 reporters.begin(now);
                 reportAt =
                         now; // what the others say comes to this one from now on, and so does its
                 // own
             }
-            shares.leads(now, led);
-            removal.leads(now, led);
+            trafficCoordination.onLeadership(now, wasLeader);
+            drainCoordination.onLeadership(now, wasLeader);
         }
-        if (led && begun()) {
-            lease.sure(agreement.group(), agreedNumber(), majorityAt());
+        if (wasLeader && begun()) {
+            lease.onContact(raft.group(), agreedNumber(), majorityAt());
         }
         if (lease.contact() > contact) {
             contact = lease.contact();
-            say(HistoryEventText.renewed(now - contact));
+            recordHistory(HistoryEventText.renewed(now - contact));
         }
         long next = lease.until();
         RouteTable holds = fits && now < next ? lease.agreed() : null;
         if (holds != null && next != until) {
-            outlet.until(next); // first: a table never counts by an older one's time
+            actions.onLeaseExtended(next); // first: a table never counts by an older one's time
         }
         until = next;
         if (holds == used) {
@@ -532,11 +540,11 @@
         RouteTable before = used;
         used = holds;
         if (before != null && holds == null) {
-            say(HistoryEventText.lapsed(before));
+            recordHistory(HistoryEventText.lapsed(before));
         } else if (holds != null) {
-            say(HistoryEventText.table(holds));
+            recordHistory(HistoryEventText.table(holds));
         }
-        outlet.table(holds);
+        actions.onTable(holds);
     }
 
     private long agreedNumber() {
@@ -548,29 +556,32 @@
      * committed.
      */
     private boolean begun() {
-        return agreement.loaded().index() >= firstOfTerm;
+        return raft.appliedPosition().index() >= firstOfTerm;
     }
 
     private long majorityAt() {
-        return reporters.majorityAt(
-                now, new Voter(self, agreement.incarnation()), agreement.voters());
+        return reporters.majorityAt(now, new Voter(self, raft.incarnation()), raft.voters());
     }
 
     // ---- reports ----
 
     private void report() {
         List<Part> parts = new ArrayList<>();
-        shares.report(now).forEach(part -> parts.add(new Part(Of.SHARES, part)));
-        removal.report(now).forEach(part -> parts.add(new Part(Of.REMOVAL, part)));
-        if (agreement.leads()) {
-            parts.forEach(part -> took(self, part));
+        trafficCoordination
+                .report(now)
+                .forEach(part -> parts.add(new Part(ReportKind.SHARES, part)));
+        drainCoordination
+                .report(now)
+                .forEach(part -> parts.add(new Part(ReportKind.REMOVAL, part)));
+        if (raft.isLeader()) {
+            parts.forEach(part -> onReportMessage(self, part));
             return;
         }
-        int leads = agreement.leader();
+        int leads = raft.leader();
         if (leads < 0 || leads == self) {
             return;
         }
-        boolean sameTerm = grantGroup.equals(agreement.group()) && grantTerm == agreement.term();
+        boolean sameTerm = grantGroup.equals(raft.group()) && grantTerm == raft.term();
         for (int next = 0; next == 0 || next < parts.size(); ) {
             List<Part> these = new ArrayList<>();
             int size = 0;
@@ -585,12 +596,12 @@
                     new ReportMessage.Report(
                             first,
                             number,
-                            agreement.group(),
-                            agreement.term(),
+                            raft.group(),
+                            raft.term(),
                             sameTerm ? grantAt : ReportMessage.NEVER,
                             agreedNumber(),
                             Math.max(agreedNumber(), highest()),
-                            room.get(),
+                            capacity.get(),
                             these));
             if (these.isEmpty()) {
                 return;
@@ -603,29 +614,28 @@
     }
 
     private void post(int to, ReportMessage letter) {
-        outlet.send(to, letter.encode(self, agreement.incarnation()));
+        actions.send(to, letter.encode(self, raft.incarnation()));
     }
 
-    private void took(int from, Part part) {
-        if (part.of() == Of.SHARES) {
-            shares.reported(now, from, part.bytes());
+    private void onReportMessage(int from, Part part) {
+        if (part.kind() == ReportKind.SHARES) {
+            trafficCoordination.reported(now, from, part.bytes());
         } else {
-            removal.reported(now, from, part.bytes());
+            drainCoordination.reported(now, from, part.bytes());
         }
     }
 
-    private void reported(int from, long incarnation, ReportMessage.Report report) {
-        if (!agreement.leads()) {
+    private void onReport(int from, long incarnation, ReportMessage.Report report) {
+        if (!raft.isLeader()) {
             return;
         }
-        boolean ours =
-                report.group().equals(agreement.group()) && report.term() == agreement.term();
-        boolean fresh = reporters.took(now, from, incarnation, report, ours);
+        boolean ours = report.group().equals(raft.group()) && report.term() == raft.term();
+        boolean fresh = reporters.onReport(now, from, incarnation, report, ours);
         if (fresh) {
             // Of another group or term what a replica has carried out is told by other numbers.
             report.parts().stream()
-                    .filter(part -> ours || part.of() != Of.REMOVAL)
-                    .forEach(part -> took(from, part));
+                    .filter(part -> ours || part.kind() != ReportKind.REMOVAL)
+                    .forEach(part -> onReportMessage(from, part));
         }
         if (report.asks() && reporters.answers(now, from, reports)) {
             long since = majorityAt();
@@ -639,8 +649,8 @@
                     new ReportMessage.Grant(
                             incarnation,
                             report.number(),
-                            agreement.group(),
-                            agreement.term(),
+                            raft.group(),
+                            raft.term(),
                             now,
                             sure ? now - since : -1,
                             agreedNumber(),
@@ -648,8 +658,8 @@
         }
     }
 
-    private void granted(ReportMessage.Grant grant) {
-        if (grant.incarnation() != agreement.incarnation()
+    private void onGrant(ReportMessage.Grant grant) {
+        if (grant.incarnation() != raft.incarnation()
                 || grant.asked() > number
                 || grant.asked() <= number - OPEN) {
             return;
@@ -664,7 +674,7 @@
         grantGroup = grant.group();
         grantTerm = grant.term();
         if (grant.age() >= 0) {
-            lease.sure(
+            lease.onContact(
                     grant.group(),
                     grant.table(),
                     sentAt[(int) (grant.asked() % OPEN)]
@@ -681,18 +691,18 @@
         if (!begun()) {
             return;
         }
-        if (waitsFor != null
-                && agreement.loaded().compareTo(waitsFor) < 0
+        if (waitsForNumber != null
+                && raft.appliedPosition().compareTo(waitsForNumber) < 0
                 && now - waitsSince < MAX_WAITED * settings.period()) {
             return;
         }
-        waitsFor = null;
-        byte[] command = removal.next(now, tier);
+        waitsForNumber = null;
+        byte[] command = drainCoordination.nextCommand(now, tierView);
         if (command != null) {
             propose(tagged(COMMAND, command));
             return;
         }
-        long base = base(agreement.group());
+        long base = base(raft.group());
         long next =
                 Math.max(base, Math.max(agreedNumber(), Math.max(highest(), reporters.highest())))
                         + 1;
@@ -700,24 +710,24 @@
                 new RouteTable(
                         next,
                         base >>> COUNTER,
-                        agreement.term(),
+                        raft.term(),
                         settings.lease(),
-                        shares.plan(now, tier),
-                        removal.leaving(),
+                        trafficCoordination.plan(now, tierView),
+                        drainCoordination.drainingNodes(),
                         List.of());
         RouteTable before = lease.agreed();
         boolean same =
                 before != null
                         && before.group() == table.group()
                         && before.lease() == table.lease()
-                        && RouteTableDelta.between(before, table).nothing();
-        if (!same && roomEverywhere(table)) {
+                        && RouteTableDelta.between(before, table).isEmpty();
+        if (!same && fitsEverywhere(table)) {
             propose(tagged(TABLE, RouteTableCodec.encode(table)));
         }
     }
 
     private void propose(byte[] content) {
-        waitsFor = agreement.propose(now, content);
+        waitsForNumber = raft.propose(now, content);
         waitsSince = now;
     }
 
@@ -736,26 +746,26 @@
     }
 
     /** A table that the smallest live replica can't load is not agreed on. */
-    private boolean roomEverywhere(RouteTable table) {
+    private boolean fitsEverywhere(RouteTable table) {
         Map<Integer, RouteTableCapacity> rooms = new HashMap<>();
         for (int replica = 0; replica < zones.length; replica++) {
             if (replica == self) {
-                rooms.put(replica, room.get().min(LOG));
-            } else if (tier.lives(replica)
+                rooms.put(replica, capacity.get().min(LOG));
+            } else if (tierView.isAlive(replica)
                     && reporters.heardSince(replica, now - HEARD_LATELY * reports)) {
-                rooms.put(replica, reporters.room(replica));
+                rooms.put(replica, reporters.capacity(replica));
             }
         }
-        Integer by = RouteTableCapacity.holdsBack(table, rooms);
+        Integer by = RouteTableCapacity.limitingReplica(table, rooms);
         if (by == null) {
             heldBack = null;
-        } else if (heldBack == null || !RouteTableDelta.between(heldBack, table).nothing()) {
+        } else if (heldBack == null || !RouteTableDelta.between(heldBack, table).isEmpty()) {
             heldBack = table;
-            say(
+            recordHistory(
                     HistoryEventText.heldBack(
                             by,
                             RouteTableFootprint.bytes(table),
-                            table.leaving().size(),
+                            table.draining().size(),
                             rooms.get(by)));
         }
         return by == null;
--- a/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
@@ -23,18 +23,18 @@
     /**
      * At the replica that leads, each period: a command that is due by what was reported, or null.
      */
-    byte[] next(long now, TierView tier);
+    byte[] nextCommand(long now, TierView tier);
 
     /**
      * This replica leads from here on, or no longer: what was reported to it before counts no more.
      */
-    void leads(long now, boolean leads);
+    void onLeadership(long now, boolean leads);
 
     /** A command is committed; it may be none, which changes nothing. */
     void apply(long now, byte[] command);
 
     /** The nodes being removed now, by the state. */
-    List<RouteTable.Leaving> leaving();
+    List<RouteTable.DrainingNode> drainingNodes();
 
     /** The state; the same at each replica that applied the same. */
     byte[] state();
@@ -54,18 +54,18 @@
                 public void reported(long now, int from, byte[] part) {}
 
                 @Override
-                public byte[] next(long now, TierView tier) {
+                public byte[] nextCommand(long now, TierView tier) {
                     return null;
                 }
 
                 @Override
-                public void leads(long now, boolean leads) {}
+                public void onLeadership(long now, boolean leads) {}
 
                 @Override
                 public void apply(long now, byte[] command) {}
 
                 @Override
-                public List<RouteTable.Leaving> leaving() {
+                public List<RouteTable.DrainingNode> drainingNodes() {
                     return List.of();
                 }
 
--- a/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
+++ b/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
@@ -21,16 +21,16 @@
 
     @Override
     public void reported(long now, int from, byte[] part) {
-        failover.reported(now, from, part);
+        failover.onReport(now, from, part);
     }
 
     @Override
-    public List<RouteTable.Share> plan(long now, TierView tier) {
-        return failover.plan(now, tier.agreed(), tier::leaseOver);
+    public List<RouteTable.ZoneRoute> plan(long now, TierView tier) {
+        return failover.plan(now, tier.agreed(), tier::isLeaseOver);
     }
 
     @Override
-    public void leads(long now, boolean leads) {
-        failover.leads();
+    public void onLeadership(long now, boolean leads) {
+        failover.onLeadership();
     }
 }
--- a/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
@@ -19,14 +19,14 @@
 final class HistoryEventText {
 
     /** Something that happened, and what else is known of it. */
-    record Said(String what, Map<String, String> fields) {}
+    record HistoryEntry(String what, Map<String, String> fields) {}
 
     private HistoryEventText() {}
 
-    static Said of(ConsensusEvent note) {
+    static HistoryEntry of(ConsensusEvent note) {
         String group = text(note.group());
-        if (note instanceof ConsensusEvent.Voted n) {
-            return new Said(
+        if (note instanceof ConsensusEvent.VoteGranted n) {
+            return new HistoryEntry(
                     "voted",
                     Map.of(
                             "group",
@@ -37,8 +37,8 @@
                             text(n.by().incarnation()),
                             "for",
                             text(n.candidate())));
-        } else if (note instanceof ConsensusEvent.Leads n) {
-            return new Said(
+        } else if (note instanceof ConsensusEvent.LeaderElected n) {
+            return new HistoryEntry(
                     "leads",
                     Map.of(
                             "group",
@@ -47,7 +47,7 @@
                             text(n.term()),
                             "as",
                             text(n.by().incarnation())));
-        } else if (note instanceof ConsensusEvent.Stored n) {
+        } else if (note instanceof ConsensusEvent.EntryStored n) {
             Map<String, String> fields =
                     new HashMap<>(
                             Map.of(
@@ -62,10 +62,10 @@
             if (n.entry().kind() == LogEntry.Kind.VOTERS) {
                 fields.put("voters", text(VoterSet.decode(n.entry().bytes())));
             }
-            return new Said("stored", fields);
+            return new HistoryEntry("stored", fields);
         }
-        ConsensusEvent.Seated seated = (ConsensusEvent.Seated) note;
-        return new Said(
+        ConsensusEvent.VotersChanged seated = (ConsensusEvent.VotersChanged) note;
+        return new HistoryEntry(
                 "seated",
                 Map.of(
                         "group",
@@ -76,8 +76,8 @@
                         text(seated.voters())));
     }
 
-    static Said loaded(LogPosition number, byte[] content, byte[] state) {
-        return new Said(
+    static HistoryEntry loaded(LogPosition number, byte[] content, byte[] state) {
+        return new HistoryEntry(
                 "loaded",
                 Map.of(
                         "group",
@@ -90,8 +90,8 @@
                         sum(state)));
     }
 
-    static Said restored(LogPosition number, byte[] state, long incarnation) {
-        return new Said(
+    static HistoryEntry restored(LogPosition number, byte[] state, long incarnation) {
+        return new HistoryEntry(
                 "restored",
                 Map.of(
                         "group",
@@ -104,8 +104,8 @@
                         text(incarnation)));
     }
 
-    static Said table(RouteTable table) {
-        return new Said(
+    static HistoryEntry table(RouteTable table) {
+        return new HistoryEntry(
                 "table",
                 Map.of(
                         "number",
@@ -117,13 +117,13 @@
                         "lease",
                         text(table.lease()),
                         "shares",
-                        table.shares().stream()
+                        table.routes().stream()
                                 .map(HistoryEventText::text)
                                 .collect(Collectors.joining(","))));
     }
 
     /** As {@code from>to:way:parts:per_s}. */
-    private static String text(RouteTable.Share share) {
+    private static String text(RouteTable.ZoneRoute share) {
         return share.from()
                 + ">"
                 + share.to()
@@ -132,20 +132,20 @@
                 + ":"
                 + share.parts()
                 + ":"
-                + share.perSecond();
+                + share.maxPerSecond();
     }
 
-    static Said lapsed(RouteTable table) {
-        return new Said("lapsed", Map.of("number", text(table.number())));
+    static HistoryEntry lapsed(RouteTable table) {
+        return new HistoryEntry("lapsed", Map.of("number", text(table.number())));
     }
 
     /** The lease counts from so long ago. */
-    static Said renewed(long age) {
-        return new Said("renewed", Map.of("age", text(age)));
+    static HistoryEntry renewed(long age) {
+        return new HistoryEntry("renewed", Map.of("age", text(age)));
     }
 
-    static Said leaving(List<RouteTable.Leaving> nodes) {
-        return new Said(
+    static HistoryEntry leaving(List<RouteTable.DrainingNode> nodes) {
+        return new HistoryEntry(
                 "leaving",
                 Map.of(
                         "nodes",
@@ -154,13 +154,13 @@
                                 .collect(Collectors.joining(","))));
     }
 
-    static Said refused(RouteTable table, String why) {
-        return new Said("refused", Map.of("number", text(table.number()), "why", why));
+    static HistoryEntry refused(RouteTable table, String why) {
+        return new HistoryEntry("refused", Map.of("number", text(table.number()), "why", why));
     }
 
     /** A replica has no room for what the one that leads would have agreed on. */
-    static Said heldBack(int replica, int bytes, int nodes, RouteTableCapacity room) {
-        return new Said(
+    static HistoryEntry heldBack(int replica, int bytes, int nodes, RouteTableCapacity room) {
+        return new HistoryEntry(
                 "held-back",
                 Map.of(
                         "by",
--- a/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
@@ -10,17 +10,17 @@
  *
  * @param table null before the first
  */
-record ReplicatedState(RouteTable table, byte[] removal) {
+record ReplicatedState(RouteTable table, byte[] drainState) {
 
     byte[] encode() {
         byte[] head = table == null ? new byte[0] : RouteTableCodec.encode(table);
-        if (head.length + removal.length == 0) {
+        if (head.length + drainState.length == 0) {
             return new byte[0];
         }
-        return ByteBuffer.allocate(Integer.BYTES + head.length + removal.length)
+        return ByteBuffer.allocate(Integer.BYTES + head.length + drainState.length)
                 .putInt(head.length)
                 .put(head)
-                .put(removal)
+                .put(drainState)
                 .array();
     }
 
--- a/core/src/main/java/cedarrudder/coordination/ReportCollector.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportCollector.java
@@ -18,21 +18,21 @@
 
     private final long[] incarnations;
     private final long[] numbers;
-    private final long[] withUs;
+    private final long[] quorumWith;
     private final long[] heardAt;
     private final long[] grantedAt;
     private final long[] answeredAt;
-    private final RouteTableCapacity[] rooms;
+    private final RouteTableCapacity[] capacities;
     private long highest;
 
     ReportCollector(int replicas, long now) {
         incarnations = new long[replicas];
         numbers = new long[replicas];
-        withUs = new long[replicas];
+        quorumWith = new long[replicas];
         heardAt = new long[replicas];
         grantedAt = new long[replicas];
         answeredAt = new long[replicas];
-        rooms = new RouteTableCapacity[replicas];
+        capacities = new RouteTableCapacity[replicas];
         begin(now);
     }
 
@@ -41,31 +41,31 @@
         long never = now - Long.MAX_VALUE / 4;
         Arrays.fill(incarnations, 0);
         Arrays.fill(numbers, 0);
-        Arrays.fill(withUs, never);
+        Arrays.fill(quorumWith, never);
         Arrays.fill(heardAt, never);
         Arrays.fill(grantedAt, now);
         Arrays.fill(answeredAt, never);
-        Arrays.fill(rooms, null);
+        Arrays.fill(capacities, null);
         highest = 0;
     }
 
     /** Takes a report; false where it is an old one. */
-    boolean took(
+    boolean onReport(
             long now, int from, long incarnation, ReportMessage.Report report, boolean inOurTerm) {
         if (incarnation < incarnations[from]
                 || incarnation == incarnations[from] && report.number() <= numbers[from]) {
             return false;
         }
         if (incarnation > incarnations[from]) {
-            withUs[from] = now - Long.MAX_VALUE / 4;
+            quorumWith[from] = now - Long.MAX_VALUE / 4;
         }
         incarnations[from] = incarnation;
         numbers[from] = report.number();
         heardAt[from] = now;
-        rooms[from] = report.room();
+        capacities[from] = report.room();
         highest = Math.max(highest, report.highest());
         if (inOurTerm && report.heardAt() != ReportMessage.NEVER && report.heardAt() <= now) {
-            withUs[from] = Math.max(withUs[from], report.heardAt());
+            quorumWith[from] = Math.max(quorumWith[from], report.heardAt());
         }
         return true;
     }
@@ -107,7 +107,7 @@
                                                 ? now
                                                 : incarnations[voter.replica()]
                                                                 == voter.incarnation()
-                                                        ? withUs[voter.replica()]
+                                                        ? quorumWith[voter.replica()]
                                                         : now - Long.MAX_VALUE / 4)
                         .sorted()
                         .toArray();
@@ -120,8 +120,8 @@
     }
 
     /** The room of a replica; null where it has not said. */
-    RouteTableCapacity room(int replica) {
-        return rooms[replica];
+    RouteTableCapacity capacity(int replica) {
+        return capacities[replica];
     }
 
     /** The highest number of a table that any replica has had. */
--- a/core/src/main/java/cedarrudder/coordination/ReportMessage.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportMessage.java
@@ -27,13 +27,13 @@
     int SUM = 4;
 
     /** What a part is of. */
-    enum Of {
+    enum ReportKind {
         SHARES,
         REMOVAL
     }
 
     /** Of one subject. */
-    record Part(Of of, byte[] bytes) {}
+    record Part(ReportKind kind, byte[] bytes) {}
 
     /** Who sent it, in which of its lives. */
     record Sealed(int sender, long incarnation, ReportMessage letter) {}
@@ -99,7 +99,7 @@
             out.putLong(m.term).putLong(m.heardAt).putLong(m.table).putLong(m.highest);
             m.room.put(out);
             for (Part part : m.parts) {
-                out.put((byte) part.of.ordinal()).put((byte) part.bytes.length).put(part.bytes);
+                out.put((byte) part.kind.ordinal()).put((byte) part.bytes.length).put(part.bytes);
             }
         } else if (this instanceof Grant m) {
             out.put((byte) 2)
@@ -192,12 +192,12 @@
         while (in.hasRemaining()) {
             int of = in.get();
             int length = in.get() & 0xff;
-            if (of < 0 || of >= Of.values().length || length > in.remaining()) {
+            if (of < 0 || of >= ReportKind.values().length || length > in.remaining()) {
                 throw new BufferUnderflowException();
             }
             byte[] bytes = new byte[length];
             in.get(bytes);
-            parts.add(new Part(Of.values()[of], bytes));
+            parts.add(new Part(ReportKind.values()[of], bytes));
         }
         return parts;
     }
--- a/core/src/main/java/cedarrudder/coordination/TableLease.java
+++ b/core/src/main/java/cedarrudder/coordination/TableLease.java
@@ -12,13 +12,13 @@
 final class TableLease {
 
     /** What a leader said of a table that is not loaded here yet. */
-    private record Ahead(VoterGroup group, long table, long contact) {}
+    private record PendingContact(VoterGroup group, long table, long contact) {}
 
     private final long none;
     private VoterGroup group = VoterGroup.NONE;
     private RouteTable agreed;
     private long contact;
-    private Ahead ahead;
+    private PendingContact ahead;
 
     TableLease(long now) {
         none = now - Long.MAX_VALUE / 4;
@@ -54,13 +54,13 @@
     /**
      * At that instant a leader of that group certainly led, and no table was newer than this one.
      */
-    void sure(VoterGroup in, long table, long instant) {
+    void onContact(VoterGroup in, long table, long instant) {
         if (in.equals(group) && number() >= table) {
             contact = Math.max(contact, instant);
             ahead = null;
         } else if (ahead == null || !ahead.group.equals(in)) {
             ahead =
-                    new Ahead(
+                    new PendingContact(
                             in, table,
                             instant); // the first: this avoids one that is never caught up
         }
--- a/core/src/main/java/cedarrudder/coordination/TierView.java
+++ b/core/src/main/java/cedarrudder/coordination/TierView.java
@@ -14,7 +14,7 @@
     int zone(int replica);
 
     /** Whether membership holds that a replica lives. */
-    boolean lives(int replica);
+    boolean isAlive(int replica);
 
     /** What the replicas have agreed on last, loaded here; null before the first. */
     RouteTable agreed();
@@ -23,5 +23,5 @@
      * When a replica that is silent has certainly left its table, on this replica's clock: until
      * then its calls go where that says.
      */
-    long leaseOver(int replica);
+    long isLeaseOver(int replica);
 }
--- a/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
@@ -22,12 +22,12 @@
     void reported(long now, int from, byte[] part);
 
     /** At the replica that leads, each period: the shares that should hold. */
-    List<RouteTable.Share> plan(long now, TierView tier);
+    List<RouteTable.ZoneRoute> plan(long now, TierView tier);
 
     /**
      * This replica leads from here on, or no longer: what was reported to it before counts no more.
      */
-    void leads(long now, boolean leads);
+    void onLeadership(long now, boolean leads);
 
     /** Clients stay in their zones. */
     TrafficCoordination NONE =
@@ -41,11 +41,11 @@
                 public void reported(long now, int from, byte[] part) {}
 
                 @Override
-                public List<RouteTable.Share> plan(long now, TierView tier) {
+                public List<RouteTable.ZoneRoute> plan(long now, TierView tier) {
                     return List.of();
                 }
 
                 @Override
-                public void leads(long now, boolean leads) {}
+                public void onLeadership(long now, boolean leads) {}
             };
 }
--- a/core/src/main/java/cedarrudder/draining/CompactCodec.java
+++ b/core/src/main/java/cedarrudder/draining/CompactCodec.java
@@ -66,10 +66,10 @@
             this.bytes = bytes;
         }
 
-        long whole(long max) {
+        long longValue(long max) {
             long value = 0;
             for (int shift = 0; shift < Long.SIZE - 1; shift += BITS) {
-                int next = one();
+                int next = isBit();
                 value |= (long) (next & MORE - 1) << shift;
                 if ((next & MORE) == 0) {
                     if (value > max) {
@@ -81,15 +81,15 @@
             throw wrong("a number of over 63 bits", "up to 63 bits");
         }
 
-        private int one() {
+        private int isBit() {
             if (at == bytes.length) {
                 throw wrong("the end", "more");
             }
             return bytes[at++] & 0xff;
         }
 
-        int small(int max) {
-            return (int) whole(max);
+        int smallInt(int max) {
+            return (int) longValue(max);
         }
 
         /**
@@ -97,7 +97,7 @@
          * are.
          */
         int count(int max) {
-            int count = small(max);
+            int count = smallInt(max);
             if (count > bytes.length - at) {
                 throw wrong(count, "up to " + (bytes.length - at));
             }
@@ -107,7 +107,7 @@
         double number() {
             long bits = 0;
             for (int i = 0; i < Double.BYTES; i++) {
-                bits = bits << Byte.SIZE | one();
+                bits = bits << Byte.SIZE | isBit();
             }
             return Double.longBitsToDouble(bits);
         }
@@ -124,10 +124,10 @@
         }
 
         <E extends Enum<E>> E choice(E[] of) {
-            return of[small(of.length - 1)];
+            return of[smallInt(of.length - 1)];
         }
 
-        void done() {
+        void isAtEnd() {
             if (at < bytes.length) {
                 throw wrong(bytes.length - at + " bytes more", "the end");
             }
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -10,7 +10,7 @@
 final class CompiledPolicies {
 
     /** How a condition came out. */
-    enum Told {
+    enum Verdict {
         YES,
         NO,
         UNDECIDED
@@ -36,9 +36,9 @@
         try {
             return new Rule(
                     policy,
-                    policy.whom().where().isEmpty()
+                    policy.selector().where().isEmpty()
                             ? node -> true
-                            : conditions.node(policy.whom().where()),
+                            : conditions.node(policy.selector().where()),
                     figures(policy.pauseIf(), conditions, false),
                     figures(policy.goOnIf(), conditions, true),
                     figures(policy.giveBackIf(), conditions, false),
@@ -81,7 +81,7 @@
         int policies = 0;
         for (int i = 0; i < rules.size(); i++) {
             Rule rule = rules.get(i);
-            if (!rule.policy.whom().fits(node)) {
+            if (!rule.policy.selector().matches(node)) {
                 continue;
             }
             try {
@@ -95,27 +95,28 @@
     }
 
     /** Whether no wave may begin by what a policy says of the figures. */
-    Told pauses(int index, PolicyConditionInputs figures) {
+    Verdict pauses(int index, PolicyConditionInputs figures) {
         Rule rule = rules.get(index);
         if (!rule.read || (undecided >> index & 1) != 0) {
-            return Told.UNDECIDED;
+            return Verdict.UNDECIDED;
         }
-        return figures.died() > rule.policy.died() ? Told.YES : told(rule.pauseIf, figures);
+        return figures.died() > rule.policy.maxDied() ? Verdict.YES : told(rule.pauseIf, figures);
     }
 
-    Told goesOn(int index, PolicyConditionInputs figures) {
+    Verdict goesOn(int index, PolicyConditionInputs figures) {
         return told(rules.get(index).goOnIf, figures);
     }
 
-    Told givesBack(int index, PolicyConditionInputs figures) {
+    Verdict givesBack(int index, PolicyConditionInputs figures) {
         return told(rules.get(index).giveBackIf, figures);
     }
 
-    private static Told told(ConditionCompiler.OfFigures condition, PolicyConditionInputs figures) {
+    private static Verdict told(
+            ConditionCompiler.OfFigures condition, PolicyConditionInputs figures) {
         try {
-            return condition.holds(figures) ? Told.YES : Told.NO;
+            return condition.holds(figures) ? Verdict.YES : Verdict.NO;
         } catch (RuntimeException e) {
-            return Told.UNDECIDED;
+            return Verdict.UNDECIDED;
         }
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
+++ b/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
@@ -58,13 +58,17 @@
     Bound breaks(DrainableNode node, boolean out) {
         int more = out ? 0 : 1;
         Group[] groups = groups(node);
-        DrainPolicy.Most[] max = {policy.pod(), policy.zone(), policy.tier()};
-        int[] left = {policy.left().pod(), policy.left().zone(), policy.left().tier()};
+        DrainPolicy.MaxUnavailable[] max = {
+            policy.maxPerPod(), policy.maxPerZone(), policy.maxPerTier()
+        };
+        int[] left = {
+            policy.minAvailable().pod(), policy.minAvailable().zone(), policy.minAvailable().tier()
+        };
         Bound[] maxBound = {Bound.POD, Bound.ZONE, Bound.TIER};
         Bound[] leftBound = {Bound.LEFT_POD, Bound.LEFT_ZONE, Bound.LEFT_TIER};
         for (int i = 0; i < groups.length; i++) {
             int then = groups[i].out + more;
-            if (then > max[i].of(groups[i].listed)) {
+            if (then > max[i].maxOf(groups[i].listed)) {
                 return maxBound[i];
             }
             if (groups[i].listed - then < left[i]) {
@@ -72,7 +76,7 @@
             }
         }
         double[] weight = weight(node);
-        return weight[1] - more * node.weight() < policy.left().weight() * weight[0] - 1e-9
+        return weight[1] - more * node.weight() < policy.minAvailable().weight() * weight[0] - 1e-9
                 ? Bound.LEFT_WEIGHT
                 : null;
     }
@@ -87,10 +91,12 @@
 
     /** Whether more are out than the policy allows. */
     boolean over() {
-        return over(pods, policy.pod()) || over(zones, policy.zone()) || over(tiers, policy.tier());
+        return over(pods, policy.maxPerPod())
+                || over(zones, policy.maxPerZone())
+                || over(tiers, policy.maxPerTier());
     }
 
-    private static boolean over(Map<Object, Group> groups, DrainPolicy.Most max) {
-        return groups.values().stream().anyMatch(group -> group.out > max.of(group.listed));
+    private static boolean over(Map<Object, Group> groups, DrainPolicy.MaxUnavailable max) {
+        return groups.values().stream().anyMatch(group -> group.out > max.maxOf(group.listed));
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -1,7 +1,7 @@
 package cedarrudder.draining;
 
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -32,10 +32,10 @@
      * @param cancel whether the drains are to end; else they are to begin
      * @param nodes at most {@link #MAX_IDS}
      */
-    record Call(boolean cancel, List<Long> nodes) implements DrainCommand {}
+    record DrainRequest(boolean cancel, List<Long> nodes) implements DrainCommand {}
 
     /** A part of the policies that are to count from here on, if none of a higher revision do. */
-    record Part(long revision, int sum, int index, int count, byte[] bytes)
+    record PolicyChunk(long revision, int sum, int index, int count, byte[] bytes)
             implements DrainCommand {}
 
     /**
@@ -47,7 +47,7 @@
      *     only rises
      * @param pauses policies by their place that pause from here on, and those that go on
      */
-    record Step(long basis, long clock, List<Pause> pauses, List<Change> changes, Told told)
+    record Step(long basis, long clock, List<Pause> pauses, List<Change> changes, WaveStatus told)
             implements DrainCommand {}
 
     /** A policy pauses, or goes on. */
@@ -67,11 +67,11 @@
             int slot,
             long start,
             long time,
-            AtEnd atEnd,
-            Restarted restarted,
+            OnDeadline atEnd,
+            OnRestart restarted,
             int policies) {
         static Change of(DrainEvent event, int slot) {
-            return new Change(event, slot, 0, 0, AtEnd.LET_GO, Restarted.BACK, 0);
+            return new Change(event, slot, 0, 0, OnDeadline.LET_GO, OnRestart.BACK, 0);
         }
     }
 
@@ -112,23 +112,23 @@
     /**
      * This many nodes wait for a bound of a policy; the policy is -1 where the bound is of none.
      */
-    record Wait(int policy, Bound bound, int nodes) {}
+    record BlockedBy(int policy, Bound bound, int nodes) {}
 
     /** A node that leaves has this many calls of a replica; -1: that replica has not said yet. */
-    record Still(int slot, int replica, long calls) {}
+    record RemainingCalls(int slot, int replica, long calls) {}
 
     /** What the leader knows that others don't, for operators. */
-    record Told(List<Wait> waits, List<Still> still) {
-        static final Told NOTHING = new Told(List.of(), List.of());
+    record WaveStatus(List<BlockedBy> waits, List<RemainingCalls> still) {
+        static final WaveStatus NOTHING = new WaveStatus(List.of(), List.of());
     }
 
     /** As bytes. */
     default byte[] encode() {
         CompactCodec.Writer out = new CompactCodec.Writer();
-        if (this instanceof Call call) {
+        if (this instanceof DrainRequest call) {
             out.put(0).put(call.cancel ? 1 : 0).put(call.nodes.size());
             call.nodes.forEach(out::put);
-        } else if (this instanceof Part part) {
+        } else if (this instanceof PolicyChunk part) {
             out.put(1)
                     .put(part.revision)
                     .put(part.sum & 0xffffffffL)
@@ -161,67 +161,67 @@
         try {
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
             DrainCommand command =
-                    switch (in.small(2)) {
+                    switch (in.smallInt(2)) {
                         case 0 -> call(in);
                         case 1 -> part(in);
                         default -> step(in);
                     };
-            in.done();
+            in.isAtEnd();
             return command;
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    private static Call call(CompactCodec.Reader in) {
-        boolean cancel = in.small(1) == 1;
+    private static DrainRequest call(CompactCodec.Reader in) {
+        boolean cancel = in.smallInt(1) == 1;
         List<Long> nodes = new ArrayList<>();
         for (int left = in.count(MAX_IDS); left > 0; left--) {
-            nodes.add(in.whole(DrainStateMachine.MAX_NODE));
+            nodes.add(in.longValue(DrainStateMachine.MAX_NODE));
         }
-        return new Call(cancel, nodes);
+        return new DrainRequest(cancel, nodes);
     }
 
-    private static Part part(CompactCodec.Reader in) {
-        long revision = in.whole(Long.MAX_VALUE);
-        int sum = (int) in.whole(0xffffffffL);
-        int index = in.small(PolicyCodec.MAX_BYTES / PART);
-        int count = in.small(PolicyCodec.MAX_BYTES / PART + 1);
+    private static PolicyChunk part(CompactCodec.Reader in) {
+        long revision = in.longValue(Long.MAX_VALUE);
+        int sum = (int) in.longValue(0xffffffffL);
+        int index = in.smallInt(PolicyCodec.MAX_BYTES / PART);
+        int count = in.smallInt(PolicyCodec.MAX_BYTES / PART + 1);
         if (index >= count) {
             throw new IllegalArgumentException("part " + index + " of " + count);
         }
-        return new Part(revision, sum, index, count, in.block(PART));
+        return new PolicyChunk(revision, sum, index, count, in.block(PART));
     }
 
     private static Step step(CompactCodec.Reader in) {
-        long basis = in.whole(Long.MAX_VALUE);
-        long clock = in.whole(Long.MAX_VALUE);
+        long basis = in.longValue(Long.MAX_VALUE);
+        long clock = in.longValue(Long.MAX_VALUE);
         List<Pause> pauses = new ArrayList<>();
         for (int left = in.count(DrainPolicy.MAX_POLICIES); left > 0; left--) {
-            pauses.add(new Pause(in.small(DrainPolicy.MAX_POLICIES - 1), in.small(1) == 1));
+            pauses.add(new Pause(in.smallInt(DrainPolicy.MAX_POLICIES - 1), in.smallInt(1) == 1));
         }
         List<Change> changes = new ArrayList<>();
         for (int left = in.count(MAX_CHANGES); left > 0; left--) {
             DrainEvent event = in.choice(DrainEvent.values());
-            int slot = in.small(Integer.MAX_VALUE);
+            int slot = in.smallInt(Integer.MAX_VALUE);
             changes.add(
                     event == DrainEvent.BEGUN
                             ? new Change(
                                     event,
                                     slot,
-                                    in.whole(Long.MAX_VALUE),
-                                    in.whole(DrainPolicy.MAX_TIME),
-                                    in.choice(AtEnd.values()),
-                                    in.choice(Restarted.values()),
-                                    (int) in.whole(0xffffffffL))
+                                    in.longValue(Long.MAX_VALUE),
+                                    in.longValue(DrainPolicy.MAX_TIME),
+                                    in.choice(OnDeadline.values()),
+                                    in.choice(OnRestart.values()),
+                                    (int) in.longValue(0xffffffffL))
                             : event == DrainEvent.RESTARTED_OUT
                                     ? new Change(
                                             event,
                                             slot,
-                                            in.whole(Long.MAX_VALUE),
+                                            in.longValue(Long.MAX_VALUE),
                                             0,
-                                            AtEnd.LET_GO,
-                                            Restarted.BACK,
+                                            OnDeadline.LET_GO,
+                                            OnRestart.BACK,
                                             0)
                                     : Change.of(event, slot));
         }
@@ -229,7 +229,7 @@
     }
 
     /** Writes what the leader told of. */
-    static void write(CompactCodec.Writer out, Told told) {
+    static void write(CompactCodec.Writer out, WaveStatus told) {
         out.put(told.waits.size());
         told.waits.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
         out.put(told.still.size());
@@ -237,23 +237,23 @@
     }
 
     /** Reads what {@link #write} wrote. */
-    static Told told(CompactCodec.Reader in) {
-        List<Wait> waits = new ArrayList<>();
+    static WaveStatus told(CompactCodec.Reader in) {
+        List<BlockedBy> waits = new ArrayList<>();
         for (int left = in.count(MAX_TOLD); left > 0; left--) {
             waits.add(
-                    new Wait(
-                            in.small(DrainPolicy.MAX_POLICIES) - 1,
+                    new BlockedBy(
+                            in.smallInt(DrainPolicy.MAX_POLICIES) - 1,
                             in.choice(Bound.values()),
-                            in.small(DrainPolicy.MAX_NODES)));
+                            in.smallInt(DrainPolicy.MAX_NODES)));
         }
-        List<Still> still = new ArrayList<>();
+        List<RemainingCalls> still = new ArrayList<>();
         for (int left = in.count(MAX_TOLD); left > 0; left--) {
             still.add(
-                    new Still(
-                            in.small(Integer.MAX_VALUE),
-                            in.small(0xffff),
-                            in.whole(Integer.MAX_VALUE) - 1));
+                    new RemainingCalls(
+                            in.smallInt(Integer.MAX_VALUE),
+                            in.smallInt(0xffff),
+                            in.longValue(Integer.MAX_VALUE) - 1));
         }
-        return new Told(List.copyOf(waits), List.copyOf(still));
+        return new WaveStatus(List.copyOf(waits), List.copyOf(still));
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -1,9 +1,9 @@
 package cedarrudder.draining;
 
-import cedarrudder.draining.DrainCommand.Call;
-import cedarrudder.draining.DrainCommand.Part;
+import cedarrudder.draining.DrainCommand.DrainRequest;
+import cedarrudder.draining.DrainCommand.PolicyChunk;
 import cedarrudder.draining.DrainStateMachine.Drain;
-import cedarrudder.routetable.RouteTable.Leaving;
+import cedarrudder.routetable.RouteTable.DrainingNode;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -34,7 +34,7 @@
      *
      * @param within the time that the node may take, in milliseconds, once its wave has begun
      */
-    public record Happened(
+    public record DrainChange(
             long node,
             DrainEvent event,
             DrainState before,
@@ -44,16 +44,16 @@
             DrainTransitions.Effect effect) {}
 
     /** How a node's drain ended. */
-    public record Ended(long node, DrainEvent how) {}
+    public record EndedDrain(long node, DrainEvent how) {}
 
     /** What it causes. */
     public interface Actions {
         /** This was committed, and has taken effect here. */
-        void happened(Happened happened);
+        void onDrainChange(DrainChange happened);
     }
 
     /** What this replica has itself. */
-    public interface Local {
+    public interface LocalState {
         /** Its calls at a node. */
         int calls(long node);
 
@@ -65,7 +65,7 @@
     }
 
     /** One drain, for operators. */
-    public record Shown(long node, DrainState state, int wave, int slot) {}
+    public record DrainView(long node, DrainState state, int wave, int slot) {}
 
     /**
      * All drains, for operators.
@@ -77,19 +77,19 @@
             long revision,
             List<String> policies,
             List<String> paused,
-            List<Shown> drains,
-            DrainCommand.Told told,
-            List<Ended> ended) {}
+            List<DrainView> drains,
+            DrainCommand.WaveStatus told,
+            List<EndedDrain> ended) {}
 
     private final int replicas;
     private final int self;
     private final ConditionCompiler conditions;
-    private final Actions outlet;
-    private final ReportedDrainProgress heard;
+    private final Actions actions;
+    private final ReportedDrainProgress reported;
     private final WaveScheduler scheduler;
-    private DrainStateMachine agreed = new DrainStateMachine();
-    private CompiledPolicies rules;
-    private List<Part> own = List.of();
+    private DrainStateMachine stateMachine = new DrainStateMachine();
+    private CompiledPolicies compiledPolicies;
+    private List<PolicyChunk> ownPolicies = List.of();
     private long reckoned;
     private long reckonedAt;
     private int from;
@@ -113,12 +113,12 @@
         this.replicas = replicas;
         this.self = self;
         this.conditions = conditions;
-        this.outlet = outlet;
+        this.actions = outlet;
         this.reckonedAt = now;
-        heard = new ReportedDrainProgress(settings, replicas);
-        heard.clear(now);
-        scheduler = new WaveScheduler(settings, heard);
-        rules = new CompiledPolicies(agreed.policies(), conditions);
+        reported = new ReportedDrainProgress(settings, replicas);
+        reported.clear(now);
+        scheduler = new WaveScheduler(settings, reported);
+        compiledPolicies = new CompiledPolicies(stateMachine.policies(), conditions);
     }
 
     // ---- what is agreed on ----
@@ -144,55 +144,55 @@
                 "up to " + DrainPolicy.MAX_POLICIES);
         DrainPolicy.check(revision >= 1, "revision", revision, "1 or more");
         int count = Math.max(1, (bytes.length + DrainCommand.PART - 1) / DrainCommand.PART);
-        List<Part> parts = new ArrayList<>();
+        List<PolicyChunk> parts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int begin = i * DrainCommand.PART;
             byte[] part = new byte[Math.min(DrainCommand.PART, bytes.length - begin)];
             System.arraycopy(bytes, begin, part, 0, part.length);
-            parts.add(new Part(revision, DrainStateMachine.sum(bytes), i, count, part));
+            parts.add(new PolicyChunk(revision, DrainStateMachine.sum(bytes), i, count, part));
         }
-        own = List.copyOf(parts);
+        ownPolicies = List.copyOf(parts);
     }
 
     /**
      * Whether other policies of the same or a higher revision count than those of this replica's
      * file.
      */
-    public boolean overruled() {
-        return !own.isEmpty()
-                && agreed.revision() >= own.get(0).revision()
-                && agreed.sum() != own.get(0).sum();
+    public boolean isOverruled() {
+        return !ownPolicies.isEmpty()
+                && stateMachine.revision() >= ownPolicies.get(0).revision()
+                && stateMachine.sum() != ownPolicies.get(0).sum();
     }
 
     /** A command is committed. */
     public void apply(long now, byte[] command) {
-        List<DrainPolicy> policies = agreed.policies();
-        List<Happened> happened = agreed.apply(command);
+        List<DrainPolicy> policies = stateMachine.policies();
+        List<DrainChange> happened = stateMachine.apply(command);
         // What has passed here since it last heard of the clock counts. This avoids a clock that
         // falls
         // behind by the time of a commit each time that it is committed.
-        reckoned = Math.max(clock(now), agreed.clock());
+        reckoned = Math.max(clock(now), stateMachine.clock());
         reckonedAt = now;
         readAnew(policies);
-        happened.forEach(outlet::happened);
+        happened.forEach(actions::onDrainChange);
     }
 
     /** This state takes the place of the one that is; empty is that before the first command. */
-    public void restored(long now, byte[] state) {
+    public void onRestored(long now, byte[] state) {
         DrainStateMachine next =
                 state.length == 0 ? new DrainStateMachine() : DrainStateMachine.decode(state);
         if (next != null) {
-            List<DrainPolicy> policies = agreed.policies();
-            agreed = next;
-            reckoned = agreed.clock();
+            List<DrainPolicy> policies = stateMachine.policies();
+            stateMachine = next;
+            reckoned = stateMachine.clock();
             reckonedAt = now;
             readAnew(policies);
         }
     }
 
     private void readAnew(List<DrainPolicy> before) {
-        if (agreed.policies() != before) {
-            rules = new CompiledPolicies(agreed.policies(), conditions);
+        if (stateMachine.policies() != before) {
+            compiledPolicies = new CompiledPolicies(stateMachine.policies(), conditions);
         }
     }
 
@@ -203,53 +203,56 @@
 
     /** The state; the same at each replica that applied the same. */
     public byte[] state() {
-        return agreed.encode();
+        return stateMachine.encode();
     }
 
     /** The nodes to which nothing new goes, by number. */
-    public List<Leaving> leaving() {
-        List<Leaving> leaving = new ArrayList<>();
-        for (Drain drain : agreed.drains()) {
-            if (drain.state.leaves()) {
-                leaving.add(new Leaving(drain.node, drain.wave));
+    public List<DrainingNode> drainingNodes() {
+        List<DrainingNode> leaving = new ArrayList<>();
+        for (Drain drain : stateMachine.drains()) {
+            if (drain.state.isLeaving()) {
+                leaving.add(new DrainingNode(drain.node, drain.wave));
             }
         }
         return leaving;
     }
 
     public DrainState state(long node) {
-        return agreed.state(node);
+        return stateMachine.state(node);
     }
 
     /**
      * Whether a node counts as out: it leaves, or not all replicas may know yet that it is back.
      */
     public boolean out(long node) {
-        return agreed.state(node).out();
+        return stateMachine.state(node).isOut();
     }
 
     /** The policies that count. */
     public List<DrainPolicy> agreedPolicies() {
-        return agreed.policies();
+        return stateMachine.policies();
     }
 
     public Progress progress() {
-        List<String> names = agreed.policies().stream().map(DrainPolicy::name).toList();
+        List<String> names = stateMachine.policies().stream().map(DrainPolicy::name).toList();
         List<String> paused = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
-            if (agreed.paused(i)) {
+            if (stateMachine.paused(i)) {
                 paused.add(names.get(i));
             }
         }
         return new Progress(
-                agreed.revision(),
+                stateMachine.revision(),
                 names,
                 paused,
-                agreed.drains().stream()
-                        .map(drain -> new Shown(drain.node, drain.state, drain.wave, drain.slot))
+                stateMachine.drains().stream()
+                        .map(
+                                drain ->
+                                        new DrainView(
+                                                drain.node, drain.state, drain.wave, drain.slot))
                         .toList(),
-                agreed.told(),
-                agreed.ended());
+                stateMachine.told(),
+                stateMachine.ended());
     }
 
     // ---- what any replica proposes ----
@@ -267,16 +270,16 @@
                 "nodes",
                 nodes,
                 "1 to " + MAX_IDS + " numbers of nodes");
-        return new Call(cancel, nodes).encode();
+        return new DrainRequest(cancel, nodes).encode();
     }
 
     /**
      * A command by which the policies of this replica's file come to count for all; null where they
      * may not.
      */
-    public byte[] wanted() {
-        for (Part part : own) {
-            if (!agreed.has(part)) {
+    public byte[] wantedCommand() {
+        for (PolicyChunk part : ownPolicies) {
+            if (!stateMachine.contains(part)) {
                 return part.encode();
             }
         }
@@ -289,9 +292,10 @@
      * What this replica has to say, in parts of at most 136 bytes that stand for themselves, at
      * most two.
      */
-    public List<byte[]> report(long now, Local local) {
+    public List<byte[]> report(long now, LocalState local) {
         List<byte[]> parts = new ArrayList<>();
-        List<Drain> open = agreed.drains().stream().filter(drain -> drain.state.open()).toList();
+        List<Drain> open =
+                stateMachine.drains().stream().filter(drain -> drain.state.isOpen()).toList();
         List<Long> disabled = local.disabled().stream().sorted().toList();
         for (int i = 0; i < MAX_REPORTS; i++) {
             int first = from;
@@ -314,7 +318,7 @@
             somewhere = disabled.isEmpty() ? 0 : somewhere % disabled.size();
             parts.add(
                     new DrainReport(
-                                    agreed.version(),
+                                    stateMachine.version(),
                                     first,
                                     last,
                                     held,
@@ -330,8 +334,8 @@
     }
 
     /** This replica leads from here on, or no longer. */
-    public void leads(long now, boolean leads) {
-        heard.clear(now);
+    public void onLeadership(long now, boolean leads) {
+        reported.clear(now);
         scheduler.clear();
     }
 
@@ -339,13 +343,13 @@
      * At the replica that leads: a part of what another says, or this one itself. It may be no such
      * part.
      */
-    public void reported(long now, int sender, byte[] part) {
+    public void onReport(long now, int sender, byte[] part) {
         if (sender < 0 || sender >= replicas) {
             return;
         }
         DrainReport report = DrainReport.decode(part);
         if (report != null) {
-            heard.took(now, sender, report, agreed);
+            reported.onReport(now, sender, report, stateMachine);
         }
     }
 
@@ -358,9 +362,16 @@
      */
     public byte[] next(
             long now, long utcMillis, Collection<DrainableNode> nodes, IntPredicate lives) {
-        heard.look(now, replica -> replica == self || lives.test(replica));
+        reported.update(now, replica -> replica == self || lives.test(replica));
         DrainCommand step =
-                scheduler.next(now, clock(now), utcMillis, agreed, rules, nodes, replicas);
+                scheduler.next(
+                        now,
+                        clock(now),
+                        utcMillis,
+                        stateMachine,
+                        compiledPolicies,
+                        nodes,
+                        replicas);
         return step == null ? null : step.encode();
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -7,42 +7,42 @@
  * holds.
  *
  * @param name one name, one policy
- * @param whom the nodes that it is for
- * @param pod how many of them may be out at once in each pod
- * @param zone and in each zone
- * @param tier and in the tier
- * @param left what must be left
+ * @param selector the nodes that it is for
+ * @param maxPerPod how many of them may be out at once in each pod
+ * @param maxPerZone and in each zone
+ * @param maxPerTier and in the tier
+ * @param minAvailable what must be left
  * @param order the order in which they go
- * @param wave how many go in one wave at most
- * @param pace nanoseconds between the end of a wave and the next
- * @param died this many of them may fail, beside those taken out, before no further wave begins
+ * @param maxWaveSize how many go in one wave at most
+ * @param minWaveInterval nanoseconds between the end of a wave and the next
+ * @param maxDied this many of them may fail, beside those taken out, before no further wave begins
  * @param pauseIf while it holds no wave begins; empty: never
  * @param goOnIf after a pause waves begin once it holds; empty: once the reason of the pause is
  *     over
  * @param giveBackIf where it holds, what leaves is given back, and waits again; empty: never
- * @param time how long a node may take, in nanoseconds
- * @param atEnd what happens to a node that takes longer
- * @param restarted what happens to one that has restarted under its id
- * @param closed when no wave begins
+ * @param deadlineNanos how long a node may take, in nanoseconds
+ * @param onDeadline what happens to a node that takes longer
+ * @param onRestart what happens to one that has restarted under its id
+ * @param closedWindows when no wave begins
  */
 public record DrainPolicy(
         String name,
-        Whom whom,
-        Most pod,
-        Most zone,
-        Most tier,
-        Left left,
-        Order order,
-        int wave,
-        long pace,
-        int died,
+        NodeSelector selector,
+        MaxUnavailable maxPerPod,
+        MaxUnavailable maxPerZone,
+        MaxUnavailable maxPerTier,
+        MinAvailable minAvailable,
+        DrainOrder order,
+        int maxWaveSize,
+        long minWaveInterval,
+        int maxDied,
         String pauseIf,
         String goOnIf,
         String giveBackIf,
-        long time,
-        AtEnd atEnd,
-        Restarted restarted,
-        List<Window> closed) {
+        long deadlineNanos,
+        OnDeadline onDeadline,
+        OnRestart onRestart,
+        List<Window> closedWindows) {
 
     /** Nodes in all that drains may be open for. */
     public static final int MAX_NODES = 4_096;
@@ -64,7 +64,7 @@
     public static final int ANY_POD = -1;
 
     /** The order in which nodes go. */
-    public enum Order {
+    public enum DrainOrder {
         /** As they were asked for. */
         AS_ASKED,
         /** One pod after another, and no wave is of two. */
@@ -78,7 +78,7 @@
     }
 
     /** What happens to a node whose time is up while calls are there. */
-    public enum AtEnd {
+    public enum OnDeadline {
         /** It counts as drained, and calls that are there run on. */
         LET_GO,
         /** It serves again, and its drain is over. */
@@ -88,7 +88,7 @@
     }
 
     /** What happens to a node that leaves, or is out, and has restarted under its id. */
-    public enum Restarted {
+    public enum OnRestart {
         /** It serves again, and its drain is over. */
         BACK,
         /** It stays out. */
@@ -102,12 +102,13 @@
      * @param pod {@link #ANY_POD}: any
      * @param where a condition
      */
-    public record Whom(
+    public record NodeSelector(
             String tier, String zone, int pod, String kind, double min, double max, String where) {
         /** Every node. */
-        public static final Whom ALL = new Whom("", "", ANY_POD, "", 0, Double.MAX_VALUE, "");
+        public static final NodeSelector ALL =
+                new NodeSelector("", "", ANY_POD, "", 0, Double.MAX_VALUE, "");
 
-        public Whom {
+        public NodeSelector {
             check(
                     tier != null
                             && zone != null
@@ -129,7 +130,7 @@
         }
 
         /** Whether it can be for a node; the condition is not asked. */
-        boolean fits(DrainableNode node) {
+        boolean matches(DrainableNode node) {
             return (tier.isEmpty() || tier.equals(node.tier()))
                     && (zone.isEmpty() || zone.equals(node.zone()))
                     && (pod == ANY_POD || pod == node.pod())
@@ -143,20 +144,20 @@
      * How many may be out at once: no more than the number, and no more than the share of those
      * listed.
      */
-    public record Most(int nodes, double share) {
+    public record MaxUnavailable(int nodes, double share) {
         /** No bound. */
-        public static final Most ANY = new Most(MAX_NODES, 1);
+        public static final MaxUnavailable ANY = new MaxUnavailable(MAX_NODES, 1);
 
         /** A share of whole nodes such as 0.1 of 10 is not to fail for a rounding. */
         private static final double ROUNDING = 1e-9;
 
-        public Most {
+        public MaxUnavailable {
             check(nodes >= 0 && nodes <= MAX_NODES, "nodes", nodes, "0 to " + MAX_NODES);
             check(share >= 0 && share <= 1, "share", share, "0 to 1");
         }
 
         /** How many of this many. */
-        public int of(int listed) {
+        public int maxOf(int listed) {
             return Math.min(nodes, (int) Math.floor(share * listed + ROUNDING));
         }
     }
@@ -167,11 +168,11 @@
      * @param pod nodes in each pod; so with zone and tier
      * @param weight of the tier's weight, as a part
      */
-    public record Left(int pod, int zone, int tier, double weight) {
+    public record MinAvailable(int pod, int zone, int tier, double weight) {
         /** Nothing. */
-        public static final Left NOTHING = new Left(0, 0, 0, 0);
+        public static final MinAvailable NOTHING = new MinAvailable(0, 0, 0, 0);
 
-        public Left {
+        public MinAvailable {
             check(
                     pod >= 0 && zone >= 0 && tier >= 0,
                     "left",
@@ -205,7 +206,7 @@
         }
 
         /** Whether a minute of the week is in it; Monday's first is 0. */
-        public boolean has(int minute) {
+        public boolean contains(int minute) {
             int day = minute / DAY;
             int at = minute % DAY;
             boolean today = (days >> day & 1) != 0;
@@ -227,21 +228,33 @@
     public DrainPolicy {
         check(name != null && !name.isEmpty() && name.length() <= MAX_TEXT, "name", name, "a text");
         check(
-                whom != null
-                        && pod != null
-                        && zone != null
-                        && tier != null
-                        && left != null
+                selector != null
+                        && maxPerPod != null
+                        && maxPerZone != null
+                        && maxPerTier != null
+                        && minAvailable != null
                         && order != null
-                        && atEnd != null
-                        && restarted != null,
+                        && onDeadline != null
+                        && onRestart != null,
                 "policy",
                 "nothing",
                 "all of it");
-        check(wave >= 1 && wave <= MAX_NODES, "wave", wave, "1 to " + MAX_NODES);
-        check(pace >= 0 && pace <= MAX_TIME, "pace", pace, "0 to " + MAX_TIME);
-        check(died >= 0 && died <= MAX_NODES, "died", died, "0 to " + MAX_NODES);
-        check(time >= MIN_TIME && time <= MAX_TIME, "time", time, MIN_TIME + " to " + MAX_TIME);
+        check(
+                maxWaveSize >= 1 && maxWaveSize <= MAX_NODES,
+                "wave",
+                maxWaveSize,
+                "1 to " + MAX_NODES);
+        check(
+                minWaveInterval >= 0 && minWaveInterval <= MAX_TIME,
+                "pace",
+                minWaveInterval,
+                "0 to " + MAX_TIME);
+        check(maxDied >= 0 && maxDied <= MAX_NODES, "died", maxDied, "0 to " + MAX_NODES);
+        check(
+                deadlineNanos >= MIN_TIME && deadlineNanos <= MAX_TIME,
+                "time",
+                deadlineNanos,
+                MIN_TIME + " to " + MAX_TIME);
         for (String condition : List.of(pauseIf, goOnIf, giveBackIf)) {
             check(
                     condition.length() <= MAX_TEXT,
@@ -250,16 +263,16 @@
                     "up to " + MAX_TEXT);
         }
         check(
-                closed.size() <= MAX_WINDOWS,
+                closedWindows.size() <= MAX_WINDOWS,
                 "closed",
-                closed.size() + " windows",
+                closedWindows.size() + " windows",
                 "up to " + MAX_WINDOWS);
-        closed = List.copyOf(closed);
+        closedWindows = List.copyOf(closedWindows);
     }
 
     /** Whether no wave may begin in a minute of the week. */
-    public boolean closedIn(int minute) {
-        return closed.stream().anyMatch(window -> window.has(minute));
+    public boolean isClosedAt(int minute) {
+        return closedWindows.stream().anyMatch(window -> window.contains(minute));
     }
 
     static void check(boolean allowed, String name, Object found, String range) {
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -70,30 +70,30 @@
     static DrainReport decode(byte[] bytes) {
         try {
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
-            if (bytes.length > MAX_BYTES || in.small(KIND) != KIND) {
+            if (bytes.length > MAX_BYTES || in.smallInt(KIND) != KIND) {
                 return null;
             }
-            long version = in.whole(Long.MAX_VALUE);
-            int first = in.small(Integer.MAX_VALUE);
-            int last = in.small(Integer.MAX_VALUE);
+            long version = in.longValue(Long.MAX_VALUE);
+            int first = in.smallInt(Integer.MAX_VALUE);
+            int last = in.smallInt(Integer.MAX_VALUE);
             List<Calls> calls = new ArrayList<>();
             int slot = first;
             for (int left = in.count(MAX_CALLS); left > 0; left--) {
-                slot += in.small(Integer.MAX_VALUE - slot);
-                calls.add(new Calls(slot, in.small(MAX_DISABLED)));
+                slot += in.smallInt(Integer.MAX_VALUE - slot);
+                calls.add(new Calls(slot, in.smallInt(MAX_DISABLED)));
             }
-            int disabled = in.small(MAX_DISABLED);
+            int disabled = in.smallInt(MAX_DISABLED);
             List<Long> some = new ArrayList<>();
             for (int left = in.count(MAX_SOME); left > 0; left--) {
-                some.add(in.whole(DrainStateMachine.MAX_NODE));
+                some.add(in.longValue(DrainStateMachine.MAX_NODE));
             }
             TrafficSample flow =
                     new TrafficSample(
-                            in.small(MAX_COUNT),
-                            in.small(MAX_COUNT),
-                            in.small(MAX_COUNT),
-                            in.small(MAX_COUNT));
-            in.done();
+                            in.smallInt(MAX_COUNT),
+                            in.smallInt(MAX_COUNT),
+                            in.smallInt(MAX_COUNT),
+                            in.smallInt(MAX_COUNT));
+            in.isAtEnd();
             return new DrainReport(version, first, last, calls, disabled, some, flow);
         } catch (IllegalArgumentException e) {
             return null;
--- a/core/src/main/java/cedarrudder/draining/DrainState.java
+++ b/core/src/main/java/cedarrudder/draining/DrainState.java
@@ -18,19 +18,19 @@
     RETURNING_TO_WAIT;
 
     /** Whether replicas send it nothing new. */
-    public boolean leaves() {
+    public boolean isLeaving() {
         return this == LEAVING || this == OVERDUE || this == OUT;
     }
 
     /**
      * Whether it counts as out: it leaves, or some replica may not have heard yet that it is back.
      */
-    public boolean out() {
-        return leaves() || this == RETURNING || this == RETURNING_TO_WAIT;
+    public boolean isOut() {
+        return isLeaving() || this == RETURNING || this == RETURNING_TO_WAIT;
     }
 
     /** Whether its wave is not over. */
-    public boolean open() {
+    public boolean isOpen() {
         return this == LEAVING || this == OVERDUE;
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -1,13 +1,13 @@
 package cedarrudder.draining;
 
-import cedarrudder.draining.DrainCommand.Call;
 import cedarrudder.draining.DrainCommand.Change;
-import cedarrudder.draining.DrainCommand.Part;
+import cedarrudder.draining.DrainCommand.DrainRequest;
 import cedarrudder.draining.DrainCommand.Pause;
+import cedarrudder.draining.DrainCommand.PolicyChunk;
 import cedarrudder.draining.DrainCommand.Step;
-import cedarrudder.draining.DrainCommand.Told;
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainCommand.WaveStatus;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainTransitions.Effect;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -49,8 +49,8 @@
         /** On the agreed clock, in milliseconds. */
         long until;
 
-        AtEnd atEnd = AtEnd.LET_GO;
-        Restarted restarted = Restarted.BACK;
+        OnDeadline atEnd = OnDeadline.LET_GO;
+        OnRestart restarted = OnRestart.BACK;
         int policies;
 
         /** The version that began its present state. */
@@ -64,7 +64,7 @@
 
     private final TreeMap<Integer, Drain> drains = new TreeMap<>();
     private final Map<Long, Drain> byNode = new HashMap<>();
-    private final Deque<DrainCoordinator.Ended> ended = new ArrayDeque<>();
+    private final Deque<DrainCoordinator.EndedDrain> ended = new ArrayDeque<>();
     private long version;
     private long clock;
     private int nextSlot = 1;
@@ -78,7 +78,7 @@
     private long comingRevision;
     private int comingSum;
     private byte[][] coming = new byte[0][];
-    private Told told = Told.NOTHING;
+    private WaveStatus told = WaveStatus.NOTHING;
 
     // ---- what is known ----
 
@@ -120,11 +120,11 @@
         return drain == null ? DrainState.NONE : drain.state;
     }
 
-    Told told() {
+    WaveStatus told() {
         return told;
     }
 
-    List<DrainCoordinator.Ended> ended() {
+    List<DrainCoordinator.EndedDrain> ended() {
         return List.copyOf(ended);
     }
 
@@ -148,13 +148,13 @@
     int open() {
         int open = 0;
         for (Drain drain : drains.values()) {
-            open |= drain.state.open() ? drain.policies : 0;
+            open |= drain.state.isOpen() ? drain.policies : 0;
         }
         return open;
     }
 
     /** Whether a part of policies is here, or not wanted any more. */
-    boolean has(Part part) {
+    boolean contains(PolicyChunk part) {
         return part.revision() <= revision
                 || part.revision() < comingRevision
                 || part.revision() == comingRevision
@@ -166,14 +166,14 @@
     // ---- commands ----
 
     /** Applies a command; one that can't be read, or that was overtaken, changes nothing. */
-    List<DrainCoordinator.Happened> apply(byte[] bytes) {
-        List<DrainCoordinator.Happened> happened = new ArrayList<>();
+    List<DrainCoordinator.DrainChange> apply(byte[] bytes) {
+        List<DrainCoordinator.DrainChange> happened = new ArrayList<>();
         DrainCommand command = DrainCommand.decode(bytes);
         long before = version;
         int open = open();
-        if (command instanceof Call call) {
+        if (command instanceof DrainRequest call) {
             call(call, happened);
-        } else if (command instanceof Part part) {
+        } else if (command instanceof PolicyChunk part) {
             part(part);
         } else if (command instanceof Step step) {
             step(step, happened);
@@ -187,7 +187,7 @@
         return happened;
     }
 
-    private void call(Call call, List<DrainCoordinator.Happened> happened) {
+    private void call(DrainRequest call, List<DrainCoordinator.DrainChange> happened) {
         version++;
         for (long node : call.nodes()) {
             if (!call.cancel()
@@ -201,12 +201,12 @@
             }
             Drain drain = byNode.get(node);
             if (drain != null) {
-                happens(drain, call.cancel() ? DrainEvent.CANCELLED : DrainEvent.ASKED, happened);
+                onEvent(drain, call.cancel() ? DrainEvent.CANCELLED : DrainEvent.ASKED, happened);
             }
         }
     }
 
-    private void step(Step step, List<DrainCoordinator.Happened> happened) {
+    private void step(Step step, List<DrainCoordinator.DrainChange> happened) {
         clock = Math.max(clock, step.clock());
         told = step.told();
         if (step.basis() != version || step.pauses().isEmpty() && step.changes().isEmpty()) {
@@ -237,11 +237,12 @@
             } else if (change.event() == DrainEvent.RESTARTED_OUT) {
                 drain.start = change.start();
             }
-            happens(drain, change.event(), happened);
+            onEvent(drain, change.event(), happened);
         }
     }
 
-    private void happens(Drain drain, DrainEvent event, List<DrainCoordinator.Happened> happened) {
+    private void onEvent(
+            Drain drain, DrainEvent event, List<DrainCoordinator.DrainChange> happened) {
         DrainState before = drain.state;
         DrainTransitions.Row row = DrainTransitions.of(before, event);
         if (row == null) {
@@ -252,7 +253,7 @@
             drain.since = version;
         }
         happened.add(
-                new DrainCoordinator.Happened(
+                new DrainCoordinator.DrainChange(
                         drain.node,
                         event,
                         before,
@@ -263,15 +264,15 @@
         if (row.effect() == Effect.END) {
             drains.remove(drain.slot);
             byNode.remove(drain.node);
-            ended.addLast(new DrainCoordinator.Ended(drain.node, event));
+            ended.addLast(new DrainCoordinator.EndedDrain(drain.node, event));
             if (ended.size() > MAX_ENDED) {
                 ended.removeFirst();
             }
         }
     }
 
-    private void part(Part part) {
-        if (has(part)) {
+    private void part(PolicyChunk part) {
+        if (contains(part)) {
             return;
         }
         if (part.revision() > comingRevision) {
@@ -305,7 +306,7 @@
             // What is under way was begun by others: until it is over it holds up the waves of each
             // new one.
             drains.values().stream()
-                    .filter(drain -> drain.state.out())
+                    .filter(drain -> drain.state.isOut())
                     .forEach(drain -> drain.policies = -1);
         }
     }
@@ -371,15 +372,15 @@
         try {
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
             DrainStateMachine state = new DrainStateMachine();
-            if (in.small(VERSION) != VERSION) {
+            if (in.smallInt(VERSION) != VERSION) {
                 return null;
             }
-            state.version = in.whole(Long.MAX_VALUE);
-            state.clock = in.whole(Long.MAX_VALUE);
-            state.nextSlot = in.small(Integer.MAX_VALUE);
-            state.wave = in.small(MAX_WAVE - 1);
-            state.revision = in.whole(Long.MAX_VALUE);
-            state.sum = (int) in.whole(0xffffffffL);
+            state.version = in.longValue(Long.MAX_VALUE);
+            state.clock = in.longValue(Long.MAX_VALUE);
+            state.nextSlot = in.smallInt(Integer.MAX_VALUE);
+            state.wave = in.smallInt(MAX_WAVE - 1);
+            state.revision = in.longValue(Long.MAX_VALUE);
+            state.sum = (int) in.longValue(0xffffffffL);
             byte[] policyBytes = in.block(PolicyCodec.MAX_BYTES);
             List<DrainPolicy> policies = PolicyCodec.decode(policyBytes);
             if (policies == null) {
@@ -387,28 +388,28 @@
             }
             state.replace(policyBytes, policies);
             for (int i = 0; i < policies.size(); i++) {
-                state.endedAt[i] = in.whole(Long.MAX_VALUE) - 1;
-                state.pausedAt[i] = in.whole(Long.MAX_VALUE) - 1;
+                state.endedAt[i] = in.longValue(Long.MAX_VALUE) - 1;
+                state.pausedAt[i] = in.longValue(Long.MAX_VALUE) - 1;
             }
-            state.comingRevision = in.whole(Long.MAX_VALUE);
-            state.comingSum = (int) in.whole(0xffffffffL);
+            state.comingRevision = in.longValue(Long.MAX_VALUE);
+            state.comingSum = (int) in.longValue(0xffffffffL);
             state.coming = new byte[in.count(MAX_PARTS)][];
             for (int i = 0; i < state.coming.length; i++) {
-                boolean here = in.small(1) == 1;
+                boolean here = in.smallInt(1) == 1;
                 byte[] part = in.block(DrainCommand.PART);
                 state.coming[i] = here ? part : null;
             }
             for (int left = in.count(DrainPolicy.MAX_NODES); left > 0; left--) {
-                Drain drain = new Drain(in.small(Integer.MAX_VALUE), in.whole(MAX_NODE));
+                Drain drain = new Drain(in.smallInt(Integer.MAX_VALUE), in.longValue(MAX_NODE));
                 drain.state = in.choice(DrainState.values());
-                drain.wave = in.small(MAX_WAVE - 1);
-                drain.start = in.whole(Long.MAX_VALUE);
-                drain.within = in.whole(Long.MAX_VALUE);
-                drain.until = in.whole(Long.MAX_VALUE);
-                drain.atEnd = in.choice(AtEnd.values());
-                drain.restarted = in.choice(Restarted.values());
-                drain.policies = (int) in.whole(0xffffffffL);
-                drain.since = in.whole(Long.MAX_VALUE);
+                drain.wave = in.smallInt(MAX_WAVE - 1);
+                drain.start = in.longValue(Long.MAX_VALUE);
+                drain.within = in.longValue(Long.MAX_VALUE);
+                drain.until = in.longValue(Long.MAX_VALUE);
+                drain.atEnd = in.choice(OnDeadline.values());
+                drain.restarted = in.choice(OnRestart.values());
+                drain.policies = (int) in.longValue(0xffffffffL);
+                drain.since = in.longValue(Long.MAX_VALUE);
                 if (drain.state == DrainState.NONE
                         || state.drains.put(drain.slot, drain) != null
                         || state.byNode.put(drain.node, drain) != null) {
@@ -417,11 +418,11 @@
             }
             for (int left = in.count(MAX_ENDED); left > 0; left--) {
                 state.ended.addLast(
-                        new DrainCoordinator.Ended(
-                                in.whole(MAX_NODE), in.choice(DrainEvent.values())));
+                        new DrainCoordinator.EndedDrain(
+                                in.longValue(MAX_NODE), in.choice(DrainEvent.values())));
             }
             state.told = DrainCommand.told(in);
-            in.done();
+            in.isAtEnd();
             return state;
         } catch (IllegalArgumentException e) {
             return null;
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -1,11 +1,11 @@
 package cedarrudder.draining;
 
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Left;
-import cedarrudder.draining.DrainPolicy.Most;
-import cedarrudder.draining.DrainPolicy.Order;
-import cedarrudder.draining.DrainPolicy.Restarted;
-import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.MaxUnavailable;
+import cedarrudder.draining.DrainPolicy.MinAvailable;
+import cedarrudder.draining.DrainPolicy.NodeSelector;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainPolicy.Window;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -25,7 +25,7 @@
     public static byte[] encode(List<DrainPolicy> policies) {
         CompactCodec.Writer out = new CompactCodec.Writer().put(policies.size());
         for (DrainPolicy policy : policies) {
-            Whom whom = policy.whom();
+            NodeSelector whom = policy.selector();
             out.put(policy.name())
                     .put(whom.tier())
                     .put(whom.zone())
@@ -34,23 +34,24 @@
                     .put(whom.min())
                     .put(whom.max())
                     .put(whom.where());
-            for (Most max : List.of(policy.pod(), policy.zone(), policy.tier())) {
+            for (MaxUnavailable max :
+                    List.of(policy.maxPerPod(), policy.maxPerZone(), policy.maxPerTier())) {
                 out.put(max.nodes()).put(max.share());
             }
-            Left left = policy.left();
+            MinAvailable left = policy.minAvailable();
             out.put(left.pod()).put(left.zone()).put(left.tier()).put(left.weight());
             out.put(policy.order())
-                    .put(policy.wave())
-                    .put(policy.pace())
-                    .put(policy.died())
+                    .put(policy.maxWaveSize())
+                    .put(policy.minWaveInterval())
+                    .put(policy.maxDied())
                     .put(policy.pauseIf())
                     .put(policy.goOnIf())
                     .put(policy.giveBackIf())
-                    .put(policy.time())
-                    .put(policy.atEnd())
-                    .put(policy.restarted());
-            out.put(policy.closed().size());
-            for (Window window : policy.closed()) {
+                    .put(policy.deadlineNanos())
+                    .put(policy.onDeadline())
+                    .put(policy.onRestart());
+            out.put(policy.closedWindows().size());
+            for (Window window : policy.closedWindows()) {
                 out.put(window.days()).put(window.from()).put(window.to());
             }
         }
@@ -70,7 +71,7 @@
                 }
                 policies.add(policy);
             }
-            in.done();
+            in.isAtEnd();
             return List.copyOf(policies);
         } catch (IllegalArgumentException e) {
             return null;
@@ -79,41 +80,41 @@
 
     private static DrainPolicy policy(CompactCodec.Reader in) {
         String name = text(in);
-        Whom whom =
-                new Whom(
+        NodeSelector whom =
+                new NodeSelector(
                         text(in),
                         text(in),
-                        in.small(Integer.MAX_VALUE) - 1,
+                        in.smallInt(Integer.MAX_VALUE) - 1,
                         text(in),
                         in.number(),
                         in.number(),
                         text(in));
-        Most pod = max(in);
-        Most zone = max(in);
-        Most tier = max(in);
-        Left left =
-                new Left(
-                        in.small(Integer.MAX_VALUE),
-                        in.small(Integer.MAX_VALUE),
-                        in.small(Integer.MAX_VALUE),
+        MaxUnavailable pod = max(in);
+        MaxUnavailable zone = max(in);
+        MaxUnavailable tier = max(in);
+        MinAvailable left =
+                new MinAvailable(
+                        in.smallInt(Integer.MAX_VALUE),
+                        in.smallInt(Integer.MAX_VALUE),
+                        in.smallInt(Integer.MAX_VALUE),
                         in.number());
-        Order order = in.choice(Order.values());
-        int wave = in.small(DrainPolicy.MAX_NODES);
-        long pace = in.whole(DrainPolicy.MAX_TIME);
-        int died = in.small(DrainPolicy.MAX_NODES);
+        DrainOrder order = in.choice(DrainOrder.values());
+        int wave = in.smallInt(DrainPolicy.MAX_NODES);
+        long pace = in.longValue(DrainPolicy.MAX_TIME);
+        int died = in.smallInt(DrainPolicy.MAX_NODES);
         String pauseIf = text(in);
         String goOnIf = text(in);
         String giveBackIf = text(in);
-        long time = in.whole(DrainPolicy.MAX_TIME);
-        AtEnd atEnd = in.choice(AtEnd.values());
-        Restarted restarted = in.choice(Restarted.values());
+        long time = in.longValue(DrainPolicy.MAX_TIME);
+        OnDeadline atEnd = in.choice(OnDeadline.values());
+        OnRestart restarted = in.choice(OnRestart.values());
         List<Window> closed = new ArrayList<>();
         for (int count = in.count(DrainPolicy.MAX_WINDOWS); count > 0; count--) {
             closed.add(
                     new Window(
-                            in.small(Integer.MAX_VALUE),
-                            in.small(Integer.MAX_VALUE),
-                            in.small(Integer.MAX_VALUE)));
+                            in.smallInt(Integer.MAX_VALUE),
+                            in.smallInt(Integer.MAX_VALUE),
+                            in.smallInt(Integer.MAX_VALUE)));
         }
         return new DrainPolicy(
                 name,
@@ -139,7 +140,7 @@
         return in.text(MAX_TEXT_BYTES);
     }
 
-    private static Most max(CompactCodec.Reader in) {
-        return new Most(in.small(Integer.MAX_VALUE), in.number());
+    private static MaxUnavailable max(CompactCodec.Reader in) {
+        return new MaxUnavailable(in.smallInt(Integer.MAX_VALUE), in.number());
     }
 }
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -1,7 +1,7 @@
 package cedarrudder.draining;
 
 import cedarrudder.draining.DrainCommand.Bound;
-import cedarrudder.draining.DrainPolicy.Order;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
 import cedarrudder.draining.DrainableNode.Standing;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -54,7 +54,7 @@
     public record Finding(int policy, String key, String found, String allowed) {}
 
     /** Two policies that are for some node both, and which of them is stricter in each bound. */
-    public record Both(int one, int other, List<String> stricter) {}
+    public record OverlappingPolicies(int one, int other, List<String> stricter) {}
 
     /** Larger ones come last: the last that is tried is the most generous. */
     private static final List<Fleet> USUAL = usual();
@@ -70,7 +70,7 @@
     private final List<Fleet> fleets;
     private final List<Finding> findings = new ArrayList<>();
     private final List<DrainableNode> samples = new ArrayList<>();
-    private final List<Both> both = new ArrayList<>();
+    private final List<OverlappingPolicies> both = new ArrayList<>();
     private final Map<String, ConditionCompiler.OfFigures> read = new HashMap<>();
     private final Map<String, ConditionCompiler.OfNode> readOfNodes = new HashMap<>();
 
@@ -95,7 +95,7 @@
     }
 
     /** What came of a check: what is wrong, and the pairs that are for some node both. */
-    public record Result(List<Finding> findings, List<Both> both) {}
+    public record Result(List<Finding> findings, List<OverlappingPolicies> both) {}
 
     /**
      * Checks policies whose conditions can be read.
@@ -142,7 +142,7 @@
                             index,
                             "where",
                             "'"
-                                    + policy.whom().where()
+                                    + policy.selector().where()
                                     + "', which holds for none of the nodes that were tried",
                             "a condition that some node of " + "this policy meets"));
             return;
@@ -204,7 +204,7 @@
     private static int minute(List<DrainPolicy> all) {
         for (int minute = 0; minute < DrainPolicy.WEEK; minute++) {
             int at = minute;
-            if (all.stream().noneMatch(policy -> policy.closedIn(at))) {
+            if (all.stream().noneMatch(policy -> policy.isClosedAt(at))) {
                 return minute;
             }
         }
@@ -256,8 +256,8 @@
     /** What keeps the sample in a fleet of which all that the policy can be for is like it. */
     private static Bound bound(DrainPolicy policy, DrainableNode sample, Fleet fleet) {
         DisruptionCounts counted = new DisruptionCounts(policy);
-        int zones = policy.whom().zone().isEmpty() ? fleet.zones : 1;
-        int pods = policy.whom().pod() == DrainPolicy.ANY_POD ? fleet.pods : 1;
+        int zones = policy.selector().zone().isEmpty() ? fleet.zones : 1;
+        int pods = policy.selector().pod() == DrainPolicy.ANY_POD ? fleet.pods : 1;
         long id = 0;
         for (int zone = 0; zone < zones; zone++) {
             for (int pod = 0; pod < pods; pod++) {
@@ -294,17 +294,17 @@
 
     private static String said(DrainPolicy policy, Bound bound) {
         return switch (bound) {
-            case POD -> max(policy.pod());
-            case ZONE -> max(policy.zone());
-            case TIER -> max(policy.tier());
-            case LEFT_POD -> String.valueOf(policy.left().pod());
-            case LEFT_ZONE -> String.valueOf(policy.left().zone());
-            case LEFT_TIER -> String.valueOf(policy.left().tier());
-            default -> String.valueOf(policy.left().weight());
+            case POD -> max(policy.maxPerPod());
+            case ZONE -> max(policy.maxPerZone());
+            case TIER -> max(policy.maxPerTier());
+            case LEFT_POD -> String.valueOf(policy.minAvailable().pod());
+            case LEFT_ZONE -> String.valueOf(policy.minAvailable().zone());
+            case LEFT_TIER -> String.valueOf(policy.minAvailable().tier());
+            default -> String.valueOf(policy.minAvailable().weight());
         };
     }
 
-    private static String max(DrainPolicy.Most max) {
+    private static String max(DrainPolicy.MaxUnavailable max) {
         return max.share() == 1
                 ? "nodes = " + max.nodes()
                 : max.nodes() == DrainPolicy.MAX_NODES
@@ -365,20 +365,22 @@
                                     + last()
                                     + ": none that both are for may leave"));
         }
-        if (one.time() == other.time() && one.atEnd() != other.atEnd()) {
+        if (one.deadlineNanos() == other.deadlineNanos()
+                && one.onDeadline() != other.onDeadline()) {
             findings.add(
                     new Finding(
                             j,
                             "at_end",
-                            written(other.atEnd())
+                            written(other.onDeadline())
                                     + beside
                                     + " and says "
-                                    + written(one.atEnd())
+                                    + written(one.onDeadline())
                                     + " at the same time",
                             "one end, or different times: the shorter " + "one's end counts"));
         }
-        if (one.order() == Order.LIGHT_FIRST && other.order() == Order.HEAVY_FIRST
-                || one.order() == Order.HEAVY_FIRST && other.order() == Order.LIGHT_FIRST) {
+        if (one.order() == DrainOrder.LIGHT_FIRST && other.order() == DrainOrder.HEAVY_FIRST
+                || one.order() == DrainOrder.HEAVY_FIRST
+                        && other.order() == DrainOrder.LIGHT_FIRST) {
             findings.add(
                     new Finding(
                             j,
@@ -386,7 +388,7 @@
                             written(other.order()) + beside + " and says " + written(one.order()),
                             "one of them"));
         }
-        both.add(new Both(i, j, stricter(one, other)));
+        both.add(new OverlappingPolicies(i, j, stricter(one, other)));
     }
 
     private boolean breaks(DrainPolicy policy, DrainableNode node, Bound bound) {
@@ -399,22 +401,44 @@
 
     private static List<String> stricter(DrainPolicy one, DrainPolicy other) {
         List<String> all = new ArrayList<>();
-        stricter(all, "out_per_pod", one, other, (a, b) -> tighter(a.pod(), b.pod()));
-        stricter(all, "out_per_zone", one, other, (a, b) -> tighter(a.zone(), b.zone()));
-        stricter(all, "out_per_tier", one, other, (a, b) -> tighter(a.tier(), b.tier()));
-        stricter(all, "left.per_pod", one, other, (a, b) -> a.left().pod() > b.left().pod());
-        stricter(all, "left.per_zone", one, other, (a, b) -> a.left().zone() > b.left().zone());
-        stricter(all, "left.per_tier", one, other, (a, b) -> a.left().tier() > b.left().tier());
-        stricter(all, "left.weight", one, other, (a, b) -> a.left().weight() > b.left().weight());
-        stricter(all, "wave", one, other, (a, b) -> a.wave() < b.wave());
-        stricter(all, "pace_ms", one, other, (a, b) -> a.pace() > b.pace());
-        stricter(all, "died", one, other, (a, b) -> a.died() < b.died());
-        stricter(all, "node_ms", one, other, (a, b) -> a.time() < b.time());
+        stricter(all, "out_per_pod", one, other, (a, b) -> tighter(a.maxPerPod(), b.maxPerPod()));
+        stricter(
+                all, "out_per_zone", one, other, (a, b) -> tighter(a.maxPerZone(), b.maxPerZone()));
+        stricter(
+                all, "out_per_tier", one, other, (a, b) -> tighter(a.maxPerTier(), b.maxPerTier()));
+        stricter(
+                all,
+                "left.per_pod",
+                one,
+                other,
+                (a, b) -> a.minAvailable().pod() > b.minAvailable().pod());
+        stricter(
+                all,
+                "left.per_zone",
+                one,
+                other,
+                (a, b) -> a.minAvailable().zone() > b.minAvailable().zone());
+        stricter(
+                all,
+                "left.per_tier",
+                one,
+                other,
+                (a, b) -> a.minAvailable().tier() > b.minAvailable().tier());
+        stricter(
+                all,
+                "left.weight",
+                one,
+                other,
+                (a, b) -> a.minAvailable().weight() > b.minAvailable().weight());
+        stricter(all, "wave", one, other, (a, b) -> a.maxWaveSize() < b.maxWaveSize());
+        stricter(all, "pace_ms", one, other, (a, b) -> a.minWaveInterval() > b.minWaveInterval());
+        stricter(all, "died", one, other, (a, b) -> a.maxDied() < b.maxDied());
+        stricter(all, "node_ms", one, other, (a, b) -> a.deadlineNanos() < b.deadlineNanos());
         return all;
     }
 
     /** Whether a bound is lower in number or share, and higher in neither. */
-    private static boolean tighter(DrainPolicy.Most a, DrainPolicy.Most b) {
+    private static boolean tighter(DrainPolicy.MaxUnavailable a, DrainPolicy.MaxUnavailable b) {
         return a.nodes() <= b.nodes() && a.share() <= b.share() && !a.equals(b);
     }
 
@@ -441,7 +465,7 @@
         texts.add("a");
         weights.add(1.0);
         for (DrainPolicy policy : all) {
-            DrainPolicy.Whom whom = policy.whom();
+            DrainPolicy.NodeSelector whom = policy.selector();
             for (String text : List.of(whom.tier(), whom.zone(), whom.kind())) {
                 if (!text.isEmpty()) {
                     texts.add(text);
@@ -470,11 +494,11 @@
         }
         List<ConditionCompiler.OfNode> where =
                 all.stream()
-                        .filter(policy -> !policy.whom().where().isEmpty())
+                        .filter(policy -> !policy.selector().where().isEmpty())
                         .map(
                                 policy ->
                                         readOfNodes.computeIfAbsent(
-                                                policy.whom().where(), conditions::node))
+                                                policy.selector().where(), conditions::node))
                         .toList();
         int left = MAX_SAMPLES;
         for (double weight : weights) {
@@ -485,7 +509,7 @@
                             DrainableNode node =
                                     new DrainableNode(
                                             0, tier, zone, pod, kind, weight, Standing.SERVING, 0);
-                            if (all.stream().allMatch(policy -> policy.whom().fits(node))) {
+                            if (all.stream().allMatch(policy -> policy.selector().matches(node))) {
                                 if (where.stream().allMatch(each -> holds(each, node))) {
                                     return node;
                                 } else if (--left == 0) {
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -16,25 +16,25 @@
  */
 final class ReportedDrainProgress {
 
-    private static final class Copy {
+    private static final class ReplicaReport {
         private long version;
         private long at;
         private boolean said;
         private long livedAt;
         private TrafficSample flow = TrafficSample.NONE;
         private int disabled;
-        private final Map<Integer, Said> calls = new HashMap<>();
+        private final Map<Integer, NodeCalls> calls = new HashMap<>();
         private final Map<Long, Long> disabledAt = new HashMap<>();
     }
 
-    private record Said(long version, int calls) {}
+    private record NodeCalls(long version, int calls) {}
 
     private final DrainSettings settings;
-    private final Copy[] replicas;
+    private final ReplicaReport[] replicas;
 
     ReportedDrainProgress(DrainSettings settings, int replicas) {
         this.settings = settings;
-        this.replicas = new Copy[replicas];
+        this.replicas = new ReplicaReport[replicas];
         clear(0);
     }
 
@@ -44,13 +44,13 @@
      */
     void clear(long now) {
         for (int i = 0; i < replicas.length; i++) {
-            replicas[i] = new Copy();
+            replicas[i] = new ReplicaReport();
             replicas[i].livedAt = now;
         }
     }
 
-    void took(long now, int from, DrainReport report, DrainStateMachine agreed) {
-        Copy replica = replicas[from];
+    void onReport(long now, int from, DrainReport report, DrainStateMachine agreed) {
+        ReplicaReport replica = replicas[from];
         replica.version = report.version();
         replica.at = now;
         replica.said = true;
@@ -65,20 +65,23 @@
         report.calls().forEach(each -> calls.put(each.slot(), each.calls()));
         for (Iterator<Integer> slots = replica.calls.keySet().iterator(); slots.hasNext(); ) {
             Drain drain = agreed.slot(slots.next());
-            if (drain == null || !drain.state.open()) {
+            if (drain == null || !drain.state.isOpen()) {
                 slots.remove();
             }
         }
         for (Drain drain : agreed.drains()) {
-            if (drain.state.open() && drain.slot >= report.first() && drain.slot <= report.last()) {
+            if (drain.state.isOpen()
+                    && drain.slot >= report.first()
+                    && drain.slot <= report.last()) {
                 replica.calls.put(
-                        drain.slot, new Said(report.version(), calls.getOrDefault(drain.slot, 0)));
+                        drain.slot,
+                        new NodeCalls(report.version(), calls.getOrDefault(drain.slot, 0)));
             }
         }
     }
 
     /** Those that live are noted as such, for the time after their death. */
-    void look(long now, IntPredicate lives) {
+    void update(long now, IntPredicate lives) {
         for (int i = 0; i < replicas.length; i++) {
             if (lives.test(i)) {
                 replicas[i].livedAt = now;
@@ -87,42 +90,42 @@
     }
 
     /** Whether a replica has to be waited for. */
-    private boolean awaited(long now, int replica) {
+    private boolean awaitedReplicas(long now, int replica) {
         return now - replicas[replica].livedAt < settings.forgets();
     }
 
-    private boolean lives(long now, int replica) {
+    private boolean setLive(long now, int replica) {
         return replicas[replica].livedAt == now;
     }
 
-    private boolean fresh(long now, Copy replica) {
+    private boolean isFresh(long now, ReplicaReport replica) {
         return replica.said && now - replica.at < settings.patience();
     }
 
     /** The live replicas that have said nothing lately. */
-    int silent(long now) {
+    int isSilent(long now) {
         int silent = 0;
         for (int i = 0; i < replicas.length; i++) {
-            silent += lives(now, i) && !fresh(now, replicas[i]) ? 1 : 0;
+            silent += setLive(now, i) && !isFresh(now, replicas[i]) ? 1 : 0;
         }
         return silent;
     }
 
-    int live(long now) {
+    int isLive(long now) {
         int live = 0;
         for (int i = 0; i < replicas.length; i++) {
-            live += lives(now, i) ? 1 : 0;
+            live += setLive(now, i) ? 1 : 0;
         }
         return live;
     }
 
     /** Whether all that have to be waited for have carried out the state of this version. */
-    boolean allHave(long now, long version) {
+    boolean allHaveSeen(long now, long version) {
         for (int i = 0; i < replicas.length; i++) {
-            if (awaited(now, i)
+            if (awaitedReplicas(now, i)
                     && (!replicas[i].said
                             || replicas[i].version < version
-                            || lives(now, i) && !fresh(now, replicas[i]))) {
+                            || setLive(now, i) && !isFresh(now, replicas[i]))) {
                 return false;
             }
         }
@@ -130,17 +133,19 @@
     }
 
     /** Where calls are, or may be, that keep a node's drain open; empty where it has none. */
-    List<DrainCommand.Still> still(long now, Drain drain) {
-        List<DrainCommand.Still> still = new ArrayList<>();
+    List<DrainCommand.RemainingCalls> remainingCalls(long now, Drain drain) {
+        List<DrainCommand.RemainingCalls> still = new ArrayList<>();
         for (int i = 0; i < replicas.length; i++) {
-            if (awaited(now, i)) {
-                Said said = replicas[i].calls.get(drain.slot);
+            if (awaitedReplicas(now, i)) {
+                NodeCalls said = replicas[i].calls.get(drain.slot);
                 boolean known =
                         said != null
                                 && said.version >= drain.since
-                                && (fresh(now, replicas[i]) || !lives(now, i));
+                                && (isFresh(now, replicas[i]) || !setLive(now, i));
                 if (!known || said.calls > 0) {
-                    still.add(new DrainCommand.Still(drain.slot, i, known ? said.calls : -1));
+                    still.add(
+                            new DrainCommand.RemainingCalls(
+                                    drain.slot, i, known ? said.calls : -1));
                 }
             }
         }
@@ -151,7 +156,7 @@
     TrafficSample flow(long now) {
         TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < replicas.length; i++) {
-            sum = lives(now, i) && fresh(now, replicas[i]) ? sum.plus(replicas[i].flow) : sum;
+            sum = setLive(now, i) && isFresh(now, replicas[i]) ? sum.plus(replicas[i].flow) : sum;
         }
         return sum;
     }
@@ -163,7 +168,7 @@
     Set<Long> disabled(long now) {
         Set<Long> all = new HashSet<>();
         for (int i = 0; i < replicas.length; i++) {
-            if (lives(now, i)) {
+            if (setLive(now, i)) {
                 if (replicas[i].disabledAt.size() < replicas[i].disabled) {
                     return null;
                 }
--- a/core/src/main/java/cedarrudder/draining/WaveScheduler.java
+++ b/core/src/main/java/cedarrudder/draining/WaveScheduler.java
@@ -1,15 +1,15 @@
 package cedarrudder.draining;
 
+import cedarrudder.draining.DrainCommand.BlockedBy;
 import cedarrudder.draining.DrainCommand.Bound;
 import cedarrudder.draining.DrainCommand.Change;
 import cedarrudder.draining.DrainCommand.Pause;
+import cedarrudder.draining.DrainCommand.RemainingCalls;
 import cedarrudder.draining.DrainCommand.Step;
-import cedarrudder.draining.DrainCommand.Still;
-import cedarrudder.draining.DrainCommand.Told;
-import cedarrudder.draining.DrainCommand.Wait;
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Order;
-import cedarrudder.draining.DrainPolicy.Restarted;
+import cedarrudder.draining.DrainCommand.WaveStatus;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainPolicy.Window;
 import cedarrudder.draining.DrainStateMachine.Drain;
 import cedarrudder.draining.DrainableNode.Standing;
@@ -31,12 +31,12 @@
     private static final long MILLI = 1_000_000L;
 
     private final DrainSettings settings;
-    private final ReportedDrainProgress heard;
+    private final ReportedDrainProgress reported;
     private final Map<Long, Long> missingSince = new HashMap<>();
 
     WaveScheduler(DrainSettings settings, ReportedDrainProgress heard) {
         this.settings = settings;
-        this.heard = heard;
+        this.reported = heard;
     }
 
     /** This replica begins to lead. */
@@ -45,25 +45,25 @@
     }
 
     /** One look at all there is. */
-    private final class Look {
+    private final class Pass {
         private final long now;
         private final long clock;
-        private final DrainStateMachine agreed;
+        private final DrainStateMachine stateMachine;
         private final CompiledPolicies rules;
         private final int minute;
         private final Map<Long, DrainableNode> nodes = new HashMap<>();
         private final Set<Long> disabled;
-        private final List<DisruptionCounts> counted = new ArrayList<>();
+        private final List<DisruptionCounts> disruptions = new ArrayList<>();
         private final List<Pause> pauses = new ArrayList<>();
         private final Map<Integer, Change> changes = new LinkedHashMap<>();
-        private final List<Still> still = new ArrayList<>();
-        private final Map<Wait, Integer> waits = new LinkedHashMap<>();
+        private final List<RemainingCalls> remainingCalls = new ArrayList<>();
+        private final Map<BlockedBy, Integer> blocked = new LinkedHashMap<>();
         private final int open;
-        private final boolean heardAll;
+        private final boolean allReported;
         private final boolean unlisted;
         private int halted;
 
-        Look(
+        Pass(
                 long now,
                 long clock,
                 int minute,
@@ -73,23 +73,24 @@
             this.now = now;
             this.clock = clock;
             this.minute = minute;
-            this.agreed = agreed;
+            this.stateMachine = agreed;
             this.rules = rules;
             listed.forEach(node -> nodes.put(node.id(), node));
-            disabled = heard.disabled(now);
+            disabled = reported.disabled(now);
             open = agreed.open();
-            heardAll = disabled != null && heard.silent(now) == 0;
+            allReported = disabled != null && reported.isSilent(now) == 0;
             unlisted =
                     agreed.drains().stream()
-                            .anyMatch(drain -> drain.state.out() && !nodes.containsKey(drain.node));
+                            .anyMatch(
+                                    drain -> drain.state.isOut() && !nodes.containsKey(drain.node));
             for (int i = 0; i < rules.size(); i++) {
-                counted.add(new DisruptionCounts(rules.policy(i)));
+                disruptions.add(new DisruptionCounts(rules.policy(i)));
             }
             for (DrainableNode node : nodes.values()) {
                 int policies = rules.of(node);
                 for (int i = 0; i < rules.size(); i++) {
                     if ((policies >> i & 1) != 0) {
-                        counted.get(i).add(node, out(node));
+                        disruptions.get(i).add(node, out(node));
                     }
                 }
             }
@@ -98,12 +99,12 @@
         private boolean out(DrainableNode node) {
             return node.standing() != Standing.SERVING
                     || disabled != null && disabled.contains(node.id())
-                    || agreed.state(node.id()).out();
+                    || stateMachine.state(node.id()).isOut();
         }
 
         /** What has become of drains that are under way. */
         void follow() {
-            for (Drain drain : agreed.drains()) {
+            for (Drain drain : stateMachine.drains()) {
                 DrainEvent event = event(drain, nodes.get(drain.node));
                 if (event != null) {
                     DrainableNode node = nodes.get(drain.node);
@@ -115,8 +116,8 @@
                                             drain.slot,
                                             node.start(),
                                             0,
-                                            AtEnd.LET_GO,
-                                            Restarted.OUT,
+                                            OnDeadline.LET_GO,
+                                            OnRestart.OUT,
                                             0)
                                     : Change.of(event, drain.slot));
                 }
@@ -132,14 +133,14 @@
             } else {
                 missingSince.remove(drain.node);
             }
-            if (node != null && drain.state.leaves() && node.start() > drain.start) {
-                return drain.restarted == Restarted.BACK
+            if (node != null && drain.state.isLeaving() && node.start() > drain.start) {
+                return drain.restarted == OnRestart.BACK
                         ? DrainEvent.RESTARTED_BACK
                         : DrainEvent.RESTARTED_OUT;
             }
-            if (drain.state.open()) {
-                List<Still> there = heard.still(now, drain);
-                still.addAll(there);
+            if (drain.state.isOpen()) {
+                List<RemainingCalls> there = reported.remainingCalls(now, drain);
+                remainingCalls.addAll(there);
                 if (there.isEmpty()) {
                     return DrainEvent.EMPTY;
                 }
@@ -151,9 +152,9 @@
                             case KEEP_WAITING -> DrainEvent.ALARMED;
                         };
             }
-            return drain.state.out()
+            return drain.state.isOut()
                             && drain.state != DrainState.OUT
-                            && heard.allHave(now, drain.since)
+                            && reported.allHaveSeen(now, drain.since)
                     ? DrainEvent.RETURNED
                     : null;
         }
@@ -168,7 +169,7 @@
                 serving += out(node) ? 0 : node.weight();
                 out += out(node) ? 1 : 0;
             }
-            TrafficSample flow = heard.flow(now);
+            TrafficSample flow = reported.flow(now);
             double ended = Math.max(1, flow.ended());
             for (int i = 0; i < rules.size(); i++) {
                 PolicyConditionInputs figures =
@@ -177,24 +178,26 @@
                                 flow.failed() / ended,
                                 flow.late() / ended,
                                 listed == 0 ? 0 : serving / listed,
-                                heard.live(now),
+                                reported.isLive(now),
                                 replicas,
                                 out,
                                 died(i));
-                boolean back = rules.givesBack(i, figures) == CompiledPolicies.Told.YES;
+                boolean back = rules.givesBack(i, figures) == CompiledPolicies.Verdict.YES;
                 boolean halt =
                         back
-                                || rules.pauses(i, figures) != CompiledPolicies.Told.NO
-                                || rules.givesBack(i, figures) == CompiledPolicies.Told.UNDECIDED;
-                if (halt && !agreed.paused(i)) {
+                                || rules.pauses(i, figures) != CompiledPolicies.Verdict.NO
+                                || rules.givesBack(i, figures)
+                                        == CompiledPolicies.Verdict.UNDECIDED;
+                if (halt && !stateMachine.paused(i)) {
                     pauses.add(new Pause(i, true));
                 } else if (!halt
-                        && agreed.paused(i)
-                        && rules.goesOn(i, figures) == CompiledPolicies.Told.YES
-                        && clock - agreed.pausedAt(i) >= rules.policy(i).pace() / MILLI) {
+                        && stateMachine.paused(i)
+                        && rules.goesOn(i, figures) == CompiledPolicies.Verdict.YES
+                        && clock - stateMachine.pausedAt(i)
+                                >= rules.policy(i).minWaveInterval() / MILLI) {
                     pauses.add(new Pause(i, false));
                 }
-                halted |= halt || agreed.paused(i) ? 1 << i : 0;
+                halted |= halt || stateMachine.paused(i) ? 1 << i : 0;
                 if (back) {
                     stop(i);
                 }
@@ -202,8 +205,8 @@
         }
 
         private void stop(int policy) {
-            for (Drain drain : agreed.drains()) {
-                if (drain.state.open() && (drain.policies >> policy & 1) != 0) {
+            for (Drain drain : stateMachine.drains()) {
+                if (drain.state.isOpen() && (drain.policies >> policy & 1) != 0) {
                     changes.putIfAbsent(drain.slot, Change.of(DrainEvent.STOPPED, drain.slot));
                 }
             }
@@ -214,7 +217,7 @@
             for (DrainableNode node : nodes.values()) {
                 died +=
                         node.standing() == Standing.FAILED
-                                        && agreed.state(node.id()) != DrainState.OUT
+                                        && stateMachine.state(node.id()) != DrainState.OUT
                                         && (rules.of(node) >> policy & 1) != 0
                                 ? 1
                                 : 0;
@@ -225,7 +228,7 @@
         /** Begins a wave of those that may go. */
         void begin() {
             List<Drain> waiting = new ArrayList<>();
-            for (Drain drain : agreed.drains()) {
+            for (Drain drain : stateMachine.drains()) {
                 if (drain.state == DrainState.WAITING && nodes.containsKey(drain.node)) {
                     waiting.add(drain);
                 }
@@ -238,27 +241,30 @@
             int[] inWave = new int[rules.size()];
             Object[] only = new Object[rules.size()];
             for (Drain drain : waiting) {
-                Wait wait = wait(drain, inWave, only);
+                BlockedBy wait = wait(drain, inWave, only);
                 if (wait != null || changes.size() >= DrainCommand.MAX_CHANGES) {
-                    waits.merge(wait == null ? new Wait(-1, Bound.WAVE, 0) : wait, 1, Integer::sum);
+                    blocked.merge(
+                            wait == null ? new BlockedBy(-1, Bound.WAVE, 0) : wait,
+                            1,
+                            Integer::sum);
                     continue;
                 }
                 DrainableNode node = nodes.get(drain.node);
                 boolean counts = !out(node);
                 long time = Long.MAX_VALUE;
-                AtEnd atEnd = AtEnd.LET_GO;
-                Restarted restarted = Restarted.BACK;
+                OnDeadline atEnd = OnDeadline.LET_GO;
+                OnRestart restarted = OnRestart.BACK;
                 int policies = policies(drain);
                 for (int i = 0; i < rules.size(); i++) {
                     if ((policies >> i & 1) != 0) {
                         DrainPolicy policy = rules.policy(i);
                         inWave[i]++;
                         if (counts) {
-                            counted.get(i).leaves(node);
+                            disruptions.get(i).leaves(node);
                         }
-                        atEnd = policy.time() < time ? policy.atEnd() : atEnd;
-                        time = Math.min(time, policy.time());
-                        restarted = policy.restarted() == Restarted.OUT ? Restarted.OUT : restarted;
+                        atEnd = policy.deadlineNanos() < time ? policy.onDeadline() : atEnd;
+                        time = Math.min(time, policy.deadlineNanos());
+                        restarted = policy.onRestart() == OnRestart.OUT ? OnRestart.OUT : restarted;
                     }
                 }
                 changes.put(
@@ -295,23 +301,23 @@
         }
 
         /** What keeps a node waiting; null where nothing does. */
-        private Wait wait(Drain drain, int[] inWave, Object[] only) {
+        private BlockedBy wait(Drain drain, int[] inWave, Object[] only) {
             DrainableNode node = nodes.get(drain.node);
             int policies = policies(drain);
             if (policies == 0) {
-                return new Wait(-1, Bound.NO_POLICY, 0);
+                return new BlockedBy(-1, Bound.NO_POLICY, 0);
             }
-            if (!heardAll) {
-                return new Wait(-1, Bound.REPORTS, 0);
+            if (!allReported) {
+                return new BlockedBy(-1, Bound.REPORTS, 0);
             }
             if (unlisted) {
-                return new Wait(-1, Bound.UNLISTED, 0);
+                return new BlockedBy(-1, Bound.UNLISTED, 0);
             }
-            Wait wait = null;
+            BlockedBy wait = null;
             for (int i = 0; i < rules.size(); i++) {
                 if ((policies >> i & 1) != 0) {
                     Bound bound = bound(i, node, inWave[i], only);
-                    wait = wait == null && bound != null ? new Wait(i, bound, 0) : wait;
+                    wait = wait == null && bound != null ? new BlockedBy(i, bound, 0) : wait;
                 }
             }
             return wait;
@@ -320,38 +326,42 @@
         private Bound bound(int policy, DrainableNode node, int inWave, Object[] only) {
             DrainPolicy of = rules.policy(policy);
             Object group =
-                    of.order() == Order.POD_BY_POD
+                    of.order() == DrainOrder.POD_BY_POD
                             ? (Object) node.pod()
-                            : of.order() == Order.ZONE_BY_ZONE ? node.zone() : "";
+                            : of.order() == DrainOrder.ZONE_BY_ZONE ? node.zone() : "";
             only[policy] = only[policy] == null ? group : only[policy];
             if ((halted >> policy & 1) != 0) {
                 return Bound.PAUSED;
-            } else if (of.closedIn(minute)) {
+            } else if (of.isClosedAt(minute)) {
                 return Bound.CLOSED;
-            } else if ((open >> policy & 1) != 0 || inWave >= of.wave()) {
+            } else if ((open >> policy & 1) != 0 || inWave >= of.maxWaveSize()) {
                 return Bound.WAVE;
-            } else if (agreed.waveEndedAt(policy) >= 0
-                    && clock - agreed.waveEndedAt(policy) < of.pace() / MILLI) {
+            } else if (stateMachine.waveEndedAt(policy) >= 0
+                    && clock - stateMachine.waveEndedAt(policy) < of.minWaveInterval() / MILLI) {
                 return Bound.PACE;
             } else if (!only[policy].equals(group)) {
                 return Bound.ORDER;
             }
-            return counted.get(policy).breaks(node, out(node));
+            return disruptions.get(policy).breaks(node, out(node));
         }
 
         Step step() {
-            List<Wait> told = new ArrayList<>();
-            waits.forEach((wait, count) -> told.add(new Wait(wait.policy(), wait.bound(), count)));
+            List<BlockedBy> told = new ArrayList<>();
+            blocked.forEach(
+                    (wait, count) -> told.add(new BlockedBy(wait.policy(), wait.bound(), count)));
             return new Step(
-                    agreed.version(),
+                    stateMachine.version(),
                     clock,
                     pauses,
                     List.copyOf(changes.values()),
-                    new Told(
+                    new WaveStatus(
                             told.subList(0, Math.min(DrainCommand.MAX_TOLD, told.size())),
                             List.copyOf(
-                                    still.subList(
-                                            0, Math.min(DrainCommand.MAX_TOLD, still.size())))));
+                                    remainingCalls.subList(
+                                            0,
+                                            Math.min(
+                                                    DrainCommand.MAX_TOLD,
+                                                    remainingCalls.size())))));
         }
     }
 
@@ -373,12 +383,12 @@
             missingSince.clear();
             return null;
         }
-        Look look = new Look(now, clock, Window.minute(utcMillis), agreed, rules, listed);
+        Pass look = new Pass(now, clock, Window.minute(utcMillis), agreed, rules, listed);
         look.follow();
         look.halt(replicas);
         look.begin();
         Step step = look.step();
-        boolean open = agreed.drains().stream().anyMatch(drain -> drain.state.open());
+        boolean open = agreed.drains().stream().anyMatch(drain -> drain.state.isOpen());
         boolean late = clock - agreed.clock() >= settings.beat() / MILLI;
         return !step.changes().isEmpty()
                         || !step.pauses().isEmpty()
--- a/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -1,7 +1,7 @@
 package cedarrudder.failover;
 
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -14,12 +14,12 @@
 public final class FailoverCoordinator {
 
     private final FailoverSettings settings;
-    private final ZoneTrafficCounter tally;
+    private final ZoneTrafficCounter counter;
     private final int[] zoneOf;
     private final List<String> names;
     private final int zones;
     private final TrafficSplitPlanner planner;
-    private ZoneHealthAggregator assessment;
+    private ZoneHealthAggregator aggregator;
     private Set<Integer> evacuated = Set.of();
     private long table;
     private long closedAt;
@@ -50,7 +50,7 @@
                             + first.allowed());
         }
         this.names = List.copyOf(names);
-        List<String> unknown = leave(settings.leave());
+        List<String> unknown = evacuate(settings.leave());
         if (!unknown.isEmpty()) {
             throw new IllegalArgumentException(
                     "failover.leave: found "
@@ -60,12 +60,12 @@
                             + String.join(", ", names));
         }
         this.settings = settings;
-        this.tally = tally;
+        this.counter = tally;
         this.closedAt = now;
         this.zoneOf = zoneOf.clone();
         this.zones = names.size();
         this.planner = new TrafficSplitPlanner(settings, settings.regions().ranks(names), now);
-        this.assessment = new ZoneHealthAggregator(settings, zoneOf, zones);
+        this.aggregator = new ZoneHealthAggregator(settings, zoneOf, zones);
     }
 
     /**
@@ -80,17 +80,17 @@
             // told
         }
         closedAt = now;
-        ZoneObservations evidence = tally.closePeriod(now, table);
+        ZoneObservations evidence = counter.closePeriod(now, table);
         return evidence == null ? List.of() : evidence.encode(max);
     }
 
     /**
      * At the replica that leads: a part of what another saw, or it itself. It may be no such part.
      */
-    public void reported(long now, int from, byte[] part) {
+    public void onReport(long now, int from, byte[] part) {
         ZoneObservations evidence = ZoneObservations.decode(part);
         if (evidence != null && evidence.replica() == from) {
-            assessment.heard(now, evidence);
+            aggregator.onObservations(now, evidence);
         }
     }
 
@@ -100,12 +100,12 @@
      * @param agreed the table that is agreed on; null before the first
      * @param leaseOver when a replica that is silent has certainly left its table
      */
-    public List<Share> plan(long now, RouteTable agreed, IntToLongFunction leaseOver) {
+    public List<ZoneRoute> plan(long now, RouteTable agreed, IntToLongFunction leaseOver) {
         if (agreed != null) {
-            planner.loaded(now, agreed); // it may be agreed on, and not count yet
+            planner.onTableLoaded(now, agreed); // it may be agreed on, and not count yet
         }
-        assessment.lapse(now, leaseOver);
-        return planner.plan(now, agreed, assessment.picture(now), evacuated);
+        aggregator.lapse(now, leaseOver);
+        return planner.plan(now, agreed, aggregator.snapshot(now), evacuated);
     }
 
     /** The moves of the last plan, for the log. */
@@ -116,16 +116,16 @@
     /**
      * This replica leads from here on, or no longer: what was reported to it before counts no more.
      */
-    public void leads() {
-        assessment = new ZoneHealthAggregator(settings, zoneOf, zones);
-        planner.leads();
+    public void onLeadership() {
+        aggregator = new ZoneHealthAggregator(settings, zoneOf, zones);
+        planner.onLeadership();
     }
 
     /** A table counts here from now on; null: none does. */
-    public void loaded(long now, RouteTable loaded) {
+    public void onTableLoaded(long now, RouteTable loaded) {
         table = loaded == null ? 0 : loaded.number();
         if (loaded != null) {
-            planner.loaded(now, loaded);
+            planner.onTableLoaded(now, loaded);
         }
     }
 
@@ -134,7 +134,7 @@
      *
      * @return those that there are not
      */
-    public List<String> leave(List<String> left) {
+    public List<String> evacuate(List<String> left) {
         Set<Integer> numbers = new HashSet<>();
         left.stream().map(names::indexOf).filter(number -> number >= 0).forEach(numbers::add);
         evacuated = Set.copyOf(numbers);
--- a/core/src/main/java/cedarrudder/failover/TrafficSplit.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplit.java
@@ -1,8 +1,8 @@
 package cedarrudder.failover;
 
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Share;
 import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -29,11 +29,11 @@
     static TrafficSplit of(RouteTable table, int zones) {
         TrafficSplit shares = new TrafficSplit(zones);
         boolean[] there = new boolean[zones];
-        for (Share share : table == null ? List.<Share>of() : table.shares()) {
+        for (ZoneRoute share : table == null ? List.<ZoneRoute>of() : table.routes()) {
             if (share.from() < zones && share.to() < zones) {
                 there[share.from()] = true;
                 shares.parts[share.from()][share.to()] = share.parts();
-                shares.perSecond[share.from()][share.to()] = share.perSecond();
+                shares.perSecond[share.from()][share.to()] = share.maxPerSecond();
                 shares.left[share.from()] |= share.way() == Way.MOVED;
             }
         }
@@ -72,13 +72,13 @@
     }
 
     /** As a table has them. */
-    List<Share> list() {
-        List<Share> list = new ArrayList<>();
+    List<ZoneRoute> list() {
+        List<ZoneRoute> list = new ArrayList<>();
         for (int from = 0; from < parts.length; from++) {
             for (int to = 0; to < parts.length; to++) {
                 if (parts[from][to] > 0) {
                     list.add(
-                            new Share(
+                            new ZoneRoute(
                                     from,
                                     to,
                                     from == to
--- a/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -1,10 +1,10 @@
 package cedarrudder.failover;
 
-import cedarrudder.failover.ZoneHealthSnapshot.Away;
-import cedarrudder.failover.ZoneHealthSnapshot.State;
+import cedarrudder.failover.ZoneHealthSnapshot.RemoteTraffic;
 import cedarrudder.failover.ZoneHealthSnapshot.Zone;
+import cedarrudder.failover.ZoneHealthSnapshot.ZoneState;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -99,7 +99,7 @@
     public record Move(int zone, Reason reason, Set<Integer> bad, Set<Integer> well) {}
 
     /** What this planner knows of one zone. */
-    private static final class Course {
+    private static final class ZoneCourse {
         double ceiling = 1;
 
         /** Whether its own calls are held to what it can do. */
@@ -127,7 +127,7 @@
     private final FailoverSettings settings;
     private final int[][] ranks;
     private final int zones;
-    private final Course[] courses;
+    private final ZoneCourse[] courses;
     private final TreeMap<Long, TrafficSplit> known = new TreeMap<>();
     private final List<Move> moves = new ArrayList<>();
     private boolean planning;
@@ -142,9 +142,9 @@
         this.settings = settings;
         this.ranks = ranks;
         this.zones = ranks.length;
-        this.courses = new Course[zones];
-        Arrays.setAll(courses, i -> new Course());
-        for (Course course : courses) {
+        this.courses = new ZoneCourse[zones];
+        Arrays.setAll(courses, i -> new ZoneCourse());
+        for (ZoneCourse course : courses) {
             course.hold = settings.returnHold();
             for (int i = 0; i < settings.movesPerMinute() - KEPT_FOR_LEAVING - 1; i++) {
                 course.moves.add(now);
@@ -156,7 +156,7 @@
      * A table is loaded; all replicas tell this of each, since any may lead next. Said twice it
      * counts once.
      */
-    public void loaded(long now, RouteTable table) {
+    public void onTableLoaded(long now, RouteTable table) {
         if (known.containsKey(table.number())) {
             return;
         }
@@ -179,7 +179,7 @@
      * This replica leads from here on, or no longer. This avoids what it knew when it led before
      * being acted on.
      */
-    public void leads() {
+    public void onLeadership() {
         planning = false;
     }
 
@@ -194,7 +194,7 @@
      * @param current the table that is loaded; null for none
      * @param evacuated zones that an operator has left
      */
-    public List<Share> plan(
+    public List<ZoneRoute> plan(
             long now,
             RouteTable current,
             ZoneHealthSnapshot picture,
@@ -248,8 +248,8 @@
     }
 
     /** Begins to lead: what the table says is all that is known of a zone's course. */
-    private Course resumed(long now, Course course, TrafficSplit held, int zone) {
-        Course fresh = new Course();
+    private ZoneCourse resumed(long now, ZoneCourse course, TrafficSplit held, int zone) {
+        ZoneCourse fresh = new ZoneCourse();
         fresh.moves.addAll(course.moves);
         fresh.movedAt = course.movedAt;
         fresh.hold = Math.max(settings.returnHold(), course.hold);
@@ -271,14 +271,14 @@
      * @param near the share of its own calls that it gets by the table; a step is from there
      */
     private void follow(long now, int number, Zone zone, boolean evacuated, double near) {
-        Course course = courses[number];
+        ZoneCourse course = courses[number];
         course.cut = false;
         // Where its own replicas say nothing it may be lost to the others alone.
-        boolean lost = zone.state() == State.LOST && zone.bad().contains(number);
+        boolean lost = zone.state() == ZoneState.LOST && zone.bad().contains(number);
         course.badSince = !lost ? Long.MAX_VALUE : Math.min(course.badSince, now);
         course.strainedSince =
                 !zone.strained() ? Long.MAX_VALUE : Math.min(course.strainedSince, now);
-        boolean well = zone.state() == State.WELL && !zone.strained();
+        boolean well = zone.state() == ZoneState.WELL && !zone.strained();
         course.wellSince = !well ? Long.MAX_VALUE : Math.min(course.wellSince, now);
         course.evacuated = evacuated;
         if (evacuated) {
@@ -298,7 +298,7 @@
             cut(now, course, 0);
             course.left = true;
             course.moved = true;
-        } else if (zone.state() == State.WELL
+        } else if (zone.state() == ZoneState.WELL
                 && zone.capacity() > 0
                 && now - course.strainedSince >= STRAIN_PERIODS * settings.period()
                 && able < course.ceiling) {
@@ -328,7 +328,7 @@
      * The ceiling comes down; where it had gone up a step shortly before, the next one takes
      * longer.
      */
-    private void cut(long now, Course course, double ceiling) {
+    private void cut(long now, ZoneCourse course, double ceiling) {
         if (ceiling < course.ceiling) {
             if (now - course.cutAt < 2 * settings.maxReturnHold()
                     && course.steppedAt > course.cutAt) {
@@ -349,7 +349,7 @@
             TrafficSplit wanted,
             ZoneHealthSnapshot picture,
             int zone) {
-        Course course = courses[zone];
+        ZoneCourse course = courses[zone];
         while (!course.moves.isEmpty() && now - course.moves.peek() > WINDOW) {
             course.moves.remove();
         }
@@ -463,7 +463,7 @@
             return picture.zones().get(to).unseen();
         }
         double hidden = 0;
-        for (Away away : picture.away()) {
+        for (RemoteTraffic away : picture.away()) {
             TrafficSplit last = known.get(away.table());
             double part =
                     last != null
@@ -479,7 +479,7 @@
     }
 
     /** What a zone's own calls may take of it. */
-    private double near(Zone zone, Course course) {
+    private double near(Zone zone, ZoneCourse course) {
         double near = course.ceiling * zone.demand();
         return course.limited && !zone.blind()
                 ? Math.min(near, settings.nearShare() * zone.capacity())
@@ -495,7 +495,7 @@
             Zone seen = picture.zones().get(zone);
             dealt[zone][zone] = near(seen, courses[zone]);
             excess[zone] = moving[zone] ? seen.demand() - dealt[zone][zone] : 0;
-            room[zone] = room(seen, courses[zone], picture, zone);
+            room[zone] = spareCapacity(seen, courses[zone], picture, zone);
         }
         for (int from = 0; from < zones; from++) {
             for (int to = 0; to < zones && !moving[from]; to++) {
@@ -504,15 +504,16 @@
                 }
             }
         }
-        dealAll(dealt, excess, room, picture);
+        allocateAll(dealt, excess, room, picture);
         // What would be rejected elsewhere may take zones as far as their own calls may.
         double more = settings.nearShare() - settings.targetShare();
         for (int zone = 0; zone < zones && more > 0; zone++) {
             Zone seen = picture.zones().get(zone);
-            room[zone] += serves(seen, courses[zone]) && !seen.blind() ? more * seen.capacity() : 0;
+            room[zone] +=
+                    isServing(seen, courses[zone]) && !seen.blind() ? more * seen.capacity() : 0;
             excess[zone] = courses[zone].left ? excess[zone] : 0;
         }
-        dealAll(dealt, excess, room, picture);
+        allocateAll(dealt, excess, room, picture);
         int[] sharers = new int[zones];
         for (int from = 0; from < zones; from++) {
             for (int to = 0; to < zones; to++) {
@@ -538,16 +539,17 @@
     }
 
     /** Whether a zone may serve calls of others. */
-    private static boolean serves(Zone zone, Course course) {
-        return zone.state() == State.WELL
+    private static boolean isServing(Zone zone, ZoneCourse course) {
+        return zone.state() == ZoneState.WELL
                 && !course.evacuated
                 && !course.left
                 && course.ceiling >= 1
                 && !zone.strained();
     }
 
-    private double room(Zone zone, Course course, ZoneHealthSnapshot picture, int number) {
-        if (!serves(zone, course)) {
+    private double spareCapacity(
+            Zone zone, ZoneCourse course, ZoneHealthSnapshot picture, int number) {
+        if (!isServing(zone, course)) {
             return 0;
         }
         double max =
@@ -560,21 +562,21 @@
     }
 
     /** Deals what is over to the nearest that have room. */
-    private void dealAll(
+    private void allocateAll(
             double[][] dealt, double[] excess, double[] room, ZoneHealthSnapshot picture) {
         int farthest = Arrays.stream(ranks).flatMapToInt(Arrays::stream).max().orElse(0);
         for (int rank = 1; rank <= farthest; rank++) {
             double[] whole = excess.clone();
             for (int round = 0; round < ROUNDS; round++) {
                 for (int from = 0; from < zones; from++) {
-                    deal(dealt, excess, room, picture, from, rank, whole[from] / ROUNDS);
+                    allocateZone(dealt, excess, room, picture, from, rank, whole[from] / ROUNDS);
                 }
             }
         }
     }
 
     /** Deals some of one zone's calls to zones of this rank, to each by its room. */
-    private void deal(
+    private void allocateZone(
             double[][] dealt,
             double[] excess,
             double[] room,
@@ -585,11 +587,11 @@
         double wanted = Math.min(max, excess[from]);
         double all = 0;
         for (int to = 0; to < zones; to++) {
-            all += suits(picture, from, to, rank) ? Math.max(0, room[to]) : 0;
+            all += isSuitable(picture, from, to, rank) ? Math.max(0, room[to]) : 0;
         }
         double part = all <= 0 || wanted <= 0 ? 0 : Math.min(1, wanted / all);
         for (int to = 0; to < zones && part > 0; to++) {
-            if (suits(picture, from, to, rank) && room[to] > 0) {
+            if (isSuitable(picture, from, to, rank) && room[to] > 0) {
                 double amount = part * room[to];
                 dealt[from][to] += amount;
                 room[to] -= amount;
@@ -598,7 +600,7 @@
         }
     }
 
-    private boolean suits(ZoneHealthSnapshot picture, int from, int to, int rank) {
+    private boolean isSuitable(ZoneHealthSnapshot picture, int from, int to, int rank) {
         return ranks[from][to] == rank && picture.zones().get(to).takes(from);
     }
 
@@ -612,7 +614,7 @@
             ZoneHealthSnapshot picture,
             int zone) {
         Zone seen = picture.zones().get(zone);
-        Course course = courses[zone];
+        ZoneCourse course = courses[zone];
         double near = dealt[zone];
         if (course.left && course.ceiling > 0) {
             near = Math.max(near, Math.min(near + left, settings.nearShare() * seen.capacity()));
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
@@ -1,9 +1,9 @@
 package cedarrudder.failover;
 
-import cedarrudder.failover.ZoneHealthSnapshot.Away;
-import cedarrudder.failover.ZoneHealthSnapshot.State;
+import cedarrudder.failover.ZoneHealthSnapshot.RemoteTraffic;
 import cedarrudder.failover.ZoneHealthSnapshot.Zone;
-import cedarrudder.failover.ZoneObservations.Seen;
+import cedarrudder.failover.ZoneHealthSnapshot.ZoneState;
+import cedarrudder.failover.ZoneObservations.ZoneObservation;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -75,7 +75,7 @@
     private static final double MILLIS = 1_000;
 
     /** What a replica last said of a zone, with what it said before fading away. */
-    private static final class Word {
+    private static final class Vote {
         long sequence = -1;
 
         /** The period that it told of last. */
@@ -87,28 +87,29 @@
         double refused;
         double rate;
         double ended;
-        Seen seen;
+        ZoneObservation seen;
 
         double bad(long period) {
-            boolean still = seen.age() == 0 && seen.still() * 1_000_000L >= STILL_PERIODS * period;
-            return failed + (still ? seen.out() : 0);
+            boolean still =
+                    seen.age() == 0 && seen.unanswered() * 1_000_000L >= STILL_PERIODS * period;
+            return failed + (still ? seen.inFlight() : 0);
         }
     }
 
-    private static final class Copy {
+    private static final class ReplicaObservations {
         long incarnation = -1;
         long sequence = -1;
         long heardAt;
         double came;
         double unserved;
         long table;
-        Word[] words;
+        Vote[] words;
     }
 
     private final FailoverSettings settings;
     private final int[] zoneOf;
     private final int zones;
-    private final Copy[] replicas;
+    private final ReplicaObservations[] replicas;
 
     /** Calls a second that one warm endpoint of weight 1 serves; 0: not known. */
     private final double[] each;
@@ -132,16 +133,16 @@
         Arrays.fill(full, Double.NaN);
         this.aloneSince = new long[zones];
         this.alone = new boolean[zones];
-        this.replicas = new Copy[zoneOf.length];
-        Arrays.setAll(replicas, i -> new Copy());
-        for (Copy replica : replicas) {
+        this.replicas = new ReplicaObservations[zoneOf.length];
+        Arrays.setAll(replicas, i -> new ReplicaObservations());
+        for (ReplicaObservations replica : replicas) {
             forget(replica);
         }
     }
 
-    private void forget(Copy replica) {
-        replica.words = new Word[zones];
-        Arrays.setAll(replica.words, i -> new Word());
+    private void forget(ReplicaObservations replica) {
+        replica.words = new Vote[zones];
+        Arrays.setAll(replica.words, i -> new Vote());
         replica.sequence = -1;
         replica.came = 0;
         replica.unserved = 0;
@@ -151,12 +152,12 @@
      * A part of a replica's evidence has come; what is of no known copy or zone, or old, changes
      * nothing.
      */
-    public void heard(long now, ZoneObservations evidence) {
+    public void onObservations(long now, ZoneObservations evidence) {
         if (evidence.replica() >= replicas.length
                 || zoneOf[evidence.replica()] != evidence.zone()) {
             return;
         }
-        Copy replica = replicas[evidence.replica()];
+        ReplicaObservations replica = replicas[evidence.replica()];
         if (evidence.incarnation() < replica.incarnation) {
             return;
         }
@@ -167,7 +168,7 @@
         double seconds = evidence.millis() / MILLIS;
         if (evidence.sequence() > replica.sequence) {
             boolean first = replica.sequence < 0;
-            double rate = evidence.came() / seconds;
+            double rate = evidence.requests() / seconds;
             replica.came = first ? rate : replica.came + NEWEST * (rate - replica.came);
             replica.unserved =
                     first
@@ -178,14 +179,15 @@
             replica.heardAt = now;
             replica.table = evidence.table();
         }
-        for (Seen seen : evidence.seen()) {
+        for (ZoneObservation seen : evidence.observations()) {
             if (seen.zone() < zones) {
-                heard(now, replica.words[seen.zone()], evidence.sequence(), seen, seconds);
+                onObservations(now, replica.words[seen.zone()], evidence.sequence(), seen, seconds);
             }
         }
     }
 
-    private void heard(long now, Word word, long sequence, Seen seen, double seconds) {
+    private void onObservations(
+            long now, Vote word, long sequence, ZoneObservation seen, double seconds) {
         if (sequence <= word.sequence) {
             return;
         }
@@ -199,7 +201,7 @@
                                     KEPT, Math.min(ZoneObservations.MAX_AGE, basis - word.basis));
             word.served = kept * word.served + seen.served();
             word.failed = kept * word.failed + seen.failed() + seen.silent();
-            word.refused = kept * word.refused + seen.refused();
+            word.refused = kept * word.refused + seen.rejected();
             word.ended = kept * word.ended + seen.ended();
             double rate = seen.served() / seconds;
             word.rate = word.basis < 0 ? rate : word.rate + NEWEST * (rate - word.rate);
@@ -213,7 +215,7 @@
     }
 
     /** What is held now; to be asked once a period, as it also learns what zones can do. */
-    public ZoneHealthSnapshot picture(long now) {
+    public ZoneHealthSnapshot snapshot(long now) {
         boolean learns = learnedAt == Long.MIN_VALUE || now - learnedAt >= settings.period() / 2;
         if (learns) {
             learnedAt = now;
@@ -222,10 +224,12 @@
         for (int zone = 0; zone < zones; zone++) {
             pictures.add(zone(now, zone, learns));
         }
-        List<Away> away = new ArrayList<>();
+        List<RemoteTraffic> away = new ArrayList<>();
         for (int i = 0; i < replicas.length; i++) {
-            if (replicas[i].incarnation >= 0 && !fresh(now, replicas[i]) && replicas[i].came > 0) {
-                away.add(new Away(zoneOf[i], replicas[i].came, replicas[i].table));
+            if (replicas[i].incarnation >= 0
+                    && !isFresh(now, replicas[i])
+                    && replicas[i].came > 0) {
+                away.add(new RemoteTraffic(zoneOf[i], replicas[i].came, replicas[i].table));
             }
         }
         return new ZoneHealthSnapshot(pictures, away);
@@ -238,13 +242,13 @@
      */
     public void lapse(long now, IntToLongFunction leaseOver) {
         for (int i = 0; i < replicas.length; i++) {
-            if (!fresh(now, replicas[i]) && now - leaseOver.applyAsLong(i) > 0) {
+            if (!isFresh(now, replicas[i]) && now - leaseOver.applyAsLong(i) > 0) {
                 replicas[i].came = 0;
             }
         }
     }
 
-    private boolean fresh(long now, Copy replica) {
+    private boolean isFresh(long now, ReplicaObservations replica) {
         return replica.incarnation >= 0
                 && replica.sequence >= 0
                 && now - replica.heardAt <= settings.evidenceAge();
@@ -278,11 +282,11 @@
         int[] able = new int[replicas.length];
         int known = 0;
         for (int i = 0; i < replicas.length; i++) {
-            Copy replica = replicas[i];
-            if (!fresh(now, replica)) {
+            ReplicaObservations replica = replicas[i];
+            if (!isFresh(now, replica)) {
                 continue;
             }
-            Word word = replica.words[zone];
+            Vote word = replica.words[zone];
             if (word.seen != null) {
                 served += word.rate;
                 if (word.seen.age() == 0 && word.seen.load() > 0) {
@@ -290,18 +294,18 @@
                     loads += weight * (word.seen.load() - 1) / HUNDREDTHS;
                     reports += weight;
                 }
-                able[known++] = word.seen.able();
+                able[known++] = word.seen.usableNodes();
             }
             if (zoneOf[i] == zone) {
                 fresh++;
                 demand += replica.came;
-                strained += strained(replica, word) ? 1 : 0;
+                strained += isStrained(replica, word) ? 1 : 0;
             }
         }
         Arrays.sort(able, 0, known);
         double units = known == 0 ? 0 : able[known / 2] / HUNDREDTHS;
         double load = reports == 0 ? Double.NaN : loads / reports;
-        State state = state(now, zone, bad, well, said, fresh);
+        ZoneState state = state(now, zone, bad, well, said, fresh);
         if (learns) {
             full[zone] =
                     Double.isNaN(load) || Double.isNaN(full[zone])
@@ -313,7 +317,7 @@
                         && strained >= Math.min(settings.minReplicas(), fresh)
                         && strained > MAX * fresh;
         boolean strains = turnsAway || full[zone] > FULL;
-        if (learns && state == State.WELL && units > 0 && served >= MIN_RATE) {
+        if (learns && state == ZoneState.WELL && units > 0 && served >= MIN_RATE) {
             learn(zone, served / units, load, strains);
         }
         double capacity = each[zone] * units;
@@ -331,7 +335,7 @@
                 well);
     }
 
-    private static boolean strained(Copy replica, Word word) {
+    private static boolean isStrained(ReplicaObservations replica, Vote word) {
         return replica.came >= 1 && replica.unserved > TURNED_AWAY * replica.came
                 || word.ended >= WHOLE_VOTE && word.refused > TURNED_AWAY * word.ended;
     }
@@ -375,12 +379,12 @@
         int said = 0;
         int able = 0;
         for (int i = 0; i < replicas.length; i++) {
-            Copy replica = replicas[i];
-            if (zoneOf[i] != from || !fresh(now, replica)) {
+            ReplicaObservations replica = replicas[i];
+            if (zoneOf[i] != from || !isFresh(now, replica)) {
                 continue;
             }
             able++;
-            Word word = replica.words[zone];
+            Vote word = replica.words[zone];
             long age = now - word.at;
             if (word.seen == null || age > OLD * settings.evidenceAge() || servedNowhere(replica)) {
                 continue;
@@ -406,9 +410,9 @@
      * Whether nobody serves a replica that asked more than one zone. This avoids a replica whose
      * own link is broken: it says of every zone that it is lost.
      */
-    private boolean servedNowhere(Copy replica) {
+    private boolean servedNowhere(ReplicaObservations replica) {
         int asked = 0;
-        for (Word word : replica.words) {
+        for (Vote word : replica.words) {
             if (word.seen != null
                     && word.served + word.refused + word.failed >= MIN_VOTE * WHOLE_VOTE) {
                 asked++;
@@ -423,7 +427,7 @@
     /**
      * @param said what the replicas of all other zones say together, as {@link Votes#word} has it
      */
-    private State state(
+    private ZoneState state(
             long now, int zone, Set<Integer> bad, Set<Integer> well, int said, int fresh) {
         boolean ownBad = bad.contains(zone);
         int zonesBad = bad.size() - (ownBad ? 1 : 0);
@@ -441,11 +445,13 @@
                             ? now - aloneSince[zone] >= ALONE_PERIODS * settings.period()
                                     && fresh >= settings.minReplicas()
                             : said < 0 && zonesBad > 0;
-            return lost ? State.LOST : State.UNKNOWN;
+            return lost ? ZoneState.LOST : ZoneState.UNKNOWN;
         }
         if (well.contains(zone)) {
-            return said < 0 && zonesBad > 0 ? State.CUT_OFF : State.WELL;
+            return said < 0 && zonesBad > 0 ? ZoneState.CUT_OFF : ZoneState.WELL;
         }
-        return said < 0 && zonesBad > 1 ? State.LOST : said > 0 ? State.WELL : State.UNKNOWN;
+        return said < 0 && zonesBad > 1
+                ? ZoneState.LOST
+                : said > 0 ? ZoneState.WELL : ZoneState.UNKNOWN;
     }
 }
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
@@ -9,10 +9,10 @@
  * @param zones by number
  * @param away replicas that have not been heard of for long, whose lease may still run
  */
-public record ZoneHealthSnapshot(List<Zone> zones, List<Away> away) {
+public record ZoneHealthSnapshot(List<Zone> zones, List<RemoteTraffic> away) {
 
     /** What is held of a zone as one that serves. */
-    public enum State {
+    public enum ZoneState {
         /** Too little is known. */
         UNKNOWN,
         /** Its own replicas, and others that can tell, are served there. */
@@ -39,7 +39,7 @@
      * @param well the zones whose replicas say that they are
      */
     public record Zone(
-            State state,
+            ZoneState state,
             boolean strained,
             double demand,
             double served,
@@ -52,7 +52,7 @@
 
         /** Whether calls of that zone may be sent here. */
         public boolean takes(int from) {
-            return state == State.WELL && !bad.contains(from);
+            return state == ZoneState.WELL && !bad.contains(from);
         }
     }
 
@@ -63,7 +63,7 @@
      * @param rate calls a second that came to it
      * @param table that table's number; 0 for none
      */
-    public record Away(int zone, double rate, long table) {}
+    public record RemoteTraffic(int zone, double rate, long table) {}
 
     public ZoneHealthSnapshot {
         zones = List.copyOf(zones);
--- a/core/src/main/java/cedarrudder/failover/ZoneObservations.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneObservations.java
@@ -22,9 +22,9 @@
  * @param sequence rises by one each period of that life
  * @param table the number of the table that it uses; 0 for none
  * @param millis how long the period was, in milliseconds; from 1
- * @param came calls that came to it
+ * @param requests calls that came to it
  * @param unserved of those that ended, the ones that it refused or failed
- * @param seen what it saw, ordered by zone
+ * @param observations what it saw, ordered by zone
  */
 public record ZoneObservations(
         int replica,
@@ -33,9 +33,9 @@
         long sequence,
         long table,
         int millis,
-        int came,
+        int requests,
         int unserved,
-        List<Seen> seen) {
+        List<ZoneObservation> observations) {
 
     /** What a part takes at most, so that a datagram has room for more. */
     public static final int MAX_BYTES = 200;
@@ -61,42 +61,54 @@
      * @param served its calls there that were answered well
      * @param failed that were answered with an error, or broke off
      * @param silent that got no answer in time, or no connection
-     * @param refused that were rejected unseen
-     * @param out that are out
-     * @param still for how many milliseconds nothing has come back while calls were out
+     * @param rejected that were rejected unseen
+     * @param inFlight that are out
+     * @param unanswered for how many milliseconds nothing has come back while calls were out
      * @param load the mean of the utilisations that endpoints there reported, in hundredths and one
      *     more; 0: none
      * @param nodes endpoints that are listed as ready
      * @param cold of those the ones that have just started
-     * @param able what all of them can do now, in hundredths of what a warm one of weight 1 can
+     * @param usableNodes what all of them can do now, in hundredths of what a warm one of weight 1
+     *     can
      */
-    public record Seen(
+    public record ZoneObservation(
             int zone,
             int age,
             int served,
             int failed,
             int silent,
-            int refused,
-            int out,
-            int still,
+            int rejected,
+            int inFlight,
+            int unanswered,
             int load,
             int nodes,
             int cold,
-            int able) {
+            int usableNodes) {
 
         /** Calls that came to an end there. */
         public int ended() {
-            return served + failed + silent + refused;
+            return served + failed + silent + rejected;
         }
 
         private int[] figures() {
             return new int[] {
-                zone, age, served, failed, silent, refused, out, still, load, nodes, cold, able
+                zone,
+                age,
+                served,
+                failed,
+                silent,
+                rejected,
+                inFlight,
+                unanswered,
+                load,
+                nodes,
+                cold,
+                usableNodes
             };
         }
 
-        private static Seen of(int[] f) {
-            return new Seen(
+        private static ZoneObservation of(int[] f) {
+            return new ZoneObservation(
                     f[0], f[1], f[2], f[3], f[4], f[5], f[6], f[7], f[8], f[9], f[10], f[11]);
         }
     }
@@ -104,7 +116,7 @@
     private static final int FIGURES = 12;
 
     public ZoneObservations {
-        seen = List.copyOf(seen);
+        observations = List.copyOf(observations);
     }
 
     /**
@@ -115,7 +127,7 @@
     public List<byte[]> encode(int max) {
         List<byte[]> parts = new ArrayList<>();
         ByteBuffer out = head(max);
-        for (Seen each : seen) {
+        for (ZoneObservation each : observations) {
             int before = out.position();
             try {
                 put(out, each);
@@ -133,13 +145,15 @@
         ByteBuffer out = ByteBuffer.allocate(max);
         out.put((byte) VERSION);
         for (long figure :
-                new long[] {replica, zone, incarnation, sequence, table, millis, came, unserved}) {
+                new long[] {
+                    replica, zone, incarnation, sequence, table, millis, requests, unserved
+                }) {
             Varint.put(out, figure);
         }
         return out;
     }
 
-    private static void put(ByteBuffer out, Seen seen) {
+    private static void put(ByteBuffer out, ZoneObservation seen) {
         for (int figure : seen.figures()) {
             Varint.put(out, figure);
         }
@@ -160,14 +174,14 @@
             int millis = figure(in, MAX_MILLIS);
             int came = figure(in, MAX_COUNT);
             int unserved = figure(in, MAX_COUNT);
-            List<Seen> seen = new ArrayList<>();
+            List<ZoneObservation> seen = new ArrayList<>();
             int min = 0;
             while (in.hasRemaining()) {
                 int[] figures = new int[FIGURES];
                 for (int i = 0; i < FIGURES; i++) {
                     figures[i] = figure(in, MAX_COUNT);
                 }
-                Seen each = Seen.of(figures);
+                ZoneObservation each = ZoneObservation.of(figures);
                 if (each.zone < min || each.zone >= RouteTable.MAX_ZONES || each.age > MAX_AGE) {
                     return null;
                 }
--- a/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
@@ -6,7 +6,7 @@
 import cedarrudder.balancer.LoadBalancer.LoadReport;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.balancer.LoadBalancer.SafetyRules;
-import cedarrudder.failover.ZoneObservations.Seen;
+import cedarrudder.failover.ZoneObservations.ZoneObservation;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -37,7 +37,7 @@
         long lastAnswerAt;
         double loads;
         int reports;
-        Seen last;
+        ZoneObservation last;
     }
 
     private final int replica;
@@ -169,10 +169,10 @@
         boolean stood = length > STOOD_STILL * period;
         boolean counts = !stood && !shaken && length > 0;
         shaken = stood;
-        List<Seen> seen = new ArrayList<>();
+        List<ZoneObservation> seen = new ArrayList<>();
         int[][] nodes = nodes(now);
         for (int i = 0; i < zones.length; i++) {
-            Seen each = closePeriod(now, i, zones[i], nodes[i], counts);
+            ZoneObservation each = closePeriod(now, i, zones[i], nodes[i], counts);
             if (each != null && !listed.isEmpty()) {
                 seen.add(each);
             }
@@ -197,9 +197,10 @@
     }
 
     /** What is said of a zone; null where nothing is known of it. */
-    private static Seen closePeriod(long now, int number, Zone zone, int[] nodes, boolean counts) {
-        Seen fresh =
-                new Seen(
+    private static ZoneObservation closePeriod(
+            long now, int number, Zone zone, int[] nodes, boolean counts) {
+        ZoneObservation fresh =
+                new ZoneObservation(
                         number,
                         0,
                         bound(zone.served),
@@ -231,28 +232,28 @@
             zone.lastAnswerAt = now;
             return null;
         }
-        Seen last = zone.last;
+        ZoneObservation last = zone.last;
         if (fresh.ended() == 0
-                && fresh.out() == 0
+                && fresh.inFlight() == 0
                 && last != null
                 && last.age() < ZoneObservations.MAX_AGE) {
             // Nothing was asked of it: what was seen last, with its age, and the endpoints as they
             // are
             // now.
             zone.last =
-                    new Seen(
+                    new ZoneObservation(
                             number,
                             last.age() + 1,
                             last.served(),
                             last.failed(),
                             last.silent(),
-                            last.refused(),
+                            last.rejected(),
                             0,
                             0,
                             last.load(),
                             fresh.nodes(),
                             fresh.cold(),
-                            fresh.able());
+                            fresh.usableNodes());
         } else {
             zone.last = fresh;
         }
--- a/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -101,7 +101,7 @@
      * Bytes that one more node with an id of this many characters takes at rest, without hash
      * tables.
      */
-    private long node(long idChars) {
+    private long perEndpoint(long idChars) {
         long reader =
                 MAPS / 2 * layout.entry(false)
                         + 2 * layout.boxed()
@@ -129,7 +129,8 @@
         return list.nodes() == 0
                 ? 0
                 : FIXED
-                        + list.nodes() * node(EndpointListShape.mean(list.idChars(), list.nodes()))
+                        + list.nodes()
+                                * perEndpoint(EndpointListShape.mean(list.idChars(), list.nodes()))
                         + MAPS * layout.hashTable(list.nodes())
                         + layout.array(buffer(list.textBytes()), 1);
     }
--- a/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
@@ -31,8 +31,8 @@
     }
 
     /** Whether a table of this many compact bytes may be loaded. */
-    public boolean holds(RouteTable table, int size) {
-        return size <= bytes && table.leaving().size() <= leaving;
+    public boolean fits(RouteTable table, int size) {
+        return size <= bytes && table.draining().size() <= leaving;
     }
 
     /** What both have room for. */
@@ -55,10 +55,11 @@
      * @param rooms what the live replicas have told
      * @return null where all can load it
      */
-    public static Integer holdsBack(RouteTable table, Map<Integer, RouteTableCapacity> rooms) {
+    public static Integer limitingReplica(
+            RouteTable table, Map<Integer, RouteTableCapacity> rooms) {
         int size = RouteTableFootprint.bytes(table);
         return rooms.entrySet().stream()
-                .filter(entry -> !entry.getValue().holds(table, size))
+                .filter(entry -> !entry.getValue().fits(table, size))
                 .min(
                         Map.Entry.<Integer, RouteTableCapacity>comparingByValue(
                                         (a, b) ->
