--- a/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
@@ -31,7 +31,7 @@
     private static final int LISTS = 3;
 
     /** Bytes are written, gathered and copied: this many times what the table has. */
-    private static final int REPLICAS = 4;
+    private static final int TABLE_COPIES = 4;
 
     private final ObjectLayout layout;
 
@@ -49,8 +49,8 @@
         return table == null
                 ? 0
                 : fixed()
-                        + list(table.shares().size(), share())
-                        + list(table.leaving().size(), leaving())
+                        + list(table.routes().size(), share())
+                        + list(table.draining().size(), leaving())
                         + list(table.limits().size(), limit())
                         + layout.array(bytes(table), 1);
     }
@@ -59,11 +59,11 @@
      * What is held at most while a next table is read: both side by side, and what reading takes.
      */
     public long atPeak(RouteTable held, RouteTable next) {
-        long entries = next.shares().size() + next.leaving().size() + next.limits().size();
+        long entries = next.routes().size() + next.draining().size() + next.limits().size();
         return atRest(held)
                 + atRest(next)
                 + entries * LISTS * layout.reference()
-                + REPLICAS * layout.array(bytes(next), 1);
+                + TABLE_COPIES * layout.array(bytes(next), 1);
     }
 
     /**
@@ -82,7 +82,9 @@
             }
         }
         long each =
-                leaving() + (1 + LISTS) * layout.reference() + (1 + REPLICAS) * MAX_LEAVING_BYTES;
+                leaving()
+                        + (1 + LISTS) * layout.reference()
+                        + (1 + TABLE_COPIES) * MAX_LEAVING_BYTES;
         long leaving = Math.max(0, left - fixed() - lists()) / each;
         return new RouteTableCapacity(
                 bytes, (int) Math.min(RouteTable.MAX_LEAVING, leaving), nodes);
@@ -99,7 +101,7 @@
                 + lists()
                 + shares * (share() + references)
                 + leaving * (leaving() + references)
-                + (1 + REPLICAS) * layout.array(bytes, 1);
+                + (1 + TABLE_COPIES) * layout.array(bytes, 1);
     }
 
     /** The table itself. */
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -118,7 +118,8 @@
             balancer.onRequest(now, exchange.request());
             return;
         }
-        RequestBudget budget = budgets.arrived(now, exchange.request(), exchange.receivedBudget());
+        RequestBudget budget =
+                budgets.onRequest(now, exchange.request(), exchange.receivedBudget());
         exchange.budget(budget);
         balancer.onRequest(timers.now(), exchange.request(), budget.standing());
     }
@@ -152,7 +153,7 @@
         end(exchange, end);
         forgetIfDone(exchange);
         if (exchange.budget() != null) {
-            budgets.left(timers.now(), exchange.budget());
+            budgets.onClientLeft(timers.now(), exchange.budget());
         }
         events.post(() -> balancer.onClientLeft(timers.now(), exchange.request().id()));
     }
@@ -278,7 +279,7 @@
         exchange.startStreaming(attempt);
         dropWaitingAttempts(exchange);
         exchange.cancelDeadline();
-        exchange.feedback(budgets == null ? null : exchange.budget().served());
+        exchange.feedback(budgets == null ? null : exchange.budget().servedFeedback());
         exchange.reply().served(answer);
         tellOutcome(attempt, Outcome.OK, attempt.latencyNanos(timers.now()), true, load);
     }
@@ -330,7 +331,7 @@
         Exchange<Q, A> exchange = attempt.exchange();
         exchange.attemptEnded(outcome);
         if (attempt.propagatedBudget() != null) {
-            budgets.ended(
+            budgets.onAttemptEnded(
                     timers.now(),
                     exchange.budget(),
                     attempt.propagatedBudget(),
@@ -343,7 +344,7 @@
         }
         if (outcome == Outcome.OK && !exchange.isOver()) {
             end(exchange, End.SERVED);
-            exchange.feedback(budgets == null ? null : exchange.budget().served());
+            exchange.feedback(budgets == null ? null : exchange.budget().servedFeedback());
             exchange.reply().served(answer);
         }
         forgetIfDone(exchange);
@@ -439,7 +440,7 @@
     public void probeEnded(long endpoint, Outcome outcome, long latency, LoadReport load) {
         accounting.onProbeEnded(timers.now(), endpoint, outcome, load);
         if (budgets != null && outcome == Outcome.OK) {
-            budgets.probed(latency);
+            budgets.onProbeAnswered(latency);
         }
         events.post(() -> balancer.onProbeEnded(timers.now(), endpoint, outcome, latency, load));
     }
@@ -540,7 +541,7 @@
                 return;
             }
             if (budgets != null) {
-                attempt.propagate(budgets.handDown(now, exchange.budget()));
+                attempt.propagate(budgets.propagate(now, exchange.budget()));
             }
             if (zoneSharesSet) {
                 onZoneShareUsed.run();
@@ -567,7 +568,7 @@
         public void reject(long requestId, long retryAfter) {
             Exchange<Q, A> exchange = finish(requestId, End.REJECTED);
             if (exchange != null) {
-                exchange.feedback(budgets == null ? null : exchange.budget().refused());
+                exchange.feedback(budgets == null ? null : exchange.budget().rejectedFeedback());
                 exchange.reply().rejected(retryAfter);
             }
         }
@@ -576,7 +577,7 @@
         public void fail(long requestId) {
             Exchange<Q, A> exchange = finish(requestId, End.FAILED);
             if (exchange != null) {
-                exchange.feedback(budgets == null ? null : exchange.budget().failed());
+                exchange.feedback(budgets == null ? null : exchange.budget().failedFeedback());
                 exchange.reply().failed();
             }
         }
--- a/core/src/main/java/cedarrudder/membership/GossipMessage.java
+++ b/core/src/main/java/cedarrudder/membership/GossipMessage.java
@@ -1,6 +1,6 @@
 package cedarrudder.membership;
 
-import cedarrudder.membership.SwimMessage.News;
+import cedarrudder.membership.SwimMessage.MemberUpdate;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -11,8 +11,8 @@
     private static final int LONGEST_PIECE = 3 + 10 + 3;
 
     private final long incarnation;
-    private final List<News> news = new ArrayList<>();
-    private int room;
+    private final List<MemberUpdate> updates = new ArrayList<>();
+    private int spaceLeft;
 
     /**
      * @param incarnation of the sender
@@ -20,31 +20,31 @@
      */
     GossipMessage(long incarnation, int room) {
         this.incarnation = incarnation;
-        this.room = room;
+        this.spaceLeft = room;
     }
 
     /** Takes a piece that fits; whether it did. */
-    boolean add(News piece) {
+    boolean add(MemberUpdate piece) {
         int size = SwimMessage.size(piece, incarnation);
-        for (News had : news) {
+        for (MemberUpdate had : updates) {
             if (had.member().number() == piece.member().number()) {
                 return false;
             }
         }
-        if (size > room) {
+        if (size > spaceLeft) {
             return false;
         }
-        room -= size;
-        news.add(piece);
+        spaceLeft -= size;
+        updates.add(piece);
         return true;
     }
 
     /** Whether no further piece fits for certain. */
-    boolean full() {
-        return room < LONGEST_PIECE;
+    boolean isFull() {
+        return spaceLeft < LONGEST_PIECE;
     }
 
-    List<News> news() {
-        return news;
+    List<MemberUpdate> updates() {
+        return updates;
     }
 }
--- a/core/src/main/java/cedarrudder/membership/GossipQueue.java
+++ b/core/src/main/java/cedarrudder/membership/GossipQueue.java
@@ -1,6 +1,6 @@
 package cedarrudder.membership;
 
-import cedarrudder.membership.SwimMessage.News;
+import cedarrudder.membership.SwimMessage.MemberUpdate;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Iterator;
@@ -19,7 +19,7 @@
      * What went out this many times, by the place in the list; in each the one that waits longest
      * is first.
      */
-    private final List<Map<Integer, News>> byTimes = new ArrayList<>();
+    private final List<Map<Integer, MemberUpdate>> byTimes = new ArrayList<>();
 
     /** How often the news of each instance went out; -1 where none waits. */
     private final int[] times;
@@ -33,7 +33,7 @@
     }
 
     /** Takes news, in place of what waits of the same instance. */
-    void add(News news) {
+    void add(MemberUpdate news) {
         int number = news.member().number();
         if (times[number] >= 0) {
             byTimes.get(times[number]).remove(number);
@@ -55,20 +55,20 @@
             byTimes.add(new LinkedHashMap<>());
         }
         for (int sent = byTimes.size() - 1; sent >= max; sent--) {
-            forget(byTimes.get(sent)); // fewer live than before
+            remove(byTimes.get(sent)); // fewer live than before
         }
-        List<News> taken = new ArrayList<>();
-        for (int sent = 0; sent < max && !message.full(); sent++) {
-            Iterator<News> each = byTimes.get(sent).values().iterator();
-            while (!message.full() && each.hasNext()) {
-                News piece = each.next();
+        List<MemberUpdate> taken = new ArrayList<>();
+        for (int sent = 0; sent < max && !message.isFull(); sent++) {
+            Iterator<MemberUpdate> each = byTimes.get(sent).values().iterator();
+            while (!message.isFull() && each.hasNext()) {
+                MemberUpdate piece = each.next();
                 if (message.add(piece)) {
                     each.remove();
                     taken.add(piece);
                 }
             }
         }
-        for (News piece : taken) {
+        for (MemberUpdate piece : taken) {
             int number = piece.member().number();
             if (++times[number] >= max) {
                 times[number] = -1;
@@ -79,7 +79,7 @@
         }
     }
 
-    private void forget(Map<Integer, News> pieces) {
+    private void remove(Map<Integer, MemberUpdate> pieces) {
         for (int number : pieces.keySet()) {
             times[number] = -1;
             waiting--;
--- a/core/src/main/java/cedarrudder/membership/IndirectProbes.java
+++ b/core/src/main/java/cedarrudder/membership/IndirectProbes.java
@@ -48,12 +48,12 @@
     }
 
     /** How often the first was silent. */
-    int silent() {
+    int onSilence() {
         return silences.values().iterator().next();
     }
 
     /** The first is asked, and goes to the end. */
-    void asked() {
+    void onAsked() {
         Iterator<Map.Entry<Integer, Integer>> each = silences.entrySet().iterator();
         Map.Entry<Integer, Integer> first = each.next();
         int number = first.getKey();
--- a/core/src/main/java/cedarrudder/membership/LossEstimate.java
+++ b/core/src/main/java/cedarrudder/membership/LossEstimate.java
@@ -12,7 +12,7 @@
     private double missed;
 
     /** A question was answered, at once or only when asked again. */
-    void answered(boolean atOnce) {
+    void onAnswer(boolean atOnce) {
         missed += ((atOnce ? 0 : 1) - missed) * NEWEST;
     }
 
@@ -21,7 +21,7 @@
      *
      * @param chance that all of it was lost
      */
-    int silences(double chance) {
+    int maxSilences(double chance) {
         return missed <= 0 ? 1 : (int) Math.ceil(Math.log(chance) / Math.log(missed));
     }
 }
--- a/core/src/main/java/cedarrudder/membership/Member.java
+++ b/core/src/main/java/cedarrudder/membership/Member.java
@@ -32,11 +32,11 @@
     }
 
     /** Whether it counts as live. */
-    public boolean live() {
+    public boolean isLive() {
         return standing != Standing.DEAD;
     }
 
-    Member as(Standing next) {
+    Member withStanding(Standing next) {
         return new Member(number, incarnation, next);
     }
 }
--- a/core/src/main/java/cedarrudder/membership/StateExchange.java
+++ b/core/src/main/java/cedarrudder/membership/StateExchange.java
@@ -1,6 +1,6 @@
 package cedarrudder.membership;
 
-import cedarrudder.membership.SwimMessage.News;
+import cedarrudder.membership.SwimMessage.MemberUpdate;
 import cedarrudder.membership.SwimMessage.Window;
 import java.util.Arrays;
 import java.util.BitSet;
@@ -69,7 +69,7 @@
     }
 
     /** Another one's digest was heard. */
-    void heard(int other) {
+    void onWindow(int other) {
         differs = other != digest;
     }
 
@@ -98,11 +98,11 @@
     void answer(int self, Window shown, Member[] members, int start, GossipMessage letter) {
         int count = shown.end(instances) - shown.first();
         for (int wanted = 0; wanted < 2; wanted++) {
-            for (int i = 0; i < count && !letter.full(); i++) {
+            for (int i = 0; i < count && !letter.isFull(); i++) {
                 int number = shown.first() + (start + i) % count;
                 boolean held = dead.get(number);
                 if (held != shown.dead(number) && held == (wanted == 0)) {
-                    letter.add(new News(members[number], held ? self : number));
+                    letter.add(new MemberUpdate(members[number], held ? self : number));
                 }
             }
         }
--- a/core/src/main/java/cedarrudder/membership/Suspicion.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicion.java
@@ -25,11 +25,11 @@
         this.min = min;
         this.max = max;
         this.confirmations = confirmations;
-        confirmedBy(accuser, now);
+        addAccuser(accuser, now);
     }
 
     /** Another one says so too; whether that is news which is worth telling. */
-    boolean confirmedBy(int accuser, long now) {
+    boolean addAccuser(int accuser, long now) {
         if (accusers.size() > confirmations || !accusers.add(accuser)) {
             return false;
         }
--- a/core/src/main/java/cedarrudder/membership/Suspicions.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicions.java
@@ -28,7 +28,7 @@
 
     /** Another one says so too; whether that is news which is worth telling. */
     boolean confirmed(int number, int accuser, long now) {
-        return byNumber.get(number).confirmedBy(accuser, now);
+        return byNumber.get(number).addAccuser(accuser, now);
     }
 
     /** Another one holds it as dead. */
@@ -54,7 +54,7 @@
     }
 
     /** Those that count as dead by now. */
-    List<Integer> over(long now) {
+    List<Integer> expired(long now) {
         List<Integer> over = new ArrayList<>();
         byNumber.forEach(
                 (number, suspicion) -> {
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.membership.Member.Standing;
 import cedarrudder.membership.SwimMessage.Kind;
-import cedarrudder.membership.SwimMessage.News;
+import cedarrudder.membership.SwimMessage.MemberUpdate;
 import cedarrudder.membership.SwimMessage.Window;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -57,70 +57,71 @@
     private static final double NACK_SHARE = 0.8;
 
     /** Those that did not answer, and the suspected, are asked so often a period, all together. */
-    private static final int APPEALS = 2;
+    private static final int DEAD_PINGS = 2;
 
     /**
      * All live instances together ask each of the suspected about so often a period. This avoids
      * all of a large tier asking one at once.
      */
-    private static final int ASKS_OF_A_SUSPECT = 8;
+    private static final int PINGS_OF_A_SUSPECT = 8;
 
     /** Suspicions for losses alone that all live instances may come to in a period, about. */
     private static final double FALSE_SUSPICIONS = 0.1;
 
     /** In its period a question goes out twice, besides by helpers. */
-    private static final int OWN_ASKS = 2;
+    private static final int DIRECT_PINGS = 2;
 
     /** More are never asked for. This avoids losses so high that nobody would be suspected. */
     private static final int MAX_SILENCES = 16;
 
     /** A question that is out. */
-    private static final class Question {
+    private static final class ProbeRound {
         final int target;
-        final int number;
+        final int sequence;
         final long helpAt;
         final Set<Integer> helpers = new HashSet<>();
-        boolean asked;
+        boolean sentAt;
         boolean answered;
 
-        Question(int target, int number, long helpAt) {
+        ProbeRound(int target, int number, long helpAt) {
             this.target = target;
-            this.number = number;
+            this.sequence = number;
             this.helpAt = helpAt;
         }
     }
 
     /** A question asked on behalf of another. */
-    private record Relay(int asker, int question, int target, long nackAt, boolean nacked) {}
+    private record RelayedPing(
+            int requester, int sequence, int target, long nackAt, boolean nacked) {}
 
     private final int self;
     private final MembershipSettings settings;
     private final RandomGenerator random;
-    private final Actions outlet;
+    private final Actions actions;
     private final Member[] members;
     private final Suspicions suspicions;
-    private final IndirectProbes doubts = new IndirectProbes();
-    private final LossEstimate loss = new LossEstimate();
+    private final IndirectProbes indirectProbes = new IndirectProbes();
+    private final LossEstimate lossEstimate = new LossEstimate();
     private final StateExchange exchange;
     private final GossipQueue gossip;
     private final int[] order;
-    private final Map<Integer, Relay> relays = new HashMap<>();
+    private final Map<Integer, RelayedPing> relays = new HashMap<>();
     private int nextInOrder;
-    private Question question;
-    private int questions;
+    private ProbeRound round;
+    private int nextSequence;
     private int periods;
     private int health;
     private long nextPeriod;
-    private long nextAppeal;
-    private boolean suspectsTurn;
-    private boolean heardAny;
+    private long nextDeadPing;
+    private boolean pingSuspectNext;
+    private boolean heardAnyone;
     private boolean left;
     private long malformed;
     private long notItsSender;
     private long refuted;
     private long relaysRefused;
     private long unanswered;
-    private int answers;
+    private int openRounds;
 
     /**
      * All others count as live until they are found not to be.
@@ -151,7 +152,7 @@
         this.self = self;
         this.settings = settings;
         this.random = random;
-        this.outlet = outlet;
+        this.actions = outlet;
         this.members = new Member[instances];
         for (int i = 0; i < instances; i++) {
             members[i] = new Member(i, i == self ? incarnation : 0, Standing.ALIVE);
@@ -176,7 +177,7 @@
     }
 
     /** How many count as live, this one with them. */
-    public int live() {
+    public int liveCount() {
         return members.length - exchange.dead();
     }
 
@@ -197,13 +198,13 @@
             return Long.MAX_VALUE;
         }
         long due = nextPeriod;
-        if (question != null && !question.answered && !question.asked) {
-            due = Math.min(due, question.helpAt);
+        if (round != null && !round.answered && !round.sentAt) {
+            due = Math.min(due, round.helpAt);
         }
-        if (!suspicions.isEmpty() || !doubts.isEmpty()) {
-            due = Math.min(due, Math.min(suspicions.due(), nextAppeal));
+        if (!suspicions.isEmpty() || !indirectProbes.isEmpty()) {
+            due = Math.min(due, Math.min(suspicions.due(), nextDeadPing));
         }
-        for (Relay relay : relays.values()) {
+        for (RelayedPing relay : relays.values()) {
             due = relay.nacked() ? due : Math.min(due, relay.nackAt());
         }
         return due;
@@ -216,17 +217,17 @@
         }
         long late = now - due();
         if (late > settings.period() / 2) {
-            stoodStill(late);
+            wasStopped(late);
         }
-        bury(now);
-        appeal(now);
+        declareDead(now);
+        pingDead(now);
         sendNacks(now);
-        if (question != null && !question.answered && !question.asked && now >= question.helpAt) {
-            askHelpers();
+        if (round != null && !round.answered && !round.sentAt && now >= round.helpAt) {
+            requestIndirectPings();
         }
         if (now >= nextPeriod) {
             endPeriod(now);
-            beginPeriod(now);
+            startPeriod(now);
         }
     }
 
@@ -234,16 +235,16 @@
      * This instance did not run for this long. This avoids burying others for answers that wait
      * unread, and for contradictions that it could not hear.
      */
-    private void stoodStill(long late) {
+    private void wasStopped(long late) {
         health = Math.min(settings.worstHealth(), health + 1);
-        question = null;
-        doubts.clear();
+        round = null;
+        indirectProbes.clear();
         suspicions.extend(late);
     }
 
-    private void bury(long now) {
-        for (int number : suspicions.over(now)) {
-            learn(now, members[number].as(Standing.DEAD), self);
+    private void declareDead(long now) {
+        for (int number : suspicions.expired(now)) {
+            onUpdate(now, members[number].withStanding(Standing.DEAD), self);
         }
     }
 
@@ -252,27 +253,28 @@
      * suspected, the second hears what is said of it and contradicts. This avoids burying the
      * living where messages are lost. Twice a period, however many there are.
      */
-    private void appeal(long now) {
-        if (now < nextAppeal || suspicions.isEmpty() && doubts.isEmpty()) {
+    private void pingDead(long now) {
+        if (now < nextDeadPing || suspicions.isEmpty() && indirectProbes.isEmpty()) {
             return;
         }
-        nextAppeal = now + settings.period() / APPEALS;
-        while (!doubts.isEmpty() && doubts.silent() >= silences()) {
-            int number = doubts.first();
-            doubts.remove(number);
-            learn(now, members[number].as(Standing.SUSPECT), self);
+        nextDeadPing = now + settings.period() / DEAD_PINGS;
+        while (!indirectProbes.isEmpty() && indirectProbes.onSilence() >= silences()) {
+            int number = indirectProbes.first();
+            indirectProbes.remove(number);
+            onUpdate(now, members[number].withStanding(Standing.SUSPECT), self);
         }
-        suspectsTurn = !suspicions.isEmpty() && (doubts.isEmpty() || !suspectsTurn);
-        if (suspectsTurn) {
-            if (random.nextDouble() * APPEALS * live() >= ASKS_OF_A_SUSPECT * suspicions.size()) {
+        pingSuspectNext = !suspicions.isEmpty() && (indirectProbes.isEmpty() || !pingSuspectNext);
+        if (pingSuspectNext) {
+            if (random.nextDouble() * DEAD_PINGS * liveCount()
+                    >= PINGS_OF_A_SUSPECT * suspicions.size()) {
                 return;
             }
             int number = suspicions.next();
-            send(number, Kind.PING, ++questions, number);
-        } else if (!doubts.isEmpty()) {
-            int number = doubts.first();
-            doubts.asked();
-            send(number, Kind.PING, ++questions, number);
+            send(number, Kind.PING, ++nextSequence, number);
+        } else if (!indirectProbes.isEmpty()) {
+            int number = indirectProbes.first();
+            indirectProbes.onAsked();
+            send(number, Kind.PING, ++nextSequence, number);
         }
     }
 
@@ -281,94 +283,95 @@
      * alone.
      */
     private int silences() {
-        return Math.min(MAX_SILENCES, loss.silences(FALSE_SUSPICIONS / live()));
+        return Math.min(MAX_SILENCES, lossEstimate.maxSilences(FALSE_SUSPICIONS / liveCount()));
     }
 
     private void sendNacks(long now) {
-        for (Map.Entry<Integer, Relay> entry : relays.entrySet()) {
-            Relay relay = entry.getValue();
+        for (Map.Entry<Integer, RelayedPing> entry : relays.entrySet()) {
+            RelayedPing relay = entry.getValue();
             if (!relay.nacked() && now >= relay.nackAt()) {
                 entry.setValue(
-                        new Relay(
-                                relay.asker(),
-                                relay.question(),
+                        new RelayedPing(
+                                relay.requester(),
+                                relay.sequence(),
                                 relay.target(),
                                 relay.nackAt(),
                                 true));
-                send(relay.asker(), Kind.NACK, relay.question(), relay.target());
+                send(relay.requester(), Kind.NACK, relay.sequence(), relay.target());
             }
         }
     }
 
-    private void askHelpers() {
-        question.asked = true;
+    private void requestIndirectPings() {
+        round.sentAt = true;
         // Once more itself. This avoids suspecting whoever met two losses, where many are lost.
-        send(question.target, Kind.PING, question.number, question.target);
+        send(round.target, Kind.PING, round.sequence, round.target);
         List<Integer> others = new ArrayList<>();
         for (int number : order) {
-            if (number != question.target && members[number].standing() == Standing.ALIVE) {
+            if (number != round.target && members[number].standing() == Standing.ALIVE) {
                 others.add(number);
             }
         }
         for (int i = 0; i < settings.helpers() && !others.isEmpty(); i++) {
             int helper = others.remove(random.nextInt(others.size()));
-            question.helpers.add(helper);
-            send(helper, Kind.PING_FOR, question.number, question.target);
+            round.helpers.add(helper);
+            send(helper, Kind.PING_FOR, round.sequence, round.target);
         }
     }
 
     private void endPeriod(long now) {
-        if (question == null) {
+        if (round == null) {
             return;
         }
-        if (question.answered) {
+        if (round.answered) {
             health = Math.max(0, health - 1);
-        } else if (members[question.target].live()) {
-            if (!heardAny) {
+        } else if (members[round.target].isLive()) {
+            if (!heardAnyone) {
                 health = Math.min(settings.worstHealth(), health + 1);
             }
-            if (silences() <= OWN_ASKS) {
-                learn(now, members[question.target].as(Standing.SUSPECT), self);
+            if (silences() <= DIRECT_PINGS) {
+                onUpdate(now, members[round.target].withStanding(Standing.SUSPECT), self);
             } else {
-                nextAppeal = Math.max(nextAppeal, now);
-                doubts.add(question.target, OWN_ASKS);
+                nextDeadPing = Math.max(nextDeadPing, now);
+                indirectProbes.add(round.target, DIRECT_PINGS);
             }
         }
-        question = null;
+        round = null;
     }
 
-    private void beginPeriod(long now) {
+    private void startPeriod(long now) {
         nextPeriod = now + settings.period() * (health + 1);
-        answers = 0;
+        openRounds = 0;
         // Those asked in the last period but one are not answered any more.
         relays.values()
                 .removeIf(relay -> relay.nacked() && now >= relay.nackAt() + settings.period());
-        int target = next();
+        int target = nextTarget();
         if (target >= 0) {
-            heardAny = false;
-            question =
-                    new Question(target, ++questions, now + settings.ackPatience() * (health + 1));
-            send(target, Kind.PING, question.number, target);
+            heardAnyone = false;
+            round =
+                    new ProbeRound(
+                            target, ++nextSequence, now + settings.ackPatience() * (health + 1));
+            send(target, Kind.PING, round.sequence, target);
         }
         if (++periods % settings.revivePeriods() == 0 && exchange.dead() > 0) {
             // This avoids two halves that were cut from one another staying apart: it
             // contradicts.
             int number = exchange.any(random);
-            send(number, Kind.PING, ++questions, number);
+            send(number, Kind.PING, ++nextSequence, number);
         }
     }
 
     /**
      * The next to be asked: each once in a random order, then in another; -1 where none is live.
      */
-    private int next() {
+    private int nextTarget() {
         for (int tried = 0; tried < order.length; tried++) {
             if (nextInOrder == order.length) {
                 nextInOrder = 0;
                 shuffle();
             }
             int number = order[nextInOrder++];
-            if (members[number].live()) {
+            if (members[number].isLive()) {
                 return number;
             }
         }
@@ -393,7 +396,7 @@
      *
      * @param from the instance whose address it came from
      */
-    public void received(long now, int from, byte[] message) {
+    public void onDatagram(long now, int from, byte[] message) {
         SwimMessage packet = left ? null : SwimMessage.decode(message, members.length);
         if (packet == null) {
             malformed += left ? 0 : 1;
@@ -403,15 +406,15 @@
             notItsSender++;
             return;
         }
-        heardAny = true;
-        if (doubts.remove(from)) {
-            loss.answered(false);
+        heardAnyone = true;
+        if (indirectProbes.remove(from)) {
+            lossEstimate.onAnswer(false);
         }
-        learn(now, new Member(from, packet.incarnation(), Standing.ALIVE), from, true);
-        for (News piece : packet.news()) {
-            learn(now, piece.member(), piece.accuser());
+        onUpdate(now, new Member(from, packet.incarnation(), Standing.ALIVE), from, true);
+        for (MemberUpdate piece : packet.updates()) {
+            onUpdate(now, piece.member(), piece.accuser());
         }
-        exchange.heard(packet.digest());
+        exchange.onWindow(packet.digest());
         switch (packet.kind()) {
             case PING -> answer(packet);
             case PING_FOR -> relay(now, packet);
@@ -421,12 +424,12 @@
     }
 
     private void answer(SwimMessage packet) {
-        if (answers >= MAX_ANSWERS) {
+        if (openRounds >= MAX_ANSWERS) {
             unanswered++;
             return;
         }
-        answers++;
-        send(packet.from(), Kind.ACK, packet.question(), self, packet.window());
+        openRounds++;
+        send(packet.from(), Kind.ACK, packet.sequence(), self, packet.window());
     }
 
     private void relay(long now, SwimMessage packet) {
@@ -436,12 +439,12 @@
             relaysRefused++;
             return;
         }
-        int own = ++questions;
+        int own = ++nextSequence;
         relays.put(
                 own,
-                new Relay(
+                new RelayedPing(
                         packet.from(),
-                        packet.question(),
+                        packet.sequence(),
                         packet.subject(),
                         now + (long) (settings.ackPatience() * NACK_SHARE),
                         false));
@@ -449,20 +452,20 @@
     }
 
     private void answered(SwimMessage packet) {
-        if (question != null
-                && question.number == packet.question()
-                && packet.subject() == question.target
-                && (packet.from() == question.target || question.helpers.contains(packet.from()))) {
-            if (!question.answered) {
-                question.answered = true;
-                loss.answered(!question.asked);
+        if (round != null
+                && round.sequence == packet.sequence()
+                && packet.subject() == round.target
+                && (packet.from() == round.target || round.helpers.contains(packet.from()))) {
+            if (!round.answered) {
+                round.answered = true;
+                lossEstimate.onAnswer(!round.sentAt);
             }
             return;
         }
-        Relay relay = relays.get(packet.question());
+        RelayedPing relay = relays.get(packet.sequence());
         if (relay != null && relay.target() == packet.from()) {
-            relays.remove(packet.question());
-            send(relay.asker(), Kind.ACK, relay.question(), relay.target());
+            relays.remove(packet.sequence());
+            send(relay.requester(), Kind.ACK, relay.sequence(), relay.target());
         }
     }
 
@@ -479,14 +482,14 @@
         GossipMessage letter = new GossipMessage(incarnation, SwimMessage.room(shown));
         if (members[to].standing() != Standing.ALIVE) {
             // Lifeguard's buddy rule: who is suspected hears of it first, and can contradict.
-            letter.add(new News(members[to], self));
+            letter.add(new MemberUpdate(members[to], self));
         }
         if (asked != null) {
             exchange.answer(self, asked, members, random.nextInt(members.length), letter);
         }
-        double times = settings.spread() * Math.ceil(Math.log(live() + 1.0) / Math.log(2));
+        double times = settings.spread() * Math.ceil(Math.log(liveCount() + 1.0) / Math.log(2));
         gossip.fill(letter, (int) Math.max(1, times));
-        outlet.send(
+        actions.send(
                 to,
                 new SwimMessage(
                                 kind,
@@ -496,29 +499,29 @@
                                 subject,
                                 exchange.digest(),
                                 shown,
-                                letter.news())
+                                letter.updates())
                         .encode());
     }
 
     // ---- news ----
 
-    private void learn(long now, Member news, int accuser) {
-        learn(now, news, accuser, false);
+    private void onUpdate(long now, Member news, int accuser) {
+        onUpdate(now, news, accuser, false);
     }
 
     /**
      * @param byItself whether the instance itself has just been heard
      */
-    private void learn(long now, Member news, int accuser, boolean byItself) {
+    private void onUpdate(long now, Member news, int accuser, boolean byItself) {
         int number = news.number();
         if (number == self) {
-            contradict(news);
+            refute(news);
             return;
         }
         Member known = members[number];
         if (news.standing() == Standing.SUSPECT && news.equals(known)) {
             if (suspicions.confirmed(number, accuser, now)) {
-                tell(news, accuser);
+                sendPing(news, accuser);
             }
             return;
         }
@@ -537,12 +540,12 @@
             suspect(now, news, accuser);
         } else {
             suspicions.remove(number);
-            hold(news);
+            setMember(news);
         }
         // This avoids a start that nobody missed filling all messages: whom it concerns hears it
         // itself.
         if (!byItself || known.standing() != Standing.ALIVE) {
-            tell(news, accuser);
+            sendPing(news, accuser);
         }
     }
 
@@ -550,10 +553,10 @@
         // One that does badly itself takes longer to bury others, as over everything.
         double min =
                 settings.minSuspicion()
-                        * Math.max(1, Math.log10(live()))
+                        * Math.max(1, Math.log10(liveCount()))
                         * settings.period()
                         * (health + 1);
-        nextAppeal = Math.max(nextAppeal, now);
+        nextDeadPing = Math.max(nextDeadPing, now);
         suspicions.put(
                 news.number(),
                 new Suspicion(
@@ -562,17 +565,17 @@
                         min,
                         min * settings.maxSuspicion(),
                         settings.confirmations()));
-        hold(news);
+        setMember(news);
     }
 
-    private void hold(Member news) {
+    private void setMember(Member news) {
         Member known = members[news.number()];
         members[news.number()] = news;
-        exchange.set(news.number(), !news.live());
-        if (!news.live()) {
-            doubts.remove(news.number());
+        exchange.set(news.number(), !news.isLive());
+        if (!news.isLive()) {
+            indirectProbes.remove(news.number());
         }
-        outlet.changed(known, news);
+        actions.changed(known, news);
     }
 
     /**
@@ -582,14 +585,14 @@
      */
     private void claimed(long now, Member known, int accuser) {
         if (known.standing() == Standing.ALIVE) {
-            suspect(now, known.as(Standing.SUSPECT), accuser);
+            suspect(now, known.withStanding(Standing.SUSPECT), accuser);
         }
         suspicions.shorten(known.number(), now);
         exchange.claimed(known.number());
     }
 
     /** News of this very instance: what is wrong is contradicted by a greater incarnation. */
-    private void contradict(Member news) {
+    private void refute(Member news) {
         Member own = members[self];
         boolean wrong =
                 news.incarnation() > own.incarnation()
@@ -601,12 +604,12 @@
             if (news.standing() != Standing.ALIVE) {
                 health = Math.min(settings.worstHealth(), health + 1);
             }
-            tell(members[self], self);
+            sendPing(members[self], self);
         }
     }
 
-    private void tell(Member news, int accuser) {
-        gossip.add(new News(news, accuser));
+    private void sendPing(Member news, int accuser) {
+        gossip.add(new MemberUpdate(news, accuser));
     }
 
     // ---- the end ----
@@ -619,12 +622,12 @@
         if (left) {
             return;
         }
-        tell(members[self].as(Standing.DEAD), self);
+        sendPing(members[self].withStanding(Standing.DEAD), self);
         int told = 0;
         int max = Math.max(1, settings.helpers());
         for (int i = 0; i < order.length && told < max; i++) {
             if (members[order[i]].standing() == Standing.ALIVE) {
-                send(order[i], Kind.PING, ++questions, order[i]);
+                send(order[i], Kind.PING, ++nextSequence, order[i]);
                 told++;
             }
         }
--- a/core/src/main/java/cedarrudder/membership/SwimMessage.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMessage.java
@@ -12,37 +12,37 @@
  * One message between instances, of at most {@value #MAX_BYTES} bytes: the platform's datagrams
  * hold 256, of which the rest is kept for what proves the sender.
  *
- * <p>Room (1 byte, {@value #ROOM}: membership); version in the high four bits, then whether a
- * window follows and the kind (1); question, sender, its incarnation and subject as {@link Varint};
- * digest of the dead (4, big-endian); the window, where there is one: its first instance, how many
- * bytes, and those. Then the news up to the end, for each: instance times four plus standing, or 3
- * where it said itself that it leaves; how far its incarnation is from the sender's, folded; of a
- * suspicion, who says so. The last four bytes are the CRC32C of all before them, big-endian. Guards
- * against a turned bit setting the number of a life to one that nobody ever had, which all others
- * then believe.
+ * <p>Room (1 byte, {@value #UPDATE_BYTES}: membership); version in the high four bits, then whether
+ * a window follows and the kind (1); question, sender, its incarnation and subject as {@link
+ * Varint}; digest of the dead (4, big-endian); the window, where there is one: its first instance,
+ * how many bytes, and those. Then the news up to the end, for each: instance times four plus
+ * standing, or 3 where it said itself that it leaves; how far its incarnation is from the sender's,
+ * folded; of a suspicion, who says so. The last four bytes are the CRC32C of all before them,
+ * big-endian. Guards against a turned bit setting the number of a life to one that nobody ever had,
+ * which all others then believe.
  *
- * @param question the answer carries the number of the question
+ * @param sequence the answer carries the number of the question
  * @param from the sender
  * @param incarnation the sender's own
  * @param subject whom it is about: the one to be asked, or that was
  * @param digest of all whom the sender holds as dead
  * @param window some of these, by which the answer can tell what the sender lacks; null where it
  *     does not ask
- * @param news what the sender passes on
+ * @param updates what the sender passes on
  */
 record SwimMessage(
         Kind kind,
-        int question,
+        int sequence,
         int from,
         long incarnation,
         int subject,
         int digest,
         Window window,
-        List<News> news) {
+        List<MemberUpdate> updates) {
 
     static final int MAX_BYTES = 224;
 
-    private static final byte ROOM = 1;
+    private static final byte UPDATE_BYTES = 1;
     private static final int VERSION = 2;
     private static final int HAS_WINDOW = 4;
     private static final int KINDS = 4;
@@ -76,7 +76,7 @@
      * the dead the instance itself where it left or else the sender, of the live the instance
      * itself.
      */
-    record News(Member member, int accuser) {
+    record MemberUpdate(Member member, int accuser) {
 
         private int code() {
             boolean left = member.standing() == Standing.DEAD && accuser == member.number();
@@ -107,9 +107,9 @@
 
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
-        out.put(ROOM)
+        out.put(UPDATE_BYTES)
                 .put((byte) (VERSION << 4 | (window == null ? 0 : HAS_WINDOW) | kind.ordinal()));
-        Varint.put(out, question & 0xffffffffL);
+        Varint.put(out, sequence & 0xffffffffL);
         Varint.put(out, from);
         Varint.put(out, incarnation);
         Varint.put(out, subject);
@@ -119,10 +119,10 @@
             Varint.put(out, window.bits().length);
             out.put(window.bits());
         }
-        for (News piece : news) {
+        for (MemberUpdate piece : updates) {
             Member member = piece.member();
             Varint.put(out, (long) member.number() << 2 | piece.code());
-            Varint.put(out, Varint.folded(member.incarnation() - incarnation));
+            Varint.put(out, Varint.zigZagEncode(member.incarnation() - incarnation));
             if (member.standing() == Standing.SUSPECT) {
                 Varint.put(out, piece.accuser());
             }
@@ -139,10 +139,10 @@
     }
 
     /** How many bytes a piece takes in a message of a sender with this incarnation. */
-    static int size(News piece, long incarnation) {
+    static int size(MemberUpdate piece, long incarnation) {
         Member member = piece.member();
         return Varint.size((long) member.number() << 2)
-                + Varint.size(Varint.folded(member.incarnation() - incarnation))
+                + Varint.size(Varint.zigZagEncode(member.incarnation() - incarnation))
                 + (member.standing() == Standing.SUSPECT ? Varint.size(piece.accuser()) : 0);
     }
 
@@ -156,7 +156,7 @@
         int end = bytes.length - CHECK;
         if (end < 2
                 || bytes.length > MAX_BYTES
-                || bytes[0] != ROOM
+                || bytes[0] != UPDATE_BYTES
                 || bytes[1] >> 4 != VERSION
                 || (bytes[1] & 15 & ~HAS_WINDOW) >= KINDS
                 || ByteBuffer.wrap(bytes).getInt(end) != checksum(bytes, end)) {
@@ -177,7 +177,7 @@
         if (question >>> 32 != 0
                 || !below(from, instances)
                 || !below(subject, instances)
-                || !plausible(incarnation)) {
+                || !isPlausible(incarnation)) {
             return null;
         }
         int digest = in.getInt();
@@ -195,12 +195,13 @@
             window = new Window((int) first, new byte[(int) length]);
             in.get(window.bits());
         }
-        List<News> news = new ArrayList<>();
+        List<MemberUpdate> news = new ArrayList<>();
         while (in.hasRemaining()) {
             long what = Varint.get(in);
             long life =
                     incarnation
-                            + Varint.unfolded(Varint.get(in)); // past the largest it is negative
+                            + Varint.zigZagDecode(
+                                    Varint.get(in)); // past the largest it is negative
             int code = (int) (what & 3);
             Standing standing = code == LEFT ? Standing.DEAD : STANDINGS[code];
             long accuser =
@@ -209,11 +210,13 @@
                             : code == Standing.DEAD.ordinal() ? from : what >>> 2;
             if (!below(what >>> 2, instances)
                     || !below(accuser, instances)
-                    || !plausible(life)
+                    || !isPlausible(life)
                     || code != LEFT && standing == Standing.DEAD && what >>> 2 == from) {
                 return null; // the last: of itself one says that it left
             }
-            news.add(new News(new Member((int) (what >>> 2), life, standing), (int) accuser));
+            news.add(
+                    new MemberUpdate(
+                            new Member((int) (what >>> 2), life, standing), (int) accuser));
         }
         return new SwimMessage(
                 Kind.values()[head & 3],
@@ -230,7 +233,7 @@
         return number >= 0 && number < bound;
     }
 
-    private static boolean plausible(long incarnation) {
+    private static boolean isPlausible(long incarnation) {
         return incarnation >= 0 && incarnation <= Member.MAX_INCARNATION;
     }
 }
--- a/core/src/main/java/cedarrudder/membership/Varint.java
+++ b/core/src/main/java/cedarrudder/membership/Varint.java
@@ -9,7 +9,7 @@
  */
 public final class Varint {
 
-    private static final int LONGEST = 10;
+    private static final int MAX_BYTES = 10;
 
     private Varint() {}
 
@@ -36,9 +36,9 @@
      */
     public static long get(ByteBuffer in) {
         long value = 0;
-        for (int i = 0; i < LONGEST; i++) {
+        for (int i = 0; i < MAX_BYTES; i++) {
             byte next = in.get();
-            if (i > 0 && next == 0 || i == LONGEST - 1 && next != 1) {
+            if (i > 0 && next == 0 || i == MAX_BYTES - 1 && next != 1) {
                 throw new BufferUnderflowException();
             }
             value |= (long) (next & 0x7f) << 7 * i;
@@ -50,12 +50,12 @@
     }
 
     /** A number that may be negative, as one that is not: small where it is near to zero. */
-    public static long folded(long value) {
+    public static long zigZagEncode(long value) {
         return value << 1 ^ value >> 63;
     }
 
     /** What was folded. */
-    public static long unfolded(long value) {
+    public static long zigZagDecode(long value) {
         return value >>> 1 ^ -(value & 1);
     }
 }
--- a/core/src/main/java/cedarrudder/routetable/RouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTable.java
@@ -13,8 +13,8 @@
  * @param group the group of replicas that agreed on it; at least 0
  * @param term the term in which they did; at least 0
  * @param lease how long a replica that hears nothing more may use it, in nanoseconds; over 0
- * @param shares which part of a zone's calls which zone serves, ordered by both zones
- * @param leaving the nodes being removed, ordered by node
+ * @param routes which part of a zone's calls which zone serves, ordered by both zones
+ * @param draining the nodes being removed, ordered by node
  * @param limits what classes may get, ordered by class; a class without one is not limited
  */
 public record RouteTable(
@@ -22,9 +22,9 @@
         long group,
         long term,
         long lease,
-        List<Share> shares,
-        List<Leaving> leaving,
-        List<Limit> limits) {
+        List<ZoneRoute> routes,
+        List<DrainingNode> draining,
+        List<ClassLimit> limits) {
 
     /** A zone's whole: shares are whole parts of it. */
     public static final int WHOLE = 10_000;
@@ -57,35 +57,35 @@
      * @param from the zone of the clients
      * @param to the zone that serves them
      * @param parts of {@link #WHOLE}, this many; from 1
-     * @param perSecond it gets no more calls a second from there; 0: no bound
+     * @param maxPerSecond it gets no more calls a second from there; 0: no bound
      */
-    public record Share(int from, int to, Way way, int parts, int perSecond) {
-        public Share {
+    public record ZoneRoute(int from, int to, Way way, int parts, int maxPerSecond) {
+        public ZoneRoute {
             check(from >= 0 && from < MAX_ZONES, "share.from", from, "0 to " + (MAX_ZONES - 1));
             check(to >= 0 && to < MAX_ZONES, "share.to", to, "0 to " + (MAX_ZONES - 1));
             check(way != null, "share.way", null, "near, spilled, moved");
             check(parts >= 1 && parts <= WHOLE, "share.parts", parts, "1 to " + WHOLE);
-            check(perSecond >= 0, "share.perSecond", perSecond, "0 or more");
+            check(maxPerSecond >= 0, "share.perSecond", maxPerSecond, "0 or more");
         }
     }
 
     /** A node that is being removed, and the wave in which it is. */
-    public record Leaving(long node, int wave) {
-        public Leaving {
+    public record DrainingNode(long node, int wave) {
+        public DrainingNode {
             check(node >= 0 && node < MAX_NODE, "leaving.node", node, "0 to 2^52 - 1");
             check(wave >= 0 && wave < MAX_WAVES, "leaving.wave", wave, "0 to " + (MAX_WAVES - 1));
         }
     }
 
     /** What a class may get a second while the table holds. */
-    public record Limit(int classIndex, int perSecond) {
-        public Limit {
+    public record ClassLimit(int classIndex, int maxPerSecond) {
+        public ClassLimit {
             check(
                     classIndex >= 0 && classIndex < MAX_CLASSES,
                     "limit.class",
                     classIndex,
                     "0 to " + (MAX_CLASSES - 1));
-            check(perSecond >= 0, "limit.perSecond", perSecond, "0 or more");
+            check(maxPerSecond >= 0, "limit.perSecond", maxPerSecond, "0 or more");
         }
     }
 
@@ -98,22 +98,24 @@
         check(term >= 0, "term", term, "0 or more");
         check(lease > 0, "lease", lease, "over 0");
         check(
-                leaving.size() <= MAX_LEAVING,
+                draining.size() <= MAX_LEAVING,
                 "leaving",
-                leaving.size() + " nodes",
+                draining.size() + " nodes",
                 "up to " + MAX_LEAVING);
-        shares =
-                shares.stream()
-                        .sorted(Comparator.comparingInt(Share::from).thenComparing(Share::to))
+        routes =
+                routes.stream()
+                        .sorted(
+                                Comparator.comparingInt(ZoneRoute::from)
+                                        .thenComparing(ZoneRoute::to))
                         .toList();
-        leaving = leaving.stream().sorted(Comparator.comparingLong(Leaving::node)).toList();
-        limits = limits.stream().sorted(Comparator.comparingInt(Limit::classIndex)).toList();
+        draining = draining.stream().sorted(Comparator.comparingLong(DrainingNode::node)).toList();
+        limits = limits.stream().sorted(Comparator.comparingInt(ClassLimit::classIndex)).toList();
         long parts = 0;
-        for (int i = 0; i < shares.size(); i++) {
-            Share share = shares.get(i);
-            boolean same = i > 0 && shares.get(i - 1).from() == share.from();
+        for (int i = 0; i < routes.size(); i++) {
+            ZoneRoute share = routes.get(i);
+            boolean same = i > 0 && routes.get(i - 1).from() == share.from();
             check(
-                    !same || shares.get(i - 1).to() != share.to(),
+                    !same || routes.get(i - 1).to() != share.to(),
                     "share",
                     "zone " + share.from() + " to zone " + share.to() + " twice",
                     "once");
@@ -124,11 +126,11 @@
                     parts + " of zone " + share.from(),
                     "up to " + WHOLE);
         }
-        for (int i = 1; i < leaving.size(); i++) {
+        for (int i = 1; i < draining.size(); i++) {
             check(
-                    leaving.get(i - 1).node() != leaving.get(i).node(),
+                    draining.get(i - 1).node() != draining.get(i).node(),
                     "leaving",
-                    "node " + leaving.get(i).node() + " twice",
+                    "node " + draining.get(i).node() + " twice",
                     "once");
         }
         for (int i = 1; i < limits.size(); i++) {
--- a/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
@@ -1,9 +1,9 @@
 package cedarrudder.routetable;
 
-import cedarrudder.routetable.RouteTable.Leaving;
-import cedarrudder.routetable.RouteTable.Limit;
-import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.ClassLimit;
+import cedarrudder.routetable.RouteTable.DrainingNode;
 import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -35,25 +35,25 @@
         put(out, table.group());
         put(out, table.term());
         put(out, table.lease());
-        put(out, table.shares().size());
-        for (Share share : table.shares()) {
+        put(out, table.routes().size());
+        for (ZoneRoute share : table.routes()) {
             put(out, share.from());
             put(out, share.to());
             put(out, share.way().ordinal());
             put(out, share.parts());
-            put(out, share.perSecond());
+            put(out, share.maxPerSecond());
         }
-        put(out, table.leaving().size());
+        put(out, table.draining().size());
         long before = 0;
-        for (Leaving leaving : table.leaving()) {
+        for (DrainingNode leaving : table.draining()) {
             put(out, leaving.node() - before);
             put(out, leaving.wave());
             before = leaving.node();
         }
         put(out, table.limits().size());
-        for (Limit limit : table.limits()) {
+        for (ClassLimit limit : table.limits()) {
             put(out, limit.classIndex());
-            put(out, limit.perSecond());
+            put(out, limit.maxPerSecond());
         }
         byte[] body = out.toByteArray();
         return ByteBuffer.allocate(body.length + SUM)
@@ -115,26 +115,27 @@
             long group = whole("group", 0, Long.MAX_VALUE);
             long term = whole("term", 0, Long.MAX_VALUE);
             long lease = whole("lease", 1, Long.MAX_VALUE);
-            List<Share> shares = new ArrayList<>();
+            List<ZoneRoute> shares = new ArrayList<>();
             for (int left = count("shares", MAX_SHARES); left > 0; left--) {
                 shares.add(
-                        new Share(
+                        new ZoneRoute(
                                 small("share.from", RouteTable.MAX_ZONES - 1),
                                 small("share.to", RouteTable.MAX_ZONES - 1),
                                 Way.values()[small("share.way", Way.values().length - 1)],
                                 small("share.parts", RouteTable.WHOLE),
                                 small("share.perSecond", Integer.MAX_VALUE)));
             }
-            List<Leaving> leaving = new ArrayList<>();
+            List<DrainingNode> leaving = new ArrayList<>();
             long node = 0;
             for (int left = count("leaving", RouteTable.MAX_LEAVING); left > 0; left--) {
                 node += whole("leaving.node", 0, RouteTable.MAX_NODE - 1 - node);
-                leaving.add(new Leaving(node, small("leaving.wave", RouteTable.MAX_WAVES - 1)));
+                leaving.add(
+                        new DrainingNode(node, small("leaving.wave", RouteTable.MAX_WAVES - 1)));
             }
-            List<Limit> limits = new ArrayList<>();
+            List<ClassLimit> limits = new ArrayList<>();
             for (int left = count("limits", RouteTable.MAX_CLASSES); left > 0; left--) {
                 limits.add(
-                        new Limit(
+                        new ClassLimit(
                                 small("limit.class", RouteTable.MAX_CLASSES - 1),
                                 small("limit.perSecond", Integer.MAX_VALUE)));
             }
@@ -142,7 +143,7 @@
                 throw wrong("end", end - at + " bytes more", "none");
             }
             RouteTable table = new RouteTable(number, group, term, lease, shares, leaving, limits);
-            if (!table.shares().equals(shares) || !table.limits().equals(limits)) {
+            if (!table.routes().equals(shares) || !table.limits().equals(limits)) {
                 throw wrong("order", "another", "by zones, by class");
             }
             return table;
--- a/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
+++ b/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
@@ -60,21 +60,21 @@
                 EndpointListKind.FULL,
                 List.of(named("a", EndpointStatus.READY, 0), named("b", EndpointStatus.READY, 0)));
         Set<Long> a = Set.of((long) "a".hashCode());
-        assertEquals(rotation.leaving(a, 100), Set.of("a"));
+        assertEquals(rotation.setDraining(a, 100), Set.of("a"));
         assertEquals(rotation.shown("a").status(), EndpointStatus.DRAINING);
         assertEquals(rotation.shown("b").status(), EndpointStatus.READY);
         rotation.disable("a");
         rotation.enable("a", 150);
         assertEquals(rotation.shown("a").status(), EndpointStatus.DRAINING);
         rotation.disable("a");
-        assertEquals(rotation.leaving(Set.of(), 200), Set.of("a"));
+        assertEquals(rotation.setDraining(Set.of(), 200), Set.of("a"));
         assertEquals(rotation.shown("a").status(), EndpointStatus.DRAINING);
         rotation.enable("a", 300);
         assertEquals(rotation.shown("a").status(), EndpointStatus.READY);
         assertEquals(rotation.shown("a").startedAt(), 300);
-        assertEquals(rotation.leaving(a, 400), Set.of("a"));
-        assertEquals(rotation.leaving(a, 500), Set.of());
-        rotation.leaving(Set.of(), 600);
+        assertEquals(rotation.setDraining(a, 400), Set.of("a"));
+        assertEquals(rotation.setDraining(a, 500), Set.of());
+        rotation.setDraining(Set.of(), 600);
         assertEquals(rotation.shown("a").startedAt(), 600, "it counts as started when it is back");
         assertEquals(rotation.disabled(), Set.of());
     }
--- a/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
+++ b/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
@@ -17,14 +17,14 @@
     private static String complaint(String assignment) {
         return expectThrows(
                         IllegalArgumentException.class,
-                        () -> BalancerParametersParser.read(List.of(assignment)))
+                        () -> BalancerParametersParser.parse(List.of(assignment)))
                 .getMessage();
     }
 
     @Test
     public void aFigureIsSetByItsWrittenName() {
         BalancerParameters tuning =
-                BalancerParametersParser.read(
+                BalancerParametersParser.parse(
                         List.of("max-age-ms=9", "rif-quantile=0.9", "max-age-ms=1500"));
         assertEquals(tuning.get(Parameter.PROBE_MAX_AGE_MS), 1500.0);
         assertEquals(tuning.nanos(Parameter.PROBE_MAX_AGE_MS), 1500 * Site.MS);
@@ -32,7 +32,7 @@
                 BalancerParametersParser.differences(tuning), "max-age-ms=1500 rif-quantile=0.9");
         assertEquals(
                 BalancerParametersParser.differences(
-                        BalancerParametersParser.read(List.of("rif-quantile=0.25"))),
+                        BalancerParametersParser.parse(List.of("rif-quantile=0.25"))),
                 "");
         assertEquals(BalancerParametersParser.differences(BalancerParameters.DEFAULTS), "");
     }
@@ -55,7 +55,7 @@
     public void everyFigureTakesTheEndsOfItsRange() {
         Site site = new Site();
         for (Parameter figure : Parameter.values()) {
-            for (double value : new double[] {figure.min, figure.max}) {
+            for (double value : new double[] {figure.min(), figure.max()}) {
                 Recorder did = new Recorder();
                 PrequalBalancer decide =
                         new PrequalBalancer(
--- a/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
+++ b/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
@@ -17,16 +17,16 @@
     public void aWindowOfSingleBytesIsKeptInFewPieces() {
         BufferAccount account = new BufferAccount(BufferAccount.MAX);
         BodyFlow flow = new BodyFlow(account);
-        while (!flow.full()) {
+        while (!flow.isFull()) {
             flow.put(new byte[1]);
         }
-        assertEquals(account.held(), BodyFlow.WINDOW);
+        assertEquals(account.bufferedBytes(), BodyFlow.WINDOW);
         int pieces = 0;
         while (flow.take() != null) {
             pieces++;
         }
         assertEquals(pieces, 8);
-        assertEquals(account.held(), 0);
+        assertEquals(account.bufferedBytes(), 0);
     }
 
     /** Detects bytes lost, doubled or out of order as small pieces are joined. */
@@ -56,7 +56,7 @@
         for (byte[] piece = flow.take(); piece != null; piece = flow.take()) {
             taken.writeBytes(piece);
         }
-        assertTrue(flow.atEnd());
+        assertTrue(flow.isAtEnd());
         assertEquals(taken.toByteArray(), put.toByteArray(), "seed " + seed);
     }
 }
--- a/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
@@ -62,10 +62,10 @@
     public void whatCannotBeReadCountsAsNotSaid(
             String text, int left, int tries, int grant, double worth) {
         PropagatedBudget read = BudgetFields.read(text, null);
-        assertEquals(read.left(), left * 1_000_000L);
-        assertEquals(read.tries(), tries);
+        assertEquals(read.remainingNanos(), left * 1_000_000L);
+        assertEquals(read.attempts(), tries);
         assertEquals(read.grant(), grant);
-        assertEquals(read.worth(), worth < 0 ? Double.NaN : worth);
+        assertEquals(read.priority(), worth < 0 ? Double.NaN : worth);
     }
 
     @DataProvider
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -102,7 +102,7 @@
     }
 
     private RequestBudget call(Budgets budgets, int kind, PropagatedBudget carried) {
-        return budgets.arrived(
+        return budgets.onRequest(
                 now, new Request(1, kind, 1, now + 900 * MILLI, 0, false, false, 0), carried);
     }
 
@@ -139,7 +139,7 @@
         assertEquals(further(budgets, call(budgets, BEST, said(2, 77, false, "tier-0"))), 2);
         RequestBudget second = call(budgets, BEST, said(3, 77, false, "other"));
         assertEquals(further(budgets, second), 0);
-        assertEquals(second.failed(), result(2, Why.TRIES));
+        assertEquals(second.failedFeedback(), result(2, Why.TRIES));
         assertEquals(further(budgets, call(budgets, BEST, said(2, 78, false, "tier-0"))), 2);
     }
 
@@ -160,24 +160,25 @@
         Budgets budgets = budgets(0);
         RequestBudget call = call(budgets, BEST, said(3, 0, false));
         PropagatedBudget first = attempt(budgets, call);
-        assertEquals(first.tries(), 2);
-        budgets.ended(now, call, first, Outcome.CONNECT_FAILED, 0, DownstreamFeedback.NOTHING);
-        assertEquals(call.failed().spent(), 0);
+        assertEquals(first.attempts(), 2);
+        budgets.onAttemptEnded(
+                now, call, first, Outcome.CONNECT_FAILED, 0, DownstreamFeedback.NOTHING);
+        assertEquals(call.failedFeedback().attemptsSpent(), 0);
         PropagatedBudget second = attempt(budgets, call);
-        assertEquals(second.tries(), 1);
+        assertEquals(second.attempts(), 1);
         assertTrue(second.repeat());
-        budgets.ended(now, call, second, Outcome.ERROR, 0, result(99, Why.NOT_SAID));
-        assertEquals(call.failed().spent(), 2, "no more than was handed down");
+        budgets.onAttemptEnded(now, call, second, Outcome.ERROR, 0, result(99, Why.NOT_SAID));
+        assertEquals(call.failedFeedback().attemptsSpent(), 2, "no more than was handed down");
         PropagatedBudget third = attempt(budgets, call);
-        assertEquals(third.tries(), 0);
-        budgets.ended(now, call, third, Outcome.ERROR, 0, result(0, Why.NOT_SAID));
+        assertEquals(third.attempts(), 0);
+        budgets.onAttemptEnded(now, call, third, Outcome.ERROR, 0, result(0, Why.NOT_SAID));
         assertFalse(budgets.mayAttempt(now, call));
-        assertEquals(call.failed(), result(3, Why.TRIES));
+        assertEquals(call.failedFeedback(), result(3, Why.TRIES));
     }
 
     private PropagatedBudget attempt(Budgets budgets, RequestBudget call) {
         assertTrue(budgets.mayAttempt(now, call));
-        return budgets.handDown(now, call);
+        return budgets.propagate(now, call);
     }
 
     /**
@@ -210,7 +211,7 @@
         RequestBudget call = call(budgets, BEST, carried);
         for (int i = 0; i < 4 && budgets.mayAttempt(now, call); i++) {
             spent[0] += i > 0 ? 1 : 0;
-            PropagatedBudget handed = budgets.handDown(now, call);
+            PropagatedBudget handed = budgets.propagate(now, call);
             Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length - 1)];
             DownstreamFeedback below = DownstreamFeedback.NOTHING;
             for (int calls = random.nextInt(3);
@@ -221,12 +222,12 @@
                 DownstreamFeedback result = play(tiers, tier + 1, copied, random, spent);
                 below = random.nextBoolean() ? result : DownstreamFeedback.NOTHING;
             }
-            budgets.ended(now, call, handed, outcome, MILLI, below);
+            budgets.onAttemptEnded(now, call, handed, outcome, MILLI, below);
             if (outcome == Outcome.OK) {
-                return call.served();
+                return call.servedFeedback();
             }
         }
-        return call.failed();
+        return call.failedFeedback();
     }
 
     // ---- attempts of all requests ----
@@ -258,26 +259,26 @@
         Budgets budgets = budgets(1);
         RequestBudget call = call(budgets, BEST, said(3, 0, false));
         PropagatedBudget handed = attempt(budgets, call);
-        budgets.ended(now, call, handed, Outcome.ERROR, MILLI, OVERLOAD);
+        budgets.onAttemptEnded(now, call, handed, Outcome.ERROR, MILLI, OVERLOAD);
         assertFalse(budgets.mayAttempt(now, call));
-        assertEquals(call.refused().why(), Why.OVERLOAD);
+        assertEquals(call.rejectedFeedback().why(), Why.OVERLOAD);
     }
 
     @Test
     public void whatIsTurnedAwayUnsentOrByAFullNodeIsOverload() {
         Budgets budgets = budgets(1);
-        assertEquals(call(budgets, BEST, said(3, 0, false)).refused().why(), Why.OVERLOAD);
+        assertEquals(call(budgets, BEST, said(3, 0, false)).rejectedFeedback().why(), Why.OVERLOAD);
         RequestBudget full = call(budgets, BEST, said(0, 0, false));
-        budgets.ended(
+        budgets.onAttemptEnded(
                 now,
                 full,
                 attempt(budgets, full),
                 Outcome.REJECTED,
                 MILLI,
                 DownstreamFeedback.NOTHING);
-        assertEquals(full.refused().why(), Why.OVERLOAD);
+        assertEquals(full.rejectedFeedback().why(), Why.OVERLOAD);
         assertNull(
-                call(budgets, BEST, PropagatedBudget.NOTHING).refused(),
+                call(budgets, BEST, PropagatedBudget.NOTHING).rejectedFeedback(),
                 "a caller that speaks none of this");
     }
 
@@ -288,27 +289,28 @@
         for (int tier = 0; tier < 3; tier++) {
             Budgets budgets = budgets(tier);
             long max = 900 * MILLI * (3 - tier) / 3;
-            assertEquals(budgets.safeWait(BEST), max);
+            assertEquals(budgets.defaultDeadline(BEST), max);
             waits(budgets, 450 * MILLI / (1 + tier));
             long wait = 450 * MILLI / (1 + tier);
             assertTrue(
-                    budgets.safeWait(BEST) > 0.8 * wait && budgets.safeWait(BEST) <= wait,
+                    budgets.defaultDeadline(BEST) > 0.8 * wait
+                            && budgets.defaultDeadline(BEST) <= wait,
                     "tier " + tier);
-            assertEquals(budgets.safeWait(MIN), max, "another class");
+            assertEquals(budgets.defaultDeadline(MIN), max, "another class");
             waits(budgets, MILLI);
             assertEquals(
-                    budgets.safeWait(BEST),
+                    budgets.defaultDeadline(BEST),
                     300 * MILLI * (3 - tier) / 3,
                     "nonsense is bounded below");
             waits(budgets, 3_600 * SECOND);
             waits(budgets, 3_600 * SECOND);
-            assertEquals(budgets.safeWait(BEST), max, "and above");
+            assertEquals(budgets.defaultDeadline(BEST), max, "and above");
         }
     }
 
     private void waits(Budgets budgets, long wait) {
         for (int i = 0; i < 2_000; i++) {
-            budgets.arrived(
+            budgets.onRequest(
                     now,
                     new Request(1, BEST, 0, now + wait, 0, false, false, 0),
                     PropagatedBudget.NOTHING);
@@ -321,28 +323,31 @@
         Budgets budgets = budgets(0);
         for (int i = 0; i < 100; i++) {
             RequestBudget call = call(budgets, BEST, PropagatedBudget.NOTHING.withDeadline(false));
-            budgets.left(now + 500 * MILLI, call);
+            budgets.onClientLeft(now + 500 * MILLI, call);
         }
-        assertTrue(budgets.safeWait(BEST) <= 500 * MILLI, "" + budgets.safeWait(BEST));
-        assertTrue(budgets.safeWait(BEST) >= 400 * MILLI, "" + budgets.safeWait(BEST));
+        assertTrue(
+                budgets.defaultDeadline(BEST) <= 500 * MILLI, "" + budgets.defaultDeadline(BEST));
+        assertTrue(
+                budgets.defaultDeadline(BEST) >= 400 * MILLI, "" + budgets.defaultDeadline(BEST));
     }
 
     @Test
     public void theTimeHandedDownIsLessThanWhatIsLeftByTheMeasuredWay() {
         Budgets budgets = budgets(0);
         assertEquals(
-                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).left(),
+                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).remainingNanos(),
                 899 * MILLI);
         for (int i = 0; i < 100; i++) {
-            budgets.probed(i % 20 == 0 ? 400 * MILLI : 20 * MILLI);
+            budgets.onProbeAnswered(i % 20 == 0 ? 400 * MILLI : 20 * MILLI);
         }
-        long left = attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).left();
+        long left =
+                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).remainingNanos();
         assertTrue(left <= 880 * MILLI && left > 870 * MILLI, "left " + left);
         for (int i = 0; i < 1_000; i++) {
-            budgets.probed(10 * SECOND);
+            budgets.onProbeAnswered(10 * SECOND);
         }
         assertEquals(
-                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).left(),
+                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).remainingNanos(),
                 675 * MILLI);
     }
 
@@ -351,7 +356,7 @@
         Budgets budgets = budgets(1);
         for (int i = 0; i < 60; i++) {
             RequestBudget call = call(budgets, BEST, said(0, 0, false));
-            budgets.ended(
+            budgets.onAttemptEnded(
                     now,
                     call,
                     attempt(budgets, call),
@@ -360,12 +365,13 @@
                     DownstreamFeedback.NOTHING);
         }
         Request late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
-        RequestBudget call = budgets.arrived(now, late, said(0, 0, false));
+        RequestBudget call = budgets.onRequest(now, late, said(0, 0, false));
         assertEquals(call.standing(), AdmissionHint.DEADLINE_TOO_SHORT);
-        assertEquals(call.refused().why(), Why.TIME);
+        assertEquals(call.rejectedFeedback().why(), Why.TIME);
         now += 6 * SECOND;
         late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
-        assertEquals(budgets.arrived(now, late, said(0, 0, false)).standing(), AdmissionHint.ADMIT);
+        assertEquals(
+                budgets.onRequest(now, late, said(0, 0, false)).standing(), AdmissionHint.ADMIT);
     }
 
     // ---- worth ----
@@ -394,7 +400,7 @@
                         budgets,
                         BEST,
                         new PropagatedBudget(true, true, 0, 0, 0, 0.05, false, HopPath.EMPTY));
-        assertEquals(carriedLess.worth(), 0.05, "the tier above knows it to be worth less");
+        assertEquals(carriedLess.priority(), 0.05, "the tier above knows it to be worth less");
         int steps = 0;
         while (admitted(budgets, MIN) < 100) {
             now += 250 * MILLI;
@@ -410,7 +416,7 @@
     private void overloaded(Budgets budgets, int overloads, int answers) {
         for (int i = 0; i < answers; i++) {
             RequestBudget call = call(budgets, BEST, said(0, 0, false));
-            budgets.ended(
+            budgets.onAttemptEnded(
                     now,
                     call,
                     attempt(budgets, call),
@@ -484,7 +490,7 @@
             for (int i = 0; i < 100; i++) {
                 int kind = i % 2;
                 RequestBudget call = call(budgets, kind, said(0, 0, false));
-                budgets.ended(
+                budgets.onAttemptEnded(
                         now,
                         call,
                         attempt(budgets, call),
@@ -492,8 +498,8 @@
                         kind == BEST ? 60 * MILLI : MILLI,
                         DownstreamFeedback.NOTHING);
             }
-            double best = call(budgets, BEST, said(0, 0, false)).worth();
-            double min = call(budgets, MIN, said(0, 0, false)).worth();
+            double best = call(budgets, BEST, said(0, 0, false)).priority();
+            double min = call(budgets, MIN, said(0, 0, false)).priority();
             assertTrue(byWork ? best > min : best < min, best + " and " + min);
         }
     }
@@ -503,14 +509,14 @@
         Budgets budgets = budgets(0);
         Request first = new Request(1, BEST, 0, now + SECOND, 0, false, false, 0);
         for (int i = 0; i < 20; i++) {
-            assertEquals(budgets.arrived(now, first, PropagatedBudget.NOTHING).worth(), 1.0);
+            assertEquals(budgets.onRequest(now, first, PropagatedBudget.NOTHING).priority(), 1.0);
         }
-        assertEquals(budgets.arrived(now, first, PropagatedBudget.NOTHING).worth(), 0.05);
+        assertEquals(budgets.onRequest(now, first, PropagatedBudget.NOTHING).priority(), 0.05);
         Request repeat = new Request(1, BEST, 1, now + SECOND, 0, true, false, 0);
-        assertEquals(budgets.arrived(now, repeat, PropagatedBudget.NOTHING).worth(), 0.8);
+        assertEquals(budgets.onRequest(now, repeat, PropagatedBudget.NOTHING).priority(), 0.8);
         PropagatedBudget forged =
                 new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY);
-        assertEquals(call(budgets, MIN, forged).worth(), 1.0 / 6);
+        assertEquals(call(budgets, MIN, forged).priority(), 1.0 / 6);
     }
 
     // ---- loops ----
@@ -523,7 +529,7 @@
                     call(budgets, BEST, said(3, 0, false, "tier-0", "tier-1", "x" + i % 2));
             assertEquals(call.standing(), AdmissionHint.LOOP);
             assertFalse(budgets.mayAttempt(now, call), "not even the first attempt");
-            assertEquals(call.refused().why(), Why.LOOP);
+            assertEquals(call.rejectedFeedback().why(), Why.LOOP);
             assertEquals(call.loop().toString(), "tier-0 > tier-1 > x" + i % 2 + " > tier-1");
             now += SECOND;
         }
--- a/core/src/test/java/cedarrudder/consensus/AppliedProposalsTest.java
+++ b/core/src/test/java/cedarrudder/consensus/AppliedProposalsTest.java
@@ -22,7 +22,7 @@
     public void eachTakesEffectOnceAndNoneAfterALaterOne() {
         AppliedProposals proposers = new AppliedProposals();
         assertTrue(proposers.isNew(proposal(1, 5, 9, 0)));
-        proposers.took(proposal(1, 5, 9, 0), new LogPosition(GROUP, 2));
+        proposers.onApplied(proposal(1, 5, 9, 0), new LogPosition(GROUP, 2));
         assertFalse(proposers.isNew(proposal(1, 5, 9, 7)));
         assertFalse(proposers.isNew(proposal(1, 5, 8, 7)));
         assertFalse(proposers.isNew(proposal(1, 4, 10, 7)));
@@ -36,17 +36,18 @@
     public void oneThatWasForgottenIsNotTakenAgain() {
         AppliedProposals proposers = new AppliedProposals();
         for (int replica = 0; replica <= AppliedProposals.MAX; replica++) {
-            proposers.took(proposal(replica, 1, 1, replica), new LogPosition(GROUP, replica + 1));
+            proposers.onApplied(
+                    proposal(replica, 1, 1, replica), new LogPosition(GROUP, replica + 1));
         }
         assertNull(proposers.last(0));
         assertFalse(proposers.isNew(proposal(0, 1, 1, 0)));
         assertTrue(proposers.isNew(proposal(0, 1, 2, 1)));
-        byte[] held = proposers.with(new byte[] {4});
+        byte[] held = proposers.encodeWith(new byte[] {4});
         assertTrue(held.length <= AppliedProposals.MAX_BYTES + 1);
         AppliedProposals.Parts read = AppliedProposals.decode(held);
         assertEquals(read.state(), new byte[] {4});
-        assertEquals(read.proposers().with(new byte[] {4}), held);
-        assertFalse(read.proposers().isNew(proposal(0, 1, 1, 0)));
+        assertEquals(read.appliedProposals().encodeWith(new byte[] {4}), held);
+        assertFalse(read.appliedProposals().isNew(proposal(0, 1, 1, 0)));
         for (int length = 0; length < held.length - 1; length += 97) {
             AppliedProposals.Parts part = AppliedProposals.decode(Arrays.copyOf(held, length));
             assertTrue(length == 0 || part == null || part.state().length == 0);
--- a/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
+++ b/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
@@ -28,11 +28,11 @@
     }
 
     private static List<byte[]> cut(MessageFragmenter pieces, byte[] message) {
-        return pieces.cut(GROUP, 5, SENDER, 1, message);
+        return pieces.split(GROUP, 5, SENDER, 1, message);
     }
 
     private static byte[] take(MessageFragmenter pieces, long now, byte[] piece) {
-        return pieces.take(now, MessageFragment.decode(piece, 10));
+        return pieces.accept(now, MessageFragment.decode(piece, 10));
     }
 
     @Test
@@ -85,18 +85,18 @@
         for (int i = 0; i < wire.size(); i++) {
             assertNull(i == 2 || i == 5 ? null : take(receiver, 0, wire.get(i)));
         }
-        assertEquals(receiver.lacks(receiver.due() - 1), List.of());
-        List<MessageFragmenter.Wanted> wanted = receiver.lacks(receiver.due());
+        assertEquals(receiver.missing(receiver.due() - 1), List.of());
+        List<MessageFragmenter.Missing> wanted = receiver.missing(receiver.due());
         assertEquals(wanted.get(0).of(), SENDER.replica());
-        List<byte[]> again = sender.again(1, wanted.get(0).lack());
+        List<byte[]> again = sender.resend(1, wanted.get(0).lack());
         assertEquals(again, List.of(wire.get(2), wire.get(5)));
-        assertEquals(sender.again(3, wanted.get(0).lack()), List.of());
+        assertEquals(sender.resend(3, wanted.get(0).lack()), List.of());
         assertNull(take(receiver, 100 * MILLI, again.get(0)));
         assertEquals(take(receiver, 100 * MILLI, again.get(1)), message);
         take(receiver, 200 * MILLI, cut(sender, message).get(0));
         int asked = 0;
         while (receiver.due() != Long.MAX_VALUE) {
-            asked += receiver.lacks(receiver.due()).size();
+            asked += receiver.missing(receiver.due()).size();
         }
         assertEquals(asked, 8);
     }
@@ -107,23 +107,23 @@
         private long term;
 
         @Override
-        public Kept kept() {
+        public Recovered recovered() {
             return null;
         }
 
         @Override
-        public void promise(Promise promise) {
+        public void hardState(HardState promise) {
             term = promise.term();
             unsynced = true;
         }
 
         @Override
-        public void entry(long index, LogEntry entry) {
+        public void append(long index, LogEntry entry) {
             unsynced = true;
         }
 
         @Override
-        public void cut(long from) {
+        public void truncateFrom(long from) {
             unsynced = true;
         }
 
@@ -165,7 +165,7 @@
                             }
 
                             @Override
-                            public void loaded(LogPosition number, byte[] content) {
+                            public void apply(LogPosition number, byte[] content) {
                                 assertFalse(store.unsynced, "loaded before it was synced");
                             }
 
@@ -175,25 +175,25 @@
                             }
 
                             @Override
-                            public void restored(LogPosition number, byte[] state) {}
+                            public void restore(LogPosition number, byte[] state) {}
 
                             @Override
-                            public void settled(
+                            public void onProposalSettled(
                                     Proposal proposal,
                                     ProposalOutcome outcome,
                                     LogPosition number) {}
 
                             @Override
-                            public void noted(ConsensusEvent note) {}
+                            public void record(ConsensusEvent note) {}
                         },
                         0);
-        replica.form(0);
+        replica.formGroup(0);
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
             now = Math.max(now + 1, Math.min(replica.due(), now + MILLI));
             replica.tick(now);
         }
-        assertTrue(replica.leads());
+        assertTrue(replica.isLeader());
         long began = System.nanoTime();
         for (int i = 0; i < 200_000; i++) {
             byte[] noise = new byte[random.nextInt(260)];
@@ -201,24 +201,27 @@
             if (i % 2 == 0 && noise.length > 0) {
                 noise[0] = MessageFragment.FIRST;
             }
-            replica.received(now, 1, noise);
+            replica.onDatagram(now, 1, noise);
         }
         assertEquals(replica.counts().malformed(), 200_000);
         RaftMessage[] kinds = {
-            new RaftMessage.AskVote(false, true, 4, 2),
-            new RaftMessage.SayVote(false, true, 2),
-            new RaftMessage.Append(
+            new RaftMessage.RequestVote(false, true, 4, 2),
+            new RaftMessage.VoteResponse(false, true, 2),
+            new RaftMessage.AppendEntries(
                     2, 2, 1, 7, List.of(new LogEntry(3, LogEntry.Kind.CONTENT, new byte[20]))),
-            new RaftMessage.SayAppend(true, 2, 7),
-            new RaftMessage.Lead(),
+            new RaftMessage.AppendResponse(true, 2, 7),
+            new RaftMessage.TimeoutNow(),
             new RaftMessage.Digest(3, 2, 1, 1, 4, 5, 6),
-            new RaftMessage.Ask(0, 0, 0),
-            new RaftMessage.News(1, List.of(new LogEntry(2, LogEntry.Kind.BEGIN, new byte[0]))),
-            new RaftMessage.Chunk(9, 2, new VoterSet(List.of(SENDER)), 1, 900, 0, new byte[100]),
-            new RaftMessage.Lack(3, new byte[] {7}),
-            new RaftMessage.Took(1, 2),
-            new RaftMessage.Sure(1, 2, 3),
-            new RaftMessage.Hand(new Proposal(1, 9, 1, new LogPosition(GROUP, 1), new byte[20]))
+            new RaftMessage.FetchRequest(0, 0, 0),
+            new RaftMessage.CommittedEntries(
+                    1, List.of(new LogEntry(2, LogEntry.Kind.TERM_START, new byte[0]))),
+            new RaftMessage.SnapshotChunk(
+                    9, 2, new VoterSet(List.of(SENDER)), 1, 900, 0, new byte[100]),
+            new RaftMessage.MissingFragments(3, new byte[] {7}),
+            new RaftMessage.ProposalAccepted(1, 2),
+            new RaftMessage.DigestResponse(1, 2, 3),
+            new RaftMessage.ForwardProposal(
+                    new Proposal(1, 9, 1, new LogPosition(GROUP, 1), new byte[20]))
         };
         for (int i = 0; i < 200_000; i++) {
             byte[] body = kinds[i % kinds.length].encode();
@@ -227,7 +230,7 @@
             }
             MessageFragment piece =
                     new MessageFragment(replica.group(), random.nextInt(4), 1, 9, i, 0, 1, 0, body);
-            replica.received(now, 1, piece.encode());
+            replica.onDatagram(now, 1, piece.encode());
             now += MILLI;
             replica.tick(now);
         }
@@ -253,6 +256,6 @@
         for (int i = 0; i < 1_000; i++) {
             assertNull(take(receiver, i, cut(sender, bytes(40_000, i)).get(0)));
         }
-        assertFalse(receiver.lacks(100 * MILLI).size() > 16);
+        assertFalse(receiver.missing(100 * MILLI).size() > 16);
     }
 }
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -5,18 +5,18 @@
 import static org.testng.Assert.assertNull;
 
 import cedarrudder.conventions.Golden;
-import cedarrudder.draining.DrainCommand.Call;
+import cedarrudder.draining.DrainCommand.BlockedBy;
 import cedarrudder.draining.DrainCommand.Change;
+import cedarrudder.draining.DrainCommand.DrainRequest;
+import cedarrudder.draining.DrainCommand.RemainingCalls;
 import cedarrudder.draining.DrainCommand.Step;
-import cedarrudder.draining.DrainCommand.Still;
-import cedarrudder.draining.DrainCommand.Told;
-import cedarrudder.draining.DrainCommand.Wait;
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Left;
-import cedarrudder.draining.DrainPolicy.Most;
-import cedarrudder.draining.DrainPolicy.Order;
-import cedarrudder.draining.DrainPolicy.Restarted;
-import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainCommand.WaveStatus;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.MaxUnavailable;
+import cedarrudder.draining.DrainPolicy.MinAvailable;
+import cedarrudder.draining.DrainPolicy.NodeSelector;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainPolicy.Window;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -29,12 +29,12 @@
     private static final DrainPolicy POLICY =
             new DrainPolicy(
                     "careful",
-                    new Whom("shops", "a", 3, "big", 0.5, 4, "weight > 2.0"),
-                    new Most(1, 0.25),
-                    Most.ANY,
-                    new Most(9, 1),
-                    new Left(1, 2, 3, 0.5),
-                    Order.POD_BY_POD,
+                    new NodeSelector("shops", "a", 3, "big", 0.5, 4, "weight > 2.0"),
+                    new MaxUnavailable(1, 0.25),
+                    MaxUnavailable.ANY,
+                    new MaxUnavailable(9, 1),
+                    new MinAvailable(1, 2, 3, 0.5),
+                    DrainOrder.POD_BY_POD,
                     4,
                     5,
                     6,
@@ -42,8 +42,8 @@
                     "failed < 0.01",
                     "",
                     DrainPolicy.MIN_TIME,
-                    AtEnd.KEEP_WAITING,
-                    Restarted.OUT,
+                    OnDeadline.KEEP_WAITING,
+                    OnRestart.OUT,
                     List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
 
     private static List<byte[]> good() {
@@ -52,8 +52,8 @@
                         .mapToObj(i -> DrainStateMachine.MAX_NODE - i)
                         .toList();
         return List.of(
-                new Call(true, max).encode(),
-                new DrainCommand.Part(Long.MAX_VALUE, -1, 1, 2, new byte[DrainCommand.PART])
+                new DrainRequest(true, max).encode(),
+                new DrainCommand.PolicyChunk(Long.MAX_VALUE, -1, 1, 2, new byte[DrainCommand.PART])
                         .encode(),
                 new Step(
                                 3,
@@ -66,20 +66,20 @@
                                                 1,
                                                 2,
                                                 3,
-                                                AtEnd.GIVE_BACK,
-                                                Restarted.OUT,
+                                                OnDeadline.GIVE_BACK,
+                                                OnRestart.OUT,
                                                 -1),
                                         new Change(
                                                 DrainEvent.RESTARTED_OUT,
                                                 1,
                                                 2,
                                                 0,
-                                                AtEnd.LET_GO,
-                                                Restarted.BACK,
+                                                OnDeadline.LET_GO,
+                                                OnRestart.BACK,
                                                 0)),
-                                new Told(
-                                        List.of(new Wait(-1, DrainCommand.Bound.PACE, 3)),
-                                        List.of(new Still(1, 2, -1))))
+                                new WaveStatus(
+                                        List.of(new BlockedBy(-1, DrainCommand.Bound.PACE, 3)),
+                                        List.of(new RemainingCalls(1, 2, -1))))
                         .encode());
     }
 
@@ -160,7 +160,7 @@
                         DrainSimulation.CONDITIONS,
                         new DrainCoordinator.Actions() {
                             @Override
-                            public void happened(DrainCoordinator.Happened happened) {}
+                            public void onDrainChange(DrainCoordinator.DrainChange happened) {}
                         },
                         0);
         List<byte[]> good = good();
@@ -172,8 +172,8 @@
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             }
             drains.apply(0, bytes);
-            drains.restored(0, bytes);
-            drains.reported(0, random.nextInt(5) - 1, bytes);
+            drains.onRestored(0, bytes);
+            drains.onReport(0, random.nextInt(5) - 1, bytes);
             DrainReport.decode(bytes);
             PolicyCodec.decode(bytes);
         }
@@ -186,9 +186,9 @@
     public void windowsAreTimesOfTheWeek() {
         Window night = new Window(0b0000001, 23 * 60, 60);
         long monday = 4 * 86_400_000L;
-        assertEquals(night.has(Window.minute(monday + 23 * 3_600_000L)), true);
-        assertEquals(night.has(Window.minute(monday + 24 * 3_600_000L)), true);
-        assertEquals(night.has(Window.minute(monday + 25 * 3_600_000L)), false);
-        assertEquals(night.has(Window.minute(monday)), false);
+        assertEquals(night.contains(Window.minute(monday + 23 * 3_600_000L)), true);
+        assertEquals(night.contains(Window.minute(monday + 24 * 3_600_000L)), true);
+        assertEquals(night.contains(Window.minute(monday + 25 * 3_600_000L)), false);
+        assertEquals(night.contains(Window.minute(monday)), false);
     }
 }
--- a/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Left;
-import cedarrudder.draining.DrainPolicy.Most;
-import cedarrudder.draining.DrainPolicy.Order;
-import cedarrudder.draining.DrainPolicy.Restarted;
-import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.MaxUnavailable;
+import cedarrudder.draining.DrainPolicy.MinAvailable;
+import cedarrudder.draining.DrainPolicy.NodeSelector;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainPolicy.Window;
 import cedarrudder.draining.DrainableNode.Standing;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
     private static final int REPLICAS = 2;
 
     /** A replica with what it has. */
-    private final class Copy implements DrainCoordinator.Local, DrainCoordinator.Actions {
+    private final class Copy implements DrainCoordinator.LocalState, DrainCoordinator.Actions {
         private final Map<Long, Integer> calls = new HashMap<>();
         private Set<Long> disabled = Set.of();
         private TrafficSample flow = TrafficSample.NONE;
@@ -59,7 +59,7 @@
         }
 
         @Override
-        public void happened(DrainCoordinator.Happened happened) {}
+        public void onDrainChange(DrainCoordinator.DrainChange happened) {}
     }
 
     private final Map<Long, DrainableNode> nodes = new TreeMap<>();
@@ -86,12 +86,12 @@
             int out, String pauseIf, String giveBackIf, int died, Window... closed) {
         return new DrainPolicy(
                 "p",
-                Whom.ALL,
-                Most.ANY,
-                Most.ANY,
-                new Most(out, 1),
-                Left.NOTHING,
-                Order.AS_ASKED,
+                NodeSelector.ALL,
+                MaxUnavailable.ANY,
+                MaxUnavailable.ANY,
+                new MaxUnavailable(out, 1),
+                MinAvailable.NOTHING,
+                DrainOrder.AS_ASKED,
                 6,
                 0,
                 died,
@@ -99,8 +99,8 @@
                 "",
                 giveBackIf,
                 10 * PERIOD,
-                AtEnd.KEEP_WAITING,
-                Restarted.BACK,
+                OnDeadline.KEEP_WAITING,
+                OnRestart.BACK,
                 List.of(closed));
     }
 
@@ -110,10 +110,10 @@
         for (Copy replica : speak) {
             replica.drains
                     .report(now, replica)
-                    .forEach(part -> leader.drains.reported(now, replica == leader ? 0 : 1, part));
+                    .forEach(part -> leader.drains.onReport(now, replica == leader ? 0 : 1, part));
         }
         for (Copy replica : speak) {
-            commit(replica.drains.wanted());
+            commit(replica.drains.wantedCommand());
         }
         commit(leader.drains.next(now, utc, nodes.values(), replica -> true));
     }
@@ -149,10 +149,10 @@
         turns(4);
         assertEquals(in(DrainState.OUT), 2);
         assertEquals(in(DrainState.WAITING), 1);
-        assertEquals(other.drains.leaving(), leader.drains.leaving());
+        assertEquals(other.drains.drainingNodes(), leader.drains.drainingNodes());
         assertEquals(
                 leader.drains.progress().told().waits(),
-                List.of(new DrainCommand.Wait(0, DrainCommand.Bound.TIER, 1)));
+                List.of(new DrainCommand.BlockedBy(0, DrainCommand.Bound.TIER, 1)));
     }
 
     /** Detects a wave that begins on the word of some. */
@@ -184,7 +184,7 @@
         turn(leader);
         turns(1);
         assertEquals(in(DrainState.OUT), 0);
-        other.drains.restored(now, leader.drains.state());
+        other.drains.onRestored(now, leader.drains.state());
         turns(2);
         assertEquals(in(DrainState.OUT), 1);
     }
@@ -210,9 +210,9 @@
         other.drains.policies(2, List.of(policy(1, "", "", 6)));
         turns(4);
         assertEquals(leader.drains.progress().revision(), 2);
-        assertTrue(leader.drains.overruled());
-        assertEquals(other.drains.overruled(), false);
-        assertEquals(leader.drains.leaving().size(), 3);
+        assertTrue(leader.drains.isOverruled());
+        assertEquals(other.drains.isOverruled(), false);
+        assertEquals(leader.drains.drainingNodes().size(), 3);
         leader.calls.clear();
         turns(4);
         assertEquals(in(DrainState.WAITING), 1);
@@ -250,7 +250,7 @@
         other.flow = new TrafficSample(10, 0, 5, 0);
         turns(4);
         assertEquals(in(DrainState.WAITING), 1);
-        assertEquals(leader.drains.leaving(), List.of());
+        assertEquals(leader.drains.drainingNodes(), List.of());
         other.flow = TrafficSample.NONE;
         leader.calls.clear();
         turns(6);
@@ -267,7 +267,7 @@
         assertEquals(leader.drains.progress().drains(), List.of());
         assertEquals(
                 leader.drains.progress().ended(),
-                List.of(new DrainCoordinator.Ended(0, DrainEvent.RETURNED)));
+                List.of(new DrainCoordinator.EndedDrain(0, DrainEvent.RETURNED)));
     }
 
     /** Detects a drain that goes on for good: at the end of its time the log says so. */
@@ -278,7 +278,8 @@
         turns(12);
         assertEquals(in(DrainState.OVERDUE), 1);
         assertEquals(
-                leader.drains.progress().told().still(), List.of(new DrainCommand.Still(1, 1, 1)));
+                leader.drains.progress().told().still(),
+                List.of(new DrainCommand.RemainingCalls(1, 1, 1)));
         other.calls.clear();
         turns(2);
         assertEquals(in(DrainState.OUT), 1);
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -1,12 +1,12 @@
 package cedarrudder.draining;
 
 import cedarrudder.conventions.Golden;
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Left;
-import cedarrudder.draining.DrainPolicy.Most;
-import cedarrudder.draining.DrainPolicy.Order;
-import cedarrudder.draining.DrainPolicy.Restarted;
-import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.MaxUnavailable;
+import cedarrudder.draining.DrainPolicy.MinAvailable;
+import cedarrudder.draining.DrainPolicy.NodeSelector;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainableNode.Standing;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -57,7 +57,7 @@
         }
     }
 
-    private final class Copy implements DrainCoordinator.Local, DrainCoordinator.Actions {
+    private final class Copy implements DrainCoordinator.LocalState, DrainCoordinator.Actions {
         private final int number;
         private DrainCoordinator drains;
         private boolean live = true;
@@ -97,7 +97,7 @@
 
         void shown() {
             leaving = new HashSet<>();
-            drains.leaving().forEach(each -> leaving.add(each.node()));
+            drains.drainingNodes().forEach(each -> leaving.add(each.node()));
         }
 
         void call(DrainableNode node) {
@@ -132,7 +132,7 @@
         }
 
         @Override
-        public void happened(DrainCoordinator.Happened happened) {}
+        public void onDrainChange(DrainCoordinator.DrainChange happened) {}
     }
 
     private final SplittableRandom random;
@@ -185,16 +185,16 @@
                                 0));
             }
         }
-        AtEnd atEnd = AtEnd.values()[random.nextInt(3)];
+        OnDeadline atEnd = OnDeadline.values()[random.nextInt(3)];
         DrainPolicy wide =
                 new DrainPolicy(
                         "wide",
-                        Whom.ALL,
-                        new Most(1 + random.nextInt(2), 0.5),
-                        new Most(2 + random.nextInt(3), 0.5),
-                        new Most(2 + random.nextInt(4), 0.4),
-                        Left.NOTHING,
-                        Order.values()[random.nextInt(Order.values().length)],
+                        NodeSelector.ALL,
+                        new MaxUnavailable(1 + random.nextInt(2), 0.5),
+                        new MaxUnavailable(2 + random.nextInt(3), 0.5),
+                        new MaxUnavailable(2 + random.nextInt(4), 0.4),
+                        MinAvailable.NOTHING,
+                        DrainOrder.values()[random.nextInt(DrainOrder.values().length)],
                         1 + random.nextInt(4),
                         random.nextLong(2) * SECOND,
                         100,
@@ -203,17 +203,17 @@
                         random.nextBoolean() ? "failed" : "",
                         8 * SECOND,
                         atEnd,
-                        Restarted.values()[random.nextInt(2)],
+                        OnRestart.values()[random.nextInt(2)],
                         List.of());
         DrainPolicy narrow =
                 new DrainPolicy(
                         "narrow",
-                        new Whom("", "", -1, "", 0, 9, "big"),
-                        Most.ANY,
-                        new Most(1, 1),
-                        Most.ANY,
-                        new Left(1, 0, 0, 0.5),
-                        Order.AS_ASKED,
+                        new NodeSelector("", "", -1, "", 0, 9, "big"),
+                        MaxUnavailable.ANY,
+                        new MaxUnavailable(1, 1),
+                        MaxUnavailable.ANY,
+                        new MinAvailable(1, 0, 0, 0.5),
+                        DrainOrder.AS_ASKED,
                         10,
                         0,
                         100,
@@ -222,7 +222,7 @@
                         "",
                         6 * SECOND,
                         atEnd,
-                        Restarted.BACK,
+                        OnRestart.BACK,
                         List.of());
         policies = random.nextBoolean() ? List.of(wide) : List.of(wide, narrow);
         for (int i = 0; i < replicas; i++) {
@@ -253,7 +253,7 @@
             at(now + random.nextLong(PERIOD), () -> reports(replica));
         }
         at(now, this::leads);
-        at(now, () -> propose(all.get(0).drains.wanted()));
+        at(now, () -> propose(all.get(0).drains.wantedCommand()));
         at(now, this::sends);
         for (int i = 0; i < 12; i++) {
             at(now + random.nextLong(faults), this::fault);
@@ -317,7 +317,7 @@
                             now + random.nextLong(30 * MILLI),
                             () -> {
                                 if (all.get(to).live && !all.get(to).stalled) {
-                                    all.get(to).drains.reported(now, replica.number, part);
+                                    all.get(to).drains.onReport(now, replica.number, part);
                                 }
                             });
                 }
@@ -365,7 +365,7 @@
 
     private void commit(byte[] command) {
         log.add(command);
-        for (DrainCoordinator.Happened each : truth.apply(command)) {
+        for (DrainCoordinator.DrainChange each : truth.apply(command)) {
             judge(each);
         }
         states.add(truth.encode());
@@ -375,12 +375,12 @@
         }
     }
 
-    private void judge(DrainCoordinator.Happened each) {
+    private void judge(DrainCoordinator.DrainChange each) {
         begun += each.event() == DrainEvent.BEGUN ? 1 : 0;
         returned += each.event() == DrainEvent.RETURNED ? 1 : 0;
-        if (each.after().open() && !each.before().open()) {
+        if (each.after().isOpen() && !each.before().isOpen()) {
             openSince.put(each.node(), now);
-        } else if (!each.after().open()) {
+        } else if (!each.after().isOpen()) {
             openSince.remove(each.node());
         }
         if (each.event() == DrainEvent.ALARMED) {
@@ -428,7 +428,7 @@
     private void outs() {
         Set<Long> out = new HashSet<>();
         truth.drains().stream()
-                .filter(drain -> drain.state.out())
+                .filter(drain -> drain.state.isOut())
                 .forEach(drain -> out.add(drain.node));
         all.stream()
                 .filter(replica -> replica.live)
@@ -436,9 +436,9 @@
         for (DrainPolicy policy : truth.policies()) {
             DisruptionCounts counted = new DisruptionCounts(policy);
             for (DrainableNode node : nodes.values()) {
-                if (policy.whom().fits(node)
-                        && (policy.whom().where().isEmpty()
-                                || policy.whom().where().equals(node.kind()))) {
+                if (policy.selector().matches(node)
+                        && (policy.selector().where().isEmpty()
+                                || policy.selector().where().equals(node.kind()))) {
                     counted.add(node, out.contains(node.id()));
                 }
             }
@@ -534,8 +534,8 @@
             waitsFor = -1;
             late += SECOND;
             all.get(leader).catchUp();
-            all.get(old).drains.leads(now, false);
-            all.get(leader).drains.leads(now, true);
+            all.get(old).drains.onLeadership(now, false);
+            all.get(leader).drains.onLeadership(now, true);
         }
     }
 
--- a/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
@@ -2,10 +2,10 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.draining.DrainCommand.Call;
 import cedarrudder.draining.DrainCommand.Change;
+import cedarrudder.draining.DrainCommand.DrainRequest;
 import cedarrudder.draining.DrainCommand.Step;
-import cedarrudder.draining.DrainCommand.Told;
+import cedarrudder.draining.DrainCommand.WaveStatus;
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
@@ -59,13 +59,13 @@
         DrainStateMachine.Drain drain = agreed.of(NODE);
         agreed.apply(
                 event == DrainEvent.ASKED || event == DrainEvent.CANCELLED
-                        ? new Call(event == DrainEvent.CANCELLED, List.of(NODE)).encode()
+                        ? new DrainRequest(event == DrainEvent.CANCELLED, List.of(NODE)).encode()
                         : new Step(
                                         agreed.version(),
                                         0,
                                         List.of(),
                                         List.of(Change.of(event, drain == null ? 1 : drain.slot)),
-                                        Told.NOTHING)
+                                        WaveStatus.NOTHING)
                                 .encode());
     }
 
@@ -101,9 +101,9 @@
                                 0,
                                 List.of(),
                                 List.of(Change.of(DrainEvent.BEGUN, 1)),
-                                Told.NOTHING)
+                                WaveStatus.NOTHING)
                         .encode();
-        agreed.apply(new Call(false, List.of(8L)).encode());
+        agreed.apply(new DrainRequest(false, List.of(8L)).encode());
         agreed.apply(begin);
         assertEquals(agreed.state(NODE), DrainState.WAITING);
     }
@@ -113,7 +113,7 @@
         DrainStateMachine agreed = new DrainStateMachine();
         happens(agreed, DrainEvent.ASKED);
         happens(agreed, DrainEvent.BEGUN);
-        agreed.apply(new DrainCommand.Part(4, 5, 0, 2, new byte[] {1, 2}).encode());
+        agreed.apply(new DrainCommand.PolicyChunk(4, 5, 0, 2, new byte[] {1, 2}).encode());
         byte[] bytes = agreed.encode();
         assertEquals(DrainStateMachine.decode(bytes).encode(), bytes);
     }
--- a/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
@@ -2,12 +2,12 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Left;
-import cedarrudder.draining.DrainPolicy.Most;
-import cedarrudder.draining.DrainPolicy.Order;
-import cedarrudder.draining.DrainPolicy.Restarted;
-import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.MaxUnavailable;
+import cedarrudder.draining.DrainPolicy.MinAvailable;
+import cedarrudder.draining.DrainPolicy.NodeSelector;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainPolicy.Window;
 import cedarrudder.draining.PolicyValidator.Finding;
 import cedarrudder.draining.PolicyValidator.Fleet;
@@ -21,20 +21,20 @@
 
     private static DrainPolicy policy(
             String name,
-            Whom whom,
-            Most pod,
-            Left left,
+            NodeSelector whom,
+            MaxUnavailable pod,
+            MinAvailable left,
             String pauseIf,
-            AtEnd atEnd,
+            OnDeadline atEnd,
             Window... closed) {
         return new DrainPolicy(
                 name,
                 whom,
                 pod,
-                Most.ANY,
-                Most.ANY,
+                MaxUnavailable.ANY,
+                MaxUnavailable.ANY,
                 left,
-                Order.AS_ASKED,
+                DrainOrder.AS_ASKED,
                 10,
                 0,
                 1,
@@ -43,12 +43,18 @@
                 "",
                 DrainPolicy.MIN_TIME,
                 atEnd,
-                Restarted.BACK,
+                OnRestart.BACK,
                 List.of(closed));
     }
 
     private static DrainPolicy max(int nodes, double share) {
-        return policy("p", Whom.ALL, new Most(nodes, share), Left.NOTHING, "", AtEnd.LET_GO);
+        return policy(
+                "p",
+                NodeSelector.ALL,
+                new MaxUnavailable(nodes, share),
+                MinAvailable.NOTHING,
+                "",
+                OnDeadline.LET_GO);
     }
 
     private static List<String> keys(Fleet fleet, DrainPolicy... policies) {
@@ -66,32 +72,70 @@
         assertEquals(keys(new Fleet(3, 2, 3), max(1, 0.25)), List.of("out_per_pod"));
         assertEquals(keys(new Fleet(3, 2, 4), max(1, 0.25)), List.of());
         assertEquals(
-                keys(null, policy("p", Whom.ALL, Most.ANY, new Left(0, 0, 0, 1), "", AtEnd.LET_GO)),
+                keys(
+                        null,
+                        policy(
+                                "p",
+                                NodeSelector.ALL,
+                                MaxUnavailable.ANY,
+                                new MinAvailable(0, 0, 0, 1),
+                                "",
+                                OnDeadline.LET_GO)),
                 List.of("left.weight"));
         assertEquals(
                 keys(
                         new Fleet(2, 2, 3),
-                        policy("p", Whom.ALL, Most.ANY, new Left(3, 0, 0, 0), "", AtEnd.LET_GO)),
+                        policy(
+                                "p",
+                                NodeSelector.ALL,
+                                MaxUnavailable.ANY,
+                                new MinAvailable(3, 0, 0, 0),
+                                "",
+                                OnDeadline.LET_GO)),
                 List.of("left.per_pod"));
         assertEquals(
-                keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "true", AtEnd.LET_GO)),
+                keys(
+                        null,
+                        policy(
+                                "p",
+                                NodeSelector.ALL,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "true",
+                                OnDeadline.LET_GO)),
                 List.of("pause_if"));
         assertEquals(
-                keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "throws", AtEnd.LET_GO)),
+                keys(
+                        null,
+                        policy(
+                                "p",
+                                NodeSelector.ALL,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "throws",
+                                OnDeadline.LET_GO)),
                 List.of("pause_if"));
         assertEquals(
-                keys(null, policy("p", Whom.ALL, Most.ANY, Left.NOTHING, "failed", AtEnd.LET_GO)),
+                keys(
+                        null,
+                        policy(
+                                "p",
+                                NodeSelector.ALL,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "failed",
+                                OnDeadline.LET_GO)),
                 List.of());
         assertEquals(
                 keys(
                         null,
                         policy(
                                 "p",
-                                Whom.ALL,
-                                Most.ANY,
-                                Left.NOTHING,
+                                NodeSelector.ALL,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
                                 "",
-                                AtEnd.LET_GO,
+                                OnDeadline.LET_GO,
                                 new Window(0x7f, 0, 0))),
                 List.of("closed"));
     }
@@ -100,25 +144,65 @@
     public void twoThatContradictEachOtherAreFoundWhereBothAreForANode() {
         Window day = new Window(0x7f, 480, 1200);
         Window night = new Window(0x7f, 1200, 480);
-        Whom a = new Whom("", "a", -1, "", 0, 9, "");
-        Whom b = new Whom("", "b", -1, "", 0, 9, "");
+        NodeSelector a = new NodeSelector("", "a", -1, "", 0, 9, "");
+        NodeSelector b = new NodeSelector("", "b", -1, "", 0, 9, "");
         assertEquals(
                 keys(
                         null,
-                        policy("1", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, day),
-                        policy("2", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, night)),
+                        policy(
+                                "1",
+                                a,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "",
+                                OnDeadline.LET_GO,
+                                day),
+                        policy(
+                                "2",
+                                a,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "",
+                                OnDeadline.LET_GO,
+                                night)),
                 List.of("closed"));
         assertEquals(
                 keys(
                         null,
-                        policy("1", a, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO, day),
-                        policy("2", b, Most.ANY, Left.NOTHING, "", AtEnd.GIVE_BACK, night)),
+                        policy(
+                                "1",
+                                a,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "",
+                                OnDeadline.LET_GO,
+                                day),
+                        policy(
+                                "2",
+                                b,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "",
+                                OnDeadline.GIVE_BACK,
+                                night)),
                 List.of());
         assertEquals(
                 keys(
                         null,
-                        policy("1", Whom.ALL, Most.ANY, Left.NOTHING, "", AtEnd.LET_GO),
-                        policy("2", a, Most.ANY, Left.NOTHING, "", AtEnd.GIVE_BACK)),
+                        policy(
+                                "1",
+                                NodeSelector.ALL,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "",
+                                OnDeadline.LET_GO),
+                        policy(
+                                "2",
+                                a,
+                                MaxUnavailable.ANY,
+                                MinAvailable.NOTHING,
+                                "",
+                                OnDeadline.GIVE_BACK)),
                 List.of("at_end"));
     }
 
@@ -130,11 +214,11 @@
                                         max(2, 1),
                                         policy(
                                                 "q",
-                                                Whom.ALL,
-                                                new Most(1, 1),
-                                                new Left(1, 0, 0, 0),
+                                                NodeSelector.ALL,
+                                                new MaxUnavailable(1, 1),
+                                                new MinAvailable(1, 0, 0, 0),
                                                 "",
-                                                AtEnd.LET_GO)),
+                                                OnDeadline.LET_GO)),
                                 DrainSimulation.CONDITIONS,
                                 null)
                         .both()
--- a/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
@@ -5,11 +5,11 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.failover.Regions.Region;
-import cedarrudder.failover.ZoneHealthSnapshot.State;
-import cedarrudder.failover.ZoneObservations.Seen;
+import cedarrudder.failover.ZoneHealthSnapshot.ZoneState;
+import cedarrudder.failover.ZoneObservations.ZoneObservation;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Share;
 import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -60,7 +60,7 @@
         final List<Long> flapping = new ArrayList<>();
 
         final Random random = new Random(4);
-        final Seen[][] last = new Seen[ZONES * REPLICAS][ZONES];
+        final ZoneObservation[][] last = new ZoneObservation[ZONES * REPLICAS][ZONES];
         double loss;
         RouteTable table;
         long now;
@@ -79,9 +79,9 @@
         }
 
         int parts(int from, int to) {
-            return table.shares().stream()
+            return table.routes().stream()
                     .filter(share -> share.from() == from && share.to() == to)
-                    .mapToInt(Share::parts)
+                    .mapToInt(ZoneRoute::parts)
                     .sum();
         }
 
@@ -103,7 +103,7 @@
             double[] loads = new double[ZONES];
             Arrays.setAll(loads, this::load);
             for (int replica = 0; replica < zoneOf.length; replica++) {
-                List<Seen> seen = new ArrayList<>();
+                List<ZoneObservation> seen = new ArrayList<>();
                 for (int zone = 0; zone < ZONES; zone++) {
                     double part =
                             table == null
@@ -117,23 +117,23 @@
                                     ? 0
                                     : (int) Math.round(ended * Math.min(1, capacity / loads[zone]));
                     int refused = lost[zone] || broken.contains(replica) ? 0 : ended - served;
-                    Seen before = last[replica][zone];
-                    Seen now =
+                    ZoneObservation before = last[replica][zone];
+                    ZoneObservation now =
                             ended == 0 && before != null && before.age() < ZoneObservations.MAX_AGE
-                                    ? new Seen(
+                                    ? new ZoneObservation(
                                             zone,
                                             before.age() + 1,
                                             before.served(),
                                             0,
                                             before.silent(),
-                                            before.refused(),
+                                            before.rejected(),
                                             0,
                                             0,
                                             before.load(),
                                             6,
                                             0,
                                             units(zone))
-                                    : new Seen(
+                                    : new ZoneObservation(
                                             zone,
                                             0,
                                             served,
@@ -170,16 +170,16 @@
                                 seen);
                 for (byte[] part : evidence.encode(136)) {
                     if (!silent.contains(replica) && random.nextDouble() >= loss) {
-                        assessment.heard(now, ZoneObservations.decode(part));
+                        assessment.onObservations(now, ZoneObservations.decode(part));
                     }
                 }
             }
-            List<Share> shares = planner.plan(now, table, assessment.picture(now), evacuated);
-            if (table == null || !shares.equals(table.shares())) {
+            List<ZoneRoute> shares = planner.plan(now, table, assessment.snapshot(now), evacuated);
+            if (table == null || !shares.equals(table.routes())) {
                 if (table != null) {
                     moves.add(now);
                 }
-                if (table != null && !row(shares, FLAPS).equals(row(table.shares(), FLAPS))) {
+                if (table != null && !row(shares, FLAPS).equals(row(table.routes(), FLAPS))) {
                     flapping.add(now);
                 }
                 table =
@@ -191,11 +191,11 @@
                                 shares,
                                 List.of(),
                                 List.of());
-                planner.loaded(now, table);
+                planner.onTableLoaded(now, table);
             }
         }
 
-        private static List<Share> row(List<Share> shares, int from) {
+        private static List<ZoneRoute> row(List<ZoneRoute> shares, int from) {
             return shares.stream().filter(share -> share.from() == from).toList();
         }
 
@@ -252,7 +252,7 @@
         assertTrue(play.parts(1, 1) <= 80, play.table.toString());
         assertTrue(play.parts(1, 0) + play.parts(1, 2) > 9_000, play.table.toString());
         assertEquals(
-                play.table.shares().stream()
+                play.table.routes().stream()
                         .filter(s -> s.from() == 1 && s.to() == 0)
                         .findFirst()
                         .orElseThrow()
@@ -378,10 +378,12 @@
     }
 
     private static ZoneObservations says(int replica, Integer... bad) {
-        List<Seen> seen = new ArrayList<>();
+        List<ZoneObservation> seen = new ArrayList<>();
         for (int zone = 0; zone < ZONES && bad.length > 0; zone++) {
             boolean ill = Arrays.asList(bad).contains(zone);
-            seen.add(new Seen(zone, 0, ill ? 0 : 9, 0, ill ? 9 : 0, 0, 0, 0, 0, 6, 0, 600));
+            seen.add(
+                    new ZoneObservation(
+                            zone, 0, ill ? 0 : 9, 0, ill ? 9 : 0, 0, 0, 0, 0, 6, 0, 600));
         }
         return new ZoneObservations(replica, replica / REPLICAS, 1, 1, 0, 500, 30, 0, seen);
     }
@@ -390,17 +392,19 @@
     @Test
     public void oneCopyAndBrokenLinksAreNoWordOfTheirZone() {
         Play play = new Play();
-        play.assessment.heard(0, says(4, 1));
-        play.assessment.heard(0, says(5));
-        play.assessment.heard(0, says(6));
-        assertFalse(play.assessment.picture(0).zones().get(1).bad().contains(1), "one copy's word");
-        play.assessment.heard(0, says(7, 1));
-        assertTrue(play.assessment.picture(0).zones().get(1).bad().contains(1), "two copies' word");
+        play.assessment.onObservations(0, says(4, 1));
+        play.assessment.onObservations(0, says(5));
+        play.assessment.onObservations(0, says(6));
+        assertFalse(
+                play.assessment.snapshot(0).zones().get(1).bad().contains(1), "one copy's word");
+        play.assessment.onObservations(0, says(7, 1));
+        assertTrue(
+                play.assessment.snapshot(0).zones().get(1).bad().contains(1), "two copies' word");
         play = new Play();
         for (int replica = 4; replica < 8; replica++) {
-            play.assessment.heard(0, says(replica, 0, 1, 2, 3, 4));
+            play.assessment.onObservations(0, says(replica, 0, 1, 2, 3, 4));
         }
-        assertEquals(play.assessment.picture(0).zones().get(1).bad(), Set.of(), "served nowhere");
+        assertEquals(play.assessment.snapshot(0).zones().get(1).bad(), Set.of(), "served nowhere");
     }
 
     /** What an operator leaves goes as a loss does, but nothing of it is rejected. */
@@ -426,16 +430,16 @@
         long then = play.now;
         ZoneObservations stale =
                 new ZoneObservations(4, 1, 0, 1L << 40, 0, 500, 9_000, 9_000, List.of());
-        play.assessment.heard(then, stale);
-        assertEquals(play.assessment.picture(then).zones().get(1).demand(), DEMAND, 5);
+        play.assessment.onObservations(then, stale);
+        assertEquals(play.assessment.snapshot(then).zones().get(1).demand(), DEMAND, 5);
         play.silent.addAll(List.of(4, 5, 6, 7));
         play.seconds(4);
-        ZoneHealthSnapshot picture = play.assessment.picture(play.now);
+        ZoneHealthSnapshot picture = play.assessment.snapshot(play.now);
         assertEquals(picture.zones().get(1).fresh(), 0);
         assertEquals(picture.away().size(), REPLICAS);
-        assertEquals(picture.zones().get(1).state(), State.WELL, "others are served there");
+        assertEquals(picture.zones().get(1).state(), ZoneState.WELL, "others are served there");
         assertEquals(play.moves, List.of());
         play.assessment.lapse(play.now, replica -> play.now - 1);
-        assertEquals(play.assessment.picture(play.now).away(), List.of());
+        assertEquals(play.assessment.snapshot(play.now).away(), List.of());
     }
 }
--- a/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
+++ b/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
@@ -11,7 +11,7 @@
 import cedarrudder.balancer.LoadBalancer.LoadReport;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.balancer.LoadBalancer.SafetyRules;
-import cedarrudder.failover.ZoneObservations.Seen;
+import cedarrudder.failover.ZoneObservations.ZoneObservation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -25,11 +25,11 @@
     private static final long SECOND = 1_000 * MILLI;
 
     private static ZoneObservations any(Random random, int zones) {
-        List<Seen> seen = new ArrayList<>();
+        List<ZoneObservation> seen = new ArrayList<>();
         for (int zone = 0; zone < zones; zone++) {
             if (random.nextInt(5) > 0) {
                 seen.add(
-                        new Seen(
+                        new ZoneObservation(
                                 zone,
                                 random.nextInt(ZoneObservations.MAX_AGE + 1),
                                 random.nextInt(3_000),
@@ -66,7 +66,7 @@
                     ZoneObservations.MIN_BYTES
                             + random.nextInt(
                                     ZoneObservations.MAX_BYTES - ZoneObservations.MIN_BYTES + 1);
-            List<Seen> seen = new ArrayList<>();
+            List<ZoneObservation> seen = new ArrayList<>();
             for (byte[] part : evidence.encode(max)) {
                 assertTrue(part.length <= max, "seed " + SEED + ", " + i);
                 ZoneObservations read = ZoneObservations.decode(part);
@@ -78,13 +78,13 @@
                                 read.sequence(),
                                 read.table(),
                                 read.millis(),
-                                read.came(),
+                                read.requests(),
                                 read.unserved(),
-                                evidence.seen()),
+                                evidence.observations()),
                         evidence);
-                seen.addAll(read.seen());
+                seen.addAll(read.observations());
             }
-            assertEquals(seen, evidence.seen(), "seed " + SEED + ", " + i);
+            assertEquals(seen, evidence.observations(), "seed " + SEED + ", " + i);
         }
         ZoneObservations usual =
                 new ZoneObservations(
@@ -97,10 +97,10 @@
                         60,
                         0,
                         List.of(
-                                new Seen(0, 3, 1, 0, 0, 0, 0, 0, 40, 8, 0, 800),
-                                new Seen(1, 0, 0, 0, 1, 0, 1, 0, 60, 8, 0, 800),
-                                new Seen(2, 9, 1, 0, 0, 0, 0, 0, 50, 8, 0, 800),
-                                new Seen(3, 0, 58, 1, 0, 1, 4, 0, 70, 8, 1, 720)));
+                                new ZoneObservation(0, 3, 1, 0, 0, 0, 0, 0, 40, 8, 0, 800),
+                                new ZoneObservation(1, 0, 0, 0, 1, 0, 1, 0, 60, 8, 0, 800),
+                                new ZoneObservation(2, 9, 1, 0, 0, 0, 0, 0, 50, 8, 0, 800),
+                                new ZoneObservation(3, 0, 58, 1, 0, 1, 4, 0, 70, 8, 1, 720)));
         assertEquals(usual.encode(ZoneObservations.MAX_BYTES).size(), 1);
     }
 
@@ -176,7 +176,7 @@
                         8,
                         1,
                         List.of(
-                                new Seen(
+                                new ZoneObservation(
                                         0,
                                         0,
                                         1,
@@ -189,9 +189,9 @@
                                         2,
                                         1,
                                         100 + 2 * 64), // cold: 0.2 + 0.8 * 5.5 / 10
-                                new Seen(1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0))));
+                                new ZoneObservation(1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0))));
         ZoneObservations next = tally.closePeriod(1_000 * MILLI, 5);
-        assertEquals(next.seen().get(1).age(), 1);
+        assertEquals(next.observations().get(1).age(), 1);
         assertEquals(next.sequence(), 2);
     }
 
--- a/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
@@ -8,7 +8,7 @@
 import cedarrudder.footprint.ProcessFootprint.Term;
 import cedarrudder.footprint.ProcessFootprint.Verdict;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Leaving;
+import cedarrudder.routetable.RouteTable.DrainingNode;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
@@ -53,7 +53,7 @@
                         0,
                         1,
                         List.of(),
-                        LongStream.range(0, 500).mapToObj(i -> new Leaving(i, 1)).toList(),
+                        LongStream.range(0, 500).mapToObj(i -> new DrainingNode(i, 1)).toList(),
                         List.of());
         MemoryEstimate tables = FOOTPRINT.takes(with(table)).minus(FOOTPRINT.takes(with(null)));
         assertTrue(
@@ -124,7 +124,7 @@
                         1,
                         List.of(),
                         LongStream.range(0, 1_000)
-                                .mapToObj(i -> new Leaving(i * 1_000_003, 1))
+                                .mapToObj(i -> new DrainingNode(i * 1_000_003, 1))
                                 .toList(),
                         List.of());
         long best = Long.MAX_VALUE;
--- a/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -7,9 +7,9 @@
 
 import cedarrudder.routetable.CurrentRouteTable;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Leaving;
-import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.DrainingNode;
 import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.List;
@@ -25,11 +25,11 @@
             new RouteTableFootprint(ObjectLayout.of(true, true, 8));
 
     private static RouteTable table(long number, int zones, int leaving) {
-        List<Share> shares =
+        List<ZoneRoute> shares =
                 IntStream.range(0, zones * zones)
                         .mapToObj(
                                 i ->
-                                        new Share(
+                                        new ZoneRoute(
                                                 i / zones,
                                                 i % zones,
                                                 i / zones == i % zones ? Way.NEAR : Way.SPILLED,
@@ -45,7 +45,7 @@
                 LongStream.range(0, leaving)
                         .mapToObj(
                                 i ->
-                                        new Leaving(
+                                        new DrainingNode(
                                                 i * 0x9E3779B97L % RouteTable.MAX_NODE,
                                                 (int) (i / 8)))
                         .toList(),
@@ -61,12 +61,13 @@
         RouteTableCapacity small = TABLES.room(held, TABLES.atPeak(held, next) - 1, 100);
         Map<Integer, RouteTableCapacity> rooms =
                 new HashMap<>(Map.of(0, large, 1, large, 2, small, 3, large));
-        assertEquals(RouteTableCapacity.holdsBack(next, rooms), (Integer) 2);
+        assertEquals(RouteTableCapacity.limitingReplica(next, rooms), (Integer) 2);
         assertNull(
-                RouteTableCapacity.holdsBack(table(2, 3, 100), rooms), "one that it has room for");
+                RouteTableCapacity.limitingReplica(table(2, 3, 100), rooms),
+                "one that it has room for");
         assertEquals(RouteTableCapacity.min(rooms.values()), small);
         rooms.remove(2);
-        assertNull(RouteTableCapacity.holdsBack(next, rooms), "without it");
+        assertNull(RouteTableCapacity.limitingReplica(next, rooms), "without it");
     }
 
     /**
@@ -80,16 +81,18 @@
         Map<Integer, RouteTableCapacity> rooms =
                 new HashMap<>(Map.of(0, TABLES.room(loaded, 20_000_000, 10_000)));
         RouteTable more = table(8, 12, 2_100);
-        assertNull(RouteTableCapacity.holdsBack(more, rooms));
+        assertNull(RouteTableCapacity.limitingReplica(more, rooms));
         long little = 30_000;
         assertTrue(
                 TABLES.atPeak(null, loaded) > little,
                 "the copy that starts can't load what is agreed on");
         rooms.put(1, TABLES.room(null, little, 100));
-        assertEquals(RouteTableCapacity.holdsBack(more, rooms), (Integer) 1);
+        assertEquals(RouteTableCapacity.limitingReplica(more, rooms), (Integer) 1);
         assertEquals(tables.current(), loaded, "those that have it keep it");
         RouteTable less = table(8, 3, 20);
-        assertNull(RouteTableCapacity.holdsBack(less, rooms), "one that all can load goes through");
+        assertNull(
+                RouteTableCapacity.limitingReplica(less, rooms),
+                "one that all can load goes through");
         assertTrue(tables.load(less).counts());
     }
 
@@ -103,14 +106,14 @@
         for (int i = 0; i < 300; i++) {
             RouteTable next = table(2, 1 + random.nextInt(20), random.nextInt(3_000));
             long room = random.nextInt(400_000);
-            if (TABLES.room(held, room, 0).holds(next, RouteTableFootprint.bytes(next))) {
+            if (TABLES.room(held, room, 0).fits(next, RouteTableFootprint.bytes(next))) {
                 assertTrue(TABLES.atPeak(held, next) <= room, "room " + room + " for " + next);
             }
         }
         RouteTableCapacity all = TABLES.room(held, 20_000_000, 0);
         RouteTable largest = table(2, 64, RouteTable.MAX_LEAVING);
-        assertTrue(all.holds(largest, RouteTableFootprint.bytes(largest)), all.toString());
-        assertFalse(TABLES.room(held, 0, 0).holds(table(2, 1, 0), 8));
+        assertTrue(all.fits(largest, RouteTableFootprint.bytes(largest)), all.toString());
+        assertFalse(TABLES.room(held, 0, 0).fits(table(2, 1, 0), 8));
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
+++ b/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
@@ -76,7 +76,7 @@
                     now + random.nextLong(2 * MILLI, 300 * MILLI),
                     () -> {
                         if (swims[to] != null) {
-                            swims[to].received(now, from, message);
+                            swims[to].onDatagram(now, from, message);
                             tick(to, swims[to]);
                         }
                     });
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -8,7 +8,7 @@
 
 import cedarrudder.membership.Member.Standing;
 import cedarrudder.membership.SwimMessage.Kind;
-import cedarrudder.membership.SwimMessage.News;
+import cedarrudder.membership.SwimMessage.MemberUpdate;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -64,17 +64,28 @@
     }
 
     private void hear(
-            int from, Kind kind, int question, long incarnation, int subject, News... news) {
-        swim.received(now, from, packet(kind, question, from, incarnation, subject, news).encode());
+            int from,
+            Kind kind,
+            int question,
+            long incarnation,
+            int subject,
+            MemberUpdate... news) {
+        swim.onDatagram(
+                now, from, packet(kind, question, from, incarnation, subject, news).encode());
     }
 
     private static SwimMessage packet(
-            Kind kind, int question, int from, long incarnation, int subject, News... news) {
+            Kind kind,
+            int question,
+            int from,
+            long incarnation,
+            int subject,
+            MemberUpdate... news) {
         return new SwimMessage(kind, question, from, incarnation, subject, 0, null, List.of(news));
     }
 
-    private static News news(int number, long incarnation, Standing standing, int accuser) {
-        return new News(new Member(number, incarnation, standing), accuser);
+    private static MemberUpdate news(int number, long incarnation, Standing standing, int accuser) {
+        return new MemberUpdate(new Member(number, incarnation, standing), accuser);
     }
 
     /** Lets it do what it wants to, until it sends a message of this kind. */
@@ -113,8 +124,8 @@
             swim.tick(now);
         }
         assertEquals(swim.member(target).standing(), Standing.SUSPECT);
-        assertEquals(swim.live(), 5);
-        while (swim.member(target).live()) {
+        assertEquals(swim.liveCount(), 5);
+        while (swim.member(target).isLive()) {
             now = swim.due();
             swim.tick(now);
         }
@@ -126,7 +137,7 @@
         start(4);
         Sent first = await(Kind.PING);
         Sent help = await(Kind.PING_FOR);
-        hear(help.to, Kind.ACK, help.packet.question(), 1, first.to);
+        hear(help.to, Kind.ACK, help.packet.sequence(), 1, first.to);
         await(Kind.PING);
         assertEquals(swim.member(first.to).standing(), Standing.ALIVE);
         assertEquals(swim.health(), 0);
@@ -137,8 +148,8 @@
         start(4, new MembershipSettings(SECOND, SECOND / 2, 0, 4, 4, 3, 3, 8, 10));
         Sent first = await(Kind.PING);
         int other = first.to % 3 + 1;
-        hear(other, Kind.ACK, first.packet.question(), 1, first.to);
-        hear(first.to % 3 + 1, Kind.ACK, first.packet.question() + 1, 1, other);
+        hear(other, Kind.ACK, first.packet.sequence(), 1, first.to);
+        hear(first.to % 3 + 1, Kind.ACK, first.packet.sequence() + 1, 1, other);
         awaitAfter(first);
         assertEquals(swim.member(first.to).standing(), Standing.SUSPECT);
     }
@@ -164,7 +175,7 @@
             if (again) {
                 await(Kind.PING_FOR);
             }
-            hear(asked.to, Kind.ACK, asked.packet.question(), 1, asked.to);
+            hear(asked.to, Kind.ACK, asked.packet.sequence(), 1, asked.to);
             sent.clear();
             asked = await(Kind.PING);
         }
@@ -236,7 +247,7 @@
                 hear(1, Kind.ACK, 99, 1, 1, news(9, 3, Standing.SUSPECT, 1));
             }
             long began = now;
-            while (swim.member(9).live()) {
+            while (swim.member(9).isLive()) {
                 now = swim.due();
                 swim.tick(now);
             }
@@ -252,7 +263,7 @@
         Sent answer = await(Kind.ACK);
         assertEquals(answer.packet.incarnation(), INCARNATION + 1);
         assertTrue(
-                answer.packet.news().contains(news(0, INCARNATION + 1, Standing.ALIVE, 0)),
+                answer.packet.updates().contains(news(0, INCARNATION + 1, Standing.ALIVE, 0)),
                 answer.toString());
         // An older life of its own had a larger number: it takes the next.
         hear(1, Kind.PING, 6, 1, 0, news(0, INCARNATION + 70, Standing.DEAD, 2));
@@ -268,17 +279,17 @@
         start(4);
         hear(1, Kind.PING, 1, 10, 0);
         hear(2, Kind.PING, 1, 5, 0, news(1, 10, Standing.DEAD, 1));
-        assertFalse(swim.member(1).live());
+        assertFalse(swim.member(1).isLive());
         // Late messages of the life that has ended, by itself and by others.
         hear(1, Kind.PING, 2, 10, 0);
         hear(1, Kind.PING, 2, 9, 0);
         hear(3, Kind.PING, 3, 5, 0, news(1, 10, Standing.ALIVE, 1), news(2, 4, Standing.DEAD, 3));
-        assertFalse(swim.member(1).live());
-        assertTrue(swim.member(2).live(), "death of a life before this one");
+        assertFalse(swim.member(1).isLive());
+        assertTrue(swim.member(2).isLive(), "death of a life before this one");
         hear(1, Kind.PING, 2, 11, 0);
-        assertTrue(swim.member(1).live());
+        assertTrue(swim.member(1).isLive());
         hear(3, Kind.PING, 3, 5, 0, news(1, 10, Standing.DEAD, 3));
-        assertTrue(swim.member(1).live());
+        assertTrue(swim.member(1).isLive());
     }
 
     /**
@@ -293,9 +304,9 @@
         }
         sent.clear();
         hear(2, Kind.PING, 8, 5, 0);
-        assertTrue(await(Kind.ACK).packet.news().isEmpty(), "news without end");
+        assertTrue(await(Kind.ACK).packet.updates().isEmpty(), "news without end");
         byte[] held = {0, 2, 4, 0}; // 9 and 18 are dead
-        swim.received(
+        swim.onDatagram(
                 now,
                 3,
                 new SwimMessage(
@@ -309,12 +320,12 @@
                                 List.of())
                         .encode());
         assertEquals(
-                await(Kind.ACK).packet.news(),
+                await(Kind.ACK).packet.updates(),
                 List.of(news(1, 10, Standing.DEAD, 0), news(18, 0, Standing.ALIVE, 18)));
         // Its own next question shows what it holds, until the digests agree.
         SwimMessage shown = await(Kind.PING).packet;
         assertEquals(shown.window().bits(), new byte[] {2, 2, 0, 0});
-        swim.received(
+        swim.onDatagram(
                 now,
                 3,
                 new SwimMessage(Kind.NACK, 0, 3, 5, 0, shown.digest(), null, List.of()).encode());
@@ -334,7 +345,7 @@
         hear(3, Kind.NACK, 0, 5, 3, news(9, 20, Standing.DEAD, 3));
         assertEquals(swim.member(9).standing(), Standing.SUSPECT);
         long began = now;
-        while (swim.member(9).live()) {
+        while (swim.member(9).isLive()) {
             hear(2, Kind.NACK, 0, 5, 2);
             now = swim.due();
             swim.tick(now);
@@ -345,7 +356,7 @@
         // Of a life that was never heard of it is: so one that starts learns whom the others
         // buried.
         hear(2, Kind.NACK, 0, 5, 2, news(8, 20, Standing.DEAD, 2));
-        assertFalse(swim.member(8).live());
+        assertFalse(swim.member(8).isLive());
     }
 
     @Test
@@ -371,7 +382,7 @@
                         .putShort((short) 0)
                         .put((byte) 0)
                         .array();
-        swim.received(now, 1, first);
+        swim.onDatagram(now, 1, first);
         assertEquals(swim.counts().malformed(), 1);
         assertTrue(sent.isEmpty());
     }
@@ -384,13 +395,13 @@
         assertEquals(asked.to, 2);
         Sent nack = await(Kind.NACK);
         assertEquals(nack.to, 1);
-        assertEquals(nack.packet.question(), 41);
-        hear(2, Kind.ACK, asked.packet.question(), 1, 2);
+        assertEquals(nack.packet.sequence(), 41);
+        hear(2, Kind.ACK, asked.packet.sequence(), 1, 2);
         Sent ack = await(Kind.ACK);
         assertEquals(ack.to, 1);
-        assertEquals(ack.packet.question(), 41);
+        assertEquals(ack.packet.sequence(), 41);
         assertEquals(ack.packet.subject(), 2);
-        hear(2, Kind.ACK, asked.packet.question(), 1, 2);
+        hear(2, Kind.ACK, asked.packet.sequence(), 1, 2);
         assertTrue(sent.isEmpty(), "answered twice");
     }
 
@@ -415,7 +426,7 @@
                         .allMatch(
                                 s ->
                                         s.packet
-                                                .news()
+                                                .updates()
                                                 .contains(news(0, INCARNATION, Standing.DEAD, 0))),
                 sent.toString());
         sent.clear();
@@ -429,8 +440,8 @@
     public void aSenderThatNamesAnotherIsNotBelieved() {
         start(4);
         byte[] forged = packet(Kind.PING, 1, 2, 9, 0, news(3, 9, Standing.DEAD, 3)).encode();
-        swim.received(now, 1, forged);
-        assertTrue(swim.member(3).live());
+        swim.onDatagram(now, 1, forged);
+        assertTrue(swim.member(3).isLive());
         assertEquals(swim.counts().notItsSender(), 1);
         assertTrue(sent.isEmpty());
     }
@@ -496,7 +507,7 @@
                 read++;
                 assertEquals(packet.encode(), bytes, "seed " + seed + ", number " + i);
             }
-            swim.received(now, random.nextInt(6), bytes);
+            swim.onDatagram(now, random.nextInt(6), bytes);
             if (i % 1000 == 0) {
                 now += SECOND / 10;
                 swim.tick(now);
@@ -505,7 +516,7 @@
         }
         assertTrue(read > 1_000, "only " + read + " were read");
         assertNull(SwimMessage.decode(new byte[0], 6));
-        assertTrue(swim.live() >= 1);
+        assertTrue(swim.liveCount() >= 1);
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
@@ -8,10 +8,10 @@
 import static org.testng.Assert.expectThrows;
 
 import cedarrudder.conventions.Golden;
-import cedarrudder.routetable.RouteTable.Leaving;
-import cedarrudder.routetable.RouteTable.Limit;
-import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.ClassLimit;
+import cedarrudder.routetable.RouteTable.DrainingNode;
 import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -28,11 +28,11 @@
     private static final long SEED = 23;
 
     private static RouteTable any(Random random, long number) {
-        List<Share> shares = new ArrayList<>();
+        List<ZoneRoute> shares = new ArrayList<>();
         for (int from = 0; from < random.nextInt(13); from++) {
             for (int to = 0; to < 12; to++) {
                 shares.add(
-                        new Share(
+                        new ZoneRoute(
                                 from,
                                 to,
                                 Way.values()[random.nextInt(3)],
@@ -40,13 +40,13 @@
                                 random.nextInt(3) * 1000));
             }
         }
-        List<Leaving> leaving = new ArrayList<>();
+        List<DrainingNode> leaving = new ArrayList<>();
         for (int i = random.nextInt(50); i > 0; i--) {
-            leaving.add(new Leaving(i * 1_000_003L * 4_000_000, random.nextInt(9)));
+            leaving.add(new DrainingNode(i * 1_000_003L * 4_000_000, random.nextInt(9)));
         }
-        List<Limit> limits = new ArrayList<>();
+        List<ClassLimit> limits = new ArrayList<>();
         for (int i = random.nextInt(5); i > 0; i--) {
-            limits.add(new Limit(i, random.nextInt(1 << 20)));
+            limits.add(new ClassLimit(i, random.nextInt(1 << 20)));
         }
         Collections.shuffle(shares, random);
         Collections.shuffle(leaving, random);
@@ -143,8 +143,8 @@
 
     @Test
     public void whatContradictsItselfIsNamed() {
-        Share half = new Share(1, 2, Way.MOVED, 6_000, 0);
-        Share more = new Share(1, 3, Way.SPILLED, 6_000, 0);
+        ZoneRoute half = new ZoneRoute(1, 2, Way.MOVED, 6_000, 0);
+        ZoneRoute more = new ZoneRoute(1, 3, Way.SPILLED, 6_000, 0);
         assertEquals(
                 expectThrows(
                                 IllegalArgumentException.class,
@@ -169,7 +169,9 @@
                                                 0,
                                                 1,
                                                 List.of(),
-                                                List.of(new Leaving(5, 1), new Leaving(5, 2)),
+                                                List.of(
+                                                        new DrainingNode(5, 1),
+                                                        new DrainingNode(5, 2)),
                                                 List.of()))
                         .getMessage(),
                 "leaving: found node 5 twice; allowed: once");
@@ -198,26 +200,26 @@
             RouteTable before = any(random, i);
             RouteTable after = any(random, i + 1);
             RouteTableDelta change = RouteTableDelta.between(before, after);
-            Set<Leaving> leaving = new HashSet<>(before.leaving());
+            Set<DrainingNode> leaving = new HashSet<>(before.draining());
             leaving.removeIf(
                     one ->
-                            change.back().contains(one.node())
-                                    || change.leaving().stream()
+                            change.returned().contains(one.node())
+                                    || change.draining().stream()
                                             .anyMatch(next -> next.node() == one.node()));
-            leaving.addAll(change.leaving());
-            assertEquals(leaving, new HashSet<>(after.leaving()));
-            Set<Share> shares = new HashSet<>(before.shares());
+            leaving.addAll(change.draining());
+            assertEquals(leaving, new HashSet<>(after.draining()));
+            Set<ZoneRoute> shares = new HashSet<>(before.routes());
             shares.removeIf(
                     one ->
-                            change.endedShares().contains(RouteTableDelta.Pair.of(one))
-                                    || change.shares().stream()
+                            change.removedRoutes().contains(RouteTableDelta.Pair.of(one))
+                                    || change.routes().stream()
                                             .anyMatch(
                                                     next ->
                                                             next.from() == one.from()
                                                                     && next.to() == one.to()));
-            shares.addAll(change.shares());
-            assertEquals(shares, new HashSet<>(after.shares()));
-            assertFalse(change.nothing());
+            shares.addAll(change.routes());
+            assertEquals(shares, new HashSet<>(after.routes()));
+            assertFalse(change.isEmpty());
         }
         RouteTable table = any(random, 3);
         assertTrue(
@@ -228,10 +230,10 @@
                                         0,
                                         2,
                                         9,
-                                        table.shares(),
-                                        table.leaving(),
+                                        table.routes(),
+                                        table.draining(),
                                         table.limits()))
-                        .nothing());
+                        .isEmpty());
         assertFalse(
                 RouteTableDelta.between(
                                 table,
@@ -242,7 +244,7 @@
                                         9,
                                         List.of(),
                                         List.of(),
-                                        List.of(new Limit(200, 1))))
-                        .nothing());
+                                        List.of(new ClassLimit(200, 1))))
+                        .isEmpty());
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/DrainsConfiguration.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsConfiguration.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.draining.ConditionCompiler;
 import cedarrudder.draining.DrainPolicy;
-import cedarrudder.draining.PolicyValidator.Both;
+import cedarrudder.draining.PolicyValidator.OverlappingPolicies;
 import java.util.List;
 
 /**
@@ -14,4 +14,7 @@
  *     have
  */
 public record DrainsConfiguration(
-        long revision, List<DrainPolicy> policies, List<Both> both, ConditionCompiler conditions) {}
+        long revision,
+        List<DrainPolicy> policies,
+        List<OverlappingPolicies> both,
+        ConditionCompiler conditions) {}
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -2,12 +2,12 @@
 
 import cedarrudder.draining.ConditionCompiler;
 import cedarrudder.draining.DrainPolicy;
-import cedarrudder.draining.DrainPolicy.AtEnd;
-import cedarrudder.draining.DrainPolicy.Left;
-import cedarrudder.draining.DrainPolicy.Most;
-import cedarrudder.draining.DrainPolicy.Order;
-import cedarrudder.draining.DrainPolicy.Restarted;
-import cedarrudder.draining.DrainPolicy.Whom;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.MaxUnavailable;
+import cedarrudder.draining.DrainPolicy.MinAvailable;
+import cedarrudder.draining.DrainPolicy.NodeSelector;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainPolicy.Window;
 import cedarrudder.draining.InvalidConditionException;
 import cedarrudder.draining.PolicyCodec;
@@ -118,15 +118,15 @@
         String kind = faults.text("kind", "");
         double[] weight = table.range("weight", 0, MAX_WEIGHT, new double[] {0, MAX_WEIGHT});
         String where = faults.text("where", "");
-        Most perPod = faults.max("out_per_pod");
-        Most perZone = faults.max("out_per_zone");
-        Most perTier = faults.max("out_per_tier");
-        Left left = faults.left();
+        MaxUnavailable perPod = faults.max("out_per_pod");
+        MaxUnavailable perZone = faults.max("out_per_zone");
+        MaxUnavailable perTier = faults.max("out_per_tier");
+        MinAvailable left = faults.left();
         if (BOUNDS.stream().noneMatch(table::has)) {
             faults.problem(
                     "out_per_tier", "no bound", "one at least of " + String.join(", ", BOUNDS));
         }
-        Order order = table.choice("order", Order.class, Order.AS_ASKED);
+        DrainOrder order = table.choice("order", DrainOrder.class, DrainOrder.AS_ASKED);
         int wave = (int) table.whole("wave", 1, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
         long pace = CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MAX_TIME / MILLI, 0);
         int died = (int) table.whole("died", 0, DrainPolicy.MAX_NODES, 1);
@@ -140,8 +140,8 @@
                         DrainPolicy.MIN_TIME / MILLI,
                         DrainPolicy.MAX_TIME / MILLI,
                         USUAL_TIME);
-        AtEnd atEnd = table.choice("at_end", AtEnd.class, AtEnd.KEEP_WAITING);
-        Restarted restarted = table.choice("restarted", Restarted.class, Restarted.BACK);
+        OnDeadline atEnd = table.choice("at_end", OnDeadline.class, OnDeadline.KEEP_WAITING);
+        OnRestart restarted = table.choice("restarted", OnRestart.class, OnRestart.BACK);
         List<Window> closed = faults.windows();
         if (!where.isEmpty()) {
             faults.condition("where", () -> conditions.node(where));
@@ -159,7 +159,7 @@
                 ? null
                 : new DrainPolicy(
                         name,
-                        new Whom(tier, zone, pod, kind, weight[0], weight[1], where),
+                        new NodeSelector(tier, zone, pod, kind, weight[0], weight[1], where),
                         perPod,
                         perZone,
                         perTier,
@@ -204,11 +204,11 @@
             return text;
         }
 
-        Most max(String key) {
+        MaxUnavailable max(String key) {
             ConfigTable max = table.table(key);
             if (max == null) {
                 sound &= table.sound(key);
-                return Most.ANY;
+                return MaxUnavailable.ANY;
             }
             int nodes = (int) max.whole("nodes", 0, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
             double share = max.number("share", 0, 1, 1);
@@ -216,17 +216,17 @@
                 problem(key, "an empty table", "nodes, share or both");
             }
             max.done();
-            return new Most(nodes, share);
+            return new MaxUnavailable(nodes, share);
         }
 
-        Left left() {
+        MinAvailable left() {
             ConfigTable left = table.table("left");
             if (left == null) {
                 sound &= table.sound("left");
-                return Left.NOTHING;
+                return MinAvailable.NOTHING;
             }
-            Left all =
-                    new Left(
+            MinAvailable all =
+                    new MinAvailable(
                             (int) left.whole("per_pod", 0, DrainPolicy.MAX_NODES, 0),
                             (int) left.whole("per_zone", 0, DrainPolicy.MAX_NODES, 0),
                             (int) left.whole("per_tier", 0, DrainPolicy.MAX_NODES, 0),
--- a/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
@@ -39,7 +39,7 @@
     public Integer call() {
         BalancerParameters tuning;
         try {
-            tuning = BalancerParametersParser.read(figures);
+            tuning = BalancerParametersParser.parse(figures);
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage(), e);
         }
--- a/daemon/src/main/java/cedarrudder/program/CheckCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/CheckCommand.java
@@ -1,6 +1,6 @@
 package cedarrudder.program;
 
-import cedarrudder.draining.PolicyValidator.Both;
+import cedarrudder.draining.PolicyValidator.OverlappingPolicies;
 import cedarrudder.footprint.ProcessLimits;
 import cedarrudder.operator.DrainsConfiguration;
 import cedarrudder.operator.DrainsTable;
@@ -131,7 +131,8 @@
 
     /** Which of two policies binds endpoints that both are for. */
     private static void tell(Path file, DrainsConfiguration drains, PrintWriter out) {
-        for (Both both : drains == null ? List.<Both>of() : drains.both()) {
+        for (OverlappingPolicies both :
+                drains == null ? List.<OverlappingPolicies>of() : drains.both()) {
             out.println(
                     file
                             + ": drains.policy: '"
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -159,7 +159,7 @@
                         : new FileStableStorage(settings.folder(), self.number, replicas, log);
         StableStorage kept = store == null ? StableStorage.NONE : store;
         if (notes != null) {
-            notes.note("joins", Map.of("kept", kept.kept() == null ? 0 : 1));
+            notes.note("joins", Map.of("kept", kept.recovered() == null ? 0 : 1));
         }
         return new CoordinatedReplica(
                 self.zones,
@@ -220,18 +220,18 @@
         forwarder.shares(
                 next == null
                         ? List.of()
-                        : next.shares().stream()
+                        : next.routes().stream()
                                 .filter(share -> share.from() == own)
                                 .map(
                                         share ->
                                                 new ZoneTrafficShare(
                                                         share.to(),
                                                         share.parts(),
-                                                        share.perSecond() == 0
+                                                        share.maxPerSecond() == 0
                                                                 ? 0
                                                                 : Math.max(
                                                                         1,
-                                                                        share.perSecond()
+                                                                        share.maxPerSecond()
                                                                                 / divided)))
                                 .toList());
     }
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public void leaving(List<RouteTable.Leaving> nodes) {
+    public void leaving(List<RouteTable.DrainingNode> nodes) {
         Set<Long> numbers = new HashSet<>();
         nodes.forEach(node -> numbers.add(node.node()));
         leaving.accept(numbers);
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -28,7 +28,7 @@
 
 /** Drains by policies, wired to what this replica sees and does. On the loop's thread. */
 final class DrainWiring
-        implements DrainCoordination, DrainCoordinator.Local, DrainCoordinator.Actions {
+        implements DrainCoordination, DrainCoordinator.LocalState, DrainCoordinator.Actions {
 
     /** Figures are those of so long, in nanoseconds. */
     private static final long WINDOW = 10_000_000_000L;
@@ -100,11 +100,11 @@
     /** Sees to it that the policies of this replica's file count, where they may. */
     void propose(ReplicaCoordinator fleet) {
         loop.at(loop.now() + AGAIN, () -> propose(fleet));
-        byte[] wanted = drains == null ? null : drains.wanted();
+        byte[] wanted = drains == null ? null : drains.wantedCommand();
         if (wanted != null) {
             fleet.propose(wanted, AGAIN);
         }
-        boolean over = drains != null && drains.overruled();
+        boolean over = drains != null && drains.isOverruled();
         if (over && !overruled) {
             log.warn("drains.overruled")
                     .with("own", file.revision())
@@ -195,17 +195,17 @@
 
     @Override
     public void reported(long now, int from, byte[] part) {
-        drains.reported(now, from, part);
+        drains.onReport(now, from, part);
     }
 
     @Override
-    public byte[] next(long now, TierView tier) {
-        return drains.next(now, view.wallClock(), view.nodes(), tier::lives);
+    public byte[] nextCommand(long now, TierView tier) {
+        return drains.next(now, view.wallClock(), view.nodes(), tier::isAlive);
     }
 
     @Override
-    public void leads(long now, boolean leads) {
-        drains.leads(now, leads);
+    public void onLeadership(long now, boolean leads) {
+        drains.onLeadership(now, leads);
     }
 
     @Override
@@ -214,8 +214,8 @@
     }
 
     @Override
-    public List<RouteTable.Leaving> leaving() {
-        return drains.leaving();
+    public List<RouteTable.DrainingNode> drainingNodes() {
+        return drains.drainingNodes();
     }
 
     @Override
@@ -225,7 +225,7 @@
 
     @Override
     public void restored(long now, byte[] state) {
-        drains.restored(now, state);
+        drains.onRestored(now, state);
     }
 
     // ---- what this replica has ----
@@ -252,7 +252,7 @@
     }
 
     @Override
-    public void happened(DrainCoordinator.Happened happened) {
+    public void onDrainChange(DrainCoordinator.DrainChange happened) {
         String event = happened.event().name().toLowerCase(Locale.ROOT).replace('_', '-');
         if (happened.effect() == Effect.ALARM) {
             log.warn("drain.overdue").with("node", happened.node()).with("then", event).write();
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -1,10 +1,10 @@
 package cedarrudder.program;
 
-import cedarrudder.draining.DrainCommand.Still;
-import cedarrudder.draining.DrainCommand.Wait;
-import cedarrudder.draining.DrainCoordinator.Ended;
+import cedarrudder.draining.DrainCommand.BlockedBy;
+import cedarrudder.draining.DrainCommand.RemainingCalls;
+import cedarrudder.draining.DrainCoordinator.DrainView;
+import cedarrudder.draining.DrainCoordinator.EndedDrain;
 import cedarrudder.draining.DrainCoordinator.Progress;
-import cedarrudder.draining.DrainCoordinator.Shown;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
@@ -56,7 +56,7 @@
         json.writeEndArray();
         Map<Integer, Long> slots = new HashMap<>();
         json.writeArrayFieldStart("drains");
-        for (Shown each : progress.drains()) {
+        for (DrainView each : progress.drains()) {
             slots.put(each.slot(), each.node());
             json.writeStartObject();
             json.writeStringField("node", name(node, each.node()));
@@ -66,7 +66,7 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("waiting");
-        for (Wait each : progress.told().waits()) {
+        for (BlockedBy each : progress.told().waits()) {
             json.writeStartObject();
             json.writeNumberField("nodes", each.nodes());
             json.writeStringField("for", written(each.bound()));
@@ -77,7 +77,7 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("still");
-        for (Still each : progress.told().still()) {
+        for (RemainingCalls each : progress.told().still()) {
             if (slots.containsKey(each.slot())) {
                 json.writeStartObject();
                 json.writeStringField("node", name(node, slots.get(each.slot())));
@@ -90,7 +90,7 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("ended");
-        for (Ended each : progress.ended()) {
+        for (EndedDrain each : progress.ended()) {
             json.writeStartObject();
             json.writeStringField("node", name(node, each.node()));
             json.writeStringField("how", written(each.how()));
--- a/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
@@ -66,7 +66,7 @@
 
     /** These endpoints are drained in common; those that no longer are come back. */
     void setDraining(Set<Long> endpoints) {
-        for (String name : overrides.leaving(endpoints, loop.now())) {
+        for (String name : overrides.setDraining(endpoints, loop.now())) {
             if (overrides.shown(name).status() == EndpointStatus.READY) {
                 log.info("node.stays").with("node", name).write();
             } else {
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -7,7 +7,7 @@
 import cedarrudder.failover.FailoverSettings;
 import cedarrudder.failover.TrafficSplitPlanner;
 import cedarrudder.failover.ZoneObservations;
-import cedarrudder.failover.ZoneObservations.Seen;
+import cedarrudder.failover.ZoneObservations.ZoneObservation;
 import cedarrudder.failover.ZoneTrafficCounter;
 import cedarrudder.forwarding.RequestForwarder;
 import cedarrudder.logging.Logger;
@@ -80,13 +80,13 @@
 
     /** This table counts from now on; null: none does. */
     void loaded(long now, RouteTable table) {
-        failover.loaded(now, table);
+        failover.onTableLoaded(now, table);
     }
 
     /** Operators leave other zones from now on; null: none. */
     void apply(FailoverSettings next) {
         List<String> names = next == null ? List.of() : next.leave();
-        List<String> unknown = failover.leave(names);
+        List<String> unknown = failover.evacuate(names);
         for (int zone = 0; notes != null && zone < zones.size(); zone++) {
             boolean before = left.contains(zones.get(zone));
             if (before != names.contains(zones.get(zone))) {
@@ -109,7 +109,7 @@
     }
 
     private void saw(ZoneObservations evidence) {
-        for (Seen seen : evidence.seen()) {
+        for (ZoneObservation seen : evidence.observations()) {
             if (seen.age() == 0) {
                 notes.note(
                         "saw",
@@ -134,8 +134,8 @@
     }
 
     @Override
-    public List<RouteTable.Share> plan(long now, TierView tier) {
-        List<RouteTable.Share> planned = shares.plan(now, tier);
+    public List<RouteTable.ZoneRoute> plan(long now, TierView tier) {
+        List<RouteTable.ZoneRoute> planned = shares.plan(now, tier);
         List<TrafficSplitPlanner.Move> moves = failover.moves();
         // Once: a plan is made again each period until it counts.
         moves.stream()
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void leads(long now, boolean leads) {
-        shares.leads(now, leads);
+    public void onLeadership(long now, boolean leads) {
+        shares.onLeadership(now, leads);
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -78,10 +78,10 @@
     private long size;
     private long anewAt;
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
-    private Promise promise;
+    private HardState promise;
     private Snapshot snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
     private final List<LogEntry> entries = new ArrayList<>();
-    private Kept kept;
+    private Recovered kept;
 
     /**
      * Opens what an earlier process of this replica left in a folder, or begins with nothing.
@@ -129,7 +129,7 @@
             channel.position(end);
             size = end;
             if (promise != null) {
-                kept = new Kept(promise, snapshot, entries);
+                kept = new Recovered(promise, snapshot, entries);
             }
             if (end < bytes.length) {
                 log.info("agreement.cut")
@@ -235,7 +235,7 @@
                     long incarnation = in.getLong();
                     long term = in.getLong();
                     Voter vote = in.get() == 0 ? null : new Voter(in.getInt(), in.getLong());
-                    promise = new Promise(group, incarnation, term, vote, in.get() != 0);
+                    promise = new HardState(group, incarnation, term, vote, in.get() != 0);
                 }
                 case ENTRY -> take(in.getLong(), entry(in));
                 case CUT -> drop(in.getLong());
@@ -323,7 +323,7 @@
         }
     }
 
-    private static void put(DataOutputStream out, Promise made) throws IOException {
+    private static void put(DataOutputStream out, HardState made) throws IOException {
         out.writeByte(PROMISE);
         out.writeInt(made.group().era());
         out.writeInt(made.group().founder());
@@ -335,7 +335,7 @@
             out.writeInt(made.vote().replica());
             out.writeLong(made.vote().incarnation());
         }
-        out.writeByte(made.sworn() ? 1 : 0);
+        out.writeByte(made.admitted() ? 1 : 0);
     }
 
     private static void put(DataOutputStream out, long index, LogEntry entry) throws IOException {
@@ -361,24 +361,24 @@
     }
 
     @Override
-    public Kept kept() {
+    public Recovered recovered() {
         return kept;
     }
 
     @Override
-    public void promise(Promise made) {
+    public void hardState(HardState made) {
         promise = made;
         write(out -> put(out, made));
     }
 
     @Override
-    public void entry(long index, LogEntry entry) {
+    public void append(long index, LogEntry entry) {
         take(index, entry);
         write(out -> put(out, index, entry));
     }
 
     @Override
-    public void cut(long from) {
+    public void truncateFrom(long from) {
         drop(from);
         write(
                 out -> {
--- a/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
@@ -65,7 +65,7 @@
                 classNames,
                 overrides.size(),
                 parts.forwarder().avoidedEndpoints(),
-                parts.buffers().held(),
+                parts.buffers().bufferedBytes(),
                 parts.estimate() == null ? null : parts.estimate().figures(parts.listReader()));
     }
 
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -246,7 +246,7 @@
                                 server.clients(),
                                 connections.open(),
                                 (int) metrics.openRequests(),
-                                buffers.held()));
+                                buffers.bufferedBytes()));
     }
 
     /** The most that the process may come to hold beside endpoints. */
--- a/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
@@ -142,7 +142,7 @@
         }
         List<String> zones = configuration.site().zones();
         for (DrainPolicy policy : drains.policies()) {
-            String zone = policy.whom().zone();
+            String zone = policy.selector().zone();
             if (!zone.isEmpty() && !zones.contains(zone)) {
                 throw new IllegalArgumentException(
                         "drains.policy.zone: found "
--- a/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
+++ b/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
@@ -64,20 +64,20 @@
         json.writeBooleanField("used", status.used() != null);
         json.writeNumberField("lease_left_ms", status.leaseLeft() / MILLI);
         json.writeArrayFieldStart("shares");
-        for (RouteTable.Share share :
-                agreed == null ? List.<RouteTable.Share>of() : agreed.shares()) {
+        for (RouteTable.ZoneRoute share :
+                agreed == null ? List.<RouteTable.ZoneRoute>of() : agreed.routes()) {
             json.writeStartObject();
             json.writeStringField("from", name(zones, share.from()));
             json.writeStringField("to", name(zones, share.to()));
             json.writeStringField("way", share.way().name().toLowerCase(Locale.ROOT));
             json.writeNumberField("parts", share.parts());
-            json.writeNumberField("per_s", share.perSecond());
+            json.writeNumberField("per_s", share.maxPerSecond());
             json.writeEndObject();
         }
         json.writeEndArray();
         json.writeArrayFieldStart("leaving");
-        for (RouteTable.Leaving leaving :
-                agreed == null ? List.<RouteTable.Leaving>of() : agreed.leaving()) {
+        for (RouteTable.DrainingNode leaving :
+                agreed == null ? List.<RouteTable.DrainingNode>of() : agreed.draining()) {
             String id = node.apply(leaving.node());
             json.writeStartObject();
             json.writeStringField("node", id == null ? Long.toString(leaving.node()) : id);
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -102,14 +102,16 @@
         long wait =
                 carried.deadline()
                         ? 1_000_000 * wait(require(fields, DEADLINE))
-                        : budgets.safeWait(kind);
+                        : budgets.defaultDeadline(kind);
         long deadline = now + wait - Math.min(MARGIN, wait / 10) - Math.min(lateness, wait / 5);
-        if (carried.left() > 0) {
+        if (carried.remainingNanos() > 0) {
             // Less the way already: only what this loop's lateness took comes off.
             deadline =
                     Math.min(
                             deadline,
-                            now + carried.left() - Math.min(lateness, carried.left() / 5));
+                            now
+                                    + carried.remainingNanos()
+                                    - Math.min(lateness, carried.remainingNanos() / 5));
         }
         String cost = fields.single("req-cost");
         long work = cost == null ? 0 : 1000 * cost(cost);
--- a/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -85,10 +85,10 @@
         } finally {
             pumping = false;
         }
-        if (flow.broken()) {
+        if (flow.isBroken()) {
             over = true;
             end.broke();
-        } else if (flow.atEnd()) {
+        } else if (flow.isAtEnd()) {
             over = true;
             channel.writeAndFlush(
                             chunked ? HttpEncoder.lastChunk(loop.buffers()) : Unpooled.EMPTY_BUFFER)
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
@@ -275,7 +275,7 @@
             scheduleAnswerCheck();
         }
         if (download != null) {
-            channel.config().setAutoRead(!download.full());
+            channel.config().setAutoRead(!download.isFull());
         }
     }
 
@@ -304,7 +304,7 @@
     }
 
     private void continueDownload(BodyFlow flow) {
-        if (download == flow && !flow.full()) {
+        if (download == flow && !flow.isFull()) {
             lastHeardAt = loop.now(); // silence counts from where the endpoint may go on
             channel.config().setAutoRead(true);
         }
@@ -319,7 +319,7 @@
         answerTimer = null;
         long silence = loop.now() - lastHeardAt;
         boolean silentStream =
-                download != null && !download.full() && silence >= STREAM_SILENCE_NANOS;
+                download != null && !download.isFull() && silence >= STREAM_SILENCE_NANOS;
         boolean silentAnswer = download == null && silence >= limits.answerPatience();
         if (silentStream || silentAnswer) {
             failMalformed("an answer without an end");
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -111,7 +111,7 @@
     }
 
     private void heard(int from, byte[] message) {
-        swim.received(loop.now(), from, message);
+        swim.onDatagram(loop.now(), from, message);
         wake();
     }
 
@@ -148,18 +148,18 @@
                 loop.log()
                         .info("member.dead")
                         .with("copy", now.number())
-                        .with("live", swim.live())
+                        .with("live", swim.liveCount())
                         .write();
             } else if (before.standing() == Standing.DEAD) {
                 loop.log()
                         .info("member.back")
                         .with("copy", now.number())
-                        .with("live", swim.live())
+                        .with("live", swim.liveCount())
                         .write();
             }
         }
-        if (swim.live() != told) {
-            told = swim.live();
+        if (swim.liveCount() != told) {
+            told = swim.liveCount();
             live.accept(told);
         }
     }
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -36,7 +36,7 @@
         void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
         /** These endpoints are being removed. */
-        void leaving(List<RouteTable.Leaving> nodes);
+        void leaving(List<RouteTable.DrainingNode> nodes);
     }
 
     /** Makes this replica's part at the moment at which it begins to take part. */
@@ -80,7 +80,7 @@
         peers.hearer(BESIDE, this::heard);
         try {
             replica = maker.make(new Out(), loop.now());
-            dead.stream().forEach(number -> replica.lives(number, false));
+            dead.stream().forEach(number -> replica.setAlive(number, false));
             wake();
         } catch (UncheckedIOException e) {
             stopped(e);
@@ -91,7 +91,7 @@
      * Hands on what it leads and takes part no more, such as before this process ends; on the loop.
      */
     public void leave() {
-        act(part -> part.leave(loop.now()));
+        act(part -> part.stop(loop.now()));
         end();
     }
 
@@ -109,7 +109,7 @@
     public void lives(int number, boolean lives) {
         dead.set(number, !lives);
         if (replica != null) {
-            replica.lives(number, lives);
+            replica.setAlive(number, lives);
         }
     }
 
@@ -120,7 +120,7 @@
 
     /** An operator has this replica form a group; false where it can't. */
     public boolean form() {
-        return Boolean.TRUE.equals(act(part -> part.form(loop.now())));
+        return Boolean.TRUE.equals(act(part -> part.formGroup(loop.now())));
     }
 
     /** Proposes a command of a removal, whoever leads; null where nothing is taken now. */
@@ -131,7 +131,7 @@
     private void heard(int from, byte[] message) {
         act(
                 part -> {
-                    part.received(loop.now(), from, message);
+                    part.onDatagram(loop.now(), from, message);
                     return true;
                 });
     }
@@ -198,37 +198,38 @@
         }
 
         @Override
-        public void table(RouteTable table) {
+        public void onTable(RouteTable table) {
             if (table == null) {
                 loop.log().warn("table.lapsed").write();
             } else {
                 loop.log()
                         .info("table.loaded")
                         .with("number", table.number())
-                        .with("shares", table.shares().size())
-                        .with("leaving", table.leaving().size())
+                        .with("shares", table.routes().size())
+                        .with("leaving", table.draining().size())
                         .write();
             }
             host.table(table);
         }
 
         @Override
-        public void until(long instant) {
+        public void onLeaseExtended(long instant) {
             host.until(instant);
         }
 
         @Override
-        public void leaving(List<RouteTable.Leaving> nodes) {
+        public void onDrainingNodes(List<RouteTable.DrainingNode> nodes) {
             host.leaving(nodes);
         }
 
         @Override
-        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
+        public void onProposalSettled(
+                Proposal proposal, ProposalOutcome outcome, LogPosition number) {
             host.settled(proposal, outcome, number);
         }
 
         @Override
-        public void noted(String what, Map<String, String> fields) {
+        public void record(String what, Map<String, String> fields) {
             if (notes != null) {
                 notes.note(what, fields);
             }
--- a/daemon/src/main/java/cedarrudder/transport/RequestReader.java
+++ b/daemon/src/main/java/cedarrudder/transport/RequestReader.java
@@ -124,7 +124,7 @@
         if (upload != null) {
             // Progress counts, and not the whole time: a large body may take as long as it takes.
             long now = server.loop().now();
-            connection.setDue(upload.full() ? NEVER : now + UPLOAD_SILENCE_NANOS);
+            connection.setDue(upload.isFull() ? NEVER : now + UPLOAD_SILENCE_NANOS);
         }
     }
 
@@ -134,8 +134,8 @@
 
     /** Whether more may be read, so that neither requests nor a body are kept without end. */
     private boolean mayRead() {
-        boolean waits = buffer.hasBytes() || upload != null && upload.full();
-        return !waits || buffer.size() < MAX_READ_AHEAD_BYTES && !account.usedUp();
+        boolean waits = buffer.hasBytes() || upload != null && upload.isFull();
+        return !waits || buffer.size() < MAX_READ_AHEAD_BYTES && !account.isExhausted();
     }
 
     /**
@@ -192,7 +192,7 @@
         decoding = true;
         try {
             while (buffer.hasBytes() && decodesInput()) {
-                if (upload != null && upload.full()) {
+                if (upload != null && upload.isFull()) {
                     break;
                 }
                 decodeNext();
@@ -281,7 +281,7 @@
     private void awaitRest() throws MalformedMessageException {
         if (decoder.head() != null && connection.state() == ClientConnectionState.READING_HEAD) {
             connection.on(ClientConnectionState.Event.HEAD);
-            if (account.usedUp()) {
+            if (account.isExhausted()) {
                 throw new MalformedMessageException(
                         MalformedMessageException.UNAVAILABLE, "too much is held");
             }
--- a/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -9,8 +9,8 @@
 import cedarrudder.consensus.LogEntry;
 import cedarrudder.consensus.LogEntry.Kind;
 import cedarrudder.consensus.Snapshot;
-import cedarrudder.consensus.StableStorage.Kept;
-import cedarrudder.consensus.StableStorage.Promise;
+import cedarrudder.consensus.StableStorage.HardState;
+import cedarrudder.consensus.StableStorage.Recovered;
 import cedarrudder.consensus.Voter;
 import cedarrudder.consensus.VoterGroup;
 import cedarrudder.consensus.VoterSet;
@@ -32,8 +32,8 @@
 public class FileStableStorageTest {
 
     private static final VoterGroup GROUP = new VoterGroup(3, 1, 77);
-    private static final Promise FIRST = new Promise(GROUP, 9, 4, new Voter(2, 8), true);
-    private static final Promise LATER = new Promise(GROUP, 9, 5, null, true);
+    private static final HardState FIRST = new HardState(GROUP, 9, 4, new Voter(2, 8), true);
+    private static final HardState LATER = new HardState(GROUP, 9, 5, null, true);
     private static final Snapshot SNAPSHOT =
             new Snapshot(6, 2, new VoterSet(List.of(new Voter(1, 9))), new byte[] {1, 2, 3});
 
@@ -62,24 +62,24 @@
      */
     private void write() {
         try (FileStableStorage store = open()) {
-            assertNull(store.kept());
-            store.promise(FIRST);
+            assertNull(store.recovered());
+            store.hardState(FIRST);
             store.snapshot(SNAPSHOT);
             for (int i = 7; i <= 9; i++) {
-                store.entry(i, entry(i));
+                store.append(i, entry(i));
             }
             store.sync();
-            store.cut(9);
-            store.entry(9, entry(90));
-            store.entry(10, entry(10));
-            store.promise(LATER);
+            store.truncateFrom(9);
+            store.append(9, entry(90));
+            store.append(10, entry(10));
+            store.hardState(LATER);
             store.sync();
         }
     }
 
-    private static void assertKept(Kept kept, Promise promise, int... entries) {
+    private static void assertKept(Recovered kept, HardState promise, int... entries) {
         assertNotNull(kept);
-        assertEquals(kept.promise(), promise);
+        assertEquals(kept.hardState(), promise);
         assertEquals(kept.snapshot().index(), 6);
         assertEquals(kept.snapshot().state(), SNAPSHOT.state());
         assertEquals(kept.snapshot().voters(), SNAPSHOT.voters());
@@ -91,11 +91,11 @@
     public void whatWasSyncedIsFoundAgain() {
         write();
         try (FileStableStorage store = open()) {
-            assertKept(store.kept(), LATER, 7, 8, 90, 10);
-            store.entry(11, entry(11)); // not synced
+            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            store.append(11, entry(11)); // not synced
         }
         try (FileStableStorage store = open()) {
-            assertKept(store.kept(), LATER, 7, 8, 90, 10);
+            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
     }
@@ -107,7 +107,7 @@
         Golden.check("consensus-store.txt", Golden.hex(Files.readAllBytes(file)));
         Files.write(file, Golden.bytes(Golden.read("consensus-store.txt")));
         try (FileStableStorage store = open()) {
-            assertKept(store.kept(), LATER, 7, 8, 90, 10);
+            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
     }
@@ -123,22 +123,22 @@
         for (int length = whole.length - 1; length >= 24; length--) {
             Files.write(file, Arrays.copyOf(whole, length));
             try (FileStableStorage store = open()) {
-                if (store.kept() == null) {
+                if (store.recovered() == null) {
                     break; // within the first
                 }
-                assertKept(store.kept(), FIRST, 7, 8, 9);
+                assertKept(store.recovered(), FIRST, 7, 8, 9);
                 second++;
-                store.promise(LATER);
+                store.hardState(LATER);
                 store.sync();
             }
             try (FileStableStorage store = open()) {
-                assertKept(store.kept(), LATER, 7, 8, 9);
+                assertKept(store.recovered(), LATER, 7, 8, 9);
             }
         }
         assertTrue(second > 40, "only " + second);
         Files.write(file, Arrays.copyOf(whole, whole.length + 100)); // longer, and nothing in it
         try (FileStableStorage store = open()) {
-            assertKept(store.kept(), LATER, 7, 8, 90, 10);
+            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
         }
     }
 
@@ -154,17 +154,17 @@
             Files.write(file, turned);
             log.reset();
             try (FileStableStorage store = open()) {
-                assertNull(store.kept(), "byte " + at + " of " + last);
+                assertNull(store.recovered(), "byte " + at + " of " + last);
                 assertTrue(log.toString().contains("agreement.refused"), "byte " + at + ": " + log);
                 assertTrue(
                         log.toString().contains("byte ") && log.toString().contains("allowed"),
                         "" + log);
-                store.promise(LATER);
+                store.hardState(LATER);
                 store.sync();
             }
             assertEquals(Files.readAllBytes(folder.resolve("agreement.refused")), turned);
             try (FileStableStorage store = open()) {
-                assertEquals(store.kept().promise(), LATER);
+                assertEquals(store.recovered().hardState(), LATER);
             }
         }
     }
@@ -174,7 +174,7 @@
         write();
         try (FileStableStorage store =
                 new FileStableStorage(folder, 2, 5, new Logger(new PrintStream(log, true)))) {
-            assertNull(store.kept());
+            assertNull(store.recovered());
             assertTrue(
                     log.toString().contains("found a file of copy 1; allowed: 2"), log.toString());
         }
@@ -183,7 +183,7 @@
     @Test
     public void oneProcessUsesAFolder() {
         try (FileStableStorage store = open()) {
-            assertNull(store.kept());
+            assertNull(store.recovered());
             assertTrue(
                     expectThrows(UncheckedIOException.class, this::open)
                             .getMessage()
@@ -202,8 +202,8 @@
         long[] took = new long[syncs];
         try (FileStableStorage store = open()) {
             for (int i = 0; i < syncs; i++) {
-                store.promise(i % 2 == 0 ? FIRST : LATER);
-                store.entry(i + 1, new LogEntry(4, Kind.CONTENT, new byte[500]));
+                store.hardState(i % 2 == 0 ? FIRST : LATER);
+                store.append(i + 1, new LogEntry(4, Kind.CONTENT, new byte[500]));
                 long begun = System.nanoTime();
                 store.sync();
                 took[i] = System.nanoTime() - begun;
@@ -229,9 +229,9 @@
     @Test
     public void theFileStaysSmall() throws IOException {
         try (FileStableStorage store = open()) {
-            store.promise(FIRST);
+            store.hardState(FIRST);
             for (int i = 1; i <= 3_000; i++) {
-                store.entry(i, new LogEntry(4, Kind.CONTENT, new byte[1_000]));
+                store.append(i, new LogEntry(4, Kind.CONTENT, new byte[1_000]));
                 if (i % 16 == 0) {
                     store.snapshot(new Snapshot(i, 4, SNAPSHOT.voters(), new byte[5_000]));
                 }
@@ -243,8 +243,8 @@
         }
         assertTrue(Files.size(file) < 1_300_000, "it has " + Files.size(file));
         try (FileStableStorage store = open()) {
-            assertEquals(store.kept().snapshot().index(), 2_992);
-            assertEquals(store.kept().entries().size(), 8);
+            assertEquals(store.recovered().snapshot().index(), 2_992);
+            assertEquals(store.recovered().entries().size(), 8);
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -90,23 +90,23 @@
     }
 
     private static RouteTable table(int zones, int leaving, int limits) {
-        List<RouteTable.Share> shares = new ArrayList<>();
+        List<RouteTable.ZoneRoute> shares = new ArrayList<>();
         for (int i = 0; i < zones * zones; i++) {
             shares.add(
-                    new RouteTable.Share(
+                    new RouteTable.ZoneRoute(
                             i / zones,
                             i % zones,
                             RouteTable.Way.SPILLED,
                             RouteTable.WHOLE / zones,
                             i));
         }
-        List<RouteTable.Leaving> nodes = new ArrayList<>();
+        List<RouteTable.DrainingNode> nodes = new ArrayList<>();
         for (int i = 0; i < leaving; i++) {
-            nodes.add(new RouteTable.Leaving(i * 0x9E3779B9L, i / 8));
+            nodes.add(new RouteTable.DrainingNode(i * 0x9E3779B9L, i / 8));
         }
-        List<RouteTable.Limit> classes = new ArrayList<>();
+        List<RouteTable.ClassLimit> classes = new ArrayList<>();
         for (int i = 0; i < limits; i++) {
-            classes.add(new RouteTable.Limit(i, 100));
+            classes.add(new RouteTable.ClassLimit(i, 100));
         }
         return new RouteTable(1, 1, 1, 1, shares, nodes, classes);
     }
