--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -293,10 +293,11 @@
                 long id = service.request();
                 send(caller, request("2") + request("3"));
                 Await.until(
-                        "the bytes behind it are kept", () -> service.on(service.held::held) > 0);
+                        "the bytes behind it are kept",
+                        () -> service.on(service.held::bufferedBytes) > 0);
                 leave(caller, reset);
                 assertEquals(Await.next("the end seen", service.left), id);
-                Await.until("nothing is kept", () -> service.on(service.held::held) == 0);
+                Await.until("nothing is kept", () -> service.on(service.held::bufferedBytes) == 0);
                 assertTrue(service.requests.isEmpty(), "what stood behind it goes nowhere");
             }
         }
@@ -328,9 +329,10 @@
                                     throw new UncheckedIOException(e);
                                 }
                             });
-            Await.until("reading ahead", () -> service.on(service.held::held) >= 32 * 1024);
+            Await.until(
+                    "reading ahead", () -> service.on(service.held::bufferedBytes) >= 32 * 1024);
             for (int i = 0; i < 1000; i++) {
-                assertTrue(service.on(service.held::held) <= 128 * 1024, "kept too much");
+                assertTrue(service.on(service.held::bufferedBytes) <= 128 * 1024, "kept too much");
             }
             service.refuse();
             assertTrue(read(caller).startsWith("HTTP/1.1 503"));
@@ -355,7 +357,7 @@
             send(caller, request("1"));
             Await.until("the first is taken", () -> service.requests.size() == 1);
             send(caller, request("2"));
-            Await.until("the second is kept", () -> service.on(service.held::held) > 0);
+            Await.until("the second is kept", () -> service.on(service.held::bufferedBytes) > 0);
             long kept = System.nanoTime();
             Await.until(
                     "a second later", () -> System.nanoTime() - kept > TimeUnit.SECONDS.toNanos(1));
@@ -464,7 +466,7 @@
                                             piece = flow.take()) {
                                         got.writeBytes(piece);
                                     }
-                                    if (flow.atEnd()) {
+                                    if (flow.isAtEnd()) {
                                         whole.complete(got.toString(StandardCharsets.ISO_8859_1));
                                     }
                                 });
--- a/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Cluster.java
@@ -246,7 +246,7 @@
                                     .mapToObj(Cluster::name)
                                     .collect(Collectors.joining(",")),
                             "most",
-                            Integer.toString(policy.tier().of(script.nodes()))));
+                            Integer.toString(policy.maxPerTier().maxOf(script.nodes()))));
         }
         List<Path> logs = new ArrayList<>();
         for (ReplicaProcess replica : replicas) {
@@ -387,7 +387,8 @@
                     step.nodes(),
                     step.replicas(),
                     atOnce(),
-                    bounds().stream().mapToLong(DrainPolicy::pace).max().orElse(0) / 1_000_000);
+                    bounds().stream().mapToLong(DrainPolicy::minWaveInterval).max().orElse(0)
+                            / 1_000_000);
         }
         chronicle.tell(
                 HistoryRecorder.NOBODY,
@@ -403,7 +404,7 @@
     /** As many as the policies of the script let go at once. */
     private int atOnce() {
         return bounds().stream()
-                .mapToInt(policy -> policy.tier().of(script.nodes()))
+                .mapToInt(policy -> policy.maxPerTier().maxOf(script.nodes()))
                 .min()
                 .orElse(1);
     }
--- a/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
+++ b/lab/src/main/java/cedarrudder/lab/command/ModelCommand.java
@@ -108,7 +108,7 @@
         BalancerParameters tuning;
         Policy decides;
         try {
-            tuning = BalancerParametersParser.read(figures);
+            tuning = BalancerParametersParser.parse(figures);
             decides = CheckedRuns.policy(policy, tuning, budgets);
         } catch (IllegalArgumentException e) {
             throw usage(e.getMessage());
--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
@@ -167,7 +167,7 @@
             if (listener == null) {
                 return;
             }
-            if (agreement.leads()) {
+            if (agreement.isLeader()) {
                 List<Long> asked =
                         agreement.voters().all().stream()
                                 .map(
@@ -179,7 +179,7 @@
                                 .toList();
                 reached = Math.max(reached, asked.get(asked.size() / 2));
             }
-            long since = agreement.sureSince();
+            long since = agreement.leaderContactSince();
             if (since != believed && since != Long.MIN_VALUE) {
                 say(
                         "sure",
@@ -255,7 +255,8 @@
                                         target.process,
                                         () -> {
                                             target.heard(this, sentAt, reach, had);
-                                            target.agreement.received(target.own(), number, comes);
+                                            target.agreement.onDatagram(
+                                                    target.own(), number, comes);
                                         });
                             }
                         });
@@ -263,7 +264,7 @@
         }
 
         @Override
-        public void loaded(LogPosition at, byte[] content) {
+        public void apply(LogPosition at, byte[] content) {
             sum = sum * 31 + checksum(content) + at.index();
             if (listener == null) {
                 return;
@@ -288,7 +289,7 @@
         }
 
         @Override
-        public void restored(LogPosition at, byte[] state) {
+        public void restore(LogPosition at, byte[] state) {
             sum = state.length < 8 ? 0 : ByteBuffer.wrap(state).getLong();
             if (at.index() > 0 && listener != null) {
                 say(
@@ -303,13 +304,13 @@
                                 "as",
                                 Long.toString(
                                         agreement == null
-                                                ? store.kept().promise().incarnation()
+                                                ? store.recovered().hardState().incarnation()
                                                 : agreement.incarnation())));
             }
         }
 
         @Override
-        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition at) {
+        public void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition at) {
             settled.add(new Settled(now, proposal, outcome, at));
             if (listener != null) {
                 Map<String, String> fields =
@@ -330,15 +331,15 @@
         }
 
         @Override
-        public void noted(ConsensusEvent note) {
-            if (note instanceof ConsensusEvent.Leads) {
+        public void record(ConsensusEvent note) {
+            if (note instanceof ConsensusEvent.LeaderElected) {
                 leadsSince = now;
             }
             if (listener == null) {
                 return;
             }
             String group = text(note.group());
-            if (note instanceof ConsensusEvent.Voted n) {
+            if (note instanceof ConsensusEvent.VoteGranted n) {
                 say(
                         "voted",
                         Map.of(
@@ -350,7 +351,7 @@
                                 Long.toString(n.by().incarnation()),
                                 "for",
                                 text(n.candidate())));
-            } else if (note instanceof ConsensusEvent.Leads n) {
+            } else if (note instanceof ConsensusEvent.LeaderElected n) {
                 say(
                         "leads",
                         Map.of(
@@ -360,7 +361,7 @@
                                 Long.toString(n.term()),
                                 "as",
                                 Long.toString(n.by().incarnation())));
-            } else if (note instanceof ConsensusEvent.Stored n) {
+            } else if (note instanceof ConsensusEvent.EntryStored n) {
                 Map<String, String> fields =
                         new HashMap<>(
                                 Map.of(
@@ -376,7 +377,7 @@
                     fields.put("voters", text(VoterSet.decode(n.entry().bytes())));
                 }
                 say("stored", fields);
-            } else if (note instanceof ConsensusEvent.Seated n) {
+            } else if (note instanceof ConsensusEvent.VotersChanged n) {
                 say(
                         "seated",
                         Map.of(
@@ -526,7 +527,7 @@
     /** It starts again, in a new life, with its disk where it has one. */
     public void restart(int number) {
         Place place = places.get(number);
-        place.start(incarnations++, place.store, place.store.kept() != null);
+        place.start(incarnations++, place.store, place.store.recovered() != null);
         tellLives();
     }
 
@@ -565,7 +566,7 @@
         for (Place place : places) {
             for (Place other : places) {
                 if (place != other && place.agreement != null) {
-                    place.agreement.lives(
+                    place.agreement.setAlive(
                             other.number,
                             other.agreement != null
                                     && !cut[place.number][other.number]
@@ -580,7 +581,7 @@
     /** An operator has it form a group. */
     public void form(int number) {
         Place place = places.get(number);
-        place.run(place.process, () -> place.agreement.form(place.own()));
+        place.run(place.process, () -> place.agreement.formGroup(place.own()));
     }
 
     /**
@@ -604,7 +605,7 @@
         place.run(
                 place.process,
                 () -> {
-                    made[0] = place.agreement.hand(place.own(), content, patience);
+                    made[0] = place.agreement.forward(place.own(), content, patience);
                     if (made[0] != null) {
                         place.say(
                                 "handed",
@@ -621,19 +622,20 @@
     /** The same is handed on once more. */
     public void again(int number, Proposal proposal, long patience) {
         Place place = places.get(number);
-        place.run(place.process, () -> place.agreement.again(place.own(), proposal, patience));
+        place.run(
+                place.process, () -> place.agreement.forwardAgain(place.own(), proposal, patience));
     }
 
     /** It hands over its lead. */
     public void transfer(int number) {
         Place place = places.get(number);
-        place.run(place.process, () -> place.agreement.transfer(place.own()));
+        place.run(place.process, () -> place.agreement.transferLeadership(place.own()));
     }
 
     /** Gives a replica bytes as if from another. */
     public void inject(int to, int from, byte[] bytes) {
         Place place = places.get(to);
-        place.run(place.process, () -> place.agreement.received(place.own(), from, bytes));
+        place.run(place.process, () -> place.agreement.onDatagram(place.own(), from, bytes));
     }
 
     // ---- what is seen ----
@@ -649,7 +651,7 @@
     /** How old the last sure contact is, on a replica's own clock; -1 where it knows of none. */
     public long contactAge(int number) {
         Place place = places.get(number);
-        long since = place.agreement.sureSince();
+        long since = place.agreement.leaderContactSince();
         return since == Long.MIN_VALUE ? -1 : place.own() - since;
     }
 
@@ -677,7 +679,7 @@
         for (Place place : places) {
             if (place.agreement != null
                     && now >= place.stalledUntil
-                    && place.agreement.leads()
+                    && place.agreement.isLeader()
                     && (found < 0 || newer(place.agreement, places.get(found).agreement))) {
                 found = place.number;
             }
@@ -721,7 +723,8 @@
                 .allMatch(
                         place ->
                                 place.agreement == null
-                                        || place.agreement.loaded().compareTo(number) >= 0);
+                                        || place.agreement.appliedPosition().compareTo(number)
+                                                >= 0);
     }
 
     /** Whether all that run hold the same of the same group. */
@@ -732,7 +735,10 @@
                         place ->
                                 place.sum == running.get(0).sum
                                         && place.agreement
-                                                .loaded()
-                                                .equals(running.get(0).agreement.loaded()));
+                                                .appliedPosition()
+                                                .equals(
+                                                        running.get(0)
+                                                                .agreement
+                                                                .appliedPosition()));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
@@ -175,7 +175,7 @@
     /** All replicas that lead, or think so, take it: only one of them may bring it through. */
     private static void propose(ConsensusSimulation copies, SplittableRandom random) {
         for (int i = 0; i < copies.size(); i++) {
-            if (copies.runs(i) && copies.view(i).leads()) {
+            if (copies.runs(i) && copies.view(i).isLeader()) {
                 byte[] content =
                         new byte[8 + (random.nextInt(8) == 0 ? 2_000 : random.nextInt(200))];
                 random.nextBytes(content);
--- a/lab/src/main/java/cedarrudder/lab/consensus/SimulatedDisk.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/SimulatedDisk.java
@@ -10,14 +10,14 @@
 /** A lasting disk in virtual time: what was written and not synced is lost with the process. */
 public final class SimulatedDisk implements StableStorage {
 
-    private Kept synced;
-    private Promise promise;
+    private Recovered synced;
+    private HardState promise;
     private Snapshot snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
     private final List<LogEntry> entries = new ArrayList<>();
 
     /** The process is gone, and with it what it had not synced. */
     public void crash() {
-        promise = synced == null ? null : synced.promise();
+        promise = synced == null ? null : synced.hardState();
         entries.clear();
         if (synced != null) {
             snapshot = synced.snapshot();
@@ -26,23 +26,23 @@
     }
 
     @Override
-    public Kept kept() {
+    public Recovered recovered() {
         return synced;
     }
 
     @Override
-    public void promise(Promise made) {
+    public void hardState(HardState made) {
         promise = made;
     }
 
     @Override
-    public void entry(long index, LogEntry entry) {
-        cut(index);
+    public void append(long index, LogEntry entry) {
+        truncateFrom(index);
         entries.add(entry);
     }
 
     @Override
-    public void cut(long from) {
+    public void truncateFrom(long from) {
         int keep = (int) Math.max(0, from - snapshot.index() - 1);
         if (keep < entries.size()) {
             entries.subList(keep, entries.size()).clear();
@@ -63,7 +63,7 @@
     @Override
     public void sync() {
         if (promise != null) {
-            synced = new Kept(promise, snapshot, entries);
+            synced = new Recovered(promise, snapshot, entries);
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
@@ -84,7 +84,7 @@
         CoordinatedReplica replica;
         RouteTable table;
         long until;
-        List<RouteTable.Leaving> leaving = List.of();
+        List<RouteTable.DrainingNode> leaving = List.of();
         final List<ProposalOutcome> settled = new ArrayList<>();
         long process;
         long stalledUntil;
@@ -106,7 +106,7 @@
             waiting.clear();
             table = null;
             leaving = List.of();
-            noted("started", Map.of("kept", keeps ? "1" : "0"));
+            record("started", Map.of("kept", keeps ? "1" : "0"));
             replica = maker.make(zones, number, incarnation, on, random.split(), this, own());
             ticksAt = Long.MAX_VALUE;
             wake();
@@ -173,34 +173,37 @@
                             if (!cut[number][to]) {
                                 target.run(
                                         target.process,
-                                        () -> target.replica.received(target.own(), number, comes));
+                                        () ->
+                                                target.replica.onDatagram(
+                                                        target.own(), number, comes));
                             }
                         });
             }
         }
 
         @Override
-        public void table(RouteTable next) {
+        public void onTable(RouteTable next) {
             table = next;
         }
 
         @Override
-        public void until(long instant) {
+        public void onLeaseExtended(long instant) {
             until = instant;
         }
 
         @Override
-        public void leaving(List<RouteTable.Leaving> next) {
+        public void onDrainingNodes(List<RouteTable.DrainingNode> next) {
             leaving = next;
         }
 
         @Override
-        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
+        public void onProposalSettled(
+                Proposal proposal, ProposalOutcome outcome, LogPosition number) {
             settled.add(outcome);
         }
 
         @Override
-        public void noted(String what, Map<String, String> fields) {
+        public void record(String what, Map<String, String> fields) {
             listener.accept(new HistoryEvent(now, number, process, what, fields));
         }
     }
@@ -302,7 +305,7 @@
     /** It starts again, in a new life, with its disk where it has one. */
     public void restart(int number) {
         Place place = places.get(number);
-        place.start(incarnations++, place.store, place.store.kept() != null);
+        place.start(incarnations++, place.store, place.store.recovered() != null);
         tellLives();
     }
 
@@ -343,7 +346,7 @@
         for (Place place : places) {
             for (Place other : places) {
                 if (place != other && place.replica != null) {
-                    place.replica.lives(
+                    place.replica.setAlive(
                             other.number,
                             other.replica != null
                                     && !cut[place.number][other.number]
@@ -356,7 +359,7 @@
     /** An operator has it form a group. */
     public void form(int number) {
         Place place = places.get(number);
-        place.run(place.process, () -> place.replica.form(place.own()));
+        place.run(place.process, () -> place.replica.formGroup(place.own()));
     }
 
     /** An operator asks for something at this replica; false where it does not take it. */
@@ -377,7 +380,7 @@
     /** Gives a replica bytes as if from another. */
     public void inject(int to, int from, byte[] bytes) {
         Place place = places.get(to);
-        place.run(place.process, () -> place.replica.received(place.own(), from, bytes));
+        place.run(place.process, () -> place.replica.onDatagram(place.own(), from, bytes));
     }
 
     // ---- what is seen ----
@@ -405,7 +408,7 @@
     }
 
     /** Nodes that a replica leaves out. */
-    public List<RouteTable.Leaving> leaving(int number) {
+    public List<RouteTable.DrainingNode> leaving(int number) {
         return places.get(number).leaving;
     }
 
--- a/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/PlanReader.java
@@ -203,7 +203,7 @@
                 }
             }
         }
-        return BalancerParametersParser.read(assignments);
+        return BalancerParametersParser.parse(assignments);
     }
 
     /** The budgets of a variant; null where it has none. */
@@ -223,7 +223,7 @@
 
     private static boolean allowed(ConfigTable set, String key, String assignment) {
         try {
-            BalancerParametersParser.read(List.of(assignment));
+            BalancerParametersParser.parse(List.of(assignment));
             return true;
         } catch (IllegalArgumentException e) {
             set.problem(key, assignment, e.getMessage());
--- a/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
@@ -18,7 +18,7 @@
 import cedarrudder.lab.consensus.ConsensusSimulation.Network;
 import cedarrudder.lab.coordination.CoordinationSimulation;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -59,7 +59,8 @@
             Site site) {
         FailoverCoordinator failover =
                 new FailoverCoordinator(settings, Site.NAMES, zoneOf, tally, now);
-        return new Part(new FailoverTraffic(failover), table -> failover.loaded(site.now(), table));
+        return new Part(
+                new FailoverTraffic(failover), table -> failover.onTableLoaded(site.now(), table));
     }
 
     private final Site site;
@@ -169,7 +170,7 @@
         }
 
         @Override
-        public List<Share> plan(long now, TierView tier) {
+        public List<ZoneRoute> plan(long now, TierView tier) {
             return shares.plan(
                     site.now(),
                     new TierView() {
@@ -189,8 +190,8 @@
                         }
 
                         @Override
-                        public boolean lives(int replica) {
-                            return tier.lives(replica);
+                        public boolean isAlive(int replica) {
+                            return tier.isAlive(replica);
                         }
 
                         @Override
@@ -199,15 +200,15 @@
                         }
 
                         @Override
-                        public long leaseOver(int replica) {
-                            return site.now() + tier.leaseOver(replica) - now;
+                        public long isLeaseOver(int replica) {
+                            return site.now() + tier.isLeaseOver(replica) - now;
                         }
                     });
         }
 
         @Override
-        public void leads(long now, boolean leads) {
-            shares.leads(site.now(), leads);
+        public void onLeadership(long now, boolean leads) {
+            shares.onLeadership(site.now(), leads);
         }
     }
 
@@ -299,10 +300,10 @@
     private void apply(SimulatedReplica replica, RouteTable table) {
         Arrays.fill(replica.shares, 0);
         Arrays.fill(replica.bounds, 0);
-        for (Share share : table.shares()) {
+        for (ZoneRoute share : table.routes()) {
             if (share.from() == replica.zone) {
                 replica.shares[share.to()] = share.parts() / (double) RouteTable.WHOLE;
-                replica.bounds[share.to()] = share.perSecond() / (double) Site.REPLICAS;
+                replica.bounds[share.to()] = share.maxPerSecond() / (double) Site.REPLICAS;
             }
         }
     }
--- a/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/FailoverRun.java
@@ -10,7 +10,7 @@
 import cedarrudder.lab.checker.ZoneEvacuation;
 import cedarrudder.lab.checker.ZoneLoad;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Share;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -206,7 +206,7 @@
         last = newest;
     }
 
-    private static List<Share> row(RouteTable table, int zone) {
-        return table.shares().stream().filter(share -> share.from() == zone).toList();
+    private static List<ZoneRoute> row(RouteTable table, int zone) {
+        return table.routes().stream().filter(share -> share.from() == zone).toList();
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
@@ -104,7 +104,7 @@
 
         private void take(int from, byte[] message) {
             if (swim != null && now >= deaf) {
-                swim.received(now, from, message);
+                swim.onDatagram(now, from, message);
                 wake();
             } else if (swim != null) {
                 at(deaf, () -> take(from, message));
--- a/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
@@ -174,7 +174,7 @@
                                 IntStream.range(0, mesh.size())
                                         .allMatch(
                                                 j ->
-                                                        mesh.view(i).member(j).live()
+                                                        mesh.view(i).member(j).isLive()
                                                                 == mesh.runs(j)));
     }
 
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
@@ -95,11 +95,11 @@
         cedarrudder.budget.PropagatedBudget carried =
                 life.budgets == null ? cedarrudder.budget.PropagatedBudget.NOTHING : what.said();
         if (!carried.deadline()) {
-            wait = Math.min(wait, life.budgets.safeWait(what.classIndex()));
+            wait = Math.min(wait, life.budgets.defaultDeadline(what.classIndex()));
         }
         deadline = now + wait - Math.min(MARGIN, wait / 10);
-        if (carried.left() > 0) {
-            deadline = Math.min(deadline, now + carried.left());
+        if (carried.remainingNanos() > 0) {
+            deadline = Math.min(deadline, now + carried.remainingNanos());
         }
         Request request =
                 new Request(
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -69,7 +69,7 @@
                 broken(
                         new SafetyRules() {
                             @Override
-                            boolean once(boolean isNew) {
+                            boolean mayTakeEffect(boolean isNew) {
                                 return true;
                             }
                         },
@@ -87,7 +87,7 @@
                 broken(
                         new SafetyRules() {
                             @Override
-                            long countsFrom(long askedAt, long answeredAt) {
+                            long contactCountsFrom(long askedAt, long answeredAt) {
                                 return answeredAt;
                             }
                         },
@@ -104,7 +104,7 @@
                 handedOnForMinutes(
                         new SafetyRules() {
                             @Override
-                            long lengthened(long nanos) {
+                            long withClockDrift(long nanos) {
                                 return nanos;
                             }
                         }),
@@ -139,7 +139,7 @@
                 !staysAfterForgeries(
                         new SafetyRules() {
                             @Override
-                            boolean believes(boolean answered) {
+                            boolean acceptsRaise(boolean answered) {
                                 return true;
                             }
                         }));
@@ -153,7 +153,7 @@
             RaftMessage message =
                     i % 2 == 0
                             ? new RaftMessage.Digest(9, 9, 9, 1, 0, 0, i)
-                            : new RaftMessage.Sure(i, 0, 9);
+                            : new RaftMessage.DigestResponse(i, 0, 9);
             VoterGroup other = new VoterGroup(group.era() + i % 3, 1, incarnation);
             copies.inject(
                     0,
@@ -194,21 +194,21 @@
     static StableStorage pretending(VoterGroup group, Voter voter, VoterSet voters) {
         return new StableStorage() {
             @Override
-            public Kept kept() {
-                return new Kept(
-                        new Promise(group, voter.incarnation(), 1, null, true),
-                        new Snapshot(1, 1, voters, new AppliedProposals().with(new byte[8])),
+            public Recovered recovered() {
+                return new Recovered(
+                        new HardState(group, voter.incarnation(), 1, null, true),
+                        new Snapshot(1, 1, voters, new AppliedProposals().encodeWith(new byte[8])),
                         List.of());
             }
 
             @Override
-            public void promise(Promise promise) {}
+            public void hardState(HardState promise) {}
 
             @Override
-            public void entry(long index, LogEntry entry) {}
+            public void append(long index, LogEntry entry) {}
 
             @Override
-            public void cut(long from) {}
+            public void truncateFrom(long from) {}
 
             @Override
             public void snapshot(Snapshot snapshot) {}
@@ -224,12 +224,12 @@
                 broken(
                         new SafetyRules() {
                             @Override
-                            boolean same(MessageFragment held, MessageFragment other) {
+                            boolean isSameMessage(MessageFragment held, MessageFragment other) {
                                 return held.count() == other.count();
                             }
 
                             @Override
-                            boolean intact(MessageFragment held, byte[] message) {
+                            boolean isIntact(MessageFragment held, byte[] message) {
                                 return true;
                             }
                         },
@@ -244,7 +244,7 @@
                 broken(
                         new SafetyRules() {
                             @Override
-                            VoterGroup next(VoterGroup known, Voter founder) {
+                            VoterGroup nextGroup(VoterGroup known, Voter founder) {
                                 return new VoterGroup(known.era() + 1, 0, 0);
                             }
                         },
@@ -265,7 +265,7 @@
                 figureEight(
                         new SafetyRules() {
                             @Override
-                            boolean counts(long entryTerm, long term) {
+                            boolean countsVote(long entryTerm, long term) {
                                 return true;
                             }
                         });
@@ -301,8 +301,8 @@
             copies.play(MILLI);
         }
         int leads = copies.leader();
-        long loaded = copies.view(leads).loaded().index();
-        for (int i = 0; i < 1_000 && copies.view(leads).loaded().index() == loaded; i++) {
+        long loaded = copies.view(leads).appliedPosition().index();
+        for (int i = 0; i < 1_000 && copies.view(leads).appliedPosition().index() == loaded; i++) {
             copies.play(MILLI);
         }
         apart(copies, first, second);
@@ -339,7 +339,7 @@
                 termsOfACutOffVoter(
                         new SafetyRules() {
                             @Override
-                            boolean asksFirst() {
+                            boolean requiresPreVote() {
                                 return false;
                             }
                         });
@@ -368,7 +368,7 @@
                 !commitsPastADeafLeader(
                         new SafetyRules() {
                             @Override
-                            boolean lapsed(long sinceMajority, long max) {
+                            boolean hasLostQuorum(long sinceMajority, long max) {
                                 return false;
                             }
                         }));
@@ -383,7 +383,7 @@
         copies.play(4 * SECOND);
         return IntStream.range(0, 5)
                 .filter(i -> i != deaf)
-                .allMatch(i -> copies.view(i).loaded().compareTo(number) >= 0);
+                .allMatch(i -> copies.view(i).appliedPosition().compareTo(number) >= 0);
     }
 
     private static ConsensusSimulation started(
--- a/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -206,7 +206,8 @@
             int from = (leader + 1 + i % 39) % 40;
             RaftNode view = copies.view(from);
             RaftMessage hand =
-                    new RaftMessage.Hand(new Proposal(from, 1, i, view.loaded(), new byte[20]));
+                    new RaftMessage.ForwardProposal(
+                            new Proposal(from, 1, i, view.appliedPosition(), new byte[20]));
             copies.inject(
                     leader,
                     from,
@@ -222,7 +223,7 @@
                                     hand.encode())
                             .encode());
         }
-        assertTrue(copies.view(leader).leads());
+        assertTrue(copies.view(leader).isLeader());
         assertEquals(
                 events.subList(before, events.size()).stream()
                         .filter(event -> event.what().equals("stored"))
--- a/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
@@ -107,13 +107,13 @@
         copies.play(4 * SECOND);
         int other = copies.leader();
         assertNotEquals(other, stalled);
-        assertTrue(copies.view(stalled).leads(), "it believes that it leads");
+        assertTrue(copies.view(stalled).isLeader(), "it believes that it leads");
         LogPosition number = commit(copies);
         copies.play(100 * MILLI);
         assertEquals(copies.leader(), other);
-        assertFalse(copies.view(stalled).leads());
+        assertFalse(copies.view(stalled).isLeader());
         assertTrue(copies.view(other).term() > term);
-        assertEquals(copies.view(stalled).loaded(), number);
+        assertEquals(copies.view(stalled).appliedPosition(), number);
     }
 
     @Test
@@ -125,11 +125,11 @@
         copies.kill(voter);
         copies.restart(voter);
         copies.play(8 * SECOND);
-        assertFalse(copies.view(leader).voters().has(new Voter(voter, before)));
+        assertFalse(copies.view(leader).voters().contains(new Voter(voter, before)));
         assertTrue(
                 copies.view(leader)
                         .voters()
-                        .has(new Voter(voter, copies.view(voter).incarnation())));
+                        .contains(new Voter(voter, copies.view(voter).incarnation())));
     }
 
     @Test
@@ -338,7 +338,7 @@
         for (int i = 0; i < 10_000 && copies.view(founder).group().era() == era; i++) {
             copies.play(MILLI / 10);
         }
-        assertEquals(copies.view(founder).loaded().index(), 0);
+        assertEquals(copies.view(founder).appliedPosition().index(), 0);
         copies.form(founder);
         copies.play(8 * SECOND);
         copies.heal();
--- a/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
@@ -73,8 +73,8 @@
         }
 
         @Override
-        public void loaded(LogPosition number, byte[] content) {
-            to.loaded(number, content);
+        public void apply(LogPosition number, byte[] content) {
+            to.apply(number, content);
         }
 
         @Override
@@ -83,23 +83,24 @@
         }
 
         @Override
-        public void restored(LogPosition number, byte[] state) {
-            to.restored(number, state);
+        public void restore(LogPosition number, byte[] state) {
+            to.restore(number, state);
         }
 
         @Override
-        public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
-            to.settled(proposal, outcome, number);
+        public void onProposalSettled(
+                Proposal proposal, ProposalOutcome outcome, LogPosition number) {
+            to.onProposalSettled(proposal, outcome, number);
         }
 
         @Override
-        public void noted(ConsensusEvent note) {
+        public void record(ConsensusEvent note) {
             kinds +=
-                    note instanceof ConsensusEvent.Stored stored
+                    note instanceof ConsensusEvent.EntryStored stored
                                     && stored.entry().kind() == LogEntry.Kind.VOTERS
                             ? 1
                             : 0;
-            to.noted(note);
+            to.record(note);
         }
     }
 
--- a/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
@@ -21,8 +21,8 @@
 import cedarrudder.lab.checker.SingleTable;
 import cedarrudder.lab.consensus.ConsensusSimulation.Network;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Share;
 import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -67,12 +67,12 @@
         public void reported(long now, int from, byte[] part) {}
 
         @Override
-        public List<Share> plan(long now, TierView tier) {
-            return List.of(new Share(0, 1, Way.SPILLED, parts, 0));
+        public List<ZoneRoute> plan(long now, TierView tier) {
+            return List.of(new ZoneRoute(0, 1, Way.SPILLED, parts, 0));
         }
 
         @Override
-        public void leads(long now, boolean leads) {}
+        public void onLeadership(long now, boolean leads) {}
     }
 
     private CoordinatedReplica make(
@@ -117,7 +117,7 @@
     }
 
     private static int parts(RouteTable table) {
-        return table.shares().get(0).parts();
+        return table.routes().get(0).parts();
     }
 
     private static int other(CoordinationSimulation world) {
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -14,8 +14,8 @@
 import cedarrudder.lab.checker.Violation;
 import cedarrudder.lab.failover.FailoverRun.Conditions;
 import cedarrudder.lab.failover.FailoverRun.Result;
-import cedarrudder.routetable.RouteTable.Share;
 import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -57,8 +57,8 @@
         @Override
         public void reported(long now, int from, byte[] part) {
             ZoneObservations evidence = ZoneObservations.decode(part);
-            assessment.heard(now, evidence);
-            evidence.seen().stream()
+            assessment.onObservations(now, evidence);
+            evidence.observations().stream()
                     .filter(
                             seen ->
                                     seen.zone() == evidence.zone()
@@ -68,19 +68,20 @@
         }
 
         @Override
-        public List<Share> plan(long now, TierView tier) {
-            ZoneHealthSnapshot picture = assessment.picture(now);
-            List<Share> shares = new ArrayList<>();
+        public List<ZoneRoute> plan(long now, TierView tier) {
+            ZoneHealthSnapshot picture = assessment.snapshot(now);
+            List<ZoneRoute> shares = new ArrayList<>();
             for (int zone = 0; zone < Site.ZONES; zone++) {
                 ZoneHealthSnapshot.Zone seen = picture.zones().get(zone);
                 boolean left =
                         oneWord
                                 ? accused.contains(zone)
-                                : seen.fresh() > 0 && seen.state() == ZoneHealthSnapshot.State.LOST;
+                                : seen.fresh() > 0
+                                        && seen.state() == ZoneHealthSnapshot.ZoneState.LOST;
                 if (!left) {
                     for (int to = 0; to < Site.ZONES; to++) {
                         shares.add(
-                                new Share(
+                                new ZoneRoute(
                                         zone,
                                         to,
                                         to == zone ? Way.NEAR : Way.SPILLED,
@@ -88,12 +89,12 @@
                                         0));
                     }
                 } else if (capped) {
-                    shares.add(new Share(zone, (zone + 1) % Site.ZONES, Way.MOVED, 5_000, 0));
-                    shares.add(new Share(zone, (zone + 2) % Site.ZONES, Way.MOVED, 4_900, 0));
-                    shares.add(new Share(zone, zone, Way.NEAR, 100, 0));
+                    shares.add(new ZoneRoute(zone, (zone + 1) % Site.ZONES, Way.MOVED, 5_000, 0));
+                    shares.add(new ZoneRoute(zone, (zone + 2) % Site.ZONES, Way.MOVED, 4_900, 0));
+                    shares.add(new ZoneRoute(zone, zone, Way.NEAR, 100, 0));
                 } else {
-                    shares.add(new Share(zone, (zone + 1) % Site.ZONES, Way.MOVED, 9_900, 0));
-                    shares.add(new Share(zone, zone, Way.NEAR, 100, 0));
+                    shares.add(new ZoneRoute(zone, (zone + 1) % Site.ZONES, Way.MOVED, 9_900, 0));
+                    shares.add(new ZoneRoute(zone, zone, Way.NEAR, 100, 0));
                 }
             }
             accused.clear();
@@ -101,7 +102,7 @@
         }
 
         @Override
-        public void leads(long now, boolean leads) {}
+        public void onLeadership(long now, boolean leads) {}
     }
 
     private static Result broken(World world, boolean oneWord, boolean capped) {
--- a/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
@@ -30,7 +30,7 @@
     private static boolean allAgree(SwimSimulation mesh, int about, boolean live) {
         return IntStream.range(0, mesh.size())
                 .filter(i -> i != about && mesh.runs(i))
-                .allMatch(i -> mesh.view(i).member(about).live() == live);
+                .allMatch(i -> mesh.view(i).member(about).isLive() == live);
     }
 
     private static List<SwimSimulation.Change> deaths(SwimSimulation mesh) {
@@ -101,9 +101,9 @@
         mesh.kill(9);
         mesh.restart(9, 50);
         mesh.play(20 * SECOND);
-        assertFalse(mesh.view(9).member(1).live());
-        assertFalse(mesh.view(9).member(2).live());
-        assertEquals(mesh.view(9).live(), 18);
+        assertFalse(mesh.view(9).member(1).isLive());
+        assertFalse(mesh.view(9).member(2).isLive());
+        assertEquals(mesh.view(9).liveCount(), 18);
     }
 
     @Test
@@ -113,12 +113,12 @@
         mesh.cut(i -> i < 10);
         mesh.play(60 * SECOND);
         for (int i = 0; i < 20; i++) {
-            assertEquals(mesh.view(i).live(), 10, "seen by " + i);
+            assertEquals(mesh.view(i).liveCount(), 10, "seen by " + i);
         }
         mesh.heal();
         mesh.play(60 * SECOND);
         for (int i = 0; i < 20; i++) {
-            assertEquals(mesh.view(i).live(), 20, "seen by " + i);
+            assertEquals(mesh.view(i).liveCount(), 20, "seen by " + i);
         }
     }
 
@@ -141,7 +141,7 @@
                 deaths(mesh).stream().noneMatch(c -> c.now().number() >= 4),
                 deaths(mesh).toString());
         for (int i = 0; i < 40; i++) {
-            assertEquals(mesh.view(i).live(), 40, "seen by " + i);
+            assertEquals(mesh.view(i).liveCount(), 40, "seen by " + i);
         }
     }
 
