--- a/core/src/main/java/cedarrudder/balancer/AdmissionControl.java
+++ b/core/src/main/java/cedarrudder/balancer/AdmissionControl.java
@@ -189,7 +189,7 @@
         ZoneTrafficSplit split =
                 zoneSplit != null
                         ? zoneSplit
-                        : new ZoneTrafficSplit(settings.zone(), RouteTable.WHOLE, random);
+                        : new ZoneTrafficSplit(settings.zone(), RouteTable.TOTAL_WEIGHT, random);
         split.update(
                 shares.stream()
                         .map(
--- a/core/src/main/java/cedarrudder/balancer/EndpointSubset.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointSubset.java
@@ -134,7 +134,7 @@
     }
 
     private int sizeFor(ZoneTrafficShare share) {
-        double part = (double) share.parts() / RouteTable.WHOLE;
+        double part = (double) share.parts() / RouteTable.TOTAL_WEIGHT;
         return (int) Math.ceil(targetSize * (part + (1 - part) / OWN_PER_OTHER_ZONE));
     }
 
--- a/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -297,7 +297,7 @@
      * What one zone may get of a replica's requests, by the route table that replicas agree on.
      *
      * @param zone as the endpoint list numbers it
-     * @param parts this many of {@link RouteTable#WHOLE}; from 1
+     * @param parts this many of {@link RouteTable#TOTAL_WEIGHT}; from 1
      * @param maxPerSecond it gets no more requests a second from this replica; 0: no bound
      */
     record ZoneTrafficShare(int zone, int parts, int maxPerSecond) {
@@ -309,7 +309,7 @@
          */
         public ZoneTrafficShare {
             check("zone", zone, 0, RouteTable.MAX_ZONES - 1);
-            check("parts", parts, 1, RouteTable.WHOLE);
+            check("parts", parts, 1, RouteTable.TOTAL_WEIGHT);
             check("perSecond", maxPerSecond, 0, Integer.MAX_VALUE);
         }
 
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -25,9 +25,9 @@
  * majority lost its state stops until a new one is formed.
  *
  * <p>It has no clock, no socket and no thread. It is fed datagrams and the time, which never goes
- * back, and says by {@link #due} when it wants the time next. Not thread-safe: from one thread at a
- * time, and its actions must not call it. Whatever it sends leaves at the end of an event, after
- * all that it says is in the storage.
+ * back, and says by {@link #nextTickAt} when it wants the time next. Not thread-safe: from one
+ * thread at a time, and its actions must not call it. Whatever it sends leaves at the end of an
+ * event, after all that it says is in the storage.
  */
 public final class RaftNode {
 
@@ -314,7 +314,7 @@
     // ---- time
 
     /** When {@link #tick} is to be called next; it does no harm to call it sooner or later. */
-    public long due() {
+    public long nextTickAt() {
         long due = Math.min(Math.min(election.due(), dissemination.due()), fragmenter.due());
         if (election.isLeader()) {
             due = Math.min(due, replication.due());
--- a/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
@@ -10,15 +10,16 @@
 public interface DrainCoordination {
 
     /**
-     * What this replica still has at the nodes that leave; as {@link TrafficCoordination#report}.
+     * What this replica still has at the nodes that leave; as {@link
+     * TrafficCoordination#reportParts}.
      */
-    List<byte[]> report(long now);
+    List<byte[]> reportParts(long now);
 
     /**
      * At the replica that leads: a part of what another still has, or it itself. It may be no such
      * part.
      */
-    void reported(long now, int from, byte[] part);
+    void onReportPart(long now, int from, byte[] part);
 
     /**
      * At the replica that leads, each period: a command that is due by what was reported, or null.
@@ -31,7 +32,7 @@
     void onLeadership(long now, boolean leads);
 
     /** A command is committed; it may be none, which changes nothing. */
-    void apply(long now, byte[] command);
+    void setPolicies(long now, byte[] command);
 
     /** The nodes being removed now, by the state. */
     List<RouteTable.DrainingNode> drainingNodes();
@@ -40,18 +41,18 @@
     byte[] state();
 
     /** This state takes the place of the one that is; empty is that before the first command. */
-    void restored(long now, byte[] state);
+    void restore(long now, byte[] state);
 
     /** No node is removed. */
     DrainCoordination NONE =
             new DrainCoordination() {
                 @Override
-                public List<byte[]> report(long now) {
+                public List<byte[]> reportParts(long now) {
                     return List.of();
                 }
 
                 @Override
-                public void reported(long now, int from, byte[] part) {}
+                public void onReportPart(long now, int from, byte[] part) {}
 
                 @Override
                 public byte[] nextCommand(long now, TierView tier) {
@@ -62,7 +63,7 @@
                 public void onLeadership(long now, boolean leads) {}
 
                 @Override
-                public void apply(long now, byte[] command) {}
+                public void setPolicies(long now, byte[] command) {}
 
                 @Override
                 public List<RouteTable.DrainingNode> drainingNodes() {
@@ -75,6 +76,6 @@
                 }
 
                 @Override
-                public void restored(long now, byte[] state) {}
+                public void restore(long now, byte[] state) {}
             };
 }
--- a/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
+++ b/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
@@ -14,19 +14,19 @@
     }
 
     @Override
-    public List<byte[]> report(long now) {
-        List<byte[]> parts = failover.report(now, CoordinatedReplica.MAX_PART);
+    public List<byte[]> reportParts(long now) {
+        List<byte[]> parts = failover.report(now, CoordinatedReplica.MAX_PART_BYTES);
         return parts.subList(0, Math.min(CoordinatedReplica.MAX_PARTS, parts.size()));
     }
 
     @Override
-    public void reported(long now, int from, byte[] part) {
+    public void onReportPart(long now, int from, byte[] part) {
         failover.onReport(now, from, part);
     }
 
     @Override
     public List<RouteTable.ZoneRoute> plan(long now, TierView tier) {
-        return failover.plan(now, tier.agreed(), tier::isLeaseOver);
+        return failover.plan(now, tier.agreed(), tier::leaseEndsAt);
     }
 
     @Override
--- a/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
@@ -15,12 +15,9 @@
 import java.util.stream.Collectors;
 import java.util.zip.CRC32C;
 
-/** What a replica says of itself in a history, in the words that a judge reads. */
+/** Writes the events of a replica as {@link HistoryEntry}s, in the words that checkers read. */
 final class HistoryEventText {
 
-    /** Something that happened, and what else is known of it. */
-    record HistoryEntry(String what, Map<String, String> fields) {}
-
     private HistoryEventText() {}
 
     static HistoryEntry of(ConsensusEvent note) {
@@ -128,9 +125,9 @@
                 + ">"
                 + share.to()
                 + ":"
-                + share.way().name().toLowerCase(Locale.ROOT)
+                + share.reason().name().toLowerCase(Locale.ROOT)
                 + ":"
-                + share.parts()
+                + share.weight()
                 + ":"
                 + share.maxPerSecond();
     }
--- /dev/null
+++ b/core/src/main/java/cedarrudder/coordination/LeaderPlanner.java
@@ -0,0 +1,168 @@
+package cedarrudder.coordination;
+
+import cedarrudder.consensus.LogPosition;
+import cedarrudder.consensus.RaftNode;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.footprint.RouteTableCapacity;
+import cedarrudder.footprint.RouteTableFootprint;
+import cedarrudder.routetable.RouteTable;
+import cedarrudder.routetable.RouteTableDelta;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Supplier;
+
+/**
+ * What the leader proposes, once a period: the next command of {@link DrainCoordination} where one
+ * is due, otherwise a route table where the planned one differs from the agreed one. One proposal
+ * is open at a time.
+ */
+final class LeaderPlanner {
+
+    /** The largest table that an entry of the log can hold. */
+    private static final RouteTableCapacity LOG_CAPACITY =
+            new RouteTableCapacity(
+                    RaftNode.MAX_CONTENT - LogContent.HEADER_BYTES,
+                    RouteTable.MAX_DRAINING,
+                    Integer.MAX_VALUE);
+
+    /** A proposal that is not applied after this many periods is taken for lost. */
+    private static final int PROPOSAL_TIMEOUT_PERIODS = 10;
+
+    private final ReplicaContext context;
+    private final CoordinationSettings settings;
+    private final TrafficCoordination trafficCoordination;
+    private final DrainCoordination drainCoordination;
+    private final ActiveTable activeTable;
+    private final ReportCollector reports;
+    private final TierView tier;
+    private final Supplier<RouteTableCapacity> capacity;
+
+    private long nextPlanAt;
+    private LogPosition openProposal;
+    private long proposedAt;
+    private RouteTable heldBack;
+
+    LeaderPlanner(
+            ReplicaContext context,
+            CoordinationSettings settings,
+            TrafficCoordination trafficCoordination,
+            DrainCoordination drainCoordination,
+            ActiveTable activeTable,
+            ReportCollector reports,
+            TierView tier,
+            Supplier<RouteTableCapacity> capacity) {
+        this.context = context;
+        this.settings = settings;
+        this.trafficCoordination = trafficCoordination;
+        this.drainCoordination = drainCoordination;
+        this.activeTable = activeTable;
+        this.reports = reports;
+        this.tier = tier;
+        this.capacity = capacity;
+    }
+
+    /** When the next plan is due. */
+    long nextPlanAt() {
+        return nextPlanAt;
+    }
+
+    /**
+     * This replica became the leader, or ceased to be it: nothing is open, and it plans at once.
+     */
+    void onLeadershipChanged(long now) {
+        nextPlanAt = now;
+        openProposal = null;
+    }
+
+    /** Proposes what is due, where a period has passed. */
+    void tick(long now) {
+        if (now < nextPlanAt) {
+            return;
+        }
+        nextPlanAt = now + settings.period();
+        if (context.hasCommittedInTerm() && !isProposalOpen(now)) {
+            plan(now);
+        }
+    }
+
+    private boolean isProposalOpen(long now) {
+        return openProposal != null
+                && context.raft().appliedPosition().compareTo(openProposal) < 0
+                && now - proposedAt < PROPOSAL_TIMEOUT_PERIODS * settings.period();
+    }
+
+    private void plan(long now) {
+        openProposal = null;
+        byte[] command = drainCoordination.nextCommand(now, tier);
+        if (command != null) {
+            propose(now, new LogContent.DrainUpdate(command));
+            return;
+        }
+        RouteTable table = nextTable(now);
+        if (!isSameAsAgreed(table) && fitsEverywhere(now, table)) {
+            propose(now, new LogContent.TableUpdate(table));
+        }
+    }
+
+    private void propose(long now, LogContent content) {
+        openProposal = context.raft().propose(now, content.encode());
+        proposedAt = now;
+    }
+
+    private RouteTable nextTable(long now) {
+        VoterGroup group = context.raft().group();
+        return new RouteTable(
+                nextNumber(group),
+                TableNumbering.groupNumber(group),
+                context.raft().term(),
+                settings.lease(),
+                trafficCoordination.plan(now, tier),
+                drainCoordination.drainingNodes(),
+                List.of());
+    }
+
+    private long nextNumber(VoterGroup group) {
+        long highest = Math.max(activeTable.highestNumber(), reports.highestTable());
+        highest = Math.max(highest, activeTable.agreedNumber());
+        return Math.max(highest, TableNumbering.base(group)) + 1;
+    }
+
+    private boolean isSameAsAgreed(RouteTable table) {
+        RouteTable agreed = activeTable.agreed();
+        return agreed != null
+                && agreed.group() == table.group()
+                && agreed.lease() == table.lease()
+                && RouteTableDelta.between(agreed, table).isEmpty();
+    }
+
+    /** Whether the log, and each live replica that reported lately, has room for a table. */
+    private boolean fitsEverywhere(long now, RouteTable table) {
+        Map<Integer, RouteTableCapacity> capacities = liveCapacities(now);
+        Integer limitedBy = RouteTableCapacity.limitingReplica(table, capacities);
+        if (limitedBy == null) {
+            heldBack = null;
+        } else if (heldBack == null || !RouteTableDelta.between(heldBack, table).isEmpty()) {
+            heldBack = table;
+            context.record(
+                    HistoryEventText.heldBack(
+                            limitedBy,
+                            RouteTableFootprint.bytes(table),
+                            table.draining().size(),
+                            capacities.get(limitedBy)));
+        }
+        return limitedBy == null;
+    }
+
+    private Map<Integer, RouteTableCapacity> liveCapacities(long now) {
+        Map<Integer, RouteTableCapacity> capacities = new HashMap<>();
+        for (int replica = 0; replica < tier.replicas(); replica++) {
+            if (replica == context.self()) {
+                capacities.put(replica, capacity.get().min(LOG_CAPACITY));
+            } else if (tier.isAlive(replica) && reports.hasReportedLately(replica, now)) {
+                capacities.put(replica, reports.capacity(replica));
+            }
+        }
+        return capacities;
+    }
+}
--- a/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
@@ -5,39 +5,46 @@
 import java.nio.ByteBuffer;
 
 /**
- * All that replicas have agreed on, as bytes: the length of the table (4), the table, and the state
- * of the removal. No bytes at all are what there is before the first entry.
+ * Everything that the replicas have agreed on. As bytes it is the length of the route table (4),
+ * the table, and the state of draining; before the first entry it is no bytes at all.
  *
  * @param table null before the first
+ * @param drainState as {@link DrainCoordination#state} writes it
  */
 record ReplicatedState(RouteTable table, byte[] drainState) {
+    private static final byte[] NO_BYTES = {};
 
+    /** The state before the first entry. */
+    static final ReplicatedState EMPTY = new ReplicatedState(null, NO_BYTES);
+
+    /** The bytes of this state. */
     byte[] encode() {
-        byte[] head = table == null ? new byte[0] : RouteTableCodec.encode(table);
-        if (head.length + drainState.length == 0) {
-            return new byte[0];
+        byte[] tableBytes = table == null ? NO_BYTES : RouteTableCodec.encode(table);
+        if (tableBytes.length + drainState.length == 0) {
+            return NO_BYTES;
         }
-        return ByteBuffer.allocate(Integer.BYTES + head.length + drainState.length)
-                .putInt(head.length)
-                .put(head)
+        return ByteBuffer.allocate(Integer.BYTES + tableBytes.length + drainState.length)
+                .putInt(tableBytes.length)
+                .put(tableBytes)
                 .put(drainState)
                 .array();
     }
 
-    /** Reads it; null where the bytes are none. */
+    /** Reads a state; null where the bytes are none. */
     static ReplicatedState decode(byte[] bytes) {
         if (bytes.length == 0) {
-            return new ReplicatedState(null, bytes);
+            return EMPTY;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         int length = bytes.length < Integer.BYTES ? -1 : in.getInt();
         if (length < 0 || length > in.remaining()) {
             return null;
         }
-        byte[] head = new byte[length];
-        byte[] removal = new byte[in.remaining() - length];
-        in.get(head).get(removal);
-        RouteTable table = length == 0 ? null : RouteTableCodec.decode(head).table();
-        return length > 0 && table == null ? null : new ReplicatedState(table, removal);
+        byte[] tableBytes = new byte[length];
+        byte[] drainState = new byte[in.remaining() - length];
+        in.get(tableBytes).get(drainState);
+        RouteTable table = length == 0 ? null : RouteTableCodec.decode(tableBytes).table();
+        boolean readable = length == 0 || table != null;
+        return readable ? new ReplicatedState(table, drainState) : null;
     }
 }
--- a/core/src/main/java/cedarrudder/coordination/ReportCollector.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportCollector.java
@@ -5,127 +5,147 @@
 import cedarrudder.footprint.RouteTableCapacity;
 import java.util.Arrays;
 
-/**
- * What the replica that leads knows of the replicas that report to it, and when a majority was with
- * it.
- */
+/** What the leader knows of the replicas that report to it. */
 final class ReportCollector {
 
     /**
-     * One replica is answered so often a period at most. This avoids work without end for a flood.
+     * How often one replica is answered in the time between two of its reports, at most. This
+     * bounds the work that a flood of reports can cause.
      */
     private static final int MAX_ANSWERS = 8;
 
+    /** A replica that was silent for this many reports no longer counts as reporting. */
+    private static final int MAX_SILENT_REPORTS = 4;
+
+    /** So long ago that it precedes every instant of a clock that starts at any value. */
+    private static final long FOREVER = Long.MAX_VALUE / 4;
+
+    private final long interval;
     private final long[] incarnations;
-    private final long[] numbers;
-    private final long[] quorumWith;
-    private final long[] heardAt;
+    private final long[] reportNumbers;
+    private final long[] lastGrantAt;
+    private final long[] reportedAt;
     private final long[] grantedAt;
     private final long[] answeredAt;
     private final RouteTableCapacity[] capacities;
-    private long highest;
+    private long highestTable;
 
-    ReportCollector(int replicas, long now) {
+    /**
+     * Knows of no report.
+     *
+     * @param interval between two reports of one replica, in nanoseconds
+     */
+    ReportCollector(int replicas, long interval, long now) {
+        this.interval = interval;
         incarnations = new long[replicas];
-        numbers = new long[replicas];
-        quorumWith = new long[replicas];
-        heardAt = new long[replicas];
+        reportNumbers = new long[replicas];
+        lastGrantAt = new long[replicas];
+        reportedAt = new long[replicas];
         grantedAt = new long[replicas];
         answeredAt = new long[replicas];
         capacities = new RouteTableCapacity[replicas];
-        begin(now);
+        reset(now);
     }
 
-    /** This replica leads from here on: what it knew before is of another term. */
-    void begin(long now) {
-        long never = now - Long.MAX_VALUE / 4;
+    /**
+     * Forgets everything: a leader's term begins. Leases that a former leader granted may run from
+     * now at the latest.
+     */
+    void reset(long now) {
+        long never = now - FOREVER;
         Arrays.fill(incarnations, 0);
-        Arrays.fill(numbers, 0);
-        Arrays.fill(quorumWith, never);
-        Arrays.fill(heardAt, never);
+        Arrays.fill(reportNumbers, 0);
+        Arrays.fill(lastGrantAt, never);
+        Arrays.fill(reportedAt, never);
         Arrays.fill(grantedAt, now);
         Arrays.fill(answeredAt, never);
         Arrays.fill(capacities, null);
-        highest = 0;
+        highestTable = 0;
     }
 
-    /** Takes a report; false where it is an old one. */
+    /**
+     * Takes a report.
+     *
+     * @param inTerm whether its sender is in this leader's group and term
+     * @return false where it is outdated, so that nothing of it is taken
+     */
     boolean onReport(
-            long now, int from, long incarnation, ReportMessage.Report report, boolean inOurTerm) {
-        if (incarnation < incarnations[from]
-                || incarnation == incarnations[from] && report.number() <= numbers[from]) {
+            long now, int from, long incarnation, ReportMessage.Report report, boolean inTerm) {
+        if (isOutdated(from, incarnation, report.number())) {
             return false;
         }
         if (incarnation > incarnations[from]) {
-            quorumWith[from] = now - Long.MAX_VALUE / 4;
+            lastGrantAt[from] = now - FOREVER;
         }
         incarnations[from] = incarnation;
-        numbers[from] = report.number();
-        heardAt[from] = now;
-        capacities[from] = report.room();
-        highest = Math.max(highest, report.highest());
-        if (inOurTerm && report.heardAt() != ReportMessage.NEVER && report.heardAt() <= now) {
-            quorumWith[from] = Math.max(quorumWith[from], report.heardAt());
+        reportNumbers[from] = report.number();
+        reportedAt[from] = now;
+        capacities[from] = report.capacity();
+        highestTable = Math.max(highestTable, report.highestTable());
+        long repeated = report.lastGrantAt();
+        if (inTerm && repeated != ReportMessage.NEVER && repeated <= now) {
+            lastGrantAt[from] = Math.max(lastGrantAt[from], repeated);
         }
         return true;
     }
 
-    /** Whether one that asks gets an answer now. */
-    boolean answers(long now, int to, long period) {
-        if (now - answeredAt[to] < period / MAX_ANSWERS) {
+    private boolean isOutdated(int from, long incarnation, long reportNumber) {
+        return incarnation < incarnations[from]
+                || incarnation == incarnations[from] && reportNumber <= reportNumbers[from];
+    }
+
+    /** Whether a replica that wants a grant gets one now. */
+    boolean mayAnswer(long now, int to) {
+        if (now - answeredAt[to] < interval / MAX_ANSWERS) {
             return false;
         }
         answeredAt[to] = now;
         return true;
     }
 
-    /** The highest number of a report of the life that was heard of last. */
-    long last(int from) {
-        return numbers[from];
+    /** The highest number of a report of the latest incarnation. */
+    long lastNumber(int from) {
+        return reportNumbers[from];
     }
 
-    /** It was told that its table holds. */
-    void granted(long now, int to) {
+    /** A replica is told that its table holds. */
+    void onGranted(long now, int to) {
         grantedAt[to] = now;
     }
 
-    /** After that it can have no lease that it got here or of a leader before. */
+    /** Since then the replica has been given no lease, by this leader or a former one. */
     long grantedAt(int replica) {
         return grantedAt[replica];
     }
 
-    /**
-     * When a majority of the voters was last known to be in the term of this one, on this one's
-     * clock.
-     */
-    long majorityAt(long now, Voter self, VoterSet voters) {
-        long[] all =
+    /** When a quorum of the voters was last known to be in this leader's term, on its clock. */
+    long lastQuorumContact(long now, Voter self, VoterSet voters) {
+        long[] contacts =
                 voters.all().stream()
-                        .mapToLong(
-                                voter ->
-                                        voter.equals(self)
-                                                ? now
-                                                : incarnations[voter.replica()]
-                                                                == voter.incarnation()
-                                                        ? quorumWith[voter.replica()]
-                                                        : now - Long.MAX_VALUE / 4)
+                        .mapToLong(voter -> voter.equals(self) ? now : lastContact(now, voter))
                         .sorted()
                         .toArray();
-        return all.length == 0 ? now - Long.MAX_VALUE / 4 : all[(all.length - 1) / 2];
+        return contacts.length == 0 ? now - FOREVER : contacts[(contacts.length - 1) / 2];
+    }
+
+    private long lastContact(long now, Voter voter) {
+        int replica = voter.replica();
+        boolean current = incarnations[replica] == voter.incarnation();
+        return current ? lastGrantAt[replica] : now - FOREVER;
     }
 
-    /** Whether one has reported since then. */
-    boolean heardSince(int replica, long instant) {
-        return heardAt[replica] >= instant;
+    /** Whether a replica has reported in its last few intervals. */
+    boolean hasReportedLately(int replica, long now) {
+        return reportedAt[replica] >= now - MAX_SILENT_REPORTS * interval;
     }
 
-    /** The room of a replica; null where it has not said. */
+    /** The largest table that a replica has room for; null where it has not said. */
     RouteTableCapacity capacity(int replica) {
         return capacities[replica];
     }
 
-    /** The highest number of a table that any replica has had. */
-    long highest() {
-        return highest;
+    /** The highest number of a table that any replica has applied. */
+    long highestTable() {
+        return highestTable;
     }
 }
--- /dev/null
+++ b/core/src/main/java/cedarrudder/coordination/ReportExchange.java
@@ -0,0 +1,261 @@
+package cedarrudder.coordination;
+
+import cedarrudder.consensus.RaftNode;
+import cedarrudder.consensus.Voter;
+import cedarrudder.consensus.VoterGroup;
+import cedarrudder.footprint.RouteTableCapacity;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Supplier;
+import java.util.random.RandomGenerator;
+
+/**
+ * The reports that each replica sends to the leader once a period, and the grants with which the
+ * leader answers. A grant tells the replica how long ago a quorum was certainly with the leader;
+ * its lease counts from then.
+ */
+final class ReportExchange {
+
+    /** The latest reports whose grants are still accepted. */
+    private static final int OPEN_REPORTS = 32;
+
+    /**
+     * The low bits of a report's number, above which is the time at which the process started, in
+     * milliseconds. This avoids a grant for a former process of the same incarnation being taken
+     * for one of this process.
+     */
+    private static final int COUNTER_BITS = 20;
+
+    private static final long MAX_START = (1L << 42) - 1;
+
+    /** A majority that was heard of longer ago than this many leases is not told to others. */
+    private static final int MAX_QUORUM_AGE_LEASES = 2;
+
+    private final ReplicaContext context;
+    private final CoordinationSettings settings;
+    private final TrafficCoordination trafficCoordination;
+    private final DrainCoordination drainCoordination;
+    private final ActiveTable activeTable;
+    private final ReportCollector collector;
+    private final Supplier<RouteTableCapacity> capacity;
+    private final long interval;
+    private final long[] sentAt = new long[OPEN_REPORTS];
+
+    private long nextReportAt;
+    private long lastReportNumber;
+    private VoterGroup grantGroup = VoterGroup.NONE;
+    private long grantTerm;
+    private long lastGrantAt = ReportMessage.NEVER;
+
+    ReportExchange(
+            ReplicaContext context,
+            CoordinationSettings settings,
+            TrafficCoordination trafficCoordination,
+            DrainCoordination drainCoordination,
+            ActiveTable activeTable,
+            ReportCollector collector,
+            Supplier<RouteTableCapacity> capacity,
+            long interval,
+            long incarnation,
+            RandomGenerator random,
+            long now) {
+        this.context = context;
+        this.settings = settings;
+        this.trafficCoordination = trafficCoordination;
+        this.drainCoordination = drainCoordination;
+        this.activeTable = activeTable;
+        this.collector = collector;
+        this.capacity = capacity;
+        this.interval = interval;
+        this.lastReportNumber = (incarnation & MAX_START) << COUNTER_BITS;
+        this.nextReportAt = now + (long) (random.nextDouble() * interval);
+    }
+
+    /** When the next report is due. */
+    long nextReportAt() {
+        return nextReportAt;
+    }
+
+    /** This replica became the leader: reports come to it from now on, and so do its own. */
+    void onElected(long now) {
+        collector.reset(now);
+        nextReportAt = now;
+    }
+
+    /** When a quorum was last known to be in this leader's term, on its own clock. */
+    long lastQuorumContact(long now) {
+        RaftNode raft = context.raft();
+        Voter self = new Voter(context.self(), raft.incarnation());
+        return collector.lastQuorumContact(now, self, raft.voters());
+    }
+
+    /** Reports where it is due. */
+    void tick(long now) {
+        if (now < nextReportAt) {
+            return;
+        }
+        nextReportAt = now + interval;
+        if (!activeTable.fits()) {
+            activeTable.checkCapacity(); // there may be room by now
+        }
+        report(now);
+    }
+
+    // ---- the side that reports ----
+
+    private void report(long now) {
+        List<ReportMessage.Part> parts = parts(now);
+        if (context.raft().isLeader()) {
+            parts.forEach(part -> context.deliver(context.self(), part));
+            return;
+        }
+        int leader = context.raft().leader();
+        if (leader < 0 || leader == context.self()) {
+            return;
+        }
+        List<List<ReportMessage.Part>> messages = intoMessages(parts);
+        for (int i = 0; i < messages.size(); i++) {
+            lastReportNumber++;
+            sentAt[slot(lastReportNumber)] = now;
+            context.send(leader, reportMessage(i == 0, messages.get(i)));
+        }
+    }
+
+    private List<ReportMessage.Part> parts(long now) {
+        List<ReportMessage.Part> parts = new ArrayList<>();
+        for (byte[] bytes : trafficCoordination.reportParts(now)) {
+            parts.add(new ReportMessage.Part(ReportMessage.ReportKind.TRAFFIC, bytes));
+        }
+        for (byte[] bytes : drainCoordination.reportParts(now)) {
+            parts.add(new ReportMessage.Part(ReportMessage.ReportKind.DRAINING, bytes));
+        }
+        return parts;
+    }
+
+    /** The parts by message, as many to each as it can hold; at least one message. */
+    private static List<List<ReportMessage.Part>> intoMessages(List<ReportMessage.Part> parts) {
+        List<List<ReportMessage.Part>> messages = new ArrayList<>();
+        List<ReportMessage.Part> message = new ArrayList<>();
+        messages.add(message);
+        int size = 0;
+        for (ReportMessage.Part part : parts) {
+            if (part.bytes().length > CoordinatedReplica.MAX_PART_BYTES) {
+                break; // breaks the contract of its side: neither it nor what follows fits
+            }
+            if (size + part.bytes().length > CoordinatedReplica.MAX_PART_BYTES) {
+                message = new ArrayList<>();
+                messages.add(message);
+                size = 0;
+            }
+            message.add(part);
+            size += ReportMessage.PART_HEADER_BYTES + part.bytes().length;
+        }
+        return messages;
+    }
+
+    private ReportMessage.Report reportMessage(boolean wantsGrant, List<ReportMessage.Part> parts) {
+        RaftNode raft = context.raft();
+        boolean inGrantTerm = grantGroup.equals(raft.group()) && grantTerm == raft.term();
+        long agreedNumber = activeTable.agreedNumber();
+        return new ReportMessage.Report(
+                wantsGrant,
+                lastReportNumber,
+                raft.group(),
+                raft.term(),
+                inGrantTerm ? lastGrantAt : ReportMessage.NEVER,
+                agreedNumber,
+                Math.max(agreedNumber, activeTable.highestNumber()),
+                capacity.get(),
+                parts);
+    }
+
+    /** Takes the leader's grant. */
+    void onGrant(long now, ReportMessage.Grant grant) {
+        if (!isAnswerToOpenReport(grant) || isOfFormerTerm(grant)) {
+            return;
+        }
+        lastReportNumber = Math.max(lastReportNumber, grant.lastReportNumber());
+        boolean firstOfTerm = !grant.group().equals(grantGroup) || grant.term() != grantTerm;
+        lastGrantAt = firstOfTerm ? grant.grantedAt() : Math.max(lastGrantAt, grant.grantedAt());
+        grantGroup = grant.group();
+        grantTerm = grant.term();
+        if (grant.quorumAge() >= 0) {
+            activeTable.onQuorumContact(grant.group(), grant.table(), quorumContact(grant));
+        } else if (firstOfTerm) {
+            nextReportAt = now; // it waits to hear that a quorum has heard the leader
+        }
+    }
+
+    private boolean isAnswerToOpenReport(ReportMessage.Grant grant) {
+        return grant.incarnation() == context.raft().incarnation()
+                && grant.reportNumber() <= lastReportNumber
+                && grant.reportNumber() > lastReportNumber - OPEN_REPORTS;
+    }
+
+    /** This avoids a former leader's late grants starting the exchange again and again. */
+    private boolean isOfFormerTerm(ReportMessage.Grant grant) {
+        int byGroup = grant.group().compareTo(grantGroup);
+        return byGroup < 0 || byGroup == 0 && grant.term() < grantTerm;
+    }
+
+    /** On this replica's clock, with the most that the leader's may have gained on it. */
+    private long quorumContact(ReportMessage.Grant grant) {
+        long drift = 2 * grant.quorumAge() / CoordinationSettings.DRIFT;
+        return sentAt[slot(grant.reportNumber())] - grant.quorumAge() - drift;
+    }
+
+    private static int slot(long reportNumber) {
+        return (int) (reportNumber % OPEN_REPORTS);
+    }
+
+    // ---- the leader's side ----
+
+    /** Takes a report, and answers it where its sender wants that. */
+    void onReport(long now, int from, long incarnation, ReportMessage.Report report) {
+        RaftNode raft = context.raft();
+        if (!raft.isLeader()) {
+            return;
+        }
+        boolean inTerm = report.group().equals(raft.group()) && report.term() == raft.term();
+        boolean isNew = collector.onReport(now, from, incarnation, report, inTerm);
+        if (isNew) {
+            deliver(from, report.parts(), inTerm);
+        }
+        if (report.wantsGrant() && collector.mayAnswer(now, from)) {
+            grant(now, from, incarnation, report.number(), isNew);
+        }
+    }
+
+    /** What a replica has drained in another group or term goes by other numbers: dropped. */
+    private void deliver(int from, List<ReportMessage.Part> parts, boolean inTerm) {
+        for (ReportMessage.Part part : parts) {
+            if (inTerm || part.kind() != ReportMessage.ReportKind.DRAINING) {
+                context.deliver(from, part);
+            }
+        }
+    }
+
+    private void grant(long now, int to, long incarnation, long reportNumber, boolean isNew) {
+        RaftNode raft = context.raft();
+        long quorumAge = now - lastQuorumContact(now);
+        long longestLease = Math.max(activeTable.longestLease(), settings.lease());
+        boolean holds =
+                isNew
+                        && context.hasCommittedInTerm()
+                        && quorumAge < MAX_QUORUM_AGE_LEASES * longestLease;
+        if (holds) {
+            collector.onGranted(now, to);
+        }
+        context.send(
+                to,
+                new ReportMessage.Grant(
+                        incarnation,
+                        reportNumber,
+                        raft.group(),
+                        raft.term(),
+                        now,
+                        holds ? quorumAge : ReportMessage.UNKNOWN_AGE,
+                        activeTable.agreedNumber(),
+                        collector.lastNumber(to)));
+    }
+}
--- a/core/src/main/java/cedarrudder/coordination/TableLease.java
+++ b/core/src/main/java/cedarrudder/coordination/TableLease.java
@@ -4,77 +4,74 @@
 import cedarrudder.routetable.RouteTable;
 
 /**
- * How long a replica may use what it has loaded: from its last sure contact, on its own clock
- * alone. A contact is the moment at which it sent a report that a leader answered, less how long
- * before the answer that leader last knew a majority with it; so an answer that is late, doubled or
- * kept by others for long gives nothing that it did not give when it was new.
+ * How long a replica may use the table that it has applied, on its own clock alone. The lease
+ * counts from the last quorum contact: the moment at which the replica sent a report that a leader
+ * answered, less how long before the answer that leader last knew a quorum in its term. A late,
+ * repeated or delayed answer therefore grants nothing that it did not grant when it was new.
  */
 final class TableLease {
 
-    /** What a leader said of a table that is not loaded here yet. */
-    private record PendingContact(VoterGroup group, long table, long contact) {}
+    /** A contact that concerns a table which is not applied here yet. */
+    private record PendingContact(VoterGroup group, long tableNumber, long contact) {}
 
-    private final long none;
+    private final long never;
     private VoterGroup group = VoterGroup.NONE;
     private RouteTable agreed;
-    private long contact;
-    private PendingContact ahead;
+    private long lastContact;
+    private PendingContact pending;
 
     TableLease(long now) {
-        none = now - Long.MAX_VALUE / 4;
-        contact = none;
+        never = now - Long.MAX_VALUE / 4;
+        lastContact = never;
     }
 
-    /** What is agreed on, as far as this replica has loaded it; null before the first table. */
+    /** The agreed table, as far as it is applied here; null before the first. */
     RouteTable agreed() {
         return agreed;
     }
 
-    VoterGroup group() {
-        return group;
-    }
-
-    /** This is agreed on from here on, in this group. */
-    void agreed(VoterGroup in, RouteTable table) {
-        if (!in.equals(group)) {
-            group = in;
-            contact = none;
+    /** This table is agreed from now on, in this group. */
+    void agreed(VoterGroup newGroup, RouteTable table) {
+        if (!newGroup.equals(group)) {
+            group = newGroup;
+            lastContact = never;
         }
         agreed = table;
-        if (ahead != null && ahead.group.equals(group) && number() >= ahead.table) {
-            contact = Math.max(contact, ahead.contact);
-            ahead = null;
+        if (pending != null && concernsAgreed(pending.group, pending.tableNumber)) {
+            lastContact = Math.max(lastContact, pending.contact);
+            pending = null;
         }
     }
 
-    private long number() {
-        return agreed == null ? 0 : agreed.number();
-    }
-
     /**
-     * At that instant a leader of that group certainly led, and no table was newer than this one.
+     * A leader of that group certainly had a quorum at that instant, and no table was newer than
+     * the one of that number.
      */
-    void onContact(VoterGroup in, long table, long instant) {
-        if (in.equals(group) && number() >= table) {
-            contact = Math.max(contact, instant);
-            ahead = null;
-        } else if (ahead == null || !ahead.group.equals(in)) {
-            ahead =
-                    new PendingContact(
-                            in, table,
-                            instant); // the first: this avoids one that is never caught up
+    void onContact(VoterGroup contactGroup, long tableNumber, long instant) {
+        if (concernsAgreed(contactGroup, tableNumber)) {
+            lastContact = Math.max(lastContact, instant);
+            pending = null;
+        } else if (pending == null || !pending.group.equals(contactGroup)) {
+            // The first is kept: a replica that is always one table behind still gets a lease.
+            pending = new PendingContact(contactGroup, tableNumber, instant);
         }
     }
 
-    /** The last sure contact in this group. */
-    long contact() {
-        return contact;
+    private boolean concernsAgreed(VoterGroup contactGroup, long tableNumber) {
+        long agreedNumber = agreed == null ? 0 : agreed.number();
+        return contactGroup.equals(group) && agreedNumber >= tableNumber;
     }
 
-    /** Until when what is agreed on may be used; in the past where it may not be. */
-    long until() {
-        return agreed == null
-                ? none
-                : contact + agreed.lease() - agreed.lease() / CoordinationSettings.DRIFT;
+    /** The last quorum contact in this group. */
+    long lastContact() {
+        return lastContact;
+    }
+
+    /** Until when the agreed table may be used; in the past where it may not be. */
+    long expiresAt() {
+        if (agreed == null) {
+            return never;
+        }
+        return lastContact + agreed.lease() - agreed.lease() / CoordinationSettings.DRIFT;
     }
 }
--- a/core/src/main/java/cedarrudder/coordination/TierView.java
+++ b/core/src/main/java/cedarrudder/coordination/TierView.java
@@ -23,5 +23,5 @@
      * When a replica that is silent has certainly left its table, on this replica's clock: until
      * then its calls go where that says.
      */
-    long isLeaseOver(int replica);
+    long leaseEndsAt(int replica);
 }
--- a/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
@@ -11,15 +11,15 @@
 
     /**
      * What this replica saw since it was asked last: at most {@link CoordinatedReplica#MAX_PARTS}
-     * parts of at most {@link CoordinatedReplica#MAX_PART} bytes, each of which stands for itself,
-     * as any may be lost.
+     * parts of at most {@link CoordinatedReplica#MAX_PART_BYTES} bytes, each of which stands for
+     * itself, as any may be lost.
      */
-    List<byte[]> report(long now);
+    List<byte[]> reportParts(long now);
 
     /**
      * At the replica that leads: a part of what another saw, or it itself. It may be no such part.
      */
-    void reported(long now, int from, byte[] part);
+    void onReportPart(long now, int from, byte[] part);
 
     /** At the replica that leads, each period: the shares that should hold. */
     List<RouteTable.ZoneRoute> plan(long now, TierView tier);
@@ -33,12 +33,12 @@
     TrafficCoordination NONE =
             new TrafficCoordination() {
                 @Override
-                public List<byte[]> report(long now) {
+                public List<byte[]> reportParts(long now) {
                     return List.of();
                 }
 
                 @Override
-                public void reported(long now, int from, byte[] part) {}
+                public void onReportPart(long now, int from, byte[] part) {}
 
                 @Override
                 public List<RouteTable.ZoneRoute> plan(long now, TierView tier) {
--- a/core/src/main/java/cedarrudder/failover/TrafficSplit.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplit.java
@@ -1,7 +1,7 @@
 package cedarrudder.failover;
 
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.RouteReason;
 import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -32,13 +32,14 @@
         for (ZoneRoute share : table == null ? List.<ZoneRoute>of() : table.routes()) {
             if (share.from() < zones && share.to() < zones) {
                 there[share.from()] = true;
-                shares.parts[share.from()][share.to()] = share.parts();
+                shares.parts[share.from()][share.to()] = share.weight();
                 shares.perSecond[share.from()][share.to()] = share.maxPerSecond();
-                shares.left[share.from()] |= share.way() == Way.MOVED;
+                shares.left[share.from()] |= share.reason() == RouteReason.MOVED;
             }
         }
         for (int zone = 0; zone < zones; zone++) {
-            shares.parts[zone][zone] = there[zone] ? shares.parts[zone][zone] : RouteTable.WHOLE;
+            shares.parts[zone][zone] =
+                    there[zone] ? shares.parts[zone][zone] : RouteTable.TOTAL_WEIGHT;
         }
         return shares;
     }
@@ -59,7 +60,7 @@
 
     /** What is left of a zone's whole, and is refused where it came. */
     int unserved(int from) {
-        return RouteTable.WHOLE - Arrays.stream(parts[from]).sum();
+        return RouteTable.TOTAL_WEIGHT - Arrays.stream(parts[from]).sum();
     }
 
     /** The parts of a zone's calls that go elsewhere in one than in the other. */
@@ -82,10 +83,10 @@
                                     from,
                                     to,
                                     from == to
-                                            ? Way.NEAR
+                                            ? RouteReason.NEAR
                                             : left[from] && parts[from][to] > FEW
-                                                    ? Way.MOVED
-                                                    : Way.SPILLED,
+                                                    ? RouteReason.MOVED
+                                                    : RouteReason.SPILLED,
                                     parts[from][to],
                                     perSecond[from][to]));
                 }
--- a/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -210,7 +210,7 @@
                     zone,
                     picture.zones().get(zone),
                     evacuated.contains(zone),
-                    held.parts[zone][zone] / (double) RouteTable.WHOLE);
+                    held.parts[zone][zone] / (double) RouteTable.TOTAL_WEIGHT);
             boolean over =
                     picture.zones().get(zone).capacity() > 0
                             && load(held, picture, zone)
@@ -254,8 +254,8 @@
         fresh.movedAt = course.movedAt;
         fresh.hold = Math.max(settings.returnHold(), course.hold);
         int near = held.parts[zone][zone];
-        if (near < RouteTable.WHOLE - 2 * watch() - MIN_MOVE) {
-            fresh.ceiling = near <= 2 * watch() ? 0 : near / (double) RouteTable.WHOLE;
+        if (near < RouteTable.TOTAL_WEIGHT - 2 * watch() - MIN_MOVE) {
+            fresh.ceiling = near <= 2 * watch() ? 0 : near / (double) RouteTable.TOTAL_WEIGHT;
             fresh.limited = true;
             fresh.left = held.left[zone] || fresh.ceiling == 0;
             fresh.moved = fresh.left;
@@ -425,7 +425,9 @@
     private boolean outgrown(TrafficSplit held, ZoneHealthSnapshot picture, int from) {
         for (int to = 0; to < zones; to++) {
             double rate =
-                    picture.zones().get(from).demand() * held.parts[from][to] / RouteTable.WHOLE;
+                    picture.zones().get(from).demand()
+                            * held.parts[from][to]
+                            / RouteTable.TOTAL_WEIGHT;
             if (to != from
                     && held.parts[from][to] > MIN_MOVE
                     && held.perSecond[from][to] > 0
@@ -450,7 +452,9 @@
     /** Calls a second of one zone that these shares let another serve. */
     private static double rate(TrafficSplit shares, ZoneHealthSnapshot picture, int from, int to) {
         double rate =
-                picture.zones().get(from).demand() * shares.parts[from][to] / RouteTable.WHOLE;
+                picture.zones().get(from).demand()
+                        * shares.parts[from][to]
+                        / RouteTable.TOTAL_WEIGHT;
         return shares.perSecond[from][to] == 0 ? rate : Math.min(rate, shares.perSecond[from][to]);
     }
 
@@ -467,7 +471,7 @@
             TrafficSplit last = known.get(away.table());
             double part =
                     last != null
-                            ? last.parts[away.zone()][to] / (double) RouteTable.WHOLE
+                            ? last.parts[away.zone()][to] / (double) RouteTable.TOTAL_WEIGHT
                             : away.zone() == to ? 1 : 0;
             hidden += part * away.rate();
         }
@@ -475,7 +479,7 @@
     }
 
     private int watch() {
-        return (int) Math.ceil(settings.watchShare() * RouteTable.WHOLE);
+        return (int) Math.ceil(settings.watchShare() * RouteTable.TOTAL_WEIGHT);
     }
 
     /** What a zone's own calls may take of it. */
@@ -622,8 +626,12 @@
         next.left[zone] = course.moved || course.evacuated;
         long moved = 0;
         for (int to = 0; to < zones; to++) {
-            int parts = (int) (RouteTable.WHOLE * (to == zone ? near : dealt[to]) / seen.demand());
-            next.parts[zone][to] = Math.min(RouteTable.WHOLE, parts);
+            int parts =
+                    (int)
+                            (RouteTable.TOTAL_WEIGHT
+                                    * (to == zone ? near : dealt[to])
+                                    / seen.demand());
+            next.parts[zone][to] = Math.min(RouteTable.TOTAL_WEIGHT, parts);
             if (to != zone && parts > 0) {
                 // What is left of its room is for those that come beyond what is seen now.
                 next.perSecond[zone][to] =
@@ -636,9 +644,9 @@
             }
         }
         if (!course.left
-                || near + 1e-9 >= seen.demand() - moved * seen.demand() / RouteTable.WHOLE) {
+                || near + 1e-9 >= seen.demand() - moved * seen.demand() / RouteTable.TOTAL_WEIGHT) {
             // None is rejected for a zone that serves, and no part is lost by rounding.
-            next.parts[zone][zone] = (int) (RouteTable.WHOLE - moved);
+            next.parts[zone][zone] = (int) (RouteTable.TOTAL_WEIGHT - moved);
         }
         watched(next, zone);
     }
--- a/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
@@ -24,7 +24,7 @@
     private static final int MAX_BYTES =
             64
                     + RouteTable.MAX_ZONES * RouteTable.MAX_ZONES * 10
-                    + RouteTable.MAX_LEAVING * MAX_LEAVING_BYTES
+                    + RouteTable.MAX_DRAINING * MAX_LEAVING_BYTES
                     + RouteTable.MAX_CLASSES * 7;
 
     /** An entry that is read stands in a list that grew, in the text's order and in the table's. */
@@ -87,7 +87,7 @@
                         + (1 + TABLE_COPIES) * MAX_LEAVING_BYTES;
         long leaving = Math.max(0, left - fixed() - lists()) / each;
         return new RouteTableCapacity(
-                bytes, (int) Math.min(RouteTable.MAX_LEAVING, leaving), nodes);
+                bytes, (int) Math.min(RouteTable.MAX_DRAINING, leaving), nodes);
     }
 
     /** The most that a table of this many compact bytes takes while it is read. */
@@ -96,7 +96,7 @@
         long shares =
                 Math.min(bytes / SHARE_BYTES, (long) RouteTable.MAX_ZONES * RouteTable.MAX_ZONES);
         long leaving =
-                Math.min(bytes / LEAVING_BYTES, RouteTable.MAX_LEAVING + RouteTable.MAX_CLASSES);
+                Math.min(bytes / LEAVING_BYTES, RouteTable.MAX_DRAINING + RouteTable.MAX_CLASSES);
         return fixed()
                 + lists()
                 + shares * (share() + references)
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -20,8 +20,8 @@
  * {@link StateExchange} brings what news did not.
  *
  * <p>It has no clock, no socket and no thread. It is told of messages and of the time, which never
- * goes back, and is asked by {@link #due} when it wants to be told next. Not thread-safe: from one
- * thread at a time.
+ * goes back, and is asked by {@link #nextTickAt} when it wants to be told next. Not thread-safe:
+ * from one thread at a time.
  *
  * <p>What goes out is bounded whatever the number of instances: a question a period, two more to
  * those in doubt, another to one of the dead now and then, {@code helpers} and one more where one
@@ -193,7 +193,7 @@
     // ---- time ----
 
     /** When {@link #tick} is to be called next; it does no harm to call it sooner or later. */
-    public long due() {
+    public long nextTickAt() {
         if (left) {
             return Long.MAX_VALUE;
         }
@@ -215,7 +215,7 @@
         if (left) {
             return;
         }
-        long late = now - due();
+        long late = now - nextTickAt();
         if (late > settings.period() / 2) {
             wasStopped(late);
         }
--- a/core/src/main/java/cedarrudder/routetable/RouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTable.java
@@ -27,7 +27,7 @@
         List<ClassLimit> limits) {
 
     /** A zone's whole: shares are whole parts of it. */
-    public static final int WHOLE = 10_000;
+    public static final int TOTAL_WEIGHT = 10_000;
 
     /** Zones, classes and waves are numbered from 0 to one less than this. */
     public static final int MAX_ZONES = 64;
@@ -36,13 +36,13 @@
     public static final int MAX_WAVES = 1 << 16;
 
     /** Nodes that are being removed at once. */
-    public static final int MAX_LEAVING = 1 << 14;
+    public static final int MAX_DRAINING = 1 << 14;
 
     /** Nodes have numbers below this, as the balancer knows them. */
     public static final long MAX_NODE = 1L << 52;
 
     /** Why a zone serves the clients of another, or its own. */
-    public enum Way {
+    public enum RouteReason {
         /** It is the one that they belong to. */
         NEAR,
         /** Theirs can't serve this part. */
@@ -56,15 +56,19 @@
      *
      * @param from the zone of the clients
      * @param to the zone that serves them
-     * @param parts of {@link #WHOLE}, this many; from 1
+     * @param weight of {@link #TOTAL_WEIGHT}, this many; from 1
      * @param maxPerSecond it gets no more calls a second from there; 0: no bound
      */
-    public record ZoneRoute(int from, int to, Way way, int parts, int maxPerSecond) {
+    public record ZoneRoute(int from, int to, RouteReason reason, int weight, int maxPerSecond) {
         public ZoneRoute {
             check(from >= 0 && from < MAX_ZONES, "share.from", from, "0 to " + (MAX_ZONES - 1));
             check(to >= 0 && to < MAX_ZONES, "share.to", to, "0 to " + (MAX_ZONES - 1));
-            check(way != null, "share.way", null, "near, spilled, moved");
-            check(parts >= 1 && parts <= WHOLE, "share.parts", parts, "1 to " + WHOLE);
+            check(reason != null, "share.way", null, "near, spilled, moved");
+            check(
+                    weight >= 1 && weight <= TOTAL_WEIGHT,
+                    "share.parts",
+                    weight,
+                    "1 to " + TOTAL_WEIGHT);
             check(maxPerSecond >= 0, "share.perSecond", maxPerSecond, "0 or more");
         }
     }
@@ -98,10 +102,10 @@
         check(term >= 0, "term", term, "0 or more");
         check(lease > 0, "lease", lease, "over 0");
         check(
-                draining.size() <= MAX_LEAVING,
+                draining.size() <= MAX_DRAINING,
                 "leaving",
                 draining.size() + " nodes",
-                "up to " + MAX_LEAVING);
+                "up to " + MAX_DRAINING);
         routes =
                 routes.stream()
                         .sorted(
@@ -119,12 +123,12 @@
                     "share",
                     "zone " + share.from() + " to zone " + share.to() + " twice",
                     "once");
-            parts = share.parts() + (same ? parts : 0);
+            parts = share.weight() + (same ? parts : 0);
             check(
-                    parts <= WHOLE,
+                    parts <= TOTAL_WEIGHT,
                     "share.parts",
                     parts + " of zone " + share.from(),
-                    "up to " + WHOLE);
+                    "up to " + TOTAL_WEIGHT);
         }
         for (int i = 1; i < draining.size(); i++) {
             check(
--- a/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.routetable.RouteTable.ClassLimit;
 import cedarrudder.routetable.RouteTable.DrainingNode;
-import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.RouteReason;
 import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -39,8 +39,8 @@
         for (ZoneRoute share : table.routes()) {
             put(out, share.from());
             put(out, share.to());
-            put(out, share.way().ordinal());
-            put(out, share.parts());
+            put(out, share.reason().ordinal());
+            put(out, share.weight());
             put(out, share.maxPerSecond());
         }
         put(out, table.draining().size());
@@ -121,13 +121,14 @@
                         new ZoneRoute(
                                 small("share.from", RouteTable.MAX_ZONES - 1),
                                 small("share.to", RouteTable.MAX_ZONES - 1),
-                                Way.values()[small("share.way", Way.values().length - 1)],
-                                small("share.parts", RouteTable.WHOLE),
+                                RouteReason.values()[
+                                        small("share.way", RouteReason.values().length - 1)],
+                                small("share.parts", RouteTable.TOTAL_WEIGHT),
                                 small("share.perSecond", Integer.MAX_VALUE)));
             }
             List<DrainingNode> leaving = new ArrayList<>();
             long node = 0;
-            for (int left = count("leaving", RouteTable.MAX_LEAVING); left > 0; left--) {
+            for (int left = count("leaving", RouteTable.MAX_DRAINING); left > 0; left--) {
                 node += whole("leaving.node", 0, RouteTable.MAX_NODE - 1 - node);
                 leaving.add(
                         new DrainingNode(node, small("leaving.wave", RouteTable.MAX_WAVES - 1)));
--- a/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
+++ b/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
@@ -190,7 +190,7 @@
         replica.formGroup(0);
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
-            now = Math.max(now + 1, Math.min(replica.due(), now + MILLI));
+            now = Math.max(now + 1, Math.min(replica.nextTickAt(), now + MILLI));
             replica.tick(now);
         }
         assertTrue(replica.isLeader());
--- a/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
@@ -8,7 +8,7 @@
 import cedarrudder.failover.ZoneHealthSnapshot.ZoneState;
 import cedarrudder.failover.ZoneObservations.ZoneObservation;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.RouteReason;
 import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -81,7 +81,7 @@
         int parts(int from, int to) {
             return table.routes().stream()
                     .filter(share -> share.from() == from && share.to() == to)
-                    .mapToInt(ZoneRoute::parts)
+                    .mapToInt(ZoneRoute::weight)
                     .sum();
         }
 
@@ -256,8 +256,8 @@
                         .filter(s -> s.from() == 1 && s.to() == 0)
                         .findFirst()
                         .orElseThrow()
-                        .way(),
-                Way.MOVED);
+                        .reason(),
+                RouteReason.MOVED);
         for (int zone = 0; zone < ZONES; zone++) {
             assertTrue(play.load(zone) < 0.87 * CAPACITY, zone + ": " + play.load(zone));
         }
--- a/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -8,7 +8,7 @@
 import cedarrudder.routetable.CurrentRouteTable;
 import cedarrudder.routetable.RouteTable;
 import cedarrudder.routetable.RouteTable.DrainingNode;
-import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.RouteReason;
 import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -32,8 +32,10 @@
                                         new ZoneRoute(
                                                 i / zones,
                                                 i % zones,
-                                                i / zones == i % zones ? Way.NEAR : Way.SPILLED,
-                                                RouteTable.WHOLE / zones,
+                                                i / zones == i % zones
+                                                        ? RouteReason.NEAR
+                                                        : RouteReason.SPILLED,
+                                                RouteTable.TOTAL_WEIGHT / zones,
                                                 i))
                         .toList();
         return new RouteTable(
@@ -111,7 +113,7 @@
             }
         }
         RouteTableCapacity all = TABLES.room(held, 20_000_000, 0);
-        RouteTable largest = table(2, 64, RouteTable.MAX_LEAVING);
+        RouteTable largest = table(2, 64, RouteTable.MAX_DRAINING);
         assertTrue(all.fits(largest, RouteTableFootprint.bytes(largest)), all.toString());
         assertFalse(TABLES.room(held, 0, 0).fits(table(2, 1, 0), 8));
     }
--- a/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
+++ b/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
@@ -84,11 +84,11 @@
     }
 
     private void tick(int number, SwimMember swim) {
-        long due = Math.max(now + 1, swim.due());
+        long due = Math.max(now + 1, swim.nextTickAt());
         at(
                 due,
                 () -> {
-                    if (swims[number] == swim && swim.due() <= now) {
+                    if (swims[number] == swim && swim.nextTickAt() <= now) {
                         swim.tick(now);
                         tick(number, swim);
                     }
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -97,7 +97,7 @@
                     return each;
                 }
             }
-            now = Math.max(now, swim.due());
+            now = Math.max(now, swim.nextTickAt());
             swim.tick(now);
         }
         throw new AssertionError("it never sends " + kind);
@@ -120,13 +120,13 @@
         Sent help = await(Kind.PING_FOR);
         assertEquals(help.packet.subject(), target);
         while (swim.member(target).standing() == Standing.ALIVE) {
-            now = swim.due();
+            now = swim.nextTickAt();
             swim.tick(now);
         }
         assertEquals(swim.member(target).standing(), Standing.SUSPECT);
         assertEquals(swim.liveCount(), 5);
         while (swim.member(target).isLive()) {
-            now = swim.due();
+            now = swim.nextTickAt();
             swim.tick(now);
         }
         assertTrue(changes.contains(new Member(target, 0, Standing.DEAD)), changes.toString());
@@ -162,7 +162,7 @@
         assertEquals(swim.health(), 1);
         long before = now;
         while (swim.health() == 1) {
-            now = swim.due();
+            now = swim.nextTickAt();
             swim.tick(now);
         }
         assertTrue(now - before >= 2 * MembershipSettings.DEFAULT.period(), "it doesn't slow down");
@@ -188,7 +188,7 @@
         long began = now;
         while (swim.member(asked.to).standing() == Standing.ALIVE) {
             hear(asked.to % 19 + 1, Kind.NACK, 0, 1, asked.to); // it is not deaf
-            now = swim.due();
+            now = swim.nextTickAt();
             swim.tick(now);
         }
         return now - began;
@@ -210,7 +210,7 @@
         int again = 0;
         while (now < until) {
             sent.clear();
-            now = swim.due();
+            now = swim.nextTickAt();
             swim.tick(now);
             again += sent.stream().anyMatch(s -> s.to == asked.to) ? 1 : 0;
         }
@@ -248,7 +248,7 @@
             }
             long began = now;
             while (swim.member(9).isLive()) {
-                now = swim.due();
+                now = swim.nextTickAt();
                 swim.tick(now);
             }
             until[confirmed] = now - began;
@@ -347,7 +347,7 @@
         long began = now;
         while (swim.member(9).isLive()) {
             hear(2, Kind.NACK, 0, 5, 2);
-            now = swim.due();
+            now = swim.nextTickAt();
             swim.tick(now);
         }
         double min = 4 * Math.log10(30) * MembershipSettings.DEFAULT.period();
@@ -433,7 +433,7 @@
         hear(1, Kind.PING, 1, 1, 0);
         swim.tick(now + SECOND);
         assertTrue(sent.isEmpty());
-        assertEquals(swim.due(), Long.MAX_VALUE);
+        assertEquals(swim.nextTickAt(), Long.MAX_VALUE);
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
@@ -10,7 +10,7 @@
 import cedarrudder.conventions.Golden;
 import cedarrudder.routetable.RouteTable.ClassLimit;
 import cedarrudder.routetable.RouteTable.DrainingNode;
-import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.RouteReason;
 import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -35,7 +35,7 @@
                         new ZoneRoute(
                                 from,
                                 to,
-                                Way.values()[random.nextInt(3)],
+                                RouteReason.values()[random.nextInt(3)],
                                 1 + random.nextInt(800),
                                 random.nextInt(3) * 1000));
             }
@@ -143,8 +143,8 @@
 
     @Test
     public void whatContradictsItselfIsNamed() {
-        ZoneRoute half = new ZoneRoute(1, 2, Way.MOVED, 6_000, 0);
-        ZoneRoute more = new ZoneRoute(1, 3, Way.SPILLED, 6_000, 0);
+        ZoneRoute half = new ZoneRoute(1, 2, RouteReason.MOVED, 6_000, 0);
+        ZoneRoute more = new ZoneRoute(1, 3, RouteReason.SPILLED, 6_000, 0);
         assertEquals(
                 expectThrows(
                                 IllegalArgumentException.class,
--- a/daemon/src/main/java/cedarrudder/operator/CallersTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/CallersTable.java
@@ -17,9 +17,9 @@
         ClientLimits usual = ClientLimits.DEFAULT;
         long request =
                 CommonKeys.millis(
-                        table, "request_patience_ms", 100, 60_000, usual.requestPatience());
+                        table, "request_patience_ms", 100, 60_000, usual.requestTimeout());
         long silent =
-                CommonKeys.millis(table, "silent_patience_ms", 50, 60_000, usual.silentLong());
+                CommonKeys.millis(table, "silent_patience_ms", 50, 60_000, usual.silentAfter());
         if (silent > request && table.sound("silent_patience_ms", "request_patience_ms")) {
             table.problem(
                     "silent_patience_ms",
@@ -29,11 +29,11 @@
         return new ClientLimits(
                 request,
                 silent,
-                CommonKeys.millis(table, "idle_patience_ms", 500, 3_600_000, usual.idlePatience()),
+                CommonKeys.millis(table, "idle_patience_ms", 500, 3_600_000, usual.idleTimeout()),
                 CommonKeys.millis(
-                        table, "answer_patience_ms", 500, 600_000, usual.answerPatience()),
-                CommonKeys.headBytes(table, usual.maxHead()),
-                CommonKeys.bodyBytes(table, usual.maxBody()),
-                CommonKeys.descriptorsShare(table, usual.descriptorsShare()));
+                        table, "answer_patience_ms", 500, 600_000, usual.responseTimeout()),
+                CommonKeys.headBytes(table, usual.maxHeadBytes()),
+                CommonKeys.bodyBytes(table, usual.maxBodyBytes()),
+                CommonKeys.descriptorsShare(table, usual.descriptorShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/NodesTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/NodesTable.java
@@ -16,10 +16,10 @@
     EndpointLimits read(ConfigTable table) {
         EndpointLimits usual = EndpointLimits.DEFAULT;
         return new EndpointLimits(
-                CommonKeys.millis(table, "probe_patience_ms", 10, 10_000, usual.probePatience()),
-                CommonKeys.millis(table, "answer_patience_ms", 10, 60_000, usual.answerPatience()),
-                CommonKeys.headBytes(table, usual.maxHead()),
-                CommonKeys.bodyBytes(table, usual.maxBody()),
-                CommonKeys.descriptorsShare(table, usual.descriptorsShare()));
+                CommonKeys.millis(table, "probe_patience_ms", 10, 10_000, usual.probeTimeout()),
+                CommonKeys.millis(table, "answer_patience_ms", 10, 60_000, usual.responseTimeout()),
+                CommonKeys.headBytes(table, usual.maxHeadBytes()),
+                CommonKeys.bodyBytes(table, usual.maxBodyBytes()),
+                CommonKeys.descriptorsShare(table, usual.descriptorShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
+++ b/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
@@ -103,8 +103,8 @@
      * This avoids clients and endpoints together taking what discovery and the process itself need.
      */
     private void checkShares(ConfigTable root) {
-        double callers = of(CallersTable.CALLERS).descriptorsShare();
-        double nodes = of(NodesTable.NODES).descriptorsShare();
+        double callers = of(CallersTable.CALLERS).descriptorShare();
+        double nodes = of(NodesTable.NODES).descriptorShare();
         if (callers + nodes > CommonKeys.MAX_SHARES + ROUNDING) {
             String where =
                     values.containsKey(NodesTable.NODES.name())
--- a/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
@@ -19,27 +19,27 @@
 final class AsyncLogWriter {
 
     /** Lines that wait to be written, at most: some 100 KB. */
-    static final int MAX = 256;
+    static final int MAX_WAITING_LINES = 256;
 
     /**
      * A longer line that the program itself did not make, such as a fault's of a library, is cut
      * there.
      */
-    private static final int MAX_BYTES = 1024;
+    private static final int MAX_LINE_BYTES = 1024;
 
     /**
      * How long the end may wait for the last lines to be read, in milliseconds; all answers are
      * out.
      */
-    private static final long LAST_WORD = 200;
+    private static final long STOP_TIMEOUT_MILLIS = 200;
 
     private final BlockingQueue<String> lines;
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch stopped = new CountDownLatch(1);
     private final Thread thread;
-    private volatile boolean ending;
+    private volatile boolean stopping;
 
     AsyncLogWriter(PrintStream out) {
-        this(out, "log", MAX);
+        this(out, "log", MAX_WAITING_LINES);
     }
 
     /**
@@ -57,14 +57,14 @@
      * One that takes the place of the process's standard error, so that nothing that is written
      * there from now on, by whomever, stands still.
      */
-    static AsyncLogWriter inPlaceOfStandardError() {
+    static AsyncLogWriter replacingStandardError() {
         AsyncLogWriter writer = new AsyncLogWriter(System.err);
-        System.setErr(new PrintStream(writer.new Lines(), true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(writer.new LineSplitter(), true, StandardCharsets.UTF_8));
         return writer;
     }
 
     /** Takes a line, or says that there is no room for it. */
-    boolean take(String line) {
+    boolean offer(String line) {
         return lines.offer(line);
     }
 
@@ -72,11 +72,11 @@
      * Returns once all that was taken is written, or nobody has read it for a while. From any
      * thread.
      */
-    void end() {
-        ending = true;
+    void stop() {
+        stopping = true;
         thread.interrupt();
         try {
-            ended.await(LAST_WORD, TimeUnit.MILLISECONDS);
+            stopped.await(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -86,12 +86,12 @@
         while (true) {
             String line;
             try {
-                line = ending ? lines.poll() : lines.take();
+                line = stopping ? lines.poll() : lines.take();
             } catch (InterruptedException e) {
                 continue; // to look whether this is the end
             }
             if (line == null) {
-                ended.countDown();
+                stopped.countDown();
                 return;
             }
             try {
@@ -107,8 +107,8 @@
      * What is written as bytes, cut into lines; the stream in front of it sees to one thread at a
      * time.
      */
-    private final class Lines extends OutputStream {
-        private final byte[] line = new byte[MAX_BYTES];
+    private final class LineSplitter extends OutputStream {
+        private final byte[] line = new byte[MAX_LINE_BYTES];
         private int length;
 
         @Override
@@ -116,7 +116,7 @@
             if (next != '\n' && length < line.length) {
                 line[length++] = (byte) next;
             } else if (next == '\n') {
-                take(new String(line, 0, length, StandardCharsets.UTF_8));
+                offer(new String(line, 0, length, StandardCharsets.UTF_8));
                 length = 0;
             }
         }
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -32,37 +32,38 @@
 /**
  * What this proxy decides with the others of its tier, wired to what it does. On the loop's thread.
  */
-final class CoordinationWiring implements ReplicaCoordinator.Host, ReplicaCoordinator.Maker {
+final class CoordinationWiring
+        implements ReplicaCoordinator.Host, ReplicaCoordinator.ReplicaFactory {
 
     /**
      * What a proxy is, beside what its operators set.
      *
-     * @param room what it can load beside a table that it holds, which may be null
+     * @param tableCapacity what it can load beside a table that it holds, which may be null
      */
-    record Self(
+    record LocalReplica(
             int[] zones,
             int number,
             LongSupplier wallClock,
             RandomGenerator random,
-            Function<RouteTable, RouteTableCapacity> room) {}
+            Function<RouteTable, RouteTableCapacity> tableCapacity) {}
 
     /** A history tells of calls that go by a table this often at most. */
-    private static final long SAID_APART = 100_000_000L;
+    private static final long USE_EVENT_INTERVAL_NANOS = 100_000_000L;
 
-    private final Self self;
+    private final LocalReplica self;
     private final AgreementTableSettings settings;
     private final RequestForwarder<?, ?> forwarder;
-    private final Consumer<Set<Long>> leaving;
-    private final FailoverWiring failovers;
-    private final DrainWiring removals;
+    private final Consumer<Set<Long>> setDraining;
+    private final FailoverWiring failover;
+    private final DrainWiring drains;
     private final ProxyEventLoop loop;
-    private final EventRecorder notes;
+    private final EventRecorder history;
     private final Logger log;
-    private final ReplicaCoordinator fleet;
+    private final ReplicaCoordinator coordinator;
     private final BitSet dead = new BitSet();
-    private FileStableStorage store;
+    private FileStableStorage storage;
     private RouteTable table;
-    private long saidAt;
+    private long useRecordedAt;
 
     /**
      * @param leaving takes the numbers of all endpoints that are being removed, whenever that
@@ -75,7 +76,7 @@
             PeerSocket peers,
             MembershipService membership,
             AgreementTableSettings settings,
-            Self self,
+            LocalReplica self,
             RequestForwarder<?, ?> forwarder,
             Consumer<Set<Long>> leaving,
             FailoverWiring failovers,
@@ -85,16 +86,16 @@
         this.settings = settings;
         this.self = self;
         this.forwarder = forwarder;
-        this.leaving = leaving;
-        this.failovers = failovers;
-        this.removals = removals;
+        this.setDraining = leaving;
+        this.failover = failovers;
+        this.drains = removals;
         this.loop = loop;
-        this.notes = notes;
+        this.history = notes;
         this.log = log;
-        this.fleet = new ReplicaCoordinator(loop, peers, this, this, notes);
-        membership.onEach(this::lives);
+        this.coordinator = new ReplicaCoordinator(loop, peers, this, this, notes);
+        membership.setLivenessListener(this::onLivenessChanged);
         if (notes != null) {
-            forwarder.onZoneShareUsed(() -> used(loop.now()));
+            forwarder.onZoneShareUsed(() -> recordUse(loop.now()));
         }
     }
 
@@ -146,20 +147,20 @@
         return zones;
     }
 
-    ReplicaCoordinator fleet() {
-        return fleet;
+    ReplicaCoordinator coordinator() {
+        return coordinator;
     }
 
     @Override
-    public CoordinatedReplica make(CoordinatedReplica.Actions outlet, long now) {
+    public CoordinatedReplica create(CoordinatedReplica.Actions outlet, long now) {
         int replicas = self.zones.length;
-        store =
+        storage =
                 settings.folder() == null
                         ? null
                         : new FileStableStorage(settings.folder(), self.number, replicas, log);
-        StableStorage kept = store == null ? StableStorage.NONE : store;
-        if (notes != null) {
-            notes.note("joins", Map.of("kept", kept.recovered() == null ? 0 : 1));
+        StableStorage kept = storage == null ? StableStorage.NONE : storage;
+        if (history != null) {
+            history.record("joins", Map.of("kept", kept.recovered() == null ? 0 : 1));
         }
         return new CoordinatedReplica(
                 self.zones,
@@ -169,32 +170,32 @@
                 settings.fleet(),
                 kept,
                 self.random,
-                failovers == null ? TrafficCoordination.NONE : failovers,
-                removals == null ? DrainCoordination.NONE : removals.begin(now),
-                () -> self.room.apply(table),
+                failover == null ? TrafficCoordination.NONE : failover,
+                drains == null ? DrainCoordination.NONE : drains.start(now),
+                () -> self.tableCapacity.apply(table),
                 outlet,
                 now);
     }
 
     @Override
-    public void ended() {
-        if (store != null) {
-            store.close();
+    public void onStopped() {
+        if (storage != null) {
+            storage.close();
         }
     }
 
-    private void lives(int replica, boolean lives) {
+    private void onLivenessChanged(int replica, boolean lives) {
         dead.set(replica, !lives);
-        fleet.lives(replica, lives);
+        coordinator.setAlive(replica, lives);
         if (table != null && self.zones[replica] == self.zones[self.number]) {
-            table(table);
+            onTable(table);
         }
     }
 
     /** Operators leave other zones from now on. */
-    void apply(FailoverSettings next) {
-        if (failovers != null) {
-            failovers.apply(next);
+    void setFailover(FailoverSettings next) {
+        if (failover != null) {
+            failover.evacuate(next);
         }
     }
 
@@ -203,9 +204,9 @@
      * replicas.
      */
     @Override
-    public void table(RouteTable next) {
-        if (failovers != null && next != table) {
-            failovers.loaded(loop.now(), next);
+    public void onTable(RouteTable next) {
+        if (failover != null && next != table) {
+            failover.onTableLoaded(loop.now(), next);
         }
         table = next;
         int own = self.zones[self.number];
@@ -226,7 +227,7 @@
                                         share ->
                                                 new ZoneTrafficShare(
                                                         share.to(),
-                                                        share.parts(),
+                                                        share.weight(),
                                                         share.maxPerSecond() == 0
                                                                 ? 0
                                                                 : Math.max(
@@ -237,29 +238,29 @@
     }
 
     /** This avoids a judge that can't tell when a table was still used. */
-    private void used(long now) {
-        if (table != null && now - saidAt >= SAID_APART) {
-            saidAt = now;
-            notes.note("used", Map.of("number", table.number()));
+    private void recordUse(long now) {
+        if (table != null && now - useRecordedAt >= USE_EVENT_INTERVAL_NANOS) {
+            useRecordedAt = now;
+            history.record("used", Map.of("number", table.number()));
         }
     }
 
     @Override
-    public void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
-        if (removals == null || !removals.settled(proposal, outcome)) {
+    public void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
+        if (drains == null || !drains.onProposalSettled(proposal, outcome)) {
             log.info("agreement.settled").with("outcome", outcome).write();
         }
     }
 
     @Override
-    public void until(long instant) {
+    public void onLeaseExtended(long instant) {
         forwarder.zoneSharesValidUntil(instant);
     }
 
     @Override
-    public void leaving(List<RouteTable.DrainingNode> nodes) {
+    public void onDrainingNodes(List<RouteTable.DrainingNode> nodes) {
         Set<Long> numbers = new HashSet<>();
         nodes.forEach(node -> numbers.add(node.node()));
-        leaving.accept(numbers);
+        setDraining.accept(numbers);
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -13,7 +13,7 @@
 import cedarrudder.logging.Logger;
 import cedarrudder.operator.DrainsConfiguration;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.transport.AdminOperations.Done;
+import cedarrudder.transport.AdminOperations.OperationResult;
 import cedarrudder.transport.EventRecorder;
 import cedarrudder.transport.ProxyEventLoop;
 import cedarrudder.transport.ReplicaCoordinator;
@@ -31,45 +31,45 @@
         implements DrainCoordination, DrainCoordinator.LocalState, DrainCoordinator.Actions {
 
     /** Figures are those of so long, in nanoseconds. */
-    private static final long WINDOW = 10_000_000_000L;
+    private static final long TRAFFIC_WINDOW_NANOS = 10_000_000_000L;
 
     /** Policies are proposed so often, until they count. */
-    private static final long AGAIN = 1_000_000_000L;
+    private static final long PROPOSAL_INTERVAL_NANOS = 1_000_000_000L;
 
     /** An operator's call has so long to be agreed on. */
-    private static final long PATIENCE = 4_000_000_000L;
+    private static final long CALL_TIMEOUT_NANOS = 4_000_000_000L;
 
-    private record Sample(long at, TrafficSample all) {}
+    private record TimedSample(long at, TrafficSample totals) {}
 
     /** A call of operators, of which this many parts are not settled yet. */
-    private static final class Call {
-        private final Consumer<Done> then;
+    private static final class AdminCall {
+        private final Consumer<OperationResult> listener;
         private final boolean cancel;
         private final List<Long> nodes;
-        private int left;
+        private int openProposals;
         private boolean failed;
 
-        Call(boolean cancel, List<Long> nodes, Consumer<Done> then) {
+        AdminCall(boolean cancel, List<Long> nodes, Consumer<OperationResult> then) {
             this.cancel = cancel;
             this.nodes = nodes;
-            this.then = then;
+            this.listener = then;
         }
     }
 
-    private record Key(long incarnation, long sequence) {}
+    private record ProposalKey(long incarnation, long sequence) {}
 
     private final ProxyEventLoop loop;
     private final int replicas;
     private final int self;
     private final LocalTrafficView view;
-    private final EventRecorder notes;
+    private final EventRecorder history;
     private final Logger log;
-    private final Map<Key, Call> calls = new HashMap<>();
-    private final Deque<Sample> samples = new ArrayDeque<>();
-    private DrainsConfiguration file;
+    private final Map<ProposalKey, AdminCall> calls = new HashMap<>();
+    private final Deque<TimedSample> samples = new ArrayDeque<>();
+    private DrainsConfiguration configuration;
     private DrainCoordinator drains;
-    private Map<Long, Integer> out = Map.of();
-    private boolean overruled;
+    private Map<Long, Integer> attemptsInFlight = Map.of();
+    private boolean wasOverruled;
 
     DrainWiring(
             ProxyEventLoop loop,
@@ -82,42 +82,47 @@
         this.loop = loop;
         this.replicas = replicas;
         this.self = self;
-        this.file = file;
+        this.configuration = file;
         this.view = view;
-        this.notes = notes;
+        this.history = notes;
         this.log = log;
     }
 
     /** This process takes part from now on; what it knew before counts no more. */
-    DrainCoordination begin(long now) {
+    DrainCoordination start(long now) {
         drains =
                 new DrainCoordinator(
-                        replicas, self, DrainSettings.DEFAULT, file.conditions(), this, now);
-        drains.policies(file.revision(), file.policies());
+                        replicas,
+                        self,
+                        DrainSettings.DEFAULT,
+                        configuration.conditions(),
+                        this,
+                        now);
+        drains.policies(configuration.revision(), configuration.policies());
         return this;
     }
 
     /** Sees to it that the policies of this replica's file count, where they may. */
-    void propose(ReplicaCoordinator fleet) {
-        loop.at(loop.now() + AGAIN, () -> propose(fleet));
+    void proposePolicies(ReplicaCoordinator fleet) {
+        loop.at(loop.now() + PROPOSAL_INTERVAL_NANOS, () -> proposePolicies(fleet));
         byte[] wanted = drains == null ? null : drains.wantedCommand();
         if (wanted != null) {
-            fleet.propose(wanted, AGAIN);
+            fleet.propose(wanted, PROPOSAL_INTERVAL_NANOS);
         }
         boolean over = drains != null && drains.isOverruled();
-        if (over && !overruled) {
+        if (over && !wasOverruled) {
             log.warn("drains.overruled")
-                    .with("own", file.revision())
+                    .with("own", configuration.revision())
                     .with("agreed", drains.progress().revision())
                     .write();
         }
-        overruled = over;
+        wasOverruled = over;
     }
 
     /** The operator's file says this now. */
-    void apply(DrainsConfiguration next) {
+    void setPolicies(DrainsConfiguration next) {
         if (next != null) {
-            file = next;
+            configuration = next;
             if (drains != null) {
                 drains.policies(next.revision(), next.policies());
             }
@@ -127,14 +132,18 @@
     // ---- operators ----
 
     /** Has endpoints leave, or ends that. */
-    void call(ReplicaCoordinator fleet, boolean cancel, List<Long> nodes, Consumer<Done> then) {
+    void proposeAdminCall(
+            ReplicaCoordinator fleet,
+            boolean cancel,
+            List<Long> nodes,
+            Consumer<OperationResult> then) {
         if (drains == null) {
-            then.accept(Done.NO);
+            then.accept(OperationResult.UNAVAILABLE);
             return;
         }
-        Call call = new Call(cancel, nodes, then);
+        AdminCall call = new AdminCall(cancel, nodes, then);
         for (int from = 0; from < nodes.size(); from += DrainCoordinator.MAX_IDS) {
-            call.left++;
+            call.openProposals++;
             Proposal made =
                     fleet.propose(
                             DrainCoordinator.call(
@@ -144,36 +153,37 @@
                                             Math.min(
                                                     nodes.size(),
                                                     from + DrainCoordinator.MAX_IDS))),
-                            PATIENCE);
+                            CALL_TIMEOUT_NANOS);
             if (made == null) {
-                call.left--;
+                call.openProposals--;
                 call.failed = true;
             } else {
-                calls.put(new Key(made.incarnation(), made.sequence()), call);
+                calls.put(new ProposalKey(made.incarnation(), made.sequence()), call);
             }
         }
-        end(call);
+        completeIfSettled(call);
     }
 
     /** What became of a proposal; false where it is none of these. */
-    boolean settled(Proposal proposal, ProposalOutcome outcome) {
-        Call call = calls.remove(new Key(proposal.incarnation(), proposal.sequence()));
+    boolean onProposalSettled(Proposal proposal, ProposalOutcome outcome) {
+        AdminCall call = calls.remove(new ProposalKey(proposal.incarnation(), proposal.sequence()));
         if (call != null) {
-            call.left--;
+            call.openProposals--;
             call.failed |= outcome != ProposalOutcome.COMMITTED;
-            end(call);
+            completeIfSettled(call);
         }
         return call != null;
     }
 
     /** This avoids a yes to what there was no room for. */
-    private void end(Call call) {
-        if (call.left == 0) {
+    private void completeIfSettled(AdminCall call) {
+        if (call.openProposals == 0) {
             boolean none =
                     !call.cancel
                             && call.nodes.stream()
                                     .anyMatch(node -> drains.state(node) == DrainState.NONE);
-            call.then.accept(call.failed || none ? Done.NO : Done.YES);
+            call.listener.accept(
+                    call.failed || none ? OperationResult.UNAVAILABLE : OperationResult.DONE);
         }
     }
 
@@ -184,17 +194,17 @@
     // ---- what replicas agree on ----
 
     @Override
-    public List<byte[]> report(long now) {
-        out = view.attemptsInFlight();
-        samples.addLast(new Sample(now, view.ended()));
-        while (samples.size() > 1 && now - samples.getFirst().at > WINDOW) {
+    public List<byte[]> reportParts(long now) {
+        attemptsInFlight = view.attemptsInFlight();
+        samples.addLast(new TimedSample(now, view.requestTotals()));
+        while (samples.size() > 1 && now - samples.getFirst().at > TRAFFIC_WINDOW_NANOS) {
             samples.removeFirst();
         }
         return drains.report(now, this);
     }
 
     @Override
-    public void reported(long now, int from, byte[] part) {
+    public void onReportPart(long now, int from, byte[] part) {
         drains.onReport(now, from, part);
     }
 
@@ -209,7 +219,7 @@
     }
 
     @Override
-    public void apply(long now, byte[] command) {
+    public void setPolicies(long now, byte[] command) {
         drains.apply(now, command);
     }
 
@@ -224,7 +234,7 @@
     }
 
     @Override
-    public void restored(long now, byte[] state) {
+    public void restore(long now, byte[] state) {
         drains.onRestored(now, state);
     }
 
@@ -232,7 +242,7 @@
 
     @Override
     public int calls(long node) {
-        return out.getOrDefault(node, 0);
+        return attemptsInFlight.getOrDefault(node, 0);
     }
 
     @Override
@@ -242,8 +252,8 @@
 
     @Override
     public TrafficSample flow() {
-        TrafficSample first = samples.getFirst().all;
-        TrafficSample last = samples.getLast().all;
+        TrafficSample first = samples.getFirst().totals;
+        TrafficSample last = samples.getLast().totals;
         return new TrafficSample(
                 last.ended() - first.ended(),
                 last.refused() - first.refused(),
@@ -257,8 +267,8 @@
         if (happened.effect() == Effect.ALARM) {
             log.warn("drain.overdue").with("node", happened.node()).with("then", event).write();
         }
-        if (notes != null) {
-            notes.note(
+        if (history != null) {
+            history.record(
                     "drain",
                     happened.event() == DrainEvent.BEGUN
                             ? Map.of(
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -84,8 +84,8 @@
                         ? ProxyConfiguration.DEFAULT_SOCKETS
                         : ProxyConfiguration.sockets(configuration);
         EndpointListShape list = EndpointListReader.shape(told.list);
-        int callers = operator.of(CallersTable.CALLERS).maxCallers(sockets);
-        int channels = operator.of(NodesTable.NODES).bounds(sockets, callers).idle();
+        int callers = operator.of(CallersTable.CALLERS).maxClients(sockets);
+        int channels = operator.of(NodesTable.NODES).bounds(sockets, callers).maxIdle();
         ProcessShape shape =
                 new ProcessShape(
                         list,
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -23,15 +23,15 @@
  */
 final class FailoverWiring implements TrafficCoordination {
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final FailoverCoordinator failover;
-    private final FailoverTraffic shares;
+    private final FailoverTraffic traffic;
     private final List<String> zones;
-    private final EventRecorder notes;
+    private final EventRecorder history;
     private final Logger log;
-    private List<TrafficSplitPlanner.Move> said = List.of();
-    private List<String> left = List.of();
+    private List<TrafficSplitPlanner.Move> loggedMoves = List.of();
+    private List<String> evacuatedZones = List.of();
 
     /**
      * @param reports how often replicas report
@@ -53,9 +53,9 @@
         if (settings.period() != reports) {
             throw new IllegalArgumentException(
                     "failover.period_ms: found "
-                            + settings.period() / MILLI
+                            + settings.period() / NANOS_PER_MILLI
                             + "; allowed: "
-                            + reports / MILLI
+                            + reports / NANOS_PER_MILLI
                             + ", by which "
                             + zoneOf.length
                             + " copies report");
@@ -70,48 +70,48 @@
                         site.module().safety(),
                         now);
         this.failover = new FailoverCoordinator(settings, site.zones(), zoneOf, tally, now);
-        this.shares = new FailoverTraffic(failover);
+        this.traffic = new FailoverTraffic(failover);
         this.zones = site.zones();
-        this.notes = notes;
+        this.history = notes;
         this.log = log;
         forwarder.countByZone(tally);
-        apply(settings);
+        evacuate(settings);
     }
 
     /** This table counts from now on; null: none does. */
-    void loaded(long now, RouteTable table) {
+    void onTableLoaded(long now, RouteTable table) {
         failover.onTableLoaded(now, table);
     }
 
     /** Operators leave other zones from now on; null: none. */
-    void apply(FailoverSettings next) {
+    void evacuate(FailoverSettings next) {
         List<String> names = next == null ? List.of() : next.leave();
         List<String> unknown = failover.evacuate(names);
-        for (int zone = 0; notes != null && zone < zones.size(); zone++) {
-            boolean before = left.contains(zones.get(zone));
+        for (int zone = 0; history != null && zone < zones.size(); zone++) {
+            boolean before = evacuatedZones.contains(zones.get(zone));
             if (before != names.contains(zones.get(zone))) {
-                notes.note(before ? "reopened" : "evacuated", Map.of("zone", zone));
+                history.record(before ? "reopened" : "evacuated", Map.of("zone", zone));
             }
         }
-        left = names;
+        evacuatedZones = names;
         if (!unknown.isEmpty()) {
             log.warn("failover.unknown_zone").with("zones", String.join(",", unknown)).write();
         }
     }
 
     @Override
-    public List<byte[]> report(long now) {
-        List<byte[]> parts = shares.report(now);
-        if (notes != null) {
-            parts.forEach(part -> saw(ZoneObservations.decode(part)));
+    public List<byte[]> reportParts(long now) {
+        List<byte[]> parts = traffic.reportParts(now);
+        if (history != null) {
+            parts.forEach(part -> recordObservations(ZoneObservations.decode(part)));
         }
         return parts;
     }
 
-    private void saw(ZoneObservations evidence) {
+    private void recordObservations(ZoneObservations evidence) {
         for (ZoneObservation seen : evidence.observations()) {
             if (seen.age() == 0) {
-                notes.note(
+                history.record(
                         "saw",
                         Map.of(
                                 "zone",
@@ -123,23 +123,23 @@
                                 "silent",
                                 seen.silent(),
                                 "span",
-                                evidence.millis() * MILLI));
+                                evidence.millis() * NANOS_PER_MILLI));
             }
         }
     }
 
     @Override
-    public void reported(long now, int from, byte[] part) {
-        shares.reported(now, from, part);
+    public void onReportPart(long now, int from, byte[] part) {
+        traffic.onReportPart(now, from, part);
     }
 
     @Override
     public List<RouteTable.ZoneRoute> plan(long now, TierView tier) {
-        List<RouteTable.ZoneRoute> planned = shares.plan(now, tier);
+        List<RouteTable.ZoneRoute> planned = traffic.plan(now, tier);
         List<TrafficSplitPlanner.Move> moves = failover.moves();
         // Once: a plan is made again each period until it counts.
         moves.stream()
-                .filter(move -> !said.contains(move))
+                .filter(move -> !loggedMoves.contains(move))
                 .forEach(
                         move ->
                                 log.info("failover.moves")
@@ -150,7 +150,7 @@
                                         .with("bad", names(move.bad()))
                                         .with("well", names(move.well()))
                                         .write());
-        said = moves;
+        loggedMoves = moves;
         return planned;
     }
 
@@ -163,6 +163,6 @@
 
     @Override
     public void onLeadership(long now, boolean leads) {
-        shares.onLeadership(now, leads);
+        traffic.onLeadership(now, leads);
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -41,30 +41,30 @@
 
     private static final String MAGIC = "cedaragr";
     private static final int VERSION = 1;
-    private static final int HEAD = 24;
-    private static final int FRAME = 12;
+    private static final int HEADER_BYTES = 24;
+    private static final int FRAME_BYTES = 12;
 
     /**
      * The file is written anew once it is larger than this, and than four times what it has to
      * hold.
      */
-    private static final long MIN_SIZE = 1 << 20;
+    private static final long MIN_COMPACTION_BYTES = 1 << 20;
 
-    private static final int WASTE = 4;
+    private static final int COMPACTION_FACTOR = 4;
 
     /** No batch is larger: a snapshot and all entries that may be open are less. */
-    private static final int MAX_BATCH = 16 << 20;
+    private static final int MAX_BATCH_BYTES = 16 << 20;
 
-    private static final byte PROMISE = 1;
+    private static final byte HARD_STATE = 1;
     private static final byte ENTRY = 2;
-    private static final byte CUT = 3;
+    private static final byte TRUNCATION = 3;
     private static final byte SNAPSHOT = 4;
 
     /** Why a file is no good, and where. */
-    private static final class Refused extends Exception {
+    private static final class CorruptFileException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Refused(long at, String found, String allowed) {
+        CorruptFileException(long at, String found, String allowed) {
             super("byte " + at + ": found " + found + "; allowed: " + allowed);
         }
     }
@@ -73,15 +73,15 @@
     private final Path file;
     private final int replica;
     private final int replicas;
-    private final FileChannel guard;
+    private final FileChannel lockFile;
     private FileChannel channel;
     private long size;
-    private long anewAt;
+    private long compactAtBytes;
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
-    private HardState promise;
+    private HardState hardState;
     private Snapshot snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
     private final List<LogEntry> entries = new ArrayList<>();
-    private Recovered kept;
+    private Recovered recovered;
 
     /**
      * Opens what an earlier process of this replica left in a folder, or begins with nothing.
@@ -95,13 +95,13 @@
         this.replicas = replicas;
         try {
             Files.createDirectories(folder);
-            guard =
+            lockFile =
                     FileChannel.open(
                             folder.resolve("lock"),
                             StandardOpenOption.CREATE,
                             StandardOpenOption.WRITE);
-            if (!locked()) {
-                guard.close();
+            if (!tryLock()) {
+                lockFile.close();
                 throw new IOException(
                         folder + ": found another process that uses it; allowed: one");
             }
@@ -111,9 +111,9 @@
         }
     }
 
-    private boolean locked() throws IOException {
+    private boolean tryLock() throws IOException {
         try {
-            FileLock lock = guard.tryLock();
+            FileLock lock = lockFile.tryLock();
             return lock != null;
         } catch (OverlappingFileLockException e) {
             return false;
@@ -128,8 +128,8 @@
             channel.truncate(end);
             channel.position(end);
             size = end;
-            if (promise != null) {
-                kept = new Recovered(promise, snapshot, entries);
+            if (hardState != null) {
+                recovered = new Recovered(hardState, snapshot, entries);
             }
             if (end < bytes.length) {
                 log.info("agreement.cut")
@@ -139,8 +139,8 @@
                         .write();
             }
         } catch (NoSuchFileException e) {
-            anew();
-        } catch (Refused e) {
+            rewrite();
+        } catch (CorruptFileException e) {
             Path aside = folder.resolve("agreement.refused");
             log.warn("agreement.refused")
                     .with("file", file)
@@ -148,69 +148,75 @@
                     .with("kept", aside)
                     .write();
             Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
-            promise = null;
+            hardState = null;
             snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
             entries.clear();
-            anew();
+            rewrite();
         }
-        anewAt = Math.max(MIN_SIZE, WASTE * size);
+        compactAtBytes = Math.max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * size);
     }
 
     // ---- reading ----
 
     /** Plays all whole batches; returns where they end. */
-    private long replay(ByteBuffer in) throws Refused {
-        if (in.remaining() < HEAD) {
-            throw new Refused(0, in.remaining() + " bytes", "a head of " + HEAD);
+    private long replay(ByteBuffer in) throws CorruptFileException {
+        if (in.remaining() < HEADER_BYTES) {
+            throw new CorruptFileException(
+                    0, in.remaining() + " bytes", "a head of " + HEADER_BYTES);
         }
         byte[] magic = new byte[MAGIC.length()];
         in.get(magic);
         if (!new String(magic, StandardCharsets.ISO_8859_1).equals(MAGIC)) {
-            throw new Refused(0, "another kind of file", MAGIC);
+            throw new CorruptFileException(0, "another kind of file", MAGIC);
         }
         check(8, "version", in.getInt(), VERSION);
         check(12, "a file of copy", in.getInt(), replica);
         check(16, "a tier of copies", in.getInt(), replicas);
-        if (in.getInt() != sum(in.array(), 0, HEAD - Integer.BYTES)) {
-            throw new Refused(20, "a head whose checksum does not fit", "one that does");
+        if (in.getInt() != checksum(in.array(), 0, HEADER_BYTES - Integer.BYTES)) {
+            throw new CorruptFileException(
+                    20, "a head whose checksum does not fit", "one that does");
         }
         while (in.hasRemaining()) {
             int at = in.position();
-            if (in.remaining() < FRAME || zeros(in.array(), at)) {
+            if (in.remaining() < FRAME_BYTES || isZeroFilled(in.array(), at)) {
                 return at;
             }
             int length = in.getInt();
-            if (in.getInt() != sum(in.array(), at, Integer.BYTES)
+            if (in.getInt() != checksum(in.array(), at, Integer.BYTES)
                     || length < 0
-                    || length > MAX_BATCH) {
-                throw new Refused(at, "a length whose checksum does not fit", "one that does");
+                    || length > MAX_BATCH_BYTES) {
+                throw new CorruptFileException(
+                        at, "a length whose checksum does not fit", "one that does");
             }
             if (length > in.remaining() - Integer.BYTES) {
                 return at;
             }
             int from = in.position();
             boolean last = from + length + Integer.BYTES == in.limit();
-            if (in.getInt(from + length) != sum(in.array(), from, length)) {
-                if (last || zeros(in.array(), from + length + Integer.BYTES)) {
+            if (in.getInt(from + length) != checksum(in.array(), from, length)) {
+                if (last || isZeroFilled(in.array(), from + length + Integer.BYTES)) {
                     return at;
                 }
-                throw new Refused(from, "a batch whose checksum does not fit", "one that does");
+                throw new CorruptFileException(
+                        from, "a batch whose checksum does not fit", "one that does");
             }
             try {
-                play(in.slice(from, length));
+                replayBatch(in.slice(from, length));
             } catch (BufferUnderflowException
                     | IllegalArgumentException
                     | IndexOutOfBoundsException e) {
-                throw new Refused(from, "a batch that can't be read", "one of this version");
+                throw new CorruptFileException(
+                        from, "a batch that can't be read", "one of this version");
             }
             in.position(from + length + Integer.BYTES);
         }
         return in.position();
     }
 
-    private static void check(long at, String what, int found, int allowed) throws Refused {
+    private static void check(long at, String what, int found, int allowed)
+            throws CorruptFileException {
         if (found != allowed) {
-            throw new Refused(at, what + " " + found, Integer.toString(allowed));
+            throw new CorruptFileException(at, what + " " + found, Integer.toString(allowed));
         }
     }
 
@@ -218,7 +224,7 @@
      * Whether only zeros are left: the file had become longer when the process ended, and nothing
      * more.
      */
-    private static boolean zeros(byte[] bytes, int from) {
+    private static boolean isZeroFilled(byte[] bytes, int from) {
         for (int i = from; i < bytes.length; i++) {
             if (bytes[i] != 0) {
                 return false;
@@ -227,20 +233,21 @@
         return true;
     }
 
-    private void play(ByteBuffer in) {
+    private void replayBatch(ByteBuffer in) {
         while (in.hasRemaining()) {
             switch (in.get()) {
-                case PROMISE -> {
+                case HARD_STATE -> {
                     VoterGroup group = new VoterGroup(in.getInt(), in.getInt(), in.getLong());
                     long incarnation = in.getLong();
                     long term = in.getLong();
                     Voter vote = in.get() == 0 ? null : new Voter(in.getInt(), in.getLong());
-                    promise = new HardState(group, incarnation, term, vote, in.get() != 0);
+                    hardState = new HardState(group, incarnation, term, vote, in.get() != 0);
                 }
-                case ENTRY -> take(in.getLong(), entry(in));
-                case CUT -> drop(in.getLong());
+                case ENTRY -> applyRecord(in.getLong(), entry(in));
+                case TRUNCATION -> truncate(in.getLong());
                 case SNAPSHOT ->
-                        take(new Snapshot(in.getLong(), in.getLong(), voters(in), bytes(in)));
+                        applyRecord(
+                                new Snapshot(in.getLong(), in.getLong(), voters(in), bytes(in)));
                 default -> throw new IllegalArgumentException("kind");
             }
         }
@@ -275,7 +282,7 @@
         return new VoterSet(all);
     }
 
-    private static int sum(byte[] bytes, int from, int length) {
+    private static int checksum(byte[] bytes, int from, int length) {
         CRC32C sum = new CRC32C();
         sum.update(bytes, from, length);
         return (int) sum.getValue();
@@ -283,22 +290,22 @@
 
     // ---- what is held ----
 
-    private void take(long index, LogEntry entry) {
-        drop(index);
+    private void applyRecord(long index, LogEntry entry) {
+        truncate(index);
         if (index != snapshot.index() + entries.size() + 1) {
             throw new IllegalArgumentException("an entry that follows none");
         }
         entries.add(entry);
     }
 
-    private void drop(long from) {
+    private void truncate(long from) {
         int keep = (int) Math.max(0, from - snapshot.index() - 1);
         if (keep < entries.size()) {
             entries.subList(keep, entries.size()).clear();
         }
     }
 
-    private void take(Snapshot of) {
+    private void applyRecord(Snapshot of) {
         if (of.index() < snapshot.index()) {
             entries.clear();
         } else {
@@ -311,20 +318,20 @@
     // ---- writing ----
 
     /** What writes into memory, which fails nobody. */
-    private interface Writing {
-        void to(DataOutputStream out) throws IOException;
+    private interface RecordWriter {
+        void writeTo(DataOutputStream out) throws IOException;
     }
 
-    private void write(Writing what) {
+    private void bufferRecord(RecordWriter what) {
         try {
-            what.to(new DataOutputStream(pending));
+            what.writeTo(new DataOutputStream(pending));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     private static void put(DataOutputStream out, HardState made) throws IOException {
-        out.writeByte(PROMISE);
+        out.writeByte(HARD_STATE);
         out.writeInt(made.group().era());
         out.writeInt(made.group().founder());
         out.writeLong(made.group().incarnation());
@@ -362,45 +369,45 @@
 
     @Override
     public Recovered recovered() {
-        return kept;
+        return recovered;
     }
 
     @Override
     public void hardState(HardState made) {
-        promise = made;
-        write(out -> put(out, made));
+        hardState = made;
+        bufferRecord(out -> put(out, made));
     }
 
     @Override
     public void append(long index, LogEntry entry) {
-        take(index, entry);
-        write(out -> put(out, index, entry));
+        applyRecord(index, entry);
+        bufferRecord(out -> put(out, index, entry));
     }
 
     @Override
     public void truncateFrom(long from) {
-        drop(from);
-        write(
+        truncate(from);
+        bufferRecord(
                 out -> {
-                    out.writeByte(CUT);
+                    out.writeByte(TRUNCATION);
                     out.writeLong(from);
                 });
     }
 
     @Override
     public void snapshot(Snapshot of) {
-        take(of);
-        write(out -> put(out, of));
+        applyRecord(of);
+        bufferRecord(out -> put(out, of));
     }
 
     @Override
     public void sync() {
-        if (pending.size() == 0 || promise == null) {
+        if (pending.size() == 0 || hardState == null) {
             return;
         }
         try {
-            if (size + FRAME + pending.size() > anewAt) {
-                anew();
+            if (size + FRAME_BYTES + pending.size() > compactAtBytes) {
+                rewrite();
             } else {
                 ByteBuffer batch = batch(pending.toByteArray());
                 size += batch.remaining();
@@ -416,26 +423,26 @@
     }
 
     private static ByteBuffer batch(byte[] bytes) {
-        ByteBuffer out = ByteBuffer.allocate(FRAME + bytes.length).putInt(bytes.length);
-        out.putInt(sum(out.array(), 0, Integer.BYTES))
+        ByteBuffer out = ByteBuffer.allocate(FRAME_BYTES + bytes.length).putInt(bytes.length);
+        out.putInt(checksum(out.array(), 0, Integer.BYTES))
                 .put(bytes)
-                .putInt(sum(bytes, 0, bytes.length));
+                .putInt(checksum(bytes, 0, bytes.length));
         return out.flip();
     }
 
     /** Writes all that is held into a file that takes the place of the one that is there. */
-    private void anew() throws IOException {
+    private void rewrite() throws IOException {
         ByteBuffer head =
-                ByteBuffer.allocate(HEAD)
+                ByteBuffer.allocate(HEADER_BYTES)
                         .put(MAGIC.getBytes(StandardCharsets.ISO_8859_1))
                         .putInt(VERSION)
                         .putInt(replica)
                         .putInt(replicas);
-        head.putInt(sum(head.array(), 0, HEAD - Integer.BYTES)).flip();
+        head.putInt(checksum(head.array(), 0, HEADER_BYTES - Integer.BYTES)).flip();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        if (promise != null) {
+        if (hardState != null) {
             DataOutputStream out = new DataOutputStream(all);
-            put(out, promise);
+            put(out, hardState);
             put(out, snapshot);
             for (int i = 0; i < entries.size(); i++) {
                 put(out, snapshot.index() + 1 + i, entries.get(i));
@@ -448,7 +455,7 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING);
-        size = HEAD;
+        size = HEADER_BYTES;
         made.write(head);
         if (all.size() > 0) {
             ByteBuffer batch = batch(all.toByteArray());
@@ -466,7 +473,7 @@
             channel.close();
         }
         channel = made;
-        anewAt = Math.max(MIN_SIZE, WASTE * size);
+        compactAtBytes = Math.max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * size);
     }
 
     /** Another process may use the folder from now on. */
@@ -474,7 +481,7 @@
     public void close() {
         try {
             channel.close();
-            guard.close();
+            lockFile.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e.getMessage(), e);
         }
--- a/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
@@ -1,8 +1,8 @@
 package cedarrudder.program;
 
 import cedarrudder.logging.Logger;
-import cedarrudder.program.PersistedAdminState.Told;
-import cedarrudder.program.ProcessHandover.Others;
+import cedarrudder.program.PersistedAdminState.AdminState;
+import cedarrudder.program.ProcessHandover.SiblingProcesses;
 import cedarrudder.transport.HttpServer;
 import cedarrudder.transport.ProxyEventLoop;
 import java.io.IOException;
@@ -43,8 +43,8 @@
     private final Listener listener;
     private final PersistedAdminState persisted;
     private final ProcessHandover processes;
-    private Others others = Others.NONE;
-    private Told lastRead;
+    private SiblingProcesses others = SiblingProcesses.NONE;
+    private AdminState lastRead;
     private int looksLeft;
     private int looksForPredecessor;
 
@@ -83,7 +83,7 @@
     void join() throws InterruptedException {
         try {
             processes.join();
-            others = processes.look();
+            others = processes.siblingProcesses();
         } catch (IOException e) {
             warnUnreadable(e.toString());
         }
@@ -97,7 +97,7 @@
     /** Whether this process is the one that speaks to the peers. */
     boolean claimSpeaker() {
         try {
-            return processes.speak();
+            return processes.claimSpeaker();
         } catch (IOException e) {
             warnUnreadable(e.toString());
             return true;
@@ -131,7 +131,7 @@
 
     private void restore() {
         try {
-            Told told = persisted.read();
+            AdminState told = persisted.read();
             told.disabled().forEach(endpoints.overrides()::disable);
             if (told.drained()) {
                 server.drainByOperator();
@@ -146,12 +146,12 @@
         loop.at(loop.now() + LOOK_INTERVAL_NANOS, this::look);
         try {
             renewFolder();
-            Others now = processes.look();
+            SiblingProcesses now = processes.siblingProcesses();
             logChange(now);
             boolean anyNow = now.any() || others.any();
             looksLeft = anyNow ? LOOKS_AFTER_LAST : Math.max(0, looksLeft - 1);
             others = now;
-            if (silent && processes.speak()) {
+            if (silent && processes.claimSpeaker()) {
                 silent = false;
                 listener.onSpeaker();
             }
@@ -164,7 +164,7 @@
         }
     }
 
-    private void logChange(Others now) {
+    private void logChange(SiblingProcesses now) {
         if (!now.equals(others)) {
             log.info("upgrade.others")
                     .with("predecessor", now.predecessor())
@@ -186,7 +186,7 @@
                 looksForPredecessor++;
                 may = looksForPredecessor > MAX_LOOKS_FOR_PREDECESSOR;
             }
-            if (processes.renew(may, this::persistAll)) {
+            if (processes.rejoinIfReplaced(may, this::persistAll)) {
                 log.warn("state.renewed").write();
             }
             looksForPredecessor = 0;
@@ -209,8 +209,8 @@
      * Does what operators asked of another process of this proxy. What is taken back has to be gone
      * at two looks in turn, since a look may fall into the folder's being cleared.
      */
-    private void follow(Told told) {
-        Told before = lastRead;
+    private void follow(AdminState told) {
+        AdminState before = lastRead;
         lastRead = told;
         told.disabled().forEach(endpoints::disable);
         for (String name : endpoints.overrides().disabled()) {
@@ -232,7 +232,7 @@
     /** Tells other processes that this one is ready, before operators are told. */
     void announceReady() {
         try {
-            processes.ready();
+            processes.markReady();
         } catch (IOException e) {
             warnUnreadable(e.toString());
         } catch (InterruptedException e) {
@@ -244,7 +244,7 @@
     boolean isSuccessorReady() {
         try {
             renewFolder();
-            return processes.look().successorReady();
+            return processes.siblingProcesses().successorReady();
         } catch (IOException e) {
             warnUnreadable(e.toString());
             return false;
@@ -264,7 +264,7 @@
     /** A successor may speak to the peers now. */
     void releaseSpeaker() {
         try {
-            processes.hush();
+            processes.releaseSpeaker();
         } catch (IOException e) {
             warnUnreadable(e.toString());
         }
--- a/daemon/src/main/java/cedarrudder/program/HistoryFile.java
+++ b/daemon/src/main/java/cedarrudder/program/HistoryFile.java
@@ -17,19 +17,19 @@
  * replicas afterwards. The time is {@link System#nanoTime}, which is one clock for all processes of
  * a machine on Linux (CLOCK_MONOTONIC); the life is the process's id. Each line goes to the file by
  * itself, so that SIGKILL takes those alone that still wait. It belongs to the loop's thread but
- * for {@link #end}.
+ * for {@link #stop}.
  */
 final class HistoryFile implements EventRecorder {
 
     /** Lines that wait to be written, at most: some 500 KB. */
-    private static final int MAX = 4_096;
+    private static final int MAX_WAITING_LINES = 4_096;
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private final int replica;
     private final long incarnation = ProcessHandle.current().pid();
     private final AsyncLogWriter lines;
-    private long lost;
+    private long lostEvents;
 
     /**
      * @throws IllegalArgumentException if the file can't be written
@@ -44,7 +44,7 @@
                                     true,
                                     StandardCharsets.UTF_8),
                             "history",
-                            MAX);
+                            MAX_WAITING_LINES);
         } catch (IOException e) {
             throw new IllegalArgumentException(
                     "[history]: found "
@@ -57,13 +57,13 @@
     }
 
     @Override
-    public void note(String what, Map<String, ?> fields) {
+    public void record(String what, Map<String, ?> fields) {
         // This avoids a judge that takes a history with holes for a whole one.
-        if (lost > 0 && lines.take(line("lost", Map.of("events", lost)))) {
-            lost = 0;
+        if (lostEvents > 0 && lines.offer(line("lost", Map.of("events", lostEvents)))) {
+            lostEvents = 0;
         }
-        if (lost > 0 || !lines.take(line(what, fields))) {
-            lost++;
+        if (lostEvents > 0 || !lines.offer(line(what, fields))) {
+            lostEvents++;
         }
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Returns once what was taken is written; from any thread. */
-    void end() {
-        lines.end();
+    void stop() {
+        lines.stop();
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
+++ b/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
@@ -22,11 +22,11 @@
 final class LocalTrafficView {
 
     private final SiteSettings site;
-    private final AdminOverrides rotation;
-    private final EndpointConnectionPool channels;
-    private final EndpointListParser reader;
-    private final RequestMetrics figures;
-    private final LongSupplier clock;
+    private final AdminOverrides overrides;
+    private final EndpointConnectionPool connections;
+    private final EndpointListParser listParser;
+    private final RequestMetrics metrics;
+    private final LongSupplier wallClock;
 
     /**
      * @param clock the machine's, in milliseconds since 1970
@@ -39,78 +39,79 @@
             RequestMetrics figures,
             LongSupplier clock) {
         this.site = site;
-        this.rotation = rotation;
-        this.channels = channels;
-        this.reader = reader;
-        this.figures = figures;
-        this.clock = clock;
+        this.overrides = rotation;
+        this.connections = channels;
+        this.listParser = reader;
+        this.metrics = figures;
+        this.wallClock = clock;
     }
 
     /** What discovery lists, each with whether it serves as far as this replica can tell. */
     Collection<DrainableNode> nodes() {
         int tier = site.module().tier();
-        String name = named(site.tiers(), tier);
-        Set<String> disabled = rotation.disabled();
+        String name = nameAt(site.tiers(), tier);
+        Set<String> disabled = overrides.disabled();
         List<DrainableNode> nodes = new ArrayList<>();
-        rotation.listed()
+        overrides
+                .listed()
                 .forEach(
                         (id, entry) ->
                                 nodes.add(
                                         new DrainableNode(
                                                 entry.id(),
                                                 name,
-                                                named(site.zones(), entry.zone()),
+                                                nameAt(site.zones(), entry.zone()),
                                                 entry.cell(),
-                                                named(site.kinds(), entry.kind()),
+                                                nameAt(site.kinds(), entry.kind()),
                                                 entry.weight(),
                                                 disabled.contains(id)
                                                         ? Standing.DISABLED
                                                         : entry.status() == EndpointStatus.DRAINING
                                                                 ? Standing.TERMINATING
-                                                                : channels.isFailing(entry.id())
+                                                                : connections.isFailing(entry.id())
                                                                         ? Standing.FAILED
                                                                         : Standing.SERVING,
-                                                reader.startMillis(id))));
+                                                listParser.startMillis(id))));
         return nodes;
     }
 
-    private static String named(List<String> names, int index) {
+    private static String nameAt(List<String> names, int index) {
         return index >= 0 && index < names.size() ? names.get(index) : "";
     }
 
     /** Attempts in flight, by endpoint. */
     Map<Long, Integer> attemptsInFlight() {
-        return channels.attemptsInFlight();
+        return connections.attemptsInFlight();
     }
 
     /** The numbers of listed endpoints that are left out here by hand. */
     Set<Long> disabled() {
-        return rotation.disabled().stream()
-                .filter(rotation.listed()::containsKey)
-                .map(id -> rotation.listed().get(id).id())
+        return overrides.disabled().stream()
+                .filter(overrides.listed()::containsKey)
+                .map(id -> overrides.listed().get(id).id())
                 .collect(Collectors.toSet());
     }
 
     /** What became of all calls since the start. */
-    TrafficSample ended() {
+    TrafficSample requestTotals() {
         long served = 0;
         long refused = 0;
         long failed = 0;
-        for (int i = 0; i < figures.classes(); i++) {
-            served += figures.ended(i, End.SERVED);
-            refused += figures.ended(i, End.REJECTED);
-            failed += figures.ended(i, End.FAILED);
+        for (int i = 0; i < metrics.classes(); i++) {
+            served += metrics.ended(i, End.SERVED);
+            refused += metrics.ended(i, End.REJECTED);
+            failed += metrics.ended(i, End.FAILED);
         }
         // Differences are what counts: these may pass the largest number and begin anew.
         return new TrafficSample(
                 (int) (served + refused + failed),
                 (int) refused,
                 (int) failed,
-                (int) figures.deadlinesMissed());
+                (int) metrics.deadlinesMissed());
     }
 
     /** What the machine's clock says; milliseconds since 1970. */
     long wallClock() {
-        return clock.getAsLong();
+        return wallClock.getAsLong();
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
+++ b/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
@@ -20,14 +20,14 @@
  */
 final class PersistedAdminState {
 
-    private static final String NODE = "disabled-";
-    private static final String DRAINED = "drained";
+    private static final String DISABLED_PREFIX = "disabled-";
+    private static final String DRAINED_FILE = "drained";
 
     /** Longer names are more than a folder takes. */
-    private static final int MAX_NAME = 200;
+    private static final int MAX_NAME_LENGTH = 200;
 
     /** What the folder says. */
-    record Told(Set<String> disabled, boolean drained) {}
+    record AdminState(Set<String> disabled, boolean drained) {}
 
     private final Path folder;
 
@@ -40,23 +40,24 @@
      * ProcessHandover} has made it. This avoids bans that are taken back because somebody removed
      * the folder.
      */
-    Told read() throws IOException {
+    AdminState read() throws IOException {
         Set<String> disabled = new HashSet<>();
         boolean drained = false;
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file : (Iterable<Path>) files::iterator) {
                 String name = file.getFileName().toString();
-                drained |= name.equals(DRAINED);
-                if (name.startsWith(NODE)) {
+                drained |= name.equals(DRAINED_FILE);
+                if (name.startsWith(DISABLED_PREFIX)) {
                     disabled.add(
                             URLDecoder.decode(
-                                    name.substring(NODE.length()), StandardCharsets.UTF_8));
+                                    name.substring(DISABLED_PREFIX.length()),
+                                    StandardCharsets.UTF_8));
                 }
             }
         } catch (UncheckedIOException | IllegalArgumentException e) {
             throw new IOException("can't read " + folder + ": " + e.getMessage(), e);
         }
-        return new Told(disabled, drained);
+        return new AdminState(disabled, drained);
     }
 
     void disable(String node) throws IOException {
@@ -68,16 +69,16 @@
     }
 
     void drain() throws IOException {
-        create(DRAINED);
+        create(DRAINED_FILE);
     }
 
     void resume() throws IOException {
-        Files.deleteIfExists(folder.resolve(DRAINED));
+        Files.deleteIfExists(folder.resolve(DRAINED_FILE));
     }
 
     private static String nodeFile(String node) throws IOException {
-        String name = NODE + URLEncoder.encode(node, StandardCharsets.UTF_8);
-        if (name.length() > MAX_NAME) {
+        String name = DISABLED_PREFIX + URLEncoder.encode(node, StandardCharsets.UTF_8);
+        if (name.length() > MAX_NAME_LENGTH) {
             throw new IOException("too long an id for a file: " + name.length() + " characters");
         }
         return name;
--- a/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
@@ -17,7 +17,8 @@
  * it dies, however it does.
  *
  * <p>The file is open once in a process: closing any descriptor of it would free the locks of all.
- * Where somebody has removed it, {@link #renew} takes a place in the one that is there now.
+ * Where somebody has removed it, {@link #rejoinIfReplaced} takes a place in the one that is there
+ * now.
  */
 final class ProcessHandover {
 
@@ -27,29 +28,29 @@
     /**
      * Where a process that lives, one that is ready, and one that takes a place, hold their bytes.
      */
-    private static final int READY = SLOTS;
+    private static final int READY_OFFSET = SLOTS;
 
-    private static final int CLAIMED = 2 * SLOTS;
+    private static final int CLAIMED_OFFSET = 2 * SLOTS;
 
     /** Held while what the folder said is written anew. */
-    private static final int RESTORING = 3 * SLOTS;
+    private static final int RESTORING_OFFSET = 3 * SLOTS;
 
     /** Held by the process that speaks to the peers. */
-    private static final int SPEAKING = RESTORING + 1;
+    private static final int SPEAKER_OFFSET = RESTORING_OFFSET + 1;
 
     /**
      * What the file holds: a byte that says whether that was done, and then since when each process
      * runs.
      */
-    private static final int RESTORED = 0;
+    private static final int RESTORED_FLAG_OFFSET = 0;
 
-    private static final int SINCE = 8;
+    private static final int START_TIMES_OFFSET = 8;
 
     /**
      * Another process's look at a byte locks it for a moment: this many tries tell that from a
      * process.
      */
-    private static final int TRIES = 5;
+    private static final int LOCK_TRIES = 5;
 
     /**
      * Who else runs.
@@ -58,9 +59,9 @@
      * @param successor one that was started later
      * @param successorReady and can serve
      */
-    record Others(boolean predecessor, boolean successor, boolean successorReady) {
+    record SiblingProcesses(boolean predecessor, boolean successor, boolean successorReady) {
 
-        static final Others NONE = new Others(false, false, false);
+        static final SiblingProcesses NONE = new SiblingProcesses(false, false, false);
 
         boolean any() {
             return predecessor || successor;
@@ -68,23 +69,23 @@
     }
 
     /** Writes what this process holds of the folder, which somebody has emptied. */
-    interface Restoring {
+    interface FolderRestorer {
         void run() throws IOException;
     }
 
     private final Path folder;
 
     /** By the clock that all processes of a machine share and nobody sets. */
-    private final long since = System.nanoTime();
+    private final long startedAt = System.nanoTime();
 
     private FileChannel file;
-    private Object identity;
-    private int own = -1;
+    private Object fileKey;
+    private int ownSlot = -1;
     private boolean ready;
-    private FileLock speaks;
+    private FileLock speakerLock;
 
     /** Whether this process is the one that speaks, also while the file is another one. */
-    private boolean spoke;
+    private boolean isSpeaker;
 
     ProcessHandover(Path folder) {
         this.folder = folder;
@@ -96,7 +97,7 @@
      */
     void join() throws IOException, InterruptedException {
         open();
-        takePlace();
+        claimSlot();
     }
 
     /**
@@ -109,37 +110,38 @@
      *     again
      * @return whether it was another file
      */
-    boolean renew(boolean may, Restoring restoring) throws IOException, InterruptedException {
-        if (file == null || own >= 0 && identity.equals(identity())) {
+    boolean rejoinIfReplaced(boolean may, FolderRestorer restoring)
+            throws IOException, InterruptedException {
+        if (file == null || ownSlot >= 0 && fileKey.equals(currentFileKey())) {
             return false;
         }
-        own = -1; // until it has a place: this avoids a failure here being the last look at it
+        ownSlot = -1; // until it has a place: this avoids a failure here being the last look at it
         file.close();
         open();
-        FileLock lock = lock(RESTORING);
+        FileLock lock = lock(RESTORING_OFFSET);
         if (lock == null) {
             throw new IOException("another process writes " + folder + " anew");
         }
         try {
-            if (spoke) {
-                speaks = lock(SPEAKING); // before others can: see the flag below
+            if (isSpeaker) {
+                speakerLock = lock(SPEAKER_OFFSET); // before others can: see the flag below
             }
             ByteBuffer flag = ByteBuffer.allocate(1);
-            if (file.read(flag, RESTORED) < 1 || flag.get(0) == 0) {
+            if (file.read(flag, RESTORED_FLAG_OFFSET) < 1 || flag.get(0) == 0) {
                 if (!may) {
                     throw new IOException(
                             "the process before this one is to write " + folder + " anew");
                 }
                 restoring.run();
-                file.write(ByteBuffer.wrap(new byte[] {1}), RESTORED);
+                file.write(ByteBuffer.wrap(new byte[] {1}), RESTORED_FLAG_OFFSET);
             }
         } finally {
             lock.release();
         }
-        takePlace();
+        claimSlot();
         if (ready) {
             ready = false;
-            ready();
+            markReady();
         }
         return true;
     }
@@ -152,11 +154,11 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.READ,
                         StandardOpenOption.WRITE);
-        identity = identity();
+        fileKey = currentFileKey();
     }
 
     /** Which file is there now; another object than any other's where there is none. */
-    private Object identity() throws IOException {
+    private Object currentFileKey() throws IOException {
         try {
             return Files.readAttributes(folder.resolve("processes"), BasicFileAttributes.class)
                     .fileKey();
@@ -165,34 +167,34 @@
         }
     }
 
-    private void takePlace() throws IOException, InterruptedException {
-        for (int i = 0; i < SLOTS && own < 0; i++) {
-            FileLock claim = lock(CLAIMED + i);
+    private void claimSlot() throws IOException, InterruptedException {
+        for (int i = 0; i < SLOTS && ownSlot < 0; i++) {
+            FileLock claim = lock(CLAIMED_OFFSET + i);
             if (claim == null) {
                 continue;
             }
-            if (held(i)) {
+            if (isHeld(i)) {
                 claim.release(); // by a version that makes no claims
                 continue;
             }
-            file.write(ByteBuffer.allocate(Long.BYTES).putLong(0, since), at(i));
+            file.write(ByteBuffer.allocate(Long.BYTES).putLong(0, startedAt), startTimeOffset(i));
             if (lock(i) == null) {
                 claim.release();
             } else {
-                own = i;
+                ownSlot = i;
             }
         }
-        if (own < 0) {
+        if (ownSlot < 0) {
             throw new IOException("there are " + SLOTS + " processes already");
         }
     }
 
-    private static long at(int slot) {
-        return SINCE + (long) slot * Long.BYTES;
+    private static long startTimeOffset(int slot) {
+        return START_TIMES_OFFSET + (long) slot * Long.BYTES;
     }
 
     /** Whether another process holds this byte for good. */
-    private boolean held(long at) throws IOException, InterruptedException {
+    private boolean isHeld(long at) throws IOException, InterruptedException {
         FileLock lock = lock(at);
         if (lock != null) {
             lock.release();
@@ -206,7 +208,7 @@
      */
     private FileLock lock(long at) throws IOException, InterruptedException {
         FileLock lock = file.tryLock(at, 1, false);
-        for (int i = 1; i < TRIES && lock == null; i++) {
+        for (int i = 1; i < LOCK_TRIES && lock == null; i++) {
             Thread.sleep(1);
             lock = file.tryLock(at, 1, false);
         }
@@ -214,8 +216,8 @@
     }
 
     /** Tells the others that this process can serve. */
-    void ready() throws IOException, InterruptedException {
-        ready = ready || own >= 0 && lock((long) READY + own) != null;
+    void markReady() throws IOException, InterruptedException {
+        ready = ready || ownSlot >= 0 && lock((long) READY_OFFSET + ownSlot) != null;
     }
 
     /**
@@ -223,58 +225,59 @@
      * has it. This avoids two lives under one number, of which each hears half of the answers and
      * contradicts the other.
      */
-    boolean speak() throws IOException {
-        if (own >= 0 && !spoke) {
-            speaks = file.tryLock(SPEAKING, 1, false);
-            spoke = speaks != null;
+    boolean claimSpeaker() throws IOException {
+        if (ownSlot >= 0 && !isSpeaker) {
+            speakerLock = file.tryLock(SPEAKER_OFFSET, 1, false);
+            isSpeaker = speakerLock != null;
         }
-        return own < 0 || spoke;
+        return ownSlot < 0 || isSpeaker;
     }
 
     /** Gives that right away. */
-    void hush() throws IOException {
-        spoke = false;
-        if (speaks != null && speaks.isValid()) {
-            speaks.release();
+    void releaseSpeaker() throws IOException {
+        isSpeaker = false;
+        if (speakerLock != null && speakerLock.isValid()) {
+            speakerLock.release();
         }
-        speaks = null;
+        speakerLock = null;
     }
 
     /** Looks who else runs now: some microseconds. */
-    Others look() throws IOException {
-        if (own < 0) {
-            return Others.NONE;
+    SiblingProcesses siblingProcesses() throws IOException {
+        if (ownSlot < 0) {
+            return SiblingProcesses.NONE;
         }
         boolean predecessor = false;
         boolean successor = false;
         boolean successorReady = false;
         for (int i = 0; i < SLOTS; i++) {
-            if (i == own) {
+            if (i == ownSlot) {
                 continue;
             }
             FileLock lock = file.tryLock(i, 1, false);
             if (lock != null) {
                 lock.release();
-            } else if (ranBefore(i)) {
+            } else if (startedBefore(i)) {
                 predecessor = true;
             } else {
                 successor = true;
-                FileLock told = file.tryLock((long) READY + i, 1, false);
+                FileLock told = file.tryLock((long) READY_OFFSET + i, 1, false);
                 successorReady |= told == null;
                 if (told != null) {
                     told.release();
                 }
             }
         }
-        return new Others(predecessor, successor, successorReady);
+        return new SiblingProcesses(predecessor, successor, successorReady);
     }
 
     /**
      * Whether the process at a place began before this one; one that writes nothing is of a version
      * before.
      */
-    private boolean ranBefore(int slot) throws IOException {
+    private boolean startedBefore(int slot) throws IOException {
         ByteBuffer told = ByteBuffer.allocate(Long.BYTES);
-        return file.read(told, at(slot)) < Long.BYTES || told.getLong(0) - since < 0;
+        return file.read(told, startTimeOffset(slot)) < Long.BYTES
+                || told.getLong(0) - startedAt < 0;
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -25,16 +25,16 @@
 final class ProcessMemoryEstimate {
 
     /** The collector compacts all of the heap at each fourth of its collections. */
-    private static final int COLLECTIONS = 4;
+    private static final int MEASURING_COLLECTIONS = 4;
 
     /** What a start still adds: listeners, and the classes that its warm-up loads. */
-    private static final long STARTING = 235_000;
+    private static final long REMAINING_START_BYTES = 235_000;
 
     /** What a process holds beside its endpoints. */
-    record Load(int callers, int channels, int bodies, long bodyBytes) {}
+    record Load(int clients, int connections, int openRequests, long bufferedBytes) {}
 
     /** Tells what the process holds now. */
-    interface Now {
+    interface LoadSource {
         Load load();
     }
 
@@ -42,24 +42,28 @@
     private final ObjectLayout layout;
     private final RouteTableFootprint tables;
     private final ProcessLimits limits;
-    private final Now now;
-    private ProcessFootprint replica;
-    private boolean measured;
-    private int judged;
-    private String loads;
+    private final LoadSource loadSource;
+    private ProcessFootprint footprint;
+    private boolean isMeasured;
+    private int verdicts;
+    private String currentLoad;
 
     /**
      * @param further this many descriptors more than usual are open for good
      */
     ProcessMemoryEstimate(
-            SiteSettings site, ObjectLayout layout, ProcessLimits limits, int further, Now now) {
+            SiteSettings site,
+            ObjectLayout layout,
+            ProcessLimits limits,
+            int further,
+            LoadSource now) {
         this.site = site;
         this.layout = layout;
         this.tables = new RouteTableFootprint(layout);
         this.limits = limits;
-        this.now = now;
+        this.loadSource = now;
         ProcessBaseline usual = new ProcessFootprint(layout).ground();
-        this.replica =
+        this.footprint =
                 new ProcessFootprint(
                         layout,
                         new ProcessBaseline(
@@ -77,10 +81,10 @@
                 site.module().classes().size(),
                 site.module().tenants().size(),
                 null,
-                load.callers,
-                load.channels,
-                load.bodies,
-                load.bodyBytes);
+                load.clients,
+                load.connections,
+                load.openRequests,
+                load.bufferedBytes);
     }
 
     /**
@@ -90,7 +94,7 @@
     long room(double share, Load max) {
         return Math.min(
                 (long) (share * limits.heap()),
-                replica.left(shape(EndpointListShape.NONE, max), limits.heap()));
+                footprint.left(shape(EndpointListShape.NONE, max), limits.heap()));
     }
 
     /**
@@ -99,25 +103,26 @@
      * that knows nothing of the other tables of the operator's file.
      */
     void measure(EndpointListShape held) {
-        long known = replica.takes(shape(held, now.load())).rest() - replica.ground().heap();
-        replica =
+        long known =
+                footprint.takes(shape(held, loadSource.load())).rest() - footprint.ground().heap();
+        footprint =
                 new ProcessFootprint(
                         layout,
                         new ProcessBaseline(
-                                live() - known + STARTING,
-                                replica.ground().resident(),
-                                replica.ground().direct(),
-                                replica.ground().descriptors()));
-        measured = true;
+                                liveHeapBytes() - known + REMAINING_START_BYTES,
+                                footprint.ground().resident(),
+                                footprint.ground().direct(),
+                                footprint.ground().descriptors()));
+        isMeasured = true;
     }
 
     /** Whether estimates are by what this process has measured. */
-    boolean measured() {
-        return measured;
+    boolean isMeasured() {
+        return isMeasured;
     }
 
     /** Bytes that live, as the collector saw them: what is allocated since does not count. */
-    static long live() {
+    static long liveHeapBytes() {
         System.gc();
         return ManagementFactory.getMemoryPoolMXBeans().stream()
                 .filter(
@@ -129,17 +134,17 @@
     }
 
     /** What operators see of it; null before the first list. */
-    MetricsPage.Estimate figures(EndpointListReader gate) {
+    MetricsPage.Estimate metrics(EndpointListReader gate) {
         if (gate.last() == null) {
             return null;
         }
-        ProcessShape shape = shape(gate.held(), now.load());
+        ProcessShape shape = shape(gate.held(), loadSource.load());
         return new MetricsPage.Estimate(
                 gate.last(),
-                replica.takes(shape),
-                replica.oneMoreNode(shape),
-                replica.resident(shape),
-                replica.judge(shape, limits),
+                footprint.takes(shape),
+                footprint.oneMoreNode(shape),
+                footprint.resident(shape),
+                footprint.judge(shape, limits),
                 room(null, gate));
     }
 
@@ -152,47 +157,47 @@
      * Writes a verdict for the judge of many replicas: of the whole list, and of what is loaded of
      * it.
      */
-    void judged(Judged list, EventRecorder history) {
-        loads = "list " + ++judged;
-        note(history, list.all(), list.fits());
+    void recordVerdict(Judged list, EventRecorder history) {
+        currentLoad = "list " + ++verdicts;
+        recordVerdict(history, list.all(), list.fits());
         if (!list.fits()) {
-            loads += " as far as it fits";
-            note(history, list.then(), true);
+            currentLoad += " as far as it fits";
+            recordVerdict(history, list.then(), true);
         }
     }
 
-    private void note(EventRecorder history, EndpointListShape list, boolean fits) {
-        history.note(
+    private void recordVerdict(EventRecorder history, EndpointListShape list, boolean fits) {
+        history.record(
                 "estimate",
                 Map.of(
                         "load",
-                        loads,
+                        currentLoad,
                         "bound",
                         "heap_at_rest",
                         "fits",
                         fits ? 1 : 0,
                         "needed",
-                        replica.takes(shape(list, now.load())).rest()));
+                        footprint.takes(shape(list, loadSource.load())).rest()));
     }
 
     /**
      * What was judged last is loaded: says so, and what the process then holds, on a thread of its
      * own.
      */
-    void took(EventRecorder history, Consumer<Runnable> loop) {
-        String load = loads;
-        history.note("took", Map.of("load", load));
+    void recordHeld(EventRecorder history, Consumer<Runnable> loop) {
+        String load = currentLoad;
+        history.record("took", Map.of("load", load));
         Thread measuring =
                 new Thread(
                         () -> {
                             long min = Long.MAX_VALUE;
-                            for (int i = 0; i < COLLECTIONS; i++) {
-                                min = Math.min(min, live());
+                            for (int i = 0; i < MEASURING_COLLECTIONS; i++) {
+                                min = Math.min(min, liveHeapBytes());
                             }
                             long held = min;
                             loop.accept(
                                     () ->
-                                            history.note(
+                                            history.record(
                                                     "held",
                                                     Map.of(
                                                             "load",
--- a/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
@@ -54,27 +54,27 @@
     // ---- pages
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return parts.ready().getAsBoolean() && parts.server().isServing();
     }
 
     @Override
-    public byte[] figures() {
+    public byte[] metrics() {
         return MetricsPage.write(
                 parts.metrics(),
                 classNames,
                 overrides.size(),
                 parts.forwarder().avoidedEndpoints(),
                 parts.buffers().bufferedBytes(),
-                parts.estimate() == null ? null : parts.estimate().figures(parts.listReader()));
+                parts.estimate() == null ? null : parts.estimate().metrics(parts.listReader()));
     }
 
     @Override
-    public byte[] table() {
+    public byte[] routeTable() {
         return parts.coordination() == null
                 ? null
                 : RouteTablePage.write(
-                        parts.coordination().fleet(), parts.site().zones(), overrides::name);
+                        parts.coordination().coordinator(), parts.site().zones(), overrides::name);
     }
 
     @Override
@@ -87,12 +87,15 @@
     // ---- what replicas decide together
 
     @Override
-    public Done group() {
-        return parts.coordination().fleet().form() ? Done.YES : Done.NO;
+    public OperationResult formGroup() {
+        return parts.coordination().coordinator().formGroup()
+                ? OperationResult.DONE
+                : OperationResult.UNAVAILABLE;
     }
 
     @Override
-    public void remove(Which which, String name, boolean cancel, Consumer<Done> then) {
+    public void changeDrains(
+            EndpointSelector which, String name, boolean cancel, Consumer<OperationResult> then) {
         List<Long> chosen =
                 overrides.listed().entrySet().stream()
                         .filter(entry -> matches(which, name, entry.getKey(), entry.getValue()))
@@ -100,13 +103,15 @@
                         .sorted()
                         .toList();
         if (chosen.isEmpty()) {
-            then.accept(Done.UNKNOWN);
+            then.accept(OperationResult.UNKNOWN_ENDPOINT);
         } else {
-            parts.drains().call(parts.coordination().fleet(), cancel, chosen, then);
+            parts.drains()
+                    .proposeAdminCall(parts.coordination().coordinator(), cancel, chosen, then);
         }
     }
 
-    private boolean matches(Which which, String name, String endpointName, Endpoint endpoint) {
+    private boolean matches(
+            EndpointSelector which, String name, String endpointName, Endpoint endpoint) {
         return switch (which) {
             case NODE -> endpointName.equals(name);
             case ZONE -> isNamed(parts.site().zones(), name, endpoint.zone());
@@ -122,17 +127,17 @@
     // ---- endpoints by hand
 
     @Override
-    public Done disable(String name) {
+    public OperationResult disable(String name) {
         if (!overrides.knows(name)) {
-            return Done.UNKNOWN;
+            return OperationResult.UNKNOWN_ENDPOINT;
         }
         return persistThen(state -> state.disable(name), () -> parts.endpoints().disable(name));
     }
 
     @Override
-    public Done enable(String name) {
+    public OperationResult enable(String name) {
         if (!overrides.knows(name)) {
-            return Done.UNKNOWN;
+            return OperationResult.UNKNOWN_ENDPOINT;
         }
         return persistThen(state -> state.enable(name), () -> parts.endpoints().enable(name));
     }
@@ -140,23 +145,23 @@
     // ---- draining by hand
 
     @Override
-    public Done drain() {
+    public OperationResult drain() {
         return persistThen(PersistedAdminState::drain, parts.server()::drainByOperator);
     }
 
     @Override
-    public Done resume() {
+    public OperationResult resume() {
         if (!parts.server().isServing()) {
-            return Done.NO;
+            return OperationResult.UNAVAILABLE;
         }
         return persistThen(PersistedAdminState::resume, parts.server()::resumeByOperator);
     }
 
-    private Done persistThen(HandoverCoordinator.Change change, Runnable action) {
+    private OperationResult persistThen(HandoverCoordinator.Change change, Runnable action) {
         if (!parts.handover().persist(change)) {
-            return Done.NO;
+            return OperationResult.UNAVAILABLE;
         }
         action.run();
-        return Done.YES;
+        return OperationResult.DONE;
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
@@ -32,12 +32,12 @@
             }
             configureNetty(); // first, since reading addresses initializes Netty
             ProxyConfiguration configuration = readConfiguration(file);
-            AsyncLogWriter lines = AsyncLogWriter.inPlaceOfStandardError();
+            AsyncLogWriter lines = AsyncLogWriter.replacingStandardError();
             ProxyServer proxy =
                     new ProxyServer(
                             configuration,
                             operator,
-                            new Logger(lines::take),
+                            new Logger(lines::offer),
                             stateFolder(configuration));
             handleSignals(proxy, file, options, lines);
             start(proxy);
@@ -83,7 +83,7 @@
                 new Thread(
                         () -> {
                             proxy.shutDown();
-                            lines.end();
+                            lines.stop();
                         },
                         "drain");
         Runtime.getRuntime().addShutdownHook(shutdown);
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -12,6 +12,7 @@
 import cedarrudder.logging.TextLines;
 import cedarrudder.metrics.RequestMetrics;
 import cedarrudder.operator.AgreementTable;
+import cedarrudder.operator.AgreementTableSettings;
 import cedarrudder.operator.BudgetTable;
 import cedarrudder.operator.CallersTable;
 import cedarrudder.operator.DiscoveryTable;
@@ -119,7 +120,7 @@
         int sockets = configuration.sockets();
         ClientLimits clientLimits = operator.of(CallersTable.CALLERS);
         EndpointLimits endpointLimits = operator.of(NodesTable.NODES);
-        int maxClients = clientLimits.maxCallers(sockets);
+        int maxClients = clientLimits.maxClients(sockets);
         connections =
                 new EndpointConnectionPool(
                         loop,
@@ -167,14 +168,8 @@
                         connections,
                         listParser,
                         metrics);
-        coordination =
-                wiring.coordination(
-                        operator.of(AgreementTable.AGREEMENT),
-                        operator.of(FailoverTable.FAILOVER),
-                        membership,
-                        drains,
-                        this::routeTableCapacity,
-                        endpoints::setDraining);
+        AgreementTableSettings agreement = operator.of(AgreementTable.AGREEMENT);
+        coordination = agreement == null ? null : newCoordination(wiring, agreement);
     }
 
     // ---- wiring
@@ -252,10 +247,10 @@
     /** The most that the process may come to hold beside endpoints. */
     private ProcessMemoryEstimate.Load maxLoad() {
         int sockets = configuration.sockets();
-        int maxClients = operator.of(CallersTable.CALLERS).maxCallers(sockets);
+        int maxClients = operator.of(CallersTable.CALLERS).maxClients(sockets);
         return new ProcessMemoryEstimate.Load(
                 maxClients,
-                operator.of(NodesTable.NODES).bounds(sockets, maxClients).idle(),
+                operator.of(NodesTable.NODES).bounds(sockets, maxClients).maxIdle(),
                 maxClients,
                 BufferAccount.MAX);
     }
@@ -264,13 +259,25 @@
         if (estimate != null && history != null) {
             listReader.whenJudged(
                     judged -> {
-                        if (estimate.measured()) {
-                            estimate.judged(judged, history);
+                        if (estimate.isMeasured()) {
+                            estimate.recordVerdict(judged, history);
                         }
                     });
         }
     }
 
+    /** Apart from the constructor, so that a start without it loads none of its classes. */
+    private CoordinationWiring newCoordination(
+            ReplicaWiring wiring, AgreementTableSettings agreement) {
+        return wiring.coordination(
+                agreement,
+                operator.of(FailoverTable.FAILOVER),
+                membership,
+                drains,
+                this::routeTableCapacity,
+                endpoints::setDraining);
+    }
+
     private RouteTableCapacity routeTableCapacity(RouteTable held) {
         return estimate == null ? RouteTableCapacity.ANY : estimate.room(held, listReader);
     }
@@ -343,7 +350,7 @@
 
     private void startDiscovery(EndpointList known, boolean replacing) {
         if (known != null && listReader != null && listReader.last().waits() > 0) {
-            discovery.startedShort(); // first, since the watch is asked for from there
+            discovery.onCachedListIncomplete(); // first, since the watch is asked for from there
         }
         if (!configuration.site().module().pollsEndpoints()) {
             discovery.watch(true); // nobody asks for it: what was pushed counts from now on
@@ -367,8 +374,8 @@
     private void measure() {
         estimate.measure(listReader.held());
         if (history != null && listReader.last() != null) {
-            estimate.judged(listReader.last(), history);
-            estimate.took(history, loop::run);
+            estimate.recordVerdict(listReader.last(), history);
+            estimate.recordHeld(history, loop::run);
         }
     }
 
@@ -393,9 +400,9 @@
     private void startSpeaking() {
         membership.start();
         if (coordination != null) {
-            coordination.fleet().start();
+            coordination.coordinator().start();
             if (drains != null) {
-                drains.propose(coordination.fleet());
+                drains.proposePolicies(coordination.coordinator());
             }
         }
     }
@@ -415,7 +422,7 @@
     private void startWarmUp(InetSocketAddress own, CountDownLatch warmed) {
         try {
             Warmup warmup = new Warmup(loop, configuration, own, log, warmed::countDown);
-            server.setInterceptor(warmup.answers());
+            server.setInterceptor(warmup.ownResponses());
             warmup.start();
         } catch (MalformedMessageException | RuntimeException e) {
             log.fault("proxy.not_warmed", e).write();
@@ -449,8 +456,8 @@
             freshList.countDown();
         }
         endpoints.onEndpoints(kind, list);
-        if (estimate != null && history != null && estimate.measured()) {
-            estimate.took(history, loop::run);
+        if (estimate != null && history != null && estimate.isMeasured()) {
+            estimate.recordHeld(history, loop::run);
         }
     }
 
@@ -472,7 +479,7 @@
         int sockets = configuration.sockets() / processes;
         buffers.max(BufferAccount.MAX / processes);
         ClientLimits clientLimits = operator.of(CallersTable.CALLERS);
-        int maxClients = clientLimits.maxCallers(sockets);
+        int maxClients = clientLimits.maxClients(sockets);
         server.apply(clientLimits, maxClients);
         EndpointLimits endpointLimits = operator.of(NodesTable.NODES);
         connections.apply(endpointLimits, endpointLimits.bounds(sockets, maxClients));
@@ -510,12 +517,12 @@
                     operator = next;
                     setLog(operator.of(LogTable.LOG));
                     applyBounds(handover.processes());
-                    discovery.apply(operator.of(DiscoveryTable.DISCOVERY));
+                    discovery.setTimeouts(operator.of(DiscoveryTable.DISCOVERY));
                     if (coordination != null) {
-                        coordination.apply(operator.of(FailoverTable.FAILOVER));
+                        coordination.setFailover(operator.of(FailoverTable.FAILOVER));
                     }
                     if (drains != null) {
-                        drains.apply(operator.of(DrainsTable.DRAINS));
+                        drains.setPolicies(operator.of(DrainsTable.DRAINS));
                     }
                     log.info("operator.read").write();
                 });
@@ -564,7 +571,7 @@
             awaitShutdown(done);
             loop.stop();
             if (history != null) {
-                history.end();
+                history.stop();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -590,10 +597,10 @@
             return;
         }
         if (coordination != null) {
-            coordination.fleet().leave(); // first: what it says goes out by the peers' socket
+            coordination.coordinator().stop(); // first: what it says goes out by the peers' socket
         }
         if (replaced) {
-            membership.hush();
+            membership.stopSpeaking();
         } else {
             membership.leave();
         }
--- a/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
@@ -182,9 +182,6 @@
             DrainWiring drains,
             Function<RouteTable, RouteTableCapacity> capacity,
             Consumer<Set<Long>> setDraining) {
-        if (settings == null) {
-            return null;
-        }
         var module = configuration.site().module();
         int replicas = configuration.peers().size();
         checkLease(settings, replicas);
@@ -200,7 +197,7 @@
                 peers,
                 membership,
                 settings,
-                new CoordinationWiring.Self(
+                new CoordinationWiring.LocalReplica(
                         zones,
                         module.self(),
                         wallClock,
@@ -237,7 +234,7 @@
         return new FailoverWiring(
                 failover,
                 configuration.site(),
-                settings.fleet().reports(configuration.peers().size()),
+                settings.fleet().reportInterval(configuration.peers().size()),
                 zones,
                 Math.max(1, wallClock.getAsLong()),
                 loop.now(),
--- a/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
+++ b/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
@@ -53,24 +53,24 @@
         json.writeEndObject();
         json.writeNumberField("term", status.term());
         json.writeNumberField("leader", status.leader());
-        json.writeBooleanField("leads", status.leads());
+        json.writeBooleanField("leads", status.isLeader());
         json.writeArrayFieldStart("voters");
         for (Voter voter : status.voters().all()) {
             json.writeNumber(voter.replica());
         }
         json.writeEndArray();
-        RouteTable agreed = status.agreed();
+        RouteTable agreed = status.agreedTable();
         json.writeNumberField("number", agreed == null ? 0 : agreed.number());
-        json.writeBooleanField("used", status.used() != null);
-        json.writeNumberField("lease_left_ms", status.leaseLeft() / MILLI);
+        json.writeBooleanField("used", status.activeTable() != null);
+        json.writeNumberField("lease_left_ms", status.leaseRemaining() / MILLI);
         json.writeArrayFieldStart("shares");
         for (RouteTable.ZoneRoute share :
                 agreed == null ? List.<RouteTable.ZoneRoute>of() : agreed.routes()) {
             json.writeStartObject();
             json.writeStringField("from", name(zones, share.from()));
             json.writeStringField("to", name(zones, share.to()));
-            json.writeStringField("way", share.way().name().toLowerCase(Locale.ROOT));
-            json.writeNumberField("parts", share.parts());
+            json.writeStringField("way", share.reason().name().toLowerCase(Locale.ROOT));
+            json.writeNumberField("parts", share.weight());
             json.writeNumberField("per_s", share.maxPerSecond());
             json.writeEndObject();
         }
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -45,32 +45,32 @@
 final class Warmup {
 
     /** This many in all: what they run through is the same code whatever the settings. */
-    private static final int RPCS = 100;
+    private static final int REQUESTS = 100;
 
     /**
      * This many are out at a time. This avoids waiting for the network most of the time until
      * ready.
      */
-    private static final int AT_ONCE = 4;
+    private static final int PARALLEL_REQUESTS = 4;
 
     /** Clients' first connections all come at once, so the way of a new one is taken often too. */
-    private static final int RPCS_A_CHANNEL = 3;
+    private static final int REQUESTS_PER_CONNECTION = 3;
 
     /** Readiness never waits longer than this for it. */
-    private static final long MAX = 3_000_000_000L;
+    private static final long TIMEOUT_NANOS = 3_000_000_000L;
 
-    private static final long SELF = 1;
+    private static final long SELF_ENDPOINT = 1;
 
     private final ProxyEventLoop loop;
     private final BalancerSettings settings;
     private final RequestForwarder<HttpMessage, HttpMessage> forwarder;
-    private final EndpointConnectionPool channels;
+    private final EndpointConnectionPool connections;
     private final String token;
     private final HttpMessage request;
     private final Runnable whenDone;
     private int sent;
-    private int out;
-    private boolean over;
+    private int inFlight;
+    private boolean finished;
 
     /**
      * @param at where the proxy listens now, and nobody else does
@@ -114,20 +114,21 @@
                 new RequestForwarder<>(
                         actions -> new PrequalBalancer(settings, random, actions),
                         settings.limits().maxAttempts(),
-                        new Clock(),
+                        new WarmupTimers(),
                         log);
-        channels =
+        connections =
                 new EndpointConnectionPool(
                         loop,
                         forwarder,
                         configuration.site(),
                         EndpointLimits.DEFAULT,
-                        new EndpointLimits.Bounds(RPCS, RPCS),
+                        new EndpointLimits.Bounds(REQUESTS, REQUESTS),
                         new RequestMetrics(settings.classes().size()),
                         new BufferAccount(BufferAccount.MAX));
-        forwarder.attach(new Self(), new NoDiscovery(), (replica, message) -> {});
-        Endpoint self = new Endpoint(SELF, settings.zone(), 0, 0, EndpointStatus.READY, 1, 0);
-        channels.onEndpoints(
+        forwarder.attach(new SelfTransport(), new NoDiscovery(), (replica, message) -> {});
+        Endpoint self =
+                new Endpoint(SELF_ENDPOINT, settings.zone(), 0, 0, EndpointStatus.READY, 1, 0);
+        connections.onEndpoints(
                 new EndpointList(
                         0, true, List.of(new EndpointList.Node("self", self, at)), List.of()));
         forwarder.endpointsUpdated(EndpointListKind.FULL, List.of(self));
@@ -135,9 +136,9 @@
 
     /** Begins; to be called on the loop. */
     void start() {
-        loop.at(loop.now() + MAX, this::finish);
-        for (int i = 0; i < AT_ONCE; i++) {
-            next();
+        loop.at(loop.now() + TIMEOUT_NANOS, this::finish);
+        for (int i = 0; i < PARALLEL_REQUESTS; i++) {
+            sendNext();
         }
     }
 
@@ -147,7 +148,7 @@
      * request is out, bytes of a request may be read after its end. This avoids such a one going on
      * to an endpoint, as was seen on a busy core.
      */
-    BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> answers() {
+    BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> ownResponses() {
         String own = token;
         HttpMessage answer = request;
         return (exchange, reply) -> {
@@ -159,26 +160,26 @@
         };
     }
 
-    private void next() {
-        if (over || sent == RPCS) {
-            if (out == 0) {
+    private void sendNext() {
+        if (finished || sent == REQUESTS) {
+            if (inFlight == 0) {
                 finish();
             }
             return;
         }
-        out++;
-        if (++sent % RPCS_A_CHANNEL == 0) {
-            channels.closeIdleConnections(SELF);
+        inFlight++;
+        if (++sent % REQUESTS_PER_CONNECTION == 0) {
+            connections.closeIdleConnections(SELF_ENDPOINT);
         }
-        long deadline = loop.now() + MAX;
+        long deadline = loop.now() + TIMEOUT_NANOS;
         Request event = new Request(sent, 0, 0, deadline, 0, false, false, 0);
         forwarder.accept(new Exchange<>(event, request, new Reply()));
     }
 
     private void finish() {
-        if (!over) {
-            over = true;
-            channels.close();
+        if (!finished) {
+            finished = true;
+            connections.close();
             whenDone.run();
         }
     }
@@ -186,9 +187,9 @@
     private final class Reply implements Exchange.Reply<HttpMessage> {
         @Override
         public void served(HttpMessage answer) {
-            out--;
+            inFlight--;
             // Not at once: the driver is still at work on this one.
-            loop.run(Warmup.this::next);
+            loop.run(Warmup.this::sendNext);
         }
 
         @Override
@@ -208,7 +209,7 @@
     }
 
     /** The clock, for as long as the warm-up lasts: what its module scheduled ends with it. */
-    private final class Clock implements TimerService {
+    private final class WarmupTimers implements TimerService {
         @Override
         public long now() {
             return loop.now();
@@ -219,7 +220,7 @@
             return loop.at(
                     instant,
                     () -> {
-                        if (!over) {
+                        if (!finished) {
                             task.run();
                         }
                     });
@@ -227,20 +228,20 @@
     }
 
     /** The channels to itself; probes are answered here, since a listener answers none. */
-    private final class Self implements AttemptTransport<HttpMessage, HttpMessage> {
+    private final class SelfTransport implements AttemptTransport<HttpMessage, HttpMessage> {
         @Override
         public boolean knowsEndpoint(long endpoint) {
-            return channels.knowsEndpoint(endpoint);
+            return connections.knowsEndpoint(endpoint);
         }
 
         @Override
         public void startAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
-            channels.startAttempt(attempt);
+            connections.startAttempt(attempt);
         }
 
         @Override
         public void abandonAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
-            channels.abandonAttempt(attempt);
+            connections.abandonAttempt(attempt);
         }
 
         @Override
@@ -254,7 +255,7 @@
 
         @Override
         public void closeIdleConnections(long endpoint) {
-            channels.closeIdleConnections(endpoint);
+            connections.closeIdleConnections(endpoint);
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -5,7 +5,7 @@
 import cedarrudder.protocol.HttpEncoder;
 import cedarrudder.protocol.HttpMessage;
 import cedarrudder.protocol.MalformedMessageException;
-import cedarrudder.transport.AdminOperations.Done;
+import cedarrudder.transport.AdminOperations.OperationResult;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -33,31 +33,31 @@
      * Connections at once; at this bound the one that has said least makes room, the oldest of
      * those.
      */
-    public static final int MAX_CALLS = 16;
+    public static final int MAX_CONNECTIONS = 16;
 
     /** Bytes of a call, which has a short path and no body to speak of. */
-    private static final int MAX_HEAD = 4096;
+    private static final int MAX_HEAD_BYTES = 4096;
 
-    private static final int MAX_BODY = 1024;
+    private static final int MAX_BODY_BYTES = 1024;
 
     /** A call must be whole by then, in nanoseconds from its connection. */
-    private static final long PATIENCE = 5_000_000_000L;
+    private static final long CALL_TIMEOUT_NANOS = 5_000_000_000L;
 
     /** Who has its answer may stay for this long. */
-    private static final long LAST_WORD = 1_000_000_000L;
+    private static final long LINGER_NANOS = 1_000_000_000L;
 
     private static final String NODES = "/-/nodes/";
     private static final String DRAINS = "/-/drains";
-    private static final Answer UNKNOWN_PATH = Answer.text(404, "unknown path");
+    private static final AdminResponse UNKNOWN_PATH = AdminResponse.text(404, "unknown path");
 
     private final ProxyEventLoop loop;
-    private final AdminOperations desk;
-    private final Set<Call> calls = new LinkedHashSet<>();
-    private Channel listening;
+    private final AdminOperations operations;
+    private final Set<AdminConnection> connections = new LinkedHashSet<>();
+    private Channel channel;
 
     public AdminListener(ProxyEventLoop loop, AdminOperations desk) {
         this.loop = loop;
-        this.desk = desk;
+        this.operations = desk;
     }
 
     /** Begins to listen; blocks until it does. */
@@ -73,7 +73,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        channel.pipeline().addLast(new Call(channel));
+                                        channel.pipeline().addLast(new AdminConnection(channel));
                                     }
                                 })
                         .bind(address)
@@ -82,53 +82,53 @@
             throw new IOException(
                     "can't listen for operators on " + address + ": " + bound.cause().getMessage());
         }
-        listening = bound.channel();
+        channel = bound.channel();
     }
 
     /** Where it listens. */
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) channel.localAddress();
     }
 
     /** An answer before it is written; {@code allow} is null but where the method is wrong. */
-    private record Answer(int status, String type, byte[] body, String allow) {
+    private record AdminResponse(int status, String type, byte[] body, String allow) {
 
-        static Answer text(int status, String text) {
-            return new Answer(
+        static AdminResponse text(int status, String text) {
+            return new AdminResponse(
                     status, "text/plain", (text + "\n").getBytes(StandardCharsets.UTF_8), null);
         }
 
-        static Answer done(Done done) {
+        static AdminResponse of(OperationResult done) {
             return switch (done) {
-                case YES -> text(200, "done");
-                case UNKNOWN -> text(404, "no node of this id was ever listed");
-                case NO -> text(503, "can't be done now, or can't be kept");
+                case DONE -> text(200, "done");
+                case UNKNOWN_ENDPOINT -> text(404, "no node of this id was ever listed");
+                case UNAVAILABLE -> text(503, "can't be done now, or can't be kept");
             };
         }
     }
 
     /** Null where the answer comes later, to {@code later}. */
-    private Answer route(String method, String target, Consumer<Answer> later)
+    private AdminResponse route(String method, String target, Consumer<AdminResponse> later)
             throws MalformedMessageException {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
         int verb = path.lastIndexOf('/');
-        if (path.startsWith(DRAINS + "/") && desk.drains() != null) {
-            return remove(method, path.substring(DRAINS.length() + 1), later);
+        if (path.startsWith(DRAINS + "/") && operations.drains() != null) {
+            return routeDrainChange(method, path.substring(DRAINS.length() + 1), later);
         }
         if (path.startsWith(NODES) && verb > NODES.length()) {
-            String node = decoded(path.substring(NODES.length(), verb));
+            String node = percentDecoded(path.substring(NODES.length(), verb));
             return node.contains("/")
                     ? UNKNOWN_PATH
                     : switch (path.substring(verb + 1)) {
                         case "disable" ->
                                 method.equals("POST")
-                                        ? Answer.done(desk.disable(node))
-                                        : wrong("POST");
+                                        ? AdminResponse.of(operations.disable(node))
+                                        : wrongMethod("POST");
                         case "enable" ->
                                 method.equals("POST")
-                                        ? Answer.done(desk.enable(node))
-                                        : wrong("POST");
+                                        ? AdminResponse.of(operations.enable(node))
+                                        : wrongMethod("POST");
                         default -> UNKNOWN_PATH;
                     };
         }
@@ -136,40 +136,45 @@
                 switch (path) {
                     case "/-/ready", "/-/metrics" -> "GET";
                     case "/-/drain", "/-/resume" -> "POST";
-                    case "/-/table" -> desk.table() == null ? null : "GET";
-                    case "/-/group" -> desk.table() == null ? null : "POST";
-                    case DRAINS -> desk.drains() == null ? null : "GET";
+                    case "/-/table" -> operations.routeTable() == null ? null : "GET";
+                    case "/-/group" -> operations.routeTable() == null ? null : "POST";
+                    case DRAINS -> operations.drains() == null ? null : "GET";
                     default -> null;
                 };
         if (allowed == null) {
             return UNKNOWN_PATH;
         }
         if (!method.equals(allowed)) {
-            return wrong(allowed);
+            return wrongMethod(allowed);
         }
         return switch (path) {
             case "/-/ready" ->
-                    desk.ready() ? Answer.text(200, "ready") : Answer.text(503, "not ready");
-            case "/-/metrics" -> new Answer(200, "application/json", desk.figures(), null);
-            case "/-/drain" -> Answer.done(desk.drain());
-            case "/-/table" -> new Answer(200, "application/json", desk.table(), null);
-            case "/-/group" -> Answer.done(desk.group());
-            case DRAINS -> new Answer(200, "application/json", desk.drains(), null);
-            default -> Answer.done(desk.resume());
+                    operations.isReady()
+                            ? AdminResponse.text(200, "ready")
+                            : AdminResponse.text(503, "not ready");
+            case "/-/metrics" ->
+                    new AdminResponse(200, "application/json", operations.metrics(), null);
+            case "/-/drain" -> AdminResponse.of(operations.drain());
+            case "/-/table" ->
+                    new AdminResponse(200, "application/json", operations.routeTable(), null);
+            case "/-/group" -> AdminResponse.of(operations.formGroup());
+            case DRAINS -> new AdminResponse(200, "application/json", operations.drains(), null);
+            default -> AdminResponse.of(operations.resume());
         };
     }
 
     /** A call such as {@code zone/a/begin}. */
-    private Answer remove(String method, String call, Consumer<Answer> later)
+    private AdminResponse routeDrainChange(
+            String method, String call, Consumer<AdminResponse> later)
             throws MalformedMessageException {
         String[] parts = call.split("/", -1);
-        AdminOperations.Which which =
+        AdminOperations.EndpointSelector which =
                 parts.length == 3
                         ? switch (parts[0]) {
-                            case "node" -> AdminOperations.Which.NODE;
-                            case "zone" -> AdminOperations.Which.ZONE;
-                            case "pod" -> AdminOperations.Which.POD;
-                            case "kind" -> AdminOperations.Which.KIND;
+                            case "node" -> AdminOperations.EndpointSelector.NODE;
+                            case "zone" -> AdminOperations.EndpointSelector.ZONE;
+                            case "pod" -> AdminOperations.EndpointSelector.POD;
+                            case "kind" -> AdminOperations.EndpointSelector.KIND;
                             default -> null;
                         }
                         : null;
@@ -179,20 +184,21 @@
             return UNKNOWN_PATH;
         }
         if (!method.equals("POST")) {
-            return wrong("POST");
+            return wrongMethod("POST");
         }
-        desk.remove(
+        operations.changeDrains(
                 which,
-                decoded(parts[1]),
+                percentDecoded(parts[1]),
                 parts[2].equals("cancel"),
                 done ->
                         later.accept(
                                 switch (done) {
-                                    case YES -> Answer.text(200, "done");
-                                    case UNKNOWN ->
-                                            Answer.text(404, "no node that is listed is meant");
-                                    case NO ->
-                                            Answer.text(
+                                    case DONE -> AdminResponse.text(200, "done");
+                                    case UNKNOWN_ENDPOINT ->
+                                            AdminResponse.text(
+                                                    404, "no node that is listed is meant");
+                                    case UNAVAILABLE ->
+                                            AdminResponse.text(
                                                     503,
                                                     "not known to be agreed on; to repeat it does"
                                                             + " no harm");
@@ -200,13 +206,13 @@
         return null;
     }
 
-    private static Answer wrong(String allowed) {
-        return new Answer(
+    private static AdminResponse wrongMethod(String allowed) {
+        return new AdminResponse(
                 405, "text/plain", "wrong method\n".getBytes(StandardCharsets.UTF_8), allowed);
     }
 
     /** Decodes what is percent-encoded, once. */
-    private static String decoded(String segment) throws MalformedMessageException {
+    private static String percentDecoded(String segment) throws MalformedMessageException {
         try {
             // A plus sign is one: the decoder is for forms, where it stands for a blank.
             return URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
@@ -220,90 +226,90 @@
      * This avoids clients who say nothing, or half a call, shutting out those who say all of it.
      */
     private void makeRoom() {
-        Call min = null;
-        for (Call call : calls) {
-            min = min == null || call.said < min.said ? call : min;
+        AdminConnection min = null;
+        for (AdminConnection call : connections) {
+            min = min == null || call.receivedBytes < min.receivedBytes ? call : min;
         }
         if (min != null) {
             // Not once it has closed, which is later: this avoids the same one making room for
             // many.
-            calls.remove(min);
+            connections.remove(min);
             min.channel.close();
         }
     }
 
     /** One connection, with one call. */
-    private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class AdminConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final DuplexChannel channel;
-        private final HttpDecoder decoder = HttpDecoder.ofRequests(MAX_HEAD, MAX_BODY);
-        private long said;
+        private final HttpDecoder decoder = HttpDecoder.ofRequests(MAX_HEAD_BYTES, MAX_BODY_BYTES);
+        private long receivedBytes;
         private boolean answered;
-        private boolean waits;
-        private TimerService.Timer patience;
+        private boolean awaitsResult;
+        private TimerService.Timer timeout;
 
-        Call(DuplexChannel channel) {
+        AdminConnection(DuplexChannel channel) {
             this.channel = channel;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            if (calls.size() >= MAX_CALLS) {
+            if (connections.size() >= MAX_CONNECTIONS) {
                 makeRoom();
             }
-            calls.add(this);
-            closeIn(PATIENCE);
+            connections.add(this);
+            closeIn(CALL_TIMEOUT_NANOS);
         }
 
         /** Closes it then, if it is still there. */
         private void closeIn(long nanos) {
-            stopWaiting();
-            patience = loop.at(loop.now() + nanos, channel::close);
+            cancelTimeout();
+            timeout = loop.at(loop.now() + nanos, channel::close);
         }
 
         /**
          * This avoids memory that grows with the rate of calls, as long as their time is not over.
          */
-        private void stopWaiting() {
-            if (patience != null) {
-                patience.cancel();
+        private void cancelTimeout() {
+            if (timeout != null) {
+                timeout.cancel();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf in) {
-            said += in.readableBytes();
-            if (answered || waits) {
+            receivedBytes += in.readableBytes();
+            if (answered || awaitsResult) {
                 return; // what comes behind a call is read, since closing with bytes unread loses
                 // the answer
             }
             try {
                 HttpMessage call = decoder.decode(in);
                 if (call != null) {
-                    Answer answer =
-                            route(call.head().method(), call.head().target(), this::answerLater);
+                    AdminResponse answer =
+                            route(call.head().method(), call.head().target(), this::respondLater);
                     if (answer != null) {
-                        answer(answer);
+                        respond(answer);
                     } else if (!answered) {
-                        closeIn(PATIENCE); // for those who have to agree on it
-                        waits = true;
+                        closeIn(CALL_TIMEOUT_NANOS); // for those who have to agree on it
+                        awaitsResult = true;
                     }
                 } else if (decoder.awaitsContinue()) {
                     channel.writeAndFlush(HttpEncoder.goOn(loop.buffers()));
                 }
             } catch (MalformedMessageException e) {
-                answer(Answer.text(e.status(), e.getMessage()));
+                respond(AdminResponse.text(e.status(), e.getMessage()));
             }
         }
 
-        private void answerLater(Answer answer) {
+        private void respondLater(AdminResponse answer) {
             if (!answered && channel.isOpen()) {
-                answer(answer);
+                respond(answer);
             }
         }
 
-        private void answer(Answer answer) {
+        private void respond(AdminResponse answer) {
             answered = true;
-            said = Long.MAX_VALUE; // it goes last where room is needed
+            receivedBytes = Long.MAX_VALUE; // it goes last where room is needed
             channel.writeAndFlush(
                             HttpEncoder.page(
                                     loop.buffers(),
@@ -315,15 +321,15 @@
                             wrote -> {
                                 if (channel.isOpen()) {
                                     channel.shutdownOutput();
-                                    closeIn(LAST_WORD);
+                                    closeIn(LINGER_NANOS);
                                 }
                             });
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            calls.remove(this);
-            stopWaiting();
+            connections.remove(this);
+            cancelTimeout();
         }
 
         @Override
--- a/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
@@ -6,29 +6,29 @@
 public interface AdminOperations {
 
     /** What came of a call. */
-    enum Done {
+    enum OperationResult {
         /** It counts from now on; also where it did already. */
-        YES,
+        DONE,
         /** It names an endpoint that was never listed. */
-        UNKNOWN,
+        UNKNOWN_ENDPOINT,
         /** It can't be done, or can't be kept. */
-        NO
+        UNAVAILABLE
     }
 
     /** Whether this process can serve. */
-    boolean ready();
+    boolean isReady();
 
     /** The figures, as JSON. */
-    byte[] figures();
+    byte[] metrics();
 
     /** Leaves an endpoint out until it is enabled. */
-    Done disable(String node);
+    OperationResult disable(String node);
 
     /** Puts an endpoint back. */
-    Done enable(String node);
+    OperationResult enable(String node);
 
     /** Endpoints that a call names at once. */
-    enum Which {
+    enum EndpointSelector {
         NODE,
         ZONE,
         POD,
@@ -41,23 +41,24 @@
      * @param name an id, or what all endpoints have that are meant
      * @param then takes what came of it, once it is committed or that can't be told any more
      */
-    void remove(Which which, String name, boolean cancel, Consumer<Done> then);
+    void changeDrains(
+            EndpointSelector which, String name, boolean cancel, Consumer<OperationResult> then);
 
     /** The drains, as JSON; null where there are no policies. */
     byte[] drains();
 
     /** Sends clients away. */
-    Done drain();
+    OperationResult drain();
 
     /** Takes clients again. */
-    Done resume();
+    OperationResult resume();
 
     /**
      * What the replicas agreed on and how this one stands, as JSON; null where they agree on
      * nothing.
      */
-    byte[] table();
+    byte[] routeTable();
 
     /** Forms a group of replicas that agree, with this one as the first. */
-    Done group();
+    OperationResult formGroup();
 }
