--- a/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -17,9 +17,9 @@
     static final WriteBufferWaterMark WRITE_AHEAD = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
 
     /** What comes of it; one of these is called, once. */
-    interface End {
+    interface CompletionListener {
         /** The last byte is written. */
-        void wrote();
+        void onBodyWritten();
 
         /** The rest doesn't come, or the channel takes no more. */
         void broke();
@@ -29,9 +29,9 @@
     private final Channel channel;
     private final BodyFlow flow;
     private final boolean chunked;
-    private final Runnable spending;
-    private final End end;
-    private long movedAt;
+    private final Runnable onBytesTaken;
+    private final CompletionListener listener;
+    private long lastProgressAt;
     private boolean pumping;
     private boolean over;
     private boolean stopped;
@@ -45,14 +45,14 @@
             BodyFlow flow,
             boolean chunked,
             Runnable spending,
-            End end) {
-        this.spending = spending;
+            CompletionListener end) {
+        this.onBytesTaken = spending;
         this.loop = loop;
         this.channel = channel;
         this.flow = flow;
         this.chunked = chunked;
-        this.end = end;
-        this.movedAt = loop.now();
+        this.listener = end;
+        this.lastProgressAt = loop.now();
         flow.whenMore(this::pump);
     }
 
@@ -72,22 +72,22 @@
                     break;
                 }
                 wrote = true;
-                movedAt = loop.now();
-                spending.run();
+                lastProgressAt = loop.now();
+                onBytesTaken.run();
                 channel.write(HttpEncoder.piece(loop.buffers(), piece, chunked));
             }
         } catch (OutOfMemoryError e) {
             // A piece is lost: this avoids a body that goes on without it, or waits for good.
             loop.log().fault("body.broken", e).write();
             stop();
-            end.broke();
+            listener.broke();
             return;
         } finally {
             pumping = false;
         }
         if (flow.isBroken()) {
             over = true;
-            end.broke();
+            listener.broke();
         } else if (flow.isAtEnd()) {
             over = true;
             channel.writeAndFlush(
@@ -99,9 +99,9 @@
                                     // that has gone
                                 }
                                 if (last.isSuccess()) {
-                                    end.wrote();
+                                    listener.onBodyWritten();
                                 } else {
-                                    end.broke();
+                                    listener.broke();
                                 }
                             });
         } else if (wrote) {
@@ -111,7 +111,7 @@
 
     /** Whether the channel takes nothing, and has taken nothing for this long, in nanoseconds. */
     boolean stuck(long nanos) {
-        return !channel.isWritable() && loop.now() - movedAt >= nanos;
+        return !channel.isWritable() && loop.now() - lastProgressAt >= nanos;
     }
 
     /**
@@ -119,7 +119,7 @@
      * in nanoseconds; now where all that there was has gone out.
      */
     long waitsSince() {
-        return channel.bytesBeforeUnwritable() >= WRITE_AHEAD.high() ? loop.now() : movedAt;
+        return channel.bytesBeforeUnwritable() >= WRITE_AHEAD.high() ? loop.now() : lastProgressAt;
     }
 
     /** Nothing more is written, and nobody is told; the flow is left for another. */
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
@@ -106,10 +106,10 @@
         return switch (next) {
             case READING_HEAD ->
                     // The time of the first request counts from the connection.
-                    state == ClientConnectionState.NEW ? due : now + limits.requestPatience();
-            case NEW, READING_BODY -> now + limits.requestPatience();
-            case IDLE -> now + limits.idlePatience();
-            case RESPONDING, SENDING_LAST_RESPONSE -> now + limits.answerPatience();
+                    state == ClientConnectionState.NEW ? due : now + limits.requestTimeout();
+            case NEW, READING_BODY -> now + limits.requestTimeout();
+            case IDLE -> now + limits.idleTimeout();
+            case RESPONDING, SENDING_LAST_RESPONSE -> now + limits.responseTimeout();
             case LINGERING -> now + LingeringClose.QUIET_NANOS;
             case REQUEST_OPEN, CLOSED -> Long.MAX_VALUE;
         };
@@ -130,7 +130,7 @@
         }
         if (download != null) {
             // A client that reads all there is does not pay for an endpoint that takes its time.
-            due = Math.max(due, download.waitsSince() + server.limits().answerPatience());
+            due = Math.max(due, download.waitsSince() + server.limits().responseTimeout());
         }
         if (server.loop().now() < due) {
             return;
@@ -159,7 +159,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (download != null && channel.isWritable()) {
-            due = server.loop().now() + server.limits().answerPatience(); // the client reads
+            due = server.loop().now() + server.limits().responseTimeout(); // the client reads
             download.pump();
         }
     }
@@ -353,9 +353,9 @@
         download.pump();
     }
 
-    private final class DownloadEnd implements BodyWriter.End {
+    private final class DownloadEnd implements BodyWriter.CompletionListener {
         @Override
-        public void wrote() {
+        public void onBodyWritten() {
             download = null;
             closeRequest();
             onWritten(true);
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
@@ -135,7 +135,7 @@
     }
 
     private ClientConnection firstToClose() {
-        long silentLong = server.limits().silentLong();
+        long silentLong = server.limits().silentAfter();
         ClientConnection first = oldest(lingering, 0);
         first = first != null ? first : oldest(silent, silentLong);
         first = first != null ? first : oldest(partial, silentLong);
--- a/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
@@ -6,29 +6,29 @@
 /**
  * What clients may cost. Times are in nanoseconds.
  *
- * @param requestPatience a request must be whole this long after its connection came, or after its
+ * @param requestTimeout a request must be whole this long after its connection came, or after its
  *     first byte where others came before it. This avoids half requests and silent connections
  *     holding descriptors: whoever sends what is no request is owed an answer or a close within 3 s
- * @param silentLong clients send their first request as they connect, and each in one piece; one
+ * @param silentAfter clients send their first request as they connect, and each in one piece; one
  *     that is silent, or has sent half a request, for this long gives up its place where room is
  *     needed
- * @param idlePatience a client between requests is closed after this long. The protocol allows it
+ * @param idleTimeout a client between requests is closed after this long. The protocol allows it
  *     after 2 s; those that ask once and stay would pile up
- * @param answerPatience a client that hasn't read its answer for this long has given up waiting for
- *     it
- * @param maxHead the largest head of a request, in bytes
- * @param maxBody the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW}
+ * @param responseTimeout a client that hasn't read its answer for this long has given up waiting
+ *     for it
+ * @param maxHeadBytes the largest head of a request, in bytes
+ * @param maxBodyBytes the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW}
  *     flows
- * @param descriptorsShare the share of the process's descriptors that clients may hold
+ * @param descriptorShare the share of the process's descriptors that clients may hold
  */
 public record ClientLimits(
-        long requestPatience,
-        long silentLong,
-        long idlePatience,
-        long answerPatience,
-        int maxHead,
-        int maxBody,
-        double descriptorsShare) {
+        long requestTimeout,
+        long silentAfter,
+        long idleTimeout,
+        long responseTimeout,
+        int maxHeadBytes,
+        int maxBodyBytes,
+        double descriptorShare) {
 
     /**
      * What counts where nothing is set: operators may set each. None of it ends a request that
@@ -45,7 +45,7 @@
                     0.5);
 
     /** How many clients may be connected at once, of a process with this many descriptors. */
-    public int maxCallers(int descriptors) {
-        return Math.max(1, (int) (descriptors * descriptorsShare));
+    public int maxClients(int descriptors) {
+        return Math.max(1, (int) (descriptors * descriptorShare));
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -34,40 +34,40 @@
 public final class DiscoveryClient implements EndpointDiscovery {
 
     /** Why a call was dropped, as the log says it. */
-    private static final String SILENT = "silent";
+    private static final String SILENT_REASON = "silent";
 
-    private static final String LIST = "/catalog/members";
+    private static final String LIST_PATH = "/catalog/members";
 
     /** The largest list that is read. */
-    private static final int MAX_LIST = 4 * 1024 * 1024;
+    private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
     /** What has come meanwhile is read for this long, in nanoseconds, before silence is judged. */
-    private static final long TURN = 1_000_000L;
+    private static final long READ_TURN_NANOS = 1_000_000L;
 
     /**
      * A connection may come up so late, in nanoseconds. One that is still not up after it is not
      * waited for by a new call: what was lost on the way is sent again ever later.
      */
-    private static final long LATE = 1_050_000_000L;
+    private static final long CONNECT_GRACE_NANOS = 1_050_000_000L;
 
     private final ProxyEventLoop loop;
-    private final EndpointListParser reader;
+    private final EndpointListParser parser;
     private final RandomGenerator random;
-    private final Consumer<EndpointList> results;
-    private final Runnable failures;
+    private final Consumer<EndpointList> updateListener;
+    private final Runnable unavailableListener;
     private final Bootstrap bootstrap;
-    private final Asks watch;
-    private DiscoveryTimeouts patience;
+    private final DiscoveryRequests watch;
+    private DiscoveryTimeouts timeouts;
     private InetSocketAddress address;
-    private final EndpointListReader gate;
-    private final long again;
+    private final EndpointListReader listReader;
+    private final long refetchDelay;
     private long version;
 
     /** The last version of which nothing waits: changes are asked for from there. */
-    private long since;
+    private long completeVersion;
 
-    private boolean waiting;
-    private boolean asksAgain;
+    private boolean incomplete;
+    private boolean refetchScheduled;
 
     /**
      * @param longest this long after a failure the watch is asked for again at the latest, in
@@ -92,35 +92,35 @@
             long again) {
         this.loop = loop;
         this.address = address;
-        this.patience = patience;
+        this.timeouts = patience;
         this.random = random;
-        this.reader = reader;
+        this.parser = reader;
         this.version = known;
-        this.since = known;
-        this.results = results;
-        this.failures = failures;
-        this.gate = gate;
-        this.again = again;
+        this.completeVersion = known;
+        this.updateListener = results;
+        this.unavailableListener = failures;
+        this.listReader = gate;
+        this.refetchDelay = again;
         this.bootstrap =
                 new Bootstrap()
                         .group(loop.group())
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.ALLOCATOR, loop.buffers());
-        this.watch = new Asks(true, longest);
+        this.watch = new DiscoveryRequests(true, longest);
     }
 
     /** These figures count from now on; a wait that has begun may last for as long as it was to. */
-    public void apply(DiscoveryTimeouts next) {
-        patience = next;
-        watch.clock.apply(next);
+    public void setTimeouts(DiscoveryTimeouts next) {
+        timeouts = next;
+        watch.schedule.apply(next);
     }
 
     @Override
     public void watch(boolean on) {
         if (on) {
-            watch.clock.poll(loop.now());
+            watch.schedule.poll(loop.now());
         } else {
-            watch.clock.stop();
+            watch.schedule.stop();
         }
     }
 
@@ -132,13 +132,13 @@
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
             address = next;
-            watch.clock.onAddressChanged(loop.now());
+            watch.schedule.onAddressChanged(loop.now());
         }
     }
 
     @Override
     public void fetchAll() {
-        new Asks(false, 0).clock.poll(loop.now());
+        new DiscoveryRequests(false, 0).schedule.poll(loop.now());
     }
 
     /**
@@ -147,18 +147,18 @@
      *
      * @param all whether what came had all that waited before
      */
-    private void settle(boolean all) {
-        boolean left = gate != null && gate.last().waits() > 0;
+    private void onListTaken(boolean all) {
+        boolean left = listReader != null && listReader.last().waits() > 0;
         if (left) {
-            refused();
+            logRefusedEndpoints();
         }
-        waiting = left || waiting && !all;
-        since = waiting ? Math.min(since, version) : version;
-        askAgain();
+        incomplete = left || incomplete && !all;
+        completeVersion = incomplete ? Math.min(completeVersion, version) : version;
+        scheduleRefetch();
     }
 
-    private void refused() {
-        EndpointListReader.Judged why = gate.last();
+    private void logRefusedEndpoints() {
+        EndpointListReader.Judged why = listReader.last();
         loop.log()
                 .warn("footprint.refused")
                 .with("bound", why.bound())
@@ -174,76 +174,77 @@
     /**
      * Of the list with which the process starts endpoints were left out: discovery is to tell them.
      */
-    public void startedShort() {
-        refused();
-        waiting = true;
-        since = 0;
-        askAgain();
+    public void onCachedListIncomplete() {
+        logRefusedEndpoints();
+        incomplete = true;
+        completeVersion = 0;
+        scheduleRefetch();
     }
 
     /** Not at once: this avoids calls without end for a list that still does not fit. */
-    private void askAgain() {
-        if (waiting && !asksAgain) {
-            asksAgain = true;
+    private void scheduleRefetch() {
+        if (incomplete && !refetchScheduled) {
+            refetchScheduled = true;
             loop.at(
-                    loop.now() + again + (long) (random.nextDouble() * again / 2),
+                    loop.now() + refetchDelay + (long) (random.nextDouble() * refetchDelay / 2),
                     () -> {
-                        asksAgain = false;
-                        if (waiting) {
+                        refetchScheduled = false;
+                        if (incomplete) {
                             fetchAll();
-                            askAgain();
+                            scheduleRefetch();
                         }
                     });
         }
     }
 
     /** The calls that are out for the watch, or for one whole list. */
-    private final class Asks implements DiscoveryPollSchedule.Actions {
-        private final boolean follows;
-        private final DiscoveryPollSchedule clock;
-        private final Map<Integer, Call> calls = new HashMap<>();
+    private final class DiscoveryRequests implements DiscoveryPollSchedule.Actions {
+        private final boolean isWatch;
+        private final DiscoveryPollSchedule schedule;
+        private final Map<Integer, DiscoveryCall> calls = new HashMap<>();
         private TimerService.Timer timer;
 
         /** A connection without a call yet; null: none. */
-        private Call spare;
+        private DiscoveryCall spareCall;
 
-        Asks(boolean follows, long longest) {
-            this.follows = follows;
-            this.clock = new DiscoveryPollSchedule(follows, longest, patience, random, this);
+        DiscoveryRequests(boolean follows, long longest) {
+            this.isWatch = follows;
+            this.schedule = new DiscoveryPollSchedule(follows, longest, timeouts, random, this);
         }
 
         @Override
         public void open(int call) {
-            Call next = spare;
-            spare = null;
-            if (next == null || !next.serves()) {
+            DiscoveryCall next = spareCall;
+            spareCall = null;
+            if (next == null || !next.isUsable()) {
                 if (next != null) {
                     next.close();
                 }
-                next = new Call(this);
-                next.dial();
+                next = new DiscoveryCall(this);
+                next.connect();
             }
             calls.put(call, next);
-            next.ask(call, follows ? LIST + "?follow=1&since=" + since : LIST);
+            next.start(
+                    call, isWatch ? LIST_PATH + "?follow=1&since=" + completeVersion : LIST_PATH);
         }
 
         @Override
         public void dialSpare(boolean wanted) {
-            if (spare != null) {
-                spare.close();
+            if (spareCall != null) {
+                spareCall.close();
             }
-            spare = wanted ? new Call(this) : null;
+            spareCall = wanted ? new DiscoveryCall(this) : null;
             if (wanted) {
-                spare.dial();
+                spareCall.connect();
             }
         }
 
         @Override
         public void drop(int call, DiscoveryPollSchedule.DropReason reason) {
-            Call dropped = calls.remove(call);
+            DiscoveryCall dropped = calls.remove(call);
             if (dropped != null) {
                 if (reason == DiscoveryPollSchedule.DropReason.SILENT) {
-                    dropped.warn(SILENT);
+                    dropped.logFailure(SILENT_REASON);
                 }
                 dropped.close();
             }
@@ -263,65 +264,70 @@
                             () ->
                                     timer =
                                             loop.at(
-                                                    loop.now() + TURN,
-                                                    () -> clock.onTimer(loop.now())));
+                                                    loop.now() + READ_TURN_NANOS,
+                                                    () -> schedule.onTimer(loop.now())));
         }
 
         @Override
         public void onUnavailable() {
-            if (follows || !watch.clock.isActive()) {
-                failures.run(); // else the watch stands, and tells what the call would have
+            if (isWatch || !watch.schedule.isActive()) {
+                unavailableListener
+                        .run(); // else the watch stands, and tells what the call would have
             }
         }
     }
 
     /** One call to discovery, on a connection of its own. It fails once at most. */
-    private final class Call extends SimpleChannelInboundHandler<ByteBuf>
+    private final class DiscoveryCall extends SimpleChannelInboundHandler<ByteBuf>
             implements ObjectStream.Events {
-        private final Asks asks;
-        private final ObjectStream objects = new ObjectStream(MAX_LIST, this);
+        private final DiscoveryRequests requests;
+        private final ObjectStream objects = new ObjectStream(MAX_LIST_BYTES, this);
         private final HttpDecoder decoder = HttpDecoder.ofStreams(objects);
-        private final InetSocketAddress to = address;
-        private final long dialledAt = loop.now();
+        private final InetSocketAddress peerAddress = address;
+        private final long connectStartedAt = loop.now();
 
         /** The clock's; 0 for a spare connection. */
         private int number;
 
         private String target;
-        private long from;
+        private long requestedSince;
         private Channel channel;
-        private boolean up;
-        private boolean over;
+        private boolean connected;
+        private boolean closed;
         private boolean answered;
 
-        Call(Asks asks) {
-            this.asks = asks;
+        DiscoveryCall(DiscoveryRequests asks) {
+            this.requests = asks;
         }
 
         /** Whether a new call can go out on this connection now, or as soon as on a new one. */
-        boolean serves() {
-            return !over && to.equals(address) && (up || loop.now() - dialledAt < LATE);
+        boolean isUsable() {
+            return !closed
+                    && peerAddress.equals(address)
+                    && (connected || loop.now() - connectStartedAt < CONNECT_GRACE_NANOS);
         }
 
-        void ask(int call, String what) {
+        void start(int call, String what) {
             number = call;
             target = what;
-            from = since;
+            requestedSince = completeVersion;
             send();
         }
 
         private void send() {
-            if (up && target != null) {
-                asks.clock.onConnected(number);
+            if (connected && target != null) {
+                requests.schedule.onConnected(number);
                 channel.writeAndFlush(
                         HttpEncoder.get(
                                 loop.buffers(),
                                 target,
-                                to.getAddress().getHostAddress() + ":" + to.getPort()));
+                                peerAddress.getAddress().getHostAddress()
+                                        + ":"
+                                        + peerAddress.getPort()));
             }
         }
 
-        void dial() {
+        void connect() {
             // As patient as the call itself: a connection may come up late.
             Bootstrap own =
                     bootstrap
@@ -329,15 +335,15 @@
                             .handler(this)
                             .option(
                                     ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                    (int) (patience.callNanos() / 1_000_000));
+                                    (int) (timeouts.callNanos() / 1_000_000));
             loop.connect(
                     own,
-                    to,
-                    connected -> {
-                        if (over) {
+                    peerAddress,
+                    connecting -> {
+                        if (closed) {
                             close();
-                        } else if (connected.isSuccess()) {
-                            up = true;
+                        } else if (connecting.isSuccess()) {
+                            connected = true;
                             send();
                         } else {
                             fail("can't connect");
@@ -352,7 +358,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf in) {
-            if (over) {
+            if (closed) {
                 return;
             }
             if (target == null) {
@@ -364,9 +370,9 @@
                 if (end != null && end.head().status() == 200) {
                     objects.end();
                 }
-                if (answered && !asks.follows) {
+                if (answered && !requests.isWatch) {
                     close();
-                } else if (end != null || refused()) {
+                } else if (end != null || hasErrorStatus()) {
                     fail(
                             "ended with status "
                                     + (end == null ? decoder.head() : end.head()).status());
@@ -377,55 +383,56 @@
         }
 
         /** Whether what comes is no list. */
-        private boolean refused() {
+        private boolean hasErrorStatus() {
             return decoder.head() != null && decoder.head().status() != 200;
         }
 
         @Override
         public void begun() {
-            if (!over && !refused()) {
-                asks.clock.onObjectStarted(loop.now(), number);
+            if (!closed && !hasErrorStatus()) {
+                requests.schedule.onObjectStarted(loop.now(), number);
             }
         }
 
         /** An empty line only says that the watch is alive. */
         @Override
         public void line() {
-            if (!over && asks.follows && !refused()) {
-                asks.clock.onHeartbeat(loop.now(), number);
+            if (!closed && requests.isWatch && !hasErrorStatus()) {
+                requests.schedule.onHeartbeat(loop.now(), number);
             }
         }
 
         /** One object of the answer. */
         @Override
         public void object(String text) {
-            if (over || refused()) {
+            if (closed || hasErrorStatus()) {
                 return;
             }
             boolean first = !answered;
             EndpointList result = take(text);
             if (result != null) {
-                if (gate != null && gate.roomier()) {
+                if (listReader != null && listReader.roomier()) {
                     take(text); // what has left made room for more of it
                 }
-                settle(result.full() || first && from <= since);
+                onListTaken(result.full() || first && requestedSince <= completeVersion);
             }
         }
 
         /** Reads and passes on; null: it tells nothing new. */
         private EndpointList take(String text) {
-            JsonObject told = gate == null ? JsonObject.parse(text) : gate.read(text);
+            JsonObject told = listReader == null ? JsonObject.parse(text) : listReader.read(text);
             boolean outdated =
-                    told.whole("version") < version && !(asks.follows && told.flag("full", false));
-            if (outdated && !asks.follows) {
+                    told.whole("version") < version
+                            && !(requests.isWatch && told.flag("full", false));
+            if (outdated && !requests.isWatch) {
                 // This avoids a late answer taking back what the watch has told since.
                 fail("older than what is known");
                 return null;
             }
             // Not read: this avoids what is outdated undoing what is known of endpoints.
-            EndpointList result = outdated ? null : reader.read(told);
+            EndpointList result = outdated ? null : parser.read(told);
             answered = true;
-            asks.clock.onUpdate(loop.now(), number);
+            requests.schedule.onUpdate(loop.now(), number);
             if (outdated) {
                 return null; // a change that the watch at the former address has told already
             }
@@ -436,15 +443,15 @@
                     .with("list", result.full() ? "full" : "changes")
                     .with("nodes", result.nodes().size())
                     .write();
-            results.accept(result);
+            updateListener.accept(result);
             return result;
         }
 
-        private void warn(String why) {
+        private void logFailure(String why) {
             loop.log()
                     .warn("discovery.failed")
-                    .with("call", asks.follows ? "watch" : "list")
-                    .with("at", to)
+                    .with("call", requests.isWatch ? "watch" : "list")
+                    .with("at", peerAddress)
                     .with("why", why)
                     .write();
         }
@@ -452,18 +459,18 @@
         private void fail(String why) {
             if (target == null) {
                 close(); // it was a spare one: nothing that was asked has failed
-            } else if (!over) {
-                if (!loop.ends()) { // else a start that failed would tell of a second fault
-                    warn(why);
+            } else if (!closed) {
+                if (!loop.isStopping()) { // else a start that failed would tell of a second fault
+                    logFailure(why);
                 }
                 close();
-                asks.calls.remove(number);
-                asks.clock.onCallFailed(loop.now(), number);
+                requests.calls.remove(number);
+                requests.schedule.onCallFailed(loop.now(), number);
             }
         }
 
         void close() {
-            over = true;
+            closed = true;
             if (channel != null) {
                 channel.close();
             }
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
@@ -63,7 +63,8 @@
         this.endpoint = endpoint;
         this.limits = pool.limits();
         this.decoder =
-                HttpDecoder.ofFlows(false, limits.maxHead(), limits.maxBody(), BodyFlow.WINDOW);
+                HttpDecoder.ofFlows(
+                        false, limits.maxHeadBytes(), limits.maxBodyBytes(), BodyFlow.WINDOW);
     }
 
     // ---- its state
@@ -182,9 +183,9 @@
                         rest.flow(),
                         rest.length() < 0,
                         next::discardContent,
-                        new BodyWriter.End() {
+                        new BodyWriter.CompletionListener() {
                             @Override
-                            public void wrote() {
+                            public void onBodyWritten() {
                                 endUpload();
                                 onWritten(next, true);
                             }
@@ -311,7 +312,7 @@
     }
 
     private void scheduleAnswerCheck() {
-        answerTimer = loop.at(loop.now() + limits.answerPatience(), this::checkAnswer);
+        answerTimer = loop.at(loop.now() + limits.responseTimeout(), this::checkAnswer);
     }
 
     /** An answer has begun some time ago and is not complete. */
@@ -320,7 +321,7 @@
         long silence = loop.now() - lastHeardAt;
         boolean silentStream =
                 download != null && !download.isFull() && silence >= STREAM_SILENCE_NANOS;
-        boolean silentAnswer = download == null && silence >= limits.answerPatience();
+        boolean silentAnswer = download == null && silence >= limits.responseTimeout();
         if (silentStream || silentAnswer) {
             failMalformed("an answer without an end");
             return;
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
@@ -127,7 +127,7 @@
     public void apply(EndpointLimits next, EndpointLimits.Bounds nextBounds) {
         limits = next;
         bounds = nextBounds;
-        for (int excess = open - bounds.idle(); excess > 0; excess--) {
+        for (int excess = open - bounds.maxIdle(); excess > 0; excess--) {
             closeOldestIdle();
         }
     }
@@ -232,8 +232,8 @@
             }
             idle.close();
         }
-        boolean madeRoom = open >= bounds.idle() && closeOldestIdle();
-        if (open >= bounds.all() && !madeRoom) {
+        boolean madeRoom = open >= bounds.maxIdle() && closeOldestIdle();
+        if (open >= bounds.max() && !madeRoom) {
             call.notStarted(); // operators and discovery need the descriptors that are left
             return;
         }
--- a/daemon/src/main/java/cedarrudder/transport/EventRecorder.java
+++ b/daemon/src/main/java/cedarrudder/transport/EventRecorder.java
@@ -14,5 +14,5 @@
      * @param what a word
      * @param fields what else is known of it: texts and whole numbers
      */
-    void note(String what, Map<String, ?> fields);
+    void record(String what, Map<String, ?> fields);
 }
--- a/daemon/src/main/java/cedarrudder/transport/GracefulShutdown.java
+++ b/daemon/src/main/java/cedarrudder/transport/GracefulShutdown.java
@@ -53,7 +53,7 @@
     private final long sweepNanos;
     private ClientConnections connections;
     private HandoverSocket listening;
-    private ServiceState service = ServiceState.FIRST;
+    private ServiceState service = ServiceState.INITIAL;
     private long drainedAt;
     private long replacedAt;
 
@@ -92,7 +92,7 @@
     /** Operators send clients away; without effect where they do already. */
     void drainByOperator() {
         if (!service.drained()) {
-            service = service.on(ServiceState.Event.DRAIN);
+            service = service.after(ServiceState.Event.DRAIN);
             drainedAt = server.loop().now();
             server.loop().log().info("proxy.drained").write();
         }
@@ -101,7 +101,7 @@
     /** Operators let clients come again. */
     void resumeByOperator() {
         if (service.drained()) {
-            service = service.on(ServiceState.Event.RESUME);
+            service = service.after(ServiceState.Event.RESUME);
             server.loop().log().info("proxy.resumed").write();
         }
     }
@@ -164,7 +164,7 @@
             return;
         }
         whenEmpty = whenDone;
-        service = service.on(ServiceState.Event.END);
+        service = service.after(ServiceState.Event.END);
         acceptPending = true;
         long now = server.loop().now();
         answerBy = now + waitNanos();
@@ -189,7 +189,7 @@
             return;
         }
         whenEmpty = whenDone;
-        service = service.on(ServiceState.Event.REPLACE);
+        service = service.after(ServiceState.Event.REPLACE);
         replacedAt = server.loop().now();
         answerBy = replacedAt + waitNanos();
         closeSocket();
@@ -238,7 +238,7 @@
     private void closeSocket() {
         if (listening.isOpen() && !acceptPending) {
             acceptPending = true;
-            listening.closeBehindLast(this::stopWaitingForClients);
+            listening.closeAfterAcceptingAll(this::stopWaitingForClients);
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
@@ -47,14 +47,14 @@
      *
      * @param then runs once it is closed
      */
-    void closeBehindLast(Runnable then) {
+    void closeAfterAcceptingAll(Runnable then) {
         EventLoop turns = eventLoop();
-        deregister().addListener(left -> closeOnceLeft(turns, then));
+        deregister().addListener(left -> closeOnceDeregistered(turns, then));
     }
 
-    private void closeOnceLeft(EventLoop turns, Runnable then) {
+    private void closeOnceDeregistered(EventLoop turns, Runnable then) {
         if (javaChannel().isRegistered()) {
-            turns.execute(() -> closeOnceLeft(turns, then));
+            turns.execute(() -> closeOnceDeregistered(turns, then));
             return;
         }
         List<SocketChannel> waiting = new ArrayList<>();
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -17,20 +17,20 @@
 public final class MembershipService {
 
     /** Takes that a replica counts as live from now on, or as dead. */
-    public interface Lives {
-        void lives(int replica, boolean lives);
+    public interface LivenessListener {
+        void onLivenessChanged(int replica, boolean lives);
     }
 
     private final ProxyEventLoop loop;
     private final PeerSocket peers;
-    private final IntConsumer live;
-    private final EventRecorder notes;
+    private final IntConsumer liveCountListener;
+    private final EventRecorder history;
     private final long incarnation;
     private final SwimMember swim;
     private TimerService.Timer timer;
-    private long wakesAt = Long.MAX_VALUE;
-    private int told;
-    private Lives each = (replica, lives) -> {};
+    private long scheduledAt = Long.MAX_VALUE;
+    private int lastLiveCount;
+    private LivenessListener livenessListener = (replica, lives) -> {};
 
     /**
      * @param replicas how many proxies of the tier there may be, and {@code self} the number of
@@ -52,10 +52,10 @@
             EventRecorder notes) {
         this.loop = loop;
         this.peers = peers;
-        this.live = live;
-        this.notes = notes;
+        this.liveCountListener = live;
+        this.history = notes;
         this.incarnation = incarnation;
-        this.told = replicas;
+        this.lastLiveCount = replicas;
         this.swim =
                 new SwimMember(
                         replicas,
@@ -71,77 +71,77 @@
 
                             @Override
                             public void changed(Member before, Member now) {
-                                note(before, now);
+                                record(before, now);
                             }
                         },
                         loop.now());
     }
 
     /** Tells this one of each replica, from now on; before it begins. */
-    public void onEach(Lives hears) {
-        each = hears;
+    public void setLivenessListener(LivenessListener hears) {
+        livenessListener = hears;
     }
 
     /** Begins; on the loop. */
     public void start() {
-        peers.hearer(this::heard);
-        note("speaks", Map.of("number", incarnation));
-        wake();
+        peers.setHandler(this::onMessage);
+        record("speaks", Map.of("number", incarnation));
+        scheduleTick();
     }
 
     /** Says that this proxy leaves, so that the others need not find out; on the loop. */
     public void leave() {
         swim.leave();
-        hush();
+        stopSpeaking();
     }
 
     /** Says and hears nothing more, since another process of this proxy does; on the loop. */
-    public void hush() {
+    public void stopSpeaking() {
         if (timer != null) {
             timer.cancel();
         }
         peers.close();
-        note("silent", Map.of());
+        record("silent", Map.of());
     }
 
-    private void note(String what, Map<String, ?> fields) {
-        if (notes != null) {
-            notes.note(what, fields);
+    private void record(String what, Map<String, ?> fields) {
+        if (history != null) {
+            history.record(what, fields);
         }
     }
 
-    private void heard(int from, byte[] message) {
+    private void onMessage(int from, byte[] message) {
         swim.onDatagram(loop.now(), from, message);
-        wake();
+        scheduleTick();
     }
 
     private void tick() {
-        wakesAt = Long.MAX_VALUE;
+        scheduledAt = Long.MAX_VALUE;
         swim.tick(loop.now());
-        wake();
+        scheduleTick();
     }
 
     /** Sees to it that the next tick comes when it is due. */
-    private void wake() {
-        long due = swim.due();
-        if (due == wakesAt) {
+    private void scheduleTick() {
+        long due = swim.nextTickAt();
+        if (due == scheduledAt) {
             return;
         }
         if (timer != null) {
             timer.cancel();
         }
-        wakesAt = due;
+        scheduledAt = due;
         timer = due == Long.MAX_VALUE ? null : loop.at(due, this::tick);
     }
 
-    private void note(Member before, Member now) {
-        if (notes != null) {
-            note(
+    private void record(Member before, Member now) {
+        if (history != null) {
+            record(
                     now.standing().name().toLowerCase(Locale.ROOT),
                     Map.of("about", now.number(), "number", now.incarnation()));
         }
         if (before.standing() != now.standing()) {
-            each.lives(now.number(), now.standing() != Standing.DEAD);
+            livenessListener.onLivenessChanged(now.number(), now.standing() != Standing.DEAD);
             if (now.standing() == Standing.SUSPECT) {
                 loop.log().debug("member.suspect").with("copy", now.number()).write();
             } else if (now.standing() == Standing.DEAD) {
@@ -158,9 +158,9 @@
                         .write();
             }
         }
-        if (swim.liveCount() != told) {
-            told = swim.liveCount();
-            live.accept(told);
+        if (swim.liveCount() != lastLiveCount) {
+            lastLiveCount = swim.liveCount();
+            liveCountListener.accept(lastLiveCount);
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -23,18 +23,18 @@
 public final class PeerSocket implements PeerTransport {
 
     /** A longer message breaks the protocol. */
-    private static final int MAX_MESSAGE = 256;
+    private static final int MAX_MESSAGE_BYTES = 256;
 
     /** Takes a message from one of the others, by its number. */
-    interface Hearer {
-        void heard(int from, byte[] message);
+    interface MessageHandler {
+        void onMessage(int from, byte[] message);
     }
 
     private final ProxyEventLoop loop;
     private final List<InetSocketAddress> peers;
-    private final InetSocketAddress all;
-    private final Map<Byte, Hearer> byFirst = new HashMap<>();
-    private Hearer hearer;
+    private final InetSocketAddress broadcastAddress;
+    private final Map<Byte, MessageHandler> handlersByFirstByte = new HashMap<>();
+    private MessageHandler defaultHandler;
     private Channel channel;
 
     /**
@@ -47,9 +47,9 @@
             List<InetSocketAddress> peers,
             InetSocketAddress all) {
         this.loop = loop;
-        this.hearer = forwarder::peerMessage;
+        this.defaultHandler = forwarder::peerMessage;
         this.peers = peers;
-        this.all = all;
+        this.broadcastAddress = all;
     }
 
     /**
@@ -88,8 +88,8 @@
                 .option(HttpServer.REUSE_PORT, shared)
                 .option(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(MAX_MESSAGE + 1))
-                .handler(new Incoming())
+                        new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES + 1))
+                .handler(new InboundHandler())
                 .bind(address);
     }
 
@@ -99,20 +99,20 @@
     }
 
     /** Messages that begin with this byte go to this one from now on; on the loop. */
-    void hearer(byte first, Hearer next) {
-        byFirst.put(first, next);
+    void setHandler(byte first, MessageHandler next) {
+        handlersByFirstByte.put(first, next);
     }
 
     /** All others go to this one from now on, and no longer to the decisions; on the loop. */
-    void hearer(Hearer next) {
-        hearer = next;
+    void setHandler(MessageHandler next) {
+        defaultHandler = next;
     }
 
     @Override
     public void send(int replica, byte[] message) {
         InetSocketAddress to =
-                replica < 0 ? all : replica < peers.size() ? peers.get(replica) : null;
-        if (channel == null || to == null || message.length > MAX_MESSAGE) {
+                replica < 0 ? broadcastAddress : replica < peers.size() ? peers.get(replica) : null;
+        if (channel == null || to == null || message.length > MAX_MESSAGE_BYTES) {
             loop.log()
                     .warn("peer.unreachable")
                     .with("copy", replica)
@@ -123,12 +123,12 @@
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
     }
 
-    private final class Incoming extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class InboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             int from = peers.indexOf(packet.sender());
-            if (from < 0 || packet.content().readableBytes() > MAX_MESSAGE) {
+            if (from < 0 || packet.content().readableBytes() > MAX_MESSAGE_BYTES) {
                 loop.log()
                         .warn("peer.rejected")
                         .with("from", packet.sender())
@@ -137,8 +137,10 @@
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            (message.length == 0 ? hearer : byFirst.getOrDefault(message[0], hearer))
-                    .heard(from, message);
+            (message.length == 0
+                            ? defaultHandler
+                            : handlersByFirstByte.getOrDefault(message[0], defaultHandler))
+                    .onMessage(from, message);
         }
 
         @Override
--- a/daemon/src/main/java/cedarrudder/transport/ProbeCall.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProbeCall.java
@@ -27,7 +27,7 @@
         this.pool = pool;
         this.endpointId = endpointId;
         this.startedAt = pool.loop().now();
-        this.timeout = pool.loop().at(startedAt + pool.limits().probePatience(), this::expire);
+        this.timeout = pool.loop().at(startedAt + pool.limits().probeTimeout(), this::expire);
     }
 
     private void expire() {
--- a/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
@@ -18,34 +18,34 @@
 /** The one event loop, which owns all that runs, and its clock. */
 public final class ProxyEventLoop implements TimerService {
 
-    private static final int PAGE = 8192;
+    private static final int PAGE_BYTES = 8192;
     private static final int CHUNK_ORDER = 5;
 
     /**
      * A task that runs so late tells of a core that is short, or of a pause: answers then come late
      * too.
      */
-    private static final long LATE = 20_000_000L;
+    private static final long LATE_THRESHOLD_NANOS = 20_000_000L;
 
     /**
      * Its end is waited for no longer, in nanoseconds: SIGKILL comes 0.2 s behind the last answers.
      */
-    private static final long ENDING = 100_000_000L;
+    private static final long STOP_TIMEOUT_NANOS = 100_000_000L;
 
     /**
      * For how long the latest known lateness is taken to last; of a wait only a part comes off for
      * it.
      */
-    private static final long LATE_COUNTS = 5_000_000_000L;
+    private static final long LATENESS_MEMORY_NANOS = 5_000_000_000L;
 
     private final EventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
     // One small arena of 256 KiB chunks: the defaults take megabytes for each core of the machine.
     private final ByteBufAllocator buffers =
-            new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, 64, 16, true);
+            new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER, 64, 16, true);
     private final Logger log;
-    private final SkewedClock drift;
-    private long lateBy;
-    private long lateAt;
+    private final SkewedClock skewedClock;
+    private long worstLateness;
+    private long worstLatenessAt;
 
     public ProxyEventLoop(Logger log) {
         this(log, null);
@@ -57,7 +57,7 @@
      */
     public ProxyEventLoop(Logger log, SkewedClock drift) {
         this.log = log;
-        this.drift = drift;
+        this.skewedClock = drift;
     }
 
     EventLoopGroup group() {
@@ -74,7 +74,7 @@
 
     @Override
     public long now() {
-        return drift == null ? System.nanoTime() : drift.now();
+        return skewedClock == null ? System.nanoTime() : skewedClock.now();
     }
 
     @Override
@@ -83,16 +83,21 @@
                 group.schedule(
                         () -> {
                             long late = now() - instant;
-                            if (late >= lateBy || now() - lateAt > LATE_COUNTS) {
-                                lateBy = late;
-                                lateAt = now();
+                            if (late >= worstLateness
+                                    || now() - worstLatenessAt > LATENESS_MEMORY_NANOS) {
+                                worstLateness = late;
+                                worstLatenessAt = now();
                             }
-                            if (late > LATE) {
+                            if (late > LATE_THRESHOLD_NANOS) {
                                 log.warn("loop.late").with("ms", late / 1_000_000).write();
                             }
-                            guarded(action);
+                            runGuarded(action);
                         },
-                        Math.max(1, drift == null ? instant - now() : drift.real(instant - now())),
+                        Math.max(
+                                1,
+                                skewedClock == null
+                                        ? instant - now()
+                                        : skewedClock.toMachineNanos(instant - now())),
                         TimeUnit.NANOSECONDS);
         return () -> task.cancel(false);
     }
@@ -102,13 +107,13 @@
      * long.
      */
     long lateness() {
-        return now() - lateAt > LATE_COUNTS ? 0 : lateBy;
+        return now() - worstLatenessAt > LATENESS_MEMORY_NANOS ? 0 : worstLateness;
     }
 
     /** Runs a task on the loop, from any thread; one that comes after its end is dropped. */
     public void run(Runnable task) {
         try {
-            group.execute(() -> guarded(task));
+            group.execute(() -> runGuarded(task));
         } catch (RejectedExecutionException e) {
             // what it was to change is gone
         }
@@ -134,20 +139,21 @@
 
     /**
      * Ends the loop, from any thread but its own: what it still owns is closed. Returns once that
-     * is done, or after {@link #ENDING}. This avoids a process whose last moments load other
-     * classes each time, by who is first: the class-data archive is made of what one run loaded.
+     * is done, or after {@link #STOP_TIMEOUT_NANOS}. This avoids a process whose last moments load
+     * other classes each time, by who is first: the class-data archive is made of what one run
+     * loaded.
      */
     public void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS)
-                .awaitUninterruptibly(ENDING, TimeUnit.NANOSECONDS);
+                .awaitUninterruptibly(STOP_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
     }
 
     /** Whether it has been told to end: what it owns is being closed, which is nobody's failure. */
-    boolean ends() {
+    boolean isStopping() {
         return group.isShuttingDown();
     }
 
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -4,12 +4,12 @@
 import cedarrudder.consensus.Proposal;
 import cedarrudder.consensus.ProposalOutcome;
 import cedarrudder.coordination.CoordinatedReplica;
+import cedarrudder.coordination.HistoryEntry;
 import cedarrudder.forwarding.TimerService;
 import cedarrudder.routetable.RouteTable;
 import java.io.UncheckedIOException;
 import java.util.BitSet;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Function;
 
 /**
@@ -20,78 +20,82 @@
 public final class ReplicaCoordinator {
 
     /** The first bytes of datagrams that are for it. */
-    private static final byte LOG = (byte) 0xa6;
+    private static final byte LOG_FIRST_BYTE = (byte) 0xa6;
 
-    private static final byte BESIDE = (byte) 0xa7;
+    private static final byte REPORT_FIRST_BYTE = (byte) 0xa7;
 
     /** Takes up what was decided. */
     public interface Host {
         /** This table counts from now on; null: none. */
-        void table(RouteTable table);
+        void onTable(RouteTable table);
 
         /** And not from that instant on, whatever else is said or not. */
-        void until(long instant);
+        void onLeaseExtended(long instant);
 
         /** What became of a command that was proposed here; null where it is not committed. */
-        void settled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
+        void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
         /** These endpoints are being removed. */
-        void leaving(List<RouteTable.DrainingNode> nodes);
+        void onDrainingNodes(List<RouteTable.DrainingNode> nodes);
     }
 
     /** Makes this replica's part at the moment at which it begins to take part. */
-    public interface Maker {
+    public interface ReplicaFactory {
         /**
          * @param outlet takes what it causes
          * @throws UncheckedIOException if what it must not forget can't be kept
          */
-        CoordinatedReplica make(CoordinatedReplica.Actions outlet, long now);
+        CoordinatedReplica create(CoordinatedReplica.Actions outlet, long now);
 
         /** It takes part no more: another process may. */
-        void ended();
+        void onStopped();
     }
 
     private final ProxyEventLoop loop;
     private final PeerSocket peers;
-    private final Maker maker;
+    private final ReplicaFactory factory;
     private final Host host;
-    private final EventRecorder notes;
+    private final EventRecorder history;
     private final BitSet dead = new BitSet();
     private CoordinatedReplica replica;
     private TimerService.Timer timer;
-    private long wakesAt = Long.MAX_VALUE;
-    private boolean led;
+    private long scheduledAt = Long.MAX_VALUE;
+    private boolean wasLeader;
 
     /**
      * @param notes takes what becomes known; null where nobody asked for that
      */
     public ReplicaCoordinator(
-            ProxyEventLoop loop, PeerSocket peers, Maker maker, Host host, EventRecorder notes) {
+            ProxyEventLoop loop,
+            PeerSocket peers,
+            ReplicaFactory maker,
+            Host host,
+            EventRecorder notes) {
         this.loop = loop;
         this.peers = peers;
-        this.maker = maker;
+        this.factory = maker;
         this.host = host;
-        this.notes = notes;
+        this.history = notes;
     }
 
     /** Takes part from now on; on the loop. */
     public void start() {
-        peers.hearer(LOG, this::heard);
-        peers.hearer(BESIDE, this::heard);
+        peers.setHandler(LOG_FIRST_BYTE, this::onMessage);
+        peers.setHandler(REPORT_FIRST_BYTE, this::onMessage);
         try {
-            replica = maker.make(new Out(), loop.now());
+            replica = factory.create(new ReplicaActions(), loop.now());
             dead.stream().forEach(number -> replica.setAlive(number, false));
-            wake();
+            scheduleTick();
         } catch (UncheckedIOException e) {
-            stopped(e);
+            onStorageFailure(e);
         }
     }
 
     /**
      * Hands on what it leads and takes part no more, such as before this process ends; on the loop.
      */
-    public void leave() {
-        act(part -> part.stop(loop.now()));
+    public void stop() {
+        apply(part -> part.stop(loop.now()));
         end();
     }
 
@@ -101,12 +105,12 @@
             if (timer != null) {
                 timer.cancel();
             }
-            maker.ended();
+            factory.onStopped();
         }
     }
 
     /** Membership holds that a replica lives, or that it is dead. */
-    public void lives(int number, boolean lives) {
+    public void setAlive(int number, boolean lives) {
         dead.set(number, !lives);
         if (replica != null) {
             replica.setAlive(number, lives);
@@ -119,17 +123,17 @@
     }
 
     /** An operator has this replica form a group; false where it can't. */
-    public boolean form() {
-        return Boolean.TRUE.equals(act(part -> part.formGroup(loop.now())));
+    public boolean formGroup() {
+        return Boolean.TRUE.equals(apply(part -> part.formGroup(loop.now())));
     }
 
     /** Proposes a command of a removal, whoever leads; null where nothing is taken now. */
     public Proposal propose(byte[] command, long patience) {
-        return act(part -> part.propose(loop.now(), command, patience));
+        return apply(part -> part.propose(loop.now(), command, patience));
     }
 
-    private void heard(int from, byte[] message) {
-        act(
+    private void onMessage(int from, byte[] message) {
+        apply(
                 part -> {
                     part.onDatagram(loop.now(), from, message);
                     return true;
@@ -137,8 +141,8 @@
     }
 
     private void tick() {
-        wakesAt = Long.MAX_VALUE;
-        act(
+        scheduledAt = Long.MAX_VALUE;
+        apply(
                 part -> {
                     part.tick(loop.now());
                     return true;
@@ -146,16 +150,16 @@
     }
 
     /** Null where it takes no part. */
-    private <T> T act(Function<CoordinatedReplica, T> event) {
+    private <T> T apply(Function<CoordinatedReplica, T> event) {
         if (replica == null) {
             return null;
         }
         try {
             T result = event.apply(replica);
-            wake();
+            scheduleTick();
             return result;
         } catch (UncheckedIOException e) {
-            stopped(e);
+            onStorageFailure(e);
             return null;
         }
     }
@@ -164,34 +168,34 @@
      * What it must not forget can't be kept. This avoids speaking of what it would have forgotten:
      * it says nothing more, and clients are served as without a table once its lease is over.
      */
-    private void stopped(UncheckedIOException e) {
+    private void onStorageFailure(UncheckedIOException e) {
         loop.log().warn("agreement.stopped").with("why", e.getMessage()).write();
         end();
     }
 
     /** Sees to it that the next tick comes when it is due. */
-    private void wake() {
+    private void scheduleTick() {
         CoordinatedReplica.Status now = replica.status(loop.now());
-        if (now.leads() != led) {
-            led = now.leads();
-            if (led) {
+        if (now.isLeader() != wasLeader) {
+            wasLeader = now.isLeader();
+            if (wasLeader) {
                 loop.log().info("agreement.leads").with("term", now.term()).write();
             } else {
                 loop.log().info("agreement.follows").with("term", now.term()).write();
             }
         }
-        long due = replica.due();
-        if (due == wakesAt) {
+        long due = replica.nextTickAt();
+        if (due == scheduledAt) {
             return;
         }
         if (timer != null) {
             timer.cancel();
         }
-        wakesAt = due;
+        scheduledAt = due;
         timer = loop.at(due, this::tick);
     }
 
-    private final class Out implements CoordinatedReplica.Actions {
+    private final class ReplicaActions implements CoordinatedReplica.Actions {
         @Override
         public void send(int to, byte[] datagram) {
             peers.send(to, datagram);
@@ -209,29 +213,29 @@
                         .with("leaving", table.draining().size())
                         .write();
             }
-            host.table(table);
+            host.onTable(table);
         }
 
         @Override
         public void onLeaseExtended(long instant) {
-            host.until(instant);
+            host.onLeaseExtended(instant);
         }
 
         @Override
         public void onDrainingNodes(List<RouteTable.DrainingNode> nodes) {
-            host.leaving(nodes);
+            host.onDrainingNodes(nodes);
         }
 
         @Override
         public void onProposalSettled(
                 Proposal proposal, ProposalOutcome outcome, LogPosition number) {
-            host.settled(proposal, outcome, number);
+            host.onProposalSettled(proposal, outcome, number);
         }
 
         @Override
-        public void record(String what, Map<String, String> fields) {
-            if (notes != null) {
-                notes.note(what, fields);
+        public void record(HistoryEntry entry) {
+            if (history != null) {
+                history.record(entry.event(), entry.fields());
             }
         }
     }
--- a/daemon/src/main/java/cedarrudder/transport/RequestReader.java
+++ b/daemon/src/main/java/cedarrudder/transport/RequestReader.java
@@ -75,7 +75,8 @@
         this.account = server.buffers();
         ClientLimits limits = server.limits();
         this.decoder =
-                HttpDecoder.ofFlows(true, limits.maxHead(), limits.maxBody(), BodyFlow.WINDOW);
+                HttpDecoder.ofFlows(
+                        true, limits.maxHeadBytes(), limits.maxBodyBytes(), BodyFlow.WINDOW);
         this.buffer = new ReadAheadBuffer(account, server.loop()::now);
     }
 
--- a/daemon/src/main/java/cedarrudder/transport/ServiceState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ServiceState.java
@@ -7,10 +7,10 @@
  *
  * @param drained whether operators send clients away
  */
-record ServiceState(Life life, boolean drained) {
+record ServiceState(Phase phase, boolean drained) {
 
     /** How far the process is from its end. */
-    enum Life {
+    enum Phase {
         SERVING,
         /**
          * SIGTERM came and nobody takes over: what is taken is answered, then clients are left
@@ -29,15 +29,16 @@
         REPLACE
     }
 
-    static final ServiceState FIRST = new ServiceState(Life.SERVING, false);
+    static final ServiceState INITIAL = new ServiceState(Phase.SERVING, false);
 
     /** The state after an event. The first SIGTERM decides how the process ends. */
-    ServiceState on(Event event) {
+    ServiceState after(Event event) {
         return switch (event) {
-            case DRAIN -> new ServiceState(life, true);
-            case RESUME -> new ServiceState(life, false);
-            case END -> new ServiceState(life == Life.SERVING ? Life.ENDING : life, drained);
-            case REPLACE -> new ServiceState(life == Life.SERVING ? Life.REPLACED : life, drained);
+            case DRAIN -> new ServiceState(phase, true);
+            case RESUME -> new ServiceState(phase, false);
+            case END -> new ServiceState(phase == Phase.SERVING ? Phase.ENDING : phase, drained);
+            case REPLACE ->
+                    new ServiceState(phase == Phase.SERVING ? Phase.REPLACED : phase, drained);
         };
     }
 
@@ -45,11 +46,11 @@
      * Whether clients at this address are welcome: a successor's process takes those who come now.
      */
     boolean isHealthy() {
-        return life != Life.ENDING && !drained;
+        return phase != Phase.ENDING && !drained;
     }
 
     /** Whether this process goes on. */
     boolean isServing() {
-        return life == Life.SERVING;
+        return phase == Phase.SERVING;
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
@@ -64,7 +64,8 @@
                 }
             }
             assertTrue(
-                    answered > 0 && answered <= AdminListener.MAX_CALLS, answered + " were left");
+                    answered > 0 && answered <= AdminListener.MAX_CONNECTIONS,
+                    answered + " were left");
             for (Caller caller : crowd) {
                 caller.close();
             }
--- a/daemon/src/test/java/cedarrudder/program/AsyncLogWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AsyncLogWriterTest.java
@@ -28,8 +28,8 @@
                                 written.add(line);
                             }
                         });
-        assertTrue(writer.take("first") && writer.take("second"));
+        assertTrue(writer.offer("first") && writer.offer("second"));
         assertEquals(written.poll(20, TimeUnit.SECONDS), "second");
-        writer.end();
+        writer.stop();
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/Collecting.java
+++ b/daemon/src/test/java/cedarrudder/program/Collecting.java
@@ -28,7 +28,7 @@
                                 }
                                 for (long max = 0; ; ) {
                                     Thread.sleep(1); // or a list of 10,000 takes minutes
-                                    long now = ProcessMemoryEstimate.live();
+                                    long now = ProcessMemoryEstimate.liveHeapBytes();
                                     if (now > max) {
                                         max = now;
                                         System.err.println(SAYS + now);
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -96,8 +96,8 @@
                     new RouteTable.ZoneRoute(
                             i / zones,
                             i % zones,
-                            RouteTable.Way.SPILLED,
-                            RouteTable.WHOLE / zones,
+                            RouteTable.RouteReason.SPILLED,
+                            RouteTable.TOTAL_WEIGHT / zones,
                             i));
         }
         List<RouteTable.DrainingNode> nodes = new ArrayList<>();
@@ -128,7 +128,7 @@
             RouteTable table = table(size[0], size[1], size[2]);
             byte[] bytes = RouteTableCodec.encode(table);
             // What all lists share, and the ways, are the virtual machine's.
-            List<Object> shared = List.of(RouteTable.Way.SPILLED, Stream.empty().toList());
+            List<Object> shared = List.of(RouteTable.RouteReason.SPILLED, Stream.empty().toList());
             List<Object> all = new ArrayList<>(shared);
             all.addAll(List.of(table, bytes));
             long counted =
--- a/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
+++ b/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
@@ -37,7 +37,7 @@
             HistoryFile history = new HistoryFile(pipe, 3);
             long begin = System.nanoTime();
             for (int i = 0; i < MANY; i++) {
-                history.note("dead", Map.of("about", i));
+                history.record("dead", Map.of("about", i));
             }
             long took = System.nanoTime() - begin;
             reader.getOutputStream().write('\n');
@@ -56,7 +56,7 @@
                 if (in.ready()) {
                     line = in.readLine();
                 } else {
-                    history.note("dead", Map.of("about", MANY + i)); // there is room again
+                    history.record("dead", Map.of("about", MANY + i)); // there is room again
                     Thread.sleep(1);
                 }
             }
@@ -80,8 +80,8 @@
     public void theLastWordIsWritten() throws Exception {
         Path file = Files.createTempFile("history", ".jsonl");
         HistoryFile history = new HistoryFile(file, 1);
-        history.note("silent", Map.of());
-        history.end();
+        history.record("silent", Map.of());
+        history.stop();
         assertEquals(Files.readAllLines(file).size(), 1);
         Files.delete(file);
     }
--- a/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
@@ -46,9 +46,9 @@
                         flow,
                         true,
                         () -> {},
-                        new BodyWriter.End() {
+                        new BodyWriter.CompletionListener() {
                             @Override
-                            public void wrote() {
+                            public void onBodyWritten() {
                                 told.add("wrote");
                             }
 
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -61,8 +61,8 @@
                     ENDLESS,
                     ENDLESS,
                     ENDLESS,
-                    ClientLimits.DEFAULT.maxHead(),
-                    ClientLimits.DEFAULT.maxBody(),
+                    ClientLimits.DEFAULT.maxHeadBytes(),
+                    ClientLimits.DEFAULT.maxBodyBytes(),
                     0.5);
 
     /**
--- a/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
@@ -182,7 +182,7 @@
                 failures::release,
                 (loop, client, discovery, watch) -> {
                     // So long that its silence is not what tells.
-                    loop.run(() -> client.apply(patience(600_000, 600_000, 600_000)));
+                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 600_000)));
                     tell(watch, 1, true, "in_service");
                     assertEquals(failures.tryAcquire(20, TimeUnit.SECONDS), true);
                     watch.getInputStream().readAllBytes(); // the proxy has closed it
@@ -197,7 +197,7 @@
         play(
                 failures::release,
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.apply(patience(600_000, 600_000, 600_000)));
+                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 600_000)));
                     byte[] piece = ("100000\r\n" + "x".repeat(0x100000) + "\r\n").getBytes();
                     try {
                         for (int i = 0; i < 8; i++) {
@@ -221,7 +221,7 @@
             play(
                     failures::incrementAndGet,
                     (loop, client, discovery, watch) -> {
-                        loop.run(() -> client.apply(patience(600_000, 600_000, 300)));
+                        loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 300)));
                         tell(watch, 1, true, "in_service");
                         assertNotNull(told.poll(20, TimeUnit.SECONDS));
                         discovery.setSoTimeout(50);
@@ -256,7 +256,7 @@
                 (loop, client, discovery, watch) -> {
                     tell(watch, 1, true, "in_service");
                     assertNotNull(told.poll(20, TimeUnit.SECONDS));
-                    loop.run(() -> client.apply(patience(600_000, 200, 600_000)));
+                    loop.run(() -> client.setTimeouts(patience(600_000, 200, 600_000)));
                     loop.run(client::fetchAll);
                     try (Socket half = discovery.accept()) {
                         half.getOutputStream().write(STREAM.getBytes());
@@ -436,7 +436,7 @@
                     loop.run(
                             () -> {
                                 gate.read(JsonObject.parse(list(7, "n", 5_000)));
-                                client.startedShort();
+                                client.onCachedListIncomplete();
                                 client.moveTo(
                                         new InetSocketAddress(
                                                 "127.0.0.2",
@@ -513,7 +513,7 @@
                     NEVER_SOON,
                     () -> {},
                     (loop, client, discovery, watch) -> {
-                        loop.run(() -> client.apply(patience(600_000, 600_000, 600_000)));
+                        loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 600_000)));
                         tell(watch, 1, true, "in_service");
                         assertNotNull(told.poll(20, TimeUnit.SECONDS));
                         if (reset) {
@@ -690,7 +690,7 @@
                     (loop, client, discovery, watch) -> {
                         loop.run(
                                 () ->
-                                        client.apply(
+                                        client.setTimeouts(
                                                 patience(600_000, refuses ? 600_000 : 1_000, 300)));
                         tell(watch, 1, true, "in_service");
                         assertNotNull(told.poll(20, TimeUnit.SECONDS));
@@ -720,7 +720,7 @@
                 300_000_000L,
                 failures::incrementAndGet,
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.apply(patience(600_000, 600_000, 300)));
+                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 300)));
                     tell(watch, 1, true, "in_service");
                     assertNotNull(told.poll(20, TimeUnit.SECONDS));
                     Socket again = watch;
@@ -755,7 +755,7 @@
                 300_000_000L,
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.apply(patience(600_000, 600_000, 300)));
+                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 300)));
                     // The watch is silent now.
                     try (Socket hangs = discovery.accept();
                             Socket spare = discovery.accept();
@@ -792,7 +792,7 @@
                             next.setSoTimeout(20_000);
                             loop.run(
                                     () ->
-                                            client.apply(
+                                            client.setTimeouts(
                                                     patience(
                                                             600_000,
                                                             hangs ? 600 : 600_000,
@@ -836,7 +836,7 @@
                 NEVER_SOON,
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.apply(patience(600_000, 600, 600_000)));
+                    loop.run(() -> client.setTimeouts(patience(600_000, 600, 600_000)));
                     tell(watch, 1, true, "in_service");
                     assertNotNull(told.poll(20, TimeUnit.SECONDS));
                     watch.close();
--- a/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
@@ -82,10 +82,10 @@
             CountDownLatch heard = new CountDownLatch(1);
             loop.run(
                     () -> {
-                        socket.hearer(
+                        socket.setHandler(
                                 (byte) 0xa6,
                                 (from, bytes) -> others.add(from + " a6 " + bytes.length));
-                        socket.hearer(
+                        socket.setHandler(
                                 (byte) 0xa7,
                                 (from, bytes) -> others.add(from + " a7 " + bytes.length));
                         heard.countDown();
--- a/daemon/src/test/java/cedarrudder/transport/ProxyEventLoopTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ProxyEventLoopTest.java
@@ -55,10 +55,10 @@
             SkewedClock drift = new SkewedClock(millionths);
             long begin = System.nanoTime();
             for (long passed : new long[] {1, 999, 1_000_000_007, 36_000_000_000_000L}) {
-                long own = drift.at(begin + passed) - drift.at(begin);
+                long own = drift.skewed(begin + passed) - drift.skewed(begin);
                 assertEquals(
                         own, passed + passed / 1e6 * millionths, 2, millionths + " of " + passed);
-                long due = drift.at(begin + drift.real(passed)) - drift.at(begin);
+                long due = drift.skewed(begin + drift.toMachineNanos(passed)) - drift.skewed(begin);
                 assertEquals(due, passed + 1.5, 1.5, millionths + ", a timer of " + passed);
             }
         }
--- a/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 
 import cedarrudder.transport.ServiceState.Event;
-import cedarrudder.transport.ServiceState.Life;
+import cedarrudder.transport.ServiceState.Phase;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -14,44 +14,44 @@
     public static Object[][] rows() {
         return new Object[][] {
             // life, drained: event, life, drained, healthy
-            {Life.SERVING, false, Event.DRAIN, Life.SERVING, true, false},
-            {Life.SERVING, false, Event.RESUME, Life.SERVING, false, true},
-            {Life.SERVING, false, Event.END, Life.ENDING, false, false},
-            {Life.SERVING, false, Event.REPLACE, Life.REPLACED, false, true},
-            {Life.SERVING, true, Event.DRAIN, Life.SERVING, true, false},
-            {Life.SERVING, true, Event.RESUME, Life.SERVING, false, true},
-            {Life.SERVING, true, Event.END, Life.ENDING, true, false},
-            {Life.SERVING, true, Event.REPLACE, Life.REPLACED, true, false},
-            {Life.ENDING, false, Event.DRAIN, Life.ENDING, true, false},
-            {Life.ENDING, false, Event.RESUME, Life.ENDING, false, false},
-            {Life.ENDING, false, Event.END, Life.ENDING, false, false},
-            {Life.ENDING, false, Event.REPLACE, Life.ENDING, false, false},
-            {Life.ENDING, true, Event.DRAIN, Life.ENDING, true, false},
-            {Life.ENDING, true, Event.RESUME, Life.ENDING, false, false},
-            {Life.ENDING, true, Event.END, Life.ENDING, true, false},
-            {Life.ENDING, true, Event.REPLACE, Life.ENDING, true, false},
-            {Life.REPLACED, false, Event.DRAIN, Life.REPLACED, true, false},
-            {Life.REPLACED, false, Event.RESUME, Life.REPLACED, false, true},
-            {Life.REPLACED, false, Event.END, Life.REPLACED, false, true},
-            {Life.REPLACED, false, Event.REPLACE, Life.REPLACED, false, true},
-            {Life.REPLACED, true, Event.DRAIN, Life.REPLACED, true, false},
-            {Life.REPLACED, true, Event.RESUME, Life.REPLACED, false, true},
-            {Life.REPLACED, true, Event.END, Life.REPLACED, true, false},
-            {Life.REPLACED, true, Event.REPLACE, Life.REPLACED, true, false},
+            {Phase.SERVING, false, Event.DRAIN, Phase.SERVING, true, false},
+            {Phase.SERVING, false, Event.RESUME, Phase.SERVING, false, true},
+            {Phase.SERVING, false, Event.END, Phase.ENDING, false, false},
+            {Phase.SERVING, false, Event.REPLACE, Phase.REPLACED, false, true},
+            {Phase.SERVING, true, Event.DRAIN, Phase.SERVING, true, false},
+            {Phase.SERVING, true, Event.RESUME, Phase.SERVING, false, true},
+            {Phase.SERVING, true, Event.END, Phase.ENDING, true, false},
+            {Phase.SERVING, true, Event.REPLACE, Phase.REPLACED, true, false},
+            {Phase.ENDING, false, Event.DRAIN, Phase.ENDING, true, false},
+            {Phase.ENDING, false, Event.RESUME, Phase.ENDING, false, false},
+            {Phase.ENDING, false, Event.END, Phase.ENDING, false, false},
+            {Phase.ENDING, false, Event.REPLACE, Phase.ENDING, false, false},
+            {Phase.ENDING, true, Event.DRAIN, Phase.ENDING, true, false},
+            {Phase.ENDING, true, Event.RESUME, Phase.ENDING, false, false},
+            {Phase.ENDING, true, Event.END, Phase.ENDING, true, false},
+            {Phase.ENDING, true, Event.REPLACE, Phase.ENDING, true, false},
+            {Phase.REPLACED, false, Event.DRAIN, Phase.REPLACED, true, false},
+            {Phase.REPLACED, false, Event.RESUME, Phase.REPLACED, false, true},
+            {Phase.REPLACED, false, Event.END, Phase.REPLACED, false, true},
+            {Phase.REPLACED, false, Event.REPLACE, Phase.REPLACED, false, true},
+            {Phase.REPLACED, true, Event.DRAIN, Phase.REPLACED, true, false},
+            {Phase.REPLACED, true, Event.RESUME, Phase.REPLACED, false, true},
+            {Phase.REPLACED, true, Event.END, Phase.REPLACED, true, false},
+            {Phase.REPLACED, true, Event.REPLACE, Phase.REPLACED, true, false},
         };
     }
 
     @Test(dataProvider = "rows")
     public void everyEventHasADefinedResult(
-            Life life,
+            Phase life,
             boolean drained,
             Event event,
-            Life then,
+            Phase then,
             boolean drainedThen,
             boolean healthy) {
-        ServiceState next = new ServiceState(life, drained).on(event);
+        ServiceState next = new ServiceState(life, drained).after(event);
         assertEquals(next, new ServiceState(then, drainedThen));
         assertEquals(next.isHealthy(), healthy);
-        assertEquals(next.isServing(), then == Life.SERVING);
+        assertEquals(next.isServing(), then == Phase.SERVING);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
@@ -203,7 +203,7 @@
         }
 
         private void wake() {
-            long due = agreement.due();
+            long due = agreement.nextTickAt();
             if (due == Long.MAX_VALUE) {
                 return;
             }
--- a/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
@@ -8,6 +8,7 @@
 import cedarrudder.coordination.CoordinatedReplica;
 import cedarrudder.coordination.CoordinationSettings;
 import cedarrudder.coordination.DrainCoordination;
+import cedarrudder.coordination.HistoryEntry;
 import cedarrudder.coordination.TrafficCoordination;
 import cedarrudder.footprint.RouteTableCapacity;
 import cedarrudder.lab.checker.HistoryEvent;
@@ -106,7 +107,7 @@
             waiting.clear();
             table = null;
             leaving = List.of();
-            record("started", Map.of("kept", keeps ? "1" : "0"));
+            record(new HistoryEntry("started", Map.of("kept", keeps ? "1" : "0")));
             replica = maker.make(zones, number, incarnation, on, random.split(), this, own());
             ticksAt = Long.MAX_VALUE;
             wake();
@@ -137,7 +138,9 @@
         }
 
         private void wake() {
-            long at = Math.max(now + 1, (long) Math.ceil((replica.due() - offset) / drift) + 1);
+            long at =
+                    Math.max(
+                            now + 1, (long) Math.ceil((replica.nextTickAt() - offset) / drift) + 1);
             if (at < ticksAt || ticksAt <= now) {
                 ticksAt = at;
                 long of = process;
@@ -203,8 +206,8 @@
         }
 
         @Override
-        public void record(String what, Map<String, String> fields) {
-            listener.accept(new HistoryEvent(now, number, process, what, fields));
+        public void record(HistoryEntry entry) {
+            listener.accept(new HistoryEvent(now, number, process, entry.event(), entry.fields()));
         }
     }
 
@@ -421,7 +424,7 @@
         for (Place place : places) {
             if (place.replica != null
                     && now >= place.stalledUntil
-                    && place.replica.status(place.own()).leads()
+                    && place.replica.status(place.own()).isLeader()
                     && (found < 0 || newer(place, places.get(found)))) {
                 found = place.number;
             }
--- a/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
@@ -160,13 +160,13 @@
         }
 
         @Override
-        public List<byte[]> report(long now) {
-            return shares.report(site.now());
+        public List<byte[]> reportParts(long now) {
+            return shares.reportParts(site.now());
         }
 
         @Override
-        public void reported(long now, int from, byte[] part) {
-            shares.reported(site.now(), from, part);
+        public void onReportPart(long now, int from, byte[] part) {
+            shares.onReportPart(site.now(), from, part);
         }
 
         @Override
@@ -200,8 +200,8 @@
                         }
 
                         @Override
-                        public long isLeaseOver(int replica) {
-                            return site.now() + tier.isLeaseOver(replica) - now;
+                        public long leaseEndsAt(int replica) {
+                            return site.now() + tier.leaseEndsAt(replica) - now;
                         }
                     });
         }
@@ -302,7 +302,7 @@
         Arrays.fill(replica.bounds, 0);
         for (ZoneRoute share : table.routes()) {
             if (share.from() == replica.zone) {
-                replica.shares[share.to()] = share.parts() / (double) RouteTable.WHOLE;
+                replica.shares[share.to()] = share.weight() / (double) RouteTable.TOTAL_WEIGHT;
                 replica.bounds[share.to()] = share.maxPerSecond() / (double) Site.REPLICAS;
             }
         }
--- a/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
@@ -113,7 +113,7 @@
 
         /** Its next tick, where it is sooner than the one that waits already. */
         private void wake() {
-            long due = Math.max(Math.max(swim.due(), deaf), now + 1);
+            long due = Math.max(Math.max(swim.nextTickAt(), deaf), now + 1);
             if (due < ticksAt || ticksAt <= now) {
                 ticksAt = due;
                 int own = generation;
--- a/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
@@ -21,7 +21,7 @@
 import cedarrudder.lab.checker.SingleTable;
 import cedarrudder.lab.consensus.ConsensusSimulation.Network;
 import cedarrudder.routetable.RouteTable;
-import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.RouteReason;
 import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -59,16 +59,16 @@
     /** A plan that the test changes: this many parts of zone 0 spill into zone 1. */
     private final class Plan implements TrafficCoordination {
         @Override
-        public List<byte[]> report(long now) {
-            return List.of(new byte[CoordinatedReplica.MAX_PART], new byte[50]);
+        public List<byte[]> reportParts(long now) {
+            return List.of(new byte[CoordinatedReplica.MAX_PART_BYTES], new byte[50]);
         }
 
         @Override
-        public void reported(long now, int from, byte[] part) {}
+        public void onReportPart(long now, int from, byte[] part) {}
 
         @Override
         public List<ZoneRoute> plan(long now, TierView tier) {
-            return List.of(new ZoneRoute(0, 1, Way.SPILLED, parts, 0));
+            return List.of(new ZoneRoute(0, 1, RouteReason.SPILLED, parts, 0));
         }
 
         @Override
@@ -117,7 +117,7 @@
     }
 
     private static int parts(RouteTable table) {
-        return table.routes().get(0).parts();
+        return table.routes().get(0).weight();
     }
 
     private static int other(CoordinationSimulation world) {
@@ -278,7 +278,7 @@
         world.restart(2);
         for (int i = 0; i < 10; i++) {
             world.play(300 * MILLI);
-            assertNotNull(world.view(2).status(0).agreed(), "it has no disk");
+            assertNotNull(world.view(2).status(0).agreedTable(), "it has no disk");
             grants.subList(0, 20).forEach(each -> world.inject(2, 0, each));
         }
         assertNull(world.uses(2));
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -14,7 +14,7 @@
 import cedarrudder.lab.checker.Violation;
 import cedarrudder.lab.failover.FailoverRun.Conditions;
 import cedarrudder.lab.failover.FailoverRun.Result;
-import cedarrudder.routetable.RouteTable.Way;
+import cedarrudder.routetable.RouteTable.RouteReason;
 import cedarrudder.routetable.RouteTable.ZoneRoute;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -49,13 +49,15 @@
         }
 
         @Override
-        public List<byte[]> report(long now) {
+        public List<byte[]> reportParts(long now) {
             ZoneObservations evidence = tally.closePeriod(now, 0);
-            return evidence == null ? List.of() : evidence.encode(CoordinatedReplica.MAX_PART);
+            return evidence == null
+                    ? List.of()
+                    : evidence.encode(CoordinatedReplica.MAX_PART_BYTES);
         }
 
         @Override
-        public void reported(long now, int from, byte[] part) {
+        public void onReportPart(long now, int from, byte[] part) {
             ZoneObservations evidence = ZoneObservations.decode(part);
             assessment.onObservations(now, evidence);
             evidence.observations().stream()
@@ -84,17 +86,23 @@
                                 new ZoneRoute(
                                         zone,
                                         to,
-                                        to == zone ? Way.NEAR : Way.SPILLED,
+                                        to == zone ? RouteReason.NEAR : RouteReason.SPILLED,
                                         to == zone ? 9_900 : 25,
                                         0));
                     }
                 } else if (capped) {
-                    shares.add(new ZoneRoute(zone, (zone + 1) % Site.ZONES, Way.MOVED, 5_000, 0));
-                    shares.add(new ZoneRoute(zone, (zone + 2) % Site.ZONES, Way.MOVED, 4_900, 0));
-                    shares.add(new ZoneRoute(zone, zone, Way.NEAR, 100, 0));
+                    shares.add(
+                            new ZoneRoute(
+                                    zone, (zone + 1) % Site.ZONES, RouteReason.MOVED, 5_000, 0));
+                    shares.add(
+                            new ZoneRoute(
+                                    zone, (zone + 2) % Site.ZONES, RouteReason.MOVED, 4_900, 0));
+                    shares.add(new ZoneRoute(zone, zone, RouteReason.NEAR, 100, 0));
                 } else {
-                    shares.add(new ZoneRoute(zone, (zone + 1) % Site.ZONES, Way.MOVED, 9_900, 0));
-                    shares.add(new ZoneRoute(zone, zone, Way.NEAR, 100, 0));
+                    shares.add(
+                            new ZoneRoute(
+                                    zone, (zone + 1) % Site.ZONES, RouteReason.MOVED, 9_900, 0));
+                    shares.add(new ZoneRoute(zone, zone, RouteReason.NEAR, 100, 0));
                 }
             }
             accused.clear();
--- a/stress/src/main/java/cedarrudder/program/HandOvers.java
+++ b/stress/src/main/java/cedarrudder/program/HandOvers.java
@@ -65,19 +65,19 @@
         /** The loop. */
         @Actor
         public void loop() {
-            log.take("loop");
+            log.offer("loop");
         }
 
         /** Another thread, such as a signal's. */
         @Actor
         public void other() {
-            log.take("other");
+            log.offer("other");
         }
 
         /** The shutdown hook, once the loop has ended. */
         @Arbiter
         public void end(II_Result result) {
-            log.end();
+            log.stop();
             String said = out.toString(StandardCharsets.UTF_8);
             result.r1 = said.length();
             result.r2 = said.equals("loop\nother\n") || said.equals("other\nloop\n") ? 1 : 0;
