--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -82,7 +82,7 @@
     }
 
     /** Datagrams that were dropped: unreadable, from another sender, or outdated. */
-    public record Counts(long malformed, long notItsSender, long stale) {}
+    public record Counts(long malformed, long wrongSender, long stale) {}
 
     private record Outgoing(int to, byte[] datagram) {}
 
@@ -114,7 +114,7 @@
 
     private boolean hardStateChanged;
     private long malformed;
-    private long notItsSender;
+    private long wrongSender;
     private long stale;
 
     /**
@@ -308,7 +308,7 @@
 
     /** Datagrams that were dropped. */
     public Counts counts() {
-        return new Counts(malformed, notItsSender, stale);
+        return new Counts(malformed, wrongSender, stale);
     }
 
     // ---- time
@@ -525,7 +525,7 @@
         if (fragment == null) {
             malformed++;
         } else if (fragment.sender() != from || from == self.replica()) {
-            notItsSender++;
+            wrongSender++;
         } else if (admit(now, fragment)) {
             byte[] message = fragmenter.accept(now, fragment);
             if (message != null) {
@@ -673,7 +673,7 @@
 
     private void onForwardedProposal(long now, int from, Proposal proposal) {
         if (proposal.replica() != from) {
-            notItsSender++;
+            wrongSender++;
         } else if (acceptProposal(now, proposal)) {
             context.send(from, new ProposalAccepted(proposal.incarnation(), proposal.sequence()));
         }
--- a/core/src/main/java/cedarrudder/draining/CompactCodec.java
+++ b/core/src/main/java/cedarrudder/draining/CompactCodec.java
@@ -3,11 +3,17 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Numbers of seven bits a byte, the lowest first, and texts with their length before them. */
+/**
+ * Integers of variable length (LEB128: seven bits a byte, the lowest first), and texts and blocks
+ * with their length before them.
+ */
 final class CompactCodec {
 
-    private static final int BITS = 7;
-    private static final int MORE = 1 << BITS;
+    private static final int BITS_PER_BYTE = 7;
+    private static final int CONTINUATION_BIT = 1 << BITS_PER_BYTE;
+
+    /** The largest integer that {@link Integer#toUnsignedLong} makes. */
+    static final long MAX_UNSIGNED_INT = 0xffffffffL;
 
     private CompactCodec() {}
 
@@ -17,12 +23,12 @@
 
         /** A number of 0 or more. */
         Writer put(long value) {
-            for (long left = value; ; left >>>= BITS) {
-                if (left < MORE) {
+            for (long left = value; ; left >>>= BITS_PER_BYTE) {
+                if (left < CONTINUATION_BIT) {
                     out.write((int) left);
                     return this;
                 }
-                out.write((int) (left & MORE - 1) | MORE);
+                out.write((int) (left & CONTINUATION_BIT - 1) | CONTINUATION_BIT);
             }
         }
 
@@ -60,7 +66,7 @@
     /** Reads; what is wrong is an IllegalArgumentException that says where. */
     static final class Reader {
         private final byte[] bytes;
-        private int at;
+        private int position;
 
         Reader(byte[] bytes) {
             this.bytes = bytes;
@@ -68,24 +74,24 @@
 
         long longValue(long max) {
             long value = 0;
-            for (int shift = 0; shift < Long.SIZE - 1; shift += BITS) {
-                int next = isBit();
-                value |= (long) (next & MORE - 1) << shift;
-                if ((next & MORE) == 0) {
+            for (int shift = 0; shift < Long.SIZE - 1; shift += BITS_PER_BYTE) {
+                int next = nextByte();
+                value |= (long) (next & CONTINUATION_BIT - 1) << shift;
+                if ((next & CONTINUATION_BIT) == 0) {
                     if (value > max) {
-                        throw wrong(value, "0 to " + max);
+                        throw invalid(value, "0 to " + max);
                     }
                     return value;
                 }
             }
-            throw wrong("a number of over 63 bits", "up to 63 bits");
+            throw invalid("a number of over 63 bits", "up to 63 bits");
         }
 
-        private int isBit() {
-            if (at == bytes.length) {
-                throw wrong("the end", "more");
+        private int nextByte() {
+            if (position == bytes.length) {
+                throw invalid("the end", "more");
             }
-            return bytes[at++] & 0xff;
+            return bytes[position++] & 0xff;
         }
 
         int smallInt(int max) {
@@ -98,8 +104,8 @@
          */
         int count(int max) {
             int count = smallInt(max);
-            if (count > bytes.length - at) {
-                throw wrong(count, "up to " + (bytes.length - at));
+            if (count > bytes.length - position) {
+                throw invalid(count, "up to " + (bytes.length - position));
             }
             return count;
         }
@@ -107,15 +113,15 @@
         double number() {
             long bits = 0;
             for (int i = 0; i < Double.BYTES; i++) {
-                bits = bits << Byte.SIZE | isBit();
+                bits = bits << Byte.SIZE | nextByte();
             }
             return Double.longBitsToDouble(bits);
         }
 
         byte[] block(int max) {
             byte[] block = new byte[count(max)];
-            System.arraycopy(bytes, at, block, 0, block.length);
-            at += block.length;
+            System.arraycopy(bytes, position, block, 0, block.length);
+            position += block.length;
             return block;
         }
 
@@ -127,15 +133,15 @@
             return of[smallInt(of.length - 1)];
         }
 
-        void isAtEnd() {
-            if (at < bytes.length) {
-                throw wrong(bytes.length - at + " bytes more", "the end");
+        void requireEnd() {
+            if (position < bytes.length) {
+                throw invalid(bytes.length - position + " bytes more", "the end");
             }
         }
 
-        private IllegalArgumentException wrong(Object found, String allowed) {
+        private IllegalArgumentException invalid(Object found, String allowed) {
             return new IllegalArgumentException(
-                    "byte " + at + ": found " + found + "; allowed: " + allowed);
+                    "byte " + position + ": found " + found + "; allowed: " + allowed);
         }
     }
 }
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -22,11 +22,11 @@
             ConditionCompiler.OfFigures pauseIf,
             ConditionCompiler.OfFigures goOnIf,
             ConditionCompiler.OfFigures giveBackIf,
-            boolean read) {}
+            boolean readable) {}
 
     private final List<Rule> rules = new ArrayList<>();
-    private final Map<DrainableNode, Integer> known = new HashMap<>();
-    private int undecided;
+    private final Map<DrainableNode, Integer> cache = new HashMap<>();
+    private int undecidedPolicies;
 
     CompiledPolicies(List<DrainPolicy> policies, ConditionCompiler conditions) {
         policies.forEach(policy -> rules.add(rule(policy, conditions)));
@@ -70,14 +70,14 @@
     }
 
     /** The policies that are for a node, as bits; one that can't be told is, and pauses. */
-    int of(DrainableNode node) {
-        if (known.size() > 2 * DrainPolicy.MAX_NODES) {
-            known.clear();
+    int policiesFor(DrainableNode node) {
+        if (cache.size() > 2 * DrainPolicy.MAX_NODES) {
+            cache.clear();
         }
-        return known.computeIfAbsent(node.with(Standing.SERVING), this::work);
+        return cache.computeIfAbsent(node.with(Standing.SERVING), this::evaluate);
     }
 
-    private int work(DrainableNode node) {
+    private int evaluate(DrainableNode node) {
         int policies = 0;
         for (int i = 0; i < rules.size(); i++) {
             Rule rule = rules.get(i);
@@ -88,30 +88,32 @@
                 policies |= rule.where.holds(node) ? 1 << i : 0;
             } catch (RuntimeException e) {
                 policies |= 1 << i;
-                undecided |= 1 << i;
+                undecidedPolicies |= 1 << i;
             }
         }
         return policies;
     }
 
     /** Whether no wave may begin by what a policy says of the figures. */
-    Verdict pauses(int index, PolicyConditionInputs figures) {
+    Verdict pauseVerdict(int index, PolicyConditionInputs figures) {
         Rule rule = rules.get(index);
-        if (!rule.read || (undecided >> index & 1) != 0) {
+        if (!rule.readable || (undecidedPolicies >> index & 1) != 0) {
             return Verdict.UNDECIDED;
         }
-        return figures.died() > rule.policy.maxDied() ? Verdict.YES : told(rule.pauseIf, figures);
+        return figures.died() > rule.policy.maxDied()
+                ? Verdict.YES
+                : evaluate(rule.pauseIf, figures);
     }
 
-    Verdict goesOn(int index, PolicyConditionInputs figures) {
-        return told(rules.get(index).goOnIf, figures);
+    Verdict resumeVerdict(int index, PolicyConditionInputs figures) {
+        return evaluate(rules.get(index).goOnIf, figures);
     }
 
-    Verdict givesBack(int index, PolicyConditionInputs figures) {
-        return told(rules.get(index).giveBackIf, figures);
+    Verdict giveBackVerdict(int index, PolicyConditionInputs figures) {
+        return evaluate(rules.get(index).giveBackIf, figures);
     }
 
-    private static Verdict told(
+    private static Verdict evaluate(
             ConditionCompiler.OfFigures condition, PolicyConditionInputs figures) {
         try {
             return condition.holds(figures) ? Verdict.YES : Verdict.NO;
--- a/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
+++ b/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
@@ -55,7 +55,7 @@
      * @param out whether it is counted as out already, such as one that fails: it may come to serve
      *     again
      */
-    Bound breaks(DrainableNode node, boolean out) {
+    Bound exceededBound(DrainableNode node, boolean out) {
         int more = out ? 0 : 1;
         Group[] groups = groups(node);
         DrainPolicy.MaxUnavailable[] max = {
@@ -82,7 +82,7 @@
     }
 
     /** One more is out. */
-    void leaves(DrainableNode node) {
+    void onDrained(DrainableNode node) {
         for (Group group : groups(node)) {
             group.out++;
         }
@@ -90,13 +90,13 @@
     }
 
     /** Whether more are out than the policy allows. */
-    boolean over() {
-        return over(pods, policy.maxPerPod())
-                || over(zones, policy.maxPerZone())
-                || over(tiers, policy.maxPerTier());
+    boolean isExceeded() {
+        return isExceeded(pods, policy.maxPerPod())
+                || isExceeded(zones, policy.maxPerZone())
+                || isExceeded(tiers, policy.maxPerTier());
     }
 
-    private static boolean over(Map<Object, Group> groups, DrainPolicy.MaxUnavailable max) {
+    private static boolean isExceeded(Map<Object, Group> groups, DrainPolicy.MaxUnavailable max) {
         return groups.values().stream().anyMatch(group -> group.out > max.maxOf(group.listed));
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -15,7 +15,7 @@
     int MAX_IDS = 500;
 
     /** Bytes of policies in one command. */
-    int PART = 4_000;
+    int CHUNK_BYTES = 4_000;
 
     /** What replicas propose to the leader has no more bytes. */
     int MAX_BYTES = 4_080;
@@ -24,7 +24,7 @@
     int MAX_CHANGES = 512;
 
     /** Groups of waiting nodes, and nodes with calls, that a step tells of. */
-    int MAX_TOLD = 16;
+    int MAX_STATUS_ENTRIES = 16;
 
     /**
      * An operator's call.
@@ -35,19 +35,24 @@
     record DrainRequest(boolean cancel, List<Long> nodes) implements DrainCommand {}
 
     /** A part of the policies that are to count from here on, if none of a higher revision do. */
-    record PolicyChunk(long revision, int sum, int index, int count, byte[] bytes)
+    record PolicyChunk(long revision, int checksum, int index, int count, byte[] bytes)
             implements DrainCommand {}
 
     /**
      * What the leader has found.
      *
-     * @param basis the version of the state that it looked at; where it is another by then, nothing
-     *     changes
+     * @param baseVersion the version of the state that it looked at; where it is another by then,
+     *     nothing changes
      * @param clock the time that has passed with drains open, in milliseconds, as it reckons; it
      *     only rises
      * @param pauses policies by their place that pause from here on, and those that go on
      */
-    record Step(long basis, long clock, List<Pause> pauses, List<Change> changes, WaveStatus told)
+    record Step(
+            long baseVersion,
+            long clock,
+            List<Pause> pauses,
+            List<Change> changes,
+            WaveStatus status)
             implements DrainCommand {}
 
     /** A policy pauses, or goes on. */
@@ -58,21 +63,34 @@
      * start does.
      *
      * @param slot the drain's own number
-     * @param start of the node, as listed
-     * @param time how long it may take, in milliseconds
+     * @param nodeStart of the node, as listed
+     * @param deadlineMillis how long it may take, in milliseconds
      * @param policies that are for it, as bits
      */
     record Change(
             DrainEvent event,
             int slot,
-            long start,
-            long time,
-            OnDeadline atEnd,
-            OnRestart restarted,
+            long nodeStart,
+            long deadlineMillis,
+            OnDeadline onDeadline,
+            OnRestart onRestart,
             int policies) {
+        /** An event that says nothing but itself. */
         static Change of(DrainEvent event, int slot) {
             return new Change(event, slot, 0, 0, OnDeadline.LET_GO, OnRestart.BACK, 0);
         }
+
+        /** The node restarted at that time, and stays out. */
+        static Change restartedOut(int slot, long nodeStart) {
+            return new Change(
+                    DrainEvent.RESTARTED_OUT,
+                    slot,
+                    nodeStart,
+                    0,
+                    OnDeadline.LET_GO,
+                    OnRestart.BACK,
+                    0);
+        }
     }
 
     /** What keeps a node waiting. */
@@ -118,7 +136,7 @@
     record RemainingCalls(int slot, int replica, long calls) {}
 
     /** What the leader knows that others don't, for operators. */
-    record WaveStatus(List<BlockedBy> waits, List<RemainingCalls> still) {
+    record WaveStatus(List<BlockedBy> blocked, List<RemainingCalls> remaining) {
         static final WaveStatus NOTHING = new WaveStatus(List.of(), List.of());
     }
 
@@ -131,27 +149,27 @@
         } else if (this instanceof PolicyChunk part) {
             out.put(1)
                     .put(part.revision)
-                    .put(part.sum & 0xffffffffL)
+                    .put(Integer.toUnsignedLong(part.checksum))
                     .put(part.index)
                     .put(part.count)
                     .put(part.bytes);
         } else if (this instanceof Step step) {
-            out.put(2).put(step.basis).put(step.clock).put(step.pauses.size());
+            out.put(2).put(step.baseVersion).put(step.clock).put(step.pauses.size());
             step.pauses.forEach(each -> out.put(each.policy).put(each.on ? 1 : 0));
             out.put(step.changes.size());
             for (Change each : step.changes) {
                 out.put(each.event).put(each.slot);
                 if (each.event == DrainEvent.BEGUN) {
-                    out.put(each.start)
-                            .put(each.time)
-                            .put(each.atEnd)
-                            .put(each.restarted)
-                            .put(each.policies & 0xffffffffL);
+                    out.put(each.nodeStart)
+                            .put(each.deadlineMillis)
+                            .put(each.onDeadline)
+                            .put(each.onRestart)
+                            .put(Integer.toUnsignedLong(each.policies));
                 } else if (each.event == DrainEvent.RESTARTED_OUT) {
-                    out.put(each.start);
+                    out.put(each.nodeStart);
                 }
             }
-            write(out, step.told);
+            writeStatus(out, step.status);
         }
         return out.bytes();
     }
@@ -162,18 +180,18 @@
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
             DrainCommand command =
                     switch (in.smallInt(2)) {
-                        case 0 -> call(in);
-                        case 1 -> part(in);
-                        default -> step(in);
+                        case 0 -> readRequest(in);
+                        case 1 -> readChunk(in);
+                        default -> readStep(in);
                     };
-            in.isAtEnd();
+            in.requireEnd();
             return command;
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    private static DrainRequest call(CompactCodec.Reader in) {
+    private static DrainRequest readRequest(CompactCodec.Reader in) {
         boolean cancel = in.smallInt(1) == 1;
         List<Long> nodes = new ArrayList<>();
         for (int left = in.count(MAX_IDS); left > 0; left--) {
@@ -182,18 +200,18 @@
         return new DrainRequest(cancel, nodes);
     }
 
-    private static PolicyChunk part(CompactCodec.Reader in) {
+    private static PolicyChunk readChunk(CompactCodec.Reader in) {
         long revision = in.longValue(Long.MAX_VALUE);
-        int sum = (int) in.longValue(0xffffffffL);
-        int index = in.smallInt(PolicyCodec.MAX_BYTES / PART);
-        int count = in.smallInt(PolicyCodec.MAX_BYTES / PART + 1);
+        int sum = (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT);
+        int index = in.smallInt(PolicyCodec.MAX_BYTES / CHUNK_BYTES);
+        int count = in.smallInt(PolicyCodec.MAX_BYTES / CHUNK_BYTES + 1);
         if (index >= count) {
             throw new IllegalArgumentException("part " + index + " of " + count);
         }
-        return new PolicyChunk(revision, sum, index, count, in.block(PART));
+        return new PolicyChunk(revision, sum, index, count, in.block(CHUNK_BYTES));
     }
 
-    private static Step step(CompactCodec.Reader in) {
+    private static Step readStep(CompactCodec.Reader in) {
         long basis = in.longValue(Long.MAX_VALUE);
         long clock = in.longValue(Long.MAX_VALUE);
         List<Pause> pauses = new ArrayList<>();
@@ -213,7 +231,7 @@
                                     in.longValue(DrainPolicy.MAX_TIME),
                                     in.choice(OnDeadline.values()),
                                     in.choice(OnRestart.values()),
-                                    (int) in.longValue(0xffffffffL))
+                                    (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT))
                             : event == DrainEvent.RESTARTED_OUT
                                     ? new Change(
                                             event,
@@ -225,21 +243,21 @@
                                             0)
                                     : Change.of(event, slot));
         }
-        return new Step(basis, clock, pauses, changes, told(in));
+        return new Step(basis, clock, pauses, changes, readStatus(in));
     }
 
     /** Writes what the leader told of. */
-    static void write(CompactCodec.Writer out, WaveStatus told) {
-        out.put(told.waits.size());
-        told.waits.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
-        out.put(told.still.size());
-        told.still.forEach(each -> out.put(each.slot).put(each.replica).put(each.calls + 1));
+    static void writeStatus(CompactCodec.Writer out, WaveStatus told) {
+        out.put(told.blocked.size());
+        told.blocked.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
+        out.put(told.remaining.size());
+        told.remaining.forEach(each -> out.put(each.slot).put(each.replica).put(each.calls + 1));
     }
 
-    /** Reads what {@link #write} wrote. */
-    static WaveStatus told(CompactCodec.Reader in) {
+    /** Reads what {@link #writeStatus} wrote. */
+    static WaveStatus readStatus(CompactCodec.Reader in) {
         List<BlockedBy> waits = new ArrayList<>();
-        for (int left = in.count(MAX_TOLD); left > 0; left--) {
+        for (int left = in.count(MAX_STATUS_ENTRIES); left > 0; left--) {
             waits.add(
                     new BlockedBy(
                             in.smallInt(DrainPolicy.MAX_POLICIES) - 1,
@@ -247,7 +265,7 @@
                             in.smallInt(DrainPolicy.MAX_NODES)));
         }
         List<RemainingCalls> still = new ArrayList<>();
-        for (int left = in.count(MAX_TOLD); left > 0; left--) {
+        for (int left = in.count(MAX_STATUS_ENTRIES); left > 0; left--) {
             still.add(
                     new RemainingCalls(
                             in.smallInt(Integer.MAX_VALUE),
--- a/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -2,7 +2,6 @@
 
 import cedarrudder.draining.DrainCommand.DrainRequest;
 import cedarrudder.draining.DrainCommand.PolicyChunk;
-import cedarrudder.draining.DrainStateMachine.Drain;
 import cedarrudder.routetable.RouteTable.DrainingNode;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,13 +25,14 @@
     /** Nodes that one call may name. */
     public static final int MAX_IDS = DrainCommand.MAX_IDS;
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int MAX_REPORTS = 2;
 
     /**
      * An event that changed something, and what follows beside the state.
      *
-     * @param within the time that the node may take, in milliseconds, once its wave has begun
+     * @param deadlineMillis the time that the node may take, in milliseconds, once its wave has
+     *     begun
      */
     public record DrainChange(
             long node,
@@ -40,11 +40,11 @@
             DrainState before,
             DrainState after,
             int wave,
-            long within,
+            long deadlineMillis,
             DrainTransitions.Effect effect) {}
 
     /** How a node's drain ended. */
-    public record EndedDrain(long node, DrainEvent how) {}
+    public record EndedDrain(long node, DrainEvent event) {}
 
     /** What it causes. */
     public interface Actions {
@@ -55,7 +55,7 @@
     /** What this replica has itself. */
     public interface LocalState {
         /** Its calls at a node. */
-        int calls(long node);
+        int openCalls(long node);
 
         /** The nodes that are left out here by hand. */
         Set<Long> disabled();
@@ -71,14 +71,14 @@
      * All drains, for operators.
      *
      * @param paused names of policies that pause
-     * @param told what the replica that leads had found when it last said so
+     * @param status what the replica that leads had found when it last said so
      */
     public record Progress(
             long revision,
             List<String> policies,
             List<String> paused,
             List<DrainView> drains,
-            DrainCommand.WaveStatus told,
+            DrainCommand.WaveStatus status,
             List<EndedDrain> ended) {}
 
     private final int replicas;
@@ -90,10 +90,10 @@
     private DrainStateMachine stateMachine = new DrainStateMachine();
     private CompiledPolicies compiledPolicies;
     private List<PolicyChunk> ownPolicies = List.of();
-    private long reckoned;
-    private long reckonedAt;
-    private int from;
-    private int somewhere;
+    private long clockBase;
+    private long clockBaseAt;
+    private int nextReportedSlot;
+    private int nextDisabled;
 
     /**
      * @param replicas how many there may be, and {@code self} the number of this one
@@ -114,9 +114,9 @@
         this.self = self;
         this.conditions = conditions;
         this.actions = outlet;
-        this.reckonedAt = now;
+        this.clockBaseAt = now;
         reported = new ReportedDrainProgress(settings, replicas);
-        reported.clear(now);
+        reported.reset(now);
         scheduler = new WaveScheduler(settings, reported);
         compiledPolicies = new CompiledPolicies(stateMachine.policies(), conditions);
     }
@@ -130,7 +130,7 @@
      * @param revision from 1
      * @throws IllegalArgumentException if they are more than {@link PolicyCodec#MAX_BYTES}
      */
-    public void policies(long revision, List<DrainPolicy> policies) {
+    public void setPolicies(long revision, List<DrainPolicy> policies) {
         byte[] bytes = PolicyCodec.encode(policies);
         DrainPolicy.check(
                 bytes.length <= PolicyCodec.MAX_BYTES,
@@ -143,13 +143,16 @@
                 policies.size(),
                 "up to " + DrainPolicy.MAX_POLICIES);
         DrainPolicy.check(revision >= 1, "revision", revision, "1 or more");
-        int count = Math.max(1, (bytes.length + DrainCommand.PART - 1) / DrainCommand.PART);
+        int count =
+                Math.max(
+                        1,
+                        (bytes.length + DrainCommand.CHUNK_BYTES - 1) / DrainCommand.CHUNK_BYTES);
         List<PolicyChunk> parts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            int begin = i * DrainCommand.PART;
-            byte[] part = new byte[Math.min(DrainCommand.PART, bytes.length - begin)];
+            int begin = i * DrainCommand.CHUNK_BYTES;
+            byte[] part = new byte[Math.min(DrainCommand.CHUNK_BYTES, bytes.length - begin)];
             System.arraycopy(bytes, begin, part, 0, part.length);
-            parts.add(new PolicyChunk(revision, DrainStateMachine.sum(bytes), i, count, part));
+            parts.add(new PolicyChunk(revision, PolicyTransfer.checksum(bytes), i, count, part));
         }
         ownPolicies = List.copyOf(parts);
     }
@@ -161,7 +164,7 @@
     public boolean isOverruled() {
         return !ownPolicies.isEmpty()
                 && stateMachine.revision() >= ownPolicies.get(0).revision()
-                && stateMachine.sum() != ownPolicies.get(0).sum();
+                && stateMachine.policyChecksum() != ownPolicies.get(0).checksum();
     }
 
     /** A command is committed. */
@@ -171,9 +174,9 @@
         // What has passed here since it last heard of the clock counts. This avoids a clock that
         // falls
         // behind by the time of a commit each time that it is committed.
-        reckoned = Math.max(clock(now), stateMachine.clock());
-        reckonedAt = now;
-        readAnew(policies);
+        clockBase = Math.max(agreedClock(now), stateMachine.clock());
+        clockBaseAt = now;
+        recompileIfChanged(policies);
         happened.forEach(actions::onDrainChange);
     }
 
@@ -184,21 +187,21 @@
         if (next != null) {
             List<DrainPolicy> policies = stateMachine.policies();
             stateMachine = next;
-            reckoned = stateMachine.clock();
-            reckonedAt = now;
-            readAnew(policies);
+            clockBase = stateMachine.clock();
+            clockBaseAt = now;
+            recompileIfChanged(policies);
         }
     }
 
-    private void readAnew(List<DrainPolicy> before) {
+    private void recompileIfChanged(List<DrainPolicy> before) {
         if (stateMachine.policies() != before) {
             compiledPolicies = new CompiledPolicies(stateMachine.policies(), conditions);
         }
     }
 
     /** The agreed clock as it stands now, by what has passed here; it is never ahead. */
-    private long clock(long now) {
-        return reckoned + (now - reckonedAt) / MILLI;
+    private long agreedClock(long now) {
+        return clockBase + (now - clockBaseAt) / NANOS_PER_MILLI;
     }
 
     /** The state; the same at each replica that applied the same. */
@@ -224,7 +227,7 @@
     /**
      * Whether a node counts as out: it leaves, or not all replicas may know yet that it is back.
      */
-    public boolean out(long node) {
+    public boolean isOut(long node) {
         return stateMachine.state(node).isOut();
     }
 
@@ -237,7 +240,7 @@
         List<String> names = stateMachine.policies().stream().map(DrainPolicy::name).toList();
         List<String> paused = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
-            if (stateMachine.paused(i)) {
+            if (stateMachine.isPaused(i)) {
                 paused.add(names.get(i));
             }
         }
@@ -251,7 +254,7 @@
                                         new DrainView(
                                                 drain.node, drain.state, drain.wave, drain.slot))
                         .toList(),
-                stateMachine.told(),
+                stateMachine.waveStatus(),
                 stateMachine.ended());
     }
 
@@ -262,7 +265,7 @@
      *
      * @param nodes from 1 to {@link #MAX_IDS}
      */
-    public static byte[] call(boolean cancel, List<Long> nodes) {
+    public static byte[] drainRequest(boolean cancel, List<Long> nodes) {
         DrainPolicy.check(
                 !nodes.isEmpty()
                         && nodes.size() <= MAX_IDS
@@ -277,7 +280,7 @@
      * A command by which the policies of this replica's file come to count for all; null where they
      * may not.
      */
-    public byte[] wantedCommand() {
+    public byte[] nextPolicyCommand() {
         for (PolicyChunk part : ownPolicies) {
             if (!stateMachine.contains(part)) {
                 return part.encode();
@@ -298,11 +301,11 @@
                 stateMachine.drains().stream().filter(drain -> drain.state.isOpen()).toList();
         List<Long> disabled = local.disabled().stream().sorted().toList();
         for (int i = 0; i < MAX_REPORTS; i++) {
-            int first = from;
+            int first = nextReportedSlot;
             int last = Integer.MAX_VALUE;
             List<DrainReport.Calls> held = new ArrayList<>();
             for (Drain drain : open) {
-                int calls = drain.slot < first ? 0 : local.calls(drain.node);
+                int calls = drain.slot < first ? 0 : local.openCalls(drain.node);
                 if (calls > 0 && held.size() == DrainReport.maxCalls()) {
                     last = drain.slot - 1;
                     break;
@@ -310,12 +313,12 @@
                     held.add(new DrainReport.Calls(drain.slot, calls));
                 }
             }
-            from = last == Integer.MAX_VALUE ? 0 : last + 1;
+            nextReportedSlot = last == Integer.MAX_VALUE ? 0 : last + 1;
             List<Long> some = new ArrayList<>();
-            for (int j = 0; j < Math.min(DrainReport.maxSome(), disabled.size()); j++) {
-                some.add(disabled.get(somewhere++ % disabled.size()));
+            for (int j = 0; j < Math.min(DrainReport.maxDisabledSample(), disabled.size()); j++) {
+                some.add(disabled.get(nextDisabled++ % disabled.size()));
             }
-            somewhere = disabled.isEmpty() ? 0 : somewhere % disabled.size();
+            nextDisabled = disabled.isEmpty() ? 0 : nextDisabled % disabled.size();
             parts.add(
                     new DrainReport(
                                     stateMachine.version(),
@@ -326,7 +329,7 @@
                                     some,
                                     local.flow())
                             .encode());
-            if (from == 0) {
+            if (nextReportedSlot == 0) {
                 break;
             }
         }
@@ -335,8 +338,8 @@
 
     /** This replica leads from here on, or no longer. */
     public void onLeadership(long now, boolean leads) {
-        reported.clear(now);
-        scheduler.clear();
+        reported.reset(now);
+        scheduler.reset();
     }
 
     /**
@@ -360,13 +363,13 @@
      * @param nodes as this replica sees them
      * @param lives whether a replica lives
      */
-    public byte[] next(
+    public byte[] nextCommand(
             long now, long utcMillis, Collection<DrainableNode> nodes, IntPredicate lives) {
         reported.update(now, replica -> replica == self || lives.test(replica));
         DrainCommand step =
                 scheduler.next(
                         now,
-                        clock(now),
+                        agreedClock(now),
                         utcMillis,
                         stateMachine,
                         compiledPolicies,
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -7,21 +7,21 @@
  * What a replica says to the one that leads, in parts that stand for themselves.
  *
  * @param version of the state that it has carried out
- * @param first the lowest slot that it tells of
- * @param last and the highest: nodes that leave in between, and are not named, have no calls of
+ * @param firstSlot the lowest slot that it tells of
+ * @param lastSlot and the highest: nodes that leave in between, and are not named, have no calls of
  *     this replica
  * @param calls by slot, rising
  * @param disabled how many nodes are left out here by hand
- * @param some of them
+ * @param disabledSample of them
  * @param flow what became of the calls of the last window
  */
 record DrainReport(
         long version,
-        int first,
-        int last,
+        int firstSlot,
+        int lastSlot,
         List<Calls> calls,
         int disabled,
-        List<Long> some,
+        List<Long> disabledSample,
         TrafficSample flow) {
 
     /** Bytes of one part, at most. */
@@ -41,7 +41,7 @@
         return MAX_CALLS;
     }
 
-    static int maxSome() {
+    static int maxDisabledSample() {
         return MAX_SOME;
     }
 
@@ -50,17 +50,18 @@
                 new CompactCodec.Writer()
                         .put(KIND)
                         .put(version)
-                        .put(first)
-                        .put(last)
+                        .put(firstSlot)
+                        .put(lastSlot)
                         .put(calls.size());
-        int before = first;
+        int before = firstSlot;
         for (Calls each : calls) {
             out.put(each.slot - before).put(Math.min(each.calls, MAX_DISABLED));
             before = each.slot;
         }
-        out.put(Math.min(disabled, MAX_DISABLED)).put(some.size());
-        some.forEach(out::put);
-        for (int each : new int[] {flow.ended(), flow.refused(), flow.failed(), flow.late()}) {
+        out.put(Math.min(disabled, MAX_DISABLED)).put(disabledSample.size());
+        disabledSample.forEach(out::put);
+        for (int each :
+                new int[] {flow.ended(), flow.refused(), flow.failed(), flow.deadlineMissed()}) {
             out.put(Math.min(each, MAX_COUNT));
         }
         return out.bytes();
@@ -93,7 +94,7 @@
                             in.smallInt(MAX_COUNT),
                             in.smallInt(MAX_COUNT),
                             in.smallInt(MAX_COUNT));
-            in.isAtEnd();
+            in.requireEnd();
             return new DrainReport(version, first, last, calls, disabled, some, flow);
         } catch (IllegalArgumentException e) {
             return null;
--- a/core/src/main/java/cedarrudder/draining/DrainSettings.java
+++ b/core/src/main/java/cedarrudder/draining/DrainSettings.java
@@ -3,13 +3,14 @@
 /**
  * The figures of the mechanism; times are nanoseconds.
  *
- * @param patience a replica that has said nothing for this long keeps waves from beginning and
+ * @param reportTimeout a replica that has said nothing for this long keeps waves from beginning and
  *     drains from ending
- * @param forgets and one that lives no more is waited for this long: membership may be wrong
- * @param unlisted a node that is not listed for this long is gone
- * @param beat while drains are open the agreed clock is committed so often
+ * @param forgetAfter and one that lives no more is waited for this long: membership may be wrong
+ * @param unlistedTimeout a node that is not listed for this long is gone
+ * @param heartbeat while drains are open the agreed clock is committed so often
  */
-public record DrainSettings(long patience, long forgets, long unlisted, long beat) {
+public record DrainSettings(
+        long reportTimeout, long forgetAfter, long unlistedTimeout, long heartbeat) {
 
     private static final long SECOND = 1_000_000_000L;
 
@@ -19,9 +20,9 @@
 
     /** Checks that all are over 0; what is wrong is an IllegalArgumentException that names it. */
     public DrainSettings {
-        DrainPolicy.check(patience > 0, "patience", patience, "over 0");
-        DrainPolicy.check(forgets > 0, "forgets", forgets, "over 0");
-        DrainPolicy.check(unlisted > 0, "unlisted", unlisted, "over 0");
-        DrainPolicy.check(beat > 0, "beat", beat, "over 0");
+        DrainPolicy.check(reportTimeout > 0, "patience", reportTimeout, "over 0");
+        DrainPolicy.check(forgetAfter > 0, "forgets", forgetAfter, "over 0");
+        DrainPolicy.check(unlistedTimeout > 0, "unlisted", unlistedTimeout, "over 0");
+        DrainPolicy.check(heartbeat > 0, "beat", heartbeat, "over 0");
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -18,49 +18,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.zip.CRC32C;
 
 /**
- * What replicas agree on of drains: the same at each that applied the same commands in their order,
- * whatever its clock, its list of nodes and its file say. Not thread-safe.
+ * The replicated state of drains: the same at each replica that applied the same commands in their
+ * order, whatever its clock, its list of nodes and its file say. Not thread-safe.
  */
 final class DrainStateMachine {
 
     static final long MAX_NODE = (1L << 52) - 1;
 
-    private static final int VERSION = 1;
+    private static final int FORMAT_VERSION = 1;
     private static final int MAX_WAVE = 1 << 16;
     private static final int MAX_ENDED = 256;
-    private static final int MAX_PARTS = PolicyCodec.MAX_BYTES / DrainCommand.PART + 1;
+    private static final int ALL_POLICIES = -1;
 
-    /** A drain of one node. */
-    static final class Drain {
-        final int slot;
-        final long node;
-        DrainState state = DrainState.WAITING;
-        int wave;
-
-        /** The node's start when its wave began, or at the restart after it. */
-        long start;
-
-        /** In milliseconds. */
-        long within;
-
-        /** On the agreed clock, in milliseconds. */
-        long until;
-
-        OnDeadline atEnd = OnDeadline.LET_GO;
-        OnRestart restarted = OnRestart.BACK;
-        int policies;
-
-        /** The version that began its present state. */
-        long since;
-
-        Drain(int slot, long node) {
-            this.slot = slot;
-            this.node = node;
-        }
-    }
+    /** In place of an instant on the agreed clock where there is none. */
+    private static final long NEVER = -1;
 
     private final TreeMap<Integer, Drain> drains = new TreeMap<>();
     private final Map<Long, Drain> byNode = new HashMap<>();
@@ -70,82 +43,83 @@
     private int nextSlot = 1;
     private int wave;
     private long revision;
-    private int sum;
+    private int policyChecksum;
     private byte[] policyBytes = PolicyCodec.encode(List.of());
     private List<DrainPolicy> policies = List.of();
-    private long[] endedAt = new long[0];
-    private long[] pausedAt = new long[0];
-    private long comingRevision;
-    private int comingSum;
-    private byte[][] coming = new byte[0][];
-    private WaveStatus told = WaveStatus.NOTHING;
+    private long[] waveEndedAt = {};
+    private long[] pausedAt = {};
+    private PolicyTransfer transfer = new PolicyTransfer();
+    private WaveStatus waveStatus = WaveStatus.NOTHING;
 
-    // ---- what is known ----
+    // ---- the state ----
 
     /** Rises with each command that changed something but the clock. */
     long version() {
         return version;
     }
 
+    /** The agreed clock, in milliseconds with drains open. */
     long clock() {
         return clock;
     }
 
+    /** The revision of the policies that count; 0 before the first. */
     long revision() {
         return revision;
     }
 
-    int sum() {
-        return sum;
+    /** The checksum of the policies that count. */
+    int policyChecksum() {
+        return policyChecksum;
     }
 
+    /** The policies that count. */
     List<DrainPolicy> policies() {
         return policies;
     }
 
+    /** All drains, by their slots. */
     Collection<Drain> drains() {
         return drains.values();
     }
 
-    Drain of(long node) {
-        return byNode.get(node);
-    }
-
-    Drain slot(int slot) {
+    /** The drain of a slot; null where there is none. */
+    Drain drainInSlot(int slot) {
         return drains.get(slot);
     }
 
+    /** The state of a node's drain. */
     DrainState state(long node) {
         Drain drain = byNode.get(node);
         return drain == null ? DrainState.NONE : drain.state;
     }
 
-    WaveStatus told() {
-        return told;
+    /** What the leader last said of waves. */
+    WaveStatus waveStatus() {
+        return waveStatus;
     }
 
+    /** The drains that ended last, the oldest first. */
     List<DrainCoordinator.EndedDrain> ended() {
         return List.copyOf(ended);
     }
 
-    boolean paused(int policy) {
-        return pausedAt[policy] >= 0;
+    boolean isPaused(int policy) {
+        return pausedAt[policy] != NEVER;
     }
 
-    /** On the agreed clock; negative where it does not pause. */
+    /** Since when a policy pauses, on the agreed clock; negative where it does not. */
     long pausedAt(int policy) {
         return pausedAt[policy];
     }
 
-    /**
-     * When the last wave of a policy was over, on the agreed clock; negative where there was none.
-     */
+    /** When the last wave of a policy ended, on the agreed clock; negative where none has. */
     long waveEndedAt(int policy) {
-        return endedAt[policy];
+        return waveEndedAt[policy];
     }
 
-    /** The policies that have a wave which is not over, as bits. */
-    int open() {
+    /** The policies that have an open wave, as bits. */
+    int policiesWithOpenWave() {
         int open = 0;
         for (Drain drain : drains.values()) {
             open |= drain.state.isOpen() ? drain.policies : 0;
@@ -153,96 +127,106 @@
         return open;
     }
 
-    /** Whether a part of policies is here, or not wanted any more. */
-    boolean contains(PolicyChunk part) {
-        return part.revision() <= revision
-                || part.revision() < comingRevision
-                || part.revision() == comingRevision
-                        && part.sum() == comingSum
-                        && part.count() == coming.length
-                        && coming[part.index()] != null;
+    /** Whether a chunk of policies is here, or not wanted any more. */
+    boolean contains(PolicyChunk chunk) {
+        return chunk.revision() <= revision || transfer.contains(chunk);
     }
 
     // ---- commands ----
 
-    /** Applies a command; one that can't be read, or that was overtaken, changes nothing. */
+    /** Applies a command; one that is unreadable or outdated changes nothing. */
     List<DrainCoordinator.DrainChange> apply(byte[] bytes) {
-        List<DrainCoordinator.DrainChange> happened = new ArrayList<>();
+        List<DrainCoordinator.DrainChange> changes = new ArrayList<>();
         DrainCommand command = DrainCommand.decode(bytes);
-        long before = version;
-        int open = open();
-        if (command instanceof DrainRequest call) {
-            call(call, happened);
-        } else if (command instanceof PolicyChunk part) {
-            part(part);
+        long versionBefore = version;
+        int openBefore = policiesWithOpenWave();
+        if (command instanceof DrainRequest request) {
+            applyRequest(request, changes);
+        } else if (command instanceof PolicyChunk chunk) {
+            applyChunk(chunk);
         } else if (command instanceof Step step) {
-            step(step, happened);
+            applyStep(step, changes);
         }
-        if (version != before) {
-            int over = open & ~open();
-            for (int i = 0; i < endedAt.length; i++) {
-                endedAt[i] = (over >> i & 1) != 0 ? clock : endedAt[i];
+        if (version != versionBefore) {
+            recordEndedWaves(openBefore & ~policiesWithOpenWave());
+        }
+        return changes;
+    }
+
+    private void recordEndedWaves(int policiesWithEndedWave) {
+        for (int i = 0; i < waveEndedAt.length; i++) {
+            if ((policiesWithEndedWave >> i & 1) != 0) {
+                waveEndedAt[i] = clock;
             }
         }
-        return happened;
     }
 
-    private void call(DrainRequest call, List<DrainCoordinator.DrainChange> happened) {
+    private void applyRequest(DrainRequest request, List<DrainCoordinator.DrainChange> changes) {
         version++;
-        for (long node : call.nodes()) {
-            if (!call.cancel()
-                    && !byNode.containsKey(node)
-                    && drains.size() < DrainPolicy.MAX_NODES
-                    && nextSlot < Integer.MAX_VALUE) {
-                Drain drain = new Drain(nextSlot++, node);
-                drain.state = DrainState.NONE;
-                drains.put(drain.slot, drain);
-                byNode.put(node, drain);
+        DrainEvent event = request.cancel() ? DrainEvent.CANCELLED : DrainEvent.ASKED;
+        for (long node : request.nodes()) {
+            if (!request.cancel()) {
+                addDrain(node);
             }
             Drain drain = byNode.get(node);
             if (drain != null) {
-                onEvent(drain, call.cancel() ? DrainEvent.CANCELLED : DrainEvent.ASKED, happened);
+                onEvent(drain, event, changes);
             }
         }
     }
 
-    private void step(Step step, List<DrainCoordinator.DrainChange> happened) {
+    /** Adds a drain of a node that has none, where there is room for it. */
+    private void addDrain(long node) {
+        boolean hasRoom = drains.size() < DrainPolicy.MAX_NODES && nextSlot < Integer.MAX_VALUE;
+        if (hasRoom && !byNode.containsKey(node)) {
+            Drain drain = new Drain(nextSlot++, node);
+            drain.state = DrainState.NONE;
+            drains.put(drain.slot, drain);
+            byNode.put(node, drain);
+        }
+    }
+
+    private void applyStep(Step step, List<DrainCoordinator.DrainChange> changes) {
         clock = Math.max(clock, step.clock());
-        told = step.told();
-        if (step.basis() != version || step.pauses().isEmpty() && step.changes().isEmpty()) {
+        waveStatus = step.status();
+        boolean isEmpty = step.pauses().isEmpty() && step.changes().isEmpty();
+        if (step.baseVersion() != version || isEmpty) {
             return;
         }
         version++;
         for (Pause pause : step.pauses()) {
             if (pause.policy() < pausedAt.length) {
-                pausedAt[pause.policy()] = pause.on() ? clock : -1;
+                pausedAt[pause.policy()] = pause.on() ? clock : NEVER;
             }
         }
-        if (step.changes().stream().anyMatch(each -> each.event() == DrainEvent.BEGUN)) {
+        if (step.changes().stream().anyMatch(change -> change.event() == DrainEvent.BEGUN)) {
             wave = (wave + 1) % MAX_WAVE;
         }
         for (Change change : step.changes()) {
             Drain drain = drains.get(change.slot());
-            if (drain == null) {
-                continue;
-            }
-            if (change.event() == DrainEvent.BEGUN && drain.state == DrainState.WAITING) {
-                drain.wave = wave;
-                drain.start = change.start();
-                drain.within = change.time();
-                drain.until = clock + change.time();
-                drain.atEnd = change.atEnd();
-                drain.restarted = change.restarted();
-                drain.policies = change.policies();
-            } else if (change.event() == DrainEvent.RESTARTED_OUT) {
-                drain.start = change.start();
+            if (drain != null) {
+                applyChange(drain, change);
+                onEvent(drain, change.event(), changes);
             }
-            onEvent(drain, change.event(), happened);
+        }
+    }
+
+    private void applyChange(Drain drain, Change change) {
+        if (change.event() == DrainEvent.BEGUN && drain.state == DrainState.WAITING) {
+            drain.wave = wave;
+            drain.nodeStart = change.nodeStart();
+            drain.deadlineMillis = change.deadlineMillis();
+            drain.deadlineAt = clock + change.deadlineMillis();
+            drain.onDeadline = change.onDeadline();
+            drain.onRestart = change.onRestart();
+            drain.policies = change.policies();
+        } else if (change.event() == DrainEvent.RESTARTED_OUT) {
+            drain.nodeStart = change.nodeStart();
         }
     }
 
     private void onEvent(
-            Drain drain, DrainEvent event, List<DrainCoordinator.DrainChange> happened) {
+            Drain drain, DrainEvent event, List<DrainCoordinator.DrainChange> changes) {
         DrainState before = drain.state;
         DrainTransitions.Row row = DrainTransitions.of(before, event);
         if (row == null) {
@@ -250,182 +234,161 @@
         }
         drain.state = row.next();
         if (before != drain.state) {
-            drain.since = version;
+            drain.stateVersion = version;
         }
-        happened.add(
+        changes.add(
                 new DrainCoordinator.DrainChange(
                         drain.node,
                         event,
                         before,
                         drain.state,
                         drain.wave,
-                        drain.within,
+                        drain.deadlineMillis,
                         row.effect()));
         if (row.effect() == Effect.END) {
-            drains.remove(drain.slot);
-            byNode.remove(drain.node);
-            ended.addLast(new DrainCoordinator.EndedDrain(drain.node, event));
-            if (ended.size() > MAX_ENDED) {
-                ended.removeFirst();
-            }
+            remove(drain, event);
         }
     }
 
-    private void part(PolicyChunk part) {
-        if (contains(part)) {
-            return;
+    private void remove(Drain drain, DrainEvent event) {
+        drains.remove(drain.slot);
+        byNode.remove(drain.node);
+        ended.addLast(new DrainCoordinator.EndedDrain(drain.node, event));
+        if (ended.size() > MAX_ENDED) {
+            ended.removeFirst();
         }
-        if (part.revision() > comingRevision) {
-            comingRevision = part.revision();
-            comingSum = part.sum();
-            coming = new byte[part.count()][];
-        } else if (part.sum() != comingSum || part.count() != coming.length) {
-            return; // of one revision those count that came first
+    }
+
+    private void applyChunk(PolicyChunk chunk) {
+        if (contains(chunk) || !transfer.add(chunk)) {
+            return;
         }
         version++;
-        coming[part.index()] = part.bytes();
-        int size = 0;
-        for (byte[] each : coming) {
-            if (each == null) {
-                return;
-            }
-            size += each.length;
-        }
-        byte[] joined = new byte[size];
-        int at = 0;
-        for (byte[] each : coming) {
-            System.arraycopy(each, 0, joined, at, each.length);
-            at += each.length;
+        if (!transfer.isComplete()) {
+            return;
         }
-        List<DrainPolicy> next = sum(joined) == comingSum ? PolicyCodec.decode(joined) : null;
-        coming = new byte[0][];
-        if (next != null) {
-            revision = comingRevision;
-            sum = comingSum;
-            replace(joined, next);
-            // What is under way was begun by others: until it is over it holds up the waves of each
-            // new one.
+        byte[] bytes = transfer.take();
+        List<DrainPolicy> decoded = bytes == null ? null : PolicyCodec.decode(bytes);
+        if (decoded != null) {
+            revision = transfer.revision();
+            policyChecksum = transfer.checksum();
+            setPolicies(bytes, decoded);
+            // Open drains were begun by former policies: they hold up the waves of each new one.
             drains.values().stream()
                     .filter(drain -> drain.state.isOut())
-                    .forEach(drain -> drain.policies = -1);
+                    .forEach(drain -> drain.policies = ALL_POLICIES);
         }
     }
 
-    private void replace(byte[] bytes, List<DrainPolicy> next) {
+    private void setPolicies(byte[] bytes, List<DrainPolicy> newPolicies) {
         policyBytes = bytes;
-        policies = next;
-        endedAt = new long[next.size()];
-        pausedAt = new long[next.size()];
-        Arrays.fill(endedAt, -1);
-        Arrays.fill(pausedAt, -1);
+        policies = newPolicies;
+        waveEndedAt = new long[newPolicies.size()];
+        pausedAt = new long[newPolicies.size()];
+        Arrays.fill(waveEndedAt, NEVER);
+        Arrays.fill(pausedAt, NEVER);
     }
 
-    /** The checksum by which policies are told apart. */
-    static int sum(byte[] bytes) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes);
-        return (int) sum.getValue();
-    }
-
-    // ---- the state ----
+    // ---- the state as bytes ----
 
+    /** Writes the state. */
     byte[] encode() {
         CompactCodec.Writer out =
                 new CompactCodec.Writer()
-                        .put(VERSION)
+                        .put(FORMAT_VERSION)
                         .put(version)
                         .put(clock)
                         .put(nextSlot)
                         .put(wave)
                         .put(revision)
-                        .put(sum & 0xffffffffL)
+                        .put(Integer.toUnsignedLong(policyChecksum))
                         .put(policyBytes);
         for (int i = 0; i < policies.size(); i++) {
-            out.put(endedAt[i] + 1).put(pausedAt[i] + 1);
-        }
-        out.put(comingRevision).put(comingSum & 0xffffffffL).put(coming.length);
-        for (byte[] each : coming) {
-            out.put(each == null ? 0 : 1).put(each == null ? new byte[0] : each);
+            out.put(waveEndedAt[i] - NEVER).put(pausedAt[i] - NEVER);
         }
+        transfer.writeTo(out);
         out.put(drains.size());
-        for (Drain drain : drains.values()) {
-            out.put(drain.slot)
-                    .put(drain.node)
-                    .put(drain.state)
-                    .put(drain.wave)
-                    .put(drain.start)
-                    .put(drain.within)
-                    .put(drain.until)
-                    .put(drain.atEnd)
-                    .put(drain.restarted)
-                    .put(drain.policies & 0xffffffffL)
-                    .put(drain.since);
-        }
+        drains.values().forEach(drain -> write(out, drain));
         out.put(ended.size());
-        ended.forEach(each -> out.put(each.node()).put(each.how()));
-        DrainCommand.write(out, told);
+        ended.forEach(drain -> out.put(drain.node()).put(drain.event()));
+        DrainCommand.writeStatus(out, waveStatus);
         return out.bytes();
     }
 
-    /** Reads a state; null where the bytes are none. It throws nothing. */
+    private static void write(CompactCodec.Writer out, Drain drain) {
+        out.put(drain.slot)
+                .put(drain.node)
+                .put(drain.state)
+                .put(drain.wave)
+                .put(drain.nodeStart)
+                .put(drain.deadlineMillis)
+                .put(drain.deadlineAt)
+                .put(drain.onDeadline)
+                .put(drain.onRestart)
+                .put(Integer.toUnsignedLong(drain.policies))
+                .put(drain.stateVersion);
+    }
+
+    /** Reads a state; null where the bytes are none. Never throws. */
     static DrainStateMachine decode(byte[] bytes) {
         try {
-            CompactCodec.Reader in = new CompactCodec.Reader(bytes);
             DrainStateMachine state = new DrainStateMachine();
-            if (in.smallInt(VERSION) != VERSION) {
-                return null;
-            }
-            state.version = in.longValue(Long.MAX_VALUE);
-            state.clock = in.longValue(Long.MAX_VALUE);
-            state.nextSlot = in.smallInt(Integer.MAX_VALUE);
-            state.wave = in.smallInt(MAX_WAVE - 1);
-            state.revision = in.longValue(Long.MAX_VALUE);
-            state.sum = (int) in.longValue(0xffffffffL);
-            byte[] policyBytes = in.block(PolicyCodec.MAX_BYTES);
-            List<DrainPolicy> policies = PolicyCodec.decode(policyBytes);
-            if (policies == null) {
-                return null;
-            }
-            state.replace(policyBytes, policies);
-            for (int i = 0; i < policies.size(); i++) {
-                state.endedAt[i] = in.longValue(Long.MAX_VALUE) - 1;
-                state.pausedAt[i] = in.longValue(Long.MAX_VALUE) - 1;
-            }
-            state.comingRevision = in.longValue(Long.MAX_VALUE);
-            state.comingSum = (int) in.longValue(0xffffffffL);
-            state.coming = new byte[in.count(MAX_PARTS)][];
-            for (int i = 0; i < state.coming.length; i++) {
-                boolean here = in.smallInt(1) == 1;
-                byte[] part = in.block(DrainCommand.PART);
-                state.coming[i] = here ? part : null;
-            }
-            for (int left = in.count(DrainPolicy.MAX_NODES); left > 0; left--) {
-                Drain drain = new Drain(in.smallInt(Integer.MAX_VALUE), in.longValue(MAX_NODE));
-                drain.state = in.choice(DrainState.values());
-                drain.wave = in.smallInt(MAX_WAVE - 1);
-                drain.start = in.longValue(Long.MAX_VALUE);
-                drain.within = in.longValue(Long.MAX_VALUE);
-                drain.until = in.longValue(Long.MAX_VALUE);
-                drain.atEnd = in.choice(OnDeadline.values());
-                drain.restarted = in.choice(OnRestart.values());
-                drain.policies = (int) in.longValue(0xffffffffL);
-                drain.since = in.longValue(Long.MAX_VALUE);
-                if (drain.state == DrainState.NONE
-                        || state.drains.put(drain.slot, drain) != null
-                        || state.byNode.put(drain.node, drain) != null) {
-                    return null;
-                }
-            }
-            for (int left = in.count(MAX_ENDED); left > 0; left--) {
-                state.ended.addLast(
-                        new DrainCoordinator.EndedDrain(
-                                in.longValue(MAX_NODE), in.choice(DrainEvent.values())));
-            }
-            state.told = DrainCommand.told(in);
-            in.isAtEnd();
+            state.readFrom(new CompactCodec.Reader(bytes));
             return state;
-        } catch (IllegalArgumentException e) {
+        } catch (IllegalArgumentException unreadable) {
             return null;
         }
     }
+
+    private void readFrom(CompactCodec.Reader in) {
+        require(in.smallInt(FORMAT_VERSION) == FORMAT_VERSION, "format version");
+        version = in.longValue(Long.MAX_VALUE);
+        clock = in.longValue(Long.MAX_VALUE);
+        nextSlot = in.smallInt(Integer.MAX_VALUE);
+        wave = in.smallInt(MAX_WAVE - 1);
+        revision = in.longValue(Long.MAX_VALUE);
+        policyChecksum = (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT);
+        byte[] newPolicyBytes = in.block(PolicyCodec.MAX_BYTES);
+        List<DrainPolicy> newPolicies = PolicyCodec.decode(newPolicyBytes);
+        require(newPolicies != null, "policies");
+        setPolicies(newPolicyBytes, newPolicies);
+        for (int i = 0; i < policies.size(); i++) {
+            waveEndedAt[i] = in.longValue(Long.MAX_VALUE) + NEVER;
+            pausedAt[i] = in.longValue(Long.MAX_VALUE) + NEVER;
+        }
+        transfer = PolicyTransfer.readFrom(in);
+        for (int left = in.count(DrainPolicy.MAX_NODES); left > 0; left--) {
+            Drain drain = readDrain(in);
+            boolean isNew =
+                    drains.put(drain.slot, drain) == null && byNode.put(drain.node, drain) == null;
+            require(drain.state != DrainState.NONE && isNew, "drain");
+        }
+        for (int left = in.count(MAX_ENDED); left > 0; left--) {
+            long node = in.longValue(MAX_NODE);
+            DrainEvent event = in.choice(DrainEvent.values());
+            ended.addLast(new DrainCoordinator.EndedDrain(node, event));
+        }
+        waveStatus = DrainCommand.readStatus(in);
+        in.requireEnd();
+    }
+
+    private static Drain readDrain(CompactCodec.Reader in) {
+        Drain drain = new Drain(in.smallInt(Integer.MAX_VALUE), in.longValue(MAX_NODE));
+        drain.state = in.choice(DrainState.values());
+        drain.wave = in.smallInt(MAX_WAVE - 1);
+        drain.nodeStart = in.longValue(Long.MAX_VALUE);
+        drain.deadlineMillis = in.longValue(Long.MAX_VALUE);
+        drain.deadlineAt = in.longValue(Long.MAX_VALUE);
+        drain.onDeadline = in.choice(OnDeadline.values());
+        drain.onRestart = in.choice(OnRestart.values());
+        drain.policies = (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT);
+        drain.stateVersion = in.longValue(Long.MAX_VALUE);
+        return drain;
+    }
+
+    private static void require(boolean valid, String what) {
+        if (!valid) {
+            throw new IllegalArgumentException("a " + what + " that is not valid");
+        }
+    }
 }
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -71,7 +71,7 @@
                 }
                 policies.add(policy);
             }
-            in.isAtEnd();
+            in.requireEnd();
             return List.copyOf(policies);
         } catch (IllegalArgumentException e) {
             return null;
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -57,7 +57,7 @@
     public record OverlappingPolicies(int one, int other, List<String> stricter) {}
 
     /** Larger ones come last: the last that is tried is the most generous. */
-    private static final List<Fleet> USUAL = usual();
+    private static final List<Fleet> DEFAULT_FLEETS = usual();
 
     private static final Pattern TEXT = Pattern.compile("'([^']*)'|\"([^\"]*)\"");
     private static final Pattern NUMBER = Pattern.compile("\\d+(\\.\\d+)?");
@@ -70,15 +70,15 @@
     private final List<Fleet> fleets;
     private final List<Finding> findings = new ArrayList<>();
     private final List<DrainableNode> samples = new ArrayList<>();
-    private final List<OverlappingPolicies> both = new ArrayList<>();
-    private final Map<String, ConditionCompiler.OfFigures> read = new HashMap<>();
-    private final Map<String, ConditionCompiler.OfNode> readOfNodes = new HashMap<>();
+    private final List<OverlappingPolicies> overlapping = new ArrayList<>();
+    private final Map<String, ConditionCompiler.OfFigures> figureConditions = new HashMap<>();
+    private final Map<String, ConditionCompiler.OfNode> nodeConditions = new HashMap<>();
 
     private PolicyValidator(
             List<DrainPolicy> policies, ConditionCompiler conditions, Fleet stated) {
         this.policies = policies;
         this.conditions = conditions;
-        this.fleets = stated == null ? USUAL : List.of(stated);
+        this.fleets = stated == null ? DEFAULT_FLEETS : List.of(stated);
     }
 
     private static List<Fleet> usual() {
@@ -95,7 +95,7 @@
     }
 
     /** What came of a check: what is wrong, and the pairs that are for some node both. */
-    public record Result(List<Finding> findings, List<OverlappingPolicies> both) {}
+    public record Result(List<Finding> findings, List<OverlappingPolicies> overlapping) {}
 
     /**
      * Checks policies whose conditions can be read.
@@ -105,16 +105,16 @@
     public static Result check(
             List<DrainPolicy> policies, ConditionCompiler conditions, Fleet stated) {
         PolicyValidator check = new PolicyValidator(policies, conditions, stated);
-        check.all();
-        return new Result(List.copyOf(check.findings), List.copyOf(check.both));
+        check.checkAll();
+        return new Result(List.copyOf(check.findings), List.copyOf(check.overlapping));
     }
 
-    private void all() {
+    private void checkAll() {
         Set<Integer> never = new LinkedHashSet<>();
         for (int i = 0; i < policies.size(); i++) {
             samples.add(sample(List.of(policies.get(i))));
             int before = findings.size();
-            alone(i);
+            checkPolicy(i);
             if (findings.size() > before) {
                 never.add(i);
             }
@@ -126,7 +126,7 @@
                                 ? null
                                 : sample(List.of(policies.get(i), policies.get(j)));
                 if (node != null) {
-                    pair(i, j, node);
+                    checkPair(i, j, node);
                 }
             }
         }
@@ -134,7 +134,7 @@
 
     // ---- one policy ----
 
-    private void alone(int index) {
+    private void checkPolicy(int index) {
         DrainPolicy policy = policies.get(index);
         if (samples.get(index) == null) {
             findings.add(
@@ -147,17 +147,17 @@
                             "a condition that some node of " + "this policy meets"));
             return;
         }
-        if (minute(List.of(policy)) < 0) {
+        if (firstOpenMinute(List.of(policy)) < 0) {
             findings.add(
                     new Finding(
                             index,
                             "closed",
                             "windows that cover the whole week",
                             "a minute at least in which a wave may begin; shown by "
-                                    + last()
+                                    + largestFleet()
                                     + ": none may leave"));
         }
-        if (!calm(policy.pauseIf(), List.of(""), 0)) {
+        if (!canBeFalse(policy.pauseIf(), List.of(""), 0)) {
             findings.add(
                     new Finding(
                             index,
@@ -168,10 +168,10 @@
                                     + "be told, with nothing refused, failed or late",
                             "a condition that is false while all "
                                     + "is well; shown by "
-                                    + last()
+                                    + largestFleet()
                                     + ": none may leave"));
         }
-        if (!calm(policy.giveBackIf(), List.of(""), 1)) {
+        if (!canBeFalse(policy.giveBackIf(), List.of(""), 1)) {
             findings.add(
                     new Finding(
                             index,
@@ -182,26 +182,26 @@
                                     + " nothing refused, failed or late",
                             "a condition "
                                     + "that is false while all is well; shown by "
-                                    + last()
+                                    + largestFleet()
                                     + ": each that leaves is given back"));
         }
-        Bound bound = bound(List.of(policy), samples.get(index));
+        Bound bound = blockingBound(List.of(policy), samples.get(index));
         if (bound != null) {
             findings.add(
                     new Finding(
                             index,
                             key(bound),
-                            said(policy, bound),
-                            allowed(bound) + "; shown by " + last() + ": none may leave"));
+                            configuredValue(policy, bound),
+                            allowed(bound) + "; shown by " + largestFleet() + ": none may leave"));
         }
     }
 
-    private Fleet last() {
+    private Fleet largestFleet() {
         return fleets.get(fleets.size() - 1);
     }
 
     /** A minute of the week in which a wave may begin by all of them; -1 where there is none. */
-    private static int minute(List<DrainPolicy> all) {
+    private static int firstOpenMinute(List<DrainPolicy> all) {
         for (int minute = 0; minute < DrainPolicy.WEEK; minute++) {
             int at = minute;
             if (all.stream().noneMatch(policy -> policy.isClosedAt(at))) {
@@ -212,7 +212,7 @@
     }
 
     /** Whether none of the conditions holds while all is well, for some number of replicas. */
-    private boolean calm(String text, List<String> others, int out) {
+    private boolean canBeFalse(String text, List<String> others, int out) {
         for (int replicas : REPLICAS) {
             PolicyConditionInputs figures =
                     new PolicyConditionInputs(0, 0, 0, 1 - out * 0.01, replicas, replicas, out, 0);
@@ -230,7 +230,7 @@
     private boolean isFalse(String text, PolicyConditionInputs figures) {
         try {
             return text.isEmpty()
-                    || !read.computeIfAbsent(text, conditions::figures).holds(figures);
+                    || !figureConditions.computeIfAbsent(text, conditions::figures).holds(figures);
         } catch (RuntimeException e) {
             return false;
         }
@@ -239,12 +239,12 @@
     /**
      * What keeps each node of each fleet from going, as the last shows it; null where one may go.
      */
-    private Bound bound(List<DrainPolicy> all, DrainableNode sample) {
+    private Bound blockingBound(List<DrainPolicy> all, DrainableNode sample) {
         Bound bound = null;
         for (Fleet fleet : fleets) {
             bound = null;
             for (DrainPolicy policy : all) {
-                bound = bound == null ? bound(policy, sample, fleet) : bound;
+                bound = bound == null ? blockingBound(policy, sample, fleet) : bound;
             }
             if (bound == null) {
                 return null;
@@ -254,7 +254,7 @@
     }
 
     /** What keeps the sample in a fleet of which all that the policy can be for is like it. */
-    private static Bound bound(DrainPolicy policy, DrainableNode sample, Fleet fleet) {
+    private static Bound blockingBound(DrainPolicy policy, DrainableNode sample, Fleet fleet) {
         DisruptionCounts counted = new DisruptionCounts(policy);
         int zones = policy.selector().zone().isEmpty() ? fleet.zones : 1;
         int pods = policy.selector().pod() == DrainPolicy.ANY_POD ? fleet.pods : 1;
@@ -277,7 +277,7 @@
                 }
             }
         }
-        return counted.breaks(sample, false);
+        return counted.exceededBound(sample, false);
     }
 
     private static String key(Bound bound) {
@@ -292,7 +292,7 @@
         };
     }
 
-    private static String said(DrainPolicy policy, Bound bound) {
+    private static String configuredValue(DrainPolicy policy, Bound bound) {
         return switch (bound) {
             case POD -> max(policy.maxPerPod());
             case ZONE -> max(policy.maxPerZone());
@@ -321,22 +321,22 @@
 
     // ---- two policies ----
 
-    private void pair(int i, int j, DrainableNode node) {
+    private void checkPair(int i, int j, DrainableNode node) {
         DrainPolicy one = policies.get(i);
         DrainPolicy other = policies.get(j);
         List<DrainPolicy> two = List.of(one, other);
         String beside = " beside '" + one.name() + "', which is for the same nodes";
-        if (minute(two) < 0) {
+        if (firstOpenMinute(two) < 0) {
             findings.add(
                     new Finding(
                             j,
                             "closed",
                             "windows that cover the whole week with those of '" + one.name() + "'",
                             "a minute at least in which a wave may begin by both; shown by "
-                                    + last()
+                                    + largestFleet()
                                     + ": none that both are for may leave"));
         }
-        if (!calm(other.pauseIf(), List.of(one.pauseIf()), 0)) {
+        if (!canBeFalse(other.pauseIf(), List.of(one.pauseIf()), 0)) {
             findings.add(
                     new Finding(
                             j,
@@ -349,20 +349,20 @@
                                     + one.pauseIf()
                                     + "'",
                             "conditions that can both be false while all is well; shown by "
-                                    + last()
+                                    + largestFleet()
                                     + ": none that both are for may leave"));
         }
-        Bound bound = bound(two, node);
+        Bound bound = blockingBound(two, node);
         if (bound != null) {
             findings.add(
                     new Finding(
                             j,
                             key(bound),
-                            said(breaks(other, node, bound) ? other : one, bound)
+                            configuredValue(breaks(other, node, bound) ? other : one, bound)
                                     + " at the most"
                                     + beside,
                             "bounds that let one node go; shown by "
-                                    + last()
+                                    + largestFleet()
                                     + ": none that both are for may leave"));
         }
         if (one.deadlineNanos() == other.deadlineNanos()
@@ -388,11 +388,11 @@
                             written(other.order()) + beside + " and says " + written(one.order()),
                             "one of them"));
         }
-        both.add(new OverlappingPolicies(i, j, stricter(one, other)));
+        overlapping.add(new OverlappingPolicies(i, j, stricter(one, other)));
     }
 
     private boolean breaks(DrainPolicy policy, DrainableNode node, Bound bound) {
-        return bound(policy, node, last()) == bound;
+        return blockingBound(policy, node, largestFleet()) == bound;
     }
 
     private static String written(Enum<?> constant) {
@@ -497,7 +497,7 @@
                         .filter(policy -> !policy.selector().where().isEmpty())
                         .map(
                                 policy ->
-                                        readOfNodes.computeIfAbsent(
+                                        nodeConditions.computeIfAbsent(
                                                 policy.selector().where(), conditions::node))
                         .toList();
         int left = MAX_SAMPLES;
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -1,6 +1,5 @@
 package cedarrudder.draining;
 
-import cedarrudder.draining.DrainStateMachine.Drain;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,9 +17,9 @@
 
     private static final class ReplicaReport {
         private long version;
-        private long at;
-        private boolean said;
-        private long livedAt;
+        private long reportedAt;
+        private boolean hasReported;
+        private long lastAliveAt;
         private TrafficSample flow = TrafficSample.NONE;
         private int disabled;
         private final Map<Integer, NodeCalls> calls = new HashMap<>();
@@ -35,44 +34,47 @@
     ReportedDrainProgress(DrainSettings settings, int replicas) {
         this.settings = settings;
         this.replicas = new ReplicaReport[replicas];
-        clear(0);
+        reset(0);
     }
 
     /**
      * This replica begins to lead: it knows nothing of the others, and each may have lived until
      * now.
      */
-    void clear(long now) {
+    void reset(long now) {
         for (int i = 0; i < replicas.length; i++) {
             replicas[i] = new ReplicaReport();
-            replicas[i].livedAt = now;
+            replicas[i].lastAliveAt = now;
         }
     }
 
     void onReport(long now, int from, DrainReport report, DrainStateMachine agreed) {
         ReplicaReport replica = replicas[from];
         replica.version = report.version();
-        replica.at = now;
-        replica.said = true;
+        replica.reportedAt = now;
+        replica.hasReported = true;
         replica.flow = report.flow();
         replica.disabled = report.disabled();
-        for (long node : report.some()) {
+        for (long node : report.disabledSample()) {
             replica.disabledAt.put(node, now);
         }
-        long stale = now - settings.patience() * (1 + report.disabled() / DrainReport.maxSome());
+        long stale =
+                now
+                        - settings.reportTimeout()
+                                * (1 + report.disabled() / DrainReport.maxDisabledSample());
         replica.disabledAt.values().removeIf(at -> at < stale);
         Map<Integer, Integer> calls = new HashMap<>();
         report.calls().forEach(each -> calls.put(each.slot(), each.calls()));
         for (Iterator<Integer> slots = replica.calls.keySet().iterator(); slots.hasNext(); ) {
-            Drain drain = agreed.slot(slots.next());
+            Drain drain = agreed.drainInSlot(slots.next());
             if (drain == null || !drain.state.isOpen()) {
                 slots.remove();
             }
         }
         for (Drain drain : agreed.drains()) {
             if (drain.state.isOpen()
-                    && drain.slot >= report.first()
-                    && drain.slot <= report.last()) {
+                    && drain.slot >= report.firstSlot()
+                    && drain.slot <= report.lastSlot()) {
                 replica.calls.put(
                         drain.slot,
                         new NodeCalls(report.version(), calls.getOrDefault(drain.slot, 0)));
@@ -84,37 +86,37 @@
     void update(long now, IntPredicate lives) {
         for (int i = 0; i < replicas.length; i++) {
             if (lives.test(i)) {
-                replicas[i].livedAt = now;
+                replicas[i].lastAliveAt = now;
             }
         }
     }
 
     /** Whether a replica has to be waited for. */
-    private boolean awaitedReplicas(long now, int replica) {
-        return now - replicas[replica].livedAt < settings.forgets();
+    private boolean isAwaited(long now, int replica) {
+        return now - replicas[replica].lastAliveAt < settings.forgetAfter();
     }
 
-    private boolean setLive(long now, int replica) {
-        return replicas[replica].livedAt == now;
+    private boolean isLive(long now, int replica) {
+        return replicas[replica].lastAliveAt == now;
     }
 
     private boolean isFresh(long now, ReplicaReport replica) {
-        return replica.said && now - replica.at < settings.patience();
+        return replica.hasReported && now - replica.reportedAt < settings.reportTimeout();
     }
 
     /** The live replicas that have said nothing lately. */
-    int isSilent(long now) {
+    int silentReplicas(long now) {
         int silent = 0;
         for (int i = 0; i < replicas.length; i++) {
-            silent += setLive(now, i) && !isFresh(now, replicas[i]) ? 1 : 0;
+            silent += isLive(now, i) && !isFresh(now, replicas[i]) ? 1 : 0;
         }
         return silent;
     }
 
-    int isLive(long now) {
+    int liveReplicas(long now) {
         int live = 0;
         for (int i = 0; i < replicas.length; i++) {
-            live += setLive(now, i) ? 1 : 0;
+            live += isLive(now, i) ? 1 : 0;
         }
         return live;
     }
@@ -122,10 +124,10 @@
     /** Whether all that have to be waited for have carried out the state of this version. */
     boolean allHaveSeen(long now, long version) {
         for (int i = 0; i < replicas.length; i++) {
-            if (awaitedReplicas(now, i)
-                    && (!replicas[i].said
+            if (isAwaited(now, i)
+                    && (!replicas[i].hasReported
                             || replicas[i].version < version
-                            || setLive(now, i) && !isFresh(now, replicas[i]))) {
+                            || isLive(now, i) && !isFresh(now, replicas[i]))) {
                 return false;
             }
         }
@@ -136,12 +138,12 @@
     List<DrainCommand.RemainingCalls> remainingCalls(long now, Drain drain) {
         List<DrainCommand.RemainingCalls> still = new ArrayList<>();
         for (int i = 0; i < replicas.length; i++) {
-            if (awaitedReplicas(now, i)) {
+            if (isAwaited(now, i)) {
                 NodeCalls said = replicas[i].calls.get(drain.slot);
                 boolean known =
                         said != null
-                                && said.version >= drain.since
-                                && (isFresh(now, replicas[i]) || !setLive(now, i));
+                                && said.version >= drain.stateVersion
+                                && (isFresh(now, replicas[i]) || !isLive(now, i));
                 if (!known || said.calls > 0) {
                     still.add(
                             new DrainCommand.RemainingCalls(
@@ -156,7 +158,7 @@
     TrafficSample flow(long now) {
         TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < replicas.length; i++) {
-            sum = setLive(now, i) && isFresh(now, replicas[i]) ? sum.plus(replicas[i].flow) : sum;
+            sum = isLive(now, i) && isFresh(now, replicas[i]) ? sum.plus(replicas[i].flow) : sum;
         }
         return sum;
     }
@@ -168,7 +170,7 @@
     Set<Long> disabled(long now) {
         Set<Long> all = new HashSet<>();
         for (int i = 0; i < replicas.length; i++) {
-            if (setLive(now, i)) {
+            if (isLive(now, i)) {
                 if (replicas[i].disabledAt.size() < replicas[i].disabled) {
                     return null;
                 }
--- /dev/null
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -0,0 +1,417 @@
+package cedarrudder.draining;
+
+import cedarrudder.draining.DrainCommand.BlockedBy;
+import cedarrudder.draining.DrainCommand.Bound;
+import cedarrudder.draining.DrainCommand.Change;
+import cedarrudder.draining.DrainCommand.Pause;
+import cedarrudder.draining.DrainCommand.RemainingCalls;
+import cedarrudder.draining.DrainCommand.Step;
+import cedarrudder.draining.DrainCommand.WaveStatus;
+import cedarrudder.draining.DrainPolicy.DrainOrder;
+import cedarrudder.draining.DrainPolicy.OnDeadline;
+import cedarrudder.draining.DrainPolicy.OnRestart;
+import cedarrudder.draining.DrainableNode.Standing;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * One look of the leader at all drains: which events have happened to the open ones, which policies
+ * pause, and which waiting drains begin. {@link #step} is what it proposes.
+ */
+final class WavePlan {
+
+    /** Decides whether a node that is not listed is gone. */
+    interface UnlistedNodes {
+        /** Called for each drain once a look, also where its node is listed. */
+        boolean isGone(long now, long node, boolean isListed);
+    }
+
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    /** In place of a policy where a bound is of none. */
+    private static final int NO_POLICY = -1;
+
+    private final long now;
+    private final long clock;
+    private final int minuteOfWeek;
+    private final DrainStateMachine state;
+    private final CompiledPolicies policies;
+    private final ReportedDrainProgress reported;
+    private final UnlistedNodes unlistedNodes;
+    private final Map<Long, DrainableNode> nodes = new HashMap<>();
+
+    /** Nodes that are disabled at some replica; null where not all have said. */
+    private final Set<Long> disabled;
+
+    /** By policy. */
+    private final List<DisruptionCounts> disruptions = new ArrayList<>();
+
+    private final int policiesWithOpenWave;
+    private final boolean allReported;
+    private final boolean outNodeUnlisted;
+
+    private final List<Pause> pauses = new ArrayList<>();
+    private final Map<Integer, Change> changesBySlot = new LinkedHashMap<>();
+    private final List<RemainingCalls> remaining = new ArrayList<>();
+    private final Map<BlockedBy, Integer> blocked = new LinkedHashMap<>();
+
+    /** The policies that pause, as bits. */
+    private int paused;
+
+    /**
+     * A look at this instant.
+     *
+     * @param clock the agreed one, in milliseconds
+     * @param minuteOfWeek by this machine's clock
+     */
+    WavePlan(
+            long now,
+            long clock,
+            int minuteOfWeek,
+            DrainStateMachine state,
+            CompiledPolicies policies,
+            Collection<DrainableNode> listed,
+            ReportedDrainProgress reported,
+            UnlistedNodes unlistedNodes) {
+        this.now = now;
+        this.clock = clock;
+        this.minuteOfWeek = minuteOfWeek;
+        this.state = state;
+        this.policies = policies;
+        this.reported = reported;
+        this.unlistedNodes = unlistedNodes;
+        listed.forEach(node -> nodes.put(node.id(), node));
+        disabled = reported.disabled(now);
+        policiesWithOpenWave = state.policiesWithOpenWave();
+        allReported = disabled != null && reported.silentReplicas(now) == 0;
+        outNodeUnlisted =
+                state.drains().stream()
+                        .anyMatch(drain -> drain.state.isOut() && !nodes.containsKey(drain.node));
+        countDisruptions();
+    }
+
+    private void countDisruptions() {
+        for (int i = 0; i < policies.size(); i++) {
+            disruptions.add(new DisruptionCounts(policies.policy(i)));
+        }
+        for (DrainableNode node : nodes.values()) {
+            int applicable = policies.policiesFor(node);
+            for (int i = 0; i < policies.size(); i++) {
+                if (hasBit(applicable, i)) {
+                    disruptions.get(i).add(node, isOut(node));
+                }
+            }
+        }
+    }
+
+    private static boolean hasBit(int bits, int policy) {
+        return (bits >> policy & 1) != 0;
+    }
+
+    private boolean isOut(DrainableNode node) {
+        return node.standing() != Standing.SERVING
+                || disabled != null && disabled.contains(node.id())
+                || state.state(node.id()).isOut();
+    }
+
+    // ---- open drains ----
+
+    /** Finds the events that have happened to drains. */
+    void followOpenDrains() {
+        for (Drain drain : state.drains()) {
+            DrainEvent event = event(drain, nodes.get(drain.node));
+            if (event == DrainEvent.RESTARTED_OUT) {
+                long nodeStart = nodes.get(drain.node).start();
+                changesBySlot.put(drain.slot, Change.restartedOut(drain.slot, nodeStart));
+            } else if (event != null) {
+                changesBySlot.put(drain.slot, Change.of(event, drain.slot));
+            }
+        }
+    }
+
+    private DrainEvent event(Drain drain, DrainableNode node) {
+        boolean counts = node != null || nodes.isEmpty(); // an empty list proves nothing
+        if (unlistedNodes.isGone(now, drain.node, counts)) {
+            return DrainEvent.GONE;
+        }
+        if (node != null && drain.state.isLeaving() && node.start() > drain.nodeStart) {
+            return drain.onRestart == OnRestart.BACK
+                    ? DrainEvent.RESTARTED_BACK
+                    : DrainEvent.RESTARTED_OUT;
+        }
+        if (drain.state.isOpen()) {
+            return openDrainEvent(drain);
+        }
+        boolean isReturning = drain.state.isOut() && drain.state != DrainState.OUT;
+        boolean returned = isReturning && reported.allHaveSeen(now, drain.stateVersion);
+        return returned ? DrainEvent.RETURNED : null;
+    }
+
+    private DrainEvent openDrainEvent(Drain drain) {
+        List<RemainingCalls> calls = reported.remainingCalls(now, drain);
+        remaining.addAll(calls);
+        if (calls.isEmpty()) {
+            return DrainEvent.EMPTY;
+        }
+        if (drain.state == DrainState.OVERDUE || clock < drain.deadlineAt) {
+            return null;
+        }
+        return switch (drain.onDeadline) {
+            case LET_GO -> DrainEvent.LET_GO;
+            case GIVE_BACK -> DrainEvent.GIVEN_UP;
+            case KEEP_WAITING -> DrainEvent.ALARMED;
+        };
+    }
+
+    // ---- conditions of policies ----
+
+    /** Finds which policies pause, resume or give back, by their conditions. */
+    void pauseAndResume(int replicas) {
+        TrafficSample traffic = reported.flow(now);
+        for (int i = 0; i < policies.size(); i++) {
+            PolicyConditionInputs inputs = conditionInputs(i, traffic, replicas);
+            CompiledPolicies.Verdict giveBack = policies.giveBackVerdict(i, inputs);
+            boolean mustPause =
+                    giveBack != CompiledPolicies.Verdict.NO
+                            || policies.pauseVerdict(i, inputs) != CompiledPolicies.Verdict.NO;
+            if (mustPause && !state.isPaused(i)) {
+                pauses.add(new Pause(i, true));
+            } else if (!mustPause && state.isPaused(i) && mayResume(i, inputs)) {
+                pauses.add(new Pause(i, false));
+            }
+            paused |= mustPause || state.isPaused(i) ? 1 << i : 0;
+            if (giveBack == CompiledPolicies.Verdict.YES) {
+                stopOpenDrains(i);
+            }
+        }
+    }
+
+    private boolean mayResume(int policy, PolicyConditionInputs inputs) {
+        long pausedMillis = clock - state.pausedAt(policy);
+        return policies.resumeVerdict(policy, inputs) == CompiledPolicies.Verdict.YES
+                && pausedMillis >= waveIntervalMillis(policy);
+    }
+
+    private long waveIntervalMillis(int policy) {
+        return policies.policy(policy).minWaveInterval() / NANOS_PER_MILLI;
+    }
+
+    private PolicyConditionInputs conditionInputs(int policy, TrafficSample traffic, int replicas) {
+        double listedWeight = 0;
+        double servingWeight = 0;
+        int out = 0;
+        for (DrainableNode node : nodes.values()) {
+            boolean isOut = isOut(node);
+            listedWeight += node.weight();
+            servingWeight += isOut ? 0 : node.weight();
+            out += isOut ? 1 : 0;
+        }
+        double ended = Math.max(1, traffic.ended());
+        return new PolicyConditionInputs(
+                traffic.refused() / ended,
+                traffic.failed() / ended,
+                traffic.deadlineMissed() / ended,
+                listedWeight == 0 ? 0 : servingWeight / listedWeight,
+                reported.liveReplicas(now),
+                replicas,
+                out,
+                died(policy));
+    }
+
+    /** How many nodes of a policy fail that have not been drained. */
+    private int died(int policy) {
+        int died = 0;
+        for (DrainableNode node : nodes.values()) {
+            boolean isDead =
+                    node.standing() == Standing.FAILED
+                            && state.state(node.id()) != DrainState.OUT
+                            && hasBit(policies.policiesFor(node), policy);
+            died += isDead ? 1 : 0;
+        }
+        return died;
+    }
+
+    private void stopOpenDrains(int policy) {
+        for (Drain drain : state.drains()) {
+            if (drain.state.isOpen() && drain.isUnder(policy)) {
+                changesBySlot.putIfAbsent(drain.slot, Change.of(DrainEvent.STOPPED, drain.slot));
+            }
+        }
+    }
+
+    // ---- waves ----
+
+    /** Begins the wave of the waiting drains that nothing blocks. */
+    void beginWaves() {
+        int[] waveSizes = new int[policies.size()];
+        Object[] firstGroups = new Object[policies.size()];
+        for (Drain drain : waitingInOrder()) {
+            BlockedBy blockedBy = blockedBy(drain, waveSizes, firstGroups);
+            if (blockedBy == null && changesBySlot.size() >= DrainCommand.MAX_CHANGES) {
+                blockedBy = new BlockedBy(NO_POLICY, Bound.WAVE, 0);
+            }
+            if (blockedBy == null) {
+                begin(drain, waveSizes);
+            } else {
+                blocked.merge(blockedBy, 1, Integer::sum);
+            }
+        }
+    }
+
+    private List<Drain> waitingInOrder() {
+        List<Drain> waiting = new ArrayList<>();
+        for (Drain drain : state.drains()) {
+            if (drain.state == DrainState.WAITING && nodes.containsKey(drain.node)) {
+                waiting.add(drain);
+            }
+        }
+        waiting.sort(
+                Comparator.<Drain>comparingInt(
+                                drain -> Integer.numberOfTrailingZeros(policiesFor(drain)))
+                        .thenComparing(this::compareByPolicyOrder)
+                        .thenComparingInt(drain -> drain.slot));
+        return waiting;
+    }
+
+    private int policiesFor(Drain drain) {
+        return policies.policiesFor(nodes.get(drain.node));
+    }
+
+    private int compareByPolicyOrder(Drain one, Drain other) {
+        int applicable = policiesFor(one);
+        if (applicable == 0) {
+            return 0;
+        }
+        DrainableNode a = nodes.get(one.node);
+        DrainableNode b = nodes.get(other.node);
+        return switch (policies.policy(Integer.numberOfTrailingZeros(applicable)).order()) {
+            case AS_ASKED -> 0;
+            case POD_BY_POD -> Integer.compare(a.pod(), b.pod());
+            case ZONE_BY_ZONE -> a.zone().compareTo(b.zone());
+            case LIGHT_FIRST -> Double.compare(a.weight(), b.weight());
+            case HEAVY_FIRST -> Double.compare(b.weight(), a.weight());
+        };
+    }
+
+    private void begin(Drain drain, int[] waveSizes) {
+        DrainableNode node = nodes.get(drain.node);
+        boolean wasServing = !isOut(node);
+        long deadlineNanos = Long.MAX_VALUE;
+        OnDeadline onDeadline = OnDeadline.LET_GO;
+        OnRestart onRestart = OnRestart.BACK;
+        int applicable = policiesFor(drain);
+        for (int i = 0; i < policies.size(); i++) {
+            if (!hasBit(applicable, i)) {
+                continue;
+            }
+            DrainPolicy policy = policies.policy(i);
+            waveSizes[i]++;
+            if (wasServing) {
+                disruptions.get(i).onDrained(node);
+            }
+            if (policy.deadlineNanos() < deadlineNanos) {
+                deadlineNanos = policy.deadlineNanos();
+                onDeadline = policy.onDeadline();
+            }
+            if (policy.onRestart() == OnRestart.OUT) {
+                onRestart = OnRestart.OUT;
+            }
+        }
+        changesBySlot.put(
+                drain.slot,
+                new Change(
+                        DrainEvent.BEGUN,
+                        drain.slot,
+                        node.start(),
+                        deadlineNanos / NANOS_PER_MILLI,
+                        onDeadline,
+                        onRestart,
+                        applicable));
+    }
+
+    /** What keeps a drain waiting; null where nothing does. */
+    private BlockedBy blockedBy(Drain drain, int[] waveSizes, Object[] firstGroups) {
+        int applicable = policiesFor(drain);
+        if (applicable == 0) {
+            return new BlockedBy(NO_POLICY, Bound.NO_POLICY, 0);
+        }
+        if (!allReported) {
+            return new BlockedBy(NO_POLICY, Bound.REPORTS, 0);
+        }
+        if (outNodeUnlisted) {
+            return new BlockedBy(NO_POLICY, Bound.UNLISTED, 0);
+        }
+        BlockedBy first = null;
+        for (int i = 0; i < policies.size(); i++) {
+            if (hasBit(applicable, i)) {
+                // Of each policy, also behind the first that blocks: it notes the group.
+                Bound bound = bound(i, nodes.get(drain.node), waveSizes[i], firstGroups);
+                first = first == null && bound != null ? new BlockedBy(i, bound, 0) : first;
+            }
+        }
+        return first;
+    }
+
+    private Bound bound(int index, DrainableNode node, int waveSize, Object[] firstGroups) {
+        DrainPolicy policy = policies.policy(index);
+        Object group = group(policy.order(), node);
+        if (firstGroups[index] == null) {
+            firstGroups[index] = group;
+        }
+        if (hasBit(paused, index)) {
+            return Bound.PAUSED;
+        }
+        if (policy.isClosedAt(minuteOfWeek)) {
+            return Bound.CLOSED;
+        }
+        if (hasBit(policiesWithOpenWave, index) || waveSize >= policy.maxWaveSize()) {
+            return Bound.WAVE;
+        }
+        if (isTooSoon(index)) {
+            return Bound.PACE;
+        }
+        if (!firstGroups[index].equals(group)) {
+            return Bound.ORDER;
+        }
+        return disruptions.get(index).exceededBound(node, isOut(node));
+    }
+
+    private boolean isTooSoon(int policy) {
+        long endedAt = state.waveEndedAt(policy);
+        return endedAt >= 0 && clock - endedAt < waveIntervalMillis(policy);
+    }
+
+    /** The nodes that may go in one wave: of one pod or zone where the policy says so. */
+    private static Object group(DrainOrder order, DrainableNode node) {
+        return switch (order) {
+            case POD_BY_POD -> node.pod();
+            case ZONE_BY_ZONE -> node.zone();
+            default -> "";
+        };
+    }
+
+    // ---- the result ----
+
+    /** What the leader proposes; its changes and pauses may be empty. */
+    Step step() {
+        List<BlockedBy> counts = new ArrayList<>();
+        blocked.forEach(
+                (key, count) -> counts.add(new BlockedBy(key.policy(), key.bound(), count)));
+        return new Step(
+                state.version(),
+                clock,
+                pauses,
+                List.copyOf(changesBySlot.values()),
+                new WaveStatus(firstEntries(counts), firstEntries(remaining)));
+    }
+
+    private static <T> List<T> firstEntries(List<T> all) {
+        return List.copyOf(all.subList(0, Math.min(DrainCommand.MAX_STATUS_ENTRIES, all.size())));
+    }
+}
--- a/core/src/main/java/cedarrudder/failover/FailoverSettings.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverSettings.java
@@ -1,30 +1,30 @@
 package cedarrudder.failover;
 
+import cedarrudder.routetable.RouteTable;
 import java.util.List;
 
 /**
- * The figures of failover. Times are nanoseconds.
+ * The parameters of failover. Times are nanoseconds.
  *
  * @param regions which zones make a region
- * @param leave zones that operators have left, by name: their calls go elsewhere as far as there is
- *     room
- * @param period a replica sums up what it saw once in this time; from 10 ms
- * @param evidenceAge what is older counts for nothing; at least two periods
- * @param minReplicas this many replicas of a zone must say so before that zone's word counts, or
- *     all where it has fewer; from 1
- * @param badShare a replica says that a zone is lost where more than this share of its calls there
- *     failed or was silent; over 0, below 1
- * @param targetShare other zones' calls don't take a zone past this share of what it can do now;
- *     over 0, to 1
- * @param nearShare a zone that can't serve all of its own calls gets this much of what it can do
- *     now; over 0, to 1
- * @param lossHold a loss must be seen for this long; from 0
- * @param returnStep calls come back by this share of the zone's at once; over 0, to 1
- * @param returnHold so long a zone must do well before each step; over the period
- * @param maxReturnHold that time doubles up to this for a zone that comes and goes; no less than it
- * @param movesPerMinute the shares of one zone's calls change no more often within 60 s; from 8
- * @param watchShare this share of a zone's calls goes to all others together, so that they are
- *     seen; 0 to 0.05
+ * @param leave zones that operators evacuate, by name: their requests go elsewhere as far as there
+ *     is capacity
+ * @param period between two reports of a replica; from 10 ms
+ * @param evidenceAge older observations count for nothing; at least two periods
+ * @param minReplicas so many replicas of a zone must agree before their zone's vote counts, or all
+ *     where it has fewer; from 1
+ * @param badShare a replica votes that a zone is lost where more than this share of its requests
+ *     there failed or got no answer; over 0, below 1
+ * @param targetShare requests of other zones take a zone up to this share of its capacity; over 0,
+ *     to 1
+ * @param nearShare a zone's own requests may take this share of its capacity; over 0, to 1
+ * @param lossHold a loss must last so long; from 0
+ * @param returnStep requests come back in steps of this share of the zone's; over 0, to 1
+ * @param returnHold a zone must be healthy for so long before each step; over the period
+ * @param maxReturnHold that time doubles up to this for a zone that flaps; no less than it
+ * @param movesPerMinute the routes of one zone change no more often within 60 s; from 8
+ * @param probeShare this share of a zone's requests goes to all others together, to probe them; 0
+ *     to 0.05
  */
 public record FailoverSettings(
         Regions regions,
@@ -40,27 +40,27 @@
         long returnHold,
         long maxReturnHold,
         int movesPerMinute,
-        double watchShare) {
+        double probeShare) {
 
-    private static final long MILLI = 1_000_000L;
+    private static final long MILLISECOND = 1_000_000L;
     private static final int MIN_MOVES = 8;
-    private static final double MAX_WATCH = 0.05;
+    private static final double MAX_PROBE_SHARE = 0.05;
 
-    /** What serves where nothing else is said. */
+    /** What applies where nothing else is configured. */
     public static final FailoverSettings DEFAULT =
             new FailoverSettings(
                     Regions.NONE,
                     List.of(),
-                    500 * MILLI,
-                    2_500 * MILLI,
+                    500 * MILLISECOND,
+                    2_500 * MILLISECOND,
                     2,
                     0.5,
                     0.85,
                     0.92,
-                    500 * MILLI,
+                    500 * MILLISECOND,
                     0.25,
-                    5_000 * MILLI,
-                    60_000 * MILLI,
+                    5_000 * MILLISECOND,
+                    60_000 * MILLISECOND,
                     8,
                     0.008);
 
@@ -72,7 +72,7 @@
                 "regions",
                 regions.problems(null),
                 "no contradiction");
-        check(period >= 10 * MILLI, "period", period, "10 ms or more");
+        check(period >= 10 * MILLISECOND, "period", period, "10 ms or more");
         check(evidenceAge >= 2 * period, "evidenceAge", evidenceAge, "two periods or more");
         check(minReplicas >= 1, "leastCopies", minReplicas, "1 or more");
         check(badShare > 0 && badShare < 1, "badShare", badShare, "over 0, below 1");
@@ -92,10 +92,15 @@
                 movesPerMinute,
                 MIN_MOVES + " or more");
         check(
-                watchShare >= 0 && watchShare <= MAX_WATCH,
+                probeShare >= 0 && probeShare <= MAX_PROBE_SHARE,
                 "watchShare",
-                watchShare,
-                "0 to " + MAX_WATCH);
+                probeShare,
+                "0 to " + MAX_PROBE_SHARE);
+    }
+
+    /** The weight of the requests that go to a zone only so that it is probed. */
+    int probeWeight() {
+        return (int) Math.ceil(probeShare * RouteTable.TOTAL_WEIGHT);
     }
 
     /** The same with other regions. */
@@ -114,7 +119,7 @@
                 returnHold,
                 maxReturnHold,
                 movesPerMinute,
-                watchShare);
+                probeShare);
     }
 
     private static void check(boolean allowed, String name, Object found, String range) {
--- a/core/src/main/java/cedarrudder/failover/TrafficSplit.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplit.java
@@ -11,18 +11,18 @@
 final class TrafficSplit {
 
     /** So few are not what left a zone: they go there to be seen. */
-    private static final int FEW = 100;
+    private static final int MAX_PROBE_WEIGHT = 100;
 
-    final int[][] parts;
+    final int[][] weights;
     final int[][] perSecond;
 
     /** Zones that have been left: what goes elsewhere is moved, and not spilled. */
-    final boolean[] left;
+    final boolean[] isLeft;
 
     TrafficSplit(int zones) {
-        parts = new int[zones][zones];
+        weights = new int[zones][zones];
         perSecond = new int[zones][zones];
-        left = new boolean[zones];
+        isLeft = new boolean[zones];
     }
 
     /** Those of a table; without one, or a row of a zone in it, a zone serves its own. */
@@ -32,62 +32,62 @@
         for (ZoneRoute share : table == null ? List.<ZoneRoute>of() : table.routes()) {
             if (share.from() < zones && share.to() < zones) {
                 there[share.from()] = true;
-                shares.parts[share.from()][share.to()] = share.weight();
+                shares.weights[share.from()][share.to()] = share.weight();
                 shares.perSecond[share.from()][share.to()] = share.maxPerSecond();
-                shares.left[share.from()] |= share.reason() == RouteReason.MOVED;
+                shares.isLeft[share.from()] |= share.reason() == RouteReason.MOVED;
             }
         }
         for (int zone = 0; zone < zones; zone++) {
-            shares.parts[zone][zone] =
-                    there[zone] ? shares.parts[zone][zone] : RouteTable.TOTAL_WEIGHT;
+            shares.weights[zone][zone] =
+                    there[zone] ? shares.weights[zone][zone] : RouteTable.TOTAL_WEIGHT;
         }
         return shares;
     }
 
     /** Replicas a zone's row. */
-    void row(int from, TrafficSplit of) {
-        parts[from] = of.parts[from].clone();
+    void copyRow(int from, TrafficSplit of) {
+        weights[from] = of.weights[from].clone();
         perSecond[from] = of.perSecond[from].clone();
-        left[from] = of.left[from];
+        isLeft[from] = of.isLeft[from];
     }
 
     /** Whether a zone's row is the same in both. */
-    boolean same(int from, TrafficSplit other) {
-        return Arrays.equals(parts[from], other.parts[from])
+    boolean hasSameRow(int from, TrafficSplit other) {
+        return Arrays.equals(weights[from], other.weights[from])
                 && Arrays.equals(perSecond[from], other.perSecond[from])
-                && left[from] == other.left[from];
+                && isLeft[from] == other.isLeft[from];
     }
 
     /** What is left of a zone's whole, and is refused where it came. */
-    int unserved(int from) {
-        return RouteTable.TOTAL_WEIGHT - Arrays.stream(parts[from]).sum();
+    int unservedWeight(int from) {
+        return RouteTable.TOTAL_WEIGHT - Arrays.stream(weights[from]).sum();
     }
 
     /** The parts of a zone's calls that go elsewhere in one than in the other. */
-    int moved(int from, TrafficSplit other) {
-        int moved = Math.abs(unserved(from) - other.unserved(from));
-        for (int to = 0; to < parts.length; to++) {
-            moved += Math.abs(parts[from][to] - other.parts[from][to]);
+    int movedWeight(int from, TrafficSplit other) {
+        int moved = Math.abs(unservedWeight(from) - other.unservedWeight(from));
+        for (int to = 0; to < weights.length; to++) {
+            moved += Math.abs(weights[from][to] - other.weights[from][to]);
         }
         return moved / 2;
     }
 
     /** As a table has them. */
-    List<ZoneRoute> list() {
+    List<ZoneRoute> toRoutes() {
         List<ZoneRoute> list = new ArrayList<>();
-        for (int from = 0; from < parts.length; from++) {
-            for (int to = 0; to < parts.length; to++) {
-                if (parts[from][to] > 0) {
+        for (int from = 0; from < weights.length; from++) {
+            for (int to = 0; to < weights.length; to++) {
+                if (weights[from][to] > 0) {
                     list.add(
                             new ZoneRoute(
                                     from,
                                     to,
                                     from == to
                                             ? RouteReason.NEAR
-                                            : left[from] && parts[from][to] > FEW
+                                            : isLeft[from] && weights[from][to] > MAX_PROBE_WEIGHT
                                                     ? RouteReason.MOVED
                                                     : RouteReason.SPILLED,
-                                    parts[from][to],
+                                    weights[from][to],
                                     perSecond[from][to]));
                 }
             }
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
@@ -1,7 +1,7 @@
 package cedarrudder.failover;
 
 import cedarrudder.failover.ZoneHealthSnapshot.RemoteTraffic;
-import cedarrudder.failover.ZoneHealthSnapshot.Zone;
+import cedarrudder.failover.ZoneHealthSnapshot.ZoneHealth;
 import cedarrudder.failover.ZoneHealthSnapshot.ZoneState;
 import cedarrudder.failover.ZoneObservations.ZoneObservation;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
 public final class ZoneHealthAggregator {
 
     /** What is left, each period, of what was counted before. */
-    private static final double KEPT = 0.6;
+    private static final double FADE_FACTOR = 0.6;
 
     /**
      * Calls that a replica must have seen end, or wait, before it has a whole vote; with fewer, a
@@ -35,13 +35,13 @@
     private static final double MIN_VOTE = 0.3;
 
     /** What is this many times older than evidence may be says nothing of a zone. */
-    private static final int OLD = 4;
+    private static final int MAX_REPORT_AGE = 4;
 
     /** Calls out with nothing back for this many periods count as silent. */
-    private static final int STILL_PERIODS = 2;
+    private static final int STALLED_PERIODS = 2;
 
     /** Of the votes of a zone's replicas. */
-    private static final double MAX = 0.6;
+    private static final double MAJORITY_SHARE = 0.6;
 
     /**
      * Where other zones can't tell, the zone's own replicas must have said so for this many
@@ -50,18 +50,18 @@
     private static final int ALONE_PERIODS = 6;
 
     /** A zone's replicas say that it is strained where this much of their calls is rejected, ... */
-    private static final double TURNED_AWAY = 0.05;
+    private static final double REJECTED_SHARE = 0.05;
 
     /** ... or where its endpoints say, over some periods, that they are so full. */
-    private static final double FULL = 0.97;
+    private static final double FULL_LOAD = 0.97;
 
     /** Rates are smoothed by this weight of the newest. */
-    private static final double NEWEST = 0.25;
+    private static final double NEWEST_WEIGHT = 0.25;
 
     /** What a zone can do is learned by this weight, and by this one where it turns calls away. */
-    private static final double LEARNS = 0.1;
+    private static final double LEARN_WEIGHT = 0.1;
 
-    private static final double FALLS = 0.6;
+    private static final double FALL_WEIGHT = 0.6;
 
     /** Below this use of a zone, and this rate, nothing is learned of its capacity. */
     private static final double MIN_LOAD = 0.15;
@@ -69,30 +69,31 @@
     private static final double MIN_RATE = 5;
 
     /** Calls that nobody tells of count where they are over this share of the capacity. */
-    private static final double UNSEEN = 0.05;
+    private static final double UNREPORTED_SHARE = 0.05;
 
     private static final double HUNDREDTHS = 100;
     private static final double MILLIS = 1_000;
 
     /** What a replica last said of a zone, with what it said before fading away. */
-    private static final class Vote {
+    private static final class ZoneReport {
         long sequence = -1;
 
         /** The period that it told of last. */
-        long basis = -1;
+        long lastPeriod = -1;
 
-        long at;
+        long observedAt;
         double served;
         double failed;
-        double refused;
+        double rejected;
         double rate;
         double ended;
-        ZoneObservation seen;
+        ZoneObservation latest;
 
-        double bad(long period) {
+        double unhealthy(long period) {
             boolean still =
-                    seen.age() == 0 && seen.unanswered() * 1_000_000L >= STILL_PERIODS * period;
-            return failed + (still ? seen.inFlight() : 0);
+                    latest.age() == 0
+                            && latest.unanswered() * 1_000_000L >= STALLED_PERIODS * period;
+            return failed + (still ? latest.inFlight() : 0);
         }
     }
 
@@ -100,10 +101,10 @@
         long incarnation = -1;
         long sequence = -1;
         long heardAt;
-        double came;
-        double unserved;
+        double arrivalRate;
+        double unservedRate;
         long table;
-        Vote[] words;
+        ZoneReport[] reports;
     }
 
     private final FailoverSettings settings;
@@ -112,13 +113,13 @@
     private final ReplicaObservations[] replicas;
 
     /** Calls a second that one warm endpoint of weight 1 serves; 0: not known. */
-    private final double[] each;
+    private final double[] ratePerWeight;
 
     /** How full zones are, smoothed; NaN: not known. */
-    private final double[] full;
+    private final double[] fullness;
 
     private final long[] aloneSince;
-    private final boolean[] alone;
+    private final boolean[] isAlone;
     private long learnedAt = Long.MIN_VALUE;
 
     /**
@@ -128,24 +129,24 @@
         this.settings = settings;
         this.zoneOf = zoneOf.clone();
         this.zones = zones;
-        this.each = new double[zones];
-        this.full = new double[zones];
-        Arrays.fill(full, Double.NaN);
+        this.ratePerWeight = new double[zones];
+        this.fullness = new double[zones];
+        Arrays.fill(fullness, Double.NaN);
         this.aloneSince = new long[zones];
-        this.alone = new boolean[zones];
+        this.isAlone = new boolean[zones];
         this.replicas = new ReplicaObservations[zoneOf.length];
         Arrays.setAll(replicas, i -> new ReplicaObservations());
         for (ReplicaObservations replica : replicas) {
-            forget(replica);
+            reset(replica);
         }
     }
 
-    private void forget(ReplicaObservations replica) {
-        replica.words = new Vote[zones];
-        Arrays.setAll(replica.words, i -> new Vote());
+    private void reset(ReplicaObservations replica) {
+        replica.reports = new ZoneReport[zones];
+        Arrays.setAll(replica.reports, i -> new ZoneReport());
         replica.sequence = -1;
-        replica.came = 0;
-        replica.unserved = 0;
+        replica.arrivalRate = 0;
+        replica.unservedRate = 0;
     }
 
     /**
@@ -162,56 +163,63 @@
             return;
         }
         if (evidence.incarnation() > replica.incarnation) {
-            forget(replica);
+            reset(replica);
             replica.incarnation = evidence.incarnation();
         }
         double seconds = evidence.millis() / MILLIS;
         if (evidence.sequence() > replica.sequence) {
             boolean first = replica.sequence < 0;
             double rate = evidence.requests() / seconds;
-            replica.came = first ? rate : replica.came + NEWEST * (rate - replica.came);
-            replica.unserved =
+            replica.arrivalRate =
+                    first
+                            ? rate
+                            : replica.arrivalRate + NEWEST_WEIGHT * (rate - replica.arrivalRate);
+            replica.unservedRate =
                     first
                             ? evidence.unserved() / seconds
-                            : replica.unserved
-                                    + NEWEST * (evidence.unserved() / seconds - replica.unserved);
+                            : replica.unservedRate
+                                    + NEWEST_WEIGHT
+                                            * (evidence.unserved() / seconds
+                                                    - replica.unservedRate);
             replica.sequence = evidence.sequence();
             replica.heardAt = now;
             replica.table = evidence.table();
         }
         for (ZoneObservation seen : evidence.observations()) {
             if (seen.zone() < zones) {
-                onObservations(now, replica.words[seen.zone()], evidence.sequence(), seen, seconds);
+                onObservations(
+                        now, replica.reports[seen.zone()], evidence.sequence(), seen, seconds);
             }
         }
     }
 
     private void onObservations(
-            long now, Vote word, long sequence, ZoneObservation seen, double seconds) {
+            long now, ZoneReport word, long sequence, ZoneObservation seen, double seconds) {
         if (sequence <= word.sequence) {
             return;
         }
         long basis = sequence - seen.age();
-        if (basis > word.basis) {
+        if (basis > word.lastPeriod) {
             // A period of which nothing came fades what was said as one that came does.
             double kept =
-                    word.basis < 0
+                    word.lastPeriod < 0
                             ? 0
                             : StrictMath.pow(
-                                    KEPT, Math.min(ZoneObservations.MAX_AGE, basis - word.basis));
+                                    FADE_FACTOR,
+                                    Math.min(ZoneObservations.MAX_AGE, basis - word.lastPeriod));
             word.served = kept * word.served + seen.served();
             word.failed = kept * word.failed + seen.failed() + seen.silent();
-            word.refused = kept * word.refused + seen.rejected();
+            word.rejected = kept * word.rejected + seen.rejected();
             word.ended = kept * word.ended + seen.ended();
             double rate = seen.served() / seconds;
-            word.rate = word.basis < 0 ? rate : word.rate + NEWEST * (rate - word.rate);
-            word.basis = basis;
+            word.rate = word.lastPeriod < 0 ? rate : word.rate + NEWEST_WEIGHT * (rate - word.rate);
+            word.lastPeriod = basis;
         } else {
-            word.rate *= 1 - NEWEST; // nothing was asked of it since
+            word.rate *= 1 - NEWEST_WEIGHT; // nothing was asked of it since
         }
         word.sequence = sequence;
-        word.seen = seen;
-        word.at = now - seen.age() * settings.period();
+        word.latest = seen;
+        word.observedAt = now - seen.age() * settings.period();
     }
 
     /** What is held now; to be asked once a period, as it also learns what zones can do. */
@@ -220,16 +228,16 @@
         if (learns) {
             learnedAt = now;
         }
-        List<Zone> pictures = new ArrayList<>();
+        List<ZoneHealth> pictures = new ArrayList<>();
         for (int zone = 0; zone < zones; zone++) {
-            pictures.add(zone(now, zone, learns));
+            pictures.add(zoneHealth(now, zone, learns));
         }
         List<RemoteTraffic> away = new ArrayList<>();
         for (int i = 0; i < replicas.length; i++) {
             if (replicas[i].incarnation >= 0
                     && !isFresh(now, replicas[i])
-                    && replicas[i].came > 0) {
-                away.add(new RemoteTraffic(zoneOf[i], replicas[i].came, replicas[i].table));
+                    && replicas[i].arrivalRate > 0) {
+                away.add(new RemoteTraffic(zoneOf[i], replicas[i].arrivalRate, replicas[i].table));
             }
         }
         return new ZoneHealthSnapshot(pictures, away);
@@ -243,7 +251,7 @@
     public void lapse(long now, IntToLongFunction leaseOver) {
         for (int i = 0; i < replicas.length; i++) {
             if (!isFresh(now, replicas[i]) && now - leaseOver.applyAsLong(i) > 0) {
-                replicas[i].came = 0;
+                replicas[i].arrivalRate = 0;
             }
         }
     }
@@ -254,7 +262,7 @@
                 && now - replica.heardAt <= settings.evidenceAge();
     }
 
-    private Zone zone(long now, int zone, boolean learns) {
+    private ZoneHealth zoneHealth(long now, int zone, boolean learns) {
         Set<Integer> bad = new TreeSet<>();
         Set<Integer> well = new TreeSet<>();
         double othersBad = 0;
@@ -262,17 +270,17 @@
         int others = 0;
         for (int from = 0; from < zones; from++) {
             Votes votes = votes(now, from, zone);
-            if (votes.word() != 0) {
-                (votes.word() < 0 ? bad : well).add(from);
+            if (votes.verdict() != 0) {
+                (votes.verdict() < 0 ? bad : well).add(from);
             }
-            othersBad += from == zone ? 0 : votes.bad;
-            othersWell += from == zone ? 0 : votes.well;
+            othersBad += from == zone ? 0 : votes.unhealthy;
+            othersWell += from == zone ? 0 : votes.healthy;
             others += from == zone ? 0 : votes.replicas;
         }
         int said =
                 others < settings.minReplicas()
                         ? 0
-                        : new Votes(othersBad, othersWell, others).word();
+                        : new Votes(othersBad, othersWell, others).verdict();
         double demand = 0;
         double served = 0;
         double loads = 0;
@@ -286,19 +294,19 @@
             if (!isFresh(now, replica)) {
                 continue;
             }
-            Vote word = replica.words[zone];
-            if (word.seen != null) {
+            ZoneReport word = replica.reports[zone];
+            if (word.latest != null) {
                 served += word.rate;
-                if (word.seen.age() == 0 && word.seen.load() > 0) {
-                    double weight = Math.max(1, word.seen.ended());
-                    loads += weight * (word.seen.load() - 1) / HUNDREDTHS;
+                if (word.latest.age() == 0 && word.latest.load() > 0) {
+                    double weight = Math.max(1, word.latest.ended());
+                    loads += weight * (word.latest.load() - 1) / HUNDREDTHS;
                     reports += weight;
                 }
-                able[known++] = word.seen.usableNodes();
+                able[known++] = word.latest.usableNodes();
             }
             if (zoneOf[i] == zone) {
                 fresh++;
-                demand += replica.came;
+                demand += replica.arrivalRate;
                 strained += isStrained(replica, word) ? 1 : 0;
             }
         }
@@ -307,65 +315,72 @@
         double load = reports == 0 ? Double.NaN : loads / reports;
         ZoneState state = state(now, zone, bad, well, said, fresh);
         if (learns) {
-            full[zone] =
-                    Double.isNaN(load) || Double.isNaN(full[zone])
+            fullness[zone] =
+                    Double.isNaN(load) || Double.isNaN(fullness[zone])
                             ? load
-                            : full[zone] + NEWEST * (load - full[zone]);
+                            : fullness[zone] + NEWEST_WEIGHT * (load - fullness[zone]);
         }
         boolean turnsAway =
                 fresh > 0
                         && strained >= Math.min(settings.minReplicas(), fresh)
-                        && strained > MAX * fresh;
-        boolean strains = turnsAway || full[zone] > FULL;
-        if (learns && state == ZoneState.WELL && units > 0 && served >= MIN_RATE) {
-            learn(zone, served / units, load, strains);
+                        && strained > MAJORITY_SHARE * fresh;
+        boolean strains = turnsAway || fullness[zone] > FULL_LOAD;
+        if (learns && state == ZoneState.HEALTHY && units > 0 && served >= MIN_RATE) {
+            learnCapacity(zone, served / units, load, strains);
         }
-        double capacity = each[zone] * units;
+        double capacity = ratePerWeight[zone] * units;
         double unseen = Double.isNaN(load) ? 0 : Math.max(0, load * capacity - served);
-        return new Zone(
+        return new ZoneHealth(
                 state,
                 strains,
                 demand,
                 served,
                 capacity,
                 Double.isNaN(load),
-                unseen > UNSEEN * capacity ? unseen : 0,
+                unseen > UNREPORTED_SHARE * capacity ? unseen : 0,
                 fresh,
                 bad,
                 well);
     }
 
-    private static boolean isStrained(ReplicaObservations replica, Vote word) {
-        return replica.came >= 1 && replica.unserved > TURNED_AWAY * replica.came
-                || word.ended >= WHOLE_VOTE && word.refused > TURNED_AWAY * word.ended;
+    private static boolean isStrained(ReplicaObservations replica, ZoneReport word) {
+        return replica.arrivalRate >= 1
+                        && replica.unservedRate > REJECTED_SHARE * replica.arrivalRate
+                || word.ended >= WHOLE_VOTE && word.rejected > REJECTED_SHARE * word.ended;
     }
 
-    private void learn(int zone, double rate, double load, boolean strains) {
+    private void learnCapacity(int zone, double rate, double load, boolean strains) {
         if (Double.isNaN(load)) {
             // Without reports: a zone that is full serves what it can, another can do no less than
             // it does.
-            each[zone] =
-                    strains ? each[zone] + FALLS * (rate - each[zone]) : Math.max(each[zone], rate);
+            ratePerWeight[zone] =
+                    strains
+                            ? ratePerWeight[zone] + FALL_WEIGHT * (rate - ratePerWeight[zone])
+                            : Math.max(ratePerWeight[zone], rate);
         } else if (load >= MIN_LOAD) {
             double sample = rate / Math.min(1, load);
-            each[zone] +=
-                    each[zone] == 0
+            ratePerWeight[zone] +=
+                    ratePerWeight[zone] == 0
                             ? sample
-                            : (strains && sample < each[zone] ? FALLS : LEARNS)
-                                    * (sample - each[zone]);
+                            : (strains && sample < ratePerWeight[zone] ? FALL_WEIGHT : LEARN_WEIGHT)
+                                    * (sample - ratePerWeight[zone]);
         } else {
             // This avoids a site that is nearly idle being taken for one that can serve nothing.
-            each[zone] = Math.max(each[zone], rate / MIN_LOAD);
+            ratePerWeight[zone] = Math.max(ratePerWeight[zone], rate / MIN_LOAD);
         }
     }
 
     /** What the replicas of one zone say of another; replicas that say nothing are not counted. */
-    private record Votes(double bad, double well, int replicas) {
+    private record Votes(double unhealthy, double healthy, int replicas) {
 
         /** 1 that it is well, -1 that it is bad, 0 nothing. */
-        int word() {
-            double all = bad + well;
-            return all == 0 ? 0 : bad >= MAX * all ? -1 : well >= MAX * all ? 1 : 0;
+        int verdict() {
+            double all = unhealthy + healthy;
+            return all == 0
+                    ? 0
+                    : unhealthy >= MAJORITY_SHARE * all
+                            ? -1
+                            : healthy >= MAJORITY_SHARE * all ? 1 : 0;
         }
     }
 
@@ -384,14 +399,16 @@
                 continue;
             }
             able++;
-            Vote word = replica.words[zone];
-            long age = now - word.at;
-            if (word.seen == null || age > OLD * settings.evidenceAge() || servedNowhere(replica)) {
+            ZoneReport word = replica.reports[zone];
+            long age = now - word.observedAt;
+            if (word.latest == null
+                    || age > MAX_REPORT_AGE * settings.evidenceAge()
+                    || isIsolated(replica)) {
                 continue;
             }
-            double ill = word.bad(settings.period());
-            double all = word.served + word.refused + ill;
-            boolean listed = word.seen.nodes() > 0;
+            double ill = word.unhealthy(settings.period());
+            double all = word.served + word.rejected + ill;
+            boolean listed = word.latest.nodes() > 0;
             double vote = listed ? Math.min(1, all / WHOLE_VOTE) : 1;
             if (vote >= MIN_VOTE) {
                 said++;
@@ -410,13 +427,13 @@
      * Whether nobody serves a replica that asked more than one zone. This avoids a replica whose
      * own link is broken: it says of every zone that it is lost.
      */
-    private boolean servedNowhere(ReplicaObservations replica) {
+    private boolean isIsolated(ReplicaObservations replica) {
         int asked = 0;
-        for (Vote word : replica.words) {
-            if (word.seen != null
-                    && word.served + word.refused + word.failed >= MIN_VOTE * WHOLE_VOTE) {
+        for (ZoneReport word : replica.reports) {
+            if (word.latest != null
+                    && word.served + word.rejected + word.failed >= MIN_VOTE * WHOLE_VOTE) {
                 asked++;
-                if (word.served + word.refused > word.failed) {
+                if (word.served + word.rejected > word.failed) {
                     return false;
                 }
             }
@@ -425,7 +442,8 @@
     }
 
     /**
-     * @param said what the replicas of all other zones say together, as {@link Votes#word} has it
+     * @param said what the replicas of all other zones say together, as {@link Votes#verdict} has
+     *     it
      */
     private ZoneState state(
             long now, int zone, Set<Integer> bad, Set<Integer> well, int said, int fresh) {
@@ -434,9 +452,9 @@
         boolean unheard =
                 ownBad && said == 0 && zonesBad == 0 && !well.stream().anyMatch(z -> z != zone);
         if (!unheard) {
-            alone[zone] = false;
-        } else if (!alone[zone]) {
-            alone[zone] = true;
+            isAlone[zone] = false;
+        } else if (!isAlone[zone]) {
+            isAlone[zone] = true;
             aloneSince[zone] = now;
         }
         if (ownBad) {
@@ -448,10 +466,10 @@
             return lost ? ZoneState.LOST : ZoneState.UNKNOWN;
         }
         if (well.contains(zone)) {
-            return said < 0 && zonesBad > 0 ? ZoneState.CUT_OFF : ZoneState.WELL;
+            return said < 0 && zonesBad > 0 ? ZoneState.CUT_OFF : ZoneState.HEALTHY;
         }
         return said < 0 && zonesBad > 1
                 ? ZoneState.LOST
-                : said > 0 ? ZoneState.WELL : ZoneState.UNKNOWN;
+                : said > 0 ? ZoneState.HEALTHY : ZoneState.UNKNOWN;
     }
 }
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
@@ -7,16 +7,16 @@
  * What is held of all zones at an instant, from the evidence of many replicas.
  *
  * @param zones by number
- * @param away replicas that have not been heard of for long, whose lease may still run
+ * @param unreachable replicas that have not been heard of for long, whose lease may still run
  */
-public record ZoneHealthSnapshot(List<Zone> zones, List<RemoteTraffic> away) {
+public record ZoneHealthSnapshot(List<ZoneHealth> zones, List<RemoteTraffic> unreachable) {
 
     /** What is held of a zone as one that serves. */
     public enum ZoneState {
         /** Too little is known. */
         UNKNOWN,
         /** Its own replicas, and others that can tell, are served there. */
-        WELL,
+        HEALTHY,
         /** Its own replicas are served there, those of other zones are not. */
         CUT_OFF,
         /** Enough replicas in enough zones are not served there. */
@@ -26,33 +26,33 @@
     /**
      * One zone. Rates are calls a second.
      *
-     * @param strained enough of its replicas say that it turns calls away, or that its endpoints
+     * @param isStrained enough of its replicas say that it turns calls away, or that its endpoints
      *     are full
      * @param demand calls that come to its replicas
      * @param served calls of all replicas that it serves
      * @param capacity what it can do now; 0 where nothing is known
-     * @param blind whether its endpoints don't report their load: then the capacity is the most
-     *     that it was seen to serve well
-     * @param unseen what it serves of calls of which no evidence tells
-     * @param fresh replicas of this zone whose evidence is fresh
-     * @param bad the zones whose replicas say that they are not served there
-     * @param well the zones whose replicas say that they are
+     * @param isUnreported whether its endpoints don't report their load: then the capacity is the
+     *     most that it was seen to serve well
+     * @param unreportedRate what it serves of calls of which no evidence tells
+     * @param freshReplicas replicas of this zone whose evidence is fresh
+     * @param unhealthyFor the zones whose replicas say that they are not served there
+     * @param healthyFor the zones whose replicas say that they are
      */
-    public record Zone(
+    public record ZoneHealth(
             ZoneState state,
-            boolean strained,
+            boolean isStrained,
             double demand,
             double served,
             double capacity,
-            boolean blind,
-            double unseen,
-            int fresh,
-            Set<Integer> bad,
-            Set<Integer> well) {
+            boolean isUnreported,
+            double unreportedRate,
+            int freshReplicas,
+            Set<Integer> unhealthyFor,
+            Set<Integer> healthyFor) {
 
         /** Whether calls of that zone may be sent here. */
-        public boolean takes(int from) {
-            return state == ZoneState.WELL && !bad.contains(from);
+        public boolean mayServe(int from) {
+            return state == ZoneState.HEALTHY && !unhealthyFor.contains(from);
         }
     }
 
@@ -67,6 +67,6 @@
 
     public ZoneHealthSnapshot {
         zones = List.copyOf(zones);
-        away = List.copyOf(away);
+        unreachable = List.copyOf(unreachable);
     }
 }
--- a/core/src/main/java/cedarrudder/membership/GossipMessage.java
+++ b/core/src/main/java/cedarrudder/membership/GossipMessage.java
@@ -4,44 +4,45 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The news that one message carries: as much as it has room for, and each instance once. */
+/** The updates that one message carries: as many as fit, and each instance once. */
 final class GossipMessage {
 
-    /** No piece is longer: instance, incarnation, accuser. */
-    private static final int LONGEST_PIECE = 3 + 10 + 3;
+    /** The longest update: instance, incarnation, accuser. */
+    private static final int MAX_UPDATE_BYTES = 3 + 10 + 3;
 
-    private final long incarnation;
+    private final long senderIncarnation;
     private final List<MemberUpdate> updates = new ArrayList<>();
-    private int spaceLeft;
+    private int bytesLeft;
 
     /**
-     * @param incarnation of the sender
-     * @param room bytes
+     * No updates yet.
+     *
+     * @param senderIncarnation of the sender, which the size of updates depends on
+     * @param capacity in bytes
      */
-    GossipMessage(long incarnation, int room) {
-        this.incarnation = incarnation;
-        this.spaceLeft = room;
+    GossipMessage(long senderIncarnation, int capacity) {
+        this.senderIncarnation = senderIncarnation;
+        this.bytesLeft = capacity;
     }
 
-    /** Takes a piece that fits; whether it did. */
-    boolean add(MemberUpdate piece) {
-        int size = SwimMessage.size(piece, incarnation);
-        for (MemberUpdate had : updates) {
-            if (had.member().number() == piece.member().number()) {
-                return false;
-            }
-        }
-        if (size > spaceLeft) {
+    /** Adds an update where it fits and its instance has none yet; whether it was added. */
+    boolean add(MemberUpdate update) {
+        int size = SwimCodec.size(update, senderIncarnation);
+        if (size > bytesLeft || contains(update.member().number())) {
             return false;
         }
-        spaceLeft -= size;
-        updates.add(piece);
+        bytesLeft -= size;
+        updates.add(update);
         return true;
     }
 
-    /** Whether no further piece fits for certain. */
+    private boolean contains(int number) {
+        return updates.stream().anyMatch(update -> update.member().number() == number);
+    }
+
+    /** Whether it is not certain any more that a further update fits. */
     boolean isFull() {
-        return spaceLeft < LONGEST_PIECE;
+        return bytesLeft < MAX_UPDATE_BYTES;
     }
 
     List<MemberUpdate> updates() {
--- a/core/src/main/java/cedarrudder/membership/GossipQueue.java
+++ b/core/src/main/java/cedarrudder/membership/GossipQueue.java
@@ -9,86 +9,96 @@
 import java.util.Map;
 
 /**
- * The news that is to be passed on, the newest of each instance alone: what has gone out least
- * often goes first, and after enough times no more (SWIM, 4.1 and 5). So it holds no more than
- * there are instances.
+ * The updates that are to be passed on, the newest of each instance only: what was sent least often
+ * goes first, and after enough times no more (SWIM, 4.1 and 5). It holds no more updates than there
+ * are instances.
  */
 final class GossipQueue {
+    private static final int NOT_QUEUED = -1;
 
     /**
-     * What went out this many times, by the place in the list; in each the one that waits longest
-     * is first.
+     * The updates by how often they were sent, which is their place in the list, and by instance;
+     * in each map the one that has waited longest comes first.
      */
-    private final List<Map<Integer, MemberUpdate>> byTimes = new ArrayList<>();
+    private final List<Map<Integer, MemberUpdate>> bySendCount = new ArrayList<>();
 
-    /** How often the news of each instance went out; -1 where none waits. */
-    private final int[] times;
+    /** How often the update of each instance was sent; {@link #NOT_QUEUED} where there is none. */
+    private final int[] sendCounts;
 
-    private int waiting;
+    private int size;
 
     GossipQueue(int instances) {
-        times = new int[instances];
-        Arrays.fill(times, -1);
-        byTimes.add(new LinkedHashMap<>());
+        sendCounts = new int[instances];
+        Arrays.fill(sendCounts, NOT_QUEUED);
+        bySendCount.add(new LinkedHashMap<>());
     }
 
-    /** Takes news, in place of what waits of the same instance. */
-    void add(MemberUpdate news) {
-        int number = news.member().number();
-        if (times[number] >= 0) {
-            byTimes.get(times[number]).remove(number);
+    /** Queues an update in place of an earlier one of the same instance. */
+    void add(MemberUpdate update) {
+        int number = update.member().number();
+        if (sendCounts[number] == NOT_QUEUED) {
+            size++;
         } else {
-            waiting++;
+            bySendCount.get(sendCounts[number]).remove(number);
         }
-        times[number] = 0;
-        byTimes.get(0).put(number, news);
+        sendCounts[number] = 0;
+        bySendCount.get(0).put(number, update);
     }
 
     /**
-     * Takes what goes into a message.
+     * Fills a message with updates, which count as sent.
      *
-     * @param message has room for some
-     * @param max a piece goes out so often
+     * @param maxTransmissions how often an update is sent
      */
-    void fill(GossipMessage message, int max) {
-        while (byTimes.size() <= max) {
-            byTimes.add(new LinkedHashMap<>());
+    void fill(GossipMessage message, int maxTransmissions) {
+        while (bySendCount.size() <= maxTransmissions) {
+            bySendCount.add(new LinkedHashMap<>());
         }
-        for (int sent = byTimes.size() - 1; sent >= max; sent--) {
-            remove(byTimes.get(sent)); // fewer live than before
+        // Fewer instances are live than before: updates may have been sent too often already.
+        for (int count = bySendCount.size() - 1; count >= maxTransmissions; count--) {
+            removeAll(bySendCount.get(count));
         }
+        for (MemberUpdate update : take(message, maxTransmissions)) {
+            requeue(update, maxTransmissions);
+        }
+    }
+
+    private List<MemberUpdate> take(GossipMessage message, int maxTransmissions) {
         List<MemberUpdate> taken = new ArrayList<>();
-        for (int sent = 0; sent < max && !message.isFull(); sent++) {
-            Iterator<MemberUpdate> each = byTimes.get(sent).values().iterator();
-            while (!message.isFull() && each.hasNext()) {
-                MemberUpdate piece = each.next();
-                if (message.add(piece)) {
-                    each.remove();
-                    taken.add(piece);
+        for (int count = 0; count < maxTransmissions && !message.isFull(); count++) {
+            Iterator<MemberUpdate> updates = bySendCount.get(count).values().iterator();
+            while (!message.isFull() && updates.hasNext()) {
+                MemberUpdate update = updates.next();
+                if (message.add(update)) {
+                    updates.remove();
+                    taken.add(update);
                 }
             }
         }
-        for (MemberUpdate piece : taken) {
-            int number = piece.member().number();
-            if (++times[number] >= max) {
-                times[number] = -1;
-                waiting--;
-            } else {
-                byTimes.get(times[number]).put(number, piece);
-            }
+        return taken;
+    }
+
+    private void requeue(MemberUpdate update, int maxTransmissions) {
+        int number = update.member().number();
+        sendCounts[number]++;
+        if (sendCounts[number] < maxTransmissions) {
+            bySendCount.get(sendCounts[number]).put(number, update);
+        } else {
+            sendCounts[number] = NOT_QUEUED;
+            size--;
         }
     }
 
-    private void remove(Map<Integer, MemberUpdate> pieces) {
-        for (int number : pieces.keySet()) {
-            times[number] = -1;
-            waiting--;
+    private void removeAll(Map<Integer, MemberUpdate> updates) {
+        for (int number : updates.keySet()) {
+            sendCounts[number] = NOT_QUEUED;
+            size--;
         }
-        pieces.clear();
+        updates.clear();
     }
 
-    /** Pieces that wait. */
+    /** How many updates are queued. */
     int size() {
-        return waiting;
+        return size;
     }
 }
--- a/core/src/main/java/cedarrudder/membership/LossEstimate.java
+++ b/core/src/main/java/cedarrudder/membership/LossEstimate.java
@@ -1,27 +1,27 @@
 package cedarrudder.membership;
 
 /**
- * How often a question that was answered in the end was not answered at once: what the network
- * loses there and back, as one instance sees it. The dead, who never answer, don't count.
+ * The share of round trips that the network loses, as one instance sees it: of the probes that were
+ * answered in the end, those whose first ping was not. The dead, which never answer, don't count.
  */
 final class LossEstimate {
 
-    /** The last 32 answers or so. */
-    private static final double NEWEST = 1.0 / 32;
+    /** An average over the last 32 answers or so. */
+    private static final double NEWEST_WEIGHT = 1.0 / 32;
 
-    private double missed;
+    private double missRate;
 
-    /** A question was answered, at once or only when asked again. */
-    void onAnswer(boolean atOnce) {
-        missed += ((atOnce ? 0 : 1) - missed) * NEWEST;
+    /** A probe was answered, by its first ping or a later one. */
+    void onAnswer(boolean byFirstPing) {
+        missRate += ((byFirstPing ? 0 : 1) - missRate) * NEWEST_WEIGHT;
     }
 
     /**
-     * How often one must have stayed silent until that is hardly the network's doing.
+     * How many silences in a row loss alone hardly explains.
      *
-     * @param chance that all of it was lost
+     * @param chance of that many losses in a row which is accepted
      */
-    int maxSilences(double chance) {
-        return missed <= 0 ? 1 : (int) Math.ceil(Math.log(chance) / Math.log(missed));
+    int silencesBeforeSuspicion(double chance) {
+        return missRate <= 0 ? 1 : (int) Math.ceil(Math.log(chance) / Math.log(missRate));
     }
 }
--- a/core/src/main/java/cedarrudder/membership/Member.java
+++ b/core/src/main/java/cedarrudder/membership/Member.java
@@ -1,42 +1,42 @@
 package cedarrudder.membership;
 
 /**
- * What is held of one instance: which of its lives, and whether that life goes on.
+ * What is known of one instance: its incarnation, and whether that is alive.
  *
  * @param number the instance's number among all of its tier, from 0
- * @param incarnation grows with each life and each time the instance contradicts what is said of
- *     it; from 0 to {@link #MAX_INCARNATION}
+ * @param incarnation grows with each start and each time the instance refutes what is said of it;
+ *     from 0 to {@link #MAX_INCARNATION}
  */
-public record Member(int number, long incarnation, Standing standing) {
+public record Member(int number, long incarnation, State state) {
 
-    /** A larger one is none. This avoids a forged one that nothing could follow. */
+    /** A larger incarnation is invalid. This avoids a forged one that nothing could exceed. */
     public static final long MAX_INCARNATION = 1L << 62;
 
-    /** Whether an instance lives, as far as is known. */
-    public enum Standing {
-        /** It answers. */
+    /** Whether an instance is alive, as far as is known. */
+    public enum State {
+        /** It answers pings. */
         ALIVE,
-        /** It has not answered one that asked; it still counts as live. */
+        /** It did not answer a ping; it still counts as live. */
         SUSPECT,
-        /** It has not contradicted that for long enough, or it said that it leaves. */
+        /** It did not refute its suspicion in time, or it said that it leaves. */
         DEAD
     }
 
     /**
-     * Whether this news replaces what is known of the same instance (SWIM, 4.2): what is said of a
-     * later life always does, and of one life the worse news does.
+     * Whether this update replaces what is known of the same instance (SWIM, 4.2): one of a later
+     * incarnation always does, and of one incarnation the worse state does.
      */
     boolean overrides(Member known) {
         return incarnation > known.incarnation
-                || incarnation == known.incarnation && standing.compareTo(known.standing) > 0;
+                || incarnation == known.incarnation && state.compareTo(known.state) > 0;
     }
 
-    /** Whether it counts as live. */
+    /** Whether the instance counts as live. */
     public boolean isLive() {
-        return standing != Standing.DEAD;
+        return state != State.DEAD;
     }
 
-    Member withStanding(Standing next) {
+    Member withState(State next) {
         return new Member(number, incarnation, next);
     }
 }
--- a/core/src/main/java/cedarrudder/membership/StateExchange.java
+++ b/core/src/main/java/cedarrudder/membership/StateExchange.java
@@ -7,103 +7,111 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Who is dead, compared between pairs. Each message carries a digest; who hears another than its
- * own shows with its next question whom it holds as dead, one bit for each instance, and the answer
- * says of those in whom the two differ what the other one holds. So what news did not reach comes
- * all the same, in few messages, and while all agree it costs the digest.
+ * Compares the sets of dead instances of pairs of instances (anti-entropy). Each message carries a
+ * digest of the sender's set. An instance that hears another digest than its own shows part of its
+ * set with its next ping, one bit for each instance, and the ack carries updates of those in which
+ * the two sets differ. What gossip did not reach arrives nevertheless; while all agree, this costs
+ * no more than the digest.
  */
 final class StateExchange {
 
     private final BitSet dead = new BitSet();
 
-    /**
-     * Those of whom it need not be told that they are dead: the dead, and whom others claim to be.
-     */
-    private final BitSet told = new BitSet();
+    /** The dead, and those that others claim to be dead: nobody need tell of them. */
+    private final BitSet knownDead = new BitSet();
 
     private final int instances;
     private int digest;
     private boolean differs;
-    private int next;
+    private int nextWindowStart;
 
     StateExchange(int instances) {
         this.instances = instances;
     }
 
-    /** An instance counts as dead from now on, or does not. */
-    void set(int number, boolean isDead) {
-        told.set(number, isDead);
+    /** An instance counts as dead from now on, or no longer. */
+    void setDead(int number, boolean isDead) {
+        knownDead.set(number, isDead);
         if (dead.get(number) != isDead) {
             dead.set(number, isDead);
-            digest ^= digest(number);
+            digest ^= hash(number);
         }
     }
 
-    /** Another one holds it as dead, which is heard but not believed yet. */
-    void claimed(int number) {
-        told.set(number);
+    /** Another instance holds this one dead, which is not believed yet. */
+    void onClaimedDead(int number) {
+        knownDead.set(number);
     }
 
-    /**
-     * Of one instance; sums of these by exclusive or depend on no order (the finisher of
-     * MurmurHash3).
-     */
-    private static int digest(int number) {
-        int h = number + 0x9e3779b9;
-        h = (h ^ h >>> 16) * 0x85ebca6b;
-        h = (h ^ h >>> 13) * 0xc2b2ae35;
-        return h ^ h >>> 16;
+    /** The finisher of MurmurHash3; sums of it by exclusive or don't depend on the order. */
+    private static int hash(int number) {
+        int hash = number + 0x9e3779b9;
+        hash = (hash ^ hash >>> 16) * 0x85ebca6b;
+        hash = (hash ^ hash >>> 13) * 0xc2b2ae35;
+        return hash ^ hash >>> 16;
     }
 
+    /** The digest of the dead. */
     int digest() {
         return digest;
     }
 
-    int dead() {
+    /** How many instances are dead. */
+    int deadCount() {
         return dead.cardinality();
     }
 
-    /** One of the dead; there must be one. */
-    int any(RandomGenerator random) {
+    /** A random dead instance; there must be one. */
+    int randomDead(RandomGenerator random) {
         return dead.nextSetBit(random.nextInt(dead.length()));
     }
 
-    /** Another one's digest was heard. */
-    void onWindow(int other) {
+    /** Another instance's digest was heard. */
+    void onDigest(int other) {
         differs = other != digest;
     }
 
     /**
-     * What the next question shows; null where the last that was heard agrees. Large tiers by
-     * turns.
+     * The window that the next ping shows; null where the last digest that was heard is the same. A
+     * set that is larger than a window is shown in turns.
      */
-    Window show() {
+    Window nextWindow() {
         if (!differs) {
             return null;
         }
-        int first = next < instances ? next : 0;
-        next = first + Window.MAX_BITS;
-        int end = Math.min(instances, next);
-        byte[] bits = told.get(first, end).toByteArray();
-        return new Window(first, Arrays.copyOf(bits, (end - first + 7) / 8));
+        int first = nextWindowStart < instances ? nextWindowStart : 0;
+        nextWindowStart = first + Window.MAX_BITS;
+        int end = Math.min(instances, nextWindowStart);
+        byte[] bits = knownDead.get(first, end).toByteArray();
+        int length = (end - first + Byte.SIZE - 1) / Byte.SIZE;
+        return new Window(first, Arrays.copyOf(bits, length));
     }
 
     /**
-     * Says of those in whom the one that asks differs what is held here, the dead first.
+     * Fills a message with updates of the instances in which a received window differs from this
+     * instance's set: first those that are dead here, then those that are live.
      *
-     * @param self this instance, which says so
-     * @param shown what it holds
-     * @param start where to begin, so that all have their turn where there is no room for all
+     * @param self this instance, which answers for the dead
+     * @param start where to begin, so that all have their turn where not all fit
      */
-    void answer(int self, Window shown, Member[] members, int start, GossipMessage letter) {
-        int count = shown.end(instances) - shown.first();
-        for (int wanted = 0; wanted < 2; wanted++) {
-            for (int i = 0; i < count && !letter.isFull(); i++) {
-                int number = shown.first() + (start + i) % count;
-                boolean held = dead.get(number);
-                if (held != shown.dead(number) && held == (wanted == 0)) {
-                    letter.add(new MemberUpdate(members[number], held ? self : number));
-                }
+    void fillDifferences(
+            int self, Window received, Member[] members, int start, GossipMessage message) {
+        addDifferences(true, self, received, members, start, message);
+        addDifferences(false, self, received, members, start, message);
+    }
+
+    private void addDifferences(
+            boolean deadHere,
+            int self,
+            Window received,
+            Member[] members,
+            int start,
+            GossipMessage message) {
+        int count = received.end(instances) - received.first();
+        for (int i = 0; i < count && !message.isFull(); i++) {
+            int number = received.first() + (start + i) % count;
+            if (dead.get(number) == deadHere && received.isDead(number) != deadHere) {
+                message.add(new MemberUpdate(members[number], deadHere ? self : number));
             }
         }
     }
--- a/core/src/main/java/cedarrudder/membership/Suspicion.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicion.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * How long one instance is suspected before it counts as dead: long at first, shorter with each
- * other instance that says the same (Lifeguard, "LHA-Suspicion"). This avoids one instance that
- * hears nothing itself declaring all others dead.
+ * How long an instance is suspected before it is declared dead: long at first, shorter with each
+ * other instance that confirms it (Lifeguard, "LHA-Suspicion"). This avoids an instance that hears
+ * nothing declaring all others dead.
  */
 final class Suspicion {
 
@@ -14,46 +14,46 @@
     private final double max;
     private final int confirmations;
     private final Set<Integer> accusers = new HashSet<>();
-    private long since;
+    private long startedAt;
     private long deadAt = Long.MAX_VALUE;
 
     /**
-     * @param accuser the first instance that said so, which confirms nothing
+     * @param accuser the first instance that suspects it, which confirms nothing
      */
     Suspicion(long now, int accuser, double min, double max, int confirmations) {
-        this.since = now;
+        this.startedAt = now;
         this.min = min;
         this.max = max;
         this.confirmations = confirmations;
         addAccuser(accuser, now);
     }
 
-    /** Another one says so too; whether that is news which is worth telling. */
+    /** Another instance suspects it too; whether that is new, and to be passed on. */
     boolean addAccuser(int accuser, long now) {
         if (accusers.size() > confirmations || !accusers.add(accuser)) {
             return false;
         }
         double share = Math.log(accusers.size()) / Math.log(confirmations + 1.0);
-        long until = since + (long) Math.max(min, max - (max - min) * share);
+        long until = startedAt + (long) Math.max(min, max - (max - min) * share);
         deadAt = Math.min(deadAt, Math.max(now, until));
         return true;
     }
 
     /**
-     * Another one has waited for as long as it takes: it lasts no longer than with all
-     * confirmations.
+     * Another instance has waited as long as it takes and declares it dead: the suspicion lasts no
+     * longer than with all confirmations.
      */
     void shorten(long now) {
-        deadAt = Math.min(deadAt, Math.max(now, since + (long) min));
+        deadAt = Math.min(deadAt, Math.max(now, startedAt + (long) min));
     }
 
-    /** It lasts this much longer. */
+    /** The suspicion lasts this much longer. */
     void extend(long length) {
-        since += length;
+        startedAt += length;
         deadAt += length;
     }
 
-    /** When it counts as dead. */
+    /** When the instance is to be declared dead. */
     long deadAt() {
         return deadAt;
     }
--- a/core/src/main/java/cedarrudder/membership/Suspicions.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicions.java
@@ -5,17 +5,18 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** Those that are suspected, how long each still is, and whose turn it is to be asked. */
+/** The suspected instances, how long each still is, and which one is pinged next. */
 final class Suspicions {
 
     private final NavigableMap<Integer, Suspicion> byNumber = new TreeMap<>();
-    private int asked;
+    private int lastProbed;
 
     /**
-     * @param start where to begin to ask; another one for each, so that not all ask the same first
+     * @param start the instance to begin with; each replica has another, so that not all ping the
+     *     same one first
      */
     Suspicions(int start) {
-        asked = start;
+        lastProbed = start;
     }
 
     void put(int number, Suspicion suspicion) {
@@ -26,12 +27,12 @@
         byNumber.remove(number);
     }
 
-    /** Another one says so too; whether that is news which is worth telling. */
-    boolean confirmed(int number, int accuser, long now) {
+    /** Another instance suspects it too; whether that is new, and to be passed on. */
+    boolean confirm(int number, int accuser, long now) {
         return byNumber.get(number).addAccuser(accuser, now);
     }
 
-    /** Another one holds it as dead. */
+    /** Another instance declares it dead. */
     void shorten(int number, long now) {
         byNumber.get(number).shorten(now);
     }
@@ -44,8 +45,8 @@
         return byNumber.size();
     }
 
-    /** When the first of them counts as dead. */
-    long due() {
+    /** When the first of them is to be declared dead. */
+    long nextDeadline() {
         long due = Long.MAX_VALUE;
         for (Suspicion suspicion : byNumber.values()) {
             due = Math.min(due, suspicion.deadAt());
@@ -53,7 +54,7 @@
         return due;
     }
 
-    /** Those that count as dead by now. */
+    /** Those that are to be declared dead by now. */
     List<Integer> expired(long now) {
         List<Integer> over = new ArrayList<>();
         byNumber.forEach(
@@ -65,14 +66,14 @@
         return over;
     }
 
-    /** The next to be asked; there must be one. */
-    int next() {
-        Integer number = byNumber.higherKey(asked);
-        asked = number != null ? number : byNumber.firstKey();
-        return asked;
+    /** The next to be pinged; there must be one. */
+    int nextToProbe() {
+        Integer number = byNumber.higherKey(lastProbed);
+        lastProbed = number != null ? number : byNumber.firstKey();
+        return lastProbed;
     }
 
-    /** All of them last this much longer: nothing could be heard meanwhile. */
+    /** All suspicions last this much longer: nothing could be heard meanwhile. */
     void extend(long length) {
         byNumber.values().forEach(suspicion -> suspicion.extend(length));
     }
--- a/core/src/main/java/cedarrudder/membership/Varint.java
+++ b/core/src/main/java/cedarrudder/membership/Varint.java
@@ -4,8 +4,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Whole numbers in as few bytes as they need: seven bits a byte, the lowest first. One number, one
- * form.
+ * Integers of variable length (LEB128, as in Protocol Buffers): seven bits a byte, the lowest
+ * first. Each number has one valid form.
  */
 public final class Varint {
 
@@ -23,7 +23,7 @@
         out.put((byte) rest);
     }
 
-    /** How many bytes that takes. */
+    /** How many bytes a number takes. */
     public static int size(long value) {
         return Math.max(1, (70 - Long.numberOfLeadingZeros(value)) / 7);
     }
@@ -31,8 +31,7 @@
     /**
      * Reads a number.
      *
-     * @throws BufferUnderflowException if it does not end, or has another form than {@link #put}
-     *     gives it
+     * @throws BufferUnderflowException if it does not end, or is not in its shortest form
      */
     public static long get(ByteBuffer in) {
         long value = 0;
@@ -49,12 +48,12 @@
         throw new BufferUnderflowException();
     }
 
-    /** A number that may be negative, as one that is not: small where it is near to zero. */
+    /** Encodes a signed number so that numbers near to zero are short. */
     public static long zigZagEncode(long value) {
         return value << 1 ^ value >> 63;
     }
 
-    /** What was folded. */
+    /** Decodes what {@link #zigZagEncode} encoded. */
     public static long zigZagDecode(long value) {
         return value >>> 1 ^ -(value & 1);
     }
--- a/core/src/test/java/cedarrudder/conventions/ConventionsTest.java
+++ b/core/src/test/java/cedarrudder/conventions/ConventionsTest.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** What the project holds its own sources to. */
@@ -30,11 +31,18 @@
         assertEquals(List.of(), longer);
     }
 
+    /** The packages whose classes decide, which the bench's snapshots are to hold whole. */
+    private static final List<Path> DECIDING =
+            Stream.of("balancer", "admission")
+                    .map(name -> Path.of("core/src/main/java/cedarrudder", name))
+                    .toList();
+
     /**
-     * The bench prints and keeps the text of these files, so each has to be there, and none twice.
+     * The bench prints and keeps the text of the policy files: each source of the packages that
+     * decide has to be one, each has to be there, and none twice.
      */
     @Test
-    void thePolicyFilesAreThere() throws IOException {
+    void thePolicyFilesAreAllThatDecide() throws IOException {
         String deploy = Files.readString(Path.of("deploy", "balancer.toml"));
         String policy = deploy.substring(deploy.indexOf("policy"), deploy.indexOf(']'));
         List<Path> files =
@@ -46,5 +54,16 @@
         assertTrue(files.size() >= 4, "only " + files);
         assertEquals(files.stream().distinct().toList(), files);
         assertEquals(List.of(), files.stream().filter(file -> !Files.isRegularFile(file)).toList());
+        assertEquals(deciding(), files.stream().sorted().toList());
+    }
+
+    private static List<Path> deciding() throws IOException {
+        List<Path> sources = new ArrayList<>();
+        for (Path folder : DECIDING) {
+            try (Stream<Path> files = Files.list(folder)) {
+                files.filter(file -> !file.endsWith("package-info.java")).forEach(sources::add);
+            }
+        }
+        return sources.stream().sorted().toList();
     }
 }
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -53,7 +53,8 @@
                         .toList();
         return List.of(
                 new DrainRequest(true, max).encode(),
-                new DrainCommand.PolicyChunk(Long.MAX_VALUE, -1, 1, 2, new byte[DrainCommand.PART])
+                new DrainCommand.PolicyChunk(
+                                Long.MAX_VALUE, -1, 1, 2, new byte[DrainCommand.CHUNK_BYTES])
                         .encode(),
                 new Step(
                                 3,
@@ -133,7 +134,7 @@
                         .mapToObj(i -> new DrainReport.Calls((int) (i * (max / 16)), max))
                         .toList();
         List<Long> some =
-                LongStream.range(0, DrainReport.maxSome())
+                LongStream.range(0, DrainReport.maxDisabledSample())
                         .mapToObj(i -> DrainStateMachine.MAX_NODE)
                         .toList();
         byte[] largest =
@@ -178,7 +179,7 @@
             PolicyCodec.decode(bytes);
         }
         assertNull(DrainCommand.decode(new byte[0]));
-        drains.next(0, 0, List.of(), replica -> true);
+        drains.nextCommand(0, 0, List.of(), replica -> true);
         assertNotNull(drains.progress());
     }
 
--- a/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public int calls(long node) {
+        public int openCalls(long node) {
             return calls.getOrDefault(node, 0);
         }
 
@@ -113,9 +113,9 @@
                     .forEach(part -> leader.drains.onReport(now, replica == leader ? 0 : 1, part));
         }
         for (Copy replica : speak) {
-            commit(replica.drains.wantedCommand());
+            commit(replica.drains.nextPolicyCommand());
         }
-        commit(leader.drains.next(now, utc, nodes.values(), replica -> true));
+        commit(leader.drains.nextCommand(now, utc, nodes.values(), replica -> true));
     }
 
     private void commit(byte[] command) {
@@ -132,8 +132,8 @@
     }
 
     private void start(DrainPolicy policy, Long... asked) {
-        leader.drains.policies(1, List.of(policy));
-        commit(DrainCoordinator.call(false, List.of(asked)));
+        leader.drains.setPolicies(1, List.of(policy));
+        commit(DrainCoordinator.drainRequest(false, List.of(asked)));
         turns(4);
     }
 
@@ -151,15 +151,15 @@
         assertEquals(in(DrainState.WAITING), 1);
         assertEquals(other.drains.drainingNodes(), leader.drains.drainingNodes());
         assertEquals(
-                leader.drains.progress().told().waits(),
+                leader.drains.progress().status().blocked(),
                 List.of(new DrainCommand.BlockedBy(0, DrainCommand.Bound.TIER, 1)));
     }
 
     /** Detects a wave that begins on the word of some. */
     @Test
     public void aLiveCopyThatSaysNothingHoldsWavesUp() {
-        leader.drains.policies(1, List.of(policy(2, "", "", 6)));
-        commit(DrainCoordinator.call(false, List.of(0L)));
+        leader.drains.setPolicies(1, List.of(policy(2, "", "", 6)));
+        commit(DrainCoordinator.drainRequest(false, List.of(0L)));
         for (int i = 0; i < 10; i++) {
             turn(leader);
         }
@@ -207,7 +207,7 @@
     public void aPolicyOfAHigherRevisionAtAnyCopyCountsForAllInTheMidstOfAWave() {
         leader.calls.putAll(Map.of(0L, 1, 1L, 1));
         start(policy(3, "", "", 6), 0L, 1L, 2L, 3L);
-        other.drains.policies(2, List.of(policy(1, "", "", 6)));
+        other.drains.setPolicies(2, List.of(policy(1, "", "", 6)));
         turns(4);
         assertEquals(leader.drains.progress().revision(), 2);
         assertTrue(leader.drains.isOverruled());
@@ -229,11 +229,11 @@
     public void conditionsWindowsAndDeadNodesHoldWavesUp() {
         start(policy(2, "throws", "", 6), 0L);
         assertEquals(in(DrainState.WAITING), 1);
-        leader.drains.policies(2, List.of(policy(2, "", "", 6, new Window(1 << 3, 0, 60))));
+        leader.drains.setPolicies(2, List.of(policy(2, "", "", 6, new Window(1 << 3, 0, 60))));
         turns(4);
         assertEquals(in(DrainState.WAITING), 1);
         nodes.computeIfPresent(5L, (id, node) -> node.with(Standing.FAILED));
-        leader.drains.policies(3, List.of(policy(2, "", "", 0, new Window(1 << 3, 0, 60))));
+        leader.drains.setPolicies(3, List.of(policy(2, "", "", 0, new Window(1 << 3, 0, 60))));
         turns(4);
         utc = 3_600_000;
         turns(4);
@@ -278,7 +278,7 @@
         turns(12);
         assertEquals(in(DrainState.OVERDUE), 1);
         assertEquals(
-                leader.drains.progress().told().still(),
+                leader.drains.progress().status().remaining(),
                 List.of(new DrainCommand.RemainingCalls(1, 1, 1)));
         other.calls.clear();
         turns(2);
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -79,7 +79,7 @@
             drains =
                     new DrainCoordinator(
                             replicas, number, DrainSettings.DEFAULT, CONDITIONS, this, now);
-            drains.policies(1, policies);
+            drains.setPolicies(1, policies);
             applied = 0;
             calls.clear();
             leaving.clear();
@@ -117,7 +117,7 @@
         }
 
         @Override
-        public int calls(long node) {
+        public int openCalls(long node) {
             return calls.getOrDefault(node, 0);
         }
 
@@ -253,7 +253,7 @@
             at(now + random.nextLong(PERIOD), () -> reports(replica));
         }
         at(now, this::leads);
-        at(now, () -> propose(all.get(0).drains.wantedCommand()));
+        at(now, () -> propose(all.get(0).drains.nextPolicyCommand()));
         at(now, this::sends);
         for (int i = 0; i < 12; i++) {
             at(now + random.nextLong(faults), this::fault);
@@ -271,7 +271,9 @@
                                             .limit(13)
                                             .toList();
                             if (!some.isEmpty()) {
-                                propose(DrainCoordinator.call(random.nextInt(4) == 0, some));
+                                propose(
+                                        DrainCoordinator.drainRequest(
+                                                random.nextInt(4) == 0, some));
                             }
                         }
                     });
@@ -332,7 +334,8 @@
             leads.catchUp();
             if (waitsFor < 0 || log.size() > waitsFor) {
                 byte[] command =
-                        leads.drains.next(now, START / MILLI, nodes.values(), this::seenLive);
+                        leads.drains.nextCommand(
+                                now, START / MILLI, nodes.values(), this::seenLive);
                 if (command != null) {
                     waitsFor = log.size();
                     propose(command);
@@ -398,7 +401,7 @@
         if (each.event() == DrainEvent.EMPTY) {
             emptied++;
             for (Copy replica : all) {
-                if (replica.live && replica.calls(each.node()) > 0) {
+                if (replica.live && replica.openCalls(each.node()) > 0) {
                     wrong(
                             "node "
                                     + each.node()
@@ -442,7 +445,7 @@
                     counted.add(node, out.contains(node.id()));
                 }
             }
-            if (counted.over()) {
+            if (counted.isExceeded()) {
                 wrong("more are out than " + policy.name() + " allows: " + out);
             }
         }
--- a/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
@@ -16,6 +16,8 @@
  */
 public class DrainTransitionsTest {
 
+    private static final int FIRST_SLOT = 1;
+
     private static final long NODE = 7;
 
     /**
@@ -56,7 +58,7 @@
                             List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.STOPPED));
 
     private static void happens(DrainStateMachine agreed, DrainEvent event) {
-        DrainStateMachine.Drain drain = agreed.of(NODE);
+        Drain drain = agreed.drainInSlot(FIRST_SLOT);
         agreed.apply(
                 event == DrainEvent.ASKED || event == DrainEvent.CANCELLED
                         ? new DrainRequest(event == DrainEvent.CANCELLED, List.of(NODE)).encode()
@@ -64,7 +66,10 @@
                                         agreed.version(),
                                         0,
                                         List.of(),
-                                        List.of(Change.of(event, drain == null ? 1 : drain.slot)),
+                                        List.of(
+                                                Change.of(
+                                                        event,
+                                                        drain == null ? FIRST_SLOT : drain.slot)),
                                         WaveStatus.NOTHING)
                                 .encode());
     }
--- a/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
@@ -221,7 +221,7 @@
                                                 OnDeadline.LET_GO)),
                                 DrainSimulation.CONDITIONS,
                                 null)
-                        .both()
+                        .overlapping()
                         .get(0)
                         .stricter(),
                 List.of("out_per_pod of 'q'", "left.per_pod of 'q'"));
--- a/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
@@ -396,15 +396,20 @@
         play.assessment.onObservations(0, says(5));
         play.assessment.onObservations(0, says(6));
         assertFalse(
-                play.assessment.snapshot(0).zones().get(1).bad().contains(1), "one copy's word");
+                play.assessment.snapshot(0).zones().get(1).unhealthyFor().contains(1),
+                "one copy's word");
         play.assessment.onObservations(0, says(7, 1));
         assertTrue(
-                play.assessment.snapshot(0).zones().get(1).bad().contains(1), "two copies' word");
+                play.assessment.snapshot(0).zones().get(1).unhealthyFor().contains(1),
+                "two copies' word");
         play = new Play();
         for (int replica = 4; replica < 8; replica++) {
             play.assessment.onObservations(0, says(replica, 0, 1, 2, 3, 4));
         }
-        assertEquals(play.assessment.snapshot(0).zones().get(1).bad(), Set.of(), "served nowhere");
+        assertEquals(
+                play.assessment.snapshot(0).zones().get(1).unhealthyFor(),
+                Set.of(),
+                "served nowhere");
     }
 
     /** What an operator leaves goes as a loss does, but nothing of it is rejected. */
@@ -435,11 +440,11 @@
         play.silent.addAll(List.of(4, 5, 6, 7));
         play.seconds(4);
         ZoneHealthSnapshot picture = play.assessment.snapshot(play.now);
-        assertEquals(picture.zones().get(1).fresh(), 0);
-        assertEquals(picture.away().size(), REPLICAS);
-        assertEquals(picture.zones().get(1).state(), ZoneState.WELL, "others are served there");
+        assertEquals(picture.zones().get(1).freshReplicas(), 0);
+        assertEquals(picture.unreachable().size(), REPLICAS);
+        assertEquals(picture.zones().get(1).state(), ZoneState.HEALTHY, "others are served there");
         assertEquals(play.moves, List.of());
         play.assessment.lapse(play.now, replica -> play.now - 1);
-        assertEquals(play.assessment.snapshot(play.now).away(), List.of());
+        assertEquals(play.assessment.snapshot(play.now).unreachable(), List.of());
     }
 }
--- a/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
+++ b/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
@@ -51,7 +51,7 @@
                             }
 
                             @Override
-                            public void changed(Member before, Member after) {
+                            public void onMemberChanged(Member before, Member after) {
                                 digest.add(
                                         number
                                                 + ":"
@@ -59,7 +59,7 @@
                                                 + ":"
                                                 + after.incarnation()
                                                 + ":"
-                                                + after.standing().ordinal());
+                                                + after.state().ordinal());
                             }
                         },
                         now);
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.membership.Member.Standing;
+import cedarrudder.membership.Member.State;
 import cedarrudder.membership.SwimMessage.Kind;
 import cedarrudder.membership.SwimMessage.MemberUpdate;
 import java.nio.ByteBuffer;
@@ -46,13 +46,13 @@
                             @Override
                             public void send(int to, byte[] message) {
                                 assertTrue(
-                                        message.length <= SwimMessage.MAX_BYTES,
+                                        message.length <= SwimCodec.MAX_BYTES,
                                         message.length + " bytes");
-                                sent.add(new Sent(to, SwimMessage.decode(message, instances)));
+                                sent.add(new Sent(to, SwimCodec.decode(message, instances)));
                             }
 
                             @Override
-                            public void changed(Member before, Member after) {
+                            public void onMemberChanged(Member before, Member after) {
                                 changes.add(after);
                             }
                         },
@@ -71,7 +71,9 @@
             int subject,
             MemberUpdate... news) {
         swim.onDatagram(
-                now, from, packet(kind, question, from, incarnation, subject, news).encode());
+                now,
+                from,
+                SwimCodec.encode(packet(kind, question, from, incarnation, subject, news)));
     }
 
     private static SwimMessage packet(
@@ -84,7 +86,7 @@
         return new SwimMessage(kind, question, from, incarnation, subject, 0, null, List.of(news));
     }
 
-    private static MemberUpdate news(int number, long incarnation, Standing standing, int accuser) {
+    private static MemberUpdate news(int number, long incarnation, State standing, int accuser) {
         return new MemberUpdate(new Member(number, incarnation, standing), accuser);
     }
 
@@ -117,29 +119,29 @@
         start(5);
         Sent first = await(Kind.PING);
         int target = first.to;
-        Sent help = await(Kind.PING_FOR);
+        Sent help = await(Kind.PING_REQUEST);
         assertEquals(help.packet.subject(), target);
-        while (swim.member(target).standing() == Standing.ALIVE) {
+        while (swim.member(target).state() == State.ALIVE) {
             now = swim.nextTickAt();
             swim.tick(now);
         }
-        assertEquals(swim.member(target).standing(), Standing.SUSPECT);
+        assertEquals(swim.member(target).state(), State.SUSPECT);
         assertEquals(swim.liveCount(), 5);
         while (swim.member(target).isLive()) {
             now = swim.nextTickAt();
             swim.tick(now);
         }
-        assertTrue(changes.contains(new Member(target, 0, Standing.DEAD)), changes.toString());
+        assertTrue(changes.contains(new Member(target, 0, State.DEAD)), changes.toString());
     }
 
     @Test
     public void anAnswerThroughAHelperCounts() {
         start(4);
         Sent first = await(Kind.PING);
-        Sent help = await(Kind.PING_FOR);
+        Sent help = await(Kind.PING_REQUEST);
         hear(help.to, Kind.ACK, help.packet.sequence(), 1, first.to);
         await(Kind.PING);
-        assertEquals(swim.member(first.to).standing(), Standing.ALIVE);
+        assertEquals(swim.member(first.to).state(), State.ALIVE);
         assertEquals(swim.health(), 0);
     }
 
@@ -151,7 +153,7 @@
         hear(other, Kind.ACK, first.packet.sequence(), 1, first.to);
         hear(first.to % 3 + 1, Kind.ACK, first.packet.sequence() + 1, 1, other);
         awaitAfter(first);
-        assertEquals(swim.member(first.to).standing(), Standing.SUSPECT);
+        assertEquals(swim.member(first.to).state(), State.SUSPECT);
     }
 
     @Test
@@ -173,7 +175,7 @@
         Sent asked = await(Kind.PING);
         for (int i = 0; i < times; i++) {
             if (again) {
-                await(Kind.PING_FOR);
+                await(Kind.PING_REQUEST);
             }
             hear(asked.to, Kind.ACK, asked.packet.sequence(), 1, asked.to);
             sent.clear();
@@ -186,7 +188,7 @@
         start(20);
         Sent asked = answerAll(60, lossy);
         long began = now;
-        while (swim.member(asked.to).standing() == Standing.ALIVE) {
+        while (swim.member(asked.to).state() == State.ALIVE) {
             hear(asked.to % 19 + 1, Kind.NACK, 0, 1, asked.to); // it is not deaf
             now = swim.nextTickAt();
             swim.tick(now);
@@ -214,7 +216,7 @@
             swim.tick(now);
             again += sent.stream().anyMatch(s -> s.to == asked.to) ? 1 : 0;
         }
-        assertEquals(swim.member(asked.to).standing(), Standing.ALIVE);
+        assertEquals(swim.member(asked.to).state(), State.ALIVE);
         assertTrue(again <= 1, "asked " + again + " times more");
     }
 
@@ -223,14 +225,13 @@
     public void whoStoodStillAccusesAndBuriesNobody() {
         start(5);
         await(Kind.PING);
-        hear(1, Kind.NACK, 0, 1, 1, news(2, 3, Standing.SUSPECT, 1));
+        hear(1, Kind.NACK, 0, 1, 1, news(2, 3, State.SUSPECT, 1));
         now += 60 * SECOND;
         swim.tick(now);
         assertEquals(
-                changes,
-                List.of(new Member(1, 1, Standing.ALIVE), new Member(2, 3, Standing.SUSPECT)));
+                changes, List.of(new Member(1, 1, State.ALIVE), new Member(2, 3, State.SUSPECT)));
         hear(2, Kind.PING, 1, 4, 0);
-        assertEquals(swim.member(2).standing(), Standing.ALIVE);
+        assertEquals(swim.member(2).state(), State.ALIVE);
     }
 
     @Test
@@ -238,13 +239,13 @@
         long[] until = new long[2];
         for (int confirmed = 0; confirmed < 2; confirmed++) {
             start(50);
-            hear(1, Kind.ACK, 99, 1, 1, news(9, 3, Standing.SUSPECT, 1));
+            hear(1, Kind.ACK, 99, 1, 1, news(9, 3, State.SUSPECT, 1));
             for (int accuser = 2; accuser < 2 + 3 * confirmed; accuser++) {
-                hear(accuser, Kind.ACK, 99, 1, accuser, news(9, 3, Standing.SUSPECT, accuser));
+                hear(accuser, Kind.ACK, 99, 1, accuser, news(9, 3, State.SUSPECT, accuser));
             }
             // The same again and again confirms nothing.
             for (int i = 0; i < 10; i++) {
-                hear(1, Kind.ACK, 99, 1, 1, news(9, 3, Standing.SUSPECT, 1));
+                hear(1, Kind.ACK, 99, 1, 1, news(9, 3, State.SUSPECT, 1));
             }
             long began = now;
             while (swim.member(9).isLive()) {
@@ -259,17 +260,17 @@
     @Test
     public void whatIsSaidOfItselfIsContradicted() {
         start(3);
-        hear(1, Kind.PING, 5, 1, 0, news(0, INCARNATION, Standing.SUSPECT, 2));
+        hear(1, Kind.PING, 5, 1, 0, news(0, INCARNATION, State.SUSPECT, 2));
         Sent answer = await(Kind.ACK);
         assertEquals(answer.packet.incarnation(), INCARNATION + 1);
         assertTrue(
-                answer.packet.updates().contains(news(0, INCARNATION + 1, Standing.ALIVE, 0)),
+                answer.packet.updates().contains(news(0, INCARNATION + 1, State.ALIVE, 0)),
                 answer.toString());
         // An older life of its own had a larger number: it takes the next.
-        hear(1, Kind.PING, 6, 1, 0, news(0, INCARNATION + 70, Standing.DEAD, 2));
+        hear(1, Kind.PING, 6, 1, 0, news(0, INCARNATION + 70, State.DEAD, 2));
         assertEquals(await(Kind.ACK).packet.incarnation(), INCARNATION + 71);
         // Old claims change nothing.
-        hear(1, Kind.PING, 7, 1, 0, news(0, INCARNATION + 70, Standing.DEAD, 2));
+        hear(1, Kind.PING, 7, 1, 0, news(0, INCARNATION + 70, State.DEAD, 2));
         assertEquals(await(Kind.ACK).packet.incarnation(), INCARNATION + 71);
         assertEquals(swim.counts().refuted(), 2);
     }
@@ -278,17 +279,17 @@
     public void anOldLifeIsNeverBelievedAgain() {
         start(4);
         hear(1, Kind.PING, 1, 10, 0);
-        hear(2, Kind.PING, 1, 5, 0, news(1, 10, Standing.DEAD, 1));
+        hear(2, Kind.PING, 1, 5, 0, news(1, 10, State.DEAD, 1));
         assertFalse(swim.member(1).isLive());
         // Late messages of the life that has ended, by itself and by others.
         hear(1, Kind.PING, 2, 10, 0);
         hear(1, Kind.PING, 2, 9, 0);
-        hear(3, Kind.PING, 3, 5, 0, news(1, 10, Standing.ALIVE, 1), news(2, 4, Standing.DEAD, 3));
+        hear(3, Kind.PING, 3, 5, 0, news(1, 10, State.ALIVE, 1), news(2, 4, State.DEAD, 3));
         assertFalse(swim.member(1).isLive());
         assertTrue(swim.member(2).isLive(), "death of a life before this one");
         hear(1, Kind.PING, 2, 11, 0);
         assertTrue(swim.member(1).isLive());
-        hear(3, Kind.PING, 3, 5, 0, news(1, 10, Standing.DEAD, 3));
+        hear(3, Kind.PING, 3, 5, 0, news(1, 10, State.DEAD, 3));
         assertTrue(swim.member(1).isLive());
     }
 
@@ -298,7 +299,7 @@
     @Test
     public void twoThatDifferInTheDeadTellOneAnother() {
         start(30);
-        hear(2, Kind.PING, 1, 5, 0, news(1, 10, Standing.DEAD, 1), news(9, 20, Standing.DEAD, 9));
+        hear(2, Kind.PING, 1, 5, 0, news(1, 10, State.DEAD, 1), news(9, 20, State.DEAD, 9));
         for (int i = 0; i < 50; i++) {
             hear(2, Kind.PING, 1, 5, 0); // until that news has gone out often enough
         }
@@ -309,7 +310,8 @@
         swim.onDatagram(
                 now,
                 3,
-                new SwimMessage(
+                SwimCodec.encode(
+                        new SwimMessage(
                                 Kind.PING,
                                 8,
                                 3,
@@ -317,18 +319,18 @@
                                 0,
                                 77,
                                 new SwimMessage.Window(0, held),
-                                List.of())
-                        .encode());
+                                List.of())));
         assertEquals(
                 await(Kind.ACK).packet.updates(),
-                List.of(news(1, 10, Standing.DEAD, 0), news(18, 0, Standing.ALIVE, 18)));
+                List.of(news(1, 10, State.DEAD, 0), news(18, 0, State.ALIVE, 18)));
         // Its own next question shows what it holds, until the digests agree.
         SwimMessage shown = await(Kind.PING).packet;
         assertEquals(shown.window().bits(), new byte[] {2, 2, 0, 0});
         swim.onDatagram(
                 now,
                 3,
-                new SwimMessage(Kind.NACK, 0, 3, 5, 0, shown.digest(), null, List.of()).encode());
+                SwimCodec.encode(
+                        new SwimMessage(Kind.NACK, 0, 3, 5, 0, shown.digest(), null, List.of())));
         sent.clear();
         assertNull(await(Kind.PING).packet.window());
     }
@@ -341,9 +343,9 @@
     public void aClaimOfDeathIsNotBelievedAtOnce() {
         start(30);
         hear(9, Kind.NACK, 0, 20, 9);
-        hear(2, Kind.NACK, 0, 5, 2, news(9, 20, Standing.DEAD, 2));
-        hear(3, Kind.NACK, 0, 5, 3, news(9, 20, Standing.DEAD, 3));
-        assertEquals(swim.member(9).standing(), Standing.SUSPECT);
+        hear(2, Kind.NACK, 0, 5, 2, news(9, 20, State.DEAD, 2));
+        hear(3, Kind.NACK, 0, 5, 3, news(9, 20, State.DEAD, 3));
+        assertEquals(swim.member(9).state(), State.SUSPECT);
         long began = now;
         while (swim.member(9).isLive()) {
             hear(2, Kind.NACK, 0, 5, 2);
@@ -355,7 +357,7 @@
                 now - began, min, MembershipSettings.DEFAULT.period(), "the shortest suspicion");
         // Of a life that was never heard of it is: so one that starts learns whom the others
         // buried.
-        hear(2, Kind.NACK, 0, 5, 2, news(8, 20, Standing.DEAD, 2));
+        hear(2, Kind.NACK, 0, 5, 2, news(8, 20, State.DEAD, 2));
         assertFalse(swim.member(8).isLive());
     }
 
@@ -390,7 +392,7 @@
     @Test
     public void itAsksForOthersAndTellsOfSilence() {
         start(4, new MembershipSettings(3600 * SECOND, SECOND, 3, 4, 4, 3, 3, 8, 10));
-        hear(1, Kind.PING_FOR, 41, 1, 2);
+        hear(1, Kind.PING_REQUEST, 41, 1, 2);
         Sent asked = await(Kind.PING);
         assertEquals(asked.to, 2);
         Sent nack = await(Kind.NACK);
@@ -409,7 +411,7 @@
     public void aFloodOfQuestionsForOthersIsBounded() {
         start(4, new MembershipSettings(3600 * SECOND, SECOND, 3, 4, 4, 3, 3, 8, 10));
         for (int i = 0; i < 1_000; i++) {
-            hear(1, Kind.PING_FOR, i, 1, 2);
+            hear(1, Kind.PING_REQUEST, i, 1, 2);
         }
         assertEquals(sent.size(), 64);
         assertEquals(swim.counts().relaysRefused(), 936);
@@ -427,7 +429,7 @@
                                 s ->
                                         s.packet
                                                 .updates()
-                                                .contains(news(0, INCARNATION, Standing.DEAD, 0))),
+                                                .contains(news(0, INCARNATION, State.DEAD, 0))),
                 sent.toString());
         sent.clear();
         hear(1, Kind.PING, 1, 1, 0);
@@ -439,10 +441,10 @@
     @Test
     public void aSenderThatNamesAnotherIsNotBelieved() {
         start(4);
-        byte[] forged = packet(Kind.PING, 1, 2, 9, 0, news(3, 9, Standing.DEAD, 3)).encode();
+        byte[] forged = SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, news(3, 9, State.DEAD, 3)));
         swim.onDatagram(now, 1, forged);
         assertTrue(swim.member(3).isLive());
-        assertEquals(swim.counts().notItsSender(), 1);
+        assertEquals(swim.counts().wrongSender(), 1);
         assertTrue(sent.isEmpty());
     }
 
@@ -452,12 +454,12 @@
     @Test
     public void aTurnedBitAnywhereIsNoMessage() {
         start(6);
-        byte[] good = packet(Kind.PING, 1, 2, 9, 0, news(3, 9, Standing.ALIVE, 3)).encode();
-        assertNotNull(SwimMessage.decode(good, 6));
+        byte[] good = SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, news(3, 9, State.ALIVE, 3)));
+        assertNotNull(SwimCodec.decode(good, 6));
         for (int bit = 0; bit < 8 * good.length; bit++) {
             byte[] turned = good.clone();
             turned[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(SwimMessage.decode(turned, 6), "bit " + bit);
+            assertNull(SwimCodec.decode(turned, 6), "bit " + bit);
         }
     }
 
@@ -469,7 +471,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         start(6);
         byte[] good =
-                new SwimMessage(
+                SwimCodec.encode(
+                        new SwimMessage(
                                 Kind.PING,
                                 77,
                                 1,
@@ -478,9 +481,8 @@
                                 9,
                                 new SwimMessage.Window(0, new byte[] {12}),
                                 List.of(
-                                        news(3, 1L << 50, Standing.SUSPECT, 2),
-                                        news(4, 3, Standing.ALIVE, 4)))
-                        .encode();
+                                        news(3, 1L << 50, State.SUSPECT, 2),
+                                        news(4, 3, State.ALIVE, 4))));
         int read = 0;
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes;
@@ -500,12 +502,12 @@
             }
             if (bytes.length > 4) { // else hardly one would get past its checksum
                 java.nio.ByteBuffer.wrap(bytes)
-                        .putInt(bytes.length - 4, SwimMessage.checksum(bytes, bytes.length - 4));
+                        .putInt(bytes.length - 4, SwimCodec.checksum(bytes, bytes.length - 4));
             }
-            SwimMessage packet = SwimMessage.decode(bytes, 6);
+            SwimMessage packet = SwimCodec.decode(bytes, 6);
             if (packet != null) {
                 read++;
-                assertEquals(packet.encode(), bytes, "seed " + seed + ", number " + i);
+                assertEquals(SwimCodec.encode(packet), bytes, "seed " + seed + ", number " + i);
             }
             swim.onDatagram(now, random.nextInt(6), bytes);
             if (i % 1000 == 0) {
@@ -515,7 +517,7 @@
             }
         }
         assertTrue(read > 1_000, "only " + read + " were read");
-        assertNull(SwimMessage.decode(new byte[0], 6));
+        assertNull(SwimCodec.decode(new byte[0], 6));
         assertTrue(swim.liveCount() >= 1);
     }
 
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -90,7 +90,7 @@
                     "policies of " + bytes + " bytes as copies tell them",
                     "up to " + PolicyCodec.MAX_BYTES);
         }
-        return new DrainsConfiguration(revision, policies, result.both(), conditions);
+        return new DrainsConfiguration(revision, policies, result.overlapping(), conditions);
     }
 
     private static Fleet fleet(ConfigTable table) {
--- a/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
@@ -80,7 +80,7 @@
                 hold,
                 max,
                 (int) table.whole("moves_per_minute", MIN_MOVES, MAX_MOVES, usual.movesPerMinute()),
-                table.number("watch_share", 0, MAX_WATCH, usual.watchShare()));
+                table.number("watch_share", 0, MAX_WATCH, usual.probeShare()));
     }
 
     /**
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -30,7 +30,7 @@
         long period = CommonKeys.millis(table, "period_ms", MIN_PERIOD, MAX_PERIOD, usual.period());
         long patience =
                 CommonKeys.millis(
-                        table, "ack_patience_ms", MIN_PATIENCE, MAX_PERIOD, usual.ackPatience());
+                        table, "ack_patience_ms", MIN_PATIENCE, MAX_PERIOD, usual.ackTimeout());
         if (patience >= period) {
             table.problem(
                     "ack_patience_ms",
@@ -46,8 +46,8 @@
                         "suspicion_periods", MIN_SUSPICION, MAX_SUSPICION, usual.minSuspicion()),
                 table.number("suspicion_stretch", 1, MAX_STRETCH, usual.maxSuspicion()),
                 (int) table.whole("confirmations", 1, MAX_CONFIRMATIONS, usual.confirmations()),
-                (int) table.whole("spread", 1, MAX_SPREAD, usual.spread()),
-                (int) table.whole("worst_health", 0, MAX_HEALTH, usual.worstHealth()),
-                (int) table.whole("revive_periods", 1, MAX_REVIVE, usual.revivePeriods()));
+                (int) table.whole("spread", 1, MAX_SPREAD, usual.retransmitMultiplier()),
+                (int) table.whole("worst_health", 0, MAX_HEALTH, usual.maxHealth()),
+                (int) table.whole("revive_periods", 1, MAX_REVIVE, usual.deadProbePeriods()));
     }
 }
