--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -98,14 +98,14 @@
                         configuration.conditions(),
                         this,
                         now);
-        drains.policies(configuration.revision(), configuration.policies());
+        drains.setPolicies(configuration.revision(), configuration.policies());
         return this;
     }
 
     /** Sees to it that the policies of this replica's file count, where they may. */
     void proposePolicies(ReplicaCoordinator fleet) {
         loop.at(loop.now() + PROPOSAL_INTERVAL_NANOS, () -> proposePolicies(fleet));
-        byte[] wanted = drains == null ? null : drains.wantedCommand();
+        byte[] wanted = drains == null ? null : drains.nextPolicyCommand();
         if (wanted != null) {
             fleet.propose(wanted, PROPOSAL_INTERVAL_NANOS);
         }
@@ -124,7 +124,7 @@
         if (next != null) {
             configuration = next;
             if (drains != null) {
-                drains.policies(next.revision(), next.policies());
+                drains.setPolicies(next.revision(), next.policies());
             }
         }
     }
@@ -146,7 +146,7 @@
             call.openProposals++;
             Proposal made =
                     fleet.propose(
-                            DrainCoordinator.call(
+                            DrainCoordinator.drainRequest(
                                     cancel,
                                     nodes.subList(
                                             from,
@@ -210,7 +210,7 @@
 
     @Override
     public byte[] nextCommand(long now, TierView tier) {
-        return drains.next(now, view.wallClock(), view.nodes(), tier::isAlive);
+        return drains.nextCommand(now, view.wallClock(), view.nodes(), tier::isAlive);
     }
 
     @Override
@@ -241,7 +241,7 @@
     // ---- what this replica has ----
 
     @Override
-    public int calls(long node) {
+    public int openCalls(long node) {
         return attemptsInFlight.getOrDefault(node, 0);
     }
 
@@ -258,7 +258,7 @@
                 last.ended() - first.ended(),
                 last.refused() - first.refused(),
                 last.failed() - first.failed(),
-                last.late() - first.late());
+                last.deadlineMissed() - first.deadlineMissed());
     }
 
     @Override
@@ -279,7 +279,7 @@
                                     "event",
                                     event,
                                     "within",
-                                    happened.within() * 1_000_000)
+                                    happened.deadlineMillis() * 1_000_000)
                             : Map.of(
                                     "node",
                                     happened.node(),
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -66,7 +66,7 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("waiting");
-        for (BlockedBy each : progress.told().waits()) {
+        for (BlockedBy each : progress.status().blocked()) {
             json.writeStartObject();
             json.writeNumberField("nodes", each.nodes());
             json.writeStringField("for", written(each.bound()));
@@ -77,7 +77,7 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("still");
-        for (RemainingCalls each : progress.told().still()) {
+        for (RemainingCalls each : progress.status().remaining()) {
             if (slots.containsKey(each.slot())) {
                 json.writeStartObject();
                 json.writeStringField("node", name(node, slots.get(each.slot())));
@@ -93,7 +93,7 @@
         for (EndedDrain each : progress.ended()) {
             json.writeStartObject();
             json.writeStringField("node", name(node, each.node()));
-            json.writeStringField("how", written(each.how()));
+            json.writeStringField("how", written(each.event()));
             json.writeEndObject();
         }
         json.writeEndArray();
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -147,8 +147,8 @@
                                         .with(
                                                 "reason",
                                                 move.reason().name().toLowerCase(Locale.ROOT))
-                                        .with("bad", names(move.bad()))
-                                        .with("well", names(move.well()))
+                                        .with("bad", names(move.unhealthyFor()))
+                                        .with("well", names(move.healthyFor()))
                                         .write());
         loggedMoves = moves;
         return planned;
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.forwarding.TimerService;
 import cedarrudder.membership.Member;
-import cedarrudder.membership.Member.Standing;
+import cedarrudder.membership.Member.State;
 import cedarrudder.membership.MembershipSettings;
 import cedarrudder.membership.SwimMember;
 import java.util.Locale;
@@ -70,7 +70,7 @@
                             }
 
                             @Override
-                            public void changed(Member before, Member now) {
+                            public void onMemberChanged(Member before, Member now) {
                                 record(before, now);
                             }
                         },
@@ -137,20 +137,20 @@
     private void record(Member before, Member now) {
         if (history != null) {
             record(
-                    now.standing().name().toLowerCase(Locale.ROOT),
+                    now.state().name().toLowerCase(Locale.ROOT),
                     Map.of("about", now.number(), "number", now.incarnation()));
         }
-        if (before.standing() != now.standing()) {
-            livenessListener.onLivenessChanged(now.number(), now.standing() != Standing.DEAD);
-            if (now.standing() == Standing.SUSPECT) {
+        if (before.state() != now.state()) {
+            livenessListener.onLivenessChanged(now.number(), now.state() != State.DEAD);
+            if (now.state() == State.SUSPECT) {
                 loop.log().debug("member.suspect").with("copy", now.number()).write();
-            } else if (now.standing() == Standing.DEAD) {
+            } else if (now.state() == State.DEAD) {
                 loop.log()
                         .info("member.dead")
                         .with("copy", now.number())
                         .with("live", swim.liveCount())
                         .write();
-            } else if (before.standing() == Standing.DEAD) {
+            } else if (before.state() == State.DEAD) {
                 loop.log()
                         .info("member.back")
                         .with("copy", now.number())
--- a/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/VirtualRun.java
@@ -141,7 +141,7 @@
                             change.at(),
                             change.observer(),
                             incarnation(change.observer()),
-                            change.now().standing().name().toLowerCase(Locale.ROOT),
+                            change.now().state().name().toLowerCase(Locale.ROOT),
                             Map.of(
                                     "about",
                                     Integer.toString(change.now().number()),
--- a/lab/src/main/java/cedarrudder/lab/membership/FailureDetectionTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/FailureDetectionTrial.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.membership;
 
-import cedarrudder.membership.Member.Standing;
+import cedarrudder.membership.Member.State;
 import cedarrudder.membership.MembershipSettings;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -102,7 +102,7 @@
         Map<Long, Long> found = new HashMap<>();
         for (SwimSimulation.Change change : mesh.changes()) {
             int about = change.now().number();
-            if (change.now().standing() != Standing.DEAD) {
+            if (change.now().state() != State.DEAD) {
                 continue;
             }
             boolean died = dead.contains(about) && change.at() >= diedAt;
--- a/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/SwimSimulation.java
@@ -74,7 +74,7 @@
                                 }
 
                                 @Override
-                                public void changed(Member before, Member now) {
+                                public void onMemberChanged(Member before, Member now) {
                                     changes.add(new Change(now(), number, before, now));
                                 }
                             },
--- a/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.membership;
 
-import cedarrudder.membership.Member.Standing;
+import cedarrudder.membership.Member.State;
 import cedarrudder.membership.MembershipSettings;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -122,7 +122,7 @@
         boolean cut = kind == Kind.CUT || kind == Kind.ONE_WAY || kind == Kind.DEAF;
         for (SwimSimulation.Change change : mesh.changes()) {
             int about = change.now().number();
-            if (change.now().standing() != Standing.DEAD
+            if (change.now().state() != State.DEAD
                     || kind == Kind.LATE && inTrouble.contains(about)) {
                 continue;
             }
--- a/lab/src/test/java/cedarrudder/lab/cluster/CheckedHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/cluster/CheckedHistoriesTest.java
@@ -71,7 +71,7 @@
     public void oneThatNeverAsksTheDeadAgainIsCaught() {
         MembershipSettings never =
                 new MembershipSettings(
-                        SOUND.period(), SOUND.ackPatience(), 3, 4, 4, 3, 3, 8, 1_000_000);
+                        SOUND.period(), SOUND.ackTimeout(), 3, 4, 4, 3, 3, 8, 1_000_000);
         // A world whose two halves end up without anyone that both hold as live.
         Verdict verdict = VirtualRun.play(12, network(0), never, 5, SETTLE);
         assertCaught(verdict, "views", "as dead, which runs");
@@ -82,7 +82,7 @@
     public void oneThatFindsDeathsTooLateIsCaught() {
         MembershipSettings slow =
                 new MembershipSettings(
-                        SOUND.period(), SOUND.ackPatience(), 3, 100, 20, 16, 3, 8, 10);
+                        SOUND.period(), SOUND.ackTimeout(), 3, 100, 20, 16, 3, 8, 10);
         assertCaught(
                 VirtualRun.play(12, network(0), slow, 1, SETTLE),
                 "true deaths",
--- a/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/failover/FailoverRunTest.java
@@ -74,11 +74,11 @@
             ZoneHealthSnapshot picture = assessment.snapshot(now);
             List<ZoneRoute> shares = new ArrayList<>();
             for (int zone = 0; zone < Site.ZONES; zone++) {
-                ZoneHealthSnapshot.Zone seen = picture.zones().get(zone);
+                ZoneHealthSnapshot.ZoneHealth seen = picture.zones().get(zone);
                 boolean left =
                         oneWord
                                 ? accused.contains(zone)
-                                : seen.fresh() > 0
+                                : seen.freshReplicas() > 0
                                         && seen.state() == ZoneHealthSnapshot.ZoneState.LOST;
                 if (!left) {
                     for (int to = 0; to < Site.ZONES; to++) {
--- a/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.membership.Member.Standing;
+import cedarrudder.membership.Member.State;
 import cedarrudder.membership.MembershipSettings;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -34,7 +34,7 @@
     }
 
     private static List<SwimSimulation.Change> deaths(SwimSimulation mesh) {
-        return mesh.changes().stream().filter(c -> c.now().standing() == Standing.DEAD).toList();
+        return mesh.changes().stream().filter(c -> c.now().state() == State.DEAD).toList();
     }
 
     @Test
@@ -73,7 +73,7 @@
         mesh.leave(4);
         mesh.play(5 * SECOND);
         assertTrue(allAgree(mesh, 4, false));
-        assertTrue(mesh.changes().stream().noneMatch(c -> c.now().standing() == Standing.SUSPECT));
+        assertTrue(mesh.changes().stream().noneMatch(c -> c.now().state() == State.SUSPECT));
     }
 
     @Test
