--- a/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -59,8 +59,8 @@
     public void oneSmallCopyAmongLargeOnesHoldsATableBackInCommon() {
         RouteTable held = table(1, 3, 10);
         RouteTable next = table(2, 12, 2_000);
-        RouteTableCapacity large = TABLES.room(held, 20_000_000, 10_000);
-        RouteTableCapacity small = TABLES.room(held, TABLES.atPeak(held, next) - 1, 100);
+        RouteTableCapacity large = TABLES.capacity(held, 20_000_000, 10_000);
+        RouteTableCapacity small = TABLES.capacity(held, TABLES.atPeak(held, next) - 1, 100);
         Map<Integer, RouteTableCapacity> rooms =
                 new HashMap<>(Map.of(0, large, 1, large, 2, small, 3, large));
         assertEquals(RouteTableCapacity.limitingReplica(next, rooms), (Integer) 2);
@@ -81,14 +81,14 @@
         CurrentRouteTable tables = new CurrentRouteTable();
         assertTrue(tables.load(loaded).counts());
         Map<Integer, RouteTableCapacity> rooms =
-                new HashMap<>(Map.of(0, TABLES.room(loaded, 20_000_000, 10_000)));
+                new HashMap<>(Map.of(0, TABLES.capacity(loaded, 20_000_000, 10_000)));
         RouteTable more = table(8, 12, 2_100);
         assertNull(RouteTableCapacity.limitingReplica(more, rooms));
         long little = 30_000;
         assertTrue(
                 TABLES.atPeak(null, loaded) > little,
                 "the copy that starts can't load what is agreed on");
-        rooms.put(1, TABLES.room(null, little, 100));
+        rooms.put(1, TABLES.capacity(null, little, 100));
         assertEquals(RouteTableCapacity.limitingReplica(more, rooms), (Integer) 1);
         assertEquals(tables.current(), loaded, "those that have it keep it");
         RouteTable less = table(8, 3, 20);
@@ -108,14 +108,14 @@
         for (int i = 0; i < 300; i++) {
             RouteTable next = table(2, 1 + random.nextInt(20), random.nextInt(3_000));
             long room = random.nextInt(400_000);
-            if (TABLES.room(held, room, 0).fits(next, RouteTableFootprint.bytes(next))) {
+            if (TABLES.capacity(held, room, 0).fits(next, RouteTableFootprint.bytes(next))) {
                 assertTrue(TABLES.atPeak(held, next) <= room, "room " + room + " for " + next);
             }
         }
-        RouteTableCapacity all = TABLES.room(held, 20_000_000, 0);
+        RouteTableCapacity all = TABLES.capacity(held, 20_000_000, 0);
         RouteTable largest = table(2, 64, RouteTable.MAX_DRAINING);
         assertTrue(all.fits(largest, RouteTableFootprint.bytes(largest)), all.toString());
-        assertFalse(TABLES.room(held, 0, 0).fits(table(2, 1, 0), 8));
+        assertFalse(TABLES.capacity(held, 0, 0).fits(table(2, 1, 0), 8));
     }
 
     @Test
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -311,7 +311,7 @@
                         "outcome 0 OK settled"));
         assertEquals(
                 exchange.feedback(),
-                new DownstreamFeedback(0, DownstreamFeedback.Why.NOT_SAID, HopPath.EMPTY));
+                new DownstreamFeedback(0, DownstreamFeedback.Why.UNKNOWN, HopPath.EMPTY));
     }
 
     @Test
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
@@ -45,7 +45,7 @@
         if (max <= min && table.sound("election_least_ms", "election_most_ms")) {
             wrong(table, "election_most_ms", max, "election_least_ms", min, "more than that");
         }
-        int voters = (int) table.whole("voters", BEATS, 7, usual.voters());
+        int voters = (int) table.integer("voters", BEATS, 7, usual.voters());
         if (voters % 2 == 0) {
             table.problem("voters", Integer.toString(voters), "3, 5, 7");
         }
@@ -105,7 +105,7 @@
                                 usual.spreadPeriod(),
                                 usual.fanout(),
                                 usual.bytesPerSecond(),
-                                usual.keptEntries(),
+                                usual.retainedEntries(),
                                 silence)
                         : usual,
                 sound ? new CoordinationSettings(period, lease) : CoordinationSettings.DEFAULT,
--- a/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
@@ -30,19 +30,19 @@
         BudgetSettings read =
                 new BudgetSettings(
                         table.text("hop", ""),
-                        (int) table.whole("tries", 0, MAX_TRIES, usual.tries()),
+                        (int) table.integer("tries", 0, MAX_TRIES, usual.tries()),
                         (int)
-                                table.whole(
+                                table.integer(
                                         "tries_without_fields",
                                         0,
                                         MAX_TRIES,
                                         usual.triesWithoutFields()),
-                        (int) table.whole("keep_tries", 0, MAX_TRIES, usual.keep()),
+                        (int) table.integer("keep_tries", 0, MAX_TRIES, usual.keep()),
                         table.number("retry_share", 0, 1, usual.share()),
                         table.number("retry_least_per_s", 0, MAX_PER_SECOND, usual.minPerSecond()),
                         CommonKeys.millis(
                                 table, "window_ms", MIN_WINDOW, MAX_WINDOW, usual.window()),
-                        (int) table.whole("path_most", MIN_PATH, MAX_PATH, usual.maxHops()),
+                        (int) table.integer("path_most", MIN_PATH, MAX_PATH, usual.maxHops()),
                         table.number("let_in_least", MIN_LET_IN, 1, usual.minAdmitted()));
         check(table, read);
         return read;
--- a/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
+++ b/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
@@ -23,15 +23,15 @@
 
     /** A time in whole milliseconds; in nanoseconds from here on. */
     static long millis(ConfigTable table, String key, long min, long max, long otherwiseNanos) {
-        return NANOS_A_MILLI * table.whole(key, min, max, otherwiseNanos / NANOS_A_MILLI);
+        return NANOS_A_MILLI * table.integer(key, min, max, otherwiseNanos / NANOS_A_MILLI);
     }
 
     static int headBytes(ConfigTable table, int otherwise) {
-        return (int) table.whole("head_bytes", MIN_HEAD, MAX_HEAD, otherwise);
+        return (int) table.integer("head_bytes", MIN_HEAD, MAX_HEAD, otherwise);
     }
 
     static int bodyBytes(ConfigTable table, int otherwise) {
-        return (int) table.whole("body_bytes", 0, MAX_BODY, otherwise);
+        return (int) table.integer("body_bytes", 0, MAX_BODY, otherwise);
     }
 
     static double descriptorsShare(ConfigTable table, double otherwise) {
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -43,7 +43,7 @@
 
     static DrainsConfiguration read(ConfigTable table) {
         ConditionCompiler conditions = new ConditionsJar();
-        long revision = table.whole("revision", 1, MAX_REVISION);
+        long revision = table.integer("revision", 1, MAX_REVISION);
         Fleet fleet = fleet(table.table("fleet"));
         List<ConfigTable> tables = table.tables("policy");
         if (tables.isEmpty() && table.sound("policy") || tables.size() > DrainPolicy.MAX_POLICIES) {
@@ -97,9 +97,9 @@
         if (table == null) {
             return null;
         }
-        long zones = table.whole("zones", 1, MAX_FLEET);
-        long pods = table.whole("pods_per_zone", 1, MAX_FLEET);
-        long nodes = table.whole("nodes_per_pod", 1, MAX_FLEET);
+        long zones = table.integer("zones", 1, MAX_FLEET);
+        long pods = table.integer("pods_per_zone", 1, MAX_FLEET);
+        long nodes = table.integer("nodes_per_pod", 1, MAX_FLEET);
         boolean fits = zones * pods * nodes <= MAX_FLEET;
         if (!fits) {
             table.problem("", zones * pods * nodes + " nodes", "up to " + MAX_FLEET);
@@ -114,7 +114,7 @@
         String name = faults.text("name", null);
         String tier = faults.text("tier", "");
         String zone = faults.text("zone", "");
-        int pod = table.has("pod") ? (int) table.whole("pod", 0, MAX_POD) : DrainPolicy.ANY_POD;
+        int pod = table.has("pod") ? (int) table.integer("pod", 0, MAX_POD) : DrainPolicy.ANY_POD;
         String kind = faults.text("kind", "");
         double[] weight = table.range("weight", 0, MAX_WEIGHT, new double[] {0, MAX_WEIGHT});
         String where = faults.text("where", "");
@@ -127,9 +127,9 @@
                     "out_per_tier", "no bound", "one at least of " + String.join(", ", BOUNDS));
         }
         DrainOrder order = table.choice("order", DrainOrder.class, DrainOrder.AS_ASKED);
-        int wave = (int) table.whole("wave", 1, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
+        int wave = (int) table.integer("wave", 1, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
         long pace = CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MAX_TIME / MILLI, 0);
-        int died = (int) table.whole("died", 0, DrainPolicy.MAX_NODES, 1);
+        int died = (int) table.integer("died", 0, DrainPolicy.MAX_NODES, 1);
         String pauseIf = faults.text("pause_if", "");
         String goOnIf = faults.text("go_on_if", "");
         String giveBackIf = faults.text("give_back_if", "");
@@ -210,7 +210,7 @@
                 sound &= table.sound(key);
                 return MaxUnavailable.ANY;
             }
-            int nodes = (int) max.whole("nodes", 0, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
+            int nodes = (int) max.integer("nodes", 0, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
             double share = max.number("share", 0, 1, 1);
             if (!max.has("nodes") && !max.has("share")) {
                 problem(key, "an empty table", "nodes, share or both");
@@ -227,9 +227,9 @@
             }
             MinAvailable all =
                     new MinAvailable(
-                            (int) left.whole("per_pod", 0, DrainPolicy.MAX_NODES, 0),
-                            (int) left.whole("per_zone", 0, DrainPolicy.MAX_NODES, 0),
-                            (int) left.whole("per_tier", 0, DrainPolicy.MAX_NODES, 0),
+                            (int) left.integer("per_pod", 0, DrainPolicy.MAX_NODES, 0),
+                            (int) left.integer("per_zone", 0, DrainPolicy.MAX_NODES, 0),
+                            (int) left.integer("per_tier", 0, DrainPolicy.MAX_NODES, 0),
                             left.number("weight", 0, 1, 0));
             left.done();
             return all;
--- a/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
@@ -71,7 +71,7 @@
                 table.texts("leave"),
                 period,
                 age,
-                (int) table.whole("least_copies", 1, MAX_REPLICAS, usual.minReplicas()),
+                (int) table.integer("least_copies", 1, MAX_REPLICAS, usual.minReplicas()),
                 table.number("bad_share", MIN_SHARE, MAX_BAD, usual.badShare()),
                 table.number("target_share", MIN_PART, 1, usual.targetShare()),
                 table.number("near_share", MIN_PART, 1, usual.nearShare()),
@@ -79,7 +79,9 @@
                 table.number("return_step", MIN_SHARE, 1, usual.returnStep()),
                 hold,
                 max,
-                (int) table.whole("moves_per_minute", MIN_MOVES, MAX_MOVES, usual.movesPerMinute()),
+                (int)
+                        table.integer(
+                                "moves_per_minute", MIN_MOVES, MAX_MOVES, usual.movesPerMinute()),
                 table.number("watch_share", 0, MAX_WATCH, usual.probeShare()));
     }
 
--- a/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
@@ -22,7 +22,7 @@
         FootprintSettings usual = FootprintSettings.DEFAULT;
         return new FootprintSettings(
                 table.number("heap_share", MIN_SHARE, MAX_SHARE, usual.heapShare()),
-                (int) table.whole("from_nodes", 0, MAX_NODES, usual.fromNodes()),
+                (int) table.integer("from_nodes", 0, MAX_NODES, usual.fromNodes()),
                 CommonKeys.millis(table, "ask_again_ms", 1_000, 600_000, usual.again()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
@@ -28,7 +28,7 @@
         }
         return new HistorySettings(
                 Path.of(file),
-                table.whole("clock_offset_ms", -MAX_OFFSET, MAX_OFFSET, 0),
-                (int) table.whole("clock_drift_ppm", -MAX_DRIFT, MAX_DRIFT, 0));
+                table.integer("clock_offset_ms", -MAX_OFFSET, MAX_OFFSET, 0),
+                (int) table.integer("clock_drift_ppm", -MAX_DRIFT, MAX_DRIFT, 0));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/LogTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/LogTable.java
@@ -25,7 +25,9 @@
                         "format", LogConfiguration.Form.class, LogConfiguration.DEFAULT.form()),
                 new LogSettings(
                         table.choice("level", Level.class, usual.level()),
-                        (int) table.whole("lines_per_s", 0, MAX_LINES, usual.linesPerSecond()),
-                        (int) table.whole("line_chars", MIN_CHARS, MAX_CHARS, usual.lineChars())));
+                        (int) table.integer("lines_per_s", 0, MAX_LINES, usual.linesPerSecond()),
+                        (int)
+                                table.integer(
+                                        "line_chars", MIN_CHARS, MAX_CHARS, usual.lineChars())));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -41,13 +41,13 @@
         return new MembershipSettings(
                 period,
                 patience,
-                (int) table.whole("helpers", 0, MAX_HELPERS, usual.helpers()),
+                (int) table.integer("helpers", 0, MAX_HELPERS, usual.helpers()),
                 table.number(
                         "suspicion_periods", MIN_SUSPICION, MAX_SUSPICION, usual.minSuspicion()),
                 table.number("suspicion_stretch", 1, MAX_STRETCH, usual.maxSuspicion()),
-                (int) table.whole("confirmations", 1, MAX_CONFIRMATIONS, usual.confirmations()),
-                (int) table.whole("spread", 1, MAX_SPREAD, usual.retransmitMultiplier()),
-                (int) table.whole("worst_health", 0, MAX_HEALTH, usual.maxHealth()),
-                (int) table.whole("revive_periods", 1, MAX_REVIVE, usual.deadProbePeriods()));
+                (int) table.integer("confirmations", 1, MAX_CONFIRMATIONS, usual.confirmations()),
+                (int) table.integer("spread", 1, MAX_SPREAD, usual.retransmitMultiplier()),
+                (int) table.integer("worst_health", 0, MAX_HEALTH, usual.maxHealth()),
+                (int) table.integer("revive_periods", 1, MAX_REVIVE, usual.deadProbePeriods()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/BudgetEventLogger.java
+++ b/daemon/src/main/java/cedarrudder/program/BudgetEventLogger.java
@@ -9,18 +9,18 @@
 
     @Override
     public void loop(HopPath path, long more) {
-        log.warn("budget.loop").with("path", path).with("more", more).write();
+        log.warn("budget.loop_rejected").with("path", path).with("repeated", more).write();
     }
 
     @Override
     public void minute(Minute figures) {
-        log.info("budget.minute")
+        log.info("budget.summarized")
                 .with("requests", figures.requests())
                 .with("denied_by_tree", figures.deniedByTree())
                 .with("denied_by_share", figures.deniedByShare())
                 .with("overload", figures.overload())
                 .with("no_time", figures.noTime())
-                .with("let_in_percent", figures.letInPercent())
+                .with("admitted_percent", figures.letInPercent())
                 .write();
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -66,10 +66,10 @@
     private long useRecordedAt;
 
     /**
-     * @param leaving takes the numbers of all endpoints that are being removed, whenever that
+     * @param setDraining takes the numbers of all endpoints that are being removed, whenever that
      *     changes
-     * @param failovers null where operators have not asked for them
-     * @param removals null where operators have no policies
+     * @param failover null where operators have not asked for them
+     * @param drains null where operators have no policies
      */
     CoordinationWiring(
             ProxyEventLoop loop,
@@ -78,23 +78,23 @@
             AgreementTableSettings settings,
             LocalReplica self,
             RequestForwarder<?, ?> forwarder,
-            Consumer<Set<Long>> leaving,
-            FailoverWiring failovers,
-            DrainWiring removals,
-            EventRecorder notes,
+            Consumer<Set<Long>> setDraining,
+            FailoverWiring failover,
+            DrainWiring drains,
+            EventRecorder history,
             Logger log) {
         this.settings = settings;
         this.self = self;
         this.forwarder = forwarder;
-        this.setDraining = leaving;
-        this.failover = failovers;
-        this.drains = removals;
+        this.setDraining = setDraining;
+        this.failover = failover;
+        this.drains = drains;
         this.loop = loop;
-        this.history = notes;
+        this.history = history;
         this.log = log;
-        this.coordinator = new ReplicaCoordinator(loop, peers, this, this, notes);
+        this.coordinator = new ReplicaCoordinator(loop, peers, this, this, history);
         membership.setLivenessListener(this::onLivenessChanged);
-        if (notes != null) {
+        if (history != null) {
             forwarder.onZoneShareUsed(() -> recordUse(loop.now()));
         }
     }
@@ -158,9 +158,9 @@
                 settings.folder() == null
                         ? null
                         : new FileStableStorage(settings.folder(), self.number, replicas, log);
-        StableStorage kept = storage == null ? StableStorage.NONE : storage;
+        StableStorage stableStorage = storage == null ? StableStorage.NONE : storage;
         if (history != null) {
-            history.record("joins", Map.of("kept", kept.recovered() == null ? 0 : 1));
+            history.record("joins", Map.of("kept", stableStorage.recovered() == null ? 0 : 1));
         }
         return new CoordinatedReplica(
                 self.zones,
@@ -168,7 +168,7 @@
                 Math.max(1, self.wallClock.getAsLong()),
                 settings.agreement(),
                 settings.fleet(),
-                kept,
+                stableStorage,
                 self.random,
                 failover == null ? TrafficCoordination.NONE : failover,
                 drains == null ? DrainCoordination.NONE : drains.start(now),
@@ -184,9 +184,9 @@
         }
     }
 
-    private void onLivenessChanged(int replica, boolean lives) {
-        dead.set(replica, !lives);
-        coordinator.setAlive(replica, lives);
+    private void onLivenessChanged(int replica, boolean alive) {
+        dead.set(replica, !alive);
+        coordinator.setAlive(replica, alive);
         if (table != null && self.zones[replica] == self.zones[self.number]) {
             onTable(table);
         }
@@ -248,7 +248,7 @@
     @Override
     public void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition number) {
         if (drains == null || !drains.onProposalSettled(proposal, outcome)) {
-            log.info("agreement.settled").with("outcome", outcome).write();
+            log.info("consensus.proposal_settled").with("outcome", outcome).write();
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -49,10 +49,10 @@
         private int openProposals;
         private boolean failed;
 
-        AdminCall(boolean cancel, List<Long> nodes, Consumer<OperationResult> then) {
+        AdminCall(boolean cancel, List<Long> nodes, Consumer<OperationResult> listener) {
             this.cancel = cancel;
             this.nodes = nodes;
-            this.listener = then;
+            this.listener = listener;
         }
     }
 
@@ -75,16 +75,16 @@
             ProxyEventLoop loop,
             int replicas,
             int self,
-            DrainsConfiguration file,
+            DrainsConfiguration configuration,
             LocalTrafficView view,
-            EventRecorder notes,
+            EventRecorder history,
             Logger log) {
         this.loop = loop;
         this.replicas = replicas;
         this.self = self;
-        this.configuration = file;
+        this.configuration = configuration;
         this.view = view;
-        this.history = notes;
+        this.history = history;
         this.log = log;
     }
 
@@ -111,9 +111,9 @@
         }
         boolean over = drains != null && drains.isOverruled();
         if (over && !wasOverruled) {
-            log.warn("drains.overruled")
-                    .with("own", configuration.revision())
-                    .with("agreed", drains.progress().revision())
+            log.warn("drain.policies_overruled")
+                    .with("own_revision", configuration.revision())
+                    .with("agreed_revision", drains.progress().revision())
                     .write();
         }
         wasOverruled = over;
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public void setPolicies(long now, byte[] command) {
+    public void apply(long now, byte[] command) {
         drains.apply(now, command);
     }
 
@@ -265,7 +265,10 @@
     public void onDrainChange(DrainCoordinator.DrainChange happened) {
         String event = happened.event().name().toLowerCase(Locale.ROOT).replace('_', '-');
         if (happened.effect() == Effect.ALARM) {
-            log.warn("drain.overdue").with("node", happened.node()).with("then", event).write();
+            log.warn("drain.deadline_exceeded")
+                    .with("endpoint", happened.node())
+                    .with("event", event)
+                    .write();
         }
         if (history != null) {
             history.record(
--- a/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
@@ -49,7 +49,7 @@
     void disable(String name) {
         if (!overrides.disabled().contains(name)) {
             overrides.disable(name);
-            log.info("node.disabled").with("node", name).write();
+            log.info("endpoint.disabled").with("endpoint", name).write();
             show(name);
         }
     }
@@ -58,7 +58,7 @@
     void enable(String name) {
         if (overrides.disabled().contains(name)) {
             overrides.enable(name, loop.now());
-            log.info("node.enabled").with("node", name).write();
+            log.info("endpoint.enabled").with("endpoint", name).write();
             show(name);
             probe(name, PROBES_AFTER_RETURN);
         }
@@ -68,9 +68,9 @@
     void setDraining(Set<Long> endpoints) {
         for (String name : overrides.setDraining(endpoints, loop.now())) {
             if (overrides.shown(name).status() == EndpointStatus.READY) {
-                log.info("node.stays").with("node", name).write();
+                log.info("endpoint.drain_ended").with("endpoint", name).write();
             } else {
-                log.info("node.leaving").with("node", name).write();
+                log.info("endpoint.drain_started").with("endpoint", name).write();
             }
             show(name);
             probe(name, PROBES_AFTER_RETURN);
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -67,23 +67,23 @@
      * @return whether all fits, at once or in steps
      */
     boolean check(Path file, Path before) {
-        Read told;
+        Read files;
         JsonObject held;
         try {
-            told = read(file);
+            files = read(file);
             held = before == null ? null : read(before).list;
         } catch (IllegalArgumentException e) {
             out.println(e.getMessage());
             return false;
         }
-        JsonObject configuration = told.configuration;
+        JsonObject configuration = files.configuration;
         SiteSettings site =
                 configuration == null ? null : SettingsReader.read(configuration.child("settings"));
         int sockets =
                 configuration == null
                         ? ProxyConfiguration.DEFAULT_SOCKETS
                         : ProxyConfiguration.sockets(configuration);
-        EndpointListShape list = EndpointListReader.shape(told.list);
+        EndpointListShape list = EndpointListReader.shape(files.list);
         int callers = operator.of(CallersTable.CALLERS).maxClients(sockets);
         int channels = operator.of(NodesTable.NODES).bounds(sockets, callers).maxIdle();
         ProcessShape shape =
@@ -102,7 +102,7 @@
         terms(shape);
         MemoryEstimate one = replica.oneMoreNode(shape);
         out.println("one more node: " + one.rest() + " at rest, " + one.peak() + " at the peak");
-        boolean nodes = nodes(shape, list, told.list, held);
+        boolean nodes = nodes(shape, list, files.list, held);
         return process(shape) && nodes;
     }
 
@@ -123,15 +123,16 @@
 
     /** Whether the endpoints fit into their share of the heap. */
     private boolean nodes(
-            ProcessShape shape, EndpointListShape list, JsonObject told, JsonObject held) {
+            ProcessShape shape, EndpointListShape list, JsonObject listObject, JsonObject held) {
         FootprintSettings set = operator.of(FootprintTable.FOOTPRINT);
         double share = set == null ? FootprintSettings.DEFAULT.heapShare() : set.heapShare();
-        long room = Math.min((long) (share * limits.heap()), replica.left(shape, limits.heap()));
+        long capacity =
+                Math.min((long) (share * limits.heap()), replica.left(shape, limits.heap()));
         EndpointListFootprint footprint = new EndpointListFootprint(layout);
         Set<String> known = held == null ? Set.of() : ids(held);
         int added =
                 (int)
-                        told.objects(LIST, true).stream()
+                        listObject.objects(LIST, true).stream()
                                 .filter(
                                         entry ->
                                                 entry == null
@@ -139,8 +140,9 @@
                                 .count();
         EndpointListShape before =
                 held == null ? EndpointListShape.NONE : EndpointListReader.shape(held);
-        EndpointListFootprint.Verdict verdict = footprint.judge(before, list, added, true, room);
-        List<Integer> steps = footprint.steps(before, list, added, true, room);
+        EndpointListFootprint.Verdict verdict =
+                footprint.judge(before, list, added, true, capacity);
+        List<Integer> steps = footprint.steps(before, list, added, true, capacity);
         int never = added - steps.stream().mapToInt(Integer::intValue).sum();
         int min = set == null ? FootprintSettings.DEFAULT.fromNodes() : set.fromNodes();
         boolean few = list.nodes() < min;
@@ -154,7 +156,7 @@
                 "nodes: "
                         + outcome
                         + "; "
-                        + told(verdict.bound(), verdict.needed(), room)
+                        + boundText(verdict.bound(), verdict.needed(), capacity)
                         + (few && !verdict.fits()
                                 ? "; all are loaded, since from_nodes is " + min
                                 : ""));
@@ -176,18 +178,20 @@
                 "process: "
                         + (verdict.fits() ? "fits" : "does not fit")
                         + "; "
-                        + told(verdict.bound(), verdict.needed(), verdict.room()));
+                        + boundText(verdict.bound(), verdict.needed(), verdict.capacity()));
         return verdict.fits();
     }
 
-    private static String told(Enum<?> bound, long needed, long room) {
+    private static String boundText(Enum<?> bound, long needed, long capacity) {
         return bound.name().toLowerCase(Locale.ROOT)
                 + " needs "
                 + needed
                 + " of "
-                + room
+                + capacity
                 + ", "
-                + (needed <= room ? room - needed + " to spare" : needed - room + " too many");
+                + (needed <= capacity
+                        ? capacity - needed + " to spare"
+                        : needed - capacity + " too many");
     }
 
     /** A list as discovery tells it, or a configuration with the list that it starts with. */
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -37,7 +37,7 @@
      * @param reports how often replicas report
      * @param zoneOf the zone of each replica
      * @param incarnation larger than that of any process of this replica before
-     * @param notes takes what was seen of zones; null where nobody asked for that
+     * @param history takes what was seen of zones; null where nobody asked for that
      * @throws IllegalArgumentException if the settings don't fit the site or the reports
      */
     FailoverWiring(
@@ -48,7 +48,7 @@
             long incarnation,
             long now,
             RequestForwarder<?, ?> forwarder,
-            EventRecorder notes,
+            EventRecorder history,
             Logger log) {
         if (settings.period() != reports) {
             throw new IllegalArgumentException(
@@ -72,7 +72,7 @@
         this.failover = new FailoverCoordinator(settings, site.zones(), zoneOf, tally, now);
         this.traffic = new FailoverTraffic(failover);
         this.zones = site.zones();
-        this.history = notes;
+        this.history = history;
         this.log = log;
         forwarder.countByZone(tally);
         evacuate(settings);
@@ -95,7 +95,7 @@
         }
         evacuatedZones = names;
         if (!unknown.isEmpty()) {
-            log.warn("failover.unknown_zone").with("zones", String.join(",", unknown)).write();
+            log.warn("failover.zones_rejected").with("zones", String.join(",", unknown)).write();
         }
     }
 
@@ -142,13 +142,13 @@
                 .filter(move -> !loggedMoves.contains(move))
                 .forEach(
                         move ->
-                                log.info("failover.moves")
+                                log.info("failover.routes_changed")
                                         .with("zone", zones.get(move.zone()))
                                         .with(
                                                 "reason",
                                                 move.reason().name().toLowerCase(Locale.ROOT))
-                                        .with("bad", names(move.unhealthyFor()))
-                                        .with("well", names(move.healthyFor()))
+                                        .with("unhealthy_for", names(move.unhealthyFor()))
+                                        .with("healthy_for", names(move.healthyFor()))
                                         .write());
         loggedMoves = moves;
         return planned;
--- a/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -3,9 +3,7 @@
 import cedarrudder.consensus.LogEntry;
 import cedarrudder.consensus.Snapshot;
 import cedarrudder.consensus.StableStorage;
-import cedarrudder.consensus.Voter;
-import cedarrudder.consensus.VoterGroup;
-import cedarrudder.consensus.VoterSet;
+import cedarrudder.consensus.StoredLog;
 import cedarrudder.logging.Logger;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -23,8 +21,6 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.zip.CRC32C;
 
 /**
@@ -39,10 +35,15 @@
  */
 final class FileStableStorage implements StableStorage, Closeable {
 
+    private static final String FILE = "agreement";
+    private static final String NEXT_FILE = "agreement.next";
+    private static final String REJECTED_FILE = "agreement.refused";
+    private static final String LOCK_FILE = "lock";
     private static final String MAGIC = "cedaragr";
     private static final int VERSION = 1;
     private static final int HEADER_BYTES = 24;
-    private static final int FRAME_BYTES = 12;
+    private static final int BATCH_HEADER_BYTES = 8;
+    private static final int FRAME_BYTES = BATCH_HEADER_BYTES + Integer.BYTES;
 
     /**
      * The file is written anew once it is larger than this, and than four times what it has to
@@ -55,11 +56,6 @@
     /** No batch is larger: a snapshot and all entries that may be open are less. */
     private static final int MAX_BATCH_BYTES = 16 << 20;
 
-    private static final byte HARD_STATE = 1;
-    private static final byte ENTRY = 2;
-    private static final byte TRUNCATION = 3;
-    private static final byte SNAPSHOT = 4;
-
     /** Why a file is no good, and where. */
     private static final class CorruptFileException extends Exception {
         private static final long serialVersionUID = 1;
@@ -78,9 +74,7 @@
     private long size;
     private long compactAtBytes;
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
-    private HardState hardState;
-    private Snapshot snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
-    private final List<LogEntry> entries = new ArrayList<>();
+    private final StoredLog log = new StoredLog();
     private Recovered recovered;
 
     /**
@@ -88,16 +82,16 @@
      *
      * @throws UncheckedIOException if the folder can't be used, or another process uses it
      */
-    FileStableStorage(Path folder, int replica, int replicas, Logger log) {
+    FileStableStorage(Path folder, int replica, int replicas, Logger logger) {
         this.folder = folder;
-        this.file = folder.resolve("agreement");
+        this.file = folder.resolve(FILE);
         this.replica = replica;
         this.replicas = replicas;
         try {
             Files.createDirectories(folder);
             lockFile =
                     FileChannel.open(
-                            folder.resolve("lock"),
+                            folder.resolve(LOCK_FILE),
                             StandardOpenOption.CREATE,
                             StandardOpenOption.WRITE);
             if (!tryLock()) {
@@ -105,7 +99,7 @@
                 throw new IOException(
                         folder + ": found another process that uses it; allowed: one");
             }
-            open(log);
+            open(logger);
         } catch (IOException e) {
             throw new UncheckedIOException(e.getMessage(), e);
         }
@@ -120,7 +114,7 @@
         }
     }
 
-    private void open(Logger log) throws IOException {
+    private void open(Logger logger) throws IOException {
         try {
             byte[] bytes = Files.readAllBytes(file);
             long end = replay(ByteBuffer.wrap(bytes));
@@ -128,11 +122,9 @@
             channel.truncate(end);
             channel.position(end);
             size = end;
-            if (hardState != null) {
-                recovered = new Recovered(hardState, snapshot, entries);
-            }
+            recovered = log.recovered();
             if (end < bytes.length) {
-                log.info("agreement.cut")
+                logger.info("consensus.storage_truncated")
                         .with("file", file)
                         .with("from", end)
                         .with("bytes", bytes.length - end)
@@ -141,16 +133,14 @@
         } catch (NoSuchFileException e) {
             rewrite();
         } catch (CorruptFileException e) {
-            Path aside = folder.resolve("agreement.refused");
-            log.warn("agreement.refused")
+            Path aside = folder.resolve(REJECTED_FILE);
+            logger.warn("consensus.storage_rejected")
                     .with("file", file)
                     .with("why", e.getMessage())
-                    .with("kept", aside)
+                    .with("moved_to", aside)
                     .write();
             Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
-            hardState = null;
-            snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
-            entries.clear();
+            log.reset(null);
             rewrite();
         }
         compactAtBytes = Math.max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * size);
@@ -158,8 +148,30 @@
 
     // ---- reading ----
 
-    /** Plays all whole batches; returns where they end. */
+    /** Applies all complete batches; returns where they end. */
     private long replay(ByteBuffer in) throws CorruptFileException {
+        checkHeader(in);
+        while (in.hasRemaining()) {
+            int at = in.position();
+            int length = completeBatchLength(in);
+            if (length < 0) {
+                return at;
+            }
+            int from = at + BATCH_HEADER_BYTES;
+            try {
+                StorageRecords.apply(in.slice(from, length), log);
+            } catch (BufferUnderflowException
+                    | IllegalArgumentException
+                    | IndexOutOfBoundsException e) {
+                throw new CorruptFileException(
+                        from, "a batch that can't be read", "one of this version");
+            }
+            in.position(from + length + Integer.BYTES);
+        }
+        return in.position();
+    }
+
+    private void checkHeader(ByteBuffer in) throws CorruptFileException {
         if (in.remaining() < HEADER_BYTES) {
             throw new CorruptFileException(
                     0, in.remaining() + " bytes", "a head of " + HEADER_BYTES);
@@ -176,41 +188,36 @@
             throw new CorruptFileException(
                     20, "a head whose checksum does not fit", "one that does");
         }
-        while (in.hasRemaining()) {
-            int at = in.position();
-            if (in.remaining() < FRAME_BYTES || isZeroFilled(in.array(), at)) {
-                return at;
-            }
-            int length = in.getInt();
-            if (in.getInt() != checksum(in.array(), at, Integer.BYTES)
-                    || length < 0
-                    || length > MAX_BATCH_BYTES) {
-                throw new CorruptFileException(
-                        at, "a length whose checksum does not fit", "one that does");
-            }
-            if (length > in.remaining() - Integer.BYTES) {
-                return at;
-            }
-            int from = in.position();
-            boolean last = from + length + Integer.BYTES == in.limit();
-            if (in.getInt(from + length) != checksum(in.array(), from, length)) {
-                if (last || isZeroFilled(in.array(), from + length + Integer.BYTES)) {
-                    return at;
-                }
-                throw new CorruptFileException(
-                        from, "a batch whose checksum does not fit", "one that does");
-            }
-            try {
-                replayBatch(in.slice(from, length));
-            } catch (BufferUnderflowException
-                    | IllegalArgumentException
-                    | IndexOutOfBoundsException e) {
-                throw new CorruptFileException(
-                        from, "a batch that can't be read", "one of this version");
+    }
+
+    /**
+     * The length of the batch that is next; -1 where it is the rest of a write that did not end.
+     */
+    private static int completeBatchLength(ByteBuffer in) throws CorruptFileException {
+        int at = in.position();
+        if (in.remaining() < FRAME_BYTES || isZeroFilled(in.array(), at)) {
+            return -1;
+        }
+        int length = in.getInt();
+        if (in.getInt() != checksum(in.array(), at, Integer.BYTES)
+                || length < 0
+                || length > MAX_BATCH_BYTES) {
+            throw new CorruptFileException(
+                    at, "a length whose checksum does not fit", "one that does");
+        }
+        if (length > in.remaining() - Integer.BYTES) {
+            return -1;
+        }
+        int from = in.position();
+        int end = from + length + Integer.BYTES;
+        if (in.getInt(from + length) != checksum(in.array(), from, length)) {
+            if (end == in.limit() || isZeroFilled(in.array(), end)) {
+                return -1;
             }
-            in.position(from + length + Integer.BYTES);
+            throw new CorruptFileException(
+                    from, "a batch whose checksum does not fit", "one that does");
         }
-        return in.position();
+        return length;
     }
 
     private static void check(long at, String what, int found, int allowed)
@@ -233,176 +240,54 @@
         return true;
     }
 
-    private void replayBatch(ByteBuffer in) {
-        while (in.hasRemaining()) {
-            switch (in.get()) {
-                case HARD_STATE -> {
-                    VoterGroup group = new VoterGroup(in.getInt(), in.getInt(), in.getLong());
-                    long incarnation = in.getLong();
-                    long term = in.getLong();
-                    Voter vote = in.get() == 0 ? null : new Voter(in.getInt(), in.getLong());
-                    hardState = new HardState(group, incarnation, term, vote, in.get() != 0);
-                }
-                case ENTRY -> applyRecord(in.getLong(), entry(in));
-                case TRUNCATION -> truncate(in.getLong());
-                case SNAPSHOT ->
-                        applyRecord(
-                                new Snapshot(in.getLong(), in.getLong(), voters(in), bytes(in)));
-                default -> throw new IllegalArgumentException("kind");
-            }
-        }
-    }
-
-    private static byte[] bytes(ByteBuffer in) {
-        int length = in.getInt();
-        if (length < 0 || length > in.remaining()) {
-            throw new BufferUnderflowException();
-        }
-        byte[] bytes = new byte[length];
-        in.get(bytes);
-        return bytes;
-    }
-
-    private static LogEntry entry(ByteBuffer in) {
-        long term = in.getLong();
-        LogEntry.Kind kind = LogEntry.Kind.values()[in.get()];
-        byte[] content = bytes(in);
-        if (kind == LogEntry.Kind.VOTERS && VoterSet.decode(content) == null) {
-            throw new IllegalArgumentException("voters");
-        }
-        return new LogEntry(term, kind, content);
-    }
-
-    private static VoterSet voters(ByteBuffer in) {
-        int count = in.get();
-        List<Voter> all = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            all.add(new Voter(in.getInt(), in.getLong()));
-        }
-        return new VoterSet(all);
-    }
-
     private static int checksum(byte[] bytes, int from, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, from, length);
-        return (int) sum.getValue();
-    }
-
-    // ---- what is held ----
-
-    private void applyRecord(long index, LogEntry entry) {
-        truncate(index);
-        if (index != snapshot.index() + entries.size() + 1) {
-            throw new IllegalArgumentException("an entry that follows none");
-        }
-        entries.add(entry);
-    }
-
-    private void truncate(long from) {
-        int keep = (int) Math.max(0, from - snapshot.index() - 1);
-        if (keep < entries.size()) {
-            entries.subList(keep, entries.size()).clear();
-        }
-    }
-
-    private void applyRecord(Snapshot of) {
-        if (of.index() < snapshot.index()) {
-            entries.clear();
-        } else {
-            entries.subList(0, (int) Math.min(entries.size(), of.index() - snapshot.index()))
-                    .clear();
-        }
-        snapshot = of;
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, from, length);
+        return (int) crc.getValue();
     }
 
     // ---- writing ----
 
-    /** What writes into memory, which fails nobody. */
-    private interface RecordWriter {
-        void writeTo(DataOutputStream out) throws IOException;
-    }
-
-    private void bufferRecord(RecordWriter what) {
+    private void bufferRecord(StorageRecords.RecordWriter record) {
         try {
-            what.writeTo(new DataOutputStream(pending));
+            record.writeTo(new DataOutputStream(pending));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static void put(DataOutputStream out, HardState made) throws IOException {
-        out.writeByte(HARD_STATE);
-        out.writeInt(made.group().era());
-        out.writeInt(made.group().founder());
-        out.writeLong(made.group().incarnation());
-        out.writeLong(made.incarnation());
-        out.writeLong(made.term());
-        out.writeByte(made.vote() == null ? 0 : 1);
-        if (made.vote() != null) {
-            out.writeInt(made.vote().replica());
-            out.writeLong(made.vote().incarnation());
-        }
-        out.writeByte(made.admitted() ? 1 : 0);
-    }
-
-    private static void put(DataOutputStream out, long index, LogEntry entry) throws IOException {
-        out.writeByte(ENTRY);
-        out.writeLong(index);
-        out.writeLong(entry.term());
-        out.writeByte(entry.kind().ordinal());
-        out.writeInt(entry.bytes().length);
-        out.write(entry.bytes());
-    }
-
-    private static void put(DataOutputStream out, Snapshot of) throws IOException {
-        out.writeByte(SNAPSHOT);
-        out.writeLong(of.index());
-        out.writeLong(of.term());
-        out.writeByte(of.voters().size());
-        for (Voter voter : of.voters().all()) {
-            out.writeInt(voter.replica());
-            out.writeLong(voter.incarnation());
-        }
-        out.writeInt(of.state().length);
-        out.write(of.state());
-    }
-
     @Override
     public Recovered recovered() {
         return recovered;
     }
 
     @Override
-    public void hardState(HardState made) {
-        hardState = made;
-        bufferRecord(out -> put(out, made));
+    public void hardState(HardState next) {
+        log.setHardState(next);
+        bufferRecord(out -> StorageRecords.write(out, next));
     }
 
     @Override
     public void append(long index, LogEntry entry) {
-        applyRecord(index, entry);
-        bufferRecord(out -> put(out, index, entry));
+        StorageRecords.appendInOrder(log, index, entry);
+        bufferRecord(out -> StorageRecords.write(out, index, entry));
     }
 
     @Override
     public void truncateFrom(long from) {
-        truncate(from);
-        bufferRecord(
-                out -> {
-                    out.writeByte(TRUNCATION);
-                    out.writeLong(from);
-                });
+        log.truncateFrom(from);
+        bufferRecord(out -> StorageRecords.writeTruncation(out, from));
     }
 
     @Override
-    public void snapshot(Snapshot of) {
-        applyRecord(of);
-        bufferRecord(out -> put(out, of));
+    public void snapshot(Snapshot next) {
+        log.install(next);
+        bufferRecord(out -> StorageRecords.write(out, next));
     }
 
     @Override
     public void sync() {
-        if (pending.size() == 0 || hardState == null) {
+        if (pending.size() == 0 || log.hardState() == null) {
             return;
         }
         try {
@@ -432,23 +317,7 @@
 
     /** Writes all that is held into a file that takes the place of the one that is there. */
     private void rewrite() throws IOException {
-        ByteBuffer head =
-                ByteBuffer.allocate(HEADER_BYTES)
-                        .put(MAGIC.getBytes(StandardCharsets.ISO_8859_1))
-                        .putInt(VERSION)
-                        .putInt(replica)
-                        .putInt(replicas);
-        head.putInt(checksum(head.array(), 0, HEADER_BYTES - Integer.BYTES)).flip();
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        if (hardState != null) {
-            DataOutputStream out = new DataOutputStream(all);
-            put(out, hardState);
-            put(out, snapshot);
-            for (int i = 0; i < entries.size(); i++) {
-                put(out, snapshot.index() + 1 + i, entries.get(i));
-            }
-        }
-        Path next = folder.resolve("agreement.next");
+        Path next = folder.resolve(NEXT_FILE);
         FileChannel made =
                 FileChannel.open(
                         next,
@@ -456,9 +325,10 @@
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING);
         size = HEADER_BYTES;
-        made.write(head);
-        if (all.size() > 0) {
-            ByteBuffer batch = batch(all.toByteArray());
+        made.write(header());
+        byte[] records = StorageRecords.all(log);
+        if (records.length > 0) {
+            ByteBuffer batch = batch(records);
             size += batch.remaining();
             while (batch.hasRemaining()) {
                 made.write(batch);
@@ -476,6 +346,17 @@
         compactAtBytes = Math.max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * size);
     }
 
+    private ByteBuffer header() {
+        ByteBuffer header =
+                ByteBuffer.allocate(HEADER_BYTES)
+                        .put(MAGIC.getBytes(StandardCharsets.ISO_8859_1))
+                        .putInt(VERSION)
+                        .putInt(replica)
+                        .putInt(replicas);
+        header.putInt(checksum(header.array(), 0, HEADER_BYTES - Integer.BYTES));
+        return header.flip();
+    }
+
     /** Another process may use the folder from now on. */
     @Override
     public void close() {
--- a/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
@@ -74,7 +74,7 @@
     }
 
     private void warnUnreadable(Object why) {
-        log.warn("state.unreadable").with("why", why).write();
+        log.warn("state.read_failed").with("why", why).write();
     }
 
     // ---- the start, before the loop has it
@@ -131,9 +131,9 @@
 
     private void restore() {
         try {
-            AdminState told = persisted.read();
-            told.disabled().forEach(endpoints.overrides()::disable);
-            if (told.drained()) {
+            AdminState state = persisted.read();
+            state.disabled().forEach(endpoints.overrides()::disable);
+            if (state.drained()) {
                 server.drainByOperator();
             }
         } catch (IOException e) {
@@ -166,7 +166,7 @@
 
     private void logChange(SiblingProcesses now) {
         if (!now.equals(others)) {
-            log.info("upgrade.others")
+            log.info("upgrade.processes_changed")
                     .with("predecessor", now.predecessor())
                     .with("successor", now.successor())
                     .with("ready", now.successorReady())
@@ -187,7 +187,7 @@
                 may = looksForPredecessor > MAX_LOOKS_FOR_PREDECESSOR;
             }
             if (processes.rejoinIfReplaced(may, this::persistAll)) {
-                log.warn("state.renewed").write();
+                log.warn("state.restored").write();
             }
             looksForPredecessor = 0;
         } catch (InterruptedException e) {
@@ -209,20 +209,20 @@
      * Does what operators asked of another process of this proxy. What is taken back has to be gone
      * at two looks in turn, since a look may fall into the folder's being cleared.
      */
-    private void follow(AdminState told) {
+    private void follow(AdminState state) {
         AdminState before = lastRead;
-        lastRead = told;
-        told.disabled().forEach(endpoints::disable);
+        lastRead = state;
+        state.disabled().forEach(endpoints::disable);
         for (String name : endpoints.overrides().disabled()) {
             boolean goneTwice =
                     before != null
                             && !before.disabled().contains(name)
-                            && !told.disabled().contains(name);
+                            && !state.disabled().contains(name);
             if (goneTwice) {
                 endpoints.enable(name);
             }
         }
-        if (told.drained()) {
+        if (state.drained()) {
             server.drainByOperator();
         } else if (before != null && !before.drained()) {
             server.resumeByOperator();
@@ -289,7 +289,7 @@
             change.persist(persisted);
             return true;
         } catch (IOException e) {
-            log.warn("state.not_kept").with("why", e.toString()).write();
+            log.warn("state.write_failed").with("why", e.toString()).write();
             return false;
         }
     }
--- a/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
+++ b/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
@@ -29,21 +29,21 @@
     private final LongSupplier wallClock;
 
     /**
-     * @param clock the machine's, in milliseconds since 1970
+     * @param wallClock the machine's, in milliseconds since 1970
      */
     LocalTrafficView(
             SiteSettings site,
-            AdminOverrides rotation,
-            EndpointConnectionPool channels,
-            EndpointListParser reader,
-            RequestMetrics figures,
-            LongSupplier clock) {
+            AdminOverrides overrides,
+            EndpointConnectionPool connections,
+            EndpointListParser listParser,
+            RequestMetrics metrics,
+            LongSupplier wallClock) {
         this.site = site;
-        this.overrides = rotation;
-        this.connections = channels;
-        this.listParser = reader;
-        this.metrics = figures;
-        this.wallClock = clock;
+        this.overrides = overrides;
+        this.connections = connections;
+        this.listParser = listParser;
+        this.metrics = metrics;
+        this.wallClock = wallClock;
     }
 
     /** What discovery lists, each with whether it serves as far as this replica can tell. */
--- a/daemon/src/main/java/cedarrudder/program/Main.java
+++ b/daemon/src/main/java/cedarrudder/program/Main.java
@@ -14,6 +14,7 @@
 
     private Main() {}
 
+    /** Runs the command that the arguments name, and ends with its exit code. */
     public static void main(String[] args) throws InterruptedException {
         int code;
         if (args.length == 1 && args[0].equals("adapter")) {
--- a/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
@@ -261,10 +261,10 @@
                 predecessor = true;
             } else {
                 successor = true;
-                FileLock told = file.tryLock((long) READY_OFFSET + i, 1, false);
-                successorReady |= told == null;
-                if (told != null) {
-                    told.release();
+                FileLock probe = file.tryLock((long) READY_OFFSET + i, 1, false);
+                successorReady |= probe == null;
+                if (probe != null) {
+                    probe.release();
                 }
             }
         }
@@ -276,8 +276,8 @@
      * before.
      */
     private boolean startedBefore(int slot) throws IOException {
-        ByteBuffer told = ByteBuffer.allocate(Long.BYTES);
-        return file.read(told, startTimeOffset(slot)) < Long.BYTES
-                || told.getLong(0) - startedAt < 0;
+        ByteBuffer probe = ByteBuffer.allocate(Long.BYTES);
+        return file.read(probe, startTimeOffset(slot)) < Long.BYTES
+                || probe.getLong(0) - startedAt < 0;
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -91,7 +91,7 @@
      * Bytes of the heap for endpoints and their lists: a share of it, and no more than is left
      * beside all that the process may come to hold.
      */
-    long room(double share, Load max) {
+    long capacity(double share, Load max) {
         return Math.min(
                 (long) (share * limits.heap()),
                 footprint.left(shape(EndpointListShape.NONE, max), limits.heap()));
@@ -145,12 +145,12 @@
                 footprint.oneMoreNode(shape),
                 footprint.resident(shape),
                 footprint.judge(shape, limits),
-                room(null, gate));
+                capacity(null, gate));
     }
 
     /** What this replica can load of route tables, beside the endpoints that it holds. */
-    RouteTableCapacity room(RouteTable held, EndpointListReader gate) {
-        return tables.room(held, gate.left(), gate.max());
+    RouteTableCapacity capacity(RouteTable held, EndpointListReader gate) {
+        return tables.capacity(held, gate.left(), gate.max());
     }
 
     /**
--- a/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
@@ -95,7 +95,7 @@
 
     @Override
     public void changeDrains(
-            EndpointSelector which, String name, boolean cancel, Consumer<OperationResult> then) {
+            DrainTarget which, String name, boolean cancel, Consumer<OperationResult> then) {
         List<Long> chosen =
                 overrides.listed().entrySet().stream()
                         .filter(entry -> matches(which, name, entry.getKey(), entry.getValue()))
@@ -111,7 +111,7 @@
     }
 
     private boolean matches(
-            EndpointSelector which, String name, String endpointName, Endpoint endpoint) {
+            DrainTarget which, String name, String endpointName, Endpoint endpoint) {
         return switch (which) {
             case NODE -> endpointName.equals(name);
             case ZONE -> isNamed(parts.site().zones(), name, endpoint.zone());
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -220,7 +220,7 @@
         return new EndpointListReader(
                 new EndpointListFootprint(MachineLayout.read()),
                 listParser,
-                estimate.room(footprint.heapShare(), maxLoad()),
+                estimate.capacity(footprint.heapShare(), maxLoad()),
                 footprint.fromNodes());
     }
 
@@ -279,7 +279,7 @@
     }
 
     private RouteTableCapacity routeTableCapacity(RouteTable held) {
-        return estimate == null ? RouteTableCapacity.ANY : estimate.room(held, listReader);
+        return estimate == null ? RouteTableCapacity.ANY : estimate.capacity(held, listReader);
     }
 
     private boolean isReady() {
@@ -425,7 +425,7 @@
             server.setInterceptor(warmup.ownResponses());
             warmup.start();
         } catch (MalformedMessageException | RuntimeException e) {
-            log.fault("proxy.not_warmed", e).write();
+            log.fault("proxy.warmup_failed", e).write();
             warmed.countDown();
         }
     }
@@ -435,7 +435,7 @@
             handover.announceReady();
         }
         serving = true;
-        log.info("proxy.listens")
+        log.info("proxy.started")
                 .with("name", configuration.name())
                 .with("address", configuration.listen())
                 .write();
@@ -445,7 +445,7 @@
 
     private void onEndpoints(EndpointList list, EndpointListKind kind) {
         if (!list.unread().isEmpty()) {
-            log.warn("discovery.unread")
+            log.warn("discovery.entries_rejected")
                     .with("entries", list.unread().size())
                     .with("first", list.unread().get(0))
                     .write();
@@ -501,12 +501,14 @@
             ProxyConfiguration next = changed.call();
             loop.run(
                     () -> {
-                        log.info("configuration.read").with("discovery", next.discovery()).write();
+                        log.info("configuration.reloaded")
+                                .with("discovery", next.discovery())
+                                .write();
                         discovery.moveTo(next.discovery());
                     });
         } catch (Exception e) {
             // A file that is broken or half written must not end what works.
-            loop.run(() -> log.warn("configuration.kept").with("why", e.getMessage()).write());
+            loop.run(() -> log.warn("configuration.rejected").with("why", e.getMessage()).write());
         }
     }
 
@@ -524,7 +526,7 @@
                     if (drains != null) {
                         drains.setPolicies(operator.of(DrainsTable.DRAINS));
                     }
-                    log.info("operator.read").write();
+                    log.info("operator_file.reloaded").write();
                 });
     }
 
@@ -532,7 +534,7 @@
     void keep(InvalidFileException bad) {
         loop.run(
                 () ->
-                        log.warn("operator.kept")
+                        log.warn("operator_file.rejected")
                                 .with("problems", bad.problems().size())
                                 .with("first", bad.problems().get(0))
                                 .write());
@@ -546,7 +548,7 @@
 
     /** Logs that SIGHUP will not be handled, and why; from any thread. */
     void noReloadSignal(String why) {
-        loop.run(() -> log.warn("sighup.not_handled").with("why", why).write());
+        loop.run(() -> log.warn("sighup.ignored").with("why", why).write());
     }
 
     // ---- the end
@@ -585,7 +587,7 @@
             log.info("proxy.replaced").write();
             server.handOver(done::countDown);
         } else {
-            log.info("proxy.draining").write();
+            log.info("proxy.shutdown_started").write();
             server.shutDown(done::countDown);
         }
     }
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
@@ -52,7 +52,7 @@
      * among them, for as long as it stays.
      */
     public EndpointList read(JsonObject json) {
-        long version = json.whole("version");
+        long version = json.integer("version");
         boolean full = json.flag("full", false);
         List<JsonObject> entries = json.objects("servers", true);
         List<EndpointList.Node> nodes = new ArrayList<>();
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -24,7 +24,7 @@
 
     private final EndpointListFootprint footprint;
     private final EndpointListParser reader;
-    private final long room;
+    private final long capacity;
     private final int fromNodes;
 
     /**
@@ -45,7 +45,7 @@
      * @param fits whether all of it may be loaded at once
      * @param bound the one that is nearest, or that binds, as operators read it
      * @param needed bytes that the whole list takes under it
-     * @param room bytes that there are
+     * @param capacity bytes that there are
      * @param held endpoints that were held before
      * @param wanted endpoints that the list would have this process hold
      * @param waits this many of those were left out
@@ -58,7 +58,7 @@
             boolean fits,
             String bound,
             long needed,
-            long room,
+            long capacity,
             int held,
             int wanted,
             int waits,
@@ -88,20 +88,23 @@
 
     /**
      * @param reader reads what this one lets through, and says what is known
-     * @param room bytes of heap for endpoints and their lists
+     * @param capacity bytes of heap for endpoints and their lists
      * @param fromNodes with fewer endpoints than that nothing is left out
      */
     public EndpointListReader(
-            EndpointListFootprint footprint, EndpointListParser reader, long room, int fromNodes) {
+            EndpointListFootprint footprint,
+            EndpointListParser reader,
+            long capacity,
+            int fromNodes) {
         this.footprint = footprint;
         this.reader = reader;
-        this.room = room;
+        this.capacity = capacity;
         this.fromNodes = fromNodes;
     }
 
     /** Who is told of each verdict, before anything is loaded. */
-    public void whenJudged(Consumer<Judged> told) {
-        judged = told;
+    public void whenJudged(Consumer<Judged> listener) {
+        judged = listener;
     }
 
     /** What is held, as far as it costs anything. */
@@ -116,12 +119,12 @@
 
     /** Bytes for endpoints and their lists that what is held leaves at rest. */
     public long left() {
-        return Math.max(0, room - footprint.atRest(held()));
+        return Math.max(0, capacity - footprint.atRest(held()));
     }
 
     /** This many endpoints like those that are held there is room for. */
     public int max() {
-        return footprint.max(held(), room);
+        return footprint.max(held(), capacity);
     }
 
     /** What came of the last list; null before the first one. */
@@ -188,26 +191,26 @@
         EndpointListShape held = held();
         EndpointListShape list =
                 new EndpointListShape(look.nodes, textBytes, look.idChars, look.valueChars);
-        Verdict verdict = footprint.judge(held, list, look.added, look.full, room);
+        Verdict verdict = footprint.judge(held, list, look.added, look.full, capacity);
         int wanted = look.full ? look.nodes : held.nodes() + look.added;
-        boolean whole = verdict.fits() || wanted < fromNodes;
-        mayAdd = whole ? look.added : verdict.step();
+        boolean isFull = verdict.fits() || wanted < fromNodes;
+        mayAdd = isFull ? look.added : verdict.step();
         last =
                 new Judged(
-                        whole,
+                        isFull,
                         verdict.bound().name().toLowerCase(Locale.ROOT),
                         verdict.needed(),
-                        room,
+                        capacity,
                         held.nodes(),
                         wanted,
                         look.added - mayAdd,
-                        whole
+                        isFull
                                 ? List.of()
-                                : footprint.steps(held, list, look.added, look.full, room),
+                                : footprint.steps(held, list, look.added, look.full, capacity),
                         after(held, list, look, look.added),
                         after(held, list, look, mayAdd));
         judged.accept(last);
-        return whole;
+        return isFull;
     }
 
     /**
--- a/daemon/src/main/java/cedarrudder/protocol/FieldName.java
+++ b/daemon/src/main/java/cedarrudder/protocol/FieldName.java
@@ -67,7 +67,7 @@
     private final String key;
     private final byte[] bytes;
     private final boolean passedOn;
-    private final boolean kept;
+    private final boolean isEndToEnd;
 
     private FieldName(String text) {
         this.text = text;
@@ -75,7 +75,8 @@
         this.key = lower.equals(text) ? text : lower;
         this.bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         this.passedOn = !NOT_PASSED_ON.contains(key);
-        this.kept = key.startsWith("req-") || key.equals("idempotency-key") || key.equals("host");
+        this.isEndToEnd =
+                key.startsWith("req-") || key.equals("idempotency-key") || key.equals("host");
     }
 
     private static void learn(FieldName name) {
@@ -160,8 +161,8 @@
      * Whether it goes further even where {@code Connection} lists it. This avoids a client that
      * strips a request of what makes it one, its key say.
      */
-    boolean kept() {
-        return kept;
+    boolean isEndToEnd() {
+        return isEndToEnd;
     }
 
     @Override
--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -201,7 +201,7 @@
     /** Reads until a message is whole and returns it, or null where more bytes are wanted. */
     public HttpMessage decode(ByteBuf in) throws MalformedMessageException {
         while (in.isReadable() && !large()) {
-            boolean whole =
+            boolean complete =
                     switch (state) {
                         case HEAD -> readHead(in);
                         case FIXED -> readFixed(in) && bodyLeft == 0;
@@ -228,7 +228,7 @@
                             yield false;
                         }
                     };
-            if (whole) {
+            if (complete) {
                 return take();
             }
         }
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -67,7 +67,7 @@
      */
     private static boolean passesOn(HeaderFields.Field field, List<String> listed) {
         return field.name().passedOn()
-                && (listed.isEmpty() || field.name().kept() || !listed.contains(field.key()));
+                && (listed.isEmpty() || field.name().isEndToEnd() || !listed.contains(field.key()));
     }
 
     /** What lets a client send the body that it holds back. */
@@ -194,9 +194,9 @@
      */
     public static ByteBuf answerHead(
             ByteBufAllocator buffers, int status, String text, boolean close) {
-        ByteBuf whole = answer(buffers, status, text, 0, close);
-        return whole.writerIndex(
-                whole.writerIndex() - text.getBytes(StandardCharsets.UTF_8).length - 1);
+        ByteBuf full = answer(buffers, status, text, 0, close);
+        return full.writerIndex(
+                full.writerIndex() - text.getBytes(StandardCharsets.UTF_8).length - 1);
     }
 
     private static void result(StringBuilder head, DownstreamFeedback result) {
--- a/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
+++ b/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
@@ -129,19 +129,21 @@
         return (Number) value;
     }
 
+    /** A number; the other value where the key is missing. */
     public double number(String key, double otherwise) {
         Number value = number(key, false);
         return value == null ? otherwise : value.doubleValue();
     }
 
-    public long whole(String key) {
+    /** A whole number that must be there. */
+    public long integer(String key) {
         Number value = number(key, true);
         return value instanceof Double ? (long) value.doubleValue() : value.longValue();
     }
 
     /** The same, within bounds; else the message has what was found and what is allowed. */
-    public long whole(String key, long min, long max) {
-        long value = whole(key);
+    public long integer(String key, long min, long max) {
+        long value = integer(key);
         return (long) within(key, value, min, max);
     }
 
@@ -181,6 +183,7 @@
                 "'" + path + key + "': found " + found + "; allowed: " + allowed);
     }
 
+    /** A boolean; the other value where the key is missing. */
     public boolean flag(String key, boolean otherwise) {
         Object value = get(key, false);
         if (value != null && !(value instanceof Boolean)) {
@@ -189,6 +192,7 @@
         return value == null ? otherwise : (Boolean) value;
     }
 
+    /** A text; the other value where the key is missing, which must be there where that is null. */
     public String text(String key, String otherwise) {
         Object value = get(key, otherwise == null);
         if (value instanceof Map || value instanceof List) {
@@ -211,6 +215,7 @@
         return value == null ? List.of() : (List<?>) value;
     }
 
+    /** A list of texts. */
     public List<String> texts(String key) {
         List<String> texts = new ArrayList<>();
         for (Object element : array(key, false)) {
@@ -222,6 +227,7 @@
         return texts;
     }
 
+    /** A list of objects, none of them null. */
     public List<JsonObject> list(String key, boolean required) {
         List<JsonObject> objects = objects(key, required);
         if (objects.contains(null)) {
--- a/daemon/src/main/java/cedarrudder/protocol/LoadReportFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReportFields.java
@@ -18,6 +18,7 @@
                 names.indexOf("eps"));
     }
 
+    /** The report of these values, by field. */
     public LoadReport load(IntToDoubleFunction value) {
         return new LoadReport(
                 of(inFlight, value),
--- a/daemon/src/main/java/cedarrudder/protocol/MalformedMessageException.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MalformedMessageException.java
@@ -18,6 +18,7 @@
 
     private final int status;
 
+    /** A message that is answered with this status and text. */
     public MalformedMessageException(int status, String message) {
         // Without a stack trace: a peer that sends nonsense without end must not cost much.
         super(message, null, false, false);
--- a/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
@@ -24,7 +24,7 @@
      * @param node what one more endpoint takes
      * @param resident bytes of the machine's memory
      * @param nearest the bound that is nearest
-     * @param room the largest route table and list there is room for
+     * @param capacity the largest route table and list there is room for
      */
     public record Estimate(
             EndpointListReader.Judged list,
@@ -32,7 +32,7 @@
             MemoryEstimate node,
             long resident,
             ProcessFootprint.Verdict nearest,
-            RouteTableCapacity room) {}
+            RouteTableCapacity capacity) {}
 
     private MetricsPage() {}
 
@@ -89,8 +89,8 @@
         json.writeStringField("outcome", list.outcome());
         json.writeStringField("bound", list.bound());
         json.writeNumberField("needed", list.needed());
-        json.writeNumberField("room", list.room());
-        json.writeNumberField("spare", list.room() - list.needed());
+        json.writeNumberField("room", list.capacity());
+        json.writeNumberField("spare", list.capacity() - list.needed());
         json.writeNumberField("held", list.held());
         json.writeNumberField("wanted", list.wanted());
         json.writeNumberField("waits", list.waits());
@@ -102,9 +102,9 @@
         json.writeEndArray();
         json.writeNumberField("node_at_rest", estimate.node().rest());
         json.writeNumberField("node_at_peak", estimate.node().peak());
-        json.writeNumberField("most_nodes", estimate.room().nodes());
-        json.writeNumberField("most_table_bytes", estimate.room().bytes());
-        json.writeNumberField("most_table_leaving", estimate.room().leaving());
+        json.writeNumberField("most_nodes", estimate.capacity().nodes());
+        json.writeNumberField("most_table_bytes", estimate.capacity().bytes());
+        json.writeNumberField("most_table_leaving", estimate.capacity().leaving());
         json.writeObjectFieldStart("process");
         json.writeNumberField("heap_at_rest", estimate.all().rest());
         json.writeNumberField("heap_at_peak", estimate.all().peak());
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -151,8 +151,8 @@
     }
 
     private static long wait(String value) throws MalformedMessageException {
-        boolean whole = value.length() <= MAX_DIGITS && MessageHead.isNumber(value);
-        long millis = whole ? Long.parseLong(value) : 0;
+        boolean isNumber = value.length() <= MAX_DIGITS && MessageHead.isNumber(value);
+        long millis = isNumber ? Long.parseLong(value) : 0;
         if (millis == 0 || millis > MAX) {
             throw MalformedMessageException.badRequest("bad req-deadline-ms");
         }
--- a/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
@@ -66,13 +66,13 @@
                             node.number("share", 0, 0, Double.MAX_VALUE),
                             node.number("quota-per-s", 0, 0, Double.MAX_VALUE)));
         }
-        int replicas = (int) root.whole("balancers", 1, MAX_COUNTED);
+        int replicas = (int) root.integer("balancers", 1, MAX_COUNTED);
         List<String> tiers = root.texts("tiers");
         List<String> zones = root.texts("localities");
         BalancerSettings settings =
                 new BalancerSettings(
                         replicas,
-                        (int) root.whole("ordinal", 0, replicas - 1),
+                        (int) root.integer("ordinal", 0, replicas - 1),
                         (int) root.number("zone", 0, 0, listed(zones)),
                         (int) root.number("layer", 0, 0, listed(tiers)),
                         Math.max(1, tiers.size()),
@@ -112,8 +112,8 @@
                             name,
                             word(node, "idempotency", null, EFFECTS),
                             word(node, "key-scope", "all", SCOPES),
-                            node.whole("goal-time-ns", 1, LONGEST),
-                            node.whole("give-up-ns", 1, LONGEST),
+                            node.integer("goal-time-ns", 1, LONGEST),
+                            node.integer("give-up-ns", 1, LONGEST),
                             node.number("value", 1, 0, Double.MAX_VALUE),
                             node.number("late-worth", 0),
                             (long) node.number("repeat-window-ns", 0, 0, LONGEST),
@@ -139,7 +139,7 @@
 
     private static SafetyRules safety(JsonObject safety) {
         return new SafetyRules(
-                safety.whole("stop-sending-within-ns", 0, LONGEST),
+                safety.integer("stop-sending-within-ns", 0, LONGEST),
                 safety.number("cold-share", 1, 0, 1),
                 (long) safety.number("ramp-time-ns", 0, 0, LONGEST),
                 safety.number("fall-multiple", 1, 0, Double.MAX_VALUE),
--- a/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
@@ -20,7 +20,7 @@
         return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    private static ByteBuffer room(ByteBuffer buffer, int more) {
+    private static ByteBuffer capacity(ByteBuffer buffer, int more) {
         if (buffer.remaining() >= more) {
             return buffer;
         }
@@ -40,7 +40,7 @@
     void writeTo(OutputStream out) throws IOException {
         records.putInt(0, count);
         records.putInt(4, records.position() - SimulatorWire.REPLY_HEADER + tail.position());
-        records = room(records, tail.position());
+        records = capacity(records, tail.position());
         records.put(tail.flip());
         out.write(records.array(), 0, records.position());
         out.flush();
@@ -60,7 +60,7 @@
     }
 
     private int raw(int code) {
-        records = room(records, SimulatorWire.ACTION);
+        records = capacity(records, SimulatorWire.ACTION);
         int at = records.position();
         Arrays.fill(records.array(), at, at + SimulatorWire.ACTION, (byte) 0);
         records.put(at, (byte) code);
@@ -72,7 +72,7 @@
     private void span(int at, byte[] content) {
         records.putInt(at, tail.position());
         records.putInt(at + 4, content.length);
-        tail = room(tail, content.length);
+        tail = capacity(tail, content.length);
         tail.put(content);
     }
 
--- a/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
@@ -167,16 +167,16 @@
     // ---- values ----
 
     /** A whole number that must be there. */
-    public long whole(String key, long min, long max) {
-        return whole(key, min, max, min, true);
+    public long integer(String key, long min, long max) {
+        return integer(key, min, max, min, true);
     }
 
     /** A whole number that may be left out. */
-    public long whole(String key, long min, long max, long otherwise) {
-        return whole(key, min, max, otherwise, false);
+    public long integer(String key, long min, long max, long otherwise) {
+        return integer(key, min, max, otherwise, false);
     }
 
-    private long whole(String key, long min, long max, long otherwise, boolean required) {
+    private long integer(String key, long min, long max, long otherwise, boolean required) {
         String allowed = "a whole number from " + min + " to " + max;
         Object value = get(key, required, allowed, Long.toString(otherwise));
         if (value == null) {
--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -55,9 +55,10 @@
     private final Set<AdminConnection> connections = new LinkedHashSet<>();
     private Channel channel;
 
-    public AdminListener(ProxyEventLoop loop, AdminOperations desk) {
+    /** A listener that is not open yet, for these operations. */
+    public AdminListener(ProxyEventLoop loop, AdminOperations operations) {
         this.loop = loop;
-        this.operations = desk;
+        this.operations = operations;
     }
 
     /** Begins to listen; blocks until it does. */
@@ -168,13 +169,13 @@
             String method, String call, Consumer<AdminResponse> later)
             throws MalformedMessageException {
         String[] parts = call.split("/", -1);
-        AdminOperations.EndpointSelector which =
+        AdminOperations.DrainTarget which =
                 parts.length == 3
                         ? switch (parts[0]) {
-                            case "node" -> AdminOperations.EndpointSelector.NODE;
-                            case "zone" -> AdminOperations.EndpointSelector.ZONE;
-                            case "pod" -> AdminOperations.EndpointSelector.POD;
-                            case "kind" -> AdminOperations.EndpointSelector.KIND;
+                            case "node" -> AdminOperations.DrainTarget.NODE;
+                            case "zone" -> AdminOperations.DrainTarget.ZONE;
+                            case "pod" -> AdminOperations.DrainTarget.POD;
+                            case "kind" -> AdminOperations.DrainTarget.KIND;
                             default -> null;
                         }
                         : null;
@@ -225,7 +226,7 @@
     /**
      * This avoids clients who say nothing, or half a call, shutting out those who say all of it.
      */
-    private void makeRoom() {
+    private void evictOne() {
         AdminConnection min = null;
         for (AdminConnection call : connections) {
             min = min == null || call.receivedBytes < min.receivedBytes ? call : min;
@@ -254,7 +255,7 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             if (connections.size() >= MAX_CONNECTIONS) {
-                makeRoom();
+                evictOne();
             }
             connections.add(this);
             closeIn(CALL_TIMEOUT_NANOS);
@@ -337,7 +338,7 @@
             if (!(cause instanceof IOException)) {
                 loop.log()
                         .fault("admin.failed", cause)
-                        .with("caller", channel.remoteAddress())
+                        .with("client", channel.remoteAddress())
                         .write();
             }
             context.close();
--- a/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
@@ -28,7 +28,7 @@
     OperationResult enable(String node);
 
     /** Endpoints that a call names at once. */
-    enum EndpointSelector {
+    enum DrainTarget {
         NODE,
         ZONE,
         POD,
@@ -42,7 +42,7 @@
      * @param then takes what came of it, once it is committed or that can't be told any more
      */
     void changeDrains(
-            EndpointSelector which, String name, boolean cancel, Consumer<OperationResult> then);
+            DrainTarget which, String name, boolean cancel, Consumer<OperationResult> then);
 
     /** The drains, as JSON; null where there are no policies. */
     byte[] drains();
--- a/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -37,21 +37,21 @@
     private boolean stopped;
 
     /**
-     * @param spending runs before each piece that is taken for good
+     * @param onBytesTaken runs before each piece that is taken for good
      */
     BodyWriter(
             ProxyEventLoop loop,
             Channel channel,
             BodyFlow flow,
             boolean chunked,
-            Runnable spending,
-            CompletionListener end) {
-        this.onBytesTaken = spending;
+            Runnable onBytesTaken,
+            CompletionListener listener) {
+        this.onBytesTaken = onBytesTaken;
         this.loop = loop;
         this.channel = channel;
         this.flow = flow;
         this.chunked = chunked;
-        this.listener = end;
+        this.listener = listener;
         this.lastProgressAt = loop.now();
         flow.whenMore(this::pump);
     }
@@ -78,7 +78,7 @@
             }
         } catch (OutOfMemoryError e) {
             // A piece is lost: this avoids a body that goes on without it, or waits for good.
-            loop.log().fault("body.broken", e).write();
+            loop.log().fault("body.write_failed", e).write();
             stop();
             listener.broke();
             return;
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
@@ -86,8 +86,8 @@
         if (next == null) {
             server.loop()
                     .log()
-                    .fault("caller.failed", new IllegalStateException(event + " in " + state))
-                    .with("caller", remoteAddress())
+                    .fault("client.failed", new IllegalStateException(event + " in " + state))
+                    .with("client", remoteAddress())
                     .write();
             breakOff();
             return;
@@ -185,8 +185,8 @@
         if (!(cause instanceof IOException)) {
             server.loop()
                     .log()
-                    .fault("caller.failed", cause)
-                    .with("caller", remoteAddress())
+                    .fault("client.failed", cause)
+                    .with("client", remoteAddress())
                     .write();
         }
         context.close();
@@ -312,8 +312,8 @@
         } catch (RuntimeException | OutOfMemoryError e) {
             server.loop()
                     .log()
-                    .fault("caller.unanswered", e)
-                    .with("caller", remoteAddress())
+                    .fault("client.response_failed", e)
+                    .with("client", remoteAddress())
                     .write();
             return null;
         }
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
@@ -47,7 +47,7 @@
         return all.size();
     }
 
-    /** A replica, since most of what is done to a connection changes the set. */
+    /** A copy, since most of what is done to a connection changes the set. */
     List<ClientConnection> copy() {
         return List.copyOf(all);
     }
@@ -56,7 +56,7 @@
     void setMax(int next) {
         max = next;
         for (int excess = all.size() - max; !full && excess > 0; excess--) {
-            makeRoom();
+            evictOne();
         }
         acceptAgain();
     }
@@ -65,7 +65,7 @@
         all.add(connection);
         silent.add(connection);
         if (all.size() > max) {
-            makeRoom();
+            evictOne();
         }
     }
 
@@ -115,15 +115,15 @@
      * connection is read before it is closed: a request that it brings is taken, and another one is
      * closed.
      */
-    private void makeRoom() {
+    private void evictOne() {
         ClientConnection candidate = firstToClose();
         for (int looks = all.size(); candidate != null && looks > 0; looks--) {
             if (candidate.isUnchangedAfterRead()) {
                 server.loop()
                         .log()
-                        .debug("caller.closed_for_room")
-                        .with("caller", candidate.remoteAddress())
-                        .with("callers", all.size())
+                        .debug("client.evicted")
+                        .with("client", candidate.remoteAddress())
+                        .with("clients", all.size())
                         .write();
                 candidate.close();
                 return;
@@ -167,7 +167,7 @@
             }
         }
         for (int excess = all.size() - max; full && excess > 0; excess--) {
-            makeRoom();
+            evictOne();
         }
         acceptAgain();
     }
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -72,35 +72,35 @@
     /**
      * @param longest this long after a failure the watch is asked for again at the latest, in
      *     nanoseconds
-     * @param known the version of the list that the proxy starts with
-     * @param failures told when nothing that was asked is left to wait for
-     * @param gate leaves out what there is no room for; null: all is read
-     * @param again after this long, in nanoseconds, and by chance up to half as much more, the
-     *     whole list is asked for anew where endpoints were left out
+     * @param version the version of the list that the proxy starts with
+     * @param unavailableListener told when nothing that was asked is left to wait for
+     * @param listReader leaves out what there is no room for; null: all is read
+     * @param refetchDelay after this long, in nanoseconds, and by chance up to half as much more,
+     *     the whole list is asked for anew where endpoints were left out
      */
     public DiscoveryClient(
             ProxyEventLoop loop,
             InetSocketAddress address,
-            DiscoveryTimeouts patience,
+            DiscoveryTimeouts timeouts,
             long longest,
             RandomGenerator random,
-            EndpointListParser reader,
-            long known,
-            Consumer<EndpointList> results,
-            Runnable failures,
-            EndpointListReader gate,
-            long again) {
+            EndpointListParser parser,
+            long version,
+            Consumer<EndpointList> updateListener,
+            Runnable unavailableListener,
+            EndpointListReader listReader,
+            long refetchDelay) {
         this.loop = loop;
         this.address = address;
-        this.timeouts = patience;
+        this.timeouts = timeouts;
         this.random = random;
-        this.parser = reader;
-        this.version = known;
-        this.completeVersion = known;
-        this.updateListener = results;
-        this.unavailableListener = failures;
-        this.listReader = gate;
-        this.refetchDelay = again;
+        this.parser = parser;
+        this.version = version;
+        this.completeVersion = version;
+        this.updateListener = updateListener;
+        this.unavailableListener = unavailableListener;
+        this.listReader = listReader;
+        this.refetchDelay = refetchDelay;
         this.bootstrap =
                 new Bootstrap()
                         .group(loop.group())
@@ -160,13 +160,13 @@
     private void logRefusedEndpoints() {
         EndpointListReader.Judged why = listReader.last();
         loop.log()
-                .warn("footprint.refused")
+                .warn("footprint.exceeded")
                 .with("bound", why.bound())
                 .with("needed", why.needed())
-                .with("room", why.room())
+                .with("capacity", why.capacity())
                 .with("held", why.held())
                 .with("wanted", why.wanted())
-                .with("waits", why.waits())
+                .with("waiting", why.waits())
                 .with("never", why.never())
                 .write();
     }
@@ -207,9 +207,9 @@
         /** A connection without a call yet; null: none. */
         private DiscoveryCall spareCall;
 
-        DiscoveryRequests(boolean follows, long longest) {
-            this.isWatch = follows;
-            this.schedule = new DiscoveryPollSchedule(follows, longest, timeouts, random, this);
+        DiscoveryRequests(boolean isWatch, long longest) {
+            this.isWatch = isWatch;
+            this.schedule = new DiscoveryPollSchedule(isWatch, longest, timeouts, random, this);
         }
 
         @Override
@@ -296,8 +296,8 @@
         private boolean closed;
         private boolean answered;
 
-        DiscoveryCall(DiscoveryRequests asks) {
-            this.requests = asks;
+        DiscoveryCall(DiscoveryRequests requests) {
+            this.requests = requests;
         }
 
         /** Whether a new call can go out on this connection now, or as soon as on a new one. */
@@ -420,17 +420,18 @@
 
         /** Reads and passes on; null: it tells nothing new. */
         private EndpointList take(String text) {
-            JsonObject told = listReader == null ? JsonObject.parse(text) : listReader.read(text);
+            JsonObject message =
+                    listReader == null ? JsonObject.parse(text) : listReader.read(text);
             boolean outdated =
-                    told.whole("version") < version
-                            && !(requests.isWatch && told.flag("full", false));
+                    message.integer("version") < version
+                            && !(requests.isWatch && message.flag("full", false));
             if (outdated && !requests.isWatch) {
                 // This avoids a late answer taking back what the watch has told since.
                 fail("older than what is known");
                 return null;
             }
             // Not read: this avoids what is outdated undoing what is known of endpoints.
-            EndpointList result = outdated ? null : parser.read(told);
+            EndpointList result = outdated ? null : parser.read(message);
             answered = true;
             requests.schedule.onUpdate(loop.now(), number);
             if (outdated) {
@@ -438,10 +439,10 @@
             }
             version = result.version();
             loop.log()
-                    .debug("discovery.told")
+                    .debug("discovery.updated")
                     .with("version", version)
                     .with("list", result.full() ? "full" : "changes")
-                    .with("nodes", result.nodes().size())
+                    .with("endpoints", result.nodes().size())
                     .write();
             updateListener.accept(result);
             return result;
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
@@ -53,7 +53,7 @@
     /** Bytes of an answer that is being collected, as charged to the account. */
     private int collected;
 
-    private long lastHeardAt;
+    private long lastReceivedAt;
     private long connectedAt;
     private long idleSince;
 
@@ -90,9 +90,9 @@
         if (!legal) {
             loop.log()
                     .fault(
-                            "node.channel_failed",
+                            "endpoint.connection_failed",
                             new IllegalStateException(event + " while " + state))
-                    .with("node", endpoint.address())
+                    .with("endpoint", endpoint.address())
                     .write();
             fail();
         }
@@ -158,7 +158,10 @@
         try {
             return next.encode();
         } catch (RuntimeException | OutOfMemoryError e) {
-            loop.log().fault("node.request_not_made", e).with("node", endpoint.address()).write();
+            loop.log()
+                    .fault("endpoint.request_failed", e)
+                    .with("endpoint", endpoint.address())
+                    .write();
             close();
             next.notStarted();
             return null;
@@ -249,7 +252,7 @@
             return;
         }
         try {
-            lastHeardAt = loop.now();
+            lastReceivedAt = loop.now();
             decode(in);
         } catch (MalformedMessageException e) {
             failMalformed(e.getMessage());
@@ -300,13 +303,13 @@
         download = flow;
         MessageHead head = decoder.head();
         BodyRemainder rest = new BodyRemainder(flow, decoder.bodyLength());
-        flow.whenRoom(() -> loop.run(() -> continueDownload(flow)));
+        flow.whenWritable(() -> loop.run(() -> continueDownload(flow)));
         call.responseStarted(new HttpMessage(head, decoder.flow(flow::put), rest));
     }
 
     private void continueDownload(BodyFlow flow) {
         if (download == flow && !flow.isFull()) {
-            lastHeardAt = loop.now(); // silence counts from where the endpoint may go on
+            lastReceivedAt = loop.now(); // silence counts from where the endpoint may go on
             channel.config().setAutoRead(true);
         }
     }
@@ -318,7 +321,7 @@
     /** An answer has begun some time ago and is not complete. */
     private void checkAnswer() {
         answerTimer = null;
-        long silence = loop.now() - lastHeardAt;
+        long silence = loop.now() - lastReceivedAt;
         boolean silentStream =
                 download != null && !download.isFull() && silence >= STREAM_SILENCE_NANOS;
         boolean silentAnswer = download == null && silence >= limits.responseTimeout();
@@ -380,7 +383,11 @@
     }
 
     private void failMalformed(String why) {
-        loop.log().warn("node.spoilt").with("node", endpoint.address()).with("why", why).write();
+        loop.log()
+                .warn("endpoint.response_rejected")
+                .with("endpoint", endpoint.address())
+                .with("why", why)
+                .write();
         fail();
     }
 
@@ -429,7 +436,10 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            loop.log().fault("node.channel_failed", cause).with("node", endpoint.address()).write();
+            loop.log()
+                    .fault("endpoint.connection_failed", cause)
+                    .with("endpoint", endpoint.address())
+                    .write();
         }
         fail(); // before the channel ends: what came of an answer until then is not complete
     }
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
@@ -232,8 +232,8 @@
             }
             idle.close();
         }
-        boolean madeRoom = open >= bounds.maxIdle() && closeOldestIdle();
-        if (open >= bounds.max() && !madeRoom) {
+        boolean evicted = open >= bounds.maxIdle() && closeOldestIdle();
+        if (open >= bounds.max() && !evicted) {
             call.notStarted(); // operators and discovery need the descriptors that are left
             return;
         }
--- a/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
@@ -31,7 +31,7 @@
         return new DefaultChannelPipeline(this) {
             @Override
             protected void onUnhandledInboundException(Throwable cause) {
-                loop.log().warn("door.failed").with("why", cause).write();
+                loop.log().warn("listener.accept_failed").with("why", cause).write();
             }
         };
     }
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -18,7 +18,7 @@
 
     /** Takes that a replica counts as live from now on, or as dead. */
     public interface LivenessListener {
-        void onLivenessChanged(int replica, boolean lives);
+        void onLivenessChanged(int replica, boolean alive);
     }
 
     private final ProxyEventLoop loop;
@@ -30,15 +30,15 @@
     private TimerService.Timer timer;
     private long scheduledAt = Long.MAX_VALUE;
     private int lastLiveCount;
-    private LivenessListener livenessListener = (replica, lives) -> {};
+    private LivenessListener livenessListener = (replica, alive) -> {};
 
     /**
      * @param replicas how many proxies of the tier there may be, and {@code self} the number of
      *     this one
      * @param incarnation larger than that of the process before, such as the time of its start in
      *     milliseconds
-     * @param live takes how many live, whenever that changes
-     * @param notes takes what becomes known; null where nobody asked for that
+     * @param liveCountListener takes how many live, whenever that changes
+     * @param history takes what becomes known; null where nobody asked for that
      */
     public MembershipService(
             ProxyEventLoop loop,
@@ -48,12 +48,12 @@
             int self,
             long incarnation,
             RandomGenerator random,
-            IntConsumer live,
-            EventRecorder notes) {
+            IntConsumer liveCountListener,
+            EventRecorder history) {
         this.loop = loop;
         this.peers = peers;
-        this.liveCountListener = live;
-        this.history = notes;
+        this.liveCountListener = liveCountListener;
+        this.history = history;
         this.incarnation = incarnation;
         this.lastLiveCount = replicas;
         this.swim =
@@ -143,17 +143,17 @@
         if (before.state() != now.state()) {
             livenessListener.onLivenessChanged(now.number(), now.state() != State.DEAD);
             if (now.state() == State.SUSPECT) {
-                loop.log().debug("member.suspect").with("copy", now.number()).write();
+                loop.log().debug("member.suspected").with("replica", now.number()).write();
             } else if (now.state() == State.DEAD) {
                 loop.log()
-                        .info("member.dead")
-                        .with("copy", now.number())
+                        .info("member.died")
+                        .with("replica", now.number())
                         .with("live", swim.liveCount())
                         .write();
             } else if (before.state() == State.DEAD) {
                 loop.log()
-                        .info("member.back")
-                        .with("copy", now.number())
+                        .info("member.recovered")
+                        .with("replica", now.number())
                         .with("live", swim.liveCount())
                         .write();
             }
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -39,17 +39,17 @@
 
     /**
      * @param peers the address of each proxy of the tier, by its number
-     * @param all an address that reaches them all, or null where there is none
+     * @param broadcastAddress an address that reaches them all, or null where there is none
      */
     public PeerSocket(
             ProxyEventLoop loop,
             RequestForwarder<?, ?> forwarder,
             List<InetSocketAddress> peers,
-            InetSocketAddress all) {
+            InetSocketAddress broadcastAddress) {
         this.loop = loop;
         this.defaultHandler = forwarder::peerMessage;
         this.peers = peers;
-        this.broadcastAddress = all;
+        this.broadcastAddress = broadcastAddress;
     }
 
     /**
@@ -75,7 +75,7 @@
                     if (bound.isSuccess()) {
                         then.run();
                     } else {
-                        loop.log().warn("peer.failed").with("error", bound.cause()).write();
+                        loop.log().warn("peer.socket_failed").with("error", bound.cause()).write();
                     }
                 });
     }
@@ -114,8 +114,8 @@
                 replica < 0 ? broadcastAddress : replica < peers.size() ? peers.get(replica) : null;
         if (channel == null || to == null || message.length > MAX_MESSAGE_BYTES) {
             loop.log()
-                    .warn("peer.unreachable")
-                    .with("copy", replica)
+                    .warn("peer.send_failed")
+                    .with("replica", replica)
                     .with("bytes", message.length)
                     .write();
             return;
@@ -130,7 +130,7 @@
             int from = peers.indexOf(packet.sender());
             if (from < 0 || packet.content().readableBytes() > MAX_MESSAGE_BYTES) {
                 loop.log()
-                        .warn("peer.rejected")
+                        .warn("peer.datagram_rejected")
                         .with("from", packet.sender())
                         .with("bytes", packet.content().readableBytes())
                         .write();
@@ -146,7 +146,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             // Such as a peer's port being closed: the socket stays.
-            loop.log().warn("peer.failed").with("error", cause).write();
+            loop.log().warn("peer.socket_failed").with("error", cause).write();
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
@@ -52,12 +52,12 @@
     }
 
     /**
-     * @param drift what the clock of a trial makes of the machine's; null: the clock is the
+     * @param skewedClock what the clock of a trial makes of the machine's; null: the clock is the
      *     machine's
      */
-    public ProxyEventLoop(Logger log, SkewedClock drift) {
+    public ProxyEventLoop(Logger log, SkewedClock skewedClock) {
         this.log = log;
-        this.skewedClock = drift;
+        this.skewedClock = skewedClock;
     }
 
     EventLoopGroup group() {
@@ -89,7 +89,7 @@
                                 worstLatenessAt = now();
                             }
                             if (late > LATE_THRESHOLD_NANOS) {
-                                log.warn("loop.late").with("ms", late / 1_000_000).write();
+                                log.warn("loop.delayed").with("ms", late / 1_000_000).write();
                             }
                             runGuarded(action);
                         },
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -63,19 +63,19 @@
     private boolean wasLeader;
 
     /**
-     * @param notes takes what becomes known; null where nobody asked for that
+     * @param history takes what becomes known; null where nobody asked for that
      */
     public ReplicaCoordinator(
             ProxyEventLoop loop,
             PeerSocket peers,
-            ReplicaFactory maker,
+            ReplicaFactory factory,
             Host host,
-            EventRecorder notes) {
+            EventRecorder history) {
         this.loop = loop;
         this.peers = peers;
-        this.factory = maker;
+        this.factory = factory;
         this.host = host;
-        this.history = notes;
+        this.history = history;
     }
 
     /** Takes part from now on; on the loop. */
@@ -110,10 +110,10 @@
     }
 
     /** Membership holds that a replica lives, or that it is dead. */
-    public void setAlive(int number, boolean lives) {
-        dead.set(number, !lives);
+    public void setAlive(int number, boolean alive) {
+        dead.set(number, !alive);
         if (replica != null) {
-            replica.setAlive(number, lives);
+            replica.setAlive(number, alive);
         }
     }
 
@@ -169,7 +169,7 @@
      * it says nothing more, and clients are served as without a table once its lease is over.
      */
     private void onStorageFailure(UncheckedIOException e) {
-        loop.log().warn("agreement.stopped").with("why", e.getMessage()).write();
+        loop.log().warn("consensus.stopped").with("why", e.getMessage()).write();
         end();
     }
 
@@ -179,9 +179,9 @@
         if (now.isLeader() != wasLeader) {
             wasLeader = now.isLeader();
             if (wasLeader) {
-                loop.log().info("agreement.leads").with("term", now.term()).write();
+                loop.log().info("consensus.leadership_gained").with("term", now.term()).write();
             } else {
-                loop.log().info("agreement.follows").with("term", now.term()).write();
+                loop.log().info("consensus.leadership_lost").with("term", now.term()).write();
             }
         }
         long due = replica.nextTickAt();
@@ -204,13 +204,13 @@
         @Override
         public void onTable(RouteTable table) {
             if (table == null) {
-                loop.log().warn("table.lapsed").write();
+                loop.log().warn("table.lease_expired").write();
             } else {
                 loop.log()
                         .info("table.loaded")
                         .with("number", table.number())
-                        .with("shares", table.routes().size())
-                        .with("leaving", table.draining().size())
+                        .with("routes", table.routes().size())
+                        .with("draining", table.draining().size())
                         .write();
             }
             host.onTable(table);
--- a/daemon/src/main/java/cedarrudder/transport/RequestReader.java
+++ b/daemon/src/main/java/cedarrudder/transport/RequestReader.java
@@ -201,8 +201,8 @@
         } catch (MalformedMessageException e) {
             server.loop()
                     .log()
-                    .warn("caller.rejected")
-                    .with("caller", connection.remoteAddress())
+                    .warn("client.rejected")
+                    .with("client", connection.remoteAddress())
                     .with("status", e.status())
                     .with("why", e.getMessage())
                     .write();
@@ -265,7 +265,7 @@
                 new HttpMessage(head, decoder.flow(flow::put), new BodyRemainder(flow, length));
         chargeCollected();
         upload = flow;
-        flow.whenRoom(() -> server.loop().run(this::continueUpload));
+        flow.whenWritable(() -> server.loop().run(this::continueUpload));
         boolean mayBegin = server.loop().now() < shutdown.answerBy();
         connection.take(request, mayBegin ? MAX_UPLOAD_NANOS : 0);
     }
--- a/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
@@ -196,11 +196,11 @@
             leaving.close();
             Await.until("no open request", () -> metric(world, "open_requests") == 0);
             JsonObject operations = JsonObject.parse(page(world)).child("operations");
-            assertEquals(operations.child("lookup").whole("fulfilled"), 1);
-            assertEquals(operations.child("lookup").whole("relayed"), 1);
-            assertEquals(operations.child("order").whole("faulted"), 1);
-            assertEquals(operations.child("order").whole("relayed"), 2);
-            assertEquals(operations.child("order").whole("left"), 1);
+            assertEquals(operations.child("lookup").integer("fulfilled"), 1);
+            assertEquals(operations.child("lookup").integer("relayed"), 1);
+            assertEquals(operations.child("order").integer("faulted"), 1);
+            assertEquals(operations.child("order").integer("relayed"), 2);
+            assertEquals(operations.child("order").integer("left"), 1);
         }
     }
 
@@ -209,7 +209,7 @@
     }
 
     private static long metric(World world, String name) throws Exception {
-        return JsonObject.parse(page(world)).whole(name);
+        return JsonObject.parse(page(world)).integer(name);
     }
 
     private static int nodePort(World world, int node) {
--- a/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
@@ -161,7 +161,7 @@
                 assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
                 long held =
                         JsonObject.parse(world.operator("GET", "/-/metrics").body())
-                                .whole("held_bytes");
+                                .integer("held_bytes");
                 assertTrue(held <= MANY * 2 * 64 * 1024, held + " bytes are held");
             }
             try (Caller other = world.caller()) {
@@ -177,7 +177,7 @@
                     "what nobody waits for is let go",
                     () ->
                             JsonObject.parse(world.operator("GET", "/-/metrics").body())
-                                            .whole("held_bytes")
+                                            .integer("held_bytes")
                                     == 0);
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
@@ -319,7 +319,7 @@
                 assertEquals(answer.body(), "a loop: front > core > front\n");
                 assertEquals(seen.get(), 2 * i, "one round, and none tries again");
             }
-            String line = "budget.loop path=\"front > core > front\"";
+            String line = "budget.loop_rejected path=\"front > core > front\"";
             front.awaitLog(line);
             assertEquals(
                     front.log.toString().split(Pattern.quote(line), -1).length,
--- a/daemon/src/test/java/cedarrudder/program/ChainIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ChainIT.java
@@ -173,7 +173,7 @@
                 "a start of the chain's proxy",
                 process,
                 lines,
-                line -> line.contains("proxy.listens"));
+                line -> line.contains("proxy.started"));
         // Read on, so that a full pipe never stops the proxy.
         Nodes.daemon(() -> lines.lines().forEach(each -> {}));
     }
--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -57,7 +57,7 @@
                             (path, own) -> own + File.pathSeparator + path);
             Process process = builder.start();
             try {
-                for (int i = 0; !Files.readString(err).contains("proxy.listens"); i++) {
+                for (int i = 0; !Files.readString(err).contains("proxy.started"); i++) {
                     assertTrue(process.isAlive() && i < PATIENCE_MILLIS, Files.readString(err));
                     Thread.sleep(1);
                 }
--- a/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -19,7 +19,7 @@
 public class FaultScenarioTest {
 
     private static long figure(World world, String name) throws IOException {
-        return JsonObject.parse(world.operator("GET", "/-/metrics").body()).whole(name);
+        return JsonObject.parse(world.operator("GET", "/-/metrics").body()).integer(name);
     }
 
     private static void awaitFigure(World world, String name, long value) throws Exception {
@@ -88,7 +88,7 @@
                     JsonObject.parse(world.operator("GET", "/-/metrics").body())
                             .child("operations")
                             .child("order")
-                            .whole("left"),
+                            .integer("left"),
                     1);
         }
     }
@@ -261,8 +261,8 @@
                 continue;
             }
             JsonObject figures = JsonObject.parse(world.operator("GET", "/-/metrics").body());
-            long refused = figures.child("operations").child("order").whole("throttled");
-            if (figures.whole("open_requests") == calls.size()
+            long refused = figures.child("operations").child("order").integer("throttled");
+            if (figures.integer("open_requests") == calls.size()
                     && calls.size() + refused == requests) {
                 return calls;
             }
--- a/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -155,7 +155,9 @@
             log.reset();
             try (FileStableStorage store = open()) {
                 assertNull(store.recovered(), "byte " + at + " of " + last);
-                assertTrue(log.toString().contains("agreement.refused"), "byte " + at + ": " + log);
+                assertTrue(
+                        log.toString().contains("consensus.storage_rejected"),
+                        "byte " + at + ": " + log);
                 assertTrue(
                         log.toString().contains("byte ") && log.toString().contains("allowed"),
                         "" + log);
--- a/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -45,11 +45,11 @@
     }
 
     private static void awaitOpen(World world, int requests) throws Exception {
-        Await.until(requests + " open", () -> figures(world).whole("open_requests") == requests);
+        Await.until(requests + " open", () -> figures(world).integer("open_requests") == requests);
     }
 
     private static long left(World world, String kind) throws IOException {
-        return figures(world).child("operations").child(kind).whole("left");
+        return figures(world).child("operations").child(kind).integer("left");
     }
 
     /** The next request at an endpoint has this id; it is answered. */
@@ -241,7 +241,7 @@
             world.start();
             Discovery discovery = new Discovery(world);
             discovery.tell(list(7, world.entries("terminating")));
-            Await.until("a node that drains", () -> figures(world).whole("out_of_rotation") == 1);
+            Await.until("a node that drains", () -> figures(world).integer("out_of_rotation") == 1);
             try (Caller leaves = world.caller()) {
                 leaves.send(request("order", "leaves"));
                 awaitOpen(world, 1);
@@ -249,7 +249,7 @@
             awaitOpen(world, 0);
             assertEquals(left(world, "order"), 1);
             discovery.tell(list(8, world.entries("in_service")));
-            Await.until("a node", () -> figures(world).whole("out_of_rotation") == 0);
+            Await.until("a node", () -> figures(world).integer("out_of_rotation") == 0);
             try (Caller caller = world.caller()) {
                 caller.send(request("order", "stays"));
                 serve(world, caller, "stays");
@@ -381,7 +381,7 @@
                                                         "\"started_ms\":" + started)
                                         + ",{\"id\":\"told\",\"addr\":\"127.0.0.1:9\","
                                         + "\"state\":\"terminating\"}"));
-                Await.until("the list", () -> figures(world).whole("out_of_rotation") == 1);
+                Await.until("the list", () -> figures(world).integer("out_of_rotation") == 1);
                 caller.send(request("order", "second"));
                 assertEquals(
                         serve(world, caller, "second").socket() != first,
@@ -433,7 +433,7 @@
                                 .replace("Deadline-Ms: 30000", "Deadline-Ms: 400"));
                 assertEquals(caller.read().first(), REFUSED);
             }
-            assertEquals(figures(world).whole("relayed"), 0);
+            assertEquals(figures(world).integer("relayed"), 0);
             assertEquals(full.awaitConnections(0).size(), 0, "none came up");
         }
     }
@@ -461,7 +461,7 @@
                                 entries[0].replace("in_service", "terminating")
                                         + ","
                                         + entries[1]));
-                Await.until("the list", () -> figures(world).whole("out_of_rotation") == 1);
+                Await.until("the list", () -> figures(world).integer("out_of_rotation") == 1);
                 first.reply("500 Internal Server Error", "");
                 Await.until(
                         "the window is over",
--- a/daemon/src/test/java/cedarrudder/program/FootprintIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintIT.java
@@ -77,7 +77,7 @@
             tell(world);
             // Told, and then twice more since endpoints wait.
             for (int i = 0; i < 3; i++) {
-                proxy.awaitLine("footprint.refused bound=heap_at_");
+                proxy.awaitLine("footprint.exceeded bound=heap_at_");
             }
             for (int i = 0; i < 200; i++) {
                 assertEquals(serve(world, "id-" + i).body(), "done");
@@ -86,18 +86,18 @@
             JsonObject verdict = page.child("footprint");
             System.out.println(
                     "held "
-                            + page.whole("registry_entries")
+                            + page.integer("registry_entries")
                             + " of "
-                            + verdict.whole("wanted")
+                            + verdict.integer("wanted")
                             + ", needed "
-                            + verdict.whole("needed")
+                            + verdict.integer("needed")
                             + ", room "
-                            + verdict.whole("room"));
-            assertEquals(verdict.whole("wanted"), NODES + 2);
-            assertTrue(verdict.whole("needed") > verdict.whole("room"));
-            assertEquals(page.whole("registry_entries") + verdict.whole("waits"), NODES + 2);
-            assertTrue(page.whole("registry_entries") > 2_000, "as many as fit");
-            assertEquals(page.whole("out_of_rotation"), 1, "the one that drains"); // n2 has left
+                            + verdict.integer("room"));
+            assertEquals(verdict.integer("wanted"), NODES + 2);
+            assertTrue(verdict.integer("needed") > verdict.integer("room"));
+            assertEquals(page.integer("registry_entries") + verdict.integer("waits"), NODES + 2);
+            assertTrue(page.integer("registry_entries") > 2_000, "as many as fit");
+            assertEquals(page.integer("out_of_rotation"), 1, "the one that drains"); // n2 has left
             proxy.signal("TERM");
             String said = proxy.rest();
             assertFalse(said.contains("OutOfMemory"), said);
@@ -131,15 +131,15 @@
                             "",
                             MACHINE,
                             List.of("--operator", operator.toString()))) {
-                proxy.awaitLine("footprint.refused bound=heap_at_");
-                proxy.awaitLine("proxy.listens");
+                proxy.awaitLine("footprint.exceeded bound=heap_at_");
+                proxy.awaitLine("proxy.started");
                 for (int i = 0; i < 50; i++) {
                     assertEquals(serve(world, "id-" + i).body(), "done");
                 }
                 JsonObject page = JsonObject.parse(proxy.call("GET", "/-/metrics").body());
-                long held = page.whole("registry_entries");
+                long held = page.integer("registry_entries");
                 assertTrue(held > 2_000 && held < nodes, "held " + held);
-                assertEquals(page.child("footprint").whole("waits"), nodes - held);
+                assertEquals(page.child("footprint").integer("waits"), nodes - held);
                 assertTrue(
                         World.await(world.lookups).first().contains("since=0"),
                         "what waits is asked for");
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -81,7 +81,7 @@
                     wrong.append(
                             compare(
                                     name + ", told again",
-                                    footprint.toldAgain(list),
+                                    footprint.peakOfRepeatedList(list),
                                     RetainedEndpointList.graph(again).totalSize() - none));
                 }
             }
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -153,7 +153,7 @@
                                 flags(),
                                 List.of("--operator", operator("").toString()))) {
             AtomicBoolean away = turnAway(world);
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             live(proxy.process); // first: what jcmd itself leaves there counts for nothing
             long before = live(proxy.process);
             away.set(false);
@@ -204,18 +204,21 @@
                     Seen seen = rest(nodes, zones, tenants);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants, ";
                     wrong.append(
-                            compare(name + "heap", seen.says.whole("heap_at_rest"), seen.heap));
+                            compare(name + "heap", seen.says.integer("heap_at_rest"), seen.heap));
                     wrong.append(
                             compare(
                                     name + "list alone",
                                     list(list(nodes, zones), nodes),
                                     seen.heap - seen.before));
                     wrong.append(
-                            compare(name + "resident", seen.says.whole("resident"), seen.resident));
+                            compare(
+                                    name + "resident",
+                                    seen.says.integer("resident"),
+                                    seen.resident));
                     wrong.append(
                             compare(
                                     name + "descriptors",
-                                    seen.says.whole("descriptors"),
+                                    seen.says.integer("descriptors"),
                                     seen.descriptors));
                 }
             }
@@ -247,7 +250,7 @@
                                                     + Path.of("daemon", "target", "test-classes"),
                                             "cedarrudder.program.Collecting"),
                                     List.of("--operator", operator("").toString()))) {
-                proxy.awaitLine("proxy.listens");
+                proxy.awaitLine("proxy.started");
                 Files.createFile(begin);
                 Await.line(
                         "the first collection",
@@ -268,7 +271,10 @@
                         .lines()
                         .forEach(line -> max[0] = Math.max(max[0], Collecting.max(line)));
                 wrong.append(
-                        compare(nodes + " nodes, at the peak", says.whole("heap_at_peak"), max[0]));
+                        compare(
+                                nodes + " nodes, at the peak",
+                                says.integer("heap_at_peak"),
+                                max[0]));
             }
         }
         assertTrue(wrong.isEmpty(), wrong.toString());
@@ -293,7 +299,7 @@
                                                                 + "\"\n")
                                                 .toString()))) {
             tell(world, list(300, 3));
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             proxy.awaitFigure("registry_entries", 300);
             Await.until("what it held", () -> Files.readString(history).contains("\"held\""));
         }
--- a/daemon/src/test/java/cedarrudder/program/JsonLineWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/program/JsonLineWriterTest.java
@@ -37,7 +37,7 @@
         assertEquals(lines.size(), LINES, "seed " + seed);
         for (int i = 0; i < LINES; i++) {
             JsonObject line = JsonObject.parse(lines.get(i));
-            assertEquals(line.whole("count"), i);
+            assertEquals(line.integer("count"), i);
             assertEquals(line.text("event", null), "a.b");
             assertEquals(line.text("level", null), "warn");
             assertTrue(line.number("seconds", -1) >= 0);
--- a/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
@@ -100,8 +100,8 @@
             // An endpoint may still be reading what a client has left.
             for (int i = 0;
                     i < 20_000
-                            && (page.whole("open_requests") > 0
-                                    || page.whole("relayed") != arrived.get());
+                            && (page.integer("open_requests") > 0
+                                    || page.integer("relayed") != arrived.get());
                     i++) {
                 page = page(world);
             }
@@ -113,14 +113,14 @@
             String[] names = {"fulfilled", "throttled", "faulted"};
             int[] seen = {served.get(), refused.get(), failed.get()};
             for (int i = 0; i < names.length; i++) {
-                long told = orders.whole(names[i]);
+                long told = orders.integer(names[i]);
                 counted += told;
                 assertTrue(
                         told >= seen[i] && told <= seen[i] + left.get(),
                         names[i] + ": told " + told + ", seen " + seen[i]);
             }
-            assertTrue(counted + orders.whole("left") <= CALLERS * CALLS);
-            assertEquals(page.whole("relayed"), arrived.get());
+            assertTrue(counted + orders.integer("left") <= CALLERS * CALLS);
+            assertEquals(page.integer("relayed"), arrived.get());
         }
     }
 
--- a/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
@@ -206,7 +206,7 @@
                             + world.entries("in_service")
                             + "]}\n");
             world.reload("{");
-            world.awaitLog("configuration.kept");
+            world.awaitLog("configuration.rejected");
             world.discovery = world.new Peer(world.lookups);
             world.reload(world.configuration());
             Received watch = World.await(world.lookups);
@@ -441,7 +441,7 @@
             assertEquals(ready.send(health).read().first(), "HTTP/1.1 200 OK");
             // A machine that is short of cores makes the loop say so.
             assertFalse(
-                    full.log.toString().replace("WARN loop.late", "").contains("WARN"),
+                    full.log.toString().replace("WARN loop.delayed", "").contains("WARN"),
                     full.log.toString());
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
@@ -121,7 +121,7 @@
     }
 
     long figure(String name) throws IOException {
-        return JsonObject.parse(call("GET", "/-/metrics").body()).whole(name);
+        return JsonObject.parse(call("GET", "/-/metrics").body()).integer(name);
     }
 
     /**
@@ -133,7 +133,7 @@
                 name + " at " + value,
                 () -> {
                     Received page = call("GET", "/-/metrics");
-                    return page != null && JsonObject.parse(page.body()).whole(name) == value;
+                    return page != null && JsonObject.parse(page.body()).integer(name) == value;
                 });
     }
 
--- a/daemon/src/test/java/cedarrudder/program/ServeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ServeIT.java
@@ -54,7 +54,7 @@
      * A process inherits that SIGHUP is ignored, as under nohup, and no plain shell gives it back.
      */
     private static void skipWhereNotHeard(Process process, String said) {
-        if (said.contains("sighup.not_handled")) {
+        if (said.contains("sighup.ignored")) {
             process.destroyForcibly(); // else it would outlive the tests, and ask at ports of
             // later ones
             throw new SkipException("SIGHUP is ignored by whoever started the tests: " + said);
@@ -69,7 +69,7 @@
                     new BufferedReader(
                             new InputStreamReader(
                                     process.getInputStream(), StandardCharsets.UTF_8));
-            awaitLine(process, lines, "proxy.listens");
+            awaitLine(process, lines, "proxy.started");
             try (Caller caller = world.caller();
                     Caller idle = world.caller();
                     Caller late = world.caller()) {
@@ -77,7 +77,7 @@
                 caller.send(World.request("order", "/api", "x"));
                 Received taken = world.call();
                 ProxyUnderTest.signal(process, "TERM");
-                awaitLine(process, lines, "proxy.draining");
+                awaitLine(process, lines, "proxy.shutdown_started");
                 // Where this proxy is the only one, clients have nowhere else to go until it is
                 // back.
                 serveOne(world, idle, "still");
@@ -112,13 +112,13 @@
                     new BufferedReader(
                             new InputStreamReader(
                                     process.getInputStream(), StandardCharsets.UTF_8));
-            skipWhereNotHeard(process, awaitLine(process, lines, "proxy.listens"));
+            skipWhereNotHeard(process, awaitLine(process, lines, "proxy.started"));
             try (Caller caller = world.caller()) {
                 caller.send(World.request("order", "/api", "x"));
                 Received taken = world.call();
                 Files.writeString(file, "{");
                 ProxyUnderTest.signal(process, "HUP");
-                awaitLine(process, lines, "configuration.kept");
+                awaitLine(process, lines, "configuration.rejected");
                 world.discovery = world.new Peer(world.lookups);
                 Files.writeString(file, world.configuration());
                 ProxyUnderTest.signal(process, "HUP");
@@ -148,24 +148,27 @@
                     new BufferedReader(
                             new InputStreamReader(
                                     process.getInputStream(), StandardCharsets.UTF_8));
-            String said = awaitLine(process, lines, "proxy.listens");
+            String said = awaitLine(process, lines, "proxy.started");
             skipWhereNotHeard(process, said);
-            assertEquals(event(said, "proxy.listens").text("name", null), "example");
+            assertEquals(event(said, "proxy.started").text("name", null), "example");
             Files.writeString(
                     operator, "[callers]\nbody_bytes = 300\nidle = 1\n[log]\nformat = \"xml\"\n");
             ProxyUnderTest.signal(process, "HUP");
-            JsonObject kept = event(awaitLine(process, lines, "operator.kept"), "operator.kept");
-            assertEquals(kept.whole("problems"), 2);
+            JsonObject kept =
+                    event(
+                            awaitLine(process, lines, "operator_file.rejected"),
+                            "operator_file.rejected");
+            assertEquals(kept.integer("problems"), 2);
             assertTrue(
                     kept.text("first", null)
                             .contains(".toml:3: callers.idle: found an unknown key"));
             assertEquals(answer(world, "four"), "HTTP/1.1 413 Content Too Large");
             Files.writeString(operator, "[callers]\nbody_bytes = 300\n");
             ProxyUnderTest.signal(process, "HUP");
-            awaitLine(process, lines, "operator.read");
+            awaitLine(process, lines, "operator_file.reloaded");
             assertEquals(answer(world, "four"), "HTTP/1.1 200 OK");
             ProxyUnderTest.signal(process, "TERM");
-            awaitLine(process, lines, "INFO proxy.draining");
+            awaitLine(process, lines, "INFO proxy.shutdown_started");
             assertEquals(Await.end("its end", process), TERMINATED);
         } finally {
             Files.delete(operator);
@@ -222,8 +225,8 @@
                         said.lines()
                                 .filter(
                                         line ->
-                                                !line.contains(" loop.late ")
-                                                        && !line.contains(" sighup.not_handled "))
+                                                !line.contains(" loop.delayed ")
+                                                        && !line.contains(" sighup.ignored "))
                                 .toList();
                 assertEquals(lines.size(), 1, said);
                 assertTrue(lines.get(0).startsWith("cedarrudder: "), said);
@@ -240,7 +243,7 @@
         Path state = Files.createTempDirectory("serve");
         try (World world = new World(1);
                 ProxyUnderTest proxy = new ProxyUnderTest(world, state, "", watched, List.of())) {
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
         }
         String classes = Files.readString(loaded);
         assertTrue(classes.contains("logging.InternalLoggerFactory "), classes);
--- a/daemon/src/test/java/cedarrudder/program/ShortageIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ShortageIT.java
@@ -72,7 +72,7 @@
             proxy.signal("TERM");
             // What it still says is read only now; it ends whether it is read or not.
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
-            assertTrue(proxy.rest().contains("caller.rejected"));
+            assertTrue(proxy.rest().contains("client.rejected"));
         }
     }
 
@@ -103,7 +103,7 @@
                         new ProxyUnderTest(
                                 world, folder(), "ulimit -n 90;", List.of(), List.of())) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             serveOne(world, "before");
             int before = proxy.descriptors();
             List<Caller> crowd = new ArrayList<>();
@@ -135,7 +135,7 @@
             }
             proxy.signal("TERM");
             String said = proxy.rest();
-            assertFalse(said.contains("module.failed") || said.contains("task_failed"), said);
+            assertFalse(said.contains("balancer.failed") || said.contains("task_failed"), said);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
@@ -156,7 +156,7 @@
                                 "",
                                 List.of("-XX:MaxDirectMemorySize=2m", "-Xmx48m"),
                                 List.of())) {
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             byte[] body = new byte[8 * 1024 * 1024];
             Nodes.play(
                     world,
@@ -207,7 +207,7 @@
         try (World world = new World(1);
                 ProxyUnderTest proxy = new ProxyUnderTest(world, none)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 503);
             assertEquals(proxy.status("POST", "/-/drain"), 503);
             serveOne(world, "served");
@@ -223,7 +223,7 @@
         Path state = folder();
         try (World world = new World(2);
                 ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            first.awaitLine("proxy.listens");
+            first.awaitLine("proxy.started");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
             try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
                 first.awaitLine("successor=true");
@@ -233,8 +233,8 @@
                         Files.move(kept, folder().resolve("cleared"));
                     }
                 }
-                first.awaitLine("state.renewed");
-                second.awaitLine("state.renewed");
+                first.awaitLine("state.restored");
+                second.awaitLine("state.restored");
                 assertEquals(first.figure("out_of_rotation"), 1);
                 second.awaitReady();
                 second.awaitFigure("out_of_rotation", 1);
@@ -256,7 +256,7 @@
         try (World world = new World(2);
                 ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             Nodes.list(world);
-            first.awaitLine("proxy.listens");
+            first.awaitLine("proxy.started");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
             for (boolean whole : new boolean[] {false, true}) {
                 first.signal("STOP"); // so that the new one finds nothing
@@ -304,7 +304,7 @@
                                 "",
                                 List.of("-XX:+UseSerialGC", "-Xmx24m"),
                                 List.of())) {
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             String body = "x".repeat(60_000);
             for (int i = 0; i < 400; i++) {
@@ -337,7 +337,7 @@
                                 "",
                                 List.of("-XX:+UseSerialGC", "-Xmx24m"),
                                 List.of())) {
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             Nodes.play(world, call -> call.reply("200 OK", "done"));
             for (int i = 0; i < 200; i++) {
                 Caller caller = world.caller();
@@ -370,7 +370,7 @@
                                 "",
                                 List.of("-XX:+UseSerialGC", "-Xmx16m"),
                                 List.of())) {
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             for (int i = 0; i < 25_000; i++) {
                 try (Socket call = new Socket(InetAddress.getLoopbackAddress(), proxy.admin)) {
                     call.setSoLinger(true, 0);
@@ -390,7 +390,7 @@
         try (World world = new World(2);
                 ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
             world.probesWait = true;
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             int before = proxy.descriptors();
             List<Caller> callers = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -49,7 +49,7 @@
                 }
             }
             try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
-                proxy.awaitLine("proxy.listens");
+                proxy.awaitLine("proxy.started");
                 serveOne(world, "after");
             }
         }
@@ -80,7 +80,7 @@
     public void aStormOfSignalsChangesNothingAndTheFirstToEndCounts() throws Exception {
         try (World world = new World(1);
                 ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             String pid = Long.toString(proxy.process.pid());
             Process storm =
                     new ProcessBuilder(
@@ -96,7 +96,7 @@
             }
             String said = proxy.rest();
             assertFalse(said.contains("Exception"), said);
-            assertEquals(said.split("proxy.draining", -1).length - 1, 1, said);
+            assertEquals(said.split("proxy.shutdown_started", -1).length - 1, 1, said);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
@@ -118,7 +118,7 @@
                                 List.of(),
                                 List.of("-jar", jar.toString()),
                                 List.of())) {
-            proxy.awaitLine("proxy.listens");
+            proxy.awaitLine("proxy.started");
             serveOne(world, "before");
             byte[] other = new byte[(int) Files.size(jar)];
             Arrays.fill(other, (byte) 'x');
@@ -127,7 +127,7 @@
                     other,
                     StandardOpenOption.WRITE); // in place: the process has this file open
             proxy.signal("TERM");
-            proxy.awaitLine("proxy.draining");
+            proxy.awaitLine("proxy.shutdown_started");
             proxy.rest();
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
@@ -142,7 +142,7 @@
         Path state = folder();
         try (World world = new World(2)) {
             try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
-                proxy.awaitLine("proxy.listens");
+                proxy.awaitLine("proxy.started");
                 try (Caller taken = world.caller();
                         Caller half = world.caller();
                         Caller large = world.caller()) {
@@ -183,7 +183,7 @@
 
     private static void running(World world, Path state) throws Exception {
         try (ProxyUnderTest again = new ProxyUnderTest(world, state)) {
-            again.awaitLine("proxy.listens");
+            again.awaitLine("proxy.started");
             assertEquals(again.figure("out_of_rotation"), 1, "the ban is kept");
             try (Caller health = world.caller()) {
                 health.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -207,12 +207,12 @@
         try (World world = new World(2)) {
             Nodes.list(world);
             ProxyUnderTest old = new ProxyUnderTest(world, state);
-            old.awaitLine("proxy.listens");
+            old.awaitLine("proxy.started");
             assertEquals(old.status("POST", "/-/nodes/n0/disable"), 200);
             // The new one is ready and dies: the old one takes its share back, and the ban is as it
             // was.
             try (ProxyUnderTest dies = new ProxyUnderTest(world, state)) {
-                dies.awaitLine("proxy.listens");
+                dies.awaitLine("proxy.started");
                 assertEquals(dies.figure("out_of_rotation"), 1);
                 assertEquals(dies.status("POST", "/-/nodes/n0/enable"), 200);
                 dies.kill();
@@ -222,7 +222,7 @@
             serveOne(world, "old");
             // The old one dies in the midst of giving way: the new one goes on alone.
             try (ProxyUnderTest next = new ProxyUnderTest(world, state)) {
-                next.awaitLine("proxy.listens");
+                next.awaitLine("proxy.started");
                 old.signal("TERM");
                 old.awaitLine("proxy.replaced");
                 old.kill();
@@ -235,7 +235,7 @@
                 old.close();
             }
             try (ProxyUnderTest last = new ProxyUnderTest(world, state)) {
-                last.awaitLine("proxy.listens");
+                last.awaitLine("proxy.started");
                 assertEquals(last.figure("out_of_rotation"), 1);
             }
         }
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -115,12 +115,12 @@
                         call.reply("200 OK", "done");
                     });
             Nodes.list(world); // asked by the successor
-            first.awaitLine("proxy.listens");
+            first.awaitLine("proxy.started");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
             Load load = new Load(world.port);
             load.awaitMore(50);
             try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
-                second.awaitLine("proxy.listens");
+                second.awaitLine("proxy.started");
                 load.awaitMore(50);
                 assertEquals(second.status("GET", "/-/ready"), 200);
                 assertEquals(second.figure("out_of_rotation"), 1);
@@ -142,7 +142,7 @@
                 assertEquals(at.get(world.nodes.get(0).server.getLocalPort()), null);
                 assertEquals(second.status("POST", "/-/nodes/n0/enable"), 200);
                 second.signal("TERM");
-                second.awaitLine("proxy.draining");
+                second.awaitLine("proxy.shutdown_started");
             }
         }
     }
@@ -154,13 +154,13 @@
         try (World world = new World(1);
                 ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
-            first.awaitLine("proxy.listens");
+            first.awaitLine("proxy.started");
             // Not ready as long as discovery gives no list.
             try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
                 first.awaitLine("successor=true ready=false");
                 first.signal("TERM");
-                first.awaitLine("proxy.draining");
-                second.awaitLine("proxy.listens");
+                first.awaitLine("proxy.shutdown_started");
+                second.awaitLine("proxy.started");
             }
         }
     }
@@ -172,7 +172,7 @@
         try (World world = new World(1);
                 ProxyUnderTest first = new ProxyUnderTest(world, state)) {
             Nodes.play(world, call -> call.reply("200 OK", "done"));
-            first.awaitLine("proxy.listens");
+            first.awaitLine("proxy.started");
             Load load = new Load(world.port);
             try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
                 first.awaitLine("successor=true ready=false");
@@ -184,7 +184,7 @@
             assertEquals(load.wrong.toString() + load.atTheDoor, "[][]");
             assertEquals(first.status("GET", "/-/ready"), 200);
             first.signal("TERM");
-            first.awaitLine("proxy.draining");
+            first.awaitLine("proxy.shutdown_started");
             first.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
--- a/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
@@ -52,7 +52,7 @@
                     name.passedOn(),
                     !List.of("connection", "content-length", "transfer-encoding").contains(key),
                     key);
-            assertEquals(name.kept(), key.equals("host") || key.startsWith("req-"), key);
+            assertEquals(name.isEndToEnd(), key.equals("host") || key.startsWith("req-"), key);
         }
     }
 
--- a/daemon/src/test/java/cedarrudder/toml/ConfigTableTest.java
+++ b/daemon/src/test/java/cedarrudder/toml/ConfigTableTest.java
@@ -32,8 +32,8 @@
                         name = "x"
                         """);
         ConfigTable root = document.root();
-        assertEquals(root.whole("size", 1, 5), 3);
-        assertEquals(root.whole("most", 1, 5, 4), 4);
+        assertEquals(root.integer("size", 1, 5), 3);
+        assertEquals(root.integer("most", 1, 5, 4), 4);
         assertEquals(root.choice("shade", Shade.class, null), Shade.LIGHT_BLUE);
         assertEquals(root.range("wait_ms", 0, 10, null), new double[] {1, 2.5});
         assertEquals(root.tables("part").get(0).text("name", null), "x");
@@ -57,9 +57,9 @@
                         share = 3
                         """);
         ConfigTable root = document.root();
-        root.whole("size", 1, 5, 2);
+        root.integer("size", 1, 5, 2);
         root.choice("shade", Shade.class, null);
-        root.whole("many", 1, 5, 1);
+        root.integer("many", 1, 5, 1);
         for (ConfigTable part : root.tables("part")) {
             part.number("share", 0, 1);
             part.text("name", null);
@@ -105,7 +105,7 @@
         ConfigTable root = document.root();
         assertEquals(root.range("wait_ms", 0, 10, new double[] {1, 1}), new double[] {1, 1});
         assertEquals(root.rangeOrNull("share", 0, 1), null);
-        root.whole("most", 1, 5);
+        root.integer("most", 1, 5);
         root.tables("part").get(0).flag("on", true);
         assertEquals(
                 problems(document),
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -789,7 +789,7 @@
             service.refuse();
             assertTrue(read(other).startsWith("HTTP/1.1 503"));
             assertTrue(
-                    service.lines.toString().contains("caller.failed"), service.lines.toString());
+                    service.lines.toString().contains("client.failed"), service.lines.toString());
             assertTrue(
                     service.lines.toString().contains("WRITTEN in REQUEST_OPEN"),
                     service.lines.toString());
--- a/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
@@ -233,7 +233,7 @@
         Logger log =
                 new Logger(
                         line -> {
-                            if (line.contains("caller.closed_for_room")
+                            if (line.contains("client.evicted")
                                     && broken.compareAndSet(false, true)) {
                                 throw new IllegalStateException("broken on purpose");
                             }
--- a/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
@@ -214,11 +214,11 @@
         two.silent = true;
         awaitLive(2);
         one.awaitNews(2, DEAD);
-        assertTrue(log.toString().contains("member.dead copy=2 live=2"), log.toString());
+        assertTrue(log.toString().contains("member.died replica=2 live=2"), log.toString());
         two.incarnation = 8;
         two.silent = false;
         awaitLive(3);
-        assertTrue(log.toString().contains("member.back copy=2 live=3"), log.toString());
+        assertTrue(log.toString().contains("member.recovered replica=2 live=3"), log.toString());
     }
 
     /**
--- a/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/DriverBenchmark.java
@@ -35,6 +35,7 @@
 
     private SimulatedEnvironment proxy;
 
+    /** Sets up what is measured. */
     @Setup
     public void fill() {
         proxy =
--- a/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/HttpBenchmark.java
@@ -33,6 +33,7 @@
             HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
     private ByteBuf bytes;
 
+    /** Sets up what is measured. */
     @Setup
     public void fill() {
         String method = body == 0 ? "GET" : "POST";
@@ -51,6 +52,7 @@
                         StandardCharsets.ISO_8859_1);
     }
 
+    /** Decodes one request. */
     @Benchmark
     public Request read() throws MalformedMessageException {
         bytes.readerIndex(0);
--- a/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/ListBenchmark.java
@@ -35,6 +35,7 @@
     private List<Endpoint> returns;
     private boolean drained;
 
+    /** Sets up what is measured. */
     @Setup
     public void fill() {
         proxy =
--- a/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
+++ b/lab/src/main/java/cedarrudder/lab/benchmark/PickBenchmark.java
@@ -47,6 +47,7 @@
     private long request;
     private LoadBalancer module;
 
+    /** Sets up what is measured. */
     @Setup
     public void fill() {
         int replicas = Math.max(1, nodes / nodesPerReplica);
@@ -59,6 +60,7 @@
         }
     }
 
+    /** One selection of an endpoint. */
     @Benchmark
     public long place() {
         now += Platform.MS;
--- a/lab/src/main/java/cedarrudder/lab/cluster/ReplicaProcess.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ReplicaProcess.java
@@ -175,7 +175,7 @@
 
     /** Waits until the life with this log serves; false where it doesn't in time, or has ended. */
     boolean awaitServing(Path log, long until) throws IOException, InterruptedException {
-        while (!Files.readString(log).contains("proxy.listens")) {
+        while (!Files.readString(log).contains("proxy.started")) {
             if (System.nanoTime() > until || !crashes().isEmpty() || !runs()) {
                 return false;
             }
--- a/lab/src/main/java/cedarrudder/lab/cluster/Script.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/Script.java
@@ -40,6 +40,7 @@
 
     private static final long SECOND = 1_000_000_000L;
 
+    /** Copies the lists. */
     public Script {
         clockOffsets = List.copyOf(clockOffsets);
         clockDrifts = List.copyOf(clockDrifts);
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptReader.java
@@ -54,16 +54,16 @@
 
     static Script read(ConfigDocument document) throws InvalidFileException {
         ConfigTable root = document.root();
-        int replicas = (int) root.whole("copies", Script.MIN, Script.MAX);
-        int nodes = (int) root.whole("nodes", 1, Script.MAX_NODES, 3);
-        int zones = (int) root.whole("zones", 1, Script.MAX_ZONES, 1);
+        int replicas = (int) root.integer("copies", Script.MIN, Script.MAX);
+        int nodes = (int) root.integer("nodes", 1, Script.MAX_NODES, 3);
+        int zones = (int) root.integer("zones", 1, Script.MAX_ZONES, 1);
         if (zones > Math.min(replicas, nodes) && root.sound("zones", "copies", "nodes")) {
             root.problem(
                     "zones",
                     Integer.toString(zones),
                     "a copy and a node for each: " + Math.min(replicas, nodes) + " at the most");
         }
-        long period = MILLION * root.whole("period_ms", 100, 10_000, 500);
+        long period = MILLION * root.integer("period_ms", 100, 10_000, 500);
         double length = root.number("length_s", 1, MAX_SECONDS);
         double settle = root.number("settle_s", 1, MAX_SECONDS, 60);
         List<Long> offsets =
@@ -230,7 +230,7 @@
                 method,
                 path,
                 body,
-                (int) table.whole("status", MIN_STATUS, MAX_STATUS, MIN_STATUS));
+                (int) table.integer("status", MIN_STATUS, MAX_STATUS, MIN_STATUS));
     }
 
     /** Numbers of replicas or nodes, from 0, or those of whole zones. */
--- a/lab/src/main/java/cedarrudder/lab/cluster/ScriptStep.java
+++ b/lab/src/main/java/cedarrudder/lab/cluster/ScriptStep.java
@@ -28,6 +28,7 @@
         NetworkPartition sides,
         OperatorCall call) {
 
+    /** Copies the list. */
     public ScriptStep {
         replicas = List.copyOf(replicas);
         nodes = List.copyOf(nodes);
--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusTrial.java
@@ -163,6 +163,7 @@
         commits.recordValue((copies.now() - from) / MILLI);
     }
 
+    /** What was measured so far. */
     public Figures figures() {
         return new Figures(
                 size,
--- a/lab/src/main/java/cedarrudder/lab/consensus/SimulatedDisk.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/SimulatedDisk.java
@@ -3,26 +3,17 @@
 import cedarrudder.consensus.LogEntry;
 import cedarrudder.consensus.Snapshot;
 import cedarrudder.consensus.StableStorage;
-import cedarrudder.consensus.VoterSet;
-import java.util.ArrayList;
-import java.util.List;
+import cedarrudder.consensus.StoredLog;
 
 /** A lasting disk in virtual time: what was written and not synced is lost with the process. */
 public final class SimulatedDisk implements StableStorage {
 
     private Recovered synced;
-    private HardState promise;
-    private Snapshot snapshot = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
-    private final List<LogEntry> entries = new ArrayList<>();
+    private final StoredLog log = new StoredLog();
 
     /** The process is gone, and with it what it had not synced. */
     public void crash() {
-        promise = synced == null ? null : synced.hardState();
-        entries.clear();
-        if (synced != null) {
-            snapshot = synced.snapshot();
-            entries.addAll(synced.entries());
-        }
+        log.reset(synced);
     }
 
     @Override
@@ -31,39 +22,29 @@
     }
 
     @Override
-    public void hardState(HardState made) {
-        promise = made;
+    public void hardState(HardState next) {
+        log.setHardState(next);
     }
 
     @Override
     public void append(long index, LogEntry entry) {
-        truncateFrom(index);
-        entries.add(entry);
+        log.append(index, entry);
     }
 
     @Override
     public void truncateFrom(long from) {
-        int keep = (int) Math.max(0, from - snapshot.index() - 1);
-        if (keep < entries.size()) {
-            entries.subList(keep, entries.size()).clear();
-        }
+        log.truncateFrom(from);
     }
 
     @Override
-    public void snapshot(Snapshot of) {
-        if (of.index() < snapshot.index()) {
-            entries.clear();
-        } else {
-            entries.subList(0, (int) Math.min(entries.size(), of.index() - snapshot.index()))
-                    .clear();
-        }
-        snapshot = of;
+    public void snapshot(Snapshot next) {
+        log.install(next);
     }
 
     @Override
     public void sync() {
-        if (promise != null) {
-            synced = new Recovered(promise, snapshot, entries);
+        if (log.hardState() != null) {
+            synced = log.recovered();
         }
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/experiment/Change.java
+++ b/lab/src/main/java/cedarrudder/lab/experiment/Change.java
@@ -96,7 +96,7 @@
 
         Section whole(String key, String setting, int min, int max) {
             if (table.has(key)) {
-                add(key, setting, (int) table.whole(key, min, max));
+                add(key, setting, (int) table.integer(key, min, max));
             }
             return this;
         }
--- a/lab/src/main/java/cedarrudder/lab/membership/FailureDetectionTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/FailureDetectionTrial.java
@@ -118,6 +118,7 @@
         unseen += all - found.size();
     }
 
+    /** What was measured so far. */
     public Figures figures() {
         return new Figures(
                 size,
--- a/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
+++ b/lab/src/main/java/cedarrudder/lab/membership/TransientFaultTrial.java
@@ -87,6 +87,7 @@
     private double bytes;
     private long maxInSecond;
 
+    /** A trial of one kind of fault in a tier of this size. */
     public TransientFaultTrial(
             Kind kind, int size, SwimSimulation.Network network, MembershipSettings settings) {
         this.kind = kind;
@@ -178,6 +179,7 @@
                                                                 == mesh.runs(j)));
     }
 
+    /** What was measured so far. */
     public Figures figures() {
         Collections.sort(settled);
         return new Figures(
--- a/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/ScenarioReader.java
@@ -188,7 +188,7 @@
             shortest = length.low();
         }
         long lead = Figures.time(t, "lead_s", 0, HOUR, 1);
-        int max = (int) t.whole("most_requests", 1, 5_000_000, 1_000_000);
+        int max = (int) t.integer("most_requests", 1, 5_000_000, 1_000_000);
         long window = Figures.time(t, "window_s", 0.1, HOUR, 10);
         if (lead >= shortest) {
             t.problem("lead_s", Figures.shown("lead_s", lead), beforeTheEnd(shortest));
@@ -281,7 +281,7 @@
                         t.flag("cancel", true),
                         t.flag("second_copies", true),
                         t.flag("retry_after", true),
-                        (int) t.whole("attempts", 1, 16, 4));
+                        (int) t.integer("attempts", 1, 16, 4));
         if (allowed.attempts() == 1 && t.has("second_copies") && allowed.secondCopies()) {
             t.problem("second_copies", "true", "false where attempts is 1");
         }
--- a/lab/src/main/java/cedarrudder/lab/scenario/TierReader.java
+++ b/lab/src/main/java/cedarrudder/lab/scenario/TierReader.java
@@ -113,7 +113,7 @@
                     new Kind(
                             ScenarioReader.ownName(t, names),
                             Figures.draw(t, "share", 0, 1, 1),
-                            (int) t.whole("cores", 1, 256, 1),
+                            (int) t.integer("cores", 1, 256, 1),
                             Figures.draw(t, "speed", 0.01, 100, 1),
                             Figures.draw(t, "speed_spread", 0, 2, 0),
                             Figures.draw(t, "slots_per_core", 1, 10_000, 8),
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -159,7 +159,15 @@
                     0,
                     1,
                     new MessageFragment(
-                                    other, 9, 1, incarnation + i % 5, i, 0, 1, 0, message.encode())
+                                    other,
+                                    9,
+                                    1,
+                                    incarnation + i % 5,
+                                    i,
+                                    0,
+                                    1,
+                                    0,
+                                    RaftMessageCodec.encode(message))
                             .encode());
             copies.play(20 * MILLI);
         }
--- a/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -220,7 +220,7 @@
                                     0,
                                     1,
                                     0,
-                                    hand.encode())
+                                    RaftMessageCodec.encode(hand))
                             .encode());
         }
         assertTrue(copies.view(leader).isLeader());
--- a/lab/src/test/java/cedarrudder/lab/docs/Playground.java
+++ b/lab/src/test/java/cedarrudder/lab/docs/Playground.java
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Links to folders within one, and replicas of its files that are as old as they. */
+    /** Links to folders within one, and copies of its files that are as old as they. */
     private void mirror(String name, List<String> links) throws IOException {
         Files.createDirectories(folder.resolve(name));
         try (Stream<Path> entries = Files.list(root.resolve(name))) {
--- a/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/GuardTest.java
@@ -54,6 +54,8 @@
         };
     }
 
+    /** Never ends, which is the fault that the test plays. */
+    @SuppressWarnings("InfiniteRecursion")
     private static long recurse(long depth) {
         return recurse(depth + 1) + depth;
     }
