--- a/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/CoordinatedPolicy.java
@@ -75,7 +75,7 @@
     private final boolean keepsPastLease;
     private final boolean[][] said = new boolean[Site.ZONES * Site.REPLICAS][Site.ZONES];
     private final long[] capacities = new long[Site.ZONES];
-    private long saidAt;
+    private long reportedAt;
 
     /**
      * @param settings as the operator's file has them
@@ -234,7 +234,7 @@
     @Override
     void step(Site of) {
         world.play(site.now() - startedAt - (world.now() - worldStartedAt));
-        boolean says = site.now() - saidAt >= SETTINGS.period();
+        boolean says = site.now() - reportedAt >= SETTINGS.period();
         for (SimulatedReplica replica : site.replicas) {
             if (!replica.up || replica.stalled()) {
                 continue;
@@ -268,7 +268,7 @@
                         Map.of("zone", Integer.toString(zone), "per_s", Long.toString(now)));
             }
         }
-        saidAt = says ? site.now() : saidAt;
+        reportedAt = says ? site.now() : reportedAt;
     }
 
     private void saw(SimulatedReplica replica) {
@@ -289,7 +289,7 @@
                                 "silent",
                                 Integer.toString(saw[2]),
                                 "span",
-                                Long.toString(site.now() - saidAt)));
+                                Long.toString(site.now() - reportedAt)));
             }
             said[replica.number][zone] = any;
             Arrays.fill(saw, 0);
--- a/lab/src/main/java/cedarrudder/lab/failover/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Policy.java
@@ -111,19 +111,19 @@
         @Override
         void step(Site site) {
             double[] comes = site.comesTo();
-            double[] room = new double[Site.ZONES];
+            double[] spare = new double[Site.ZONES];
             double[][] dealt = new double[Site.ZONES][Site.ZONES];
             double[] left = comes.clone();
             for (int zone = 0; zone < Site.ZONES; zone++) {
-                room[zone] = MAX * site.capacity(zone);
-                dealt[zone][zone] = Math.min(room[zone], comes[zone]);
-                room[zone] -= dealt[zone][zone];
+                spare[zone] = MAX * site.capacity(zone);
+                dealt[zone][zone] = Math.min(spare[zone], comes[zone]);
+                spare[zone] -= dealt[zone][zone];
                 left[zone] -= dealt[zone][zone];
             }
             for (int rank = 1; rank <= 2; rank++) {
-                double[] whole = left.clone();
+                double[] complete = left.clone();
                 for (int round = 0; round < ROUNDS * Site.ZONES; round++) {
-                    deal(site, dealt, room, left, whole, round % Site.ZONES, rank);
+                    deal(site, dealt, spare, left, complete, round % Site.ZONES, rank);
                 }
             }
             for (SimulatedReplica replica : site.replicas) {
@@ -139,22 +139,22 @@
         private static void deal(
                 Site site,
                 double[][] dealt,
-                double[] room,
+                double[] spare,
                 double[] left,
-                double[] whole,
+                double[] complete,
                 int from,
                 int rank) {
             double all = 0;
             for (int to = 0; to < Site.ZONES; to++) {
-                all += may(site, from, to, rank) ? room[to] : 0;
+                all += may(site, from, to, rank) ? spare[to] : 0;
             }
-            double wanted = Math.min(left[from], whole[from] / ROUNDS);
+            double wanted = Math.min(left[from], complete[from] / ROUNDS);
             double part = all <= 0 ? 0 : Math.min(1, wanted / all);
             for (int to = 0; to < Site.ZONES; to++) {
                 if (may(site, from, to, rank)) {
-                    double amount = part * room[to];
+                    double amount = part * spare[to];
                     dealt[from][to] += amount;
-                    room[to] -= amount;
+                    spare[to] -= amount;
                     left[from] -= amount;
                 }
             }
--- a/lab/src/main/java/cedarrudder/lab/failover/SimulatedNode.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedNode.java
@@ -33,7 +33,7 @@
     private static final double NOISE = 0.05;
 
     /** As the settings of the platform allow beside the multiple. */
-    private static final double ROOM = 3;
+    private static final double CAPACITY = 3;
 
     /** An attempt at a node. */
     interface Asked {
@@ -134,7 +134,7 @@
             came.remove();
         }
         double max = FALL_MULTIPLE * able() * RATE * FALL_WINDOW / 1e9;
-        if (!cold() || came.size() <= max + ROOM * StrictMath.sqrt(max) + ROOM) {
+        if (!cold() || came.size() <= max + CAPACITY * StrictMath.sqrt(max) + CAPACITY) {
             return false;
         }
         site.fell(this);
--- a/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/SimulatedReplica.java
@@ -1,11 +1,11 @@
 package cedarrudder.lab.failover;
 
+import cedarrudder.balancer.BalancerSettings.SafetyRules;
 import cedarrudder.balancer.LoadBalancer.Endpoint;
 import cedarrudder.balancer.LoadBalancer.EndpointListKind;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import cedarrudder.balancer.LoadBalancer.LoadReport;
 import cedarrudder.balancer.LoadBalancer.Outcome;
-import cedarrudder.balancer.LoadBalancer.SafetyRules;
 import cedarrudder.failover.ZoneTrafficCounter;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/lab/src/main/java/cedarrudder/lab/failover/Site.java
+++ b/lab/src/main/java/cedarrudder/lab/failover/Site.java
@@ -24,7 +24,7 @@
     static final int[] REGION = {0, 0, 0, 1, 1};
 
     /** The list tells of a node this long after. */
-    private static final long TOLD = 1_500 * MILLI;
+    private static final long DELIVERED = 1_500 * MILLI;
 
     /** A node that died without a word is taken off the list. */
     private static final long MISSED = 4 * SECOND;
@@ -213,7 +213,7 @@
 
     private void start(SimulatedNode node) {
         node.starts();
-        tell(node, EndpointStatus.READY, now, TOLD);
+        tell(node, EndpointStatus.READY, now, DELIVERED);
     }
 
     /** Those of a zone do this much of what they do when well. */
@@ -230,7 +230,7 @@
         for (int i = 0; i < count; i++) {
             SimulatedNode node = nodes[zone * NODES + i];
             node.draining = true;
-            tell(node, EndpointStatus.DRAINING, 0, TOLD);
+            tell(node, EndpointStatus.DRAINING, 0, DELIVERED);
         }
     }
 
--- a/lab/src/main/java/cedarrudder/lab/load/LoadResult.java
+++ b/lab/src/main/java/cedarrudder/lab/load/LoadResult.java
@@ -39,7 +39,7 @@
         boolean kept,
         List<String> problems) {
 
-    private static final double KEPT_PERCENTILE = 99;
+    private static final double REPORTED_PERCENTILE = 99;
 
     /** Percentiles; all 0 where there is nothing. */
     public record Times(long count, double p50, double p90, double p99, double p999, double max) {
@@ -103,8 +103,8 @@
     private static List<String> problems(Options options, Counts counts) {
         List<String> problems = new ArrayList<>();
         double max = options.maxLateMillis();
-        double turned = counts.turned.getValueAtPercentile(KEPT_PERCENTILE) / 1000.0;
-        double left = counts.left.getValueAtPercentile(KEPT_PERCENTILE) / 1000.0;
+        double turned = counts.turned.getValueAtPercentile(REPORTED_PERCENTILE) / 1000.0;
+        double left = counts.left.getValueAtPercentile(REPORTED_PERCENTILE) / 1000.0;
         if (turned > max) {
             problems.add(
                     String.format(
--- a/lab/src/main/java/cedarrudder/lab/load/Request.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Request.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.load;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import java.nio.charset.StandardCharsets;
--- a/lab/src/main/java/cedarrudder/lab/load/Traffic.java
+++ b/lab/src/main/java/cedarrudder/lab/load/Traffic.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.load;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import java.util.List;
 import java.util.random.RandomGenerator;
 
--- a/lab/src/main/java/cedarrudder/lab/model/Attempt.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Attempt.java
@@ -94,7 +94,7 @@
                 return cedarrudder.budget.PropagatedBudget.NOTHING;
             }
             return handle.propagatedBudget() == null
-                    ? call.what.said()
+                    ? call.what.reported()
                     : handle.propagatedBudget().after(writtenAt - handle.startedAt());
         }
 
--- a/lab/src/main/java/cedarrudder/lab/model/ClientAttempt.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ClientAttempt.java
@@ -11,7 +11,7 @@
  * @param repeat whether it is marked as a repeat
  * @param seed from which all chance about it follows
  * @param deadline when the caller gives up
- * @param said what the caller says of budgets, and whether it says how long it waits
+ * @param reported what the caller says of budgets, and whether it says how long it waits
  * @param local whether the caller is the node that the proxy stands beside
  */
 public record ClientAttempt(
@@ -23,7 +23,7 @@
         boolean repeat,
         long seed,
         long deadline,
-        PropagatedBudget said,
+        PropagatedBudget reported,
         boolean local) {
 
     /**
@@ -36,7 +36,7 @@
             ClientAttempt above,
             long seed,
             long deadline,
-            PropagatedBudget said) {
+            PropagatedBudget reported) {
         double work = world.classes.get(above.classIndex).drawn(HashRandom.of(seed, -5));
         long hint =
                 above.hint == 0
@@ -51,7 +51,7 @@
                 false,
                 seed,
                 deadline,
-                said,
+                reported,
                 true);
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/model/ClientRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ClientRequest.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.budget.PropagatedBudget;
 import cedarrudder.lab.scenario.Scenario;
 
@@ -29,7 +29,7 @@
     final long startedAt;
 
     /** Worth of an answer within its aim, were its tenant within its share. */
-    final double worth;
+    final double weight;
 
     /** Whether its tenant had asked for more than its share in this second already. */
     boolean pastShare;
@@ -43,13 +43,13 @@
     private int tries;
 
     ClientRequest(
-            Run run, int classIndex, int tenant, double work, long hint, double worth, long seed) {
+            Run run, int classIndex, int tenant, double work, long hint, double weight, long seed) {
         this.run = run;
         this.classIndex = classIndex;
         this.tenant = tenant;
         this.work = work;
         this.hint = hint;
-        this.worth = worth;
+        this.weight = weight;
         this.seed = seed;
         this.startedAt = run.agenda.now();
         this.kind = run.scenario.classes().get(classIndex);
--- a/lab/src/main/java/cedarrudder/lab/model/Directory.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Directory.java
@@ -114,8 +114,8 @@
                 return;
             }
             for (DiscoveryClientModel who : List.copyOf(watchers)) {
-                if (who.toldVersion() < version) {
-                    tell(who, who.toldVersion());
+                if (who.deliveredVersion() < version) {
+                    tell(who, who.deliveredVersion());
                 }
             }
         }
@@ -149,7 +149,7 @@
                     }
                 }
             }
-            who.toldVersion(version);
+            who.deliveredVersion(version);
             who.tellLater(
                     whole ? EndpointListKind.FULL : EndpointListKind.DELTA, list, nodes, version);
             return list.size();
@@ -287,7 +287,7 @@
     private void come(DiscoveryClientModel who, boolean watch) {
         long now = run.agenda.now();
         Listing listing = listings.get(who.tier());
-        long since = watch ? who.toldVersion() : 0;
+        long since = watch ? who.deliveredVersion() : 0;
         long begins = Math.max(now, workerFreeAt);
         if (down > 0 || begins - now > figures.timeout()) {
             fail(who, now + figures.timeout());
@@ -311,7 +311,7 @@
                             listing.watchers.remove(who);
                             listing.watchers.add(who);
                         }
-                        listing.tell(who, watch ? who.toldVersion() : 0);
+                        listing.tell(who, watch ? who.deliveredVersion() : 0);
                     }
                 });
     }
--- a/lab/src/main/java/cedarrudder/lab/model/DiscoveryClientModel.java
+++ b/lab/src/main/java/cedarrudder/lab/model/DiscoveryClientModel.java
@@ -16,9 +16,9 @@
     boolean alive();
 
     /** The version of the list up to which discovery has told it; 0: nothing. */
-    long toldVersion();
+    long deliveredVersion();
 
-    void toldVersion(long version);
+    void deliveredVersion(long version);
 
     /**
      * Something of the list is on its way to it; messages keep their order.
--- a/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/model/GuardedBalancer.java
@@ -1,5 +1,6 @@
 package cedarrudder.lab.model;
 
+import cedarrudder.balancer.BalancerSettings;
 import cedarrudder.balancer.LoadBalancer;
 import java.util.List;
 import java.util.function.Function;
@@ -40,8 +41,8 @@
 
     /** Makes the balancer, with actions that are watched. */
     LoadBalancer around(
-            BalancerSettings told, Actions hands, Function<Actions, LoadBalancer> making) {
-        settings = told;
+            BalancerSettings delivered, Actions hands, Function<Actions, LoadBalancer> making) {
+        settings = delivered;
         try {
             balancer = making.apply(new Limited(hands));
         } catch (RuntimeException | Error fault) {
--- a/lab/src/main/java/cedarrudder/lab/model/Ledger.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Ledger.java
@@ -126,7 +126,7 @@
         kind.requests++;
         ask.pastShare = worth.isFull(second(ask.startedAt), ask.tenant);
         groupTries[group(ask)]++;
-        worth.asked(second(ask.startedAt), ask.tenant, ask.classIndex, ask.worth);
+        worth.asked(second(ask.startedAt), ask.tenant, ask.classIndex, ask.weight);
         if (tenantRequests.length > 0) {
             tenantRequests[ask.tenant]++;
         }
@@ -152,7 +152,7 @@
         count.ends[how.ordinal()]++;
         if (how != ClientRequest.End.SERVED) {
             groupUnserved[group(ask)]++;
-            lateUnserved += took > kind.aim() ? ask.worth : 0;
+            lateUnserved += took > kind.aim() ? ask.weight : 0;
             return;
         }
         count.latency.recordValue(took / 1000);
@@ -163,7 +163,7 @@
                 second(ask.startedAt),
                 ask.tenant,
                 ask.classIndex,
-                ask.worth * (inAim ? 1 : kind.lateWorth()));
+                ask.weight * (inAim ? 1 : kind.lateWorth()));
     }
 
     // ---- the result ----
--- a/lab/src/main/java/cedarrudder/lab/model/Node.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Node.java
@@ -171,12 +171,17 @@
     }
 
     /** Whether a request that comes now is taken in. */
-    boolean hasRoom() {
+    boolean hasSpareCapacity() {
         return slotsTaken < kind.slots() || queue.size() < kind.queue();
     }
 
     boolean takes() {
-        return state == State.UP && hears() && speaks() && declining == 0 && !draining && hasRoom();
+        return state == State.UP
+                && hears()
+                && speaks()
+                && declining == 0
+                && !draining
+                && hasSpareCapacity();
     }
 
     boolean sound() {
@@ -340,7 +345,7 @@
         }
         if (sinkhole > 0) {
             job.answer(Outcome.ERROR);
-        } else if (declining > 0 || draining || !hasRoom()) {
+        } else if (declining > 0 || draining || !hasSpareCapacity()) {
             tally.declined++;
             declinedWork += job.work;
             job.answer(Outcome.REJECTED);
--- a/lab/src/main/java/cedarrudder/lab/model/PriorityLedger.java
+++ b/lab/src/main/java/cedarrudder/lab/model/PriorityLedger.java
@@ -70,13 +70,13 @@
         return sum >= quotas[tenant];
     }
 
-    void asked(int second, int tenant, int classIndex, double worth) {
-        asked[at(second, tenant, classIndex)] += worth;
+    void asked(int second, int tenant, int classIndex, double weight) {
+        asked[at(second, tenant, classIndex)] += weight;
     }
 
     /** By the second in which it was asked for. */
-    void served(int second, int tenant, int classIndex, double worth) {
-        served[at(second, tenant, classIndex)] += worth;
+    void served(int second, int tenant, int classIndex, double weight) {
+        served[at(second, tenant, classIndex)] += weight;
     }
 
     /** All that was asked for, whoever's share it was in. */
@@ -121,16 +121,17 @@
         double quota = quotas[tenant];
         double lost = askedHere - servedHere;
         double servedShare = servedHere <= quota ? 1 : quota / servedHere;
-        double room = Math.max(0, quota - servedHere);
-        double lostShare = lost <= room ? 1 : room / lost;
+        double capacity = Math.max(0, quota - servedHere);
+        double lostShare = lost <= capacity ? 1 : capacity / lost;
         for (int i = 0; i < classes; i++) {
             double got = served[at(second, tenant, i)];
             double gone = Math.max(0, asked[at(second, tenant, i)] - got);
-            double gotWorth = got * (servedShare + overShare * (1 - servedShare));
-            double askedWorth = gotWorth + gone * (lostShare + overShare * (1 - lostShare));
-            sum.servedIn()[second] += gotWorth;
-            sum.askedOfClass()[i] += askedWorth;
-            sum.servedOfClass()[i] += gotWorth;
+            double servedWeight = got * (servedShare + overShare * (1 - servedShare));
+            double requestedWeight =
+                    servedWeight + gone * (lostShare + overShare * (1 - lostShare));
+            sum.servedIn()[second] += servedWeight;
+            sum.askedOfClass()[i] += requestedWeight;
+            sum.servedOfClass()[i] += servedWeight;
         }
         double within = Math.min(quota, askedHere);
         sum.askedIn()[second] += within + overShare * (askedHere - within);
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.BalancerSettings;
 import cedarrudder.balancer.LoadBalancer.Endpoint;
 import cedarrudder.balancer.LoadBalancer.EndpointListKind;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
@@ -51,7 +51,7 @@
     final int zone;
     boolean alive = true;
 
-    private long toldVersion;
+    private long deliveredVersion;
 
     /** The version that it has been told when all messages so far are in. */
     private long heldVersion;
@@ -89,12 +89,12 @@
         this.proxy = proxy;
         this.tier = proxy.tier;
         this.zone = proxy.zone;
-        this.toldVersion = knownVersion;
+        this.deliveredVersion = knownVersion;
         this.heldVersion = knownVersion;
         this.counts = run.ledger.tiers[tier];
         this.watched = new GuardedBalancer(run, proxy.number, proxy.all.guard, counts);
         this.idleLimit = (long) (run.world.tiers.get(tier).idle() * IDLE_SHARE);
-        LoadBalancer.BalancerSettings settings = run.world.settings(tier, proxy.self, zone);
+        BalancerSettings settings = run.world.settings(tier, proxy.self, zone);
         TierBudgets asked = proxy.all.policy.budgets();
         this.stripped = asked != null && asked.strips().contains(run.world.tiers.get(tier).name());
         BudgetSettings mine = asked == null ? null : asked.of(run.world.tiers.get(tier).name());
@@ -228,13 +228,13 @@
     }
 
     @Override
-    public long toldVersion() {
-        return toldVersion;
+    public long deliveredVersion() {
+        return deliveredVersion;
     }
 
     @Override
-    public void toldVersion(long version) {
-        toldVersion = version;
+    public void deliveredVersion(long version) {
+        deliveredVersion = version;
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
@@ -93,7 +93,9 @@
         phase = Phase.AT_PROXY;
         id = run.nextRequest();
         cedarrudder.budget.PropagatedBudget carried =
-                life.budgets == null ? cedarrudder.budget.PropagatedBudget.NOTHING : what.said();
+                life.budgets == null
+                        ? cedarrudder.budget.PropagatedBudget.NOTHING
+                        : what.reported();
         if (!carried.deadline()) {
             wait = Math.min(wait, life.budgets.defaultDeadline(what.classIndex()));
         }
--- a/lab/src/main/java/cedarrudder/lab/model/Run.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Run.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.trace.Trace;
--- a/lab/src/main/java/cedarrudder/lab/model/World.java
+++ b/lab/src/main/java/cedarrudder/lab/model/World.java
@@ -1,6 +1,6 @@
 package cedarrudder.lab.model;
 
-import cedarrudder.balancer.LoadBalancer;
+import cedarrudder.balancer.BalancerSettings;
 import cedarrudder.lab.model.Streams.Concern;
 import cedarrudder.lab.scenario.Draw;
 import cedarrudder.lab.scenario.Scenario;
@@ -368,12 +368,12 @@
     }
 
     /** What the proxies of a tier are told of it, as the platform would tell them. */
-    public LoadBalancer.BalancerSettings settings(int index, int self, int zone) {
+    public BalancerSettings settings(int index, int self, int zone) {
         Tier tier = tiers.get(index);
-        List<LoadBalancer.RequestClass> kinds = new ArrayList<>();
+        List<BalancerSettings.RequestClass> kinds = new ArrayList<>();
         for (Scenario.RequestKind kind : scenario.classes()) {
             kinds.add(
-                    new LoadBalancer.RequestClass(
+                    new BalancerSettings.RequestClass(
                             kind.name(),
                             kind.effect(),
                             kind.keyScope(),
@@ -384,10 +384,10 @@
                             kind.repeatWindow(),
                             false));
         }
-        List<LoadBalancer.Tenant> tenants = new ArrayList<>();
+        List<BalancerSettings.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < quotas.length; i++) {
             Scenario.Customer tenant = scenario.tenants().get(i);
-            tenants.add(new LoadBalancer.Tenant(tenant.name(), tenant.share(), quotas[i]));
+            tenants.add(new BalancerSettings.Tenant(tenant.name(), tenant.share(), quotas[i]));
         }
         double coldShare = 1;
         double rampTime = 0;
@@ -398,7 +398,7 @@
         Scenario.Allowed allowed = scenario.allowed();
         Scenario.Rules rules = scenario.rules();
         Scenario.Goal goal = scenario.goal();
-        return new LoadBalancer.BalancerSettings(
+        return new BalancerSettings(
                 tier.replicas(),
                 self,
                 zone,
@@ -407,7 +407,7 @@
                 scenario.discovery().ask(),
                 List.copyOf(kinds),
                 List.copyOf(tenants),
-                new LoadBalancer.Limits(
+                new BalancerSettings.Limits(
                         allowed.probes(),
                         allowed.cancel(),
                         allowed.secondCopies(),
@@ -416,20 +416,20 @@
                         scenario.clients().maxRetryAfter(),
                         tier.connectTimeout(),
                         tier.idle()),
-                new LoadBalancer.SafetyRules(
+                new BalancerSettings.SafetyRules(
                         rules.drainGrace(),
                         coldShare,
                         (long) rampTime,
                         rules.fallMultiple(),
                         rules.fallWindow(),
                         scenario.discovery().askWithin()),
-                new LoadBalancer.ServiceGoal(
+                new BalancerSettings.ServiceGoal(
                         goal.whole(),
                         goal.worstWindow(),
                         goal.worstClass(),
                         goal.worstTenant(),
                         goal.overShareWorth(),
                         true),
-                new LoadBalancer.ServicePrices(scenario.prices().probe(), 0));
+                new BalancerSettings.ServicePrices(scenario.prices().probe(), 0));
     }
 }
--- a/lab/src/main/java/cedarrudder/lab/policy/Policy.java
+++ b/lab/src/main/java/cedarrudder/lab/policy/Policy.java
@@ -1,5 +1,6 @@
 package cedarrudder.lab.policy;
 
+import cedarrudder.balancer.BalancerSettings;
 import cedarrudder.balancer.LoadBalancer;
 import java.util.random.RandomGenerator;
 
@@ -16,7 +17,7 @@
      * @param truth the true state of the tier it sends to; for bounds only
      */
     LoadBalancer create(
-            LoadBalancer.BalancerSettings settings,
+            BalancerSettings settings,
             RandomGenerator random,
             LoadBalancer.Actions actions,
             GroundTruth truth);
--- a/lab/src/main/java/cedarrudder/lab/referee/ObservedRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/ObservedRequest.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.referee;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import java.util.Arrays;
 
--- a/lab/src/main/java/cedarrudder/lab/referee/RunChecker.java
+++ b/lab/src/main/java/cedarrudder/lab/referee/RunChecker.java
@@ -1,9 +1,10 @@
 package cedarrudder.lab.referee;
 
+import cedarrudder.balancer.BalancerSettings;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.balancer.LoadBalancer;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.policy.GroundTruth;
 import cedarrudder.lab.policy.Policy;
@@ -64,7 +65,7 @@
 
             @Override
             public LoadBalancer create(
-                    LoadBalancer.BalancerSettings settings,
+                    BalancerSettings settings,
                     RandomGenerator random,
                     LoadBalancer.Actions actions,
                     GroundTruth truth) {
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceReader.java
@@ -1,7 +1,7 @@
 package cedarrudder.lab.trace;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.lab.trace.Trace.Final;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TraceWriter.java
@@ -1,8 +1,8 @@
 package cedarrudder.lab.trace;
 
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
+++ b/lab/src/main/java/cedarrudder/lab/trace/TracingBalancer.java
@@ -1,5 +1,7 @@
 package cedarrudder.lab.trace;
 
+import cedarrudder.balancer.BalancerSettings;
+import cedarrudder.balancer.BalancerSettings.RequestClass;
 import cedarrudder.balancer.LoadBalancer;
 import cedarrudder.lab.trace.Trace.Final;
 import java.util.HashMap;
--- a/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -63,7 +63,7 @@
                 copies.cut(i, j, in.contains(i) != in.contains(j));
             }
         }
-        copies.tellLives();
+        copies.updateLiveness();
     }
 
     /**
--- a/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
@@ -179,7 +179,7 @@
                 copies.cut(i, j, voters.contains(i) != voters.contains(j));
             }
         }
-        copies.tellLives();
+        copies.updateLiveness();
         copies.play(30 * SECOND);
         IntStream.range(0, 9).forEach(i -> assertEquals(copies.view(i).group(), before.group()));
         copies.heal();
--- a/lab/src/test/java/cedarrudder/lab/emulator/ReorderBufferTest.java
+++ b/lab/src/test/java/cedarrudder/lab/emulator/ReorderBufferTest.java
@@ -2,9 +2,9 @@
 
 import static org.testng.Assert.assertEquals;
 
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.referee.RuleChecker;
 import cedarrudder.lab.referee.RuleParameters;
--- a/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/cedarrudder/lab/load/LoadRunTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/BudgetsInModelTest.java
@@ -4,8 +4,9 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
+import cedarrudder.balancer.BalancerSettings;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import cedarrudder.balancer.LoadBalancer;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.budget.BudgetSettings;
 import cedarrudder.lab.policy.GroundTruth;
@@ -63,7 +64,7 @@
 
         @Override
         public LoadBalancer create(
-                LoadBalancer.BalancerSettings settings,
+                BalancerSettings settings,
                 RandomGenerator random,
                 LoadBalancer.Actions actions,
                 GroundTruth truth) {
--- a/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/FaultsTest.java
@@ -5,9 +5,9 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import cedarrudder.balancer.LoadBalancer.Endpoint;
 import cedarrudder.balancer.LoadBalancer.EndpointListKind;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.balancer.LoadBalancer.LoadReport;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.balancer.LoadBalancer.Request;
--- a/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/ModelTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import cedarrudder.balancer.LoadBalancer.Request;
 import cedarrudder.lab.policy.Policy;
 import cedarrudder.lab.result.RunResult;
--- a/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/PlatformTest.java
@@ -4,10 +4,10 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.balancer.LoadBalancer.BalancerSettings;
+import cedarrudder.balancer.BalancerSettings;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import cedarrudder.balancer.LoadBalancer.Endpoint;
 import cedarrudder.balancer.LoadBalancer.EndpointListKind;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
 import cedarrudder.balancer.LoadBalancer.LoadReport;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.balancer.LoadBalancer.Request;
--- a/lab/src/test/java/cedarrudder/lab/model/Policies.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Policies.java
@@ -1,5 +1,6 @@
 package cedarrudder.lab.model;
 
+import cedarrudder.balancer.BalancerSettings;
 import cedarrudder.balancer.LoadBalancer;
 import cedarrudder.balancer.PrequalBalancer;
 import cedarrudder.lab.policy.GroundTruth;
@@ -19,9 +20,7 @@
 
     interface Maker {
         LoadBalancer make(
-                LoadBalancer.BalancerSettings settings,
-                RandomGenerator random,
-                LoadBalancer.Actions actions);
+                BalancerSettings settings, RandomGenerator random, LoadBalancer.Actions actions);
     }
 
     static Policy of(String name, Maker maker) {
@@ -33,7 +32,7 @@
 
             @Override
             public LoadBalancer create(
-                    LoadBalancer.BalancerSettings settings,
+                    BalancerSettings settings,
                     RandomGenerator random,
                     LoadBalancer.Actions actions,
                     GroundTruth truth) {
--- a/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
+++ b/lab/src/test/java/cedarrudder/lab/model/QueueTheoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
 import cedarrudder.lab.result.RunResult;
 import cedarrudder.lab.scenario.Scenario.Spread;
 import java.util.List;
--- a/lab/src/test/java/cedarrudder/lab/model/Scenarios.java
+++ b/lab/src/test/java/cedarrudder/lab/model/Scenarios.java
@@ -2,8 +2,8 @@
 
 import static cedarrudder.lab.scenario.Draw.fixed;
 
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.lab.scenario.Draw;
 import cedarrudder.lab.scenario.Scenario;
 import cedarrudder.lab.scenario.Scenario.Fault;
--- a/lab/src/test/java/cedarrudder/lab/referee/RuleCheckerTest.java
+++ b/lab/src/test/java/cedarrudder/lab/referee/RuleCheckerTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.result.RunResult.Breach;
 import cedarrudder.lab.trace.Trace.Final;
--- a/lab/src/test/java/cedarrudder/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/scenario/ScenarioReaderTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cedarrudder.balancer.LoadBalancer.KeyScope;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.toml.InvalidFileException;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/lab/src/test/java/cedarrudder/lab/trace/TraceReaderTest.java
+++ b/lab/src/test/java/cedarrudder/lab/trace/TraceReaderTest.java
@@ -5,9 +5,9 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
+import cedarrudder.balancer.BalancerSettings.Idempotency;
+import cedarrudder.balancer.BalancerSettings.KeyScope;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
-import cedarrudder.balancer.LoadBalancer.Idempotency;
-import cedarrudder.balancer.LoadBalancer.KeyScope;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.lab.model.NullTrace;
 import java.io.ByteArrayOutputStream;
