--- a/core/src/main/java/cedarrudder/balancer/ConnectionEstimate.java
+++ b/core/src/main/java/cedarrudder/balancer/ConnectionEstimate.java
@@ -7,14 +7,14 @@
 final class ConnectionEstimate {
 
     /** An endpoint that took no connection is taken to be out of them for this long. */
-    private static final long CROWDED_NANOS = 300_000_000L;
+    private static final long OUT_OF_CONNECTIONS_NANOS = 300_000_000L;
 
     private int open;
 
     /** The most attempts in flight since the last look for surplus connections. */
     private int peakInFlight;
 
-    private long crowdedUntil = Long.MIN_VALUE;
+    private long outOfConnectionsUntil = Long.MIN_VALUE;
 
     void onAttemptSent(int inFlight) {
         open = Math.max(open, inFlight);
@@ -23,7 +23,7 @@
 
     void onConnectFailed(long now, int inFlight) {
         open = Math.max(inFlight, open - 1);
-        crowdedUntil = now + CROWDED_NANOS;
+        outOfConnectionsUntil = now + OUT_OF_CONNECTIONS_NANOS;
     }
 
     void onIdleClosed(int inFlight) {
@@ -36,8 +36,8 @@
     }
 
     /** Whether an attempt would wait for a connection that the endpoint has lately refused. */
-    boolean isCrowded(long now, int inFlight) {
-        return now < crowdedUntil && needsNewConnection(inFlight);
+    boolean isOutOfConnections(long now, int inFlight) {
+        return now < outOfConnectionsUntil && needsNewConnection(inFlight);
     }
 
     /** Whether more connections are open than were used since the last call. */
--- a/core/src/main/java/cedarrudder/balancer/EndpointSelector.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointSelector.java
@@ -123,7 +123,7 @@
     private boolean hasSoundServingEndpoint(long now, RequestState request) {
         for (EndpointState endpoint : subset.members()) {
             if (admission.isServing(endpoint.zone())
-                    && !endpoint.isCrowded(now)
+                    && !endpoint.isOutOfConnections(now)
                     && !isSuspect(now, endpoint)
                     && !endpoint.probe().lastFailed()
                     && retries.mayAttempt(now, request, endpoint)
@@ -171,7 +171,7 @@
     private boolean maySendTo(long now, EndpointState endpoint) {
         return endpoint.isReady()
                 && endpoint.hasCapacity(now, settings.replicas())
-                && !endpoint.isCrowded(now)
+                && !endpoint.isOutOfConnections(now)
                 && (!endpoint.isWarmingUp(now, settings.safety())
                         || endpoint.withinSlowStartBudget(
                                 now, warmRate(now, endpoint), parameters, settings.safety()));
--- a/core/src/main/java/cedarrudder/balancer/EndpointState.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointState.java
@@ -223,8 +223,8 @@
         return connections.needsNewConnection(inFlight);
     }
 
-    boolean isCrowded(long now) {
-        return connections.isCrowded(now, inFlight);
+    boolean isOutOfConnections(long now) {
+        return connections.isOutOfConnections(now, inFlight);
     }
 
     boolean takeSurplusConnections() {
--- a/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
@@ -36,6 +36,6 @@
     /** Detects endpoints that count as out of connections until the clock has passed zero. */
     @Test
     public void anEndpointHasRoomForConnections() {
-        assertFalse(new EndpointState(Site.ready(1), BEGIN, 4, 0).isCrowded(BEGIN));
+        assertFalse(new EndpointState(Site.ready(1), BEGIN, 4, 0).isOutOfConnections(BEGIN));
     }
 }
