--- a/core/src/main/java/cedarrudder/forwarding/Exchange.java
+++ b/core/src/main/java/cedarrudder/forwarding/Exchange.java
@@ -53,7 +53,7 @@
          * read for want of buffers, {@link #isClientWaiting} says nothing, and no attempt may
          * start.
          */
-        default boolean canSeeClient() {
+        default boolean canDetectDisconnect() {
             return true;
         }
     }
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -208,8 +208,8 @@
         if (!exchange.isOver() && !exchange.reply().isClientWaiting()) {
             clientLeft(exchange); // which ends the attempt, too
         }
-        boolean canSeeClient = exchange.isOver() || exchange.reply().canSeeClient();
-        endIfDenied(attempt, canSeeClient);
+        boolean canDetectDisconnect = exchange.isOver() || exchange.reply().canDetectDisconnect();
+        endIfDenied(attempt, canDetectDisconnect);
         if (attempt.hasEnded()) {
             return false;
         }
@@ -225,13 +225,13 @@
     /**
      * Ends an attempt that waits for its connection, and could not start any more.
      *
-     * @param canSeeClient whether it would be seen that its client has left
+     * @param canDetectDisconnect whether it would be seen that its client has left
      */
-    private void endIfDenied(RequestAttempt<Q, A> attempt, boolean canSeeClient) {
+    private void endIfDenied(RequestAttempt<Q, A> attempt, boolean canDetectDisconnect) {
         if (!attempt.isWaiting()) {
             return;
         }
-        Outcome denial = canSeeClient ? gate.startDenial(attempt) : Outcome.NOT_STARTED;
+        Outcome denial = canDetectDisconnect ? gate.startDenial(attempt) : Outcome.NOT_STARTED;
         if (denial != null) {
             // Its endpoint was not contacted, so this says nothing of its zone.
             accounting.onAttemptEnded(timers.now(), attempt, Outcome.NOT_STARTED, null);
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -174,7 +174,7 @@
                             }
 
                             @Override
-                            public boolean canSeeClient() {
+                            public boolean canDetectDisconnect() {
                                 return inSight;
                             }
                         },
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
@@ -274,8 +274,8 @@
         return request == asked && channel.isOpen();
     }
 
-    boolean canSeeClient() {
-        return reader.canSeeClient();
+    boolean canDetectDisconnect() {
+        return reader.canDetectDisconnect();
     }
 
     /** Whether a body is streamed, either way. */
--- a/daemon/src/main/java/cedarrudder/transport/ClientRequest.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientRequest.java
@@ -54,8 +54,8 @@
     }
 
     @Override
-    public boolean canSeeClient() {
-        return connection.canSeeClient();
+    public boolean canDetectDisconnect() {
+        return connection.canDetectDisconnect();
     }
 
     @Override
--- a/daemon/src/main/java/cedarrudder/transport/RequestReader.java
+++ b/daemon/src/main/java/cedarrudder/transport/RequestReader.java
@@ -159,7 +159,7 @@
     }
 
     /** Whether it would be seen that the client has left. */
-    boolean canSeeClient() {
+    boolean canDetectDisconnect() {
         return unreadSince == NEVER || server.loop().now() - unreadSince < UNSEEN_NANOS;
     }
 
