--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -488,7 +488,7 @@
     }
 
     /** Each zone may get such a part of the requests; empty: as the balancer sees fit. */
-    public void shares(List<ZoneTrafficShare> shares) {
+    public void zoneSharesUpdated(List<ZoneTrafficShare> shares) {
         events.post(
                 () -> {
                     zoneShares.set(!shares.isEmpty());
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -219,7 +219,7 @@
     @Test
     public void sharesAreOverBeforeTheNextEventOnceTheirTimeIs() {
         driver.zoneSharesValidUntil(100);
-        driver.shares(List.of(new LoadBalancer.ZoneTrafficShare(0, 10_000, 0)));
+        driver.zoneSharesUpdated(List.of(new LoadBalancer.ZoneTrafficShare(0, 10_000, 0)));
         driver.onZoneShareUsed(() -> seen.add("by shares"));
         accept();
         now = 100;
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -218,7 +218,7 @@
                             : 0;
         }
         int divided = living;
-        forwarder.shares(
+        forwarder.zoneSharesUpdated(
                 next == null
                         ? List.of()
                         : next.routes().stream()
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyInstance.java
@@ -137,7 +137,7 @@
     }
 
     void shares(List<ZoneTrafficShare> shares) {
-        forwarder.shares(shares);
+        forwarder.zoneSharesUpdated(shares);
     }
 
     /** Takes a request from a caller. */
