--- a/core/src/main/java/cedarrudder/budget/BudgetEvents.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetEvents.java
@@ -7,10 +7,10 @@
     BudgetEvents NONE =
             new BudgetEvents() {
                 @Override
-                public void loop(HopPath path, long more) {}
+                public void loopRejected(HopPath path, long more) {}
 
                 @Override
-                public void minute(Minute figures) {}
+                public void summarized(MinuteSummary figures) {}
             };
 
     /**
@@ -19,10 +19,10 @@
      * @param path the tiers, the last of which is this one
      * @param more how many further refusals of this loop there were since it was last logged
      */
-    void loop(HopPath path, long more);
+    void loopRejected(HopPath path, long more);
 
     /** What was denied since the last time, if anything was; at most once a minute. */
-    void minute(Minute figures);
+    void summarized(MinuteSummary figures);
 
     /**
      * Counts since the last time.
@@ -32,13 +32,13 @@
      * @param deniedByShare further attempts that the share of first tries denied
      * @param overload requests rejected since the tier below has too much work
      * @param noTime requests rejected since their time couldn't suffice
-     * @param letInPercent the part of requests that is let in now
+     * @param admittedPercent the part of requests that is let in now
      */
-    record Minute(
+    record MinuteSummary(
             long requests,
             long deniedByTree,
             long deniedByShare,
             long overload,
             long noTime,
-            long letInPercent) {}
+            long admittedPercent) {}
 }
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -256,7 +256,7 @@
         if (standing == AdmissionHint.LOOP) {
             long more = loops.due(now, carried.path().from(settings.hop()));
             if (more >= 0) {
-                events.loop(carried.path().plus(settings.hop()), more);
+                events.loopRejected(carried.path().plus(settings.hop()), more);
             }
         }
         if (minuteEnds == Long.MIN_VALUE) {
@@ -271,8 +271,8 @@
         long overload = stood[AdmissionHint.OVERLOADED.ordinal()];
         long noTime = stood[AdmissionHint.DEADLINE_TOO_SHORT.ordinal()];
         if (overload + noTime + byTree + byShare > 0) {
-            events.minute(
-                    new BudgetEvents.Minute(
+            events.summarized(
+                    new BudgetEvents.MinuteSummary(
                             stood[AdmissionHint.ADMIT.ordinal()] + overload + noTime,
                             byTree,
                             byShare,
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -90,12 +90,12 @@
                 new SplittableRandom(7 + tier),
                 new BudgetEvents() {
                     @Override
-                    public void loop(HopPath path, long more) {
+                    public void loopRejected(HopPath path, long more) {
                         log.add(path + " and " + more);
                     }
 
                     @Override
-                    public void minute(Minute figures) {
+                    public void summarized(MinuteSummary figures) {
                         log.add(figures.toString());
                     }
                 });
@@ -558,6 +558,6 @@
         call(budgets, BEST, PropagatedBudget.NOTHING);
         now += 61 * SECOND;
         call(budgets, BEST, PropagatedBudget.NOTHING);
-        assertEquals(log, List.of(new BudgetEvents.Minute(2, 1, 0, 0, 0, 100).toString()));
+        assertEquals(log, List.of(new BudgetEvents.MinuteSummary(2, 1, 0, 0, 0, 100).toString()));
     }
 }
