--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -96,7 +96,7 @@
 
     /** A request has come, with its deadline and what its client said. */
     public RequestBudget onRequest(long now, Request request, PropagatedBudget carried) {
-        if (carried.deadline()) {
+        if (carried.hasClientDeadline()) {
             deadlines.onWaited(request.classIndex(), request.deadline() - now);
         }
         boolean repeat = carried.repeat() || request.repeat();
@@ -160,7 +160,7 @@
 
     /** The client has gone before it was answered. */
     public void onClientLeft(long now, RequestBudget call) {
-        if (!call.received.deadline()) {
+        if (!call.received.hasClientDeadline()) {
             deadlines.onWaited(call.request.classIndex(), now - call.arrivedAt);
         }
     }
--- a/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
+++ b/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
@@ -6,7 +6,7 @@
  *
  * @param isPresent whether the client speaks these fields, so that it learns what became of its
  *     budget
- * @param deadline whether the client itself said how long it waits
+ * @param hasClientDeadline whether the client itself said how long it waits
  * @param remainingNanos how long the client waits, less the way, in nanoseconds; 0 where not said
  * @param attempts further attempts for this tier and all below; -1 where not said
  * @param grant names the hand-down, so that calls of one endpoint share it; 0 where not said
@@ -16,7 +16,7 @@
  */
 public record PropagatedBudget(
         boolean isPresent,
-        boolean deadline,
+        boolean hasClientDeadline,
         long remainingNanos,
         int attempts,
         long grant,
@@ -32,7 +32,7 @@
     public PropagatedBudget after(long elapsed) {
         return new PropagatedBudget(
                 isPresent,
-                deadline,
+                hasClientDeadline,
                 Math.max(1, remainingNanos - elapsed),
                 attempts,
                 grant,
@@ -42,8 +42,8 @@
     }
 
     /** The same of a client that said, or didn't say, how long it waits. */
-    public PropagatedBudget withDeadline(boolean isGiven) {
-        return isGiven == deadline
+    public PropagatedBudget withClientDeadline(boolean isGiven) {
+        return isGiven == hasClientDeadline
                 ? this
                 : new PropagatedBudget(
                         isPresent,
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -61,7 +61,7 @@
         return budgets == null
                 ? PropagatedBudget.NOTHING
                 : BudgetHeaders.read(request)
-                        .withDeadline(request.head().fields().get(DEADLINE) != null);
+                        .withClientDeadline(request.head().fields().get(DEADLINE) != null);
     }
 
     /**
@@ -100,7 +100,7 @@
             }
         }
         long wait =
-                carried.deadline()
+                carried.hasClientDeadline()
                         ? 1_000_000 * wait(require(fields, DEADLINE))
                         : budgets.defaultDeadline(kind);
         long deadline = now + wait - Math.min(MARGIN, wait / 10) - Math.min(lateness, wait / 5);
--- a/lab/src/main/java/cedarrudder/lab/model/Job.java
+++ b/lab/src/main/java/cedarrudder/lab/model/Job.java
@@ -136,7 +136,7 @@
                                 what,
                                 HashRandom.of(what.seed(), callsMade++),
                                 now + Math.max(0, wait),
-                                goesDown().withDeadline(node.drawn.passesDeadline())));
+                                goesDown().withClientDeadline(node.drawn.passesDeadline())));
     }
 
     @Override
--- a/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
+++ b/lab/src/main/java/cedarrudder/lab/model/ProxyRequest.java
@@ -96,7 +96,7 @@
                 life.budgets == null
                         ? cedarrudder.budget.PropagatedBudget.NOTHING
                         : what.reported();
-        if (!carried.deadline()) {
+        if (!carried.hasClientDeadline()) {
             wait = Math.min(wait, life.budgets.defaultDeadline(what.classIndex()));
         }
         deadline = now + wait - Math.min(MARGIN, wait / 10);
