--- a/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
@@ -38,7 +38,7 @@
     private int bufferedBytes;
     private boolean ended;
     private boolean broken;
-    private Runnable whenMore = NO_LISTENER;
+    private Runnable whenReadable = NO_LISTENER;
     private Runnable whenWritable = NO_LISTENER;
 
     public BodyFlow(BufferAccount account) {
@@ -56,7 +56,7 @@
             }
             bufferedBytes += piece.length;
             account.add(piece.length);
-            whenMore.run();
+            whenReadable.run();
         }
     }
 
@@ -100,7 +100,7 @@
     /** That was all. */
     public void end() {
         ended = true;
-        whenMore.run();
+        whenReadable.run();
     }
 
     /**
@@ -115,7 +115,7 @@
             pieces.clear();
             joined = null;
             joinedLength = 0;
-            whenMore.run();
+            whenReadable.run();
         }
     }
 
@@ -144,8 +144,8 @@
     }
 
     /** Runs at each piece, at the end and at a break. */
-    public void whenMore(Runnable task) {
-        whenMore = task;
+    public void whenReadable(Runnable task) {
+        whenReadable = task;
     }
 
     /** Runs at each piece that is taken. */
--- a/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -54,7 +54,7 @@
         this.chunked = chunked;
         this.listener = listener;
         this.lastProgressAt = loop.now();
-        flow.whenMore(this::pump);
+        flow.whenReadable(this::pump);
     }
 
     /**
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -451,7 +451,7 @@
                     (request, reply) -> {
                         BodyFlow flow = request.content().rest().flow();
                         got.writeBytes(request.content().body());
-                        flow.whenMore(
+                        flow.whenReadable(
                                 () -> {
                                     try {
                                         if (sent.get() < chunks.size()) {
@@ -505,7 +505,7 @@
                             request.content()
                                     .rest()
                                     .flow()
-                                    .whenMore(
+                                    .whenReadable(
                                             () ->
                                                     service.actions.reject(
                                                             request.request().id(), 0));
