--- a/core/src/main/java/cedarrudder/budget/BudgetSettings.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetSettings.java
@@ -26,7 +26,7 @@
         double minAdmitted) {
 
     /** The same with this name for the tier, where none is set. */
-    public BudgetSettings orHop(String name) {
+    public BudgetSettings withDefaultHop(String name) {
         return !hop.isEmpty()
                 ? this
                 : new BudgetSettings(
--- a/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
@@ -86,7 +86,7 @@
         }
         String hop = tier < site.tiers().size() ? site.tiers().get(tier) : "tier-" + tier;
         return new Budgets(
-                settings.orHop(hop),
+                settings.withDefaultHop(hop),
                 site.module(),
                 // Not the balancer's own numbers, so that neither's draws tell the other's.
                 new SplittableRandom(configuration.seed()).split(),
