--- a/core/src/test/java/cedarrudder/balancer/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesWorld.java
@@ -425,7 +425,7 @@
                                 10_000 - parts - random.nextInt(2_000),
                                 20 * random.nextInt(3)));
             }
-            driver.shares(random.nextInt(4) == 0 ? List.of() : shares);
+            driver.zoneSharesUpdated(random.nextInt(4) == 0 ? List.of() : shares);
         }
     }
 
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -322,7 +322,8 @@
     public void callersWhoLeaveTeachTheSafeWait() {
         Budgets budgets = budgets(0);
         for (int i = 0; i < 100; i++) {
-            RequestBudget call = call(budgets, BEST, PropagatedBudget.NOTHING.withClientDeadline(false));
+            RequestBudget call =
+                    call(budgets, BEST, PropagatedBudget.NOTHING.withClientDeadline(false));
             budgets.onClientLeft(now + 500 * MILLI, call);
         }
         assertTrue(
