--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -96,7 +96,7 @@
 
     /** A request has come, with its deadline and what its client said. */
     public RequestBudget onRequest(long now, Request request, PropagatedBudget carried) {
-        if (carried.deadline()) {
+        if (carried.hasClientDeadline()) {
             deadlines.onWaited(request.classIndex(), request.deadline() - now);
         }
         boolean repeat = carried.repeat() || request.repeat();
@@ -160,7 +160,7 @@
 
     /** The client has gone before it was answered. */
     public void onClientLeft(long now, RequestBudget call) {
-        if (!call.received.deadline()) {
+        if (!call.received.hasClientDeadline()) {
             deadlines.onWaited(call.request.classIndex(), now - call.arrivedAt);
         }
     }
@@ -256,7 +256,7 @@
         if (standing == AdmissionHint.LOOP) {
             long more = loops.due(now, carried.path().from(settings.hop()));
             if (more >= 0) {
-                events.loop(carried.path().plus(settings.hop()), more);
+                events.loopRejected(carried.path().plus(settings.hop()), more);
             }
         }
         if (minuteEnds == Long.MIN_VALUE) {
@@ -271,8 +271,8 @@
         long overload = stood[AdmissionHint.OVERLOADED.ordinal()];
         long noTime = stood[AdmissionHint.DEADLINE_TOO_SHORT.ordinal()];
         if (overload + noTime + byTree + byShare > 0) {
-            events.minute(
-                    new BudgetEvents.Minute(
+            events.summarized(
+                    new BudgetEvents.MinuteSummary(
                             stood[AdmissionHint.ADMIT.ordinal()] + overload + noTime,
                             byTree,
                             byShare,
