--- a/core/src/main/java/cedarrudder/consensus/LogReplication.java
+++ b/core/src/main/java/cedarrudder/consensus/LogReplication.java
@@ -266,7 +266,7 @@
         RaftLog log = context.log();
         for (long i = log.lastIndex(); i > log.commitIndex(); i--) {
             long index = i;
-            if (rules.countsVote(log.term(i), context.term())
+            if (rules.mayCommitByCounting(log.term(i), context.term())
                     && log.votersAt(i).quorum(voter -> matchIndex(voter) >= index)) {
                 log.commit(i);
                 context.onCommitAdvanced(now);
--- a/core/src/main/java/cedarrudder/consensus/SafetyRules.java
+++ b/core/src/main/java/cedarrudder/consensus/SafetyRules.java
@@ -24,7 +24,7 @@
     }
 
     /** Whether counting may commit an entry: only one of the leader's own term (paper, 5.4.2). */
-    boolean countsVote(long entryTerm, long term) {
+    boolean mayCommitByCounting(long entryTerm, long term) {
         return entryTerm == term;
     }
 
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -273,7 +273,7 @@
                 figureEight(
                         new SafetyRules() {
                             @Override
-                            boolean countsVote(long entryTerm, long term) {
+                            boolean mayCommitByCounting(long entryTerm, long term) {
                                 return true;
                             }
                         });
