--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -551,8 +551,8 @@
         int from = fragment.sender();
         int byGroup = fragment.group().compareTo(group);
         long known = replicas.incarnation(from);
-        boolean raises = byGroup > 0 || fragment.incarnation() > known && known > 0;
-        if (raises && !rules.acceptsRaise(answersQuery(from, fragment))) {
+        boolean isHigher = byGroup > 0 || fragment.incarnation() > known && known > 0;
+        if (isHigher && !rules.acceptsHigherGroupOrIncarnation(answersQuery(from, fragment))) {
             dissemination.rejectOutdated(now, from, digest(fragment), true);
             return false;
         }
--- a/core/src/main/java/cedarrudder/consensus/SafetyRules.java
+++ b/core/src/main/java/cedarrudder/consensus/SafetyRules.java
@@ -58,7 +58,7 @@
     /**
      * Whether a higher group or life is followed: only where its sender has answered a question.
      */
-    boolean acceptsRaise(boolean answered) {
+    boolean acceptsHigherGroupOrIncarnation(boolean answered) {
         return answered;
     }
 
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -139,7 +139,7 @@
                 !staysAfterForgeries(
                         new SafetyRules() {
                             @Override
-                            boolean acceptsRaise(boolean answered) {
+                            boolean acceptsHigherGroupOrIncarnation(boolean answered) {
                                 return true;
                             }
                         }));
