--- a/core/src/main/java/cedarrudder/consensus/Proposal.java
+++ b/core/src/main/java/cedarrudder/consensus/Proposal.java
@@ -42,7 +42,7 @@
             LogPosition after = number(in);
             byte[] content = new byte[in.remaining()];
             in.get(content);
-            return incarnation < 1 || content.length > RaftNode.MAX_HANDED
+            return incarnation < 1 || content.length > RaftNode.MAX_FORWARDED_CONTENT
                     ? null
                     : new Proposal(replica, incarnation, sequence, after, content);
         } catch (BufferUnderflowException e) {
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -38,7 +38,7 @@
     public static final int MAX_STATE = 262_144;
 
     /** The largest content of a proposal that is forwarded to the leader, in bytes. */
-    public static final int MAX_HANDED = 4_096;
+    public static final int MAX_FORWARDED_CONTENT = 4_096;
 
     static final int MAX_SNAPSHOT = MAX_STATE + AppliedProposals.MAX_BYTES;
 
@@ -447,10 +447,10 @@
      * @param patience after which its outcome is said, whatever is known by then, in nanoseconds
      * @return what {@link Actions#onProposalSettled} will name; null where too many wait here, so
      *     that it is not taken
-     * @throws IllegalArgumentException if the content is larger than {@link #MAX_HANDED}
+     * @throws IllegalArgumentException if the content is larger than {@link #MAX_FORWARDED_CONTENT}
      */
     public Proposal forward(long now, byte[] content, long patience) {
-        checkSize(content, MAX_HANDED);
+        checkSize(content, MAX_FORWARDED_CONTENT);
         Proposal made = forwarder.add(now, appliedPosition(), content, patience);
         finishEvent(now);
         return made;
