--- a/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
@@ -15,7 +15,8 @@
  * @param bytesPerSecond the most that it spends on entries, snapshots and repeats for others; at
  *     least 1,024
  * @param retainedEntries how many committed entries it keeps for others; at least 8
- * @param silence after which a replica that hears of no leader forms a new group; 0 is never
+ * @param formationTimeout after which a replica that hears of no leader forms a new group; 0 is
+ *     never
  */
 public record ConsensusSettings(
         long heartbeat,
@@ -27,7 +28,7 @@
         int fanout,
         int bytesPerSecond,
         int retainedEntries,
-        long silence) {
+        long formationTimeout) {
 
     private static final long MILLI = 1_000_000L;
 
@@ -57,14 +58,14 @@
         check(bytesPerSecond >= 1_024, "bytesPerSecond", bytesPerSecond, "1,024 or more");
         check(retainedEntries >= 8, "keptEntries", retainedEntries, "8 or more");
         check(
-                silence == 0 || silence > voterPatience,
+                formationTimeout == 0 || formationTimeout > voterPatience,
                 "silence",
-                silence,
+                formationTimeout,
                 "0, or over voterPatience");
     }
 
     /** The same with another silence. */
-    public ConsensusSettings silence(long other) {
+    public ConsensusSettings withFormationTimeout(long other) {
         return new ConsensusSettings(
                 heartbeat,
                 minElection,
--- a/core/src/main/java/cedarrudder/consensus/GroupFormation.java
+++ b/core/src/main/java/cedarrudder/consensus/GroupFormation.java
@@ -21,13 +21,15 @@
     }
 
     boolean isAllowed() {
-        return settings.silence() > 0;
+        return settings.formationTimeout() > 0;
     }
 
     /** The wait begins anew. */
     void restart(long now) {
         waitsFrom = now;
-        wait = settings.silence() + (long) (random.nextDouble() * settings.silence());
+        wait =
+                settings.formationTimeout()
+                        + (long) (random.nextDouble() * settings.formationTimeout());
     }
 
     /**
@@ -37,6 +39,8 @@
      * @param hasState whether this replica has applied anything
      */
     long dueAt(long lastHeartbeatAt, boolean hasState) {
-        return Math.max(lastHeartbeatAt, waitsFrom) + wait + (hasState ? 0 : settings.silence());
+        return Math.max(lastHeartbeatAt, waitsFrom)
+                + wait
+                + (hasState ? 0 : settings.formationTimeout());
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
@@ -106,7 +106,8 @@
     private static long readSilence(ConfigTable table, long patience) {
         String key = "silence_ms";
         long silence =
-                CommonKeys.millis(table, key, 0, MAX_TIME, ConsensusSettings.DEFAULT.silence());
+                CommonKeys.millis(
+                        table, key, 0, MAX_TIME, ConsensusSettings.DEFAULT.formationTimeout());
         if (silence > 0 && silence <= patience && table.sound("voter_patience_ms", key)) {
             wrong(table, key, silence, "voter_patience_ms", patience, "0, or more than that");
         }
--- a/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -73,7 +73,8 @@
      */
     @Test
     public void twoRegionsThatEachSeeTheOtherAsLost() {
-        ConsensusSimulation copies = started(12, ConsensusSettings.DEFAULT.silence(6 * SECOND));
+        ConsensusSimulation copies =
+                started(12, ConsensusSettings.DEFAULT.withFormationTimeout(6 * SECOND));
         VoterGroup group = copies.view(0).group();
         List<Integer> voters =
                 copies.view(copies.leader()).voters().all().stream().map(Voter::replica).toList();
--- a/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
@@ -170,7 +170,7 @@
 
     @Test
     public void afterTheStatedSilenceAMajorityOfCopiesFormsAGroupAndAMinorityDoesNot() {
-        ConsensusSimulation copies = started(9, SETTINGS.silence(6 * SECOND), 8);
+        ConsensusSimulation copies = started(9, SETTINGS.withFormationTimeout(6 * SECOND), 8);
         LogPosition before = commit(copies);
         List<Integer> voters =
                 copies.view(copies.leader()).voters().all().stream().map(Voter::replica).toList();
