--- a/core/src/main/java/cedarrudder/consensus/RaftLog.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftLog.java
@@ -41,7 +41,7 @@
         if (!goesOn) {
             store.truncateFrom(of.index() + 1);
         }
-        store.snapshot(of);
+        store.writeSnapshot(of);
         reset(of);
         entries.addAll(after);
         applyVoters();
@@ -142,7 +142,7 @@
     /** Puts what is committed into the snapshot and keeps this many entries of it for others. */
     void compact(byte[] state, int keep) {
         snapshot = new Snapshot(commitIndex, term(commitIndex), votersAt(commitIndex), state);
-        store.snapshot(snapshot);
+        store.writeSnapshot(snapshot);
         long first = Math.max(base, commitIndex - keep);
         VoterSet then = votersAt(first);
         long term = term(first);
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -775,7 +775,7 @@
     private void sync() {
         if (hardStateChanged) {
             hardStateChanged = false;
-            storage.hardState(
+            storage.writeHardState(
                     new StableStorage.HardState(
                             group,
                             self.incarnation(),
--- a/core/src/main/java/cedarrudder/consensus/StableStorage.java
+++ b/core/src/main/java/cedarrudder/consensus/StableStorage.java
@@ -31,7 +31,7 @@
     /** What an earlier process wrote and synced; null where nothing is left of it. */
     Recovered recovered();
 
-    void hardState(HardState promise);
+    void writeHardState(HardState promise);
 
     /** Entries from here on are replaced by this one. */
     void append(long index, LogEntry entry);
@@ -40,7 +40,7 @@
     void truncateFrom(long from);
 
     /** Entries up to it need not be kept; those after it stay. */
-    void snapshot(Snapshot snapshot);
+    void writeSnapshot(Snapshot snapshot);
 
     /**
      * Returns when all that was written since the last time will be read back. Where the process
@@ -58,7 +58,7 @@
                 }
 
                 @Override
-                public void hardState(HardState promise) {}
+                public void writeHardState(HardState promise) {}
 
                 @Override
                 public void append(long index, LogEntry entry) {}
@@ -67,7 +67,7 @@
                 public void truncateFrom(long from) {}
 
                 @Override
-                public void snapshot(Snapshot snapshot) {}
+                public void writeSnapshot(Snapshot snapshot) {}
 
                 @Override
                 public void sync() {}
--- a/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
+++ b/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
@@ -112,7 +112,7 @@
         }
 
         @Override
-        public void hardState(HardState promise) {
+        public void writeHardState(HardState promise) {
             term = promise.term();
             unsynced = true;
         }
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void snapshot(Snapshot snapshot) {
+        public void writeSnapshot(Snapshot snapshot) {
             unsynced = true;
         }
 
--- a/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -262,7 +262,7 @@
     }
 
     @Override
-    public void hardState(HardState next) {
+    public void writeHardState(HardState next) {
         log.setHardState(next);
         bufferRecord(out -> StorageRecords.write(out, next));
     }
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public void snapshot(Snapshot next) {
+    public void writeSnapshot(Snapshot next) {
         log.install(next);
         bufferRecord(out -> StorageRecords.write(out, next));
     }
--- a/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -63,8 +63,8 @@
     private void write() {
         try (FileStableStorage store = open()) {
             assertNull(store.recovered());
-            store.hardState(FIRST);
-            store.snapshot(SNAPSHOT);
+            store.writeHardState(FIRST);
+            store.writeSnapshot(SNAPSHOT);
             for (int i = 7; i <= 9; i++) {
                 store.append(i, entry(i));
             }
@@ -72,7 +72,7 @@
             store.truncateFrom(9);
             store.append(9, entry(90));
             store.append(10, entry(10));
-            store.hardState(LATER);
+            store.writeHardState(LATER);
             store.sync();
         }
     }
@@ -128,7 +128,7 @@
                 }
                 assertKept(store.recovered(), FIRST, 7, 8, 9);
                 second++;
-                store.hardState(LATER);
+                store.writeHardState(LATER);
                 store.sync();
             }
             try (FileStableStorage store = open()) {
@@ -161,7 +161,7 @@
                 assertTrue(
                         log.toString().contains("byte ") && log.toString().contains("allowed"),
                         "" + log);
-                store.hardState(LATER);
+                store.writeHardState(LATER);
                 store.sync();
             }
             assertEquals(Files.readAllBytes(folder.resolve("agreement.refused")), turned);
@@ -204,7 +204,7 @@
         long[] took = new long[syncs];
         try (FileStableStorage store = open()) {
             for (int i = 0; i < syncs; i++) {
-                store.hardState(i % 2 == 0 ? FIRST : LATER);
+                store.writeHardState(i % 2 == 0 ? FIRST : LATER);
                 store.append(i + 1, new LogEntry(4, Kind.CONTENT, new byte[500]));
                 long begun = System.nanoTime();
                 store.sync();
@@ -231,11 +231,11 @@
     @Test
     public void theFileStaysSmall() throws IOException {
         try (FileStableStorage store = open()) {
-            store.hardState(FIRST);
+            store.writeHardState(FIRST);
             for (int i = 1; i <= 3_000; i++) {
                 store.append(i, new LogEntry(4, Kind.CONTENT, new byte[1_000]));
                 if (i % 16 == 0) {
-                    store.snapshot(new Snapshot(i, 4, SNAPSHOT.voters(), new byte[5_000]));
+                    store.writeSnapshot(new Snapshot(i, 4, SNAPSHOT.voters(), new byte[5_000]));
                 }
                 if (i % 100 == 0) {
                     store.sync();
--- a/lab/src/main/java/cedarrudder/lab/consensus/SimulatedDisk.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/SimulatedDisk.java
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void hardState(HardState next) {
+    public void writeHardState(HardState next) {
         log.setHardState(next);
     }
 
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void snapshot(Snapshot next) {
+    public void writeSnapshot(Snapshot next) {
         log.install(next);
     }
 
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -210,7 +210,7 @@
             }
 
             @Override
-            public void hardState(HardState promise) {}
+            public void writeHardState(HardState promise) {}
 
             @Override
             public void append(long index, LogEntry entry) {}
@@ -219,7 +219,7 @@
             public void truncateFrom(long from) {}
 
             @Override
-            public void snapshot(Snapshot snapshot) {}
+            public void writeSnapshot(Snapshot snapshot) {}
 
             @Override
             public void sync() {}
