--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -139,7 +139,7 @@
                 !staysAfterForgeries(
                         new SafetyRules() {
                             @Override
-                            boolean acceptsRaise(boolean answered) {
+                            boolean acceptsHigherGroupOrIncarnation(boolean answered) {
                                 return true;
                             }
                         }));
@@ -210,7 +210,7 @@
             }
 
             @Override
-            public void hardState(HardState promise) {}
+            public void writeHardState(HardState promise) {}
 
             @Override
             public void append(long index, LogEntry entry) {}
@@ -219,7 +219,7 @@
             public void truncateFrom(long from) {}
 
             @Override
-            public void snapshot(Snapshot snapshot) {}
+            public void writeSnapshot(Snapshot snapshot) {}
 
             @Override
             public void sync() {}
@@ -273,7 +273,7 @@
                 figureEight(
                         new SafetyRules() {
                             @Override
-                            boolean countsVote(long entryTerm, long term) {
+                            boolean mayCommitByCounting(long entryTerm, long term) {
                                 return true;
                             }
                         });
