--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -54,7 +54,7 @@
             new PolicyConditionInputs(0, 0, 0, 1, 1, 1, 0, 0);
 
     private static final DrainableNode SOME =
-            new DrainableNode(0, "", "", 0, "", 1, DrainableNode.Standing.SERVING, 0);
+            new DrainableNode(0, "", "", 0, "", 1, DrainableNode.NodeStatus.SERVING, 0);
 
     private final CelRuntime runtime =
             CelRuntimeFactory.standardCelRuntimeBuilder().setOptions(OPTIONS).build();
--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -18,7 +18,7 @@
     private static final PolicyConditionInputs FIGURES =
             new PolicyConditionInputs(0.01, 0.2, 0, 0.75, 5, 6, 3, 1);
     private static final DrainableNode NODE =
-            new DrainableNode(1, "shops", "a", 3, "big", 2.5, DrainableNode.Standing.SERVING, 0);
+            new DrainableNode(1, "shops", "a", 3, "big", 2.5, DrainableNode.NodeStatus.SERVING, 0);
 
     private final ConditionCompiler conditions = new CelConditions();
 
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -1,6 +1,6 @@
 package cedarrudder.draining;
 
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -76,7 +76,7 @@
         if (cache.size() > 2 * DrainPolicy.MAX_NODES) {
             cache.clear();
         }
-        return cache.computeIfAbsent(node.with(Standing.SERVING), this::evaluate);
+        return cache.computeIfAbsent(node.with(NodeStatus.SERVING), this::evaluate);
     }
 
     private int evaluate(DrainableNode node) {
--- a/core/src/main/java/cedarrudder/draining/DrainableNode.java
+++ b/core/src/main/java/cedarrudder/draining/DrainableNode.java
@@ -17,11 +17,11 @@
         int pod,
         String kind,
         double weight,
-        Standing standing,
+        NodeStatus status,
         long start) {
 
     /** Whether a node serves, and why not. */
-    public enum Standing {
+    public enum NodeStatus {
         SERVING,
         /** Left out by hand, at one replica or more. */
         DISABLED,
@@ -31,8 +31,8 @@
         FAILED
     }
 
-    /** The same with another standing. */
-    public DrainableNode with(Standing other) {
+    /** The same with another status. */
+    public DrainableNode with(NodeStatus other) {
         return new DrainableNode(id, tier, zone, pod, kind, weight, other, start);
     }
 }
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.draining.DrainCommand.Bound;
 import cedarrudder.draining.DrainPolicy.DrainOrder;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -273,7 +273,7 @@
                                     own ? sample.pod() : 1_000_000 + zone * pods + pod,
                                     sample.kind(),
                                     sample.weight(),
-                                    Standing.SERVING,
+                                    NodeStatus.SERVING,
                                     0),
                             false);
                 }
--- a/core/src/main/java/cedarrudder/draining/SampleNodes.java
+++ b/core/src/main/java/cedarrudder/draining/SampleNodes.java
@@ -1,7 +1,7 @@
 package cedarrudder.draining;
 
 import cedarrudder.draining.DrainPolicy.NodeSelector;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -158,7 +158,7 @@
                 Predicate<DrainableNode> takes) {
             for (int pod : pods) {
                 if (takes.test(
-                        new DrainableNode(0, tier, zone, pod, kind, weight, Standing.SERVING, 0))) {
+                        new DrainableNode(0, tier, zone, pod, kind, weight, NodeStatus.SERVING, 0))) {
                     return true;
                 }
             }
--- a/core/src/main/java/cedarrudder/draining/WavePlan.java
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -9,7 +9,7 @@
 import cedarrudder.draining.DrainCommand.WaveStatus;
 import cedarrudder.draining.DrainPolicy.OnDeadline;
 import cedarrudder.draining.DrainPolicy.OnRestart;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -115,7 +115,7 @@
     }
 
     private boolean isOut(DrainableNode node) {
-        return node.standing() != Standing.SERVING
+        return node.status() != NodeStatus.SERVING
                 || disabled != null && disabled.contains(node.id())
                 || state.state(node.id()).isOut();
     }
@@ -229,7 +229,7 @@
         int died = 0;
         for (DrainableNode node : nodes.values()) {
             boolean isDead =
-                    node.standing() == Standing.FAILED
+                    node.status() == NodeStatus.FAILED
                             && state.state(node.id()) != DrainState.OUT
                             && hasBit(policies.policiesFor(node), policy);
             died += isDead ? 1 : 0;
--- a/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -10,7 +10,7 @@
 import cedarrudder.draining.DrainPolicy.OnDeadline;
 import cedarrudder.draining.DrainPolicy.OnRestart;
 import cedarrudder.draining.DrainPolicy.Window;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -78,7 +78,7 @@
         for (long id = 0; id < 6; id++) {
             nodes.put(
                     id,
-                    new DrainableNode(id, "t", "z", (int) (id % 2), "k", 1, Standing.SERVING, 0));
+                    new DrainableNode(id, "t", "z", (int) (id % 2), "k", 1, NodeStatus.SERVING, 0));
         }
     }
 
@@ -194,7 +194,7 @@
         other.disabled = Set.of(4L);
         start(policy(2, "", "", 6), 0L, 1L, 2L);
         assertEquals(in(DrainState.OUT), 1);
-        nodes.computeIfPresent(5L, (id, node) -> node.with(Standing.FAILED));
+        nodes.computeIfPresent(5L, (id, node) -> node.with(NodeStatus.FAILED));
         nodes.remove(0L);
         turns(20);
         assertEquals(in(DrainState.WAITING), 2);
@@ -232,13 +232,13 @@
         leader.drains.setPolicies(2, List.of(policy(2, "", "", 6, new Window(1 << 3, 0, 60))));
         turns(4);
         assertEquals(in(DrainState.WAITING), 1);
-        nodes.computeIfPresent(5L, (id, node) -> node.with(Standing.FAILED));
+        nodes.computeIfPresent(5L, (id, node) -> node.with(NodeStatus.FAILED));
         leader.drains.setPolicies(3, List.of(policy(2, "", "", 0, new Window(1 << 3, 0, 60))));
         turns(4);
         utc = 3_600_000;
         turns(4);
         assertEquals(in(DrainState.WAITING), 1);
-        nodes.computeIfPresent(5L, (id, node) -> node.with(Standing.SERVING));
+        nodes.computeIfPresent(5L, (id, node) -> node.with(NodeStatus.SERVING));
         turns(4);
         assertEquals(in(DrainState.OUT), 1);
     }
@@ -262,7 +262,7 @@
         start(policy(2, "", "", 6), 0L);
         assertEquals(in(DrainState.OUT), 1);
         nodes.computeIfPresent(
-                0L, (id, node) -> new DrainableNode(0, "t", "z", 0, "k", 1, Standing.SERVING, 5));
+                0L, (id, node) -> new DrainableNode(0, "t", "z", 0, "k", 1, NodeStatus.SERVING, 5));
         turns(4);
         assertEquals(leader.drains.progress().drains(), List.of());
         assertEquals(
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -7,7 +7,7 @@
 import cedarrudder.draining.DrainPolicy.NodeSelector;
 import cedarrudder.draining.DrainPolicy.OnDeadline;
 import cedarrudder.draining.DrainPolicy.OnRestart;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -181,7 +181,7 @@
                                 pod,
                                 i % 2 == 0 ? "big" : "small",
                                 1 + i % 2,
-                                Standing.SERVING,
+                                NodeStatus.SERVING,
                                 0));
             }
         }
@@ -499,12 +499,12 @@
                 long id = random.nextLong(2) * 100 + random.nextInt(3);
                 DrainableNode node = nodes.get(id);
                 if (node != null) {
-                    nodes.put(id, node.with(Standing.FAILED));
+                    nodes.put(id, node.with(NodeStatus.FAILED));
                     at(
                             now + 6 * SECOND,
                             () ->
                                     nodes.computeIfPresent(
-                                            id, (key, one) -> one.with(Standing.SERVING)));
+                                            id, (key, one) -> one.with(NodeStatus.SERVING)));
                 }
             }
         }
@@ -521,7 +521,7 @@
                                 one.pod(),
                                 one.kind(),
                                 one.weight(),
-                                one.standing(),
+                                one.status(),
                                 now / MILLI));
     }
 
--- a/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
+++ b/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
@@ -3,7 +3,7 @@
 import cedarrudder.adminoverride.AdminOverrides;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
 import cedarrudder.draining.DrainableNode;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import cedarrudder.draining.TrafficSample;
 import cedarrudder.metrics.RequestMetrics;
 import cedarrudder.metrics.RequestMetrics.End;
@@ -65,12 +65,12 @@
                                                 nameAt(site.kinds(), entry.kind()),
                                                 entry.weight(),
                                                 disabled.contains(id)
-                                                        ? Standing.DISABLED
+                                                        ? NodeStatus.DISABLED
                                                         : entry.status() == EndpointStatus.DRAINING
-                                                                ? Standing.TERMINATING
+                                                                ? NodeStatus.TERMINATING
                                                                 : connections.isFailing(entry.id())
-                                                                        ? Standing.FAILED
-                                                                        : Standing.SERVING,
+                                                                        ? NodeStatus.FAILED
+                                                                        : NodeStatus.SERVING,
                                                 listParser.startMillis(id))));
         return nodes;
     }
