--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -98,10 +98,10 @@
     }
 
     @Override
-    public OfFigures figures(String text) {
+    public PolicyCondition compilePolicyCondition(String text) {
         overFigures = overFigures == null ? compiler(OF_FIGURES) : overFigures;
         CelRuntime.Program program = program(overFigures, OF_FIGURES, text);
-        OfFigures condition =
+        PolicyCondition condition =
                 figures -> {
                     Map<String, Object> values = new HashMap<>();
                     for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
@@ -114,10 +114,10 @@
     }
 
     @Override
-    public OfNode node(String text) {
+    public NodeCondition compileNodeCondition(String text) {
         overNode = overNode == null ? compiler(OF_NODE) : overNode;
         CelRuntime.Program program = program(overNode, OF_NODE, text);
-        OfNode condition =
+        NodeCondition condition =
                 node ->
                         holds(
                                 program,
--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -30,7 +30,7 @@
                                 "failed > 0.1 && refused < 0.02 && late == 0.0 && capacity_left >="
                                     + " 0.75 && live_copies * 2 > copies && out == 3 && died < 2")
                         .holds(FIGURES));
-        assertEquals(conditions.figures("failed > 1").holds(FIGURES), false);
+        assertEquals(conditions.compilePolicyCondition("failed > 1").holds(FIGURES), false);
         assertTrue(
                 conditions
                         .node(
@@ -54,13 +54,13 @@
         for (String[] each : wrong) {
             InvalidConditionException bad =
                     expectThrows(
-                            InvalidConditionException.class, () -> conditions.figures(each[0]));
+                            InvalidConditionException.class, () -> conditions.compilePolicyCondition(each[0]));
             assertTrue(bad.found().contains(each[1]), each[0] + ": " + bad.getMessage());
         }
         assertThrows(
                 InvalidConditionException.class,
-                () -> conditions.figures("(".repeat(200) + "true" + ")".repeat(200)));
-        assertThrows(InvalidConditionException.class, () -> conditions.node("failed > 0.1"));
+                () -> conditions.compilePolicyCondition("(".repeat(200) + "true" + ")".repeat(200)));
+        assertThrows(InvalidConditionException.class, () -> conditions.compileNodeCondition("failed > 0.1"));
     }
 
     /** Detects a division by 0 or an overflow that ends the loop. */
@@ -68,10 +68,10 @@
     public void oneThatCanNotBeToldThrowsAtRunTime() {
         assertThrows(
                 IllegalStateException.class,
-                () -> conditions.figures("1 / (out - 3) > 0").holds(FIGURES));
+                () -> conditions.compilePolicyCondition("1 / (out - 3) > 0").holds(FIGURES));
         assertThrows(
                 IllegalStateException.class,
-                () -> conditions.figures("9223372036854775807 + out > 0").holds(FIGURES));
+                () -> conditions.compilePolicyCondition("9223372036854775807 + out > 0").holds(FIGURES));
     }
 
     /** Detects a text within the bound that keeps the loop for long. */
@@ -81,8 +81,8 @@
         while (text.length() < DrainPolicy.MAX_TEXT - 20) {
             text += " || died > 5";
         }
-        ConditionCompiler.OfFigures condition =
-                conditions.figures(text.replace("failed > 0.1", "failed > 0.9"));
+        ConditionCompiler.PolicyCondition condition =
+                conditions.compilePolicyCondition(text.replace("failed > 0.1", "failed > 0.9"));
         long begun = System.nanoTime();
         int times = 1_000;
         for (int i = 0; i < times; i++) {
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -20,10 +20,10 @@
 
     private record Rule(
             DrainPolicy policy,
-            ConditionCompiler.OfNode where,
-            ConditionCompiler.OfFigures pauseIf,
-            ConditionCompiler.OfFigures goOnIf,
-            ConditionCompiler.OfFigures giveBackIf,
+            ConditionCompiler.NodeCondition where,
+            ConditionCompiler.PolicyCondition pauseIf,
+            ConditionCompiler.PolicyCondition goOnIf,
+            ConditionCompiler.PolicyCondition giveBackIf,
             boolean readable) {}
 
     private final List<Rule> rules = new ArrayList<>();
@@ -40,10 +40,10 @@
                     policy,
                     policy.selector().where().isEmpty()
                             ? node -> true
-                            : conditions.node(policy.selector().where()),
-                    figures(policy.pauseIf(), conditions, false),
-                    figures(policy.goOnIf(), conditions, true),
-                    figures(policy.giveBackIf(), conditions, false),
+                            : conditions.compileNodeCondition(policy.selector().where()),
+                    compileOrDefault(policy.pauseIf(), conditions, false),
+                    compileOrDefault(policy.goOnIf(), conditions, true),
+                    compileOrDefault(policy.giveBackIf(), conditions, false),
                     true);
         } catch (RuntimeException e) {
             // This avoids a copy of another version, that can't read it, letting go what it
@@ -58,9 +58,9 @@
         }
     }
 
-    private static ConditionCompiler.OfFigures figures(
+    private static ConditionCompiler.PolicyCondition compileOrDefault(
             String text, ConditionCompiler conditions, boolean otherwise) {
-        return text.isEmpty() ? figures -> otherwise : conditions.figures(text);
+        return text.isEmpty() ? figures -> otherwise : conditions.compilePolicyCondition(text);
     }
 
     int size() {
@@ -116,7 +116,7 @@
     }
 
     private static Verdict evaluate(
-            ConditionCompiler.OfFigures condition, PolicyConditionInputs figures) {
+            ConditionCompiler.PolicyCondition condition, PolicyConditionInputs figures) {
         try {
             return condition.holds(figures) ? Verdict.YES : Verdict.NO;
         } catch (RuntimeException e) {
--- a/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
+++ b/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
@@ -4,7 +4,7 @@
 public interface ConditionCompiler {
 
     /** What is asked of the figures that replicas share. */
-    interface OfFigures {
+    interface PolicyCondition {
         /**
          * Whether it holds.
          *
@@ -14,7 +14,7 @@
     }
 
     /** What is asked of a node. */
-    interface OfNode {
+    interface NodeCondition {
         /**
          * Whether it holds.
          *
@@ -29,12 +29,12 @@
      *
      * @throws InvalidConditionException where it is none
      */
-    OfFigures figures(String text);
+    PolicyCondition compilePolicyCondition(String text);
 
     /**
      * Reads a condition over a node.
      *
      * @throws InvalidConditionException where it is none
      */
-    OfNode node(String text);
+    NodeCondition compileNodeCondition(String text);
 }
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -66,7 +66,7 @@
     private final List<Finding> findings = new ArrayList<>();
     private final List<DrainableNode> samples = new ArrayList<>();
     private final List<OverlappingPolicies> overlapping = new ArrayList<>();
-    private final Map<String, ConditionCompiler.OfFigures> figureConditions = new HashMap<>();
+    private final Map<String, ConditionCompiler.PolicyCondition> figureConditions = new HashMap<>();
     private final SampleNodes sampleNodes;
 
     private PolicyValidator(
@@ -232,7 +232,7 @@
     private boolean isFalse(String text, PolicyConditionInputs figures) {
         try {
             return text.isEmpty()
-                    || !figureConditions.computeIfAbsent(text, conditions::figures).holds(figures);
+                    || !figureConditions.computeIfAbsent(text, conditions::compilePolicyCondition).holds(figures);
         } catch (RuntimeException e) {
             return false;
         }
--- a/core/src/main/java/cedarrudder/draining/SampleNodes.java
+++ b/core/src/main/java/cedarrudder/draining/SampleNodes.java
@@ -26,7 +26,7 @@
     private static final double NEAR = 0.5;
 
     private final ConditionCompiler conditions;
-    private final Map<String, ConditionCompiler.OfNode> compiled = new HashMap<>();
+    private final Map<String, ConditionCompiler.NodeCondition> compiled = new HashMap<>();
 
     SampleNodes(ConditionCompiler conditions) {
         this.conditions = conditions;
@@ -45,11 +45,11 @@
     /** Looks at nodes until one fits or too many were looked at. */
     private static final class Search {
         private final List<DrainPolicy> policies;
-        private final List<ConditionCompiler.OfNode> conditions;
+        private final List<ConditionCompiler.NodeCondition> conditions;
         private int samplesLeft = MAX_SAMPLES;
         private DrainableNode found;
 
-        Search(List<DrainPolicy> policies, List<ConditionCompiler.OfNode> conditions) {
+        Search(List<DrainPolicy> policies, List<ConditionCompiler.NodeCondition> conditions) {
             this.policies = policies;
             this.conditions = conditions;
         }
@@ -68,15 +68,15 @@
         }
     }
 
-    private List<ConditionCompiler.OfNode> conditionsOf(List<DrainPolicy> policies) {
+    private List<ConditionCompiler.NodeCondition> conditionsOf(List<DrainPolicy> policies) {
         return policies.stream()
                 .map(policy -> policy.selector().where())
                 .filter(where -> !where.isEmpty())
-                .map(where -> compiled.computeIfAbsent(where, conditions::node))
+                .map(where -> compiled.computeIfAbsent(where, conditions::compileNodeCondition))
                 .toList();
     }
 
-    private static boolean holds(ConditionCompiler.OfNode condition, DrainableNode node) {
+    private static boolean holds(ConditionCompiler.NodeCondition condition, DrainableNode node) {
         try {
             return condition.holds(node);
         } catch (RuntimeException e) {
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -33,7 +33,7 @@
     static final ConditionCompiler CONDITIONS =
             new ConditionCompiler() {
                 @Override
-                public OfFigures figures(String text) {
+                public PolicyCondition compilePolicyCondition(String text) {
                     return figures -> {
                         if (text.equals("throws")) {
                             throw new IllegalStateException(text);
@@ -44,7 +44,7 @@
                 }
 
                 @Override
-                public OfNode node(String text) {
+                public NodeCondition compileNodeCondition(String text) {
                     return node -> node.kind().equals(text);
                 }
             };
--- a/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
+++ b/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
@@ -54,12 +54,12 @@
     }
 
     @Override
-    public OfFigures figures(String text) {
-        return open().figures(text);
+    public PolicyCondition compilePolicyCondition(String text) {
+        return open().compilePolicyCondition(text);
     }
 
     @Override
-    public OfNode node(String text) {
-        return open().node(text);
+    public NodeCondition compileNodeCondition(String text) {
+        return open().compileNodeCondition(text);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -286,13 +286,13 @@
 
         void nodeCondition(String key, String condition, ConditionCompiler conditions) {
             if (!condition.isEmpty()) {
-                compile(key, () -> conditions.node(condition));
+                compile(key, () -> conditions.compileNodeCondition(condition));
             }
         }
 
         void condition(String key, String condition, ConditionCompiler conditions) {
             if (!condition.isEmpty()) {
-                compile(key, () -> conditions.figures(condition));
+                compile(key, () -> conditions.compilePolicyCondition(condition));
             }
         }
 
