--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -22,7 +22,7 @@
             DrainPolicy policy,
             ConditionCompiler.NodeCondition where,
             ConditionCompiler.PolicyCondition pauseIf,
-            ConditionCompiler.PolicyCondition goOnIf,
+            ConditionCompiler.PolicyCondition resumeIf,
             ConditionCompiler.PolicyCondition giveBackIf,
             boolean readable) {}
 
@@ -42,7 +42,7 @@
                             ? node -> true
                             : conditions.compileNodeCondition(policy.selector().where()),
                     compileOrDefault(policy.pauseIf(), conditions, false),
-                    compileOrDefault(policy.goOnIf(), conditions, true),
+                    compileOrDefault(policy.resumeIf(), conditions, true),
                     compileOrDefault(policy.giveBackIf(), conditions, false),
                     true);
         } catch (RuntimeException e) {
@@ -108,7 +108,7 @@
     }
 
     Verdict resumeVerdict(int index, PolicyConditionInputs figures) {
-        return evaluate(rules.get(index).goOnIf, figures);
+        return evaluate(rules.get(index).resumeIf, figures);
     }
 
     Verdict giveBackVerdict(int index, PolicyConditionInputs figures) {
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -17,7 +17,7 @@
  * @param minWaveInterval nanoseconds between the end of a wave and the next
  * @param maxDied this many of them may fail, beside those taken out, before no further wave begins
  * @param pauseIf while it holds no wave begins; empty: never
- * @param goOnIf after a pause waves begin once it holds; empty: once the reason of the pause is
+ * @param resumeIf after a pause waves begin once it holds; empty: once the reason of the pause is
  *     over
  * @param giveBackIf where it holds, what leaves is given back, and waits again; empty: never
  * @param deadlineNanos how long a node may take, in nanoseconds
@@ -37,7 +37,7 @@
         long minWaveInterval,
         int maxDied,
         String pauseIf,
-        String goOnIf,
+        String resumeIf,
         String giveBackIf,
         long deadlineNanos,
         OnDeadline onDeadline,
@@ -254,7 +254,7 @@
         checkRange("died", maxDied, 0, MAX_NODES);
         checkRange("time", deadlineNanos, MIN_TIME, MAX_TIME);
         checkLength(pauseIf);
-        checkLength(goOnIf);
+        checkLength(resumeIf);
         checkLength(giveBackIf);
         check(
                 closedWindows.size() <= MAX_WINDOWS,
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -49,7 +49,7 @@
                     .put(policy.minWaveInterval())
                     .put(policy.maxDied())
                     .put(policy.pauseIf())
-                    .put(policy.goOnIf())
+                    .put(policy.resumeIf())
                     .put(policy.giveBackIf())
                     .put(policy.deadlineNanos())
                     .put(policy.onDeadline())
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -132,7 +132,7 @@
         long pace = CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MAX_TIME / MILLI, 0);
         int died = (int) table.integer("died", 0, DrainPolicy.MAX_NODES, 1);
         String pauseIf = faults.text("pause_if", "");
-        String goOnIf = faults.text("go_on_if", "");
+        String resumeIf = faults.text("go_on_if", "");
         String giveBackIf = faults.text("give_back_if", "");
         long deadline = faults.deadline();
         OnDeadline onDeadline = table.choice("at_end", OnDeadline.class, OnDeadline.KEEP_WAITING);
@@ -140,7 +140,7 @@
         List<Window> closed = faults.windows();
         faults.nodeCondition("where", faults.where, conditions);
         faults.condition("pause_if", pauseIf, conditions);
-        faults.condition("go_on_if", goOnIf, conditions);
+        faults.condition("go_on_if", resumeIf, conditions);
         faults.condition("give_back_if", giveBackIf, conditions);
         table.done();
         return !faults.sound
@@ -157,7 +157,7 @@
                         pace,
                         died,
                         pauseIf,
-                        goOnIf,
+                        resumeIf,
                         giveBackIf,
                         deadline,
                         onDeadline,
