--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -102,7 +102,7 @@
         if (!rule.readable || (undecidedPolicies >> index & 1) != 0) {
             return Verdict.UNDECIDED;
         }
-        return figures.died() > rule.policy.maxDied()
+        return figures.died() > rule.policy.maxFailedNodes()
                 ? Verdict.YES
                 : evaluate(rule.pauseIf, figures);
     }
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -15,7 +15,7 @@
  * @param order the order in which they go
  * @param maxWaveSize how many go in one wave at most
  * @param minWaveInterval nanoseconds between the end of a wave and the next
- * @param maxDied this many of them may fail, beside those taken out, before no further wave begins
+ * @param maxFailedNodes this many of them may fail, beside those taken out, before no further wave begins
  * @param pauseIf while it holds no wave begins; empty: never
  * @param resumeIf after a pause waves begin once it holds; empty: once the reason of the pause is
  *     over
@@ -35,7 +35,7 @@
         DrainOrder order,
         int maxWaveSize,
         long minWaveInterval,
-        int maxDied,
+        int maxFailedNodes,
         String pauseIf,
         String resumeIf,
         String giveBackIf,
@@ -251,7 +251,7 @@
         check(complete, "policy", "nothing", "all of it");
         checkRange("wave", maxWaveSize, 1, MAX_NODES);
         checkRange("pace", minWaveInterval, 0, MAX_TIME);
-        checkRange("died", maxDied, 0, MAX_NODES);
+        checkRange("died", maxFailedNodes, 0, MAX_NODES);
         checkRange("time", deadlineNanos, MIN_TIME, MAX_TIME);
         checkLength(pauseIf);
         checkLength(resumeIf);
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -47,7 +47,7 @@
             out.put(policy.order())
                     .put(policy.maxWaveSize())
                     .put(policy.minWaveInterval())
-                    .put(policy.maxDied())
+                    .put(policy.maxFailedNodes())
                     .put(policy.pauseIf())
                     .put(policy.resumeIf())
                     .put(policy.giveBackIf())
--- a/core/src/main/java/cedarrudder/draining/StricterBounds.java
+++ b/core/src/main/java/cedarrudder/draining/StricterBounds.java
@@ -25,7 +25,7 @@
                     higher("left.weight", policy -> policy.minAvailable().weight()),
                     lower("wave", DrainPolicy::maxWaveSize),
                     higher("pace_ms", DrainPolicy::minWaveInterval),
-                    lower("died", DrainPolicy::maxDied),
+                    lower("died", DrainPolicy::maxFailedNodes),
                     lower("node_ms", DrainPolicy::deadlineNanos));
 
     private StricterBounds() {}
