--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -133,10 +133,10 @@
     record BlockedBy(int policy, Bound bound, int nodes) {}
 
     /** A node that leaves has this many calls of a replica; -1: that replica has not said yet. */
-    record RemainingCalls(int slot, int replica, long calls) {}
+    record RemainingRequests(int slot, int replica, long requests) {}
 
     /** What the leader knows that others don't, for operators. */
-    record WaveStatus(List<BlockedBy> blocked, List<RemainingCalls> remaining) {
+    record WaveStatus(List<BlockedBy> blocked, List<RemainingRequests> remaining) {
         static final WaveStatus NOTHING = new WaveStatus(List.of(), List.of());
     }
 
@@ -251,7 +251,7 @@
         out.put(status.blocked.size());
         status.blocked.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
         out.put(status.remaining.size());
-        status.remaining.forEach(each -> out.put(each.slot).put(each.replica).put(each.calls + 1));
+        status.remaining.forEach(each -> out.put(each.slot).put(each.replica).put(each.requests + 1));
     }
 
     /** Reads what {@link #writeStatus} wrote. */
@@ -264,10 +264,10 @@
                             in.choice(Bound.values()),
                             in.smallInt(DrainPolicy.MAX_NODES)));
         }
-        List<RemainingCalls> still = new ArrayList<>();
+        List<RemainingRequests> still = new ArrayList<>();
         for (int left = in.count(MAX_STATUS_ENTRIES); left > 0; left--) {
             still.add(
-                    new RemainingCalls(
+                    new RemainingRequests(
                             in.smallInt(Integer.MAX_VALUE),
                             in.smallInt(0xffff),
                             in.longValue(Integer.MAX_VALUE) - 1));
--- a/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -55,7 +55,7 @@
     /** What this replica has itself. */
     public interface LocalState {
         /** Its calls at a node. */
-        int openCalls(long node);
+        int requestsInFlight(long node);
 
         /** The nodes that are left out here by hand. */
         Set<Long> disabled();
@@ -306,7 +306,7 @@
             int last = Integer.MAX_VALUE;
             List<DrainReport.Calls> held = new ArrayList<>();
             for (Drain drain : open) {
-                int calls = drain.slot < first ? 0 : local.openCalls(drain.node);
+                int calls = drain.slot < first ? 0 : local.requestsInFlight(drain.node);
                 if (calls > 0 && held.size() == DrainReport.maxCalls()) {
                     last = drain.slot - 1;
                     break;
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -132,8 +132,8 @@
     }
 
     /** Where calls are, or may be, that keep a node's drain open; empty where it has none. */
-    List<DrainCommand.RemainingCalls> remainingCalls(long now, Drain drain) {
-        List<DrainCommand.RemainingCalls> still = new ArrayList<>();
+    List<DrainCommand.RemainingRequests> remainingRequests(long now, Drain drain) {
+        List<DrainCommand.RemainingRequests> still = new ArrayList<>();
         for (int i = 0; i < replicas.length; i++) {
             if (isAwaited(now, i)) {
                 NodeCalls reportedCalls = replicas[i].calls.get(drain.slot);
@@ -143,7 +143,7 @@
                                 && (isFresh(now, replicas[i]) || !isLive(now, i));
                 if (!known || reportedCalls.calls > 0) {
                     still.add(
-                            new DrainCommand.RemainingCalls(
+                            new DrainCommand.RemainingRequests(
                                     drain.slot, i, known ? reportedCalls.calls : -1));
                 }
             }
--- a/core/src/main/java/cedarrudder/draining/WavePlan.java
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -4,7 +4,7 @@
 import cedarrudder.draining.DrainCommand.Bound;
 import cedarrudder.draining.DrainCommand.Change;
 import cedarrudder.draining.DrainCommand.Pause;
-import cedarrudder.draining.DrainCommand.RemainingCalls;
+import cedarrudder.draining.DrainCommand.RemainingRequests;
 import cedarrudder.draining.DrainCommand.Step;
 import cedarrudder.draining.DrainCommand.WaveStatus;
 import cedarrudder.draining.DrainPolicy.OnDeadline;
@@ -57,7 +57,7 @@
 
     private final List<Pause> pauses = new ArrayList<>();
     private final Map<Integer, Change> changesBySlot = new LinkedHashMap<>();
-    private final List<RemainingCalls> remaining = new ArrayList<>();
+    private final List<RemainingRequests> remaining = new ArrayList<>();
     private final Map<BlockedBy, Integer> blocked = new LinkedHashMap<>();
 
     /** The policies that pause, as bits. */
@@ -154,7 +154,7 @@
     }
 
     private DrainEvent openDrainEvent(Drain drain) {
-        List<RemainingCalls> calls = reported.remainingCalls(now, drain);
+        List<RemainingRequests> calls = reported.remainingRequests(now, drain);
         remaining.addAll(calls);
         if (calls.isEmpty()) {
             return DrainEvent.EMPTY;
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -8,7 +8,7 @@
 import cedarrudder.draining.DrainCommand.BlockedBy;
 import cedarrudder.draining.DrainCommand.Change;
 import cedarrudder.draining.DrainCommand.DrainRequest;
-import cedarrudder.draining.DrainCommand.RemainingCalls;
+import cedarrudder.draining.DrainCommand.RemainingRequests;
 import cedarrudder.draining.DrainCommand.Step;
 import cedarrudder.draining.DrainCommand.WaveStatus;
 import cedarrudder.draining.DrainPolicy.DrainOrder;
@@ -80,7 +80,7 @@
                                                 0)),
                                 new WaveStatus(
                                         List.of(new BlockedBy(-1, DrainCommand.Bound.PACE, 3)),
-                                        List.of(new RemainingCalls(1, 2, -1))))
+                                        List.of(new RemainingRequests(1, 2, -1))))
                         .encode());
     }
 
--- a/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public int openCalls(long node) {
+        public int requestsInFlight(long node) {
             return calls.getOrDefault(node, 0);
         }
 
@@ -279,7 +279,7 @@
         assertEquals(in(DrainState.OVERDUE), 1);
         assertEquals(
                 leader.drains.progress().status().remaining(),
-                List.of(new DrainCommand.RemainingCalls(1, 1, 1)));
+                List.of(new DrainCommand.RemainingRequests(1, 1, 1)));
         other.calls.clear();
         turns(2);
         assertEquals(in(DrainState.OUT), 1);
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -117,7 +117,7 @@
         }
 
         @Override
-        public int openCalls(long node) {
+        public int requestsInFlight(long node) {
             return calls.getOrDefault(node, 0);
         }
 
@@ -401,7 +401,7 @@
         if (each.event() == DrainEvent.EMPTY) {
             emptied++;
             for (Copy replica : all) {
-                if (replica.live && replica.openCalls(each.node()) > 0) {
+                if (replica.live && replica.requestsInFlight(each.node()) > 0) {
                     wrong(
                             "node "
                                     + each.node()
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -241,7 +241,7 @@
     // ---- what this replica has ----
 
     @Override
-    public int openCalls(long node) {
+    public int requestsInFlight(long node) {
         return attemptsInFlight.getOrDefault(node, 0);
     }
 
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -1,7 +1,7 @@
 package cedarrudder.program;
 
 import cedarrudder.draining.DrainCommand.BlockedBy;
-import cedarrudder.draining.DrainCommand.RemainingCalls;
+import cedarrudder.draining.DrainCommand.RemainingRequests;
 import cedarrudder.draining.DrainCoordinator.DrainView;
 import cedarrudder.draining.DrainCoordinator.EndedDrain;
 import cedarrudder.draining.DrainCoordinator.Progress;
@@ -96,13 +96,13 @@
         Map<Integer, Long> nodeOfSlot = new HashMap<>();
         progress.drains().forEach(drain -> nodeOfSlot.put(drain.slot(), drain.node()));
         json.writeArrayFieldStart("still");
-        for (RemainingCalls remaining : progress.status().remaining()) {
+        for (RemainingRequests remaining : progress.status().remaining()) {
             if (nodeOfSlot.containsKey(remaining.slot())) {
                 json.writeStartObject();
                 json.writeStringField("node", name(node, nodeOfSlot.get(remaining.slot())));
                 json.writeNumberField("copy", remaining.replica());
-                if (remaining.calls() >= 0) {
-                    json.writeNumberField("calls", remaining.calls());
+                if (remaining.requests() >= 0) {
+                    json.writeNumberField("calls", remaining.requests());
                 }
                 json.writeEndObject();
             }
