--- a/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -61,7 +61,7 @@
         Set<Long> disabled();
 
         /** What became of the calls of the last window. */
-        TrafficSample flow();
+        TrafficSample trafficSample();
     }
 
     /** One drain, for operators. */
@@ -328,7 +328,7 @@
                                     held,
                                     disabled.size(),
                                     some,
-                                    local.flow())
+                                    local.trafficSample())
                             .encode());
             if (nextReportedSlot == 0) {
                 break;
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -13,7 +13,7 @@
  * @param calls by slot, rising
  * @param disabled how many nodes are left out here by hand
  * @param disabledSample of them
- * @param flow what became of the calls of the last window
+ * @param trafficSample what became of the calls of the last window
  */
 record DrainReport(
         long version,
@@ -22,7 +22,7 @@
         List<Calls> calls,
         int disabled,
         List<Long> disabledSample,
-        TrafficSample flow) {
+        TrafficSample trafficSample) {
 
     /** Bytes of one part, at most. */
     static final int MAX_BYTES = 136;
@@ -61,7 +61,7 @@
         out.put(Math.min(disabled, MAX_DISABLED)).put(disabledSample.size());
         disabledSample.forEach(out::put);
         for (int each :
-                new int[] {flow.ended(), flow.refused(), flow.failed(), flow.deadlineMissed()}) {
+                new int[] {trafficSample.ended(), trafficSample.refused(), trafficSample.failed(), trafficSample.deadlineMissed()}) {
             out.put(Math.min(each, MAX_COUNT));
         }
         return out.bytes();
@@ -88,14 +88,14 @@
             for (int left = in.count(MAX_SOME); left > 0; left--) {
                 some.add(in.longValue(DrainStateMachine.MAX_NODE));
             }
-            TrafficSample flow =
+            TrafficSample trafficSample =
                     new TrafficSample(
                             in.smallInt(MAX_COUNT),
                             in.smallInt(MAX_COUNT),
                             in.smallInt(MAX_COUNT),
                             in.smallInt(MAX_COUNT));
             in.requireEnd();
-            return new DrainReport(version, first, last, calls, disabled, some, flow);
+            return new DrainReport(version, first, last, calls, disabled, some, trafficSample);
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -17,7 +17,7 @@
         private long reportedAt;
         private boolean hasReported;
         private long lastAliveAt;
-        private TrafficSample flow = TrafficSample.NONE;
+        private TrafficSample trafficSample = TrafficSample.NONE;
         private int disabled;
         private final Map<Integer, NodeCalls> calls = new HashMap<>();
         private final Map<Long, Long> disabledAt = new HashMap<>();
@@ -50,7 +50,7 @@
         replica.version = report.version();
         replica.reportedAt = now;
         replica.hasReported = true;
-        replica.flow = report.flow();
+        replica.trafficSample = report.trafficSample();
         replica.disabled = report.disabled();
         for (long node : report.disabledSample()) {
             replica.disabledAt.put(node, now);
@@ -152,10 +152,10 @@
     }
 
     /** What became of the calls of the live replicas. */
-    TrafficSample flow(long now) {
+    TrafficSample trafficSample(long now) {
         TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < replicas.length; i++) {
-            sum = isLive(now, i) && isFresh(now, replicas[i]) ? sum.plus(replicas[i].flow) : sum;
+            sum = isLive(now, i) && isFresh(now, replicas[i]) ? sum.plus(replicas[i].trafficSample) : sum;
         }
         return sum;
     }
--- a/core/src/main/java/cedarrudder/draining/WavePlan.java
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -173,7 +173,7 @@
 
     /** Finds which policies pause, resume or give back, by their conditions. */
     void pauseAndResume(int replicas) {
-        TrafficSample traffic = reported.flow(now);
+        TrafficSample traffic = reported.trafficSample(now);
         for (int i = 0; i < policies.size(); i++) {
             PolicyConditionInputs inputs = conditionInputs(i, traffic, replicas);
             CompiledPolicies.Verdict giveBack = policies.giveBackVerdict(i, inputs);
--- a/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCoordinatorTest.java
@@ -29,7 +29,7 @@
     private final class Copy implements DrainCoordinator.LocalState, DrainCoordinator.Actions {
         private final Map<Long, Integer> calls = new HashMap<>();
         private Set<Long> disabled = Set.of();
-        private TrafficSample flow = TrafficSample.NONE;
+        private TrafficSample trafficSample = TrafficSample.NONE;
         private final DrainCoordinator drains;
 
         Copy(int number) {
@@ -54,8 +54,8 @@
         }
 
         @Override
-        public TrafficSample flow() {
-            return flow;
+        public TrafficSample trafficSample() {
+            return trafficSample;
         }
 
         @Override
@@ -247,11 +247,11 @@
     public void whatLeavesIsGivenBackAndWaitsAgain() {
         leader.calls.put(0L, 1);
         start(policy(2, "", "failed", 6), 0L);
-        other.flow = new TrafficSample(10, 0, 5, 0);
+        other.trafficSample = new TrafficSample(10, 0, 5, 0);
         turns(4);
         assertEquals(in(DrainState.WAITING), 1);
         assertEquals(leader.drains.drainingNodes(), List.of());
-        other.flow = TrafficSample.NONE;
+        other.trafficSample = TrafficSample.NONE;
         leader.calls.clear();
         turns(6);
         assertEquals(in(DrainState.OUT), 1);
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public TrafficSample flow() {
+        public TrafficSample trafficSample() {
             return new TrafficSample(100, 0, failing ? 50 : 0, 0);
         }
 
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -251,7 +251,7 @@
     }
 
     @Override
-    public TrafficSample flow() {
+    public TrafficSample trafficSample() {
         TrafficSample first = samples.getFirst().totals;
         TrafficSample last = samples.getLast().totals;
         return new TrafficSample(
