--- a/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -31,7 +31,7 @@
     private static final int MAX_FORMER = 4096;
 
     /** An endpoint under the id that operators know it by. */
-    public record Named(String name, Endpoint endpoint) {}
+    public record NamedEndpoint(String name, Endpoint endpoint) {}
 
     private final Map<String, Endpoint> listed = new HashMap<>();
     private final Map<String, Long> returnedAt = new HashMap<>();
@@ -40,7 +40,7 @@
     private Set<Long> draining = Set.of();
 
     /** Takes in what discovery says, and returns it as the balancer is to see it. */
-    public List<Endpoint> listed(EndpointListKind kind, List<Named> entries) {
+    public List<Endpoint> updateListed(EndpointListKind kind, List<NamedEndpoint> entries) {
         if (kind != EndpointListKind.DELTA) {
             Set<String> named = new HashSet<>();
             entries.forEach(entry -> named.add(entry.name()));
@@ -48,18 +48,18 @@
                     .filter(name -> !named.contains(name))
                     .forEach(this::remove);
         }
-        List<Endpoint> shown = new ArrayList<>(entries.size());
-        for (Named entry : entries) {
+        List<Endpoint> effectiveEndpoints = new ArrayList<>(entries.size());
+        for (NamedEndpoint entry : entries) {
             if (entry.endpoint().status() == EndpointStatus.REMOVED) {
                 remove(entry.name());
-                shown.add(entry.endpoint());
+                effectiveEndpoints.add(entry.endpoint());
             } else {
                 former.remove(entry.name());
                 listed.put(entry.name(), entry.endpoint());
-                shown.add(shown(entry.name()));
+                effectiveEndpoints.add(effectiveEndpoint(entry.name()));
             }
         }
-        return shown;
+        return effectiveEndpoints;
     }
 
     private void remove(String name) {
@@ -74,7 +74,7 @@
     }
 
     /** A listed endpoint as the balancer is to see it now; null where it is not listed. */
-    public Endpoint shown(String name) {
+    public Endpoint effectiveEndpoint(String name) {
         Endpoint entry = listed.get(name);
         if (entry == null) {
             return null;
@@ -96,7 +96,7 @@
     }
 
     /** Whether an endpoint of this id was ever listed, as far as is remembered. */
-    public boolean knows(String name) {
+    public boolean isKnown(String name) {
         return listed.containsKey(name) || former.contains(name) || disabled.contains(name);
     }
 
--- a/core/src/test/java/cedarrudder/balancer/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesWorld.java
@@ -451,7 +451,7 @@
      * ProxyServer} does.
      */
     private void tell(EndpointListKind kind, Map<String, Endpoint> list) {
-        List<AdminOverrides.Named> named = new ArrayList<>();
+        List<AdminOverrides.NamedEndpoint> named = new ArrayList<>();
         if (kind != EndpointListKind.DELTA) {
             for (String name : nodes.keySet()) {
                 if (!list.containsKey(name) || list.get(name).status() == EndpointStatus.REMOVED) {
@@ -470,7 +470,7 @@
                                 node.zone(),
                                 node.cell(),
                                 node.startedAt());
-                        named.add(new AdminOverrides.Named(name, node));
+                        named.add(new AdminOverrides.NamedEndpoint(name, node));
                         if (node.status() == EndpointStatus.REMOVED) {
                             known.remove(node.id());
                         } else {
@@ -478,11 +478,11 @@
                         }
                     }
                 });
-        List<Endpoint> shown = rotation.listed(kind, named);
+        List<Endpoint> shown = rotation.updateListed(kind, named);
         driver.endpointsUpdated(
                 kind,
                 fault == Fault.IGNORES_BANS
-                        ? named.stream().map(AdminOverrides.Named::endpoint).toList()
+                        ? named.stream().map(AdminOverrides.NamedEndpoint::endpoint).toList()
                         : shown);
     }
 
@@ -499,7 +499,7 @@
             disabled.remove(name);
             rotation.enable(name, now);
         }
-        Endpoint shown = rotation.shown(name);
+        Endpoint shown = rotation.effectiveEndpoint(name);
         if (shown != null && fault != Fault.IGNORES_BANS) {
             driver.endpointsUpdated(EndpointListKind.DELTA, List.of(shown));
             if (!bar) {
--- a/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
@@ -1,7 +1,7 @@
 package cedarrudder.program;
 
 import cedarrudder.adminoverride.AdminOverrides;
-import cedarrudder.adminoverride.AdminOverrides.Named;
+import cedarrudder.adminoverride.AdminOverrides.NamedEndpoint;
 import cedarrudder.balancer.LoadBalancer.Endpoint;
 import cedarrudder.balancer.LoadBalancer.EndpointListKind;
 import cedarrudder.balancer.LoadBalancer.EndpointStatus;
@@ -40,9 +40,9 @@
 
     /** A list came from discovery, or changes to it. */
     void onEndpoints(EndpointListKind kind, EndpointList list) {
-        List<Named> named =
-                list.nodes().stream().map(node -> new Named(node.name(), node.endpoint())).toList();
-        forwarder.endpointsUpdated(kind, overrides.listed(kind, named));
+        List<NamedEndpoint> named =
+                list.nodes().stream().map(node -> new NamedEndpoint(node.name(), node.endpoint())).toList();
+        forwarder.endpointsUpdated(kind, overrides.updateListed(kind, named));
     }
 
     /** An operator disables an endpoint; without effect where it is disabled. */
@@ -67,7 +67,7 @@
     /** These endpoints are drained in common; those that no longer are come back. */
     void setDraining(Set<Long> endpoints) {
         for (String name : overrides.setDraining(endpoints, loop.now())) {
-            if (overrides.shown(name).status() == EndpointStatus.READY) {
+            if (overrides.effectiveEndpoint(name).status() == EndpointStatus.READY) {
                 log.info("endpoint.drain_ended").with("endpoint", name).write();
             } else {
                 log.info("endpoint.drain_started").with("endpoint", name).write();
@@ -79,7 +79,7 @@
 
     /** The balancer is to see an endpoint anew, where it is listed. */
     private void show(String name) {
-        Endpoint entry = overrides.shown(name);
+        Endpoint entry = overrides.effectiveEndpoint(name);
         if (entry != null) {
             forwarder.endpointsUpdated(EndpointListKind.DELTA, List.of(entry));
         }
@@ -91,7 +91,7 @@
      * requests it probes few of them.
      */
     private void probe(String name, int times) {
-        Endpoint entry = overrides.shown(name);
+        Endpoint entry = overrides.effectiveEndpoint(name);
         if (entry != null && entry.status() == EndpointStatus.READY && times > 0) {
             forwarder.endpointReenabled(entry.id());
             loop.at(loop.now() + PROBE_INTERVAL_NANOS, () -> probe(name, times - 1));
--- a/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
@@ -128,7 +128,7 @@
 
     @Override
     public OperationResult disable(String name) {
-        if (!overrides.knows(name)) {
+        if (!overrides.isKnown(name)) {
             return OperationResult.UNKNOWN_ENDPOINT;
         }
         return persistThen(state -> state.disable(name), () -> parts.endpoints().disable(name));
@@ -136,7 +136,7 @@
 
     @Override
     public OperationResult enable(String name) {
-        if (!overrides.knows(name)) {
+        if (!overrides.isKnown(name)) {
             return OperationResult.UNKNOWN_ENDPOINT;
         }
         return persistThen(state -> state.enable(name), () -> parts.endpoints().enable(name));
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -1,7 +1,7 @@
 package cedarrudder.program;
 
 import cedarrudder.adminoverride.AdminOverrides;
-import cedarrudder.adminoverride.AdminOverrides.Named;
+import cedarrudder.adminoverride.AdminOverrides.NamedEndpoint;
 import cedarrudder.balancer.LoadBalancer.Actions;
 import cedarrudder.balancer.LoadBalancer.EndpointListKind;
 import cedarrudder.balancer.PrequalBalancer;
@@ -127,9 +127,9 @@
         JsonObject json = JsonObject.parse(text);
         EndpointList result = reader.read(json);
         channels.onEndpoints(result);
-        List<Named> named =
-                result.nodes().stream().map(n -> new Named(n.name(), n.endpoint())).toList();
-        var shown = rotation.listed(EndpointListKind.FULL, named);
+        List<NamedEndpoint> named =
+                result.nodes().stream().map(n -> new NamedEndpoint(n.name(), n.endpoint())).toList();
+        var shown = rotation.updateListed(EndpointListKind.FULL, named);
         parsed = List.of(gathered, text, json, json.list("servers", true), result);
         module.onEndpoints(1L << 40, EndpointListKind.FULL, shown);
     }
