--- a/core/src/main/java/cedarrudder/coordination/ActiveTable.java
+++ b/core/src/main/java/cedarrudder/coordination/ActiveTable.java
@@ -90,11 +90,11 @@
 
     private void load(RouteTable table) {
         longestLease = Math.max(longestLease, table.lease());
-        CurrentRouteTable.Loaded loaded = tables.load(table);
-        valid = loaded.counts();
+        CurrentRouteTable.LoadOutcome loaded = tables.load(table);
+        valid = loaded.accepted();
         checkCapacity();
         if (!fits) {
-            history.accept(HistoryEventText.refused(table, valid ? NO_CAPACITY : loaded.why()));
+            history.accept(HistoryEventText.refused(table, valid ? NO_CAPACITY : loaded.rejection()));
         }
     }
 
--- a/core/src/main/java/cedarrudder/routetable/CurrentRouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/CurrentRouteTable.java
@@ -6,9 +6,9 @@
  */
 public final class CurrentRouteTable {
 
-    /** What came of loading one; {@code why} is null where it counts. */
-    public record Loaded(boolean counts, String why) {
-        private static final Loaded YES = new Loaded(true, null);
+    /** What came of loading one; {@code rejection} is null where it counts. */
+    public record LoadOutcome(boolean accepted, String rejection) {
+        private static final LoadOutcome ACCEPTED = new LoadOutcome(true, null);
     }
 
     private RouteTable current;
@@ -19,9 +19,9 @@
     }
 
     /** Loads a table. The one that is loaded already may come again; it changes nothing. */
-    public Loaded load(RouteTable next) {
+    public LoadOutcome load(RouteTable next) {
         if (current != null && next.number() < current.number()) {
-            return new Loaded(
+            return new LoadOutcome(
                     false,
                     "number: found "
                             + next.number()
@@ -30,7 +30,7 @@
                             + " loaded; allowed: no lower one");
         }
         if (current != null && next.number() == current.number() && !next.equals(current)) {
-            return new Loaded(
+            return new LoadOutcome(
                     false,
                     "number: found "
                             + next.number()
@@ -45,6 +45,6 @@
                             + "; allowed: one table a number");
         }
         current = next;
-        return Loaded.YES;
+        return LoadOutcome.ACCEPTED;
     }
 }
--- a/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -79,7 +79,7 @@
     public void aTableThatFitsEveryCopyButTheOneThatStartsNextIsKeptAndTheNextOneHeldBack() {
         RouteTable loaded = table(7, 12, 2_000);
         CurrentRouteTable tables = new CurrentRouteTable();
-        assertTrue(tables.load(loaded).counts());
+        assertTrue(tables.load(loaded).accepted());
         Map<Integer, RouteTableCapacity> rooms =
                 new HashMap<>(Map.of(0, TABLES.capacity(loaded, 20_000_000, 10_000)));
         RouteTable more = table(8, 12, 2_100);
@@ -95,7 +95,7 @@
         assertNull(
                 RouteTableCapacity.limitingReplica(less, rooms),
                 "one that all can load goes through");
-        assertTrue(tables.load(less).counts());
+        assertTrue(tables.load(less).accepted());
     }
 
     /**
--- a/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
@@ -183,12 +183,12 @@
         Random random = new Random(SEED);
         CurrentRouteTable tables = new CurrentRouteTable();
         RouteTable fifth = any(random, 5);
-        assertTrue(tables.load(fifth).counts());
-        assertTrue(tables.load(fifth).counts());
-        assertTrue(tables.load(any(random, 5)).why().contains("one table a number"));
-        assertTrue(tables.load(any(random, 4)).why().contains("found 4 with 5 loaded"));
+        assertTrue(tables.load(fifth).accepted());
+        assertTrue(tables.load(fifth).accepted());
+        assertTrue(tables.load(any(random, 5)).rejection().contains("one table a number"));
+        assertTrue(tables.load(any(random, 4)).rejection().contains("found 4 with 5 loaded"));
         assertEquals(tables.current(), fifth);
-        assertTrue(tables.load(any(random, 9)).counts());
+        assertTrue(tables.load(any(random, 9)).accepted());
         assertEquals(tables.current().number(), 9);
     }
 
