--- a/core/src/main/java/cedarrudder/routetable/RouteTableDelta.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableDelta.java
@@ -22,16 +22,16 @@
  */
 public record RouteTableDelta(
         List<ZoneRoute> routes,
-        List<Pair> removedRoutes,
+        List<ZonePair> removedRoutes,
         List<DrainingNode> draining,
         List<Long> returned,
         List<ClassLimit> limits,
         List<Integer> removedLimits) {
 
     /** A zone of clients and one that serves them. */
-    public record Pair(int from, int to) {
-        static Pair of(ZoneRoute share) {
-            return new Pair(share.from(), share.to());
+    public record ZonePair(int from, int to) {
+        static ZonePair of(ZoneRoute share) {
+            return new ZonePair(share.from(), share.to());
         }
     }
 
@@ -39,7 +39,7 @@
     public static RouteTableDelta between(RouteTable before, RouteTable after) {
         return new RouteTableDelta(
                 added(before.routes(), after.routes()),
-                removed(before.routes(), after.routes(), Pair::of),
+                removed(before.routes(), after.routes(), ZonePair::of),
                 added(before.draining(), after.draining()),
                 removed(before.draining(), after.draining(), DrainingNode::node),
                 added(before.limits(), after.limits()),
--- a/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
@@ -211,7 +211,7 @@
             Set<ZoneRoute> shares = new HashSet<>(before.routes());
             shares.removeIf(
                     one ->
-                            change.removedRoutes().contains(RouteTableDelta.Pair.of(one))
+                            change.removedRoutes().contains(RouteTableDelta.ZonePair.of(one))
                                     || change.routes().stream()
                                             .anyMatch(
                                                     next ->
