--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -64,7 +64,7 @@
     private static Map<String, CelType> figures() {
         Map<String, CelType> types = new LinkedHashMap<>();
         for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
-            types.put(written(name), name.share() ? SimpleType.DOUBLE : SimpleType.INT);
+            types.put(written(name), name.isFraction() ? SimpleType.DOUBLE : SimpleType.INT);
         }
         return types;
     }
--- a/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
@@ -33,15 +33,15 @@
         OUT(false),
         DIED(false);
 
-        private final boolean share;
+        private final boolean isFraction;
 
-        Name(boolean share) {
-            this.share = share;
+        Name(boolean isFraction) {
+            this.isFraction = isFraction;
         }
 
         /** Whether it is a part of one, such as 0.02; else it is a whole number. */
-        public boolean share() {
-            return share;
+        public boolean isFraction() {
+            return isFraction;
         }
     }
 
