--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -26,14 +26,14 @@
     public void conditionsSeeTheFiguresAndTheNode() {
         assertTrue(
                 conditions
-                        .figures(
+                        .compilePolicyCondition(
                                 "failed > 0.1 && refused < 0.02 && late == 0.0 && capacity_left >="
                                     + " 0.75 && live_copies * 2 > copies && out == 3 && died < 2")
                         .holds(FIGURES));
         assertEquals(conditions.compilePolicyCondition("failed > 1").holds(FIGURES), false);
         assertTrue(
                 conditions
-                        .node(
+                        .compileNodeCondition(
                                 "kind in ['big', 'huge'] && pod % 2 == 1 && zone.startsWith('a') "
                                         + "&& weight > 2 && tier != 'x'")
                         .holds(NODE));
@@ -54,13 +54,18 @@
         for (String[] each : wrong) {
             InvalidConditionException bad =
                     expectThrows(
-                            InvalidConditionException.class, () -> conditions.compilePolicyCondition(each[0]));
+                            InvalidConditionException.class,
+                            () -> conditions.compilePolicyCondition(each[0]));
             assertTrue(bad.found().contains(each[1]), each[0] + ": " + bad.getMessage());
         }
         assertThrows(
                 InvalidConditionException.class,
-                () -> conditions.compilePolicyCondition("(".repeat(200) + "true" + ")".repeat(200)));
-        assertThrows(InvalidConditionException.class, () -> conditions.compileNodeCondition("failed > 0.1"));
+                () ->
+                        conditions.compilePolicyCondition(
+                                "(".repeat(200) + "true" + ")".repeat(200)));
+        assertThrows(
+                InvalidConditionException.class,
+                () -> conditions.compileNodeCondition("failed > 0.1"));
     }
 
     /** Detects a division by 0 or an overflow that ends the loop. */
@@ -71,7 +76,10 @@
                 () -> conditions.compilePolicyCondition("1 / (out - 3) > 0").holds(FIGURES));
         assertThrows(
                 IllegalStateException.class,
-                () -> conditions.compilePolicyCondition("9223372036854775807 + out > 0").holds(FIGURES));
+                () ->
+                        conditions
+                                .compilePolicyCondition("9223372036854775807 + out > 0")
+                                .holds(FIGURES));
     }
 
     /** Detects a text within the bound that keeps the loop for long. */
--- a/core/src/main/java/cedarrudder/coordination/ActiveTable.java
+++ b/core/src/main/java/cedarrudder/coordination/ActiveTable.java
@@ -94,7 +94,8 @@
         valid = loaded.accepted();
         checkCapacity();
         if (!fits) {
-            history.accept(HistoryEventText.refused(table, valid ? NO_CAPACITY : loaded.rejection()));
+            history.accept(
+                    HistoryEventText.refused(table, valid ? NO_CAPACITY : loaded.rejection()));
         }
     }
 
--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -251,7 +251,8 @@
         out.put(status.blocked.size());
         status.blocked.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
         out.put(status.remaining.size());
-        status.remaining.forEach(each -> out.put(each.slot).put(each.replica).put(each.requests + 1));
+        status.remaining.forEach(
+                each -> out.put(each.slot).put(each.replica).put(each.requests + 1));
     }
 
     /** Reads what {@link #writeStatus} wrote. */
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -15,7 +15,8 @@
  * @param order the order in which they go
  * @param maxWaveSize how many go in one wave at most
  * @param minWaveInterval nanoseconds between the end of a wave and the next
- * @param maxFailedNodes this many of them may fail, beside those taken out, before no further wave begins
+ * @param maxFailedNodes this many of them may fail, beside those taken out, before no further wave
+ *     begins
  * @param pauseIf while it holds no wave begins; empty: never
  * @param resumeIf after a pause waves begin once it holds; empty: once the reason of the pause is
  *     over
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -61,7 +61,12 @@
         out.put(Math.min(disabled, MAX_DISABLED)).put(disabledSample.size());
         disabledSample.forEach(out::put);
         for (int each :
-                new int[] {trafficSample.ended(), trafficSample.refused(), trafficSample.failed(), trafficSample.deadlineMissed()}) {
+                new int[] {
+                    trafficSample.ended(),
+                    trafficSample.refused(),
+                    trafficSample.failed(),
+                    trafficSample.deadlineMissed()
+                }) {
             out.put(Math.min(each, MAX_COUNT));
         }
         return out.bytes();
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -232,7 +232,9 @@
     private boolean isFalse(String text, PolicyConditionInputs figures) {
         try {
             return text.isEmpty()
-                    || !figureConditions.computeIfAbsent(text, conditions::compilePolicyCondition).holds(figures);
+                    || !figureConditions
+                            .computeIfAbsent(text, conditions::compilePolicyCondition)
+                            .holds(figures);
         } catch (RuntimeException e) {
             return false;
         }
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -155,7 +155,10 @@
     TrafficSample trafficSample(long now) {
         TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < replicas.length; i++) {
-            sum = isLive(now, i) && isFresh(now, replicas[i]) ? sum.plus(replicas[i].trafficSample) : sum;
+            sum =
+                    isLive(now, i) && isFresh(now, replicas[i])
+                            ? sum.plus(replicas[i].trafficSample)
+                            : sum;
         }
         return sum;
     }
--- a/core/src/main/java/cedarrudder/draining/SampleNodes.java
+++ b/core/src/main/java/cedarrudder/draining/SampleNodes.java
@@ -158,7 +158,8 @@
                 Predicate<DrainableNode> takes) {
             for (int pod : pods) {
                 if (takes.test(
-                        new DrainableNode(0, tier, zone, pod, kind, weight, NodeStatus.SERVING, 0))) {
+                        new DrainableNode(
+                                0, tier, zone, pod, kind, weight, NodeStatus.SERVING, 0))) {
                     return true;
                 }
             }
--- a/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
+++ b/core/src/test/java/cedarrudder/adminoverride/AdminOverridesTest.java
@@ -75,7 +75,10 @@
         assertEquals(rotation.setDraining(a, 400), Set.of("a"));
         assertEquals(rotation.setDraining(a, 500), Set.of());
         rotation.setDraining(Set.of(), 600);
-        assertEquals(rotation.effectiveEndpoint("a").startedAt(), 600, "it counts as started when it is back");
+        assertEquals(
+                rotation.effectiveEndpoint("a").startedAt(),
+                600,
+                "it counts as started when it is back");
         assertEquals(rotation.disabled(), Set.of());
     }
 
--- a/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
@@ -41,7 +41,9 @@
     /** A list came from discovery, or changes to it. */
     void onEndpoints(EndpointListKind kind, EndpointList list) {
         List<NamedEndpoint> named =
-                list.nodes().stream().map(node -> new NamedEndpoint(node.name(), node.endpoint())).toList();
+                list.nodes().stream()
+                        .map(node -> new NamedEndpoint(node.name(), node.endpoint()))
+                        .toList();
         forwarder.endpointsUpdated(kind, overrides.updateListed(kind, named));
     }
 
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -128,7 +128,9 @@
         EndpointList result = reader.read(json);
         channels.onEndpoints(result);
         List<NamedEndpoint> named =
-                result.nodes().stream().map(n -> new NamedEndpoint(n.name(), n.endpoint())).toList();
+                result.nodes().stream()
+                        .map(n -> new NamedEndpoint(n.name(), n.endpoint()))
+                        .toList();
         var shown = rotation.updateListed(EndpointListKind.FULL, named);
         parsed = List.of(gathered, text, json, json.list("servers", true), result);
         module.onEndpoints(1L << 40, EndpointListKind.FULL, shown);
