--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -228,7 +228,7 @@
                                     event,
                                     slot,
                                     in.longValue(Long.MAX_VALUE),
-                                    in.longValue(DrainPolicy.MAX_TIME),
+                                    in.longValue(DrainPolicy.MAX_DURATION_NANOS),
                                     in.choice(OnDeadline.values()),
                                     in.choice(OnRestart.values()),
                                     (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT))
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -53,13 +53,13 @@
 
     public static final int MAX_TEXT = 512;
     public static final int MAX_WINDOWS = 32;
-    public static final int WEEK = 7 * 24 * 60;
+    public static final int MINUTES_PER_WEEK = 7 * 24 * 60;
 
     /** The longest time, in nanoseconds: a day. */
-    public static final long MAX_TIME = 86_400_000_000_000L;
+    public static final long MAX_DURATION_NANOS = 86_400_000_000_000L;
 
     /** The shortest time for a node, in nanoseconds. */
-    public static final long MIN_TIME = 1_000_000_000L;
+    public static final long MIN_DEADLINE_NANOS = 1_000_000_000L;
 
     /** Any pod. */
     public static final int ANY_POD = -1;
@@ -200,11 +200,11 @@
      * @param to and in which it is over; at or before {@code from}: on the next day
      */
     public record Window(int days, int from, int to) {
-        private static final int DAY = 24 * 60;
-        private static final long MINUTE = 60_000;
+        private static final int MINUTES_PER_DAY = 24 * 60;
+        private static final long MILLIS_PER_MINUTE = 60_000;
 
         /** 1970 began on a Thursday. */
-        private static final int FIRST = 3;
+        private static final int EPOCH_DAY_OF_WEEK = 3;
 
         /**
          * Checks the ranges above; what lies outside is an IllegalArgumentException that names it.
@@ -212,7 +212,7 @@
         public Window {
             check(days > 0 && days < 1 << 7, "days", days, "some of seven");
             check(
-                    from >= 0 && from < DAY && to >= 0 && to <= DAY,
+                    from >= 0 && from < MINUTES_PER_DAY && to >= 0 && to <= MINUTES_PER_DAY,
                     "window",
                     from + " to " + to,
                     "minutes of a day");
@@ -220,8 +220,8 @@
 
         /** Whether a minute of the week is in it; Monday's first is 0. */
         public boolean contains(int minute) {
-            int day = minute / DAY;
-            int at = minute % DAY;
+            int day = minute / MINUTES_PER_DAY;
+            int at = minute % MINUTES_PER_DAY;
             boolean today = (days >> day & 1) != 0;
             boolean yesterday = (days >> (day + 6) % 7 & 1) != 0;
             return from < to
@@ -231,7 +231,7 @@
 
         /** The minute of the week of a time in milliseconds since 1970, UTC. */
         public static int minute(long utcMillis) {
-            return (int) Math.floorMod(Math.floorDiv(utcMillis, MINUTE) + FIRST * DAY, (long) WEEK);
+            return (int) Math.floorMod(Math.floorDiv(utcMillis, MILLIS_PER_MINUTE) + EPOCH_DAY_OF_WEEK * MINUTES_PER_DAY, (long) MINUTES_PER_WEEK);
         }
     }
 
@@ -251,9 +251,9 @@
                         && onRestart != null;
         check(complete, "policy", "nothing", "all of it");
         checkRange("wave", maxWaveSize, 1, MAX_NODES);
-        checkRange("pace", minWaveInterval, 0, MAX_TIME);
+        checkRange("pace", minWaveInterval, 0, MAX_DURATION_NANOS);
         checkRange("died", maxFailedNodes, 0, MAX_NODES);
-        checkRange("time", deadlineNanos, MIN_TIME, MAX_TIME);
+        checkRange("time", deadlineNanos, MIN_DEADLINE_NANOS, MAX_DURATION_NANOS);
         checkLength(pauseIf);
         checkLength(resumeIf);
         checkLength(giveBackIf);
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -204,7 +204,7 @@
 
     /** A minute of the week in which a wave may begin by all of them; -1 where there is none. */
     private static int firstOpenMinute(List<DrainPolicy> all) {
-        for (int minute = 0; minute < DrainPolicy.WEEK; minute++) {
+        for (int minute = 0; minute < DrainPolicy.MINUTES_PER_WEEK; minute++) {
             int at = minute;
             if (all.stream().noneMatch(policy -> policy.isClosedAt(at))) {
                 return minute;
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -41,7 +41,7 @@
                     "failed > 0.1",
                     "failed < 0.01",
                     "",
-                    DrainPolicy.MIN_TIME,
+                    DrainPolicy.MIN_DEADLINE_NANOS,
                     OnDeadline.KEEP_WAITING,
                     OnRestart.OUT,
                     List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
--- a/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
@@ -41,7 +41,7 @@
                 pauseIf,
                 "",
                 "",
-                DrainPolicy.MIN_TIME,
+                DrainPolicy.MIN_DEADLINE_NANOS,
                 atEnd,
                 OnRestart.BACK,
                 List.of(closed));
