--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -54,7 +54,7 @@
             new PolicyConditionInputs(0, 0, 0, 1, 1, 1, 0, 0);
 
     private static final DrainableNode SOME =
-            new DrainableNode(0, "", "", 0, "", 1, DrainableNode.Standing.SERVING, 0);
+            new DrainableNode(0, "", "", 0, "", 1, DrainableNode.NodeStatus.SERVING, 0);
 
     private final CelRuntime runtime =
             CelRuntimeFactory.standardCelRuntimeBuilder().setOptions(OPTIONS).build();
@@ -64,7 +64,7 @@
     private static Map<String, CelType> figures() {
         Map<String, CelType> types = new LinkedHashMap<>();
         for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
-            types.put(written(name), name.share() ? SimpleType.DOUBLE : SimpleType.INT);
+            types.put(written(name), name.isFraction() ? SimpleType.DOUBLE : SimpleType.INT);
         }
         return types;
     }
@@ -98,10 +98,10 @@
     }
 
     @Override
-    public OfFigures figures(String text) {
+    public PolicyCondition compilePolicyCondition(String text) {
         overFigures = overFigures == null ? compiler(OF_FIGURES) : overFigures;
         CelRuntime.Program program = program(overFigures, OF_FIGURES, text);
-        OfFigures condition =
+        PolicyCondition condition =
                 figures -> {
                     Map<String, Object> values = new HashMap<>();
                     for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
@@ -114,10 +114,10 @@
     }
 
     @Override
-    public OfNode node(String text) {
+    public NodeCondition compileNodeCondition(String text) {
         overNode = overNode == null ? compiler(OF_NODE) : overNode;
         CelRuntime.Program program = program(overNode, OF_NODE, text);
-        OfNode condition =
+        NodeCondition condition =
                 node ->
                         holds(
                                 program,
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -47,9 +47,9 @@
             out.put(policy.order())
                     .put(policy.maxWaveSize())
                     .put(policy.minWaveInterval())
-                    .put(policy.maxDied())
+                    .put(policy.maxFailedNodes())
                     .put(policy.pauseIf())
-                    .put(policy.goOnIf())
+                    .put(policy.resumeIf())
                     .put(policy.giveBackIf())
                     .put(policy.deadlineNanos())
                     .put(policy.onDeadline())
@@ -92,12 +92,12 @@
                 readMinAvailable(in),
                 in.choice(DrainOrder.values()),
                 in.smallInt(DrainPolicy.MAX_NODES),
-                in.longValue(DrainPolicy.MAX_TIME),
+                in.longValue(DrainPolicy.MAX_DURATION_NANOS),
                 in.smallInt(DrainPolicy.MAX_NODES),
                 text(in),
                 text(in),
                 text(in),
-                in.longValue(DrainPolicy.MAX_TIME),
+                in.longValue(DrainPolicy.MAX_DURATION_NANOS),
                 in.choice(OnDeadline.values()),
                 in.choice(OnRestart.values()),
                 readWindows(in));
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -2,7 +2,7 @@
 
 import cedarrudder.draining.DrainCommand.Bound;
 import cedarrudder.draining.DrainPolicy.DrainOrder;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -66,7 +66,7 @@
     private final List<Finding> findings = new ArrayList<>();
     private final List<DrainableNode> samples = new ArrayList<>();
     private final List<OverlappingPolicies> overlapping = new ArrayList<>();
-    private final Map<String, ConditionCompiler.OfFigures> figureConditions = new HashMap<>();
+    private final Map<String, ConditionCompiler.PolicyCondition> figureConditions = new HashMap<>();
     private final SampleNodes sampleNodes;
 
     private PolicyValidator(
@@ -204,7 +204,7 @@
 
     /** A minute of the week in which a wave may begin by all of them; -1 where there is none. */
     private static int firstOpenMinute(List<DrainPolicy> all) {
-        for (int minute = 0; minute < DrainPolicy.WEEK; minute++) {
+        for (int minute = 0; minute < DrainPolicy.MINUTES_PER_WEEK; minute++) {
             int at = minute;
             if (all.stream().noneMatch(policy -> policy.isClosedAt(at))) {
                 return minute;
@@ -232,7 +232,9 @@
     private boolean isFalse(String text, PolicyConditionInputs figures) {
         try {
             return text.isEmpty()
-                    || !figureConditions.computeIfAbsent(text, conditions::figures).holds(figures);
+                    || !figureConditions
+                            .computeIfAbsent(text, conditions::compilePolicyCondition)
+                            .holds(figures);
         } catch (RuntimeException e) {
             return false;
         }
@@ -273,7 +275,7 @@
                                     own ? sample.pod() : 1_000_000 + zone * pods + pod,
                                     sample.kind(),
                                     sample.weight(),
-                                    Standing.SERVING,
+                                    NodeStatus.SERVING,
                                     0),
                             false);
                 }
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -17,7 +17,7 @@
         private long reportedAt;
         private boolean hasReported;
         private long lastAliveAt;
-        private TrafficSample flow = TrafficSample.NONE;
+        private TrafficSample trafficSample = TrafficSample.NONE;
         private int disabled;
         private final Map<Integer, NodeCalls> calls = new HashMap<>();
         private final Map<Long, Long> disabledAt = new HashMap<>();
@@ -50,7 +50,7 @@
         replica.version = report.version();
         replica.reportedAt = now;
         replica.hasReported = true;
-        replica.flow = report.flow();
+        replica.trafficSample = report.trafficSample();
         replica.disabled = report.disabled();
         for (long node : report.disabledSample()) {
             replica.disabledAt.put(node, now);
@@ -132,8 +132,8 @@
     }
 
     /** Where calls are, or may be, that keep a node's drain open; empty where it has none. */
-    List<DrainCommand.RemainingCalls> remainingCalls(long now, Drain drain) {
-        List<DrainCommand.RemainingCalls> still = new ArrayList<>();
+    List<DrainCommand.RemainingRequests> remainingRequests(long now, Drain drain) {
+        List<DrainCommand.RemainingRequests> still = new ArrayList<>();
         for (int i = 0; i < replicas.length; i++) {
             if (isAwaited(now, i)) {
                 NodeCalls reportedCalls = replicas[i].calls.get(drain.slot);
@@ -143,7 +143,7 @@
                                 && (isFresh(now, replicas[i]) || !isLive(now, i));
                 if (!known || reportedCalls.calls > 0) {
                     still.add(
-                            new DrainCommand.RemainingCalls(
+                            new DrainCommand.RemainingRequests(
                                     drain.slot, i, known ? reportedCalls.calls : -1));
                 }
             }
@@ -152,10 +152,13 @@
     }
 
     /** What became of the calls of the live replicas. */
-    TrafficSample flow(long now) {
+    TrafficSample trafficSample(long now) {
         TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < replicas.length; i++) {
-            sum = isLive(now, i) && isFresh(now, replicas[i]) ? sum.plus(replicas[i].flow) : sum;
+            sum =
+                    isLive(now, i) && isFresh(now, replicas[i])
+                            ? sum.plus(replicas[i].trafficSample)
+                            : sum;
         }
         return sum;
     }
--- a/core/src/main/java/cedarrudder/draining/WavePlan.java
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -4,12 +4,12 @@
 import cedarrudder.draining.DrainCommand.Bound;
 import cedarrudder.draining.DrainCommand.Change;
 import cedarrudder.draining.DrainCommand.Pause;
-import cedarrudder.draining.DrainCommand.RemainingCalls;
+import cedarrudder.draining.DrainCommand.RemainingRequests;
 import cedarrudder.draining.DrainCommand.Step;
 import cedarrudder.draining.DrainCommand.WaveStatus;
 import cedarrudder.draining.DrainPolicy.OnDeadline;
 import cedarrudder.draining.DrainPolicy.OnRestart;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -57,7 +57,7 @@
 
     private final List<Pause> pauses = new ArrayList<>();
     private final Map<Integer, Change> changesBySlot = new LinkedHashMap<>();
-    private final List<RemainingCalls> remaining = new ArrayList<>();
+    private final List<RemainingRequests> remaining = new ArrayList<>();
     private final Map<BlockedBy, Integer> blocked = new LinkedHashMap<>();
 
     /** The policies that pause, as bits. */
@@ -115,7 +115,7 @@
     }
 
     private boolean isOut(DrainableNode node) {
-        return node.standing() != Standing.SERVING
+        return node.status() != NodeStatus.SERVING
                 || disabled != null && disabled.contains(node.id())
                 || state.state(node.id()).isOut();
     }
@@ -154,7 +154,7 @@
     }
 
     private DrainEvent openDrainEvent(Drain drain) {
-        List<RemainingCalls> calls = reported.remainingCalls(now, drain);
+        List<RemainingRequests> calls = reported.remainingRequests(now, drain);
         remaining.addAll(calls);
         if (calls.isEmpty()) {
             return DrainEvent.EMPTY;
@@ -173,7 +173,7 @@
 
     /** Finds which policies pause, resume or give back, by their conditions. */
     void pauseAndResume(int replicas) {
-        TrafficSample traffic = reported.flow(now);
+        TrafficSample traffic = reported.trafficSample(now);
         for (int i = 0; i < policies.size(); i++) {
             PolicyConditionInputs inputs = conditionInputs(i, traffic, replicas);
             CompiledPolicies.Verdict giveBack = policies.giveBackVerdict(i, inputs);
@@ -229,7 +229,7 @@
         int died = 0;
         for (DrainableNode node : nodes.values()) {
             boolean isDead =
-                    node.standing() == Standing.FAILED
+                    node.status() == NodeStatus.FAILED
                             && state.state(node.id()) != DrainState.OUT
                             && hasBit(policies.policiesFor(node), policy);
             died += isDead ? 1 : 0;
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -8,7 +8,7 @@
 import cedarrudder.draining.DrainCommand.BlockedBy;
 import cedarrudder.draining.DrainCommand.Change;
 import cedarrudder.draining.DrainCommand.DrainRequest;
-import cedarrudder.draining.DrainCommand.RemainingCalls;
+import cedarrudder.draining.DrainCommand.RemainingRequests;
 import cedarrudder.draining.DrainCommand.Step;
 import cedarrudder.draining.DrainCommand.WaveStatus;
 import cedarrudder.draining.DrainPolicy.DrainOrder;
@@ -41,7 +41,7 @@
                     "failed > 0.1",
                     "failed < 0.01",
                     "",
-                    DrainPolicy.MIN_TIME,
+                    DrainPolicy.MIN_DEADLINE_NANOS,
                     OnDeadline.KEEP_WAITING,
                     OnRestart.OUT,
                     List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
@@ -80,7 +80,7 @@
                                                 0)),
                                 new WaveStatus(
                                         List.of(new BlockedBy(-1, DrainCommand.Bound.PACE, 3)),
-                                        List.of(new RemainingCalls(1, 2, -1))))
+                                        List.of(new RemainingRequests(1, 2, -1))))
                         .encode());
     }
 
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -7,7 +7,7 @@
 import cedarrudder.draining.DrainPolicy.NodeSelector;
 import cedarrudder.draining.DrainPolicy.OnDeadline;
 import cedarrudder.draining.DrainPolicy.OnRestart;
-import cedarrudder.draining.DrainableNode.Standing;
+import cedarrudder.draining.DrainableNode.NodeStatus;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -33,7 +33,7 @@
     static final ConditionCompiler CONDITIONS =
             new ConditionCompiler() {
                 @Override
-                public OfFigures figures(String text) {
+                public PolicyCondition compilePolicyCondition(String text) {
                     return figures -> {
                         if (text.equals("throws")) {
                             throw new IllegalStateException(text);
@@ -44,7 +44,7 @@
                 }
 
                 @Override
-                public OfNode node(String text) {
+                public NodeCondition compileNodeCondition(String text) {
                     return node -> node.kind().equals(text);
                 }
             };
@@ -117,7 +117,7 @@
         }
 
         @Override
-        public int openCalls(long node) {
+        public int requestsInFlight(long node) {
             return calls.getOrDefault(node, 0);
         }
 
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public TrafficSample flow() {
+        public TrafficSample trafficSample() {
             return new TrafficSample(100, 0, failing ? 50 : 0, 0);
         }
 
@@ -181,7 +181,7 @@
                                 pod,
                                 i % 2 == 0 ? "big" : "small",
                                 1 + i % 2,
-                                Standing.SERVING,
+                                NodeStatus.SERVING,
                                 0));
             }
         }
@@ -401,7 +401,7 @@
         if (each.event() == DrainEvent.EMPTY) {
             emptied++;
             for (Copy replica : all) {
-                if (replica.live && replica.openCalls(each.node()) > 0) {
+                if (replica.live && replica.requestsInFlight(each.node()) > 0) {
                     wrong(
                             "node "
                                     + each.node()
@@ -499,12 +499,12 @@
                 long id = random.nextLong(2) * 100 + random.nextInt(3);
                 DrainableNode node = nodes.get(id);
                 if (node != null) {
-                    nodes.put(id, node.with(Standing.FAILED));
+                    nodes.put(id, node.with(NodeStatus.FAILED));
                     at(
                             now + 6 * SECOND,
                             () ->
                                     nodes.computeIfPresent(
-                                            id, (key, one) -> one.with(Standing.SERVING)));
+                                            id, (key, one) -> one.with(NodeStatus.SERVING)));
                 }
             }
         }
@@ -521,7 +521,7 @@
                                 one.pod(),
                                 one.kind(),
                                 one.weight(),
-                                one.standing(),
+                                one.status(),
                                 now / MILLI));
     }
 
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -241,7 +241,7 @@
     // ---- what this replica has ----
 
     @Override
-    public int openCalls(long node) {
+    public int requestsInFlight(long node) {
         return attemptsInFlight.getOrDefault(node, 0);
     }
 
@@ -251,7 +251,7 @@
     }
 
     @Override
-    public TrafficSample flow() {
+    public TrafficSample trafficSample() {
         TrafficSample first = samples.getFirst().totals;
         TrafficSample last = samples.getLast().totals;
         return new TrafficSample(
