--- a/core/src/main/java/cedarrudder/membership/MemberTable.java
+++ b/core/src/main/java/cedarrudder/membership/MemberTable.java
@@ -156,11 +156,11 @@
 
     private void startSuspicion(long now, Member update, int accuser) {
         double min =
-                settings.minSuspicion()
+                settings.suspicionMultiplier()
                         * Math.max(1, Math.log10(liveCount()))
                         * settings.period()
                         * health.multiplier();
-        double max = min * settings.maxSuspicion();
+        double max = min * settings.maxSuspicionMultiplier();
         listener.onSuspected(now);
         suspicions.put(
                 update.number(), new Suspicion(now, accuser, min, max, settings.confirmations()));
--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -6,9 +6,9 @@
  * @param period between two probes by an instance that does well; at least 1 ms
  * @param ackTimeout after which helpers are requested to ping the target; less than the period
  * @param helpers how many helpers are; from 0
- * @param minSuspicion a suspicion that others confirm lasts this many periods, times the logarithm
+ * @param suspicionMultiplier a suspicion that others confirm lasts this many periods, times the logarithm
  *     to the base 10 of the live instances where that is over 1; over 0
- * @param maxSuspicion one that nobody confirms lasts this many times longer; at least 1
+ * @param maxSuspicionMultiplier one that nobody confirms lasts this many times longer; at least 1
  * @param confirmations that make a suspicion as short as it can be; at least 1
  * @param retransmitMultiplier an update is sent this many times the logarithm to the base 2 of the
  *     live instances
@@ -19,8 +19,8 @@
         long period,
         long ackTimeout,
         int helpers,
-        double minSuspicion,
-        double maxSuspicion,
+        double suspicionMultiplier,
+        double maxSuspicionMultiplier,
         int confirmations,
         int retransmitMultiplier,
         int maxHealth,
@@ -39,8 +39,8 @@
                 ackTimeout,
                 "over 0, below the period");
         check(helpers >= 0, "helpers", helpers, "0 or more");
-        check(minSuspicion > 0, "suspicionLeast", minSuspicion, "over 0");
-        check(maxSuspicion >= 1, "suspicionMost", maxSuspicion, "1 or more");
+        check(suspicionMultiplier > 0, "suspicionLeast", suspicionMultiplier, "over 0");
+        check(maxSuspicionMultiplier >= 1, "suspicionMost", maxSuspicionMultiplier, "1 or more");
         check(confirmations >= 1, "confirmations", confirmations, "1 or more");
         check(retransmitMultiplier >= 1, "spread", retransmitMultiplier, "1 or more");
         check(maxHealth >= 0, "worstHealth", maxHealth, "0 or more");
