--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -12,7 +12,7 @@
  * @param confirmations that make a suspicion as short as it can be; at least 1
  * @param retransmitMultiplier an update is sent this many times the logarithm to the base 2 of the
  *     live instances
- * @param maxHealth an instance that does badly itself waits up to this many times longer, plus one
+ * @param maxHealthScore an instance that does badly itself waits up to this many times longer, plus one
  * @param deadProbePeriods a dead instance is pinged each time this many periods pass; at least 1
  */
 public record MembershipSettings(
@@ -23,7 +23,7 @@
         double maxSuspicionMultiplier,
         int confirmations,
         int retransmitMultiplier,
-        int maxHealth,
+        int maxHealthScore,
         int deadProbePeriods) {
 
     /** What applies where nothing else is configured: Lifeguard's values at half its period. */
@@ -43,7 +43,7 @@
         check(maxSuspicionMultiplier >= 1, "suspicionMost", maxSuspicionMultiplier, "1 or more");
         check(confirmations >= 1, "confirmations", confirmations, "1 or more");
         check(retransmitMultiplier >= 1, "spread", retransmitMultiplier, "1 or more");
-        check(maxHealth >= 0, "worstHealth", maxHealth, "0 or more");
+        check(maxHealthScore >= 0, "worstHealth", maxHealthScore, "0 or more");
         check(deadProbePeriods >= 1, "revivePeriods", deadProbePeriods, "1 or more");
     }
 
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -106,7 +106,7 @@
         this.self = self;
         this.settings = settings;
         this.random = random;
-        this.health = new LocalHealth(settings.maxHealth());
+        this.health = new LocalHealth(settings.maxHealthScore());
         this.suspicions = new Suspicions(random.nextInt(instances));
         this.exchange = new StateExchange(instances);
         GossipQueue gossip = new GossipQueue(instances);
@@ -163,7 +163,7 @@
     }
 
     /** How badly this instance does itself, from 0: it takes that much longer over everything. */
-    public int health() {
+    public int healthScore() {
         return health.value();
     }
 
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -142,7 +142,7 @@
         hear(help.to, Kind.ACK, help.packet.sequence(), 1, first.to);
         await(Kind.PING);
         assertEquals(swim.member(first.to).state(), State.ALIVE);
-        assertEquals(swim.health(), 0);
+        assertEquals(swim.healthScore(), 0);
     }
 
     @Test
@@ -161,9 +161,9 @@
         start(5);
         Sent first = await(Kind.PING);
         awaitAfter(first);
-        assertEquals(swim.health(), 1);
+        assertEquals(swim.healthScore(), 1);
         long before = now;
-        while (swim.health() == 1) {
+        while (swim.healthScore() == 1) {
             now = swim.nextTickAt();
             swim.tick(now);
         }
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -47,7 +47,7 @@
                 table.number("suspicion_stretch", 1, MAX_STRETCH, usual.maxSuspicionMultiplier()),
                 (int) table.integer("confirmations", 1, MAX_CONFIRMATIONS, usual.confirmations()),
                 (int) table.integer("spread", 1, MAX_SPREAD, usual.retransmitMultiplier()),
-                (int) table.integer("worst_health", 0, MAX_HEALTH, usual.maxHealth()),
+                (int) table.integer("worst_health", 0, MAX_HEALTH, usual.maxHealthScore()),
                 (int) table.integer("revive_periods", 1, MAX_REVIVE, usual.deadProbePeriods()));
     }
 }
