--- a/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -50,7 +50,7 @@
                             + first.allowed());
         }
         this.names = List.copyOf(names);
-        List<String> unknown = evacuate(settings.leave());
+        List<String> unknown = evacuate(settings.evacuatedZones());
         if (!unknown.isEmpty()) {
             throw new IllegalArgumentException(
                     "failover.leave: found "
--- a/core/src/main/java/cedarrudder/failover/FailoverSettings.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverSettings.java
@@ -7,7 +7,7 @@
  * The parameters of failover. Times are nanoseconds.
  *
  * @param regions which zones make a region
- * @param leave zones that operators evacuate, by name: their requests go elsewhere as far as there
+ * @param evacuatedZones zones that operators evacuate, by name: their requests go elsewhere as far as there
  *     is capacity
  * @param period between two reports of a replica; from 10 ms
  * @param evidenceAge older observations count for nothing; at least two periods
@@ -28,7 +28,7 @@
  */
 public record FailoverSettings(
         Regions regions,
-        List<String> leave,
+        List<String> evacuatedZones,
         long period,
         long evidenceAge,
         int minReplicas,
@@ -66,7 +66,7 @@
 
     /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
     public FailoverSettings {
-        leave = List.copyOf(leave);
+        evacuatedZones = List.copyOf(evacuatedZones);
         check(
                 regions.problems(null).isEmpty(),
                 "regions",
@@ -107,7 +107,7 @@
     public FailoverSettings regions(Regions other) {
         return new FailoverSettings(
                 other,
-                leave,
+                evacuatedZones,
                 period,
                 evidenceAge,
                 minReplicas,
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -85,7 +85,7 @@
 
     /** Operators leave other zones from now on; null: none. */
     void evacuate(FailoverSettings next) {
-        List<String> names = next == null ? List.of() : next.leave();
+        List<String> names = next == null ? List.of() : next.evacuatedZones();
         List<String> unknown = failover.evacuate(names);
         for (int zone = 0; history != null && zone < zones.size(); zone++) {
             boolean before = evacuatedZones.contains(zones.get(zone));
--- a/daemon/src/test/java/cedarrudder/operator/OperatorFileTest.java
+++ b/daemon/src/test/java/cedarrudder/operator/OperatorFileTest.java
@@ -98,7 +98,7 @@
         assertEquals(
                 read("[failover]\nleave = [\"b\"]\n[membership]\n[agreement]\n")
                         .of(FailoverTable.FAILOVER)
-                        .leave(),
+                        .evacuatedZones(),
                 List.of("b"));
         InvalidFileException bad =
                 expectThrows(
