--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -89,7 +89,7 @@
     private final ObjectLayout layout;
     private final EndpointListFootprint lists;
     private final RouteTableFootprint tables;
-    private final ProcessBaseline ground;
+    private final ProcessBaseline baseline;
 
     /** Of a process that the platform's command starts with an operator's file. */
     public ProcessFootprint(ObjectLayout layout) {
@@ -97,24 +97,24 @@
     }
 
     /**
-     * @param ground what there is before the first list, as the process itself says
+     * @param baseline what there is before the first list, as the process itself says
      */
-    public ProcessFootprint(ObjectLayout layout, ProcessBaseline ground) {
+    public ProcessFootprint(ObjectLayout layout, ProcessBaseline baseline) {
         this.layout = Objects.requireNonNull(layout);
         this.lists = new EndpointListFootprint(layout);
         this.tables = new RouteTableFootprint(layout);
-        this.ground = Objects.requireNonNull(ground);
+        this.baseline = Objects.requireNonNull(baseline);
     }
 
     /** What there is before the first list. */
-    public ProcessBaseline ground() {
-        return ground;
+    public ProcessBaseline baseline() {
+        return baseline;
     }
 
     /** All that counts, one after the other. */
     public List<Term> terms(ProcessShape replica) {
         return List.of(
-                baseline(),
+                baselineTerm(),
                 term("zones", replica.zones(), name()),
                 term("kinds", replica.kinds(), name()),
                 term(
@@ -129,12 +129,12 @@
                 bodies(replica));
     }
 
-    private Term baseline() {
+    private Term baselineTerm() {
         return new Term(
                 "process",
                 1,
                 new MemoryEstimate(
-                        ground.heap(), ground.heap(), ground.direct(), ground.descriptors()));
+                        baseline.heap(), baseline.heap(), baseline.direct(), baseline.descriptors()));
     }
 
     private Term endpointList(EndpointListShape list) {
@@ -214,9 +214,9 @@
     }
 
     private long resident(ProcessShape replica, MemoryEstimate all) {
-        long grown = all.peak() - ground.heap();
+        long grown = all.peak() - baseline.heap();
         long young = replica.callers() > 0 ? YOUNG : Math.min(YOUNG, ALLOCATED * grown);
-        return ground.resident() + young + grown + all.direct() - ground.direct();
+        return baseline.resident() + young + grown + all.direct() - baseline.direct();
     }
 
     /**
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -62,7 +62,7 @@
         this.tables = new RouteTableFootprint(layout);
         this.limits = limits;
         this.loadSource = now;
-        ProcessBaseline usual = new ProcessFootprint(layout).ground();
+        ProcessBaseline usual = new ProcessFootprint(layout).baseline();
         this.footprint =
                 new ProcessFootprint(
                         layout,
@@ -104,15 +104,15 @@
      */
     void measure(EndpointListShape held) {
         long known =
-                footprint.takes(shape(held, loadSource.load())).rest() - footprint.ground().heap();
+                footprint.takes(shape(held, loadSource.load())).rest() - footprint.baseline().heap();
         footprint =
                 new ProcessFootprint(
                         layout,
                         new ProcessBaseline(
                                 liveHeapBytes() - known + REMAINING_START_BYTES,
-                                footprint.ground().resident(),
-                                footprint.ground().direct(),
-                                footprint.ground().descriptors()));
+                                footprint.baseline().resident(),
+                                footprint.baseline().direct(),
+                                footprint.baseline().descriptors()));
         isMeasured = true;
     }
 
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -219,7 +219,7 @@
         EndpointListShape list =
                 new EndpointListShape(nodes, text.length(), nodes * 10L, nodes * 37L);
         return footprint.takes(new ProcessShape(list, 0, 0, 0, 0, null, 0, 0, 0, 0)).rest()
-                - footprint.ground().heap();
+                - footprint.baseline().heap();
     }
 
     private static String compare(String what, long estimate, long held) {
