--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -67,7 +67,7 @@
     }
 
     /** One line of an estimate. */
-    public record Term(String name, long count, MemoryEstimate takes) {}
+    public record Term(String name, long count, MemoryEstimate estimate) {}
 
     /**
      * What comes of a replica.
@@ -189,16 +189,16 @@
     }
 
     /** What the replica takes in all. */
-    public MemoryEstimate takes(ProcessShape replica) {
+    public MemoryEstimate estimate(ProcessShape replica) {
         return terms(replica).stream()
-                .map(Term::takes)
+                .map(Term::estimate)
                 .reduce(MemoryEstimate.NOTHING, MemoryEstimate::plus);
     }
 
     /** What one more node like the others takes, with its share of what grows in steps. */
     public MemoryEstimate oneMoreNode(ProcessShape replica) {
         int nodes = replica.list().nodes();
-        MemoryEstimate more = takes(replica.of(2 * nodes)).minus(takes(replica));
+        MemoryEstimate more = estimate(replica.of(2 * nodes)).minus(estimate(replica));
         return nodes == 0
                 ? MemoryEstimate.NOTHING
                 : new MemoryEstimate(
@@ -210,7 +210,7 @@
 
     /** What the replica takes of the machine's memory, in bytes. */
     public long resident(ProcessShape replica) {
-        return resident(replica, takes(replica));
+        return resident(replica, estimate(replica));
     }
 
     private long resident(ProcessShape replica, MemoryEstimate all) {
@@ -224,12 +224,12 @@
      * to hold.
      */
     public long left(ProcessShape without, long heap) {
-        return Math.max(0, heap - takes(without.of(0)).rest());
+        return Math.max(0, heap - estimate(without.of(0)).rest());
     }
 
     /** Whether a replica fits, and which bound is nearest. */
     public Verdict judge(ProcessShape replica, ProcessLimits limits) {
-        MemoryEstimate all = takes(replica);
+        MemoryEstimate all = estimate(replica);
         Verdict rest = verdict(Bound.HEAP_AT_REST, all.rest(), limits.heap());
         return Stream.of(
                         rest,
--- a/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
@@ -36,12 +36,12 @@
     /** Detects a term that is forgotten in the sum, or counts under another bound. */
     @Test
     public void eachTermAddsToWhatItTakes() {
-        MemoryEstimate none = FOOTPRINT.takes(replica(1_000, 0, 0, 0, 0));
-        MemoryEstimate callers = FOOTPRINT.takes(replica(1_000, 100, 0, 0, 0)).minus(none);
+        MemoryEstimate none = FOOTPRINT.estimate(replica(1_000, 0, 0, 0, 0));
+        MemoryEstimate callers = FOOTPRINT.estimate(replica(1_000, 100, 0, 0, 0)).minus(none);
         assertEquals(callers.descriptors(), 100);
         assertTrue(callers.rest() > 200_000 && callers.rest() == callers.peak());
-        assertEquals(FOOTPRINT.takes(replica(1_000, 0, 40, 0, 0)).minus(none).descriptors(), 40);
-        MemoryEstimate bodies = FOOTPRINT.takes(replica(1_000, 0, 0, 10, 600_000)).minus(none);
+        assertEquals(FOOTPRINT.estimate(replica(1_000, 0, 40, 0, 0)).minus(none).descriptors(), 40);
+        MemoryEstimate bodies = FOOTPRINT.estimate(replica(1_000, 0, 0, 10, 600_000)).minus(none);
         assertTrue(
                 bodies.rest() > 600_000
                         && bodies.direct() >= 9 * 32_768
@@ -55,7 +55,7 @@
                         List.of(),
                         LongStream.range(0, 500).mapToObj(i -> new DrainingNode(i, 1)).toList(),
                         List.of());
-        MemoryEstimate tables = FOOTPRINT.takes(with(table)).minus(FOOTPRINT.takes(with(null)));
+        MemoryEstimate tables = FOOTPRINT.estimate(with(table)).minus(FOOTPRINT.estimate(with(null)));
         assertTrue(
                 tables.rest() > 500 * 28 && tables.peak() > 2 * tables.rest(), tables.toString());
         assertEquals(
@@ -78,8 +78,8 @@
         MemoryEstimate one = FOOTPRINT.oneMoreNode(replica(1_000, 0, 0, 0, 0));
         MemoryEstimate thousand =
                 FOOTPRINT
-                        .takes(replica(2_000, 0, 0, 0, 0))
-                        .minus(FOOTPRINT.takes(replica(1_000, 0, 0, 0, 0)));
+                        .estimate(replica(2_000, 0, 0, 0, 0))
+                        .minus(FOOTPRINT.estimate(replica(1_000, 0, 0, 0, 0)));
         assertEquals(one.rest(), thousand.rest() / 1_000);
         assertTrue(
                 one.rest() > 900 && one.peak() > one.rest() + 900 && one.descriptors() == 0,
@@ -91,7 +91,7 @@
     @Test
     public void theBoundThatBindsIsNamedWithWhatLacks() {
         ProcessShape replica = replica(10_000, 500, 200, 10, 600_000);
-        MemoryEstimate all = FOOTPRINT.takes(replica);
+        MemoryEstimate all = FOOTPRINT.estimate(replica);
         assertTrue(FOOTPRINT.judge(replica, LARGE).fits());
         ProcessLimits[] tight = {
             new ProcessLimits(all.rest() - 5, 0, 0, 0),
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -109,8 +109,8 @@
     private void terms(ProcessShape shape) {
         out.println(row("term", "count", "heap at rest", "heap at peak", "direct", "descriptors"));
         replica.terms(shape)
-                .forEach(term -> out.println(row(term.name(), term.count(), term.takes())));
-        out.println(row("all", "", replica.takes(shape)));
+                .forEach(term -> out.println(row(term.name(), term.count(), term.estimate())));
+        out.println(row("all", "", replica.estimate(shape)));
     }
 
     private static String row(String name, Object count, MemoryEstimate takes) {
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -104,7 +104,7 @@
      */
     void measure(EndpointListShape held) {
         long known =
-                footprint.takes(shape(held, loadSource.load())).rest() - footprint.baseline().heap();
+                footprint.estimate(shape(held, loadSource.load())).rest() - footprint.baseline().heap();
         footprint =
                 new ProcessFootprint(
                         layout,
@@ -141,7 +141,7 @@
         ProcessShape shape = shape(gate.held(), loadSource.load());
         return new MetricsPage.Estimate(
                 gate.last(),
-                footprint.takes(shape),
+                footprint.estimate(shape),
                 footprint.oneMoreNode(shape),
                 footprint.resident(shape),
                 footprint.judge(shape, limits),
@@ -177,7 +177,7 @@
                         "fits",
                         fits ? 1 : 0,
                         "needed",
-                        footprint.takes(shape(list, loadSource.load())).rest()));
+                        footprint.estimate(shape(list, loadSource.load())).rest()));
     }
 
     /**
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -218,7 +218,7 @@
         ProcessFootprint footprint = new ProcessFootprint(MachineLayout.read());
         EndpointListShape list =
                 new EndpointListShape(nodes, text.length(), nodes * 10L, nodes * 37L);
-        return footprint.takes(new ProcessShape(list, 0, 0, 0, 0, null, 0, 0, 0, 0)).rest()
+        return footprint.estimate(new ProcessShape(list, 0, 0, 0, 0, null, 0, 0, 0, 0)).rest()
                 - footprint.baseline().heap();
     }
 
