--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -223,7 +223,7 @@
      * What of the heap is left for nodes and their lists, beside all else that the replica may come
      * to hold.
      */
-    public long left(ProcessShape without, long heap) {
+    public long heapForLists(ProcessShape without, long heap) {
         return Math.max(0, heap - estimate(without.of(0)).rest());
     }
 
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -94,7 +94,7 @@
     long capacity(double share, Load max) {
         return Math.min(
                 (long) (share * limits.heap()),
-                footprint.left(shape(EndpointListShape.NONE, max), limits.heap()));
+                footprint.heapForLists(shape(EndpointListShape.NONE, max), limits.heap()));
     }
 
     /**
