--- a/core/src/main/java/cedarrudder/logging/Logger.java
+++ b/core/src/main/java/cedarrudder/logging/Logger.java
@@ -47,11 +47,11 @@
      */
     public Logger(Predicate<String> out) {
         this.out = out;
-        form(new TextLines());
+        lineWriter(new TextLines());
     }
 
     /** From now on lines have this form. */
-    public void form(LineWriter writer) {
+    public void lineWriter(LineWriter writer) {
         lines = writer;
         entry = new Entry(this, writer);
     }
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -547,7 +547,7 @@
     private void setLog(LogConfiguration configured) {
         log.settings(configured.settings());
         boolean json = configured.form() == LogConfiguration.Form.JSON;
-        log.form(json ? new JsonLineWriter() : new TextLines());
+        log.lineWriter(json ? new JsonLineWriter() : new TextLines());
     }
 
     /** Logs that SIGHUP will not be handled, and why; from any thread. */
--- a/daemon/src/test/java/cedarrudder/program/JsonLineWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/program/JsonLineWriterTest.java
@@ -24,7 +24,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Logger log = new Logger(new PrintStream(out, true, StandardCharsets.UTF_8));
-        log.form(new JsonLineWriter());
+        log.lineWriter(new JsonLineWriter());
         log.settings(new LogSettings(LogSettings.DEFAULT.level(), LINES, 300));
         for (int i = 0; i < LINES; i++) {
             StringBuilder garbage = new StringBuilder();
