--- a/core/src/main/java/cedarrudder/failover/FailoverSettings.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverSettings.java
@@ -7,8 +7,8 @@
  * The parameters of failover. Times are nanoseconds.
  *
  * @param regions which zones make a region
- * @param evacuatedZones zones that operators evacuate, by name: their requests go elsewhere as far as there
- *     is capacity
+ * @param evacuatedZones zones that operators evacuate, by name: their requests go elsewhere as far
+ *     as there is capacity
  * @param period between two reports of a replica; from 10 ms
  * @param evidenceAge older observations count for nothing; at least two periods
  * @param minReplicas so many replicas of a zone must agree before their zone's vote counts, or all
--- a/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -198,14 +198,15 @@
     /** The same once a list of changes was loaded, and all that is held is listed again in full. */
     private long peakOfRepeatedList(EndpointListShape held, EndpointListShape changes, int added) {
         EndpointListShape after = held.plus(changes, added);
-        EndpointListShape fullList = changes.nodes() == 0 ? after : changes.of(after.nodes());
+        EndpointListShape fullList =
+                changes.nodes() == 0 ? after : changes.withNodes(after.nodes());
         return atPeak(after, fullList, fullList.nodes(), 0);
     }
 
     private long atPeak(
             EndpointListShape held, EndpointListShape update, int added, int some, boolean full) {
         long now = atPeak(held, update, update.nodes() - added + some, some);
-        EndpointListShape then = update.of(update.nodes() - added + some);
+        EndpointListShape then = update.withNodes(update.nodes() - added + some);
         return Math.max(
                 now,
                 full
@@ -274,7 +275,7 @@
             }
             steps.add(step);
             left -= step;
-            now = full ? update.of(update.nodes() - left) : now.plus(update, step);
+            now = full ? update.withNodes(update.nodes() - left) : now.plus(update, step);
         }
         return steps;
     }
@@ -283,7 +284,7 @@
     public int max(EndpointListShape like, long capacity) {
         int max = 0;
         for (int step = 1 << 23; step > 0 && like.nodes() > 0; step >>>= 1) {
-            EndpointListShape more = like.of(max + step);
+            EndpointListShape more = like.withNodes(max + step);
             max += peakOfRepeatedList(more) <= capacity ? step : 0;
         }
         return max;
--- a/core/src/main/java/cedarrudder/footprint/EndpointListShape.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListShape.java
@@ -19,7 +19,7 @@
     }
 
     /** A list of this many nodes like those of this one. */
-    public EndpointListShape of(int some) {
+    public EndpointListShape withNodes(int some) {
         return nodes == 0
                 ? this
                 : new EndpointListShape(
@@ -34,7 +34,7 @@
      * stays.
      */
     public EndpointListShape plus(EndpointListShape other, int some) {
-        EndpointListShape added = other.of(some);
+        EndpointListShape added = other.withNodes(some);
         return new EndpointListShape(
                 nodes + added.nodes,
                 Math.max(textBytes, other.textBytes),
--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -134,7 +134,10 @@
                 "process",
                 1,
                 new MemoryEstimate(
-                        baseline.heap(), baseline.heap(), baseline.direct(), baseline.descriptors()));
+                        baseline.heap(),
+                        baseline.heap(),
+                        baseline.direct(),
+                        baseline.descriptors()));
     }
 
     private Term endpointList(EndpointListShape list) {
@@ -198,7 +201,7 @@
     /** What one more node like the others takes, with its share of what grows in steps. */
     public MemoryEstimate oneMoreNode(ProcessShape replica) {
         int nodes = replica.list().nodes();
-        MemoryEstimate more = estimate(replica.of(2 * nodes)).minus(estimate(replica));
+        MemoryEstimate more = estimate(replica.withNodes(2 * nodes)).minus(estimate(replica));
         return nodes == 0
                 ? MemoryEstimate.NOTHING
                 : new MemoryEstimate(
@@ -224,7 +227,7 @@
      * to hold.
      */
     public long heapForLists(ProcessShape without, long heap) {
-        return Math.max(0, heap - estimate(without.of(0)).rest());
+        return Math.max(0, heap - estimate(without.withNodes(0)).rest());
     }
 
     /** Whether a replica fits, and which bound is nearest. */
--- a/core/src/main/java/cedarrudder/footprint/ProcessShape.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessShape.java
@@ -30,9 +30,9 @@
         long bodyBytes) {
 
     /** The same with this many nodes, of the same kind. */
-    ProcessShape of(int nodes) {
+    ProcessShape withNodes(int nodes) {
         return new ProcessShape(
-                list.of(nodes),
+                list.withNodes(nodes),
                 zones,
                 kinds,
                 classes,
--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -6,13 +6,14 @@
  * @param period between two probes by an instance that does well; at least 1 ms
  * @param ackTimeout after which helpers are requested to ping the target; less than the period
  * @param helpers how many helpers are; from 0
- * @param suspicionMultiplier a suspicion that others confirm lasts this many periods, times the logarithm
- *     to the base 10 of the live instances where that is over 1; over 0
+ * @param suspicionMultiplier a suspicion that others confirm lasts this many periods, times the
+ *     logarithm to the base 10 of the live instances where that is over 1; over 0
  * @param maxSuspicionMultiplier one that nobody confirms lasts this many times longer; at least 1
  * @param confirmations that make a suspicion as short as it can be; at least 1
  * @param retransmitMultiplier an update is sent this many times the logarithm to the base 2 of the
  *     live instances
- * @param maxHealthScore an instance that does badly itself waits up to this many times longer, plus one
+ * @param maxHealthScore an instance that does badly itself waits up to this many times longer, plus
+ *     one
  * @param deadProbePeriods a dead instance is pinged each time this many periods pass; at least 1
  */
 public record MembershipSettings(
--- a/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
@@ -55,7 +55,8 @@
                         List.of(),
                         LongStream.range(0, 500).mapToObj(i -> new DrainingNode(i, 1)).toList(),
                         List.of());
-        MemoryEstimate tables = FOOTPRINT.estimate(with(table)).minus(FOOTPRINT.estimate(with(null)));
+        MemoryEstimate tables =
+                FOOTPRINT.estimate(with(table)).minus(FOOTPRINT.estimate(with(null)));
         assertTrue(
                 tables.rest() > 500 * 28 && tables.peak() > 2 * tables.rest(), tables.toString());
         assertEquals(
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -43,7 +43,10 @@
                 patience,
                 (int) table.integer("helpers", 0, MAX_HELPERS, usual.helpers()),
                 table.number(
-                        "suspicion_periods", MIN_SUSPICION, MAX_SUSPICION, usual.suspicionMultiplier()),
+                        "suspicion_periods",
+                        MIN_SUSPICION,
+                        MAX_SUSPICION,
+                        usual.suspicionMultiplier()),
                 table.number("suspicion_stretch", 1, MAX_STRETCH, usual.maxSuspicionMultiplier()),
                 (int) table.integer("confirmations", 1, MAX_CONFIRMATIONS, usual.confirmations()),
                 (int) table.integer("spread", 1, MAX_SPREAD, usual.retransmitMultiplier()),
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -127,7 +127,8 @@
         FootprintSettings set = operator.of(FootprintTable.FOOTPRINT);
         double share = set == null ? FootprintSettings.DEFAULT.heapShare() : set.heapShare();
         long capacity =
-                Math.min((long) (share * limits.heap()), replica.heapForLists(shape, limits.heap()));
+                Math.min(
+                        (long) (share * limits.heap()), replica.heapForLists(shape, limits.heap()));
         EndpointListFootprint footprint = new EndpointListFootprint(layout);
         Set<String> known = held == null ? Set.of() : ids(held);
         int added =
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -104,7 +104,8 @@
      */
     void measure(EndpointListShape held) {
         long known =
-                footprint.estimate(shape(held, loadSource.load())).rest() - footprint.baseline().heap();
+                footprint.estimate(shape(held, loadSource.load())).rest()
+                        - footprint.baseline().heap();
         footprint =
                 new ProcessFootprint(
                         layout,
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -220,7 +220,9 @@
     private EndpointListShape after(
             EndpointListShape held, EndpointListShape list, Look look, int added) {
         EndpointListShape all =
-                look.full ? list.of(list.nodes() - look.added + added) : held.plus(list, added);
+                look.full
+                        ? list.withNodes(list.nodes() - look.added + added)
+                        : held.plus(list, added);
         return new EndpointListShape(all.nodes(), largest, all.idChars(), all.valueChars());
     }
 
