--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -67,7 +67,7 @@
     }
 
     /** One line of an estimate. */
-    public record Term(String name, long count, MemoryEstimate takes) {}
+    public record Term(String name, long count, MemoryEstimate estimate) {}
 
     /**
      * What comes of a replica.
@@ -89,7 +89,7 @@
     private final ObjectLayout layout;
     private final EndpointListFootprint lists;
     private final RouteTableFootprint tables;
-    private final ProcessBaseline ground;
+    private final ProcessBaseline baseline;
 
     /** Of a process that the platform's command starts with an operator's file. */
     public ProcessFootprint(ObjectLayout layout) {
@@ -97,24 +97,24 @@
     }
 
     /**
-     * @param ground what there is before the first list, as the process itself says
+     * @param baseline what there is before the first list, as the process itself says
      */
-    public ProcessFootprint(ObjectLayout layout, ProcessBaseline ground) {
+    public ProcessFootprint(ObjectLayout layout, ProcessBaseline baseline) {
         this.layout = Objects.requireNonNull(layout);
         this.lists = new EndpointListFootprint(layout);
         this.tables = new RouteTableFootprint(layout);
-        this.ground = Objects.requireNonNull(ground);
+        this.baseline = Objects.requireNonNull(baseline);
     }
 
     /** What there is before the first list. */
-    public ProcessBaseline ground() {
-        return ground;
+    public ProcessBaseline baseline() {
+        return baseline;
     }
 
     /** All that counts, one after the other. */
     public List<Term> terms(ProcessShape replica) {
         return List.of(
-                baseline(),
+                baselineTerm(),
                 term("zones", replica.zones(), name()),
                 term("kinds", replica.kinds(), name()),
                 term(
@@ -129,12 +129,15 @@
                 bodies(replica));
     }
 
-    private Term baseline() {
+    private Term baselineTerm() {
         return new Term(
                 "process",
                 1,
                 new MemoryEstimate(
-                        ground.heap(), ground.heap(), ground.direct(), ground.descriptors()));
+                        baseline.heap(),
+                        baseline.heap(),
+                        baseline.direct(),
+                        baseline.descriptors()));
     }
 
     private Term endpointList(EndpointListShape list) {
@@ -189,16 +192,16 @@
     }
 
     /** What the replica takes in all. */
-    public MemoryEstimate takes(ProcessShape replica) {
+    public MemoryEstimate estimate(ProcessShape replica) {
         return terms(replica).stream()
-                .map(Term::takes)
+                .map(Term::estimate)
                 .reduce(MemoryEstimate.NOTHING, MemoryEstimate::plus);
     }
 
     /** What one more node like the others takes, with its share of what grows in steps. */
     public MemoryEstimate oneMoreNode(ProcessShape replica) {
         int nodes = replica.list().nodes();
-        MemoryEstimate more = takes(replica.of(2 * nodes)).minus(takes(replica));
+        MemoryEstimate more = estimate(replica.withNodes(2 * nodes)).minus(estimate(replica));
         return nodes == 0
                 ? MemoryEstimate.NOTHING
                 : new MemoryEstimate(
@@ -210,26 +213,26 @@
 
     /** What the replica takes of the machine's memory, in bytes. */
     public long resident(ProcessShape replica) {
-        return resident(replica, takes(replica));
+        return resident(replica, estimate(replica));
     }
 
     private long resident(ProcessShape replica, MemoryEstimate all) {
-        long grown = all.peak() - ground.heap();
+        long grown = all.peak() - baseline.heap();
         long young = replica.callers() > 0 ? YOUNG : Math.min(YOUNG, ALLOCATED * grown);
-        return ground.resident() + young + grown + all.direct() - ground.direct();
+        return baseline.resident() + young + grown + all.direct() - baseline.direct();
     }
 
     /**
      * What of the heap is left for nodes and their lists, beside all else that the replica may come
      * to hold.
      */
-    public long left(ProcessShape without, long heap) {
-        return Math.max(0, heap - takes(without.of(0)).rest());
+    public long heapForLists(ProcessShape without, long heap) {
+        return Math.max(0, heap - estimate(without.withNodes(0)).rest());
     }
 
     /** Whether a replica fits, and which bound is nearest. */
     public Verdict judge(ProcessShape replica, ProcessLimits limits) {
-        MemoryEstimate all = takes(replica);
+        MemoryEstimate all = estimate(replica);
         Verdict rest = verdict(Bound.HEAP_AT_REST, all.rest(), limits.heap());
         return Stream.of(
                         rest,
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -109,8 +109,8 @@
     private void terms(ProcessShape shape) {
         out.println(row("term", "count", "heap at rest", "heap at peak", "direct", "descriptors"));
         replica.terms(shape)
-                .forEach(term -> out.println(row(term.name(), term.count(), term.takes())));
-        out.println(row("all", "", replica.takes(shape)));
+                .forEach(term -> out.println(row(term.name(), term.count(), term.estimate())));
+        out.println(row("all", "", replica.estimate(shape)));
     }
 
     private static String row(String name, Object count, MemoryEstimate takes) {
@@ -127,7 +127,8 @@
         FootprintSettings set = operator.of(FootprintTable.FOOTPRINT);
         double share = set == null ? FootprintSettings.DEFAULT.heapShare() : set.heapShare();
         long capacity =
-                Math.min((long) (share * limits.heap()), replica.left(shape, limits.heap()));
+                Math.min(
+                        (long) (share * limits.heap()), replica.heapForLists(shape, limits.heap()));
         EndpointListFootprint footprint = new EndpointListFootprint(layout);
         Set<String> known = held == null ? Set.of() : ids(held);
         int added =
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -62,7 +62,7 @@
         this.tables = new RouteTableFootprint(layout);
         this.limits = limits;
         this.loadSource = now;
-        ProcessBaseline usual = new ProcessFootprint(layout).ground();
+        ProcessBaseline usual = new ProcessFootprint(layout).baseline();
         this.footprint =
                 new ProcessFootprint(
                         layout,
@@ -94,7 +94,7 @@
     long capacity(double share, Load max) {
         return Math.min(
                 (long) (share * limits.heap()),
-                footprint.left(shape(EndpointListShape.NONE, max), limits.heap()));
+                footprint.heapForLists(shape(EndpointListShape.NONE, max), limits.heap()));
     }
 
     /**
@@ -104,15 +104,16 @@
      */
     void measure(EndpointListShape held) {
         long known =
-                footprint.takes(shape(held, loadSource.load())).rest() - footprint.ground().heap();
+                footprint.estimate(shape(held, loadSource.load())).rest()
+                        - footprint.baseline().heap();
         footprint =
                 new ProcessFootprint(
                         layout,
                         new ProcessBaseline(
                                 liveHeapBytes() - known + REMAINING_START_BYTES,
-                                footprint.ground().resident(),
-                                footprint.ground().direct(),
-                                footprint.ground().descriptors()));
+                                footprint.baseline().resident(),
+                                footprint.baseline().direct(),
+                                footprint.baseline().descriptors()));
         isMeasured = true;
     }
 
@@ -141,7 +142,7 @@
         ProcessShape shape = shape(gate.held(), loadSource.load());
         return new MetricsPage.Estimate(
                 gate.last(),
-                footprint.takes(shape),
+                footprint.estimate(shape),
                 footprint.oneMoreNode(shape),
                 footprint.resident(shape),
                 footprint.judge(shape, limits),
@@ -177,7 +178,7 @@
                         "fits",
                         fits ? 1 : 0,
                         "needed",
-                        footprint.takes(shape(list, loadSource.load())).rest()));
+                        footprint.estimate(shape(list, loadSource.load())).rest()));
     }
 
     /**
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -218,8 +218,8 @@
         ProcessFootprint footprint = new ProcessFootprint(MachineLayout.read());
         EndpointListShape list =
                 new EndpointListShape(nodes, text.length(), nodes * 10L, nodes * 37L);
-        return footprint.takes(new ProcessShape(list, 0, 0, 0, 0, null, 0, 0, 0, 0)).rest()
-                - footprint.ground().heap();
+        return footprint.estimate(new ProcessShape(list, 0, 0, 0, 0, null, 0, 0, 0, 0)).rest()
+                - footprint.baseline().heap();
     }
 
     private static String compare(String what, long estimate, long held) {
