--- a/core/src/main/java/cedarrudder/balancer/AdmissionControl.java
+++ b/core/src/main/java/cedarrudder/balancer/AdmissionControl.java
@@ -16,16 +16,17 @@
 import java.util.stream.IntStream;
 
 /**
- * Which requests are let in, and in what order they are served: tenants' quotas, the concurrency
- * limit of this replica, the priority of classes, and the traffic split over zones.
+ * Decides which requests are admitted and in what order they are served, by tenants' quotas, the
+ * concurrency limit of this replica, the priority of classes and the traffic split between zones.
  */
 final class AdmissionControl {
 
-    /** Requests over their tenant's quota find at least this part of the limit. */
-    private static final double MIN_OVER_QUOTA_SHARE = 0.5;
+    /** Lower bound of the factor that reduces the limit for requests over their tenant's quota. */
+    private static final double MIN_OVER_QUOTA_FRACTION = 0.5;
 
     /**
-     * The weight of a request for each nanosecond of work is of this order where work is unknown.
+     * Factor in a request's weight in place of its expected work, where that is unknown or does not
+     * count; an order of magnitude.
      */
     private static final double DEFAULT_WORK_NANOS = 1e8;
 
@@ -38,7 +39,7 @@
     private final AdaptiveConcurrencyLimit limit;
     private final ClassPriority priority;
 
-    /** Which zone each request goes to; null while zones have no shares. */
+    /** Assigns requests to zones; null while zones have no shares of the traffic. */
     private ZoneTrafficSplit zoneSplit;
 
     AdmissionControl(
@@ -72,55 +73,55 @@
                         parameters.get(Parameter.LIMIT_CUT_FACTOR));
     }
 
-    /** Counts a request of a tenant; whether it exceeds the tenant's quota. */
+    /** Counts a request of a tenant and returns whether it exceeds the tenant's quota. */
     boolean isOverQuota(long now, int tenant) {
         return quotas.isOverQuota(now, tenant);
     }
 
-    /** Tenants' quotas are divided by the replicas that live. */
+    /** Divides tenants' quotas by the number of live replicas. */
     void onLiveReplicas(int live) {
         quotas.onLiveReplicas(live);
     }
 
     /**
-     * Whether a request that has arrived is let in; sets its share of limits and its zone. The
-     * concurrency limit counts at the first tier alone: further down, work has gone into a request
-     * already.
+     * Returns whether an arrived request is admitted; sets its limit fraction and its zone. The
+     * concurrency limit applies only at the first tier: at later tiers, work has already been spent
+     * on the request.
      */
     boolean admit(long now, RequestState request) {
         if (!request.isOverQuota()) {
             priority.onRequest(now, request.classIndex(), weight(request));
         }
-        request.setLimitShare(limitShare(request));
+        request.setLimitFraction(limitFraction(request));
         boolean withinLimit =
-                settings.tier() > 0 || limit.tryAdmit(traffic.inFlight(), request.limitShare());
+                settings.tier() > 0 || limit.tryAdmit(traffic.inFlight(), request.limitFraction());
         if (zoneSplit == null) {
             request.assignZone(settings.zone());
         } else {
-            request.assignZone(zoneSplit.assignZone(now, request.limitShare(), withinLimit));
+            request.assignZone(zoneSplit.assignZone(now, request.limitFraction(), withinLimit));
         }
         return withinLimit && request.assignedZone() != ZoneTrafficSplit.NO_ZONE;
     }
 
     /**
-     * The share of limits that is open to a request: less for one of less weight for its work, and
-     * for one over its tenant's quota. A goal that looks at the worst class leaves less room for
-     * preferring the best.
+     * Returns the fraction of limits that is open to a request: smaller for a class with less
+     * priority weight for its work, and for a request over its tenant's quota. A goal that includes
+     * the worst class reduces the preference for the best.
      */
-    private double limitShare(RequestState request) {
-        double best =
+    private double limitFraction(RequestState request) {
+        double highestWeight =
                 IntStream.range(0, settings.classes().size())
                         .mapToDouble(this::weightPerLatency)
                         .max()
                         .orElse(0);
-        double relative = weightPerLatency(request.classIndex()) / best;
+        double relativeWeight = weightPerLatency(request.classIndex()) / highestWeight;
         ServiceGoal goal = settings.goal();
         double preference = goal.overallWeight() / (goal.overallWeight() + goal.worstClassWeight());
         double reserved = parameters.get(Parameter.LIMIT_RESERVED_SHARE);
-        double share = 1 - reserved * preference * (1 - relative);
+        double fraction = 1 - reserved * preference * (1 - relativeWeight);
         return request.isOverQuota()
-                ? share * Math.max(MIN_OVER_QUOTA_SHARE, goal.overQuotaWeight())
-                : share;
+                ? fraction * Math.max(MIN_OVER_QUOTA_FRACTION, goal.overQuotaWeight())
+                : fraction;
     }
 
     private double weightPerLatency(int classIndex) {
@@ -128,14 +129,14 @@
         return requestClass.priorityWeight() / Math.max(1, serviceTimes.classMean(classIndex));
     }
 
-    /** What a request weighs in the goal when it is served in time. */
+    /** Returns what a request adds to the goal if it is served in time. */
     private double weight(RequestState request) {
         boolean byWork = settings.goal().weightByWork() && request.hasExpectedWork();
         return request.requestClass().priorityWeight()
                 * (byWork ? request.expectedWorkNanos() : DEFAULT_WORK_NANOS);
     }
 
-    /** Takes a good answer, after the service times did. */
+    /** Records a successful response, after the service times have recorded it. */
     void onServed(long now, RequestState request) {
         RequestClass requestClass = request.requestClass();
         int classIndex = request.classIndex();
@@ -143,18 +144,18 @@
             priority.weightPerWork(
                     classIndex, requestClass.priorityWeight() / serviceTimes.classMean(classIndex));
         }
-        boolean inTime = now - request.arrivedAt() <= requestClass.latencyObjectiveNanos();
-        if (!request.isOverQuota() && inTime) {
+        boolean withinObjective = now - request.arrivedAt() <= requestClass.latencyObjectiveNanos();
+        if (!request.isOverQuota() && withinObjective) {
             priority.onServed(now, classIndex, weight(request));
         }
     }
 
     /**
-     * Adapts the concurrency limit to how an attempt ended. Rejections count as slow answers, since
-     * some overload shows in nothing else. Errors and failed connections do not: they are no sign
-     * of too much work, and shedding load mends nothing.
+     * Adapts the concurrency limit after the end of an attempt. Rejections count as slow responses,
+     * since some overload shows in nothing else. Errors and failed connections do not: they are no
+     * sign of too much work, and load shedding would not remedy them.
      *
-     * @param readyEndpoints how many endpoints are ready
+     * @param readyEndpoints the number of ready endpoints
      */
     void onAttemptEnded(long now, RequestState request, Outcome outcome, int readyEndpoints) {
         boolean rejected = outcome == Outcome.REJECTED;
@@ -172,14 +173,17 @@
         limit.onResponse(slow, traffic.inFlight(), traffic.peakInFlight(), min);
     }
 
-    /** The priority of serving a request of this class next. */
+    /** Returns the priority of serving a request of this class next. */
     double priority(int classIndex, boolean overQuota) {
         return priority.priority(classIndex, overQuota);
     }
 
     // ---- zones
 
-    /** Sets which part of the requests each zone gets; empty: no zone has a share. */
+    /**
+     * Sets the fraction of the requests that each zone gets; if the list is empty, no zone has a
+     * share.
+     */
     void setZoneShares(List<ZoneTrafficShare> shares) {
         if (shares.isEmpty()) {
             zoneSplit = null;
@@ -199,24 +203,30 @@
         zoneSplit = split;
     }
 
-    /** Whether zones have shares of the traffic. */
+    /** Returns whether zones have shares of the traffic. */
     boolean hasZoneShares() {
         return zoneSplit != null;
     }
 
-    /** Whether a zone has a share; only where {@link #hasZoneShares}. */
+    /** Returns whether a zone has a share of the traffic; valid only if {@link #hasZoneShares}. */
     boolean isServing(int zone) {
         return zoneSplit.isServing(zone);
     }
 
-    /** Whether a zone's rate has room for this request; true where zones have no shares. */
+    /**
+     * Returns whether the rate limit of a zone leaves capacity for this request; true if zones have
+     * no shares.
+     */
     boolean zoneHasCapacity(long now, int zone, RequestState request) {
-        return zoneSplit == null || zoneSplit.hasCapacity(now, zone, request.limitShare());
+        return zoneSplit == null || zoneSplit.hasCapacity(now, zone, request.limitFraction());
     }
 
-    /** The zones that may serve a request, its own first; only where {@link #hasZoneShares}. */
+    /**
+     * Returns the zones that may serve a request, its assigned zone first; valid only if {@link
+     * #hasZoneShares}.
+     */
     int[] candidateZones(long now, RequestState request) {
-        return zoneSplit.candidates(now, request.assignedZone(), request.limitShare());
+        return zoneSplit.candidates(now, request.assignedZone(), request.limitFraction());
     }
 
     void onSent(int zone) {
--- a/core/src/main/java/cedarrudder/balancer/BalancerParametersParser.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParametersParser.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** {@link BalancerParameters} in writing: {@code max-age-ms=1500}. */
+/** Reads and writes {@link BalancerParameters} as text, such as {@code max-age-ms=1500}. */
 public final class BalancerParametersParser {
 
     private BalancerParametersParser() {}
 
     /**
-     * The defaults with some parameters set, later ones over earlier ones.
+     * Returns the defaults with some parameters set; later assignments override earlier ones.
      *
      * @param assignments each such as {@code probes-per-call=1}
-     * @throws IllegalArgumentException when no parameter has that name, or its value is no number
+     * @throws IllegalArgumentException if no parameter has that name, or its value is not a number
      *     in its range; the message says what was found and what is allowed
      */
     public static BalancerParameters parse(List<String> assignments) {
@@ -39,12 +39,12 @@
 
     private static Parameter parameter(String name) {
         return Arrays.stream(Parameter.values())
-                .filter(parameter -> parameter.writtenName().equals(name))
+                .filter(parameter -> parameter.settingName().equals(name))
                 .findAny()
                 .orElseThrow(
                         () ->
                                 new IllegalArgumentException(
-                                        "no figure is named '"
+                                        "unknown parameter '"
                                                 + name
                                                 + "'; known are "
                                                 + knownNames()));
@@ -52,24 +52,24 @@
 
     private static String knownNames() {
         return Arrays.stream(Parameter.values())
-                .map(Parameter::writtenName)
+                .map(Parameter::settingName)
                 .collect(Collectors.joining(", "));
     }
 
     /**
-     * The parameters that differ from the defaults, as written, with blanks between; empty where
-     * none does.
+     * Returns the parameters that differ from the defaults, as assignments separated by blanks;
+     * empty if none differs.
      */
     public static String differences(BalancerParameters parameters) {
         return Arrays.stream(Parameter.values())
                 .filter(parameter -> parameters.get(parameter) != parameter.defaultValue())
-                .map(parameter -> parameter.writtenName() + "=" + number(parameters.get(parameter)))
+                .map(parameter -> parameter.settingName() + "=" + number(parameters.get(parameter)))
                 .collect(Collectors.joining(" "));
     }
 
     static IllegalArgumentException notAllowed(Parameter parameter, Object found) {
         return new IllegalArgumentException(
-                parameter.writtenName()
+                parameter.settingName()
                         + ": found "
                         + found
                         + ", allowed is a number from "
@@ -78,7 +78,7 @@
                         + number(parameter.max()));
     }
 
-    /** A number without a fraction where it has none. */
+    /** Formats a number, without a fraction if it is an integer. */
     private static String number(double value) {
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
--- a/core/src/main/java/cedarrudder/balancer/BalancerSettings.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerSettings.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * All that a balancer is given when it starts.
+ * The settings with which a balancer is started.
  *
- * @param replicas how many replicas send to this tier
+ * @param replicas the number of replicas that send to this tier
  * @param self the number of this replica among them, from 0
  * @param zone the zone of this replica
  * @param tier the tier that this replica sends to, from 0
- * @param tierCount how many tiers there are
- * @param pollsEndpoints whether discovery has to be polled; else it pushes lists
+ * @param tierCount the number of tiers
+ * @param pollsEndpoints whether discovery has to be polled; otherwise it pushes endpoint lists
  */
 public record BalancerSettings(
         int replicas,
@@ -26,36 +26,36 @@
         ServiceGoal goal,
         ServicePrices prices) {
 
-    /** Whether the requests of a class may be retried once one attempt may have run. */
+    /** The rule by which requests of a class may be retried once an attempt may have run. */
     public enum Idempotency {
-        /** Always: a repeat has no effect. */
+        /** Retried always: a repeat has no effect. */
         SAFE,
-        /** With the same idempotency key, where endpoints remember it. */
+        /** Retried with the same idempotency key, where endpoints remember that key. */
         KEYED,
-        /** Never. */
+        /** Never retried. */
         UNSAFE
     }
 
-    /** Which endpoints recognize an idempotency key. */
+    /** The endpoints that recognize an idempotency key. */
     public enum KeyScope {
-        /** All of them. */
+        /** All endpoints. */
         ALL,
-        /** Those of the zone that got the key first. */
+        /** The endpoints of the zone that received the key first. */
         ZONE,
-        /** Those of the cell that got the key first. */
+        /** The endpoints of the cell that received the key first. */
         CELL
     }
 
     /**
-     * One class of requests.
+     * A class of requests.
      *
-     * @param latencyObjectiveNanos answers within this time of arrival have the full weight
-     * @param deadlineNanos the longest that a client waits, over all its tries
+     * @param latencyObjectiveNanos responses within this time after arrival have the full weight
+     * @param deadlineNanos the maximum time that a client waits, over all its retries
      * @param priorityWeight the weight of one served request in the site's goal
-     * @param lateWeight the share of the weight that a later answer still has
+     * @param lateWeight the fraction of the weight that a later response still has
      * @param keyWindowNanos how long endpoints remember an idempotency key, from the first attempt
      *     that may have run
-     * @param streaming whether answers are streamed
+     * @param streaming whether responses are streamed
      */
     public record RequestClass(
             String name,
@@ -69,10 +69,10 @@
             boolean streaming) {}
 
     /**
-     * One tenant.
+     * A tenant.
      *
-     * @param quotaShare its share of the service
-     * @param quotaPerSecond that share in requests a second over all replicas; 0: none
+     * @param quotaShare the tenant's quota as a share of the service
+     * @param quotaPerSecond that quota in requests per second over all replicas; 0: none
      */
     public record Tenant(String name, double quotaShare, double quotaPerSecond) {}
 
@@ -83,8 +83,8 @@
      * @param cancellation whether attempts in flight may be cancelled
      * @param hedging whether a request may have several attempts in flight
      * @param retryAfterAdvice whether rejections may carry advice when to retry
-     * @param maxAttempts all attempts of one request
-     * @param connectionIdleNanos endpoints close connections that are idle for this long; 0: never
+     * @param maxAttempts the maximum number of attempts of one request, the first one included
+     * @param connectionIdleNanos the time after which endpoints close idle connections; 0: never
      */
     public record Limits(
             boolean probing,
@@ -97,15 +97,17 @@
             long connectionIdleNanos) {}
 
     /**
-     * The parameters of the rules that keep endpoints from harm.
+     * The parameters of the rules that protect endpoints.
      *
-     * @param drainGraceNanos nothing is sent to a draining or removed endpoint this long after that
-     *     is known
-     * @param coldCapacityShare an endpoint starts with at least this share of its capacity
-     * @param slowStartNanos and is warm within this time
-     * @param overloadMultiple sent more than this multiple of what it can do ...
-     * @param overloadWindowNanos ... for this long, an endpoint that warms up fails
-     * @param pollIntervalNanos where discovery is polled: the longest between two polls
+     * @param drainGraceNanos nothing is sent to a draining or removed endpoint from this long after
+     *     its status is known
+     * @param coldCapacityShare the minimum fraction of its capacity with which an endpoint starts
+     * @param slowStartNanos the time within which a started endpoint is warm
+     * @param overloadMultiple an endpoint that warms up fails if it is sent more than this multiple
+     *     of what it can serve, for the time of {@code overloadWindowNanos}
+     * @param overloadWindowNanos the time for which an endpoint that warms up bears such an
+     *     overload
+     * @param pollIntervalNanos if discovery is polled: the maximum time between two polls
      */
     public record SafetyRules(
             long drainGraceNanos,
@@ -116,15 +118,15 @@
             long pollIntervalNanos) {}
 
     /**
-     * The site's goal, as a weighted sum of shares of weight that are served.
+     * The site's goal, as a weighted sum of served fractions of weight.
      *
-     * @param overallWeight of all that is served
-     * @param worstWindowWeight of the worst span of time
-     * @param worstClassWeight of the class that is served worst
-     * @param worstTenantWeight of the tenant that is served worst
-     * @param overQuotaWeight the share of its weight that a request over its tenant's quota has
-     * @param weightByWork whether a request's weight is its class's for each unit of its work, and
-     *     not the same for all requests of the class
+     * @param overallWeight the weight of the fraction of all requests
+     * @param worstWindowWeight the weight of the fraction in the worst time window
+     * @param worstClassWeight the weight of the fraction of the class that is served worst
+     * @param worstTenantWeight the weight of the fraction of the tenant that is served worst
+     * @param overQuotaWeight the fraction of its weight that a request over its tenant's quota has
+     * @param weightByWork whether a request's weight is that of its class for each unit of work;
+     *     otherwise all requests of a class have the same weight
      */
     public record ServiceGoal(
             double overallWeight,
@@ -134,7 +136,9 @@
             double overQuotaWeight,
             boolean weightByWork) {
 
-        /** A goal in which requests of a class have the same weight, whatever their work. */
+        /**
+         * Creates a goal in which requests of a class have the same weight, whatever their work.
+         */
         public ServiceGoal(
                 double overallWeight,
                 double worstWindowWeight,
@@ -152,10 +156,11 @@
     }
 
     /**
-     * What the site charges, in parts of the goal and for each request that has come in.
+     * The prices that the site charges, as fractions of the goal and for each request that has
+     * arrived.
      *
-     * @param probe for a probe
-     * @param handshake for a new connection
+     * @param probe the price of a probe
+     * @param handshake the price of a new connection
      */
     public record ServicePrices(double probe, double handshake) {}
 }
--- a/core/src/main/java/cedarrudder/balancer/ConnectionEstimate.java
+++ b/core/src/main/java/cedarrudder/balancer/ConnectionEstimate.java
@@ -1,17 +1,19 @@
 package cedarrudder.balancer;
 
 /**
- * An estimate of the connections that this replica has open to one endpoint: one for each attempt
- * that was in flight at once. No event reports connections to the balancer.
+ * An estimate of the number of connections that this replica has open to one endpoint: one for each
+ * attempt that was in flight at the same time. No event reports connections to the balancer.
  */
 final class ConnectionEstimate {
 
-    /** An endpoint that took no connection is taken to be out of them for this long. */
+    /**
+     * An endpoint that accepted no connection is assumed to be out of connections for this long.
+     */
     private static final long OUT_OF_CONNECTIONS_NANOS = 300_000_000L;
 
     private int open;
 
-    /** The most attempts in flight since the last look for surplus connections. */
+    /** Maximum number of attempts in flight since the last check for surplus connections. */
     private int peakInFlight;
 
     private long outOfConnectionsUntil = Long.MIN_VALUE;
@@ -30,18 +32,24 @@
         open = inFlight;
     }
 
-    /** Whether one more attempt would have to open a connection. */
+    /** Returns whether one more attempt would have to open a connection. */
     boolean needsNewConnection(int inFlight) {
         return inFlight >= open;
     }
 
-    /** Whether an attempt would wait for a connection that the endpoint has lately refused. */
+    /**
+     * Returns whether an attempt would need a new connection, which the endpoint has recently
+     * failed to accept.
+     */
     boolean isOutOfConnections(long now, int inFlight) {
         return now < outOfConnectionsUntil && needsNewConnection(inFlight);
     }
 
-    /** Whether more connections are open than were used since the last call. */
-    boolean takeSurplus(int inFlight) {
+    /**
+     * Returns whether more connections are open than were used since the last call, and starts the
+     * next measurement.
+     */
+    boolean checkForSurplus(int inFlight) {
         boolean surplus = open > Math.max(1, peakInFlight);
         peakInFlight = inFlight;
         return surplus;
--- a/core/src/main/java/cedarrudder/balancer/DiscoveryPolling.java
+++ b/core/src/main/java/cedarrudder/balancer/DiscoveryPolling.java
@@ -5,13 +5,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When the endpoint list is asked for: once after the start, at a random time, and again with
- * backoff and jitter after a failure, so that replicas do not all poll at once a service that takes
- * seconds to serve them all.
+ * Decides when the endpoint list is polled: once after the start, at a random time, and again with
+ * backoff and jitter after a failure, so that replicas do not all poll at the same time a service
+ * that takes seconds to serve them all.
  */
 final class DiscoveryPolling {
 
-    /** The first poll is spread over this share of the time in which one must have polled. */
+    /**
+     * The first poll is spread over this fraction of the time within which a replica must have
+     * polled.
+     */
     private static final double FIRST_POLL_SPREAD = 0.4;
 
     private static final long INITIAL_BACKOFF_NANOS = 1_000_000_000L;
@@ -28,7 +31,7 @@
         this.actions = actions;
     }
 
-    /** The first list has come: it is that of the configuration. */
+    /** Schedules the first poll; called with the first list, which is that of the configuration. */
     void onStart(long now) {
         if (settings.pollsEndpoints()) {
             double spread = FIRST_POLL_SPREAD * settings.safety().pollIntervalNanos();
@@ -52,7 +55,7 @@
         actions.scheduleTimer(at, TimerToken.of(TimerToken.Kind.POLL));
     }
 
-    /** The timer of {@link TimerToken.Kind#POLL} has expired. */
+    /** Starts the watch after the timer of {@link TimerToken.Kind#POLL} has expired. */
     void onTimer() {
         actions.watchEndpoints(true);
     }
--- a/core/src/main/java/cedarrudder/balancer/EndpointDirectory.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointDirectory.java
@@ -13,8 +13,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The listed endpoints, one {@link EndpointState} an incarnation. An endpoint that is not ready
- * leaves the probe pool and the subset at once.
+ * The listed endpoints, with one {@link EndpointState} per incarnation. An endpoint that is not
+ * ready is removed from the probe pool and the subset immediately.
  */
 final class EndpointDirectory {
 
@@ -35,12 +35,12 @@
         this.pool = pool;
     }
 
-    /** The present incarnation of an endpoint; null where it is not listed. */
+    /** Returns the current incarnation of an endpoint, or null if it is not listed. */
     EndpointState get(long id) {
         return endpoints.get(id);
     }
 
-    /** Whether this incarnation is listed, and ready. */
+    /** Returns whether this incarnation is listed and ready. */
     boolean isCurrent(EndpointState endpoint) {
         return endpoint.isReady() && endpoints.get(endpoint.id()) == endpoint;
     }
@@ -49,13 +49,15 @@
         return (int) endpoints.values().stream().filter(matches).count();
     }
 
-    /** Takes a list or changes to it; what a whole list does not name is removed. */
+    /**
+     * Applies a list or changes to it; endpoints that are missing from a complete list are removed.
+     */
     void update(long now, EndpointListKind kind, List<Endpoint> entries) {
         if (kind != EndpointListKind.DELTA) {
-            Set<Long> named = new HashSet<>();
-            entries.forEach(entry -> named.add(entry.id()));
+            Set<Long> listedIds = new HashSet<>();
+            entries.forEach(entry -> listedIds.add(entry.id()));
             endpoints.values().stream()
-                    .filter(endpoint -> !named.contains(endpoint.id()))
+                    .filter(endpoint -> !listedIds.contains(endpoint.id()))
                     .toList()
                     .forEach(this::remove);
         }
@@ -73,10 +75,13 @@
         }
         EndpointState endpoint = endpoints.computeIfAbsent(entry.id(), id -> newState(now, entry));
         endpoint.setEndpoint(entry);
-        show(endpoint, endpoint.isReady());
+        updateReadiness(endpoint, endpoint.isReady());
     }
 
-    /** Nothing known of a former incarnation may be taken for the present one's. */
+    /**
+     * Returns whether an entry describes another incarnation than the known one. Nothing that is
+     * known of a former incarnation may be used for the current one.
+     */
     private static boolean isOtherIncarnation(Endpoint known, Endpoint entry) {
         return known.startedAt() != entry.startedAt()
                 || known.zone() != entry.zone()
@@ -89,11 +94,11 @@
     }
 
     private void remove(EndpointState endpoint) {
-        show(endpoint, false);
+        updateReadiness(endpoint, false);
         endpoints.remove(endpoint.id());
     }
 
-    private void show(EndpointState endpoint, boolean ready) {
+    private void updateReadiness(EndpointState endpoint, boolean ready) {
         subset.update(endpoint, ready);
         if (!ready) {
             pool.remove(endpoint);
--- a/core/src/main/java/cedarrudder/balancer/EndpointSelector.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointSelector.java
@@ -7,17 +7,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which endpoint an attempt goes to: the hot-cold rule over the probe pool, else a random endpoint
- * of the subset, else any at random.
+ * Selects the endpoint for an attempt: by the hot-cold rule over the probe pool, otherwise at
+ * random from the subset, otherwise at random from all ready endpoints.
  *
- * <p>Where zones have shares of the traffic, first the assigned zone is tried, then those that
- * stand in for it. While the subset has a sound endpoint in a zone that serves, however busy, only
- * such zones are sent to, so that overload does not spread. Where it has none, the shares are
- * behind what this replica sees, and any zone may serve.
+ * <p>If zones have shares of the traffic, the assigned zone is tried first, then the zones that
+ * substitute for it. As long as the subset has a healthy endpoint in a serving zone, however busy,
+ * attempts are sent only to serving zones, so that overload does not spread. If it has none, the
+ * shares lag behind what this replica observes, and any zone may serve.
  */
 final class EndpointSelector {
 
-    /** Random endpoints that are looked at before a request is queued. */
+    /** Number of random endpoints that are checked before a request is queued. */
     private static final int RANDOM_DRAWS = 16;
 
     private static final double MIN_MEAN_LATENCY_NANOS = 1e6;
@@ -53,13 +53,16 @@
         this.retries = retries;
     }
 
-    /** Whether an endpoint fails or is unresponsive. */
+    /** Returns whether an endpoint is failing or unresponsive. */
     boolean isSuspect(long now, EndpointState endpoint) {
         return endpoint.isFailing(now)
                 || endpoint.isUnresponsive(now, serviceTimes.unresponsiveAfterNanos());
     }
 
-    /** The endpoint for the next attempt of a request; null where none may take it now. */
+    /**
+     * Returns the endpoint for the next attempt of a request, or null if no endpoint may receive it
+     * now.
+     */
     EndpointState select(long now, RequestState request) {
         Predicate<EndpointState> eligible = endpoint -> isEligible(now, request, endpoint);
         if (!admission.hasZoneShares()) {
@@ -72,15 +75,15 @@
         if (chosen != null) {
             return chosen;
         }
-        boolean zonesAreSound = hasSoundServingEndpoint(now, request);
+        boolean servingZonesHealthy = hasHealthyServingEndpoint(now, request);
         chosen =
                 draw(
                         subset.ring(),
                         endpoint ->
-                                admission.isServing(endpoint.zone()) == zonesAreSound
+                                admission.isServing(endpoint.zone()) == servingZonesHealthy
                                         && !isSuspect(now, endpoint)
                                         && eligible.test(endpoint));
-        return chosen != null || zonesAreSound ? chosen : drawFromRing(request, eligible);
+        return chosen != null || servingZonesHealthy ? chosen : drawFromRing(request, eligible);
     }
 
     private EndpointState selectByZone(
@@ -103,24 +106,26 @@
     }
 
     /**
-     * The hot-cold rule, else a random one of these that is not suspect.
+     * Selects an endpoint by the hot-cold rule, otherwise a random member that is not suspect.
      *
-     * @param suspect whether an endpoint counts as hot whatever its load
+     * @param suspect the endpoints that count as hot whatever their load
      */
     private EndpointState selectAmong(
             long now,
             Predicate<EndpointState> eligible,
             Predicate<EndpointState> suspect,
             List<EndpointState> members) {
-        subset.members(); // brought up to date first: a change of it takes entries off the pool
+        subset.members(); // updates the subset first, which may remove entries from the pool
         double meanLatency = Math.max(MIN_MEAN_LATENCY_NANOS, serviceTimes.overallMean());
         double turnover = parameters.get(Parameter.TURNOVER_LATENCIES) * meanLatency;
         EndpointState picked = pool.pick(now, turnover, eligible, suspect);
         return picked != null ? picked : draw(members, eligible.and(suspect.negate()));
     }
 
-    /** Whether the subset has an endpoint in a zone that serves which only lacks capacity. */
-    private boolean hasSoundServingEndpoint(long now, RequestState request) {
+    /**
+     * Returns whether the subset has an endpoint in a serving zone that lacks nothing but capacity.
+     */
+    private boolean hasHealthyServingEndpoint(long now, RequestState request) {
         for (EndpointState endpoint : subset.members()) {
             if (admission.isServing(endpoint.zone())
                     && !endpoint.isOutOfConnections(now)
@@ -135,14 +140,15 @@
     }
 
     /**
-     * A random eligible endpoint of all. A retry that is bound to a zone or cell may find none by
-     * random draws, so it draws among the eligible ones alone.
+     * Returns a random eligible endpoint of all ready ones. For a retry that is restricted to a
+     * zone or cell, random draws from all may find no eligible endpoint, so only the eligible ones
+     * are drawn from.
      */
     private EndpointState drawFromRing(RequestState request, Predicate<EndpointState> eligible) {
-        boolean bound =
+        boolean restricted =
                 request.attemptCount() > 0 && request.requestClass().keyScope() != KeyScope.ALL;
         List<EndpointState> candidates =
-                bound ? subset.ring().stream().filter(eligible).toList() : subset.ring();
+                restricted ? subset.ring().stream().filter(eligible).toList() : subset.ring();
         return draw(candidates, eligible);
     }
 
@@ -156,7 +162,7 @@
         return null;
     }
 
-    /** Whether an attempt of this request may go to an endpoint. */
+    /** Returns whether an attempt of this request may be sent to an endpoint. */
     private boolean isEligible(long now, RequestState request, EndpointState endpoint) {
         return maySendTo(now, endpoint)
                 && retries.mayAttempt(now, request, endpoint)
@@ -165,8 +171,9 @@
     }
 
     /**
-     * Whether anything new may be sent to an endpoint at all: it is listed as ready, holds no more
-     * than it can, has taken connections, and is not pushed over while it warms up.
+     * Returns whether any new attempt may be sent to an endpoint: the endpoint is listed as ready,
+     * is below its concurrency limit, has not run out of connections, and is not overloaded while
+     * it warms up.
      */
     private boolean maySendTo(long now, EndpointState endpoint) {
         return endpoint.isReady()
--- a/core/src/main/java/cedarrudder/balancer/EndpointState.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointState.java
@@ -7,9 +7,9 @@
 import cedarrudder.balancer.LoadBalancer.Outcome;
 
 /**
- * What this replica knows of one incarnation of an endpoint: its own attempts there and how they
- * ended, its probes, its connections, and how much it may still send while the endpoint warms up. A
- * restart of the endpoint begins a new one.
+ * The state that this replica keeps for one incarnation of an endpoint: the attempts sent to it and
+ * their outcomes, its probes, its connections, and how much may still be sent to it while it warms
+ * up. A restart of the endpoint begins a new incarnation with a new state.
  */
 final class EndpointState {
 
@@ -27,13 +27,17 @@
     private int inFlight;
     private int uploading;
 
-    /** Since when attempts have been in flight with nothing coming back; valid while any is. */
+    /**
+     * The instant since which attempts have been in flight with nothing received; valid while any
+     * attempt is in flight.
+     */
     private long waitingSince;
 
     /**
-     * @param initialLimit how many requests it may hold until more is known of it; 0: any number
-     * @param slowStartDebt where its slow-start budget begins, in mean requests below zero, from 0
-     *     to 1
+     * @param initialLimit the number of requests that may be in flight at the endpoint until more
+     *     is known; 0: no limit
+     * @param slowStartDebt the initial debt of the slow-start budget, in mean requests below zero,
+     *     from 0 to 1
      */
     EndpointState(Endpoint endpoint, long now, double initialLimit, double slowStartDebt) {
         this.id = endpoint.id();
@@ -43,7 +47,10 @@
         this.slowStartBudget = new SlowStartBudget(now, slowStartDebt);
     }
 
-    /** A bijective hash (the finalizer of SplitMix64): neighbouring ids become unrelated. */
+    /**
+     * Hashes an id bijectively (the finalizer of SplitMix64), so that neighbouring ids become
+     * unrelated.
+     */
     private static long scramble(long id) {
         long z = id * 0x9E3779B97F4A7C15L;
         z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
@@ -51,13 +58,16 @@
         return z ^ (z >>> 31);
     }
 
-    // ---- what the endpoint list says
+    // ---- the entry in the endpoint list
 
     long id() {
         return id;
     }
 
-    /** Its position among ready endpoints, the same at every replica and unrelated to its id. */
+    /**
+     * Returns the endpoint's position in the ring of ready endpoints, the same at every replica and
+     * unrelated to the endpoint's id.
+     */
     long ringOrder() {
         return ringOrder;
     }
@@ -78,7 +88,7 @@
         return endpoint.status() == EndpointStatus.READY;
     }
 
-    /** Whether it is in another zone than this replica. */
+    /** Returns whether the endpoint is in another zone than this replica. */
     boolean isInOtherZone() {
         return inOtherZone;
     }
@@ -87,7 +97,7 @@
         inOtherZone = other;
     }
 
-    /** Whether this replica probes it. */
+    /** Returns whether the endpoint is in the subset, which this replica probes. */
     boolean isInSubset() {
         return inSubset;
     }
@@ -102,7 +112,10 @@
         return endpoint.startedAt() != 0 && now - endpoint.startedAt() < safety.slowStartNanos();
     }
 
-    /** The share of its whole capacity that it has at least, from the cold share to 1. */
+    /**
+     * Returns the minimum fraction of its full capacity that the endpoint has now, from {@link
+     * SafetyRules#coldCapacityShare} to 1.
+     */
     double capacity(long now, SafetyRules safety) {
         if (!isWarmingUp(now, safety)) {
             return 1;
@@ -113,21 +126,23 @@
     }
 
     /**
-     * Whether the slow-start budget has room for an attempt.
+     * Returns whether the slow-start budget permits an attempt.
      *
-     * @param warmRate what one warm endpoint does for this replica, in mean requests a second
+     * @param warmRate the rate at which one warm endpoint serves this replica, in mean requests per
+     *     second
      */
     boolean withinSlowStartBudget(
             long now, double warmRate, BalancerParameters parameters, SafetyRules safety) {
-        return slowStartBudget.tryRefill(now, capacity(now, safety), warmRate, parameters, safety);
+        return slowStartBudget.refillAndCheck(
+                now, capacity(now, safety), warmRate, parameters, safety);
     }
 
     // ---- attempts
 
     /**
-     * Records an attempt.
+     * Records an attempt that is sent.
      *
-     * @param cost what it costs, in mean requests
+     * @param cost the cost of the attempt, in mean requests
      */
     void onAttemptSent(long now, double cost) {
         unused = false;
@@ -145,7 +160,7 @@
             connections.onConnectFailed(now, inFlight);
         }
         if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_STARTED) {
-            return; // says nothing of the endpoint
+            return; // reveals nothing about the endpoint
         }
         if (outcome != Outcome.TIMEOUT) {
             waitingSince = now;
@@ -153,14 +168,15 @@
         failures.record(now, outcome == Outcome.OK);
     }
 
-    /** Records a good answer, before {@link #onAttemptEnded}. */
+    /** Records a successful response; call it before {@link #onAttemptEnded}. */
     void onServed(long now, int replicas, long latency, long expectedWorkNanos) {
-        concurrencyLimit.onResponse(held(now, replicas), latency, expectedWorkNanos);
+        concurrencyLimit.onResponse(estimatedInFlight(now, replicas), latency, expectedWorkNanos);
     }
 
     /**
-     * An answer that had begun, and was counted as good, was aborted: it counts as two failures to
-     * make up for that. An attempt sent to a former incarnation says nothing of this one.
+     * Records that a response was aborted after it had begun and had been counted as successful;
+     * counts two failures to compensate for that. Ignores an attempt that was sent to a former
+     * incarnation.
      */
     void onResponseAborted(long now, long sentAt) {
         if (sentAt < endpoint.startedAt()) {
@@ -170,7 +186,10 @@
         failures.record(now, false);
     }
 
-    /** An attempt went out whose request is still being uploaded: it is not executed yet. */
+    /**
+     * Records an attempt whose request is still being uploaded, and which the endpoint does not
+     * execute yet.
+     */
     void uploadStarted() {
         uploading++;
     }
@@ -179,40 +198,43 @@
         uploading--;
     }
 
-    /** This replica's own attempts in flight. */
+    /** Returns the number of this replica's own attempts in flight. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Whether nothing was sent to it since it started. */
+    /** Returns whether nothing was sent to this incarnation yet. */
     boolean isUnused() {
         return unused;
     }
 
-    // ---- what counts against it
+    // ---- health and load
 
     boolean isFailing(long now) {
         return failures.isFailing(now);
     }
 
     /**
-     * Whether nothing came back for too long while attempts are in flight, though it may still
-     * answer probes.
+     * Returns whether attempts are in flight and nothing was received for longer than the timeout,
+     * even if the endpoint still responds to probes.
      */
     boolean isUnresponsive(long now, long timeoutNanos) {
         return inFlight > uploading && now - waitingSince > timeoutNanos;
     }
 
-    /** Whether it may be given one more request. */
+    /** Returns whether one more request may be sent within the endpoint's concurrency limit. */
     boolean hasCapacity(long now, int replicas) {
-        return concurrencyLimit.hasCapacity(held(now, replicas));
+        return concurrencyLimit.hasCapacity(estimatedInFlight(now, replicas));
     }
 
-    private double held(long now, int replicas) {
+    private double estimatedInFlight(long now, int replicas) {
         return concurrencyLimit.inFlight(now, inFlight - uploading, replicas);
     }
 
-    /** Takes what it reported to have in flight for other replicas. */
+    /**
+     * Records the number of requests that the endpoint reported to have in flight for other
+     * replicas.
+     */
     void onLoadReport(long now, double inFlightOfOthers) {
         concurrencyLimit.onLoadReport(now, inFlightOfOthers);
     }
@@ -227,8 +249,8 @@
         return connections.isOutOfConnections(now, inFlight);
     }
 
-    boolean takeSurplusConnections() {
-        return connections.takeSurplus(inFlight);
+    boolean checkForSurplusConnections() {
+        return connections.checkForSurplus(inFlight);
     }
 
     void onIdleConnectionsClosed() {
--- a/core/src/main/java/cedarrudder/balancer/EndpointSubset.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointSubset.java
@@ -11,24 +11,26 @@
 import java.util.function.Predicate;
 
 /**
- * Deterministic subsetting: the endpoints that this replica probes and sends to.
+ * Selects the endpoints that this replica probes and sends to, by deterministic subsetting.
  *
- * <p>All ready endpoints stand in a ring, in an order that every replica agrees on and that has to
- * do with nothing else. The subset is a run of the ring that starts where this replica's number
- * puts it. So the subsets of all replicas cover the ring evenly, a change of the list moves each by
- * one endpoint at most, and the number of connections does not grow as replicas times endpoints,
- * which endpoints with few connections could not bear.
+ * <p>All ready endpoints form a ring, in an order that is the same at every replica and depends on
+ * nothing else. The subset is a segment of the ring that starts at a position given by this
+ * replica's number. Thus the subsets of all replicas cover the ring evenly, a change of the
+ * endpoint list moves each subset by one endpoint at most, and the number of connections does not
+ * grow as replicas times endpoints, which would exceed the capacity of endpoints that accept few
+ * connections.
  */
 final class EndpointSubset {
 
     /**
-     * One endpoint of other zones is probed for this many of the own: a way out when the own zone
-     * is overloaded.
+     * For this many endpoints of the own zone one of other zones is probed, as a fallback when the
+     * own zone is overloaded.
      */
     private static final int OWN_PER_OTHER_ZONE = 3;
 
     /**
-     * The subset shrinks only below this share of its size, so that it follows no single request.
+     * The subset shrinks only if the required size is below this fraction of the current one, so
+     * that the size does not follow single requests.
      */
     private static final double SHRINK_BELOW = 0.75;
 
@@ -44,14 +46,14 @@
     private final List<EndpointState> ring = new ArrayList<>();
     private final List<EndpointState> members = new ArrayList<>();
 
-    /** The zones that may be sent to, each with its share; empty: all may. */
+    /** The zones that may be sent to, with their shares; empty if all zones may be. */
     private List<ZoneTrafficShare> zoneShares = List.of();
 
     private int targetSize;
     private boolean stale = true;
 
     /**
-     * @param onRemoved called for each endpoint that leaves the subset while it stays listed
+     * @param onRemoved called for each endpoint that is removed from the subset
      */
     EndpointSubset(
             BalancerSettings settings,
@@ -63,12 +65,15 @@
         this.targetSize = (int) parameters.get(Parameter.SUBSET_MIN_SIZE);
     }
 
-    /** All ready endpoints, in ring order. */
+    /** Returns all ready endpoints, in ring order. */
     List<EndpointState> ring() {
         return ring;
     }
 
-    /** Adds an endpoint to the ring or removes it, as the list says whether it is ready. */
+    /**
+     * Adds an endpoint to the ring if the endpoint list says that it is ready, and removes it
+     * otherwise.
+     */
     void update(EndpointState endpoint, boolean ready) {
         endpoint.setInOtherZone(endpoint.zone() != settings.zone());
         int index = Collections.binarySearch(ring, endpoint, RING_ORDER);
@@ -81,31 +86,34 @@
         stale |= ready != present;
     }
 
-    /** From now on only the named zones have members, each by its share; none named: all have. */
+    /**
+     * Restricts the subset to the given zones, each with members according to its share; if the
+     * list is empty, all zones have members.
+     */
     void setZoneShares(List<ZoneTrafficShare> shares) {
         zoneShares = List.copyOf(shares);
         stale = true;
     }
 
     /**
-     * Fits the size to the attempts that this replica has in flight on average: one with much to
-     * send needs more endpoints.
+     * Adapts the size of the subset to this replica's average number of attempts in flight: a
+     * replica that sends much needs more endpoints.
      */
     void resize(double averageInFlight) {
-        double covering =
+        double sizeForCoverage =
                 parameters.get(Parameter.SUBSET_COVERAGE)
                         * ring.size()
                         / Math.max(1, settings.replicas());
-        double bearing = parameters.get(Parameter.SUBSET_PER_REQUEST) * averageInFlight;
+        double sizeForLoad = parameters.get(Parameter.SUBSET_PER_REQUEST) * averageInFlight;
         double min = parameters.get(Parameter.SUBSET_MIN_SIZE);
-        int wanted = (int) Math.ceil(Math.max(min, Math.max(covering, bearing)));
-        if (wanted > targetSize || wanted < (int) (targetSize * SHRINK_BELOW)) {
-            targetSize = wanted;
+        int requiredSize = (int) Math.ceil(Math.max(min, Math.max(sizeForCoverage, sizeForLoad)));
+        if (requiredSize > targetSize || requiredSize < (int) (targetSize * SHRINK_BELOW)) {
+            targetSize = requiredSize;
             stale = true;
         }
     }
 
-    /** The members, brought up to date. */
+    /** Returns the members, after an update if one is due. */
     List<EndpointState> members() {
         if (stale) {
             stale = false;
@@ -116,20 +124,20 @@
 
     private void rebuild() {
         members.forEach(endpoint -> endpoint.setInSubset(false));
-        List<EndpointState> former = new ArrayList<>(members);
+        List<EndpointState> formerMembers = new ArrayList<>(members);
         members.clear();
         for (ZoneTrafficShare share : zoneShares) {
-            addRun(endpoint -> endpoint.zone() == share.zone(), sizeFor(share));
+            addSegment(endpoint -> endpoint.zone() == share.zone(), sizeFor(share));
         }
         if (members.isEmpty()) {
-            int inOwnZone = addRun(endpoint -> !endpoint.isInOtherZone(), targetSize);
+            int inOwnZone = addSegment(endpoint -> !endpoint.isInOtherZone(), targetSize);
             boolean fewInOwnZone = inOwnZone < parameters.get(Parameter.SUBSET_MIN_SIZE);
-            addRun(
+            addSegment(
                     EndpointState::isInOtherZone,
                     fewInOwnZone ? targetSize : targetSize / OWN_PER_OTHER_ZONE);
         }
-        former.removeIf(EndpointState::isInSubset);
-        former.forEach(onRemoved);
+        formerMembers.removeIf(EndpointState::isInSubset);
+        formerMembers.forEach(onRemoved);
     }
 
     private int sizeFor(ZoneTrafficShare share) {
@@ -137,8 +145,8 @@
         return (int) Math.ceil(targetSize * (part + (1 - part) / OWN_PER_OTHER_ZONE));
     }
 
-    /** Adds a run of those in the ring that match; returns how many match. */
-    private int addRun(Predicate<EndpointState> matches, int max) {
+    /** Adds a segment of the matching endpoints of the ring; returns how many endpoints match. */
+    private int addSegment(Predicate<EndpointState> matches, int max) {
         List<EndpointState> candidates = ring.stream().filter(matches).toList();
         int count = Math.min(max, candidates.size());
         long start = (long) settings.self() * candidates.size() / Math.max(1, settings.replicas());
--- a/core/src/main/java/cedarrudder/balancer/IdleConnections.java
+++ b/core/src/main/java/cedarrudder/balancer/IdleConnections.java
@@ -3,39 +3,45 @@
 import cedarrudder.balancer.LoadBalancer.Actions;
 
 /**
- * Which idle connections are closed. Endpoints accept a limited number, an open one costs them
- * capacity, and the idle ones of one replica are those that another lacks.
+ * Decides which idle connections are closed. Endpoints accept a limited number of connections, an
+ * open one costs them capacity, and idle connections of one replica are missing at another.
  */
 final class IdleConnections {
 
-    /** No idle connection is kept for this long after an endpoint took none. */
-    private static final long SCARCITY_NANOS = 3_000_000_000L;
+    /**
+     * No idle connections are retained for this long after an endpoint failed to accept a
+     * connection.
+     */
+    private static final long SHORTAGE_NANOS = 3_000_000_000L;
 
     private final Actions actions;
-    private long scarceUntil = Long.MIN_VALUE;
+    private long shortageUntil = Long.MIN_VALUE;
 
     IdleConnections(Actions actions) {
         this.actions = actions;
     }
 
-    /** An endpoint that is listed took no connection in time. */
-    void onScarce(long now) {
-        scarceUntil = now + SCARCITY_NANOS;
+    /** Records that a listed endpoint accepted no connection in time. */
+    void onConnectionShortage(long now) {
+        shortageUntil = now + SHORTAGE_NANOS;
     }
 
-    /** An attempt has ended: closes what the endpoint's connections are no longer needed for. */
+    /**
+     * Closes the endpoint's idle connections if they are no longer needed after the end of an
+     * attempt.
+     */
     void onAttemptEnded(long now, EndpointState endpoint) {
-        boolean spare = now < scarceUntil && !endpoint.needsNewConnection();
+        boolean surplusDuringShortage = now < shortageUntil && !endpoint.needsNewConnection();
         boolean outsideSubset = endpoint.inFlight() == 0 && !endpoint.isInSubset();
-        if (spare || outsideSubset) {
+        if (surplusDuringShortage || outsideSubset) {
             close(endpoint);
         }
     }
 
-    /** Closes connections that a burst has left behind. */
+    /** Closes idle connections that were opened for a burst and are not used since. */
     void closeSurplus(EndpointSubset subset) {
         for (EndpointState endpoint : subset.members()) {
-            if (endpoint.takeSurplusConnections()) {
+            if (endpoint.checkForSurplusConnections()) {
                 close(endpoint);
             }
         }
--- a/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -4,34 +4,38 @@
 import java.util.List;
 
 /**
- * The decisions of one replica of the proxy: events in, actions out. This is the whole interface of
- * the balancer.
+ * Makes the decisions of one replica of the proxy: events in, actions out. This is the complete
+ * interface of the balancer.
  *
- * <p>A balancer learns of everything through the event methods below, each with the instant at
- * which it happened, and answers through {@link Actions}. It has no clock, starts no thread and
- * shares nothing with other replicas. Instants are nanoseconds of one clock that never goes back
- * and whose zero means nothing. An implementation is not thread-safe: call it from one thread at a
- * time.
+ * <p>A balancer is notified of everything through the event methods below, each with the instant at
+ * which the event happened, and responds through {@link Actions}. It has no clock, starts no thread
+ * and shares no state with other replicas. Instants are nanoseconds of one monotonic clock with an
+ * arbitrary origin. An implementation is not thread-safe: only one thread at a time may call it.
  */
 public interface LoadBalancer {
 
-    /** How an attempt or a probe ended. */
+    /** The outcome of an attempt or a probe. */
     enum Outcome {
         /** Served. */
         OK(false),
-        /** The endpoint answered with an error; the work may have run. */
+        /** The endpoint responded with an error; the work may have run. */
         ERROR(false),
-        /** Rejected without being executed: the endpoint's queue is full, or it drains. */
+        /**
+         * Rejected without being executed: the endpoint's queue is full, or the endpoint is
+         * draining.
+         */
         REJECTED(true),
-        /** No answer in time; the work may have run or be running. */
+        /** No response in time; the work may have run or be running. */
         TIMEOUT(false),
-        /** No connection could be made in time. */
+        /** No connection could be established in time. */
         CONNECT_FAILED(true),
         /** The connection broke while the attempt was in flight. */
         RESET(false),
         /** Cancelled by this replica; the work may have run. */
         CANCELLED(false),
-        /** Never sent: its request was over, out of time or of attempts, or buffers were full. */
+        /**
+         * Never sent: the request was over, or had no time or attempts left, or buffers were full.
+         */
         NOT_STARTED(true);
 
         private final boolean provesNotRun;
@@ -40,49 +44,52 @@
             this.provesNotRun = provesNotRun;
         }
 
-        /** Whether this outcome proves that the attempt was never executed. */
+        /** Returns whether this outcome proves that the attempt was never executed. */
         public boolean provesNotRun() {
             return provesNotRun;
         }
     }
 
-    /** What the tiers above and below know of a request before work goes into it. */
+    /** What the tiers above and below know about a request before work is spent on it. */
     enum AdmissionHint {
-        /** Nothing speaks against it. */
+        /** No objection is known. */
         ADMIT,
-        /** It has come here before: the tiers send to one another in a circle. */
+        /**
+         * The request has passed this replica's tier before: the tiers send requests to each other
+         * in a loop.
+         */
         LOOP,
-        /** Its time can't suffice. */
+        /** The remaining time cannot suffice. */
         DEADLINE_TOO_SHORT,
-        /** The tier below has too much work, and other requests have a higher priority. */
+        /** The tier below is overloaded, and other requests have a higher priority. */
         OVERLOADED
     }
 
-    /** What the endpoint list says of an endpoint. */
+    /** The status of an endpoint in the endpoint list. */
     enum EndpointStatus {
-        /** It takes requests. */
+        /** Accepts requests. */
         READY,
-        /** It takes no new requests and ends soon. */
+        /** Accepts no new requests and will end soon. */
         DRAINING,
-        /** It is no longer listed. */
+        /** No longer listed. */
         REMOVED
     }
 
-    /** Whether a list replaces what was known or changes it. */
+    /** How a received endpoint list relates to the known one. */
     enum EndpointListKind {
-        /** The whole list. */
+        /** A complete list, which replaces the known one. */
         FULL,
-        /** Changes to it. */
+        /** Changes to the known list. */
         DELTA,
-        /** The whole list as it was last known, from the configuration. */
+        /** The complete list as last known, from the configuration. */
         CACHED
     }
 
     /**
-     * One entry of the endpoint list.
+     * An entry of the endpoint list.
      *
-     * @param startedAt the instant of its last start; 0: long ago. Another one is another
-     *     incarnation
+     * @param startedAt the instant at which the endpoint was last started; 0: long ago. A different
+     *     instant means a different incarnation
      */
     record Endpoint(
             long id,
@@ -96,11 +103,11 @@
     /**
      * A request.
      *
-     * @param deadline the instant after which no answer is of use
-     * @param repeat whether its client marked it as a repeat
-     * @param expectedWorkNanos the work that it is said to need; 0: not known
-     * @param uploading whether its body is still received, until {@link #onUploadComplete}; no
-     *     endpoint executes it before
+     * @param deadline the instant after which a response is of no use
+     * @param repeat whether the client marked the request as a repeat
+     * @param expectedWorkNanos the work that the request is declared to need; 0: not known
+     * @param uploading whether the request's body is still being received, until {@link
+     *     #onUploadComplete}; no endpoint executes the request before that
      */
     record Request(
             long id,
@@ -113,7 +120,7 @@
             long expectedWorkNanos,
             boolean uploading) {
 
-        /** A request that was received completely. */
+        /** Creates a request that was received completely. */
         public Request(
                 long id,
                 int classIndex,
@@ -137,18 +144,19 @@
     }
 
     /**
-     * What one zone may get of a replica's requests, by the route table that replicas agree on.
+     * The share of a replica's requests that one zone may get, by the route table that replicas
+     * agree on.
      *
-     * @param zone as the endpoint list numbers it
-     * @param parts this many of {@link RouteTable#TOTAL_WEIGHT}; from 1
-     * @param maxPerSecond it gets no more requests a second from this replica; 0: no bound
+     * @param zone the zone's number in the endpoint list
+     * @param parts the share in parts of {@link RouteTable#TOTAL_WEIGHT}; from 1
+     * @param maxPerSecond the maximum number of requests per second from this replica; 0: no limit
      */
     record ZoneTrafficShare(int zone, int parts, int maxPerSecond) {
 
         /**
-         * Checks the ranges, which are the table's.
+         * Checks the ranges, which are those of the route table.
          *
-         * @throws IllegalArgumentException where a value is out of its range
+         * @throws IllegalArgumentException if a value is out of its range
          */
         public ZoneTrafficShare {
             check("zone", zone, 0, RouteTable.MAX_ZONES - 1);
@@ -164,7 +172,7 @@
         }
     }
 
-    /** An endpoint's own report of its load. A value that it does not report is NaN. */
+    /** An endpoint's report of its own load. A value that the endpoint does not report is NaN. */
     record LoadReport(
             double inFlight,
             double queued,
@@ -173,75 +181,88 @@
             double requestsPerSecond,
             double errorsPerSecond) {}
 
-    /** What a balancer may do. Actions take effect in order, at the time of the event at hand. */
+    /**
+     * The actions of a balancer. They take effect in order, at the instant of the current event.
+     */
     interface Actions {
         /**
-         * Starts an attempt; the attempts of a request are numbered from 0 in the order started.
+         * Starts an attempt; the attempts of a request are numbered from 0 in the order in which
+         * they are started.
          *
          * @param timeout in nanoseconds; 0: the request's deadline
          */
         void startAttempt(long request, long endpoint, long timeout);
 
         /**
-         * Ends a request: it was not executed and may harmlessly be retried.
+         * Rejects a request: it was not executed and a retry is harmless.
          *
          * @param retryAfter advice when to retry, in nanoseconds; 0: none
          */
         void reject(long request, long retryAfter);
 
-        /** Ends a request: it failed, and nothing is promised. */
+        /** Fails a request, without any guarantee whether it was executed. */
         void fail(long request);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt, whose response is no longer awaited. */
         void cancelAttempt(long request, int attempt);
 
-        /** Probes an endpoint for its load. */
+        /** Sends a probe for the load of an endpoint. */
         void sendProbe(long endpoint);
 
         /** Closes the idle connections to an endpoint. */
         void closeIdleConnections(long endpoint);
 
-        /** Asks for {@link #onTimer} with this token at an instant or soon after, never at once. */
+        /**
+         * Schedules a call of {@link #onTimer} with this token, at an instant or soon after it but
+         * never immediately.
+         */
         void scheduleTimer(long at, long token);
 
-        /** Opens the watch on the endpoint list, from the changes last known on, or ends it. */
+        /**
+         * Starts the watch on the endpoint list, resuming after the last known changes, or ends it.
+         */
         void watchEndpoints(boolean on);
 
-        /** Asks for the whole endpoint list once. */
+        /** Fetches the complete endpoint list once. */
         void fetchEndpoints();
 
         /** Sends a short message to one replica of this tier, or to all of them (-1). */
         void sendToPeers(int replica, byte[] message);
 
-        /** Writes a line for the operator. */
+        /** Logs a line for the operator. */
         void log(String line);
     }
 
-    /** The endpoint list, or changes to it. */
+    /** Handles a received endpoint list, or changes to the known one. */
     void onEndpoints(long now, EndpointListKind kind, List<Endpoint> entries);
 
-    /** A call to discovery failed or a watch broke; the known list stands. */
+    /** Handles a failed discovery request or a broken watch; the known list remains in effect. */
     void onEndpointsUnavailable(long now);
 
-    /** A request has arrived; the balancer now owes it one final answer. */
+    /**
+     * Handles the arrival of a request, to which the balancer must give exactly one final response.
+     */
     void onRequest(long now, Request request);
 
     /**
-     * A request has arrived with a hint; any but {@link AdmissionHint#ADMIT} should be rejected. A
-     * balancer that does not override this takes it as any other.
+     * Handles the arrival of a request with a hint. A request with any hint but {@link
+     * AdmissionHint#ADMIT} should be rejected. By default the hint is ignored.
      */
     default void onRequest(long now, Request request, AdmissionHint hint) {
         onRequest(now, request);
     }
 
-    /** A streamed answer has begun; the attempt is the client's from here on. */
+    /**
+     * Handles the start of a streamed response; from here on, the response of this attempt is
+     * forwarded to the client.
+     */
     void onFirstByte(long now, long request, int attempt, long endpoint, long latency);
 
     /**
-     * An attempt ended.
+     * Handles the end of an attempt.
      *
-     * @param settled whether the request is over, by this or earlier
-     * @param load null where none was reported
+     * @param settled whether the request is over, by this attempt or an earlier one
+     * @param load null if no load was reported
      */
     void onAttemptEnded(
             long now,
@@ -254,67 +275,73 @@
             LoadReport load);
 
     /**
-     * What an attempt that was started, and of which no byte has gone out, ends with instead of
-     * being sent now; null: it may be sent. {@link Outcome#CONNECT_FAILED} where another endpoint
-     * may take the request, {@link Outcome#NOT_STARTED} where nothing more may be sent for it. This
-     * is a question, and changes nothing; the outcome is reported like any other. A balancer that
-     * does not override it lets all be sent.
+     * Returns the outcome with which an attempt ends instead of being sent now, or null if it may
+     * be sent. The attempt was started, but no byte of it was sent yet. {@link
+     * Outcome#CONNECT_FAILED} means that another endpoint may serve the request, {@link
+     * Outcome#NOT_STARTED} that nothing more may be sent for it. This is a query and changes
+     * nothing; the outcome is reported like any other. By default every attempt may be sent.
      */
     default Outcome startDenial(long now, long request, int attempt) {
         return null;
     }
 
-    /** The body of a request that was uploading is complete: its client's wait begins now. */
+    /**
+     * Handles the complete upload of a request's body: the client's waiting time is measured from
+     * now on.
+     */
     default void onUploadComplete(long now, long request) {}
 
-    /** The client has left; the request is over. */
+    /** Handles the disconnection of the client; the request is over. */
     void onClientLeft(long now, long request);
 
-    /** A timer of {@link Actions#scheduleTimer} has expired. */
+    /** Handles the expiry of a timer of {@link Actions#scheduleTimer}. */
     void onTimer(long now, long token);
 
     /**
-     * A probe ended.
+     * Handles the end of a probe.
      *
-     * @param latency how long ago it was sent
-     * @param load null unless it was answered with a report
+     * @param latency the time since the probe was sent, in nanoseconds
+     * @param load null unless the endpoint responded with a report
      */
     void onProbeEnded(long now, long endpoint, Outcome outcome, long latency, LoadReport load);
 
     /**
-     * A streamed answer, with which its attempt was reported as served, was aborted.
+     * Handles the abort of a streamed response whose attempt was already reported as served.
      *
-     * @param sentAt when the attempt was sent
+     * @param sentAt the instant at which the attempt was sent
      */
     default void onResponseAborted(long now, long endpoint, long sentAt) {}
 
-    /** An operator has put an endpoint back, which should get requests soon. */
+    /**
+     * Handles an operator's command to enable an endpoint again; the endpoint should get requests
+     * soon.
+     */
     default void onEndpointReenabled(long now, long endpoint) {}
 
     /**
-     * How many replicas are alive, this one among them, from 1 to {@link
-     * BalancerSettings#replicas}; until the first such event all are.
+     * Handles a change of the number of live replicas, this one included, from 1 to {@link
+     * BalancerSettings#replicas}; until the first such event all are considered live.
      */
     default void onLiveReplicas(long now, int live) {}
 
     /**
-     * Which part of this replica's requests each zone may get from now on. Their order is that in
-     * which they stand in for one another, after the replica's own zone. Empty, as at the start: as
-     * the balancer sees fit.
+     * Handles a change of the shares of this replica's requests that zones may get from now on.
+     * Zones substitute for one another in the order of this list, after the replica's own zone. If
+     * the list is empty, as at the start, the balancer chooses zones itself.
      *
-     * @throws IllegalArgumentException where a zone is named twice, or parts sum up to more than a
-     *     whole; what counted before counts on
+     * @throws IllegalArgumentException if a zone is listed twice, or the parts sum up to more than
+     *     a whole; the earlier shares then remain in effect
      */
     default void onZoneShares(long now, List<ZoneTrafficShare> shares) {}
 
     /**
-     * How many of the listed endpoints are avoided now: they drain, fail, or are unresponsive. This
-     * is a question, and changes nothing.
+     * Returns how many of the listed endpoints are avoided now because they are draining, failing
+     * or unresponsive. This is a query and changes nothing.
      */
     default int avoidedEndpoints(long now) {
         return 0;
     }
 
-    /** A message from another replica of this tier. */
+    /** Handles a message from another replica of this tier. */
     void onPeerMessage(long now, int from, byte[] message);
 }
--- a/core/src/main/java/cedarrudder/balancer/OpenRequests.java
+++ b/core/src/main/java/cedarrudder/balancer/OpenRequests.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that are open, or have attempts in flight, and the one way in which they end. */
+/** The requests that are open or have attempts in flight. Each of them ends here. */
 final class OpenRequests {
 
-    /** In place of the number of an attempt where there is none. */
+    /** Stands for an attempt number where there is no attempt. */
     static final int NO_ATTEMPT = -1;
 
     private final BalancerSettings.Limits limits;
@@ -35,12 +35,15 @@
         requests.put(request.id(), request);
     }
 
-    /** The request of this id; null where it is over and has no attempts in flight. */
+    /** Returns the request with this id, or null if it is over and has no attempts in flight. */
     RequestState get(long requestId) {
         return requests.get(requestId);
     }
 
-    /** The one place where this replica ends a request. */
+    /**
+     * Rejects or fails a request unless it is over already. This is the only method by which this
+     * replica ends a request.
+     */
     void end(RequestState request, boolean reject) {
         if (!request.isAnswered()) {
             if (reject) {
@@ -53,23 +56,25 @@
     }
 
     /**
-     * The advice to a rejected client when to retry: about the time in which one of the attempts in
-     * flight ends and makes room; 0: none. Longer advice would outlast the latency objective.
+     * Returns the advice to a rejected client when to retry, in nanoseconds: approximately the time
+     * in which one of the attempts in flight ends and frees capacity; 0: none. Longer advice would
+     * exceed the latency objective.
      */
     long retryAfterNanos() {
         if (!limits.retryAfterAdvice()) {
             return 0;
         }
         double exponent = parameters.get(Parameter.RETRY_AFTER_EXPONENT);
-        double turn =
+        double expectedWait =
                 serviceTimes.overallMean() / Math.pow(Math.max(1, traffic.inFlight()), exponent);
-        return (long) Math.min(limits.maxRetryAfterNanos(), turn);
+        return (long) Math.min(limits.maxRetryAfterNanos(), expectedWait);
     }
 
     /**
-     * A request is over: cancels its attempts in flight but one, and forgets it after the last.
+     * Marks a request as over: cancels its attempts in flight except one, and removes the request
+     * if no attempt is in flight.
      *
-     * @param exceptNumber the attempt that goes on, or {@link #NO_ATTEMPT}
+     * @param exceptNumber the attempt that continues, or {@link #NO_ATTEMPT}
      */
     void close(RequestState request, int exceptNumber) {
         if (limits.cancellation() && !request.isAnswered()) {
--- a/core/src/main/java/cedarrudder/balancer/PrequalBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/PrequalBalancer.java
@@ -5,29 +5,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The decisions of one replica: the life of a request from its arrival to its final answer. It
- * routes each event to the parts that decide.
+ * Makes the decisions of one replica for each request, from its arrival to its final response.
+ * Routes each event to the components that decide.
  *
- * <p>Where each rule is kept:
+ * <p>Where each safety property is enforced:
  *
  * <ul>
- *   <li>no request is lost: {@link OpenRequests#end} alone ends a request; {@link #onAttemptEnded}
- *       answers at the deadline;
+ *   <li>no request is lost: only {@link OpenRequests#end} ends a request; {@link #onAttemptEnded}
+ *       responds at the deadline;
  *   <li>no effect happens twice: {@link RetryPolicy#mayAttempt} and {@link RetryPolicy#mayReject};
- *   <li>nothing is sent to a draining endpoint: {@link EndpointSelector#select} takes ready ones
- *       alone, and {@link EndpointDirectory#update} empties the probe pool at once;
- *   <li>an endpoint that warms up is not pushed over: {@link SlowStartBudget}, asked by {@link
- *       EndpointSelector}.
+ *   <li>nothing is sent to a draining endpoint: {@link EndpointSelector#select} selects only ready
+ *       endpoints, and {@link EndpointDirectory#update} removes a draining one from the probe pool
+ *       immediately;
+ *   <li>an endpoint that warms up is not overloaded: {@link SlowStartBudget}, which {@link
+ *       EndpointSelector} checks.
  * </ul>
  *
- * <p>Where an ordinary request goes is the hot-cold rule of {@link ProbePool}.
+ * <p>An ordinary request is routed by the hot-cold rule of {@link ProbePool}.
  */
 public final class PrequalBalancer implements LoadBalancer {
 
-    /** How often a replica looks after itself while nothing comes in. */
+    /** Interval of the maintenance timer, which runs even if no other event arrives. */
     private static final long TICK_NANOS = 250_000_000L;
 
-    /** Connections are looked over once in this many ticks. */
+    /** Number of ticks from one check for surplus connections to the next. */
     private static final int TICKS_PER_CONNECTION_CHECK = 8;
 
     private final BalancerSettings settings;
@@ -50,16 +51,17 @@
     private boolean started;
     private int ticks;
 
-    /** A balancer with the default parameters. */
+    /** Creates a balancer with the default parameters. */
     public PrequalBalancer(BalancerSettings settings, RandomGenerator random, Actions actions) {
         this(settings, BalancerParameters.DEFAULTS, random, actions);
     }
 
     /**
-     * A balancer of one replica.
+     * Creates the balancer of one replica.
      *
-     * @param random the only source of chance: with one seed the same events cause the same actions
-     * @param actions called within events, never later
+     * @param random the only source of randomness: with the same seed, the same events cause the
+     *     same actions
+     * @param actions called only during events, never later
      */
     public PrequalBalancer(
             BalancerSettings settings,
@@ -76,7 +78,7 @@
         requests = new OpenRequests(settings, parameters, actions, serviceTimes, traffic);
         idleConnections = new IdleConnections(actions);
         pool = new ProbePool(parameters);
-        subset = new EndpointSubset(settings, parameters, this::leaveSubset);
+        subset = new EndpointSubset(settings, parameters, this::onRemovedFromSubset);
         probes = new ProbeScheduler(settings, parameters, random, actions, subset, pool);
         endpoints = new EndpointDirectory(parameters, random, subset, pool);
         selector =
@@ -134,15 +136,18 @@
                 endpoint -> !endpoint.isReady() || selector.isSuspect(now, endpoint));
     }
 
-    /** An endpoint left the subset: nothing is picked by its old reports. */
-    private void leaveSubset(EndpointState endpoint) {
+    /**
+     * Discards the probe response of an endpoint that left the subset, so that no request is routed
+     * by outdated reports, and closes its idle connections if no attempt is in flight there.
+     */
+    private void onRemovedFromSubset(EndpointState endpoint) {
         pool.remove(endpoint);
         if (endpoint.inFlight() == 0) {
             idleConnections.close(endpoint);
         }
     }
 
-    // ---- a request arrives
+    // ---- arrival of requests
 
     @Override
     public void onRequest(long now, Request arrived) {
@@ -163,11 +168,14 @@
         probes.onRequest(now);
         retries.onRequest();
         serviceTimes.onRequest(request);
-        place(now, request);
+        sendOrQueue(now, request);
         traffic.countRequest(serviceTimes.cost(request));
     }
 
-    /** Nothing of it has run yet, so work that other tiers know to be in vain may be rejected. */
+    /**
+     * Handles a request with an admission hint. No attempt was made yet, so a request that other
+     * tiers know to be futile may be rejected.
+     */
     @Override
     public void onRequest(long now, Request arrived, AdmissionHint hint) {
         if (hint == AdmissionHint.ADMIT) {
@@ -179,11 +187,14 @@
         }
     }
 
-    /** Sends a request, or queues it until an endpoint may take it. */
-    private void place(long now, RequestState request) {
-        boolean noZoneLeft =
+    /**
+     * Sends a request, or queues it until an endpoint may receive it. Ends a request whose deadline
+     * has passed or that no zone may serve.
+     */
+    private void sendOrQueue(long now, RequestState request) {
+        boolean noZoneAvailable =
                 admission.hasZoneShares() && admission.candidateZones(now, request).length == 0;
-        if (now >= request.deadline() || noZoneLeft) {
+        if (now >= request.deadline() || noZoneAvailable) {
             requests.end(request, retries.mayReject(request));
         } else {
             queue.add(now, request);
@@ -202,7 +213,7 @@
         }
 
         @Override
-        public void giveUp(RequestState request) {
+        public void onQueueTimeout(RequestState request) {
             requests.end(request, retries.mayReject(request));
         }
     }
@@ -226,8 +237,9 @@
 
     private void scheduleHedge(long now, RequestState request) {
         long delay = retries.isHedged(request) ? serviceTimes.lateAfterNanos(request) : 0;
-        long inTimeUntil = request.arrivedAt() + request.requestClass().latencyObjectiveNanos();
-        if (delay > 0 && now + delay < inTimeUntil) {
+        long objectiveExpiresAt =
+                request.arrivedAt() + request.requestClass().latencyObjectiveNanos();
+        if (delay > 0 && now + delay < objectiveExpiresAt) {
             actions.scheduleTimer(now + delay, TimerToken.of(TimerToken.Kind.HEDGE, request.id()));
         }
     }
@@ -243,7 +255,7 @@
         }
     }
 
-    // ---- attempts end
+    // ---- end of attempts
 
     @Override
     public Outcome startDenial(long now, long requestId, int attemptNumber) {
@@ -258,7 +270,7 @@
         return current ? null : Outcome.CONNECT_FAILED;
     }
 
-    /** From here on the response ends the request, for good or ill. */
+    /** Closes the request: its response has begun and is final, whether it succeeds or fails. */
     @Override
     public void onFirstByte(
             long now, long requestId, int attemptNumber, long endpointId, long latency) {
@@ -293,7 +305,7 @@
         if (outcome == Outcome.CONNECT_FAILED
                 && now < request.deadline()
                 && endpoints.isCurrent(endpoint)) {
-            idleConnections.onScarce(now);
+            idleConnections.onConnectionShortage(now);
         }
         if (outcome == Outcome.OK) {
             onServed(now, request, endpoint, latency);
@@ -322,18 +334,20 @@
     }
 
     /**
-     * After an attempt failed: a retry, patience with those in flight, or the final answer. At the
-     * deadline only what never ran is rejected.
+     * Handles a request after a failed attempt: waits while other attempts are in flight, retries
+     * the request, or ends it. After the deadline a request is rejected only if none of its
+     * attempts can have run.
      */
     private void retryOrEnd(long now, RequestState request, Outcome outcome) {
         if (request.inFlight() > 0 || request.isQueued()) {
             return;
         }
         if (retries.tryRetry(now, request, outcome)) {
-            place(now, request);
+            sendOrQueue(now, request);
         } else {
-            boolean inTime = now < request.deadline();
-            requests.end(request, inTime ? retries.mayReject(request) : !request.mayHaveRun());
+            boolean beforeDeadline = now < request.deadline();
+            requests.end(
+                    request, beforeDeadline ? retries.mayReject(request) : !request.mayHaveRun());
         }
     }
 
@@ -384,7 +398,7 @@
     }
 
     private void onTick(long now) {
-        // First of all, so that a fault below does not end it.
+        // Scheduled first, so that an exception below does not stop the timer.
         actions.scheduleTimer(now + TICK_NANOS, TimerToken.of(TimerToken.Kind.TICK));
         probes.onTick(now);
         ticks++;
@@ -402,7 +416,10 @@
         }
     }
 
-    /** Quotas are divided by live replicas; slow start still counts all, which is safer. */
+    /**
+     * Divides quotas by the number of live replicas. Slow start still counts all replicas, which is
+     * safer.
+     */
     @Override
     public void onLiveReplicas(long now, int live) {
         admission.onLiveReplicas(live);
@@ -414,7 +431,7 @@
         subset.setZoneShares(shares);
     }
 
-    /** This balancer sends no messages: each replica decides alone. */
+    /** Ignores the message: this balancer sends none, since each replica decides on its own. */
     @Override
     public void onPeerMessage(long now, int from, byte[] message) {}
 }
--- a/core/src/main/java/cedarrudder/balancer/ProbePool.java
+++ b/core/src/main/java/cedarrudder/balancer/ProbePool.java
@@ -5,23 +5,24 @@
 import java.util.function.Predicate;
 
 /**
- * Prequal's probe pool and the hot-cold rule over it (Wydrowski, Kleinberg, Rumble and Archer,
- * "Load is not what you should balance: Introducing Prequal", NSDI 2024, sections 3 and 4).
+ * Prequal's probe pool and its hot-cold rule (Wydrowski, Kleinberg, Rumble and Archer, "Load is not
+ * what you should balance: Introducing Prequal", NSDI 2024, sections 3 and 4).
  *
- * <p>The pool holds at most a fixed number of answers to probes, one an endpoint; an answer leaves
- * when it is old, when a newer one needs its place, or when the endpoint may no longer be sent to.
- * A pick takes the entry of lowest latency among the cold ones, whose requests in flight (RIF) stay
- * within a quantile of the pool, and where all are hot the one of lowest RIF.
+ * <p>The pool contains at most a fixed number of probe responses, one per endpoint. A response is
+ * removed when it is old, when the pool is full and a newer one is added, or when nothing more may
+ * be sent to its endpoint. A pick selects the entry with the lowest latency among the cold ones,
+ * whose requests in flight (RIF) are within a quantile of the pool, or, if all are hot, the one
+ * with the lowest RIF.
  */
 final class ProbePool {
 
     /**
-     * Added to the RIF of an endpoint that is failing or unresponsive: such a one holds few
-     * requests, which must not speak for it.
+     * Added to the RIF of an endpoint that is failing or unresponsive: such an endpoint has few
+     * requests in flight, which must not count in its favour.
      */
     private static final double SUSPECT_RIF = 1e9;
 
-    /** One answer to a probe. Entries are reused, since a pick allocates nothing per entry. */
+    /** A probe response. Entries are reused, so that a pick allocates nothing per entry. */
     private final class Entry {
         private EndpointState endpoint;
         private double reportedRif;
@@ -36,17 +37,18 @@
         }
 
         /**
-         * Estimates RIF and latency for now.
+         * Estimates the current RIF and latency.
          *
-         * <p>RIF is this replica's own attempts, which it knows, and those of others as reported.
-         * What was reported of others ages towards the pool's mean as requests turn over: many
-         * replicas would else follow the same outdated report at once. A connection that would have
-         * to be opened counts as a request, since it costs the endpoint work and one of few places;
-         * not so the first one since a start, which would never be made. Crossing zones counts as a
-         * request too, so that it is done only to get past a queue.
+         * <p>The RIF consists of this replica's own attempts, which are known, and those of other
+         * replicas as reported. The reported part converges to the pool's mean as requests turn
+         * over; otherwise many replicas would follow the same outdated report at the same time. If
+         * an attempt would have to open a connection, that counts as one request, since the
+         * connection costs the endpoint work and one of few slots. The first connection since a
+         * start does not count, since otherwise it would never be opened. Crossing zones counts as
+         * one request too, so that it happens only to avoid a queue.
          *
-         * <p>Reported latency leaves waiting out, so the time of one request is counted for each
-         * that is in flight and for the one to come.
+         * <p>Reported latency excludes waiting, so the time of one request is counted for each
+         * request in flight and for the one to be sent.
          */
         private void estimate(long now, double meanOfOthers, double turnoverNanos) {
             double age = now - receivedAt + parameters.nanos(Parameter.REPORT_AGE_MS);
@@ -61,7 +63,10 @@
             latency = endpoint.isUnused() ? 0 : reportedLatency * (1 + rif);
         }
 
-        /** The hot-cold rule: cold entries first, by latency; then hot ones by RIF. */
+        /**
+         * Returns whether this entry precedes another one by the hot-cold rule: cold entries first,
+         * by latency; then hot ones, by RIF.
+         */
         private boolean isBetterThan(Entry other, double hotThreshold) {
             boolean cold = rif <= hotThreshold;
             boolean otherCold = other.rif <= hotThreshold;
@@ -74,26 +79,25 @@
 
     private final BalancerParameters parameters;
     private final Entry[] entries;
-    private final double[] soundRifs;
+    private final double[] healthyRifs;
     private int size;
 
     ProbePool(BalancerParameters parameters) {
         this.parameters = parameters;
         this.entries = new Entry[(int) parameters.get(Parameter.POOL_CAPACITY)];
-        this.soundRifs = new double[entries.length];
+        this.healthyRifs = new double[entries.length];
         Arrays.setAll(entries, i -> new Entry());
     }
 
-    /** How many entries there are. */
     int size() {
         return size;
     }
 
     /**
-     * Adds an answer in place of the oldest entry where the pool is full.
+     * Adds a probe response, which replaces the oldest entry if the pool is full.
      *
-     * @param reportedRif requests in flight at the endpoint
-     * @param reportedLatency the endpoint's latency; only comparisons count, so any unit
+     * @param reportedRif the requests in flight at the endpoint
+     * @param reportedLatency the endpoint's latency, in any unit, since latencies are only compared
      */
     void add(long now, EndpointState endpoint, double reportedRif, double reportedLatency) {
         removeExpired(now);
@@ -120,7 +124,7 @@
         removeIf(entry -> now - entry.receivedAt > parameters.nanos(Parameter.PROBE_MAX_AGE_MS));
     }
 
-    /** Removes the entry of an endpoint, if it has one. */
+    /** Removes the entry of an endpoint, if there is one. */
     void remove(EndpointState endpoint) {
         removeIf(entry -> entry.endpoint == endpoint);
     }
@@ -139,10 +143,10 @@
     /**
      * Picks an endpoint by the hot-cold rule.
      *
-     * @param turnoverNanos how long a request stays at an endpoint, about
-     * @param eligible whether an endpoint may take the request
-     * @param suspect whether an endpoint counts as hot whatever its RIF
-     * @return null where no entry is eligible
+     * @param turnoverNanos the approximate time that a request spends at an endpoint
+     * @param eligible the endpoints that may receive the request
+     * @param suspect the endpoints that count as hot whatever their RIF
+     * @return null if no entry is eligible
      */
     EndpointState pick(
             long now,
@@ -162,26 +166,26 @@
         return best == null ? null : best.endpoint;
     }
 
-    /** Estimates all entries for now; returns the RIF above which an entry is hot. */
+    /** Updates the estimates of all entries and returns the RIF above which an entry is hot. */
     private double estimateAll(long now, double turnoverNanos, Predicate<EndpointState> suspect) {
         double meanOfOthers = 0;
         for (int i = 0; i < size; i++) {
             meanOfOthers += Math.max(0, entries[i].reportedRifOfOthers()) / size;
         }
-        int sound = 0;
+        int healthyCount = 0;
         for (int i = 0; i < size; i++) {
             Entry entry = entries[i];
             entry.estimate(now, meanOfOthers, turnoverNanos);
             if (suspect.test(entry.endpoint)) {
                 entry.rif += SUSPECT_RIF;
             } else {
-                soundRifs[sound++] = entry.rif;
+                healthyRifs[healthyCount++] = entry.rif;
             }
         }
-        if (sound == 0) {
+        if (healthyCount == 0) {
             return -1;
         }
-        Arrays.sort(soundRifs, 0, sound);
-        return soundRifs[(int) (parameters.get(Parameter.RIF_QUANTILE) * (sound - 1))];
+        Arrays.sort(healthyRifs, 0, healthyCount);
+        return healthyRifs[(int) (parameters.get(Parameter.RIF_QUANTILE) * (healthyCount - 1))];
     }
 }
--- a/core/src/main/java/cedarrudder/balancer/ProbeScheduler.java
+++ b/core/src/main/java/cedarrudder/balancer/ProbeScheduler.java
@@ -8,13 +8,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When and whom to probe. Each request pays for a part of a probe to a random endpoint of the
- * subset (Prequal, section 4.1): a small one while attempts succeed, since answers then change few
- * picks, and a larger one the more attempts fail or while the pool is nearly empty.
+ * Decides when to send probes, and to which endpoints. Each request contributes a fraction of a
+ * probe to a random endpoint of the subset (Prequal, section 4.1): a small fraction while attempts
+ * succeed, since probe responses then change few picks, and a larger one the more attempts fail or
+ * while the pool is nearly empty.
  */
 final class ProbeScheduler {
 
-    /** Weight of the newest outcome in the share of failed attempts: about the last fifty count. */
+    /**
+     * Weight of the newest outcome in the average rate of failed attempts: about the last fifty
+     * outcomes count.
+     */
     private static final double NEWEST_FAILURE_WEIGHT = 0.02;
 
     private final BalancerSettings settings;
@@ -24,10 +28,10 @@
     private final EndpointSubset subset;
     private final ProbePool pool;
 
-    /** The share of this replica's recent attempts that failed. */
-    private double failureShare;
+    /** The fraction of this replica's recent attempts that failed. */
+    private double recentFailureRate;
 
-    /** Probes that requests have paid for and that were not sent yet. */
+    /** Probes that requests have contributed and that were not sent yet. */
     private double credit;
 
     private long lastProbeAt = Long.MIN_VALUE / 2;
@@ -50,11 +54,11 @@
     void onAttemptEnded(Outcome outcome) {
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_STARTED) {
             double failed = outcome == Outcome.OK ? 0 : 1;
-            failureShare += NEWEST_FAILURE_WEIGHT * (failed - failureShare);
+            recentFailureRate += NEWEST_FAILURE_WEIGHT * (failed - recentFailureRate);
         }
     }
 
-    /** Sends the probes that a request has paid for. */
+    /** Adds a request's contribution of probes and sends those that are complete. */
     void onRequest(long now) {
         pool.removeExpired(now);
         credit +=
@@ -67,14 +71,17 @@
     }
 
     private double probesPerRequest() {
-        double calm = parameters.get(Parameter.PROBES_PER_REQUEST);
-        double failing = parameters.get(Parameter.PROBES_PER_REQUEST_FAILING);
+        double rateWhenHealthy = parameters.get(Parameter.PROBES_PER_REQUEST);
+        double rateWhenFailing = parameters.get(Parameter.PROBES_PER_REQUEST_FAILING);
         double severity =
-                Math.min(1, failureShare / parameters.get(Parameter.PROBE_RATE_FAILURE_SHARE));
-        return calm + Math.max(0, failing - calm) * severity;
+                Math.min(1, recentFailureRate / parameters.get(Parameter.PROBE_RATE_FAILURE_SHARE));
+        return rateWhenHealthy + Math.max(0, rateWhenFailing - rateWhenHealthy) * severity;
     }
 
-    /** Keeps the pool of a replica without requests from running dry; called now and then. */
+    /**
+     * Sends a probe if none was sent for a while, so that the pool of a replica without requests
+     * does not become empty; called periodically.
+     */
     void onTick(long now) {
         if (now - lastProbeAt >= parameters.nanos(Parameter.IDLE_PROBE_INTERVAL_MS)) {
             probeRandom(now);
@@ -88,7 +95,7 @@
         }
     }
 
-    /** Probes an endpoint unless a probe to it is in flight. */
+    /** Probes an endpoint unless a probe to it is in flight or probing is not permitted. */
     void probe(long now, EndpointState endpoint) {
         if (settings.limits().probing() && endpoint.probe().maySend(now)) {
             endpoint.probe().onSent(now, endpoint.inFlight());
@@ -98,10 +105,10 @@
     }
 
     /**
-     * Takes the answer to a probe; one that failed removes the endpoint's entry.
+     * Records the end of a probe; a probe that failed removes the endpoint's entry from the pool.
      *
-     * @param sentAt when the probe was sent that is answered
-     * @param load null where no report came
+     * @param sentAt the instant at which the probe was sent
+     * @param load null if nothing was reported
      */
     void onProbeEnded(
             long now, EndpointState endpoint, Outcome outcome, long sentAt, LoadReport load) {
--- a/core/src/main/java/cedarrudder/balancer/ProbeState.java
+++ b/core/src/main/java/cedarrudder/balancer/ProbeState.java
@@ -1,9 +1,11 @@
 package cedarrudder.balancer;
 
-/** The probes of this replica to one endpoint: the one in flight and what earlier ones reported. */
+/**
+ * The probes of this replica to one endpoint: the probe in flight and the reports of earlier ones.
+ */
 final class ProbeState {
 
-    /** A probe without an answer for this long is lost, and the endpoint may be probed again. */
+    /** A probe without a response for this long is lost, and the endpoint may be probed again. */
     private static final long LOST_AFTER_NANOS = 5_000_000_000L;
 
     private boolean inFlight;
@@ -12,7 +14,10 @@
     private int ownInFlightAtSend;
     private double reportedLatency;
 
-    /** Whether the endpoint may be probed now: no probe is in flight, or the last one is lost. */
+    /**
+     * Returns whether the endpoint may be probed now: no probe is in flight, or the last one is
+     * lost.
+     */
     boolean maySend(long now) {
         return !inFlight || now - sentAt > LOST_AFTER_NANOS;
     }
@@ -24,9 +29,10 @@
     }
 
     /**
-     * Takes the answer to the probe sent at an instant.
+     * Records the end of the probe that was sent at an instant.
      *
-     * @return whether it answers the probe in flight; an older or repeated answer does not count
+     * @return whether this is the probe in flight; the end of an older probe, or a repeated end,
+     *     does not count
      */
     boolean onAnswer(long probeSentAt) {
         if (!inFlight || probeSentAt < sentAt) {
@@ -40,17 +46,17 @@
         lastFailed = failed;
     }
 
-    /** Whether the last probe brought no answer. */
+    /** Returns whether the last probe failed. */
     boolean lastFailed() {
         return lastFailed;
     }
 
-    /** This replica's own attempts in flight when the last probe was sent. */
+    /** Returns the number of this replica's own attempts in flight when the last probe was sent. */
     int ownInFlightAtSend() {
         return ownInFlightAtSend;
     }
 
-    /** Adds a reported latency to the smoothed one and returns that. */
+    /** Adds a reported latency to the smoothed latency and returns the latter. */
     double smoothLatency(double newest, double weight) {
         reportedLatency =
                 reportedLatency == 0
--- a/core/src/main/java/cedarrudder/balancer/RequestQueue.java
+++ b/core/src/main/java/cedarrudder/balancer/RequestQueue.java
@@ -6,50 +6,58 @@
 import cedarrudder.balancer.LoadBalancer.Actions;
 
 /**
- * Requests that wait for an endpoint, those of most weight for their work first. They wait here,
- * where they can be given up for others, and not at an endpoint that they would drive past its
- * limit.
+ * A queue of requests that wait for an endpoint, those with the most weight for their work first.
+ * Requests wait here, where they can be dropped in favour of others, and not at an endpoint, whose
+ * limit they would exceed.
  */
 final class RequestQueue {
 
-    /** Sends queued requests. */
+    /** Sends queued requests and ends those that have waited too long. */
     interface Dispatcher {
-        /** Sends a request if an endpoint may take it now; false where it still waits. */
+        /**
+         * Sends a request if an endpoint may receive it now; returns false if the request has to
+         * wait.
+         */
         boolean trySend(long now, RequestState request);
 
         /** Ends a request that has waited too long. */
-        void giveUp(RequestState request);
+        void onQueueTimeout(RequestState request);
     }
 
-    /** A request that no endpoint may take now is looked at again after this long. */
+    /** A request that no endpoint may receive now is checked again after this long. */
     private static final long RECHECK_NANOS = 20_000_000L;
 
-    /** The priority of a request that has been tried in vain: time has gone into it. */
+    /**
+     * Factor on the priority of a request that has had a failed attempt, since time has been spent
+     * on it.
+     */
     private static final double RETRY_PRIORITY = 2;
 
     private final BalancerParameters parameters;
     private final Actions actions;
     private final AdmissionControl admission;
     private final Dispatcher dispatcher;
-    private final int classes;
+    private final int classCount;
     private final AdmissionQueue<RequestState> queue;
     private boolean timerSet;
 
     RequestQueue(
-            int classes,
+            int classCount,
             BalancerParameters parameters,
             Actions actions,
             AdmissionControl admission,
             Dispatcher dispatcher) {
-        this.classes = classes;
+        this.classCount = classCount;
         this.parameters = parameters;
         this.actions = actions;
         this.admission = admission;
         this.dispatcher = dispatcher;
-        this.queue = new AdmissionQueue<>(4 * classes);
+        this.queue = new AdmissionQueue<>(4 * classCount);
     }
 
-    /** Adds a request and sends whatever may be sent now, it among others. */
+    /**
+     * Adds a request and sends whatever queued requests may be sent now, the added one included.
+     */
     void add(long now, RequestState request) {
         request.enqueue(queueDeadline(request));
         queue.add(lane(request), request);
@@ -62,7 +70,10 @@
         }
     }
 
-    /** A request waits for a share of its latency objective; then a rejection is worth more. */
+    /**
+     * Returns the instant until which a request may be queued: a fraction of its latency objective
+     * after its arrival. After that, a rejection is worth more than a later response.
+     */
     private long queueDeadline(RequestState request) {
         double wait =
                 parameters.get(Parameter.QUEUE_TIMEOUT_SHARE)
@@ -70,21 +81,24 @@
         return Math.min(request.arrivedAt() + (long) wait, request.deadline() - 2 * RECHECK_NANOS);
     }
 
-    /** Lanes stand by class, quota and whether the request is a retry. */
+    /**
+     * Returns the lane of a request, which depends on its class, its quota and whether it is a
+     * retry.
+     */
     private int lane(RequestState request) {
-        int firstOfKind = request.attemptCount() > 0 ? 2 * classes : 0;
-        return firstOfKind + 2 * request.classIndex() + (request.isOverQuota() ? 1 : 0);
+        int firstLane = request.attemptCount() > 0 ? 2 * classCount : 0;
+        return firstLane + 2 * request.classIndex() + (request.isOverQuota() ? 1 : 0);
     }
 
     private double priority(int lane) {
-        int classIndex = lane / 2 % classes;
+        int classIndex = lane / 2 % classCount;
         boolean overQuota = lane % 2 > 0;
-        boolean retry = lane >= 2 * classes;
+        boolean retry = lane >= 2 * classCount;
         double priority = admission.priority(classIndex, overQuota) * (retry ? RETRY_PRIORITY : 1);
         return Math.pow(priority, parameters.get(Parameter.QUEUE_PRIORITY_EXPONENT));
     }
 
-    /** Offers capacity to those that wait, by priority. */
+    /** Offers capacity to the queued requests, by priority. */
     void dispatch(long now) {
         queue.dispatch(this::priority, request -> offer(now, request));
     }
@@ -94,18 +108,21 @@
             return Offer.TAKEN;
         }
         if (now >= request.queueDeadline()) {
-            dispatcher.giveUp(request);
+            dispatcher.onQueueTimeout(request);
             return Offer.TAKEN;
         }
-        // A retry may be bound to few endpoints, so others may still find capacity.
+        // A retry may be restricted to few endpoints, so other requests may still find capacity.
         return request.attemptCount() > 0 ? Offer.SKIPPED : Offer.NO_CAPACITY;
     }
 
-    /** The timer of {@link TimerToken.Kind#QUEUE} has expired. */
+    /**
+     * Sends or rejects queued requests after the timer of {@link TimerToken.Kind#QUEUE} has
+     * expired.
+     */
     void onTimer(long now) {
         timerSet = queue.size() > 0;
         if (timerSet) {
-            // First of all, so that a fault below does not end it.
+            // Scheduled first, so that an exception below does not stop the timer.
             actions.scheduleTimer(now + RECHECK_NANOS, TimerToken.of(TimerToken.Kind.QUEUE));
         }
         dispatch(now);
@@ -114,6 +131,6 @@
 
     private void rejectExpired(long now) {
         queue.removeIf(request -> !request.isQueued() || now >= request.queueDeadline())
-                .forEach(dispatcher::giveUp);
+                .forEach(dispatcher::onQueueTimeout);
     }
 }
--- a/core/src/main/java/cedarrudder/balancer/RequestState.java
+++ b/core/src/main/java/cedarrudder/balancer/RequestState.java
@@ -5,14 +5,14 @@
 import cedarrudder.balancer.LoadBalancer.Request;
 
 /**
- * One request that this replica has accepted, with its attempts in the order sent.
+ * A request that this replica has accepted, with its attempts in the order in which they were sent.
  *
- * <p>A request is open from its arrival to its final answer. It is kept until its last attempt has
- * ended, so that late outcomes still count for the endpoints.
+ * <p>A request is open from its arrival to its final response. Its state is retained until its last
+ * attempt has ended, so that late outcomes are still recorded for the endpoints.
  */
 final class RequestState {
 
-    /** One attempt at one endpoint. */
+    /** An attempt at one endpoint. */
     static final class Attempt {
         private final EndpointState endpoint;
         private final long sentAt;
@@ -23,22 +23,25 @@
             this.sentAt = sentAt;
         }
 
-        /** The endpoint incarnation that it was sent to. */
+        /** Returns the endpoint incarnation that the attempt was sent to. */
         EndpointState endpoint() {
             return endpoint;
         }
 
-        /** The instant it was sent at. */
+        /** Returns the instant at which the attempt was sent. */
         long sentAt() {
             return sentAt;
         }
 
-        /** Whether its outcome is still awaited. */
+        /** Returns whether the attempt has no outcome yet. */
         boolean isInFlight() {
             return outcome == null;
         }
 
-        /** Whether nothing proves that the endpoint never executed it. */
+        /**
+         * Returns whether the endpoint may have executed the attempt, as no outcome proves the
+         * opposite.
+         */
         boolean mayHaveRun() {
             return outcome == null || !outcome.provesNotRun();
         }
@@ -58,7 +61,7 @@
     private boolean answered;
     private boolean queued;
     private long queueDeadline;
-    private double limitShare;
+    private double limitFraction;
     private int assignedZone;
 
     RequestState(
@@ -90,12 +93,12 @@
         return classIndex;
     }
 
-    /** The instant after which no answer is of use. */
+    /** Returns the instant after which a response is of no use. */
     long deadline() {
         return deadline;
     }
 
-    /** The work it was said to need, in nanoseconds; 0 where that is not known. */
+    /** Returns the work that the request is declared to need, in nanoseconds; 0 if unknown. */
     long expectedWorkNanos() {
         return expectedWorkNanos;
     }
@@ -104,46 +107,52 @@
         return expectedWorkNanos > 0;
     }
 
-    /** Whether it exceeds its tenant's quota. */
+    /** Returns whether the request exceeds its tenant's quota. */
     boolean isOverQuota() {
         return overQuota;
     }
 
-    /** The instant from which its latency counts: its arrival, or the end of its upload. */
+    /**
+     * Returns the instant from which latency is measured: the request's arrival, or the end of its
+     * upload.
+     */
     long arrivedAt() {
         return arrivedAt;
     }
 
-    /** Whether its body is still being received. */
+    /** Returns whether the request's body is still being received. */
     boolean isUploading() {
         return uploading;
     }
 
-    /** Whether it has its final answer, or its client has left. */
+    /** Returns whether the request has its final response, or its client has disconnected. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** Whether it waits in the queue for an endpoint. */
+    /** Returns whether the request is queued until an endpoint may receive it. */
     boolean isQueued() {
         return queued;
     }
 
-    /** The instant at which it is rejected if it still waits. */
+    /** Returns the instant at which the request is rejected if it is still queued. */
     long queueDeadline() {
         return queueDeadline;
     }
 
-    /** The share of concurrency limits and rates that is open to its priority, from 0 to 1. */
-    double limitShare() {
-        return limitShare;
+    /**
+     * Returns the fraction of concurrency limits and rates that is open to the request's priority,
+     * from 0 to 1.
+     */
+    double limitFraction() {
+        return limitFraction;
     }
 
-    void setLimitShare(double share) {
-        limitShare = share;
+    void setLimitFraction(double share) {
+        limitFraction = share;
     }
 
-    /** The zone that it was assigned to. */
+    /** Returns the zone that the request was assigned to. */
     int assignedZone() {
         return assignedZone;
     }
@@ -156,7 +165,7 @@
         return attemptCount;
     }
 
-    /** Attempts without an outcome. */
+    /** Returns the number of attempts without an outcome. */
     int inFlight() {
         return inFlight;
     }
@@ -165,7 +174,7 @@
         return attemptCount < attempts.length;
     }
 
-    /** The attempt of this number; null where there is none. */
+    /** Returns the attempt with this number, or null if there is none. */
     Attempt attempt(int number) {
         return number < attemptCount ? attempts[number] : null;
     }
@@ -188,13 +197,16 @@
         inFlight--;
     }
 
-    /** Marks it as over; outcomes of attempts in flight still come. */
+    /** Marks the request as over; attempts in flight may still end after that. */
     void close() {
         answered = true;
         queued = false;
     }
 
-    /** The upload is complete: latency counts from now on, and endpoints execute what they have. */
+    /**
+     * Records the end of the upload: latency is measured from now on, and endpoints execute the
+     * attempts in flight.
+     */
     void completeUpload(long now) {
         uploading = false;
         arrivedAt = now;
@@ -206,10 +218,10 @@
     }
 
     /**
-     * The first attempt that may have been executed, or may be executing; null where all are proven
-     * not to have run.
+     * Returns the first attempt that may have been executed, or may be executing; null if all are
+     * proven not to have run.
      *
-     * @param exceptNumber an attempt to leave out; -1: none
+     * @param exceptNumber the number of an attempt to ignore; -1: none
      */
     Attempt firstThatMayHaveRun(int exceptNumber) {
         for (int i = 0; i < attemptCount; i++) {
@@ -220,7 +232,7 @@
         return null;
     }
 
-    /** Whether any attempt may have been executed. */
+    /** Returns whether any attempt may have been executed. */
     boolean mayHaveRun() {
         return firstThatMayHaveRun(-1) != null;
     }
--- a/core/src/main/java/cedarrudder/balancer/RetryPolicy.java
+++ b/core/src/main/java/cedarrudder/balancer/RetryPolicy.java
@@ -8,9 +8,9 @@
 import cedarrudder.balancer.LoadBalancer.Outcome;
 
 /**
- * Which further attempts a request may have, by what its earlier attempts prove and by its class's
- * idempotency: no effect happens twice. Every attempt passes {@link #mayAttempt}, the first one and
- * the next.
+ * Decides which further attempts a request may have, from what its earlier attempts prove and from
+ * the idempotency of its class, so that no effect happens twice. Every attempt, the first one
+ * included, has to pass {@link #mayAttempt}.
  */
 final class RetryPolicy {
 
@@ -25,19 +25,19 @@
                         parameters.get(Parameter.RETRY_BUDGET_MAX));
     }
 
-    /** An admitted request adds to the retry budget. */
+    /** Adds the contribution of an admitted request to the retry budget. */
     void onRequest() {
         tokens.onRequest();
     }
 
-    /** Whether a further attempt may go to some endpoint. */
+    /** Returns whether a further attempt is allowed, whatever its endpoint. */
     boolean mayAttempt(long now, RequestState request) {
-        return hasAttemptLeft(now, request) && isSafeBeside(now, request, -1, null);
+        return hasAttemptLeft(now, request) && isSafeWithOtherAttempts(now, request, -1, null);
     }
 
-    /** Whether a further attempt may go to this endpoint. */
+    /** Returns whether a further attempt may be sent to this endpoint. */
     boolean mayAttempt(long now, RequestState request, EndpointState endpoint) {
-        return hasAttemptLeft(now, request) && isSafeBeside(now, request, -1, endpoint);
+        return hasAttemptLeft(now, request) && isSafeWithOtherAttempts(now, request, -1, endpoint);
     }
 
     private boolean hasAttemptLeft(long now, RequestState request) {
@@ -47,18 +47,22 @@
                 && (request.inFlight() == 0 || settings.limits().hedging());
     }
 
-    /** Whether an attempt that was sent, and of which no byte has gone out, may still start. */
+    /**
+     * Returns whether an attempt that was recorded as sent, but of which no byte was written yet,
+     * may still start.
+     */
     boolean mayStart(long now, RequestState request, int attemptNumber) {
-        return isSafeBeside(now, request, attemptNumber, request.attempt(attemptNumber).endpoint());
+        return isSafeWithOtherAttempts(
+                now, request, attemptNumber, request.attempt(attemptNumber).endpoint());
     }
 
     /**
-     * Whether an attempt is safe beside all others that may have run.
+     * Returns whether an attempt is safe given all other attempts of the request that may have run.
      *
-     * @param attemptNumber the attempt's own number; -1: it is not made yet
-     * @param endpoint where it goes; null: to any
+     * @param attemptNumber the attempt's own number; -1 if the attempt does not exist yet
+     * @param endpoint the endpoint of the attempt; null for any endpoint
      */
-    private boolean isSafeBeside(
+    private boolean isSafeWithOtherAttempts(
             long now, RequestState request, int attemptNumber, EndpointState endpoint) {
         RequestState.Attempt earlier = request.firstThatMayHaveRun(attemptNumber);
         RequestClass requestClass = request.requestClass();
@@ -76,7 +80,7 @@
                         endpoint.endpoint());
     }
 
-    /** Whether two endpoints recognize each other's idempotency keys. */
+    /** Returns whether two endpoints recognize each other's idempotency keys. */
     private static boolean sharesKeys(KeyScope scope, Endpoint one, Endpoint other) {
         return switch (scope) {
             case ALL -> true;
@@ -85,7 +89,7 @@
         };
     }
 
-    /** Whether a client may learn that trying again is harmless. */
+    /** Returns whether a client may be informed that a retry is harmless. */
     boolean mayReject(RequestState request) {
         if (!request.mayHaveRun()) {
             return true;
@@ -97,9 +101,10 @@
     }
 
     /**
-     * Whether a request is retried after an attempt that failed, which the retry budget pays for
-     * unless the first attempt is proven not to have run. Errors cost a token even so: an error of
-     * a tier that calls another one has been retried below already, and retries multiply.
+     * Returns whether a request is retried after a failed attempt, and spends a token of the retry
+     * budget for the retry unless the first attempt is proven not to have run and is the only one.
+     * An error costs a token as well: if its tier sends requests to another tier, the error has
+     * already been retried there, and retries multiply.
      */
     boolean tryRetry(long now, RequestState request, Outcome lastOutcome) {
         if (lastOutcome == Outcome.NOT_STARTED || !mayAttempt(now, request)) {
@@ -117,10 +122,11 @@
     }
 
     /**
-     * Whether a hedged request may go out beside the one attempt in flight.
+     * Returns whether a hedged request may be sent in addition to the one attempt in flight.
      *
-     * <p>A hedged request is a second attempt of a request whose answer is late for its work: the
-     * connection may be dead or the endpoint slow, and nothing else would show it in time.
+     * <p>A hedged request is a second attempt of a request whose response is late for its expected
+     * work: the connection may be dead or the endpoint slow, and nothing else would reveal that in
+     * time.
      */
     boolean mayHedge(long now, RequestState request) {
         return request.inFlight() == 1 && tokens.isAvailable() && mayAttempt(now, request);
@@ -130,7 +136,7 @@
         tokens.spend();
     }
 
-    /** Whether a request of this kind is hedged at all. */
+    /** Returns whether requests of this kind are hedged at all. */
     boolean isHedged(RequestState request) {
         return !request.isUploading()
                 && request.requestClass().idempotency() != Idempotency.UNSAFE
--- a/core/src/main/java/cedarrudder/balancer/RetryTokens.java
+++ b/core/src/main/java/cedarrudder/balancer/RetryTokens.java
@@ -1,8 +1,8 @@
 package cedarrudder.balancer;
 
 /**
- * A budget of further attempts, retries and hedged requests alike: each admitted request adds a
- * part of a token, so that they stay a small part of the load.
+ * The retry budget, for retries and hedged requests alike: each admitted request adds a fraction of
+ * a token, so that further attempts remain a small part of the load.
  */
 final class RetryTokens {
 
@@ -11,8 +11,8 @@
     private double tokens;
 
     /**
-     * @param perRequest tokens that an admitted request adds
-     * @param max tokens that may be saved up, half of which are there at first
+     * @param perRequest the tokens that an admitted request adds
+     * @param max the maximum number of tokens, half of which are available initially
      */
     RetryTokens(double perRequest, double max) {
         this.perRequest = perRequest;
--- a/core/src/main/java/cedarrudder/balancer/ServiceTimes.java
+++ b/core/src/main/java/cedarrudder/balancer/ServiceTimes.java
@@ -4,16 +4,21 @@
 import cedarrudder.balancer.BalancerParameters.Parameter;
 import java.util.Arrays;
 
-/** How long endpoints take for requests, as this replica has measured it. */
+/** The time that endpoints take for requests, as measured by this replica. */
 final class ServiceTimes {
 
-    /** Work below this counts as this much: the network and the queue take their time anyway. */
+    /**
+     * Work below this counts as this much, since the network and the queue take time in any case.
+     */
     private static final long MIN_WORK_NANOS = 20_000_000L;
 
-    /** Answers after which it is known how much longer they take than the work said. */
+    /**
+     * Number of responses after which the stretch is known: how much longer responses take than the
+     * declared work.
+     */
     private static final int MIN_STRETCH_SAMPLES = 20;
 
-    /** The shortest silence after which an endpoint counts as unresponsive. */
+    /** Minimum time without any response after which an endpoint counts as unresponsive. */
     private static final long MIN_UNRESPONSIVE_NANOS = 100_000_000L;
 
     private static final double MIN_COST = 0.25;
@@ -23,15 +28,15 @@
     private final MovingAverage[] byClass;
     private final MovingAverage overall;
 
-    /** The longest that one core takes for a mean request, in nanoseconds. */
+    /** The maximum time that one core needs for a mean request, in nanoseconds. */
     private final MovingAverage coreTime;
 
-    /** How many times longer an answer takes than the work it was said to need. */
+    /** The ratio of a response's latency to the declared work of its request. */
     private final MovingAverage stretch;
 
-    ServiceTimes(int classes, BalancerParameters parameters) {
+    ServiceTimes(int classCount, BalancerParameters parameters) {
         this.parameters = parameters;
-        this.byClass = new MovingAverage[classes];
+        this.byClass = new MovingAverage[classCount];
         Arrays.setAll(byClass, i -> newAverage());
         this.overall = newAverage();
         this.coreTime = newAverage();
@@ -43,9 +48,9 @@
     }
 
     /**
-     * Takes a request that was admitted. Two processes of a replica run during an upgrade, so a
-     * core is given twice the work said; before anything is known, the latency objective stands for
-     * it.
+     * Records an admitted request. During an upgrade two processes of a replica run, so a core is
+     * assumed to take twice the declared work. Until anything is known, the latency objective is
+     * used instead.
      */
     void onRequest(RequestState request) {
         if (request.hasExpectedWork()) {
@@ -55,7 +60,7 @@
         }
     }
 
-    /** Takes a good answer. */
+    /** Records a successful response. */
     void onServed(RequestState request, long latency) {
         byClass[request.classIndex()].add(latency);
         overall.add(latency);
@@ -66,22 +71,22 @@
         }
     }
 
-    /** The mean latency of a class, in nanoseconds; 0 before the first answer. */
+    /** Returns the mean latency of a class, in nanoseconds; 0 before the first response. */
     double classMean(int classIndex) {
         return byClass[classIndex].mean();
     }
 
-    /** The mean latency of all classes, in nanoseconds; 0 before the first answer. */
+    /** Returns the mean latency of all classes, in nanoseconds; 0 before the first response. */
     double overallMean() {
         return overall.mean();
     }
 
-    /** The longest that one core takes for a mean request, in nanoseconds. */
+    /** Returns the maximum time that one core needs for a mean request, in nanoseconds. */
     double coreTimeMean() {
         return coreTime.mean();
     }
 
-    /** What a request of this class costs, in mean requests. */
+    /** Returns the cost of a request of this class, in mean requests. */
     double cost(RequestState request) {
         double mean = classMean(request.classIndex());
         if (mean == 0 || overall.mean() == 0) {
@@ -90,7 +95,10 @@
         return Math.min(MAX_COST, Math.max(MIN_COST, mean / overall.mean()));
     }
 
-    /** After how long without a word an endpoint counts as unresponsive, in nanoseconds. */
+    /**
+     * Returns the time without any response after which an endpoint counts as unresponsive, in
+     * nanoseconds.
+     */
     long unresponsiveAfterNanos() {
         double latencies = parameters.get(Parameter.UNRESPONSIVE_LATENCIES);
         double nanos = latencies * (overall.mean() + overall.deviation());
@@ -98,8 +106,8 @@
     }
 
     /**
-     * After how long an answer is so late for its work that something must be wrong, in
-     * nanoseconds; 0 where that is not known.
+     * Returns the time after which a response is so late for its work that something must be wrong,
+     * in nanoseconds; 0 if that is not known.
      */
     long lateAfterNanos(RequestState request) {
         if (!request.hasExpectedWork() || stretch.count() < MIN_STRETCH_SAMPLES) {
--- a/core/src/main/java/cedarrudder/balancer/SlowStartBudget.java
+++ b/core/src/main/java/cedarrudder/balancer/SlowStartBudget.java
@@ -3,26 +3,28 @@
 import cedarrudder.balancer.BalancerSettings.SafetyRules;
 
 /**
- * How much this replica may send to one endpoint while it warms up: a token bucket in mean
- * requests.
+ * A token bucket that limits how much this replica may send to one endpoint while the endpoint
+ * warms up. A token stands for one mean request.
  *
- * <p>It fills with the load that the endpoint can bear from this replica at its present capacity.
- * At most half a window's part is saved up; where that is under one request, a turn that is not
- * used expires, since all replicas that have waited would otherwise send their one request at once.
- * It begins in debt by up to one request, drawn at random, so that the first requests of many
- * replicas come spread out at the budget's rate.
+ * <p>The bucket is filled at the rate that the endpoint can serve for this replica at its current
+ * capacity. At most the tokens of half an overload window accumulate. If that is less than one
+ * request, an unused turn expires, since all replicas that have waited would otherwise send their
+ * one request at the same time. The bucket starts with a random debt of up to one request, so that
+ * the first requests of many replicas are spread out at the budget's rate.
  */
 final class SlowStartBudget {
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** An attempt needs it to be at least 0 and may overdraw it. */
+    /**
+     * Available tokens, in mean requests. An attempt needs at least 0 and may overdraw the bucket.
+     */
     private double tokens;
 
     private long refilledAt;
 
     /**
-     * @param initialDebt where it begins, in mean requests, from 0 to 1
+     * @param initialDebt the initial debt in mean requests, from 0 to 1
      */
     SlowStartBudget(long now, double initialDebt) {
         this.tokens = -initialDebt;
@@ -30,12 +32,13 @@
     }
 
     /**
-     * Refills the bucket and tells whether it has room for an attempt.
+     * Refills the bucket and returns whether an attempt may be sent.
      *
-     * @param capacity the share of its whole capacity that the endpoint has now
-     * @param warmRate what it does for this replica once warm, in mean requests a second
+     * @param capacity the fraction of its full capacity that the endpoint has now
+     * @param warmRate the rate at which the endpoint serves this replica once warm, in mean
+     *     requests per second
      */
-    boolean tryRefill(
+    boolean refillAndCheck(
             long now,
             double capacity,
             double warmRate,
@@ -47,15 +50,16 @@
         double rate = plannedMultiple * capacity * warmRate;
         double max = rate * safety.overloadWindowNanos() / NANOS_PER_SECOND / 2;
         double excess = tokens + rate * (now - refilledAt) / NANOS_PER_SECOND - max;
-        tokens = max + (excess <= 0 ? excess : expiredExcess(excess, max));
+        tokens = max + (excess <= 0 ? excess : retainedExcess(excess, max));
         refilledAt = now;
         return tokens >= 0;
     }
 
     /**
-     * What is left of an excess: nothing, or of a bucket under one request, the next turn's part.
+     * Returns what is retained of an excess over the maximum: nothing, or, in a bucket of less than
+     * one request, the part that counts towards the next turn.
      */
-    private static double expiredExcess(double excess, double max) {
+    private static double retainedExcess(double excess, double max) {
         return max < 1 ? excess % 1 - 1 : 0;
     }
 
--- a/core/src/main/java/cedarrudder/balancer/TimerToken.java
+++ b/core/src/main/java/cedarrudder/balancer/TimerToken.java
@@ -1,20 +1,20 @@
 package cedarrudder.balancer;
 
 /**
- * The tokens of timers, which travel as numbers: the kind of a timer in the upper byte and, for
- * those of one request, its id below.
+ * Encodes timers as numbers: the kind of a timer in the upper byte and, for a timer of one request,
+ * the id of the request below it.
  */
 final class TimerToken {
 
-    /** What a timer is for. */
+    /** The purpose of a timer. */
     enum Kind {
-        /** The regular look at probes and connections. */
+        /** Regular check of probes and connections. */
         TICK,
-        /** The queue is looked through again. */
+        /** Check of the queue. */
         QUEUE,
-        /** Discovery is polled. */
+        /** Poll of discovery. */
         POLL,
-        /** A request whose answer is late may be hedged. */
+        /** Check whether a request whose response is late is hedged. */
         HEDGE
     }
 
@@ -32,7 +32,7 @@
         return ((long) kind.ordinal() << KIND_SHIFT) + requestId;
     }
 
-    /** The kind of a timer; null where {@link #of} never made this token. */
+    /** Returns the kind of a timer, or null if {@link #of} never returned this token. */
     static Kind kind(long token) {
         long ordinal = token >> KIND_SHIFT;
         return ordinal >= 0 && ordinal < KINDS.length ? KINDS[(int) ordinal] : null;
--- a/core/src/main/java/cedarrudder/balancer/TrafficStatistics.java
+++ b/core/src/main/java/cedarrudder/balancer/TrafficStatistics.java
@@ -3,10 +3,13 @@
 /** The load that this replica sends: attempts in flight, and rates that decay with time. */
 final class TrafficStatistics {
 
-    /** Time over which rates are smoothed. */
+    /** Time constant with which rates are smoothed. */
     private static final double SMOOTHING_NANOS = 2e9;
 
-    /** The peak of attempts in flight decays with this power of the others' decay: more slowly. */
+    /**
+     * The decay of the peak of attempts in flight is that of the other values to this power, which
+     * makes it slower.
+     */
     private static final double PEAK_DECAY_POWER = 0.2;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -20,13 +23,13 @@
     private long updatedAt;
 
     /**
-     * @param replicas how many replicas send to this tier
+     * @param replicas the number of replicas that send to this tier
      */
     TrafficStatistics(int replicas) {
         this.replicas = replicas;
     }
 
-    /** Attempts in flight whose requests are fully uploaded. */
+    /** Returns the number of attempts in flight whose requests are fully uploaded. */
     int inFlight() {
         return inFlight;
     }
@@ -35,17 +38,17 @@
         inFlight += attempts;
     }
 
-    /** Attempts in flight on average over the recent past. */
+    /** Returns the recent average number of attempts in flight. */
     double averageInFlight() {
         return averageInFlight;
     }
 
-    /** The most attempts in flight in the recent past. */
+    /** Returns the recent maximum number of attempts in flight. */
     double peakInFlight() {
         return peakInFlight;
     }
 
-    /** Brings all rates up to date as a request is admitted. */
+    /** Updates all rates when a request is admitted. */
     void onRequest(long now) {
         double retained = retainedSince(now);
         requestRate *= retained;
@@ -56,8 +59,8 @@
     }
 
     /**
-     * Counts an admitted request, after it was sent or queued: a rate is too high by itself in the
-     * moment a request arrives.
+     * Counts an admitted request. Called after the request was sent or queued, since a rate is too
+     * high at the moment when a request arrives.
      *
      * @param cost in mean requests
      */
@@ -66,10 +69,11 @@
     }
 
     /**
-     * Counts a good answer.
+     * Counts a successful response.
      *
      * @param cost in mean requests
-     * @param subsetCapacity what the whole subset could do as it came, in warm endpoints
+     * @param subsetCapacity the capacity of the whole subset when the response arrived, in warm
+     *     endpoints
      */
     void countServed(double cost, double subsetCapacity) {
         if (subsetCapacity > 0) {
@@ -78,26 +82,27 @@
     }
 
     /**
-     * What one warm endpoint does for this replica, in mean requests a second.
+     * Returns the rate at which one warm endpoint serves this replica, in mean requests per second.
      *
-     * <p>Within the subset it is known by answers, each divided by what the subset could do as it
-     * came; not by requests, which are many when little can be done. Where more is not known, all
-     * members being cold, an even part of the requests stands for it, but no more than one core can
-     * do: many replicas that know nothing would else take the requests of a burst for what the
-     * endpoints bear.
+     * <p>Within the subset, the rate is known from responses, each divided by the capacity of the
+     * subset when the response arrived. It is not derived from requests, of which there are many
+     * when little can be served. If nothing more is known, since all members are cold, an even
+     * fraction of the request rate is used instead, but no more than one core can serve: otherwise
+     * many replicas without any knowledge would mistake the requests of a burst for the capacity of
+     * the endpoints.
      *
-     * @param coreTimeNanos the longest that one core takes for a mean request
-     * @param subsetSize how many endpoints this replica sends to
-     * @param ringSize how many endpoints are ready
+     * @param coreTimeNanos the maximum time that one core needs for a mean request
+     * @param subsetSize the number of endpoints that this replica sends to
+     * @param ringSize the number of ready endpoints
      */
     double warmRate(
             long now, boolean inSubset, double coreTimeNanos, int subsetSize, int ringSize) {
         double retained = retainedSince(now);
         double coreRate = NANOS_PER_SECOND / coreTimeNanos * ringSize / replicas;
-        double evenPart = Math.min(requestRate * retained, coreRate);
+        double boundedRequestRate = Math.min(requestRate * retained, coreRate);
         return inSubset
-                ? Math.max(evenPart / subsetSize, warmServiceRate * retained)
-                : evenPart / ringSize;
+                ? Math.max(boundedRequestRate / subsetSize, warmServiceRate * retained)
+                : boundedRequestRate / ringSize;
     }
 
     private double retainedSince(long now) {
--- a/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
+++ b/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
@@ -41,7 +41,7 @@
     public void aWrongOneIsRefusedWithWhatIsAllowed() {
         assertTrue(
                 complaint("pool=3")
-                        .startsWith("no figure is named 'pool'; known are probes-per-call, "));
+                        .startsWith("unknown parameter 'pool'; known are probes-per-call, "));
         for (String wrong : List.of("x", "", "NaN", "-1", "Infinity", "1.01")) {
             String message = complaint("hold-share=" + wrong);
             assertTrue(message.startsWith("hold-share: found "), message);
--- a/lab/src/test/java/cedarrudder/lab/command/LabTest.java
+++ b/lab/src/test/java/cedarrudder/lab/command/LabTest.java
@@ -197,7 +197,7 @@
             {"model", "Missing required parameter"},
             {"model GOOD --policy rnadom", "no policy rnadom"},
             {"model GOOD --set probes-per-call=-1", "probes-per-call: found -1"},
-            {"model GOOD --set nothing=1", "no figure is named 'nothing'"},
+            {"model GOOD --set nothing=1", "unknown parameter 'nothing'"},
             {"model GOOD --policy random --set idle-ms=5", "random has no figures to set"},
             {"model GOOD --seeds 5..3", "--seeds: found 5..3"},
             {"model GOOD --seed 1 --seeds 1..3", "mutually exclusive"},
