--- a/core/src/main/java/cedarrudder/forwarding/AttemptGate.java
+++ b/core/src/main/java/cedarrudder/forwarding/AttemptGate.java
@@ -6,8 +6,8 @@
 import cedarrudder.logging.Logger;
 
 /**
- * Whether an attempt may go out: when the balancer starts it, and again right before its first
- * byte.
+ * Decides whether an attempt may be sent: when the balancer starts it, and again right before its
+ * first byte.
  */
 final class AttemptGate<Q, A> {
 
@@ -19,10 +19,10 @@
     private AttemptTransport<Q, A> transport;
 
     /**
-     * A gate, to be completed by {@link #attach}.
+     * Creates a gate whose wiring {@link #attach} completes.
      *
-     * @param maxAttempts attempts of one request beyond which none goes out
-     * @param budgets asked before each further attempt; null: none
+     * @param maxAttempts the maximum number of attempts of one request
+     * @param budgets consulted before each attempt; null if there are no budgets
      */
     AttemptGate(
             int maxAttempts,
@@ -37,25 +37,31 @@
         this.log = log;
     }
 
-    /** Completes the wiring. */
+    /** Sets the transport; called once, before the first attempt. */
     void attach(AttemptTransport<Q, A> attemptTransport) {
         transport = attemptTransport;
     }
 
-    /** What an attempt ends with at once; null where it may go to the transport. */
+    /**
+     * Returns the outcome with which an attempt ends as soon as the balancer starts it; null if it
+     * may be passed to the transport.
+     */
     Outcome refusal(RequestAttempt<Q, A> attempt, long now) {
         Exchange<Q, A> exchange = attempt.exchange();
         if (!mayAttempt(exchange, now) || attempt.number() >= maxAttempts) {
             return Outcome.NOT_STARTED;
         }
         if (!transport.knowsEndpoint(attempt.endpoint())) {
-            return Outcome.CONNECT_FAILED; // another endpoint may well be there
+            return Outcome.CONNECT_FAILED; // another endpoint may be reachable
         }
         boolean withinBudget = budgets == null || budgets.mayAttempt(now, exchange.budget());
         return withinBudget ? null : Outcome.NOT_STARTED;
     }
 
-    /** What an attempt ends with instead of starting now; null where it may start. */
+    /**
+     * Returns the outcome with which an attempt ends instead of sending its first byte now; null if
+     * it may start.
+     */
     Outcome startDenial(RequestAttempt<Q, A> attempt) {
         Exchange<Q, A> exchange = attempt.exchange();
         long now = timers.now();
@@ -68,13 +74,13 @@
         try {
             return balancer.startDenial(now, exchange.request().id(), attempt.number());
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            // As for its events: a fault of the balancer must not hold its client up.
+            // As for events: an exception in the balancer must not keep its client waiting.
             log.fault("balancer.failed", e).write();
             return Outcome.NOT_STARTED;
         }
     }
 
-    /** Whether anything more may be sent for a request at all. */
+    /** Returns whether anything more may be sent for a request. */
     private static boolean mayAttempt(Exchange<?, ?> exchange, long now) {
         return !exchange.isOver() && !exchange.contentDiscarded() && !exchange.isExpired(now);
     }
--- a/core/src/main/java/cedarrudder/forwarding/AttemptTransport.java
+++ b/core/src/main/java/cedarrudder/forwarding/AttemptTransport.java
@@ -1,29 +1,32 @@
 package cedarrudder.forwarding;
 
 /**
- * The side that talks to endpoints, as the forwarder sees it. Each attempt and each probe is
- * answered by one report to the forwarder, which may come at once.
+ * The client side of the proxy: sends attempts and probes to endpoints. For each attempt and each
+ * probe it reports one outcome to the forwarder, possibly before the method returns.
  *
- * @param <Q> what is forwarded
- * @param <A> what an endpoint answers
+ * @param <Q> the content that is forwarded
+ * @param <A> an endpoint's response
  */
 public interface AttemptTransport<Q, A> {
 
-    /** Whether an endpoint of this id was ever listed, so that attempts and probes can be made. */
+    /**
+     * Returns whether an endpoint with this id was ever listed, so that attempts and probes can be
+     * sent to it.
+     */
     boolean knowsEndpoint(long endpoint);
 
     /**
-     * Carries out an attempt and reports its end. Before the first byte of it goes out the
-     * forwarder is asked once ({@link RequestForwarder#mayStart}); after its last {@link
-     * RequestAttempt#writeComplete} is called. One that may not start is abandoned within that
-     * question.
+     * Carries out an attempt and reports its outcome. The implementation calls {@link
+     * RequestForwarder#mayStart} once, right before the attempt's first byte is sent, and {@link
+     * RequestAttempt#writeComplete} after its last. An attempt that may not start is abandoned
+     * within the call of {@code mayStart}.
      */
     void startAttempt(RequestAttempt<Q, A> attempt);
 
-    /** Stops at once whatever is done for an attempt; its end is not reported any more. */
+    /** Stops all work for an attempt at once; its outcome is no longer reported. */
     void abandonAttempt(RequestAttempt<Q, A> attempt);
 
-    /** Probes an endpoint for its load. */
+    /** Sends a probe that asks an endpoint for its load. */
     void sendProbe(long endpoint);
 
     /** Closes the idle connections to an endpoint. */
--- a/core/src/main/java/cedarrudder/forwarding/BalancerActions.java
+++ b/core/src/main/java/cedarrudder/forwarding/BalancerActions.java
@@ -6,7 +6,7 @@
 import cedarrudder.logging.Logger;
 import cedarrudder.metrics.RequestMetrics.End;
 
-/** Carries out what the balancer wants done. */
+/** Carries out the balancer's actions. */
 final class BalancerActions<Q, A> implements LoadBalancer.Actions {
 
     private final RequestForwarder<Q, A> forwarder;
@@ -20,10 +20,10 @@
     private PeerTransport peers;
 
     /**
-     * Actions, to be completed by {@link #attach}.
+     * Creates actions whose wiring {@link #attach} completes.
      *
-     * @param forwarder the owner of the requests
-     * @param budgets null: attempts carry none
+     * @param forwarder owns the requests
+     * @param budgets null if attempts carry no budget
      */
     BalancerActions(
             RequestForwarder<Q, A> forwarder,
@@ -40,7 +40,7 @@
         this.log = log;
     }
 
-    /** Completes the wiring. */
+    /** Sets the transports; called once, before the first event. */
     void attach(
             AttemptTransport<Q, A> attemptTransport,
             EndpointDiscovery endpointDiscovery,
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Marks a request as over; null where it was already. */
+    /** Ends a request and returns its exchange; null if it had ended already. */
     private Exchange<Q, A> finish(long requestId, End end) {
         Exchange<Q, A> exchange = forwarder.exchange(requestId);
         if (exchange == null || exchange.isOver()) {
--- a/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
+++ b/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
@@ -6,52 +6,54 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When discovery is called, and when a call counts as lost: for the watch, or for one call for the
- * whole list. Pure: events with their time in nanoseconds come in, actions go out; a call is a
- * number.
+ * Decides when calls to discovery are made, and when a call counts as lost. A call is one request
+ * to discovery, either for the watch or for the whole list, and is identified by a number. This
+ * class performs no I/O: it receives events with their time in nanoseconds and invokes {@link
+ * Actions}.
  *
- * <p><b>Silence.</b> A complete object or an empty line is a sign of life, and so is the first byte
- * of an object, once; a watch that goes on with pieces of an object that never ends does not count
- * as alive for good. So a watch is lost at the latest {@code watchSilenceNanos + jitterNanos} after
- * its last byte, and is opened anew at once.
+ * <p><b>Silence.</b> A complete object or an empty line shows that a watch is alive, and so does
+ * the first byte of an object; the further bytes don't, so a watch that delivers pieces of an
+ * object that never ends doesn't count as alive for good. A watch is therefore lost at the latest
+ * {@code watchSilenceNanos + jitterNanos} after its last byte, and is reopened at once.
  *
- * <p><b>Hedging.</b> While no call has an answer one more is made each {@code hedgeNanos}, on
- * another connection, and those before are waited for all the same, so that none loses its place in
- * the queue of a busy discovery. At most {@code callNanos / hedgeNanos} and one are in flight at a
- * time; of a whole list two. For the next of them a spare connection is dialled while the one
- * before has no answer, since two connections in a row may come up late.
+ * <p><b>Hedging.</b> While no call has a response, another one is made every {@code hedgeNanos}, on
+ * another connection. The earlier calls stay in flight, so that none loses its place in the queue
+ * of a busy discovery. At most {@code callNanos / hedgeNanos + 1} calls are in flight at a time;
+ * for a whole list at most two. A spare connection for the next call is dialled while the previous
+ * call has no response, since two connections in a row may be established late.
  *
- * <p><b>Backoff.</b> Once all calls have failed the next one is made after a backoff with jitter:
- * at most {@code jitterNanos} where a watch ended, a quarter of it where the first call failed or
- * the last fell silent, then {@link #maxBackoffNanos}. The cap is low, since a list may not be late
- * once discovery is back, however long it was away. {@link Actions#onUnavailable} tells the
- * balancer once of all that fails until the watch is answered again; the balancer's own backoff
- * neither lengthens nor shortens these.
+ * <p><b>Backoff.</b> Once all calls have failed, the next one is made after a backoff with jitter:
+ * at most {@code jitterNanos} if a watch ended, a quarter of that if the first call failed or the
+ * last one was silent, then {@link #maxBackoffNanos}. The cap is low, since a list must not arrive
+ * late once discovery has recovered, however long the outage was. {@link Actions#onUnavailable}
+ * notifies the balancer once of all failures until the watch has a response again; the balancer's
+ * own backoff neither lengthens nor shortens this one.
  */
 public final class DiscoveryPollSchedule {
 
     /**
-     * The backoff's cap. A change has to be known 6 s after discovery is back: the cap, a
-     * connection that comes up a second late and a refusal, and all of these once more, take 5.1 s.
+     * The maximum backoff. A change has to be known 6 s after discovery has recovered: the maximum
+     * backoff, a connection that is established a second late and a refusal, and all of these once
+     * more, take 5.1 s.
      */
     private static final long MAX_BACKOFF_NANOS = 1_500_000_000L;
 
     /**
-     * The cap as a share of the poll interval; the rest is for a call that waits and a connection
-     * that comes up late.
+     * The maximum backoff as a fraction of the poll interval; the rest is reserved for a call that
+     * waits and a connection that is established late.
      */
-    private static final double MAX_BACKOFF_INTERVAL_SHARE = 0.6;
+    private static final double MAX_BACKOFF_INTERVAL_FRACTION = 0.6;
 
-    /** The cap where lists are pushed: an agent serves this machine alone. */
+    /** The maximum backoff if lists are pushed: an agent then serves this machine alone. */
     private static final long MAX_BACKOFF_PUSHED_NANOS = 750_000_000L;
 
     /**
-     * The part of the backoff that is random. With the rest no replica calls twice in a second, and
-     * with the random part replicas that failed together drift apart.
+     * The fraction of the backoff that is random. The fixed rest keeps a replica from making two
+     * calls within a second; the random part spreads replicas that failed at the same time.
      */
-    private static final double JITTER_SHARE = 1.0 / 3;
+    private static final double BACKOFF_JITTER_FRACTION = 1.0 / 3;
 
-    /** The part of the jitter that a failed call waits: calls are spread already. */
+    /** Divides the jitter after a failed call, since calls are spread already. */
     private static final int FAILED_CALL_JITTER_DIVISOR = 4;
 
     /** The connection attempt delay that RFC 8305, section 5, recommends. */
@@ -61,35 +63,35 @@
 
     /** Why a call is dropped. */
     public enum DropReason {
-        /** It brought nothing for too long. */
+        /** No data was received for too long. */
         SILENT,
-        /** Another call takes its place, or the list is no longer wanted. */
+        /** Another call replaces this one, or the list is no longer wanted. */
         SUPERSEDED
     }
 
-    /** What comes of the events. */
+    /** Carries out what the schedule decides. */
     public interface Actions {
 
-        /** Makes a call, on a connection of its own; the spare one if there is one. */
+        /** Makes a call on a connection of its own: the spare one if there is one. */
         void open(int call);
 
-        /** Dials a spare connection, or closes the one there is. */
+        /** Dials a spare connection, or closes the existing one. */
         void dialSpare(boolean wanted);
 
         /** Drops a call. */
         void drop(int call, DropReason reason);
 
         /**
-         * Wants {@link DiscoveryPollSchedule#onTimer} at an instant; an earlier wish no longer
-         * counts.
+         * Schedules a call of {@link DiscoveryPollSchedule#onTimer} for an instant, in place of an
+         * earlier one.
          */
         void scheduleTimer(long at);
 
-        /** No call is left to wait for. */
+        /** Reports that all calls have failed. */
         void onUnavailable();
     }
 
-    /** One call, from its dial to its end. */
+    /** One call, from dialling its connection to its end. */
     private static final class Call {
         private final int number;
         private final long openedAt;
@@ -122,10 +124,10 @@
     private final Actions actions;
     private DiscoveryTimeouts timeouts;
 
-    /** Calls that have brought no list yet, the oldest first. */
+    /** Calls that have delivered no list yet, oldest first. */
     private final List<Call> pending = new ArrayList<>(2);
 
-    /** The watch that brings updates; while the address changes, the one at the former address. */
+    /** The watch that delivers updates; during a change of address, the one at the old address. */
     private Call established;
 
     private boolean wanted;
@@ -133,7 +135,7 @@
     private boolean unavailableReported;
     private int failures;
 
-    /** Whether discovery itself ended the last call that failed: it is there, maybe busy. */
+    /** Whether discovery itself ended the last call that failed: it is reachable, maybe busy. */
     private boolean reachable;
 
     private long nextCallAt = NEVER;
@@ -142,11 +144,11 @@
     private int lastNumber;
 
     /**
-     * A schedule that has made no call yet.
+     * Creates a schedule that has made no call yet.
      *
-     * @param watching whether it is the watch that is called for, else one whole list
-     * @param maxBackoffNanos at most this long after a failure the next call is made; 0 where
-     *     others see to it
+     * @param watching true: calls are for the watch; false: for one whole list
+     * @param maxBackoffNanos the maximum time from a failure to the next call; 0 if this schedule
+     *     does not repeat failed calls
      */
     public DiscoveryPollSchedule(
             boolean watching,
@@ -161,30 +163,31 @@
         this.actions = actions;
     }
 
-    /** The backoff's cap at a site, in nanoseconds. */
+    /** Returns the maximum backoff for a site, in nanoseconds. */
     public static long maxBackoffNanos(BalancerSettings settings) {
         if (!settings.pollsEndpoints()) {
             return MAX_BACKOFF_PUSHED_NANOS;
         }
-        double share = MAX_BACKOFF_INTERVAL_SHARE * settings.safety().pollIntervalNanos();
-        return Math.min(MAX_BACKOFF_NANOS, (long) share);
+        double nanos = MAX_BACKOFF_INTERVAL_FRACTION * settings.safety().pollIntervalNanos();
+        return Math.min(MAX_BACKOFF_NANOS, (long) nanos);
     }
 
-    /**
-     * These timeouts count from now on; a backoff that has begun lasts for as long as it was to.
-     */
+    /** Sets the timeouts that apply from now on; a backoff that has begun keeps its length. */
     public void apply(DiscoveryTimeouts next) {
         timeouts = next;
     }
 
-    /** Whether the watch is established, or called for. */
+    /** Returns whether the watch is established or a call is pending. */
     public boolean isActive() {
         return established != null || !pending.isEmpty();
     }
 
-    // ---- what is wanted
+    // ---- requests of the balancer and changes of address
 
-    /** The list is wanted. Without effect while it is called for, watched, or soon called for. */
+    /**
+     * Makes a call for the list. Has no effect while a call is pending or scheduled, or a watch is
+     * established.
+     */
     public void poll(long now) {
         wanted = true;
         boolean watched = established != null && !addressChanging;
@@ -195,20 +198,20 @@
     }
 
     /**
-     * Discovery has another address: it is called there at once, also where the next call at the
-     * old one was to wait. An established watch goes on until the new one is.
+     * Makes a call to the new address of discovery at once, even during a backoff. A watch that is
+     * established at the old address continues until the new one is established.
      */
     public void onAddressChanged(long now) {
         if (wanted) {
             dropPending();
             addressChanging = established != null;
             failures = 0;
-            reachable = false; // of the new address nothing is known
+            reachable = false; // unknown for the new address
             open(now);
         }
     }
 
-    /** The list is no longer wanted. */
+    /** Drops all calls and makes no more until the next poll. */
     public void stop() {
         wanted = false;
         addressChanging = false;
@@ -223,9 +226,12 @@
         actions.dialSpare(false);
     }
 
-    // ---- what calls bring
+    // ---- events of calls
 
-    /** The connection of a call is up: it may have a place in discovery's queue from now on. */
+    /**
+     * Records that the connection of a call is established: from now on the call may have a place
+     * in discovery's queue.
+     */
     public void onConnected(int number) {
         Call call = pending(number);
         if (call != null) {
@@ -233,7 +239,7 @@
         }
     }
 
-    /** The first byte of an object came. */
+    /** Records that the first byte of an object was received. */
     public void onObjectStarted(long now, int number) {
         if (isEstablished(number)) {
             established.onReceived(now);
@@ -241,8 +247,8 @@
     }
 
     /**
-     * An empty line came: nothing has changed. It says nothing for an address that has brought no
-     * list.
+     * Records that an empty line was received: nothing has changed. From a new address that has
+     * delivered no list yet, it only shows that the call is alive.
      */
     public void onHeartbeat(long now, int number) {
         if (!addressChanging || isEstablished(number)) {
@@ -255,7 +261,7 @@
         }
     }
 
-    /** A list or a change came that could be read. Other calls are no longer needed. */
+    /** Records that a valid list or change was received, and drops the other calls. */
     public void onUpdate(long now, int number) {
         if (isEstablished(number)) {
             established.onReceived(now);
@@ -280,7 +286,7 @@
         }
     }
 
-    /** A call ended, or can't be made or read. */
+    /** Records that a call ended, could not be made, or delivered an unreadable response. */
     public void onCallFailed(long now, int number) {
         if (isEstablished(number)) {
             onWatchEnded(now);
@@ -297,11 +303,14 @@
         }
     }
 
-    /** A watch at a former address was to end; the one that takes its place reports for both. */
+    /**
+     * Records that the watch ended. That of a watch at an old address is expected; the call that
+     * replaces it reports failures for both.
+     */
     private void onWatchEnded(long now) {
         boolean lastedLong = now - established.openedAt >= maxBackoffNanos;
         if (lastedLong) {
-            failures = 0; // one that ends as soon as it has answered is no success
+            failures = 0; // a watch that ends right after its response is no success
         }
         established = null;
         if (!addressChanging) {
@@ -311,9 +320,9 @@
         addressChanging = false;
     }
 
-    // ---- time
+    // ---- timer
 
-    /** The instant that was wished for has come, or is past. */
+    /** Handles the timer, at or after the instant that was scheduled. */
     public void onTimer(long now) {
         timerAt = NEVER;
         dropSilentWatch(now);
@@ -341,7 +350,7 @@
     }
 
     private void dropSilentCalls(long now) {
-        boolean waited = !pending.isEmpty();
+        boolean hadPending = !pending.isEmpty();
         for (Call call : List.copyOf(pending)) {
             if (now >= call.lostAt(timeouts)) {
                 reachable = false;
@@ -349,15 +358,15 @@
                 actions.drop(call.number, DropReason.SILENT);
             }
         }
-        if (waited && pending.isEmpty()) {
-            failures = 0; // a whole timeout has gone by, so no long backoff on top of it
+        if (hadPending && pending.isEmpty()) {
+            failures = 0; // a whole timeout has passed, so no long backoff on top of it
             backOff(now, timeouts.jitterNanos() / FAILED_CALL_JITTER_DIVISOR);
         }
     }
 
     /**
-     * Makes a call. Of those that wait for a connection only the newest is kept: what the network
-     * lost of the others is sent again once it is back, and all would come at the same time.
+     * Makes a call. Drops earlier calls that still wait for a connection: once the network
+     * recovers, their lost packets would be retransmitted and all calls arrive at the same time.
      */
     private void open(long now) {
         for (Call call : List.copyOf(pending)) {
@@ -378,9 +387,9 @@
     }
 
     /**
-     * All calls have failed.
+     * Schedules the next call after all calls have failed.
      *
-     * @param maxFirst the longest backoff where nothing failed before, in nanoseconds
+     * @param maxFirst the maximum backoff after a first failure, in nanoseconds
      */
     private void backOff(long now, long maxFirst) {
         boolean repeats = maxBackoffNanos > 0;
@@ -398,18 +407,22 @@
         if (failures == 1) {
             return (long) (random.nextDouble() * maxFirst);
         }
-        return maxBackoffNanos - (long) (random.nextDouble() * JITTER_SHARE * maxBackoffNanos);
+        return maxBackoffNanos
+                - (long) (random.nextDouble() * BACKOFF_JITTER_FRACTION * maxBackoffNanos);
     }
 
-    /** No call is made beside one that is answered, or has its place in discovery's queue. */
+    /**
+     * Returns when the next call is made; {@link #NEVER} while a pending call is answered or has a
+     * place in discovery's queue.
+     */
     private long effectiveNextCallAt() {
         boolean answered = pending.stream().anyMatch(call -> call.answered);
         return isQueuedAtDiscovery() || answered ? NEVER : nextCallAt;
     }
 
     /**
-     * Whether a call has a place in the queue of a discovery that is there. Hedged calls at one
-     * that serves a few in a second would make all replicas wait twice as long.
+     * Returns whether a call has a place in the queue of a reachable discovery. If discovery serves
+     * only a few calls a second, hedged calls would make all replicas wait twice as long.
      */
     private boolean isQueuedAtDiscovery() {
         return reachable && pending.stream().anyMatch(call -> call.connected);
@@ -429,7 +442,7 @@
         }
     }
 
-    // ---- the calls
+    // ---- lookup and removal of calls
 
     private boolean isEstablished(int number) {
         return established != null && established.number == number;
--- a/core/src/main/java/cedarrudder/forwarding/EndpointDiscovery.java
+++ b/core/src/main/java/cedarrudder/forwarding/EndpointDiscovery.java
@@ -1,11 +1,11 @@
 package cedarrudder.forwarding;
 
-/** Discovery, as the forwarder sees it. Lists and failures are reported to the forwarder. */
+/** Fetches the endpoint list; reports lists and failures to the forwarder. */
 public interface EndpointDiscovery {
 
-    /** Opens the watch on changes, or ends it. */
+    /** Opens the watch for changes, or ends it. */
     void watch(boolean on);
 
-    /** Asks once for the whole list. */
+    /** Requests the whole list once. */
     void fetchAll();
 }
--- a/core/src/main/java/cedarrudder/forwarding/Exchange.java
+++ b/core/src/main/java/cedarrudder/forwarding/Exchange.java
@@ -8,63 +8,63 @@
 import java.util.List;
 
 /**
- * One request between its client and the endpoints: the only thing that the server side and the
+ * One request between its client and the endpoints: the only object that the server side and the
  * client side share.
  *
- * <p>The server side makes it and learns through {@link Reply} how it ended; the attempt transport
- * reads its content to carry out the attempts. What content and answers are is the protocol's
- * affair.
+ * <p>The server side creates it and is notified of its result through {@link Reply}; the attempt
+ * transport reads its content to carry out the attempts. The protocol defines the types of content
+ * and response.
  *
- * @param <Q> what is forwarded to an endpoint
- * @param <A> what an endpoint answers
+ * @param <Q> the content that is forwarded to an endpoint
+ * @param <A> an endpoint's response
  */
 public final class Exchange<Q, A> {
 
     /**
-     * The server side's end of an exchange. Exactly one of {@link #served}, {@link #rejected} and
-     * {@link #failed} is called, once, unless the client leaves.
+     * Passes the result of an exchange to the server side. Exactly one of {@link #served}, {@link
+     * #rejected} and {@link #failed} is called, once, unless the client disconnects.
      *
-     * @param <A> what an endpoint answers
+     * @param <A> an endpoint's response
      */
     public interface Reply<A> {
-        /** An endpoint's answer, to be passed on. */
+        /** Passes on an endpoint's response. */
         void served(A answer);
 
         /**
-         * An unavailable status: trying again is harmless.
+         * Answers with an unavailable status, after which a retry is safe.
          *
          * @param retryAfter advice when to retry, in nanoseconds; 0: none
          */
         void rejected(long retryAfter);
 
-        /** It failed, and nothing is promised. */
+        /** Answers that the request failed, without a promise that a retry is safe. */
         void failed();
 
         /**
-         * Whether the client is still there, looked up now and not by what was last received.
-         * Called on the event loop right before the first byte of an attempt goes out. False counts
-         * as {@link RequestForwarder#clientLeft}, which may also be called within this, for this
-         * exchange; nothing else of the forwarder may be.
+         * Returns whether the client is still connected, checked now and not by what was last
+         * received. Called on the event loop right before the first byte of an attempt is sent.
+         * False counts as {@link RequestForwarder#clientLeft}; within this method that may also be
+         * called for this exchange, but no other method of the forwarder.
          */
         boolean isClientWaiting();
 
         /**
-         * Whether it would be seen that the client has left. Where not, since what it sent is not
-         * read for want of buffers, {@link #isClientWaiting} says nothing, and no attempt may
-         * start.
+         * Returns whether a disconnect of the client would be detected. It would not be while the
+         * client's input is not read for lack of buffers; {@link #isClientWaiting} then proves
+         * nothing, and no attempt may start.
          */
         default boolean canDetectDisconnect() {
             return true;
         }
     }
 
-    /** The life of an exchange; {@link #isOver} but for {@code OPEN}. */
+    /** The state of an exchange; {@link #isOver} is true except in {@code OPEN}. */
     private enum State {
-        /** An answer is owed. */
+        /** The client has received no answer yet. */
         OPEN,
-        /** A response streams to the client, which owns it from its start on. */
+        /** A response streams to the client; no deadline applies any more. */
         STREAMING,
-        /** All is said. */
+        /** The client has its answer, or has left. */
         ENDED
     }
 
@@ -85,12 +85,19 @@
     private RequestBudget budget;
     private DownstreamFeedback feedback;
 
-    /** Its id must be new; its deadline is an instant of the forwarder's clock. */
+    /**
+     * Creates an exchange for a client that sent no budget.
+     *
+     * @param request has a new id; its deadline is an instant of the forwarder's clock
+     */
     public Exchange(LoadBalancer.Request request, Q content, Reply<A> reply) {
         this(request, content, reply, PropagatedBudget.NOTHING);
     }
 
-    /** The same with the budget that came with it, which counts where the forwarder has budgets. */
+    /**
+     * Creates an exchange with the budget that was received with the request, which is used if the
+     * forwarder has budgets.
+     */
     public Exchange(
             LoadBalancer.Request request,
             Q content,
@@ -103,12 +110,12 @@
         this.receivedBudget = receivedBudget;
     }
 
-    /** What the balancer knows of it. */
+    /** Returns the request as it is passed to the balancer. */
     public LoadBalancer.Request request() {
         return request;
     }
 
-    /** What is forwarded. */
+    /** Returns the content that is forwarded. */
     public Q content() {
         return content;
     }
@@ -124,7 +131,8 @@
     }
 
     /**
-     * What it may cost; null before the balancer has received it, and where there are no budgets.
+     * Returns the budget of this request; null before the balancer has received the request, and if
+     * there are no budgets.
      */
     public RequestBudget budget() {
         return budget;
@@ -135,8 +143,8 @@
     }
 
     /**
-     * What the tier above learns with the answer, from the moment of the reply on; null where
-     * nothing.
+     * Returns the feedback that is sent to the tier above with the reply; null before the reply,
+     * and if there is none.
      */
     public DownstreamFeedback feedback() {
         return feedback;
@@ -146,13 +154,13 @@
         feedback = forClient;
     }
 
-    // ---- time and upload
+    // ---- deadline and upload
 
     /**
-     * Its content is still being received. Its deadline counts from the last byte of it; until then
-     * it has that of the request.
+     * Marks the content as still being received. The deadline then counts from the last byte of the
+     * content; until that arrives, the request's own deadline applies.
      *
-     * @param timeout how long its client waits from then on, in nanoseconds
+     * @param timeout how long the client waits from the last byte on, in nanoseconds
      */
     public Exchange<Q, A> withUpload(long timeout) {
         upload = true;
@@ -160,7 +168,7 @@
         return this;
     }
 
-    /** Whether its content was still being received when it was accepted. */
+    /** Returns whether the content was still being received when the exchange was accepted. */
     boolean isUpload() {
         return upload;
     }
@@ -170,14 +178,15 @@
     }
 
     /**
-     * What is left of its client's wait, in nanoseconds: an endpoint may be given no more. While
-     * its content is being received that is the wait from its last byte on.
+     * Returns how long the client still waits, in nanoseconds: the maximum time that an endpoint
+     * may be given. While the content is being received, this is at most the wait from its last
+     * byte on.
      */
     public long remainingNanos(long now) {
         return upload ? Math.min(timeoutAfterUpload, expiry - now) : expiry - now;
     }
 
-    /** The instant at which its time is over. */
+    /** Returns the instant at which the exchange expires. */
     public long expiry() {
         return expiry;
     }
@@ -194,12 +203,14 @@
         deadlineTimer = timer;
     }
 
-    /** Cancels the deadline, which would keep the exchange and its body in memory. */
+    /** Cancels the deadline timer, which would keep the exchange and its body in memory. */
     void cancelDeadline() {
         deadlineTimer.cancel();
     }
 
-    /** Content that is no longer buffered has gone out: no further attempt can be made. */
+    /**
+     * Records that content was sent which is no longer buffered: no further attempt can be made.
+     */
     public void discardContent() {
         contentDiscarded = true;
     }
@@ -208,9 +219,9 @@
         return contentDiscarded;
     }
 
-    // ---- its life
+    // ---- state
 
-    /** Whether its client has its answer, or the start of one, or has left. */
+    /** Returns whether the client has its answer, or the start of one, or has left. */
     boolean isOver() {
         return state != State.OPEN;
     }
@@ -219,7 +230,7 @@
         state = State.ENDED;
     }
 
-    /** The attempt whose response streams to the client; null where none does. */
+    /** Returns the attempt whose response streams to the client; null if none does. */
     RequestAttempt<Q, A> streamingAttempt() {
         return streamingAttempt;
     }
@@ -229,7 +240,10 @@
         streamingAttempt = attempt;
     }
 
-    /** The response that streamed has ended, or its client has left; true once. */
+    /**
+     * Ends streaming, since the response has ended or its client has left. Returns whether a
+     * response was streaming: true only once.
+     */
     boolean endStreaming() {
         boolean streamed = state == State.STREAMING;
         if (streamed) {
@@ -258,12 +272,12 @@
         mayHaveRun |= !outcome.provesNotRun();
     }
 
-    /** Whether an attempt that has ended may have been executed. */
+    /** Returns whether an attempt that has ended may have been executed. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether it may be forgotten: it is over and no attempt is in flight. */
+    /** Returns whether the exchange is over and no attempt is in flight, so it can be removed. */
     boolean isDone() {
         return isOver() && attemptsInFlight == 0;
     }
--- a/core/src/main/java/cedarrudder/forwarding/PeerTransport.java
+++ b/core/src/main/java/cedarrudder/forwarding/PeerTransport.java
@@ -1,8 +1,12 @@
 package cedarrudder.forwarding;
 
-/** The way to the other replicas of the tier. */
+/** Sends messages to the other replicas of the tier. */
 public interface PeerTransport {
 
-    /** Sends a message to one of them by its number, or to all (-1). It may be lost. */
+    /**
+     * Sends a message, which may be lost.
+     *
+     * @param replica the number of the receiving replica; -1: all others
+     */
     void send(int replica, byte[] message);
 }
--- a/core/src/main/java/cedarrudder/forwarding/RequestAccounting.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestAccounting.java
@@ -9,19 +9,19 @@
 import cedarrudder.metrics.RequestMetrics.End;
 import java.util.List;
 
-/** Counts requests and attempts, for the metrics and by zones; either may be absent. */
+/** Counts requests and attempts, for the metrics and by zone; either may be absent. */
 final class RequestAccounting {
 
-    /** The zone of an attempt that is counted for none. */
+    /** The zone of an attempt that is not counted by zone. */
     static final int NO_ZONE = -1;
 
     private final RequestMetrics metrics;
     private ZoneTrafficCounter zones;
 
     /**
-     * Accounting without zones.
+     * Creates an accounting that does not count by zone.
      *
-     * @param metrics null: requests are not counted
+     * @param metrics null if requests are not counted
      */
     RequestAccounting(RequestMetrics metrics) {
         this.metrics = metrics;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The zone that an attempt to this endpoint is counted for. */
+    /** Counts an attempt to an endpoint and returns the zone that it is counted for. */
     int onAttemptSent(long now, long endpoint) {
         return zones == null ? NO_ZONE : zones.onAttemptSent(now, endpoint);
     }
--- a/core/src/main/java/cedarrudder/forwarding/RequestAttempt.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestAttempt.java
@@ -3,27 +3,27 @@
 import cedarrudder.budget.PropagatedBudget;
 
 /**
- * One attempt at a request, at one endpoint. The attempts of a request are numbered from 0, in the
- * order sent.
+ * One attempt at a request, sent to one endpoint. The attempts of a request are numbered from 0, in
+ * the order in which the balancer starts them.
  *
- * @param <Q> what is forwarded
- * @param <A> what an endpoint answers
+ * @param <Q> the content that is forwarded
+ * @param <A> an endpoint's response
  */
 public final class RequestAttempt<Q, A> {
 
-    /** How far an attempt has gone; it only goes on, and may leave states out. */
+    /** The progress of an attempt; states are only entered in this order, and may be skipped. */
     private enum State {
-        /** No byte is out: it waits for its connection, and its endpoint knows nothing of it. */
+        /** No byte has been sent: the attempt waits for its connection. */
         WAITING,
-        /** Its first byte may be out, its last is not: its endpoint does not execute it yet. */
+        /** The first byte may have been sent, the last has not: the endpoint can't execute it. */
         WRITING,
-        /** Its last byte is out: it may have been executed. */
+        /** The last byte has been sent: the endpoint may have executed it. */
         EXECUTING,
-        /** It has its outcome. */
+        /** The outcome is known. */
         ENDED
     }
 
-    private static final long NOT_YET = 0;
+    private static final long NO_RESPONSE = 0;
 
     private final Exchange<Q, A> exchange;
     private final int number;
@@ -33,7 +33,7 @@
     private State state = State.WAITING;
     private boolean countedForZone = true;
     private long latencyFrom;
-    private long responseAt = NOT_YET;
+    private long responseAt = NO_RESPONSE;
     private PropagatedBudget propagatedBudget;
 
     RequestAttempt(Exchange<Q, A> exchange, int number, long endpoint, long latencyFrom, int zone) {
@@ -45,27 +45,30 @@
         this.latencyFrom = latencyFrom;
     }
 
-    /** The exchange that it belongs to. */
+    /** Returns the exchange that this attempt belongs to. */
     public Exchange<Q, A> exchange() {
         return exchange;
     }
 
-    /** The endpoint that it goes to. */
+    /** Returns the id of the endpoint that this attempt is sent to. */
     public long endpoint() {
         return endpoint;
     }
 
-    /** Its number among the attempts of its request, from 0. */
+    /** Returns the number of this attempt among those of its request, from 0. */
     public int number() {
         return number;
     }
 
-    /** The instant at which the balancer started it. */
+    /** Returns the instant at which the balancer started this attempt. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** The one place where its state changes; false, without effect, where it has gone as far. */
+    /**
+     * Moves to a later state, the only place where the state changes. Returns false, without
+     * effect, if the attempt is in that state or past it.
+     */
     private boolean advance(State next) {
         if (state.compareTo(next) >= 0) {
             return false;
@@ -74,19 +77,20 @@
         return true;
     }
 
-    /** Its first byte is about to go out. */
+    /** Records that the first byte is about to be sent. */
     void startWriting() {
         advance(State.WRITING);
     }
 
-    /** Whether it waits for its connection, so that no byte of it is out. */
+    /** Returns whether this attempt waits for its connection, so that no byte has been sent. */
     boolean isWaiting() {
         return state == State.WAITING;
     }
 
     /**
-     * Its last byte is written; the attempt transport calls this. The endpoint executes it from now
-     * on, so where its body was streamed, its latency counts from here.
+     * Records that the last byte was written; called by the attempt transport. The endpoint
+     * executes the attempt from now on, so the latency of an attempt whose body was streamed counts
+     * from here.
      */
     public void writeComplete(long now) {
         if (advance(State.EXECUTING) && exchange.isUpload()) {
@@ -94,7 +98,7 @@
         }
     }
 
-    /** Whether it has been written and has no outcome yet. */
+    /** Returns whether this attempt was written completely and has no outcome yet. */
     boolean isExecuting() {
         return state == State.EXECUTING;
     }
@@ -103,37 +107,40 @@
         return state == State.ENDED;
     }
 
-    /** Ends it; false where it had ended, so that none has two outcomes. */
+    /** Ends this attempt; returns false if it had ended, so that no attempt has two outcomes. */
     boolean end() {
         return advance(State.ENDED);
     }
 
-    /** Its response has begun to stream to the client. */
+    /** Records that the response has begun to stream to the client. */
     void responseStarted(long now) {
         responseAt = now;
     }
 
-    /** Whether its response was streamed, from its start on. */
+    /** Returns whether the response is or was streamed; true from its start on. */
     boolean isStreaming() {
-        return responseAt != NOT_YET;
+        return responseAt != NO_RESPONSE;
     }
 
-    /** How long it took by now; of a streamed response, until it began. */
+    /**
+     * Returns the latency up to now, in nanoseconds; of a streamed response, until the response
+     * began.
+     */
     long latencyNanos(long now) {
         return (isStreaming() ? responseAt : now) - latencyFrom;
     }
 
-    /** The zone that it is counted for; {@link RequestAccounting#NO_ZONE}: none. */
+    /** Returns the zone that this attempt is counted for, or {@link RequestAccounting#NO_ZONE}. */
     int zone() {
         return countedForZone ? zone : RequestAccounting.NO_ZONE;
     }
 
-    /** From now on it is counted for no zone. */
-    void leaveZone() {
+    /** Excludes this attempt from the counts by zone from now on. */
+    void excludeFromZone() {
         countedForZone = false;
     }
 
-    /** The budget that goes to the next tier with it; null where there are no budgets. */
+    /** Returns the budget that is sent to the next tier; null if there are no budgets. */
     public PropagatedBudget propagatedBudget() {
         return propagatedBudget;
     }
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -19,22 +19,23 @@
 import java.util.function.Function;
 
 /**
- * Feeds the balancer with events, one at a time, and carries out its actions. It decides nothing.
+ * Passes events to the balancer, one at a time, and carries out its actions. All decisions are the
+ * balancer's.
  *
- * <p>An action never re-enters the balancer: what it causes, such as a connection that is refused
- * at once, waits in {@link SerialEventQueue} until the event at hand has been handled, as it would
- * on the simulator's wire.
+ * <p>An action never re-enters the balancer: an event that it causes, such as a connection that is
+ * refused at once, waits in {@link SerialEventQueue} until the current event has been handled, as
+ * it would on the simulator's wire.
  *
- * <p>Not thread-safe: it belongs to the event loop.
+ * <p>Not thread-safe; used on the event loop only.
  *
- * @param <Q> what is forwarded to an endpoint
- * @param <A> what an endpoint answers
+ * @param <Q> the content that is forwarded to an endpoint
+ * @param <A> an endpoint's response
  */
 public final class RequestForwarder<Q, A> {
 
     /**
-     * A request that the balancer has not ended this long after its deadline is ended for it. The
-     * protocol allows ten times as much past any site's limits, and the deadline here is before the
+     * The time after its deadline at which a request is ended without the balancer. The protocol
+     * allows ten times as much past any site's limits, and the deadline here is earlier than the
      * client's.
      */
     private static final long OVERDUE_NANOS = 5_000_000L;
@@ -51,7 +52,7 @@
     private AttemptTransport<Q, A> transport;
     private final ZoneShareLease zoneShares = new ZoneShareLease();
 
-    /** A forwarder without budgets and metrics. */
+    /** Creates a forwarder without budgets and metrics. */
     public RequestForwarder(
             Function<LoadBalancer.Actions, LoadBalancer> newBalancer,
             int maxAttempts,
@@ -61,12 +62,12 @@
     }
 
     /**
-     * A forwarder, to be completed by {@link #attach}.
+     * Creates a forwarder whose wiring {@link #attach} completes.
      *
-     * @param newBalancer makes the balancer that acts through what it is given
-     * @param maxAttempts attempts of one request beyond which none goes out
-     * @param budgets asked before each further attempt that the balancer starts; null: none
-     * @param metrics where requests are counted; null: nowhere
+     * @param newBalancer creates the balancer with the actions that it invokes
+     * @param maxAttempts the maximum number of attempts of one request
+     * @param budgets consulted before each attempt that the balancer starts; null if there are none
+     * @param metrics counts the requests; null if they are not counted
      */
     public RequestForwarder(
             Function<LoadBalancer.Actions, LoadBalancer> newBalancer,
@@ -85,7 +86,7 @@
         this.gate = new AttemptGate<>(maxAttempts, budgets, balancer, timers, log);
     }
 
-    /** Completes the wiring; to be called before the first event. */
+    /** Sets the transports; called once, before the first event. */
     public void attach(
             AttemptTransport<Q, A> attemptTransport,
             EndpointDiscovery endpointDiscovery,
@@ -95,14 +96,14 @@
         gate.attach(attemptTransport);
     }
 
-    /** Counts requests by zones from now on; to be called before the first event. */
+    /** Sets the counter of requests by zone; called before the first event. */
     public void countByZone(ZoneTrafficCounter counter) {
         accounting.countByZone(counter);
     }
 
     // ---- requests
 
-    /** Accepts a request; its reply is called exactly once unless the client leaves. */
+    /** Accepts a request. Its reply is called exactly once unless the client disconnects. */
     public void accept(Exchange<Q, A> exchange) {
         exchanges.put(exchange.request().id(), exchange);
         accounting.onAccepted(exchange);
@@ -122,7 +123,7 @@
         balancer.onRequest(timers.now(), exchange.request(), budget.standing());
     }
 
-    /** The last byte of a request's body was received: its time starts. */
+    /** Records that the last byte of a request's body was received: its timeout starts. */
     public void uploadComplete(Exchange<Q, A> exchange) {
         if (exchange.isOver()) {
             return;
@@ -133,7 +134,7 @@
         events.post(() -> balancer.onUploadComplete(timers.now(), exchange.request().id()));
     }
 
-    /** The client has left: nothing more goes out for it. */
+    /** Records that the client has disconnected: nothing more is sent for its request. */
     public void clientLeft(Exchange<Q, A> exchange) {
         RequestAttempt<Q, A> streaming = exchange.streamingAttempt();
         if (exchange.endStreaming()) {
@@ -143,7 +144,7 @@
         endWithoutBalancer(exchange, End.CLIENT_LEFT);
     }
 
-    /** Ends an exchange that the balancer has not ended, and tells the balancer so. */
+    /** Ends an exchange that the balancer has not ended, and notifies the balancer. */
     private void endWithoutBalancer(Exchange<Q, A> exchange, End end) {
         if (exchange.isOver()) {
             return;
@@ -156,7 +157,7 @@
         events.post(() -> balancer.onClientLeft(timers.now(), exchange.request().id()));
     }
 
-    /** The one place where an exchange ends, but for {@link #responseStarted}. */
+    /** Ends an exchange; only {@link #responseStarted} ends one in another way. */
     private void end(Exchange<Q, A> exchange, End end) {
         exchange.end();
         accounting.onEnded(exchange, end);
@@ -164,23 +165,23 @@
     }
 
     /**
-     * What still waits for its connection as its request ends never starts, whatever the settings
-     * say of cancellation: it would go out for nobody.
+     * Gives up the attempts that still wait for their connection as their request ends, whatever
+     * the settings for cancellation: no client would receive their responses.
      */
     private void dropWaitingAttempts(Exchange<Q, A> exchange) {
-        for (int i = 0; i < exchange.attempts().size(); i++) { // more may come, which end at once
+        for (int i = 0; i < exchange.attempts().size(); i++) { // further ones may be added
             if (exchange.attempts().get(i).isWaiting()) {
                 giveUp(exchange.attempts().get(i), Outcome.NOT_STARTED);
             }
         }
     }
 
-    /** The exchange of a request; null where there is none, or none any more. */
+    /** Returns the exchange of a request; null if there is none or it has been removed. */
     Exchange<Q, A> exchange(long requestId) {
         return exchanges.get(requestId);
     }
 
-    /** Ends an exchange as the balancer says. */
+    /** Ends an exchange by the balancer's decision. */
     void endAndForget(Exchange<Q, A> exchange, End end) {
         end(exchange, end);
         forgetIfDone(exchange);
@@ -196,12 +197,12 @@
     // ---- the start of an attempt
 
     /**
-     * Whether the first byte of an attempt may go out now: the one gate of every attempt, to be
-     * asked once, right before. The balancer may have started it long ago, where its connection
-     * came up late. Since then its client may have left, or could have left unseen, its time may be
-     * over, its endpoint may have been removed, drain or have restarted, or the window of its
-     * idempotency key may be past. An attempt that may not start ends with this, so that it is
-     * proven not to have run.
+     * Returns whether the first byte of an attempt may be sent now. The transport calls this once
+     * for every attempt, right before its first byte. The balancer may have started the attempt
+     * long ago, if its connection was established late. Since then its client may have left, or may
+     * have left without this being detectable, its deadline may have passed, its endpoint may have
+     * been removed, be draining or have restarted, or the window of its idempotency key may have
+     * passed. An attempt that may not start ends within this call, so it is proven not to have run.
      */
     public boolean mayStart(RequestAttempt<Q, A> attempt) {
         Exchange<Q, A> exchange = attempt.exchange();
@@ -217,15 +218,18 @@
         return true;
     }
 
-    /** What an attempt ends with at once; null where it may go to the transport. */
+    /**
+     * Returns the outcome with which a new attempt ends at once; null if it may be passed to the
+     * transport.
+     */
     Outcome refusal(RequestAttempt<Q, A> attempt, long now) {
         return gate.refusal(attempt, now);
     }
 
     /**
-     * Ends an attempt that waits for its connection, and could not start any more.
+     * Ends an attempt that waits for its connection if it may no longer start.
      *
-     * @param canDetectDisconnect whether it would be seen that its client has left
+     * @param canDetectDisconnect whether a disconnect of its client would be detected
      */
     private void endIfDenied(RequestAttempt<Q, A> attempt, boolean canDetectDisconnect) {
         if (!attempt.isWaiting()) {
@@ -233,9 +237,9 @@
         }
         Outcome denial = canDetectDisconnect ? gate.startDenial(attempt) : Outcome.NOT_STARTED;
         if (denial != null) {
-            // Its endpoint was not contacted, so this says nothing of its zone.
+            // Its endpoint was not contacted, so the outcome must not count for its zone.
             accounting.onAttemptEnded(timers.now(), attempt, Outcome.NOT_STARTED, null);
-            attempt.leaveZone();
+            attempt.excludeFromZone();
             transport.abandonAttempt(attempt);
             attemptEnded(attempt, denial, null);
         }
@@ -244,12 +248,13 @@
     // ---- the end of an attempt
 
     /**
-     * An endpoint's response has begun, which is too large to be buffered: it is the client's from
-     * here on, and no deadline cuts it. Its end is reported by {@link #attemptEnded}.
+     * Records that an endpoint's response has begun which is too large to be buffered. It streams
+     * to the client from now on, and no deadline cuts it off. Its end is reported by {@link
+     * #attemptEnded}.
      *
-     * <p>For the balancer the attempt is served with this, since endpoints would else count as full
-     * or unresponsive by clients that read slowly. Of a response that is aborted later it hears
-     * once more.
+     * <p>To the balancer the attempt is reported as served now; otherwise clients that read slowly
+     * would make endpoints count as full or unresponsive. If the response is aborted later, the
+     * balancer is notified again.
      */
     public void responseStarted(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
         events.post(() -> deliverResponseStart(attempt, answer, load));
@@ -271,26 +276,26 @@
         exchange.cancelDeadline();
         exchange.feedback(budgets == null ? null : exchange.budget().servedFeedback());
         exchange.reply().served(answer);
-        tellOutcome(attempt, Outcome.OK, attempt.latencyNanos(timers.now()), true, load);
+        reportOutcome(attempt, Outcome.OK, attempt.latencyNanos(timers.now()), true, load);
     }
 
-    /** An endpoint served an attempt. */
+    /** Records that an endpoint served an attempt. */
     public void served(RequestAttempt<Q, A> attempt, A answer, LoadReport load) {
         served(attempt, answer, load, DownstreamFeedback.NOTHING);
     }
 
-    /** The same, with what the answer says of budgets. */
+    /** Records that an endpoint served an attempt, with the budget feedback of its response. */
     public void served(
             RequestAttempt<Q, A> attempt, A answer, LoadReport load, DownstreamFeedback feedback) {
         attemptEnded(attempt, Outcome.OK, answer, load, feedback);
     }
 
-    /** An attempt ended in any other way. */
+    /** Records that an attempt ended in any other way than served. */
     public void attemptEnded(RequestAttempt<Q, A> attempt, Outcome outcome, LoadReport load) {
         attemptEnded(attempt, outcome, load, DownstreamFeedback.NOTHING);
     }
 
-    /** The same, with what the answer says of budgets. */
+    /** Records that an attempt ended, with the budget feedback of its response. */
     public void attemptEnded(
             RequestAttempt<Q, A> attempt,
             Outcome outcome,
@@ -340,13 +345,13 @@
         forgetIfDone(exchange);
         if (!attempt.isStreaming()) {
             accounting.onAttemptEnded(timers.now(), attempt, outcome, load);
-            tellOutcome(attempt, outcome, latency, exchange.isOver(), load);
+            reportOutcome(attempt, outcome, latency, exchange.isOver(), load);
         } else if (outcome != Outcome.OK && outcome != Outcome.CANCELLED) {
             balancer.onResponseAborted(timers.now(), attempt.endpoint(), attempt.startedAt());
         }
     }
 
-    private void tellOutcome(
+    private void reportOutcome(
             RequestAttempt<Q, A> attempt,
             Outcome outcome,
             long latency,
@@ -364,8 +369,8 @@
     }
 
     /**
-     * Ends an attempt from here. The outcome of one whose last byte was never written says that it
-     * did not run, whatever it is ended for, so that its client may repeat it.
+     * Abandons an attempt and ends it. If its last byte was never written, its outcome proves that
+     * it did not run, for whatever reason it is abandoned, so that its client may retry.
      */
     void giveUp(RequestAttempt<Q, A> attempt, Outcome outcome) {
         if (attempt.hasEnded()) {
@@ -378,16 +383,15 @@
         attemptEnded(attempt, proven, null);
     }
 
-    // ---- the end of a request's time
+    // ---- the deadline of a request
 
     /**
-     * The deadline of a request: its attempts in flight time out, and with the last of them the
-     * balancer ends the request, since it then knows whether any may have run. Each request has
-     * this timer of its own, so that none depends on its attempts, or on the balancer, for an
-     * answer.
+     * Ends the attempts in flight of a request whose deadline has passed. After the last of them
+     * the balancer ends the request, since it is then known whether any may have run. Each request
+     * has a timer of its own, so that no answer depends on the attempts or on the balancer.
      */
     private void expire(Exchange<Q, A> exchange) {
-        // Over a copy, since the balancer may start another attempt upon a timeout.
+        // Iterates over a copy, since the balancer may start another attempt after a timeout.
         for (RequestAttempt<Q, A> attempt : List.copyOf(exchange.attempts())) {
             giveUp(attempt, Outcome.TIMEOUT);
         }
@@ -398,18 +402,18 @@
     }
 
     /**
-     * Ends a request before its time, since this process ends: its client would get no answer at
-     * all.
+     * Expires a request before its deadline, since this process is about to end and the client
+     * would otherwise get no answer at all.
      */
     public void expireNow(Exchange<Q, A> exchange) {
         if (!exchange.isOver()) {
-            exchange.expiry(timers.now()); // first, so that no further attempt starts
+            exchange.expiry(timers.now()); // set first, so that no further attempt starts
             exchange.cancelDeadline();
             expire(exchange);
         }
     }
 
-    /** Ends a request that the balancer did not end: rejects what is known not to have run. */
+    /** Ends a request that the balancer did not end: rejects it if it is known not to have run. */
     private void endOverdue(Exchange<Q, A> exchange) {
         if (exchange.isOver()) {
             return;
@@ -426,7 +430,7 @@
 
     // ---- endpoints, probes and other replicas
 
-    /** A probe ended; {@code load} is null unless it brought a report. */
+    /** Records that a probe ended; {@code load} is null unless its response had a load report. */
     public void probeEnded(long endpoint, Outcome outcome, long latency, LoadReport load) {
         accounting.onProbeEnded(timers.now(), endpoint, outcome, load);
         if (budgets != null && outcome == Outcome.OK) {
@@ -435,7 +439,7 @@
         events.post(() -> balancer.onProbeEnded(timers.now(), endpoint, outcome, latency, load));
     }
 
-    /** The endpoint list, or changes to it. */
+    /** Passes the endpoint list, or changes to it, to the balancer. */
     public void endpointsUpdated(EndpointListKind kind, List<Endpoint> entries) {
         accounting.onEndpoints(kind, entries);
         events.post(
@@ -446,8 +450,8 @@
     }
 
     /**
-     * Attempts that wait for a connection to an endpoint which may no longer be sent to end now:
-     * another endpoint may take their requests.
+     * Ends attempts that wait for a connection to an endpoint which may no longer receive requests:
+     * another endpoint may serve them.
      */
     private void endDeniedAttempts() {
         for (Exchange<Q, A> exchange : List.copyOf(exchanges.values())) {
@@ -457,37 +461,40 @@
         }
     }
 
-    /** A timer fired that the balancer had set. */
+    /** Passes a timer that the balancer had scheduled to the balancer. */
     void timerFired(long token) {
         events.post(() -> balancer.onTimer(timers.now(), token));
     }
 
-    /** A call to discovery failed or the watch broke. */
+    /** Records that a call to discovery failed or the watch broke. */
     public void endpointsUnavailable() {
         events.post(() -> balancer.onEndpointsUnavailable(timers.now()));
     }
 
-    /** An operator has put an endpoint back. */
+    /** Records that an operator has enabled an endpoint again. */
     public void endpointReenabled(long endpoint) {
         events.post(() -> balancer.onEndpointReenabled(timers.now(), endpoint));
     }
 
-    /** How many of the listed endpoints the balancer avoids now. */
+    /** Returns how many of the listed endpoints the balancer avoids now. */
     public int avoidedEndpoints() {
         return balancer.avoidedEndpoints(timers.now());
     }
 
-    /** This many replicas of the tier are alive, this one among them. */
+    /** Sets the number of live replicas of the tier, this one included. */
     public void liveReplicas(int live) {
         events.post(() -> balancer.onLiveReplicas(timers.now(), live));
     }
 
-    /** A message came from another replica of the tier. */
+    /** Passes a message from another replica of the tier to the balancer. */
     public void peerMessage(int from, byte[] message) {
         events.post(() -> balancer.onPeerMessage(timers.now(), from, message));
     }
 
-    /** Each zone may get such a part of the requests; empty: as the balancer sees fit. */
+    /**
+     * Sets the fraction of the requests that each zone may get; if the list is empty, the balancer
+     * decides.
+     */
     public void zoneSharesUpdated(List<ZoneTrafficShare> shares) {
         events.post(
                 () -> {
@@ -496,12 +503,12 @@
                 });
     }
 
-    /** From that instant on the zone shares that were set last must not be used. */
+    /** Sets the instant from which on the zone shares that were set last must not be used. */
     public void zoneSharesValidUntil(long instant) {
         zoneShares.validUntil(instant);
     }
 
-    /** Runs this whenever a request is sent by zone shares that were set. */
+    /** Sets the listener that runs whenever an attempt starts while zone shares are set. */
     public void onZoneShareUsed(Runnable listener) {
         zoneShares.onUsed(listener);
     }
--- a/core/src/main/java/cedarrudder/forwarding/SerialEventQueue.java
+++ b/core/src/main/java/cedarrudder/forwarding/SerialEventQueue.java
@@ -6,9 +6,9 @@
 
 /**
  * Delivers events to the balancer one at a time. An event that is posted while another is being
- * delivered waits for its end, so an action never re-enters the balancer.
+ * delivered waits until that one has been handled, so an action never re-enters the balancer.
  *
- * <p>Not thread-safe: it belongs to the event loop.
+ * <p>Not thread-safe; used on the event loop only.
  */
 final class SerialEventQueue {
 
@@ -18,7 +18,7 @@
     private boolean delivering;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
      * @param beforeEach runs before each event
      */
@@ -27,7 +27,7 @@
         this.beforeEach = beforeEach;
     }
 
-    /** Delivers an event now, or after the one at hand. */
+    /** Delivers an event now, or after the one that is being delivered. */
     void post(Runnable event) {
         events.add(event);
         if (delivering) {
@@ -43,7 +43,10 @@
         }
     }
 
-    /** A fault ends its own event alone: the request that it concerns still has its deadline. */
+    /**
+     * Delivers one event. An exception ends only this event: the request that it concerns is still
+     * ended by its deadline.
+     */
     private void deliver(Runnable event) {
         try {
             beforeEach.run();
--- a/core/src/main/java/cedarrudder/forwarding/TimerService.java
+++ b/core/src/main/java/cedarrudder/forwarding/TimerService.java
@@ -1,17 +1,17 @@
 package cedarrudder.forwarding;
 
-/** The program's one clock, and tasks by it. */
+/** The program's only clock, and a scheduler of tasks by that clock. */
 public interface TimerService {
 
-    /** An instant of the clock, in nanoseconds; it never goes back. */
+    /** Returns the current instant of the monotonic clock, in nanoseconds. */
     long now();
 
-    /** A task that waits for its time. */
+    /** A scheduled task. */
     interface Timer {
-        /** Cancels the task; without effect once it has run. */
+        /** Cancels the task; has no effect once it has run. */
         void cancel();
     }
 
-    /** Runs a task at an instant or soon after, never at once. */
+    /** Schedules a task for an instant or soon after; never runs it within this call. */
     Timer at(long instant, Runnable task);
 }
--- a/core/src/main/java/cedarrudder/forwarding/ZoneShareLease.java
+++ b/core/src/main/java/cedarrudder/forwarding/ZoneShareLease.java
@@ -1,8 +1,9 @@
 package cedarrudder.forwarding;
 
 /**
- * How long the zone shares that were set last may be used. It is looked at before each event, since
- * a process that was stopped would go on in its first moment by what replicas agreed on long ago.
+ * The lease on the zone shares that were set last: how long they may be used. It is checked before
+ * each event; otherwise a process that resumes after a stop would handle its first events by shares
+ * that the replicas agreed on long ago.
  */
 final class ZoneShareLease {
 
@@ -10,29 +11,29 @@
     private long validUntil = Long.MAX_VALUE;
     private Runnable onUsed = () -> {};
 
-    /** New shares, or none. */
+    /** Records whether the latest update set any shares. */
     void set(boolean any) {
         areSet = any;
     }
 
-    /** From that instant on the shares that were set last must not be used. */
+    /** Sets the instant from which on the shares that were set last must not be used. */
     void validUntil(long instant) {
         validUntil = instant;
     }
 
-    /** Runs this whenever an attempt starts while shares are set. */
+    /** Sets the listener that runs whenever an attempt starts while shares are set. */
     void onUsed(Runnable listener) {
         onUsed = listener;
     }
 
-    /** An attempt starts. */
+    /** Runs the listener for an attempt that starts, if shares are set. */
     void recordUse() {
         if (areSet) {
             onUsed.run();
         }
     }
 
-    /** Whether shares are set that are no longer valid; they count as not set from here on. */
+    /** Unsets shares that are no longer valid; returns whether there were any. */
     boolean expire(long now) {
         if (!areSet || now < validUntil) {
             return false;
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -31,8 +31,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What the balancer is told, and what is carried out, with every part round the driver played by
- * the test.
+ * Tests which events reach the balancer and which of its actions are carried out. The balancer, the
+ * transport, the clock and the client are fakes.
  */
 public class RequestForwarderTest {
 
@@ -64,36 +64,36 @@
                     new BalancerSettings.ServiceGoal(1, 0, 0, 0, 1),
                     null);
 
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final List<RequestAttempt<String, String>> started = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
     private Runnable onRequest;
     private Runnable onOutcome;
     private Runnable onDenial;
     private boolean refuseConnections;
-    private boolean dials;
-    private boolean waits;
-    private boolean inSight;
+    private boolean connectionPending;
+    private boolean clientWaiting;
+    private boolean disconnectDetectable;
     private Outcome denial;
-    private boolean knows;
+    private boolean endpointKnown;
     private Budgets budgets;
-    private RequestMetrics figures;
+    private RequestMetrics metrics;
     private long now;
     private Actions actions;
-    private RequestForwarder<String, String> driver;
+    private RequestForwarder<String, String> forwarder;
 
     @BeforeMethod
     public void start() {
-        seen.clear();
+        events.clear();
         started.clear();
         timers.clear();
         now = 1;
         refuseConnections = false;
-        dials = false;
-        waits = true;
-        inSight = true;
+        connectionPending = false;
+        clientWaiting = true;
+        disconnectDetectable = true;
         denial = null;
-        knows = true;
+        endpointKnown = true;
         budgets = null;
         onRequest = () -> actions.startAttempt(1, 7, 0);
         onOutcome = () -> {};
@@ -101,27 +101,27 @@
         build();
     }
 
-    /** Detects a request that is counted twice, or not at all, however it ended. */
+    /** Each request must be counted exactly once, however it ended. */
     @AfterMethod
-    public void everyRpcTakenIsCountedOnce() {
-        long ended = Arrays.stream(End.values()).mapToLong(how -> figures.ended(0, how)).sum();
-        assertEquals(figures.accepted(0), ended + figures.openRequests());
-        assertEquals(figures.ended(0, End.SERVED), said("served"));
-        assertEquals(figures.ended(0, End.REJECTED), said("refused"));
-        assertEquals(figures.ended(0, End.FAILED), said("failed"));
+    public void everyAcceptedRequestIsCountedOnce() {
+        long ended = Arrays.stream(End.values()).mapToLong(how -> metrics.ended(0, how)).sum();
+        assertEquals(metrics.accepted(0), ended + metrics.openRequests());
+        assertEquals(metrics.ended(0, End.SERVED), countOf("served"));
+        assertEquals(metrics.ended(0, End.REJECTED), countOf("refused"));
+        assertEquals(metrics.ended(0, End.FAILED), countOf("failed"));
     }
 
-    private long said(String word) {
-        return seen.stream().filter(line -> line.startsWith(word)).count();
+    private long countOf(String prefix) {
+        return events.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
     private void build() {
-        figures = new RequestMetrics(1);
-        driver =
+        metrics = new RequestMetrics(1);
+        forwarder =
                 new RequestForwarder<>(
-                        did -> {
-                            actions = did;
-                            return new Module();
+                        balancerActions -> {
+                            actions = balancerActions;
+                            return new FakeBalancer();
                         },
                         MAX_ATTEMPTS,
                         new TimerService() {
@@ -138,15 +138,15 @@
                         },
                         new Logger(new PrintStream(OutputStream.nullOutputStream())),
                         budgets,
-                        figures);
-        driver.attach(new Client(), null, null);
+                        metrics);
+        forwarder.attach(new FakeTransport(), null, null);
     }
 
     private void accept() {
         accept(PropagatedBudget.NOTHING);
     }
 
-    private Exchange<String, String> accept(PropagatedBudget carried) {
+    private Exchange<String, String> accept(PropagatedBudget receivedBudget) {
         var request = new LoadBalancer.Request(1, 0, 0, DEADLINE, 0, false, false, 0);
         Exchange<String, String> exchange =
                 new Exchange<>(
@@ -155,58 +155,59 @@
                         new Exchange.Reply<>() {
                             @Override
                             public void served(String answer) {
-                                seen.add("served " + answer);
+                                events.add("served " + answer);
                             }
 
                             @Override
                             public void rejected(long retryAfter) {
-                                seen.add("refused");
+                                events.add("refused");
                             }
 
                             @Override
                             public void failed() {
-                                seen.add("failed");
+                                events.add("failed");
                             }
 
                             @Override
                             public boolean isClientWaiting() {
-                                return waits;
+                                return clientWaiting;
                             }
 
                             @Override
                             public boolean canDetectDisconnect() {
-                                return inSight;
+                                return disconnectDetectable;
                             }
                         },
-                        carried);
-        driver.accept(exchange);
+                        receivedBudget);
+        forwarder.accept(exchange);
         return exchange;
     }
 
     @Test
-    public void anActionNeverReentersTheModule() {
+    public void actionsNeverReenterTheBalancer() {
         refuseConnections = true;
         onRequest =
                 () -> {
                     actions.startAttempt(1, 7, 0);
-                    seen.add("request handled");
+                    events.add("request handled");
                 };
         accept();
-        assertEquals(seen, List.of("start 0", "request handled", "outcome 0 CONNECT_FAILED open"));
+        assertEquals(
+                events, List.of("start 0", "request handled", "outcome 0 CONNECT_FAILED open"));
     }
 
     @Test
-    public void theFirstServedAttemptEndsTheRpcAndTheOtherIsSettled() {
+    public void firstServedAttemptEndsTheRequestAndTheOtherIsReportedAsSettled() {
         onRequest =
                 () -> {
                     actions.startAttempt(1, 7, 0);
                     actions.startAttempt(1, 8, 0);
                 };
         accept();
-        driver.served(started.get(1), "b", null);
-        driver.served(started.get(0), "a", null);
+        forwarder.served(started.get(1), "b", null);
+        forwarder.served(started.get(0), "a", null);
         assertEquals(
-                seen,
+                events,
                 List.of(
                         "start 0",
                         "start 1",
@@ -215,29 +216,29 @@
                         "outcome 0 OK settled"));
     }
 
-    /** Detects a process that stood still and sends its first request by shares that are over. */
+    /** A process that was stopped must not send its first request by expired zone shares. */
     @Test
-    public void sharesAreOverBeforeTheNextEventOnceTheirTimeIs() {
-        driver.zoneSharesValidUntil(100);
-        driver.zoneSharesUpdated(List.of(new LoadBalancer.ZoneTrafficShare(0, 10_000, 0)));
-        driver.onZoneShareUsed(() -> seen.add("by shares"));
+    public void zoneSharesExpireBeforeTheNextEvent() {
+        forwarder.zoneSharesValidUntil(100);
+        forwarder.zoneSharesUpdated(List.of(new LoadBalancer.ZoneTrafficShare(0, 10_000, 0)));
+        forwarder.onZoneShareUsed(() -> events.add("by shares"));
         accept();
         now = 100;
-        driver.endpointsUpdated(LoadBalancer.EndpointListKind.DELTA, List.of());
-        driver.endpointsUpdated(LoadBalancer.EndpointListKind.DELTA, List.of());
-        assertEquals(seen, List.of("shares 1", "by shares", "start 0", "shares 0"));
+        forwarder.endpointsUpdated(LoadBalancer.EndpointListKind.DELTA, List.of());
+        forwarder.endpointsUpdated(LoadBalancer.EndpointListKind.DELTA, List.of());
+        assertEquals(events, List.of("shares 1", "by shares", "start 0", "shares 0"));
     }
 
     @Test
-    public void whatIsOverIsNotKeptUntilItsDeadline() {
+    public void endOfRequestCancelsItsDeadlineTimer() {
         accept();
         assertEquals(timers.size(), 1);
-        driver.served(started.get(0), "a", null);
+        forwarder.served(started.get(0), "a", null);
         assertEquals(timers.size(), 0);
     }
 
     @Test
-    public void attemptsBeyondTheMostAreMoot() {
+    public void attemptsBeyondTheMaximumAreNotStarted() {
         onRequest =
                 () -> {
                     for (int i = 0; i <= MAX_ATTEMPTS; i++) {
@@ -245,19 +246,19 @@
                     }
                 };
         accept();
-        assertEquals(seen, List.of("start 0", "start 1", "outcome 2 NOT_STARTED open"));
+        assertEquals(events, List.of("start 0", "start 1", "outcome 2 NOT_STARTED open"));
     }
 
-    /** Another endpoint may be there: only what may not be sent at all is moot. */
+    /** Another endpoint may be reachable: NOT_STARTED is for what may not be sent at all. */
     @Test
-    public void anAttemptAtAnUnknownNodeCouldNotConnect() {
-        knows = false;
+    public void attemptAtUnknownEndpointEndsAsConnectFailed() {
+        endpointKnown = false;
         accept();
-        assertEquals(seen, List.of("outcome 0 CONNECT_FAILED open"));
+        assertEquals(events, List.of("outcome 0 CONNECT_FAILED open"));
     }
 
     @Test
-    public void anAttemptThatTheBudgetDeniesIsMootAndTheAnswerSaysWhy() {
+    public void attemptDeniedByBudgetIsNotStartedAndFeedbackSaysWhy() {
         budgets =
                 new Budgets(
                         BudgetSettings.of("front"),
@@ -267,7 +268,7 @@
         build();
         onOutcome =
                 () -> {
-                    if (seen.size() == 2) {
+                    if (events.size() == 2) {
                         actions.startAttempt(1, 8, 0);
                     } else {
                         actions.fail(1);
@@ -276,18 +277,18 @@
         Exchange<String, String> exchange =
                 accept(new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
         assertEquals(started.get(0).propagatedBudget().path().hops(), List.of("front"));
-        driver.attemptEnded(started.get(0), Outcome.RESET, null);
+        forwarder.attemptEnded(started.get(0), Outcome.RESET, null);
         assertEquals(
-                seen,
+                events,
                 List.of("start 0", "outcome 0 RESET open", "outcome 1 NOT_STARTED open", "failed"));
         assertEquals(
                 exchange.feedback(),
                 new DownstreamFeedback(0, DownstreamFeedback.Why.TRIES, HopPath.EMPTY));
     }
 
-    /** A hedged request that is denied leaves the first attempt alone, which may well be served. */
+    /** The first attempt may still be served. */
     @Test
-    public void aSecondCopyThatTheBudgetDeniesLeavesTheFirstAttemptOut() {
+    public void hedgedRequestDeniedByBudgetLeavesFirstAttemptInFlight() {
         budgets =
                 new Budgets(
                         BudgetSettings.of("front"),
@@ -302,9 +303,9 @@
                 };
         Exchange<String, String> exchange =
                 accept(new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY));
-        driver.served(started.get(0), "a", null);
+        forwarder.served(started.get(0), "a", null);
         assertEquals(
-                seen,
+                events,
                 List.of(
                         "start 0",
                         "outcome 1 NOT_STARTED open",
@@ -316,7 +317,7 @@
     }
 
     @Test
-    public void aLoopIsNotSentEvenWhereTheModuleDoesNotListen() {
+    public void loopIsNotSentEvenIfTheBalancerStartsAnAttempt() {
         budgets =
                 new Budgets(
                         BudgetSettings.of("front"),
@@ -336,7 +337,7 @@
                                 1,
                                 false,
                                 HopPath.of(List.of("front", "core"))));
-        assertEquals(seen, List.of("outcome 0 NOT_STARTED open", "refused"));
+        assertEquals(events, List.of("outcome 0 NOT_STARTED open", "refused"));
         assertEquals(
                 exchange.feedback(),
                 new DownstreamFeedback(
@@ -346,33 +347,33 @@
     }
 
     @Test
-    public void givingUpAbandonsTheAttemptAndLaterNewsOfItIsIgnored() {
+    public void cancellationAbandonsTheAttemptAndIgnoresItsLaterOutcome() {
         accept();
         actions.cancelAttempt(1, 0);
-        driver.served(started.get(0), "late", null);
-        assertEquals(seen, List.of("start 0", "abandon 0", "outcome 0 CANCELLED open"));
+        forwarder.served(started.get(0), "late", null);
+        assertEquals(events, List.of("start 0", "abandon 0", "outcome 0 CANCELLED open"));
     }
 
     @Test
-    public void atTheDeadlineWhatIsOutTimesOutAndTheModuleEndsIt() {
+    public void attemptsInFlightTimeOutAtTheDeadlineAndTheBalancerEndsTheRequest() {
         onOutcome = () -> actions.fail(1);
         accept();
         now = DEADLINE;
         timers.remove(0).run();
-        assertEquals(seen, List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "failed"));
+        assertEquals(events, List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "failed"));
     }
 
-    /** Detects further attempts for a request that has no time left, since its process ends. */
+    /** The process is about to end, so there is no time for a further attempt. */
     @Test
-    public void anRpcThatIsCutOffBeforeItsTimeIsEndedAndNotSentAgain() {
+    public void requestExpiredEarlyIsEndedAndNotRetried() {
         onOutcome =
                 () -> {
                     onOutcome = () -> actions.fail(1);
                     actions.startAttempt(1, 8, 0);
                 };
-        driver.expireNow(accept(PropagatedBudget.NOTHING));
+        forwarder.expireNow(accept(PropagatedBudget.NOTHING));
         assertEquals(
-                seen,
+                events,
                 List.of(
                         "start 0",
                         "abandon 0",
@@ -381,238 +382,235 @@
                         "failed"));
     }
 
-    /** Detects a refusal, which invites a repeat, of what may have run. */
+    /** A rejection would invite a retry of a request that may have run. */
     @Test
-    public void anRpcThatTheModuleForgetsFailsWhereItMayHaveRun() {
+    public void overdueRequestFailsIfItMayHaveRun() {
         accept();
         now = DEADLINE;
         timers.remove(0).run();
         timers.remove(0).run();
         assertEquals(
-                seen,
+                events,
                 List.of("start 0", "abandon 0", "outcome 0 TIMEOUT open", "failed", "client left"));
     }
 
-    /** Detects an answer that forbids a repeat of what was never forwarded. */
+    /** A failure would prevent a retry of a request that was never forwarded. */
     @Test
-    public void anRpcThatTheModuleForgetsIsRefusedWhereItCanNotHaveRun() {
+    public void overdueRequestIsRejectedIfItCannotHaveRun() {
         onRequest =
                 () -> {
-                    throw new IllegalStateException("a fault of the module");
+                    throw new IllegalStateException("a fault of the balancer");
                 };
         accept();
         now = DEADLINE;
         timers.remove(0).run();
         timers.remove(0).run();
-        assertEquals(seen, List.of("refused", "client left"));
+        assertEquals(events, List.of("refused", "client left"));
     }
 
-    /** Detects an error of the virtual machine's in one event taking those behind it away. */
+    /** An error in one event must not discard the events that are queued behind it. */
     @Test
-    public void anErrorInTheModuleIsNoMoreThanAFault() {
+    public void virtualMachineErrorInTheBalancerDoesNotStopLaterEvents() {
         onRequest =
                 () -> {
                     throw new StackOverflowError("made on purpose");
                 };
         Exchange<String, String> exchange = accept(PropagatedBudget.NOTHING);
-        driver.clientLeft(exchange);
-        assertEquals(seen, List.of("client left"));
+        forwarder.clientLeft(exchange);
+        assertEquals(events, List.of("client left"));
     }
 
-    // ---- the gate before the first byte ----
+    // ---- the check before the first byte ----
 
-    /** Takes a request whose first attempt waits for its connection. */
-    private Exchange<String, String> acceptDialling() {
-        dials = true;
+    /** Accepts a request whose first attempt clientWaiting for its connection. */
+    private Exchange<String, String> acceptWaitingForConnection() {
+        connectionPending = true;
         Exchange<String, String> exchange = accept(PropagatedBudget.NOTHING);
-        seen.clear();
+        events.clear();
         return exchange;
     }
 
-    /** Detects a request that goes out for a client that left while the connection came up. */
+    /** No request may be sent for a client that left while the connection was established. */
     @Test
-    public void whatWaitsForItsConnectionAsItsCallerLeavesNeverBegins() {
-        driver.clientLeft(acceptDialling());
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "client left"));
-        assertFalse(driver.mayStart(started.get(0)));
-        assertEquals(seen.size(), 3);
+    public void waitingAttemptNeverStartsOnceItsClientHasLeft() {
+        forwarder.clientLeft(acceptWaitingForConnection());
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "client left"));
+        assertFalse(forwarder.mayStart(started.get(0)));
+        assertEquals(events.size(), 3);
     }
 
-    /** Detects replicas that begin after another was served, or began to be. */
+    /** The other attempt is served as a whole, or its response has begun to stream. */
     @Test
-    public void whatWaitsForItsConnectionAsAnotherIsServedNeverBegins() {
-        for (boolean flows : new boolean[] {false, true}) {
+    public void waitingAttemptNeverStartsOnceAnotherIsServed() {
+        for (boolean streamed : new boolean[] {false, true}) {
             start();
             onRequest =
                     () -> {
                         actions.startAttempt(1, 7, 0);
                         actions.startAttempt(1, 8, 0);
                     };
-            acceptDialling();
-            assertTrue(driver.mayStart(started.get(1)));
+            acceptWaitingForConnection();
+            assertTrue(forwarder.mayStart(started.get(1)));
             started.get(1).writeComplete(now);
-            if (flows) {
-                driver.responseStarted(started.get(1), "b", null);
-                driver.served(started.get(1), "b", null);
+            if (streamed) {
+                forwarder.responseStarted(started.get(1), "b", null);
+                forwarder.served(started.get(1), "b", null);
             } else {
-                driver.served(started.get(1), "b", null);
+                forwarder.served(started.get(1), "b", null);
             }
             assertEquals(
-                    seen,
+                    events,
                     List.of(
                             "abandon 0",
                             "served b",
                             "outcome 1 OK settled",
                             "outcome 0 NOT_STARTED settled"));
-            assertFalse(driver.mayStart(started.get(0)));
+            assertFalse(forwarder.mayStart(started.get(0)));
         }
     }
 
     @Test
-    public void whatWaitsForItsConnectionAsTheModuleEndsItsRpcNeverBegins() {
-        acceptDialling();
+    public void waitingAttemptNeverStartsOnceTheBalancerEndsItsRequest() {
+        acceptWaitingForConnection();
         onOutcome = () -> {};
         actions.reject(1, 0);
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "refused"));
-        assertFalse(driver.mayStart(started.get(0)));
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "refused"));
+        assertFalse(forwarder.mayStart(started.get(0)));
     }
 
-    /** Detects the same where nobody has read yet that the client is gone. */
+    /** The client has disconnected, but the event loop has not read this yet. */
     @Test
-    public void aCallerIsLookedForAsAnAttemptBegins() {
-        acceptDialling();
-        waits = false;
-        assertFalse(driver.mayStart(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "client left"));
+    public void clientIsCheckedRightBeforeTheFirstByte() {
+        acceptWaitingForConnection();
+        clientWaiting = false;
+        assertFalse(forwarder.mayStart(started.get(0)));
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED settled", "client left"));
     }
 
-    /** Detects an attempt for a client that may have gone unseen; what is out for it goes on. */
+    /** The client may have left undetected; its attempts in flight continue. */
     @Test
-    public void nothingBeginsForACallerOutOfSight() {
-        acceptDialling();
-        inSight = false;
-        assertFalse(driver.mayStart(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
+    public void noAttemptStartsIfADisconnectCouldNotBeDetected() {
+        acceptWaitingForConnection();
+        disconnectDetectable = false;
+        assertFalse(forwarder.mayStart(started.get(0)));
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
     @Test
-    public void nothingBeginsOnceItsTimeIsOverThoughNoTimerHasTold() {
-        acceptDialling();
+    public void noAttemptStartsPastTheDeadlineEvenBeforeItsTimerFires() {
+        acceptWaitingForConnection();
         now = DEADLINE;
-        assertFalse(driver.mayStart(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
+        assertFalse(forwarder.mayStart(started.get(0)));
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
     @Test
-    public void whatTheModuleDeniesEndsWithItsWord() {
-        for (Outcome word : List.of(Outcome.NOT_STARTED, Outcome.CONNECT_FAILED)) {
+    public void attemptDeniedByTheBalancerEndsWithTheOutcomeItNames() {
+        for (Outcome expected : List.of(Outcome.NOT_STARTED, Outcome.CONNECT_FAILED)) {
             start();
-            acceptDialling();
-            denial = word;
-            assertFalse(driver.mayStart(started.get(0)));
-            assertEquals(seen, List.of("abandon 0", "outcome 0 " + word + " open"));
+            acceptWaitingForConnection();
+            denial = expected;
+            assertFalse(forwarder.mayStart(started.get(0)));
+            assertEquals(events, List.of("abandon 0", "outcome 0 " + expected + " open"));
         }
     }
 
-    /**
-     * Detects a wait for a connection that nothing may be forwarded, while another endpoint may
-     * take it.
-     */
+    /** Waiting for a useless connection would delay a request that another endpoint may serve. */
     @Test
-    public void aListThatDeniesWhatWaitsEndsItAtOnceAndNothingElse() {
+    public void endpointUpdateEndsOnlyWaitingAttemptsThatAreDenied() {
         onRequest =
                 () -> {
                     actions.startAttempt(1, 7, 0);
                     actions.startAttempt(1, 8, 0);
                 };
-        acceptDialling();
-        assertTrue(driver.mayStart(started.get(1)));
-        driver.endpointsUpdated(EndpointListKind.DELTA, List.of());
-        assertEquals(seen, List.of());
+        acceptWaitingForConnection();
+        assertTrue(forwarder.mayStart(started.get(1)));
+        forwarder.endpointsUpdated(EndpointListKind.DELTA, List.of());
+        assertEquals(events, List.of());
         denial = Outcome.CONNECT_FAILED;
-        driver.endpointsUpdated(EndpointListKind.DELTA, List.of());
-        assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
+        forwarder.endpointsUpdated(EndpointListKind.DELTA, List.of());
+        assertEquals(events, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
     @Test
-    public void nothingBeginsAtANodeThatHasLeftTheList() {
-        acceptDialling();
-        knows = false;
-        assertFalse(driver.mayStart(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
+    public void noAttemptStartsAtARemovedEndpoint() {
+        acceptWaitingForConnection();
+        endpointKnown = false;
+        assertFalse(forwarder.mayStart(started.get(0)));
+        assertEquals(events, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
-    /** Detects half a body: some of it went out with another attempt. */
+    /** Only part of the body would be sent: the rest was sent with another attempt. */
     @Test
-    public void nothingBeginsWhoseContentIsSpent() {
-        acceptDialling().discardContent();
-        assertFalse(driver.mayStart(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
+    public void noAttemptStartsOnceContentIsDiscarded() {
+        acceptWaitingForConnection().discardContent();
+        assertFalse(forwarder.mayStart(started.get(0)));
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
-    /** Detects a client that waits until its deadline, since the balancer could not say. */
+    /** Otherwise the client would wait until its deadline. */
     @Test
-    public void aFaultOfTheModulesAtTheGateIsNoMoreThanAFault() {
-        acceptDialling();
+    public void exceptionInStartDenialDeniesTheAttempt() {
+        acceptWaitingForConnection();
         onDenial =
                 () -> {
-                    throw new IllegalStateException("a fault of the module");
+                    throw new IllegalStateException("a fault of the balancer");
                 };
-        assertFalse(driver.mayStart(started.get(0)));
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
+        assertFalse(forwarder.mayStart(started.get(0)));
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
-    // ---- what an attempt that is given up says ----
+    // ---- outcomes of abandoned attempts ----
 
-    /** Detects an answer that forbids a repeat of what was never sent. */
+    /** A failure would prevent a retry of a request that was never sent. */
     @Test
-    public void atTheDeadlineWhatWaitsForItsConnectionCouldNotConnect() {
-        acceptDialling();
+    public void waitingAttemptEndsAsConnectFailedAtTheDeadline() {
+        acceptWaitingForConnection();
         now = DEADLINE;
         timers.remove(0).run();
         timers.remove(0).run();
         assertEquals(
-                seen,
+                events,
                 List.of("abandon 0", "outcome 0 CONNECT_FAILED open", "refused", "client left"));
     }
 
     @Test
-    public void anAttemptsTimeOutBeforeItsConnectionIsUpCouldNotConnect() {
+    public void attemptTimeoutBeforeConnectionEndsAsConnectFailed() {
         onRequest = () -> actions.startAttempt(1, 7, 5);
-        acceptDialling();
+        acceptWaitingForConnection();
         timers.remove(1).run();
-        assertEquals(seen, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
+        assertEquals(events, List.of("abandon 0", "outcome 0 CONNECT_FAILED open"));
     }
 
-    /** Its last byte is not out, so its endpoint has not begun it. */
+    /** The last byte was not sent, so the endpoint has not executed the attempt. */
     @Test
-    public void whatIsHalfWrittenHasNotRun() {
-        acceptDialling();
-        assertTrue(driver.mayStart(started.get(0)));
+    public void partlyWrittenAttemptEndsAsNotStarted() {
+        acceptWaitingForConnection();
+        assertTrue(forwarder.mayStart(started.get(0)));
         actions.cancelAttempt(1, 0);
-        assertEquals(seen, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
+        assertEquals(events, List.of("abandon 0", "outcome 0 NOT_STARTED open"));
     }
 
-    private final class Client implements AttemptTransport<String, String> {
+    private final class FakeTransport implements AttemptTransport<String, String> {
         @Override
         public boolean knowsEndpoint(long endpoint) {
-            return knows;
+            return endpointKnown;
         }
 
         @Override
         public void startAttempt(RequestAttempt<String, String> attempt) {
-            seen.add("start " + attempt.number());
+            events.add("start " + attempt.number());
             started.add(attempt);
             if (refuseConnections) {
-                driver.attemptEnded(attempt, Outcome.CONNECT_FAILED, null);
-            } else if (!dials && driver.mayStart(attempt)) {
+                forwarder.attemptEnded(attempt, Outcome.CONNECT_FAILED, null);
+            } else if (!connectionPending && forwarder.mayStart(attempt)) {
                 attempt.writeComplete(now);
             }
         }
 
         @Override
         public void abandonAttempt(RequestAttempt<String, String> attempt) {
-            seen.add("abandon " + attempt.number());
+            events.add("abandon " + attempt.number());
         }
 
         @Override
@@ -622,13 +620,13 @@
         public void closeIdleConnections(long endpoint) {}
     }
 
-    private final class Module implements LoadBalancer {
+    private final class FakeBalancer implements LoadBalancer {
         @Override
         public void onEndpoints(long at, EndpointListKind kind, List<Endpoint> entries) {}
 
         @Override
         public void onZoneShares(long at, List<ZoneTrafficShare> shares) {
-            seen.add("shares " + shares.size());
+            events.add("shares " + shares.size());
         }
 
         @Override
@@ -652,7 +650,7 @@
                 long latency,
                 boolean settled,
                 LoadReport load) {
-            seen.add("outcome " + attempt + " " + outcome + (settled ? " settled" : " open"));
+            events.add("outcome " + attempt + " " + outcome + (settled ? " settled" : " open"));
             onOutcome.run();
         }
 
@@ -664,7 +662,7 @@
 
         @Override
         public void onClientLeft(long at, long request) {
-            seen.add("client left");
+            events.add("client left");
         }
 
         @Override
