--- a/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
+++ b/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
@@ -1,11 +1,12 @@
 package cedarrudder.admission;
 
 /**
- * A limit on the attempts of one replica that are in flight at once. It follows the latency of
- * answers: slow ones lower it, quick ones raise it.
+ * A limit on the number of attempts of one replica that are in flight at once. It adapts to the
+ * latency of responses: slow responses lower it, quick ones raise it.
  *
- * <p>Without it overload would serve every request, and each too late. It is the additive increase
- * of TCP with an additive decrease, so that it rests where a set share of the answers is slow.
+ * <p>Without a limit, every request would be served under overload, but each too late. The limit
+ * uses the additive increase of TCP with an additive decrease, so it settles where a set fraction
+ * of the responses is slow.
  */
 public final class AdaptiveConcurrencyLimit {
 
@@ -14,17 +15,17 @@
     private final double cutFactor;
     private double limit = Integer.MAX_VALUE;
 
-    /** Whether a request was rejected since the limit last grew. */
+    /** Whether a request was rejected since the limit was last raised. */
     private boolean reached;
 
     /**
-     * A limit that begins without a bound.
+     * Creates a limit that is unbounded until the first slow response.
      *
-     * @param decrease what a slow answer takes off; 0: there is no limit
-     * @param increase what a quick one adds
-     * @param cutFactor a slow answer cuts the limit to at most this many times the recent peak of
-     *     attempts in flight. Requests of low priority are rejected at a small part of the limit,
-     *     so a smaller factor would reject them on quiet days
+     * @param decrease how much a slow response subtracts; 0: there is no limit
+     * @param increase how much a quick response adds
+     * @param cutFactor a slow response cuts the limit to at most this many times the recent peak of
+     *     attempts in flight. Requests of low priority are rejected at a small fraction of the
+     *     limit, so a smaller factor would reject them under low load
      */
     public AdaptiveConcurrencyLimit(double decrease, double increase, double cutFactor) {
         this.decrease = decrease;
@@ -33,10 +34,10 @@
     }
 
     /**
-     * Whether one more request may be let in.
+     * Returns whether one more request may be admitted, and records a rejection.
      *
      * @param inFlight attempts in flight now
-     * @param share the part of the limit that is open to this request, from 0 to 1
+     * @param share the fraction of the limit that this request may use, from 0 to 1
      */
     public boolean tryAdmit(int inFlight, double share) {
         boolean admitted = inFlight < 1 || inFlight < limit * share;
@@ -45,13 +46,14 @@
     }
 
     /**
-     * Adapts the limit to an answer.
+     * Adapts the limit to a response.
      *
      * @param inFlight attempts in flight now
-     * @param recentPeak the most that were in flight at once in the recent past
-     * @param min the limit never falls below this: the replica's part of what endpoints may always
-     *     hold. With no more in flight there is no queue left to shorten by rejecting, and answers
-     *     are slow for another reason, such as late connections or endpoints that hang
+     * @param recentPeak the maximum number in flight at once in the recent past
+     * @param min the minimum limit: the replica's part of the requests that endpoints may always
+     *     have in flight. With no more in flight, no queue is left that rejecting could shorten,
+     *     and responses are slow for another reason, such as late connections or endpoints that
+     *     hang
      */
     public void onResponse(boolean slow, int inFlight, double recentPeak, double min) {
         if (slow && decrease > 0) {
--- a/core/src/main/java/cedarrudder/admission/AdmissionQueue.java
+++ b/core/src/main/java/cedarrudder/admission/AdmissionQueue.java
@@ -9,20 +9,21 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for capacity, in lanes of equal priority: the lane of highest priority goes
- * first, and in a lane the one that arrived first. So load is shed by priority and not by chance.
+ * A queue of requests that wait for capacity. Each lane has one priority: the lane of highest
+ * priority is served first, and within a lane the request that arrived first. So load is shed by
+ * priority and not by chance.
  *
- * @param <T> a request
+ * @param <T> the type of requests
  */
 public final class AdmissionQueue<T> {
 
-    /** What became of a request that was offered capacity. */
+    /** The result of offering capacity to a request. */
     public enum Offer {
-        /** It no longer waits. */
+        /** The request was dispatched and no longer waits. */
         TAKEN,
-        /** There is no capacity for this one, though there may be for others. */
+        /** There is no capacity for this request, though there may be for others. */
         SKIPPED,
-        /** There is no capacity for any. */
+        /** There is no capacity for any request. */
         NO_CAPACITY
     }
 
@@ -33,7 +34,7 @@
     private int size;
     private long arrivals;
 
-    /** An empty queue with this many lanes. */
+    /** Creates an empty queue with this many lanes. */
     public AdmissionQueue(int lanes) {
         for (int i = 0; i < lanes; i++) {
             this.lanes.add(new ArrayDeque<>());
@@ -46,14 +47,17 @@
         size++;
     }
 
-    /** How many requests wait. */
+    /** Returns the number of waiting requests. */
     public int size() {
         return size;
     }
 
     /**
-     * Offers capacity to those that wait until there is none. Of lanes of equal priority the one
-     * whose first request arrived first goes first.
+     * Offers capacity to the waiting requests until there is none left. Of lanes of equal priority,
+     * the one whose first request arrived earliest is served first.
+     *
+     * @param priority the priority of a lane
+     * @param offer offers capacity to a request
      */
     public void dispatch(IntToDoubleFunction priority, Function<T, Offer> offer) {
         sortLanes(priority);
@@ -76,20 +80,20 @@
                         .thenComparingLong(lane -> lanes.get(lane).peekFirst().arrival()));
     }
 
-    /** Offers capacity to the requests of a lane; returns the answer of the last one. */
+    /** Offers capacity to the requests of a lane; returns the result of the last offer. */
     private Offer dispatchLane(ArrayDeque<Waiting<T>> lane, Function<T, Offer> offer) {
-        Offer answer = Offer.TAKEN;
-        while (answer == Offer.TAKEN && !lane.isEmpty()) {
-            answer = offer.apply(lane.peekFirst().request());
-            if (answer == Offer.TAKEN) {
+        Offer result = Offer.TAKEN;
+        while (result == Offer.TAKEN && !lane.isEmpty()) {
+            result = offer.apply(lane.peekFirst().request());
+            if (result == Offer.TAKEN) {
                 lane.removeFirst();
                 size--;
             }
         }
-        return answer;
+        return result;
     }
 
-    /** Removes all that match and returns them. */
+    /** Removes all requests that match and returns them. */
     public List<T> removeIf(Predicate<T> matches) {
         List<T> removed = new ArrayList<>();
         for (ArrayDeque<Waiting<T>> lane : lanes) {
--- a/core/src/main/java/cedarrudder/admission/ClassPriority.java
+++ b/core/src/main/java/cedarrudder/admission/ClassPriority.java
@@ -3,24 +3,26 @@
 import java.util.Arrays;
 
 /**
- * The priority of serving a request of each class next, by the goal of the site.
+ * The priority of serving a request of each class next, derived from the goal of the site.
  *
- * <p>The goal counts the weight served as a share of that asked for, over all classes and once more
- * for the class that is served worst. So a unit of weight of class c adds {@code overallWeight /
- * asked} to it, and {@code worstClassWeight / asked(c)} too while c is served worst. That
- * derivative is the priority here. Which class is worst would flip with each answer, so the second
- * term is shared out by how near each class is to the worst. A class that falls behind rises by
- * itself, and none is starved for good.
+ * <p>The goal is the weight served as a fraction of the weight requested, over all classes and once
+ * more for the class that is served worst. So a unit of weight of class c adds {@code overallWeight
+ * / asked} to the goal, and {@code worstClassWeight / asked(c)} as well while c is served worst.
+ * That derivative is the priority here. Which class is worst would change with each response, so
+ * the second term is divided among the classes by how near each is to the worst. The priority of a
+ * class that falls behind rises, so no class is starved for good.
  *
- * <p>What is asked and served is counted over the recent past, and only what is within a tenant's
- * quota.
+ * <p>Weights requested and served are counted over the recent past, and only within tenants'
+ * quotas.
  */
 public final class ClassPriority {
 
-    /** Classes whose shares served differ by no more than this are about equally near the worst. */
+    /**
+     * The difference in the fraction served up to which classes are about equally near the worst.
+     */
     private static final double NEARNESS_SCALE = 0.05;
 
-    /** The time over which is counted: the goal's shortest span, the worst 10 s. */
+    /** The time constant of the counts: the shortest window of the goal, the worst 10 s. */
     private static final double WINDOW_NANOS = 10e9;
 
     private static final double MIN_OVER_QUOTA_WEIGHT = 0.01;
@@ -34,13 +36,13 @@
     private long countedAt;
 
     /**
-     * Priorities of classes of equal weight.
+     * Creates priorities of classes of equal weight.
      *
-     * @param classes how many classes there are
-     * @param overallWeight the goal's weight of all that is served, from 0 to 1
+     * @param classes the number of classes
+     * @param overallWeight the goal's weight of everything served, from 0 to 1
      * @param worstClassWeight the goal's weight of the class that is served worst, from 0 to 1
-     * @param overQuotaWeight what a request over its tenant's quota counts, as a share of its
-     *     weight
+     * @param overQuotaWeight the fraction of its weight that a request over its tenant's quota
+     *     counts
      */
     public ClassPriority(
             int classes, double overallWeight, double worstClassWeight, double overQuotaWeight) {
@@ -53,18 +55,18 @@
         Arrays.fill(weightPerWork, 1);
     }
 
-    /** Sets the weight of a class for each unit of its work; only the ratios count. */
+    /** Sets the weight of a class per unit of work; only the ratios between classes matter. */
     public void weightPerWork(int classIndex, double weight) {
         weightPerWork[classIndex] = weight;
     }
 
-    /** Counts a request that has arrived, within its tenant's quota. */
+    /** Counts a request that has arrived within its tenant's quota. */
     public void onRequest(long now, int classIndex, double weight) {
         decay(now);
         asked[classIndex] += weight;
     }
 
-    /** Counts one that was served within its latency objective. */
+    /** Counts a request that was served within its latency objective. */
     public void onServed(long now, int classIndex, double weight) {
         decay(now);
         served[classIndex] += weight;
@@ -79,7 +81,7 @@
         }
     }
 
-    /** The priority of serving a request of this class next, in no unit. */
+    /** Returns the priority of serving a request of this class next, without a unit. */
     public double priority(int classIndex, boolean overQuota) {
         double weight = weightPerWork[classIndex];
         if (overQuota) {
--- a/core/src/main/java/cedarrudder/admission/EndpointConcurrencyLimit.java
+++ b/core/src/main/java/cedarrudder/admission/EndpointConcurrencyLimit.java
@@ -1,46 +1,51 @@
 package cedarrudder.admission;
 
 /**
- * How many requests one endpoint may hold, learned from how long its answers take for their work.
+ * The limit on the number of requests in flight at one endpoint, learned from the latency of its
+ * responses compared with their expected work.
  *
- * <p>An endpoint that holds far more than it can work on may slow down as a whole, and stay slow
- * while the same load comes. So the limit begins at a safe value. It grows only while the endpoint
- * is at it and still answers in hardly more than the time that the work was said to take, so that
- * nothing waits there; and it shrinks when answers take clearly longer. A small endpoint keeps the
- * safe value; one of many processors comes to hold many.
+ * <p>An endpoint with far more requests in flight than it can work on may slow down as a whole, and
+ * stay slow under the same load. So the limit begins at a safe value. It is raised only while the
+ * endpoint is at the limit and still responds in hardly more than the expected time, so that no
+ * queue builds up there; and it is lowered when responses take clearly longer. A small endpoint
+ * keeps the safe value; the limit of an endpoint with many processors becomes high.
  *
  * <p>This is TCP Vegas (Brakmo and Peterson, 1995), as in Netflix' concurrency-limits, with the
- * work that a request was said to need in place of the least time seen. An endpoint that is full
- * from the first moment on never shows its least time, and one that is too long drives the limit up
- * without end.
+ * expected work of a request in place of the minimum latency observed. An endpoint that is full
+ * from the start never shows its minimum latency, and an overestimated minimum would raise the
+ * limit without end.
  */
 public final class EndpointConcurrencyLimit {
 
-    /** Answers that count, about, and that must have been seen before the limit moves. */
-    private static final int WINDOW_ANSWERS = 20;
+    /**
+     * The approximate number of latest responses that count, and the number that must have been
+     * observed before the limit changes.
+     */
+    private static final int WINDOW_RESPONSES = 20;
 
-    /** Up to this many times the work said, nothing waits: the network takes its time, too. */
+    /** Up to this multiple of the expected work nothing queues; the network adds some latency. */
     private static final double NO_QUEUE_STRETCH = 1.25;
 
-    /** Past this many times the work said, much waits. */
+    /** Above this multiple of the expected work the queue is long. */
     private static final double LONG_QUEUE_STRETCH = 2;
 
-    /** The endpoint is at its limit when it holds no less than the limit, less this. */
+    /** The endpoint is at its limit from the limit minus this many requests on. */
     private static final double AT_LIMIT_MARGIN = 1;
 
     /**
-     * Up to this many replicas each see an equal part of the requests. With more, a replica has one
-     * or two requests at an endpoint, and its own number says little of the others'.
+     * Up to this many replicas, each sends about an equal part of the requests. With more, a
+     * replica has one or two requests in flight at an endpoint, and its own number says little
+     * about those of the others.
      */
     private static final int FEW_REPLICAS = 3;
 
     /**
-     * For this long, in nanoseconds, a report tells what others have in flight. No setting tells
-     * how old reports are; they are refreshed some times a second where there are any.
+     * How long a report on the requests of other replicas is valid, in nanoseconds. No setting
+     * gives the age of reports; where there are any, they are refreshed several times a second.
      */
     private static final long REPORT_VALIDITY_NANOS = 2_000_000_000L;
 
-    private static final double RETAINED = 1 - 1.0 / WINDOW_ANSWERS;
+    private static final double RETAINED = 1 - 1.0 / WINDOW_RESPONSES;
 
     private final double initialLimit;
     private double inFlightOfOthers;
@@ -48,13 +53,13 @@
     private double limit;
     private double latencySum;
     private double expectedSum;
-    private int answers;
+    private int responses;
 
     /**
-     * A limit for one endpoint.
+     * Creates a limit for one endpoint.
      *
-     * @param initialLimit the safe number of requests, to begin with and always; 0: there is no
-     *     limit
+     * @param initialLimit the safe number of requests: the initial and the minimum limit; 0: there
+     *     is no limit
      */
     public EndpointConcurrencyLimit(double initialLimit) {
         this.initialLimit = initialLimit;
@@ -62,11 +67,12 @@
     }
 
     /**
-     * Takes a good answer. One whose work is not known removes the limit: it can't be learned.
+     * Adapts the limit to a successful response. If the expected work is not known, the limit is
+     * removed, since it can't be learned.
      *
-     * @param inFlight requests that the endpoint held, this one among them
-     * @param latencyNanos how long the answer took
-     * @param expectedWorkNanos the work that the request was said to need; 0: not known
+     * @param inFlight requests that were in flight at the endpoint, this one included
+     * @param latencyNanos the latency of the response
+     * @param expectedWorkNanos the expected work of the request; 0: not known
      */
     public void onResponse(double inFlight, double latencyNanos, double expectedWorkNanos) {
         if (expectedWorkNanos <= 0) {
@@ -74,8 +80,8 @@
         }
         latencySum = latencySum * RETAINED + latencyNanos;
         expectedSum = expectedSum * RETAINED + expectedWorkNanos;
-        answers++;
-        if (answers < WINDOW_ANSWERS) {
+        responses++;
+        if (responses < WINDOW_RESPONSES) {
             return;
         }
         boolean atLimit = inFlight >= limit - AT_LIMIT_MARGIN;
@@ -86,23 +92,23 @@
         }
     }
 
-    /** Whether an endpoint that holds this many requests may be given another. */
+    /** Returns whether an endpoint with this many requests in flight may receive another. */
     public boolean hasCapacity(double inFlight) {
         return inFlight < limit;
     }
 
-    /** Takes how many requests of other replicas the endpoint reported to hold at an instant. */
+    /** Records how many requests of other replicas the endpoint reported as in flight. */
     public void onLoadReport(long now, double ofOthers) {
         inFlightOfOthers = Math.max(0, ofOthers);
         reportedAt = now;
     }
 
     /**
-     * How many requests the endpoint holds now. Where few replicas send, each has an equal part of
-     * the requests, and its own number is newer than any report. Where many do, each has one or two
-     * requests there, and only a report tells of the others'.
+     * Returns the estimated number of requests in flight at the endpoint now. With few replicas,
+     * each has an equal part of the requests, and its own number is newer than any report. With
+     * many, each has one or two requests there, and only a report covers those of the others.
      *
-     * @param own how many of this replica's it holds
+     * @param own how many requests of this replica are in flight there
      */
     public double inFlight(long now, int own, int replicas) {
         if (replicas <= FEW_REPLICAS) {
@@ -111,7 +117,7 @@
         return own + (now - reportedAt < REPORT_VALIDITY_NANOS ? inFlightOfOthers : 0);
     }
 
-    /** Requests that the endpoint may hold. */
+    /** Returns the maximum number of requests in flight at the endpoint. */
     public double limit() {
         return limit;
     }
--- a/core/src/main/java/cedarrudder/admission/MovingAverage.java
+++ b/core/src/main/java/cedarrudder/admission/MovingAverage.java
@@ -9,9 +9,9 @@
     private long count;
 
     /**
-     * An average of no values.
+     * Creates an average without values.
      *
-     * @param newestWeight the weight of the newest value, from 0 to 1; the first values weigh more
+     * @param newestWeight the weight of the newest value, from 0 to 1; the first values count more
      */
     public MovingAverage(double newestWeight) {
         this.newestWeight = newestWeight;
@@ -25,17 +25,17 @@
         mean += weight * (value - mean);
     }
 
-    /** The mean, in the unit of the values; 0 before the first. */
+    /** Returns the mean, in the unit of the values; 0 before the first value. */
     public double mean() {
         return mean;
     }
 
-    /** How far values lie from the mean, on average. */
+    /** Returns the mean absolute deviation of the values from the mean. */
     public double deviation() {
         return deviation;
     }
 
-    /** How many values there were. */
+    /** Returns the number of values added. */
     public long count() {
         return count;
     }
--- a/core/src/main/java/cedarrudder/admission/TenantQuotas.java
+++ b/core/src/main/java/cedarrudder/admission/TenantQuotas.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * Tells which requests exceed their tenant's quota: a token bucket for each tenant.
+ * Determines which requests exceed their tenant's quota, with a token bucket for each tenant.
  *
- * <p>Only what a tenant sends beyond its quota counts less, not all that it sends, so that none
- * crowds out the others.
+ * <p>Only the requests beyond a tenant's quota count less, not all of its requests, so that no
+ * tenant crowds out the others.
  */
 public final class TenantQuotas {
 
-    /** A tenant may save up this many seconds of its quota; one request in any case. */
+    /** The capacity of a bucket, in seconds of the tenant's quota; at least one request. */
     private static final double BURST_SECONDS = 2;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -21,11 +21,11 @@
     private int replicas;
 
     /**
-     * Quotas with full buckets.
+     * Creates quotas with full buckets.
      *
-     * @param quotaPerSecond the quota of each tenant over all replicas, in requests a second; 0: it
-     *     has no limit
-     * @param replicas how many replicas there are, each of which takes an equal part
+     * @param quotaPerSecond the quota of each tenant over all replicas, in requests a second; 0:
+     *     unlimited
+     * @param replicas the number of replicas, each of which gets an equal part of the quotas
      */
     public TenantQuotas(double[] quotaPerSecond, int replicas) {
         this.quotaPerSecond = quotaPerSecond.clone();
@@ -35,14 +35,14 @@
         Arrays.fill(refilledAt, Long.MIN_VALUE / 2); // long ago: the buckets are full
     }
 
-    /** From now on this many replicas divide the quotas; tokens that were saved stay. */
+    /** Sets the number of live replicas that divide the quotas; tokens in the buckets stay. */
     public void onLiveReplicas(int live) {
         replicas = Math.max(1, live);
     }
 
     /**
-     * Counts a request of a tenant and tells whether it exceeds the quota. An unknown tenant has
-     * none.
+     * Counts a request of a tenant and returns whether it exceeds the quota. An unknown tenant has
+     * no quota to exceed.
      */
     public boolean isOverQuota(long now, int tenant) {
         if (tenant >= quotaPerSecond.length || quotaPerSecond[tenant] <= 0) {
--- a/core/src/main/java/cedarrudder/admission/ZoneTrafficSplit.java
+++ b/core/src/main/java/cedarrudder/admission/ZoneTrafficSplit.java
@@ -8,43 +8,45 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Splits requests over zones by their parts, keeps the rate of each zone within its bound, and
- * tells which requests fit nowhere.
+ * Splits requests over zones by their parts of the traffic, bounds the rate of each zone, and
+ * determines which requests no zone may receive.
  *
- * <p>Each request moves a point by the golden ratio round a circle which the zones divide by their
- * parts (a low-discrepancy sequence, Weyl 1916). So of any run of requests each zone gets its part
- * to within a request or two, where a random draw for each would stray by the root of their number;
- * no state is needed when parts change; and replicas whose points start at random don't send to the
- * same zone at the same time.
+ * <p>Each request moves a point by the golden ratio around a circle that is divided among the zones
+ * by their parts (a low-discrepancy sequence, Weyl 1916). So in any run of requests each zone gets
+ * its part to within a request or two, while random draws would deviate by the square root of their
+ * number; no state is needed when parts change; and replicas whose points start at random don't
+ * send to the same zone at the same time.
  *
- * <p>Where the parts are less than a whole, each request adds that share of a token, and each that
- * is sent takes one. A request that asks with a share of 1 may take all tokens; one of lower
- * priority finds some of them reserved, as in {@link AdaptiveConcurrencyLimit}, so that the lowest
- * priority is shed first. The rates of zones work the same way by time.
+ * <p>If the parts sum to less than the whole, each request adds the fraction that they sum to as
+ * tokens, and each request that is sent takes one token. A request with a share of 1 may use all
+ * tokens; for one of lower priority some of them are reserved, as in {@link
+ * AdaptiveConcurrencyLimit}, so that requests of the lowest priority are shed first. The rates of
+ * zones work in the same way, with tokens added over time.
  */
 public final class ZoneTrafficSplit {
 
-    /** No zone may get the request. */
+    /** The result if no zone may receive the request. */
     public static final int NO_ZONE = -1;
 
-    /** A zone may save up this many seconds of its rate; one request in any case. */
+    /** The capacity of a zone's bucket, in seconds of its rate; at least one request. */
     private static final double BURST_SECONDS = 0.5;
 
-    /** Tokens that requests which were not sent may save up: enough to tell priorities apart. */
+    /** The maximum number of tokens from unsent requests: enough to distinguish priorities. */
     private static final double MAX_TOKENS = 20;
 
     private static final double GOLDEN_RATIO = (Math.sqrt(5) - 1) / 2;
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * What a zone may get.
+     * The part of the traffic that a zone may get.
      *
-     * @param parts this many of the whole; over 0
-     * @param maxPerSecond its bound in requests a second; 0: none
+     * @param zone the number of the zone
+     * @param parts how many parts of the whole; over 0
+     * @param maxPerSecond the maximum rate in requests a second; 0: unlimited
      */
     public record Part(int zone, int parts, int maxPerSecond) {}
 
-    /** One zone, with a token bucket for its rate. */
+    /** One zone, with a token bucket that bounds its rate. */
     private static final class Zone {
         private final int number;
         private int parts;
@@ -72,24 +74,24 @@
     private final int totalWeight;
     private final RandomGenerator random;
 
-    /** All zones that ever had a part; they keep their tokens when parts change. */
+    /** All zones that ever had a part, by number; they keep their tokens when parts change. */
     private final Map<Integer, Zone> known = new HashMap<>();
 
-    /** Those that have a part, in the order in which they stand in for one another. */
+    /** The zones that have a part, in the order in which they substitute for one another. */
     private Zone[] zones = new Zone[0];
 
     private double sumOfParts;
     private double tokens = MAX_TOKENS;
 
-    /** The point on the circle, from 0 to 1; NaN before the first parts. */
+    /** The point on the circle, from 0 to 1; NaN before the first update. */
     private double point = Double.NaN;
 
     /**
-     * A split without parts.
+     * Creates a split without parts.
      *
-     * @param ownZone the zone that stands in first for all others
-     * @param totalWeight what all parts sum up to where every request has a place
-     * @param random asked once, where to begin
+     * @param ownZone the zone that is the first substitute for all others
+     * @param totalWeight the whole: the sum of all parts if no request is to be shed
+     * @param random used once, for the point to start at
      */
     public ZoneTrafficSplit(int ownZone, int totalWeight, RandomGenerator random) {
         this.ownZone = ownZone;
@@ -98,9 +100,10 @@
     }
 
     /**
-     * Sets the parts of zones, one at least, in place of the former ones.
+     * Replaces the parts of the zones.
      *
-     * @throws IllegalArgumentException where a zone comes twice, or the parts are more than a
+     * @param parts at least one
+     * @throws IllegalArgumentException if a zone occurs twice, or the parts sum to more than the
      *     whole; nothing changes then
      */
     public void update(List<Part> parts) {
@@ -134,19 +137,19 @@
                         .toArray(Zone[]::new);
     }
 
-    /** Whether a zone has a part. */
+    /** Returns whether a zone has a part. */
     public boolean isServing(int zone) {
         Zone found = known.get(zone);
         return found != null && found.parts > 0;
     }
 
     /**
-     * The zone for a request that has arrived, to be called for each: the one whose turn it is, or
-     * where its rate is reached the first that stands in for it.
+     * Returns the zone for a request that has arrived: the one at the point, or its first
+     * substitute if its rate is exhausted. Called once for each request.
      *
-     * @param share the share of saved tokens that is open to this request, from 0 to 1
-     * @param admitted whether it is sent at all; one that is not leaves its place to others
-     * @return {@link #NO_ZONE} where none may get it
+     * @param share the fraction of the tokens that this request may use, from 0 to 1
+     * @param admitted whether the request is sent at all; otherwise its token is left to others
+     * @return {@link #NO_ZONE} if no zone may receive the request
      */
     public int assignZone(long now, double share, boolean admitted) {
         tokens = Math.min(MAX_TOKENS, tokens + sumOfParts / totalWeight);
@@ -173,9 +176,9 @@
     }
 
     /**
-     * The zones that may get a request: this one first, if it has a part, and then those that stand
-     * in for it.
+     * Returns the zones that may receive a request.
      *
+     * @param first the preferred zone; comes first if it has a part, before its substitutes
      * @param share as for {@link #assignZone}
      */
     public int[] candidates(long now, int first, double share) {
@@ -192,13 +195,16 @@
         return Arrays.copyOf(candidates, count);
     }
 
-    /** Whether a zone's rate has room for such a request; a zone without a bound always has. */
+    /**
+     * Returns whether a zone's rate has capacity for a request with this share; always true for a
+     * zone without a maximum rate.
+     */
     public boolean hasCapacity(long now, int zone, double share) {
         Zone found = known.get(zone);
         return found == null || found.hasCapacity(now, share);
     }
 
-    /** A request was sent to a zone. */
+    /** Records that a request was sent to a zone. */
     public void onSent(int zone) {
         Zone found = known.get(zone);
         if (found != null && found.maxPerSecond > 0) {
--- a/core/src/test/java/cedarrudder/admission/AdmissionQueueTest.java
+++ b/core/src/test/java/cedarrudder/admission/AdmissionQueueTest.java
@@ -8,18 +8,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who goes first, and who must not hold up the others. */
+/** Tests the order of waiting requests, and that no request blocks the others. */
 public class AdmissionQueueTest {
 
     private final List<String> offered = new ArrayList<>();
-    private double[] worth;
-    private AdmissionQueue<String> line;
+    private double[] priorities;
+    private AdmissionQueue<String> queue;
 
-    private void offer(int room, Offer otherwise) {
+    private void offer(int capacity, Offer otherwise) {
         offered.clear();
-        int[] left = {room};
-        line.dispatch(
-                lane -> worth[lane],
+        int[] left = {capacity};
+        queue.dispatch(
+                lane -> priorities[lane],
                 request -> {
                     offered.add(request);
                     return left[0]-- > 0 ? Offer.TAKEN : otherwise;
@@ -27,55 +27,55 @@
     }
 
     @BeforeMethod
-    public void fill() {
-        worth = new double[] {1, 3, 2};
-        line = new AdmissionQueue<>(3);
-        line.add(0, "least");
-        line.add(2, "middle 1");
-        line.add(2, "middle 2");
-        line.add(1, "most");
+    public void fillQueue() {
+        priorities = new double[] {1, 3, 2};
+        queue = new AdmissionQueue<>(3);
+        queue.add(0, "least");
+        queue.add(2, "middle 1");
+        queue.add(2, "middle 2");
+        queue.add(1, "most");
     }
 
     @Test
-    public void theWorthiestGoFirstAndInALaneWhoCameFirst() {
+    public void highestPriorityIsServedFirstAndALaneInOrderOfArrival() {
         offer(4, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("most", "middle 1", "middle 2", "least"));
-        assertEquals(line.size(), 0);
+        assertEquals(queue.size(), 0);
     }
 
     @Test
-    public void whereThereIsNoRoomNobodyElseIsOfferedIt() {
+    public void noFurtherRequestIsOfferedCapacityOnceThereIsNone() {
         offer(1, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("most", "middle 1"));
-        assertEquals(line.size(), 3);
+        assertEquals(queue.size(), 3);
     }
 
     @Test
-    public void whoFitsNowhereHoldsUpNoOtherLane() {
+    public void skippedRequestBlocksOnlyItsOwnLane() {
         offer(0, Offer.SKIPPED);
         assertEquals(offered, List.of("most", "middle 1", "least"));
-        assertEquals(line.size(), 4);
+        assertEquals(queue.size(), 4);
     }
 
     @Test
-    public void worthIsAskedAnewEachTime() {
-        worth[0] = 9;
+    public void prioritiesAreEvaluatedAtEachDispatch() {
+        priorities[0] = 9;
         offer(1, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("least", "most"));
     }
 
     @Test
-    public void ofEqualWorthWhoCameFirstGoesFirst() {
-        worth[1] = worth[2] = worth[0];
+    public void lanesOfEqualPriorityAreServedInOrderOfArrival() {
+        priorities[1] = priorities[2] = priorities[0];
         offer(3, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("least", "middle 1", "middle 2", "most"));
     }
 
     @Test
-    public void whoLeavesIsTakenOutOfEachLane() {
-        List<String> left = line.removeIf(request -> request.startsWith("m"));
+    public void removeIfRemovesMatchesFromEveryLane() {
+        List<String> left = queue.removeIf(request -> request.startsWith("m"));
         assertEquals(left, List.of("most", "middle 1", "middle 2"));
-        assertEquals(line.size(), 1);
+        assertEquals(queue.size(), 1);
         offer(9, Offer.NO_CAPACITY);
         assertEquals(offered, List.of("least"));
     }
--- a/core/src/test/java/cedarrudder/admission/EndpointConcurrencyLimitTest.java
+++ b/core/src/test/java/cedarrudder/admission/EndpointConcurrencyLimitTest.java
@@ -6,49 +6,49 @@
 
 import org.testng.annotations.Test;
 
-/** How many requests an endpoint may hold, by how long its answers take. */
+/** Tests how the limit on requests in flight at an endpoint follows the latency of responses. */
 public class EndpointConcurrencyLimitTest {
 
     private static final double WORK = 50e6;
 
-    /** An endpoint of some processors that is always given as much as it may hold. */
-    private static EndpointConcurrencyLimit full(
-            EndpointConcurrencyLimit limit, int processors, int answers) {
-        for (int i = 0; i < answers; i++) {
-            double held = Math.ceil(limit.limit());
-            limit.onResponse(held, WORK * Math.max(1, held / processors), WORK);
+    /** Simulates an endpoint that always has as many requests in flight as its limit allows. */
+    private static EndpointConcurrencyLimit underFullLoad(
+            EndpointConcurrencyLimit limit, int processors, int responses) {
+        for (int i = 0; i < responses; i++) {
+            double inFlight = Math.ceil(limit.limit());
+            limit.onResponse(inFlight, WORK * Math.max(1, inFlight / processors), WORK);
         }
         return limit;
     }
 
     @Test
-    public void itBeginsAtTheSafeValue() {
+    public void limitStartsAtTheSafeValue() {
         EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
         assertTrue(limit.hasCapacity(3));
         assertFalse(limit.hasCapacity(4));
-        assertEquals(full(limit, 16, 19).limit(), 4.0, "too few answers to go by");
+        assertEquals(underFullLoad(limit, 16, 19).limit(), 4.0, "too few responses to adapt to");
     }
 
     @Test
-    public void anEndpointOfManyProcessorsComesToHoldAsManyAsTheyServe() {
-        double limit = full(new EndpointConcurrencyLimit(4), 16, 5000).limit();
-        assertTrue(limit > 16 && limit < 22, "came to " + limit);
+    public void limitRisesToWhatManyProcessorsServe() {
+        double limit = underFullLoad(new EndpointConcurrencyLimit(4), 16, 5000).limit();
+        assertTrue(limit > 16 && limit < 22, "limit " + limit);
     }
 
     @Test
-    public void aSmallOneThatIsFullFromTheFirstMomentOnKeepsTheSafeValue() {
-        assertEquals(full(new EndpointConcurrencyLimit(4), 1, 5000).limit(), 4.0);
+    public void smallEndpointThatIsAlwaysFullKeepsTheSafeValue() {
+        assertEquals(underFullLoad(new EndpointConcurrencyLimit(4), 1, 5000).limit(), 4.0);
     }
 
     @Test
-    public void itGoesBackWhenTheAnswersTakeLonger() {
-        EndpointConcurrencyLimit limit = full(new EndpointConcurrencyLimit(4), 16, 5000);
-        full(limit, 1, 5000);
+    public void limitFallsWhenResponsesTakeLonger() {
+        EndpointConcurrencyLimit limit = underFullLoad(new EndpointConcurrencyLimit(4), 16, 5000);
+        underFullLoad(limit, 1, 5000);
         assertEquals(limit.limit(), 4.0);
     }
 
     @Test
-    public void itDoesNotGrowWhereItIsNotMet() {
+    public void limitDoesNotRiseUnlessItIsReached() {
         EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
         for (int i = 0; i < 1000; i++) {
             limit.onResponse(2, WORK, WORK);
@@ -57,10 +57,10 @@
     }
 
     @Test
-    public void withoutWhatItNeedsThereIsNoLimit() {
+    public void unknownExpectedWorkMeansNoLimit() {
         EndpointConcurrencyLimit limit = new EndpointConcurrencyLimit(4);
         limit.onResponse(4, WORK, 0);
         assertTrue(limit.hasCapacity(1000));
-        assertTrue(full(new EndpointConcurrencyLimit(0), 1, 100).hasCapacity(1000));
+        assertTrue(underFullLoad(new EndpointConcurrencyLimit(0), 1, 100).hasCapacity(1000));
     }
 }
--- a/core/src/test/java/cedarrudder/admission/ZoneTrafficSplitTest.java
+++ b/core/src/test/java/cedarrudder/admission/ZoneTrafficSplitTest.java
@@ -12,90 +12,92 @@
 
 public class ZoneTrafficSplitTest {
 
-    private static final int WHOLE = 10_000;
+    private static final int TOTAL_WEIGHT = 10_000;
     private static final long MS = 1_000_000L;
 
-    private ZoneTrafficSplit deal;
+    private ZoneTrafficSplit split;
 
     @BeforeMethod
-    public void begin() {
-        deal = new ZoneTrafficSplit(0, WHOLE, new SplittableRandom(7));
+    public void createSplit() {
+        split = new ZoneTrafficSplit(0, TOTAL_WEIGHT, new SplittableRandom(7));
     }
 
-    private int next(long now, double part) {
-        int zone = deal.assignZone(now, part, true);
-        deal.onSent(zone);
+    private int next(long now, double share) {
+        int zone = split.assignZone(now, share, true);
+        split.onSent(zone);
         return zone;
     }
 
-    /** Detects draws, of which a hundredth strays by a third in a thousand calls. */
+    /** Random draws with a part of a hundredth would deviate by a third in a thousand requests. */
     @Test
-    public void anyRunOfCallsIsNearItsParts() {
-        deal.update(List.of(new Part(0, 9_900, 0), new Part(3, 100, 0)));
-        int[] far = new int[20_000];
-        for (int i = 0; i < far.length; i++) {
-            far[i] = (i == 0 ? 0 : far[i - 1]) + (next(i, 1) == 3 ? 1 : 0);
+    public void everyRunOfRequestsMatchesItsParts() {
+        split.update(List.of(new Part(0, 9_900, 0), new Part(3, 100, 0)));
+        int[] zone3Count = new int[20_000];
+        for (int i = 0; i < zone3Count.length; i++) {
+            zone3Count[i] = (i == 0 ? 0 : zone3Count[i - 1]) + (next(i, 1) == 3 ? 1 : 0);
             int since = Math.max(0, i - 1_000);
             assertEquals(
-                    far[i] - far[since], (i - since) / 100.0, 2, "calls " + since + " to " + i);
+                    zone3Count[i] - zone3Count[since],
+                    (i - since) / 100.0,
+                    2,
+                    "requests " + since + " to " + i);
         }
     }
 
-    /**
-     * Detects replicas that turn to a zone all at once, and against a part that new tables starve.
-     */
+    /** Replicas must not all send to one zone at once, nor frequent updates starve a small part. */
     @Test
-    public void copiesBeginAtDifferentPointsAndGoOnOverNewTables() {
+    public void replicasStartAtDifferentPointsAndContinueAfterUpdates() {
         int first = 0;
-        int far = 0;
+        int zone3Count = 0;
         for (int replica = 0; replica < 500; replica++) {
-            ZoneTrafficSplit own = new ZoneTrafficSplit(0, WHOLE, new SplittableRandom(replica));
+            ZoneTrafficSplit own =
+                    new ZoneTrafficSplit(0, TOTAL_WEIGHT, new SplittableRandom(replica));
             for (int i = 0; i < 40; i++) {
                 own.update(List.of(new Part(0, 9_000, 0), new Part(3, 1_000, 0)));
-                boolean gone = own.assignZone(0, 1, true) == 3;
-                first += gone && i == 0 ? 1 : 0;
-                far += gone ? 1 : 0;
+                boolean sent = own.assignZone(0, 1, true) == 3;
+                first += sent && i == 0 ? 1 : 0;
+                zone3Count += sent ? 1 : 0;
             }
         }
         assertEquals(first, 50, 25);
-        assertEquals(far, 2_000, 100);
+        assertEquals(zone3Count, 2_000, 100);
     }
 
-    /** Detects a bound that is none, and against new savings with each table. */
+    /** An update of the parts must neither lift the maximum rate nor refill the bucket. */
     @Test
-    public void aBoundHoldsHoweverOftenItIsSetAndTheNextZoneGetsTheRest() {
+    public void maximumRateHoldsAcrossUpdatesAndTheNextZoneGetsTheRest() {
         int bounded = 0;
         for (int i = 0; i < 2_000; i++) {
-            deal.update(List.of(new Part(3, 9_000, 50), new Part(0, 1_000, 0)));
+            split.update(List.of(new Part(3, 9_000, 50), new Part(0, 1_000, 0)));
             if (i % 10 == 5) {
-                deal.update(List.of(new Part(0, 1_000, 0)));
-                deal.update(List.of(new Part(3, 9_000, 50), new Part(0, 1_000, 0)));
+                split.update(List.of(new Part(0, 1_000, 0)));
+                split.update(List.of(new Part(3, 9_000, 50), new Part(0, 1_000, 0)));
             }
             int zone = next(i * 5 * MS, 1);
-            assertTrue(zone == 0 || zone == 3, "call " + i + " to " + zone);
+            assertTrue(zone == 0 || zone == 3, "request " + i + " to " + zone);
             bounded += zone == 3 ? 1 : 0;
         }
         assertEquals(bounded, 50 * 10 + 25, 3);
     }
 
     @Test
-    public void whereAllBoundsAreReachedItFitsNowhereTheLeastWorthyFirst() {
-        deal.update(List.of(new Part(3, 9_000, 20), new Part(0, 1_000, 30)));
-        int[] came = new int[2];
+    public void lowestPriorityIsShedFirstIfAllMaximumRatesAreReached() {
+        split.update(List.of(new Part(3, 9_000, 20), new Part(0, 1_000, 30)));
+        int[] arrived = new int[2];
         int[] fit = new int[2];
         for (int i = 0; i < 2_000; i++) {
-            int worthy = i % 5 == 0 ? 1 : 0; // 40 a second of 200
-            came[worthy]++;
-            fit[worthy] +=
-                    next(i * 5 * MS, worthy == 1 ? 1 : 0.4) == ZoneTrafficSplit.NO_ZONE ? 0 : 1;
+            int important = i % 5 == 0 ? 1 : 0; // 40 a second of 200
+            arrived[important]++;
+            fit[important] +=
+                    next(i * 5 * MS, important == 1 ? 1 : 0.4) == ZoneTrafficSplit.NO_ZONE ? 0 : 1;
         }
-        assertEquals(fit[1], came[1], "of " + came[1]);
+        assertEquals(fit[1], arrived[1], "of " + arrived[1]);
         assertEquals(fit[0], 100 + 15, 10);
     }
 
     @Test
-    public void whatIsLeftOfTheWholeFitsNowhereTheLeastWorthyFirst() {
-        deal.update(List.of(new Part(0, 7_000, 0)));
+    public void lowestPriorityIsShedFirstIfPartsSumToLessThanTheWhole() {
+        split.update(List.of(new Part(0, 7_000, 0)));
         int[] fit = new int[2];
         for (int i = 0; i < 10_000; i++) {
             fit[i % 2] += next(i, i % 2 == 1 ? 1 : 0.4) == ZoneTrafficSplit.NO_ZONE ? 0 : 1;
@@ -104,48 +106,48 @@
         assertEquals(fit[0], 2_000, 20);
     }
 
-    /** Detects a call that doesn't go taking the place of one that may. */
+    /** A request that is not admitted must not use the token of one that is. */
     @Test
-    public void callsThatAreTurnedAwayLeaveTheirPlaceToOthers() {
-        deal.update(List.of(new Part(0, 5_000, 0)));
+    public void rejectedRequestsLeaveTheirTokensToOthers() {
+        split.update(List.of(new Part(0, 5_000, 0)));
         int fit = 0;
         for (int i = 0; i < 1_000; i++) {
-            fit += deal.assignZone(i, 1, i % 2 == 0) == ZoneTrafficSplit.NO_ZONE ? 0 : 1;
+            fit += split.assignZone(i, 1, i % 2 == 0) == ZoneTrafficSplit.NO_ZONE ? 0 : 1;
         }
         assertEquals(fit, 500);
     }
 
-    /** Detects turning calls away for a debt of a former table. */
+    /** A lack of tokens under former parts must not cause rejections under full parts. */
     @Test
-    public void whatIsWholeAgainTurnsNoneAway() {
-        deal.update(List.of(new Part(0, 1, 0)));
+    public void noRequestIsShedOncePartsSumToTheWholeAgain() {
+        split.update(List.of(new Part(0, 1, 0)));
         for (int i = 0; i < 1_000; i++) {
             next(i, 1);
         }
         assertEquals(next(1_000, 0.4), ZoneTrafficSplit.NO_ZONE);
-        deal.update(List.of(new Part(0, WHOLE, 0)));
+        split.update(List.of(new Part(0, TOTAL_WEIGHT, 0)));
         for (int i = 0; i < 1_000; i++) {
             assertEquals(next(i, 0.1), 0);
         }
     }
 
     @Test
-    public void theOwnZoneStandsInFirstThenTheOthersInOrder() {
-        deal.update(List.of(new Part(5, 1_000, 0), new Part(2, 1_000, 0), new Part(0, 1_000, 0)));
-        assertEquals(deal.candidates(0, 2, 1), new int[] {2, 0, 5});
-        assertEquals(deal.candidates(0, 9, 1), new int[] {0, 5, 2});
-        assertTrue(deal.isServing(5) && !deal.isServing(9));
+    public void ownZoneIsTheFirstSubstituteThenTheOthersInOrder() {
+        split.update(List.of(new Part(5, 1_000, 0), new Part(2, 1_000, 0), new Part(0, 1_000, 0)));
+        assertEquals(split.candidates(0, 2, 1), new int[] {2, 0, 5});
+        assertEquals(split.candidates(0, 9, 1), new int[] {0, 5, 2});
+        assertTrue(split.isServing(5) && !split.isServing(9));
     }
 
     @Test
-    public void whatIsWrongChangesNothing() {
-        deal.update(List.of(new Part(2, WHOLE, 0)));
+    public void invalidPartsChangeNothing() {
+        split.update(List.of(new Part(2, TOTAL_WEIGHT, 0)));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> deal.update(List.of(new Part(1, 1, 0), new Part(1, 1, 0))));
+                () -> split.update(List.of(new Part(1, 1, 0), new Part(1, 1, 0))));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> deal.update(List.of(new Part(1, WHOLE, 0), new Part(3, 1, 0))));
+                () -> split.update(List.of(new Part(1, TOTAL_WEIGHT, 0), new Part(3, 1, 0))));
         assertEquals(next(0, 1), 2);
     }
 }
