--- a/core/src/main/java/cedarrudder/draining/BoundText.java
+++ b/core/src/main/java/cedarrudder/draining/BoundText.java
@@ -2,12 +2,12 @@
 
 import cedarrudder.draining.DrainCommand.Bound;
 
-/** The bounds of a policy as operators write and read them. */
+/** Converts the bounds of a policy to the form in which operators write and read them. */
 final class BoundText {
 
     private BoundText() {}
 
-    /** The key of a bound in the operator's file. */
+    /** Returns the key of a bound in the operator's file. */
     static String key(Bound bound) {
         return switch (bound) {
             case POD -> "out_per_pod";
@@ -20,7 +20,7 @@
         };
     }
 
-    /** What a policy says of a bound. */
+    /** Returns the value that a policy sets for a bound. */
     static String configuredValue(DrainPolicy policy, Bound bound) {
         return switch (bound) {
             case POD -> max(policy.maxPerPod());
@@ -41,11 +41,11 @@
                         : "nodes = " + max.nodes() + ", share = " + max.share();
     }
 
-    /** What a bound must be so that one node may leave. */
+    /** Describes the values of a bound with which one node can be drained. */
     static String allowed(Bound bound) {
         return switch (bound) {
-            case POD, ZONE, TIER -> "a number and a share that come to one node at least";
-            default -> "less than there are";
+            case POD, ZONE, TIER -> "a number and a share that allow one node or more";
+            default -> "less than what the tier has";
         };
     }
 }
--- a/core/src/main/java/cedarrudder/draining/CompactCodec.java
+++ b/core/src/main/java/cedarrudder/draining/CompactCodec.java
@@ -7,21 +7,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What the log entries and the stored state of drains are made of: {@link Varint}s, numbers of
- * eight bytes, and texts and blocks with their length before them.
+ * The encoding of the log entries and the stored state of drains: {@link Varint}s, floating-point
+ * numbers of eight bytes, and strings and byte blocks with a length prefix.
  */
 final class CompactCodec {
 
-    /** The largest integer that {@link Integer#toUnsignedLong} makes. */
+    /** The largest value that {@link Integer#toUnsignedLong} returns. */
     static final long MAX_UNSIGNED_INT = 0xffffffffL;
 
     private CompactCodec() {}
 
-    /** Writes. */
+    /** Appends encoded values. */
     static final class Writer {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
-        /** A number of 0 or more. */
+        /** Appends an integer of 0 or more. */
         Writer put(long value) {
             Varint.write(out, value);
             return this;
@@ -58,7 +58,10 @@
         }
     }
 
-    /** Reads; what is wrong is an IllegalArgumentException that says where. */
+    /**
+     * Decodes values. Each method throws an IllegalArgumentException that names the position if the
+     * bytes are malformed or a value is out of range.
+     */
     static final class Reader {
         private final VarintReader in;
 
@@ -84,8 +87,8 @@
         }
 
         /**
-         * How many entries follow; each takes a byte or more, so that no more are read than there
-         * are.
+         * Reads the number of entries that follow. An entry takes at least one byte, so a count above
+         * the remaining bytes is rejected before memory is allocated for it.
          */
         int count(int max) {
             int count = smallInt(max);
@@ -95,7 +98,7 @@
             return count;
         }
 
-        double number() {
+        double doubleValue() {
             long bits = 0;
             try {
                 for (int i = 0; i < Double.BYTES; i++) {
@@ -115,13 +118,13 @@
             return new String(block(maxBytes), StandardCharsets.UTF_8);
         }
 
-        <E extends Enum<E>> E choice(E[] of) {
-            return of[smallInt(of.length - 1)];
+        <E extends Enum<E>> E enumConstant(E[] constants) {
+            return constants[smallInt(constants.length - 1)];
         }
 
         void requireEnd() {
             if (in.remaining() > 0) {
-                throw invalid(in.remaining() + " bytes more", "the end");
+                throw invalid(in.remaining() + " more bytes", "the end");
             }
         }
 
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 
 /**
- * Policies with their conditions read. What of them can't be decided counts as a reason to pause.
+ * The policies in force with their conditions compiled. A condition that can't be compiled or
+ * evaluated counts as a reason to pause.
  */
 final class CompiledPolicies {
 
-    /** How a condition came out. */
+    /** The result of a condition; UNDECIDED if it can't be evaluated. */
     enum Verdict {
         YES,
         NO,
@@ -24,7 +25,7 @@
             ConditionCompiler.PolicyCondition pauseIf,
             ConditionCompiler.PolicyCondition resumeIf,
             ConditionCompiler.PolicyCondition giveBackIf,
-            boolean readable) {}
+            boolean compiled) {}
 
     private final List<Rule> rules = new ArrayList<>();
     private final Map<DrainableNode, Integer> cache = new HashMap<>();
@@ -46,21 +47,21 @@
                     compileOrDefault(policy.giveBackIf(), conditions, false),
                     true);
         } catch (RuntimeException e) {
-            // This avoids a copy of another version, that can't read it, letting go what it
-            // forbids.
+            // A replica of another version may be unable to compile the condition. The policy then
+            // applies to every node and pauses, so that the replica drains nothing that it forbids.
             return new Rule(
                     policy,
                     node -> true,
-                    figures -> true,
-                    figures -> false,
-                    figures -> false,
+                    inputs -> true,
+                    inputs -> false,
+                    inputs -> false,
                     false);
         }
     }
 
     private static ConditionCompiler.PolicyCondition compileOrDefault(
-            String text, ConditionCompiler conditions, boolean otherwise) {
-        return text.isEmpty() ? figures -> otherwise : conditions.compilePolicyCondition(text);
+            String text, ConditionCompiler conditions, boolean valueIfEmpty) {
+        return text.isEmpty() ? inputs -> valueIfEmpty : conditions.compilePolicyCondition(text);
     }
 
     int size() {
@@ -71,7 +72,10 @@
         return rules.get(index).policy;
     }
 
-    /** The policies that are for a node, as bits; one that can't be decided is, and pauses. */
+    /**
+     * Returns the policies that apply to a node, as a bit set. A policy whose condition on the node
+     * can't be evaluated applies and pauses.
+     */
     int policiesFor(DrainableNode node) {
         if (cache.size() > 2 * DrainPolicy.MAX_NODES) {
             cache.clear();
@@ -96,29 +100,29 @@
         return policies;
     }
 
-    /** Whether no wave may begin by what a policy says of the figures. */
-    Verdict pauseVerdict(int index, PolicyConditionInputs figures) {
+    /** Returns whether a policy pauses for these inputs. */
+    Verdict pauseVerdict(int index, PolicyConditionInputs inputs) {
         Rule rule = rules.get(index);
-        if (!rule.readable || (undecidedPolicies >> index & 1) != 0) {
+        if (!rule.compiled || (undecidedPolicies >> index & 1) != 0) {
             return Verdict.UNDECIDED;
         }
-        return figures.died() > rule.policy.maxFailedNodes()
+        return inputs.died() > rule.policy.maxFailedNodes()
                 ? Verdict.YES
-                : evaluate(rule.pauseIf, figures);
+                : evaluate(rule.pauseIf, inputs);
     }
 
-    Verdict resumeVerdict(int index, PolicyConditionInputs figures) {
-        return evaluate(rules.get(index).resumeIf, figures);
+    Verdict resumeVerdict(int index, PolicyConditionInputs inputs) {
+        return evaluate(rules.get(index).resumeIf, inputs);
     }
 
-    Verdict giveBackVerdict(int index, PolicyConditionInputs figures) {
-        return evaluate(rules.get(index).giveBackIf, figures);
+    Verdict giveBackVerdict(int index, PolicyConditionInputs inputs) {
+        return evaluate(rules.get(index).giveBackIf, inputs);
     }
 
     private static Verdict evaluate(
-            ConditionCompiler.PolicyCondition condition, PolicyConditionInputs figures) {
+            ConditionCompiler.PolicyCondition condition, PolicyConditionInputs inputs) {
         try {
-            return condition.holds(figures) ? Verdict.YES : Verdict.NO;
+            return condition.holds(inputs) ? Verdict.YES : Verdict.NO;
         } catch (RuntimeException e) {
             return Verdict.UNDECIDED;
         }
--- a/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
+++ b/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
@@ -1,40 +1,40 @@
 package cedarrudder.draining;
 
-/** Reads conditions, in whatever language they are written. */
+/** Compiles the conditions of policies. The language of the conditions is up to the implementation. */
 public interface ConditionCompiler {
 
-    /** What is asked of the figures that replicas share. */
+    /** A condition on the inputs that the replicas share. */
     interface PolicyCondition {
         /**
-         * Whether it holds.
+         * Returns whether the condition holds.
          *
-         * @throws RuntimeException where it can't be decided; that counts as a reason to pause
+         * @throws RuntimeException if it can't be evaluated; that counts as a reason to pause
          */
-        boolean holds(PolicyConditionInputs figures);
+        boolean holds(PolicyConditionInputs inputs);
     }
 
-    /** What is asked of a node. */
+    /** A condition on a node. */
     interface NodeCondition {
         /**
-         * Whether it holds.
+         * Returns whether the condition holds.
          *
-         * @throws RuntimeException where it can't be decided; the policy then counts for the node,
-         *     and pauses
+         * @throws RuntimeException if it can't be evaluated; the policy then applies to the node and
+         *     pauses
          */
         boolean holds(DrainableNode node);
     }
 
     /**
-     * Reads a condition over figures.
+     * Compiles a condition on the shared inputs.
      *
-     * @throws InvalidConditionException where it is none
+     * @throws InvalidConditionException if the text is not a valid condition
      */
     PolicyCondition compilePolicyCondition(String text);
 
     /**
-     * Reads a condition over a node.
+     * Compiles a condition on a node.
      *
-     * @throws InvalidConditionException where it is none
+     * @throws InvalidConditionException if the text is not a valid condition
      */
     NodeCondition compileNodeCondition(String text);
 }
--- a/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
+++ b/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many nodes that one policy is for are listed and out, in each pod, zone and tier. */
+/** Counts the listed and the unavailable nodes of one policy in each pod, zone and tier. */
 final class DisruptionCounts {
 
     private static final class Group {
@@ -44,16 +44,16 @@
         };
     }
 
-    /** The weight that is listed, and that which serves. */
+    /** Returns the listed weight and the serving weight of a node's tier, in this order. */
     private double[] weight(DrainableNode node) {
         return weights.computeIfAbsent(node.tier(), key -> new double[2]);
     }
 
     /**
-     * The bound that is broken with this node out; null where none.
+     * Returns the bound that would be exceeded with this node unavailable, or null if none would.
      *
-     * @param out whether it is counted as out already, such as one that fails: it may come to serve
-     *     again
+     * @param out whether the node is already counted as unavailable, such as a failed one that may
+     *     serve again
      */
     Bound exceededBound(DrainableNode node, boolean out) {
         int more = out ? 0 : 1;
@@ -81,7 +81,7 @@
                 : null;
     }
 
-    /** One more is out. */
+    /** Counts a node as unavailable. */
     void onDrained(DrainableNode node) {
         for (Group group : groups(node)) {
             group.out++;
@@ -89,7 +89,7 @@
         weight(node)[1] -= node.weight();
     }
 
-    /** Whether more are out than the policy allows. */
+    /** Returns whether more nodes are unavailable than the policy allows. */
     boolean isExceeded() {
         return isExceeded(pods, policy.maxPerPod())
                 || isExceeded(zones, policy.maxPerZone())
--- a/core/src/main/java/cedarrudder/draining/DrainCommand.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCommand.java
@@ -6,46 +6,54 @@
 import java.util.List;
 
 /**
- * What is committed of drains. Operators' calls and policies fit a datagram, as they may have to
- * travel to the leader; steps are the leader's own.
+ * A command that changes the replicated state of drains. Requests of operators and chunks of
+ * policies fit a datagram, as other replicas may have to send them to the leader; only the leader
+ * itself proposes steps.
  */
 public sealed interface DrainCommand {
 
-    /** Nodes that one call of an operator's may name. */
+    /** The maximum number of nodes in one request of an operator. */
     int MAX_IDS = 500;
 
-    /** Bytes of policies in one command. */
+    /** The maximum size of a chunk of policies in one command, in bytes. */
     int CHUNK_BYTES = 4_000;
 
-    /** What replicas propose to the leader has no more bytes. */
+    /** The maximum size of a command that a replica sends to the leader, in bytes. */
     int MAX_BYTES = 4_080;
 
-    /** Changes in one step. */
+    /** The maximum number of changes in one step. */
     int MAX_CHANGES = 512;
 
-    /** Groups of waiting nodes, and nodes with calls, that a step tells of. */
+    /** The maximum number of entries in each list of a {@link WaveStatus}. */
     int MAX_STATUS_ENTRIES = 16;
 
     /**
-     * An operator's call.
+     * An operator's request to drain nodes, or to cancel their drains.
      *
-     * @param cancel whether the drains are to end; else they are to begin
-     * @param nodes at most {@link #MAX_IDS}
+     * @param cancel whether to cancel the drains
+     * @param nodes the numbers of at most {@link #MAX_IDS} nodes
      */
     record DrainRequest(boolean cancel, List<Long> nodes) implements DrainCommand {}
 
-    /** A part of the policies that are to count from here on, if none of a higher revision do. */
+    /**
+     * One chunk of policies that come into force when all chunks are committed, unless policies of
+     * the same or a higher revision already are.
+     *
+     * @param checksum the checksum of all chunks together
+     * @param index the number of this chunk, from 0
+     * @param count the number of chunks
+     */
     record PolicyChunk(long revision, int checksum, int index, int count, byte[] bytes)
             implements DrainCommand {}
 
     /**
-     * What the leader has found.
+     * The changes and the status that the leader has derived from the state and the reports.
      *
-     * @param baseVersion the version of the state that it looked at; where it is another by then,
-     *     nothing changes
-     * @param clock the time that has passed with drains open, in milliseconds, as it reckons; it
-     *     only rises
-     * @param pauses policies by their place that pause from here on, and those that go on
+     * @param baseVersion the version of the state from which the leader derived the changes; if the
+     *     state has another version by then, no pause or change applies
+     * @param clock the leader's estimate of the time that has passed while drains were open, in
+     *     milliseconds; never decreases
+     * @param pauses the policies that pause or resume
      */
     record Step(
             long baseVersion,
@@ -55,17 +63,22 @@
             WaveStatus status)
             implements DrainCommand {}
 
-    /** A policy pauses, or goes on. */
+    /**
+     * A change of one policy between paused and running.
+     *
+     * @param policy the index of the policy
+     * @param on true if the policy pauses, false if it resumes
+     */
     record Pause(int policy, boolean on) {}
 
     /**
-     * An event of one drain. What follows the slot counts where a wave begins; of a restart the
-     * start does.
+     * An event of one drain. The components after the slot are used where a wave begins; a restart
+     * uses {@code nodeStart} alone.
      *
-     * @param slot the drain's own number
-     * @param nodeStart of the node, as listed
-     * @param deadlineMillis how long it may take, in milliseconds
-     * @param policies that are for it, as bits
+     * @param slot the number of the drain
+     * @param nodeStart the start time of the node, as listed
+     * @param deadlineMillis how long the drain may take, in milliseconds
+     * @param policies the policies that apply to the drain, as a bit set
      */
     record Change(
             DrainEvent event,
@@ -75,12 +88,12 @@
             OnDeadline onDeadline,
             OnRestart onRestart,
             int policies) {
-        /** An event that says nothing but itself. */
+        /** Returns a change that carries only the event. */
         static Change of(DrainEvent event, int slot) {
             return new Change(event, slot, 0, 0, OnDeadline.LET_GO, OnRestart.BACK, 0);
         }
 
-        /** The node restarted at that time, and stays out. */
+        /** Returns the change for a node that restarted at a time and stays out of service. */
         static Change restartedOut(int slot, long nodeStart) {
             return new Change(
                     DrainEvent.RESTARTED_OUT,
@@ -93,66 +106,72 @@
         }
     }
 
-    /** What keeps a node waiting. */
+    /** What keeps a drain waiting. */
     enum Bound {
-        /** No policy is for it. */
+        /** No policy selects the node. */
         NO_POLICY,
-        /** Some live replica has said nothing lately. */
+        /** Some live replica has not reported recently. */
         REPORTS,
-        /** A node that is out is listed no more, and it is not agreed on yet that it is gone. */
+        /** An unavailable node is no longer listed, and not yet committed as gone. */
         UNLISTED,
-        /** A window in which nothing begins. */
+        /** A closed window of the policy is in effect. */
         CLOSED,
-        /** A condition, or nodes that died. */
+        /** A condition, or the number of failed nodes, pauses the policy. */
         PAUSED,
         /** Another wave is open, or this one is full. */
         WAVE,
-        /** The last wave ended a short while ago. */
+        /** The last wave ended too recently. */
         PACE,
-        /** Another pod or zone goes first. */
+        /** Another pod or zone is drained first. */
         ORDER,
-        /** This many are out in its pod. */
+        /** Too many nodes would be unavailable in the pod. */
         POD,
-        /** In its zone. */
+        /** Too many nodes would be unavailable in the zone. */
         ZONE,
-        /** In its tier. */
+        /** Too many nodes would be unavailable in the tier. */
         TIER,
-        /** So few would be left in its pod. */
+        /** Too few nodes would remain available in the pod. */
         LEFT_POD,
-        /** In its zone. */
+        /** Too few nodes would remain available in the zone. */
         LEFT_ZONE,
-        /** In its tier. */
+        /** Too few nodes would remain available in the tier. */
         LEFT_TIER,
-        /** So little weight would be left in its tier. */
+        /** Too little weight would remain available in the tier. */
         LEFT_WEIGHT
     }
 
     /**
-     * This many nodes wait for a bound of a policy; the policy is -1 where the bound is of none.
+     * The number of nodes that wait because of one bound.
+     *
+     * @param policy the index of the policy that sets the bound; -1 if no policy does
      */
     record BlockedBy(int policy, Bound bound, int nodes) {}
 
-    /** A node that leaves has this many calls of a replica; -1: that replica has not said yet. */
+    /**
+     * The requests that a replica has in flight at a node being drained.
+     *
+     * @param requests their number; -1 if the replica has not reported it yet
+     */
     record RemainingRequests(int slot, int replica, long requests) {}
 
-    /** What the leader knows that others don't, for operators. */
+    /** The progress that only the leader can derive, for operators of all replicas. */
     record WaveStatus(List<BlockedBy> blocked, List<RemainingRequests> remaining) {
         static final WaveStatus NOTHING = new WaveStatus(List.of(), List.of());
     }
 
-    /** As bytes. */
+    /** Encodes the command. */
     default byte[] encode() {
         CompactCodec.Writer out = new CompactCodec.Writer();
-        if (this instanceof DrainRequest call) {
-            out.put(0).put(call.cancel ? 1 : 0).put(call.nodes.size());
-            call.nodes.forEach(out::put);
-        } else if (this instanceof PolicyChunk part) {
+        if (this instanceof DrainRequest request) {
+            out.put(0).put(request.cancel ? 1 : 0).put(request.nodes.size());
+            request.nodes.forEach(out::put);
+        } else if (this instanceof PolicyChunk chunk) {
             out.put(1)
-                    .put(part.revision)
-                    .put(Integer.toUnsignedLong(part.checksum))
-                    .put(part.index)
-                    .put(part.count)
-                    .put(part.bytes);
+                    .put(chunk.revision)
+                    .put(Integer.toUnsignedLong(chunk.checksum))
+                    .put(chunk.index)
+                    .put(chunk.count)
+                    .put(chunk.bytes);
         } else if (this instanceof Step step) {
             out.put(2).put(step.baseVersion).put(step.clock).put(step.pauses.size());
             step.pauses.forEach(each -> out.put(each.policy).put(each.on ? 1 : 0));
@@ -174,7 +193,7 @@
         return out.bytes();
     }
 
-    /** Reads a command; null where the bytes are none. It throws nothing. */
+    /** Decodes a command; returns null if the bytes are not a valid one. Never throws. */
     static DrainCommand decode(byte[] bytes) {
         try {
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
@@ -202,17 +221,17 @@
 
     private static PolicyChunk readChunk(CompactCodec.Reader in) {
         long revision = in.longValue(Long.MAX_VALUE);
-        int sum = (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT);
+        int checksum = (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT);
         int index = in.smallInt(PolicyCodec.MAX_BYTES / CHUNK_BYTES);
         int count = in.smallInt(PolicyCodec.MAX_BYTES / CHUNK_BYTES + 1);
         if (index >= count) {
-            throw new IllegalArgumentException("part " + index + " of " + count);
+            throw new IllegalArgumentException("chunk " + index + " of " + count);
         }
-        return new PolicyChunk(revision, sum, index, count, in.block(CHUNK_BYTES));
+        return new PolicyChunk(revision, checksum, index, count, in.block(CHUNK_BYTES));
     }
 
     private static Step readStep(CompactCodec.Reader in) {
-        long basis = in.longValue(Long.MAX_VALUE);
+        long baseVersion = in.longValue(Long.MAX_VALUE);
         long clock = in.longValue(Long.MAX_VALUE);
         List<Pause> pauses = new ArrayList<>();
         for (int left = in.count(DrainPolicy.MAX_POLICIES); left > 0; left--) {
@@ -220,7 +239,7 @@
         }
         List<Change> changes = new ArrayList<>();
         for (int left = in.count(MAX_CHANGES); left > 0; left--) {
-            DrainEvent event = in.choice(DrainEvent.values());
+            DrainEvent event = in.enumConstant(DrainEvent.values());
             int slot = in.smallInt(Integer.MAX_VALUE);
             changes.add(
                     event == DrainEvent.BEGUN
@@ -229,8 +248,8 @@
                                     slot,
                                     in.longValue(Long.MAX_VALUE),
                                     in.longValue(DrainPolicy.MAX_DURATION_NANOS),
-                                    in.choice(OnDeadline.values()),
-                                    in.choice(OnRestart.values()),
+                                    in.enumConstant(OnDeadline.values()),
+                                    in.enumConstant(OnRestart.values()),
                                     (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT))
                             : event == DrainEvent.RESTARTED_OUT
                                     ? new Change(
@@ -243,10 +262,10 @@
                                             0)
                                     : Change.of(event, slot));
         }
-        return new Step(basis, clock, pauses, changes, readStatus(in));
+        return new Step(baseVersion, clock, pauses, changes, readStatus(in));
     }
 
-    /** Writes what the leader reports. */
+    /** Encodes the status of the waves. */
     static void writeStatus(CompactCodec.Writer out, WaveStatus status) {
         out.put(status.blocked.size());
         status.blocked.forEach(each -> out.put(each.policy + 1).put(each.bound).put(each.nodes));
@@ -255,24 +274,24 @@
                 each -> out.put(each.slot).put(each.replica).put(each.requests + 1));
     }
 
-    /** Reads what {@link #writeStatus} wrote. */
+    /** Decodes what {@link #writeStatus} wrote. */
     static WaveStatus readStatus(CompactCodec.Reader in) {
-        List<BlockedBy> waits = new ArrayList<>();
+        List<BlockedBy> blocked = new ArrayList<>();
         for (int left = in.count(MAX_STATUS_ENTRIES); left > 0; left--) {
-            waits.add(
+            blocked.add(
                     new BlockedBy(
                             in.smallInt(DrainPolicy.MAX_POLICIES) - 1,
-                            in.choice(Bound.values()),
+                            in.enumConstant(Bound.values()),
                             in.smallInt(DrainPolicy.MAX_NODES)));
         }
-        List<RemainingRequests> still = new ArrayList<>();
+        List<RemainingRequests> remaining = new ArrayList<>();
         for (int left = in.count(MAX_STATUS_ENTRIES); left > 0; left--) {
-            still.add(
+            remaining.add(
                     new RemainingRequests(
                             in.smallInt(Integer.MAX_VALUE),
                             in.smallInt(0xffff),
                             in.longValue(Integer.MAX_VALUE) - 1));
         }
-        return new WaveStatus(List.copyOf(waits), List.copyOf(still));
+        return new WaveStatus(List.copyOf(blocked), List.copyOf(remaining));
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
+++ b/core/src/main/java/cedarrudder/draining/DrainCoordinator.java
@@ -10,29 +10,28 @@
 import java.util.function.IntPredicate;
 
 /**
- * The drains of a tier's nodes, as one replica takes part: a state that all replicas change alike
- * by the commands that they agree on; what this replica says to the one that leads; and what it has
- * committed where it leads.
+ * One replica's part in draining the nodes of a tier: it applies the committed commands to the
+ * replicated state, reports to the leader, and, on the leader, computes the next command to commit.
  *
- * <p>It has no clock, no socket and no thread, and draws nothing. Not thread-safe: from one thread
- * at a time, and its outlet must not call it. Whatever bytes it is given it throws nothing.
+ * <p>Has no clock, socket or thread and draws no random numbers. Not thread-safe: it must be called
+ * from one thread at a time, and {@link Actions} must not call it back. Throws nothing, whatever
+ * bytes it receives.
  */
 public final class DrainCoordinator {
 
-    /** The largest number of a node. */
+    /** The highest node number. */
     public static final long MAX_NODE = DrainStateMachine.MAX_NODE;
 
-    /** Nodes that one call may name. */
+    /** The maximum number of nodes in one drain request. */
     public static final int MAX_IDS = DrainCommand.MAX_IDS;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int MAX_REPORTS = 2;
 
     /**
-     * An event that changed something, and what follows beside the state.
+     * An event that changed a drain, and the effect to carry out.
      *
-     * @param deadlineMillis the time that the node may take, in milliseconds, once its wave has
-     *     begun
+     * @param deadlineMillis how long the drain may take, in milliseconds, once its wave has begun
      */
     public record DrainChange(
             long node,
@@ -46,21 +45,21 @@
     /** How a node's drain ended. */
     public record EndedDrain(long node, DrainEvent event) {}
 
-    /** What it causes. */
+    /** Receives the changes that this replica has to carry out. */
     public interface Actions {
-        /** This was committed, and has taken effect here. */
-        void onDrainChange(DrainChange happened);
+        /** Handles a change that was committed and applied at this replica. */
+        void onDrainChange(DrainChange change);
     }
 
-    /** What this replica has itself. */
+    /** Local observations of this replica that it reports to the leader. */
     public interface LocalState {
-        /** Its calls at a node. */
+        /** Returns this replica's requests in flight at a node. */
         int requestsInFlight(long node);
 
-        /** The nodes that are left out here by hand. */
+        /** Returns the nodes that an operator has disabled at this replica. */
         Set<Long> disabled();
 
-        /** What became of the calls of the last window. */
+        /** Returns the outcomes of the requests that ended in the last window. */
         TrafficSample trafficSample();
     }
 
@@ -68,10 +67,10 @@
     public record DrainView(long node, DrainState state, int wave, int slot) {}
 
     /**
-     * All drains, for operators.
+     * The progress of all drains, for operators.
      *
-     * @param paused names of policies that pause
-     * @param status what the replica that leads had found when it last said so
+     * @param paused names of the paused policies
+     * @param status what the leader found when it last committed a status
      */
     public record Progress(
             long revision,
@@ -96,7 +95,8 @@
     private int nextDisabled;
 
     /**
-     * @param replicas how many there may be, and {@code self} the number of this one
+     * @param replicas the maximum number of replicas
+     * @param self the number of this replica
      */
     public DrainCoordinator(
             int replicas,
@@ -121,14 +121,15 @@
         compiledPolicies = new CompiledPolicies(stateMachine.policies(), conditions);
     }
 
-    // ---- what is agreed on ----
+    // ---- replicated state ----
 
     /**
-     * This replica's file has these policies: they are to count for all replicas, if none of a
-     * higher revision do.
+     * Sets the policies of this replica's file, to be committed for all replicas unless policies of
+     * the same or a higher revision are in force.
      *
      * @param revision from 1
-     * @throws IllegalArgumentException if they are more than {@link PolicyCodec#MAX_BYTES}
+     * @throws IllegalArgumentException if the policies exceed {@link PolicyCodec#MAX_BYTES} or
+     *     {@link DrainPolicy#MAX_POLICIES}, or the revision is below 1
      */
     public void setPolicies(long revision, List<DrainPolicy> policies) {
         byte[] bytes = PolicyCodec.encode(policies);
@@ -158,8 +159,8 @@
     }
 
     /**
-     * Whether other policies of the same or a higher revision count than those of this replica's
-     * file.
+     * Returns whether the policies in force differ from those of this replica's file and have the
+     * same or a higher revision.
      */
     public boolean isOverruled() {
         return !ownPolicies.isEmpty()
@@ -167,20 +168,22 @@
                 && stateMachine.policyChecksum() != ownPolicies.get(0).checksum();
     }
 
-    /** A command is committed. */
+    /** Applies a committed command. */
     public void apply(long now, byte[] command) {
         List<DrainPolicy> policies = stateMachine.policies();
-        List<DrainChange> happened = stateMachine.apply(command);
-        // What has passed here since the agreed clock came last counts. This avoids a clock that
-        // falls
-        // behind by the time of a commit each time that it is committed.
+        List<DrainChange> changes = stateMachine.apply(command);
+        // The time that has passed here since the clock was last committed is added. Otherwise the
+        // clock would fall behind by the duration of a commit each time it is committed.
         clockBase = Math.max(agreedClock(now), stateMachine.clock());
         clockBaseAt = now;
         recompileIfChanged(policies);
-        happened.forEach(actions::onDrainChange);
+        changes.forEach(actions::onDrainChange);
     }
 
-    /** This state takes the place of the one that is; empty is that before the first command. */
+    /**
+     * Replaces the state by an encoded one. Empty bytes are the state before the first command;
+     * bytes that can't be decoded change nothing.
+     */
     public void onRestored(long now, byte[] state) {
         DrainStateMachine next =
                 state.length == 0 ? new DrainStateMachine() : DrainStateMachine.decode(state);
@@ -199,17 +202,17 @@
         }
     }
 
-    /** The agreed clock as it stands now, by what has passed here; it is never ahead. */
+    /** Returns the replicated clock, advanced by the time that has passed here; never ahead. */
     private long agreedClock(long now) {
         return clockBase + (now - clockBaseAt) / NANOS_PER_MILLI;
     }
 
-    /** The state; the same at each replica that applied the same. */
+    /** Returns the encoded state; equal at all replicas that applied the same commands. */
     public byte[] state() {
         return stateMachine.encode();
     }
 
-    /** The nodes to which nothing new goes, by number. */
+    /** Returns the nodes that must get no new requests. */
     public List<DrainingNode> drainingNodes() {
         List<DrainingNode> leaving = new ArrayList<>();
         for (Drain drain : stateMachine.drains()) {
@@ -225,18 +228,19 @@
     }
 
     /**
-     * Whether a node counts as out: it leaves, or not all replicas may know yet that it is back.
+     * Returns whether a node counts as unavailable: it is being drained, or some replica may not
+     * know yet that it serves again.
      */
     public boolean isOut(long node) {
         return stateMachine.state(node).isOut();
     }
 
-    /** The policies that count. */
+    /** Returns the policies in force. */
     public List<DrainPolicy> agreedPolicies() {
         return stateMachine.policies();
     }
 
-    /** All drains as they stand now, for operators. */
+    /** Returns the current progress of all drains, for operators. */
     public Progress progress() {
         List<String> names = stateMachine.policies().stream().map(DrainPolicy::name).toList();
         List<String> paused = new ArrayList<>();
@@ -259,10 +263,10 @@
                 stateMachine.ended());
     }
 
-    // ---- what any replica proposes ----
+    // ---- proposals of any replica ----
 
     /**
-     * The command by which operators ask for drains of nodes, or cancel them.
+     * Returns the command that requests or cancels the drains of nodes for an operator.
      *
      * @param nodes from 1 to {@link #MAX_IDS}
      */
@@ -278,8 +282,8 @@
     }
 
     /**
-     * A command by which the policies of this replica's file come to count for all; null where they
-     * may not.
+     * Returns the next command that commits the policies of this replica's file, or null if there
+     * is nothing to commit.
      */
     public byte[] nextPolicyCommand() {
         for (PolicyChunk part : ownPolicies) {
@@ -290,11 +294,11 @@
         return null;
     }
 
-    // ---- what replicas say to the one that leads ----
+    // ---- reports to the leader ----
 
     /**
-     * What this replica has to say, in parts of at most 136 bytes that stand for themselves, at
-     * most two.
+     * Returns this replica's report to the leader, in at most two parts of at most 136 bytes. Each
+     * part can be used without the other.
      */
     public List<byte[]> report(long now, LocalState local) {
         List<byte[]> parts = new ArrayList<>();
@@ -304,20 +308,20 @@
         for (int i = 0; i < MAX_REPORTS; i++) {
             int first = nextReportedSlot;
             int last = Integer.MAX_VALUE;
-            List<DrainReport.Calls> held = new ArrayList<>();
+            List<DrainReport.RequestsInFlight> inFlight = new ArrayList<>();
             for (Drain drain : open) {
-                int calls = drain.slot < first ? 0 : local.requestsInFlight(drain.node);
-                if (calls > 0 && held.size() == DrainReport.maxCalls()) {
+                int requests = drain.slot < first ? 0 : local.requestsInFlight(drain.node);
+                if (requests > 0 && inFlight.size() == DrainReport.maxSlots()) {
                     last = drain.slot - 1;
                     break;
-                } else if (calls > 0) {
-                    held.add(new DrainReport.Calls(drain.slot, calls));
+                } else if (requests > 0) {
+                    inFlight.add(new DrainReport.RequestsInFlight(drain.slot, requests));
                 }
             }
             nextReportedSlot = last == Integer.MAX_VALUE ? 0 : last + 1;
-            List<Long> some = new ArrayList<>();
+            List<Long> sample = new ArrayList<>();
             for (int j = 0; j < Math.min(DrainReport.maxDisabledSample(), disabled.size()); j++) {
-                some.add(disabled.get(nextDisabled++ % disabled.size()));
+                sample.add(disabled.get(nextDisabled++ % disabled.size()));
             }
             nextDisabled = disabled.isEmpty() ? 0 : nextDisabled % disabled.size();
             parts.add(
@@ -325,9 +329,9 @@
                                     stateMachine.version(),
                                     first,
                                     last,
-                                    held,
+                                    inFlight,
                                     disabled.size(),
-                                    some,
+                                    sample,
                                     local.trafficSample())
                             .encode());
             if (nextReportedSlot == 0) {
@@ -337,15 +341,15 @@
         return parts;
     }
 
-    /** This replica leads from here on, or no longer. */
+    /** Handles the start or the end of this replica's leadership. */
     public void onLeadership(long now, boolean leads) {
         reported.reset(now);
         scheduler.reset();
     }
 
     /**
-     * At the replica that leads: a part of what another says, or this one itself. It may be no such
-     * part.
+     * Handles, on the leader, one part of a replica's report, its own included. Malformed parts are
+     * ignored.
      */
     public void onReport(long now, int sender, byte[] part) {
         if (sender < 0 || sender >= replicas) {
@@ -358,10 +362,10 @@
     }
 
     /**
-     * At the replica that leads, each period: what is to be committed, or null.
+     * Returns the next command to commit, or null. Called on the leader, once in each period.
      *
-     * @param utcMillis since 1970, by this machine's clock
-     * @param nodes as this replica sees them
+     * @param utcMillis milliseconds since 1970, by this machine's clock
+     * @param nodes the nodes as this replica sees them
      * @param alive whether a replica is alive
      */
     public byte[] nextCommand(
--- a/core/src/main/java/cedarrudder/draining/DrainEvent.java
+++ b/core/src/main/java/cedarrudder/draining/DrainEvent.java
@@ -1,29 +1,29 @@
 package cedarrudder.draining;
 
-/** What is committed of one node's drain. */
+/** A committed event of one node's drain. */
 public enum DrainEvent {
-    /** An operator wants it to leave. */
+    /** An operator requested the drain. */
     ASKED,
-    /** An operator does not want it to leave any more. */
+    /** An operator cancelled the drain. */
     CANCELLED,
-    /** Its wave begins. */
+    /** The wave of the drain begins. */
     BEGUN,
-    /** Every live replica has had the wave and has no call there. */
+    /** Every live replica has applied the wave and has no request in flight at the node. */
     EMPTY,
-    /** Its time is up, and it counts as drained. */
+    /** The deadline has passed, and the node counts as drained. */
     LET_GO,
-    /** Its time is up, and it serves again. */
+    /** The deadline has passed, and the node serves again. */
     GIVEN_UP,
-    /** Its time is up, and it is waited for. */
+    /** The deadline has passed, and the drain waits on. */
     ALARMED,
-    /** Its policy gives back what leaves. */
+    /** A policy returns the nodes of its open drains to service. */
     STOPPED,
-    /** It restarted under its id, and serves again. */
+    /** The node restarted under its id and serves again. */
     RESTARTED_BACK,
-    /** It restarted under its id, and stays out. */
+    /** The node restarted under its id and stays out of service. */
     RESTARTED_OUT,
-    /** It is not listed any more. */
+    /** The node is no longer listed. */
     GONE,
-    /** Every live replica knows that it is back. */
+    /** Every live replica has applied that the node serves again. */
     RETURNED
 }
--- a/core/src/main/java/cedarrudder/draining/DrainPolicy.java
+++ b/core/src/main/java/cedarrudder/draining/DrainPolicy.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * What must hold while nodes leave. Where several are for one node, the strictest of each bound
- * holds.
+ * The constraints on draining the nodes that a policy selects. Where several policies select one
+ * node, the strictest of each bound applies.
  *
- * @param name one name, one policy
- * @param selector the nodes that it is for
- * @param maxPerPod how many of them may be out at once in each pod
- * @param maxPerZone and in each zone
- * @param maxPerTier and in the tier
- * @param minAvailable what must be left
- * @param order the order in which they go
- * @param maxWaveSize how many go in one wave at most
- * @param minWaveInterval nanoseconds between the end of a wave and the next
- * @param maxFailedNodes this many of them may fail, beside those taken out, before no further wave
- *     begins
- * @param pauseIf while it holds no wave begins; empty: never
- * @param resumeIf after a pause waves begin once it holds; empty: once the reason of the pause is
- *     over
- * @param giveBackIf where it holds, what leaves is given back, and waits again; empty: never
- * @param deadlineNanos how long a node may take, in nanoseconds
- * @param onDeadline what happens to a node that takes longer
- * @param onRestart what happens to one that has restarted under its id
- * @param closedWindows when no wave begins
+ * @param name the unique name of the policy
+ * @param selector the nodes that the policy applies to
+ * @param maxPerPod how many of them may be unavailable at once in each pod
+ * @param maxPerZone how many of them may be unavailable at once in each zone
+ * @param maxPerTier how many of them may be unavailable at once in the tier
+ * @param minAvailable what must remain available
+ * @param order the order in which the nodes are drained
+ * @param maxWaveSize the maximum number of nodes in one wave
+ * @param minWaveInterval the minimum time between the end of a wave and the next one, in
+ *     nanoseconds
+ * @param maxFailedNodes how many nodes may have failed, besides drained ones, before waves pause
+ * @param pauseIf the condition that pauses waves while it holds; empty: never
+ * @param resumeIf the condition that ends a pause; empty: the pause ends with its cause
+ * @param giveBackIf the condition under which nodes being drained serve again and wait for another
+ *     wave; empty: never
+ * @param deadlineNanos how long the drain of a node may take, in nanoseconds
+ * @param onDeadline what happens to a node whose drain takes longer
+ * @param onRestart what happens to a node that has restarted under its id
+ * @param closedWindows the times at which no wave begins
  */
 public record DrainPolicy(
         String name,
@@ -45,72 +45,80 @@
         OnRestart onRestart,
         List<Window> closedWindows) {
 
-    /** Nodes in all that drains may be open for. */
+    /** The maximum number of nodes with a drain. */
     public static final int MAX_NODES = 4_096;
 
-    /** Policies that count at once. */
+    /** The maximum number of policies in force. */
     public static final int MAX_POLICIES = 32;
 
+    /** The maximum length of a name or a condition, in characters. */
     public static final int MAX_TEXT = 512;
+
+    /** The maximum number of closed windows of one policy. */
     public static final int MAX_WINDOWS = 32;
+
     public static final int MINUTES_PER_WEEK = 7 * 24 * 60;
 
-    /** The longest time, in nanoseconds: a day. */
+    /** The longest wave interval or deadline, in nanoseconds: one day. */
     public static final long MAX_DURATION_NANOS = 86_400_000_000_000L;
 
-    /** The shortest time for a node, in nanoseconds. */
+    /** The shortest deadline of a node's drain, in nanoseconds. */
     public static final long MIN_DEADLINE_NANOS = 1_000_000_000L;
 
-    /** Any pod. */
+    /** Selects nodes of every pod. */
     public static final int ANY_POD = -1;
 
-    /** The order in which nodes go. */
+    /** The order in which nodes are drained. */
     public enum DrainOrder {
-        /** As they were asked for. */
+        /** In the order of the requests. */
         AS_ASKED,
-        /** One pod after another, and no wave is of two. */
+        /** One pod after another; no wave spans two pods. */
         POD_BY_POD,
-        /** One zone after another, and no wave is of two. */
+        /** One zone after another; no wave spans two zones. */
         ZONE_BY_ZONE,
-        /** The least weight first. */
+        /** The lowest weight first. */
         LIGHT_FIRST,
-        /** The largest weight first. */
+        /** The highest weight first. */
         HEAVY_FIRST
     }
 
-    /** What happens to a node whose time is up while calls are there. */
+    /** What happens to a node that has requests in flight at its deadline. */
     public enum OnDeadline {
-        /** It counts as drained, and calls that are there run on. */
+        /** The node counts as drained, and its requests in flight continue. */
         LET_GO,
-        /** It serves again, and its drain is over. */
+        /** The node serves again, and its drain ends. */
         GIVE_BACK,
-        /** It is waited for, and the log says so. */
+        /** The drain waits on, and a log line reports that it is overdue. */
         KEEP_WAITING
     }
 
-    /** What happens to a node that leaves, or is out, and has restarted under its id. */
+    /** What happens to a node that restarts under its id while it is being drained, or after. */
     public enum OnRestart {
-        /** It serves again, and its drain is over. */
+        /** The node serves again, and its drain ends. */
         BACK,
-        /** It stays out. */
+        /** The node stays out of service. */
         OUT
     }
 
     /**
-     * Whom a policy is for.
+     * The nodes that a policy applies to: those that match all of its properties.
      *
-     * @param tier empty: any; so with zone, kind and where
-     * @param pod {@link #ANY_POD}: any
-     * @param where a condition
+     * @param tier the name of the tier; empty: any
+     * @param zone the name of the zone; empty: any
+     * @param pod the pod; {@link #ANY_POD}: any
+     * @param kind the name of the kind; empty: any
+     * @param min the lowest weight
+     * @param max the highest weight
+     * @param where a condition on the node; empty: none
      */
     public record NodeSelector(
             String tier, String zone, int pod, String kind, double min, double max, String where) {
-        /** Every node. */
+        /** Selects every node. */
         public static final NodeSelector ALL =
                 new NodeSelector("", "", ANY_POD, "", 0, Double.MAX_VALUE, "");
 
         /**
-         * Checks the ranges above; what lies outside is an IllegalArgumentException that names it.
+         * Checks the ranges; throws an IllegalArgumentException that names a value out of range.
          */
         public NodeSelector {
             check(
@@ -133,7 +141,7 @@
                     "0 or more, the lower first");
         }
 
-        /** Whether it can be for a node; the condition is not asked. */
+        /** Returns whether a node matches, apart from the condition {@code where}. */
         boolean matches(DrainableNode node) {
             return (tier.isEmpty() || tier.equals(node.tier()))
                     && (zone.isEmpty() || zone.equals(node.zone()))
@@ -145,42 +153,46 @@
     }
 
     /**
-     * How many may be out at once: no more than the number, and no more than the share of those
-     * listed.
+     * How many nodes may be unavailable at once.
+     *
+     * @param nodes the maximum number
+     * @param share the maximum fraction of the listed nodes, from 0 to 1
      */
     public record MaxUnavailable(int nodes, double share) {
         /** No bound. */
         public static final MaxUnavailable ANY = new MaxUnavailable(MAX_NODES, 1);
 
-        /** A share of whole nodes such as 0.1 of 10 is not to fail for a rounding. */
+        /** Keeps a rounding error from reducing a fraction of whole nodes, such as 0.1 of 10. */
         private static final double ROUNDING = 1e-9;
 
         /**
-         * Checks the ranges above; what lies outside is an IllegalArgumentException that names it.
+         * Checks the ranges; throws an IllegalArgumentException that names a value out of range.
          */
         public MaxUnavailable {
             check(nodes >= 0 && nodes <= MAX_NODES, "nodes", nodes, "0 to " + MAX_NODES);
             check(share >= 0 && share <= 1, "share", share, "0 to 1");
         }
 
-        /** How many of this many. */
+        /** Returns how many of the listed nodes may be unavailable. */
         public int maxOf(int listed) {
             return Math.min(nodes, (int) Math.floor(share * listed + ROUNDING));
         }
     }
 
     /**
-     * What must be left serving of the nodes that a policy is for.
+     * What must remain available of the nodes that a policy applies to.
      *
-     * @param pod nodes in each pod; so with zone and tier
-     * @param weight of the tier's weight, as a part
+     * @param pod the minimum number of nodes in each pod
+     * @param zone the minimum number of nodes in each zone
+     * @param tier the minimum number of nodes in the tier
+     * @param weight the minimum fraction of the tier's weight, from 0 to 1
      */
     public record MinAvailable(int pod, int zone, int tier, double weight) {
-        /** Nothing. */
+        /** No bound. */
         public static final MinAvailable NOTHING = new MinAvailable(0, 0, 0, 0);
 
         /**
-         * Checks the ranges above; what lies outside is an IllegalArgumentException that names it.
+         * Checks the ranges; throws an IllegalArgumentException that names a value out of range.
          */
         public MinAvailable {
             check(
@@ -195,19 +207,19 @@
     /**
      * A time of the week, in UTC, in which no wave begins.
      *
-     * @param days a bit for each day, the lowest for Monday
-     * @param from minute of the day in which it begins
-     * @param to and in which it is over; at or before {@code from}: on the next day
+     * @param days one bit for each day, the lowest for Monday
+     * @param from the minute of the day at which the window begins
+     * @param to the minute of the day at which it ends; at or before {@code from}: on the next day
      */
     public record Window(int days, int from, int to) {
         private static final int MINUTES_PER_DAY = 24 * 60;
         private static final long MILLIS_PER_MINUTE = 60_000;
 
-        /** 1970 began on a Thursday. */
+        /** 1970 began on a Thursday; Monday is 0. */
         private static final int EPOCH_DAY_OF_WEEK = 3;
 
         /**
-         * Checks the ranges above; what lies outside is an IllegalArgumentException that names it.
+         * Checks the ranges; throws an IllegalArgumentException that names a value out of range.
          */
         public Window {
             check(days > 0 && days < 1 << 7, "days", days, "some of seven");
@@ -218,7 +230,7 @@
                     "minutes of a day");
         }
 
-        /** Whether a minute of the week is in it; Monday's first is 0. */
+        /** Returns whether a minute of the week is in the window; Monday's first minute is 0. */
         public boolean contains(int minute) {
             int day = minute / MINUTES_PER_DAY;
             int at = minute % MINUTES_PER_DAY;
@@ -229,15 +241,17 @@
                     : today && at >= from || yesterday && at < to;
         }
 
-        /** The minute of the week of a time in milliseconds since 1970, UTC. */
+        /** Returns the minute of the week of a time in milliseconds since 1970, UTC. */
         public static int minute(long utcMillis) {
-            return (int) Math.floorMod(Math.floorDiv(utcMillis, MILLIS_PER_MINUTE) + EPOCH_DAY_OF_WEEK * MINUTES_PER_DAY, (long) MINUTES_PER_WEEK);
+            return (int)
+                    Math.floorMod(
+                            Math.floorDiv(utcMillis, MILLIS_PER_MINUTE)
+                                    + EPOCH_DAY_OF_WEEK * MINUTES_PER_DAY,
+                            (long) MINUTES_PER_WEEK);
         }
     }
 
-    /**
-     * Checks all that is said above; what is wrong is an IllegalArgumentException that names it.
-     */
+    /** Checks the components; throws an IllegalArgumentException that names an invalid one. */
     public DrainPolicy {
         check(name != null && !name.isEmpty() && name.length() <= MAX_TEXT, "name", name, "a text");
         boolean complete =
@@ -277,7 +291,7 @@
                 "up to " + MAX_TEXT);
     }
 
-    /** Whether no wave may begin in a minute of the week. */
+    /** Returns whether no wave may begin in a minute of the week. */
     public boolean isClosedAt(int minute) {
         return closedWindows.stream().anyMatch(window -> window.contains(minute));
     }
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -4,45 +4,45 @@
 import java.util.List;
 
 /**
- * What a replica says to the one that leads, in parts that stand for themselves.
+ * One part of a replica's report to the leader. Each part can be used without the others.
  *
- * @param version of the state that it has carried out
- * @param firstSlot the lowest slot that it tells of
- * @param lastSlot and the highest: nodes that leave in between, and are not named, have no calls of
- *     this replica
- * @param calls by slot, rising
- * @param disabled how many nodes are left out here by hand
- * @param disabledSample of them
- * @param trafficSample what became of the calls of the last window
+ * @param version the version of the state that the replica has applied
+ * @param firstSlot the lowest slot that the part covers
+ * @param lastSlot the highest slot that the part covers: the replica has no requests in flight at
+ *     nodes of open drains between the two that {@code inFlight} does not name
+ * @param inFlight the requests in flight, by rising slot
+ * @param disabled how many nodes an operator has disabled at this replica
+ * @param disabledSample some of the disabled nodes
+ * @param trafficSample the outcomes of the requests that ended in the last window
  */
 record DrainReport(
         long version,
         int firstSlot,
         int lastSlot,
-        List<Calls> calls,
+        List<RequestsInFlight> inFlight,
         int disabled,
         List<Long> disabledSample,
         TrafficSample trafficSample) {
 
-    /** Bytes of one part, at most. */
+    /** The maximum size of one part, in bytes. */
     static final int MAX_BYTES = 136;
 
-    private static final int MAX_CALLS = 8;
-    private static final int MAX_SOME = 3;
+    private static final int MAX_SLOTS = 8;
+    private static final int MAX_DISABLED_SAMPLE = 3;
     private static final int MAX_DISABLED = 1 << 14;
     private static final int MAX_COUNT = 1 << 27;
     private static final int KIND = 0;
 
-    /** This many calls at one node. */
-    record Calls(int slot, int calls) {}
+    /** The number of requests in flight at one node. */
+    record RequestsInFlight(int slot, int requests) {}
 
-    /** How many slots with calls one part may tell of. */
-    static int maxCalls() {
-        return MAX_CALLS;
+    /** Returns how many slots with requests in flight one part can name. */
+    static int maxSlots() {
+        return MAX_SLOTS;
     }
 
     static int maxDisabledSample() {
-        return MAX_SOME;
+        return MAX_DISABLED_SAMPLE;
     }
 
     byte[] encode() {
@@ -52,10 +52,10 @@
                         .put(version)
                         .put(firstSlot)
                         .put(lastSlot)
-                        .put(calls.size());
+                        .put(inFlight.size());
         int before = firstSlot;
-        for (Calls each : calls) {
-            out.put(each.slot - before).put(Math.min(each.calls, MAX_DISABLED));
+        for (RequestsInFlight each : inFlight) {
+            out.put(each.slot - before).put(Math.min(each.requests, MAX_DISABLED));
             before = each.slot;
         }
         out.put(Math.min(disabled, MAX_DISABLED)).put(disabledSample.size());
@@ -72,7 +72,7 @@
         return out.bytes();
     }
 
-    /** Reads a part; null where the bytes are none. It throws nothing. */
+    /** Decodes a part; returns null if the bytes are not a valid one. Never throws. */
     static DrainReport decode(byte[] bytes) {
         try {
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
@@ -82,16 +82,16 @@
             long version = in.longValue(Long.MAX_VALUE);
             int first = in.smallInt(Integer.MAX_VALUE);
             int last = in.smallInt(Integer.MAX_VALUE);
-            List<Calls> calls = new ArrayList<>();
+            List<RequestsInFlight> inFlight = new ArrayList<>();
             int slot = first;
-            for (int left = in.count(MAX_CALLS); left > 0; left--) {
+            for (int left = in.count(MAX_SLOTS); left > 0; left--) {
                 slot += in.smallInt(Integer.MAX_VALUE - slot);
-                calls.add(new Calls(slot, in.smallInt(MAX_DISABLED)));
+                inFlight.add(new RequestsInFlight(slot, in.smallInt(MAX_DISABLED)));
             }
             int disabled = in.smallInt(MAX_DISABLED);
-            List<Long> some = new ArrayList<>();
-            for (int left = in.count(MAX_SOME); left > 0; left--) {
-                some.add(in.longValue(DrainStateMachine.MAX_NODE));
+            List<Long> sample = new ArrayList<>();
+            for (int left = in.count(MAX_DISABLED_SAMPLE); left > 0; left--) {
+                sample.add(in.longValue(DrainStateMachine.MAX_NODE));
             }
             TrafficSample trafficSample =
                     new TrafficSample(
@@ -100,7 +100,7 @@
                             in.smallInt(MAX_COUNT),
                             in.smallInt(MAX_COUNT));
             in.requireEnd();
-            return new DrainReport(version, first, last, calls, disabled, some, trafficSample);
+            return new DrainReport(version, first, last, inFlight, disabled, sample, trafficSample);
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/draining/DrainSettings.java
+++ b/core/src/main/java/cedarrudder/draining/DrainSettings.java
@@ -1,24 +1,24 @@
 package cedarrudder.draining;
 
 /**
- * The figures of the mechanism; times are nanoseconds.
+ * Timeouts and intervals of drains, in nanoseconds.
  *
- * @param reportTimeout a replica that has said nothing for this long keeps waves from beginning and
- *     drains from ending
- * @param forgetAfter and one that is dead is waited for this long: membership may be wrong
- * @param unlistedTimeout a node that is not listed for this long is gone
- * @param heartbeat while drains are open the agreed clock is committed so often
+ * @param reportTimeout how long a report counts; a live replica without a later one keeps waves
+ *     from beginning and drains from ending
+ * @param forgetAfter how long drains wait for a dead replica, as membership may be wrong about it
+ * @param unlistedTimeout how long a node is unlisted before it counts as gone
+ * @param heartbeat how often the replicated clock is committed while drains are open
  */
 public record DrainSettings(
         long reportTimeout, long forgetAfter, long unlistedTimeout, long heartbeat) {
 
     private static final long SECOND = 1_000_000_000L;
 
-    /** What serves where nothing else is said. */
+    /** The default settings. */
     public static final DrainSettings DEFAULT =
             new DrainSettings(3 * SECOND, 10 * SECOND, SECOND, 2 * SECOND);
 
-    /** Checks that all are over 0; what is wrong is an IllegalArgumentException that names it. */
+    /** Checks that all are over 0; throws an IllegalArgumentException that names one that isn't. */
     public DrainSettings {
         DrainPolicy.check(reportTimeout > 0, "patience", reportTimeout, "over 0");
         DrainPolicy.check(forgetAfter > 0, "forgets", forgetAfter, "over 0");
--- a/core/src/main/java/cedarrudder/draining/DrainState.java
+++ b/core/src/main/java/cedarrudder/draining/DrainState.java
@@ -1,33 +1,36 @@
 package cedarrudder.draining;
 
-/** How a node stands with drains. */
+/** The state of a node's drain. */
 public enum DrainState {
-    /** There is no drain of it. */
+    /** The node has no drain. */
     NONE,
-    /** Asked for; its wave has not begun. */
+    /** The drain is requested, and its wave has not begun. */
     WAITING,
-    /** It gets nothing new, and may have calls. */
+    /** The node gets no new requests, and may have requests in flight. */
     LEAVING,
-    /** So too, and its time is up. */
+    /** Like {@link #LEAVING}, and the deadline has passed. */
     OVERDUE,
-    /** It has no calls, or was let go. */
+    /** The node has no requests in flight, or its deadline let it count as drained. */
     OUT,
-    /** It serves again where that is known; there is no drain of it once all know. */
+    /** The node serves again at replicas that know it; the drain ends once all do. */
     RETURNING,
-    /** So too, and then it waits for another wave. */
+    /** Like {@link #RETURNING}, but the drain then waits for another wave. */
     RETURNING_TO_WAIT;
 
-    /** Whether replicas send it nothing new. */
+    /** Returns whether replicas send the node no new requests. */
     public boolean isLeaving() {
         return this == LEAVING || this == OVERDUE || this == OUT;
     }
 
-    /** Whether it counts as out: it leaves, or some replica may not know yet that it is back. */
+    /**
+     * Returns whether the node counts as unavailable: it gets no new requests, or some replica may
+     * not know yet that it serves again.
+     */
     public boolean isOut() {
         return isLeaving() || this == RETURNING || this == RETURNING_TO_WAIT;
     }
 
-    /** Whether its wave is not over. */
+    /** Returns whether the drain's wave has begun and is not over. */
     public boolean isOpen() {
         return this == LEAVING || this == OVERDUE;
     }
--- a/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -21,7 +21,7 @@
 
 /**
  * The replicated state of drains: the same at each replica that applied the same commands in their
- * order, whatever its clock, its list of nodes and its file say. Not thread-safe.
+ * order, whatever its own clock, endpoint list and policy file contain. Not thread-safe.
  */
 final class DrainStateMachine {
 
@@ -32,7 +32,7 @@
     private static final int MAX_ENDED = 256;
     private static final int ALL_POLICIES = -1;
 
-    /** In place of an instant on the agreed clock where there is none. */
+    /** Stands for an instant on the replicated clock where there is none. */
     private static final long NEVER = -1;
 
     private final TreeMap<Integer, Drain> drains = new TreeMap<>();
@@ -53,53 +53,53 @@
 
     // ---- the state ----
 
-    /** Rises with each command that changed something but the clock. */
+    /** Returns the version, which rises with each command that changed more than the clock. */
     long version() {
         return version;
     }
 
-    /** The agreed clock, in milliseconds with drains open. */
+    /** Returns the replicated clock: milliseconds that have passed while drains were open. */
     long clock() {
         return clock;
     }
 
-    /** The revision of the policies that count; 0 before the first. */
+    /** Returns the revision of the policies in force; 0 before the first. */
     long revision() {
         return revision;
     }
 
-    /** The checksum of the policies that count. */
+    /** Returns the checksum of the policies in force. */
     int policyChecksum() {
         return policyChecksum;
     }
 
-    /** The policies that count. */
+    /** Returns the policies in force. */
     List<DrainPolicy> policies() {
         return policies;
     }
 
-    /** All drains, by their slots. */
+    /** Returns all drains in the order of their slots. */
     Collection<Drain> drains() {
         return drains.values();
     }
 
-    /** The drain of a slot; null where there is none. */
+    /** Returns the drain in a slot, or null if there is none. */
     Drain drainInSlot(int slot) {
         return drains.get(slot);
     }
 
-    /** The state of a node's drain. */
+    /** Returns the state of a node's drain. */
     DrainState state(long node) {
         Drain drain = byNode.get(node);
         return drain == null ? DrainState.NONE : drain.state;
     }
 
-    /** What the leader last said of waves. */
+    /** Returns the status of the waves that the leader last reported. */
     WaveStatus waveStatus() {
         return waveStatus;
     }
 
-    /** The drains that ended last, the oldest first. */
+    /** Returns the drains that ended last, oldest first. */
     List<DrainCoordinator.EndedDrain> ended() {
         return List.copyOf(ended);
     }
@@ -108,17 +108,17 @@
         return pausedAt[policy] != NEVER;
     }
 
-    /** Since when a policy pauses, on the agreed clock; negative where it does not. */
+    /** Returns since when a policy is paused, on the replicated clock; negative if it is not. */
     long pausedAt(int policy) {
         return pausedAt[policy];
     }
 
-    /** When the last wave of a policy ended, on the agreed clock; negative where none has. */
+    /** Returns when a policy's last wave ended, on the replicated clock; negative if none has. */
     long waveEndedAt(int policy) {
         return waveEndedAt[policy];
     }
 
-    /** The policies that have an open wave, as bits. */
+    /** Returns the policies with an open wave as a bit set. */
     int policiesWithOpenWave() {
         int open = 0;
         for (Drain drain : drains.values()) {
@@ -127,7 +127,7 @@
         return open;
     }
 
-    /** Whether a chunk of policies is here, or not wanted any more. */
+    /** Returns whether a chunk of policies is already stored, or no longer needed. */
     boolean contains(PolicyChunk chunk) {
         return chunk.revision() <= revision || transfer.contains(chunk);
     }
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Adds a drain of a node that has none, where there is room for it. */
+    /** Adds a drain for a node that has none, if there is capacity for it. */
     private void addDrain(long node) {
         boolean hasCapacity = drains.size() < DrainPolicy.MAX_NODES && nextSlot < Integer.MAX_VALUE;
         if (hasCapacity && !byNode.containsKey(node)) {
@@ -267,13 +267,14 @@
         if (!transfer.isComplete()) {
             return;
         }
-        byte[] bytes = transfer.take();
+        byte[] bytes = transfer.removeBytes();
         List<DrainPolicy> decoded = bytes == null ? null : PolicyCodec.decode(bytes);
         if (decoded != null) {
             revision = transfer.revision();
             policyChecksum = transfer.checksum();
             setPolicies(bytes, decoded);
-            // Open drains were begun by former policies: they hold up the waves of each new one.
+            // The open drains began under the former policies, so they block the waves of every new
+            // policy until they end.
             drains.values().stream()
                     .filter(drain -> drain.state.isOut())
                     .forEach(drain -> drain.policies = ALL_POLICIES);
@@ -289,9 +290,9 @@
         Arrays.fill(pausedAt, NEVER);
     }
 
-    // ---- the state as bytes ----
+    // ---- encoding ----
 
-    /** Writes the state. */
+    /** Encodes the state. */
     byte[] encode() {
         CompactCodec.Writer out =
                 new CompactCodec.Writer()
@@ -329,7 +330,7 @@
                 .put(drain.stateVersion);
     }
 
-    /** Reads a state; null where the bytes are none. Never throws. */
+    /** Decodes a state; returns null if the bytes are not a valid one. Never throws. */
     static DrainStateMachine decode(byte[] bytes) {
         try {
             DrainStateMachine state = new DrainStateMachine();
@@ -365,7 +366,7 @@
         }
         for (int left = in.count(MAX_ENDED); left > 0; left--) {
             long node = in.longValue(MAX_NODE);
-            DrainEvent event = in.choice(DrainEvent.values());
+            DrainEvent event = in.enumConstant(DrainEvent.values());
             ended.addLast(new DrainCoordinator.EndedDrain(node, event));
         }
         waveStatus = DrainCommand.readStatus(in);
@@ -374,13 +375,13 @@
 
     private static Drain readDrain(CompactCodec.Reader in) {
         Drain drain = new Drain(in.smallInt(Integer.MAX_VALUE), in.longValue(MAX_NODE));
-        drain.state = in.choice(DrainState.values());
+        drain.state = in.enumConstant(DrainState.values());
         drain.wave = in.smallInt(MAX_WAVE - 1);
         drain.nodeStart = in.longValue(Long.MAX_VALUE);
         drain.deadlineMillis = in.longValue(Long.MAX_VALUE);
         drain.deadlineAt = in.longValue(Long.MAX_VALUE);
-        drain.onDeadline = in.choice(OnDeadline.values());
-        drain.onRestart = in.choice(OnRestart.values());
+        drain.onDeadline = in.enumConstant(OnDeadline.values());
+        drain.onRestart = in.enumConstant(OnRestart.values());
         drain.policies = (int) in.longValue(CompactCodec.MAX_UNSIGNED_INT);
         drain.stateVersion = in.longValue(Long.MAX_VALUE);
         return drain;
@@ -388,7 +389,7 @@
 
     private static void require(boolean valid, String what) {
         if (!valid) {
-            throw new IllegalArgumentException("a " + what + " that is not valid");
+            throw new IllegalArgumentException("invalid " + what);
         }
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainTransitions.java
+++ b/core/src/main/java/cedarrudder/draining/DrainTransitions.java
@@ -24,23 +24,23 @@
 import java.util.Map;
 
 /**
- * What becomes of a drain: one table of states and events, which all replicas apply alike. An event
- * that has no row in a state changes nothing there: it came twice, too late, or was overtaken by
- * another.
+ * The transition table of a drain by state and event, the same at all replicas. An event without a
+ * row for the current state changes nothing: it is a duplicate, is late, or was overtaken by
+ * another event.
  */
 public final class DrainTransitions {
 
-    /** What follows, beside the next state. */
+    /** The effect of a transition, besides the next state. */
     public enum Effect {
-        /** Nothing. */
+        /** No effect. */
         NOTHING,
-        /** Replicas are to send it nothing new. */
+        /** Replicas stop sending new requests to the node. */
         LEAVE,
-        /** Replicas are to send to it again. */
+        /** Replicas send requests to the node again. */
         RETURN,
-        /** The log says that its time is up. */
+        /** A log line reports that the deadline has passed. */
         ALARM,
-        /** The drain is over; the event says how. */
+        /** The drain ends; the event is its outcome. */
         END
     }
 
@@ -89,11 +89,11 @@
         if (TABLE.computeIfAbsent(from, each -> new EnumMap<>(DrainEvent.class))
                         .put(event, new Row(to, effect))
                 != null) {
-            throw new IllegalStateException(from + ", " + event + " twice");
+            throw new IllegalStateException("duplicate transition: " + from + ", " + event);
         }
     }
 
-    /** The row of a state and an event; null where that changes nothing. */
+    /** Returns the row of a state and an event, or null if the event changes nothing there. */
     public static Row of(DrainState state, DrainEvent event) {
         return TABLE.get(state).get(event);
     }
--- a/core/src/main/java/cedarrudder/draining/DrainableNode.java
+++ b/core/src/main/java/cedarrudder/draining/DrainableNode.java
@@ -3,12 +3,12 @@
 /**
  * A node as one replica sees it.
  *
- * @param id its number, as the balancer and the route table know it
- * @param tier the name of the tier that it belongs to
- * @param zone the name of its zone; empty where it has none
- * @param pod its pod; the balancer calls it cell
- * @param kind the name of its kind; empty where it has none
- * @param start its last start, as discovery tells it, in milliseconds since 1970; 0: long ago
+ * @param id the number of the node, as in the balancer and the route table
+ * @param tier the name of its tier
+ * @param zone the name of its zone; empty if it has none
+ * @param pod the number of its pod, which the balancer calls cell
+ * @param kind the name of its kind; empty if it has none
+ * @param start its last start according to discovery, in milliseconds since 1970; 0: long ago
  */
 public record DrainableNode(
         long id,
@@ -20,18 +20,18 @@
         NodeStatus status,
         long start) {
 
-    /** Whether a node serves, and why not. */
+    /** The status of a node: serving, or why it is not. */
     public enum NodeStatus {
         SERVING,
-        /** Left out by hand, at one replica or more. */
+        /** Disabled by an operator at one replica or more. */
         DISABLED,
-        /** Discovery says that it leaves. */
+        /** Discovery reports that the node terminates. */
         TERMINATING,
-        /** It answers nothing, or errors only. */
+        /** The node does not respond, or responds with errors only. */
         FAILED
     }
 
-    /** The same with another status. */
+    /** Returns a copy with another status. */
     public DrainableNode with(NodeStatus other) {
         return new DrainableNode(id, tier, zone, pod, kind, weight, other, start);
     }
--- a/core/src/main/java/cedarrudder/draining/InvalidConditionException.java
+++ b/core/src/main/java/cedarrudder/draining/InvalidConditionException.java
@@ -1,6 +1,6 @@
 package cedarrudder.draining;
 
-/** A text that is no condition. */
+/** Thrown for a text that is not a valid condition. */
 public final class InvalidConditionException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
@@ -9,7 +9,8 @@
     private final String allowed;
 
     /**
-     * @param found with its place in the text
+     * @param found what was found, with its position in the text
+     * @param allowed what is allowed there
      */
     public InvalidConditionException(String found, String allowed) {
         super("found " + found + "; allowed: " + allowed);
--- a/core/src/main/java/cedarrudder/draining/PolicyCodec.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyCodec.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.Set;
 
-/** Policies as bytes, as replicas agree on them. */
+/** Encodes and decodes the policies that the replicas commit. */
 public final class PolicyCodec {
 
-    /** All policies together take no more than this. */
+    /** The maximum size of all policies together, in bytes. */
     public static final int MAX_BYTES = 24_000;
 
     private static final int MAX_TEXT_BYTES = 3 * DrainPolicy.MAX_TEXT;
 
     private PolicyCodec() {}
 
-    /** Writes policies in their order. */
+    /** Encodes policies in their order. */
     public static byte[] encode(List<DrainPolicy> policies) {
         CompactCodec.Writer out = new CompactCodec.Writer().put(policies.size());
         for (DrainPolicy policy : policies) {
@@ -62,7 +62,7 @@
         return out.bytes();
     }
 
-    /** Reads policies; null where the bytes are none. It throws nothing. */
+    /** Decodes policies; returns null if the bytes are not valid ones. Never throws. */
     public static List<DrainPolicy> decode(byte[] bytes) {
         try {
             CompactCodec.Reader in = new CompactCodec.Reader(bytes);
@@ -90,7 +90,7 @@
                 readMaxUnavailable(in),
                 readMaxUnavailable(in),
                 readMinAvailable(in),
-                in.choice(DrainOrder.values()),
+                in.enumConstant(DrainOrder.values()),
                 in.smallInt(DrainPolicy.MAX_NODES),
                 in.longValue(DrainPolicy.MAX_DURATION_NANOS),
                 in.smallInt(DrainPolicy.MAX_NODES),
@@ -98,8 +98,8 @@
                 text(in),
                 text(in),
                 in.longValue(DrainPolicy.MAX_DURATION_NANOS),
-                in.choice(OnDeadline.values()),
-                in.choice(OnRestart.values()),
+                in.enumConstant(OnDeadline.values()),
+                in.enumConstant(OnRestart.values()),
                 readWindows(in));
     }
 
@@ -109,8 +109,8 @@
                 text(in),
                 in.smallInt(Integer.MAX_VALUE) - 1,
                 text(in),
-                in.number(),
-                in.number(),
+                in.doubleValue(),
+                in.doubleValue(),
                 text(in));
     }
 
@@ -119,7 +119,7 @@
                 in.smallInt(Integer.MAX_VALUE),
                 in.smallInt(Integer.MAX_VALUE),
                 in.smallInt(Integer.MAX_VALUE),
-                in.number());
+                in.doubleValue());
     }
 
     private static List<Window> readWindows(CompactCodec.Reader in) {
@@ -139,6 +139,6 @@
     }
 
     private static MaxUnavailable readMaxUnavailable(CompactCodec.Reader in) {
-        return new MaxUnavailable(in.smallInt(Integer.MAX_VALUE), in.number());
+        return new MaxUnavailable(in.smallInt(Integer.MAX_VALUE), in.doubleValue());
     }
 }
--- a/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyConditionInputs.java
@@ -1,16 +1,17 @@
 package cedarrudder.draining;
 
 /**
- * What the replicas share, as conditions see it.
+ * The shared inputs on which the conditions of a policy are evaluated.
  *
- * @param refused the part of all calls that was refused, over the replicas' last window
- * @param failed the part that failed
- * @param late the part that ended past its deadline
- * @param capacityLeft the weight that serves, as a part of the weight that is listed
- * @param liveReplicas replicas that live
- * @param replicas replicas that there may be
- * @param out nodes that are out, for whatever reason
- * @param died nodes that the policy is for, that fail, and that were not taken out by a drain
+ * @param refused the fraction of all requests that was rejected, over the replicas' last window
+ * @param failed the fraction of the requests that failed
+ * @param late the fraction of the requests that ended past their deadline
+ * @param capacityLeft the serving weight as a fraction of the listed weight
+ * @param liveReplicas the number of live replicas
+ * @param replicas the maximum number of replicas
+ * @param out the number of unavailable nodes, whatever the reason
+ * @param died the number of nodes that the policy applies to and that have failed without being
+ *     drained
  */
 public record PolicyConditionInputs(
         double refused,
@@ -22,7 +23,7 @@
         int out,
         int died) {
 
-    /** Names by which conditions call the figures, and their types. */
+    /** The names of the inputs in conditions, with their types. */
     public enum Name {
         REFUSED(true),
         FAILED(true),
@@ -39,13 +40,13 @@
             this.isFraction = isFraction;
         }
 
-        /** Whether it is a part of one, such as 0.02; else it is a whole number. */
+        /** Returns whether the input is a fraction, such as 0.02; otherwise it is an integer. */
         public boolean isFraction() {
             return isFraction;
         }
     }
 
-    /** One of them: a Double where it is a share, else a Long. */
+    /** Returns the value of an input: a Double if it is a fraction, otherwise a Long. */
     public Object of(Name name) {
         return switch (name) {
             case REFUSED -> refused;
--- a/core/src/main/java/cedarrudder/draining/PolicyTransfer.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyTransfer.java
@@ -7,8 +7,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Policies that are being committed in chunks, of one revision at a time. A higher revision takes
- * the place of a lower one; of one revision the first that came counts.
+ * The policies that are being committed in chunks, of one revision at a time. A higher revision
+ * replaces a lower one; of two sets of policies with one revision, the first committed applies.
  */
 final class PolicyTransfer {
     static final int MAX_CHUNKS = PolicyCodec.MAX_BYTES / DrainCommand.CHUNK_BYTES + 1;
@@ -20,17 +20,17 @@
     private int checksum;
     private byte[][] chunks = NO_CHUNKS;
 
-    /** The revision that is being transferred, or was last. */
+    /** Returns the revision that is being transferred, or was transferred last. */
     long revision() {
         return revision;
     }
 
-    /** The checksum of all its policies. */
+    /** Returns the checksum of all policies of that revision. */
     int checksum() {
         return checksum;
     }
 
-    /** Whether a chunk is here, or not wanted any more. */
+    /** Returns whether a chunk is already stored, or no longer needed. */
     boolean contains(PolicyChunk chunk) {
         return chunk.revision() < revision
                 || isOfThisTransfer(chunk) && chunks[chunk.index()] != null;
@@ -42,7 +42,7 @@
                 && chunk.count() == chunks.length;
     }
 
-    /** Adds a chunk that it does not contain; false where it is of other policies. */
+    /** Adds a missing chunk; returns false if the chunk belongs to other policies. */
     boolean add(PolicyChunk chunk) {
         if (chunk.revision() > revision) {
             revision = chunk.revision();
@@ -55,13 +55,13 @@
         return true;
     }
 
-    /** Whether all chunks are here. */
+    /** Returns whether all chunks are stored. */
     boolean isComplete() {
         return Arrays.stream(chunks).allMatch(Objects::nonNull);
     }
 
-    /** Takes the bytes of all chunks; null where they are not those of the checksum. */
-    byte[] take() {
+    /** Removes and joins all chunks; returns null if the bytes don't match the checksum. */
+    byte[] removeBytes() {
         ByteArrayOutputStream joined = new ByteArrayOutputStream();
         for (byte[] chunk : chunks) {
             joined.writeBytes(chunk);
@@ -71,14 +71,14 @@
         return checksum(bytes) == checksum ? bytes : null;
     }
 
-    /** The checksum by which policies are told apart. */
+    /** Computes the checksum that distinguishes policies of one revision. */
     static int checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
         crc.update(bytes);
         return (int) crc.getValue();
     }
 
-    /** Writes the transfer as part of the state. */
+    /** Encodes the transfer as part of the state. */
     void writeTo(CompactCodec.Writer out) {
         out.put(revision).put(Integer.toUnsignedLong(checksum)).put(chunks.length);
         for (byte[] chunk : chunks) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Reads what {@link #writeTo} wrote. */
+    /** Decodes what {@link #writeTo} wrote. */
     static PolicyTransfer readFrom(CompactCodec.Reader in) {
         PolicyTransfer transfer = new PolicyTransfer();
         transfer.revision = in.longValue(Long.MAX_VALUE);
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -9,7 +9,10 @@
 import java.util.Set;
 import java.util.function.IntPredicate;
 
-/** What all replicas have reported to the leader, itself among them. It is no part of the state. */
+/**
+ * What all replicas, the leader included, have reported to the leader. It is not part of the
+ * replicated state.
+ */
 final class ReportedDrainProgress {
 
     private static final class ReplicaReport {
@@ -19,11 +22,11 @@
         private long lastAliveAt;
         private TrafficSample trafficSample = TrafficSample.NONE;
         private int disabled;
-        private final Map<Integer, NodeCalls> calls = new HashMap<>();
+        private final Map<Integer, NodeRequests> requests = new HashMap<>();
         private final Map<Long, Long> disabledAt = new HashMap<>();
     }
 
-    private record NodeCalls(long version, int calls) {}
+    private record NodeRequests(long version, int inFlight) {}
 
     private final DrainSettings settings;
     private final ReplicaReport[] replicas;
@@ -35,8 +38,8 @@
     }
 
     /**
-     * This replica begins to lead: it knows nothing of the others, and each may have lived until
-     * now.
+     * Discards all reports, as the leadership has changed. Each replica is taken to have been alive
+     * until now.
      */
     void reset(long now) {
         for (int i = 0; i < replicas.length; i++) {
@@ -60,9 +63,9 @@
                         - settings.reportTimeout()
                                 * (1 + report.disabled() / DrainReport.maxDisabledSample());
         replica.disabledAt.values().removeIf(at -> at < stale);
-        Map<Integer, Integer> calls = new HashMap<>();
-        report.calls().forEach(each -> calls.put(each.slot(), each.calls()));
-        for (Iterator<Integer> slots = replica.calls.keySet().iterator(); slots.hasNext(); ) {
+        Map<Integer, Integer> inFlight = new HashMap<>();
+        report.inFlight().forEach(each -> inFlight.put(each.slot(), each.requests()));
+        for (Iterator<Integer> slots = replica.requests.keySet().iterator(); slots.hasNext(); ) {
             Drain drain = agreed.drainInSlot(slots.next());
             if (drain == null || !drain.state.isOpen()) {
                 slots.remove();
@@ -72,14 +75,14 @@
             if (drain.state.isOpen()
                     && drain.slot >= report.firstSlot()
                     && drain.slot <= report.lastSlot()) {
-                replica.calls.put(
+                replica.requests.put(
                         drain.slot,
-                        new NodeCalls(report.version(), calls.getOrDefault(drain.slot, 0)));
+                        new NodeRequests(report.version(), inFlight.getOrDefault(drain.slot, 0)));
             }
         }
     }
 
-    /** Those that live are noted as such, for the time after their death. */
+    /** Records when each live replica was last alive. */
     void update(long now, IntPredicate alive) {
         for (int i = 0; i < replicas.length; i++) {
             if (alive.test(i)) {
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Whether a replica has to be waited for. */
+    /** Returns whether drains have to wait for a replica: it was alive recently. */
     private boolean isAwaited(long now, int replica) {
         return now - replicas[replica].lastAliveAt < settings.forgetAfter();
     }
@@ -101,7 +104,7 @@
         return replica.hasReported && now - replica.reportedAt < settings.reportTimeout();
     }
 
-    /** The live replicas that have said nothing lately. */
+    /** Returns the number of live replicas without a recent report. */
     int silentReplicas(long now) {
         int silent = 0;
         for (int i = 0; i < replicas.length; i++) {
@@ -118,8 +121,8 @@
         return live;
     }
 
-    /** Whether all that have to be waited for have carried out the state of this version. */
-    boolean allHaveSeen(long now, long version) {
+    /** Returns whether all awaited replicas have applied the state of this version. */
+    boolean allHaveApplied(long now, long version) {
         for (int i = 0; i < replicas.length; i++) {
             if (isAwaited(now, i)
                     && (!replicas[i].hasReported
@@ -131,27 +134,30 @@
         return true;
     }
 
-    /** Where calls are, or may be, that keep a node's drain open; empty where it has none. */
+    /**
+     * Returns the replicas whose requests in flight, known or possible, keep a drain open; empty if
+     * there are none.
+     */
     List<DrainCommand.RemainingRequests> remainingRequests(long now, Drain drain) {
-        List<DrainCommand.RemainingRequests> still = new ArrayList<>();
+        List<DrainCommand.RemainingRequests> remaining = new ArrayList<>();
         for (int i = 0; i < replicas.length; i++) {
             if (isAwaited(now, i)) {
-                NodeCalls reportedCalls = replicas[i].calls.get(drain.slot);
+                NodeRequests reportedRequests = replicas[i].requests.get(drain.slot);
                 boolean known =
-                        reportedCalls != null
-                                && reportedCalls.version >= drain.stateVersion
+                        reportedRequests != null
+                                && reportedRequests.version >= drain.stateVersion
                                 && (isFresh(now, replicas[i]) || !isLive(now, i));
-                if (!known || reportedCalls.calls > 0) {
-                    still.add(
+                if (!known || reportedRequests.inFlight > 0) {
+                    remaining.add(
                             new DrainCommand.RemainingRequests(
-                                    drain.slot, i, known ? reportedCalls.calls : -1));
+                                    drain.slot, i, known ? reportedRequests.inFlight : -1));
                 }
             }
         }
-        return still;
+        return remaining;
     }
 
-    /** What became of the calls of the live replicas. */
+    /** Returns the sum of the traffic samples that live replicas have reported recently. */
     TrafficSample trafficSample(long now) {
         TrafficSample sum = TrafficSample.NONE;
         for (int i = 0; i < replicas.length; i++) {
@@ -164,8 +170,8 @@
     }
 
     /**
-     * Nodes that are left out by hand at a live replica; null where one has not said all of its own
-     * yet.
+     * Returns the nodes that are disabled at some live replica, or null if a live replica has not
+     * reported all of its own yet.
      */
     Set<Long> disabled(long now) {
         Set<Long> all = new HashSet<>();
--- a/core/src/main/java/cedarrudder/draining/SampleNodes.java
+++ b/core/src/main/java/cedarrudder/draining/SampleNodes.java
@@ -12,8 +12,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Finds a node that some policies all select, by trying the values that their selectors and
- * conditions name, and values near to them.
+ * Finds a node that several policies all select, by trying the values that their selectors and
+ * conditions contain, and values close to them.
  */
 final class SampleNodes {
 
@@ -32,17 +32,17 @@
         this.conditions = conditions;
     }
 
-    /** A node that all of these policies select; null where none was found. */
+    /** Returns a node that all of these policies select, or null if none was found. */
     DrainableNode find(List<DrainPolicy> policies) {
         Candidates candidates = new Candidates();
         policies.forEach(policy -> candidates.addValuesOf(policy.selector()));
-        candidates.addUsualPods();
+        candidates.addDefaultPods();
         Search search = new Search(policies, conditionsOf(policies));
-        candidates.offer(search::takes);
+        candidates.tryAll(search::test);
         return search.found;
     }
 
-    /** Looks at nodes until one fits or too many were looked at. */
+    /** Tests nodes until one matches or the maximum number of samples is reached. */
     private static final class Search {
         private final List<DrainPolicy> policies;
         private final List<ConditionCompiler.NodeCondition> conditions;
@@ -54,8 +54,8 @@
             this.conditions = conditions;
         }
 
-        /** Whether the search ends with this node. */
-        boolean takes(DrainableNode node) {
+        /** Tests a node; returns whether the search ends with it. */
+        boolean test(DrainableNode node) {
             if (!policies.stream().allMatch(policy -> policy.selector().matches(node))) {
                 return false;
             }
@@ -84,7 +84,7 @@
         }
     }
 
-    /** The values that are tried of each property of a node. */
+    /** The values that are tried for each property of a node. */
     private static final class Candidates {
         private final Set<String> texts = new LinkedHashSet<>();
         private final Set<Double> weights = new LinkedHashSet<>();
@@ -128,19 +128,19 @@
             }
         }
 
-        void addUsualPods() {
+        void addDefaultPods() {
             for (int pod = 0; pod < MAX_PODS; pod++) {
                 pods.add(pod);
             }
         }
 
-        /** Offers each node of these values until one is taken, and says whether one was. */
-        boolean offer(Predicate<DrainableNode> takes) {
+        /** Tests each combination of the values until the test ends the search; returns whether it did. */
+        boolean tryAll(Predicate<DrainableNode> test) {
             for (double weight : weights) {
                 for (String kind : texts) {
                     for (String zone : texts) {
                         for (String tier : texts) {
-                            if (offerPods(tier, zone, kind, weight, takes)) {
+                            if (tryPods(tier, zone, kind, weight, test)) {
                                 return true;
                             }
                         }
@@ -150,14 +150,14 @@
             return false;
         }
 
-        private boolean offerPods(
+        private boolean tryPods(
                 String tier,
                 String zone,
                 String kind,
                 double weight,
-                Predicate<DrainableNode> takes) {
+                Predicate<DrainableNode> test) {
             for (int pod : pods) {
-                if (takes.test(
+                if (test.test(
                         new DrainableNode(
                                 0, tier, zone, pod, kind, weight, NodeStatus.SERVING, 0))) {
                     return true;
--- a/core/src/main/java/cedarrudder/draining/StricterBounds.java
+++ b/core/src/main/java/cedarrudder/draining/StricterBounds.java
@@ -6,11 +6,11 @@
 import java.util.function.BiPredicate;
 import java.util.function.ToDoubleFunction;
 
-/** Which of two policies is stricter in each bound, as a text for operators. */
+/** Describes for operators which of two policies is stricter in each bound. */
 final class StricterBounds {
 
     /**
-     * A bound by its key in the operator's file, and when one policy's is stricter than another's.
+     * A bound with its key in the operator's file and a test whether the first policy is stricter.
      */
     private record Bound(String key, BiPredicate<DrainPolicy, DrainPolicy> isStricter) {}
 
@@ -30,7 +30,7 @@
 
     private StricterBounds() {}
 
-    /** Each bound in which two policies differ, with the name of the stricter one. */
+    /** Returns each bound in which one policy is stricter, with the name of that policy. */
     static List<String> of(DrainPolicy one, DrainPolicy other) {
         List<String> stricter = new ArrayList<>();
         for (Bound bound : BOUNDS) {
@@ -51,7 +51,7 @@
         return new Bound(key, (a, b) -> value.applyAsDouble(a) < value.applyAsDouble(b));
     }
 
-    /** Whether a bound is lower in number or share, and higher in neither. */
+    /** Returns whether a bound is lower in the number or the fraction of nodes, and higher in neither. */
     private static boolean isStricter(MaxUnavailable a, MaxUnavailable b) {
         return a.nodes() <= b.nodes() && a.share() <= b.share() && !a.equals(b);
     }
--- a/core/src/main/java/cedarrudder/draining/WaitingDrains.java
+++ b/core/src/main/java/cedarrudder/draining/WaitingDrains.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** In which order waiting drains begin, by the first policy of each node. */
+/** Orders waiting drains by the first policy of each node. */
 final class WaitingDrains {
 
     private final Map<Long, DrainableNode> nodes;
     private final CompiledPolicies policies;
 
     /**
-     * Drains of these nodes.
+     * Creates the order of the drains of these nodes.
      *
-     * @param nodes by their ids; may be filled later
+     * @param nodes the listed nodes by id; may be filled later
      */
     WaitingDrains(Map<Long, DrainableNode> nodes, CompiledPolicies policies) {
         this.nodes = nodes;
         this.policies = policies;
     }
 
-    /** Those that wait and whose node is listed, the next one first. */
+    /** Returns the waiting drains whose node is listed, the next one first. */
     List<Drain> inOrder(Collection<Drain> drains) {
         List<Drain> waiting = new ArrayList<>();
         for (Drain drain : drains) {
@@ -39,7 +39,7 @@
         return waiting;
     }
 
-    /** The policies for the node of a drain, as bits. */
+    /** Returns the policies that apply to the node of a drain, as a bit set. */
     int policiesFor(Drain drain) {
         return policies.policiesFor(nodes.get(drain.node));
     }
@@ -60,7 +60,7 @@
         };
     }
 
-    /** The nodes that may go in one wave: of one pod or zone where the policy says so. */
+    /** Returns the pod or zone that a wave is restricted to by an order; equal for all if by none. */
     static Object group(DrainOrder order, DrainableNode node) {
         return switch (order) {
             case POD_BY_POD -> node.pod();
--- a/core/src/main/java/cedarrudder/draining/WavePlan.java
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -19,20 +19,20 @@
 import java.util.Set;
 
 /**
- * One look of the leader at all drains: which events have happened to the open ones, which policies
- * pause, and which waiting drains begin. {@link #step} is what it proposes.
+ * One evaluation of all drains by the leader: which events have occurred, which policies pause or
+ * resume, and which waiting drains begin. {@link #step} returns the resulting proposal.
  */
 final class WavePlan {
 
     /** Decides whether a node that is not listed is gone. */
     interface UnlistedNodes {
-        /** Called for each drain once a look, also where its node is listed. */
+        /** Called once per evaluation for each drain, also if its node is listed. */
         boolean isGone(long now, long node, boolean isListed);
     }
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** In place of a policy where a bound is of none. */
+    /** Stands for the index of a policy where no policy sets the bound. */
     private static final int NO_POLICY = -1;
 
     private final long now;
@@ -45,10 +45,10 @@
     private final Map<Long, DrainableNode> nodes = new HashMap<>();
     private final WaitingDrains waitingDrains;
 
-    /** Nodes that are disabled at some replica; null where not all have said. */
+    /** The nodes disabled at some replica; null if not all replicas have reported theirs. */
     private final Set<Long> disabled;
 
-    /** By policy. */
+    /** The counts of each policy, by its index. */
     private final List<DisruptionCounts> disruptions = new ArrayList<>();
 
     private final int policiesWithOpenWave;
@@ -60,14 +60,14 @@
     private final List<RemainingRequests> remaining = new ArrayList<>();
     private final Map<BlockedBy, Integer> blocked = new LinkedHashMap<>();
 
-    /** The policies that pause, as bits. */
+    /** The paused policies as a bit set. */
     private int paused;
 
     /**
-     * A look at this instant.
+     * Creates a plan for one instant.
      *
-     * @param clock the agreed one, in milliseconds
-     * @param minuteOfWeek by this machine's clock
+     * @param clock the replicated clock, in milliseconds
+     * @param minuteOfWeek the minute of the week by this machine's clock
      */
     WavePlan(
             long now,
@@ -122,7 +122,7 @@
 
     // ---- open drains ----
 
-    /** Finds the events that have happened to drains. */
+    /** Collects the events that have occurred to drains. */
     void followOpenDrains() {
         for (Drain drain : state.drains()) {
             DrainEvent event = event(drain, nodes.get(drain.node));
@@ -136,8 +136,9 @@
     }
 
     private DrainEvent event(Drain drain, DrainableNode node) {
-        boolean counts = node != null || nodes.isEmpty(); // an empty list proves nothing
-        if (unlistedNodes.isGone(now, drain.node, counts)) {
+        // An empty list does not show that the node is gone.
+        boolean isListed = node != null || nodes.isEmpty();
+        if (unlistedNodes.isGone(now, drain.node, isListed)) {
             return DrainEvent.GONE;
         }
         if (node != null && drain.state.isLeaving() && node.start() > drain.nodeStart) {
@@ -149,14 +150,14 @@
             return openDrainEvent(drain);
         }
         boolean isReturning = drain.state.isOut() && drain.state != DrainState.OUT;
-        boolean returned = isReturning && reported.allHaveSeen(now, drain.stateVersion);
+        boolean returned = isReturning && reported.allHaveApplied(now, drain.stateVersion);
         return returned ? DrainEvent.RETURNED : null;
     }
 
     private DrainEvent openDrainEvent(Drain drain) {
-        List<RemainingRequests> calls = reported.remainingRequests(now, drain);
-        remaining.addAll(calls);
-        if (calls.isEmpty()) {
+        List<RemainingRequests> requests = reported.remainingRequests(now, drain);
+        remaining.addAll(requests);
+        if (requests.isEmpty()) {
             return DrainEvent.EMPTY;
         }
         if (drain.state == DrainState.OVERDUE || clock < drain.deadlineAt) {
@@ -171,7 +172,10 @@
 
     // ---- conditions of policies ----
 
-    /** Finds which policies pause, resume or give back, by their conditions. */
+    /**
+     * Evaluates the conditions of all policies: which of them pause or resume, and which return the
+     * nodes of their open drains to service.
+     */
     void pauseAndResume(int replicas) {
         TrafficSample traffic = reported.trafficSample(now);
         for (int i = 0; i < policies.size(); i++) {
@@ -221,20 +225,20 @@
                 reported.liveReplicas(now),
                 replicas,
                 out,
-                died(policy));
+                failedNodes(policy));
     }
 
-    /** How many nodes of a policy fail that have not been drained. */
-    private int died(int policy) {
-        int died = 0;
+    /** Returns the number of nodes of a policy that have failed without being drained. */
+    private int failedNodes(int policy) {
+        int failed = 0;
         for (DrainableNode node : nodes.values()) {
-            boolean isDead =
+            boolean hasFailed =
                     node.status() == NodeStatus.FAILED
                             && state.state(node.id()) != DrainState.OUT
                             && hasBit(policies.policiesFor(node), policy);
-            died += isDead ? 1 : 0;
+            failed += hasFailed ? 1 : 0;
         }
-        return died;
+        return failed;
     }
 
     private void stopOpenDrains(int policy) {
@@ -247,7 +251,7 @@
 
     // ---- waves ----
 
-    /** Begins the wave of the waiting drains that nothing blocks. */
+    /** Begins a wave of all waiting drains that no bound blocks. */
     void beginWaves() {
         int[] waveSizes = new int[policies.size()];
         Object[] firstGroups = new Object[policies.size()];
@@ -300,7 +304,7 @@
                         applicable));
     }
 
-    /** What keeps a drain waiting; null where nothing does. */
+    /** Returns what keeps a drain waiting, or null if nothing does. */
     private BlockedBy blockedBy(Drain drain, int[] waveSizes, Object[] firstGroups) {
         int applicable = waitingDrains.policiesFor(drain);
         if (applicable == 0) {
@@ -315,7 +319,8 @@
         BlockedBy first = null;
         for (int i = 0; i < policies.size(); i++) {
             if (hasBit(applicable, i)) {
-                // Of each policy, also behind the first that blocks: it notes the group.
+                // Evaluated for every policy, also after the first that blocks, as bound() records
+                // the first group of each.
                 Bound bound = bound(i, nodes.get(drain.node), waveSizes[i], firstGroups);
                 first = first == null && bound != null ? new BlockedBy(i, bound, 0) : first;
             }
@@ -354,7 +359,7 @@
 
     // ---- the result ----
 
-    /** What the leader proposes; its changes and pauses may be empty. */
+    /** Returns the step to propose; its changes and pauses may be empty. */
     Step step() {
         List<BlockedBy> counts = new ArrayList<>();
         blocked.forEach(
--- a/core/src/main/java/cedarrudder/draining/WaveScheduler.java
+++ b/core/src/main/java/cedarrudder/draining/WaveScheduler.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * What the leader proposes next for drains. It holds nothing that another leader could not find out
- * for itself.
+ * Computes the next step that the leader proposes for drains. Its only state is what a new leader
+ * can find out for itself.
  */
 final class WaveScheduler {
 
@@ -17,7 +17,7 @@
     private final DrainSettings settings;
     private final ReportedDrainProgress reported;
 
-    /** Since when the nodes of drains are not listed. */
+    /** By node with a drain: since when it has not been listed. */
     private final Map<Long, Long> unlistedSince = new HashMap<>();
 
     WaveScheduler(DrainSettings settings, ReportedDrainProgress reported) {
@@ -25,16 +25,16 @@
         this.reported = reported;
     }
 
-    /** This replica becomes the leader. */
+    /** Discards its state, as the leadership has changed. */
     void reset() {
         unlistedSince.clear();
     }
 
     /**
-     * The next step; null where nothing is due.
+     * Returns the next step, or null if nothing is due.
      *
-     * @param clock the agreed one, as this replica estimates it now; milliseconds
-     * @param utcMillis since 1970, by this machine's clock
+     * @param clock the replicated clock as this replica estimates it now, in milliseconds
+     * @param utcMillis milliseconds since 1970, by this machine's clock
      */
     Step next(
             long now,
@@ -74,7 +74,7 @@
         return hasNews && clock - state.clock() >= settings.heartbeat() / NANOS_PER_MILLI;
     }
 
-    /** Whether a node has not been listed for long enough to be gone. */
+    /** Returns whether a node has been unlisted for long enough to count as gone. */
     private boolean isGone(long now, long node, boolean isListed) {
         if (isListed) {
             unlistedSince.remove(node);
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -93,7 +93,9 @@
                         9,
                         2,
                         9,
-                        List.of(new DrainReport.Calls(4, 1), new DrainReport.Calls(9, 7)),
+                        List.of(
+                                new DrainReport.RequestsInFlight(4, 1),
+                                new DrainReport.RequestsInFlight(9, 7)),
                         3,
                         List.of(5L, 6L),
                         new TrafficSample(10, 1, 2, 3));
@@ -113,8 +115,8 @@
                                         2,
                                         9,
                                         List.of(
-                                                new DrainReport.Calls(4, 1),
-                                                new DrainReport.Calls(9, 7)),
+                                                new DrainReport.RequestsInFlight(4, 1),
+                                                new DrainReport.RequestsInFlight(9, 7)),
                                         3,
                                         List.of(5L, 6L),
                                         new TrafficSample(10, 1, 2, 3))
@@ -129,9 +131,10 @@
             assertEquals(bytes.length <= DrainCommand.MAX_BYTES, true, bytes.length + " bytes");
         }
         int max = Integer.MAX_VALUE;
-        List<DrainReport.Calls> calls =
-                LongStream.range(0, DrainReport.maxCalls())
-                        .mapToObj(i -> new DrainReport.Calls((int) (i * (max / 16)), max))
+        List<DrainReport.RequestsInFlight> inFlight =
+                LongStream.range(0, DrainReport.maxSlots())
+                        .mapToObj(
+                                i -> new DrainReport.RequestsInFlight((int) (i * (max / 16)), max))
                         .toList();
         List<Long> some =
                 LongStream.range(0, DrainReport.maxDisabledSample())
@@ -142,7 +145,7 @@
                                 1L << 40,
                                 0,
                                 max,
-                                calls,
+                                inFlight,
                                 max,
                                 some,
                                 new TrafficSample(max, max, max, max))
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -129,7 +129,8 @@
         }
         DrainOrder order = table.choice("order", DrainOrder.class, DrainOrder.AS_ASKED);
         int wave = (int) table.integer("wave", 1, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
-        long pace = CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MAX_DURATION_NANOS / MILLI, 0);
+        long pace =
+                CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MAX_DURATION_NANOS / MILLI, 0);
         int died = (int) table.integer("died", 0, DrainPolicy.MAX_NODES, 1);
         String pauseIf = faults.text("pause_if", "");
         String resumeIf = faults.text("go_on_if", "");
