--- a/core/src/main/java/cedarrudder/draining/BoundText.java
+++ b/core/src/main/java/cedarrudder/draining/BoundText.java
@@ -45,7 +45,7 @@
     static String allowed(Bound bound) {
         return switch (bound) {
             case POD, ZONE, TIER -> "a number and a share that allow one node or more";
-            default -> "less than what the tier has";
+            default -> "less than the total";
         };
     }
 }
--- a/core/src/main/java/cedarrudder/draining/CompactCodec.java
+++ b/core/src/main/java/cedarrudder/draining/CompactCodec.java
@@ -87,8 +87,8 @@
         }
 
         /**
-         * Reads the number of entries that follow. An entry takes at least one byte, so a count above
-         * the remaining bytes is rejected before memory is allocated for it.
+         * Reads the number of entries that follow. An entry takes at least one byte, so a count
+         * above the remaining bytes is rejected before memory is allocated for it.
          */
         int count(int max) {
             int count = smallInt(max);
--- a/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
+++ b/core/src/main/java/cedarrudder/draining/CompiledPolicies.java
@@ -50,12 +50,7 @@
             // A replica of another version may be unable to compile the condition. The policy then
             // applies to every node and pauses, so that the replica drains nothing that it forbids.
             return new Rule(
-                    policy,
-                    node -> true,
-                    inputs -> true,
-                    inputs -> false,
-                    inputs -> false,
-                    false);
+                    policy, node -> true, inputs -> true, inputs -> false, inputs -> false, false);
         }
     }
 
--- a/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
+++ b/core/src/main/java/cedarrudder/draining/ConditionCompiler.java
@@ -1,6 +1,8 @@
 package cedarrudder.draining;
 
-/** Compiles the conditions of policies. The language of the conditions is up to the implementation. */
+/**
+ * Compiles the conditions of policies. The language of the conditions is up to the implementation.
+ */
 public interface ConditionCompiler {
 
     /** A condition on the inputs that the replicas share. */
@@ -18,8 +20,8 @@
         /**
          * Returns whether the condition holds.
          *
-         * @throws RuntimeException if it can't be evaluated; the policy then applies to the node and
-         *     pauses
+         * @throws RuntimeException if it can't be evaluated; the policy then applies to the node
+         *     and pauses
          */
         boolean holds(DrainableNode node);
     }
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -12,19 +12,21 @@
 import java.util.Set;
 
 /**
- * What is wrong with policies that are each well formed: one that can never let anybody go, with a
- * state of nodes that shows it, and two that contradict each other. It tries states; it proves
- * nothing beyond them.
+ * Validates policies that are each well formed: finds a policy under which no node can ever be
+ * drained, with a fleet that shows it, and pairs of policies that contradict each other. It tests a
+ * set of fleets and proves nothing beyond them.
  */
 public final class PolicyValidator {
 
     /**
-     * A tier's size.
+     * The size of a tier.
      *
-     * @param pods in each zone, and {@code nodes} in each pod
+     * @param zones the number of zones
+     * @param pods the number of pods in each zone
+     * @param nodes the number of nodes in each pod
      */
     public record Fleet(int zones, int pods, int nodes) {
-        /** Checks the ranges; what lies outside is an IllegalArgumentException that names it. */
+        /** Checks the ranges; throws an IllegalArgumentException that names a size out of range. */
         public Fleet {
             DrainPolicy.check(
                     zones >= 1
@@ -48,16 +50,22 @@
         }
     }
 
-    /** What is wrong with a policy, by its place in the list and the key that is to blame. */
+    /**
+     * A fault of a policy.
+     *
+     * @param policy the index of the policy
+     * @param key the key at fault in the operator's file
+     */
     public record Finding(int policy, String key, String found, String allowed) {}
 
-    /** Two policies that are for some node both, and which of them is stricter in each bound. */
+    /** Two policies that select a common node, and which of them is stricter in each bound. */
     public record OverlappingPolicies(int one, int other, List<String> stricter) {}
 
-    /** Larger ones come last: the last that is tried is the most generous. */
+    /** In rising size: the last fleet allows the most drains. */
     private static final List<Fleet> DEFAULT_FLEETS = defaultFleets();
 
-    private static final String NONE_OF_BOTH = "none that both are for may leave";
+    private static final String NO_NODE = "no node can be drained";
+    private static final String NO_COMMON_NODE = "no node that both select can be drained";
     private static final int[] REPLICAS = {1, 3, 30};
 
     private final List<DrainPolicy> policies;
@@ -66,7 +74,8 @@
     private final List<Finding> findings = new ArrayList<>();
     private final List<DrainableNode> samples = new ArrayList<>();
     private final List<OverlappingPolicies> overlapping = new ArrayList<>();
-    private final Map<String, ConditionCompiler.PolicyCondition> figureConditions = new HashMap<>();
+    private final Map<String, ConditionCompiler.PolicyCondition> conditionsOnInputs =
+            new HashMap<>();
     private final SampleNodes sampleNodes;
 
     private PolicyValidator(
@@ -90,35 +99,35 @@
         return fleets;
     }
 
-    /** What came of a check: what is wrong, and the pairs that are for some node both. */
+    /** The faults found, and the pairs of policies that select a common node. */
     public record Result(List<Finding> findings, List<OverlappingPolicies> overlapping) {}
 
     /**
-     * Checks policies whose conditions can be read.
+     * Checks policies whose conditions can be compiled.
      *
-     * @param stated the size of the tier; null where it is not known, and many are tried
+     * @param stated the size of the tier; null if it is not known, so that many sizes are tried
      */
     public static Result check(
             List<DrainPolicy> policies, ConditionCompiler conditions, Fleet stated) {
-        PolicyValidator check = new PolicyValidator(policies, conditions, stated);
-        check.checkAll();
-        return new Result(List.copyOf(check.findings), List.copyOf(check.overlapping));
+        PolicyValidator validator = new PolicyValidator(policies, conditions, stated);
+        validator.checkAll();
+        return new Result(List.copyOf(validator.findings), List.copyOf(validator.overlapping));
     }
 
     private void checkAll() {
-        Set<Integer> never = new LinkedHashSet<>();
+        Set<Integer> faulty = new LinkedHashSet<>();
         for (int i = 0; i < policies.size(); i++) {
             samples.add(sampleNodes.find(List.of(policies.get(i))));
             int before = findings.size();
             checkPolicy(i);
             if (findings.size() > before) {
-                never.add(i);
+                faulty.add(i);
             }
         }
         for (int i = 0; i < policies.size(); i++) {
             for (int j = i + 1; j < policies.size(); j++) {
                 DrainableNode node =
-                        never.contains(i) || never.contains(j)
+                        faulty.contains(i) || faulty.contains(j)
                                 ? null
                                 : sampleNodes.find(List.of(policies.get(i), policies.get(j)));
                 if (node != null) {
@@ -134,10 +143,8 @@
             add(
                     index,
                     "where",
-                    "'"
-                            + policy.selector().where()
-                            + "', which holds for none of the nodes that were tried",
-                    "a condition that some node of this policy meets");
+                    "'" + policy.selector().where() + "', which holds for none of the sample nodes",
+                    "a condition that holds for some node of this policy");
             return;
         }
         checkWindows(index, policy);
@@ -151,7 +158,7 @@
                     index,
                     "closed",
                     "windows that cover the whole week",
-                    "a minute at least in which a wave may begin; " + shownBy("none may leave"));
+                    "at least one minute in which a wave may begin; " + shownBy(NO_NODE));
         }
     }
 
@@ -162,9 +169,9 @@
                     "pause_if",
                     "'"
                             + policy.pauseIf()
-                            + "', which holds, or can't be told, with nothing refused, failed or"
-                            + " late",
-                    "a condition that is false while all is well; " + shownBy("none may leave"));
+                            + "', which holds or can't be evaluated with nothing refused, failed"
+                            + " or late",
+                    "a condition that is false in normal operation; " + shownBy(NO_NODE));
         }
         if (!canBeFalse(policy.giveBackIf(), List.of(""), 1)) {
             add(
@@ -172,10 +179,10 @@
                     "give_back_if",
                     "'"
                             + policy.giveBackIf()
-                            + "', which holds, or can't be told, with one node out and nothing"
+                            + "', which holds or can't be evaluated with one node out and nothing"
                             + " refused, failed or late",
-                    "a condition that is false while all is well; "
-                            + shownBy("each that leaves is given back"));
+                    "a condition that is false in normal operation; "
+                            + shownBy("each node being drained is given back"));
         }
     }
 
@@ -186,7 +193,7 @@
                     index,
                     BoundText.key(bound),
                     BoundText.configuredValue(policy, bound),
-                    BoundText.allowed(bound) + "; " + shownBy("none may leave"));
+                    BoundText.allowed(bound) + "; " + shownBy(NO_NODE));
         }
     }
 
@@ -202,7 +209,7 @@
         return fleets.get(fleets.size() - 1);
     }
 
-    /** A minute of the week in which a wave may begin by all of them; -1 where there is none. */
+    /** Returns the first minute of the week in which all policies allow a wave; -1 if none. */
     private static int firstOpenMinute(List<DrainPolicy> all) {
         for (int minute = 0; minute < DrainPolicy.MINUTES_PER_WEEK; minute++) {
             int at = minute;
@@ -213,35 +220,36 @@
         return -1;
     }
 
-    /** Whether none of the conditions holds while all is well, for some number of replicas. */
-    private boolean canBeFalse(String text, List<String> others, int out) {
+    /** Returns whether all conditions are false in normal operation for some number of replicas. */
+    private boolean canBeFalse(String text, List<String> otherTexts, int out) {
         for (int replicas : REPLICAS) {
-            PolicyConditionInputs figures =
+            PolicyConditionInputs inputs =
                     new PolicyConditionInputs(0, 0, 0, 1 - out * 0.01, replicas, replicas, out, 0);
-            boolean calm = isFalse(text, figures);
-            for (String other : others) {
-                calm &= isFalse(other, figures);
+            boolean allFalse = isFalse(text, inputs);
+            for (String other : otherTexts) {
+                allFalse &= isFalse(other, inputs);
             }
-            if (calm) {
+            if (allFalse) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean isFalse(String text, PolicyConditionInputs figures) {
+    private boolean isFalse(String text, PolicyConditionInputs inputs) {
         try {
             return text.isEmpty()
-                    || !figureConditions
+                    || !conditionsOnInputs
                             .computeIfAbsent(text, conditions::compilePolicyCondition)
-                            .holds(figures);
+                            .holds(inputs);
         } catch (RuntimeException e) {
             return false;
         }
     }
 
     /**
-     * What keeps each node of each fleet from going, as the last shows it; null where one may go.
+     * Returns the bound of the last fleet that blocks the sample node; null if some fleet allows
+     * its drain.
      */
     private Bound blockingBound(List<DrainPolicy> all, DrainableNode sample) {
         Bound bound = null;
@@ -257,7 +265,7 @@
         return bound;
     }
 
-    /** What keeps the sample in a fleet of which all that the policy can be for is like it. */
+    /** Returns the bound that blocks the sample in a fleet whose selected nodes are all like it. */
     private static Bound blockingBound(DrainPolicy policy, DrainableNode sample, Fleet fleet) {
         DisruptionCounts counted = new DisruptionCounts(policy);
         int zones = policy.selector().zone().isEmpty() ? fleet.zones : 1;
@@ -287,7 +295,7 @@
     private void checkPair(int i, int j, DrainableNode node) {
         DrainPolicy one = policies.get(i);
         DrainPolicy other = policies.get(j);
-        String beside = " beside '" + one.name() + "', which is for the same nodes";
+        String beside = " beside '" + one.name() + "', which selects the same nodes";
         checkWindows(one, other, j);
         checkPauses(one, other, j, beside);
         checkBounds(one, other, j, beside, node);
@@ -302,8 +310,7 @@
                     index,
                     "closed",
                     "windows that cover the whole week with those of '" + one.name() + "'",
-                    "a minute at least in which a wave may begin by both; "
-                            + shownBy(NONE_OF_BOTH));
+                    "at least one minute in which both allow a wave; " + shownBy(NO_COMMON_NODE));
         }
     }
 
@@ -312,9 +319,9 @@
             add(
                     index,
                     "pause_if",
-                    "'" + other.pauseIf() + "'" + beside + " and pauses if '" + one.pauseIf() + "'",
-                    "conditions that can both be false while all is well; "
-                            + shownBy(NONE_OF_BOTH));
+                    "'" + other.pauseIf() + "'" + beside + " with '" + one.pauseIf() + "'",
+                    "conditions that can both be false in normal operation; "
+                            + shownBy(NO_COMMON_NODE));
         }
     }
 
@@ -326,8 +333,8 @@
             add(
                     index,
                     BoundText.key(bound),
-                    BoundText.configuredValue(stricter, bound) + " at the most" + beside,
-                    "bounds that let one node go; " + shownBy(NONE_OF_BOTH));
+                    BoundText.configuredValue(stricter, bound) + " at most" + beside,
+                    "bounds that allow one drain; " + shownBy(NO_COMMON_NODE));
         }
     }
 
@@ -339,10 +346,10 @@
                     "at_end",
                     written(other.onDeadline())
                             + beside
-                            + " and says "
+                            + " with "
                             + written(one.onDeadline())
-                            + " at the same time",
-                    "one end, or different times: the shorter one's end counts");
+                            + " at the same deadline",
+                    "the same action, or different deadlines: the action of the shorter applies");
         }
     }
 
@@ -355,8 +362,8 @@
             add(
                     index,
                     "order",
-                    written(other.order()) + beside + " and says " + written(one.order()),
-                    "one of them");
+                    written(other.order()) + beside + " with " + written(one.order()),
+                    "the same order");
         }
     }
 
--- a/core/src/main/java/cedarrudder/draining/SampleNodes.java
+++ b/core/src/main/java/cedarrudder/draining/SampleNodes.java
@@ -134,7 +134,10 @@
             }
         }
 
-        /** Tests each combination of the values until the test ends the search; returns whether it did. */
+        /**
+         * Tests each combination of the values until the test ends the search; returns whether it
+         * did.
+         */
         boolean tryAll(Predicate<DrainableNode> test) {
             for (double weight : weights) {
                 for (String kind : texts) {
--- a/core/src/main/java/cedarrudder/draining/StricterBounds.java
+++ b/core/src/main/java/cedarrudder/draining/StricterBounds.java
@@ -51,7 +51,10 @@
         return new Bound(key, (a, b) -> value.applyAsDouble(a) < value.applyAsDouble(b));
     }
 
-    /** Returns whether a bound is lower in the number or the fraction of nodes, and higher in neither. */
+    /**
+     * Returns whether a bound is lower in the number or the fraction of nodes, and higher in
+     * neither.
+     */
     private static boolean isStricter(MaxUnavailable a, MaxUnavailable b) {
         return a.nodes() <= b.nodes() && a.share() <= b.share() && !a.equals(b);
     }
--- a/core/src/main/java/cedarrudder/draining/WaitingDrains.java
+++ b/core/src/main/java/cedarrudder/draining/WaitingDrains.java
@@ -60,7 +60,9 @@
         };
     }
 
-    /** Returns the pod or zone that a wave is restricted to by an order; equal for all if by none. */
+    /**
+     * Returns the pod or zone that a wave is restricted to by an order; equal for all if by none.
+     */
     static Object group(DrainOrder order, DrainableNode node) {
         return switch (order) {
             case POD_BY_POD -> node.pod();
--- a/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainCommandCodecTest.java
@@ -23,7 +23,7 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** What travels and is kept. Detects garbage that throws, and against what changes on its way. */
+/** Tests the encoding of the commands, reports and policies of drains, with malformed bytes. */
 public class DrainCommandCodecTest {
 
     private static final DrainPolicy POLICY =
@@ -46,7 +46,7 @@
                     OnRestart.OUT,
                     List.of(new Window(0b1011, 540, 1020), new Window(1, 1380, 60)));
 
-    private static List<byte[]> good() {
+    private static List<byte[]> validCommands() {
         List<Long> max =
                 LongStream.range(0, DrainCommand.MAX_IDS)
                         .mapToObj(i -> DrainStateMachine.MAX_NODE - i)
@@ -85,8 +85,8 @@
     }
 
     @Test
-    public void whatIsReadIsWhatWasWritten() {
-        good().forEach(bytes -> assertEquals(DrainCommand.decode(bytes).encode(), bytes));
+    public void decodedValueEqualsEncodedValue() {
+        validCommands().forEach(bytes -> assertEquals(DrainCommand.decode(bytes).encode(), bytes));
         assertEquals(PolicyCodec.decode(PolicyCodec.encode(List.of(POLICY))), List.of(POLICY));
         DrainReport report =
                 new DrainReport(
@@ -102,13 +102,13 @@
         assertEquals(DrainReport.decode(report.encode()), report);
     }
 
-    /** Detects a command or a report that another build of the same tier can't read. */
+    /** A changed encoding could not be decoded by another build in the same tier. */
     @Test
-    public void theFormIsThatOfTheEarlierBuild() {
-        StringBuilder forms = new StringBuilder();
-        good().forEach(bytes -> forms.append(Golden.hex(bytes)));
-        forms.append(Golden.hex(PolicyCodec.encode(List.of(POLICY))));
-        forms.append(
+    public void encodingMatchesEarlierBuild() {
+        StringBuilder encoded = new StringBuilder();
+        validCommands().forEach(bytes -> encoded.append(Golden.hex(bytes)));
+        encoded.append(Golden.hex(PolicyCodec.encode(List.of(POLICY))));
+        encoded.append(
                 Golden.hex(
                         new DrainReport(
                                         9,
@@ -121,13 +121,13 @@
                                         List.of(5L, 6L),
                                         new TrafficSample(10, 1, 2, 3))
                                 .encode()));
-        Golden.check("drain-commands.txt", forms.toString());
+        Golden.check("drain-commands.txt", encoded.toString());
     }
 
-    /** Detects what does not fit a report, or what replicas may hand on. */
+    /** The largest command must fit a datagram, and the largest report one report part. */
     @Test
-    public void theLargestPartsFit() {
-        for (byte[] bytes : good().subList(0, 2)) {
+    public void largestCommandsAndReportsFit() {
+        for (byte[] bytes : validCommands().subList(0, 2)) {
             assertEquals(bytes.length <= DrainCommand.MAX_BYTES, true, bytes.length + " bytes");
         }
         int max = Integer.MAX_VALUE;
@@ -154,7 +154,7 @@
     }
 
     @Test
-    public void garbageIsNothingAndThrowsNothing() {
+    public void malformedBytesAreIgnoredWithoutException() {
         SplittableRandom random = new SplittableRandom(1);
         DrainCoordinator drains =
                 new DrainCoordinator(
@@ -164,12 +164,12 @@
                         DrainSimulation.CONDITIONS,
                         new DrainCoordinator.Actions() {
                             @Override
-                            public void onDrainChange(DrainCoordinator.DrainChange happened) {}
+                            public void onDrainChange(DrainCoordinator.DrainChange change) {}
                         },
                         0);
-        List<byte[]> good = good();
+        List<byte[]> valid = validCommands();
         for (int i = 0; i < 200_000; i++) {
-            byte[] bytes = good.get(i % good.size()).clone();
+            byte[] bytes = valid.get(i % valid.size()).clone();
             if (i % 3 == 0) {
                 random.nextBytes(bytes);
             } else {
@@ -187,7 +187,7 @@
     }
 
     @Test
-    public void windowsAreTimesOfTheWeek() {
+    public void windowThatEndsNextDayContainsBothParts() {
         Window night = new Window(0b0000001, 23 * 60, 60);
         long monday = 4 * 86_400_000L;
         assertEquals(night.contains(Window.minute(monday + 23 * 3_600_000L)), true);
--- a/core/src/test/java/cedarrudder/draining/DrainSimulation.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulation.java
@@ -19,8 +19,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Replicas in virtual time over a log that orders what they propose, and loses some of it with its
- * leader. It judges by what is true: which replica sends where, and who has calls at whom.
+ * Simulates replicas in virtual time over a log that orders their proposals and may lose those of a
+ * replaced leader. Checks the invariants against the true state of the simulation: where each
+ * replica sends requests, and where it has requests in flight.
  */
 final class DrainSimulation {
 
@@ -29,17 +30,20 @@
     private static final long PERIOD = 500 * MILLI;
     private static final long START = 1_000_000_000_000L;
 
-    /** Tests read conditions of two forms: failed&gt;0.1, and one that throws. */
+    /**
+     * Conditions of tests: {@code failed} holds above a fraction of 0.1, {@code true} always, and
+     * {@code throws} can't be evaluated. A condition on a node is the name of its kind.
+     */
     static final ConditionCompiler CONDITIONS =
             new ConditionCompiler() {
                 @Override
                 public PolicyCondition compilePolicyCondition(String text) {
-                    return figures -> {
+                    return inputs -> {
                         if (text.equals("throws")) {
                             throw new IllegalStateException(text);
                         }
                         return text.equals("true")
-                                || text.equals("failed") && figures.failed() > 0.1;
+                                || text.equals("failed") && inputs.failed() > 0.1;
                     };
                 }
 
@@ -49,7 +53,7 @@
                 }
             };
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int byTime = Long.compare(at, other.at);
@@ -57,7 +61,7 @@
         }
     }
 
-    private final class Copy implements DrainCoordinator.LocalState, DrainCoordinator.Actions {
+    private final class Replica implements DrainCoordinator.LocalState, DrainCoordinator.Actions {
         private final int number;
         private DrainCoordinator drains;
         private boolean live = true;
@@ -65,11 +69,11 @@
         private long diedAt;
         private int applied;
         private long incarnation;
-        private Set<Long> leaving = new HashSet<>();
-        private final Map<Long, Integer> calls = new HashMap<>();
+        private Set<Long> draining = new HashSet<>();
+        private final Map<Long, Integer> requests = new HashMap<>();
         private final Set<Long> disabled = new HashSet<>();
 
-        Copy(int number) {
+        Replica(int number) {
             this.number = number;
             begin();
         }
@@ -81,44 +85,47 @@
                             replicas, number, DrainSettings.DEFAULT, CONDITIONS, this, now);
             drains.setPolicies(1, policies);
             applied = 0;
-            calls.clear();
-            leaving.clear();
+            requests.clear();
+            draining.clear();
         }
 
-        void catchUp() {
+        void applyLog() {
             while (live && !stalled && applied < log.size()) {
                 drains.apply(now, log.get(applied++));
-                shown();
+                updateDraining();
                 if (!Arrays.equals(drains.state(), states.get(applied - 1))) {
-                    wrong("copy " + number + " has another state after " + applied);
+                    recordViolation("replica " + number + " has another state after " + applied);
                 }
             }
         }
 
-        void shown() {
-            leaving = new HashSet<>();
-            drains.drainingNodes().forEach(each -> leaving.add(each.node()));
+        void updateDraining() {
+            draining = new HashSet<>();
+            drains.drainingNodes().forEach(each -> draining.add(each.node()));
         }
 
-        void call(DrainableNode node) {
-            if (!live || stalled || applied == 0 && !log.isEmpty() || leaving.contains(node.id())) {
+        void send(DrainableNode node) {
+            if (!live
+                    || stalled
+                    || applied == 0 && !log.isEmpty()
+                    || draining.contains(node.id())) {
                 return;
             }
-            calls.merge(node.id(), 1, Integer::sum);
-            long begun = incarnation;
-            long takes = random.nextInt(50) == 0 ? 20 * SECOND : random.nextLong(2 * SECOND);
+            requests.merge(node.id(), 1, Integer::sum);
+            long startedIn = incarnation;
+            long duration = random.nextInt(50) == 0 ? 20 * SECOND : random.nextLong(2 * SECOND);
             at(
-                    now + takes,
+                    now + duration,
                     () -> {
-                        if (incarnation == begun && live) {
-                            calls.merge(node.id(), -1, Integer::sum);
+                        if (incarnation == startedIn && live) {
+                            requests.merge(node.id(), -1, Integer::sum);
                         }
                     });
         }
 
         @Override
         public int requestsInFlight(long node) {
-            return calls.getOrDefault(node, 0);
+            return requests.getOrDefault(node, 0);
         }
 
         @Override
@@ -132,38 +139,38 @@
         }
 
         @Override
-        public void onDrainChange(DrainCoordinator.DrainChange happened) {}
+        public void onDrainChange(DrainCoordinator.DrainChange change) {}
     }
 
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final int replicas;
-    private final List<Copy> all = new ArrayList<>();
+    private final List<Replica> all = new ArrayList<>();
     private final Map<Long, DrainableNode> nodes = new HashMap<>();
     private final List<byte[]> log = new ArrayList<>();
     private final List<byte[]> states = new ArrayList<>();
-    private final DrainStateMachine truth = new DrainStateMachine();
+    private final DrainStateMachine trueState = new DrainStateMachine();
     private final Map<Long, Long> openSince = new HashMap<>();
     final List<DrainPolicy> policies;
     private final double loss;
 
-    /** Nodes that are drained are taken off the list. */
-    private final boolean removes;
+    /** Whether nodes are removed from the list once they are drained. */
+    private final boolean removesDrainedNodes;
 
     private long now = START;
     private long order;
     private int leader;
     private int leaders;
-    private int waitsFor = -1;
+    private int proposedAtLogSize = -1;
     private boolean failing;
-    private String wrong;
+    private String violation;
     int begun;
     int emptied;
     int returned;
 
     DrainSimulation(long seed) {
         random = new SplittableRandom(seed);
-        removes = random.nextBoolean();
+        removesDrainedNodes = random.nextBoolean();
         replicas = 3 + random.nextInt(6);
         loss = random.nextInt(3) * 0.15;
         int zones = 1 + random.nextInt(3);
@@ -185,7 +192,7 @@
                                 0));
             }
         }
-        OnDeadline atEnd = OnDeadline.values()[random.nextInt(3)];
+        OnDeadline onDeadline = OnDeadline.values()[random.nextInt(3)];
         DrainPolicy wide =
                 new DrainPolicy(
                         "wide",
@@ -202,7 +209,7 @@
                         "",
                         random.nextBoolean() ? "failed" : "",
                         8 * SECOND,
-                        atEnd,
+                        onDeadline,
                         OnRestart.values()[random.nextInt(2)],
                         List.of());
         DrainPolicy narrow =
@@ -221,24 +228,24 @@
                         "",
                         "",
                         6 * SECOND,
-                        atEnd,
+                        onDeadline,
                         OnRestart.BACK,
                         List.of());
         policies = random.nextBoolean() ? List.of(wide) : List.of(wide, narrow);
         for (int i = 0; i < replicas; i++) {
-            all.add(new Copy(i));
+            all.add(new Replica(i));
         }
     }
 
-    private void at(long time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    private void at(long time, Runnable action) {
+        events.add(new Event(time, order++, action));
     }
 
-    private void wrong(String what) {
-        wrong = wrong == null ? what + " at " + (now - START) / MILLI + " ms" : wrong;
+    private void recordViolation(String what) {
+        violation = violation == null ? what + " at " + (now - START) / MILLI + " ms" : violation;
     }
 
-    /** A digest of all that was committed, and of the state that replicas had after each. */
+    /** Returns a digest of all committed commands and of the state after each. */
     Golden.Digest history() {
         Golden.Digest digest = new Golden.Digest();
         log.forEach(digest::add);
@@ -246,67 +253,67 @@
         return digest;
     }
 
-    /** Runs it; what was wrong, or null. */
-    String run(long faults, long rest) {
-        long end = START + faults;
-        for (Copy replica : all) {
-            at(now + random.nextLong(PERIOD), () -> reports(replica));
+    /** Runs the simulation; returns the first violation, or null. */
+    String run(long faultTime, long quietTime) {
+        long end = START + faultTime;
+        for (Replica replica : all) {
+            at(now + random.nextLong(PERIOD), () -> report(replica));
         }
-        at(now, this::leads);
+        at(now, this::runLeader);
         at(now, () -> propose(all.get(0).drains.nextPolicyCommand()));
-        at(now, this::sends);
+        at(now, this::sendRequests);
         for (int i = 0; i < 12; i++) {
-            at(now + random.nextLong(faults), this::fault);
+            at(now + random.nextLong(faultTime), this::injectFault);
         }
         for (int i = 0; i < 6; i++) {
             at(
-                    now + random.nextLong(faults / 2),
+                    now + random.nextLong(faultTime / 2),
                     () -> {
-                        Copy by = any();
-                        if (by.live) {
-                            List<Long> some =
+                        Replica proposer = randomReplica();
+                        if (proposer.live) {
+                            List<Long> requested =
                                     nodes.keySet().stream()
                                             .sorted()
                                             .filter(id -> random.nextInt(3) == 0)
                                             .limit(13)
                                             .toList();
-                            if (!some.isEmpty()) {
+                            if (!requested.isEmpty()) {
                                 propose(
                                         DrainCoordinator.drainRequest(
-                                                random.nextInt(4) == 0, some));
+                                                random.nextInt(4) == 0, requested));
                             }
                         }
                     });
         }
         at(end, this::heal);
-        while (now < end + rest && wrong == null) {
+        while (now < end + quietTime && violation == null) {
             Event event = events.remove();
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
-        outs();
-        return wrong;
+        checkInvariants();
+        return violation;
     }
 
-    private Copy any() {
+    private Replica randomReplica() {
         return all.get(random.nextInt(replicas));
     }
 
-    private void sends() {
-        for (Copy replica : all) {
+    private void sendRequests() {
+        for (Replica replica : all) {
             nodes.values().stream()
                     .sorted((a, b) -> Long.compare(a.id(), b.id()))
                     .forEach(
                             node -> {
                                 if (random.nextInt(4) == 0) {
-                                    replica.call(node);
+                                    replica.send(node);
                                 }
                             });
         }
-        at(now + 200 * MILLI, this::sends);
+        at(now + 200 * MILLI, this::sendRequests);
     }
 
-    private void reports(Copy replica) {
+    private void report(Replica replica) {
         if (replica.live && !replica.stalled) {
             int to = leader;
             for (byte[] part : replica.drains.report(now, replica)) {
@@ -325,42 +332,43 @@
                 }
             }
         }
-        at(now + PERIOD, () -> reports(replica));
+        at(now + PERIOD, () -> report(replica));
     }
 
-    private void leads() {
-        Copy leads = all.get(leader);
-        if (leads.live && !leads.stalled) {
-            leads.catchUp();
-            if (waitsFor < 0 || log.size() > waitsFor) {
+    private void runLeader() {
+        Replica current = all.get(leader);
+        if (current.live && !current.stalled) {
+            current.applyLog();
+            if (proposedAtLogSize < 0 || log.size() > proposedAtLogSize) {
                 byte[] command =
-                        leads.drains.nextCommand(
-                                now, START / MILLI, nodes.values(), this::seenLive);
+                        current.drains.nextCommand(
+                                now, START / MILLI, nodes.values(), this::isSeenAlive);
                 if (command != null) {
-                    waitsFor = log.size();
+                    proposedAtLogSize = log.size();
                     propose(command);
                 }
             }
         }
-        at(now + PERIOD, this::leads);
+        at(now + PERIOD, this::runLeader);
     }
 
     /**
-     * Membership: a death is found some seconds late, and one that stands still is taken for dead.
+     * Returns whether membership reports a replica as alive: a failure is detected some seconds
+     * late, and a stalled replica is taken for dead.
      */
-    private boolean seenLive(int replica) {
-        Copy one = all.get(replica);
+    private boolean isSeenAlive(int replica) {
+        Replica one = all.get(replica);
         return one.live && !one.stalled || now - one.diedAt < 3 * SECOND;
     }
 
     private void propose(byte[] command) {
-        long takes = random.nextLong(400 * MILLI);
-        int by = leaders;
-        // A leader that is lost meanwhile may have had it committed, or not.
+        long delay = random.nextLong(400 * MILLI);
+        int proposedUnder = leaders;
+        // If the leader is replaced meanwhile, the command may be committed or lost.
         at(
-                now + takes,
+                now + delay,
                 () -> {
-                    if (by == leaders || random.nextBoolean()) {
+                    if (proposedUnder == leaders || random.nextBoolean()) {
                         commit(command);
                     }
                 });
@@ -368,75 +376,75 @@
 
     private void commit(byte[] command) {
         log.add(command);
-        for (DrainCoordinator.DrainChange each : truth.apply(command)) {
-            judge(each);
+        for (DrainCoordinator.DrainChange each : trueState.apply(command)) {
+            checkChange(each);
         }
-        states.add(truth.encode());
-        outs();
-        for (Copy replica : all) {
-            at(now + random.nextLong(SECOND), replica::catchUp);
+        states.add(trueState.encode());
+        checkInvariants();
+        for (Replica replica : all) {
+            at(now + random.nextLong(SECOND), replica::applyLog);
         }
     }
 
-    private void judge(DrainCoordinator.DrainChange each) {
-        begun += each.event() == DrainEvent.BEGUN ? 1 : 0;
-        returned += each.event() == DrainEvent.RETURNED ? 1 : 0;
-        if (each.after().isOpen() && !each.before().isOpen()) {
-            openSince.put(each.node(), now);
-        } else if (!each.after().isOpen()) {
-            openSince.remove(each.node());
+    private void checkChange(DrainCoordinator.DrainChange change) {
+        begun += change.event() == DrainEvent.BEGUN ? 1 : 0;
+        returned += change.event() == DrainEvent.RETURNED ? 1 : 0;
+        if (change.after().isOpen() && !change.before().isOpen()) {
+            openSince.put(change.node(), now);
+        } else if (!change.after().isOpen()) {
+            openSince.remove(change.node());
         }
-        if (each.event() == DrainEvent.ALARMED) {
-            openSince.remove(each.node());
+        if (change.event() == DrainEvent.ALARMED) {
+            openSince.remove(change.node());
         }
-        if (each.after() == DrainState.OUT && removes) {
+        if (change.after() == DrainState.OUT && removesDrainedNodes) {
             at(
                     now + 3 * SECOND,
                     () -> {
-                        if (truth.state(each.node()) == DrainState.OUT) {
-                            nodes.remove(each.node());
+                        if (trueState.state(change.node()) == DrainState.OUT) {
+                            nodes.remove(change.node());
                         }
                     });
         }
-        if (each.event() == DrainEvent.EMPTY) {
+        if (change.event() == DrainEvent.EMPTY) {
             emptied++;
-            for (Copy replica : all) {
-                if (replica.live && replica.requestsInFlight(each.node()) > 0) {
-                    wrong(
+            for (Replica replica : all) {
+                if (replica.live && replica.requestsInFlight(change.node()) > 0) {
+                    recordViolation(
                             "node "
-                                    + each.node()
-                                    + " is said empty with calls of copy "
+                                    + change.node()
+                                    + " is committed as empty with requests in flight of replica "
                                     + replica.number);
                 }
             }
         }
-        if (each.event() == DrainEvent.RETURNED) {
-            for (Copy replica : all) {
-                if (replica.live && replica.leaving.contains(each.node())) {
-                    wrong(
+        if (change.event() == DrainEvent.RETURNED) {
+            for (Replica replica : all) {
+                if (replica.live && replica.draining.contains(change.node())) {
+                    recordViolation(
                             "node "
-                                    + each.node()
-                                    + " counts as back, and copy "
+                                    + change.node()
+                                    + " is committed as returned, but replica "
                                     + replica.number
-                                    + " knows not");
+                                    + " still drains it");
                 }
             }
         }
     }
 
     /**
-     * Never more out by drains than each policy allows, with those that some replica still leaves
-     * out.
+     * Checks that drains make no more nodes unavailable than each policy allows, counting those
+     * that some replica still drains, and that no drain stays open past its deadline.
      */
-    private void outs() {
+    private void checkInvariants() {
         Set<Long> out = new HashSet<>();
-        truth.drains().stream()
+        trueState.drains().stream()
                 .filter(drain -> drain.state.isOut())
                 .forEach(drain -> out.add(drain.node));
         all.stream()
                 .filter(replica -> replica.live)
-                .forEach(replica -> out.addAll(replica.leaving));
-        for (DrainPolicy policy : truth.policies()) {
+                .forEach(replica -> out.addAll(replica.draining));
+        for (DrainPolicy policy : trueState.policies()) {
             DisruptionCounts counted = new DisruptionCounts(policy);
             for (DrainableNode node : nodes.values()) {
                 if (policy.selector().matches(node)
@@ -446,50 +454,51 @@
                 }
             }
             if (counted.isExceeded()) {
-                wrong("more are out than " + policy.name() + " allows: " + out);
+                recordViolation(
+                        "more nodes are unavailable than " + policy.name() + " allows: " + out);
             }
         }
         openSince.forEach(
                 (node, since) -> {
-                    if (now - since > 9 * SECOND + leaders * 3 * SECOND + late) {
-                        wrong("node " + node + " is open past its time");
+                    if (now - since > 9 * SECOND + leaders * 3 * SECOND + timeWithoutLeader) {
+                        recordViolation("node " + node + " is open past its deadline");
                     }
                 });
     }
 
-    /** Time in which nobody led. */
-    private long late;
+    /** The time without a leader, in nanoseconds. */
+    private long timeWithoutLeader;
 
-    private void fault() {
-        Copy replica = any();
+    private void injectFault() {
+        Replica replica = randomReplica();
         switch (random.nextInt(6)) {
             case 0 -> {
                 if (replica.live && all.stream().filter(each -> each.live).count() > 2) {
                     replica.live = false;
                     replica.diedAt = now;
                     replica.incarnation++;
-                    replica.calls.clear();
-                    replica.leaving.clear();
+                    replica.requests.clear();
+                    replica.draining.clear();
                     at(
                             now + 4 * SECOND + random.nextLong(20 * SECOND),
                             () -> {
                                 replica.live = true;
                                 replica.begin();
-                                replica.catchUp();
+                                replica.applyLog();
                             });
-                    late += replica.number == leader ? 5 * SECOND : 0;
-                    replace();
+                    timeWithoutLeader += replica.number == leader ? 5 * SECOND : 0;
+                    replaceLeader();
                 }
             }
             case 1 -> {
                 replica.stalled = true;
                 replica.diedAt = now;
-                late += 5 * SECOND;
+                timeWithoutLeader += 5 * SECOND;
                 at(now + 5 * SECOND, () -> replica.stalled = false);
-                at(now + 6 * SECOND, replica::catchUp);
-                replace();
+                at(now + 6 * SECOND, replica::applyLog);
+                replaceLeader();
             }
-            case 2 -> replace();
+            case 2 -> replaceLeader();
             case 3 -> restart(random.nextLong(2) * 100 + random.nextInt(3));
             case 4 -> {
                 failing = true;
@@ -525,19 +534,19 @@
                                 now / MILLI));
     }
 
-    private void replace() {
-        int old = leader;
+    private void replaceLeader() {
+        int previous = leader;
         for (int i = 0;
-                i < 10 && (leader == old || !all.get(leader).live || all.get(leader).stalled);
+                i < 10 && (leader == previous || !all.get(leader).live || all.get(leader).stalled);
                 i++) {
             leader = random.nextInt(replicas);
         }
-        if (leader != old) {
+        if (leader != previous) {
             leaders++;
-            waitsFor = -1;
-            late += SECOND;
-            all.get(leader).catchUp();
-            all.get(old).drains.onLeadership(now, false);
+            proposedAtLogSize = -1;
+            timeWithoutLeader += SECOND;
+            all.get(leader).applyLog();
+            all.get(previous).drains.onLeadership(now, false);
             all.get(leader).drains.onLeadership(now, true);
         }
     }
@@ -545,7 +554,7 @@
     private void heal() {
         failing = false;
         if (!all.get(leader).live) {
-            replace();
+            replaceLeader();
         }
     }
 }
--- a/core/src/test/java/cedarrudder/draining/DrainSimulationTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainSimulationTest.java
@@ -7,31 +7,32 @@
 import org.testng.annotations.Test;
 
 /**
- * Random worlds: replicas that die, stall and join, leaders that are replaced with steps under way,
- * lost and doubled reports, nodes that fail and restart. Detects more out than the strictest policy
- * allows, a drain said done while a live replica has calls there, one open past its time, and
- * replicas that disagree.
+ * Simulates drains with random faults: replicas that fail, stall and join, leaders that are
+ * replaced with proposals in flight, lost and duplicated reports, nodes that fail and restart.
+ * Fails if more nodes are unavailable than the strictest policy allows, a drain ends while a live
+ * replica has requests in flight at the node, a drain stays open past its deadline, or replicas
+ * diverge.
  */
 public class DrainSimulationTest {
 
     @Test
-    public void everyWorldKeepsToThePolicies() {
+    public void everySimulationSatisfiesThePolicies() {
         int seeds = Integer.getInteger("drains.seeds", 150);
         int begun = 0;
         int emptied = 0;
         int returned = 0;
         for (long seed = 1; seed <= seeds; seed++) {
-            DrainSimulation world = new DrainSimulation(seed);
+            DrainSimulation simulation = new DrainSimulation(seed);
             assertNull(
-                    world.run(60 * DrainSimulation.SECOND, 60 * DrainSimulation.SECOND),
+                    simulation.run(60 * DrainSimulation.SECOND, 60 * DrainSimulation.SECOND),
                     "seed " + seed);
-            begun += world.begun;
-            emptied += world.emptied;
-            returned += world.returned;
+            begun += simulation.begun;
+            emptied += simulation.emptied;
+            returned += simulation.returned;
         }
         System.out.println(
                 seeds
-                        + " worlds: "
+                        + " simulations: "
                         + begun
                         + " begun, "
                         + emptied
@@ -43,16 +44,16 @@
                 begun + ", " + emptied + ", " + returned);
     }
 
-    /** The commands and the states of some worlds, held against an earlier build. */
+    /** Compares the commands and states of some simulations with those of an earlier build. */
     @Test
-    public void drainsAreThoseOfTheEarlierBuild() {
+    public void committedCommandsAndStatesMatchEarlierBuild() {
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 20; seed++) {
-            DrainSimulation world = new DrainSimulation(seed);
+            DrainSimulation simulation = new DrainSimulation(seed);
             assertNull(
-                    world.run(60 * DrainSimulation.SECOND, 60 * DrainSimulation.SECOND),
+                    simulation.run(60 * DrainSimulation.SECOND, 60 * DrainSimulation.SECOND),
                     "seed " + seed);
-            lines.append(seed + " " + world.history() + "\n");
+            lines.append(seed + " " + simulation.history() + "\n");
         }
         Golden.check("drain-worlds.txt", lines.toString());
     }
--- a/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
+++ b/core/src/test/java/cedarrudder/draining/DrainTransitionsTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The table of states and events, walked whole by commands. Detects an event that comes twice, late
- * or overtaken by another doing what nobody asked for.
+ * Tests every state and event of the transition table through commands. An event that is a
+ * duplicate, is late or was overtaken by another must change nothing.
  */
 public class DrainTransitionsTest {
 
@@ -21,8 +21,8 @@
     private static final long NODE = 7;
 
     /**
-     * Where each state goes at each event; a dot: nothing changes. Columns as the events are
-     * declared.
+     * The next state for each state and event; a dot: no change. The columns are in the order in
+     * which the events are declared.
      */
     private static final Map<DrainState, String> EXPECTED =
             Map.of(
@@ -44,7 +44,7 @@
                     ". RETURNING . . . . . . . . NONE WAITING");
 
     /** The events that lead to each state. */
-    private static final Map<DrainState, List<DrainEvent>> WAYS =
+    private static final Map<DrainState, List<DrainEvent>> EVENTS_TO =
             Map.of(
                     DrainState.NONE, List.of(),
                     DrainState.WAITING, List.of(DrainEvent.ASKED),
@@ -57,13 +57,13 @@
                     DrainState.RETURNING_TO_WAIT,
                             List.of(DrainEvent.ASKED, DrainEvent.BEGUN, DrainEvent.STOPPED));
 
-    private static void happens(DrainStateMachine agreed, DrainEvent event) {
-        Drain drain = agreed.drainInSlot(FIRST_SLOT);
-        agreed.apply(
+    private static void commit(DrainStateMachine stateMachine, DrainEvent event) {
+        Drain drain = stateMachine.drainInSlot(FIRST_SLOT);
+        stateMachine.apply(
                 event == DrainEvent.ASKED || event == DrainEvent.CANCELLED
                         ? new DrainRequest(event == DrainEvent.CANCELLED, List.of(NODE)).encode()
                         : new Step(
-                                        agreed.version(),
+                                        stateMachine.version(),
                                         0,
                                         List.of(),
                                         List.of(
@@ -75,51 +75,51 @@
     }
 
     @Test
-    public void eachEventDoesInEachStateWhatTheTableSays() {
+    public void eachEventInEachStateLeadsToTheExpectedState() {
         for (DrainState state : DrainState.values()) {
             String[] row = EXPECTED.get(state).split(" ");
             assertEquals(row.length, DrainEvent.values().length);
             for (DrainEvent event : DrainEvent.values()) {
-                DrainStateMachine agreed = new DrainStateMachine();
-                for (DrainEvent each : WAYS.get(state)) {
-                    happens(agreed, each);
+                DrainStateMachine stateMachine = new DrainStateMachine();
+                for (DrainEvent each : EVENTS_TO.get(state)) {
+                    commit(stateMachine, each);
                 }
-                assertEquals(agreed.state(NODE), state);
-                happens(agreed, event);
+                assertEquals(stateMachine.state(NODE), state);
+                commit(stateMachine, event);
                 String next = row[event.ordinal()];
                 assertEquals(
-                        agreed.state(NODE),
+                        stateMachine.state(NODE),
                         next.equals(".") ? state : DrainState.valueOf(next),
                         state + ", " + event);
             }
         }
     }
 
-    /** Detects what a leader found out before others did counting after it: two waves at once. */
+    /** A step derived from an outdated state must not apply: it could begin a second wave. */
     @Test
-    public void aStepThatSawAnotherStateChangesNothing() {
-        DrainStateMachine agreed = new DrainStateMachine();
-        happens(agreed, DrainEvent.ASKED);
+    public void stepBasedOnAnotherStateVersionChangesNothing() {
+        DrainStateMachine stateMachine = new DrainStateMachine();
+        commit(stateMachine, DrainEvent.ASKED);
         byte[] begin =
                 new Step(
-                                agreed.version(),
+                                stateMachine.version(),
                                 0,
                                 List.of(),
                                 List.of(Change.of(DrainEvent.BEGUN, 1)),
                                 WaveStatus.NOTHING)
                         .encode();
-        agreed.apply(new DrainRequest(false, List.of(8L)).encode());
-        agreed.apply(begin);
-        assertEquals(agreed.state(NODE), DrainState.WAITING);
+        stateMachine.apply(new DrainRequest(false, List.of(8L)).encode());
+        stateMachine.apply(begin);
+        assertEquals(stateMachine.state(NODE), DrainState.WAITING);
     }
 
     @Test
-    public void aStateIsTheSameOnceItWasWrittenAndRead() {
-        DrainStateMachine agreed = new DrainStateMachine();
-        happens(agreed, DrainEvent.ASKED);
-        happens(agreed, DrainEvent.BEGUN);
-        agreed.apply(new DrainCommand.PolicyChunk(4, 5, 0, 2, new byte[] {1, 2}).encode());
-        byte[] bytes = agreed.encode();
+    public void decodedStateEqualsEncodedState() {
+        DrainStateMachine stateMachine = new DrainStateMachine();
+        commit(stateMachine, DrainEvent.ASKED);
+        commit(stateMachine, DrainEvent.BEGUN);
+        stateMachine.apply(new DrainCommand.PolicyChunk(4, 5, 0, 2, new byte[] {1, 2}).encode());
+        byte[] bytes = stateMachine.encode();
         assertEquals(DrainStateMachine.decode(bytes).encode(), bytes);
     }
 }
--- a/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
+++ b/core/src/test/java/cedarrudder/draining/PolicyValidatorTest.java
@@ -14,26 +14,24 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/**
- * Policies that are well formed, and wrong. Detects a check that always fails, and one that can't.
- */
+/** Tests well-formed policies that are faulty, and correct ones that must be accepted. */
 public class PolicyValidatorTest {
 
     private static DrainPolicy policy(
             String name,
-            NodeSelector whom,
-            MaxUnavailable pod,
-            MinAvailable left,
+            NodeSelector selector,
+            MaxUnavailable maxPerPod,
+            MinAvailable minAvailable,
             String pauseIf,
-            OnDeadline atEnd,
+            OnDeadline onDeadline,
             Window... closed) {
         return new DrainPolicy(
                 name,
-                whom,
-                pod,
+                selector,
+                maxPerPod,
                 MaxUnavailable.ANY,
                 MaxUnavailable.ANY,
-                left,
+                minAvailable,
                 DrainOrder.AS_ASKED,
                 10,
                 0,
@@ -42,7 +40,7 @@
                 "",
                 "",
                 DrainPolicy.MIN_DEADLINE_NANOS,
-                atEnd,
+                onDeadline,
                 OnRestart.BACK,
                 List.of(closed));
     }
@@ -66,7 +64,7 @@
     }
 
     @Test
-    public void aPolicyThatNeverLetsAnybodyGoIsFound() {
+    public void policyUnderWhichNoNodeCanBeDrainedIsReported() {
         assertEquals(keys(null, max(1, 0.25)), List.of());
         assertEquals(keys(null, max(0, 1)), List.of("out_per_pod"));
         assertEquals(keys(new Fleet(3, 2, 3), max(1, 0.25)), List.of("out_per_pod"));
@@ -141,7 +139,7 @@
     }
 
     @Test
-    public void twoThatContradictEachOtherAreFoundWhereBothAreForANode() {
+    public void contradictingPoliciesAreReportedIfTheySelectACommonNode() {
         Window day = new Window(0x7f, 480, 1200);
         Window night = new Window(0x7f, 1200, 480);
         NodeSelector a = new NodeSelector("", "a", -1, "", 0, 9, "");
@@ -207,7 +205,7 @@
     }
 
     @Test
-    public void itSaysWhichIsStricter() {
+    public void stricterPolicyIsReportedForEachBound() {
         assertEquals(
                 PolicyValidator.check(
                                 List.of(
