--- a/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -14,38 +14,38 @@
 import java.util.Set;
 
 /**
- * Which listed endpoints operators have disabled, and which are being removed in common: laid over
- * what discovery lists. The balancer sees such an endpoint as one that drains, so that every rule
- * on drains holds for it, and nothing else knows of disabling.
+ * Applies administrative overrides to the endpoint list of discovery: endpoints that operators have
+ * disabled, and endpoints that all replicas drain. The balancer sees such an endpoint as draining,
+ * so that every rule on drains applies to it and no other code handles disabled endpoints.
  *
- * <p>An endpoint that is enabled again counts as started then. This avoids an endpoint that was
- * restarted meanwhile being sent the load of a warm one, before discovery tells of its new start.
- * Pure; not thread-safe.
+ * <p>An endpoint that is enabled again counts as started at that time. Otherwise one that was
+ * restarted meanwhile would get the load of a warm endpoint until discovery reports its new start.
+ * Has no side effects outside itself; not thread-safe.
  */
 public final class AdminOverrides {
 
     /**
-     * Ids are kept this many at most beyond those that are listed, the latest. It bounds memory
-     * alone: what operators ask for an older one is answered as for one that was never listed.
+     * The maximum number of remembered ids that are no longer listed; the latest are retained. The
+     * limit bounds memory only: a request for an older id is treated as for one never listed.
      */
-    private static final int MAX_FORMER = 4096;
+    private static final int MAX_FORMER_IDS = 4096;
 
-    /** An endpoint under the id that operators know it by. */
+    /** An endpoint and the id that operators use for it. */
     public record NamedEndpoint(String name, Endpoint endpoint) {}
 
     private final Map<String, Endpoint> listed = new HashMap<>();
-    private final Map<String, Long> returnedAt = new HashMap<>();
+    private final Map<String, Long> reenabledAt = new HashMap<>();
     private final Set<String> former = new LinkedHashSet<>();
     private final Set<String> disabled = new HashSet<>();
     private Set<Long> draining = Set.of();
 
-    /** Takes in what discovery says, and returns it as the balancer is to see it. */
+    /** Applies an update of discovery and returns its endpoints with the overrides applied. */
     public List<Endpoint> updateListed(EndpointListKind kind, List<NamedEndpoint> entries) {
         if (kind != EndpointListKind.DELTA) {
-            Set<String> named = new HashSet<>();
-            entries.forEach(entry -> named.add(entry.name()));
+            Set<String> names = new HashSet<>();
+            entries.forEach(entry -> names.add(entry.name()));
             List.copyOf(listed.keySet()).stream()
-                    .filter(name -> !named.contains(name))
+                    .filter(name -> !names.contains(name))
                     .forEach(this::remove);
         }
         List<Endpoint> effectiveEndpoints = new ArrayList<>(entries.size());
@@ -63,67 +63,68 @@
     }
 
     private void remove(String name) {
-        returnedAt.remove(name);
+        reenabledAt.remove(name);
         if (listed.remove(name) != null) {
             former.add(name);
-            for (Iterator<String> oldest = former.iterator(); former.size() > MAX_FORMER; ) {
+            for (Iterator<String> oldest = former.iterator(); former.size() > MAX_FORMER_IDS; ) {
                 oldest.next();
                 oldest.remove();
             }
         }
     }
 
-    /** A listed endpoint as the balancer is to see it now; null where it is not listed. */
+    /** Returns a listed endpoint with the overrides applied, or null if it is not listed. */
     public Endpoint effectiveEndpoint(String name) {
         Endpoint entry = listed.get(name);
         if (entry == null) {
             return null;
         }
-        EndpointStatus state =
+        EndpointStatus status =
                 disabled.contains(name) || draining.contains(entry.id())
                         ? EndpointStatus.DRAINING
                         : entry.status();
         long startedAt =
-                Math.max(entry.startedAt(), returnedAt.getOrDefault(name, entry.startedAt()));
+                Math.max(entry.startedAt(), reenabledAt.getOrDefault(name, entry.startedAt()));
         return new Endpoint(
                 entry.id(),
                 entry.zone(),
                 entry.kind(),
                 entry.cell(),
-                state,
+                status,
                 entry.weight(),
                 startedAt);
     }
 
-    /** Whether an endpoint of this id was ever listed, as far as is remembered. */
+    /** Returns whether an endpoint with this id is remembered as listed or disabled. */
     public boolean isKnown(String name) {
         return listed.containsKey(name) || former.contains(name) || disabled.contains(name);
     }
 
-    /** From now on the endpoint is left out, whatever discovery lists. */
+    /** Disables an endpoint, whatever discovery lists. */
     public void disable(String name) {
         disabled.add(name);
     }
 
     /**
-     * From now on the endpoint is what discovery lists, and as if it had started at {@code now}.
+     * Enables an endpoint, so that its status is the one that discovery lists. It counts as started
+     * at {@code now}.
      */
     public void enable(String name, long now) {
         if (disabled.remove(name)) {
-            returnedAt.put(name, now);
+            reenabledAt.put(name, now);
             if (!listed.containsKey(name)) {
-                returnedAt.remove(name);
+                reenabledAt.remove(name);
                 former.add(name);
             }
         }
     }
 
     /**
-     * These endpoints, by the numbers of the balancer, are being removed in common: they are left
-     * out as disabled ones are, and neither of the two puts back an endpoint that the other leaves
-     * out.
+     * Sets the endpoints that all replicas drain. They are overridden like disabled ones; an
+     * endpoint that is both serves again only when it is neither.
      *
-     * @return listed endpoints that the balancer is to see anew
+     * @param nodes the numbers of the endpoints in the balancer
+     * @return the ids of the listed endpoints whose status may have changed
      */
     public Set<String> setDraining(Set<Long> nodes, long now) {
         Set<String> changed = new HashSet<>();
@@ -131,7 +132,7 @@
                 (name, entry) -> {
                     if (draining.contains(entry.id()) != nodes.contains(entry.id())) {
                         if (!nodes.contains(entry.id()) && !disabled.contains(name)) {
-                            returnedAt.put(name, now);
+                            reenabledAt.put(name, now);
                         }
                         changed.add(name);
                     }
@@ -140,12 +141,12 @@
         return changed;
     }
 
-    /** The endpoints that are disabled now. */
+    /** Returns the ids of the disabled endpoints. */
     public Set<String> disabled() {
         return Set.copyOf(disabled);
     }
 
-    /** The id of a listed endpoint by its number; null where there is none. */
+    /** Returns the id of the listed endpoint with a number, or null if there is none. */
     public String name(long node) {
         return listed.entrySet().stream()
                 .filter(entry -> entry.getValue().id() == node)
@@ -154,12 +155,12 @@
                 .orElse(null);
     }
 
-    /** What discovery lists, by id, whatever operators or replicas leave out. */
+    /** Returns the endpoints that discovery lists by id, without overrides. */
     public Map<String, Endpoint> listed() {
         return Collections.unmodifiableMap(listed);
     }
 
-    /** How many endpoints discovery lists. */
+    /** Returns the number of endpoints that discovery lists. */
     public int size() {
         return listed.size();
     }
--- a/core/src/main/java/cedarrudder/adminoverride/package-info.java
+++ b/core/src/main/java/cedarrudder/adminoverride/package-info.java
@@ -1,9 +1,9 @@
 /**
  * Administrative overrides of the endpoint list: endpoints that operators have disabled, and those
- * that are drained in common.
+ * that all replicas drain.
  *
- * <p>The overrides are laid over what discovery lists, so the balancer has one path for draining
- * endpoints.
+ * <p>The overrides are applied to the endpoint list of discovery, so the balancer has one code path
+ * for draining endpoints.
  *
  * <p>Uses {@code balancer}.
  */
--- a/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -389,7 +389,7 @@
 
     private static void require(boolean valid, String what) {
         if (!valid) {
-            throw new IllegalArgumentException("invalid " + what);
+            throw new IllegalArgumentException("the " + what + " is invalid");
         }
     }
 }
--- a/core/src/main/java/cedarrudder/draining/DrainTransitions.java
+++ b/core/src/main/java/cedarrudder/draining/DrainTransitions.java
@@ -89,7 +89,7 @@
         if (TABLE.computeIfAbsent(from, each -> new EnumMap<>(DrainEvent.class))
                         .put(event, new Row(to, effect))
                 != null) {
-            throw new IllegalStateException("duplicate transition: " + from + ", " + event);
+            throw new IllegalStateException(from + ", " + event + ": duplicate transition");
         }
     }
 
--- a/core/src/main/java/cedarrudder/draining/PolicyValidator.java
+++ b/core/src/main/java/cedarrudder/draining/PolicyValidator.java
@@ -64,7 +64,6 @@
     /** In rising size: the last fleet allows the most drains. */
     private static final List<Fleet> DEFAULT_FLEETS = defaultFleets();
 
-    private static final String NO_NODE = "no node can be drained";
     private static final String NO_COMMON_NODE = "no node that both select can be drained";
     private static final int[] REPLICAS = {1, 3, 30};
 
@@ -158,7 +157,8 @@
                     index,
                     "closed",
                     "windows that cover the whole week",
-                    "at least one minute in which a wave may begin; " + shownBy(NO_NODE));
+                    "at least one minute in which a wave may begin; "
+                            + shownBy("no node can be drained"));
         }
     }
 
@@ -171,7 +171,8 @@
                             + policy.pauseIf()
                             + "', which holds or can't be evaluated with nothing refused, failed"
                             + " or late",
-                    "a condition that is false in normal operation; " + shownBy(NO_NODE));
+                    "a condition that is false in normal operation; "
+                            + shownBy("no node can be drained"));
         }
         if (!canBeFalse(policy.giveBackIf(), List.of(""), 1)) {
             add(
@@ -193,7 +194,7 @@
                     index,
                     BoundText.key(bound),
                     BoundText.configuredValue(policy, bound),
-                    BoundText.allowed(bound) + "; " + shownBy(NO_NODE));
+                    BoundText.allowed(bound) + "; " + shownBy("no node can be drained"));
         }
     }
 
@@ -319,7 +320,7 @@
             add(
                     index,
                     "pause_if",
-                    "'" + other.pauseIf() + "'" + beside + " with '" + one.pauseIf() + "'",
+                    "'" + other.pauseIf() + "'" + beside + " and sets '" + one.pauseIf() + "'",
                     "conditions that can both be false in normal operation; "
                             + shownBy(NO_COMMON_NODE));
         }
@@ -346,7 +347,7 @@
                     "at_end",
                     written(other.onDeadline())
                             + beside
-                            + " with "
+                            + " and sets "
                             + written(one.onDeadline())
                             + " at the same deadline",
                     "the same action, or different deadlines: the action of the shorter applies");
@@ -362,7 +363,7 @@
             add(
                     index,
                     "order",
-                    written(other.order()) + beside + " with " + written(one.order()),
+                    written(other.order()) + beside + " and sets " + written(one.order()),
                     "the same order");
         }
     }
--- a/core/src/main/java/cedarrudder/routetable/CurrentRouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/CurrentRouteTable.java
@@ -1,24 +1,24 @@
 package cedarrudder.routetable;
 
 /**
- * The table that a replica uses. It loads one whole or not at all, and numbers only rise. Not
- * thread-safe.
+ * The route table that a replica uses. A table is loaded as a whole or not at all, and its number
+ * never decreases. Not thread-safe.
  */
 public final class CurrentRouteTable {
 
-    /** What came of loading one; {@code rejection} is null where it counts. */
+    /** The result of loading a table; {@code rejection} is null if it was accepted. */
     public record LoadOutcome(boolean accepted, String rejection) {
         private static final LoadOutcome ACCEPTED = new LoadOutcome(true, null);
     }
 
     private RouteTable current;
 
-    /** Null where none was ever loaded. */
+    /** Returns the loaded table, or null if none has been loaded. */
     public RouteTable current() {
         return current;
     }
 
-    /** Loads a table. The one that is loaded already may come again; it changes nothing. */
+    /** Loads a table. Loading the current one again is accepted and changes nothing. */
     public LoadOutcome load(RouteTable next) {
         if (current != null && next.number() < current.number()) {
             return new LoadOutcome(
@@ -38,7 +38,7 @@
                             + next.group()
                             + ", term "
                             + next.term()
-                            + " with other contents than the one loaded, of group "
+                            + " with contents that differ from the loaded table, of group "
                             + current.group()
                             + ", term "
                             + current.term()
--- a/core/src/main/java/cedarrudder/routetable/RouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTable.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * What the replicas of a tier have agreed on, whole: where each zone's clients are served, which
- * nodes are being removed, and what each class may get while it holds. Immutable; equal contents
- * are equal, in whatever order they were given, and have the same {@linkplain RouteTableCodec
- * bytes}.
+ * The routing state on which the replicas of a tier have agreed: which zones serve each zone's
+ * clients, which nodes are being drained, and the rate limits of classes while the table is valid.
+ * Immutable. Tables with equal contents are equal, in whatever order the contents were given, and
+ * have the same {@linkplain RouteTableCodec bytes}.
  *
- * @param number the table's own; it only rises, over all groups; at least 1
- * @param group the group of replicas that agreed on it; at least 0
- * @param term the term in which they did; at least 0
- * @param lease how long a replica that hears nothing more may use it, in nanoseconds; over 0
- * @param routes which part of a zone's calls which zone serves, ordered by both zones
- * @param draining the nodes being removed, ordered by node
- * @param limits what classes may get, ordered by class; a class without one is not limited
+ * @param number the number of the table, which only rises, across all groups; at least 1
+ * @param group the group of replicas that agreed on the table; at least 0
+ * @param term the term in which the table was agreed on; at least 0
+ * @param lease how long a replica may use the table without a renewal, in nanoseconds; over 0
+ * @param routes the zones that serve parts of a zone's requests, ordered by both zones
+ * @param draining the nodes being drained, ordered by node
+ * @param limits the rate limits of classes, ordered by class; a class without one is not limited
  */
 public record RouteTable(
         long number,
@@ -26,42 +26,45 @@
         List<DrainingNode> draining,
         List<ClassLimit> limits) {
 
-    /** A zone's whole: shares are whole parts of it. */
+    /** The total weight of a zone's routes; weights are integer parts of it. */
     public static final int TOTAL_WEIGHT = 10_000;
 
-    /** Zones, classes and waves are numbered from 0 to one less than this. */
+    /** The maximum number of zones, which are numbered from 0. */
     public static final int MAX_ZONES = 64;
 
+    /** The maximum number of classes, which are numbered from 0. */
     public static final int MAX_CLASSES = 256;
+
+    /** The maximum number of waves, which are numbered from 0. */
     public static final int MAX_WAVES = 1 << 16;
 
-    /** Nodes that are being removed at once. */
+    /** The maximum number of nodes being drained at once. */
     public static final int MAX_DRAINING = 1 << 14;
 
-    /** Nodes have numbers below this, as the balancer knows them. */
+    /** The upper bound, exclusive, of the numbers that the balancer gives to nodes. */
     public static final long MAX_NODE = 1L << 52;
 
-    /** Why a zone serves the clients of another, or its own. */
+    /** Why a zone serves the clients of a zone. */
     public enum RouteReason {
-        /** It is the one that they belong to. */
+        /** It is the clients' own zone. */
         NEAR,
-        /** Theirs can't serve this part. */
+        /** The clients' own zone can't serve this part. */
         SPILLED,
-        /** Theirs has been left. */
+        /** Traffic has been moved away from the clients' own zone. */
         MOVED
     }
 
     /**
-     * A part of one zone's calls.
+     * A route for a part of one zone's requests.
      *
      * @param from the zone of the clients
-     * @param to the zone that serves them
-     * @param weight of {@link #TOTAL_WEIGHT}, this many; from 1
-     * @param maxPerSecond it gets no more calls a second from there; 0: no bound
+     * @param to the zone that serves the requests
+     * @param weight the part, from 1 to {@link #TOTAL_WEIGHT}
+     * @param maxPerSecond the maximum number of requests per second on the route; 0: no limit
      */
     public record ZoneRoute(int from, int to, RouteReason reason, int weight, int maxPerSecond) {
         /**
-         * Checks the ranges above; what lies outside is an IllegalArgumentException that names it.
+         * Checks the ranges; throws an IllegalArgumentException that names a value out of range.
          */
         public ZoneRoute {
             check(from >= 0 && from < MAX_ZONES, "share.from", from, "0 to " + (MAX_ZONES - 1));
@@ -76,18 +79,22 @@
         }
     }
 
-    /** A node that is being removed, and the wave in which it is. */
+    /** A node that is being drained, and the wave that it belongs to. */
     public record DrainingNode(long node, int wave) {
-        /** Checks the ranges; what lies outside is an IllegalArgumentException that names it. */
+        /**
+         * Checks the ranges; throws an IllegalArgumentException that names a value out of range.
+         */
         public DrainingNode {
             check(node >= 0 && node < MAX_NODE, "leaving.node", node, "0 to 2^52 - 1");
             check(wave >= 0 && wave < MAX_WAVES, "leaving.wave", wave, "0 to " + (MAX_WAVES - 1));
         }
     }
 
-    /** What a class may get a second while the table holds. */
+    /** The maximum number of requests per second of a class while the table is valid. */
     public record ClassLimit(int classIndex, int maxPerSecond) {
-        /** Checks the ranges; what lies outside is an IllegalArgumentException that names it. */
+        /**
+         * Checks the ranges; throws an IllegalArgumentException that names a value out of range.
+         */
         public ClassLimit {
             check(
                     classIndex >= 0 && classIndex < MAX_CLASSES,
@@ -98,9 +105,7 @@
         }
     }
 
-    /**
-     * Checks all that is said above; what is wrong is an IllegalArgumentException that names it.
-     */
+    /** Checks the components; throws an IllegalArgumentException that names an invalid one. */
     public RouteTable {
         check(number >= 1, "number", number, "1 or more");
         check(group >= 0, "group", group, "0 or more");
@@ -136,7 +141,10 @@
         }
     }
 
-    /** Each pair of zones once, and weights that add up to the total or less. */
+    /**
+     * Checks that each pair of zones occurs once and that the weights of a zone add up to the total
+     * or less.
+     */
     private static void checkRoutes(List<ZoneRoute> sorted) {
         long weight = 0;
         for (int i = 0; i < sorted.size(); i++) {
--- a/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableCodec.java
@@ -14,9 +14,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * A route table as bytes: a version, numbers as {@link Varint}s, and a CRC32C of all before it.
- * Nodes are written in their order, as distances. One table has one form: what would read as a
- * table and is written otherwise is refused.
+ * Encodes and decodes route tables: a version, numbers as {@link Varint}s, and a CRC32C of all
+ * bytes before it. Nodes are in order, each encoded as the difference from the one before. Every
+ * table has one canonical encoding, and any other encoding of it is rejected.
  */
 public final class RouteTableCodec {
 
@@ -25,12 +25,12 @@
     private static final int MIN_ENTRY_BYTES = 2;
     private static final int MAX_ROUTES = RouteTable.MAX_ZONES * RouteTable.MAX_ZONES;
 
-    /** What reading came to: a table, or why there is none. */
+    /** The result of decoding: a table, or else the fault in the bytes. */
     public record Decoded(RouteTable table, String fault) {}
 
     private RouteTableCodec() {}
 
-    /** Writes a table; equal tables have equal bytes. */
+    /** Encodes a table; equal tables have equal bytes. */
     public static byte[] encode(RouteTable table) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Varint.write(out, VERSION);
@@ -48,10 +48,10 @@
         }
         Varint.write(out, table.draining().size());
         long previous = 0;
-        for (DrainingNode drained : table.draining()) {
-            Varint.write(out, drained.node() - previous);
-            Varint.write(out, drained.wave());
-            previous = drained.node();
+        for (DrainingNode draining : table.draining()) {
+            Varint.write(out, draining.node() - previous);
+            Varint.write(out, draining.wave());
+            previous = draining.node();
         }
         Varint.write(out, table.limits().size());
         for (ClassLimit limit : table.limits()) {
@@ -71,10 +71,7 @@
         return (int) crc.getValue();
     }
 
-    /**
-     * Reads a table; whatever the bytes are it throws nothing, and takes memory in proportion to
-     * them.
-     */
+    /** Decodes a table. Never throws, and uses memory in proportion to the bytes. */
     public static Decoded decode(byte[] bytes) {
         int length = bytes.length - CHECKSUM_BYTES;
         if (length < 0) {
@@ -83,7 +80,7 @@
                     "found " + bytes.length + " bytes; allowed: " + CHECKSUM_BYTES + " or more");
         }
         if (ByteBuffer.wrap(bytes).getInt(length) != checksum(bytes, length)) {
-            return new Decoded(null, "the checksum does not fit");
+            return new Decoded(null, "the checksum does not match");
         }
         try {
             return new Decoded(new Reader(bytes, length).table(), null);
@@ -92,7 +89,7 @@
         }
     }
 
-    /** Reads numbers from the front on; each says its own range. */
+    /** Reads numbers in order, each checked against its range. */
     private static final class Reader {
         private final VarintReader in;
 
@@ -132,7 +129,7 @@
                                 smallInt("limit.perSecond", Integer.MAX_VALUE)));
             }
             if (in.remaining() > 0) {
-                throw invalid("end", in.remaining() + " bytes more", "none");
+                throw invalid("end", in.remaining() + " more bytes", "none");
             }
             RouteTable table = new RouteTable(number, group, term, lease, routes, draining, limits);
             if (!table.routes().equals(routes) || !table.limits().equals(limits)) {
@@ -142,8 +139,8 @@
         }
 
         /**
-         * A number of entries; each takes two bytes or more, so that no more are read than there
-         * are.
+         * Reads a number of entries. An entry takes at least two bytes, so a count above half the
+         * remaining bytes is rejected before memory is allocated for it.
          */
         private int count(String name, int max) {
             return (int) varint(name, 0, Math.min(max, in.remaining() / MIN_ENTRY_BYTES));
--- a/core/src/main/java/cedarrudder/routetable/RouteTableDelta.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTableDelta.java
@@ -10,15 +10,15 @@
 import java.util.stream.Collectors;
 
 /**
- * What a table changes of the one before it. Applied to what the former says it gives what the
- * latter says.
+ * The difference between two route tables. Applied to the contents of the earlier table, it gives
+ * those of the later one.
  *
- * @param routes new ones, and those that changed
- * @param removedRoutes of these pairs of zones the former has a share and the latter none
- * @param draining nodes that leave from now on, or in another wave
- * @param returned nodes that are not being removed any more
- * @param limits new ones, and those that changed
- * @param removedLimits classes that are not limited any more
+ * @param routes the new and the changed routes
+ * @param removedRoutes the pairs of zones that have a route in the earlier table alone
+ * @param draining the nodes that are newly drained, or in another wave
+ * @param returned the nodes that are no longer drained
+ * @param limits the new and the changed limits
+ * @param removedLimits the classes that are no longer limited
  */
 public record RouteTableDelta(
         List<ZoneRoute> routes,
@@ -28,14 +28,14 @@
         List<ClassLimit> limits,
         List<Integer> removedLimits) {
 
-    /** A zone of clients and one that serves them. */
+    /** The zone of the clients and the zone that serves them. */
     public record ZonePair(int from, int to) {
-        static ZonePair of(ZoneRoute share) {
-            return new ZonePair(share.from(), share.to());
+        static ZonePair of(ZoneRoute route) {
+            return new ZonePair(route.from(), route.to());
         }
     }
 
-    /** What changes from one table to another. */
+    /** Returns the difference between two tables. */
     public static RouteTableDelta between(RouteTable before, RouteTable after) {
         return new RouteTableDelta(
                 added(before.routes(), after.routes()),
@@ -52,11 +52,11 @@
     }
 
     private static <T, K> List<K> removed(List<T> before, List<T> after, Function<T, K> key) {
-        Set<K> stays = after.stream().map(key).collect(Collectors.toSet());
-        return before.stream().map(key).filter(entry -> !stays.contains(entry)).toList();
+        Set<K> remaining = after.stream().map(key).collect(Collectors.toSet());
+        return before.stream().map(key).filter(entry -> !remaining.contains(entry)).toList();
     }
 
-    /** Whether nothing changes but the number, the term and the lease. */
+    /** Returns whether the tables differ in nothing but their numbers, groups, terms and leases. */
     public boolean isEmpty() {
         return routes.isEmpty()
                 && removedRoutes.isEmpty()
--- a/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
+++ b/core/src/test/java/cedarrudder/routetable/RouteTableTest.java
@@ -27,11 +27,11 @@
 
     private static final long SEED = 23;
 
-    private static RouteTable any(Random random, long number) {
-        List<ZoneRoute> shares = new ArrayList<>();
+    private static RouteTable randomTable(Random random, long number) {
+        List<ZoneRoute> routes = new ArrayList<>();
         for (int from = 0; from < random.nextInt(13); from++) {
             for (int to = 0; to < 12; to++) {
-                shares.add(
+                routes.add(
                         new ZoneRoute(
                                 from,
                                 to,
@@ -40,65 +40,65 @@
                                 random.nextInt(3) * 1000));
             }
         }
-        List<DrainingNode> leaving = new ArrayList<>();
+        List<DrainingNode> draining = new ArrayList<>();
         for (int i = random.nextInt(50); i > 0; i--) {
-            leaving.add(new DrainingNode(i * 1_000_003L * 4_000_000, random.nextInt(9)));
+            draining.add(new DrainingNode(i * 1_000_003L * 4_000_000, random.nextInt(9)));
         }
         List<ClassLimit> limits = new ArrayList<>();
         for (int i = random.nextInt(5); i > 0; i--) {
             limits.add(new ClassLimit(i, random.nextInt(1 << 20)));
         }
-        Collections.shuffle(shares, random);
-        Collections.shuffle(leaving, random);
+        Collections.shuffle(routes, random);
+        Collections.shuffle(draining, random);
         return new RouteTable(
                 number,
                 random.nextInt(3),
                 random.nextInt(9),
                 1 + random.nextInt(1 << 30),
-                shares,
-                leaving,
+                routes,
+                draining,
                 limits);
     }
 
-    /** Detects a table that is another once it has travelled, and two forms of one table. */
+    /** A table must not change by encoding and decoding. */
     @Test
-    public void whatIsWrittenIsRead() {
+    public void decodedTableEqualsEncodedTable() {
         Random random = new Random(SEED);
         for (int i = 1; i <= 500; i++) {
-            RouteTable table = any(random, i);
+            RouteTable table = randomTable(random, i);
             RouteTableCodec.Decoded read = RouteTableCodec.decode(RouteTableCodec.encode(table));
             assertNull(read.fault(), "seed " + SEED + ", table " + i);
             assertEquals(read.table(), table);
         }
     }
 
-    /** Detects a table that another build of the same tier can't read. */
+    /** A changed encoding could not be decoded by another build in the same tier. */
     @Test
-    public void theFormIsThatOfTheEarlierBuild() {
+    public void encodingMatchesEarlierBuild() {
         Random random = new Random(SEED);
-        StringBuilder forms = new StringBuilder();
+        StringBuilder encoded = new StringBuilder();
         for (int i = 1; i <= 6; i++) {
-            forms.append(Golden.hex(RouteTableCodec.encode(any(random, i))));
+            encoded.append(Golden.hex(RouteTableCodec.encode(randomTable(random, i))));
         }
-        Golden.check("route-tables.txt", forms.toString());
+        Golden.check("route-tables.txt", encoded.toString());
         random = new Random(SEED);
-        for (String line : forms.toString().lines().toList()) {
+        for (String line : encoded.toString().lines().toList()) {
             RouteTableCodec.Decoded read = RouteTableCodec.decode(Golden.bytes(line));
-            assertEquals(read.table(), any(random, read.table().number()));
+            assertEquals(read.table(), randomTable(random, read.table().number()));
         }
     }
 
-    private static byte[] summed(byte[] bytes) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, 0, bytes.length - 4);
-        ByteBuffer.wrap(bytes).putInt(bytes.length - 4, (int) sum.getValue());
+    private static byte[] withChecksum(byte[] bytes) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(bytes, 0, bytes.length - 4);
+        ByteBuffer.wrap(bytes).putInt(bytes.length - 4, (int) checksum.getValue());
         return bytes;
     }
 
-    /** Detects what the wire did to a table being loaded: each bit, and each length. */
+    /** A table with any flipped bit, or cut at any length, must not be loaded. */
     @Test
-    public void whatIsDamagedIsRefused() {
-        byte[] good = RouteTableCodec.encode(any(new Random(SEED), 7));
+    public void damagedBytesAreRejected() {
+        byte[] good = RouteTableCodec.encode(randomTable(new Random(SEED), 7));
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
@@ -110,17 +110,19 @@
         }
     }
 
-    /** Detects a peer's bytes that end the loop, though their checksum fits. */
+    /**
+     * Malformed bytes of a peer with a correct checksum must not throw, as that would end the loop.
+     */
     @Test
-    public void noBytesThrowAndWhatIsReadHasOneForm() {
+    public void malformedBytesNeverThrowAndDecodedTablesAreCanonical() {
         Random random = new Random(SEED);
         int read = 0;
         for (int i = 1; i <= 6_000; i++) {
-            byte[] bytes = RouteTableCodec.encode(any(random, i));
+            byte[] bytes = RouteTableCodec.encode(randomTable(random, i));
             for (int times = 1 + random.nextInt(3); times > 0 && bytes.length > 4; times--) {
                 bytes[random.nextInt(bytes.length - 4)] = (byte) random.nextInt(256);
             }
-            RouteTableCodec.Decoded decoded = RouteTableCodec.decode(summed(bytes));
+            RouteTableCodec.Decoded decoded = RouteTableCodec.decode(withChecksum(bytes));
             assertTrue(
                     decoded.table() == null ^ decoded.fault() == null,
                     "seed " + SEED + ", run " + i);
@@ -132,8 +134,9 @@
                         "seed " + SEED + ", run " + i);
             }
         }
-        assertTrue(read > 500, "only " + read + " were read");
-        byte[] many = summed(new byte[] {1, 1, 0, 0, 1, (byte) 0xff, (byte) 0xff, 3, 0, 0, 0, 0});
+        assertTrue(read > 500, "only " + read + " were decoded");
+        byte[] many =
+                withChecksum(new byte[] {1, 1, 0, 0, 1, (byte) 0xff, (byte) 0xff, 3, 0, 0, 0, 0});
         assertTrue(
                 RouteTableCodec.decode(many)
                         .fault()
@@ -142,7 +145,7 @@
     }
 
     @Test
-    public void whatContradictsItselfIsNamed() {
+    public void contradictingEntriesAreNamedInTheException() {
         ZoneRoute half = new ZoneRoute(1, 2, RouteReason.MOVED, 6_000, 0);
         ZoneRoute more = new ZoneRoute(1, 3, RouteReason.SPILLED, 6_000, 0);
         assertEquals(
@@ -177,51 +180,54 @@
                 "leaving: found node 5 twice; allowed: once");
     }
 
-    /** Detects a stale leader's table taking back what counts, and two tables of one number. */
+    /**
+     * A stale leader's table must not replace a newer one, nor one of two tables with one number.
+     */
     @Test
-    public void numbersOnlyRise() {
+    public void tableNumberNeverDecreases() {
         Random random = new Random(SEED);
         CurrentRouteTable tables = new CurrentRouteTable();
-        RouteTable fifth = any(random, 5);
+        RouteTable fifth = randomTable(random, 5);
         assertTrue(tables.load(fifth).accepted());
         assertTrue(tables.load(fifth).accepted());
-        assertTrue(tables.load(any(random, 5)).rejection().contains("one table a number"));
-        assertTrue(tables.load(any(random, 4)).rejection().contains("found 4 with 5 loaded"));
+        assertTrue(tables.load(randomTable(random, 5)).rejection().contains("one table a number"));
+        assertTrue(
+                tables.load(randomTable(random, 4)).rejection().contains("found 4 with 5 loaded"));
         assertEquals(tables.current(), fifth);
-        assertTrue(tables.load(any(random, 9)).accepted());
+        assertTrue(tables.load(randomTable(random, 9)).accepted());
         assertEquals(tables.current().number(), 9);
     }
 
-    /** Detects a change that is missed: a node that stays out, a share or a limit that stays. */
+    /** A missed change would leave a node drained, or a route or a limit in place. */
     @Test
-    public void theDifferenceAppliedGivesTheNext() {
+    public void deltaAppliedToEarlierTableGivesLaterTable() {
         Random random = new Random(SEED);
         for (int i = 1; i <= 300; i++) {
-            RouteTable before = any(random, i);
-            RouteTable after = any(random, i + 1);
-            RouteTableDelta change = RouteTableDelta.between(before, after);
-            Set<DrainingNode> leaving = new HashSet<>(before.draining());
-            leaving.removeIf(
+            RouteTable before = randomTable(random, i);
+            RouteTable after = randomTable(random, i + 1);
+            RouteTableDelta delta = RouteTableDelta.between(before, after);
+            Set<DrainingNode> draining = new HashSet<>(before.draining());
+            draining.removeIf(
                     one ->
-                            change.returned().contains(one.node())
-                                    || change.draining().stream()
+                            delta.returned().contains(one.node())
+                                    || delta.draining().stream()
                                             .anyMatch(next -> next.node() == one.node()));
-            leaving.addAll(change.draining());
-            assertEquals(leaving, new HashSet<>(after.draining()));
-            Set<ZoneRoute> shares = new HashSet<>(before.routes());
-            shares.removeIf(
+            draining.addAll(delta.draining());
+            assertEquals(draining, new HashSet<>(after.draining()));
+            Set<ZoneRoute> routes = new HashSet<>(before.routes());
+            routes.removeIf(
                     one ->
-                            change.removedRoutes().contains(RouteTableDelta.ZonePair.of(one))
-                                    || change.routes().stream()
+                            delta.removedRoutes().contains(RouteTableDelta.ZonePair.of(one))
+                                    || delta.routes().stream()
                                             .anyMatch(
                                                     next ->
                                                             next.from() == one.from()
                                                                     && next.to() == one.to()));
-            shares.addAll(change.routes());
-            assertEquals(shares, new HashSet<>(after.routes()));
-            assertFalse(change.isEmpty());
+            routes.addAll(delta.routes());
+            assertEquals(routes, new HashSet<>(after.routes()));
+            assertFalse(delta.isEmpty());
         }
-        RouteTable table = any(random, 3);
+        RouteTable table = randomTable(random, 3);
         assertTrue(
                 RouteTableDelta.between(
                                 table,
