--- a/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
+++ b/core/src/main/java/cedarrudder/consensus/AppliedProposals.java
@@ -6,95 +6,104 @@
 import java.util.Map;
 
 /**
- * What each replica's last proposal was that took effect: part of what replicas agree on, and the
- * same at all that loaded the same. A replica hands on one after another, so that the last one
- * tells of all before it. It remembers {@value #MAX} replicas; of one that it forgot, it takes only
- * what was made after it forgot.
+ * The last proposal of each replica that took effect. This is part of the replicated state, so it
+ * is the same at all replicas that applied the same entries. A replica forwards its proposals one
+ * after another, so the last one also accounts for all before it. At most {@value #MAX} replicas
+ * are remembered; of a replica that was evicted, only proposals created after the eviction are
+ * accepted.
  */
 final class AppliedProposals {
 
     static final int MAX = 512;
 
-    /** What it takes in a snapshot at most. */
-    static final int MAX_BYTES = 2 + Proposal.NUMBER_BYTES + MAX * (18 + Proposal.NUMBER_BYTES);
+    /** The maximum size of this part of a snapshot, in bytes. */
+    static final int MAX_BYTES = 2 + Proposal.POSITION_BYTES + MAX * (18 + Proposal.POSITION_BYTES);
 
     /**
-     * One that took effect.
+     * A proposal that took effect.
      *
-     * @param number under which it did
+     * @param position the position at which it took effect
      */
-    record Last(long incarnation, long sequence, LogPosition number) {}
+    record Last(long incarnation, long sequence, LogPosition position) {}
 
-    /** What a snapshot holds: these, and the state of the replica. */
+    /** The contents of a snapshot: the applied proposals and the replica's state. */
     record Parts(AppliedProposals appliedProposals, byte[] state) {}
 
-    /** Those whose last one is oldest come first. */
+    /** The last proposal by replica, the oldest first. */
     private final Map<Integer, Last> lastByReplica = new LinkedHashMap<>();
 
-    private LogPosition forgotten = new LogPosition(VoterGroup.NONE, 0);
+    private LogPosition lastEvicted = new LogPosition(VoterGroup.NONE, 0);
 
-    /** The last one of a replica that took effect; null where none did or it was forgotten. */
+    /**
+     * Returns the last proposal of a replica that took effect, or null if none did or the replica
+     * was evicted.
+     */
     Last last(int replica) {
         return lastByReplica.get(replica);
     }
 
-    /** Whether it has not taken effect, and none has that came after it. */
+    /**
+     * Returns whether neither this proposal nor a later one of the same replica has taken effect.
+     */
     boolean isNew(Proposal proposal) {
         Last last = lastByReplica.get(proposal.replica());
         return last == null
-                ? proposal.after().compareTo(forgotten) >= 0
+                ? proposal.appliedPosition().compareTo(lastEvicted) >= 0
                 : proposal.incarnation() > last.incarnation
                         || proposal.incarnation() == last.incarnation
                                 && proposal.sequence() > last.sequence;
     }
 
-    /** It takes effect. */
-    void onApplied(Proposal proposal, LogPosition number) {
+    /** Records that a proposal takes effect. */
+    void onApplied(Proposal proposal, LogPosition position) {
         lastByReplica.remove(proposal.replica());
         lastByReplica.put(
-                proposal.replica(), new Last(proposal.incarnation(), proposal.sequence(), number));
+                proposal.replica(),
+                new Last(proposal.incarnation(), proposal.sequence(), position));
         if (lastByReplica.size() > MAX) {
-            forgotten = lastByReplica.remove(lastByReplica.keySet().iterator().next()).number;
+            lastEvicted = lastByReplica.remove(lastByReplica.keySet().iterator().next()).position;
         }
     }
 
-    /** With the state of the replica, as a snapshot holds it. */
+    /** Encodes the applied proposals and the replica's state as the contents of a snapshot. */
     byte[] encodeWith(byte[] state) {
         ByteBuffer out =
                 ByteBuffer.allocate(
                         2
-                                + Proposal.NUMBER_BYTES
-                                + lastByReplica.size() * (18 + Proposal.NUMBER_BYTES)
+                                + Proposal.POSITION_BYTES
+                                + lastByReplica.size() * (18 + Proposal.POSITION_BYTES)
                                 + state.length);
         out.putShort((short) lastByReplica.size());
-        Proposal.put(out, forgotten);
+        Proposal.putPosition(out, lastEvicted);
         lastByReplica.forEach(
                 (replica, last) -> {
                     out.putShort(replica.shortValue())
                             .putLong(last.incarnation)
                             .putLong(last.sequence);
-                    Proposal.put(out, last.number);
+                    Proposal.putPosition(out, last.position);
                 });
         return out.put(state).array();
     }
 
-    /** Reads what a snapshot holds; null where the bytes are none. */
+    /** Decodes the contents of a snapshot; returns null if the bytes are malformed. */
     static Parts decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        AppliedProposals read = new AppliedProposals();
+        AppliedProposals decoded = new AppliedProposals();
         try {
             int count = bytes.length == 0 ? 0 : in.getShort() & 0xffff;
             if (bytes.length > 0) {
-                read.forgotten = Proposal.number(in);
+                decoded.lastEvicted = Proposal.readPosition(in);
             }
             for (int i = 0; i < count; i++) {
                 int replica = in.getShort() & 0xffff;
-                read.lastByReplica.put(
-                        replica, new Last(in.getLong(), in.getLong(), Proposal.number(in)));
+                decoded.lastByReplica.put(
+                        replica, new Last(in.getLong(), in.getLong(), Proposal.readPosition(in)));
             }
             byte[] state = new byte[in.remaining()];
             in.get(state);
-            return count > MAX || state.length > RaftNode.MAX_STATE ? null : new Parts(read, state);
+            return count > MAX || state.length > RaftNode.MAX_STATE
+                    ? null
+                    : new Parts(decoded, state);
         } catch (BufferUnderflowException e) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/consensus/ConsensusEvent.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusEvent.java
@@ -1,21 +1,21 @@
 package cedarrudder.consensus;
 
-/** What a replica says of itself, for logs and for a judge. */
+/** An event of a replica's consensus protocol, for logs and for checkers of the protocol. */
 public sealed interface ConsensusEvent {
 
     VoterGroup group();
 
-    /** It promised a vote, its own included. */
+    /** The replica granted its vote to a candidate, possibly to itself. */
     record VoteGranted(VoterGroup group, long term, Voter by, Voter candidate)
             implements ConsensusEvent {}
 
-    /** It leads from here on. */
+    /** The replica was elected leader. */
     record LeaderElected(VoterGroup group, long term, Voter by) implements ConsensusEvent {}
 
-    /** It has stored an entry and may acknowledge it. */
+    /** The replica has stored an entry and may acknowledge it. */
     record EntryStored(VoterGroup group, long index, Voter by, LogEntry entry)
             implements ConsensusEvent {}
 
-    /** It knows that these voters are committed. */
+    /** The replica has learned that a set of voters is committed. */
     record VotersChanged(VoterGroup group, long index, VoterSet voters) implements ConsensusEvent {}
 }
--- a/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
+++ b/core/src/main/java/cedarrudder/consensus/ConsensusSettings.java
@@ -1,22 +1,25 @@
 package cedarrudder.consensus;
 
 /**
- * The figures of agreement. Times are nanoseconds.
+ * The settings of the consensus protocol. Times are in nanoseconds.
  *
- * @param heartbeat between two messages of a leader to each other voter; at least 1 ms
- * @param minElection a voter that hears no leader for this long may ask for votes; at least 3
- *     heartbeats
- * @param maxElection the longest that one waits; a leader that a majority has not answered for so
+ * @param heartbeat the interval at which a leader sends a message to each other voter; at least 1
+ *     ms
+ * @param minElection the minimum election timeout: a voter without contact to a leader for this
+ *     long may request votes; at least 3 heartbeats
+ * @param maxElection the maximum election timeout; a leader that no majority has answered for this
  *     long steps down
- * @param voters how many there are to be: 3, 5 or 7
- * @param voterPatience a voter silent for this long is replaced; over {@code maxElection}
- * @param spreadPeriod between two digests of a replica; at least 1 ms
- * @param fanout to how many others it passes on what it has just learned; from 1 to 8
- * @param bytesPerSecond the most that it spends on entries, snapshots and repeats for others; at
- *     least 1,024
- * @param retainedEntries how many committed entries it keeps for others; at least 8
- * @param formationTimeout after which a replica that hears of no leader forms a new group; 0 is
- *     never
+ * @param voters the target number of voters: 3, 5 or 7
+ * @param voterPatience the time after which a silent voter is replaced; over {@code maxElection}
+ * @param spreadPeriod the interval between two digests of a replica; at least 1 ms
+ * @param fanout the number of other replicas to which a replica sends newly committed entries; from
+ *     1 to 8
+ * @param bytesPerSecond the maximum rate at which a replica sends entries, snapshots and repeated
+ *     fragments to others; at least 1,024
+ * @param retainedEntries the number of committed entries that a replica retains for others; at
+ *     least 8
+ * @param formationTimeout the time without a known leader after which a replica forms a new group;
+ *     over {@code voterPatience}; 0 for never
  */
 public record ConsensusSettings(
         long heartbeat,
@@ -32,7 +35,7 @@
 
     private static final long MILLI = 1_000_000L;
 
-    /** What serves where nothing else is said. */
+    /** The settings that apply where nothing else is configured. */
     public static final ConsensusSettings DEFAULT =
             new ConsensusSettings(
                     150 * MILLI,
@@ -46,7 +49,11 @@
                     32,
                     0);
 
-    /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
+    /**
+     * Checks the ranges above.
+     *
+     * @throws IllegalArgumentException if a value is outside its range; the message names the value
+     */
     public ConsensusSettings {
         check(heartbeat >= MILLI, "heartbeat", heartbeat, "1 ms or more");
         check(minElection >= 3 * heartbeat, "electionLeast", minElection, "3 heartbeats or more");
@@ -64,7 +71,7 @@
                 "0, or over voterPatience");
     }
 
-    /** The same with another silence. */
+    /** Returns these settings with another formation timeout. */
     public ConsensusSettings withFormationTimeout(long other) {
         return new ConsensusSettings(
                 heartbeat,
--- a/core/src/main/java/cedarrudder/consensus/Election.java
+++ b/core/src/main/java/cedarrudder/consensus/Election.java
@@ -6,10 +6,13 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** Terms, votes and who leads (paper, 5.2 and 5.4.1; thesis, 4.2.3 and 9.6). */
+/**
+ * Leader election: terms, votes and the role of this replica (Raft paper, 5.2 and 5.4.1; thesis,
+ * 4.2.3 and 9.6).
+ */
 final class Election {
 
-    /** What a replica does in its term. */
+    /** The role of a replica in its term. */
     enum Role {
         FOLLOWER,
         PRE_CANDIDATE,
@@ -29,7 +32,7 @@
     private int leader = -1;
     private long leaderContactAt;
     private long electionTimeoutAt;
-    private long askAt;
+    private long nextRequestAt;
     private boolean transferred;
 
     Election(
@@ -46,13 +49,13 @@
         resetElectionTimeout(now);
     }
 
-    void restore(StableStorage.HardState promise) {
-        term = promise.term();
-        vote = promise.vote();
-        admitted = promise.admitted();
+    void restore(StableStorage.HardState hardState) {
+        term = hardState.term();
+        vote = hardState.vote();
+        admitted = hardState.admitted();
     }
 
-    /** Another group: nothing of the former counts. */
+    /** Resets everything to the state of a replica that has just joined a group. */
     void reset(long now) {
         role = Role.FOLLOWER;
         term = 0;
@@ -83,12 +86,14 @@
         return admitted;
     }
 
-    /** The replica that leads, as far as this one knows; -1 where it knows of none. */
+    /**
+     * Returns the leader's number as far as this replica knows, or -1 where it knows of no leader.
+     */
     int leader() {
         return isLeader() ? context.self().replica() : leader;
     }
 
-    /** The group has committed this life as a voter. */
+    /** Records that the group has committed this incarnation as a voter. */
     void admitAsVoter() {
         if (!admitted) {
             admitted = true;
@@ -109,17 +114,17 @@
                                         * (settings.maxElection() - settings.minElection()));
     }
 
-    /** A message of a leader came, of a term that is not past. */
-    void onLeaderContact(long now, int from, long ofTerm) {
-        becomeFollower(now, ofTerm);
+    /** Handles a message from a leader whose term is not before this replica's. */
+    void onLeaderContact(long now, int from, long leaderTerm) {
+        becomeFollower(now, leaderTerm);
         leader = from;
         leaderContactAt = now;
     }
 
-    /** Goes on as one who follows, in this term where it is a later one. */
-    void becomeFollower(long now, long ofTerm) {
-        if (ofTerm > term) {
-            term = ofTerm;
+    /** Becomes a follower, in the given term if that is later than the current one. */
+    void becomeFollower(long now, long newTerm) {
+        if (newTerm > term) {
+            term = newTerm;
             vote = null;
             leader = -1;
             context.onHardStateChanged();
@@ -128,8 +133,8 @@
         resetElectionTimeout(now);
     }
 
-    /** Whether a leader was there so lately that no election is called for. */
-    private boolean content(long now) {
+    /** Returns whether a leader was in contact so recently that no election is needed. */
+    private boolean hasRecentLeader(long now) {
         return isLeader() || leader >= 0 && now - leaderContactAt < settings.minElection();
     }
 
@@ -137,7 +142,9 @@
         if (isLeader() || !mayVote()) {
             return Long.MAX_VALUE;
         }
-        return role == Role.FOLLOWER ? electionTimeoutAt : Math.min(electionTimeoutAt, askAt);
+        return role == Role.FOLLOWER
+                ? electionTimeoutAt
+                : Math.min(electionTimeoutAt, nextRequestAt);
     }
 
     void tick(long now) {
@@ -147,25 +154,25 @@
         if (now >= electionTimeoutAt) {
             leader = -1;
             transferred = false;
-            begin(now, rules.requiresPreVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE);
-        } else if (role != Role.FOLLOWER && now >= askAt) {
+            startRound(now, rules.requiresPreVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE);
+        } else if (role != Role.FOLLOWER && now >= nextRequestAt) {
             requestVotes(now);
         }
     }
 
-    /** The leader asked for it by TimeoutNow. */
+    /** Starts an election at once, on the leader's TimeoutNow. */
     void startElection(long now) {
         if (!isLeader() && mayVote()) {
             transferred = true;
-            begin(now, Role.CANDIDATE);
+            startRound(now, Role.CANDIDATE);
         }
     }
 
-    private void begin(long now, Role as) {
-        role = as;
+    private void startRound(long now, Role newRole) {
+        role = newRole;
         granted.clear();
         granted.add(context.self());
-        if (as == Role.CANDIDATE) {
+        if (newRole == Role.CANDIDATE) {
             term++;
             vote = context.self();
             context.onHardStateChanged();
@@ -173,82 +180,87 @@
         }
         resetElectionTimeout(now);
         requestVotes(now);
-        count(now);
+        countVotes(now);
     }
 
     private void requestVotes(long now) {
-        askAt = now + settings.heartbeat();
-        boolean ahead = role == Role.PRE_CANDIDATE;
+        nextRequestAt = now + settings.heartbeat();
+        boolean isPreVote = role == Role.PRE_CANDIDATE;
         RaftLog log = context.log();
         for (Voter voter : log.voters().all()) {
             if (!granted.contains(voter)) {
                 context.send(
                         voter.replica(),
                         new RequestVote(
-                                ahead, transferred, log.lastIndex(), log.term(log.lastIndex())),
-                        ahead ? term + 1 : term);
+                                isPreVote, transferred, log.lastIndex(), log.term(log.lastIndex())),
+                        isPreVote ? term + 1 : term);
             }
         }
     }
 
-    private void count(long now) {
-        if (!context.log().voters().quorum(granted::contains)) {
+    private void countVotes(long now) {
+        if (!context.log().voters().hasQuorum(granted::contains)) {
             return;
         }
         if (role == Role.PRE_CANDIDATE) {
-            begin(now, Role.CANDIDATE);
+            startRound(now, Role.CANDIDATE);
         } else if (role == Role.CANDIDATE) {
             role = Role.LEADER;
             context.record(new ConsensusEvent.LeaderElected(context.group(), term, context.self()));
         }
     }
 
-    void onRequestVote(long now, Voter by, long inTerm, RequestVote ask) {
-        if (content(now) && !ask.transferred()) {
+    void onRequestVote(long now, Voter sender, long messageTerm, RequestVote request) {
+        if (hasRecentLeader(now) && !request.transferred()) {
             return;
         }
         RaftLog log = context.log();
-        long ownTerm = log.term(log.lastIndex());
+        long ownLastTerm = log.term(log.lastIndex());
         boolean upToDate =
-                ask.lastTerm() > ownTerm
-                        || ask.lastTerm() == ownTerm && ask.lastIndex() >= log.lastIndex();
-        if (ask.preVote()) {
+                request.lastTerm() > ownLastTerm
+                        || request.lastTerm() == ownLastTerm
+                                && request.lastIndex() >= log.lastIndex();
+        if (request.preVote()) {
             context.send(
-                    by.replica(),
-                    new VoteResponse(true, inTerm > term && upToDate && mayVote(), inTerm));
+                    sender.replica(),
+                    new VoteResponse(
+                            true, messageTerm > term && upToDate && mayVote(), messageTerm));
             return;
         }
-        if (inTerm > term) {
-            becomeFollower(now, inTerm);
+        if (messageTerm > term) {
+            becomeFollower(now, messageTerm);
         }
         boolean grants =
-                inTerm == term && upToDate && mayVote() && (vote == null || vote.equals(by));
+                messageTerm == term
+                        && upToDate
+                        && mayVote()
+                        && (vote == null || vote.equals(sender));
         if (grants && vote == null) {
-            vote = by;
+            vote = sender;
             context.onHardStateChanged();
             context.record(
-                    new ConsensusEvent.VoteGranted(context.group(), term, context.self(), by));
+                    new ConsensusEvent.VoteGranted(context.group(), term, context.self(), sender));
         }
         if (grants) {
             resetElectionTimeout(now);
         }
-        context.send(by.replica(), new VoteResponse(false, grants, inTerm));
+        context.send(sender.replica(), new VoteResponse(false, grants, messageTerm));
     }
 
-    void onVoteResponse(long now, Voter by, long inTerm, VoteResponse say) {
-        if (inTerm > term && !say.granted()) {
+    void onVoteResponse(long now, Voter sender, long messageTerm, VoteResponse response) {
+        if (messageTerm > term && !response.granted()) {
             if (!isLeader()) {
-                becomeFollower(now, inTerm);
+                becomeFollower(now, messageTerm);
             }
             return;
         }
-        boolean ahead = role == Role.PRE_CANDIDATE;
-        if (say.granted()
-                && (ahead || role == Role.CANDIDATE)
-                && say.preVote() == ahead
-                && say.requestedTerm() == (ahead ? term + 1 : term)) {
-            granted.add(by);
-            count(now);
+        boolean isPreVote = role == Role.PRE_CANDIDATE;
+        if (response.granted()
+                && (isPreVote || role == Role.CANDIDATE)
+                && response.preVote() == isPreVote
+                && response.requestedTerm() == (isPreVote ? term + 1 : term)) {
+            granted.add(sender);
+            countVotes(now);
         }
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/GroupFormation.java
+++ b/core/src/main/java/cedarrudder/consensus/GroupFormation.java
@@ -3,15 +3,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a replica that hears of no leader forms a new group by itself, where the settings allow it.
- * Replicas wait for random times, so that not all form a group at once, and those that have no
- * state come last.
+ * Decides when a replica that knows of no leader forms a new group by itself, if the settings allow
+ * that. Replicas wait for random times, so that they do not all form a group at once, and replicas
+ * that have no state wait longest.
  */
 final class GroupFormation {
 
     private final ConsensusSettings settings;
     private final RandomGenerator random;
-    private long waitsFrom;
+    private long waitStart;
     private long wait;
 
     GroupFormation(ConsensusSettings settings, RandomGenerator random, long now) {
@@ -24,22 +24,23 @@
         return settings.formationTimeout() > 0;
     }
 
-    /** The wait begins anew. */
+    /** Restarts the wait with a new random duration. */
     void restart(long now) {
-        waitsFrom = now;
+        waitStart = now;
         wait =
                 settings.formationTimeout()
                         + (long) (random.nextDouble() * settings.formationTimeout());
     }
 
     /**
-     * When a group is formed.
+     * Returns when this replica forms a group.
      *
-     * @param lastHeartbeatAt when a leader was last known to be there, by any way
+     * @param lastHeartbeatAt when the last sign of a leader was received, directly or through other
+     *     replicas
      * @param hasState whether this replica has applied anything
      */
     long dueAt(long lastHeartbeatAt, boolean hasState) {
-        return Math.max(lastHeartbeatAt, waitsFrom)
+        return Math.max(lastHeartbeatAt, waitStart)
                 + wait
                 + (hasState ? 0 : settings.formationTimeout());
     }
--- a/core/src/main/java/cedarrudder/consensus/LogApplier.java
+++ b/core/src/main/java/cedarrudder/consensus/LogApplier.java
@@ -1,7 +1,7 @@
 package cedarrudder.consensus;
 
 /**
- * Applies committed entries to the replica's state, each once, and takes and installs snapshots
+ * Applies each committed entry to the replica's state once, and creates and installs snapshots
  * (Raft paper, sections 5.3 and 7).
  */
 final class LogApplier {
@@ -27,30 +27,35 @@
         this.forwarder = forwarder;
     }
 
-    /** The index of the entry that was applied last. */
+    /** Returns the index of the entry that was applied last. */
     long applied() {
         return applied;
     }
 
-    /** What was applied last, or the state that stands for it. */
+    /**
+     * Returns the position of the entry that was applied last, by itself or as part of a snapshot.
+     */
     LogPosition position() {
         return new LogPosition(context.group(), applied);
     }
 
-    /** Whether a forwarded proposal is to be committed: only one that did not take effect. */
+    /**
+     * Returns whether a forwarded proposal may take effect, which one that already took effect may
+     * not.
+     */
     boolean mayTakeEffect(Proposal proposal) {
         return rules.mayTakeEffect(proposals.isNew(proposal));
     }
 
     /**
-     * Begins with the state that the storage holds.
+     * Restores the state that was read from the storage.
      *
-     * @throws IllegalArgumentException where its snapshot can't be read
+     * @throws IllegalArgumentException if its snapshot can't be decoded
      */
     void restore(Snapshot snapshot) {
         AppliedProposals.Parts parts = AppliedProposals.decode(snapshot.state());
         if (parts == null) {
-            throw new IllegalArgumentException("store: its snapshot is none");
+            throw new IllegalArgumentException("storage: its snapshot is malformed");
         }
         restore(parts);
     }
@@ -61,22 +66,28 @@
         actions.restore(position(), parts.state());
     }
 
-    /** Takes the state of a snapshot that the log has installed, which can be read. */
+    /**
+     * Replaces the state by that of a snapshot that the log has installed and that is known to be
+     * well formed.
+     */
     void install(Snapshot snapshot) {
         restore(AppliedProposals.decode(snapshot.state()));
     }
 
-    /** Nothing of a group that was joined is applied yet; what was applied before stays. */
+    /**
+     * Records that no entry of a newly joined group is applied yet. The state that was applied
+     * before is retained.
+     */
     void reset() {
         applied = 0;
     }
 
     /**
-     * Applies all that is committed, and compacts the log where it has grown.
+     * Applies all committed entries, and compacts the log if it has grown.
      *
-     * @param votersChanged hears of each committed change of the voters
+     * @param votersListener notified of each committed change of the voters
      */
-    void applyCommitted(VotersListener votersChanged) {
+    void applyCommitted(VotersListener votersListener) {
         RaftLog log = context.log();
         while (applied < log.commitIndex()) {
             applied++;
@@ -84,7 +95,7 @@
             switch (entry.kind()) {
                 case CONTENT -> actions.apply(position(), entry.bytes());
                 case FORWARDED -> applyForwarded(Proposal.decode(entry.bytes()));
-                case VOTERS -> votersChanged.onVoters(applied, VoterSet.decode(entry.bytes()));
+                case VOTERS -> votersListener.onVoters(applied, VoterSet.decode(entry.bytes()));
                 case TERM_START -> {}
             }
         }
@@ -93,12 +104,15 @@
         }
     }
 
-    /** Hears of changes of the voters. */
+    /** Is notified of committed changes of the voters. */
     interface VotersListener {
         void onVoters(long index, VoterSet voters);
     }
 
-    /** A proposal takes effect once, however often leaders took it into the log. */
+    /**
+     * Applies a forwarded proposal unless it already took effect: leaders may have appended it to
+     * the log more than once.
+     */
     private void applyForwarded(Proposal proposal) {
         if (mayTakeEffect(proposal)) {
             proposals.onApplied(proposal, position());
@@ -107,12 +121,15 @@
         settleOwn();
     }
 
-    /** Settles this replica's own proposals by what took effect. */
+    /** Settles this replica's own proposals whose outcome is known by now. */
     void settleOwn() {
         forwarder.onApplied(proposals.last(context.self().replica()));
     }
 
-    /** The replica's state with the proposals that took effect. */
+    /**
+     * Returns the replica's state with the proposals that took effect, as the contents of a
+     * snapshot.
+     */
     byte[] encodeState() {
         byte[] state = actions.state();
         if (state.length > RaftNode.MAX_STATE) {
--- a/core/src/main/java/cedarrudder/consensus/LogEntry.java
+++ b/core/src/main/java/cedarrudder/consensus/LogEntry.java
@@ -1,26 +1,26 @@
 package cedarrudder.consensus;
 
 /**
- * One entry of the log.
+ * An entry of the log.
  *
- * @param term that of the leader who made it
- * @param bytes what it holds; not to be changed
+ * @param term the term of the leader that created the entry
+ * @param bytes the encoded contents, which must not be modified
  */
 public record LogEntry(long term, Kind kind, byte[] bytes) {
 
-    /** What an entry is for. */
+    /** The kind of a log entry. */
     public enum Kind {
-        /** A new leader's first, which commits what came before it. */
+        /** The first entry of a new leader, which commits the entries before it. */
         TERM_START,
-        /** What the replicas agree on; its bytes are their own affair. */
+        /** Content whose bytes only the application reads. */
         CONTENT,
-        /** The same, as a proposal that was handed on: it takes effect once. */
+        /** Content of a forwarded proposal, which takes effect once. */
         FORWARDED,
-        /** Those who vote from here on. */
+        /** The voters from this entry on. */
         VOTERS
     }
 
-    /** What is loaded of it, if it is loaded. */
+    /** Returns the content to apply, if the entry is one that is applied. */
     public byte[] content() {
         return kind == Kind.FORWARDED ? Proposal.decode(bytes).content() : bytes;
     }
--- a/core/src/main/java/cedarrudder/consensus/LogPosition.java
+++ b/core/src/main/java/cedarrudder/consensus/LogPosition.java
@@ -1,9 +1,10 @@
 package cedarrudder.consensus;
 
 /**
- * The number of something that replicas agreed on. It rises within a group and over groups.
+ * The position of an entry in the log of a group. Positions rise within a group and from one group
+ * to the next.
  *
- * @param index its place in the group's log, from 1
+ * @param index the index of the entry in the group's log, from 1
  */
 public record LogPosition(VoterGroup group, long index) implements Comparable<LogPosition> {
 
--- a/core/src/main/java/cedarrudder/consensus/LogReplication.java
+++ b/core/src/main/java/cedarrudder/consensus/LogReplication.java
@@ -10,39 +10,42 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a leader does in its term: sends entries to the other voters, and counts who has them
- * (paper, 5.3).
+ * A leader's replication of its log during its term: sends entries to the other voters and commits
+ * those that a majority has stored (Raft paper, 5.3).
  */
 final class LogReplication {
 
-    /** Entries in one message take at most this many bytes, or there is one. */
-    static final int MAX_BATCH = 4_096;
+    /**
+     * The maximum size of the entries of one message, in bytes. A single larger entry is sent by
+     * itself.
+     */
+    static final int MAX_BATCH_BYTES = 4_096;
 
     /**
-     * A message of entries is not repeated for this long: pieces that were lost are asked for by
-     * themselves.
+     * A message with entries is not sent again for this many heartbeats, because the receiver
+     * requests lost fragments of it on its own.
      */
-    private static final int REPEAT_HEARTBEATS = 4;
+    private static final int RESEND_HEARTBEATS = 4;
 
     /**
-     * This long after entries went out it asks if they came, and again after twice that: answers
-     * get lost.
+     * The delay, in nanoseconds, after which the leader probes whether a follower has received
+     * entries, because responses may be lost. The next probe follows after twice that delay.
      */
-    private static final long PROBE = 60_000_000L;
+    private static final long PROBE_DELAY = 60_000_000L;
 
-    /** How far one other is. */
+    /** The replication progress of one follower or learner. */
     private static final class Progress {
         long matchIndex;
         long nextIndex;
         long sentAt;
 
-        /** The last entry that was sent. */
-        long sentEnd;
+        /** The index of the last entry that was sent. */
+        long lastSentIndex;
 
         long probeAt;
 
-        /** When it was sent what it answered last. */
-        long answeredQueryAt = PendingQueries.NEVER;
+        /** When the latest query that it has answered was sent. */
+        long answeredQuerySentAt = PendingQueries.NEVER;
 
         boolean inFlight;
         long answeredAt;
@@ -58,7 +61,7 @@
     private final SafetyRules rules;
     private final Map<Voter, Progress> followers = new HashMap<>();
     private final PendingQueries queries;
-    private int ask;
+    private int queryId;
     private Voter learner;
     private long heartbeatAt;
 
@@ -73,7 +76,7 @@
         this.rules = rules;
         this.heartbeatAt = now;
         this.queries = new PendingQueries(random);
-        this.ask = queries.add(now, PendingQueries.ANY);
+        this.queryId = queries.add(now, PendingQueries.ANY);
         targets().forEach(voter -> progress(now, voter));
     }
 
@@ -88,10 +91,10 @@
 
     private Progress progress(long now, Voter voter) {
         return followers.computeIfAbsent(
-                voter, v -> new Progress(context.log().lastIndex() + 1, now));
+                voter, key -> new Progress(context.log().lastIndex() + 1, now));
     }
 
-    /** Sends entries to this one too, who does not vote yet; null ends that. */
+    /** Starts sending entries to a learner, a replica that does not vote yet; null ends that. */
     void startLearner(Voter voter) {
         learner = voter;
     }
@@ -100,16 +103,16 @@
         return learner;
     }
 
-    /** Up to which index this one has the log. */
+    /** Returns the index up to which a replica is known to have the log. */
     long matchIndex(Voter voter) {
-        Progress found = followers.get(voter);
+        Progress progress = followers.get(voter);
         return voter.equals(context.self())
                 ? context.log().lastIndex()
-                : found == null ? 0 : found.matchIndex;
+                : progress == null ? 0 : progress.matchIndex;
     }
 
-    /** How long it is since this many had answered that they are a majority. */
-    long sinceMajorityNanos(long now) {
+    /** Returns how long ago, in nanoseconds, a majority had last answered. */
+    long nanosSinceQuorum(long now) {
         List<Long> ages =
                 context.log().voters().all().stream()
                         .map(
@@ -123,20 +126,21 @@
     }
 
     /**
-     * The latest instant at which something was sent that a majority has answered: until then
-     * nobody else had been elected. {@link PendingQueries#NEVER} where none has.
+     * Returns the latest instant such that a majority has answered a query sent at or after it:
+     * until then no other leader had been elected. Returns {@link PendingQueries#NEVER} if no
+     * majority has answered.
      */
-    long answeredSince(long now) {
-        List<Long> asked =
+    long quorumConfirmedAt(long now) {
+        List<Long> queryTimes =
                 context.log().voters().all().stream()
                         .map(
                                 voter ->
                                         voter.equals(context.self())
                                                 ? now
-                                                : progress(now, voter).answeredQueryAt)
+                                                : progress(now, voter).answeredQuerySentAt)
                         .sorted(Comparator.reverseOrder())
                         .toList();
-        return asked.isEmpty() ? PendingQueries.NEVER : asked.get(asked.size() / 2);
+        return queryTimes.isEmpty() ? PendingQueries.NEVER : queryTimes.get(queryTimes.size() / 2);
     }
 
     long due() {
@@ -148,7 +152,7 @@
         return due;
     }
 
-    /** Whether it was time for a heartbeat, which went out. */
+    /** Sends what is due; returns whether that included a heartbeat. */
     boolean tick(long now) {
         if (now < heartbeatAt) {
             targets().forEach(voter -> probe(now, voter));
@@ -156,7 +160,7 @@
         }
         heartbeatAt = now + settings.heartbeat();
         followers.keySet().retainAll(targets());
-        ask = queries.add(now, PendingQueries.ANY);
+        queryId = queries.add(now, PendingQueries.ANY);
         for (Voter voter : targets()) {
             send(now, voter, true);
         }
@@ -166,22 +170,22 @@
     private void probe(long now, Voter to) {
         Progress progress = progress(now, to);
         if (progress.inFlight && now >= progress.probeAt) {
-            progress.probeAt = now + 2 * Math.max(PROBE, progress.probeAt - progress.sentAt);
+            progress.probeAt = now + 2 * Math.max(PROBE_DELAY, progress.probeAt - progress.sentAt);
             RaftLog log = context.log();
-            if (progress.sentEnd >= log.firstIndex()) {
+            if (progress.lastSentIndex >= log.firstIndex()) {
                 context.send(
                         to.replica(),
                         new AppendEntries(
-                                progress.sentEnd,
-                                log.term(progress.sentEnd),
+                                progress.lastSentIndex,
+                                log.term(progress.lastSentIndex),
                                 log.commitIndex(),
-                                ask,
+                                queryId,
                                 List.of()));
             }
         }
     }
 
-    /** There is more to send. */
+    /** Replicates entries that were appended to the log. */
     void onAppended(long now) {
         for (Voter voter : targets()) {
             send(now, voter, false);
@@ -189,26 +193,30 @@
         advanceCommitIndex(now);
     }
 
-    private void send(long now, Voter to, boolean beats) {
+    private void send(long now, Voter to, boolean isHeartbeat) {
         RaftLog log = context.log();
         Progress progress = progress(now, to);
-        boolean waits =
+        boolean awaitsResponse =
                 progress.inFlight
-                        && now - progress.sentAt < REPEAT_HEARTBEATS * settings.heartbeat();
+                        && now - progress.sentAt < RESEND_HEARTBEATS * settings.heartbeat();
         if (progress.nextIndex <= log.firstIndex()
-                || waits
+                || awaitsResponse
                 || progress.nextIndex > log.lastIndex()) {
-            if (beats) {
-                // What it lacks is on its way, or it has to ask for a snapshot, which it learns
-                // from this.
-                long after =
+            if (isHeartbeat) {
+                // The missing entries are in flight, or the follower has to fetch a snapshot and
+                // learns so from this message.
+                long previousIndex =
                         progress.nextIndex > log.lastIndex()
                                 ? log.lastIndex()
                                 : Math.max(progress.matchIndex, log.firstIndex());
                 context.send(
                         to.replica(),
                         new AppendEntries(
-                                after, log.term(after), log.commitIndex(), ask, List.of()));
+                                previousIndex,
+                                log.term(previousIndex),
+                                log.commitIndex(),
+                                queryId,
+                                List.of()));
             }
             return;
         }
@@ -217,57 +225,62 @@
         for (long i = progress.nextIndex; i <= log.lastIndex(); i++) {
             LogEntry entry = log.entry(i);
             bytes += RaftMessageCodec.size(entry);
-            if (!batch.isEmpty() && bytes > MAX_BATCH) {
+            if (!batch.isEmpty() && bytes > MAX_BATCH_BYTES) {
                 break;
             }
             batch.add(entry);
         }
         progress.inFlight = true;
         progress.sentAt = now;
-        progress.sentEnd = progress.nextIndex + batch.size() - 1;
-        progress.probeAt = now + PROBE;
-        long after = progress.nextIndex - 1;
+        progress.lastSentIndex = progress.nextIndex + batch.size() - 1;
+        progress.probeAt = now + PROBE_DELAY;
+        long previousIndex = progress.nextIndex - 1;
         context.send(
                 to.replica(),
-                new AppendEntries(after, log.term(after), log.commitIndex(), ask, batch));
+                new AppendEntries(
+                        previousIndex, log.term(previousIndex), log.commitIndex(), queryId, batch));
     }
 
-    void onResponse(long now, Voter by, AppendResponse say) {
-        Progress progress = followers.get(by);
+    void onResponse(long now, Voter from, AppendResponse response) {
+        Progress progress = followers.get(from);
         if (progress == null) {
             return;
         }
         progress.answeredAt = now;
-        progress.answeredQueryAt =
-                Math.max(progress.answeredQueryAt, queries.sentAt(by.replica(), say.queryId()));
+        progress.answeredQuerySentAt =
+                Math.max(
+                        progress.answeredQuerySentAt,
+                        queries.sentAt(from.replica(), response.queryId()));
         RaftLog log = context.log();
-        if (say.success()) {
-            if (say.matchIndex() > progress.matchIndex && say.matchIndex() <= log.lastIndex()) {
-                progress.matchIndex = say.matchIndex();
+        if (response.success()) {
+            if (response.matchIndex() > progress.matchIndex
+                    && response.matchIndex() <= log.lastIndex()) {
+                progress.matchIndex = response.matchIndex();
                 progress.nextIndex = progress.matchIndex + 1;
                 progress.inFlight = false;
                 advanceCommitIndex(now);
             }
-        } else if (say.matchIndex() + 1 < progress.nextIndex || progress.inFlight) {
+        } else if (response.matchIndex() + 1 < progress.nextIndex || progress.inFlight) {
             progress.nextIndex =
-                    Math.max(progress.matchIndex, Math.min(say.matchIndex(), log.lastIndex())) + 1;
+                    Math.max(progress.matchIndex, Math.min(response.matchIndex(), log.lastIndex()))
+                            + 1;
             progress.inFlight = false;
         }
         if (progress.nextIndex <= log.lastIndex()) {
-            send(now, by, false);
+            send(now, from, false);
         }
     }
 
     /**
-     * An entry is counted by the voters of its own index: one to be added counts from the entry
-     * that adds it.
+     * Commits the entries that a majority has stored. The majority is that of the voters at the
+     * entry's own index: a voter that is being added counts from the entry that adds it.
      */
     private void advanceCommitIndex(long now) {
         RaftLog log = context.log();
         for (long i = log.lastIndex(); i > log.commitIndex(); i--) {
             long index = i;
             if (rules.mayCommitByCounting(log.term(i), context.term())
-                    && log.votersAt(i).quorum(voter -> matchIndex(voter) >= index)) {
+                    && log.votersAt(i).hasQuorum(voter -> matchIndex(voter) >= index)) {
                 log.commit(i);
                 context.onCommitAdvanced(now);
                 return;
--- a/core/src/main/java/cedarrudder/consensus/Proposal.java
+++ b/core/src/main/java/cedarrudder/consensus/Proposal.java
@@ -4,61 +4,62 @@
 import java.nio.ByteBuffer;
 
 /**
- * Something that a replica wants to have agreed on, whoever leads. Its identity is replica,
- * incarnation and sequence: it takes effect at most once, however often it is handed on.
+ * Content that a replica proposes for the log, whichever replica leads. A proposal is identified by
+ * replica, incarnation and sequence number. It takes effect at most once, however often it is
+ * forwarded.
  *
- * @param replica the one that proposes
- * @param incarnation of that one's process
- * @param sequence rises in that life
- * @param after what that one had loaded before it handed it on
- * @param content not to be changed
+ * @param replica the number of the replica that proposes
+ * @param incarnation the incarnation of that replica's process
+ * @param sequence a number that rises within that incarnation
+ * @param after the position that the replica had applied when it created the proposal
+ * @param content the proposed bytes, which must not be modified
  */
 public record Proposal(
-        int replica, long incarnation, long sequence, LogPosition after, byte[] content) {
+        int replica, long incarnation, long sequence, LogPosition appliedPosition, byte[] content) {
 
-    static final int NUMBER_BYTES = 22;
+    static final int POSITION_BYTES = 22;
     private static final int U16 = 0xffff;
 
-    boolean same(Proposal other) {
+    boolean isSame(Proposal other) {
         return replica == other.replica
                 && incarnation == other.incarnation
                 && sequence == other.sequence;
     }
 
     byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(18 + NUMBER_BYTES + content.length);
+        ByteBuffer out = ByteBuffer.allocate(18 + POSITION_BYTES + content.length);
         out.putShort((short) replica).putLong(incarnation).putLong(sequence);
-        put(out, after);
+        putPosition(out, appliedPosition);
         return out.put(content).array();
     }
 
-    /** Reads one; null where the bytes are none. */
+    /** Decodes a proposal; returns null if the bytes are malformed. */
     static Proposal decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             int replica = in.getShort() & U16;
             long incarnation = in.getLong();
             long sequence = in.getLong();
-            LogPosition after = number(in);
+            LogPosition appliedPosition = readPosition(in);
             byte[] content = new byte[in.remaining()];
             in.get(content);
             return incarnation < 1 || content.length > RaftNode.MAX_FORWARDED_CONTENT
                     ? null
-                    : new Proposal(replica, incarnation, sequence, after, content);
+                    : new Proposal(replica, incarnation, sequence, appliedPosition, content);
         } catch (BufferUnderflowException e) {
             return null;
         }
     }
 
-    static void put(ByteBuffer out, LogPosition number) {
-        VoterGroup group = number.group();
+    static void putPosition(ByteBuffer out, LogPosition position) {
+        VoterGroup group = position.group();
         out.putInt(group.era())
                 .putShort((short) group.founder())
                 .putLong(group.incarnation())
-                .putLong(number.index());
+                .putLong(position.index());
     }
 
-    static LogPosition number(ByteBuffer in) {
+    static LogPosition readPosition(ByteBuffer in) {
         return new LogPosition(
                 new VoterGroup(in.getInt(), in.getShort() & U16, in.getLong()), in.getLong());
     }
--- a/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -73,7 +73,7 @@
     /** The same once more; false where too many wait, or it waits. */
     boolean addAgain(long now, Proposal proposal, long patience) {
         if (waiting.size() >= MAX_WAITING
-                || waiting.stream().anyMatch(each -> each.proposal.same(proposal))) {
+                || waiting.stream().anyMatch(each -> each.proposal.isSame(proposal))) {
             return false;
         }
         waiting.add(new Waiting(proposal, now + patience, true));
@@ -156,7 +156,7 @@
                 // beyond it.
                 incarnation = Math.max(incarnation, last.incarnation() + 1);
             }
-            settle(first, committed ? last.number() : null);
+            settle(first, committed ? last.position() : null);
         }
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/ProposalOutcome.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalOutcome.java
@@ -1,14 +1,14 @@
 package cedarrudder.consensus;
 
-/** What became of a proposal. */
+/** The outcome of a proposal. */
 public enum ProposalOutcome {
-    /** It took effect, under the number that comes with this. */
+    /** The proposal took effect, at the position that is reported with this outcome. */
     COMMITTED,
-    /** It has not taken effect and will not. */
+    /** The proposal has not taken effect and will not. */
     NOT_TAKEN,
     /**
-     * It was forwarded and nothing came back in time: it may yet take effect. To forward the same
-     * one on again does no harm.
+     * The proposal was forwarded and no outcome was known in time: it may still take effect.
+     * Forwarding the same proposal again does no harm.
      */
     UNKNOWN
 }
--- a/core/src/main/java/cedarrudder/consensus/RaftContext.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftContext.java
@@ -1,43 +1,50 @@
 package cedarrudder.consensus;
 
-/** What the parts of one replica's Raft node have of the whole. */
+/** The state and operations of a {@link RaftNode} that its components use. */
 interface RaftContext {
 
-    /** This replica as a voter: its number and its incarnation. */
+    /** Returns this replica as a voter: its number and its incarnation. */
     Voter self();
 
-    /** The group that this replica belongs to. */
+    /** Returns the group that this replica belongs to. */
     VoterGroup group();
 
-    /** The replicated log. */
+    /** Returns the replicated log. */
     RaftLog log();
 
-    /** Sends a message in the replica's own term. */
+    /** Sends a message in the replica's current term. */
     default void send(int to, RaftMessage message) {
         send(to, message, term());
     }
 
-    /** Sends a message in this term; it leaves at the end of the event, after all was synced. */
+    /**
+     * Sends a message in the given term. It is sent at the end of the event, after everything was
+     * synced.
+     */
     void send(int to, RaftMessage message, long term);
 
-    /** This replica's term. */
+    /** Returns this replica's current term. */
     long term();
 
-    /** The replica that leads, as far as this one knows; -1 where it knows of none. */
+    /**
+     * Returns the leader's number as far as this replica knows, or -1 where it knows of no leader.
+     */
     int leader();
 
-    /** Takes a proposal where this replica leads; false where it can't now. */
+    /** Accepts a proposal if this replica leads; returns false if it can't be accepted now. */
     boolean acceptProposal(long now, Proposal proposal);
 
-    /** Term, vote or incarnation have changed, and are to be synced. */
+    /**
+     * Marks the hard state, such as term, vote or incarnation, as changed, so that it gets synced.
+     */
     void onHardStateChanged();
 
-    /** Syncs what was written to the log, and the hard state where it has changed. */
+    /** Syncs the entries written to the log, and the hard state if it has changed. */
     void sync();
 
-    /** More is committed. */
+    /** Applies the entries that have just been committed, and disseminates them. */
     void onCommitAdvanced(long now);
 
-    /** Records an event, for logs and checkers. */
+    /** Records an event, for logs and for checkers of the protocol. */
     void record(ConsensusEvent event);
 }
--- a/core/src/main/java/cedarrudder/consensus/RaftMessage.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftMessage.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A message between replicas. The head of its fragments has group, term, sender and the sender's
- * incarnation.
+ * A message between replicas. The header of its fragments contains the group, the term, the sender
+ * and the sender's incarnation.
  */
 sealed interface RaftMessage {
 
@@ -24,31 +24,34 @@
     byte PROPOSAL_ACCEPTED = 11;
     byte DIGEST_RESPONSE = 12;
 
-    /** Indexes and incarnations of messages lie below this, so that adding to them is safe. */
+    /**
+     * The bound below which indexes and incarnations in messages are, so that adding to them can't
+     * overflow.
+     */
     long MAX_INDEX = Long.MAX_VALUE >> 1;
 
-    /** The first byte of the message, which says its kind. */
+    /** Returns the first byte of the message, which identifies its type. */
     byte type();
 
-    /** Writes what comes after the first byte. */
+    /** Writes everything after the first byte. */
     void writeTo(ByteBuffer out);
 
-    /** How many bytes the parts take that have no fixed length. */
+    /** Returns the size of the parts that have no fixed length, in bytes. */
     default int variableBytes() {
         return 0;
     }
 
-    /** Whether the fields are in the ranges that some replica may send. */
+    /** Returns whether the fields are in the ranges that a replica may send. */
     default boolean isPlausible() {
         return true;
     }
 
     /**
-     * Asks for a vote in the term of the message, or whether there would be one.
+     * Requests a vote in the term of the message, or asks whether the vote would be granted.
      *
-     * @param preVote whether it only asks if there would be
-     * @param transferred whether a leader transferred leadership, so that a live leader is no
-     *     reason to deny it
+     * @param preVote whether this only asks if the vote would be granted
+     * @param transferred whether the leader has transferred leadership, so that contact to it is no
+     *     reason to deny the vote
      */
     record RequestVote(boolean preVote, boolean transferred, long lastIndex, long lastTerm)
             implements RaftMessage {
@@ -71,7 +74,7 @@
         }
     }
 
-    /** The answer; the message's term is that of the one who answers. */
+    /** The response to a {@link RequestVote}; the message's term is that of the responder. */
     record VoteResponse(boolean preVote, boolean granted, long requestedTerm)
             implements RaftMessage {
         @Override
@@ -88,9 +91,9 @@
     }
 
     /**
-     * A leader's entries after one that both must have.
+     * Sends a leader's entries that follow one that the receiver must have as well.
      *
-     * @param queryId what the answer is to name
+     * @param queryId the number that the response repeats
      */
     record AppendEntries(
             long previousIndex,
@@ -124,7 +127,10 @@
         }
     }
 
-    /** Up to where the follower's log is that of the leader, or up to where it may be. */
+    /**
+     * The response to {@link AppendEntries}: the index up to which the follower's log matches the
+     * leader's or, without success, up to which it may match.
+     */
     record AppendResponse(boolean success, long matchIndex, int queryId) implements RaftMessage {
         @Override
         public byte type() {
@@ -142,7 +148,7 @@
         }
     }
 
-    /** The one who gets it asks for votes at once. */
+    /** Makes the receiver start an election at once. */
     record TimeoutNow() implements RaftMessage {
         @Override
         public byte type() {
@@ -154,14 +160,15 @@
     }
 
     /**
-     * What a replica has; also asks for a {@link DigestResponse}.
+     * Announces what the sender has, and requests a {@link DigestResponse}.
      *
-     * @param heartbeatTerm the term of the newest heartbeat that it knows of
+     * @param heartbeatTerm the term of the newest heartbeat that the sender knows of
      * @param heartbeatSequence the number of that heartbeat
-     * @param leader the replica that sent it
-     * @param yourIncarnation the highest incarnation that it knows of the receiver
-     * @param age of the contact that it knows of, as in {@link DigestResponse}
-     * @param queryId what the answer is to name
+     * @param leader the replica that sent that heartbeat
+     * @param yourIncarnation the highest incarnation of the receiver that the sender knows of
+     * @param age the age of the leader contact that the sender knows of, as in {@link
+     *     DigestResponse}
+     * @param queryId the number that the response repeats
      */
     record Digest(
             long commitIndex,
@@ -198,10 +205,10 @@
     }
 
     /**
-     * Answers a digest: a majority answered a leader so long ago, who had committed no more than
-     * this by then.
+     * Responds to a digest with the sender's newest leader contact: how long ago a majority
+     * answered a leader, and the index up to which that leader may have committed entries by then.
      *
-     * @param age in milliseconds; -1 where it knows of none
+     * @param age the age of the contact in milliseconds; -1 if the sender knows of none
      */
     record DigestResponse(int queryId, int age, long commitIndex) implements RaftMessage {
         @Override
@@ -221,10 +228,10 @@
     }
 
     /**
-     * Asks for committed entries.
+     * Requests the committed entries after an index, or the rest of a snapshot.
      *
-     * @param snapshotIndex the index of one of which it has the beginning, or 0
-     * @param offset how much of it
+     * @param snapshotIndex the index of a snapshot of which the sender has the beginning, or 0
+     * @param offset how many bytes of that snapshot the sender has
      */
     record FetchRequest(long afterIndex, long snapshotIndex, int offset) implements RaftMessage {
         @Override
@@ -243,7 +250,7 @@
         }
     }
 
-    /** Committed entries after one. */
+    /** Sends the committed entries that follow an index. */
     record CommittedEntries(long previousIndex, List<LogEntry> entries) implements RaftMessage {
         @Override
         public byte type() {
@@ -268,7 +275,7 @@
     }
 
     /**
-     * Part of a snapshot.
+     * Sends a part of a snapshot.
      *
      * @param sum the checksum of the whole state
      */
@@ -310,7 +317,9 @@
         }
     }
 
-    /** Fragments of a message have not come; a bit each. */
+    /**
+     * Requests the fragments of a message that were not received, as a bit set of their indexes.
+     */
     record MissingFragments(int messageId, byte[] missing) implements RaftMessage {
         @Override
         public byte type() {
@@ -351,7 +360,10 @@
         }
     }
 
-    /** The leader has the proposal, or it took effect, or a later one did. */
+    /**
+     * Reports that the leader has the proposal, or that it or a later one of the same replica took
+     * effect.
+     */
     record ProposalAccepted(long incarnation, long sequence) implements RaftMessage {
         @Override
         public byte type() {
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -19,69 +19,79 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One replica's part in a replicated log by Raft (Ongaro and Ousterhout 2014; Ongaro's thesis 2014)
- * among a few voters, whose committed entries are disseminated to all other replicas. Voters that
- * lost their state come back as learners (Liskov and Cowling 2012, recovery), and a group whose
- * majority lost its state stops until a new one is formed.
+ * One replica's node in a Raft group (Ongaro and Ousterhout 2014; Ongaro's thesis 2014): a few
+ * voters replicate a log, and its committed entries are disseminated to all other replicas. A voter
+ * that lost its state rejoins as a learner (Liskov and Cowling 2012, recovery). A group whose
+ * majority lost its state stops until a new group is formed.
  *
- * <p>It has no clock, no socket and no thread. It is fed datagrams and the time, which never goes
- * back, and says by {@link #nextTickAt} when it wants the time next. Not thread-safe: from one
- * thread at a time, and its actions must not call it. Whatever it sends leaves at the end of an
- * event, after all that it says is in the storage.
+ * <p>The node has no clock, socket or thread. Its owner passes in datagrams and the current time,
+ * which must never decrease, and calls {@link #tick} when {@link #nextTickAt} is reached. Not
+ * thread-safe: only one thread at a time may use a node, and its actions must not call it. The
+ * datagrams of an event are sent at its end, after everything that they report has been synced to
+ * the storage.
  */
 public final class RaftNode {
 
-    /** The largest content of one entry, in bytes. */
+    /** The maximum size of the content of one entry, in bytes. */
     public static final int MAX_CONTENT = 32_768;
 
-    /** The largest state of a replica, in bytes. */
+    /** The maximum size of a replica's state, in bytes. */
     public static final int MAX_STATE = 262_144;
 
-    /** The largest content of a proposal that is forwarded to the leader, in bytes. */
+    /** The maximum size of the content of a proposal that is forwarded to the leader, in bytes. */
     public static final int MAX_FORWARDED_CONTENT = 4_096;
 
     static final int MAX_SNAPSHOT = MAX_STATE + AppliedProposals.MAX_BYTES;
 
     private static final int MAX_REPLICAS = 0xffff;
 
-    /** Entries that a leader holds without knowing that they are committed. */
-    private static final int MAX_OPEN = 32;
+    /**
+     * The maximum number of entries that a leader appends before they are known to be committed.
+     */
+    private static final int MAX_UNCOMMITTED = 32;
 
-    /** How many of them others may have forwarded, one each. */
-    private static final int MAX_OPEN_FORWARDED = 16;
+    /** The maximum number of those entries that are forwarded proposals, one per replica. */
+    private static final int MAX_UNCOMMITTED_FORWARDED = 16;
 
-    /** Voters without which nothing is taken: a group that is just formed waits for others. */
+    /**
+     * The minimum number of voters for accepting proposals: a newly formed group waits until it has
+     * that many.
+     */
     private static final int MIN_VOTERS = 3;
 
-    /** What it causes. */
+    /** The outputs of a node, implemented by its owner. */
     public interface Actions {
-        /** Sends a datagram of at most 224 bytes; it may be lost. */
+        /** Sends a datagram of at most 224 bytes, which may be lost. */
         void send(int to, byte[] datagram);
 
-        /** Applies a committed entry, after all before it. */
+        /** Applies a committed entry. Entries are applied in the order of their positions. */
         void apply(LogPosition position, byte[] content);
 
         /**
-         * All that was applied, as at most {@link #MAX_STATE} bytes; the same at each replica that
-         * applied the same.
+         * Returns everything that was applied, as at most {@link #MAX_STATE} bytes. Replicas that
+         * applied the same entries return the same bytes.
          */
         byte[] state();
 
-        /** Replaces all that was applied by this state. */
+        /** Replaces everything that was applied by this state. */
         void restore(LogPosition position, byte[] state);
 
         /**
-         * A proposal of this replica is settled; said once, after {@link #apply}.
+         * Reports the outcome of a proposal of this replica, once, after {@link #apply}.
          *
-         * @param position where it was applied, where it is committed; otherwise null
+         * @param position the position at which the proposal was applied if it is committed,
+         *     otherwise null
          */
         void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition position);
 
-        /** Records an event, for logs and checkers. */
+        /** Records an event, for logs and for checkers of the protocol. */
         void record(ConsensusEvent event);
     }
 
-    /** Datagrams that were dropped: unreadable, from another sender, or outdated. */
+    /**
+     * Counts of the datagrams that were dropped because they were unreadable, named another sender
+     * than the one they came from, or were outdated.
+     */
     public record Counts(long malformed, long wrongSender, long stale) {}
 
     private record Outgoing(int to, byte[] datagram) {}
@@ -109,7 +119,7 @@
     private Voter self;
     private VoterGroup group = VoterGroup.NONE;
 
-    /** What a leader does in its term; null where this replica does not lead. */
+    /** The leader's replication of the log in its term; null where this replica does not lead. */
     private LogReplication replication;
 
     private boolean hardStateChanged;
@@ -118,13 +128,15 @@
     private long stale;
 
     /**
-     * Takes part as one that is in no group, or where its storage holds one, in that.
+     * Creates a node that is in no group, or, where its storage holds a state, in the group of that
+     * state.
      *
-     * @param zones the zone of each replica of the tier, from 1 to 65,535 replicas
-     * @param self the number of this one
-     * @param incarnation larger than that of any earlier one of this replica, such as the time of
-     *     its start in milliseconds; where it is not, the others say so and it takes the next one;
-     *     where the storage holds a state, only proposals go by it
+     * @param zones the zone of each replica of the tier, which has 1 to 65,535 replicas
+     * @param self the number of this replica
+     * @param incarnation larger than any earlier incarnation of this replica, such as the time of
+     *     its start in milliseconds; if it is not, the other replicas report that and the node
+     *     moves on to the next higher one; if the storage holds a state, only proposals use this
+     *     value
      * @throws IllegalArgumentException if a value is outside its range
      */
     public RaftNode(
@@ -256,64 +268,71 @@
         }
     }
 
-    // ---- what is known
+    // ---- state
 
-    /** The group that this replica belongs to. */
+    /** Returns the group that this replica belongs to. */
     public VoterGroup group() {
         return group;
     }
 
-    /** This replica's incarnation as a voter. */
+    /** Returns this replica's incarnation as a voter. */
     public long incarnation() {
         return self.incarnation();
     }
 
-    /** Whether this replica leads, as far as it knows; nothing is settled by that alone. */
+    /**
+     * Returns whether this replica leads as far as it knows. Another replica may already have been
+     * elected.
+     */
     public boolean isLeader() {
         return election.isLeader();
     }
 
-    /** The replica that leads, as far as this one knows; -1 where it knows of none. */
+    /**
+     * Returns the leader's number as far as this replica knows, or -1 where it knows of no leader.
+     */
     public int leader() {
         boolean electionKnows =
                 election.leader() >= 0 || dissemination.heartbeatTerm() < election.term();
         return electionKnows ? election.leader() : dissemination.leader();
     }
 
-    /** This replica's term. */
+    /** Returns this replica's current term. */
     public long term() {
         return election.term();
     }
 
-    /** Those who vote, as far as this replica knows. */
+    /** Returns the voters as far as this replica knows. */
     public VoterSet voters() {
         return log.voters();
     }
 
-    /** What was applied last, or the state that stands for it. */
+    /**
+     * Returns the position of the entry that was applied last, by itself or as part of a snapshot.
+     */
     public LogPosition appliedPosition() {
         return applier.position();
     }
 
     /**
-     * The latest instant of this replica's clock at which a leader whom a majority answered was
-     * surely in office, all of whose commits until then are applied here; {@link Long#MIN_VALUE}
-     * where none is known. It rises within a group. It is never later than it truly was, however
-     * late datagrams came and however long this replica was stopped, where clocks drift by no more
-     * than 1 in 1,000.
+     * Returns the latest instant of this replica's clock at which a leader that a majority had
+     * answered was certainly in office and all of whose commits until then are applied here; {@link
+     * Long#MIN_VALUE} where no such instant is known. The value only rises within a group. It is
+     * never later than the true instant, however late datagrams arrived and however long this
+     * replica was stopped, provided that clocks drift by no more than 1 in 1,000.
      */
     public long leaderContactSince() {
         return contact.since();
     }
 
-    /** Datagrams that were dropped. */
+    /** Returns how many datagrams were dropped. */
     public Counts counts() {
         return new Counts(malformed, wrongSender, stale);
     }
 
     // ---- time
 
-    /** When {@link #tick} is to be called next; it does no harm to call it sooner or later. */
+    /** Returns when {@link #tick} is to be called next. An earlier or later call does no harm. */
     public long nextTickAt() {
         long due = Math.min(Math.min(election.due(), dissemination.due()), fragmenter.due());
         if (election.isLeader()) {
@@ -324,7 +343,7 @@
         return Math.min(due, forwarder.due());
     }
 
-    /** Does what is due. */
+    /** Performs everything that is due by now. */
     public void tick(long now) {
         stepDownWithoutQuorum(now);
         for (MessageFragmenter.Missing missing : fragmenter.missing(now)) {
@@ -347,11 +366,11 @@
     // ---- groups
 
     /**
-     * Forms a new group with this replica as its only voter and its state as the first; others join
-     * it as they hear of it. What an older group goes on to do has no effect where this one is
-     * known.
+     * Forms a new group with this replica as its only voter and with its state as the initial one.
+     * Other replicas join the group when they learn of it. Whatever an older group still decides
+     * has no effect at replicas that know this group.
      *
-     * @return false where no further group can be formed
+     * @return false if no further group can be formed
      */
     public boolean formGroup(long now) {
         boolean formed = formNextGroup(now);
@@ -374,7 +393,10 @@
         return formation.dueAt(dissemination.heartbeatAt(), applier.applied() > 0);
     }
 
-    /** Forms a group by itself, where that is allowed and most replicas are alive. */
+    /**
+     * Forms a group without an operator if that is allowed and due, and more than half of the
+     * replicas are alive.
+     */
     private void formGroupIfDue(long now) {
         if (!formation.isAllowed() || election.isLeader() || now < formationDueAt()) {
             return;
@@ -386,9 +408,9 @@
     }
 
     /**
-     * Leaves all that was, and has nothing of the other group yet. What the replica has applied,
-     * and what of it was forwarded, stays together until another state takes its place: it may be
-     * the first of the next group.
+     * Leaves the current group and joins another, of which this replica has no entries yet. The
+     * applied state and the forwarded proposals that took effect in it are retained together until
+     * another state replaces them: they may become the initial state of the next group.
      */
     private void joinGroup(long now, VoterGroup other) {
         group = other;
@@ -407,18 +429,18 @@
     // ---- proposals
 
     /**
-     * Proposes an entry.
+     * Appends an entry to the log if this replica leads.
      *
-     * @return its position if it comes to be committed; another may get that position if this
-     *     replica loses its lead first. Null where this replica does not lead, the group has not
-     *     enough voters yet, or too much is in flight
+     * @return the position of the entry if it gets committed; another entry may get that position
+     *     if this replica loses leadership first. Null if this replica does not lead, the group
+     *     does not have enough voters yet, or too many entries are uncommitted
      * @throws IllegalArgumentException if the content is larger than {@link #MAX_CONTENT}
      */
     public LogPosition propose(long now, byte[] content) {
         checkSize(content, MAX_CONTENT);
         stepDownWithoutQuorum(now);
         LogPosition position = null;
-        if (leadsEnoughVoters() && !isLogFull()) {
+        if (leadsEnoughVoters() && !hasTooManyUncommitted()) {
             append(now, new LogEntry(election.term(), Kind.CONTENT, content.clone()));
             position = new LogPosition(group, log.lastIndex());
         }
@@ -437,62 +459,65 @@
         return election.isLeader() && log.voters().size() >= MIN_VOTERS;
     }
 
-    private boolean isLogFull() {
-        return log.lastIndex() - log.commitIndex() >= MAX_OPEN;
+    private boolean hasTooManyUncommitted() {
+        return log.lastIndex() - log.commitIndex() >= MAX_UNCOMMITTED;
     }
 
     /**
-     * Proposes something, whoever leads. Those of one replica go one after another, in their order.
+     * Proposes an entry, whichever replica leads. The proposals of one replica are forwarded one
+     * after another, in order.
      *
-     * @param patience after which its outcome is said, whatever is known by then, in nanoseconds
-     * @return what {@link Actions#onProposalSettled} will name; null where too many wait here, so
-     *     that it is not taken
+     * @param patience the time after which the outcome is reported with whatever is known by then,
+     *     in nanoseconds
+     * @return the proposal that {@link Actions#onProposalSettled} will be called with; null if it
+     *     is not accepted because too many proposals are pending here
      * @throws IllegalArgumentException if the content is larger than {@link #MAX_FORWARDED_CONTENT}
      */
     public Proposal forward(long now, byte[] content, long patience) {
         checkSize(content, MAX_FORWARDED_CONTENT);
-        Proposal made = forwarder.add(now, appliedPosition(), content, patience);
+        Proposal proposal = forwarder.add(now, appliedPosition(), content, patience);
         finishEvent(now);
-        return made;
+        return proposal;
     }
 
     /**
-     * Forwards again what {@link #forward} made in this process and the outcome of which is
-     * unknown: where it took effect, it does not do so again. Where a later one of this replica
-     * took effect since, it stays unknown.
+     * Forwards again a proposal that {@link #forward} created in this process and whose outcome is
+     * unknown. If the proposal took effect, it does not take effect a second time. If a later
+     * proposal of this replica took effect since, the outcome stays unknown.
      *
-     * @return false where too many wait here, or it does
+     * @return false if too many proposals are pending here, or this one still is
      */
     public boolean forwardAgain(long now, Proposal proposal, long patience) {
-        boolean taken = forwarder.addAgain(now, proposal, patience);
+        boolean accepted = forwarder.addAgain(now, proposal, patience);
         finishEvent(now);
-        return taken;
+        return accepted;
     }
 
     /**
-     * Takes what a replica forwards, as the leader; false where it can't now. What others can make
-     * it hold is bounded: one of each replica, and {@value #MAX_OPEN_FORWARDED} of all.
+     * Accepts, as the leader, a proposal that a replica forwards; returns false if it can't be
+     * accepted now. The number of uncommitted forwarded proposals is bounded: one per replica, and
+     * {@value #MAX_UNCOMMITTED_FORWARDED} in total.
      */
     private boolean acceptProposal(long now, Proposal proposal) {
         if (!leadsEnoughVoters()) {
             return false;
         }
-        int open = 0;
+        int uncommittedForwarded = 0;
         for (long i = log.commitIndex() + 1; i <= log.lastIndex(); i++) {
             if (log.entry(i).kind() == Kind.FORWARDED) {
                 Proposal other = Proposal.decode(log.entry(i).bytes());
                 if (other.replica() == proposal.replica()) {
-                    return other.same(proposal);
+                    return other.isSame(proposal);
                 }
-                open++;
+                uncommittedForwarded++;
             }
         }
         if (!applier.mayTakeEffect(proposal)) {
             return true;
         }
         byte[] bytes = proposal.encode();
-        if (open >= MAX_OPEN_FORWARDED
-                || isLogFull()
+        if (uncommittedForwarded >= MAX_UNCOMMITTED_FORWARDED
+                || hasTooManyUncommitted()
                 || !forwardedLimiter.tryAcquire(now, bytes.length)) {
             return false;
         }
@@ -500,12 +525,12 @@
         return true;
     }
 
-    // ---- what is received
+    // ---- received datagrams
 
     /**
-     * Membership holds that a replica is alive, or dead. It guides whom this replica sends to and
-     * makes a voter, and keeps it from forming a group by itself while it sees no more than half of
-     * the tier; no safety rests on it.
+     * Records whether membership considers a replica alive. This decides which replicas this one
+     * sends to and makes voters, and keeps it from forming a group by itself while no more than
+     * half of the tier is alive. Safety does not depend on it.
      */
     public void setAlive(int replica, boolean alive) {
         if (replica != self.replica()) {
@@ -514,10 +539,10 @@
     }
 
     /**
-     * Takes a datagram. One that can't be read, or that names another as its sender, is counted and
-     * dropped.
+     * Handles a datagram. A datagram that can't be read, or that names another replica as its
+     * sender, is counted and dropped.
      *
-     * @param from the replica whose address it came from
+     * @param from the replica from whose address it was sent
      */
     public void onDatagram(long now, int from, byte[] datagram) {
         stepDownWithoutQuorum(now);
@@ -535,23 +560,23 @@
         finishEvent(now);
     }
 
-    private void onMessage(long now, MessageFragment last, byte[] bytes) {
+    private void onMessage(long now, MessageFragment fragment, byte[] bytes) {
         RaftMessage message = RaftMessageCodec.decode(bytes);
         if (message == null) {
             malformed++;
             return;
         }
-        Voter from = new Voter(last.sender(), last.incarnation());
-        onMessage(now, from, last.term(), message);
+        Voter from = new Voter(fragment.sender(), fragment.incarnation());
+        onMessage(now, from, fragment.term(), message);
         updateRole(now);
     }
 
-    /** Looks at what every fragment says, before anything of it is kept. */
+    /** Checks the header of a fragment before any of its payload is buffered. */
     private boolean admit(long now, MessageFragment fragment) {
         int from = fragment.sender();
-        int byGroup = fragment.group().compareTo(group);
+        int groupOrder = fragment.group().compareTo(group);
         long known = replicas.incarnation(from);
-        boolean isHigher = byGroup > 0 || fragment.incarnation() > known && known > 0;
+        boolean isHigher = groupOrder > 0 || fragment.incarnation() > known && known > 0;
         if (isHigher && !rules.acceptsHigherGroupOrIncarnation(answersQuery(from, fragment))) {
             dissemination.rejectOutdated(now, from, digest(fragment), true);
             return false;
@@ -561,7 +586,7 @@
             dissemination.rejectOutdated(now, from, digest(fragment), true);
             return false;
         }
-        if (byGroup < 0) {
+        if (groupOrder < 0) {
             stale++;
             if (fragment.payload()[0] != RaftMessage.DIGEST_RESPONSE) {
                 dissemination.rejectOutdated(now, from, digest(fragment), false);
@@ -569,15 +594,16 @@
             return false;
         }
         replicas.onMessageReceived(now, from, fragment.incarnation());
-        if (byGroup > 0) {
+        if (groupOrder > 0) {
             joinGroup(now, fragment.group());
         }
         return true;
     }
 
     /**
-     * A higher group or incarnation is only believed of one who answers a query: whoever sends from
-     * a peer's address can't do that.
+     * Returns whether a fragment is the answer to a query of this replica. A higher group or
+     * incarnation is accepted only from a sender that answers a query: whoever merely sends from a
+     * peer's address can't do that.
      */
     private boolean answersQuery(int from, MessageFragment fragment) {
         return fragment.count() == 1
@@ -586,7 +612,7 @@
                 && dissemination.answersQuery(from, response);
     }
 
-    /** The digest in a fragment that is not admitted; null where it is none. */
+    /** Returns the digest in a fragment that is not admitted, or null if it contains none. */
     private static Digest digest(MessageFragment fragment) {
         return fragment.count() == 1
                         && fragment.payload()[0] == RaftMessage.DIGEST
@@ -634,14 +660,19 @@
         }
     }
 
-    /** The leader hands its office over (thesis, 3.10). */
+    /**
+     * Starts an election because the leader transfers leadership to this replica (thesis, 3.10).
+     */
     private void onTimeoutNow(long now, int from, long term) {
         if (term == election.term() && from == election.leader()) {
             election.startElection(now);
         }
     }
 
-    /** Another knows a later incarnation of this replica: it takes the next one. */
+    /**
+     * Handles a digest. If the sender knows a later incarnation of this replica, this replica
+     * changes to the one after that.
+     */
     private void onDigest(long now, int from, Digest digest) {
         if (digest.yourIncarnation() > self.incarnation() && !election.isAdmitted()) {
             self = new Voter(self.replica(), digest.yourIncarnation() + 1);
@@ -687,21 +718,23 @@
         }
     }
 
-    // ---- leading
+    // ---- leadership
 
     /**
-     * A leader that was stopped for long, or whom no majority answers, does nothing before it has
-     * stepped down (thesis, 6.2).
+     * Steps down as leader after no majority has answered for too long. A leader does this before
+     * anything else, also after its process was stopped for long (thesis, 6.2).
      */
     private void stepDownWithoutQuorum(long now) {
         if (election.isLeader()
-                && rules.hasLostQuorum(
-                        replication.sinceMajorityNanos(now), settings.maxElection())) {
+                && rules.hasLostQuorum(replication.nanosSinceQuorum(now), settings.maxElection())) {
             election.becomeFollower(now, election.term());
         }
     }
 
-    /** Begins to lead where it was just elected: its first entry commits all before it. */
+    /**
+     * Starts replication after this replica was elected, and ends it after it stepped down. The
+     * first entry of a new leader commits all entries before it.
+     */
     private void updateRole(long now) {
         if (!election.isLeader()) {
             replication = null;
@@ -720,8 +753,8 @@
     }
 
     /**
-     * Has another voter lead that has all entries, such as before this replica ends; false where
-     * none has (thesis, 3.10).
+     * Transfers leadership to another voter that has all entries, for example before this replica's
+     * process ends (thesis, 3.10). Returns false if there is no such voter.
      */
     public boolean transferLeadership(long now) {
         stepDownWithoutQuorum(now);
@@ -734,18 +767,18 @@
     }
 
     private Voter upToDateVoter() {
-        Voter found = null;
+        Voter successor = null;
         for (Voter voter : log.voters().all()) {
             if (!voter.equals(self)
                     && replication.matchIndex(voter) == log.lastIndex()
                     && replicas.isAlive(voter.replica())) {
-                found = voter;
+                successor = voter;
             }
         }
-        return found;
+        return successor;
     }
 
-    // ---- what is committed
+    // ---- committed entries
 
     private void applyCommitted(long now) {
         sync();
@@ -769,9 +802,11 @@
         }
     }
 
-    // ---- the end of an event
+    // ---- end of an event
 
-    /** What was written and promised is persisted from here on. */
+    /**
+     * Syncs the log, and the hard state if it has changed. Both are persisted when this returns.
+     */
     private void sync() {
         if (hardStateChanged) {
             hardStateChanged = false;
@@ -790,7 +825,7 @@
         applier.settleOwn();
         forwarder.tick(now);
         if (leadsEnoughVoters() && log.term(log.commitIndex()) == election.term()) {
-            contact.onQuorum(replication.answeredSince(now), log.commitIndex());
+            contact.onQuorum(replication.quorumConfirmedAt(now), log.commitIndex());
         }
         if (hardStateChanged) {
             sync();
--- a/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
+++ b/core/src/main/java/cedarrudder/consensus/ReplicaDirectory.java
@@ -5,12 +5,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a replica knows of the others of its tier: their zones and incarnations, whether they are
- * alive, and when a message of theirs came last.
+ * The replicas of the tier as one of them knows the others: their zones and incarnations, whether
+ * they are alive, and when their last message was received.
  */
 final class ReplicaDirectory {
 
-    private static final int RANDOM_TRIES = 16;
+    private static final int MAX_RANDOM_TRIES = 16;
 
     private final int self;
     private final int[] zones;
@@ -34,7 +34,7 @@
         return zones[replica];
     }
 
-    /** The highest known incarnation of a replica; 0: none. */
+    /** Returns the highest known incarnation of a replica; 0 if none is known. */
     long incarnation(int replica) {
         return incarnations[replica];
     }
@@ -48,7 +48,7 @@
         lastReceivedAt[replica] = now;
     }
 
-    /** A voter is expected to answer from now on, also one that never sent anything. */
+    /** Records that a voter is expected to answer from now on, even if it never sent anything. */
     void expectAnswer(long now, int replica) {
         lastReceivedAt[replica] = Math.max(lastReceivedAt[replica], now);
     }
@@ -65,10 +65,13 @@
         return zones.length - dead.cardinality();
     }
 
-    /** One of the others at random, an alive one where one is found soon; -1: there is none. */
+    /**
+     * Returns one of the other replicas at random, preferably one that is alive; -1 if there are no
+     * others.
+     */
     int random(RandomGenerator random) {
         int found = -1;
-        for (int i = 0; i < RANDOM_TRIES && zones.length > 1; i++) {
+        for (int i = 0; i < MAX_RANDOM_TRIES && zones.length > 1; i++) {
             found = random.nextInt(zones.length - 1);
             found += found >= self ? 1 : 0;
             if (isAlive(found)) {
--- a/core/src/main/java/cedarrudder/consensus/StableStorage.java
+++ b/core/src/main/java/cedarrudder/consensus/StableStorage.java
@@ -3,24 +3,27 @@
 import java.util.List;
 
 /**
- * Where a replica keeps what it must not forget. What was written counts once {@link #sync} has
- * returned: nothing is spoken of before that. One that can't write any more has to end the process.
+ * The storage for the state that a replica must not lose. Written data counts as stored once {@link
+ * #sync} has returned, and is not reported to others before that. An implementation that can no
+ * longer write must end the process.
  */
 public interface StableStorage {
 
     /**
-     * What a replica has promised.
+     * The term, vote and identity of a replica, which it must not forget.
      *
-     * @param incarnation of the replica as a voter; a process that remembers goes on with it
-     * @param vote whom it voted for in that term, or null
-     * @param admitted whether a committed set of voters has had this life
+     * @param incarnation the replica's incarnation as a voter; a process that recovers its state
+     *     continues with it
+     * @param vote the candidate that got its vote in that term, or null
+     * @param admitted whether a committed set of voters has contained this incarnation
      */
     record HardState(VoterGroup group, long incarnation, long term, Voter vote, boolean admitted) {}
 
     /**
-     * What was read back, whole.
+     * The complete state that was read back.
      *
-     * @param entries those after the snapshot; their voters may not be committed
+     * @param entries the entries after the snapshot; changes of the voters among them may be
+     *     uncommitted
      */
     record Recovered(HardState hardState, Snapshot snapshot, List<LogEntry> entries) {
         public Recovered {
@@ -28,28 +31,31 @@
         }
     }
 
-    /** What an earlier process wrote and synced; null where nothing is left of it. */
+    /** Returns what an earlier process wrote and synced, or null if there is nothing of it. */
     Recovered recovered();
 
-    void writeHardState(HardState promise);
+    void writeHardState(HardState hardState);
 
-    /** Entries from here on are replaced by this one. */
+    /** Writes an entry in place of the one at its index and all after it. */
     void append(long index, LogEntry entry);
 
-    /** Entries from here on are gone. */
+    /** Removes the entry at an index and all after it. */
     void truncateFrom(long from);
 
-    /** Entries up to it need not be kept; those after it stay. */
+    /** Writes a snapshot. Entries up to its index need not be retained; those after it are. */
     void writeSnapshot(Snapshot snapshot);
 
     /**
-     * Returns when all that was written since the last time will be read back. Where the process
-     * ends before that, all of it is read back or none: a promise of another group without its log
-     * would be one of the former's.
+     * Persists everything that was written since the last call. If the process ends before this
+     * returns, either all of it is read back or nothing: the hard state of a new group without that
+     * group's log would be taken together with the log of the former group.
      */
     void sync();
 
-    /** That of a replica without a lasting disk: it forgets all as its process ends. */
+    /**
+     * The storage of a replica without a persistent disk, which loses everything when its process
+     * ends.
+     */
     StableStorage NONE =
             new StableStorage() {
                 @Override
@@ -58,7 +64,7 @@
                 }
 
                 @Override
-                public void writeHardState(HardState promise) {}
+                public void writeHardState(HardState hardState) {}
 
                 @Override
                 public void append(long index, LogEntry entry) {}
--- a/core/src/main/java/cedarrudder/consensus/Voter.java
+++ b/core/src/main/java/cedarrudder/consensus/Voter.java
@@ -1,9 +1,9 @@
 package cedarrudder.consensus;
 
 /**
- * One who votes: a replica in one of its incarnations. The same replica in a later one is another,
- * who remembers nothing of it.
+ * A replica that votes, in one of its incarnations. The same replica in a later incarnation is a
+ * different voter, which knows nothing of the earlier one's votes.
  *
- * @param replica its number in the tier
+ * @param replica the replica's number in the tier
  */
 public record Voter(int replica, long incarnation) {}
--- a/core/src/main/java/cedarrudder/consensus/VoterGroup.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterGroup.java
@@ -3,17 +3,17 @@
 import java.util.Comparator;
 
 /**
- * Which group of voters a log belongs to. Groups are ordered; a replica goes only from a lower one
- * to a higher one. Two can't be equal: one incarnation of a replica forms each era at most once,
- * and no replica has a life twice.
+ * The group of voters that a log belongs to. Groups are ordered, and a replica only moves from a
+ * lower one to a higher one. No two groups are equal: one incarnation of a replica forms a group in
+ * each era at most once, and no replica has the same incarnation twice.
  *
- * @param era one more than the highest that its founder knew of; 0 is that of no group
- * @param founder the replica that formed it
- * @param incarnation the founder's life
+ * @param era one more than the highest era that the founder knew of; 0 stands for no group
+ * @param founder the number of the replica that formed the group
+ * @param incarnation the founder's incarnation
  */
 public record VoterGroup(int era, int founder, long incarnation) implements Comparable<VoterGroup> {
 
-    /** That of a replica that knows of none. */
+    /** The value for a replica that is in no group. */
     public static final VoterGroup NONE = new VoterGroup(0, 0, 0);
 
     private static final Comparator<VoterGroup> ORDER =
--- a/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
@@ -5,19 +5,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whom a leader makes a voter and whom it takes out, one at a time (thesis, 4.1 and 4.2): out are
- * those that are silent or came back in another life; in come live replicas, from the zones with
- * the fewest voters, that have the whole log.
+ * A leader's changes of the voters, one at a time (thesis, 4.1 and 4.2). Voters are removed if they
+ * are silent or came back in another incarnation. Live replicas that have the whole log are added,
+ * from the zones with the fewest voters.
  */
 final class VoterReplacement {
 
-    private static final int TRAINING_HEARTBEATS = 20;
+    private static final int LEARNER_TIMEOUT_HEARTBEATS = 20;
 
     private final RaftContext context;
     private final ConsensusSettings settings;
     private final ReplicaDirectory replicas;
     private final RandomGenerator random;
-    private long learnerUntil;
+    private long learnerTimeoutAt;
 
     VoterReplacement(
             RaftContext context,
@@ -31,29 +31,30 @@
     }
 
     /**
-     * The voters that are to follow those of now; null where they may stay or can't be changed yet.
+     * Returns the next set of voters, or null if the current one is to stay or can't be changed
+     * yet.
      */
     VoterSet next(long now, LogReplication replication) {
         RaftLog log = context.log();
-        boolean settled =
+        boolean currentVotersCommitted =
                 log.votersAt() <= log.commitIndex()
                         && log.term(log.commitIndex()) == context.term();
-        if (!settled) {
+        if (!currentVotersCommitted) {
             return null;
         }
         VoterSet voters = log.voters();
-        List<Voter> spare = candidate(now, voters);
+        List<Voter> candidates = findCandidates(now, voters);
         for (Voter voter : voters.all()) {
-            boolean gone =
+            boolean isLost =
                     !voter.equals(context.self())
                             && (replicas.incarnation(voter.replica()) > voter.incarnation()
                                     || now - replicas.lastReceivedAt(voter.replica())
                                             > settings.voterPatience());
-            boolean back =
+            boolean hasReturned =
                     replicas.incarnation(voter.replica()) > voter.incarnation()
                             && now - replicas.lastReceivedAt(voter.replica())
                                     < settings.voterPatience() / 2;
-            if (gone && (voters.size() > 3 || !spare.isEmpty() || back)) {
+            if (isLost && (voters.size() > 3 || !candidates.isEmpty() || hasReturned)) {
                 return voters.without(voter);
             }
         }
@@ -61,21 +62,24 @@
             replication.startLearner(null);
             return null;
         }
-        Voter trainee = replication.learner();
-        boolean fits = trainee != null && spare.contains(trainee) && now < learnerUntil;
-        if (fits && replication.matchIndex(trainee) >= log.commitIndex()) {
+        Voter learner = replication.learner();
+        boolean learnerIsValid =
+                learner != null && candidates.contains(learner) && now < learnerTimeoutAt;
+        if (learnerIsValid && replication.matchIndex(learner) >= log.commitIndex()) {
             replication.startLearner(null);
-            return voters.with(trainee);
+            return voters.with(learner);
         }
-        if (!fits && !spare.isEmpty()) {
-            replication.startLearner(spare.get(random.nextInt(spare.size())));
-            learnerUntil = now + TRAINING_HEARTBEATS * settings.heartbeat();
+        if (!learnerIsValid && !candidates.isEmpty()) {
+            replication.startLearner(candidates.get(random.nextInt(candidates.size())));
+            learnerTimeoutAt = now + LEARNER_TIMEOUT_HEARTBEATS * settings.heartbeat();
         }
         return null;
     }
 
-    /** Those who could be voters, of the zones that have the fewest. */
-    private List<Voter> candidate(long now, VoterSet voters) {
+    /**
+     * Returns the replicas that could become voters, from the zones that have the fewest voters.
+     */
+    private List<Voter> findCandidates(long now, VoterSet voters) {
         List<Voter> best = new ArrayList<>();
         long fewest = Long.MAX_VALUE;
         for (int replica = 0; replica < replicas.replicas(); replica++) {
@@ -86,15 +90,15 @@
                 continue;
             }
             int zone = replicas.zone(replica);
-            long there =
+            long votersInZone =
                     voters.all().stream()
                             .filter(voter -> replicas.zone(voter.replica()) == zone)
                             .count();
-            if (there < fewest) {
-                fewest = there;
+            if (votersInZone < fewest) {
+                fewest = votersInZone;
                 best.clear();
             }
-            if (there == fewest) {
+            if (votersInZone == fewest) {
                 best.add(new Voter(replica, replicas.incarnation(replica)));
             }
         }
--- a/core/src/main/java/cedarrudder/consensus/VoterSet.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterSet.java
@@ -6,17 +6,20 @@
 import java.util.function.Predicate;
 
 /**
- * Those who vote, at most {@value #MAX}; a change adds one or takes one away, so that majorities
- * overlap.
+ * The voters of a group, at most {@value #MAX}. A change adds or removes one voter, so that the
+ * majorities before and after it overlap.
  */
 public record VoterSet(List<Voter> all) {
 
-    /** One more than the most that are asked for: a change may pass through it. */
+    /**
+     * The maximum number of voters: one more than the maximum that can be configured, because a
+     * change may pass through it.
+     */
     public static final int MAX = 8;
 
     static final VoterSet EMPTY = new VoterSet(List.of());
 
-    private static final int BYTES = 10;
+    private static final int VOTER_BYTES = 10;
 
     public VoterSet {
         all = List.copyOf(all);
@@ -34,15 +37,15 @@
         return all.size();
     }
 
-    /** Whether more than half of them do. */
-    public boolean quorum(Predicate<Voter> does) {
-        return all.stream().filter(does).count() * 2 > all.size();
+    /** Returns whether more than half of the voters match a predicate. */
+    public boolean hasQuorum(Predicate<Voter> predicate) {
+        return all.stream().filter(predicate).count() * 2 > all.size();
     }
 
     VoterSet with(Voter voter) {
-        List<Voter> more = new ArrayList<>(all);
-        more.add(voter);
-        return new VoterSet(more);
+        List<Voter> voters = new ArrayList<>(all);
+        voters.add(voter);
+        return new VoterSet(voters);
     }
 
     VoterSet without(Voter voter) {
@@ -50,18 +53,18 @@
     }
 
     byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(1 + BYTES * all.size());
+        ByteBuffer out = ByteBuffer.allocate(1 + VOTER_BYTES * all.size());
         out.put((byte) all.size());
         all.forEach(voter -> out.putShort((short) voter.replica()).putLong(voter.incarnation()));
         return out.array();
     }
 
-    /** Reads them; null where the bytes are none. */
+    /** Decodes a set of voters; returns null if the bytes are malformed. */
     public static VoterSet decode(byte[] bytes) {
         if (bytes.length == 0
                 || bytes[0] < 0
                 || bytes[0] > MAX
-                || bytes.length != 1 + BYTES * bytes[0]) {
+                || bytes.length != 1 + VOTER_BYTES * bytes[0]) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -287,7 +287,7 @@
         int second = (first + 1) % 5;
         apart(copies, first, second);
         // As large as a batch: the entry after it goes in another message.
-        assertNotNull(copies.propose(first, new byte[LogReplication.MAX_BATCH]));
+        assertNotNull(copies.propose(first, new byte[LogReplication.MAX_BATCH_BYTES]));
         copies.play(700 * MILLI);
         copies.kill(first);
         copies.kill(second);
