--- a/core/src/main/java/cedarrudder/consensus/ByteRateLimiter.java
+++ b/core/src/main/java/cedarrudder/consensus/ByteRateLimiter.java
@@ -1,8 +1,8 @@
 package cedarrudder.consensus;
 
 /**
- * How many bytes may still be spent on others: this many a second, and at most those of one second
- * at once.
+ * A rate limit on the bytes that are sent to other replicas. The budget grows by the given number
+ * of bytes per second, up to the bytes of one second.
  */
 final class ByteRateLimiter {
 
@@ -19,7 +19,8 @@
     }
 
     /**
-     * Spends them, if anything is left: one message may go beyond, and is paid for before the next.
+     * Takes a message's bytes from the budget if any of it is left, and returns whether it was. One
+     * message may exceed the budget; the next ones wait until the excess is made up.
      */
     boolean tryAcquire(long now, int bytes) {
         tokens = Math.min(perSecond, tokens + (now - refilledAt) * (perSecond / SECOND));
--- a/core/src/main/java/cedarrudder/consensus/LeaderContact.java
+++ b/core/src/main/java/cedarrudder/consensus/LeaderContact.java
@@ -1,13 +1,13 @@
 package cedarrudder.consensus;
 
 /**
- * Since when a leader was surely in office, as far as that has come to this replica: an instant of
- * its own clock at or after which a majority answered a leader, of whose commits until then this
- * replica has loaded all.
+ * The latest contact to a leader that this replica knows of: an instant of its own clock at or
+ * after which a majority answered a leader, all of whose commits until then this replica has
+ * applied.
  *
- * <p>It comes from copy to copy as an age. Nobody knows how long a datagram was on its way or lay
- * unread, so an age counts from the instant at which this replica asked for it, never from when it
- * came.
+ * <p>Replicas pass a contact on as an age. How long a datagram was in flight or lay unread is
+ * unknown, so an age counts from the instant at which this replica asked for it, never from its
+ * arrival.
  */
 final class LeaderContact {
 
@@ -27,13 +27,13 @@
         return since;
     }
 
-    /** Another group: of its commits this replica has loaded none. */
+    /** Resets the contact, because this replica has applied no commits of a newly joined group. */
     void reset() {
         since = UNKNOWN;
         index = 0;
     }
 
-    /** Up to which index that leader may have committed something by then. */
+    /** Returns the index up to which that leader may have committed entries by then. */
     long index() {
         return index;
     }
@@ -45,12 +45,15 @@
         }
     }
 
-    /** In milliseconds, not shorter than it is; -1 where there is none. */
+    /** Returns the age of the contact in milliseconds, rounded up; -1 if there is none. */
     int age(long now) {
         return since == UNKNOWN ? -1 : (int) Math.min(Integer.MAX_VALUE, (now - since) / MILLI + 1);
     }
 
-    /** One who was asked at that instant, and has answered now, knew of a contact of this age. */
+    /**
+     * Records a contact that another replica knew of, which was asked at {@code askedAt} and has
+     * answered now.
+     */
     void onReported(long now, long askedAt, int age, long committed) {
         onQuorum(
                 rules.contactCountsFrom(askedAt, now) - rules.withClockDrift(age * MILLI),
--- a/core/src/main/java/cedarrudder/consensus/LogDissemination.java
+++ b/core/src/main/java/cedarrudder/consensus/LogDissemination.java
@@ -11,33 +11,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How what is committed comes to all replicas: who learns something passes it on to a few at
- * random, and each replica tells another now and then what it has, so that the one that lacks
- * something asks for it (Demers and others 1987). What a replica sends does not depend on how many
- * there are.
+ * Dissemination of committed entries to all replicas by gossip. A replica that learns of new
+ * entries passes them on to a few others at random. In addition, each replica regularly sends
+ * another one a digest of what it has, so that whichever of the two lacks something requests it
+ * (Demers and others 1987). What a replica sends does not depend on the number of replicas.
  */
 final class LogDissemination {
 
-    private static final int MAX_PUSHED = 2_048;
-    private static final int MAX_NEWS = 4_096;
+    private static final int MAX_PUSHED_BYTES = 2_048;
+    private static final int MAX_ENTRIES_BYTES = 4_096;
     private static final long MILLI = 1_000_000L;
-    private static final int CHUNK = 4_096;
+    private static final int CHUNK_BYTES = 4_096;
 
     /**
-     * Who has just learned something tells of it more often for a while: it may have passed others
-     * by.
+     * The interval between digests, in nanoseconds, for a while after a replica learned of new
+     * entries, because some replicas may have missed them.
      */
-    private static final long HOT_PERIOD = 50_000_000L;
+    private static final long FAST_DIGEST_PERIOD = 50_000_000L;
 
-    private static final int HOT_DIGESTS = 10;
+    private static final int FAST_DIGESTS = 10;
 
-    /** A contact older than this many periods is asked for twice as often. */
+    /** If the leader contact is older than this many periods, digests are sent twice as often. */
     private static final int OLD_PERIODS = 5;
 
-    private static final long REPLIES = 10_000_000L;
-    private static final long PATIENCE = 100_000_000L;
+    private static final long MIN_REPLY_INTERVAL = 10_000_000L;
+    private static final long MIN_FETCH_INTERVAL = 100_000_000L;
 
-    /** A snapshot of which the beginning is there. */
+    /** A snapshot of which the beginning was received. */
     private record Fetch(SnapshotChunk first, byte[] state, int received) {}
 
     private final RaftContext context;
@@ -48,9 +48,9 @@
     private final LeaderContact contact;
     private final PendingQueries queries;
     private Fetch fetch;
-    private long askedAt;
+    private long fetchedAt;
     private long digestAt;
-    private int hotDigests;
+    private int fastDigestsLeft;
     private long repliedAt;
     private long heartbeatTerm;
     private long heartbeatSequence;
@@ -73,22 +73,22 @@
         this.contact = contact;
         this.queries = new PendingQueries(random);
         this.digestAt = now + (long) (random.nextDouble() * settings.spreadPeriod());
-        this.askedAt = now - PATIENCE;
-        this.repliedAt = now - REPLIES;
+        this.fetchedAt = now - MIN_FETCH_INTERVAL;
+        this.repliedAt = now - MIN_REPLY_INTERVAL;
         this.heartbeatAt = now;
     }
 
-    /** Another group: nothing of the former counts. */
+    /** Resets everything that was known of the former group. */
     void reset(long now) {
         fetch = null;
-        askedAt = now - PATIENCE;
+        fetchedAt = now - MIN_FETCH_INTERVAL;
         heartbeatTerm = 0;
         heartbeatSequence = 0;
         heartbeatAt = now;
         leader = -1;
     }
 
-    /** Which replica the newest sign of a leader was of; -1 where there was none. */
+    /** Returns the replica that the newest known heartbeat came from; -1 if none is known. */
     int leader() {
         return leader;
     }
@@ -97,12 +97,12 @@
         return heartbeatTerm;
     }
 
-    /** When the last known heartbeat of a leader came. */
+    /** Returns when this replica learned of the newest known heartbeat of a leader. */
     long heartbeatAt() {
         return heartbeatAt;
     }
 
-    /** This replica leads, and a majority answers it. */
+    /** Records a heartbeat of this replica, which leads. */
     void onLeaderHeartbeat(long now) {
         heartbeatTerm = context.term();
         heartbeatSequence++;
@@ -116,12 +116,12 @@
 
     void tick(long now) {
         if (now >= digestAt) {
-            // One whose questions were lost asks more often.
+            // A replica whose queries were lost sends more of them.
             int age = contact.age(now);
-            boolean old = age * MILLI > OLD_PERIODS * settings.spreadPeriod();
-            long period = settings.spreadPeriod() / (old ? 2 : 1);
-            digestAt = now + (hotDigests > 0 ? Math.min(HOT_PERIOD, period) : period);
-            hotDigests = Math.max(0, hotDigests - 1);
+            boolean isOld = age * MILLI > OLD_PERIODS * settings.spreadPeriod();
+            long period = settings.spreadPeriod() / (isOld ? 2 : 1);
+            digestAt = now + (fastDigestsLeft > 0 ? Math.min(FAST_DIGEST_PERIOD, period) : period);
+            fastDigestsLeft = Math.max(0, fastDigestsLeft - 1);
             sendDigest(now, replicas.random(random));
         }
     }
@@ -142,51 +142,55 @@
     }
 
     /**
-     * Answers one whose piece is not admitted, at most one each 10 ms: its question, if it is one,
-     * and where it has to learn or to prove something, with a question.
+     * Responds to the sender of a fragment that is not admitted, at most once per 10 ms: with a
+     * response to its digest, if the fragment contained one, and with a digest of this replica if
+     * the sender has to learn or to prove something.
      */
-    void rejectOutdated(long now, int to, Digest asks, boolean tells) {
-        if (now - repliedAt >= REPLIES) {
+    void rejectOutdated(long now, int to, Digest digest, boolean sendsDigest) {
+        if (now - repliedAt >= MIN_REPLY_INTERVAL) {
             repliedAt = now;
-            if (asks != null) {
-                respond(now, to, asks);
+            if (digest != null) {
+                respond(now, to, digest);
             }
-            if (tells || asks == null) {
+            if (sendsDigest || digest == null) {
                 sendDigest(now, to);
             }
         }
     }
 
-    private void respond(long now, int to, Digest asks) {
-        context.send(to, new DigestResponse(asks.queryId(), contact.age(now), contact.index()));
+    private void respond(long now, int to, Digest digest) {
+        context.send(to, new DigestResponse(digest.queryId(), contact.age(now), contact.index()));
     }
 
-    /** Whether this one answers what was asked of it. */
-    boolean answersQuery(int by, DigestResponse sure) {
-        return queries.sentAt(by, sure.queryId()) != PendingQueries.NEVER;
+    /** Returns whether a response answers a query that was sent to its sender. */
+    boolean answersQuery(int from, DigestResponse response) {
+        return queries.sentAt(from, response.queryId()) != PendingQueries.NEVER;
     }
 
-    /** Takes a contact, where this replica has loaded all that it is of. */
-    void onReceived(long now, int from, DigestResponse sure) {
-        long askedAt = queries.sentAt(from, sure.queryId());
-        if (askedAt != PendingQueries.NEVER
-                && sure.age() >= 0
-                && context.log().commitIndex() >= sure.commitIndex()) {
-            contact.onReported(now, askedAt, sure.age(), sure.commitIndex());
+    /** Records a leader contact if this replica has applied all commits that belong to it. */
+    void onReceived(long now, int from, DigestResponse response) {
+        long queriedAt = queries.sentAt(from, response.queryId());
+        if (queriedAt != PendingQueries.NEVER
+                && response.age() >= 0
+                && context.log().commitIndex() >= response.commitIndex()) {
+            contact.onReported(now, queriedAt, response.age(), response.commitIndex());
         }
     }
 
-    /** Answers one who knows of an older contact; asks one who knows of a newer one. */
-    private void compare(long now, int from, Digest digest) {
+    /**
+     * Responds to a replica that knows of an older leader contact, and queries one that knows of a
+     * newer contact.
+     */
+    private void compareContacts(long now, int from, Digest digest) {
         long margin = settings.spreadPeriod() / 2 / MILLI;
-        int own = contact.age(now);
-        int other = digest.age();
-        if (own >= 0 && (other < 0 || own + margin < other)) {
+        int ownAge = contact.age(now);
+        int otherAge = digest.age();
+        if (ownAge >= 0 && (otherAge < 0 || ownAge + margin < otherAge)) {
             if (limiter.tryAcquire(now, MessageFragment.HEAD)) {
                 respond(now, from, digest);
             }
-        } else if (other >= 0
-                && (own < 0 || other + margin < own)
+        } else if (otherAge >= 0
+                && (ownAge < 0 || otherAge + margin < ownAge)
                 && digest.commitIndex() <= context.log().commitIndex()
                 && limiter.tryAcquire(now, MessageFragment.HEAD)) {
             sendDigest(now, from);
@@ -194,23 +198,24 @@
     }
 
     /**
-     * More is committed than up to there: passes it on at once, or says that there is something.
+     * Passes on the entries that were committed after an index at once, or sends digests if they
+     * are too large.
      */
     void onCommitted(long now, long from) {
         RaftLog log = context.log();
-        boolean small = from >= log.firstIndex();
-        CommittedEntries news = small ? committedEntries(from, MAX_PUSHED) : null;
-        small = small && from + news.entries().size() == log.commitIndex();
+        boolean canPush = from >= log.firstIndex();
+        CommittedEntries committed = canPush ? committedEntries(from, MAX_PUSHED_BYTES) : null;
+        canPush = canPush && from + committed.entries().size() == log.commitIndex();
         for (int i = 0; i < settings.fanout(); i++) {
             int to = replicas.random(random);
-            if (small && to >= 0 && limiter.tryAcquire(now, size(news.entries()))) {
-                context.send(to, news);
+            if (canPush && to >= 0 && limiter.tryAcquire(now, size(committed.entries()))) {
+                context.send(to, committed);
             } else {
                 sendDigest(now, to);
             }
         }
-        hotDigests = HOT_DIGESTS;
-        digestAt = Math.min(digestAt, now + HOT_PERIOD);
+        fastDigestsLeft = FAST_DIGESTS;
+        digestAt = Math.min(digestAt, now + FAST_DIGEST_PERIOD);
     }
 
     private CommittedEntries committedEntries(long after, int max) {
@@ -219,7 +224,7 @@
         int bytes = 0;
         for (long i = after + 1; i <= log.commitIndex(); i++) {
             bytes += RaftMessageCodec.size(log.entry(i));
-            if (bytes > max && !(entries.isEmpty() && max == MAX_NEWS)) {
+            if (bytes > max && !(entries.isEmpty() && max == MAX_ENTRIES_BYTES)) {
                 break;
             }
             entries.add(log.entry(i));
@@ -244,24 +249,24 @@
                 && digest.yourIncarnation() < context.self().incarnation()) {
             respond(now, from, digest);
         } else {
-            compare(now, from, digest);
+            compareContacts(now, from, digest);
         }
         RaftLog log = context.log();
         if (digest.commitIndex() > log.commitIndex()) {
             fetchFrom(now, from);
         } else if (digest.commitIndex() < log.commitIndex()) {
             if (digest.commitIndex() >= log.firstIndex()) {
-                feed(now, from, digest.commitIndex());
+                sendEntries(now, from, digest.commitIndex());
             } else {
                 sendDigest(now, from);
             }
         }
     }
 
-    /** Asks this one for what is lacking, unless something was asked for just now. */
+    /** Requests missing entries from a replica, unless some were requested just now. */
     void fetchFrom(long now, int from) {
-        if (now - askedAt >= PATIENCE) {
-            askedAt = now;
+        if (now - fetchedAt >= MIN_FETCH_INTERVAL) {
+            fetchedAt = now;
             context.send(
                     from,
                     new FetchRequest(
@@ -271,32 +276,32 @@
         }
     }
 
-    private void feed(long now, int to, long after) {
-        CommittedEntries news = committedEntries(after, MAX_NEWS);
-        if (!news.entries().isEmpty() && limiter.tryAcquire(now, size(news.entries()))) {
-            context.send(to, news);
+    private void sendEntries(long now, int to, long after) {
+        CommittedEntries committed = committedEntries(after, MAX_ENTRIES_BYTES);
+        if (!committed.entries().isEmpty() && limiter.tryAcquire(now, size(committed.entries()))) {
+            context.send(to, committed);
         }
     }
 
-    void onFetchRequest(long now, int by, FetchRequest ask) {
+    void onFetchRequest(long now, int to, FetchRequest request) {
         RaftLog log = context.log();
-        if (ask.afterIndex() >= log.commitIndex()) {
+        if (request.afterIndex() >= log.commitIndex()) {
             return;
         }
-        if (ask.afterIndex() >= log.firstIndex()) {
-            feed(now, by, ask.afterIndex());
+        if (request.afterIndex() >= log.firstIndex()) {
+            sendEntries(now, to, request.afterIndex());
             return;
         }
         Snapshot snapshot = log.snapshot();
         byte[] state = snapshot.state();
         int offset =
-                ask.snapshotIndex() == snapshot.index() && ask.offset() <= state.length
-                        ? ask.offset()
+                request.snapshotIndex() == snapshot.index() && request.offset() <= state.length
+                        ? request.offset()
                         : 0;
-        int end = Math.min(state.length, offset + CHUNK);
+        int end = Math.min(state.length, offset + CHUNK_BYTES);
         if (limiter.tryAcquire(now, MessageFragment.HEAD + end - offset)) {
             context.send(
-                    by,
+                    to,
                     new SnapshotChunk(
                             snapshot.index(),
                             snapshot.term(),
@@ -308,19 +313,19 @@
         }
     }
 
-    /** Takes committed entries. */
-    void onReceived(long now, int from, CommittedEntries news) {
+    /** Handles committed entries. */
+    void onReceived(long now, int from, CommittedEntries committed) {
         RaftLog log = context.log();
-        if (news.previousIndex() > log.commitIndex()) {
+        if (committed.previousIndex() > log.commitIndex()) {
             fetchFrom(now, from);
             return;
         }
-        long end = news.previousIndex() + news.entries().size();
+        long end = committed.previousIndex() + committed.entries().size();
         if (end <= log.commitIndex()) {
             return;
         }
         for (long i = log.commitIndex() + 1; i <= end; i++) {
-            LogEntry entry = news.entries().get((int) (i - news.previousIndex() - 1));
+            LogEntry entry = committed.entries().get((int) (i - committed.previousIndex() - 1));
             if (log.term(i) != entry.term()) {
                 if (i <= log.lastIndex()) {
                     log.truncateFrom(i);
@@ -332,23 +337,23 @@
         }
         log.commit(end);
         context.onCommitAdvanced(now);
-        if (size(news.entries()) > MAX_NEWS / 2) {
-            askedAt = now - PATIENCE;
+        if (size(committed.entries()) > MAX_ENTRIES_BYTES / 2) {
+            fetchedAt = now - MIN_FETCH_INTERVAL;
             fetchFrom(now, from);
         }
     }
 
-    /** Takes part of a snapshot; returns it once it is whole. */
+    /** Handles a part of a snapshot; returns the snapshot once it is complete, otherwise null. */
     Snapshot onReceived(long now, int from, SnapshotChunk chunk) {
         if (chunk.index() <= context.log().commitIndex()) {
             return null;
         }
-        boolean goesOn =
+        boolean continuesFetch =
                 fetch != null
                         && fetch.first.index() == chunk.index()
                         && fetch.first.sum() == chunk.sum()
                         && fetch.state.length == chunk.total();
-        if (!goesOn) {
+        if (!continuesFetch) {
             if (chunk.offset() != 0 || fetch != null && chunk.index() < fetch.first.index()) {
                 return null;
             }
@@ -360,7 +365,7 @@
         System.arraycopy(chunk.bytes(), 0, fetch.state, fetch.received, chunk.bytes().length);
         fetch = new Fetch(fetch.first, fetch.state, fetch.received + chunk.bytes().length);
         if (fetch.received < fetch.state.length) {
-            askedAt = now - PATIENCE;
+            fetchedAt = now - MIN_FETCH_INTERVAL;
             fetchFrom(now, from);
             return null;
         }
--- a/core/src/main/java/cedarrudder/consensus/LogFollower.java
+++ b/core/src/main/java/cedarrudder/consensus/LogFollower.java
@@ -3,7 +3,7 @@
 import cedarrudder.consensus.RaftMessage.AppendEntries;
 import cedarrudder.consensus.RaftMessage.AppendResponse;
 
-/** A follower's part in log replication: AppendEntries and its response (Raft paper, 5.3). */
+/** A follower's handling of AppendEntries in log replication (Raft paper, 5.3). */
 final class LogFollower {
 
     private final RaftContext context;
@@ -16,7 +16,7 @@
         this.dissemination = dissemination;
     }
 
-    /** Takes an append of a leader. */
+    /** Handles AppendEntries from a leader. */
     void onAppend(long now, int leader, long term, AppendEntries append) {
         RaftLog log = context.log();
         if (term < election.term()) {
@@ -27,7 +27,7 @@
         int skipped = alreadyCommitted(append);
         long previous = append.previousIndex() + skipped;
         boolean allCommitted = previous < log.commitIndex();
-        if (!allCommitted && !fits(append, skipped, previous)) {
+        if (!allCommitted && !matchesPrevious(append, skipped, previous)) {
             respond(leader, append, false, Math.max(0, Math.min(log.lastIndex(), previous - 1)));
             if (append.commitIndex() > log.lastIndex()) {
                 dissemination.fetchFrom(now, leader);
@@ -44,20 +44,23 @@
         }
     }
 
-    /** How many of its entries are committed here, and so are not looked at. */
+    /** Returns how many of the entries are already committed here and therefore skipped. */
     private int alreadyCommitted(AppendEntries append) {
         long committed = context.log().commitIndex() - append.previousIndex();
         return (int) Math.max(0, Math.min(committed, append.entries().size()));
     }
 
-    private boolean fits(AppendEntries append, int skipped, long previous) {
+    private boolean matchesPrevious(AppendEntries append, int skipped, long previous) {
         RaftLog log = context.log();
         long previousTerm =
                 skipped == 0 ? append.previousTerm() : append.entries().get(skipped - 1).term();
         return previous <= log.lastIndex() && log.term(previous) == previousTerm;
     }
 
-    /** Writes what the log lacks, in place of what conflicts; returns the last index. */
+    /**
+     * Appends the entries that the log lacks, in place of conflicting ones; returns the index of
+     * the last entry of the message.
+     */
     private long write(AppendEntries append, int skipped, long previous) {
         RaftLog log = context.log();
         long index = previous;
--- a/core/src/main/java/cedarrudder/consensus/MessageFragment.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragment.java
@@ -4,17 +4,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * One piece of a message, of at most {@value #MAX_BYTES} bytes: the platform's datagrams hold 256,
- * of which the rest is kept for what proves the sender, as with membership's.
+ * One fragment of a message, of at most {@value #MAX_BYTES} bytes. The platform's datagrams have up
+ * to 256 bytes; the rest is reserved for the authentication of the sender, as with membership's
+ * datagrams.
  *
- * <p>Big-endian: a first byte that no message of membership begins with, group (era 4 bytes,
- * founder 2, incarnation 8), term (8), sender (2) and its incarnation (8), message (4), place (2)
- * and count (2), checksum of the whole message (4), its part of the message, checksum of the piece
- * (4).
+ * <p>Encoded big-endian: a first byte that no message of membership begins with, group (era 4
+ * bytes, founder 2, incarnation 8), term (8), sender (2) and its incarnation (8), message ID (4),
+ * index (2) and count (2) of fragments, checksum of the whole message (4), the payload, checksum of
+ * the fragment (4).
  *
- * @param messageId its number, by the sender
- * @param index which piece it is, from 0
- * @param messageChecksum the checksum (CRC32C) of the message
+ * @param messageId the number that the sender gave the message
+ * @param index the index of this fragment in the message, from 0
+ * @param messageChecksum the checksum (CRC32C) of the whole message
  */
 record MessageFragment(
         VoterGroup group,
@@ -54,7 +55,7 @@
         return out.array();
     }
 
-    /** Reads a piece; null where the bytes are none. */
+    /** Decodes a fragment; returns null if the bytes are malformed. */
     static MessageFragment decode(byte[] bytes, int replicas) {
         if (bytes.length <= HEAD + TAIL || bytes.length > MAX_BYTES || bytes[0] != FIRST) {
             return null;
@@ -67,31 +68,39 @@
         long term = in.getLong();
         int sender = in.getShort() & U16;
         long incarnation = in.getLong();
-        int message = in.getInt();
-        int place = in.getShort() & U16;
+        int messageId = in.getInt();
+        int index = in.getShort() & U16;
         int count = in.getShort() & U16;
-        int totalBytes = in.getInt();
-        byte[] part = new byte[bytes.length - HEAD - TAIL];
-        in.get(part);
-        boolean good =
+        int messageChecksum = in.getInt();
+        byte[] payload = new byte[bytes.length - HEAD - TAIL];
+        in.get(payload);
+        boolean valid =
                 group.era() >= 0
                         && group.founder() < replicas
                         && group.incarnation() >= 0
                         && term >= 0
                         && sender < replicas
                         && incarnation >= 0
-                        && place < count
+                        && index < count
                         && count <= MAX_COUNT
-                        && (place == count - 1 || part.length == MAX_PART);
-        return good
+                        && (index == count - 1 || payload.length == MAX_PART);
+        return valid
                 ? new MessageFragment(
-                        group, term, sender, incarnation, message, place, count, totalBytes, part)
+                        group,
+                        term,
+                        sender,
+                        incarnation,
+                        messageId,
+                        index,
+                        count,
+                        messageChecksum,
+                        payload)
                 : null;
     }
 
     static int checksum(byte[] bytes, int from, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, from, length);
-        return (int) sum.getValue();
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, from, length);
+        return (int) crc.getValue();
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
@@ -9,183 +9,194 @@
 import java.util.List;
 
 /**
- * Cuts messages into pieces and puts pieces together. A message of several pieces is repeated piece
- * by piece, where the one who gets it says which have not come. All that it holds is bounded,
- * whatever comes.
+ * Splits messages into fragments and reassembles them. The receiver of a message of several
+ * fragments requests those that are missing, and the sender repeats only these. All buffers are
+ * bounded, whatever is received.
  */
 final class MessageFragmenter {
 
-    /** Messages that are not whole yet. This avoids work and memory without end for a flood. */
+    /**
+     * The maximum number of incomplete messages, so that a flood of fragments can't cause unbounded
+     * work and memory use.
+     */
     private static final int MAX_PARTIAL = 16;
 
-    /** Messages that were sent, kept to be repeated. */
+    /** The maximum number of sent messages that are buffered to be repeated. */
     private static final int MAX_SENT = 16;
 
-    private static final int MAX_DONE = 64;
-    private static final long STALE = 2_000_000_000L;
-    private static final long PATIENCE = 40_000_000L;
-    private static final int MAX_LACKS = 8;
+    private static final int MAX_RECENTLY_COMPLETED = 64;
+    private static final long PARTIAL_TIMEOUT = 2_000_000_000L;
+    private static final long REQUEST_DELAY = 40_000_000L;
+    private static final int MAX_REQUESTS = 8;
 
-    /** A message of which some pieces have come. */
-    private static final class Partial {
+    /** A message of which some fragments were received. */
+    private static final class PartialMessage {
         final MessageFragment first;
-        final byte[][] parts;
-        int got;
-        int lacks;
-        long lackAt;
+        final byte[][] payloads;
+        int receivedCount;
+        int requestCount;
+        long requestAt;
         long staleAt;
 
-        Partial(MessageFragment first) {
+        PartialMessage(MessageFragment first) {
             this.first = first;
-            this.parts = new byte[first.count()][];
+            this.payloads = new byte[first.count()][];
         }
     }
 
     private record Completed(int sender, long incarnation, int message) {}
 
-    private record Sent(int to, int message, List<byte[]> pieces) {}
+    private record Sent(int to, int message, List<byte[]> fragments) {}
 
     private final SafetyRules rules;
-    private final List<Partial> partials = new ArrayList<>();
-    private final Deque<Completed> done = new ArrayDeque<>();
+    private final List<PartialMessage> partials = new ArrayList<>();
+    private final Deque<Completed> recentlyCompleted = new ArrayDeque<>();
     private final Deque<Sent> sent = new ArrayDeque<>();
-    private int messages;
+    private int nextMessageId;
 
     /**
-     * @param first the number of the first message; a process that goes on with a life needs others
-     *     than before
+     * @param first the ID of the first message; a process that continues with an earlier
+     *     incarnation needs other IDs than before
      */
     MessageFragmenter(SafetyRules rules, int first) {
         this.rules = rules;
-        this.messages = first;
+        this.nextMessageId = first;
     }
 
     List<byte[]> split(VoterGroup group, long term, Voter self, int to, byte[] message) {
         int count = (message.length + MessageFragment.MAX_PART - 1) / MessageFragment.MAX_PART;
-        int completed = MessageFragment.checksum(message, 0, message.length);
-        int number = messages++;
-        List<byte[]> pieces = new ArrayList<>(count);
+        int messageChecksum = MessageFragment.checksum(message, 0, message.length);
+        int messageId = nextMessageId++;
+        List<byte[]> fragments = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            byte[] part =
+            byte[] payload =
                     Arrays.copyOfRange(
                             message,
                             i * MessageFragment.MAX_PART,
                             Math.min(message.length, (i + 1) * MessageFragment.MAX_PART));
-            pieces.add(
+            fragments.add(
                     new MessageFragment(
                                     group,
                                     term,
                                     self.replica(),
                                     self.incarnation(),
-                                    number,
+                                    messageId,
                                     i,
                                     count,
-                                    completed,
-                                    part)
+                                    messageChecksum,
+                                    payload)
                             .encode());
         }
         if (count > 1) {
-            sent.add(new Sent(to, number, pieces));
+            sent.add(new Sent(to, messageId, fragments));
             if (sent.size() > MAX_SENT) {
                 sent.remove();
             }
         }
-        return pieces;
+        return fragments;
     }
 
-    /** The pieces of a message that this one says it lacks. */
-    List<byte[]> resend(int to, RaftMessage.MissingFragments lack) {
+    /** Returns the fragments of a sent message that its receiver requests again. */
+    List<byte[]> resend(int to, RaftMessage.MissingFragments request) {
         for (Sent each : sent) {
-            if (each.to == to && each.message == lack.messageId()) {
-                return BitSet.valueOf(lack.missing()).stream()
-                        .filter(place -> place < each.pieces.size())
-                        .mapToObj(each.pieces::get)
+            if (each.to == to && each.message == request.messageId()) {
+                return BitSet.valueOf(request.missing()).stream()
+                        .filter(index -> index < each.fragments.size())
+                        .mapToObj(each.fragments::get)
                         .toList();
             }
         }
         return List.of();
     }
 
-    /** Takes a piece; returns the message when it is whole, else null. */
-    byte[] accept(long now, MessageFragment piece) {
-        if (piece.count() == 1) {
-            return piece.payload();
+    /** Accepts a fragment; returns the message when it is complete, otherwise null. */
+    byte[] accept(long now, MessageFragment fragment) {
+        if (fragment.count() == 1) {
+            return fragment.payload();
         }
-        Completed completed = new Completed(piece.sender(), piece.incarnation(), piece.messageId());
-        Partial partial = done.contains(completed) ? null : buffered(piece);
-        if (partial == null || partial.parts[piece.index()] != null) {
+        Completed completed =
+                new Completed(fragment.sender(), fragment.incarnation(), fragment.messageId());
+        PartialMessage partial =
+                recentlyCompleted.contains(completed) ? null : findOrAddPartial(fragment);
+        if (partial == null || partial.payloads[fragment.index()] != null) {
             return null;
         }
-        partial.parts[piece.index()] = piece.payload();
-        partial.lackAt = now + PATIENCE;
-        partial.staleAt = now + STALE;
-        if (++partial.got < partial.parts.length) {
+        partial.payloads[fragment.index()] = fragment.payload();
+        partial.requestAt = now + REQUEST_DELAY;
+        partial.staleAt = now + PARTIAL_TIMEOUT;
+        if (++partial.receivedCount < partial.payloads.length) {
             return null;
         }
         partials.remove(partial);
-        done.add(completed);
-        if (done.size() > MAX_DONE) {
-            done.remove();
+        recentlyCompleted.add(completed);
+        if (recentlyCompleted.size() > MAX_RECENTLY_COMPLETED) {
+            recentlyCompleted.remove();
         }
-        byte[] message = new byte[Arrays.stream(partial.parts).mapToInt(part -> part.length).sum()];
-        int at = 0;
-        for (byte[] part : partial.parts) {
-            System.arraycopy(part, 0, message, at, part.length);
-            at += part.length;
+        byte[] message =
+                new byte[Arrays.stream(partial.payloads).mapToInt(payload -> payload.length).sum()];
+        int offset = 0;
+        for (byte[] payload : partial.payloads) {
+            System.arraycopy(payload, 0, message, offset, payload.length);
+            offset += payload.length;
         }
         return rules.isIntact(partial.first, message) ? message : null;
     }
 
-    private Partial buffered(MessageFragment piece) {
-        for (Partial each : partials) {
-            if (each.first.sender() == piece.sender() && rules.isSameMessage(each.first, piece)) {
+    private PartialMessage findOrAddPartial(MessageFragment fragment) {
+        for (PartialMessage each : partials) {
+            if (each.first.sender() == fragment.sender()
+                    && rules.isSameMessage(each.first, fragment)) {
                 return each;
             }
         }
         if (partials.size() == MAX_PARTIAL) {
             partials.remove(0);
         }
-        Partial made = new Partial(piece);
-        partials.add(made);
-        return made;
+        PartialMessage created = new PartialMessage(fragment);
+        partials.add(created);
+        return created;
     }
 
-    /** When {@link #missing} is to be called next. */
+    /** Returns when {@link #missing} is to be called next. */
     long due() {
         long due = Long.MAX_VALUE;
-        for (Partial each : partials) {
-            due = Math.min(due, Math.min(each.lackAt, each.staleAt));
+        for (PartialMessage each : partials) {
+            due = Math.min(due, Math.min(each.requestAt, each.staleAt));
         }
         return due;
     }
 
-    /** What is to be asked for again, and of whom. */
-    record Missing(int of, RaftMessage.MissingFragments lack) {}
+    /** A request for missing fragments and the replica that it is to be sent to. */
+    record Missing(int sender, RaftMessage.MissingFragments request) {}
 
-    /** Drops what is stale and says what is missing of the rest. */
+    /**
+     * Drops stale incomplete messages, and returns the requests for missing fragments of the
+     * others.
+     */
     List<Missing> missing(long now) {
-        List<Missing> wanted = new ArrayList<>();
-        for (Iterator<Partial> all = partials.iterator(); all.hasNext(); ) {
-            Partial each = all.next();
+        List<Missing> requests = new ArrayList<>();
+        for (Iterator<PartialMessage> all = partials.iterator(); all.hasNext(); ) {
+            PartialMessage each = all.next();
             if (now >= each.staleAt) {
                 all.remove();
-            } else if (now >= each.lackAt) {
-                each.lackAt = ++each.lacks < MAX_LACKS ? now + PATIENCE : Long.MAX_VALUE;
+            } else if (now >= each.requestAt) {
+                each.requestAt =
+                        ++each.requestCount < MAX_REQUESTS ? now + REQUEST_DELAY : Long.MAX_VALUE;
                 BitSet missing = new BitSet();
-                for (int i = 0; i < each.parts.length; i++) {
-                    missing.set(i, each.parts[i] == null);
+                for (int i = 0; i < each.payloads.length; i++) {
+                    missing.set(i, each.payloads[i] == null);
                 }
-                wanted.add(
+                requests.add(
                         new Missing(
                                 each.first.sender(),
                                 new RaftMessage.MissingFragments(
                                         each.first.messageId(), missing.toByteArray())));
             }
         }
-        return wanted;
+        return requests;
     }
 
-    /** Forgets what is not whole yet. */
+    /** Drops all incomplete messages, and the sent ones. */
     void clear() {
         partials.clear();
         sent.clear();
--- a/core/src/main/java/cedarrudder/consensus/PendingQueries.java
+++ b/core/src/main/java/cedarrudder/consensus/PendingQueries.java
@@ -5,22 +5,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What was asked lately, each with a number drawn at random. An answer that names it was made after
- * that instant, however late it comes, and by someone who had read the question.
+ * The queries that were sent recently, each with an ID drawn at random. A response that repeats the
+ * ID was created after the query was sent, however late it arrives, and by a replica that had read
+ * the query.
  */
 final class PendingQueries {
 
     /**
-     * What {@link #sentAt} says of an answer to nothing that was asked, or to what is forgotten.
+     * Returned by {@link #sentAt} if the response answers no query, or one that is no longer
+     * remembered.
      */
     static final long NEVER = Long.MIN_VALUE;
 
-    /** Asked of anybody. */
+    /** The recipient of a query that any replica may answer. */
     static final int ANY = -1;
 
     private static final int MAX = 32;
 
-    private record Query(int number, int of, long at) {}
+    private record Query(int queryId, int recipient, long sentTime) {}
 
     private final RandomGenerator random;
     private final Deque<Query> queries = new ArrayDeque<>();
@@ -29,21 +31,21 @@
         this.random = random;
     }
 
-    /** Asks this replica something now; returns the number that the answer is to name. */
-    int add(long now, int of) {
-        int number = random.nextInt();
-        queries.add(new Query(number, of, now));
+    /** Records a query to a replica; returns the ID that the response must repeat. */
+    int add(long now, int recipient) {
+        int queryId = random.nextInt();
+        queries.add(new Query(queryId, recipient, now));
         if (queries.size() > MAX) {
             queries.remove();
         }
-        return number;
+        return queryId;
     }
 
-    /** When what this one answers was asked. */
-    long sentAt(int by, int number) {
+    /** Returns when the query that a replica answers was sent, or {@link #NEVER}. */
+    long sentAt(int sender, int queryId) {
         for (Query each : queries) {
-            if (each.number == number && (each.of == by || each.of == ANY)) {
-                return each.at;
+            if (each.queryId == queryId && (each.recipient == sender || each.recipient == ANY)) {
+                return each.sentTime;
             }
         }
         return NEVER;
--- a/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -5,45 +5,53 @@
 import java.util.Iterator;
 
 /**
- * What this replica proposes, whoever leads: handed to the leader that it knows, one after another,
- * and again where the leader changes or nothing comes back, until it has loaded what became of it.
+ * Forwards this replica's proposals to the leader that it knows, one after another. A proposal is
+ * forwarded again when the leader changes or no response arrives, until this replica has applied
+ * its outcome.
  */
 final class ProposalForwarder {
 
-    static final int MAX_WAITING = 16;
+    static final int MAX_PENDING = 16;
 
-    /** Until it is asked again, where the leader has not said that it has it. */
-    private static final long RESEND_AFTER_SILENCE = 300_000_000L;
+    /**
+     * The time after which a proposal is forwarded again if the leader has not accepted it, in
+     * nanoseconds.
+     */
+    private static final long RESEND_IF_NOT_ACCEPTED = 300_000_000L;
 
-    /** The same where it has: it may have lost its lead without another being known yet. */
-    private static final long RESEND_AFTER_ACCEPTED = 1_000_000_000L;
+    /**
+     * The same time if the leader has accepted the proposal: the leader may have lost leadership
+     * without its successor being known yet.
+     */
+    private static final long RESEND_IF_ACCEPTED = 1_000_000_000L;
 
-    private static final class Waiting {
+    private static final class PendingProposal {
         final Proposal proposal;
-        final long until;
+        final long expiresAt;
 
-        /** Whether a leader may have it. */
-        boolean handed;
+        /** Whether a leader may have received the proposal. */
+        boolean forwarded;
 
-        Waiting(Proposal proposal, long until, boolean handed) {
+        PendingProposal(Proposal proposal, long expiresAt, boolean forwarded) {
             this.proposal = proposal;
-            this.until = until;
-            this.handed = handed;
+            this.expiresAt = expiresAt;
+            this.forwarded = forwarded;
         }
     }
 
     private final RaftContext context;
     private final RaftNode.Actions actions;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    private final Deque<PendingProposal> pending = new ArrayDeque<>();
     private long incarnation;
     private long sequence;
-    private int askedOf = -1;
-    private long askedTerm;
-    private long askAt;
+    private int forwardedTo = -1;
+    private long forwardedTerm;
+    private long resendAt;
 
     /**
-     * @param sequence after which it counts: a process that begins with a life that was there
-     *     before needs others
+     * Creates a forwarder without pending proposals. @param sequence the number before the first
+     * sequence number; a process that starts with an incarnation that was used before needs other
+     * sequence numbers
      */
     ProposalForwarder(
             RaftContext context, RaftNode.Actions actions, long incarnation, long sequence) {
@@ -53,107 +61,109 @@
         this.sequence = sequence;
     }
 
-    /** Another group: whoever was asked leads it no more. */
+    /** Resets the leader that was forwarded to, because it does not lead the newly joined group. */
     void reset() {
-        askedOf = -1;
+        forwardedTo = -1;
     }
 
-    /** Null where too many wait. */
+    /** Adds a new proposal; returns null if too many are pending. */
     Proposal add(long now, LogPosition after, byte[] content, long patience) {
-        if (waiting.size() >= MAX_WAITING) {
+        if (pending.size() >= MAX_PENDING) {
             return null;
         }
-        Proposal made =
+        Proposal created =
                 new Proposal(
                         context.self().replica(), incarnation, ++sequence, after, content.clone());
-        waiting.add(new Waiting(made, now + patience, false));
-        return made;
+        pending.add(new PendingProposal(created, now + patience, false));
+        return created;
     }
 
-    /** The same once more; false where too many wait, or it waits. */
+    /** Adds a proposal again; returns false if too many are pending, or it still is. */
     boolean addAgain(long now, Proposal proposal, long patience) {
-        if (waiting.size() >= MAX_WAITING
-                || waiting.stream().anyMatch(each -> each.proposal.isSame(proposal))) {
+        if (pending.size() >= MAX_PENDING
+                || pending.stream().anyMatch(each -> each.proposal.isSame(proposal))) {
             return false;
         }
-        waiting.add(new Waiting(proposal, now + patience, true));
+        pending.add(new PendingProposal(proposal, now + patience, true));
         return true;
     }
 
     long due() {
         long due = Long.MAX_VALUE;
-        for (Waiting each : waiting) {
-            due = Math.min(due, each.until);
+        for (PendingProposal each : pending) {
+            due = Math.min(due, each.expiresAt);
         }
-        return waiting.isEmpty() || context.leader() < 0 ? due : Math.min(due, askAt);
+        return pending.isEmpty() || context.leader() < 0 ? due : Math.min(due, resendAt);
     }
 
     void tick(long now) {
-        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext(); ) {
-            Waiting each = all.next();
-            if (now >= each.until) {
-                askedOf = each == waiting.peek() ? -1 : askedOf;
+        for (Iterator<PendingProposal> all = pending.iterator(); all.hasNext(); ) {
+            PendingProposal each = all.next();
+            if (now >= each.expiresAt) {
+                forwardedTo = each == pending.peek() ? -1 : forwardedTo;
                 all.remove();
                 settle(each, null);
             }
         }
         int leader = context.leader();
-        if (waiting.isEmpty()
+        if (pending.isEmpty()
                 || leader < 0
-                || leader == askedOf && context.term() == askedTerm && now < askAt) {
+                || leader == forwardedTo && context.term() == forwardedTerm && now < resendAt) {
             return;
         }
-        Waiting first = waiting.peek();
-        askedOf = leader;
-        askedTerm = context.term();
-        askAt = now + RESEND_AFTER_SILENCE;
+        PendingProposal first = pending.peek();
+        forwardedTo = leader;
+        forwardedTerm = context.term();
+        resendAt = now + RESEND_IF_NOT_ACCEPTED;
         if (leader == context.self().replica()) {
-            first.handed |= context.acceptProposal(now, first.proposal);
+            first.forwarded |= context.acceptProposal(now, first.proposal);
         } else {
-            first.handed = true;
+            first.forwarded = true;
             context.send(leader, new RaftMessage.ForwardProposal(first.proposal));
         }
     }
 
-    private void settle(Waiting its, LogPosition number) {
+    private void settle(PendingProposal own, LogPosition position) {
         actions.onProposalSettled(
-                its.proposal,
-                number != null
+                own.proposal,
+                position != null
                         ? ProposalOutcome.COMMITTED
-                        : its.handed ? ProposalOutcome.UNKNOWN : ProposalOutcome.NOT_TAKEN,
-                number);
+                        : own.forwarded ? ProposalOutcome.UNKNOWN : ProposalOutcome.NOT_TAKEN,
+                position);
     }
 
-    /** The leader has one, or knows what became of it. */
-    void onAccepted(long now, int from, RaftMessage.ProposalAccepted took) {
-        Waiting first = waiting.peek();
+    /** Handles the leader's message that it has a proposal or knows its outcome. */
+    void onAccepted(long now, int from, RaftMessage.ProposalAccepted accepted) {
+        PendingProposal first = pending.peek();
         if (first != null
-                && from == askedOf
-                && first.proposal.incarnation() == took.incarnation()
-                && first.proposal.sequence() == took.sequence()) {
-            askAt = now + RESEND_AFTER_ACCEPTED;
+                && from == forwardedTo
+                && first.proposal.incarnation() == accepted.incarnation()
+                && first.proposal.sequence() == accepted.sequence()) {
+            resendAt = now + RESEND_IF_ACCEPTED;
         }
     }
 
-    /** More was loaded: says what became of the first, where that is known. */
+    /**
+     * Settles the pending proposals whose outcome follows from the last proposal of this replica
+     * that took effect.
+     */
     void onApplied(AppliedProposals.Last last) {
-        while (last != null && !waiting.isEmpty()) {
-            Waiting first = waiting.peek();
-            Proposal its = first.proposal;
+        while (last != null && !pending.isEmpty()) {
+            PendingProposal first = pending.peek();
+            Proposal own = first.proposal;
             boolean committed =
-                    last.incarnation() == its.incarnation() && last.sequence() == its.sequence();
-            boolean earlier = last.incarnation() > its.incarnation();
+                    last.incarnation() == own.incarnation() && last.sequence() == own.sequence();
+            boolean earlier = last.incarnation() > own.incarnation();
             if (!committed
                     && !earlier
-                    && (last.incarnation() < its.incarnation()
-                            || last.sequence() < its.sequence())) {
+                    && (last.incarnation() < own.incarnation()
+                            || last.sequence() < own.sequence())) {
                 return;
             }
-            waiting.remove();
-            askedOf = -1;
+            pending.remove();
+            forwardedTo = -1;
             if (earlier) {
-                // A process before this one had a larger life: what is made from here on goes
-                // beyond it.
+                // An earlier process had a higher incarnation: new proposals get one above it.
                 incarnation = Math.max(incarnation, last.incarnation() + 1);
             }
             settle(first, committed ? last.position() : null);
--- a/core/src/main/java/cedarrudder/consensus/RaftLog.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftLog.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * The entries that a replica holds: some that are committed, kept for others, and those that may
- * yet be taken back. What lies before them is in the snapshot.
+ * The log of a replica: committed entries that are retained for others, and entries that are not
+ * committed and may still be removed. Earlier entries are in the snapshot.
  */
 final class RaftLog {
 
-    private final StableStorage store;
+    private final StableStorage storage;
     private final List<LogEntry> entries = new ArrayList<>();
     private Snapshot snapshot = Snapshot.EMPTY;
     private long base;
@@ -19,39 +19,42 @@
     private long votersAt;
     private long commitIndex;
 
-    RaftLog(StableStorage store) {
-        this.store = store;
+    RaftLog(StableStorage storage) {
+        this.storage = storage;
     }
 
-    /** Takes what was read back, which is in the store. */
-    void restore(Snapshot of, List<LogEntry> after) {
-        reset(of);
+    /** Restores what was read back from the storage. */
+    void restore(Snapshot newSnapshot, List<LogEntry> after) {
+        reset(newSnapshot);
         entries.addAll(after);
         applyVoters();
     }
 
-    /** Holds nothing but this from here on. */
-    void install(Snapshot of) {
-        boolean goesOn =
-                of.index() <= lastIndex() && of.index() > base && term(of.index()) == of.term();
+    /** Replaces the log by a snapshot, and retains entries after it if the log matches it. */
+    void install(Snapshot newSnapshot) {
+        boolean matchesSnapshot =
+                newSnapshot.index() <= lastIndex()
+                        && newSnapshot.index() > base
+                        && term(newSnapshot.index()) == newSnapshot.term();
         List<LogEntry> after =
-                goesOn
-                        ? List.copyOf(entries.subList((int) (of.index() - base), entries.size()))
+                matchesSnapshot
+                        ? List.copyOf(
+                                entries.subList((int) (newSnapshot.index() - base), entries.size()))
                         : List.of();
-        if (!goesOn) {
-            store.truncateFrom(of.index() + 1);
+        if (!matchesSnapshot) {
+            storage.truncateFrom(newSnapshot.index() + 1);
         }
-        store.writeSnapshot(of);
-        reset(of);
+        storage.writeSnapshot(newSnapshot);
+        reset(newSnapshot);
         entries.addAll(after);
         applyVoters();
     }
 
-    private void reset(Snapshot of) {
-        snapshot = of;
-        base = of.index();
-        baseTerm = of.term();
-        baseVoters = of.voters();
+    private void reset(Snapshot newSnapshot) {
+        snapshot = newSnapshot;
+        base = newSnapshot.index();
+        baseTerm = newSnapshot.term();
+        baseVoters = newSnapshot.voters();
         commitIndex = base;
         entries.clear();
         applyVoters();
@@ -61,7 +64,7 @@
         return snapshot;
     }
 
-    /** The index before that of the first entry held. */
+    /** Returns the index before the first entry that is retained. */
     long firstIndex() {
         return base;
     }
@@ -70,17 +73,20 @@
         return base + entries.size();
     }
 
-    /** The index up to which entries are known to be committed. */
+    /** Returns the index up to which entries are known to be committed. */
     long commitIndex() {
         return commitIndex;
     }
 
-    /** Entries up to this one are committed; an earlier one changes nothing. */
+    /**
+     * Marks the entries up to an index as committed; an index before the commit index changes
+     * nothing.
+     */
     void commit(long index) {
         commitIndex = Math.max(commitIndex, Math.min(index, lastIndex()));
     }
 
-    /** The term of an entry; -1 where it isn't known. */
+    /** Returns the term of an entry; -1 if it isn't known. */
     long term(long index) {
         return index == base
                 ? baseTerm
@@ -93,27 +99,28 @@
 
     void append(LogEntry entry) {
         entries.add(entry);
-        store.append(lastIndex(), entry);
+        storage.append(lastIndex(), entry);
         if (entry.kind() == LogEntry.Kind.VOTERS) {
             applyVoters();
         }
     }
 
-    /** Takes back this entry and those after it, none of them committed. */
+    /** Removes the entry at an index and all after it, none of which is committed. */
     void truncateFrom(long from) {
         entries.subList((int) (from - base - 1), entries.size()).clear();
-        store.truncateFrom(from);
+        storage.truncateFrom(from);
         applyVoters();
     }
 
     /**
-     * The newest voters, committed or not: they count from the moment at which they are in the log.
+     * Returns the newest voters, committed or not: a change takes effect as soon as it is in the
+     * log.
      */
     VoterSet voters() {
         return voters;
     }
 
-    /** The entry that made them voters. */
+    /** Returns the index of the entry that made them voters. */
     long votersAt() {
         return votersAt;
     }
@@ -139,17 +146,20 @@
         }
     }
 
-    /** Puts what is committed into the snapshot and keeps this many entries of it for others. */
-    void compact(byte[] state, int keep) {
+    /**
+     * Replaces the snapshot by one of the committed state, and retains the given number of
+     * committed entries for others.
+     */
+    void compact(byte[] state, int retainedEntries) {
         snapshot = new Snapshot(commitIndex, term(commitIndex), votersAt(commitIndex), state);
-        store.writeSnapshot(snapshot);
-        long first = Math.max(base, commitIndex - keep);
-        VoterSet then = votersAt(first);
+        storage.writeSnapshot(snapshot);
+        long first = Math.max(base, commitIndex - retainedEntries);
+        VoterSet votersAtFirst = votersAt(first);
         long term = term(first);
         entries.subList(0, (int) (first - base)).clear();
         base = first;
         baseTerm = term;
-        baseVoters = then;
+        baseVoters = votersAtFirst;
         applyVoters();
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/RaftMessageCodec.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftMessageCodec.java
@@ -19,13 +19,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages between replicas as bytes: the kind, then the fields in their order, big-endian. */
+/**
+ * Encodes and decodes messages between replicas: the type, then the fields in their order,
+ * big-endian.
+ */
 final class RaftMessageCodec {
 
-    /** What the fields of any message take, without entries and parts. */
+    /**
+     * The maximum size of the fields of a message other than those of variable length, in bytes.
+     */
     private static final int MAX_FIXED_BYTES = 128;
 
-    /** The term, the kind and the length of an entry. */
+    /** The size of the term, the kind and the length of an entry, in bytes. */
     private static final int ENTRY_HEADER_BYTES = Long.BYTES + Byte.BYTES + Short.BYTES;
 
     private RaftMessageCodec() {}
@@ -39,7 +44,7 @@
         return bytes;
     }
 
-    /** Reads a message; null where the bytes are none. */
+    /** Decodes a message; returns null if the bytes are malformed. */
     static RaftMessage decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
@@ -122,17 +127,17 @@
         }
     }
 
-    /** How many bytes an entry takes in a message. */
+    /** Returns the size of an entry in a message, in bytes. */
     static int size(LogEntry entry) {
         return ENTRY_HEADER_BYTES + entry.bytes().length;
     }
 
-    /** How many bytes entries take in a message. */
+    /** Returns the size of a list of entries in a message, in bytes. */
     static int size(List<LogEntry> entries) {
         return entries.stream().mapToInt(RaftMessageCodec::size).sum();
     }
 
-    /** All that is left, as entries; null where it is none. */
+    /** Decodes the remaining bytes as entries; returns null if they are malformed. */
     private static List<LogEntry> entries(ByteBuffer in) {
         List<LogEntry> entries = new ArrayList<>();
         while (in.hasRemaining()) {
--- a/core/src/main/java/cedarrudder/consensus/RaftNode.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftNode.java
@@ -347,7 +347,7 @@
     public void tick(long now) {
         stepDownWithoutQuorum(now);
         for (MessageFragmenter.Missing missing : fragmenter.missing(now)) {
-            context.send(missing.of(), missing.lack());
+            context.send(missing.sender(), missing.request());
         }
         election.tick(now);
         updateRole(now);
--- a/core/src/main/java/cedarrudder/consensus/SafetyRules.java
+++ b/core/src/main/java/cedarrudder/consensus/SafetyRules.java
@@ -1,79 +1,90 @@
 package cedarrudder.consensus;
 
 /**
- * The rules that safety rests on, one a method, so that each can be seen, and a test can show what
- * breaks without it.
+ * The rules that safety depends on, one per method, so that a test can replace each one and show
+ * what breaks without it.
  */
 class SafetyRules {
 
     /**
-     * Whether a replica may vote, or ask for votes: a life that the group has committed as a voter,
-     * and that has not been taken out since. One that forgot has a new life, which is not (Liskov
-     * and Cowling 2012, recovery).
+     * Returns whether a replica may vote or request votes: only in an incarnation that the group
+     * has committed as a voter and has not removed since. A replica that lost its state has a new
+     * incarnation, which is not a voter (Liskov and Cowling 2012, recovery).
      */
-    boolean mayVote(boolean sworn, boolean seated) {
-        return sworn && seated;
+    boolean mayVote(boolean admitted, boolean inVoterSet) {
+        return admitted && inVoterSet;
     }
 
     /**
-     * Whether a candidate first asks if it would be voted for, and leaves the term alone (thesis,
-     * 9.6).
+     * Returns whether a candidate first asks if it would get votes, without incrementing its term
+     * (thesis, 9.6).
      */
     boolean requiresPreVote() {
         return true;
     }
 
-    /** Whether counting may commit an entry: only one of the leader's own term (paper, 5.4.2). */
+    /**
+     * Returns whether a leader may commit an entry by counting the replicas that have it: only an
+     * entry of its own term (Raft paper, 5.4.2).
+     */
     boolean mayCommitByCounting(long entryTerm, long term) {
         return entryTerm == term;
     }
 
-    /** Whether a leader steps down that a majority has not answered for this long (thesis, 6.2). */
+    /**
+     * Returns whether a leader steps down because no majority has answered it for this long
+     * (thesis, 6.2).
+     */
     boolean hasLostQuorum(long sinceMajority, long max) {
         return sinceMajority >= max;
     }
 
-    /** The group that a replica forms: no other has had or will have it. */
+    /** Returns the group that a replica forms, which is not equal to any earlier or later group. */
     VoterGroup nextGroup(VoterGroup known, Voter founder) {
         return new VoterGroup(known.era() + 1, founder.replica(), founder.incarnation());
     }
 
-    /** Whether a proposal that was handed on takes effect: only the first time. */
+    /** Returns whether a forwarded proposal takes effect: only the first time. */
     boolean mayTakeEffect(boolean isNew) {
         return isNew;
     }
 
     /**
-     * How long a time may be on this clock that another measured: each is off by up to 1 in 1,000.
+     * Returns how long a time that another replica measured may be on this replica's clock: each
+     * clock is off by up to 1 in 1,000.
      */
     long withClockDrift(long nanos) {
         return nanos + nanos / 400;
     }
 
-    /** From when the age of a contact counts: from the question, whenever the answer came. */
+    /**
+     * Returns the instant from which the age of a contact counts: that of the query, whenever the
+     * response arrived.
+     */
     long contactCountsFrom(long askedAt, long answeredAt) {
         return askedAt;
     }
 
     /**
-     * Whether a higher group or life is followed: only where its sender has answered a question.
+     * Returns whether a higher group or incarnation is accepted: only if its sender has answered a
+     * query.
      */
     boolean acceptsHigherGroupOrIncarnation(boolean answered) {
         return answered;
     }
 
-    /** Whether a fragment belongs to the message of which another is there. */
-    boolean isSameMessage(MessageFragment held, MessageFragment other) {
-        return held.messageId() == other.messageId()
-                && held.incarnation() == other.incarnation()
-                && held.count() == other.count()
-                && held.messageChecksum() == other.messageChecksum()
-                && held.group().equals(other.group())
-                && held.term() == other.term();
+    /** Returns whether a fragment belongs to the same message as one that is buffered. */
+    boolean isSameMessage(MessageFragment buffered, MessageFragment other) {
+        return buffered.messageId() == other.messageId()
+                && buffered.incarnation() == other.incarnation()
+                && buffered.count() == other.count()
+                && buffered.messageChecksum() == other.messageChecksum()
+                && buffered.group().equals(other.group())
+                && buffered.term() == other.term();
     }
 
-    /** Whether what was put together is what was sent. */
-    boolean isIntact(MessageFragment held, byte[] message) {
-        return MessageFragment.checksum(message, 0, message.length) == held.messageChecksum();
+    /** Returns whether a reassembled message is the one that was sent. */
+    boolean isIntact(MessageFragment buffered, byte[] message) {
+        return MessageFragment.checksum(message, 0, message.length) == buffered.messageChecksum();
     }
 }
--- a/core/src/main/java/cedarrudder/consensus/StoredLog.java
+++ b/core/src/main/java/cedarrudder/consensus/StoredLog.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Hard state, snapshot and entries as a {@link StableStorage} holds them in memory. */
+/**
+ * Hard state, snapshot and entries, as implementations of {@link StableStorage} hold them in
+ * memory.
+ */
 public final class StoredLog {
 
     private static final Snapshot EMPTY = new Snapshot(0, 0, new VoterSet(List.of()), new byte[0]);
@@ -14,43 +17,43 @@
     private Snapshot snapshot = EMPTY;
     private final List<LogEntry> entries = new ArrayList<>();
 
-    /** The newest hard state; null before the first. */
+    /** Returns the newest hard state; null before the first. */
     public HardState hardState() {
         return hardState;
     }
 
-    /** The newest snapshot; before the first an empty one of index 0. */
+    /** Returns the newest snapshot; before the first, an empty one with index 0. */
     public Snapshot snapshot() {
         return snapshot;
     }
 
-    /** The entries after the snapshot. */
+    /** Returns the entries after the snapshot. */
     public List<LogEntry> entries() {
         return entries;
     }
 
-    /** The index of an entry that follows the last one. */
+    /** Returns the index that the next entry gets. */
     public long nextIndex() {
         return snapshot.index() + entries.size() + 1;
     }
 
-    /** All of it; null before the first hard state. */
+    /** Returns everything that is stored; null before the first hard state. */
     public Recovered recovered() {
         return hardState == null ? null : new Recovered(hardState, snapshot, entries);
     }
 
-    /** Takes the place of the hard state. */
+    /** Replaces the hard state. */
     public void setHardState(HardState next) {
         hardState = next;
     }
 
-    /** Appends an entry in place of that of its index and those after it. */
+    /** Writes an entry in place of the one at its index and all after it. */
     public void append(long index, LogEntry entry) {
         truncateFrom(index);
         entries.add(entry);
     }
 
-    /** Removes the entry of this index and those after it. */
+    /** Removes the entry at an index and all after it. */
     public void truncateFrom(long index) {
         int remaining = (int) Math.max(0, index - snapshot.index() - 1);
         if (remaining < entries.size()) {
@@ -58,7 +61,7 @@
         }
     }
 
-    /** Takes the place of the snapshot, and of the entries that it covers. */
+    /** Replaces the snapshot, and removes the entries that the new one covers. */
     public void install(Snapshot next) {
         if (next.index() < snapshot.index()) {
             entries.clear();
@@ -69,7 +72,7 @@
         snapshot = next;
     }
 
-    /** Goes back to what was recovered; null: to nothing. */
+    /** Resets everything to a recovered state, or to nothing if that is null. */
     public void reset(Recovered to) {
         hardState = to == null ? null : to.hardState();
         snapshot = to == null ? EMPTY : to.snapshot();
--- a/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
+++ b/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
@@ -87,10 +87,10 @@
         }
         assertEquals(receiver.missing(receiver.due() - 1), List.of());
         List<MessageFragmenter.Missing> wanted = receiver.missing(receiver.due());
-        assertEquals(wanted.get(0).of(), SENDER.replica());
-        List<byte[]> again = sender.resend(1, wanted.get(0).lack());
+        assertEquals(wanted.get(0).sender(), SENDER.replica());
+        List<byte[]> again = sender.resend(1, wanted.get(0).request());
         assertEquals(again, List.of(wire.get(2), wire.get(5)));
-        assertEquals(sender.resend(3, wanted.get(0).lack()), List.of());
+        assertEquals(sender.resend(3, wanted.get(0).request()), List.of());
         assertNull(take(receiver, 100 * MILLI, again.get(0)));
         assertEquals(take(receiver, 100 * MILLI, again.get(1)), message);
         take(receiver, 200 * MILLI, cut(sender, message).get(0));
