--- a/core/src/main/java/cedarrudder/consensus/LogDissemination.java
+++ b/core/src/main/java/cedarrudder/consensus/LogDissemination.java
@@ -102,7 +102,7 @@
         return heartbeatAt;
     }
 
-    /** Records a heartbeat of this replica, which leads. */
+    /** Records a heartbeat of this replica, which leads and is answered by a majority. */
     void onLeaderHeartbeat(long now) {
         heartbeatTerm = context.term();
         heartbeatSequence++;
@@ -186,13 +186,13 @@
         int ownAge = contact.age(now);
         int otherAge = digest.age();
         if (ownAge >= 0 && (otherAge < 0 || ownAge + margin < otherAge)) {
-            if (limiter.tryAcquire(now, MessageFragment.HEAD)) {
+            if (limiter.tryAcquire(now, MessageFragment.HEADER_BYTES)) {
                 respond(now, from, digest);
             }
         } else if (otherAge >= 0
                 && (ownAge < 0 || otherAge + margin < ownAge)
                 && digest.commitIndex() <= context.log().commitIndex()
-                && limiter.tryAcquire(now, MessageFragment.HEAD)) {
+                && limiter.tryAcquire(now, MessageFragment.HEADER_BYTES)) {
             sendDigest(now, from);
         }
     }
@@ -233,7 +233,8 @@
     }
 
     private static int size(List<LogEntry> entries) {
-        return MessageFragment.HEAD + entries.stream().mapToInt(RaftMessageCodec::size).sum();
+        return MessageFragment.HEADER_BYTES
+                + entries.stream().mapToInt(RaftMessageCodec::size).sum();
     }
 
     void onDigest(long now, int from, Digest digest) {
@@ -299,7 +300,7 @@
                         ? request.offset()
                         : 0;
         int end = Math.min(state.length, offset + CHUNK_BYTES);
-        if (limiter.tryAcquire(now, MessageFragment.HEAD + end - offset)) {
+        if (limiter.tryAcquire(now, MessageFragment.HEADER_BYTES + end - offset)) {
             context.send(
                     to,
                     new SnapshotChunk(
--- a/core/src/main/java/cedarrudder/consensus/MessageFragment.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragment.java
@@ -28,18 +28,18 @@
         int messageChecksum,
         byte[] payload) {
 
-    static final byte FIRST = (byte) 0xa6;
+    static final byte FIRST_BYTE = (byte) 0xa6;
     static final int MAX_BYTES = 224;
-    static final int HEAD = 45;
-    static final int TAIL = 4;
-    static final int MAX_PART = MAX_BYTES - HEAD - TAIL;
-    static final int MAX_COUNT = 256;
+    static final int HEADER_BYTES = 45;
+    static final int CHECKSUM_BYTES = 4;
+    static final int MAX_PAYLOAD_BYTES = MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES;
+    static final int MAX_FRAGMENTS = 256;
 
     private static final int U16 = 0xffff;
 
     byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(HEAD + payload.length + TAIL);
-        out.put(FIRST)
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + payload.length + CHECKSUM_BYTES);
+        out.put(FIRST_BYTE)
                 .putInt(group.era())
                 .putShort((short) group.founder())
                 .putLong(group.incarnation())
@@ -51,17 +51,20 @@
                 .putShort((short) count)
                 .putInt(messageChecksum)
                 .put(payload);
-        out.putInt(checksum(out.array(), 0, HEAD + payload.length));
+        out.putInt(checksum(out.array(), 0, HEADER_BYTES + payload.length));
         return out.array();
     }
 
     /** Decodes a fragment; returns null if the bytes are malformed. */
     static MessageFragment decode(byte[] bytes, int replicas) {
-        if (bytes.length <= HEAD + TAIL || bytes.length > MAX_BYTES || bytes[0] != FIRST) {
+        if (bytes.length <= HEADER_BYTES + CHECKSUM_BYTES
+                || bytes.length > MAX_BYTES
+                || bytes[0] != FIRST_BYTE) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
-        if (in.getInt(bytes.length - TAIL) != checksum(bytes, 0, bytes.length - TAIL)) {
+        if (in.getInt(bytes.length - CHECKSUM_BYTES)
+                != checksum(bytes, 0, bytes.length - CHECKSUM_BYTES)) {
             return null;
         }
         VoterGroup group = new VoterGroup(in.getInt(), in.getShort() & U16, in.getLong());
@@ -72,7 +75,7 @@
         int index = in.getShort() & U16;
         int count = in.getShort() & U16;
         int messageChecksum = in.getInt();
-        byte[] payload = new byte[bytes.length - HEAD - TAIL];
+        byte[] payload = new byte[bytes.length - HEADER_BYTES - CHECKSUM_BYTES];
         in.get(payload);
         boolean valid =
                 group.era() >= 0
@@ -82,8 +85,8 @@
                         && sender < replicas
                         && incarnation >= 0
                         && index < count
-                        && count <= MAX_COUNT
-                        && (index == count - 1 || payload.length == MAX_PART);
+                        && count <= MAX_FRAGMENTS
+                        && (index == count - 1 || payload.length == MAX_PAYLOAD_BYTES);
         return valid
                 ? new MessageFragment(
                         group,
--- a/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
@@ -64,7 +64,9 @@
     }
 
     List<byte[]> split(VoterGroup group, long term, Voter self, int to, byte[] message) {
-        int count = (message.length + MessageFragment.MAX_PART - 1) / MessageFragment.MAX_PART;
+        int count =
+                (message.length + MessageFragment.MAX_PAYLOAD_BYTES - 1)
+                        / MessageFragment.MAX_PAYLOAD_BYTES;
         int messageChecksum = MessageFragment.checksum(message, 0, message.length);
         int messageId = nextMessageId++;
         List<byte[]> fragments = new ArrayList<>(count);
@@ -72,8 +74,8 @@
             byte[] payload =
                     Arrays.copyOfRange(
                             message,
-                            i * MessageFragment.MAX_PART,
-                            Math.min(message.length, (i + 1) * MessageFragment.MAX_PART));
+                            i * MessageFragment.MAX_PAYLOAD_BYTES,
+                            Math.min(message.length, (i + 1) * MessageFragment.MAX_PAYLOAD_BYTES));
             fragments.add(
                     new MessageFragment(
                                     group,
--- a/core/src/main/java/cedarrudder/coordination/ActiveTable.java
+++ b/core/src/main/java/cedarrudder/coordination/ActiveTable.java
@@ -9,8 +9,8 @@
 import java.util.function.Supplier;
 
 /**
- * The route table that this replica has applied, and whether it may be used now: while its lease
- * holds, where it is valid and where there is room for it.
+ * The route table that this replica has applied, and whether the replica may use it now: it may
+ * while the table's lease has not expired, the table is valid and there is memory for it.
  */
 final class ActiveTable {
     private static final String NO_CAPACITY = "no room";
@@ -41,42 +41,44 @@
         this.lastContact = lease.lastContact();
     }
 
-    /** The table that the log holds, as far as it is applied here; null before the first. */
+    /** Returns the latest table of the log that is applied here; null before the first. */
     RouteTable agreed() {
         return lease.agreed();
     }
 
-    /** The table in use; null where none is. */
+    /** Returns the table in use; null if there is none. */
     RouteTable active() {
         return active;
     }
 
-    /** The number of the agreed table; 0 before the first. */
+    /** Returns the number of the agreed table; 0 before the first. */
     long agreedNumber() {
         return lease.agreed() == null ? 0 : lease.agreed().number();
     }
 
-    /** The highest number of a table that was ever applied here. */
+    /** Returns the highest number of a table that was ever applied here. */
     long highestNumber() {
         return tables.current() == null ? 0 : tables.current().number();
     }
 
-    /** The longest lease of any table that was applied here. */
+    /** Returns the longest lease of any table that was applied here, in nanoseconds. */
     long longestLease() {
         return longestLease;
     }
 
-    /** Whether there is room for the agreed table. */
+    /** Returns whether the agreed table is valid and there is memory for it. */
     boolean fits() {
         return fits;
     }
 
-    /** When the lease ends; in the past where there is none. */
+    /** Returns when the lease expires; an instant in the past if there is none. */
     long expiresAt() {
         return expiresAt;
     }
 
-    /** The log was applied up to here: this is the agreed table of that group from now on. */
+    /**
+     * Updates the agreed table and its group after an entry or a snapshot of the log was applied.
+     */
     void onApplied(VoterGroup group, RouteTable table) {
         boolean changed = table != null && !table.equals(lease.agreed());
         lease.agreed(group, table);
@@ -94,34 +96,40 @@
         valid = loaded.counts();
         checkCapacity();
         if (!fits) {
-            history.accept(HistoryEventText.refused(table, valid ? NO_CAPACITY : loaded.why()));
+            history.accept(
+                    HistoryEventText.tableRejected(table, valid ? NO_CAPACITY : loaded.why()));
         }
     }
 
-    /** Finds out again whether there is room for the agreed table. */
+    /** Checks again whether there is memory for the agreed table. */
     void checkCapacity() {
         RouteTable table = lease.agreed();
         fits = valid && capacity.get().fits(table, RouteTableFootprint.bytes(table));
     }
 
     /**
-     * A leader of that group certainly had a quorum at that instant, on this replica's clock, and
-     * no table was newer than the one of that number.
+     * Records that a leader of a group certainly had a quorum at an instant of this replica's
+     * clock, and that no table was newer then than the one with the given number.
      */
     void onQuorumContact(VoterGroup group, long tableNumber, long instant) {
         lease.onContact(group, tableNumber, instant);
     }
 
-    /** Extends the lease by the contacts since, and changes the table in use where it must. */
+    /**
+     * Extends the lease by the quorum contacts since the last call, and changes the table in use if
+     * necessary.
+     */
     void update(long now) {
         if (lease.lastContact() > lastContact) {
             lastContact = lease.lastContact();
-            history.accept(HistoryEventText.renewed(now - lastContact));
+            history.accept(HistoryEventText.leaseRenewed(now - lastContact));
         }
         long newExpiry = lease.expiresAt();
         RouteTable next = fits && now < newExpiry ? lease.agreed() : null;
         if (next != null && newExpiry != expiresAt) {
-            actions.onLeaseExtended(newExpiry); // first: no table is used by an older one's lease
+            actions.onLeaseExtended(
+                    newExpiry); // before the change: no table is used under the lease of an older
+            // one
         }
         expiresAt = newExpiry;
         if (next != active) {
@@ -133,9 +141,9 @@
         RouteTable previous = active;
         active = next;
         if (next != null) {
-            history.accept(HistoryEventText.table(next));
+            history.accept(HistoryEventText.tableActivated(next));
         } else if (previous != null) {
-            history.accept(HistoryEventText.lapsed(previous));
+            history.accept(HistoryEventText.leaseExpired(previous));
         }
         actions.onTable(next);
     }
--- a/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
@@ -15,65 +15,69 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One replica of a tier that decides together with the others: it takes part in the replicated log,
- * applies the route table and the state of draining that the log holds, and uses the table while
- * its lease holds. It reports to the leader; where it is the leader, it grants leases and proposes
- * what {@link TrafficCoordination} and {@link DrainCoordination} plan.
+ * One replica of a tier whose replicas decide together. It takes part in the replicated log,
+ * applies the route table and the drain state from the log, and uses the table until its lease
+ * expires. It reports to the leader. While it is the leader, it grants leases and proposes what
+ * {@link TrafficCoordination} and {@link DrainCoordination} plan.
  *
- * <p>It has no clock, no socket and no thread. It is fed datagrams and the time, which never goes
- * back, and says by {@link #nextTickAt} when it wants the time next. Not thread-safe: from one
- * thread at a time, and its actions must not call it.
+ * <p>A replica has no clock, socket or thread. Its owner passes in datagrams and the current time,
+ * which must never decrease, and calls {@link #tick} when {@link #nextTickAt} is reached. Not
+ * thread-safe: only one thread at a time may use a replica, and its actions must not call it.
  */
 public final class CoordinatedReplica {
 
     /**
-     * The most parts that each of {@link TrafficCoordination} and {@link DrainCoordination} may put
-     * into one report.
+     * The maximum number of parts that each of {@link TrafficCoordination} and {@link
+     * DrainCoordination} may put into one report.
      */
     public static final int MAX_PARTS = 4;
 
-    /** The largest part of a report, in bytes. */
+    /** The maximum size of a part of a report, in bytes. */
     public static final int MAX_PART_BYTES = 136;
 
-    /** What it causes. */
+    /** The outputs of a replica, implemented by its owner. */
     public interface Actions {
-        /** Sends a datagram of at most 224 bytes; it may be lost. */
+        /** Sends a datagram of at most 224 bytes, which may be lost. */
         void send(int to, byte[] datagram);
 
-        /** Uses this table from now on; null: none, and the replica decides on its own. */
+        /**
+         * Replaces the table in use; null means that there is none and the replica decides on its
+         * own.
+         */
         void onTable(RouteTable table);
 
         /**
-         * The table in use must not be used from this instant on, unless a later one is given
-         * before. It is to be compared with the clock before each use: this avoids a process that
-         * was stopped going on with an outdated table.
+         * Sets the instant from which the table in use must no longer be used, unless a later
+         * instant is set before. The owner compares it with the clock before each use, so that a
+         * process that was stopped does not continue with an outdated table.
          */
         void onLeaseExtended(long expiresAt);
 
         /**
-         * These nodes are draining, whether a table is in use or not: the end of a lease brings
-         * none back.
+         * Replaces the list of draining nodes, which applies whether a table is in use or not: no
+         * node returns to service because a lease expires.
          */
         void onDrainingNodes(List<RouteTable.DrainingNode> nodes);
 
         /**
-         * A command that was proposed here is settled; said once.
+         * Reports the outcome of a command that was proposed here, once.
          *
-         * @param position where it was applied, where it is committed; otherwise null
+         * @param position the position at which the command was applied if it is committed,
+         *     otherwise null
          */
         void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition position);
 
-        /** Records an event, for logs and checkers. */
+        /** Records an event, for logs and for checkers of the protocol. */
         void record(HistoryEntry entry);
     }
 
     /**
      * The state of a replica, for operators.
      *
-     * @param leader the leader's number as far as this replica knows, otherwise -1
-     * @param agreedTable what the log holds, as far as it is applied here; null before the first
-     * @param activeTable the table in use; null where none is
-     * @param leaseRemaining how much longer that may be used, in nanoseconds
+     * @param leader the leader's number as far as this replica knows, or -1
+     * @param agreedTable the latest table of the log that is applied here; null before the first
+     * @param activeTable the table in use; null if there is none
+     * @param leaseRemaining how much longer the table in use may be used, in nanoseconds
      */
     public record Status(
             VoterGroup group,
@@ -85,7 +89,10 @@
             RouteTable activeTable,
             long leaseRemaining) {}
 
-    /** Datagrams that were dropped: unreadable, or from another sender than they name. */
+    /**
+     * Counts of the datagrams that were dropped because they were unreadable or named another
+     * sender than the one they came from.
+     */
     public record Counts(long malformed, long wrongSender) {}
 
     private final Actions actions;
@@ -108,14 +115,14 @@
     private long wrongSender;
 
     /**
-     * Takes part as a replica that has no state, or where its storage holds one, with that.
+     * Creates a replica without a state, or, where its storage holds a state, with that state.
      *
      * @param zones the zone of each replica of the tier
-     * @param self the number of this one
+     * @param self the number of this replica
      * @param incarnation larger than that of any earlier incarnation of this replica
-     * @param capacity the largest table that this replica has room for now
+     * @param capacity the largest table that this replica has memory for at the time of the call
      * @throws IllegalArgumentException if a value is outside its range, or the lease is too short
-     *     for this many replicas
+     *     for the number of replicas
      */
     public CoordinatedReplica(
             int[] zones,
@@ -204,7 +211,7 @@
 
     // ---- state ----
 
-    /** The state of this replica at an instant. */
+    /** Returns the state of this replica at an instant. */
     public Status status(long at) {
         RouteTable active = activeTable.active();
         return new Status(
@@ -218,19 +225,21 @@
                 active == null ? 0 : Math.max(0, activeTable.expiresAt() - at));
     }
 
-    /** The number of the leader as far as this replica knows; -1 where it knows of none. */
+    /**
+     * Returns the leader's number as far as this replica knows, or -1 where it knows of no leader.
+     */
     public int leader() {
         return raft.leader();
     }
 
-    /** How many datagrams were dropped. */
+    /** Returns how many datagrams were dropped. */
     public Counts counts() {
         return new Counts(malformed, wrongSender);
     }
 
     // ---- events ----
 
-    /** When {@link #tick} is to be called next; calling it sooner or later does no harm. */
+    /** Returns when {@link #tick} is to be called next. An earlier or later call does no harm. */
     public long nextTickAt() {
         long next = Math.min(raft.nextTickAt(), exchange.nextReportAt());
         if (activeTable.active() != null) {
@@ -239,7 +248,7 @@
         return raft.isLeader() ? Math.min(next, planner.nextPlanAt()) : next;
     }
 
-    /** Does what is due. */
+    /** Performs everything that is due by now. */
     public void tick(long at) {
         begin(at);
         raft.tick(now);
@@ -251,7 +260,7 @@
         update();
     }
 
-    /** Takes a datagram of the log or of a report; any other is counted and dropped. */
+    /** Handles a datagram of the log or of the reports; any other is counted and dropped. */
     public void onDatagram(long at, int from, byte[] datagram) {
         begin(at);
         if (ReportCodec.isReport(datagram)) {
@@ -274,16 +283,16 @@
         }
     }
 
-    /** Membership declares a replica alive or dead; no safety rests on it. */
+    /** Records whether membership considers a replica alive. Safety does not depend on it. */
     public void setAlive(int replica, boolean alive) {
         tier.setAlive(replica, alive);
         raft.setAlive(replica, alive);
     }
 
     /**
-     * An operator has it form a group, with the state that it has applied.
+     * Forms a new group with the state that this replica has applied, on an operator's command.
      *
-     * @return false where no further group can be formed
+     * @return false if no further group can be formed
      */
     public boolean formGroup(long at) {
         begin(at);
@@ -293,12 +302,13 @@
     }
 
     /**
-     * Proposes a command of {@link DrainCoordination}, at any replica, whoever leads.
+     * Proposes a command of {@link DrainCoordination}, whichever replica leads.
      *
-     * @param timeout after which its outcome is said, whatever is known by then; nanoseconds
-     * @return what {@link Actions#onProposalSettled} will name; null where too many proposals are
-     *     open here, so that it is not taken
-     * @throws IllegalArgumentException if it is larger than what may be forwarded
+     * @param timeout the time after which the outcome is reported with whatever is known by then,
+     *     in nanoseconds
+     * @return the proposal that {@link Actions#onProposalSettled} will be called with; null if it
+     *     is not accepted because too many proposals are pending here
+     * @throws IllegalArgumentException if the command is larger than what may be forwarded
      */
     public Proposal propose(long at, byte[] command, long timeout) {
         begin(at);
@@ -308,7 +318,10 @@
         return proposal;
     }
 
-    /** This replica is about to stop: where it leads, another takes over; false where none can. */
+    /**
+     * Transfers leadership to another replica before this one stops. Returns false if this replica
+     * does not lead or no other replica can take over.
+     */
     public boolean stop(long at) {
         begin(at);
         boolean transferred = raft.transferLeadership(now);
@@ -316,14 +329,17 @@
         return transferred;
     }
 
-    /** Before each event: a process that was stopped must not act on an outdated table. */
+    /**
+     * Begins an event at an instant. The table in use is updated before anything else, because a
+     * process that was stopped must not act on an outdated table.
+     */
     private void begin(long at) {
         now = at;
         stateMachine.advanceTo(at);
         update();
     }
 
-    // ---- what follows from events ----
+    // ---- updates after events ----
 
     private void update() {
         updateLeadership();
--- a/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/DrainCoordination.java
@@ -4,43 +4,48 @@
 import java.util.List;
 
 /**
- * Which nodes are being removed: a state that all replicas agree on, changed by commands that they
- * agree on. What a command does must depend on the state and the command alone.
+ * The nodes that are being drained: a replicated state that is changed by replicated commands. The
+ * effect of a command must depend only on the state and the command.
  */
 public interface DrainCoordination {
 
     /**
-     * The attempts that this replica still has at draining endpoints; as {@link
-     * TrafficCoordination#reportParts}.
+     * Returns the attempts that this replica still has in flight at draining endpoints, in the form
+     * of {@link TrafficCoordination#reportParts}.
      */
     List<byte[]> reportParts(long now);
 
     /**
-     * At the leader: a part of what another replica still has, or it itself. It may be malformed.
+     * Handles, at the leader, a report part of another replica or of its own, which may be
+     * malformed.
      */
     void onReportPart(long now, int from, byte[] part);
 
-    /** At the leader, each period: a command that is due by what was reported, or null. */
+    /**
+     * Returns, at the leader in each period, a command that is due according to the reports, or
+     * null.
+     */
     byte[] nextCommand(long now, TierView tier);
 
     /**
-     * This replica leads from here on, or no longer: what was reported to it before counts no more.
+     * Handles the start or end of this replica's leadership. Reports received before are no longer
+     * valid.
      */
     void onLeadership(long now, boolean leads);
 
-    /** A command is committed; a malformed one changes nothing. */
+    /** Applies a committed command; a malformed one changes nothing. */
     void apply(long now, byte[] command);
 
-    /** The nodes being removed now, by the state. */
+    /** Returns the nodes that are draining according to the state. */
     List<RouteTable.DrainingNode> drainingNodes();
 
-    /** The state; the same at each replica that applied the same. */
+    /** Returns the encoded state. Replicas that applied the same commands return the same bytes. */
     byte[] state();
 
-    /** This state takes the place of the one that is; empty is that before the first command. */
+    /** Replaces the state; an empty array is the state before the first command. */
     void restore(long now, byte[] state);
 
-    /** No node is removed. */
+    /** An implementation that drains no nodes. */
     DrainCoordination NONE =
             new DrainCoordination() {
                 @Override
--- a/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
+++ b/core/src/main/java/cedarrudder/coordination/FailoverTraffic.java
@@ -4,7 +4,10 @@
 import cedarrudder.routetable.RouteTable;
 import java.util.List;
 
-/** Shares by {@link FailoverCoordinator}. Whoever has the tables must tell that of each as well. */
+/**
+ * Plans traffic with a {@link FailoverCoordinator}. The owner of the route tables must also notify
+ * that coordinator of each table.
+ */
 public final class FailoverTraffic implements TrafficCoordination {
 
     private final FailoverCoordinator failover;
--- a/core/src/main/java/cedarrudder/coordination/HistoryEntry.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEntry.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * One event of a replica's history, in the words of {@code docs/AGREEMENT.md}.
+ * An event of a replica's history, with the names that {@code docs/AGREEMENT.md} defines.
  *
- * @param event its name
- * @param fields what else is known of it, as text
+ * @param event the name of the event
+ * @param fields the fields of the event, as text
  */
 public record HistoryEntry(String event, Map<String, String> fields) {}
--- a/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
@@ -15,7 +15,10 @@
 import java.util.stream.Collectors;
 import java.util.zip.CRC32C;
 
-/** Writes the events of a replica as {@link HistoryEntry}s, in the words that checkers read. */
+/**
+ * Converts the events of a replica to {@link HistoryEntry}s, with the names and fields that
+ * checkers read.
+ */
 final class HistoryEventText {
 
     private HistoryEventText() {}
@@ -23,16 +26,16 @@
     static HistoryEntry of(ConsensusEvent event) {
         String group = text(event.group());
         if (event instanceof ConsensusEvent.VoteGranted granted) {
-            return voted(group, granted);
+            return voteGranted(group, granted);
         } else if (event instanceof ConsensusEvent.LeaderElected elected) {
-            return leads(group, elected);
+            return leaderElected(group, elected);
         } else if (event instanceof ConsensusEvent.EntryStored stored) {
-            return stored(group, stored);
+            return entryStored(group, stored);
         }
-        return seated(group, (ConsensusEvent.VotersChanged) event);
+        return votersChanged(group, (ConsensusEvent.VotersChanged) event);
     }
 
-    private static HistoryEntry voted(String group, ConsensusEvent.VoteGranted event) {
+    private static HistoryEntry voteGranted(String group, ConsensusEvent.VoteGranted event) {
         return new HistoryEntry(
                 "voted",
                 Map.of(
@@ -42,7 +45,7 @@
                         "for", text(event.candidate())));
     }
 
-    private static HistoryEntry leads(String group, ConsensusEvent.LeaderElected event) {
+    private static HistoryEntry leaderElected(String group, ConsensusEvent.LeaderElected event) {
         return new HistoryEntry(
                 "leads",
                 Map.of(
@@ -51,7 +54,7 @@
                         "as", text(event.by().incarnation())));
     }
 
-    private static HistoryEntry stored(String group, ConsensusEvent.EntryStored event) {
+    private static HistoryEntry entryStored(String group, ConsensusEvent.EntryStored event) {
         Map<String, String> fields =
                 new HashMap<>(
                         Map.of(
@@ -65,7 +68,7 @@
         return new HistoryEntry("stored", fields);
     }
 
-    private static HistoryEntry seated(String group, ConsensusEvent.VotersChanged event) {
+    private static HistoryEntry votersChanged(String group, ConsensusEvent.VotersChanged event) {
         return new HistoryEntry(
                 "seated",
                 Map.of(
@@ -74,7 +77,7 @@
                         "voters", text(event.voters())));
     }
 
-    static HistoryEntry loaded(LogPosition number, byte[] content, byte[] state) {
+    static HistoryEntry entryApplied(LogPosition number, byte[] content, byte[] state) {
         return new HistoryEntry(
                 "loaded",
                 Map.of(
@@ -88,7 +91,7 @@
                         checksum(state)));
     }
 
-    static HistoryEntry restored(LogPosition number, byte[] state, long incarnation) {
+    static HistoryEntry snapshotRestored(LogPosition number, byte[] state, long incarnation) {
         return new HistoryEntry(
                 "restored",
                 Map.of(
@@ -102,7 +105,7 @@
                         text(incarnation)));
     }
 
-    static HistoryEntry table(RouteTable table) {
+    static HistoryEntry tableActivated(RouteTable table) {
         return new HistoryEntry(
                 "table",
                 Map.of(
@@ -120,7 +123,7 @@
                                 .collect(Collectors.joining(","))));
     }
 
-    /** As {@code from>to:way:parts:per_s}. */
+    /** Returns a route in the form {@code from>to:way:parts:per_s}. */
     private static String text(RouteTable.ZoneRoute route) {
         return route.from()
                 + ">"
@@ -133,16 +136,18 @@
                 + route.maxPerSecond();
     }
 
-    static HistoryEntry lapsed(RouteTable table) {
+    static HistoryEntry leaseExpired(RouteTable table) {
         return new HistoryEntry("lapsed", Map.of("number", text(table.number())));
     }
 
-    /** The lease counts from so long ago. */
-    static HistoryEntry renewed(long age) {
+    /**
+     * Returns the event of a renewed lease, which counts from the given age ago, in nanoseconds.
+     */
+    static HistoryEntry leaseRenewed(long age) {
         return new HistoryEntry("renewed", Map.of("age", text(age)));
     }
 
-    static HistoryEntry leaving(List<RouteTable.DrainingNode> nodes) {
+    static HistoryEntry nodesDraining(List<RouteTable.DrainingNode> nodes) {
         return new HistoryEntry(
                 "leaving",
                 Map.of(
@@ -152,12 +157,16 @@
                                 .collect(Collectors.joining(","))));
     }
 
-    static HistoryEntry refused(RouteTable table, String why) {
+    static HistoryEntry tableRejected(RouteTable table, String why) {
         return new HistoryEntry("refused", Map.of("number", text(table.number()), "why", why));
     }
 
-    /** A replica has no room for what the one that leads would have agreed on. */
-    static HistoryEntry heldBack(int replica, int bytes, int nodes, RouteTableCapacity capacity) {
+    /**
+     * Returns the event of a table that the leader does not propose because a replica has no
+     * capacity for it.
+     */
+    static HistoryEntry tableHeldBack(
+            int replica, int bytes, int nodes, RouteTableCapacity capacity) {
         return new HistoryEntry(
                 "held-back",
                 Map.of(
@@ -171,7 +180,7 @@
                         capacity.bytes() + " bytes, " + capacity.leaving() + " nodes"));
     }
 
-    /** As texts that sort as the groups do. */
+    /** Returns a group as a text; texts sort in the order of the groups. */
     static String text(VoterGroup group) {
         return String.format(
                 Locale.ROOT, "%08x.%04x.%016x", group.era(), group.founder(), group.incarnation());
--- a/core/src/main/java/cedarrudder/coordination/LeaderPlanner.java
+++ b/core/src/main/java/cedarrudder/coordination/LeaderPlanner.java
@@ -13,20 +13,20 @@
 import java.util.function.Supplier;
 
 /**
- * What the leader proposes, once a period: the next command of {@link DrainCoordination} where one
- * is due, otherwise a route table where the planned one differs from the agreed one. One proposal
- * is open at a time.
+ * Plans and proposes, at the leader, once per period: the next command of {@link DrainCoordination}
+ * if one is due, otherwise a route table if the planned one differs from the agreed one. Only one
+ * proposal is open at a time.
  */
 final class LeaderPlanner {
 
-    /** The largest table that an entry of the log can hold. */
+    /** The largest table that fits into an entry of the log. */
     private static final RouteTableCapacity LOG_CAPACITY =
             new RouteTableCapacity(
                     RaftNode.MAX_CONTENT - LogContent.HEADER_BYTES,
                     RouteTable.MAX_DRAINING,
                     Integer.MAX_VALUE);
 
-    /** A proposal that is not applied after this many periods is taken for lost. */
+    /** The number of periods after which a proposal that is not applied is considered lost. */
     private static final int PROPOSAL_TIMEOUT_PERIODS = 10;
 
     private final ReplicaContext context;
@@ -41,7 +41,7 @@
     private long nextPlanAt;
     private LogPosition openProposal;
     private long proposedAt;
-    private RouteTable heldBack;
+    private RouteTable heldBackTable;
 
     LeaderPlanner(ReplicaParts parts, TierView tier) {
         this.context = parts.context();
@@ -54,20 +54,21 @@
         this.tier = tier;
     }
 
-    /** When the next plan is due. */
+    /** Returns when the next plan is due. */
     long nextPlanAt() {
         return nextPlanAt;
     }
 
     /**
-     * This replica became the leader, or ceased to be it: nothing is open, and it plans at once.
+     * Handles the start or end of this replica's leadership: no proposal is open any more, and the
+     * next plan is due at once.
      */
     void onLeadershipChanged(long now) {
         nextPlanAt = now;
         openProposal = null;
     }
 
-    /** Proposes what is due, where a period has passed. */
+    /** Plans and proposes if a period has passed. */
     void tick(long now) {
         if (now < nextPlanAt) {
             return;
@@ -128,16 +129,20 @@
                 && RouteTableDelta.between(agreed, table).isEmpty();
     }
 
-    /** Whether the log, and each live replica that reported lately, has room for a table. */
+    /**
+     * Returns whether a table fits into the log and into the memory of each live replica that
+     * reported recently.
+     */
     private boolean fitsEverywhere(long now, RouteTable table) {
         Map<Integer, RouteTableCapacity> capacities = liveCapacities(now);
         Integer limitedBy = RouteTableCapacity.limitingReplica(table, capacities);
         if (limitedBy == null) {
-            heldBack = null;
-        } else if (heldBack == null || !RouteTableDelta.between(heldBack, table).isEmpty()) {
-            heldBack = table;
+            heldBackTable = null;
+        } else if (heldBackTable == null
+                || !RouteTableDelta.between(heldBackTable, table).isEmpty()) {
+            heldBackTable = table;
             context.record(
-                    HistoryEventText.heldBack(
+                    HistoryEventText.tableHeldBack(
                             limitedBy,
                             RouteTableFootprint.bytes(table),
                             table.draining().size(),
--- a/core/src/main/java/cedarrudder/coordination/LeaderTierView.java
+++ b/core/src/main/java/cedarrudder/coordination/LeaderTierView.java
@@ -3,7 +3,7 @@
 import cedarrudder.routetable.RouteTable;
 import java.util.BitSet;
 
-/** The tier as its leader sees it, for those who plan. */
+/** The tier from the leader's point of view, for planning. */
 final class LeaderTierView implements TierView {
 
     private final int[] zones;
@@ -13,7 +13,7 @@
     private final BitSet dead = new BitSet();
 
     /**
-     * A tier whose replicas are all alive.
+     * Creates the view of a tier whose replicas are all alive.
      *
      * @param zones the zone of each replica
      */
@@ -24,7 +24,7 @@
         this.collector = collector;
     }
 
-    /** Membership declares a replica alive or dead. */
+    /** Records whether membership considers a replica alive. */
     void setAlive(int replica, boolean alive) {
         dead.set(replica, !alive);
     }
--- a/core/src/main/java/cedarrudder/coordination/LogContent.java
+++ b/core/src/main/java/cedarrudder/coordination/LogContent.java
@@ -4,10 +4,10 @@
 import cedarrudder.routetable.RouteTableCodec;
 import java.util.Arrays;
 
-/** What an entry of the log holds: its kind as the first byte, then its bytes. */
+/** The content of a log entry: its kind as the first byte, then its bytes. */
 sealed interface LogContent {
 
-    /** The bytes that the kind takes. */
+    /** The size of the kind, in bytes. */
     int HEADER_BYTES = 1;
 
     /** The first byte of a {@link TableUpdate}. */
@@ -17,16 +17,16 @@
     byte DRAIN_UPDATE = 2;
 
     /**
-     * The leader proposes another route table.
+     * A new route table, proposed by the leader.
      *
-     * @param table null where its bytes are unreadable
+     * @param table the route table; null if its bytes are unreadable
      */
     record TableUpdate(RouteTable table) implements LogContent {}
 
     /** A command for {@link DrainCoordination}. */
     record DrainUpdate(byte[] command) implements LogContent {}
 
-    /** The bytes of an entry. */
+    /** Returns the bytes of the entry. */
     default byte[] encode() {
         if (this instanceof TableUpdate update) {
             return withKind(TABLE_UPDATE, RouteTableCodec.encode(update.table));
@@ -34,7 +34,7 @@
         return withKind(DRAIN_UPDATE, ((DrainUpdate) this).command);
     }
 
-    /** Reads an entry; null where it is of no kind that this version knows. */
+    /** Decodes an entry; returns null if this version does not know its kind. */
     static LogContent decode(byte[] content) {
         if (content.length == 0) {
             return null;
--- a/core/src/main/java/cedarrudder/coordination/ReplicaContext.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicaContext.java
@@ -2,25 +2,28 @@
 
 import cedarrudder.consensus.RaftNode;
 
-/** What the parts of a {@link CoordinatedReplica} share. */
+/** The state and operations of a {@link CoordinatedReplica} that its components use. */
 interface ReplicaContext {
 
-    /** The replicated log, in whose terms all parts speak. */
+    /** Returns the replicated log. */
     RaftNode raft();
 
-    /** The number of this replica. */
+    /** Returns the number of this replica. */
     int self();
 
     /**
-     * Whether an entry of this term is committed, and with it everything that former leaders
-     * committed.
+     * Returns whether an entry of the current term is committed, and with it everything that former
+     * leaders committed.
      */
     boolean hasCommittedInTerm();
 
-    /** Sends a message to another replica; it may be lost. */
+    /** Sends a message to another replica, which may be lost. */
     void send(int to, ReportMessage message);
 
-    /** Delivers a part of a report to the side that it concerns, at the leader. */
+    /**
+     * Delivers a part of a report, at the leader, to traffic coordination or to drain coordination
+     * according to its kind.
+     */
     void deliver(int from, ReportMessage.Part part);
 
     /** Records an event of this replica's history. */
--- a/core/src/main/java/cedarrudder/coordination/ReplicaParts.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicaParts.java
@@ -4,9 +4,9 @@
 import java.util.function.Supplier;
 
 /**
- * What the parts of a {@link CoordinatedReplica} are made with.
+ * The dependencies that the components of a {@link CoordinatedReplica} are created with.
  *
- * @param capacity the largest table that this replica has memory for now
+ * @param capacity the largest table that this replica has memory for at the time of the call
  */
 record ReplicaParts(
         ReplicaContext context,
--- a/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicatedState.java
@@ -5,11 +5,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * Everything that the replicas have agreed on. As bytes it is the length of the route table (4),
- * the table, and the state of draining; before the first entry it is no bytes at all.
+ * The replicated state. Encoded, it is the length of the route table (4 bytes), the table, and the
+ * drain state; before the first entry it is an empty array.
  *
- * @param table null before the first
- * @param drainState as {@link DrainCoordination#state} writes it
+ * @param table the route table; null before the first
+ * @param drainState the drain state as {@link DrainCoordination#state} encodes it
  */
 record ReplicatedState(RouteTable table, byte[] drainState) {
     private static final byte[] NO_BYTES = {};
@@ -17,7 +17,7 @@
     /** The state before the first entry. */
     static final ReplicatedState EMPTY = new ReplicatedState(null, NO_BYTES);
 
-    /** The bytes of this state. */
+    /** Returns this state as bytes. */
     byte[] encode() {
         byte[] tableBytes = table == null ? NO_BYTES : RouteTableCodec.encode(table);
         if (tableBytes.length + drainState.length == 0) {
@@ -30,7 +30,7 @@
                 .array();
     }
 
-    /** Reads a state; null where the bytes are none. */
+    /** Decodes a state; returns null if the bytes are malformed. */
     static ReplicatedState decode(byte[] bytes) {
         if (bytes.length == 0) {
             return EMPTY;
--- a/core/src/main/java/cedarrudder/coordination/ReplicatedStateMachine.java
+++ b/core/src/main/java/cedarrudder/coordination/ReplicatedStateMachine.java
@@ -11,7 +11,10 @@
 import cedarrudder.routetable.RouteTable;
 import java.util.List;
 
-/** Applies the log to the route table and to the state of draining, and carries out its actions. */
+/**
+ * Applies the entries of the log to the route table and the drain state, and performs the other
+ * actions of the Raft node.
+ */
 final class ReplicatedStateMachine implements RaftNode.Actions {
 
     private final ReplicaContext context;
@@ -38,12 +41,12 @@
         this.now = now;
     }
 
-    /** The time of all that is applied until the next call. */
+    /** Sets the time at which entries are applied until the next call. */
     void advanceTo(long at) {
         now = at;
     }
 
-    /** The index of the first entry of the term that this replica leads. */
+    /** Returns the index of the first entry of the term that this replica leads. */
     long firstIndexOfTerm() {
         return firstIndexOfTerm;
     }
@@ -62,10 +65,13 @@
             drainCoordination.apply(now, update.command());
             onApplied(position.group(), activeTable.agreed());
         }
-        actions.record(HistoryEventText.loaded(position, bytes, state()));
+        actions.record(HistoryEventText.entryApplied(position, bytes, state()));
     }
 
-    /** A former leader's table may be committed after a newer one: it changes nothing. */
+    /**
+     * Returns the newer of a table and the agreed one: a former leader's table may be committed
+     * after a newer one, and then changes nothing.
+     */
     private RouteTable newer(RouteTable table) {
         RouteTable agreed = activeTable.agreed();
         boolean isNewer = table != null && (agreed == null || table.number() > agreed.number());
@@ -81,16 +87,19 @@
     public void restore(LogPosition position, byte[] bytes) {
         ReplicatedState state = ReplicatedState.decode(bytes);
         if (state == null) {
-            state = ReplicatedState.EMPTY; // written by a version whose form is unknown here
+            state = ReplicatedState.EMPTY; // written by a version whose format is unknown here
         }
         drainCoordination.restore(now, state.drainState());
         onApplied(position.group(), state.table());
         if (position.index() > 0) {
-            actions.record(HistoryEventText.restored(position, bytes, incarnation()));
+            actions.record(HistoryEventText.snapshotRestored(position, bytes, incarnation()));
         }
     }
 
-    /** Also while the log is being constructed from its storage. */
+    /**
+     * Returns this replica's incarnation, also while the Raft node is still being constructed from
+     * its storage.
+     */
     private long incarnation() {
         return context.raft() == null
                 ? storage.recovered().hardState().incarnation()
@@ -123,7 +132,7 @@
         List<RouteTable.DrainingNode> nodes = drainCoordination.drainingNodes();
         if (!nodes.equals(drainingNodes)) {
             drainingNodes = nodes;
-            actions.record(HistoryEventText.leaving(nodes));
+            actions.record(HistoryEventText.nodesDraining(nodes));
             actions.onDrainingNodes(nodes);
         }
     }
--- a/core/src/main/java/cedarrudder/coordination/ReportCodec.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportCodec.java
@@ -14,17 +14,17 @@
 import java.util.zip.CRC32C;
 
 /**
- * Writes and reads {@link ReportMessage}s as datagrams of at most {@value #MAX_BYTES} bytes: a
+ * Encodes and decodes {@link ReportMessage}s as datagrams of at most {@value #MAX_BYTES} bytes: a
  * first byte that no message of membership or of the log begins with, the kind, the sender (2
  * bytes) and its incarnation (8), the fields, and a checksum (CRC32C, 4) of all before it.
  * Big-endian.
  */
 final class ReportCodec {
 
-    /** The first byte of each of these datagrams. */
+    /** The first byte of each datagram of this codec. */
     static final byte FIRST_BYTE = (byte) 0xa7;
 
-    /** The largest datagram. */
+    /** The maximum size of a datagram, in bytes. */
     static final int MAX_BYTES = 224;
 
     private static final int HEADER_BYTES = 12;
@@ -36,20 +36,20 @@
 
     private static final int MAX_PARTS = 2 * CoordinatedReplica.MAX_PARTS;
 
-    /** Report and table numbers beyond it leave no room to count on from. */
+    /** The bound of report and table numbers, so that counting on from them can't overflow. */
     private static final long MAX_NUMBER = Long.MAX_VALUE >> 1;
 
-    /** An age beyond it could not be reckoned with. */
+    /** The bound of ages, so that calculations with them can't overflow. */
     private static final long MAX_AGE = Long.MAX_VALUE >> 2;
 
     private ReportCodec() {}
 
-    /** Whether a datagram is of the kind that this codec reads. */
+    /** Returns whether a datagram belongs to this codec, according to its first byte. */
     static boolean isReport(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == FIRST_BYTE;
     }
 
-    /** Writes a message of this sender. */
+    /** Encodes a message of a sender. */
     static byte[] encode(int sender, long incarnation, ReportMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         out.put(FIRST_BYTE).put(kind(message)).putShort((short) sender).putLong(incarnation);
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Reads a datagram; null where the bytes are no valid message of a tier of this many replicas.
-     * Never throws.
+     * Decodes a datagram; returns null if the bytes are no valid message in a tier of the given
+     * size. Never throws.
      */
     static Envelope decode(byte[] datagram, int replicas) {
         int length = datagram.length - CHECKSUM_BYTES;
--- a/core/src/main/java/cedarrudder/coordination/ReportCollector.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportCollector.java
@@ -5,19 +5,25 @@
 import cedarrudder.footprint.RouteTableCapacity;
 import java.util.Arrays;
 
-/** What the leader knows of the replicas that report to it. */
+/** The leader's record of the replicas that report to it. */
 final class ReportCollector {
 
     /**
-     * How often one replica is answered in the time between two of its reports, at most. This
-     * bounds the work that a flood of reports can cause.
+     * The maximum number of answers to one replica per report interval. This bounds the work that a
+     * flood of reports can cause.
      */
     private static final int MAX_ANSWERS = 8;
 
-    /** A replica that was silent for this many reports no longer counts as reporting. */
+    /**
+     * The number of report intervals without a report after which a replica no longer counts as
+     * reporting.
+     */
     private static final int MAX_SILENT_REPORTS = 4;
 
-    /** So long ago that it precedes every instant of a clock that starts at any value. */
+    /**
+     * A duration so long that the instant before it precedes every real instant, at whatever value
+     * the clock starts.
+     */
     private static final long FOREVER = Long.MAX_VALUE / 4;
 
     private final long interval;
@@ -31,9 +37,9 @@
     private long highestTable;
 
     /**
-     * Knows of no report.
+     * Creates a record without any reports.
      *
-     * @param interval between two reports of one replica, in nanoseconds
+     * @param interval the interval between two reports of one replica, in nanoseconds
      */
     ReportCollector(int replicas, long interval, long now) {
         this.interval = interval;
@@ -48,8 +54,8 @@
     }
 
     /**
-     * Forgets everything: a leader's term begins. Leases that a former leader granted may run from
-     * now at the latest.
+     * Clears the record at the start of a leader's term. Leases that a former leader granted count
+     * from now at the latest.
      */
     void reset(long now) {
         long never = now - FOREVER;
@@ -64,10 +70,10 @@
     }
 
     /**
-     * Takes a report.
+     * Records a report.
      *
-     * @param inTerm whether its sender is in this leader's group and term
-     * @return false where it is outdated, so that nothing of it is taken
+     * @param inTerm whether the sender is in this leader's group and term
+     * @return false if the report is outdated and therefore ignored
      */
     boolean onReport(
             long now, int from, long incarnation, ReportMessage.Report report, boolean inTerm) {
@@ -82,9 +88,9 @@
         reportedAt[from] = now;
         capacities[from] = report.capacity();
         highestTable = Math.max(highestTable, report.highestTable());
-        long repeated = report.lastGrantAt();
-        if (inTerm && repeated != ReportMessage.NEVER && repeated <= now) {
-            lastGrantAt[from] = Math.max(lastGrantAt[from], repeated);
+        long echoedGrantAt = report.lastGrantAt();
+        if (inTerm && echoedGrantAt != ReportMessage.NEVER && echoedGrantAt <= now) {
+            lastGrantAt[from] = Math.max(lastGrantAt[from], echoedGrantAt);
         }
         return true;
     }
@@ -94,7 +100,7 @@
                 || incarnation == incarnations[from] && reportNumber <= reportNumbers[from];
     }
 
-    /** Whether a replica that wants a grant gets one now. */
+    /** Returns whether a replica that wants a grant gets an answer now, and counts that answer. */
     boolean mayAnswer(long now, int to) {
         if (now - answeredAt[to] < interval / MAX_ANSWERS) {
             return false;
@@ -103,22 +109,28 @@
         return true;
     }
 
-    /** The highest number of a report of the latest incarnation. */
+    /** Returns the highest number of a report of a replica's latest incarnation. */
     long lastNumber(int from) {
         return reportNumbers[from];
     }
 
-    /** A replica is granted its table. */
+    /** Records that a replica is granted a lease. */
     void onGranted(long now, int to) {
         grantedAt[to] = now;
     }
 
-    /** Since then the replica has been given no lease, by this leader or a former one. */
+    /**
+     * Returns the instant after which no lease was granted to a replica, by this leader or a former
+     * one.
+     */
     long grantedAt(int replica) {
         return grantedAt[replica];
     }
 
-    /** When a quorum of the voters was last known to be in this leader's term, on its clock. */
+    /**
+     * Returns when a quorum of the voters was last known to be in this leader's term, on the
+     * leader's clock.
+     */
     long lastQuorumContact(long now, Voter self, VoterSet voters) {
         long[] contacts =
                 voters.all().stream()
@@ -130,21 +142,26 @@
 
     private long lastContact(long now, Voter voter) {
         int replica = voter.replica();
-        boolean current = incarnations[replica] == voter.incarnation();
-        return current ? lastGrantAt[replica] : now - FOREVER;
+        boolean sameIncarnation = incarnations[replica] == voter.incarnation();
+        return sameIncarnation ? lastGrantAt[replica] : now - FOREVER;
     }
 
-    /** Whether a replica has reported in its last few intervals. */
+    /**
+     * Returns whether a replica has reported within the last {@value #MAX_SILENT_REPORTS}
+     * intervals.
+     */
     boolean hasReportedLately(int replica, long now) {
         return reportedAt[replica] >= now - MAX_SILENT_REPORTS * interval;
     }
 
-    /** The largest table that a replica has room for; null where it has not said. */
+    /**
+     * Returns the largest table that a replica has memory for; null if it has not reported that.
+     */
     RouteTableCapacity capacity(int replica) {
         return capacities[replica];
     }
 
-    /** The highest number of a table that any replica has applied. */
+    /** Returns the highest number of a table that any replica has applied. */
     long highestTable() {
         return highestTable;
     }
--- a/core/src/main/java/cedarrudder/coordination/ReportExchange.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportExchange.java
@@ -10,25 +10,25 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The reports that each replica sends to the leader once a period, and the grants with which the
- * leader answers. A grant tells the replica how long ago a quorum was certainly with the leader;
- * its lease counts from then.
+ * The reports that each replica sends to the leader once per report interval, and the grants with
+ * which the leader answers. A grant contains how long ago the leader certainly had a quorum; the
+ * replica's lease counts from then.
  */
 final class ReportExchange {
 
-    /** The latest reports whose grants are still accepted. */
+    /** The number of latest reports whose grants are still accepted. */
     private static final int OPEN_REPORTS = 32;
 
     /**
-     * The low bits of a report's number, above which is the time at which the process started, in
-     * milliseconds. This avoids a grant for a former process of the same incarnation being taken
-     * for one of this process.
+     * The number of low bits of a report's number that count. The bits above contain the time at
+     * which the process started, in milliseconds, so that a grant for a former process of the same
+     * incarnation is not accepted as one for this process.
      */
     private static final int COUNTER_BITS = 20;
 
     private static final long MAX_START = (1L << 42) - 1;
 
-    /** A quorum contact longer ago than this many leases is not passed on. */
+    /** The maximum age of a quorum contact that a grant passes on, in leases. */
     private static final int MAX_QUORUM_AGE_LEASES = 2;
 
     private final ReplicaContext context;
@@ -61,37 +61,40 @@
         this.nextReportAt = now + (long) (random.nextDouble() * interval);
     }
 
-    /** When the next report is due. */
+    /** Returns when the next report is due. */
     long nextReportAt() {
         return nextReportAt;
     }
 
-    /** This replica became the leader: reports come to it from now on, and so do its own. */
+    /**
+     * Handles the start of this replica's leadership: it now receives all reports, its own
+     * included.
+     */
     void onElected(long now) {
         collector.reset(now);
         nextReportAt = now;
     }
 
-    /** When a quorum was last known to be in this leader's term, on its own clock. */
+    /** Returns when a quorum was last known to be in this leader's term, on the leader's clock. */
     long lastQuorumContact(long now) {
         RaftNode raft = context.raft();
         Voter self = new Voter(context.self(), raft.incarnation());
         return collector.lastQuorumContact(now, self, raft.voters());
     }
 
-    /** Reports where it is due. */
+    /** Sends a report if it is due. */
     void tick(long now) {
         if (now < nextReportAt) {
             return;
         }
         nextReportAt = now + interval;
         if (!activeTable.fits()) {
-            activeTable.checkCapacity(); // there may be room by now
+            activeTable.checkCapacity(); // there may be enough memory by now
         }
         report(now);
     }
 
-    // ---- the side that reports ----
+    // ---- the reporting replica ----
 
     private void report(long now) {
         List<ReportMessage.Part> parts = parts(now);
@@ -103,7 +106,7 @@
         if (leader < 0 || leader == context.self()) {
             return;
         }
-        List<List<ReportMessage.Part>> messages = intoMessages(parts);
+        List<List<ReportMessage.Part>> messages = splitIntoMessages(parts);
         for (int i = 0; i < messages.size(); i++) {
             lastReportNumber++;
             sentAt[slot(lastReportNumber)] = now;
@@ -122,15 +125,19 @@
         return parts;
     }
 
-    /** The parts by message, as many to each as it can hold; at least one message. */
-    private static List<List<ReportMessage.Part>> intoMessages(List<ReportMessage.Part> parts) {
+    /**
+     * Distributes the parts over messages, as many to each as fit; returns at least one message.
+     */
+    private static List<List<ReportMessage.Part>> splitIntoMessages(
+            List<ReportMessage.Part> parts) {
         List<List<ReportMessage.Part>> messages = new ArrayList<>();
         List<ReportMessage.Part> message = new ArrayList<>();
         messages.add(message);
         int size = 0;
         for (ReportMessage.Part part : parts) {
             if (part.bytes().length > CoordinatedReplica.MAX_PART_BYTES) {
-                break; // breaks the contract of its side: neither it nor what follows fits
+                break; // violates the limit of reportParts: neither this part nor the following
+                // ones fit
             }
             if (size + part.bytes().length > CoordinatedReplica.MAX_PART_BYTES) {
                 message = new ArrayList<>();
@@ -159,7 +166,7 @@
                 parts);
     }
 
-    /** Takes the leader's grant. */
+    /** Handles a grant of the leader. */
     void onGrant(long now, ReportMessage.Grant grant) {
         if (!isAnswerToOpenReport(grant) || isOfFormerTerm(grant)) {
             return;
@@ -172,7 +179,8 @@
         if (grant.quorumAge() >= 0) {
             activeTable.onQuorumContact(grant.group(), grant.table(), quorumContact(grant));
         } else if (firstOfTerm) {
-            nextReportAt = now; // it waits for the quorum contact of the leader
+            nextReportAt =
+                    now; // the leader needs this replica's next report for its quorum contact
         }
     }
 
@@ -182,13 +190,19 @@
                 && grant.reportNumber() > lastReportNumber - OPEN_REPORTS;
     }
 
-    /** This avoids a former leader's late grants starting the exchange again and again. */
+    /**
+     * Returns whether a grant is of a former term. Late grants of a former leader must not restart
+     * the exchange again and again.
+     */
     private boolean isOfFormerTerm(ReportMessage.Grant grant) {
-        int byGroup = grant.group().compareTo(grantGroup);
-        return byGroup < 0 || byGroup == 0 && grant.term() < grantTerm;
+        int groupOrder = grant.group().compareTo(grantGroup);
+        return groupOrder < 0 || groupOrder == 0 && grant.term() < grantTerm;
     }
 
-    /** On this replica's clock, with the most that the leader's may have gained on it. */
+    /**
+     * Returns the instant of a grant's quorum contact on this replica's clock, less the maximum
+     * drift between the two clocks.
+     */
     private long quorumContact(ReportMessage.Grant grant) {
         long drift = 2 * grant.quorumAge() / CoordinationSettings.DRIFT;
         return sentAt[slot(grant.reportNumber())] - grant.quorumAge() - drift;
@@ -198,9 +212,9 @@
         return (int) (reportNumber % OPEN_REPORTS);
     }
 
-    // ---- the leader's side ----
+    // ---- the leader ----
 
-    /** Takes a report, and answers it where its sender wants that. */
+    /** Handles a report, and answers it if its sender wants a grant. */
     void onReport(long now, int from, long incarnation, ReportMessage.Report report) {
         RaftNode raft = context.raft();
         if (!raft.isLeader()) {
@@ -216,7 +230,10 @@
         }
     }
 
-    /** What a replica has drained in another group or term goes by other numbers: dropped. */
+    /**
+     * Delivers the parts of a report, except drain parts from another group or term, which are
+     * dropped because their numbers mean something else there.
+     */
     private void deliver(int from, List<ReportMessage.Part> parts, boolean inTerm) {
         for (ReportMessage.Part part : parts) {
             if (inTerm || part.kind() != ReportMessage.ReportKind.DRAINING) {
@@ -229,11 +246,11 @@
         RaftNode raft = context.raft();
         long quorumAge = now - lastQuorumContact(now);
         long longestLease = Math.max(activeTable.longestLease(), settings.lease());
-        boolean holds =
+        boolean grantsLease =
                 isNew
                         && context.hasCommittedInTerm()
                         && quorumAge < MAX_QUORUM_AGE_LEASES * longestLease;
-        if (holds) {
+        if (grantsLease) {
             collector.onGranted(now, to);
         }
         context.send(
@@ -244,7 +261,7 @@
                         raft.group(),
                         raft.term(),
                         now,
-                        holds ? quorumAge : ReportMessage.UNKNOWN_AGE,
+                        grantsLease ? quorumAge : ReportMessage.UNKNOWN_AGE,
                         activeTable.agreedNumber(),
                         collector.lastNumber(to)));
     }
--- a/core/src/main/java/cedarrudder/coordination/ReportMessage.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportMessage.java
@@ -5,45 +5,50 @@
 import java.util.List;
 
 /**
- * What replicas tell one another beside the log: each reports to the leader, and the leader grants
- * leases in its answers. {@link ReportCodec} writes them as datagrams.
+ * The messages between replicas other than those of the log: each replica reports to the leader,
+ * and the leader grants leases in its answers. {@link ReportCodec} encodes them as datagrams.
  */
 sealed interface ReportMessage {
 
-    /** In place of an instant where there is none: clocks may say 0, and less. */
+    /**
+     * The value for an instant that does not exist. Clocks may show 0 and negative values, so
+     * neither of these is used.
+     */
     long NEVER = Long.MIN_VALUE;
 
-    /** In place of the age of the leader's quorum where it knows of none. */
+    /** The value for the age of the leader's quorum contact if the leader knows of none. */
     long UNKNOWN_AGE = -1;
 
-    /** What a part of a report takes beside its bytes: its kind and its length. */
+    /** The size of the kind and the length that precede a part's bytes, in bytes. */
     int PART_HEADER_BYTES = 2;
 
-    /** Which side a part of a report concerns; written by its ordinal. */
+    /** The recipient of a part of a report; encoded as its ordinal. */
     enum ReportKind {
-        /** {@link TrafficCoordination}. */
+        /** For {@link TrafficCoordination}. */
         TRAFFIC,
-        /** {@link DrainCoordination}. */
+        /** For {@link DrainCoordination}. */
         DRAINING
     }
 
-    /** A part of a report, whose bytes only its side reads. */
+    /** A part of a report, whose bytes only its recipient reads. */
     record Part(ReportKind kind, byte[] bytes) {}
 
     /** A message with its sender and the sender's incarnation. */
     record Envelope(int sender, long incarnation, ReportMessage message) {}
 
     /**
-     * A replica reports what it saw, and asks the leader whether its table still holds.
+     * A replica's report of its observations to the leader, which may also request a grant for its
+     * table.
      *
-     * @param wantsGrant whether it wants an answer: of several datagrams of one report, the first
-     * @param number its own number, which only rises within the sender's incarnation
-     * @param term in which the sender is
+     * @param wantsGrant whether the sender wants an answer; true in the first of several datagrams
+     *     of one report
+     * @param number the number of the report, which only rises within the sender's incarnation
+     * @param term the sender's term
      * @param lastGrantAt the instant of the newest grant from the leader of that group and term, on
      *     that leader's clock; {@link #NEVER} before the first
      * @param table the number of the table that the sender has applied, or 0
-     * @param highestTable the highest number of a table that it ever applied
-     * @param capacity the largest table that it has room for
+     * @param highestTable the highest number of a table that the sender ever applied
+     * @param capacity the largest table that the sender has memory for
      */
     record Report(
             boolean wantsGrant,
@@ -62,16 +67,16 @@
     }
 
     /**
-     * The leader's answer.
+     * The leader's answer to a report.
      *
-     * @param incarnation that of the replica that reported
-     * @param reportNumber the number of its report
+     * @param incarnation the incarnation of the replica that reported
+     * @param reportNumber the number of the report that is answered
      * @param grantedAt the instant of the answer, on the leader's clock; the next report repeats it
      * @param quorumAge how long before that instant a quorum was certainly in the leader's term, in
      *     nanoseconds; {@link #UNKNOWN_AGE} where the leader does not know
      * @param table the number of the agreed table, or 0
-     * @param lastReportNumber the highest number of a report of that incarnation: the next must be
-     *     higher
+     * @param lastReportNumber the highest number of a report of that incarnation; the next report
+     *     needs a higher one
      */
     record Grant(
             long incarnation,
--- a/core/src/main/java/cedarrudder/coordination/TableLease.java
+++ b/core/src/main/java/cedarrudder/coordination/TableLease.java
@@ -4,14 +4,15 @@
 import cedarrudder.routetable.RouteTable;
 
 /**
- * How long a replica may use the table that it has applied, on its own clock alone. The lease
- * counts from the last quorum contact: the moment at which the replica sent a report that a leader
- * answered, less how long before the answer that leader last knew a quorum in its term. A late,
- * repeated or delayed answer therefore grants nothing that it did not grant when it was new.
+ * The lease on the table that a replica has applied, measured on the replica's clock alone. The
+ * lease counts from the last quorum contact: the moment at which the replica sent a report that a
+ * leader answered, less the time between that leader's last known quorum in its term and the
+ * answer. A late, repeated or delayed answer therefore extends the lease no further than it would
+ * have when it was new.
  */
 final class TableLease {
 
-    /** A contact that concerns a table which is not applied here yet. */
+    /** A quorum contact for a table that is not applied here yet. */
     private record PendingContact(VoterGroup group, long tableNumber, long contact) {}
 
     private final long never;
@@ -25,12 +26,12 @@
         lastContact = never;
     }
 
-    /** The agreed table, as far as it is applied here; null before the first. */
+    /** Returns the latest agreed table that is applied here; null before the first. */
     RouteTable agreed() {
         return agreed;
     }
 
-    /** This table is agreed from now on, in this group. */
+    /** Replaces the agreed table and its group. */
     void agreed(VoterGroup newGroup, RouteTable table) {
         if (!newGroup.equals(group)) {
             group = newGroup;
@@ -44,15 +45,16 @@
     }
 
     /**
-     * A leader of that group certainly had a quorum at that instant, and no table was newer than
-     * the one of that number.
+     * Records that a leader of a group certainly had a quorum at an instant, and that no table was
+     * newer then than the one with the given number.
      */
     void onContact(VoterGroup contactGroup, long tableNumber, long instant) {
         if (concernsAgreed(contactGroup, tableNumber)) {
             lastContact = Math.max(lastContact, instant);
             pending = null;
         } else if (pending == null || !pending.group.equals(contactGroup)) {
-            // The first is kept: a replica that is always one table behind still gets a lease.
+            // The first one is retained: a replica that is always one table behind still gets a
+            // lease.
             pending = new PendingContact(contactGroup, tableNumber, instant);
         }
     }
@@ -62,12 +64,15 @@
         return contactGroup.equals(group) && agreedNumber >= tableNumber;
     }
 
-    /** The last quorum contact in this group. */
+    /** Returns the last quorum contact in the current group. */
     long lastContact() {
         return lastContact;
     }
 
-    /** Until when the agreed table may be used; in the past where it may not be. */
+    /**
+     * Returns until when the agreed table may be used; an instant in the past if it may not be
+     * used.
+     */
     long expiresAt() {
         if (agreed == null) {
             return never;
--- a/core/src/main/java/cedarrudder/coordination/TableNumbering.java
+++ b/core/src/main/java/cedarrudder/coordination/TableNumbering.java
@@ -3,8 +3,8 @@
 import cedarrudder.consensus.VoterGroup;
 
 /**
- * How route tables are numbered, so that each group's numbers are above those of every former
- * group: the group's era and founder, then a counter within the group.
+ * The numbering of route tables: the group's era and founder, then a counter within the group, so
+ * that each group's numbers are above those of every former group.
  */
 final class TableNumbering {
     private static final int COUNTER_BITS = 28;
@@ -13,12 +13,12 @@
 
     private TableNumbering() {}
 
-    /** The group's era and founder as one number, which tables name as their group. */
+    /** Returns the group's era and founder as one number, which identifies the group in tables. */
     static long groupNumber(VoterGroup group) {
         return Math.min((long) group.era() << FOUNDER_BITS | group.founder(), MAX_GROUP);
     }
 
-    /** The number before the group's first table. */
+    /** Returns the number before that of the group's first table. */
     static long base(VoterGroup group) {
         return groupNumber(group) << COUNTER_BITS;
     }
--- a/core/src/main/java/cedarrudder/coordination/TierView.java
+++ b/core/src/main/java/cedarrudder/coordination/TierView.java
@@ -2,26 +2,26 @@
 
 import cedarrudder.routetable.RouteTable;
 
-/** What the replica that leads knows of the others when it plans. */
+/** The leader's view of the tier's replicas, for planning. */
 public interface TierView {
 
-    /** How many replicas there may be. */
+    /** Returns the number of replicas of the tier, alive or not. */
     int replicas();
 
     int self();
 
-    /** The zone of a replica. */
+    /** Returns the zone of a replica. */
     int zone(int replica);
 
-    /** Whether membership finds a replica alive. */
+    /** Returns whether membership considers a replica alive. */
     boolean isAlive(int replica);
 
-    /** What the replicas have agreed on last, loaded here; null before the first. */
+    /** Returns the latest agreed route table that is applied here; null before the first. */
     RouteTable agreed();
 
     /**
-     * When a replica that is silent has certainly left its table, on this replica's clock: until
-     * then its calls go where that says.
+     * Returns when, on this replica's clock, a silent replica has certainly stopped using its
+     * table. Until then its requests are routed by that table.
      */
     long leaseEndsAt(int replica);
 }
--- a/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
@@ -4,32 +4,34 @@
 import java.util.List;
 
 /**
- * Which zones serve whose clients: each replica says what it saw, and the replica that leads plans
- * from what all said. Nothing of it is agreed on but the plan.
+ * The routing of clients between zones: each replica reports its observations, and the leader plans
+ * the routes from all reports. Only the plan is replicated, not the reports.
  */
 public interface TrafficCoordination {
 
     /**
-     * What this replica saw since it was asked last: at most {@link CoordinatedReplica#MAX_PARTS}
-     * parts of at most {@link CoordinatedReplica#MAX_PART_BYTES} bytes, each of which stands for
-     * itself, as any may be lost.
+     * Returns this replica's observations since the last call: at most {@link
+     * CoordinatedReplica#MAX_PARTS} parts of at most {@link CoordinatedReplica#MAX_PART_BYTES}
+     * bytes, each of which can be read without the others, because any may be lost.
      */
     List<byte[]> reportParts(long now);
 
     /**
-     * At the leader: a part of what another replica observed, or it itself. It may be malformed.
+     * Handles, at the leader, a report part of another replica or of its own, which may be
+     * malformed.
      */
     void onReportPart(long now, int from, byte[] part);
 
-    /** At the leader, each period: the routes that should hold. */
+    /** Returns, at the leader in each period, the routes that should be in effect. */
     List<RouteTable.ZoneRoute> plan(long now, TierView tier);
 
     /**
-     * This replica leads from here on, or no longer: what was reported to it before counts no more.
+     * Handles the start or end of this replica's leadership. Reports received before are no longer
+     * valid.
      */
     void onLeadership(long now, boolean leads);
 
-    /** Clients stay in their zones. */
+    /** An implementation in which clients stay in their zones. */
     TrafficCoordination NONE =
             new TrafficCoordination() {
                 @Override
--- a/core/src/main/java/cedarrudder/encoding/MalformedVarintException.java
+++ b/core/src/main/java/cedarrudder/encoding/MalformedVarintException.java
@@ -1,6 +1,6 @@
 package cedarrudder.encoding;
 
-/** Says that the bytes of a number are not one that is allowed. */
+/** Thrown when bytes are not an allowed encoding of a number. */
 public final class MalformedVarintException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -14,12 +14,12 @@
         this.allowed = allowed;
     }
 
-    /** What stands in place of the number. */
+    /** Returns what was found in place of the number. */
     public String found() {
         return found;
     }
 
-    /** What is allowed there. */
+    /** Returns what is allowed there. */
     public String allowed() {
         return allowed;
     }
--- a/core/src/main/java/cedarrudder/encoding/Varint.java
+++ b/core/src/main/java/cedarrudder/encoding/Varint.java
@@ -6,7 +6,7 @@
 
 /**
  * Integers of variable length (LEB128, as in Protocol Buffers): seven bits a byte, the lowest
- * first; the highest bit of a byte says that another follows.
+ * first; the highest bit of a byte is set if another byte follows.
  */
 public final class Varint {
 
@@ -18,7 +18,7 @@
 
     private Varint() {}
 
-    /** Where the bytes of a number go. */
+    /** Receives the bytes of an encoded number. */
     @FunctionalInterface
     private interface ByteSink {
         void accept(byte value);
@@ -35,15 +35,15 @@
     }
 
     private static void encode(long value, ByteSink sink) {
-        long rest = value;
-        while ((rest & ~VALUE_MASK) != 0) {
-            sink.accept((byte) (rest & VALUE_MASK | CONTINUATION_BIT));
-            rest >>>= BITS_PER_BYTE;
+        long remaining = value;
+        while ((remaining & ~VALUE_MASK) != 0) {
+            sink.accept((byte) (remaining & VALUE_MASK | CONTINUATION_BIT));
+            remaining >>>= BITS_PER_BYTE;
         }
-        sink.accept((byte) rest);
+        sink.accept((byte) remaining);
     }
 
-    /** How many bytes a number takes. */
+    /** Returns the number of bytes that a number takes. */
     public static int size(long value) {
         return Math.max(
                 1,
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Reads a number of up to 64 bits, which has one valid form.
+     * Reads a number of up to 64 bits. Only the shortest encoding of a number is valid.
      *
-     * @throws BufferUnderflowException if it does not end, or is not in its shortest form
+     * @throws BufferUnderflowException if the number does not end, or is not in its shortest form
      */
     public static long get(ByteBuffer in) {
         long value = 0;
@@ -70,7 +70,7 @@
         throw new BufferUnderflowException();
     }
 
-    /** Encodes a signed number so that numbers near to zero are short. */
+    /** Encodes a signed number so that numbers near zero are short. */
     public static long zigZagEncode(long value) {
         return value << 1 ^ value >> 63;
     }
--- a/core/src/main/java/cedarrudder/encoding/VarintReader.java
+++ b/core/src/main/java/cedarrudder/encoding/VarintReader.java
@@ -1,32 +1,34 @@
 package cedarrudder.encoding;
 
-/** Reads {@link Varint}s of up to 63 bits, which are 0 or more, from the front of an array. */
+/**
+ * Reads {@link Varint}s from the front of an array: numbers of up to 63 bits, which are 0 or more.
+ */
 public final class VarintReader {
 
     private final byte[] bytes;
     private final int end;
     private int position;
 
-    /** A reader of the bytes before {@code end}. */
+    /** Creates a reader of the bytes before the index {@code end}. */
     public VarintReader(byte[] bytes, int end) {
         this.bytes = bytes;
         this.end = end;
     }
 
-    /** The index of the byte that is read next. */
+    /** Returns the index of the byte that is read next. */
     public int position() {
         return position;
     }
 
-    /** How many bytes are left. */
+    /** Returns the number of bytes that are left. */
     public int remaining() {
         return end - position;
     }
 
     /**
-     * Reads a number in any of its forms.
+     * Reads a number in any of its encodings, also longer ones than necessary.
      *
-     * @throws MalformedVarintException if it does not end, or takes more than 63 bits
+     * @throws MalformedVarintException if the number does not end, or takes more than 63 bits
      */
     public long next() throws MalformedVarintException {
         return next(false);
@@ -35,8 +37,8 @@
     /**
      * Reads a number in its shortest form.
      *
-     * @throws MalformedVarintException if it does not end, takes more than 63 bits, or has a
-     *     shorter form
+     * @throws MalformedVarintException if the number does not end, takes more than 63 bits, or has
+     *     a shorter form
      */
     public long nextShortest() throws MalformedVarintException {
         return next(true);
@@ -50,7 +52,7 @@
             if (next >= 0) {
                 if (shortestOnly && next == 0 && shift > 0) {
                     throw new MalformedVarintException(
-                            "a number with a zero too much", "the shortest form");
+                            "a number with a redundant zero byte", "the shortest form");
                 }
                 return value;
             }
@@ -70,11 +72,11 @@
         return bytes[position++];
     }
 
-    /** Reads the bytes that come next, of which as many must be {@link #remaining()}. */
+    /** Reads the next bytes. The length must be at most {@link #remaining()}. */
     public byte[] nextBytes(int length) {
-        byte[] block = new byte[length];
-        System.arraycopy(bytes, position, block, 0, length);
+        byte[] result = new byte[length];
+        System.arraycopy(bytes, position, result, 0, length);
         position += length;
-        return block;
+        return result;
     }
 }
--- a/core/src/main/java/cedarrudder/encoding/package-info.java
+++ b/core/src/main/java/cedarrudder/encoding/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Integers of variable length, as datagrams, log entries and stored state carry them.
+ * Encoding of integers of variable length in datagrams, log entries and stored state.
  *
  * <p>Uses nothing else of the project.
  */
--- a/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
+++ b/core/src/test/java/cedarrudder/consensus/MessageFragmenterTest.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** Bytes of peers: pieces, what they are put together to, and what is none. */
+/** Splitting messages into fragments, reassembling them, and rejecting malformed bytes of peers. */
 public class MessageFragmenterTest {
 
     private static final long MILLI = 1_000_000L;
@@ -27,47 +27,48 @@
         return bytes;
     }
 
-    private static List<byte[]> cut(MessageFragmenter pieces, byte[] message) {
-        return pieces.split(GROUP, 5, SENDER, 1, message);
+    private static List<byte[]> split(MessageFragmenter fragmenter, byte[] message) {
+        return fragmenter.split(GROUP, 5, SENDER, 1, message);
     }
 
-    private static byte[] take(MessageFragmenter pieces, long now, byte[] piece) {
-        return pieces.accept(now, MessageFragment.decode(piece, 10));
+    private static byte[] accept(MessageFragmenter fragmenter, long now, byte[] fragment) {
+        return fragmenter.accept(now, MessageFragment.decode(fragment, 10));
     }
 
     @Test
-    public void piecesFitTheWireAndBeginAsNoMessageOfMembership() {
-        for (byte[] piece : cut(new MessageFragmenter(new SafetyRules(), 0), bytes(1_000, 1))) {
-            assertTrue(piece.length <= 224);
-            // Membership's begin with its version, a small number.
-            assertTrue(piece[0] < 0);
+    public void fragmentsFitADatagramAndDifferFromMembershipMessages() {
+        for (byte[] fragment :
+                split(new MessageFragmenter(new SafetyRules(), 0), bytes(1_000, 1))) {
+            assertTrue(fragment.length <= 224);
+            // Datagrams of membership begin with its version, a small number.
+            assertTrue(fragment[0] < 0);
         }
     }
 
     @Test
-    public void shuffledDoubledAndMixedPiecesGiveEachMessageOnce() {
+    public void shuffledAndDuplicatedFragmentsYieldEachMessageOnce() {
         MessageFragmenter sender = new MessageFragmenter(new SafetyRules(), 7);
         MessageFragmenter receiver = new MessageFragmenter(new SafetyRules(), 0);
         List<byte[]> messages = new ArrayList<>();
-        List<byte[]> wire = new ArrayList<>();
+        List<byte[]> datagrams = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             messages.add(bytes(2_000, i));
-            wire.addAll(cut(sender, messages.get(i)));
+            datagrams.addAll(split(sender, messages.get(i)));
         }
-        wire.addAll(List.copyOf(wire));
-        Collections.shuffle(wire, new Random(4));
-        List<byte[]> came = new ArrayList<>();
-        for (byte[] piece : wire) {
-            byte[] whole = take(receiver, 0, piece);
-            if (whole != null) {
-                came.add(whole);
+        datagrams.addAll(List.copyOf(datagrams));
+        Collections.shuffle(datagrams, new Random(4));
+        List<byte[]> received = new ArrayList<>();
+        for (byte[] fragment : datagrams) {
+            byte[] complete = accept(receiver, 0, fragment);
+            if (complete != null) {
+                received.add(complete);
             }
         }
-        assertEquals(came.size(), 8);
+        assertEquals(received.size(), 8);
         messages.forEach(
                 message ->
                         assertTrue(
-                                came.stream()
+                                received.stream()
                                         .anyMatch(
                                                 c ->
                                                         ByteBuffer.wrap(c)
@@ -77,32 +78,32 @@
     }
 
     @Test
-    public void whatWasLostIsAskedForAndRepeatedAndInTheEndForgotten() {
+    public void lostFragmentsAreRequestedAgainUntilTheMessageIsDropped() {
         MessageFragmenter sender = new MessageFragmenter(new SafetyRules(), 7);
         MessageFragmenter receiver = new MessageFragmenter(new SafetyRules(), 0);
         byte[] message = bytes(2_000, 3);
-        List<byte[]> wire = cut(sender, message);
-        for (int i = 0; i < wire.size(); i++) {
-            assertNull(i == 2 || i == 5 ? null : take(receiver, 0, wire.get(i)));
+        List<byte[]> datagrams = split(sender, message);
+        for (int i = 0; i < datagrams.size(); i++) {
+            assertNull(i == 2 || i == 5 ? null : accept(receiver, 0, datagrams.get(i)));
         }
         assertEquals(receiver.missing(receiver.due() - 1), List.of());
-        List<MessageFragmenter.Missing> wanted = receiver.missing(receiver.due());
-        assertEquals(wanted.get(0).sender(), SENDER.replica());
-        List<byte[]> again = sender.resend(1, wanted.get(0).request());
-        assertEquals(again, List.of(wire.get(2), wire.get(5)));
-        assertEquals(sender.resend(3, wanted.get(0).request()), List.of());
-        assertNull(take(receiver, 100 * MILLI, again.get(0)));
-        assertEquals(take(receiver, 100 * MILLI, again.get(1)), message);
-        take(receiver, 200 * MILLI, cut(sender, message).get(0));
-        int asked = 0;
+        List<MessageFragmenter.Missing> requests = receiver.missing(receiver.due());
+        assertEquals(requests.get(0).sender(), SENDER.replica());
+        List<byte[]> repeated = sender.resend(1, requests.get(0).request());
+        assertEquals(repeated, List.of(datagrams.get(2), datagrams.get(5)));
+        assertEquals(sender.resend(3, requests.get(0).request()), List.of());
+        assertNull(accept(receiver, 100 * MILLI, repeated.get(0)));
+        assertEquals(accept(receiver, 100 * MILLI, repeated.get(1)), message);
+        accept(receiver, 200 * MILLI, split(sender, message).get(0));
+        int requestCount = 0;
         while (receiver.due() != Long.MAX_VALUE) {
-            asked += receiver.missing(receiver.due()).size();
+            requestCount += receiver.missing(receiver.due()).size();
         }
-        assertEquals(asked, 8);
+        assertEquals(requestCount, 8);
     }
 
-    /** A store that knows whether something was written since the last sync. */
-    private static final class Unsynced implements StableStorage {
+    /** A storage that records whether something was written since the last sync. */
+    private static final class SyncTrackingStorage implements StableStorage {
         private boolean unsynced;
         private long term;
 
@@ -112,8 +113,8 @@
         }
 
         @Override
-        public void writeHardState(HardState promise) {
-            term = promise.term();
+        public void writeHardState(HardState hardState) {
+            term = hardState.term();
             unsynced = true;
         }
 
@@ -139,13 +140,13 @@
     }
 
     /**
-     * Random bytes, and good pieces with wrong bytes whose checksums are put right: all is dropped
-     * or read, and what is said of it is synced before.
+     * Sends random bytes, and valid messages with wrong bytes but correct checksums. Each is
+     * dropped or handled, and everything that the replica sends or applies is synced before.
      */
     @Test
-    public void garbageIsDroppedWithoutAWord() {
+    public void malformedMessagesAreDroppedAndNothingUnsyncedIsSent() {
         SplittableRandom random = new SplittableRandom(11);
-        Unsynced store = new Unsynced();
+        SyncTrackingStorage storage = new SyncTrackingStorage();
         int[] zones = new int[10];
         RaftNode replica =
                 new RaftNode(
@@ -153,20 +154,20 @@
                         0,
                         5,
                         ConsensusSettings.DEFAULT,
-                        store,
+                        storage,
                         random.split(),
                         new RaftNode.Actions() {
                             @Override
-                            public void send(int to, byte[] piece) {
-                                assertFalse(store.unsynced, "spoken of before it was synced");
+                            public void send(int to, byte[] fragment) {
+                                assertFalse(storage.unsynced, "sent before it was synced");
                                 assertTrue(
-                                        MessageFragment.decode(piece, 10).term() <= store.term,
-                                        "a term that is not kept");
+                                        MessageFragment.decode(fragment, 10).term() <= storage.term,
+                                        "a term that is not persisted");
                             }
 
                             @Override
-                            public void apply(LogPosition number, byte[] content) {
-                                assertFalse(store.unsynced, "loaded before it was synced");
+                            public void apply(LogPosition position, byte[] content) {
+                                assertFalse(storage.unsynced, "applied before it was synced");
                             }
 
                             @Override
@@ -175,16 +176,16 @@
                             }
 
                             @Override
-                            public void restore(LogPosition number, byte[] state) {}
+                            public void restore(LogPosition position, byte[] state) {}
 
                             @Override
                             public void onProposalSettled(
                                     Proposal proposal,
                                     ProposalOutcome outcome,
-                                    LogPosition number) {}
+                                    LogPosition position) {}
 
                             @Override
-                            public void record(ConsensusEvent note) {}
+                            public void record(ConsensusEvent event) {}
                         },
                         0);
         replica.formGroup(0);
@@ -194,14 +195,14 @@
             replica.tick(now);
         }
         assertTrue(replica.isLeader());
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         for (int i = 0; i < 200_000; i++) {
-            byte[] noise = new byte[random.nextInt(260)];
-            random.nextBytes(noise);
-            if (i % 2 == 0 && noise.length > 0) {
-                noise[0] = MessageFragment.FIRST;
+            byte[] randomBytes = new byte[random.nextInt(260)];
+            random.nextBytes(randomBytes);
+            if (i % 2 == 0 && randomBytes.length > 0) {
+                randomBytes[0] = MessageFragment.FIRST_BYTE;
             }
-            replica.onDatagram(now, 1, noise);
+            replica.onDatagram(now, 1, randomBytes);
         }
         assertEquals(replica.counts().malformed(), 200_000);
         RaftMessage[] kinds = {
@@ -225,36 +226,36 @@
         };
         for (int i = 0; i < 200_000; i++) {
             byte[] body = RaftMessageCodec.encode(kinds[i % kinds.length]);
-            for (int wrong = random.nextInt(3); wrong >= 0; wrong--) {
+            for (int corrupted = random.nextInt(3); corrupted >= 0; corrupted--) {
                 body[random.nextInt(body.length)] = (byte) random.nextInt(256);
             }
-            MessageFragment piece =
+            MessageFragment fragment =
                     new MessageFragment(replica.group(), random.nextInt(4), 1, 9, i, 0, 1, 0, body);
-            replica.onDatagram(now, 1, piece.encode());
+            replica.onDatagram(now, 1, fragment.encode());
             now += MILLI;
             replica.tick(now);
         }
-        long took = System.nanoTime() - began;
-        assertTrue(took < 30_000L * MILLI, "400,000 messages took " + took + " ns");
+        long elapsed = System.nanoTime() - startedAt;
+        assertTrue(elapsed < 30_000L * MILLI, "400,000 messages took " + elapsed + " ns");
     }
 
     @Test
-    public void oneWrongBitIsNoPiece() {
-        byte[] piece = cut(new MessageFragmenter(new SafetyRules(), 0), bytes(100, 1)).get(0);
-        assertNotNull(MessageFragment.decode(piece, 10));
-        for (int bit = 0; bit < piece.length * 8; bit++) {
-            byte[] wrong = piece.clone();
-            wrong[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(MessageFragment.decode(wrong, 10));
+    public void aFragmentWithOneWrongBitIsRejected() {
+        byte[] fragment = split(new MessageFragmenter(new SafetyRules(), 0), bytes(100, 1)).get(0);
+        assertNotNull(MessageFragment.decode(fragment, 10));
+        for (int bit = 0; bit < fragment.length * 8; bit++) {
+            byte[] corrupted = fragment.clone();
+            corrupted[bit / 8] ^= (byte) (1 << bit % 8);
+            assertNull(MessageFragment.decode(corrupted, 10));
         }
     }
 
     @Test
-    public void aFloodOfBeginningsHoldsLittle() {
+    public void aFloodOfIncompleteMessagesIsBufferedWithinBounds() {
         MessageFragmenter receiver = new MessageFragmenter(new SafetyRules(), 0);
         MessageFragmenter sender = new MessageFragmenter(new SafetyRules(), 0);
         for (int i = 0; i < 1_000; i++) {
-            assertNull(take(receiver, i, cut(sender, bytes(40_000, i)).get(0)));
+            assertNull(accept(receiver, i, split(sender, bytes(40_000, i)).get(0)));
         }
         assertFalse(receiver.missing(100 * MILLI).size() > 16);
     }
--- a/core/src/test/java/cedarrudder/encoding/VarintReaderTest.java
+++ b/core/src/test/java/cedarrudder/encoding/VarintReaderTest.java
@@ -7,7 +7,7 @@
 import java.nio.ByteBuffer;
 import org.testng.annotations.Test;
 
-/** Integers of variable length: both writers agree, and the reader takes what they write. */
+/** Integers of variable length: both writers produce the same bytes, and the reader reads them. */
 public class VarintReaderTest {
 
     private static final long[] NUMBERS = {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void bothWritersMakeTheSameBytes() {
+    public void bothWritersProduceTheSameBytes() {
         for (long number : NUMBERS) {
             ByteArrayOutputStream stream = new ByteArrayOutputStream();
             Varint.write(stream, number);
@@ -53,21 +53,22 @@
 
     @Test
     public void aNumberThatDoesNotEndIsMalformed() {
-        MalformedVarintException fault = faultOf(bytes(0x80, 0x80));
+        MalformedVarintException exception = exceptionFor(bytes(0x80, 0x80));
 
-        assertEquals(fault.getMessage(), "found the end; allowed: a number");
+        assertEquals(exception.getMessage(), "found the end; allowed: a number");
     }
 
     @Test
     public void aNumberOfOver63BitsIsMalformed() {
-        MalformedVarintException fault =
-                faultOf(bytes(0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1));
+        MalformedVarintException exception =
+                exceptionFor(bytes(0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1));
 
-        assertEquals(fault.getMessage(), "found a number of over 63 bits; allowed: up to 63 bits");
+        assertEquals(
+                exception.getMessage(), "found a number of over 63 bits; allowed: up to 63 bits");
     }
 
     @Test
-    public void aLongerFormIsReadUnlessTheShortestIsAskedFor() throws MalformedVarintException {
+    public void aLongerFormIsReadUnlessTheShortestIsRequired() throws MalformedVarintException {
         byte[] sevenInTwoBytes = bytes(0x87, 0);
 
         assertEquals(new VarintReader(sevenInTwoBytes, 2).next(), 7);
@@ -83,12 +84,12 @@
         assertThrows(MalformedVarintException.class, () -> new VarintReader(bytes, 1).next());
     }
 
-    private static MalformedVarintException faultOf(byte[] bytes) {
+    private static MalformedVarintException exceptionFor(byte[] bytes) {
         try {
             new VarintReader(bytes, bytes.length).next();
         } catch (MalformedVarintException e) {
             return e;
         }
-        throw new AssertionError("the number was taken");
+        throw new AssertionError("the malformed number was read");
     }
 }
