--- a/core/src/main/java/cedarrudder/membership/GossipMessage.java
+++ b/core/src/main/java/cedarrudder/membership/GossipMessage.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The updates that one message carries: as many as fit, and each instance once. */
+/** The updates that one message carries: as many as fit, and at most one per instance. */
 final class GossipMessage {
 
-    /** The longest update: instance, incarnation, accuser. */
+    /** Size of the longest update: instance, incarnation, accuser. */
     private static final int MAX_UPDATE_BYTES = 3 + 10 + 3;
 
     private final long senderIncarnation;
@@ -15,9 +15,10 @@
     private int bytesLeft;
 
     /**
-     * No updates yet.
+     * Creates an empty list of updates.
      *
-     * @param senderIncarnation of the sender, which the size of updates depends on
+     * @param senderIncarnation the sender's incarnation, on which the encoded size of updates
+     *     depends
      * @param capacity in bytes
      */
     GossipMessage(long senderIncarnation, int capacity) {
@@ -25,7 +26,7 @@
         this.bytesLeft = capacity;
     }
 
-    /** Adds an update where it fits and its instance has none yet; whether it was added. */
+    /** Adds an update if it fits and its instance has none yet; returns whether it was added. */
     boolean add(MemberUpdate update) {
         int size = SwimCodec.size(update, senderIncarnation);
         if (size > bytesLeft || contains(update.member().number())) {
@@ -40,7 +41,7 @@
         return updates.stream().anyMatch(update -> update.member().number() == number);
     }
 
-    /** Whether it is not certain any more that a further update fits. */
+    /** Returns whether the remaining capacity might be too small for a further update. */
     boolean isFull() {
         return bytesLeft < MAX_UPDATE_BYTES;
     }
--- a/core/src/main/java/cedarrudder/membership/GossipQueue.java
+++ b/core/src/main/java/cedarrudder/membership/GossipQueue.java
@@ -9,20 +9,22 @@
 import java.util.Map;
 
 /**
- * The updates that are to be passed on, the newest of each instance only: what was sent least often
- * goes first, and after enough times no more (SWIM, 4.1 and 5). It holds no more updates than there
- * are instances.
+ * The updates that still have to be disseminated, only the newest of each instance. The least often
+ * sent update goes first, and an update is dropped after its maximum number of transmissions (SWIM,
+ * 4.1 and 5). The queue has at most one update per instance.
  */
 final class GossipQueue {
     private static final int NOT_QUEUED = -1;
 
     /**
-     * The updates by how often they were sent, which is their place in the list, and by instance;
-     * in each map the one that has waited longest comes first.
+     * The updates by instance, in one map for each number of transmissions, which is the index in
+     * the list; each map is in the order of waiting time, the longest first.
      */
     private final List<Map<Integer, MemberUpdate>> bySendCount = new ArrayList<>();
 
-    /** How often the update of each instance was sent; {@link #NOT_QUEUED} where there is none. */
+    /**
+     * The number of transmissions of each instance's update; {@link #NOT_QUEUED} if there is none.
+     */
     private final int[] sendCounts;
 
     private int size;
@@ -33,7 +35,7 @@
         bySendCount.add(new LinkedHashMap<>());
     }
 
-    /** Queues an update in place of an earlier one of the same instance. */
+    /** Queues an update, replacing an earlier one of the same instance. */
     void add(MemberUpdate update) {
         int number = update.member().number();
         if (sendCounts[number] == NOT_QUEUED) {
@@ -46,7 +48,7 @@
     }
 
     /**
-     * Fills a message with updates, which count as sent.
+     * Fills a message with updates and counts each of them as sent.
      *
      * @param maxTransmissions how often an update is sent
      */
@@ -54,28 +56,29 @@
         while (bySendCount.size() <= maxTransmissions) {
             bySendCount.add(new LinkedHashMap<>());
         }
-        // Fewer instances are live than before: updates may have been sent too often already.
+        // The maximum falls when fewer instances are live, so updates may have been sent too often
+        // already.
         for (int count = bySendCount.size() - 1; count >= maxTransmissions; count--) {
             removeAll(bySendCount.get(count));
         }
-        for (MemberUpdate update : take(message, maxTransmissions)) {
+        for (MemberUpdate update : addTo(message, maxTransmissions)) {
             requeue(update, maxTransmissions);
         }
     }
 
-    private List<MemberUpdate> take(GossipMessage message, int maxTransmissions) {
-        List<MemberUpdate> taken = new ArrayList<>();
+    private List<MemberUpdate> addTo(GossipMessage message, int maxTransmissions) {
+        List<MemberUpdate> added = new ArrayList<>();
         for (int count = 0; count < maxTransmissions && !message.isFull(); count++) {
             Iterator<MemberUpdate> updates = bySendCount.get(count).values().iterator();
             while (!message.isFull() && updates.hasNext()) {
                 MemberUpdate update = updates.next();
                 if (message.add(update)) {
                     updates.remove();
-                    taken.add(update);
+                    added.add(update);
                 }
             }
         }
-        return taken;
+        return added;
     }
 
     private void requeue(MemberUpdate update, int maxTransmissions) {
@@ -97,7 +100,7 @@
         updates.clear();
     }
 
-    /** How many updates are queued. */
+    /** Returns the number of queued updates. */
     int size() {
         return size;
     }
--- a/core/src/main/java/cedarrudder/membership/LocalHealth.java
+++ b/core/src/main/java/cedarrudder/membership/LocalHealth.java
@@ -1,8 +1,9 @@
 package cedarrudder.membership;
 
 /**
- * How badly this instance does itself, from 0 (Lifeguard's local health multiplier). It takes that
- * much longer over everything, so that a slow instance does not declare the others dead.
+ * The local health score of this instance (Lifeguard's local health multiplier): 0 if healthy,
+ * higher if it is slow itself. It multiplies the instance's timeouts, so that a slow instance does
+ * not declare the others dead.
  */
 final class LocalHealth {
     private final int max;
@@ -16,17 +17,17 @@
         return value;
     }
 
-    /** Timeouts are multiplied by this: 1 where the instance does well. */
+    /** Returns the factor for timeouts: 1 if this instance is healthy. */
     int multiplier() {
         return value + 1;
     }
 
-    /** A probe was answered. */
+    /** Records that a probe was answered. */
     void improve() {
         value = Math.max(0, value - 1);
     }
 
-    /** This instance missed something that it should have received or done. */
+    /** Records that this instance missed a message or an action that was due. */
     void worsen() {
         value = Math.min(max, value + 1);
     }
--- a/core/src/main/java/cedarrudder/membership/Member.java
+++ b/core/src/main/java/cedarrudder/membership/Member.java
@@ -1,37 +1,40 @@
 package cedarrudder.membership;
 
 /**
- * What is known of one instance: its incarnation, and whether that is alive.
+ * The known state of one instance: its incarnation, and whether that incarnation is alive.
  *
- * @param number the instance's number among all of its tier, from 0
- * @param incarnation grows with each start and each time the instance refutes what is said of it;
+ * @param number the instance's number among all instances of its tier, from 0
+ * @param incarnation grows with each start and each time the instance refutes a claim about itself;
  *     from 0 to {@link #MAX_INCARNATION}
  */
 public record Member(int number, long incarnation, State state) {
 
-    /** A larger incarnation is invalid. This avoids a forged one that nothing could exceed. */
+    /**
+     * The largest valid incarnation. Without the bound a forged incarnation could be one that no
+     * refutation can exceed.
+     */
     public static final long MAX_INCARNATION = 1L << 62;
 
-    /** Whether an instance is alive, as far as is known. */
+    /** The state of an instance, as far as is known. */
     public enum State {
-        /** It answers pings. */
+        /** The instance answers pings. */
         ALIVE,
-        /** It did not answer a ping; it still counts as live. */
+        /** The instance did not answer a ping; it still counts as live. */
         SUSPECT,
-        /** It did not refute its suspicion in time, or it said that it leaves. */
+        /** The instance did not refute its suspicion in time, or announced that it leaves. */
         DEAD
     }
 
     /**
-     * Whether this update replaces what is known of the same instance (SWIM, 4.2): one of a later
-     * incarnation always does, and of one incarnation the worse state does.
+     * Returns whether this update replaces the known state of the same instance (SWIM, 4.2): a
+     * later incarnation always does, and within one incarnation the worse state does.
      */
     boolean overrides(Member known) {
         return incarnation > known.incarnation
                 || incarnation == known.incarnation && state.compareTo(known.state) > 0;
     }
 
-    /** Whether the instance counts as live. */
+    /** Returns whether the instance counts as live, which a suspected one does. */
     public boolean isLive() {
         return state != State.DEAD;
     }
--- a/core/src/main/java/cedarrudder/membership/MemberTable.java
+++ b/core/src/main/java/cedarrudder/membership/MemberTable.java
@@ -5,17 +5,17 @@
 import java.util.Arrays;
 
 /**
- * What is known of each instance, and the rules by which updates change it (SWIM, 4.2). Every
+ * The known state of each instance, and the rules by which updates change it (SWIM, 4.2). Every
  * change is queued as gossip.
  */
 final class MemberTable {
 
-    /** Takes what changes. */
+    /** Receives changes of members. */
     interface Listener {
-        /** An instance is suspected from now on. */
+        /** Called when an instance becomes suspected. */
         void onSuspected(long now);
 
-        /** The state or the incarnation of an instance changed. */
+        /** Called when the state or the incarnation of an instance has changed. */
         void onChanged(Member before, Member after);
     }
 
@@ -29,7 +29,7 @@
     private final Member[] members;
     private long refuted;
 
-    /** All instances count as alive, this one in the given incarnation. */
+    /** Creates a table in which all instances count as alive, this one in the given incarnation. */
     MemberTable(
             int instances,
             int self,
@@ -57,7 +57,7 @@
         return members[number];
     }
 
-    /** All members by their numbers; not to be changed. */
+    /** Returns all members by number; the caller must not change the array. */
     Member[] members() {
         return members;
     }
@@ -70,32 +70,32 @@
         return members[number].state() == State.ALIVE;
     }
 
-    /** How many instances count as live, this one among them. */
+    /** Returns the number of instances that count as live, including this one. */
     int liveCount() {
         return members.length - exchange.deadCount();
     }
 
-    /** How often this instance has refuted what others said of it. */
+    /** Returns how often this instance has refuted a claim about itself. */
     long refuted() {
         return refuted;
     }
 
-    /** This instance suspects another. */
+    /** Marks another instance as suspected by this one. */
     void suspect(long now, int number) {
         onUpdate(now, members[number].withState(State.SUSPECT), self);
     }
 
-    /** This instance declares another dead. */
+    /** Marks another instance as declared dead by this one. */
     void declareDead(long now, int number) {
         onUpdate(now, members[number].withState(State.DEAD), self);
     }
 
-    /** A message of the instance itself came, of that incarnation. */
+    /** Records a message that the instance itself sent in that incarnation. */
     void onMessageReceived(long now, int number, long incarnation) {
         onUpdate(now, new Member(number, incarnation, State.ALIVE), number, true);
     }
 
-    /** Takes what an accuser says of an instance. */
+    /** Applies an update that an accuser sent about an instance. */
     void onUpdate(long now, Member update, int accuser) {
         onUpdate(now, update, accuser, false);
     }
@@ -116,7 +116,7 @@
         if (!update.overrides(known)) {
             return;
         }
-        if (isUnprovenDeath(update, known, accuser)) {
+        if (isUnconfirmedDeath(update, known, accuser)) {
             onDeathClaimed(now, known, accuser);
             return;
         }
@@ -126,14 +126,18 @@
             suspicions.remove(number);
             set(update);
         }
-        // A start that nobody missed is no gossip: whom it concerns hears the instance itself.
+        // A start after which nobody suspected the instance is not gossiped: the instance's own
+        // messages carry the news.
         if (!isOwnMessage || known.state() != State.ALIVE) {
             queue(update, accuser);
         }
     }
 
-    /** Whether another instance declares an incarnation dead that this one has a message of. */
-    private boolean isUnprovenDeath(Member update, Member known, int accuser) {
+    /**
+     * Returns whether another instance declares an incarnation dead from which this instance has
+     * received a message.
+     */
+    private boolean isUnconfirmedDeath(Member update, Member known, int accuser) {
         return update.state() == State.DEAD
                 && accuser != self
                 && accuser != known.number()
@@ -142,9 +146,10 @@
     }
 
     /**
-     * It is suspected for the shortest time, and not declared dead at once. When a partition heals,
-     * this avoids each side taking over the other's belief that all of this side are dead, and so
-     * does it for an instance that hears nobody.
+     * Starts the shortest suspicion instead of declaring the instance dead at once. When a
+     * partition heals, each side believes that all of the other side are dead, and an instance that
+     * receives no messages believes so of all; neither belief may be adopted without a chance to
+     * refute it.
      */
     private void onDeathClaimed(long now, Member known, int accuser) {
         if (known.state() == State.ALIVE) {
@@ -174,7 +179,7 @@
         listener.onChanged(before, update);
     }
 
-    /** What others say of this instance is refuted by a greater incarnation where it is wrong. */
+    /** Refutes a wrong claim about this instance by a greater incarnation. */
     private void refuteIfWrong(Member update) {
         Member own = members[self];
         boolean wrong =
@@ -192,7 +197,7 @@
         queue(members[self], self);
     }
 
-    /** This instance leaves: it is dead by its own word. */
+    /** Queues the announcement that this instance leaves, which declares it dead. */
     void announceLeave() {
         queue(members[self].withState(State.DEAD), self);
     }
--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -3,18 +3,20 @@
 /**
  * The parameters of membership. Times are nanoseconds.
  *
- * @param period between two probes by an instance that does well; at least 1 ms
- * @param ackTimeout after which helpers are requested to ping the target; less than the period
- * @param helpers how many helpers are; from 0
+ * @param period between two probes by a healthy instance; at least 1 ms
+ * @param ackTimeout time after which helpers are requested to ping the target; less than the period
+ * @param helpers how many helpers are requested to ping a target; from 0
  * @param suspicionMultiplier a suspicion that others confirm lasts this many periods, times the
- *     logarithm to the base 10 of the live instances where that is over 1; over 0
- * @param maxSuspicionMultiplier one that nobody confirms lasts this many times longer; at least 1
- * @param confirmations that make a suspicion as short as it can be; at least 1
+ *     logarithm to the base 10 of the number of live instances if that is over 1; over 0
+ * @param maxSuspicionMultiplier a suspicion that nobody confirms lasts this many times longer than
+ *     a confirmed one; at least 1
+ * @param confirmations number of confirmations that make a suspicion as short as possible; at least
+ *     1
  * @param retransmitMultiplier an update is sent this many times the logarithm to the base 2 of the
- *     live instances
- * @param maxHealthScore an instance that does badly itself waits up to this many times longer, plus
- *     one
- * @param deadProbePeriods a dead instance is pinged each time this many periods pass; at least 1
+ *     number of live instances
+ * @param maxHealthScore maximum local health score: an unhealthy instance's timeouts grow up to
+ *     this factor plus one
+ * @param deadProbePeriods a dead instance is pinged once in this many periods; at least 1
  */
 public record MembershipSettings(
         long period,
@@ -27,11 +29,15 @@
         int maxHealthScore,
         int deadProbePeriods) {
 
-    /** What applies where nothing else is configured: Lifeguard's values at half its period. */
+    /** The default settings: Lifeguard's values at half its period. */
     public static final MembershipSettings DEFAULT =
             new MembershipSettings(500_000_000L, 200_000_000L, 3, 4, 4, 3, 3, 8, 10);
 
-    /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
+    /**
+     * Checks the ranges above.
+     *
+     * @throws IllegalArgumentException if a value is out of its range; the message names it
+     */
     public MembershipSettings {
         check(period >= 1_000_000, "period", period, "1 ms or more");
         check(
--- a/core/src/main/java/cedarrudder/membership/MessageSender.java
+++ b/core/src/main/java/cedarrudder/membership/MessageSender.java
@@ -5,7 +5,7 @@
 import cedarrudder.membership.SwimMessage.Window;
 import java.util.random.RandomGenerator;
 
-/** Sends messages, with as much gossip as each has room for. */
+/** Sends messages, with as many gossip updates as fit into each. */
 final class MessageSender {
     private final int self;
     private final MembershipSettings settings;
@@ -33,17 +33,17 @@
         this.actions = actions;
     }
 
-    /** The sequence number of a new ping. */
+    /** Returns the sequence number of a new ping. */
     int nextSequence() {
         return ++lastSequence;
     }
 
-    /** Sends a new ping. */
+    /** Sends a ping with a new sequence number. */
     void ping(int to) {
         ping(to, nextSequence());
     }
 
-    /** Sends a ping of that sequence number. */
+    /** Sends a ping with that sequence number. */
     void ping(int to, int sequence) {
         send(to, Kind.PING, sequence, to);
     }
@@ -53,7 +53,9 @@
         send(to, kind, sequence, subject, null);
     }
 
-    /** Acknowledges a ping, with what its window shows that its sender lacks. */
+    /**
+     * Acknowledges a ping, with the updates that the sender lacks according to the ping's window.
+     */
     void acknowledge(SwimMessage ping) {
         send(ping.from(), Kind.ACK, ping.sequence(), self, ping.window());
     }
@@ -63,7 +65,8 @@
         long incarnation = members.member(self).incarnation();
         GossipMessage content = new GossipMessage(incarnation, SwimCodec.gossipBytes(window));
         if (!members.isAlive(to)) {
-            // Lifeguard's buddy system: the suspected hears of it first, and can refute it.
+            // Lifeguard's buddy system: the message to a suspect begins with its suspicion, which
+            // it can then refute.
             content.add(new MemberUpdate(members.member(to), self));
         }
         if (received != null) {
@@ -84,7 +87,10 @@
         actions.send(to, SwimCodec.encode(message));
     }
 
-    /** How often an update is sent: a multiple of the logarithm of the live instances. */
+    /**
+     * Returns how often an update is sent: a multiple of the logarithm of the number of live
+     * instances.
+     */
     private int maxTransmissions() {
         double logarithm = Math.ceil(Math.log(members.liveCount() + 1.0) / Math.log(2));
         return (int) Math.max(1, settings.retransmitMultiplier() * logarithm);
--- a/core/src/main/java/cedarrudder/membership/ProbeOrder.java
+++ b/core/src/main/java/cedarrudder/membership/ProbeOrder.java
@@ -3,17 +3,20 @@
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
 
-/** The order in which instances are probed: each once in a random order, then in another. */
+/**
+ * The order in which instances are probed: all of them once in a random order, then again in a new
+ * random order.
+ */
 final class ProbeOrder {
 
-    /** In place of an instance where none is alive. */
+    /** Returned in place of an instance if none is live. */
     static final int NONE = -1;
 
     private final RandomGenerator random;
     private final int[] order;
     private int next;
 
-    /** All instances but this one, in a random order. */
+    /** Creates a random order of all instances but this one. */
     ProbeOrder(int instances, int self, RandomGenerator random) {
         this.random = random;
         this.order = new int[instances - 1];
@@ -23,7 +26,7 @@
         shuffle();
     }
 
-    /** The next instance to probe, of those that are live; {@link #NONE} where none is. */
+    /** Returns the next live instance to probe; {@link #NONE} if there is none. */
     int next(IntPredicate isLive) {
         for (int tried = 0; tried < order.length; tried++) {
             if (next == order.length) {
@@ -38,7 +41,7 @@
         return NONE;
     }
 
-    /** All instances in the current order; not to be changed. */
+    /** Returns all instances in the current order; the caller must not change the array. */
     int[] instances() {
         return order;
     }
--- a/core/src/main/java/cedarrudder/membership/ProbeRound.java
+++ b/core/src/main/java/cedarrudder/membership/ProbeRound.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The probe of one period: a ping, then indirect pings by helpers where no ack comes in time. */
+/** The probe of one period: a ping, then indirect pings by helpers if no ack arrives in time. */
 final class ProbeRound {
     private final int target;
     private final int sequence;
@@ -13,9 +13,10 @@
     private boolean acknowledged;
 
     /**
-     * A probe whose ping is sent now.
+     * Creates a probe whose ping is sent now.
      *
-     * @param indirectAt when the helpers are asked, unless an ack has come
+     * @param indirectAt when the helpers are requested to ping the target, unless an ack has
+     *     arrived
      */
     ProbeRound(int target, int sequence, long indirectAt) {
         this.target = target;
@@ -31,12 +32,12 @@
         return sequence;
     }
 
-    /** When the indirect pings are due; {@link Long#MAX_VALUE} where they are not needed. */
+    /** Returns when the indirect pings are due; {@link Long#MAX_VALUE} if they are not needed. */
     long indirectAt() {
         return acknowledged || indirect ? Long.MAX_VALUE : indirectAt;
     }
 
-    /** The indirect pings are being sent. */
+    /** Records that the indirect pings are being sent. */
     void startIndirect() {
         indirect = true;
     }
@@ -45,14 +46,17 @@
         helpers.add(helper);
     }
 
-    /** Whether a message acknowledges this probe, by the target itself or through a helper. */
+    /**
+     * Returns whether a message acknowledges this probe, either from the target itself or through a
+     * helper.
+     */
     boolean isAcknowledgedBy(SwimMessage message) {
         return sequence == message.sequence()
                 && target == message.subject()
                 && (message.from() == target || helpers.contains(message.from()));
     }
 
-    /** An ack came; false where one had come before. */
+    /** Records an ack; returns false if there was an earlier one. */
     boolean acknowledge() {
         boolean first = !acknowledged;
         acknowledged = true;
@@ -63,7 +67,7 @@
         return acknowledged;
     }
 
-    /** Whether the target's first answer came without the helpers. */
+    /** Returns whether the probe needed no indirect pings. */
     boolean isDirect() {
         return !indirect;
     }
--- a/core/src/main/java/cedarrudder/membership/RelayedPings.java
+++ b/core/src/main/java/cedarrudder/membership/RelayedPings.java
@@ -8,14 +8,17 @@
 /** The pings that this instance sends on behalf of others (SWIM's ping-req). */
 final class RelayedPings {
 
-    /** At one time. This bounds the work that a flood of requests can cause. */
+    /**
+     * Maximum number of relayed pings at one time, which bounds the work that a flood of requests
+     * can cause.
+     */
     private static final int MAX_PINGS = 64;
 
     /**
-     * A requester hears after this share of the ack timeout that the target has not answered yet
-     * (Lifeguard's nack), so that it knows that its own messages arrive.
+     * After this fraction of the ack timeout without an answer from the target the requester gets a
+     * nack (Lifeguard), which shows the requester that its own messages arrive.
      */
-    private static final double NACK_SHARE = 0.8;
+    private static final double NACK_DELAY_FRACTION = 0.8;
 
     /** A ping that another instance requested. */
     static final class RelayedPing {
@@ -32,17 +35,17 @@
             this.nackAt = nackAt;
         }
 
-        /** The instance that requested it. */
+        /** Returns the instance that requested the ping. */
         int requester() {
             return requester;
         }
 
-        /** The requester's own sequence number. */
+        /** Returns the sequence number that the requester chose. */
         int requesterSequence() {
             return requesterSequence;
         }
 
-        /** The instance that is pinged. */
+        /** Returns the pinged instance. */
         int target() {
             return target;
         }
@@ -54,20 +57,20 @@
         return bySequence.size() >= MAX_PINGS;
     }
 
-    /** A request is granted: its ping goes out by this instance's own sequence number. */
+    /** Adds a granted request, whose ping is sent with this instance's own sequence number. */
     void add(int sequence, SwimMessage request, long now, long ackTimeout) {
-        long nackAt = now + (long) (ackTimeout * NACK_SHARE);
+        long nackAt = now + (long) (ackTimeout * NACK_DELAY_FRACTION);
         bySequence.put(sequence, new RelayedPing(request, nackAt));
     }
 
-    /** The ping that an ack answers, which is then over; null where there is none. */
+    /** Removes and returns the ping that an ack answers; null if there is none. */
     RelayedPing acknowledge(SwimMessage ack) {
         RelayedPing ping = bySequence.get(ack.sequence());
         boolean answered = ping != null && ping.target == ack.from();
         return answered ? bySequence.remove(ack.sequence()) : null;
     }
 
-    /** When the next nack is due; {@link Long#MAX_VALUE} where none is. */
+    /** Returns when the next nack is due; {@link Long#MAX_VALUE} if none is. */
     long nextNackAt() {
         long next = Long.MAX_VALUE;
         for (RelayedPing ping : bySequence.values()) {
@@ -76,8 +79,8 @@
         return next;
     }
 
-    /** Takes the pings whose requesters are to be sent a nack now. */
-    List<RelayedPing> takeDueNacks(long now) {
+    /** Returns the pings whose requesters are to be sent a nack now, each of them once. */
+    List<RelayedPing> pollDueNacks(long now) {
         List<RelayedPing> due = new ArrayList<>();
         for (RelayedPing ping : bySequence.values()) {
             if (!ping.nacked && now >= ping.nackAt) {
@@ -88,7 +91,7 @@
         return due;
     }
 
-    /** Forgets the pings for whose acks no requester waits any more. */
+    /** Removes the pings whose requesters no longer wait for an ack. */
     void removeExpired(long now, long period) {
         bySequence.values().removeIf(ping -> ping.nacked && now >= ping.nackAt + period);
     }
--- a/core/src/main/java/cedarrudder/membership/RepeatedProbes.java
+++ b/core/src/main/java/cedarrudder/membership/RepeatedProbes.java
@@ -5,60 +5,62 @@
 import java.util.Map;
 
 /**
- * The instances that did not answer their probe and are not suspected yet: each is pinged again, by
- * turns, until it answers or has been silent more often than loss explains. This avoids a suspicion
- * and its refutation for each lost ack: the number of these would grow with the tier, and the space
- * for gossip does not.
+ * The instances that did not answer their probe and are not suspected yet. They are pinged again in
+ * turn, each until it answers or has missed more pings than message loss explains. A suspicion and
+ * its refutation for each lost ack would be too many: their number would grow with the tier, while
+ * the space for gossip does not.
  */
 final class RepeatedProbes {
 
     /**
-     * At one time. This avoids each taking long where half of the tier has died; an instance that
-     * is passed over here is probed by another.
+     * Maximum number of instances at one time. With more, each would take long to be suspected when
+     * half of the tier has died; an instance that is not added here is probed by another one.
      */
     private static final int MAX_INSTANCES = 3;
 
-    /** How often each was silent; the one whose turn it is comes first. */
-    private final Map<Integer, Integer> silences = new LinkedHashMap<>();
+    /** Missed pings by instance; the next one to ping comes first. */
+    private final Map<Integer, Integer> missedPings = new LinkedHashMap<>();
 
-    /** An instance did not answer, so many times by now. */
-    void add(int number, int silent) {
-        if (silences.size() < MAX_INSTANCES) {
-            silences.putIfAbsent(number, silent);
+    /** Adds an instance that has missed this many pings, if there is capacity. */
+    void add(int number, int missed) {
+        if (missedPings.size() < MAX_INSTANCES) {
+            missedPings.putIfAbsent(number, missed);
         }
     }
 
-    /** An instance answered, or needs no more probes; whether it was one of these. */
+    /**
+     * Removes an instance that answered or needs no more probes; returns whether it was present.
+     */
     boolean remove(int number) {
-        return silences.remove(number) != null;
+        return missedPings.remove(number) != null;
     }
 
-    /** This instance was stopped: that it received nothing proves nothing. */
+    /** Removes all instances: this process was suspended, so missing answers prove nothing. */
     void clear() {
-        silences.clear();
+        missedPings.clear();
     }
 
     boolean isEmpty() {
-        return silences.isEmpty();
+        return missedPings.isEmpty();
     }
 
-    /** The instance whose turn it is; there must be one. */
+    /** Returns the next instance to ping; there must be one. */
     int first() {
-        return silences.keySet().iterator().next();
+        return missedPings.keySet().iterator().next();
     }
 
-    /** How often the first was silent. */
-    int silencesOfFirst() {
-        return silences.values().iterator().next();
+    /** Returns how many pings the first instance has missed. */
+    int missesOfFirst() {
+        return missedPings.values().iterator().next();
     }
 
-    /** The first is pinged, and goes to the end. */
+    /** Counts another ping of the first instance and moves it to the end. */
     void onFirstProbed() {
-        Iterator<Map.Entry<Integer, Integer>> entries = silences.entrySet().iterator();
+        Iterator<Map.Entry<Integer, Integer>> entries = missedPings.entrySet().iterator();
         Map.Entry<Integer, Integer> first = entries.next();
         int number = first.getKey();
-        int silent = first.getValue() + 1;
+        int missed = first.getValue() + 1;
         entries.remove();
-        silences.put(number, silent);
+        missedPings.put(number, missed);
     }
 }
--- a/core/src/main/java/cedarrudder/membership/StateExchange.java
+++ b/core/src/main/java/cedarrudder/membership/StateExchange.java
@@ -7,17 +7,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Compares the sets of dead instances of pairs of instances (anti-entropy). Each message carries a
- * digest of the sender's set. An instance that hears another digest than its own shows part of its
- * set with its next ping, one bit for each instance, and the ack carries updates of those in which
- * the two sets differ. What gossip did not reach arrives nevertheless; while all agree, this costs
- * no more than the digest.
+ * Compares the sets of dead instances between pairs of instances (anti-entropy). Each message
+ * carries a digest of the sender's set. An instance that receives a digest other than its own
+ * includes a window of its set in its next ping, one bit per instance, and the ack carries updates
+ * of the instances in which the two sets differ. This delivers what gossip did not; while all
+ * instances agree, the cost is only the digest.
  */
 final class StateExchange {
 
     private final BitSet dead = new BitSet();
 
-    /** The dead, and those that others claim to be dead: nobody need tell of them. */
+    /**
+     * The dead instances and those that others claim to be dead; peers need not send updates about
+     * them.
+     */
     private final BitSet knownDead = new BitSet();
 
     private final int instances;
@@ -29,7 +32,7 @@
         this.instances = instances;
     }
 
-    /** An instance counts as dead from now on, or no longer. */
+    /** Records whether an instance counts as dead from now on. */
     void setDead(int number, boolean isDead) {
         knownDead.set(number, isDead);
         if (dead.get(number) != isDead) {
@@ -38,12 +41,18 @@
         }
     }
 
-    /** Another instance holds this one dead, which is not believed yet. */
+    /**
+     * Records that another instance declares this one dead, which this instance does not accept
+     * yet.
+     */
     void onClaimedDead(int number) {
         knownDead.set(number);
     }
 
-    /** The finisher of MurmurHash3; sums of it by exclusive or don't depend on the order. */
+    /**
+     * Returns the finalizer of MurmurHash3; the exclusive or of several hashes does not depend on
+     * their order.
+     */
     private static int hash(int number) {
         int hash = number + 0x9e3779b9;
         hash = (hash ^ hash >>> 16) * 0x85ebca6b;
@@ -51,29 +60,29 @@
         return hash ^ hash >>> 16;
     }
 
-    /** The digest of the dead. */
+    /** Returns the digest of the set of dead instances. */
     int digest() {
         return digest;
     }
 
-    /** How many instances are dead. */
+    /** Returns the number of dead instances. */
     int deadCount() {
         return dead.cardinality();
     }
 
-    /** A random dead instance; there must be one. */
+    /** Returns a random dead instance; there must be one. */
     int randomDead(RandomGenerator random) {
         return dead.nextSetBit(random.nextInt(dead.length()));
     }
 
-    /** Another instance's digest came. */
+    /** Records another instance's digest. */
     void onDigest(int other) {
         differs = other != digest;
     }
 
     /**
-     * The window that the next ping shows; null where the last digest that came is the same. A set
-     * that is larger than a window is shown in turns.
+     * Returns the window for the next ping; null if the digest received last equals the local one.
+     * A set that is larger than one window is sent in several, in turn.
      */
     Window nextWindow() {
         if (!differs) {
@@ -91,8 +100,8 @@
      * Fills a message with updates of the instances in which a received window differs from this
      * instance's set: first those that are dead here, then those that are live.
      *
-     * @param self this instance, which answers for the dead
-     * @param start where to begin, so that all have their turn where not all fit
+     * @param self this instance, which is the accuser of the dead
+     * @param start where to begin, so that all instances get their turn if not all fit
      */
     void fillDifferences(
             int self, Window received, Member[] members, int start, GossipMessage message) {
--- a/core/src/main/java/cedarrudder/membership/DoubtedMembers.java
+++ b/core/src/main/java/cedarrudder/membership/SuspectProber.java
@@ -3,26 +3,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Pings again those that did not answer ({@link RepeatedProbes}) and those that are suspected
- * ({@link Suspicions}), at a bounded rate. This avoids declaring live instances dead where messages
- * are lost: the first answer or become suspected, the others hear of their suspicion and refute it.
+ * Pings instances that did not answer a probe ({@link RepeatedProbes}) and suspected instances
+ * ({@link Suspicions}) again, at a bounded rate. Without these pings live instances would be
+ * declared dead on a network that loses messages: an unresponsive instance becomes a suspect only
+ * after repeated misses, and a suspect learns of its suspicion from the ping and refutes it.
  */
-final class DoubtedMembers {
+final class SuspectProber {
 
-    /** The doubted and the suspected are pinged so often a period, all together. */
+    /** Pings per period to unresponsive and suspected instances together. */
     private static final int PINGS_PER_PERIOD = 2;
 
     /**
-     * All live instances together ping each suspected one about so often a period. This avoids all
-     * of a large tier pinging one at once.
+     * Approximate number of pings per period that each suspect receives from all live instances
+     * together. Unbounded, all instances of a large tier would ping one suspect at once.
      */
     private static final int PINGS_OF_SUSPECT_PER_PERIOD = 8;
 
-    /** Suspicions caused by loss alone that all live instances may come to in a period, about. */
+    /**
+     * Approximate maximum of suspicions per period, over all live instances, that are caused by
+     * message loss alone.
+     */
     private static final double MAX_FALSE_SUSPICIONS = 0.1;
 
-    /** This avoids so high an estimate of loss that nobody would be suspected. */
-    private static final int MAX_SILENCES = 16;
+    /**
+     * Missed pings after which an instance is suspected at any estimate of loss; a very high
+     * estimate would otherwise prevent every suspicion.
+     */
+    private static final int MAX_MISSED_PINGS = 16;
 
     private final MembershipSettings settings;
     private final RandomGenerator random;
@@ -34,7 +41,7 @@
     private long nextPingAt;
     private boolean pingedSuspectLast;
 
-    DoubtedMembers(
+    SuspectProber(
             MembershipSettings settings,
             RandomGenerator random,
             MemberTable members,
@@ -49,8 +56,11 @@
         this.sender = sender;
     }
 
-    /** When something is due; {@link Long#MAX_VALUE} where nothing is. */
-    long nextAt() {
+    /**
+     * Returns when the next ping or suspicion deadline is due; {@link Long#MAX_VALUE} if nothing
+     * is.
+     */
+    long nextDueAt() {
         return isEmpty() ? Long.MAX_VALUE : Math.min(suspicions.nextDeadline(), nextPingAt);
     }
 
@@ -58,14 +68,14 @@
         return suspicions.isEmpty() && unanswered.isEmpty();
     }
 
-    /** An instance is suspected from now on. */
+    /** Records that an instance is suspected from now on. */
     void onSuspected(long now) {
         nextPingAt = Math.max(nextPingAt, now);
     }
 
-    /** An instance did not answer so many pings of its probe. */
-    void onSilent(long now, int target, int pings) {
-        if (silencesBeforeSuspicion() <= pings) {
+    /** Records that an instance did not answer its probe, which sent it this many pings. */
+    void onProbeUnanswered(long now, int target, int pings) {
+        if (missesBeforeSuspicion() <= pings) {
             members.suspect(now, target);
         } else {
             nextPingAt = Math.max(nextPingAt, now);
@@ -73,23 +83,26 @@
         }
     }
 
-    /** An instance answered, or is dead; says whether an answer was waited for. */
+    /** Removes an instance that answered or is dead; returns whether it had been unresponsive. */
     boolean remove(int number) {
         return unanswered.remove(number);
     }
 
-    /** Forgets who did not answer; suspicions stay. */
+    /** Removes all unresponsive instances; suspicions stay. */
     void clear() {
         unanswered.clear();
     }
 
-    /** Pings one of the doubted and suspected, by turns, where that is due. */
+    /**
+     * Pings one unresponsive or suspected instance, alternating between the two groups, if a ping
+     * is due.
+     */
     void ping(long now) {
         if (now < nextPingAt || isEmpty()) {
             return;
         }
         nextPingAt = now + settings.period() / PINGS_PER_PERIOD;
-        suspectSilent(now);
+        suspectUnresponsive(now);
         pingedSuspectLast = !suspicions.isEmpty() && (unanswered.isEmpty() || !pingedSuspectLast);
         if (pingedSuspectLast) {
             pingSuspect();
@@ -100,8 +113,8 @@
         }
     }
 
-    private void suspectSilent(long now) {
-        while (!unanswered.isEmpty() && unanswered.silencesOfFirst() >= silencesBeforeSuspicion()) {
+    private void suspectUnresponsive(long now) {
+        while (!unanswered.isEmpty() && unanswered.missesOfFirst() >= missesBeforeSuspicion()) {
             int number = unanswered.first();
             unanswered.remove(number);
             members.suspect(now, number);
@@ -109,15 +122,18 @@
     }
 
     private void pingSuspect() {
-        double ownShare = random.nextDouble() * PINGS_PER_PERIOD * members.liveCount();
-        if (ownShare < PINGS_OF_SUSPECT_PER_PERIOD * suspicions.size()) {
+        double draw = random.nextDouble() * PINGS_PER_PERIOD * members.liveCount();
+        if (draw < PINGS_OF_SUSPECT_PER_PERIOD * suspicions.size()) {
             sender.ping(suspicions.nextToProbe());
         }
     }
 
-    /** So many that in all the tier hardly anybody is suspected for loss alone. */
-    private int silencesBeforeSuspicion() {
+    /**
+     * Returns the number of missed pings at which hardly any instance of the tier is suspected
+     * because of message loss alone.
+     */
+    private int missesBeforeSuspicion() {
         double chance = MAX_FALSE_SUSPICIONS / members.liveCount();
-        return Math.min(MAX_SILENCES, lossEstimate.silencesBeforeSuspicion(chance));
+        return Math.min(MAX_MISSED_PINGS, lossEstimate.missesBeforeSuspicion(chance));
     }
 }
--- a/core/src/main/java/cedarrudder/membership/Suspicion.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicion.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * How long an instance is suspected before it is declared dead: long at first, shorter with each
- * other instance that confirms it (Lifeguard, "LHA-Suspicion"). This avoids an instance that hears
- * nothing declaring all others dead.
+ * The time that an instance is suspected before it is declared dead: long at first, shorter with
+ * each further instance that confirms the suspicion (Lifeguard, "LHA-Suspicion"). The long initial
+ * time keeps an instance that receives no messages from declaring all others dead.
  */
 final class Suspicion {
 
@@ -18,7 +18,12 @@
     private long deadAt = Long.MAX_VALUE;
 
     /**
-     * @param accuser the first instance that suspects it, which confirms nothing
+     * Starts a suspicion.
+     *
+     * @param accuser the first instance that suspects, which counts as no confirmation
+     * @param min the suspicion's length with all confirmations, in nanoseconds
+     * @param max its length with no confirmation, in nanoseconds
+     * @param confirmations how many confirmations shorten the suspicion to the minimum
      */
     Suspicion(long now, int accuser, double min, double max, int confirmations) {
         this.startedAt = now;
@@ -28,32 +33,32 @@
         addAccuser(accuser, now);
     }
 
-    /** Another instance suspects it too; whether that is new, and to be passed on. */
+    /** Adds a further accuser; returns whether the confirmation is new and has to be passed on. */
     boolean addAccuser(int accuser, long now) {
         if (accusers.size() > confirmations || !accusers.add(accuser)) {
             return false;
         }
-        double share = Math.log(accusers.size()) / Math.log(confirmations + 1.0);
-        long until = startedAt + (long) Math.max(min, max - (max - min) * share);
+        double confirmedFraction = Math.log(accusers.size()) / Math.log(confirmations + 1.0);
+        long until = startedAt + (long) Math.max(min, max - (max - min) * confirmedFraction);
         deadAt = Math.min(deadAt, Math.max(now, until));
         return true;
     }
 
     /**
-     * Another instance has waited as long as it takes and declares it dead: the suspicion lasts no
-     * longer than with all confirmations.
+     * Shortens the suspicion to its length with all confirmations, since another instance has
+     * waited that long and declares the suspect dead.
      */
     void shorten(long now) {
         deadAt = Math.min(deadAt, Math.max(now, startedAt + (long) min));
     }
 
-    /** The suspicion lasts this much longer. */
+    /** Extends the suspicion by a length of time. */
     void extend(long length) {
         startedAt += length;
         deadAt += length;
     }
 
-    /** When the instance is to be declared dead. */
+    /** Returns when the instance is to be declared dead. */
     long deadAt() {
         return deadAt;
     }
--- a/core/src/main/java/cedarrudder/membership/Suspicions.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicions.java
@@ -5,15 +5,17 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** The suspected instances, how long each still is, and which one is pinged next. */
+/** The suspected instances, the deadline of each suspicion, and which instance is pinged next. */
 final class Suspicions {
 
     private final NavigableMap<Integer, Suspicion> byNumber = new TreeMap<>();
     private int lastProbed;
 
     /**
-     * @param start the instance to begin with; each replica has another, so that not all ping the
-     *     same one first
+     * Creates an empty set of suspicions.
+     *
+     * @param start the instance to begin with; each replica gets another one, so that not all ping
+     *     the same suspect first
      */
     Suspicions(int start) {
         lastProbed = start;
@@ -27,12 +29,15 @@
         byNumber.remove(number);
     }
 
-    /** Another instance suspects it too; whether that is new, and to be passed on. */
+    /**
+     * Adds an accuser to an existing suspicion; returns whether the confirmation is new and has to
+     * be passed on.
+     */
     boolean confirm(int number, int accuser, long now) {
         return byNumber.get(number).addAccuser(accuser, now);
     }
 
-    /** Another instance declares it dead. */
+    /** Shortens the suspicion of an instance that another instance declares dead. */
     void shorten(int number, long now) {
         byNumber.get(number).shorten(now);
     }
@@ -45,7 +50,7 @@
         return byNumber.size();
     }
 
-    /** When the first of them is to be declared dead. */
+    /** Returns the earliest deadline of a suspicion; {@link Long#MAX_VALUE} if there is none. */
     long nextDeadline() {
         long due = Long.MAX_VALUE;
         for (Suspicion suspicion : byNumber.values()) {
@@ -54,7 +59,7 @@
         return due;
     }
 
-    /** Those that are to be declared dead by now. */
+    /** Returns the instances whose suspicion has expired. */
     List<Integer> expired(long now) {
         List<Integer> over = new ArrayList<>();
         byNumber.forEach(
@@ -66,14 +71,14 @@
         return over;
     }
 
-    /** The next to be pinged; there must be one. */
+    /** Returns the next suspect to ping; there must be one. */
     int nextToProbe() {
         Integer number = byNumber.higherKey(lastProbed);
         lastProbed = number != null ? number : byNumber.firstKey();
         return lastProbed;
     }
 
-    /** All suspicions last this much longer: nothing could be received meanwhile. */
+    /** Extends all suspicions by a time in which no refutation could be received. */
     void extend(long length) {
         byNumber.values().forEach(suspicion -> suspicion.extend(length));
     }
--- a/core/src/main/java/cedarrudder/membership/SwimCodec.java
+++ b/core/src/main/java/cedarrudder/membership/SwimCodec.java
@@ -13,18 +13,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * Writes and reads {@link SwimMessage}s as datagrams of at most {@value #MAX_BYTES} bytes: the
- * platform's hold 256, of which the rest is kept for proof of the sender.
+ * Encodes and decodes {@link SwimMessage}s as datagrams of at most {@value #MAX_BYTES} bytes: the
+ * platform's datagrams have up to 256, of which the rest is reserved for the authentication of the
+ * sender.
  *
- * <p>The first byte is {@value #FIRST_BYTE}, which tells membership from other protocols. The
- * second has the version in its high four bits, then whether a window follows, and the kind. Then
- * come the sequence number, the sender, its incarnation and the subject, each as {@link Varint};
- * the digest (4 bytes, big-endian); the window, where there is one: its first instance, its length
- * and its bits. The updates fill the rest: for each the instance times four plus its state, or 3
- * where it said itself that it leaves; the difference of its incarnation from the sender's,
- * zigzag-encoded; and of a suspicion its accuser. The last four bytes are the CRC32C of all before
- * them, big-endian: this avoids a flipped bit changing an incarnation into one that nobody ever
- * had.
+ * <p>The first byte is {@value #FIRST_BYTE}, which distinguishes membership from other protocols.
+ * The second has the version in its high four bits, then whether a window follows, and the kind.
+ * The sequence number, the sender, its incarnation and the subject follow, each as {@link Varint};
+ * then the digest (4 bytes, big-endian) and the window, if there is one: its first instance, its
+ * length and its bits. The updates fill the rest: for each the instance times four plus its state,
+ * or plus 3 if it announced itself that it leaves; the difference of its incarnation from the
+ * sender's, zigzag-encoded; and for a suspicion its accuser. The last four bytes are the CRC32C of
+ * all preceding bytes, big-endian; without it a flipped bit could change an incarnation into one
+ * that no instance ever had.
  */
 final class SwimCodec {
 
@@ -39,20 +40,22 @@
     private static final int STATE_BITS = 2;
     private static final int STATE_MASK = 3;
 
-    /** In place of a state: the instance left. */
+    /** The code in place of a state for an instance that left. */
     private static final int LEFT = 3;
 
     private static final int HEADER_BYTES = 2;
     private static final int CHECKSUM_BYTES = Integer.BYTES;
 
-    /** The longest varints of the sequence, the sender, its incarnation and the subject. */
+    /**
+     * Bytes of the longest varints of the sequence, the sender, its incarnation and the subject.
+     */
     private static final int MAX_VARINT_BYTES = 5 + 3 + 9 + 3;
 
-    /** All but the window and the updates. */
+    /** Bytes of everything but the window and the updates. */
     private static final int MAX_OVERHEAD_BYTES =
             HEADER_BYTES + MAX_VARINT_BYTES + Integer.BYTES + CHECKSUM_BYTES;
 
-    /** The longest varints of a window's first instance and length. */
+    /** Bytes of the longest varints of a window's first instance and length. */
     private static final int MAX_WINDOW_HEADER_BYTES = 5;
 
     private static final State[] STATES = State.values();
@@ -62,7 +65,7 @@
 
     // ---- writing ----
 
-    /** Writes a message. */
+    /** Encodes a message. */
     static byte[] encode(SwimMessage message) {
         Window window = message.window();
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
@@ -96,7 +99,7 @@
         }
     }
 
-    /** How many bytes an update takes in a message of a sender with this incarnation. */
+    /** Returns the encoded size of an update in a message of a sender with this incarnation. */
     static int size(MemberUpdate update, long senderIncarnation) {
         Member member = update.member();
         return Varint.size((long) member.number() << STATE_BITS)
@@ -104,13 +107,13 @@
                 + (member.state() == State.SUSPECT ? Varint.size(update.accuser()) : 0);
     }
 
-    /** How many bytes are left for updates beside this window, which may be null. */
+    /** Returns how many bytes are left for updates next to this window, which may be null. */
     static int gossipBytes(Window window) {
         int windowBytes = window == null ? 0 : MAX_WINDOW_HEADER_BYTES + window.bits().length;
         return MAX_BYTES - MAX_OVERHEAD_BYTES - windowBytes;
     }
 
-    /** The checksum of the first bytes of a message. */
+    /** Returns the checksum of the first bytes of a message. */
     static int checksum(byte[] bytes, int length) {
         CRC32C checksum = new CRC32C();
         checksum.update(bytes, 0, length);
@@ -119,7 +122,10 @@
 
     // ---- reading ----
 
-    /** Reads a message; null where the bytes are none, or name an instance that can't be. */
+    /**
+     * Decodes a message; returns null if the bytes are no valid message, or if an instance's number
+     * is out of range.
+     */
     static SwimMessage decode(byte[] bytes, int instances) {
         if (!hasValidFrame(bytes)) {
             return null;
@@ -129,7 +135,7 @@
             ByteBuffer body = ByteBuffer.wrap(bytes, HEADER_BYTES, length);
             return decodeBody(body, bytes[1], instances);
         } catch (BufferUnderflowException e) {
-            return null; // it ends too soon, or has a number in another form
+            return null; // truncated, or with a number that is not in its shortest encoding
         }
     }
 
@@ -214,12 +220,12 @@
         } else if (state == State.DEAD && code != LEFT) {
             accuser = from;
         }
-        boolean saysItselfDead = code != LEFT && state == State.DEAD && number == from;
+        boolean declaresItselfDead = code != LEFT && state == State.DEAD && number == from;
         boolean valid =
                 isBelow(number, instances)
                         && isBelow(accuser, instances)
                         && isPlausible(incarnation)
-                        && !saysItselfDead; // of itself an instance says that it leaves
+                        && !declaresItselfDead; // an instance announces its own end by LEFT alone
         if (!valid) {
             return null;
         }
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -7,37 +7,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which of a fixed set of instances are alive, as one of them sees it: SWIM (Das, Gupta, Motivala
- * 2002) with suspicion, incarnations and indirect pings, and Lifeguard (Dadgar, Phillips, Currey
- * 2017) against instances that are slow themselves. {@link RepeatedProbes} come before a suspicion,
- * and {@link StateExchange} brings what gossip did not.
+ * Decides which of a fixed set of instances are alive, from the point of view of one of them: SWIM
+ * (Das, Gupta, Motivala 2002) with suspicion, incarnations and indirect pings, and Lifeguard
+ * (Dadgar, Phillips, Currey 2017) against instances that are slow themselves. {@link
+ * RepeatedProbes} precede a suspicion, and {@link StateExchange} delivers what gossip did not.
  *
- * <p>It has no clock, no socket and no thread. It is fed messages and the time, which never goes
- * back, and says by {@link #nextTickAt} when it wants the time next. Not thread-safe: from one
- * thread at a time.
+ * <p>The class has no clock, no socket and no thread. Its owner passes in messages and the time,
+ * which never goes back, and reads from {@link #nextTickAt} when to call it next. Not thread-safe:
+ * use it from one thread at a time.
  *
- * <p>What it sends is bounded whatever the number of instances: one ping a period, two more to the
- * doubted and the suspected, another to a dead instance now and then, {@code helpers} and one more
- * where no ack comes, and a bounded number of acks.
+ * <p>Outgoing traffic is bounded whatever the number of instances: per period one ping, two more to
+ * unresponsive and suspected instances, another to a dead instance now and then, {@code helpers}
+ * and one more if no ack arrives, and a bounded number of acks.
  */
 public final class SwimMember {
 
-    /** What it causes. */
+    /** The actions and notifications of a member, which its owner carries out. */
     public interface Actions {
         /** Sends a message of at most 224 bytes; it may be lost. */
         void send(int to, byte[] message);
 
-        /** What is known of another instance has changed. */
+        /** Called when the known state of another instance has changed. */
         void onMemberChanged(Member before, Member now);
     }
 
     /**
-     * What was dropped or refuted, for metrics.
+     * Counters of dropped and refuted messages, for metrics.
      *
-     * @param malformed messages that could not be read
-     * @param wrongSender messages that name another sender than the one they came from
-     * @param refuted updates of this instance that were wrong
-     * @param relaysRefused requests to ping another that were refused
+     * @param malformed messages that could not be decoded
+     * @param wrongSender messages whose named sender is not the one they were received from
+     * @param refuted wrong claims about this instance
+     * @param relaysRefused refused requests to ping another instance
      * @param unanswered pings beyond the bound on acks
      */
     public record Counts(
@@ -45,10 +45,13 @@
 
     private static final int MAX_INSTANCES = 0xffff;
 
-    /** Acks in a period. This avoids answering everything that waited while it was stopped. */
+    /**
+     * Maximum number of acks per period; after a suspension the member would otherwise answer every
+     * message that has queued up.
+     */
     private static final int MAX_ACKS = 64;
 
-    /** In its period a target is pinged twice, besides by helpers. */
+    /** A target is pinged twice in its period, besides the pings by helpers. */
     private static final int DIRECT_PINGS = 2;
 
     private final int self;
@@ -58,9 +61,9 @@
     private final MemberTable members;
     private final Suspicions suspicions;
     private final LossEstimate lossEstimate = new LossEstimate();
-    private final DoubtedMembers doubted;
+    private final SuspectProber suspectProber;
     private final StateExchange exchange;
-    private final ProbeOrder order;
+    private final ProbeOrder probeOrder;
     private final MessageSender sender;
     private final RelayedPings relays = new RelayedPings();
     private ProbeRound round;
@@ -75,13 +78,13 @@
     private long unanswered;
 
     /**
-     * All others count as alive until they are found not to be.
+     * Creates a member for which all others count as alive until they are found not to be.
      *
      * @param instances how many there may be, from 1 to 65,535
      * @param self the number of this one
-     * @param incarnation larger than that of any earlier incarnation of this instance, such as the
-     *     time of its start in milliseconds; where it is not, the others say so and it takes the
-     *     next one
+     * @param incarnation larger than any earlier incarnation of this instance, such as the time of
+     *     its start in milliseconds; if it is not, the other instances report a larger one, and
+     *     this instance continues with the next number
      * @throws IllegalArgumentException if a value is outside its range
      */
     public SwimMember(
@@ -122,10 +125,11 @@
                         gossip,
                         new TableListener(actions));
         this.sender = new MessageSender(self, settings, random, members, exchange, gossip, actions);
-        this.doubted =
-                new DoubtedMembers(settings, random, members, suspicions, lossEstimate, sender);
-        this.order = new ProbeOrder(instances, self, random);
-        // Spread over a period: this avoids instances that start at once probing at once for ever.
+        this.suspectProber =
+                new SuspectProber(settings, random, members, suspicions, lossEstimate, sender);
+        this.probeOrder = new ProbeOrder(instances, self, random);
+        // Start times are spread over a period: instances that start at the same time would
+        // otherwise probe at the same time for ever.
         this.nextPeriodAt = now + (long) (random.nextDouble() * settings.period());
     }
 
@@ -138,13 +142,13 @@
 
         @Override
         public void onSuspected(long now) {
-            doubted.onSuspected(now);
+            suspectProber.onSuspected(now);
         }
 
         @Override
         public void onChanged(Member before, Member after) {
             if (!after.isLive()) {
-                doubted.remove(after.number());
+                suspectProber.remove(after.number());
             }
             actions.onMemberChanged(before, after);
         }
@@ -152,29 +156,31 @@
 
     // ---- state ----
 
-    /** What is known of an instance. */
+    /** Returns the known state of an instance. */
     public Member member(int number) {
         return members.member(number);
     }
 
-    /** How many instances count as live, this one among them. */
+    /** Returns the number of instances that count as live, including this one. */
     public int liveCount() {
         return members.liveCount();
     }
 
-    /** How badly this instance does itself, from 0: it takes that much longer over everything. */
+    /**
+     * Returns the local health score: 0 if healthy; timeouts are multiplied by the score plus one.
+     */
     public int healthScore() {
         return health.value();
     }
 
-    /** What was dropped or refuted so far. */
+    /** Returns the counters of dropped and refuted messages since the start. */
     public Counts counts() {
         return new Counts(malformed, wrongSender, members.refuted(), relaysRefused, unanswered);
     }
 
     // ---- time ----
 
-    /** When {@link #tick} is to be called next; calling it sooner or later does no harm. */
+    /** Returns when {@link #tick} is to be called next; an earlier or later call does no harm. */
     public long nextTickAt() {
         if (left) {
             return Long.MAX_VALUE;
@@ -183,22 +189,22 @@
         if (round != null) {
             next = Math.min(next, round.indirectAt());
         }
-        return Math.min(next, doubted.nextAt());
+        return Math.min(next, suspectProber.nextDueAt());
     }
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     public void tick(long now) {
         if (left) {
             return;
         }
         long late = now - nextTickAt();
         if (late > settings.period() / 2) {
-            onStopped(late);
+            onSuspended(late);
         }
         for (int number : suspicions.expired(now)) {
             members.declareDead(now, number);
         }
-        doubted.ping(now);
+        suspectProber.ping(now);
         sendNacks(now);
         if (round != null && now >= round.indirectAt()) {
             sendIndirectPings();
@@ -210,28 +216,29 @@
     }
 
     /**
-     * This instance did not run for this long. This avoids declaring others dead whose acks and
-     * refutations wait unread.
+     * Handles that the process was suspended for this long. The acks and refutations of others may
+     * be waiting unread, so nobody may be declared dead for their absence.
      */
-    private void onStopped(long nanos) {
+    private void onSuspended(long nanos) {
         health.worsen();
         round = null;
-        doubted.clear();
+        suspectProber.clear();
         suspicions.extend(nanos);
     }
 
     private void sendNacks(long now) {
-        for (RelayedPings.RelayedPing ping : relays.takeDueNacks(now)) {
+        for (RelayedPings.RelayedPing ping : relays.pollDueNacks(now)) {
             sender.send(ping.requester(), Kind.NACK, ping.requesterSequence(), ping.target());
         }
     }
 
     private void sendIndirectPings() {
         round.startIndirect();
-        // Once more itself: this avoids suspecting an instance for two losses where many are lost.
+        // This instance pings once more itself: on a network with much loss, two lost messages
+        // would otherwise be enough for a suspicion.
         sender.ping(round.target(), round.sequence());
         List<Integer> candidates = new ArrayList<>();
-        for (int number : order.instances()) {
+        for (int number : probeOrder.instances()) {
             if (number != round.target() && members.isAlive(number)) {
                 candidates.add(number);
             }
@@ -250,28 +257,29 @@
         if (round.isAcknowledged()) {
             health.improve();
         } else if (members.isLive(round.target())) {
-            onSilentTarget(now, round.target());
+            onTargetUnresponsive(now, round.target());
         }
         round = null;
     }
 
-    private void onSilentTarget(long now, int target) {
+    private void onTargetUnresponsive(long now, int target) {
         if (!receivedAnything) {
             health.worsen();
         }
-        doubted.onSilent(now, target, DIRECT_PINGS);
+        suspectProber.onProbeUnanswered(now, target, DIRECT_PINGS);
     }
 
     private void startPeriod(long now) {
         nextPeriodAt = now + settings.period() * health.multiplier();
         acks = 0;
         relays.removeExpired(now, settings.period());
-        int target = order.next(members::isLive);
+        int target = probeOrder.next(members::isLive);
         if (target != ProbeOrder.NONE) {
             probe(now, target);
         }
         if (++periods % settings.deadProbePeriods() == 0 && exchange.deadCount() > 0) {
-            // Heals a partition of which each side holds the other dead: the target refutes it.
+            // Heals a partition in which each side counts the other as dead: the target refutes the
+            // claim.
             sender.ping(exchange.randomDead(random));
         }
     }
@@ -286,11 +294,11 @@
     // ---- messages ----
 
     /**
-     * Takes a message. Its first byte is 1, which tells membership's messages from those of others
-     * that share a socket. One that can't be read, or that names another as its sender, is counted
-     * and dropped.
+     * Handles a received datagram. Its first byte is 1, which distinguishes membership from other
+     * protocols on the same socket. A datagram that can't be decoded, or that names another sender,
+     * is counted and dropped.
      *
-     * @param from the instance whose address it came from
+     * @param from the instance whose address it was received from
      */
     public void onDatagram(long now, int from, byte[] datagram) {
         if (left) {
@@ -308,7 +316,7 @@
 
     private void onMessage(long now, SwimMessage message) {
         receivedAnything = true;
-        if (doubted.remove(message.from())) {
+        if (suspectProber.remove(message.from())) {
             lossEstimate.onAnswer(false);
         }
         members.onMessageReceived(now, message.from(), message.incarnation());
@@ -320,7 +328,7 @@
             case PING -> onPing(message);
             case PING_REQUEST -> onPingRequest(now, message);
             case ACK -> onAck(message);
-            case NACK -> {} // it has come, which is all that it says
+            case NACK -> {} // its arrival is all the information that it has
         }
     }
 
@@ -360,8 +368,8 @@
     // ---- the end ----
 
     /**
-     * Tells some others that this incarnation ends; after that it sends and hears nothing. The next
-     * incarnation needs a larger number.
+     * Notifies some others that this incarnation ends; after that the member sends nothing and
+     * ignores what it receives. The next incarnation needs a larger number.
      */
     public void leave() {
         if (left) {
@@ -370,7 +378,7 @@
         members.announceLeave();
         int notified = 0;
         int max = Math.max(1, settings.helpers());
-        for (int number : order.instances()) {
+        for (int number : probeOrder.instances()) {
             if (notified < max && members.isAlive(number)) {
                 sender.ping(number);
                 notified++;
@@ -381,6 +389,6 @@
 
     @Override
     public String toString() {
-        return "instance " + self + " sees " + members;
+        return "instance " + self + " with members " + members;
     }
 }
--- a/core/src/main/java/cedarrudder/membership/SwimMessage.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMessage.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * One message between instances; {@link SwimCodec} writes it as a datagram.
+ * One message between instances; {@link SwimCodec} encodes it as a datagram.
  *
  * @param sequence the ping's number, which its ack repeats
  * @param from the sender
  * @param incarnation the sender's own
- * @param subject the instance that is pinged, or that was
- * @param digest of all instances that the sender holds dead
- * @param window some of these, by which the ack can tell what the sender lacks; null where it does
- *     not ask for that
+ * @param subject the instance that is or was pinged
+ * @param digest of the set of all instances that the sender counts as dead
+ * @param window part of that set, from which the receiver of a ping finds the updates that the
+ *     sender lacks; null if the sender does not ask for them
  * @param updates the gossip that the message carries
  */
 record SwimMessage(
@@ -25,37 +25,37 @@
         Window window,
         List<MemberUpdate> updates) {
 
-    /** What a message is for; written by its ordinal. */
+    /** The kind of a message, encoded by its ordinal. */
     enum Kind {
-        /** Asks for an ack. */
+        /** Requests an ack. */
         PING,
-        /** Answers a ping, or a ping that was requested. */
+        /** Answers a ping, or a request to ping another instance. */
         ACK,
-        /** Asks a helper to ping the subject (SWIM's ping-req). */
+        /** Requests a helper to ping the subject (SWIM's ping-req). */
         PING_REQUEST,
-        /** The subject has not answered the helper yet (Lifeguard). */
+        /** Reports that the subject has not answered the helper yet (Lifeguard). */
         NACK
     }
 
     /**
-     * What is said of an instance, and who says so.
+     * A claim about an instance, and the instance that makes it.
      *
-     * @param accuser of a suspected instance the one that suspected it first; of a dead one the
-     *     instance itself where it left, otherwise the sender; of a live one the instance itself
+     * @param accuser for a suspected instance the first one that suspected it; for a dead one the
+     *     instance itself if it left, otherwise the sender; for a live one the instance itself
      */
     record MemberUpdate(Member member, int accuser) {
 
-        /** Whether the instance said itself that it leaves. */
+        /** Returns whether the instance announced itself that it leaves. */
         boolean isLeave() {
             return member.state() == State.DEAD && accuser == member.number();
         }
     }
 
     /**
-     * Which of a range of instances are known as dead.
+     * Which instances of a range are known to be dead.
      *
-     * @param first the first of them; a multiple of eight
-     * @param bits one for each of them, the lowest of a byte first; 1 for the dead
+     * @param first the first instance of the range; a multiple of eight
+     * @param bits one bit per instance, the lowest bit of a byte first; 1 for dead
      */
     record Window(int first, byte[] bits) {
 
@@ -68,7 +68,7 @@
             return (bits[bit / Byte.SIZE] >> bit % Byte.SIZE & 1) != 0;
         }
 
-        /** The number behind the last instance. */
+        /** Returns the number after the last instance of the range. */
         int end(int instances) {
             return Math.min(instances, first + Byte.SIZE * bits.length);
         }
--- a/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
+++ b/core/src/test/java/cedarrudder/membership/DatagramFormatTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.Test;
 
 /**
- * The datagrams of membership, held against those of an earlier build: both may run in one tier.
+ * Compares the datagrams of membership with those of an earlier build: both may run in one tier.
  */
 public class DatagramFormatTest {
 
@@ -15,7 +15,7 @@
     private static final int INSTANCES = 7;
     private static final int SAMPLES = 60;
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int byTime = Long.compare(at, other.at);
@@ -29,11 +29,11 @@
     private final StringBuilder samples = new StringBuilder();
     private final Golden.Digest digest = new Golden.Digest();
     private long now = 1_000 * SECOND;
-    private long made;
+    private long scheduledEvents;
     private int sent;
 
-    private void at(long instant, Runnable what) {
-        events.add(new Event(instant, made++, what));
+    private void at(long instant, Runnable action) {
+        events.add(new Event(instant, scheduledEvents++, action));
     }
 
     private void start(int number, long incarnation) {
@@ -47,7 +47,7 @@
                         new SwimMember.Actions() {
                             @Override
                             public void send(int to, byte[] message) {
-                                sent(number, to, message);
+                                onSent(number, to, message);
                             }
 
                             @Override
@@ -66,7 +66,7 @@
         tick(number, swims[number]);
     }
 
-    private void sent(int from, int to, byte[] message) {
+    private void onSent(int from, int to, byte[] message) {
         digest.add(from + ">" + to).add(message);
         if (sent++ % 40 == 0 && sent < 40 * SAMPLES) {
             samples.append(Golden.hex(message));
@@ -95,29 +95,29 @@
                 });
     }
 
-    private void play(long length) {
+    private void runFor(long length) {
         long until = now + length;
         while (!events.isEmpty() && events.peek().at() <= until) {
             Event next = events.poll();
             now = next.at();
-            next.what().run();
+            next.action().run();
         }
         now = until;
     }
 
     @Test
-    public void datagramsAreThoseOfTheEarlierBuild() {
+    public void datagramsEqualThoseOfEarlierBuild() {
         for (int i = 0; i < INSTANCES; i++) {
             start(i, 1_700_000_000_000L + i);
         }
-        play(20 * SECOND);
+        runFor(20 * SECOND);
         swims[2] = null;
-        play(20 * SECOND);
+        runFor(20 * SECOND);
         start(2, 1_700_000_900_000L);
-        play(10 * SECOND);
+        runFor(10 * SECOND);
         swims[5].leave();
         swims[5] = null;
-        play(20 * SECOND);
+        runFor(20 * SECOND);
         Golden.check("membership-datagrams.txt", samples + digest.toString() + "\n");
     }
 }
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -16,14 +16,15 @@
 import org.testng.annotations.Test;
 
 /**
- * One instance against peers that are played by the test: it is told, and what it sends is read.
+ * One member against peers that the test plays: the test passes in their messages and reads what
+ * the member sends.
  */
 public class SwimMemberTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final long INCARNATION = 1_000;
 
-    /** What went out: to whom, and what. */
+    /** A sent message and its receiver. */
     private record Sent(int to, SwimMessage packet) {}
 
     private final List<Sent> sent = new ArrayList<>();
@@ -63,34 +64,35 @@
         start(instances, MembershipSettings.DEFAULT);
     }
 
-    private void hear(
+    private void receive(
             int from,
             Kind kind,
-            int question,
+            int sequence,
             long incarnation,
             int subject,
-            MemberUpdate... news) {
+            MemberUpdate... updates) {
         swim.onDatagram(
                 now,
                 from,
-                SwimCodec.encode(packet(kind, question, from, incarnation, subject, news)));
+                SwimCodec.encode(packet(kind, sequence, from, incarnation, subject, updates)));
     }
 
     private static SwimMessage packet(
             Kind kind,
-            int question,
+            int sequence,
             int from,
             long incarnation,
             int subject,
-            MemberUpdate... news) {
-        return new SwimMessage(kind, question, from, incarnation, subject, 0, null, List.of(news));
+            MemberUpdate... updates) {
+        return new SwimMessage(
+                kind, sequence, from, incarnation, subject, 0, null, List.of(updates));
     }
 
-    private static MemberUpdate news(int number, long incarnation, State standing, int accuser) {
-        return new MemberUpdate(new Member(number, incarnation, standing), accuser);
+    private static MemberUpdate update(int number, long incarnation, State state, int accuser) {
+        return new MemberUpdate(new Member(number, incarnation, state), accuser);
     }
 
-    /** Lets it do what it wants to, until it sends a message of this kind. */
+    /** Advances the time until the member sends a message of this kind. */
     private Sent await(Kind kind) {
         for (int i = 0; i < 10_000; i++) {
             for (Sent each : List.copyOf(sent)) {
@@ -102,20 +104,20 @@
             now = Math.max(now, swim.nextTickAt());
             swim.tick(now);
         }
-        throw new AssertionError("it never sends " + kind);
+        throw new AssertionError("never sent " + kind);
     }
 
-    /** Lets it do what it wants to, until it no longer waits for this answer and asks another. */
-    private Sent awaitAfter(Sent question) {
+    /** Advances the time until the member pings another instance than this one. */
+    private Sent awaitAfter(Sent previous) {
         Sent next = await(Kind.PING);
-        while (next.to == question.to) {
+        while (next.to == previous.to) {
             next = await(Kind.PING);
         }
         return next;
     }
 
     @Test
-    public void whoDoesNotAnswerIsAskedByOthersThenSuspectedThenDead() {
+    public void unresponsiveMemberIsProbedIndirectlyThenSuspectedThenDeclaredDead() {
         start(5);
         Sent first = await(Kind.PING);
         int target = first.to;
@@ -135,29 +137,29 @@
     }
 
     @Test
-    public void anAnswerThroughAHelperCounts() {
+    public void ackThroughHelperAcknowledgesProbe() {
         start(4);
         Sent first = await(Kind.PING);
         Sent help = await(Kind.PING_REQUEST);
-        hear(help.to, Kind.ACK, help.packet.sequence(), 1, first.to);
+        receive(help.to, Kind.ACK, help.packet.sequence(), 1, first.to);
         await(Kind.PING);
         assertEquals(swim.member(first.to).state(), State.ALIVE);
         assertEquals(swim.healthScore(), 0);
     }
 
     @Test
-    public void anAnswerFromOneThatWasNotAskedIsNone() {
+    public void ackFromInstanceThatWasNotPingedIsIgnored() {
         start(4, new MembershipSettings(SECOND, SECOND / 2, 0, 4, 4, 3, 3, 8, 10));
         Sent first = await(Kind.PING);
         int other = first.to % 3 + 1;
-        hear(other, Kind.ACK, first.packet.sequence(), 1, first.to);
-        hear(first.to % 3 + 1, Kind.ACK, first.packet.sequence() + 1, 1, other);
+        receive(other, Kind.ACK, first.packet.sequence(), 1, first.to);
+        receive(first.to % 3 + 1, Kind.ACK, first.packet.sequence() + 1, 1, other);
         awaitAfter(first);
         assertEquals(swim.member(first.to).state(), State.SUSPECT);
     }
 
     @Test
-    public void whoHearsNobodySlowsDown() {
+    public void memberThatReceivesNothingSlowsDown() {
         start(5);
         Sent first = await(Kind.PING);
         awaitAfter(first);
@@ -167,29 +169,36 @@
             now = swim.nextTickAt();
             swim.tick(now);
         }
-        assertTrue(now - before >= 2 * MembershipSettings.DEFAULT.period(), "it doesn't slow down");
+        assertTrue(
+                now - before >= 2 * MembershipSettings.DEFAULT.period(),
+                "the probe period did not grow");
     }
 
-    /** Answers each question until the next, at once or only when asked again. */
+    /** Answers each ping until the next, either at once or only after the indirect pings. */
     private Sent answerAll(int times, boolean again) {
-        Sent asked = await(Kind.PING);
+        Sent pinged = await(Kind.PING);
         for (int i = 0; i < times; i++) {
             if (again) {
                 await(Kind.PING_REQUEST);
             }
-            hear(asked.to, Kind.ACK, asked.packet.sequence(), 1, asked.to);
+            receive(pinged.to, Kind.ACK, pinged.packet.sequence(), 1, pinged.to);
             sent.clear();
-            asked = await(Kind.PING);
+            pinged = await(Kind.PING);
         }
-        return asked;
+        return pinged;
     }
 
     private long silentUntilSuspected(boolean lossy) {
         start(20);
-        Sent asked = answerAll(60, lossy);
+        Sent pinged = answerAll(60, lossy);
         long began = now;
-        while (swim.member(asked.to).state() == State.ALIVE) {
-            hear(asked.to % 19 + 1, Kind.NACK, 0, 1, asked.to); // it is not deaf
+        while (swim.member(pinged.to).state() == State.ALIVE) {
+            receive(
+                    pinged.to % 19 + 1,
+                    Kind.NACK,
+                    0,
+                    1,
+                    pinged.to); // the member still receives messages
             now = swim.nextTickAt();
             swim.tick(now);
         }
@@ -197,55 +206,58 @@
     }
 
     @Test
-    public void whereAnswersAreLostOneIsAskedAgainBeforeOthersAreTold() {
+    public void probesAreRepeatedBeforeSuspicionWhenAcksAreLost() {
         assertTrue(silentUntilSuspected(false) <= MembershipSettings.DEFAULT.period());
         assertTrue(silentUntilSuspected(true) >= 3 * MembershipSettings.DEFAULT.period());
     }
 
     @Test
-    public void whoIsHeardIsDoubtedNoMore() {
+    public void repeatedProbesEndWhenMemberSendsAMessage() {
         start(20);
-        Sent asked = answerAll(60, true);
-        awaitAfter(asked);
-        hear(asked.to, Kind.PING, 1, 1, 0);
+        Sent pinged = answerAll(60, true);
+        awaitAfter(pinged);
+        receive(pinged.to, Kind.PING, 1, 1, 0);
         long until = now + 3 * SECOND;
         int again = 0;
         while (now < until) {
             sent.clear();
             now = swim.nextTickAt();
             swim.tick(now);
-            again += sent.stream().anyMatch(s -> s.to == asked.to) ? 1 : 0;
+            again += sent.stream().anyMatch(s -> s.to == pinged.to) ? 1 : 0;
         }
-        assertEquals(swim.member(asked.to).state(), State.ALIVE);
-        assertTrue(again <= 1, "asked " + again + " times more");
+        assertEquals(swim.member(pinged.to).state(), State.ALIVE);
+        assertTrue(again <= 1, "pinged " + again + " times more");
     }
 
-    /** Answers that wait unread, and contradictions, say nothing against others. */
+    /**
+     * Guards against a member that was suspended for a while and then suspects or declares dead the
+     * others, whose acks and refutations wait unread.
+     */
     @Test
-    public void whoStoodStillAccusesAndBuriesNobody() {
+    public void suspendedMemberNeitherSuspectsNorDeclaresDead() {
         start(5);
         await(Kind.PING);
-        hear(1, Kind.NACK, 0, 1, 1, news(2, 3, State.SUSPECT, 1));
+        receive(1, Kind.NACK, 0, 1, 1, update(2, 3, State.SUSPECT, 1));
         now += 60 * SECOND;
         swim.tick(now);
         assertEquals(
                 changes, List.of(new Member(1, 1, State.ALIVE), new Member(2, 3, State.SUSPECT)));
-        hear(2, Kind.PING, 1, 4, 0);
+        receive(2, Kind.PING, 1, 4, 0);
         assertEquals(swim.member(2).state(), State.ALIVE);
     }
 
     @Test
-    public void confirmationsShortenASuspicion() {
+    public void confirmationsShortenSuspicion() {
         long[] until = new long[2];
         for (int confirmed = 0; confirmed < 2; confirmed++) {
             start(50);
-            hear(1, Kind.ACK, 99, 1, 1, news(9, 3, State.SUSPECT, 1));
+            receive(1, Kind.ACK, 99, 1, 1, update(9, 3, State.SUSPECT, 1));
             for (int accuser = 2; accuser < 2 + 3 * confirmed; accuser++) {
-                hear(accuser, Kind.ACK, 99, 1, accuser, news(9, 3, State.SUSPECT, accuser));
+                receive(accuser, Kind.ACK, 99, 1, accuser, update(9, 3, State.SUSPECT, accuser));
             }
-            // The same again and again confirms nothing.
+            // Repeating one claim confirms nothing.
             for (int i = 0; i < 10; i++) {
-                hear(1, Kind.ACK, 99, 1, 1, news(9, 3, State.SUSPECT, 1));
+                receive(1, Kind.ACK, 99, 1, 1, update(9, 3, State.SUSPECT, 1));
             }
             long began = now;
             while (swim.member(9).isLive()) {
@@ -254,58 +266,62 @@
             }
             until[confirmed] = now - began;
         }
-        assertTrue(until[1] * 3 < until[0], until[0] + " alone, " + until[1] + " confirmed");
+        assertTrue(until[1] * 3 < until[0], until[0] + " unconfirmed, " + until[1] + " confirmed");
     }
 
     @Test
-    public void whatIsSaidOfItselfIsContradicted() {
+    public void wrongClaimsAboutItselfAreRefuted() {
         start(3);
-        hear(1, Kind.PING, 5, 1, 0, news(0, INCARNATION, State.SUSPECT, 2));
+        receive(1, Kind.PING, 5, 1, 0, update(0, INCARNATION, State.SUSPECT, 2));
         Sent answer = await(Kind.ACK);
         assertEquals(answer.packet.incarnation(), INCARNATION + 1);
         assertTrue(
-                answer.packet.updates().contains(news(0, INCARNATION + 1, State.ALIVE, 0)),
+                answer.packet.updates().contains(update(0, INCARNATION + 1, State.ALIVE, 0)),
                 answer.toString());
-        // An older life of its own had a larger number: it takes the next.
-        hear(1, Kind.PING, 6, 1, 0, news(0, INCARNATION + 70, State.DEAD, 2));
+        // An earlier incarnation had a larger number: the member continues with the next one.
+        receive(1, Kind.PING, 6, 1, 0, update(0, INCARNATION + 70, State.DEAD, 2));
         assertEquals(await(Kind.ACK).packet.incarnation(), INCARNATION + 71);
-        // Old claims change nothing.
-        hear(1, Kind.PING, 7, 1, 0, news(0, INCARNATION + 70, State.DEAD, 2));
+        // Claims about an old incarnation change nothing.
+        receive(1, Kind.PING, 7, 1, 0, update(0, INCARNATION + 70, State.DEAD, 2));
         assertEquals(await(Kind.ACK).packet.incarnation(), INCARNATION + 71);
         assertEquals(swim.counts().refuted(), 2);
     }
 
     @Test
-    public void anOldLifeIsNeverBelievedAgain() {
+    public void messagesOfOldIncarnationsAreIgnored() {
         start(4);
-        hear(1, Kind.PING, 1, 10, 0);
-        hear(2, Kind.PING, 1, 5, 0, news(1, 10, State.DEAD, 1));
+        receive(1, Kind.PING, 1, 10, 0);
+        receive(2, Kind.PING, 1, 5, 0, update(1, 10, State.DEAD, 1));
         assertFalse(swim.member(1).isLive());
-        // Late messages of the life that has ended, by itself and by others.
-        hear(1, Kind.PING, 2, 10, 0);
-        hear(1, Kind.PING, 2, 9, 0);
-        hear(3, Kind.PING, 3, 5, 0, news(1, 10, State.ALIVE, 1), news(2, 4, State.DEAD, 3));
+        // Late messages of the incarnation that has ended, from the instance itself and from
+        // others.
+        receive(1, Kind.PING, 2, 10, 0);
+        receive(1, Kind.PING, 2, 9, 0);
+        receive(3, Kind.PING, 3, 5, 0, update(1, 10, State.ALIVE, 1), update(2, 4, State.DEAD, 3));
         assertFalse(swim.member(1).isLive());
-        assertTrue(swim.member(2).isLive(), "death of a life before this one");
-        hear(1, Kind.PING, 2, 11, 0);
+        assertTrue(swim.member(2).isLive(), "death of an earlier incarnation");
+        receive(1, Kind.PING, 2, 11, 0);
         assertTrue(swim.member(1).isLive());
-        hear(3, Kind.PING, 3, 5, 0, news(1, 10, State.DEAD, 3));
+        receive(3, Kind.PING, 3, 5, 0, update(1, 10, State.DEAD, 3));
         assertTrue(swim.member(1).isLive());
     }
 
     /**
-     * One that has just started shows whom it holds as dead, and the answer says in whom it errs.
+     * An instance that has just started sends the set that it counts as dead, and the ack carries
+     * the differences.
      */
     @Test
-    public void twoThatDifferInTheDeadTellOneAnother() {
+    public void membersWithDifferentDeadSetsExchangeTheDifferences() {
         start(30);
-        hear(2, Kind.PING, 1, 5, 0, news(1, 10, State.DEAD, 1), news(9, 20, State.DEAD, 9));
+        receive(2, Kind.PING, 1, 5, 0, update(1, 10, State.DEAD, 1), update(9, 20, State.DEAD, 9));
         for (int i = 0; i < 50; i++) {
-            hear(2, Kind.PING, 1, 5, 0); // until that news has gone out often enough
+            receive(
+                    2, Kind.PING, 1, 5,
+                    0); // until that update has been sent the maximum number of times
         }
         sent.clear();
-        hear(2, Kind.PING, 8, 5, 0);
-        assertTrue(await(Kind.ACK).packet.updates().isEmpty(), "news without end");
+        receive(2, Kind.PING, 8, 5, 0);
+        assertTrue(await(Kind.ACK).packet.updates().isEmpty(), "updates are sent too often");
         byte[] held = {0, 2, 4, 0}; // 9 and 18 are dead
         swim.onDatagram(
                 now,
@@ -322,8 +338,8 @@
                                 List.of())));
         assertEquals(
                 await(Kind.ACK).packet.updates(),
-                List.of(news(1, 10, State.DEAD, 0), news(18, 0, State.ALIVE, 18)));
-        // Its own next question shows what it holds, until the digests agree.
+                List.of(update(1, 10, State.DEAD, 0), update(18, 0, State.ALIVE, 18)));
+        // Its own next ping carries its set, until the digests agree.
         SwimMessage shown = await(Kind.PING).packet;
         assertEquals(shown.window().bits(), new byte[] {2, 2, 0, 0});
         swim.onDatagram(
@@ -336,43 +352,46 @@
     }
 
     /**
-     * One that hears nobody, or was cut off, holds the living as dead: its word alone buries none
-     * of them.
+     * An instance that receives nothing, or was cut off, counts live instances as dead: its claim
+     * alone must not make another member declare them dead.
      */
     @Test
-    public void aClaimOfDeathIsNotBelievedAtOnce() {
+    public void claimedDeathStartsSuspicionFirst() {
         start(30);
-        hear(9, Kind.NACK, 0, 20, 9);
-        hear(2, Kind.NACK, 0, 5, 2, news(9, 20, State.DEAD, 2));
-        hear(3, Kind.NACK, 0, 5, 3, news(9, 20, State.DEAD, 3));
+        receive(9, Kind.NACK, 0, 20, 9);
+        receive(2, Kind.NACK, 0, 5, 2, update(9, 20, State.DEAD, 2));
+        receive(3, Kind.NACK, 0, 5, 3, update(9, 20, State.DEAD, 3));
         assertEquals(swim.member(9).state(), State.SUSPECT);
         long began = now;
         while (swim.member(9).isLive()) {
-            hear(2, Kind.NACK, 0, 5, 2);
+            receive(2, Kind.NACK, 0, 5, 2);
             now = swim.nextTickAt();
             swim.tick(now);
         }
         double min = 4 * Math.log10(30) * MembershipSettings.DEFAULT.period();
         assertEquals(
-                now - began, min, MembershipSettings.DEFAULT.period(), "the shortest suspicion");
-        // Of a life that was never heard of it is: so one that starts learns whom the others
-        // buried.
-        hear(2, Kind.NACK, 0, 5, 2, news(8, 20, State.DEAD, 2));
+                now - began,
+                min,
+                MembershipSettings.DEFAULT.period(),
+                "the minimum length of a suspicion");
+        // A death claim about an incarnation from which no message arrived is accepted: so a
+        // starting instance gets to know which instances are dead.
+        receive(2, Kind.NACK, 0, 5, 2, update(8, 20, State.DEAD, 2));
         assertFalse(swim.member(8).isLive());
     }
 
     @Test
-    public void aFloodOfQuestionsIsAnsweredToABound() {
+    public void acksToPingFloodAreBounded() {
         start(4, new MembershipSettings(3600 * SECOND, SECOND, 3, 4, 4, 3, 3, 8, 10));
         for (int i = 0; i < 1_000; i++) {
-            hear(1, Kind.PING, i, 1, 0);
+            receive(1, Kind.PING, i, 1, 0);
         }
         assertEquals(sent.size(), 64);
         assertEquals(swim.counts().unanswered(), 936);
     }
 
     @Test
-    public void anEarlierVersionIsRefused() {
+    public void messageOfEarlierVersionIsRejected() {
         start(4);
         byte[] first =
                 ByteBuffer.allocate(19)
@@ -390,35 +409,35 @@
     }
 
     @Test
-    public void itAsksForOthersAndTellsOfSilence() {
+    public void pingRequestIsRelayedAndAnsweredByNackThenAck() {
         start(4, new MembershipSettings(3600 * SECOND, SECOND, 3, 4, 4, 3, 3, 8, 10));
-        hear(1, Kind.PING_REQUEST, 41, 1, 2);
-        Sent asked = await(Kind.PING);
-        assertEquals(asked.to, 2);
+        receive(1, Kind.PING_REQUEST, 41, 1, 2);
+        Sent pinged = await(Kind.PING);
+        assertEquals(pinged.to, 2);
         Sent nack = await(Kind.NACK);
         assertEquals(nack.to, 1);
         assertEquals(nack.packet.sequence(), 41);
-        hear(2, Kind.ACK, asked.packet.sequence(), 1, 2);
+        receive(2, Kind.ACK, pinged.packet.sequence(), 1, 2);
         Sent ack = await(Kind.ACK);
         assertEquals(ack.to, 1);
         assertEquals(ack.packet.sequence(), 41);
         assertEquals(ack.packet.subject(), 2);
-        hear(2, Kind.ACK, asked.packet.sequence(), 1, 2);
-        assertTrue(sent.isEmpty(), "answered twice");
+        receive(2, Kind.ACK, pinged.packet.sequence(), 1, 2);
+        assertTrue(sent.isEmpty(), "acknowledged twice");
     }
 
     @Test
-    public void aFloodOfQuestionsForOthersIsBounded() {
+    public void relayedPingsAreBounded() {
         start(4, new MembershipSettings(3600 * SECOND, SECOND, 3, 4, 4, 3, 3, 8, 10));
         for (int i = 0; i < 1_000; i++) {
-            hear(1, Kind.PING_REQUEST, i, 1, 2);
+            receive(1, Kind.PING_REQUEST, i, 1, 2);
         }
         assertEquals(sent.size(), 64);
         assertEquals(swim.counts().relaysRefused(), 936);
     }
 
     @Test
-    public void itSaysThatItLeavesAndThenNothing() {
+    public void leavingMemberAnnouncesItAndThenSendsNothing() {
         start(4);
         sent.clear();
         swim.leave();
@@ -429,19 +448,20 @@
                                 s ->
                                         s.packet
                                                 .updates()
-                                                .contains(news(0, INCARNATION, State.DEAD, 0))),
+                                                .contains(update(0, INCARNATION, State.DEAD, 0))),
                 sent.toString());
         sent.clear();
-        hear(1, Kind.PING, 1, 1, 0);
+        receive(1, Kind.PING, 1, 1, 0);
         swim.tick(now + SECOND);
         assertTrue(sent.isEmpty());
         assertEquals(swim.nextTickAt(), Long.MAX_VALUE);
     }
 
     @Test
-    public void aSenderThatNamesAnotherIsNotBelieved() {
+    public void messageThatNamesAnotherSenderIsDropped() {
         start(4);
-        byte[] forged = SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, news(3, 9, State.DEAD, 3)));
+        byte[] forged =
+                SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, update(3, 9, State.DEAD, 3)));
         swim.onDatagram(now, 1, forged);
         assertTrue(swim.member(3).isLive());
         assertEquals(swim.counts().wrongSender(), 1);
@@ -449,12 +469,13 @@
     }
 
     /**
-     * Detects a life's number that nobody ever had: a turned bit once set one that all believed.
+     * Guards against an incarnation that no instance ever had: once, a flipped bit produced one
+     * that all instances accepted.
      */
     @Test
-    public void aTurnedBitAnywhereIsNoMessage() {
+    public void flippedBitInvalidatesMessage() {
         start(6);
-        byte[] good = SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, news(3, 9, State.ALIVE, 3)));
+        byte[] good = SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, update(3, 9, State.ALIVE, 3)));
         assertNotNull(SwimCodec.decode(good, 6));
         for (int bit = 0; bit < 8 * good.length; bit++) {
             byte[] turned = good.clone();
@@ -463,9 +484,11 @@
         }
     }
 
-    /** Any bytes are read or dropped; what is read is written back to the same bytes. */
+    /**
+     * Arbitrary bytes are decoded or dropped; a decoded message is encoded to the same bytes again.
+     */
     @Test
-    public void anyBytesAreReadOrDropped() {
+    public void arbitraryBytesAreDecodedOrDropped() {
         long seed = System.nanoTime();
         System.out.println("bytes: seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
@@ -481,8 +504,8 @@
                                 9,
                                 new SwimMessage.Window(0, new byte[] {12}),
                                 List.of(
-                                        news(3, 1L << 50, State.SUSPECT, 2),
-                                        news(4, 3, State.ALIVE, 4))));
+                                        update(3, 1L << 50, State.SUSPECT, 2),
+                                        update(4, 3, State.ALIVE, 4))));
         int read = 0;
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes;
@@ -500,7 +523,7 @@
                     bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
                 }
             }
-            if (bytes.length > 4) { // else hardly one would get past its checksum
+            if (bytes.length > 4) { // otherwise hardly any would pass the checksum
                 java.nio.ByteBuffer.wrap(bytes)
                         .putInt(bytes.length - 4, SwimCodec.checksum(bytes, bytes.length - 4));
             }
@@ -516,16 +539,16 @@
                 sent.clear();
             }
         }
-        assertTrue(read > 1_000, "only " + read + " were read");
+        assertTrue(read > 1_000, "only " + read + " were decoded");
         assertNull(SwimCodec.decode(new byte[0], 6));
         assertTrue(swim.liveCount() >= 1);
     }
 
     @Test
-    public void figuresOutsideTheirRangeAreNamed() {
+    public void settingsOutOfRangeAreNamedInMessage() {
         try {
             new MembershipSettings(SECOND, SECOND, 3, 4, 4, 3, 3, 8, 10);
-            throw new AssertionError("taken");
+            throw new AssertionError("accepted");
         } catch (IllegalArgumentException e) {
             assertEquals(
                     e.getMessage(),
