--- a/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -8,8 +8,8 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * One replica's part in failover: it says what it saw, and where it leads plans from what all said.
- * Not thread-safe.
+ * The failover logic of one replica: every replica reports its observations, and the leader plans
+ * the traffic split from the reports of all. Not thread-safe.
  */
 public final class FailoverCoordinator {
 
@@ -21,14 +21,16 @@
     private final TrafficSplitPlanner planner;
     private ZoneHealthAggregator aggregator;
     private Set<Integer> evacuated = Set.of();
-    private long table;
-    private long closedAt;
+    private long loadedTableNumber;
+    private long periodClosedAt;
 
     /**
+     * Creates the coordinator of a replica.
+     *
      * @param names of the zones, in the order of their numbers
-     * @param zoneOf the zone of each copy of the tier
-     * @param counter what this replica counts
-     * @throws IllegalArgumentException if a zone is named that there is not
+     * @param zoneOf the zone of each replica of the tier
+     * @param counter counts the traffic of this replica
+     * @throws IllegalArgumentException if the settings name an unknown zone
      */
     public FailoverCoordinator(
             FailoverSettings settings,
@@ -61,7 +63,7 @@
         }
         this.settings = settings;
         this.counter = counter;
-        this.closedAt = now;
+        this.periodClosedAt = now;
         this.zoneOf = zoneOf.clone();
         this.zones = names.size();
         this.planner = new TrafficSplitPlanner(settings, settings.regions().ranks(names), now);
@@ -69,75 +71,84 @@
     }
 
     /**
-     * Ends the period and says what was seen in it; nothing where this replica stood still, or has
-     * just said it.
+     * Ends the period and returns its observations, encoded as parts of a report; empty if this
+     * replica was suspended or has just reported.
      *
-     * @param max bytes of a part, as {@link ZoneObservations#encode} takes it
+     * @param max maximum bytes of a part, as for {@link ZoneObservations#encode}
      */
     public List<byte[]> report(long now, int max) {
-        if (now - closedAt < settings.period() / 2) {
-            return List.of(); // asked again so soon: this avoids a period of which nothing can be
+        if (now - periodClosedAt < settings.period() / 2) {
+            return List
+                    .of(); // too soon after the last report: the period would be too short to show
+            // anything
             // told
         }
-        closedAt = now;
-        ZoneObservations evidence = counter.closePeriod(now, table);
-        return evidence == null ? List.of() : evidence.encode(max);
+        periodClosedAt = now;
+        ZoneObservations observations = counter.closePeriod(now, loadedTableNumber);
+        return observations == null ? List.of() : observations.encode(max);
     }
 
     /**
-     * At the replica that leads: a part of what another saw, or it itself. It may be no such part.
+     * Handles a part of a report at the leader, from another replica or from itself; bytes that are
+     * no such part are ignored.
      */
     public void onReport(long now, int from, byte[] part) {
-        ZoneObservations evidence = ZoneObservations.decode(part);
-        if (evidence != null && evidence.replica() == from) {
-            aggregator.onObservations(now, evidence);
+        ZoneObservations observations = ZoneObservations.decode(part);
+        if (observations != null && observations.replica() == from) {
+            aggregator.onObservations(now, observations);
         }
     }
 
     /**
-     * At the replica that leads, each period: the shares that should hold.
+     * Plans the routes of the next table; the leader calls this once per period.
      *
      * @param agreed the table that is agreed on; null before the first
-     * @param leaseOver when a replica that is silent has certainly left its table
+     * @param leaseOver when the lease of a replica that does not report has certainly expired, so
+     *     that it no longer uses its table
      */
     public List<ZoneRoute> plan(long now, RouteTable agreed, IntToLongFunction leaseOver) {
         if (agreed != null) {
-            planner.onTableLoaded(now, agreed); // it may be agreed on, and not count yet
+            planner.onTableLoaded(
+                    now, agreed); // the table may be agreed on before its lease starts
         }
-        aggregator.lapse(now, leaseOver);
+        aggregator.forgetExpiredReplicas(now, leaseOver);
         return planner.plan(now, agreed, aggregator.snapshot(now), evacuated);
     }
 
-    /** The moves of the last plan, for the log. */
+    /** Returns the moves of the last plan, for the log. */
     public List<TrafficSplitPlanner.Move> moves() {
         return planner.moves();
     }
 
     /**
-     * This replica leads from here on, or no longer: what was reported to it before counts no more.
+     * Handles that this replica becomes the leader or ceases to be it: earlier reports no longer
+     * count.
      */
     public void onLeadership() {
         aggregator = new ZoneHealthAggregator(settings, zoneOf, zones);
         planner.onLeadership();
     }
 
-    /** A table counts here from now on; null: none does. */
+    /** Records the table that is in use here from now on; null for none. */
     public void onTableLoaded(long now, RouteTable loaded) {
-        table = loaded == null ? 0 : loaded.number();
+        loadedTableNumber = loaded == null ? 0 : loaded.number();
         if (loaded != null) {
             planner.onTableLoaded(now, loaded);
         }
     }
 
     /**
-     * Operators have left these zones, by name, and no others.
+     * Sets the zones that operators evacuate, by name, in place of all earlier ones.
      *
-     * @return those that there are not
+     * @return the names that are no zones
      */
-    public List<String> evacuate(List<String> left) {
+    public List<String> evacuate(List<String> evacuatedNames) {
         Set<Integer> numbers = new HashSet<>();
-        left.stream().map(names::indexOf).filter(number -> number >= 0).forEach(numbers::add);
+        evacuatedNames.stream()
+                .map(names::indexOf)
+                .filter(number -> number >= 0)
+                .forEach(numbers::add);
         evacuated = Set.copyOf(numbers);
-        return left.stream().filter(name -> !names.contains(name)).toList();
+        return evacuatedNames.stream().filter(name -> !names.contains(name)).toList();
     }
 }
--- a/core/src/main/java/cedarrudder/failover/FailoverSettings.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverSettings.java
@@ -7,24 +7,24 @@
  * The parameters of failover. Times are nanoseconds.
  *
  * @param regions which zones make a region
- * @param evacuatedZones zones that operators evacuate, by name: their requests go elsewhere as far
- *     as there is capacity
+ * @param evacuatedZones zones that operators evacuate, by name: their requests go to other zones as
+ *     far as those have capacity
  * @param period between two reports of a replica; from 10 ms
- * @param evidenceAge older observations count for nothing; at least two periods
- * @param minReplicas so many replicas of a zone must agree before their zone's vote counts, or all
- *     where it has fewer; from 1
- * @param badShare a replica votes that a zone is lost where more than this share of its requests
- *     there failed or got no answer; over 0, below 1
- * @param targetShare requests of other zones take a zone up to this share of its capacity; over 0,
- *     to 1
- * @param nearShare a zone's own requests may take this share of its capacity; over 0, to 1
- * @param lossHold a loss must last so long; from 0
- * @param returnStep requests come back in steps of this share of the zone's; over 0, to 1
- * @param returnHold a zone must be healthy for so long before each step; over the period
- * @param maxReturnHold that time doubles up to this for a zone that flaps; no less than it
- * @param movesPerMinute the routes of one zone change no more often within 60 s; from 8
- * @param probeShare this share of a zone's requests goes to all others together, to probe them; 0
- *     to 0.05
+ * @param evidenceAge observations older than this do not count; at least two periods
+ * @param minReplicas number of replicas of a zone that must agree before their zone's vote counts,
+ *     or all of them if it has fewer; from 1
+ * @param badShare a replica votes that a zone is lost if more than this fraction of its requests
+ *     there failed or got no response; over 0, below 1
+ * @param targetShare fraction of a zone's capacity up to which it serves requests of other zones;
+ *     over 0, to 1
+ * @param nearShare fraction of a zone's capacity that its own requests may use; over 0, to 1
+ * @param lossHold how long a loss must last before requests move away; from 0
+ * @param returnStep requests return in steps of this fraction of the zone's requests; over 0, to 1
+ * @param returnHold how long a zone must be healthy before each step; over the period
+ * @param maxReturnHold for a zone that flaps that time doubles up to this; no less than it
+ * @param movesPerMinute maximum number of changes of one zone's routes within 60 s; from 8
+ * @param probeShare fraction of a zone's requests that go to all other zones together, to probe
+ *     them; 0 to 0.05
  */
 public record FailoverSettings(
         Regions regions,
@@ -46,7 +46,7 @@
     private static final int MIN_MOVES = 8;
     private static final double MAX_PROBE_SHARE = 0.05;
 
-    /** What applies where nothing else is configured. */
+    /** The default settings. */
     public static final FailoverSettings DEFAULT =
             new FailoverSettings(
                     Regions.NONE,
@@ -64,7 +64,11 @@
                     8,
                     0.008);
 
-    /** Checks the ranges above; what lies outside is an IllegalArgumentException that names it. */
+    /**
+     * Checks the ranges above.
+     *
+     * @throws IllegalArgumentException if a value is out of its range; the message names it
+     */
     public FailoverSettings {
         evacuatedZones = List.copyOf(evacuatedZones);
         check(
@@ -98,12 +102,12 @@
                 "0 to " + MAX_PROBE_SHARE);
     }
 
-    /** The weight of the requests that go to a zone only so that it is probed. */
+    /** Returns the weight of the requests that go to a zone only to probe it. */
     int probeWeight() {
         return (int) Math.ceil(probeShare * RouteTable.TOTAL_WEIGHT);
     }
 
-    /** The same with other regions. */
+    /** Returns the same settings with other regions. */
     public FailoverSettings regions(Regions other) {
         return new FailoverSettings(
                 other,
--- a/core/src/main/java/cedarrudder/failover/MoveHistory.java
+++ b/core/src/main/java/cedarrudder/failover/MoveHistory.java
@@ -3,10 +3,12 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** When one zone's row of the table changed lately: what bounds how often it may change. */
+/**
+ * The times of recent changes of one zone's row in the table, which bound how often it may change.
+ */
 final class MoveHistory {
 
-    /** A minute, and what one table may take longer to one replica than another to another. */
+    /** A minute, plus the difference between the times that two tables take to reach a replica. */
     private static final long WINDOW_NANOS = 63_000_000_000L;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -21,13 +23,13 @@
         }
     }
 
-    /** The zone's row changed. */
+    /** Records a change of the zone's row. */
     void add(long now) {
         times.add(now);
         lastMoveAt = now;
     }
 
-    /** How many moves the last minute had. */
+    /** Returns the number of moves in the last minute. */
     int count(long now) {
         while (!times.isEmpty() && now - times.peek() > WINDOW_NANOS) {
             times.remove();
@@ -35,7 +37,7 @@
         return times.size();
     }
 
-    /** When the row last changed; long ago where it never did. */
+    /** Returns when the row last changed; a time long ago if it never did. */
     long lastMoveAt() {
         return lastMoveAt;
     }
--- a/core/src/main/java/cedarrudder/failover/Regions.java
+++ b/core/src/main/java/cedarrudder/failover/Regions.java
@@ -9,23 +9,23 @@
 import java.util.Set;
 
 /**
- * Which zones make a region, and which other regions are near to it. A zone that is in none is a
- * region of its own.
+ * The regions: which zones belong to each, and which other regions are nearest to it. A zone that
+ * is in none is a region of its own.
  */
 public record Regions(List<Region> regions) {
 
-    /** Every zone by itself. */
+    /** No regions: every zone is a region of its own. */
     public static final Regions NONE = new Regions(List.of());
 
     /**
      * A region.
      *
-     * @param zones the names of its zones, as the platform's settings have them
-     * @param nearest the names of other regions, the nearest first; those that are not named are
-     *     farther
+     * @param zones the names of its zones, as in the platform's settings
+     * @param nearest the names of other regions, the nearest first; regions that are not named are
+     *     farther away
      */
     public record Region(String name, List<String> zones, List<String> nearest) {
-        /** Copies the list. */
+        /** Copies the lists. */
         public Region {
             zones = List.copyOf(zones);
             nearest = List.copyOf(nearest);
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Something that can't be so: of which region, which key, what was found and what is allowed.
+     * An invalid setting: the index of the region, the key, the value found and the allowed values.
      */
     public record Problem(int region, String key, String found, String allowed) {}
 
@@ -42,9 +42,9 @@
     }
 
     /**
-     * All that contradicts itself.
+     * Returns all contradictions among the regions.
      *
-     * @param known the zones that there are; null where that is not known yet
+     * @param known the names of the existing zones; null if they are not known yet
      */
     public List<Problem> problems(Collection<String> known) {
         List<Problem> problems = new ArrayList<>();
@@ -104,8 +104,8 @@
     }
 
     /**
-     * How far each zone is from each: 0 itself, 1 in its region, 2 and more in others, the nearest
-     * first.
+     * Returns how far each zone is from each: 0 for itself, 1 for zones of its region, 2 and more
+     * for others, the nearest first.
      *
      * @param zones their names, in the order of their numbers
      */
@@ -113,7 +113,10 @@
         int[][] ranks = new int[zones.size()][zones.size()];
         for (int from = 0; from < ranks.length; from++) {
             for (int to = 0; to < ranks.length; to++) {
-                ranks[from][to] = from == to ? 0 : rank(of(zones.get(from)), of(zones.get(to)));
+                ranks[from][to] =
+                        from == to
+                                ? 0
+                                : rank(regionOfZone(zones.get(from)), regionOfZone(zones.get(to)));
             }
         }
         return ranks;
@@ -127,7 +130,7 @@
         return 2 + (place >= 0 ? place : from == null ? 0 : from.nearest.size());
     }
 
-    private Region of(String zone) {
+    private Region regionOfZone(String zone) {
         return regions.stream()
                 .filter(region -> region.zones.contains(zone))
                 .findFirst()
--- a/core/src/main/java/cedarrudder/failover/ReplicaObservations.java
+++ b/core/src/main/java/cedarrudder/failover/ReplicaObservations.java
@@ -4,42 +4,44 @@
 import java.util.Arrays;
 
 /**
- * What one replica observed, put together from the parts of its reports. Later reports replace
- * earlier ones, those of an older incarnation count nothing.
+ * The observations of one replica, assembled from the parts of its reports. Later reports replace
+ * earlier ones; reports of an older incarnation are ignored.
  */
 final class ReplicaObservations {
 
-    /** What is left, each period, of what was counted before. */
-    private static final double FADE_FACTOR = 0.6;
+    /** Factor by which earlier counts decay in each period. */
+    private static final double DECAY_FACTOR = 0.6;
 
-    /** Rates are smoothed by this weight of the newest. */
+    /** Weight of the newest value in smoothed rates. */
     private static final double NEWEST_WEIGHT = 0.25;
 
     /** Attempts in flight without a response for this many periods count as failed. */
     private static final int STALLED_PERIODS = 2;
 
-    /** A zone rejects where this much of the requests sent there is rejected. */
-    private static final double REJECTED_SHARE = 0.05;
+    /**
+     * A zone counts as rejecting if more than this fraction of the requests sent there is rejected.
+     */
+    private static final double MAX_REJECTED_FRACTION = 0.05;
 
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** What the replica last reported of a zone, with what it reported before fading away. */
+    /** The last report of the replica on a zone, with decaying counts of its earlier reports. */
     static final class ZoneReport {
         private long sequence = -1;
 
-        /** The period that was reported last. */
+        /** The sequence number of the period that was observed last. */
         private long lastPeriod = -1;
 
         private long observedAt;
         private double served;
         private double failed;
         private double rejected;
-        private double rate;
+        private double servedRate;
         private double ended;
         private ZoneObservation latest;
 
-        /** The newest observation; null before the first. */
+        /** Returns the newest observation; null before the first. */
         ZoneObservation latest() {
             return latest;
         }
@@ -64,49 +66,57 @@
             return ended;
         }
 
-        /** Requests that the zone served this replica, a second. */
-        double rate() {
-            return rate;
+        /** Returns the requests per second that the zone served for this replica. */
+        double servedRate() {
+            return servedRate;
         }
 
-        /** Attempts that failed, or are in flight without any response. */
-        double unhealthy(long period) {
+        /** Returns the number of attempts that failed, or are in flight without any response. */
+        double unhealthyAttempts(long period) {
             boolean stalled =
                     latest.age() == 0
-                            && latest.unanswered() * NANOS_PER_MILLI >= STALLED_PERIODS * period;
+                            && latest.unansweredMillis() * NANOS_PER_MILLI
+                                    >= STALLED_PERIODS * period;
             return failed + (stalled ? latest.inFlight() : 0);
         }
 
         private void add(
-                long now, long newSequence, ZoneObservation seen, double seconds, long period) {
+                long now,
+                long newSequence,
+                ZoneObservation observation,
+                double seconds,
+                long period) {
             if (newSequence <= sequence) {
                 return;
             }
-            long observedPeriod = newSequence - seen.age();
+            long observedPeriod = newSequence - observation.age();
             if (observedPeriod > lastPeriod) {
-                addPeriod(observedPeriod, seen, seconds);
+                addPeriod(observedPeriod, observation, seconds);
             } else {
-                rate *= 1 - NEWEST_WEIGHT; // nothing was sent there since
+                servedRate *= 1 - NEWEST_WEIGHT; // no requests were sent there since
             }
             sequence = newSequence;
-            latest = seen;
-            observedAt = now - seen.age() * period;
+            latest = observation;
+            observedAt = now - observation.age() * period;
         }
 
-        private void addPeriod(long observedPeriod, ZoneObservation seen, double seconds) {
+        private void addPeriod(long observedPeriod, ZoneObservation observation, double seconds) {
             boolean first = lastPeriod < 0;
-            double fade = first ? 0 : fade(observedPeriod - lastPeriod);
-            served = fade * served + seen.served();
-            failed = fade * failed + seen.failed() + seen.silent();
-            rejected = fade * rejected + seen.rejected();
-            ended = fade * ended + seen.ended();
-            rate = smoothed(first, rate, seen.served() / seconds);
+            double decay = first ? 0 : decay(observedPeriod - lastPeriod);
+            served = decay * served + observation.served();
+            failed = decay * failed + observation.failed() + observation.silent();
+            rejected = decay * rejected + observation.rejected();
+            ended = decay * ended + observation.ended();
+            servedRate = smoothed(first, servedRate, observation.served() / seconds);
             lastPeriod = observedPeriod;
         }
 
-        /** A period of which no report came fades what was counted as one that came does. */
-        private static double fade(long periods) {
-            return StrictMath.pow(FADE_FACTOR, Math.min(ZoneObservations.MAX_AGE, periods));
+        /**
+         * Returns the decay over a number of periods; a period without a report decays the counts
+         * as one with a report does.
+         */
+        private static double decay(long periods) {
+            return StrictMath.pow(DECAY_FACTOR, Math.min(ZoneObservations.MAX_AGE, periods));
         }
     }
 
@@ -121,9 +131,9 @@
     private long table;
 
     /**
-     * Before the first report.
+     * Creates the state before the first report.
      *
-     * @param zone the replica's own
+     * @param zone the replica's own zone
      * @param period nanoseconds between two reports
      */
     ReplicaObservations(int zone, int zones, long period) {
@@ -140,7 +150,7 @@
         unservedRate = 0;
     }
 
-    /** A part of a report has come; an outdated one changes nothing. */
+    /** Applies a part of a report; an outdated one changes nothing. */
     void onReport(long now, ZoneObservations report) {
         if (report.incarnation() < incarnation) {
             return;
@@ -158,9 +168,10 @@
             lastReceivedAt = now;
             table = report.table();
         }
-        for (ZoneObservation seen : report.observations()) {
-            if (seen.zone() < reports.length) {
-                reports[seen.zone()].add(now, report.sequence(), seen, seconds, period);
+        for (ZoneObservation observation : report.observations()) {
+            if (observation.zone() < reports.length) {
+                reports[observation.zone()].add(
+                        now, report.sequence(), observation, seconds, period);
             }
         }
     }
@@ -169,46 +180,47 @@
         return first ? newest : average + NEWEST_WEIGHT * (newest - average);
     }
 
-    /** The replica's own zone. */
+    /** Returns the replica's own zone. */
     int zone() {
         return zone;
     }
 
-    /** The newest reports of all zones, by their numbers. */
+    /** Returns the newest reports on all zones, by zone number. */
     ZoneReport[] reports() {
         return reports;
     }
 
-    /** Requests a second that come to this replica. */
+    /** Returns the requests per second that arrive at this replica. */
     double arrivalRate() {
         return arrivalRate;
     }
 
-    /** The number of the route table that the replica used last. */
+    /** Returns the number of the route table that the replica used last. */
     long table() {
         return table;
     }
 
-    /** Its requests are counted no longer. */
+    /** Stops counting the replica's requests. */
     void forgetArrivals() {
         arrivalRate = 0;
     }
 
-    /** Whether any report came of the present incarnation, or of one before it. */
+    /** Returns whether any report arrived, of the present incarnation or an earlier one. */
     boolean isKnown() {
         return incarnation >= 0;
     }
 
-    /** Whether a report came within a time. */
+    /** Returns whether a report arrived within this time. */
     boolean isFresh(long now, long maxAge) {
         return isKnown() && sequence >= 0 && now - lastReceivedAt <= maxAge;
     }
 
-    /** Whether its requests, or those that it sends to a zone, are rejected there. */
+    /** Returns whether this replica's requests are rejected, in general or by the reported zone. */
     boolean isStrained(ZoneReport report, double minRequests) {
-        boolean unserved = arrivalRate >= 1 && unservedRate > REJECTED_SHARE * arrivalRate;
+        boolean unserved = arrivalRate >= 1 && unservedRate > MAX_REJECTED_FRACTION * arrivalRate;
         boolean rejected =
-                report.ended >= minRequests && report.rejected > REJECTED_SHARE * report.ended;
+                report.ended >= minRequests
+                        && report.rejected > MAX_REJECTED_FRACTION * report.ended;
         return unserved || rejected;
     }
 }
--- a/core/src/main/java/cedarrudder/failover/TrafficAllocator.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficAllocator.java
@@ -6,23 +6,26 @@
 
 /**
  * Allocates the requests that zones can't serve themselves to the nearest zones with spare
- * capacity. It is made for one plan.
+ * capacity. An instance serves for one plan.
  */
 final class TrafficAllocator {
 
-    /** Spare capacity is allocated in so many rounds, so that zones that want the same share it. */
+    /**
+     * Number of rounds in which spare capacity is allocated, so that zones that compete for it all
+     * get a part.
+     */
     private static final int ROUNDS = 20;
 
     /**
-     * A zone whose endpoints don't report load may be given this much more than it serves, each
-     * time it did well.
+     * A zone whose endpoints don't report load may be allocated this many times the rate that it
+     * serves, each time it was healthy.
      */
     private static final double UNREPORTED_GROWTH = 1.25;
 
-    /** Below this rate a zone's requests are not moved. */
+    /** Requests per second below which a zone's requests are not moved. */
     static final double MIN_DEMAND = 0.5;
 
-    /** Rates closer than this are equal. */
+    /** Rates that differ by less are equal. */
     private static final double EPSILON = 1e-9;
 
     private final FailoverSettings settings;
@@ -34,7 +37,7 @@
     private final int zones;
 
     /**
-     * An allocator for one plan.
+     * Creates an allocator for one plan.
      *
      * @param ranks how far each zone is from each
      * @param current the split in use
@@ -55,7 +58,10 @@
         this.zones = ranks.length;
     }
 
-    /** Rates that are being allocated. */
+    /**
+     * The state of an allocation: the rates allocated so far, and the excess and the spare capacity
+     * of each zone.
+     */
     private static final class Allocation {
         final double[][] rates;
         final double[] excess;
@@ -68,7 +74,7 @@
         }
     }
 
-    /** The next split, in which the rows of zones that don't move are the current ones. */
+    /** Returns the next split, in which the rows of zones that don't move are the current ones. */
     TrafficSplit allocate(boolean[] moving) {
         Allocation allocation = start(moving);
         allocateExcess(allocation);
@@ -112,31 +118,32 @@
     private double spareCapacity(int number) {
         ZoneHealth zone = zone(number);
         ZoneCeiling ceiling = ceilings[number];
-        if (!ceiling.takesForeign(zone)) {
+        if (!ceiling.acceptsOtherZones(zone)) {
             return 0;
         }
         double max = settings.targetShare() * zone.capacity();
-        if (zone.isUnreported() && ceiling.isHealthy()) {
+        if (zone.lacksLoadReports() && ceiling.isHealthy()) {
             max = Math.max(max, UNREPORTED_GROWTH * zone.served());
         }
         return max - zone.demand() - loads.unreportedRate(health, number);
     }
 
     /**
-     * What a lost zone's requests still lack may take other zones as far as their own requests may:
-     * otherwise it would be rejected.
+     * Adds the reserve: requests of a lost zone that found no capacity may use other zones up to
+     * the limit for those zones' own requests, since they would otherwise be rejected.
      */
     private void addReserve(Allocation allocation) {
         double reserve = settings.nearShare() - settings.targetShare();
         for (int zone = 0; zone < zones && reserve > 0; zone++) {
-            ZoneHealth seen = zone(zone);
-            boolean takesMore = ceilings[zone].takesForeign(seen) && !seen.isUnreported();
-            allocation.spare[zone] += takesMore ? reserve * seen.capacity() : 0;
-            allocation.excess[zone] = ceilings[zone].isLeft() ? allocation.excess[zone] : 0;
+            ZoneHealth zoneHealth = zone(zone);
+            boolean hasReserve =
+                    ceilings[zone].acceptsOtherZones(zoneHealth) && !zoneHealth.lacksLoadReports();
+            allocation.spare[zone] += hasReserve ? reserve * zoneHealth.capacity() : 0;
+            allocation.excess[zone] = ceilings[zone].isFailedOver() ? allocation.excess[zone] : 0;
         }
     }
 
-    /** Allocates all excess, the nearest zones first. */
+    /** Allocates all excess to other zones, the nearest first. */
     private void allocateExcess(Allocation allocation) {
         int farthest = Arrays.stream(ranks).flatMapToInt(Arrays::stream).max().orElse(0);
         for (int rank = 1; rank <= farthest; rank++) {
@@ -149,7 +156,10 @@
         }
     }
 
-    /** Allocates some of one zone's excess to the zones of a rank, by their spare capacity. */
+    /**
+     * Allocates some of one zone's excess to the zones of a rank, in proportion to their spare
+     * capacity.
+     */
     private void allocateRound(Allocation allocation, int from, int rank, double max) {
         double wanted = Math.min(max, allocation.excess[from]);
         double spare = 0;
@@ -174,7 +184,7 @@
         return ranks[from][to] == rank && zone(to).mayServe(from);
     }
 
-    /** How many other zones send requests to each. */
+    /** Returns for each zone how many other zones send requests to it. */
     private int[] countSenders(Allocation allocation, boolean[] moving) {
         int[] senders = new int[zones];
         for (int from = 0; from < zones; from++) {
@@ -190,34 +200,40 @@
     }
 
     private void writeRow(TrafficSplit next, Allocation allocation, int[] senders, int zone) {
-        ZoneHealth seen = zone(zone);
+        ZoneHealth zoneHealth = zone(zone);
         ZoneCeiling ceiling = ceilings[zone];
         double ownRate = ownRate(allocation, zone);
-        next.isLeft[zone] = ceiling.isMoved() || ceiling.isEvacuated();
+        next.isVacated[zone] = ceiling.isMoved() || ceiling.isEvacuated();
         long moved = 0;
         for (int to = 0; to < zones; to++) {
             double rate = to == zone ? ownRate : allocation.rates[zone][to];
-            int weight = (int) (RouteTable.TOTAL_WEIGHT * rate / seen.demand());
+            int weight = (int) (RouteTable.TOTAL_WEIGHT * rate / zoneHealth.demand());
             next.weights[zone][to] = Math.min(RouteTable.TOTAL_WEIGHT, weight);
             if (to != zone && weight > 0) {
-                // Its remaining spare capacity is for requests beyond those seen now.
+                // The limit includes the target's remaining spare capacity, for requests beyond
+                // those observed now.
                 double spare = Math.max(0, allocation.spare[to]) / Math.max(1, senders[to]);
-                next.perSecond[zone][to] = (int) Math.max(1, rate + spare);
+                next.maxPerSecond[zone][to] = (int) Math.max(1, rate + spare);
                 moved += weight;
             }
         }
-        double stayingRate = seen.demand() - moved * seen.demand() / RouteTable.TOTAL_WEIGHT;
-        if (!ceiling.isLeft() || ownRate + EPSILON >= stayingRate) {
-            // A zone that serves rejects none by this, and no weight is lost by rounding.
+        double stayingRate =
+                zoneHealth.demand() - moved * zoneHealth.demand() / RouteTable.TOTAL_WEIGHT;
+        if (!ceiling.isFailedOver() || ownRate + EPSILON >= stayingRate) {
+            // A healthy zone rejects nothing because of this plan, and no weight is lost by
+            // rounding.
             next.weights[zone][zone] = (int) (RouteTable.TOTAL_WEIGHT - moved);
         }
     }
 
-    /** What the zone serves itself: while it recovers also what found no other zone. */
+    /**
+     * Returns the rate that the zone serves itself: while it recovers, this includes requests that
+     * found no capacity elsewhere.
+     */
     private double ownRate(Allocation allocation, int zone) {
         double rate = allocation.rates[zone][zone];
         ZoneCeiling ceiling = ceilings[zone];
-        if (ceiling.isLeft() && ceiling.value() > 0) {
+        if (ceiling.isFailedOver() && ceiling.value() > 0) {
             double max = settings.nearShare() * zone(zone).capacity();
             return Math.max(rate, Math.min(rate + allocation.excess[zone], max));
         }
@@ -225,8 +241,8 @@
     }
 
     /**
-     * Nothing is known of a zone that gets no requests: a few of each zone's go to every other one,
-     * and to its own where that is lost.
+     * Ensures that some requests of a zone go to every other zone, and to the zone itself even if
+     * it is lost: nothing is known of a zone that gets no requests.
      */
     private void ensureProbed(TrafficSplit next, int zone) {
         int probeWeight = settings.probeWeight();
@@ -243,7 +259,10 @@
         }
     }
 
-    /** Raises a weight to a minimum, by what is unserved and by the largest weight of the row. */
+    /**
+     * Raises a weight to a minimum, at the expense of the unserved weight and of the largest weight
+     * of the row.
+     */
     private static void raise(TrafficSplit next, int zone, int to, int min) {
         int[] row = next.weights[zone];
         int largest = 0;
--- a/core/src/main/java/cedarrudder/failover/TrafficSplit.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplit.java
@@ -7,63 +7,72 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Shares as rows, one for each zone of clients: parts and bounds by the zone that serves. */
+/**
+ * The weights and limits of routes, with a row for each zone of clients and a column for each
+ * serving zone.
+ */
 final class TrafficSplit {
 
-    /** So few are not what left a zone: they go there to be seen. */
+    /** Up to this weight the requests to another zone are probes and not moved ones. */
     private static final int MAX_PROBE_WEIGHT = 100;
 
     final int[][] weights;
-    final int[][] perSecond;
+    final int[][] maxPerSecond;
 
-    /** Zones that have been left: what goes elsewhere is moved, and not spilled. */
-    final boolean[] isLeft;
+    /** Zones whose requests have moved away: requests that go elsewhere are moved, not spilled. */
+    final boolean[] isVacated;
 
     TrafficSplit(int zones) {
         weights = new int[zones][zones];
-        perSecond = new int[zones][zones];
-        isLeft = new boolean[zones];
+        maxPerSecond = new int[zones][zones];
+        isVacated = new boolean[zones];
     }
 
-    /** Those of a table; without one, or a row of a zone in it, a zone serves its own. */
+    /**
+     * Returns the split of a table. Without a table, or a row of a zone in it, the zone serves its
+     * own requests.
+     */
     static TrafficSplit of(RouteTable table, int zones) {
-        TrafficSplit shares = new TrafficSplit(zones);
-        boolean[] there = new boolean[zones];
-        for (ZoneRoute share : table == null ? List.<ZoneRoute>of() : table.routes()) {
-            if (share.from() < zones && share.to() < zones) {
-                there[share.from()] = true;
-                shares.weights[share.from()][share.to()] = share.weight();
-                shares.perSecond[share.from()][share.to()] = share.maxPerSecond();
-                shares.isLeft[share.from()] |= share.reason() == RouteReason.MOVED;
+        TrafficSplit split = new TrafficSplit(zones);
+        boolean[] hasRow = new boolean[zones];
+        for (ZoneRoute route : table == null ? List.<ZoneRoute>of() : table.routes()) {
+            if (route.from() < zones && route.to() < zones) {
+                hasRow[route.from()] = true;
+                split.weights[route.from()][route.to()] = route.weight();
+                split.maxPerSecond[route.from()][route.to()] = route.maxPerSecond();
+                split.isVacated[route.from()] |= route.reason() == RouteReason.MOVED;
             }
         }
         for (int zone = 0; zone < zones; zone++) {
-            shares.weights[zone][zone] =
-                    there[zone] ? shares.weights[zone][zone] : RouteTable.TOTAL_WEIGHT;
+            split.weights[zone][zone] =
+                    hasRow[zone] ? split.weights[zone][zone] : RouteTable.TOTAL_WEIGHT;
         }
-        return shares;
+        return split;
     }
 
     /** Copies a zone's row from another split. */
-    void copyRow(int from, TrafficSplit of) {
-        weights[from] = of.weights[from].clone();
-        perSecond[from] = of.perSecond[from].clone();
-        isLeft[from] = of.isLeft[from];
+    void copyRow(int from, TrafficSplit other) {
+        weights[from] = other.weights[from].clone();
+        maxPerSecond[from] = other.maxPerSecond[from].clone();
+        isVacated[from] = other.isVacated[from];
     }
 
-    /** Whether a zone's row is the same in both. */
+    /** Returns whether a zone's row is the same in both splits. */
     boolean hasSameRow(int from, TrafficSplit other) {
         return Arrays.equals(weights[from], other.weights[from])
-                && Arrays.equals(perSecond[from], other.perSecond[from])
-                && isLeft[from] == other.isLeft[from];
+                && Arrays.equals(maxPerSecond[from], other.maxPerSecond[from])
+                && isVacated[from] == other.isVacated[from];
     }
 
-    /** What is left of a zone's whole, and is refused where it came. */
+    /** Returns the weight that no zone serves; such requests are rejected where they arrive. */
     int unservedWeight(int from) {
         return RouteTable.TOTAL_WEIGHT - Arrays.stream(weights[from]).sum();
     }
 
-    /** The parts of a zone's calls that go elsewhere in one than in the other. */
+    /**
+     * Returns the weight of a zone's requests that another zone serves in this split than in the
+     * other.
+     */
     int movedWeight(int from, TrafficSplit other) {
         int moved = Math.abs(unservedWeight(from) - other.unservedWeight(from));
         for (int to = 0; to < weights.length; to++) {
@@ -72,7 +81,7 @@
         return moved / 2;
     }
 
-    /** As a table has them. */
+    /** Returns the routes of this split, as in a table. */
     List<ZoneRoute> toRoutes() {
         List<ZoneRoute> list = new ArrayList<>();
         for (int from = 0; from < weights.length; from++) {
@@ -84,11 +93,12 @@
                                     to,
                                     from == to
                                             ? RouteReason.NEAR
-                                            : isLeft[from] && weights[from][to] > MAX_PROBE_WEIGHT
+                                            : isVacated[from]
+                                                            && weights[from][to] > MAX_PROBE_WEIGHT
                                                     ? RouteReason.MOVED
                                                     : RouteReason.SPILLED,
                                     weights[from][to],
-                                    perSecond[from][to]));
+                                    maxPerSecond[from][to]));
                 }
             }
         }
--- a/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -10,41 +10,56 @@
 import java.util.Set;
 
 /**
- * Which zone serves which part of a zone's requests: its own while that is safe, otherwise the
- * nearest with spare capacity. Every replica has a planner and tells it of each table that it
- * loads; the leader asks its own for the next split. Not thread-safe.
+ * Plans which zone serves which fraction of a zone's requests: the zone itself while that is safe,
+ * otherwise the nearest zones with spare capacity. Every replica has a planner and notifies it of
+ * each table that it loads; the leader uses its planner to plan the next split. Not thread-safe.
  *
- * <p>Each zone has a {@link ZoneCeiling}. What exceeds it goes to other zones, to each up to its
- * target share ({@link TrafficAllocator}). How often the row of one zone changes is bounded here,
- * whatever the reports say.
+ * <p>Each zone has a {@link ZoneCeiling}. Requests beyond it go to other zones, to each up to its
+ * target share ({@link TrafficAllocator}). The rate at which the row of one zone changes is bounded
+ * here, whatever the reports contain.
  */
 public final class TrafficSplitPlanner {
 
-    /** A change of a smaller weight is not made, and is no move. */
+    /** The smallest weight that a move changes; smaller changes are not made. */
     public static final int MIN_MOVE = 200;
 
-    /** Of the moves that a zone has in a minute, so many are reserved for leaving it. */
-    private static final int MOVES_RESERVED_FOR_LEAVING = 2;
+    /**
+     * Of the moves that a zone has in a minute, this many are reserved for moving its requests
+     * away.
+     */
+    private static final int MOVES_RESERVED_FOR_MOVING_AWAY = 2;
 
-    /** And so many for its return. */
+    /**
+     * Of the moves that a zone has in a minute, this many are reserved for the return of its
+     * requests.
+     */
     private static final int MOVES_RESERVED_FOR_RETURN = 4;
 
-    /** A zone that gets this much of what its own requests may take is overloaded by others. */
+    /**
+     * A zone is overloaded by others if its total rate is over this many times the limit for its
+     * own requests.
+     */
     private static final double OVERLOAD_FACTOR = 1.05;
 
-    /** Requests at this much of a bound are held back by it, and not only by chance. */
+    /**
+     * Requests at this many times a route's limit are held back by the limit, and not only by
+     * chance.
+     */
     private static final double OUTGROWN_FACTOR = 1.1;
 
-    /** Requests that are served elsewhere move on only if this weight more is served, or nearer. */
+    /**
+     * Requests that are served elsewhere are moved on only if at least this weight more is served,
+     * or served nearer.
+     */
     private static final int MIN_GAIN = 500;
 
-    /** Why the row of a zone changes. */
+    /** The reason for a change of a zone's row. */
     public enum Reason {
         /** The zone is lost. */
         LOST,
         /** The zone can't serve all of its requests. */
         STRAINED,
-        /** An operator has the zone left. */
+        /** An operator evacuates the zone. */
         EVACUATED,
         /** The zone recovers. */
         RETURN,
@@ -53,10 +68,10 @@
     }
 
     /**
-     * One zone's row changes.
+     * A change of one zone's row.
      *
-     * @param unhealthyFor the zones whose replicas say that it does not serve them
-     * @param healthyFor the zones whose replicas say that it does
+     * @param unhealthyFor the zones whose replicas report that it does not serve them
+     * @param healthyFor the zones whose replicas report that it does
      */
     public record Move(
             int zone, Reason reason, Set<Integer> unhealthyFor, Set<Integer> healthyFor) {}
@@ -71,10 +86,10 @@
     private boolean isPlanning;
 
     /**
-     * A planner that has loaded no table. Of the minute before its start it assumes all moves but
-     * those reserved for leaving.
+     * Creates a planner that has loaded no table. For the minute before its start it assumes all
+     * moves but those reserved for moving away and one.
      *
-     * @param ranks how far each zone is from each, as {@link Regions#ranks} has it
+     * @param ranks how far each zone is from each, as from {@link Regions#ranks}
      */
     public TrafficSplitPlanner(FailoverSettings settings, int[][] ranks, long now) {
         this.settings = settings;
@@ -87,13 +102,13 @@
             ceilings[zone] = new ZoneCeiling(settings);
             moveHistories[zone] = new MoveHistory();
             moveHistories[zone].assume(
-                    settings.movesPerMinute() - MOVES_RESERVED_FOR_LEAVING - 1, now);
+                    settings.movesPerMinute() - MOVES_RESERVED_FOR_MOVING_AWAY - 1, now);
         }
     }
 
     /**
-     * A table is loaded; every replica tells of each, since any may lead next. Told twice it counts
-     * once.
+     * Records a loaded table. Every replica calls this for each table, since any may lead next; a
+     * repeated call for one table has no effect.
      */
     public void onTableLoaded(long now, RouteTable table) {
         if (loads.contains(table.number())) {
@@ -110,23 +125,23 @@
     }
 
     /**
-     * This replica becomes the leader, or ceases to be it: what it knew when it led before is
-     * outdated.
+     * Handles that this replica becomes the leader or ceases to be it: its state from an earlier
+     * leadership is outdated.
      */
     public void onLeadership() {
         isPlanning = false;
     }
 
-    /** The moves of the last plan. */
+    /** Returns the moves of the last plan. */
     public List<Move> moves() {
         return List.copyOf(moves);
     }
 
     /**
-     * The routes of the next table; those of the current one where nothing is to change.
+     * Returns the routes of the next table; those of the current one if nothing is to change.
      *
      * @param table the current one; null for none
-     * @param evacuated zones that an operator has left
+     * @param evacuated zones that an operator evacuates
      */
     public List<ZoneRoute> plan(
             long now, RouteTable table, ZoneHealthSnapshot health, Collection<Integer> evacuated) {
@@ -146,12 +161,14 @@
             Reason reason = reason(now, current, wanted, health, zone);
             moving[zone] = reason != null || table == null;
             if (reason != null) {
-                ZoneHealth seen = health.zones().get(zone);
-                moves.add(new Move(zone, reason, seen.unhealthyFor(), seen.healthyFor()));
+                ZoneHealth zoneHealth = health.zones().get(zone);
+                moves.add(
+                        new Move(zone, reason, zoneHealth.unhealthyFor(), zoneHealth.healthyFor()));
             }
         }
         TrafficSplit next = allocator.allocate(moving);
-        // How much the other rows leave is known only now: a move may have come to nothing.
+        // The capacity that the other rows leave is known only now: a move may have become too
+        // small.
         moves.removeIf(
                 move ->
                         next.movedWeight(move.zone(), current) < MIN_MOVE
@@ -172,7 +189,7 @@
                                 ceilings[zone],
                                 current.weights[zone][zone],
                                 settings.probeWeight(),
-                                current.isLeft[zone]));
+                                current.isVacated[zone]));
     }
 
     private void updateCeilings(
@@ -181,12 +198,12 @@
             ZoneHealthSnapshot health,
             Collection<Integer> evacuated) {
         for (int zone = 0; zone < zones; zone++) {
-            ZoneHealth seen = health.zones().get(zone);
+            ZoneHealth zoneHealth = health.zones().get(zone);
             double currentShare = current.weights[zone][zone] / (double) RouteTable.TOTAL_WEIGHT;
-            ceilings[zone].update(now, zone, seen, evacuated.contains(zone), currentShare);
-            double max = OVERLOAD_FACTOR * settings.nearShare() * seen.capacity();
+            ceilings[zone].update(now, zone, zoneHealth, evacuated.contains(zone), currentShare);
+            double max = OVERLOAD_FACTOR * settings.nearShare() * zoneHealth.capacity();
             boolean overloaded =
-                    seen.capacity() > 0 && loads.totalRate(current, health, zone) > max;
+                    zoneHealth.capacity() > 0 && loads.totalRate(current, health, zone) > max;
             ceilings[zone].setOverloaded(now, overloaded);
         }
     }
@@ -202,7 +219,7 @@
 
     // ---- whether a row changes now ----
 
-    /** Why a zone's row is to change now; null where it stays. */
+    /** Returns why a zone's row is to change now; null if it stays. */
     private Reason reason(
             long now,
             TrafficSplit current,
@@ -214,25 +231,26 @@
             return null;
         }
         ZoneCeiling ceiling = ceilings[zone];
-        boolean leaves = wanted.weights[zone][zone] < current.weights[zone][zone];
+        boolean movesAway = wanted.weights[zone][zone] < current.weights[zone][zone];
         Reason reason = reason(ceiling, current, wanted, zone);
         boolean urgent =
                 ceiling.wasCut()
-                        || ceiling.isEvacuated() && leaves
+                        || ceiling.isEvacuated() && movesAway
                         || reason == Reason.LOST
                         || hasBadTarget(now, current, health, zone);
         boolean isStep = ceiling.steppedAt() == now;
         boolean gains = gain(current, wanted, zone) >= MIN_GAIN;
-        // This avoids requests going to and fro among zones that serve them equally well.
+        // Without these conditions requests would move back and forth among zones that serve them
+        // equally well.
         if (!urgent && !outgrown && !isStep && !gains) {
             return null;
         }
         MoveHistory history = moveHistories[zone];
-        boolean soon =
+        boolean mayMoveNow =
                 urgent
                         || reason == Reason.RETURN && isStep
                         || now - history.lastMoveAt() >= settings.returnHold();
-        return soon && history.count(now) < maxMoves(urgent, reason) ? reason : null;
+        return mayMoveNow && history.count(now) < maxMoves(urgent, reason) ? reason : null;
     }
 
     private static boolean isNoticeableMove(
@@ -264,11 +282,14 @@
         if (urgent) {
             return max;
         }
-        max -= MOVES_RESERVED_FOR_LEAVING;
+        max -= MOVES_RESERVED_FOR_MOVING_AWAY;
         return reason == Reason.RETURN ? max : max - MOVES_RESERVED_FOR_RETURN;
     }
 
-    /** The weight that is served by the wanted split and not by the current one, or nearer. */
+    /**
+     * Returns the weight that the wanted split serves and the current one does not, or that it
+     * serves nearer.
+     */
     private int gain(TrafficSplit current, TrafficSplit wanted, int zone) {
         int gain = 0;
         int sum = 0;
@@ -283,31 +304,34 @@
         return gain;
     }
 
-    /** Whether a zone that serves a part of this one's requests can't any more. */
+    /** Returns whether a zone that serves some of this one's requests no longer can. */
     private boolean hasBadTarget(
             long now, TrafficSplit current, ZoneHealthSnapshot health, int from) {
         for (int to = 0; to < zones; to++) {
             boolean isTarget = to != from && current.weights[from][to] > MIN_MOVE;
-            boolean isBad =
+            boolean isBadTarget =
                     !health.zones().get(to).mayServe(from)
                             || ceilings[to].isEvacuated()
                             || ceilings[to].isOverloaded(now);
-            if (isTarget && isBad) {
+            if (isTarget && isBadTarget) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether the bound of a route holds requests back while its target has spare capacity. */
+    /**
+     * Returns whether the limit of a route holds requests back while its target has spare capacity.
+     */
     private boolean hasOutgrownLimits(TrafficSplit current, ZoneHealthSnapshot health, int from) {
         for (int to = 0; to < zones; to++) {
-            int bound = current.perSecond[from][to];
-            boolean isBounded = to != from && current.weights[from][to] > MIN_MOVE && bound > 0;
+            int limit = current.maxPerSecond[from][to];
+            boolean isLimitedRoute =
+                    to != from && current.weights[from][to] > MIN_MOVE && limit > 0;
             double rate = ZoneLoads.demandRate(current, health, from, to);
             double target = settings.targetShare() * health.zones().get(to).capacity();
-            if (isBounded
-                    && rate > OUTGROWN_FACTOR * bound
+            if (isLimitedRoute
+                    && rate > OUTGROWN_FACTOR * limit
                     && loads.totalRate(current, health, to) < target) {
                 return true;
             }
--- a/core/src/main/java/cedarrudder/failover/ZoneCapacity.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneCapacity.java
@@ -2,26 +2,26 @@
 
 import java.util.Arrays;
 
-/** What the endpoints of each zone can serve, learned from what they served under load. */
+/** The capacity of each zone's endpoints, learned from the rates that they served under load. */
 final class ZoneCapacity {
 
-    /** The load is smoothed by this weight of the newest. */
+    /** Weight of the newest value in the smoothed load. */
     private static final double NEWEST_WEIGHT = 0.25;
 
-    /** What a zone can do is learned by this weight, and by this one where it rejects. */
+    /** Weight of a new sample of the capacity. */
     private static final double LEARN_WEIGHT = 0.1;
 
     private static final double FALL_WEIGHT = 0.6;
 
-    /** Below this load of a zone, and this rate, nothing is learned of its capacity. */
+    /** Load of a zone below which its capacity can't be learned from load reports. */
     private static final double MIN_LOAD = 0.15;
 
     private static final double MIN_RATE = 5;
 
-    /** Requests a second that one warm endpoint of weight 1 serves; 0: not known. */
+    /** Requests per second that one warm endpoint of weight 1 serves; 0 if not known. */
     private final double[] ratePerWeight;
 
-    /** The smoothed load of zones; NaN: not known. */
+    /** The smoothed load of the zones; NaN if not known. */
     private final double[] load;
 
     ZoneCapacity(int zones) {
@@ -30,17 +30,20 @@
         Arrays.fill(load, Double.NaN);
     }
 
-    /** The smoothed load of a zone; NaN: not known. */
+    /** Returns the smoothed load of a zone; NaN if not known. */
     double load(int zone) {
         return load[zone];
     }
 
-    /** Requests a second that a zone serves whose ready endpoints weigh this much. */
+    /**
+     * Returns the requests per second that a zone can serve with ready endpoints of this total
+     * weight.
+     */
     double of(int zone, double weight) {
         return ratePerWeight[zone] * weight;
     }
 
-    /** A newer load of a zone; NaN: none was reported. */
+    /** Updates the load of a zone; NaN if none was reported. */
     void onLoad(int zone, double newest) {
         load[zone] =
                 Double.isNaN(newest) || Double.isNaN(load[zone])
@@ -49,12 +52,12 @@
     }
 
     /**
-     * Learns from what a healthy zone serves.
+     * Learns from the rate that a healthy zone serves.
      *
-     * @param weight of its ready endpoints
-     * @param served requests a second
-     * @param reported its load; NaN: none was reported
-     * @param strained whether it serves no more than that
+     * @param weight total weight of its ready endpoints
+     * @param served requests per second
+     * @param reported its load; NaN if none was reported
+     * @param strained whether the zone is at its capacity
      */
     void learn(int zone, double weight, double served, double reported, boolean strained) {
         if (weight > 0 && served >= MIN_RATE) {
@@ -65,8 +68,8 @@
     private void learn(int zone, double rate, double reported, boolean strained) {
         double known = ratePerWeight[zone];
         if (Double.isNaN(reported)) {
-            // Without load reports: a zone that is full serves what it can, another can do no less
-            // than it does.
+            // Without load reports: a strained zone serves at its capacity; the capacity of another
+            // one is at least the rate that it serves.
             ratePerWeight[zone] =
                     strained ? known + FALL_WEIGHT * (rate - known) : Math.max(known, rate);
         } else if (reported >= MIN_LOAD) {
@@ -74,7 +77,7 @@
             double weight = strained && sample < known ? FALL_WEIGHT : LEARN_WEIGHT;
             ratePerWeight[zone] += known == 0 ? sample : weight * (sample - known);
         } else {
-            // This avoids a zone that is nearly idle being taken for one that can serve nothing.
+            // A nearly idle zone must not appear to have no capacity.
             ratePerWeight[zone] = Math.max(known, rate / MIN_LOAD);
         }
     }
--- a/core/src/main/java/cedarrudder/failover/ZoneCeiling.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneCeiling.java
@@ -5,27 +5,27 @@
 import cedarrudder.routetable.RouteTable;
 
 /**
- * The part of its own requests that one zone may get: the ceiling. A loss takes it to nothing,
- * rejections to what the zone can serve, and it recovers by steps.
+ * The ceiling of one zone: the fraction of its own requests that it may serve. A loss lowers it to
+ * zero, rejections lower it to what the zone can serve, and it recovers in steps.
  */
 final class ZoneCeiling {
 
-    /** A zone must be strained for this many periods before requests leave it for that. */
+    /** A zone must be strained for this many periods before requests move away for that reason. */
     static final int STRAIN_PERIODS = 3;
 
-    /** A ceiling so near to 1 is 1. */
+    /** A ceiling that differs from 1 by less than this counts as 1. */
     private static final double FULL_CEILING_TOLERANCE = 0.06;
 
-    /** In place of the instant since which something holds, where it does not. */
+    /** In place of the time since which a condition holds, if it does not hold. */
     private static final long NOT_NOW = Long.MAX_VALUE;
 
-    /** In place of the instant of something that never happened. */
+    /** In place of the time of an event that never happened. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final FailoverSettings settings;
     private double ceiling = 1;
     private boolean isLimited;
-    private boolean isLeft;
+    private boolean isFailedOver;
     private boolean isMoved;
     private boolean isEvacuated;
     private boolean wasCut;
@@ -43,11 +43,13 @@
     }
 
     /**
-     * A new leader begins with what the table says, which is all that is known of a zone.
+     * Returns the ceiling with which a new leader begins, derived from the table, which is all that
+     * is known of a zone.
      *
-     * @param previous what this replica knew when it led before
-     * @param ownWeight the weight of the zone's own requests that it gets by the table
-     * @param probeWeight that of the requests that go to a zone only to probe it
+     * @param previous what this replica knew when it was leader before
+     * @param ownWeight the weight of the zone's own requests that it serves by the table
+     * @param probeWeight the weight of the requests that go to a zone only to probe it
+     * @param isVacated whether the zone's requests have moved away by the table
      */
     static ZoneCeiling resumed(
             FailoverSettings settings,
@@ -55,7 +57,7 @@
             ZoneCeiling previous,
             int ownWeight,
             int probeWeight,
-            boolean isLeft) {
+            boolean isVacated) {
         ZoneCeiling resumed = new ZoneCeiling(settings);
         resumed.returnHold = Math.max(settings.returnHold(), previous.returnHold);
         int reduced = RouteTable.TOTAL_WEIGHT - 2 * probeWeight - TrafficSplitPlanner.MIN_MOVE;
@@ -63,8 +65,8 @@
             boolean isProbedOnly = ownWeight <= 2 * probeWeight;
             resumed.ceiling = isProbedOnly ? 0 : ownWeight / (double) RouteTable.TOTAL_WEIGHT;
             resumed.isLimited = true;
-            resumed.isLeft = isLeft || resumed.ceiling == 0;
-            resumed.isMoved = resumed.isLeft;
+            resumed.isFailedOver = isVacated || resumed.ceiling == 0;
+            resumed.isMoved = resumed.isFailedOver;
             resumed.cutAt = now;
             resumed.steppedAt = now;
         }
@@ -73,68 +75,71 @@
 
     // ---- state ----
 
-    /** The part of its own requests that the zone may get, from 0 to 1. */
+    /** Returns the fraction of its own requests that the zone may serve, from 0 to 1. */
     double value() {
         return ceiling;
     }
 
-    /** Whether its own requests are held to what it can serve. */
+    /** Returns whether the zone's own requests are limited to what it can serve. */
     boolean isLimited() {
         return isLimited;
     }
 
-    /** Whether it was lost, and has not recovered fully yet. */
-    boolean isLeft() {
-        return isLeft;
+    /** Returns whether the zone was lost and has not recovered fully yet. */
+    boolean isFailedOver() {
+        return isFailedOver;
     }
 
-    /** Whether its requests go elsewhere because it was lost, and not because it is strained. */
+    /**
+     * Returns whether the zone's requests go elsewhere because it was lost, and not because it is
+     * strained.
+     */
     boolean isMoved() {
         return isMoved;
     }
 
-    /** Whether an operator has it left. */
+    /** Returns whether an operator evacuates the zone. */
     boolean isEvacuated() {
         return isEvacuated;
     }
 
-    /** Whether the ceiling came down at the last update. */
+    /** Returns whether the ceiling was lowered at the last update. */
     boolean wasCut() {
         return wasCut;
     }
 
-    /** When the ceiling was last changed, or held. */
+    /** Returns when the ceiling was last changed, or deliberately left unchanged. */
     long steppedAt() {
         return steppedAt;
     }
 
-    /** Whether it has been healthy since some earlier update. */
+    /** Returns whether the zone has been healthy since an earlier update. */
     boolean isHealthy() {
         return healthySince != NOT_NOW;
     }
 
-    /** Whether it may serve requests of other zones. */
-    boolean takesForeign(ZoneHealth zone) {
+    /** Returns whether the zone may serve requests of other zones. */
+    boolean acceptsOtherZones(ZoneHealth zone) {
         return zone.state() == ZoneState.HEALTHY
                 && !isEvacuated
-                && !isLeft
+                && !isFailedOver
                 && ceiling >= 1
                 && !zone.isStrained();
     }
 
-    /** The rate that its own requests may come to there. */
+    /** Returns the rate up to which the zone may serve its own requests. */
     double ownRate(ZoneHealth zone) {
         double rate = ceiling * zone.demand();
-        boolean bounded = isLimited && !zone.isUnreported();
+        boolean bounded = isLimited && !zone.lacksLoadReports();
         return bounded ? Math.min(rate, settings.nearShare() * zone.capacity()) : rate;
     }
 
-    /** Whether it has been overloaded for some periods. */
+    /** Returns whether the zone has been overloaded for {@link #STRAIN_PERIODS} periods. */
     boolean isOverloaded(long now) {
         return now - overloadedSince >= STRAIN_PERIODS * settings.period();
     }
 
-    /** It is overloaded now, or is not. */
+    /** Records whether the zone is overloaded now. */
     void setOverloaded(long now, boolean overloaded) {
         overloadedSince = since(overloaded, overloadedSince, now);
     }
@@ -142,16 +147,16 @@
     // ---- updates ----
 
     /**
-     * Updates the ceiling by what is known of the zone now.
+     * Updates the ceiling from the current health of the zone.
      *
      * @param number the zone's number
-     * @param evacuated whether an operator has it left
-     * @param currentShare the share of its own requests that it gets by the table: steps are from
-     *     there
+     * @param evacuated whether an operator evacuates it
+     * @param currentFraction the fraction of its own requests that it serves by the table, from
+     *     which steps start
      */
-    void update(long now, int number, ZoneHealth zone, boolean evacuated, double currentShare) {
+    void update(long now, int number, ZoneHealth zone, boolean evacuated, double currentFraction) {
         wasCut = false;
-        // Where its own replicas say nothing it may be lost to the others alone.
+        // If its own replicas report nothing, the zone may be lost for the others alone.
         boolean lost = zone.state() == ZoneState.LOST && zone.unhealthyFor().contains(number);
         boolean healthy = zone.state() == ZoneState.HEALTHY && !zone.isStrained();
         lostSince = since(lost, lostSince, now);
@@ -163,23 +168,24 @@
             steppedAt = now;
             return;
         }
-        double servable = servableShare(zone);
+        double servable = servableFraction(zone);
         if (zone.freshReplicas() == 0) {
-            // No replica there reports, so what it is served is not known: it stays as it was.
+            // No replica of the zone reports, so it is unknown how much the zone serves: the
+            // ceiling stays.
             steppedAt = Math.max(steppedAt, now);
         } else if (lost && now - lostSince >= settings.lossHold()) {
             cut(now, 0);
-            isLeft = true;
+            isFailedOver = true;
             isMoved = true;
         } else if (isStrainedBelowCeiling(now, zone, servable)) {
             cut(now, servable);
             isMoved = false;
-            strainedSince = now; // the effect of this is to be seen first
+            strainedSince = now; // the effect of this cut has to be observed first
         } else if (mayStepUp(now)) {
-            stepUp(now, currentShare);
+            stepUp(now, currentFraction);
         } else if (hasRecovered(now, zone, servable)) {
             isLimited = false;
-            isLeft = false;
+            isFailedOver = false;
             isMoved = false;
         }
         if (now - cutAt > 2 * settings.maxReturnHold() && ceiling == 1) {
@@ -191,8 +197,8 @@
         return holds ? Math.min(since, now) : NOT_NOW;
     }
 
-    /** The share of its own requests that a zone can serve. */
-    private double servableShare(ZoneHealth zone) {
+    /** Returns the fraction of its own requests that a zone can serve. */
+    private double servableFraction(ZoneHealth zone) {
         if (zone.demand() <= 0) {
             return 1;
         }
@@ -210,8 +216,8 @@
         return ceiling < 1 && isHealthy() && now - Math.max(healthySince, steppedAt) >= returnHold;
     }
 
-    private void stepUp(long now, double currentShare) {
-        ceiling = Math.max(ceiling, Math.min(1, currentShare + settings.returnStep()));
+    private void stepUp(long now, double currentFraction) {
+        ceiling = Math.max(ceiling, Math.min(1, currentFraction + settings.returnStep()));
         ceiling = ceiling + FULL_CEILING_TOLERANCE > 1 ? 1 : ceiling;
         steppedAt = now;
     }
@@ -220,12 +226,10 @@
         return ceiling == 1
                 && isLimited
                 && now - steppedAt >= returnHold
-                && (zone.isUnreported() || servable >= 1);
+                && (zone.lacksLoadReports() || servable >= 1);
     }
 
-    /**
-     * Brings the ceiling down; where it had stepped up shortly before, the next step takes longer.
-     */
+    /** Lowers the ceiling; if it had stepped up shortly before, the next step takes longer. */
     private void cut(long now, double newCeiling) {
         if (newCeiling < ceiling) {
             boolean steppedUpInVain =
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthAggregator.java
@@ -1,7 +1,7 @@
 package cedarrudder.failover;
 
 import cedarrudder.failover.ReplicaObservations.ZoneReport;
-import cedarrudder.failover.ZoneHealthSnapshot.RemoteTraffic;
+import cedarrudder.failover.ZoneHealthSnapshot.UnreachableReplica;
 import cedarrudder.failover.ZoneHealthSnapshot.ZoneHealth;
 import cedarrudder.failover.ZoneHealthSnapshot.ZoneState;
 import cedarrudder.failover.ZoneVotes.Verdict;
@@ -13,26 +13,28 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * Puts together what many replicas observed of the zones. Not thread-safe.
+ * Aggregates the observations of zones by many replicas. Not thread-safe.
  *
- * <p>Replicas vote, and zones of replicas: within a zone each replica that has seen enough has one
- * vote, and the zone finds another healthy or unhealthy by a majority of its votes ({@link
- * ZoneVotes}). This avoids a failover for one replica's broken link, and one by the reports of
- * replicas of a single zone while others are served.
+ * <p>Both replicas and the zones of replicas vote: within a zone each replica with enough
+ * observations has one vote, and the zone finds another healthy or unhealthy by a majority of its
+ * votes ({@link ZoneVotes}). So neither one replica's broken network link causes a failover, nor
+ * the reports of a single zone's replicas while other zones are served.
  */
 public final class ZoneHealthAggregator {
 
     /**
-     * Where other zones can't tell, the zone's own replicas must have reported it unhealthy for
-     * this many periods.
+     * If the other zones have no verdict, the zone's own replicas must have reported it unhealthy
+     * for this many periods.
      */
-    private static final int ALONE_PERIODS = 6;
+    private static final int UNCONFIRMED_PERIODS = 6;
 
-    /** A zone is strained where its endpoints report, over some periods, that they are so full. */
+    /** A zone is strained if its endpoints report a load over this for some periods. */
     private static final double FULL_LOAD = 0.97;
 
-    /** Requests that no replica reports count where they are over this share of the capacity. */
-    private static final double UNREPORTED_SHARE = 0.05;
+    /**
+     * Requests that no replica reports count if their rate is over this fraction of the capacity.
+     */
+    private static final double MIN_UNREPORTED_FRACTION = 0.05;
 
     private static final double HUNDREDTHS = 100;
 
@@ -41,12 +43,12 @@
     private final int zones;
     private final ReplicaObservations[] replicas;
     private final ZoneCapacity capacities;
-    private final long[] aloneSince;
-    private final boolean[] isAlone;
+    private final long[] unconfirmedSince;
+    private final boolean[] isUnconfirmed;
     private long learnedAt = Long.MIN_VALUE;
 
     /**
-     * Before the first report.
+     * Creates an aggregator without any report.
      *
      * @param zoneOf the zone of each replica
      */
@@ -55,15 +57,15 @@
         this.zoneOf = zoneOf.clone();
         this.zones = zones;
         this.capacities = new ZoneCapacity(zones);
-        this.aloneSince = new long[zones];
-        this.isAlone = new boolean[zones];
+        this.unconfirmedSince = new long[zones];
+        this.isUnconfirmed = new boolean[zones];
         this.replicas = new ReplicaObservations[zoneOf.length];
         Arrays.setAll(replicas, i -> new ReplicaObservations(zoneOf[i], zones, settings.period()));
     }
 
     /**
-     * A part of a replica's observations has come; what is of no known replica or zone, or
-     * outdated, changes nothing.
+     * Applies a part of a replica's observations; a part of an unknown replica or zone, or an
+     * outdated one, changes nothing.
      */
     public void onObservations(long now, ZoneObservations observations) {
         int replica = observations.replica();
@@ -72,7 +74,10 @@
         }
     }
 
-    /** What is known now; to be asked once a period, as it also learns what zones can serve. */
+    /**
+     * Returns the current health of the zones. Call it once per period, as it also learns the
+     * zones' capacity.
+     */
     public ZoneHealthSnapshot snapshot(long now) {
         boolean learns = learnedAt == Long.MIN_VALUE || now - learnedAt >= settings.period() / 2;
         if (learns) {
@@ -82,26 +87,27 @@
         for (int zone = 0; zone < zones; zone++) {
             health.add(zoneHealth(now, zone, learns));
         }
-        return new ZoneHealthSnapshot(health, trafficOfSilentReplicas(now));
+        return new ZoneHealthSnapshot(health, unreachableReplicas(now));
     }
 
-    private List<RemoteTraffic> trafficOfSilentReplicas(long now) {
-        List<RemoteTraffic> traffic = new ArrayList<>();
+    private List<UnreachableReplica> unreachableReplicas(long now) {
+        List<UnreachableReplica> unreachable = new ArrayList<>();
         for (ReplicaObservations replica : replicas) {
             if (replica.isKnown() && !isFresh(now, replica) && replica.arrivalRate() > 0) {
-                traffic.add(
-                        new RemoteTraffic(replica.zone(), replica.arrivalRate(), replica.table()));
+                unreachable.add(
+                        new UnreachableReplica(
+                                replica.zone(), replica.arrivalRate(), replica.table()));
             }
         }
-        return traffic;
+        return unreachable;
     }
 
     /**
-     * Replicas whose lease is over for certain: their requests are counted no longer.
+     * Stops counting the requests of replicas whose lease has certainly expired.
      *
-     * @param leaseOver of each replica, when that is where it stays silent
+     * @param leaseOver for each replica, when its lease expires if it does not report again
      */
-    public void lapse(long now, IntToLongFunction leaseOver) {
+    public void forgetExpiredReplicas(long now, IntToLongFunction leaseOver) {
         for (int i = 0; i < replicas.length; i++) {
             if (!isFresh(now, replicas[i]) && now - leaseOver.applyAsLong(i) > 0) {
                 replicas[i].forgetArrivals();
@@ -114,19 +120,20 @@
     }
 
     private ZoneHealth zoneHealth(long now, int zone, boolean learns) {
-        Opinions opinions = opinions(now, zone);
+        ZoneVerdicts zoneVerdicts = zoneVerdicts(now, zone);
         Totals totals = totals(now, zone);
-        ZoneState state = state(now, zone, opinions, totals.fresh);
+        ZoneState state = state(now, zone, zoneVerdicts, totals.fresh);
         double load = totals.load();
         if (learns) {
             capacities.onLoad(zone, load);
         }
-        boolean strained = rejects(totals) || capacities.load(zone) > FULL_LOAD;
+        boolean strained = isRejecting(totals) || capacities.load(zone) > FULL_LOAD;
         if (learns && state == ZoneState.HEALTHY) {
             capacities.learn(zone, totals.usableWeight(), totals.served, load, strained);
         }
         double capacity = capacities.of(zone, totals.usableWeight());
-        double unseen = Double.isNaN(load) ? 0 : Math.max(0, load * capacity - totals.served);
+        double unreportedRate =
+                Double.isNaN(load) ? 0 : Math.max(0, load * capacity - totals.served);
         return new ZoneHealth(
                 state,
                 strained,
@@ -134,28 +141,28 @@
                 totals.served,
                 capacity,
                 Double.isNaN(load),
-                unseen > UNREPORTED_SHARE * capacity ? unseen : 0,
+                unreportedRate > MIN_UNREPORTED_FRACTION * capacity ? unreportedRate : 0,
                 totals.fresh,
-                opinions.unhealthy,
-                opinions.healthy);
+                zoneVerdicts.unhealthy,
+                zoneVerdicts.healthy);
     }
 
-    private boolean rejects(Totals totals) {
+    private boolean isRejecting(Totals totals) {
         return totals.fresh > 0
                 && totals.strained >= Math.min(settings.minReplicas(), totals.fresh)
                 && ZoneVotes.isMajority(totals.strained, totals.fresh);
     }
 
     /**
-     * What the zones find of one of them.
+     * The verdicts of all zones on one of them.
      *
      * @param unhealthy the zones whose replicas find it unhealthy
      * @param healthy those whose replicas find it healthy
-     * @param ofOthers what the replicas of all other zones find together
+     * @param ofOthers the common verdict of the replicas of all other zones
      */
-    private record Opinions(Set<Integer> unhealthy, Set<Integer> healthy, Verdict ofOthers) {}
+    private record ZoneVerdicts(Set<Integer> unhealthy, Set<Integer> healthy, Verdict ofOthers) {}
 
-    private Opinions opinions(long now, int zone) {
+    private ZoneVerdicts zoneVerdicts(long now, int zone) {
         Set<Integer> unhealthy = new TreeSet<>();
         Set<Integer> healthy = new TreeSet<>();
         ZoneVotes others = new ZoneVotes(0, 0, 0);
@@ -172,10 +179,10 @@
         }
         Verdict ofOthers =
                 others.replicas() < settings.minReplicas() ? Verdict.UNDECIDED : others.verdict();
-        return new Opinions(unhealthy, healthy, ofOthers);
+        return new ZoneVerdicts(unhealthy, healthy, ofOthers);
     }
 
-    /** What the fresh reports of a zone add up to. */
+    /** The sums over the fresh reports on a zone. */
     private static final class Totals {
         private double demand;
         private double served;
@@ -194,21 +201,21 @@
             if (report.latest() == null) {
                 return;
             }
-            served += report.rate();
+            served += report.servedRate();
             if (report.latest().age() == 0 && report.latest().load() > 0) {
                 double weight = Math.max(1, report.latest().ended());
                 weightedLoads += weight * (report.latest().load() - 1) / HUNDREDTHS;
                 loadWeights += weight;
             }
-            usable[reporters++] = report.latest().usableNodes();
+            usable[reporters++] = report.latest().usableWeightHundredths();
         }
 
-        /** The weight of the endpoints that may be used: the median of the reports. */
+        /** Returns the weight of the usable endpoints: the median of the reports. */
         double usableWeight() {
             return reporters == 0 ? 0 : usable[reporters / 2] / HUNDREDTHS;
         }
 
-        /** The mean load; NaN: none was reported. */
+        /** Returns the mean load; NaN if none was reported. */
         double load() {
             return loadWeights == 0 ? Double.NaN : weightedLoads / loadWeights;
         }
@@ -232,21 +239,23 @@
         return totals;
     }
 
-    private ZoneState state(long now, int zone, Opinions opinions, int fresh) {
-        boolean unhealthyByItself = opinions.unhealthy.contains(zone);
-        int unhealthyByOthers = opinions.unhealthy.size() - (unhealthyByItself ? 1 : 0);
-        boolean othersFindUnhealthy = opinions.ofOthers == Verdict.UNHEALTHY;
-        boolean alone = unhealthyByItself && isSilentOn(zone, opinions, unhealthyByOthers);
-        trackAlone(now, zone, alone);
+    private ZoneState state(long now, int zone, ZoneVerdicts zoneVerdicts, int fresh) {
+        boolean unhealthyByItself = zoneVerdicts.unhealthy.contains(zone);
+        int unhealthyByOthers = zoneVerdicts.unhealthy.size() - (unhealthyByItself ? 1 : 0);
+        boolean othersFindUnhealthy = zoneVerdicts.ofOthers == Verdict.UNHEALTHY;
+        boolean unconfirmed =
+                unhealthyByItself && hasNoOtherVerdict(zone, zoneVerdicts, unhealthyByOthers);
+        trackUnconfirmed(now, zone, unconfirmed);
         if (unhealthyByItself) {
             boolean lost =
-                    alone
-                            ? now - aloneSince[zone] >= ALONE_PERIODS * settings.period()
+                    unconfirmed
+                            ? now - unconfirmedSince[zone]
+                                            >= UNCONFIRMED_PERIODS * settings.period()
                                     && fresh >= settings.minReplicas()
                             : othersFindUnhealthy && unhealthyByOthers > 0;
             return lost ? ZoneState.LOST : ZoneState.UNKNOWN;
         }
-        if (opinions.healthy.contains(zone)) {
+        if (zoneVerdicts.healthy.contains(zone)) {
             return othersFindUnhealthy && unhealthyByOthers > 0
                     ? ZoneState.CUT_OFF
                     : ZoneState.HEALTHY;
@@ -254,20 +263,21 @@
         if (othersFindUnhealthy && unhealthyByOthers > 1) {
             return ZoneState.LOST;
         }
-        return opinions.ofOthers == Verdict.HEALTHY ? ZoneState.HEALTHY : ZoneState.UNKNOWN;
+        return zoneVerdicts.ofOthers == Verdict.HEALTHY ? ZoneState.HEALTHY : ZoneState.UNKNOWN;
     }
 
-    /** Whether no other zone finds anything of this one. */
-    private static boolean isSilentOn(int zone, Opinions opinions, int unhealthyByOthers) {
-        return opinions.ofOthers == Verdict.UNDECIDED
+    /** Returns whether no other zone has a verdict on this one. */
+    private static boolean hasNoOtherVerdict(
+            int zone, ZoneVerdicts zoneVerdicts, int unhealthyByOthers) {
+        return zoneVerdicts.ofOthers == Verdict.UNDECIDED
                 && unhealthyByOthers == 0
-                && opinions.healthy.stream().noneMatch(other -> other != zone);
+                && zoneVerdicts.healthy.stream().noneMatch(other -> other != zone);
     }
 
-    private void trackAlone(long now, int zone, boolean alone) {
-        if (alone && !isAlone[zone]) {
-            aloneSince[zone] = now;
+    private void trackUnconfirmed(long now, int zone, boolean unconfirmed) {
+        if (unconfirmed && !isUnconfirmed[zone]) {
+            unconfirmedSince[zone] = now;
         }
-        isAlone[zone] = alone;
+        isUnconfirmed[zone] = unconfirmed;
     }
 }
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
@@ -4,38 +4,41 @@
 import java.util.Set;
 
 /**
- * The health of all zones at an instant, from the observations of many replicas.
+ * The health of all zones at one time, from the observations of many replicas.
  *
  * @param zones by number
- * @param unreachable replicas that have not reported for long, whose lease may still run
+ * @param unreachable replicas that have not reported for long, but whose lease may not have expired
  */
-public record ZoneHealthSnapshot(List<ZoneHealth> zones, List<RemoteTraffic> unreachable) {
+public record ZoneHealthSnapshot(List<ZoneHealth> zones, List<UnreachableReplica> unreachable) {
 
-    /** Whether a zone serves. */
+    /** The state of a zone. */
     public enum ZoneState {
         /** Too little is known. */
         UNKNOWN,
-        /** Its own replicas, and others that can tell, are served there. */
+        /**
+         * Requests of the zone's own replicas are served there, and those of other zones with
+         * enough observations.
+         */
         HEALTHY,
-        /** Its own replicas are served there, those of other zones are not. */
+        /** Requests of the zone's own replicas are served there, those of other zones are not. */
         CUT_OFF,
-        /** Enough replicas in enough zones are not served there. */
+        /** Requests of enough replicas in enough zones are not served there. */
         LOST
     }
 
     /**
-     * One zone. Rates are requests a second.
+     * The health of one zone. Rates are requests per second.
      *
-     * @param isStrained enough of its replicas report that it rejects requests, or that its
+     * @param isStrained whether enough of its replicas report that it rejects requests, or that its
      *     endpoints are full
-     * @param demand requests that come to its replicas
-     * @param served requests of all replicas that it serves
-     * @param capacity what it can serve now; 0 where nothing is known
-     * @param isUnreported whether its endpoints don't report their load: then the capacity is the
-     *     most that it was seen to serve well
-     * @param unreportedRate what it serves of requests that no replica reports
-     * @param freshReplicas replicas of this zone whose reports are fresh
-     * @param unhealthyFor the zones whose replicas report that they are not served there
+     * @param demand rate of the requests that arrive at its replicas
+     * @param served rate of the requests that it serves, of all replicas
+     * @param capacity rate that it can serve now; 0 if nothing is known
+     * @param lacksLoadReports whether its endpoints don't report their load: then the capacity is
+     *     the maximum that it was observed to serve well
+     * @param unreportedRate rate that it serves of requests that no replica reports
+     * @param freshReplicas number of replicas of this zone whose reports are fresh
+     * @param unhealthyFor the zones whose replicas report that their requests are not served there
      * @param healthyFor the zones whose replicas report that they are
      */
     public record ZoneHealth(
@@ -44,26 +47,26 @@
             double demand,
             double served,
             double capacity,
-            boolean isUnreported,
+            boolean lacksLoadReports,
             double unreportedRate,
             int freshReplicas,
             Set<Integer> unhealthyFor,
             Set<Integer> healthyFor) {
 
-        /** Whether requests of that zone may be sent here. */
+        /** Returns whether requests of that zone may be sent here. */
         public boolean mayServe(int from) {
             return state == ZoneState.HEALTHY && !unhealthyFor.contains(from);
         }
     }
 
     /**
-     * A replica that may still use the table that it reported last.
+     * A replica that does not report but may still use the table that it reported last.
      *
      * @param zone its zone
-     * @param rate calls a second that came to it
+     * @param rate requests per second that arrived at it
      * @param table that table's number; 0 for none
      */
-    public record RemoteTraffic(int zone, double rate, long table) {}
+    public record UnreachableReplica(int zone, double rate, long table) {}
 
     /** Copies the lists. */
     public ZoneHealthSnapshot {
--- a/core/src/main/java/cedarrudder/failover/ZoneLoads.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneLoads.java
@@ -1,11 +1,11 @@
 package cedarrudder.failover;
 
-import cedarrudder.failover.ZoneHealthSnapshot.RemoteTraffic;
+import cedarrudder.failover.ZoneHealthSnapshot.UnreachableReplica;
 import cedarrudder.failover.ZoneHealthSnapshot.ZoneHealth;
 import cedarrudder.routetable.RouteTable;
 import java.util.TreeMap;
 
-/** Which rates of requests zones get, by the tables that were loaded last. */
+/** The request rates that zones get by recently loaded tables. */
 final class ZoneLoads {
     private static final int MAX_RECENT_SPLITS = 16;
 
@@ -16,19 +16,19 @@
         this.zones = zones;
     }
 
-    /** Whether a table of this number was loaded lately. */
+    /** Returns whether a table of this number was loaded recently. */
     boolean contains(long table) {
         return recentSplits.containsKey(table);
     }
 
-    /** The split of the newest table; that of no table before the first. */
+    /** Returns the split of the newest table; before the first, the split without a table. */
     TrafficSplit latest() {
         return recentSplits.isEmpty()
                 ? TrafficSplit.of(null, zones)
                 : recentSplits.lastEntry().getValue();
     }
 
-    /** A table is loaded. */
+    /** Adds the split of a loaded table. */
     void add(long table, TrafficSplit split) {
         recentSplits.put(table, split);
         while (recentSplits.size() > MAX_RECENT_SPLITS) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The rate that a zone gets by a split, and by replicas that don't report. */
+    /** Returns the rate that a zone gets by a split, plus that of replicas that don't report. */
     double totalRate(TrafficSplit split, ZoneHealthSnapshot health, int to) {
         double rate = unreportedRate(health, to);
         for (int from = 0; from < zones; from++) {
@@ -45,40 +45,41 @@
         return rate;
     }
 
-    /** The rate of one zone's requests that a split has another serve. */
+    /** Returns the rate of one zone's requests that another serves by a split. */
     static double rate(TrafficSplit split, ZoneHealthSnapshot health, int from, int to) {
         double rate = demandRate(split, health, from, to);
-        int bound = split.perSecond[from][to];
+        int bound = split.maxPerSecond[from][to];
         return bound == 0 ? rate : Math.min(rate, bound);
     }
 
-    /** As {@link #rate}, without the bound of the split. */
+    /** Returns the same as {@link #rate}, without the limit of the split. */
     static double demandRate(TrafficSplit split, ZoneHealthSnapshot health, int from, int to) {
         double demand = health.zones().get(from).demand();
         return demand * split.weights[from][to] / RouteTable.TOTAL_WEIGHT;
     }
 
     /**
-     * The rate of replicas that can't report. Where endpoints report their load it is seen there;
-     * otherwise it is estimated by the table that such a replica used last.
+     * Returns the rate that a zone gets from replicas that can't report. If endpoints report their
+     * load, the rate shows there; otherwise it is estimated from the table that such a replica used
+     * last.
      */
     double unreportedRate(ZoneHealthSnapshot health, int to) {
         ZoneHealth zone = health.zones().get(to);
-        if (!zone.isUnreported()) {
+        if (!zone.lacksLoadReports()) {
             return zone.unreportedRate();
         }
         double rate = 0;
-        for (RemoteTraffic remote : health.unreachable()) {
-            rate += share(remote, to) * remote.rate();
+        for (UnreachableReplica replica : health.unreachable()) {
+            rate += weightFraction(replica, to) * replica.rate();
         }
         return rate;
     }
 
-    private double share(RemoteTraffic remote, int to) {
-        TrafficSplit split = recentSplits.get(remote.table());
+    private double weightFraction(UnreachableReplica replica, int to) {
+        TrafficSplit split = recentSplits.get(replica.table());
         if (split == null) {
-            return remote.zone() == to ? 1 : 0;
+            return replica.zone() == to ? 1 : 0;
         }
-        return split.weights[remote.zone()][to] / (double) RouteTable.TOTAL_WEIGHT;
+        return split.weights[replica.zone()][to] / (double) RouteTable.TOTAL_WEIGHT;
     }
 }
--- a/core/src/main/java/cedarrudder/failover/ZoneObservations.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneObservations.java
@@ -10,21 +10,22 @@
 import java.util.List;
 
 /**
- * What one replica saw of the zones in a period. It tells what happened to its calls and judges
- * nothing.
+ * The observations of all zones by one replica in one period: counts of what happened to its
+ * requests, without a judgement.
  *
- * <p>As bytes: a version, then {@link Varint}s in the order of the components. What does not fit
- * one part goes into several, split between zones; each begins with the same head.
+ * <p>Encoded as a version, then {@link Varint}s in the order of the components. Observations that
+ * do not fit into one part are split over several, between zones; each part begins with the same
+ * header.
  *
- * @param replica who saw it, below {@value #MAX_REPLICAS}
+ * @param replica the replica that observed, below {@value #MAX_REPLICAS}
  * @param zone its zone
- * @param incarnation its life; a later one replaces what an earlier one said
- * @param sequence rises by one each period of that life
- * @param table the number of the table that it uses; 0 for none
- * @param millis how long the period was, in milliseconds; from 1
- * @param requests calls that came to it
- * @param unserved of those that ended, the ones that it refused or failed
- * @param observations what it saw, ordered by zone
+ * @param incarnation its incarnation; reports of a later one replace those of an earlier one
+ * @param sequence rises by one each period of that incarnation
+ * @param table the number of the table in use there; 0 for none
+ * @param millis length of the period in milliseconds; from 1
+ * @param requests requests that arrived at the replica
+ * @param unserved of those that ended, the ones that it rejected or failed
+ * @param observations its observations, ordered by zone
  */
 public record ZoneObservations(
         int replica,
@@ -37,39 +38,40 @@
         int unserved,
         List<ZoneObservation> observations) {
 
-    /** What a part takes at most, so that a datagram has room for more. */
+    /** Maximum bytes of a part, which leaves capacity in a datagram for other content. */
     public static final int MAX_BYTES = 200;
 
-    /** The longest head and one zone fit into this many. */
+    /** Bytes into which the longest header and one zone fit. */
     public static final int MIN_BYTES = 88;
 
     public static final int MAX_REPLICAS = 1 << 16;
 
-    /** Counts are below this; what is more is said to be one less. */
+    /** Counts are below this; a larger one is reported as the largest allowed. */
     public static final int MAX_COUNT = 1 << 20;
 
-    /** Periods after which what was seen of a zone is forgotten. */
+    /** Periods after which the observations of a zone expire. */
     public static final int MAX_AGE = 20;
 
     private static final int VERSION = 1;
     private static final int MAX_MILLIS = 1 << 20;
 
     /**
-     * What it saw of one zone.
+     * The observations of one zone. Counts are of attempts that the replica sent there.
      *
-     * @param age how many periods ago that was; 0: in this one
-     * @param served its calls there that were answered well
-     * @param failed that were answered with an error, or broke off
-     * @param silent that got no answer in time, or no connection
-     * @param rejected that were rejected unseen
-     * @param inFlight that are out
-     * @param unanswered for how many milliseconds nothing has come back while calls were out
-     * @param load the mean of the utilisations that endpoints there reported, in hundredths and one
-     *     more; 0: none
+     * @param age how many periods ago they were made; 0 for this one
+     * @param served that got a successful response
+     * @param failed that got an error response, or whose connection broke
+     * @param silent that got no response in time, or no connection
+     * @param rejected that were rejected before processing
+     * @param inFlight that are in flight
+     * @param unansweredMillis for how many milliseconds no response has arrived while attempts were
+     *     in flight
+     * @param load the mean utilisation that endpoints there reported, in hundredths, plus one; 0
+     *     for none
      * @param nodes endpoints that are listed as ready
-     * @param cold of those the ones that have just started
-     * @param usableNodes what all of them can do now, in hundredths of what a warm one of weight 1
-     *     can
+     * @param cold the ones of them that have just started
+     * @param usableWeightHundredths what all of them can do now, in hundredths of what a warm one
+     *     of weight 1 can
      */
     public record ZoneObservation(
             int zone,
@@ -79,18 +81,18 @@
             int silent,
             int rejected,
             int inFlight,
-            int unanswered,
+            int unansweredMillis,
             int load,
             int nodes,
             int cold,
-            int usableNodes) {
+            int usableWeightHundredths) {
 
-        /** Calls that came to an end there. */
+        /** Returns the number of attempts that ended there. */
         public int ended() {
             return served + failed + silent + rejected;
         }
 
-        private int[] figures() {
+        private int[] fields() {
             return new int[] {
                 zone,
                 age,
@@ -99,41 +101,52 @@
                 silent,
                 rejected,
                 inFlight,
-                unanswered,
+                unansweredMillis,
                 load,
                 nodes,
                 cold,
-                usableNodes
+                usableWeightHundredths
             };
         }
 
-        private static ZoneObservation of(int[] f) {
+        private static ZoneObservation of(int[] fieldValues) {
             return new ZoneObservation(
-                    f[0], f[1], f[2], f[3], f[4], f[5], f[6], f[7], f[8], f[9], f[10], f[11]);
+                    fieldValues[0],
+                    fieldValues[1],
+                    fieldValues[2],
+                    fieldValues[3],
+                    fieldValues[4],
+                    fieldValues[5],
+                    fieldValues[6],
+                    fieldValues[7],
+                    fieldValues[8],
+                    fieldValues[9],
+                    fieldValues[10],
+                    fieldValues[11]);
         }
     }
 
-    private static final int FIGURES = 12;
+    private static final int FIELD_COUNT = 12;
 
     public ZoneObservations {
         observations = List.copyOf(observations);
     }
 
     /**
-     * The parts; one at least.
+     * Returns the encoded parts, at least one.
      *
-     * @param max bytes of each, from {@link #MIN_BYTES} to {@link #MAX_BYTES}
+     * @param max maximum bytes of each, from {@link #MIN_BYTES} to {@link #MAX_BYTES}
      */
     public List<byte[]> encode(int max) {
         List<byte[]> parts = new ArrayList<>();
-        ByteBuffer out = head(max);
+        ByteBuffer out = putHeader(max);
         for (ZoneObservation each : observations) {
             int before = out.position();
             try {
                 put(out, each);
             } catch (BufferOverflowException e) {
                 parts.add(Arrays.copyOf(out.array(), before));
-                out = head(max);
+                out = putHeader(max);
                 put(out, each);
             }
         }
@@ -141,39 +154,41 @@
         return parts;
     }
 
-    private ByteBuffer head(int max) {
+    private ByteBuffer putHeader(int max) {
         ByteBuffer out = ByteBuffer.allocate(max);
         out.put((byte) VERSION);
-        for (long figure :
+        for (long field :
                 new long[] {
                     replica, zone, incarnation, sequence, table, millis, requests, unserved
                 }) {
-            Varint.put(out, figure);
+            Varint.put(out, field);
         }
         return out;
     }
 
     private static void put(ByteBuffer out, ZoneObservation seen) {
-        for (int figure : seen.figures()) {
-            Varint.put(out, figure);
+        for (int field : seen.fields()) {
+            Varint.put(out, field);
         }
     }
 
-    /** Reads a part; null where the bytes are none. Throws nothing, whatever they are. */
+    /**
+     * Decodes a part; returns null if the bytes are not one, and throws nothing, whatever they are.
+     */
     public static ZoneObservations decode(byte[] bytes) {
         if (bytes.length < 2 || bytes.length > MAX_BYTES || bytes[0] != VERSION) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
         try {
-            int replica = figure(in, MAX_REPLICAS);
-            int zone = figure(in, RouteTable.MAX_ZONES);
+            int replica = field(in, MAX_REPLICAS);
+            int zone = field(in, RouteTable.MAX_ZONES);
             long incarnation = Varint.get(in);
             long sequence = Varint.get(in);
             long table = Varint.get(in);
-            int millis = figure(in, MAX_MILLIS);
-            int requests = figure(in, MAX_COUNT);
-            int unserved = figure(in, MAX_COUNT);
+            int millis = field(in, MAX_MILLIS);
+            int requests = field(in, MAX_COUNT);
+            int unserved = field(in, MAX_COUNT);
             List<ZoneObservation> observations = readObservations(in);
             return observations == null
                             || incarnation < 0
@@ -192,20 +207,24 @@
                             unserved,
                             observations);
         } catch (BufferUnderflowException e) {
-            return null; // it ends too soon, or has a number in another form or out of its range
+            return null; // truncated, or with a number that is out of range or not in its shortest
+            // encoding
         }
     }
 
-    /** All that is left, as observations in the order of their zones; null where it is none. */
+    /**
+     * Reads all remaining bytes as observations in the order of their zones; returns null if they
+     * are not that.
+     */
     private static List<ZoneObservation> readObservations(ByteBuffer in) {
         List<ZoneObservation> observations = new ArrayList<>();
         int minZone = 0;
         while (in.hasRemaining()) {
-            int[] figures = new int[FIGURES];
-            for (int i = 0; i < FIGURES; i++) {
-                figures[i] = figure(in, MAX_COUNT);
+            int[] fields = new int[FIELD_COUNT];
+            for (int i = 0; i < FIELD_COUNT; i++) {
+                fields[i] = field(in, MAX_COUNT);
             }
-            ZoneObservation each = ZoneObservation.of(figures);
+            ZoneObservation each = ZoneObservation.of(fields);
             if (each.zone < minZone || each.zone >= RouteTable.MAX_ZONES || each.age > MAX_AGE) {
                 return null;
             }
@@ -215,7 +234,7 @@
         return observations;
     }
 
-    private static int figure(ByteBuffer in, int bound) {
+    private static int field(ByteBuffer in, int bound) {
         long value = Varint.get(in);
         if (value < 0 || value >= bound) {
             throw new BufferUnderflowException();
--- a/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
@@ -13,21 +13,22 @@
 import java.util.Map;
 
 /**
- * Counts, by zones, what one replica's calls and probes came to, and closes a period as {@link
- * ZoneObservations}. It is fed where outcomes are reported to the balancer, and costs one look-up
- * each. Not thread-safe.
+ * Counts the outcomes of one replica's attempts and probes by zone, and closes a period as {@link
+ * ZoneObservations}. It receives each outcome that the balancer receives, at the cost of one
+ * look-up. Not thread-safe.
  */
 public final class ZoneTrafficCounter {
 
     /**
-     * A period that took this many times longer tells of a process that stood still, not of zones.
+     * A period that took this many times its length shows that the process was suspended; it shows
+     * nothing of the zones.
      */
-    private static final double STOOD_STILL = 1.4;
+    private static final double SUSPENSION_FACTOR = 1.4;
 
     private static final double HUNDREDTHS = 100;
     private static final int MILLION = 1_000_000;
 
-    /** One zone in this period. */
+    /** The counts of one zone in this period. */
     private static final class Zone {
         int served;
         int failed;
@@ -35,89 +36,94 @@
         int rejected;
         int inFlight;
         long lastAnswerAt;
-        double loads;
-        int reports;
-        ZoneObservation last;
+        double loadSum;
+        int loadReports;
+        ZoneObservation lastObservation;
 
         void resetCounts() {
             served = 0;
             failed = 0;
             silent = 0;
             rejected = 0;
-            loads = 0;
-            reports = 0;
+            loadSum = 0;
+            loadReports = 0;
         }
     }
 
     private final int replica;
-    private final int own;
+    private final int ownZone;
     private final long incarnation;
     private final long period;
     private final SafetyRules safety;
     private final Zone[] zones;
-    private final Map<Long, Endpoint> listed = new HashMap<>();
-    private long openedAt;
+    private final Map<Long, Endpoint> endpoints = new HashMap<>();
+    private long periodStartedAt;
     private long sequence;
     private int requests;
     private int unserved;
-    private boolean shaken;
+    private boolean wasSuspended;
 
     /**
-     * @param zones how many there are
-     * @param period how long periods are to be, in nanoseconds
+     * Creates a counter whose first period starts now.
+     *
+     * @param zones number of zones
+     * @param period length of a period in nanoseconds
      */
     public ZoneTrafficCounter(
             int replica,
-            int own,
+            int ownZone,
             long incarnation,
             int zones,
             long period,
             SafetyRules safety,
             long now) {
         this.replica = replica;
-        this.own = own;
+        this.ownZone = ownZone;
         this.incarnation = incarnation;
         this.period = period;
         this.safety = safety;
         this.zones = new Zone[zones];
-        this.openedAt = now;
+        this.periodStartedAt = now;
         for (int i = 0; i < zones; i++) {
             this.zones[i] = new Zone();
         }
     }
 
-    /** The list of endpoints, or changes to it. */
+    /** Applies the list of endpoints, or changes to it. */
     public void onEndpoints(EndpointListKind kind, List<Endpoint> entries) {
         if (kind != EndpointListKind.DELTA) {
-            listed.clear();
+            endpoints.clear();
         }
         for (Endpoint entry : entries) {
             if (entry.status() == EndpointStatus.REMOVED) {
-                listed.remove(entry.id());
+                endpoints.remove(entry.id());
             } else {
-                listed.put(entry.id(), entry);
+                endpoints.put(entry.id(), entry);
             }
         }
     }
 
-    /** A call came to this replica. */
+    /** Counts a request that arrived at this replica. */
     public void onRequest() {
         requests++;
     }
 
-    /** A call was refused or failed here. */
+    /** Counts a request that was rejected or failed here. */
     public void onUnserved() {
         unserved++;
     }
 
     private Zone zone(long endpoint) {
-        Endpoint entry = listed.get(endpoint);
+        Endpoint entry = endpoints.get(endpoint);
         return entry == null || entry.zone() < 0 || entry.zone() >= zones.length
                 ? null
                 : zones[entry.zone()];
     }
 
-    /** An attempt goes out; its zone's number to be given back at its end, or -1. */
+    /**
+     * Counts an attempt that is sent; returns its zone's number, which the caller passes to {@link
+     * #onAttemptEnded}, or -1 if the zone is unknown.
+     */
     public int onAttemptSent(long now, long endpoint) {
         Zone zone = zone(endpoint);
         if (zone == null) {
@@ -126,22 +132,22 @@
         if (zone.inFlight++ == 0) {
             zone.lastAnswerAt = now;
         }
-        return listed.get(endpoint).zone();
+        return endpoints.get(endpoint).zone();
     }
 
     /**
-     * An attempt ended.
+     * Counts an attempt that ended.
      *
-     * @param of what {@link #onAttemptSent} gave
+     * @param zoneNumber the result of {@link #onAttemptSent}
      */
-    public void onAttemptEnded(long now, int of, Outcome outcome, LoadReport load) {
-        if (of >= 0) {
-            zones[of].inFlight--;
-            count(now, zones[of], outcome, load);
+    public void onAttemptEnded(long now, int zoneNumber, Outcome outcome, LoadReport load) {
+        if (zoneNumber >= 0) {
+            zones[zoneNumber].inFlight--;
+            count(now, zones[zoneNumber], outcome, load);
         }
     }
 
-    /** A probe came back, or did not. */
+    /** Counts a probe that was answered or failed. */
     public void onProbeEnded(long now, long endpoint, Outcome outcome, LoadReport load) {
         Zone zone = zone(endpoint);
         if (zone != null) {
@@ -155,71 +161,73 @@
             case ERROR, RESET -> zone.failed++;
             case TIMEOUT, CONNECT_FAILED -> zone.silent++;
             case REJECTED -> zone.rejected++;
-            default -> {} // cancelled, or never sent: says nothing of the zone
+            default -> {} // cancelled, or never sent: shows nothing of the zone
         }
         if (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED) {
             zone.lastAnswerAt = now;
         }
         if (load != null && load.utilization() >= 0) {
-            zone.loads += Math.min(2, load.utilization());
-            zone.reports++;
+            zone.loadSum += Math.min(2, load.utilization());
+            zone.loadReports++;
         }
     }
 
     /**
-     * Ends the period and begins the next; null where this replica stood still in it or in the one
-     * before, for then what it saw is of its own making. This avoids a replica that was stopped
-     * telling that every zone was silent.
+     * Ends the period, returns its observations and starts the next period. Returns null if this
+     * replica was suspended in this period or the one before: it would otherwise report every zone
+     * as silent, though the silence is its own.
      *
      * @param table the number of the table in use; 0 for none
      */
     public ZoneObservations closePeriod(long now, long table) {
-        long length = now - openedAt;
-        boolean stood = length > STOOD_STILL * period;
-        boolean counts = !stood && !shaken && length > 0;
-        shaken = stood;
-        List<ZoneObservation> seen = new ArrayList<>();
+        long length = now - periodStartedAt;
+        boolean suspended = length > SUSPENSION_FACTOR * period;
+        boolean counts = !suspended && !wasSuspended && length > 0;
+        wasSuspended = suspended;
+        List<ZoneObservation> observed = new ArrayList<>();
         int[][] nodes = nodes(now);
         for (int i = 0; i < zones.length; i++) {
             ZoneObservation each = closePeriod(now, i, zones[i], nodes[i], counts);
-            if (each != null && !listed.isEmpty()) {
-                seen.add(each);
+            if (each != null && !endpoints.isEmpty()) {
+                observed.add(each);
             }
         }
-        ZoneObservations evidence =
+        ZoneObservations report =
                 counts
                         ? new ZoneObservations(
                                 replica,
-                                own,
+                                ownZone,
                                 incarnation,
                                 ++sequence,
                                 table,
                                 (int) Math.max(1, Math.min(length / MILLION, MILLION)),
                                 bound(requests),
                                 bound(unserved),
-                                seen)
+                                observed)
                         : null;
-        openedAt = now;
+        periodStartedAt = now;
         requests = 0;
         unserved = 0;
-        return evidence;
+        return report;
     }
 
-    /** What is said of a zone; null where nothing is known of it. */
+    /** Returns the observation of a zone; null if nothing is known of it. */
     private static ZoneObservation closePeriod(
             long now, int number, Zone zone, int[] nodes, boolean counts) {
         ZoneObservation fresh = observation(now, number, zone, nodes);
         zone.resetCounts();
         if (!counts) {
-            zone.last = null;
+            zone.lastObservation = null;
             zone.lastAnswerAt = now;
             return null;
         }
         boolean nothingSent = fresh.ended() == 0 && fresh.inFlight() == 0;
         boolean repeats =
-                nothingSent && zone.last != null && zone.last.age() < ZoneObservations.MAX_AGE;
-        zone.last = repeats ? aged(zone.last, fresh) : fresh;
-        return zone.last;
+                nothingSent
+                        && zone.lastObservation != null
+                        && zone.lastObservation.age() < ZoneObservations.MAX_AGE;
+        zone.lastObservation = repeats ? aged(zone.lastObservation, fresh) : fresh;
+        return zone.lastObservation;
     }
 
     private static ZoneObservation observation(long now, int number, Zone zone, int[] nodes) {
@@ -233,39 +241,39 @@
                 bound(zone.rejected),
                 bound(zone.inFlight),
                 zone.inFlight > 0 ? bound((int) silentMillis) : 0,
-                zone.reports == 0
+                zone.loadReports == 0
                         ? 0
-                        : 1 + (int) Math.round(HUNDREDTHS * zone.loads / zone.reports),
+                        : 1 + (int) Math.round(HUNDREDTHS * zone.loadSum / zone.loadReports),
                 bound(nodes[0]),
                 bound(nodes[1]),
                 bound(nodes[2]));
     }
 
-    /** What was seen last, one period older, with the endpoints as they are now. */
-    private static ZoneObservation aged(ZoneObservation last, ZoneObservation fresh) {
+    /** Returns the last observation, one period older, with the current endpoints. */
+    private static ZoneObservation aged(ZoneObservation lastObservation, ZoneObservation fresh) {
         return new ZoneObservation(
-                last.zone(),
-                last.age() + 1,
-                last.served(),
-                last.failed(),
-                last.silent(),
-                last.rejected(),
+                lastObservation.zone(),
+                lastObservation.age() + 1,
+                lastObservation.served(),
+                lastObservation.failed(),
+                lastObservation.silent(),
+                lastObservation.rejected(),
                 0,
                 0,
-                last.load(),
+                lastObservation.load(),
                 fresh.nodes(),
                 fresh.cold(),
-                fresh.usableNodes());
+                fresh.usableWeightHundredths());
     }
 
     /**
-     * Of each zone: endpoints that are ready, those of them that are cold, and what all can do, in
-     * hundredths.
+     * Returns for each zone the number of ready endpoints, the number of cold ones among them, and
+     * what all of them can do, in hundredths of a warm endpoint of weight 1.
      */
     private int[][] nodes(long now) {
         int[][] nodes = new int[zones.length][3];
-        double[] able = new double[zones.length];
-        for (Endpoint entry : listed.values()) {
+        double[] usableWeights = new double[zones.length];
+        for (Endpoint entry : endpoints.values()) {
             if (entry.status() == EndpointStatus.READY
                     && entry.zone() >= 0
                     && entry.zone() < zones.length) {
@@ -275,7 +283,7 @@
                         Math.max(0, now - entry.startedAt()) / (double) safety.slowStartNanos();
                 nodes[entry.zone()][0]++;
                 nodes[entry.zone()][1] += cold ? 1 : 0;
-                able[entry.zone()] +=
+                usableWeights[entry.zone()] +=
                         entry.weight()
                                 * (cold
                                         ? safety.coldCapacityShare()
@@ -288,7 +296,7 @@
                     (int)
                             Math.min(
                                     ZoneObservations.MAX_COUNT - 1,
-                                    Math.round(HUNDREDTHS * able[i]));
+                                    Math.round(HUNDREDTHS * usableWeights[i]));
         }
         return nodes;
     }
--- a/core/src/main/java/cedarrudder/failover/ZoneVotes.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneVotes.java
@@ -3,8 +3,8 @@
 import cedarrudder.failover.ReplicaObservations.ZoneReport;
 
 /**
- * How many of some replicas find a zone healthy or unhealthy. Each that has seen enough has one
- * vote, however many requests it has.
+ * The votes of some replicas on whether a zone is healthy. Each replica with enough observations
+ * has one vote, however many requests it has.
  *
  * @param unhealthy votes that it is unhealthy
  * @param healthy votes that it is healthy
@@ -13,23 +13,23 @@
 record ZoneVotes(double unhealthy, double healthy, int replicas) {
 
     /**
-     * Attempts that a replica must have seen end, or wait, before it has a full vote; with fewer, a
-     * part of one.
+     * Number of attempts that ended or wait at a replica from which it has a full vote; with fewer,
+     * it has a fraction of one.
      */
     static final double REQUESTS_PER_VOTE = 3;
 
-    /** The smallest part of a vote that counts. */
+    /** The smallest fraction of a vote that counts. */
     private static final double MIN_VOTE = 0.3;
 
-    /** Reports that are this many times older than evidence may be say nothing of a zone. */
-    private static final int MAX_REPORT_AGE = 4;
+    /** Reports older than this many times the maximum age of evidence are ignored. */
+    private static final int MAX_REPORT_AGE_FACTOR = 4;
 
-    /** Of the votes, for a verdict. */
-    private static final double MAJORITY_SHARE = 0.6;
+    /** Fraction of the votes that a verdict needs. */
+    private static final double MAJORITY_FRACTION = 0.6;
 
     private static final ZoneVotes NONE = new ZoneVotes(0, 0, 0);
 
-    /** What votes come to. */
+    /** The result of a vote. */
     enum Verdict {
         HEALTHY,
         UNHEALTHY,
@@ -41,10 +41,10 @@
         if (all == 0) {
             return Verdict.UNDECIDED;
         }
-        if (unhealthy >= MAJORITY_SHARE * all) {
+        if (unhealthy >= MAJORITY_FRACTION * all) {
             return Verdict.UNHEALTHY;
         }
-        return healthy >= MAJORITY_SHARE * all ? Verdict.HEALTHY : Verdict.UNDECIDED;
+        return healthy >= MAJORITY_FRACTION * all ? Verdict.HEALTHY : Verdict.UNDECIDED;
     }
 
     ZoneVotes plus(ZoneVotes other) {
@@ -52,15 +52,15 @@
                 unhealthy + other.unhealthy, healthy + other.healthy, replicas + other.replicas);
     }
 
-    /** Whether some of these many replicas are most of them. */
+    /** Returns whether a number of replicas is a majority of all. */
     static boolean isMajority(int some, int all) {
-        return some > MAJORITY_SHARE * all;
+        return some > MAJORITY_FRACTION * all;
     }
 
     /**
-     * What the replicas of one zone report of another; those without a fresh report are not
-     * counted. What was seen longer ago weighs less: this avoids a zone that is healthy by what was
-     * seen before.
+     * Counts the votes of one zone's replicas on another zone; replicas without a fresh report are
+     * not counted. The weight of an observation decays with its age: otherwise old observations
+     * could show a zone as healthy.
      */
     static ZoneVotes of(
             ReplicaObservations[] replicas,
@@ -83,12 +83,12 @@
                 voters++;
                 long age = now - report.observedAt();
                 vote *= StrictMath.pow(2, -(double) age / settings.evidenceAge());
-                boolean finds = findsHealthy(report, settings);
-                unhealthy += finds ? 0 : vote;
-                healthy += finds ? vote : 0;
+                boolean isHealthy = findsHealthy(report, settings);
+                unhealthy += isHealthy ? 0 : vote;
+                healthy += isHealthy ? vote : 0;
             }
         }
-        // Of its own zone several must have reported; others send few requests there.
+        // On its own zone several replicas must have voted; others send few requests there.
         return from == zone && voters < Math.min(settings.minReplicas(), fresh)
                 ? NONE
                 : new ZoneVotes(unhealthy, healthy, voters);
@@ -97,7 +97,7 @@
     private static boolean isUsable(
             ReplicaObservations replica, ZoneReport report, long now, FailoverSettings settings) {
         return report.latest() != null
-                && now - report.observedAt() <= MAX_REPORT_AGE * settings.evidenceAge()
+                && now - report.observedAt() <= MAX_REPORT_AGE_FACTOR * settings.evidenceAge()
                 && !isIsolated(replica);
     }
 
@@ -109,18 +109,18 @@
     }
 
     private static double attempts(ZoneReport report, FailoverSettings settings) {
-        return report.served() + report.rejected() + report.unhealthy(settings.period());
+        return report.served() + report.rejected() + report.unhealthyAttempts(settings.period());
     }
 
     private static boolean findsHealthy(ZoneReport report, FailoverSettings settings) {
         return report.latest().nodes() > 0
-                && report.unhealthy(settings.period())
+                && report.unhealthyAttempts(settings.period())
                         <= settings.badShare() * attempts(report, settings);
     }
 
     /**
-     * Whether no zone serves a replica that sent to more than one. This avoids a replica whose own
-     * link is broken: it reports of every zone that it is lost.
+     * Returns whether no zone serves a replica that sent requests to more than one. Such a replica,
+     * whose own network link is broken, would report every zone as lost.
      */
     private static boolean isIsolated(ReplicaObservations replica) {
         int sentTo = 0;
--- a/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
+++ b/core/src/test/java/cedarrudder/failover/TrafficSplitPlannerTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What many replicas' evidence comes to, and what is planned upon it. Zones 0 to 2 are one region,
- * 3 and 4 another.
+ * Tests the aggregation of many replicas' observations and the plans that follow from it. Zones 0
+ * to 2 are one region, 3 and 4 another.
  */
 public class TrafficSplitPlannerTest {
 
@@ -29,7 +29,7 @@
     private static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
     private static final int ZONES = 5;
     private static final int REPLICAS = 4;
-    private static final int FLAPS = 3;
+    private static final int FLAPPING_ZONE = 3;
     private static final double CAPACITY = 480;
     private static final double DEMAND = 240;
     private static final FailoverSettings SETTINGS =
@@ -39,16 +39,18 @@
                                     new Region("east", List.of("a", "b", "c"), List.of()),
                                     new Region("west", List.of("d", "e"), List.of()))));
 
-    /** What is true, seen by replicas without any noise; calls go where the table says. */
-    private static final class Play {
+    /**
+     * Simulated zones, observed by replicas without noise; requests follow the routes of the table.
+     */
+    private static final class Simulation {
         final int[] zoneOf = new int[ZONES * REPLICAS];
-        final ZoneHealthAggregator assessment;
+        final ZoneHealthAggregator aggregator;
         final TrafficSplitPlanner planner;
         final boolean[] lost = new boolean[ZONES];
-        final double[] able = new double[ZONES];
+        final double[] capacityFactor = new double[ZONES];
         final double[] demand = new double[ZONES];
 
-        /** Endpoints there have just started, which the list tells. */
+        /** Zones whose endpoints have just started, as the endpoint list shows. */
         final boolean[] cold = new boolean[ZONES];
 
         final Set<Integer> broken = new TreeSet<>();
@@ -56,8 +58,8 @@
         final Set<Integer> evacuated = new TreeSet<>();
         final List<Long> moves = new ArrayList<>();
 
-        /** Those of the zone that comes and goes. */
-        final List<Long> flapping = new ArrayList<>();
+        /** Moves of the flapping zone. */
+        final List<Long> flappingZoneMoves = new ArrayList<>();
 
         final Random random = new Random(4);
         final ZoneObservation[][] last = new ZoneObservation[ZONES * REPLICAS][ZONES];
@@ -66,21 +68,21 @@
         long now;
         long sequence;
 
-        Play() {
+        Simulation() {
             this(SETTINGS);
         }
 
-        Play(FailoverSettings settings) {
+        Simulation(FailoverSettings settings) {
             planner = new TrafficSplitPlanner(settings, settings.regions().ranks(NAMES), 0);
             Arrays.setAll(zoneOf, replica -> replica / REPLICAS);
-            Arrays.fill(able, 1);
+            Arrays.fill(capacityFactor, 1);
             Arrays.fill(demand, DEMAND);
-            assessment = new ZoneHealthAggregator(SETTINGS, zoneOf, ZONES);
+            aggregator = new ZoneHealthAggregator(SETTINGS, zoneOf, ZONES);
         }
 
-        int parts(int from, int to) {
+        int weight(int from, int to) {
             return table.routes().stream()
-                    .filter(share -> share.from() == from && share.to() == to)
+                    .filter(route -> route.from() == from && route.to() == to)
                     .mapToInt(ZoneRoute::weight)
                     .sum();
         }
@@ -88,16 +90,18 @@
         double load(int to) {
             double load = 0;
             for (int from = 0; from < ZONES; from++) {
-                load += demand[from] * (table == null ? from == to ? 1 : 0 : parts(from, to) / 1e4);
+                load +=
+                        demand[from]
+                                * (table == null ? from == to ? 1 : 0 : weight(from, to) / 1e4);
             }
             return load;
         }
 
-        int units(int zone) {
-            return cold[zone] ? (int) (600 * able[zone]) : 600;
+        int usableWeight(int zone) {
+            return cold[zone] ? (int) (600 * capacityFactor[zone]) : 600;
         }
 
-        void period() {
+        void runPeriod() {
             now += PERIOD;
             sequence++;
             double[] loads = new double[ZONES];
@@ -108,15 +112,15 @@
                     double part =
                             table == null
                                     ? zone == zoneOf[replica] ? 1 : 0
-                                    : parts(zoneOf[replica], zone) / 1e4;
-                    double calls = demand[zoneOf[replica]] / REPLICAS / 2 * part;
-                    int ended = (int) (calls + random.nextDouble());
-                    double capacity = CAPACITY * able[zone];
+                                    : weight(zoneOf[replica], zone) / 1e4;
+                    double attempts = demand[zoneOf[replica]] / REPLICAS / 2 * part;
+                    int ended = (int) (attempts + random.nextDouble());
+                    double capacity = CAPACITY * capacityFactor[zone];
                     int served =
                             lost[zone] || broken.contains(replica)
                                     ? 0
                                     : (int) Math.round(ended * Math.min(1, capacity / loads[zone]));
-                    int refused = lost[zone] || broken.contains(replica) ? 0 : ended - served;
+                    int rejected = lost[zone] || broken.contains(replica) ? 0 : ended - served;
                     ZoneObservation before = last[replica][zone];
                     ZoneObservation now =
                             ended == 0 && before != null && before.age() < ZoneObservations.MAX_AGE
@@ -132,14 +136,14 @@
                                             before.load(),
                                             6,
                                             0,
-                                            units(zone))
+                                            usableWeight(zone))
                                     : new ZoneObservation(
                                             zone,
                                             0,
                                             served,
                                             0,
-                                            ended - served - refused,
-                                            refused,
+                                            ended - served - rejected,
+                                            rejected,
                                             0,
                                             0,
                                             ended == 0
@@ -153,11 +157,11 @@
                                                                                             / capacity)),
                                             6,
                                             0,
-                                            units(zone));
+                                            usableWeight(zone));
                     last[replica][zone] = now;
                     seen.add(now);
                 }
-                ZoneObservations evidence =
+                ZoneObservations observations =
                         new ZoneObservations(
                                 replica,
                                 zoneOf[replica],
@@ -168,19 +172,20 @@
                                 (int) (demand[zoneOf[replica]] / REPLICAS / 2),
                                 0,
                                 seen);
-                for (byte[] part : evidence.encode(136)) {
+                for (byte[] part : observations.encode(136)) {
                     if (!silent.contains(replica) && random.nextDouble() >= loss) {
-                        assessment.onObservations(now, ZoneObservations.decode(part));
+                        aggregator.onObservations(now, ZoneObservations.decode(part));
                     }
                 }
             }
-            List<ZoneRoute> shares = planner.plan(now, table, assessment.snapshot(now), evacuated);
-            if (table == null || !shares.equals(table.routes())) {
+            List<ZoneRoute> routes = planner.plan(now, table, aggregator.snapshot(now), evacuated);
+            if (table == null || !routes.equals(table.routes())) {
                 if (table != null) {
                     moves.add(now);
                 }
-                if (table != null && !row(shares, FLAPS).equals(row(table.routes(), FLAPS))) {
-                    flapping.add(now);
+                if (table != null
+                        && !row(routes, FLAPPING_ZONE).equals(row(table.routes(), FLAPPING_ZONE))) {
+                    flappingZoneMoves.add(now);
                 }
                 table =
                         new RouteTable(
@@ -188,166 +193,188 @@
                                 1,
                                 1,
                                 1,
-                                shares,
+                                routes,
                                 List.of(),
                                 List.of());
                 planner.onTableLoaded(now, table);
             }
         }
 
-        private static List<ZoneRoute> row(List<ZoneRoute> shares, int from) {
-            return shares.stream().filter(share -> share.from() == from).toList();
+        private static List<ZoneRoute> row(List<ZoneRoute> routes, int from) {
+            return routes.stream().filter(route -> route.from() == from).toList();
         }
 
-        void seconds(double seconds) {
-            for (int i = 0; i < 2 * seconds; i++) {
-                period();
+        void runSeconds(double runSeconds) {
+            for (int i = 0; i < 2 * runSeconds; i++) {
+                runPeriod();
             }
         }
     }
 
-    private static Play calm() {
-        Play play = new Play();
-        play.seconds(70);
-        return play;
+    private static Simulation steadyState() {
+        Simulation simulation = new Simulation();
+        simulation.runSeconds(70);
+        return simulation;
     }
 
-    /** Detects calls that leave their zone for nothing. */
-    /** Detects refusing what is lost at night: of zones that are nearly idle nothing is learned. */
+    /**
+     * Nearly idle zones have no learned capacity, which must not lead to rejecting a lost zone's
+     * requests at night.
+     */
     @Test
-    public void zonesThatAreNearlyIdleTakeAllThatIsLost() {
-        Play play = new Play();
-        Arrays.fill(play.demand, CAPACITY / 12);
-        play.seconds(30);
-        play.lost[0] = true;
-        play.seconds(15);
-        assertTrue(play.parts(0, 0) < 200, "it was not left: " + play.table);
+    public void nearlyIdleZonesServeAllRequestsOfLostZone() {
+        Simulation simulation = new Simulation();
+        Arrays.fill(simulation.demand, CAPACITY / 12);
+        simulation.runSeconds(30);
+        simulation.lost[0] = true;
+        simulation.runSeconds(15);
+        assertTrue(simulation.weight(0, 0) < 200, "no failover: " + simulation.table);
         int served = 0;
         for (int zone = 0; zone < ZONES; zone++) {
-            served += play.parts(0, zone);
+            served += simulation.weight(0, zone);
         }
-        assertTrue(served > 9_800, "only " + served + " of 10000 are served: " + play.table);
+        assertTrue(served > 9_800, "only " + served + " of 10000 are served: " + simulation.table);
     }
 
+    /** Requests leave their zone only for a reason. */
     @Test
-    public void onACalmDayNothingMoves() {
-        Play play = calm();
-        play.loss = 0.1;
-        play.seconds(300);
-        assertEquals(play.moves, List.of());
+    public void nothingMovesWhileAllZonesAreHealthy() {
+        Simulation simulation = steadyState();
+        simulation.loss = 0.1;
+        simulation.runSeconds(300);
+        assertEquals(simulation.moves, List.of());
         for (int zone = 0; zone < ZONES; zone++) {
-            assertTrue(play.parts(zone, zone) > 9_900, play.table.toString());
+            assertTrue(simulation.weight(zone, zone) > 9_900, simulation.table.toString());
         }
     }
 
     /**
-     * A zone is left for its region at once, no target goes past its share, and it comes back by
-     * steps.
+     * A lost zone's requests move to its region at once, no target exceeds its target share, and
+     * the requests return in steps.
      */
     @Test
-    public void aLostZoneIsLeftAndComesBackByStepsWithinItsTargetsRoom() {
-        Play play = calm();
-        play.lost[1] = true;
-        play.seconds(4);
-        assertTrue(play.parts(1, 1) <= 80, play.table.toString());
-        assertTrue(play.parts(1, 0) + play.parts(1, 2) > 9_000, play.table.toString());
+    public void lostZoneFailsOverAndReturnsInStepsWithinCapacity() {
+        Simulation simulation = steadyState();
+        simulation.lost[1] = true;
+        simulation.runSeconds(4);
+        assertTrue(simulation.weight(1, 1) <= 80, simulation.table.toString());
+        assertTrue(
+                simulation.weight(1, 0) + simulation.weight(1, 2) > 9_000,
+                simulation.table.toString());
         assertEquals(
-                play.table.routes().stream()
+                simulation.table.routes().stream()
                         .filter(s -> s.from() == 1 && s.to() == 0)
                         .findFirst()
                         .orElseThrow()
                         .reason(),
                 RouteReason.MOVED);
         for (int zone = 0; zone < ZONES; zone++) {
-            assertTrue(play.load(zone) < 0.87 * CAPACITY, zone + ": " + play.load(zone));
+            assertTrue(
+                    simulation.load(zone) < 0.87 * CAPACITY, zone + ": " + simulation.load(zone));
         }
-        play.seconds(20);
-        play.lost[1] = false;
-        play.able[1] = 0.08;
-        play.cold[1] = true;
-        int last = play.parts(1, 1);
+        simulation.runSeconds(20);
+        simulation.lost[1] = false;
+        simulation.capacityFactor[1] = 0.08;
+        simulation.cold[1] = true;
+        int last = simulation.weight(1, 1);
         for (int i = 0; i < 120; i++) {
-            play.period();
-            assertTrue(play.parts(1, 1) - last <= 2_600, "a step of " + (play.parts(1, 1) - last));
+            simulation.runPeriod();
+            assertTrue(
+                    simulation.weight(1, 1) - last <= 2_600,
+                    "a step of " + (simulation.weight(1, 1) - last));
             assertTrue(
-                    play.load(1) < 0.97 * CAPACITY * play.able[1],
-                    "cold, and gets " + play.load(1));
-            last = play.parts(1, 1);
-            play.able[1] = Math.min(1, play.able[1] + 0.01);
+                    simulation.load(1) < 0.97 * CAPACITY * simulation.capacityFactor[1],
+                    "cold, with a request rate of " + simulation.load(1));
+            last = simulation.weight(1, 1);
+            simulation.capacityFactor[1] = Math.min(1, simulation.capacityFactor[1] + 0.01);
         }
-        assertTrue(last > 9_900, play.table.toString());
+        assertTrue(last > 9_900, simulation.table.toString());
     }
 
-    /** Detects the second zone falling over what the first one lost. */
+    /** The requests of a lost zone must not overload a second zone. */
     @Test
-    public void whatFitsNowhereStaysUnserved() {
-        Play play = calm();
-        Arrays.fill(play.demand, 0.8 * CAPACITY);
-        play.seconds(10);
-        play.lost[0] = true;
-        play.seconds(10);
+    public void requestsBeyondAllCapacityStayUnserved() {
+        Simulation simulation = steadyState();
+        Arrays.fill(simulation.demand, 0.8 * CAPACITY);
+        simulation.runSeconds(10);
+        simulation.lost[0] = true;
+        simulation.runSeconds(10);
         int sum = 0;
         for (int zone = 1; zone < ZONES; zone++) {
-            assertTrue(play.load(zone) < 0.94 * CAPACITY, zone + ": " + play.load(zone));
-            sum += play.parts(0, zone);
+            assertTrue(
+                    simulation.load(zone) < 0.94 * CAPACITY, zone + ": " + simulation.load(zone));
+            sum += simulation.weight(0, zone);
         }
-        assertTrue(sum > 5_000 && sum < 7_000, play.table.toString());
+        assertTrue(sum > 5_000 && sum < 7_000, simulation.table.toString());
         assertTrue(
-                play.parts(0, 3) > 0 && play.parts(0, 1) > play.parts(0, 3) / 2,
-                play.table.toString());
+                simulation.weight(0, 3) > 0
+                        && simulation.weight(0, 1) > simulation.weight(0, 3) / 2,
+                simulation.table.toString());
     }
 
-    /** Calls leave a slow zone in the share that it can't serve, not all of them. */
+    /** A slow zone's requests move away only as far as it can't serve them. */
     @Test
-    public void aSlowZoneKeepsWhatItCanServe() {
-        Play play = calm();
-        play.able[2] = 0.33;
-        play.seconds(15);
-        assertTrue(play.parts(2, 2) > 4_000 && play.parts(2, 2) < 7_000, play.table.toString());
-        play.able[2] = 1;
-        play.seconds(60);
-        assertTrue(play.parts(2, 2) > 9_900, play.table.toString());
+    public void slowZoneKeepsRequestsThatItCanServe() {
+        Simulation simulation = steadyState();
+        simulation.capacityFactor[2] = 0.33;
+        simulation.runSeconds(15);
+        assertTrue(
+                simulation.weight(2, 2) > 4_000 && simulation.weight(2, 2) < 7_000,
+                simulation.table.toString());
+        simulation.capacityFactor[2] = 1;
+        simulation.runSeconds(60);
+        assertTrue(simulation.weight(2, 2) > 9_900, simulation.table.toString());
     }
 
     /**
-     * F1. Detects one replica's broken link, and one zone's replicas, moving what others are
-     * served.
+     * F1. Neither one replica's broken network link nor the replicas of one zone cause a failover
+     * while others are served.
      */
     @Test
-    public void theWordOfOneCopyOrOfOneZoneIsNoGround() {
-        Play play = calm();
-        play.broken.add(5);
-        play.seconds(60);
-        assertEquals(play.moves, List.of());
-        play.broken.addAll(List.of(4, 6, 7)); // all replicas of zone 1: the others are served there
-        play.seconds(60);
-        assertEquals(play.moves, List.of());
+    public void reportsOfOneReplicaOrOneZoneCauseNoFailover() {
+        Simulation simulation = steadyState();
+        simulation.broken.add(5);
+        simulation.runSeconds(60);
+        assertEquals(simulation.moves, List.of());
+        simulation.broken.addAll(
+                List.of(
+                        4, 6,
+                        7)); // all replicas of zone 1: requests of the others are served there
+        simulation.runSeconds(60);
+        assertEquals(simulation.moves, List.of());
     }
 
-    /** Detects a zone that comes and goes taking the traffic with it each time. */
+    /** A flapping zone must not move the traffic each time. */
     @Test
-    public void aZoneThatComesAndGoesMovesABoundedNumberOfTimes() {
-        for (int half : new int[] {3, 10, 20}) {
-            Play play = calm();
-            for (int i = 0; i < 600 / half; i++) {
-                play.lost[3] = i % 2 == 0;
-                play.seconds(half / 2.0);
+    public void flappingZoneMovesABoundedNumberOfTimes() {
+        for (int halfPeriod : new int[] {3, 10, 20}) {
+            Simulation simulation = steadyState();
+            for (int i = 0; i < 600 / halfPeriod; i++) {
+                simulation.lost[3] = i % 2 == 0;
+                simulation.runSeconds(halfPeriod / 2.0);
             }
-            for (int i = 0; i + SETTINGS.movesPerMinute() < play.moves.size(); i++) {
+            for (int i = 0; i + SETTINGS.movesPerMinute() < simulation.moves.size(); i++) {
                 assertTrue(
-                        play.moves.get(i + SETTINGS.movesPerMinute()) - play.moves.get(i)
+                        simulation.moves.get(i + SETTINGS.movesPerMinute())
+                                        - simulation.moves.get(i)
                                 > 60_000 * MILLI,
-                        "half a period of " + half + " halves of a second, moves at " + play.moves);
+                        "half a period of "
+                                + halfPeriod
+                                + " half seconds, moves at "
+                                + simulation.moves);
             }
-            assertFalse(play.moves.isEmpty());
-            assertTrue(play.moves.size() < 40, play.moves.size() + " moves in 300 s");
+            assertFalse(simulation.moves.isEmpty());
+            assertTrue(simulation.moves.size() < 40, simulation.moves.size() + " moves in 300 s");
         }
     }
 
-    /** The bound by itself, where no hold helps: detects moves without end. */
+    /**
+     * Tests the limit on moves alone, without hold times that would delay moves; a fault here shows
+     * as moves without end.
+     */
     @Test
-    public void theBoundOnMovesHoldsWithoutAnyHold() {
-        FailoverSettings hasty =
+    public void moveLimitHoldsWithoutHoldTimes() {
+        FailoverSettings withoutHolds =
                 new FailoverSettings(
                         SETTINGS.regions(),
                         List.of(),
@@ -363,88 +390,113 @@
                         PERIOD + 1,
                         8,
                         0.05);
-        Play play = new Play(hasty);
-        play.seconds(70);
+        Simulation simulation = new Simulation(withoutHolds);
+        simulation.runSeconds(70);
         for (int i = 0; i < 60; i++) {
-            play.lost[FLAPS] = i % 2 == 0;
-            play.seconds(4);
+            simulation.lost[FLAPPING_ZONE] = i % 2 == 0;
+            simulation.runSeconds(4);
         }
-        assertTrue(play.flapping.size() > 20, play.flapping.size() + " moves");
-        for (int i = 0; i + 8 < play.flapping.size(); i++) {
+        assertTrue(
+                simulation.flappingZoneMoves.size() > 20,
+                simulation.flappingZoneMoves.size() + " moves");
+        for (int i = 0; i + 8 < simulation.flappingZoneMoves.size(); i++) {
             assertTrue(
-                    play.flapping.get(i + 8) - play.flapping.get(i) > 60_000 * MILLI,
-                    "moves at " + play.flapping);
+                    simulation.flappingZoneMoves.get(i + 8) - simulation.flappingZoneMoves.get(i)
+                            > 60_000 * MILLI,
+                    "moves at " + simulation.flappingZoneMoves);
         }
     }
 
-    private static ZoneObservations says(int replica, Integer... bad) {
+    private static ZoneObservations report(int replica, Integer... unhealthyZones) {
         List<ZoneObservation> seen = new ArrayList<>();
-        for (int zone = 0; zone < ZONES && bad.length > 0; zone++) {
-            boolean ill = Arrays.asList(bad).contains(zone);
+        for (int zone = 0; zone < ZONES && unhealthyZones.length > 0; zone++) {
+            boolean isUnhealthy = Arrays.asList(unhealthyZones).contains(zone);
             seen.add(
                     new ZoneObservation(
-                            zone, 0, ill ? 0 : 9, 0, ill ? 9 : 0, 0, 0, 0, 0, 6, 0, 600));
+                            zone,
+                            0,
+                            isUnhealthy ? 0 : 9,
+                            0,
+                            isUnhealthy ? 9 : 0,
+                            0,
+                            0,
+                            0,
+                            0,
+                            6,
+                            0,
+                            600));
         }
         return new ZoneObservations(replica, replica / REPLICAS, 1, 1, 0, 500, 30, 0, seen);
     }
 
-    /** Detects a zone's word that is one replica's, or that of replicas with a broken link. */
+    /**
+     * The verdict of a zone must not come from a single replica, nor from replicas with a broken
+     * network link.
+     */
     @Test
-    public void oneCopyAndBrokenLinksAreNoWordOfTheirZone() {
-        Play play = new Play();
-        play.assessment.onObservations(0, says(4, 1));
-        play.assessment.onObservations(0, says(5));
-        play.assessment.onObservations(0, says(6));
+    public void oneReplicaAndBrokenLinksGiveNoVerdictOfTheirZone() {
+        Simulation simulation = new Simulation();
+        simulation.aggregator.onObservations(0, report(4, 1));
+        simulation.aggregator.onObservations(0, report(5));
+        simulation.aggregator.onObservations(0, report(6));
         assertFalse(
-                play.assessment.snapshot(0).zones().get(1).unhealthyFor().contains(1),
-                "one copy's word");
-        play.assessment.onObservations(0, says(7, 1));
+                simulation.aggregator.snapshot(0).zones().get(1).unhealthyFor().contains(1),
+                "the report of one replica");
+        simulation.aggregator.onObservations(0, report(7, 1));
         assertTrue(
-                play.assessment.snapshot(0).zones().get(1).unhealthyFor().contains(1),
-                "two copies' word");
-        play = new Play();
+                simulation.aggregator.snapshot(0).zones().get(1).unhealthyFor().contains(1),
+                "the reports of two replicas");
+        simulation = new Simulation();
         for (int replica = 4; replica < 8; replica++) {
-            play.assessment.onObservations(0, says(replica, 0, 1, 2, 3, 4));
+            simulation.aggregator.onObservations(0, report(replica, 0, 1, 2, 3, 4));
         }
         assertEquals(
-                play.assessment.snapshot(0).zones().get(1).unhealthyFor(),
+                simulation.aggregator.snapshot(0).zones().get(1).unhealthyFor(),
                 Set.of(),
-                "served nowhere");
+                "replicas that are served nowhere have no vote");
     }
 
-    /** What an operator leaves goes as a loss does, but nothing of it is rejected. */
+    /** Requests of an evacuated zone move as after a loss, but none are rejected. */
     @Test
-    public void anEvacuatedZoneServesWhatFitsNowhereElse() {
-        Play play = calm();
-        Arrays.fill(play.demand, 0.75 * CAPACITY);
-        play.seconds(10);
-        play.evacuated.add(4);
-        play.seconds(10);
-        assertTrue(play.parts(4, 4) > 3_000 && play.parts(4, 4) < 7_000, play.table.toString());
+    public void evacuatedZoneServesRequestsThatFitNowhereElse() {
+        Simulation simulation = steadyState();
+        Arrays.fill(simulation.demand, 0.75 * CAPACITY);
+        simulation.runSeconds(10);
+        simulation.evacuated.add(4);
+        simulation.runSeconds(10);
+        assertTrue(
+                simulation.weight(4, 4) > 3_000 && simulation.weight(4, 4) < 7_000,
+                simulation.table.toString());
         int sum = 0;
         for (int zone = 0; zone < ZONES; zone++) {
-            sum += play.parts(4, zone);
+            sum += simulation.weight(4, zone);
         }
-        assertTrue(sum > 9_990, play.table.toString());
+        assertTrue(sum > 9_990, simulation.table.toString());
     }
 
-    /** Detects words that are old, of a former life, or of replicas that are cut off. */
+    /**
+     * Reports that are outdated, of an earlier incarnation, or of replicas that are cut off do not
+     * count.
+     */
     @Test
-    public void oldWordsCountNothing() {
-        Play play = calm();
-        long then = play.now;
+    public void outdatedReportsAreIgnored() {
+        Simulation simulation = steadyState();
+        long then = simulation.now;
         ZoneObservations stale =
                 new ZoneObservations(4, 1, 0, 1L << 40, 0, 500, 9_000, 9_000, List.of());
-        play.assessment.onObservations(then, stale);
-        assertEquals(play.assessment.snapshot(then).zones().get(1).demand(), DEMAND, 5);
-        play.silent.addAll(List.of(4, 5, 6, 7));
-        play.seconds(4);
-        ZoneHealthSnapshot picture = play.assessment.snapshot(play.now);
-        assertEquals(picture.zones().get(1).freshReplicas(), 0);
-        assertEquals(picture.unreachable().size(), REPLICAS);
-        assertEquals(picture.zones().get(1).state(), ZoneState.HEALTHY, "others are served there");
-        assertEquals(play.moves, List.of());
-        play.assessment.lapse(play.now, replica -> play.now - 1);
-        assertEquals(play.assessment.snapshot(play.now).unreachable(), List.of());
+        simulation.aggregator.onObservations(then, stale);
+        assertEquals(simulation.aggregator.snapshot(then).zones().get(1).demand(), DEMAND, 5);
+        simulation.silent.addAll(List.of(4, 5, 6, 7));
+        simulation.runSeconds(4);
+        ZoneHealthSnapshot snapshot = simulation.aggregator.snapshot(simulation.now);
+        assertEquals(snapshot.zones().get(1).freshReplicas(), 0);
+        assertEquals(snapshot.unreachable().size(), REPLICAS);
+        assertEquals(
+                snapshot.zones().get(1).state(),
+                ZoneState.HEALTHY,
+                "requests of other zones are served there");
+        assertEquals(simulation.moves, List.of());
+        simulation.aggregator.forgetExpiredReplicas(simulation.now, replica -> simulation.now - 1);
+        assertEquals(simulation.aggregator.snapshot(simulation.now).unreachable(), List.of());
     }
 }
--- a/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
+++ b/core/src/test/java/cedarrudder/failover/ZoneObservationsTest.java
@@ -17,18 +17,18 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What a replica says it saw: as bytes, and as it is counted. */
+/** Tests the encoding of a replica's observations, and how they are counted. */
 public class ZoneObservationsTest {
 
     private static final long SEED = 4;
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
 
-    private static ZoneObservations any(Random random, int zones) {
-        List<ZoneObservation> seen = new ArrayList<>();
+    private static ZoneObservations randomObservations(Random random, int zones) {
+        List<ZoneObservation> observed = new ArrayList<>();
         for (int zone = 0; zone < zones; zone++) {
             if (random.nextInt(5) > 0) {
-                seen.add(
+                observed.add(
                         new ZoneObservation(
                                 zone,
                                 random.nextInt(ZoneObservations.MAX_AGE + 1),
@@ -53,21 +53,21 @@
                 1 + random.nextInt(9_000),
                 random.nextInt(9_000),
                 random.nextInt(50),
-                seen);
+                observed);
     }
 
-    /** Detects evidence that is another once it has travelled, or is too long for its datagram. */
+    /** A report must be the same once it is encoded and decoded, and fit its datagram. */
     @Test
-    public void whatIsWrittenIsRead() {
+    public void encodedPartsDecodeToTheSameObservations() {
         Random random = new Random(SEED);
         for (int i = 0; i < 2_000; i++) {
-            ZoneObservations evidence = any(random, random.nextInt(65));
+            ZoneObservations report = randomObservations(random, random.nextInt(65));
             int max =
                     ZoneObservations.MIN_BYTES
                             + random.nextInt(
                                     ZoneObservations.MAX_BYTES - ZoneObservations.MIN_BYTES + 1);
-            List<ZoneObservation> seen = new ArrayList<>();
-            for (byte[] part : evidence.encode(max)) {
+            List<ZoneObservation> observed = new ArrayList<>();
+            for (byte[] part : report.encode(max)) {
                 assertTrue(part.length <= max, "seed " + SEED + ", " + i);
                 ZoneObservations read = ZoneObservations.decode(part);
                 assertEquals(
@@ -80,13 +80,13 @@
                                 read.millis(),
                                 read.requests(),
                                 read.unserved(),
-                                evidence.observations()),
-                        evidence);
-                seen.addAll(read.observations());
+                                report.observations()),
+                        report);
+                observed.addAll(read.observations());
             }
-            assertEquals(seen, evidence.observations(), "seed " + SEED + ", " + i);
+            assertEquals(observed, report.observations(), "seed " + SEED + ", " + i);
         }
-        ZoneObservations usual =
+        ZoneObservations typical =
                 new ZoneObservations(
                         29,
                         3,
@@ -101,18 +101,20 @@
                                 new ZoneObservation(1, 0, 0, 0, 1, 0, 1, 0, 60, 8, 0, 800),
                                 new ZoneObservation(2, 9, 1, 0, 0, 0, 0, 0, 50, 8, 0, 800),
                                 new ZoneObservation(3, 0, 58, 1, 0, 1, 4, 0, 70, 8, 1, 720)));
-        assertEquals(usual.encode(ZoneObservations.MAX_BYTES).size(), 1);
+        assertEquals(typical.encode(ZoneObservations.MAX_BYTES).size(), 1);
     }
 
-    /** Detects a peer that ends this process, or has it keep what can't be. */
+    /** No bytes of a peer may end this process, or be accepted with impossible values. */
     @Test
-    public void garbageIsNone() {
+    public void garbageIsRejected() {
         Random random = new Random(SEED);
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes =
                     i % 2 == 0
                             ? new byte[random.nextInt(260)]
-                            : any(random, 6).encode(ZoneObservations.MAX_BYTES).get(0);
+                            : randomObservations(random, 6)
+                                    .encode(ZoneObservations.MAX_BYTES)
+                                    .get(0);
             if (i % 2 == 0) {
                 random.nextBytes(bytes);
                 if (bytes.length > 0) {
@@ -128,8 +130,8 @@
         assertNull(ZoneObservations.decode(new byte[0]));
     }
 
-    private static ZoneTrafficCounter tally(long now) {
-        ZoneTrafficCounter tally =
+    private static ZoneTrafficCounter newCounter(long now) {
+        ZoneTrafficCounter counter =
                 new ZoneTrafficCounter(
                         2,
                         0,
@@ -138,34 +140,37 @@
                         500 * MILLI,
                         new SafetyRules(0, 0.2, 10 * SECOND, 2, SECOND, 0),
                         now);
-        tally.onEndpoints(
+        counter.onEndpoints(
                 EndpointListKind.FULL,
                 List.of(
                         new Endpoint(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
                         new Endpoint(2, 0, 0, 0, EndpointStatus.READY, 2, now - 5 * SECOND),
                         new Endpoint(3, 1, 0, 0, EndpointStatus.DRAINING, 1, 0)));
-        return tally;
+        return counter;
     }
 
-    /** Detects calls counted for another zone, and cold endpoints taken for warm ones. */
+    /** An attempt must not be counted for another zone, nor a cold endpoint as a warm one. */
     @Test
-    public void itCountsByZones() {
-        ZoneTrafficCounter tally = tally(0);
+    public void attemptsAreCountedByZone() {
+        ZoneTrafficCounter counter = newCounter(0);
         for (Outcome outcome : Outcome.values()) {
-            tally.onRequest();
-            tally.onAttemptEnded(
-                    MILLI, tally.onAttemptSent(0, 1), outcome, new LoadReport(0, 0, 0.5, 0, 0, 0));
+            counter.onRequest();
+            counter.onAttemptEnded(
+                    MILLI,
+                    counter.onAttemptSent(0, 1),
+                    outcome,
+                    new LoadReport(0, 0, 0.5, 0, 0, 0));
         }
-        tally.onAttemptSent(2 * MILLI, 2);
-        tally.onUnserved();
-        tally.onAttemptEnded(
+        counter.onAttemptSent(2 * MILLI, 2);
+        counter.onUnserved();
+        counter.onAttemptEnded(
                 3 * MILLI,
-                tally.onAttemptSent(0, 9),
+                counter.onAttemptSent(0, 9),
                 Outcome.ERROR,
                 null); // an endpoint that is not listed
-        tally.onProbeEnded(3 * MILLI, 3, Outcome.TIMEOUT, null);
+        counter.onProbeEnded(3 * MILLI, 3, Outcome.TIMEOUT, null);
         assertEquals(
-                tally.closePeriod(500 * MILLI, 5),
+                counter.closePeriod(500 * MILLI, 5),
                 new ZoneObservations(
                         2,
                         0,
@@ -190,21 +195,21 @@
                                         1,
                                         100 + 2 * 64), // cold: 0.2 + 0.8 * 5.5 / 10
                                 new ZoneObservation(1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0))));
-        ZoneObservations next = tally.closePeriod(1_000 * MILLI, 5);
+        ZoneObservations next = counter.closePeriod(1_000 * MILLI, 5);
         assertEquals(next.observations().get(1).age(), 1);
         assertEquals(next.sequence(), 2);
     }
 
-    /** Detects a replica that was stopped telling that every zone fell silent. */
+    /** A replica that was suspended would otherwise report every zone as silent. */
     @Test
-    public void aCopyThatStoodStillSaysNothing() {
-        ZoneTrafficCounter tally = tally(0);
-        int sent = tally.onAttemptSent(0, 1);
-        assertNull(tally.closePeriod(3_000 * MILLI, 0));
-        tally.onAttemptEnded(3_100 * MILLI, sent, Outcome.TIMEOUT, null);
+    public void suspendedReplicaReportsNothing() {
+        ZoneTrafficCounter counter = newCounter(0);
+        int sent = counter.onAttemptSent(0, 1);
+        assertNull(counter.closePeriod(3_000 * MILLI, 0));
+        counter.onAttemptEnded(3_100 * MILLI, sent, Outcome.TIMEOUT, null);
         assertNull(
-                tally.closePeriod(3_500 * MILLI, 0),
-                "what ends just after it is still of that time");
-        assertNotNull(tally.closePeriod(4_000 * MILLI, 0));
+                counter.closePeriod(3_500 * MILLI, 0),
+                "attempts that end just after the suspension belong to it");
+        assertNotNull(counter.closePeriod(4_000 * MILLI, 0));
     }
 }
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -230,8 +230,8 @@
     }
 
     /**
-     * Guards against a member that was suspended for a while and then suspects or declares dead the
-     * others, whose acks and refutations wait unread.
+     * After a suspension the acks and refutations of others wait unread: the member must not
+     * suspect the others for it, nor declare them dead.
      */
     @Test
     public void suspendedMemberNeitherSuspectsNorDeclaresDead() {
@@ -469,8 +469,8 @@
     }
 
     /**
-     * Guards against an incarnation that no instance ever had: once, a flipped bit produced one
-     * that all instances accepted.
+     * A flipped bit once produced an incarnation that no instance ever had, and all instances
+     * accepted it.
      */
     @Test
     public void flippedBitInvalidatesMessage() {
