--- a/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -5,54 +5,60 @@
 import java.util.Objects;
 
 /**
- * What a list of nodes takes of the heap, worked out from its shape alone: at rest, and at the peak
- * of its loading, when its text, the objects of the text and the nodes that it replaces are there
- * too. Each line below is a part of the daemon; a test holds them against the objects themselves.
+ * Estimates the heap that an endpoint list needs, from its shape alone: at rest, and at the peak of
+ * loading, when its text, the objects parsed from the text and the replaced nodes exist at the same
+ * time. Each line below is a part of the daemon; a test compares the results with the objects
+ * themselves.
  */
 public final class EndpointListFootprint {
 
-    /** Members of an entry as discovery writes it, and the texts among their values but the id. */
-    private static final int MEMBERS = 8;
+    /**
+     * Members of an entry as discovery writes it, and how many of their values except the id are
+     * strings.
+     */
+    private static final int ENTRY_MEMBERS = 8;
 
-    private static final int VALUES = 4;
+    private static final int STRING_VALUES = 4;
 
-    /** Digits of the path by which an entry is named in messages, with what stands round them. */
-    private static final int PATH = 14;
+    /**
+     * Characters of the path that names an entry in messages: its digits and the text around them.
+     */
+    private static final int PATH_CHARS = 14;
 
-    /** Idle channels of a node wait in a queue of this many places. */
-    private static final int IDLE = 17;
+    /** Capacity of the queue in which a node's idle channels wait. */
+    private static final int IDLE_QUEUE_CAPACITY = 17;
 
     /**
-     * Hash maps that have one entry a node: three of the reader, the channels, the rotation, the
-     * module.
+     * Hash maps with one entry per node: three of the reader, and one each of the channels, the
+     * rotation and the module.
      */
-    private static final int MAPS = 6;
+    private static final int MAPS_PER_NODE = 6;
 
     /**
-     * What the maps and lists themselves take, however few nodes there are; and those of a text.
+     * Bytes of the maps and lists themselves, however few nodes there are; and of those for a text.
      */
-    private static final int FIXED = 256;
+    private static final int FIXED_BYTES = 256;
 
-    private static final int FIXED_TEXT = 1024;
+    private static final int FIXED_TEXT_BYTES = 1024;
 
-    /** Steps are worked out up to this many. */
+    /** Maximum number of steps that are computed. */
     private static final int MAX_STEPS = 16;
 
-    /** What binds. */
+    /** The limit that a list is closest to, or exceeds. */
     public enum Bound {
-        /** What the heap holds once it is loaded. */
+        /** The heap after the list is loaded. */
         HEAP_AT_REST,
-        /** What the heap holds while it, or the same list once more, is read. */
+        /** The heap while the list, or the same list once more, is read. */
         HEAP_AT_PEAK
     }
 
     /**
-     * What comes of a list.
+     * The result of checking a list.
      *
-     * @param fits whether all that it adds may be added now
-     * @param step this many of the nodes that it adds may be added now
-     * @param bound the one that is nearest, or that binds
-     * @param needed bytes that the whole list takes under it
+     * @param fits whether all nodes that it adds may be added now
+     * @param step how many of the nodes that it adds may be added now
+     * @param bound the limit that is closest or exceeded
+     * @param needed bytes that the whole list needs under that limit
      */
     public record Verdict(boolean fits, int step, Bound bound, long needed) {}
 
@@ -73,7 +79,10 @@
                 + layout.object(2, 2 * 4);
     }
 
-    /** What the balancer holds of one endpoint: its state and the objects that the state owns. */
+    /**
+     * Returns the bytes of the balancer's state of one endpoint, with the objects that the state
+     * owns.
+     */
     private long balancerState() {
         long state = layout.object(6, 3 * 8 + 2 * 4 + 3);
         long concurrencyLimit = layout.object(0, 6 * 8 + 4);
@@ -90,21 +99,21 @@
     }
 
     /**
-     * Bytes that a node that is held already takes while it is listed again: its id, its address
-     * and what the balancer learns of it, before and behind the administrative overrides, are there
-     * twice.
+     * Returns the bytes that a node that is already loaded needs in addition while it is listed
+     * again: its id, its address and what the balancer learns of it, before and after the
+     * administrative overrides, exist twice.
      */
-    private long again(long idChars) {
+    private long relistedNode(long idChars) {
         return layout.text(idChars) + address() + 2 * endpoint();
     }
 
     /**
-     * Bytes that one more node with an id of this many characters takes at rest, without hash
-     * tables.
+     * Returns the bytes that one more node with an id of this many characters needs at rest,
+     * without hash tables.
      */
     private long perEndpoint(long idChars) {
         long reader =
-                MAPS / 2 * layout.entry(false)
+                MAPS_PER_NODE / 2 * layout.entry(false)
                         + 2 * layout.boxed()
                         + layout.text(idChars)
                         + layout.object(0, 2 * 8 + Math.floorMod(-layout.header(), 8));
@@ -114,7 +123,7 @@
                         + layout.object(2, 1)
                         + address()
                         + layout.object(1, 2 * 4)
-                        + layout.array(IDLE, layout.reference());
+                        + layout.array(IDLE_QUEUE_CAPACITY, layout.reference());
         long rotation = layout.entry(false) + endpoint();
         long module =
                 layout.entry(false)
@@ -125,32 +134,33 @@
         return reader + channels + rotation + module;
     }
 
-    /** What a list takes of the heap once it is loaded. */
+    /** Returns the bytes of heap that a loaded list needs. */
     public long atRest(EndpointListShape list) {
         return list.nodes() == 0
                 ? 0
-                : FIXED
+                : FIXED_BYTES
                         + list.nodes()
                                 * perEndpoint(EndpointListShape.mean(list.idChars(), list.nodes()))
-                        + MAPS * layout.hashTable(list.nodes())
-                        + layout.array(buffer(list.textBytes()), 1);
+                        + MAPS_PER_NODE * layout.hashTable(list.nodes())
+                        + layout.array(bufferBytes(list.textBytes()), 1);
     }
 
     /**
-     * What reading a list takes beside what is kept of it.
+     * Returns the bytes that reading a list needs in addition to the loaded list.
      *
-     * @param taken this many of its entries are kept until it has been read; the others go as they
-     *     are read
+     * @param retained number of its entries that are retained until it has been read; the others
+     *     are discarded as they are read
      */
-    public long reading(EndpointListShape list, int taken) {
+    public long readingOverhead(EndpointListShape list, int retained) {
         long members =
                 layout.object(6, 3 * 4 + 4 + 1)
-                        + layout.hashTable(MEMBERS)
-                        + MEMBERS * layout.entry(true)
-                        + VALUES
+                        + layout.hashTable(ENTRY_MEMBERS)
+                        + ENTRY_MEMBERS * layout.entry(true)
+                        + STRING_VALUES
                                 * layout.text(
                                         EndpointListShape.mean(
-                                                list.valueChars(), (long) VALUES * list.nodes()))
+                                                list.valueChars(),
+                                                (long) STRING_VALUES * list.nodes()))
                         + layout.object(1, 5 * 4)
                         + layout.array(1, 4)
                         + layout.object(1, 5 * 4)
@@ -158,96 +168,105 @@
                         + layout.boxed();
         long update =
                 layout.object(2, 0)
-                        + layout.text(PATH)
+                        + layout.text(PATH_CHARS)
                         + layout.object(3, 0)
                         + 4L * layout.reference();
-        // The sets by which what is gone is found, and the list as it is handed on.
-        long handed =
+        // The sets by which removed nodes are found, and the list as it is passed on.
+        long result =
                 layout.object(2, 0) + layout.reference() + layout.entry(false) + layout.boxed();
-        return FIXED_TEXT
+        return FIXED_TEXT_BYTES
                 + layout.text(list.textBytes())
-                + (long) (list.nodes() - taken) * layout.reference()
-                + taken * (members + update + handed)
-                + layout.hashTable(taken);
+                + (long) (list.nodes() - retained) * layout.reference()
+                + retained * (members + update + result)
+                + layout.hashTable(retained);
     }
 
-    /** The buffer in which a text gathers, which doubles, and which a watch keeps. */
-    private static long buffer(long bytes) {
+    /**
+     * Returns the size of the buffer that collects a text; it doubles as it grows, and a watch
+     * retains it.
+     */
+    private static long bufferBytes(long bytes) {
         return Math.max(32, Long.highestOneBit(Math.max(1, bytes - 1)) * 2);
     }
 
     /**
-     * What is held at most while a list is read: what was held, what is added, and the text.
+     * Returns the maximum heap while a list is read: the loaded nodes, the added ones and the text.
      *
-     * @param taken this many of the list's entries are kept until it has been read
-     * @param added this many of those are new
+     * @param retained number of the list's entries that are retained until it has been read
+     * @param added number of those that are new
      */
-    public long atPeak(EndpointListShape held, EndpointListShape list, int taken, int added) {
-        return atRest(held.plus(list, added))
-                + reading(list, taken)
-                + (taken - added) * again(EndpointListShape.mean(list.idChars(), list.nodes()));
+    public long atPeak(EndpointListShape loaded, EndpointListShape list, int retained, int added) {
+        return atRest(loaded.plus(list, added))
+                + readingOverhead(list, retained)
+                + (retained - added)
+                        * relistedNode(EndpointListShape.mean(list.idChars(), list.nodes()));
     }
 
     /**
-     * What is held at most while all that is held is listed again, as discovery does now and then.
+     * Returns the maximum heap while the full list is sent again, as discovery does now and then.
      */
-    public long peakOfRepeatedList(EndpointListShape held) {
-        return held.nodes() == 0 ? 0 : atPeak(held, held, held.nodes(), 0);
+    public long peakOfRepeatedList(EndpointListShape loaded) {
+        return loaded.nodes() == 0 ? 0 : atPeak(loaded, loaded, loaded.nodes(), 0);
     }
 
-    /** The same once a list of changes was loaded, and all that is held is listed again in full. */
-    private long peakOfRepeatedList(EndpointListShape held, EndpointListShape changes, int added) {
-        EndpointListShape after = held.plus(changes, added);
+    /** Returns the same after a list of changes was loaded and the full list is sent again. */
+    private long peakOfRepeatedList(
+            EndpointListShape loaded, EndpointListShape changes, int added) {
+        EndpointListShape after = loaded.plus(changes, added);
         EndpointListShape fullList =
                 changes.nodes() == 0 ? after : changes.withNodes(after.nodes());
         return atPeak(after, fullList, fullList.nodes(), 0);
     }
 
     private long atPeak(
-            EndpointListShape held, EndpointListShape update, int added, int some, boolean full) {
-        long now = atPeak(held, update, update.nodes() - added + some, some);
-        EndpointListShape then = update.withNodes(update.nodes() - added + some);
+            EndpointListShape loaded,
+            EndpointListShape update,
+            int added,
+            int accepted,
+            boolean full) {
+        long peakOfUpdate = atPeak(loaded, update, update.nodes() - added + accepted, accepted);
+        EndpointListShape relisted = update.withNodes(update.nodes() - added + accepted);
         return Math.max(
-                now,
+                peakOfUpdate,
                 full
                         ? peakOfRepeatedList(
                                 new EndpointListShape(
-                                        then.nodes(),
+                                        relisted.nodes(),
                                         update.textBytes(),
-                                        then.idChars(),
-                                        then.valueChars()))
-                        : peakOfRepeatedList(held, update, some));
+                                        relisted.idChars(),
+                                        relisted.valueChars()))
+                        : peakOfRepeatedList(loaded, update, accepted));
     }
 
     /**
-     * Whether a list may be loaded, or how much of it. A list is sent again and again, so there
-     * must be room to read what is held once more: else the replica would never again hear of a
-     * drain.
+     * Returns whether a list may be loaded, or how much of it. Discovery sends a list again and
+     * again, so there must be enough heap to read the loaded list once more: otherwise the replica
+     * would never again be notified of a drain.
      *
      * @param update the list, or changes
-     * @param added how many of the nodes that it names are not held
-     * @param full whether what it does not name goes, once it is loaded
-     * @param capacity bytes of heap for nodes and their lists, beside all else
+     * @param added how many of its nodes are not loaded
+     * @param full whether nodes that it does not name are removed once it is loaded
+     * @param capacity bytes of heap for nodes and their lists, apart from everything else
      */
     public Verdict judge(
-            EndpointListShape held,
+            EndpointListShape loaded,
             EndpointListShape update,
             int added,
             boolean full,
             long capacity) {
-        long rest = atRest(full ? update : held.plus(update, added));
-        long peak = atPeak(held, update, added, added, full);
+        long rest = atRest(full ? update : loaded.plus(update, added));
+        long peak = atPeak(loaded, update, added, added, full);
         if (peak <= capacity || added == 0) {
             return new Verdict(true, added, Bound.HEAP_AT_PEAK, peak);
         }
         int fits = 0;
-        int beyond = added;
-        while (fits + 1 < beyond) {
-            int some = (fits + beyond) >>> 1;
-            if (atPeak(held, update, added, some, full) <= capacity) {
-                fits = some;
+        int tooMany = added;
+        while (fits + 1 < tooMany) {
+            int accepted = (fits + tooMany) >>> 1;
+            if (atPeak(loaded, update, added, accepted, full) <= capacity) {
+                fits = accepted;
             } else {
-                beyond = some;
+                tooMany = accepted;
             }
         }
         return rest > capacity
@@ -256,31 +275,37 @@
     }
 
     /**
-     * In which steps what a list adds gets in, where it is sent again and again and what it no
-     * longer names has left by then: how many nodes each adds. What they don't come to fits in no
-     * step.
+     * Returns the steps in which a list's new nodes are added if the list is sent again and again,
+     * and nodes that it no longer names have been removed by then: how many nodes each step adds.
+     * Nodes beyond their sum fit in no step.
      */
     public List<Integer> steps(
-            EndpointListShape held,
+            EndpointListShape loaded,
             EndpointListShape update,
             int added,
             boolean full,
             long capacity) {
         List<Integer> steps = new ArrayList<>();
-        EndpointListShape now = held;
-        for (int left = added; left > 0 && steps.size() < MAX_STEPS; ) {
-            int step = judge(now, update, left, full, capacity).step();
+        EndpointListShape current = loaded;
+        for (int remaining = added; remaining > 0 && steps.size() < MAX_STEPS; ) {
+            int step = judge(current, update, remaining, full, capacity).step();
             if (step == 0) {
                 return steps;
             }
             steps.add(step);
-            left -= step;
-            now = full ? update.withNodes(update.nodes() - left) : now.plus(update, step);
+            remaining -= step;
+            current =
+                    full
+                            ? update.withNodes(update.nodes() - remaining)
+                            : current.plus(update, step);
         }
         return steps;
     }
 
-    /** This many nodes like those of a list may be held and listed again, beside nothing else. */
+    /**
+     * Returns how many nodes like those of a list may be loaded and listed again, without any other
+     * nodes.
+     */
     public int max(EndpointListShape like, long capacity) {
         int max = 0;
         for (int step = 1 << 23; step > 0 && like.nodes() > 0; step >>>= 1) {
--- a/core/src/main/java/cedarrudder/footprint/MemoryEstimate.java
+++ b/core/src/main/java/cedarrudder/footprint/MemoryEstimate.java
@@ -1,18 +1,18 @@
 package cedarrudder.footprint;
 
 /**
- * What something takes of a process.
+ * The resources that a part of a process needs.
  *
- * @param rest bytes of the heap that stay
- * @param peak bytes of the heap at the peak of loading, with those that stay
+ * @param rest bytes of heap after loading
+ * @param peak bytes of heap at the peak of loading, including those at rest
  * @param direct bytes of direct memory
- * @param descriptors this many
+ * @param descriptors number of file descriptors
  */
 public record MemoryEstimate(long rest, long peak, long direct, int descriptors) {
 
     public static final MemoryEstimate NOTHING = new MemoryEstimate(0, 0, 0, 0);
 
-    /** Heap alone, which stays. */
+    /** Returns an estimate of heap alone, which is needed at rest as well. */
     static MemoryEstimate heap(long bytes) {
         return new MemoryEstimate(bytes, bytes, 0, 0);
     }
--- a/core/src/main/java/cedarrudder/footprint/ObjectLayout.java
+++ b/core/src/main/java/cedarrudder/footprint/ObjectLayout.java
@@ -1,48 +1,52 @@
 package cedarrudder.footprint;
 
 /**
- * How the virtual machine lays out objects; sizes are bytes. Fields fill gaps, as HotSpot has it
- * since 15.
+ * How the virtual machine lays out objects; sizes are bytes. Fields fill gaps, as in HotSpot since
+ * 15.
  *
  * @param header of an object
- * @param arrayHeader of an array, its length with it
- * @param reference one reference
+ * @param arrayHeader of an array, including its length
+ * @param reference of one reference
  * @param alignment objects begin at multiples of it
  */
 public record ObjectLayout(int header, int arrayHeader, int reference, int alignment) {
 
-    private static final int MARK = 8;
-    private static final int LENGTH = 4;
+    private static final int MARK_WORD_BYTES = 8;
+    private static final int ARRAY_LENGTH_BYTES = 4;
 
-    /** By what the virtual machine says of its own settings. */
+    /** Returns the layout for the settings that the virtual machine reports. */
     public static ObjectLayout of(
-            boolean shortReferences, boolean shortClassPointers, int alignment) {
-        int header = MARK + (shortClassPointers ? 4 : 8);
-        return new ObjectLayout(header, header + LENGTH, shortReferences ? 4 : 8, alignment);
+            boolean compressedReferences, boolean compressedClassPointers, int alignment) {
+        int header = MARK_WORD_BYTES + (compressedClassPointers ? 4 : 8);
+        return new ObjectLayout(
+                header, header + ARRAY_LENGTH_BYTES, compressedReferences ? 4 : 8, alignment);
     }
 
-    /** An object with this many references and this many bytes of other fields. */
+    /**
+     * Returns the size of an object with this many references and this many bytes of other fields.
+     */
     long object(int references, int bytes) {
         return aligned(header + (long) references * reference + bytes);
     }
 
-    /** An array of this many elements of a size. */
+    /** Returns the size of an array of this many elements of a size. */
     long array(long elements, int size) {
         return aligned(arrayHeader + elements * size);
     }
 
-    /** A text of this many characters, all of them Latin. */
+    /** Returns the size of a string of this many characters, all of them Latin-1. */
     long text(long chars) {
         return object(1, 5) + array(chars, 1);
     }
 
-    /** An entry of a hash map; with its links where the map keeps an order. */
+    /** Returns the size of an entry of a hash map, including its links if the map is ordered. */
     long entry(boolean ordered) {
         return object(ordered ? 5 : 3, 4);
     }
 
     /**
-     * The table of a hash map that has grown to this many entries; one that never had any has none.
+     * Returns the size of the table of a hash map that has grown to this many entries; one that
+     * never had any has no table.
      */
     long hashTable(long entries) {
         if (entries == 0) {
@@ -55,7 +59,7 @@
         return array(slots, reference);
     }
 
-    /** A number by which a map finds something. */
+    /** Returns the size of a boxed number, as a key of a map. */
     long boxed() {
         return object(0, 8 + Math.floorMod(-header, 8));
     }
--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -7,57 +7,58 @@
 import java.util.stream.Stream;
 
 /**
- * What a whole replica takes: the heap at rest and at the peak of loading, direct memory,
- * descriptors and the machine's memory. What grows with a list or a table is worked out from the
- * layout of objects; what is there before the first of them, and what a connection takes, was
- * measured on real processes (docs/FOOTPRINT.md), with references of four bytes and of eight; a
- * test holds the sums against such processes.
+ * Estimates the resources that a whole replica needs: heap at rest and at the peak of loading,
+ * direct memory, descriptors and the machine's memory. The parts that grow with a list or a table
+ * are computed from the layout of objects; the baseline before them and the size of a connection
+ * come from real processes (docs/FOOTPRINT.md), with references of four bytes and of eight. A test
+ * compares the sums with such processes.
  */
 public final class ProcessFootprint {
 
     /**
-     * With references of eight bytes, this much more is taken by what was measured with those of
-     * four.
+     * Factor for the sizes from real processes, which hold for references of four bytes, if
+     * references have eight.
      */
-    private static final double WIDE = 1.39;
+    private static final double WIDE_REFERENCE_FACTOR = 1.39;
 
     /**
-     * Of the young generation, as the flags of the platform's command make it: touched as it fills.
+     * Bytes of the young generation, as the flags of the platform's command set it; its memory is
+     * touched as it fills.
      */
-    private static final long YOUNG = 3_000_000;
+    private static final long YOUNG_GENERATION_BYTES = 3_000_000;
 
-    /** This many times what a list takes at its peak is allocated while it is read. */
-    private static final int ALLOCATED = 3;
+    /** Allocations while a list is read, as a multiple of the list's peak. */
+    private static final int ALLOCATION_FACTOR = 3;
 
-    /** What discovery's first word leaves behind. */
-    private static final long WATCH = 61_500;
+    /** Bytes that remain allocated after discovery's first response. */
+    private static final long WATCH_BYTES = 61_500;
 
     /**
-     * The parser's buffer has this many characters at least; those of longer texts are read in
-     * parts.
+     * Minimum and maximum characters of the parser's buffer; a longer text than the maximum is read
+     * in parts with the minimum.
      */
-    private static final int MIN_PARSED = 4_000;
+    private static final int MIN_PARSER_CHARS = 4_000;
 
-    private static final int MAX_PARSED = 1 << 15;
+    private static final int MAX_PARSER_CHARS = 1 << 15;
 
-    private static final int CALLER = 3_050;
-    private static final int CHANNEL = 2_530;
-    private static final int UNDER_WAY = 460;
+    private static final int CLIENT_CONNECTION_BYTES = 3_050;
+    private static final int ENDPOINT_CONNECTION_BYTES = 2_530;
+    private static final int REQUEST_BYTES = 460;
 
-    /** Direct memory comes in pieces of this many bytes. */
-    private static final int CHUNK = 1 << 18;
+    /** Direct memory is allocated in chunks of this many bytes. */
+    private static final int DIRECT_CHUNK_BYTES = 1 << 18;
 
     /**
-     * A body that flows holds this much of the heap, and this much waits in direct memory to be
-     * written.
+     * Bytes of heap that a body being forwarded uses, and bytes of it that wait in direct memory to
+     * be written.
      */
-    private static final int FLOWS = 1 << 16;
+    private static final int BODY_HEAP_BYTES = 1 << 16;
 
-    private static final int WAITS = 1 << 15;
+    private static final int BODY_DIRECT_BYTES = 1 << 15;
 
-    private static final int NAME = 10;
+    private static final int NAME_CHARS = 10;
 
-    /** What binds a replica. */
+    /** The limit that a replica is closest to, or exceeds. */
     public enum Bound {
         HEAP_AT_REST,
         HEAP_AT_PEAK,
@@ -66,21 +67,20 @@
         DESCRIPTORS
     }
 
-    /** One line of an estimate. */
+    /** One line of an estimate: a part of the replica, its number, and what all of them need. */
     public record Term(String name, long count, MemoryEstimate estimate) {}
 
     /**
-     * What comes of a replica.
+     * The result of checking a replica.
      *
-     * @param fits whether all bounds leave room
-     * @param bound the one that is exceeded by most, or that has the least to spare, in parts of
-     *     itself
-     * @param needed under it
-     * @param capacity that it leaves
+     * @param fits whether no limit is exceeded
+     * @param bound the limit with the largest used fraction
+     * @param needed what the replica needs under that limit
+     * @param capacity the limit itself
      */
     public record Verdict(boolean fits, Bound bound, long needed, long capacity) {
 
-        /** This much is left; below 0: this much is lacking. */
+        /** Returns the remaining capacity; if below 0, the missing one. */
         public long spare() {
             return capacity - needed;
         }
@@ -91,13 +91,18 @@
     private final RouteTableFootprint tables;
     private final ProcessBaseline baseline;
 
-    /** Of a process that the platform's command starts with an operator's file. */
+    /**
+     * Creates the footprint of a process that the platform's command starts with an operator's
+     * file.
+     */
     public ProcessFootprint(ObjectLayout layout) {
-        this(layout, ProcessBaseline.usual(layout));
+        this(layout, ProcessBaseline.ofPlatformCommand(layout));
     }
 
     /**
-     * @param baseline what there is before the first list, as the process itself says
+     * Creates the footprint of a process with a baseline of its own.
+     *
+     * @param baseline what the process needs before the first list, as it reports itself
      */
     public ProcessFootprint(ObjectLayout layout, ProcessBaseline baseline) {
         this.layout = Objects.requireNonNull(layout);
@@ -106,27 +111,27 @@
         this.baseline = Objects.requireNonNull(baseline);
     }
 
-    /** What there is before the first list. */
+    /** Returns what a process needs before the first list. */
     public ProcessBaseline baseline() {
         return baseline;
     }
 
-    /** All that counts, one after the other. */
+    /** Returns all parts of the estimate in a fixed order. */
     public List<Term> terms(ProcessShape replica) {
         return List.of(
                 baselineTerm(),
-                term("zones", replica.zones(), name()),
-                term("kinds", replica.kinds(), name()),
+                term("zones", replica.zones(), nameBytes()),
+                term("kinds", replica.kinds(), nameBytes()),
                 term(
                         "classes",
                         replica.classes(),
-                        name() + layout.object(1, 10 * 8) + layout.object(0, 3 * 8)),
-                term("tenants", replica.tenants(), name() + layout.object(1, 2 * 8) + 3 * 8),
+                        nameBytes() + layout.object(1, 10 * 8) + layout.object(0, 3 * 8)),
+                term("tenants", replica.tenants(), nameBytes() + layout.object(1, 2 * 8) + 3 * 8),
                 endpointList(replica.list()),
                 routeTable(replica.table()),
-                connections("callers", replica.callers(), CALLER),
-                connections("channels", replica.channels(), CHANNEL),
-                bodies(replica));
+                connections("callers", replica.clientConnections(), CLIENT_CONNECTION_BYTES),
+                connections("channels", replica.endpointConnections(), ENDPOINT_CONNECTION_BYTES),
+                requestBodies(replica));
     }
 
     private Term baselineTerm() {
@@ -141,8 +146,8 @@
     }
 
     private Term endpointList(EndpointListShape list) {
-        long rest = lists.atRest(list) + watch(list);
-        long peak = watch(list) + lists.peakOfRepeatedList(list);
+        long rest = lists.atRest(list) + watchBytes(list);
+        long peak = watchBytes(list) + lists.peakOfRepeatedList(list);
         return new Term("nodes", list.nodes(), new MemoryEstimate(rest, peak, 0, 0));
     }
 
@@ -152,11 +157,14 @@
         return new Term("table", table == null ? 0 : 1, new MemoryEstimate(rest, peak, 0, 0));
     }
 
-    private Term bodies(ProcessShape replica) {
-        long flowing = Math.min(replica.bodies(), replica.bodyBytes() / FLOWS) * WAITS;
-        long heap = replica.bodies() * measured(UNDER_WAY) + replica.bodyBytes();
-        long direct = (flowing + CHUNK - 1) / CHUNK * CHUNK;
-        return new Term("bodies", replica.bodies(), new MemoryEstimate(heap, heap, direct, 0));
+    private Term requestBodies(ProcessShape replica) {
+        long flowing =
+                Math.min(replica.activeRequests(), replica.bodyBytes() / BODY_HEAP_BYTES)
+                        * BODY_DIRECT_BYTES;
+        long heap = replica.activeRequests() * scaledToLayout(REQUEST_BYTES) + replica.bodyBytes();
+        long direct = (flowing + DIRECT_CHUNK_BYTES - 1) / DIRECT_CHUNK_BYTES * DIRECT_CHUNK_BYTES;
+        return new Term(
+                "bodies", replica.activeRequests(), new MemoryEstimate(heap, heap, direct, 0));
     }
 
     private Term term(String name, int count, long each) {
@@ -164,41 +172,49 @@
     }
 
     private Term connections(String name, int count, int each) {
-        long heap = count * measured(each);
+        long heap = count * scaledToLayout(each);
         return new Term(name, count, new MemoryEstimate(heap, heap, 0, count));
     }
 
-    /** A name of the settings in its list. */
-    private long name() {
-        return layout.text(NAME) + layout.reference();
+    /** Returns the bytes of one name from the settings, in its list. */
+    private long nameBytes() {
+        return layout.text(NAME_CHARS) + layout.reference();
     }
 
-    private long measured(long bytes) {
-        return measured(layout, bytes);
+    private long scaledToLayout(long bytes) {
+        return scaledToLayout(layout, bytes);
     }
 
-    static long measured(ObjectLayout layout, long bytes) {
-        return layout.reference() == Integer.BYTES ? bytes : (long) (bytes * WIDE);
+    static long scaledToLayout(ObjectLayout layout, long bytes) {
+        return layout.reference() == Integer.BYTES ? bytes : (long) (bytes * WIDE_REFERENCE_FACTOR);
     }
 
-    /** What the watch keeps beside the nodes and the buffer of their text. */
-    private long watch(EndpointListShape list) {
+    /**
+     * Returns the bytes that the watch retains in addition to the nodes and the buffer of their
+     * text.
+     */
+    private long watchBytes(EndpointListShape list) {
         if (list.textBytes() == 0) {
             return 0;
         }
-        long parsed =
-                list.textBytes() > MAX_PARSED ? MIN_PARSED : Math.max(MIN_PARSED, list.textBytes());
-        return measured(WATCH) + layout.array(parsed, 2);
+        long parserChars =
+                list.textBytes() > MAX_PARSER_CHARS
+                        ? MIN_PARSER_CHARS
+                        : Math.max(MIN_PARSER_CHARS, list.textBytes());
+        return scaledToLayout(WATCH_BYTES) + layout.array(parserChars, 2);
     }
 
-    /** What the replica takes in all. */
+    /** Returns what the replica needs in total. */
     public MemoryEstimate estimate(ProcessShape replica) {
         return terms(replica).stream()
                 .map(Term::estimate)
                 .reduce(MemoryEstimate.NOTHING, MemoryEstimate::plus);
     }
 
-    /** What one more node like the others takes, with its share of what grows in steps. */
+    /**
+     * Returns what one more node like the others needs, with its part of the tables that grow in
+     * steps.
+     */
     public MemoryEstimate oneMoreNode(ProcessShape replica) {
         int nodes = replica.list().nodes();
         MemoryEstimate more = estimate(replica.withNodes(2 * nodes)).minus(estimate(replica));
@@ -211,26 +227,29 @@
                         more.descriptors() / nodes);
     }
 
-    /** What the replica takes of the machine's memory, in bytes. */
+    /** Returns the bytes of the machine's memory that the replica needs. */
     public long resident(ProcessShape replica) {
         return resident(replica, estimate(replica));
     }
 
     private long resident(ProcessShape replica, MemoryEstimate all) {
-        long grown = all.peak() - baseline.heap();
-        long young = replica.callers() > 0 ? YOUNG : Math.min(YOUNG, ALLOCATED * grown);
-        return baseline.resident() + young + grown + all.direct() - baseline.direct();
+        long heapGrowth = all.peak() - baseline.heap();
+        long youngBytes =
+                replica.clientConnections() > 0
+                        ? YOUNG_GENERATION_BYTES
+                        : Math.min(YOUNG_GENERATION_BYTES, ALLOCATION_FACTOR * heapGrowth);
+        return baseline.resident() + youngBytes + heapGrowth + all.direct() - baseline.direct();
     }
 
     /**
-     * What of the heap is left for nodes and their lists, beside all else that the replica may come
-     * to hold.
+     * Returns the bytes of heap that remain for nodes and their lists after everything else that
+     * the replica may load.
      */
-    public long heapForLists(ProcessShape without, long heap) {
-        return Math.max(0, heap - estimate(without.withNodes(0)).rest());
+    public long heapForLists(ProcessShape withoutNodes, long heap) {
+        return Math.max(0, heap - estimate(withoutNodes.withNodes(0)).rest());
     }
 
-    /** Whether a replica fits, and which bound is nearest. */
+    /** Returns whether a replica fits, and which limit is closest. */
     public Verdict judge(ProcessShape replica, ProcessLimits limits) {
         MemoryEstimate all = estimate(replica);
         Verdict rest = verdict(Bound.HEAP_AT_REST, all.rest(), limits.heap());
@@ -240,18 +259,19 @@
                         verdict(Bound.RESIDENT, resident(replica, all), limits.resident()),
                         verdict(Bound.DIRECT, all.direct(), limits.direct()),
                         verdict(Bound.DESCRIPTORS, all.descriptors(), limits.descriptors()))
-                // What does not even fit at rest is said so, though the peak lacks more.
-                .filter(one -> rest.fits() || one.bound() != Bound.HEAP_AT_PEAK)
-                .max(Comparator.comparingDouble(ProcessFootprint::part))
+                // If not even the heap at rest fits, that is reported, though the peak exceeds the
+                // limit by more.
+                .filter(candidate -> rest.fits() || candidate.bound() != Bound.HEAP_AT_PEAK)
+                .max(Comparator.comparingDouble(ProcessFootprint::usedFraction))
                 .orElseThrow();
     }
 
-    private static double part(Verdict verdict) {
+    private static double usedFraction(Verdict verdict) {
         return (double) verdict.needed() / verdict.capacity();
     }
 
     private static Verdict verdict(Bound bound, long needed, long capacity) {
-        long there = capacity == 0 ? Long.MAX_VALUE : capacity;
-        return new Verdict(needed <= there, bound, needed, there);
+        long effectiveCapacity = capacity == 0 ? Long.MAX_VALUE : capacity;
+        return new Verdict(needed <= effectiveCapacity, bound, needed, effectiveCapacity);
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/ProcessLimits.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessLimits.java
@@ -1,11 +1,11 @@
 package cedarrudder.footprint;
 
 /**
- * What a process may take; 0: no bound is known.
+ * The limits of a process; 0 if a limit is not known.
  *
- * @param heap the heap's maximum, in bytes
+ * @param heap maximum heap in bytes
  * @param resident bytes of the machine's memory
  * @param direct bytes of direct memory
- * @param descriptors this many
+ * @param descriptors number of file descriptors
  */
 public record ProcessLimits(long heap, long resident, long direct, long descriptors) {}
--- a/core/src/main/java/cedarrudder/footprint/ProcessShape.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessShape.java
@@ -3,19 +3,19 @@
 import cedarrudder.routetable.RouteTable;
 
 /**
- * What a copy of the proxy is like, as far as it costs anything. Pods cost nothing by themselves,
- * nor do waves beyond their numbers in the route table: nodes hold the numbers of their pods.
+ * The properties of a replica of the proxy that determine its memory. Pods need none of their own,
+ * and waves only their numbers in the route table: nodes store the numbers of their pods.
  *
- * @param list the nodes that it holds, with the text of their list
+ * @param list the loaded nodes, with the text of their list
  * @param zones of the settings
  * @param kinds of the settings
  * @param classes of requests
  * @param tenants of the settings
- * @param table the route table that it uses; null: none
- * @param callers connections of clients
- * @param channels connections to nodes
- * @param bodies requests under way
- * @param bodyBytes what those hold of bodies, in bytes
+ * @param table the route table in use; null for none
+ * @param clientConnections connections of clients
+ * @param endpointConnections connections to nodes
+ * @param activeRequests requests in progress
+ * @param bodyBytes bytes of bodies that those requests buffer
  */
 public record ProcessShape(
         EndpointListShape list,
@@ -24,12 +24,12 @@
         int classes,
         int tenants,
         RouteTable table,
-        int callers,
-        int channels,
-        int bodies,
+        int clientConnections,
+        int endpointConnections,
+        int activeRequests,
         long bodyBytes) {
 
-    /** The same with this many nodes, of the same kind. */
+    /** Returns the same shape with this many nodes, of the same kind. */
     ProcessShape withNodes(int nodes) {
         return new ProcessShape(
                 list.withNodes(nodes),
@@ -38,9 +38,9 @@
                 classes,
                 tenants,
                 table,
-                callers,
-                channels,
-                bodies,
+                clientConnections,
+                endpointConnections,
+                activeRequests,
                 bodyBytes);
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
@@ -6,37 +6,38 @@
 import java.util.Map;
 
 /**
- * The largest route table and list of nodes that a replica has room for: what it answers when
- * replicas decide on a table. Nine bytes, three a figure; a larger figure is sent as the largest
- * that these hold.
+ * The largest route table and endpoint list that a replica has capacity for, which it reports when
+ * replicas decide on a table. Encoded in nine bytes, three per number; a larger number is sent as
+ * the largest that fits into three bytes.
  *
  * @param bytes compact bytes of a table
- * @param leaving nodes that it names as leaving
+ * @param leaving nodes that a table names as draining
  * @param nodes of a list
  */
 public record RouteTableCapacity(int bytes, int leaving, int nodes) {
 
-    /** How many bytes an answer takes. */
+    /** Size of the encoded capacity in bytes. */
     public static final int BYTES = 9;
 
-    private static final int MAX = (1 << 24) - 1;
+    private static final int MAX_NUMBER = (1 << 24) - 1;
 
-    /** Of a replica that asks nobody. */
-    public static final RouteTableCapacity ANY = new RouteTableCapacity(MAX, MAX, MAX);
+    /** The capacity of a replica that does not check its memory. */
+    public static final RouteTableCapacity ANY =
+            new RouteTableCapacity(MAX_NUMBER, MAX_NUMBER, MAX_NUMBER);
 
-    /** Brings both into the range that the bytes can hold. */
+    /** Limits all numbers to the range of the encoding. */
     public RouteTableCapacity {
-        bytes = Math.max(0, Math.min(MAX, bytes));
-        leaving = Math.max(0, Math.min(MAX, leaving));
-        nodes = Math.max(0, Math.min(MAX, nodes));
+        bytes = Math.max(0, Math.min(MAX_NUMBER, bytes));
+        leaving = Math.max(0, Math.min(MAX_NUMBER, leaving));
+        nodes = Math.max(0, Math.min(MAX_NUMBER, nodes));
     }
 
-    /** Whether a table of this many compact bytes may be loaded. */
+    /** Returns whether a table of this many compact bytes may be loaded. */
     public boolean fits(RouteTable table, int size) {
         return size <= bytes && table.draining().size() <= leaving;
     }
 
-    /** What both have room for. */
+    /** Returns what both have capacity for. */
     public RouteTableCapacity min(RouteTableCapacity other) {
         return new RouteTableCapacity(
                 Math.min(bytes, other.bytes),
@@ -44,22 +45,22 @@
                 Math.min(nodes, other.nodes));
     }
 
-    /** What all have room for; all there is where there is none. */
-    public static RouteTableCapacity min(Collection<RouteTableCapacity> rooms) {
-        return rooms.stream().reduce(ANY, RouteTableCapacity::min);
+    /** Returns what all have capacity for; {@link #ANY} if there are none. */
+    public static RouteTableCapacity min(Collection<RouteTableCapacity> capacities) {
+        return capacities.stream().reduce(ANY, RouteTableCapacity::min);
     }
 
     /**
-     * The replica that holds a table back in common: of those that can't load it the one with the
-     * least room.
+     * Returns the replica that prevents a common table: of those that can't load it the one with
+     * the smallest capacity.
      *
-     * @param rooms what the live replicas have reported
-     * @return null where all can load it
+     * @param capacities what the live replicas have reported
+     * @return null if all can load it
      */
     public static Integer limitingReplica(
-            RouteTable table, Map<Integer, RouteTableCapacity> rooms) {
+            RouteTable table, Map<Integer, RouteTableCapacity> capacities) {
         int size = RouteTableFootprint.bytes(table);
-        return rooms.entrySet().stream()
+        return capacities.entrySet().stream()
                 .filter(entry -> !entry.getValue().fits(table, size))
                 .min(
                         Map.Entry.<Integer, RouteTableCapacity>comparingByValue(
@@ -72,23 +73,23 @@
                 .orElse(null);
     }
 
-    /** Writes it behind what is there. */
+    /** Appends the encoded capacity to a buffer. */
     public void put(ByteBuffer out) {
         put(out, bytes);
         put(out, leaving);
         put(out, nodes);
     }
 
-    private static void put(ByteBuffer out, int figure) {
-        out.put((byte) (figure >> 16)).putShort((short) figure);
+    private static void put(ByteBuffer out, int number) {
+        out.put((byte) (number >> 16)).putShort((short) number);
     }
 
-    /** Reads what was written; whatever the bytes are, they are an answer. */
+    /** Reads a capacity; any bytes are a valid one. */
     public static RouteTableCapacity get(ByteBuffer in) {
-        return new RouteTableCapacity(figure(in), figure(in), figure(in));
+        return new RouteTableCapacity(readNumber(in), readNumber(in), readNumber(in));
     }
 
-    private static int figure(ByteBuffer in) {
+    private static int readNumber(ByteBuffer in) {
         return (in.get() & 0xff) << 16 | in.getShort() & 0xffff;
     }
 }
--- a/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
@@ -5,32 +5,35 @@
 import java.util.Objects;
 
 /**
- * What a route table takes of the heap: its objects and its compact bytes, at rest and while a next
- * one is read beside it. A test holds what is at rest against the objects themselves.
+ * Estimates the heap that a route table needs: its objects and its compact bytes, at rest and while
+ * the next table is read. A test compares the estimate at rest with the objects themselves.
  */
 public final class RouteTableFootprint {
 
     /**
-     * Least compact bytes of a share and of a node that leaves; the rest of a table takes some 40.
+     * Minimum compact bytes of a route and of a draining node; the rest of a table has about 40.
      */
-    private static final int SHARE_BYTES = 5;
+    private static final int MIN_ROUTE_BYTES = 5;
 
-    private static final int LEAVING_BYTES = 2;
+    private static final int MIN_DRAINING_BYTES = 2;
 
-    /** Most compact bytes of a node that leaves: a distance of 52 bits and a wave of 16. */
-    private static final int MAX_LEAVING_BYTES = 11;
+    /** Maximum compact bytes of a draining node: a distance of 52 bits and a wave of 16. */
+    private static final int MAX_DRAINING_BYTES = 11;
 
-    /** The most compact bytes that a table can have, with all that it may hold. */
+    /** Maximum compact bytes of a table with as many entries as it may have. */
     private static final int MAX_BYTES =
             64
                     + RouteTable.MAX_ZONES * RouteTable.MAX_ZONES * 10
-                    + RouteTable.MAX_DRAINING * MAX_LEAVING_BYTES
+                    + RouteTable.MAX_DRAINING * MAX_DRAINING_BYTES
                     + RouteTable.MAX_CLASSES * 7;
 
-    /** An entry that is read stands in a list that grew, in the text's order and in the table's. */
-    private static final int LISTS = 3;
+    /**
+     * While a table is read, each entry is referenced by a list that grew, by one in the text's
+     * order and by one in the table's order.
+     */
+    private static final int REFERENCES_PER_ENTRY = 3;
 
-    /** Bytes are written, gathered and copied: this many times what the table has. */
+    /** Copies of a table's bytes that writing, collecting and copying make. */
     private static final int TABLE_COPIES = 4;
 
     private final ObjectLayout layout;
@@ -39,88 +42,96 @@
         this.layout = Objects.requireNonNull(layout);
     }
 
-    /** Compact bytes of a table. */
+    /** Returns the number of compact bytes of a table. */
     public static int bytes(RouteTable table) {
         return RouteTableCodec.encode(table).length;
     }
 
-    /** What a table takes once it is loaded, its bytes with it; null, none, takes nothing. */
+    /**
+     * Returns the bytes of heap that a loaded table needs, including its compact bytes; 0 for null.
+     */
     public long atRest(RouteTable table) {
         return table == null
                 ? 0
-                : fixed()
-                        + list(table.routes().size(), share())
+                : tableObject()
+                        + list(table.routes().size(), routeObject())
                         + list(table.draining().size(), leaving())
-                        + list(table.limits().size(), limit())
+                        + list(table.limits().size(), limitObject())
                         + layout.array(bytes(table), 1);
     }
 
     /**
-     * What is held at most while a next table is read: both side by side, and what reading takes.
+     * Returns the maximum heap while the next table is read: both tables, and what reading needs.
      */
-    public long atPeak(RouteTable held, RouteTable next) {
+    public long atPeak(RouteTable loaded, RouteTable next) {
         long entries = next.routes().size() + next.draining().size() + next.limits().size();
-        return atRest(held)
+        return atRest(loaded)
                 + atRest(next)
-                + entries * LISTS * layout.reference()
+                + entries * REFERENCES_PER_ENTRY * layout.reference()
                 + TABLE_COPIES * layout.array(bytes(next), 1);
     }
 
     /**
-     * The largest table that may be loaded beside the one that is held. What its bytes hold is not
-     * known yet, so each is reckoned as what costs most.
+     * Returns the largest table that may be loaded next to the current one. The content of its
+     * bytes is not known yet, so all of them are assumed to be of the most expensive kind.
      *
-     * @param capacity bytes of heap for tables, with the one that is held
-     * @param nodes this many nodes there is room for, which the answer carries
+     * @param capacity bytes of heap for tables, including the loaded one
+     * @param nodes the number of nodes that the result carries
      */
-    public RouteTableCapacity capacity(RouteTable held, long capacity, int nodes) {
-        long left = capacity - atRest(held);
+    public RouteTableCapacity capacity(RouteTable loaded, long capacity, int nodes) {
+        long remaining = capacity - atRest(loaded);
         int bytes = 0;
         for (int step = Integer.highestOneBit(MAX_BYTES); step > 0; step >>>= 1) {
-            if (bytes + step <= MAX_BYTES && max(bytes + step) <= left) {
+            if (bytes + step <= MAX_BYTES && max(bytes + step) <= remaining) {
                 bytes += step;
             }
         }
-        long each =
+        long perDrainingNode =
                 leaving()
-                        + (1 + LISTS) * layout.reference()
-                        + (1 + TABLE_COPIES) * MAX_LEAVING_BYTES;
-        long leaving = Math.max(0, left - fixed() - lists()) / each;
+                        + (1 + REFERENCES_PER_ENTRY) * layout.reference()
+                        + (1 + TABLE_COPIES) * MAX_DRAINING_BYTES;
+        long leaving = Math.max(0, remaining - tableObject() - emptyLists()) / perDrainingNode;
         return new RouteTableCapacity(
                 bytes, (int) Math.min(RouteTable.MAX_DRAINING, leaving), nodes);
     }
 
-    /** The most that a table of this many compact bytes takes while it is read. */
+    /** Returns the maximum heap that a table of this many compact bytes needs while it is read. */
     private long max(long bytes) {
-        int references = (1 + LISTS) * layout.reference();
-        long shares =
-                Math.min(bytes / SHARE_BYTES, (long) RouteTable.MAX_ZONES * RouteTable.MAX_ZONES);
+        int references = (1 + REFERENCES_PER_ENTRY) * layout.reference();
+        long routeCount =
+                Math.min(
+                        bytes / MIN_ROUTE_BYTES,
+                        (long) RouteTable.MAX_ZONES * RouteTable.MAX_ZONES);
         long leaving =
-                Math.min(bytes / LEAVING_BYTES, RouteTable.MAX_DRAINING + RouteTable.MAX_CLASSES);
-        return fixed()
-                + lists()
-                + shares * (share() + references)
+                Math.min(
+                        bytes / MIN_DRAINING_BYTES,
+                        RouteTable.MAX_DRAINING + RouteTable.MAX_CLASSES);
+        return tableObject()
+                + emptyLists()
+                + routeCount * (routeObject() + references)
                 + leaving * (leaving() + references)
                 + (1 + TABLE_COPIES) * layout.array(bytes, 1);
     }
 
-    /** The table itself. */
-    private long fixed() {
+    /** Returns the size of the table object. */
+    private long tableObject() {
         return layout.object(3, 4 * 8);
     }
 
-    /** Its lists, with nothing in them. */
-    private long lists() {
+    /** Returns the size of its lists without entries. */
+    private long emptyLists() {
         return 3 * (layout.object(1, 1) + layout.array(1, layout.reference()));
     }
 
-    private long list(int entries, long each) {
+    private long list(int entries, long perDrainingNode) {
         return entries == 0
                 ? 0
-                : layout.object(1, 1) + layout.array(entries, layout.reference()) + entries * each;
+                : layout.object(1, 1)
+                        + layout.array(entries, layout.reference())
+                        + entries * perDrainingNode;
     }
 
-    private long share() {
+    private long routeObject() {
         return layout.object(1, 4 * 4);
     }
 
@@ -128,7 +139,7 @@
         return layout.object(0, 8 + 4);
     }
 
-    private long limit() {
+    private long limitObject() {
         return layout.object(0, 2 * 4);
     }
 }
--- a/core/src/main/java/cedarrudder/logging/Level.java
+++ b/core/src/main/java/cedarrudder/logging/Level.java
@@ -1,13 +1,16 @@
 package cedarrudder.logging;
 
-/** How much an event matters to an operator, the least first. */
+/** The importance of an event to an operator, in ascending order. */
 public enum Level {
-    /** What helps to find a fault; it may come in any number. */
+    /** Details that help to find a fault; any number of them may occur. */
     DEBUG,
-    /** A rare event of the program's own life. */
+    /** A rare event of the program itself, such as its start. */
     INFO,
-    /** Something wrong outside, such as a peer that sends nonsense; it may come in any number. */
+    /**
+     * A fault outside the program, such as a peer that sends invalid data; any number of them may
+     * occur.
+     */
     WARN,
-    /** A fault of the program itself; it may come in any number. */
+    /** A fault of the program itself; any number of them may occur. */
     ERROR
 }
--- a/core/src/main/java/cedarrudder/logging/LineWriter.java
+++ b/core/src/main/java/cedarrudder/logging/LineWriter.java
@@ -1,14 +1,16 @@
 package cedarrudder.logging;
 
 /**
- * The form of the log's lines. The logger calls {@link #begin}, then {@link #field} for each field,
+ * Formats the log's lines. The logger calls {@link #begin}, then {@link #field} for each field,
  * then {@link #end}; a line that was begun and not ended is dropped by the next {@code begin}.
  *
- * <p>Texts come without control characters and within the logger's bound on length.
+ * <p>Texts are free of control characters and within the logger's limit on length.
  */
 public interface LineWriter {
 
     /**
+     * Begins a line.
+     *
      * @param millis milliseconds since the program's start
      */
     void begin(long millis, Level level, String event);
@@ -17,6 +19,6 @@
 
     void field(String name, long value);
 
-    /** The line, without its end. */
+    /** Returns the line, without a line separator. */
     String end();
 }
--- a/core/src/main/java/cedarrudder/logging/LogSettings.java
+++ b/core/src/main/java/cedarrudder/logging/LogSettings.java
@@ -3,14 +3,13 @@
 /**
  * What is logged, and how much of it.
  *
- * @param level events below it are left out
- * @param linesPerSecond this many lines of each second may be of the levels that come in any
- *     number, all but {@code INFO}; the rest is counted and the count logged
- * @param lineChars the texts in one line have this many characters together at most; what is longer
- *     is cut
+ * @param level events below it are suppressed
+ * @param linesPerSecond maximum number of lines per second of all levels but {@code INFO}, which
+ *     occurs rarely; further lines are counted, and the count is logged
+ * @param lineChars maximum characters of all texts of one line together; longer texts are truncated
  */
 public record LogSettings(Level level, int linesPerSecond, int lineChars) {
 
-    /** What counts where nothing is set. */
+    /** The default settings. */
     public static final LogSettings DEFAULT = new LogSettings(Level.INFO, 20, 300);
 }
--- a/core/src/main/java/cedarrudder/logging/Logger.java
+++ b/core/src/main/java/cedarrudder/logging/Logger.java
@@ -4,36 +4,36 @@
 import java.util.function.Predicate;
 
 /**
- * The project's logger: one line an event on one stream. An event has a name, such as {@code
- * node.spoilt}, and fields with names of their own:
+ * The project's logger: it writes one line per event to one stream. An event has a name, such as
+ * {@code endpoint.response_rejected}, and fields with names:
  *
  * <pre>
- * log.warn("endpoint.response_rejected").with("endpoint", address).with("why", reason).write();
+ *  log.warn("endpoint.response_rejected").with("endpoint", address).with("why", reason).write();
  * </pre>
  *
- * <p>An event that is left out, by its level or by the bound on lines, costs no memory, and its
- * fields are not turned into text.
+ * <p>An event that is suppressed, by its level or by the limit on lines, allocates no memory, and
+ * its fields are not converted to text.
  *
- * <p>Not thread-safe, as all that runs after the start runs on one event loop. One event is made at
- * a time: its fields follow at once, and {@link Entry#write} ends it.
+ * <p>Not thread-safe, since everything after the start runs on one event loop. Only one event is
+ * built at a time: its fields follow at once, and {@link Entry#write} ends it.
  */
 public final class Logger {
 
-    /** The second of {@link LogSettings#linesPerSecond}. */
+    /** The one-second window of {@link LogSettings#linesPerSecond}. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
 
-    private static final Entry LEFT_OUT = new Entry(null, null);
+    private static final Entry SUPPRESSED_ENTRY = new Entry(null, null);
 
     private final Predicate<String> out;
     private final long started = System.nanoTime();
-    private LineWriter lines;
+    private LineWriter currentWriter;
     private LogSettings settings = LogSettings.DEFAULT;
     private Entry entry;
-    private long window = started;
-    private int written;
+    private long windowStart = started;
+    private int linesInWindow;
     private int suppressed;
 
-    /** A logger of {@linkplain TextLines text} with the default settings. */
+    /** Creates a logger that writes {@linkplain TextLines text} with the default settings. */
     public Logger(PrintStream out) {
         this(
                 line -> {
@@ -43,20 +43,21 @@
     }
 
     /**
-     * The same, to whom takes lines, or says that there is no room for one: it counts as left out.
+     * Creates a logger of text that passes each line to a predicate, which returns false if it has
+     * no capacity for the line; the line then counts as suppressed.
      */
     public Logger(Predicate<String> out) {
         this.out = out;
         lineWriter(new TextLines());
     }
 
-    /** From now on lines have this form. */
+    /** Sets the format of the following lines. */
     public void lineWriter(LineWriter writer) {
-        lines = writer;
+        currentWriter = writer;
         entry = new Entry(this, writer);
     }
 
-    /** From now on these settings count. */
+    /** Sets the settings for the following events. */
     public void settings(LogSettings next) {
         settings = next;
     }
@@ -66,53 +67,54 @@
         return begin(Level.DEBUG, event);
     }
 
-    /** Begins a rare event of the program's own life. */
+    /** Begins a rare event of the program itself. */
     public Entry info(String event) {
         return begin(Level.INFO, event);
     }
 
-    /** Begins an event that tells of something wrong outside. */
+    /** Begins an event about a fault outside the program. */
     public Entry warn(String event) {
         return begin(Level.WARN, event);
     }
 
     /**
-     * Begins an event that tells of a fault of the program itself; where it came from is its first
-     * field.
+     * Begins an event about a fault of the program itself; its first field is the place where the
+     * fault was thrown.
      */
     public Entry fault(String event, Throwable fault) {
-        Entry begun = begin(Level.ERROR, event);
+        Entry newEntry = begin(Level.ERROR, event);
         StackTraceElement[] trace =
-                begun == LEFT_OUT ? new StackTraceElement[0] : fault.getStackTrace();
+                newEntry == SUPPRESSED_ENTRY ? new StackTraceElement[0] : fault.getStackTrace();
         return trace.length == 0
-                ? begun.with("error", fault)
-                : begun.with("at", trace[0]).with("error", fault);
+                ? newEntry.with("error", fault)
+                : newEntry.with("at", trace[0]).with("error", fault);
     }
 
     private Entry begin(Level level, String event) {
         if (level.compareTo(settings.level()) < 0 || level != Level.INFO && !hasCapacity()) {
-            return LEFT_OUT;
+            return SUPPRESSED_ENTRY;
         }
         return start(level, event);
     }
 
     /**
-     * This avoids a peer that sends nonsense without end: writing it all down would fill the pipe
-     * that the log goes to, and a full pipe blocks the event loop.
+     * Returns whether the limit on lines allows another one. Without the limit a peer that sends
+     * invalid data without end would fill the pipe that the log is written to, and a full pipe
+     * blocks the event loop.
      */
     private boolean hasCapacity() {
         long now = System.nanoTime();
-        if (now - window > WINDOW_NANOS) {
-            int left = suppressed;
-            window = now;
-            written = 0;
+        if (now - windowStart > WINDOW_NANOS) {
+            int suppressedBefore = suppressed;
+            windowStart = now;
+            linesInWindow = 0;
             suppressed = 0;
-            if (left > 0) {
-                start(Level.WARN, "log.lines_suppressed").with("lines", left).write();
+            if (suppressedBefore > 0) {
+                start(Level.WARN, "log.lines_suppressed").with("lines", suppressedBefore).write();
             }
         }
-        if (written < settings.linesPerSecond()) {
-            written++;
+        if (linesInWindow < settings.linesPerSecond()) {
+            linesInWindow++;
             return true;
         }
         suppressed++;
@@ -120,12 +122,12 @@
     }
 
     private Entry start(Level level, String event) {
-        lines.begin((System.nanoTime() - started) / 1_000_000, level, event);
+        currentWriter.begin((System.nanoTime() - started) / 1_000_000, level, event);
         entry.charsLeft = settings.lineChars();
         return entry;
     }
 
-    /** An event in the making. */
+    /** An event that is being built. */
     public static final class Entry {
         private final Logger logger;
         private final LineWriter writer;
@@ -136,7 +138,7 @@
             this.writer = writer;
         }
 
-        /** A field that holds a whole number. */
+        /** Adds a field with an integer value. */
         public Entry with(String name, long value) {
             if (writer != null) {
                 writer.field(name, value);
@@ -144,20 +146,24 @@
             return this;
         }
 
-        /** A field that holds a text: what the value's {@code toString} says, or {@code null}. */
+        /**
+         * Adds a field with a text value: the result of the value's {@code toString}, or {@code
+         * null}.
+         */
         public Entry with(String name, Object value) {
             if (writer != null) {
-                writer.field(name, bounded(String.valueOf(value)));
+                writer.field(name, sanitized(String.valueOf(value)));
             }
             return this;
         }
 
         /**
-         * This avoids a peer that sends long texts, and against one that writes log lines of its
-         * own by sending line ends. Halves of character pairs are no text either, and a cut may
-         * leave one.
+         * Returns a value truncated to the remaining characters, with control characters and
+         * surrogates replaced. Otherwise a peer could send long texts, or forge log lines by
+         * sending line breaks. Halves of surrogate pairs are no valid text either, and truncation
+         * may leave one.
          */
-        private String bounded(String value) {
+        private String sanitized(String value) {
             StringBuilder clean = null;
             int length = Math.min(value.length(), charsLeft);
             charsLeft -= length;
--- a/core/src/main/java/cedarrudder/logging/TextLines.java
+++ b/core/src/main/java/cedarrudder/logging/TextLines.java
@@ -1,21 +1,21 @@
 package cedarrudder.logging;
 
 /**
- * Lines for people: seconds since the start, level, event, then {@code name=value} for each field.
- * A value that is empty or holds a space, a quote or an equals sign stands in quotes, with quotes
- * and backslashes in it escaped.
+ * Formats human-readable lines: seconds since the start, level, event, then {@code name=value} for
+ * each field. A value that is empty or has a space, a quote or an equals sign is quoted, with
+ * quotes and backslashes in it escaped.
  */
 public final class TextLines implements LineWriter {
 
-    /** Characters of a usual line: the first size of a buffer that grows. */
-    private static final int USUAL = 120;
+    /** Initial capacity of a line's buffer, in characters. */
+    private static final int INITIAL_CHARS = 120;
 
     private StringBuilder line = new StringBuilder();
 
     @Override
     public void begin(long millis, Level level, String event) {
         line =
-                new StringBuilder(USUAL)
+                new StringBuilder(INITIAL_CHARS)
                         .append(millis / 1000)
                         .append('.')
                         .append(millis % 1000 / 100)
--- a/core/src/main/java/cedarrudder/logging/package-info.java
+++ b/core/src/main/java/cedarrudder/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The logger: events with names and typed fields, levels, and bounds on rate and length.
+ * The logger: events with names and typed fields, levels, and limits on rate and length.
  *
  * <p>Uses nothing else of the project.
  */
--- a/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
+++ b/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
@@ -1,21 +1,21 @@
 package cedarrudder.metrics;
 
 /**
- * What a process has counted since its start, made once: pages and agents read it, and none counts
- * for itself. Owned by the event loop; not thread-safe. A look or a count costs nanoseconds and no
- * memory.
+ * The request counters of a process since its start. There is one instance: pages and agents read
+ * it, and none has counters of its own. Owned by the event loop; not thread-safe. Reading or
+ * incrementing a counter costs nanoseconds and allocates no memory.
  */
 public final class RequestMetrics {
 
-    /** How a request ended, by what its client got. */
+    /** How a request ended, by what its client received. */
     public enum End {
-        /** An endpoint's answer. */
+        /** An endpoint's response. */
         SERVED,
-        /** 429 or 503, whoever worded it: a repeat is harmless. */
+        /** 429 or 503, from an endpoint or the proxy: a retry is harmless. */
         REJECTED,
-        /** Any other status, or an answer that is visibly not whole. */
+        /** Any other status, or a response that is visibly incomplete. */
         FAILED,
-        /** Nothing: the client had gone. */
+        /** Nothing: the client had closed its connection. */
         CLIENT_LEFT
     }
 
@@ -26,7 +26,9 @@
     private long openRequests;
 
     /**
-     * @param classes how many classes of requests there are
+     * Creates counters that start at 0.
+     *
+     * @param classes number of request classes
      */
     public RequestMetrics(int classes) {
         ended = new long[End.values().length][classes];
@@ -34,54 +36,54 @@
         forwarded = new long[classes];
     }
 
-    /** A request of this class was taken. */
-    public void onAccepted(int kind) {
-        accepted[kind]++;
+    /** Counts an accepted request of this class. */
+    public void onAccepted(int classIndex) {
+        accepted[classIndex]++;
         openRequests++;
     }
 
-    /** One that was taken has ended; to be called once for each. */
-    public void onEnded(int kind, End how) {
-        ended[how.ordinal()][kind]++;
+    /** Counts the end of an accepted request; call it once for each. */
+    public void onEnded(int classIndex, End end) {
+        ended[end.ordinal()][classIndex]++;
         openRequests--;
     }
 
-    /** The time of one was over before it had ended. */
+    /** Counts a request whose deadline passed before it ended. */
     public void onDeadlineMissed() {
         deadlinesMissed++;
     }
 
-    /** requests whose time was over before they had ended. */
+    /** Returns the number of requests whose deadline passed before they ended. */
     public long deadlinesMissed() {
         return deadlinesMissed;
     }
 
-    /** An attempt of this class was written whole to an endpoint. */
-    public void onForwarded(int kind) {
-        forwarded[kind]++;
+    /** Counts an attempt of this class that was written completely to an endpoint. */
+    public void onForwarded(int classIndex) {
+        forwarded[classIndex]++;
     }
 
-    /** How many classes there are. */
+    /** Returns the number of request classes. */
     public int classes() {
         return accepted.length;
     }
 
-    /** requests of a class that ended like this. */
-    public long ended(int kind, End how) {
-        return ended[how.ordinal()][kind];
+    /** Returns the number of requests of a class with this end. */
+    public long ended(int classIndex, End end) {
+        return ended[end.ordinal()][classIndex];
     }
 
-    /** requests of a class that were taken, however they ended. */
-    public long accepted(int kind) {
-        return accepted[kind];
+    /** Returns the number of accepted requests of a class, however they ended. */
+    public long accepted(int classIndex) {
+        return accepted[classIndex];
     }
 
-    /** Attempts of a class that were written whole. */
-    public long forwarded(int kind) {
-        return forwarded[kind];
+    /** Returns the number of attempts of a class that were written completely. */
+    public long forwarded(int classIndex) {
+        return forwarded[classIndex];
     }
 
-    /** requests that were taken and have not ended. */
+    /** Returns the number of accepted requests that have not ended. */
     public long openRequests() {
         return openRequests;
     }
--- a/core/src/main/java/cedarrudder/metrics/package-info.java
+++ b/core/src/main/java/cedarrudder/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Counters of requests, counted once; pages and agents read them.
+ * Counters of requests, which pages and agents read.
  *
  * <p>Uses nothing else of the project.
  */
--- a/core/src/test/java/cedarrudder/footprint/EndpointListFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/EndpointListFootprintTest.java
@@ -18,9 +18,9 @@
         return new EndpointListShape(nodes, nodes * 150L, nodes * 10L, nodes * 37L);
     }
 
-    /** Detects a verdict that forgets the peak: what fits at rest alone is refused. */
+    /** A verdict that ignored the peak would accept a list that fits at rest alone. */
     @Test
-    public void whatFitsAtRestAndNotWhileItIsReadIsRefused() {
+    public void listThatFitsAtRestButNotWhileItIsReadIsRejected() {
         EndpointListShape list = list(5_000);
         long rest = FOOTPRINT.atRest(list);
         Verdict verdict = FOOTPRINT.judge(EndpointListShape.NONE, list, 5_000, true, rest + 1000);
@@ -28,8 +28,8 @@
         assertEquals(verdict.bound(), Bound.HEAP_AT_PEAK);
         assertEquals(verdict.needed(), FOOTPRINT.peakOfRepeatedList(list));
         assertTrue(
-                verdict.needed() > rest + FOOTPRINT.reading(list, 5_000),
-                "more than the first time");
+                verdict.needed() > rest + FOOTPRINT.readingOverhead(list, 5_000),
+                "the repeated list needs more than the first one");
         assertEquals(
                 FOOTPRINT.judge(EndpointListShape.NONE, list, 5_000, true, rest - 7).bound(),
                 Bound.HEAP_AT_REST);
@@ -39,56 +39,72 @@
                         .fits());
     }
 
-    /** Detects old and new nodes side by side where there is room for either alone. */
+    /**
+     * Old and new nodes must not exist at the same time if there is capacity for either of them
+     * alone.
+     */
     @Test
-    public void anotherListOfTheSameSizeFitsInSteps() {
+    public void replacementListOfTheSameSizeFitsInSteps() {
         EndpointListShape list = list(5_000);
-        long room = FOOTPRINT.peakOfRepeatedList(list) + 1_000_000;
-        assertTrue(FOOTPRINT.judge(list, list, 0, true, room).fits());
-        Verdict other = FOOTPRINT.judge(list, list, 5_000, true, room);
-        assertFalse(other.fits());
-        assertTrue(other.step() > 1_000 && other.step() < 5_000, other.toString());
-        assertTrue(FOOTPRINT.atPeak(list, list, other.step(), other.step()) <= room);
-        assertTrue(FOOTPRINT.atPeak(list, list, other.step() + 1, other.step() + 1) > room);
+        long capacity = FOOTPRINT.peakOfRepeatedList(list) + 1_000_000;
+        assertTrue(FOOTPRINT.judge(list, list, 0, true, capacity).fits());
+        Verdict replacement = FOOTPRINT.judge(list, list, 5_000, true, capacity);
+        assertFalse(replacement.fits());
+        assertTrue(
+                replacement.step() > 1_000 && replacement.step() < 5_000, replacement.toString());
+        assertTrue(
+                FOOTPRINT.atPeak(list, list, replacement.step(), replacement.step()) <= capacity);
+        assertTrue(
+                FOOTPRINT.atPeak(list, list, replacement.step() + 1, replacement.step() + 1)
+                        > capacity);
     }
 
-    /** Detects operators who hear only that a list does not fit, where it gets in by itself. */
+    /**
+     * Operators must not be shown only that a list does not fit if its repeated sending loads it in
+     * steps.
+     */
     @Test
-    public void theStepsAreThoseThatComeWhenTheListIsToldAgainAndAgain() {
+    public void stepsEqualThoseOfARepeatedlySentList() {
         EndpointListShape list = list(5_000);
-        long room = FOOTPRINT.peakOfRepeatedList(list) + 1_000_000;
-        List<Integer> steps = FOOTPRINT.steps(list, list, 5_000, true, room);
+        long capacity = FOOTPRINT.peakOfRepeatedList(list) + 1_000_000;
+        List<Integer> steps = FOOTPRINT.steps(list, list, 5_000, true, capacity);
         assertEquals(steps.stream().mapToInt(Integer::intValue).sum(), 5_000);
-        assertEquals(steps.get(0), (Integer) FOOTPRINT.judge(list, list, 5_000, true, room).step());
         assertEquals(
-                FOOTPRINT.steps(EndpointListShape.NONE, list, 5_000, true, room),
+                steps.get(0), (Integer) FOOTPRINT.judge(list, list, 5_000, true, capacity).step());
+        assertEquals(
+                FOOTPRINT.steps(EndpointListShape.NONE, list, 5_000, true, capacity),
                 List.of(5_000),
-                "at once");
-        List<Integer> never = FOOTPRINT.steps(list, list(50_000), 45_000, true, room);
-        assertTrue(never.stream().mapToInt(Integer::intValue).sum() < 45_000, never.toString());
-        int max = FOOTPRINT.max(list, room);
-        assertTrue(FOOTPRINT.judge(EndpointListShape.NONE, list(max), max, true, room).fits());
+                "in one step");
+        List<Integer> partialSteps = FOOTPRINT.steps(list, list(50_000), 45_000, true, capacity);
+        assertTrue(
+                partialSteps.stream().mapToInt(Integer::intValue).sum() < 45_000,
+                partialSteps.toString());
+        int max = FOOTPRINT.max(list, capacity);
+        assertTrue(FOOTPRINT.judge(EndpointListShape.NONE, list(max), max, true, capacity).fits());
         assertFalse(
                 FOOTPRINT
-                        .judge(EndpointListShape.NONE, list(max + 50), max + 50, true, room)
+                        .judge(EndpointListShape.NONE, list(max + 50), max + 50, true, capacity)
                         .fits());
     }
 
-    /** Detects changes that are held and can't be told again: of a drain nothing would be heard. */
+    /**
+     * If changes were loaded although the full list could not be read again, the replica would not
+     * be notified of a drain.
+     */
     @Test
-    public void changesLeaveRoomForTheWholeListToBeReadAgain() {
-        EndpointListShape held = list(4_000);
-        long room = FOOTPRINT.peakOfRepeatedList(list(5_000));
-        Verdict verdict = FOOTPRINT.judge(held, list(2_000), 2_000, false, room);
+    public void changesLeaveCapacityToReadTheFullListAgain() {
+        EndpointListShape loaded = list(4_000);
+        long capacity = FOOTPRINT.peakOfRepeatedList(list(5_000));
+        Verdict verdict = FOOTPRINT.judge(loaded, list(2_000), 2_000, false, capacity);
         assertEquals(verdict.step(), 1_000, 10);
         assertTrue(
-                FOOTPRINT.atPeak(held, list(2_000), 2_000, 2_000) < room,
+                FOOTPRINT.atPeak(loaded, list(2_000), 2_000, 2_000) < capacity,
                 "while the changes are read");
     }
 
-    /** Detects an estimate that takes time by the node. */
+    /** The time of an estimate must not grow with the number of nodes. */
     @Test
-    public void anEstimateTakesUnderAMillisecond() {
+    public void estimateTakesUnderOneMillisecond() {
         EndpointListShape list = list(1_000);
         long best = Long.MAX_VALUE;
         for (int i = 0; i < 20; i++) {
--- a/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
+++ b/core/src/test/java/cedarrudder/footprint/ProcessFootprintTest.java
@@ -25,27 +25,45 @@
     }
 
     private static ProcessShape replica(
-            int nodes, int callers, int channels, int bodies, long bytes) {
-        return new ProcessShape(list(nodes), 12, 2, 3, 20, null, callers, channels, bodies, bytes);
+            int nodes,
+            int clientConnections,
+            int endpointConnections,
+            int activeRequests,
+            long bodyBytes) {
+        return new ProcessShape(
+                list(nodes),
+                12,
+                2,
+                3,
+                20,
+                null,
+                clientConnections,
+                endpointConnections,
+                activeRequests,
+                bodyBytes);
     }
 
-    private static ProcessShape with(RouteTable table) {
+    private static ProcessShape withTable(RouteTable table) {
         return new ProcessShape(list(1_000), 12, 2, 3, 20, table, 50, 20, 0, 0);
     }
 
-    /** Detects a term that is forgotten in the sum, or counts under another bound. */
+    /** Each term must be part of the sum, under its own limit. */
     @Test
-    public void eachTermAddsToWhatItTakes() {
+    public void eachTermAddsToItsOwnEstimate() {
         MemoryEstimate none = FOOTPRINT.estimate(replica(1_000, 0, 0, 0, 0));
-        MemoryEstimate callers = FOOTPRINT.estimate(replica(1_000, 100, 0, 0, 0)).minus(none);
-        assertEquals(callers.descriptors(), 100);
-        assertTrue(callers.rest() > 200_000 && callers.rest() == callers.peak());
+        MemoryEstimate clientConnections =
+                FOOTPRINT.estimate(replica(1_000, 100, 0, 0, 0)).minus(none);
+        assertEquals(clientConnections.descriptors(), 100);
+        assertTrue(
+                clientConnections.rest() > 200_000
+                        && clientConnections.rest() == clientConnections.peak());
         assertEquals(FOOTPRINT.estimate(replica(1_000, 0, 40, 0, 0)).minus(none).descriptors(), 40);
-        MemoryEstimate bodies = FOOTPRINT.estimate(replica(1_000, 0, 0, 10, 600_000)).minus(none);
+        MemoryEstimate activeRequests =
+                FOOTPRINT.estimate(replica(1_000, 0, 0, 10, 600_000)).minus(none);
         assertTrue(
-                bodies.rest() > 600_000
-                        && bodies.direct() >= 9 * 32_768
-                        && bodies.descriptors() == 0);
+                activeRequests.rest() > 600_000
+                        && activeRequests.direct() >= 9 * 32_768
+                        && activeRequests.descriptors() == 0);
         RouteTable table =
                 new RouteTable(
                         1,
@@ -56,11 +74,11 @@
                         LongStream.range(0, 500).mapToObj(i -> new DrainingNode(i, 1)).toList(),
                         List.of());
         MemoryEstimate tables =
-                FOOTPRINT.estimate(with(table)).minus(FOOTPRINT.estimate(with(null)));
+                FOOTPRINT.estimate(withTable(table)).minus(FOOTPRINT.estimate(withTable(null)));
         assertTrue(
                 tables.rest() > 500 * 28 && tables.peak() > 2 * tables.rest(), tables.toString());
         assertEquals(
-                FOOTPRINT.terms(with(table)).stream().map(Term::name).toList(),
+                FOOTPRINT.terms(withTable(table)).stream().map(Term::name).toList(),
                 List.of(
                         "process",
                         "zones",
@@ -75,7 +93,7 @@
     }
 
     @Test
-    public void oneMoreNodeTakesWhatAThousandTakeByTheThousand() {
+    public void oneMoreNodeNeedsAThousandthOfAThousandNodes() {
         MemoryEstimate one = FOOTPRINT.oneMoreNode(replica(1_000, 0, 0, 0, 0));
         MemoryEstimate thousand =
                 FOOTPRINT
@@ -88,9 +106,9 @@
         assertEquals(FOOTPRINT.oneMoreNode(replica(0, 0, 0, 0, 0)), MemoryEstimate.NOTHING);
     }
 
-    /** Detects a verdict that names a bound which is not the one that binds. */
+    /** The verdict must name the exceeded limit and no other. */
     @Test
-    public void theBoundThatBindsIsNamedWithWhatLacks() {
+    public void exceededLimitIsReportedWithTheMissingCapacity() {
         ProcessShape replica = replica(10_000, 500, 200, 10, 600_000);
         MemoryEstimate all = FOOTPRINT.estimate(replica);
         assertTrue(FOOTPRINT.judge(replica, LARGE).fits());
@@ -109,14 +127,15 @@
         }
         assertTrue(
                 FOOTPRINT.judge(replica, new ProcessLimits(0, 0, 0, 0)).fits(),
-                "no bound is known");
+                "no limit is known");
     }
 
     /**
-     * Detects an estimate that takes time by the node, or a table read anew for each of its parts.
+     * The time of an estimate must not grow with the number of nodes, and no table may be encoded
+     * again for each of its parts.
      */
     @Test
-    public void aCopyOfAThousandEntriesIsJudgedInUnderAMillisecondOnceItIsWarm() {
+    public void warmCheckOfAThousandEntriesTakesUnderOneMillisecond() {
         RouteTable table =
                 new RouteTable(
                         1,
@@ -131,10 +150,11 @@
         long best = Long.MAX_VALUE;
         for (int i = 0; i < 200; i++) {
             long from = System.nanoTime();
-            assertTrue(FOOTPRINT.judge(with(table), LARGE).fits());
+            assertTrue(FOOTPRINT.judge(withTable(table), LARGE).fits());
             best = Math.min(best, System.nanoTime() - from);
         }
-        System.out.println("a copy with 1,000 nodes and 1,000 leaving judged in " + best + " ns");
+        System.out.println(
+                "a replica with 1,000 nodes and 1,000 draining nodes checked in " + best + " ns");
         assertTrue(best < 1_000_000, best + " ns");
     }
 }
--- a/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
+++ b/core/src/test/java/cedarrudder/footprint/RouteTableCapacityTest.java
@@ -25,7 +25,7 @@
             new RouteTableFootprint(ObjectLayout.of(true, true, 8));
 
     private static RouteTable table(long number, int zones, int leaving) {
-        List<ZoneRoute> shares =
+        List<ZoneRoute> routes =
                 IntStream.range(0, zones * zones)
                         .mapToObj(
                                 i ->
@@ -43,7 +43,7 @@
                 1,
                 1,
                 1_000_000_000L,
-                shares,
+                routes,
                 LongStream.range(0, leaving)
                         .mapToObj(
                                 i ->
@@ -54,82 +54,88 @@
                 List.of());
     }
 
-    /** Detects a table that most can load, committed, which one replica can't. */
+    /** A table that most replicas can load, but one can't, must not be committed. */
     @Test
-    public void oneSmallCopyAmongLargeOnesHoldsATableBackInCommon() {
-        RouteTable held = table(1, 3, 10);
+    public void oneSmallReplicaPreventsALargeTableForAll() {
+        RouteTable current = table(1, 3, 10);
         RouteTable next = table(2, 12, 2_000);
-        RouteTableCapacity large = TABLES.capacity(held, 20_000_000, 10_000);
-        RouteTableCapacity small = TABLES.capacity(held, TABLES.atPeak(held, next) - 1, 100);
-        Map<Integer, RouteTableCapacity> rooms =
+        RouteTableCapacity large = TABLES.capacity(current, 20_000_000, 10_000);
+        RouteTableCapacity small = TABLES.capacity(current, TABLES.atPeak(current, next) - 1, 100);
+        Map<Integer, RouteTableCapacity> capacities =
                 new HashMap<>(Map.of(0, large, 1, large, 2, small, 3, large));
-        assertEquals(RouteTableCapacity.limitingReplica(next, rooms), (Integer) 2);
+        assertEquals(RouteTableCapacity.limitingReplica(next, capacities), (Integer) 2);
         assertNull(
-                RouteTableCapacity.limitingReplica(table(2, 3, 100), rooms),
-                "one that it has room for");
-        assertEquals(RouteTableCapacity.min(rooms.values()), small);
-        rooms.remove(2);
-        assertNull(RouteTableCapacity.limitingReplica(next, rooms), "without it");
+                RouteTableCapacity.limitingReplica(table(2, 3, 100), capacities),
+                "a table that the small replica can load");
+        assertEquals(RouteTableCapacity.min(capacities.values()), small);
+        capacities.remove(2);
+        assertNull(
+                RouteTableCapacity.limitingReplica(next, capacities), "without the small replica");
     }
 
     /**
-     * Detects replicas that go on deciding for a replica that has started since and can't follow.
+     * Replicas must not decide on a further table for a replica that has started since and can't
+     * load it.
      */
     @Test
-    public void aTableThatFitsEveryCopyButTheOneThatStartsNextIsKeptAndTheNextOneHeldBack() {
+    public void loadedTableStaysAndTheNextIsPreventedIfAStartingReplicaIsTooSmall() {
         RouteTable loaded = table(7, 12, 2_000);
         CurrentRouteTable tables = new CurrentRouteTable();
         assertTrue(tables.load(loaded).counts());
-        Map<Integer, RouteTableCapacity> rooms =
+        Map<Integer, RouteTableCapacity> capacities =
                 new HashMap<>(Map.of(0, TABLES.capacity(loaded, 20_000_000, 10_000)));
         RouteTable more = table(8, 12, 2_100);
-        assertNull(RouteTableCapacity.limitingReplica(more, rooms));
-        long little = 30_000;
+        assertNull(RouteTableCapacity.limitingReplica(more, capacities));
+        long smallHeap = 30_000;
         assertTrue(
-                TABLES.atPeak(null, loaded) > little,
-                "the copy that starts can't load what is agreed on");
-        rooms.put(1, TABLES.capacity(null, little, 100));
-        assertEquals(RouteTableCapacity.limitingReplica(more, rooms), (Integer) 1);
-        assertEquals(tables.current(), loaded, "those that have it keep it");
+                TABLES.atPeak(null, loaded) > smallHeap,
+                "the starting replica can't load the agreed table");
+        capacities.put(1, TABLES.capacity(null, smallHeap, 100));
+        assertEquals(RouteTableCapacity.limitingReplica(more, capacities), (Integer) 1);
+        assertEquals(
+                tables.current(), loaded, "replicas that have loaded the table continue to use it");
         RouteTable less = table(8, 3, 20);
         assertNull(
-                RouteTableCapacity.limitingReplica(less, rooms),
-                "one that all can load goes through");
+                RouteTableCapacity.limitingReplica(less, capacities),
+                "a table that all can load is not prevented");
         assertTrue(tables.load(less).counts());
     }
 
     /**
-     * Detects a room that promises what loading then takes more for, whatever the table is like.
+     * Loading a table that the reported capacity accepts must not need more than there is, whatever
+     * the table is like.
      */
     @Test
-    public void whatTheRoomHoldsIsNeverMoreThanThereIs() {
+    public void reportedCapacityIsNeverMoreThanAvailable() {
         SplittableRandom random = new SplittableRandom(5);
-        RouteTable held = table(1, 4, 50);
+        RouteTable current = table(1, 4, 50);
         for (int i = 0; i < 300; i++) {
             RouteTable next = table(2, 1 + random.nextInt(20), random.nextInt(3_000));
-            long room = random.nextInt(400_000);
-            if (TABLES.capacity(held, room, 0).fits(next, RouteTableFootprint.bytes(next))) {
-                assertTrue(TABLES.atPeak(held, next) <= room, "room " + room + " for " + next);
+            long capacity = random.nextInt(400_000);
+            if (TABLES.capacity(current, capacity, 0).fits(next, RouteTableFootprint.bytes(next))) {
+                assertTrue(
+                        TABLES.atPeak(current, next) <= capacity,
+                        "capacity " + capacity + " for " + next);
             }
         }
-        RouteTableCapacity all = TABLES.capacity(held, 20_000_000, 0);
+        RouteTableCapacity all = TABLES.capacity(current, 20_000_000, 0);
         RouteTable largest = table(2, 64, RouteTable.MAX_DRAINING);
         assertTrue(all.fits(largest, RouteTableFootprint.bytes(largest)), all.toString());
-        assertFalse(TABLES.capacity(held, 0, 0).fits(table(2, 1, 0), 8));
+        assertFalse(TABLES.capacity(current, 0, 0).fits(table(2, 1, 0), 8));
     }
 
     @Test
-    public void anAnswerTakesNineBytesAndReadsAsItWasWritten() {
+    public void capacityIsEncodedInNineBytesAndDecodedUnchanged() {
         SplittableRandom random = new SplittableRandom(6);
         for (int i = 0; i < 1_000; i++) {
-            RouteTableCapacity room =
+            RouteTableCapacity capacity =
                     new RouteTableCapacity(
                             random.nextInt(),
                             random.nextInt(1 << random.nextInt(1, 31)),
                             random.nextInt(1 << 24));
             ByteBuffer bytes = ByteBuffer.allocate(RouteTableCapacity.BYTES);
-            room.put(bytes);
-            assertEquals(RouteTableCapacity.get(bytes.flip()), room);
+            capacity.put(bytes);
+            assertEquals(RouteTableCapacity.get(bytes.flip()), capacity);
             random.nextBytes(bytes.array());
             RouteTableCapacity.get(bytes.rewind()); // garbage throws nothing
         }
--- a/core/src/test/java/cedarrudder/logging/LoggerTest.java
+++ b/core/src/test/java/cedarrudder/logging/LoggerTest.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The log's lines, and the log under a peer that sends nonsense without end. */
+/** Tests the log's lines, and the log while a peer sends invalid data without end. */
 public class LoggerTest {
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final Logger log = new Logger(new PrintStream(out, true, StandardCharsets.UTF_8));
 
-    /** The lines without their time. */
+    /** Returns the lines without their time. */
     private List<String> lines() {
         List<String> lines =
                 out.toString(StandardCharsets.UTF_8)
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void aLineHasTheEventAndItsFields() {
+    public void lineHasTheEventAndItsFields() {
         log.info("a.b")
                 .with("size", 3)
                 .with("why", "no \"end\" = \\")
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void aFaultSaysWhereItCameFrom() {
+    public void faultLineHasTheThrowLocation() {
         RuntimeException fault = new IllegalStateException("what");
         log.fault("a.failed", fault).with("rpc", 7).write();
         assertEquals(
@@ -51,30 +51,31 @@
     }
 
     @Test
-    public void longLinesAreCutAndLinesBeyondTheBoundAreLeftOut() {
+    public void longLinesAreTruncatedAndLinesBeyondTheLimitAreSuppressed() {
         Logger flooded = new Logger(new PrintStream(out, true, StandardCharsets.UTF_8));
         for (int i = 0; i < 1000; i++) {
             flooded.warn("a.b").with("why", "x\n".repeat(10_000)).with("more", "\ud83d").write();
         }
         List<String> lines = lines();
-        // Of each second 20, and one that counts the rest; a slow machine may take more than one.
+        // Per second 20 lines, and one that counts the suppressed ones; a slow machine may need
+        // more than one second.
         assertTrue(lines.size() >= 20 && lines.size() < 500, lines.size() + " lines");
         assertEquals(lines.get(0), "WARN a.b why=" + "x?".repeat(150) + " more=\"\"");
     }
 
     @Test
-    public void whatIsLeftOutCostsNothingAndIsCounted() {
-        Object unread =
+    public void suppressedEventsAreNotConvertedToText() {
+        Object unconvertible =
                 new Object() {
                     @Override
                     public String toString() {
-                        throw new AssertionError("it was turned into text");
+                        throw new AssertionError("a suppressed value was converted to text");
                     }
                 };
         log.settings(new LogSettings(Level.WARN, 0, 300));
-        log.debug("a").with("b", unread).write();
-        log.info("a").with("b", unread).write();
-        log.warn("a").with("b", unread).write();
+        log.debug("a").with("b", unconvertible).write();
+        log.info("a").with("b", unconvertible).write();
+        log.warn("a").with("b", unconvertible).write();
         assertEquals(lines(), List.of());
         log.settings(LogSettings.DEFAULT);
         log.info("c").write();
