--- a/core/src/main/java/cedarrudder/balancer/AdmissionControl.java
+++ b/core/src/main/java/cedarrudder/balancer/AdmissionControl.java
@@ -25,8 +25,8 @@
     private static final double MIN_OVER_QUOTA_FRACTION = 0.5;
 
     /**
-     * Factor in a request's weight in place of its expected work, where that is unknown or does not
-     * count; an order of magnitude.
+     * The work from which a request's weight is computed where its expected work is unknown or does
+     * not count; an order of magnitude.
      */
     private static final double DEFAULT_WORK_NANOS = 1e8;
 
@@ -129,7 +129,7 @@
         return requestClass.priorityWeight() / Math.max(1, serviceTimes.classMean(classIndex));
     }
 
-    /** Returns what a request adds to the goal if it is served in time. */
+    /** Returns the weight that a request adds to the goal if it is served in time. */
     private double weight(RequestState request) {
         boolean byWork = settings.goal().weightByWork() && request.hasExpectedWork();
         return request.requestClass().priorityWeight()
@@ -152,8 +152,8 @@
 
     /**
      * Adapts the concurrency limit after the end of an attempt. Rejections count as slow responses,
-     * since some overload shows in nothing else. Errors and failed connections do not: they are no
-     * sign of too much work, and load shedding would not remedy them.
+     * since some overload is not visible otherwise. Errors and failed connections do not: they do
+     * not indicate too much work, and load shedding would not remedy them.
      *
      * @param readyEndpoints the number of ready endpoints
      */
--- a/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerParameters.java
@@ -23,8 +23,8 @@
          */
         PROBES_PER_REQUEST_FAILING("probes-per-call-failing", 0.3, 0, 16),
         /**
-         * Fraction of failed attempts from which on that rate is reached; up to it the rate rises
-         * linearly.
+         * Fraction of failed attempts at which {@link #PROBES_PER_REQUEST_FAILING} is reached;
+         * below it the rate rises linearly.
          */
         PROBE_RATE_FAILURE_SHARE("probes-failed-share", 0.1, 0.001, 1),
         /**
@@ -64,7 +64,10 @@
          * goes unused.
          */
         SUBSET_COVERAGE("roster-cover", 2, 0, 100_000),
-        /** Number of mean latencies after which most of an endpoint's requests have turned over. */
+        /**
+         * Number of mean latencies after which most of an endpoint's requests have been replaced by
+         * others.
+         */
         TURNOVER_LATENCIES("turnover-latencies", 2, 0.01, 1000),
         /** Weight of the newest latency in the averages. */
         LATENCY_WEIGHT("latency-weight", 0.05, 0.001, 1),
--- a/core/src/main/java/cedarrudder/balancer/BalancerSettings.java
+++ b/core/src/main/java/cedarrudder/balancer/BalancerSettings.java
@@ -28,7 +28,7 @@
 
     /** The rule by which requests of a class may be retried once an attempt may have run. */
     public enum Idempotency {
-        /** Retried always: a repeat has no effect. */
+        /** Always retried: a repeat has no effect. */
         SAFE,
         /** Retried with the same idempotency key, where endpoints remember that key. */
         KEYED,
@@ -50,7 +50,7 @@
      * A class of requests.
      *
      * @param latencyObjectiveNanos responses within this time after arrival have the full weight
-     * @param deadlineNanos the maximum time that a client waits, over all its retries
+     * @param deadlineNanos the maximum time that a client waits, over its first try and all retries
      * @param priorityWeight the weight of one served request in the site's goal
      * @param lateWeight the fraction of the weight that a later response still has
      * @param keyWindowNanos how long endpoints remember an idempotency key, from the first attempt
@@ -77,7 +77,7 @@
     public record Tenant(String name, double quotaShare, double quotaPerSecond) {}
 
     /**
-     * What the site permits.
+     * The limits that the site sets on probes, attempts, retry advice and connections.
      *
      * @param probing whether endpoints may be probed
      * @param cancellation whether attempts in flight may be cancelled
--- a/core/src/main/java/cedarrudder/balancer/EndpointDirectory.java
+++ b/core/src/main/java/cedarrudder/balancer/EndpointDirectory.java
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Returns whether an entry describes another incarnation than the known one. Nothing that is
-     * known of a former incarnation may be used for the current one.
+     * Returns whether an entry describes another incarnation than the known one, in which case
+     * nothing that is known of the former applies.
      */
     private static boolean isOtherIncarnation(Endpoint known, Endpoint entry) {
         return known.startedAt() != entry.startedAt()
--- a/core/src/main/java/cedarrudder/balancer/IdleConnections.java
+++ b/core/src/main/java/cedarrudder/balancer/IdleConnections.java
@@ -4,7 +4,8 @@
 
 /**
  * Decides which idle connections are closed. Endpoints accept a limited number of connections, an
- * open one costs them capacity, and idle connections of one replica are missing at another.
+ * open one costs them capacity, and an idle connection of one replica is one that another replica
+ * lacks.
  */
 final class IdleConnections {
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /** Closes idle connections that were opened for a burst and are not used since. */
+    /** Closes idle connections that are no longer needed after a burst. */
     void closeSurplus(EndpointSubset subset) {
         for (EndpointState endpoint : subset.members()) {
             if (endpoint.checkForSurplusConnections()) {
--- a/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
+++ b/core/src/main/java/cedarrudder/balancer/LoadBalancer.java
@@ -59,7 +59,7 @@
          * in a loop.
          */
         LOOP,
-        /** The remaining time cannot suffice. */
+        /** The time left to the request cannot suffice. */
         DEADLINE_TOO_SHORT,
         /** The tier below is overloaded, and other requests have a higher priority. */
         OVERLOADED
@@ -203,7 +203,7 @@
         /** Fails a request, without any guarantee whether it was executed. */
         void fail(long request);
 
-        /** Cancels an attempt, whose response is no longer awaited. */
+        /** Cancels an attempt that is in flight. */
         void cancelAttempt(long request, int attempt);
 
         /** Sends a probe for the load of an endpoint. */
--- a/core/src/main/java/cedarrudder/balancer/OpenRequests.java
+++ b/core/src/main/java/cedarrudder/balancer/OpenRequests.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that are open or have attempts in flight. Each of them ends here. */
+/**
+ * The requests that are open or have attempts in flight, and the only place where requests are
+ * ended.
+ */
 final class OpenRequests {
 
     /** Stands for an attempt number where there is no attempt. */
--- a/core/src/main/java/cedarrudder/balancer/RequestQueue.java
+++ b/core/src/main/java/cedarrudder/balancer/RequestQueue.java
@@ -6,7 +6,7 @@
 import cedarrudder.balancer.LoadBalancer.Actions;
 
 /**
- * A queue of requests that wait for an endpoint, those with the most weight for their work first.
+ * The requests that wait for an endpoint, ordered by weight for their work, the highest first.
  * Requests wait here, where they can be dropped in favour of others, and not at an endpoint, whose
  * limit they would exceed.
  */
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Returns the lane of a request, which depends on its class, its quota and whether it is a
-     * retry.
+     * Returns the lane of a request, which depends on its class, whether it exceeds its tenant's
+     * quota, and whether it is a retry.
      */
     private int lane(RequestState request) {
         int firstLane = request.attemptCount() > 0 ? 2 * classCount : 0;
--- a/core/src/main/java/cedarrudder/balancer/SlowStartBudget.java
+++ b/core/src/main/java/cedarrudder/balancer/SlowStartBudget.java
@@ -4,13 +4,13 @@
 
 /**
  * A token bucket that limits how much this replica may send to one endpoint while the endpoint
- * warms up. A token stands for one mean request.
+ * warms up. A token is the cost of a mean request.
  *
- * <p>The bucket is filled at the rate that the endpoint can serve for this replica at its current
- * capacity. At most the tokens of half an overload window accumulate. If that is less than one
- * request, an unused turn expires, since all replicas that have waited would otherwise send their
- * one request at the same time. The bucket starts with a random debt of up to one request, so that
- * the first requests of many replicas are spread out at the budget's rate.
+ * <p>The bucket is filled at the rate of load that the endpoint can bear from this replica at its
+ * current capacity. At most the tokens of half an overload window accumulate. If that is less than
+ * one request, a token that is not used in time expires, since all replicas that have waited would
+ * otherwise send their one request at the same time. The bucket starts with a random debt of up to
+ * one request, so that the first requests of many replicas are spread out at the budget's rate.
  */
 final class SlowStartBudget {
 
@@ -57,7 +57,7 @@
 
     /**
      * Returns what is retained of an excess over the maximum: nothing, or, in a bucket of less than
-     * one request, the part that counts towards the next turn.
+     * one request, the part that counts towards the next request.
      */
     private static double retainedExcess(double excess, double max) {
         return max < 1 ? excess % 1 - 1 : 0;
--- a/core/src/main/java/cedarrudder/balancer/TimerToken.java
+++ b/core/src/main/java/cedarrudder/balancer/TimerToken.java
@@ -14,7 +14,7 @@
         QUEUE,
         /** Poll of discovery. */
         POLL,
-        /** Check whether a request whose response is late is hedged. */
+        /** Check whether to hedge a request whose response is late. */
         HEDGE
     }
 
--- a/core/src/main/java/cedarrudder/balancer/package-info.java
+++ b/core/src/main/java/cedarrudder/balancer/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Makes the decisions of one replica: which endpoint an attempt goes to, when a request is retried,
- * hedged, queued or rejected, and when endpoints are probed.
+ * The load-balancing decisions of one replica: which endpoint an attempt goes to, when a request is
+ * retried, hedged, queued or rejected, and when endpoints are probed.
  *
  * <p>{@link cedarrudder.balancer.LoadBalancer} is the complete interface: events with their
  * instants in, {@code Actions} out. {@link cedarrudder.balancer.PrequalBalancer} implements it
