--- a/core/src/main/java/cedarrudder/budget/AttemptBudget.java
+++ b/core/src/main/java/cedarrudder/budget/AttemptBudget.java
@@ -1,53 +1,53 @@
 package cedarrudder.budget;
 
 /**
- * What one call, or the calls of one endpoint under one grant, may still spend on further attempts,
- * here and below.
+ * The budget of further attempts, at this tier and all tiers below, of one request, or of the
+ * requests of one endpoint under one grant.
  *
- * <p>At any time what is left, what was spent here and what was handed down and not given back add
- * up to what it started with. So the further attempts of this tier and of all below are never more
- * than that, as long as nobody below spends more than it was handed.
+ * <p>At any time the remaining attempts, those spent here and those propagated downstream and not
+ * refunded add up to the initial budget. So this tier and all tiers below never make more further
+ * attempts than that, as long as no tier below spends more than was propagated to it.
  */
 final class AttemptBudget {
 
-    private final int start;
-    private int left;
+    private final int initial;
+    private int remaining;
 
-    AttemptBudget(int start) {
-        this.start = Math.max(0, start);
-        this.left = this.start;
+    AttemptBudget(int initial) {
+        this.initial = Math.max(0, initial);
+        this.remaining = this.initial;
     }
 
-    /** Whether a further attempt may go out here. */
-    boolean covers() {
-        return left > 0;
+    /** Returns whether a further attempt may be sent at this tier. */
+    boolean hasRemaining() {
+        return remaining > 0;
     }
 
-    /** Pays for a further attempt made here. */
+    /** Charges a further attempt of this tier. */
     void spend() {
-        left--;
+        remaining--;
     }
 
     /**
-     * What an attempt may hand down if this many are kept; it counts as spent until it is given
-     * back.
+     * Returns the budget that is propagated with an attempt if {@code reserved} further attempts
+     * are reserved for this tier. It counts as spent until it is refunded.
      */
-    int propagate(int keep) {
-        int handed = Math.max(0, left - keep);
-        left -= handed;
-        return handed;
+    int propagate(int reserved) {
+        int propagated = Math.max(0, remaining - reserved);
+        remaining -= propagated;
+        return propagated;
     }
 
     /**
-     * Takes back what an attempt was handed and has not used. This avoids an answer that claims to
-     * have spent more than was handed down, which would cost the other attempts theirs.
+     * Refunds the propagated budget that an attempt has not used. A response that claims to have
+     * spent more than was propagated doesn't reduce the budget of the other attempts.
      */
-    void giveBack(int handed, int spentBelow) {
-        left += Math.max(0, handed - spentBelow);
+    void refund(int propagated, int spentDownstream) {
+        remaining += Math.max(0, propagated - spentDownstream);
     }
 
-    /** What the client that gave this has to count as used. */
+    /** Returns how many further attempts the client that propagated this budget counts as used. */
     int spent() {
-        return start - left;
+        return initial - remaining;
     }
 }
--- a/core/src/main/java/cedarrudder/budget/BudgetEvents.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetEvents.java
@@ -1,9 +1,9 @@
 package cedarrudder.budget;
 
-/** What is logged of budgets. {@link Budgets} bounds how often. */
+/** Receives the events of budgets that are logged. {@link Budgets} bounds how often. */
 public interface BudgetEvents {
 
-    /** Nothing is logged. */
+    /** Ignores all events. */
     BudgetEvents NONE =
             new BudgetEvents() {
                 @Override
@@ -14,25 +14,28 @@
             };
 
     /**
-     * A loop was refused; at most one a minute for each loop, and 64 loops.
+     * Reports a request that was rejected because of a loop; at most once a minute for each loop,
+     * and for 64 loops.
      *
-     * @param path the tiers, the last of which is this one
-     * @param more how many further refusals of this loop there were since it was last logged
+     * @param path the tiers; the last one is this tier
+     * @param more the number of further rejections of this loop since it was last logged
      */
     void loopRejected(HopPath path, long more);
 
-    /** What was denied since the last time, if anything was; at most once a minute. */
+    /** Reports what was denied since the last summary, if anything was; at most once a minute. */
     void summarized(MinuteSummary figures);
 
     /**
-     * Counts since the last time.
+     * Counts since the last summary.
      *
-     * @param requests that came, loops aside
-     * @param deniedByTree further attempts that the budget of their tree denied
-     * @param deniedByShare further attempts that the share of first tries denied
-     * @param overload requests rejected since the tier below has too much work
-     * @param noTime requests rejected since their time couldn't suffice
-     * @param admittedPercent the part of requests that is let in now
+     * @param requests received requests, except those rejected because of a loop
+     * @param deniedByTree further attempts denied by the budget of their request, which covers all
+     *     tiers
+     * @param deniedByShare further attempts denied by the retry budget over all requests, which is
+     *     a fraction of the first attempts
+     * @param overload requests rejected because the tier below is overloaded
+     * @param noTime requests rejected because too little time was left to serve them
+     * @param admittedPercent the percentage of requests that is admitted now
      */
     record MinuteSummary(
             long requests,
--- a/core/src/main/java/cedarrudder/budget/BudgetFields.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetFields.java
@@ -1,25 +1,25 @@
 package cedarrudder.budget;
 
-import cedarrudder.budget.DownstreamFeedback.Why;
+import cedarrudder.budget.DownstreamFeedback.UnservedReason;
 import java.util.List;
 
 /**
- * What travels, as text: the values of the fields {@link #BUDGET} and {@link #PATH} of a call and
- * of the field {@link #RESULT} of an answer. It knows nothing of the protocol that carries them.
+ * Reads and writes the values of the fields {@link #BUDGET} and {@link #PATH} of a request and of
+ * the field {@link #RESULT} of a response. Independent of the protocol that transports them.
  *
  * <p>A value begins with its version, a whole number; keys follow, each after a semicolon. Reading
- * never fails: a value that is too long, negative, no number or out of range counts as not said, as
- * does a key that isn't known. A field without a version that can be read counts as none.
+ * never fails: a value that is too long, negative, not a number or out of range counts as absent,
+ * and unknown keys are ignored. A field without a valid version counts as absent.
  */
 public final class BudgetFields {
 
-    /** The field with what one call may cost. */
+    /** The request field with the budget of the request. */
     public static final String BUDGET = "Cedar-Budget";
 
-    /** The field with the tiers that a call has passed. */
+    /** The request field with the tiers that the request has passed. */
     public static final String PATH = "Cedar-Path";
 
-    /** The field of an answer. */
+    /** The response field with the feedback on the budget. */
     public static final String RESULT = "Cedar-Result";
 
     private static final int VERSION = 1;
@@ -29,33 +29,33 @@
     private static final long MAX_MILLIS = 86_400_000L;
     private static final int MAX_TRIES = 1_000;
     private static final int MAX_DIGITS = 9;
-    private static final int MAX_HEX = 16;
-    private static final int MAX_FRACTION = 12;
-    private static final long MILLI = 1_000_000L;
+    private static final int MAX_HEX_DIGITS = 16;
+    private static final int MAX_FRACTION_LENGTH = 12;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private BudgetFields() {}
 
-    // ---- a call ----
+    // ---- request fields ----
 
-    /** Reads what came with a call; a field that wasn't there, or was there twice, is null. */
+    /** Reads the fields of a request; a field that is absent or occurs twice is passed as null. */
     public static PropagatedBudget read(String budget, String path) {
         String[] keys = split(budget);
-        long left = MILLI * number(value(keys, "left"), MAX_MILLIS, 0);
-        int tries = (int) number(value(keys, "tries"), MAX_TRIES, -1);
+        long remainingNanos = NANOS_PER_MILLI * parseNumber(value(keys, "left"), MAX_MILLIS, 0);
+        int attempts = (int) parseNumber(value(keys, "tries"), MAX_TRIES, -1);
         return new PropagatedBudget(
                 keys != null,
                 true,
-                left,
-                tries,
-                hex(value(keys, "grant")),
-                fraction(value(keys, "worth")),
+                remainingNanos,
+                attempts,
+                parseHex(value(keys, "grant")),
+                parseFraction(value(keys, "worth")),
                 "1".equals(value(keys, "repeat")),
                 readPath(path));
     }
 
     /**
-     * A path too long to be read is full, so that what loops can't hide in it; one that is no path
-     * is none.
+     * Reads a path. One that is too long is cut to the maximum number of hops, so that it can't
+     * hide a loop; one that is not a valid path is empty.
      */
     private static HopPath readPath(String path) {
         int semicolon = path == null ? -1 : path.indexOf(';');
@@ -68,25 +68,25 @@
         if (text == null) {
             return HopPath.EMPTY;
         }
-        List<String> hops = List.of(text.split(",", HopPath.MAX + 1));
-        return HopPath.read(hops.subList(0, Math.min(hops.size(), HopPath.MAX)));
+        List<String> hops = List.of(text.split(",", HopPath.MAX_HOPS + 1));
+        return HopPath.ofOrEmpty(hops.subList(0, Math.min(hops.size(), HopPath.MAX_HOPS)));
     }
 
-    /** The value of {@link #BUDGET} for a call. */
-    public static String budget(PropagatedBudget carried) {
+    /** Returns the value of {@link #BUDGET} for a request. */
+    public static String budget(PropagatedBudget propagated) {
         return VERSION
                 + ";left="
-                + Math.max(1, carried.remainingNanos() / MILLI)
+                + Math.max(1, propagated.remainingNanos() / NANOS_PER_MILLI)
                 + ";tries="
-                + carried.attempts()
+                + propagated.attempts()
                 + ";grant="
-                + Long.toHexString(carried.grant())
+                + Long.toHexString(propagated.grant())
                 + ";worth="
-                + thousandths(carried.priority())
-                + (carried.repeat() ? ";repeat=1" : "");
+                + thousandths(propagated.priority())
+                + (propagated.repeat() ? ";repeat=1" : "");
     }
 
-    /** A figure from 0 to 1 with three places, without the cost of a format. */
+    /** Formats a number from 0 to 1 with three decimals, without the cost of a formatter. */
     private static String thousandths(double figure) {
         int thousandths = (int) Math.round(1_000 * figure);
         return thousandths / 1_000
@@ -96,39 +96,41 @@
                 + thousandths % 10;
     }
 
-    /** The value of {@link #PATH} for a call. */
-    public static String path(PropagatedBudget carried) {
-        return VERSION + ";" + String.join(",", carried.path().hops());
+    /** Returns the value of {@link #PATH} for a request. */
+    public static String path(PropagatedBudget propagated) {
+        return VERSION + ";" + String.join(",", propagated.path().hops());
     }
 
-    // ---- an answer ----
+    // ---- the response field ----
 
-    /** Reads what came with an answer; a field that wasn't there is null. */
+    /** Reads the field of a response; null if it is absent. */
     public static DownstreamFeedback readResult(String result) {
         String[] keys = split(result);
         if (keys == null) {
             return DownstreamFeedback.NOTHING;
         }
-        String why = value(keys, "why");
+        String reason = value(keys, "why");
         return new DownstreamFeedback(
-                (int) number(value(keys, "spent"), MAX_TRIES, -1),
-                Why.of(why),
+                (int) parseNumber(value(keys, "spent"), MAX_TRIES, -1),
+                UnservedReason.fromWireName(reason),
                 hops(value(keys, "path")));
     }
 
-    /** The value of {@link #RESULT} for an answer. */
+    /** Returns the value of {@link #RESULT} for a response. */
     public static String result(DownstreamFeedback result) {
         return VERSION
                 + (result.attemptsSpent() < 0 ? "" : ";spent=" + result.attemptsSpent())
-                + (result.why() == Why.UNKNOWN ? "" : ";why=" + result.why().word())
+                + (result.reason() == UnservedReason.UNKNOWN
+                        ? ""
+                        : ";why=" + result.reason().wireName())
                 + (result.path().hops().isEmpty()
                         ? ""
                         : ";path=" + String.join(",", result.path().hops()));
     }
 
-    // ---- parts ----
+    // ---- parsing ----
 
-    /** The parts of a value; null where there is none that can be read. */
+    /** Returns the parts of a value, the version first; null if there is no valid value. */
     private static String[] split(String text) {
         if (text == null || text.length() > MAX_LENGTH) {
             return null;
@@ -138,10 +140,12 @@
     }
 
     private static boolean isVersion(String text) {
-        return number(text.strip(), MAX_VERSION, 0) >= VERSION;
+        return parseNumber(text.strip(), MAX_VERSION, 0) >= VERSION;
     }
 
-    /** The value of a key; null where it isn't there. Of two the first counts. */
+    /**
+     * Returns the value of a key; null if it is absent. If a key occurs twice, the first counts.
+     */
     private static String value(String[] parts, String key) {
         for (int i = 1; parts != null && i < parts.length; i++) {
             String part = parts[i].strip();
@@ -154,7 +158,7 @@
         return null;
     }
 
-    private static boolean digits(String text, int max) {
+    private static boolean isDigits(String text, int max) {
         if (text == null || text.isEmpty() || text.length() > max) {
             return false;
         }
@@ -166,28 +170,29 @@
         return true;
     }
 
-    private static long number(String text, long max, long otherwise) {
-        long number = digits(text, MAX_DIGITS) ? Long.parseLong(text) : -1;
-        return number < 0 || number > max ? otherwise : number;
+    private static long parseNumber(String text, long max, long defaultValue) {
+        long number = isDigits(text, MAX_DIGITS) ? Long.parseLong(text) : -1;
+        return number < 0 || number > max ? defaultValue : number;
     }
 
-    private static long hex(String text) {
-        boolean hex = text != null && !text.isEmpty() && text.length() <= MAX_HEX;
+    private static long parseHex(String text) {
+        boolean hex = text != null && !text.isEmpty() && text.length() <= MAX_HEX_DIGITS;
         for (int i = 0; hex && i < text.length(); i++) {
             hex = text.charAt(i) < 128 && Character.digit(text.charAt(i), 16) >= 0;
         }
         return hex ? Long.parseUnsignedLong(text, 16) : 0;
     }
 
-    private static double fraction(String text) {
+    private static double parseFraction(String text) {
         int point = text == null ? -1 : text.indexOf('.');
         boolean decimal =
                 text != null
-                        && text.length() <= MAX_FRACTION
+                        && text.length() <= MAX_FRACTION_LENGTH
                         && (point < 0
-                                ? digits(text, 1)
-                                : digits(text.substring(0, point), 1)
-                                        && digits(text.substring(point + 1), MAX_FRACTION));
+                                ? isDigits(text, 1)
+                                : isDigits(text.substring(0, point), 1)
+                                        && isDigits(
+                                                text.substring(point + 1), MAX_FRACTION_LENGTH));
         return decimal ? Math.min(1, Double.parseDouble(text)) : Double.NaN;
     }
 }
--- a/core/src/main/java/cedarrudder/budget/BudgetSettings.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetSettings.java
@@ -1,18 +1,20 @@
 package cedarrudder.budget;
 
 /**
- * What the operator sets of the budgets. Ranges are checked where the operator's file is read.
+ * The operator's settings for budgets. Ranges are checked where the operator's file is read.
  *
  * @param hop the name of this proxy's tier in paths, a {@linkplain HopPath#isHop hop id}; empty:
  *     not set
- * @param tries further attempts that one first request may cost at this tier and all below it
- * @param triesWithoutFields the same for a call that says nothing, at any tier but the first
- * @param keep of a call's further attempts this many are not handed down
- * @param share further attempts as a share of first tries, over the window
- * @param minPerSecond further attempts a second that are allowed however few first tries there are
- * @param window the time over which the share is counted, in nanoseconds
- * @param maxHops a path of this many tiers may not grow
- * @param minAdmitted the share of requests that is let in however much the tier below rejects
+ * @param tries the maximum number of further attempts of one request at this tier and all tiers
+ *     below
+ * @param triesWithoutFields the same for a request without budget fields, at any tier but the first
+ * @param keep how many further attempts of a request are reserved for this tier and not propagated
+ * @param share further attempts as a fraction of first attempts, over the window
+ * @param minPerSecond further attempts a second that are allowed however few first attempts there
+ *     are
+ * @param window the time over which the fraction is counted, in nanoseconds
+ * @param maxHops the number of tiers in a path from which on a request is rejected
+ * @param minAdmitted the fraction of requests that is admitted however overloaded the tier below is
  */
 public record BudgetSettings(
         String hop,
@@ -25,7 +27,7 @@
         int maxHops,
         double minAdmitted) {
 
-    /** The same with this name for the tier, where none is set. */
+    /** Returns these settings, with a hop id made from this name if none is set. */
     public BudgetSettings withDefaultHop(String name) {
         return !hop.isEmpty()
                 ? this
@@ -41,7 +43,7 @@
                         minAdmitted);
     }
 
-    /** The defaults, for a tier of this name. */
+    /** Returns the default settings for a tier with this hop id. */
     public static BudgetSettings of(String hop) {
         return new BudgetSettings(hop, 3, 1, 1, 0.2, 0.5, 10_000_000_000L, 8, 0.1);
     }
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -4,43 +4,46 @@
 import cedarrudder.balancer.LoadBalancer.AdmissionHint;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.balancer.LoadBalancer.Request;
-import cedarrudder.budget.DownstreamFeedback.Why;
+import cedarrudder.budget.DownstreamFeedback.UnservedReason;
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 
 /**
- * The budgets of one proxy: what a request that comes may cost, whether a further attempt may go
- * out, and what goes down with each. It decides and does nothing itself: the driver tells it what
- * happens and asks.
+ * The budgets of one proxy: determines the budget of a received request, whether a further attempt
+ * may be sent, and the budget that is propagated with each attempt. It performs no I/O: the
+ * forwarder reports events and queries it.
  *
- * <p>All instants are readings of the driver's clock, in nanoseconds. Not thread-safe: call it from
- * one thread. Each call costs a few additions, and a walk over at most 96 counts where a quantile
- * is asked for.
+ * <p>All instants are readings of the forwarder's clock, in nanoseconds. Not thread-safe. Each call
+ * costs a few additions, and a scan of at most 96 counts if it needs a quantile.
  */
 public final class Budgets {
 
-    /** The way is taken to be as long as this share of the probes took at most. */
-    private static final double WAY = 0.9;
+    /** The quantile of probe latencies that is taken as the network latency. */
+    private static final double NETWORK_LATENCY_QUANTILE = 0.9;
 
-    /** Without any probe the way is taken to be this long. */
-    private static final long WAY_UNKNOWN = 1_000_000L;
-
-    /** And at most this share of what is left: a slow probe must not eat a quick request's time. */
-    private static final double MAX_WAY = 0.25;
+    /** The network latency that is assumed without any probe, in nanoseconds. */
+    private static final long DEFAULT_NETWORK_LATENCY_NANOS = 1_000_000L;
 
     /**
-     * Time can't suffice when it is less than what this share of the class's answers has needed ...
+     * The maximum network latency as a fraction of the remaining time: a slow probe must not use up
+     * the time of a quick request.
      */
-    private static final double QUICKEST = 0.05;
+    private static final double MAX_NETWORK_LATENCY_FRACTION = 0.25;
+
+    /** The remaining time is too short if it is below this quantile of the class's latencies. */
+    private static final double QUICK_RESPONSE_QUANTILE = 0.05;
 
-    /** ... of at least this many answers ... */
-    private static final int NEEDS_KNOWN = 50;
+    /** The minimum number of latencies for this check. */
+    private static final int MIN_LATENCY_SAMPLES = 50;
 
-    /** ... the last of which came no longer ago than this: this avoids refusing all for good. */
-    private static final long NEEDS_COUNT = 5_000_000_000L;
+    /**
+     * How long after the last response its class's latencies are valid, in nanoseconds. Otherwise
+     * all requests could be rejected for good.
+     */
+    private static final long LATENCY_VALIDITY_NANOS = 5_000_000_000L;
 
-    private static final long MIN_LEFT = 1_000_000L;
-    private static final long MINUTE = 60_000_000_000L;
+    private static final long MIN_REMAINING_NANOS = 1_000_000L;
+    private static final long MINUTE_NANOS = 60_000_000_000L;
 
     private final BudgetSettings settings;
     private final BalancerSettings site;
@@ -52,20 +55,20 @@
     private final PriorityScale priorityScale;
     private final PriorityAdmission priorityAdmission;
     private final LoopReporter loops = new LoopReporter();
-    private final QuantileEstimator way = new QuantileEstimator();
-    private final QuantileEstimator[] needs;
-    private final long[] neededAt;
+    private final QuantileEstimator probeLatencies = new QuantileEstimator();
+    private final QuantileEstimator[] responseLatencies;
+    private final long[] lastResponseAt;
 
-    // What is logged once a minute.
-    private long minuteEnds = Long.MIN_VALUE;
-    private long byTree;
-    private long byShare;
-    private final long[] stood = new long[AdmissionHint.values().length];
+    // The counts of the current minute, which are logged at its end.
+    private long nextSummaryAt = Long.MIN_VALUE;
+    private long deniedByTree;
+    private long deniedByShare;
+    private final long[] admissionCounts = new long[AdmissionHint.values().length];
 
     /**
-     * @param site what the balancer knows of the site
-     * @param random names what is handed down; two proxies must not have the same numbers
-     * @param events what is logged for the operator
+     * @param site the settings of the site
+     * @param random generates the ids of grants; two proxies must not have the same sequence
+     * @param events receives what is logged for the operator
      */
     public Budgets(
             BudgetSettings settings,
@@ -80,208 +83,219 @@
         deadlines = new DefaultDeadline(site);
         priorityScale = new PriorityScale(site);
         priorityAdmission = new PriorityAdmission(settings.minAdmitted());
-        needs = new QuantileEstimator[site.classes().size()];
-        neededAt = new long[needs.length];
-        for (int i = 0; i < needs.length; i++) {
-            needs[i] = new QuantileEstimator();
+        responseLatencies = new QuantileEstimator[site.classes().size()];
+        lastResponseAt = new long[responseLatencies.length];
+        for (int i = 0; i < responseLatencies.length; i++) {
+            responseLatencies[i] = new QuantileEstimator();
         }
     }
 
-    /** How long a call of this class that doesn't say may take, in nanoseconds. */
+    /** Returns how long a request of this class without a deadline may take, in nanoseconds. */
     public long defaultDeadline(int classIndex) {
-        return deadlines.of(classIndex);
+        return deadlines.defaultFor(classIndex);
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
-    /** A request has come, with its deadline and what its client said. */
-    public RequestBudget onRequest(long now, Request request, PropagatedBudget carried) {
-        if (carried.hasClientDeadline()) {
+    /** Records a request that was received with this budget, and returns its state. */
+    public RequestBudget onRequest(long now, Request request, PropagatedBudget received) {
+        if (received.hasClientDeadline()) {
             deadlines.onWaited(request.classIndex(), request.deadline() - now);
         }
-        boolean repeat = carried.repeat() || request.repeat();
-        double own = priorityScale.of(now, request.classIndex(), request.tenant(), repeat);
-        double weight = Double.isNaN(carried.priority()) ? own : Math.min(carried.priority(), own);
-        AdmissionHint standing = standing(now, request, carried, weight);
-        if (standing == AdmissionHint.ADMIT) {
+        boolean repeat = received.repeat() || request.repeat();
+        double ownPriority =
+                priorityScale.priority(now, request.classIndex(), request.tenant(), repeat);
+        double priority =
+                Double.isNaN(received.priority())
+                        ? ownPriority
+                        : Math.min(received.priority(), ownPriority);
+        AdmissionHint admissionHint = admissionHint(now, request, received, priority);
+        if (admissionHint == AdmissionHint.ADMIT) {
             if (repeat) {
                 retryBudget.spend(now);
             } else {
-                retryBudget.first(now);
+                retryBudget.recordFirstAttempt(now);
             }
         }
-        tell(now, standing, carried);
+        countAdmission(now, admissionHint, received);
         return new RequestBudget(
                 request,
-                carried,
+                received,
                 now,
-                standing,
-                weight,
+                admissionHint,
+                priority,
                 repeat,
-                attempts(now, request, carried),
-                standing == AdmissionHint.LOOP
-                        ? carried.path().plus(settings.hop())
+                attemptBudget(now, request, received),
+                admissionHint == AdmissionHint.LOOP
+                        ? received.path().withHop(settings.hop())
                         : HopPath.EMPTY);
     }
 
-    private AdmissionHint standing(
-            long now, Request request, PropagatedBudget carried, double weight) {
-        HopPath path = carried.path();
-        if (path.has(settings.hop()) || path.hops().size() >= settings.maxHops()) {
+    private AdmissionHint admissionHint(
+            long now, Request request, PropagatedBudget received, double priority) {
+        HopPath path = received.path();
+        if (path.containsHop(settings.hop()) || path.hops().size() >= settings.maxHops()) {
             return AdmissionHint.LOOP;
         }
-        QuantileEstimator needed = needs[request.classIndex()];
-        if (now - neededAt[request.classIndex()] > NEEDS_COUNT) {
-            needed.clear();
+        QuantileEstimator classLatencies = responseLatencies[request.classIndex()];
+        if (now - lastResponseAt[request.classIndex()] > LATENCY_VALIDITY_NANOS) {
+            classLatencies.clear();
         }
-        if (needed.count() >= NEEDS_KNOWN && request.deadline() - now < needed.atLeast(QUICKEST)) {
+        if (classLatencies.count() >= MIN_LATENCY_SAMPLES
+                && request.deadline() - now < classLatencies.lowerBound(QUICK_RESPONSE_QUANTILE)) {
             return AdmissionHint.DEADLINE_TOO_SHORT;
         }
-        return priorityAdmission.admits(now, weight)
+        return priorityAdmission.admits(now, priority)
                 ? AdmissionHint.ADMIT
                 : AdmissionHint.OVERLOADED;
     }
 
-    /** Takes the least of what the call says and what this tier allows. */
-    private AttemptBudget attempts(long now, Request request, PropagatedBudget carried) {
-        int unsaid = site.tier() == 0 ? settings.tries() : settings.triesWithoutFields();
-        int tries =
-                carried.attempts() < 0 ? unsaid : Math.min(carried.attempts(), settings.tries());
-        return carried.grant() == 0
-                ? new AttemptBudget(tries)
-                : grants.of(
+    /** Returns the minimum of the received budget and what this tier allows. */
+    private AttemptBudget attemptBudget(long now, Request request, PropagatedBudget received) {
+        int defaultAttempts = site.tier() == 0 ? settings.tries() : settings.triesWithoutFields();
+        int initialAttempts =
+                received.attempts() < 0
+                        ? defaultAttempts
+                        : Math.min(received.attempts(), settings.tries());
+        return received.grant() == 0
+                ? new AttemptBudget(initialAttempts)
+                : grants.budgetFor(
                         now,
-                        carried.grant(),
-                        tries,
+                        received.grant(),
+                        initialAttempts,
                         Math.max(
                                 request.deadline(),
                                 now + site.classes().get(request.classIndex()).deadlineNanos()));
     }
 
-    /** The client has gone before it was answered. */
-    public void onClientLeft(long now, RequestBudget call) {
-        if (!call.received.hasClientDeadline()) {
-            deadlines.onWaited(call.request.classIndex(), now - call.arrivedAt);
+    /** Records that the client disconnected before it received a response. */
+    public void onClientLeft(long now, RequestBudget budget) {
+        if (!budget.received.hasClientDeadline()) {
+            deadlines.onWaited(budget.request.classIndex(), now - budget.arrivedAt);
         }
     }
 
-    /** A probe took so long, there and back. */
+    /** Records the round-trip time of a probe, in nanoseconds. */
     public void onProbeAnswered(long latency) {
-        way.add(latency);
+        probeLatencies.add(latency);
     }
 
     /**
-     * An attempt ended.
+     * Records that an attempt ended.
      *
-     * @param handed what {@link #propagate} gave it
-     * @param below what its answer said
+     * @param propagated the budget that {@link #propagate} returned for it
+     * @param feedback the feedback of its response
      */
     public void onAttemptEnded(
             long now,
-            RequestBudget call,
-            PropagatedBudget handed,
+            RequestBudget budget,
+            PropagatedBudget propagated,
             Outcome outcome,
             long latency,
-            DownstreamFeedback below) {
+            DownstreamFeedback feedback) {
         if (outcome.provesNotRun()) {
-            call.attempts.giveBack(handed.attempts(), 0);
-        } else if (below.attemptsSpent() >= 0) {
-            call.attempts.giveBack(handed.attempts(), below.attemptsSpent());
+            budget.attempts.refund(propagated.attempts(), 0);
+        } else if (feedback.attemptsSpent() >= 0) {
+            budget.attempts.refund(propagated.attempts(), feedback.attemptsSpent());
         }
-        boolean overload = below.why() == Why.OVERLOAD;
-        if (overload || below.why() == Why.LOOP) {
-            call.closed = true;
-            call.requestedDeadline = below.why();
-            call.loop = below.path();
+        boolean overload = feedback.reason() == UnservedReason.OVERLOAD;
+        if (overload || feedback.reason() == UnservedReason.LOOP) {
+            budget.retriesStopped = true;
+            budget.downstreamReason = feedback.reason();
+            budget.loop = feedback.path();
         } else if (outcome == Outcome.REJECTED) {
-            call.requestedDeadline = Why.OVERLOAD;
+            budget.downstreamReason = UnservedReason.OVERLOAD;
         }
         if (outcome == Outcome.OK) {
-            int kind = call.request.classIndex();
-            priorityScale.served(kind, latency);
-            needs[kind].add(latency);
-            neededAt[kind] = now;
+            int classIndex = budget.request.classIndex();
+            priorityScale.onServed(classIndex, latency);
+            responseLatencies[classIndex].add(latency);
+            lastResponseAt[classIndex] = now;
         }
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
-            priorityAdmission.onAnswer(now, overload);
+            priorityAdmission.onResponse(now, overload);
         }
     }
 
-    // ---- what may be done ----
+    // ---- decisions on attempts ----
 
     /**
-     * Whether an attempt may go out now; if so it is paid for. The first one may, unless it closes
-     * a loop.
+     * Returns whether an attempt may be sent now, and charges it if so. The first attempt of a
+     * request is free and always allowed, unless it closes a loop.
      */
-    public boolean mayAttempt(long now, RequestBudget call) {
-        if (call.standing == AdmissionHint.LOOP) {
+    public boolean tryAttempt(long now, RequestBudget budget) {
+        if (budget.admissionHint == AdmissionHint.LOOP) {
             return false;
         }
-        if (call.sent > 0) {
-            boolean tree = !call.closed && call.attempts.covers();
-            if (!tree || !retryBudget.covers(now)) {
-                call.denied = true;
-                byTree += tree ? 0 : 1;
-                byShare += tree ? 1 : 0;
+        if (budget.attemptsSent > 0) {
+            boolean withinTree = !budget.retriesStopped && budget.attempts.hasRemaining();
+            if (!withinTree || !retryBudget.hasRemaining(now)) {
+                budget.retryDenied = true;
+                deniedByTree += withinTree ? 0 : 1;
+                deniedByShare += withinTree ? 1 : 0;
                 return false;
             }
-            call.attempts.spend();
+            budget.attempts.spend();
             retryBudget.spend(now);
         }
-        call.sent++;
+        budget.attemptsSent++;
         return true;
     }
 
-    /** What goes down with the attempt that was just allowed. */
-    public PropagatedBudget propagate(long now, RequestBudget call) {
-        long left = call.request.deadline() - now;
-        long margin =
-                Math.min(way.count() == 0 ? WAY_UNKNOWN : way.atMost(WAY), (long) (MAX_WAY * left));
+    /** Returns the budget to propagate with the attempt that was just allowed. */
+    public PropagatedBudget propagate(long now, RequestBudget budget) {
+        long remaining = budget.request.deadline() - now;
+        long networkLatency =
+                Math.min(
+                        probeLatencies.count() == 0
+                                ? DEFAULT_NETWORK_LATENCY_NANOS
+                                : probeLatencies.upperBound(NETWORK_LATENCY_QUANTILE),
+                        (long) (MAX_NETWORK_LATENCY_FRACTION * remaining));
         boolean last = site.tier() >= site.tierCount() - 1;
         return new PropagatedBudget(
                 true,
                 true,
-                Math.max(MIN_LEFT, left - margin),
-                last ? 0 : call.attempts.propagate(settings.keep()),
+                Math.max(MIN_REMAINING_NANOS, remaining - networkLatency),
+                last ? 0 : budget.attempts.propagate(settings.keep()),
                 Math.max(1, random.nextLong() >>> 1),
-                call.priority,
-                call.repeat || call.sent > 1,
-                call.received.path().plus(settings.hop()));
+                budget.priority,
+                budget.repeat || budget.attemptsSent > 1,
+                budget.received.path().withHop(settings.hop()));
     }
 
-    // ---- what the operator reads ----
+    // ---- log events ----
 
-    private void tell(long now, AdmissionHint standing, PropagatedBudget carried) {
-        stood[standing.ordinal()]++;
-        if (standing == AdmissionHint.LOOP) {
-            long more = loops.due(now, carried.path().from(settings.hop()));
+    private void countAdmission(long now, AdmissionHint admissionHint, PropagatedBudget received) {
+        admissionCounts[admissionHint.ordinal()]++;
+        if (admissionHint == AdmissionHint.LOOP) {
+            long more = loops.suppressedIfDue(now, received.path().loopFrom(settings.hop()));
             if (more >= 0) {
-                events.loopRejected(carried.path().plus(settings.hop()), more);
+                events.loopRejected(received.path().withHop(settings.hop()), more);
             }
         }
-        if (minuteEnds == Long.MIN_VALUE) {
-            minuteEnds = now + MINUTE;
-        } else if (now >= minuteEnds) {
-            minuteEnds = now + MINUTE;
-            minute();
+        if (nextSummaryAt == Long.MIN_VALUE) {
+            nextSummaryAt = now + MINUTE_NANOS;
+        } else if (now >= nextSummaryAt) {
+            nextSummaryAt = now + MINUTE_NANOS;
+            logSummary();
         }
     }
 
-    private void minute() {
-        long overload = stood[AdmissionHint.OVERLOADED.ordinal()];
-        long noTime = stood[AdmissionHint.DEADLINE_TOO_SHORT.ordinal()];
-        if (overload + noTime + byTree + byShare > 0) {
+    private void logSummary() {
+        long overload = admissionCounts[AdmissionHint.OVERLOADED.ordinal()];
+        long noTime = admissionCounts[AdmissionHint.DEADLINE_TOO_SHORT.ordinal()];
+        if (overload + noTime + deniedByTree + deniedByShare > 0) {
             events.summarized(
                     new BudgetEvents.MinuteSummary(
-                            stood[AdmissionHint.ADMIT.ordinal()] + overload + noTime,
-                            byTree,
-                            byShare,
+                            admissionCounts[AdmissionHint.ADMIT.ordinal()] + overload + noTime,
+                            deniedByTree,
+                            deniedByShare,
                             overload,
                             noTime,
-                            Math.round(100 * priorityAdmission.share())));
+                            Math.round(100 * priorityAdmission.admittedFraction())));
         }
-        byTree = 0;
-        byShare = 0;
-        Arrays.fill(stood, 0);
+        deniedByTree = 0;
+        deniedByShare = 0;
+        Arrays.fill(admissionCounts, 0);
     }
 }
--- a/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
+++ b/core/src/main/java/cedarrudder/budget/DefaultDeadline.java
@@ -4,17 +4,18 @@
 import cedarrudder.balancer.BalancerSettings.RequestClass;
 
 /**
- * How long a call that doesn't say may take: what the least patient tenth of the clients of its
- * class were seen to wait, but no less than the class's aim and no more than its deadline, both
- * times the share of the tiers that are still to come. Until 20 waits were seen it is the most.
+ * The deadline of requests whose client gives none: the time after which the least patient tenth of
+ * the clients of the class were observed to stop waiting. It is at least the class's latency
+ * objective and at most its deadline, both multiplied by the fraction of the tiers from this one
+ * on. Until 20 waits were observed it is the maximum.
  *
- * <p>This avoids work that goes on when nobody waits any more, and against clients who say nonsense
- * moving the others' time out of bounds.
+ * <p>So no work continues after its client has stopped waiting, and clients that send absurd
+ * deadlines can't move those of others out of bounds.
  */
 final class DefaultDeadline {
 
-    private static final int KNOWN = 20;
-    private static final double IMPATIENT = 0.1;
+    private static final int MIN_SAMPLES = 20;
+    private static final double IMPATIENT_QUANTILE = 0.1;
 
     private final QuantileEstimator[] waits;
     private final long[] min;
@@ -26,32 +27,36 @@
         min = new long[classes];
         max = new long[classes];
         int tiers = Math.max(1, site.tierCount());
-        double ahead = Math.max(1, tiers - site.tier()) / (double) tiers;
+        double remainingTierFraction = Math.max(1, tiers - site.tier()) / (double) tiers;
         for (int i = 0; i < classes; i++) {
-            RequestClass kind = site.classes().get(i);
+            RequestClass requestClass = site.classes().get(i);
             waits[i] = new QuantileEstimator();
             min[i] =
                     Math.max(
                             1,
                             (long)
-                                    (ahead
+                                    (remainingTierFraction
                                             * Math.min(
-                                                    kind.latencyObjectiveNanos(),
-                                                    kind.deadlineNanos())));
-            max[i] = Math.max(1, (long) (ahead * kind.deadlineNanos()));
+                                                    requestClass.latencyObjectiveNanos(),
+                                                    requestClass.deadlineNanos())));
+            max[i] = Math.max(1, (long) (remainingTierFraction * requestClass.deadlineNanos()));
         }
     }
 
-    /** A client said that it waits so long, or was seen to leave after this long. */
+    /** Records how long a client waits by its own deadline, or waited before it disconnected. */
     void onWaited(int classIndex, long nanos) {
         waits[classIndex].add(nanos);
     }
 
-    /** The safe wait for a call of this class, in nanoseconds. */
-    long of(int classIndex) {
-        QuantileEstimator seen = waits[classIndex];
-        return seen.count() < KNOWN
+    /**
+     * Returns the default deadline for a request of this class, in nanoseconds from its arrival.
+     */
+    long defaultFor(int classIndex) {
+        QuantileEstimator observed = waits[classIndex];
+        return observed.count() < MIN_SAMPLES
                 ? max[classIndex]
-                : Math.max(min[classIndex], Math.min(max[classIndex], seen.atLeast(IMPATIENT)));
+                : Math.max(
+                        min[classIndex],
+                        Math.min(max[classIndex], observed.lowerBound(IMPATIENT_QUANTILE)));
     }
 }
--- a/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
+++ b/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
@@ -1,49 +1,49 @@
 package cedarrudder.budget;
 
 /**
- * What goes up to a tier with an answer.
+ * The feedback on a request's budget that a tier sends upstream with its response.
  *
- * @param attemptsSpent how much of what was handed down has been used; -1 where not said
- * @param why why the call wasn't served; {@link Why#UNKNOWN} also where it was
- * @param path the path that closes a loop; empty where there is none
+ * @param attemptsSpent how many of the propagated further attempts were used; -1 if not given
+ * @param reason the reason why the request was not served; {@link Why#UNKNOWN} also if it was
+ * @param path the path that closes a loop; empty if there is none
  */
-public record DownstreamFeedback(int attemptsSpent, Why why, HopPath path) {
+public record DownstreamFeedback(int attemptsSpent, UnservedReason reason, HopPath path) {
 
-    /** An answer that says nothing. */
+    /** The feedback of a response without the field. */
     public static final DownstreamFeedback NOTHING =
-            new DownstreamFeedback(-1, Why.UNKNOWN, HopPath.EMPTY);
+            new DownstreamFeedback(-1, UnservedReason.UNKNOWN, HopPath.EMPTY);
 
-    /** Why a call was not served. */
-    public enum Why {
-        /** It isn't known, or it was served. */
+    /** The reason why a request was not served. */
+    public enum UnservedReason {
+        /** The reason is not known, or the request was served. */
         UNKNOWN(""),
-        /** There was too much work. */
+        /** A tier was overloaded. */
         OVERLOAD("overload"),
-        /** The tiers send to one another in a circle. */
+        /** The request passed the same tier twice, or too many tiers. */
         LOOP("loop"),
-        /** No further attempt was allowed. */
+        /** The budget allowed no further attempt. */
         TRIES("tries"),
-        /** The time left couldn't suffice. */
+        /** Too little time was left to serve the request. */
         TIME("time");
 
-        private static final Why[] ALL = values();
+        private static final UnservedReason[] ALL = values();
 
-        private final String word;
+        private final String wireName;
 
-        Why(String word) {
-            this.word = word;
+        UnservedReason(String wireName) {
+            this.wireName = wireName;
         }
 
-        /** How it is written. */
-        String word() {
-            return word;
+        /** Returns the value that is written to the field; empty if none is. */
+        String wireName() {
+            return wireName;
         }
 
-        /** What a word means; a word that isn't known, or none, says nothing. */
-        static Why of(String word) {
-            for (Why why : ALL) {
-                if (why.word.equals(word)) {
-                    return why;
+        /** Returns the reason for a field value; {@link #UNKNOWN} for an unknown value or null. */
+        static UnservedReason fromWireName(String wireName) {
+            for (UnservedReason reason : ALL) {
+                if (reason.wireName.equals(wireName)) {
+                    return reason;
                 }
             }
             return UNKNOWN;
--- a/core/src/main/java/cedarrudder/budget/HopPath.java
+++ b/core/src/main/java/cedarrudder/budget/HopPath.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * The tiers that a call has passed, the first first, each by its hop id: like RFC 8586's CDN-Loop,
- * a list in which each looks for itself and to which each adds itself. At most 16 of at most 32
+ * The hop ids of the tiers that a request has passed, in that order. As with CDN-Loop (RFC 8586),
+ * each tier looks for its own id in the list and appends it. At most 16 ids of at most 32
  * characters.
  */
 public final class HopPath {
 
-    /** No tier. */
+    /** The path without a tier. */
     public static final HopPath EMPTY = new HopPath(List.of());
 
-    static final int MAX = 16;
-    static final int MAX_NAME = 32;
+    static final int MAX_HOPS = 16;
+    static final int MAX_HOP_LENGTH = 32;
 
     private final List<String> hops;
 
@@ -23,23 +23,23 @@
     }
 
     /**
-     * A path of these hop ids.
+     * Creates a path of these hop ids.
      *
-     * @throws IllegalArgumentException if there are too many, or one is no hop id
+     * @throws IllegalArgumentException if there are more than 16, or one is not a valid hop id
      */
     public static HopPath of(List<String> hops) {
-        if (hops.size() > MAX || !allHops(hops)) {
-            throw new IllegalArgumentException("no path: " + hops);
+        if (hops.size() > MAX_HOPS || !areHops(hops)) {
+            throw new IllegalArgumentException("invalid hop path: " + hops);
         }
         return new HopPath(List.copyOf(hops));
     }
 
-    /** The same, where what is no path is the empty one. */
-    static HopPath read(List<String> hops) {
-        return hops.size() > MAX || !allHops(hops) ? EMPTY : new HopPath(List.copyOf(hops));
+    /** Returns the path of these hop ids; the empty one if they are no valid path. */
+    static HopPath ofOrEmpty(List<String> hops) {
+        return hops.size() > MAX_HOPS || !areHops(hops) ? EMPTY : new HopPath(List.copyOf(hops));
     }
 
-    private static boolean allHops(List<String> hops) {
+    private static boolean areHops(List<String> hops) {
         for (String hop : hops) {
             if (!isHop(hop)) {
                 return false;
@@ -49,26 +49,30 @@
     }
 
     /**
-     * Whether a text may stand as a hop id: 1 to 32 letters, digits, dots, dashes and underscores.
+     * Returns whether a text is a valid hop id: 1 to 32 ASCII letters, digits, dots, dashes and
+     * underscores.
      */
     public static boolean isHop(String text) {
-        boolean hop = !text.isEmpty() && text.length() <= MAX_NAME;
+        boolean hop = !text.isEmpty() && text.length() <= MAX_HOP_LENGTH;
         for (int i = 0; hop && i < text.length(); i++) {
-            hop = mayStand(text.charAt(i));
+            hop = isHopCharacter(text.charAt(i));
         }
         return hop;
     }
 
-    /** The hop id nearest to a name, in which other characters become underscores. */
+    /**
+     * Converts a name to a hop id: at most 32 characters, with invalid ones replaced by
+     * underscores.
+     */
     public static String hopOf(String name) {
         StringBuilder hop = new StringBuilder();
-        for (int i = 0; i < Math.min(MAX_NAME, name.length()); i++) {
-            hop.append(mayStand(name.charAt(i)) ? name.charAt(i) : '_');
+        for (int i = 0; i < Math.min(MAX_HOP_LENGTH, name.length()); i++) {
+            hop.append(isHopCharacter(name.charAt(i)) ? name.charAt(i) : '_');
         }
         return hop.length() == 0 ? "_" : hop.toString();
     }
 
-    private static boolean mayStand(char c) {
+    private static boolean isHopCharacter(char c) {
         return c >= 'a' && c <= 'z'
                 || c >= 'A' && c <= 'Z'
                 || c >= '0' && c <= '9'
@@ -77,18 +81,18 @@
                 || c == '_';
     }
 
-    /** The hop ids, the first first. */
+    /** Returns the hop ids, in the order in which the request passed the tiers. */
     public List<String> hops() {
         return hops;
     }
 
-    boolean has(String hop) {
+    boolean containsHop(String hop) {
         return hops.contains(hop);
     }
 
-    /** This path with one more tier; the same where it is as long as any may be. */
-    HopPath plus(String hop) {
-        if (hops.size() >= MAX) {
+    /** Returns this path with one more tier; unchanged if it has the maximum length. */
+    HopPath withHop(String hop) {
+        if (hops.size() >= MAX_HOPS) {
             return this;
         }
         List<String> longer = new ArrayList<>(hops);
@@ -97,10 +101,9 @@
     }
 
     /**
-     * The part that would be gone through again and again: from the last time that this tier was
-     * passed.
+     * Returns the part of the path that repeats in a loop: from the last occurrence of this hop.
      */
-    HopPath from(String hop) {
+    HopPath loopFrom(String hop) {
         return new HopPath(hops.subList(Math.max(0, hops.lastIndexOf(hop)), hops.size()));
     }
 
@@ -114,7 +117,7 @@
         return hops.hashCode();
     }
 
-    /** As operators read it: {@code front > core > front}. */
+    /** Returns the path as it is logged, such as {@code front > core > front}. */
     @Override
     public String toString() {
         return String.join(" > ", hops);
--- a/core/src/main/java/cedarrudder/budget/LoopReporter.java
+++ b/core/src/main/java/cedarrudder/budget/LoopReporter.java
@@ -4,45 +4,45 @@
 import java.util.Map;
 
 /**
- * Which refusals of a loop get a line in the log: the first, and one a minute with the count since
- * then. This avoids a loop, which brings a request each time round, filling the log.
+ * Decides which rejections of a loop are logged: the first, and then one a minute with the number
+ * of those left out. A loop causes a rejection in each round and would otherwise fill the log.
  */
 final class LoopReporter {
 
-    /** This many loops are remembered; more at a time are no misconfiguration but forged. */
-    static final int MAX = 64;
+    /** The maximum number of loops that are tracked; more at a time must be forged. */
+    static final int MAX_LOOPS = 64;
 
-    private static final long MINUTE = 60_000_000_000L;
+    private static final long MINUTE_NANOS = 60_000_000_000L;
 
-    private static final class Seen {
+    private static final class LoopEntry {
         long loggedAt;
-        long since;
+        long suppressed;
     }
 
-    private final Map<HopPath, Seen> loops = new LinkedHashMap<>();
+    private final Map<HopPath, LoopEntry> loops = new LinkedHashMap<>();
 
     /**
-     * How many refusals of this loop were left out since the last line; -1 where this one is left
-     * out too.
+     * Records a rejection. Returns how many rejections of this loop were left out since the last
+     * that was logged; -1 if this one is left out too.
      */
-    long due(long now, HopPath loop) {
-        Seen seen = loops.get(loop);
-        if (seen == null) {
-            if (loops.size() >= MAX) {
-                loops.values().removeIf(each -> now - each.loggedAt >= MINUTE);
+    long suppressedIfDue(long now, HopPath loop) {
+        LoopEntry entry = loops.get(loop);
+        if (entry == null) {
+            if (loops.size() >= MAX_LOOPS) {
+                loops.values().removeIf(each -> now - each.loggedAt >= MINUTE_NANOS);
             }
-            if (loops.size() >= MAX) {
+            if (loops.size() >= MAX_LOOPS) {
                 return -1;
             }
-            seen = new Seen();
-            loops.put(loop, seen);
-        } else if (now - seen.loggedAt < MINUTE) {
-            seen.since++;
+            entry = new LoopEntry();
+            loops.put(loop, entry);
+        } else if (now - entry.loggedAt < MINUTE_NANOS) {
+            entry.suppressed++;
             return -1;
         }
-        long more = seen.since;
-        seen.loggedAt = now;
-        seen.since = 0;
-        return more;
+        long suppressedCount = entry.suppressed;
+        entry.loggedAt = now;
+        entry.suppressed = 0;
+        return suppressedCount;
     }
 }
--- a/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
@@ -1,76 +1,78 @@
 package cedarrudder.budget;
 
 /**
- * Who is let in while the tier below says that it is overloaded: the share of requests that are
- * worth most for their work. After DAGOR (Zhou and others, SoCC 2018): a histogram of the worth of
- * what came lately finds the level that lets the wanted share through; the share falls by a factor
- * and rises by steps.
+ * Admits a fraction of the requests, those of the highest priority, while the tier below reports
+ * overload. After DAGOR (Zhou and others, SoCC 2018): a histogram of the priorities of recent
+ * requests gives the level from which on requests are admitted, so that the wanted fraction passes;
+ * the fraction falls by a factor and rises by steps.
  */
 final class PriorityAdmission {
 
     private static final int BUCKETS = 64;
 
-    /** The histogram is halved when it holds this many: what came lately counts. */
-    private static final double REMEMBERED = 256;
+    /** The histogram is halved at this count, so that recent requests weigh more. */
+    private static final double MAX_HISTOGRAM_COUNT = 256;
 
-    /** The share is set anew this often. */
-    private static final long STEP = 250_000_000L;
+    /** The interval between updates of the fraction, in nanoseconds. */
+    private static final long STEP_NANOS = 250_000_000L;
 
-    /** More than this share of answers that say overload lowers the share ... */
-    private static final double TOLERATED = 0.15;
+    /** The fraction is lowered if more than this fraction of the responses reports overload. */
+    private static final double TOLERATED_OVERLOAD_FRACTION = 0.15;
 
     /**
-     * ... of at least this many, over as many steps as it takes. This avoids a proxy with a few
-     * calls a second turning the least worthy away because one of its calls met a full endpoint.
+     * The minimum number of responses that are judged, over as many steps as that takes. With
+     * fewer, a proxy with a few requests a second would reject those of the lowest priority because
+     * one request reached a full endpoint.
      */
-    private static final int JUDGED = 20;
+    private static final int MIN_RESPONSES = 20;
 
-    private static final double DOWN = 0.8;
-    private static final double UP = 0.05;
+    private static final double DECREASE_FACTOR = 0.8;
+    private static final double INCREASE_STEP = 0.05;
 
-    private final double min;
+    private final double minFraction;
     private final double[] arrived = new double[BUCKETS];
     private double total;
-    private double share = 1;
-    private long stepEnds = Long.MIN_VALUE;
-    private long answers;
+    private double admittedFraction = 1;
+    private long nextUpdateAt = Long.MIN_VALUE;
+    private long responses;
     private long overloads;
-    private double carry;
+    private double credit;
 
-    PriorityAdmission(double min) {
-        this.min = min;
+    PriorityAdmission(double minFraction) {
+        this.minFraction = minFraction;
     }
 
-    /** An attempt was answered; {@code overload}: by word that there was too much work below. */
-    void onAnswer(long now, boolean overload) {
-        step(now);
-        answers++;
+    /** Records a response to an attempt, and whether it reported overload of the tier below. */
+    void onResponse(long now, boolean overload) {
+        updateFraction(now);
+        responses++;
         overloads += overload ? 1 : 0;
     }
 
     /**
-     * Whether a request of this worth, from 0 to 1, is let in. To be asked once for each that
-     * comes.
+     * Counts a request and returns whether it is admitted; called once for each request.
+     *
+     * @param priority from 0 to 1
      */
-    boolean admits(long now, double weight) {
-        step(now);
-        int bucket = (int) Math.max(0, Math.min(BUCKETS - 1, weight * (BUCKETS - 1)));
+    boolean admits(long now, double priority) {
+        updateFraction(now);
+        int bucket = (int) Math.max(0, Math.min(BUCKETS - 1, priority * (BUCKETS - 1)));
         count(bucket);
-        if (share >= 1) {
+        if (admittedFraction >= 1) {
             return true;
         }
         double above = 0;
         for (int i = bucket + 1; i < BUCKETS; i++) {
             above += arrived[i];
         }
-        double part = (share * total - above) / arrived[bucket];
+        double part = (admittedFraction * total - above) / arrived[bucket];
         if (part >= 1 || part <= 0) {
             return part >= 1;
         }
-        // Of those worth as much as the level itself a part is let in, evenly and without chance.
-        carry += part;
-        if (carry >= 1) {
-            carry--;
+        // Of the requests at the level itself a part is admitted, evenly and not at random.
+        credit += part;
+        if (credit >= 1) {
+            credit--;
             return true;
         }
         return false;
@@ -79,7 +81,7 @@
     private void count(int bucket) {
         arrived[bucket]++;
         total++;
-        if (total >= REMEMBERED) {
+        if (total >= MAX_HISTOGRAM_COUNT) {
             total = 0;
             for (int i = 0; i < BUCKETS; i++) {
                 arrived[i] /= 2;
@@ -88,26 +90,30 @@
         }
     }
 
-    private void step(long now) {
-        if (now < stepEnds) {
+    private void updateFraction(long now) {
+        if (now < nextUpdateAt) {
             return;
         }
-        long steps = stepEnds == Long.MIN_VALUE ? 0 : 1 + (now - stepEnds) / STEP;
-        if (answers >= JUDGED) {
-            if (overloads > TOLERATED * answers) {
-                share = Math.max(min, share * DOWN);
+        long steps = nextUpdateAt == Long.MIN_VALUE ? 0 : 1 + (now - nextUpdateAt) / STEP_NANOS;
+        if (responses >= MIN_RESPONSES) {
+            if (overloads > TOLERATED_OVERLOAD_FRACTION * responses) {
+                admittedFraction = Math.max(minFraction, admittedFraction * DECREASE_FACTOR);
                 steps--;
             }
-            answers = 0;
+            responses = 0;
             overloads = 0;
         }
-        // This avoids a flood at once when the tier below is back: the share rises by steps.
-        share = Math.min(1, share + UP * Math.min(steps, (long) (1 / UP)));
-        stepEnds = now + STEP;
+        // The fraction rises by steps, so that a tier below that has recovered isn't flooded.
+        admittedFraction =
+                Math.min(
+                        1,
+                        admittedFraction
+                                + INCREASE_STEP * Math.min(steps, (long) (1 / INCREASE_STEP)));
+        nextUpdateAt = now + STEP_NANOS;
     }
 
-    /** The share that is let in now. */
-    double share() {
-        return share;
+    /** Returns the fraction of requests that is admitted now. */
+    double admittedFraction() {
+        return admittedFraction;
     }
 }
--- a/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
+++ b/core/src/main/java/cedarrudder/budget/PropagatedBudget.java
@@ -1,18 +1,19 @@
 package cedarrudder.budget;
 
 /**
- * What comes down to a tier with a call. All of it has been bounded when it was read, and none of
- * it is more than a wish: what a tier's own settings allow bounds it again.
+ * The budget that a tier receives with a request. All values were bounded when they were read, and
+ * none is binding: the tier's own settings bound them again.
  *
- * @param isPresent whether the client speaks these fields, so that it learns what became of its
- *     budget
- * @param hasClientDeadline whether the client itself said how long it waits
- * @param remainingNanos how long the client waits, less the way, in nanoseconds; 0 where not said
- * @param attempts further attempts for this tier and all below; -1 where not said
- * @param grant names the hand-down, so that calls of one endpoint share it; 0 where not said
- * @param priority the worth for its work, from 0 to 1; NaN where not said
- * @param repeat whether this is part of what a client or a tier above sends again
- * @param path the tiers passed
+ * @param isPresent whether the client sent the budget field, so that it receives feedback
+ * @param hasClientDeadline whether the client itself gave its deadline
+ * @param remainingNanos how long the client waits, less the network latency, in nanoseconds; 0 if
+ *     not given
+ * @param attempts further attempts for this tier and all tiers below; -1 if not given
+ * @param grant identifies the propagated budget, so that the requests of one endpoint share it; 0
+ *     if not given
+ * @param priority the priority relative to the work, from 0 to 1; NaN if not given
+ * @param repeat whether this request is part of a repeat by a client or a retry of a tier above
+ * @param path the tiers that the request has passed
  */
 public record PropagatedBudget(
         boolean isPresent,
@@ -24,11 +25,11 @@
         boolean repeat,
         HopPath path) {
 
-    /** What is known of a call whose client speaks none of this and said how long it waits. */
+    /** The budget of a request without budget fields whose client gave its deadline. */
     public static final PropagatedBudget NOTHING =
             new PropagatedBudget(false, true, 0, -1, 0, Double.NaN, false, HopPath.EMPTY);
 
-    /** The same, some nanoseconds later. */
+    /** Returns this budget with the remaining time reduced by this many nanoseconds. */
     public PropagatedBudget after(long elapsed) {
         return new PropagatedBudget(
                 isPresent,
@@ -41,7 +42,7 @@
                 path);
     }
 
-    /** The same of a client that said, or didn't say, how long it waits. */
+    /** Returns this budget with the information whether the client gave its deadline. */
     public PropagatedBudget withClientDeadline(boolean isGiven) {
         return isGiven == hasClientDeadline
                 ? this
--- a/core/src/main/java/cedarrudder/budget/RequestBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RequestBudget.java
@@ -2,42 +2,42 @@
 
 import cedarrudder.balancer.LoadBalancer.AdmissionHint;
 import cedarrudder.balancer.LoadBalancer.Request;
-import cedarrudder.budget.DownstreamFeedback.Why;
+import cedarrudder.budget.DownstreamFeedback.UnservedReason;
 
 /**
- * What one request may still cost at this tier and below, and what became of it. {@link Budgets}
- * keeps it.
+ * The state of one request's budget: its further attempts at this tier and below, and the feedback
+ * for its client. Maintained by {@link Budgets}.
  */
 public final class RequestBudget {
 
     final Request request;
     final PropagatedBudget received;
     final long arrivedAt;
-    final AdmissionHint standing;
+    final AdmissionHint admissionHint;
     final double priority;
     final boolean repeat;
     final AttemptBudget attempts;
 
-    /** Attempts that went out. */
-    int sent;
+    /** The number of attempts sent. */
+    int attemptsSent;
 
-    /** Whether an answer from below said that trying again is useless. */
-    boolean closed;
+    /** Whether a response from the tier below reported that a retry is useless. */
+    boolean retriesStopped;
 
     /** Whether a further attempt was denied. */
-    boolean denied;
+    boolean retryDenied;
 
-    /** What answers said of why it wasn't served. */
-    Why requestedDeadline = Why.UNKNOWN;
+    /** The reason that the last response with one gave for not serving the request. */
+    UnservedReason downstreamReason = UnservedReason.UNKNOWN;
 
-    /** The path that closes a loop; empty where there is none. */
+    /** The path that closes a loop; empty if there is none. */
     HopPath loop;
 
     RequestBudget(
             Request request,
             PropagatedBudget received,
             long arrivedAt,
-            AdmissionHint standing,
+            AdmissionHint admissionHint,
             double priority,
             boolean repeat,
             AttemptBudget attempts,
@@ -45,58 +45,62 @@
         this.request = request;
         this.received = received;
         this.arrivedAt = arrivedAt;
-        this.standing = standing;
+        this.admissionHint = admissionHint;
         this.priority = priority;
         this.repeat = repeat;
         this.attempts = attempts;
         this.loop = loop;
     }
 
-    /** What the balancer learns of it. */
-    public AdmissionHint standing() {
-        return standing;
+    /** Returns the hint for the balancer whether to admit the request. */
+    public AdmissionHint admissionHint() {
+        return admissionHint;
     }
 
-    /** The worth for its work, from 0 to 1, by the least of what any tier says. */
+    /**
+     * Returns the priority relative to the work, from 0 to 1: the minimum of those of all tiers.
+     */
     public double priority() {
         return priority;
     }
 
-    /**
-     * What goes up with the answer that serves it; null where the client doesn't speak these
-     * fields.
-     */
+    /** Returns the feedback for a served request; null if the client sent no budget field. */
     public DownstreamFeedback servedFeedback() {
-        return feedback(Why.UNKNOWN);
+        return feedback(UnservedReason.UNKNOWN);
     }
 
-    /** What goes up with a refusal; null where the client doesn't speak these fields. */
+    /** Returns the feedback for a rejected request; null if the client sent no budget field. */
     public DownstreamFeedback rejectedFeedback() {
-        Why why = why();
-        // Rejected by the balancer itself before anything was sent: there was no room for it.
-        return feedback(why == Why.UNKNOWN && sent == 0 ? Why.OVERLOAD : why);
+        UnservedReason reason = rejectionReason();
+        // The balancer itself rejected the request before an attempt was sent: no capacity.
+        return feedback(
+                reason == UnservedReason.UNKNOWN && attemptsSent == 0
+                        ? UnservedReason.OVERLOAD
+                        : reason);
     }
 
-    /** What goes up with a failure; null where the client doesn't speak these fields. */
+    /** Returns the feedback for a failed request; null if the client sent no budget field. */
     public DownstreamFeedback failedFeedback() {
-        return feedback(why());
+        return feedback(rejectionReason());
     }
 
-    private DownstreamFeedback feedback(Why why) {
-        return received.isPresent() ? new DownstreamFeedback(attempts.spent(), why, loop) : null;
+    private DownstreamFeedback feedback(UnservedReason reason) {
+        return received.isPresent() ? new DownstreamFeedback(attempts.spent(), reason, loop) : null;
     }
 
-    private Why why() {
-        return switch (standing) {
-            case LOOP -> Why.LOOP;
-            case OVERLOADED -> Why.OVERLOAD;
-            case DEADLINE_TOO_SHORT -> Why.TIME;
+    private UnservedReason rejectionReason() {
+        return switch (admissionHint) {
+            case LOOP -> UnservedReason.LOOP;
+            case OVERLOADED -> UnservedReason.OVERLOAD;
+            case DEADLINE_TOO_SHORT -> UnservedReason.TIME;
             case ADMIT ->
-                    requestedDeadline == Why.UNKNOWN && denied ? Why.TRIES : requestedDeadline;
+                    downstreamReason == UnservedReason.UNKNOWN && retryDenied
+                            ? UnservedReason.TRIES
+                            : downstreamReason;
         };
     }
 
-    /** The path that closes a loop, here or further down; empty where there is none. */
+    /** Returns the path that closes a loop, at this tier or below; empty if there is none. */
     public HopPath loop() {
         return loop;
     }
--- a/core/src/main/java/cedarrudder/budget/RetryBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RetryBudget.java
@@ -1,61 +1,61 @@
 package cedarrudder.budget;
 
 /**
- * The bound on further attempts over all requests: a share of the first tries of a sliding window
- * and a least rate, after Finagle's RetryBudget. Calls that come as part of a repeat further up
- * count as spent, so that the share holds for all tiers together.
+ * The bound on further attempts over all requests, after Finagle's RetryBudget: a fraction of the
+ * first attempts in a sliding window, plus a minimum rate. Requests that are received as part of a
+ * repeat of a tier above count as spent, so that the fraction holds for all tiers together.
  *
- * <p>The window has ten slots; a slot leaves it as a whole.
+ * <p>The window has ten slots, which expire as a whole.
  */
 final class RetryBudget {
 
     private static final int SLOTS = 10;
 
-    private final double share;
-    private final double min;
+    private final double fraction;
+    private final double minAttempts;
     private final long slotLength;
-    private final long[] first = new long[SLOTS];
-    private final long[] spent = new long[SLOTS];
+    private final long[] firstAttempts = new long[SLOTS];
+    private final long[] spentAttempts = new long[SLOTS];
     private long slot;
-    private long firstInAll;
-    private long spentInAll;
+    private long totalFirst;
+    private long totalSpent;
 
-    RetryBudget(double share, double minPerSecond, long window) {
-        this.share = share;
-        this.min = minPerSecond * window / 1e9;
+    RetryBudget(double fraction, double minPerSecond, long window) {
+        this.fraction = fraction;
+        this.minAttempts = minPerSecond * window / 1e9;
         this.slotLength = Math.max(1, window / SLOTS);
     }
 
-    /** A first try has come. */
-    void first(long now) {
-        first[at(now)]++;
-        firstInAll++;
+    /** Records a first attempt. */
+    void recordFirstAttempt(long now) {
+        firstAttempts[slotIndex(now)]++;
+        totalFirst++;
     }
 
-    /** A further attempt goes out, or a call has come that is part of a repeat. */
+    /** Records a further attempt, or a received request that is part of a repeat. */
     void spend(long now) {
-        spent[at(now)]++;
-        spentInAll++;
+        spentAttempts[slotIndex(now)]++;
+        totalSpent++;
     }
 
-    /** Whether a further attempt may go out. */
-    boolean covers(long now) {
-        at(now);
-        return share * firstInAll + min - spentInAll >= 1;
+    /** Returns whether a further attempt may be sent. */
+    boolean hasRemaining(long now) {
+        slotIndex(now);
+        return fraction * totalFirst + minAttempts - totalSpent >= 1;
     }
 
-    private int at(long now) {
+    private int slotIndex(long now) {
         long current = Math.floorDiv(now, slotLength);
         if (current - slot >= SLOTS) {
             slot = current - SLOTS;
         }
         while (slot < current) {
             slot++;
-            int leaving = Math.floorMod(slot, SLOTS);
-            firstInAll -= first[leaving];
-            spentInAll -= spent[leaving];
-            first[leaving] = 0;
-            spent[leaving] = 0;
+            int expired = Math.floorMod(slot, SLOTS);
+            totalFirst -= firstAttempts[expired];
+            totalSpent -= spentAttempts[expired];
+            firstAttempts[expired] = 0;
+            spentAttempts[expired] = 0;
         }
         return Math.floorMod(slot, SLOTS);
     }
--- a/core/src/main/java/cedarrudder/budget/SharedBudgets.java
+++ b/core/src/main/java/cedarrudder/budget/SharedBudgets.java
@@ -5,46 +5,44 @@
 import java.util.Map;
 
 /**
- * Which calls share one budget. An endpoint replicas what it was handed to each of its calls, and
- * the same request may come by two paths: under one grant there is one budget, whatever the calls
- * say.
+ * The budgets that several requests share. An endpoint copies the budget that it received to each
+ * of its own requests, and the same request may arrive by two paths: all requests under one grant
+ * share one budget, whatever their fields say.
  */
 final class SharedBudgets {
 
-    /** At 1,000 calls a second with a deadline of 5 s a third of this is in use. */
-    static final int MAX = 16_384;
+    /** At 1,000 requests a second with a deadline of 5 s a third of this capacity is in use. */
+    static final int MAX_GRANTS = 16_384;
 
     private record Entry(AttemptBudget budget, long expires) {}
 
-    private final Map<Long, Entry> grants = new LinkedHashMap<>();
+    private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
     /**
-     * The budget under a grant.
+     * Returns the budget under a grant.
      *
-     * @param tries what it starts with where the grant is new
-     * @param expires until when further calls under it may come; the grant is forgotten some time
-     *     after that
+     * @param initialAttempts the initial budget if the grant is new
+     * @param expires until when further requests under the grant may arrive; it is removed some
+     *     time after that
      */
-    AttemptBudget of(long now, long grant, int tries, long expires) {
-        Iterator<Entry> oldest = grants.values().iterator();
+    AttemptBudget budgetFor(long now, long grant, int initialAttempts, long expires) {
+        Iterator<Entry> oldest = entries.values().iterator();
         while (oldest.hasNext() && oldest.next().expires < now) {
             oldest.remove();
         }
-        Entry entry = grants.get(grant);
+        Entry entry = entries.get(grant);
         if (entry == null) {
-            if (grants.size() >= MAX) {
-                // This avoids a flood of forged grants pushing out one that is spent, which
-                // would refill
-                // it.
+            if (entries.size() >= MAX_GRANTS) {
+                // Evicting a spent grant would refill it, and forged grants could force that.
                 return new AttemptBudget(0);
             }
-            entry = new Entry(new AttemptBudget(tries), expires);
-            grants.put(grant, entry);
+            entry = new Entry(new AttemptBudget(initialAttempts), expires);
+            entries.put(grant, entry);
         }
         return entry.budget;
     }
 
     int size() {
-        return grants.size();
+        return entries.size();
     }
 }
--- a/core/src/main/java/cedarrudder/budget/package-info.java
+++ b/core/src/main/java/cedarrudder/budget/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Budgets that travel over tiers: deadlines, retries, priority and loop detection.
+ * Budgets that are propagated over tiers: deadlines, retries, priority and loop detection.
  *
- * <p>Off unless the operator's file has {@code [budget]}.
+ * <p>Disabled unless the operator's file has {@code [budget]}.
  *
  * <p>Uses {@code balancer}.
  */
--- a/core/src/main/java/cedarrudder/forwarding/AttemptGate.java
+++ b/core/src/main/java/cedarrudder/forwarding/AttemptGate.java
@@ -54,7 +54,7 @@
         if (!transport.knowsEndpoint(attempt.endpoint())) {
             return Outcome.CONNECT_FAILED; // another endpoint may be reachable
         }
-        boolean withinBudget = budgets == null || budgets.mayAttempt(now, exchange.budget());
+        boolean withinBudget = budgets == null || budgets.tryAttempt(now, exchange.budget());
         return withinBudget ? null : Outcome.NOT_STARTED;
     }
 
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -120,7 +120,7 @@
         RequestBudget budget =
                 budgets.onRequest(now, exchange.request(), exchange.receivedBudget());
         exchange.budget(budget);
-        balancer.onRequest(timers.now(), exchange.request(), budget.standing());
+        balancer.onRequest(timers.now(), exchange.request(), budget.admissionHint());
     }
 
     /** Records that the last byte of a request's body was received: its timeout starts. */
--- a/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetFieldsTest.java
@@ -2,30 +2,30 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.budget.DownstreamFeedback.Why;
+import cedarrudder.budget.DownstreamFeedback.UnservedReason;
 import java.util.Collections;
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What may stand in the fields, whoever wrote it. */
+/** Tests that budget fields are read as written, and invalid values as absent. */
 public class BudgetFieldsTest {
 
     private static final HopPath PATH = HopPath.of(List.of("front-api", "msg-core"));
 
     @Test
-    public void whatIsWrittenIsReadBack() {
-        PropagatedBudget carried =
+    public void fieldsAreReadAsWritten() {
+        PropagatedBudget propagated =
                 new PropagatedBudget(
                         true, true, 418_000_000L, 2, 0x9f27c1d0a4b35e68L, 0.25, true, PATH);
         assertEquals(
-                BudgetFields.budget(carried),
+                BudgetFields.budget(propagated),
                 "1;left=418;tries=2;grant=9f27c1d0a4b35e68;worth=0.250;repeat=1");
         assertEquals(
-                BudgetFields.read(BudgetFields.budget(carried), BudgetFields.path(carried)),
-                carried);
-        for (Why why : Why.values()) {
-            DownstreamFeedback result = new DownstreamFeedback(3, why, PATH);
+                BudgetFields.read(BudgetFields.budget(propagated), BudgetFields.path(propagated)),
+                propagated);
+        for (UnservedReason reason : UnservedReason.values()) {
+            DownstreamFeedback result = new DownstreamFeedback(3, reason, PATH);
             assertEquals(BudgetFields.readResult(BudgetFields.result(result)), result);
         }
     }
@@ -59,13 +59,13 @@
     }
 
     @Test(dataProvider = "budgets")
-    public void whatCannotBeReadCountsAsNotSaid(
-            String text, int left, int tries, int grant, double worth) {
+    public void invalidValuesCountAsAbsent(
+            String text, int remainingMillis, int attempts, int grant, double priority) {
         PropagatedBudget read = BudgetFields.read(text, null);
-        assertEquals(read.remainingNanos(), left * 1_000_000L);
-        assertEquals(read.attempts(), tries);
+        assertEquals(read.remainingNanos(), remainingMillis * 1_000_000L);
+        assertEquals(read.attempts(), attempts);
         assertEquals(read.grant(), grant);
-        assertEquals(read.priority(), worth < 0 ? Double.NaN : worth);
+        assertEquals(read.priority(), priority < 0 ? Double.NaN : priority);
     }
 
     @DataProvider
@@ -88,12 +88,12 @@
     }
 
     @Test(dataProvider = "paths")
-    public void aPathIsBoundedAndOneTooLongIsFull(String text, int hops) {
+    public void tooLongPathIsCutToTheMaximumNumberOfHops(String text, int hops) {
         assertEquals(BudgetFields.read(null, text).path().hops().size(), hops);
     }
 
     @Test
-    public void anAnswerThatSaysNonsenseSaysNothing() {
+    public void invalidResultFieldCountsAsNoFeedback() {
         for (String text :
                 new String[] {null, "", "spent=1", "0;spent=1", "1;spent=-1;why=because"}) {
             assertEquals(BudgetFields.readResult(text), DownstreamFeedback.NOTHING);
--- a/core/src/test/java/cedarrudder/budget/BudgetsTest.java
+++ b/core/src/test/java/cedarrudder/budget/BudgetsTest.java
@@ -17,36 +17,36 @@
 import cedarrudder.balancer.LoadBalancer.AdmissionHint;
 import cedarrudder.balancer.LoadBalancer.Outcome;
 import cedarrudder.balancer.LoadBalancer.Request;
-import cedarrudder.budget.DownstreamFeedback.Why;
+import cedarrudder.budget.DownstreamFeedback.UnservedReason;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The budgets of one tier, and of a chain of three. */
+/** Tests the budgets of one tier, and of a chain of three. */
 public class BudgetsTest {
 
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
-    private static final int BEST = 0;
-    private static final int MIN = 1;
-    private static final DownstreamFeedback OVERLOAD = result(0, Why.OVERLOAD);
+    private static final int HIGH_CLASS = 0;
+    private static final int LOW_CLASS = 1;
+    private static final DownstreamFeedback OVERLOAD = feedback(0, UnservedReason.OVERLOAD);
 
     private final List<String> log = new ArrayList<>();
     private long now = 100 * SECOND;
 
-    private static DownstreamFeedback result(int spent, Why why) {
-        return new DownstreamFeedback(spent, why, HopPath.EMPTY);
+    private static DownstreamFeedback feedback(int spent, UnservedReason reason) {
+        return new DownstreamFeedback(spent, reason, HopPath.EMPTY);
     }
 
     @BeforeMethod
-    public void forget() {
+    public void clearLog() {
         log.clear();
     }
 
     private static BalancerSettings site(int tier) {
-        RequestClass best =
+        RequestClass high =
                 new RequestClass(
                         "best",
                         Idempotency.SAFE,
@@ -57,7 +57,7 @@
                         0,
                         0,
                         false);
-        RequestClass min =
+        RequestClass low =
                 new RequestClass(
                         "least",
                         Idempotency.UNSAFE,
@@ -75,7 +75,7 @@
                 tier,
                 3,
                 false,
-                List.of(best, min),
+                List.of(high, low),
                 List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 0)),
                 new Limits(true, true, true, true, 4, 0, 0, 0),
                 new SafetyRules(0, 1, 0, 1, 0, 0),
@@ -101,139 +101,169 @@
                 });
     }
 
-    private RequestBudget call(Budgets budgets, int kind, PropagatedBudget carried) {
+    private RequestBudget receive(Budgets budgets, int classIndex, PropagatedBudget received) {
         return budgets.onRequest(
-                now, new Request(1, kind, 1, now + 900 * MILLI, 0, false, false, 0), carried);
+                now,
+                new Request(1, classIndex, 1, now + 900 * MILLI, 0, false, false, 0),
+                received);
     }
 
-    private static PropagatedBudget said(int tries, long grant, boolean repeat, String... path) {
+    private static PropagatedBudget receivedBudget(
+            int tries, long grant, boolean repeat, String... path) {
         return new PropagatedBudget(
                 true, true, 0, tries, grant, Double.NaN, repeat, HopPath.of(List.of(path)));
     }
 
-    /** How many further attempts a budget allows, with nothing handed down. */
-    private int further(Budgets budgets, RequestBudget call) {
-        assertTrue(budgets.mayAttempt(now, call), "the first");
+    /** Returns how many further attempts a budget allows if none are propagated. */
+    private int countFurtherAttempts(Budgets budgets, RequestBudget requestBudget) {
+        assertTrue(budgets.tryAttempt(now, requestBudget), "the first");
         int further = 0;
-        while (budgets.mayAttempt(now, call)) {
+        while (budgets.tryAttempt(now, requestBudget)) {
             further++;
         }
         return further;
     }
 
-    // ---- attempts of one tree ----
+    // ---- attempts of one request over all tiers ----
 
     @Test
-    public void aCallGetsTheLeastOfWhatItSaysAndWhatTheTierAllows() {
-        assertEquals(further(budgets(0), call(budgets(0), BEST, PropagatedBudget.NOTHING)), 3);
-        assertEquals(further(budgets(1), call(budgets(1), BEST, PropagatedBudget.NOTHING)), 1);
-        assertEquals(further(budgets(1), call(budgets(1), BEST, said(2, 0, false))), 2);
-        assertEquals(further(budgets(1), call(budgets(1), BEST, said(0, 0, false))), 0);
-        assertEquals(further(budgets(1), call(budgets(1), BEST, said(999, 0, false))), 3);
+    public void requestGetsTheMinimumOfItsBudgetAndWhatTheTierAllows() {
+        assertEquals(
+                countFurtherAttempts(
+                        budgets(0), receive(budgets(0), HIGH_CLASS, PropagatedBudget.NOTHING)),
+                3);
+        assertEquals(
+                countFurtherAttempts(
+                        budgets(1), receive(budgets(1), HIGH_CLASS, PropagatedBudget.NOTHING)),
+                1);
+        assertEquals(
+                countFurtherAttempts(
+                        budgets(1), receive(budgets(1), HIGH_CLASS, receivedBudget(2, 0, false))),
+                2);
+        assertEquals(
+                countFurtherAttempts(
+                        budgets(1), receive(budgets(1), HIGH_CLASS, receivedBudget(0, 0, false))),
+                0);
+        assertEquals(
+                countFurtherAttempts(
+                        budgets(1), receive(budgets(1), HIGH_CLASS, receivedBudget(999, 0, false))),
+                3);
     }
 
-    /** The same request by two paths, or the calls of one endpoint one after another. */
+    /** For example the same request by two paths, or consecutive requests of one endpoint. */
     @Test
-    public void callsUnderOneGrantShareOneBudgetWhateverTheySay() {
+    public void requestsUnderOneGrantShareOneBudget() {
         Budgets budgets = budgets(1);
-        assertEquals(further(budgets, call(budgets, BEST, said(2, 77, false, "tier-0"))), 2);
-        RequestBudget second = call(budgets, BEST, said(3, 77, false, "other"));
-        assertEquals(further(budgets, second), 0);
-        assertEquals(second.failedFeedback(), result(2, Why.TRIES));
-        assertEquals(further(budgets, call(budgets, BEST, said(2, 78, false, "tier-0"))), 2);
+        assertEquals(
+                countFurtherAttempts(
+                        budgets,
+                        receive(budgets, HIGH_CLASS, receivedBudget(2, 77, false, "tier-0"))),
+                2);
+        RequestBudget second = receive(budgets, HIGH_CLASS, receivedBudget(3, 77, false, "other"));
+        assertEquals(countFurtherAttempts(budgets, second), 0);
+        assertEquals(second.failedFeedback(), feedback(2, UnservedReason.TRIES));
+        assertEquals(
+                countFurtherAttempts(
+                        budgets,
+                        receive(budgets, HIGH_CLASS, receivedBudget(2, 78, false, "tier-0"))),
+                2);
     }
 
-    /** Detects a flood of made-up grants pushing out one that is spent. */
+    /** A flood of forged grants must not evict a spent one, which would refill it. */
     @Test
-    public void aFullTableOfGrantsGivesNothingAndIsFreeAgainWhenTheyExpire() {
+    public void fullTableOfGrantsAllowsNoAttemptUntilGrantsExpire() {
         SharedBudgets grants = new SharedBudgets();
-        for (int i = 1; i <= SharedBudgets.MAX; i++) {
-            assertTrue(grants.of(now, i, 1, now + SECOND).covers());
+        for (int i = 1; i <= SharedBudgets.MAX_GRANTS; i++) {
+            assertTrue(grants.budgetFor(now, i, 1, now + SECOND).hasRemaining());
         }
-        assertFalse(grants.of(now, -1, 1, now + SECOND).covers());
-        assertTrue(grants.of(now + 2 * SECOND, -1, 1, now + 3 * SECOND).covers());
+        assertFalse(grants.budgetFor(now, -1, 1, now + SECOND).hasRemaining());
+        assertTrue(grants.budgetFor(now + 2 * SECOND, -1, 1, now + 3 * SECOND).hasRemaining());
         assertEquals(grants.size(), 1);
     }
 
     @Test
-    public void whatIsHandedDownIsSpentUntilItIsProvenUnused() {
+    public void propagatedBudgetCountsAsSpentUntilProvenUnused() {
         Budgets budgets = budgets(0);
-        RequestBudget call = call(budgets, BEST, said(3, 0, false));
-        PropagatedBudget first = attempt(budgets, call);
+        RequestBudget requestBudget = receive(budgets, HIGH_CLASS, receivedBudget(3, 0, false));
+        PropagatedBudget first = attempt(budgets, requestBudget);
         assertEquals(first.attempts(), 2);
         budgets.onAttemptEnded(
-                now, call, first, Outcome.CONNECT_FAILED, 0, DownstreamFeedback.NOTHING);
-        assertEquals(call.failedFeedback().attemptsSpent(), 0);
-        PropagatedBudget second = attempt(budgets, call);
+                now, requestBudget, first, Outcome.CONNECT_FAILED, 0, DownstreamFeedback.NOTHING);
+        assertEquals(requestBudget.failedFeedback().attemptsSpent(), 0);
+        PropagatedBudget second = attempt(budgets, requestBudget);
         assertEquals(second.attempts(), 1);
         assertTrue(second.repeat());
-        budgets.onAttemptEnded(now, call, second, Outcome.ERROR, 0, result(99, Why.UNKNOWN));
-        assertEquals(call.failedFeedback().attemptsSpent(), 2, "no more than was handed down");
-        PropagatedBudget third = attempt(budgets, call);
+        budgets.onAttemptEnded(
+                now, requestBudget, second, Outcome.ERROR, 0, feedback(99, UnservedReason.UNKNOWN));
+        assertEquals(
+                requestBudget.failedFeedback().attemptsSpent(), 2, "no more than was propagated");
+        PropagatedBudget third = attempt(budgets, requestBudget);
         assertEquals(third.attempts(), 0);
-        budgets.onAttemptEnded(now, call, third, Outcome.ERROR, 0, result(0, Why.UNKNOWN));
-        assertFalse(budgets.mayAttempt(now, call));
-        assertEquals(call.failedFeedback(), result(3, Why.TRIES));
+        budgets.onAttemptEnded(
+                now, requestBudget, third, Outcome.ERROR, 0, feedback(0, UnservedReason.UNKNOWN));
+        assertFalse(budgets.tryAttempt(now, requestBudget));
+        assertEquals(requestBudget.failedFeedback(), feedback(3, UnservedReason.TRIES));
     }
 
-    private PropagatedBudget attempt(Budgets budgets, RequestBudget call) {
-        assertTrue(budgets.mayAttempt(now, call));
-        return budgets.propagate(now, call);
+    private PropagatedBudget attempt(Budgets budgets, RequestBudget requestBudget) {
+        assertTrue(budgets.tryAttempt(now, requestBudget));
+        return budgets.propagate(now, requestBudget);
     }
 
     /**
-     * Three tiers with endpoints that call on once or twice and copy what they were given or some
-     * of it, and attempts that end in every way: the further attempts of a tree never pass its
-     * budget.
+     * Three tiers whose endpoints send up to two requests further down, with the received fields
+     * copied, and return the feedback or drop it; attempts end with every outcome.
      */
     @Test
-    public void noTreeSpendsMoreThanItsBudget() {
+    public void noRequestSpendsMoreThanItsBudgetOverAllTiers() {
         for (long seed = 1; seed <= 2_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Budgets[] tiers = {budgets(0), budgets(1), budgets(2)};
             int tries = random.nextInt(5);
             int[] spent = {0};
-            play(tiers, 0, said(tries, 0, false), random, spent);
+            simulateRequest(tiers, 0, receivedBudget(tries, 0, false), random, spent);
             assertTrue(
                     spent[0] <= Math.min(3, tries),
                     "seed " + seed + ": " + spent[0] + " of " + tries);
         }
     }
 
-    /** One call at one tier: true and what goes up, if it was served. */
-    private DownstreamFeedback play(
+    /** Simulates one request at one tier and all tiers below; returns the feedback. */
+    private DownstreamFeedback simulateRequest(
             Budgets[] tiers,
             int tier,
-            PropagatedBudget carried,
+            PropagatedBudget received,
             SplittableRandom random,
             int[] spent) {
         Budgets budgets = tiers[tier];
-        RequestBudget call = call(budgets, BEST, carried);
-        for (int i = 0; i < 4 && budgets.mayAttempt(now, call); i++) {
+        RequestBudget requestBudget = receive(budgets, HIGH_CLASS, received);
+        for (int i = 0; i < 4 && budgets.tryAttempt(now, requestBudget); i++) {
             spent[0] += i > 0 ? 1 : 0;
-            PropagatedBudget handed = budgets.propagate(now, call);
+            PropagatedBudget propagated = budgets.propagate(now, requestBudget);
             Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length - 1)];
             DownstreamFeedback below = DownstreamFeedback.NOTHING;
             for (int calls = random.nextInt(3);
                     calls > 0 && tier < 2 && !outcome.provesNotRun();
                     calls--) {
                 PropagatedBudget copied =
-                        BudgetFields.read(BudgetFields.budget(handed), BudgetFields.path(handed));
-                DownstreamFeedback result = play(tiers, tier + 1, copied, random, spent);
-                below = random.nextBoolean() ? result : DownstreamFeedback.NOTHING;
+                        BudgetFields.read(
+                                BudgetFields.budget(propagated), BudgetFields.path(propagated));
+                DownstreamFeedback feedback =
+                        simulateRequest(tiers, tier + 1, copied, random, spent);
+                below = random.nextBoolean() ? feedback : DownstreamFeedback.NOTHING;
             }
-            budgets.onAttemptEnded(now, call, handed, outcome, MILLI, below);
+            budgets.onAttemptEnded(now, requestBudget, propagated, outcome, MILLI, below);
             if (outcome == Outcome.OK) {
-                return call.servedFeedback();
+                return requestBudget.servedFeedback();
             }
         }
-        return call.failedFeedback();
+        return requestBudget.failedFeedback();
     }
 
     // ---- attempts of all requests ----
 
     @Test
-    public void furtherAttemptsAndRepeatsFromAboveStayWithinTheShareOfTheWindow() {
+    public void furtherAttemptsAndRepeatsFromAboveStayWithinTheRetryBudget() {
         Budgets budgets = budgets(1);
         int further = 0;
         int repeats = 0;
@@ -241,34 +271,42 @@
             now += 10 * MILLI;
             boolean repeat = i % 10 == 0;
             repeats += repeat ? 1 : 0;
-            further += further(budgets, call(budgets, BEST, said(1, 0, repeat)));
+            further +=
+                    countFurtherAttempts(
+                            budgets, receive(budgets, HIGH_CLASS, receivedBudget(1, 0, repeat)));
         }
-        // 900 first tries in the window: a share of 180 and the least rate's 5.
+        // 900 first attempts in the window: a fraction of 180, and 5 by the minimum rate.
         assertTrue(
                 further + repeats <= 185 && further + repeats >= 180, further + " and " + repeats);
         now += 11 * SECOND;
         int idle = 0;
         for (int i = 0; i < 100; i++) {
-            idle += further(budgets, call(budgets, BEST, said(1, 0, false)));
+            idle +=
+                    countFurtherAttempts(
+                            budgets, receive(budgets, HIGH_CLASS, receivedBudget(1, 0, false)));
         }
         assertEquals(idle, 25, "a fifth of 100, and 5");
     }
 
     @Test
-    public void anAnswerThatSaysOverloadEndsTheAttemptsHereAndIsSaidAbove() {
+    public void overloadFeedbackStopsRetriesAndIsPassedUpstream() {
         Budgets budgets = budgets(1);
-        RequestBudget call = call(budgets, BEST, said(3, 0, false));
-        PropagatedBudget handed = attempt(budgets, call);
-        budgets.onAttemptEnded(now, call, handed, Outcome.ERROR, MILLI, OVERLOAD);
-        assertFalse(budgets.mayAttempt(now, call));
-        assertEquals(call.rejectedFeedback().why(), Why.OVERLOAD);
+        RequestBudget requestBudget = receive(budgets, HIGH_CLASS, receivedBudget(3, 0, false));
+        PropagatedBudget propagated = attempt(budgets, requestBudget);
+        budgets.onAttemptEnded(now, requestBudget, propagated, Outcome.ERROR, MILLI, OVERLOAD);
+        assertFalse(budgets.tryAttempt(now, requestBudget));
+        assertEquals(requestBudget.rejectedFeedback().reason(), UnservedReason.OVERLOAD);
     }
 
     @Test
-    public void whatIsTurnedAwayUnsentOrByAFullNodeIsOverload() {
+    public void rejectionBeforeSendingOrByAFullEndpointIsReportedAsOverload() {
         Budgets budgets = budgets(1);
-        assertEquals(call(budgets, BEST, said(3, 0, false)).rejectedFeedback().why(), Why.OVERLOAD);
-        RequestBudget full = call(budgets, BEST, said(0, 0, false));
+        assertEquals(
+                receive(budgets, HIGH_CLASS, receivedBudget(3, 0, false))
+                        .rejectedFeedback()
+                        .reason(),
+                UnservedReason.OVERLOAD);
+        RequestBudget full = receive(budgets, HIGH_CLASS, receivedBudget(0, 0, false));
         budgets.onAttemptEnded(
                 now,
                 full,
@@ -276,185 +314,197 @@
                 Outcome.REJECTED,
                 MILLI,
                 DownstreamFeedback.NOTHING);
-        assertEquals(full.rejectedFeedback().why(), Why.OVERLOAD);
+        assertEquals(full.rejectedFeedback().reason(), UnservedReason.OVERLOAD);
         assertNull(
-                call(budgets, BEST, PropagatedBudget.NOTHING).rejectedFeedback(),
-                "a caller that speaks none of this");
+                receive(budgets, HIGH_CLASS, PropagatedBudget.NOTHING).rejectedFeedback(),
+                "a client without budget fields");
     }
 
-    // ---- time ----
+    // ---- deadlines ----
 
     @Test
-    public void aSafeWaitComesFromClassAndTierAndWhatCallersWaited() {
+    public void defaultDeadlineFollowsClassTierAndObservedWaits() {
         for (int tier = 0; tier < 3; tier++) {
             Budgets budgets = budgets(tier);
             long max = 900 * MILLI * (3 - tier) / 3;
-            assertEquals(budgets.defaultDeadline(BEST), max);
-            waits(budgets, 450 * MILLI / (1 + tier));
+            assertEquals(budgets.defaultDeadline(HIGH_CLASS), max);
+            recordWaits(budgets, 450 * MILLI / (1 + tier));
             long wait = 450 * MILLI / (1 + tier);
             assertTrue(
-                    budgets.defaultDeadline(BEST) > 0.8 * wait
-                            && budgets.defaultDeadline(BEST) <= wait,
+                    budgets.defaultDeadline(HIGH_CLASS) > 0.8 * wait
+                            && budgets.defaultDeadline(HIGH_CLASS) <= wait,
                     "tier " + tier);
-            assertEquals(budgets.defaultDeadline(MIN), max, "another class");
-            waits(budgets, MILLI);
+            assertEquals(budgets.defaultDeadline(LOW_CLASS), max, "another class");
+            recordWaits(budgets, MILLI);
             assertEquals(
-                    budgets.defaultDeadline(BEST),
+                    budgets.defaultDeadline(HIGH_CLASS),
                     300 * MILLI * (3 - tier) / 3,
-                    "nonsense is bounded below");
-            waits(budgets, 3_600 * SECOND);
-            waits(budgets, 3_600 * SECOND);
-            assertEquals(budgets.defaultDeadline(BEST), max, "and above");
+                    "absurd deadlines are bounded below");
+            recordWaits(budgets, 3_600 * SECOND);
+            recordWaits(budgets, 3_600 * SECOND);
+            assertEquals(budgets.defaultDeadline(HIGH_CLASS), max, "and above");
         }
     }
 
-    private void waits(Budgets budgets, long wait) {
+    private void recordWaits(Budgets budgets, long wait) {
         for (int i = 0; i < 2_000; i++) {
             budgets.onRequest(
                     now,
-                    new Request(1, BEST, 0, now + wait, 0, false, false, 0),
+                    new Request(1, HIGH_CLASS, 0, now + wait, 0, false, false, 0),
                     PropagatedBudget.NOTHING);
         }
     }
 
-    /** A client that doesn't say how long it waits, and leaves, has shown it. */
+    /** A client that gives no deadline shows by its disconnect how long it waits. */
     @Test
-    public void callersWhoLeaveTeachTheSafeWait() {
+    public void disconnectsLowerTheDefaultDeadline() {
         Budgets budgets = budgets(0);
         for (int i = 0; i < 100; i++) {
-            RequestBudget call =
-                    call(budgets, BEST, PropagatedBudget.NOTHING.withClientDeadline(false));
-            budgets.onClientLeft(now + 500 * MILLI, call);
+            RequestBudget requestBudget =
+                    receive(
+                            budgets,
+                            HIGH_CLASS,
+                            PropagatedBudget.NOTHING.withClientDeadline(false));
+            budgets.onClientLeft(now + 500 * MILLI, requestBudget);
         }
         assertTrue(
-                budgets.defaultDeadline(BEST) <= 500 * MILLI, "" + budgets.defaultDeadline(BEST));
+                budgets.defaultDeadline(HIGH_CLASS) <= 500 * MILLI,
+                "" + budgets.defaultDeadline(HIGH_CLASS));
         assertTrue(
-                budgets.defaultDeadline(BEST) >= 400 * MILLI, "" + budgets.defaultDeadline(BEST));
+                budgets.defaultDeadline(HIGH_CLASS) >= 400 * MILLI,
+                "" + budgets.defaultDeadline(HIGH_CLASS));
     }
 
     @Test
-    public void theTimeHandedDownIsLessThanWhatIsLeftByTheMeasuredWay() {
+    public void propagatedTimeIsReducedByTheNetworkLatency() {
         Budgets budgets = budgets(0);
         assertEquals(
-                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).remainingNanos(),
+                attempt(budgets, receive(budgets, HIGH_CLASS, PropagatedBudget.NOTHING))
+                        .remainingNanos(),
                 899 * MILLI);
         for (int i = 0; i < 100; i++) {
             budgets.onProbeAnswered(i % 20 == 0 ? 400 * MILLI : 20 * MILLI);
         }
         long left =
-                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).remainingNanos();
+                attempt(budgets, receive(budgets, HIGH_CLASS, PropagatedBudget.NOTHING))
+                        .remainingNanos();
         assertTrue(left <= 880 * MILLI && left > 870 * MILLI, "left " + left);
         for (int i = 0; i < 1_000; i++) {
             budgets.onProbeAnswered(10 * SECOND);
         }
         assertEquals(
-                attempt(budgets, call(budgets, BEST, PropagatedBudget.NOTHING)).remainingNanos(),
+                attempt(budgets, receive(budgets, HIGH_CLASS, PropagatedBudget.NOTHING))
+                        .remainingNanos(),
                 675 * MILLI);
     }
 
     @Test
-    public void workWhoseTimeCannotSufficeIsTurnedAwayButNotForGood() {
+    public void requestsWithTooLittleTimeAreRejectedButNotForGood() {
         Budgets budgets = budgets(1);
         for (int i = 0; i < 60; i++) {
-            RequestBudget call = call(budgets, BEST, said(0, 0, false));
+            RequestBudget requestBudget = receive(budgets, HIGH_CLASS, receivedBudget(0, 0, false));
             budgets.onAttemptEnded(
                     now,
-                    call,
-                    attempt(budgets, call),
+                    requestBudget,
+                    attempt(budgets, requestBudget),
                     Outcome.OK,
                     200 * MILLI,
                     DownstreamFeedback.NOTHING);
         }
-        Request late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
-        RequestBudget call = budgets.onRequest(now, late, said(0, 0, false));
-        assertEquals(call.standing(), AdmissionHint.DEADLINE_TOO_SHORT);
-        assertEquals(call.rejectedFeedback().why(), Why.TIME);
+        Request late = new Request(1, HIGH_CLASS, 1, now + 100 * MILLI, 0, false, false, 0);
+        RequestBudget requestBudget = budgets.onRequest(now, late, receivedBudget(0, 0, false));
+        assertEquals(requestBudget.admissionHint(), AdmissionHint.DEADLINE_TOO_SHORT);
+        assertEquals(requestBudget.rejectedFeedback().reason(), UnservedReason.TIME);
         now += 6 * SECOND;
-        late = new Request(1, BEST, 1, now + 100 * MILLI, 0, false, false, 0);
+        late = new Request(1, HIGH_CLASS, 1, now + 100 * MILLI, 0, false, false, 0);
         assertEquals(
-                budgets.onRequest(now, late, said(0, 0, false)).standing(), AdmissionHint.ADMIT);
+                budgets.onRequest(now, late, receivedBudget(0, 0, false)).admissionHint(),
+                AdmissionHint.ADMIT);
     }
 
-    // ---- worth ----
+    // ---- priority ----
 
     @Test
-    public void theLeastWorthGoesFirstWhileTheTierBelowSaysOverload() {
+    public void lowestPriorityIsShedFirstWhileTheTierBelowIsOverloaded() {
         Budgets budgets = budgets(1);
-        assertEquals(admitted(budgets, BEST) + admitted(budgets, MIN), 200);
+        assertEquals(admitted(budgets, HIGH_CLASS) + admitted(budgets, LOW_CLASS), 200);
         for (int i = 0; i < 3; i++) {
-            overloaded(budgets, 20, 20);
+            recordResponses(budgets, 20, 20);
             now += 300 * MILLI;
         }
-        int min = 0;
-        int best = 0;
+        int low = 0;
+        int high = 0;
         for (int i = 0; i < 100; i++) {
-            best +=
-                    call(budgets, BEST, said(0, 0, false)).standing() == AdmissionHint.ADMIT
+            high +=
+                    receive(budgets, HIGH_CLASS, receivedBudget(0, 0, false)).admissionHint()
+                                    == AdmissionHint.ADMIT
+                            ? 1
+                            : 0;
+            low +=
+                    receive(budgets, LOW_CLASS, receivedBudget(0, 0, false)).admissionHint()
+                                    == AdmissionHint.ADMIT
                             ? 1
                             : 0;
-            min += call(budgets, MIN, said(0, 0, false)).standing() == AdmissionHint.ADMIT ? 1 : 0;
         }
-        assertEquals(best, 100);
-        assertTrue(min < 10, "let in of the least " + min);
-        RequestBudget carriedLess =
-                call(
+        assertEquals(high, 100);
+        assertTrue(low < 10, "admitted of the lowest priority: " + low);
+        RequestBudget lowerPriority =
+                receive(
                         budgets,
-                        BEST,
+                        HIGH_CLASS,
                         new PropagatedBudget(true, true, 0, 0, 0, 0.05, false, HopPath.EMPTY));
-        assertEquals(carriedLess.priority(), 0.05, "the tier above knows it to be worth less");
+        assertEquals(lowerPriority.priority(), 0.05, "the tier above gave it a lower priority");
         int steps = 0;
-        while (admitted(budgets, MIN) < 100) {
+        while (admitted(budgets, LOW_CLASS) < 100) {
             now += 250 * MILLI;
-            assertTrue(++steps < 40, "it never comes back");
+            assertTrue(++steps < 40, "the lowest priority is never admitted in full again");
         }
-        assertTrue(steps > 5, "a flood at once");
+        assertTrue(steps > 5, "recovery takes several steps");
     }
 
     /**
-     * This many answers, the first of which say overload; as many of the least worth come as of the
-     * best.
+     * Records this many responses, the first of which report overload. As many requests of the
+     * lowest priority arrive as of the highest.
      */
-    private void overloaded(Budgets budgets, int overloads, int answers) {
-        for (int i = 0; i < answers; i++) {
-            RequestBudget call = call(budgets, BEST, said(0, 0, false));
+    private void recordResponses(Budgets budgets, int overloads, int responses) {
+        for (int i = 0; i < responses; i++) {
+            RequestBudget requestBudget = receive(budgets, HIGH_CLASS, receivedBudget(0, 0, false));
             budgets.onAttemptEnded(
                     now,
-                    call,
-                    attempt(budgets, call),
+                    requestBudget,
+                    attempt(budgets, requestBudget),
                     Outcome.ERROR,
                     MILLI,
                     i < overloads ? OVERLOAD : DownstreamFeedback.NOTHING);
-            call(budgets, MIN, said(0, 0, false));
+            receive(budgets, LOW_CLASS, receivedBudget(0, 0, false));
         }
     }
 
-    /**
-     * A few answers prove nothing, and one in ten is what an endpoint that died makes of a good
-     * tier.
-     */
+    /** A few responses prove nothing, and a single dead endpoint may cause one overload in ten. */
     @Test
-    public void nobodyIsTurnedAwayForAFewAnswersOrASmallPartOfThem() {
+    public void noRequestIsShedForFewResponsesOrASmallFractionOfOverloads() {
         Budgets budgets = budgets(1);
-        overloaded(budgets, 19, 19);
+        recordResponses(budgets, 19, 19);
         now += 300 * MILLI;
-        assertEquals(admitted(budgets, MIN), 100, "19 answers");
-        overloaded(budgets, 0, 110);
+        assertEquals(admitted(budgets, LOW_CLASS), 100, "19 responses");
+        recordResponses(budgets, 0, 110);
         now += 300 * MILLI;
-        overloaded(budgets, 5, 50);
+        recordResponses(budgets, 5, 50);
         now += 300 * MILLI;
-        assertEquals(admitted(budgets, MIN), 100, "one in ten");
-        overloaded(budgets, 1, 1);
+        assertEquals(admitted(budgets, LOW_CLASS), 100, "one in ten");
+        recordResponses(budgets, 1, 1);
         now += 300 * MILLI;
-        overloaded(budgets, 19, 19);
+        recordResponses(budgets, 19, 19);
         now += 300 * MILLI;
-        assertTrue(admitted(budgets, MIN) < 100, "20 answers, over several steps");
+        assertTrue(admitted(budgets, LOW_CLASS) < 100, "20 responses, over several steps");
     }
 
-    private int admitted(Budgets budgets, int kind) {
+    private int admitted(Budgets budgets, int classIndex) {
         int admitted = 0;
         for (int i = 0; i < 100; i++) {
             admitted +=
-                    call(budgets, kind, said(0, 0, false)).standing() == AdmissionHint.ADMIT
+                    receive(budgets, classIndex, receivedBudget(0, 0, false)).admissionHint()
+                                    == AdmissionHint.ADMIT
                             ? 1
                             : 0;
         }
@@ -462,11 +512,10 @@
     }
 
     /**
-     * Where worth is for each unit of work already, how long the answers of a class take changes
-     * nothing.
+     * Response latencies change the priority only if the site's weights are not per unit of work.
      */
     @Test
-    public void worthForWorkIsByWhatAnswersTakeUnlessTheSiteCountsItSo() {
+    public void priorityFollowsLatencyUnlessWeightsArePerUnitOfWork() {
         for (boolean byWork : new boolean[] {false, true}) {
             BalancerSettings site = site(1);
             ServiceGoal goal = new ServiceGoal(1, 0, 0, 0, 0.05, byWork);
@@ -489,49 +538,54 @@
                             new SplittableRandom(7),
                             BudgetEvents.NONE);
             for (int i = 0; i < 100; i++) {
-                int kind = i % 2;
-                RequestBudget call = call(budgets, kind, said(0, 0, false));
+                int classIndex = i % 2;
+                RequestBudget requestBudget =
+                        receive(budgets, classIndex, receivedBudget(0, 0, false));
                 budgets.onAttemptEnded(
                         now,
-                        call,
-                        attempt(budgets, call),
+                        requestBudget,
+                        attempt(budgets, requestBudget),
                         Outcome.OK,
-                        kind == BEST ? 60 * MILLI : MILLI,
+                        classIndex == HIGH_CLASS ? 60 * MILLI : MILLI,
                         DownstreamFeedback.NOTHING);
             }
-            double best = call(budgets, BEST, said(0, 0, false)).priority();
-            double min = call(budgets, MIN, said(0, 0, false)).priority();
-            assertTrue(byWork ? best > min : best < min, best + " and " + min);
+            double high = receive(budgets, HIGH_CLASS, receivedBudget(0, 0, false)).priority();
+            double low = receive(budgets, LOW_CLASS, receivedBudget(0, 0, false)).priority();
+            assertTrue(byWork ? high > low : high < low, high + " and " + low);
         }
     }
 
     @Test
-    public void worthIsLessOverATenantsShareForARepeatAndNeverMoreThanTheTiersOwn() {
+    public void priorityIsLowerOverQuotaOrForRepeatsAndNeverAboveTheTiersOwn() {
         Budgets budgets = budgets(0);
-        Request first = new Request(1, BEST, 0, now + SECOND, 0, false, false, 0);
+        Request first = new Request(1, HIGH_CLASS, 0, now + SECOND, 0, false, false, 0);
         for (int i = 0; i < 20; i++) {
             assertEquals(budgets.onRequest(now, first, PropagatedBudget.NOTHING).priority(), 1.0);
         }
         assertEquals(budgets.onRequest(now, first, PropagatedBudget.NOTHING).priority(), 0.05);
-        Request repeat = new Request(1, BEST, 1, now + SECOND, 0, true, false, 0);
+        Request repeat = new Request(1, HIGH_CLASS, 1, now + SECOND, 0, true, false, 0);
         assertEquals(budgets.onRequest(now, repeat, PropagatedBudget.NOTHING).priority(), 0.8);
         PropagatedBudget forged =
                 new PropagatedBudget(true, true, 0, 0, 0, 1, false, HopPath.EMPTY);
-        assertEquals(call(budgets, MIN, forged).priority(), 1.0 / 6);
+        assertEquals(receive(budgets, LOW_CLASS, forged).priority(), 1.0 / 6);
     }
 
     // ---- loops ----
 
     @Test
-    public void aLoopIsRefusedNamedAndLoggedOnceAMinute() {
+    public void loopIsRejectedReportedAndLoggedOnceAMinute() {
         Budgets budgets = budgets(1);
         for (int i = 0; i < 121; i++) {
-            RequestBudget call =
-                    call(budgets, BEST, said(3, 0, false, "tier-0", "tier-1", "x" + i % 2));
-            assertEquals(call.standing(), AdmissionHint.LOOP);
-            assertFalse(budgets.mayAttempt(now, call), "not even the first attempt");
-            assertEquals(call.rejectedFeedback().why(), Why.LOOP);
-            assertEquals(call.loop().toString(), "tier-0 > tier-1 > x" + i % 2 + " > tier-1");
+            RequestBudget requestBudget =
+                    receive(
+                            budgets,
+                            HIGH_CLASS,
+                            receivedBudget(3, 0, false, "tier-0", "tier-1", "x" + i % 2));
+            assertEquals(requestBudget.admissionHint(), AdmissionHint.LOOP);
+            assertFalse(budgets.tryAttempt(now, requestBudget), "not even the first attempt");
+            assertEquals(requestBudget.rejectedFeedback().reason(), UnservedReason.LOOP);
+            assertEquals(
+                    requestBudget.loop().toString(), "tier-0 > tier-1 > x" + i % 2 + " > tier-1");
             now += SECOND;
         }
         String even = "tier-0 > tier-1 > x0 > tier-1 and ";
@@ -540,25 +594,27 @@
     }
 
     @Test
-    public void aPathAsLongAsAnyMayBeIsRefusedAndForgedLoopsDoNotFillTheLog() {
+    public void pathOfMaximumLengthIsRejectedAndForgedLoopsDoNotFillTheLog() {
         Budgets budgets = budgets(1);
         String[] strangers = {"a", "b", "c", "d", "e", "f", "g", "h"};
         assertEquals(
-                call(budgets, BEST, said(0, 0, false, strangers)).standing(), AdmissionHint.LOOP);
+                receive(budgets, HIGH_CLASS, receivedBudget(0, 0, false, strangers))
+                        .admissionHint(),
+                AdmissionHint.LOOP);
         for (int i = 0; i < 1_000; i++) {
-            call(budgets, BEST, said(0, 0, false, "tier-1", "forged-" + i));
+            receive(budgets, HIGH_CLASS, receivedBudget(0, 0, false, "tier-1", "forged-" + i));
         }
-        assertEquals(log.size(), LoopReporter.MAX);
+        assertEquals(log.size(), LoopReporter.MAX_LOOPS);
     }
 
     @Test
-    public void aLineAMinuteSaysWhatWasDenied() {
+    public void deniedAttemptsAreSummarizedOnceAMinute() {
         Budgets budgets = budgets(0);
-        further(budgets, call(budgets, BEST, PropagatedBudget.NOTHING));
+        countFurtherAttempts(budgets, receive(budgets, HIGH_CLASS, PropagatedBudget.NOTHING));
         now += 61 * SECOND;
-        call(budgets, BEST, PropagatedBudget.NOTHING);
+        receive(budgets, HIGH_CLASS, PropagatedBudget.NOTHING);
         now += 61 * SECOND;
-        call(budgets, BEST, PropagatedBudget.NOTHING);
+        receive(budgets, HIGH_CLASS, PropagatedBudget.NOTHING);
         assertEquals(log, List.of(new BudgetEvents.MinuteSummary(2, 1, 0, 0, 0, 100).toString()));
     }
 }
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -283,7 +283,7 @@
                 List.of("start 0", "outcome 0 RESET open", "outcome 1 NOT_STARTED open", "failed"));
         assertEquals(
                 exchange.feedback(),
-                new DownstreamFeedback(0, DownstreamFeedback.Why.TRIES, HopPath.EMPTY));
+                new DownstreamFeedback(0, DownstreamFeedback.UnservedReason.TRIES, HopPath.EMPTY));
     }
 
     /** The first attempt may still be served. */
@@ -313,7 +313,8 @@
                         "outcome 0 OK settled"));
         assertEquals(
                 exchange.feedback(),
-                new DownstreamFeedback(0, DownstreamFeedback.Why.UNKNOWN, HopPath.EMPTY));
+                new DownstreamFeedback(
+                        0, DownstreamFeedback.UnservedReason.UNKNOWN, HopPath.EMPTY));
     }
 
     @Test
@@ -342,7 +343,7 @@
                 exchange.feedback(),
                 new DownstreamFeedback(
                         0,
-                        DownstreamFeedback.Why.LOOP,
+                        DownstreamFeedback.UnservedReason.LOOP,
                         HopPath.of(List.of("front", "core", "front"))));
     }
 
