--- a/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
@@ -5,32 +5,31 @@
 import java.util.Queue;
 
 /**
- * The rest of a body on its way from the side that reads it to the side that writes it: a window of
- * pieces. The reading side puts pieces and stops reading while the flow is full; the writing side
- * takes them. Owned by the event loop; not thread-safe.
+ * A bounded buffer that streams the rest of a body, in pieces, from the side that reads it to the
+ * side that writes it. The reading side puts pieces and stops reading while the flow is full; the
+ * writing side takes them. Not thread-safe; used on the event loop only.
  *
- * <p>This avoids memory that grows with the bodies: whatever their size and number, each holds a
- * window.
+ * <p>Memory doesn't grow with the size of bodies: each buffers at most a window.
  */
 public final class BodyFlow {
 
     /**
-     * A flow that holds this much, in bytes, is full: the protocol's largest body, whatever the
+     * The size at which a flow is full, in bytes: the largest body that the protocol allows at any
      * site.
      */
     public static final int WINDOW = 64 * 1024;
 
     private static final Runnable NO_LISTENER = () -> {};
 
-    /** Pieces below this size, in bytes, are joined while they wait, up to a whole one. */
-    private static final int SMALL = 1024;
+    /** Pieces below this size, in bytes, are joined while they wait, up to a full piece. */
+    private static final int SMALL_PIECE_BYTES = 1024;
 
     private static final int FULL_PIECE_BYTES = 8 * 1024;
-    private static final int MIN_JOINED = 64;
+    private static final int MIN_JOINED_BYTES = 64;
 
     private final Queue<byte[]> pieces = new ArrayDeque<>();
 
-    /** Small pieces behind the others, joined: {@code joinedLength} bytes of it. */
+    /** Small pieces after the others, joined; the first {@code joinedLength} bytes are used. */
     private byte[] joined;
 
     private int joinedLength;
@@ -45,10 +44,10 @@
         this.account = account;
     }
 
-    /** The next piece; one that is put when the flow is full is taken all the same. */
+    /** Adds the next piece, which is accepted even if the flow is full. */
     public void put(byte[] piece) {
         if (!broken && piece.length > 0) {
-            if (piece.length < SMALL) {
+            if (piece.length < SMALL_PIECE_BYTES) {
                 join(piece);
             } else {
                 endJoined();
@@ -61,8 +60,8 @@
     }
 
     /**
-     * This avoids a window that costs many times its bytes, since its sender cut it into single
-     * ones.
+     * Appends a small piece to the joined ones. Otherwise a window that its sender cut into single
+     * bytes would need many times its size in memory.
      */
     private void join(byte[] piece) {
         if (joinedLength + piece.length > FULL_PIECE_BYTES) {
@@ -70,13 +69,13 @@
         }
         int length = joinedLength + piece.length;
         if (joined == null) {
-            joined = piece; // which is enough where nothing waits
+            joined = piece; // not copied if it is the only one
         } else {
             if (length > joined.length) {
                 joined =
                         Arrays.copyOf(
                                 joined,
-                                Math.min(FULL_PIECE_BYTES, Math.max(MIN_JOINED, 2 * length)));
+                                Math.min(FULL_PIECE_BYTES, Math.max(MIN_JOINED_BYTES, 2 * length)));
             }
             System.arraycopy(piece, 0, joined, joinedLength, piece.length);
         }
@@ -92,20 +91,23 @@
         }
     }
 
-    /** Whether to put nothing more for now. While the account is used up one piece is enough. */
+    /**
+     * Returns whether nothing more should be put for now. While the account is exhausted, a flow
+     * with one piece is full.
+     */
     public boolean isFull() {
         return bufferedBytes >= WINDOW || bufferedBytes > 0 && account.isExhausted();
     }
 
-    /** That was all. */
+    /** Records that the last piece was put. */
     public void end() {
         ended = true;
         whenReadable.run();
     }
 
     /**
-     * The rest will not come, or nobody takes it: what is held is dropped. No effect once all was
-     * taken.
+     * Breaks the flow and drops what is buffered, since the rest will not arrive or no one will
+     * take it. Has no effect once everything was taken.
      */
     public void fail() {
         if (!broken && !isAtEnd()) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /** The next piece, or null where there is none now. */
+    /** Removes and returns the next piece; null if there is none now. */
     public byte[] take() {
         if (pieces.isEmpty()) {
             endJoined();
@@ -133,22 +135,22 @@
         return piece;
     }
 
-    /** Whether all was put and taken. */
+    /** Returns whether the last piece was put and everything was taken. */
     public boolean isAtEnd() {
         return ended && bufferedBytes == 0;
     }
 
-    /** Whether the rest will not come. */
+    /** Returns whether the flow was broken, so that the rest will not arrive. */
     public boolean isBroken() {
         return broken;
     }
 
-    /** Runs at each piece, at the end and at a break. */
+    /** Sets the task that runs when a piece is put, at the end and at a break. */
     public void whenReadable(Runnable task) {
         whenReadable = task;
     }
 
-    /** Runs at each piece that is taken. */
+    /** Sets the task that runs when a piece is taken. */
     public void whenWritable(Runnable task) {
         whenWritable = task;
     }
--- a/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
@@ -1,13 +1,14 @@
 package cedarrudder.bodyflow;
 
 /**
- * The account of the bytes of bodies: those that flow, are being read, or belong to a request under
- * way. Owned by the event loop; not thread-safe.
+ * Counts the buffered bytes of all bodies: those that are streamed, are being read, or belong to a
+ * request in flight. Not thread-safe; used on the event loop only.
  */
 public final class BufferAccount {
 
     /**
-     * What counts where nothing is set: an eighth of the least memory seen for a proxy, in bytes.
+     * The default bound, in bytes: an eighth of the minimum memory of the proxies that were
+     * observed.
      */
     public static final long MAX = 16L * 1024 * 1024;
 
@@ -15,28 +16,28 @@
     private long bufferedBytes;
 
     /**
-     * @param max the bound, in bytes; each flow may hold one piece beyond it
+     * @param max the bound, in bytes; each flow may buffer one piece beyond it
      */
     public BufferAccount(long max) {
         this.max = max;
     }
 
-    /** From now on this is the bound. */
+    /** Sets the bound that applies from now on. */
     public void max(long bytes) {
         max = bytes;
     }
 
-    /** This many bytes more are held, or fewer. */
+    /** Adds buffered bytes; negative if they are no longer buffered. */
     public void add(long bytes) {
         bufferedBytes += bytes;
     }
 
-    /** How many bytes are held. */
+    /** Returns the number of buffered bytes. */
     public long bufferedBytes() {
         return bufferedBytes;
     }
 
-    /** Whether nothing new should be read. */
+    /** Returns whether the bound is reached, so that nothing new should be read. */
     public boolean isExhausted() {
         return bufferedBytes >= max;
     }
--- a/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
+++ b/core/src/test/java/cedarrudder/bodyflow/BodyFlowTest.java
@@ -7,14 +7,12 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** A window of a body, put and taken in pieces of any size. */
+/** Tests a flow into which pieces of any size are put. */
 public class BodyFlowTest {
 
-    /**
-     * Detects a window that costs thirty times its bytes, since each came in a piece of its own.
-     */
+    /** A piece for each byte would need thirty times the memory of the window. */
     @Test
-    public void aWindowOfSingleBytesIsKeptInFewPieces() {
+    public void windowOfSingleBytesIsBufferedInFewPieces() {
         BufferAccount account = new BufferAccount(BufferAccount.MAX);
         BodyFlow flow = new BodyFlow(account);
         while (!flow.isFull()) {
@@ -29,9 +27,9 @@
         assertEquals(account.bufferedBytes(), 0);
     }
 
-    /** Detects bytes lost, doubled or out of order as small pieces are joined. */
+    /** Joining small pieces must not lose, repeat or reorder bytes. */
     @Test
-    public void whatIsTakenIsWhatWasPut() {
+    public void bytesAreTakenAsTheyWerePut() {
         long seed = 20261201;
         SplittableRandom random = new SplittableRandom(seed);
         BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MAX));
