--- a/core/src/main/java/cedarrudder/consensus/Election.java
+++ b/core/src/main/java/cedarrudder/consensus/Election.java
@@ -154,7 +154,7 @@
         if (now >= electionTimeoutAt) {
             leader = -1;
             transferred = false;
-            startRound(now, rules.requiresPreVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE);
+            startCampaign(now, rules.requiresPreVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE);
         } else if (role != Role.FOLLOWER && now >= nextRequestAt) {
             requestVotes(now);
         }
@@ -164,11 +164,11 @@
     void startElection(long now) {
         if (!isLeader() && mayVote()) {
             transferred = true;
-            startRound(now, Role.CANDIDATE);
+            startCampaign(now, Role.CANDIDATE);
         }
     }
 
-    private void startRound(long now, Role newRole) {
+    private void startCampaign(long now, Role newRole) {
         role = newRole;
         granted.clear();
         granted.add(context.self());
@@ -203,7 +203,7 @@
             return;
         }
         if (role == Role.PRE_CANDIDATE) {
-            startRound(now, Role.CANDIDATE);
+            startCampaign(now, Role.CANDIDATE);
         } else if (role == Role.CANDIDATE) {
             role = Role.LEADER;
             context.record(new ConsensusEvent.LeaderElected(context.group(), term, context.self()));
--- a/core/src/main/java/cedarrudder/consensus/LogApplier.java
+++ b/core/src/main/java/cedarrudder/consensus/LogApplier.java
@@ -40,8 +40,7 @@
     }
 
     /**
-     * Returns whether a forwarded proposal may take effect, which one that already took effect may
-     * not.
+     * Returns whether a forwarded proposal may take effect: only one that has not taken effect yet.
      */
     boolean mayTakeEffect(Proposal proposal) {
         return rules.mayTakeEffect(proposals.isNew(proposal));
@@ -85,7 +84,7 @@
     /**
      * Applies all committed entries, and compacts the log if it has grown.
      *
-     * @param votersListener notified of each committed change of the voters
+     * @param votersListener is notified of each committed change of the voters
      */
     void applyCommitted(VotersListener votersListener) {
         RaftLog log = context.log();
--- a/core/src/main/java/cedarrudder/consensus/LogDissemination.java
+++ b/core/src/main/java/cedarrudder/consensus/LogDissemination.java
@@ -34,8 +34,8 @@
     /** If the leader contact is older than this many periods, digests are sent twice as often. */
     private static final int OLD_PERIODS = 5;
 
-    private static final long MIN_REPLY_INTERVAL = 10_000_000L;
-    private static final long MIN_FETCH_INTERVAL = 100_000_000L;
+    private static final long MIN_REPLY_INTERVAL_NANOS = 10_000_000L;
+    private static final long MIN_FETCH_INTERVAL_NANOS = 100_000_000L;
 
     /** A snapshot of which the beginning was received. */
     private record Fetch(SnapshotChunk first, byte[] state, int received) {}
@@ -73,15 +73,15 @@
         this.contact = contact;
         this.queries = new PendingQueries(random);
         this.digestAt = now + (long) (random.nextDouble() * settings.spreadPeriod());
-        this.fetchedAt = now - MIN_FETCH_INTERVAL;
-        this.repliedAt = now - MIN_REPLY_INTERVAL;
+        this.fetchedAt = now - MIN_FETCH_INTERVAL_NANOS;
+        this.repliedAt = now - MIN_REPLY_INTERVAL_NANOS;
         this.heartbeatAt = now;
     }
 
     /** Resets everything that was known of the former group. */
     void reset(long now) {
         fetch = null;
-        fetchedAt = now - MIN_FETCH_INTERVAL;
+        fetchedAt = now - MIN_FETCH_INTERVAL_NANOS;
         heartbeatTerm = 0;
         heartbeatSequence = 0;
         heartbeatAt = now;
@@ -147,7 +147,7 @@
      * the sender has to learn or to prove something.
      */
     void rejectOutdated(long now, int to, Digest digest, boolean sendsDigest) {
-        if (now - repliedAt >= MIN_REPLY_INTERVAL) {
+        if (now - repliedAt >= MIN_REPLY_INTERVAL_NANOS) {
             repliedAt = now;
             if (digest != null) {
                 respond(now, to, digest);
@@ -266,7 +266,7 @@
 
     /** Requests missing entries from a replica, unless some were requested just now. */
     void fetchFrom(long now, int from) {
-        if (now - fetchedAt >= MIN_FETCH_INTERVAL) {
+        if (now - fetchedAt >= MIN_FETCH_INTERVAL_NANOS) {
             fetchedAt = now;
             context.send(
                     from,
@@ -339,7 +339,7 @@
         log.commit(end);
         context.onCommitAdvanced(now);
         if (size(committed.entries()) > MAX_ENTRIES_BYTES / 2) {
-            fetchedAt = now - MIN_FETCH_INTERVAL;
+            fetchedAt = now - MIN_FETCH_INTERVAL_NANOS;
             fetchFrom(now, from);
         }
     }
@@ -366,7 +366,7 @@
         System.arraycopy(chunk.bytes(), 0, fetch.state, fetch.received, chunk.bytes().length);
         fetch = new Fetch(fetch.first, fetch.state, fetch.received + chunk.bytes().length);
         if (fetch.received < fetch.state.length) {
-            fetchedAt = now - MIN_FETCH_INTERVAL;
+            fetchedAt = now - MIN_FETCH_INTERVAL_NANOS;
             fetchFrom(now, from);
             return null;
         }
--- a/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragmenter.java
@@ -25,8 +25,8 @@
     private static final int MAX_SENT = 16;
 
     private static final int MAX_RECENTLY_COMPLETED = 64;
-    private static final long PARTIAL_TIMEOUT = 2_000_000_000L;
-    private static final long REQUEST_DELAY = 40_000_000L;
+    private static final long PARTIAL_TIMEOUT_NANOS = 2_000_000_000L;
+    private static final long REQUEST_DELAY_NANOS = 40_000_000L;
     private static final int MAX_REQUESTS = 8;
 
     /** A message of which some fragments were received. */
@@ -44,9 +44,9 @@
         }
     }
 
-    private record Completed(int sender, long incarnation, int message) {}
+    private record Completed(int sender, long incarnation, int messageId) {}
 
-    private record Sent(int to, int message, List<byte[]> fragments) {}
+    private record Sent(int to, int messageId, List<byte[]> fragments) {}
 
     private final SafetyRules rules;
     private final List<PartialMessage> partials = new ArrayList<>();
@@ -55,12 +55,14 @@
     private int nextMessageId;
 
     /**
-     * @param first the ID of the first message; a process that continues with an earlier
+     * Creates a fragmenter without buffered messages.
+     *
+     * @param firstId the ID of the first message; a process that continues with an earlier
      *     incarnation needs other IDs than before
      */
-    MessageFragmenter(SafetyRules rules, int first) {
+    MessageFragmenter(SafetyRules rules, int firstId) {
         this.rules = rules;
-        this.nextMessageId = first;
+        this.nextMessageId = firstId;
     }
 
     List<byte[]> split(VoterGroup group, long term, Voter self, int to, byte[] message) {
@@ -101,7 +103,7 @@
     /** Returns the fragments of a sent message that its receiver requests again. */
     List<byte[]> resend(int to, RaftMessage.MissingFragments request) {
         for (Sent each : sent) {
-            if (each.to == to && each.message == request.messageId()) {
+            if (each.to == to && each.messageId == request.messageId()) {
                 return BitSet.valueOf(request.missing()).stream()
                         .filter(index -> index < each.fragments.size())
                         .mapToObj(each.fragments::get)
@@ -124,8 +126,8 @@
             return null;
         }
         partial.payloads[fragment.index()] = fragment.payload();
-        partial.requestAt = now + REQUEST_DELAY;
-        partial.staleAt = now + PARTIAL_TIMEOUT;
+        partial.requestAt = now + REQUEST_DELAY_NANOS;
+        partial.staleAt = now + PARTIAL_TIMEOUT_NANOS;
         if (++partial.receivedCount < partial.payloads.length) {
             return null;
         }
@@ -183,7 +185,9 @@
                 all.remove();
             } else if (now >= each.requestAt) {
                 each.requestAt =
-                        ++each.requestCount < MAX_REQUESTS ? now + REQUEST_DELAY : Long.MAX_VALUE;
+                        ++each.requestCount < MAX_REQUESTS
+                                ? now + REQUEST_DELAY_NANOS
+                                : Long.MAX_VALUE;
                 BitSet missing = new BitSet();
                 for (int i = 0; i < each.payloads.length; i++) {
                     missing.set(i, each.payloads[i] == null);
--- a/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -20,8 +20,8 @@
     private static final long RESEND_IF_NOT_ACCEPTED = 300_000_000L;
 
     /**
-     * The same time if the leader has accepted the proposal: the leader may have lost leadership
-     * without its successor being known yet.
+     * The time after which a proposal is forwarded again if the leader has accepted it, in
+     * nanoseconds: the leader may have lost leadership without its successor being known yet.
      */
     private static final long RESEND_IF_ACCEPTED = 1_000_000_000L;
 
@@ -49,9 +49,10 @@
     private long resendAt;
 
     /**
-     * Creates a forwarder without pending proposals. @param sequence the number before the first
-     * sequence number; a process that starts with an incarnation that was used before needs other
-     * sequence numbers
+     * Creates a forwarder without pending proposals.
+     *
+     * @param sequence the number before the first sequence number; a process that starts with an
+     *     incarnation that was used before needs other sequence numbers
      */
     ProposalForwarder(
             RaftContext context, RaftNode.Actions actions, long incarnation, long sequence) {
@@ -67,13 +68,17 @@
     }
 
     /** Adds a new proposal; returns null if too many are pending. */
-    Proposal add(long now, LogPosition after, byte[] content, long patience) {
+    Proposal add(long now, LogPosition appliedPosition, byte[] content, long patience) {
         if (pending.size() >= MAX_PENDING) {
             return null;
         }
         Proposal created =
                 new Proposal(
-                        context.self().replica(), incarnation, ++sequence, after, content.clone());
+                        context.self().replica(),
+                        incarnation,
+                        ++sequence,
+                        appliedPosition,
+                        content.clone());
         pending.add(new PendingProposal(created, now + patience, false));
         return created;
     }
