--- a/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
+++ b/core/src/main/java/cedarrudder/coordination/CoordinatedReplica.java
@@ -322,7 +322,7 @@
      * Transfers leadership to another replica before this one stops. Returns false if this replica
      * does not lead or no other replica can take over.
      */
-    public boolean stop(long at) {
+    public boolean transferLeadership(long at) {
         begin(at);
         boolean transferred = raft.transferLeadership(now);
         update();
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -95,7 +95,7 @@
      * Hands on what it leads and takes part no more, such as before this process ends; on the loop.
      */
     public void stop() {
-        apply(part -> part.stop(loop.now()));
+        apply(part -> part.transferLeadership(loop.now()));
         end();
     }
 
