--- a/core/src/main/java/cedarrudder/consensus/LogReplication.java
+++ b/core/src/main/java/cedarrudder/consensus/LogReplication.java
@@ -205,18 +205,14 @@
             if (isHeartbeat) {
                 // The missing entries are in flight, or the follower has to fetch a snapshot and
                 // learns so from this message.
-                long previousIndex =
+                long after =
                         progress.nextIndex > log.lastIndex()
                                 ? log.lastIndex()
                                 : Math.max(progress.matchIndex, log.firstIndex());
                 context.send(
                         to.replica(),
                         new AppendEntries(
-                                previousIndex,
-                                log.term(previousIndex),
-                                log.commitIndex(),
-                                queryId,
-                                List.of()));
+                                after, log.term(after), log.commitIndex(), queryId, List.of()));
             }
             return;
         }
@@ -234,11 +230,10 @@
         progress.sentAt = now;
         progress.lastSentIndex = progress.nextIndex + batch.size() - 1;
         progress.probeAt = now + PROBE_DELAY;
-        long previousIndex = progress.nextIndex - 1;
+        long after = progress.nextIndex - 1;
         context.send(
                 to.replica(),
-                new AppendEntries(
-                        previousIndex, log.term(previousIndex), log.commitIndex(), queryId, batch));
+                new AppendEntries(after, log.term(after), log.commitIndex(), queryId, batch));
     }
 
     void onResponse(long now, Voter from, AppendResponse response) {
--- a/core/src/main/java/cedarrudder/consensus/MessageFragment.java
+++ b/core/src/main/java/cedarrudder/consensus/MessageFragment.java
@@ -71,10 +71,10 @@
         long term = in.getLong();
         int sender = in.getShort() & U16;
         long incarnation = in.getLong();
-        int messageId = in.getInt();
+        int id = in.getInt();
         int index = in.getShort() & U16;
         int count = in.getShort() & U16;
-        int messageChecksum = in.getInt();
+        int checksum = in.getInt();
         byte[] payload = new byte[bytes.length - HEADER_BYTES - CHECKSUM_BYTES];
         in.get(payload);
         boolean valid =
@@ -89,15 +89,7 @@
                         && (index == count - 1 || payload.length == MAX_PAYLOAD_BYTES);
         return valid
                 ? new MessageFragment(
-                        group,
-                        term,
-                        sender,
-                        incarnation,
-                        messageId,
-                        index,
-                        count,
-                        messageChecksum,
-                        payload)
+                        group, term, sender, incarnation, id, index, count, checksum, payload)
                 : null;
     }
 
--- a/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
+++ b/core/src/main/java/cedarrudder/consensus/VoterReplacement.java
@@ -63,13 +63,12 @@
             return null;
         }
         Voter learner = replication.learner();
-        boolean learnerIsValid =
-                learner != null && candidates.contains(learner) && now < learnerTimeoutAt;
-        if (learnerIsValid && replication.matchIndex(learner) >= log.commitIndex()) {
+        boolean valid = learner != null && candidates.contains(learner) && now < learnerTimeoutAt;
+        if (valid && replication.matchIndex(learner) >= log.commitIndex()) {
             replication.startLearner(null);
             return voters.with(learner);
         }
-        if (!learnerIsValid && !candidates.isEmpty()) {
+        if (!valid && !candidates.isEmpty()) {
             replication.startLearner(candidates.get(random.nextInt(candidates.size())));
             learnerTimeoutAt = now + LEARNER_TIMEOUT_HEARTBEATS * settings.heartbeat();
         }
