--- a/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
+++ b/core/src/main/java/cedarrudder/adminoverride/AdminOverrides.java
@@ -20,7 +20,7 @@
  *
  * <p>An endpoint that is enabled again counts as started at that time. Otherwise one that was
  * restarted meanwhile would get the load of a warm endpoint until discovery reports its new start.
- * Has no side effects outside itself; not thread-safe.
+ * Performs no I/O and reads no clock. Not thread-safe.
  */
 public final class AdminOverrides {
 
--- a/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
+++ b/core/src/main/java/cedarrudder/draining/DisruptionCounts.java
@@ -56,7 +56,7 @@
      *     serve again
      */
     Bound exceededBound(DrainableNode node, boolean out) {
-        int more = out ? 0 : 1;
+        int added = out ? 0 : 1;
         Group[] groups = groups(node);
         DrainPolicy.MaxUnavailable[] max = {
             policy.maxPerPod(), policy.maxPerZone(), policy.maxPerTier()
@@ -67,22 +67,22 @@
         Bound[] maxBound = {Bound.POD, Bound.ZONE, Bound.TIER};
         Bound[] leftBound = {Bound.LEFT_POD, Bound.LEFT_ZONE, Bound.LEFT_TIER};
         for (int i = 0; i < groups.length; i++) {
-            int then = groups[i].out + more;
-            if (then > max[i].maxOf(groups[i].listed)) {
+            int unavailable = groups[i].out + added;
+            if (unavailable > max[i].maxOf(groups[i].listed)) {
                 return maxBound[i];
             }
-            if (groups[i].listed - then < left[i]) {
+            if (groups[i].listed - unavailable < left[i]) {
                 return leftBound[i];
             }
         }
         double[] weight = weight(node);
-        return weight[1] - more * node.weight() < policy.minAvailable().weight() * weight[0] - 1e-9
+        return weight[1] - added * node.weight() < policy.minAvailable().weight() * weight[0] - 1e-9
                 ? Bound.LEFT_WEIGHT
                 : null;
     }
 
     /** Counts a node as unavailable. */
-    void onDrained(DrainableNode node) {
+    void addUnavailable(DrainableNode node) {
         for (Group group : groups(node)) {
             group.out++;
         }
--- a/core/src/main/java/cedarrudder/draining/DrainState.java
+++ b/core/src/main/java/cedarrudder/draining/DrainState.java
@@ -10,7 +10,7 @@
     LEAVING,
     /** Like {@link #LEAVING}, and the deadline has passed. */
     OVERDUE,
-    /** The node has no requests in flight, or its deadline let it count as drained. */
+    /** The node has no requests in flight, or counts as drained as its deadline has passed. */
     OUT,
     /** The node serves again at replicas that know it; the drain ends once all do. */
     RETURNING,
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -105,12 +105,12 @@
     }
 
     /** Returns the number of live replicas without a recent report. */
-    int silentReplicas(long now) {
-        int silent = 0;
+    int liveReplicasWithoutReport(long now) {
+        int withoutReport = 0;
         for (int i = 0; i < replicas.length; i++) {
-            silent += isLive(now, i) && !isFresh(now, replicas[i]) ? 1 : 0;
+            withoutReport += isLive(now, i) && !isFresh(now, replicas[i]) ? 1 : 0;
         }
-        return silent;
+        return withoutReport;
     }
 
     int liveReplicas(long now) {
--- a/core/src/main/java/cedarrudder/draining/WavePlan.java
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -89,7 +89,7 @@
         waitingDrains = new WaitingDrains(nodes, policies);
         disabled = reported.disabled(now);
         policiesWithOpenWave = state.policiesWithOpenWave();
-        allReported = disabled != null && reported.silentReplicas(now) == 0;
+        allReported = disabled != null && reported.liveReplicasWithoutReport(now) == 0;
         outNodeUnlisted =
                 state.drains().stream()
                         .anyMatch(drain -> drain.state.isOut() && !nodes.containsKey(drain.node));
@@ -123,7 +123,7 @@
     // ---- open drains ----
 
     /** Collects the events that have occurred to drains. */
-    void followOpenDrains() {
+    void collectEvents() {
         for (Drain drain : state.drains()) {
             DrainEvent event = event(drain, nodes.get(drain.node));
             if (event == DrainEvent.RESTARTED_OUT) {
@@ -282,7 +282,7 @@
             DrainPolicy policy = policies.policy(i);
             waveSizes[i]++;
             if (wasServing) {
-                disruptions.get(i).onDrained(node);
+                disruptions.get(i).addUnavailable(node);
             }
             if (policy.deadlineNanos() < deadlineNanos) {
                 deadlineNanos = policy.deadlineNanos();
--- a/core/src/main/java/cedarrudder/draining/WaveScheduler.java
+++ b/core/src/main/java/cedarrudder/draining/WaveScheduler.java
@@ -58,7 +58,7 @@
                         listed,
                         reported,
                         this::isGone);
-        plan.followOpenDrains();
+        plan.collectEvents();
         plan.pauseAndResume(replicas);
         plan.beginWaves();
         Step step = plan.step();
--- a/core/src/main/java/cedarrudder/routetable/RouteTable.java
+++ b/core/src/main/java/cedarrudder/routetable/RouteTable.java
@@ -12,7 +12,8 @@
  * @param number the number of the table, which only rises, across all groups; at least 1
  * @param group the group of replicas that agreed on the table; at least 0
  * @param term the term in which the table was agreed on; at least 0
- * @param lease how long a replica may use the table without a renewal, in nanoseconds; over 0
+ * @param lease how long a replica may use the table if it receives nothing further, in nanoseconds;
+ *     over 0
  * @param routes the zones that serve parts of a zone's requests, ordered by both zones
  * @param draining the nodes being drained, ordered by node
  * @param limits the rate limits of classes, ordered by class; a class without one is not limited
