--- a/core/src/main/java/cedarrudder/admission/ClassPriority.java
+++ b/core/src/main/java/cedarrudder/admission/ClassPriority.java
@@ -7,19 +7,17 @@
  *
  * <p>The goal is the weight served as a fraction of the weight requested, over all classes and once
  * more for the class that is served worst. So a unit of weight of class c adds {@code overallWeight
- * / asked} to the goal, and {@code worstClassWeight / asked(c)} as well while c is served worst.
- * That derivative is the priority here. Which class is worst would change with each response, so
- * the second term is divided among the classes by how near each is to the worst. The priority of a
- * class that falls behind rises, so no class is starved for good.
+ * / requested} to the goal, and {@code worstClassWeight / requested(c)} too while c is served
+ * worst. That derivative is the priority here. Which class is worst would change with each
+ * response, so the second term is divided among the classes by how near each is to the worst. The
+ * priority of a class that falls behind rises, so no class is starved for good.
  *
  * <p>Weights requested and served are counted over the recent past, and only within tenants'
  * quotas.
  */
 public final class ClassPriority {
 
-    /**
-     * The difference in the fraction served up to which classes are about equally near the worst.
-     */
+    /** Classes whose served fractions differ by at most this are about equally near the worst. */
     private static final double NEARNESS_SCALE = 0.05;
 
     /** The time constant of the counts: the shortest window of the goal, the worst 10 s. */
@@ -28,8 +26,8 @@
     private static final double MIN_OVER_QUOTA_WEIGHT = 0.01;
 
     private final double[] weightPerWork;
-    private final double[] asked;
-    private final double[] served;
+    private final double[] requestedWeight;
+    private final double[] servedWeight;
     private final double overallWeight;
     private final double worstClassWeight;
     private final double overQuotaWeight;
@@ -47,8 +45,8 @@
     public ClassPriority(
             int classes, double overallWeight, double worstClassWeight, double overQuotaWeight) {
         this.weightPerWork = new double[classes];
-        this.asked = new double[classes];
-        this.served = new double[classes];
+        this.requestedWeight = new double[classes];
+        this.servedWeight = new double[classes];
         this.overallWeight = overallWeight;
         this.worstClassWeight = worstClassWeight;
         this.overQuotaWeight = overQuotaWeight;
@@ -63,21 +61,21 @@
     /** Counts a request that has arrived within its tenant's quota. */
     public void onRequest(long now, int classIndex, double weight) {
         decay(now);
-        asked[classIndex] += weight;
+        requestedWeight[classIndex] += weight;
     }
 
     /** Counts a request that was served within its latency objective. */
     public void onServed(long now, int classIndex, double weight) {
         decay(now);
-        served[classIndex] += weight;
+        servedWeight[classIndex] += weight;
     }
 
     private void decay(long now) {
         double retained = Math.min(1, Math.exp(-(now - countedAt) / WINDOW_NANOS));
         countedAt = now;
-        for (int i = 0; i < asked.length; i++) {
-            asked[i] *= retained;
-            served[i] *= retained;
+        for (int i = 0; i < requestedWeight.length; i++) {
+            requestedWeight[i] *= retained;
+            servedWeight[i] *= retained;
         }
     }
 
@@ -87,27 +85,27 @@
         if (overQuota) {
             weight *= Math.max(MIN_OVER_QUOTA_WEIGHT, overQuotaWeight);
         }
-        if (asked[classIndex] <= 0) {
+        if (requestedWeight[classIndex] <= 0) {
             return weight;
         }
-        double allAsked = 0;
-        double allNearness = 0;
-        for (int i = 0; i < asked.length; i++) {
-            allAsked += asked[i];
-            allNearness += nearnessToWorst(i);
+        double totalRequestedWeight = 0;
+        double totalNearness = 0;
+        for (int i = 0; i < requestedWeight.length; i++) {
+            totalRequestedWeight += requestedWeight[i];
+            totalNearness += nearnessToWorst(i);
         }
         double worstTerm =
                 worstClassWeight
                         * nearnessToWorst(classIndex)
-                        / allNearness
-                        * allAsked
-                        / asked[classIndex];
+                        / totalNearness
+                        * totalRequestedWeight
+                        / requestedWeight[classIndex];
         return weight * (overallWeight + worstTerm);
     }
 
     private double nearnessToWorst(int classIndex) {
-        return asked[classIndex] > 0
-                ? Math.exp(-served[classIndex] / asked[classIndex] / NEARNESS_SCALE)
+        return requestedWeight[classIndex] > 0
+                ? Math.exp(-servedWeight[classIndex] / requestedWeight[classIndex] / NEARNESS_SCALE)
                 : 0;
     }
 }
--- a/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BodyFlow.java
@@ -9,7 +9,7 @@
  * side that writes it. The reading side puts pieces and stops reading while the flow is full; the
  * writing side takes them. Not thread-safe; used on the event loop only.
  *
- * <p>Memory doesn't grow with the size of bodies: each buffers at most a window.
+ * <p>So memory doesn't grow with the bodies: whatever their size, each buffers about one window.
  */
 public final class BodyFlow {
 
@@ -40,6 +40,7 @@
     private Runnable whenReadable = NO_LISTENER;
     private Runnable whenWritable = NO_LISTENER;
 
+    /** Creates an empty flow whose buffered bytes are counted in this account. */
     public BodyFlow(BufferAccount account) {
         this.account = account;
     }
--- a/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
+++ b/core/src/main/java/cedarrudder/bodyflow/BufferAccount.java
@@ -6,16 +6,15 @@
  */
 public final class BufferAccount {
 
-    /**
-     * The default bound, in bytes: an eighth of the minimum memory of the proxies that were
-     * observed.
-     */
+    /** The default bound, in bytes: an eighth of the smallest memory of a proxy. */
     public static final long MAX = 16L * 1024 * 1024;
 
     private long max;
     private long bufferedBytes;
 
     /**
+     * Creates an account without buffered bytes.
+     *
      * @param max the bound, in bytes; each flow may buffer one piece beyond it
      */
     public BufferAccount(long max) {
--- a/core/src/main/java/cedarrudder/budget/BudgetEvents.java
+++ b/core/src/main/java/cedarrudder/budget/BudgetEvents.java
@@ -17,7 +17,7 @@
      * Reports a request that was rejected because of a loop; at most once a minute for each loop,
      * and for 64 loops.
      *
-     * @param path the tiers; the last one is this tier
+     * @param path the tiers that the request has passed; the last one is this tier
      * @param more the number of further rejections of this loop since it was last logged
      */
     void loopRejected(HopPath path, long more);
--- a/core/src/main/java/cedarrudder/budget/Budgets.java
+++ b/core/src/main/java/cedarrudder/budget/Budgets.java
@@ -66,6 +66,8 @@
     private final long[] admissionCounts = new long[AdmissionHint.values().length];
 
     /**
+     * Creates the budgets of a proxy that has received no request yet.
+     *
      * @param site the settings of the site
      * @param random generates the ids of grants; two proxies must not have the same sequence
      * @param events receives what is logged for the operator
--- a/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
+++ b/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
@@ -4,7 +4,8 @@
  * The feedback on a request's budget that a tier sends upstream with its response.
  *
  * @param attemptsSpent how many of the propagated further attempts were used; -1 if not given
- * @param reason the reason why the request was not served; {@link Why#UNKNOWN} also if it was
+ * @param reason the reason why the request was not served; {@link UnservedReason#UNKNOWN} also if
+ *     it was
  * @param path the path that closes a loop; empty if there is none
  */
 public record DownstreamFeedback(int attemptsSpent, UnservedReason reason, HopPath path) {
--- a/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
+++ b/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
@@ -304,8 +304,8 @@
     }
 
     /**
-     * Records that the watch ended. That of a watch at an old address is expected; the call that
-     * replaces it reports failures for both.
+     * Records that the watch ended. At an old address this is expected; the call that replaces the
+     * watch then reports failures for both.
      */
     private void onWatchEnded(long now) {
         boolean lastedLong = now - established.openedAt >= maxBackoffNanos;
--- a/core/src/main/java/cedarrudder/forwarding/Exchange.java
+++ b/core/src/main/java/cedarrudder/forwarding/Exchange.java
@@ -178,9 +178,8 @@
     }
 
     /**
-     * Returns how long the client still waits, in nanoseconds: the maximum time that an endpoint
-     * may be given. While the content is being received, this is at most the wait from its last
-     * byte on.
+     * Returns how long the client still waits, in nanoseconds: the maximum timeout of an attempt.
+     * While the content is being received, this is at most the wait from its last byte on.
      */
     public long remainingNanos(long now) {
         return upload ? Math.min(timeoutAfterUpload, expiry - now) : expiry - now;
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -461,7 +461,7 @@
         }
     }
 
-    /** Passes a timer that the balancer had scheduled to the balancer. */
+    /** Notifies the balancer of a timer that it had scheduled. */
     void timerFired(long token) {
         events.post(() -> balancer.onTimer(timers.now(), token));
     }
--- a/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
+++ b/core/src/test/java/cedarrudder/forwarding/RequestForwarderTest.java
@@ -423,7 +423,7 @@
 
     // ---- the check before the first byte ----
 
-    /** Accepts a request whose first attempt clientWaiting for its connection. */
+    /** Accepts a request whose first attempt waits for its connection. */
     private Exchange<String, String> acceptWaitingForConnection() {
         connectionPending = true;
         Exchange<String, String> exchange = accept(PropagatedBudget.NOTHING);
