--- a/core/src/main/java/cedarrudder/consensus/RaftMessageCodec.java
+++ b/core/src/main/java/cedarrudder/consensus/RaftMessageCodec.java
@@ -63,19 +63,20 @@
                     new VoteResponse(in.get() != 0, in.get() != 0, in.getLong());
             case RaftMessage.APPEND_ENTRIES ->
                     new AppendEntries(
-                            in.getLong(), in.getLong(), in.getLong(), in.getInt(), entries(in));
+                            in.getLong(), in.getLong(), in.getLong(), in.getInt(), readEntries(in));
             case RaftMessage.APPEND_RESPONSE ->
                     new AppendResponse(in.get() != 0, in.getLong(), in.getInt());
             case RaftMessage.TIMEOUT_NOW -> new TimeoutNow();
             case RaftMessage.DIGEST -> readDigest(in);
             case RaftMessage.FETCH_REQUEST ->
                     new FetchRequest(in.getLong(), in.getLong(), in.getInt());
-            case RaftMessage.COMMITTED_ENTRIES -> new CommittedEntries(in.getLong(), entries(in));
+            case RaftMessage.COMMITTED_ENTRIES ->
+                    new CommittedEntries(in.getLong(), readEntries(in));
             case RaftMessage.SNAPSHOT_CHUNK -> readSnapshotChunk(in);
             case RaftMessage.MISSING_FRAGMENTS ->
-                    new MissingFragments(in.getInt(), take(in, in.remaining()));
+                    new MissingFragments(in.getInt(), readBytes(in, in.remaining()));
             case RaftMessage.FORWARD_PROPOSAL ->
-                    new ForwardProposal(Proposal.decode(take(in, in.remaining())));
+                    new ForwardProposal(Proposal.decode(readBytes(in, in.remaining())));
             case RaftMessage.PROPOSAL_ACCEPTED -> new ProposalAccepted(in.getLong(), in.getLong());
             case RaftMessage.DIGEST_RESPONSE ->
                     new DigestResponse(in.getInt(), in.getInt(), in.getLong());
@@ -98,18 +99,18 @@
         return new SnapshotChunk(
                 in.getLong(),
                 in.getLong(),
-                VoterSet.decode(take(in, in.get() & 0xff)),
+                VoterSet.decode(readBytes(in, in.get() & 0xff)),
                 in.getInt(),
                 in.getInt(),
                 in.getInt(),
-                take(in, in.remaining()));
+                readBytes(in, in.remaining()));
     }
 
     static byte flag(boolean set) {
         return (byte) (set ? 1 : 0);
     }
 
-    private static byte[] take(ByteBuffer in, int length) {
+    private static byte[] readBytes(ByteBuffer in, int length) {
         if (length > in.remaining()) {
             throw new BufferUnderflowException();
         }
@@ -138,12 +139,12 @@
     }
 
     /** Decodes the remaining bytes as entries; returns null if they are malformed. */
-    private static List<LogEntry> entries(ByteBuffer in) {
+    private static List<LogEntry> readEntries(ByteBuffer in) {
         List<LogEntry> entries = new ArrayList<>();
         while (in.hasRemaining()) {
             long term = in.getLong();
             int kind = in.get();
-            byte[] bytes = take(in, in.getShort() & 0xffff);
+            byte[] bytes = readBytes(in, in.getShort() & 0xffff);
             if (term <= 0
                     || kind < 0
                     || kind >= Kind.values().length
--- a/core/src/main/java/cedarrudder/coordination/ActiveTable.java
+++ b/core/src/main/java/cedarrudder/coordination/ActiveTable.java
@@ -127,9 +127,7 @@
         long newExpiry = lease.expiresAt();
         RouteTable next = fits && now < newExpiry ? lease.agreed() : null;
         if (next != null && newExpiry != expiresAt) {
-            actions.onLeaseExtended(
-                    newExpiry); // before the change: no table is used under the lease of an older
-            // one
+            actions.onLeaseExtended(newExpiry); // first: no table is used under an older lease
         }
         expiresAt = newExpiry;
         if (next != active) {
--- a/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
+++ b/core/src/main/java/cedarrudder/coordination/HistoryEventText.java
@@ -77,28 +77,28 @@
                         "voters", text(event.voters())));
     }
 
-    static HistoryEntry entryApplied(LogPosition number, byte[] content, byte[] state) {
+    static HistoryEntry entryApplied(LogPosition position, byte[] content, byte[] state) {
         return new HistoryEntry(
                 "loaded",
                 Map.of(
                         "group",
-                        text(number.group()),
+                        text(position.group()),
                         "index",
-                        text(number.index()),
+                        text(position.index()),
                         "sum",
                         checksum(content),
                         "state",
                         checksum(state)));
     }
 
-    static HistoryEntry snapshotRestored(LogPosition number, byte[] state, long incarnation) {
+    static HistoryEntry snapshotRestored(LogPosition position, byte[] state, long incarnation) {
         return new HistoryEntry(
                 "restored",
                 Map.of(
                         "group",
-                        text(number.group()),
+                        text(position.group()),
                         "index",
-                        text(number.index()),
+                        text(position.index()),
                         "state",
                         checksum(state),
                         "as",
--- a/core/src/main/java/cedarrudder/coordination/ReportExchange.java
+++ b/core/src/main/java/cedarrudder/coordination/ReportExchange.java
@@ -20,9 +20,9 @@
     private static final int OPEN_REPORTS = 32;
 
     /**
-     * The number of low bits of a report's number that count. The bits above contain the time at
-     * which the process started, in milliseconds, so that a grant for a former process of the same
-     * incarnation is not accepted as one for this process.
+     * The number of low bits of a report's number that form a counter. The bits above contain the
+     * time at which the process started, in milliseconds, so that a grant for a former process of
+     * the same incarnation is not accepted as one for this process.
      */
     private static final int COUNTER_BITS = 20;
 
@@ -136,8 +136,7 @@
         int size = 0;
         for (ReportMessage.Part part : parts) {
             if (part.bytes().length > CoordinatedReplica.MAX_PART_BYTES) {
-                break; // violates the limit of reportParts: neither this part nor the following
-                // ones fit
+                break; // over the limit of reportParts: this part and the rest do not fit
             }
             if (size + part.bytes().length > CoordinatedReplica.MAX_PART_BYTES) {
                 message = new ArrayList<>();
@@ -179,8 +178,7 @@
         if (grant.quorumAge() >= 0) {
             activeTable.onQuorumContact(grant.group(), grant.table(), quorumContact(grant));
         } else if (firstOfTerm) {
-            nextReportAt =
-                    now; // the leader needs this replica's next report for its quorum contact
+            nextReportAt = now; // this replica still waits for a quorum contact of the leader
         }
     }
 
