--- a/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverCoordinator.java
@@ -78,10 +78,8 @@
      */
     public List<byte[]> report(long now, int max) {
         if (now - periodClosedAt < settings.period() / 2) {
-            return List
-                    .of(); // too soon after the last report: the period would be too short to show
-            // anything
-            // told
+            // A period that ends so soon after the last report is too short to show anything.
+            return List.of();
         }
         periodClosedAt = now;
         ZoneObservations observations = counter.closePeriod(now, loadedTableNumber);
@@ -120,10 +118,7 @@
         return planner.moves();
     }
 
-    /**
-     * Handles that this replica becomes the leader or ceases to be it: earlier reports no longer
-     * count.
-     */
+    /** Handles a change of leadership to or from this replica: earlier reports no longer count. */
     public void onLeadership() {
         aggregator = new ZoneHealthAggregator(settings, zoneOf, zones);
         planner.onLeadership();
--- a/core/src/main/java/cedarrudder/failover/MoveHistory.java
+++ b/core/src/main/java/cedarrudder/failover/MoveHistory.java
@@ -8,7 +8,10 @@
  */
 final class MoveHistory {
 
-    /** A minute, plus the difference between the times that two tables take to reach a replica. */
+    /**
+     * A minute, plus by how much longer one table may take to reach a replica than another table to
+     * reach another replica.
+     */
     private static final long WINDOW_NANOS = 63_000_000_000L;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
--- a/core/src/main/java/cedarrudder/failover/TrafficSplit.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplit.java
@@ -69,10 +69,7 @@
         return RouteTable.TOTAL_WEIGHT - Arrays.stream(weights[from]).sum();
     }
 
-    /**
-     * Returns the weight of a zone's requests that another zone serves in this split than in the
-     * other.
-     */
+    /** Returns the weight of a zone's requests that the two splits route to different zones. */
     int movedWeight(int from, TrafficSplit other) {
         int moved = Math.abs(unservedWeight(from) - other.unservedWeight(from));
         for (int to = 0; to < weights.length; to++) {
--- a/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -11,8 +11,8 @@
 
 /**
  * Plans which zone serves which fraction of a zone's requests: the zone itself while that is safe,
- * otherwise the nearest zones with spare capacity. Every replica has a planner and notifies it of
- * each table that it loads; the leader uses its planner to plan the next split. Not thread-safe.
+ * otherwise the nearest zones with spare capacity. Every replica has a planner and passes to it
+ * each table that it loads; the planner of the leader plans the next split. Not thread-safe.
  *
  * <p>Each zone has a {@link ZoneCeiling}. Requests beyond it go to other zones, to each up to its
  * target share ({@link TrafficAllocator}). The rate at which the row of one zone changes is bounded
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Handles that this replica becomes the leader or ceases to be it: its state from an earlier
-     * leadership is outdated.
+     * Handles a change of leadership to or from this replica: the state of an earlier leadership is
+     * outdated.
      */
     public void onLeadership() {
         isPlanning = false;
--- a/core/src/main/java/cedarrudder/failover/ZoneCapacity.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneCapacity.java
@@ -8,12 +8,15 @@
     /** Weight of the newest value in the smoothed load. */
     private static final double NEWEST_WEIGHT = 0.25;
 
-    /** Weight of a new sample of the capacity. */
+    /**
+     * Weight of a new sample of the capacity, and its weight if the zone is strained and the
+     * capacity falls.
+     */
     private static final double LEARN_WEIGHT = 0.1;
 
     private static final double FALL_WEIGHT = 0.6;
 
-    /** Load of a zone below which its capacity can't be learned from load reports. */
+    /** Load of a zone and requests per second below which nothing is learned of its capacity. */
     private static final double MIN_LOAD = 0.15;
 
     private static final double MIN_RATE = 5;
--- a/core/src/main/java/cedarrudder/failover/ZoneVotes.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneVotes.java
@@ -13,8 +13,8 @@
 record ZoneVotes(double unhealthy, double healthy, int replicas) {
 
     /**
-     * Number of attempts that ended or wait at a replica from which it has a full vote; with fewer,
-     * it has a fraction of one.
+     * Number of ended or waiting attempts from which a replica has a full vote; with fewer, it has
+     * a fraction of one.
      */
     static final double REQUESTS_PER_VOTE = 3;
 
--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -16,8 +16,8 @@
 public final class ProcessFootprint {
 
     /**
-     * Factor for the sizes from real processes, which hold for references of four bytes, if
-     * references have eight.
+     * Factor for the sizes that come from real processes with references of four bytes, if
+     * references have eight bytes.
      */
     private static final double WIDE_REFERENCE_FACTOR = 1.39;
 
--- a/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
@@ -21,7 +21,7 @@
 
     private static final int MAX_NUMBER = (1 << 24) - 1;
 
-    /** The capacity of a replica that does not check its memory. */
+    /** The capacity of a replica that has no limit on its tables and lists. */
     public static final RouteTableCapacity ANY =
             new RouteTableCapacity(MAX_NUMBER, MAX_NUMBER, MAX_NUMBER);
 
--- a/core/src/main/java/cedarrudder/membership/MemberTable.java
+++ b/core/src/main/java/cedarrudder/membership/MemberTable.java
@@ -126,8 +126,8 @@
             suspicions.remove(number);
             set(update);
         }
-        // A start after which nobody suspected the instance is not gossiped: the instance's own
-        // messages carry the news.
+        // A start of an instance that nobody suspected is not gossiped: the instance's own messages
+        // announce it to those concerned.
         if (!isOwnMessage || known.state() != State.ALIVE) {
             queue(update, accuser);
         }
--- a/core/src/main/java/cedarrudder/membership/SuspectProber.java
+++ b/core/src/main/java/cedarrudder/membership/SuspectProber.java
@@ -15,7 +15,7 @@
 
     /**
      * Approximate number of pings per period that each suspect receives from all live instances
-     * together. Unbounded, all instances of a large tier would ping one suspect at once.
+     * together. Without the bound, all instances of a large tier would ping one suspect at once.
      */
     private static final int PINGS_OF_SUSPECT_PER_PERIOD = 8;
 
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -104,7 +104,7 @@
                         && incarnation <= Member.MAX_INCARNATION;
         if (!valid) {
             throw new IllegalArgumentException(
-                    "instance " + self + " of " + instances + ", incarnation " + incarnation);
+                    "invalid member " + self + " of " + instances + ", incarnation " + incarnation);
         }
         this.self = self;
         this.settings = settings;
@@ -216,8 +216,8 @@
     }
 
     /**
-     * Handles that the process was suspended for this long. The acks and refutations of others may
-     * be waiting unread, so nobody may be declared dead for their absence.
+     * Handles a suspension of the process for this long. The acks and refutations of others may be
+     * waiting unread, so nobody may be declared dead for their absence.
      */
     private void onSuspended(long nanos) {
         health.worsen();
@@ -365,7 +365,7 @@
         }
     }
 
-    // ---- the end ----
+    // ---- leaving ----
 
     /**
      * Notifies some others that this incarnation ends; after that the member sends nothing and
--- a/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
+++ b/core/src/test/java/cedarrudder/membership/SwimMemberTest.java
@@ -188,10 +188,10 @@
         return pinged;
     }
 
-    private long silentUntilSuspected(boolean lossy) {
+    private long timeUntilSuspected(boolean lossy) {
         start(20);
         Sent pinged = answerAll(60, lossy);
-        long began = now;
+        long startedAt = now;
         while (swim.member(pinged.to).state() == State.ALIVE) {
             receive(
                     pinged.to % 19 + 1,
@@ -202,13 +202,13 @@
             now = swim.nextTickAt();
             swim.tick(now);
         }
-        return now - began;
+        return now - startedAt;
     }
 
     @Test
     public void probesAreRepeatedBeforeSuspicionWhenAcksAreLost() {
-        assertTrue(silentUntilSuspected(false) <= MembershipSettings.DEFAULT.period());
-        assertTrue(silentUntilSuspected(true) >= 3 * MembershipSettings.DEFAULT.period());
+        assertTrue(timeUntilSuspected(false) <= MembershipSettings.DEFAULT.period());
+        assertTrue(timeUntilSuspected(true) >= 3 * MembershipSettings.DEFAULT.period());
     }
 
     @Test
@@ -259,12 +259,12 @@
             for (int i = 0; i < 10; i++) {
                 receive(1, Kind.ACK, 99, 1, 1, update(9, 3, State.SUSPECT, 1));
             }
-            long began = now;
+            long startedAt = now;
             while (swim.member(9).isLive()) {
                 now = swim.nextTickAt();
                 swim.tick(now);
             }
-            until[confirmed] = now - began;
+            until[confirmed] = now - startedAt;
         }
         assertTrue(until[1] * 3 < until[0], until[0] + " unconfirmed, " + until[1] + " confirmed");
     }
@@ -322,7 +322,7 @@
         sent.clear();
         receive(2, Kind.PING, 8, 5, 0);
         assertTrue(await(Kind.ACK).packet.updates().isEmpty(), "updates are sent too often");
-        byte[] held = {0, 2, 4, 0}; // 9 and 18 are dead
+        byte[] deadBits = {0, 2, 4, 0}; // 9 and 18 are dead
         swim.onDatagram(
                 now,
                 3,
@@ -334,7 +334,7 @@
                                 5,
                                 0,
                                 77,
-                                new SwimMessage.Window(0, held),
+                                new SwimMessage.Window(0, deadBits),
                                 List.of())));
         assertEquals(
                 await(Kind.ACK).packet.updates(),
@@ -362,7 +362,7 @@
         receive(2, Kind.NACK, 0, 5, 2, update(9, 20, State.DEAD, 2));
         receive(3, Kind.NACK, 0, 5, 3, update(9, 20, State.DEAD, 3));
         assertEquals(swim.member(9).state(), State.SUSPECT);
-        long began = now;
+        long startedAt = now;
         while (swim.member(9).isLive()) {
             receive(2, Kind.NACK, 0, 5, 2);
             now = swim.nextTickAt();
@@ -370,7 +370,7 @@
         }
         double min = 4 * Math.log10(30) * MembershipSettings.DEFAULT.period();
         assertEquals(
-                now - began,
+                now - startedAt,
                 min,
                 MembershipSettings.DEFAULT.period(),
                 "the minimum length of a suspicion");
@@ -475,12 +475,13 @@
     @Test
     public void flippedBitInvalidatesMessage() {
         start(6);
-        byte[] good = SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, update(3, 9, State.ALIVE, 3)));
-        assertNotNull(SwimCodec.decode(good, 6));
-        for (int bit = 0; bit < 8 * good.length; bit++) {
-            byte[] turned = good.clone();
-            turned[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(SwimCodec.decode(turned, 6), "bit " + bit);
+        byte[] valid =
+                SwimCodec.encode(packet(Kind.PING, 1, 2, 9, 0, update(3, 9, State.ALIVE, 3)));
+        assertNotNull(SwimCodec.decode(valid, 6));
+        for (int bit = 0; bit < 8 * valid.length; bit++) {
+            byte[] flipped = valid.clone();
+            flipped[bit / 8] ^= (byte) (1 << bit % 8);
+            assertNull(SwimCodec.decode(flipped, 6), "bit " + bit);
         }
     }
 
@@ -493,7 +494,7 @@
         System.out.println("bytes: seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
         start(6);
-        byte[] good =
+        byte[] valid =
                 SwimCodec.encode(
                         new SwimMessage(
                                 Kind.PING,
@@ -515,10 +516,10 @@
             } else {
                 bytes =
                         java.util.Arrays.copyOf(
-                                good,
+                                valid,
                                 random.nextInt(8) > 0
-                                        ? good.length
-                                        : random.nextInt(2 * good.length));
+                                        ? valid.length
+                                        : random.nextInt(2 * valid.length));
                 for (int changed = random.nextInt(4); changed > 0 && bytes.length > 0; changed--) {
                     bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
                 }
